--- a/control/control.go
+++ b/control/control.go
@@ -12,8 +12,8 @@
 	"math/rand"
 	"slices"
 
+	"topazpost/internal/stats"
 	"topazpost/node"
-	"topazpost/tally"
 )
 
 const (
@@ -109,9 +109,9 @@
 
 // measured is what was measured of an operation, and what its level leaves of it.
 type measured struct {
-	usual tally.Ratios // own core time of runs, over their base
-	away  tally.Ratios // time a run spent off the cores, over the objective
-	asked tally.Window // ns of core time that first tries of late asked for, were all run whole
+	usual stats.Ratios // own core time of runs, over their base
+	away  stats.Ratios // time a run spent off the cores, over the objective
+	asked stats.Window // ns of core time that first tries of late asked for, were all run whole
 
 	service node.Service // what the level of reduced service leaves of it
 }
@@ -127,7 +127,7 @@
 	live, order     []int32 // not ended, in order of arrival; the hold, in the order it is to run
 	tightest, cores float64 // ns of the shortest latency objective; how many cores there are
 	slowest         int64   // ns of the longest latency objective
-	objectives      tally.Extremes
+	objectives      stats.Extremes
 	callUnit        float64 // ns in which lengths of calls are counted: the shortest objective at birth
 
 	onCores, standing, inHand  int     // on the cores, off them with no call made, with one in hand
@@ -138,15 +138,15 @@
 	memory                     float64 // kB of what is held and run
 	coreClock                  float64 // ns that a run on the cores has had of one whole core since birth
 	away, reading, meanReading float64 // mean off the cores; others that want cores, now and as a mean
-	stays                      tally.Stays
+	stays                      stats.Stays
 	patient                    float64 // part of the client timeout that most callers wait
 	stall                      float64 // times the usual cost that every run has overstayed
 	lag                        float64 // ns that arrivals lay unread of late
 
 	limit, throughput, workDone float64 // throughput is the best seen at the last lower limit
 
-	callUsed                  tally.Window // ns of calls in hand over the last span
-	pace, callFails, callTime tally.Ratios // of late; callTime over the shortest objective
+	callUsed                  stats.Window // ns of calls in hand over the last span
+	pace, callFails, callTime stats.Ratios // of late; callTime over the shortest objective
 
 	gauged, windowAt, noticed, intakeEnd, drainEnd int64 // gauged: when the gauges came
 	opened, closed                                 int   // invocations ever read, and ended
@@ -158,18 +158,18 @@
 	allFull                     bool         // other nodes seem to turn work away too
 	arrivals, echoes, throttled float64      // of late; echoes are further tries among the arrivals
 	levelled                    float64      // of late, throttled as their level leaves nothing of them
-	callers, tenants            tally.Recent // arrivals of late, of each that was seen
+	callers, tenants            stats.Recent // arrivals of late, of each that was seen
 }
 
-func ratios(memory float64) tally.Ratios { return tally.NewRatios(binCount, binsAnOctave, memory) }
+func ratios(memory float64) stats.Ratios { return stats.NewRatios(binCount, binsAnOctave, memory) }
 
 // New makes the decisions' state of a node that has just started, on cores that started at now.
 func New(config *node.Config, now int64) *Post {
 	cores := float64(config.Cores)
 	p := &Post{config: config, chance: rand.New(rand.NewSource(config.Seed)), born: now, now: now, next: now,
 		pace: ratios(paceMemory), callFails: ratios(shortMemory), callTime: ratios(shortMemory),
-		stays:    tally.NewStays(patienceBins, longMemory),
-		callUsed: tally.NewWindow(config.CallSpan, callSlices),
+		stays:    stats.NewStays(patienceBins, longMemory),
+		callUsed: stats.NewWindow(config.CallSpan, callSlices),
 		windowAt: now, cores: cores, limit: cores, open: 1, tightest: math.Inf(1), said: -1,
 		units: math.MaxInt, hold: math.MaxInt64 / 4,
 		patient: 1}
@@ -351,7 +351,7 @@
 			op.measured = was.measured
 		} else {
 			op.measured = &measured{usual: ratios(longMemory), away: ratios(longMemory),
-				asked: tally.NewWindow(askedSpan, askedSlices)}
+				asked: stats.NewWindow(askedSpan, askedSlices)}
 		}
 		if len(service) > 0 {
 			op.service = service[0]
--- a/tally/extremes_test.go
+++ b/internal/stats/extremes_test.go
@@ -1,4 +1,4 @@
-package tally
+package stats
 
 import (
 	"slices"
--- a/tally/recent.go
+++ b/internal/stats/recent.go
@@ -1,4 +1,4 @@
-package tally
+package stats
 
 // Recent counts what was seen of late, by key; what it costs is that of the keys seen, however many there may be.
 // The zero value is ready.
--- a/tally/tally.go
+++ b/internal/stats/tally.go
@@ -1,6 +1,6 @@
-// Package tally counts what was seen in a few coarse bins that are halved from time to time. It decides
+// Package stats counts what was seen in a few coarse bins that are halved from time to time. It decides
 // nothing: how many bins there are, how coarse and how long they remember, its users say.
-package tally
+package stats
 
 import "math"
 
