--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -12,7 +12,7 @@
 
 	"topazpost/control"
 	"topazpost/ember"
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 // instance is one node: its module, its door, and its events of the batch in hand.
@@ -20,7 +20,7 @@
 	number int64
 	post   *control.Post
 	host   *ember.Host
-	events []node.Event
+	events []admission.Event
 	marked bool // it has an event in this batch
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -12,8 +12,8 @@
 	"math/rand"
 	"slices"
 
+	"topazpost/internal/admission"
 	"topazpost/internal/stats"
-	"topazpost/node"
 )
 
 const (
@@ -103,7 +103,7 @@
 
 // operation is the terms of an operation, and what is of it under any terms.
 type operation struct {
-	node.Operation
+	admission.Operation
 	*measured
 }
 
@@ -113,15 +113,15 @@
 	away  stats.Ratios // time a run spent off the cores, over the objective
 	asked stats.Window // ns of core time that first tries of late asked for, were all run whole
 
-	service node.Service // what the level of reduced service leaves of it
+	service admission.Service // what the level of reduced service leaves of it
 }
 
 // Post decides for one node.
 type Post struct {
-	config          *node.Config
+	config          *admission.Config
 	chance          *rand.Rand
 	born, now, next int64 // next is when the beat is due
-	out             []node.Action
+	out             []admission.Action
 	ops             []*operation // by index, nil where it is no operation's
 	invs            []invocation
 	live, order     []int32 // not ended, in order of arrival; the hold, in the order it is to run
@@ -164,7 +164,7 @@
 func ratios(memory float64) stats.Ratios { return stats.NewRatios(binCount, binsAnOctave, memory) }
 
 // New makes the decisions' state of a node that has just started, on cores that started at now.
-func New(config *node.Config, now int64) *Post {
+func New(config *admission.Config, now int64) *Post {
 	cores := float64(config.Cores)
 	p := &Post{config: config, chance: rand.New(rand.NewSource(config.Seed)), born: now, now: now, next: now,
 		pace: ratios(paceMemory), callFails: ratios(shortMemory), callTime: ratios(shortMemory),
@@ -191,7 +191,7 @@
 }
 
 // Decide is the one entry point: it takes what happened at a moment and returns what to do.
-func (p *Post) Decide(now int64, events []node.Event) []node.Action {
+func (p *Post) Decide(now int64, events []admission.Event) []admission.Action {
 	p.out = p.out[:0]
 	p.advance(now)
 	for i := range events {
@@ -204,7 +204,7 @@
 	p.keepMemory()
 	if now >= p.next {
 		p.next = now + beat
-		p.do(node.Action{Kind: node.Timer, At: p.next})
+		p.do(admission.Action{Kind: admission.Timer, At: p.next})
 		p.patient = p.stays.Until(patienceMost)
 		p.keepDeadlines()
 		p.adjustLimit()
@@ -214,14 +214,14 @@
 	p.live = slices.DeleteFunc(p.live, func(i int32) bool {
 		over := p.invs[i].state == ended
 		if over {
-			p.do(node.Action{Kind: node.Release, Inv: i})
+			p.do(admission.Action{Kind: admission.Release, Inv: i})
 		}
 		return over
 	})
 	return p.out
 }
 
-func (p *Post) do(a node.Action) { p.out = append(p.out, a) }
+func (p *Post) do(a admission.Action) { p.out = append(p.out, a) }
 
 // advance moves the clocks: that of the cores, which all runs share, and that of the calls in hand.
 func (p *Post) advance(now int64) {
@@ -232,13 +232,13 @@
 	p.now = now
 }
 
-func (p *Post) take(e *node.Event) {
+func (p *Post) take(e *admission.Event) {
 	switch i := e.Inv; {
-	case e.Kind == node.Arrived:
+	case e.Kind == admission.Arrived:
 		p.intake(e)
-	case e.Kind == node.DrainNotice:
+	case e.Kind == admission.DrainNotice:
 		p.drain(e.Kill)
-	case e.Kind == node.TimerDue:
+	case e.Kind == admission.TimerDue:
 		p.free = e.Busy >= 0 && e.Busy < freeBusy
 		if e.Runnable >= 0 {
 			p.free = e.Runnable < p.cores
@@ -246,22 +246,22 @@
 			p.reading, p.gauged = p.reading+(others-p.reading)*min(1, part/gaugePart), p.now
 			p.meanReading += (others - p.meanReading) * min(1, part/gaugeLong)
 		}
-	case e.Kind == node.UnitsSet:
+	case e.Kind == admission.UnitsSet:
 		p.units, p.hold = e.Units, e.Hold
-	case e.Kind == node.OperationSet:
+	case e.Kind == admission.OperationSet:
 		p.setOperation(e.Operation, e.Terms, e.Services)
-	case e.Kind == node.LevelSet:
+	case e.Kind == admission.LevelSet:
 		p.setLevel(e.Services, e.Spare)
 	case p.invs[i].state == ended:
-	case e.Kind == node.CallerGone:
+	case e.Kind == admission.CallerGone:
 		p.watch(&p.invs[i], true)
 		p.invs[i].answered = true
 		p.letGo(i)
-	case e.Kind == node.CallWanted:
+	case e.Kind == admission.CallWanted:
 		p.shift(&p.invs[i], standing)
-	case e.Kind == node.CallEnded:
+	case e.Kind == admission.CallEnded:
 		p.callEnded(&p.invs[i], e.Outcome)
-	case e.Kind == node.RunEnded:
+	case e.Kind == admission.RunEnded:
 		p.runEnded(i, e.Outcome)
 	}
 }
@@ -303,7 +303,7 @@
 }
 
 // intake takes what was read into the hold, joins it to the invocation it repeats, or turns it away.
-func (p *Post) intake(e *node.Event) {
+func (p *Post) intake(e *admission.Event) {
 	p.invs = append(p.invs, make([]invocation, max(0, int(e.Inv)+1-len(p.invs)))...)
 	v, op, arrived := &p.invs[e.Inv], p.ops[e.Operation], p.now-e.Age
 	*v = invocation{op: op, tenant: e.Tenant, further: e.Further, arrived: arrived, kb: e.HeldKB,
@@ -321,25 +321,25 @@
 		op.asked.Add(p.now, v.base*op.usual.Mean(1)*p.slowness())
 	}
 	p.tenants.Add(int64(e.Tenant))
-	v.ran = e.Repeats == node.EndedRepeat || e.Repeats >= 0 && p.invs[e.Repeats].ran
+	v.ran = e.Repeats == admission.EndedRepeat || e.Repeats >= 0 && p.invs[e.Repeats].ran
 	switch {
 	case p.noticed != 0 && p.now >= p.intakeEnd:
-		p.giveUp(e.Inv, node.Draining)
-	case e.Repeats != node.NoRepeat:
-		p.do(node.Action{Kind: node.Reuse, Inv: e.Inv})
+		p.giveUp(e.Inv, admission.Draining)
+	case e.Repeats != admission.NoRepeat:
+		p.do(admission.Action{Kind: admission.Reuse, Inv: e.Inv})
 		p.shift(v, joined)
-	case op.service.Form == node.Refused && !p.spare:
-		p.giveUp(e.Inv, node.Levelled)
-	case op.Effect == node.Tokened:
+	case op.service.Form == admission.Refused && !p.spare:
+		p.giveUp(e.Inv, admission.Levelled)
+	case op.Effect == admission.Tokened:
 		p.record(e.Inv, v.arrived+op.Window)
-	case op.Effect == node.Idempotent && p.config.ReuseFor > 0 && e.Subject && !e.Write:
+	case op.Effect == admission.Idempotent && p.config.ReuseFor > 0 && e.Subject && !e.Write:
 		p.record(e.Inv, v.due+p.config.ReuseFor)
 	}
 }
 
 // setOperation gives an index the terms of its operation, other terms, or none. What was measured stays with
 // the index as long as it is an operation's; what was taken keeps the terms that it was taken under.
-func (p *Post) setOperation(i int32, terms *node.Operation, service []node.Service) {
+func (p *Post) setOperation(i int32, terms *admission.Operation, service []admission.Service) {
 	p.ops = append(p.ops, make([]*operation, max(0, int(i)+1-len(p.ops)))...)
 	was := p.ops[i]
 	if was != nil {
@@ -366,21 +366,21 @@
 
 // setLevel applies a level of reduced service: what waits unrun and is refused now goes at once,
 // unless the plan leaves it the spare room.
-func (p *Post) setLevel(services []node.Service, spare bool) {
+func (p *Post) setLevel(services []admission.Service, spare bool) {
 	p.spare = spare
 	for k, op := range p.ops {
 		if op == nil {
 			continue
 		}
-		if op.service = (node.Service{}); k < len(services) {
+		if op.service = (admission.Service{}); k < len(services) {
 			op.service = services[k]
 		}
 	}
 	for _, i := range p.live {
 		v := &p.invs[i]
 		if v.state == held && !v.ran {
-			if v.part, v.worth = 1, 1; v.op.service.Form == node.Refused && !p.spare {
-				p.giveUp(i, node.Levelled)
+			if v.part, v.worth = 1, 1; v.op.service.Form == admission.Refused && !p.spare {
+				p.giveUp(i, admission.Levelled)
 			}
 		}
 	}
@@ -393,33 +393,33 @@
 func (p *Post) record(i int32, until int64) {
 	room := p.config.RecordsMost == 0 || len(p.records) < p.config.RecordsMost
 	if room && p.recordKB()+p.config.EntryKB <= recordRoom*p.config.MemoryKB && until > p.now {
-		p.do(node.Action{Kind: node.Record, Inv: i, For: until - p.now})
+		p.do(admission.Action{Kind: admission.Record, Inv: i, For: until - p.now})
 		p.records = append(p.records, until)
-	} else if p.invs[i].op.Effect == node.Tokened {
-		p.giveUp(i, node.Crowded)
+	} else if p.invs[i].op.Effect == admission.Tokened {
+		p.giveUp(i, admission.Crowded)
 	}
 }
 
 func (p *Post) recordKB() float64 { return float64(len(p.records)) * p.config.EntryKB }
 
 // giveUp gives the final answer to what will not be served, at once.
-func (p *Post) giveUp(i int32, why node.Why) {
+func (p *Post) giveUp(i int32, why admission.Why) {
 	v := &p.invs[i]
 	if v.answered {
 		return
 	}
 	p.watch(v, false)
 	if v.answered = true; v.state == held && !v.ran {
-		if why == node.Levelled {
+		if why == admission.Levelled {
 			p.levelled++
 		}
 		if p.throttled++; !p.config.RetriesMarked {
 			p.echoes++ // where they bear no mark, what is turned away here tells of those to come
 		}
-		p.do(node.Action{Kind: node.Throttle, Inv: i, For: p.comeBack(), NoRetry: v.further || p.allFull,
+		p.do(admission.Action{Kind: admission.Throttle, Inv: i, For: p.comeBack(), NoRetry: v.further || p.allFull,
 			Why: why})
 	} else {
-		p.do(node.Action{Kind: node.Fail, Inv: i, Why: why})
+		p.do(admission.Action{Kind: admission.Fail, Inv: i, Why: why})
 	}
 	p.letGo(i)
 }
@@ -437,8 +437,8 @@
 	case held, joined, paused:
 		p.end(i)
 	case running:
-		if p.config.Halting != node.NoHalt {
-			p.do(node.Action{Kind: node.Stop, Inv: i})
+		if p.config.Halting != admission.NoHalt {
+			p.do(admission.Action{Kind: admission.Stop, Inv: i})
 		}
 	}
 }
@@ -518,8 +518,8 @@
 			end += ahead / p.freeCores()
 		}
 		if end-skew*p.expected(v) > p.objective(v) && (v.op.LateShare == 0 || end > p.left(v)) {
-			levelled := v.op.service.Form == node.Refused
-			p.giveUp(i, map[bool]node.Why{false: node.Hopeless, true: node.Levelled}[levelled])
+			levelled := v.op.service.Form == admission.Refused
+			p.giveUp(i, map[bool]admission.Why{false: admission.Hopeless, true: admission.Levelled}[levelled])
 			return true
 		}
 		ahead += p.expected(v)
@@ -533,7 +533,7 @@
 	if !p.config.ByWork {
 		v.key /= p.expected(v)
 	}
-	if v.op.service.Form == node.Refused && !v.ran {
+	if v.op.service.Form == admission.Refused && !v.ran {
 		v.key *= servedLast
 	}
 	if need, slack := p.ends(v)-float64(p.now), p.objective(v)-float64(p.now); need > slack {
@@ -588,14 +588,14 @@
 		if v.state == held && p.memory+p.recordKB()+v.kb*(p.config.Blowup-1) > memoryRoom*p.config.MemoryKB {
 			continue
 		}
-		form := node.Whole
-		if v.op.service.Form == node.Reduced && !v.ran && p.roomy() {
+		form := admission.Whole
+		if v.op.service.Form == admission.Reduced && !v.ran && p.roomy() {
 			v.part, v.worth = 1, 1
 		} else if v.part < 1 {
-			form = node.Reduced
+			form = admission.Reduced
 		}
 		v.ran = true
-		p.do(node.Action{Kind: node.Run, Inv: i, Form: form})
+		p.do(admission.Action{Kind: admission.Run, Inv: i, Form: form})
 		p.shift(v, running)
 	}
 }
@@ -611,8 +611,8 @@
 			}
 		}
 	}
-	if least >= 0 && p.config.Halting == node.PauseHalt {
-		p.do(node.Action{Kind: node.Stop, Inv: least})
+	if least >= 0 && p.config.Halting == admission.PauseHalt {
+		p.do(admission.Action{Kind: admission.Stop, Inv: least})
 	}
 }
 
@@ -637,10 +637,10 @@
 }
 
 // runEnded closes a run and learns what it cost.
-func (p *Post) runEnded(i int32, outcome node.Outcome) {
+func (p *Post) runEnded(i int32, outcome admission.Outcome) {
 	v := &p.invs[i]
-	if outcome == node.Withdrawn && !v.answered && p.config.Halting != node.NoHalt {
-		p.shift(v, map[node.Halting]state{node.PauseHalt: paused, node.DropHalt: held}[p.config.Halting])
+	if outcome == admission.Withdrawn && !v.answered && p.config.Halting != admission.NoHalt {
+		p.shift(v, map[admission.Halting]state{admission.PauseHalt: paused, admission.DropHalt: held}[p.config.Halting])
 		return
 	}
 	if v.state == calling {
@@ -648,7 +648,7 @@
 	}
 	p.watch(v, false)
 	own, usual := v.state != joined, v.base*v.part*v.op.usual.Mean(1)
-	if p.end(i); own && (outcome == node.Succeeded || v.spent > usual) {
+	if p.end(i); own && (outcome == admission.Succeeded || v.spent > usual) {
 		p.pace.Add(v.spent / usual)
 		v.op.usual.Add(v.spent / (v.base * v.part))
 		p.workDone += usual
@@ -673,19 +673,19 @@
 		skippable, latest := v.op.SkipShare > 0, int64(p.objective(v)-p.expected(v))
 		if skippable {
 			until = min(until, latest)
-		} else if v.op.Effect == node.Idempotent && v.tries < callTries/2 && p.callTime.Mean(0) > 0 {
+		} else if v.op.Effect == admission.Idempotent && v.tries < callTries/2 && p.callTime.Mean(0) > 0 {
 			until = min(until, p.now+int64(callLong*p.callTime.Mean(0)*p.callUnit))
 		}
 		switch {
 		case skippable && (failed || latest <= p.now || p.chance.Float64() < p.callFails.Mean(0)):
-			p.do(node.Action{Kind: node.SkipCall, Inv: i})
+			p.do(admission.Action{Kind: admission.SkipCall, Inv: i})
 			p.shift(v, running)
 		case failed, !skippable && v.op.LateShare == 0 && p.inHand > 0 &&
 			float64(p.now)+p.callTime.Mean(0)*p.callUnit > p.objective(v):
-			p.giveUp(i, node.Callless)
+			p.giveUp(i, admission.Callless)
 		case room > 0 && until > p.now && p.inHand < p.units:
 			v.callAt, v.callUntil, v.tries = p.now, until, v.tries+1
-			p.do(node.Action{Kind: node.Call, Inv: i, At: until})
+			p.do(admission.Action{Kind: admission.Call, Inv: i, At: until})
 			p.shift(v, calling)
 		}
 	}
@@ -696,7 +696,7 @@
 // callRoom is how long one more call may take: a third of the share left if all in hand are left at the
 // last, or some times the usual. Guards against hangs, small shares; does harm where calls grow longer.
 func (p *Post) callRoom() int64 {
-	if p.config.Below != node.SharedBelow || p.units < math.MaxInt { // a lease counts calls, not their time
+	if p.config.Below != admission.SharedBelow || p.units < math.MaxInt { // a lease counts calls, not their time
 		return math.MaxInt64 / 4
 	}
 	linger := float64(p.config.Linger)
@@ -716,10 +716,10 @@
 
 // callEnded learns how calls go; one that failed is repeated if known not to have run, or once if idempotent.
 // Guards against replies spoilt or lost; does harm where a dependency fails for the calls that it gets.
-func (p *Post) callEnded(v *invocation, outcome node.Outcome) {
+func (p *Post) callEnded(v *invocation, outcome admission.Outcome) {
 	took := float64(p.now - v.callAt)
 	p.callTime.Add(took / p.callUnit)
-	if outcome == node.Succeeded {
+	if outcome == admission.Succeeded {
 		v.op.away.Add(took / float64(v.op.Objective))
 		p.callFails.Add(0)
 		v.tries = 0
@@ -728,7 +728,7 @@
 	}
 	p.callFails.Add(1)
 	p.shift(v, standing)
-	if outcome != node.Overloaded && outcome != node.Unreachable {
+	if outcome != admission.Overloaded && outcome != admission.Unreachable {
 		v.tries += 1 + callTries*int(v.op.Effect) // no more, unless it is idempotent
 		p.callUsed.Add(p.now, float64(p.config.Linger))
 	}
@@ -738,9 +738,9 @@
 func (p *Post) keepDeadlines() {
 	for _, i := range p.live {
 		v := &p.invs[i]
-		futile := v.state == running && p.config.Halting != node.NoHalt && v.op.LateShare == 0
+		futile := v.state == running && p.config.Halting != admission.NoHalt && v.op.LateShare == 0
 		if v.state != ended && (futile && float64(p.now) > p.objective(v) || p.now >= v.due-answerMargin) {
-			p.giveUp(i, node.Overdue)
+			p.giveUp(i, admission.Overdue)
 		}
 		if v.state == running && v.answered {
 			p.letGo(i) // again: a stop has no effect while the cores stand still
@@ -753,7 +753,7 @@
 	p.records = slices.DeleteFunc(p.records, func(until int64) bool { return until < p.now })
 	for k := len(p.order) - 1; k >= 0 && p.memory+p.recordKB() > (1+memoryRoom)/2*p.config.MemoryKB; k-- {
 		if p.invs[p.order[k]].state == held {
-			p.giveUp(p.order[k], node.Crowded)
+			p.giveUp(p.order[k], admission.Crowded)
 		}
 	}
 }
@@ -779,7 +779,7 @@
 	if p.noticed == 0 || p.drained || p.now < p.intakeEnd {
 		return
 	}
-	p.do(node.Action{Kind: node.StopIntake})
+	p.do(admission.Action{Kind: admission.StopIntake})
 	abandoned, completed := 0, p.closed-p.closedBefore
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state != ended && !v.answered {
@@ -787,11 +787,11 @@
 				return
 			}
 			abandoned++
-			p.giveUp(i, node.Draining)
+			p.giveUp(i, admission.Draining)
 		}
 	}
 	p.drained = true
-	p.do(node.Action{Kind: node.Leave, Text: fmt.Sprintf(
+	p.do(admission.Action{Kind: admission.Leave, Text: fmt.Sprintf(
 		"drain: in flight at start %d, completed %d, abandoned %d", p.atNotice, completed, abandoned)})
 }
 
@@ -816,7 +816,9 @@
 }
 
 // tellHealth answers checks from store, since a full one costs work.
-func (p *Post) tellHealth() { p.do(node.Action{Kind: node.Health, Good: !p.unhealthy, Stored: true}) }
+func (p *Post) tellHealth() {
+	p.do(admission.Action{Kind: admission.Health, Good: !p.unhealthy, Stored: true})
+}
 
 // adjustAdvice tells callers how much to send: less while the wait is long, more while it is short.
 func (p *Post) adjustAdvice() {
@@ -835,24 +837,24 @@
 		p.open = min(1, p.open+adviceUp)
 	}
 	value, away := p.open, 0.0
-	if p.config.Advice == node.LevelAdvice {
+	if p.config.Advice == admission.LevelAdvice {
 		value, away = levelHigh*(1-p.open), 1
-	} else if p.config.Advice == node.CreditAdvice { // for each caller that counts, unequal as they are
+	} else if p.config.Advice == admission.CreditAdvice { // for each caller that counts, unequal as they are
 		value *= creditTop * p.cores / max(1, sum*sum/squares)
 	}
 	if p.noticed != 0 && p.now >= p.intakeEnd-awayLead {
 		value = away
 	}
 	value = math.Ceil(value*100) / 100 // never rounded to nothing
-	if value != p.said && p.config.Advice != node.NoAdvice {
-		p.do(node.Action{Kind: node.Advise, Value: value})
+	if value != p.said && p.config.Advice != admission.NoAdvice {
+		p.do(admission.Action{Kind: admission.Advise, Value: value})
 	}
 	p.said = value
 }
 
 // State is what decisions stand on now; it changes nothing.
-func (p *Post) State() node.State {
-	return node.State{Limit: p.limit, OnCores: p.onCores, Held: p.waiting, Standing: p.standing,
+func (p *Post) State() admission.State {
+	return admission.State{Limit: p.limit, OnCores: p.onCores, Held: p.waiting, Standing: p.standing,
 		InHand: p.inHand, Away: p.away,
 		Wait: p.wait(), CallWait: p.callWait(), Lag: p.lag, Reading: p.reading, MeanReading: p.meanReading,
 		Pace: p.pace.Mean(1), Stall: p.stall, Patient: p.patient, CallTime: p.callTime.Mean(0) * p.callUnit,
@@ -863,7 +865,7 @@
 }
 
 // Measure tells of the present what concerns more than one invocation, into m.
-func (p *Post) Measure(m *node.Measures) {
+func (p *Post) Measure(m *admission.Measures) {
 	m.Asked = m.Asked[:0]
 	for _, op := range p.ops {
 		if op == nil {
--- a/control/ramp_test.go
+++ b/control/ramp_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 // fleet is n nodes that each have as many runs standing at calls as they like, over a dependency on which every call
@@ -26,7 +26,7 @@
 )
 
 func (f *fleet) start(k int, fresh bool, age int64) {
-	f.posts[k] = New(post(func(n *node.Config) {
+	f.posts[k] = New(post(func(n *admission.Config) {
 		n.CallShare, n.CallSpan, n.Linger, n.Fresh, n.ColdFrom = f.share, fleetSpan, 200*ms, fresh, 0.3
 		n.Operations[0].ClientTimeout, n.Operations[0].Objective = 60_000*ms, 30_000*ms
 		n.Began = f.now
@@ -41,19 +41,19 @@
 func (f *fleet) step() (inHand int) {
 	f.now += fleetTick
 	for k, p := range f.posts {
-		var events []node.Event
+		var events []admission.Event
 		for i, end := range f.ends[k] {
 			if f.now >= end {
 				delete(f.ends[k], i)
-				events = append(events, node.Event{Kind: node.CallEnded, Inv: i, Outcome: node.Succeeded},
-					node.Event{Kind: node.RunEnded, Inv: i, Outcome: node.Succeeded})
+				events = append(events, admission.Event{Kind: admission.CallEnded, Inv: i, Outcome: admission.Succeeded},
+					admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Succeeded})
 			}
 		}
 		for p.standing < 4 {
 			put(p, 0, standing)
 		}
 		for _, a := range p.Decide(f.now, events) {
-			if a.Kind == node.Call {
+			if a.Kind == admission.Call {
 				f.ends[k][a.Inv] = a.At
 			}
 		}
--- a/ember/ember.go
+++ b/ember/ember.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/nodeconfig"
 )
 
@@ -124,13 +124,13 @@
 // time reads milliseconds as whole nanoseconds; the wire counts in microseconds.
 func (f *fields) time() int64 { return int64(math.Round(f.number()*1e3)) * 1e3 }
 
-var outcomes = map[string]node.Outcome{
-	"success": node.Succeeded, "failure": node.Errored, "overloaded": node.Overloaded,
-	"timed_out": node.TimedOut, "unreachable": node.Unreachable, "broken": node.Broken,
-	"withdrawn": node.Withdrawn, "void": node.Void,
+var outcomes = map[string]admission.Outcome{
+	"success": admission.Succeeded, "failure": admission.Errored, "overloaded": admission.Overloaded,
+	"timed_out": admission.TimedOut, "unreachable": admission.Unreachable, "broken": admission.Broken,
+	"withdrawn": admission.Withdrawn, "void": admission.Void,
 }
 
-func (f *fields) outcome() node.Outcome {
+func (f *fields) outcome() admission.Outcome {
 	v := f.next()
 	o, ok := outcomes[v]
 	if !ok {
@@ -166,7 +166,7 @@
 }
 
 // Event reads one event of this instance; live is false for one that names an id no longer live.
-func (h *Host) Event(line []string) (e node.Event, live bool, err error) {
+func (h *Host) Event(line []string) (e admission.Event, live bool, err error) {
 	f := fields{name: line[0], values: line[1:]}
 	switch f.name {
 	case "WORK_ITEM":
@@ -176,35 +176,35 @@
 		if len(f.values) == 0 || f.values[0] == "-" {
 			f.fail("-")
 		}
-		e = node.Event{Kind: node.DrainNotice, Kill: f.time()}
+		e = admission.Event{Kind: admission.DrainNotice, Kill: f.time()}
 		return e, f.err == nil, f.err
 	case "DUE":
 		f.id() // of the timer
-		e = node.Event{Kind: node.TimerDue, Busy: -1, Runnable: -1}
+		e = admission.Event{Kind: admission.TimerDue, Busy: -1, Runnable: -1}
 		h.gauges(&f, &e)
 		return e, f.err == nil, f.err
 	case "CANCELLED_BY_CLIENT":
-		e.Kind = node.CallerGone
+		e.Kind = admission.CallerGone
 	case "BLOCKED":
-		e.Kind = node.CallWanted
+		e.Kind = admission.CallWanted
 	case "CAME_BACK":
-		e.Kind = node.CallEnded
+		e.Kind = admission.CallEnded
 	case "WORK_DONE":
-		e.Kind = node.RunEnded
+		e.Kind = admission.RunEnded
 	default:
 		return e, false, fmt.Errorf("ember: unknown event %q", f.name)
 	}
 	index, ok := h.indices[f.id()]
 	e.Inv = index
-	if e.Kind == node.CallEnded || e.Kind == node.RunEnded {
+	if e.Kind == admission.CallEnded || e.Kind == admission.RunEnded {
 		e.Outcome = f.outcome()
 	}
 	return e, ok && f.err == nil, f.err
 }
 
-func (h *Host) arrival(f *fields, e *node.Event) {
+func (h *Host) arrival(f *fields, e *admission.Event) {
 	id := f.id()
-	e.Kind = node.Arrived
+	e.Kind = admission.Arrived
 	e.Due = f.time()
 	e.Age = f.time()
 	f.number() // the rank, which callers go by
@@ -224,7 +224,7 @@
 	if !ok {
 		f.fail(operation)
 	}
-	e.Operation, e.Tenant, e.Repeats = op, -1, node.NoRepeat
+	e.Operation, e.Tenant, e.Repeats = op, -1, admission.NoRepeat
 	if t, ok := h.config.Tenants.Lookup(tenant); ok {
 		e.Tenant = t
 	}
@@ -232,7 +232,7 @@
 		return
 	}
 	if repeats != 0 {
-		e.Repeats = node.EndedRepeat
+		e.Repeats = admission.EndedRepeat
 		if index, ok := h.indices[repeats]; ok {
 			e.Repeats = index
 		}
@@ -240,7 +240,7 @@
 	e.Inv = h.admit(id)
 }
 
-func (h *Host) gauges(f *fields, e *node.Event) {
+func (h *Host) gauges(f *fields, e *admission.Event) {
 	row := f.next()
 	if row == "-" || row == "" {
 		return
@@ -264,44 +264,44 @@
 }
 
 // Append writes the actions of this instance to a reply and takes back the indices released.
-func (h *Host) Append(reply []byte, actions []node.Action) []byte {
+func (h *Host) Append(reply []byte, actions []admission.Action) []byte {
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case node.Release:
+		case admission.Release:
 			h.release(a.Inv)
 			continue
-		case node.StopIntake: // the simulator takes its nodes off the lists itself
+		case admission.StopIntake: // the simulator takes its nodes off the lists itself
 			continue
-		case node.Run:
+		case admission.Run:
 			reply = h.named(reply, "DISPATCH", a)
-		case node.Throttle:
+		case admission.Throttle:
 			reply = h.named(reply, "SAY_NO", a)
 			reply = millis(append(reply, '\t'), a.For)
 			reply = flag(append(reply, '\t'), a.NoRetry)
-		case node.Fail:
+		case admission.Fail:
 			reply = h.named(reply, "FINISH_ERROR", a)
-		case node.Stop:
+		case admission.Stop:
 			reply = h.named(reply, "YANK", a)
-		case node.Reuse:
+		case admission.Reuse:
 			reply = h.named(reply, "REUSE", a)
-		case node.Record:
+		case admission.Record:
 			reply = h.named(reply, "RECORD_KEY", a)
 			reply = millis(append(reply, '\t'), a.For)
-		case node.Call:
+		case admission.Call:
 			reply = h.named(reply, "GO_CALL", a)
 			reply = millis(append(reply, '\t'), a.At)
-		case node.SkipCall:
+		case admission.SkipCall:
 			reply = h.named(reply, "FALL_BACK", a)
-		case node.Health:
+		case admission.Health:
 			reply = flag(append(reply, "FITNESS\t"...), a.Good)
 			reply = flag(append(reply, '\t'), a.Stored)
-		case node.Advise:
+		case admission.Advise:
 			reply = strconv.AppendFloat(append(reply, "SIGNAL\t"...), a.Value, 'f', -1, 64)
-		case node.Timer:
+		case admission.Timer:
 			reply = millis(append(reply, "REMIND\t"...), a.At)
 			reply = append(reply, "\t0"...) // there is but one timer
-		case node.Leave:
+		case admission.Leave:
 			reply = append(append(reply, "TRACE\t"...), a.Text...)
 		}
 		reply = append(reply, '\n')
@@ -309,7 +309,7 @@
 	return reply
 }
 
-func (h *Host) named(reply []byte, word string, a *node.Action) []byte {
+func (h *Host) named(reply []byte, word string, a *admission.Action) []byte {
 	reply = append(append(reply, word...), '\t')
 	return strconv.AppendUint(reply, h.ids[a.Inv], 10)
 }
--- a/ember/ember_test.go
+++ b/ember/ember_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 func split(line string) []string { return strings.Split(line, "\t") }
@@ -25,15 +25,15 @@
 	e, live, err := host(t).Event(split(item))
 	require.NoError(t, err)
 	assert.True(t, live)
-	assert.Equal(t, node.Event{Kind: node.Arrived, Age: 1_850_000, Caller: 17, Tenant: -1,
-		Repeats: node.NoRepeat, Further: true, Hint: 12_000_000, HeldKB: 24.5}, e)
+	assert.Equal(t, admission.Event{Kind: admission.Arrived, Age: 1_850_000, Caller: 17, Tenant: -1,
+		Repeats: admission.NoRepeat, Further: true, Hint: 12_000_000, HeldKB: 24.5}, e)
 }
 
 func TestEventsOfIdsNoLongerLiveAreDropped(t *testing.T) {
 	h := host(t)
 	_, _, err := h.Event(split(item))
 	require.NoError(t, err)
-	h.Append(nil, []node.Action{{Kind: node.Release}})
+	h.Append(nil, []admission.Action{{Kind: admission.Release}})
 	_, live, err := h.Event(split("WORK_DONE\t9\tsuccess\t3.0"))
 	assert.NoError(t, err)
 	assert.False(t, live)
@@ -51,10 +51,10 @@
 	h := host(t)
 	_, _, err := h.Event(split(item))
 	require.NoError(t, err)
-	got := h.Append(nil, []node.Action{
-		{Kind: node.Throttle, For: 250_000_000, NoRetry: true}, {Kind: node.Call, At: 8_912_250_000},
-		{Kind: node.Health, Good: true, Stored: true}, {Kind: node.Advise, Value: 0.25},
-		{Kind: node.Timer, At: 1_000_500_000},
+	got := h.Append(nil, []admission.Action{
+		{Kind: admission.Throttle, For: 250_000_000, NoRetry: true}, {Kind: admission.Call, At: 8_912_250_000},
+		{Kind: admission.Health, Good: true, Stored: true}, {Kind: admission.Advise, Value: 0.25},
+		{Kind: admission.Timer, At: 1_000_500_000},
 	})
 	assert.Equal(t, "SAY_NO\t9\t250\t1\nGO_CALL\t9\t8912.25\nFITNESS\t1\t1\nSIGNAL\t0.25\nREMIND\t1000.5\t0\n",
 		string(got))
--- a/node/node.go
+++ b/internal/admission/node.go
@@ -1,6 +1,6 @@
-// Package node is the interface of the decision module: what a node is told, what it may do, and what it
+// Package admission is the interface of the decision module: what a node is told, what it may do, and what it
 // reads at start. It holds types only; protocols are translated into it at their own doors.
-package node
+package admission
 
 // Effect says whether an operation may run again.
 type Effect uint8
--- a/node/state.go
+++ b/internal/admission/state.go
@@ -1,4 +1,4 @@
-package node
+package admission
 
 // Why says why an invocation was given up.
 type Why uint8
--- a/keep/keep.go
+++ b/keep/keep.go
@@ -8,7 +8,7 @@
 	"strings"
 	"sync"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/results"
 	"topazpost/settings"
 	"topazpost/store"
@@ -67,9 +67,9 @@
 }
 
 // longest is the longest window of the tokened operations, 0 where there are none.
-func longest(operations []node.Operation) (window int64) {
+func longest(operations []admission.Operation) (window int64) {
 	for _, op := range operations {
-		if op.Effect == node.Tokened {
+		if op.Effect == admission.Tokened {
 			window = max(window, op.Window+op.ClientTimeout) // repeats may lie unread for so long
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // Usual is what a node keeps without a file: in memory only, and nothing where no operation is tokened (nil).
-func Usual(operations []node.Operation, memoryMB int) *Keep {
+func Usual(operations []admission.Operation, memoryMB int) *Keep {
 	window := longest(operations)
 	if window == 0 {
 		return nil
@@ -87,7 +87,7 @@
 }
 
 // Read reads a file in this process.
-func Read(path string, operations []node.Operation, memoryMB int) (*Keep, error) {
+func Read(path string, operations []admission.Operation, memoryMB int) (*Keep, error) {
 	file, err := settings.Read(path)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 // From reads what to keep from a file that was evaluated. All that is wrong is told at once.
-func From(file *settings.File, operations []node.Operation, memoryMB int) (*Keep, error) {
+func From(file *settings.File, operations []admission.Operation, memoryMB int) (*Keep, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
--- a/keep/keep_test.go
+++ b/keep/keep_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/results"
 )
 
-var tokened = []node.Operation{{Effect: node.Tokened, Window: 5_000_000_000}, {}}
+var tokened = []admission.Operation{{Effect: admission.Tokened, Window: 5_000_000_000}, {}}
 
 func TestWithoutAFileTokensAreKeptInMemoryAndNothingWhereNoneAre(t *testing.T) {
-	assert.Nil(t, Usual([]node.Operation{{}}, 192))
+	assert.Nil(t, Usual([]admission.Operation{{}}, 192))
 	k := Usual(tokened, 48)
 	assert.Equal(t, results.Rules{BytesMost: 12 << 20, ResultMost: resultUsual, Window: 5_000_000_000}, k.Rules)
 	assert.Equal(t, "in memory only, a crash forgets them", k.Where())
--- a/lab/baselines/pool.go
+++ b/lab/baselines/pool.go
@@ -4,7 +4,7 @@
 import (
 	"slices"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/reducer"
 )
 
@@ -24,52 +24,52 @@
 
 // pool runs so many for each core and keeps a short line; it rejects the rest.
 type pool struct {
-	config  *node.Config
+	config  *admission.Config
 	entries []entry
 	line    []int32
 	running int
 	intake  int64 // when it ends, 0 while there was no notice
-	out     []node.Action
+	out     []admission.Action
 	said    bool
 }
 
 // Pool is a plain pool with a short queue that rejects.
-func Pool(config *node.Config, _ int64) reducer.Decider { return &pool{config: config} }
+func Pool(config *admission.Config, _ int64) reducer.Decider { return &pool{config: config} }
 
-func (p *pool) do(a node.Action) { p.out = append(p.out, a) }
+func (p *pool) do(a admission.Action) { p.out = append(p.out, a) }
 
 // Decide takes what happened and returns what to do.
-func (p *pool) Decide(now int64, events []node.Event) []node.Action {
+func (p *pool) Decide(now int64, events []admission.Event) []admission.Action {
 	p.out = p.out[:0]
 	var over []int32
 	if !p.said {
 		p.said = true
-		p.do(node.Action{Kind: node.Health, Good: true, Stored: true})
+		p.do(admission.Action{Kind: admission.Health, Good: true, Stored: true})
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
-		case node.Arrived:
+		case admission.Arrived:
 			p.arrived(now, e, &over)
-		case node.DrainNotice:
+		case admission.DrainNotice:
 			p.intake = now + min(p.config.DrainGrace, e.Kill-now)
-		case node.CallWanted:
-			p.do(node.Action{Kind: node.Call, Inv: e.Inv, At: max(now+1, p.entries[e.Inv].due-margin)})
-		case node.CallEnded:
-			if e.Outcome != node.Succeeded {
-				p.answer(e.Inv, node.Fail)
+		case admission.CallWanted:
+			p.do(admission.Action{Kind: admission.Call, Inv: e.Inv, At: max(now+1, p.entries[e.Inv].due-margin)})
+		case admission.CallEnded:
+			if e.Outcome != admission.Succeeded {
+				p.answer(e.Inv, admission.Fail)
 			}
-		case node.CallerGone:
+		case admission.CallerGone:
 			p.entries[e.Inv].answered = true
 			if !p.entries[e.Inv].runs {
 				over = append(over, e.Inv)
 			}
-		case node.RunEnded:
+		case admission.RunEnded:
 			p.running--
 			p.entries[e.Inv].answered = true
 			over = append(over, e.Inv)
-		case node.TimerDue:
+		case admission.TimerDue:
 			p.keep(now, &over)
-			p.do(node.Action{Kind: node.Timer, At: now + beat})
+			p.do(admission.Action{Kind: admission.Timer, At: now + beat})
 		}
 	}
 	p.line = slices.DeleteFunc(p.line, func(i int32) bool { return p.entries[i].answered })
@@ -79,7 +79,7 @@
 		if x := &p.entries[i]; x.live && !x.answered {
 			x.runs = true
 			p.running++
-			p.do(node.Action{Kind: node.Run, Inv: i})
+			p.do(admission.Action{Kind: admission.Run, Inv: i})
 		}
 	}
 	if len(over) > 0 { // an index may stand for another one once it is released
@@ -88,27 +88,27 @@
 	for _, i := range over {
 		if p.entries[i].live {
 			p.entries[i].live = false
-			p.do(node.Action{Kind: node.Release, Inv: i})
+			p.do(admission.Action{Kind: admission.Release, Inv: i})
 		}
 	}
 	return p.out
 }
 
-func (p *pool) arrived(now int64, e *node.Event, over *[]int32) {
+func (p *pool) arrived(now int64, e *admission.Event, over *[]int32) {
 	p.entries = append(p.entries, make([]entry, max(0, int(e.Inv)+1-len(p.entries)))...)
 	p.entries[e.Inv] = entry{due: now - e.Age + p.config.Operations[e.Operation].ClientTimeout, live: true}
 	if p.running+len(p.line) >= (runsACore+lineACore)*p.config.Cores || p.intake > 0 && now >= p.intake {
-		p.answer(e.Inv, node.Throttle)
+		p.answer(e.Inv, admission.Throttle)
 		*over = append(*over, e.Inv)
 		return
 	}
 	p.line = append(p.line, e.Inv)
 }
 
-func (p *pool) answer(i int32, kind node.ActionKind) {
+func (p *pool) answer(i int32, kind admission.ActionKind) {
 	if x := &p.entries[i]; !x.answered {
 		x.answered = true
-		p.do(node.Action{Kind: kind, Inv: i})
+		p.do(admission.Action{Kind: kind, Inv: i})
 	}
 }
 
@@ -121,23 +121,23 @@
 			continue
 		}
 		if open = true; now >= x.due-margin {
-			if p.answer(int32(i), map[bool]node.ActionKind{true: node.Fail, false: node.Throttle}[x.runs]); !x.runs {
+			if p.answer(int32(i), map[bool]admission.ActionKind{true: admission.Fail, false: admission.Throttle}[x.runs]); !x.runs {
 				*over = append(*over, int32(i))
 			}
 		}
 	}
 	if p.intake > 0 && now >= p.intake {
-		p.do(node.Action{Kind: node.StopIntake})
+		p.do(admission.Action{Kind: admission.StopIntake})
 		if !open {
-			p.do(node.Action{Kind: node.Leave, Text: "pool: drained"})
+			p.do(admission.Action{Kind: admission.Leave, Text: "pool: drained"})
 		}
 	}
 }
 
 // State tells nothing.
-func (p *pool) State() node.State { return node.State{Held: len(p.line), OnCores: p.running} }
+func (p *pool) State() admission.State { return admission.State{Held: len(p.line), OnCores: p.running} }
 
 // Measure tells nothing: a pool has no levels.
-func (p *pool) Measure(m *node.Measures) {
-	*m = node.Measures{Asked: append(m.Asked[:0], make([]float64, len(p.config.Operations))...)}
+func (p *pool) Measure(m *admission.Measures) {
+	*m = admission.Measures{Asked: append(m.Asked[:0], make([]float64, len(p.config.Operations))...)}
 }
--- a/lab/fleet/cold_test.go
+++ b/lab/fleet/cold_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"topazpost/control"
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/reducer"
 )
 
@@ -106,7 +106,7 @@
 func TestFloodsOfColdNodesThatSayNothingAreSeen(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		d := told(n)
-		d.Make = func(p *node.Config, now int64) reducer.Decider { return silent{control.New(p, now)} }
+		d.Make = func(p *admission.Config, now int64) reducer.Decider { return silent{control.New(p, now)} }
 		assert.Greater(t, play(t, d).MostTold, 1.0)
 	}
 }
@@ -114,13 +114,13 @@
 // silent takes what a node tells its dispatchers out of its decisions.
 type silent struct{ reducer.Decider }
 
-func (s silent) Decide(now int64, events []node.Event) []node.Action {
+func (s silent) Decide(now int64, events []admission.Event) []admission.Action {
 	actions := s.Decider.Decide(now, events)
 	for k := range actions {
 		switch a := &actions[k]; a.Kind {
-		case node.Advise:
+		case admission.Advise:
 			a.Value = 0
-		case node.Throttle:
+		case admission.Throttle:
 			a.For = 0
 		}
 	}
--- a/lab/fleet/day.go
+++ b/lab/fleet/day.go
@@ -9,8 +9,8 @@
 	"math/rand"
 	"strings"
 
+	"topazpost/internal/admission"
 	"topazpost/lab/world"
-	"topazpost/node"
 	"topazpost/nodeconfig"
 	"topazpost/reducer"
 )
@@ -94,7 +94,7 @@
 
 	Plan  *reducer.Plan // nil for none
 	Next  *reducer.Plan // that a fault of the kind adopt brings
-	Make  func(*node.Config, int64) reducer.Decider
+	Make  func(*admission.Config, int64) reducer.Decider
 	Watch func(at int64, s *Second)
 }
 
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/admission"
 	"topazpost/lab/baselines"
 	"topazpost/levels"
-	"topazpost/node"
 	"topazpost/reducer"
 )
 
@@ -34,7 +34,7 @@
 	enter.Bounds[levels.Load], exit.Bounds[levels.Load] = 1, 0.8
 	p.Most, p.Idle = 1, exit
 	p.Rungs = []levels.Rung{{Name: "less", Enter: []levels.Condition{enter}, Exit: exit,
-		Service: []node.Service{{Form: node.Reduced, Work: 0.5, Value: 0.8}, {}}}}
+		Service: []admission.Service{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {}}}}
 	d.Plan = p
 }
 
@@ -91,7 +91,7 @@
 // The laboratory has to see what breaks a rule, or its silence says nothing.
 func TestBrokenRulesAreSeen(t *testing.T) {
 	never := play(t, day(0.3, func(d *Day) {
-		d.Make = func(*node.Config, int64) reducer.Decider { return mute{} }
+		d.Make = func(*admission.Config, int64) reducer.Decider { return mute{} }
 	}))
 	assert.Positive(t, never.Breaches["an invocation that was read had no answer in time"])
 	crowd := play(t, day(2, func(d *Day) { d.Make, d.Models[0].By = baselines.Pool, 1 }))
@@ -101,6 +101,6 @@
 // mute never answers.
 type mute struct{}
 
-func (mute) Decide(int64, []node.Event) []node.Action { return nil }
-func (mute) State() node.State                        { return node.State{} }
-func (mute) Measure(*node.Measures)                   {}
+func (mute) Decide(int64, []admission.Event) []admission.Action { return nil }
+func (mute) State() admission.State                             { return admission.State{} }
+func (mute) Measure(*admission.Measures)                        {}
--- a/levels/levels_test.go
+++ b/levels/levels_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 func TestLadderClimbsAsManyRungsAtOnceAsTheLoadCallsFor(t *testing.T) {
@@ -60,7 +60,7 @@
 
 func TestGapBetweenTwoNeedsIsBridgedTheNextTime(t *testing.T) {
 	l := ladder()
-	swing := func(at int64) *node.Measures { // 20 s of need in 60 s
+	swing := func(at int64) *admission.Measures { // 20 s of need in 60 s
 		if at%(60*second) < 20*second {
 			return asked(1.2)
 		}
@@ -90,7 +90,7 @@
 		noise := rapid.Float64Range(0, 0.04).Draw(t, "noise")
 		chance := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		l := New(plan(func(p *Plan) { p.Rungs = p.Rungs[1:2] }), 0, chance)
-		turns, _ := follow(l, 0, 600*second, func(at int64) *node.Measures {
+		turns, _ := follow(l, 0, 600*second, func(at int64) *admission.Measures {
 			load := (low+high)/2 + (high-low)/2*math.Sin(2*math.Pi*float64(at)/float64(period))
 			return asked(load * (1 + noise*chance.NormFloat64()))
 		})
@@ -119,7 +119,7 @@
 
 func TestRungThatRelievesStays(t *testing.T) {
 	l := ladder(func(p *Plan) { p.Rungs[0].Enter = append(p.Rungs[0].Enter, above(Calls, 0.2, second)) })
-	turns, _ := follow(l, 0, 60*second, func(int64) *node.Measures {
+	turns, _ := follow(l, 0, 60*second, func(int64) *admission.Measures {
 		m := asked(0.9)
 		m.Calls = 0.6
 		if l.Level() > 0 {
@@ -168,13 +168,13 @@
 	for what, change := range map[string]func(*Plan){
 		"has no level": func(p *Plan) { p.Rungs = nil },
 		"speaks of 2 operations where there are 3":               func(p *Plan) { p.Rungs[0].Service = p.Rungs[0].Service[:2] },
-		"takes nothing away":                                     func(p *Plan) { p.Rungs[0].Service = make([]node.Service, 3) },
+		"takes nothing away":                                     func(p *Plan) { p.Rungs[0].Service = make([]admission.Service, 3) },
 		"has no condition: the level could never be entered":     func(p *Plan) { p.Rungs[1].Enter = nil },
 		"names no signal: the level would end as soon as it may": func(p *Plan) { p.Rungs[1].Exit.Bounds = Free() },
 		"120 % is not below the 100 % of enter.0":                func(p *Plan) { p.Rungs[0].Exit.Bounds[Load] = 1.2 },
 		"does the same as levels.0 (a)":                          func(p *Plan) { p.Rungs[1].Service = p.Rungs[0].Service },
 		"takes away less than levels.1 (b)":                      func(p *Plan) { p.Rungs[2].Service = p.Rungs[0].Service },
-		"gives back what levels.1 (b) takes away":                func(p *Plan) { p.Rungs[2].Service = []node.Service{{}, {Form: node.Refused}, {}} },
+		"gives back what levels.1 (b) takes away":                func(p *Plan) { p.Rungs[2].Service = []admission.Service{{}, {Form: admission.Refused}, {}} },
 		`"full" is the name of full service`:                     func(p *Plan) { p.Rungs[0].Name = Full },
 		`"a" is the name of levels.0 too`:                        func(p *Plan) { p.Rungs[2].Name = "a" },
 		"is shorter than hold":                                   func(p *Plan) { p.Most = second },
--- a/nodeconfig/amend.go
+++ b/nodeconfig/amend.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 // The parts of a configuration that may change while a node serves.
@@ -58,7 +58,7 @@
 type Change struct {
 	Part, Name string
 	Removed    bool
-	Operation  node.Operation
+	Operation  admission.Operation
 	Rate       float64 // of a tenant
 	Limit      string  // as pairs have it
 }
@@ -228,7 +228,7 @@
 		t.Index, t.Added, t.Changed = names.Add(c.Name), true, true
 	}
 	if c.Part == Operations {
-		n.Operations = append(n.Operations, make([]node.Operation, max(0, int(t.Index)+1-len(n.Operations)))...)
+		n.Operations = append(n.Operations, make([]admission.Operation, max(0, int(t.Index)+1-len(n.Operations)))...)
 		t.Changed = t.Changed || n.Operations[t.Index] != c.Operation
 		n.Operations[t.Index] = c.Operation
 		return t
@@ -243,7 +243,7 @@
 func (p *Config) Forget(part string, i int32) {
 	if part == Operations {
 		p.Operations.Remove(i)
-		p.Node.Operations[i] = node.Operation{Gone: true}
+		p.Node.Operations[i] = admission.Operation{Gone: true}
 	} else {
 		p.Tenants.Remove(i)
 		p.Node.TenantRates[i] = 0
@@ -350,12 +350,12 @@
 	return append(b, '}')
 }
 
-func operationJSON(op *node.Operation) []byte {
+func operationJSON(op *admission.Operation) []byte {
 	calls := ""
 	if op.MayCall {
 		calls = "true"
 	}
-	effect := map[node.Effect]string{node.Idempotent: `"idempotent"`, node.Tokened: `"deduplicated"`, node.NonIdempotent: `"at_most_once"`}[op.Effect]
+	effect := map[admission.Effect]string{admission.Idempotent: `"idempotent"`, admission.Tokened: `"deduplicated"`, admission.NonIdempotent: `"at_most_once"`}[op.Effect]
 	return object(field{"aim", millis(op.Objective)}, field{"aim_stretch", float(op.Stretch)}, field{"class_calls", calls},
 		field{"class_skip_worth", float(op.SkipShare)}, field{"effect", effect}, field{"give_up", millis(op.ClientTimeout)},
 		field{"importance", float(op.BilledValue)}, field{"late_share", float(op.LateShare)}, field{"window", millis(op.Window)})
--- a/nodeconfig/amend_test.go
+++ b/nodeconfig/amend_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 const served = `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1},
@@ -84,7 +84,7 @@
 		Item{Tenants, "x", []byte(`{"quota_rps":7}`)}, Item{Part: Tenants, Name: "none"}, Item{Limits, "limits.retry_after", []byte(`false`)})
 	require.NoError(t, err)
 	assert.Equal(t, []Taken{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, taken)
-	assert.Equal(t, node.Operation{Objective: 1e6, ClientTimeout: 2e6, MayCall: true}, p.Node.Operations[2])
+	assert.Equal(t, admission.Operation{Objective: 1e6, ClientTimeout: 2e6, MayCall: true}, p.Node.Operations[2])
 	assert.Equal(t, int64(200e6), p.Node.Operations[0].ClientTimeout, "what is in hand still goes by it")
 	assert.Equal(t, []float64{7, 0.5}, p.Node.TenantRates)
 	assert.Zero(t, p.Node.ComeBackMax)
--- a/nodeconfig/nodeconfig.go
+++ b/nodeconfig/nodeconfig.go
@@ -11,12 +11,12 @@
 	"strconv"
 	"strings"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 )
 
 // Config is a configuration with the names that a door needs to read events.
 type Config struct {
-	Node       node.Config
+	Node       admission.Config
 	Operations *Names
 	Tenants    *Names
 	Gauges     []string
@@ -162,16 +162,16 @@
 }
 
 // operation reads one operation, but for its calls.
-func (s *settings) operation() node.Operation {
-	return node.Operation{
+func (s *settings) operation() admission.Operation {
+	return admission.Operation{
 		Objective:     s.time("aim"),
 		Stretch:       s.number("aim_stretch"),
 		ClientTimeout: s.time("give_up"),
 		Window:        s.time("window"),
 		BilledValue:   s.number("importance"),
 		LateShare:     s.number("late_share"),
-		Effect: word(s, "effect", map[string]node.Effect{"idempotent": node.Idempotent,
-			"deduplicated": node.Tokened, "at_most_once": node.NonIdempotent}),
+		Effect: word(s, "effect", map[string]admission.Effect{"idempotent": admission.Idempotent,
+			"deduplicated": admission.Tokened, "at_most_once": admission.NonIdempotent}),
 	}
 }
 
@@ -192,7 +192,7 @@
 }
 
 // limitsInto reads the settings that may change while a node serves.
-func (s *settings) limitsInto(n *node.Config) {
+func (s *settings) limitsInto(n *admission.Config) {
 	n.OverShare = s.number("over_share_worth")
 	n.Peers = int(s.number("group_size"))
 	n.CallShare = s.number("family_info.calls_out")
@@ -212,7 +212,7 @@
 	}
 	p.Gauges = s.list("family_info.gauges")
 	n := &p.Node
-	*n = node.Config{
+	*n = admission.Config{
 		Operations: n.Operations, TenantRates: n.TenantRates,
 		Seed:          seed,
 		ByWork:        s.text("counted_by") == "work",
@@ -229,12 +229,12 @@
 		ColdFrom:      s.number("guarantees.cold_from"),
 		WarmAfter:     s.time("guarantees.warm_after"),
 		TipMultiple:   s.number("guarantees.tip_multiple"),
-		Halting: word(s, "family_info.halt", map[string]node.Halting{
-			"": node.NoHalt, "off": node.NoHalt, "drop": node.DropHalt, "pause": node.PauseHalt}),
-		Advice: word(s, "family_info.advert", map[string]node.Advice{"": node.NoAdvice, "off": node.NoAdvice,
-			"min_rank": node.LevelAdvice, "tokens": node.CreditAdvice, "bias": node.WeightAdvice}),
-		Below: word(s, "family_info.below", map[string]node.Below{"": node.NothingBelow, "off": node.NothingBelow,
-			"common": node.SharedBelow, "next_hop": node.TierBelow}),
+		Halting: word(s, "family_info.halt", map[string]admission.Halting{
+			"": admission.NoHalt, "off": admission.NoHalt, "drop": admission.DropHalt, "pause": admission.PauseHalt}),
+		Advice: word(s, "family_info.advert", map[string]admission.Advice{"": admission.NoAdvice, "off": admission.NoAdvice,
+			"min_rank": admission.LevelAdvice, "tokens": admission.CreditAdvice, "bias": admission.WeightAdvice}),
+		Below: word(s, "family_info.below", map[string]admission.Below{"": admission.NothingBelow, "off": admission.NothingBelow,
+			"common": admission.SharedBelow, "next_hop": admission.TierBelow}),
 	}
 	s.limitsInto(n)
 }
@@ -263,11 +263,11 @@
 }
 
 // unusable says what a real node misses in an operation, empty where nothing.
-func unusable(name string, op *node.Operation) string {
+func unusable(name string, op *admission.Operation) string {
 	switch {
 	case name == "" || op.Objective <= 0 || op.ClientTimeout <= 0:
 		return "name, aim and give_up must be set"
-	case op.Effect == node.Tokened && op.Window <= 0:
+	case op.Effect == admission.Tokened && op.Window <= 0:
 		return "window must be set where repeats are dropped"
 	}
 	return ""
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -10,8 +10,8 @@
 	"sync"
 	"text/tabwriter"
 
+	"topazpost/internal/admission"
 	"topazpost/levels"
-	"topazpost/node"
 	"topazpost/nodeconfig"
 	"topazpost/reducer"
 	"topazpost/settings"
@@ -162,7 +162,7 @@
 	names []string) (found settings.Problems) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
-	rung := levels.Rung{Name: from.Name, Service: make([]node.Service, len(names)), Exit: from.Exit.bounds()}
+	rung := levels.Rung{Name: from.Name, Service: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
 	forms := make([]string, len(names))
 	unknown := func(name string, path []string) (int32, bool) {
 		i, known := operations.Lookup(name)
@@ -177,7 +177,7 @@
 	}
 	for j, name := range from.Refuse {
 		if i, known := unknown(name, at("refuse", fmt.Sprint(j))); known {
-			rung.Service[i] = node.Service{Form: node.Refused}
+			rung.Service[i] = admission.Service{Form: admission.Refused}
 			if k > 0 && w.Spare { // the spare room goes to the form of the level before
 				before := p.Rungs[k-1].Service[i]
 				rung.Service[i].Work, rung.Service[i].Value, forms[i] = before.Work, before.Value, p.Forms[k-1][i]
@@ -189,7 +189,7 @@
 		i, known := unknown(name, path)
 		switch {
 		case !known:
-		case rung.Service[i].Form == node.Refused:
+		case rung.Service[i].Form == admission.Refused:
 			found = append(found, file.At(path, "is refused by the same level", "take it out of refuse or out of reduce"))
 		case !w.FormsKnown:
 			found = append(found, file.At(path, "needs an executor that knows reduced forms, and callers that know the field "+
@@ -201,7 +201,7 @@
 			found = append(found, file.At(path, "names the whole operation as its reduced form", "name the form as the executor "+
 				"knows it"))
 		default:
-			rung.Service[i] = node.Service{Form: node.Reduced, Work: float64(form.Work), Value: float64(form.Value)}
+			rung.Service[i] = admission.Service{Form: admission.Reduced, Work: float64(form.Work), Value: float64(form.Value)}
 			forms[i] = form.Form
 		}
 	}
@@ -239,12 +239,12 @@
 			billed := share * op.BilledValue
 			all, allValue = all+share, allValue+billed
 			switch s.Form {
-			case node.Whole:
+			case admission.Whole:
 				fmt.Fprint(t, "\twhole")
-			case node.Refused:
+			case admission.Refused:
 				fmt.Fprint(t, "\trefused")
 				work, value = work+share, value+billed
-			case node.Reduced:
+			case admission.Reduced:
 				fmt.Fprintf(t, "\t%s (work %g %%, value %g %%)", p.Forms[k][i], 100*s.Work, 100*s.Value)
 				work, value = work+(1-s.Work)*share, value+(1-s.Value)*billed
 			}
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/admission"
 	"topazpost/levels"
-	"topazpost/node"
 	"topazpost/nodeconfig"
 	"topazpost/settings"
 )
@@ -55,7 +55,7 @@
 		p, err := Read("testdata/sound/"+name+".jsonnet", operations)
 		require.NoError(t, err)
 		assert.Len(t, p.Rungs, 2)
-		assert.Equal(t, []node.Service{{Form: node.Refused}, {Form: node.Refused}, {}}, p.Rungs[1].Service)
+		assert.Equal(t, []admission.Service{{Form: admission.Refused}, {Form: admission.Refused}, {}}, p.Rungs[1].Service)
 	}
 	p, err := Read("testdata/sound/imported.jsonnet", operations)
 	require.NoError(t, err)
@@ -68,7 +68,7 @@
 func TestTableShowsWhatEachRungSaves(t *testing.T) {
 	p, err := Read("testdata/sound/plain.jsonnet", operations)
 	require.NoError(t, err)
-	of := &nodeconfig.Config{Operations: operations, Node: node.Config{Operations: []node.Operation{
+	of := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
 		{BilledValue: 1}, {BilledValue: 2}, {BilledValue: 5}}}}
 	var b strings.Builder
 	require.NoError(t, Show(&b, p, of, map[string]float64{"catalogue": 50, "delivery-quote": 40, "hold": 10}))
--- a/reducer/amend.go
+++ b/reducer/amend.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/nodeconfig"
 )
 
@@ -71,7 +71,7 @@
 // termsOf are an operation's terms. A token is known for longer than its window, by the client timeout: a repeat that came
 // within the window may lie unread past its end, and until its caller has gone it could be run again. Stamps are whole
 // milliseconds, so one more.
-func termsOf(op *node.Operation) *terms {
+func termsOf(op *admission.Operation) *terms {
 	late := op.ClientTimeout + ms
 	return &terms{known: op.Window + late, late: late}
 }
@@ -125,8 +125,8 @@
 }
 
 // retired says whether an invocation is of an operation or a tenant that is out of service, and repeats none that is known.
-func (r *Reducer) retired(e *node.Event) bool {
-	return e.Repeats == node.NoRepeat && (r.config.Operations.Retired(e.Operation) || e.Tenant >= 0 && r.config.Tenants.Retired(e.Tenant))
+func (r *Reducer) retired(e *admission.Event) bool {
+	return e.Repeats == admission.NoRepeat && (r.config.Operations.Retired(e.Operation) || e.Tenant >= 0 && r.config.Tenants.Retired(e.Tenant))
 }
 
 // amend takes in a version: it is checked and taken once those before it are.
@@ -252,7 +252,7 @@
 	}
 	r.do(Effect{Kind: Slower, At: op.ClientTimeout})
 	if r.post != nil {
-		r.events = append(r.events, node.Event{Kind: node.OperationSet, Operation: t.Index, Terms: &op, Services: r.levels.left(t.Index)})
+		r.events = append(r.events, admission.Event{Kind: admission.OperationSet, Operation: t.Index, Terms: &op, Services: r.levels.left(t.Index)})
 	}
 }
 
@@ -315,7 +315,7 @@
 		}
 		r.levels.place(l.index, "")
 		if r.post != nil {
-			r.events = append(r.events, node.Event{Kind: node.OperationSet, Operation: l.index})
+			r.events = append(r.events, admission.Event{Kind: admission.OperationSet, Operation: l.index})
 		}
 	}
 }
--- a/reducer/amend_test.go
+++ b/reducer/amend_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/nodeconfig"
 	"topazpost/results"
 )
@@ -214,7 +214,7 @@
 	}
 	step(r, Input{Kind: Adopt, Plan: plan})
 	i, _ := r.config.Operations.Find("newer")
-	assert.Equal(t, node.Reduced, r.levels.plan.Rungs[0].Service[i].Form)
+	assert.Equal(t, admission.Reduced, r.levels.plan.Rungs[0].Service[i].Form)
 	assert.Equal(t, "newer-plain", r.levels.plan.Forms[0][i])
 	assert.Empty(t, r.Invariants.All())
 }
--- a/reducer/catalogue.go
+++ b/reducer/catalogue.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strconv"
 
+	"topazpost/internal/admission"
 	"topazpost/lines"
-	"topazpost/node"
 )
 
 // supply is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
@@ -113,9 +113,9 @@
 }
 
 // callOver tells the module how a call ended that is on no link any more.
-func (r *Reducer) callOver(i int32, outcome node.Outcome) {
+func (r *Reducer) callOver(i int32, outcome admission.Outcome) {
 	r.invs[i].calling = false
-	r.events = append(r.events, node.Event{Kind: node.CallEnded, Inv: i, Outcome: outcome})
+	r.events = append(r.events, admission.Event{Kind: admission.CallEnded, Inv: i, Outcome: outcome})
 }
 
 func (r *Reducer) fromCatalogue(in *Input) {
@@ -135,9 +135,9 @@
 			r.fetch(s)
 		}
 	case Unreached, Broke: // a call that was never written has not run; a break proves nothing
-		i, outcome := s.inv, node.Broken
+		i, outcome := s.inv, admission.Broken
 		if in.Kind == Unreached {
-			outcome = node.Unreachable
+			outcome = admission.Unreachable
 		}
 		r.remark(Debug, "catalogue link ended", "", in.Err)
 		r.linger(s)
@@ -151,7 +151,7 @@
 			r.remark(Warn, "catalogue can't be understood", in.Line.Words[0], nil)
 			r.leave(k)
 			if i >= 0 {
-				r.callOver(i, node.Broken)
+				r.callOver(i, admission.Broken)
 			}
 		}
 	}
@@ -160,20 +160,20 @@
 
 // replied maps a reply to the outcome that it proves. What is not asked for, or came before, is passed over.
 func (r *Reducer) replied(k int, words []string, body []byte) bool {
-	var outcome node.Outcome
+	var outcome admission.Outcome
 	switch {
 	case len(words) == 3 && words[1] == "DATA":
-		outcome = node.Succeeded
+		outcome = admission.Succeeded
 	case len(words) != 2:
 		return false
 	case words[1] == "LATER":
-		outcome = node.Overloaded
+		outcome = admission.Overloaded
 	case words[1] == "NOUSE":
-		outcome = node.Unreachable
+		outcome = admission.Unreachable
 	case words[1] == "FAULT":
-		outcome = node.Errored
+		outcome = admission.Errored
 	case words[1] == "TOOSLOW":
-		outcome = node.TimedOut
+		outcome = admission.TimedOut
 	default:
 		return false
 	}
@@ -187,7 +187,7 @@
 	}
 	i := s.inv
 	v := &r.invs[i]
-	if outcome == node.Succeeded {
+	if outcome == admission.Succeeded {
 		v.wanted = nil
 		r.order(i, lines.AppendBody(nil, body, "RETURN", v.call))
 	}
@@ -201,9 +201,9 @@
 	for k := len(r.supplies) - 1; k >= 0; k-- {
 		switch s := &r.supplies[k]; {
 		case s.inv >= 0 && r.now >= r.invs[s.inv].until:
-			i, outcome := s.inv, node.Unreachable
+			i, outcome := s.inv, admission.Unreachable
 			if s.up {
-				outcome = node.TimedOut
+				outcome = admission.TimedOut
 			}
 			r.leave(k)
 			r.callOver(i, outcome)
@@ -214,7 +214,7 @@
 	r.waiting = slices.DeleteFunc(r.waiting, func(i int32) bool {
 		over := r.now >= r.invs[i].until
 		if over {
-			r.callOver(i, node.Unreachable)
+			r.callOver(i, admission.Unreachable)
 		}
 		return over
 	})
--- a/reducer/claims.go
+++ b/reducer/claims.go
@@ -11,8 +11,8 @@
 	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/frame"
+	"topazpost/internal/admission"
 	"topazpost/membership"
-	"topazpost/node"
 	"topazpost/quota"
 	"topazpost/results"
 	"topazpost/takeover"
@@ -372,7 +372,7 @@
 	}
 	v := invocation{live: true, conn: heir, call: w.Call, op: r.config.Operations.Name(key.Operation), body: w.Body, key: key, hash: a.Body,
 		operation: key.Operation, tenant: key.Tenant, taken: r.now, due: r.now + a.For}
-	v.arrival = node.Event{Kind: node.Arrived, Operation: key.Operation, Tenant: key.Tenant, Repeats: node.NoRepeat, Further: true,
+	v.arrival = admission.Event{Kind: admission.Arrived, Operation: key.Operation, Tenant: key.Tenant, Repeats: admission.NoRepeat, Further: true,
 		Due: r.now + a.For, HeldKB: w.HeldKB, Hint: w.Hint, Caller: w.Caller}
 	i := r.admit(v)
 	r.invs[i].arrival.Inv = i
--- a/reducer/dispatchers.go
+++ b/reducer/dispatchers.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"topazpost/frame"
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/wheel"
 )
 
@@ -275,7 +275,7 @@
 			return
 		}
 		r.quitCall(i)
-		r.events = append(r.events, node.Event{Kind: node.CallerGone, Inv: i})
+		r.events = append(r.events, admission.Event{Kind: admission.CallerGone, Inv: i})
 		r.runOver(i)
 	}
 }
@@ -299,7 +299,7 @@
 	c.last = f.Stream
 	r.Counters.Invocations++
 	v := invocation{live: true, conn: link, stream: f.Stream}
-	e := node.Event{Kind: node.Arrived, Tenant: -1, Repeats: node.NoRepeat}
+	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Repeats: admission.NoRepeat}
 	err := r.read(f, &v, &e)
 	if err == nil {
 		err = r.repeats(&v, &e)
@@ -342,7 +342,7 @@
 }
 
 // read turns an invocation's fields into an event.
-func (r *Reducer) read(f *frame.Frame, v *invocation, e *node.Event) error {
+func (r *Reducer) read(f *frame.Frame, v *invocation, e *admission.Event) error {
 	if f.Past {
 		return errBody
 	}
@@ -401,7 +401,7 @@
 	if e.Tenant < 0 && r.config.Tenants.Len() > 0 {
 		return fmt.Errorf("field org: %w: the settings name tenants", errField)
 	}
-	if r.kept.keeper != nil && v.key.Token == "" && r.config.Node.Operations[e.Operation].Effect == node.Tokened {
+	if r.kept.keeper != nil && v.key.Token == "" && r.config.Node.Operations[e.Operation].Effect == admission.Tokened {
 		return fmt.Errorf("field %s: %w: repeats of %s are known by it", r.kept.token, errField, v.op)
 	}
 	if left >= 0 {
@@ -512,7 +512,7 @@
 	return fields
 }
 
-func (r *Reducer) throttle(a *node.Action) {
+func (r *Reducer) throttle(a *admission.Action) {
 	var fields []frame.Field
 	if a.For > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt((a.For+ms-1)/ms, 10)})
@@ -528,7 +528,7 @@
 	if level := r.invs[i].form; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
 	}
-	r.levels.count(true, r.invs[i].form != "", node.None)
+	r.levels.count(true, r.invs[i].form != "", admission.None)
 	r.answer(i, frame.Succeeded, fields, result)
 }
 
--- a/reducer/executor.go
+++ b/reducer/executor.go
@@ -7,8 +7,8 @@
 	"strconv"
 
 	"topazpost/claims"
+	"topazpost/internal/admission"
 	"topazpost/lines"
-	"topazpost/node"
 )
 
 // joined starts on a new link. It is told of nothing more before its welcome: an executor that is not up yet
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *Reducer) run(i int32, form node.Form) {
+func (r *Reducer) run(i int32, form admission.Form) {
 	v := &r.invs[i]
 	if r.Invariants.Check(v.live && !v.answered, "no run after an answer") {
 		if v.key.Token != "" && !v.asked {
@@ -186,7 +186,7 @@
 		}
 	}
 	if r.metered = r.now; r.post != nil && r.synced {
-		r.events = append(r.events, node.Event{Kind: node.TimerDue, Busy: r.busy, Runnable: r.runnable})
+		r.events = append(r.events, admission.Event{Kind: admission.TimerDue, Busy: r.busy, Runnable: r.runnable})
 	}
 	if tag == r.syncTag() && !r.synced {
 		r.synced, r.proving = true, 0
@@ -213,7 +213,7 @@
 	r.remark(Warn, "executor did not carry out a command", words[len(words)-1], nil)
 	if i, v := r.lookup(words[len(words)-1]); v != nil && words[1] == "EXEC" {
 		if v.asked {
-			r.tokenEnded(i, node.Void, nil)
+			r.tokenEnded(i, admission.Void, nil)
 			return
 		}
 		if !v.answered {
@@ -223,12 +223,12 @@
 				r.fault(link, c)
 			}
 		}
-		r.events = append(r.events, node.Event{Kind: node.RunEnded, Inv: i, Outcome: node.Void})
+		r.events = append(r.events, admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Void})
 	}
 }
 
-var ends = map[string]node.Outcome{
-	"good": node.Succeeded, "bad": node.Errored, "cut": node.Withdrawn, "gone": node.Void,
+var ends = map[string]admission.Outcome{
+	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Withdrawn, "gone": admission.Void,
 }
 
 // exit answers with what the run came to, if that is still owed.
@@ -239,7 +239,7 @@
 	}
 	i, v := r.lookup(words[2])
 	if v == nil { // given up and forgotten before it ended, or begun by an earlier life of this node
-		if outcome <= node.Errored {
+		if outcome <= admission.Errored {
 			r.want(claims.Input{Want: claims.Outlived, Call: words[2], Ending: uint8(outcome), Result: body})
 		}
 		return nil
@@ -250,13 +250,13 @@
 		return nil
 	}
 	if !v.answered {
-		if outcome == node.Succeeded {
+		if outcome == admission.Succeeded {
 			r.succeed(i, body)
 		} else {
 			r.fail(i)
 		}
 	}
-	r.events = append(r.events, node.Event{Kind: node.RunEnded, Inv: i, Outcome: outcome})
+	r.events = append(r.events, admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: outcome})
 	return nil
 }
 
@@ -265,6 +265,6 @@
 		r.readBy(func(c *command) bool { return c.call == v.call })
 		v.wanted = body
 		r.leasing.at = r.now // it is a need for one more
-		r.events = append(r.events, node.Event{Kind: node.CallWanted, Inv: i})
+		r.events = append(r.events, admission.Event{Kind: admission.CallWanted, Inv: i})
 	}
 }
--- a/reducer/executor_test.go
+++ b/reducer/executor_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/nodeconfig"
 )
 
@@ -16,10 +16,10 @@
 	p, err := nodeconfig.FromJSON(1, []byte(customers))
 	require.NoError(t, err)
 	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	var heard *node.Config
+	var heard *admission.Config
 	var cores int64
 	decisions := r.Decisions
-	r.Decisions = func(n *node.Config, born int64) Decider {
+	r.Decisions = func(n *admission.Config, born int64) Decider {
 		heard, cores = n, born
 		return decisions(n, born)
 	}
--- a/reducer/fields_test.go
+++ b/reducer/fields_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/nodeconfig"
 	"topazpost/results"
 )
@@ -22,12 +22,12 @@
 // spy hands what the module is told to a test.
 type spy struct {
 	Decider
-	arrived *[]node.Event
+	arrived *[]admission.Event
 }
 
-func (s spy) Decide(now int64, events []node.Event) []node.Action {
+func (s spy) Decide(now int64, events []admission.Event) []admission.Action {
 	for _, e := range events {
-		if e.Kind == node.Arrived {
+		if e.Kind == admission.Arrived {
 			*s.arrived = append(*s.arrived, e)
 		}
 	}
@@ -35,12 +35,12 @@
 }
 
 // serving is a node at a site with tenants; arrived are the invocations that its module is told of.
-func serving(t *testing.T) (r *Reducer, arrived *[]node.Event) {
+func serving(t *testing.T) (r *Reducer, arrived *[]admission.Event) {
 	p, err := nodeconfig.FromJSON(1, []byte(customers))
 	require.NoError(t, err)
-	r, arrived = New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]node.Event)
+	r, arrived = New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
 	make := r.Decisions
-	r.Decisions = func(config *node.Config, born int64) Decider { return spy{make(config, born), arrived} }
+	r.Decisions = func(config *admission.Config, born int64) Decider { return spy{make(config, born), arrived} }
 	r.Keep(results.Rules{BytesMost: 1 << 20, ResultMost: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: Opened, Link: 7})
 	step(r, Input{Kind: Joined, Link: r.dialing})
@@ -94,7 +94,7 @@
 	}
 	assert.Equal(t, 8, r.Counters.Succeeded)
 	assert.Len(t, *arrived, 8)
-	assert.Equal(t, node.NoHalt, r.config.Node.Halting)
+	assert.Equal(t, admission.NoHalt, r.config.Node.Halting)
 	assert.Zero(t, r.config.Node.Operations[0].SkipShare)
 }
 
--- a/reducer/hollow.go
+++ b/reducer/hollow.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"topazpost/claims"
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/results"
 )
 
@@ -86,7 +86,7 @@
 // hollowOperation is the first that is deduplicated.
 func (r *Reducer) hollowOperation() string {
 	for i := range r.config.Node.Operations {
-		if r.config.Node.Operations[i].Effect == node.Tokened {
+		if r.config.Node.Operations[i].Effect == admission.Tokened {
 			return r.config.Operations.Name(int32(i))
 		}
 	}
--- a/reducer/kept.go
+++ b/reducer/kept.go
@@ -10,7 +10,7 @@
 
 	"topazpost/claims"
 	"topazpost/frame"
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/results"
 )
 
@@ -56,12 +56,12 @@
 func (r *Reducer) reading(v *invocation) bool { return r.kept.unread && v.key.Token != "" }
 
 // repeats finds what an invocation repeats, and tells the module as the simulator's wire does.
-func (r *Reducer) repeats(v *invocation, e *node.Event) error {
+func (r *Reducer) repeats(v *invocation, e *admission.Event) error {
 	k := &r.kept
 	if v.key.Token == "" {
 		return nil
 	}
-	if k.keeper == nil || r.config.Node.Operations[e.Operation].Effect != node.Tokened {
+	if k.keeper == nil || r.config.Node.Operations[e.Operation].Effect != admission.Tokened {
 		v.key.Token = ""
 		return nil
 	}
@@ -75,14 +75,14 @@
 		if hash != v.hash {
 			return errToken
 		}
-		e.Repeats = node.EndedRepeat
+		e.Repeats = admission.EndedRepeat
 	}
 	return nil
 }
 
 // hold notes a token's first invocation, which the module may hold, run or turn away.
 func (r *Reducer) hold(i, repeats int32) {
-	if v := &r.invs[i]; v.key.Token != "" && repeats == node.NoRepeat {
+	if v := &r.invs[i]; v.key.Token != "" && repeats == admission.NoRepeat {
 		r.kept.held[v.key] = &unrun{first: i, hash: v.hash}
 		r.claim(i)
 	}
@@ -143,12 +143,12 @@
 	}
 	r.invs[i].answered = true
 	r.open--
-	r.tellModule(node.Event{Kind: node.RunEnded, Inv: i, Outcome: node.Void})
+	r.tellModule(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Void})
 	e := v.arrival
 	v.asked, v.window = false, 0
 	j := r.admit(v)
 	c.open[v.stream] = j
-	e.Inv, e.Age, e.Repeats = j, r.now-v.taken+e.Age, node.NoRepeat
+	e.Inv, e.Age, e.Repeats = j, r.now-v.taken+e.Age, admission.NoRepeat
 	if v.terms != r.termsNow(v.operation) {
 		e.Due = v.due // its client timeout is that of its terms
 	}
@@ -190,19 +190,19 @@
 func (r *Reducer) runOver(i int32) {
 	if v := &r.invs[i]; v.exited {
 		v.exited = false
-		r.tellModule(node.Event{Kind: node.RunEnded, Inv: i, Outcome: v.ending})
+		r.tellModule(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: v.ending})
 	}
 }
 
 // tokenEnded tells the keeper how a run ended. The answer follows once that is kept.
-func (r *Reducer) tokenEnded(i int32, outcome node.Outcome, body []byte) {
+func (r *Reducer) tokenEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &r.invs[i]
 	v.exited, v.ending, v.runs = true, outcome, false
 	ending := results.Errored
 	switch outcome {
-	case node.Succeeded:
+	case admission.Succeeded:
 		ending = results.Succeeded
-	case node.Void:
+	case admission.Void:
 		ending = results.NotRun
 	}
 	r.keeper(results.Input{Kind: results.Ended, Key: v.key, Ending: ending, Result: body})
@@ -310,13 +310,13 @@
 	if a.Kept {
 		note("kept", "1")
 	}
-	outcome := node.Errored
+	outcome := admission.Errored
 	switch a.Kind {
 	case results.Serve:
-		outcome = node.Succeeded
+		outcome = admission.Succeeded
 		r.succeed(i, a.Result, fields...)
 	case results.Deny:
-		outcome = node.Void
+		outcome = admission.Void
 		if back := min(a.For, r.config.Node.ComeBackMax); back > 0 {
 			note("pushback", strconv.FormatInt((back+ms-1)/ms, 10))
 		}
@@ -333,7 +333,7 @@
 		r.answer(i, frame.Errored, fields, nil)
 	}
 	if !own {
-		r.tellModule(node.Event{Kind: node.RunEnded, Inv: i, Outcome: outcome})
+		r.tellModule(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: outcome})
 	}
 }
 
--- a/reducer/levels.go
+++ b/reducer/levels.go
@@ -5,8 +5,8 @@
 	"math/rand"
 	"slices"
 
+	"topazpost/internal/admission"
 	"topazpost/levels"
-	"topazpost/node"
 	"topazpost/nodeconfig"
 )
 
@@ -34,7 +34,7 @@
 type Turn struct {
 	levels.Change
 	Plan, FromName, ToName string
-	Signals                node.Measures
+	Signals                admission.Measures
 	Loads                  []float64 // at each level, full service first
 	Before                 Served    // in the stay that ends
 }
@@ -46,7 +46,7 @@
 	names    *nodeconfig.Names // of operations, by index in the source
 	steps    *levels.Ladder
 	chance   *rand.Rand
-	measures node.Measures
+	measures admission.Measures
 	served   []Served // by level, since the plan was taken
 	stay     Served   // since the last change
 	spent    []int64  // ns in each level
@@ -113,7 +113,7 @@
 	p := *plan
 	p.Rungs, p.Forms = slices.Clone(plan.Rungs), make([][]string, len(plan.Rungs))
 	for k := range p.Rungs {
-		p.Rungs[k].Service, p.Forms[k] = make([]node.Service, to.Slots()), make([]string, to.Slots())
+		p.Rungs[k].Service, p.Forms[k] = make([]admission.Service, to.Slots()), make([]string, to.Slots())
 	}
 	for i := range int32(to.Slots()) {
 		if to.Has(i) {
@@ -127,9 +127,9 @@
 func (p *Plan) place(index int32, name string, source *Plan, names *nodeconfig.Names) {
 	i, known := names.Lookup(name)
 	for k := range p.Rungs {
-		more := make([]node.Service, max(0, int(index)+1-len(p.Rungs[k].Service)))
+		more := make([]admission.Service, max(0, int(index)+1-len(p.Rungs[k].Service)))
 		p.Rungs[k].Service, p.Forms[k] = append(p.Rungs[k].Service, more...), append(p.Forms[k], make([]string, len(more))...)
-		p.Rungs[k].Service[index], p.Forms[k][index] = node.Service{}, ""
+		p.Rungs[k].Service[index], p.Forms[k][index] = admission.Service{}, ""
 		if known && int(i) < len(source.Rungs[k].Service) {
 			p.Rungs[k].Service[index] = source.Rungs[k].Service[i]
 		}
@@ -147,7 +147,7 @@
 }
 
 // left is what the level in force leaves of an operation, nil for all of it.
-func (l *ladder) left(index int32) []node.Service {
+func (l *ladder) left(index int32) []admission.Service {
 	if l.plan == nil {
 		return nil
 	}
@@ -202,8 +202,8 @@
 }
 
 // event tells the module what the level in force leaves of each operation.
-func (l *ladder) event() node.Event {
-	e := node.Event{Kind: node.LevelSet}
+func (l *ladder) event() admission.Event {
+	e := admission.Event{Kind: admission.LevelSet}
 	if l.plan != nil {
 		e.Services, e.Spare = l.plan.Services(l.steps.Level()), l.plan.Spare
 	}
@@ -211,9 +211,9 @@
 }
 
 // form is the name that an operation's run has at the executor, and the level's name where that is a reduced form.
-func (r *Reducer) form(op string, form node.Form) (class, level string) {
+func (r *Reducer) form(op string, form admission.Form) (class, level string) {
 	l := &r.levels
-	if form != node.Reduced || l.steps == nil || l.steps.Level() == 0 {
+	if form != admission.Reduced || l.steps == nil || l.steps.Level() == 0 {
 		return op, ""
 	}
 	level = l.plan.LevelName(l.steps.Level())
@@ -226,14 +226,14 @@
 }
 
 // count counts an answer for the level in force.
-func (l *ladder) count(succeeded, reduced bool, why node.Why) {
+func (l *ladder) count(succeeded, reduced bool, why admission.Why) {
 	switch {
 	case l.plan == nil:
 	case succeeded && reduced:
 		l.stay.Reduced++
 	case succeeded:
 		l.stay.Whole++
-	case why == node.Levelled:
+	case why == admission.Levelled:
 		l.stay.Levelled++
 	default:
 		l.stay.Throttled++
--- a/reducer/levels_test.go
+++ b/reducer/levels_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/frame"
+	"topazpost/internal/admission"
 	"topazpost/levels"
-	"topazpost/node"
 )
 
 // ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
@@ -16,12 +16,12 @@
 	p := &Plan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.Hold, p.Most, p.Idle = "test", 10_000*ms, 60_000*ms, levels.Condition{Bounds: levels.Free()}
 	p.Idle.Bounds[levels.Load] = -1
-	for k, s := range []node.Service{{Form: node.Reduced, Work: 0.5, Value: 0.8}, {Form: node.Refused}} {
+	for k, s := range []admission.Service{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {Form: admission.Refused}} {
 		c := levels.Condition{Bounds: levels.Free()}
 		c.Bounds[levels.Load] = enter
 		exit := levels.Condition{Bounds: levels.Free()}
 		exit.Bounds[levels.Load] = enter - 1
-		p.Rungs = append(p.Rungs, levels.Rung{Name: []string{"plain", "none"}[k], Service: []node.Service{s, {}},
+		p.Rungs = append(p.Rungs, levels.Rung{Name: []string{"plain", "none"}[k], Service: []admission.Service{s, {}},
 			Enter: []levels.Condition{c}, Exit: exit})
 	}
 	return p
--- a/reducer/quota_test.go
+++ b/reducer/quota_test.go
@@ -8,7 +8,7 @@
 
 	"topazpost/council"
 	"topazpost/envelope"
-	"topazpost/node"
+	"topazpost/internal/admission"
 	"topazpost/quota"
 )
 
@@ -90,7 +90,7 @@
 	assert.Empty(t, r.supplies)
 	var units []int
 	for _, e := range append(r.events, r.later...) {
-		if e.Kind == node.UnitsSet {
+		if e.Kind == admission.UnitsSet {
 			units = append(units, e.Units)
 		}
 	}
--- a/reducer/reducer.go
+++ b/reducer/reducer.go
@@ -8,8 +8,8 @@
 
 	"topazpost/control"
 	"topazpost/council"
+	"topazpost/internal/admission"
 	"topazpost/invariant"
-	"topazpost/node"
 	"topazpost/nodeconfig"
 	"topazpost/results"
 	"topazpost/wheel"
@@ -64,18 +64,18 @@
 	calling        bool
 	called         bool // a call of its was written to the catalogue, this one or an earlier one
 	until          int64
-	key            results.Key // of a tokened one, its Token empty in others
-	hash           uint64      // of its body
-	window         int64       // until which its token is known, as the module asked
-	arrival        node.Event  // as the module was told of it
-	taken          int64       // when
-	due            int64       // when its client timeout ends
-	runs           bool        // at the executor, for its token
-	asked          bool        // the keeper of results knows it
-	exited         bool        // its run is over, and its answer waits for the disk
-	ending         node.Outcome
+	key            results.Key     // of a tokened one, its Token empty in others
+	hash           uint64          // of its body
+	window         int64           // until which its token is known, as the module asked
+	arrival        admission.Event // as the module was told of it
+	taken          int64           // when
+	due            int64           // when its client timeout ends
+	runs           bool            // at the executor, for its token
+	asked          bool            // the keeper of results knows it
+	exited         bool            // its run is over, and its answer waits for the disk
+	ending         admission.Outcome
 	orphan         bool // its caller left, others wait for its run
-	runForm        node.Form
+	runForm        admission.Form
 	form           string // name of the level whose reduced form runs, empty for the whole operation
 	operation      int32
 	tenant         int32 // -1 where it has none
@@ -141,17 +141,17 @@
 
 // Decider is what decides about invocations: control.Post, or a baseline of the laboratory.
 type Decider interface {
-	Decide(now int64, events []node.Event) []node.Action
-	State() node.State
-	Measure(m *node.Measures)
+	Decide(now int64, events []admission.Event) []admission.Action
+	State() admission.State
+	Measure(m *admission.Measures)
 }
 
 // Reducer is the state of one node.
 type Reducer struct {
 	Invariants invariant.Checker
 	Counters   Counters
-	Decisions  func(config *node.Config, born int64) Decider // made once the executor is up
-	Spare      int                                           // connections that may be kept beside the most, while they end
+	Decisions  func(config *admission.Config, born int64) Decider // made once the executor is up
+	Spare      int                                                // connections that may be kept beside the most, while they end
 
 	config   *nodeconfig.Config
 	stop     int64 // ns from the notice to the kill
@@ -162,7 +162,7 @@
 	began    int64 // when the first step was; no call was made before it in this life
 	wall     int64 // Unix ns at now
 	effects  []Effect
-	events   []node.Event
+	events   []admission.Event
 
 	invs     []invocation
 	free     []int32
@@ -214,11 +214,11 @@
 
 	configuring configuring
 
-	later   []node.Event   // what the module is told in the next step: it was deciding
-	decided bool           // the module has decided in this step, or had nothing to decide
-	stateAt int64          // when the next sample of the state is due
-	givenUp [node.Whys]int // invocations given up by reason since the last one
-	counted Counters       // the counters at the last one
+	later   []admission.Event   // what the module is told in the next step: it was deciding
+	decided bool                // the module has decided in this step, or had nothing to decide
+	stateAt int64               // when the next sample of the state is due
+	givenUp [admission.Whys]int // invocations given up by reason since the last one
+	counted Counters            // the counters at the last one
 }
 
 // New is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
@@ -227,7 +227,7 @@
 	r := &Reducer{config: onSockets(settings), to: to, stop: stop, connMost: connections, linkMost: links, calls: map[string]int32{},
 		conns: map[int]*connection{}, diags: map[string]check{}, beatAt: never, meterAt: never,
 		metered: math.MinInt64 / 2, wait: redialFirst,
-		Decisions: func(config *node.Config, born int64) Decider { return control.New(config, born) }}
+		Decisions: func(config *admission.Config, born int64) Decider { return control.New(config, born) }}
 	r.Invariants.Tell = func(what string, times int) {
 		r.do(Effect{Kind: Remark, Level: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
@@ -239,7 +239,7 @@
 func onSockets(settings *nodeconfig.Config) *nodeconfig.Config {
 	own := *settings
 	n := &own.Node
-	n.EntryKB, n.Halting, n.ReuseFor, n.Operations = 0, node.NoHalt, 0, slices.Clone(n.Operations)
+	n.EntryKB, n.Halting, n.ReuseFor, n.Operations = 0, admission.NoHalt, 0, slices.Clone(n.Operations)
 	for i := range n.Operations {
 		n.Operations[i].SkipShare = 0
 	}
@@ -372,7 +372,7 @@
 	r.keepCalls()
 	r.keepChecks()
 	if r.now >= r.beatAt {
-		e := node.Event{Kind: node.TimerDue, Busy: -1, Runnable: -1}
+		e := admission.Event{Kind: admission.TimerDue, Busy: -1, Runnable: -1}
 		if r.now-r.metered <= meterStale {
 			e.Busy, e.Runnable = r.busy, r.runnable
 		}
@@ -412,35 +412,35 @@
 }
 
 // carry does what the module asks for.
-func (r *Reducer) carry(a *node.Action) {
+func (r *Reducer) carry(a *admission.Action) {
 	switch a.Kind {
-	case node.Run:
+	case admission.Run:
 		r.run(a.Inv, a.Form)
-	case node.Throttle:
+	case admission.Throttle:
 		r.givenUp[a.Why]++
 		r.levels.count(false, false, a.Why)
 		r.throttle(a)
-	case node.Fail:
+	case admission.Fail:
 		r.givenUp[a.Why]++
 		r.fail(a.Inv)
-	case node.Call:
+	case admission.Call:
 		r.call(a.Inv, a.At)
-	case node.Health:
+	case admission.Health:
 		r.good, r.stored = a.Good, a.Stored
-	case node.Advise:
+	case admission.Advise:
 		r.load = number(a.Value)
-	case node.Timer:
+	case admission.Timer:
 		r.beatAt, r.meterAt = a.At, a.At-meterLead
-	case node.StopIntake:
+	case admission.StopIntake:
 		r.stopIntake()
-	case node.Leave:
+	case admission.Leave:
 		r.left = true
 		r.remark(Info, a.Text, "", nil)
-	case node.Reuse:
+	case admission.Reuse:
 		r.reuse(a.Inv)
-	case node.Record:
+	case admission.Record:
 		r.invs[a.Inv].window = r.now + a.For + r.invs[a.Inv].terms.late
-	case node.Release:
+	case admission.Release:
 		r.release(a.Inv)
 	default:
 		r.Invariants.Check(false, "an action that this site allows")
@@ -459,7 +459,7 @@
 		r.left = true
 		return
 	}
-	r.events = append(r.events, node.Event{Kind: node.DrainNotice, Kill: r.now + r.stop})
+	r.events = append(r.events, admission.Event{Kind: admission.DrainNotice, Kill: r.now + r.stop})
 }
 
 // abort brings the kill forward: all that is in hand is answered in this step, and the node leaves once its connections
@@ -468,7 +468,7 @@
 	r.remark(Info, "drain notice again: what is in hand is aborted", "", nil)
 	r.killAt = min(r.killAt, r.now+abortFor)
 	if r.post != nil {
-		r.events = append(r.events, node.Event{Kind: node.DrainNotice, Kill: r.now})
+		r.events = append(r.events, admission.Event{Kind: admission.DrainNotice, Kill: r.now})
 	}
 }
 
@@ -561,7 +561,7 @@
 }
 
 // tellModule tells the module of something, in the next step if it has decided in this one.
-func (r *Reducer) tellModule(e node.Event) {
+func (r *Reducer) tellModule(e admission.Event) {
 	if r.hollow.on {
 		return // it has none
 	}
--- a/reducer/reducer_test.go
+++ b/reducer/reducer_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 
 	"topazpost/frame"
+	"topazpost/internal/admission"
 	"topazpost/invariant"
 	"topazpost/lines"
-	"topazpost/node"
 )
 
 func name(f frame.Frame) string {
@@ -220,7 +220,7 @@
 func TestGaugesReachTheModuleAsTheyCome(t *testing.T) {
 	r := up(t)
 	told(r, "METERS m0 0.5 3 0.1 3")
-	assert.Equal(t, []node.Event{{Kind: node.TimerDue, Busy: 0.5, Runnable: 3}}, r.events)
+	assert.Equal(t, []admission.Event{{Kind: admission.TimerDue, Busy: 0.5, Runnable: 3}}, r.events)
 }
 
 func TestLinkThatCannotBeHadIsTriedAgain(t *testing.T) {
@@ -459,7 +459,7 @@
 	r := up(t)
 	step(r, invoke(1))
 	r.load, r.effects = "0.25", nil
-	r.throttle(&node.Action{Inv: 0, For: 249*ms + 1, NoRetry: true})
+	r.throttle(&admission.Action{Inv: 0, For: 249*ms + 1, NoRetry: true})
 	_, payload, _ := strings.Cut(string(r.effects[0].Bytes), "\x32")
 	fields, _, err := frame.Fields([]byte(payload))
 	assert.NoError(t, err)
--- a/reducer/state.go
+++ b/reducer/state.go
@@ -1,11 +1,11 @@
 package reducer
 
-import "topazpost/node"
+import "topazpost/internal/admission"
 
 // State is what the whole node stands on at a moment: what its module goes by, and what its doors hold. Counts
 // with a name in the past are of the time since the last sample. Times are nanoseconds.
 type State struct {
-	node.State
+	admission.State
 	Level       string         `json:"level,omitempty"` // of reduced service, where there is a plan
 	Loads       []float64      `json:"loads,omitempty"` // what is asked of the cores at each level, full service first
 	Succeeded   int            `json:"succeeded"`
@@ -30,7 +30,7 @@
 		return
 	}
 	s := r.state()
-	r.stateAt, r.counted, r.givenUp = r.now+stateEvery, r.Counters, [node.Whys]int{}
+	r.stateAt, r.counted, r.givenUp = r.now+stateEvery, r.Counters, [admission.Whys]int{}
 	r.do(Effect{Kind: Sample, State: s})
 }
 
@@ -52,7 +52,7 @@
 			if s.GivenUp == nil {
 				s.GivenUp = make(map[string]int)
 			}
-			s.GivenUp[node.Names[why]] = n
+			s.GivenUp[admission.Names[why]] = n
 		}
 	}
 	for k := range r.supplies {
--- a/server/levels.go
+++ b/server/levels.go
@@ -1,8 +1,8 @@
 package server
 
 import (
+	"topazpost/internal/admission"
 	"topazpost/levels"
-	"topazpost/node"
 	"topazpost/reducer"
 )
 
@@ -21,7 +21,7 @@
 
 func seconds(ns int64) float64 { return float64(ns) / 1e9 }
 
-func signals(m *node.Measures) map[string]float64 {
+func signals(m *admission.Measures) map[string]float64 {
 	return map[string]float64{"reading": m.Reading, "wait": m.Wait, "lag": m.Lag, "calls": m.Calls,
 		"throttled": m.Throttled, "memory": m.Memory}
 }
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/admission"
 	"topazpost/keep"
-	"topazpost/node"
 )
 
 const sites = "../deploy/sites"
@@ -102,7 +102,7 @@
 	files, err := filepath.Glob(filepath.Join(sites, "*.toml"))
 	require.NoError(t, err)
 	require.Len(t, files, 2)
-	effects := map[node.Effect]int{}
+	effects := map[admission.Effect]int{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
@@ -115,22 +115,22 @@
 		config := n.Settings
 		require.Equal(t, len(s.Classes), config.Operations.Len(), file)
 		assert.Equal(t, len(s.Tenants), config.Tenants.Len(), file)
-		assert.Equal(t, node.SharedBelow, config.Node.Below, file)
-		assert.Equal(t, map[string]node.Advice{"level": node.LevelAdvice, "credit": node.CreditAdvice}[s.Fam.Say], config.Node.Advice, file)
+		assert.Equal(t, admission.SharedBelow, config.Node.Below, file)
+		assert.Equal(t, map[string]admission.Advice{"level": admission.LevelAdvice, "credit": admission.CreditAdvice}[s.Fam.Say], config.Node.Advice, file)
 		assert.Equal(t, s.Rules.Fall, config.Node.TipMultiple, file)
 		for k, c := range s.Classes {
 			i, known := config.Operations.Lookup(c.Name)
 			require.True(t, known, c.Name)
 			op := config.Node.Operations[i]
-			assert.Equal(t, map[string]node.Effect{"safe": node.Idempotent, "keyed": node.Tokened, "unsafe": node.NonIdempotent}[c.Effect], op.Effect, c.Name)
+			assert.Equal(t, map[string]admission.Effect{"safe": admission.Idempotent, "keyed": admission.Tokened, "unsafe": admission.NonIdempotent}[c.Effect], op.Effect, c.Name)
 			assert.Equal(t, []int64{int64(c.Aim * 1e6), int64(c.Deadline * 1e6)}, []int64{op.Objective, op.ClientTimeout}, c.Name)
 			assert.Equal(t, int32(k), i, c.Name)
 			effects[op.Effect]++
 		}
 		New(n, quiet, SystemClock())
 	}
-	assert.Positive(t, effects[node.Tokened], "one has repeats that are dropped")
-	assert.Positive(t, effects[node.NonIdempotent], "one has calls that may be repeated only if known not to have run")
+	assert.Positive(t, effects[admission.Tokened], "one has repeats that are dropped")
+	assert.Positive(t, effects[admission.NonIdempotent], "one has calls that may be repeated only if known not to have run")
 }
 
 // What dispatchers call the fields that are read is what the sites say.
@@ -139,7 +139,7 @@
 	text, err := os.ReadFile(filepath.Join(sites, "real.json"))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &real))
-	usual := keep.Usual([]node.Operation{{Effect: node.Tokened, Window: 1}}, 64)
+	usual := keep.Usual([]admission.Operation{{Effect: admission.Tokened, Window: 1}}, 64)
 	assert.Equal(t, map[string]string{"id": "call", "class": "op", "tenant": "org", "left": "ttl", "stamp": "recv", "caller": "src", "retry": "rep",
 		"hint": "work", "size": "heap", "rank": "crit", "idem": usual.Field, "key": "row", "wait": "pushback", "last": "stop", "say": "load",
 		"deep": "e2e", "body": "body"}, real.Serve.F)
