--- a/control/control.go
+++ b/internal/admission/control.go
@@ -1,9 +1,9 @@
-// Package control holds every decision of a node: what it takes, runs and turns away.
+// Package admission holds every decision of a node: what it takes, runs and turns away.
 // A host makes one Post for a node's life with New and hands each batch of events to Decide, which returns
 // the actions to take, in order. It knows only what it is handed. The interface, types only, is package node.
 //
 // The ordinary path is that of "Draining, in three beats"; docs/design.md says what was kept and changed.
-package control
+package admission
 
 import (
 	"cmp"
@@ -12,7 +12,6 @@
 	"math/rand"
 	"slices"
 
-	"topazpost/internal/admission"
 	"topazpost/internal/stats"
 )
 
@@ -103,7 +102,7 @@
 
 // operation is the terms of an operation, and what is of it under any terms.
 type operation struct {
-	admission.Operation
+	Operation
 	*measured
 }
 
@@ -113,15 +112,15 @@
 	away  stats.Ratios // time a run spent off the cores, over the objective
 	asked stats.Window // ns of core time that first tries of late asked for, were all run whole
 
-	service admission.Service // what the level of reduced service leaves of it
+	service Service // what the level of reduced service leaves of it
 }
 
 // Post decides for one node.
 type Post struct {
-	config          *admission.Config
+	config          *Config
 	chance          *rand.Rand
 	born, now, next int64 // next is when the beat is due
-	out             []admission.Action
+	out             []Action
 	ops             []*operation // by index, nil where it is no operation's
 	invs            []invocation
 	live, order     []int32 // not ended, in order of arrival; the hold, in the order it is to run
@@ -164,7 +163,7 @@
 func ratios(memory float64) stats.Ratios { return stats.NewRatios(binCount, binsAnOctave, memory) }
 
 // New makes the decisions' state of a node that has just started, on cores that started at now.
-func New(config *admission.Config, now int64) *Post {
+func New(config *Config, now int64) *Post {
 	cores := float64(config.Cores)
 	p := &Post{config: config, chance: rand.New(rand.NewSource(config.Seed)), born: now, now: now, next: now,
 		pace: ratios(paceMemory), callFails: ratios(shortMemory), callTime: ratios(shortMemory),
@@ -191,7 +190,7 @@
 }
 
 // Decide is the one entry point: it takes what happened at a moment and returns what to do.
-func (p *Post) Decide(now int64, events []admission.Event) []admission.Action {
+func (p *Post) Decide(now int64, events []Event) []Action {
 	p.out = p.out[:0]
 	p.advance(now)
 	for i := range events {
@@ -204,7 +203,7 @@
 	p.keepMemory()
 	if now >= p.next {
 		p.next = now + beat
-		p.do(admission.Action{Kind: admission.Timer, At: p.next})
+		p.do(Action{Kind: Timer, At: p.next})
 		p.patient = p.stays.Until(patienceMost)
 		p.keepDeadlines()
 		p.adjustLimit()
@@ -214,14 +213,14 @@
 	p.live = slices.DeleteFunc(p.live, func(i int32) bool {
 		over := p.invs[i].state == ended
 		if over {
-			p.do(admission.Action{Kind: admission.Release, Inv: i})
+			p.do(Action{Kind: Release, Inv: i})
 		}
 		return over
 	})
 	return p.out
 }
 
-func (p *Post) do(a admission.Action) { p.out = append(p.out, a) }
+func (p *Post) do(a Action) { p.out = append(p.out, a) }
 
 // advance moves the clocks: that of the cores, which all runs share, and that of the calls in hand.
 func (p *Post) advance(now int64) {
@@ -232,13 +231,13 @@
 	p.now = now
 }
 
-func (p *Post) take(e *admission.Event) {
+func (p *Post) take(e *Event) {
 	switch i := e.Inv; {
-	case e.Kind == admission.Arrived:
+	case e.Kind == Arrived:
 		p.intake(e)
-	case e.Kind == admission.DrainNotice:
+	case e.Kind == DrainNotice:
 		p.drain(e.Kill)
-	case e.Kind == admission.TimerDue:
+	case e.Kind == TimerDue:
 		p.free = e.Busy >= 0 && e.Busy < freeBusy
 		if e.Runnable >= 0 {
 			p.free = e.Runnable < p.cores
@@ -246,22 +245,22 @@
 			p.reading, p.gauged = p.reading+(others-p.reading)*min(1, part/gaugePart), p.now
 			p.meanReading += (others - p.meanReading) * min(1, part/gaugeLong)
 		}
-	case e.Kind == admission.UnitsSet:
+	case e.Kind == UnitsSet:
 		p.units, p.hold = e.Units, e.Hold
-	case e.Kind == admission.OperationSet:
+	case e.Kind == OperationSet:
 		p.setOperation(e.Operation, e.Terms, e.Services)
-	case e.Kind == admission.LevelSet:
+	case e.Kind == LevelSet:
 		p.setLevel(e.Services, e.Spare)
 	case p.invs[i].state == ended:
-	case e.Kind == admission.CallerGone:
+	case e.Kind == CallerGone:
 		p.watch(&p.invs[i], true)
 		p.invs[i].answered = true
 		p.letGo(i)
-	case e.Kind == admission.CallWanted:
+	case e.Kind == CallWanted:
 		p.shift(&p.invs[i], standing)
-	case e.Kind == admission.CallEnded:
+	case e.Kind == CallEnded:
 		p.callEnded(&p.invs[i], e.Outcome)
-	case e.Kind == admission.RunEnded:
+	case e.Kind == RunEnded:
 		p.runEnded(i, e.Outcome)
 	}
 }
@@ -303,7 +302,7 @@
 }
 
 // intake takes what was read into the hold, joins it to the invocation it repeats, or turns it away.
-func (p *Post) intake(e *admission.Event) {
+func (p *Post) intake(e *Event) {
 	p.invs = append(p.invs, make([]invocation, max(0, int(e.Inv)+1-len(p.invs)))...)
 	v, op, arrived := &p.invs[e.Inv], p.ops[e.Operation], p.now-e.Age
 	*v = invocation{op: op, tenant: e.Tenant, further: e.Further, arrived: arrived, kb: e.HeldKB,
@@ -321,25 +320,25 @@
 		op.asked.Add(p.now, v.base*op.usual.Mean(1)*p.slowness())
 	}
 	p.tenants.Add(int64(e.Tenant))
-	v.ran = e.Repeats == admission.EndedRepeat || e.Repeats >= 0 && p.invs[e.Repeats].ran
+	v.ran = e.Repeats == EndedRepeat || e.Repeats >= 0 && p.invs[e.Repeats].ran
 	switch {
 	case p.noticed != 0 && p.now >= p.intakeEnd:
-		p.giveUp(e.Inv, admission.Draining)
-	case e.Repeats != admission.NoRepeat:
-		p.do(admission.Action{Kind: admission.Reuse, Inv: e.Inv})
+		p.giveUp(e.Inv, Draining)
+	case e.Repeats != NoRepeat:
+		p.do(Action{Kind: Reuse, Inv: e.Inv})
 		p.shift(v, joined)
-	case op.service.Form == admission.Refused && !p.spare:
-		p.giveUp(e.Inv, admission.Levelled)
-	case op.Effect == admission.Tokened:
+	case op.service.Form == Refused && !p.spare:
+		p.giveUp(e.Inv, Levelled)
+	case op.Effect == Tokened:
 		p.record(e.Inv, v.arrived+op.Window)
-	case op.Effect == admission.Idempotent && p.config.ReuseFor > 0 && e.Subject && !e.Write:
+	case op.Effect == Idempotent && p.config.ReuseFor > 0 && e.Subject && !e.Write:
 		p.record(e.Inv, v.due+p.config.ReuseFor)
 	}
 }
 
 // setOperation gives an index the terms of its operation, other terms, or none. What was measured stays with
 // the index as long as it is an operation's; what was taken keeps the terms that it was taken under.
-func (p *Post) setOperation(i int32, terms *admission.Operation, service []admission.Service) {
+func (p *Post) setOperation(i int32, terms *Operation, service []Service) {
 	p.ops = append(p.ops, make([]*operation, max(0, int(i)+1-len(p.ops)))...)
 	was := p.ops[i]
 	if was != nil {
@@ -366,21 +365,21 @@
 
 // setLevel applies a level of reduced service: what waits unrun and is refused now goes at once,
 // unless the plan leaves it the spare room.
-func (p *Post) setLevel(services []admission.Service, spare bool) {
+func (p *Post) setLevel(services []Service, spare bool) {
 	p.spare = spare
 	for k, op := range p.ops {
 		if op == nil {
 			continue
 		}
-		if op.service = (admission.Service{}); k < len(services) {
+		if op.service = (Service{}); k < len(services) {
 			op.service = services[k]
 		}
 	}
 	for _, i := range p.live {
 		v := &p.invs[i]
 		if v.state == held && !v.ran {
-			if v.part, v.worth = 1, 1; v.op.service.Form == admission.Refused && !p.spare {
-				p.giveUp(i, admission.Levelled)
+			if v.part, v.worth = 1, 1; v.op.service.Form == Refused && !p.spare {
+				p.giveUp(i, Levelled)
 			}
 		}
 	}
@@ -393,33 +392,33 @@
 func (p *Post) record(i int32, until int64) {
 	room := p.config.RecordsMost == 0 || len(p.records) < p.config.RecordsMost
 	if room && p.recordKB()+p.config.EntryKB <= recordRoom*p.config.MemoryKB && until > p.now {
-		p.do(admission.Action{Kind: admission.Record, Inv: i, For: until - p.now})
+		p.do(Action{Kind: Record, Inv: i, For: until - p.now})
 		p.records = append(p.records, until)
-	} else if p.invs[i].op.Effect == admission.Tokened {
-		p.giveUp(i, admission.Crowded)
+	} else if p.invs[i].op.Effect == Tokened {
+		p.giveUp(i, Crowded)
 	}
 }
 
 func (p *Post) recordKB() float64 { return float64(len(p.records)) * p.config.EntryKB }
 
 // giveUp gives the final answer to what will not be served, at once.
-func (p *Post) giveUp(i int32, why admission.Why) {
+func (p *Post) giveUp(i int32, why Why) {
 	v := &p.invs[i]
 	if v.answered {
 		return
 	}
 	p.watch(v, false)
 	if v.answered = true; v.state == held && !v.ran {
-		if why == admission.Levelled {
+		if why == Levelled {
 			p.levelled++
 		}
 		if p.throttled++; !p.config.RetriesMarked {
 			p.echoes++ // where they bear no mark, what is turned away here tells of those to come
 		}
-		p.do(admission.Action{Kind: admission.Throttle, Inv: i, For: p.comeBack(), NoRetry: v.further || p.allFull,
+		p.do(Action{Kind: Throttle, Inv: i, For: p.comeBack(), NoRetry: v.further || p.allFull,
 			Why: why})
 	} else {
-		p.do(admission.Action{Kind: admission.Fail, Inv: i, Why: why})
+		p.do(Action{Kind: Fail, Inv: i, Why: why})
 	}
 	p.letGo(i)
 }
@@ -437,8 +436,8 @@
 	case held, joined, paused:
 		p.end(i)
 	case running:
-		if p.config.Halting != admission.NoHalt {
-			p.do(admission.Action{Kind: admission.Stop, Inv: i})
+		if p.config.Halting != NoHalt {
+			p.do(Action{Kind: Stop, Inv: i})
 		}
 	}
 }
@@ -518,8 +517,8 @@
 			end += ahead / p.freeCores()
 		}
 		if end-skew*p.expected(v) > p.objective(v) && (v.op.LateShare == 0 || end > p.left(v)) {
-			levelled := v.op.service.Form == admission.Refused
-			p.giveUp(i, map[bool]admission.Why{false: admission.Hopeless, true: admission.Levelled}[levelled])
+			levelled := v.op.service.Form == Refused
+			p.giveUp(i, map[bool]Why{false: Hopeless, true: Levelled}[levelled])
 			return true
 		}
 		ahead += p.expected(v)
@@ -533,7 +532,7 @@
 	if !p.config.ByWork {
 		v.key /= p.expected(v)
 	}
-	if v.op.service.Form == admission.Refused && !v.ran {
+	if v.op.service.Form == Refused && !v.ran {
 		v.key *= servedLast
 	}
 	if need, slack := p.ends(v)-float64(p.now), p.objective(v)-float64(p.now); need > slack {
@@ -588,14 +587,14 @@
 		if v.state == held && p.memory+p.recordKB()+v.kb*(p.config.Blowup-1) > memoryRoom*p.config.MemoryKB {
 			continue
 		}
-		form := admission.Whole
-		if v.op.service.Form == admission.Reduced && !v.ran && p.roomy() {
+		form := Whole
+		if v.op.service.Form == Reduced && !v.ran && p.roomy() {
 			v.part, v.worth = 1, 1
 		} else if v.part < 1 {
-			form = admission.Reduced
+			form = Reduced
 		}
 		v.ran = true
-		p.do(admission.Action{Kind: admission.Run, Inv: i, Form: form})
+		p.do(Action{Kind: Run, Inv: i, Form: form})
 		p.shift(v, running)
 	}
 }
@@ -611,8 +610,8 @@
 			}
 		}
 	}
-	if least >= 0 && p.config.Halting == admission.PauseHalt {
-		p.do(admission.Action{Kind: admission.Stop, Inv: least})
+	if least >= 0 && p.config.Halting == PauseHalt {
+		p.do(Action{Kind: Stop, Inv: least})
 	}
 }
 
@@ -637,10 +636,10 @@
 }
 
 // runEnded closes a run and learns what it cost.
-func (p *Post) runEnded(i int32, outcome admission.Outcome) {
+func (p *Post) runEnded(i int32, outcome Outcome) {
 	v := &p.invs[i]
-	if outcome == admission.Withdrawn && !v.answered && p.config.Halting != admission.NoHalt {
-		p.shift(v, map[admission.Halting]state{admission.PauseHalt: paused, admission.DropHalt: held}[p.config.Halting])
+	if outcome == Withdrawn && !v.answered && p.config.Halting != NoHalt {
+		p.shift(v, map[Halting]state{PauseHalt: paused, DropHalt: held}[p.config.Halting])
 		return
 	}
 	if v.state == calling {
@@ -648,7 +647,7 @@
 	}
 	p.watch(v, false)
 	own, usual := v.state != joined, v.base*v.part*v.op.usual.Mean(1)
-	if p.end(i); own && (outcome == admission.Succeeded || v.spent > usual) {
+	if p.end(i); own && (outcome == Succeeded || v.spent > usual) {
 		p.pace.Add(v.spent / usual)
 		v.op.usual.Add(v.spent / (v.base * v.part))
 		p.workDone += usual
@@ -673,19 +672,19 @@
 		skippable, latest := v.op.SkipShare > 0, int64(p.objective(v)-p.expected(v))
 		if skippable {
 			until = min(until, latest)
-		} else if v.op.Effect == admission.Idempotent && v.tries < callTries/2 && p.callTime.Mean(0) > 0 {
+		} else if v.op.Effect == Idempotent && v.tries < callTries/2 && p.callTime.Mean(0) > 0 {
 			until = min(until, p.now+int64(callLong*p.callTime.Mean(0)*p.callUnit))
 		}
 		switch {
 		case skippable && (failed || latest <= p.now || p.chance.Float64() < p.callFails.Mean(0)):
-			p.do(admission.Action{Kind: admission.SkipCall, Inv: i})
+			p.do(Action{Kind: SkipCall, Inv: i})
 			p.shift(v, running)
 		case failed, !skippable && v.op.LateShare == 0 && p.inHand > 0 &&
 			float64(p.now)+p.callTime.Mean(0)*p.callUnit > p.objective(v):
-			p.giveUp(i, admission.Callless)
+			p.giveUp(i, Callless)
 		case room > 0 && until > p.now && p.inHand < p.units:
 			v.callAt, v.callUntil, v.tries = p.now, until, v.tries+1
-			p.do(admission.Action{Kind: admission.Call, Inv: i, At: until})
+			p.do(Action{Kind: Call, Inv: i, At: until})
 			p.shift(v, calling)
 		}
 	}
@@ -696,7 +695,7 @@
 // callRoom is how long one more call may take: a third of the share left if all in hand are left at the
 // last, or some times the usual. Guards against hangs, small shares; does harm where calls grow longer.
 func (p *Post) callRoom() int64 {
-	if p.config.Below != admission.SharedBelow || p.units < math.MaxInt { // a lease counts calls, not their time
+	if p.config.Below != SharedBelow || p.units < math.MaxInt { // a lease counts calls, not their time
 		return math.MaxInt64 / 4
 	}
 	linger := float64(p.config.Linger)
@@ -716,10 +715,10 @@
 
 // callEnded learns how calls go; one that failed is repeated if known not to have run, or once if idempotent.
 // Guards against replies spoilt or lost; does harm where a dependency fails for the calls that it gets.
-func (p *Post) callEnded(v *invocation, outcome admission.Outcome) {
+func (p *Post) callEnded(v *invocation, outcome Outcome) {
 	took := float64(p.now - v.callAt)
 	p.callTime.Add(took / p.callUnit)
-	if outcome == admission.Succeeded {
+	if outcome == Succeeded {
 		v.op.away.Add(took / float64(v.op.Objective))
 		p.callFails.Add(0)
 		v.tries = 0
@@ -728,7 +727,7 @@
 	}
 	p.callFails.Add(1)
 	p.shift(v, standing)
-	if outcome != admission.Overloaded && outcome != admission.Unreachable {
+	if outcome != Overloaded && outcome != Unreachable {
 		v.tries += 1 + callTries*int(v.op.Effect) // no more, unless it is idempotent
 		p.callUsed.Add(p.now, float64(p.config.Linger))
 	}
@@ -738,9 +737,9 @@
 func (p *Post) keepDeadlines() {
 	for _, i := range p.live {
 		v := &p.invs[i]
-		futile := v.state == running && p.config.Halting != admission.NoHalt && v.op.LateShare == 0
+		futile := v.state == running && p.config.Halting != NoHalt && v.op.LateShare == 0
 		if v.state != ended && (futile && float64(p.now) > p.objective(v) || p.now >= v.due-answerMargin) {
-			p.giveUp(i, admission.Overdue)
+			p.giveUp(i, Overdue)
 		}
 		if v.state == running && v.answered {
 			p.letGo(i) // again: a stop has no effect while the cores stand still
@@ -753,7 +752,7 @@
 	p.records = slices.DeleteFunc(p.records, func(until int64) bool { return until < p.now })
 	for k := len(p.order) - 1; k >= 0 && p.memory+p.recordKB() > (1+memoryRoom)/2*p.config.MemoryKB; k-- {
 		if p.invs[p.order[k]].state == held {
-			p.giveUp(p.order[k], admission.Crowded)
+			p.giveUp(p.order[k], Crowded)
 		}
 	}
 }
@@ -779,7 +778,7 @@
 	if p.noticed == 0 || p.drained || p.now < p.intakeEnd {
 		return
 	}
-	p.do(admission.Action{Kind: admission.StopIntake})
+	p.do(Action{Kind: StopIntake})
 	abandoned, completed := 0, p.closed-p.closedBefore
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state != ended && !v.answered {
@@ -787,11 +786,11 @@
 				return
 			}
 			abandoned++
-			p.giveUp(i, admission.Draining)
+			p.giveUp(i, Draining)
 		}
 	}
 	p.drained = true
-	p.do(admission.Action{Kind: admission.Leave, Text: fmt.Sprintf(
+	p.do(Action{Kind: Leave, Text: fmt.Sprintf(
 		"drain: in flight at start %d, completed %d, abandoned %d", p.atNotice, completed, abandoned)})
 }
 
@@ -817,7 +816,7 @@
 
 // tellHealth answers checks from store, since a full one costs work.
 func (p *Post) tellHealth() {
-	p.do(admission.Action{Kind: admission.Health, Good: !p.unhealthy, Stored: true})
+	p.do(Action{Kind: Health, Good: !p.unhealthy, Stored: true})
 }
 
 // adjustAdvice tells callers how much to send: less while the wait is long, more while it is short.
@@ -837,24 +836,24 @@
 		p.open = min(1, p.open+adviceUp)
 	}
 	value, away := p.open, 0.0
-	if p.config.Advice == admission.LevelAdvice {
+	if p.config.Advice == LevelAdvice {
 		value, away = levelHigh*(1-p.open), 1
-	} else if p.config.Advice == admission.CreditAdvice { // for each caller that counts, unequal as they are
+	} else if p.config.Advice == CreditAdvice { // for each caller that counts, unequal as they are
 		value *= creditTop * p.cores / max(1, sum*sum/squares)
 	}
 	if p.noticed != 0 && p.now >= p.intakeEnd-awayLead {
 		value = away
 	}
 	value = math.Ceil(value*100) / 100 // never rounded to nothing
-	if value != p.said && p.config.Advice != admission.NoAdvice {
-		p.do(admission.Action{Kind: admission.Advise, Value: value})
+	if value != p.said && p.config.Advice != NoAdvice {
+		p.do(Action{Kind: Advise, Value: value})
 	}
 	p.said = value
 }
 
 // State is what decisions stand on now; it changes nothing.
-func (p *Post) State() admission.State {
-	return admission.State{Limit: p.limit, OnCores: p.onCores, Held: p.waiting, Standing: p.standing,
+func (p *Post) State() State {
+	return State{Limit: p.limit, OnCores: p.onCores, Held: p.waiting, Standing: p.standing,
 		InHand: p.inHand, Away: p.away,
 		Wait: p.wait(), CallWait: p.callWait(), Lag: p.lag, Reading: p.reading, MeanReading: p.meanReading,
 		Pace: p.pace.Mean(1), Stall: p.stall, Patient: p.patient, CallTime: p.callTime.Mean(0) * p.callUnit,
@@ -865,7 +864,7 @@
 }
 
 // Measure tells of the present what concerns more than one invocation, into m.
-func (p *Post) Measure(m *admission.Measures) {
+func (p *Post) Measure(m *Measures) {
 	m.Asked = m.Asked[:0]
 	for _, op := range p.ops {
 		if op == nil {
--- a/control/control_test.go
+++ b/internal/admission/control_test.go
@@ -1,12 +1,10 @@
-package control
+package admission
 
 import (
 	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"topazpost/internal/admission"
 )
 
 func TestDueRunIsErroredThenStopped(t *testing.T) {
@@ -14,12 +12,12 @@
 	v := put(p, 0, running)
 	v.due = p.now + answerMargin
 	p.keepDeadlines()
-	assert.Equal(t, []admission.ActionKind{admission.Fail, admission.Stop, admission.Stop}, kinds(p))
+	assert.Equal(t, []ActionKind{Fail, Stop, Stop}, kinds(p))
 	assert.True(t, v.answered)
 }
 
 func TestRunPastItsObjectiveGoesOnWhereItCannotBeStopped(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Halting = admission.NoHalt })
+	p := post(func(n *Config) { n.Halting = NoHalt })
 	v := put(p, 0, running)
 	v.arrived -= 2_000 * ms
 	p.keepDeadlines()
@@ -32,7 +30,7 @@
 	v := put(p, 0, held)
 	v.arrived -= 950 * ms
 	p.orderHold()
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 	assert.Positive(t, p.out[0].For)
 	assert.Equal(t, ended, v.state)
 }
@@ -48,7 +46,7 @@
 }
 
 func TestTenantOverItsShareComesAfterOthers(t *testing.T) {
-	p := post(func(n *admission.Config) { n.TenantRates = []float64{2, 2}; n.OverShare = 0.1 })
+	p := post(func(n *Config) { n.TenantRates = []float64{2, 2}; n.OverShare = 0.1 })
 	for k := range 50 {
 		p.tenants.Add(0)
 		if k < 5 {
@@ -63,43 +61,43 @@
 
 func TestTokenedIsRecordedBeforeItRuns(t *testing.T) {
 	p := post()
-	out := p.Decide(start, []admission.Event{{Kind: admission.Arrived, Inv: 0, Operation: 1, Tenant: -1,
-		Repeats: admission.NoRepeat, HeldKB: 10}})
-	assert.Equal(t, admission.Record, out[0].Kind)
+	out := p.Decide(start, []Event{{Kind: Arrived, Inv: 0, Operation: 1, Tenant: -1,
+		Repeats: NoRepeat, HeldKB: 10}})
+	assert.Equal(t, Record, out[0].Kind)
 	assert.Equal(t, 5_000*ms, out[0].For)
-	assert.Equal(t, admission.Run, out[1].Kind)
+	assert.Equal(t, Run, out[1].Kind)
 }
 
 func TestTokenedWithoutRoomInTheTableIsThrottledUnrun(t *testing.T) {
-	p := post(func(n *admission.Config) { n.EntryKB = 300 })
+	p := post(func(n *Config) { n.EntryKB = 300 })
 	put(p, 1, held)
 	p.record(0, p.now+5_000*ms)
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 }
 
 func TestRepeatOfWhatRanIsReused(t *testing.T) {
 	p := post()
-	p.intake(&admission.Event{Kind: admission.Arrived, Operation: 1, Tenant: -1, Repeats: admission.EndedRepeat, HeldKB: 10})
-	assert.Equal(t, []admission.ActionKind{admission.Reuse}, kinds(p))
+	p.intake(&Event{Kind: Arrived, Operation: 1, Tenant: -1, Repeats: EndedRepeat, HeldKB: 10})
+	assert.Equal(t, []ActionKind{Reuse}, kinds(p))
 }
 
 func TestRepeatOfWhatRanIsErroredNotThrottledOnceIntakeEnded(t *testing.T) {
 	p := post()
 	p.noticed, p.intakeEnd = p.now-ms, p.now
-	p.intake(&admission.Event{Kind: admission.Arrived, Operation: 1, Tenant: -1, Repeats: admission.EndedRepeat, HeldKB: 10})
-	assert.Equal(t, []admission.ActionKind{admission.Fail}, kinds(p))
+	p.intake(&Event{Kind: Arrived, Operation: 1, Tenant: -1, Repeats: EndedRepeat, HeldKB: 10})
+	assert.Equal(t, []ActionKind{Fail}, kinds(p))
 }
 
 func TestCallThatMayHaveRunIsRepeatedOnceAndOnlyIfIdempotent(t *testing.T) {
-	for outcome, proof := range map[admission.Outcome]bool{admission.Overloaded: true, admission.Unreachable: true,
-		admission.TimedOut: false, admission.Broken: false, admission.Errored: false} {
+	for outcome, proof := range map[Outcome]bool{Overloaded: true, Unreachable: true,
+		TimedOut: false, Broken: false, Errored: false} {
 		for op, again := range []int{1, 0} { // the idempotent operation, the tokened one
 			p := post()
 			v := put(p, op, calling)
 			v.callAt, v.tries = p.now, 1
 			made := 0
 			for p.callEnded(v, outcome); ; p.callEnded(v, outcome) {
-				if p.makeCalls(); p.out[len(p.out)-1].Kind == admission.Fail {
+				if p.makeCalls(); p.out[len(p.out)-1].Kind == Fail {
 					break
 				}
 				made++
@@ -113,7 +111,7 @@
 }
 
 func TestReplyThatHardlyComesIsNotWaitedForWhereTheCallMayBeRepeated(t *testing.T) {
-	p := post(func(n *admission.Config) { n.CallShare = 24 })
+	p := post(func(n *Config) { n.CallShare = 24 })
 	p.callTime.Add(0.0625) // of the shortest objective
 	for op, tries := range []int{0, 0, 2} {
 		v := put(p, min(op, 2)%2, standing)
@@ -125,11 +123,11 @@
 }
 
 func TestFailedCallIsLeftOutWhereAllowed(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Operations[0].SkipShare = 0.5 })
+	p := post(func(n *Config) { n.Operations[0].SkipShare = 0.5 })
 	v := put(p, 0, standing)
 	v.tries = callTries
 	p.makeCalls()
-	assert.Equal(t, []admission.ActionKind{admission.SkipCall}, kinds(p))
+	assert.Equal(t, []ActionKind{SkipCall}, kinds(p))
 	assert.Equal(t, running, v.state)
 }
 
@@ -138,13 +136,13 @@
 	put(p, 0, standing)
 	put(p, 1, standing)
 	p.makeCalls()
-	assert.Equal(t, []admission.ActionKind{admission.Call, admission.Call}, kinds(p))
+	assert.Equal(t, []ActionKind{Call, Call}, kinds(p))
 	assert.Equal(t, []int32{1, 0}, []int32{p.out[0].Inv, p.out[1].Inv})
 }
 
 // The incident of meubles-rennes on which a large fleet left each node a share below one.
 func TestCallsInHandKeepTheShareAsAMean(t *testing.T) {
-	p := post(func(n *admission.Config) { n.CallShare, n.Linger = 0.35, 200*ms })
+	p := post(func(n *Config) { n.CallShare, n.Linger = 0.35, 200*ms })
 	for range 8 {
 		p.callTime.Add(0.02)
 		put(p, 1, standing)
@@ -175,16 +173,16 @@
 	}
 	put(p, 0, held)
 	p.orderHold()
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 	p.out = p.out[:0]
 	p.now += 900 * ms
 	put(p, 0, calling)
 	p.makeCalls()
-	assert.Equal(t, admission.Fail, p.out[0].Kind)
+	assert.Equal(t, Fail, p.out[0].Kind)
 }
 
 func TestCrowdIsTighterWhileCold(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Fresh = true; n.ColdFrom = 0.2; n.WarmAfter = 10_000 * ms })
+	p := post(func(n *Config) { n.Fresh = true; n.ColdFrom = 0.2; n.WarmAfter = 10_000 * ms })
 	assert.InDelta(t, crowdRoom*2*(1+3*0.2), p.survivable(), 1e-9)
 	p.now += 20_000 * ms
 	assert.InDelta(t, crowdRoom*2*4, p.survivable(), 1e-9)
@@ -210,7 +208,7 @@
 	p.startRuns()
 	assert.Empty(t, p.out)
 	p.keepMemory()
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 	assert.Equal(t, int32(1), p.out[0].Inv)
 }
 
@@ -232,7 +230,7 @@
 	p := post()
 	put(p, 0, running)
 	p.drain(p.now + killMargin + 5_000*ms)
-	assert.Equal(t, []admission.ActionKind{admission.Health}, kinds(p))
+	assert.Equal(t, []ActionKind{Health}, kinds(p))
 	assert.False(t, p.out[0].Good)
 	assert.Equal(t, 1, p.atNotice)
 	assert.Equal(t, p.now+2_000*ms, p.intakeEnd, "the grace, where the longest objective is left room")
@@ -260,7 +258,7 @@
 	put(p, 0, held)
 	p.noticed, p.drainEnd, p.atNotice, p.closed = p.now-ms, p.now, 3, 2
 	p.keepDrain()
-	assert.Equal(t, []admission.ActionKind{admission.StopIntake, admission.Fail, admission.Stop, admission.Throttle, admission.Leave}, kinds(p))
+	assert.Equal(t, []ActionKind{StopIntake, Fail, Stop, Throttle, Leave}, kinds(p))
 	assert.Equal(t, "drain: in flight at start 3, completed 2, abandoned 2", p.out[4].Text)
 }
 
@@ -269,11 +267,11 @@
 	v := put(p, 0, running)
 	p.noticed, p.intakeEnd, p.drainEnd = p.now-ms, p.now, p.now+1_000*ms
 	p.keepDrain()
-	assert.Equal(t, []admission.ActionKind{admission.StopIntake}, kinds(p))
+	assert.Equal(t, []ActionKind{StopIntake}, kinds(p))
 	v.answered = true
 	p.keepDrain()
 	p.keepDrain()
-	assert.Equal(t, []admission.ActionKind{admission.StopIntake, admission.StopIntake, admission.Leave}, kinds(p), "told once")
+	assert.Equal(t, []ActionKind{StopIntake, StopIntake, Leave}, kinds(p), "told once")
 }
 
 func TestStalledRunsTurnHealthBadBeforeAnyEnds(t *testing.T) {
@@ -286,7 +284,7 @@
 }
 
 func TestAFullHoldIsNotUnhealthyButAsksForLess(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Advice = admission.LevelAdvice })
+	p := post(func(n *Config) { n.Advice = LevelAdvice })
 	for range 20 {
 		put(p, 0, held)
 	}
@@ -297,8 +295,8 @@
 }
 
 func TestDrainAdvisesCallersAway(t *testing.T) {
-	for advice, want := range map[admission.Advice]float64{admission.LevelAdvice: 1, admission.CreditAdvice: 0, admission.WeightAdvice: 0} {
-		p := post(func(n *admission.Config) { n.Advice = advice })
+	for advice, want := range map[Advice]float64{LevelAdvice: 1, CreditAdvice: 0, WeightAdvice: 0} {
+		p := post(func(n *Config) { n.Advice = advice })
 		p.noticed, p.intakeEnd = p.now, p.now+2*awayLead
 		p.adjustAdvice()
 		assert.NotEqual(t, want, p.said, "it serves on, others may be full")
@@ -312,9 +310,9 @@
 	p := post()
 	put(p, 0, held)
 	p.end(0)
-	for kind := admission.CallerGone; kind <= admission.RunEnded; kind++ {
-		if kind != admission.DrainNotice && kind != admission.TimerDue {
-			p.take(&admission.Event{Kind: kind})
+	for kind := CallerGone; kind <= RunEnded; kind++ {
+		if kind != DrainNotice && kind != TimerDue {
+			p.take(&Event{Kind: kind})
 		}
 	}
 	assert.Empty(t, p.out)
@@ -324,14 +322,14 @@
 func TestPausedRunKeepsItsMemoryAndResumes(t *testing.T) {
 	p := post()
 	v := put(p, 0, running)
-	p.runEnded(0, admission.Withdrawn)
+	p.runEnded(0, Withdrawn)
 	assert.Equal(t, paused, v.state)
 	assert.Equal(t, 40.0, p.memory)
 }
 
 // The incident of pret-quimper on which fresh nodes were flooded before their first answers.
 func TestColdStartInvitesLess(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Fresh = true; n.ColdFrom = 0.25 })
+	p := post(func(n *Config) { n.Fresh = true; n.ColdFrom = 0.25 })
 	assert.Equal(t, 0.25, p.open)
 }
 
@@ -342,7 +340,7 @@
 	put(p, 0, held)
 	p.order, p.reading = []int32{0, 1}, 2
 	p.startRuns()
-	assert.Equal(t, []admission.ActionKind{admission.Run}, kinds(p))
+	assert.Equal(t, []ActionKind{Run}, kinds(p))
 }
 
 // A day of boutique-brest on which nodes that reported bad got no more work and so never came back.
@@ -362,11 +360,11 @@
 // Grown deployments of two cores a node: the half-second mean of the busy gauge let the limit overshoot.
 func TestFreeCoresAreThoseThatNothingWantsNow(t *testing.T) {
 	p := post()
-	p.take(&admission.Event{Kind: admission.TimerDue, Busy: 0.2, Runnable: 2})
+	p.take(&Event{Kind: TimerDue, Busy: 0.2, Runnable: 2})
 	assert.False(t, p.free)
-	p.take(&admission.Event{Kind: admission.TimerDue, Busy: 0.95, Runnable: 1})
+	p.take(&Event{Kind: TimerDue, Busy: 0.95, Runnable: 1})
 	assert.True(t, p.free)
-	p.take(&admission.Event{Kind: admission.TimerDue, Busy: 0.95, Runnable: -1})
+	p.take(&Event{Kind: TimerDue, Busy: 0.95, Runnable: -1})
 	assert.False(t, p.free)
 }
 
@@ -381,7 +379,7 @@
 	assert.Empty(t, p.out)
 	p.away = 0.6
 	p.startRuns()
-	assert.Equal(t, []admission.ActionKind{admission.Run}, kinds(p))
+	assert.Equal(t, []ActionKind{Run}, kinds(p))
 }
 
 // Grown meubles-rennes: a fifth of all runs were for callers that wait about a third of the client timeout.
@@ -390,7 +388,7 @@
 	for range 20 {
 		v := put(p, 0, held)
 		v.arrived -= 300 * ms
-		p.take(&admission.Event{Kind: admission.CallerGone, Inv: int32(len(p.invs) - 1)})
+		p.take(&Event{Kind: CallerGone, Inv: int32(len(p.invs) - 1)})
 	}
 	p.patient = p.stays.Until(patienceMost)
 	assert.InDelta(t, 0.1, p.patient, 1.0/patienceBins)
@@ -398,12 +396,12 @@
 	v.arrived -= 200 * ms
 	p.lag, p.out = 0, p.out[:0]
 	p.orderHold()
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 }
 
 // Overloaded days of the grown deployments: what every node turned away was read at node after node.
 func TestManyFurtherTriesAskForNoMoreUntilFewAreThrottled(t *testing.T) {
-	p := post(func(n *admission.Config) { n.RetriesMarked = true })
+	p := post(func(n *Config) { n.RetriesMarked = true })
 	p.arrivals, p.echoes, p.throttled = 10, 5, 4
 	p.adjustAdvice()
 	assert.True(t, p.allFull)
@@ -416,7 +414,7 @@
 }
 
 func TestCreditForManyCallersIsNeverRoundedToNothing(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Advice = admission.CreditAdvice })
+	p := post(func(n *Config) { n.Advice = CreditAdvice })
 	for caller := range int64(1_000) {
 		p.callers.Add(caller)
 	}
@@ -427,7 +425,7 @@
 
 // Grown pret-quimper: on two cores a short objective was missed behind one long run of little value.
 func TestLongRunMakesWayForOneOfHighRankIfItStillEndsInTime(t *testing.T) {
-	for late, want := range map[int64][]admission.ActionKind{0: {admission.Stop}, 900 * ms: {}} {
+	for late, want := range map[int64][]ActionKind{0: {Stop}, 900 * ms: {}} {
 		p := post()
 		p.limit = 1
 		put(p, 0, running).arrived -= late
@@ -471,7 +469,7 @@
 	assert.Empty(t, p.out)
 	v.arrived -= 20 * ms
 	p.orderHold()
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 }
 
 // Drawn days of pret-quimper: nodes that had asked for least stayed shut to the end, for want of arrivals.
@@ -487,18 +485,18 @@
 
 // The service days of meubles-rennes: a burst being read, or a few long runs, made nodes throttle what they had room for.
 func TestABurstOfReadingDoesNotShrinkWhatTheHoldIsReckonedToClear(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Cores = 8 })
+	p := post(func(n *Config) { n.Cores = 8 })
 	for range 20 { // a second of little reading, then a beat of much
 		p.now += 50 * ms
-		p.take(&admission.Event{Kind: admission.TimerDue, Busy: 0.5, Runnable: 1})
+		p.take(&Event{Kind: TimerDue, Busy: 0.5, Runnable: 1})
 	}
 	p.now += 50 * ms
-	p.take(&admission.Event{Kind: admission.TimerDue, Busy: 1, Runnable: 9})
+	p.take(&Event{Kind: TimerDue, Busy: 1, Runnable: 9})
 	assert.InDelta(t, 6.8, p.freeCores(), 0.05)
 	assert.InDelta(t, 3, p.reading, 0.1, "the limit follows it at once")
 	now := p.now
 	p.now += 10 * ms
-	p.take(&admission.Event{Kind: admission.TimerDue, Busy: 1, Runnable: 9})
+	p.take(&Event{Kind: TimerDue, Busy: 1, Runnable: 9})
 	assert.InDelta(t, 3.3, p.reading, 0.1, "by the time that went by, not by the gauge")
 	assert.Equal(t, now+10*ms, p.gauged)
 }
@@ -524,7 +522,7 @@
 	put(p, 0, standing)
 	put(p, 0, standing)
 	p.makeCalls()
-	assert.Equal(t, []admission.ActionKind{admission.Call, admission.Fail}, kinds(p))
+	assert.Equal(t, []ActionKind{Call, Fail}, kinds(p))
 	assert.Equal(t, calling, p.invs[0].state)
 }
 
@@ -537,13 +535,13 @@
 		p.out = p.out[:0]
 		p.makeCalls()
 		for _, a := range p.out {
-			if a.Kind == admission.Call {
+			if a.Kind == Call {
 				n, until = n+1, a.At
 			}
 		}
 		return n, until
 	}
-	p.Decide(start, []admission.Event{{Kind: admission.UnitsSet, Units: 1, Hold: 100 * ms}})
+	p.Decide(start, []Event{{Kind: UnitsSet, Units: 1, Hold: 100 * ms}})
 	assert.Equal(t, 1, p.inHand)
 	assert.Equal(t, start+100*ms, p.invs[0].callUntil, "and to the time that one may take")
 	n, _ := calls()
@@ -566,9 +564,9 @@
 // What a beat costs is that of the tenants seen of late, not of those that there are.
 func TestBeatGoesOverTheTenantsSeenOnly(t *testing.T) {
 	for _, all := range []int{0, 1_000, 130_000} {
-		p := post(func(n *admission.Config) { n.TenantRates = make([]float64, all) })
+		p := post(func(n *Config) { n.TenantRates = make([]float64, all) })
 		for k := range int32(40) {
-			p.Decide(p.now, []admission.Event{{Kind: admission.Arrived, Inv: k, Tenant: min(k, int32(all)) - 1, Repeats: admission.NoRepeat, HeldKB: 1}})
+			p.Decide(p.now, []Event{{Kind: Arrived, Inv: k, Tenant: min(k, int32(all)) - 1, Repeats: NoRepeat, HeldKB: 1}})
 		}
 		assert.Len(t, p.tenants.Counts(), min(40, all+1))
 		for range 2_100 { // beats of 50 ms: nobody comes
@@ -581,11 +579,11 @@
 func BenchmarkBeat(b *testing.B) {
 	for _, all := range []int{0, 1_000, 130_000} {
 		b.Run(fmt.Sprint(all, " tenants"), func(b *testing.B) {
-			p := post(func(n *admission.Config) { n.TenantRates = make([]float64, all) })
+			p := post(func(n *Config) { n.TenantRates = make([]float64, all) })
 			now := start
 			for b.Loop() {
 				now += beat
-				p.Decide(now, []admission.Event{{Kind: admission.TimerDue, Busy: 0.5, Runnable: 1}})
+				p.Decide(now, []Event{{Kind: TimerDue, Busy: 0.5, Runnable: 1}})
 			}
 		})
 	}
@@ -596,35 +594,35 @@
 	v := put(p, 0, running)
 	v.op.usual.Add(4)
 	usual := v.op.usual.Mean(1)
-	set := func(i int32, terms *admission.Operation, left ...admission.Service) {
-		p.take(&admission.Event{Kind: admission.OperationSet, Operation: i, Terms: terms, Services: left})
+	set := func(i int32, terms *Operation, left ...Service) {
+		p.take(&Event{Kind: OperationSet, Operation: i, Terms: terms, Services: left})
 	}
-	set(0, &admission.Operation{Objective: 200 * ms, ClientTimeout: 400 * ms, BilledValue: 9}, admission.Service{Form: admission.Refused})
+	set(0, &Operation{Objective: 200 * ms, ClientTimeout: 400 * ms, BilledValue: 9}, Service{Form: Refused})
 	assert.Equal(t, 3_000*ms, v.op.ClientTimeout)
 	assert.Equal(t, 1.0, v.op.BilledValue)
 	w := put(p, 0, held)
 	assert.Equal(t, p.now+400*ms, w.due)
 	assert.Equal(t, usual, w.op.usual.Mean(1), "what was learnt of it stays")
-	assert.Equal(t, admission.Refused, w.op.service.Form)
+	assert.Equal(t, Refused, w.op.service.Form)
 	assert.Equal(t, []float64{float64(200 * ms), float64(1_000 * ms)}, []float64{p.tightest, float64(p.slowest)})
-	set(3, &admission.Operation{Objective: 7_000 * ms, ClientTimeout: 9_000 * ms})
+	set(3, &Operation{Objective: 7_000 * ms, ClientTimeout: 9_000 * ms})
 	assert.Equal(t, 7_000*ms, p.slowest)
-	var m admission.Measures
+	var m Measures
 	p.Measure(&m)
 	assert.Len(t, m.Asked, 4)
-	p.setLevel([]admission.Service{{}, {Form: admission.Refused}}, false)
-	assert.Equal(t, admission.Refused, p.ops[1].service.Form)
+	p.setLevel([]Service{{}, {Form: Refused}}, false)
+	assert.Equal(t, Refused, p.ops[1].service.Form)
 	set(0, nil)
 	set(3, nil)
 	assert.Equal(t, []int64{1_000 * ms, 1_000 * ms}, []int64{int64(p.tightest), p.slowest})
-	p.Decide(p.now+100*ms, []admission.Event{{Kind: admission.RunEnded, Inv: 0, Outcome: admission.Succeeded}})
-	set(0, &admission.Operation{Objective: 500 * ms, ClientTimeout: 900 * ms})
+	p.Decide(p.now+100*ms, []Event{{Kind: RunEnded, Inv: 0, Outcome: Succeeded}})
+	set(0, &Operation{Objective: 500 * ms, ClientTimeout: 900 * ms})
 	assert.Equal(t, 1.0, p.ops[0].usual.Mean(1), "another one begins anew")
 }
 
 // A node that starts with indices that no operation has goes on without them.
 func TestIndicesOfNoOperationCountForNothing(t *testing.T) {
-	p := post(func(n *admission.Config) { n.Operations = append(n.Operations, admission.Operation{Gone: true}) })
+	p := post(func(n *Config) { n.Operations = append(n.Operations, Operation{Gone: true}) })
 	assert.Equal(t, float64(1_000*ms), p.tightest)
-	p.Decide(p.now+beat, []admission.Event{{Kind: admission.TimerDue, Busy: 0.5, Runnable: 1}})
+	p.Decide(p.now+beat, []Event{{Kind: TimerDue, Busy: 0.5, Runnable: 1}})
 }
--- a/control/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -1,4 +1,4 @@
-package control
+package admission
 
 import (
 	"fmt"
@@ -7,23 +7,21 @@
 	"math/rand"
 	"slices"
 	"testing"
-
-	"topazpost/internal/admission"
 )
 
 const start = 1_000 * 1_000 * ms
 
 // post is a sound, warm node of two cores with one idempotent and one tokened operation.
-func post(change ...func(*admission.Config)) *Post {
-	config := &admission.Config{
-		Operations: []admission.Operation{
+func post(change ...func(*Config)) *Post {
+	config := &Config{
+		Operations: []Operation{
 			{Objective: 1_000 * ms, ClientTimeout: 3_000 * ms, BilledValue: 1, MayCall: true},
-			{Objective: 1_000 * ms, ClientTimeout: 3_000 * ms, BilledValue: 5, Effect: admission.Tokened,
+			{Objective: 1_000 * ms, ClientTimeout: 3_000 * ms, BilledValue: 5, Effect: Tokened,
 				Window: 5_000 * ms, MayCall: true},
 		},
-		Cores: 2, MemoryKB: 1_000, Blowup: 4, EntryKB: 1, Peers: 2, Below: admission.SharedBelow,
+		Cores: 2, MemoryKB: 1_000, Blowup: 4, EntryKB: 1, Peers: 2, Below: SharedBelow,
 		CallShare: 2.4, CallSpan: 5_000 * ms, TipMultiple: 4, DrainGrace: 2_000 * ms,
-		ComeBackMax: 1_000 * ms, Halting: admission.PauseHalt,
+		ComeBackMax: 1_000 * ms, Halting: PauseHalt,
 	}
 	for _, c := range change {
 		c(config)
@@ -43,8 +41,8 @@
 }
 
 // kinds lists the kinds of the actions decided so far.
-func kinds(p *Post) []admission.ActionKind {
-	list := []admission.ActionKind{}
+func kinds(p *Post) []ActionKind {
+	list := []ActionKind{}
 	for _, a := range p.out {
 		list = append(list, a.Kind)
 	}
@@ -56,8 +54,8 @@
 func decisions(t *testing.T, seed int64, steps int) uint64 {
 	t.Helper()
 	chance := rand.New(rand.NewSource(seed))
-	p := post(func(n *admission.Config) {
-		n.Seed, n.OverShare, n.Advice, n.MemoryKB = seed, 0.1, admission.CreditAdvice, 100_000
+	p := post(func(n *Config) {
+		n.Seed, n.OverShare, n.Advice, n.MemoryKB = seed, 0.1, CreditAdvice, 100_000
 		for range 500 {
 			n.TenantRates = append(n.TenantRates, float64(1+chance.Intn(4)))
 		}
@@ -67,7 +65,7 @@
 	type runs struct {
 		inv     int32
 		ends    int64
-		outcome admission.Outcome
+		outcome Outcome
 	}
 	var running []runs
 	next, busy := int32(0), 0.5
@@ -76,10 +74,10 @@
 		if chance.Intn(150) == 0 {
 			now += 200_000 * ms // all fall silent, to come back
 		}
-		var events []admission.Event
+		var events []Event
 		running = slices.DeleteFunc(running, func(r runs) bool {
 			if r.ends <= now {
-				events = append(events, admission.Event{Kind: admission.RunEnded, Inv: r.inv, Outcome: r.outcome})
+				events = append(events, Event{Kind: RunEnded, Inv: r.inv, Outcome: r.outcome})
 			}
 			return r.ends <= now
 		})
@@ -90,25 +88,25 @@
 			} else {
 				next++
 			}
-			events = append(events, admission.Event{Kind: admission.Arrived, Inv: i, Operation: int32(chance.Intn(2)), Tenant: int32(chance.Intn(1 + min(499, 1+k/2))),
-				Caller: int64(chance.Intn(30 + k/20)), Repeats: admission.NoRepeat, Further: chance.Intn(5) == 0, Hint: int64(20+chance.Intn(200)) * ms,
+			events = append(events, Event{Kind: Arrived, Inv: i, Operation: int32(chance.Intn(2)), Tenant: int32(chance.Intn(1 + min(499, 1+k/2))),
+				Caller: int64(chance.Intn(30 + k/20)), Repeats: NoRepeat, Further: chance.Intn(5) == 0, Hint: int64(20+chance.Intn(200)) * ms,
 				HeldKB: 1 + 10*chance.Float64()})
 		}
 		if now >= p.next {
 			busy = 0.7*busy + 0.4*chance.Float64()
-			events = append(events, admission.Event{Kind: admission.TimerDue, Busy: busy, Runnable: 4 * busy})
+			events = append(events, Event{Kind: TimerDue, Busy: busy, Runnable: 4 * busy})
 		}
 		for _, a := range p.Decide(now, events) {
 			fmt.Fprintf(print, "%+v;", a)
 			switch a.Kind {
-			case admission.Release:
+			case Release:
 				free = append(free, a.Inv)
-			case admission.Run:
+			case Run:
 				running = append(running, runs{inv: a.Inv, ends: now + int64(20+chance.Intn(400))*ms})
-			case admission.Stop:
+			case Stop:
 				for j := range running {
 					if running[j].inv == a.Inv {
-						running[j].ends, running[j].outcome = now, admission.Withdrawn
+						running[j].ends, running[j].outcome = now, Withdrawn
 					}
 				}
 			}
--- a/control/levels_test.go
+++ b/internal/admission/levels_test.go
@@ -1,33 +1,31 @@
-package control
+package admission
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"topazpost/internal/admission"
 )
 
 var (
-	refused = admission.Service{Form: admission.Refused}
-	reduced = admission.Service{Form: admission.Reduced, Work: 0.4, Value: 0.7}
+	refused = Service{Form: Refused}
+	reduced = Service{Form: Reduced, Work: 0.4, Value: 0.7}
 )
 
-func levelled(p *Post, spare bool, services ...admission.Service) { p.setLevel(services, spare) }
+func levelled(p *Post, spare bool, services ...Service) { p.setLevel(services, spare) }
 
-func arrival(op int32) *admission.Event {
-	return &admission.Event{Kind: admission.Arrived, Operation: op, Tenant: -1, Repeats: admission.NoRepeat, HeldKB: 10}
+func arrival(op int32) *Event {
+	return &Event{Kind: Arrived, Operation: op, Tenant: -1, Repeats: NoRepeat, HeldKB: 10}
 }
 
 func TestRefusedOperationIsThrottledAtTheDoorWithATimeToComeBack(t *testing.T) {
 	p := post()
-	levelled(p, false, refused, admission.Service{})
+	levelled(p, false, refused, Service{})
 	put(p, 1, held)
 	e := arrival(0)
 	e.Inv = 1
 	p.intake(e)
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
-	assert.Equal(t, admission.Levelled, p.out[0].Why)
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
+	assert.Equal(t, Levelled, p.out[0].Why)
 	assert.Positive(t, p.out[0].For)
 }
 
@@ -36,7 +34,7 @@
 	put(p, 0, held)
 	put(p, 0, running)
 	put(p, 1, held)
-	levelled(p, false, refused, admission.Service{})
+	levelled(p, false, refused, Service{})
 	assert.Equal(t, []state{ended, running, held}, []state{p.invs[0].state, p.invs[1].state, p.invs[2].state})
 	assert.Len(t, p.out, 1)
 }
@@ -44,11 +42,11 @@
 // A tokened invocation that has run is never refused because a level came between its tries.
 func TestLevelDoesNotRefuseWhatHasRun(t *testing.T) {
 	p := post()
-	levelled(p, false, admission.Service{}, refused)
+	levelled(p, false, Service{}, refused)
 	e := arrival(1)
-	e.Repeats = admission.EndedRepeat
+	e.Repeats = EndedRepeat
 	p.intake(e)
-	assert.Equal(t, []admission.ActionKind{admission.Reuse}, kinds(p))
+	assert.Equal(t, []ActionKind{Reuse}, kinds(p))
 	put(p, 1, paused).ran = true
 	levelled(p, false, refused, refused)
 	assert.Len(t, p.out, 1)
@@ -56,57 +54,57 @@
 
 func TestLevelDoesNotRecordWhatItRefuses(t *testing.T) {
 	p := post()
-	levelled(p, false, admission.Service{}, refused)
+	levelled(p, false, Service{}, refused)
 	p.intake(arrival(1))
-	assert.Equal(t, []admission.ActionKind{admission.Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
 	assert.Empty(t, p.records)
 }
 
 func TestReducedFormRunsCheaperAndRanksByItsValue(t *testing.T) {
 	p := post()
 	whole := p.expected(put(p, 0, held))
-	levelled(p, false, reduced, admission.Service{})
+	levelled(p, false, reduced, Service{})
 	p.orderHold()
 	assert.InDelta(t, 0.4*whole, p.expected(&p.invs[0]), 1)
 	assert.Equal(t, 0.7, p.invs[0].worth)
 	p.startRuns()
-	assert.Equal(t, admission.Action{Kind: admission.Run, Inv: 0, Form: admission.Reduced}, p.out[0])
+	assert.Equal(t, Action{Kind: Run, Inv: 0, Form: Reduced}, p.out[0])
 }
 
 func TestWhatRunsIsNotReducedMidway(t *testing.T) {
 	p := post()
 	v := put(p, 0, paused)
 	v.ran = true
-	levelled(p, false, reduced, admission.Service{})
+	levelled(p, false, reduced, Service{})
 	p.orderHold()
 	assert.Equal(t, 1.0, v.part)
 	p.startRuns()
-	assert.Equal(t, admission.Whole, p.out[0].Form)
+	assert.Equal(t, Whole, p.out[0].Form)
 }
 
 func TestLevelThatEndsBeforeTheStartLeavesTheWhole(t *testing.T) {
 	p := post()
 	put(p, 0, held)
-	levelled(p, false, reduced, admission.Service{})
+	levelled(p, false, reduced, Service{})
 	p.orderHold()
 	p.setLevel(nil, false)
 	p.orderHold()
 	p.startRuns()
-	assert.Equal(t, admission.Whole, p.out[0].Form)
+	assert.Equal(t, Whole, p.out[0].Form)
 }
 
 func TestSpareRoomServesWholeWhatALevelReduces(t *testing.T) {
 	p := post()
 	put(p, 0, held)
-	levelled(p, true, reduced, admission.Service{})
+	levelled(p, true, reduced, Service{})
 	p.orderHold()
 	p.startRuns()
-	assert.Equal(t, admission.Whole, p.out[0].Form)
+	assert.Equal(t, Whole, p.out[0].Form)
 }
 
 func TestSpareRoomServesLastWhatALevelRefuses(t *testing.T) {
 	p := post()
-	levelled(p, true, admission.Service{Form: admission.Refused, Work: 0.4, Value: 0.7}, admission.Service{})
+	levelled(p, true, Service{Form: Refused, Work: 0.4, Value: 0.7}, Service{})
 	p.intake(arrival(0))
 	p.invs[0].base /= 100 // by far the best in value for work
 	e := arrival(1)
@@ -115,26 +113,26 @@
 	p.orderHold()
 	assert.Equal(t, []int32{1, 0}, p.order)
 	p.startRuns()
-	assert.Equal(t, admission.Reduced, p.out[len(p.out)-1].Form, "the form that the level before leaves")
+	assert.Equal(t, Reduced, p.out[len(p.out)-1].Form, "the form that the level before leaves")
 }
 
 func TestWhatALevelTurnsAwayIsNoSignOfPressure(t *testing.T) {
 	p := post()
-	levelled(p, false, refused, admission.Service{})
+	levelled(p, false, refused, Service{})
 	p.intake(arrival(0))
-	var m admission.Measures
+	var m Measures
 	p.Measure(&m)
 	assert.Zero(t, m.Throttled)
 }
 
 func TestAskedCountsFirstTriesWholeWhateverTheLevel(t *testing.T) {
 	p := post()
-	levelled(p, false, refused, admission.Service{})
+	levelled(p, false, refused, Service{})
 	p.intake(arrival(0))
 	e := arrival(0)
 	e.Inv, e.Further = 1, true
 	p.intake(e)
-	var m admission.Measures
+	var m Measures
 	p.Measure(&m)
 	assert.InDelta(t, float64(125*ms)/float64(askedSpan)/p.cores, m.Asked[0], 1e-9)
 	p.now += 2 * askedSpan
@@ -143,13 +141,13 @@
 }
 
 func benchmarkDecide(b *testing.B, live int, level bool) {
-	p := post(func(n *admission.Config) { n.MemoryKB, n.ComeBackMax = 1e9, 0 })
+	p := post(func(n *Config) { n.MemoryKB, n.ComeBackMax = 1e9, 0 })
 	for k := range live {
 		put(p, k%2, held).due = start * 1000
 		p.invs[k].arrived = start * 900
 	}
 	if level {
-		levelled(p, true, reduced, admission.Service{})
+		levelled(p, true, reduced, Service{})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/control/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -1,4 +1,4 @@
-package control
+package admission
 
 import (
 	"fmt"
@@ -6,8 +6,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"topazpost/internal/admission"
 )
 
 // fleet is n nodes that each have as many runs standing at calls as they like, over a dependency on which every call
@@ -26,7 +24,7 @@
 )
 
 func (f *fleet) start(k int, fresh bool, age int64) {
-	f.posts[k] = New(post(func(n *admission.Config) {
+	f.posts[k] = New(post(func(n *Config) {
 		n.CallShare, n.CallSpan, n.Linger, n.Fresh, n.ColdFrom = f.share, fleetSpan, 200*ms, fresh, 0.3
 		n.Operations[0].ClientTimeout, n.Operations[0].Objective = 60_000*ms, 30_000*ms
 		n.Began = f.now
@@ -41,19 +39,19 @@
 func (f *fleet) step() (inHand int) {
 	f.now += fleetTick
 	for k, p := range f.posts {
-		var events []admission.Event
+		var events []Event
 		for i, end := range f.ends[k] {
 			if f.now >= end {
 				delete(f.ends[k], i)
-				events = append(events, admission.Event{Kind: admission.CallEnded, Inv: i, Outcome: admission.Succeeded},
-					admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Succeeded})
+				events = append(events, Event{Kind: CallEnded, Inv: i, Outcome: Succeeded},
+					Event{Kind: RunEnded, Inv: i, Outcome: Succeeded})
 			}
 		}
 		for p.standing < 4 {
 			put(p, 0, standing)
 		}
 		for _, a := range p.Decide(f.now, events) {
-			if a.Kind == admission.Call {
+			if a.Kind == Call {
 				f.ends[k][a.Inv] = a.At
 			}
 		}
--- a/lab/fleet/cold_test.go
+++ b/lab/fleet/cold_test.go
@@ -6,7 +6,6 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"topazpost/control"
 	"topazpost/internal/admission"
 	"topazpost/reducer"
 )
@@ -106,7 +105,7 @@
 func TestFloodsOfColdNodesThatSayNothingAreSeen(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		d := told(n)
-		d.Make = func(p *admission.Config, now int64) reducer.Decider { return silent{control.New(p, now)} }
+		d.Make = func(p *admission.Config, now int64) reducer.Decider { return silent{admission.New(p, now)} }
 		assert.Greater(t, play(t, d).MostTold, 1.0)
 	}
 }
--- a/reducer/reducer.go
+++ b/reducer/reducer.go
@@ -6,7 +6,6 @@
 	"math"
 	"slices"
 
-	"topazpost/control"
 	"topazpost/council"
 	"topazpost/internal/admission"
 	"topazpost/invariant"
@@ -227,7 +226,7 @@
 	r := &Reducer{config: onSockets(settings), to: to, stop: stop, connMost: connections, linkMost: links, calls: map[string]int32{},
 		conns: map[int]*connection{}, diags: map[string]check{}, beatAt: never, meterAt: never,
 		metered: math.MinInt64 / 2, wait: redialFirst,
-		Decisions: func(config *admission.Config, born int64) Decider { return control.New(config, born) }}
+		Decisions: func(config *admission.Config, born int64) Decider { return admission.New(config, born) }}
 	r.Invariants.Tell = func(what string, times int) {
 		r.do(Effect{Kind: Remark, Level: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
