--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -19,8 +19,8 @@
 
 	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/node"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 	"topazpost/server"
 	"topazpost/settings"
 )
@@ -86,7 +86,7 @@
 // question asks one node.
 func (c *configAt) question(address string, q *configuration.Question) (*configuration.Answer, error) {
 	name := envelope.FleetOf(c.Fleet)
-	ask, err := envelope.Seal(nil, name, reducer.AskConfiguration(q))
+	ask, err := envelope.Seal(nil, name, node.AskConfiguration(q))
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	}
 	var a *configuration.Answer
 	if err == nil {
-		a, err = reducer.OpenConfiguration(text, name)
+		a, err = node.OpenConfiguration(text, name)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
--- a/reducer/amend_test.go
+++ b/internal/node/amend_test.go
@@ -1,4 +1,4 @@
-package reducer
+package node
 
 import (
 	"fmt"
--- a/reducer/control.go
+++ b/internal/node/control.go
@@ -1,4 +1,4 @@
-package reducer
+package node
 
 // reported waits for the next report. A drain sends none: the entry lapses, where one more would keep it.
 func (r *Reducer) reported(err error) {
--- a/reducer/types.go
+++ b/internal/node/types.go
@@ -1,6 +1,6 @@
-// Package reducer holds the one state of a real node. Step takes what happened and returns what is to be
+// Package node holds the one state of a real node. Step takes what happened and returns what is to be
 // done; it has no goroutine, no socket and no clock. All that it decides by is package control.
-package reducer
+package node
 
 import (
 	"topazpost/configuration"
--- a/lab/baselines/pool.go
+++ b/lab/baselines/pool.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"topazpost/internal/admission"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 const (
@@ -34,7 +34,7 @@
 }
 
 // Pool is a plain pool with a short queue that rejects.
-func Pool(config *admission.Config, _ int64) reducer.Decider { return &pool{config: config} }
+func Pool(config *admission.Config, _ int64) node.Decider { return &pool{config: config} }
 
 func (p *pool) do(a admission.Action) { p.out = append(p.out, a) }
 
--- a/lab/capacity/changes.go
+++ b/lab/capacity/changes.go
@@ -16,9 +16,9 @@
 
 	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/node"
 	"topazpost/lab/hollow"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 	"topazpost/server"
 )
 
@@ -123,7 +123,7 @@
 
 func question(address string, q *configuration.Question) (*configuration.Answer, error) {
 	name := envelope.FleetOf(fleetName)
-	ask, err := envelope.Seal(nil, name, reducer.AskConfiguration(q))
+	ask, err := envelope.Seal(nil, name, node.AskConfiguration(q))
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return reducer.OpenConfiguration(text, name)
+	return node.OpenConfiguration(text, name)
 }
 
 // put has changes agreed on, made on the newest version.
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -17,11 +17,11 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazpost/internal/node"
 	"topazpost/lab/baselines"
 	"topazpost/lab/fleet"
 	"topazpost/nodeconfig"
 	"topazpost/plan"
-	"topazpost/reducer"
 	"topazpost/settings"
 )
 
@@ -253,7 +253,7 @@
 			return 1
 		}
 	}
-	read := func(name string) (*reducer.Plan, error) {
+	read := func(name string) (*node.Plan, error) {
 		if name == "" {
 			return nil, nil
 		}
--- a/lab/fleet/cold_test.go
+++ b/lab/fleet/cold_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"topazpost/internal/admission"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 // ramp is a day of n small nodes and as many dispatchers, some of whom heed nothing. All of these begin their round with the
@@ -105,13 +105,13 @@
 func TestFloodsOfColdNodesThatSayNothingAreSeen(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		d := told(n)
-		d.Make = func(p *admission.Config, now int64) reducer.Decider { return silent{admission.New(p, now)} }
+		d.Make = func(p *admission.Config, now int64) node.Decider { return silent{admission.New(p, now)} }
 		assert.Greater(t, play(t, d).MostTold, 1.0)
 	}
 }
 
 // silent takes what a node tells its dispatchers out of its decisions.
-type silent struct{ reducer.Decider }
+type silent struct{ node.Decider }
 
 func (s silent) Decide(now int64, events []admission.Event) []admission.Action {
 	actions := s.Decider.Decide(now, events)
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/node"
 	"topazpost/lab/baselines"
 	"topazpost/levels"
-	"topazpost/reducer"
 )
 
 // day is a small fleet under a constant load.
@@ -29,7 +29,7 @@
 }
 
 func reduces(d *Day) {
-	p := &reducer.Plan{Forms: [][]string{{"plain", ""}}}
+	p := &node.Plan{Forms: [][]string{{"plain", ""}}}
 	enter, exit := levels.Condition{Bounds: levels.Free(), For: second / 2}, levels.Condition{Bounds: levels.Free()}
 	enter.Bounds[levels.Load], exit.Bounds[levels.Load] = 1, 0.8
 	p.Most, p.Idle = 1, exit
@@ -91,7 +91,7 @@
 // The laboratory has to see what breaks a rule, or its silence says nothing.
 func TestBrokenRulesAreSeen(t *testing.T) {
 	never := play(t, day(0.3, func(d *Day) {
-		d.Make = func(*admission.Config, int64) reducer.Decider { return mute{} }
+		d.Make = func(*admission.Config, int64) node.Decider { return mute{} }
 	}))
 	assert.Positive(t, never.Breaches["an invocation that was read had no answer in time"])
 	crowd := play(t, day(2, func(d *Day) { d.Make, d.Models[0].By = baselines.Pool, 1 }))
--- a/lab/fleet/machine.go
+++ b/lab/fleet/machine.go
@@ -9,9 +9,9 @@
 	"strings"
 
 	"topazpost/frame"
+	"topazpost/internal/node"
 	"topazpost/lab/world"
 	"topazpost/lines"
-	"topazpost/reducer"
 )
 
 // machine is one node with the executor that owns its cores.
@@ -19,7 +19,7 @@
 	*fleet
 	index  int
 	model  Model
-	brain  *reducer.Reducer
+	brain  *node.Reducer
 	cores  *world.Resource
 	life   int // counts starts; what was planned in an earlier one is void
 	born   int64
@@ -28,7 +28,7 @@
 	shut   bool
 	noted  int64 // when it was told to drain, 0 before
 	wake   int64 // when the node asked to be stepped
-	inbox  []reducer.Input
+	inbox  []node.Input
 	woken  bool
 	notice int
 	link   int
@@ -59,7 +59,7 @@
 	m.sent = nil
 	m.cores = world.NewResource(m.World, m.pace)
 	if m.day.Plan != nil {
-		m.put(reducer.Input{Kind: reducer.Adopt, Plan: m.day.Plan})
+		m.put(node.Input{Kind: node.Adopt, Plan: m.day.Plan})
 	} else {
 		m.put()
 	}
@@ -138,7 +138,7 @@
 	}
 	m.noted = m.Now
 	life := m.life
-	m.put(reducer.Input{Kind: reducer.Notice})
+	m.put(node.Input{Kind: node.Notice})
 	m.After(listed, func() { m.known = m.known && life != m.life })
 	m.After(stopAt, func() {
 		if life == m.life {
@@ -156,7 +156,7 @@
 }
 
 // put hands inputs to the node; those of one moment go in one step.
-func (m *machine) put(in ...reducer.Input) {
+func (m *machine) put(in ...node.Input) {
 	if m.brain == nil {
 		return
 	}
@@ -185,9 +185,9 @@
 	left := false
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
-		case reducer.Wake:
+		case node.Wake:
 			wake = e.At
-		case reducer.Leave:
+		case node.Leave:
 			left = true
 		default:
 			m.carry(e)
@@ -218,44 +218,44 @@
 	})
 }
 
-func (m *machine) carry(e *reducer.Effect) {
+func (m *machine) carry(e *node.Effect) {
 	switch e.Kind {
-	case reducer.Send:
+	case node.Send:
 		m.send(e)
-	case reducer.CloseAfterFlush, reducer.Evict:
+	case node.CloseAfterFlush, node.Evict:
 		link := e.Link
 		if c := m.conns[link]; c != nil {
 			c.noMore = true
 			delete(m.conns, link)
 		}
-		m.later(hop, func() { m.put(reducer.Input{Kind: reducer.Closed, Link: link}) })
-	case reducer.Dial:
+		m.later(hop, func() { m.put(node.Input{Kind: node.Closed, Link: link}) })
+	case node.Dial:
 		link := e.Link
 		m.later(hop, func() {
 			m.link = link
-			m.put(reducer.Input{Kind: reducer.Joined, Link: link})
+			m.put(node.Input{Kind: node.Joined, Link: link})
 		})
-	case reducer.Tell:
+	case node.Tell:
 		words, body := split(e.Bytes)
 		m.told(words, body)
-	case reducer.Reach:
+	case node.Reach:
 		link := e.Link
-		m.later(hop, func() { m.put(reducer.Input{Kind: reducer.Reached, Link: link}) })
-	case reducer.Ask:
+		m.later(hop, func() { m.put(node.Input{Kind: node.Reached, Link: link}) })
+	case node.Ask:
 		words, body := split(e.Bytes)
 		m.ask(e.Link, words, body)
-	case reducer.Quit:
+	case node.Quit:
 		if a := m.ledgers[e.Link]; a != nil {
 			delete(m.ledgers, e.Link)
 			m.giveUpCall(a)
 		}
-	case reducer.Report:
+	case node.Report:
 		link := e.Link
-		m.later(hop, func() { m.put(reducer.Input{Kind: reducer.Reported, Link: link}) })
-	case reducer.StopAccepting:
+		m.later(hop, func() { m.put(node.Input{Kind: node.Reported, Link: link}) })
+	case node.StopAccepting:
 		m.shut = true
-		m.later(hop, func() { m.put(reducer.Input{Kind: reducer.ListenerClosed}) })
-	case reducer.Turned:
+		m.later(hop, func() { m.put(node.Input{Kind: node.ListenerClosed}) })
+	case node.Turned:
 		m.level = e.Turn.ToName
 		m.total.turned(m, e.Turn)
 	}
@@ -274,7 +274,7 @@
 func (m *machine) tell(text string, body []byte) {
 	link := m.link
 	line := lines.Line{Words: strings.Fields(text), Body: body}
-	m.later(meter, func() { m.put(reducer.Input{Kind: reducer.Told, Link: link, Line: line}) })
+	m.later(meter, func() { m.put(node.Input{Kind: node.Told, Link: link, Line: line}) })
 }
 
 // told is the executor.
@@ -382,7 +382,7 @@
 			return
 		}
 		delete(m.ledgers, link)
-		m.put(reducer.Input{Kind: reducer.Replied, Link: link,
+		m.put(node.Input{Kind: node.Replied, Link: link,
 			Line: lines.Line{Words: []string{a.id, "DATA", strconv.Itoa(len(body))}, Body: body}})
 	})
 	m.total.MostCalls = max(m.total.MostCalls, float64(m.ledger.Jobs())/m.slots)
@@ -417,7 +417,7 @@
 }
 
 // send brings what the node writes to its dispatcher.
-func (m *machine) send(e *reducer.Effect) {
+func (m *machine) send(e *node.Effect) {
 	c := m.conns[e.Link]
 	if c == nil {
 		return
--- a/lab/hollow/process.go
+++ b/lab/hollow/process.go
@@ -18,8 +18,8 @@
 	"github.com/rs/zerolog"
 
 	"topazpost/fleetconfig"
+	"topazpost/internal/node"
 	"topazpost/membership"
-	"topazpost/reducer"
 	"topazpost/server"
 	"topazpost/settings"
 )
@@ -145,7 +145,7 @@
 type running struct {
 	i      int
 	counts counts
-	load   reducer.HollowCounters
+	load   node.HollowCounters
 
 	mu      sync.Mutex
 	up      bool
--- a/lab/rig/versions_processes.go
+++ b/lab/rig/versions_processes.go
@@ -15,9 +15,9 @@
 
 	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/node"
 	"topazpost/lab/world"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 	"topazpost/server"
 )
 
@@ -78,14 +78,14 @@
 
 // question asks a node.
 func (f *polled) question(i int, q *configuration.Question) (*configuration.Answer, error) {
-	text, err := envelope.Seal(nil, f.fleet, reducer.AskConfiguration(q))
+	text, err := envelope.Seal(nil, f.fleet, node.AskConfiguration(q))
 	if err != nil {
 		return nil, err
 	}
 	if text, err = server.Swap(context.Background(), "", f.p.bind[i], text); err != nil {
 		return nil, err
 	}
-	return reducer.OpenConfiguration(text, f.fleet)
+	return node.OpenConfiguration(text, f.fleet)
 }
 
 // watch asks a node what it has, until the play ends.
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/node"
 	"topazpost/levels"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 	"topazpost/settings"
 )
 
@@ -101,7 +101,7 @@
 }
 
 // Read reads a plan for the operations of a config, evaluating the file in this process.
-func Read(path string, operations *nodeconfig.Names) (*reducer.Plan, error) {
+func Read(path string, operations *nodeconfig.Names) (*node.Plan, error) {
 	file, err := settings.Read(path)
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 }
 
 // From reads a plan from a file that was evaluated. All that is wrong with it is told at once.
-func From(file *settings.File, operations *nodeconfig.Names) (*reducer.Plan, error) {
+func From(file *settings.File, operations *nodeconfig.Names) (*node.Plan, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
-	p := &reducer.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: levels.Plan{Name: w.Name, Spare: w.Spare, Hold: holdUsual, Most: mostUsual,
+	p := &node.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: levels.Plan{Name: w.Name, Spare: w.Spare, Hold: holdUsual, Most: mostUsual,
 		Bridges: bridgesUsual, Forget: forgetUsual, Proof: proofUsual, Spread: spreadUsual}}
 	if p.Name == "" {
 		p.Name = file.Path
@@ -158,7 +158,7 @@
 	return p, nil
 }
 
-func addRung(p *reducer.Plan, file *settings.File, w *written, k int, operations *nodeconfig.Names,
+func addRung(p *node.Plan, file *settings.File, w *written, k int, operations *nodeconfig.Names,
 	names []string) (found settings.Problems) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
@@ -223,7 +223,7 @@
 
 // Show prints a plan as a table: what each level leaves, what it saves of the work and gives up of the billed value,
 // and its conditions. The mix tells the share of each operation in the work; one that it lacks has none.
-func Show(w io.Writer, p *reducer.Plan, of *nodeconfig.Config, mix map[string]float64) error {
+func Show(w io.Writer, p *node.Plan, of *nodeconfig.Config, mix map[string]float64) error {
 	names := of.Operations.All()
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "plan %s\n", p.Name)
--- a/server/config.go
+++ b/server/config.go
@@ -14,9 +14,9 @@
 
 	"topazpost/fleetconfig"
 	"topazpost/internal/admission"
+	"topazpost/internal/node"
 	"topazpost/keep"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 )
 
 const readAhead = 64 << 10 // bytes of a configuration that are read at a time
@@ -29,15 +29,15 @@
 	MemoryMB                                 int
 	Sockets                                  int
 	Settings                                 *nodeconfig.Config
-	Levels                                   *reducer.Plan      // of reduced service, nil for none; from a file of its own
+	Levels                                   *node.Plan         // of reduced service, nil for none; from a file of its own
 	Fleet                                    *fleetconfig.Fleet // nil for a node that shares nothing; from a file of its own
 	Keep                                     *keep.Keep         // what is kept of tokened invocations; nil for what is usual
 	Hollow                                   *Hollow            // nil for a whole node
 	digest                                   uint64             // of the settings as they were read
 }
 
-func (n *Config) peers() reducer.Addresses {
-	return reducer.Addresses{Executor: n.Executor, Catalogue: n.Catalog, Control: n.Control}
+func (n *Config) peers() node.Addresses {
+	return node.Addresses{Executor: n.Executor, Catalogue: n.Catalog, Control: n.Control}
 }
 
 // differs names the fields of another config that a running node does not take.
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -10,8 +10,8 @@
 	"runtime/debug"
 
 	"topazpost/configuration"
+	"topazpost/internal/node"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 )
 
 const (
@@ -120,7 +120,7 @@
 	case d.in <- e:
 	default:
 		d.s.group.Go(func() error {
-			d.s.tell(reducer.Input{Kind: reducer.VersionKept, Err: errPersists})
+			d.s.tell(node.Input{Kind: node.VersionKept, Err: errPersists})
 			return nil
 		})
 	}
@@ -132,7 +132,7 @@
 	for {
 		select {
 		case e := <-d.in:
-			d.s.tell(reducer.Input{Kind: reducer.VersionKept, Err: d.write(e)})
+			d.s.tell(node.Input{Kind: node.VersionKept, Err: d.write(e)})
 		case <-d.s.ctx.Done():
 			for len(d.in) > 0 {
 				d.write(<-d.in)
@@ -215,7 +215,7 @@
 }
 
 // inForce tells of a version that came into force.
-func (s *Server) inForce(v *reducer.VersionInForce) {
+func (s *Server) inForce(v *node.VersionInForce) {
 	line := s.log.Info().Uint64("version", v.Mark.Version).Stringer("digest", v.Mark.Digest).Str("source", v.Source)
 	if v.Source == "fleet" {
 		line = line.Uint64("after", v.After).Bool("first_stage", v.First).Float64("took_s", seconds(v.TookNS))
--- a/server/control.go
+++ b/server/control.go
@@ -10,13 +10,13 @@
 	"net/url"
 	"time"
 
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 const reportWait = 800 * time.Millisecond // for one report, so that three fit before an entry lapses
 
 // report makes one report, apart from all else; the one before it is given up.
-func (s *Server) report(e *reducer.Effect) {
+func (s *Server) report(e *node.Effect) {
 	s.endReport()
 	ctx, end := context.WithTimeout(s.ctx, reportWait)
 	s.endReport = end
@@ -24,7 +24,7 @@
 	number, ready := e.Link, e.Ready
 	s.group.Go(func() error {
 		defer end()
-		s.tell(reducer.Input{Kind: reducer.Reported, Link: number, Err: put(ctx, &s.reporter, address.String(), ready)})
+		s.tell(node.Input{Kind: node.Reported, Link: number, Err: put(ctx, &s.reporter, address.String(), ready)})
 		return nil
 	})
 }
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"topazpost/frame"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 const (
@@ -155,7 +155,7 @@
 	end := func() error {
 		c.s.listener.Close()
 		c.s.log.Info().Msg("no connection more is taken")
-		c.s.put(reducer.Input{Kind: reducer.ListenerClosed})
+		c.s.put(node.Input{Kind: node.ListenerClosed})
 		return nil
 	}
 	for next := 1; ; next++ {
@@ -193,7 +193,7 @@
 		c.mu.Lock()
 		c.open[next] = k
 		c.mu.Unlock()
-		if !c.s.put(reducer.Input{Kind: reducer.Opened, Link: next}) {
+		if !c.s.put(node.Input{Kind: node.Opened, Link: next}) {
 			k.net.Close()
 			return nil
 		}
@@ -225,7 +225,7 @@
 	err := c.frames(k)
 	if unusable := errors.Is(err, frame.ErrLength) || errors.Is(err, errHalf); unusable || errors.Is(err, errIgnored) {
 		if unusable {
-			c.s.put(reducer.Input{Kind: reducer.Malformed, Link: k.link, Err: err})
+			c.s.put(node.Input{Kind: node.Malformed, Link: k.link, Err: err})
 		}
 		k.mu.Lock()
 		k.dead = true
@@ -235,7 +235,7 @@
 	} else if errors.Is(err, errQuiet) {
 		err = c.discard(k)
 	}
-	c.s.put(reducer.Input{Kind: reducer.Closed, Link: k.link, Err: err})
+	c.s.put(node.Input{Kind: node.Closed, Link: k.link, Err: err})
 	c.drop(k)
 }
 
@@ -312,7 +312,7 @@
 			case <-c.s.ctx.Done():
 				return c.s.ctx.Err()
 			}
-			if !c.s.put(reducer.Input{Kind: reducer.Read, Link: k.link, Frame: f}) {
+			if !c.s.put(node.Input{Kind: node.Read, Link: k.link, Frame: f}) {
 				return c.s.ctx.Err()
 			}
 		}
@@ -338,9 +338,9 @@
 
 // taken gives a connection the turns back of its frames that the reducer took. Guards against one that floods and
 // keeps those of others waiting behind its own; does harm to none that keeps to its streams.
-func (c *connections) taken(inputs []reducer.Input) {
+func (c *connections) taken(inputs []node.Input) {
 	for i := range inputs {
-		if inputs[i].Kind != reducer.Read {
+		if inputs[i].Kind != node.Read {
 			continue
 		}
 		if k := c.get(inputs[i].Link); k != nil {
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/frame"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 // generous ends a test that hangs; no verdict rests on it.
@@ -65,21 +65,21 @@
 	}, generous, time.Millisecond)
 }
 
-func (h *held) input() reducer.Input {
+func (h *held) input() node.Input {
 	select {
 	case in := <-h.s.inputs:
 		return in
 	case <-time.After(generous):
 		require.Fail(h.t, "no input came")
-		return reducer.Input{}
+		return node.Input{}
 	}
 }
 
 // answered plays the reducer: it takes a frame and has it answered.
-func (h *held) answered(in reducer.Input) {
-	require.Equal(h.t, reducer.Read, in.Kind)
+func (h *held) answered(in node.Input) {
+	require.Equal(h.t, node.Read, in.Kind)
 	h.s.conns.send(1, frame.Append(nil, frame.Answer, in.Frame.Stream, []byte{frame.Throttled, 0}))
-	h.s.conns.taken([]reducer.Input{in})
+	h.s.conns.taken([]node.Input{in})
 	h.s.conns.flush()
 }
 
@@ -119,7 +119,7 @@
 		_, ended = h.next()
 		assert.True(t, ended, what)
 		h.peer.Close()
-		assert.Equal(t, reducer.Closed, h.input().Kind, what)
+		assert.Equal(t, node.Closed, h.input().Kind, what)
 	}
 }
 
@@ -132,7 +132,7 @@
 	h.s.conns.closeAfterFlush(1, false)
 	assert.False(t, h.k.end(), "its turn is not over")
 	h.s.conns.resume(1) // it opened a stream
-	h.s.conns.taken([]reducer.Input{in})
+	h.s.conns.taken([]node.Input{in})
 	assert.False(t, h.k.end(), "and it is not answered")
 	h.write(check(2))
 	h.answered(h.input())
@@ -150,7 +150,7 @@
 	h.write(append(check(1), check(2)[:6]...))
 	in := h.input()
 	require.Equal(t, uint32(1), in.Frame.Stream)
-	h.s.conns.taken([]reducer.Input{in})
+	h.s.conns.taken([]node.Input{in})
 	h.s.conns.closeAfterFlush(1, false)
 	h.write(check(2)[6:])
 	h.answered(h.input())
@@ -181,8 +181,8 @@
 	h.write(check(1)[:6])
 	h.s.conns.closeAfterFlush(1, false)
 	h.s.conns.closeAfterFlush(1, true)
-	assert.Equal(t, reducer.Malformed, h.input().Kind)
-	assert.Equal(t, reducer.Closed, h.input().Kind)
+	assert.Equal(t, node.Malformed, h.input().Kind)
+	assert.Equal(t, node.Closed, h.input().Kind)
 }
 
 // Half a frame without a rest ends as what can't be understood, and its connection then.
@@ -191,7 +191,7 @@
 	h.s.conns.receive(1)
 	h.write(check(1)[:6])
 	h.s.conns.closeAfterFlush(1, false)
-	assert.Equal(t, reducer.Malformed, h.input().Kind)
+	assert.Equal(t, node.Malformed, h.input().Kind)
 	_, ended := h.next()
 	assert.True(t, ended)
 }
@@ -205,7 +205,7 @@
 	require.True(t, ended)
 	h.write(check(1))
 	h.peer.CloseWrite()
-	assert.Equal(t, reducer.Closed, h.input().Kind)
+	assert.Equal(t, node.Closed, h.input().Kind)
 	assert.Empty(t, h.s.inputs)
 }
 
@@ -218,7 +218,7 @@
 	in := h.input()
 	body := make([]byte, 200<<10)
 	h.s.conns.send(1, frame.Append(nil, frame.Answer, 1, body))
-	h.s.conns.taken([]reducer.Input{in})
+	h.s.conns.taken([]node.Input{in})
 	h.s.conns.flush()
 	h.s.conns.closeAfterFlush(1, false)
 	h.write(check(2)) // and one that crosses
@@ -246,31 +246,31 @@
 		require.NoError(t, err)
 		peers = append(peers, peer)
 	}
-	input := func() reducer.Input {
+	input := func() node.Input {
 		select {
 		case in := <-s.inputs:
 			return in
 		case <-time.After(generous):
 			require.Fail(t, "no input came")
-			return reducer.Input{}
+			return node.Input{}
 		}
 	}
-	assert.Equal(t, reducer.Opened, input().Kind)
+	assert.Equal(t, node.Opened, input().Kind)
 	s.conns.stopAccepting()
 	for range 3 {
 		<-s.conns.slots
-		assert.Equal(t, reducer.Opened, input().Kind)
+		assert.Equal(t, node.Opened, input().Kind)
 	}
 	<-s.conns.slots
-	assert.Equal(t, reducer.ListenerClosed, input().Kind)
+	assert.Equal(t, node.ListenerClosed, input().Kind)
 	_, err := net.Dial("tcp", s.Addr().String())
 	assert.Error(t, err)
 	for link, peer := range peers {
 		s.conns.receive(link + 1)
 		in := input()
-		assert.Equal(t, reducer.Read, in.Kind)
+		assert.Equal(t, node.Read, in.Kind)
 		s.conns.send(in.Link, check(9))
-		s.conns.taken([]reducer.Input{in})
+		s.conns.taken([]node.Input{in})
 		s.conns.flush()
 		peer.SetDeadline(time.Now().Add(generous))
 		_, err := io.ReadFull(peer, make([]byte, len(check(9))))
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazpost/internal/node"
 	"topazpost/membership"
-	"topazpost/reducer"
 )
 
 // StreamMark is what a stream begins with, in the place of the length that an exchange begins with, little-endian.
@@ -33,7 +33,7 @@
 type Hollow struct {
 	Wire     Wire                     // nil for none
 	Changed  func(*membership.Change) // called at each change of its view, and must not wait
-	Counters *reducer.HollowCounters
+	Counters *node.HollowCounters
 	OnlySeat bool // it has no load, inherits nothing and is of no use to callers: a seat in the council and nothing else
 }
 
@@ -61,15 +61,15 @@
 
 // WantToken has a hollow node claim a token; what there is no room for is lost, and told so.
 func (s *Server) WantToken(token string) bool {
-	return s.want(reducer.Input{Kind: reducer.TokenWanted, Bytes: []byte(token)})
+	return s.want(node.Input{Kind: node.TokenWanted, Bytes: []byte(token)})
 }
 
 // WantCalls has a hollow node want so many calls at a time.
 func (s *Server) WantCalls(n int) bool {
-	return s.want(reducer.Input{Kind: reducer.CallsWanted, Link: n})
+	return s.want(node.Input{Kind: node.CallsWanted, Link: n})
 }
 
-func (s *Server) want(in reducer.Input) bool {
+func (s *Server) want(in node.Input) bool {
 	select {
 	case s.heard <- in:
 		return true
--- a/server/kept.go
+++ b/server/kept.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
+	"topazpost/internal/node"
 	"topazpost/keep"
-	"topazpost/reducer"
 	"topazpost/results"
 	"topazpost/store"
 )
@@ -86,11 +86,11 @@
 				Done: r.Kind == store.Ended, Ending: results.Ending(r.Ending), Result: r.Result})
 		}
 		k.first = k.first[n:]
-		if !k.s.tell(reducer.Input{Kind: reducer.KeptRecords, Kept: batch}) {
+		if !k.s.tell(node.Input{Kind: node.KeptRecords, Kept: batch}) {
 			return
 		}
 	}
-	k.s.tell(reducer.Input{Kind: reducer.KeptRead})
+	k.s.tell(node.Input{Kind: node.KeptRead})
 	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
 	for {
@@ -132,7 +132,7 @@
 
 func (k *keeping) write(group []*results.Stored) {
 	records := make([]store.Record, len(group))
-	in := reducer.Input{Kind: reducer.KeptWritten}
+	in := node.Input{Kind: node.KeptWritten}
 	now := k.now()
 	for i, s := range group {
 		records[i] = store.Record{Kind: store.Begun, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, Body: s.Body,
@@ -149,19 +149,19 @@
 		}
 	}
 	if err != nil {
-		in.Kind, in.Err = reducer.KeptUnwritten, err
+		in.Kind, in.Err = node.KeptUnwritten, err
 	}
 	k.s.tell(in)
 }
 
 // keep hands a record to the writer; where too many wait it counts as not written.
-func (k *keeping) keep(e *reducer.Effect) {
+func (k *keeping) keep(e *node.Effect) {
 	select {
 	case k.in <- e.Kept:
 	default:
 		kept := []results.Stored{*e.Kept}
 		k.s.group.Go(func() error {
-			k.s.tell(reducer.Input{Kind: reducer.KeptUnwritten, Kept: kept, Err: errWaiting})
+			k.s.tell(node.Input{Kind: node.KeptUnwritten, Kept: kept, Err: errWaiting})
 			return nil
 		})
 	}
--- a/server/levels.go
+++ b/server/levels.go
@@ -2,13 +2,13 @@
 
 import (
 	"topazpost/internal/admission"
+	"topazpost/internal/node"
 	"topazpost/levels"
-	"topazpost/reducer"
 )
 
 // turned logs a change of level: from and to which, what called for it, and what was served in the stay that ends.
 // It is never dropped; the plan bounds how often it can come.
-func (s *Server) turned(t *reducer.Turn) {
+func (s *Server) turned(t *node.Turn) {
 	line := s.log.Info().Str("plan", t.Plan).Str("from", t.FromName).Str("to", t.ToName).
 		Str("cause", levels.Causes[t.Cause])
 	if t.Cause != levels.Replaced {
--- a/server/link.go
+++ b/server/link.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"topazpost/internal/node"
 	"topazpost/lines"
-	"topazpost/reducer"
 )
 
 const (
@@ -18,15 +18,15 @@
 
 // kind is how a link speaks: what its events are handed on as, and which of its lines have a body.
 type kind struct {
-	up, failed, line, end reducer.InputKind
+	up, failed, line, end node.InputKind
 	counted               func(words []string) bool
 }
 
 var (
-	toExecutor = kind{reducer.Joined, reducer.Parted, reducer.Told, reducer.Parted, func(words []string) bool {
+	toExecutor = kind{node.Joined, node.Parted, node.Told, node.Parted, func(words []string) bool {
 		return words[0] == "EXIT" && len(words) == 6 || words[0] == "CALLOUT" && len(words) == 4
 	}}
-	toCatalogue = kind{reducer.Reached, reducer.Unreached, reducer.Replied, reducer.Broke,
+	toCatalogue = kind{node.Reached, node.Unreached, node.Replied, node.Broke,
 		func(words []string) bool { return len(words) == 3 && words[1] == "DATA" }}
 )
 
@@ -50,28 +50,28 @@
 	s.links[number] = l
 	s.group.Go(func() error {
 		defer stop()
-		if kind.up == reducer.Reached { // one that was left may not have given its descriptor back yet
+		if kind.up == node.Reached { // one that was left may not have given its descriptor back yet
 			select {
 			case s.calls <- struct{}{}:
 				defer func() { <-s.calls }()
 			case <-ctx.Done():
-				s.tell(reducer.Input{Kind: kind.failed, Link: number, Err: ctx.Err()})
+				s.tell(node.Input{Kind: kind.failed, Link: number, Err: ctx.Err()})
 				return nil
 			}
 		}
 		conn, err := (&net.Dialer{Timeout: dialWait}).DialContext(ctx, "tcp", address)
 		if err != nil {
-			s.tell(reducer.Input{Kind: kind.failed, Link: number, Err: err})
+			s.tell(node.Input{Kind: kind.failed, Link: number, Err: err})
 			return nil
 		}
 		defer context.AfterFunc(ctx, func() { conn.Close() })()
 		l.mu.Lock()
 		l.net = conn
 		l.mu.Unlock()
-		s.tell(reducer.Input{Kind: kind.up, Link: number})
+		s.tell(node.Input{Kind: kind.up, Link: number})
 		err = l.read()
 		conn.Close()
-		s.tell(reducer.Input{Kind: kind.end, Link: number, Err: err})
+		s.tell(node.Input{Kind: kind.end, Link: number, Err: err})
 		return nil
 	})
 }
@@ -94,7 +94,7 @@
 				break
 			}
 			line.Body = append([]byte{}, line.Body...)
-			if !l.s.tell(reducer.Input{Kind: l.kind.line, Link: l.number, Line: line}) {
+			if !l.s.tell(node.Input{Kind: l.kind.line, Link: l.number, Line: line}) {
 				return l.s.ctx.Err()
 			}
 		}
--- a/server/peers.go
+++ b/server/peers.go
@@ -17,8 +17,8 @@
 
 	"topazpost/envelope"
 	"topazpost/fleetconfig"
+	"topazpost/internal/node"
 	"topazpost/membership"
-	"topazpost/reducer"
 )
 
 const (
@@ -52,8 +52,8 @@
 	fleet    *fleetconfig.Fleet
 	udp      Datagrams
 	tcp      net.Listener
-	in       chan letter        // datagrams
-	swapped  chan reducer.Input // parts of exchanges: bounded by those under way, so datagrams never take their place
+	in       chan letter     // datagrams
+	swapped  chan node.Input // parts of exchanges: bounded by those under way, so datagrams never take their place
 	out      chan letter
 	counters PeerCounters
 
@@ -67,20 +67,20 @@
 
 // letter is what waits of a datagram or a stream; an input or an effect is several times as large, and there is room for hundreds.
 type letter struct {
-	kind    reducer.InputKind
+	kind    node.InputKind
 	link    int    // of a stream
 	address string // of the peer
 	bytes   []byte
 }
 
-func (l *letter) input() reducer.Input {
-	return reducer.Input{Kind: l.kind, Link: l.link, From: l.address, Bytes: l.bytes}
+func (l *letter) input() node.Input {
+	return node.Input{Kind: l.kind, Link: l.link, From: l.address, Bytes: l.bytes}
 }
 
 // join makes the node one of its fleet; run opens the sockets.
 func (s *Server) join(fleet *fleetconfig.Fleet) {
 	s.peers = &peering{s: s, fleet: fleet, in: make(chan letter, peeredWaiting),
-		swapped: make(chan reducer.Input, exchangesWait), out: make(chan letter, sendsWaiting),
+		swapped: make(chan node.Input, exchangesWait), out: make(chan letter, sendsWaiting),
 		served: make(map[int]chan []byte), opened: make(chan struct{}, openedMost)}
 	s.peers.streams = newStreams(s.peers, s.config.streamsMost())
 	s.clock = ahead{s.clock, fleet.WallAhead}
@@ -128,7 +128,7 @@
 }
 
 // give hands a part of an exchange on if there is room; what peers send never waits, and so never holds up anybody.
-func (p *peering) give(in reducer.Input) bool {
+func (p *peering) give(in node.Input) bool {
 	select {
 	case p.swapped <- in:
 		return true
@@ -141,7 +141,7 @@
 // came does so with a datagram.
 func (p *peering) came(from string, text []byte) bool {
 	select {
-	case p.in <- letter{kind: reducer.PeerCame, address: from, bytes: text}:
+	case p.in <- letter{kind: node.PeerCame, address: from, bytes: text}:
 		return true
 	default:
 		p.counters.Dropped.Add(1)
@@ -150,13 +150,13 @@
 }
 
 // take takes what peers sent and waits for the next step.
-func (p *peering) take(inputs []reducer.Input) []reducer.Input {
+func (p *peering) take(inputs []node.Input) []node.Input {
 	inputs = takeLetters(takeAll(inputs, p.swapped, exchangesWait), p.in, peeredAStep)
 	return takeLetters(inputs, p.streams.told, toldAStep)
 }
 
 // takeLetters takes what waits, up to so many.
-func takeLetters(inputs []reducer.Input, from chan letter, most int) []reducer.Input {
+func takeLetters(inputs []node.Input, from chan letter, most int) []node.Input {
 	for range most {
 		select {
 		case l := <-from:
@@ -204,7 +204,7 @@
 }
 
 // send takes a datagram that is to be sent, if there is room.
-func (p *peering) send(e *reducer.Effect) {
+func (p *peering) send(e *node.Effect) {
 	select {
 	case p.out <- letter{address: e.Address, bytes: e.Bytes}:
 	default:
@@ -304,7 +304,7 @@
 		delete(p.served, number)
 		p.mu.Unlock()
 	}()
-	if !p.give(reducer.Input{Kind: reducer.PeerAsked, Link: number, From: conn.RemoteAddr().String(), Bytes: text}) {
+	if !p.give(node.Input{Kind: node.PeerAsked, Link: number, From: conn.RemoteAddr().String(), Bytes: text}) {
 		return
 	}
 	select {
@@ -317,7 +317,7 @@
 	}
 }
 
-func (p *peering) reply(e *reducer.Effect) {
+func (p *peering) reply(e *node.Effect) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if answer := p.served[e.Link]; answer != nil {
@@ -328,21 +328,21 @@
 
 // open carries an exchange of ours out. It is dialled from the address that peers know, so that they can tell who
 // asks.
-func (p *peering) open(e *reducer.Effect) {
+func (p *peering) open(e *node.Effect) {
 	link, address, text := e.Link, e.Address, e.Bytes
 	select {
 	case p.opened <- struct{}{}:
 	default:
-		p.give(reducer.Input{Kind: reducer.PeerMissed, Link: link, Err: errBusy})
+		p.give(node.Input{Kind: node.PeerMissed, Link: link, Err: errBusy})
 		return
 	}
 	p.s.group.Go(func() error {
 		defer func() { <-p.opened }()
 		answer, err := swap(p.s.ctx, p.fleet.Bind, address, text, p.wired)
 		if err != nil {
-			p.give(reducer.Input{Kind: reducer.PeerMissed, Link: link, Err: err})
+			p.give(node.Input{Kind: node.PeerMissed, Link: link, Err: err})
 		} else {
-			p.give(reducer.Input{Kind: reducer.PeerAnswered, Link: link, From: address, Bytes: answer})
+			p.give(node.Input{Kind: node.PeerAnswered, Link: link, From: address, Bytes: answer})
 		}
 		return nil
 	})
--- a/server/peers_test.go
+++ b/server/peers_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/fleetconfig"
+	"topazpost/internal/node"
 	"topazpost/membership"
-	"topazpost/reducer"
 )
 
 func TestDatagramsNeverTakeTheRoomOfExchanges(t *testing.T) {
@@ -35,7 +35,7 @@
 	var asked int
 	require.Eventually(t, func() bool {
 		inputs := p.take(nil)
-		k := slices.IndexFunc(inputs, func(in reducer.Input) bool { return in.Kind == reducer.PeerAsked })
+		k := slices.IndexFunc(inputs, func(in node.Input) bool { return in.Kind == node.PeerAsked })
 		if k >= 0 {
 			asked = inputs[k].Link
 		}
@@ -43,7 +43,7 @@
 		}
 		return k >= 0
 	}, 10*time.Second, time.Millisecond, "an exchange comes through beside datagrams that fill their queue")
-	p.reply(&reducer.Effect{Link: asked, Bytes: make([]byte, 32)})
+	p.reply(&node.Effect{Link: asked, Bytes: make([]byte, 32)})
 	answer, err := readLetter(peer)
 	require.NoError(t, err)
 	assert.Len(t, answer, 32)
--- a/server/seat.go
+++ b/server/seat.go
@@ -13,7 +13,7 @@
 	"strings"
 
 	"topazpost/council"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 const (
@@ -217,10 +217,10 @@
 		}
 	}
 	if d.failed != nil { // after a sync that failed nobody knows what the disk holds
-		d.s.tell(reducer.Input{Kind: reducer.Persisted, Err: d.failed})
+		d.s.tell(node.Input{Kind: node.Persisted, Err: d.failed})
 		return
 	}
-	d.s.tell(reducer.Input{Kind: reducer.Persisted, Number: last})
+	d.s.tell(node.Input{Kind: node.Persisted, Number: last})
 }
 
 // replace puts a base in the place of all.
@@ -351,5 +351,5 @@
 
 // OnlySeat is a node that serves nothing: a member of the fleet with a seat in its council.
 func OnlySeat() *Hollow {
-	return &Hollow{Counters: new(reducer.HollowCounters), OnlySeat: true}
+	return &Hollow{Counters: new(node.HollowCounters), OnlySeat: true}
 }
--- a/server/seat_test.go
+++ b/server/seat_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/council"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 // seatFolder is the folder of a seat and a server that hears what is written.
 func seatFolder(t *testing.T) (folder string, s *Server) {
-	return t.TempDir(), &Server{log: zerolog.Nop(), heard: make(chan reducer.Input, 4_096), ctx: context.Background()}
+	return t.TempDir(), &Server{log: zerolog.Nop(), heard: make(chan node.Input, 4_096), ctx: context.Background()}
 }
 
 func opened(t *testing.T, folder string, s *Server) (*seatDisk, council.Disk) {
@@ -40,7 +40,7 @@
 	d.in <- &council.Write{Number: 2, Records: [][]byte{[]byte("b")}}
 	d.in <- &council.Write{Number: 3, Records: [][]byte{[]byte("c")}}
 	d.take(&council.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
-	assert.Equal(t, reducer.Input{Kind: reducer.Persisted, Number: 3}, <-s.heard, "those that wait share a sync, and are told at once")
+	assert.Equal(t, node.Input{Kind: node.Persisted, Number: 3}, <-s.heard, "those that wait share a sync, and are told at once")
 	d.close()
 	d, there = opened(t, folder, s)
 	assert.Equal(t, council.Disk{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, there)
--- a/server/server.go
+++ b/server/server.go
@@ -18,9 +18,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"topazpost/internal/node"
 	"topazpost/keep"
 	"topazpost/nodeconfig"
-	"topazpost/reducer"
 	"topazpost/results"
 )
 
@@ -52,9 +52,9 @@
 	log     zerolog.Logger
 	limited zerolog.Logger // for what peers can cause any number of times
 	clock   Clock
-	state   *reducer.Reducer
-	inputs  chan reducer.Input // of dispatchers
-	heard   chan reducer.Input // of the node's own peers; they never wait behind dispatchers
+	state   *node.Reducer
+	inputs  chan node.Input // of dispatchers
+	heard   chan node.Input // of the node's own peers; they never wait behind dispatchers
 	notice  chan struct{}
 	abort   chan struct{}
 	reload  chan *Config
@@ -83,12 +83,12 @@
 	if config.Hollow != nil { // it listens to no dispatcher
 		waiting = 0
 	}
-	s := &Server{config: config, log: log, limited: limited, clock: clock, inputs: make(chan reducer.Input, waiting),
-		heard: make(chan reducer.Input, heardWaiting), notice: make(chan struct{}, 1), abort: make(chan struct{}, 1),
+	s := &Server{config: config, log: log, limited: limited, clock: clock, inputs: make(chan node.Input, waiting),
+		heard: make(chan node.Input, heardWaiting), notice: make(chan struct{}, 1), abort: make(chan struct{}, 1),
 		reload: make(chan *Config, 1), links: make(map[int]*link), endReport: func() {}, reporter: newReporter()}
 	connections, spare, links := config.shares()
 	s.calls = make(chan struct{}, links)
-	s.state = reducer.New(config.Settings, config.peers(), int64(config.StopMS*1e6), connections, links)
+	s.state = node.New(config.Settings, config.peers(), int64(config.StopMS*1e6), connections, links)
 	s.state.Spare = spare - 1 // the last place is for the next one to be accepted
 	if h := config.Hollow; h != nil {
 		s.state.Hollow(h.Counters, h.OnlySeat)
@@ -152,14 +152,14 @@
 // the item that is unsound by itself, and nothing is changed.
 func (s *Server) Amend(version uint64, items []nodeconfig.Item) error {
 	change, err := nodeconfig.Parse(items)
-	if err == nil && !s.tell(reducer.Input{Kind: reducer.Amend, Version: version, Change: change}) {
+	if err == nil && !s.tell(node.Input{Kind: node.Amend, Version: version, Change: change}) {
 		err = errLeft
 	}
 	return err
 }
 
 // amended tells of a version that is in force, or was refused.
-func (s *Server) amended(e *reducer.Effect) {
+func (s *Server) amended(e *node.Effect) {
 	if e.Err != nil {
 		s.log.Warn().Uint64("version", e.Version).Err(e.Err).Msg("configuration: the version can't be taken, the one of before stays")
 		return
@@ -285,12 +285,12 @@
 }
 
 // put hands an input of a dispatcher to the reducer; false tells that the node has ended.
-func (s *Server) put(in reducer.Input) bool { return s.hand(s.inputs, in) }
+func (s *Server) put(in node.Input) bool { return s.hand(s.inputs, in) }
 
 // tell hands on one of the node's own peers.
-func (s *Server) tell(in reducer.Input) bool { return s.hand(s.heard, in) }
+func (s *Server) tell(in node.Input) bool { return s.hand(s.heard, in) }
 
-func (s *Server) hand(to chan reducer.Input, in reducer.Input) bool {
+func (s *Server) hand(to chan node.Input, in node.Input) bool {
 	select {
 	case to <- in:
 		return true
@@ -303,13 +303,13 @@
 func (s *Server) loop() error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	inputs := make([]reducer.Input, 0, inputsAStep)
+	inputs := make([]node.Input, 0, inputsAStep)
 	if s.config.Levels != nil {
-		s.heard <- reducer.Input{Kind: reducer.Adopt, Plan: s.config.Levels}
+		s.heard <- node.Input{Kind: node.Adopt, Plan: s.config.Levels}
 	}
 	notice, wake := s.notice, int64(math.MaxInt64)
 	var peered, streamed chan letter
-	var swapped chan reducer.Input
+	var swapped chan node.Input
 	if s.peers != nil {
 		peered, swapped, streamed = s.peers.in, s.peers.swapped, s.peers.streams.told
 	}
@@ -334,14 +334,14 @@
 			inputs = append(inputs, l.input())
 		case <-notice:
 			notice = nil
-			inputs = append(inputs, reducer.Input{Kind: reducer.Notice})
+			inputs = append(inputs, node.Input{Kind: node.Notice})
 		case <-s.abort:
-			inputs = append(inputs, reducer.Input{Kind: reducer.Abort})
+			inputs = append(inputs, node.Input{Kind: node.Abort})
 		case next := <-s.reload:
 			for _, field := range s.config.differs(next) {
 				s.log.Warn().Str("field", field).Msg("configuration: a new value here takes a new start")
 			}
-			inputs = append(inputs, reducer.Input{Kind: reducer.Reload, To: next.peers(), Plan: next.Levels})
+			inputs = append(inputs, node.Input{Kind: node.Reload, To: next.peers(), Plan: next.Levels})
 		}
 		inputs = takeAll(inputs, s.heard, inputsAStep)
 		inputs = takeAll(inputs, s.inputs, inputsAStep)
@@ -356,9 +356,9 @@
 		}
 		for _, e := range effects {
 			switch {
-			case e.Kind == reducer.Wake:
+			case e.Kind == node.Wake:
 				wake = e.At
-			case e.Kind == reducer.Leave:
+			case e.Kind == node.Leave:
 				s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.Levels()).
 					Interface("results", s.state.Results()).Interface("peers", s.peerCounts()).
 					Interface("claims", s.state.Claims()).Interface("configuration", s.state.Configuration()).
@@ -381,7 +381,7 @@
 }
 
 // takeAll takes what waits, up to so many.
-func takeAll(inputs []reducer.Input, from chan reducer.Input, most int) []reducer.Input {
+func takeAll(inputs []node.Input, from chan node.Input, most int) []node.Input {
 	for range most {
 		select {
 		case in := <-from:
@@ -394,70 +394,70 @@
 }
 
 // forget drops the links that ended.
-func (s *Server) forget(inputs []reducer.Input) {
+func (s *Server) forget(inputs []node.Input) {
 	for i := range inputs {
 		switch inputs[i].Kind {
-		case reducer.Parted, reducer.Unreached, reducer.Broke:
+		case node.Parted, node.Unreached, node.Broke:
 			delete(s.links, inputs[i].Link)
 		}
 	}
 }
 
-func (s *Server) carry(e *reducer.Effect) {
+func (s *Server) carry(e *node.Effect) {
 	switch e.Kind {
-	case reducer.Receive:
+	case node.Receive:
 		s.conns.receive(e.Link)
-	case reducer.Send:
+	case node.Send:
 		s.conns.send(e.Link, e.Bytes)
-	case reducer.CloseAfterFlush:
+	case node.CloseAfterFlush:
 		s.conns.closeAfterFlush(e.Link, false)
-	case reducer.Evict:
+	case node.Evict:
 		s.conns.closeAfterFlush(e.Link, true)
-	case reducer.Resume:
+	case node.Resume:
 		s.conns.resume(e.Link)
-	case reducer.Ignore:
+	case node.Ignore:
 		s.conns.ignore(e.Link)
-	case reducer.Dial:
+	case node.Dial:
 		s.open(e.Link, e.Address, toExecutor)
-	case reducer.Reach:
+	case node.Reach:
 		s.open(e.Link, e.Address, toCatalogue)
-	case reducer.Tell, reducer.Ask:
+	case node.Tell, node.Ask:
 		s.write(e.Link, e.Bytes, e.At)
-	case reducer.Part, reducer.Quit:
+	case node.Part, node.Quit:
 		s.disconnect(e.Link)
-	case reducer.Report:
+	case node.Report:
 		s.report(e)
-	case reducer.StopAccepting:
+	case node.StopAccepting:
 		s.conns.stopAccepting()
-	case reducer.Sample:
+	case node.Sample:
 		s.log.Debug().Interface("state", e.State).Msg("state")
-	case reducer.Turned:
+	case node.Turned:
 		s.turned(e.Turn)
-	case reducer.Keep:
+	case node.Keep:
 		s.kept.keep(e)
-	case reducer.Persist:
+	case node.Persist:
 		s.seat.keep(e.Write)
-	case reducer.PeerSend:
+	case node.PeerSend:
 		s.peers.send(e)
-	case reducer.PeerExchange:
+	case node.PeerExchange:
 		s.peers.open(e)
-	case reducer.PeerReply:
+	case node.PeerReply:
 		s.peers.reply(e)
-	case reducer.PeerStream:
+	case node.PeerStream:
 		s.peers.streams.send(e)
-	case reducer.PeerHangUp:
+	case node.PeerHangUp:
 		s.peers.streams.disconnect(e.Link)
-	case reducer.Amended:
+	case node.Amended:
 		s.amended(e)
-	case reducer.KeepVersion:
+	case node.KeepVersion:
 		s.keepConfiguration(e.Persisting)
-	case reducer.InForce:
+	case node.InForce:
 		s.inForce(e.InForce)
-	case reducer.Slower:
+	case node.Slower:
 		s.conns.slower(e.At)
-	case reducer.ViewChanged:
+	case node.ViewChanged:
 		s.viewChanged(e.Change)
-	case reducer.Remark:
+	case node.Remark:
 		level := [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}[e.Level]
 		line := s.limited.WithLevel(level).Err(e.Err)
 		if e.ID != "" {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/frame"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 const config = `{"name":"n1","listen":"127.0.0.1:0","executor":"127.0.0.1:1","control":"127.0.0.1:1",
@@ -50,14 +50,14 @@
 		_, err = peer.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
 		require.NoError(t, err)
 	}
-	var inputs []reducer.Input
+	var inputs []node.Input
 	for range turnsMost {
 		inputs = append(inputs, <-s.inputs)
 	}
 	assert.Len(t, k.turns, turnsMost, "no turn is left for a further one")
 	assert.Empty(t, s.inputs)
 	s.conns.taken(inputs[:1])
-	assert.Equal(t, reducer.Read, (<-s.inputs).Kind)
+	assert.Equal(t, node.Read, (<-s.inputs).Kind)
 }
 
 func TestEndOfTheContextStopsAtOnce(t *testing.T) {
--- a/server/streams.go
+++ b/server/streams.go
@@ -13,7 +13,7 @@
 	"golang.org/x/time/rate"
 
 	"topazpost/envelope"
-	"topazpost/reducer"
+	"topazpost/internal/node"
 )
 
 const (
@@ -131,7 +131,7 @@
 	}
 	s.mu.Unlock()
 	x.end()
-	s.hand(letter{kind: reducer.PeerHungUp, link: x.number})
+	s.hand(letter{kind: node.PeerHungUp, link: x.number})
 }
 
 func (x *stream) end() { x.once.Do(func() { close(x.stop) }) }
@@ -146,7 +146,7 @@
 }
 
 // send carries out PeerStream: never waits, drops what there is no room for.
-func (s *streams) send(e *reducer.Effect) {
+func (s *streams) send(e *node.Effect) {
 	s.mu.Lock()
 	x := s.byNumber[e.Link]
 	if x == nil && e.Address != "" {
@@ -306,7 +306,7 @@
 		}
 		x.heard.Store(time.Now().UnixNano())
 		x.letters.Store(true)
-		if !s.hand(letter{kind: reducer.PeerTold, link: x.number, address: conn.RemoteAddr().String(), bytes: text}) {
+		if !s.hand(letter{kind: node.PeerTold, link: x.number, address: conn.RemoteAddr().String(), bytes: text}) {
 			return net.ErrClosed
 		}
 	}
