--- a/levels/levels.go
+++ b/internal/degradation/levels.go
@@ -1,6 +1,6 @@
-// Package levels decides which level of reduced service a node is at: a ladder of rungs that operators name in a
+// Package degradation decides which level of reduced service a node is at: a ladder of rungs that operators name in a
 // plan. It holds the conditions and what was learnt of them; it never looks at one invocation and has no clock.
-package levels
+package degradation
 
 import (
 	"fmt"
--- a/levels/levels_test.go
+++ b/internal/degradation/levels_test.go
@@ -1,4 +1,4 @@
-package levels
+package degradation
 
 import (
 	"fmt"
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -6,13 +6,13 @@
 	"slices"
 
 	"topazpost/internal/admission"
-	"topazpost/levels"
+	"topazpost/internal/degradation"
 	"topazpost/nodeconfig"
 )
 
 // Plan is a ladder of levels together with the names that this door needs of it.
 type Plan struct {
-	levels.Plan
+	degradation.Plan
 	Forms [][]string // by level above full service and operation: the reduced form as the executor knows it
 	Text  string     // what it was read from; one of the same text is no other plan
 
@@ -32,7 +32,7 @@
 
 // Turn tells of a change of level, or of the plan.
 type Turn struct {
-	levels.Change
+	degradation.Change
 	Plan, FromName, ToName string
 	Signals                admission.Measures
 	Loads                  []float64 // at each level, full service first
@@ -44,7 +44,7 @@
 	plan     *Plan
 	source   *Plan             // as it was given
 	names    *nodeconfig.Names // of operations, by index in the source
-	steps    *levels.Ladder
+	steps    *degradation.Ladder
 	chance   *rand.Rand
 	measures admission.Measures
 	served   []Served // by level, since the plan was taken
@@ -74,9 +74,9 @@
 	if l.chance == nil {
 		l.chance = rand.New(rand.NewSource(r.config.Node.Seed ^ 0x6c6576656c73))
 	}
-	change := levels.Change{Cause: levels.Replaced}
+	change := degradation.Change{Cause: degradation.Replaced}
 	from := ""
-	var steps *levels.Ladder
+	var steps *degradation.Ladder
 	switch {
 	case plan == nil && l.plan == nil:
 		return
@@ -84,7 +84,7 @@
 		from = l.plan.LevelName(l.steps.Level())
 		change.From, change.Lasted = l.steps.Level(), r.now-l.since
 	case l.steps == nil:
-		steps = levels.New(&plan.Plan, r.now, l.chance)
+		steps = degradation.New(&plan.Plan, r.now, l.chance)
 	default:
 		from = l.plan.LevelName(l.steps.Level())
 		steps, change = l.steps.Adopt(&plan.Plan, r.now, l.chance)
@@ -253,5 +253,5 @@
 }
 
 func (t *Turn) String() string {
-	return fmt.Sprintf("level %s to %s: %s", t.FromName, t.ToName, levels.Causes[t.Cause])
+	return fmt.Sprintf("level %s to %s: %s", t.FromName, t.ToName, degradation.Causes[t.Cause])
 }
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -8,21 +8,21 @@
 
 	"topazpost/frame"
 	"topazpost/internal/admission"
-	"topazpost/levels"
+	"topazpost/internal/degradation"
 )
 
 // ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
 func ladderOf(enter float64) *Plan {
 	p := &Plan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
-	p.Name, p.Hold, p.Most, p.Idle = "test", 10_000*ms, 60_000*ms, levels.Condition{Bounds: levels.Free()}
-	p.Idle.Bounds[levels.Load] = -1
+	p.Name, p.Hold, p.Most, p.Idle = "test", 10_000*ms, 60_000*ms, degradation.Condition{Bounds: degradation.Free()}
+	p.Idle.Bounds[degradation.Load] = -1
 	for k, s := range []admission.Service{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {Form: admission.Refused}} {
-		c := levels.Condition{Bounds: levels.Free()}
-		c.Bounds[levels.Load] = enter
-		exit := levels.Condition{Bounds: levels.Free()}
-		exit.Bounds[levels.Load] = enter - 1
-		p.Rungs = append(p.Rungs, levels.Rung{Name: []string{"plain", "none"}[k], Service: []admission.Service{s, {}},
-			Enter: []levels.Condition{c}, Exit: exit})
+		c := degradation.Condition{Bounds: degradation.Free()}
+		c.Bounds[degradation.Load] = enter
+		exit := degradation.Condition{Bounds: degradation.Free()}
+		exit.Bounds[degradation.Load] = enter - 1
+		p.Rungs = append(p.Rungs, degradation.Rung{Name: []string{"plain", "none"}[k], Service: []admission.Service{s, {}},
+			Enter: []degradation.Condition{c}, Exit: exit})
 	}
 	return p
 }
@@ -84,7 +84,7 @@
 	}
 	require.NotNil(t, turn)
 	assert.Equal(t, "level full to none: entered", turn.String())
-	assert.Equal(t, levels.Load, turn.Signal)
+	assert.Equal(t, degradation.Load, turn.Signal)
 	assert.Equal(t, -1.0, turn.Bound)
 }
 
@@ -119,7 +119,7 @@
 	r := at(t, 2)
 	step(r, Input{Kind: Notice})
 	next := ladderOf(1e9)
-	r.levels.plan, r.levels.steps = next, levels.New(&next.Plan, r.now, r.levels.chance)
+	r.levels.plan, r.levels.steps = next, degradation.New(&next.Plan, r.now, r.levels.chance)
 	for range 10 {
 		r.now = r.beatAt
 		for _, e := range step(r) {
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/degradation"
 	"topazpost/internal/node"
 	"topazpost/lab/baselines"
-	"topazpost/levels"
 )
 
 // day is a small fleet under a constant load.
@@ -30,10 +30,10 @@
 
 func reduces(d *Day) {
 	p := &node.Plan{Forms: [][]string{{"plain", ""}}}
-	enter, exit := levels.Condition{Bounds: levels.Free(), For: second / 2}, levels.Condition{Bounds: levels.Free()}
-	enter.Bounds[levels.Load], exit.Bounds[levels.Load] = 1, 0.8
+	enter, exit := degradation.Condition{Bounds: degradation.Free(), For: second / 2}, degradation.Condition{Bounds: degradation.Free()}
+	enter.Bounds[degradation.Load], exit.Bounds[degradation.Load] = 1, 0.8
 	p.Most, p.Idle = 1, exit
-	p.Rungs = []levels.Rung{{Name: "less", Enter: []levels.Condition{enter}, Exit: exit,
+	p.Rungs = []degradation.Rung{{Name: "less", Enter: []degradation.Condition{enter}, Exit: exit,
 		Service: []admission.Service{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {}}}}
 	d.Plan = p
 }
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/degradation"
 	"topazpost/internal/node"
-	"topazpost/levels"
 	"topazpost/nodeconfig"
 	"topazpost/settings"
 )
@@ -65,8 +65,8 @@
 	For                                       settings.Time
 }
 
-func (c *condition) bounds() levels.Condition {
-	of := levels.Condition{Bounds: levels.Free(), For: int64(c.For)}
+func (c *condition) bounds() degradation.Condition {
+	of := degradation.Condition{Bounds: degradation.Free(), For: int64(c.For)}
 	for k, p := range []*settings.Part{c.Load, c.Wait, c.Lag, c.Calls, c.Throttled, c.Memory} {
 		if p != nil {
 			of.Bounds[k] = float64(*p)
@@ -118,7 +118,7 @@
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
-	p := &node.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: levels.Plan{Name: w.Name, Spare: w.Spare, Hold: holdUsual, Most: mostUsual,
+	p := &node.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: degradation.Plan{Name: w.Name, Spare: w.Spare, Hold: holdUsual, Most: mostUsual,
 		Bridges: bridgesUsual, Forget: forgetUsual, Proof: proofUsual, Spread: spreadUsual}}
 	if p.Name == "" {
 		p.Name = file.Path
@@ -137,8 +137,8 @@
 	if w.Bridges != nil {
 		p.Bridges = *w.Bridges
 	}
-	p.Idle = levels.Condition{Bounds: levels.Free(), For: idleUsual}
-	p.Idle.Bounds[levels.Load] = idleLoad
+	p.Idle = degradation.Condition{Bounds: degradation.Free(), For: idleUsual}
+	p.Idle.Bounds[degradation.Load] = idleLoad
 	if w.Idle != nil {
 		p.Idle = w.Idle.bounds()
 	}
@@ -162,7 +162,7 @@
 	names []string) (found settings.Problems) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
-	rung := levels.Rung{Name: from.Name, Service: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
+	rung := degradation.Rung{Name: from.Name, Service: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
 	forms := make([]string, len(names))
 	unknown := func(name string, path []string) (int32, bool) {
 		i, known := operations.Lookup(name)
@@ -260,11 +260,11 @@
 	return t.Flush()
 }
 
-func tell(c *levels.Condition, sign string) string {
+func tell(c *degradation.Condition, sign string) string {
 	var list []string
 	for k, b := range c.Bounds {
 		if !math.IsNaN(b) {
-			list = append(list, fmt.Sprintf("%s %s %g %%", levels.Names[k], sign, 100*b))
+			list = append(list, fmt.Sprintf("%s %s %g %%", degradation.Names[k], sign, 100*b))
 		}
 	}
 	return strings.Join(list, " and ") + " for " + span(c.For)
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
-	"topazpost/levels"
+	"topazpost/internal/degradation"
 	"topazpost/nodeconfig"
 	"topazpost/settings"
 )
@@ -61,7 +61,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, int64(20e9), p.Hold)
 	assert.Equal(t, 0.1, p.Spread)
-	assert.Equal(t, 1.0, p.Rungs[0].Enter[0].Bounds[levels.Load])
+	assert.Equal(t, 1.0, p.Rungs[0].Enter[0].Bounds[degradation.Load])
 	assert.Equal(t, int64(1e9), p.Rungs[0].Enter[0].For)
 }
 
--- a/server/levels.go
+++ b/server/levels.go
@@ -2,17 +2,17 @@
 
 import (
 	"topazpost/internal/admission"
+	"topazpost/internal/degradation"
 	"topazpost/internal/node"
-	"topazpost/levels"
 )
 
 // turned logs a change of level: from and to which, what called for it, and what was served in the stay that ends.
 // It is never dropped; the plan bounds how often it can come.
 func (s *Server) turned(t *node.Turn) {
 	line := s.log.Info().Str("plan", t.Plan).Str("from", t.FromName).Str("to", t.ToName).
-		Str("cause", levels.Causes[t.Cause])
-	if t.Cause != levels.Replaced {
-		line = line.Str("signal", levels.Names[t.Signal]).Float64("value", t.Value).Float64("threshold", t.Bound).
+		Str("cause", degradation.Causes[t.Cause])
+	if t.Cause != degradation.Replaced {
+		line = line.Str("signal", degradation.Names[t.Signal]).Float64("value", t.Value).Float64("threshold", t.Bound).
 			Float64("for_s", seconds(t.For)).Interface("signals", signals(&t.Signals)).Floats64("loads", t.Loads)
 	}
 	line.Float64("lasted_s", seconds(t.Lasted)).Float64("held_s", seconds(t.HeldAfter)).Interface("before", t.Before).
