--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -15,8 +15,8 @@
 
 	"topazpost/fleetconfig"
 	"topazpost/internal/admission"
+	"topazpost/internal/degradation/degradationplan"
 	"topazpost/keep"
-	"topazpost/plan"
 	"topazpost/server"
 )
 
@@ -140,7 +140,7 @@
 	if c.Plan == "" {
 		return nil
 	}
-	ladder, err := plan.Read(c.Plan, n.Settings.Operations)
+	ladder, err := degradationplan.Read(c.Plan, n.Settings.Operations)
 	if err == nil {
 		fmt.Printf("plan %s: %d levels above full service\n", ladder.Name, len(ladder.Rungs))
 	}
--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -12,8 +12,8 @@
 
 	"topazpost/fleetconfig"
 	"topazpost/history"
+	"topazpost/internal/degradation/degradationplan"
 	"topazpost/keep"
-	"topazpost/plan"
 	"topazpost/server"
 	"topazpost/settings"
 )
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	ladder, err := plan.Read(c.File, config.Settings.Operations)
+	ladder, err := degradationplan.Read(c.File, config.Settings.Operations)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 			c.Mix[name] = 1
 		}
 	}
-	return plan.Show(os.Stdout, ladder, config.Settings, c.Mix)
+	return degradationplan.Show(os.Stdout, ladder, config.Settings, c.Mix)
 }
 
 // Run evaluates a plan within bounds of its own: it ends itself where a template takes too much memory.
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	into.Levels, err = plan.From(file, into.Settings.Operations)
+	into.Levels, err = degradationplan.From(file, into.Settings.Operations)
 	return err
 }
 
--- a/plan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -1,5 +1,5 @@
-// Package plan reads the ladder of levels that operators write, and shows it. It decides nothing.
-package plan
+// Package degradationplan reads the ladder of levels that operators write, and shows it. It decides nothing.
+package degradationplan
 
 import (
 	"fmt"
--- a/plan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -1,4 +1,4 @@
-package plan
+package degradationplan
 
 import (
 	"errors"
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -17,11 +17,11 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/node"
 	"topazpost/lab/baselines"
 	"topazpost/lab/fleet"
 	"topazpost/nodeconfig"
-	"topazpost/plan"
 	"topazpost/settings"
 )
 
@@ -257,7 +257,7 @@
 		if name == "" {
 			return nil, nil
 		}
-		return plan.Read(filepath.Join(x.folder, name), index)
+		return degradationplan.Read(filepath.Join(x.folder, name), index)
 	}
 	var err error
 	if day.Load, err = d.Load.shape(x.folder, int64(d.Length)); err != nil {
