--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"topazpost/fleetconfig"
-	"topazpost/history"
+	"topazpost/internal/degradation/degradationlog"
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/keep"
 	"topazpost/server"
@@ -167,7 +167,7 @@
 
 // Run prints the timeline of all logs, earliest first.
 func (c *levelsHistory) Run() error {
-	var all history.Timeline
+	var all degradationlog.Timeline
 	for _, path := range c.Logs {
 		file, err := os.Open(path)
 		if err != nil {
--- a/history/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -1,5 +1,5 @@
-// Package history rebuilds from the logs of nodes what level of service each was at. Logs may be cut anywhere.
-package history
+// Package degradationlog rebuilds from the logs of nodes what level of service each was at. Logs may be cut anywhere.
+package degradationlog
 
 import (
 	"bufio"
--- a/history/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -1,4 +1,4 @@
-package history
+package degradationlog
 
 import (
 	"strings"
