--- a/cmd/topazpost/kept.go
+++ b/cmd/topazpost/kept.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"topazpost/results"
+	"topazpost/internal/resultcache"
 	"topazpost/server"
 	"topazpost/store"
 )
@@ -104,7 +104,7 @@
 	if r.Kind != store.Ended {
 		return "unknown"
 	}
-	return map[results.Ending]string{results.Succeeded: "succeeded", results.Errored: "errored", results.NotRun: "not run"}[results.Ending(r.Ending)]
+	return map[resultcache.Ending]string{resultcache.Succeeded: "succeeded", resultcache.Errored: "errored", resultcache.NotRun: "not run"}[resultcache.Ending(r.Ending)]
 }
 
 func when(until int64) string {
@@ -179,9 +179,9 @@
 	if r.Kind == store.Ended {
 		return fmt.Errorf("the run of %q is known to have %s; only an unknown one is settled", c.Token, state(r))
 	}
-	r.Kind, r.Ending = store.Ended, uint8(results.Errored)
+	r.Kind, r.Ending = store.Ended, uint8(resultcache.Errored)
 	if c.Ending == "succeeded" {
-		r.Ending = uint8(results.Succeeded)
+		r.Ending = uint8(resultcache.Succeeded)
 		if c.Result != "" {
 			if r.Result, err = os.ReadFile(c.Result); err != nil {
 				return err
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/resultcache"
 	"topazpost/nodeconfig"
-	"topazpost/results"
 )
 
 func operation(name, fields string) nodeconfig.Item {
@@ -111,7 +111,7 @@
 // What is in hand when its operation goes runs to its end, a repeat of its token gets its answer, and new work is refused
 // without harm to the connection. Once nothing of it is known the index is free for another.
 func TestOperationGoesWithWorkInHandAndInItsTokenWindow(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	assert.Equal(t, 1, runsOf(step(r, holding(r, 1, "a"))))
 	require.NoError(t, amendedBy(t, r, operation("other", ""), removed(nodeconfig.Operations, "hold")))
 	for stream := range faultsMost + 2 {
@@ -137,7 +137,7 @@
 }
 
 func TestOperationThatComesBackHasItsTokensAgain(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	step(r, holding(r, 1, "a"))
 	ran(r, 1)
 	require.NoError(t, amendedBy(t, r, operation("other", ""), removed(nodeconfig.Operations, "hold")))
@@ -153,7 +153,7 @@
 
 // A window that shrinks is that of what comes: what was taken before is known for as long as it was promised.
 func TestShorterWindowIsForWhatComes(t *testing.T) {
-	r := keeping(t, results.OnDisk)
+	r := keeping(t, resultcache.OnDisk)
 	written(r, step(r, holding(r, 1, "a")))
 	short := nodeconfig.Item{Part: nodeconfig.Operations, Name: "hold", Value: []byte(`{"aim":1000,"effect":"deduplicated","give_up":3000,"window":1000}`)}
 	require.NoError(t, amendedBy(t, r, short))
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -12,9 +12,9 @@
 	"topazpost/envelope"
 	"topazpost/frame"
 	"topazpost/internal/admission"
+	"topazpost/internal/resultcache"
 	"topazpost/membership"
 	"topazpost/quota"
-	"topazpost/results"
 	"topazpost/takeover"
 )
 
@@ -99,7 +99,7 @@
 	return p
 }
 
-func (r *Reducer) claimKey(k results.Key) claims.Key {
+func (r *Reducer) claimKey(k resultcache.Key) claims.Key {
 	key := claims.Key{Operation: r.config.Operations.Name(k.Operation), Token: k.Token}
 	if k.Tenant >= 0 {
 		key.Tenant = r.config.Tenants.Name(k.Tenant)
@@ -107,13 +107,13 @@
 	return key
 }
 
-func (r *Reducer) resultKey(k claims.Key) (key results.Key, known bool) {
+func (r *Reducer) resultKey(k claims.Key) (key resultcache.Key, known bool) {
 	op, known := r.config.Operations.Lookup(k.Operation)
 	tenant, named := r.config.Tenants.Lookup(k.Tenant)
 	if !named {
 		tenant = -1
 	}
-	return results.Key{Operation: op, Tenant: tenant, Token: k.Token}, known && named == (k.Tenant != "")
+	return resultcache.Key{Operation: op, Tenant: tenant, Token: k.Token}, known && named == (k.Tenant != "")
 }
 
 // unclaimed says whether a token's first invocation must be turned away, since nothing new can be claimed now.
@@ -301,15 +301,15 @@
 	}
 	switch a.Deed {
 	case claims.Run, claims.Kept:
-		r.keeper(results.Input{Kind: results.Written, Key: key})
+		r.keeper(resultcache.Input{Kind: resultcache.Written, Key: key})
 	case claims.Learn:
-		r.keeper(results.Input{Kind: results.Learned, Key: key, Ending: results.Ending(a.Ending), Result: a.Result})
+		r.keeper(resultcache.Input{Kind: resultcache.Learned, Key: key, Ending: resultcache.Ending(a.Ending), Result: a.Result})
 	case claims.Unsure:
-		r.keeper(results.Input{Kind: results.Doubted, Key: key})
+		r.keeper(resultcache.Input{Kind: resultcache.Doubted, Key: key})
 	case claims.Differ:
-		r.keeper(results.Input{Kind: results.Clashed, Key: key})
+		r.keeper(resultcache.Input{Kind: resultcache.Clashed, Key: key})
 	case claims.Deny:
-		r.keeper(results.Input{Kind: results.Denied, Key: key, For: a.For})
+		r.keeper(resultcache.Input{Kind: resultcache.Denied, Key: key, For: a.For})
 	case claims.Heir:
 		if err := r.inherit(key, a); err != nil {
 			r.remark(Warn, "work of a lost node can't be taken over", a.Key.String(), err)
@@ -353,7 +353,7 @@
 
 // inherit takes in what a lost node had claimed, as an invocation whose caller is not here. Its due time stays; its latency
 // objective counts from now on, or the module would give up as hopeless what was lost with its node.
-func (r *Reducer) inherit(key results.Key, a *claims.Action) error {
+func (r *Reducer) inherit(key resultcache.Key, a *claims.Action) error {
 	if r.post == nil || r.noticed {
 		return fmt.Errorf("this node takes nothing in")
 	}
@@ -401,11 +401,11 @@
 		}
 		askers, unrun := r.kept.keeper.Askers(key)
 		if unrun && len(askers) == 0 {
-			r.keeper(results.Input{Kind: results.Dismissed, Asker: -1, Key: key})
+			r.keeper(resultcache.Input{Kind: resultcache.Dismissed, Asker: -1, Key: key})
 		}
 		for _, i := range askers {
 			if r.now >= r.invs[i].due-dueLead {
-				r.keeper(results.Input{Kind: results.Dismissed, Asker: i, Key: key, Doubt: c.desk.Elsewhere(k)})
+				r.keeper(resultcache.Input{Kind: resultcache.Dismissed, Asker: i, Key: key, Doubt: c.desk.Elsewhere(k)})
 			}
 		}
 	}
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -10,9 +10,9 @@
 	"topazpost/claims"
 	"topazpost/council"
 	"topazpost/envelope"
+	"topazpost/internal/resultcache"
 	"topazpost/membership"
 	"topazpost/nodeconfig"
-	"topazpost/results"
 )
 
 // sitting is a node that serves, whose claims are agreed on by a council in which n0 sits alone, and this node does not.
@@ -22,7 +22,7 @@
 	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	config := membership.Config{Name: "n1", Address: "127.0.0.1:1", Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms, Forget: 1 << 50, MembersMost: 8}
 	r.Peer("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
-	r.Keep(results.Rules{Durability: results.OnDisk, BytesMost: 1 << 20, ResultMost: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
+	r.Keep(resultcache.Rules{Durability: resultcache.OnDisk, BytesMost: 1 << 20, ResultMost: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
 	r.Convene([]string{"n0"}, 0, 0, 1)
 	step(r, Input{Kind: Opened, Link: 7})
 	step(r, Input{Kind: Joined, Link: r.dialing})
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -10,7 +10,7 @@
 
 	"topazpost/claims"
 	"topazpost/internal/admission"
-	"topazpost/results"
+	"topazpost/internal/resultcache"
 )
 
 const (
@@ -135,7 +135,7 @@
 		switch {
 		case t.running && !t.over && r.now >= t.ends:
 			t.over = true
-			r.want(claims.Input{Want: claims.Finish, Key: key, Ending: uint8(results.Succeeded), Result: make([]byte, hollowResult)})
+			r.want(claims.Input{Want: claims.Finish, Key: key, Ending: uint8(resultcache.Succeeded), Result: make([]byte, hollowResult)})
 		case !t.running && r.now >= t.due-dueLead:
 			r.hollow.counters.Late.Add(1)
 			delete(r.hollow.tokens, key)
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -11,7 +11,7 @@
 	"topazpost/claims"
 	"topazpost/frame"
 	"topazpost/internal/admission"
-	"topazpost/results"
+	"topazpost/internal/resultcache"
 )
 
 const tokenMost = 128 // bytes of a token
@@ -20,11 +20,11 @@
 
 // kept is the door to what becomes of tokened invocations; without a keeper tokens mean nothing.
 type kept struct {
-	keeper  *results.Keeper
+	keeper  *resultcache.Keeper
 	token   string // name of the field that carries it
-	held    map[results.Key]*unrun
+	held    map[resultcache.Key]*unrun
 	unread  bool // the store of an earlier life is not read yet
-	inputs  []results.Input
+	inputs  []resultcache.Input
 	running bool // the keeper steps
 	stored  int  // records that a start found
 }
@@ -38,14 +38,14 @@
 
 // Keep has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
 // turned away until KeptRead tells that the store was read.
-func (r *Reducer) Keep(rules results.Rules, field string, unread bool) {
+func (r *Reducer) Keep(rules resultcache.Rules, field string, unread bool) {
 	r.config.Node.RecordsMost = rules.TokensMost()
 	r.amended.numbers = unread
-	r.kept = kept{keeper: results.New(rules), token: field, held: make(map[results.Key]*unrun), unread: unread}
+	r.kept = kept{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*unrun), unread: unread}
 }
 
 // Results is what an operator may want to see of the tokens, nil where none are kept.
-func (r *Reducer) Results() *results.Counts {
+func (r *Reducer) Results() *resultcache.Counts {
 	if r.kept.keeper == nil {
 		return nil
 	}
@@ -113,7 +113,7 @@
 	if until == 0 {
 		until = r.now + v.terms.known
 	}
-	r.keeper(results.Input{Kind: results.Asked, Asker: i, Key: v.key, Body: v.hash, For: until - r.now})
+	r.keeper(resultcache.Input{Kind: resultcache.Asked, Asker: i, Key: v.key, Body: v.hash, For: until - r.now})
 }
 
 // runToken lets a token's first run, and those that waited for it join.
@@ -181,7 +181,7 @@
 	if !v.asked {
 		return false
 	}
-	r.keeper(results.Input{Kind: results.Left, Asker: i, Key: v.key})
+	r.keeper(resultcache.Input{Kind: resultcache.Left, Asker: i, Key: v.key})
 	v.orphan = v.runs && !v.exited && k.keeper.Waiting(v.key) > 0
 	return v.orphan
 }
@@ -198,14 +198,14 @@
 func (r *Reducer) tokenEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &r.invs[i]
 	v.exited, v.ending, v.runs = true, outcome, false
-	ending := results.Errored
+	ending := resultcache.Errored
 	switch outcome {
 	case admission.Succeeded:
-		ending = results.Succeeded
+		ending = resultcache.Succeeded
 	case admission.Void:
-		ending = results.NotRun
+		ending = resultcache.NotRun
 	}
-	r.keeper(results.Input{Kind: results.Ended, Key: v.key, Ending: ending, Result: body})
+	r.keeper(resultcache.Input{Kind: resultcache.Ended, Key: v.key, Ending: ending, Result: body})
 	if v := &r.invs[i]; v.answered {
 		r.runOver(i)
 	}
@@ -221,23 +221,23 @@
 	case KeptRecords:
 		for _, s := range in.Kept {
 			k.stored++
-			k.inputs = append(k.inputs, results.Input{Kind: results.Recovered, Key: s.Key, Body: s.Body, Done: s.Done, Ending: s.Ending,
+			k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.Recovered, Key: s.Key, Body: s.Body, Done: s.Done, Ending: s.Ending,
 				Result: s.Result})
 		}
 		r.keeper()
 	case KeptRead:
 		k.unread = false
-		r.keeper(results.Input{Kind: results.Restarted})
+		r.keeper(resultcache.Input{Kind: resultcache.Restarted})
 		r.remark(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.stored,
 			k.keeper.Counts.Entries, k.keeper.Counts.Unknown), "", nil)
 	case KeptWritten, KeptUnwritten:
 		failing := k.keeper.Failing()
-		kind := results.Written
+		kind := resultcache.Written
 		if in.Kind == KeptUnwritten {
-			kind = results.Unwritten
+			kind = resultcache.Unwritten
 		}
 		for _, s := range in.Kept {
-			k.inputs = append(k.inputs, results.Input{Kind: kind, Key: s.Key})
+			k.inputs = append(k.inputs, resultcache.Input{Kind: kind, Key: s.Key})
 		}
 		r.keeper()
 		if now := k.keeper.Failing(); now && !failing {
@@ -266,39 +266,39 @@
 	k.running = false
 }
 
-func (r *Reducer) carryKept(a *results.Action) {
+func (r *Reducer) carryKept(a *resultcache.Action) {
 	switch a.Kind {
-	case results.Run:
+	case resultcache.Run:
 		v := &r.invs[a.Asker]
 		if v.live && !v.answered {
 			v.runs = true
 			r.run(a.Asker, v.runForm)
 		}
-	case results.Begin:
+	case resultcache.Begin:
 		if r.claimed.desk != nil {
 			r.want(claims.Input{Want: claims.Begin, Key: r.claimKey(a.Key), Body: a.Body, For: a.Until - r.now, Window: a.Until - r.now})
 			return
 		}
-		r.do(Effect{Kind: Keep, Kept: &results.Stored{Key: a.Key, Body: a.Body, For: a.Until - r.now}})
-	case results.Finish:
+		r.do(Effect{Kind: Keep, Kept: &resultcache.Stored{Key: a.Key, Body: a.Body, For: a.Until - r.now}})
+	case resultcache.Finish:
 		if r.claimed.desk != nil {
 			r.want(claims.Input{Want: claims.Finish, Key: r.claimKey(a.Key), Ending: uint8(a.Ending), Result: a.Result})
 			return
 		}
-		r.do(Effect{Kind: Keep, Kept: &results.Stored{Key: a.Key, Done: true, Ending: a.Ending, Result: a.Result,
+		r.do(Effect{Kind: Keep, Kept: &resultcache.Stored{Key: a.Key, Done: true, Ending: a.Ending, Result: a.Result,
 			For: r.knownMost(a.Key.Operation)}})
-	case results.Drop:
+	case resultcache.Drop:
 		if r.claimed.desk != nil {
 			r.want(claims.Input{Want: claims.Drop, Key: r.claimKey(a.Key)})
 		}
-	case results.Join:
+	case resultcache.Join:
 	default:
 		r.answerKept(a)
 	}
 }
 
 // answerKept gives an invocation the answer that the keeper has for it, and tells the module that it is over.
-func (r *Reducer) answerKept(a *results.Action) {
+func (r *Reducer) answerKept(a *resultcache.Action) {
 	i := a.Asker
 	v := &r.invs[i]
 	if !r.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
@@ -312,10 +312,10 @@
 	}
 	outcome := admission.Errored
 	switch a.Kind {
-	case results.Serve:
+	case resultcache.Serve:
 		outcome = admission.Succeeded
 		r.succeed(i, a.Result, fields...)
-	case results.Deny:
+	case resultcache.Deny:
 		outcome = admission.Void
 		if back := min(a.For, r.config.Node.ComeBackMax); back > 0 {
 			note("pushback", strconv.FormatInt((back+ms-1)/ms, 10))
@@ -323,9 +323,9 @@
 		r.answer(i, frame.Throttled, fields, nil)
 	default:
 		switch {
-		case a.Kind == results.Unknown:
+		case a.Kind == resultcache.Unknown:
 			note("outcome", "unknown")
-		case a.Kind == results.Mismatch:
+		case a.Kind == resultcache.Mismatch:
 			note("outcome", "token of another body")
 		case a.NotKept:
 			note("outcome", "succeeded, its result is not kept")
@@ -340,7 +340,7 @@
 // keepResults lets tokens expire that are due.
 func (r *Reducer) keepResults() {
 	if k := &r.kept; k.keeper != nil && r.now >= k.keeper.Due() {
-		k.inputs = append(k.inputs, results.Input{Kind: results.Left})
+		k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.Left})
 		r.keeper()
 	}
 }
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/frame"
+	"topazpost/internal/resultcache"
 	"topazpost/nodeconfig"
-	"topazpost/results"
 )
 
 const tokened = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000}],
@@ -20,11 +20,11 @@
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
 // keeping is a node that keeps results, in memory or with a store that the test plays.
-func keeping(t *testing.T, durability results.Durability) *Reducer {
+func keeping(t *testing.T, durability resultcache.Durability) *Reducer {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
 	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	r.Keep(results.Rules{Durability: durability, BytesMost: 100_000, ResultMost: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	r.Keep(resultcache.Rules{Durability: durability, BytesMost: 100_000, ResultMost: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: Opened, Link: 7})
 	step(r, Input{Kind: Joined, Link: r.dialing})
 	told(r, "WELCOME old 0")
@@ -53,7 +53,7 @@
 }
 
 func TestRepeatOfOneThatRunsJoinsItAndOfOneThatEndedGetsWhatWasKept(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	assert.Equal(t, 1, runsOf(step(r, hold(1, "a"))))
 	assert.Zero(t, runsOf(step(r, hold(2, "a"))))
 	sent := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
@@ -68,13 +68,13 @@
 }
 
 func TestRepeatsOfOneStepAreOneRun(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	assert.Equal(t, 1, runsOf(step(r, hold(1, "a"), hold(2, "a"), hold(3, "a"))))
 	assert.Len(t, answers(t, told(r, "EXIT 1 "+id(1)+" good 12 6|result")), 3)
 }
 
 func TestTokenWithAnotherBodyIsAnErrorThatSaysSo(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	step(r, hold(1, "a"))
 	other := hold(2, "a")
 	other.Frame.Payload = append(other.Frame.Payload, '!')
@@ -82,7 +82,7 @@
 }
 
 func TestCallerThatLeavesDoesNotTakeTheRunFromThoseThatJoined(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	step(r, hold(1, "a"), hold(2, "a"))
 	gone := Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
 	step(r, gone)
@@ -98,14 +98,14 @@
 }
 
 func TestCallerThatLeavesBeforeItsRunLeavesItToTheNext(t *testing.T) {
-	r := keeping(t, results.OnDisk)
+	r := keeping(t, resultcache.OnDisk)
 	intent := step(r, hold(1, "a"), hold(2, "a"))
 	step(r, Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
 	assert.Contains(t, text(written(r, intent), Tell), "EXEC "+id(2))
 }
 
 func TestIntentIsWrittenBeforeTheRunAndTheResultBeforeTheAnswer(t *testing.T) {
-	r := keeping(t, results.OnDisk)
+	r := keeping(t, resultcache.OnDisk)
 	intent := step(r, hold(1, "a"))
 	assert.Zero(t, runsOf(intent))
 	require.Len(t, kindsOf(intent, Keep), 1)
@@ -120,15 +120,15 @@
 }
 
 func TestStoreThatFailsRefusesUnrun(t *testing.T) {
-	r := keeping(t, results.OnDisk)
-	in := Input{Kind: KeptUnwritten, Err: errField, Kept: []results.Stored{*kindsOf(step(r, hold(1, "a")), Keep)[0].Kept}}
+	r := keeping(t, resultcache.OnDisk)
+	in := Input{Kind: KeptUnwritten, Err: errField, Kept: []resultcache.Stored{*kindsOf(step(r, hold(1, "a")), Keep)[0].Kept}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
 	assert.Empty(t, r.calls)
 }
 
 func TestRunThatCouldNotStartIsThrottledAndTheNextRuns(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	step(r, hold(1, "a"), hold(2, "a"))
 	sent := told(r, "BAD EXEC "+id(1))
 	assert.Equal(t, []string{"50 on 1"}, answers(t, sent))
@@ -136,14 +136,14 @@
 }
 
 func TestWhatRanInAnEarlierLifeIsNotRunAgain(t *testing.T) {
-	r := keeping(t, results.OnDisk)
+	r := keeping(t, resultcache.OnDisk)
 	r.kept.unread = true
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, hold(1, "a"))), "not known yet")
-	begun := results.Stored{Key: results.Key{Tenant: -1, Token: "a"}, Body: bodyHash}
-	done := results.Stored{Key: results.Key{Tenant: -1, Token: "b"}, Body: bodyHash}
+	begun := resultcache.Stored{Key: resultcache.Key{Tenant: -1, Token: "a"}, Body: bodyHash}
+	done := resultcache.Stored{Key: resultcache.Key{Tenant: -1, Token: "b"}, Body: bodyHash}
 	ended := done
 	ended.Done, ended.Result = true, []byte("kept")
-	step(r, Input{Kind: KeptRecords, Kept: []results.Stored{begun, done, ended}}, Input{Kind: KeptRead})
+	step(r, Input{Kind: KeptRecords, Kept: []resultcache.Stored{begun, done, ended}}, Input{Kind: KeptRead})
 	sent := step(r, hold(2, "a"))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, sent))
 	assert.Contains(t, text(sent, Send), "unknown")
@@ -156,7 +156,7 @@
 }
 
 func TestRepeatsOfOneTurnedAwayUnrunAreTakenInAnew(t *testing.T) {
-	r := keeping(t, results.OnDisk)
+	r := keeping(t, resultcache.OnDisk)
 	for n := range 24 { // more than run at once
 		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
@@ -178,7 +178,7 @@
 }
 
 func TestTokensMeanNothingWhereNoneAreKept(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	r.kept = kept{}
 	assert.Equal(t, 2, runsOf(step(r, hold(1, "a"), hold(2, "a"))))
 	assert.Nil(t, r.Results())
@@ -186,7 +186,7 @@
 
 // A repeat that came within the window and lay unread past its end gets the result: it must not run again.
 func TestRepeatThatLayUnreadPastItsWindowDoesNotRun(t *testing.T) {
-	r := keeping(t, results.InMemory)
+	r := keeping(t, resultcache.InMemory)
 	first := hold(1, "a")
 	assert.Equal(t, 1, runsOf(step(r, first)))
 	came := r.now
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -8,9 +8,9 @@
 
 	"topazpost/council"
 	"topazpost/internal/admission"
+	"topazpost/internal/resultcache"
 	"topazpost/invariant"
 	"topazpost/nodeconfig"
-	"topazpost/results"
 	"topazpost/wheel"
 )
 
@@ -63,7 +63,7 @@
 	calling        bool
 	called         bool // a call of its was written to the catalogue, this one or an earlier one
 	until          int64
-	key            results.Key     // of a tokened one, its Token empty in others
+	key            resultcache.Key // of a tokened one, its Token empty in others
 	hash           uint64          // of its body
 	window         int64           // until which its token is known, as the module asked
 	arrival        admission.Event // as the module was told of it
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -6,10 +6,10 @@
 	"topazpost/configuration"
 	"topazpost/council"
 	"topazpost/frame"
+	"topazpost/internal/resultcache"
 	"topazpost/lines"
 	"topazpost/membership"
 	"topazpost/nodeconfig"
-	"topazpost/results"
 )
 
 // InputKind names what happened.
@@ -65,7 +65,7 @@
 	To     Addresses // Reload
 	Plan   *Plan     // Adopt, Reload; nil for none
 	Bytes  []byte    // of peers
-	Kept   []results.Stored
+	Kept   []resultcache.Stored
 	Number uint64 // Persisted
 	From   string // address of the peer that sent them
 
@@ -136,7 +136,7 @@
 	State   *State // Sample
 	Turn    *Turn  // Turned
 	Change  *membership.Change
-	Kept    *results.Stored
+	Kept    *resultcache.Stored
 	Version uint64 // Amended
 
 	Write      *council.Write        // Persist
--- a/results/helpers_test.go
+++ b/internal/resultcache/helpers_test.go
@@ -1,4 +1,4 @@
-package results
+package resultcache
 
 import (
 	"fmt"
--- a/results/results.go
+++ b/internal/resultcache/results.go
@@ -1,7 +1,7 @@
-// Package results decides what becomes of tokened invocations and their repeats: which may run, which join one that
+// Package resultcache decides what becomes of tokened invocations and their repeats: which may run, which join one that
 // runs, which get a result that was kept, and what is kept. It stores nothing and has no clock; what is to be stored
 // goes out as an action, and how that ended comes back in.
-package results
+package resultcache
 
 import (
 	"container/heap"
--- a/keep/keep.go
+++ b/keep/keep.go
@@ -9,7 +9,7 @@
 	"sync"
 
 	"topazpost/internal/admission"
-	"topazpost/results"
+	"topazpost/internal/resultcache"
 	"topazpost/settings"
 	"topazpost/store"
 )
@@ -38,7 +38,7 @@
 
 // Keep is what a node keeps, and where.
 type Keep struct {
-	Rules      results.Rules
+	Rules      resultcache.Rules
 	Field      string
 	Durability Durability
 	Folder     string
@@ -82,7 +82,7 @@
 	if window == 0 {
 		return nil
 	}
-	return &Keep{Field: fieldUsual, Rules: results.Rules{BytesMost: min(memoryUsual, int64(memoryMB)<<20/memoryPart),
+	return &Keep{Field: fieldUsual, Rules: resultcache.Rules{BytesMost: min(memoryUsual, int64(memoryMB)<<20/memoryPart),
 		ResultMost: resultUsual, Window: window}}
 }
 
@@ -129,7 +129,7 @@
 		k.Gather = int64(*w.Gather)
 	}
 	if w.Trouble == "memory" {
-		k.Rules.Trouble = results.GoOn
+		k.Rules.Trouble = resultcache.GoOn
 	}
 	if k.Rules.ResultMost > resultMost {
 		found = append(found, file.At([]string{"result"}, "is more than a record holds", "15 KiB at the most"))
@@ -142,7 +142,7 @@
 	}
 	k.Durability = map[string]Durability{"": None, "none": None, "batched": Batched, "each": Each}[w.Durability]
 	if k.Durability != None {
-		k.Rules.Durability = results.OnDisk
+		k.Rules.Durability = resultcache.OnDisk
 		if k.Folder = w.Folder; k.Folder == "" {
 			found = append(found, file.At([]string{"durability"}, "needs a folder", "set folder, on a disk that lasts"))
 		} else if !filepath.IsAbs(k.Folder) {
--- a/keep/keep_test.go
+++ b/keep/keep_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
-	"topazpost/results"
+	"topazpost/internal/resultcache"
 )
 
 var tokened = []admission.Operation{{Effect: admission.Tokened, Window: 5_000_000_000}, {}}
@@ -17,14 +17,14 @@
 func TestWithoutAFileTokensAreKeptInMemoryAndNothingWhereNoneAre(t *testing.T) {
 	assert.Nil(t, Usual([]admission.Operation{{}}, 192))
 	k := Usual(tokened, 48)
-	assert.Equal(t, results.Rules{BytesMost: 12 << 20, ResultMost: resultUsual, Window: 5_000_000_000}, k.Rules)
+	assert.Equal(t, resultcache.Rules{BytesMost: 12 << 20, ResultMost: resultUsual, Window: 5_000_000_000}, k.Rules)
 	assert.Equal(t, "in memory only, a crash forgets them", k.Where())
 }
 
 func TestDeployedFileCanBeReadAndFaultsAreNamed(t *testing.T) {
 	k, err := Read("../deploy/kept.jsonnet", tokened, 192)
 	require.NoError(t, err)
-	assert.Equal(t, results.OnDisk, k.Rules.Durability)
+	assert.Equal(t, resultcache.OnDisk, k.Rules.Durability)
 	_, err = Read("../deploy/kept.jsonnet", tokened[1:], 192)
 	assert.ErrorContains(t, err, "no operation is tokened")
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
--- a/server/kept.go
+++ b/server/kept.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"topazpost/internal/node"
+	"topazpost/internal/resultcache"
 	"topazpost/keep"
-	"topazpost/results"
 	"topazpost/store"
 )
 
@@ -29,7 +29,7 @@
 	s      *Server
 	what   *keep.Keep
 	began  time.Time // its clock starts from there, so that one that is set moves no window
-	in     chan *results.Stored
+	in     chan *resultcache.Stored
 	unlock func()
 	log    *store.Log
 	first  []store.Record
@@ -50,7 +50,7 @@
 
 // openKept opens the store of a node, locked against any other.
 func openKept(s *Server, what *keep.Keep) (*keeping, error) {
-	k := &keeping{s: s, what: what, began: time.Now(), in: make(chan *results.Stored, keptWaiting)}
+	k := &keeping{s: s, what: what, began: time.Now(), in: make(chan *resultcache.Stored, keptWaiting)}
 	if err := os.MkdirAll(what.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -79,11 +79,11 @@
 	defer k.unlock()
 	for len(k.first) > 0 {
 		n := min(recordsAtOnce, len(k.first))
-		var batch []results.Stored
+		var batch []resultcache.Stored
 		for i := range k.first[:n] {
 			r := &k.first[i]
-			batch = append(batch, results.Stored{Key: results.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token}, Body: r.Body,
-				Done: r.Kind == store.Ended, Ending: results.Ending(r.Ending), Result: r.Result})
+			batch = append(batch, resultcache.Stored{Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token}, Body: r.Body,
+				Done: r.Kind == store.Ended, Ending: resultcache.Ending(r.Ending), Result: r.Result})
 		}
 		k.first = k.first[n:]
 		if !k.s.tell(node.Input{Kind: node.KeptRecords, Kept: batch}) {
@@ -103,7 +103,7 @@
 			}
 		case <-k.s.ctx.Done():
 			for range len(k.in) {
-				k.write([]*results.Stored{<-k.in})
+				k.write([]*resultcache.Stored{<-k.in})
 			}
 			k.log.Close()
 			return
@@ -112,8 +112,8 @@
 }
 
 // gather waits a moment for more, so that they share the syncs.
-func (k *keeping) gather(first *results.Stored) []*results.Stored {
-	group := []*results.Stored{first}
+func (k *keeping) gather(first *resultcache.Stored) []*resultcache.Stored {
+	group := []*resultcache.Stored{first}
 	if k.what.Durability == keep.Each {
 		return group
 	}
@@ -130,7 +130,7 @@
 	return group
 }
 
-func (k *keeping) write(group []*results.Stored) {
+func (k *keeping) write(group []*resultcache.Stored) {
 	records := make([]store.Record, len(group))
 	in := node.Input{Kind: node.KeptWritten}
 	now := k.now()
@@ -159,7 +159,7 @@
 	select {
 	case k.in <- e.Kept:
 	default:
-		kept := []results.Stored{*e.Kept}
+		kept := []resultcache.Stored{*e.Kept}
 		k.s.group.Go(func() error {
 			k.s.tell(node.Input{Kind: node.KeptUnwritten, Kept: kept, Err: errWaiting})
 			return nil
--- a/server/server.go
+++ b/server/server.go
@@ -19,9 +19,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"topazpost/internal/node"
+	"topazpost/internal/resultcache"
 	"topazpost/keep"
 	"topazpost/nodeconfig"
-	"topazpost/results"
 )
 
 const (
@@ -103,7 +103,7 @@
 	if k := config.Keep; k != nil {
 		rules := k.Rules
 		if convened { // what the council agrees on takes the place of the disk
-			rules.Durability, rules.Trouble = results.OnDisk, results.Refuse
+			rules.Durability, rules.Trouble = resultcache.OnDisk, resultcache.Refuse
 		}
 		s.state.Keep(rules, k.Field, k.Folder != "")
 	}
--- a/store/crash_test.go
+++ b/store/crash_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazpost/results"
+	"topazpost/internal/resultcache"
 )
 
 const crashWindow = int64(1_000_000)
@@ -19,12 +19,12 @@
 type node struct {
 	d       *disk
 	log     *Log
-	keeper  *results.Keeper
+	keeper  *resultcache.Keeper
 	now     int64
 	asker   int32
-	pending []results.Action // records on their way to the disk
-	ran     map[string]int   // runs by token, over all lives
-	running map[string]results.Key
+	pending []resultcache.Action // records on their way to the disk
+	ran     map[string]int       // runs by token, over all lives
+	running map[string]resultcache.Key
 	served  map[string]string // results that are on disk, as the store said
 	asked   map[int32]string
 }
@@ -34,31 +34,31 @@
 	if err != nil {
 		return err
 	}
-	n.log, n.pending, n.running, n.asked = l, nil, map[string]results.Key{}, map[int32]string{}
-	n.keeper = results.New(results.Rules{Durability: results.OnDisk, BytesMost: 1 << 20, ResultMost: 200, Window: crashWindow})
-	var found []results.Input
+	n.log, n.pending, n.running, n.asked = l, nil, map[string]resultcache.Key{}, map[int32]string{}
+	n.keeper = resultcache.New(resultcache.Rules{Durability: resultcache.OnDisk, BytesMost: 1 << 20, ResultMost: 200, Window: crashWindow})
+	var found []resultcache.Input
 	for _, r := range records {
-		found = append(found, results.Input{Kind: results.Recovered, Key: results.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token},
-			Body: r.Body, Done: r.Kind == Ended, Ending: results.Ending(r.Ending), Result: r.Result})
+		found = append(found, resultcache.Input{Kind: resultcache.Recovered, Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token},
+			Body: r.Body, Done: r.Kind == Ended, Ending: resultcache.Ending(r.Ending), Result: r.Result})
 	}
-	return n.step(append(found, results.Input{Kind: results.Restarted})...)
+	return n.step(append(found, resultcache.Input{Kind: resultcache.Restarted})...)
 }
 
 func (n *node) step(inputs ...results.Input) error {
 	for _, a := range n.keeper.Step(n.now, inputs) {
 		switch a.Kind {
-		case results.Run:
+		case resultcache.Run:
 			if n.ran[a.Key.Token]++; n.ran[a.Key.Token] > 1 {
 				return fmt.Errorf("%s ran twice", a.Key.Token)
 			}
 			n.running[a.Key.Token] = a.Key
-		case results.Begin, results.Finish:
+		case resultcache.Begin, resultcache.Finish:
 			n.pending = append(n.pending, a)
-		case results.Serve:
+		case resultcache.Serve:
 			if want := "result of " + a.Key.Token; string(a.Result) != want {
 				return fmt.Errorf("%s was answered %q", a.Key.Token, a.Result)
 			}
-		case results.Unknown:
+		case resultcache.Unknown:
 			if n.served[a.Key.Token] != "" {
 				return fmt.Errorf("%s was acknowledged, and its result is lost", a.Key.Token)
 			}
@@ -78,20 +78,20 @@
 	var records []Record
 	for _, a := range group {
 		r := Record{Kind: Begun, Operation: a.Key.Operation, Tenant: a.Key.Tenant, Token: a.Key.Token, Body: a.Body, Until: 1e18}
-		if a.Kind == results.Finish {
+		if a.Kind == resultcache.Finish {
 			r.Kind, r.Ending, r.Result = Ended, uint8(a.Ending), a.Result
 		}
 		records = append(records, r)
 	}
-	kind := results.Written
+	kind := resultcache.Written
 	if n.log.Write(records, true) != nil {
-		kind = results.Unwritten
+		kind = resultcache.Unwritten
 	}
 	for _, a := range group {
-		if kind == results.Written && a.Kind == results.Finish {
+		if kind == resultcache.Written && a.Kind == resultcache.Finish {
 			n.served[a.Key.Token] = string(a.Result)
 		}
-		if err := n.step(results.Input{Kind: kind, Key: a.Key}); err != nil {
+		if err := n.step(resultcache.Input{Kind: kind, Key: a.Key}); err != nil {
 			return err
 		}
 	}
@@ -113,7 +113,7 @@
 		switch chance.Intn(8) {
 		case 0, 1, 2:
 			n.asker++
-			err = n.step(results.Input{Kind: results.Asked, Asker: n.asker, Key: results.Key{Operation: 1, Tenant: -1,
+			err = n.step(resultcache.Input{Kind: resultcache.Asked, Asker: n.asker, Key: resultcache.Key{Operation: 1, Tenant: -1,
 				Token: fmt.Sprint("t", chance.Intn(12))}, Body: 7, For: crashWindow})
 		case 3, 4:
 			err = n.write()
@@ -121,7 +121,7 @@
 			if at := slices.Sorted(maps.Keys(n.running)); len(at) > 0 {
 				key := n.running[at[0]]
 				delete(n.running, at[0])
-				err = n.step(results.Input{Kind: results.Ended, Key: key, Result: []byte("result of " + at[0])})
+				err = n.step(resultcache.Input{Kind: resultcache.Ended, Key: key, Result: []byte("result of " + at[0])})
 			}
 		case 7:
 			failing = false
