--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -16,7 +16,7 @@
 	"topazpost/fleetconfig"
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation/degradationplan"
-	"topazpost/keep"
+	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/server"
 )
 
@@ -130,7 +130,7 @@
 		}
 	}
 	if c.Keep != "" {
-		k, err := keep.Read(c.Keep, n.Settings.Node.Operations, n.MemoryMB)
+		k, err := cacheconfig.Read(c.Keep, n.Settings.Node.Operations, n.MemoryMB)
 		if err != nil {
 			return err
 		}
--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -13,7 +13,7 @@
 	"topazpost/fleetconfig"
 	"topazpost/internal/degradation/degradationlog"
 	"topazpost/internal/degradation/degradationplan"
-	"topazpost/keep"
+	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/server"
 	"topazpost/settings"
 )
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	into.Keep, err = keep.From(file, into.Settings.Node.Operations, into.MemoryMB)
+	into.Keep, err = cacheconfig.From(file, into.Settings.Node.Operations, into.MemoryMB)
 	return err
 }
 
--- a/keep/keep.go
+++ b/internal/resultcache/cacheconfig/keep.go
@@ -1,6 +1,6 @@
-// Package keep reads what operators write of kept results: the token's field, durability, and bounds. It decides
+// Package cacheconfig reads what operators write of kept results: the token's field, durability, and bounds. It decides
 // nothing.
-package keep
+package cacheconfig
 
 import (
 	"fmt"
--- a/keep/keep_test.go
+++ b/internal/resultcache/cacheconfig/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package cacheconfig
 
 import (
 	"os"
@@ -22,10 +22,10 @@
 }
 
 func TestDeployedFileCanBeReadAndFaultsAreNamed(t *testing.T) {
-	k, err := Read("../deploy/kept.jsonnet", tokened, 192)
+	k, err := Read("../../../deploy/kept.jsonnet", tokened, 192)
 	require.NoError(t, err)
 	assert.Equal(t, resultcache.OnDisk, k.Rules.Durability)
-	_, err = Read("../deploy/kept.jsonnet", tokened[1:], 192)
+	_, err = Read("../../../deploy/kept.jsonnet", tokened[1:], 192)
 	assert.ErrorContains(t, err, "no operation is tokened")
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte("{\n token: 'call',\n durability: 'each',\n result: '20 KiB',\n memory: '150 MiB',\n size: '1 MiB',\n gather: '1 s' }"), 0o600))
--- a/server/config.go
+++ b/server/config.go
@@ -15,7 +15,7 @@
 	"topazpost/fleetconfig"
 	"topazpost/internal/admission"
 	"topazpost/internal/node"
-	"topazpost/keep"
+	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/nodeconfig"
 )
 
@@ -31,7 +31,7 @@
 	Settings                                 *nodeconfig.Config
 	Levels                                   *node.Plan         // of reduced service, nil for none; from a file of its own
 	Fleet                                    *fleetconfig.Fleet // nil for a node that shares nothing; from a file of its own
-	Keep                                     *keep.Keep         // what is kept of tokened invocations; nil for what is usual
+	Keep                                     *cacheconfig.Keep  // what is kept of tokened invocations; nil for what is usual
 	Hollow                                   *Hollow            // nil for a whole node
 	digest                                   uint64             // of the settings as they were read
 }
--- a/server/kept.go
+++ b/server/kept.go
@@ -10,7 +10,7 @@
 
 	"topazpost/internal/node"
 	"topazpost/internal/resultcache"
-	"topazpost/keep"
+	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/store"
 )
 
@@ -27,7 +27,7 @@
 // keeping writes records to the store, away from the loop: a slow disk holds up only what waits for it.
 type keeping struct {
 	s      *Server
-	what   *keep.Keep
+	what   *cacheconfig.Keep
 	began  time.Time // its clock starts from there, so that one that is set moves no window
 	in     chan *resultcache.Stored
 	unlock func()
@@ -49,7 +49,7 @@
 }
 
 // openKept opens the store of a node, locked against any other.
-func openKept(s *Server, what *keep.Keep) (*keeping, error) {
+func openKept(s *Server, what *cacheconfig.Keep) (*keeping, error) {
 	k := &keeping{s: s, what: what, began: time.Now(), in: make(chan *resultcache.Stored, keptWaiting)}
 	if err := os.MkdirAll(what.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -114,7 +114,7 @@
 // gather waits a moment for more, so that they share the syncs.
 func (k *keeping) gather(first *resultcache.Stored) []*resultcache.Stored {
 	group := []*resultcache.Stored{first}
-	if k.what.Durability == keep.Each {
+	if k.what.Durability == cacheconfig.Each {
 		return group
 	}
 	end := time.NewTimer(time.Duration(k.what.Gather))
--- a/server/server.go
+++ b/server/server.go
@@ -20,7 +20,7 @@
 
 	"topazpost/internal/node"
 	"topazpost/internal/resultcache"
-	"topazpost/keep"
+	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/nodeconfig"
 )
 
@@ -97,7 +97,7 @@
 		s.join(config.Fleet)
 	}
 	if config.Keep == nil && config.Hollow == nil {
-		config.Keep = keep.Usual(config.Settings.Node.Operations, config.MemoryMB)
+		config.Keep = cacheconfig.Usual(config.Settings.Node.Operations, config.MemoryMB)
 	}
 	convened := config.Fleet != nil && config.Fleet.Council != nil
 	if k := config.Keep; k != nil {
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
-	"topazpost/keep"
+	"topazpost/internal/resultcache/cacheconfig"
 )
 
 const sites = "../deploy/sites"
@@ -139,7 +139,7 @@
 	text, err := os.ReadFile(filepath.Join(sites, "real.json"))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &real))
-	usual := keep.Usual([]admission.Operation{{Effect: admission.Tokened, Window: 1}}, 64)
+	usual := cacheconfig.Usual([]admission.Operation{{Effect: admission.Tokened, Window: 1}}, 64)
 	assert.Equal(t, map[string]string{"id": "call", "class": "op", "tenant": "org", "left": "ttl", "stamp": "recv", "caller": "src", "retry": "rep",
 		"hint": "work", "size": "heap", "rank": "crit", "idem": usual.Field, "key": "row", "wait": "pushback", "last": "stop", "say": "load",
 		"deep": "e2e", "body": "body"}, real.Serve.F)
