--- a/cmd/topazpost/kept.go
+++ b/cmd/topazpost/kept.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"topazpost/internal/resultcache"
+	"topazpost/internal/resultcache/segmentstore"
 	"topazpost/server"
-	"topazpost/store"
 )
 
 // kept are the commands about what a node that is stopped has kept of tokened invocations.
@@ -68,18 +68,18 @@
 var errBrokenStore = errors.New("the store is broken; nothing was changed")
 
 // open locks a store and finds the size of its segments.
-func (f *folder) open() (store.Folder, store.Bounds, func(), error) {
-	at := store.Folder(f.Folder)
+func (f *folder) open() (segmentstore.Folder, segmentstore.Bounds, func(), error) {
+	at := segmentstore.Folder(f.Folder)
 	unlock, err := server.LockStore(f.Folder)
 	if err != nil {
-		return at, store.Bounds{}, nil, err
+		return at, segmentstore.Bounds{}, nil, err
 	}
 	names, err := at.Names()
 	if err != nil {
 		unlock()
-		return at, store.Bounds{}, nil, err
+		return at, segmentstore.Bounds{}, nil, err
 	}
-	bounds := store.Bounds{Segment: 1 << 20, Most: math.MaxInt64}
+	bounds := segmentstore.Bounds{Segment: 1 << 20, Most: math.MaxInt64}
 	for _, name := range names {
 		if strings.HasSuffix(name, ".seg") {
 			if info, err := os.Stat(filepath.Join(f.Folder, name)); err == nil {
@@ -90,18 +90,18 @@
 	return at, bounds, unlock, nil
 }
 
-func (f *folder) last() ([]store.Record, error) {
+func (f *folder) last() ([]segmentstore.Record, error) {
 	at, bounds, unlock, err := f.open()
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	_, records, _, err := store.Open(at, bounds)
-	return store.Last(records), err
+	_, records, _, err := segmentstore.Open(at, bounds)
+	return segmentstore.Last(records), err
 }
 
-func state(r *store.Record) string {
-	if r.Kind != store.Ended {
+func state(r *segmentstore.Record) string {
+	if r.Kind != segmentstore.Ended {
 		return "unknown"
 	}
 	return map[resultcache.Ending]string{resultcache.Succeeded: "succeeded", resultcache.Errored: "errored", resultcache.NotRun: "not run"}[resultcache.Ending(r.Ending)]
@@ -123,7 +123,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "token\toperation\ttenant\tstate\tresult bytes\twindow ends")
 	for i := range last {
-		if r := &last[i]; !c.Unknown || r.Kind != store.Ended {
+		if r := &last[i]; !c.Unknown || r.Kind != segmentstore.Ended {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, state(r), len(r.Result), when(r.Until))
 		}
 	}
@@ -131,8 +131,8 @@
 }
 
 // find is the one record that a token names.
-func (t *token) find(last []store.Record) (*store.Record, error) {
-	var found []*store.Record
+func (t *token) find(last []segmentstore.Record) (*segmentstore.Record, error) {
+	var found []*segmentstore.Record
 	for i := range last {
 		if r := &last[i]; r.Token == t.Token && (t.Operation < 0 || r.Operation == t.Operation) {
 			found = append(found, r)
@@ -168,18 +168,18 @@
 		return err
 	}
 	defer unlock()
-	log, records, _, err := store.Open(at, bounds)
+	log, records, _, err := segmentstore.Open(at, bounds)
 	if err != nil {
 		return err
 	}
-	r, err := c.find(store.Last(records))
+	r, err := c.find(segmentstore.Last(records))
 	if err != nil {
 		return err
 	}
-	if r.Kind == store.Ended {
+	if r.Kind == segmentstore.Ended {
 		return fmt.Errorf("the run of %q is known to have %s; only an unknown one is settled", c.Token, state(r))
 	}
-	r.Kind, r.Ending = store.Ended, uint8(resultcache.Errored)
+	r.Kind, r.Ending = segmentstore.Ended, uint8(resultcache.Errored)
 	if c.Ending == "succeeded" {
 		r.Ending = uint8(resultcache.Succeeded)
 		if c.Result != "" {
@@ -188,7 +188,7 @@
 			}
 		}
 	}
-	if err := log.Write([]store.Record{*r}, true); err != nil {
+	if err := log.Write([]segmentstore.Record{*r}, true); err != nil {
 		return err
 	}
 	fmt.Printf("%s is settled as %s\n", c.Token, c.Ending)
@@ -210,7 +210,7 @@
 		return err
 	}
 	defer unlock()
-	_, _, err = store.Compact(at, bounds, func(r *store.Record) bool {
+	_, _, err = segmentstore.Compact(at, bounds, func(r *segmentstore.Record) bool {
 		return r.Token != gone.Token || r.Operation != gone.Operation || r.Tenant != gone.Tenant
 	})
 	if err == nil {
@@ -220,7 +220,7 @@
 }
 
 // segments reads each file on its own, so that one that is broken hides no other.
-func (f *folder) segments(tell func(name string, data []byte, s *store.Scanned, err error)) error {
+func (f *folder) segments(tell func(name string, data []byte, s *segmentstore.Scanned, err error)) error {
 	at, _, unlock, err := f.open()
 	if err != nil {
 		return err
@@ -237,7 +237,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := store.Scan(data)
+			s, err := segmentstore.Scan(data)
 			tell(name, data, s, err)
 		}
 	}
@@ -248,7 +248,7 @@
 func (c *storeInspect) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
-	err := c.segments(func(name string, data []byte, s *store.Scanned, err error) {
+	err := c.segments(func(name string, data []byte, s *segmentstore.Scanned, err error) {
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%v\n", name, err)
 			return
@@ -268,7 +268,7 @@
 // Run reads all.
 func (c *storeVerify) Run() error {
 	broken, records := 0, 0
-	err := c.segments(func(name string, _ []byte, s *store.Scanned, err error) {
+	err := c.segments(func(name string, _ []byte, s *segmentstore.Scanned, err error) {
 		if err != nil {
 			broken++
 			fmt.Printf("%s: %v\n", filepath.Join(c.Folder, name), err)
@@ -292,7 +292,7 @@
 		return err
 	}
 	defer unlock()
-	before, after, err := store.Compact(at, bounds, func(*store.Record) bool { return true })
+	before, after, err := segmentstore.Compact(at, bounds, func(*segmentstore.Record) bool { return true })
 	if err == nil {
 		fmt.Printf("%d bytes before, %d after\n", before, after)
 	}
--- a/internal/resultcache/cacheconfig/keep.go
+++ b/internal/resultcache/cacheconfig/keep.go
@@ -10,8 +10,8 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/resultcache"
+	"topazpost/internal/resultcache/segmentstore"
 	"topazpost/settings"
-	"topazpost/store"
 )
 
 const (
@@ -42,7 +42,7 @@
 	Field      string
 	Durability Durability
 	Folder     string
-	Bounds     store.Bounds
+	Bounds     segmentstore.Bounds
 	Gather     int64 // ns
 }
 
@@ -116,7 +116,7 @@
 	if strings.Contains(" op call recv src org ttl rep work heap crit row ", " "+k.Field+" ") {
 		found = append(found, file.At([]string{"token"}, fmt.Sprintf("%q is a field of its own", k.Field), "name another one"))
 	}
-	k.Bounds, k.Gather = store.Bounds{Segment: segmentUsual, Most: sizeUsual}, gatherUsual
+	k.Bounds, k.Gather = segmentstore.Bounds{Segment: segmentUsual, Most: sizeUsual}, gatherUsual
 	for _, s := range []struct {
 		from *settings.Size
 		to   *int64
--- a/store/index_test.go
+++ b/internal/resultcache/segmentstore/index_test.go
@@ -1,4 +1,4 @@
-package store
+package segmentstore
 
 import (
 	"fmt"
--- a/store/segment.go
+++ b/internal/resultcache/segmentstore/segment.go
@@ -1,7 +1,7 @@
-// Package store keeps records in segments that a crash can't spoil unseen. This file is the format of a segment and
+// Package segmentstore keeps records in segments that a crash can't spoil unseen. This file is the format of a segment and
 // its recovery: pure, bytes in and records out. docs/design/store-format.md describes it so that another program
 // could read it.
-package store
+package segmentstore
 
 import (
 	"bytes"
--- a/server/kept.go
+++ b/server/kept.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/node"
 	"topazpost/internal/resultcache"
 	"topazpost/internal/resultcache/cacheconfig"
-	"topazpost/store"
+	"topazpost/internal/resultcache/segmentstore"
 )
 
 const (
@@ -31,8 +31,8 @@
 	began  time.Time // its clock starts from there, so that one that is set moves no window
 	in     chan *resultcache.Stored
 	unlock func()
-	log    *store.Log
-	first  []store.Record
+	log    *segmentstore.Log
+	first  []segmentstore.Record
 }
 
 // LockStore keeps a folder from any other node, and from commands that write to it, until unlock.
@@ -58,8 +58,8 @@
 	if k.unlock, err = LockStore(what.Folder); err != nil {
 		return nil, err
 	}
-	var dropped []store.Dropped
-	k.log, k.first, dropped, err = store.Open(store.Folder(what.Folder), what.Bounds)
+	var dropped []segmentstore.Dropped
+	k.log, k.first, dropped, err = segmentstore.Open(segmentstore.Folder(what.Folder), what.Bounds)
 	if err != nil {
 		k.unlock()
 		return nil, err
@@ -83,7 +83,7 @@
 		for i := range k.first[:n] {
 			r := &k.first[i]
 			batch = append(batch, resultcache.Stored{Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token}, Body: r.Body,
-				Done: r.Kind == store.Ended, Ending: resultcache.Ending(r.Ending), Result: r.Result})
+				Done: r.Kind == segmentstore.Ended, Ending: resultcache.Ending(r.Ending), Result: r.Result})
 		}
 		k.first = k.first[n:]
 		if !k.s.tell(node.Input{Kind: node.KeptRecords, Kept: batch}) {
@@ -131,19 +131,19 @@
 }
 
 func (k *keeping) write(group []*resultcache.Stored) {
-	records := make([]store.Record, len(group))
+	records := make([]segmentstore.Record, len(group))
 	in := node.Input{Kind: node.KeptWritten}
 	now := k.now()
 	for i, s := range group {
-		records[i] = store.Record{Kind: store.Begun, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, Body: s.Body,
+		records[i] = segmentstore.Record{Kind: segmentstore.Begun, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, Body: s.Body,
 			Until: now + s.For}
 		if s.Done {
-			records[i].Kind, records[i].Ending, records[i].Result = store.Ended, uint8(s.Ending), s.Result
+			records[i].Kind, records[i].Ending, records[i].Result = segmentstore.Ended, uint8(s.Ending), s.Result
 		}
 		in.Kept = append(in.Kept, *s)
 	}
 	err := k.log.Write(records, true)
-	if errors.Is(err, store.ErrFull) {
+	if errors.Is(err, segmentstore.ErrFull) {
 		if err = k.log.Expire(now); err == nil {
 			err = k.log.Write(records, true)
 		}
