--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -8,7 +8,7 @@
 
 	"topazpost/claims"
 	"topazpost/council"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 // claimed are the commands about claims of tokens.
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 	"topazpost/server"
 )
 
--- a/fleetconfig/fleetconfig.go
+++ b/fleetconfig/fleetconfig.go
@@ -10,7 +10,7 @@
 	"strings"
 	"sync"
 
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 	"topazpost/quota"
 	"topazpost/settings"
 )
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 // fleet is the file of a fleet whose only other member is whoever sends to bind.
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -12,8 +12,8 @@
 	"topazpost/envelope"
 	"topazpost/frame"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
-	"topazpost/membership"
 	"topazpost/quota"
 	"topazpost/takeover"
 )
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -10,8 +10,8 @@
 	"topazpost/claims"
 	"topazpost/council"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
-	"topazpost/membership"
 	"topazpost/nodeconfig"
 )
 
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -10,7 +10,7 @@
 
 	"topazpost/configuration"
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 	"topazpost/nodeconfig"
 )
 
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/invariant"
-	"topazpost/membership"
 	"topazpost/nodeconfig"
 	"topazpost/quota"
 )
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 const (
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 	"topazpost/nodeconfig"
 )
 
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -6,9 +6,9 @@
 	"topazpost/configuration"
 	"topazpost/council"
 	"topazpost/frame"
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
 	"topazpost/lines"
-	"topazpost/membership"
 	"topazpost/nodeconfig"
 )
 
--- a/lab/hollow/process.go
+++ b/lab/hollow/process.go
@@ -18,8 +18,8 @@
 	"github.com/rs/zerolog"
 
 	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
-	"topazpost/membership"
 	"topazpost/server"
 	"topazpost/settings"
 )
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -5,8 +5,8 @@
 import (
 	"fmt"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/lab/world"
-	"topazpost/membership"
 )
 
 const (
--- a/lab/mesh/pause_test.go
+++ b/lab/mesh/pause_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"golang.org/x/sync/errgroup"
 
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 // pauses has nodes of a fleet that loses a fifth of all datagrams stand still for a silence less a probe, one after
--- a/lab/mesh/payload.go
+++ b/lab/mesh/payload.go
@@ -1,6 +1,6 @@
 package mesh
 
-import "topazpost/membership"
+import "topazpost/internal/fleet/membership"
 
 // Payload is a further state machine of a node, carried over the same links as its membership: with the same loss,
 // cuts and delays. It belongs to one life of the node, and is called only while that runs: what comes in a pause
--- a/lab/mesh/payload_test.go
+++ b/lab/mesh/payload_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 // probe is a payload that notes what comes, and answers each question with its own node's name.
--- a/lab/mesh/schedule.go
+++ b/lab/mesh/schedule.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 // Schedule plays faults drawn from a seed on a fleet for so long, heals all and lets it settle. The error says what
--- a/lab/mesh/size.go
+++ b/lab/mesh/size.go
@@ -2,7 +2,7 @@
 
 import (
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 // sizeOf is the bytes of a letter that holds a message, without making it: a herd's records would be encoded by the
--- a/lab/mesh/size_test.go
+++ b/lab/mesh/size_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"topazpost/envelope"
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 func TestSizeIsThatOfTheLetter(t *testing.T) {
--- a/lab/mesh/standing.go
+++ b/lab/mesh/standing.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 )
 
 const (
--- a/lab/rig/hollow.go
+++ b/lab/rig/hollow.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/lab/hollow"
-	"topazpost/membership"
 	"topazpost/settings"
 )
 
--- a/lab/rig/night.go
+++ b/lab/rig/night.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"topazpost/membership"
+	"topazpost/internal/fleet/membership"
 	"topazpost/settings"
 )
 
--- a/lab/rig/processes.go
+++ b/lab/rig/processes.go
@@ -20,8 +20,8 @@
 	"syscall"
 	"time"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/lab/hollow"
-	"topazpost/membership"
 )
 
 const (
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/invariant"
-	"topazpost/membership"
 )
 
 var program string
--- a/lab/rig/starved_test.go
+++ b/lab/rig/starved_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/lab/mesh"
-	"topazpost/membership"
 )
 
 // A loss is the machine's only where a member stood still for as long as no fleet bears, all together; the bound is that
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -11,8 +11,8 @@
 	"topazpost/configuration"
 	"topazpost/council"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/membership"
 	"topazpost/lab/mesh"
-	"topazpost/membership"
 	"topazpost/settings"
 )
 
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
-	"topazpost/membership"
 )
 
 // StreamMark is what a stream begins with, in the place of the length that an exchange begins with, little-endian.
--- a/server/peers.go
+++ b/server/peers.go
@@ -17,8 +17,8 @@
 
 	"topazpost/envelope"
 	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
-	"topazpost/membership"
 )
 
 const (
--- a/server/peers_test.go
+++ b/server/peers_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
-	"topazpost/membership"
 )
 
 func TestDatagramsNeverTakeTheRoomOfExchanges(t *testing.T) {
