--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -6,8 +6,8 @@
 	"os"
 	"text/tabwriter"
 
-	"topazpost/claims"
 	"topazpost/council"
+	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/membership"
 )
 
--- a/council/claims.go
+++ b/council/claims.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/claims"
+	"topazpost/internal/fleet/claims"
 	"topazpost/takeover"
 )
 
--- a/council/configuration.go
+++ b/council/configuration.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/claims"
 	"topazpost/configuration"
+	"topazpost/internal/fleet/claims"
 )
 
 const (
--- a/council/configuration_test.go
+++ b/council/configuration_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/claims"
 	"topazpost/configuration"
+	"topazpost/internal/fleet/claims"
 )
 
 func tenantOf(name string, rate int) configuration.Item {
--- a/council/council.go
+++ b/council/council.go
@@ -5,8 +5,8 @@
 import (
 	"slices"
 
-	"topazpost/claims"
 	"topazpost/configuration"
+	"topazpost/internal/fleet/claims"
 	"topazpost/quota"
 	"topazpost/takeover"
 )
--- a/council/council_test.go
+++ b/council/council_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/claims"
+	"topazpost/internal/fleet/claims"
 	"topazpost/quota"
 )
 
--- a/council/helpers_test.go
+++ b/council/helpers_test.go
@@ -9,8 +9,8 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/claims"
 	"topazpost/configuration"
+	"topazpost/internal/fleet/claims"
 	"topazpost/takeover"
 )
 
--- a/council/leases.go
+++ b/council/leases.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"topazpost/claims"
+	"topazpost/internal/fleet/claims"
 	"topazpost/quota"
 )
 
--- a/council/parts_test.go
+++ b/council/parts_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/claims"
 	"topazpost/configuration"
+	"topazpost/internal/fleet/claims"
 )
 
 // large is a table of a megabyte that one command changes.
--- a/integration/seat_test.go
+++ b/integration/seat_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/claims"
 	"topazpost/council"
+	"topazpost/internal/fleet/claims"
 )
 
 // seats are processes that serve nothing, three of them with a folder each.
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -6,12 +6,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/claims"
 	"topazpost/configuration"
 	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/frame"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
 	"topazpost/quota"
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strconv"
 
-	"topazpost/claims"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/claims"
 	"topazpost/lines"
 )
 
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"topazpost/claims"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/claims"
 	"topazpost/internal/resultcache"
 )
 
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"topazpost/claims"
 	"topazpost/frame"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/claims"
 	"topazpost/internal/resultcache"
 )
 
--- a/lab/rig/versions_play.go
+++ b/lab/rig/versions_play.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"topazpost/claims"
 	"topazpost/configuration"
 	"topazpost/council"
+	"topazpost/internal/fleet/claims"
 )
 
 const (
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"topazpost/claims"
+	"topazpost/internal/fleet/claims"
 )
 
 const (
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/claims"
+	"topazpost/internal/fleet/claims"
 )
 
 var lost = claims.Owner{Name: "lost", Life: 1}
