--- a/council/claims.go
+++ b/council/claims.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"topazpost/internal/fleet/claims"
-	"topazpost/takeover"
+	"topazpost/internal/fleet/takeover"
 )
 
 const passEvery = 250 * ms // ns that the table's time may lag
--- a/council/helpers_test.go
+++ b/council/helpers_test.go
@@ -11,7 +11,7 @@
 
 	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
-	"topazpost/takeover"
+	"topazpost/internal/fleet/takeover"
 )
 
 const window = 600_000 * ms
