--- a/council/council.go
+++ b/council/council.go
@@ -7,8 +7,8 @@
 
 	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
-	"topazpost/quota"
 )
 
 const (
--- a/council/council_test.go
+++ b/council/council_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/fleet/claims"
-	"topazpost/quota"
+	"topazpost/internal/fleet/quota"
 )
 
 // calm is a world whose council has a leader.
--- a/council/leases.go
+++ b/council/leases.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"topazpost/internal/fleet/claims"
-	"topazpost/quota"
+	"topazpost/internal/fleet/quota"
 )
 
 type leased struct {
--- a/fleetconfig/fleetconfig.go
+++ b/fleetconfig/fleetconfig.go
@@ -11,7 +11,7 @@
 	"sync"
 
 	"topazpost/internal/fleet/membership"
-	"topazpost/quota"
+	"topazpost/internal/fleet/quota"
 	"topazpost/settings"
 )
 
--- a/fleetconfig/fleetconfig_test.go
+++ b/fleetconfig/fleetconfig_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/quota"
+	"topazpost/internal/fleet/quota"
 )
 
 func write(t *testing.T, text string) string {
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -13,9 +13,9 @@
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/membership"
+	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
 	"topazpost/internal/resultcache"
-	"topazpost/quota"
 )
 
 const (
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/fleet/membership"
+	"topazpost/internal/fleet/quota"
 	"topazpost/invariant"
 	"topazpost/nodeconfig"
-	"topazpost/quota"
 )
 
 // hollowNode sits alone in its council.
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -2,7 +2,7 @@
 
 import (
 	"topazpost/internal/admission"
-	"topazpost/quota"
+	"topazpost/internal/fleet/quota"
 )
 
 const leaseLook = 25 * ms // ns between looks at the need for calls: short beside what a call takes
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -9,7 +9,7 @@
 	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/internal/admission"
-	"topazpost/quota"
+	"topazpost/internal/fleet/quota"
 )
 
 // renting is a node whose calls are leased from a council in which it has no seat, with a run that stands at a call.
