--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -6,8 +6,8 @@
 	"os"
 	"text/tabwriter"
 
-	"topazpost/council"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 )
 
@@ -32,8 +32,8 @@
 	Token string `arg:"" help:"The token."`
 }
 
-func (c *claimsAt) look() (*council.Picture, error) {
-	var p council.Picture
+func (c *claimsAt) look() (*consensus.Picture, error) {
+	var p consensus.Picture
 	if err := lookInto(c.Fleet, c.Address, membership.LookClaims, &p); err != nil {
 		return nil, fmt.Errorf("%w; a node without a council shows no claims", err)
 	}
@@ -52,7 +52,7 @@
 	Call      string `json:"call"`
 }
 
-func shown(p *council.Picture) (list []shownClaim) {
+func shown(p *consensus.Picture) (list []shownClaim) {
 	for _, e := range p.Claims {
 		list = append(list, shownClaim{e.Key.Operation, e.Key.Token, claims.States[e.State], e.Owner.Name, e.Fence, (e.Until - p.Time) / 1e6, e.Taken, e.Call})
 	}
@@ -76,7 +76,7 @@
 	}
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(struct {
-			*council.Picture
+			*consensus.Picture
 			Claims []shownClaim `json:"table_of_claims"`
 		}{p, shown(p)})
 	}
--- a/integration/seat_test.go
+++ b/integration/seat_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/council"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/consensus"
 )
 
 // seats are processes that serve nothing, three of them with a folder each.
@@ -108,8 +108,8 @@
 		seq++
 		c.From, c.Seq, c.Key, c.Body, c.For, c.Window = owner, seq, key, 1, 60_000_000_000, 600_000_000_000
 		for end := time.Now().Add(bound); time.Now().Before(end); {
-			write(s.t, conn, &council.Message{Kind: council.Propose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
-			if got := read(s.t, conn, 300*time.Millisecond); got != nil && got.Kind == council.Verdicts {
+			write(s.t, conn, &consensus.Message{Kind: consensus.Propose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
+			if got := read(s.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.Verdicts {
 				for _, v := range got.Verdicts {
 					if v.Seq == c.Seq {
 						return v
--- a/integration/streams_test.go
+++ b/integration/streams_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/consensus"
 )
 
 // convened is the file of a fleet of one, which is its own council.
@@ -33,7 +33,7 @@
 	return conn
 }
 
-func write(t testing.TB, conn net.Conn, m *council.Message) {
+func write(t testing.TB, conn net.Conn, m *consensus.Message) {
 	text, err := envelope.Seal(nil, envelope.FleetOf("tests"), m)
 	require.NoError(t, err)
 	_, err = conn.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...))
@@ -41,7 +41,7 @@
 }
 
 // read is the next message within a time, nil if there is none.
-func read(t testing.TB, conn net.Conn, within time.Duration) *council.Message {
+func read(t testing.TB, conn net.Conn, within time.Duration) *consensus.Message {
 	conn.SetReadDeadline(time.Now().Add(within))
 	var head [4]byte
 	if _, err := io.ReadFull(conn, head[:]); err != nil {
@@ -51,7 +51,7 @@
 	text := make([]byte, binary.LittleEndian.Uint32(head[:]))
 	_, err := io.ReadFull(conn, text)
 	require.NoError(t, err)
-	m := new(council.Message)
+	m := new(consensus.Message)
 	require.NoError(t, envelope.Open(text, envelope.FleetOf("tests"), m))
 	return m
 }
@@ -61,9 +61,9 @@
 	startWith(t, false, nil, "--fleet", path)
 	conn := stream(t, bind)
 	other := claims.Owner{Name: "n2", Life: 7}
-	ask := &council.Message{Kind: council.Propose, From: "n2", Owner: other, Commands: []claims.Command{{Kind: claims.Claim, From: other, Seq: 3,
+	ask := &consensus.Message{Kind: consensus.Propose, From: "n2", Owner: other, Commands: []claims.Command{{Kind: claims.Claim, From: other, Seq: 3,
 		Key: claims.Key{Operation: "x", Token: "t"}, Body: 1, For: 60_000_000_000, Window: 60_000_000_000}}}
-	var got *council.Message
+	var got *consensus.Message
 	for got == nil { // what comes before there is a leader is dropped, and asked again
 		write(t, conn, ask)
 		got = read(t, conn, 200*time.Millisecond)
@@ -95,7 +95,7 @@
 	for range 4 {
 		flood := stream(t, bind)
 		go func() {
-			text, _ := envelope.Seal(nil, envelope.FleetOf("tests"), &council.Message{Kind: council.Raft, From: "n9", Raft: make([]byte, 1_000)})
+			text, _ := envelope.Seal(nil, envelope.FleetOf("tests"), &consensus.Message{Kind: consensus.Raft, From: "n9", Raft: make([]byte, 1_000)})
 			text = append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...)
 			for range 200_000 {
 				if _, err := flood.Write(text); err != nil {
@@ -134,19 +134,19 @@
 }
 
 func FuzzCouncilMessages(f *testing.F) {
-	for _, m := range []*council.Message{{Kind: council.Hail, From: "n2", ID: 7, Life: 9, Fresh: true}, {Kind: council.Raft, From: "n2", Raft: []byte{8, 3}},
-		{Kind: council.Propose, From: "n2", Commands: []claims.Command{{Kind: claims.Claim}}}} {
+	for _, m := range []*consensus.Message{{Kind: consensus.Hail, From: "n2", ID: 7, Life: 9, Fresh: true}, {Kind: consensus.Raft, From: "n2", Raft: []byte{8, 3}},
+		{Kind: consensus.Propose, From: "n2", Commands: []claims.Command{{Kind: claims.Claim}}}} {
 		text, err := envelope.Seal(nil, 1, m)
 		require.NoError(f, err)
 		f.Add(text[envelope.Head:])
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		m := new(council.Message)
+		m := new(consensus.Message)
 		if envelope.Body(body, m) != nil {
 			return
 		}
-		c := council.New([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
-		c.Step(2, []council.Input{{Message: m}})
-		c.Step(700_000_000, []council.Input{{Message: m}})
+		c := consensus.New([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
+		c.Step(2, []consensus.Input{{Message: m}})
+		c.Step(700_000_000, []consensus.Input{{Message: m}})
 	})
 }
--- a/council/configuration_test.go
+++ b/internal/fleet/consensus/configuration_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"fmt"
--- a/council/council.go
+++ b/internal/fleet/consensus/council.go
@@ -1,6 +1,6 @@
-// Package council has some seats of a fleet agree on one order of commands, by raft, and carries them out on tables: claims,
+// Package consensus has some seats of a fleet agree on one order of commands, by raft, and carries them out on tables: claims,
 // leases and versions of the configuration. It does no I/O and reads no clock: messages, time and the view come in, messages and verdicts go out.
-package council
+package consensus
 
 import (
 	"slices"
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -7,11 +7,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"topazpost/configuration"
-	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/frame"
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
@@ -32,11 +32,11 @@
 // has one. Without a council both are nil: no timer, no cost.
 type claimed struct {
 	desk   *claims.Desk
-	seat   *council.Council
+	seat   *consensus.Council
 	self   claims.Owner
 	seats  []string
 	wants  []claims.Input
-	heard  []council.Input
+	heard  []consensus.Input
 	links  map[string]int // streams that nodes last spoke on
 	deskAt int64
 	seatAt int64
@@ -65,7 +65,7 @@
 		c.desk = claims.NewDesk(c.self)
 	}
 	if c.asks = slices.Index(c.seats, self.Name); c.asks >= 0 {
-		c.seat = council.New(c.seats, self.Name, c.self.Life, now, seed)
+		c.seat = consensus.New(c.seats, self.Name, c.self.Life, now, seed)
 		c.seat.Bound(bytes)
 	} else {
 		c.asks = int(uint64(seed) % uint64(len(c.seats)))
@@ -76,17 +76,17 @@
 func (r *Reducer) Seated() bool { return r.claimed.seat != nil }
 
 // RecoverSeat has the seat go on from what a disk holds, and keep there what it must not forget, before the first step.
-func (r *Reducer) RecoverSeat(now int64, there council.Disk) error {
+func (r *Reducer) RecoverSeat(now int64, there consensus.Disk) error {
 	return r.claimed.seat.Recover(now, there)
 }
 
 // Claims is what an operator may want to see of them, nil without a council.
-func (r *Reducer) Claims() *council.Picture {
+func (r *Reducer) Claims() *consensus.Picture {
 	c := &r.claimed
 	if c.desk == nil && c.seat == nil {
 		return nil
 	}
-	p := &council.Picture{Node: c.self.Name}
+	p := &consensus.Picture{Node: c.self.Name}
 	if c.desk != nil {
 		p.Desk, p.InHand, p.Reached = &c.desk.Counters, c.desk.Size(), c.desk.Reached()
 	}
@@ -161,7 +161,7 @@
 		}
 		return
 	}
-	m := new(council.Message)
+	m := new(consensus.Message)
 	if err := envelope.Open(in.Bytes, r.peers.fleet, m); err != nil {
 		r.unusable(in, err)
 		r.do(Effect{Kind: PeerHangUp, Link: in.Link}) // where its letters begin is not known any more
@@ -175,20 +175,20 @@
 }
 
 // fromCouncil takes a message of a seat or a node, this one's own included.
-func (r *Reducer) fromCouncil(m *council.Message) {
+func (r *Reducer) fromCouncil(m *consensus.Message) {
 	c := &r.claimed
 	switch m.Kind {
-	case council.Verdicts, council.Tells, council.Gift:
+	case consensus.Verdicts, consensus.Tells, consensus.Gift:
 		if m.Owner != c.self {
 			return // of an earlier life
 		}
 	default:
 		if c.seat != nil {
-			c.heard = append(c.heard, council.Input{Message: m})
+			c.heard = append(c.heard, consensus.Input{Message: m})
 		}
 		return
 	}
-	if m.Kind == council.Verdicts {
+	if m.Kind == consensus.Verdicts {
 		c.since = 0
 		if at := slices.Index(c.seats, m.Leader); at >= 0 && c.seat == nil {
 			c.asks = at
@@ -241,19 +241,19 @@
 	c := &r.claimed
 	if r.now >= c.viewAt {
 		c.viewAt = r.now + viewClaims
-		c.heard = append(c.heard, council.Input{View: r.heirs()})
+		c.heard = append(c.heard, consensus.Input{View: r.heirs()})
 	}
 	inputs := c.heard
 	c.heard = nil
-	var effects []council.Effect
+	var effects []consensus.Effect
 	effects, c.seatAt = c.seat.Step(r.now, inputs)
 	for k := range effects {
 		switch e := &effects[k]; e.Kind {
-		case council.Send:
+		case consensus.Send:
 			r.toNode(e.To, &e.Message)
-		case council.Persist:
+		case consensus.Persist:
 			r.do(Effect{Kind: Persist, Write: e.Write})
-		case council.Remark:
+		case consensus.Remark:
 			r.remark(map[bool]Level{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 		}
 	}
@@ -271,7 +271,7 @@
 }
 
 // toNode sends a message on the stream that a node last spoke on, else to its address.
-func (r *Reducer) toNode(to string, m *council.Message) {
+func (r *Reducer) toNode(to string, m *consensus.Message) {
 	c := &r.claimed
 	if to == c.self.Name {
 		own := *m
@@ -328,18 +328,18 @@
 		c.asks, c.since = (c.asks+1)%len(c.seats), r.now
 	}
 	if c.seat != nil && c.seat.Leader() != "" {
-		c.heard = append(c.heard, council.Input{Own: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: c.self})
+		c.heard = append(c.heard, consensus.Input{Own: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: c.self})
 		return
 	}
 	if to := c.seats[c.asks]; to != c.self.Name {
-		r.toNode(to, &council.Message{Kind: council.Propose, From: c.self.Name, Owner: c.self, Commands: commands, Leases: leases, Proposed: proposed})
+		r.toNode(to, &consensus.Message{Kind: consensus.Propose, From: c.self.Name, Owner: c.self, Commands: commands, Leases: leases, Proposed: proposed})
 	}
 }
 
 // orderAtSeat has this node's seat order what it wants ordered of itself.
 func (r *Reducer) orderAtSeat(command *configuration.Command) {
 	if c := &r.claimed; c.seat != nil {
-		c.heard = append(c.heard, council.Input{Proposed: []configuration.Command{*command}})
+		c.heard = append(c.heard, consensus.Input{Proposed: []configuration.Command{*command}})
 	}
 }
 
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
 	"topazpost/nodeconfig"
@@ -29,13 +29,13 @@
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.claimed.links["n0"] = 3
-	heardFrom(t, r, &council.Message{Kind: council.Verdicts, Verdicts: []claims.Verdict{{}}})
+	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{{}}})
 	require.True(t, r.claimed.desk.Reached())
 	return r
 }
 
 // heardFrom is a message of the council's seat.
-func heardFrom(t *testing.T, r *Reducer, m *council.Message) []Effect {
+func heardFrom(t *testing.T, r *Reducer, m *consensus.Message) []Effect {
 	m.From, m.Owner = "n0", r.claimed.self
 	text, err := envelope.Seal(nil, r.peers.fleet, m)
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 func asked(t *testing.T, r *Reducer, effects []Effect) (list []claims.Command) {
 	for _, e := range effects {
 		if e.Kind == PeerStream {
-			m := new(council.Message)
+			m := new(consensus.Message)
 			require.NoError(t, envelope.Open(e.Bytes, r.peers.fleet, m))
 			list = append(list, m.Commands...)
 		}
@@ -54,12 +54,12 @@
 	return list
 }
 
-func answerTo(c claims.Command, answer claims.Answer, more ...func(*claims.Verdict)) *council.Message {
+func answerTo(c claims.Command, answer claims.Answer, more ...func(*claims.Verdict)) *consensus.Message {
 	v := claims.Verdict{Seq: c.Seq, Answer: answer, Fence: 5}
 	for _, f := range more {
 		f(&v)
 	}
-	return &council.Message{Kind: council.Verdicts, Verdicts: []claims.Verdict{v}}
+	return &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{v}}
 }
 
 func toldOf(effects []Effect) (list []EffectKind) {
@@ -126,7 +126,7 @@
 	heardFrom(t, r, answerTo(claim[0], claims.Elsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Life: 1} }))
 	answered := int64(0)
 	for from := r.now; r.now < from+3_000*ms && answered == 0; {
-		effects := append(step(r), heardFrom(t, r, &council.Message{Kind: council.Verdicts, Verdicts: []claims.Verdict{{}}})...)
+		effects := append(step(r), heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{{}}})...)
 		if len(kindsOf(effects, Send)) > 0 {
 			answered = r.now - from
 		}
@@ -159,7 +159,7 @@
 	r := sitting(t)
 	work := invoked(t, r, 1, "a1")[0].Work
 	r2 := sitting(t)
-	gift := &council.Message{Kind: council.Gift, For: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
+	gift := &consensus.Message{Kind: consensus.Gift, For: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, Body: 1, Work: work, Window: 60_000 * ms}}
 	heardFrom(t, r2, gift)
 	start := asked(t, r2, heardFrom(t, r2, gift)) // told again, while the module decides
@@ -186,7 +186,7 @@
 	work := invoked(t, r, 1, "a1")[0].Work
 	r2 := sitting(t)
 	step(r2, Input{Kind: Notice})
-	release := asked(t, r2, heardFrom(t, r2, &council.Message{Kind: council.Gift, For: 2_000 * ms, Entry: &claims.Entry{
+	release := asked(t, r2, heardFrom(t, r2, &consensus.Message{Kind: consensus.Gift, For: 2_000 * ms, Entry: &claims.Entry{
 		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
 	require.Len(t, release, 1)
 	assert.Equal(t, claims.Release, release[0].Kind)
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/council"
 	"topazpost/envelope"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/quota"
 )
 
@@ -25,7 +25,7 @@
 // asksOf are the leases that effects ask for.
 func asksOf(t *testing.T, r *Reducer, effects []Effect) (list []quota.Command) {
 	for _, e := range kindsOf(effects, PeerStream) {
-		m := new(council.Message)
+		m := new(consensus.Message)
 		require.NoError(t, envelope.Open(e.Bytes, r.peers.fleet, m))
 		list = append(list, m.Leases...)
 	}
@@ -42,7 +42,7 @@
 	require.NotEmpty(t, asks)
 	assert.Empty(t, kindsOf(effects, Reach), "none is made without a lease")
 	last := asks[len(asks)-1]
-	grant := &council.Message{Kind: council.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, Target: 2, Known: true}}}
+	grant := &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, Target: 2, Known: true}}}
 	heardFrom(t, r, grant)
 	effects = step(r)
 	require.Len(t, kindsOf(effects, Reach), 1, "the module hears of it in the next step")
@@ -61,7 +61,7 @@
 		asks = append(asks, asksOf(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
-	heardFrom(t, r, &council.Message{Kind: council.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, Target: 1, Known: true}}})
+	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, Target: 1, Known: true}}})
 	step(r)
 	require.Len(t, r.supplies, 1)
 	step(r, Input{Kind: Reached, Link: r.supplies[0].link})
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -6,8 +6,8 @@
 	"math"
 	"slices"
 
-	"topazpost/council"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/resultcache"
 	"topazpost/invariant"
 	"topazpost/nodeconfig"
@@ -320,7 +320,7 @@
 	case VersionKept:
 		r.keptConfiguration(in)
 	case Persisted:
-		r.claimed.heard = append(r.claimed.heard, council.Input{Persisted: in.Number, Err: in.Err})
+		r.claimed.heard = append(r.claimed.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
 	case TokenWanted, CallsWanted:
 		r.fromLoad(in)
 	case ListenerClosed:
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -4,8 +4,8 @@
 
 import (
 	"topazpost/configuration"
-	"topazpost/council"
 	"topazpost/frame"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
 	"topazpost/lines"
@@ -139,7 +139,7 @@
 	Kept    *resultcache.Stored
 	Version uint64 // Amended
 
-	Write      *council.Write        // Persist
+	Write      *consensus.Write      // Persist
 	Persisting *configuration.Effect // KeepVersion
 	InForce    *VersionInForce       // InForce
 }
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"topazpost/configuration"
-	"topazpost/council"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/lab/mesh"
 	"topazpost/settings"
@@ -54,7 +54,7 @@
 	seat  bool
 	old   bool
 	disk  kept
-	wrote council.Disk // the seat's
+	wrote consensus.Disk // the seat's
 	life  *life
 	held  []taken
 	out   []stretch // when it was out of reach
@@ -84,11 +84,11 @@
 	woken   alarm // of the holder
 	asked   map[int]func(body any, size int)
 	links   int
-	council *council.Council
-	toSeat  []council.Input
+	council *consensus.Council
+	toSeat  []consensus.Input
 	seated  alarm // of the seat
 	current bool  // as the holder knows of its seat
-	writes  []*council.Write
+	writes  []*consensus.Write
 	free    int64 // when the seat's disk has nothing to do
 	fresh   bool  // began without a disk, and has taken nothing since
 }
@@ -181,7 +181,7 @@
 	m.held = append(m.held, taken{f.Now, m.disk.mark.Version})
 	l.inbox = append(l.inbox, l.view())
 	if m.seat {
-		l.council = council.New(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
+		l.council = consensus.New(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
 		if err := l.council.Recover(f.Now, m.wrote); err != nil {
 			f.wrong = append(f.wrong, fmt.Sprintf("%s can't take its disk up: %v", n.Name, err))
 		}
@@ -204,7 +204,7 @@
 	m.Kill()
 	m.life = nil
 	if forgets {
-		m.disk, m.wrote = kept{}, council.Disk{}
+		m.disk, m.wrote = kept{}, consensus.Disk{}
 	}
 }
 
@@ -246,11 +246,11 @@
 		again := *msg
 		l.give(configuration.Input{Kind: configuration.Came, From: from.Name, Message: &again})
 	case []byte:
-		got := new(council.Message)
+		got := new(consensus.Message)
 		if err := cbor.Unmarshal(msg, got); err != nil {
 			l.f.wrong = append(l.f.wrong, fmt.Sprintf("a message between seats can't be read: %v", err))
 		} else if l.council != nil {
-			l.seatGets(council.Input{Message: got})
+			l.seatGets(consensus.Input{Message: got})
 		}
 	}
 }
@@ -348,7 +348,7 @@
 		})
 	case configuration.Order:
 		if l.council != nil {
-			l.seatGets(council.Input{Proposed: []configuration.Command{*e.Command}})
+			l.seatGets(consensus.Input{Proposed: []configuration.Command{*e.Command}})
 		}
 	}
 }
@@ -387,7 +387,7 @@
 	})
 }
 
-func (l *life) seatGets(in council.Input) {
+func (l *life) seatGets(in consensus.Input) {
 	l.toSeat = append(l.toSeat, in)
 	l.wakeSeat(l.f.Now)
 }
@@ -401,11 +401,11 @@
 	effects, next := l.council.Step(f.Now, in)
 	for k := range effects {
 		switch e := &effects[k]; e.Kind {
-		case council.Send:
+		case consensus.Send:
 			l.sendSeat(e)
-		case council.Persist:
+		case consensus.Persist:
 			l.persist(e.Write)
-		case council.Remark:
+		case consensus.Remark:
 			f.say("%s: %s", m.Name, e.Text)
 		}
 	}
@@ -422,9 +422,9 @@
 	l.wakeSeat(next)
 }
 
-func (l *life) sendSeat(e *council.Effect) {
+func (l *life) sendSeat(e *consensus.Effect) {
 	f, m := l.f, l.m
-	if e.Message.Kind == council.Verdicts && len(e.Message.Decided) > 0 {
+	if e.Message.Kind == consensus.Verdicts && len(e.Message.Decided) > 0 {
 		list := slices.Clone(e.Message.Decided)
 		for _, c := range f.callers {
 			if c.name == e.To {
@@ -440,9 +440,9 @@
 	}
 	if e.To == m.Name {
 		m.Later(0, func() {
-			got := new(council.Message)
+			got := new(consensus.Message)
 			if cbor.Unmarshal(text, got) == nil {
-				l.seatGets(council.Input{Message: got})
+				l.seatGets(consensus.Input{Message: got})
 			}
 		})
 		return
@@ -455,21 +455,21 @@
 }
 
 // persist has writes reach the seat's disk in their order.
-func (l *life) persist(w *council.Write) {
+func (l *life) persist(w *consensus.Write) {
 	f, m := l.f, l.m
 	l.free = max(l.free, f.Now) + ms/10 + f.chance.Int63n(syncMost)
 	l.writes = append(l.writes, w)
 	m.Later(l.free-f.Now, func() {
 		m.write(l.writes[0])
 		l.writes = l.writes[1:]
-		l.seatGets(council.Input{Persisted: w.Number})
+		l.seatGets(consensus.Input{Persisted: w.Number})
 	})
 }
 
-func (m *member) write(w *council.Write) {
+func (m *member) write(w *consensus.Write) {
 	d := &m.wrote
 	if w.Forget {
-		*d = council.Disk{}
+		*d = consensus.Disk{}
 		return
 	}
 	if w.Base != nil {
@@ -477,7 +477,7 @@
 		for k, v := range w.Parts {
 			parts[k] = v
 		}
-		*d = council.Disk{Base: w.Base, Parts: parts}
+		*d = consensus.Disk{Base: w.Base, Parts: parts}
 	}
 	d.Records = append(d.Records[:len(d.Records):len(d.Records)], w.Records...)
 }
--- a/server/seat.go
+++ b/server/seat.go
@@ -12,7 +12,7 @@
 	"path/filepath"
 	"strings"
 
-	"topazpost/council"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/node"
 )
 
@@ -35,7 +35,7 @@
 type seatDisk struct {
 	s          *Server
 	folder     string
-	in         chan *council.Write
+	in         chan *consensus.Write
 	unlock     func()
 	log        *os.File // nil without a base: then nothing is worth keeping
 	generation uint64
@@ -44,8 +44,8 @@
 
 // openSeat opens the folder of a seat, locked against any other, and gives what is whole in it. A torn end of the log was never
 // acknowledged; it is cut off and told.
-func openSeat(s *Server, folder string) (d *seatDisk, there council.Disk, err error) {
-	d = &seatDisk{s: s, folder: folder, in: make(chan *council.Write, seatWaiting)}
+func openSeat(s *Server, folder string) (d *seatDisk, there consensus.Disk, err error) {
+	d = &seatDisk{s: s, folder: folder, in: make(chan *consensus.Write, seatWaiting)}
 	if err = os.MkdirAll(folder, 0o700); err != nil {
 		return nil, there, fmt.Errorf("seat: %w", err)
 	}
@@ -68,7 +68,7 @@
 func (d *seatDisk) logName() string { return fmt.Sprintf("%s%016x", seatLog, d.generation) }
 
 // read takes up what is there, and lets go of what no base names.
-func (d *seatDisk) read(there *council.Disk) (dropped int64, err error) {
+func (d *seatDisk) read(there *consensus.Disk) (dropped int64, err error) {
 	data, err := os.ReadFile(d.path(seatBase))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, d.sweep(nil)
@@ -172,7 +172,7 @@
 }
 
 // keep hands a write to the writer. A seat asks for no more before it heard of the last ones.
-func (d *seatDisk) keep(w *council.Write) {
+func (d *seatDisk) keep(w *consensus.Write) {
 	select {
 	case d.in <- w:
 	case <-d.s.ctx.Done():
@@ -193,7 +193,7 @@
 }
 
 // take carries out a write and those that wait behind it, records of several with one sync, and says so.
-func (d *seatDisk) take(w *council.Write) {
+func (d *seatDisk) take(w *consensus.Write) {
 	var records []byte
 	last := uint64(0)
 	for {
@@ -224,7 +224,7 @@
 }
 
 // replace puts a base in the place of all.
-func (d *seatDisk) replace(w *council.Write) error {
+func (d *seatDisk) replace(w *consensus.Write) error {
 	if d.failed != nil {
 		return nil
 	}
--- a/server/seat_test.go
+++ b/server/seat_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/council"
+	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/node"
 )
 
@@ -21,7 +21,7 @@
 	return t.TempDir(), &Server{log: zerolog.Nop(), heard: make(chan node.Input, 4_096), ctx: context.Background()}
 }
 
-func opened(t *testing.T, folder string, s *Server) (*seatDisk, council.Disk) {
+func opened(t *testing.T, folder string, s *Server) (*seatDisk, consensus.Disk) {
 	d, there, err := openSeat(s, folder)
 	require.NoError(t, err)
 	return d, there
@@ -35,39 +35,39 @@
 func TestSeatsFolderGivesBackWhatWasWritten(t *testing.T) {
 	folder, s := seatFolder(t)
 	d, there := opened(t, folder, s)
-	assert.Equal(t, council.Disk{}, there)
+	assert.Equal(t, consensus.Disk{}, there)
 	_, parts := part("large")
-	d.in <- &council.Write{Number: 2, Records: [][]byte{[]byte("b")}}
-	d.in <- &council.Write{Number: 3, Records: [][]byte{[]byte("c")}}
-	d.take(&council.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
+	d.in <- &consensus.Write{Number: 2, Records: [][]byte{[]byte("b")}}
+	d.in <- &consensus.Write{Number: 3, Records: [][]byte{[]byte("c")}}
+	d.take(&consensus.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
 	assert.Equal(t, node.Input{Kind: node.Persisted, Number: 3}, <-s.heard, "those that wait share a sync, and are told at once")
 	d.close()
 	d, there = opened(t, folder, s)
-	assert.Equal(t, council.Disk{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, there)
+	assert.Equal(t, consensus.Disk{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, there)
 	_, _, err := openSeat(s, folder)
 	assert.ErrorContains(t, err, "in use by a node")
 
-	d.take(&council.Write{Number: 4, Base: []byte("second"), Records: [][]byte{[]byte("d")}})
+	d.take(&consensus.Write{Number: 4, Base: []byte("second"), Records: [][]byte{[]byte("d")}})
 	d.close()
 	d, there = opened(t, folder, s)
-	assert.Equal(t, council.Disk{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, there)
+	assert.Equal(t, consensus.Disk{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, there)
 	names, err := d.names()
 	require.NoError(t, err)
 	assert.Len(t, names, 3, "lock, base and log: what no base names is gone")
-	d.take(&council.Write{Number: 5, Forget: true})
+	d.take(&consensus.Write{Number: 5, Forget: true})
 	d.close()
 	_, there = opened(t, folder, s)
-	assert.Equal(t, council.Disk{}, there)
+	assert.Equal(t, consensus.Disk{}, there)
 }
 
 func TestPartThatIsThereIsNotWrittenAgain(t *testing.T) {
 	folder, s := seatFolder(t)
 	d, _ := opened(t, folder, s)
 	digest, parts := part("large")
-	d.take(&council.Write{Number: 1, Base: []byte("one"), Parts: parts})
+	d.take(&consensus.Write{Number: 1, Base: []byte("one"), Parts: parts})
 	before, err := os.Stat(d.path(seatPart + digest))
 	require.NoError(t, err)
-	d.take(&council.Write{Number: 2, Base: []byte("two"), Parts: parts})
+	d.take(&consensus.Write{Number: 2, Base: []byte("two"), Parts: parts})
 	after, err := os.Stat(d.path(seatPart + digest))
 	require.NoError(t, err)
 	assert.True(t, os.SameFile(before, after))
@@ -76,7 +76,7 @@
 func TestTornEndOfASeatsLogIsCutOffWhereverItIsTorn(t *testing.T) {
 	folder, s := seatFolder(t)
 	d, _ := opened(t, folder, s)
-	d.take(&council.Write{Number: 1, Base: []byte("base"), Records: [][]byte{[]byte("first"), []byte("second")}})
+	d.take(&consensus.Write{Number: 1, Base: []byte("base"), Records: [][]byte{[]byte("first"), []byte("second")}})
 	path := d.path(d.logName())
 	d.close()
 	whole, err := os.ReadFile(path)
@@ -90,7 +90,7 @@
 		require.NoError(t, os.WriteFile(path, whole[:cut], 0o600))
 		d, there := opened(t, folder, s)
 		assert.Equal(t, want, there.Records, "cut at %d", cut)
-		d.take(&council.Write{Number: 2, Records: [][]byte{[]byte("next")}})
+		d.take(&consensus.Write{Number: 2, Records: [][]byte{[]byte("next")}})
 		d.close()
 		d, there = opened(t, folder, s)
 		assert.Equal(t, append(want, []byte("next")), there.Records, "what follows stands behind what is whole")
@@ -108,7 +108,7 @@
 	folder, s := seatFolder(t)
 	d, _ := opened(t, folder, s)
 	digest, parts := part("large")
-	d.take(&council.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
+	d.take(&consensus.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
 	d.close()
 	for _, name := range []string{seatBase, seatPart + digest} {
 		path := filepath.Join(folder, name)
@@ -130,11 +130,11 @@
 func TestSeatIsToldOfADiskThatFails(t *testing.T) {
 	folder, s := seatFolder(t)
 	d, _ := opened(t, folder, s)
-	d.take(&council.Write{Number: 1, Base: []byte("base")})
+	d.take(&consensus.Write{Number: 1, Base: []byte("base")})
 	<-s.heard
 	d.log.Close()
-	d.take(&council.Write{Number: 2, Records: [][]byte{[]byte("a")}})
+	d.take(&consensus.Write{Number: 2, Records: [][]byte{[]byte("a")}})
 	assert.Error(t, (<-s.heard).Err)
-	d.take(&council.Write{Number: 3, Records: [][]byte{[]byte("b")}})
+	d.take(&consensus.Write{Number: 3, Records: [][]byte{[]byte("b")}})
 	assert.Error(t, (<-s.heard).Err, "and of nothing that counts after it")
 }
