--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -17,8 +17,8 @@
 	"text/tabwriter"
 	"time"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/node"
 	"topazpost/nodeconfig"
 	"topazpost/server"
@@ -84,7 +84,7 @@
 }
 
 // question asks one node.
-func (c *configAt) question(address string, q *configuration.Question) (*configuration.Answer, error) {
+func (c *configAt) question(address string, q *configsync.Question) (*configsync.Answer, error) {
 	name := envelope.FleetOf(c.Fleet)
 	ask, err := envelope.Seal(nil, name, node.AskConfiguration(q))
 	if err != nil {
@@ -94,7 +94,7 @@
 	if errors.Is(err, io.EOF) {
 		err = fmt.Errorf("closed without an answer; is it a node of the fleet %q, with configuration in its fleet file?", c.Fleet)
 	}
-	var a *configuration.Answer
+	var a *configsync.Answer
 	if err == nil {
 		a, err = node.OpenConfiguration(text, name)
 	}
@@ -105,7 +105,7 @@
 }
 
 // any asks the addresses in turn until one answers.
-func (c *configAt) any(q *configuration.Question) (a *configuration.Answer, err error) {
+func (c *configAt) any(q *configsync.Question) (a *configsync.Answer, err error) {
 	for _, address := range c.Addresses {
 		var wrong error
 		if a, wrong = c.question(address, q); wrong == nil {
@@ -118,7 +118,7 @@
 
 // seats are where seats hear, of any node that answers; without one the addresses that were given.
 func (c *configAt) seats() (addresses []string) {
-	if a, err := c.any(&configuration.Question{Kind: configuration.ShowStanding}); err == nil {
+	if a, err := c.any(&configsync.Question{Kind: configsync.ShowStanding}); err == nil {
 		for _, s := range a.Seats {
 			if s.Address != "" {
 				addresses = append(addresses, s.Address)
@@ -132,14 +132,14 @@
 }
 
 // agreed asks all seats, and gives what they know, the one that knows the newest first.
-func (c *configAt) agreed() (list []*configuration.Answer, at []string, err error) {
+func (c *configAt) agreed() (list []*configsync.Answer, at []string, err error) {
 	type known struct {
-		a       *configuration.Answer
+		a       *configsync.Answer
 		address string
 	}
 	var all []known
 	for _, address := range c.seats() {
-		a, wrong := c.question(address, &configuration.Question{Kind: configuration.ShowStanding})
+		a, wrong := c.question(address, &configsync.Question{Kind: configsync.ShowStanding})
 		if wrong == nil && a.Seat != nil {
 			all = append(all, known{a, address})
 		} else {
@@ -157,11 +157,11 @@
 }
 
 // content reads a whole content of a node, again from the first where it changes meanwhile.
-func (c *configAt) content(address string, which int) (mark configuration.Mark, content *configuration.Content, err error) {
+func (c *configAt) content(address string, which int) (mark configsync.Mark, content *configsync.Content, err error) {
 	for range 5 {
-		var blocks []configuration.Block
+		var blocks []configsync.Block
 		for from := 0; ; {
-			a, err := c.question(address, &configuration.Question{Kind: configuration.ReadBlocks, Which: which, From: from})
+			a, err := c.question(address, &configsync.Question{Kind: configsync.ReadBlocks, Which: which, From: from})
 			if err != nil {
 				return mark, nil, err
 			} else if a.Why != "" {
@@ -172,7 +172,7 @@
 			}
 			mark, blocks = a.Mark, append(blocks, a.Blocks...)
 			if from = a.Next; from == 0 {
-				if content = configuration.FromBlocks(blocks, mark.Digest); content == nil {
+				if content = configsync.FromBlocks(blocks, mark.Digest); content == nil {
 					return mark, nil, fmt.Errorf("%s: what it told doesn't come to its digest", address)
 				}
 				return mark, content, nil
@@ -183,7 +183,7 @@
 }
 
 // wanted reads a file: a whole one, or changes.
-func wanted(path string) (changes []configuration.Item, whole bool, err error) {
+func wanted(path string) (changes []configsync.Item, whole bool, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, false, err
@@ -213,12 +213,12 @@
 		}
 		found, _ := nodeconfig.Diff(nil, n.Settings)
 		for i := range found {
-			changes = append(changes, configuration.Item(found[i]))
+			changes = append(changes, configsync.Item(found[i]))
 		}
 		return changes, true, nil
 	}
 	for _, part := range slices.Sorted(maps.Keys(top)) {
-		if part != configuration.Operations && part != configuration.Tenants && part != configuration.Limits {
+		if part != configsync.Operations && part != configsync.Tenants && part != configsync.Limits {
 			return nil, false, fmt.Errorf("%s: %s: no such part; write operations, tenants and limits, or a node's whole file with its settings", path, part)
 		}
 		var items map[string]json.RawMessage
@@ -229,10 +229,10 @@
 			value := []byte(items[name])
 			if string(value) == "null" {
 				value = nil
-			} else if value, err = configuration.Canonical(value); err != nil {
+			} else if value, err = configsync.Canonical(value); err != nil {
 				return nil, false, fmt.Errorf("%s: %s.%s: %w", path, part, name, err)
 			}
-			changes = append(changes, configuration.Item{Part: part, Name: name, Value: value})
+			changes = append(changes, configsync.Item{Part: part, Name: name, Value: value})
 		}
 	}
 	if len(changes) == 0 {
@@ -250,17 +250,17 @@
 
 // changesTo turns what a file says into changes of a content: of a whole file each item that differs, and the end of those that
 // it doesn't have.
-func changesTo(content *configuration.Content, items []configuration.Item, whole bool) (list []configuration.Item, err error) {
-	var next *configuration.Content
+func changesTo(content *configsync.Content, items []configsync.Item, whole bool) (list []configsync.Item, err error) {
+	var next *configsync.Content
 	if whole {
-		next, err = new(configuration.Content).Apply(items)
+		next, err = new(configsync.Content).Apply(items)
 	} else {
 		next, err = content.Apply(items)
 	}
 	if err != nil {
 		return nil, err
 	}
-	for diff := configuration.Diff(content, next); ; {
+	for diff := configsync.Diff(content, next); ; {
 		some := diff.Next(1_024)
 		if len(some) == 0 {
 			return list, nil
@@ -270,11 +270,11 @@
 }
 
 // order has a command ordered, at one seat after the other until there is a verdict.
-func (c *configAt) order(at []string, command *configuration.Command, end time.Time) (*configuration.Verdict, error) {
+func (c *configAt) order(at []string, command *configsync.Command, end time.Time) (*configsync.Verdict, error) {
 	err := errors.New("no time was given")
 	for k := 0; time.Now().Before(end); k++ {
-		var a *configuration.Answer
-		a, err = c.question(at[k%len(at)], &configuration.Question{Kind: configuration.Propose, Command: command})
+		var a *configsync.Answer
+		a, err = c.question(at[k%len(at)], &configsync.Question{Kind: configsync.Propose, Command: command})
 		if err == nil && a.Verdict != nil {
 			return a.Verdict, nil
 		} else if err == nil {
@@ -389,8 +389,8 @@
 }
 
 // newest is what each node reported last, to whichever seat.
-func newest(list []*configuration.Answer) map[string]configuration.Standing {
-	has := map[string]configuration.Standing{}
+func newest(list []*configsync.Answer) map[string]configsync.Standing {
+	has := map[string]configsync.Standing{}
 	for _, a := range list {
 		for _, s := range a.Seat.Nodes {
 			if before, known := has[s.Name]; !known || s.At < before.At {
@@ -400,7 +400,7 @@
 	}
 	for _, a := range list { // what a seat says of itself is no report that may have been late
 		if s := a.Status; s != nil {
-			has[a.Node] = configuration.Standing{Name: a.Node, Mark: s.Mark, Refused: s.Refused, Why: s.Why, Age: s.TakenNS}
+			has[a.Node] = configsync.Standing{Name: a.Node, Mark: s.Mark, Refused: s.Refused, Why: s.Why, Age: s.TakenNS}
 		}
 	}
 	return has
@@ -421,7 +421,7 @@
 	if err != nil {
 		return err
 	}
-	mark, content, err := c.content(at[0], configuration.Newest)
+	mark, content, err := c.content(at[0], configsync.Newest)
 	if err != nil {
 		return err
 	}
@@ -448,7 +448,7 @@
 		from = max(from, s.Mark.Version)
 	}
 	for _, command := range pieces(changes) {
-		command.Kind, command.From, command.Base, command.Version, command.Wall = configuration.Put, o.Request, base, from, time.Now().UnixNano()
+		command.Kind, command.From, command.Base, command.Version, command.Wall = configsync.Put, o.Request, base, from, time.Now().UnixNano()
 		v, err := c.order(at, &command, end)
 		if err != nil {
 			return err
@@ -465,14 +465,14 @@
 }
 
 // pieces are the orders of a change.
-func pieces(changes []configuration.Item) (list []configuration.Command) {
+func pieces(changes []configsync.Item) (list []configsync.Command) {
 	for len(changes) > 0 {
 		n, size := 0, 0
 		for n < min(len(changes), putItems) && (n == 0 || size < putPiece) {
 			size += len(changes[n].Name) + len(changes[n].Value) + 24
 			n++
 		}
-		list = append(list, configuration.Command{Changes: changes[:n], Piece: len(list), Seq: uint64(len(list) + 1), More: n < len(changes)})
+		list = append(list, configsync.Command{Changes: changes[:n], Piece: len(list), Seq: uint64(len(list) + 1), More: n < len(changes)})
 		changes = changes[n:]
 	}
 	return list
@@ -485,7 +485,7 @@
 	if err != nil {
 		return err
 	}
-	v, err := c.order(at, &configuration.Command{Kind: configuration.Rollback, From: c.request(), Seq: 1, Version: c.Version,
+	v, err := c.order(at, &configsync.Command{Kind: configsync.Rollback, From: c.request(), Seq: 1, Version: c.Version,
 		Wall: time.Now().UnixNano()}, end)
 	if err != nil {
 		return err
@@ -495,18 +495,18 @@
 
 // Run prints a content.
 func (c *configShow) Run() error {
-	var mark configuration.Mark
-	var content *configuration.Content
+	var mark configsync.Mark
+	var content *configsync.Content
 	var err error
 	if c.Newest {
 		_, at, wrong := c.agreed()
 		if wrong != nil {
 			return wrong
 		}
-		mark, content, err = c.content(at[0], configuration.Newest)
+		mark, content, err = c.content(at[0], configsync.Newest)
 	} else {
 		for _, address := range c.Addresses {
-			if mark, content, err = c.content(address, configuration.InForce); err == nil {
+			if mark, content, err = c.content(address, configsync.InForce); err == nil {
 				break
 			}
 		}
@@ -531,8 +531,8 @@
 			Parts   map[string]map[string]json.RawMessage `json:"parts"`
 		}{mark.Version, mark.Digest.String(), parts})
 	}
-	fmt.Printf("version %d, %s: %d operations, %d tenants, %d limits\n", mark.Version, mark.Digest, content.Len(configuration.Operations),
-		content.Len(configuration.Tenants), content.Len(configuration.Limits))
+	fmt.Printf("version %d, %s: %d operations, %d tenants, %d limits\n", mark.Version, mark.Digest, content.Len(configsync.Operations),
+		content.Len(configsync.Tenants), content.Len(configsync.Limits))
 	for _, part := range slices.Sorted(maps.Keys(parts)) {
 		for _, name := range slices.Sorted(maps.Keys(parts[part])) {
 			fmt.Printf("%s.%s = %s\n", part, name, parts[part][name])
@@ -551,7 +551,7 @@
 	if err != nil {
 		return err
 	}
-	mark, content, err := c.content(at[0], configuration.Newest)
+	mark, content, err := c.content(at[0], configsync.Newest)
 	if err != nil {
 		return err
 	}
@@ -606,14 +606,14 @@
 func (c *configStatus) Run() error {
 	list, _, err := c.agreed()
 	if err != nil {
-		if a, wrong := c.any(&configuration.Question{Kind: configuration.ShowStanding}); wrong == nil {
+		if a, wrong := c.any(&configsync.Question{Kind: configsync.ShowStanding}); wrong == nil {
 			fmt.Fprintf(os.Stderr, "%s has version %d in force, since %s; it last heard a seat %s\n", a.Node, a.Status.Mark.Version,
 				ago(a.Status.TakenNS), ago(a.Status.HeardNS))
 		}
 		return err
 	}
 	seat := list[0].Seat
-	by := map[configuration.Mark]*standing{}
+	by := map[configsync.Mark]*standing{}
 	refusals, silent := []refusal{}, []string{}
 	has := newest(list)
 	for _, name := range slices.Sorted(maps.Keys(has)) {
--- a/configuration/content.go
+++ b/internal/fleet/configsync/content.go
@@ -1,6 +1,6 @@
-// Package configuration decides which version of a fleet's settings is agreed on, which a node has, and whom it asks for
+// Package configsync decides which version of a fleet's settings is agreed on, which a node has, and whom it asks for
 // what is missing. It does no I/O, reads no clock, and never looks into a value: items are names and canonical JSON.
-package configuration
+package configsync
 
 import (
 	"bytes"
--- a/configuration/message.go
+++ b/internal/fleet/configsync/message.go
@@ -1,4 +1,4 @@
-package configuration
+package configsync
 
 // MessageKind names what a message is for.
 type MessageKind uint8
--- a/configuration/operator.go
+++ b/internal/fleet/configsync/operator.go
@@ -1,4 +1,4 @@
-package configuration
+package configsync
 
 // What an operator's command asks a node for, and what it is told.
 
--- a/configuration/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -1,4 +1,4 @@
-package configuration
+package configsync
 
 import (
 	"flag"
--- a/internal/fleet/consensus/configuration.go
+++ b/internal/fleet/consensus/configuration.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 )
 
 const (
@@ -29,22 +29,22 @@
 // proposed when a version has stood at the first stage for long enough.
 type configurationTable struct {
 	seat     *Seat
-	check    func(*configuration.Command) string // says why a change is unsound by itself, empty where it isn't; nil for none
-	table    *configuration.Table
+	check    func(*configsync.Command) string // says why a change is unsound by itself, empty where it isn't; nil for none
+	table    *configsync.Table
 	used     bool // something of it was agreed on: else snapshots hold nothing of it
 	changed  bool // since it was last told
 	told     bool // what was agreed on, and not that nothing is known
-	queued   []configuration.Command
+	queued   []configsync.Command
 	pending  map[configured]proposedBy
-	verdicts map[claims.Owner][]configuration.Verdict
+	verdicts map[claims.Owner][]configsync.Verdict
 	dueAt    int64 // what is due isn't proposed again before
-	stage    configuration.Mark
+	stage    configsync.Mark
 	stageAt  int64 // when stage came to stand at the first stage, by this seat's clock
 }
 
 func (x *configurationTable) forget() {
-	x.table, x.used, x.changed, x.queued, x.dueAt = configuration.NewTable(), false, true, nil, 0
-	x.pending, x.verdicts = map[configured]proposedBy{}, map[claims.Owner][]configuration.Verdict{}
+	x.table, x.used, x.changed, x.queued, x.dueAt = configsync.NewTable(), false, true, nil, 0
+	x.pending, x.verdicts = map[configured]proposedBy{}, map[claims.Owner][]configsync.Verdict{}
 	x.stand()
 }
 
@@ -59,15 +59,15 @@
 
 // propose takes commands of a node on. One that is unsound by itself is refused here; without a leader they are dropped, and
 // asked again. The same one again takes the place of the first.
-func (x *configurationTable) propose(owner claims.Owner, list []configuration.Command) {
+func (x *configurationTable) propose(owner claims.Owner, list []configsync.Command) {
 	for i := range list {
 		c := &list[i]
-		if c.Kind != configuration.Put && c.Kind != configuration.Rollback && owner != (claims.Owner{}) {
+		if c.Kind != configsync.Put && c.Kind != configsync.Rollback && owner != (claims.Owner{}) {
 			continue // only seats say the others, each through its own
 		}
-		if c.Kind == configuration.Put && x.check != nil {
+		if c.Kind == configsync.Put && x.check != nil {
 			if why := x.check(c); why != "" {
-				x.verdicts[owner] = append(x.verdicts[owner], configuration.Verdict{From: c.From, Seq: c.Seq, Refused: why,
+				x.verdicts[owner] = append(x.verdicts[owner], configsync.Verdict{From: c.From, Seq: c.Seq, Refused: why,
 					Version: x.table.Head().Newest})
 				continue
 			}
@@ -125,21 +125,21 @@
 
 // Apply carries configuration's part of an entry out.
 func (x *configurationTable) Apply(at int64, part []byte) {
-	var list []configuration.Command
+	var list []configsync.Command
 	if decode.Unmarshal(part, &list) != nil {
 		return
 	}
 	x.used = true
 	for i := range list {
 		c := &list[i]
-		if c.Kind < configuration.Put || c.Kind > configuration.Rollback {
+		if c.Kind < configsync.Put || c.Kind > configsync.Rollback {
 			panic("a command of a newer version: the others' tables would not be this one's any more")
 		}
 		x.seat.Counters.Agreed++
 		x.changed = true
 		v := x.table.Apply(at, c)
 		key := configured{c.From, c.Seq}
-		if by, here := x.pending[key]; here && (c.Kind == configuration.Put || c.Kind == configuration.Rollback) {
+		if by, here := x.pending[key]; here && (c.Kind == configsync.Put || c.Kind == configsync.Rollback) {
 			delete(x.pending, key)
 			x.verdicts[by.owner] = append(x.verdicts[by.owner], v)
 		}
@@ -160,8 +160,8 @@
 // Restore takes the place of the table.
 func (x *configurationTable) Restore(text []byte) (err error) {
 	x.changed, x.used = true, len(text) > 0
-	if x.table = configuration.NewTable(); x.used {
-		if x.table, err = configuration.Restore(text); err != nil {
+	if x.table = configsync.NewTable(); x.used {
+		if x.table, err = configsync.Restore(text); err != nil {
 			return err
 		}
 	}
@@ -171,13 +171,13 @@
 
 // CheckConfiguration has changes of the configuration looked at before they are ordered; check says why one is unsound by
 // itself, empty where it isn't.
-func (c *Council) CheckConfiguration(check func(*configuration.Command) string) {
+func (c *Council) CheckConfiguration(check func(*configsync.Command) string) {
 	c.versions.check = check
 }
 
 // Configured is what was agreed on of the configuration, where that changed since the last call. A seat that belongs to no
 // council yet, or again, knows nothing: nil.
-func (c *Council) Configured() (agreed *configuration.Agreed, changed bool) {
+func (c *Council) Configured() (agreed *configsync.Agreed, changed bool) {
 	x := c.versions
 	if changed = x.changed || x.told != c.founded; changed && c.founded {
 		agreed = x.table.Agreed()
--- a/internal/fleet/consensus/configuration_test.go
+++ b/internal/fleet/consensus/configuration_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 )
 
-func tenantOf(name string, rate int) configuration.Item {
-	return configuration.Item{Part: configuration.Tenants, Name: name, Value: fmt.Appendf(nil, `{"quota_rps":%d}`, rate)}
+func tenantOf(name string, rate int) configsync.Item {
+	return configsync.Item{Part: configsync.Tenants, Name: name, Value: fmt.Appendf(nil, `{"quota_rps":%d}`, rate)}
 }
 
 // propose has a node that is no seat ask one for a command, and gives the verdicts that it has then.
-func (w *world) propose(t *testing.T, seat int, c configuration.Command) configuration.Verdict {
+func (w *world) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
 	m := w.machines[3]
 	m.decided = nil
-	w.send(3, w.machines[seat].name, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Life: m.life}, Proposed: []configuration.Command{c}})
+	w.send(3, w.machines[seat].name, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Life: m.life}, Proposed: []configsync.Command{c}})
 	w.run(w.now + 500*ms)
 	require.Len(t, m.decided, 1, "one command, one verdict")
 	assert.Equal(t, []any{c.From, c.Seq}, []any{m.decided[0].From, m.decided[0].Seq})
 	return m.decided[0]
 }
 
-func (w *world) heads() (list []configuration.Head) {
+func (w *world) heads() (list []configsync.Head) {
 	for _, m := range w.machines[:len(w.seats)] {
 		list = append(list, m.seat.versions.table.Head())
 	}
@@ -41,30 +41,30 @@
 		assert.Empty(t, text, "a council without versions has nothing of them in its snapshots")
 		assert.False(t, m.seat.versions.apart())
 	}
-	put := configuration.Command{Kind: configuration.Put, From: "a", Seq: 1, Changes: []configuration.Item{tenantOf("x", 1)}}
+	put := configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantOf("x", 1)}}
 	v := w.propose(t, 0, put)
-	assert.Equal(t, configuration.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
+	assert.Equal(t, configsync.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
 	assert.Equal(t, v, w.propose(t, 1, put), "the same at another seat has the same verdict")
-	v = w.propose(t, 2, configuration.Command{Kind: configuration.Put, From: "b", Seq: 1, Changes: []configuration.Item{tenantOf("y", 1)}})
+	v = w.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantOf("y", 1)}})
 	assert.True(t, v.Stale)
-	assert.Equal(t, []configuration.Item{{Part: configuration.Tenants, Name: "x"}}, v.Differ)
+	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differ)
 
 	w.run(w.now + 4_000*ms)
 	for _, h := range w.heads() {
 		assert.Equal(t, uint64(1), h.All.Version, "the leader has it go to all once it stood")
 	}
 	for k := range 3 { // a long change
-		v = w.propose(t, k, configuration.Command{Kind: configuration.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
-			Changes: []configuration.Item{tenantOf(fmt.Sprint("z", k), 1)}})
+		v = w.propose(t, k, configsync.Command{Kind: configsync.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
+			Changes: []configsync.Item{tenantOf(fmt.Sprint("z", k), 1)}})
 		assert.True(t, v.Done, v.Refused)
 	}
 	assert.Equal(t, uint64(2), v.Version)
 	w.machines[3].decided = nil
 	w.send(3, "n1", Message{Kind: Propose, From: "n3", Owner: claims.Owner{Name: "n3", Life: w.machines[3].life},
-		Proposed: []configuration.Command{{Kind: configuration.Stop, Version: 2, Who: "n3"}}})
+		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
 	w.run(w.now + 500*ms)
 	assert.False(t, w.heads()[0].Stopped, "only a seat says that a version goes no further")
-	w.machines[1].toSeat = append(w.machines[1].toSeat, Input{Proposed: []configuration.Command{{Kind: configuration.Stop, Version: 2, Who: "n7", Why: "no"}}})
+	w.machines[1].toSeat = append(w.machines[1].toSeat, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
 	w.soon(1)
 	w.run(w.now + 6_000*ms)
 	want := w.heads()[0]
@@ -84,21 +84,21 @@
 		agreed, changed := w.machines[i].seat.Configured()
 		assert.True(t, changed)
 		require.NotNil(t, agreed)
-		assert.Equal(t, 4, agreed.Newest.Len(configuration.Tenants))
+		assert.Equal(t, 4, agreed.Newest.Len(configsync.Tenants))
 		_, changed = w.machines[i].seat.Configured()
 		assert.False(t, changed, "it is told once")
 	}
-	v = w.propose(t, 2, configuration.Command{Kind: configuration.Rollback, From: "d", Seq: 1, Version: 1})
-	assert.Equal(t, configuration.Verdict{From: "d", Seq: 1, Done: true, Version: 3}, v)
+	v = w.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
+	assert.Equal(t, configsync.Verdict{From: "d", Seq: 1, Done: true, Version: 3}, v)
 	assert.Equal(t, uint64(3), w.heads()[0].All.Version)
 }
 
 func TestUnsoundChangeIsNotOrdered(t *testing.T) {
 	w := onDisks(t, 4, 3)
 	for _, m := range w.machines[:3] {
-		m.seat.CheckConfiguration(func(c *configuration.Command) string { return "unsound: " + c.Changes[0].Name })
+		m.seat.CheckConfiguration(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
 	}
-	v := w.propose(t, 0, configuration.Command{Kind: configuration.Put, From: "a", Seq: 1, Changes: []configuration.Item{tenantOf("x", 1)}})
+	v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantOf("x", 1)}})
 	assert.Equal(t, "unsound: x", v.Refused)
 	assert.Zero(t, w.heads()[0].Newest)
 	assert.False(t, w.machines[0].seat.versions.used)
--- a/internal/fleet/consensus/council.go
+++ b/internal/fleet/consensus/council.go
@@ -5,8 +5,8 @@
 import (
 	"slices"
 
-	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
 )
@@ -36,39 +36,39 @@
 
 // Message is what seats and nodes tell each other.
 type Message struct {
-	Kind     Kind                    `cbor:"1,keyasint"`
-	From     string                  `cbor:"2,keyasint"`
-	Raft     []byte                  `cbor:"3,keyasint,omitempty"`
-	ID       uint64                  `cbor:"4,keyasint,omitempty"` // Hail
-	Life     uint64                  `cbor:"5,keyasint,omitempty"` // Hail
-	Bound    uint64                  `cbor:"6,keyasint,omitempty"` // Hail
-	Fresh    bool                    `cbor:"7,keyasint,omitempty"` // Hail: it belongs to no council
-	Owner    claims.Owner            `cbor:"8,keyasint,omitempty"` // Propose; in the others to whom
-	Commands []claims.Command        `cbor:"9,keyasint,omitempty"`
-	Verdicts []claims.Verdict        `cbor:"10,keyasint,omitempty"`
-	Keys     []claims.Key            `cbor:"11,keyasint,omitempty"` // Tells
-	Entry    *claims.Entry           `cbor:"12,keyasint,omitempty"` // Gift
-	For      int64                   `cbor:"13,keyasint,omitempty"` // Gift: ns to its due time
-	Leases   []quota.Command         `cbor:"15,keyasint,omitempty"` // Propose
-	Grants   []quota.Verdict         `cbor:"16,keyasint,omitempty"` // Verdicts
-	Number   uint64                  `cbor:"17,keyasint,omitempty"` // Raft: the last write that counts at the sender; Heard: the last that was heard
-	Part     string                  `cbor:"18,keyasint,omitempty"` // Want, Piece: its digest
-	Offset   int                     `cbor:"19,keyasint,omitempty"` // in it
-	Size     int                     `cbor:"20,keyasint,omitempty"` // of it
-	Bytes    []byte                  `cbor:"21,keyasint,omitempty"`
-	Proposed []configuration.Command `cbor:"22,keyasint,omitempty"` // Propose
-	Decided  []configuration.Verdict `cbor:"23,keyasint,omitempty"` // Verdicts
-	Leader   string                  `cbor:"14,keyasint,omitempty"` // who leads the council, as far as the sender knows
+	Kind     Kind                 `cbor:"1,keyasint"`
+	From     string               `cbor:"2,keyasint"`
+	Raft     []byte               `cbor:"3,keyasint,omitempty"`
+	ID       uint64               `cbor:"4,keyasint,omitempty"` // Hail
+	Life     uint64               `cbor:"5,keyasint,omitempty"` // Hail
+	Bound    uint64               `cbor:"6,keyasint,omitempty"` // Hail
+	Fresh    bool                 `cbor:"7,keyasint,omitempty"` // Hail: it belongs to no council
+	Owner    claims.Owner         `cbor:"8,keyasint,omitempty"` // Propose; in the others to whom
+	Commands []claims.Command     `cbor:"9,keyasint,omitempty"`
+	Verdicts []claims.Verdict     `cbor:"10,keyasint,omitempty"`
+	Keys     []claims.Key         `cbor:"11,keyasint,omitempty"` // Tells
+	Entry    *claims.Entry        `cbor:"12,keyasint,omitempty"` // Gift
+	For      int64                `cbor:"13,keyasint,omitempty"` // Gift: ns to its due time
+	Leases   []quota.Command      `cbor:"15,keyasint,omitempty"` // Propose
+	Grants   []quota.Verdict      `cbor:"16,keyasint,omitempty"` // Verdicts
+	Number   uint64               `cbor:"17,keyasint,omitempty"` // Raft: the last write that counts at the sender; Heard: the last that was heard
+	Part     string               `cbor:"18,keyasint,omitempty"` // Want, Piece: its digest
+	Offset   int                  `cbor:"19,keyasint,omitempty"` // in it
+	Size     int                  `cbor:"20,keyasint,omitempty"` // of it
+	Bytes    []byte               `cbor:"21,keyasint,omitempty"`
+	Proposed []configsync.Command `cbor:"22,keyasint,omitempty"` // Propose
+	Decided  []configsync.Verdict `cbor:"23,keyasint,omitempty"` // Verdicts
+	Leader   string               `cbor:"14,keyasint,omitempty"` // who leads the council, as far as the sender knows
 }
 
 // Input is one thing that happened: a message, commands of this node's own, or another view.
 type Input struct {
 	Message  *Message
 	Own      []claims.Command
-	Leases   []quota.Command         // of this node's own
-	View     []takeover.Member       // nil where it did not change
-	Proposed []configuration.Command // of the configuration
-	Owner    claims.Owner            // who is told of the verdicts on Proposed; none where this seat has them ordered of itself
+	Leases   []quota.Command      // of this node's own
+	View     []takeover.Member    // nil where it did not change
+	Proposed []configsync.Command // of the configuration
+	Owner    claims.Owner         // who is told of the verdicts on Proposed; none where this seat has them ordered of itself
 
 	Persisted uint64 // writes up to this number count
 	Err       error  // of the disk: that and all later ones can't be written
--- a/internal/fleet/consensus/helpers_test.go
+++ b/internal/fleet/consensus/helpers_test.go
@@ -9,8 +9,8 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/takeover"
 )
 
@@ -32,7 +32,7 @@
 	ended   map[claims.Key]string
 	waking  int64
 	backlog []event
-	decided []configuration.Verdict
+	decided []configsync.Verdict
 	disk    *disk // nil for one that is in memory only; it outlives the machine's lives
 }
 
--- a/internal/fleet/consensus/parts_test.go
+++ b/internal/fleet/consensus/parts_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 )
 
 // large is a table of a megabyte that one command changes.
@@ -108,11 +108,11 @@
 	require.NotNil(t, w.leader())
 	const pieces, each = 30, 1_000
 	for k := range pieces {
-		var changes []configuration.Item
+		var changes []configsync.Item
 		for n := range each {
 			changes = append(changes, tenantOf(fmt.Sprintf("tenant-%d-%d", k, n), 1))
 		}
-		v := w.propose(t, 0, configuration.Command{Kind: configuration.Put, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes})
+		v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes})
 		require.True(t, v.Done, v.Refused)
 	}
 	w.run(w.now + 4_000*ms)
@@ -139,7 +139,7 @@
 	w.kill(lost)
 	w.machines[lost].disk = nil
 	w.start(lost)
-	w.propose(t, w.index(m), configuration.Command{Kind: configuration.Put, From: "b", Seq: 1, Base: 1, Changes: []configuration.Item{tenantOf("x", 1)}})
+	w.propose(t, w.index(m), configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantOf("x", 1)}})
 	w.run(w.now + 8_000*ms)
 	check(tables[w.index(m)], "a seat anew")
 	assert.Equal(t, uint64(2), w.machines[lost].seat.versions.table.Head().All.Version)
@@ -148,7 +148,7 @@
 	w.run(w.now + 4_000*ms)
 	for i, h := range w.heads() {
 		assert.Equal(t, uint64(2), h.All.Version, "seat %d is back from its disk", i)
-		assert.Equal(t, pieces*each+1, w.machines[i].seat.versions.table.Agreed().All.Len(configuration.Tenants))
+		assert.Equal(t, pieces*each+1, w.machines[i].seat.versions.table.Agreed().All.Len(configsync.Tenants))
 		assert.LessOrEqual(t, len(w.machines[i].seat.parts), 2)
 	}
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -6,11 +6,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
 	"topazpost/frame"
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/fleet/quota"
@@ -337,14 +337,14 @@
 }
 
 // orderAtSeat has this node's seat order what it wants ordered of itself.
-func (r *Reducer) orderAtSeat(command *configuration.Command) {
+func (r *Reducer) orderAtSeat(command *configsync.Command) {
 	if c := &r.claimed; c.seat != nil {
-		c.heard = append(c.heard, consensus.Input{Proposed: []configuration.Command{*command}})
+		c.heard = append(c.heard, consensus.Input{Proposed: []configsync.Command{*command}})
 	}
 }
 
 // agreedAtSeat is what this node's seat knows to be agreed on of the configuration, where that changed since it was last asked.
-func (r *Reducer) agreedAtSeat() (agreed *configuration.Agreed, changed bool) {
+func (r *Reducer) agreedAtSeat() (agreed *configsync.Agreed, changed bool) {
 	if c := &r.claimed; c.seat != nil {
 		return c.seat.Configured()
 	}
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/nodeconfig"
 )
 
@@ -23,10 +23,10 @@
 
 // configurationLetter is what nodes, and operators' commands, tell each other of the configuration.
 type configurationLetter struct {
-	From     string                  `cbor:"1,keyasint,omitempty"`
-	Message  *configuration.Message  `cbor:"2,keyasint,omitempty"` // between holders
-	Question *configuration.Question `cbor:"3,keyasint,omitempty"` // of a command
-	Answer   *configuration.Answer   `cbor:"4,keyasint,omitempty"` // to it
+	From     string               `cbor:"1,keyasint,omitempty"`
+	Message  *configsync.Message  `cbor:"2,keyasint,omitempty"` // between holders
+	Question *configsync.Question `cbor:"3,keyasint,omitempty"` // of a command
+	Answer   *configsync.Answer   `cbor:"4,keyasint,omitempty"` // to it
 }
 
 // body is a letter of it, without anything of membership's.
@@ -35,12 +35,12 @@
 }
 
 // AskConfiguration is the body of a letter by which a command asks, OpenConfiguration reads the answer.
-func AskConfiguration(q *configuration.Question) any {
+func AskConfiguration(q *configsync.Question) any {
 	return configurationBody{&configurationLetter{Question: q}}
 }
 
 // OpenConfiguration reads the answer to a question.
-func OpenConfiguration(text []byte, fleet envelope.Fleet) (*configuration.Answer, error) {
+func OpenConfiguration(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
 	var body configurationBody
 	if err := envelope.Open(text, fleet, &body); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 
 // VersionInForce is a version that came into force at this node.
 type VersionInForce struct {
-	Mark                    configuration.Mark
+	Mark                    configsync.Mark
 	After                   uint64 // the version before it
 	Source                  string // fleet; at a start disk or file
 	First                   bool   // as one of the first stage
@@ -63,63 +63,63 @@
 
 // ConfigurationState is what operators see of it.
 type ConfigurationState struct {
-	Version  uint64                 `json:"version"`
-	Digest   string                 `json:"digest"`
-	Source   string                 `json:"source"`
-	AgeNS    int64                  `json:"age_ns"`
-	HeardNS  int64                  `json:"seat_heard_ns"` // ago; -1 for never
-	Behind   bool                   `json:"behind,omitempty"`
-	BehindNS int64                  `json:"behind_ns,omitempty"`
-	Refused  uint64                 `json:"refused,omitempty"`
-	Why      string                 `json:"why,omitempty"`
-	Counters configuration.Counters `json:"counters"`
+	Version  uint64              `json:"version"`
+	Digest   string              `json:"digest"`
+	Source   string              `json:"source"`
+	AgeNS    int64               `json:"age_ns"`
+	HeardNS  int64               `json:"seat_heard_ns"` // ago; -1 for never
+	Behind   bool                `json:"behind,omitempty"`
+	BehindNS int64               `json:"behind_ns,omitempty"`
+	Refused  uint64              `json:"refused,omitempty"`
+	Why      string              `json:"why,omitempty"`
+	Counters configsync.Counters `json:"counters"`
 }
 
 // order is one of an operator.
 type order struct {
-	command      configuration.Command
+	command      configsync.Command
 	links        []int // exchanges that wait for its verdict
 	until, again int64
 }
 
 // taking is a version on its way into force: all of it is checked in a first pass, and taken in a second.
 type taking struct {
-	mark     configuration.Mark
+	mark     configsync.Mark
 	first    bool
 	only     bool // it is checked, and not taken
 	began    int64
-	old, new *configuration.Content
-	diff     *configuration.Difference
+	old, new *configsync.Content
+	diff     *configsync.Difference
 	checking *nodeconfig.Checking // nil in the second pass
 	version  version
 }
 
 // configuring is the door to the fleet's configuration in service. Without a holder it is shut: no timer, no cost.
 type configuring struct {
-	holder  *configuration.Holder
-	inputs  []configuration.Input
+	holder  *configsync.Holder
+	inputs  []configsync.Input
 	wakeAt  int64
-	view    configuration.View
+	view    configsync.View
 	hash    uint64 // of the view
 	seenAt  int64
 	fullAt  int64
 	early   []Effect // from before the first step
 	taking  *taking
-	agreed  *configuration.Agreed // of this node's seat
-	current bool                  // as the holder knows of that seat
-	orders  []*order              // by when they came
-	verdict []configuration.Verdict
+	agreed  *configsync.Agreed // of this node's seat
+	current bool               // as the holder knows of that seat
+	orders  []*order           // by when they came
+	verdict []configsync.Verdict
 }
 
 // Configure has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
 // Convene. It begins with what start holds; where that is not what the node's own file holds, it comes into force at once. On
 // an error nothing is changed.
-func (r *Reducer) Configure(now, seed int64, start configuration.Start, file *configuration.Content) error {
+func (r *Reducer) Configure(now, seed int64, start configsync.Start, file *configsync.Content) error {
 	v := version{number: start.Mark.Version}
 	if !r.hollow.on {
 		for _, take := range []bool{false, true} {
 			checking := r.config.Checking()
-			for diff := configuration.Diff(file, start.Content); ; {
+			for diff := configsync.Diff(file, start.Content); ; {
 				changes, err := r.changesOf(diff.Next(amendedAStep))
 				if err != nil {
 					return err
@@ -143,7 +143,7 @@
 		}
 	}
 	c := &r.configuring
-	c.holder = configuration.NewHolder(now, configuration.Terms{Name: r.peers.members.Self().Name, Seed: seed}, start)
+	c.holder = configsync.NewHolder(now, configsync.Terms{Name: r.peers.members.Self().Name, Seed: seed}, start)
 	if seat := r.claimed.seat; seat != nil {
 		seat.CheckConfiguration(r.unsound)
 	}
@@ -165,7 +165,7 @@
 }
 
 // changesOf reads items, and says which this node can't take.
-func (r *Reducer) changesOf(items []configuration.Item) ([]nodeconfig.Change, error) {
+func (r *Reducer) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
 	a, err := nodeconfig.Parse(plateItems(items))
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 	return a.Changes, r.misfits(a.Changes)
 }
 
-func plateItems(items []configuration.Item) []nodeconfig.Item {
+func plateItems(items []configsync.Item) []nodeconfig.Item {
 	list := make([]nodeconfig.Item, len(items))
 	for i := range items {
 		list[i] = nodeconfig.Item(items[i])
@@ -183,7 +183,7 @@
 
 // unsound says why a change must not be ordered, as a check of a file would; empty where it may. What only some nodes can't
 // take they refuse themselves, at the first stage.
-func (r *Reducer) unsound(command *configuration.Command) string {
+func (r *Reducer) unsound(command *configsync.Command) string {
 	if _, err := nodeconfig.Parse(plateItems(command.Changes)); err != nil {
 		return err.Error()
 	}
@@ -191,9 +191,9 @@
 	if agreed == nil || command.More || command.Piece > 0 || command.Base != agreed.Head.Newest {
 		return ""
 	}
-	left := agreed.Newest.Len(configuration.Operations)
+	left := agreed.Newest.Len(configsync.Operations)
 	for _, i := range command.Changes {
-		if i.Part != configuration.Operations {
+		if i.Part != configsync.Operations {
 			continue
 		}
 		if known := agreed.Newest.Get(i.Part, i.Name) != nil; known && len(i.Value) == 0 {
@@ -219,10 +219,10 @@
 		}
 	case in.Kind == PeerAsked && l.Question != nil:
 		r.fromOperator(in.Link, l.Question)
-	case in.Kind == PeerAsked && m != nil && m.Kind == configuration.Fetch:
-		c.inputs = append(c.inputs, configuration.Input{Kind: configuration.Asked, From: l.From, Link: in.Link, Message: m})
-	case in.Kind == PeerCame && m != nil && m.Kind >= configuration.Tell && m.Kind <= configuration.Vouch:
-		c.inputs = append(c.inputs, configuration.Input{Kind: configuration.Came, From: l.From, Message: m})
+	case in.Kind == PeerAsked && m != nil && m.Kind == configsync.Fetch:
+		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Asked, From: l.From, Link: in.Link, Message: m})
+	case in.Kind == PeerCame && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
+		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Came, From: l.From, Message: m})
 	default:
 		r.unusable(in, fmt.Errorf("%w: a letter of the configuration that does not belong there", envelope.ErrSpoilt))
 	}
@@ -234,13 +234,13 @@
 	if c.holder == nil {
 		return
 	}
-	next := configuration.Input{Kind: configuration.Missed, Link: in.Link - configurationLinks}
+	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configurationLinks}
 	if in.Kind == PeerAnswered {
 		var body configurationBody
 		if err := envelope.Open(in.Bytes, r.peers.fleet, &body); err != nil {
 			r.remark(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
-		} else if l := body.Configuration; l != nil && l.Message != nil && l.Message.Kind == configuration.Piece {
-			next.Kind, next.From, next.Message = configuration.Answered, l.From, l.Message
+		} else if l := body.Configuration; l != nil && l.Message != nil && l.Message.Kind == configsync.Piece {
+			next.Kind, next.From, next.Message = configsync.Answered, l.From, l.Message
 		}
 	}
 	c.inputs = append(c.inputs, next)
@@ -248,7 +248,7 @@
 
 // keptConfiguration takes word of the disk.
 func (r *Reducer) keptConfiguration(in *Input) {
-	next := configuration.Input{Kind: configuration.Saved}
+	next := configsync.Input{Kind: configsync.Saved}
 	if in.Err != nil {
 		next.Why = in.Err.Error()
 	}
@@ -268,7 +268,7 @@
 			t.checking.Add(changes)
 		case t.checking != nil && err == nil:
 			if err = t.checking.Err(); err == nil && !t.only {
-				t.checking, t.diff = nil, configuration.Diff(t.old, t.new)
+				t.checking, t.diff = nil, configsync.Diff(t.old, t.new)
 				continue
 			}
 		case t.checking == nil && r.Invariants.Check(err == nil, "a version that was checked can be taken") && len(items) > 0:
@@ -286,9 +286,9 @@
 func (r *Reducer) taken(t *taking, err error) {
 	c := &r.configuring
 	c.taking = nil
-	next := configuration.Input{Kind: configuration.Took, Mark: t.mark}
+	next := configsync.Input{Kind: configsync.Took, Mark: t.mark}
 	if t.only {
-		next.Kind = configuration.Checked
+		next.Kind = configsync.Checked
 	}
 	if err != nil {
 		r.Counters.VersionsRefused++
@@ -310,17 +310,17 @@
 	r.effects, c.early = append(r.effects, c.early...), nil
 	if agreed, changed := r.agreedAtSeat(); changed {
 		c.agreed = agreed
-		c.inputs = append(c.inputs, configuration.Input{Kind: configuration.Ordered, Agreed: agreed})
+		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
 	if seat := r.claimed.seat; seat != nil && seat.Current() != c.current {
 		c.current = !c.current
-		c.inputs = append(c.inputs, configuration.Input{Kind: configuration.Stood, Current: c.current})
+		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Stood, Current: c.current})
 	}
 	r.seeConfiguration()
 	for round := 0; round < roundsMost && (len(c.inputs) > 0 || round == 0 && r.now >= c.wakeAt); round++ {
 		inputs := c.inputs
 		c.inputs = nil
-		var effects []configuration.Effect
+		var effects []configsync.Effect
 		effects, c.wakeAt = c.holder.Step(r.now, inputs)
 		for k := range effects {
 			r.carryConfiguration(&effects[k])
@@ -343,40 +343,40 @@
 	}
 	c.hash, c.fullAt = hash, r.now+fullEvery
 	self := r.peers.members.Self().Name
-	c.view = configuration.View{Neighbours: neighbours, Zone: r.peers.members.InZone(),
+	c.view = configsync.View{Neighbours: neighbours, Zone: r.peers.members.InZone(),
 		Seats: slices.DeleteFunc(slices.Clone(r.claimed.seats), func(name string) bool { return name == self })}
 	view := c.view
-	c.inputs = append(c.inputs, configuration.Input{Kind: configuration.Viewed, View: &view})
+	c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Viewed, View: &view})
 }
 
-func (r *Reducer) carryConfiguration(e *configuration.Effect) {
+func (r *Reducer) carryConfiguration(e *configsync.Effect) {
 	c := &r.configuring
 	switch e.Kind {
-	case configuration.Send:
+	case configsync.Send:
 		r.sendConfiguration(e.To, e.Message)
-	case configuration.Exchange:
+	case configsync.Exchange:
 		link := configurationLinks + e.Link
 		if address, known := r.peers.members.AddressOf(e.To); known {
 			r.sealConfiguration(Effect{Kind: PeerExchange, Link: link, Address: address}, &configurationLetter{Message: e.Message})
 		} else {
-			c.inputs = append(c.inputs, configuration.Input{Kind: configuration.Missed, Link: e.Link})
+			c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Missed, Link: e.Link})
 		}
-	case configuration.Reply:
+	case configsync.Reply:
 		r.sealConfiguration(Effect{Kind: PeerReply, Link: e.Link}, &configurationLetter{Message: e.Message})
-	case configuration.Take, configuration.Check:
-		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configuration.Check, began: r.now, old: e.Old, new: e.New, diff: configuration.Diff(e.Old, e.New),
+	case configsync.Take, configsync.Check:
+		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configsync.Check, began: r.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
 			checking: r.config.Checking(), version: version{number: e.Mark.Version}}
 		if r.hollow.on { // it has no module that could not take it
 			r.taken(t, nil)
 			return
 		}
 		c.taking = t
-	case configuration.Persist:
+	case configsync.Persist:
 		kept := *e
 		r.do(Effect{Kind: KeepVersion, Persisting: &kept})
-	case configuration.Order:
+	case configsync.Order:
 		r.orderAtSeat(e.Command)
-	case configuration.Remark:
+	case configsync.Remark:
 		r.remark(map[bool]Level{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 	}
 }
@@ -387,7 +387,7 @@
 }
 
 // sendConfiguration sends a datagram; records that make it too long are left out, and will be fetched.
-func (r *Reducer) sendConfiguration(to string, m *configuration.Message) {
+func (r *Reducer) sendConfiguration(to string, m *configsync.Message) {
 	address, known := r.peers.members.AddressOf(to)
 	if !known {
 		return
@@ -405,27 +405,27 @@
 }
 
 // fromOperator answers a command, or has its order wait for a verdict.
-func (r *Reducer) fromOperator(link int, q *configuration.Question) {
+func (r *Reducer) fromOperator(link int, q *configsync.Question) {
 	c := &r.configuring
-	a := &configuration.Answer{Node: r.peers.members.Self().Name}
+	a := &configsync.Answer{Node: r.peers.members.Self().Name}
 	switch {
-	case q.Kind == configuration.ShowStanding:
+	case q.Kind == configsync.ShowStanding:
 		r.showConfiguration(a)
-	case q.Kind == configuration.ReadBlocks:
+	case q.Kind == configsync.ReadBlocks:
 		content := c.holder.Content()
 		a.Mark = c.holder.Mark()
-		if q.Which != configuration.InForce && c.agreed == nil {
+		if q.Which != configsync.InForce && c.agreed == nil {
 			a.Why = "it has no seat in the council, or its seat knows nothing yet"
-		} else if q.Which == configuration.ForAll {
+		} else if q.Which == configsync.ForAll {
 			content, a.Mark = c.agreed.All, c.agreed.Head.All
-		} else if q.Which == configuration.Newest {
-			content, a.Mark = c.agreed.Newest, configuration.Mark{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}
+		} else if q.Which == configsync.Newest {
+			content, a.Mark = c.agreed.Newest, configsync.Mark{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}
 		}
 		if a.Why == "" {
 			a.Blocks, a.Next = content.Blocks(q.From, answerBytes)
 		}
-	case q.Kind == configuration.Propose && q.Command != nil && q.Command.From != "" &&
-		(q.Command.Kind == configuration.Put || q.Command.Kind == configuration.Rollback):
+	case q.Kind == configsync.Propose && q.Command != nil && q.Command.From != "" &&
+		(q.Command.Kind == configsync.Put || q.Command.Kind == configsync.Rollback):
 		o := c.order(q.Command.From, q.Command.Seq)
 		if o == nil && len(c.orders) >= ordersMost {
 			a.Why = "too many orders wait here"
@@ -444,19 +444,19 @@
 }
 
 // showConfiguration says how this node stands, and at a seat what it knows of others.
-func (r *Reducer) showConfiguration(a *configuration.Answer) {
+func (r *Reducer) showConfiguration(a *configsync.Answer) {
 	c := &r.configuring
 	s := c.holder.Status(r.now)
 	a.Status, a.Mark = &s, s.Mark
 	for _, name := range r.claimed.seats {
 		address, _ := r.peers.members.AddressOf(name)
-		a.Seats = append(a.Seats, configuration.Place{Name: name, Address: address})
+		a.Seats = append(a.Seats, configsync.Place{Name: name, Address: address})
 	}
 	if c.agreed == nil {
 		return
 	}
-	seat := &configuration.AtSeat{Head: c.agreed.Head, Good: r.claimed.seat.GoodVersions(), Nodes: c.holder.Board.Standings(),
-		Newest: configuration.Mark{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}}
+	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: r.claimed.seat.GoodVersions(), Nodes: c.holder.Board.Standings(),
+		Newest: configsync.Mark{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}}
 	for k := range seat.Nodes {
 		seat.Nodes[k].At = r.now - seat.Nodes[k].At
 	}
@@ -475,7 +475,7 @@
 }
 
 // decided takes verdicts of the council.
-func (c *configuring) decided(list []configuration.Verdict) {
+func (c *configuring) decided(list []configsync.Verdict) {
 	if c.holder != nil {
 		c.verdict = append(c.verdict, list...)
 	}
@@ -487,13 +487,13 @@
 	for k := range c.verdict {
 		v := &c.verdict[k]
 		if o := c.order(v.From, v.Seq); o != nil {
-			r.endOrder(o, &configuration.Answer{Verdict: v})
+			r.endOrder(o, &configsync.Answer{Verdict: v})
 		}
 	}
 	c.verdict = nil
 	for _, o := range slices.Clone(c.orders) {
 		if r.now >= o.until {
-			r.endOrder(o, &configuration.Answer{Why: "no verdict of the council in time"})
+			r.endOrder(o, &configsync.Answer{Why: "no verdict of the council in time"})
 		} else if r.now >= o.again {
 			o.again = r.now + orderEvery
 			r.askCouncil(nil, nil, o.command)
@@ -501,7 +501,7 @@
 	}
 }
 
-func (r *Reducer) endOrder(o *order, a *configuration.Answer) {
+func (r *Reducer) endOrder(o *order, a *configsync.Answer) {
 	a.Node = r.peers.members.Self().Name
 	for _, link := range o.links {
 		r.sealConfiguration(Effect{Kind: PeerReply, Link: link}, &configurationLetter{Answer: a})
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -8,27 +8,27 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/membership"
 	"topazpost/nodeconfig"
 )
 
 // contentOf is what a config holds of what may change in service.
-func contentOf(t *testing.T, p *nodeconfig.Config) *configuration.Content {
+func contentOf(t *testing.T, p *nodeconfig.Config) *configsync.Content {
 	found, _ := nodeconfig.Diff(nil, p)
-	var items []configuration.Item
+	var items []configsync.Item
 	for i := range found {
-		items = append(items, configuration.Item(found[i]))
+		items = append(items, configsync.Item(found[i]))
 	}
-	content, err := new(configuration.Content).Apply(items)
+	content, err := new(configsync.Content).Apply(items)
 	require.NoError(t, err)
 	return content
 }
 
 // configuredNode is a node that serves, with the only seat of its council and its configuration in service; start changes what it
 // begins with.
-func configuredNode(t *testing.T, to Addresses, start func(file *configuration.Content) configuration.Start) (*Reducer, error) {
+func configuredNode(t *testing.T, to Addresses, start func(file *configsync.Content) configsync.Start) (*Reducer, error) {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
 	r := New(p, to, 5_000*ms, 4, 3)
@@ -50,12 +50,12 @@
 	return effects
 }
 
-func fromFile(file *configuration.Content) configuration.Start {
-	return configuration.Start{Mark: configuration.Mark{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
+func fromFile(file *configsync.Content) configsync.Start {
+	return configsync.Start{Mark: configsync.Mark{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
 
 // questioned is a node's answer to a question, with all effects up to it.
-func questioned(t *testing.T, r *Reducer, q *configuration.Question) (a *configuration.Answer, all []Effect) {
+func questioned(t *testing.T, r *Reducer, q *configsync.Question) (a *configsync.Answer, all []Effect) {
 	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), AskConfiguration(q))
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerAsked, Link: 3, From: "10.0.0.9:9", Bytes: text}}
@@ -77,17 +77,17 @@
 }
 
 // put has changes ordered on a version, and steps on until that version or a refusal of it shows.
-func put(t *testing.T, r *Reducer, from string, base uint64, items ...nodeconfig.Item) (v *configuration.Verdict, all []Effect) {
-	c := &configuration.Command{Kind: configuration.Put, From: from, Seq: 1, Base: base}
+func put(t *testing.T, r *Reducer, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
+	c := &configsync.Command{Kind: configsync.Put, From: from, Seq: 1, Base: base}
 	for _, i := range items {
 		if len(i.Value) > 0 {
 			var err error
-			i.Value, err = configuration.Canonical(i.Value)
+			i.Value, err = configsync.Canonical(i.Value)
 			require.NoError(t, err)
 		}
-		c.Changes = append(c.Changes, configuration.Item(i))
+		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	a, all := questioned(t, r, &configuration.Question{Kind: configuration.Propose, Command: c})
+	a, all := questioned(t, r, &configsync.Question{Kind: configsync.Propose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
 		if !a.Verdict.Done || r.Configuration().Version >= a.Verdict.Version || r.Configuration().Refused >= a.Verdict.Version {
@@ -143,7 +143,7 @@
 
 	v, _ = put(t, r, "c", 1, tenant("x", 3))
 	assert.True(t, v.Stale)
-	assert.ElementsMatch(t, []configuration.Item{{Part: nodeconfig.Operations, Name: "hold"}, {Part: nodeconfig.Operations, Name: "new"}}, v.Differ)
+	assert.ElementsMatch(t, []configsync.Item{{Part: nodeconfig.Operations, Name: "hold"}, {Part: nodeconfig.Operations, Name: "new"}}, v.Differ)
 	again, _ := put(t, r, "b", 7, operation("other", ""))
 	assert.Equal(t, uint64(2), again.Version, "the same request has the same verdict")
 }
@@ -185,7 +185,7 @@
 	for range 10 {
 		step(r)
 	}
-	a, _ := questioned(t, r, &configuration.Question{Kind: configuration.ShowStanding})
+	a, _ := questioned(t, r, &configsync.Question{Kind: configsync.ShowStanding})
 	assert.True(t, a.Seat.Head.Stopped, "it goes no further")
 	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.Seat.Head.Who, a.Seat.Head.All.Version})
 }
@@ -195,14 +195,14 @@
 	require.NoError(t, err)
 	servingNode(t, r)
 	content := r.configuring.holder.Content()
-	var items []configuration.Item
+	var items []configsync.Item
 	for k := range 10 * amendedAStep {
-		items = append(items, configuration.Item(tenant(fmt.Sprint("t", k), 1)))
+		items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
 	}
 	next, err := content.Apply(items)
 	require.NoError(t, err)
-	mark := configuration.Mark{Version: 9, Digest: next.Digest()}
-	r.carryConfiguration(&configuration.Effect{Kind: configuration.Take, Mark: mark, Old: content, New: next})
+	mark := configsync.Mark{Version: 9, Digest: next.Digest()}
+	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Mark: mark, Old: content, New: next})
 	steps := 0
 	for ; r.configuring.taking != nil; steps++ {
 		was := r.config.Tenants.Slots()
@@ -233,19 +233,19 @@
 		require.NoError(t, err)
 		servingNode(t, r)
 		before, content := r.config.Own(), r.configuring.holder.Content()
-		items := []configuration.Item{configuration.Item(c.item)}
+		items := []configsync.Item{configsync.Item(c.item)}
 		for k := range 3 * amendedAStep {
-			items = append(items, configuration.Item(tenant(fmt.Sprint("t", k), 1)))
+			items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
 		}
 		next, err := content.Apply(items)
 		require.NoError(t, err)
-		e := &configuration.Effect{Kind: configuration.Check, Mark: configuration.Mark{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
+		e := &configsync.Effect{Kind: configsync.Check, Mark: configsync.Mark{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
 		r.carryConfiguration(e)
 		require.NotNil(t, r.configuring.taking)
 		if c.taken {
 			step(r)
 			again := *e
-			again.Kind = configuration.Take
+			again.Kind = configsync.Take
 			r.carryConfiguration(&again)
 		}
 		var all []Effect
@@ -263,15 +263,15 @@
 }
 
 func TestStartIsFromTheDiskWhereItCanBeTaken(t *testing.T) {
-	kept := func(items ...nodeconfig.Item) func(file *configuration.Content) configuration.Start {
-		return func(file *configuration.Content) configuration.Start {
-			var list []configuration.Item
+	kept := func(items ...nodeconfig.Item) func(file *configsync.Content) configsync.Start {
+		return func(file *configsync.Content) configsync.Start {
+			var list []configsync.Item
 			for _, i := range items {
-				list = append(list, configuration.Item(i))
+				list = append(list, configsync.Item(i))
 			}
 			content, err := file.Apply(list)
 			require.NoError(t, err)
-			return configuration.Start{Mark: configuration.Mark{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
+			return configsync.Start{Mark: configsync.Mark{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
 		}
 	}
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removed(nodeconfig.Operations, "hold")))
@@ -291,7 +291,7 @@
 
 func TestLettersOfTheConfigurationAreToldFromMembership(t *testing.T) {
 	fleet := envelope.FleetOf("mobilier")
-	text, err := envelope.Seal(nil, fleet, AskConfiguration(&configuration.Question{Kind: configuration.ShowStanding}))
+	text, err := envelope.Seal(nil, fleet, AskConfiguration(&configsync.Question{Kind: configsync.ShowStanding}))
 	require.NoError(t, err)
 	var older membership.Message
 	require.NoError(t, envelope.Open(text, fleet, &older))
@@ -312,25 +312,25 @@
 func TestVersionOfChangesThatLieApartIsTakenOverSteps(t *testing.T) {
 	const tenants, changed, most = 40_000, 600, 128 // most a step: each lies in a block of 13 kB
 	note := strings.Repeat("n", 280)
-	var own, next *configuration.Content
-	r, err := configuredNode(t, Addresses{}, func(file *configuration.Content) configuration.Start {
-		var all, some []configuration.Item
+	var own, next *configsync.Content
+	r, err := configuredNode(t, Addresses{}, func(file *configsync.Content) configsync.Start {
+		var all, some []configsync.Item
 		for k := range tenants {
-			all = append(all, configuration.Item{Part: configuration.Tenants, Name: fmt.Sprint("tenant-", k), Value: fmt.Appendf(nil, `{"note":%q,"quota_rps":1}`, note)})
+			all = append(all, configsync.Item{Part: configsync.Tenants, Name: fmt.Sprint("tenant-", k), Value: fmt.Appendf(nil, `{"note":%q,"quota_rps":1}`, note)})
 		}
 		for k := range changed {
-			some = append(some, configuration.Item{Part: configuration.Tenants, Name: fmt.Sprint("tenant-", 60*k), Value: fmt.Appendf(nil, `{"note":%q,"quota_rps":2}`, note)})
+			some = append(some, configsync.Item{Part: configsync.Tenants, Name: fmt.Sprint("tenant-", 60*k), Value: fmt.Appendf(nil, `{"note":%q,"quota_rps":2}`, note)})
 		}
 		var err error
 		own, err = file.Apply(all)
 		require.NoError(t, err)
 		next, err = own.Apply(some)
 		require.NoError(t, err)
-		return configuration.Start{Mark: configuration.Mark{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
+		return configsync.Start{Mark: configsync.Mark{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
 	})
 	require.NoError(t, err)
 	servingNode(t, r)
-	r.carryConfiguration(&configuration.Effect{Kind: configuration.Take, Old: own, New: next, Mark: configuration.Mark{Version: 2, Digest: next.Digest()}})
+	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Mark{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
 	for ; r.configuring.taking != nil; steps++ {
 		taking := r.configuring.taking
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -3,8 +3,8 @@
 package node
 
 import (
-	"topazpost/configuration"
 	"topazpost/frame"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
@@ -139,7 +139,7 @@
 	Kept    *resultcache.Stored
 	Version uint64 // Amended
 
-	Write      *consensus.Write      // Persist
-	Persisting *configuration.Effect // KeepVersion
-	InForce    *VersionInForce       // InForce
+	Write      *consensus.Write   // Persist
+	Persisting *configsync.Effect // KeepVersion
+	InForce    *VersionInForce    // InForce
 }
--- a/lab/capacity/changes.go
+++ b/lab/capacity/changes.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/node"
 	"topazpost/lab/hollow"
 	"topazpost/nodeconfig"
@@ -121,7 +121,7 @@
 
 var errVerdict = errors.New("no verdict in time")
 
-func question(address string, q *configuration.Question) (*configuration.Answer, error) {
+func question(address string, q *configsync.Question) (*configsync.Answer, error) {
 	name := envelope.FleetOf(fleetName)
 	ask, err := envelope.Seal(nil, name, node.AskConfiguration(q))
 	if err != nil {
@@ -135,13 +135,13 @@
 }
 
 // put has changes agreed on, made on the newest version.
-func (o *operator) put(items []configuration.Item) error {
+func (o *operator) put(items []configsync.Item) error {
 	o.puts++
-	c := &configuration.Command{Kind: configuration.Put, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
+	c := &configsync.Command{Kind: configsync.Put, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
 		Wall: time.Now().UnixNano()}
 	end := time.Now().Add(verdictMost)
 	for k := 0; ; k++ {
-		a, err := question(o.seats[k%len(o.seats)], &configuration.Question{Kind: configuration.Propose, Command: c})
+		a, err := question(o.seats[k%len(o.seats)], &configsync.Question{Kind: configsync.Propose, Command: c})
 		switch {
 		case err == nil && a.Verdict != nil && a.Verdict.Done:
 			o.version = a.Verdict.Version
@@ -168,7 +168,7 @@
 			group.Go(func() {
 				defer func() { <-places }()
 				began := time.Now()
-				a, err := question(address, &configuration.Question{Kind: configuration.ShowStanding})
+				a, err := question(address, &configsync.Question{Kind: configsync.ShowStanding})
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || a.Status == nil || a.Status.Mark.Version < version {
@@ -189,8 +189,8 @@
 }
 
 // tenantChange gives one tenant in turn a quota that differs from the last one.
-func tenantChange(n int) []configuration.Item {
-	return []configuration.Item{{Part: configuration.Tenants, Name: tenantName(n % changedTenants), Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+n)}}
+func tenantChange(n int) []configsync.Item {
+	return []configsync.Item{{Part: configsync.Tenants, Name: tenantName(n % changedTenants), Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+n)}}
 }
 
 // inService has a fleet of hollow nodes take changes at a rate.
@@ -267,7 +267,7 @@
 }
 
 // usualItems are those of hollow nodes' own files.
-func usualItems() (list []configuration.Item, err error) {
+func usualItems() (list []configsync.Item, err error) {
 	var fields map[string]any
 	if err := json.Unmarshal(hollow.UsualConfig(), &fields); err != nil {
 		return nil, err
@@ -283,7 +283,7 @@
 	}
 	found, _ := nodeconfig.Diff(nil, n.Settings)
 	for _, i := range found {
-		list = append(list, configuration.Item(i))
+		list = append(list, configsync.Item(i))
 	}
 	return list, nil
 }
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/lab/mesh"
@@ -63,8 +63,8 @@
 
 // kept is a node's file: as sound as its digest.
 type kept struct {
-	mark    configuration.Mark
-	content *configuration.Content
+	mark    configsync.Mark
+	content *configsync.Content
 }
 
 // taken says since when a node has a version in force.
@@ -79,8 +79,8 @@
 type life struct {
 	f       *versions
 	m       *member
-	holder  *configuration.Holder
-	inbox   []configuration.Input
+	holder  *configsync.Holder
+	inbox   []configsync.Input
 	woken   alarm // of the holder
 	asked   map[int]func(body any, size int)
 	links   int
@@ -111,10 +111,10 @@
 	callers  []*putter
 	changes  []*change
 	agreedAt map[uint64]int64
-	digests  map[uint64]configuration.Digest
-	records  map[uint64]*configuration.Record
-	last     *configuration.Agreed // the newest that a seat told
-	apart    map[*member]bool      // in the region that is cut off
+	digests  map[uint64]configsync.Digest
+	records  map[uint64]*configsync.Record
+	last     *configsync.Agreed // the newest that a seat told
+	apart    map[*member]bool   // in the region that is cut off
 	wrong    []string
 	back     int // versions that went back
 	forked   int // versions with two contents
@@ -132,9 +132,9 @@
 func newVersions(n *Night, seed int64) *versions {
 	t := n.Versions
 	f := &versions{Mesh: mesh.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), night: n, terms: t, byName: map[string]*member{},
-		chance: rand.New(rand.NewSource(seed)), agreedAt: map[uint64]int64{}, digests: map[uint64]configuration.Digest{},
-		records: map[uint64]*configuration.Record{}, apart: map[*member]bool{}, last: &configuration.Agreed{}}
-	f.digests[0] = configuration.Digest{}
+		chance: rand.New(rand.NewSource(seed)), agreedAt: map[uint64]int64{}, digests: map[uint64]configsync.Digest{},
+		records: map[uint64]*configsync.Record{}, apart: map[*member]bool{}, last: &configsync.Agreed{}}
+	f.digests[0] = configsync.Digest{}
 	f.Spread(t.Regions, t.Zones)
 	var seats []int
 	for k := range t.Seats {
@@ -167,14 +167,14 @@
 // begin is a new life of a node: from its disk, or from a file without anything.
 func (f *versions) begin(n *mesh.Node) mesh.Payload {
 	m := f.byName[n.Name]
-	start := configuration.Start{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
+	start := configsync.Start{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
 	l := &life{f: f, m: m, asked: map[int]func(any, int){}, fresh: m.disk.content == nil}
 	if l.fresh {
-		start = configuration.Start{Content: &configuration.Content{}, Source: "file"}
+		start = configsync.Start{Content: &configsync.Content{}, Source: "file"}
 	}
 	l.woken.step, l.seated.step = l.step, l.stepSeat
 	m.life = l
-	l.holder = configuration.NewHolder(f.Now, configuration.Terms{Name: n.Name, Seed: f.chance.Int63()}, start)
+	l.holder = configsync.NewHolder(f.Now, configsync.Terms{Name: n.Name, Seed: f.chance.Int63()}, start)
 	if s := l.holder.Status(f.Now); s.Mark != m.disk.mark || s.Source != start.Source {
 		f.wrong = append(f.wrong, fmt.Sprintf("%s starts from its %s with version %d, and kept %d", n.Name, s.Source, s.Mark.Version, m.disk.mark.Version))
 	}
@@ -208,15 +208,15 @@
 	}
 }
 
-func (l *life) view() configuration.Input {
-	v := &configuration.View{}
+func (l *life) view() configsync.Input {
+	v := &configsync.View{}
 	v.Neighbours, v.Zone = l.m.Around()
 	for _, s := range l.f.seats {
 		if s != l.m.Name {
 			v.Seats = append(v.Seats, s)
 		}
 	}
-	return configuration.Input{Kind: configuration.Viewed, View: v}
+	return configsync.Input{Kind: configsync.Viewed, View: v}
 }
 
 func (l *life) look() {
@@ -242,9 +242,9 @@
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	switch msg := p.body.(type) {
-	case *configuration.Message:
+	case *configsync.Message:
 		again := *msg
-		l.give(configuration.Input{Kind: configuration.Came, From: from.Name, Message: &again})
+		l.give(configsync.Input{Kind: configsync.Came, From: from.Name, Message: &again})
 	case []byte:
 		got := new(consensus.Message)
 		if err := cbor.Unmarshal(msg, got); err != nil {
@@ -261,11 +261,11 @@
 	l.m.spend(l.f.Now, p.size)
 	l.links++
 	l.asked[l.links] = reply
-	again := *p.body.(*configuration.Message)
-	l.give(configuration.Input{Kind: configuration.Asked, From: from.Name, Link: l.links, Message: &again})
+	again := *p.body.(*configsync.Message)
+	l.give(configsync.Input{Kind: configsync.Asked, From: from.Name, Link: l.links, Message: &again})
 }
 
-func (l *life) give(in configuration.Input) {
+func (l *life) give(in configsync.Input) {
 	l.inbox = append(l.inbox, in)
 	l.wake(l.f.Now)
 }
@@ -309,58 +309,58 @@
 	return len(b)
 }
 
-func (l *life) carry(e *configuration.Effect) {
+func (l *life) carry(e *configsync.Effect) {
 	f, m := l.f, l.m
 	switch e.Kind {
-	case configuration.Send:
+	case configsync.Send:
 		if to := f.byName[e.To]; to != nil {
 			size := sized(e.Message)
 			m.spend(f.Now, size)
 			m.Tell(to.Node, parcel{e.Message, size}, size)
 		}
-	case configuration.Exchange:
+	case configsync.Exchange:
 		to, link, size := f.byName[e.To], e.Link, sized(e.Message)
 		m.spend(f.Now, size)
 		m.Ask(to.Node, parcel{e.Message, size}, size, func(body any, ok bool) {
 			if !ok {
-				l.give(configuration.Input{Kind: configuration.Missed, Link: link})
+				l.give(configsync.Input{Kind: configsync.Missed, Link: link})
 				return
 			}
 			p := body.(parcel)
 			m.spend(f.Now, p.size)
-			again := *p.body.(*configuration.Message)
-			l.give(configuration.Input{Kind: configuration.Answered, Link: link, Message: &again})
+			again := *p.body.(*configsync.Message)
+			l.give(configsync.Input{Kind: configsync.Answered, Link: link, Message: &again})
 		})
-	case configuration.Reply:
+	case configsync.Reply:
 		if reply := l.asked[e.Link]; reply != nil {
 			delete(l.asked, e.Link)
 			size := sized(e.Message)
 			m.spend(f.Now, size)
 			reply(parcel{e.Message, size}, size)
 		}
-	case configuration.Take, configuration.Check:
+	case configsync.Take, configsync.Check:
 		l.take(e)
-	case configuration.Persist:
+	case configsync.Persist:
 		next := kept{e.Mark, e.New}
 		m.Later(f.chance.Int63n(writeMost), func() {
 			m.disk = next
-			l.give(configuration.Input{Kind: configuration.Saved})
+			l.give(configsync.Input{Kind: configsync.Saved})
 		})
-	case configuration.Order:
+	case configsync.Order:
 		if l.council != nil {
-			l.seatGets(consensus.Input{Proposed: []configuration.Command{*e.Command}})
+			l.seatGets(consensus.Input{Proposed: []configsync.Command{*e.Command}})
 		}
 	}
 }
 
 // take has a version in force at a node, or only checks it, or refuses it.
-func (l *life) take(e *configuration.Effect) {
+func (l *life) take(e *configsync.Effect) {
 	f, m, mark := l.f, l.m, e.Mark
 	if want, agreed := f.digests[mark.Version]; !agreed || want != mark.Digest || e.New.Digest() != mark.Digest {
 		f.wrong = append(f.wrong, fmt.Sprintf("%s takes %s as version %d, which is %s", m.Name, e.New.Digest(), mark.Version, want))
 	}
 	why := ""
-	if m.old && string(e.New.Get(configuration.Operations, "new")) == newBuild {
+	if m.old && string(e.New.Get(configsync.Operations, "new")) == newBuild {
 		why = "operations new is of a later build"
 	}
 	m.Later(f.chance.Int63n(takeMost), func() {
@@ -368,7 +368,7 @@
 			if f.refused++; f.refused <= lateNamed {
 				f.say("%s refuses version %d, first stage %t", m.Name, mark.Version, e.First)
 			}
-		} else if e.Kind == configuration.Take {
+		} else if e.Kind == configsync.Take {
 			if k := len(m.held); k > 0 && mark.Version <= m.held[k-1].version {
 				f.back++
 				f.say("%s goes from version %d to %d", m.Name, m.held[k-1].version, mark.Version)
@@ -379,9 +379,9 @@
 				f.recovers = append(f.recovers, seconds(f.Now-m.Started))
 			}
 		}
-		answer := configuration.Input{Kind: configuration.Took, Mark: mark, Why: why}
-		if e.Kind == configuration.Check {
-			answer.Kind = configuration.Checked
+		answer := configsync.Input{Kind: configsync.Took, Mark: mark, Why: why}
+		if e.Kind == configsync.Check {
+			answer.Kind = configsync.Checked
 		}
 		l.give(answer)
 	})
@@ -413,11 +413,11 @@
 		if agreed != nil {
 			f.note(agreed)
 		}
-		l.give(configuration.Input{Kind: configuration.Ordered, Agreed: agreed})
+		l.give(configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
 	if current := l.council.Current(); current != l.current {
 		l.current = current
-		l.give(configuration.Input{Kind: configuration.Stood, Current: current})
+		l.give(configsync.Input{Kind: configsync.Stood, Current: current})
 	}
 	l.wakeSeat(next)
 }
@@ -483,7 +483,7 @@
 }
 
 // note follows what seats agreed on: one version has one content.
-func (f *versions) note(a *configuration.Agreed) {
+func (f *versions) note(a *configsync.Agreed) {
 	for k := len(a.Log) - 1; k >= 0; k-- {
 		r := a.Log[k]
 		if d, known := f.digests[r.Version]; !known {
--- a/lab/rig/versions_play.go
+++ b/lab/rig/versions_play.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"topazpost/configuration"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 )
 
@@ -30,7 +30,7 @@
 
 // change is one that a caller wants.
 type change struct {
-	item    configuration.Item
+	item    configsync.Item
 	version uint64 // 0 until it is acknowledged
 	isNew   bool
 }
@@ -42,7 +42,7 @@
 	base    uint64
 	waiting []*change
 	inHand  []*change
-	command *configuration.Command
+	command *configsync.Command
 	sent    int64
 	begun   int64
 }
@@ -52,7 +52,7 @@
 	command := c.command
 	c.sent = f.Now
 	if m := f.byName[f.seats[f.chance.Intn(len(f.seats))]]; m.Up {
-		in := consensus.Input{Proposed: []configuration.Command{*command}, Owner: claims.Owner{Name: c.name, Life: 1}}
+		in := consensus.Input{Proposed: []configsync.Command{*command}, Owner: claims.Owner{Name: c.name, Life: 1}}
 		f.After(ms, func() {
 			if m.Up && m.life != nil {
 				m.life.seatGets(in)
@@ -80,7 +80,7 @@
 	c.inHand, c.waiting = c.waiting[:n], c.waiting[n:]
 	c.begun = f.Now
 	c.seq++
-	c.command = &configuration.Command{Kind: configuration.Put, From: c.name, Seq: c.seq, Base: c.base}
+	c.command = &configsync.Command{Kind: configsync.Put, From: c.name, Seq: c.seq, Base: c.base}
 	for _, x := range c.inHand {
 		c.command.Changes = append(c.command.Changes, x.item)
 	}
@@ -88,7 +88,7 @@
 }
 
 // decided is what a caller is told.
-func (f *versions) decided(c *putter, list []configuration.Verdict) {
+func (f *versions) decided(c *putter, list []configsync.Verdict) {
 	for i := range list {
 		v := &list[i]
 		if c.command == nil || v.Seq != c.command.Seq {
@@ -112,7 +112,7 @@
 				f.say("version %d is of a later build", v.Version)
 			}
 		}
-		if c.command.Kind == configuration.Rollback {
+		if c.command.Kind == configsync.Rollback {
 			f.holding = false
 			f.say("version %d takes it back", v.Version)
 		} else if len(c.inHand) > 0 {
@@ -126,7 +126,7 @@
 }
 
 // stopped has an operator take back what was stopped, or what came through though some can't take it.
-func (f *versions) stopped(h *configuration.Head) {
+func (f *versions) stopped(h *configsync.Head) {
 	if f.bad == 0 || !(h.Stopped && h.First.Version >= f.bad || h.All.Version >= f.bad) {
 		return
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	c.seq++
-	c.command = &configuration.Command{Kind: configuration.Rollback, From: c.name, Seq: c.seq, Version: to}
+	c.command = &configsync.Command{Kind: configsync.Rollback, From: c.name, Seq: c.seq, Version: to}
 	f.ask(c)
 }
 
@@ -155,7 +155,7 @@
 	for _, name := range f.seats {
 		f.byName[name].Start()
 	}
-	var items []configuration.Item
+	var items []configsync.Item
 	for k := range max(1, f.terms.Tenants) {
 		items = append(items, f.tenant(k, 0))
 	}
@@ -163,7 +163,7 @@
 	f.callers = append(f.callers, file)
 	for k := 0; k < len(items); k += pieceMost {
 		file.seq++
-		file.command = &configuration.Command{Kind: configuration.Put, From: file.name, Seq: file.seq, Piece: k / pieceMost,
+		file.command = &configsync.Command{Kind: configsync.Put, From: file.name, Seq: file.seq, Piece: k / pieceMost,
 			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
 		f.ask(file)
 		if f.Until(loadFor, func() bool { return file.command == nil }) < 0 {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-func (f *versions) tenant(k, count int) configuration.Item {
-	return configuration.Item{Part: configuration.Tenants, Name: fmt.Sprintf("tenant-%05d", k),
+func (f *versions) tenant(k, count int) configsync.Item {
+	return configsync.Item{Part: configsync.Tenants, Name: fmt.Sprintf("tenant-%05d", k),
 		Value: fmt.Appendf(nil, itemText, f.chance.Uint32(), count)}
 }
 
@@ -213,7 +213,7 @@
 			count++
 			x := &change{isNew: c.New, item: f.tenant(f.chance.Intn(f.terms.Tenants), count)}
 			if c.New {
-				x.item = configuration.Item{Part: configuration.Operations, Name: "new", Value: []byte(newBuild)}
+				x.item = configsync.Item{Part: configsync.Operations, Name: "new", Value: []byte(newBuild)}
 			}
 			f.changes = append(f.changes, x)
 			by := f.callers[f.chance.Intn(len(f.callers))]
@@ -405,12 +405,12 @@
 	x["gone_back"], x["two_contents"], x["stops"], x["refusals"] = float64(f.back), float64(f.forked), float64(f.stops), float64(f.refused)
 	x["put_s"], x["recovered_s"], x["recoveries"] = quantile(f.puts, 0.99), quantile(f.recovers, 1), float64(len(f.recovers))
 	x["changes"], x["versions"] = float64(len(f.changes)), float64(f.last.Head.Newest)
-	unanswered, lost, lies, digests := 0, 0, 0, map[configuration.Mark]int{}
+	unanswered, lost, lies, digests := 0, 0, 0, map[configsync.Mark]int{}
 	for _, c := range f.changes {
 		switch r := f.records[c.version]; {
 		case c.version == 0:
 			unanswered++
-		case r == nil || c.version > f.last.Head.Newest || !slices.ContainsFunc(r.Changes, func(i configuration.Item) bool {
+		case r == nil || c.version > f.last.Head.Newest || !slices.ContainsFunc(r.Changes, func(i configsync.Item) bool {
 			return i.Part == c.item.Part && i.Name == c.item.Name
 		}):
 			lost++
@@ -424,12 +424,12 @@
 	for k, m := range f.members {
 		mark, content := m.life.holder.Mark(), m.life.holder.Content()
 		if digests[mark]++; content.Digest() != mark.Digest {
-			digests[configuration.Mark{}]++
+			digests[configsync.Mark{}]++
 		}
 		if (k*rebuilt)%len(f.members) < rebuilt { // from its items
-			again, err := (&configuration.Content{}).Apply(slices.Collect(content.All))
+			again, err := (&configsync.Content{}).Apply(slices.Collect(content.All))
 			if err != nil || again.Digest() != mark.Digest {
-				digests[configuration.Mark{}]++
+				digests[configsync.Mark{}]++
 			}
 		}
 		lies += m.life.holder.Counters.Lies
--- a/lab/rig/versions_processes.go
+++ b/lab/rig/versions_processes.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"topazpost/configuration"
 	"topazpost/envelope"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/node"
 	"topazpost/lab/world"
 	"topazpost/nodeconfig"
@@ -37,14 +37,14 @@
 	fleet envelope.Fleet
 
 	mu     sync.Mutex
-	marks  map[uint64]configuration.Digest // as nodes had them in force
-	has    []configuration.Mark
+	marks  map[uint64]configsync.Digest // as nodes had them in force
+	has    []configsync.Mark
 	up     []bool
 	lives  []int
 	began  []int64    // of each node's life
 	empty  []bool     // without a disk, and nothing was in force since
 	bytes  [][]sample // of each node, since its last start
-	agreed configuration.AtSeat
+	agreed configsync.AtSeat
 	undone [][2]uint64 // versions between these two were taken back by the second
 	ask    chan struct{}
 }
@@ -77,7 +77,7 @@
 }
 
 // question asks a node.
-func (f *polled) question(i int, q *configuration.Question) (*configuration.Answer, error) {
+func (f *polled) question(i int, q *configsync.Question) (*configsync.Answer, error) {
 	text, err := envelope.Seal(nil, f.fleet, node.AskConfiguration(q))
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 		f.mu.Unlock()
 		if up {
 			f.ask <- struct{}{}
-			a, err := f.question(i, &configuration.Question{Kind: configuration.ShowStanding})
+			a, err := f.question(i, &configsync.Question{Kind: configsync.ShowStanding})
 			now := f.p.now()
 			<-f.ask
 			if err == nil && a.Status != nil {
@@ -111,7 +111,7 @@
 }
 
 // told notes what a node has: since when, and whether that went back.
-func (f *polled) told(i, life int, now int64, a *configuration.Answer) {
+func (f *polled) told(i, life int, now int64, a *configsync.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lives[i] != life || !f.up[i] {
@@ -155,14 +155,14 @@
 }
 
 // put has one command ordered, at one seat after the other until there is a verdict.
-func (f *polled) put(ctx context.Context, c *configuration.Command, chance *rand.Rand) *configuration.Verdict {
+func (f *polled) put(ctx context.Context, c *configsync.Command, chance *rand.Rand) *configsync.Verdict {
 	for ctx.Err() == nil {
 		i := chance.Intn(f.terms.Seats)
 		f.mu.Lock()
 		up := f.up[i]
 		f.mu.Unlock()
 		if up {
-			if a, err := f.question(i, &configuration.Question{Kind: configuration.Propose, Command: c}); err == nil && a.Verdict != nil {
+			if a, err := f.question(i, &configsync.Question{Kind: configsync.Propose, Command: c}); err == nil && a.Verdict != nil {
 				return a.Verdict
 			}
 		}
@@ -185,7 +185,7 @@
 		}
 		some, began := list[:n], f.p.now()
 		list = list[n:]
-		command := &configuration.Command{Kind: configuration.Put, From: "rig"}
+		command := &configsync.Command{Kind: configsync.Put, From: "rig"}
 		for _, x := range some {
 			command.Changes = append(command.Changes, x.item)
 		}
@@ -207,7 +207,7 @@
 }
 
 // until puts a command anew on the newest version until it is done.
-func (f *polled) until(ctx context.Context, command *configuration.Command, seq, base *uint64, chance *rand.Rand) *configuration.Verdict {
+func (f *polled) until(ctx context.Context, command *configsync.Command, seq, base *uint64, chance *rand.Rand) *configsync.Verdict {
 	for ctx.Err() == nil {
 		again := *command
 		*seq++
@@ -244,7 +244,7 @@
 			time.Sleep(putPause)
 			continue
 		}
-		v := f.until(ctx, &configuration.Command{Kind: configuration.Rollback, From: "rig", Version: to}, seq, base, chance)
+		v := f.until(ctx, &configsync.Command{Kind: configsync.Rollback, From: "rig", Version: to}, seq, base, chance)
 		if v != nil {
 			f.mu.Lock()
 			f.undone = append(f.undone, [2]uint64{to, v.Version})
@@ -268,7 +268,7 @@
 		for at := start + int64(c.At); at < last; at += int64(c.Every) {
 			x := &change{isNew: c.New, item: tenantOf(f.chance.Intn(f.terms.Tenants), len(list)+1)}
 			if c.New {
-				x.item = configuration.Item{Part: configuration.Operations, Name: "new", Value: []byte(newItem)}
+				x.item = configsync.Item{Part: configsync.Operations, Name: "new", Value: []byte(newItem)}
 			}
 			f.changes, list = append(f.changes, x), append(list, timed{x, at})
 			if c.Every <= 0 {
@@ -280,15 +280,15 @@
 	return list
 }
 
-func tenantOf(k, count int) configuration.Item {
-	return configuration.Item{Part: configuration.Tenants, Name: fmt.Sprintf("tenant-%05d", k), Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+count)}
+func tenantOf(k, count int) configsync.Item {
+	return configsync.Item{Part: configsync.Tenants, Name: fmt.Sprintf("tenant-%05d", k), Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+count)}
 }
 
 // playVersionsOnProcesses plays the same on built daemons, hollow nodes and processes that are seats.
 func (n *Night) playVersionsOnProcesses(p *processes, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
-	f := &polled{versions: newVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configuration.Digest{},
-		has: make([]configuration.Mark, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
+	f := &polled{versions: newVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
+		has: make([]configsync.Mark, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
 		ask: make(chan struct{}, asksMost)}
 	f.World = world.New(seed, 0)
 	for i, m := range f.members {
@@ -363,10 +363,10 @@
 	if err != nil {
 		return 0, err
 	}
-	var items []configuration.Item
+	var items []configsync.Item
 	found, _ := nodeconfig.Diff(nil, n.Settings)
 	for k := range found {
-		items = append(items, configuration.Item(found[k]))
+		items = append(items, configsync.Item(found[k]))
 	}
 	for k := range f.terms.Tenants {
 		items = append(items, tenantOf(k, 0))
@@ -375,7 +375,7 @@
 	defer stop()
 	chance, version := rand.New(rand.NewSource(f.p.seed)), uint64(0)
 	for k := 0; k < len(items); k += pieceMost {
-		c := &configuration.Command{Kind: configuration.Put, From: "file", Seq: uint64(k/pieceMost) + 1, Piece: k / pieceMost,
+		c := &configsync.Command{Kind: configsync.Put, From: "file", Seq: uint64(k/pieceMost) + 1, Piece: k / pieceMost,
 			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
 		v := f.put(ctx, c, chance)
 		if v == nil || !v.Done {
@@ -385,7 +385,7 @@
 	}
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		behind := slices.IndexFunc(f.has, func(m configuration.Mark) bool { return m.Version < version })
+		behind := slices.IndexFunc(f.has, func(m configsync.Mark) bool { return m.Version < version })
 		f.mu.Unlock()
 		if behind < 0 {
 			return version, nil
@@ -403,7 +403,7 @@
 	for _, c := range f.changes {
 		newest = max(newest, c.version)
 	}
-	return !slices.ContainsFunc(f.has, func(m configuration.Mark) bool { return m.Version < newest })
+	return !slices.ContainsFunc(f.has, func(m configsync.Mark) bool { return m.Version < newest })
 }
 
 // trouble is a fault with when it begins, or ends.
@@ -460,7 +460,7 @@
 	for _, i := range list {
 		f.up[i] = true
 		f.lives[i]++
-		f.has[i], f.began[i] = configuration.Mark{}, now
+		f.has[i], f.began[i] = configsync.Mark{}, now
 	}
 	f.lookAround(now)
 	return nil
@@ -602,7 +602,7 @@
 		}
 	}
 	x["unanswered"] = float64(unanswered)
-	digests := map[configuration.Mark]bool{}
+	digests := map[configsync.Mark]bool{}
 	for _, m := range f.has {
 		digests[m] = true
 	}
@@ -621,22 +621,22 @@
 		}
 	}
 	for i := range f.terms.Seats {
-		var blocks []configuration.Block
-		var mark configuration.Mark
+		var blocks []configsync.Block
+		var mark configsync.Mark
 		for from, more := 0, true; more; {
-			a, err := f.question(i, &configuration.Question{Kind: configuration.ReadBlocks, Which: configuration.Newest, From: from})
+			a, err := f.question(i, &configsync.Question{Kind: configsync.ReadBlocks, Which: configsync.Newest, From: from})
 			if err != nil || a.Why != "" {
 				blocks = nil
 				break
 			}
 			blocks, mark, from, more = append(blocks, a.Blocks...), a.Mark, a.Next, a.Next > 0
 		}
-		content := configuration.FromBlocks(blocks, mark.Digest)
+		content := configsync.FromBlocks(blocks, mark.Digest)
 		if content == nil || len(blocks) == 0 {
 			continue
 		}
 		for part, c := range last {
-			if got := content.Get(configuration.Tenants, part); !bytes.Equal(got, c.item.Value) {
+			if got := content.Get(configsync.Tenants, part); !bytes.Equal(got, c.item.Value) {
 				count++
 			}
 		}
--- a/server/config_test.go
+++ b/server/config_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/configuration"
 	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/nodeconfig"
 )
 
@@ -115,7 +115,7 @@
 	content, err := contentOf(n.Settings)
 	require.NoError(t, err)
 	assert.Less(t, live()-before, uint64(100*tenants))
-	assert.Equal(t, tenants, content.Len(configuration.Tenants))
+	assert.Equal(t, tenants, content.Len(configsync.Tenants))
 	runtime.KeepAlive(text)
 	runtime.KeepAlive(n)
 }
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"runtime/debug"
 
-	"topazpost/configuration"
+	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/node"
 	"topazpost/nodeconfig"
 )
@@ -28,7 +28,7 @@
 type configurationDisk struct {
 	s      *Server
 	folder string
-	in     chan *configuration.Effect
+	in     chan *configsync.Effect
 	unlock func()
 	file   *os.File // at its end; nil before all was written once
 }
@@ -43,10 +43,10 @@
 	if err != nil {
 		return fmt.Errorf("configuration: the node's own file: %w", err)
 	}
-	ours := configuration.Start{Mark: configuration.Mark{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
+	ours := configsync.Start{Mark: configsync.Mark{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 	start, folder := ours, s.config.Fleet.Configuration.Folder
 	if folder != "" {
-		d := &configurationDisk{s: s, folder: folder, in: make(chan *configuration.Effect, persistsWaiting)}
+		d := &configurationDisk{s: s, folder: folder, in: make(chan *configsync.Effect, persistsWaiting)}
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
@@ -72,24 +72,24 @@
 }
 
 // contentOf is what a node's own file holds of what may change in service.
-func contentOf(settings *nodeconfig.Config) (*configuration.Content, error) {
+func contentOf(settings *nodeconfig.Config) (*configsync.Content, error) {
 	if settings.Operations == nil || settings.Operations.Len() == 0 { // a node that serves nothing
-		return new(configuration.Content), nil
+		return new(configsync.Content), nil
 	}
-	return configuration.Build(func(yield func(configuration.Item)) {
-		settings.Items(func(i nodeconfig.Item) { yield(configuration.Item(i)) })
+	return configsync.Build(func(yield func(configsync.Item)) {
+		settings.Items(func(i nodeconfig.Item) { yield(configsync.Item(i)) })
 	})
 }
 
 func (d *configurationDisk) path(name string) string { return filepath.Join(d.folder, name) }
 
 // read takes up what is there, and tells what was dropped of it.
-func (d *configurationDisk) read() (start configuration.Start, there bool) {
+func (d *configurationDisk) read() (start configsync.Start, there bool) {
 	file, err := os.OpenFile(d.path(lastGood), os.O_RDWR, 0o600)
 	if errors.Is(err, fs.ErrNotExist) {
 		return start, false
 	}
-	var loader configuration.Loader
+	var loader configsync.Loader
 	if err == nil {
 		_, err = io.Copy(&loader, file)
 	}
@@ -115,7 +115,7 @@
 }
 
 // keep hands a version to the writer; where too many wait it counts as not kept.
-func (d *configurationDisk) keep(e *configuration.Effect) {
+func (d *configurationDisk) keep(e *configsync.Effect) {
 	select {
 	case d.in <- e:
 	default:
@@ -143,7 +143,7 @@
 }
 
 // write keeps a version: what leads to it behind what is there, or all anew.
-func (d *configurationDisk) write(e *configuration.Effect) (err error) {
+func (d *configurationDisk) write(e *configsync.Effect) (err error) {
 	if e.Full {
 		return d.replace(e)
 	}
@@ -152,7 +152,7 @@
 	}
 	var text []byte
 	for _, r := range e.Records {
-		text = configuration.AppendRecord(text, r)
+		text = configsync.AppendRecord(text, r)
 	}
 	if _, err = d.file.Write(text); err == nil {
 		err = d.file.Sync()
@@ -163,14 +163,14 @@
 	return err
 }
 
-func (d *configurationDisk) replace(e *configuration.Effect) error {
+func (d *configurationDisk) replace(e *configsync.Effect) error {
 	d.closeFile()
 	unsettled := d.path(lastGood + ".new")
 	file, err := os.OpenFile(unsettled, os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	for text := range configuration.Encode(e.Mark, e.New) {
+	for text := range configsync.Encode(e.Mark, e.New) {
 		if _, err = file.Write(text); err != nil {
 			break
 		}
@@ -208,7 +208,7 @@
 }
 
 // keepConfiguration has a version kept; a node without a folder keeps it in memory only.
-func (s *Server) keepConfiguration(e *configuration.Effect) {
+func (s *Server) keepConfiguration(e *configsync.Effect) {
 	if s.configuration != nil {
 		s.configuration.keep(e)
 	}
--- a/server/configuration_test.go
+++ b/server/configuration_test.go
@@ -11,19 +11,19 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/configuration"
+	"topazpost/internal/fleet/configsync"
 )
 
 // versions are some in a row, each with an item more.
-func versions(t *testing.T, n int) (list []*configuration.Effect) {
-	content, mark := new(configuration.Content), configuration.Mark{}
+func versions(t *testing.T, n int) (list []*configsync.Effect) {
+	content, mark := new(configsync.Content), configsync.Mark{}
 	for k := range n {
-		changes := []configuration.Item{{Part: configuration.Tenants, Name: fmt.Sprint("t", k), Value: []byte(`{"quota_rps":1}`)}}
+		changes := []configsync.Item{{Part: configsync.Tenants, Name: fmt.Sprint("t", k), Value: []byte(`{"quota_rps":1}`)}}
 		next, err := content.Apply(changes)
 		require.NoError(t, err)
-		r := &configuration.Record{Version: mark.Version + 1, Base: content.Digest(), Digest: next.Digest(), Changes: changes}
-		content, mark = next, configuration.Mark{Version: r.Version, Digest: r.Digest}
-		list = append(list, &configuration.Effect{Mark: mark, New: next, Records: []*configuration.Record{r}})
+		r := &configsync.Record{Version: mark.Version + 1, Base: content.Digest(), Digest: next.Digest(), Changes: changes}
+		content, mark = next, configsync.Mark{Version: r.Version, Digest: r.Digest}
+		list = append(list, &configsync.Effect{Mark: mark, New: next, Records: []*configsync.Record{r}})
 	}
 	return list
 }
