--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -13,9 +13,9 @@
 	"github.com/alecthomas/kong"
 	"github.com/rs/zerolog"
 
-	"topazpost/fleetconfig"
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation/degradationplan"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/server"
 )
--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -10,9 +10,9 @@
 	"runtime"
 	"time"
 
-	"topazpost/fleetconfig"
 	"topazpost/internal/degradation/degradationlog"
 	"topazpost/internal/degradation/degradationplan"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/server"
 	"topazpost/settings"
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -5,7 +5,7 @@
 	"os"
 	"text/tabwriter"
 
-	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/fleetconfig"
 )
 
 // quotas are the commands about limits of a whole fleet.
--- a/cmd/topazpost/seat.go
+++ b/cmd/topazpost/seat.go
@@ -7,7 +7,7 @@
 	"os"
 	"slices"
 
-	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/nodeconfig"
 	"topazpost/server"
 )
--- a/fleetconfig/configuration_test.go
+++ b/internal/fleet/fleetconfig/configuration_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestDeployedFleetThatTakesItsConfigurationInServiceCanBeRead(t *testing.T) {
-	f, err := Read("../deploy/fleet-configuration.jsonnet", "n1")
+	f, err := Read("../../../deploy/fleet-configuration.jsonnet", "n1")
 	require.NoError(t, err)
 	assert.Equal(t, &Configuration{Folder: "/var/lib/topazpost/configuration-n1"}, f.Configuration)
 	assert.Equal(t, "/var/lib/topazpost/seat-n1", f.Council.Folder)
--- a/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -34,12 +34,12 @@
 }
 
 func TestDeployedFleetCanBeRead(t *testing.T) {
-	_, err := Read("../deploy/fleet.jsonnet", "n1")
+	_, err := Read("../../../deploy/fleet.jsonnet", "n1")
 	assert.NoError(t, err)
 }
 
 func TestDeployedFleetWithACouncilCanBeRead(t *testing.T) {
-	f, err := Read("../deploy/fleet-council.jsonnet", "n1")
+	f, err := Read("../../../deploy/fleet-council.jsonnet", "n1")
 	require.NoError(t, err)
 	assert.Equal(t, &Council{Seats: []string{"n1", "n2", "n3"}, Bytes: 4 << 20, Version: 1,
 		Calls: &quota.Terms{Name: "calls", Units: 90, Hold: 1_000_000_000, Term: 4_000_000_000}}, f.Council)
--- a/lab/capacity/reach.go
+++ b/lab/capacity/reach.go
@@ -32,8 +32,8 @@
 }
 
 var bounds = []bound{
-	{"fleetconfig/fleetconfig.go", "membersMost", membersMost}, {"fleetconfig/fleetconfig.go", "membersUsual", membersUsual},
-	{"fleetconfig/fleetconfig.go", "tableUsual", tableUsual}, {"fleetconfig/fleetconfig.go", "tableMost", tableMost},
+	{"internal/fleet/fleetconfig/fleetconfig.go", "membersMost", membersMost}, {"internal/fleet/fleetconfig/fleetconfig.go", "membersUsual", membersUsual},
+	{"internal/fleet/fleetconfig/fleetconfig.go", "tableUsual", tableUsual}, {"internal/fleet/fleetconfig/fleetconfig.go", "tableMost", tableMost},
 	{"server/streams.go", "streamsSeat", streamsSeat}, {"server/peers.go", "sourceRate", sourceRate},
 	{"server/peers.go", "sourcesMost", sourcesMost},
 	{"internal/node/reducer.go", "idleWait", idleWaitS * 1e9},
--- a/lab/hollow/process.go
+++ b/lab/hollow/process.go
@@ -17,7 +17,7 @@
 
 	"github.com/rs/zerolog"
 
-	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
 	"topazpost/server"
--- a/server/config.go
+++ b/server/config.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"strings"
 
-	"topazpost/fleetconfig"
 	"topazpost/internal/admission"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/node"
 	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/nodeconfig"
--- a/server/config_test.go
+++ b/server/config_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/fleetconfig"
 	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/nodeconfig"
 )
 
--- a/server/peers.go
+++ b/server/peers.go
@@ -16,7 +16,7 @@
 	"golang.org/x/time/rate"
 
 	"topazpost/envelope"
-	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
 )
--- a/server/peers_test.go
+++ b/server/peers_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/fleetconfig"
+	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
 )
