--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -17,8 +17,8 @@
 	"text/tabwriter"
 	"time"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 	"topazpost/nodeconfig"
 	"topazpost/server"
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 	"topazpost/server"
 )
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 )
 
--- a/integration/streams_test.go
+++ b/integration/streams_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/fleet/envelope"
 )
 
 // convened is the file of a fleet of one, which is its own council.
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 )
 
 // TestLettersFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -6,12 +6,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/envelope"
 	"topazpost/frame"
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/resultcache"
 	"topazpost/nodeconfig"
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/nodeconfig"
 )
 
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 	"topazpost/nodeconfig"
 )
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 )
 
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/envelope"
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/quota"
 )
 
--- a/lab/capacity/changes.go
+++ b/lab/capacity/changes.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 	"topazpost/lab/hollow"
 	"topazpost/nodeconfig"
--- a/lab/mesh/size.go
+++ b/lab/mesh/size.go
@@ -1,7 +1,7 @@
 package mesh
 
 import (
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 )
 
--- a/lab/mesh/size_test.go
+++ b/lab/mesh/size_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 )
 
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -8,9 +8,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 	"topazpost/lab/mesh"
 	"topazpost/settings"
--- a/lab/rig/versions_processes.go
+++ b/lab/rig/versions_processes.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"topazpost/envelope"
 	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 	"topazpost/lab/world"
 	"topazpost/nodeconfig"
--- a/server/peers.go
+++ b/server/peers.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/time/rate"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
--- a/server/streams.go
+++ b/server/streams.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/time/rate"
 
-	"topazpost/envelope"
+	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 )
 
