--- a/example/main.go
+++ b/example/main.go
@@ -17,7 +17,7 @@
 
 	"github.com/rs/zerolog"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 	"topazpost/lines"
 	"topazpost/server"
 )
--- a/integration/endings_test.go
+++ b/integration/endings_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 // rested reads what a dispatcher is owed up to the notice that no more may come.
--- a/integration/hostile_test.go
+++ b/integration/hostile_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 // A second notice aborts what is in hand, and still answers it.
--- a/integration/integration_test.go
+++ b/integration/integration_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 // The full-fleet days load a library into the node: that takes a build that the C library's loader starts.
--- a/integration/kept_test.go
+++ b/integration/kept_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 // keeps starts a node whose one operation is tokened, with a store in a folder.
--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -22,7 +22,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 	"topazpost/invariant"
 	"topazpost/lines"
 )
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -6,7 +6,6 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"topazpost/frame"
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/configsync"
@@ -15,6 +14,7 @@
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
+	"topazpost/internal/protocol/frame"
 	"topazpost/internal/resultcache"
 )
 
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 // many is a node with so many connections, all opened in one step and checked once in the next.
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"topazpost/frame"
 	"topazpost/internal/admission"
+	"topazpost/internal/protocol/frame"
 	"topazpost/wheel"
 )
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 	"topazpost/lines"
 	"topazpost/nodeconfig"
 )
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"topazpost/frame"
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/protocol/frame"
 	"topazpost/internal/resultcache"
 )
 
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 	"topazpost/internal/resultcache"
 	"topazpost/nodeconfig"
 )
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation"
+	"topazpost/internal/protocol/frame"
 )
 
 // ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"topazpost/frame"
 	"topazpost/internal/admission"
+	"topazpost/internal/protocol/frame"
 	"topazpost/invariant"
 	"topazpost/lines"
 )
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -3,10 +3,10 @@
 package node
 
 import (
-	"topazpost/frame"
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
+	"topazpost/internal/protocol/frame"
 	"topazpost/internal/resultcache"
 	"topazpost/lines"
 	"topazpost/nodeconfig"
--- a/lab/capacity/load.go
+++ b/lab/capacity/load.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 const (
--- a/lab/capacity/tokens.go
+++ b/lab/capacity/tokens.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 	"topazpost/lab/rig"
 	"topazpost/settings"
 )
--- a/lab/fleet/dispatcher.go
+++ b/lab/fleet/dispatcher.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strconv"
 
-	"topazpost/frame"
 	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
 	"topazpost/lab/world"
 )
 
--- a/lab/fleet/machine.go
+++ b/lab/fleet/machine.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"strings"
 
-	"topazpost/frame"
 	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
 	"topazpost/lab/world"
 	"topazpost/lines"
 )
--- a/lab/rig/storm.go
+++ b/lab/rig/storm.go
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 	"topazpost/settings"
 )
 
--- a/lab/rig/takeover_test.go
+++ b/lab/rig/takeover_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
+	"topazpost/internal/protocol/frame"
 )
 
 const sentMost = 6 // tokens that a node of one core is sent at once
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"topazpost/frame"
 	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
 )
 
 const (
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
 	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
 )
 
 // generous ends a test that hangs; no verdict rests on it.
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/frame"
 	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
 )
 
 const config = `{"name":"n1","listen":"127.0.0.1:0","executor":"127.0.0.1:1","control":"127.0.0.1:1",
