--- a/example/main.go
+++ b/example/main.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 
 	"topazpost/internal/protocol/frame"
-	"topazpost/lines"
+	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/server"
 )
 
@@ -71,7 +71,7 @@
 	if err != nil {
 		return
 	}
-	p := lines.Parser{Counted: func(words []string) bool { return words[0] == "EXEC" }}
+	p := lineprotocol.Parser{Counted: func(words []string) bool { return words[0] == "EXEC" }}
 	for notices := 1; ; {
 		n, err := link.Read(p.Space())
 		if err != nil {
@@ -85,11 +85,11 @@
 			}
 			switch line.Words[0] {
 			case "JOIN":
-				link.Write(lines.Append(nil, "WELCOME", "old", "0"))
+				link.Write(lineprotocol.Append(nil, "WELCOME", "old", "0"))
 			case "METER":
-				link.Write(lines.Append(nil, "METERS", line.Words[1], "0.1", "1"))
+				link.Write(lineprotocol.Append(nil, "METERS", line.Words[1], "0.1", "1"))
 			case "EXEC":
-				link.Write(lines.AppendBody(nil, bytes.ToUpper(line.Body), "EXIT", strconv.Itoa(notices),
+				link.Write(lineprotocol.AppendBody(nil, bytes.ToUpper(line.Body), "EXIT", strconv.Itoa(notices),
 					line.Words[1], "good", "3"))
 				notices++
 			}
--- a/integration/cold_test.go
+++ b/integration/cold_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"topazpost/lines"
+	"topazpost/internal/protocol/lineprotocol"
 )
 
 // coldCores is an executor whose runs all make one call and count from the command that starts them to the reply to
@@ -55,7 +55,7 @@
 
 func (c *coldCores) serve(conn net.Conn) {
 	runs, notice := 0, 0
-	c.reads.read(conn, "EXEC RETURN", func(l lines.Line) {
+	c.reads.read(conn, "EXEC RETURN", func(l lineprotocol.Line) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		switch w := l.Words; w[0] {
--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -23,8 +23,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/protocol/frame"
+	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/invariant"
-	"topazpost/lines"
 )
 
 // bound ends a test that hangs; no verdict rests on it.
@@ -234,8 +234,8 @@
 	}
 }
 
-func (s *site) read(conn net.Conn, counted string, take func(l lines.Line)) {
-	p := lines.Parser{Counted: func(words []string) bool { return strings.Contains(counted, words[0]) }}
+func (s *site) read(conn net.Conn, counted string, take func(l lineprotocol.Line)) {
+	p := lineprotocol.Parser{Counted: func(words []string) bool { return strings.Contains(counted, words[0]) }}
 	for {
 		n, err := conn.Read(p.Space())
 		if err != nil {
@@ -256,7 +256,7 @@
 // execute does what the body of an invocation says: "bad" fails, "call" makes a call, "hold" runs on; else the
 // run is good.
 func (s *site) execute(conn net.Conn) {
-	s.read(conn, "EXEC RETURN", func(l lines.Line) {
+	s.read(conn, "EXEC RETURN", func(l lineprotocol.Line) {
 		w := l.Words
 		switch w[0] {
 		case "JOIN":
@@ -303,7 +303,7 @@
 func (s *site) supply(conn net.Conn) {
 	s.supplied <- conn
 	defer func() { s.left <- conn }()
-	s.read(conn, "FETCH", func(l lines.Line) {
+	s.read(conn, "FETCH", func(l lineprotocol.Line) {
 		s.asked <- append(l.Words, string(l.Body))
 		if l.Words[0] == "FETCH" {
 			s.mu.Lock()
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -5,7 +5,7 @@
 	"strconv"
 
 	"topazpost/internal/admission"
-	"topazpost/lines"
+	"topazpost/internal/protocol/lineprotocol"
 )
 
 // supply is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
@@ -69,7 +69,7 @@
 	if r.leasing.holder != nil { // what is written late, after a pause, would be one call too many
 		by = v.until
 	}
-	r.do(Effect{Kind: Ask, Link: s.link, At: by, Bytes: lines.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
+	r.do(Effect{Kind: Ask, Link: s.link, At: by, Bytes: lineprotocol.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
 }
 
 // leave closes a link, which gives up the call on it.
@@ -189,7 +189,7 @@
 	v := &r.invs[i]
 	if outcome == admission.Succeeded {
 		v.wanted = nil
-		r.order(i, lines.AppendBody(nil, body, "RETURN", v.call))
+		r.order(i, lineprotocol.AppendBody(nil, body, "RETURN", v.call))
 	}
 	r.rest(k)
 	r.callOver(i, outcome)
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -8,7 +8,7 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/claims"
-	"topazpost/lines"
+	"topazpost/internal/protocol/lineprotocol"
 )
 
 // joined starts on a new link. It is told of nothing more before its welcome: an executor that is not up yet
@@ -27,7 +27,7 @@
 
 // tell writes a command that is worth nothing on a later link.
 func (r *Reducer) tell(words ...string) {
-	r.do(Effect{Kind: Tell, Link: r.link, Bytes: lines.Append(nil, words...)})
+	r.do(Effect{Kind: Tell, Link: r.link, Bytes: lineprotocol.Append(nil, words...)})
 }
 
 // order writes a command that must be read; it is kept until the executor is known to have read it.
@@ -81,7 +81,7 @@
 		}
 		class, level := r.form(v.op, form)
 		v.form = level
-		r.order(i, lines.AppendBody(nil, v.body, "EXEC", v.call, class))
+		r.order(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.call, class))
 		v.body = nil
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/protocol/frame"
-	"topazpost/lines"
+	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/nodeconfig"
 )
 
@@ -49,13 +49,13 @@
 
 func told(r *Reducer, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: Told, Link: r.link, Line: lines.Line{Words: strings.Fields(head), Body: []byte(body)}})
+	return step(r, Input{Kind: Told, Link: r.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 func replied(r *Reducer, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(r, Input{Kind: Replied, Link: r.supplies[0].link,
-		Line: lines.Line{Words: strings.Fields(head), Body: []byte(body)}})
+		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 // reached has the last link to the catalogue come up.
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -9,8 +9,8 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/protocol/frame"
+	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/invariant"
-	"topazpost/lines"
 )
 
 func name(f frame.Frame) string {
@@ -128,7 +128,7 @@
 	got := step(r)
 	assert.Equal(t, Effect{Kind: Quit, Link: link}, got[0])
 	assert.Equal(t, []string{"51 on 1"}, answers(t, got))
-	assert.Empty(t, step(r, Input{Kind: Replied, Link: link, Line: lines.Line{Words: []string{callID, "DATA", "0"}}}))
+	assert.Empty(t, step(r, Input{Kind: Replied, Link: link, Line: lineprotocol.Line{Words: []string{callID, "DATA", "0"}}}))
 }
 
 func TestIdleCatalogueLinkIsNotTrustedWithACall(t *testing.T) {
@@ -149,13 +149,13 @@
 	reached(r)
 	step(r, Input{Kind: Reached, Link: r.supplies[0].link})
 	assert.Equal(t, []string{"51 on 1"}, answers(t, replied(r, "noise")))
-	got := step(r, Input{Kind: Replied, Link: r.supplies[0].link, Line: lines.Line{Words: []string{other, "DATA", "1"},
+	got := step(r, Input{Kind: Replied, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
 		Body: []byte("x")}})
 	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, Tell))
 	assert.True(t, r.supplies[0].up && r.supplies[0].inv < 0, "kept for the next first call of a run")
 	told(r, "CALLOUT 3 "+other+" 3|ask")
 	assert.Len(t, r.supplies, 2, "a second copy of the first reply can't pass for the second's")
-	got = step(r, Input{Kind: Replied, Link: r.supplies[0].link, Line: lines.Line{Words: []string{other, "DATA", "0"}}})
+	got = step(r, Input{Kind: Replied, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
 	assert.Equal(t, Quit, got[0].Kind, "it brought what was not asked for")
 }
 
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -7,8 +7,8 @@
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/protocol/frame"
+	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/internal/resultcache"
-	"topazpost/lines"
 	"topazpost/nodeconfig"
 )
 
@@ -60,7 +60,7 @@
 	Kind   InputKind
 	Link   int // the connection or link
 	Frame  frame.Frame
-	Line   lines.Line
+	Line   lineprotocol.Line
 	Err    error
 	To     Addresses // Reload
 	Plan   *Plan     // Adopt, Reload; nil for none
--- a/lines/lines.go
+++ b/internal/protocol/lineprotocol/lines.go
@@ -1,6 +1,6 @@
-// Package lines parses lines of words that end in CR LF, some with a counted body behind them. It is pure:
+// Package lineprotocol parses lines of words that end in CR LF, some with a counted body behind them. It is pure:
 // bytes in at any split, lines out.
-package lines
+package lineprotocol
 
 import (
 	"bytes"
--- a/lines/lines_test.go
+++ b/internal/protocol/lineprotocol/lines_test.go
@@ -1,4 +1,4 @@
-package lines
+package lineprotocol
 
 import (
 	"bytes"
--- a/lab/fleet/machine.go
+++ b/lab/fleet/machine.go
@@ -10,8 +10,8 @@
 
 	"topazpost/internal/node"
 	"topazpost/internal/protocol/frame"
+	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/lab/world"
-	"topazpost/lines"
 )
 
 // machine is one node with the executor that owns its cores.
@@ -273,7 +273,7 @@
 
 func (m *machine) tell(text string, body []byte) {
 	link := m.link
-	line := lines.Line{Words: strings.Fields(text), Body: body}
+	line := lineprotocol.Line{Words: strings.Fields(text), Body: body}
 	m.later(meter, func() { m.put(node.Input{Kind: node.Told, Link: link, Line: line}) })
 }
 
@@ -383,7 +383,7 @@
 		}
 		delete(m.ledgers, link)
 		m.put(node.Input{Kind: node.Replied, Link: link,
-			Line: lines.Line{Words: []string{a.id, "DATA", strconv.Itoa(len(body))}, Body: body}})
+			Line: lineprotocol.Line{Words: []string{a.id, "DATA", strconv.Itoa(len(body))}, Body: body}})
 	})
 	m.total.MostCalls = max(m.total.MostCalls, float64(m.ledger.Jobs())/m.slots)
 }
--- a/server/link.go
+++ b/server/link.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"topazpost/internal/node"
-	"topazpost/lines"
+	"topazpost/internal/protocol/lineprotocol"
 )
 
 const (
@@ -77,7 +77,7 @@
 }
 
 func (l *link) read() error {
-	parser := lines.Parser{Counted: l.kind.counted}
+	parser := lineprotocol.Parser{Counted: l.kind.counted}
 	for {
 		n, err := l.net.Read(parser.Space())
 		if err != nil {
