--- a/internal/protocol/frame/frame.go
+++ b/internal/protocol/frame/frame.go
@@ -6,7 +6,7 @@
 	"errors"
 	"math"
 
-	"topazpost/buffer"
+	"topazpost/internal/protocol/buffer"
 )
 
 // The types of frames.
--- a/internal/protocol/lineprotocol/lines.go
+++ b/internal/protocol/lineprotocol/lines.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"topazpost/buffer"
+	"topazpost/internal/protocol/buffer"
 )
 
 const (
