--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -10,15 +10,15 @@
 	"strconv"
 	"strings"
 
-	"topazpost/ember"
 	"topazpost/internal/admission"
+	"topazpost/internal/protocol/simwire"
 )
 
 // instance is one node: its module, its door, and its events of the batch in hand.
 type instance struct {
 	number int64
 	post   *admission.Post
-	host   *ember.Host
+	host   *simwire.Host
 	events []admission.Event
 	marked bool // it has an event in this batch
 }
@@ -53,7 +53,7 @@
 			out.Flush()
 		}
 	}()
-	reader := ember.NewReader(in)
+	reader := simwire.NewReader(in)
 	f := &fleet{instances: make(map[int64]*instance)}
 	for {
 		line, err := reader.Line()
@@ -84,11 +84,11 @@
 	switch line[0] {
 	case "MARK":
 		f.aimed = false
-		f.now, err = ember.Clock(line)
+		f.now, err = simwire.Clock(line)
 		return err
 	case "TARGET_INSTANCE":
 		f.aimed = true
-		f.target, err = ember.Instance(line)
+		f.target, err = simwire.Instance(line)
 		return err
 	}
 	if !f.aimed {
@@ -102,14 +102,14 @@
 		}
 		return nil
 	case "PROVISION":
-		settings, err := ember.Start(line)
+		settings, err := simwire.Start(line)
 		if err != nil {
 			return err
 		}
 		if old := f.instances[f.target]; old != nil {
 			old.post = nil
 		}
-		i := &instance{number: f.target, host: ember.NewHost(settings), marked: true}
+		i := &instance{number: f.target, host: simwire.NewHost(settings), marked: true}
 		i.post = admission.New(&settings.Node, f.now)
 		f.instances[f.target] = i
 		f.order = append(f.order, i)
--- a/ember/ember.go
+++ b/internal/protocol/simwire/ember.go
@@ -1,6 +1,6 @@
-// Package ember speaks the ember-9016 wire: it reads batches into events of package node and writes actions
+// Package simwire speaks the ember-9016 wire: it reads batches into events of package node and writes actions
 // as replies. It decides nothing.
-package ember
+package simwire
 
 import (
 	"bufio"
--- a/ember/ember_test.go
+++ b/internal/protocol/simwire/ember_test.go
@@ -1,4 +1,4 @@
-package ember
+package simwire
 
 import (
 	"strings"
