--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -20,7 +20,7 @@
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 	"topazpost/server"
 	"topazpost/settings"
 )
--- a/cmd/topazpost/seat.go
+++ b/cmd/topazpost/seat.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"topazpost/internal/fleet/fleetconfig"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 	"topazpost/server"
 )
 
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation"
 	"topazpost/internal/node"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 	"topazpost/settings"
 )
 
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -14,7 +14,7 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 	"topazpost/settings"
 )
 
--- a/internal/node/amend.go
+++ b/internal/node/amend.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"topazpost/internal/admission"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 const (
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
-	"topazpost/nodeconfig"
 )
 
 func operation(name, fields string) nodeconfig.Item {
--- a/internal/node/amendbench_test.go
+++ b/internal/node/amendbench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 // BenchmarkVersion takes the largest part of a version that one step takes.
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -11,8 +11,8 @@
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
-	"topazpost/nodeconfig"
 )
 
 // sitting is a node that serves, whose claims are agreed on by a council in which n0 sits alone, and this node does not.
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -7,7 +7,7 @@
 
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 const (
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 // contentOf is what a config holds of what may change in service.
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 // A process that begins on cores that live on has to count what the life before it may still hold: its module is told
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
-	"topazpost/nodeconfig"
 )
 
 const customers = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000},
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/protocol/frame"
 	"topazpost/internal/protocol/lineprotocol"
-	"topazpost/nodeconfig"
 )
 
 const settings = `{"grades":[{"name":"catalogue","aim":1000,"give_up":3000,"importance":1,"effect":"at_most_once"},
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/protocol/frame"
 	"topazpost/internal/resultcache"
-	"topazpost/nodeconfig"
 )
 
 const tokened = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000}],
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -7,7 +7,7 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 // Plan is a ladder of levels together with the names that this door needs of it.
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -10,7 +10,7 @@
 
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 var config = membership.Config{Name: "n1", Address: "10.0.0.1:9", Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms,
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -8,9 +8,9 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
 	"topazpost/invariant"
-	"topazpost/nodeconfig"
 	"topazpost/wheel"
 )
 
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -6,10 +6,10 @@
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/membership"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/protocol/frame"
 	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/internal/resultcache"
-	"topazpost/nodeconfig"
 )
 
 // InputKind names what happened.
--- a/internal/protocol/simwire/ember.go
+++ b/internal/protocol/simwire/ember.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"topazpost/internal/admission"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 // Host is the door of one instance: it gives wire ids small indices and takes them back.
--- a/lab/capacity/changes.go
+++ b/lab/capacity/changes.go
@@ -17,8 +17,8 @@
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
 	"topazpost/lab/hollow"
-	"topazpost/nodeconfig"
 	"topazpost/server"
 )
 
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -19,9 +19,9 @@
 
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
 	"topazpost/lab/baselines"
 	"topazpost/lab/fleet"
-	"topazpost/nodeconfig"
 	"topazpost/settings"
 )
 
--- a/lab/fleet/day.go
+++ b/lab/fleet/day.go
@@ -11,8 +11,8 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
 	"topazpost/lab/world"
-	"topazpost/nodeconfig"
 )
 
 const (
--- a/lab/rig/versions_processes.go
+++ b/lab/rig/versions_processes.go
@@ -16,8 +16,8 @@
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
 	"topazpost/lab/world"
-	"topazpost/nodeconfig"
 	"topazpost/server"
 )
 
--- a/server/config.go
+++ b/server/config.go
@@ -15,8 +15,8 @@
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache/cacheconfig"
-	"topazpost/nodeconfig"
 )
 
 const readAhead = 64 << 10 // bytes of a configuration that are read at a time
--- a/server/config_test.go
+++ b/server/config_test.go
@@ -18,7 +18,7 @@
 
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/fleetconfig"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 // large is a configuration with so many operations and tenants.
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -11,7 +11,7 @@
 
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/node"
-	"topazpost/nodeconfig"
+	"topazpost/internal/nodeconfig"
 )
 
 const (
--- a/server/server.go
+++ b/server/server.go
@@ -19,9 +19,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
 	"topazpost/internal/resultcache/cacheconfig"
-	"topazpost/nodeconfig"
 )
 
 const (
