--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -17,12 +17,12 @@
 	"text/tabwriter"
 	"time"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
 	"topazpost/server"
-	"topazpost/settings"
 )
 
 const (
@@ -189,7 +189,7 @@
 		return nil, false, err
 	}
 	if strings.HasSuffix(path, "sonnet") {
-		file, err := settings.Read(path)
+		file, err := configfile.Read(path)
 		if err != nil {
 			return nil, false, err
 		}
--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -10,12 +10,12 @@
 	"runtime"
 	"time"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/degradation/degradationlog"
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/resultcache/cacheconfig"
 	"topazpost/server"
-	"topazpost/settings"
 )
 
 const (
@@ -74,7 +74,7 @@
 			time.Sleep(heapLook)
 		}
 	}()
-	file, err := settings.Read(c.File)
+	file, err := configfile.Read(c.File)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 }
 
 // render evaluates a file in a process of its own, so that no template can slow down or fill up the node.
-func render(path string) (*settings.File, error) {
+func render(path string) (*configfile.File, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 		}
 		return nil, fmt.Errorf("%s: can't be evaluated: %w", path, err)
 	}
-	return settings.Rendered(path, told.Bytes())
+	return configfile.Rendered(path, told.Bytes())
 }
 
 // bounded keeps the first bytes of what is written.
--- a/settings/settings.go
+++ b/internal/configfile/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads files of the project's own: Jsonnet templates that are evaluated within bounds, checked
+// Package configfile reads files of the project's own: Jsonnet templates that are evaluated within bounds, checked
 // against a JSON Schema and decoded once. It knows no file's meaning; what it finds wrong names file, line and mend.
-package settings
+package configfile
 
 import (
 	"bytes"
--- a/settings/settings_test.go
+++ b/internal/configfile/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package configfile
 
 import (
 	"encoding/json"
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -11,10 +11,10 @@
 	"text/tabwriter"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/configfile"
 	"topazpost/internal/degradation"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
-	"topazpost/settings"
 )
 
 const (
@@ -30,9 +30,9 @@
 )
 
 // schema is compiled when a plan is first read: most nodes have none.
-var schema = sync.OnceValue(func() *settings.Schema {
-	return settings.Compile("plan.json", strings.NewReplacer("TIME", settings.TimePattern, "PART",
-		settings.PartPattern, "RUNGS", fmt.Sprint(rungsMost)).Replace(`{
+var schema = sync.OnceValue(func() *configfile.Schema {
+	return configfile.Compile("plan.json", strings.NewReplacer("TIME", configfile.TimePattern, "PART",
+		configfile.PartPattern, "RUNGS", fmt.Sprint(rungsMost)).Replace(`{
  "$schema": "https://json-schema.org/draft/2020-12/schema", "type": "object", "additionalProperties": false,
  "required": ["levels"],
  "$defs": {
@@ -61,13 +61,13 @@
 })
 
 type condition struct {
-	Load, Wait, Lag, Calls, Throttled, Memory *settings.Part
-	For                                       settings.Time
+	Load, Wait, Lag, Calls, Throttled, Memory *configfile.Part
+	For                                       configfile.Time
 }
 
 func (c *condition) bounds() degradation.Condition {
 	of := degradation.Condition{Bounds: degradation.Free(), For: int64(c.For)}
-	for k, p := range []*settings.Part{c.Load, c.Wait, c.Lag, c.Calls, c.Throttled, c.Memory} {
+	for k, p := range []*configfile.Part{c.Load, c.Wait, c.Lag, c.Calls, c.Throttled, c.Memory} {
 		if p != nil {
 			of.Bounds[k] = float64(*p)
 		}
@@ -77,18 +77,18 @@
 
 type reduced struct {
 	Form        string
-	Work, Value settings.Part
+	Work, Value configfile.Part
 }
 
 type written struct {
 	Name       string
 	FormsKnown bool `json:"forms_known"`
 	Spare      bool
-	Hold       *settings.Time
-	HoldMost   *settings.Time `json:"hold_most"`
-	Forget     *settings.Time
-	Proof      *settings.Time
-	Spread     *settings.Part
+	Hold       *configfile.Time
+	HoldMost   *configfile.Time `json:"hold_most"`
+	Forget     *configfile.Time
+	Proof      *configfile.Time
+	Spread     *configfile.Part
 	Bridges    *float64
 	Idle       *condition
 	Levels     []struct {
@@ -102,7 +102,7 @@
 
 // Read reads a plan for the operations of a config, evaluating the file in this process.
 func Read(path string, operations *nodeconfig.Names) (*node.Plan, error) {
-	file, err := settings.Read(path)
+	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 }
 
 // From reads a plan from a file that was evaluated. All that is wrong with it is told at once.
-func From(file *settings.File, operations *nodeconfig.Names) (*node.Plan, error) {
+func From(file *configfile.File, operations *nodeconfig.Names) (*node.Plan, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 		p.Name = file.Path
 	}
 	for _, t := range []struct {
-		from *settings.Time
+		from *configfile.Time
 		to   *int64
 	}{{w.Hold, &p.Hold}, {w.HoldMost, &p.Most}, {w.Forget, &p.Forget}, {w.Proof, &p.Proof}} {
 		if t.from != nil {
@@ -142,7 +142,7 @@
 	if w.Idle != nil {
 		p.Idle = w.Idle.bounds()
 	}
-	found := settings.Problems{}
+	found := configfile.Problems{}
 	names := operations.All()
 	for k := range w.Levels {
 		found = append(found, addRung(p, file, &w, k, operations, names)...)
@@ -158,8 +158,8 @@
 	return p, nil
 }
 
-func addRung(p *node.Plan, file *settings.File, w *written, k int, operations *nodeconfig.Names,
-	names []string) (found settings.Problems) {
+func addRung(p *node.Plan, file *configfile.File, w *written, k int, operations *nodeconfig.Names,
+	names []string) (found configfile.Problems) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
 	rung := degradation.Rung{Name: from.Name, Service: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
@@ -168,7 +168,7 @@
 		i, known := operations.Lookup(name)
 		if !known {
 			mend := "the operations are " + strings.Join(names, ", ")
-			if near := settings.Nearest(name, names); near != "" {
+			if near := configfile.Nearest(name, names); near != "" {
 				mend = fmt.Sprintf("did you mean %q?", near)
 			}
 			found = append(found, file.At(path, fmt.Sprintf("no operation is named %q", name), mend))
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/configfile"
 	"topazpost/internal/degradation"
 	"topazpost/internal/nodeconfig"
-	"topazpost/settings"
 )
 
 var operations = nodeconfig.NewNames("catalogue", "delivery-quote", "hold")
@@ -36,8 +36,8 @@
 			line, _ := strconv.Atoi(want[1])
 			_, err = Read(path, operations)
 			require.Error(t, err)
-			first := &settings.Problem{}
-			if all := (settings.Problems{}); errors.As(err, &all) {
+			first := &configfile.Problem{}
+			if all := (configfile.Problems{}); errors.As(err, &all) {
 				first = all[0]
 			} else {
 				require.ErrorAs(t, err, &first)
--- a/internal/fleet/fleetconfig/configuration.go
+++ b/internal/fleet/fleetconfig/configuration.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"strings"
 
-	"topazpost/settings"
+	"topazpost/internal/configfile"
 )
 
 // Configuration is how a node takes part in the fleet's configuration in service.
@@ -14,23 +14,23 @@
 }
 
 // configurationFrom reads it, for the node of a name.
-func configurationFrom(file *settings.File, name, folder string, council bool) (c *Configuration, found settings.Problems) {
+func configurationFrom(file *configfile.File, name, folder string, council bool) (c *Configuration, found configfile.Problems) {
 	if c = new(Configuration); !council {
 		found = append(found, file.At([]string{"configuration"}, "needs a council, whose seats agree on versions",
 			"name seats in council.seats, or leave it out"))
 	}
-	var wrong settings.Problems
+	var wrong configfile.Problems
 	c.Folder, wrong = folderOf(file, name, folder, "configuration", "configuration", "folder")
 	return c, append(found, wrong...)
 }
 
 // folderOf reads a folder, empty for none; what says what it is for.
-func folderOf(file *settings.File, name, folder, what string, path ...string) (clean string, found settings.Problems) {
+func folderOf(file *configfile.File, name, folder, what string, path ...string) (clean string, found configfile.Problems) {
 	if folder == "" {
 		return "", nil
 	}
 	if strings.Contains(folder, "{name}") && (strings.ContainsAny(name, "/\\\x00") || name == ".." || name == ".") {
-		return "", settings.Problems{file.At(path, fmt.Sprintf("takes in the node's name, and %q can't be part of a path", name),
+		return "", configfile.Problems{file.At(path, fmt.Sprintf("takes in the node's name, and %q can't be part of a path", name),
 			"name the node otherwise, or write the folder without {name}")}
 	}
 	if clean = filepath.Clean(strings.ReplaceAll(folder, "{name}", name)); !filepath.IsAbs(clean) {
--- a/internal/fleet/fleetconfig/fleetconfig.go
+++ b/internal/fleet/fleetconfig/fleetconfig.go
@@ -10,9 +10,9 @@
 	"strings"
 	"sync"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/fleet/quota"
-	"topazpost/settings"
 )
 
 const (
@@ -52,8 +52,8 @@
 	Version uint64       // of that limit
 }
 
-var schema = sync.OnceValue(func() *settings.Schema {
-	return settings.Compile("fleet.json", strings.NewReplacer("TIME", settings.TimePattern, "SIZE", settings.SizePattern, "MEMBERS",
+var schema = sync.OnceValue(func() *configfile.Schema {
+	return configfile.Compile("fleet.json", strings.NewReplacer("TIME", configfile.TimePattern, "SIZE", configfile.SizePattern, "MEMBERS",
 		fmt.Sprint(membersMost)).Replace(`{
  "$schema": "https://json-schema.org/draft/2020-12/schema", "type": "object", "additionalProperties": false,
  "required": ["fleet", "bind"],
@@ -83,26 +83,26 @@
 	Fleet, Bind, Advertise, Zone   string
 	AnyAddress                     bool `json:"any_address"`
 	Seeds                          []string
-	Probe, Silence, Settle, Forget *settings.Time
+	Probe, Silence, Settle, Forget *configfile.Time
 	Members                        *int
 	Council                        *struct {
 		Seats  []string
-		Table  *settings.Size
+		Table  *configfile.Size
 		Folder string
 		Calls  *struct {
 			Limit       int64
 			Version     *uint64
-			Hold, Lease settings.Time
+			Hold, Lease configfile.Time
 		}
 	}
 	Configuration *struct{ Folder string }
-	ClockAhead    settings.Time `json:"clock_ahead"`
-	ClockBehind   settings.Time `json:"clock_behind"`
+	ClockAhead    configfile.Time `json:"clock_ahead"`
+	ClockBehind   configfile.Time `json:"clock_behind"`
 }
 
 // Read reads a fleet's file in this process.
 func Read(path, name string) (*Fleet, error) {
-	file, err := settings.Read(path)
+	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 }
 
 // From reads a fleet for the node of a name from a file that was evaluated. All that is wrong is told at once.
-func From(file *settings.File, name string) (*Fleet, error) {
+func From(file *configfile.File, name string) (*Fleet, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 		c.Address = w.Bind
 	}
 	for _, t := range []struct {
-		from *settings.Time
+		from *configfile.Time
 		to   *int64
 	}{{w.Probe, &c.Probe}, {w.Silence, &c.Silence}, {w.Settle, &c.Settle}, {w.Forget, &c.Forget}} {
 		if t.from != nil {
@@ -136,7 +136,7 @@
 	if w.Members != nil {
 		c.MembersMost = *w.Members
 	}
-	found := settings.Problems{}
+	found := configfile.Problems{}
 	address := func(value string, path ...string) {
 		a, err := netip.ParseAddrPort(value)
 		switch {
@@ -161,7 +161,7 @@
 	}
 	if w.Council != nil {
 		f.Council = &Council{Seats: w.Council.Seats, Bytes: tableUsual}
-		var wrong settings.Problems
+		var wrong configfile.Problems
 		f.Council.Folder, wrong = folderOf(file, name, w.Council.Folder, "seat", "council", "folder")
 		found = append(found, wrong...)
 		if w.Council.Table != nil {
@@ -188,7 +188,7 @@
 		}
 	}
 	if w.Configuration != nil {
-		var wrong settings.Problems
+		var wrong configfile.Problems
 		f.Configuration, wrong = configurationFrom(file, name, w.Configuration.Folder, w.Council != nil)
 		found = append(found, wrong...)
 	}
--- a/internal/resultcache/cacheconfig/keep.go
+++ b/internal/resultcache/cacheconfig/keep.go
@@ -9,9 +9,9 @@
 	"sync"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/configfile"
 	"topazpost/internal/resultcache"
 	"topazpost/internal/resultcache/segmentstore"
-	"topazpost/settings"
 )
 
 const (
@@ -46,8 +46,8 @@
 	Gather     int64 // ns
 }
 
-var schema = sync.OnceValue(func() *settings.Schema {
-	return settings.Compile("kept.json", strings.NewReplacer("TIME", settings.TimePattern, "SIZE", settings.SizePattern).Replace(`{
+var schema = sync.OnceValue(func() *configfile.Schema {
+	return configfile.Compile("kept.json", strings.NewReplacer("TIME", configfile.TimePattern, "SIZE", configfile.SizePattern).Replace(`{
  "$schema": "https://json-schema.org/draft/2020-12/schema", "type": "object", "additionalProperties": false,
  "$defs": {"size": {"type": "string", "pattern": "SIZE"}},
  "properties": {
@@ -62,8 +62,8 @@
 
 type written struct {
 	Token, Durability, Trouble, Folder string
-	Memory, Result, Size, Segment      *settings.Size
-	Gather                             *settings.Time
+	Memory, Result, Size, Segment      *configfile.Size
+	Gather                             *configfile.Time
 }
 
 // longest is the longest window of the tokened operations, 0 where there are none.
@@ -88,7 +88,7 @@
 
 // Read reads a file in this process.
 func Read(path string, operations []admission.Operation, memoryMB int) (*Keep, error) {
-	file, err := settings.Read(path)
+	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 }
 
 // From reads what to keep from a file that was evaluated. All that is wrong is told at once.
-func From(file *settings.File, operations []admission.Operation, memoryMB int) (*Keep, error) {
+func From(file *configfile.File, operations []admission.Operation, memoryMB int) (*Keep, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -104,10 +104,10 @@
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
-	found := settings.Problems{}
+	found := configfile.Problems{}
 	k := Usual(operations, memoryMB)
 	if k == nil {
-		return nil, settings.Problems{file.At(nil, "keeps results where no operation is tokened",
+		return nil, configfile.Problems{file.At(nil, "keeps results where no operation is tokened",
 			"leave the file out, or give an operation the effect \"deduplicated\" and a window")}
 	}
 	if w.Token != "" {
@@ -118,7 +118,7 @@
 	}
 	k.Bounds, k.Gather = segmentstore.Bounds{Segment: segmentUsual, Most: sizeUsual}, gatherUsual
 	for _, s := range []struct {
-		from *settings.Size
+		from *configfile.Size
 		to   *int64
 	}{{w.Memory, &k.Rules.BytesMost}, {w.Result, &k.Rules.ResultMost}, {w.Size, &k.Bounds.Most}, {w.Segment, &k.Bounds.Segment}} {
 		if s.from != nil {
--- a/lab/capacity/tokens.go
+++ b/lab/capacity/tokens.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/protocol/frame"
 	"topazpost/lab/rig"
-	"topazpost/settings"
 )
 
 const (
@@ -39,8 +39,8 @@
 }
 
 func (b *Bench) agreed(aSecond float64) (m map[string]float64, err error) {
-	n := &rig.Night{Storm: true, Nodes: seats + others, Council: seats, Contacts: seats, Longest: settings.Time(time.Millisecond),
-		Timeout: settings.Time(tokenTimeout)}
+	n := &rig.Night{Storm: true, Nodes: seats + others, Council: seats, Contacts: seats, Longest: configfile.Time(time.Millisecond),
+		Timeout: configfile.Time(tokenTimeout)}
 	f, err := rig.NewFleet(n, b.Seed, b.Program, b.folder)
 	if err != nil {
 		return nil, err
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -17,12 +17,12 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
 	"topazpost/lab/baselines"
 	"topazpost/lab/fleet"
-	"topazpost/settings"
 )
 
 // Experiment is one as it is written.
@@ -40,10 +40,10 @@
 // Day is what is played.
 type Day struct {
 	Nodes      int
-	Length     settings.Time
+	Length     configfile.Time
 	Models     []Model
 	Operations []Operation
-	Reading    settings.Part
+	Reading    configfile.Part
 	Callers    []Caller
 	Load       Load
 	Rate       float64 // invocations a second that stand for a load of 100 %, 0 to have it reckoned
@@ -57,28 +57,28 @@
 type Model struct {
 	Cores                     int
 	Speed                     float64
-	ColdFrom                  settings.Part `json:"cold_from"`
-	WarmAfter                 settings.Time `json:"warm_after"`
+	ColdFrom                  configfile.Part `json:"cold_from"`
+	WarmAfter                 configfile.Time `json:"warm_after"`
 	CrowdFrom, Crowding, Most float64
 }
 
 // Operation is a kind of invocation.
 type Operation struct {
 	Name, Form         string
-	Share              settings.Part
-	Work, Call         settings.Time
+	Share              configfile.Part
+	Work, Call         configfile.Time
 	Calls              float64
-	Objective, Timeout settings.Time
-	Late               settings.Part
+	Objective, Timeout configfile.Time
+	Late               configfile.Part
 	Value              float64
-	FormWork           settings.Part `json:"form_work"`
-	FormValue          settings.Part `json:"form_value"`
+	FormWork           configfile.Part `json:"form_work"`
+	FormValue          configfile.Part `json:"form_value"`
 }
 
 // Caller is a habit of a dispatcher.
 type Caller struct {
 	Tries     int
-	Backoff   settings.Time
+	Backoff   configfile.Time
 	Heeds     bool
 	BySubject bool `json:"by_subject"`
 }
@@ -87,9 +87,9 @@
 // At on), ramp (from low to high over the day).
 type Load struct {
 	Shape     string
-	Low, High settings.Part
-	Period    settings.Time
-	At        settings.Time
+	Low, High configfile.Part
+	Period    configfile.Time
+	At        configfile.Time
 	File      string // recorded: lines of seconds and load as a part of the capacity, the first one their names
 }
 
@@ -97,14 +97,14 @@
 type Flood struct {
 	Operation string
 	By        float64
-	At, For   settings.Time
+	At, For   configfile.Time
 }
 
 // Fault is a trouble.
 type Fault struct {
 	Kind    string
-	At, For settings.Time
-	Part    settings.Part
+	At, For configfile.Time
+	Part    configfile.Part
 	By      float64
 }
 
@@ -124,7 +124,7 @@
 
 // Read reads an experiment with some of its values changed, by their paths.
 func Read(path string, changed map[string]string) (*Experiment, error) {
-	file, err := settings.Read(path)
+	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/hollow/process.go
+++ b/lab/hollow/process.go
@@ -17,11 +17,11 @@
 
 	"github.com/rs/zerolog"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
 	"topazpost/server"
-	"topazpost/settings"
 )
 
 const (
@@ -237,7 +237,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := settings.Rendered("fleet", text)
+	file, err := configfile.Rendered("fleet", text)
 	if err != nil {
 		return err
 	}
--- a/lab/rig/hollow.go
+++ b/lab/rig/hollow.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/membership"
 	"topazpost/lab/hollow"
-	"topazpost/settings"
 )
 
 const (
@@ -91,7 +91,7 @@
 }
 
 // startAll starts nodes, hollow ones with one command.
-func startAll(d driver, nodes []int, over settings.Time) error {
+func startAll(d driver, nodes []int, over configfile.Time) error {
 	if p, is := d.(*processes); is && p.fleet != nil {
 		var some []int
 		nodes, some = p.parted(nodes)
--- a/lab/rig/night.go
+++ b/lab/rig/night.go
@@ -17,8 +17,8 @@
 	"strings"
 	"time"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/membership"
-	"topazpost/settings"
 )
 
 const (
@@ -42,21 +42,21 @@
 	Kills       int               // of all nodes in turn, at drawn moments, each started again at once
 	Calls       int               // that may be in hand fleet-wide, one of each run; without it runs make none
 	Share       bool              // each node has its fixed part of them, and no leases
-	Longest     settings.Time     // run of a storm, 30 ms without it
-	Timeout     settings.Time     // client timeout in a storm, 5 s without it
+	Longest     configfile.Time   // run of a storm, 30 ms without it
+	Timeout     configfile.Time   // client timeout in a storm, 5 s without it
 	Cores       int               // of each node, 8 without it
 	Council     int               // seats that agree on claims of tokens
 	Keep        map[string]string // of the file of kept results; none without it
 	Nodes       int
-	Hollow      int           // of them: what nodes do among themselves, many to a process; the first ones stay whole
-	Regions     int           // zones are dealt to them in turn
-	Zones       int           // nodes are dealt to them in turn, 3 without it
-	Racks       int           // of all zones together
-	Tokens      float64       // that hollow nodes claim a second, all together
-	Wanted      int           // calls that hollow nodes want at a time, all together
-	Join        float64       // seconds in which all must be in one view before the faults begin, 60 without it
-	JoinOver    settings.Time `json:"join_over"` // over which hollow nodes are started; at once without it
-	Contacts    int           // nodes that are seeds
+	Hollow      int             // of them: what nodes do among themselves, many to a process; the first ones stay whole
+	Regions     int             // zones are dealt to them in turn
+	Zones       int             // nodes are dealt to them in turn, 3 without it
+	Racks       int             // of all zones together
+	Tokens      float64         // that hollow nodes claim a second, all together
+	Wanted      int             // calls that hollow nodes want at a time, all together
+	Join        float64         // seconds in which all must be in one view before the faults begin, 60 without it
+	JoinOver    configfile.Time `json:"join_over"` // over which hollow nodes are started; at once without it
+	Contacts    int             // nodes that are seeds
 	Seconds     float64
 	Calm        float64 // seconds at the end without faults
 	Seeds       int
@@ -71,9 +71,9 @@
 // heard). A roll drains and starts each of those once, in so many steps over its time.
 type Fault struct {
 	Kind, Who, Shape string
-	At, For, Every   settings.Time
+	At, For, Every   configfile.Time
 	Steps            int
-	Part             settings.Part // of datagrams that are lost
+	Part             configfile.Part // of datagrams that are lost
 }
 
 // Claim bounds a measure.
@@ -111,7 +111,7 @@
 
 // Read reads a night with some of its values changed. It says no where the file is no night but another experiment.
 func Read(path string, changed map[string]string) (n *Night, is bool, err error) {
-	file, err := settings.Read(path)
+	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, false, err
 	}
--- a/lab/rig/storm.go
+++ b/lab/rig/storm.go
@@ -18,8 +18,8 @@
 	"sync"
 	"time"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/protocol/frame"
-	"topazpost/settings"
 )
 
 const (
@@ -39,7 +39,7 @@
 	pace        = 2                     // ms that a caller waits between answers at the most
 	stormWindow = 600_000               // ms: no token's window ends in a storm
 	// client timeout in a storm, where none is given
-	stormTimeout = settings.Time(5_000 * ms)
+	stormTimeout = configfile.Time(5_000 * ms)
 )
 
 // storm is callers that repeat tokens at any node, and the ledger of all that the executors did.
@@ -88,7 +88,7 @@
 		broke: map[string]bool{}, after: map[string]bool{}, runMost: runUsual, where: map[string][]string{},
 		runners: map[string]*bench{}, timeout: time.Duration(cmp.Or(n.Timeout, stormTimeout)), callers: callers, fresh: freshEvery, back: answerMost}
 	if n.Longest > 0 {
-		s.runMost = int(n.Longest / settings.Time(ms))
+		s.runMost = int(n.Longest / configfile.Time(ms))
 	}
 	if n.Calls > 0 {
 		s.callers, s.fresh, s.back, s.turns = callers*callersMore, freshCalls, backMost, turnFor
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -8,12 +8,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
 	"topazpost/lab/mesh"
-	"topazpost/settings"
 )
 
 const (
@@ -30,20 +30,20 @@
 
 // Versions has a night play versions of the configuration, over seats that agree on their order.
 type Versions struct {
-	Seats      int           // of the nodes, spread over the zones
-	Regions    int           // that zones are dealt to, in turn
-	Zones      int           // that nodes are dealt to, in turn
-	Far        settings.Time // that a message takes more between regions
-	Tenants    int           // on all disks at the start
-	Changes    []Changes     // that callers put
+	Seats      int             // of the nodes, spread over the zones
+	Regions    int             // that zones are dealt to, in turn
+	Zones      int             // that nodes are dealt to, in turn
+	Far        configfile.Time // that a message takes more between regions
+	Tenants    int             // on all disks at the start
+	Changes    []Changes       // that callers put
 	Callers    int
-	Old        settings.Part // of the nodes: they are of a build that can't take what a change of kind new brings
-	Membership bool          // is played below; else the fleet begins joined, and views are given by the faults
+	Old        configfile.Part // of the nodes: they are of a build that can't take what a change of kind new brings
+	Membership bool            // is played below; else the fleet begins joined, and views are given by the faults
 }
 
 // Changes are changes that callers want, one each so often.
 type Changes struct {
-	At, For, Every settings.Time
+	At, For, Every configfile.Time
 	New            bool // one, of what the build before can't take: it is taken back once it is stopped
 }
 
--- a/lab/rig/virtual.go
+++ b/lab/rig/virtual.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"strconv"
 
+	"topazpost/internal/configfile"
 	"topazpost/lab/mesh"
-	"topazpost/settings"
 )
 
 // virtual is a fleet in virtual time.
@@ -17,7 +17,7 @@
 	for field, to := range map[string]*int64{"probe": &m.Membership.Probe, "silence": &m.Membership.Silence, "settle": &m.Membership.Settle,
 		"forget": &m.Membership.Forget} {
 		if value, set := n.Fleet[field]; set {
-			var t settings.Time
+			var t configfile.Time
 			if err := json.Unmarshal([]byte(strconv.Quote(value)), &t); err != nil {
 				return nil, fmt.Errorf("fleet.%s: %w", field, err)
 			}
