--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -11,7 +11,7 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/protocol/frame"
-	"topazpost/wheel"
+	"topazpost/internal/timerwheel"
 )
 
 // What makes an invocation's fields unusable.
@@ -153,7 +153,7 @@
 	} else {
 		r.resting.Remove(c.look)
 	}
-	c.look = wheel.Timer{} // in the other wheel it may name another's
+	c.look = timerwheel.Timer{} // in the other wheel it may name another's
 }
 
 // keepConnections closes those that hold a descriptor to no use: that never brought anything usable, or that stand
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -10,8 +10,8 @@
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
+	"topazpost/internal/timerwheel"
 	"topazpost/invariant"
-	"topazpost/wheel"
 )
 
 const (
@@ -91,12 +91,12 @@
 	used     int64 // when it was opened, last brought something usable or had its last answer
 	ended    int64 // when it was told that nothing new may come, where noMore
 	noMore   bool
-	evicted  bool        // its place is wanted
-	closing  bool        // it ends as soon as nothing is open on it
-	ending   bool        // the server was asked to close it
-	broken   bool        // it can't be understood
-	hastened bool        // without time for what it may still send, as its place is wanted
-	look     wheel.Timer // in resting, or in crossing where noMore
+	evicted  bool             // its place is wanted
+	closing  bool             // it ends as soon as nothing is open on it
+	ending   bool             // the server was asked to close it
+	broken   bool             // it can't be understood
+	hastened bool             // without time for what it may still send, as its place is wanted
+	look     timerwheel.Timer // in resting, or in crossing where noMore
 }
 
 func (c *connection) idle() bool { return len(c.open)+c.checks == 0 }
@@ -167,11 +167,11 @@
 	free     []int32
 	calls    map[string]int32
 	conns    map[int]*connection
-	resting  *wheel.Wheel // when each connection that may bring more is looked at, in ms; nil before the first step
-	crossing *wheel.Wheel // the same of those that were told to bring no more
-	due      []int        // connections to be looked at that were too many for one step
-	lookedAt int          // connections that were looked at so far
-	open     int          // invocations that are owed an answer
+	resting  *timerwheel.Wheel // when each connection that may bring more is looked at, in ms; nil before the first step
+	crossing *timerwheel.Wheel // the same of those that were told to bring no more
+	due      []int             // connections to be looked at that were too many for one step
+	lookedAt int               // connections that were looked at so far
+	open     int               // invocations that are owed an answer
 
 	beatAt, meterAt int64
 	heardAt         int64 // when the executor's link last brought a line
@@ -255,7 +255,7 @@
 // effects are valid until the next step.
 func (r *Reducer) Step(now, wall int64, inputs []Input) []Effect {
 	if r.resting == nil {
-		r.began, r.resting, r.crossing = now, wheel.New(now/ms), wheel.New(now/ms)
+		r.began, r.resting, r.crossing = now, timerwheel.New(now/ms), timerwheel.New(now/ms)
 	}
 	r.now, r.wall, r.effects, r.events = now, wall, r.effects[:0], append(r.events[:0], r.later...)
 	r.later, r.decided = r.later[:0], false
--- a/wheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,6 +1,6 @@
-// Package wheel is a hierarchical timing wheel: timers by whole ticks, each put in and taken out in a time that does not
+// Package timerwheel is a hierarchical timing wheel: timers by whole ticks, each put in and taken out in a time that does not
 // depend on how many there are. It has no clock and decides nothing.
-package wheel
+package timerwheel
 
 import "math/bits"
 
--- a/wheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
