--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -22,9 +22,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"topazpost/internal/invariant"
 	"topazpost/internal/protocol/frame"
 	"topazpost/internal/protocol/lineprotocol"
-	"topazpost/invariant"
 )
 
 // bound ends a test that hangs; no verdict rests on it.
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"topazpost/invariant"
+	"topazpost/internal/invariant"
 )
 
 // open takes up a link to a member. Where all are taken, the one that is unwanted longest makes room.
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math/rand"
 
-	"topazpost/invariant"
+	"topazpost/internal/invariant"
 )
 
 // member is what is kept of one; index 0 is this node.
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"topazpost/invariant"
+	"topazpost/internal/invariant"
 )
 
 // follow finds whom a path of links leads to: links that both ends tell of, from this node on.
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -9,8 +9,8 @@
 
 	"topazpost/internal/fleet/membership"
 	"topazpost/internal/fleet/quota"
+	"topazpost/internal/invariant"
 	"topazpost/internal/nodeconfig"
-	"topazpost/invariant"
 )
 
 // hollowNode sits alone in its council.
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -8,10 +8,10 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/invariant"
 	"topazpost/internal/nodeconfig"
 	"topazpost/internal/resultcache"
 	"topazpost/internal/timerwheel"
-	"topazpost/invariant"
 )
 
 const (
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 
 	"topazpost/internal/admission"
+	"topazpost/internal/invariant"
 	"topazpost/internal/protocol/frame"
 	"topazpost/internal/protocol/lineprotocol"
-	"topazpost/invariant"
 )
 
 func name(f frame.Frame) string {
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/fleet/membership"
-	"topazpost/invariant"
+	"topazpost/internal/invariant"
 )
 
 var program string
