--- a/lab/world/world.go
+++ b/internal/testbed/virtualtime/world.go
@@ -1,6 +1,6 @@
-// Package world is virtual time for the laboratory: moments in order, and resources that jobs share. One seed
+// Package virtualtime is virtual time for the laboratory: moments in order, and resources that jobs share. One seed
 // gives one course of events.
-package world
+package virtualtime
 
 import (
 	"container/heap"
--- a/lab/world/world_test.go
+++ b/internal/testbed/virtualtime/world_test.go
@@ -1,4 +1,4 @@
-package world
+package virtualtime
 
 import (
 	"testing"
--- a/lab/fleet/day.go
+++ b/lab/fleet/day.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/admission"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
-	"topazpost/lab/world"
+	"topazpost/internal/testbed/virtualtime"
 )
 
 const (
@@ -100,12 +100,12 @@
 
 // fleet is a day being played.
 type fleet struct {
-	*world.World
+	*virtualtime.World
 	day      *Day
 	start    int64
 	machines []*machine
 	callers  []*dispatcher
-	ledger   *world.Resource
+	ledger   *virtualtime.Resource
 	calls    callMeter
 	settings string
 	mean     float64 // ns of work of a mean invocation
@@ -119,7 +119,7 @@
 
 // Play plays a day.
 func Play(day *Day) (*Outcome, error) {
-	f := &fleet{World: world.New(day.Seed, epoch), day: day, start: epoch, total: newOutcome(day),
+	f := &fleet{World: virtualtime.New(day.Seed, epoch), day: day, start: epoch, total: newOutcome(day),
 		arrivals: rand.New(rand.NewSource(day.Seed ^ 0x61727269))}
 	f.settings = f.config()
 	cores, power := 0, 0.0
@@ -144,7 +144,7 @@
 	f.slots = max(1, day.Slots*float64(cores))
 	f.total.CallBudget, f.calls.at = f.share()*float64(day.Nodes), f.Now
 	f.calls.looks = make([]float64, f.callSpan()/sampled)
-	f.ledger = world.NewResource(f.World, func(n int) float64 {
+	f.ledger = virtualtime.NewResource(f.World, func(n int) float64 {
 		return min(1, f.slots/float64(max(1, n))) / (1 + 0.3*max(0, float64(n)/f.slots-1))
 	})
 	for k := range day.Dispatchers {
--- a/lab/fleet/dispatcher.go
+++ b/lab/fleet/dispatcher.go
@@ -8,7 +8,7 @@
 
 	"topazpost/internal/node"
 	"topazpost/internal/protocol/frame"
-	"topazpost/lab/world"
+	"topazpost/internal/testbed/virtualtime"
 )
 
 // invocation is what a client asks for, over all tries.
@@ -42,7 +42,7 @@
 	left          float64
 	waiting       bool
 	reduced       bool
-	call          *world.Job // at the ledger
+	call          *virtualtime.Job // at the ledger
 }
 
 // conn is a connection of a dispatcher to a node's present life.
--- a/lab/fleet/machine.go
+++ b/lab/fleet/machine.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/node"
 	"topazpost/internal/protocol/frame"
 	"topazpost/internal/protocol/lineprotocol"
-	"topazpost/lab/world"
+	"topazpost/internal/testbed/virtualtime"
 )
 
 // machine is one node with the executor that owns its cores.
@@ -20,7 +20,7 @@
 	index  int
 	model  Model
 	brain  *node.Reducer
-	cores  *world.Resource
+	cores  *virtualtime.Resource
 	life   int // counts starts; what was planned in an earlier one is void
 	born   int64
 	cold   bool
@@ -57,7 +57,7 @@
 	m.open = map[string]*attempt{}
 	m.conns, m.inbox, m.woken, m.crowd, m.level = map[int]*conn{}, nil, false, nil, ""
 	m.sent = nil
-	m.cores = world.NewResource(m.World, m.pace)
+	m.cores = virtualtime.NewResource(m.World, m.pace)
 	if m.day.Plan != nil {
 		m.put(node.Input{Kind: node.Adopt, Plan: m.day.Plan})
 	} else {
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"topazpost/internal/fleet/membership"
-	"topazpost/lab/world"
+	"topazpost/internal/testbed/virtualtime"
 )
 
 const (
@@ -60,7 +60,7 @@
 
 // Mesh is a fleet.
 type Mesh struct {
-	*world.World
+	*virtualtime.World
 	Nodes  []*Node
 	Loss   float64               // part of datagrams that are lost
 	Double float64               // that come twice
@@ -86,7 +86,7 @@
 
 // New makes a fleet in which nobody is up yet; the first nodes are seeds.
 func New(seed int64, nodes, seeds int) *Mesh {
-	m := &Mesh{World: world.New(seed, 1), Small: map[[2]int]int{}, Membership: Usual, byAddress: map[string]*Node{},
+	m := &Mesh{World: virtualtime.New(seed, 1), Small: map[[2]int]int{}, Membership: Usual, byAddress: map[string]*Node{},
 		cuts: make([]uint64, (nodes*nodes+63)/64)}
 	for i := range nodes {
 		n := &Node{Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("10.0.%d.%d:9", i/250, i%250+1), m: m, index: i}
