--- a/lab/fleet/day.go
+++ b/internal/testbed/emulator/day.go
@@ -1,6 +1,6 @@
-// Package fleet plays days of a fleet in virtual time: emulated machines around the real reducer and decisions,
+// Package emulator plays days of a fleet in virtual time: emulated machines around the real reducer and decisions,
 // dispatchers with habits, and the one ledger that all nodes call. The figures that it gives are simulated.
-package fleet
+package emulator
 
 import (
 	"cmp"
--- a/lab/fleet/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package emulator
 
 import (
 	"testing"
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -21,8 +21,8 @@
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
+	"topazpost/internal/testbed/emulator"
 	"topazpost/lab/baselines"
-	"topazpost/lab/fleet"
 )
 
 // Experiment is one as it is written.
@@ -222,28 +222,28 @@
 	}, nil
 }
 
-func (x *Experiment) day(seed int64, v Variant) (*fleet.Day, error) {
+func (x *Experiment) day(seed int64, v Variant) (*emulator.Day, error) {
 	d := &x.Day
-	day := &fleet.Day{Seed: seed, Nodes: d.Nodes, Length: int64(d.Length), Reading: float64(d.Reading), Rate: d.Rate,
+	day := &emulator.Day{Seed: seed, Nodes: d.Nodes, Length: int64(d.Length), Reading: float64(d.Reading), Rate: d.Rate,
 		Slots: d.Slots, Subjects: d.Subjects}
 	index := new(nodeconfig.Names)
 	for k, op := range d.Operations {
 		index.Put(int32(k), op.Name)
-		day.Operations = append(day.Operations, fleet.Operation{Name: op.Name, Share: float64(op.Share), Work: float64(op.Work),
+		day.Operations = append(day.Operations, emulator.Operation{Name: op.Name, Share: float64(op.Share), Work: float64(op.Work),
 			Call: float64(op.Call), Calls: op.Calls, Objective: int64(op.Objective), Timeout: int64(op.Timeout),
 			LateShare: float64(op.Late), Value: op.Value, Reduced: op.Form, ReducedWork: float64(op.FormWork),
 			Reduce: float64(op.FormValue)})
 	}
 	for _, m := range d.Models {
-		day.Models = append(day.Models, fleet.Model{Cores: m.Cores, Speed: m.Speed, ColdFrom: float64(m.ColdFrom),
+		day.Models = append(day.Models, emulator.Model{Cores: m.Cores, Speed: m.Speed, ColdFrom: float64(m.ColdFrom),
 			WarmAfter: int64(m.WarmAfter), CrowdFrom: m.CrowdFrom, Crowding: m.Crowding, By: m.Most})
 	}
 	for _, c := range d.Callers {
-		day.Dispatchers = append(day.Dispatchers, fleet.Dispatcher{Tries: c.Tries, Backoff: int64(c.Backoff), Heeds: c.Heeds,
+		day.Dispatchers = append(day.Dispatchers, emulator.Dispatcher{Tries: c.Tries, Backoff: int64(c.Backoff), Heeds: c.Heeds,
 			BySubject: c.BySubject})
 	}
 	for _, f := range d.Faults {
-		day.Faults = append(day.Faults, fleet.Fault{Kind: f.Kind, At: int64(f.At), For: int64(f.For), Part: float64(f.Part), By: f.By})
+		day.Faults = append(day.Faults, emulator.Fault{Kind: f.Kind, At: int64(f.At), For: int64(f.For), Part: float64(f.Part), By: f.By})
 	}
 	if f := d.Flood; f != nil {
 		day.Mix = func(at int64, op int) float64 {
@@ -283,7 +283,7 @@
 type Result struct {
 	Experiment *Experiment
 	Seeds      []int64
-	Outcomes   map[string][]*fleet.Outcome
+	Outcomes   map[string][]*emulator.Outcome
 	Verdicts   []Verdict
 	Pace       float64 // simulated seconds played in a second of wall time, all variants and seeds together
 }
@@ -298,19 +298,19 @@
 
 // Run plays all variants on all seeds, some at once; progress is told after each.
 func (x *Experiment) Run(seeds []int64, progress func(done, all int)) (*Result, error) {
-	r := &Result{Experiment: x, Seeds: seeds, Outcomes: map[string][]*fleet.Outcome{}}
+	r := &Result{Experiment: x, Seeds: seeds, Outcomes: map[string][]*emulator.Outcome{}}
 	var group errgroup.Group
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	began := time.Now()
 	told := make(chan struct{}, len(seeds)*len(x.Variants))
 	for _, name := range x.names() {
-		outcomes := make([]*fleet.Outcome, len(seeds))
+		outcomes := make([]*emulator.Outcome, len(seeds))
 		r.Outcomes[name] = outcomes
 		for k, seed := range seeds {
 			group.Go(func() error {
 				day, err := x.day(seed, x.Variants[name])
 				if err == nil {
-					outcomes[k], err = fleet.Play(day)
+					outcomes[k], err = emulator.Play(day)
 				}
 				told <- struct{}{}
 				return err
@@ -379,17 +379,17 @@
 }
 
 // measures are what claims and tables speak of.
-var measures = map[string]func(x *Experiment, c *Claim, o *fleet.Outcome) float64{
-	"value":         func(_ *Experiment, _ *Claim, o *fleet.Outcome) float64 { return o.Value },
-	"value_reduced": func(_ *Experiment, _ *Claim, o *fleet.Outcome) float64 { return o.ByReduced },
-	"broken":        func(_ *Experiment, _ *Claim, o *fleet.Outcome) float64 { return float64(o.Broken()) },
-	"changes": func(x *Experiment, _ *Claim, o *fleet.Outcome) float64 {
+var measures = map[string]func(x *Experiment, c *Claim, o *emulator.Outcome) float64{
+	"value":         func(_ *Experiment, _ *Claim, o *emulator.Outcome) float64 { return o.Value },
+	"value_reduced": func(_ *Experiment, _ *Claim, o *emulator.Outcome) float64 { return o.ByReduced },
+	"broken":        func(_ *Experiment, _ *Claim, o *emulator.Outcome) float64 { return float64(o.Broken()) },
+	"changes": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 {
 		return float64(changes(x, o))
 	},
-	"changes_per_swing": func(x *Experiment, _ *Claim, o *fleet.Outcome) float64 {
+	"changes_per_swing": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 {
 		return float64(changes(x, o)) / (float64(x.Day.Length) / float64(max(1, x.Day.Load.Period)))
 	},
-	"in_objective": func(_ *Experiment, c *Claim, o *fleet.Outcome) float64 {
+	"in_objective": func(_ *Experiment, c *Claim, o *emulator.Outcome) float64 {
 		for _, op := range o.Operations {
 			if op.Name == c.Operation {
 				return op.InObjective
@@ -397,19 +397,19 @@
 		}
 		return math.NaN()
 	},
-	"reached_s": func(x *Experiment, _ *Claim, o *fleet.Outcome) float64 { // from At until every node has left full service
+	"reached_s": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 { // from At until every node has left full service
 		return x.first(o, func(level int) bool { return level > 0 })
 	},
-	"full_s": func(x *Experiment, _ *Claim, o *fleet.Outcome) float64 { // from At until every node is back at full service
+	"full_s": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 { // from At until every node is back at full service
 		return x.first(o, func(level int) bool { return level == 0 })
 	},
-	"top": func(_ *Experiment, _ *Claim, o *fleet.Outcome) (top float64) { // highest level of any node
+	"top": func(_ *Experiment, _ *Claim, o *emulator.Outcome) (top float64) { // highest level of any node
 		for _, t := range o.Turns {
 			top = max(top, float64(t.To))
 		}
 		return top
 	},
-	"at_once": func(x *Experiment, _ *Claim, o *fleet.Outcome) (most float64) { // part of the nodes that changed in one second
+	"at_once": func(x *Experiment, _ *Claim, o *emulator.Outcome) (most float64) { // part of the nodes that changed in one second
 		by := map[int]int{}
 		for _, t := range o.Turns {
 			by[int(t.At)]++
@@ -419,7 +419,7 @@
 	},
 }
 
-func changes(x *Experiment, o *fleet.Outcome) (most int) {
+func changes(x *Experiment, o *emulator.Outcome) (most int) {
 	by := make([]int, x.Day.Nodes)
 	for _, t := range o.Turns {
 		if t.At >= 0.05 && t.At <= float64(x.Day.Length)/1e9 { // a plan taken at the start is none, nor is the end of the day
@@ -431,7 +431,7 @@
 }
 
 // first is how many seconds after At the last node comes to be, and is, at levels of a kind at the end of the second.
-func (x *Experiment) first(o *fleet.Outcome, of func(level int) bool) float64 {
+func (x *Experiment) first(o *emulator.Outcome, of func(level int) bool) float64 {
 	at := float64(x.Day.Load.At) / 1e9
 	worst := math.Inf(-1)
 	for n := range x.Day.Nodes {
--- a/lab/experiment/report.go
+++ b/lab/experiment/report.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"topazpost/lab/fleet"
+	"topazpost/internal/testbed/emulator"
 )
 
 // Print writes a table of the variants, means over the seeds, and the verdicts on the claims.
@@ -30,7 +30,7 @@
 	fmt.Fprintln(w)
 	for _, name := range r.Experiment.names() {
 		all := r.Outcomes[name]
-		mean := func(of func(o *fleet.Outcome) float64) (sum float64) {
+		mean := func(of func(o *emulator.Outcome) float64) (sum float64) {
 			for _, o := range all {
 				sum += of(o)
 			}
@@ -43,19 +43,19 @@
 			broken = append(broken, o.Breach()...)
 		}
 		fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t%.2f\t%.2f\t%s", name,
-			mean(func(o *fleet.Outcome) float64 { return o.Value }), least, most,
-			mean(func(o *fleet.Outcome) float64 { return o.ByReduced }), turns, crowd, calls, strings.Join(broken, "; "))
+			mean(func(o *emulator.Outcome) float64 { return o.Value }), least, most,
+			mean(func(o *emulator.Outcome) float64 { return o.ByReduced }), turns, crowd, calls, strings.Join(broken, "; "))
 		for k := range r.Experiment.Day.Operations {
-			part := func(of func(t *fleet.Tally) int) float64 {
-				return 100 * mean(func(o *fleet.Outcome) float64 {
+			part := func(of func(t *emulator.Tally) int) float64 {
+				return 100 * mean(func(o *emulator.Outcome) float64 {
 					return float64(of(&o.Operations[k])) / float64(max(1, o.Operations[k].Asked))
 				})
 			}
-			fmt.Fprintf(w, "\t%.1f %%\t%.1f %%\t%.1f %%\t%.1f %%\t%.0f\t%.0f", part(func(t *fleet.Tally) int { return t.Whole }),
-				part(func(t *fleet.Tally) int { return t.Reduced }), part(func(t *fleet.Tally) int { return t.Late }),
-				part(func(t *fleet.Tally) int { return t.Throttled }),
-				mean(func(o *fleet.Outcome) float64 { return o.Operations[k].P50 }),
-				mean(func(o *fleet.Outcome) float64 { return o.Operations[k].P99 }))
+			fmt.Fprintf(w, "\t%.1f %%\t%.1f %%\t%.1f %%\t%.1f %%\t%.0f\t%.0f", part(func(t *emulator.Tally) int { return t.Whole }),
+				part(func(t *emulator.Tally) int { return t.Reduced }), part(func(t *emulator.Tally) int { return t.Late }),
+				part(func(t *emulator.Tally) int { return t.Throttled }),
+				mean(func(o *emulator.Outcome) float64 { return o.Operations[k].P50 }),
+				mean(func(o *emulator.Outcome) float64 { return o.Operations[k].P99 }))
 		}
 		fmt.Fprintln(w)
 	}
