--- a/lab/mesh/mesh.go
+++ b/internal/testbed/virtualfleet/mesh.go
@@ -1,6 +1,6 @@
-// Package mesh plays the membership of many nodes in virtual time: datagrams and exchanges over ordered pairs of
+// Package virtualfleet plays the membership of many nodes in virtual time: datagrams and exchanges over ordered pairs of
 // links that can lose, delay and cut, and nodes that pause, die and come back.
-package mesh
+package virtualfleet
 
 import (
 	"fmt"
--- a/lab/mesh/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -1,4 +1,4 @@
-package mesh
+package virtualfleet
 
 import (
 	"testing"
--- a/lab/capacity/virtual.go
+++ b/lab/capacity/virtual.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"topazpost/lab/mesh"
+	"topazpost/internal/testbed/virtualfleet"
 )
 
 const (
@@ -56,17 +56,17 @@
 
 // simulated plays what befalls a fleet, one after the other.
 func (b *Bench) simulated(nodes int) (map[string]float64, error) {
-	p := &virtualPlay{m: mesh.New(b.Seed, nodes, virtualSeeds), figures: map[string]float64{}}
-	p.event("joined", "herd", joinSeconds, func() { p.each(0, nodes, (*mesh.Node).Start) })
+	p := &virtualPlay{m: virtualfleet.New(b.Seed, nodes, virtualSeeds), figures: map[string]float64{}}
+	p.event("joined", "herd", joinSeconds, func() { p.each(0, nodes, (*virtualfleet.Node).Start) })
 	_, idle := p.seconds(idleSeconds)
 	p.figures["idle_bytes"] = idle
 	one := nodes / 2
-	p.event("killed", "killed", eventSeconds, func() { p.each(one, one+1, (*mesh.Node).Kill) })
-	p.event("", "restarted", eventSeconds, func() { p.each(one, one+1, (*mesh.Node).Start) })
+	p.event("killed", "killed", eventSeconds, func() { p.each(one, one+1, (*virtualfleet.Node).Kill) })
+	p.event("", "restarted", eventSeconds, func() { p.each(one, one+1, (*virtualfleet.Node).Start) })
 	lose := func(name string, part int) {
 		from := nodes - nodes/part
-		p.event(name, name, eventSeconds, func() { p.each(from, nodes, (*mesh.Node).Kill) })
-		p.event(name+"_back", name+"_back", eventSeconds, func() { p.each(from, nodes, (*mesh.Node).Start) })
+		p.event(name, name, eventSeconds, func() { p.each(from, nodes, (*virtualfleet.Node).Kill) })
+		p.event(name+"_back", name+"_back", eventSeconds, func() { p.each(from, nodes, (*virtualfleet.Node).Start) })
 	}
 	if lose("zone", zones); !b.Brief {
 		lose("region", regionsLost)
@@ -79,13 +79,13 @@
 }
 
 type virtualPlay struct {
-	m       *mesh.Mesh
+	m       *virtualfleet.Mesh
 	sent    int
 	figures map[string]float64
 	apart   bool
 }
 
-func (p *virtualPlay) each(from, to int, do func(*mesh.Node)) {
+func (p *virtualPlay) each(from, to int, do func(*virtualfleet.Node)) {
 	for _, n := range p.m.Nodes[from:to] {
 		do(n)
 	}
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
-	"topazpost/lab/mesh"
+	"topazpost/internal/testbed/virtualfleet"
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // member is a node with what outlives its lives.
 type member struct {
-	*mesh.Node
+	*virtualfleet.Node
 	index int
 	seat  bool
 	old   bool
@@ -101,7 +101,7 @@
 
 // versions is a fleet of holders and seats in virtual time.
 type versions struct {
-	*mesh.Mesh
+	*virtualfleet.Mesh
 	night    *Night
 	terms    *Versions
 	members  []*member
@@ -131,7 +131,7 @@
 
 func newVersions(n *Night, seed int64) *versions {
 	t := n.Versions
-	f := &versions{Mesh: mesh.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), night: n, terms: t, byName: map[string]*member{},
+	f := &versions{Mesh: virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), night: n, terms: t, byName: map[string]*member{},
 		chance: rand.New(rand.NewSource(seed)), agreedAt: map[uint64]int64{}, digests: map[uint64]configsync.Digest{},
 		records: map[uint64]*configsync.Record{}, apart: map[*member]bool{}, last: &configsync.Agreed{}}
 	f.digests[0] = configsync.Digest{}
@@ -165,7 +165,7 @@
 }
 
 // begin is a new life of a node: from its disk, or from a file without anything.
-func (f *versions) begin(n *mesh.Node) mesh.Payload {
+func (f *versions) begin(n *virtualfleet.Node) virtualfleet.Payload {
 	m := f.byName[n.Name]
 	start := configsync.Start{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
 	l := &life{f: f, m: m, asked: map[int]func(any, int){}, fresh: m.disk.content == nil}
@@ -238,7 +238,7 @@
 }
 
 // Came takes a message of another node's holder or seat.
-func (l *life) Came(from *mesh.Node, body any) {
+func (l *life) Came(from *virtualfleet.Node, body any) {
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	switch msg := p.body.(type) {
@@ -256,7 +256,7 @@
 }
 
 // Asked takes an exchange.
-func (l *life) Asked(from *mesh.Node, body any, reply func(body any, size int)) {
+func (l *life) Asked(from *virtualfleet.Node, body any, reply func(body any, size int)) {
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	l.links++
--- a/lab/rig/virtual.go
+++ b/lab/rig/virtual.go
@@ -6,14 +6,14 @@
 	"strconv"
 
 	"topazpost/internal/configfile"
-	"topazpost/lab/mesh"
+	"topazpost/internal/testbed/virtualfleet"
 )
 
 // virtual is a fleet in virtual time.
-type virtual struct{ *mesh.Mesh }
+type virtual struct{ *virtualfleet.Mesh }
 
 func newVirtual(n *Night, seed int64) (*virtual, error) {
-	m := mesh.New(seed, n.Nodes, min(n.Contacts, n.Nodes))
+	m := virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes))
 	for field, to := range map[string]*int64{"probe": &m.Membership.Probe, "silence": &m.Membership.Silence, "settle": &m.Membership.Settle,
 		"forget": &m.Membership.Forget} {
 		if value, set := n.Fleet[field]; set {
