--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/mattn/go-isatty"
 
+	"topazpost/internal/testbed/processfleet"
 	"topazpost/lab/experiment"
-	"topazpost/lab/rig"
 )
 
 type run struct {
@@ -28,7 +28,7 @@
 
 // Run plays an experiment and fails where a claim does not hold.
 func (c *run) Run() error {
-	if night, is, err := rig.Read(c.File, c.Set); is || err != nil {
+	if night, is, err := processfleet.Read(c.File, c.Set); is || err != nil {
 		if err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 }
 
 // night plays an experiment on a fleet.
-func (c *run) night(n *rig.Night) error {
+func (c *run) night(n *processfleet.Night) error {
 	seeds := c.seeds(&n.Seeds)
 	program, err := os.Executable()
 	if err != nil {
--- a/lab/rig/cost_test.go
+++ b/internal/testbed/processfleet/cost_test.go
@@ -1,4 +1,4 @@
-package rig
+package processfleet
 
 import (
 	"fmt"
--- a/lab/rig/night.go
+++ b/internal/testbed/processfleet/night.go
@@ -1,6 +1,6 @@
-// Package rig plays a night of faults on a fleet: in virtual time, or on built daemons whose links run through
+// Package processfleet plays a night of faults on a fleet: in virtual time, or on built daemons whose links run through
 // relays on loopback. Both are judged by the same measures of the views that nodes told.
-package rig
+package processfleet
 
 import (
 	"encoding/json"
--- a/lab/capacity/standins.go
+++ b/lab/capacity/standins.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"topazpost/lab/rig"
+	"topazpost/internal/testbed/processfleet"
 )
 
 // executor runs what it is sent for a set time, and tells in the result how long that came to be, in ns: what an answer
@@ -24,7 +24,7 @@
 func newExecutor(run time.Duration) (*executor, error) {
 	e := &executor{run: run}
 	var err error
-	e.listener, err = rig.Accept(e.serve)
+	e.listener, err = processfleet.Accept(e.serve)
 	return e, err
 }
 
--- a/lab/capacity/tokens.go
+++ b/lab/capacity/tokens.go
@@ -9,7 +9,7 @@
 
 	"topazpost/internal/configfile"
 	"topazpost/internal/protocol/frame"
-	"topazpost/lab/rig"
+	"topazpost/internal/testbed/processfleet"
 )
 
 const (
@@ -39,9 +39,9 @@
 }
 
 func (b *Bench) agreed(aSecond float64) (m map[string]float64, err error) {
-	n := &rig.Night{Storm: true, Nodes: seats + others, Council: seats, Contacts: seats, Longest: configfile.Time(time.Millisecond),
+	n := &processfleet.Night{Storm: true, Nodes: seats + others, Council: seats, Contacts: seats, Longest: configfile.Time(time.Millisecond),
 		Timeout: configfile.Time(tokenTimeout)}
-	f, err := rig.NewFleet(n, b.Seed, b.Program, b.folder)
+	f, err := processfleet.NewFleet(n, b.Seed, b.Program, b.folder)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 
 // asks has callers bring fresh tokens, each at its part of the pace and one at a time; so where the council is slower than
 // asked for, fewer are done.
-func asks(f *rig.Fleet, aSecond float64, length time.Duration) (done, lost int64, err error) {
+func asks(f *processfleet.Fleet, aSecond float64, length time.Duration) (done, lost int64, err error) {
 	if aSecond == 0 {
 		return 0, 0, nil
 	}
@@ -119,7 +119,7 @@
 					return
 				}
 				time.Sleep(time.Until(began.Add(due)))
-				if _, err := conn.Write(rig.Invocation(stream, fmt.Sprintf("%08x%08x", k, stream), fmt.Sprintf("c%d-%d", k, stream))); err != nil {
+				if _, err := conn.Write(processfleet.Invocation(stream, fmt.Sprintf("%08x%08x", k, stream), fmt.Sprintf("c%d-%d", k, stream))); err != nil {
 					failed <- err
 					return
 				}
