--- a/cmd/topazlab/hollow.go
+++ b/cmd/topazlab/hollow.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 )
 
 type hollowNodes struct {
--- a/internal/testbed/processfleet/hollow.go
+++ b/internal/testbed/processfleet/hollow.go
@@ -13,7 +13,7 @@
 
 	"topazpost/internal/configfile"
 	"topazpost/internal/fleet/membership"
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 )
 
 const (
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"topazpost/internal/fleet/membership"
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 )
 
 const (
--- a/internal/testbed/processfleet/relay_test.go
+++ b/internal/testbed/processfleet/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 )
 
 func TestRelaySendsInTheNameOfEachOfManySenders(t *testing.T) {
--- a/lab/capacity/changes.go
+++ b/lab/capacity/changes.go
@@ -18,7 +18,7 @@
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 	"topazpost/server"
 )
 
--- a/lab/capacity/peers.go
+++ b/lab/capacity/peers.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 )
 
 const (
--- a/lab/capacity/peers_test.go
+++ b/lab/capacity/peers_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"topazpost/lab/hollow"
+	"topazpost/internal/testbed/hollow"
 )
 
 func TestAFleetIsAtRestOnceItsTrafficIsLevelAndNoNews(t *testing.T) {
