--- a/cmd/topazlab/capacity.go
+++ b/cmd/topazlab/capacity.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"slices"
 
-	ladders "topazpost/lab/capacity"
+	ladders "topazpost/internal/testbed/capacity"
 )
 
 type capacity struct {
--- a/lab/capacity/page_test.go
+++ b/internal/testbed/capacity/page_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const docs = "../../docs"
+const docs = "../../../docs"
 
 // The page's tables are what the files under docs/capacity make them: no figure stands in them that no run gave.
 func TestPageIsMadeFromItsFiles(t *testing.T) {
