--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/mattn/go-isatty"
 
+	"topazpost/internal/testbed/experiment"
 	"topazpost/internal/testbed/processfleet"
-	"topazpost/lab/experiment"
 )
 
 type run struct {
