--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation"
 	"topazpost/internal/node"
-	"topazpost/lab/baselines"
+	"topazpost/internal/testbed/baselines"
 )
 
 // day is a small fleet under a constant load.
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -21,8 +21,8 @@
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/node"
 	"topazpost/internal/nodeconfig"
+	"topazpost/internal/testbed/baselines"
 	"topazpost/internal/testbed/emulator"
-	"topazpost/lab/baselines"
 )
 
 // Experiment is one as it is written.
