--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -320,7 +320,7 @@
 
 // askCouncil sends commands and asks for leases to a seat: this node's own while it knows a leader, else the one that
 // answered last, and another one where that is silent.
-func (r *Reducer) askCouncil(commands []claims.Command, leases []quota.Command, proposed ...configuration.Command) {
+func (r *Reducer) askCouncil(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
 	c := &r.claimed
 	if c.since == 0 {
 		c.since = r.now
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -249,7 +249,7 @@
 }
 
 // keeper steps the keeper with inputs; what follows from its actions is stepped after them, never within.
-func (r *Reducer) keeper(inputs ...results.Input) {
+func (r *Reducer) keeper(inputs ...resultcache.Input) {
 	k := &r.kept
 	k.inputs = append(k.inputs, inputs...)
 	if k.running {
--- a/internal/resultcache/segmentstore/crash_test.go
+++ b/internal/resultcache/segmentstore/crash_test.go
@@ -44,7 +44,7 @@
 	return n.step(append(found, resultcache.Input{Kind: resultcache.Restarted})...)
 }
 
-func (n *node) step(inputs ...results.Input) error {
+func (n *node) step(inputs ...resultcache.Input) error {
 	for _, a := range n.keeper.Step(n.now, inputs) {
 		switch a.Kind {
 		case resultcache.Run:
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestEveryExperimentCanBeReadWithItsPlans(t *testing.T) {
-	files, err := filepath.Glob("../../experiments/levels-*.jsonnet") // nights on fleets are read by package rig
+	files, err := filepath.Glob("../../../experiments/levels-*.jsonnet") // nights on fleets are read by package rig
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, path := range files {
@@ -30,7 +30,7 @@
 
 func short(t *testing.T, changed map[string]string) *Result {
 	changed["day.length"] = "6 s"
-	x, err := Read("../../experiments/levels-constant.jsonnet", changed)
+	x, err := Read("../../../experiments/levels-constant.jsonnet", changed)
 	require.NoError(t, err)
 	r, err := x.Run([]int64{1, 2}, nil)
 	require.NoError(t, err)
@@ -86,7 +86,7 @@
 
 func TestUnknownNamesAreTold(t *testing.T) {
 	for path, text := range map[string]string{"claims.0.variant": "no variant is named", "claims.0.measure": "no measure is named"} {
-		_, err := Read("../../experiments/levels-constant.jsonnet", map[string]string{path: "zz"})
+		_, err := Read("../../../experiments/levels-constant.jsonnet", map[string]string{path: "zz"})
 		assert.ErrorContains(t, err, text)
 	}
 }
--- a/internal/testbed/processfleet/cost_test.go
+++ b/internal/testbed/processfleet/cost_test.go
@@ -18,7 +18,7 @@
 
 // BenchmarkTokenedOnAFleet measures invocations of fresh tokens one after the other, and idempotent ones, with claims in memory of the node
 // alone and agreed on by councils of one, three and five, and how many a council of three agrees on in a second:
-// go test -run NONE -bench TokenedOnAFleet -benchtime 1x ./lab/rig.
+// go test -run NONE -bench TokenedOnAFleet -benchtime 1x ./internal/testbed/processfleet.
 func BenchmarkTokenedOnAFleet(b *testing.B) {
 	for b.Loop() {
 		for _, seats := range []int{0, 1, 3, 5} {
--- a/internal/testbed/processfleet/rig_test.go
+++ b/internal/testbed/processfleet/rig_test.go
@@ -82,7 +82,7 @@
 // A storm that can't fail shows nothing: without a store, a daemon that is killed runs tokens again.
 func TestStormFindsRunsThatWereForgotten(t *testing.T) {
 	t.Parallel()
-	n, _, err := Read("../../experiments/kept-storm.jsonnet", map[string]string{"seconds": "8", "kills": "4", "keep.durability": "none"})
+	n, _, err := Read("../../../experiments/kept-storm.jsonnet", map[string]string{"seconds": "8", "kills": "4", "keep.durability": "none"})
 	require.NoError(t, err)
 	r, err := n.Run([]int64{1}, program, "")
 	require.NoError(t, err)
@@ -105,7 +105,7 @@
 // that was back was still told of too late.
 func TestPausesAreBorneWhicheverFifthIsLost(t *testing.T) {
 	t.Parallel()
-	n, _, err := Read("../../experiments/members-pause.jsonnet", map[string]string{"processes": "false", "nodes": "6", "seconds": "24", "calm": "10"})
+	n, _, err := Read("../../../experiments/members-pause.jsonnet", map[string]string{"processes": "false", "nodes": "6", "seconds": "24", "calm": "10"})
 	require.NoError(t, err)
 	for seed := int64(1); seed <= 320; seed++ {
 		r, err := n.Run([]int64{seed}, "", "")
@@ -116,7 +116,7 @@
 
 // A measure that can't fail is none: a fleet whose silence is shorter than the pauses loses those that were paused.
 func TestShortSilenceIsFound(t *testing.T) {
-	n, _, err := Read("../../experiments/members-pause.jsonnet", map[string]string{"processes": "false", "seconds": "60"})
+	n, _, err := Read("../../../experiments/members-pause.jsonnet", map[string]string{"processes": "false", "seconds": "60"})
 	require.NoError(t, err)
 	n.Fleet = map[string]string{"silence": "2 s"}
 	r, err := n.Run([]int64{1}, "", "")
@@ -125,7 +125,7 @@
 }
 
 func TestFileThatIsNoNightIsLeftToOthers(t *testing.T) {
-	_, is, err := Read("../../experiments/levels-step.jsonnet", nil)
+	_, is, err := Read("../../../experiments/levels-step.jsonnet", nil)
 	require.NoError(t, err)
 	assert.False(t, is)
 	path := filepath.Join(t.TempDir(), "a.jsonnet")
@@ -154,7 +154,7 @@
 }
 
 func TestReturnsThroughOverlappingFaultsAreSeenInTime(t *testing.T) {
-	n, _, err := Read("../../experiments/quota-hard.jsonnet", map[string]string{"processes": "false"})
+	n, _, err := Read("../../../experiments/quota-hard.jsonnet", map[string]string{"processes": "false"})
 	require.NoError(t, err)
 	n.Claims = nil
 	r, err := n.Run([]int64{3, 4, 5, 8}, "", "")
--- a/internal/testbed/processfleet/takeover_test.go
+++ b/internal/testbed/processfleet/takeover_test.go
@@ -57,7 +57,7 @@
 // storms plays an experiment of storms and wants no token run twice, every answer right, and all of it in one order.
 func storms(t *testing.T, experiment string, changed map[string]string) map[string]float64 {
 	t.Parallel()
-	n, is, err := Read("../../experiments/"+experiment+".jsonnet", changed)
+	n, is, err := Read("../../../experiments/"+experiment+".jsonnet", changed)
 	require.NoError(t, err)
 	require.True(t, is)
 	n.Claims = nil // those of the full length
@@ -183,7 +183,7 @@
 // executors that take long.
 func held(t *testing.T) (p *processes, c *caller, states map[string]string) {
 	t.Parallel()
-	n, _, err := Read("../../experiments/takeover-held.jsonnet", map[string]string{"nodes": "5", "timeout": "50 s", "longest": "1 s"})
+	n, _, err := Read("../../../experiments/takeover-held.jsonnet", map[string]string{"nodes": "5", "timeout": "50 s", "longest": "1 s"})
 	require.NoError(t, err)
 	p, err = newProcesses(n, 1, program, t.TempDir())
 	require.NoError(t, err)
--- a/internal/testbed/processfleet/versions_test.go
+++ b/internal/testbed/processfleet/versions_test.go
@@ -103,7 +103,7 @@
 // A measure that can't fail is none: seats that all lose their disks have lost what they acknowledged.
 func TestLostVersionsAreFound(t *testing.T) {
 	t.Parallel()
-	n, _, err := Read("../../experiments/config-scale.jsonnet", map[string]string{"nodes": "30", "seconds": "20", "versions.tenants": "50",
+	n, _, err := Read("../../../experiments/config-scale.jsonnet", map[string]string{"nodes": "30", "seconds": "20", "versions.tenants": "50",
 		"faults":           `[{"kind":"kill","who":"seats","shape":"forgets","at":"10 s","for":"1 s"}]`,
 		"versions.changes": `[{"at":"1 s","for":"15 s","every":"1 s"}]`})
 	require.NoError(t, err)
--- a/internal/testbed/virtualfleet/mesh_test.go
+++ b/internal/testbed/virtualfleet/mesh_test.go
@@ -76,7 +76,7 @@
 	for k := range int64(many) {
 		group.Go(func() error { return Schedule(first+k, 3+int(first+k)%14, 60*s, 30*s) })
 	}
-	assert.NoError(t, group.Wait(), "MESH_SEED=N go test -run Schedules ./lab/mesh replays one")
+	assert.NoError(t, group.Wait(), "MESH_SEED=N go test -run Schedules ./internal/testbed/virtualfleet replays one")
 }
 
 // BenchmarkSecond is a second of a fleet that loses and regains a tenth of its nodes, and one of an idle fleet.
