--- a/claims/fixtures_test.go
+++ b/claims/fixtures_test.go
@@ -42,14 +42,14 @@
 	assert.Equal(t, value, again, name)
 }
 
-// full is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
+// fullValue is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
 // field that is renamed keeps its value as long as it keeps its key.
-func full[T any](seed uint32) (value T) {
-	fill(reflect.ValueOf(&value).Elem(), seed)
+func fullValue[T any](seed uint32) (value T) {
+	setFull(reflect.ValueOf(&value).Elem(), seed)
 	return value
 }
 
-func fill(v reflect.Value, seed uint32) {
+func setFull(v reflect.Value, seed uint32) {
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
@@ -63,24 +63,24 @@
 		v.SetString(fmt.Sprintf("t%010d", seed))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), seed)
+		setFull(v.Elem(), seed)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for k := range 2 {
-			fill(v.Index(k), 31*seed+1_000+uint32(k))
+			setFull(v.Index(k), 31*seed+1_000+uint32(k))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		for k := range uint32(2) {
 			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-			fill(key, 31*seed+2_000+k)
-			fill(value, 31*seed+3_000+k)
+			setFull(key, 31*seed+2_000+k)
+			setFull(value, 31*seed+3_000+k)
 			v.SetMapIndex(key, value)
 		}
 	case reflect.Struct:
 		for k := range v.NumField() {
 			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
-				fill(v.Field(k), 31*seed+key)
+				setFull(v.Field(k), 31*seed+key)
 			}
 		}
 	default:
@@ -114,7 +114,7 @@
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
 		for _, kind := range []CommandKind{Nop, Claim, Start, End, Release, Take, Doubt, Settle, Pass} {
-			c := full[Command](uint32(len(list)))
+			c := fullValue[Command](uint32(len(list)))
 			c.Kind = kind
 			list = append(list, c)
 		}
@@ -124,21 +124,21 @@
 	t.Run("verdicts", func(t *testing.T) {
 		var list []Verdict
 		for _, answer := range []Answer{Done, Granted, Elsewhere, Known, Doubted, Clash, Fenced, Full} {
-			v := full[Verdict](uint32(len(list)))
+			v := fullValue[Verdict](uint32(len(list)))
 			v.Answer = answer
 			list = append(list, v)
 		}
 		sameBothWays(t, "verdicts-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("counters", func(t *testing.T) {
-		sameBothWays(t, "counters-v1.cbor", full[Counters](1), cbor.Marshal, decode.Unmarshal)
-		sameBothWays(t, "desk-counters-v1.cbor", full[DeskCounters](2), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "counters-v1.cbor", fullValue[Counters](1), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "desk-counters-v1.cbor", fullValue[DeskCounters](2), cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("snapshot", func(t *testing.T) {
-		s := full[snapshot](1)
+		s := fullValue[snapshot](1)
 		s.Entries = nil
 		for _, state := range []State{Claimed, Started, Unknown, Ended} {
-			e := full[Entry](uint32(len(s.Entries)))
+			e := fullValue[Entry](uint32(len(s.Entries)))
 			e.State = state
 			s.Entries = append(s.Entries, &e)
 		}
--- /dev/null
+++ b/council/fixtures_test.go
@@ -0,0 +1,319 @@
+package council
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"topazpost/claims"
+	"topazpost/configuration"
+	"topazpost/quota"
+	"topazpost/takeover"
+)
+
+var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
+
+// sameAsFixture says that the bytes are those of a file of testdata, and gives the file's.
+func sameAsFixture(t *testing.T, name string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		require.NoError(t, os.MkdirAll("testdata", 0o777))
+		require.NoError(t, os.WriteFile(path, encoded, 0o666))
+	}
+	fixture, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, fixture, encoded, "%s: the encoding isn't what it was", name)
+	return fixture
+}
+
+// sameBothWays says that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
+func sameBothWays[T any](t *testing.T, name string, value T, encode func(any) ([]byte, error), decode func([]byte, any) error) {
+	t.Helper()
+	encoded, err := encode(value)
+	require.NoError(t, err)
+	var again T
+	require.NoError(t, decode(sameAsFixture(t, name, encoded), &again))
+	assert.Equal(t, value, again, name)
+}
+
+// fullValue is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
+// field that is renamed keeps its value as long as it keeps its key.
+func fullValue[T any](seed uint32) (value T) {
+	setFull(reflect.ValueOf(&value).Elem(), seed)
+	return value
+}
+
+func setFull(v reflect.Value, seed uint32) {
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(seed%(1<<min(v.Type().Bits()-1, 31)-1)) + 1)
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(seed)%(1<<min(v.Type().Bits(), 32)-1) + 1)
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(seed) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("t%010d", seed))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		setFull(v.Elem(), seed)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for k := range 2 {
+			setFull(v.Index(k), 31*seed+1_000+uint32(k))
+		}
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		for k := range uint32(2) {
+			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+			setFull(key, 31*seed+2_000+k)
+			setFull(value, 31*seed+3_000+k)
+			v.SetMapIndex(key, value)
+		}
+	case reflect.Struct:
+		for k := range v.NumField() {
+			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
+				setFull(v.Field(k), 31*seed+key)
+			}
+		}
+	default:
+		panic("no value for " + v.Type().String())
+	}
+}
+
+// keyOf is what a field is known by in the encoding: a number, a name, or in an array its place.
+func keyOf(f reflect.StructField, place int) (key uint32, encoded bool) {
+	tag := f.Tag.Get("cbor")
+	if tag == "" {
+		tag = f.Tag.Get("json")
+	}
+	name, rest, _ := strings.Cut(tag, ",")
+	switch {
+	case !f.IsExported() && !f.Anonymous || tag == "-":
+		return 0, false
+	case f.Anonymous && name == "":
+		return 0, true
+	case strings.Contains(rest, "keyasint"):
+		number, err := strconv.ParseUint(name, 10, 32)
+		return uint32(number), err == nil
+	case name == "":
+		name = f.Name
+	}
+	return crc32.ChecksumIEEE([]byte(name)), true
+}
+
+// What seats and nodes tell each other, one message of each kind, what a node shows, and the bodies of what a seat keeps on its disk.
+func TestFixturesOfTheCouncil(t *testing.T) {
+	t.Run("messages", func(t *testing.T) {
+		var list []Message
+		for _, kind := range []Kind{Raft, Hail, Propose, Verdicts, Tells, Gift, Return, Heard, Want, Piece} {
+			m := fullValue[Message](uint32(len(list)))
+			m.Kind = kind
+			list = append(list, m)
+		}
+		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, cbor.Unmarshal)
+	})
+	t.Run("picture", func(t *testing.T) {
+		want := fullValue[Picture](1)
+		sameBothWays(t, "picture-v1.cbor", want, cbor.Marshal, cbor.Unmarshal)
+		want.Claims = nil // a command shows them in a form of its own
+		sameBothWays(t, "picture-v1.json", want, json.Marshal, json.Unmarshal)
+	})
+	t.Run("counters", func(t *testing.T) {
+		sameBothWays(t, "counters-v1.cbor", fullValue[Counters](1), cbor.Marshal, cbor.Unmarshal)
+		sameBothWays(t, "handed-v1.cbor", fullValue[takeover.Counters](2), cbor.Marshal, cbor.Unmarshal)
+	})
+	t.Run("seats", func(t *testing.T) {
+		sameBothWays(t, "seats-v1.cbor", fullValue[map[string]incumbent](1), canonical.Marshal, cbor.Unmarshal)
+	})
+	t.Run("base", func(t *testing.T) {
+		sameBothWays(t, "base-v1.cbor", fullValue[base](1), canonical.Marshal, decode.Unmarshal)
+	})
+	t.Run("record", func(t *testing.T) {
+		sameBothWays(t, "record-v1.cbor", fullValue[record](1), canonical.Marshal, decode.Unmarshal)
+	})
+}
+
+// ordered are commands for each table of a council, which change all of them.
+func ordered() (list []claims.Command, asks []quota.Command, puts []configuration.Command) {
+	one, other := claims.Owner{Name: "node-1", Life: 11}, claims.Owner{Name: "node-2", Life: 12}
+	key := func(token string) claims.Key { return claims.Key{Operation: "resize", Tenant: "green", Token: token} }
+	for k, token := range []string{"waits", "runs", "ran", "lost"} {
+		list = append(list, claims.Command{Kind: claims.Claim, From: one, Seq: uint64(k + 1), Key: key(token), Body: uint64(1_000 + k), For: 60_000 * ms,
+			Window: 90_000 * ms, Work: []byte("work of " + token), Call: fmt.Sprintf("call-%d", k)})
+	}
+	list = append(list,
+		claims.Command{Kind: claims.Claim, From: other, Seq: 5, Key: key("runs"), Body: 1_001, For: 60_000 * ms, Window: 90_000 * ms},
+		claims.Command{Kind: claims.Start, From: one, Seq: 6, Key: key("runs"), Fence: 2},
+		claims.Command{Kind: claims.Start, From: one, Seq: 7, Key: key("ran"), Fence: 3},
+		claims.Command{Kind: claims.End, From: one, Seq: 8, Key: key("ran"), Fence: 3, Ending: 2, Result: []byte("a result")},
+		claims.Command{Kind: claims.Take, Key: key("lost"), Fence: 4, Heir: other},
+		claims.Command{Kind: claims.Pass, For: 250 * ms, Most: 1 << 20})
+	asks = []quota.Command{{Kind: quota.Define, Limit: "wide", Units: 40, Version: 3, Wait: 500 * ms},
+		{Kind: quota.Ask, From: quota.Who{Name: "node-1", Life: 11}, Seq: 1, Limit: "wide", Want: 7, For: 5_000 * ms}}
+	puts = []configuration.Command{{Kind: configuration.Put, From: "caller-1", Seq: 1, Wall: 101,
+		Changes: []configuration.Item{{Part: configuration.Operations, Name: "resize", Value: []byte(`{"quota_rps":1}`)}}}}
+	return list, asks, puts
+}
+
+// seatOfFixtures is a council of three that knows nothing yet.
+func seatOfFixtures() *Council {
+	c := New([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
+	c.early, c.effects = nil, nil
+	return c
+}
+
+// entryOfFixtures is the text of an entry with commands for all tables.
+func entryOfFixtures(t *testing.T) []byte {
+	t.Helper()
+	c := seatOfFixtures()
+	c.queued, c.asks, c.versions.queued = ordered()
+	parts := map[uint8]cbor.RawMessage{}
+	for i, table := range c.tables {
+		parts[uint8(i)+1] = table.next()
+		require.NotEmpty(t, parts[uint8(i)+1])
+	}
+	text, err := canonical.Marshal(parts)
+	require.NoError(t, err)
+	return text
+}
+
+// sameTables compares what two seats hold.
+func sameTables(t *testing.T, want, got *Council) {
+	t.Helper()
+	for i := range want.tables {
+		a, err := want.tables[i].Snapshot()
+		require.NoError(t, err)
+		b, err := got.tables[i].Snapshot()
+		require.NoError(t, err)
+		assert.Equal(t, a, b, "table %d", i)
+	}
+}
+
+// An entry of the log with commands for all tables is written to the bytes of a fixture and carried out from it as it was meant.
+func TestFixtureOfAnEntry(t *testing.T) {
+	fixture := sameAsFixture(t, "entry-v1.cbor", entryOfFixtures(t))
+	want := seatOfFixtures()
+	list, asks, puts := ordered()
+	for i := range list {
+		want.table.Apply(&list[i])
+	}
+	for i := range asks {
+		want.book.Apply(want.table.Time(), &asks[i])
+	}
+	for i := range puts {
+		want.versions.table.Apply(want.table.Time(), &puts[i])
+	}
+	want.versions.used = true
+	got := seatOfFixtures()
+	index, term := uint64(2), uint64(1)
+	got.apply(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
+	sameTables(t, want, got)
+	states := map[claims.State]int{}
+	for _, e := range got.table.All(10) {
+		states[e.State]++
+	}
+	assert.Equal(t, map[claims.State]int{claims.Claimed: 2, claims.Started: 1, claims.Ended: 1}, states)
+	assert.Equal(t, int64(7), got.book.Find("wide").Leases[0].Want)
+	assert.Equal(t, uint64(1), got.versions.table.Head().Newest)
+}
+
+// What a seat writes to its disk, a base with the council's snapshot and a part beside it, and records of the log behind it, comes to the
+// bytes of fixtures, and a seat that is started on them knows what was meant.
+func TestFixturesOfASeatsDisk(t *testing.T) {
+	writer := seatOfFixtures()
+	index, term, commit, vote := uint64(2), uint64(3), uint64(2), uint64(0x21)
+	writer.id, writer.seats = 0x21, map[string]incumbent{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
+	writer.apply(&raftpb.Entry{Data: entryOfFixtures(t), Index: &index, Term: &term})
+	writer.writing = writer.beginSnapshot()
+	for !writer.writing.whole() {
+		writer.writeSome()
+	}
+	text := writer.written(writer.writing)
+	sameAsFixture(t, "snapshot-v1.cbor", text)
+	conf := &raftpb.ConfState{Voters: []uint64{0x21, 0x22, 0x23}}
+	writer.disk.number, writer.disk.marks = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
+	w := writer.base(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
+		&raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit})
+	writer.effects = nil
+	writer.write(w, nil)
+	require.Len(t, writer.effects, 1)
+	w = *writer.effects[0].Write
+	there := Disk{Base: sameAsFixture(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
+	require.Len(t, w.Parts, 1, "the configuration lies apart")
+	for name, part := range w.Parts {
+		fixture := sameAsFixture(t, "disk-part-v1.cbor", part)
+		there.Parts[name] = fixture
+		assert.Equal(t, name, digest(fixture))
+	}
+
+	context, err := cbor.Marshal(map[string]incumbent{"n3": {0x33, 33}})
+	require.NoError(t, err)
+	remove, add, auto := raftpb.ConfChangeRemoveNode, raftpb.ConfChangeAddNode, raftpb.ConfChangeTransitionAuto
+	before, now := uint64(0x23), uint64(0x33)
+	change, err := proto.Marshal(&raftpb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*raftpb.ConfChangeSingle{
+		{Type: &remove, NodeId: &before}, {Type: &add, NodeId: &now}}})
+	require.NoError(t, err)
+	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.Pass, At: 250 * ms, For: 100 * ms}})
+	require.NoError(t, err)
+	parts, err := canonical.Marshal(map[uint8]cbor.RawMessage{1: pass})
+	require.NoError(t, err)
+	normal, changes, third, fourth, later := raftpb.EntryNormal, raftpb.EntryConfChangeV2, uint64(3), uint64(4), uint64(4)
+	writer.disk.marks, writer.disk.marked, writer.effects = map[uint64]uint64{0x22: 8}, true, nil
+	writer.write(Write{}, &record{Hard: encode(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}), Entries: encodeEntries([]*raftpb.Entry{
+		{Data: parts, Index: &third, Term: &term, Type: &normal}, {Data: change, Index: &fourth, Term: &later, Type: &changes}})})
+	require.Len(t, writer.effects, 1)
+	require.Equal(t, Persist, writer.effects[0].Kind)
+	there.Records = [][]byte{sameAsFixture(t, "disk-record-v1.cbor", writer.effects[0].Write.Records[0])}
+
+	reader := seatOfFixtures()
+	require.NoError(t, reader.Recover(0, there))
+	assert.True(t, reader.Resumed())
+	assert.Equal(t, uint64(0x21), reader.id)
+	assert.Equal(t, uint64(21), reader.life)
+	assert.Equal(t, writer.seats, reader.seats)
+	assert.Equal(t, uint64(8), reader.disk.number)
+	assert.Equal(t, map[uint64]uint64{0x22: 8, 0x23: 5}, reader.disk.marks)
+	assert.Equal(t, conf.GetVoters(), reader.confState.GetVoters())
+	sameTables(t, writer, reader)
+	hard, _, err := reader.storage.InitialState()
+	require.NoError(t, err)
+	assert.True(t, proto.Equal(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}, hard))
+	entries, err := reader.storage.Entries(3, 5, never)
+	require.NoError(t, err)
+	require.Len(t, entries, 2)
+	reader.apply(entries[0])
+	assert.Equal(t, 350*ms, reader.table.Time())
+	reader.apply(entries[1])
+	assert.Equal(t, map[string]incumbent{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.seats)
+}
+
+// The words of raft go within messages as raft encodes them: one of each field that seats use.
+func TestFixtureOfRaftsWords(t *testing.T) {
+	number := func(n uint64) *uint64 { return &n }
+	kind, normal, reject := raftpb.MsgApp, raftpb.EntryNormal, true
+	m := &raftpb.Message{Type: &kind, To: number(1), From: number(2), Term: number(3), LogTerm: number(4), Index: number(5), Commit: number(6),
+		Entries: []*raftpb.Entry{{Term: number(7), Index: number(8), Type: &normal, Data: []byte("entry")}}, Reject: &reject, RejectHint: number(9),
+		Snapshot: &raftpb.Snapshot{Data: []byte("snapshot"), Metadata: &raftpb.SnapshotMetadata{Index: number(10), Term: number(11),
+			ConfState: &raftpb.ConfState{Voters: []uint64{12, 13}}}}, Context: []byte("context")}
+	text, err := proto.Marshal(m)
+	require.NoError(t, err)
+	again := new(raftpb.Message)
+	require.NoError(t, proto.Unmarshal(sameAsFixture(t, "raft-v1.bin", text), again))
+	assert.True(t, proto.Equal(m, again))
+}
--- a/store/fixtures_test.go
+++ b/store/fixtures_test.go
@@ -44,14 +44,14 @@
 	assert.Equal(t, value, again, name)
 }
 
-// full is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
+// fullValue is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
 // field that is renamed keeps its value as long as it keeps its key.
-func full[T any](seed uint32) (value T) {
-	fill(reflect.ValueOf(&value).Elem(), seed)
+func fullValue[T any](seed uint32) (value T) {
+	setFull(reflect.ValueOf(&value).Elem(), seed)
 	return value
 }
 
-func fill(v reflect.Value, seed uint32) {
+func setFull(v reflect.Value, seed uint32) {
 	switch v.Kind() {
 	case reflect.Bool:
 		v.SetBool(true)
@@ -65,24 +65,24 @@
 		v.SetString(fmt.Sprintf("t%010d", seed))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), seed)
+		setFull(v.Elem(), seed)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for k := range 2 {
-			fill(v.Index(k), 31*seed+1_000+uint32(k))
+			setFull(v.Index(k), 31*seed+1_000+uint32(k))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		for k := range uint32(2) {
 			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-			fill(key, 31*seed+2_000+k)
-			fill(value, 31*seed+3_000+k)
+			setFull(key, 31*seed+2_000+k)
+			setFull(value, 31*seed+3_000+k)
 			v.SetMapIndex(key, value)
 		}
 	case reflect.Struct:
 		for k := range v.NumField() {
 			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
-				fill(v.Field(k), 31*seed+key)
+				setFull(v.Field(k), 31*seed+key)
 			}
 		}
 	default:
@@ -119,7 +119,7 @@
 	for group := range uint32(3) {
 		start := int64(len(text))
 		for _, kind := range []Kind{Begun, Ended} {
-			r := full[Record](100*group + uint32(kind))
+			r := fullValue[Record](100*group + uint32(kind))
 			r.Kind = kind
 			want.Records, want.Offsets = append(want.Records, r), append(want.Offsets, int64(len(text)))
 			var err error
@@ -149,7 +149,7 @@
 	require.NoError(t, err)
 	var want []Record
 	for k := range uint32(2) {
-		r := full[Record](k)
+		r := fullValue[Record](k)
 		r.Kind = Begun
 		r.Result = []byte(strings.Repeat(fmt.Sprint(k), 10<<10)) // two of them and their feet take most of a segment
 		group := []Record{r, r}
