--- a/reducer/fixtures_test.go
+++ b/reducer/fixtures_test.go
@@ -151,6 +151,10 @@
 		sameBothWays(t, "seen-v1.json", seen, json.Marshal, json.Unmarshal)
 		sameBothWays(t, "member-counters-v1.json", fullValue[membership.Counters](2), json.Marshal, json.Unmarshal)
 	})
+	t.Run("names in short", func(t *testing.T) {
+		text := fmt.Sprintf("%016x %016x %08x\n", uint64(membership.IDOf("node-1")), uint64(membership.IDOf("")), uint32(envelope.FleetOf("mobilier")))
+		sameAsFixture(t, "names-v1.txt", []byte(text))
+	})
 	t.Run("statuses and ways", func(t *testing.T) {
 		var list []membership.Seen
 		for _, s := range []membership.Status{membership.Alive, membership.Suspect, membership.Dead, membership.Left} {
--- a/server/fixtures_test.go
+++ b/server/fixtures_test.go
@@ -9,6 +9,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"topazpost/results"
 )
 
 var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
@@ -52,3 +54,8 @@
 func TestFixtureOfTheMarkOfAStream(t *testing.T) {
 	sameAsFixture(t, "stream-mark-v1.bin", binary.LittleEndian.AppendUint32(nil, streamMark))
 }
+
+// The numbers of endings, which stand in kept records and in claims.
+func TestFixtureOfTheNumbersOfEndings(t *testing.T) {
+	sameAsFixture(t, "endings-v1.bin", []byte{byte(results.Succeeded), byte(results.Errored), byte(results.NotRun), byte(results.NotKept)})
+}
