--- a/reducer/digest_test.go
+++ b/reducer/digest_test.go
@@ -227,16 +227,16 @@
 	site   siteOptions
 	digest string
 }{
-	{"one node with levels, versions and other addresses", 1, siteOptions{nodes: 1, seconds: 30, rate: 60, levels: true, amends: true, reloads: true, drains: true}, "4fc066e5410edfab0ee4a01576eb89a10769a59de858befe4b0a66036a836091"},
-	{"overload, and a drain that is aborted", 2, siteOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "3f22c994debcf6e30f02afe5d74740d2962b6b589e8fabb61b70e650854b10b1"},
-	{"callers that misbehave", 3, siteOptions{nodes: 1, seconds: 60, rate: 30, callers: 25, wild: true}, "903a29192ad8825a039e300679903c8d2d3834f262d536872d3852c12a3965e0"},
-	{"an executor and a catalogue that fail", 4, siteOptions{nodes: 1, seconds: 40, rate: 40, broken: true, reloads: true}, "76539c8880e90167400c38820661fe44619aa43868d2bbd227ef5131cab64c60"},
-	{"kept on a disk that fails at times", 5, siteOptions{nodes: 1, seconds: 30, rate: 40, keep: true, durability: results.OnDisk, failing: true, kills: true, broken: true}, "6165d651ddd2439f6780265b1be58e957e61f620f2cb43f1620da960a11944d7"},
-	{"kept in memory, with versions", 6, siteOptions{nodes: 1, seconds: 30, rate: 40, keep: true, durability: results.InMemory, amends: true, wild: true, drains: true}, "84b3e540244e36f18ca3037b0d7970a927f4cde4d5bdf2d849b2c363eb7aac45"},
-	{"a fleet with a council", 7, siteOptions{nodes: 4, seats: 3, seconds: 25, rate: 30, keep: true, durability: results.OnDisk, kills: true, drains: true}, "336e03bcff49eacd6d5b7ab4c1b28b5e356cab085508f25519e36effb59285d1"},
-	{"a fleet with leases and links that fail", 8, siteOptions{nodes: 3, seats: 1, seconds: 25, rate: 30, keep: true, durability: results.OnDisk, lease: true, broken: true, loss: 0.05}, "42b2718a5ef1f0fbcc338a6694742c8cf5546f138cd69e63f3876529e666e926"},
-	{"a fleet with its configuration in service", 9, siteOptions{nodes: 4, seats: 3, seconds: 30, rate: 15, configures: true, kills: true, loss: 0.02, levels: true}, "f97bda41eb1a1893516a1e683e1a7f2588851fe454bec25bc4bcaa4a34cc0939"},
-	{"hollow nodes beside whole ones", 10, siteOptions{nodes: 5, hollow: 3, seats: 3, seconds: 25, rate: 15, keep: true, durability: results.OnDisk, lease: true, kills: true}, "d4c3b65eec3a214ba6369f733bffb0e3062d6eae4dab28ecf158348e0e4cc81e"},
+	{"one node with levels, versions and other addresses", 1, siteOptions{nodes: 1, seconds: 30, rate: 60, levels: true, amends: true, reloads: true, drains: true}, "c1dd7752a0a793d5b0eff8e6bed67f32dd27fd0237216f5f71ec12351ddff2b7"},
+	{"overload, and a drain that is aborted", 2, siteOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "f6948af196d4c7bfe6173a150d20d942fb784525516d5a58ed93e694e457afed"},
+	{"callers that misbehave", 3, siteOptions{nodes: 1, seconds: 60, rate: 30, callers: 25, wild: true}, "4cf5b1eab1f5e2f92149698f0dbf44523d3a49e3f18f1d13570de258fcbda5b3"},
+	{"an executor and a catalogue that fail", 4, siteOptions{nodes: 1, seconds: 40, rate: 40, links: 2, broken: true, reloads: true}, "5571fea3d32709b35ea9c9a9e02aed3c4d5117a1093a8e22dfc25dc8a10054f1"},
+	{"kept on a disk that fails at times", 5, siteOptions{nodes: 1, seconds: 30, rate: 40, keep: true, durability: results.OnDisk, failing: true, kills: true, broken: true}, "0d91cfc00663d4eed50ba2f85905cbd5048556d22fdd5b7c5e30ab01c7992e0a"},
+	{"kept in memory, with versions", 6, siteOptions{nodes: 1, seconds: 30, rate: 40, keep: true, durability: results.InMemory, amends: true, wild: true, drains: true}, "8d85155cf04b32f884830b3581ca4ad6430088c9aa1f49b96c479e148e6250d0"},
+	{"a fleet with a council", 7, siteOptions{nodes: 4, seats: 3, seconds: 40, rate: 30, keep: true, durability: results.OnDisk, kills: true, drains: true}, "695e397d3dc21d45f39c2f534a1828ca379995b1dce7a74824557b7d3ca9e166"},
+	{"a fleet with leases and links that fail", 8, siteOptions{nodes: 3, seats: 1, seconds: 25, rate: 30, keep: true, durability: results.OnDisk, lease: true, broken: true, loss: 0.05}, "31e7bd1c30f6cd18e6b526ab02976429908061acffc9a849a68bb62476f4c9d2"},
+	{"a fleet with its configuration in service", 9, siteOptions{nodes: 4, seats: 3, seconds: 30, rate: 15, configures: true, kills: true, loss: 0.02, levels: true}, "05cf7297611e5e3c2918153b7c8e13b1196313736e4443d250a7b020f403fb40"},
+	{"hollow nodes beside whole ones", 10, siteOptions{nodes: 5, hollow: 3, seats: 3, seconds: 25, rate: 15, keep: true, durability: results.OnDisk, lease: true, kills: true}, "12abc0c628d1b8761ae86f43a5db635b6da1aa074d3715d29efbd0f2ec00ebff"},
 }
 
 // What Step returns over drawn runs stays the same, bit for bit.
--- a/reducer/digestsite_test.go
+++ b/reducer/digestsite_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"errors"
 	"fmt"
 	"maps"
@@ -40,6 +41,7 @@
 type siteOptions struct {
 	nodes, hollow, seats, cores int
 	seconds, rate               int // rate: invocations a second at each whole node
+	links                       int // to the catalogue that a node may have
 	callers                     int // connections that each node's callers hold at a time
 	loss                        float64
 	durability                  results.Durability
@@ -135,7 +137,7 @@
 	if s.keep {
 		effect = "deduplicated"
 	}
-	s.cores, s.callers = max(2, s.cores), max(6, s.callers)
+	s.cores, s.callers, s.links = max(2, s.cores), max(6, s.callers), cmp.Or(s.links, 6)
 	s.settings = fmt.Sprintf(`{"grades":[{"name":"catalogue","aim":600,"give_up":1500,"importance":1,"late_share":0.2,"effect":"idempotent"},
 	{"name":"hold","aim":800,"give_up":2000,"importance":5,"effect":%q,"window":8000},
 	{"name":"pay","aim":900,"give_up":2500,"importance":3,"effect":"at_most_once"}],
@@ -177,7 +179,7 @@
 	length := int64(s.seconds) * 1_000 * millisecond
 	if s.drains {
 		n := s.stations[len(s.stations)-1]
-		s.At(length-9_000*millisecond, func() { n.put(reducer.Input{Kind: reducer.Notice}) })
+		s.At(length-9_000*millisecond, n.drain)
 		if s.aborts {
 			s.At(length-7_500*millisecond, func() { n.put(reducer.Input{Kind: reducer.Abort}) })
 		}
@@ -192,7 +194,7 @@
 func (n *station) newBrain() *reducer.Reducer {
 	p, err := nodeconfig.FromJSON(n.seed, []byte(n.settings))
 	require.NoError(n.t, err)
-	r := reducer.New(p, reducer.Addresses{Executor: "executor:1", Catalogue: "catalogue:1", Control: "control:1"}, 5_000*millisecond, 8, 6)
+	r := reducer.New(p, reducer.Addresses{Executor: "executor:1", Catalogue: "catalogue:1", Control: "control:1"}, 5_000*millisecond, 8, n.links)
 	r.Spare = 2
 	if n.hollowOne() {
 		r.Hollow(new(reducer.HollowCounters), false)
@@ -255,11 +257,20 @@
 
 // kill ends it, and starts it again later.
 func (n *station) kill() {
-	if n.brain == nil {
+	if n.brain == nil || n.Now > int64(n.seconds-10)*1_000*millisecond { // the last seconds are for drains
 		return
 	}
 	n.end()
-	n.After(n.drawn(100_000, 3_000_000), n.start)
+	n.After(n.drawn(100_000, 8_000_000), n.start)
+}
+
+// drain tells it to drain, once it is up.
+func (n *station) drain() {
+	if n.brain == nil {
+		n.After(200*millisecond, n.drain)
+		return
+	}
+	n.put(reducer.Input{Kind: reducer.Notice})
 }
 
 // end notes which invariants did not hold in the life that ends.
@@ -472,7 +483,7 @@
 	id, stream := fmt.Sprintf("%016x", n.ids), c.last
 	fields := []frame.Field{{Name: "op", Value: []string{"catalogue", "hold", "pay"}[n.Chance.Intn(3)]}, {Name: "call", Value: id},
 		{Name: "recv", Value: strconv.FormatInt((epoch+n.Now)/millisecond-n.Chance.Int63n(20), 10)}, {Name: "src", Value: strconv.Itoa(n.Chance.Intn(9))},
-		{Name: "heap", Value: strconv.Itoa(5 + n.Chance.Intn(40))}, {Name: "org", Value: "x"}}
+		{Name: "heap", Value: strconv.Itoa(5 + n.Chance.Intn(40))}, {Name: "org", Value: []string{"x", "x", "x", "y"}[n.Chance.Intn(4)]}}
 	if n.odds(2) {
 		fields = append(fields, frame.Field{Name: "work", Value: fmt.Sprintf("%.2f", 5+60*n.Chance.Float64())})
 	}
@@ -494,6 +505,19 @@
 		k := n.Chance.Intn(len(fields))
 		fields[k].Value = []string{"", "x", "-1", "99999999999999999999", "0x1"}[n.Chance.Intn(5)]
 	}
+	if n.wild && n.odds(40) {
+		k := n.Chance.Intn(len(fields))
+		fields = slices.Delete(fields, k, k+1)
+	}
+	if n.wild && n.odds(40) {
+		fields = append(fields, frame.Field{Name: "crit", Value: fmt.Sprintf("%.2f", 1.2*n.Chance.Float64())})
+	}
+	if n.wild && n.odds(60) && len(c.open) > 0 {
+		fields[min(1, len(fields)-1)] = frame.Field{Name: "call", Value: c.open[slices.Sorted(maps.Keys(c.open))[0]]} // it is in use
+	}
+	if n.keep && n.odds(60) {
+		body = "another body"
+	}
 	if n.wild && n.odds(60) {
 		body = strings.Repeat("b", 3_000)
 	}
@@ -522,13 +546,7 @@
 			read(frame.Frame{Type: frame.Gone, Stream: stream})
 		}
 	case kind < 6:
-		var fields []frame.Field
-		if n.odds(2) {
-			fields = []frame.Field{{Name: "e2e", Value: "1"}}
-		}
-		c.last++
-		b := frame.AppendInvocation(nil, c.last, fields, nil)
-		read(frame.Frame{Type: frame.Check, Stream: c.last, Payload: b[headBytes:], Past: n.odds(10)})
+		n.check(c, n.odds(2))
 	case kind == 6:
 		n.closed(c.link)
 	case !n.wild:
@@ -549,6 +567,18 @@
 	}
 }
 
+// check asks how the node is; a deep check has the executor work.
+func (n *station) check(c *conn, deep bool) {
+	var fields []frame.Field
+	if deep {
+		fields = []frame.Field{{Name: "e2e", Value: "1"}}
+	}
+	c.last++
+	b := frame.AppendInvocation(nil, c.last, fields, nil)
+	n.put(reducer.Input{Kind: reducer.Read, Link: c.link, Frame: frame.Frame{Type: frame.Check, Stream: c.last, Payload: b[headBytes:],
+		Past: n.odds(20)}})
+}
+
 // The executor.
 
 // hear brings a line of the executor on the link that is up.
@@ -603,15 +633,11 @@
 	case "JOIN":
 		from, err := strconv.Atoi(words[1])
 		require.NoError(n.t, err)
-		n.say(fmt.Sprintf("WELCOME %s %d", []string{"new", "old"}[n.seed&1], (n.Now-n.booted)/millisecond), "")
-		life := n.link
-		n.later(400_000, func() {
-			if n.link == life {
-				for _, line := range n.notices[min(from, len(n.notices)):] {
-					n.hear(lines.Line{Words: slices.Clone(line.Words), Body: slices.Clone(line.Body)})
-				}
-			}
-		})
+		wait := int64(0)
+		if n.odds(2) {
+			wait = 300 * millisecond
+		}
+		n.later(wait, func() { n.welcome(link, from) })
 	case "METER":
 		on := 0
 		for _, r := range n.runs {
@@ -648,6 +674,27 @@
 	}
 }
 
+// welcome is how a link begins: with the notices that the node has not taken.
+func (n *station) welcome(link, from int) {
+	if link != n.link {
+		return
+	}
+	words := strings.Fields(fmt.Sprintf("WELCOME %s %d", []string{"new", "old"}[n.seed&1], (n.Now-n.booted)/millisecond))
+	n.put(reducer.Input{Kind: reducer.Told, Link: link, Line: lines.Line{Words: words}})
+	for _, c := range n.conns { // a check in the step of the first welcome is a deep one
+		if c.closing == 0 && n.odds(2) {
+			n.check(c, true)
+		}
+	}
+	n.later(400_000, func() {
+		if n.link == link {
+			for _, line := range n.notices[min(from, len(n.notices)):] {
+				n.hear(lines.Line{Words: slices.Clone(line.Words), Body: slices.Clone(line.Body)})
+			}
+		}
+	})
+}
+
 // segment is a run up to its next call or its end. It goes on when the node's process ends.
 func (n *station) segment(r *run) {
 	n.After(n.drawn(3_000, 90_000), func() {
@@ -931,6 +978,47 @@
 	if n.amends {
 		n.each(1_200, n.amend)
 	}
+	if n.nodes > 1 {
+		n.each(900, n.stray)
+	}
+}
+
+// stray brings letters from outside the fleet's nodes: of operators, and such as can't be used.
+func (n *station) stray() {
+	if n.brain == nil {
+		return
+	}
+	of := fleetName
+	if n.odds(8) {
+		of = "another"
+	}
+	kind := []reducer.InputKind{reducer.PeerCame, reducer.PeerAsked, reducer.PeerAsked, reducer.PeerAsked}[n.Chance.Intn(4)]
+	var body any
+	switch n.Chance.Intn(6) {
+	case 0:
+		body = &membership.Message{Kind: membership.Look}
+	case 1:
+		body = &membership.Message{Kind: membership.Look, Why: membership.LookClaims}
+	case 2:
+		body = &membership.Message{Kind: []membership.MessageKind{membership.Ask, membership.News, 0}[n.Chance.Intn(3)]}
+	case 3:
+		body = reducer.AskConfiguration(&configuration.Question{Kind: configuration.ShowStanding})
+	case 4:
+		body = reducer.AskConfiguration(&configuration.Question{Kind: configuration.ReadBlocks,
+			Which: n.Chance.Intn(3)})
+	default:
+		body = reducer.AskConfiguration(&configuration.Question{Kind: 77})
+	}
+	text, err := envelope.Seal(nil, envelope.FleetOf(of), body)
+	require.NoError(n.t, err)
+	if n.odds(8) {
+		text[n.Chance.Intn(len(text))]++
+	}
+	n.exchange++
+	n.put(reducer.Input{Kind: kind, Link: n.exchange, From: "10.0.9.9:9", Bytes: text})
+	if n.odds(20) {
+		n.put(reducer.Input{Kind: reducer.PeerTold, Link: 1_000_000 + n.exchange, From: "10.0.9.9:9", Bytes: text})
+	}
 }
 
 // forget has callers use none of their connections any more, so that those stand idle until they are told of their end.
@@ -980,7 +1068,10 @@
 			`{"aim":%d,"class_calls":true,"effect":"idempotent","give_up":1500,"importance":%d}`, 500+s.Chance.Intn(200), 1+s.Chance.Intn(4))})
 	}
 	if s.odds(3) {
-		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: "x", Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+s.Chance.Intn(30))})
+		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: []string{"x", "x", "y"}[s.Chance.Intn(3)],
+			Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+s.Chance.Intn(30))})
+	} else if s.odds(20) {
+		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: []string{"x", "y"}[s.Chance.Intn(2)]})
 	}
 	if s.odds(3) {
 		list = append(list, nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after", Value: fmt.Appendf(nil, "%d", 50+s.Chance.Intn(900))})
@@ -1010,6 +1101,11 @@
 		number--
 	}
 	n.put(reducer.Input{Kind: reducer.Amend, Version: number, Change: change})
+	if n.odds(4) { // the next one before this one is taken
+		next, err := nodeconfig.Parse(n.items())
+		require.NoError(n.t, err)
+		n.put(reducer.Input{Kind: reducer.Amend, Version: number + 1, Change: next})
+	}
 }
 
 // order has changes of the configuration ordered at some node.
