--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -17,7 +17,7 @@
 // instance is one node: its module, its door, and its events of the batch in hand.
 type instance struct {
 	number int64
-	post   *admission.Post
+	post   *admission.Controller
 	host   *simwire.Host
 	events []admission.Event
 	marked bool // it has an event in this batch
@@ -110,7 +110,7 @@
 			old.post = nil
 		}
 		i := &instance{number: f.target, host: simwire.NewHost(settings), marked: true}
-		i.post = admission.New(&settings.Node, f.now)
+		i.post = admission.NewController(&settings.Node, f.now)
 		f.instances[f.target] = i
 		f.order = append(f.order, i)
 		return nil
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -108,15 +108,15 @@
 
 // measured is what was measured of an operation, and what its level leaves of it.
 type measured struct {
-	usual stats.Ratios // own core time of runs, over their base
-	away  stats.Ratios // time a run spent off the cores, over the objective
-	asked stats.Window // ns of core time that first tries of late asked for, were all run whole
+	usual stats.RatioHistogram // own core time of runs, over their base
+	away  stats.RatioHistogram // time a run spent off the cores, over the objective
+	asked stats.SlidingSum     // ns of core time that first tries of late asked for, were all run whole
 
 	service Service // what the level of reduced service leaves of it
 }
 
-// Post decides for one node.
-type Post struct {
+// Controller decides for one node.
+type Controller struct {
 	config          *Config
 	chance          *rand.Rand
 	born, now, next int64 // next is when the beat is due
@@ -126,7 +126,7 @@
 	live, order     []int32 // not ended, in order of arrival; the hold, in the order it is to run
 	tightest, cores float64 // ns of the shortest latency objective; how many cores there are
 	slowest         int64   // ns of the longest latency objective
-	objectives      stats.Extremes
+	objectives      stats.MinMax
 	callUnit        float64 // ns in which lengths of calls are counted: the shortest objective at birth
 
 	onCores, standing, inHand  int     // on the cores, off them with no call made, with one in hand
@@ -137,15 +137,15 @@
 	memory                     float64 // kB of what is held and run
 	coreClock                  float64 // ns that a run on the cores has had of one whole core since birth
 	away, reading, meanReading float64 // mean off the cores; others that want cores, now and as a mean
-	stays                      stats.Stays
+	stays                      stats.SurvivalCurve
 	patient                    float64 // part of the client timeout that most callers wait
 	stall                      float64 // times the usual cost that every run has overstayed
 	lag                        float64 // ns that arrivals lay unread of late
 
 	limit, throughput, workDone float64 // throughput is the best seen at the last lower limit
 
-	callUsed                  stats.Window // ns of calls in hand over the last span
-	pace, callFails, callTime stats.Ratios // of late; callTime over the shortest objective
+	callUsed                  stats.SlidingSum     // ns of calls in hand over the last span
+	pace, callFails, callTime stats.RatioHistogram // of late; callTime over the shortest objective
 
 	gauged, windowAt, noticed, intakeEnd, drainEnd int64 // gauged: when the gauges came
 	opened, closed                                 int   // invocations ever read, and ended
@@ -153,44 +153,46 @@
 	unhealthy, free, drained                       bool  // free: a core was idle at the last beat
 	spare                                          bool  // what levels refuse is served last, the rest whole
 
-	open, said                  float64      // open is the part of all that could be asked for
-	allFull                     bool         // other nodes seem to turn work away too
-	arrivals, echoes, throttled float64      // of late; echoes are further tries among the arrivals
-	levelled                    float64      // of late, throttled as their level leaves nothing of them
-	callers, tenants            stats.Recent // arrivals of late, of each that was seen
+	open, said                  float64               // open is the part of all that could be asked for
+	allFull                     bool                  // other nodes seem to turn work away too
+	arrivals, echoes, throttled float64               // of late; echoes are further tries among the arrivals
+	levelled                    float64               // of late, throttled as their level leaves nothing of them
+	callers, tenants            stats.DecayingCounter // arrivals of late, of each that was seen
 }
 
-func ratios(memory float64) stats.Ratios { return stats.NewRatios(binCount, binsAnOctave, memory) }
+func ratios(memory float64) stats.RatioHistogram {
+	return stats.NewRatioHistogram(binCount, binsAnOctave, memory)
+}
 
-// New makes the decisions' state of a node that has just started, on cores that started at now.
-func New(config *Config, now int64) *Post {
+// NewController makes the decisions' state of a node that has just started, on cores that started at now.
+func NewController(config *Config, now int64) *Controller {
 	cores := float64(config.Cores)
-	p := &Post{config: config, chance: rand.New(rand.NewSource(config.Seed)), born: now, now: now, next: now,
+	p := &Controller{config: config, chance: rand.New(rand.NewSource(config.Seed)), born: now, now: now, next: now,
 		pace: ratios(paceMemory), callFails: ratios(shortMemory), callTime: ratios(shortMemory),
-		stays:    stats.NewStays(patienceBins, longMemory),
-		callUsed: stats.NewWindow(config.CallSpan, callSlices),
+		stays:    stats.NewSurvivalCurve(patienceBins, longMemory),
+		callUsed: stats.NewSlidingSum(config.CallQuotaWindow, callSlices),
 		windowAt: now, cores: cores, limit: cores, open: 1, tightest: math.Inf(1), said: -1,
 		units: math.MaxInt, hold: math.MaxInt64 / 4,
 		patient: 1}
 	for i := range config.Operations {
-		if p.ops = append(p.ops, nil); !config.Operations[i].Gone {
+		if p.ops = append(p.ops, nil); !config.Operations[i].Removed {
 			p.setOperation(int32(i), &config.Operations[i], nil)
 		}
 	}
 	p.callUnit = p.tightest
-	if config.Fresh {
-		p.open = config.ColdFrom
+	if config.ColdStart {
+		p.open = config.ColdSpeedShare
 		// What a life before this one may have held counts as used: the dependency's mean still holds it.
-		part := callRoom * config.CallShare * float64(config.CallSpan) / callSlices
-		for k, began := int64(callSlices), max(now, config.Began); k > 0; k-- {
-			p.callUsed.Add(began-k*config.CallSpan/callSlices, part)
+		part := callRoom * config.CallQuota * float64(config.CallQuotaWindow) / callSlices
+		for k, began := int64(callSlices), max(now, config.ProcessStart); k > 0; k-- {
+			p.callUsed.Add(began-k*config.CallQuotaWindow/callSlices, part)
 		}
 	}
 	return p
 }
 
 // Decide is the one entry point: it takes what happened at a moment and returns what to do.
-func (p *Post) Decide(now int64, events []Event) []Action {
+func (p *Controller) Decide(now int64, events []Event) []Action {
 	p.out = p.out[:0]
 	p.advance(now)
 	for i := range events {
@@ -203,8 +205,8 @@
 	p.keepMemory()
 	if now >= p.next {
 		p.next = now + beat
-		p.do(Action{Kind: Timer, At: p.next})
-		p.patient = p.stays.Until(patienceMost)
+		p.do(Action{Kind: SetTimer, At: p.next})
+		p.patient = p.stays.TimeAtSurvival(patienceMost)
 		p.keepDeadlines()
 		p.adjustLimit()
 		p.adjustHealth()
@@ -213,17 +215,17 @@
 	p.live = slices.DeleteFunc(p.live, func(i int32) bool {
 		over := p.invs[i].state == ended
 		if over {
-			p.do(Action{Kind: Release, Inv: i})
+			p.do(Action{Kind: Release, Invocation: i})
 		}
 		return over
 	})
 	return p.out
 }
 
-func (p *Post) do(a Action) { p.out = append(p.out, a) }
+func (p *Controller) do(a Action) { p.out = append(p.out, a) }
 
 // advance moves the clocks: that of the cores, which all runs share, and that of the calls in hand.
-func (p *Post) advance(now int64) {
+func (p *Controller) advance(now int64) {
 	dt := float64(now - p.now)
 	p.away += (float64(p.standing+p.inHand) - p.away) * min(1, dt/awayMemory)
 	p.coreClock += dt * min(1, p.cores/max(1, float64(p.onCores)+p.reading))
@@ -231,32 +233,32 @@
 	p.now = now
 }
 
-func (p *Post) take(e *Event) {
-	switch i := e.Inv; {
+func (p *Controller) take(e *Event) {
+	switch i := e.Invocation; {
 	case e.Kind == Arrived:
 		p.intake(e)
-	case e.Kind == DrainNotice:
-		p.drain(e.Kill)
-	case e.Kind == TimerDue:
-		p.free = e.Busy >= 0 && e.Busy < freeBusy
-		if e.Runnable >= 0 {
-			p.free = e.Runnable < p.cores
-			others, part := max(0, e.Runnable-float64(p.onCores)), float64(p.now-p.gauged)/p.tightest
+	case e.Kind == DrainRequested:
+		p.drain(e.KillAt)
+	case e.Kind == TimerFired:
+		p.free = e.BusyShare >= 0 && e.BusyShare < freeBusy
+		if e.RunnableThreads >= 0 {
+			p.free = e.RunnableThreads < p.cores
+			others, part := max(0, e.RunnableThreads-float64(p.onCores)), float64(p.now-p.gauged)/p.tightest
 			p.reading, p.gauged = p.reading+(others-p.reading)*min(1, part/gaugePart), p.now
 			p.meanReading += (others - p.meanReading) * min(1, part/gaugeLong)
 		}
-	case e.Kind == UnitsSet:
-		p.units, p.hold = e.Units, e.Hold
-	case e.Kind == OperationSet:
-		p.setOperation(e.Operation, e.Terms, e.Services)
-	case e.Kind == LevelSet:
-		p.setLevel(e.Services, e.Spare)
+	case e.Kind == CallLimitSet:
+		p.units, p.hold = e.CallLimit, e.MaxCallTime
+	case e.Kind == OperationConfigured:
+		p.setOperation(e.OperationIndex, e.Operation, e.Services)
+	case e.Kind == DegradationLevelSet:
+		p.setLevel(e.Services, e.UseSpareCapacity)
 	case p.invs[i].state == ended:
-	case e.Kind == CallerGone:
+	case e.Kind == CallerDisconnected:
 		p.watch(&p.invs[i], true)
 		p.invs[i].answered = true
 		p.letGo(i)
-	case e.Kind == CallWanted:
+	case e.Kind == CallRequested:
 		p.shift(&p.invs[i], standing)
 	case e.Kind == CallEnded:
 		p.callEnded(&p.invs[i], e.Outcome)
@@ -266,7 +268,7 @@
 }
 
 // shift moves an invocation to another state and keeps the counts and its core time true.
-func (p *Post) shift(v *invocation, to state) {
+func (p *Controller) shift(v *invocation, to state) {
 	if v.state == running {
 		v.spent += p.coreClock - v.since
 	}
@@ -276,10 +278,10 @@
 }
 
 // weigh counts an invocation in or out of what its state takes up.
-func (p *Post) weigh(v *invocation, by int) {
+func (p *Controller) weigh(v *invocation, by int) {
 	kb := v.kb
 	if v.state >= running {
-		kb *= p.config.Blowup
+		kb *= p.config.RunningMemoryFactor
 	}
 	switch v.state {
 	case ended:
@@ -296,53 +298,53 @@
 	p.memory += float64(by) * kb
 }
 
-func (p *Post) end(i int32) {
+func (p *Controller) end(i int32) {
 	p.shift(&p.invs[i], ended)
 	p.closed++
 }
 
 // intake takes what was read into the hold, joins it to the invocation it repeats, or turns it away.
-func (p *Post) intake(e *Event) {
-	p.invs = append(p.invs, make([]invocation, max(0, int(e.Inv)+1-len(p.invs)))...)
-	v, op, arrived := &p.invs[e.Inv], p.ops[e.Operation], p.now-e.Age
-	*v = invocation{op: op, tenant: e.Tenant, further: e.Further, arrived: arrived, kb: e.HeldKB,
-		due:  cmp.Or(e.Due, arrived+op.ClientTimeout),
-		base: float64(cmp.Or(e.Hint, op.Objective/8)), part: 1, worth: 1}
-	p.live = append(p.live, e.Inv)
+func (p *Controller) intake(e *Event) {
+	p.invs = append(p.invs, make([]invocation, max(0, int(e.Invocation)+1-len(p.invs)))...)
+	v, op, arrived := &p.invs[e.Invocation], p.ops[e.OperationIndex], p.now-e.Age
+	*v = invocation{op: op, tenant: e.Tenant, further: e.Retry, arrived: arrived, kb: e.QueuedKB,
+		due:  cmp.Or(e.Deadline, arrived+op.ClientTimeout),
+		base: float64(cmp.Or(e.ExpectedWork, op.LatencyObjective/8)), part: 1, worth: 1}
+	p.live = append(p.live, e.Invocation)
 	p.opened++
 	p.shift(v, held)
 	p.lag += (float64(e.Age) - p.lag) / lagMemory
 	p.arrivals++
 	p.callers.Add(e.Caller)
-	if e.Further {
+	if e.Retry {
 		p.echoes++
 	} else {
 		op.asked.Add(p.now, v.base*op.usual.Mean(1)*p.slowness())
 	}
 	p.tenants.Add(int64(e.Tenant))
-	v.ran = e.Repeats == EndedRepeat || e.Repeats >= 0 && p.invs[e.Repeats].ran
+	v.ran = e.Original == OriginalEnded || e.Original >= 0 && p.invs[e.Original].ran
 	switch {
 	case p.noticed != 0 && p.now >= p.intakeEnd:
-		p.giveUp(e.Inv, Draining)
-	case e.Repeats != NoRepeat:
-		p.do(Action{Kind: Reuse, Inv: e.Inv})
+		p.giveUp(e.Invocation, ReasonDraining)
+	case e.Original != NoOriginal:
+		p.do(Action{Kind: JoinOriginal, Invocation: e.Invocation})
 		p.shift(v, joined)
-	case op.service.Form == Refused && !p.spare:
-		p.giveUp(e.Inv, Levelled)
-	case op.Effect == Tokened:
-		p.record(e.Inv, v.arrived+op.Window)
-	case op.Effect == Idempotent && p.config.ReuseFor > 0 && e.Subject && !e.Write:
-		p.record(e.Inv, v.due+p.config.ReuseFor)
+	case op.service.Form == Shed && !p.spare:
+		p.giveUp(e.Invocation, ReasonDegraded)
+	case op.Idempotency == IdempotentWithKey:
+		p.record(e.Invocation, v.arrived+op.DeduplicationWindow)
+	case op.Idempotency == Idempotent && p.config.ReadReuseWindow > 0 && e.HasReadKey && !e.Write:
+		p.record(e.Invocation, v.due+p.config.ReadReuseWindow)
 	}
 }
 
 // setOperation gives an index the terms of its operation, other terms, or none. What was measured stays with
 // the index as long as it is an operation's; what was taken keeps the terms that it was taken under.
-func (p *Post) setOperation(i int32, terms *Operation, service []Service) {
+func (p *Controller) setOperation(i int32, terms *Operation, service []Service) {
 	p.ops = append(p.ops, make([]*operation, max(0, int(i)+1-len(p.ops)))...)
 	was := p.ops[i]
 	if was != nil {
-		p.objectives.Remove(was.Objective)
+		p.objectives.Remove(was.LatencyObjective)
 	}
 	if p.ops[i] = nil; terms != nil {
 		op := &operation{Operation: *terms}
@@ -350,22 +352,22 @@
 			op.measured = was.measured
 		} else {
 			op.measured = &measured{usual: ratios(longMemory), away: ratios(longMemory),
-				asked: stats.NewWindow(askedSpan, askedSlices)}
+				asked: stats.NewSlidingSum(askedSpan, askedSlices)}
 		}
 		if len(service) > 0 {
 			op.service = service[0]
 		}
 		p.ops[i] = op
-		p.objectives.Add(op.Objective)
+		p.objectives.Add(op.LatencyObjective)
 	}
 	if p.objectives.Len() > 0 {
-		p.tightest, p.slowest = float64(p.objectives.Least()), p.objectives.Most()
+		p.tightest, p.slowest = float64(p.objectives.Min()), p.objectives.Max()
 	}
 }
 
 // setLevel applies a level of reduced service: what waits unrun and is refused now goes at once,
 // unless the plan leaves it the spare room.
-func (p *Post) setLevel(services []Service, spare bool) {
+func (p *Controller) setLevel(services []Service, spare bool) {
 	p.spare = spare
 	for k, op := range p.ops {
 		if op == nil {
@@ -378,82 +380,86 @@
 	for _, i := range p.live {
 		v := &p.invs[i]
 		if v.state == held && !v.ran {
-			if v.part, v.worth = 1, 1; v.op.service.Form == Refused && !p.spare {
-				p.giveUp(i, Levelled)
+			if v.part, v.worth = 1, 1; v.op.service.Form == Shed && !p.spare {
+				p.giveUp(i, ReasonDegraded)
 			}
 		}
 	}
 }
 
 // roomy says whether a level need not reduce: the plan allows that, and what is held is gone within a moment.
-func (p *Post) roomy() bool { return p.spare && p.work(held) < spareWait*p.tightest*p.freeCores() }
+func (p *Controller) roomy() bool {
+	return p.spare && p.work(held) < spareWait*p.tightest*p.freeCores()
+}
 
 // record guards against a second effect; a tokened invocation that finds no room is turned away unrun.
-func (p *Post) record(i int32, until int64) {
-	room := p.config.RecordsMost == 0 || len(p.records) < p.config.RecordsMost
-	if room && p.recordKB()+p.config.EntryKB <= recordRoom*p.config.MemoryKB && until > p.now {
-		p.do(Action{Kind: Record, Inv: i, For: until - p.now})
+func (p *Controller) record(i int32, until int64) {
+	room := p.config.MaxDeduplicationEntries == 0 || len(p.records) < p.config.MaxDeduplicationEntries
+	if room && p.recordKB()+p.config.DeduplicationEntryKB <= recordRoom*p.config.MemoryKB && until > p.now {
+		p.do(Action{Kind: RecordKey, Invocation: i, Duration: until - p.now})
 		p.records = append(p.records, until)
-	} else if p.invs[i].op.Effect == Tokened {
-		p.giveUp(i, Crowded)
+	} else if p.invs[i].op.Idempotency == IdempotentWithKey {
+		p.giveUp(i, ReasonMemory)
 	}
 }
 
-func (p *Post) recordKB() float64 { return float64(len(p.records)) * p.config.EntryKB }
+func (p *Controller) recordKB() float64 {
+	return float64(len(p.records)) * p.config.DeduplicationEntryKB
+}
 
 // giveUp gives the final answer to what will not be served, at once.
-func (p *Post) giveUp(i int32, why Why) {
+func (p *Controller) giveUp(i int32, why Reason) {
 	v := &p.invs[i]
 	if v.answered {
 		return
 	}
 	p.watch(v, false)
 	if v.answered = true; v.state == held && !v.ran {
-		if why == Levelled {
+		if why == ReasonDegraded {
 			p.levelled++
 		}
 		if p.throttled++; !p.config.RetriesMarked {
 			p.echoes++ // where they bear no mark, what is turned away here tells of those to come
 		}
-		p.do(Action{Kind: Throttle, Inv: i, For: p.comeBack(), NoRetry: v.further || p.allFull,
-			Why: why})
+		p.do(Action{Kind: Reject, Invocation: i, Duration: p.comeBack(), NoRetry: v.further || p.allFull,
+			Reason: why})
 	} else {
-		p.do(Action{Kind: Fail, Inv: i, Why: why})
+		p.do(Action{Kind: Fail, Invocation: i, Reason: why})
 	}
 	p.letGo(i)
 }
 
 // watch learns, by part of the client timeout, how long callers wait: most leave well before it.
-func (p *Post) watch(v *invocation, left bool) {
+func (p *Controller) watch(v *invocation, left bool) {
 	if !v.answered {
 		p.stays.Add(float64(p.now-v.arrived)/float64(v.op.ClientTimeout), left)
 	}
 }
 
 // letGo drops what needs no answer more; a run is stopped if that is allowed, one at a call ends by itself.
-func (p *Post) letGo(i int32) {
+func (p *Controller) letGo(i int32) {
 	switch p.invs[i].state {
 	case held, joined, paused:
 		p.end(i)
 	case running:
-		if p.config.Halting != NoHalt {
-			p.do(Action{Kind: Stop, Inv: i})
+		if p.config.StopSupport != StopUnsupported {
+			p.do(Action{Kind: Stop, Invocation: i})
 		}
 	}
 }
 
 // comeBack names the time after which the node can take more: the end of its life, or of its backlog.
-func (p *Post) comeBack() int64 {
+func (p *Controller) comeBack() int64 {
 	if p.noticed != 0 {
-		return p.config.ComeBackMax
+		return p.config.MaxRetryAfter
 	}
-	return min(p.config.ComeBackMax, int64((0.5+p.chance.Float64())*p.wait())) // spread, not all at once
+	return min(p.config.MaxRetryAfter, int64((0.5+p.chance.Float64())*p.wait())) // spread, not all at once
 }
 
 // Order of the hold.
 
 // expected is the core time that an invocation is still to take.
-func (p *Post) expected(v *invocation) float64 {
+func (p *Controller) expected(v *invocation) float64 {
 	cost, spent := v.base*v.part*v.op.usual.Mean(1)*p.slowness(), v.spent
 	if v.state == running {
 		spent += p.coreClock - v.since
@@ -461,10 +467,10 @@
 	return max(cost-spent, skew*cost)
 }
 
-func (p *Post) slowness() float64 { return max(p.pace.Mean(1), p.stall) }
+func (p *Controller) slowness() float64 { return max(p.pace.Mean(1), p.stall) }
 
 // work is the core time that those in a state still need.
-func (p *Post) work(of state) (sum float64) {
+func (p *Controller) work(of state) (sum float64) {
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state == of {
 			sum += p.expected(v)
@@ -474,35 +480,35 @@
 }
 
 // freeCores is what reading and checks leave to runs while the hold clears.
-func (p *Post) freeCores() float64 { return max(p.cores/2, p.cores-p.meanReading) }
+func (p *Controller) freeCores() float64 { return max(p.cores/2, p.cores-p.meanReading) }
 
 // wait is how long the hold would take to clear, with the time that arrivals lay unread while any do.
-func (p *Post) wait() float64 {
+func (p *Controller) wait() float64 {
 	return p.work(held)/p.freeCores() + p.lag*min(1, p.reading) + p.callWait()
 }
 
 // callWait is how long one that comes to a call now would stand there until it is made.
-func (p *Post) callWait() float64 {
+func (p *Controller) callWait() float64 {
 	return float64(p.standing) / float64(max(1, p.inHand)) * p.callTime.Mean(0) * p.callUnit
 }
 
-func (p *Post) objective(v *invocation) float64 {
-	return min(float64(v.arrived+v.op.Objective)+v.op.Stretch*v.base, p.left(v))
+func (p *Controller) objective(v *invocation) float64 {
+	return min(float64(v.arrived+v.op.LatencyObjective)+v.op.ObjectivePerWork*v.base, p.left(v))
 }
 
 // left is when most callers have left an invocation, or its due time.
-func (p *Post) left(v *invocation) float64 {
+func (p *Controller) left(v *invocation) float64 {
 	return min(float64(v.due-answerMargin), float64(v.arrived)+p.patient*float64(v.op.ClientTimeout))
 }
 
 // orderHold ranks the hold and gives up at once on what is unlikely to end in time to earn anything. Guards
 // against work wasted on late answers, whatever made them late; does harm while large ones inflate the costs.
-func (p *Post) orderHold() {
+func (p *Controller) orderHold() {
 	p.order = p.order[:0]
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state == held || v.state == paused {
-			if !v.ran && v.op.service.Work > 0 {
-				v.part, v.worth = v.op.service.Work, v.op.service.Value
+			if !v.ran && v.op.service.WorkShare > 0 {
+				v.part, v.worth = v.op.service.WorkShare, v.op.service.WeightShare
 			}
 			p.rank(v)
 			p.order = append(p.order, i)
@@ -516,9 +522,9 @@
 		if float64(p.onCores) >= p.cores || i != p.order[0] {
 			end += ahead / p.freeCores()
 		}
-		if end-skew*p.expected(v) > p.objective(v) && (v.op.LateShare == 0 || end > p.left(v)) {
-			levelled := v.op.service.Form == Refused
-			p.giveUp(i, map[bool]Why{false: Hopeless, true: Levelled}[levelled])
+		if end-skew*p.expected(v) > p.objective(v) && (v.op.LateWeightShare == 0 || end > p.left(v)) {
+			levelled := v.op.service.Form == Shed
+			p.giveUp(i, map[bool]Reason{false: ReasonUnlikelyInTime, true: ReasonDegraded}[levelled])
 			return true
 		}
 		ahead += p.expected(v)
@@ -527,53 +533,53 @@
 }
 
 // rank sets the place in the order: billed value for each unit of core time, by the chance to end in time.
-func (p *Post) rank(v *invocation) {
-	v.key = v.op.BilledValue * v.worth * p.withinShare(v.tenant)
-	if !p.config.ByWork {
+func (p *Controller) rank(v *invocation) {
+	v.key = v.op.PriorityWeight * v.worth * p.withinShare(v.tenant)
+	if !p.config.WeightScalesWithWork {
 		v.key /= p.expected(v)
 	}
-	if v.op.service.Form == Refused && !v.ran {
+	if v.op.service.Form == Shed && !v.ran {
 		v.key *= servedLast
 	}
 	if need, slack := p.ends(v)-float64(p.now), p.objective(v)-float64(p.now); need > slack {
-		v.key *= v.op.LateShare
+		v.key *= v.op.LateWeightShare
 	} else {
 		v.key *= 1 - math.Exp(-slack/need)
 	}
 }
 
 // ends is when an invocation would end if it ran from now on.
-func (p *Post) ends(v *invocation) float64 {
+func (p *Controller) ends(v *invocation) float64 {
 	end := float64(p.now) + p.expected(v)
-	if v.op.MayCall {
-		end += v.op.away.Mean(0)*float64(v.op.Objective) + p.callWait()
+	if v.op.CallsDependency {
+		end += v.op.away.Mean(0)*float64(v.op.LatencyObjective) + p.callWait()
 	}
 	return end
 }
 
 // withinShare is the expected part of full value for a tenant that may be over its share of the fleet.
-func (p *Post) withinShare(tenant int32) float64 {
+func (p *Controller) withinShare(tenant int32) float64 {
 	if tenant < 0 || p.config.TenantRates[tenant] <= 0 {
 		return 1
 	}
 	share := p.config.TenantRates[tenant] / float64(max(1, p.config.Peers)) * float64(beat) / 1e9 / (1 - fade)
-	inside := share / max(share, p.tenants.Of(int64(tenant)))
-	return inside + (1-inside)*p.config.OverShare
+	inside := share / max(share, p.tenants.Count(int64(tenant)))
+	return inside + (1-inside)*p.config.OverQuotaWeightShare
 }
 
 // survivable is the crowd on the cores that is safe now, at the slowest warm-up that is guaranteed.
-func (p *Post) survivable() float64 {
+func (p *Controller) survivable() float64 {
 	warm := 1.0
-	if p.config.Fresh {
-		age := float64(p.now-p.born) / float64(max(1, p.config.WarmAfter))
-		warm = min(1, p.config.ColdFrom+(1-p.config.ColdFrom)*age)
+	if p.config.ColdStart {
+		age := float64(p.now-p.born) / float64(max(1, p.config.WarmUpTime))
+		warm = min(1, p.config.ColdSpeedShare+(1-p.config.ColdSpeedShare)*age)
 	}
-	return crowdRoom * p.cores * (1 + (p.config.TipMultiple-1)*warm)
+	return crowdRoom * p.cores * (1 + (p.config.OverloadMultiple-1)*warm)
 }
 
 // startRuns starts the hold in order. Reading counts towards the limit, but one run always goes on. What left
 // the cores returns unasked, so it has a bound with runs: the crowd or, with no core free, twice its usual.
-func (p *Post) startRuns() {
+func (p *Controller) startRuns() {
 	room, all := max(1, p.limit-p.reading), p.survivable()
 	if !p.free {
 		all = min(all, room+awayTimes*p.away)
@@ -584,24 +590,24 @@
 			p.makeWay(v)
 			return
 		}
-		if v.state == held && p.memory+p.recordKB()+v.kb*(p.config.Blowup-1) > memoryRoom*p.config.MemoryKB {
+		if v.state == held && p.memory+p.recordKB()+v.kb*(p.config.RunningMemoryFactor-1) > memoryRoom*p.config.MemoryKB {
 			continue
 		}
-		form := Whole
+		form := Complete
 		if v.op.service.Form == Reduced && !v.ran && p.roomy() {
 			v.part, v.worth = 1, 1
 		} else if v.part < 1 {
 			form = Reduced
 		}
 		v.ran = true
-		p.do(Action{Kind: Run, Inv: i, Form: form})
+		p.do(Action{Kind: Run, Invocation: i, Form: form})
 		p.shift(v, running)
 	}
 }
 
 // makeWay pauses the run of the lowest rank where one that waits ranks far above it and it still ends in time
 // after that. Guards against short objectives missed behind long runs; does harm where expectations fail.
-func (p *Post) makeWay(first *invocation) {
+func (p *Controller) makeWay(first *invocation) {
 	least, key, takes := int32(-1), first.key, p.expected(first)
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state == running && !v.answered && p.ends(v)+takes < p.objective(v) {
@@ -610,13 +616,13 @@
 			}
 		}
 	}
-	if least >= 0 && p.config.Halting == PauseHalt {
-		p.do(Action{Kind: Stop, Inv: least})
+	if least >= 0 && p.config.StopSupport == StopKeepsProgress {
+		p.do(Action{Kind: Stop, Invocation: least})
 	}
 }
 
 // adjustLimit grows the limit while cores are free and work waits, and backs off when throughput drops.
-func (p *Post) adjustLimit() {
+func (p *Controller) adjustLimit() {
 	waiting := len(p.order) > 0 && float64(p.onCores) >= p.limit-1
 	if !p.free {
 		p.limit -= limitGrowth
@@ -636,14 +642,14 @@
 }
 
 // runEnded closes a run and learns what it cost.
-func (p *Post) runEnded(i int32, outcome Outcome) {
+func (p *Controller) runEnded(i int32, outcome Outcome) {
 	v := &p.invs[i]
-	if outcome == Withdrawn && !v.answered && p.config.Halting != NoHalt {
-		p.shift(v, map[Halting]state{PauseHalt: paused, DropHalt: held}[p.config.Halting])
+	if outcome == Stopped && !v.answered && p.config.StopSupport != StopUnsupported {
+		p.shift(v, map[StopSupport]state{StopKeepsProgress: paused, StopDiscardsProgress: held}[p.config.StopSupport])
 		return
 	}
 	if v.state == calling {
-		p.callUsed.Add(p.now, float64(p.config.Linger))
+		p.callUsed.Add(p.now, float64(p.config.AbandonedCallTime))
 	}
 	p.watch(v, false)
 	own, usual := v.state != joined, v.base*v.part*v.op.usual.Mean(1)
@@ -657,11 +663,11 @@
 // makeCalls makes the calls that runs stand at, highest billed value first, then the oldest. If allowed, one
 // that failed, or may fail or be late, is left out; else what can't end in time is given up while one is in
 // hand: were none made, nothing would tell that calls are short again.
-func (p *Post) makeCalls() {
+func (p *Controller) makeCalls() {
 	p.order = p.order[:0]
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state == standing && !v.answered {
-			v.key = v.op.BilledValue * v.worth
+			v.key = v.op.PriorityWeight * v.worth
 			p.order = append(p.order, i)
 		}
 	}
@@ -669,37 +675,37 @@
 	for _, i := range p.order {
 		v, room := &p.invs[i], p.callRoom()
 		until, failed := min(v.due-answerMargin, p.now+min(room, p.hold)), v.tries >= callTries
-		skippable, latest := v.op.SkipShare > 0, int64(p.objective(v)-p.expected(v))
+		skippable, latest := v.op.SkippedCallWeightShare > 0, int64(p.objective(v)-p.expected(v))
 		if skippable {
 			until = min(until, latest)
-		} else if v.op.Effect == Idempotent && v.tries < callTries/2 && p.callTime.Mean(0) > 0 {
+		} else if v.op.Idempotency == Idempotent && v.tries < callTries/2 && p.callTime.Mean(0) > 0 {
 			until = min(until, p.now+int64(callLong*p.callTime.Mean(0)*p.callUnit))
 		}
 		switch {
 		case skippable && (failed || latest <= p.now || p.chance.Float64() < p.callFails.Mean(0)):
-			p.do(Action{Kind: SkipCall, Inv: i})
+			p.do(Action{Kind: SkipCall, Invocation: i})
 			p.shift(v, running)
-		case failed, !skippable && v.op.LateShare == 0 && p.inHand > 0 &&
+		case failed, !skippable && v.op.LateWeightShare == 0 && p.inHand > 0 &&
 			float64(p.now)+p.callTime.Mean(0)*p.callUnit > p.objective(v):
-			p.giveUp(i, Callless)
+			p.giveUp(i, ReasonNoCallCapacity)
 		case room > 0 && until > p.now && p.inHand < p.units:
 			v.callAt, v.callUntil, v.tries = p.now, until, v.tries+1
-			p.do(Action{Kind: Call, Inv: i, At: until})
+			p.do(Action{Kind: StartCall, Invocation: i, At: until})
 			p.shift(v, calling)
 		}
 	}
 }
 
-func (p *Post) byKey(a, b int32) int { return cmp.Compare(p.invs[b].key, p.invs[a].key) }
+func (p *Controller) byKey(a, b int32) int { return cmp.Compare(p.invs[b].key, p.invs[a].key) }
 
 // callRoom is how long one more call may take: a third of the share left if all in hand are left at the
 // last, or some times the usual. Guards against hangs, small shares; does harm where calls grow longer.
-func (p *Post) callRoom() int64 {
-	if p.config.Below != SharedBelow || p.units < math.MaxInt { // a lease counts calls, not their time
+func (p *Controller) callRoom() int64 {
+	if p.config.Dependency != SharedDependency || p.units < math.MaxInt { // a lease counts calls, not their time
 		return math.MaxInt64 / 4
 	}
-	linger := float64(p.config.Linger)
-	spare := callRoom*p.config.CallShare*float64(p.config.CallSpan) - p.callUsed.Sum()
+	linger := float64(p.config.AbandonedCallTime)
+	spare := callRoom*p.config.CallQuota*float64(p.config.CallQuotaWindow) - p.callUsed.Sum()
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state == calling {
 			spare -= float64(max(0, v.callUntil-p.now)) + linger
@@ -715,11 +721,11 @@
 
 // callEnded learns how calls go; one that failed is repeated if known not to have run, or once if idempotent.
 // Guards against replies spoilt or lost; does harm where a dependency fails for the calls that it gets.
-func (p *Post) callEnded(v *invocation, outcome Outcome) {
+func (p *Controller) callEnded(v *invocation, outcome Outcome) {
 	took := float64(p.now - v.callAt)
 	p.callTime.Add(took / p.callUnit)
 	if outcome == Succeeded {
-		v.op.away.Add(took / float64(v.op.Objective))
+		v.op.away.Add(took / float64(v.op.LatencyObjective))
 		p.callFails.Add(0)
 		v.tries = 0
 		p.shift(v, running)
@@ -728,18 +734,18 @@
 	p.callFails.Add(1)
 	p.shift(v, standing)
 	if outcome != Overloaded && outcome != Unreachable {
-		v.tries += 1 + callTries*int(v.op.Effect) // no more, unless it is idempotent
-		p.callUsed.Add(p.now, float64(p.config.Linger))
+		v.tries += 1 + callTries*int(v.op.Idempotency) // no more, unless it is idempotent
+		p.callUsed.Add(p.now, float64(p.config.AbandonedCallTime))
 	}
 }
 
 // keepDeadlines answers what is due and stops runs that can earn nothing more.
-func (p *Post) keepDeadlines() {
+func (p *Controller) keepDeadlines() {
 	for _, i := range p.live {
 		v := &p.invs[i]
-		futile := v.state == running && p.config.Halting != NoHalt && v.op.LateShare == 0
+		futile := v.state == running && p.config.StopSupport != StopUnsupported && v.op.LateWeightShare == 0
 		if v.state != ended && (futile && float64(p.now) > p.objective(v) || p.now >= v.due-answerMargin) {
-			p.giveUp(i, Overdue)
+			p.giveUp(i, ReasonDeadline)
 		}
 		if v.state == running && v.answered {
 			p.letGo(i) // again: a stop has no effect while the cores stand still
@@ -748,18 +754,18 @@
 }
 
 // keepMemory turns away the end of the hold before memory runs out and forgets records that ended.
-func (p *Post) keepMemory() {
+func (p *Controller) keepMemory() {
 	p.records = slices.DeleteFunc(p.records, func(until int64) bool { return until < p.now })
 	for k := len(p.order) - 1; k >= 0 && p.memory+p.recordKB() > (1+memoryRoom)/2*p.config.MemoryKB; k-- {
 		if p.invs[p.order[k]].state == held {
-			p.giveUp(p.order[k], Crowded)
+			p.giveUp(p.order[k], ReasonMemory)
 		}
 	}
 }
 
 // drain is beat 1: bad health, a sample of what is in flight. Both durations shrink to fit under the kill,
 // the delay only as far as the longest objective needs: guards against refusals while callers hear late.
-func (p *Post) drain(kill int64) {
+func (p *Controller) drain(kill int64) {
 	if p.noticed == 0 {
 		p.noticed, p.atNotice, p.closedBefore = p.now, p.opened-p.closed, p.closed
 		p.intakeEnd, p.drainEnd = math.MaxInt64, math.MaxInt64
@@ -774,11 +780,11 @@
 }
 
 // keepDrain stops intake and ends beat 3 once nothing is open; at the deadline the rest is aborted, counted.
-func (p *Post) keepDrain() {
+func (p *Controller) keepDrain() {
 	if p.noticed == 0 || p.drained || p.now < p.intakeEnd {
 		return
 	}
-	p.do(Action{Kind: StopIntake})
+	p.do(Action{Kind: StopAccepting})
 	abandoned, completed := 0, p.closed-p.closedBefore
 	for _, i := range p.live {
 		if v := &p.invs[i]; v.state != ended && !v.answered {
@@ -786,16 +792,16 @@
 				return
 			}
 			abandoned++
-			p.giveUp(i, Draining)
+			p.giveUp(i, ReasonDraining)
 		}
 	}
 	p.drained = true
-	p.do(Action{Kind: Leave, Text: fmt.Sprintf(
+	p.do(Action{Kind: Exit, Report: fmt.Sprintf(
 		"drain: in flight at start %d, completed %d, abandoned %d", p.atNotice, completed, abandoned)})
 }
 
 // adjustHealth reports bad in a drain or while doing worse than usual; were full ones bad, none were left.
-func (p *Post) adjustHealth() {
+func (p *Controller) adjustHealth() {
 	if p.stall = 0; p.onCores == 0 {
 		p.pace.Add(1) // an idle node comes back: nothing else would tell it that it may
 	}
@@ -815,12 +821,12 @@
 }
 
 // tellHealth answers checks from store, since a full one costs work.
-func (p *Post) tellHealth() {
-	p.do(Action{Kind: Health, Good: !p.unhealthy, Stored: true})
+func (p *Controller) tellHealth() {
+	p.do(Action{Kind: ReportHealth, Healthy: !p.unhealthy, Cached: true})
 }
 
 // adjustAdvice tells callers how much to send: less while the wait is long, more while it is short.
-func (p *Post) adjustAdvice() {
+func (p *Controller) adjustAdvice() {
 	p.arrivals, p.echoes = p.arrivals*fade, p.echoes*fade
 	p.throttled, p.levelled = p.throttled*fade, p.levelled*fade
 	sum, squares := 0.0, 1e-9
@@ -828,53 +834,53 @@
 		sum, squares = sum+math.Round(n), squares+math.Round(n)*math.Round(n)
 	}
 	p.allFull = p.throttled > echoShare/2*p.arrivals && (p.allFull || p.echoes > echoShare*p.arrivals)
-	p.callers.Fade(fade, callerGone)
-	p.tenants.Fade(fade, tenantGone)
+	p.callers.Decay(fade, callerGone)
+	p.tenants.Decay(fade, tenantGone)
 	if wait := p.wait(); wait > pressureHigh*p.tightest {
 		p.open = max(adviceLow, p.open*(1-adviceDown))
 	} else if wait < pressureLow*p.tightest {
 		p.open = min(1, p.open+adviceUp)
 	}
 	value, away := p.open, 0.0
-	if p.config.Advice == LevelAdvice {
+	if p.config.Backpressure == BackpressureLevel {
 		value, away = levelHigh*(1-p.open), 1
-	} else if p.config.Advice == CreditAdvice { // for each caller that counts, unequal as they are
+	} else if p.config.Backpressure == BackpressureCredits { // for each caller that counts, unequal as they are
 		value *= creditTop * p.cores / max(1, sum*sum/squares)
 	}
 	if p.noticed != 0 && p.now >= p.intakeEnd-awayLead {
 		value = away
 	}
 	value = math.Ceil(value*100) / 100 // never rounded to nothing
-	if value != p.said && p.config.Advice != NoAdvice {
-		p.do(Action{Kind: Advise, Value: value})
+	if value != p.said && p.config.Backpressure != NoBackpressure {
+		p.do(Action{Kind: SignalBackpressure, Value: value})
 	}
 	p.said = value
 }
 
 // State is what decisions stand on now; it changes nothing.
-func (p *Post) State() State {
-	return State{Limit: p.limit, OnCores: p.onCores, Held: p.waiting, Standing: p.standing,
-		InHand: p.inHand, Away: p.away,
-		Wait: p.wait(), CallWait: p.callWait(), Lag: p.lag, Reading: p.reading, MeanReading: p.meanReading,
-		Pace: p.pace.Mean(1), Stall: p.stall, Patient: p.patient, CallTime: p.callTime.Mean(0) * p.callUnit,
-		CallFails: p.callFails.Mean(0), CallRoom: float64(p.callRoom()), Open: p.open, Said: p.said,
-		CallUsed: p.callUsed.Sum() / max(1, p.config.CallShare*float64(p.config.CallSpan)),
-		Arrivals: p.arrivals, Echoes: p.echoes, Throttled: p.throttled, Callers: len(p.callers.Counts()),
-		Memory: p.memory, AllFull: p.allFull, Unhealthy: p.unhealthy, Free: p.free}
-}
-
-// Measure tells of the present what concerns more than one invocation, into m.
-func (p *Post) Measure(m *Measures) {
-	m.Asked = m.Asked[:0]
+func (p *Controller) State() ControllerState {
+	return ControllerState{Limit: p.limit, OnCores: p.onCores, Queued: p.waiting, AwaitingCall: p.standing,
+		CallsInFlight: p.inHand, MeanBlocked: p.away,
+		QueueWait: p.wait(), CallWait: p.callWait(), QueueingDelay: p.lag, OtherRunnable: p.reading, MeanOtherRunnable: p.meanReading,
+		ServiceTimeRatio: p.pace.Mean(1), StallRatio: p.stall, CallerWaitShare: p.patient, CallTime: p.callTime.Mean(0) * p.callUnit,
+		CallFailureShare: p.callFails.Mean(0), MaxCallTime: float64(p.callRoom()), AdvertisedCapacity: p.open, LastSignal: p.said,
+		CallQuotaUsed: p.callUsed.Sum() / max(1, p.config.CallQuota*float64(p.config.CallQuotaWindow)),
+		Arrivals:      p.arrivals, Retries: p.echoes, Rejected: p.throttled, Callers: len(p.callers.Counts()),
+		Memory: p.memory, FleetOverloaded: p.allFull, Unhealthy: p.unhealthy, CoreIdle: p.free}
+}
+
+// MeasureLoad tells of the present what concerns more than one invocation, into m.
+func (p *Controller) MeasureLoad(m *LoadMetrics) {
+	m.DemandByOperation = m.DemandByOperation[:0]
 	for _, op := range p.ops {
 		if op == nil {
-			m.Asked = append(m.Asked, 0)
+			m.DemandByOperation = append(m.DemandByOperation, 0)
 			continue
 		}
 		op.asked.Add(p.now, 0)
-		m.Asked = append(m.Asked, op.asked.Sum()/(float64(askedSpan)*p.cores))
+		m.DemandByOperation = append(m.DemandByOperation, op.asked.Sum()/(float64(askedSpan)*p.cores))
 	}
-	m.Reading = min(p.meanReading, p.cores) / max(p.cores, float64(p.onCores)+p.meanReading)
-	m.Wait, m.Lag, m.Calls = p.wait()/p.tightest, p.lag/p.tightest, p.callWait()/p.tightest
-	m.Throttled, m.Memory = (p.throttled-p.levelled)/max(1, p.arrivals), p.memory/p.config.MemoryKB
+	m.IntakeShare = min(p.meanReading, p.cores) / max(p.cores, float64(p.onCores)+p.meanReading)
+	m.QueueWait, m.QueueingDelay, m.CallWait = p.wait()/p.tightest, p.lag/p.tightest, p.callWait()/p.tightest
+	m.RejectedShare, m.MemoryShare = (p.throttled-p.levelled)/max(1, p.arrivals), p.memory/p.config.MemoryKB
 }
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestRunPastItsObjectiveGoesOnWhereItCannotBeStopped(t *testing.T) {
-	p := post(func(n *Config) { n.Halting = NoHalt })
+	p := post(func(n *Config) { n.StopSupport = StopUnsupported })
 	v := put(p, 0, running)
 	v.arrived -= 2_000 * ms
 	p.keepDeadlines()
@@ -30,8 +30,8 @@
 	v := put(p, 0, held)
 	v.arrived -= 950 * ms
 	p.orderHold()
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
-	assert.Positive(t, p.out[0].For)
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
+	assert.Positive(t, p.out[0].Duration)
 	assert.Equal(t, ended, v.state)
 }
 
@@ -46,45 +46,45 @@
 }
 
 func TestTenantOverItsShareComesAfterOthers(t *testing.T) {
-	p := post(func(n *Config) { n.TenantRates = []float64{2, 2}; n.OverShare = 0.1 })
+	p := post(func(n *Config) { n.TenantRates = []float64{2, 2}; n.OverQuotaWeightShare = 0.1 })
 	for k := range 50 {
 		p.tenants.Add(0)
 		if k < 5 {
 			p.tenants.Add(1)
 		}
 	}
-	p.tenants.Fade(0.5, 0)
-	assert.Equal(t, []float64{25, 2.5}, []float64{p.tenants.Of(0), p.tenants.Of(1)})
+	p.tenants.Decay(0.5, 0)
+	assert.Equal(t, []float64{25, 2.5}, []float64{p.tenants.Count(0), p.tenants.Count(1)})
 	assert.InDelta(t, (1+9*0.1)/10, p.withinShare(0), 1e-9)
 	assert.Equal(t, 1.0, p.withinShare(1))
 }
 
 func TestTokenedIsRecordedBeforeItRuns(t *testing.T) {
 	p := post()
-	out := p.Decide(start, []Event{{Kind: Arrived, Inv: 0, Operation: 1, Tenant: -1,
-		Repeats: NoRepeat, HeldKB: 10}})
-	assert.Equal(t, Record, out[0].Kind)
-	assert.Equal(t, 5_000*ms, out[0].For)
+	out := p.Decide(start, []Event{{Kind: Arrived, Invocation: 0, OperationIndex: 1, Tenant: -1,
+		Original: NoOriginal, QueuedKB: 10}})
+	assert.Equal(t, RecordKey, out[0].Kind)
+	assert.Equal(t, 5_000*ms, out[0].Duration)
 	assert.Equal(t, Run, out[1].Kind)
 }
 
 func TestTokenedWithoutRoomInTheTableIsThrottledUnrun(t *testing.T) {
-	p := post(func(n *Config) { n.EntryKB = 300 })
+	p := post(func(n *Config) { n.DeduplicationEntryKB = 300 })
 	put(p, 1, held)
 	p.record(0, p.now+5_000*ms)
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
 }
 
 func TestRepeatOfWhatRanIsReused(t *testing.T) {
 	p := post()
-	p.intake(&Event{Kind: Arrived, Operation: 1, Tenant: -1, Repeats: EndedRepeat, HeldKB: 10})
-	assert.Equal(t, []ActionKind{Reuse}, kinds(p))
+	p.intake(&Event{Kind: Arrived, OperationIndex: 1, Tenant: -1, Original: OriginalEnded, QueuedKB: 10})
+	assert.Equal(t, []ActionKind{JoinOriginal}, kinds(p))
 }
 
 func TestRepeatOfWhatRanIsErroredNotThrottledOnceIntakeEnded(t *testing.T) {
 	p := post()
 	p.noticed, p.intakeEnd = p.now-ms, p.now
-	p.intake(&Event{Kind: Arrived, Operation: 1, Tenant: -1, Repeats: EndedRepeat, HeldKB: 10})
+	p.intake(&Event{Kind: Arrived, OperationIndex: 1, Tenant: -1, Original: OriginalEnded, QueuedKB: 10})
 	assert.Equal(t, []ActionKind{Fail}, kinds(p))
 }
 
@@ -111,7 +111,7 @@
 }
 
 func TestReplyThatHardlyComesIsNotWaitedForWhereTheCallMayBeRepeated(t *testing.T) {
-	p := post(func(n *Config) { n.CallShare = 24 })
+	p := post(func(n *Config) { n.CallQuota = 24 })
 	p.callTime.Add(0.0625) // of the shortest objective
 	for op, tries := range []int{0, 0, 2} {
 		v := put(p, min(op, 2)%2, standing)
@@ -123,7 +123,7 @@
 }
 
 func TestFailedCallIsLeftOutWhereAllowed(t *testing.T) {
-	p := post(func(n *Config) { n.Operations[0].SkipShare = 0.5 })
+	p := post(func(n *Config) { n.Operations[0].SkippedCallWeightShare = 0.5 })
 	v := put(p, 0, standing)
 	v.tries = callTries
 	p.makeCalls()
@@ -136,13 +136,13 @@
 	put(p, 0, standing)
 	put(p, 1, standing)
 	p.makeCalls()
-	assert.Equal(t, []ActionKind{Call, Call}, kinds(p))
-	assert.Equal(t, []int32{1, 0}, []int32{p.out[0].Inv, p.out[1].Inv})
+	assert.Equal(t, []ActionKind{StartCall, StartCall}, kinds(p))
+	assert.Equal(t, []int32{1, 0}, []int32{p.out[0].Invocation, p.out[1].Invocation})
 }
 
 // The incident of meubles-rennes on which a large fleet left each node a share below one.
 func TestCallsInHandKeepTheShareAsAMean(t *testing.T) {
-	p := post(func(n *Config) { n.CallShare, n.Linger = 0.35, 200*ms })
+	p := post(func(n *Config) { n.CallQuota, n.AbandonedCallTime = 0.35, 200*ms })
 	for range 8 {
 		p.callTime.Add(0.02)
 		put(p, 1, standing)
@@ -150,7 +150,7 @@
 	p.makeCalls()
 	reserved := 0.0
 	for _, a := range p.out {
-		reserved += float64(a.At - p.now + p.config.Linger)
+		reserved += float64(a.At - p.now + p.config.AbandonedCallTime)
 	}
 	assert.Len(t, p.out, 4, "not one at a time")
 	assert.LessOrEqual(t, reserved, 0.35*5e9)
@@ -173,7 +173,7 @@
 	}
 	put(p, 0, held)
 	p.orderHold()
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
 	p.out = p.out[:0]
 	p.now += 900 * ms
 	put(p, 0, calling)
@@ -182,7 +182,7 @@
 }
 
 func TestCrowdIsTighterWhileCold(t *testing.T) {
-	p := post(func(n *Config) { n.Fresh = true; n.ColdFrom = 0.2; n.WarmAfter = 10_000 * ms })
+	p := post(func(n *Config) { n.ColdStart = true; n.ColdSpeedShare = 0.2; n.WarmUpTime = 10_000 * ms })
 	assert.InDelta(t, crowdRoom*2*(1+3*0.2), p.survivable(), 1e-9)
 	p.now += 20_000 * ms
 	assert.InDelta(t, crowdRoom*2*4, p.survivable(), 1e-9)
@@ -208,8 +208,8 @@
 	p.startRuns()
 	assert.Empty(t, p.out)
 	p.keepMemory()
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
-	assert.Equal(t, int32(1), p.out[0].Inv)
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
+	assert.Equal(t, int32(1), p.out[0].Invocation)
 }
 
 func TestLimitGrowsWhileCoresAreFreeAndFallsWithThroughput(t *testing.T) {
@@ -230,8 +230,8 @@
 	p := post()
 	put(p, 0, running)
 	p.drain(p.now + killMargin + 5_000*ms)
-	assert.Equal(t, []ActionKind{Health}, kinds(p))
-	assert.False(t, p.out[0].Good)
+	assert.Equal(t, []ActionKind{ReportHealth}, kinds(p))
+	assert.False(t, p.out[0].Healthy)
 	assert.Equal(t, 1, p.atNotice)
 	assert.Equal(t, p.now+2_000*ms, p.intakeEnd, "the grace, where the longest objective is left room")
 	assert.Equal(t, p.now+5_000*ms, p.drainEnd)
@@ -258,8 +258,8 @@
 	put(p, 0, held)
 	p.noticed, p.drainEnd, p.atNotice, p.closed = p.now-ms, p.now, 3, 2
 	p.keepDrain()
-	assert.Equal(t, []ActionKind{StopIntake, Fail, Stop, Throttle, Leave}, kinds(p))
-	assert.Equal(t, "drain: in flight at start 3, completed 2, abandoned 2", p.out[4].Text)
+	assert.Equal(t, []ActionKind{StopAccepting, Fail, Stop, Reject, Exit}, kinds(p))
+	assert.Equal(t, "drain: in flight at start 3, completed 2, abandoned 2", p.out[4].Report)
 }
 
 func TestDrainIsOverOnceNothingIsOpenAndIntakeEnded(t *testing.T) {
@@ -267,11 +267,11 @@
 	v := put(p, 0, running)
 	p.noticed, p.intakeEnd, p.drainEnd = p.now-ms, p.now, p.now+1_000*ms
 	p.keepDrain()
-	assert.Equal(t, []ActionKind{StopIntake}, kinds(p))
+	assert.Equal(t, []ActionKind{StopAccepting}, kinds(p))
 	v.answered = true
 	p.keepDrain()
 	p.keepDrain()
-	assert.Equal(t, []ActionKind{StopIntake, StopIntake, Leave}, kinds(p), "told once")
+	assert.Equal(t, []ActionKind{StopAccepting, StopAccepting, Exit}, kinds(p), "told once")
 }
 
 func TestStalledRunsTurnHealthBadBeforeAnyEnds(t *testing.T) {
@@ -284,7 +284,7 @@
 }
 
 func TestAFullHoldIsNotUnhealthyButAsksForLess(t *testing.T) {
-	p := post(func(n *Config) { n.Advice = LevelAdvice })
+	p := post(func(n *Config) { n.Backpressure = BackpressureLevel })
 	for range 20 {
 		put(p, 0, held)
 	}
@@ -295,8 +295,8 @@
 }
 
 func TestDrainAdvisesCallersAway(t *testing.T) {
-	for advice, want := range map[Advice]float64{LevelAdvice: 1, CreditAdvice: 0, WeightAdvice: 0} {
-		p := post(func(n *Config) { n.Advice = advice })
+	for advice, want := range map[BackpressureKind]float64{BackpressureLevel: 1, BackpressureCredits: 0, BackpressureWeight: 0} {
+		p := post(func(n *Config) { n.Backpressure = advice })
 		p.noticed, p.intakeEnd = p.now, p.now+2*awayLead
 		p.adjustAdvice()
 		assert.NotEqual(t, want, p.said, "it serves on, others may be full")
@@ -310,8 +310,8 @@
 	p := post()
 	put(p, 0, held)
 	p.end(0)
-	for kind := CallerGone; kind <= RunEnded; kind++ {
-		if kind != DrainNotice && kind != TimerDue {
+	for kind := CallerDisconnected; kind <= RunEnded; kind++ {
+		if kind != DrainRequested && kind != TimerFired {
 			p.take(&Event{Kind: kind})
 		}
 	}
@@ -322,14 +322,14 @@
 func TestPausedRunKeepsItsMemoryAndResumes(t *testing.T) {
 	p := post()
 	v := put(p, 0, running)
-	p.runEnded(0, Withdrawn)
+	p.runEnded(0, Stopped)
 	assert.Equal(t, paused, v.state)
 	assert.Equal(t, 40.0, p.memory)
 }
 
 // The incident of pret-quimper on which fresh nodes were flooded before their first answers.
 func TestColdStartInvitesLess(t *testing.T) {
-	p := post(func(n *Config) { n.Fresh = true; n.ColdFrom = 0.25 })
+	p := post(func(n *Config) { n.ColdStart = true; n.ColdSpeedShare = 0.25 })
 	assert.Equal(t, 0.25, p.open)
 }
 
@@ -360,11 +360,11 @@
 // Grown deployments of two cores a node: the half-second mean of the busy gauge let the limit overshoot.
 func TestFreeCoresAreThoseThatNothingWantsNow(t *testing.T) {
 	p := post()
-	p.take(&Event{Kind: TimerDue, Busy: 0.2, Runnable: 2})
+	p.take(&Event{Kind: TimerFired, BusyShare: 0.2, RunnableThreads: 2})
 	assert.False(t, p.free)
-	p.take(&Event{Kind: TimerDue, Busy: 0.95, Runnable: 1})
+	p.take(&Event{Kind: TimerFired, BusyShare: 0.95, RunnableThreads: 1})
 	assert.True(t, p.free)
-	p.take(&Event{Kind: TimerDue, Busy: 0.95, Runnable: -1})
+	p.take(&Event{Kind: TimerFired, BusyShare: 0.95, RunnableThreads: -1})
 	assert.False(t, p.free)
 }
 
@@ -388,15 +388,15 @@
 	for range 20 {
 		v := put(p, 0, held)
 		v.arrived -= 300 * ms
-		p.take(&Event{Kind: CallerGone, Inv: int32(len(p.invs) - 1)})
+		p.take(&Event{Kind: CallerDisconnected, Invocation: int32(len(p.invs) - 1)})
 	}
-	p.patient = p.stays.Until(patienceMost)
+	p.patient = p.stays.TimeAtSurvival(patienceMost)
 	assert.InDelta(t, 0.1, p.patient, 1.0/patienceBins)
 	v := put(p, 0, held)
 	v.arrived -= 200 * ms
 	p.lag, p.out = 0, p.out[:0]
 	p.orderHold()
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
 }
 
 // Overloaded days of the grown deployments: what every node turned away was read at node after node.
@@ -414,7 +414,7 @@
 }
 
 func TestCreditForManyCallersIsNeverRoundedToNothing(t *testing.T) {
-	p := post(func(n *Config) { n.Advice = CreditAdvice })
+	p := post(func(n *Config) { n.Backpressure = BackpressureCredits })
 	for caller := range int64(1_000) {
 		p.callers.Add(caller)
 	}
@@ -469,7 +469,7 @@
 	assert.Empty(t, p.out)
 	v.arrived -= 20 * ms
 	p.orderHold()
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
 }
 
 // Drawn days of pret-quimper: nodes that had asked for least stayed shut to the end, for want of arrivals.
@@ -488,15 +488,15 @@
 	p := post(func(n *Config) { n.Cores = 8 })
 	for range 20 { // a second of little reading, then a beat of much
 		p.now += 50 * ms
-		p.take(&Event{Kind: TimerDue, Busy: 0.5, Runnable: 1})
+		p.take(&Event{Kind: TimerFired, BusyShare: 0.5, RunnableThreads: 1})
 	}
 	p.now += 50 * ms
-	p.take(&Event{Kind: TimerDue, Busy: 1, Runnable: 9})
+	p.take(&Event{Kind: TimerFired, BusyShare: 1, RunnableThreads: 9})
 	assert.InDelta(t, 6.8, p.freeCores(), 0.05)
 	assert.InDelta(t, 3, p.reading, 0.1, "the limit follows it at once")
 	now := p.now
 	p.now += 10 * ms
-	p.take(&Event{Kind: TimerDue, Busy: 1, Runnable: 9})
+	p.take(&Event{Kind: TimerFired, BusyShare: 1, RunnableThreads: 9})
 	assert.InDelta(t, 3.3, p.reading, 0.1, "by the time that went by, not by the gauge")
 	assert.Equal(t, now+10*ms, p.gauged)
 }
@@ -522,7 +522,7 @@
 	put(p, 0, standing)
 	put(p, 0, standing)
 	p.makeCalls()
-	assert.Equal(t, []ActionKind{Call, Fail}, kinds(p))
+	assert.Equal(t, []ActionKind{StartCall, Fail}, kinds(p))
 	assert.Equal(t, calling, p.invs[0].state)
 }
 
@@ -535,13 +535,13 @@
 		p.out = p.out[:0]
 		p.makeCalls()
 		for _, a := range p.out {
-			if a.Kind == Call {
+			if a.Kind == StartCall {
 				n, until = n+1, a.At
 			}
 		}
 		return n, until
 	}
-	p.Decide(start, []Event{{Kind: UnitsSet, Units: 1, Hold: 100 * ms}})
+	p.Decide(start, []Event{{Kind: CallLimitSet, CallLimit: 1, MaxCallTime: 100 * ms}})
 	assert.Equal(t, 1, p.inHand)
 	assert.Equal(t, start+100*ms, p.invs[0].callUntil, "and to the time that one may take")
 	n, _ := calls()
@@ -566,7 +566,7 @@
 	for _, all := range []int{0, 1_000, 130_000} {
 		p := post(func(n *Config) { n.TenantRates = make([]float64, all) })
 		for k := range int32(40) {
-			p.Decide(p.now, []Event{{Kind: Arrived, Inv: k, Tenant: min(k, int32(all)) - 1, Repeats: NoRepeat, HeldKB: 1}})
+			p.Decide(p.now, []Event{{Kind: Arrived, Invocation: k, Tenant: min(k, int32(all)) - 1, Original: NoOriginal, QueuedKB: 1}})
 		}
 		assert.Len(t, p.tenants.Counts(), min(40, all+1))
 		for range 2_100 { // beats of 50 ms: nobody comes
@@ -583,7 +583,7 @@
 			now := start
 			for b.Loop() {
 				now += beat
-				p.Decide(now, []Event{{Kind: TimerDue, Busy: 0.5, Runnable: 1}})
+				p.Decide(now, []Event{{Kind: TimerFired, BusyShare: 0.5, RunnableThreads: 1}})
 			}
 		})
 	}
@@ -595,34 +595,34 @@
 	v.op.usual.Add(4)
 	usual := v.op.usual.Mean(1)
 	set := func(i int32, terms *Operation, left ...Service) {
-		p.take(&Event{Kind: OperationSet, Operation: i, Terms: terms, Services: left})
+		p.take(&Event{Kind: OperationConfigured, OperationIndex: i, Operation: terms, Services: left})
 	}
-	set(0, &Operation{Objective: 200 * ms, ClientTimeout: 400 * ms, BilledValue: 9}, Service{Form: Refused})
+	set(0, &Operation{LatencyObjective: 200 * ms, ClientTimeout: 400 * ms, PriorityWeight: 9}, Service{Form: Shed})
 	assert.Equal(t, 3_000*ms, v.op.ClientTimeout)
-	assert.Equal(t, 1.0, v.op.BilledValue)
+	assert.Equal(t, 1.0, v.op.PriorityWeight)
 	w := put(p, 0, held)
 	assert.Equal(t, p.now+400*ms, w.due)
 	assert.Equal(t, usual, w.op.usual.Mean(1), "what was learnt of it stays")
-	assert.Equal(t, Refused, w.op.service.Form)
+	assert.Equal(t, Shed, w.op.service.Form)
 	assert.Equal(t, []float64{float64(200 * ms), float64(1_000 * ms)}, []float64{p.tightest, float64(p.slowest)})
-	set(3, &Operation{Objective: 7_000 * ms, ClientTimeout: 9_000 * ms})
+	set(3, &Operation{LatencyObjective: 7_000 * ms, ClientTimeout: 9_000 * ms})
 	assert.Equal(t, 7_000*ms, p.slowest)
-	var m Measures
-	p.Measure(&m)
-	assert.Len(t, m.Asked, 4)
-	p.setLevel([]Service{{}, {Form: Refused}}, false)
-	assert.Equal(t, Refused, p.ops[1].service.Form)
+	var m LoadMetrics
+	p.MeasureLoad(&m)
+	assert.Len(t, m.DemandByOperation, 4)
+	p.setLevel([]Service{{}, {Form: Shed}}, false)
+	assert.Equal(t, Shed, p.ops[1].service.Form)
 	set(0, nil)
 	set(3, nil)
 	assert.Equal(t, []int64{1_000 * ms, 1_000 * ms}, []int64{int64(p.tightest), p.slowest})
-	p.Decide(p.now+100*ms, []Event{{Kind: RunEnded, Inv: 0, Outcome: Succeeded}})
-	set(0, &Operation{Objective: 500 * ms, ClientTimeout: 900 * ms})
+	p.Decide(p.now+100*ms, []Event{{Kind: RunEnded, Invocation: 0, Outcome: Succeeded}})
+	set(0, &Operation{LatencyObjective: 500 * ms, ClientTimeout: 900 * ms})
 	assert.Equal(t, 1.0, p.ops[0].usual.Mean(1), "another one begins anew")
 }
 
 // A node that starts with indices that no operation has goes on without them.
 func TestIndicesOfNoOperationCountForNothing(t *testing.T) {
-	p := post(func(n *Config) { n.Operations = append(n.Operations, Operation{Gone: true}) })
+	p := post(func(n *Config) { n.Operations = append(n.Operations, Operation{Removed: true}) })
 	assert.Equal(t, float64(1_000*ms), p.tightest)
-	p.Decide(p.now+beat, []Event{{Kind: TimerDue, Busy: 0.5, Runnable: 1}})
+	p.Decide(p.now+beat, []Event{{Kind: TimerFired, BusyShare: 0.5, RunnableThreads: 1}})
 }
--- a/internal/admission/digest_test.go
+++ b/internal/admission/digest_test.go
@@ -69,34 +69,34 @@
 // action adds all fields of an action; of the report of a drain only its numbers.
 func (d digest) action(a *admission.Action) {
 	d.whole(int64(a.Kind))
-	d.whole(int64(a.Inv))
+	d.whole(int64(a.Invocation))
 	d.whole(a.At)
-	d.whole(a.For)
+	d.whole(a.Duration)
 	d.real(a.Value)
-	d.flag(a.Good, a.Stored, a.NoRetry)
-	d.whole(int64(a.Why))
+	d.flag(a.Healthy, a.Cached, a.NoRetry)
+	d.whole(int64(a.Reason))
 	d.whole(int64(a.Form))
-	d.numbers(a.Text)
+	d.numbers(a.Report)
 }
 
 // state adds all fields of a state.
-func (d digest) state(s admission.State) {
+func (d digest) state(s admission.ControllerState) {
 	d.real(s.Limit)
 	d.whole(int64(s.OnCores))
-	d.whole(int64(s.Held))
-	d.whole(int64(s.Standing))
-	d.whole(int64(s.InHand))
-	d.real(s.Away, s.Wait, s.CallWait, s.Lag, s.Reading, s.MeanReading, s.Pace, s.Stall, s.Patient, s.CallTime, s.CallFails,
-		s.CallRoom, s.CallUsed, s.Open, s.Said, s.Arrivals, s.Echoes, s.Throttled, s.Memory)
+	d.whole(int64(s.Queued))
+	d.whole(int64(s.AwaitingCall))
+	d.whole(int64(s.CallsInFlight))
+	d.real(s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
+		s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
 	d.whole(int64(s.Callers))
-	d.flag(s.AllFull, s.Unhealthy, s.Free)
+	d.flag(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
 
 // measures adds all fields of measures.
-func (d digest) measures(m *admission.Measures) {
-	d.whole(int64(len(m.Asked)))
-	d.real(m.Asked...)
-	d.real(m.Reading, m.Wait, m.Lag, m.Calls, m.Throttled, m.Memory)
+func (d digest) measures(m *admission.LoadMetrics) {
+	d.whole(int64(len(m.DemandByOperation)))
+	d.real(m.DemandByOperation...)
+	d.real(m.IntakeShare, m.QueueWait, m.QueueingDelay, m.CallWait, m.RejectedShare, m.MemoryShare)
 }
 
 // phase is where an invocation is on a simulated host.
@@ -126,7 +126,7 @@
 type host struct {
 	chance  *rand.Rand
 	config  *admission.Config
-	post    *admission.Post
+	post    *admission.Controller
 	now     int64
 	timer   int64
 	jobs    []job
@@ -146,9 +146,9 @@
 	h := &host{chance: rand.New(rand.NewSource(seed)), config: config, now: firstMoment, load: load, slow: 1, digest: newDigest(),
 		present: make([]bool, len(config.Operations))}
 	for k := range config.Operations {
-		h.present[k] = !config.Operations[k].Gone
+		h.present[k] = !config.Operations[k].Removed
 	}
-	h.post = admission.New(config, h.now)
+	h.post = admission.NewController(config, h.now)
 	return h
 }
 
@@ -174,7 +174,7 @@
 	h.arrive()
 	h.command(drain)
 	if h.now >= h.timer {
-		e := admission.Event{Kind: admission.TimerDue, Busy: -1, Runnable: -1}
+		e := admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
 		on := 0.0
 		for k := range h.jobs {
 			if h.jobs[k].phase == runs {
@@ -182,10 +182,10 @@
 			}
 		}
 		if !h.odds(9) {
-			e.Busy = min(1, on/float64(h.config.Cores)*(0.8+0.3*h.chance.Float64()))
+			e.BusyShare = min(1, on/float64(h.config.Cores)*(0.8+0.3*h.chance.Float64()))
 		}
 		if !h.odds(5) {
-			e.Runnable = on + float64(h.chance.Intn(3))*h.chance.Float64()
+			e.RunnableThreads = on + float64(h.chance.Intn(3))*h.chance.Float64()
 		}
 		h.tell(e)
 	}
@@ -200,34 +200,34 @@
 		h.carry(&actions[k])
 	}
 	if h.steps%lookEvery == 0 {
-		var m admission.Measures
+		var m admission.LoadMetrics
 		h.digest.state(h.post.State())
-		h.post.Measure(&m)
+		h.post.MeasureLoad(&m)
 		h.digest.measures(&m)
 	}
 }
 
 // progress tells of runs and calls that ended.
 func (h *host) progress() {
-	outcomes := []admission.Outcome{admission.Errored, admission.Overloaded, admission.TimedOut, admission.Unreachable, admission.Broken, admission.Void}
+	outcomes := []admission.Outcome{admission.Errored, admission.Overloaded, admission.TimedOut, admission.Unreachable, admission.Broken, admission.NeverStarted}
 	for k := range h.jobs {
 		j, i := &h.jobs[k], int32(k)
 		switch {
 		case j.phase == unused || j.phase == waits || h.now < j.ends:
 			continue
 		case j.phase == runs && j.halted:
-			h.tell(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Withdrawn})
+			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.Stopped})
 			j.phase, j.halted = waits, false
-			h.follow(i, admission.Withdrawn)
+			h.follow(i, admission.Stopped)
 		case j.phase == runs && j.calls > 0 && !j.answered:
-			h.tell(admission.Event{Kind: admission.CallWanted, Inv: i})
+			h.tell(admission.Event{Kind: admission.CallRequested, Invocation: i})
 			j.phase, j.ends = stands, math.MaxInt64
 		case j.phase == runs:
 			outcome := admission.Succeeded
 			if h.odds(12) {
 				outcome = admission.Errored
 			}
-			h.tell(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: outcome})
+			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 			j.phase = waits
 			h.follow(i, outcome)
 		case j.phase == calls && !j.answered:
@@ -235,7 +235,7 @@
 			if h.chance.Float64() < 0.12*h.slow {
 				outcome = outcomes[h.chance.Intn(len(outcomes))]
 			}
-			h.tell(admission.Event{Kind: admission.CallEnded, Inv: i, Outcome: outcome})
+			h.tell(admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 			if outcome == admission.Succeeded {
 				j.calls--
 				h.run(j)
@@ -245,9 +245,9 @@
 		default: // nobody waits for it, or what it repeats ended long ago
 			outcome := admission.Succeeded
 			if j.phase != repeats {
-				outcome = admission.Withdrawn
+				outcome = admission.Stopped
 			}
-			h.tell(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: outcome})
+			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 			j.phase = waits
 			h.follow(i, outcome)
 		}
@@ -258,7 +258,7 @@
 func (h *host) follow(of int32, outcome admission.Outcome) {
 	for k := range h.jobs {
 		if j := &h.jobs[k]; j.phase == repeats && j.of == of {
-			h.tell(admission.Event{Kind: admission.RunEnded, Inv: int32(k), Outcome: outcome})
+			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: int32(k), Outcome: outcome})
 			j.phase = waits
 		}
 	}
@@ -286,28 +286,28 @@
 		} else {
 			h.jobs = append(h.jobs, job{})
 		}
-		e := admission.Event{Kind: admission.Arrived, Inv: i, Operation: op, Tenant: int32(h.chance.Intn(len(h.config.TenantRates)+1)) - 1,
-			Caller: int64(h.chance.Intn(40)), Repeats: admission.NoRepeat, Further: h.odds(4), Subject: h.odds(2), Write: h.odds(3),
-			Age: h.drawn(0, 8), HeldKB: 4 + 30*h.chance.Float64()}
+		e := admission.Event{Kind: admission.Arrived, Invocation: i, OperationIndex: op, Tenant: int32(h.chance.Intn(len(h.config.TenantRates)+1)) - 1,
+			Caller: int64(h.chance.Intn(40)), Original: admission.NoOriginal, Retry: h.odds(4), HasReadKey: h.odds(2), Write: h.odds(3),
+			Age: h.drawn(0, 8), QueuedKB: 4 + 30*h.chance.Float64()}
 		if !h.odds(3) {
-			e.Hint = h.drawn(10, 150)
+			e.ExpectedWork = h.drawn(10, 150)
 		}
 		if h.odds(4) {
-			e.Due = h.now + h.drawn(80, 2_500)
+			e.Deadline = h.now + h.drawn(80, 2_500)
 		}
 		if h.odds(50) {
-			e.Due, e.Age = h.now+h.drawn(1, 30), h.drawn(200, 1_000)
+			e.Deadline, e.Age = h.now+h.drawn(1, 30), h.drawn(200, 1_000)
 		}
 		j := job{phase: waits, op: op, of: -1}
-		if h.config.Operations[op].MayCall {
+		if h.config.Operations[op].CallsDependency {
 			j.calls = h.chance.Intn(3)
 		}
 		if h.odds(15) {
-			e.Repeats = admission.EndedRepeat
+			e.Original = admission.OriginalEnded
 			if of := int32(h.chance.Intn(len(h.jobs))); of != i && h.jobs[of].phase != unused && h.jobs[of].phase != repeats && !h.jobs[of].answered {
-				e.Repeats = of
+				e.Original = of
 			}
-			j.of = e.Repeats
+			j.of = e.Original
 		}
 		h.jobs[i] = j
 		h.tell(e)
@@ -318,19 +318,19 @@
 func (h *host) command(drain bool) {
 	for k := range h.jobs {
 		if j := &h.jobs[k]; j.phase != unused && !j.answered && h.odds(900) {
-			h.tell(admission.Event{Kind: admission.CallerGone, Inv: int32(k)})
+			h.tell(admission.Event{Kind: admission.CallerDisconnected, Invocation: int32(k)})
 			h.over(j)
 		}
 	}
 	if len(h.free) > 0 && h.odds(40) { // too late to matter
-		kind := []admission.EventKind{admission.RunEnded, admission.CallerGone, admission.CallEnded, admission.CallWanted}[h.chance.Intn(4)]
+		kind := []admission.EventKind{admission.RunEnded, admission.CallerDisconnected, admission.CallEnded, admission.CallRequested}[h.chance.Intn(4)]
 		i := h.free[h.chance.Intn(len(h.free))]
 		taken := false
 		for _, e := range h.events {
-			taken = taken || e.Kind == admission.Arrived && e.Inv == i
+			taken = taken || e.Kind == admission.Arrived && e.Invocation == i
 		}
 		if !taken {
-			h.tell(admission.Event{Kind: kind, Inv: i})
+			h.tell(admission.Event{Kind: kind, Invocation: i})
 		}
 	}
 	if h.odds(350) {
@@ -340,16 +340,16 @@
 		var services []admission.Service
 		if h.odds(2) {
 			for range 1 + h.chance.Intn(len(h.present)) {
-				services = append(services, []admission.Service{{}, {Form: admission.Reduced, Work: 0.5, Value: 0.8}, {Form: admission.Refused},
-					{Form: admission.Refused, Work: 0.4, Value: 0.6}}[h.chance.Intn(4)])
+				services = append(services, []admission.Service{{}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed},
+					{Form: admission.Shed, WorkShare: 0.4, WeightShare: 0.6}}[h.chance.Intn(4)])
 			}
 		}
-		h.tell(admission.Event{Kind: admission.LevelSet, Services: services, Spare: h.odds(2)})
+		h.tell(admission.Event{Kind: admission.DegradationLevelSet, Services: services, UseSpareCapacity: h.odds(2)})
 	}
 	if h.odds(200) {
-		e := admission.Event{Kind: admission.UnitsSet, Units: math.MaxInt, Hold: math.MaxInt64 / 4}
+		e := admission.Event{Kind: admission.CallLimitSet, CallLimit: math.MaxInt, MaxCallTime: math.MaxInt64 / 4}
 		if h.odds(2) {
-			e.Units, e.Hold = h.chance.Intn(6), h.drawn(50, 400)
+			e.CallLimit, e.MaxCallTime = h.chance.Intn(6), h.drawn(50, 400)
 		}
 		h.tell(e)
 	}
@@ -358,7 +358,7 @@
 	}
 	if drain && (h.killAt == 0 || h.odds(100)) {
 		h.killAt = h.now + h.drawn(500, 9_000)
-		h.tell(admission.Event{Kind: admission.DrainNotice, Kill: h.killAt})
+		h.tell(admission.Event{Kind: admission.DrainRequested, KillAt: h.killAt})
 	}
 }
 
@@ -366,12 +366,12 @@
 func (h *host) amend() {
 	op := int32(h.chance.Intn(len(h.present)))
 	terms := h.config.Operations[op]
-	terms.Objective += h.drawn(0, 100)
-	terms.BilledValue *= 0.5 + h.chance.Float64()
-	terms.Gone = false
-	e := admission.Event{Kind: admission.OperationSet, Operation: op, Terms: &terms}
+	terms.LatencyObjective += h.drawn(0, 100)
+	terms.PriorityWeight *= 0.5 + h.chance.Float64()
+	terms.Removed = false
+	e := admission.Event{Kind: admission.OperationConfigured, OperationIndex: op, Operation: &terms}
 	if h.odds(3) {
-		e.Services = []admission.Service{{Form: admission.Reduced, Work: 0.6, Value: 0.9}}
+		e.Services = []admission.Service{{Form: admission.Reduced, WorkShare: 0.6, WeightShare: 0.9}}
 	}
 	left := 0
 	for _, is := range h.present {
@@ -385,9 +385,9 @@
 				return
 			}
 		}
-		e.Terms, e.Services = nil, nil
+		e.Operation, e.Services = nil, nil
 	}
-	h.present[op] = e.Terms != nil
+	h.present[op] = e.Operation != nil
 	h.tell(e)
 }
 
@@ -402,35 +402,35 @@
 // carry does what the module says.
 func (h *host) carry(a *admission.Action) {
 	switch a.Kind {
-	case admission.Timer:
+	case admission.SetTimer:
 		h.timer = a.At
 		return
 	case admission.Run, admission.SkipCall:
-		j := &h.jobs[a.Inv]
+		j := &h.jobs[a.Invocation]
 		if a.Kind == admission.SkipCall {
 			j.calls--
 		}
 		h.run(j)
-	case admission.Call:
-		j := &h.jobs[a.Inv]
+	case admission.StartCall:
+		j := &h.jobs[a.Invocation]
 		j.phase, j.ends = calls, min(a.At, h.now+int64(h.slow*float64(h.drawn(2, 150))))
 	case admission.Stop:
-		if j := &h.jobs[a.Inv]; !h.odds(6) { // else it had no effect
+		if j := &h.jobs[a.Invocation]; !h.odds(6) { // else it had no effect
 			j.halted, j.ends = true, h.now+h.drawn(0, 10)
 		}
-	case admission.Reuse:
-		j := &h.jobs[a.Inv]
+	case admission.JoinOriginal:
+		j := &h.jobs[a.Invocation]
 		j.phase, j.ends = repeats, math.MaxInt64
 		if j.of < 0 || h.jobs[j.of].phase == unused {
 			j.ends = h.now + h.drawn(0, 20)
 		}
-	case admission.Throttle, admission.Fail:
-		h.over(&h.jobs[a.Inv])
+	case admission.Reject, admission.Fail:
+		h.over(&h.jobs[a.Invocation])
 	case admission.Release:
-		h.jobs[a.Inv] = job{}
-		h.free = append(h.free, a.Inv)
+		h.jobs[a.Invocation] = job{}
+		h.free = append(h.free, a.Invocation)
 		for k := range h.jobs {
-			if j := &h.jobs[k]; j.phase == repeats && j.of == a.Inv { // it was never run to its end
+			if j := &h.jobs[k]; j.phase == repeats && j.of == a.Invocation { // it was never run to its end
 				j.of, j.ends = -1, h.now+h.drawn(0, 20)
 			}
 		}
@@ -441,17 +441,17 @@
 func sound(change ...func(*admission.Config)) *admission.Config {
 	config := &admission.Config{
 		Operations: []admission.Operation{
-			{Objective: 400 * millisecond, Stretch: 1, ClientTimeout: 1_200 * millisecond, BilledValue: 1, LateShare: 0.2, MayCall: true},
-			{Effect: admission.Tokened, Objective: 600 * millisecond, ClientTimeout: 2_000 * millisecond, Window: 3_000 * millisecond,
-				BilledValue: 5, MayCall: true},
-			{Effect: admission.NonIdempotent, Objective: 300 * millisecond, ClientTimeout: 900 * millisecond, BilledValue: 2, LateShare: 0.5},
-			{Objective: 800 * millisecond, Stretch: 2, ClientTimeout: 2_500 * millisecond, BilledValue: 0.7, SkipShare: 0.4, MayCall: true},
-			{Effect: admission.NonIdempotent, Objective: 500 * millisecond, ClientTimeout: 1_500 * millisecond, BilledValue: 3, MayCall: true},
+			{LatencyObjective: 400 * millisecond, ObjectivePerWork: 1, ClientTimeout: 1_200 * millisecond, PriorityWeight: 1, LateWeightShare: 0.2, CallsDependency: true},
+			{Idempotency: admission.IdempotentWithKey, LatencyObjective: 600 * millisecond, ClientTimeout: 2_000 * millisecond, DeduplicationWindow: 3_000 * millisecond,
+				PriorityWeight: 5, CallsDependency: true},
+			{Idempotency: admission.NonIdempotent, LatencyObjective: 300 * millisecond, ClientTimeout: 900 * millisecond, PriorityWeight: 2, LateWeightShare: 0.5},
+			{LatencyObjective: 800 * millisecond, ObjectivePerWork: 2, ClientTimeout: 2_500 * millisecond, PriorityWeight: 0.7, SkippedCallWeightShare: 0.4, CallsDependency: true},
+			{Idempotency: admission.NonIdempotent, LatencyObjective: 500 * millisecond, ClientTimeout: 1_500 * millisecond, PriorityWeight: 3, CallsDependency: true},
 		},
-		TenantRates: []float64{0, 3, 8, 20}, OverShare: 0.1, Cores: 4, MemoryKB: 20_000, Blowup: 4, EntryKB: 2, Peers: 3,
-		Below: admission.SharedBelow, CallShare: 3, CallSpan: 4_000 * millisecond, Linger: 80 * millisecond, ReuseFor: 500 * millisecond,
-		ColdFrom: 0.2, WarmAfter: 8_000 * millisecond, TipMultiple: 4, DrainGrace: 2_000 * millisecond,
-		ComeBackMax: 1_000 * millisecond, Halting: admission.PauseHalt, Advice: admission.LevelAdvice,
+		TenantRates: []float64{0, 3, 8, 20}, OverQuotaWeightShare: 0.1, Cores: 4, MemoryKB: 20_000, RunningMemoryFactor: 4, DeduplicationEntryKB: 2, Peers: 3,
+		Dependency: admission.SharedDependency, CallQuota: 3, CallQuotaWindow: 4_000 * millisecond, AbandonedCallTime: 80 * millisecond, ReadReuseWindow: 500 * millisecond,
+		ColdSpeedShare: 0.2, WarmUpTime: 8_000 * millisecond, OverloadMultiple: 4, DrainGrace: 2_000 * millisecond,
+		MaxRetryAfter: 1_000 * millisecond, StopSupport: admission.StopKeepsProgress, Backpressure: admission.BackpressureLevel,
 	}
 	for _, c := range change {
 		c(config)
@@ -469,28 +469,34 @@
 	digest string
 }{
 	{"pauses and levels", 1, 0.5, 3_000, func(*admission.Config) {}, "c49f35f78a3b0b91b834a1f804b4ac06f77a5a7bcc7c061cf8bf9626709d7335"},
-	{"overload that pauses", 2, 1.2, 3_000, func(n *admission.Config) { n.Advice = admission.CreditAdvice }, "9c8c201cfa3298474adbbe49de04d6904332ae980c7c27ec39aff762e7e2b091"},
+	{"overload that pauses", 2, 1.2, 3_000, func(n *admission.Config) { n.Backpressure = admission.BackpressureCredits }, "9c8c201cfa3298474adbbe49de04d6904332ae980c7c27ec39aff762e7e2b091"},
 	{"drops", 3, 0.7, 3_000, func(n *admission.Config) {
-		n.Halting, n.ByWork, n.Advice = admission.DropHalt, true, admission.WeightAdvice
+		n.StopSupport, n.WeightScalesWithWork, n.Backpressure = admission.StopDiscardsProgress, true, admission.BackpressureWeight
 	}, "7867c251472a8c26a9584c91f2a0628142180fadd830b4c82c970d1e59ca30a1"},
-	{"no halting", 4, 0.8, 3_000, func(n *admission.Config) { n.Halting, n.RetriesMarked = admission.NoHalt, true }, "92e3a5a6e64952018c2208ac983398fbf674453496d9ba2248ee49c16993c9ec"},
-	{"fresh", 5, 0.8, 3_000, func(n *admission.Config) { n.Fresh, n.Began = true, firstMoment-1_000*millisecond }, "b10245f9ddbbd1331d765d038f892b33289b92142347e48dea7fe8831012acaf"},
+	{"no halting", 4, 0.8, 3_000, func(n *admission.Config) { n.StopSupport, n.RetriesMarked = admission.StopUnsupported, true }, "92e3a5a6e64952018c2208ac983398fbf674453496d9ba2248ee49c16993c9ec"},
+	{"fresh", 5, 0.8, 3_000, func(n *admission.Config) { n.ColdStart, n.ProcessStart = true, firstMoment-1_000*millisecond }, "b10245f9ddbbd1331d765d038f892b33289b92142347e48dea7fe8831012acaf"},
 	{"fresh cores of an old process", 6, 1.5, 3_000, func(n *admission.Config) {
-		n.Fresh, n.Began, n.Advice, n.CallShare = true, firstMoment-9_000*millisecond, admission.NoAdvice, 0.8
+		n.ColdStart, n.ProcessStart, n.Backpressure, n.CallQuota = true, firstMoment-9_000*millisecond, admission.NoBackpressure, 0.8
 	}, "d965543722ce5d576bde0a533a3e01c6e0b5fc8480d9ab015757f5f01057908b"},
-	{"little memory", 7, 1.5, 3_000, func(n *admission.Config) { n.MemoryKB, n.Blowup, n.Halting = 900, 2, admission.NoHalt }, "ee00dbf17c9ac4ca22e982bcc1b26daafa7f2d3d63a5b943ab75e9108ef7c6c6"},
-	{"few records", 8, 0.6, 3_000, func(n *admission.Config) { n.RecordsMost, n.Below, n.ByWork = 12, admission.TierBelow, true }, "de7afcf23dafdf97fbccd15f03e8f618618912f7ea0739f8edd4038328c34088"},
+	{"little memory", 7, 1.5, 3_000, func(n *admission.Config) {
+		n.MemoryKB, n.RunningMemoryFactor, n.StopSupport = 900, 2, admission.StopUnsupported
+	}, "ee00dbf17c9ac4ca22e982bcc1b26daafa7f2d3d63a5b943ab75e9108ef7c6c6"},
+	{"few records", 8, 0.6, 3_000, func(n *admission.Config) {
+		n.MaxDeduplicationEntries, n.Dependency, n.WeightScalesWithWork = 12, admission.TieredDependency, true
+	}, "de7afcf23dafdf97fbccd15f03e8f618618912f7ea0739f8edd4038328c34088"},
 	{"nothing below", 9, 0.9, 3_000, func(n *admission.Config) {
-		n.Below, n.TenantRates, n.Advice = admission.NothingBelow, nil, admission.CreditAdvice
+		n.Dependency, n.TenantRates, n.Backpressure = admission.NoDependency, nil, admission.BackpressureCredits
 		for k := range n.Operations {
-			n.Operations[k].MayCall = false
+			n.Operations[k].CallsDependency = false
 		}
 	}, "f3f785a919361e93348518aebd5da20f7df94cc6d7e45741b631576d1f15d211"},
-	{"calls are short", 10, 0.6, 3_000, func(n *admission.Config) { n.CallShare, n.Linger, n.Halting = 0.5, 200*millisecond, admission.DropHalt }, "073c0d223c8d189c5cc3aa17b6a97cadf71d9ac1367ef26b13a6103fcc2b6d0e"},
+	{"calls are short", 10, 0.6, 3_000, func(n *admission.Config) {
+		n.CallQuota, n.AbandonedCallTime, n.StopSupport = 0.5, 200*millisecond, admission.StopDiscardsProgress
+	}, "073c0d223c8d189c5cc3aa17b6a97cadf71d9ac1367ef26b13a6103fcc2b6d0e"},
 	{"one core, little load", 11, 0.08, 4_000, func(n *admission.Config) {
-		n.Cores, n.Operations[4].Gone, n.ComeBackMax = 1, true, 0
+		n.Cores, n.Operations[4].Removed, n.MaxRetryAfter = 1, true, 0
 	}, "d6a1a7ad63f6d5eb73d7942985d16ddb6743e0f39251b3f2cb9a9de7e9fa8d5c"},
-	{"many cores", 12, 3, 2_000, func(n *admission.Config) { n.Cores, n.CallShare, n.MemoryKB, n.RetriesMarked = 24, 24, 100_000, true }, "dcdecef136d0041a9316b155d6aeb912eecacc9c4f301357f79f3212f23881e2"},
+	{"many cores", 12, 3, 2_000, func(n *admission.Config) { n.Cores, n.CallQuota, n.MemoryKB, n.RetriesMarked = 24, 24, 100_000, true }, "dcdecef136d0041a9316b155d6aeb912eecacc9c4f301357f79f3212f23881e2"},
 }
 
 // What Decide returns over drawn runs stays the same, bit for bit.
@@ -516,7 +522,7 @@
 	}
 	var moments []moment
 	config := func() *admission.Config {
-		return sound(func(n *admission.Config) { n.Cores, n.CallShare, n.MemoryKB, n.Seed = 32, 40, 200_000, 1 })
+		return sound(func(n *admission.Config) { n.Cores, n.CallQuota, n.MemoryKB, n.Seed = 32, 40, 200_000, 1 })
 	}
 	h := newHost(config(), 1, 4)
 	h.record = func(now int64, events []admission.Event) {
@@ -529,11 +535,11 @@
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
-	var post *admission.Post
+	var post *admission.Controller
 	for k := range b.N {
 		m := &moments[k%len(moments)]
 		if k%len(moments) == 0 {
-			post = admission.New(config(), firstMoment)
+			post = admission.NewController(config(), firstMoment)
 		}
 		post.Decide(m.now, m.events)
 	}
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"hash/fnv"
+	"io"
 	"math"
 	"math/rand"
 	"slices"
@@ -12,25 +13,25 @@
 const start = 1_000 * 1_000 * ms
 
 // post is a sound, warm node of two cores with one idempotent and one tokened operation.
-func post(change ...func(*Config)) *Post {
+func post(change ...func(*Config)) *Controller {
 	config := &Config{
 		Operations: []Operation{
-			{Objective: 1_000 * ms, ClientTimeout: 3_000 * ms, BilledValue: 1, MayCall: true},
-			{Objective: 1_000 * ms, ClientTimeout: 3_000 * ms, BilledValue: 5, Effect: Tokened,
-				Window: 5_000 * ms, MayCall: true},
+			{LatencyObjective: 1_000 * ms, ClientTimeout: 3_000 * ms, PriorityWeight: 1, CallsDependency: true},
+			{LatencyObjective: 1_000 * ms, ClientTimeout: 3_000 * ms, PriorityWeight: 5, Idempotency: IdempotentWithKey,
+				DeduplicationWindow: 5_000 * ms, CallsDependency: true},
 		},
-		Cores: 2, MemoryKB: 1_000, Blowup: 4, EntryKB: 1, Peers: 2, Below: SharedBelow,
-		CallShare: 2.4, CallSpan: 5_000 * ms, TipMultiple: 4, DrainGrace: 2_000 * ms,
-		ComeBackMax: 1_000 * ms, Halting: PauseHalt,
+		Cores: 2, MemoryKB: 1_000, RunningMemoryFactor: 4, DeduplicationEntryKB: 1, Peers: 2, Dependency: SharedDependency,
+		CallQuota: 2.4, CallQuotaWindow: 5_000 * ms, OverloadMultiple: 4, DrainGrace: 2_000 * ms,
+		MaxRetryAfter: 1_000 * ms, StopSupport: StopKeepsProgress,
 	}
 	for _, c := range change {
 		c(config)
 	}
-	return New(config, start)
+	return NewController(config, start)
 }
 
 // put adds an invocation that arrived now, in the given state, and returns it.
-func put(p *Post, op int, s state) *invocation {
+func put(p *Controller, op int, s state) *invocation {
 	p.invs = append(p.invs, invocation{op: p.ops[op], tenant: -1, arrived: p.now, base: float64(100 * ms), part: 1, worth: 1,
 		due: p.now + p.ops[op].ClientTimeout, kb: 10, ran: s == running || s == standing || s == calling})
 	p.live = append(p.live, int32(len(p.invs)-1))
@@ -41,7 +42,7 @@
 }
 
 // kinds lists the kinds of the actions decided so far.
-func kinds(p *Post) []ActionKind {
+func kinds(p *Controller) []ActionKind {
 	list := []ActionKind{}
 	for _, a := range p.out {
 		list = append(list, a.Kind)
@@ -55,7 +56,7 @@
 	t.Helper()
 	chance := rand.New(rand.NewSource(seed))
 	p := post(func(n *Config) {
-		n.Seed, n.OverShare, n.Advice, n.MemoryKB = seed, 0.1, CreditAdvice, 100_000
+		n.Seed, n.OverQuotaWeightShare, n.Backpressure, n.MemoryKB = seed, 0.1, BackpressureCredits, 100_000
 		for range 500 {
 			n.TenantRates = append(n.TenantRates, float64(1+chance.Intn(4)))
 		}
@@ -77,7 +78,7 @@
 		var events []Event
 		running = slices.DeleteFunc(running, func(r runs) bool {
 			if r.ends <= now {
-				events = append(events, Event{Kind: RunEnded, Inv: r.inv, Outcome: r.outcome})
+				events = append(events, Event{Kind: RunEnded, Invocation: r.inv, Outcome: r.outcome})
 			}
 			return r.ends <= now
 		})
@@ -88,33 +89,51 @@
 			} else {
 				next++
 			}
-			events = append(events, Event{Kind: Arrived, Inv: i, Operation: int32(chance.Intn(2)), Tenant: int32(chance.Intn(1 + min(499, 1+k/2))),
-				Caller: int64(chance.Intn(30 + k/20)), Repeats: NoRepeat, Further: chance.Intn(5) == 0, Hint: int64(20+chance.Intn(200)) * ms,
-				HeldKB: 1 + 10*chance.Float64()})
+			events = append(events, Event{Kind: Arrived, Invocation: i, OperationIndex: int32(chance.Intn(2)), Tenant: int32(chance.Intn(1 + min(499, 1+k/2))),
+				Caller: int64(chance.Intn(30 + k/20)), Original: NoOriginal, Retry: chance.Intn(5) == 0, ExpectedWork: int64(20+chance.Intn(200)) * ms,
+				QueuedKB: 1 + 10*chance.Float64()})
 		}
 		if now >= p.next {
 			busy = 0.7*busy + 0.4*chance.Float64()
-			events = append(events, Event{Kind: TimerDue, Busy: busy, Runnable: 4 * busy})
+			events = append(events, Event{Kind: TimerFired, BusyShare: busy, RunnableThreads: 4 * busy})
 		}
 		for _, a := range p.Decide(now, events) {
-			fmt.Fprintf(print, "%+v;", a)
+			writeAction(print, &a)
 			switch a.Kind {
 			case Release:
-				free = append(free, a.Inv)
+				free = append(free, a.Invocation)
 			case Run:
-				running = append(running, runs{inv: a.Inv, ends: now + int64(20+chance.Intn(400))*ms})
+				running = append(running, runs{inv: a.Invocation, ends: now + int64(20+chance.Intn(400))*ms})
 			case Stop:
 				for j := range running {
-					if running[j].inv == a.Inv {
-						running[j].ends, running[j].outcome = now, Withdrawn
+					if running[j].inv == a.Invocation {
+						running[j].ends, running[j].outcome = now, Stopped
 					}
 				}
 			}
 		}
-		fmt.Fprintf(print, "%+v", p.State())
+		writeState(print, p.State())
 		for _, v := range p.live {
 			fmt.Fprintf(print, "%x", math.Float64bits(p.invs[v].key))
 		}
 	}
 	return print.Sum64()
 }
+
+// writeAction writes an action field by field in the form that the digests were taken in; names of Go fields have no part in it.
+func writeAction(print io.Writer, a *Action) {
+	fmt.Fprintf(print, "{Kind:%v Inv:%v At:%v For:%v", a.Kind, a.Invocation, a.At, a.Duration)
+	fmt.Fprintf(print, " Value:%v Good:%v Stored:%v NoRetry:%v", a.Value, a.Healthy, a.Cached, a.NoRetry)
+	fmt.Fprintf(print, " Why:%v Form:%v Text:%v};", a.Reason, a.Form, a.Report)
+}
+
+// writeState writes what decisions stand on in the form that the digests were taken in.
+func writeState(print io.Writer, s ControllerState) {
+	fmt.Fprintf(print, "{Limit:%v OnCores:%v Held:%v Standing:%v", s.Limit, s.OnCores, s.Queued, s.AwaitingCall)
+	fmt.Fprintf(print, " InHand:%v Away:%v Wait:%v CallWait:%v", s.CallsInFlight, s.MeanBlocked, s.QueueWait, s.CallWait)
+	fmt.Fprintf(print, " Lag:%v Reading:%v MeanReading:%v Pace:%v", s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio)
+	fmt.Fprintf(print, " Stall:%v Patient:%v CallTime:%v CallFails:%v", s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare)
+	fmt.Fprintf(print, " CallRoom:%v CallUsed:%v Open:%v Said:%v", s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal)
+	fmt.Fprintf(print, " Arrivals:%v Echoes:%v Throttled:%v Callers:%v", s.Arrivals, s.Retries, s.Rejected, s.Callers)
+	fmt.Fprintf(print, " Memory:%v AllFull:%v Unhealthy:%v Free:%v}", s.Memory, s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
+}
--- a/internal/admission/levels_test.go
+++ b/internal/admission/levels_test.go
@@ -7,14 +7,14 @@
 )
 
 var (
-	refused = Service{Form: Refused}
-	reduced = Service{Form: Reduced, Work: 0.4, Value: 0.7}
+	refused = Service{Form: Shed}
+	reduced = Service{Form: Reduced, WorkShare: 0.4, WeightShare: 0.7}
 )
 
-func levelled(p *Post, spare bool, services ...Service) { p.setLevel(services, spare) }
+func levelled(p *Controller, spare bool, services ...Service) { p.setLevel(services, spare) }
 
 func arrival(op int32) *Event {
-	return &Event{Kind: Arrived, Operation: op, Tenant: -1, Repeats: NoRepeat, HeldKB: 10}
+	return &Event{Kind: Arrived, OperationIndex: op, Tenant: -1, Original: NoOriginal, QueuedKB: 10}
 }
 
 func TestRefusedOperationIsThrottledAtTheDoorWithATimeToComeBack(t *testing.T) {
@@ -22,11 +22,11 @@
 	levelled(p, false, refused, Service{})
 	put(p, 1, held)
 	e := arrival(0)
-	e.Inv = 1
+	e.Invocation = 1
 	p.intake(e)
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
-	assert.Equal(t, Levelled, p.out[0].Why)
-	assert.Positive(t, p.out[0].For)
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
+	assert.Equal(t, ReasonDegraded, p.out[0].Reason)
+	assert.Positive(t, p.out[0].Duration)
 }
 
 func TestChangeOfLevelThrottlesWhatIsHeldAndRefusedButNothingElse(t *testing.T) {
@@ -44,9 +44,9 @@
 	p := post()
 	levelled(p, false, Service{}, refused)
 	e := arrival(1)
-	e.Repeats = EndedRepeat
+	e.Original = OriginalEnded
 	p.intake(e)
-	assert.Equal(t, []ActionKind{Reuse}, kinds(p))
+	assert.Equal(t, []ActionKind{JoinOriginal}, kinds(p))
 	put(p, 1, paused).ran = true
 	levelled(p, false, refused, refused)
 	assert.Len(t, p.out, 1)
@@ -56,7 +56,7 @@
 	p := post()
 	levelled(p, false, Service{}, refused)
 	p.intake(arrival(1))
-	assert.Equal(t, []ActionKind{Throttle}, kinds(p))
+	assert.Equal(t, []ActionKind{Reject}, kinds(p))
 	assert.Empty(t, p.records)
 }
 
@@ -68,7 +68,7 @@
 	assert.InDelta(t, 0.4*whole, p.expected(&p.invs[0]), 1)
 	assert.Equal(t, 0.7, p.invs[0].worth)
 	p.startRuns()
-	assert.Equal(t, Action{Kind: Run, Inv: 0, Form: Reduced}, p.out[0])
+	assert.Equal(t, Action{Kind: Run, Invocation: 0, Form: Reduced}, p.out[0])
 }
 
 func TestWhatRunsIsNotReducedMidway(t *testing.T) {
@@ -79,7 +79,7 @@
 	p.orderHold()
 	assert.Equal(t, 1.0, v.part)
 	p.startRuns()
-	assert.Equal(t, Whole, p.out[0].Form)
+	assert.Equal(t, Complete, p.out[0].Form)
 }
 
 func TestLevelThatEndsBeforeTheStartLeavesTheWhole(t *testing.T) {
@@ -90,7 +90,7 @@
 	p.setLevel(nil, false)
 	p.orderHold()
 	p.startRuns()
-	assert.Equal(t, Whole, p.out[0].Form)
+	assert.Equal(t, Complete, p.out[0].Form)
 }
 
 func TestSpareRoomServesWholeWhatALevelReduces(t *testing.T) {
@@ -99,16 +99,16 @@
 	levelled(p, true, reduced, Service{})
 	p.orderHold()
 	p.startRuns()
-	assert.Equal(t, Whole, p.out[0].Form)
+	assert.Equal(t, Complete, p.out[0].Form)
 }
 
 func TestSpareRoomServesLastWhatALevelRefuses(t *testing.T) {
 	p := post()
-	levelled(p, true, Service{Form: Refused, Work: 0.4, Value: 0.7}, Service{})
+	levelled(p, true, Service{Form: Shed, WorkShare: 0.4, WeightShare: 0.7}, Service{})
 	p.intake(arrival(0))
 	p.invs[0].base /= 100 // by far the best in value for work
 	e := arrival(1)
-	e.Inv = 1
+	e.Invocation = 1
 	p.intake(e)
 	p.orderHold()
 	assert.Equal(t, []int32{1, 0}, p.order)
@@ -120,9 +120,9 @@
 	p := post()
 	levelled(p, false, refused, Service{})
 	p.intake(arrival(0))
-	var m Measures
-	p.Measure(&m)
-	assert.Zero(t, m.Throttled)
+	var m LoadMetrics
+	p.MeasureLoad(&m)
+	assert.Zero(t, m.RejectedShare)
 }
 
 func TestAskedCountsFirstTriesWholeWhateverTheLevel(t *testing.T) {
@@ -130,18 +130,18 @@
 	levelled(p, false, refused, Service{})
 	p.intake(arrival(0))
 	e := arrival(0)
-	e.Inv, e.Further = 1, true
+	e.Invocation, e.Retry = 1, true
 	p.intake(e)
-	var m Measures
-	p.Measure(&m)
-	assert.InDelta(t, float64(125*ms)/float64(askedSpan)/p.cores, m.Asked[0], 1e-9)
+	var m LoadMetrics
+	p.MeasureLoad(&m)
+	assert.InDelta(t, float64(125*ms)/float64(askedSpan)/p.cores, m.DemandByOperation[0], 1e-9)
 	p.now += 2 * askedSpan
-	p.Measure(&m)
-	assert.Zero(t, m.Asked[0], "a drop is seen within its span")
+	p.MeasureLoad(&m)
+	assert.Zero(t, m.DemandByOperation[0], "a drop is seen within its span")
 }
 
 func benchmarkDecide(b *testing.B, live int, level bool) {
-	p := post(func(n *Config) { n.MemoryKB, n.ComeBackMax = 1e9, 0 })
+	p := post(func(n *Config) { n.MemoryKB, n.MaxRetryAfter = 1e9, 0 })
 	for k := range live {
 		put(p, k%2, held).due = start * 1000
 		p.invs[k].arrived = start * 900
--- a/internal/admission/node.go
+++ b/internal/admission/node.go
@@ -2,90 +2,90 @@
 // reads at start. It holds types only; protocols are translated into it at their own doors.
 package admission
 
-// Effect says whether an operation may run again.
-type Effect uint8
+// Idempotency says whether an operation may run again.
+type Idempotency uint8
 
 // The three kinds of operation.
 const (
-	Idempotent Effect = iota
-	Tokened
+	Idempotent Idempotency = iota
+	IdempotentWithKey
 	NonIdempotent
 )
 
-// Halting says what stopping a run does to its progress.
-type Halting uint8
+// StopSupport says what stopping a run does to its progress.
+type StopSupport uint8
 
 // The ways in which running work can be stopped.
 const (
-	NoHalt Halting = iota
-	DropHalt
-	PauseHalt
+	StopUnsupported StopSupport = iota
+	StopDiscardsProgress
+	StopKeepsProgress
 )
 
-// Advice is the meaning of the free value that callers hear from a node.
-type Advice uint8
+// BackpressureKind is the meaning of the free value that callers hear from a node.
+type BackpressureKind uint8
 
 // The kinds of advice that callers may heed.
 const (
-	NoAdvice Advice = iota
-	LevelAdvice
-	CreditAdvice
-	WeightAdvice
+	NoBackpressure BackpressureKind = iota
+	BackpressureLevel
+	BackpressureCredits
+	BackpressureWeight
 )
 
-// Below says what invocations call while they run.
-type Below uint8
+// DependencyKind says what invocations call while they run.
+type DependencyKind uint8
 
 // What may lie below a node.
 const (
-	NothingBelow Below = iota
-	SharedBelow
-	TierBelow
+	NoDependency DependencyKind = iota
+	SharedDependency
+	TieredDependency
 )
 
 // Operation describes one kind of invocation. Times are nanoseconds.
 type Operation struct {
-	Effect        Effect
-	Objective     int64
-	Stretch       float64
-	ClientTimeout int64
-	Window        int64
-	BilledValue   float64
-	LateShare     float64
-	SkipShare     float64
-	MayCall       bool
-	Gone          bool // the index is no operation's now
+	Idempotency            Idempotency
+	LatencyObjective       int64
+	ObjectivePerWork       float64
+	ClientTimeout          int64
+	DeduplicationWindow    int64
+	PriorityWeight         float64
+	LateWeightShare        float64
+	SkippedCallWeightShare float64
+	CallsDependency        bool
+	Removed                bool // the index is no operation's now
 }
 
 // Config is what a node reads at start. Times are nanoseconds, memory is in kilobytes.
 type Config struct {
-	Seed          int64
-	Operations    []Operation
-	TenantRates   []float64
-	OverShare     float64
-	ByWork        bool
-	Cores         int
-	MemoryKB      float64
-	Blowup        float64
-	EntryKB       float64 // of MemoryKB for each record
-	RecordsMost   int     // records that there is other room for; 0 for no bound but MemoryKB's
-	Halting       Halting
-	Advice        Advice
-	Peers         int
-	Below         Below
-	CallShare     float64
-	CallSpan      int64
-	Linger        int64
-	ReuseFor      int64
-	FullChecks    bool
-	Fresh         bool
-	Began         int64 // ns, when this process began: no call before it is known; 0 where the cores began with it
-	RetriesMarked bool
-	ColdFrom      float64
-	WarmAfter     int64
-	TipMultiple   float64
-	DrainGrace    int64
-	ComeBackMax   int64 // 0 where none may be named
+	Seed                    int64
+	Operations              []Operation
+	TenantRates             []float64
+	OverQuotaWeightShare    float64
+	WeightScalesWithWork    bool
+	Cores                   int
+	MemoryKB                float64
+	RunningMemoryFactor     float64
+	DeduplicationEntryKB    float64 // of MemoryKB for each record
+	MaxDeduplicationEntries int     // records that there is other room for; 0 for no bound but MemoryKB's
+	StopSupport             StopSupport
+	Backpressure            BackpressureKind
+	Peers                   int
+	Dependency              DependencyKind
+	CallQuota               float64
+	CallQuotaWindow         int64
+	AbandonedCallTime       int64
+	ReadReuseWindow         int64
+	DeepHealthChecks        bool
+	ColdStart               bool
+	ProcessStart            int64 // ns, when this process began: no call before it is known; 0 where the cores began with it
+	RetriesMarked           bool
+	ColdSpeedShare          float64
+	WarmUpTime              int64
+	OverloadMultiple        float64
+	DrainGrace              int64
+	MaxRetryAfter           int64 // 0 where none may be named
 }
 
 // EventKind names what happened.
@@ -94,24 +94,24 @@
 // The events.
 const (
 	Arrived EventKind = iota
-	CallerGone
-	DrainNotice
-	CallWanted
+	CallerDisconnected
+	DrainRequested
+	CallRequested
 	CallEnded
-	TimerDue
+	TimerFired
 	RunEnded
-	LevelSet // what is left of each operation from now on
-	UnitsSet // how many calls the fleet's limit leaves this node
+	DegradationLevelSet // what is left of each operation from now on
+	CallLimitSet        // how many calls the fleet's limit leaves this node
 
-	// OperationSet gives an operation its terms, or other ones; what was taken before keeps those it was taken under. Limits
+	// OperationConfigured gives an operation its terms, or other ones; what was taken before keeps those it was taken under. Limits
 	// of the configuration may change too: they are read from it whenever they are needed.
-	OperationSet
+	OperationConfigured
 )
 
 // Outcome is how a run or a call ended.
 type Outcome uint8
 
-// The outcomes; Overloaded, Unreachable and Void prove that nothing ran.
+// The outcomes; Overloaded, Unreachable and NeverStarted prove that nothing ran.
 const (
 	Succeeded Outcome = iota
 	Errored
@@ -119,52 +119,52 @@
 	TimedOut
 	Unreachable
 	Broken
-	Withdrawn
-	Void
+	Stopped
+	NeverStarted
 )
 
 // Values of Event.Repeats that are not an index.
 const (
-	NoRepeat    = -1
-	EndedRepeat = -2
+	NoOriginal    = -1
+	OriginalEnded = -2
 )
 
 // Event is one thing that happened; only the fields of its kind are set.
 type Event struct {
-	Kind    EventKind
-	Inv     int32
-	Outcome Outcome
+	Kind       EventKind
+	Invocation int32
+	Outcome    Outcome
 
 	// Arrived
-	Due       int64 // stated by the caller; 0 where it states none
-	Age       int64 // since arrival at the machine
-	Caller    int64
-	Operation int32
-	Tenant    int32 // -1 where it has none
-	Repeats   int32
-	Subject   bool
-	Further   bool
-	Write     bool
-	Hint      int64 // expected work, 0 where unknown
-	HeldKB    float64
+	Deadline       int64 // stated by the caller; 0 where it states none
+	Age            int64 // since arrival at the machine
+	Caller         int64
+	OperationIndex int32
+	Tenant         int32 // -1 where it has none
+	Original       int32
+	HasReadKey     bool
+	Retry          bool
+	Write          bool
+	ExpectedWork   int64 // expected work, 0 where unknown
+	QueuedKB       float64
 
 	// DrainNotice
-	Kill int64
+	KillAt int64
 
 	// LevelSet
-	Services []Service // by index of the operation, nil for full service; the sender's
-	Spare    bool      // what is refused is served last, what is reduced whole while next to nothing is held
+	Services         []Service // by index of the operation, nil for full service; the sender's
+	UseSpareCapacity bool      // what is refused is served last, what is reduced whole while next to nothing is held
 
 	// OperationSet; Services has what is left of this one at present, or nothing
-	Terms *Operation // the receiver's; nil where nothing refers to the index any more
+	Operation *Operation // the receiver's; nil where nothing refers to the index any more
 
 	// UnitsSet
-	Units int   // calls that may be in hand from now on
-	Hold  int64 // ns that one may take at the most
+	CallLimit   int   // calls that may be in hand from now on
+	MaxCallTime int64 // ns that one may take at the most
 
 	// TimerDue; a gauge that the site lacks is negative
-	Busy     float64
-	Runnable float64
+	BusyShare       float64
+	RunnableThreads float64
 }
 
 // ActionKind names what to do.
@@ -173,34 +173,34 @@
 // The actions. Release is for the door alone: the module is done with the index.
 const (
 	Run ActionKind = iota
-	Throttle
+	Reject
 	Fail
 	Stop
-	Reuse
-	Record
-	Call
+	JoinOriginal
+	RecordKey
+	StartCall
 	SkipCall
-	Health
-	Advise
-	Timer
-	StopIntake // beat 3 of a drain has begun; said again until it is over
-	Leave      // the drain is over; Text is its report
+	ReportHealth
+	SignalBackpressure
+	SetTimer
+	StopAccepting // beat 3 of a drain has begun; said again until it is over
+	Exit          // the drain is over; Text is its report
 	Release
 )
 
 // Action is one thing to do; only the fields of its kind are set.
 type Action struct {
-	Kind    ActionKind
-	Inv     int32
-	At      int64 // Timer, Call: a moment
-	For     int64 // Throttle, Record: a duration
-	Value   float64
-	Good    bool
-	Stored  bool
-	NoRetry bool
-	Why     Why  // Throttle, Fail
-	Form    Form // Run: Whole or Reduced
-	Text    string
+	Kind       ActionKind
+	Invocation int32
+	At         int64 // Timer, Call: a moment
+	Duration   int64 // Throttle, Record: a duration
+	Value      float64
+	Healthy    bool
+	Cached     bool
+	NoRetry    bool
+	Reason     Reason // Throttle, Fail
+	Form       Form   // Run: Whole or Reduced
+	Report     string
 }
 
 // Form is what a level of reduced service leaves of an operation.
@@ -208,37 +208,37 @@
 
 // The forms, in the order of what they leave.
 const (
-	Whole Form = iota
+	Complete Form = iota
 	Reduced
-	Refused
+	Shed
 )
 
 // Service is what a level leaves of one operation: the form, and for a reduced one its parts of the work and of
 // the billed value; for a refused one those of the form in which the spare room serves it, 0 for the whole.
 type Service struct {
-	Form        Form
-	Work, Value float64
+	Form                   Form
+	WorkShare, WeightShare float64
 }
 
-// Left is the part of the work that a service leaves.
-func (s Service) Left() float64 {
+// RemainingWork is the part of the work that a service leaves.
+func (s Service) RemainingWork() float64 {
 	switch s.Form {
 	case Reduced:
-		return s.Work
-	case Refused:
+		return s.WorkShare
+	case Shed:
 		return 0
 	}
 	return 1
 }
 
-// Measures are what the module tells of the present, for those that decide about more than one invocation.
+// LoadMetrics are what the module tells of the present, for those that decide about more than one invocation.
 // Parts are of all cores, of the shortest latency objective, of arrivals or of memory.
-type Measures struct {
-	Asked     []float64 // by operation: core time that first tries of late asked for, whole; a part of the cores
-	Reading   float64   // what reading and checks take of the cores
-	Wait      float64
-	Lag       float64
-	Calls     float64 // how long a run would stand at a call until it is made
-	Throttled float64 // arrivals of late that were turned away, but for those that a level turned away
-	Memory    float64
+type LoadMetrics struct {
+	DemandByOperation []float64 // by operation: core time that first tries of late asked for, whole; a part of the cores
+	IntakeShare       float64   // what reading and checks take of the cores
+	QueueWait         float64
+	QueueingDelay     float64
+	CallWait          float64 // how long a run would stand at a call until it is made
+	RejectedShare     float64 // arrivals of late that were turned away, but for those that a level turned away
+	MemoryShare       float64
 }
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -11,7 +11,7 @@
 // fleet is n nodes that each have as many runs standing at calls as they like, over a dependency on which every call
 // takes as long as the node allows it.
 type fleet struct {
-	posts  []*Post
+	posts  []*Controller
 	ends   []map[int32]int64 // of calls in hand, by node and invocation
 	adrift []int64           // ends of calls whose node is gone
 	share  float64
@@ -24,10 +24,10 @@
 )
 
 func (f *fleet) start(k int, fresh bool, age int64) {
-	f.posts[k] = New(post(func(n *Config) {
-		n.CallShare, n.CallSpan, n.Linger, n.Fresh, n.ColdFrom = f.share, fleetSpan, 200*ms, fresh, 0.3
-		n.Operations[0].ClientTimeout, n.Operations[0].Objective = 60_000*ms, 30_000*ms
-		n.Began = f.now
+	f.posts[k] = NewController(post(func(n *Config) {
+		n.CallQuota, n.CallQuotaWindow, n.AbandonedCallTime, n.ColdStart, n.ColdSpeedShare = f.share, fleetSpan, 200*ms, fresh, 0.3
+		n.Operations[0].ClientTimeout, n.Operations[0].LatencyObjective = 60_000*ms, 30_000*ms
+		n.ProcessStart = f.now
 	}).config, f.now-age)
 	for _, end := range f.ends[k] { // they linger in the dependency's hands
 		f.adrift = append(f.adrift, min(end, f.now+200*ms))
@@ -43,16 +43,16 @@
 		for i, end := range f.ends[k] {
 			if f.now >= end {
 				delete(f.ends[k], i)
-				events = append(events, Event{Kind: CallEnded, Inv: i, Outcome: Succeeded},
-					Event{Kind: RunEnded, Inv: i, Outcome: Succeeded})
+				events = append(events, Event{Kind: CallEnded, Invocation: i, Outcome: Succeeded},
+					Event{Kind: RunEnded, Invocation: i, Outcome: Succeeded})
 			}
 		}
 		for p.standing < 4 {
 			put(p, 0, standing)
 		}
 		for _, a := range p.Decide(f.now, events) {
-			if a.Kind == Call {
-				f.ends[k][a.Inv] = a.At
+			if a.Kind == StartCall {
+				f.ends[k][a.Invocation] = a.At
 			}
 		}
 		inHand += len(f.ends[k])
@@ -76,7 +76,7 @@
 				fresh bool
 				age   int64
 			}{{}, {0.5, true, 0}, {1, true, 0}, {1, true, 7_000 * ms}} {
-				f := &fleet{posts: make([]*Post, nodes), ends: make([]map[int32]int64, nodes), share: share, now: start}
+				f := &fleet{posts: make([]*Controller, nodes), ends: make([]map[int32]int64, nodes), share: share, now: start}
 				for k := range nodes {
 					f.start(k, false, 0)
 				}
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -177,10 +177,10 @@
 	}
 	for j, name := range from.Refuse {
 		if i, known := unknown(name, at("refuse", fmt.Sprint(j))); known {
-			rung.Service[i] = admission.Service{Form: admission.Refused}
+			rung.Service[i] = admission.Service{Form: admission.Shed}
 			if k > 0 && w.Spare { // the spare room goes to the form of the level before
 				before := p.Rungs[k-1].Service[i]
-				rung.Service[i].Work, rung.Service[i].Value, forms[i] = before.Work, before.Value, p.Forms[k-1][i]
+				rung.Service[i].WorkShare, rung.Service[i].WeightShare, forms[i] = before.WorkShare, before.WeightShare, p.Forms[k-1][i]
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 		i, known := unknown(name, path)
 		switch {
 		case !known:
-		case rung.Service[i].Form == admission.Refused:
+		case rung.Service[i].Form == admission.Shed:
 			found = append(found, file.At(path, "is refused by the same level", "take it out of refuse or out of reduce"))
 		case !w.FormsKnown:
 			found = append(found, file.At(path, "needs an executor that knows reduced forms, and callers that know the field "+
@@ -201,7 +201,7 @@
 			found = append(found, file.At(path, "names the whole operation as its reduced form", "name the form as the executor "+
 				"knows it"))
 		default:
-			rung.Service[i] = admission.Service{Form: admission.Reduced, Work: float64(form.Work), Value: float64(form.Value)}
+			rung.Service[i] = admission.Service{Form: admission.Reduced, WorkShare: float64(form.Work), WeightShare: float64(form.Value)}
 			forms[i] = form.Form
 		}
 	}
@@ -236,17 +236,17 @@
 		for i, s := range r.Service {
 			op := of.Node.Operations[i]
 			share := mix[names[i]]
-			billed := share * op.BilledValue
+			billed := share * op.PriorityWeight
 			all, allValue = all+share, allValue+billed
 			switch s.Form {
-			case admission.Whole:
+			case admission.Complete:
 				fmt.Fprint(t, "\twhole")
-			case admission.Refused:
+			case admission.Shed:
 				fmt.Fprint(t, "\trefused")
 				work, value = work+share, value+billed
 			case admission.Reduced:
-				fmt.Fprintf(t, "\t%s (work %g %%, value %g %%)", p.Forms[k][i], 100*s.Work, 100*s.Value)
-				work, value = work+(1-s.Work)*share, value+(1-s.Value)*billed
+				fmt.Fprintf(t, "\t%s (work %g %%, value %g %%)", p.Forms[k][i], 100*s.WorkShare, 100*s.WeightShare)
+				work, value = work+(1-s.WorkShare)*share, value+(1-s.WeightShare)*billed
 			}
 		}
 		var enter []string
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -55,7 +55,7 @@
 		p, err := Read("testdata/sound/"+name+".jsonnet", operations)
 		require.NoError(t, err)
 		assert.Len(t, p.Rungs, 2)
-		assert.Equal(t, []admission.Service{{Form: admission.Refused}, {Form: admission.Refused}, {}}, p.Rungs[1].Service)
+		assert.Equal(t, []admission.Service{{Form: admission.Shed}, {Form: admission.Shed}, {}}, p.Rungs[1].Service)
 	}
 	p, err := Read("testdata/sound/imported.jsonnet", operations)
 	require.NoError(t, err)
@@ -69,7 +69,7 @@
 	p, err := Read("testdata/sound/plain.jsonnet", operations)
 	require.NoError(t, err)
 	of := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
-		{BilledValue: 1}, {BilledValue: 2}, {BilledValue: 5}}}}
+		{PriorityWeight: 1}, {PriorityWeight: 2}, {PriorityWeight: 5}}}}
 	var b strings.Builder
 	require.NoError(t, Show(&b, p, of, map[string]float64{"catalogue": 50, "delivery-quote": 40, "hold": 10}))
 	assert.Regexp(t, `hold-only +refused +refused +whole +90 % +72 % +load > 100 % for 1 s or wait > 80 % for 0.5 s +load < 85 % for 5 s`,
--- a/internal/degradation/helpers_test.go
+++ b/internal/degradation/helpers_test.go
@@ -18,10 +18,10 @@
 // plan has three operations, which ask for 50, 40 and 10 % of the work: the first is halved, then refused, then the
 // second is refused too.
 func plan(change ...func(*Plan)) *Plan {
-	whole, refused := admission.Service{}, admission.Service{Form: admission.Refused}
+	whole, refused := admission.Service{}, admission.Service{Form: admission.Shed}
 	p := &Plan{Hold: 10 * second, Most: 120 * second, Bridges: 1.25, Forget: 900 * second, Proof: 3 * second,
 		Idle: above(Load, 0.3, second)}
-	for _, s := range [][]admission.Service{{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, whole, whole},
+	for _, s := range [][]admission.Service{{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, whole, whole},
 		{refused, whole, whole}, {refused, refused, whole}} {
 		p.Rungs = append(p.Rungs, Rung{Name: string(rune('a' + len(p.Rungs))), Service: s,
 			Enter: []Condition{above(Load, 1, second/2)}, Exit: above(Load, 0.85, 5*second)})
@@ -37,12 +37,12 @@
 }
 
 // asked are measures of a load.
-func asked(load float64) *admission.Measures {
-	return &admission.Measures{Asked: []float64{0.5 * load, 0.4 * load, 0.1 * load}}
+func asked(load float64) *admission.LoadMetrics {
+	return &admission.LoadMetrics{DemandByOperation: []float64{0.5 * load, 0.4 * load, 0.1 * load}}
 }
 
 // follow steps on every beat and gives the changes.
-func follow(l *Ladder, from, to int64, of func(at int64) *admission.Measures) (turns []Change, at []int64) {
+func follow(l *Ladder, from, to int64, of func(at int64) *admission.LoadMetrics) (turns []Change, at []int64) {
 	for now := from; now < to; now += second / 20 {
 		if c, changed := l.Step(now, of(now)); changed {
 			turns, at = append(turns, c), append(at, now)
@@ -51,6 +51,6 @@
 	return turns, at
 }
 
-func steady(m *admission.Measures) func(int64) *admission.Measures {
-	return func(int64) *admission.Measures { return m }
+func steady(m *admission.LoadMetrics) func(int64) *admission.LoadMetrics {
+	return func(int64) *admission.LoadMetrics { return m }
 }
--- a/internal/degradation/levels.go
+++ b/internal/degradation/levels.go
@@ -171,7 +171,7 @@
 
 // Step takes what was measured up to a moment and gives the change of level that it calls for, if any. It goes up
 // as many rungs at once as have their conditions, and comes back one at a time unless the node is idle.
-func (l *Ladder) Step(now int64, s *admission.Measures) (Change, bool) {
+func (l *Ladder) Step(now int64, s *admission.LoadMetrics) (Change, bool) {
 	l.measure(s)
 	top := l.watch(now, s)
 	if l.idles(now, s) {
@@ -200,12 +200,12 @@
 }
 
 // measure works out the load at each level.
-func (l *Ladder) measure(s *admission.Measures) {
+func (l *Ladder) measure(s *admission.LoadMetrics) {
 	for level := range l.loads {
-		sum := s.Reading
-		for op, asked := range s.Asked {
+		sum := s.IntakeShare
+		for op, asked := range s.DemandByOperation {
 			if level > 0 {
-				asked *= l.plan.Rungs[level-1].Service[op].Left()
+				asked *= l.plan.Rungs[level-1].Service[op].RemainingWork()
 			}
 			sum += asked
 		}
@@ -214,15 +214,15 @@
 }
 
 // value is a signal as a rung (from 1) sees it.
-func (l *Ladder) value(signal Signal, rung int, s *admission.Measures) float64 {
+func (l *Ladder) value(signal Signal, rung int, s *admission.LoadMetrics) float64 {
 	if signal == Load {
 		return l.loads[rung-1]
 	}
-	return [...]float64{Wait: s.Wait, Lag: s.Lag, Calls: s.Calls, Throttled: s.Throttled, Memory: s.Memory}[signal]
+	return [...]float64{Wait: s.QueueWait, Lag: s.QueueingDelay, Calls: s.CallWait, Throttled: s.RejectedShare, Memory: s.MemoryShare}[signal]
 }
 
 // watch follows the conditions of every rung and gives the highest one that is called for.
-func (l *Ladder) watch(now int64, s *admission.Measures) (top int) {
+func (l *Ladder) watch(now int64, s *admission.LoadMetrics) (top int) {
 	for k := range l.rungs {
 		r, of := &l.rungs[k], &l.plan.Rungs[k]
 		for c := range of.Enter {
@@ -259,7 +259,7 @@
 	return l.proven && now >= l.rungs[rung-1].barred && rung <= l.level+1
 }
 
-func (l *Ladder) above(c *Condition, rung int, s *admission.Measures) bool {
+func (l *Ladder) above(c *Condition, rung int, s *admission.LoadMetrics) bool {
 	for k, bound := range c.Bounds {
 		if !math.IsNaN(bound) && !(l.value(Signal(k), rung, s) > bound) {
 			return false
@@ -268,7 +268,7 @@
 	return true
 }
 
-func (l *Ladder) below(c *Condition, rung int, s *admission.Measures) bool {
+func (l *Ladder) below(c *Condition, rung int, s *admission.LoadMetrics) bool {
 	for k, bound := range c.Bounds {
 		if !math.IsNaN(bound) && !(l.value(Signal(k), rung, s) < bound) {
 			return false
@@ -278,7 +278,7 @@
 }
 
 // idles says whether next to nothing has been asked for through the time that the plan names.
-func (l *Ladder) idles(now int64, s *admission.Measures) bool {
+func (l *Ladder) idles(now int64, s *admission.LoadMetrics) bool {
 	if !l.below(&l.plan.Idle, 1, s) {
 		l.idle = never
 		return false
@@ -290,7 +290,7 @@
 }
 
 // enter climbs to a rung, learning from the time since it was last needed how long it should have been kept.
-func (l *Ladder) enter(now int64, to int, s *admission.Measures) Change {
+func (l *Ladder) enter(now int64, to int, s *admission.LoadMetrics) Change {
 	for k := l.level; k < to; k++ {
 		if left := l.rungs[k].left; left != never && now-left < 2*l.plan.Most {
 			l.learn(now, k+1, now-left)
@@ -312,7 +312,7 @@
 }
 
 // futile says whether a rung entered for pressure that is not of the cores failed to relieve it in its time.
-func (l *Ladder) futile(now int64, s *admission.Measures) (Change, bool) {
+func (l *Ladder) futile(now int64, s *admission.LoadMetrics) (Change, bool) {
 	if l.proven || now-l.since < l.plan.Proof {
 		return Change{}, false
 	}
@@ -396,7 +396,7 @@
 // Milder says whether a service takes nothing away that another leaves.
 func Milder(a, b []admission.Service) bool {
 	for op := range a {
-		if a[op].Form > b[op].Form || a[op].Form == admission.Reduced && b[op].Form == admission.Reduced && a[op].Value < b[op].Value {
+		if a[op].Form > b[op].Form || a[op].Form == admission.Reduced && b[op].Form == admission.Reduced && a[op].WeightShare < b[op].WeightShare {
 			return false
 		}
 	}
@@ -442,7 +442,7 @@
 	if r.Name == Full {
 		tell(fmt.Sprintf("%q is the name of full service", Full), "choose another", "name")
 	}
-	if !slices.ContainsFunc(r.Service, func(s admission.Service) bool { return s.Form != admission.Whole }) {
+	if !slices.ContainsFunc(r.Service, func(s admission.Service) bool { return s.Form != admission.Complete }) {
 		tell("takes nothing away", "name an operation under refuse or reduce")
 	}
 	if len(r.Enter) == 0 {
--- a/internal/degradation/levels_test.go
+++ b/internal/degradation/levels_test.go
@@ -60,7 +60,7 @@
 
 func TestGapBetweenTwoNeedsIsBridgedTheNextTime(t *testing.T) {
 	l := ladder()
-	swing := func(at int64) *admission.Measures { // 20 s of need in 60 s
+	swing := func(at int64) *admission.LoadMetrics { // 20 s of need in 60 s
 		if at%(60*second) < 20*second {
 			return asked(1.2)
 		}
@@ -90,7 +90,7 @@
 		noise := rapid.Float64Range(0, 0.04).Draw(t, "noise")
 		chance := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		l := New(plan(func(p *Plan) { p.Rungs = p.Rungs[1:2] }), 0, chance)
-		turns, _ := follow(l, 0, 600*second, func(at int64) *admission.Measures {
+		turns, _ := follow(l, 0, 600*second, func(at int64) *admission.LoadMetrics {
 			load := (low+high)/2 + (high-low)/2*math.Sin(2*math.Pi*float64(at)/float64(period))
 			return asked(load * (1 + noise*chance.NormFloat64()))
 		})
@@ -106,7 +106,7 @@
 		}
 	})
 	slow := asked(0.5)
-	slow.Calls = 0.6
+	slow.CallWait = 0.6
 	turns, at := follow(l, 0, 120*second, steady(slow))
 	for _, c := range turns {
 		assert.LessOrEqual(t, c.To, 1)
@@ -119,11 +119,11 @@
 
 func TestRungThatRelievesStays(t *testing.T) {
 	l := ladder(func(p *Plan) { p.Rungs[0].Enter = append(p.Rungs[0].Enter, above(Calls, 0.2, second)) })
-	turns, _ := follow(l, 0, 60*second, func(int64) *admission.Measures {
+	turns, _ := follow(l, 0, 60*second, func(int64) *admission.LoadMetrics {
 		m := asked(0.9)
-		m.Calls = 0.6
+		m.CallWait = 0.6
 		if l.Level() > 0 {
-			m.Calls = 0.3
+			m.CallWait = 0.3
 		}
 		return m
 	})
@@ -174,7 +174,7 @@
 		"120 % is not below the 100 % of enter.0":                func(p *Plan) { p.Rungs[0].Exit.Bounds[Load] = 1.2 },
 		"does the same as levels.0 (a)":                          func(p *Plan) { p.Rungs[1].Service = p.Rungs[0].Service },
 		"takes away less than levels.1 (b)":                      func(p *Plan) { p.Rungs[2].Service = p.Rungs[0].Service },
-		"gives back what levels.1 (b) takes away":                func(p *Plan) { p.Rungs[2].Service = []admission.Service{{}, {Form: admission.Refused}, {}} },
+		"gives back what levels.1 (b) takes away":                func(p *Plan) { p.Rungs[2].Service = []admission.Service{{}, {Form: admission.Shed}, {}} },
 		`"full" is the name of full service`:                     func(p *Plan) { p.Rungs[0].Name = Full },
 		`"a" is the name of levels.0 too`:                        func(p *Plan) { p.Rungs[2].Name = "a" },
 		"is shorter than hold":                                   func(p *Plan) { p.Most = second },
--- a/internal/node/amend.go
+++ b/internal/node/amend.go
@@ -73,7 +73,7 @@
 // milliseconds, so one more.
 func termsOf(op *admission.Operation) *terms {
 	late := op.ClientTimeout + ms
-	return &terms{known: op.Window + late, late: late}
+	return &terms{known: op.DeduplicationWindow + late, late: late}
 }
 
 // termsNow are the terms that an operation's next invocation is taken under.
@@ -126,7 +126,7 @@
 
 // retired says whether an invocation is of an operation or a tenant that is out of service, and repeats none that is known.
 func (r *Reducer) retired(e *admission.Event) bool {
-	return e.Repeats == admission.NoRepeat && (r.config.Operations.Retired(e.Operation) || e.Tenant >= 0 && r.config.Tenants.Retired(e.Tenant))
+	return e.Original == admission.NoOriginal && (r.config.Operations.Retired(e.OperationIndex) || e.Tenant >= 0 && r.config.Tenants.Retired(e.Tenant))
 }
 
 // amend takes in a version: it is checked and taken once those before it are.
@@ -200,7 +200,7 @@
 func (r *Reducer) misfits(changes []nodeconfig.Change) error {
 	for i := range changes {
 		c := &changes[i]
-		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.MayCall && r.to.Catalogue == "" && !r.hollow.on {
+		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && r.to.Catalogue == "" && !r.hollow.on {
 			return fmt.Errorf("nodeconfig: %s.%s: %w", c.Part, c.Name, errNoCatalogue)
 		}
 		if !r.amended.numbers {
@@ -223,7 +223,7 @@
 			a.longest = max(a.longest, termsOf(&r.config.Node.Operations[i]).known)
 		}
 	}
-	c.Operation.SkipShare = 0 // as in all settings on sockets
+	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
 	t := r.config.Take(&c)
 	switch {
 	case !t.Changed:
@@ -252,7 +252,7 @@
 	}
 	r.do(Effect{Kind: Slower, At: op.ClientTimeout})
 	if r.post != nil {
-		r.events = append(r.events, admission.Event{Kind: admission.OperationSet, Operation: t.Index, Terms: &op, Services: r.levels.left(t.Index)})
+		r.events = append(r.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: t.Index, Operation: &op, Services: r.levels.left(t.Index)})
 	}
 }
 
@@ -315,7 +315,7 @@
 		}
 		r.levels.place(l.index, "")
 		if r.post != nil {
-			r.events = append(r.events, admission.Event{Kind: admission.OperationSet, Operation: l.index})
+			r.events = append(r.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: l.index})
 		}
 	}
 }
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -67,7 +67,7 @@
 	require.NoError(t, amendedBy(t, r, operation("new", `,"class_calls":true`), tenant("x", 3), nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after",
 		Value: []byte("70")}))
 	assert.Equal(t, uint64(1), r.Version())
-	assert.Equal(t, 70*ms, r.config.Node.ComeBackMax)
+	assert.Equal(t, 70*ms, r.config.Node.MaxRetryAfter)
 	assert.Equal(t, 1, runsOf(step(r, coming(r, 2, "op", "new", "org", "x"))))
 	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, coming(r, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, ran(r, 2)))
@@ -128,7 +128,7 @@
 	assert.Equal(t, int32(2), i, "the index is still that of the tokens")
 	pass(r, 40_000*ms)
 	assert.Empty(t, r.amended.queue)
-	assert.True(t, r.config.Node.Operations[0].Gone)
+	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, amendedBy(t, r, operation("last", "")))
 	i, _ = r.config.Operations.Find("last")
 	assert.Zero(t, i, "it is free")
@@ -200,7 +200,7 @@
 	assert.Contains(t, text(step(r, coming(r, 2, "op", "new")), Tell), "EXEC "+id(2)+" new")
 	ran(r, 2)
 	pass(r, 10_000*ms)
-	assert.True(t, r.config.Node.Operations[0].Gone)
+	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, amendedBy(t, r, operation("newer", "")))
 	assert.Contains(t, text(step(r, coming(r, 3, "op", "newer")), Tell), "EXEC "+id(3)+" newer", "not the form of the one before")
 	ran(r, 3)
@@ -327,7 +327,7 @@
 		assert.Greater(t, asked, 200)
 		assert.GreaterOrEqual(t, answered, asked)
 		assert.Equal(t, uint64(1_000), r.Version())
-		want.Node.Operations[0].SkipShare = 0
+		want.Node.Operations[0].SkippedCallWeightShare = 0
 		rest, starts := nodeconfig.Diff(want, r.config)
 		assert.Empty(t, rest)
 		assert.Empty(t, starts)
@@ -351,5 +351,5 @@
 	got := kindsOf(step(r), Amended)
 	require.Len(t, got, 1)
 	assert.ErrorContains(t, got[0].Err, "operations.new")
-	assert.Equal(t, 1.0, r.config.Node.Operations[0].BilledValue)
+	assert.Equal(t, 1.0, r.config.Node.Operations[0].PriorityWeight)
 }
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -115,7 +115,7 @@
 // callOver tells the module how a call ended that is on no link any more.
 func (r *Reducer) callOver(i int32, outcome admission.Outcome) {
 	r.invs[i].calling = false
-	r.events = append(r.events, admission.Event{Kind: admission.CallEnded, Inv: i, Outcome: outcome})
+	r.events = append(r.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 }
 
 func (r *Reducer) fromCatalogue(in *Input) {
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -142,7 +142,7 @@
 		return
 	}
 	v := &r.invs[i]
-	text, err := cbor.Marshal(work{Call: v.call, Body: v.body, HeldKB: v.arrival.HeldKB, Hint: v.arrival.Hint, Caller: v.arrival.Caller})
+	text, err := cbor.Marshal(work{Call: v.call, Body: v.body, HeldKB: v.arrival.QueuedKB, Hint: v.arrival.ExpectedWork, Caller: v.arrival.Caller})
 	if !r.Invariants.Check(err == nil, "what an heir needs can be written") {
 		return
 	}
@@ -372,10 +372,10 @@
 	}
 	v := invocation{live: true, conn: heir, call: w.Call, op: r.config.Operations.Name(key.Operation), body: w.Body, key: key, hash: a.Body,
 		operation: key.Operation, tenant: key.Tenant, taken: r.now, due: r.now + a.For}
-	v.arrival = admission.Event{Kind: admission.Arrived, Operation: key.Operation, Tenant: key.Tenant, Repeats: admission.NoRepeat, Further: true,
-		Due: r.now + a.For, HeldKB: w.HeldKB, Hint: w.Hint, Caller: w.Caller}
+	v.arrival = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
+		Deadline: r.now + a.For, QueuedKB: w.HeldKB, ExpectedWork: w.Hint, Caller: w.Caller}
 	i := r.admit(v)
-	r.invs[i].arrival.Inv = i
+	r.invs[i].arrival.Invocation = i
 	r.kept.held[key] = &unrun{first: i, hash: v.hash}
 	r.tellModule(r.invs[i].arrival)
 	r.Counters.Inherited++
@@ -433,7 +433,7 @@
 // turnAway throttles a token's first invocation while the council is out of reach.
 func (r *Reducer) turnAway(link int, stream uint32) {
 	var fields []frame.Field
-	if back := min(contactFor, r.config.Node.ComeBackMax); back > 0 {
+	if back := min(contactFor, r.config.Node.MaxRetryAfter); back > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: fmt.Sprint((back + ms - 1) / ms)})
 	}
 	r.Counters.Throttled++
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -116,22 +116,22 @@
 }
 
 // decisions adds what the decisions stand on.
-func (d digest) decisions(s *admission.State) {
-	d.real(s.Limit, s.Away, s.Wait, s.CallWait, s.Lag, s.Reading, s.MeanReading, s.Pace, s.Stall, s.Patient, s.CallTime, s.CallFails,
-		s.CallRoom, s.CallUsed, s.Open, s.Said, s.Arrivals, s.Echoes, s.Throttled, s.Memory)
-	d.whole(int64(s.OnCores), int64(s.Held), int64(s.Standing), int64(s.InHand), int64(s.Callers))
-	d.flag(s.AllFull, s.Unhealthy, s.Free)
+func (d digest) decisions(s *admission.ControllerState) {
+	d.real(s.Limit, s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
+		s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
+	d.whole(int64(s.OnCores), int64(s.Queued), int64(s.AwaitingCall), int64(s.CallsInFlight), int64(s.Callers))
+	d.flag(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
 
 // state adds a sample of the whole node; of reasons only how often each was given.
 func (d digest) state(s *node.State) {
-	d.decisions(&s.State)
+	d.decisions(&s.ControllerState)
 	d.text(s.Level)
 	d.whole(int64(len(s.Loads)))
 	d.real(s.Loads...)
 	d.whole(int64(s.Succeeded), int64(s.Refused), int64(s.Errored), int64(s.Gone), int64(s.Connections), int64(s.Links), int64(s.Idle),
 		int64(s.Waiting), int64(s.Unread), s.GaugeAge)
-	for _, name := range admission.Names {
+	for _, name := range admission.ReasonNames {
 		d.whole(int64(s.GivenUp[name]))
 	}
 	d.flag(s.Synced, s.Configuration != nil)
@@ -149,9 +149,9 @@
 	d.whole(int64(t.From), int64(t.To), int64(t.Signal), t.For, t.Lasted, int64(t.Cause), t.HeldAfter)
 	d.real(t.Value, t.Bound)
 	d.text(t.Plan, t.FromName, t.ToName)
-	d.whole(int64(len(t.Signals.Asked)), int64(len(t.Loads)))
-	d.real(t.Signals.Asked...)
-	d.real(t.Signals.Reading, t.Signals.Wait, t.Signals.Lag, t.Signals.Calls, t.Signals.Throttled, t.Signals.Memory)
+	d.whole(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
+	d.real(t.Signals.DemandByOperation...)
+	d.real(t.Signals.IntakeShare, t.Signals.QueueWait, t.Signals.QueueingDelay, t.Signals.CallWait, t.Signals.RejectedShare, t.Signals.MemoryShare)
 	d.real(t.Loads...)
 	b := &t.Before
 	d.text(b.Level)
--- a/internal/node/digestsite_test.go
+++ b/internal/node/digestsite_test.go
@@ -1052,8 +1052,8 @@
 	p.Name, p.Hold, p.Most, p.Spare = "test", 300*millisecond, 5_000*millisecond, spare
 	p.Idle = degradation.Condition{Bounds: degradation.Free()}
 	p.Idle.Bounds[degradation.Load] = load / 4
-	for k, services := range [][]admission.Service{{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {}, {}},
-		{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {Form: admission.Refused}, {Form: admission.Reduced, Work: 0.3, Value: 0.5}}} {
+	for k, services := range [][]admission.Service{{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {}, {}},
+		{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}, {Form: admission.Reduced, WorkShare: 0.3, WeightShare: 0.5}}} {
 		enter, exit := degradation.Condition{Bounds: degradation.Free(), For: 100 * millisecond}, degradation.Condition{Bounds: degradation.Free(), For: 200 * millisecond}
 		enter.Bounds[degradation.Load], exit.Bounds[degradation.Load] = load*float64(k+1), load*float64(k+1)*0.7
 		p.Rungs = append(p.Rungs, degradation.Rung{Name: []string{"plain", "little"}[k], Service: services, Enter: []degradation.Condition{enter}, Exit: exit})
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -275,7 +275,7 @@
 			return
 		}
 		r.quitCall(i)
-		r.events = append(r.events, admission.Event{Kind: admission.CallerGone, Inv: i})
+		r.events = append(r.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
 		r.runOver(i)
 	}
 }
@@ -299,7 +299,7 @@
 	c.last = f.Stream
 	r.Counters.Invocations++
 	v := invocation{live: true, conn: link, stream: f.Stream}
-	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Repeats: admission.NoRepeat}
+	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Original: admission.NoOriginal}
 	err := r.read(f, &v, &e)
 	if err == nil {
 		err = r.repeats(&v, &e)
@@ -330,14 +330,14 @@
 		return
 	}
 	r.keepEnding(link, c)
-	v.operation, v.tenant = e.Operation, e.Tenant
-	e.Inv = r.admit(v)
+	v.operation, v.tenant = e.OperationIndex, e.Tenant
+	e.Invocation = r.admit(v)
 	if v.key.Token != "" {
-		r.invs[e.Inv].arrival, r.invs[e.Inv].taken = e, r.now
-		r.invs[e.Inv].due = cmp.Or(e.Due, r.now-e.Age+r.config.Node.Operations[e.Operation].ClientTimeout)
-		r.hold(e.Inv, e.Repeats)
+		r.invs[e.Invocation].arrival, r.invs[e.Invocation].taken = e, r.now
+		r.invs[e.Invocation].due = cmp.Or(e.Deadline, r.now-e.Age+r.config.Node.Operations[e.OperationIndex].ClientTimeout)
+		r.hold(e.Invocation, e.Original)
 	}
-	c.open[f.Stream] = e.Inv
+	c.open[f.Stream] = e.Invocation
 	r.events = append(r.events, e)
 }
 
@@ -356,7 +356,7 @@
 		ok, n := true, 0.0
 		switch field.Name {
 		case "op":
-			e.Operation, ok = r.config.Operations.Lookup(field.Value)
+			e.OperationIndex, ok = r.config.Operations.Lookup(field.Value)
 			v.op, op = field.Value, true
 		case "call":
 			v.call, call, ok = field.Value, true, hex16(field.Value)
@@ -376,20 +376,20 @@
 			left, ok = whole(field.Value)
 			ok = ok && left <= ttlMost
 		case "rep":
-			e.Further, ok = true, field.Value == "1"
+			e.Retry, ok = true, field.Value == "1"
 		case "work":
 			n, ok = decimal(field.Value)
-			e.Hint, ok = int64(n*float64(ms)), ok && n <= workMost
+			e.ExpectedWork, ok = int64(n*float64(ms)), ok && n <= workMost
 		case "heap":
-			e.HeldKB, ok = decimal(field.Value)
-			heap, ok = true, ok && e.HeldKB > 0 && e.HeldKB < heapMost
+			e.QueuedKB, ok = decimal(field.Value)
+			heap, ok = true, ok && e.QueuedKB > 0 && e.QueuedKB < heapMost
 		case "crit":
 			n, ok = decimal(field.Value)
 			ok = ok && n < 1
 		case r.kept.token:
 			v.key.Token, ok = field.Value, r.kept.keeper == nil || len(field.Value) <= tokenMost
 		case "row":
-			e.Subject, ok = true, hex16(field.Value)
+			e.HasReadKey, ok = true, hex16(field.Value)
 		}
 		if !ok {
 			return fmt.Errorf("field %s: %w", field.Name, errField)
@@ -401,11 +401,11 @@
 	if e.Tenant < 0 && r.config.Tenants.Len() > 0 {
 		return fmt.Errorf("field org: %w: the settings name tenants", errField)
 	}
-	if r.kept.keeper != nil && v.key.Token == "" && r.config.Node.Operations[e.Operation].Effect == admission.Tokened {
+	if r.kept.keeper != nil && v.key.Token == "" && r.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey {
 		return fmt.Errorf("field %s: %w: repeats of %s are known by it", r.kept.token, errField, v.op)
 	}
 	if left >= 0 {
-		e.Due = max(1, r.now-e.Age+left*ms) // 0 would say that it is not known
+		e.Deadline = max(1, r.now-e.Age+left*ms) // 0 would say that it is not known
 	}
 	if _, known := r.calls[v.call]; known {
 		return fmt.Errorf("field call: %w: in use", errField)
@@ -453,7 +453,7 @@
 	} else {
 		c.usable, c.used = true, r.now
 	}
-	if deep && r.good && !r.stored && r.config.Node.FullChecks && r.link != 0 && len(r.diags) < streamsOpen {
+	if deep && r.good && !r.stored && r.config.Node.DeepHealthChecks && r.link != 0 && len(r.diags) < streamsOpen {
 		r.diagged++
 		tag := "d" + strconv.Itoa(r.diagged)
 		r.diags[tag] = check{link, f.Stream, r.now + diagWait}
@@ -514,13 +514,13 @@
 
 func (r *Reducer) throttle(a *admission.Action) {
 	var fields []frame.Field
-	if a.For > 0 {
-		fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt((a.For+ms-1)/ms, 10)})
+	if a.Duration > 0 {
+		fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt((a.Duration+ms-1)/ms, 10)})
 	}
 	if a.NoRetry {
 		fields = append(fields, frame.Field{Name: "stop", Value: "1"})
 	}
-	r.answer(a.Inv, frame.Throttled, fields, nil)
+	r.answer(a.Invocation, frame.Throttled, fields, nil)
 }
 
 // succeed answers with a result; one of a reduced form says at which level, so that none takes it for a whole one.
@@ -528,7 +528,7 @@
 	if level := r.invs[i].form; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
 	}
-	r.levels.count(true, r.invs[i].form != "", admission.None)
+	r.levels.count(true, r.invs[i].form != "", admission.ReasonNone)
 	r.answer(i, frame.Succeeded, fields, result)
 }
 
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -162,7 +162,7 @@
 	if err != nil || age < 0 {
 		age = 0
 	}
-	r.config.Node.Fresh, r.config.Node.Began = words[1] == "new", r.began
+	r.config.Node.ColdStart, r.config.Node.ProcessStart = words[1] == "new", r.began
 	r.post = r.Decisions(&r.config.Node, r.now-int64(age*float64(ms)))
 	r.good, r.beatAt = true, r.now
 	if r.levels.plan != nil {
@@ -186,7 +186,7 @@
 		}
 	}
 	if r.metered = r.now; r.post != nil && r.synced {
-		r.events = append(r.events, admission.Event{Kind: admission.TimerDue, Busy: r.busy, Runnable: r.runnable})
+		r.events = append(r.events, admission.Event{Kind: admission.TimerFired, BusyShare: r.busy, RunnableThreads: r.runnable})
 	}
 	if tag == r.syncTag() && !r.synced {
 		r.synced, r.proving = true, 0
@@ -213,7 +213,7 @@
 	r.remark(Warn, "executor did not carry out a command", words[len(words)-1], nil)
 	if i, v := r.lookup(words[len(words)-1]); v != nil && words[1] == "EXEC" {
 		if v.asked {
-			r.tokenEnded(i, admission.Void, nil)
+			r.tokenEnded(i, admission.NeverStarted, nil)
 			return
 		}
 		if !v.answered {
@@ -223,12 +223,12 @@
 				r.fault(link, c)
 			}
 		}
-		r.events = append(r.events, admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Void})
+		r.events = append(r.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
 	}
 }
 
 var ends = map[string]admission.Outcome{
-	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Withdrawn, "gone": admission.Void,
+	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
 }
 
 // exit answers with what the run came to, if that is still owed.
@@ -256,7 +256,7 @@
 			r.fail(i)
 		}
 	}
-	r.events = append(r.events, admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: outcome})
+	r.events = append(r.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 	return nil
 }
 
@@ -265,6 +265,6 @@
 		r.readBy(func(c *command) bool { return c.call == v.call })
 		v.wanted = body
 		r.leasing.at = r.now // it is a need for one more
-		r.events = append(r.events, admission.Event{Kind: admission.CallWanted, Inv: i})
+		r.events = append(r.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
 	}
 }
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -30,7 +30,7 @@
 	step(r, Input{Kind: Joined, Link: r.dialing})
 	told(r, "WELCOME old 60000")
 	require.NotNil(t, heard)
-	assert.False(t, heard.Fresh)
-	assert.Equal(t, began, heard.Began)
+	assert.False(t, heard.ColdStart)
+	assert.Equal(t, began, heard.ProcessStart)
 	assert.Equal(t, r.now-60_000*ms, cores)
 }
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -57,8 +57,8 @@
 	require.Len(t, *arrived, 2)
 	first, second := (*arrived)[0], (*arrived)[1]
 	assert.Equal(t, []int32{1, 0}, []int32{first.Tenant, second.Tenant})
-	assert.Equal(t, now-first.Age+250*ms, first.Due)
-	assert.Zero(t, second.Due)
+	assert.Equal(t, now-first.Age+250*ms, first.Deadline)
+	assert.Zero(t, second.Deadline)
 }
 
 func TestOneThatCannotBeToldApartIsErrored(t *testing.T) {
@@ -94,8 +94,8 @@
 	}
 	assert.Equal(t, 8, r.Counters.Succeeded)
 	assert.Len(t, *arrived, 8)
-	assert.Equal(t, admission.NoHalt, r.config.Node.Halting)
-	assert.Zero(t, r.config.Node.Operations[0].SkipShare)
+	assert.Equal(t, admission.StopUnsupported, r.config.Node.StopSupport)
+	assert.Zero(t, r.config.Node.Operations[0].SkippedCallWeightShare)
 }
 
 // Two nodes of one process that were given the same settings share nothing through them.
@@ -109,8 +109,8 @@
 	step(first)
 	step(first, Input{Kind: Joined, Link: first.dialing})
 	told(first, "WELCOME new 0")
-	assert.True(t, first.config.Node.Fresh)
-	assert.False(t, second.config.Node.Fresh, "it has heard of no executor")
-	assert.Zero(t, second.config.Node.RecordsMost)
+	assert.True(t, first.config.Node.ColdStart)
+	assert.False(t, second.config.Node.ColdStart, "it has heard of no executor")
+	assert.Zero(t, second.config.Node.MaxDeduplicationEntries)
 	assert.Equal(t, before, p.Node)
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -86,7 +86,7 @@
 // hollowOperation is the first that is deduplicated.
 func (r *Reducer) hollowOperation() string {
 	for i := range r.config.Node.Operations {
-		if r.config.Node.Operations[i].Effect == admission.Tokened {
+		if r.config.Node.Operations[i].Idempotency == admission.IdempotentWithKey {
 			return r.config.Operations.Name(int32(i))
 		}
 	}
@@ -157,7 +157,7 @@
 		return 0, 0, false
 	}
 	state := r.post.State()
-	return state.InHand, state.Standing, true
+	return state.CallsInFlight, state.AwaitingCall, true
 }
 
 // hollowWake is when a hollow node is to step again.
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -39,7 +39,7 @@
 // Keep has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
 // turned away until KeptRead tells that the store was read.
 func (r *Reducer) Keep(rules resultcache.Rules, field string, unread bool) {
-	r.config.Node.RecordsMost = rules.TokensMost()
+	r.config.Node.MaxDeduplicationEntries = rules.TokensMost()
 	r.amended.numbers = unread
 	r.kept = kept{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*unrun), unread: unread}
 }
@@ -61,28 +61,28 @@
 	if v.key.Token == "" {
 		return nil
 	}
-	if k.keeper == nil || r.config.Node.Operations[e.Operation].Effect != admission.Tokened {
+	if k.keeper == nil || r.config.Node.Operations[e.OperationIndex].Idempotency != admission.IdempotentWithKey {
 		v.key.Token = ""
 		return nil
 	}
-	v.key.Operation, v.key.Tenant, v.hash = e.Operation, e.Tenant, xxhash.Sum64(v.body)
+	v.key.Operation, v.key.Tenant, v.hash = e.OperationIndex, e.Tenant, xxhash.Sum64(v.body)
 	if h := k.held[v.key]; h != nil {
 		if h.hash != v.hash {
 			return errToken
 		}
-		e.Repeats = h.first
+		e.Original = h.first
 	} else if hash, known := k.keeper.Body(v.key); known {
 		if hash != v.hash {
 			return errToken
 		}
-		e.Repeats = admission.EndedRepeat
+		e.Original = admission.OriginalEnded
 	}
 	return nil
 }
 
 // hold notes a token's first invocation, which the module may hold, run or turn away.
 func (r *Reducer) hold(i, repeats int32) {
-	if v := &r.invs[i]; v.key.Token != "" && repeats == admission.NoRepeat {
+	if v := &r.invs[i]; v.key.Token != "" && repeats == admission.NoOriginal {
 		r.kept.held[v.key] = &unrun{first: i, hash: v.hash}
 		r.claim(i)
 	}
@@ -143,20 +143,20 @@
 	}
 	r.invs[i].answered = true
 	r.open--
-	r.tellModule(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: admission.Void})
+	r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
 	e := v.arrival
 	v.asked, v.window = false, 0
 	j := r.admit(v)
 	c.open[v.stream] = j
-	e.Inv, e.Age, e.Repeats = j, r.now-v.taken+e.Age, admission.NoRepeat
+	e.Invocation, e.Age, e.Original = j, r.now-v.taken+e.Age, admission.NoOriginal
 	if v.terms != r.termsNow(v.operation) {
-		e.Due = v.due // its client timeout is that of its terms
+		e.Deadline = v.due // its client timeout is that of its terms
 	}
 	if h := r.kept.held[v.key]; h != nil {
-		e.Repeats = h.first
+		e.Original = h.first
 	}
 	r.invs[j].arrival, r.invs[j].taken = e, r.now
-	r.hold(j, e.Repeats)
+	r.hold(j, e.Original)
 	r.tellModule(e)
 }
 
@@ -190,7 +190,7 @@
 func (r *Reducer) runOver(i int32) {
 	if v := &r.invs[i]; v.exited {
 		v.exited = false
-		r.tellModule(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: v.ending})
+		r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.ending})
 	}
 }
 
@@ -202,7 +202,7 @@
 	switch outcome {
 	case admission.Succeeded:
 		ending = resultcache.Succeeded
-	case admission.Void:
+	case admission.NeverStarted:
 		ending = resultcache.NotRun
 	}
 	r.keeper(resultcache.Input{Kind: resultcache.Ended, Key: v.key, Ending: ending, Result: body})
@@ -316,8 +316,8 @@
 		outcome = admission.Succeeded
 		r.succeed(i, a.Result, fields...)
 	case resultcache.Deny:
-		outcome = admission.Void
-		if back := min(a.For, r.config.Node.ComeBackMax); back > 0 {
+		outcome = admission.NeverStarted
+		if back := min(a.For, r.config.Node.MaxRetryAfter); back > 0 {
 			note("pushback", strconv.FormatInt((back+ms-1)/ms, 10))
 		}
 		r.answer(i, frame.Throttled, fields, nil)
@@ -333,7 +333,7 @@
 		r.answer(i, frame.Errored, fields, nil)
 	}
 	if !own {
-		r.tellModule(admission.Event{Kind: admission.RunEnded, Inv: i, Outcome: outcome})
+		r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 	}
 }
 
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -34,7 +34,7 @@
 type Turn struct {
 	degradation.Change
 	Plan, FromName, ToName string
-	Signals                admission.Measures
+	Signals                admission.LoadMetrics
 	Loads                  []float64 // at each level, full service first
 	Before                 Served    // in the stay that ends
 }
@@ -46,7 +46,7 @@
 	names    *nodeconfig.Names // of operations, by index in the source
 	steps    *degradation.Ladder
 	chance   *rand.Rand
-	measures admission.Measures
+	measures admission.LoadMetrics
 	served   []Served // by level, since the plan was taken
 	stay     Served   // since the last change
 	spent    []int64  // ns in each level
@@ -181,7 +181,7 @@
 	if l.steps == nil || r.post == nil || r.noticed { // a drain stays at its level: intake ends soon
 		return
 	}
-	r.post.Measure(&l.measures)
+	r.post.MeasureLoad(&l.measures)
 	change, changed := l.steps.Step(r.now, &l.measures)
 	if !changed {
 		return
@@ -203,9 +203,9 @@
 
 // event tells the module what the level in force leaves of each operation.
 func (l *ladder) event() admission.Event {
-	e := admission.Event{Kind: admission.LevelSet}
+	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if l.plan != nil {
-		e.Services, e.Spare = l.plan.Services(l.steps.Level()), l.plan.Spare
+		e.Services, e.UseSpareCapacity = l.plan.Services(l.steps.Level()), l.plan.Spare
 	}
 	return e
 }
@@ -226,14 +226,14 @@
 }
 
 // count counts an answer for the level in force.
-func (l *ladder) count(succeeded, reduced bool, why admission.Why) {
+func (l *ladder) count(succeeded, reduced bool, why admission.Reason) {
 	switch {
 	case l.plan == nil:
 	case succeeded && reduced:
 		l.stay.Reduced++
 	case succeeded:
 		l.stay.Whole++
-	case why == admission.Levelled:
+	case why == admission.ReasonDegraded:
 		l.stay.Levelled++
 	default:
 		l.stay.Throttled++
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -16,7 +16,7 @@
 	p := &Plan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.Hold, p.Most, p.Idle = "test", 10_000*ms, 60_000*ms, degradation.Condition{Bounds: degradation.Free()}
 	p.Idle.Bounds[degradation.Load] = -1
-	for k, s := range []admission.Service{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {Form: admission.Refused}} {
+	for k, s := range []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}} {
 		c := degradation.Condition{Bounds: degradation.Free()}
 		c.Bounds[degradation.Load] = enter
 		exit := degradation.Condition{Bounds: degradation.Free()}
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -73,7 +73,7 @@
 	}
 	if units := l.units(r.now); units != l.told {
 		l.told = units
-		r.tellModule(admission.Event{Kind: admission.UnitsSet, Units: units, Hold: l.terms.Hold / 2})
+		r.tellModule(admission.Event{Kind: admission.CallLimitSet, CallLimit: units, MaxCallTime: l.terms.Hold / 2})
 	}
 	if len(send) > 0 {
 		r.askCouncil(nil, send)
@@ -85,7 +85,7 @@
 	if l := &r.leasing; l.holder != nil && l.told > 0 {
 		if units := l.units(r.now); units < l.told {
 			l.told = units
-			r.events = append(r.events, admission.Event{Kind: admission.UnitsSet, Units: units, Hold: l.terms.Hold / 2})
+			r.events = append(r.events, admission.Event{Kind: admission.CallLimitSet, CallLimit: units, MaxCallTime: l.terms.Hold / 2})
 		}
 	}
 }
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -90,8 +90,8 @@
 	assert.Empty(t, r.supplies)
 	var units []int
 	for _, e := range append(r.events, r.later...) {
-		if e.Kind == admission.UnitsSet {
-			units = append(units, e.Units)
+		if e.Kind == admission.CallLimitSet {
+			units = append(units, e.CallLimit)
 		}
 	}
 	assert.Equal(t, []int{0}, units)
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -141,8 +141,8 @@
 // Decider is what decides about invocations: control.Post, or a baseline of the laboratory.
 type Decider interface {
 	Decide(now int64, events []admission.Event) []admission.Action
-	State() admission.State
-	Measure(m *admission.Measures)
+	State() admission.ControllerState
+	MeasureLoad(m *admission.LoadMetrics)
 }
 
 // Reducer is the state of one node.
@@ -213,11 +213,11 @@
 
 	configuring configuring
 
-	later   []admission.Event   // what the module is told in the next step: it was deciding
-	decided bool                // the module has decided in this step, or had nothing to decide
-	stateAt int64               // when the next sample of the state is due
-	givenUp [admission.Whys]int // invocations given up by reason since the last one
-	counted Counters            // the counters at the last one
+	later   []admission.Event          // what the module is told in the next step: it was deciding
+	decided bool                       // the module has decided in this step, or had nothing to decide
+	stateAt int64                      // when the next sample of the state is due
+	givenUp [admission.ReasonCount]int // invocations given up by reason since the last one
+	counted Counters                   // the counters at the last one
 }
 
 // New is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
@@ -226,7 +226,7 @@
 	r := &Reducer{config: onSockets(settings), to: to, stop: stop, connMost: connections, linkMost: links, calls: map[string]int32{},
 		conns: map[int]*connection{}, diags: map[string]check{}, beatAt: never, meterAt: never,
 		metered: math.MinInt64 / 2, wait: redialFirst,
-		Decisions: func(config *admission.Config, born int64) Decider { return admission.New(config, born) }}
+		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
 	r.Invariants.Tell = func(what string, times int) {
 		r.do(Effect{Kind: Remark, Level: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
@@ -238,9 +238,9 @@
 func onSockets(settings *nodeconfig.Config) *nodeconfig.Config {
 	own := *settings
 	n := &own.Node
-	n.EntryKB, n.Halting, n.ReuseFor, n.Operations = 0, admission.NoHalt, 0, slices.Clone(n.Operations)
+	n.DeduplicationEntryKB, n.StopSupport, n.ReadReuseWindow, n.Operations = 0, admission.StopUnsupported, 0, slices.Clone(n.Operations)
 	for i := range n.Operations {
-		n.Operations[i].SkipShare = 0
+		n.Operations[i].SkippedCallWeightShare = 0
 	}
 	return &own
 }
@@ -371,9 +371,9 @@
 	r.keepCalls()
 	r.keepChecks()
 	if r.now >= r.beatAt {
-		e := admission.Event{Kind: admission.TimerDue, Busy: -1, Runnable: -1}
+		e := admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
 		if r.now-r.metered <= meterStale {
-			e.Busy, e.Runnable = r.busy, r.runnable
+			e.BusyShare, e.RunnableThreads = r.busy, r.runnable
 		}
 		r.beatAt = never
 		r.keepLevels()
@@ -414,33 +414,33 @@
 func (r *Reducer) carry(a *admission.Action) {
 	switch a.Kind {
 	case admission.Run:
-		r.run(a.Inv, a.Form)
-	case admission.Throttle:
-		r.givenUp[a.Why]++
-		r.levels.count(false, false, a.Why)
+		r.run(a.Invocation, a.Form)
+	case admission.Reject:
+		r.givenUp[a.Reason]++
+		r.levels.count(false, false, a.Reason)
 		r.throttle(a)
 	case admission.Fail:
-		r.givenUp[a.Why]++
-		r.fail(a.Inv)
-	case admission.Call:
-		r.call(a.Inv, a.At)
-	case admission.Health:
-		r.good, r.stored = a.Good, a.Stored
-	case admission.Advise:
+		r.givenUp[a.Reason]++
+		r.fail(a.Invocation)
+	case admission.StartCall:
+		r.call(a.Invocation, a.At)
+	case admission.ReportHealth:
+		r.good, r.stored = a.Healthy, a.Cached
+	case admission.SignalBackpressure:
 		r.load = number(a.Value)
-	case admission.Timer:
+	case admission.SetTimer:
 		r.beatAt, r.meterAt = a.At, a.At-meterLead
-	case admission.StopIntake:
+	case admission.StopAccepting:
 		r.stopIntake()
-	case admission.Leave:
+	case admission.Exit:
 		r.left = true
-		r.remark(Info, a.Text, "", nil)
-	case admission.Reuse:
-		r.reuse(a.Inv)
-	case admission.Record:
-		r.invs[a.Inv].window = r.now + a.For + r.invs[a.Inv].terms.late
+		r.remark(Info, a.Report, "", nil)
+	case admission.JoinOriginal:
+		r.reuse(a.Invocation)
+	case admission.RecordKey:
+		r.invs[a.Invocation].window = r.now + a.Duration + r.invs[a.Invocation].terms.late
 	case admission.Release:
-		r.release(a.Inv)
+		r.release(a.Invocation)
 	default:
 		r.Invariants.Check(false, "an action that this site allows")
 	}
@@ -458,7 +458,7 @@
 		r.left = true
 		return
 	}
-	r.events = append(r.events, admission.Event{Kind: admission.DrainNotice, Kill: r.now + r.stop})
+	r.events = append(r.events, admission.Event{Kind: admission.DrainRequested, KillAt: r.now + r.stop})
 }
 
 // abort brings the kill forward: all that is in hand is answered in this step, and the node leaves once its connections
@@ -467,7 +467,7 @@
 	r.remark(Info, "drain notice again: what is in hand is aborted", "", nil)
 	r.killAt = min(r.killAt, r.now+abortFor)
 	if r.post != nil {
-		r.events = append(r.events, admission.Event{Kind: admission.DrainNotice, Kill: r.now})
+		r.events = append(r.events, admission.Event{Kind: admission.DrainRequested, KillAt: r.now})
 	}
 }
 
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -220,7 +220,7 @@
 func TestGaugesReachTheModuleAsTheyCome(t *testing.T) {
 	r := up(t)
 	told(r, "METERS m0 0.5 3 0.1 3")
-	assert.Equal(t, []admission.Event{{Kind: admission.TimerDue, Busy: 0.5, Runnable: 3}}, r.events)
+	assert.Equal(t, []admission.Event{{Kind: admission.TimerFired, BusyShare: 0.5, RunnableThreads: 3}}, r.events)
 }
 
 func TestLinkThatCannotBeHadIsTriedAgain(t *testing.T) {
@@ -268,7 +268,7 @@
 	assert.Equal(t, []string{"check 51"}, answers(t, step(r, deep)), "no executor yet")
 	r = up(t)
 	assert.Equal(t, []string{"check 20"}, answers(t, step(r, deep)))
-	r.stored, r.config.Node.FullChecks = false, true
+	r.stored, r.config.Node.DeepHealthChecks = false, true
 	assert.Equal(t, "DIAG d1\r\n", text(step(r, deep), Tell))
 	assert.Equal(t, []string{"check 51"}, answers(t, told(r, "DIAGNOSED d1 bad")))
 	step(r, deep)
@@ -459,7 +459,7 @@
 	r := up(t)
 	step(r, invoke(1))
 	r.load, r.effects = "0.25", nil
-	r.throttle(&admission.Action{Inv: 0, For: 249*ms + 1, NoRetry: true})
+	r.throttle(&admission.Action{Invocation: 0, Duration: 249*ms + 1, NoRetry: true})
 	_, payload, _ := strings.Cut(string(r.effects[0].Bytes), "\x32")
 	fields, _, err := frame.Fields([]byte(payload))
 	assert.NoError(t, err)
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -5,7 +5,7 @@
 // State is what the whole node stands on at a moment: what its module goes by, and what its doors hold. Counts
 // with a name in the past are of the time since the last sample. Times are nanoseconds.
 type State struct {
-	admission.State
+	admission.ControllerState
 	Level       string         `json:"level,omitempty"` // of reduced service, where there is a plan
 	Loads       []float64      `json:"loads,omitempty"` // what is asked of the cores at each level, full service first
 	Succeeded   int            `json:"succeeded"`
@@ -30,13 +30,13 @@
 		return
 	}
 	s := r.state()
-	r.stateAt, r.counted, r.givenUp = r.now+stateEvery, r.Counters, [admission.Whys]int{}
+	r.stateAt, r.counted, r.givenUp = r.now+stateEvery, r.Counters, [admission.ReasonCount]int{}
 	r.do(Effect{Kind: Sample, State: s})
 }
 
 // state is the state now.
 func (r *Reducer) state() *State {
-	s := &State{State: r.post.State(), Succeeded: r.Counters.Succeeded - r.counted.Succeeded,
+	s := &State{ControllerState: r.post.State(), Succeeded: r.Counters.Succeeded - r.counted.Succeeded,
 		Refused: r.Counters.Throttled - r.counted.Throttled, Errored: r.Counters.Errored - r.counted.Errored,
 		Gone: r.Counters.Gone - r.counted.Gone, Connections: len(r.conns), Links: len(r.supplies),
 		Waiting: len(r.waiting), Unread: len(r.unread), GaugeAge: r.now - r.metered, Synced: r.synced}
@@ -52,7 +52,7 @@
 			if s.GivenUp == nil {
 				s.GivenUp = make(map[string]int)
 			}
-			s.GivenUp[admission.Names[why]] = n
+			s.GivenUp[admission.ReasonNames[why]] = n
 		}
 	}
 	for k := range r.supplies {
--- a/internal/nodeconfig/amend.go
+++ b/internal/nodeconfig/amend.go
@@ -142,7 +142,7 @@
 		c.Rate = s.number("quota_rps")
 	} else {
 		c.Operation = s.operation()
-		c.Operation.MayCall, c.Operation.SkipShare = s.flag("class_calls"), s.number("class_skip_worth")
+		c.Operation.CallsDependency, c.Operation.SkippedCallWeightShare = s.flag("class_calls"), s.number("class_skip_worth")
 		if what := unusable(it.Name, &c.Operation); s.err == nil && what != "" {
 			return fault(what)
 		}
@@ -207,8 +207,8 @@
 			p.general[c.Name] = c.Limit
 		}
 		(&settings{values: p.general}).limitsInto(n)
-		t.Changed = was.OverShare != n.OverShare || was.Peers != n.Peers || was.CallShare != n.CallShare ||
-			was.DrainGrace != n.DrainGrace || was.ComeBackMax != n.ComeBackMax
+		t.Changed = was.OverQuotaWeightShare != n.OverQuotaWeightShare || was.Peers != n.Peers || was.CallQuota != n.CallQuota ||
+			was.DrainGrace != n.DrainGrace || was.MaxRetryAfter != n.MaxRetryAfter
 		return t
 	}
 	names := p.Operations
@@ -243,7 +243,7 @@
 func (p *Config) Forget(part string, i int32) {
 	if part == Operations {
 		p.Operations.Remove(i)
-		p.Node.Operations[i] = admission.Operation{Gone: true}
+		p.Node.Operations[i] = admission.Operation{Removed: true}
 	} else {
 		p.Tenants.Remove(i)
 		p.Node.TenantRates[i] = 0
@@ -352,13 +352,13 @@
 
 func operationJSON(op *admission.Operation) []byte {
 	calls := ""
-	if op.MayCall {
+	if op.CallsDependency {
 		calls = "true"
 	}
-	effect := map[admission.Effect]string{admission.Idempotent: `"idempotent"`, admission.Tokened: `"deduplicated"`, admission.NonIdempotent: `"at_most_once"`}[op.Effect]
-	return object(field{"aim", millis(op.Objective)}, field{"aim_stretch", float(op.Stretch)}, field{"class_calls", calls},
-		field{"class_skip_worth", float(op.SkipShare)}, field{"effect", effect}, field{"give_up", millis(op.ClientTimeout)},
-		field{"importance", float(op.BilledValue)}, field{"late_share", float(op.LateShare)}, field{"window", millis(op.Window)})
+	effect := map[admission.Idempotency]string{admission.Idempotent: `"idempotent"`, admission.IdempotentWithKey: `"deduplicated"`, admission.NonIdempotent: `"at_most_once"`}[op.Idempotency]
+	return object(field{"aim", millis(op.LatencyObjective)}, field{"aim_stretch", float(op.ObjectivePerWork)}, field{"class_calls", calls},
+		field{"class_skip_worth", float(op.SkippedCallWeightShare)}, field{"effect", effect}, field{"give_up", millis(op.ClientTimeout)},
+		field{"importance", float(op.PriorityWeight)}, field{"late_share", float(op.LateWeightShare)}, field{"window", millis(op.DeduplicationWindow)})
 }
 
 // float is the shortest JSON number that reads as n.
--- a/internal/nodeconfig/nodeconfig.go
+++ b/internal/nodeconfig/nodeconfig.go
@@ -164,14 +164,14 @@
 // operation reads one operation, but for its calls.
 func (s *settings) operation() admission.Operation {
 	return admission.Operation{
-		Objective:     s.time("aim"),
-		Stretch:       s.number("aim_stretch"),
-		ClientTimeout: s.time("give_up"),
-		Window:        s.time("window"),
-		BilledValue:   s.number("importance"),
-		LateShare:     s.number("late_share"),
-		Effect: word(s, "effect", map[string]admission.Effect{"idempotent": admission.Idempotent,
-			"deduplicated": admission.Tokened, "at_most_once": admission.NonIdempotent}),
+		LatencyObjective:    s.time("aim"),
+		ObjectivePerWork:    s.number("aim_stretch"),
+		ClientTimeout:       s.time("give_up"),
+		DeduplicationWindow: s.time("window"),
+		PriorityWeight:      s.number("importance"),
+		LateWeightShare:     s.number("late_share"),
+		Idempotency: word(s, "effect", map[string]admission.Idempotency{"idempotent": admission.Idempotent,
+			"deduplicated": admission.IdempotentWithKey, "at_most_once": admission.NonIdempotent}),
 	}
 }
 
@@ -180,25 +180,25 @@
 	calls, skips := s.list("family_info.class_calls"), s.list("family_info.class_skip_worth")
 	for i := range p.Node.Operations {
 		op := &p.Node.Operations[i]
-		op.MayCall = i < len(calls) && calls[i] == "true"
+		op.CallsDependency = i < len(calls) && calls[i] == "true"
 		if i < len(skips) {
 			share, err := strconv.ParseFloat(skips[i], 64)
 			if err != nil {
 				s.fail("family_info.class_skip_worth")
 			}
-			op.SkipShare = share
+			op.SkippedCallWeightShare = share
 		}
 	}
 }
 
 // limitsInto reads the settings that may change while a node serves.
 func (s *settings) limitsInto(n *admission.Config) {
-	n.OverShare = s.number("over_share_worth")
+	n.OverQuotaWeightShare = s.number("over_share_worth")
 	n.Peers = int(s.number("group_size"))
-	n.CallShare = s.number("family_info.calls_out")
+	n.CallQuota = s.number("family_info.calls_out")
 	n.DrainGrace = s.time("guarantees.drain_grace")
-	if n.ComeBackMax = 0; s.flag("limits.retry_after") {
-		n.ComeBackMax = s.time("limits.max_retry_after")
+	if n.MaxRetryAfter = 0; s.flag("limits.retry_after") {
+		n.MaxRetryAfter = s.time("limits.max_retry_after")
 	}
 }
 
@@ -214,27 +214,27 @@
 	n := &p.Node
 	*n = admission.Config{
 		Operations: n.Operations, TenantRates: n.TenantRates,
-		Seed:          seed,
-		ByWork:        s.text("counted_by") == "work",
-		Cores:         max(1, int(s.number("family_info.n_cores"))),
-		MemoryKB:      s.number("family_info.memory_kb"),
-		Blowup:        max(1, s.number("family_info.blowup")),
-		EntryKB:       s.number("family_info.entry_kb"),
-		CallSpan:      s.time("family_info.calls_over"),
-		Linger:        s.time("family_info.linger"),
-		ReuseFor:      s.time("family_info.share_for"),
-		FullChecks:    s.flag("family_info.full_checks"),
-		RetriesMarked: s.flag("client_habits.marks_retry"),
-		Fresh:         s.flag("family_info.just_started"),
-		ColdFrom:      s.number("guarantees.cold_from"),
-		WarmAfter:     s.time("guarantees.warm_after"),
-		TipMultiple:   s.number("guarantees.tip_multiple"),
-		Halting: word(s, "family_info.halt", map[string]admission.Halting{
-			"": admission.NoHalt, "off": admission.NoHalt, "drop": admission.DropHalt, "pause": admission.PauseHalt}),
-		Advice: word(s, "family_info.advert", map[string]admission.Advice{"": admission.NoAdvice, "off": admission.NoAdvice,
-			"min_rank": admission.LevelAdvice, "tokens": admission.CreditAdvice, "bias": admission.WeightAdvice}),
-		Below: word(s, "family_info.below", map[string]admission.Below{"": admission.NothingBelow, "off": admission.NothingBelow,
-			"common": admission.SharedBelow, "next_hop": admission.TierBelow}),
+		Seed:                 seed,
+		WeightScalesWithWork: s.text("counted_by") == "work",
+		Cores:                max(1, int(s.number("family_info.n_cores"))),
+		MemoryKB:             s.number("family_info.memory_kb"),
+		RunningMemoryFactor:  max(1, s.number("family_info.blowup")),
+		DeduplicationEntryKB: s.number("family_info.entry_kb"),
+		CallQuotaWindow:      s.time("family_info.calls_over"),
+		AbandonedCallTime:    s.time("family_info.linger"),
+		ReadReuseWindow:      s.time("family_info.share_for"),
+		DeepHealthChecks:     s.flag("family_info.full_checks"),
+		RetriesMarked:        s.flag("client_habits.marks_retry"),
+		ColdStart:            s.flag("family_info.just_started"),
+		ColdSpeedShare:       s.number("guarantees.cold_from"),
+		WarmUpTime:           s.time("guarantees.warm_after"),
+		OverloadMultiple:     s.number("guarantees.tip_multiple"),
+		StopSupport: word(s, "family_info.halt", map[string]admission.StopSupport{
+			"": admission.StopUnsupported, "off": admission.StopUnsupported, "drop": admission.StopDiscardsProgress, "pause": admission.StopKeepsProgress}),
+		Backpressure: word(s, "family_info.advert", map[string]admission.BackpressureKind{"": admission.NoBackpressure, "off": admission.NoBackpressure,
+			"min_rank": admission.BackpressureLevel, "tokens": admission.BackpressureCredits, "bias": admission.BackpressureWeight}),
+		Dependency: word(s, "family_info.below", map[string]admission.DependencyKind{"": admission.NoDependency, "off": admission.NoDependency,
+			"common": admission.SharedDependency, "next_hop": admission.TieredDependency}),
 	}
 	s.limitsInto(n)
 }
@@ -256,7 +256,7 @@
 	if p.Node.MemoryKB <= 0 {
 		return errors.New("nodeconfig: family_info.memory_kb must be above 0")
 	}
-	if p.Node.TipMultiple < 1 {
+	if p.Node.OverloadMultiple < 1 {
 		return errors.New("nodeconfig: guarantees.tip_multiple must be at least 1")
 	}
 	return nil
@@ -265,9 +265,9 @@
 // unusable says what a real node misses in an operation, empty where nothing.
 func unusable(name string, op *admission.Operation) string {
 	switch {
-	case name == "" || op.Objective <= 0 || op.ClientTimeout <= 0:
+	case name == "" || op.LatencyObjective <= 0 || op.ClientTimeout <= 0:
 		return "name, aim and give_up must be set"
-	case op.Effect == admission.Tokened && op.Window <= 0:
+	case op.Idempotency == admission.IdempotentWithKey && op.DeduplicationWindow <= 0:
 		return "window must be set where repeats are dropped"
 	}
 	return ""
--- a/internal/nodeconfig/nodeconfig_test.go
+++ b/internal/nodeconfig/nodeconfig_test.go
@@ -19,7 +19,7 @@
 		"limits":{"retry_after":true,"max_retry_after":500},"tenants":[],"unknown":null}`))
 	require.NoError(t, err)
 	assert.Equal(t, pairs, nested)
-	assert.True(t, nested.Node.Operations[0].MayCall)
+	assert.True(t, nested.Node.Operations[0].CallsDependency)
 	assert.NoError(t, nested.Usable())
 }
 
--- a/internal/protocol/simwire/ember.go
+++ b/internal/protocol/simwire/ember.go
@@ -127,7 +127,7 @@
 var outcomes = map[string]admission.Outcome{
 	"success": admission.Succeeded, "failure": admission.Errored, "overloaded": admission.Overloaded,
 	"timed_out": admission.TimedOut, "unreachable": admission.Unreachable, "broken": admission.Broken,
-	"withdrawn": admission.Withdrawn, "void": admission.Void,
+	"withdrawn": admission.Stopped, "void": admission.NeverStarted,
 }
 
 func (f *fields) outcome() admission.Outcome {
@@ -176,17 +176,17 @@
 		if len(f.values) == 0 || f.values[0] == "-" {
 			f.fail("-")
 		}
-		e = admission.Event{Kind: admission.DrainNotice, Kill: f.time()}
+		e = admission.Event{Kind: admission.DrainRequested, KillAt: f.time()}
 		return e, f.err == nil, f.err
 	case "DUE":
 		f.id() // of the timer
-		e = admission.Event{Kind: admission.TimerDue, Busy: -1, Runnable: -1}
+		e = admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
 		h.gauges(&f, &e)
 		return e, f.err == nil, f.err
 	case "CANCELLED_BY_CLIENT":
-		e.Kind = admission.CallerGone
+		e.Kind = admission.CallerDisconnected
 	case "BLOCKED":
-		e.Kind = admission.CallWanted
+		e.Kind = admission.CallRequested
 	case "CAME_BACK":
 		e.Kind = admission.CallEnded
 	case "WORK_DONE":
@@ -195,7 +195,7 @@
 		return e, false, fmt.Errorf("ember: unknown event %q", f.name)
 	}
 	index, ok := h.indices[f.id()]
-	e.Inv = index
+	e.Invocation = index
 	if e.Kind == admission.CallEnded || e.Kind == admission.RunEnded {
 		e.Outcome = f.outcome()
 	}
@@ -205,26 +205,26 @@
 func (h *Host) arrival(f *fields, e *admission.Event) {
 	id := f.id()
 	e.Kind = admission.Arrived
-	e.Due = f.time()
+	e.Deadline = f.time()
 	e.Age = f.time()
 	f.number() // the rank, which callers go by
 	e.Caller = int64(f.whole())
-	e.Subject = len(f.values) > 0 && f.values[0] != "-"
+	e.HasReadKey = len(f.values) > 0 && f.values[0] != "-"
 	f.next()
 	marks := f.whole()
-	e.Further, e.Write = marks&2 != 0, marks&4 != 0
+	e.Retry, e.Write = marks&2 != 0, marks&4 != 0
 	repeats := f.whole()
 	operation := f.next()
 	tenant := f.next()
 	if hint := f.time(); marks&1 != 0 {
-		e.Hint = hint
+		e.ExpectedWork = hint
 	}
-	e.HeldKB = f.number()
+	e.QueuedKB = f.number()
 	op, ok := h.config.Operations.Lookup(operation)
 	if !ok {
 		f.fail(operation)
 	}
-	e.Operation, e.Tenant, e.Repeats = op, -1, admission.NoRepeat
+	e.OperationIndex, e.Tenant, e.Original = op, -1, admission.NoOriginal
 	if t, ok := h.config.Tenants.Lookup(tenant); ok {
 		e.Tenant = t
 	}
@@ -232,12 +232,12 @@
 		return
 	}
 	if repeats != 0 {
-		e.Repeats = admission.EndedRepeat
+		e.Original = admission.OriginalEnded
 		if index, ok := h.indices[repeats]; ok {
-			e.Repeats = index
+			e.Original = index
 		}
 	}
-	e.Inv = h.admit(id)
+	e.Invocation = h.admit(id)
 }
 
 func (h *Host) gauges(f *fields, e *admission.Event) {
@@ -256,9 +256,9 @@
 		}
 		switch h.config.Gauges[i] {
 		case "cpu_busy":
-			e.Busy = n
+			e.BusyShare = n
 		case "runnable":
-			e.Runnable = n
+			e.RunnableThreads = n
 		}
 	}
 }
@@ -269,40 +269,40 @@
 		a := &actions[i]
 		switch a.Kind {
 		case admission.Release:
-			h.release(a.Inv)
+			h.release(a.Invocation)
 			continue
-		case admission.StopIntake: // the simulator takes its nodes off the lists itself
+		case admission.StopAccepting: // the simulator takes its nodes off the lists itself
 			continue
 		case admission.Run:
 			reply = h.named(reply, "DISPATCH", a)
-		case admission.Throttle:
+		case admission.Reject:
 			reply = h.named(reply, "SAY_NO", a)
-			reply = millis(append(reply, '\t'), a.For)
+			reply = millis(append(reply, '\t'), a.Duration)
 			reply = flag(append(reply, '\t'), a.NoRetry)
 		case admission.Fail:
 			reply = h.named(reply, "FINISH_ERROR", a)
 		case admission.Stop:
 			reply = h.named(reply, "YANK", a)
-		case admission.Reuse:
+		case admission.JoinOriginal:
 			reply = h.named(reply, "REUSE", a)
-		case admission.Record:
+		case admission.RecordKey:
 			reply = h.named(reply, "RECORD_KEY", a)
-			reply = millis(append(reply, '\t'), a.For)
-		case admission.Call:
+			reply = millis(append(reply, '\t'), a.Duration)
+		case admission.StartCall:
 			reply = h.named(reply, "GO_CALL", a)
 			reply = millis(append(reply, '\t'), a.At)
 		case admission.SkipCall:
 			reply = h.named(reply, "FALL_BACK", a)
-		case admission.Health:
-			reply = flag(append(reply, "FITNESS\t"...), a.Good)
-			reply = flag(append(reply, '\t'), a.Stored)
-		case admission.Advise:
+		case admission.ReportHealth:
+			reply = flag(append(reply, "FITNESS\t"...), a.Healthy)
+			reply = flag(append(reply, '\t'), a.Cached)
+		case admission.SignalBackpressure:
 			reply = strconv.AppendFloat(append(reply, "SIGNAL\t"...), a.Value, 'f', -1, 64)
-		case admission.Timer:
+		case admission.SetTimer:
 			reply = millis(append(reply, "REMIND\t"...), a.At)
 			reply = append(reply, "\t0"...) // there is but one timer
-		case admission.Leave:
-			reply = append(append(reply, "TRACE\t"...), a.Text...)
+		case admission.Exit:
+			reply = append(append(reply, "TRACE\t"...), a.Report...)
 		}
 		reply = append(reply, '\n')
 	}
@@ -311,7 +311,7 @@
 
 func (h *Host) named(reply []byte, word string, a *admission.Action) []byte {
 	reply = append(append(reply, word...), '\t')
-	return strconv.AppendUint(reply, h.ids[a.Inv], 10)
+	return strconv.AppendUint(reply, h.ids[a.Invocation], 10)
 }
 
 func millis(reply []byte, ns int64) []byte {
--- a/internal/protocol/simwire/ember_test.go
+++ b/internal/protocol/simwire/ember_test.go
@@ -26,7 +26,7 @@
 	require.NoError(t, err)
 	assert.True(t, live)
 	assert.Equal(t, admission.Event{Kind: admission.Arrived, Age: 1_850_000, Caller: 17, Tenant: -1,
-		Repeats: admission.NoRepeat, Further: true, Hint: 12_000_000, HeldKB: 24.5}, e)
+		Original: admission.NoOriginal, Retry: true, ExpectedWork: 12_000_000, QueuedKB: 24.5}, e)
 }
 
 func TestEventsOfIdsNoLongerLiveAreDropped(t *testing.T) {
@@ -52,9 +52,9 @@
 	_, _, err := h.Event(split(item))
 	require.NoError(t, err)
 	got := h.Append(nil, []admission.Action{
-		{Kind: admission.Throttle, For: 250_000_000, NoRetry: true}, {Kind: admission.Call, At: 8_912_250_000},
-		{Kind: admission.Health, Good: true, Stored: true}, {Kind: admission.Advise, Value: 0.25},
-		{Kind: admission.Timer, At: 1_000_500_000},
+		{Kind: admission.Reject, Duration: 250_000_000, NoRetry: true}, {Kind: admission.StartCall, At: 8_912_250_000},
+		{Kind: admission.ReportHealth, Healthy: true, Cached: true}, {Kind: admission.SignalBackpressure, Value: 0.25},
+		{Kind: admission.SetTimer, At: 1_000_500_000},
 	})
 	assert.Equal(t, "SAY_NO\t9\t250\t1\nGO_CALL\t9\t8912.25\nFITNESS\t1\t1\nSIGNAL\t0.25\nREMIND\t1000.5\t0\n",
 		string(got))
--- a/internal/resultcache/cacheconfig/keep.go
+++ b/internal/resultcache/cacheconfig/keep.go
@@ -69,8 +69,8 @@
 // longest is the longest window of the tokened operations, 0 where there are none.
 func longest(operations []admission.Operation) (window int64) {
 	for _, op := range operations {
-		if op.Effect == admission.Tokened {
-			window = max(window, op.Window+op.ClientTimeout) // repeats may lie unread for so long
+		if op.Idempotency == admission.IdempotentWithKey {
+			window = max(window, op.DeduplicationWindow+op.ClientTimeout) // repeats may lie unread for so long
 		}
 	}
 	return window
--- a/internal/resultcache/cacheconfig/keep_test.go
+++ b/internal/resultcache/cacheconfig/keep_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/resultcache"
 )
 
-var tokened = []admission.Operation{{Effect: admission.Tokened, Window: 5_000_000_000}, {}}
+var tokened = []admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 5_000_000_000}, {}}
 
 func TestWithoutAFileTokensAreKeptInMemoryAndNothingWhereNoneAre(t *testing.T) {
 	assert.Nil(t, Usual([]admission.Operation{{}}, 192))
--- a/internal/stats/extremes.go
+++ b/internal/stats/extremes.go
@@ -2,31 +2,31 @@
 
 import "container/heap"
 
-// Extremes is the least and the greatest of a changing lot of numbers, at the cost of the change. The zero value is empty.
-type Extremes struct {
+// MinMax is the least and the greatest of a changing lot of numbers, at the cost of the change. The zero value is empty.
+type MinMax struct {
 	least, most lazy
 }
 
 // Add adds a number; it may be there several times.
-func (e *Extremes) Add(n int64) {
+func (e *MinMax) Add(n int64) {
 	heap.Push(&e.least.there, n)
 	heap.Push(&e.most.there, -n)
 }
 
 // Remove takes out one that is there.
-func (e *Extremes) Remove(n int64) {
+func (e *MinMax) Remove(n int64) {
 	e.least.remove(n)
 	e.most.remove(-n)
 }
 
 // Len is how many there are.
-func (e *Extremes) Len() int { return len(e.least.there) - len(e.least.gone) }
+func (e *MinMax) Len() int { return len(e.least.there) - len(e.least.gone) }
 
-// Least is the least of them; there must be one.
-func (e *Extremes) Least() int64 { return e.least.there[0] }
+// Min is the least of them; there must be one.
+func (e *MinMax) Min() int64 { return e.least.there[0] }
 
-// Most is the greatest of them; there must be one.
-func (e *Extremes) Most() int64 { return -e.most.there[0] }
+// Max is the greatest of them; there must be one.
+func (e *MinMax) Max() int64 { return -e.most.there[0] }
 
 // lazy is a heap from which what is gone is taken once it comes to the top, so that the top is there.
 type lazy struct{ there, gone numbers }
--- a/internal/stats/extremes_test.go
+++ b/internal/stats/extremes_test.go
@@ -10,7 +10,7 @@
 
 func TestExtremesAreThoseOfWhatIsThere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var e Extremes
+		var e MinMax
 		var there []int64
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
 			if len(there) > 0 && rapid.Bool().Draw(t, "remove") {
@@ -25,7 +25,7 @@
 			assert.Equal(t, len(there), e.Len())
 			assert.LessOrEqual(t, len(e.least.there)+len(e.least.gone), max(2, 3*len(there)))
 			if len(there) > 0 {
-				assert.Equal(t, []int64{slices.Min(there), slices.Max(there)}, []int64{e.Least(), e.Most()})
+				assert.Equal(t, []int64{slices.Min(there), slices.Max(there)}, []int64{e.Min(), e.Max()})
 			}
 		}
 	})
--- a/internal/stats/recent.go
+++ b/internal/stats/recent.go
@@ -1,15 +1,15 @@
 package stats
 
-// Recent counts what was seen of late, by key; what it costs is that of the keys seen, however many there may be.
+// DecayingCounter counts what was seen of late, by key; what it costs is that of the keys seen, however many there may be.
 // The zero value is ready.
-type Recent struct {
+type DecayingCounter struct {
 	at     map[int64]int32 // place of each key that is remembered
 	keys   []int64
 	counts []float64
 }
 
 // Add counts one of a key.
-func (r *Recent) Add(key int64) {
+func (r *DecayingCounter) Add(key int64) {
 	i, known := r.at[key]
 	if !known {
 		if r.at == nil {
@@ -21,8 +21,8 @@
 	r.counts[i]++
 }
 
-// Of is what is remembered of a key.
-func (r *Recent) Of(key int64) float64 {
+// Count is what is remembered of a key.
+func (r *DecayingCounter) Count(key int64) float64 {
 	if i, known := r.at[key]; known {
 		return r.counts[i]
 	}
@@ -30,10 +30,10 @@
 }
 
 // Counts are what is remembered of all keys, valid until the next change.
-func (r *Recent) Counts() []float64 { return r.counts }
+func (r *DecayingCounter) Counts() []float64 { return r.counts }
 
-// Fade keeps a part of each count, and forgets the keys whose count was under least.
-func (r *Recent) Fade(part, least float64) {
+// Decay keeps a part of each count, and forgets the keys whose count was under least.
+func (r *DecayingCounter) Decay(part, least float64) {
 	for i := 0; i < len(r.keys); i++ {
 		if n := r.counts[i]; n >= least {
 			r.counts[i] = n * part
@@ -44,14 +44,14 @@
 	}
 }
 
-// Forget drops what is remembered of a key.
-func (r *Recent) Forget(key int64) {
+// Remove drops what is remembered of a key.
+func (r *DecayingCounter) Remove(key int64) {
 	if i, known := r.at[key]; known {
 		r.forgetAt(i)
 	}
 }
 
-func (r *Recent) forgetAt(i int32) {
+func (r *DecayingCounter) forgetAt(i int32) {
 	last := len(r.keys) - 1
 	delete(r.at, r.keys[i])
 	if int(i) != last {
@@ -60,6 +60,6 @@
 	}
 	r.keys, r.counts = r.keys[:last], r.counts[:last]
 	if last == 0 {
-		*r = Recent{} // a map that once was large keeps its room
+		*r = DecayingCounter{} // a map that once was large keeps its room
 	}
 }
--- a/internal/stats/tally.go
+++ b/internal/stats/tally.go
@@ -4,21 +4,21 @@
 
 import "math"
 
-// Ratios counts ratios in bins of equal factors around 1.
-type Ratios struct {
+// RatioHistogram counts ratios in bins of equal factors around 1.
+type RatioHistogram struct {
 	bins             []float64
 	perOctave        float64
 	seen, remembered float64
 	sum              float64 // of what was counted, each at the middle of its bin
 }
 
-// NewRatios counts in a number of bins, so many to a factor of two, and halves them past a number of samples.
-func NewRatios(bins int, perOctave, remembered float64) Ratios {
-	return Ratios{bins: make([]float64, bins), perOctave: perOctave, remembered: remembered}
+// NewRatioHistogram counts in a number of bins, so many to a factor of two, and halves them past a number of samples.
+func NewRatioHistogram(bins int, perOctave, remembered float64) RatioHistogram {
+	return RatioHistogram{bins: make([]float64, bins), perOctave: perOctave, remembered: remembered}
 }
 
 // Add counts one ratio.
-func (r *Ratios) Add(ratio float64) {
+func (r *RatioHistogram) Add(ratio float64) {
 	middle := len(r.bins) / 2
 	bin := int(math.Round(r.perOctave*math.Log2(max(ratio, 1e-9)))) + middle
 	bin = min(max(bin, 0), len(r.bins)-1)
@@ -31,23 +31,23 @@
 }
 
 // Mean counts one sample of the prior beside those seen.
-func (r *Ratios) Mean(prior float64) float64 {
+func (r *RatioHistogram) Mean(prior float64) float64 {
 	return (prior + r.sum) / (r.seen + 1)
 }
 
-// Stays counts how long some stay and when others leave, by equal parts of a whole.
-type Stays struct {
+// SurvivalCurve counts how long some stay and when others leave, by equal parts of a whole.
+type SurvivalCurve struct {
 	stayed, left []float64
 	remembered   float64
 }
 
-// NewStays counts in a number of parts and halves them past a number of samples.
-func NewStays(parts int, remembered float64) Stays {
-	return Stays{stayed: make([]float64, parts), left: make([]float64, parts), remembered: remembered}
+// NewSurvivalCurve counts in a number of parts and halves them past a number of samples.
+func NewSurvivalCurve(parts int, remembered float64) SurvivalCurve {
+	return SurvivalCurve{stayed: make([]float64, parts), left: make([]float64, parts), remembered: remembered}
 }
 
 // Add counts one that was there up to some part of the whole and then left, or was no longer watched.
-func (s *Stays) Add(part float64, left bool) {
+func (s *SurvivalCurve) Add(part float64, left bool) {
 	last := min(max(int(part*float64(len(s.left))), 0), len(s.left)-1)
 	for i := range last + 1 {
 		s.stayed[i]++
@@ -61,8 +61,8 @@
 	}
 }
 
-// Until is the part of the whole up to which at least the given share stays.
-func (s *Stays) Until(share float64) float64 {
+// TimeAtSurvival is the part of the whole up to which at least the given share stays.
+func (s *SurvivalCurve) TimeAtSurvival(share float64) float64 {
 	stay := 1.0
 	for i, n := range s.left {
 		if stay *= 1 - n/(s.stayed[i]+1); stay < share {
@@ -72,19 +72,19 @@
 	return 1
 }
 
-// Window sums what was counted in the last slices of time, the present one included.
-type Window struct {
+// SlidingSum sums what was counted in the last slices of time, the present one included.
+type SlidingSum struct {
 	slices       []float64
 	slice, index int64
 }
 
-// NewWindow sums over a span of time in a number of whole slices beside the present one.
-func NewWindow(span int64, slices int) Window {
-	return Window{slices: make([]float64, slices+1), slice: max(1, span/int64(slices))}
+// NewSlidingSum sums over a span of time in a number of whole slices beside the present one.
+func NewSlidingSum(span int64, slices int) SlidingSum {
+	return SlidingSum{slices: make([]float64, slices+1), slice: max(1, span/int64(slices))}
 }
 
 // Add moves on to a moment and counts there.
-func (w *Window) Add(now int64, amount float64) {
+func (w *SlidingSum) Add(now int64, amount float64) {
 	n := int64(len(w.slices))
 	for w.index = max(w.index, now/w.slice-n); w.index < now/w.slice; w.index++ {
 		w.slices[(w.index+1)%n] = 0
@@ -93,7 +93,7 @@
 }
 
 // Sum is what the window holds.
-func (w *Window) Sum() (sum float64) {
+func (w *SlidingSum) Sum() (sum float64) {
 	for _, amount := range w.slices {
 		sum += amount
 	}
--- a/internal/stats/tally_test.go
+++ b/internal/stats/tally_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRatiosAreHalved(t *testing.T) {
-	r := NewRatios(28, 2, 8)
+	r := NewRatioHistogram(28, 2, 8)
 	for range 9 {
 		r.Add(2)
 	}
@@ -15,17 +15,17 @@
 }
 
 func TestStaysTellWhenMostHaveLeft(t *testing.T) {
-	s := NewStays(20, 100)
+	s := NewSurvivalCurve(20, 100)
 	for i := range 60 {
 		s.Add(0.36, i%2 == 0)
 		s.Add(0.1, false)
 	}
-	assert.InDelta(t, 0.35, s.Until(0.6), 1e-9)
-	assert.Equal(t, 1.0, s.Until(0.3))
+	assert.InDelta(t, 0.35, s.TimeAtSurvival(0.6), 1e-9)
+	assert.Equal(t, 1.0, s.TimeAtSurvival(0.3))
 }
 
 func TestWindowForgetsWhatIsPast(t *testing.T) {
-	w := NewWindow(100, 10)
+	w := NewSlidingSum(100, 10)
 	w.Add(1_000, 3)
 	w.Add(1_099, 4)
 	assert.Equal(t, 7.0, w.Sum())
@@ -36,21 +36,21 @@
 }
 
 func TestRecentForgetsKeysAsTheyFade(t *testing.T) {
-	var r Recent
-	assert.Zero(t, r.Of(4))
+	var r DecayingCounter
+	assert.Zero(t, r.Count(4))
 	r.Add(4)
 	r.Add(5)
 	r.Add(5)
 	r.Add(6)
-	assert.Equal(t, 2.0, r.Of(5))
-	r.Fade(0.5, 0.7)
-	assert.Equal(t, []float64{0.5, 1, 0.5}, []float64{r.Of(4), r.Of(5), r.Of(6)})
-	r.Fade(0.5, 0.7)
+	assert.Equal(t, 2.0, r.Count(5))
+	r.Decay(0.5, 0.7)
+	assert.Equal(t, []float64{0.5, 1, 0.5}, []float64{r.Count(4), r.Count(5), r.Count(6)})
+	r.Decay(0.5, 0.7)
 	assert.Equal(t, []float64{0.5}, r.Counts())
-	assert.Equal(t, 0.5, r.Of(5))
+	assert.Equal(t, 0.5, r.Count(5))
 	r.Add(6)
-	r.Forget(5)
+	r.Remove(5)
 	assert.Equal(t, []float64{1}, r.Counts())
-	r.Fade(0.5, 2)
+	r.Decay(0.5, 2)
 	assert.Empty(t, r.Counts())
 }
--- a/internal/testbed/baselines/pool.go
+++ b/internal/testbed/baselines/pool.go
@@ -44,32 +44,32 @@
 	var over []int32
 	if !p.said {
 		p.said = true
-		p.do(admission.Action{Kind: admission.Health, Good: true, Stored: true})
+		p.do(admission.Action{Kind: admission.ReportHealth, Healthy: true, Cached: true})
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
 		case admission.Arrived:
 			p.arrived(now, e, &over)
-		case admission.DrainNotice:
-			p.intake = now + min(p.config.DrainGrace, e.Kill-now)
-		case admission.CallWanted:
-			p.do(admission.Action{Kind: admission.Call, Inv: e.Inv, At: max(now+1, p.entries[e.Inv].due-margin)})
+		case admission.DrainRequested:
+			p.intake = now + min(p.config.DrainGrace, e.KillAt-now)
+		case admission.CallRequested:
+			p.do(admission.Action{Kind: admission.StartCall, Invocation: e.Invocation, At: max(now+1, p.entries[e.Invocation].due-margin)})
 		case admission.CallEnded:
 			if e.Outcome != admission.Succeeded {
-				p.answer(e.Inv, admission.Fail)
+				p.answer(e.Invocation, admission.Fail)
 			}
-		case admission.CallerGone:
-			p.entries[e.Inv].answered = true
-			if !p.entries[e.Inv].runs {
-				over = append(over, e.Inv)
+		case admission.CallerDisconnected:
+			p.entries[e.Invocation].answered = true
+			if !p.entries[e.Invocation].runs {
+				over = append(over, e.Invocation)
 			}
 		case admission.RunEnded:
 			p.running--
-			p.entries[e.Inv].answered = true
-			over = append(over, e.Inv)
-		case admission.TimerDue:
+			p.entries[e.Invocation].answered = true
+			over = append(over, e.Invocation)
+		case admission.TimerFired:
 			p.keep(now, &over)
-			p.do(admission.Action{Kind: admission.Timer, At: now + beat})
+			p.do(admission.Action{Kind: admission.SetTimer, At: now + beat})
 		}
 	}
 	p.line = slices.DeleteFunc(p.line, func(i int32) bool { return p.entries[i].answered })
@@ -79,7 +79,7 @@
 		if x := &p.entries[i]; x.live && !x.answered {
 			x.runs = true
 			p.running++
-			p.do(admission.Action{Kind: admission.Run, Inv: i})
+			p.do(admission.Action{Kind: admission.Run, Invocation: i})
 		}
 	}
 	if len(over) > 0 { // an index may stand for another one once it is released
@@ -88,27 +88,27 @@
 	for _, i := range over {
 		if p.entries[i].live {
 			p.entries[i].live = false
-			p.do(admission.Action{Kind: admission.Release, Inv: i})
+			p.do(admission.Action{Kind: admission.Release, Invocation: i})
 		}
 	}
 	return p.out
 }
 
 func (p *pool) arrived(now int64, e *admission.Event, over *[]int32) {
-	p.entries = append(p.entries, make([]entry, max(0, int(e.Inv)+1-len(p.entries)))...)
-	p.entries[e.Inv] = entry{due: now - e.Age + p.config.Operations[e.Operation].ClientTimeout, live: true}
+	p.entries = append(p.entries, make([]entry, max(0, int(e.Invocation)+1-len(p.entries)))...)
+	p.entries[e.Invocation] = entry{due: now - e.Age + p.config.Operations[e.OperationIndex].ClientTimeout, live: true}
 	if p.running+len(p.line) >= (runsACore+lineACore)*p.config.Cores || p.intake > 0 && now >= p.intake {
-		p.answer(e.Inv, admission.Throttle)
-		*over = append(*over, e.Inv)
+		p.answer(e.Invocation, admission.Reject)
+		*over = append(*over, e.Invocation)
 		return
 	}
-	p.line = append(p.line, e.Inv)
+	p.line = append(p.line, e.Invocation)
 }
 
 func (p *pool) answer(i int32, kind admission.ActionKind) {
 	if x := &p.entries[i]; !x.answered {
 		x.answered = true
-		p.do(admission.Action{Kind: kind, Inv: i})
+		p.do(admission.Action{Kind: kind, Invocation: i})
 	}
 }
 
@@ -121,23 +121,25 @@
 			continue
 		}
 		if open = true; now >= x.due-margin {
-			if p.answer(int32(i), map[bool]admission.ActionKind{true: admission.Fail, false: admission.Throttle}[x.runs]); !x.runs {
+			if p.answer(int32(i), map[bool]admission.ActionKind{true: admission.Fail, false: admission.Reject}[x.runs]); !x.runs {
 				*over = append(*over, int32(i))
 			}
 		}
 	}
 	if p.intake > 0 && now >= p.intake {
-		p.do(admission.Action{Kind: admission.StopIntake})
+		p.do(admission.Action{Kind: admission.StopAccepting})
 		if !open {
-			p.do(admission.Action{Kind: admission.Leave, Text: "pool: drained"})
+			p.do(admission.Action{Kind: admission.Exit, Report: "pool: drained"})
 		}
 	}
 }
 
 // State tells nothing.
-func (p *pool) State() admission.State { return admission.State{Held: len(p.line), OnCores: p.running} }
+func (p *pool) State() admission.ControllerState {
+	return admission.ControllerState{Queued: len(p.line), OnCores: p.running}
+}
 
-// Measure tells nothing: a pool has no levels.
-func (p *pool) Measure(m *admission.Measures) {
-	*m = admission.Measures{Asked: append(m.Asked[:0], make([]float64, len(p.config.Operations))...)}
+// MeasureLoad tells nothing: a pool has no levels.
+func (p *pool) MeasureLoad(m *admission.LoadMetrics) {
+	*m = admission.LoadMetrics{DemandByOperation: append(m.DemandByOperation[:0], make([]float64, len(p.config.Operations))...)}
 }
--- a/internal/testbed/emulator/cold_test.go
+++ b/internal/testbed/emulator/cold_test.go
@@ -105,7 +105,7 @@
 func TestFloodsOfColdNodesThatSayNothingAreSeen(t *testing.T) {
 	for _, n := range []int{20, 30} {
 		d := told(n)
-		d.Make = func(p *admission.Config, now int64) node.Decider { return silent{admission.New(p, now)} }
+		d.Make = func(p *admission.Config, now int64) node.Decider { return silent{admission.NewController(p, now)} }
 		assert.Greater(t, play(t, d).MostTold, 1.0)
 	}
 }
@@ -117,10 +117,10 @@
 	actions := s.Decider.Decide(now, events)
 	for k := range actions {
 		switch a := &actions[k]; a.Kind {
-		case admission.Advise:
+		case admission.SignalBackpressure:
 			a.Value = 0
-		case admission.Throttle:
-			a.For = 0
+		case admission.Reject:
+			a.Duration = 0
 		}
 	}
 	return actions
--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -34,7 +34,7 @@
 	enter.Bounds[degradation.Load], exit.Bounds[degradation.Load] = 1, 0.8
 	p.Most, p.Idle = 1, exit
 	p.Rungs = []degradation.Rung{{Name: "less", Enter: []degradation.Condition{enter}, Exit: exit,
-		Service: []admission.Service{{Form: admission.Reduced, Work: 0.5, Value: 0.8}, {}}}}
+		Service: []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {}}}}
 	d.Plan = p
 }
 
@@ -102,5 +102,5 @@
 type mute struct{}
 
 func (mute) Decide(int64, []admission.Event) []admission.Action { return nil }
-func (mute) State() admission.State                             { return admission.State{} }
-func (mute) Measure(*admission.Measures)                        {}
+func (mute) State() admission.ControllerState                   { return admission.ControllerState{} }
+func (mute) MeasureLoad(*admission.LoadMetrics)                 {}
--- a/server/config.go
+++ b/server/config.go
@@ -158,7 +158,7 @@
 	if err := read.Usable(); err != nil {
 		return nil, fmt.Errorf("configuration: settings: %w", err)
 	}
-	if f.Catalog == "" && read.Node.Below != admission.NothingBelow {
+	if f.Catalog == "" && read.Node.Dependency != admission.NoDependency {
 		return nil, fmt.Errorf("configuration: catalog: missing, though family_info.below says that there is something below; set both or none")
 	}
 	return &Config{Name: f.Name, Listen: f.Listen, Executor: f.Executor, Control: f.Control,
--- a/server/levels.go
+++ b/server/levels.go
@@ -21,7 +21,7 @@
 
 func seconds(ns int64) float64 { return float64(ns) / 1e9 }
 
-func signals(m *admission.Measures) map[string]float64 {
-	return map[string]float64{"reading": m.Reading, "wait": m.Wait, "lag": m.Lag, "calls": m.Calls,
-		"throttled": m.Throttled, "memory": m.Memory}
+func signals(m *admission.LoadMetrics) map[string]float64 {
+	return map[string]float64{"reading": m.IntakeShare, "wait": m.QueueWait, "lag": m.QueueingDelay, "calls": m.CallWait,
+		"throttled": m.RejectedShare, "memory": m.MemoryShare}
 }
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -102,7 +102,7 @@
 	files, err := filepath.Glob(filepath.Join(sites, "*.toml"))
 	require.NoError(t, err)
 	require.Len(t, files, 2)
-	effects := map[admission.Effect]int{}
+	effects := map[admission.Idempotency]int{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		require.NoError(t, err)
@@ -115,21 +115,21 @@
 		config := n.Settings
 		require.Equal(t, len(s.Classes), config.Operations.Len(), file)
 		assert.Equal(t, len(s.Tenants), config.Tenants.Len(), file)
-		assert.Equal(t, admission.SharedBelow, config.Node.Below, file)
-		assert.Equal(t, map[string]admission.Advice{"level": admission.LevelAdvice, "credit": admission.CreditAdvice}[s.Fam.Say], config.Node.Advice, file)
-		assert.Equal(t, s.Rules.Fall, config.Node.TipMultiple, file)
+		assert.Equal(t, admission.SharedDependency, config.Node.Dependency, file)
+		assert.Equal(t, map[string]admission.BackpressureKind{"level": admission.BackpressureLevel, "credit": admission.BackpressureCredits}[s.Fam.Say], config.Node.Backpressure, file)
+		assert.Equal(t, s.Rules.Fall, config.Node.OverloadMultiple, file)
 		for k, c := range s.Classes {
 			i, known := config.Operations.Lookup(c.Name)
 			require.True(t, known, c.Name)
 			op := config.Node.Operations[i]
-			assert.Equal(t, map[string]admission.Effect{"safe": admission.Idempotent, "keyed": admission.Tokened, "unsafe": admission.NonIdempotent}[c.Effect], op.Effect, c.Name)
-			assert.Equal(t, []int64{int64(c.Aim * 1e6), int64(c.Deadline * 1e6)}, []int64{op.Objective, op.ClientTimeout}, c.Name)
+			assert.Equal(t, map[string]admission.Idempotency{"safe": admission.Idempotent, "keyed": admission.IdempotentWithKey, "unsafe": admission.NonIdempotent}[c.Effect], op.Idempotency, c.Name)
+			assert.Equal(t, []int64{int64(c.Aim * 1e6), int64(c.Deadline * 1e6)}, []int64{op.LatencyObjective, op.ClientTimeout}, c.Name)
 			assert.Equal(t, int32(k), i, c.Name)
-			effects[op.Effect]++
+			effects[op.Idempotency]++
 		}
 		New(n, quiet, SystemClock())
 	}
-	assert.Positive(t, effects[admission.Tokened], "one has repeats that are dropped")
+	assert.Positive(t, effects[admission.IdempotentWithKey], "one has repeats that are dropped")
 	assert.Positive(t, effects[admission.NonIdempotent], "one has calls that may be repeated only if known not to have run")
 }
 
@@ -139,7 +139,7 @@
 	text, err := os.ReadFile(filepath.Join(sites, "real.json"))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &real))
-	usual := cacheconfig.Usual([]admission.Operation{{Effect: admission.Tokened, Window: 1}}, 64)
+	usual := cacheconfig.Usual([]admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 1}}, 64)
 	assert.Equal(t, map[string]string{"id": "call", "class": "op", "tenant": "org", "left": "ttl", "stamp": "recv", "caller": "src", "retry": "rep",
 		"hint": "work", "size": "heap", "rank": "crit", "idem": usual.Field, "key": "row", "wait": "pushback", "last": "stop", "say": "load",
 		"deep": "e2e", "body": "body"}, real.Serve.F)
