--- a/cmd/topazpost/kept.go
+++ b/cmd/topazpost/kept.go
@@ -68,22 +68,22 @@
 var errBrokenStore = errors.New("the store is broken; nothing was changed")
 
 // open locks a store and finds the size of its segments.
-func (f *folder) open() (segmentstore.Folder, segmentstore.Bounds, func(), error) {
-	at := segmentstore.Folder(f.Folder)
+func (f *folder) open() (segmentstore.Directory, segmentstore.Limits, func(), error) {
+	at := segmentstore.Directory(f.Folder)
 	unlock, err := server.LockStore(f.Folder)
 	if err != nil {
-		return at, segmentstore.Bounds{}, nil, err
+		return at, segmentstore.Limits{}, nil, err
 	}
 	names, err := at.Names()
 	if err != nil {
 		unlock()
-		return at, segmentstore.Bounds{}, nil, err
+		return at, segmentstore.Limits{}, nil, err
 	}
-	bounds := segmentstore.Bounds{Segment: 1 << 20, Most: math.MaxInt64}
+	bounds := segmentstore.Limits{SegmentBytes: 1 << 20, MaxBytes: math.MaxInt64}
 	for _, name := range names {
 		if strings.HasSuffix(name, ".seg") {
 			if info, err := os.Stat(filepath.Join(f.Folder, name)); err == nil {
-				bounds.Segment = info.Size()
+				bounds.SegmentBytes = info.Size()
 			}
 		}
 	}
@@ -97,14 +97,14 @@
 	}
 	defer unlock()
 	_, records, _, err := segmentstore.Open(at, bounds)
-	return segmentstore.Last(records), err
+	return segmentstore.LatestRecords(records), err
 }
 
 func state(r *segmentstore.Record) string {
-	if r.Kind != segmentstore.Ended {
+	if r.Kind != segmentstore.RunEnded {
 		return "unknown"
 	}
-	return map[resultcache.Ending]string{resultcache.Succeeded: "succeeded", resultcache.Errored: "errored", resultcache.NotRun: "not run"}[resultcache.Ending(r.Ending)]
+	return map[resultcache.Outcome]string{resultcache.Succeeded: "succeeded", resultcache.Failed: "errored", resultcache.NeverStarted: "not run"}[resultcache.Outcome(r.Outcome)]
 }
 
 func when(until int64) string {
@@ -123,8 +123,8 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "token\toperation\ttenant\tstate\tresult bytes\twindow ends")
 	for i := range last {
-		if r := &last[i]; !c.Unknown || r.Kind != segmentstore.Ended {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, state(r), len(r.Result), when(r.Until))
+		if r := &last[i]; !c.Unknown || r.Kind != segmentstore.RunEnded {
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, state(r), len(r.Result), when(r.ExpiresAt))
 		}
 	}
 	return w.Flush()
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("token %s\noperation %d\ntenant %d\nstate %s\nwindow ends %s\nresult %q\n", r.Token, r.Operation, r.Tenant, state(r), when(r.Until), r.Result)
+	fmt.Printf("token %s\noperation %d\ntenant %d\nstate %s\nwindow ends %s\nresult %q\n", r.Token, r.Operation, r.Tenant, state(r), when(r.ExpiresAt), r.Result)
 	return nil
 }
 
@@ -172,16 +172,16 @@
 	if err != nil {
 		return err
 	}
-	r, err := c.find(segmentstore.Last(records))
+	r, err := c.find(segmentstore.LatestRecords(records))
 	if err != nil {
 		return err
 	}
-	if r.Kind == segmentstore.Ended {
+	if r.Kind == segmentstore.RunEnded {
 		return fmt.Errorf("the run of %q is known to have %s; only an unknown one is settled", c.Token, state(r))
 	}
-	r.Kind, r.Ending = segmentstore.Ended, uint8(resultcache.Errored)
+	r.Kind, r.Outcome = segmentstore.RunEnded, uint8(resultcache.Failed)
 	if c.Ending == "succeeded" {
-		r.Ending = uint8(resultcache.Succeeded)
+		r.Outcome = uint8(resultcache.Succeeded)
 		if c.Result != "" {
 			if r.Result, err = os.ReadFile(c.Result); err != nil {
 				return err
@@ -220,7 +220,7 @@
 }
 
 // segments reads each file on its own, so that one that is broken hides no other.
-func (f *folder) segments(tell func(name string, data []byte, s *segmentstore.Scanned, err error)) error {
+func (f *folder) segments(tell func(name string, data []byte, s *segmentstore.ScanResult, err error)) error {
 	at, _, unlock, err := f.open()
 	if err != nil {
 		return err
@@ -248,14 +248,14 @@
 func (c *storeInspect) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
-	err := c.segments(func(name string, data []byte, s *segmentstore.Scanned, err error) {
+	err := c.segments(func(name string, data []byte, s *segmentstore.ScanResult, err error) {
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%v\n", name, err)
 			return
 		}
 		until := int64(0)
 		for _, r := range s.Records {
-			until = max(until, r.Until)
+			until = max(until, r.ExpiresAt)
 		}
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", name, len(s.Records), s.End, len(data), s.Dropped, when(until))
 	})
@@ -268,7 +268,7 @@
 // Run reads all.
 func (c *storeVerify) Run() error {
 	broken, records := 0, 0
-	err := c.segments(func(name string, _ []byte, s *segmentstore.Scanned, err error) {
+	err := c.segments(func(name string, _ []byte, s *segmentstore.ScanResult, err error) {
 		if err != nil {
 			broken++
 			fmt.Printf("%s: %v\n", filepath.Join(c.Folder, name), err)
@@ -315,7 +315,7 @@
 			State     string `json:"state"`
 			Until     int64  `json:"until_unix_ns"`
 			Result    []byte `json:"result,omitempty"`
-		}{r.Token, r.Operation, r.Tenant, state(r), r.Until, r.Result})
+		}{r.Token, r.Operation, r.Tenant, state(r), r.ExpiresAt, r.Result})
 		if err != nil {
 			return err
 		}
--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -135,14 +135,14 @@
 			return err
 		}
 		fmt.Printf("keeps results by the field %q: %d kB in memory, results of %d bytes, %g s at the most; %s\n", k.Field,
-			k.Rules.BytesMost>>10, k.Rules.ResultMost, float64(k.Rules.Window)/1e9, k.Where())
+			k.Cache.MaxBytes>>10, k.Cache.MaxResultBytes, float64(k.Cache.Window)/1e9, k.Location())
 	}
 	if c.Plan == "" {
 		return nil
 	}
 	ladder, err := degradationplan.Read(c.Plan, n.Settings.Operations)
 	if err == nil {
-		fmt.Printf("plan %s: %d levels above full service\n", ladder.Name, len(ladder.Rungs))
+		fmt.Printf("plan %s: %d levels above full service\n", ladder.Name, len(ladder.Levels))
 	}
 	return err
 }
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -66,10 +66,10 @@
 }
 
 func (c *condition) bounds() degradation.Condition {
-	of := degradation.Condition{Bounds: degradation.Free(), For: int64(c.For)}
+	of := degradation.Condition{Limits: degradation.NoLimits(), Duration: int64(c.For)}
 	for k, p := range []*configfile.Part{c.Load, c.Wait, c.Lag, c.Calls, c.Throttled, c.Memory} {
 		if p != nil {
-			of.Bounds[k] = float64(*p)
+			of.Limits[k] = float64(*p)
 		}
 	}
 	return of
@@ -118,29 +118,29 @@
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
-	p := &node.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: degradation.Plan{Name: w.Name, Spare: w.Spare, Hold: holdUsual, Most: mostUsual,
-		Bridges: bridgesUsual, Forget: forgetUsual, Proof: proofUsual, Spread: spreadUsual}}
+	p := &node.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: degradation.Plan{Name: w.Name, UseSpareCapacity: w.Spare, MinHold: holdUsual, MaxHold: mostUsual,
+		HoldGapFactor: bridgesUsual, GapHalfLife: forgetUsual, ProofTime: proofUsual, Jitter: spreadUsual}}
 	if p.Name == "" {
 		p.Name = file.Path
 	}
 	for _, t := range []struct {
 		from *configfile.Time
 		to   *int64
-	}{{w.Hold, &p.Hold}, {w.HoldMost, &p.Most}, {w.Forget, &p.Forget}, {w.Proof, &p.Proof}} {
+	}{{w.Hold, &p.MinHold}, {w.HoldMost, &p.MaxHold}, {w.Forget, &p.GapHalfLife}, {w.Proof, &p.ProofTime}} {
 		if t.from != nil {
 			*t.to = int64(*t.from)
 		}
 	}
 	if w.Spread != nil {
-		p.Spread = float64(*w.Spread)
+		p.Jitter = float64(*w.Spread)
 	}
 	if w.Bridges != nil {
-		p.Bridges = *w.Bridges
+		p.HoldGapFactor = *w.Bridges
 	}
-	p.Idle = degradation.Condition{Bounds: degradation.Free(), For: idleUsual}
-	p.Idle.Bounds[degradation.Load] = idleLoad
+	p.IdleCondition = degradation.Condition{Limits: degradation.NoLimits(), Duration: idleUsual}
+	p.IdleCondition.Limits[degradation.Load] = idleLoad
 	if w.Idle != nil {
-		p.Idle = w.Idle.bounds()
+		p.IdleCondition = w.Idle.bounds()
 	}
 	found := configfile.Problems{}
 	names := operations.All()
@@ -148,8 +148,8 @@
 		found = append(found, addRung(p, file, &w, k, operations, names)...)
 	}
 	if len(found) == 0 { // else what follows from those would be told beside them
-		for _, fault := range p.Check(operations.Slots()) {
-			found = append(found, file.At(fault.Path, fault.What, fault.Mend))
+		for _, fault := range p.Validate(operations.Slots()) {
+			found = append(found, file.At(fault.Path, fault.Description, fault.Suggestion))
 		}
 	}
 	if len(found) > 0 {
@@ -162,7 +162,7 @@
 	names []string) (found configfile.Problems) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
-	rung := degradation.Rung{Name: from.Name, Service: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
+	rung := degradation.Level{Name: from.Name, Services: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
 	forms := make([]string, len(names))
 	unknown := func(name string, path []string) (int32, bool) {
 		i, known := operations.Lookup(name)
@@ -177,10 +177,10 @@
 	}
 	for j, name := range from.Refuse {
 		if i, known := unknown(name, at("refuse", fmt.Sprint(j))); known {
-			rung.Service[i] = admission.Service{Form: admission.Shed}
+			rung.Services[i] = admission.Service{Form: admission.Shed}
 			if k > 0 && w.Spare { // the spare room goes to the form of the level before
-				before := p.Rungs[k-1].Service[i]
-				rung.Service[i].WorkShare, rung.Service[i].WeightShare, forms[i] = before.WorkShare, before.WeightShare, p.Forms[k-1][i]
+				before := p.Levels[k-1].Services[i]
+				rung.Services[i].WorkShare, rung.Services[i].WeightShare, forms[i] = before.WorkShare, before.WeightShare, p.Forms[k-1][i]
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 		i, known := unknown(name, path)
 		switch {
 		case !known:
-		case rung.Service[i].Form == admission.Shed:
+		case rung.Services[i].Form == admission.Shed:
 			found = append(found, file.At(path, "is refused by the same level", "take it out of refuse or out of reduce"))
 		case !w.FormsKnown:
 			found = append(found, file.At(path, "needs an executor that knows reduced forms, and callers that know the field "+
@@ -201,14 +201,14 @@
 			found = append(found, file.At(path, "names the whole operation as its reduced form", "name the form as the executor "+
 				"knows it"))
 		default:
-			rung.Service[i] = admission.Service{Form: admission.Reduced, WorkShare: float64(form.Work), WeightShare: float64(form.Value)}
+			rung.Services[i] = admission.Service{Form: admission.Reduced, WorkShare: float64(form.Work), WeightShare: float64(form.Value)}
 			forms[i] = form.Form
 		}
 	}
 	for j := range from.Enter {
 		rung.Enter = append(rung.Enter, from.Enter[j].bounds())
 	}
-	p.Rungs, p.Forms = append(p.Rungs, rung), append(p.Forms, forms)
+	p.Levels, p.Forms = append(p.Levels, rung), append(p.Forms, forms)
 	return found
 }
 
@@ -229,11 +229,11 @@
 	fmt.Fprintf(t, "plan %s\n", p.Name)
 	fmt.Fprintf(t, "level\t%s\tsaves of the work\tgives up of the value\tenter\texit\n", strings.Join(names, "\t"))
 	fmt.Fprintf(t, "full%s\t0 %%\t0 %%\t\t\n", strings.Repeat("\twhole", len(names)))
-	for k := range p.Rungs {
-		r := &p.Rungs[k]
+	for k := range p.Levels {
+		r := &p.Levels[k]
 		fmt.Fprint(t, r.Name)
 		work, value, all, allValue := 0.0, 0.0, 0.0, 0.0
-		for i, s := range r.Service {
+		for i, s := range r.Services {
 			op := of.Node.Operations[i]
 			share := mix[names[i]]
 			billed := share * op.PriorityWeight
@@ -256,18 +256,18 @@
 		fmt.Fprintf(t, "\t%.0f %%\t%.0f %%\t%s\t%s\n", 100*work/max(all, 1e-9), 100*value/max(allValue, 1e-9), strings.Join(enter, " or "),
 			tell(&r.Exit, "<"))
 	}
-	fmt.Fprintf(t, "held for %s after the last need, %s at the most\n", span(p.Hold), span(p.Most))
+	fmt.Fprintf(t, "held for %s after the last need, %s at the most\n", span(p.MinHold), span(p.MaxHold))
 	return t.Flush()
 }
 
 func tell(c *degradation.Condition, sign string) string {
 	var list []string
-	for k, b := range c.Bounds {
+	for k, b := range c.Limits {
 		if !math.IsNaN(b) {
-			list = append(list, fmt.Sprintf("%s %s %g %%", degradation.Names[k], sign, 100*b))
+			list = append(list, fmt.Sprintf("%s %s %g %%", degradation.SignalNames[k], sign, 100*b))
 		}
 	}
-	return strings.Join(list, " and ") + " for " + span(c.For)
+	return strings.Join(list, " and ") + " for " + span(c.Duration)
 }
 
 func span(ns int64) string { return fmt.Sprintf("%g s", float64(ns)/1e9) }
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -54,15 +54,15 @@
 	for _, name := range []string{"plain", "template", "imported"} {
 		p, err := Read("testdata/sound/"+name+".jsonnet", operations)
 		require.NoError(t, err)
-		assert.Len(t, p.Rungs, 2)
-		assert.Equal(t, []admission.Service{{Form: admission.Shed}, {Form: admission.Shed}, {}}, p.Rungs[1].Service)
+		assert.Len(t, p.Levels, 2)
+		assert.Equal(t, []admission.Service{{Form: admission.Shed}, {Form: admission.Shed}, {}}, p.Levels[1].Services)
 	}
 	p, err := Read("testdata/sound/imported.jsonnet", operations)
 	require.NoError(t, err)
-	assert.Equal(t, int64(20e9), p.Hold)
-	assert.Equal(t, 0.1, p.Spread)
-	assert.Equal(t, 1.0, p.Rungs[0].Enter[0].Bounds[degradation.Load])
-	assert.Equal(t, int64(1e9), p.Rungs[0].Enter[0].For)
+	assert.Equal(t, int64(20e9), p.MinHold)
+	assert.Equal(t, 0.1, p.Jitter)
+	assert.Equal(t, 1.0, p.Levels[0].Enter[0].Limits[degradation.Load])
+	assert.Equal(t, int64(1e9), p.Levels[0].Enter[0].Duration)
 }
 
 func TestTableShowsWhatEachRungSaves(t *testing.T) {
--- a/internal/degradation/helpers_test.go
+++ b/internal/degradation/helpers_test.go
@@ -10,8 +10,8 @@
 
 // above is a condition of entry on one signal.
 func above(signal Signal, bound float64, ns int64) Condition {
-	c := Condition{Bounds: Free(), For: ns}
-	c.Bounds[signal] = bound
+	c := Condition{Limits: NoLimits(), Duration: ns}
+	c.Limits[signal] = bound
 	return c
 }
 
@@ -19,11 +19,11 @@
 // second is refused too.
 func plan(change ...func(*Plan)) *Plan {
 	whole, refused := admission.Service{}, admission.Service{Form: admission.Shed}
-	p := &Plan{Hold: 10 * second, Most: 120 * second, Bridges: 1.25, Forget: 900 * second, Proof: 3 * second,
-		Idle: above(Load, 0.3, second)}
+	p := &Plan{MinHold: 10 * second, MaxHold: 120 * second, HoldGapFactor: 1.25, GapHalfLife: 900 * second, ProofTime: 3 * second,
+		IdleCondition: above(Load, 0.3, second)}
 	for _, s := range [][]admission.Service{{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, whole, whole},
 		{refused, whole, whole}, {refused, refused, whole}} {
-		p.Rungs = append(p.Rungs, Rung{Name: string(rune('a' + len(p.Rungs))), Service: s,
+		p.Levels = append(p.Levels, Level{Name: string(rune('a' + len(p.Levels))), Services: s,
 			Enter: []Condition{above(Load, 1, second/2)}, Exit: above(Load, 0.85, 5*second)})
 	}
 	for _, c := range change {
@@ -32,8 +32,8 @@
 	return p
 }
 
-func ladder(change ...func(*Plan)) *Ladder {
-	return New(plan(change...), 0, rand.New(rand.NewSource(1)))
+func ladder(change ...func(*Plan)) *Controller {
+	return NewController(plan(change...), 0, rand.New(rand.NewSource(1)))
 }
 
 // asked are measures of a load.
@@ -42,7 +42,7 @@
 }
 
 // follow steps on every beat and gives the changes.
-func follow(l *Ladder, from, to int64, of func(at int64) *admission.LoadMetrics) (turns []Change, at []int64) {
+func follow(l *Controller, from, to int64, of func(at int64) *admission.LoadMetrics) (turns []Change, at []int64) {
 	for now := from; now < to; now += second / 20 {
 		if c, changed := l.Step(now, of(now)); changed {
 			turns, at = append(turns, c), append(at, now)
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -162,7 +162,7 @@
 	for k, token := range []string{"a", "b"} {
 		effects := ran(r, k+1)
 		for _, e := range kindsOf(effects, Keep) {
-			kept[e.Kept.Key.Token] = e.Kept.For
+			kept[e.Kept.Key.Token] = e.Kept.Remaining
 		}
 		written(r, effects)
 		_ = token
@@ -209,12 +209,12 @@
 	plan := ladderOf(-1)
 	plan.Operations = []string{"gone", "newer"}
 	plan.Forms[0] = []string{"", "newer-plain"}
-	for k := range plan.Rungs {
-		plan.Rungs[k].Service[0], plan.Rungs[k].Service[1] = plan.Rungs[k].Service[1], plan.Rungs[k].Service[0]
+	for k := range plan.Levels {
+		plan.Levels[k].Services[0], plan.Levels[k].Services[1] = plan.Levels[k].Services[1], plan.Levels[k].Services[0]
 	}
 	step(r, Input{Kind: Adopt, Plan: plan})
 	i, _ := r.config.Operations.Find("newer")
-	assert.Equal(t, admission.Reduced, r.levels.plan.Rungs[0].Service[i].Form)
+	assert.Equal(t, admission.Reduced, r.levels.plan.Levels[0].Services[i].Form)
 	assert.Equal(t, "newer-plain", r.levels.plan.Forms[0][i])
 	assert.Empty(t, r.Invariants.All())
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -125,7 +125,7 @@
 	if r.kept.held[v.key] != nil {
 		return false
 	}
-	_, known := r.kept.keeper.Body(v.key)
+	_, known := r.kept.keeper.BodyHash(v.key)
 	return !known
 }
 
@@ -301,15 +301,15 @@
 	}
 	switch a.Deed {
 	case claims.Run, claims.Kept:
-		r.keeper(resultcache.Input{Kind: resultcache.Written, Key: key})
+		r.keeper(resultcache.Input{Kind: resultcache.WriteSucceeded, Key: key})
 	case claims.Learn:
-		r.keeper(resultcache.Input{Kind: resultcache.Learned, Key: key, Ending: resultcache.Ending(a.Ending), Result: a.Result})
+		r.keeper(resultcache.Input{Kind: resultcache.CompletedElsewhere, Key: key, Outcome: resultcache.Outcome(a.Ending), Result: a.Result})
 	case claims.Unsure:
-		r.keeper(resultcache.Input{Kind: resultcache.Doubted, Key: key})
+		r.keeper(resultcache.Input{Kind: resultcache.UnknownElsewhere, Key: key})
 	case claims.Differ:
-		r.keeper(resultcache.Input{Kind: resultcache.Clashed, Key: key})
+		r.keeper(resultcache.Input{Kind: resultcache.MismatchElsewhere, Key: key})
 	case claims.Deny:
-		r.keeper(resultcache.Input{Kind: resultcache.Denied, Key: key, For: a.For})
+		r.keeper(resultcache.Input{Kind: resultcache.RejectedElsewhere, Key: key, Remaining: a.For})
 	case claims.Heir:
 		if err := r.inherit(key, a); err != nil {
 			r.remark(Warn, "work of a lost node can't be taken over", a.Key.String(), err)
@@ -367,7 +367,7 @@
 	if r.kept.held[key] != nil {
 		return nil // a caller is here already, and its invocation goes on under this claim
 	}
-	if _, known := r.kept.keeper.Body(key); known {
+	if _, known := r.kept.keeper.BodyHash(key); known {
 		return nil
 	}
 	v := invocation{live: true, conn: heir, call: w.Call, op: r.config.Operations.Name(key.Operation), body: w.Body, key: key, hash: a.Body,
@@ -395,17 +395,17 @@
 		if r.kept.held[key] != nil {
 			continue // the module's
 		}
-		if _, known := r.kept.keeper.Body(key); !known {
+		if _, known := r.kept.keeper.BodyHash(key); !known {
 			r.want(claims.Input{Want: claims.Drop, Key: k})
 			continue
 		}
-		askers, unrun := r.kept.keeper.Askers(key)
+		askers, unrun := r.kept.keeper.Waiters(key)
 		if unrun && len(askers) == 0 {
-			r.keeper(resultcache.Input{Kind: resultcache.Dismissed, Asker: -1, Key: key})
+			r.keeper(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: -1, Key: key})
 		}
 		for _, i := range askers {
 			if r.now >= r.invs[i].due-dueLead {
-				r.keeper(resultcache.Input{Kind: resultcache.Dismissed, Asker: i, Key: key, Doubt: c.desk.Elsewhere(k)})
+				r.keeper(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: c.desk.Elsewhere(k)})
 			}
 		}
 	}
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -22,7 +22,7 @@
 	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	config := membership.Config{Name: "n1", Address: "127.0.0.1:1", Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms, Forget: 1 << 50, MembersMost: 8}
 	r.Peer("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
-	r.Keep(resultcache.Rules{Durability: resultcache.OnDisk, BytesMost: 1 << 20, ResultMost: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
+	r.Keep(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
 	r.Convene([]string{"n0"}, 0, 0, 1)
 	step(r, Input{Kind: Opened, Link: 7})
 	step(r, Input{Kind: Joined, Link: r.dialing})
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -146,8 +146,8 @@
 
 // turn adds a change of level.
 func (d digest) turn(t *node.Turn) {
-	d.whole(int64(t.From), int64(t.To), int64(t.Signal), t.For, t.Lasted, int64(t.Cause), t.HeldAfter)
-	d.real(t.Value, t.Bound)
+	d.whole(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionTime, t.PreviousTime, int64(t.Cause), t.HoldTime)
+	d.real(t.Value, t.Limit)
 	d.text(t.Plan, t.FromName, t.ToName)
 	d.whole(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
 	d.real(t.Signals.DemandByOperation...)
@@ -165,10 +165,10 @@
 }
 
 // stored adds a record for the store.
-func (d digest) stored(s *resultcache.Stored) {
-	d.whole(int64(s.Key.Operation), int64(s.Key.Tenant), int64(s.Body), s.For, int64(s.Ending))
+func (d digest) stored(s *resultcache.Record) {
+	d.whole(int64(s.Key.Operation), int64(s.Key.Tenant), int64(s.BodyHash), s.Remaining, int64(s.Outcome))
 	d.text(s.Key.Token)
-	d.flag(s.Done)
+	d.flag(s.Completed)
 	d.bytes(s.Result)
 }
 
--- a/internal/node/digestsite_test.go
+++ b/internal/node/digestsite_test.go
@@ -91,7 +91,7 @@
 	notices   []lineprotocol.Line
 	booted    int64
 	supplies  map[int]string // links to the catalogue, and the call on each
-	stored    []resultcache.Stored
+	stored    []resultcache.Record
 	disk      consensus.Disk
 	exchanges map[int]question // asked of this node
 	streams   map[int]stream
@@ -208,7 +208,7 @@
 		r.Peer(fleetName, membership.New(c, n.Now, epoch+n.Now, 0, n.seed+int64(n.life)))
 	}
 	if n.keep && !n.hollowOne() {
-		r.Keep(resultcache.Rules{Durability: n.durability, BytesMost: 200_000, ResultMost: 1_000, Window: 8_000 * millisecond}, "dedupe",
+		r.Keep(resultcache.Config{Durability: n.durability, MaxBytes: 200_000, MaxResultBytes: 1_000, Window: 8_000 * millisecond}, "dedupe",
 			n.life > 1 && n.durability == resultcache.OnDisk)
 	}
 	if n.seats > 0 {
@@ -798,16 +798,16 @@
 
 // Disks.
 
-func (n *station) keepRecord(kept resultcache.Stored) {
+func (n *station) keepRecord(kept resultcache.Record) {
 	if n.failing && n.odds(6) {
 		n.later(n.drawn(200, 9_000), func() {
-			n.put(node.Input{Kind: node.KeptUnwritten, Err: errDrawn, Kept: []resultcache.Stored{kept}})
+			n.put(node.Input{Kind: node.KeptUnwritten, Err: errDrawn, Kept: []resultcache.Record{kept}})
 		})
 		return
 	}
 	n.later(n.drawn(200, 9_000), func() {
 		n.stored = append(n.stored, kept)
-		n.put(node.Input{Kind: node.KeptWritten, Kept: []resultcache.Stored{kept}})
+		n.put(node.Input{Kind: node.KeptWritten, Kept: []resultcache.Record{kept}})
 	})
 }
 
@@ -1049,14 +1049,14 @@
 func (n *station) plan(load float64, spare bool) *node.Plan {
 	p := &node.Plan{Forms: [][]string{{"catalogue-plain", "", ""}, {"catalogue-plain", "", "pay-plain"}}, Operations: []string{"catalogue", "hold", "pay"},
 		Text: fmt.Sprint(load, spare)}
-	p.Name, p.Hold, p.Most, p.Spare = "test", 300*millisecond, 5_000*millisecond, spare
-	p.Idle = degradation.Condition{Bounds: degradation.Free()}
-	p.Idle.Bounds[degradation.Load] = load / 4
+	p.Name, p.MinHold, p.MaxHold, p.UseSpareCapacity = "test", 300*millisecond, 5_000*millisecond, spare
+	p.IdleCondition = degradation.Condition{Limits: degradation.NoLimits()}
+	p.IdleCondition.Limits[degradation.Load] = load / 4
 	for k, services := range [][]admission.Service{{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {}, {}},
 		{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}, {Form: admission.Reduced, WorkShare: 0.3, WeightShare: 0.5}}} {
-		enter, exit := degradation.Condition{Bounds: degradation.Free(), For: 100 * millisecond}, degradation.Condition{Bounds: degradation.Free(), For: 200 * millisecond}
-		enter.Bounds[degradation.Load], exit.Bounds[degradation.Load] = load*float64(k+1), load*float64(k+1)*0.7
-		p.Rungs = append(p.Rungs, degradation.Rung{Name: []string{"plain", "little"}[k], Service: services, Enter: []degradation.Condition{enter}, Exit: exit})
+		enter, exit := degradation.Condition{Limits: degradation.NoLimits(), Duration: 100 * millisecond}, degradation.Condition{Limits: degradation.NoLimits(), Duration: 200 * millisecond}
+		enter.Limits[degradation.Load], exit.Limits[degradation.Load] = load*float64(k+1), load*float64(k+1)*0.7
+		p.Levels = append(p.Levels, degradation.Level{Name: []string{"plain", "little"}[k], Services: services, Enter: []degradation.Condition{enter}, Exit: exit})
 	}
 	return p
 }
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -41,7 +41,7 @@
 	r, arrived = New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
 	make := r.Decisions
 	r.Decisions = func(config *admission.Config, born int64) Decider { return spy{make(config, born), arrived} }
-	r.Keep(resultcache.Rules{BytesMost: 1 << 20, ResultMost: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	r.Keep(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: Opened, Link: 7})
 	step(r, Input{Kind: Joined, Link: r.dialing})
 	told(r, "WELCOME old 0")
@@ -105,7 +105,7 @@
 	before := p.Node
 	first := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	second := New(p, Addresses{"executor:2", "catalogue:2", "control:2"}, 5_000*ms, 4, 3)
-	first.Keep(resultcache.Rules{BytesMost: 1 << 20, ResultMost: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	first.Keep(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(first)
 	step(first, Input{Kind: Joined, Link: first.dialing})
 	told(first, "WELCOME new 0")
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -20,7 +20,7 @@
 
 // kept is the door to what becomes of tokened invocations; without a keeper tokens mean nothing.
 type kept struct {
-	keeper  *resultcache.Keeper
+	keeper  *resultcache.Cache
 	token   string // name of the field that carries it
 	held    map[resultcache.Key]*unrun
 	unread  bool // the store of an earlier life is not read yet
@@ -38,18 +38,18 @@
 
 // Keep has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
 // turned away until KeptRead tells that the store was read.
-func (r *Reducer) Keep(rules resultcache.Rules, field string, unread bool) {
-	r.config.Node.MaxDeduplicationEntries = rules.TokensMost()
+func (r *Reducer) Keep(rules resultcache.Config, field string, unread bool) {
+	r.config.Node.MaxDeduplicationEntries = rules.MaxTokens()
 	r.amended.numbers = unread
 	r.kept = kept{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*unrun), unread: unread}
 }
 
 // Results is what an operator may want to see of the tokens, nil where none are kept.
-func (r *Reducer) Results() *resultcache.Counts {
+func (r *Reducer) Results() *resultcache.Counters {
 	if r.kept.keeper == nil {
 		return nil
 	}
-	return &r.kept.keeper.Counts
+	return &r.kept.keeper.Counters
 }
 
 // reading says whether a tokened invocation must be turned away: what ran in an earlier life is not known yet.
@@ -71,7 +71,7 @@
 			return errToken
 		}
 		e.Original = h.first
-	} else if hash, known := k.keeper.Body(v.key); known {
+	} else if hash, known := k.keeper.BodyHash(v.key); known {
 		if hash != v.hash {
 			return errToken
 		}
@@ -98,7 +98,7 @@
 		h.waiting = append(h.waiting, i)
 		return
 	}
-	if _, known := r.kept.keeper.Body(v.key); !known { // its first was turned away unrun in the same step
+	if _, known := r.kept.keeper.BodyHash(v.key); !known { // its first was turned away unrun in the same step
 		r.again(i)
 		return
 	}
@@ -113,7 +113,7 @@
 	if until == 0 {
 		until = r.now + v.terms.known
 	}
-	r.keeper(resultcache.Input{Kind: resultcache.Asked, Asker: i, Key: v.key, Body: v.hash, For: until - r.now})
+	r.keeper(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.key, BodyHash: v.hash, Remaining: until - r.now})
 }
 
 // runToken lets a token's first run, and those that waited for it join.
@@ -181,8 +181,8 @@
 	if !v.asked {
 		return false
 	}
-	r.keeper(resultcache.Input{Kind: resultcache.Left, Asker: i, Key: v.key})
-	v.orphan = v.runs && !v.exited && k.keeper.Waiting(v.key) > 0
+	r.keeper(resultcache.Input{Kind: resultcache.CallerDisconnected, Invocation: i, Key: v.key})
+	v.orphan = v.runs && !v.exited && k.keeper.JoinedCount(v.key) > 0
 	return v.orphan
 }
 
@@ -198,14 +198,14 @@
 func (r *Reducer) tokenEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &r.invs[i]
 	v.exited, v.ending, v.runs = true, outcome, false
-	ending := resultcache.Errored
+	ending := resultcache.Failed
 	switch outcome {
 	case admission.Succeeded:
 		ending = resultcache.Succeeded
 	case admission.NeverStarted:
-		ending = resultcache.NotRun
+		ending = resultcache.NeverStarted
 	}
-	r.keeper(resultcache.Input{Kind: resultcache.Ended, Key: v.key, Ending: ending, Result: body})
+	r.keeper(resultcache.Input{Kind: resultcache.RunEnded, Key: v.key, Outcome: ending, Result: body})
 	if v := &r.invs[i]; v.answered {
 		r.runOver(i)
 	}
@@ -221,26 +221,26 @@
 	case KeptRecords:
 		for _, s := range in.Kept {
 			k.stored++
-			k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.Recovered, Key: s.Key, Body: s.Body, Done: s.Done, Ending: s.Ending,
+			k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.RecordRecovered, Key: s.Key, BodyHash: s.BodyHash, Completed: s.Completed, Outcome: s.Outcome,
 				Result: s.Result})
 		}
 		r.keeper()
 	case KeptRead:
 		k.unread = false
-		r.keeper(resultcache.Input{Kind: resultcache.Restarted})
+		r.keeper(resultcache.Input{Kind: resultcache.RecoveryCompleted})
 		r.remark(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.stored,
-			k.keeper.Counts.Entries, k.keeper.Counts.Unknown), "", nil)
+			k.keeper.Counters.Entries, k.keeper.Counters.Unknown), "", nil)
 	case KeptWritten, KeptUnwritten:
-		failing := k.keeper.Failing()
-		kind := resultcache.Written
+		failing := k.keeper.StoreFailing()
+		kind := resultcache.WriteSucceeded
 		if in.Kind == KeptUnwritten {
-			kind = resultcache.Unwritten
+			kind = resultcache.WriteFailed
 		}
 		for _, s := range in.Kept {
 			k.inputs = append(k.inputs, resultcache.Input{Kind: kind, Key: s.Key})
 		}
 		r.keeper()
-		if now := k.keeper.Failing(); now && !failing {
+		if now := k.keeper.StoreFailing(); now && !failing {
 			r.remark(Warn, "results can't be kept", "", in.Err)
 		} else if failing && !now {
 			r.remark(Info, "results are kept again", "", nil)
@@ -269,25 +269,25 @@
 func (r *Reducer) carryKept(a *resultcache.Action) {
 	switch a.Kind {
 	case resultcache.Run:
-		v := &r.invs[a.Asker]
+		v := &r.invs[a.Invocation]
 		if v.live && !v.answered {
 			v.runs = true
-			r.run(a.Asker, v.runForm)
+			r.run(a.Invocation, v.runForm)
 		}
-	case resultcache.Begin:
+	case resultcache.WriteStart:
 		if r.claimed.desk != nil {
-			r.want(claims.Input{Want: claims.Begin, Key: r.claimKey(a.Key), Body: a.Body, For: a.Until - r.now, Window: a.Until - r.now})
+			r.want(claims.Input{Want: claims.Begin, Key: r.claimKey(a.Key), Body: a.BodyHash, For: a.Until - r.now, Window: a.Until - r.now})
 			return
 		}
-		r.do(Effect{Kind: Keep, Kept: &resultcache.Stored{Key: a.Key, Body: a.Body, For: a.Until - r.now}})
-	case resultcache.Finish:
+		r.do(Effect{Kind: Keep, Kept: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - r.now}})
+	case resultcache.WriteEnd:
 		if r.claimed.desk != nil {
-			r.want(claims.Input{Want: claims.Finish, Key: r.claimKey(a.Key), Ending: uint8(a.Ending), Result: a.Result})
+			r.want(claims.Input{Want: claims.Finish, Key: r.claimKey(a.Key), Ending: uint8(a.Outcome), Result: a.Result})
 			return
 		}
-		r.do(Effect{Kind: Keep, Kept: &resultcache.Stored{Key: a.Key, Done: true, Ending: a.Ending, Result: a.Result,
-			For: r.knownMost(a.Key.Operation)}})
-	case resultcache.Drop:
+		r.do(Effect{Kind: Keep, Kept: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
+			Remaining: r.knownMost(a.Key.Operation)}})
+	case resultcache.RemoveRecord:
 		if r.claimed.desk != nil {
 			r.want(claims.Input{Want: claims.Drop, Key: r.claimKey(a.Key)})
 		}
@@ -299,7 +299,7 @@
 
 // answerKept gives an invocation the answer that the keeper has for it, and tells the module that it is over.
 func (r *Reducer) answerKept(a *resultcache.Action) {
-	i := a.Asker
+	i := a.Invocation
 	v := &r.invs[i]
 	if !r.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
 		return
@@ -307,7 +307,7 @@
 	own := v.exited // a run of its own is over with its answer
 	var fields []frame.Field
 	note := func(name, value string) { fields = append(fields, frame.Field{Name: name, Value: value}) }
-	if a.Kept {
+	if a.FromCache {
 		note("kept", "1")
 	}
 	outcome := admission.Errored
@@ -315,19 +315,19 @@
 	case resultcache.Serve:
 		outcome = admission.Succeeded
 		r.succeed(i, a.Result, fields...)
-	case resultcache.Deny:
+	case resultcache.Reject:
 		outcome = admission.NeverStarted
-		if back := min(a.For, r.config.Node.MaxRetryAfter); back > 0 {
+		if back := min(a.RetryAfter, r.config.Node.MaxRetryAfter); back > 0 {
 			note("pushback", strconv.FormatInt((back+ms-1)/ms, 10))
 		}
 		r.answer(i, frame.Throttled, fields, nil)
 	default:
 		switch {
-		case a.Kind == resultcache.Unknown:
+		case a.Kind == resultcache.OutcomeUnknown:
 			note("outcome", "unknown")
 		case a.Kind == resultcache.Mismatch:
 			note("outcome", "token of another body")
-		case a.NotKept:
+		case a.ResultNotCached:
 			note("outcome", "succeeded, its result is not kept")
 		}
 		r.answer(i, frame.Errored, fields, nil)
@@ -339,8 +339,8 @@
 
 // keepResults lets tokens expire that are due.
 func (r *Reducer) keepResults() {
-	if k := &r.kept; k.keeper != nil && r.now >= k.keeper.Due() {
-		k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.Left})
+	if k := &r.kept; k.keeper != nil && r.now >= k.keeper.NextExpiry() {
+		k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.CallerDisconnected})
 		r.keeper()
 	}
 }
@@ -349,5 +349,5 @@
 	if r.kept.keeper == nil {
 		return never
 	}
-	return max(r.now+1, r.kept.keeper.Due())
+	return max(r.now+1, r.kept.keeper.NextExpiry())
 }
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -24,7 +24,7 @@
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
 	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	r.Keep(resultcache.Rules{Durability: durability, BytesMost: 100_000, ResultMost: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	r.Keep(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: Opened, Link: 7})
 	step(r, Input{Kind: Joined, Link: r.dialing})
 	told(r, "WELCOME old 0")
@@ -113,7 +113,7 @@
 	ended := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.Empty(t, answers(t, ended))
 	require.Len(t, kindsOf(ended, Keep), 1)
-	assert.True(t, kindsOf(ended, Keep)[0].Kept.Done)
+	assert.True(t, kindsOf(ended, Keep)[0].Kept.Completed)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, written(r, ended)))
 	step(r)
 	assert.Empty(t, r.calls)
@@ -121,7 +121,7 @@
 
 func TestStoreThatFailsRefusesUnrun(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
-	in := Input{Kind: KeptUnwritten, Err: errField, Kept: []resultcache.Stored{*kindsOf(step(r, hold(1, "a")), Keep)[0].Kept}}
+	in := Input{Kind: KeptUnwritten, Err: errField, Kept: []resultcache.Record{*kindsOf(step(r, hold(1, "a")), Keep)[0].Kept}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
 	assert.Empty(t, r.calls)
@@ -139,11 +139,11 @@
 	r := keeping(t, resultcache.OnDisk)
 	r.kept.unread = true
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, hold(1, "a"))), "not known yet")
-	begun := resultcache.Stored{Key: resultcache.Key{Tenant: -1, Token: "a"}, Body: bodyHash}
-	done := resultcache.Stored{Key: resultcache.Key{Tenant: -1, Token: "b"}, Body: bodyHash}
+	begun := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "a"}, BodyHash: bodyHash}
+	done := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
 	ended := done
-	ended.Done, ended.Result = true, []byte("kept")
-	step(r, Input{Kind: KeptRecords, Kept: []resultcache.Stored{begun, done, ended}}, Input{Kind: KeptRead})
+	ended.Completed, ended.Result = true, []byte("kept")
+	step(r, Input{Kind: KeptRecords, Kept: []resultcache.Record{begun, done, ended}}, Input{Kind: KeptRead})
 	sent := step(r, hold(2, "a"))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, sent))
 	assert.Contains(t, text(sent, Send), "unknown")
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -44,7 +44,7 @@
 	plan     *Plan
 	source   *Plan             // as it was given
 	names    *nodeconfig.Names // of operations, by index in the source
-	steps    *degradation.Ladder
+	steps    *degradation.Controller
 	chance   *rand.Rand
 	measures admission.LoadMetrics
 	served   []Served // by level, since the plan was taken
@@ -64,9 +64,9 @@
 		if names = nodeconfig.NewNames(plan.Operations...); plan.Operations == nil {
 			names = nodeconfig.NewNames(r.config.Operations.All()...)
 		}
-		if faults := plan.Check(names.Slots()); len(faults) > 0 {
+		if faults := plan.Validate(names.Slots()); len(faults) > 0 {
 			r.remark(Warn, "plan of levels can't be used, the one of before stays", "",
-				fmt.Errorf("%v: %s", faults[0].Path, faults[0].What))
+				fmt.Errorf("%v: %s", faults[0].Path, faults[0].Description))
 			return
 		}
 		plan = fitted(plan, names, r.config.Operations)
@@ -74,20 +74,20 @@
 	if l.chance == nil {
 		l.chance = rand.New(rand.NewSource(r.config.Node.Seed ^ 0x6c6576656c73))
 	}
-	change := degradation.Change{Cause: degradation.Replaced}
+	change := degradation.Change{Cause: degradation.PlanReplaced}
 	from := ""
-	var steps *degradation.Ladder
+	var steps *degradation.Controller
 	switch {
 	case plan == nil && l.plan == nil:
 		return
 	case plan == nil:
 		from = l.plan.LevelName(l.steps.Level())
-		change.From, change.Lasted = l.steps.Level(), r.now-l.since
+		change.From, change.PreviousTime = l.steps.Level(), r.now-l.since
 	case l.steps == nil:
-		steps = degradation.New(&plan.Plan, r.now, l.chance)
+		steps = degradation.NewController(&plan.Plan, r.now, l.chance)
 	default:
 		from = l.plan.LevelName(l.steps.Level())
-		steps, change = l.steps.Adopt(&plan.Plan, r.now, l.chance)
+		steps, change = l.steps.ReplacePlan(&plan.Plan, r.now, l.chance)
 	}
 	before := l.stay
 	if l.plan != nil {
@@ -97,7 +97,7 @@
 	l.plan, l.steps, l.served, l.spent, l.since = plan, steps, nil, nil, r.now
 	t := &Turn{Change: change, FromName: from, Before: before}
 	if plan != nil {
-		l.served, l.spent = make([]Served, len(plan.Rungs)+1), make([]int64, len(plan.Rungs)+1)
+		l.served, l.spent = make([]Served, len(plan.Levels)+1), make([]int64, len(plan.Levels)+1)
 		for k := range l.served {
 			l.served[k].Level = plan.LevelName(k)
 		}
@@ -111,9 +111,9 @@
 // it says of operations that the node doesn't have counts for nothing.
 func fitted(plan *Plan, names, to *nodeconfig.Names) *Plan {
 	p := *plan
-	p.Rungs, p.Forms = slices.Clone(plan.Rungs), make([][]string, len(plan.Rungs))
-	for k := range p.Rungs {
-		p.Rungs[k].Service, p.Forms[k] = make([]admission.Service, to.Slots()), make([]string, to.Slots())
+	p.Levels, p.Forms = slices.Clone(plan.Levels), make([][]string, len(plan.Levels))
+	for k := range p.Levels {
+		p.Levels[k].Services, p.Forms[k] = make([]admission.Service, to.Slots()), make([]string, to.Slots())
 	}
 	for i := range int32(to.Slots()) {
 		if to.Has(i) {
@@ -126,12 +126,12 @@
 // place gives an index what the source says of the operation of a name.
 func (p *Plan) place(index int32, name string, source *Plan, names *nodeconfig.Names) {
 	i, known := names.Lookup(name)
-	for k := range p.Rungs {
-		more := make([]admission.Service, max(0, int(index)+1-len(p.Rungs[k].Service)))
-		p.Rungs[k].Service, p.Forms[k] = append(p.Rungs[k].Service, more...), append(p.Forms[k], make([]string, len(more))...)
-		p.Rungs[k].Service[index], p.Forms[k][index] = admission.Service{}, ""
-		if known && int(i) < len(source.Rungs[k].Service) {
-			p.Rungs[k].Service[index] = source.Rungs[k].Service[i]
+	for k := range p.Levels {
+		more := make([]admission.Service, max(0, int(index)+1-len(p.Levels[k].Services)))
+		p.Levels[k].Services, p.Forms[k] = append(p.Levels[k].Services, more...), append(p.Forms[k], make([]string, len(more))...)
+		p.Levels[k].Services[index], p.Forms[k][index] = admission.Service{}, ""
+		if known && int(i) < len(source.Levels[k].Services) {
+			p.Levels[k].Services[index] = source.Levels[k].Services[i]
 		}
 		if known && k < len(source.Forms) && int(i) < len(source.Forms[k]) {
 			p.Forms[k][index] = source.Forms[k][i]
@@ -187,11 +187,11 @@
 		return
 	}
 	before := l.stay
-	before.Seconds = change.Lasted / (1_000 * ms)
+	before.Seconds = change.PreviousTime / (1_000 * ms)
 	l.account(r.now, change.From)
 	l.begin(r.now)
 	r.setLevel(&Turn{Change: change, Plan: l.plan.Name, FromName: l.plan.LevelName(change.From),
-		ToName: l.plan.LevelName(change.To), Signals: l.measures, Loads: l.steps.Loads(), Before: before})
+		ToName: l.plan.LevelName(change.To), Signals: l.measures, Loads: l.steps.LoadByLevel(), Before: before})
 }
 
 func (r *Reducer) setLevel(t *Turn) {
@@ -205,7 +205,7 @@
 func (l *ladder) event() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if l.plan != nil {
-		e.Services, e.UseSpareCapacity = l.plan.Services(l.steps.Level()), l.plan.Spare
+		e.Services, e.UseSpareCapacity = l.plan.Services(l.steps.Level()), l.plan.UseSpareCapacity
 	}
 	return e
 }
@@ -253,5 +253,5 @@
 }
 
 func (t *Turn) String() string {
-	return fmt.Sprintf("level %s to %s: %s", t.FromName, t.ToName, degradation.Causes[t.Cause])
+	return fmt.Sprintf("level %s to %s: %s", t.FromName, t.ToName, degradation.CauseNames[t.Cause])
 }
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -14,14 +14,14 @@
 // ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
 func ladderOf(enter float64) *Plan {
 	p := &Plan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
-	p.Name, p.Hold, p.Most, p.Idle = "test", 10_000*ms, 60_000*ms, degradation.Condition{Bounds: degradation.Free()}
-	p.Idle.Bounds[degradation.Load] = -1
+	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
+	p.IdleCondition.Limits[degradation.Load] = -1
 	for k, s := range []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}} {
-		c := degradation.Condition{Bounds: degradation.Free()}
-		c.Bounds[degradation.Load] = enter
-		exit := degradation.Condition{Bounds: degradation.Free()}
-		exit.Bounds[degradation.Load] = enter - 1
-		p.Rungs = append(p.Rungs, degradation.Rung{Name: []string{"plain", "none"}[k], Service: []admission.Service{s, {}},
+		c := degradation.Condition{Limits: degradation.NoLimits()}
+		c.Limits[degradation.Load] = enter
+		exit := degradation.Condition{Limits: degradation.NoLimits()}
+		exit.Limits[degradation.Load] = enter - 1
+		p.Levels = append(p.Levels, degradation.Level{Name: []string{"plain", "none"}[k], Services: []admission.Service{s, {}},
 			Enter: []degradation.Condition{c}, Exit: exit})
 	}
 	return p
@@ -32,7 +32,7 @@
 	r := up(t)
 	step(r, Input{Kind: Adopt, Plan: ladderOf(1e9)})
 	next := ladderOf(-1)
-	next.Rungs = next.Rungs[:level]
+	next.Levels = next.Levels[:level]
 	next.Forms = next.Forms[:level]
 	step(r, Input{Kind: Adopt, Plan: next})
 	r.now = r.beatAt
@@ -85,13 +85,13 @@
 	require.NotNil(t, turn)
 	assert.Equal(t, "level full to none: entered", turn.String())
 	assert.Equal(t, degradation.Load, turn.Signal)
-	assert.Equal(t, -1.0, turn.Bound)
+	assert.Equal(t, -1.0, turn.Limit)
 }
 
 func TestPlanThatDoesNotFitChangesNothing(t *testing.T) {
 	r := at(t, 1)
 	bad := ladderOf(1)
-	bad.Rungs[0].Service = bad.Rungs[0].Service[:1]
+	bad.Levels[0].Services = bad.Levels[0].Services[:1]
 	before := r.levels
 	step(r, Input{Kind: Adopt, Plan: bad})
 	assert.Equal(t, before, r.levels)
@@ -119,7 +119,7 @@
 	r := at(t, 2)
 	step(r, Input{Kind: Notice})
 	next := ladderOf(1e9)
-	r.levels.plan, r.levels.steps = next, degradation.New(&next.Plan, r.now, r.levels.chance)
+	r.levels.plan, r.levels.steps = next, degradation.NewController(&next.Plan, r.now, r.levels.chance)
 	for range 10 {
 		r.now = r.beatAt
 		for _, e := range step(r) {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -45,7 +45,7 @@
 	}
 	s.Configuration = r.Configuration()
 	if l := &r.levels; l.plan != nil {
-		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.Loads()
+		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.LoadByLevel()
 	}
 	for why, n := range r.givenUp {
 		if n > 0 {
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -65,7 +65,7 @@
 	To     Addresses // Reload
 	Plan   *Plan     // Adopt, Reload; nil for none
 	Bytes  []byte    // of peers
-	Kept   []resultcache.Stored
+	Kept   []resultcache.Record
 	Number uint64 // Persisted
 	From   string // address of the peer that sent them
 
@@ -136,7 +136,7 @@
 	State   *State // Sample
 	Turn    *Turn  // Turned
 	Change  *membership.Change
-	Kept    *resultcache.Stored
+	Kept    *resultcache.Record
 	Version uint64 // Amended
 
 	Write      *consensus.Write   // Persist
--- a/internal/resultcache/cacheconfig/keep.go
+++ b/internal/resultcache/cacheconfig/keep.go
@@ -31,19 +31,19 @@
 
 // The durabilities.
 const (
-	None    Durability = iota // in memory only
-	Batched                   // groups share a sync
-	Each                      // each record has its own
+	InMemory    Durability = iota // in memory only
+	SyncBatched                   // groups share a sync
+	SyncEach                      // each record has its own
 )
 
-// Keep is what a node keeps, and where.
-type Keep struct {
-	Rules      resultcache.Rules
-	Field      string
-	Durability Durability
-	Folder     string
-	Bounds     segmentstore.Bounds
-	Gather     int64 // ns
+// Config is what a node keeps, and where.
+type Config struct {
+	Cache       resultcache.Config
+	Field       string
+	Durability  Durability
+	Folder      string
+	Limits      segmentstore.Limits
+	BatchWindow int64 // ns
 }
 
 var schema = sync.OnceValue(func() *configfile.Schema {
@@ -76,18 +76,18 @@
 	return window
 }
 
-// Usual is what a node keeps without a file: in memory only, and nothing where no operation is tokened (nil).
-func Usual(operations []admission.Operation, memoryMB int) *Keep {
+// Default is what a node keeps without a file: in memory only, and nothing where no operation is tokened (nil).
+func Default(operations []admission.Operation, memoryMB int) *Config {
 	window := longest(operations)
 	if window == 0 {
 		return nil
 	}
-	return &Keep{Field: fieldUsual, Rules: resultcache.Rules{BytesMost: min(memoryUsual, int64(memoryMB)<<20/memoryPart),
-		ResultMost: resultUsual, Window: window}}
+	return &Config{Field: fieldUsual, Cache: resultcache.Config{MaxBytes: min(memoryUsual, int64(memoryMB)<<20/memoryPart),
+		MaxResultBytes: resultUsual, Window: window}}
 }
 
 // Read reads a file in this process.
-func Read(path string, operations []admission.Operation, memoryMB int) (*Keep, error) {
+func Read(path string, operations []admission.Operation, memoryMB int) (*Config, error) {
 	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 // From reads what to keep from a file that was evaluated. All that is wrong is told at once.
-func From(file *configfile.File, operations []admission.Operation, memoryMB int) (*Keep, error) {
+func From(file *configfile.File, operations []admission.Operation, memoryMB int) (*Config, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	found := configfile.Problems{}
-	k := Usual(operations, memoryMB)
+	k := Default(operations, memoryMB)
 	if k == nil {
 		return nil, configfile.Problems{file.At(nil, "keeps results where no operation is tokened",
 			"leave the file out, or give an operation the effect \"deduplicated\" and a window")}
@@ -116,40 +116,40 @@
 	if strings.Contains(" op call recv src org ttl rep work heap crit row ", " "+k.Field+" ") {
 		found = append(found, file.At([]string{"token"}, fmt.Sprintf("%q is a field of its own", k.Field), "name another one"))
 	}
-	k.Bounds, k.Gather = segmentstore.Bounds{Segment: segmentUsual, Most: sizeUsual}, gatherUsual
+	k.Limits, k.BatchWindow = segmentstore.Limits{SegmentBytes: segmentUsual, MaxBytes: sizeUsual}, gatherUsual
 	for _, s := range []struct {
 		from *configfile.Size
 		to   *int64
-	}{{w.Memory, &k.Rules.BytesMost}, {w.Result, &k.Rules.ResultMost}, {w.Size, &k.Bounds.Most}, {w.Segment, &k.Bounds.Segment}} {
+	}{{w.Memory, &k.Cache.MaxBytes}, {w.Result, &k.Cache.MaxResultBytes}, {w.Size, &k.Limits.MaxBytes}, {w.Segment, &k.Limits.SegmentBytes}} {
 		if s.from != nil {
 			*s.to = int64(*s.from)
 		}
 	}
 	if w.Gather != nil {
-		k.Gather = int64(*w.Gather)
+		k.BatchWindow = int64(*w.Gather)
 	}
 	if w.Trouble == "memory" {
-		k.Rules.Trouble = resultcache.GoOn
+		k.Cache.OnStoreFailure = resultcache.ContinueInMemory
 	}
-	if k.Rules.ResultMost > resultMost {
+	if k.Cache.MaxResultBytes > resultMost {
 		found = append(found, file.At([]string{"result"}, "is more than a record holds", "15 KiB at the most"))
 	}
-	if k.Rules.BytesMost > int64(memoryMB)<<20/2 {
+	if k.Cache.MaxBytes > int64(memoryMB)<<20/2 {
 		found = append(found, file.At([]string{"memory"}, fmt.Sprintf("is more than half of the node's %d MB", memoryMB), "make it smaller"))
 	}
-	if k.Gather > gatherMost {
+	if k.BatchWindow > gatherMost {
 		found = append(found, file.At([]string{"gather"}, "is longer than 100 ms", "make it shorter: each tokened invocation waits for it"))
 	}
-	k.Durability = map[string]Durability{"": None, "none": None, "batched": Batched, "each": Each}[w.Durability]
-	if k.Durability != None {
-		k.Rules.Durability = resultcache.OnDisk
+	k.Durability = map[string]Durability{"": InMemory, "none": InMemory, "batched": SyncBatched, "each": SyncEach}[w.Durability]
+	if k.Durability != InMemory {
+		k.Cache.Durability = resultcache.OnDisk
 		if k.Folder = w.Folder; k.Folder == "" {
 			found = append(found, file.At([]string{"durability"}, "needs a folder", "set folder, on a disk that lasts"))
 		} else if !filepath.IsAbs(k.Folder) {
 			k.Folder = filepath.Join(filepath.Dir(file.Path), k.Folder)
 		}
 	}
-	if k.Bounds.Most < 2*k.Bounds.Segment {
+	if k.Limits.MaxBytes < 2*k.Limits.SegmentBytes {
 		found = append(found, file.At([]string{"size"}, "holds fewer than two segments", "make it larger, or the segments smaller"))
 	}
 	if len(found) > 0 {
@@ -158,10 +158,10 @@
 	return k, nil
 }
 
-// Where says in words where results lie.
-func (k *Keep) Where() string {
-	if k.Durability == None {
+// Location says in words where results lie.
+func (k *Config) Location() string {
+	if k.Durability == InMemory {
 		return "in memory only, a crash forgets them"
 	}
-	return fmt.Sprintf("in %s, %d MB at the most", k.Folder, k.Bounds.Most>>20)
+	return fmt.Sprintf("in %s, %d MB at the most", k.Folder, k.Limits.MaxBytes>>20)
 }
--- a/internal/resultcache/cacheconfig/keep_test.go
+++ b/internal/resultcache/cacheconfig/keep_test.go
@@ -15,16 +15,16 @@
 var tokened = []admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 5_000_000_000}, {}}
 
 func TestWithoutAFileTokensAreKeptInMemoryAndNothingWhereNoneAre(t *testing.T) {
-	assert.Nil(t, Usual([]admission.Operation{{}}, 192))
-	k := Usual(tokened, 48)
-	assert.Equal(t, resultcache.Rules{BytesMost: 12 << 20, ResultMost: resultUsual, Window: 5_000_000_000}, k.Rules)
-	assert.Equal(t, "in memory only, a crash forgets them", k.Where())
+	assert.Nil(t, Default([]admission.Operation{{}}, 192))
+	k := Default(tokened, 48)
+	assert.Equal(t, resultcache.Config{MaxBytes: 12 << 20, MaxResultBytes: resultUsual, Window: 5_000_000_000}, k.Cache)
+	assert.Equal(t, "in memory only, a crash forgets them", k.Location())
 }
 
 func TestDeployedFileCanBeReadAndFaultsAreNamed(t *testing.T) {
 	k, err := Read("../../../deploy/kept.jsonnet", tokened, 192)
 	require.NoError(t, err)
-	assert.Equal(t, resultcache.OnDisk, k.Rules.Durability)
+	assert.Equal(t, resultcache.OnDisk, k.Cache.Durability)
 	_, err = Read("../../../deploy/kept.jsonnet", tokened[1:], 192)
 	assert.ErrorContains(t, err, "no operation is tokened")
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
--- a/internal/resultcache/helpers_test.go
+++ b/internal/resultcache/helpers_test.go
@@ -6,12 +6,12 @@
 
 const window = int64(5_000_000_000)
 
-var rules = Rules{Durability: OnDisk, BytesMost: 4_000, ResultMost: 100, Window: window}
+var rules = Config{Durability: OnDisk, MaxBytes: 4_000, MaxResultBytes: 100, Window: window}
 
 func key(n int) Key { return Key{Operation: 1, Tenant: -1, Token: fmt.Sprint("token-", n)} }
 
 func ask(asker int32, n int) Input {
-	return Input{Kind: Asked, Asker: asker, Key: key(n), Body: 7, For: window}
+	return Input{Kind: InvocationReceived, Invocation: asker, Key: key(n), BodyHash: 7, Remaining: window}
 }
 
 func kinds(actions []Action) (list []ActionKind) {
@@ -25,15 +25,15 @@
 type record struct {
 	body   uint64
 	done   bool
-	ending Ending
+	ending Outcome
 	result string
 }
 
 // model drives a keeper as a node and its disk would, crashes included, and checks what must hold at each step.
 type model struct {
 	t       interface{ Fatalf(string, ...any) }
-	rules   Rules
-	keeper  *Keeper
+	rules   Config
+	keeper  *Cache
 	now     int64
 	disk    map[Key]record
 	writes  []Action       // on their way to the disk
@@ -46,7 +46,7 @@
 	runs    int
 }
 
-func newModel(t interface{ Fatalf(string, ...any) }, rules Rules) *model {
+func newModel(t interface{ Fatalf(string, ...any) }, rules Config) *model {
 	return &model{t: t, rules: rules, keeper: New(rules), disk: map[Key]record{}, running: map[Key]bool{}, ran: map[Key]int64{},
 		results: map[Key]string{}, waits: map[int32]Key{}, arrived: map[int32]int64{}}
 }
@@ -55,11 +55,11 @@
 	for _, a := range m.keeper.Step(m.now, inputs) {
 		m.carry(a)
 	}
-	if m.keeper.Counts.Bytes > m.rules.BytesMost {
-		m.t.Fatalf("%d bytes where %d are allowed", m.keeper.Counts.Bytes, m.rules.BytesMost)
+	if m.keeper.Counters.Bytes > m.rules.MaxBytes {
+		m.t.Fatalf("%d bytes where %d are allowed", m.keeper.Counters.Bytes, m.rules.MaxBytes)
 	}
-	if m.keeper.Counts.Entries != len(m.keeper.entries) {
-		m.t.Fatalf("%d entries counted, %d held", m.keeper.Counts.Entries, len(m.keeper.entries))
+	if m.keeper.Counters.Entries != len(m.keeper.entries) {
+		m.t.Fatalf("%d entries counted, %d held", m.keeper.Counters.Entries, len(m.keeper.entries))
 	}
 }
 
@@ -69,23 +69,23 @@
 		if m.now < m.ran[a.Key] {
 			m.t.Fatalf("%v ran twice within its window", a.Key)
 		}
-		if m.rules.Durability == OnDisk && m.rules.Trouble == Refuse {
+		if m.rules.Durability == OnDisk && m.rules.OnStoreFailure == RejectOnStoreFailure {
 			if _, written := m.disk[a.Key]; !written {
 				m.t.Fatalf("%v runs before that is on disk", a.Key)
 			}
 		}
-		m.ran[a.Key], m.running[a.Key] = m.arrived[a.Asker]+window, true
+		m.ran[a.Key], m.running[a.Key] = m.arrived[a.Invocation]+window, true
 		m.runs++
 		m.results[a.Key] = fmt.Sprint("result ", m.runs)
-	case Begin, Finish:
+	case WriteStart, WriteEnd:
 		m.writes = append(m.writes, a)
-	case Drop:
+	case RemoveRecord:
 		delete(m.disk, a.Key)
-	case Serve, Fail, Deny, Mismatch, Unknown:
-		if _, waits := m.waits[a.Asker]; !waits {
-			m.t.Fatalf("asker %d is answered though it does not wait", a.Asker)
+	case Serve, Fail, Reject, Mismatch, OutcomeUnknown:
+		if _, waits := m.waits[a.Invocation]; !waits {
+			m.t.Fatalf("asker %d is answered though it does not wait", a.Invocation)
 		}
-		delete(m.waits, a.Asker)
+		delete(m.waits, a.Invocation)
 		if a.Kind == Serve && string(a.Result) != m.results[a.Key] {
 			m.t.Fatalf("%v served %q where its run gave %q", a.Key, a.Result, m.results[a.Key])
 		}
@@ -96,7 +96,7 @@
 	m.asked++
 	m.waits[m.asked], m.arrived[m.asked] = key(n), m.now
 	in := ask(m.asked, n)
-	in.Body = body
+	in.BodyHash = body
 	m.step(in)
 }
 
@@ -107,29 +107,29 @@
 	}
 	a := m.writes[0]
 	m.writes = m.writes[1:]
-	in := Input{Kind: Unwritten, Key: a.Key}
+	in := Input{Kind: WriteFailed, Key: a.Key}
 	if ok {
-		in.Kind = Written
+		in.Kind = WriteSucceeded
 		r := m.disk[a.Key]
-		if a.Kind == Begin {
-			r = record{body: a.Body}
+		if a.Kind == WriteStart {
+			r = record{body: a.BodyHash}
 		} else {
-			r.done, r.ending, r.result = true, a.Ending, string(a.Result)
+			r.done, r.ending, r.result = true, a.Outcome, string(a.Result)
 		}
 		m.disk[a.Key] = r
 	}
 	m.step(in)
 }
 
-func (m *model) end(n int, ending Ending) {
+func (m *model) end(n int, ending Outcome) {
 	if !m.running[key(n)] {
 		return
 	}
 	delete(m.running, key(n))
-	if ending == NotRun {
+	if ending == NeverStarted {
 		m.ran[key(n)] = 0
 	}
-	m.step(Input{Kind: Ended, Key: key(n), Ending: ending, Result: []byte(m.results[key(n)])})
+	m.step(Input{Kind: RunEnded, Key: key(n), Outcome: ending, Result: []byte(m.results[key(n)])})
 }
 
 // crash loses memory, what was on its way to the disk, and those that waited.
@@ -138,10 +138,10 @@
 	var found []Input
 	for n := range 20 {
 		if r, kept := m.disk[key(n)]; kept {
-			found = append(found, Input{Kind: Recovered, Key: key(n), Body: r.body, Done: r.done, Ending: r.ending, Result: []byte(r.result)})
+			found = append(found, Input{Kind: RecordRecovered, Key: key(n), BodyHash: r.body, Completed: r.done, Outcome: r.ending, Result: []byte(r.result)})
 		}
 	}
-	m.step(append(found, Input{Kind: Restarted})...)
+	m.step(append(found, Input{Kind: RecoveryCompleted})...)
 }
 
 // settle ends all that goes on; then nobody may wait any more.
--- a/internal/resultcache/results.go
+++ b/internal/resultcache/results.go
@@ -24,38 +24,38 @@
 	OnDisk
 )
 
-// Trouble says what becomes of tokened work while the store fails.
-type Trouble uint8
+// StoreFailurePolicy says what becomes of tokened work while the store fails.
+type StoreFailurePolicy uint8
 
 // The ways: refuse it unrun, or go on with what memory holds.
 const (
-	Refuse Trouble = iota
-	GoOn
+	RejectOnStoreFailure StoreFailurePolicy = iota
+	ContinueInMemory
 )
 
-// Rules are what operators chose. Sizes are bytes.
-type Rules struct {
-	Durability Durability
-	Trouble    Trouble
-	BytesMost  int64 // of tokens and results, those that may still come included
-	ResultMost int64 // of one result; a larger one is not kept, only that it ran
-	Window     int64 // ns, the longest window of any operation: all that is recovered is kept for it
+// Config are what operators chose. Sizes are bytes.
+type Config struct {
+	Durability     Durability
+	OnStoreFailure StoreFailurePolicy
+	MaxBytes       int64 // of tokens and results, those that may still come included
+	MaxResultBytes int64 // of one result; a larger one is not kept, only that it ran
+	Window         int64 // ns, the longest window of any operation: all that is recovered is kept for it
 }
 
 const entryBytes = 160 // of one token beside its text and its result: its record, index and timers
 
-// TokensMost is how many tokens there is room for at the most, each with no result.
-func (r *Rules) TokensMost() int { return max(1, int(r.BytesMost/entryBytes)) }
+// MaxTokens is how many tokens there is room for at the most, each with no result.
+func (r *Config) MaxTokens() int { return max(1, int(r.MaxBytes/entryBytes)) }
 
-// Ending is how a run ended.
-type Ending uint8
+// Outcome is how a run ended.
+type Outcome uint8
 
-// The endings; NotRun proves that nothing ran, NotKept says that it succeeded with a result too large to be kept.
+// The endings; NotRun proves that nothing ran, ResultNotCached says that it succeeded with a result too large to be kept.
 const (
-	Succeeded Ending = iota
-	Errored
-	NotRun
-	NotKept
+	Succeeded Outcome = iota
+	Failed
+	NeverStarted
+	ResultNotCached
 )
 
 // InputKind names what happened.
@@ -63,44 +63,44 @@
 
 // The inputs.
 const (
-	Asked     InputKind = iota // an invocation with a token was read
-	Left                       // its caller is gone, or it was answered by its own client timeout
-	Written                    // the record of a token is on disk
-	Unwritten                  // it could not be written
-	Ended                      // the run of a token ended
-	Settled                    // operators say how one of unknown outcome ended
-	Forgotten                  // operators have a token forgotten
-	Recovered                  // a record was found on disk at the start
-	Restarted                  // all records were found
-	Learned                    // what a token that was to begin came to elsewhere
-	Doubted                    // it may have run elsewhere, how that ended is not known
-	Clashed                    // it came with another body elsewhere
-	Denied                     // there is no room for it, elsewhere; nothing ran
-	Dismissed                  // one that waits has to be answered now; Doubt says whether the token may have run
+	InvocationReceived InputKind = iota // an invocation with a token was read
+	CallerDisconnected                  // its caller is gone, or it was answered by its own client timeout
+	WriteSucceeded                      // the record of a token is on disk
+	WriteFailed                         // it could not be written
+	RunEnded                            // the run of a token ended
+	OutcomeResolved                     // operators say how one of unknown outcome ended
+	TokenRemoved                        // operators have a token forgotten
+	RecordRecovered                     // a record was found on disk at the start
+	RecoveryCompleted                   // all records were found
+	CompletedElsewhere                  // what a token that was to begin came to elsewhere
+	UnknownElsewhere                    // it may have run elsewhere, how that ended is not known
+	MismatchElsewhere                   // it came with another body elsewhere
+	RejectedElsewhere                   // there is no room for it, elsewhere; nothing ran
+	AnswerRequired                      // one that waits has to be answered now; Doubt says whether the token may have run
 )
 
 // Input is one thing that happened; only the fields of its kind are set.
 type Input struct {
-	Kind   InputKind
-	Asker  int32 // Asked, Left: the invocation
-	Key    Key
-	Body   uint64 // Asked, Recovered: hash of the invocation's body
-	Again  bool   // Asked: its operation may run again though the outcome of an earlier run is unknown
-	For    int64  // Asked: ns of the window that is left
-	Ending Ending // Ended, Settled; Recovered where Done
-	Result []byte // of a run that succeeded
-	Done   bool   // Recovered: the record is that of an end
-	Doubt  bool   // Dismissed
-}
-
-// Stored is what the store keeps of a token: that its run begins, or how it ended.
-type Stored struct {
-	Key    Key
-	Body   uint64 // hash of the invocation's body
-	For    int64  // ns of its window that are left
-	Done   bool   // it tells of an end
-	Ending Ending
-	Result []byte
+	Kind       InputKind
+	Invocation int32 // Asked, Left: the invocation
+	Key        Key
+	BodyHash   uint64  // Asked, Recovered: hash of the invocation's body
+	Idempotent bool    // Asked: its operation may run again though the outcome of an earlier run is unknown
+	Remaining  int64   // Asked: ns of the window that is left
+	Outcome    Outcome // Ended, Settled; Recovered where Done
+	Result     []byte  // of a run that succeeded
+	Completed  bool    // Recovered: the record is that of an end
+	MayHaveRun bool    // Dismissed
+}
+
+// Record is what the store keeps of a token: that its run begins, or how it ended.
+type Record struct {
+	Key       Key
+	BodyHash  uint64 // hash of the invocation's body
+	Remaining int64  // ns of its window that are left
+	Completed bool   // it tells of an end
+	Outcome   Outcome
+	Result    []byte
 }
 
 // ActionKind names what to do.
@@ -109,30 +109,30 @@
 // The actions. Each Asked is followed by one of Join or Run and later an answer, or by an answer at once, unless it
 // left. Answers are Serve, Fail, Deny, Mismatch and Unknown.
 const (
-	Run      ActionKind = iota // the asker's invocation may run, as the only one of its token
-	Join                       // it waits for the run of another
-	Serve                      // answer with the result
-	Fail                       // answer that the run failed, or that its result was not kept (NotKept)
-	Deny                       // throttle unrun, to come back after For
-	Mismatch                   // errored: the token came with another body before
-	Unknown                    // errored: a run began before a crash, its outcome is not known
-	Begin                      // write that a run of the key begins, giving Written or Unwritten
-	Finish                     // write how it ended, giving the same
-	Drop                       // the key may be taken out of the store
+	Run            ActionKind = iota // the asker's invocation may run, as the only one of its token
+	Join                             // it waits for the run of another
+	Serve                            // answer with the result
+	Fail                             // answer that the run failed, or that its result was not kept (NotKept)
+	Reject                           // throttle unrun, to come back after For
+	Mismatch                         // errored: the token came with another body before
+	OutcomeUnknown                   // errored: a run began before a crash, its outcome is not known
+	WriteStart                       // write that a run of the key begins, giving Written or Unwritten
+	WriteEnd                         // write how it ended, giving the same
+	RemoveRecord                     // the key may be taken out of the store
 )
 
 // Action is one thing to do; only the fields of its kind are set.
 type Action struct {
-	Kind    ActionKind
-	Asker   int32
-	Key     Key
-	Body    uint64 // Begin
-	Until   int64  // Begin: the end of the window
-	For     int64  // Deny
-	Ending  Ending // Finish
-	Result  []byte // Serve, Finish
-	Kept    bool   // Serve, Fail: it is the result of another invocation's run
-	NotKept bool   // Fail: it succeeded, but the result was too large to be kept
+	Kind            ActionKind
+	Invocation      int32
+	Key             Key
+	BodyHash        uint64  // Begin
+	Until           int64   // Begin: the end of the window
+	RetryAfter      int64   // Deny
+	Outcome         Outcome // Finish
+	Result          []byte  // Serve, Finish
+	FromCache       bool    // Serve, Fail: it is the result of another invocation's run
+	ResultNotCached bool    // Fail: it succeeded, but the result was too large to be kept
 }
 
 type state uint8
@@ -152,77 +152,77 @@
 	until   int64
 	runner  int32 // whose invocation runs, -1 once it has left or before any
 	waiting []int32
-	ending  Ending
+	ending  Outcome
 	result  []byte
 	booked  int64 // bytes
 	large   bool  // the result was not kept
 	place   int   // among those that expire, -1 where it may not yet
 }
 
-// Counts are what operators see.
-type Counts struct {
+// Counters are what operators see.
+type Counters struct {
 	Entries, Unknown, Running                                             int
 	Bytes                                                                 int64
 	Ran, Joined, Kept, Denied, Mismatched, UnknownAnswered, NotKept, Lost int
 }
 
-// Keeper is the state of all tokens of a node.
-type Keeper struct {
-	Counts  Counts
-	rules   Rules
-	entries map[Key]*entry
-	expiry  expiry
-	out     []Action
-	failing bool // the store failed last
+// Cache is the state of all tokens of a node.
+type Cache struct {
+	Counters Counters
+	rules    Config
+	entries  map[Key]*entry
+	expiry   expiry
+	out      []Action
+	failing  bool // the store failed last
 }
 
 // New is a keeper of nothing.
-func New(rules Rules) *Keeper {
-	return &Keeper{rules: rules, entries: make(map[Key]*entry)}
+func New(rules Config) *Cache {
+	return &Cache{rules: rules, entries: make(map[Key]*entry)}
 }
 
-func (k *Keeper) do(a Action) { k.out = append(k.out, a) }
+func (k *Cache) do(a Action) { k.out = append(k.out, a) }
 
 // Step takes what happened at a moment of a clock that only advances, and returns what to do, valid until the next
 // step.
-func (k *Keeper) Step(now int64, inputs []Input) []Action {
+func (k *Cache) Step(now int64, inputs []Input) []Action {
 	k.out = k.out[:0]
 	k.expire(now)
 	for i := range inputs {
 		in := &inputs[i]
 		e := k.entries[in.Key]
 		switch in.Kind {
-		case Asked:
+		case InvocationReceived:
 			k.asked(now, in, e)
-		case Recovered:
+		case RecordRecovered:
 			k.recovered(now, in, e)
-		case Restarted:
+		case RecoveryCompleted:
 			k.restarted(now)
-		case Left:
+		case CallerDisconnected:
 			if e != nil {
-				e.leave(in.Asker)
+				e.leave(in.Invocation)
 			}
-		case Written, Unwritten:
+		case WriteSucceeded, WriteFailed:
 			if e != nil {
-				k.written(now, e, in.Kind == Written)
+				k.written(now, e, in.Kind == WriteSucceeded)
 			}
-		case Ended:
+		case RunEnded:
 			if e != nil && e.state == running {
 				k.ended(now, e, in)
 			}
-		case Learned, Doubted, Clashed, Denied:
+		case CompletedElsewhere, UnknownElsewhere, MismatchElsewhere, RejectedElsewhere:
 			if e != nil && e.state == beginning {
 				k.elsewhere(now, e, in)
 			}
-		case Dismissed:
+		case AnswerRequired:
 			if e != nil {
 				k.dismiss(now, e, in)
 			}
-		case Settled:
+		case OutcomeResolved:
 			if e != nil && e.state == unknown {
 				k.settle(e, in)
 			}
-		case Forgotten:
+		case TokenRemoved:
 			if e != nil && (e.state == done || e.state == unknown) {
 				k.drop(e)
 			}
@@ -231,84 +231,86 @@
 	return k.out
 }
 
-func (k *Keeper) asked(now int64, in *Input, e *entry) {
+func (k *Cache) asked(now int64, in *Input, e *entry) {
 	switch {
 	case e == nil:
 		k.begin(now, in)
-	case e.body != in.Body:
-		k.Counts.Mismatched++
-		k.do(Action{Kind: Mismatch, Asker: in.Asker, Key: in.Key})
+	case e.body != in.BodyHash:
+		k.Counters.Mismatched++
+		k.do(Action{Kind: Mismatch, Invocation: in.Invocation, Key: in.Key})
 	case e.state == done:
-		k.answer(e, in.Asker, true)
-	case e.state == unknown && in.Again && k.Counts.Bytes-e.booked+k.need(in.Key) > k.rules.BytesMost:
-		k.deny(now, in.Asker, in.Key)
-	case e.state == unknown && in.Again:
-		k.Counts.Unknown--
+		k.answer(e, in.Invocation, true)
+	case e.state == unknown && in.Idempotent && k.Counters.Bytes-e.booked+k.need(in.Key) > k.rules.MaxBytes:
+		k.deny(now, in.Invocation, in.Key)
+	case e.state == unknown && in.Idempotent:
+		k.Counters.Unknown--
 		k.book(e, k.need(in.Key)) // only that it ran was kept
-		e.until = max(e.until, now+in.For)
-		k.start(e, in.Asker)
+		e.until = max(e.until, now+in.Remaining)
+		k.start(e, in.Invocation)
 	case e.state == unknown:
-		k.Counts.UnknownAnswered++
-		k.do(Action{Kind: Unknown, Asker: in.Asker, Key: in.Key})
+		k.Counters.UnknownAnswered++
+		k.do(Action{Kind: OutcomeUnknown, Invocation: in.Invocation, Key: in.Key})
 	default:
-		k.Counts.Joined++
-		e.until = max(e.until, now+in.For) // should the first prove not to have run, this one's window counts
-		e.waiting = append(e.waiting, in.Asker)
-		k.do(Action{Kind: Join, Asker: in.Asker, Key: in.Key})
+		k.Counters.Joined++
+		e.until = max(e.until, now+in.Remaining) // should the first prove not to have run, this one's window counts
+		e.waiting = append(e.waiting, in.Invocation)
+		k.do(Action{Kind: Join, Invocation: in.Invocation, Key: in.Key})
 	}
 }
 
 // need is what a token takes at the most, its result included: booked before it runs, so that what has run always
 // has room for its end.
-func (k *Keeper) need(key Key) int64 { return entryBytes + int64(len(key.Token)) + k.rules.ResultMost }
+func (k *Cache) need(key Key) int64 {
+	return entryBytes + int64(len(key.Token)) + k.rules.MaxResultBytes
+}
 
-func (k *Keeper) book(e *entry, bytes int64) {
-	k.Counts.Bytes += bytes - e.booked
+func (k *Cache) book(e *entry, bytes int64) {
+	k.Counters.Bytes += bytes - e.booked
 	e.booked = bytes
 }
 
 // begin takes a new token on, or denies it unrun where there is no room: none inside its window is put out for it.
-func (k *Keeper) begin(now int64, in *Input) {
-	if k.Counts.Bytes+k.need(in.Key) > k.rules.BytesMost || in.For <= 0 {
-		k.deny(now, in.Asker, in.Key)
+func (k *Cache) begin(now int64, in *Input) {
+	if k.Counters.Bytes+k.need(in.Key) > k.rules.MaxBytes || in.Remaining <= 0 {
+		k.deny(now, in.Invocation, in.Key)
 		return
 	}
-	e := &entry{key: in.Key, body: in.Body, until: now + in.For, place: -1}
+	e := &entry{key: in.Key, body: in.BodyHash, until: now + in.Remaining, place: -1}
 	k.entries[in.Key] = e
-	k.Counts.Entries++
+	k.Counters.Entries++
 	k.book(e, k.need(in.Key))
-	k.start(e, in.Asker)
+	k.start(e, in.Invocation)
 }
 
 // start has a token run, once that it does is on disk.
-func (k *Keeper) start(e *entry, asker int32) {
+func (k *Cache) start(e *entry, asker int32) {
 	e.runner, e.state = asker, running
 	if e.place >= 0 {
 		heap.Remove(&k.expiry, e.place)
 	}
-	k.Counts.Running++
+	k.Counters.Running++
 	if k.rules.Durability == OnDisk {
 		e.state = beginning
-		k.do(Action{Kind: Join, Asker: asker, Key: e.key})
-		k.do(Action{Kind: Begin, Key: e.key, Body: e.body, Until: e.until})
+		k.do(Action{Kind: Join, Invocation: asker, Key: e.key})
+		k.do(Action{Kind: WriteStart, Key: e.key, BodyHash: e.body, Until: e.until})
 		return
 	}
 	k.run(e)
 }
 
-func (k *Keeper) run(e *entry) {
+func (k *Cache) run(e *entry) {
 	e.state = running
-	k.Counts.Ran++
-	k.do(Action{Kind: Run, Asker: e.runner, Key: e.key})
+	k.Counters.Ran++
+	k.do(Action{Kind: Run, Invocation: e.runner, Key: e.key})
 }
 
-func (k *Keeper) deny(now int64, asker int32, key Key) {
-	k.Counts.Denied++
+func (k *Cache) deny(now int64, asker int32, key Key) {
+	k.Counters.Denied++
 	back := int64(0)
 	if len(k.expiry) > 0 {
 		back = max(0, k.expiry[0].until-now)
 	}
-	k.do(Action{Kind: Deny, Asker: asker, Key: key, For: back})
+	k.do(Action{Kind: Reject, Invocation: asker, Key: key, RetryAfter: back})
 }
 
 // leave takes an invocation out of those that wait; a run that began goes on for the others and for the token.
@@ -322,29 +324,29 @@
 // written goes on with a token once its record is on disk, or could not be had there. Before a run that failure is no
 // harm: nothing ran, so it may be denied. After a run the answer is given all the same, as it is true; but a repeat
 // after a crash would find the run unknown, which is counted.
-func (k *Keeper) written(now int64, e *entry, ok bool) {
+func (k *Cache) written(now int64, e *entry, ok bool) {
 	k.failing = !ok
 	switch {
 	case e.state == finishing:
 		if !ok {
-			k.Counts.Lost++
+			k.Counters.Lost++
 		}
 		k.finish(e)
 	case e.state != beginning:
-	case !ok && k.rules.Trouble == Refuse:
+	case !ok && k.rules.OnStoreFailure == RejectOnStoreFailure:
 		for _, asker := range append([]int32{e.runner}, e.waiting...) {
 			if asker >= 0 {
 				k.deny(now, asker, e.key)
 			}
 		}
-		k.Counts.Running--
+		k.Counters.Running--
 		k.drop(e)
 	default:
 		if e.runner < 0 && len(e.waiting) > 0 { // its first caller left before it ran
 			e.runner, e.waiting = e.waiting[0], e.waiting[1:]
 		}
 		if e.runner < 0 { // nobody waits, and nothing ran
-			k.Counts.Running--
+			k.Counters.Running--
 			k.drop(e)
 			return
 		}
@@ -353,14 +355,14 @@
 }
 
 // elsewhere ends a token that was to begin here with what became of it at another node.
-func (k *Keeper) elsewhere(now int64, e *entry, in *Input) {
+func (k *Cache) elsewhere(now int64, e *entry, in *Input) {
 	all := e.waiting
 	if e.runner >= 0 {
 		all = append([]int32{e.runner}, all...)
 	}
-	k.Counts.Running--
-	if in.Kind == Learned {
-		e.keep(k, in.Ending, in.Result)
+	k.Counters.Running--
+	if in.Kind == CompletedElsewhere {
+		e.keep(k, in.Outcome, in.Result)
 		e.state, e.runner, e.waiting = done, -1, nil
 		heap.Push(&k.expiry, e)
 		for _, asker := range all {
@@ -375,17 +377,17 @@
 }
 
 // part answers one that waits for a token, which goes on without it.
-func (k *Keeper) part(now int64, e *entry, asker int32, in *Input) {
+func (k *Cache) part(now int64, e *entry, asker int32, in *Input) {
 	switch {
-	case in.Kind == Clashed:
-		k.Counts.Mismatched++
-		k.do(Action{Kind: Mismatch, Asker: asker, Key: e.key})
-	case in.Kind == Doubted || in.Doubt:
-		k.Counts.UnknownAnswered++
-		k.do(Action{Kind: Unknown, Asker: asker, Key: e.key})
-	case in.For > 0:
-		k.Counts.Denied++
-		k.do(Action{Kind: Deny, Asker: asker, Key: e.key, For: in.For})
+	case in.Kind == MismatchElsewhere:
+		k.Counters.Mismatched++
+		k.do(Action{Kind: Mismatch, Invocation: asker, Key: e.key})
+	case in.Kind == UnknownElsewhere || in.MayHaveRun:
+		k.Counters.UnknownAnswered++
+		k.do(Action{Kind: OutcomeUnknown, Invocation: asker, Key: e.key})
+	case in.Remaining > 0:
+		k.Counters.Denied++
+		k.do(Action{Kind: Reject, Invocation: asker, Key: e.key, RetryAfter: in.Remaining})
 	default:
 		k.deny(now, asker, e.key)
 	}
@@ -393,29 +395,29 @@
 
 // dismiss answers one that can't wait any longer, or with -1 for an asker drops a token that nobody waits for. Of a token whose run is over it is told the end, which is true though it
 // may not be kept yet; one whose run goes on is told nothing.
-func (k *Keeper) dismiss(now int64, e *entry, in *Input) {
-	if e.runner != in.Asker && !slices.Contains(e.waiting, in.Asker) {
+func (k *Cache) dismiss(now int64, e *entry, in *Input) {
+	if e.runner != in.Invocation && !slices.Contains(e.waiting, in.Invocation) {
 		return
 	}
 	switch e.state {
 	case finishing:
 		k.written(now, e, false)
 	case beginning:
-		if e.leave(in.Asker); in.Asker >= 0 {
-			k.part(now, e, in.Asker, in)
+		if e.leave(in.Invocation); in.Invocation >= 0 {
+			k.part(now, e, in.Invocation, in)
 		}
 		if e.runner < 0 && len(e.waiting) == 0 {
-			k.Counts.Running--
+			k.Counters.Running--
 			k.drop(e)
 		}
 	}
 }
 
 // ended keeps how a run ended. One that proved not to have run goes to the next that waits, if any.
-func (k *Keeper) ended(now int64, e *entry, in *Input) {
-	if in.Ending == NotRun {
-		k.Counts.Ran--
-		k.Counts.Running--
+func (k *Cache) ended(now int64, e *entry, in *Input) {
+	if in.Outcome == NeverStarted {
+		k.Counters.Ran--
+		k.Counters.Running--
 		if e.runner >= 0 {
 			k.deny(now, e.runner, e.key)
 		}
@@ -426,38 +428,38 @@
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.runner = next
-		k.Counts.Running++
+		k.Counters.Running++
 		k.run(e)
 		return
 	}
-	e.keep(k, in.Ending, in.Result)
+	e.keep(k, in.Outcome, in.Result)
 	if k.rules.Durability == OnDisk {
 		e.state = finishing
 		told := e.ending
 		if e.large {
-			told = NotKept
+			told = ResultNotCached
 		}
-		k.do(Action{Kind: Finish, Key: e.key, Ending: told, Result: e.result})
+		k.do(Action{Kind: WriteEnd, Key: e.key, Outcome: told, Result: e.result})
 		return
 	}
 	k.finish(e)
 }
 
-func (e *entry) keep(k *Keeper, ending Ending, result []byte) {
+func (e *entry) keep(k *Cache, ending Outcome, result []byte) {
 	e.ending, e.result = ending, result
-	if ending == NotKept {
+	if ending == ResultNotCached {
 		e.ending, e.large, e.result = Succeeded, true, nil
-	} else if int64(len(result)) > k.rules.ResultMost {
+	} else if int64(len(result)) > k.rules.MaxResultBytes {
 		e.large, e.result = true, nil
-		k.Counts.NotKept++
+		k.Counters.NotKept++
 	}
 	k.book(e, entryBytes+int64(len(e.key.Token)+len(e.result)))
 }
 
 // finish answers all that wait for a token; it expires from now on.
-func (k *Keeper) finish(e *entry) {
+func (k *Cache) finish(e *entry) {
 	e.state = done
-	k.Counts.Running--
+	k.Counters.Running--
 	heap.Push(&k.expiry, e)
 	if e.runner >= 0 {
 		k.answer(e, e.runner, false)
@@ -468,36 +470,36 @@
 	e.runner, e.waiting = -1, nil
 }
 
-func (k *Keeper) answer(e *entry, asker int32, kept bool) {
+func (k *Cache) answer(e *entry, asker int32, kept bool) {
 	if kept {
-		k.Counts.Kept++
+		k.Counters.Kept++
 	}
-	a := Action{Kind: Serve, Asker: asker, Key: e.key, Result: e.result, Kept: kept}
+	a := Action{Kind: Serve, Invocation: asker, Key: e.key, Result: e.result, FromCache: kept}
 	if e.ending != Succeeded || e.large {
-		a.Kind, a.Result, a.NotKept = Fail, nil, e.large
+		a.Kind, a.Result, a.ResultNotCached = Fail, nil, e.large
 	}
 	k.do(a)
 }
 
 // recovered takes a record of an earlier life. How much of a window is left can't be told from a clock that may have
 // been set since, so all are kept for the longest window again: at most once goes before freshness.
-func (k *Keeper) recovered(now int64, in *Input, e *entry) {
+func (k *Cache) recovered(now int64, in *Input, e *entry) {
 	if e == nil {
-		e = &entry{key: in.Key, body: in.Body, state: unknown, runner: -1, place: -1}
+		e = &entry{key: in.Key, body: in.BodyHash, state: unknown, runner: -1, place: -1}
 		k.entries[in.Key] = e
-		k.Counts.Entries++
-		k.Counts.Unknown++
+		k.Counters.Entries++
+		k.Counters.Unknown++
 	}
 	e.until = now + k.rules.Window
 	k.book(e, entryBytes+int64(len(in.Key.Token)))
-	if in.Done && e.state == unknown {
+	if in.Completed && e.state == unknown {
 		e.state = done
-		k.Counts.Unknown--
-		e.keep(k, in.Ending, in.Result)
+		k.Counters.Unknown--
+		e.keep(k, in.Outcome, in.Result)
 	}
 }
 
-func (k *Keeper) restarted(now int64) {
+func (k *Cache) restarted(now int64) {
 	for _, e := range k.entries {
 		if e.place < 0 && (e.state == done || e.state == unknown) {
 			e.place = len(k.expiry)
@@ -507,50 +509,50 @@
 	heap.Init(&k.expiry)
 }
 
-func (k *Keeper) settle(e *entry, in *Input) {
-	k.Counts.Unknown--
+func (k *Cache) settle(e *entry, in *Input) {
+	k.Counters.Unknown--
 	e.state = done
-	e.keep(k, in.Ending, in.Result)
+	e.keep(k, in.Outcome, in.Result)
 }
 
-func (k *Keeper) drop(e *entry) {
+func (k *Cache) drop(e *entry) {
 	if e.place >= 0 {
 		heap.Remove(&k.expiry, e.place)
 	}
 	if e.state == unknown {
-		k.Counts.Unknown--
+		k.Counters.Unknown--
 	}
 	k.book(e, 0)
 	delete(k.entries, e.key)
-	k.Counts.Entries--
-	k.do(Action{Kind: Drop, Key: e.key})
+	k.Counters.Entries--
+	k.do(Action{Kind: RemoveRecord, Key: e.key})
 }
 
 // expire drops what is past its window. One whose run goes on is never dropped.
-func (k *Keeper) expire(now int64) {
+func (k *Cache) expire(now int64) {
 	for len(k.expiry) > 0 && k.expiry[0].until < now {
 		k.drop(k.expiry[0])
 	}
 }
 
-// Body is the hash of the body that a token came with, false where it is not known.
-func (k *Keeper) Body(key Key) (uint64, bool) {
+// BodyHash is the hash of the body that a token came with, false where it is not known.
+func (k *Cache) BodyHash(key Key) (uint64, bool) {
 	if e := k.entries[key]; e != nil {
 		return e.body, true
 	}
 	return 0, false
 }
 
-// Waiting is how many wait for the run of a token beside the one whose invocation runs.
-func (k *Keeper) Waiting(key Key) int {
+// JoinedCount is how many wait for the run of a token beside the one whose invocation runs.
+func (k *Cache) JoinedCount(key Key) int {
 	if e := k.entries[key]; e != nil {
 		return len(e.waiting)
 	}
 	return 0
 }
 
-// Askers are those who wait for a token, and whether its run has not begun yet.
-func (k *Keeper) Askers(key Key) (list []int32, unrun bool) {
+// Waiters are those who wait for a token, and whether its run has not begun yet.
+func (k *Cache) Waiters(key Key) (list []int32, unrun bool) {
 	e := k.entries[key]
 	if e == nil {
 		return nil, false
@@ -561,16 +563,16 @@
 	return append(list, e.waiting...), e.state == beginning
 }
 
-// Due is when the next token expires, math.MaxInt64 where none does.
-func (k *Keeper) Due() int64 {
+// NextExpiry is when the next token expires, math.MaxInt64 where none does.
+func (k *Cache) NextExpiry() int64 {
 	if len(k.expiry) == 0 {
 		return math.MaxInt64
 	}
 	return k.expiry[0].until + 1
 }
 
-// Failing says whether the store failed last.
-func (k *Keeper) Failing() bool { return k.failing }
+// StoreFailing says whether the store failed last.
+func (k *Cache) StoreFailing() bool { return k.failing }
 
 // expiry is a heap of those that may expire.
 type expiry []*entry
--- a/internal/resultcache/results_test.go
+++ b/internal/resultcache/results_test.go
@@ -29,7 +29,7 @@
 			case 5:
 				m.write(rapid.IntRange(0, 3).Draw(t, "ok") > 0)
 			case 6:
-				m.end(n%4, Ending(rapid.IntRange(0, 2).Draw(t, "ending")))
+				m.end(n%4, Outcome(rapid.IntRange(0, 2).Draw(t, "ending")))
 			case 7:
 				m.now += int64(n) * window / 15
 				m.step()
@@ -41,7 +41,7 @@
 				for asker := range m.waits {
 					if int(asker)%5 == n%5 {
 						delete(m.waits, asker)
-						m.step(Input{Kind: Left, Asker: asker, Key: keyOf(m, asker)})
+						m.step(Input{Kind: CallerDisconnected, Invocation: asker, Key: keyOf(m, asker)})
 						break
 					}
 				}
@@ -109,34 +109,34 @@
 
 func TestRepeatInFlightJoinsAndRepeatAfterwardsGetsTheKeptResult(t *testing.T) {
 	k := New(rules)
-	assert.Equal(t, []ActionKind{Join, Begin}, kinds(k.Step(0, []Input{ask(1, 1)})))
+	assert.Equal(t, []ActionKind{Join, WriteStart}, kinds(k.Step(0, []Input{ask(1, 1)})))
 	assert.Equal(t, []ActionKind{Join}, kinds(k.Step(0, []Input{ask(2, 1)})))
-	assert.Equal(t, []Action{{Kind: Run, Asker: 1, Key: key(1)}}, k.Step(1, []Input{{Kind: Written, Key: key(1)}}))
-	assert.Equal(t, []ActionKind{Finish}, kinds(k.Step(2, []Input{{Kind: Ended, Key: key(1), Result: []byte("r")}})))
-	assert.Equal(t, []Action{{Kind: Serve, Asker: 1, Key: key(1), Result: []byte("r")},
-		{Kind: Serve, Asker: 2, Key: key(1), Result: []byte("r"), Kept: true}}, k.Step(3, []Input{{Kind: Written, Key: key(1)}}))
+	assert.Equal(t, []Action{{Kind: Run, Invocation: 1, Key: key(1)}}, k.Step(1, []Input{{Kind: WriteSucceeded, Key: key(1)}}))
+	assert.Equal(t, []ActionKind{WriteEnd}, kinds(k.Step(2, []Input{{Kind: RunEnded, Key: key(1), Result: []byte("r")}})))
+	assert.Equal(t, []Action{{Kind: Serve, Invocation: 1, Key: key(1), Result: []byte("r")},
+		{Kind: Serve, Invocation: 2, Key: key(1), Result: []byte("r"), FromCache: true}}, k.Step(3, []Input{{Kind: WriteSucceeded, Key: key(1)}}))
 	assert.Equal(t, []ActionKind{Serve}, kinds(k.Step(4, []Input{ask(3, 1)})))
-	assert.Equal(t, []ActionKind{Drop, Join, Begin}, kinds(k.Step(window+1, []Input{ask(4, 1)})))
+	assert.Equal(t, []ActionKind{RemoveRecord, Join, WriteStart}, kinds(k.Step(window+1, []Input{ask(4, 1)})))
 }
 
 func TestRepeatInTheSameBatchJoins(t *testing.T) {
-	assert.Equal(t, []ActionKind{Join, Begin, Join}, kinds(New(rules).Step(0, []Input{ask(1, 1), ask(2, 1)})))
+	assert.Equal(t, []ActionKind{Join, WriteStart, Join}, kinds(New(rules).Step(0, []Input{ask(1, 1), ask(2, 1)})))
 }
 
 func TestCallerThatLeavesDoesNotTakeTheRunFromThoseThatJoined(t *testing.T) {
 	k := New(rules)
-	k.Step(0, []Input{ask(1, 1), ask(2, 1), {Kind: Left, Asker: 1, Key: key(1)}})
-	assert.Equal(t, []Action{{Kind: Run, Asker: 2, Key: key(1)}}, k.Step(0, []Input{{Kind: Written, Key: key(1)}}))
+	k.Step(0, []Input{ask(1, 1), ask(2, 1), {Kind: CallerDisconnected, Invocation: 1, Key: key(1)}})
+	assert.Equal(t, []Action{{Kind: Run, Invocation: 2, Key: key(1)}}, k.Step(0, []Input{{Kind: WriteSucceeded, Key: key(1)}}))
 	k = New(rules)
-	k.Step(0, []Input{ask(1, 1), {Kind: Left, Asker: 1, Key: key(1)}})
-	assert.Equal(t, []ActionKind{Drop}, kinds(k.Step(0, []Input{{Kind: Written, Key: key(1)}})), "nothing ran and nobody waits")
+	k.Step(0, []Input{ask(1, 1), {Kind: CallerDisconnected, Invocation: 1, Key: key(1)}})
+	assert.Equal(t, []ActionKind{RemoveRecord}, kinds(k.Step(0, []Input{{Kind: WriteSucceeded, Key: key(1)}})), "nothing ran and nobody waits")
 }
 
 func TestOtherBodyUnderTheSameTokenIsAnError(t *testing.T) {
 	k := New(rules)
 	other := ask(2, 1)
-	other.Body = 8
-	assert.Equal(t, []ActionKind{Join, Begin, Mismatch}, kinds(k.Step(0, []Input{ask(1, 1), other})))
+	other.BodyHash = 8
+	assert.Equal(t, []ActionKind{Join, WriteStart, Mismatch}, kinds(k.Step(0, []Input{ask(1, 1), other})))
 }
 
 func TestWithoutRoomNewTokensAreDeniedAndNoneInItsWindowIsPutOut(t *testing.T) {
@@ -144,52 +144,52 @@
 	var last []Action
 	for n := range 20 {
 		last = k.Step(0, []Input{ask(int32(n), n)})
-		k.Step(0, []Input{{Kind: Written, Key: key(n)}})
-		k.Step(0, []Input{{Kind: Ended, Key: key(n), Result: make([]byte, 100)}})
-		k.Step(0, []Input{{Kind: Written, Key: key(n)}})
+		k.Step(0, []Input{{Kind: WriteSucceeded, Key: key(n)}})
+		k.Step(0, []Input{{Kind: RunEnded, Key: key(n), Result: make([]byte, 100)}})
+		k.Step(0, []Input{{Kind: WriteSucceeded, Key: key(n)}})
 	}
-	assert.Equal(t, Deny, last[0].Kind)
-	assert.Equal(t, window, last[0].For, "when the first one's window ends")
+	assert.Equal(t, Reject, last[0].Kind)
+	assert.Equal(t, window, last[0].RetryAfter, "when the first one's window ends")
 	assert.Equal(t, []ActionKind{Serve}, kinds(k.Step(1, []Input{ask(99, 0)})))
 }
 
 func TestAfterACrashARunOfUnknownOutcomeIsNeverRepeatedUnlessItMayBe(t *testing.T) {
 	k := New(rules)
-	k.Step(0, []Input{{Kind: Recovered, Key: key(1), Body: 7}, {Kind: Restarted}})
-	assert.Equal(t, []ActionKind{Unknown}, kinds(k.Step(0, []Input{ask(1, 1)})))
+	k.Step(0, []Input{{Kind: RecordRecovered, Key: key(1), BodyHash: 7}, {Kind: RecoveryCompleted}})
+	assert.Equal(t, []ActionKind{OutcomeUnknown}, kinds(k.Step(0, []Input{ask(1, 1)})))
 	again := ask(2, 1)
-	again.Again = true
-	assert.Equal(t, []ActionKind{Join, Begin}, kinds(k.Step(0, []Input{again})))
+	again.Idempotent = true
+	assert.Equal(t, []ActionKind{Join, WriteStart}, kinds(k.Step(0, []Input{again})))
 }
 
 func TestUnknownOutcomeIsSettledByOperators(t *testing.T) {
 	k := New(rules)
-	k.Step(0, []Input{{Kind: Recovered, Key: key(1), Body: 7}, {Kind: Restarted},
-		{Kind: Settled, Key: key(1), Ending: Succeeded, Result: []byte("it ran")}})
-	assert.Equal(t, []Action{{Kind: Serve, Asker: 1, Key: key(1), Result: []byte("it ran"), Kept: true}},
+	k.Step(0, []Input{{Kind: RecordRecovered, Key: key(1), BodyHash: 7}, {Kind: RecoveryCompleted},
+		{Kind: OutcomeResolved, Key: key(1), Outcome: Succeeded, Result: []byte("it ran")}})
+	assert.Equal(t, []Action{{Kind: Serve, Invocation: 1, Key: key(1), Result: []byte("it ran"), FromCache: true}},
 		k.Step(0, []Input{ask(1, 1)}))
-	assert.Zero(t, k.Counts.Unknown)
+	assert.Zero(t, k.Counters.Unknown)
 }
 
 func TestDiskThatFailsBeforeTheRunDeniesItOrGoesOnAsChosen(t *testing.T) {
 	k := New(rules)
 	k.Step(0, []Input{ask(1, 1), ask(2, 1)})
-	assert.Equal(t, []ActionKind{Deny, Deny, Drop}, kinds(k.Step(0, []Input{{Kind: Unwritten, Key: key(1)}})))
-	assert.True(t, k.Failing())
+	assert.Equal(t, []ActionKind{Reject, Reject, RemoveRecord}, kinds(k.Step(0, []Input{{Kind: WriteFailed, Key: key(1)}})))
+	assert.True(t, k.StoreFailing())
 	r := rules
-	r.Trouble = GoOn
+	r.OnStoreFailure = ContinueInMemory
 	k = New(r)
 	k.Step(0, []Input{ask(1, 1)})
-	assert.Equal(t, []ActionKind{Run}, kinds(k.Step(0, []Input{{Kind: Unwritten, Key: key(1)}})))
+	assert.Equal(t, []ActionKind{Run}, kinds(k.Step(0, []Input{{Kind: WriteFailed, Key: key(1)}})))
 }
 
 func TestDiskThatFailsAfterTheRunLosesNoAnswer(t *testing.T) {
 	k := New(rules)
 	k.Step(0, []Input{ask(1, 1)})
-	k.Step(0, []Input{{Kind: Written, Key: key(1)}})
-	k.Step(0, []Input{{Kind: Ended, Key: key(1), Result: []byte("r")}})
-	assert.Equal(t, []ActionKind{Serve}, kinds(k.Step(0, []Input{{Kind: Unwritten, Key: key(1)}})))
-	assert.Equal(t, 1, k.Counts.Lost)
+	k.Step(0, []Input{{Kind: WriteSucceeded, Key: key(1)}})
+	k.Step(0, []Input{{Kind: RunEnded, Key: key(1), Result: []byte("r")}})
+	assert.Equal(t, []ActionKind{Serve}, kinds(k.Step(0, []Input{{Kind: WriteFailed, Key: key(1)}})))
+	assert.Equal(t, 1, k.Counters.Lost)
 }
 
 func TestResultTooLargeIsNotKeptButTheTokenIs(t *testing.T) {
@@ -197,8 +197,8 @@
 	r.Durability = InMemory
 	k := New(r)
 	k.Step(0, []Input{ask(1, 1)})
-	assert.Equal(t, []Action{{Kind: Fail, Asker: 1, Key: key(1), NotKept: true}},
-		k.Step(0, []Input{{Kind: Ended, Key: key(1), Result: make([]byte, 101)}}))
+	assert.Equal(t, []Action{{Kind: Fail, Invocation: 1, Key: key(1), ResultNotCached: true}},
+		k.Step(0, []Input{{Kind: RunEnded, Key: key(1), Result: make([]byte, 101)}}))
 	assert.Equal(t, []ActionKind{Fail}, kinds(k.Step(0, []Input{ask(2, 1)})))
 }
 
@@ -207,8 +207,8 @@
 	r.Durability = InMemory
 	k := New(r)
 	k.Step(0, []Input{ask(1, 1), ask(2, 1)})
-	assert.Equal(t, []Action{{Kind: Deny, Asker: 1, Key: key(1)}, {Kind: Run, Asker: 2, Key: key(1)}},
-		k.Step(0, []Input{{Kind: Ended, Key: key(1), Ending: NotRun}}))
+	assert.Equal(t, []Action{{Kind: Reject, Invocation: 1, Key: key(1)}, {Kind: Run, Invocation: 2, Key: key(1)}},
+		k.Step(0, []Input{{Kind: RunEnded, Key: key(1), Outcome: NeverStarted}}))
 }
 
 func TestStormOnOneTokenCostsOneRun(t *testing.T) {
@@ -226,68 +226,68 @@
 	for n := range int32(10_000) {
 		count(k.Step(int64(n), []Input{ask(n, 1)}))
 		if n == 5_000 {
-			count(k.Step(int64(n), []Input{{Kind: Written, Key: key(1)}}))
+			count(k.Step(int64(n), []Input{{Kind: WriteSucceeded, Key: key(1)}}))
 		}
 	}
-	count(k.Step(10_000, []Input{{Kind: Ended, Key: key(1), Result: []byte("r")}}))
-	count(k.Step(10_000, []Input{{Kind: Written, Key: key(1)}}))
+	count(k.Step(10_000, []Input{{Kind: RunEnded, Key: key(1), Result: []byte("r")}}))
+	count(k.Step(10_000, []Input{{Kind: WriteSucceeded, Key: key(1)}}))
 	assert.Equal(t, []int{1, 10_000}, []int{runs, answers})
 }
 
 // begun is a keeper in which the first of two askers is to run a token, and its record is on the way.
-func begun(t *testing.T) *Keeper {
+func begun(t *testing.T) *Cache {
 	k := New(rules)
-	assert.Equal(t, []ActionKind{Join, Begin, Join}, kinds(k.Step(1, []Input{ask(1, 1), ask(2, 1)})))
+	assert.Equal(t, []ActionKind{Join, WriteStart, Join}, kinds(k.Step(1, []Input{ask(1, 1), ask(2, 1)})))
 	return k
 }
 
 func TestWhatBecameOfATokenElsewhereAnswersAllThatWaitForIt(t *testing.T) {
-	for kind, want := range map[InputKind]ActionKind{Learned: Serve, Doubted: Unknown, Clashed: Mismatch, Denied: Deny} {
+	for kind, want := range map[InputKind]ActionKind{CompletedElsewhere: Serve, UnknownElsewhere: OutcomeUnknown, MismatchElsewhere: Mismatch, RejectedElsewhere: Reject} {
 		k := begun(t)
-		actions := k.Step(2, []Input{{Kind: kind, Key: key(1), Result: []byte("r"), For: 5}})
+		actions := k.Step(2, []Input{{Kind: kind, Key: key(1), Result: []byte("r"), Remaining: 5}})
 		assert.Equal(t, want, actions[0].Kind)
 		assert.Equal(t, want, actions[1].Kind)
-		assert.Zero(t, k.Counts.Running)
-		_, known := k.Body(key(1))
-		assert.Equal(t, kind == Learned, known, "what is not known for sure is asked for again")
-		assert.Empty(t, k.Step(3, []Input{{Kind: Written, Key: key(1)}}), "nothing runs after it")
+		assert.Zero(t, k.Counters.Running)
+		_, known := k.BodyHash(key(1))
+		assert.Equal(t, kind == CompletedElsewhere, known, "what is not known for sure is asked for again")
+		assert.Empty(t, k.Step(3, []Input{{Kind: WriteSucceeded, Key: key(1)}}), "nothing runs after it")
 	}
 	k := begun(t)
-	k.Step(2, []Input{{Kind: Learned, Key: key(1), Result: []byte("r")}})
+	k.Step(2, []Input{{Kind: CompletedElsewhere, Key: key(1), Result: []byte("r")}})
 	again := k.Step(3, []Input{ask(3, 1)})
 	assert.Equal(t, Serve, again[0].Kind)
-	assert.True(t, again[0].Kept)
+	assert.True(t, again[0].FromCache)
 }
 
 func TestOneThatCantWaitIsAnsweredAlone(t *testing.T) {
 	k := begun(t)
-	actions := k.Step(2, []Input{{Kind: Dismissed, Key: key(1), Asker: 1, Doubt: true}})
-	assert.Equal(t, []ActionKind{Unknown}, kinds(actions))
-	assert.Equal(t, []ActionKind{Run}, kinds(k.Step(3, []Input{{Kind: Written, Key: key(1)}})), "for the other one")
-	assert.Empty(t, k.Step(4, []Input{{Kind: Dismissed, Key: key(1), Asker: 2}}), "its run goes on")
+	actions := k.Step(2, []Input{{Kind: AnswerRequired, Key: key(1), Invocation: 1, MayHaveRun: true}})
+	assert.Equal(t, []ActionKind{OutcomeUnknown}, kinds(actions))
+	assert.Equal(t, []ActionKind{Run}, kinds(k.Step(3, []Input{{Kind: WriteSucceeded, Key: key(1)}})), "for the other one")
+	assert.Empty(t, k.Step(4, []Input{{Kind: AnswerRequired, Key: key(1), Invocation: 2}}), "its run goes on")
 	k = begun(t)
-	actions = k.Step(2, []Input{{Kind: Dismissed, Key: key(1), Asker: 2}, {Kind: Dismissed, Key: key(1), Asker: 1}})
-	assert.Equal(t, []ActionKind{Deny, Deny, Drop}, kinds(actions))
-	assert.Zero(t, k.Counts.Entries)
+	actions = k.Step(2, []Input{{Kind: AnswerRequired, Key: key(1), Invocation: 2}, {Kind: AnswerRequired, Key: key(1), Invocation: 1}})
+	assert.Equal(t, []ActionKind{Reject, Reject, RemoveRecord}, kinds(actions))
+	assert.Zero(t, k.Counters.Entries)
 }
 
 func TestEndThatIsNotWrittenInTimeIsToldAllTheSame(t *testing.T) {
 	k := begun(t)
-	k.Step(2, []Input{{Kind: Written, Key: key(1)}})
-	assert.Equal(t, []ActionKind{Finish}, kinds(k.Step(3, []Input{{Kind: Ended, Key: key(1), Result: []byte("r")}})))
-	assert.Equal(t, []ActionKind{Serve, Serve}, kinds(k.Step(4, []Input{{Kind: Dismissed, Key: key(1), Asker: 1}})))
-	assert.Empty(t, k.Step(5, []Input{{Kind: Written, Key: key(1)}}))
+	k.Step(2, []Input{{Kind: WriteSucceeded, Key: key(1)}})
+	assert.Equal(t, []ActionKind{WriteEnd}, kinds(k.Step(3, []Input{{Kind: RunEnded, Key: key(1), Result: []byte("r")}})))
+	assert.Equal(t, []ActionKind{Serve, Serve}, kinds(k.Step(4, []Input{{Kind: AnswerRequired, Key: key(1), Invocation: 1}})))
+	assert.Empty(t, k.Step(5, []Input{{Kind: WriteSucceeded, Key: key(1)}}))
 }
 
 // A result past its bound went to the disk as a success without a result, and came back from it as an empty one.
 func TestResultThatWasTooLargeComesBackAsThat(t *testing.T) {
 	k := begun(t)
-	k.Step(2, []Input{{Kind: Written, Key: key(1)}})
-	finish := k.Step(3, []Input{{Kind: Ended, Key: key(1), Result: make([]byte, 101)}})
-	assert.Equal(t, NotKept, finish[0].Ending)
+	k.Step(2, []Input{{Kind: WriteSucceeded, Key: key(1)}})
+	finish := k.Step(3, []Input{{Kind: RunEnded, Key: key(1), Result: make([]byte, 101)}})
+	assert.Equal(t, ResultNotCached, finish[0].Outcome)
 	next := New(rules)
-	next.Step(1, []Input{{Kind: Recovered, Key: key(1), Body: 7, Done: true, Ending: finish[0].Ending}, {Kind: Restarted}})
+	next.Step(1, []Input{{Kind: RecordRecovered, Key: key(1), BodyHash: 7, Completed: true, Outcome: finish[0].Outcome}, {Kind: RecoveryCompleted}})
 	answer := next.Step(2, []Input{ask(1, 1)})
 	assert.Equal(t, Fail, answer[0].Kind)
-	assert.True(t, answer[0].NotKept)
+	assert.True(t, answer[0].ResultNotCached)
 }
--- a/internal/resultcache/segmentstore/compact.go
+++ b/internal/resultcache/segmentstore/compact.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Last gives the last state of each token, in the order in which they were first told of: that its run began, or how it
+// LatestRecords gives the last state of each token, in the order in which they were first told of: that its run began, or how it
 // ended, with the hash of its body.
-func Last(records []Record) []Record {
+func LatestRecords(records []Record) []Record {
 	type key struct {
 		operation, tenant int32
 		token             string
@@ -22,11 +22,11 @@
 			last = append(last, r)
 			continue
 		}
-		if was := &last[i]; r.Kind == Ended || was.Kind == Begun {
-			if r.Body == 0 {
-				r.Body = was.Body
+		if was := &last[i]; r.Kind == RunEnded || was.Kind == RunStarted {
+			if r.BodyHash == 0 {
+				r.BodyHash = was.BodyHash
 			}
-			r.Until = max(r.Until, was.Until)
+			r.ExpiresAt = max(r.ExpiresAt, was.ExpiresAt)
 			*was = r
 		}
 	}
@@ -35,17 +35,17 @@
 
 // Compact writes the last state of the tokens that are to stay into new segments, and removes those of before once all
 // of it is lasting. A crash on the way leaves both, which say the same.
-func Compact(files Files, bounds Bounds, stays func(r *Record) bool) (before, after int64, err error) {
+func Compact(files Storage, bounds Limits, stays func(r *Record) bool) (before, after int64, err error) {
 	l, records, _, err := Open(files, bounds)
 	if err != nil {
 		return 0, 0, err
 	}
 	old := len(l.segments)
 	before = l.Bytes()
-	last := slices.DeleteFunc(Last(records), func(r Record) bool { return !stays(&r) })
+	last := slices.DeleteFunc(LatestRecords(records), func(r Record) bool { return !stays(&r) })
 	for len(last) > 0 {
 		n, bytes := 0, 0
-		for n < len(last) && n < compactGroup && (n == 0 || bytes < int(bounds.Segment)/4) {
+		for n < len(last) && n < compactGroup && (n == 0 || bytes < int(bounds.SegmentBytes)/4) {
 			bytes += recordHead + len(last[n].Token) + len(last[n].Result) + 64
 			n++
 		}
--- a/internal/resultcache/segmentstore/crash_test.go
+++ b/internal/resultcache/segmentstore/crash_test.go
@@ -19,7 +19,7 @@
 type node struct {
 	d       *disk
 	log     *Log
-	keeper  *resultcache.Keeper
+	keeper  *resultcache.Cache
 	now     int64
 	asker   int32
 	pending []resultcache.Action // records on their way to the disk
@@ -30,18 +30,18 @@
 }
 
 func (n *node) start() error {
-	l, records, _, err := Open(n.d, Bounds{Segment: 20_000, Most: 400_000})
+	l, records, _, err := Open(n.d, Limits{SegmentBytes: 20_000, MaxBytes: 400_000})
 	if err != nil {
 		return err
 	}
 	n.log, n.pending, n.running, n.asked = l, nil, map[string]resultcache.Key{}, map[int32]string{}
-	n.keeper = resultcache.New(resultcache.Rules{Durability: resultcache.OnDisk, BytesMost: 1 << 20, ResultMost: 200, Window: crashWindow})
+	n.keeper = resultcache.New(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 200, Window: crashWindow})
 	var found []resultcache.Input
 	for _, r := range records {
-		found = append(found, resultcache.Input{Kind: resultcache.Recovered, Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token},
-			Body: r.Body, Done: r.Kind == Ended, Ending: resultcache.Ending(r.Ending), Result: r.Result})
+		found = append(found, resultcache.Input{Kind: resultcache.RecordRecovered, Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token},
+			BodyHash: r.BodyHash, Completed: r.Kind == RunEnded, Outcome: resultcache.Outcome(r.Outcome), Result: r.Result})
 	}
-	return n.step(append(found, resultcache.Input{Kind: resultcache.Restarted})...)
+	return n.step(append(found, resultcache.Input{Kind: resultcache.RecoveryCompleted})...)
 }
 
 func (n *node) step(inputs ...resultcache.Input) error {
@@ -52,13 +52,13 @@
 				return fmt.Errorf("%s ran twice", a.Key.Token)
 			}
 			n.running[a.Key.Token] = a.Key
-		case resultcache.Begin, resultcache.Finish:
+		case resultcache.WriteStart, resultcache.WriteEnd:
 			n.pending = append(n.pending, a)
 		case resultcache.Serve:
 			if want := "result of " + a.Key.Token; string(a.Result) != want {
 				return fmt.Errorf("%s was answered %q", a.Key.Token, a.Result)
 			}
-		case resultcache.Unknown:
+		case resultcache.OutcomeUnknown:
 			if n.served[a.Key.Token] != "" {
 				return fmt.Errorf("%s was acknowledged, and its result is lost", a.Key.Token)
 			}
@@ -77,18 +77,18 @@
 	n.pending = n.pending[k:]
 	var records []Record
 	for _, a := range group {
-		r := Record{Kind: Begun, Operation: a.Key.Operation, Tenant: a.Key.Tenant, Token: a.Key.Token, Body: a.Body, Until: 1e18}
-		if a.Kind == resultcache.Finish {
-			r.Kind, r.Ending, r.Result = Ended, uint8(a.Ending), a.Result
+		r := Record{Kind: RunStarted, Operation: a.Key.Operation, Tenant: a.Key.Tenant, Token: a.Key.Token, BodyHash: a.BodyHash, ExpiresAt: 1e18}
+		if a.Kind == resultcache.WriteEnd {
+			r.Kind, r.Outcome, r.Result = RunEnded, uint8(a.Outcome), a.Result
 		}
 		records = append(records, r)
 	}
-	kind := resultcache.Written
+	kind := resultcache.WriteSucceeded
 	if n.log.Write(records, true) != nil {
-		kind = resultcache.Unwritten
+		kind = resultcache.WriteFailed
 	}
 	for _, a := range group {
-		if kind == resultcache.Written && a.Kind == resultcache.Finish {
+		if kind == resultcache.WriteSucceeded && a.Kind == resultcache.WriteEnd {
 			n.served[a.Key.Token] = string(a.Result)
 		}
 		if err := n.step(resultcache.Input{Kind: kind, Key: a.Key}); err != nil {
@@ -113,15 +113,15 @@
 		switch chance.Intn(8) {
 		case 0, 1, 2:
 			n.asker++
-			err = n.step(resultcache.Input{Kind: resultcache.Asked, Asker: n.asker, Key: resultcache.Key{Operation: 1, Tenant: -1,
-				Token: fmt.Sprint("t", chance.Intn(12))}, Body: 7, For: crashWindow})
+			err = n.step(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: n.asker, Key: resultcache.Key{Operation: 1, Tenant: -1,
+				Token: fmt.Sprint("t", chance.Intn(12))}, BodyHash: 7, Remaining: crashWindow})
 		case 3, 4:
 			err = n.write()
 		case 5, 6:
 			if at := slices.Sorted(maps.Keys(n.running)); len(at) > 0 {
 				key := n.running[at[0]]
 				delete(n.running, at[0])
-				err = n.step(resultcache.Input{Kind: resultcache.Ended, Key: key, Result: []byte("result of " + at[0])})
+				err = n.step(resultcache.Input{Kind: resultcache.RunEnded, Key: key, Result: []byte("result of " + at[0])})
 			}
 		case 7:
 			failing = false
--- a/internal/resultcache/segmentstore/fixtures_test.go
+++ b/internal/resultcache/segmentstore/fixtures_test.go
@@ -114,20 +114,20 @@
 // A segment of two groups with one record of each kind in each, and a record that no foot acknowledges.
 func TestFixtureOfASegment(t *testing.T) {
 	const size, number = 1 << 10, 0x0102030405060708
-	var want Scanned
-	text := Head(number, size)
+	var want ScanResult
+	text := Header(number, size)
 	for group := range uint32(3) {
 		start := int64(len(text))
-		for _, kind := range []Kind{Begun, Ended} {
+		for _, kind := range []Kind{RunStarted, RunEnded} {
 			r := fullValue[Record](100*group + uint32(kind))
 			r.Kind = kind
 			want.Records, want.Offsets = append(want.Records, r), append(want.Offsets, int64(len(text)))
 			var err error
-			text, err = Append(text, &r)
+			text, err = AppendRecord(text, &r)
 			require.NoError(t, err)
 		}
 		if group < 2 {
-			text = Foot(text, start, 2)
+			text = Footer(text, start, 2)
 		}
 	}
 	want.Number, want.End = number, int64(len(text))
@@ -137,23 +137,23 @@
 	got, err := Scan(fixture)
 	require.NoError(t, err)
 	assert.Equal(t, &want, got)
-	assert.Equal(t, int(kinds), int(Ended)+1, "each kind is in the fixture")
+	assert.Equal(t, int(kinds), int(RunEnded)+1, "each kind is in the fixture")
 	require.NoError(t, cbor.Wellformed(fixture[headBytes+recordHead:][:fixture[headBytes+1]]), "a body is one item of CBOR")
 }
 
 // A log of two segments as Write leaves it is found under the same names with the same bytes, and opened to its records.
 func TestFixtureOfALog(t *testing.T) {
-	bounds := Bounds{Segment: 32 << 10, Most: 256 << 10}
+	bounds := Limits{SegmentBytes: 32 << 10, MaxBytes: 256 << 10}
 	files := newDisk(1)
 	log, _, _, err := Open(files, bounds)
 	require.NoError(t, err)
 	var want []Record
 	for k := range uint32(2) {
 		r := fullValue[Record](k)
-		r.Kind = Begun
+		r.Kind = RunStarted
 		r.Result = []byte(strings.Repeat(fmt.Sprint(k), 10<<10)) // two of them and their feet take most of a segment
 		group := []Record{r, r}
-		group[1].Kind = Ended
+		group[1].Kind = RunEnded
 		want = append(want, group...)
 		require.NoError(t, log.Write(group, true))
 	}
--- a/internal/resultcache/segmentstore/folder.go
+++ b/internal/resultcache/segmentstore/folder.go
@@ -5,11 +5,11 @@
 	"path/filepath"
 )
 
-// Folder is the files of one folder of the system.
-type Folder string
+// Directory is the files of one folder of the system.
+type Directory string
 
 // Names lists them.
-func (f Folder) Names() ([]string, error) {
+func (f Directory) Names() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	var names []string
 	for _, e := range entries {
@@ -21,10 +21,12 @@
 }
 
 // Read reads a file whole.
-func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(string(f), name)) }
+func (f Directory) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(string(f), name))
+}
 
 // Create makes a file of zeros whose name lasts. It must be new: none is ever written again.
-func (f Folder) Create(name string, size int64) (File, error) {
+func (f Directory) Create(name string, size int64) (File, error) {
 	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -40,7 +42,7 @@
 }
 
 // Remove takes a file out.
-func (f Folder) Remove(name string) error {
+func (f Directory) Remove(name string) error {
 	if err := os.Remove(filepath.Join(string(f), name)); err != nil {
 		return err
 	}
@@ -48,7 +50,7 @@
 }
 
 // sync makes names lasting.
-func (f Folder) sync() error {
+func (f Directory) sync() error {
 	folder, err := os.Open(string(f))
 	if err != nil {
 		return err
--- a/internal/resultcache/segmentstore/log.go
+++ b/internal/resultcache/segmentstore/log.go
@@ -14,8 +14,8 @@
 	Close() error
 }
 
-// Files are those of one folder. Create makes a file of a size, zeros throughout, and its name lasting.
-type Files interface {
+// Storage are those of one folder. Create makes a file of a size, zeros throughout, and its name lasting.
+type Storage interface {
 	Names() ([]string, error)
 	Read(name string) ([]byte, error)
 	Create(name string, size int64) (File, error)
@@ -24,16 +24,16 @@
 
 const suffix = ".seg"
 
-// Bounds of a log. Bytes.
-type Bounds struct {
-	Segment int64 // of one segment
-	Most    int64 // of all of them
+// Limits of a log. Bytes.
+type Limits struct {
+	SegmentBytes int64 // of one segment
+	MaxBytes     int64 // of all of them
 }
 
 // Log is the segments of one folder: written in groups, aged out by whole segments.
 type Log struct {
-	files    Files
-	bounds   Bounds
+	files    Storage
+	bounds   Limits
 	segments []kept
 	next     uint64
 	now      File // the segment that is written, nil for none
@@ -49,18 +49,18 @@
 	until int64 // Unix ns, when the last of its records expires
 }
 
-// Dropped tells of what a crash left unfinished; nothing of it was acknowledged.
-type Dropped struct {
+// TruncatedTail tells of what a crash left unfinished; nothing of it was acknowledged.
+type TruncatedTail struct {
 	Name  string
 	Bytes int64
 }
 
 // Open reads a log and gives its records, oldest first. What is broken is told with its file and offset, and changes
 // nothing.
-func Open(files Files, bounds Bounds) (*Log, []Record, []Dropped, error) {
-	if bounds.Segment < headBytes+recordHead+bodyMost+footBytes || bounds.Segment > 1<<31 || bounds.Most < 2*bounds.Segment {
+func Open(files Storage, bounds Limits) (*Log, []Record, []TruncatedTail, error) {
+	if bounds.SegmentBytes < headBytes+recordHead+bodyMost+footBytes || bounds.SegmentBytes > 1<<31 || bounds.MaxBytes < 2*bounds.SegmentBytes {
 		return nil, nil, nil, fmt.Errorf("store: segments of %d bytes within %d in all: a segment takes one record at the least, "+
-			"2 GiB at the most, and there must be room for two", bounds.Segment, bounds.Most)
+			"2 GiB at the most, and there must be room for two", bounds.SegmentBytes, bounds.MaxBytes)
 	}
 	names, err := files.Names()
 	if err != nil {
@@ -69,7 +69,7 @@
 	slices.Sort(names)
 	l := &Log{files: files, bounds: bounds}
 	var records []Record
-	var dropped []Dropped
+	var dropped []TruncatedTail
 	for _, name := range names {
 		if !strings.HasSuffix(name, suffix) {
 			continue
@@ -78,26 +78,26 @@
 		if err != nil {
 			return nil, nil, nil, fmt.Errorf("store: %s: %w", name, err)
 		}
-		if int64(len(data)) == bounds.Segment && unborn(data) { // the crash came before its head was on disk: nothing in it was acknowledged
+		if int64(len(data)) == bounds.SegmentBytes && unborn(data) { // the crash came before its head was on disk: nothing in it was acknowledged
 			if err := files.Remove(name); err != nil {
 				return nil, nil, nil, fmt.Errorf("store: %s: %w", name, err)
 			}
-			dropped = append(dropped, Dropped{name, int64(len(data))})
+			dropped = append(dropped, TruncatedTail{name, int64(len(data))})
 			continue
 		}
 		s, err := Scan(data)
 		if err == nil && nameOf(s.Number) != name {
-			err = &Broken{16, "its name is that of another segment"}
+			err = &CorruptionError{16, "its name is that of another segment"}
 		}
 		if err != nil {
 			return nil, nil, nil, fmt.Errorf("%s: %w", name, err)
 		}
 		if s.Dropped > 0 {
-			dropped = append(dropped, Dropped{name, s.Dropped})
+			dropped = append(dropped, TruncatedTail{name, s.Dropped})
 		}
 		segment := kept{name: name}
 		for i := range s.Records {
-			segment.until = max(segment.until, s.Records[i].Until)
+			segment.until = max(segment.until, s.Records[i].ExpiresAt)
 		}
 		records = append(records, s.Records...)
 		l.segments, l.next = append(l.segments, segment), s.Number+1
@@ -127,16 +127,16 @@
 	group, until := l.buffer[:0], int64(0)
 	for i := range records {
 		var err error
-		if group, err = Append(group, &records[i]); err != nil {
+		if group, err = AppendRecord(group, &records[i]); err != nil {
 			return err
 		}
-		until = max(until, records[i].Until)
+		until = max(until, records[i].ExpiresAt)
 	}
 	l.buffer = group[:0]
-	if int64(headBytes+len(group)+footBytes) > l.bounds.Segment {
-		return ErrLarge
+	if int64(headBytes+len(group)+footBytes) > l.bounds.SegmentBytes {
+		return ErrTooLarge
 	}
-	if l.now == nil || l.end+int64(len(group)+footBytes) > l.bounds.Segment {
+	if l.now == nil || l.end+int64(len(group)+footBytes) > l.bounds.SegmentBytes {
 		if err := l.roll(); err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	if err := l.now.Sync(); err != nil {
 		return l.failed(err)
 	}
-	if _, err := l.now.WriteAt(Foot(nil, l.start, l.open), l.end); err != nil {
+	if _, err := l.now.WriteAt(Footer(nil, l.start, l.open), l.end); err != nil {
 		return l.failed(err)
 	}
 	if err := l.now.Sync(); err != nil {
@@ -185,15 +185,15 @@
 	if err := l.Close(); err != nil {
 		return err
 	}
-	if int64(len(l.segments)+1)*l.bounds.Segment > l.bounds.Most {
+	if int64(len(l.segments)+1)*l.bounds.SegmentBytes > l.bounds.MaxBytes {
 		return ErrFull
 	}
 	name := nameOf(l.next)
-	file, err := l.files.Create(name, l.bounds.Segment)
+	file, err := l.files.Create(name, l.bounds.SegmentBytes)
 	if err != nil {
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
-	if _, err = file.WriteAt(Head(l.next, uint32(l.bounds.Segment)), 0); err == nil {
+	if _, err = file.WriteAt(Header(l.next, uint32(l.bounds.SegmentBytes)), 0); err == nil {
 		err = file.Sync()
 	}
 	l.next++ // a number that failed is not used again
@@ -234,12 +234,12 @@
 	return nil
 }
 
-// Hold keeps all segments until a Unix time in nanoseconds at the least: what was recovered is known anew from then on.
-func (l *Log) Hold(until int64) {
+// RetainUntil keeps all segments until a Unix time in nanoseconds at the least: what was recovered is known anew from then on.
+func (l *Log) RetainUntil(until int64) {
 	for i := range l.segments {
 		l.segments[i].until = max(l.segments[i].until, until)
 	}
 }
 
 // Bytes is what the segments take.
-func (l *Log) Bytes() int64 { return int64(len(l.segments)) * l.bounds.Segment }
+func (l *Log) Bytes() int64 { return int64(len(l.segments)) * l.bounds.SegmentBytes }
--- a/internal/resultcache/segmentstore/log_test.go
+++ b/internal/resultcache/segmentstore/log_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var bounds = Bounds{Segment: 20_000, Most: 100_000}
+var bounds = Limits{SegmentBytes: 20_000, MaxBytes: 100_000}
 
 func record(n int, until int64) Record {
-	return Record{Kind: Ended, Operation: 1, Tenant: -1, Token: fmt.Sprint("token-", n), Until: until, Result: make([]byte, 900)}
+	return Record{Kind: RunEnded, Operation: 1, Tenant: -1, Token: fmt.Sprint("token-", n), ExpiresAt: until, Result: make([]byte, 900)}
 }
 
 func open(t *testing.T, d *disk) (*Log, map[string]bool) {
@@ -54,13 +54,13 @@
 	l, _ := open(t, newDisk(1))
 	n := 0
 	for ; l.Write([]Record{record(n, int64(1000+n))}, true) == nil; n++ {
-		require.LessOrEqual(t, l.Bytes(), bounds.Most)
+		require.LessOrEqual(t, l.Bytes(), bounds.MaxBytes)
 	}
 	assert.ErrorIs(t, l.Write([]Record{record(n, 1)}, true), ErrFull)
 	require.NoError(t, l.Expire(1000+int64(n/2)))
 	assert.NoError(t, l.Write([]Record{record(n, 1)}, true))
 	require.NoError(t, l.Expire(1<<60))
-	assert.Equal(t, bounds.Segment, l.Bytes(), "the one that is written stays")
+	assert.Equal(t, bounds.SegmentBytes, l.Bytes(), "the one that is written stays")
 }
 
 func TestDiskThatWorksAgainIsUsedAgain(t *testing.T) {
@@ -86,7 +86,7 @@
 	second.live[500] ^= 1
 	before := string(second.live)
 	_, _, _, err := Open(d, bounds)
-	broken := &Broken{}
+	broken := &CorruptionError{}
 	require.ErrorAs(t, err, &broken)
 	assert.ErrorContains(t, err, nameOf(1)+": store: broken at offset 32")
 	assert.Equal(t, before, string(second.live))
@@ -102,7 +102,7 @@
 }
 
 func TestBoundsWithoutRoomAreRefused(t *testing.T) {
-	for _, b := range []Bounds{{}, {Segment: 100, Most: 1000}, {Segment: 20_000, Most: 20_000}} {
+	for _, b := range []Limits{{}, {SegmentBytes: 100, MaxBytes: 1000}, {SegmentBytes: 20_000, MaxBytes: 20_000}} {
 		_, _, _, err := Open(newDisk(1), b)
 		assert.Error(t, err)
 	}
@@ -117,7 +117,7 @@
 	for _, n := range []int{0, 1, headBytes - 1, headBytes, headBytes + 1, len(whole) - 1} {
 		d.files[nameOf(0)].live = whole[:n]
 		_, _, _, err := Open(d, bounds)
-		broken := &Broken{}
+		broken := &CorruptionError{}
 		require.ErrorAs(t, err, &broken, "%d bytes", n)
 		assert.Contains(t, d.files, nameOf(0))
 	}
@@ -125,7 +125,7 @@
 
 func TestSegmentWhoseHeadNeverCameToTheDiskIsRemoved(t *testing.T) {
 	d := newDisk(1)
-	_, err := d.Create(nameOf(0), bounds.Segment)
+	_, err := d.Create(nameOf(0), bounds.SegmentBytes)
 	require.NoError(t, err)
 	_, _, dropped, err := Open(d, bounds)
 	require.NoError(t, err)
--- a/internal/resultcache/segmentstore/recovery_test.go
+++ b/internal/resultcache/segmentstore/recovery_test.go
@@ -10,8 +10,8 @@
 
 // BenchmarkRecovery100MB opens a store of 100 MB on a disk: go test -bench Recovery -benchtime 1x ./store.
 func BenchmarkRecovery100MB(b *testing.B) {
-	at := Folder(b.TempDir())
-	within := Bounds{Segment: 8 << 20, Most: 256 << 20}
+	at := Directory(b.TempDir())
+	within := Limits{SegmentBytes: 8 << 20, MaxBytes: 256 << 20}
 	l, _, _, err := Open(at, within)
 	require.NoError(b, err)
 	result := make([]byte, 200)
@@ -19,8 +19,8 @@
 		var group []Record
 		for k := range 200 {
 			token := fmt.Sprintf("token-%d-%d", n, k)
-			group = append(group, Record{Kind: Begun, Tenant: -1, Token: token, Body: 7, Until: 1e18},
-				Record{Kind: Ended, Tenant: -1, Token: token, Until: 1e18, Result: result})
+			group = append(group, Record{Kind: RunStarted, Tenant: -1, Token: token, BodyHash: 7, ExpiresAt: 1e18},
+				Record{Kind: RunEnded, Tenant: -1, Token: token, ExpiresAt: 1e18, Result: result})
 		}
 		require.NoError(b, l.Write(group, false))
 	}
--- a/internal/resultcache/segmentstore/segment.go
+++ b/internal/resultcache/segmentstore/segment.go
@@ -30,9 +30,9 @@
 
 // The kinds of records.
 const (
-	Begun Kind = iota + 1 // a run of the token begins
-	Ended                 // how it ended
-	kinds                 // one past the last
+	RunStarted Kind = iota + 1 // a run of the token begins
+	RunEnded                   // how it ended
+	kinds                      // one past the last
 )
 
 // Record is one record, its body in CBOR with whole numbers as names.
@@ -41,27 +41,27 @@
 	Operation int32  `cbor:"1,keyasint"`
 	Tenant    int32  `cbor:"2,keyasint"`
 	Token     string `cbor:"3,keyasint"`
-	Body      uint64 `cbor:"4,keyasint,omitempty"` // hash of the invocation's body
-	Until     int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the end of its window
-	Ending    uint8  `cbor:"6,keyasint,omitempty"`
+	BodyHash  uint64 `cbor:"4,keyasint,omitempty"` // hash of the invocation's body
+	ExpiresAt int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the end of its window
+	Outcome   uint8  `cbor:"6,keyasint,omitempty"`
 	Result    []byte `cbor:"7,keyasint,omitempty"`
 }
 
 // What makes a segment unusable. Broken is told with the offset.
 var (
-	ErrVersion = errors.New("store: a version that is not known here; it is left as it is")
-	ErrFull    = errors.New("store: the segment has no room")
-	ErrLarge   = errors.New("store: the record is too large")
+	ErrVersion  = errors.New("store: a version that is not known here; it is left as it is")
+	ErrFull     = errors.New("store: the segment has no room")
+	ErrTooLarge = errors.New("store: the record is too large")
 )
 
-// Broken tells that acknowledged records may be spoilt, and where.
-type Broken struct {
+// CorruptionError tells that acknowledged records may be spoilt, and where.
+type CorruptionError struct {
 	Offset int64
-	What   string
+	Reason string
 }
 
-func (b *Broken) Error() string {
-	return fmt.Sprintf("store: broken at offset %d: %s", b.Offset, b.What)
+func (b *CorruptionError) Error() string {
+	return fmt.Sprintf("store: broken at offset %d: %s", b.Offset, b.Reason)
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -75,9 +75,9 @@
 	return mode
 }()
 
-// Head is the first bytes of a segment of so many bytes in all, the rest being zeros. Segments have their full size
+// Header is the first bytes of a segment of so many bytes in all, the rest being zeros. Segments have their full size
 // from the start, so that one that was cut is told from one that has room.
-func Head(number uint64, size uint32) []byte { return head(version, size, number) }
+func Header(number uint64, size uint32) []byte { return head(version, size, number) }
 
 func head(format, size uint32, number uint64) []byte {
 	b := append(make([]byte, 0, headBytes), magic...)
@@ -88,14 +88,14 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// Append writes a record behind b.
-func Append(b []byte, r *Record) ([]byte, error) {
+// AppendRecord writes a record behind b.
+func AppendRecord(b []byte, r *Record) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return b, err
 	}
 	if len(body) > bodyMost {
-		return b, ErrLarge
+		return b, ErrTooLarge
 	}
 	at := len(b)
 	b = append(b, recordMark)
@@ -112,9 +112,9 @@
 	return crc32.Update(sum, castagnoli, record[9:])
 }
 
-// Foot closes a group of records that began at an offset of the segment. Records count as acknowledged once their foot
+// Footer closes a group of records that began at an offset of the segment. Records count as acknowledged once their foot
 // is on disk.
-func Foot(b []byte, start int64, records int) []byte {
+func Footer(b []byte, start int64, records int) []byte {
 	at := len(b)
 	b = append(b, footMark...)
 	b = binary.LittleEndian.AppendUint64(b, uint64(start))
@@ -123,8 +123,8 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
 }
 
-// Scanned is what a segment holds.
-type Scanned struct {
+// ScanResult is what a segment holds.
+type ScanResult struct {
 	Number  uint64
 	Records []Record
 	Offsets []int64 // of each record
@@ -136,18 +136,18 @@
 // less without an error. Records that no foot acknowledges are given too where they are whole: that a run may have
 // begun is not to be forgotten. A segment is not written any more once it was scanned: what a crash left behind its end
 // could be taken for records of a later group.
-func Scan(data []byte) (*Scanned, error) {
+func Scan(data []byte) (*ScanResult, error) {
 	number, err := scanHead(data)
 	if err != nil {
 		return nil, err
 	}
-	s := &Scanned{Number: number, End: headBytes}
+	s := &ScanResult{Number: number, End: headBytes}
 	start, count := int64(headBytes), uint32(0)
 	for pos := int64(headBytes); ; {
 		rest := data[pos:]
 		if len(rest) >= footBytes && string(rest[:4]) == footMark && sound(rest) {
 			if binary.LittleEndian.Uint64(rest[4:]) != uint64(start) || binary.LittleEndian.Uint32(rest[12:]) != count {
-				return nil, &Broken{pos, "the foot of a group speaks of other records"}
+				return nil, &CorruptionError{pos, "the foot of a group speaks of other records"}
 			}
 			pos += footBytes
 			start, count, s.End = pos, 0, pos
@@ -156,7 +156,7 @@
 		record, n, ok := scanRecord(rest)
 		if !ok {
 			if far := laterFoot(rest); far >= 0 {
-				return nil, &Broken{pos, fmt.Sprintf("no record can be read, but records were acknowledged up to offset %d",
+				return nil, &CorruptionError{pos, fmt.Sprintf("no record can be read, but records were acknowledged up to offset %d",
 					pos+int64(far))}
 			}
 			s.Dropped = int64(len(bytes.TrimRight(rest, "\x00")))
@@ -170,16 +170,16 @@
 
 func scanHead(data []byte) (uint64, error) {
 	if len(data) < headBytes || string(data[:8]) != magic {
-		return 0, &Broken{0, "this is no segment, or its head is spoilt"}
+		return 0, &CorruptionError{0, "this is no segment, or its head is spoilt"}
 	}
 	if crc32.Checksum(data[:28], castagnoli) != binary.LittleEndian.Uint32(data[28:]) {
-		return 0, &Broken{8, "the head is spoilt"}
+		return 0, &CorruptionError{8, "the head is spoilt"}
 	}
 	if binary.LittleEndian.Uint32(data[8:]) != version {
 		return 0, ErrVersion
 	}
 	if size := binary.LittleEndian.Uint32(data[12:]); int(size) != len(data) {
-		return 0, &Broken{int64(len(data)), fmt.Sprintf("the segment has %d bytes where it was made with %d", len(data), size)}
+		return 0, &CorruptionError{int64(len(data)), fmt.Sprintf("the segment has %d bytes where it was made with %d", len(data), size)}
 	}
 	return binary.LittleEndian.Uint64(data[16:]), nil
 }
--- a/internal/resultcache/segmentstore/segment_test.go
+++ b/internal/resultcache/segmentstore/segment_test.go
@@ -11,20 +11,20 @@
 // segment is one of so many groups of two records each, with room behind them.
 func segment(t testing.TB, groups int) (data []byte, records []Record) {
 	const size = 2048
-	data = Head(7, size)
+	data = Header(7, size)
 	for g := range groups {
 		start := int64(len(data))
-		for k, kind := range []Kind{Begun, Ended} {
-			r := Record{Kind: kind, Operation: int32(g), Tenant: -1, Token: fmt.Sprint("token-", g), Body: 9, Until: 1e18}
+		for k, kind := range []Kind{RunStarted, RunEnded} {
+			r := Record{Kind: kind, Operation: int32(g), Tenant: -1, Token: fmt.Sprint("token-", g), BodyHash: 9, ExpiresAt: 1e18}
 			if k == 1 {
-				r.Ending, r.Result = 1, []byte("a result")
+				r.Outcome, r.Result = 1, []byte("a result")
 			}
 			var err error
-			data, err = Append(data, &r)
+			data, err = AppendRecord(data, &r)
 			require.NoError(t, err)
 			records = append(records, r)
 		}
-		data = Foot(data, start, 2)
+		data = Footer(data, start, 2)
 	}
 	return append(data, make([]byte, size-len(data))...), records
 }
@@ -42,7 +42,7 @@
 	data, _ := segment(t, 4)
 	for n := range len(data) {
 		_, err := Scan(data[:n])
-		broken := &Broken{}
+		broken := &CorruptionError{}
 		require.ErrorAs(t, err, &broken, "%d bytes", n)
 	}
 }
@@ -88,14 +88,14 @@
 }
 
 func TestRecordTooLargeIsRefused(t *testing.T) {
-	_, err := Append(nil, &Record{Kind: Ended, Result: make([]byte, bodyMost)})
-	assert.ErrorIs(t, err, ErrLarge)
+	_, err := AppendRecord(nil, &Record{Kind: RunEnded, Result: make([]byte, bodyMost)})
+	assert.ErrorIs(t, err, ErrTooLarge)
 }
 
 func FuzzScan(f *testing.F) {
 	data, _ := segment(f, 2)
 	f.Add(data)
-	f.Add(Head(1, headBytes))
+	f.Add(Header(1, headBytes))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Scan(data)
 		if err == nil && (s.End < headBytes || s.End+s.Dropped > int64(len(data))) {
--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -30,11 +30,11 @@
 
 func reduces(d *Day) {
 	p := &node.Plan{Forms: [][]string{{"plain", ""}}}
-	enter, exit := degradation.Condition{Bounds: degradation.Free(), For: second / 2}, degradation.Condition{Bounds: degradation.Free()}
-	enter.Bounds[degradation.Load], exit.Bounds[degradation.Load] = 1, 0.8
-	p.Most, p.Idle = 1, exit
-	p.Rungs = []degradation.Rung{{Name: "less", Enter: []degradation.Condition{enter}, Exit: exit,
-		Service: []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {}}}}
+	enter, exit := degradation.Condition{Limits: degradation.NoLimits(), Duration: second / 2}, degradation.Condition{Limits: degradation.NoLimits()}
+	enter.Limits[degradation.Load], exit.Limits[degradation.Load] = 1, 0.8
+	p.MaxHold, p.IdleCondition = 1, exit
+	p.Levels = []degradation.Level{{Name: "less", Enter: []degradation.Condition{enter}, Exit: exit,
+		Services: []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {}}}}
 	d.Plan = p
 }
 
--- a/server/fixtures_test.go
+++ b/server/fixtures_test.go
@@ -57,5 +57,5 @@
 
 // The numbers of endings, which stand in kept records and in claims.
 func TestFixtureOfTheNumbersOfEndings(t *testing.T) {
-	sameAsFixture(t, "endings-v1.bin", []byte{byte(resultcache.Succeeded), byte(resultcache.Errored), byte(resultcache.NotRun), byte(resultcache.NotKept)})
+	sameAsFixture(t, "endings-v1.bin", []byte{byte(resultcache.Succeeded), byte(resultcache.Failed), byte(resultcache.NeverStarted), byte(resultcache.ResultNotCached)})
 }
--- a/server/kept.go
+++ b/server/kept.go
@@ -27,9 +27,9 @@
 // keeping writes records to the store, away from the loop: a slow disk holds up only what waits for it.
 type keeping struct {
 	s      *Server
-	what   *cacheconfig.Keep
+	what   *cacheconfig.Config
 	began  time.Time // its clock starts from there, so that one that is set moves no window
-	in     chan *resultcache.Stored
+	in     chan *resultcache.Record
 	unlock func()
 	log    *segmentstore.Log
 	first  []segmentstore.Record
@@ -49,8 +49,8 @@
 }
 
 // openKept opens the store of a node, locked against any other.
-func openKept(s *Server, what *cacheconfig.Keep) (*keeping, error) {
-	k := &keeping{s: s, what: what, began: time.Now(), in: make(chan *resultcache.Stored, keptWaiting)}
+func openKept(s *Server, what *cacheconfig.Config) (*keeping, error) {
+	k := &keeping{s: s, what: what, began: time.Now(), in: make(chan *resultcache.Record, keptWaiting)}
 	if err := os.MkdirAll(what.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -58,8 +58,8 @@
 	if k.unlock, err = LockStore(what.Folder); err != nil {
 		return nil, err
 	}
-	var dropped []segmentstore.Dropped
-	k.log, k.first, dropped, err = segmentstore.Open(segmentstore.Folder(what.Folder), what.Bounds)
+	var dropped []segmentstore.TruncatedTail
+	k.log, k.first, dropped, err = segmentstore.Open(segmentstore.Directory(what.Folder), what.Limits)
 	if err != nil {
 		k.unlock()
 		return nil, err
@@ -67,7 +67,7 @@
 	for _, d := range dropped {
 		s.log.Warn().Str("segment", d.Name).Int64("bytes", d.Bytes).Msg("a crash left this unfinished; nothing of it was acknowledged")
 	}
-	k.log.Hold(k.now() + what.Rules.Window)
+	k.log.RetainUntil(k.now() + what.Cache.Window)
 	return k, nil
 }
 
@@ -79,11 +79,11 @@
 	defer k.unlock()
 	for len(k.first) > 0 {
 		n := min(recordsAtOnce, len(k.first))
-		var batch []resultcache.Stored
+		var batch []resultcache.Record
 		for i := range k.first[:n] {
 			r := &k.first[i]
-			batch = append(batch, resultcache.Stored{Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token}, Body: r.Body,
-				Done: r.Kind == segmentstore.Ended, Ending: resultcache.Ending(r.Ending), Result: r.Result})
+			batch = append(batch, resultcache.Record{Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token}, BodyHash: r.BodyHash,
+				Completed: r.Kind == segmentstore.RunEnded, Outcome: resultcache.Outcome(r.Outcome), Result: r.Result})
 		}
 		k.first = k.first[n:]
 		if !k.s.tell(node.Input{Kind: node.KeptRecords, Kept: batch}) {
@@ -103,7 +103,7 @@
 			}
 		case <-k.s.ctx.Done():
 			for range len(k.in) {
-				k.write([]*resultcache.Stored{<-k.in})
+				k.write([]*resultcache.Record{<-k.in})
 			}
 			k.log.Close()
 			return
@@ -112,12 +112,12 @@
 }
 
 // gather waits a moment for more, so that they share the syncs.
-func (k *keeping) gather(first *resultcache.Stored) []*resultcache.Stored {
-	group := []*resultcache.Stored{first}
-	if k.what.Durability == cacheconfig.Each {
+func (k *keeping) gather(first *resultcache.Record) []*resultcache.Record {
+	group := []*resultcache.Record{first}
+	if k.what.Durability == cacheconfig.SyncEach {
 		return group
 	}
-	end := time.NewTimer(time.Duration(k.what.Gather))
+	end := time.NewTimer(time.Duration(k.what.BatchWindow))
 	defer end.Stop()
 	for len(group) < groupMost {
 		select {
@@ -130,15 +130,15 @@
 	return group
 }
 
-func (k *keeping) write(group []*resultcache.Stored) {
+func (k *keeping) write(group []*resultcache.Record) {
 	records := make([]segmentstore.Record, len(group))
 	in := node.Input{Kind: node.KeptWritten}
 	now := k.now()
 	for i, s := range group {
-		records[i] = segmentstore.Record{Kind: segmentstore.Begun, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, Body: s.Body,
-			Until: now + s.For}
-		if s.Done {
-			records[i].Kind, records[i].Ending, records[i].Result = segmentstore.Ended, uint8(s.Ending), s.Result
+		records[i] = segmentstore.Record{Kind: segmentstore.RunStarted, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, BodyHash: s.BodyHash,
+			ExpiresAt: now + s.Remaining}
+		if s.Completed {
+			records[i].Kind, records[i].Outcome, records[i].Result = segmentstore.RunEnded, uint8(s.Outcome), s.Result
 		}
 		in.Kept = append(in.Kept, *s)
 	}
@@ -159,7 +159,7 @@
 	select {
 	case k.in <- e.Kept:
 	default:
-		kept := []resultcache.Stored{*e.Kept}
+		kept := []resultcache.Record{*e.Kept}
 		k.s.group.Go(func() error {
 			k.s.tell(node.Input{Kind: node.KeptUnwritten, Kept: kept, Err: errWaiting})
 			return nil
--- a/server/levels.go
+++ b/server/levels.go
@@ -10,12 +10,12 @@
 // It is never dropped; the plan bounds how often it can come.
 func (s *Server) turned(t *node.Turn) {
 	line := s.log.Info().Str("plan", t.Plan).Str("from", t.FromName).Str("to", t.ToName).
-		Str("cause", degradation.Causes[t.Cause])
-	if t.Cause != degradation.Replaced {
-		line = line.Str("signal", degradation.Names[t.Signal]).Float64("value", t.Value).Float64("threshold", t.Bound).
-			Float64("for_s", seconds(t.For)).Interface("signals", signals(&t.Signals)).Floats64("loads", t.Loads)
+		Str("cause", degradation.CauseNames[t.Cause])
+	if t.Cause != degradation.PlanReplaced {
+		line = line.Str("signal", degradation.SignalNames[t.Signal]).Float64("value", t.Value).Float64("threshold", t.Limit).
+			Float64("for_s", seconds(t.ConditionTime)).Interface("signals", signals(&t.Signals)).Floats64("loads", t.Loads)
 	}
-	line.Float64("lasted_s", seconds(t.Lasted)).Float64("held_s", seconds(t.HeldAfter)).Interface("before", t.Before).
+	line.Float64("lasted_s", seconds(t.PreviousTime)).Float64("held_s", seconds(t.HoldTime)).Interface("before", t.Before).
 		Msg("level changed")
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -97,13 +97,13 @@
 		s.join(config.Fleet)
 	}
 	if config.Keep == nil && config.Hollow == nil {
-		config.Keep = cacheconfig.Usual(config.Settings.Node.Operations, config.MemoryMB)
+		config.Keep = cacheconfig.Default(config.Settings.Node.Operations, config.MemoryMB)
 	}
 	convened := config.Fleet != nil && config.Fleet.Council != nil
 	if k := config.Keep; k != nil {
-		rules := k.Rules
+		rules := k.Cache
 		if convened { // what the council agrees on takes the place of the disk
-			rules.Durability, rules.Trouble = resultcache.OnDisk, resultcache.Refuse
+			rules.Durability, rules.OnStoreFailure = resultcache.OnDisk, resultcache.RejectOnStoreFailure
 		}
 		s.state.Keep(rules, k.Field, k.Folder != "")
 	}
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -139,7 +139,7 @@
 	text, err := os.ReadFile(filepath.Join(sites, "real.json"))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &real))
-	usual := cacheconfig.Usual([]admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 1}}, 64)
+	usual := cacheconfig.Default([]admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 1}}, 64)
 	assert.Equal(t, map[string]string{"id": "call", "class": "op", "tenant": "org", "left": "ttl", "stamp": "recv", "caller": "src", "retry": "rep",
 		"hint": "work", "size": "heap", "rank": "crit", "idem": usual.Field, "key": "row", "wait": "pushback", "last": "stop", "say": "load",
 		"deep": "e2e", "body": "body"}, real.Serve.F)
