--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -54,7 +54,7 @@
 
 func shown(p *consensus.Picture) (list []shownClaim) {
 	for _, e := range p.Claims {
-		list = append(list, shownClaim{e.Key.Operation, e.Key.Token, claims.States[e.State], e.Owner.Name, e.Fence, (e.Until - p.Time) / 1e6, e.Taken, e.Call})
+		list = append(list, shownClaim{e.Key.Operation, e.Key.Token, claims.StateNames[e.State], e.Owner.Name, e.Fence, (e.ExpiresAt - p.Time) / 1e6, e.Reassigned, e.InvocationID})
 	}
 	return list
 }
@@ -82,7 +82,7 @@
 	}
 	if d := p.Desk; d != nil {
 		fmt.Printf("%s: council in reach %t, %d claims in hand; claimed %d, joined elsewhere %d, kept %d, unknown %d, taken over %d, refused by fence %d\n",
-			p.Node, p.Reached, p.InHand, d.Claimed, d.Joined, d.Kept, d.Unknown, d.Heirs, d.Fenced)
+			p.Node, p.Reached, p.InHand, d.Claimed, d.Joined, d.ServedFromElsewhere, d.Unknown, d.Assigned, d.Fenced)
 	}
 	if p.Seat == nil {
 		fmt.Println("it has no seat in the council, and no table")
@@ -93,7 +93,7 @@
 		leader = "nobody it knows of"
 	}
 	fmt.Printf("seat in the council, led by %s: %d claims, %d kB; taken over %d, unknown %d, settled %d, refused by fence %d\n", leader, p.Entries,
-		p.Bytes>>10, p.Table.Taken, p.Table.Unknown, p.Table.Settled, p.Table.Fenced)
+		p.Bytes>>10, p.Table.Reassigned, p.Table.Unknown, p.Table.Resolved, p.Table.Fenced)
 	return table(shown(p))
 }
 
--- a/cmd/topazpost/fixtures_test.go
+++ b/cmd/topazpost/fixtures_test.go
@@ -117,7 +117,7 @@
 func TestFixturesOfWhatCommandsPrint(t *testing.T) {
 	t.Run("claims", func(t *testing.T) {
 		p := &consensus.Picture{Time: -7e6}
-		for k := range claims.States {
+		for k := range claims.StateNames {
 			e := fullValue[claims.Entry](uint32(k))
 			e.State = claims.State(k)
 			p.Claims = append(p.Claims, &e)
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -38,7 +38,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "limit\tversion\tunits\theld\tholder\tunits\twants\tleft s")
 	for _, l := range p.Limits {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", l.Name, l.Version, l.Units, l.Held())
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", l.Name, l.Version, l.Units, l.LeasedUnits())
 		for _, x := range l.Leases {
 			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", x.Who.Name, x.Units, x.Want, float64(x.Until-p.Time)/1e9)
 		}
@@ -55,6 +55,6 @@
 	if f.Council == nil || f.Council.Calls == nil {
 		return fmt.Errorf("%s: has no limit; set council.calls", c.File)
 	}
-	fmt.Println(f.Council.Calls.Bound())
+	fmt.Println(f.Council.Calls.DescribeBound())
 	return nil
 }
--- a/integration/seat_test.go
+++ b/integration/seat_test.go
@@ -100,13 +100,13 @@
 
 // claim has a token claimed and ended by a node that is a test, and says its result.
 func (s *seats) claim(token, result string) {
-	owner := claims.Owner{Name: "n9", Life: 7}
+	owner := claims.Owner{Name: "n9", Incarnation: 7}
 	key := claims.Key{Operation: "x", Token: token}
 	conn := stream(s.t, s.binds[0])
 	seq := uint64(0)
 	say := func(c claims.Command) claims.Verdict {
 		seq++
-		c.From, c.Seq, c.Key, c.Body, c.For, c.Window = owner, seq, key, 1, 60_000_000_000, 600_000_000_000
+		c.Sender, c.Seq, c.Key, c.BodyHash, c.Duration, c.Window = owner, seq, key, 1, 60_000_000_000, 600_000_000_000
 		for end := time.Now().Add(bound); time.Now().Before(end); {
 			write(s.t, conn, &consensus.Message{Kind: consensus.Propose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
 			if got := read(s.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.Verdicts {
@@ -123,10 +123,10 @@
 		s.t.Fatalf("no verdict; %s", s.logs[0])
 		return claims.Verdict{}
 	}
-	v := say(claims.Command{Kind: claims.Claim})
-	require.Equal(s.t, claims.Granted, v.Answer)
-	v = say(claims.Command{Kind: claims.Start, Fence: v.Fence})
-	v = say(claims.Command{Kind: claims.End, Fence: v.Fence, Ending: 1, Result: []byte(result)})
+	v := say(claims.Command{Kind: claims.CommandClaim})
+	require.Equal(s.t, claims.AnswerGranted, v.Answer)
+	v = say(claims.Command{Kind: claims.CommandStart, Fence: v.Fence})
+	v = say(claims.Command{Kind: claims.CommandEnd, Fence: v.Fence, Outcome: 1, Result: []byte(result)})
 	conn.Close()
 }
 
@@ -135,7 +135,7 @@
 	for i, bind := range s.binds {
 		assert.Eventually(s.t, func() bool {
 			out, err := exec.Command(program, "claims", "show", "--fleet", "tests", bind, token).CombinedOutput()
-			return err == nil && strings.Contains(string(out), claims.States[claims.Ended])
+			return err == nil && strings.Contains(string(out), claims.StateNames[claims.StateEnded])
 		}, bound, 50*time.Millisecond, "s%d knows %s; %s", i+1, token, s.logs[i])
 	}
 }
--- a/integration/streams_test.go
+++ b/integration/streams_test.go
@@ -60,16 +60,16 @@
 	path, bind := convened(t)
 	startWith(t, false, nil, "--fleet", path)
 	conn := stream(t, bind)
-	other := claims.Owner{Name: "n2", Life: 7}
-	ask := &consensus.Message{Kind: consensus.Propose, From: "n2", Owner: other, Commands: []claims.Command{{Kind: claims.Claim, From: other, Seq: 3,
-		Key: claims.Key{Operation: "x", Token: "t"}, Body: 1, For: 60_000_000_000, Window: 60_000_000_000}}}
+	other := claims.Owner{Name: "n2", Incarnation: 7}
+	ask := &consensus.Message{Kind: consensus.Propose, From: "n2", Owner: other, Commands: []claims.Command{{Kind: claims.CommandClaim, Sender: other, Seq: 3,
+		Key: claims.Key{Operation: "x", Token: "t"}, BodyHash: 1, Duration: 60_000_000_000, Window: 60_000_000_000}}}
 	var got *consensus.Message
 	for got == nil { // what comes before there is a leader is dropped, and asked again
 		write(t, conn, ask)
 		got = read(t, conn, 200*time.Millisecond)
 	}
 	require.Len(t, got.Verdicts, 1)
-	assert.Equal(t, claims.Granted, got.Verdicts[0].Answer)
+	assert.Equal(t, claims.AnswerGranted, got.Verdicts[0].Answer)
 	out, err := exec.Command(program, "claims", "--fleet", "tests", bind).CombinedOutput()
 	require.NoError(t, err, string(out))
 	assert.Contains(t, string(out), "seat in the council, led by n1: 1 claims")
@@ -135,7 +135,7 @@
 
 func FuzzCouncilMessages(f *testing.F) {
 	for _, m := range []*consensus.Message{{Kind: consensus.Hail, From: "n2", ID: 7, Life: 9, Fresh: true}, {Kind: consensus.Raft, From: "n2", Raft: []byte{8, 3}},
-		{Kind: consensus.Propose, From: "n2", Commands: []claims.Command{{Kind: claims.Claim}}}} {
+		{Kind: consensus.Propose, From: "n2", Commands: []claims.Command{{Kind: claims.CommandClaim}}}} {
 		text, err := envelope.Seal(nil, 1, m)
 		require.NoError(f, err)
 		f.Add(text[envelope.Head:])
--- a/internal/fleet/claims/claims.go
+++ b/internal/fleet/claims/claims.go
@@ -21,9 +21,9 @@
 	bytesUsual  = 4 << 20 // bytes of a table until its council has said otherwise
 )
 
-// LagMost is the most that the table's time moves on at once, in ns. The first such step after a command may count time
+// MaxTimeStep is the most that the table's time moves on at once, in ns. The first such step after a command may count time
 // from before it, so windows are longer by that much: none ends early.
-const LagMost = 500 * ms
+const MaxTimeStep = 500 * ms
 
 // Key names a token fleet-wide: by name, as indices differ from node to node.
 type Key struct {
@@ -36,8 +36,8 @@
 
 // Owner is one life of a node: a new start is another owner.
 type Owner struct {
-	Name string `cbor:"1,keyasint"`
-	Life uint64 `cbor:"2,keyasint"`
+	Name        string `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
 // State is how far a claim has come.
@@ -45,50 +45,50 @@
 
 // The states. Released claims are gone from the table.
 const (
-	Claimed State = iota // its owner may start it; nothing ran
-	Started              // the owner's executor may have heard of it
-	Unknown              // its owner is lost: it may have run
-	Ended
+	StateClaimed State = iota // its owner may start it; nothing ran
+	StateStarted              // the owner's executor may have heard of it
+	StateUnknown              // its owner is lost: it may have run
+	StateEnded
 )
 
-// States name them.
-var States = [...]string{"claimed", "started", "unknown", "ended"}
+// StateNames name them.
+var StateNames = [...]string{"claimed", "started", "unknown", "ended"}
 
 // CommandKind names what a command does.
 type CommandKind uint8
 
 // The commands. Each is carried out or refused as a whole, at its place in the one order.
 const (
-	Nop     CommandKind = iota // proves that the council is in reach
-	Claim                      // may From run this?
-	Start                      // the executor is about to hear of it
-	End                        // how its run ended
-	Release                    // nothing ran and nothing will under this fence
-	Take                       // Heir owns it from now on, if it is only claimed
-	Doubt                      // its owner is lost after the start
-	Settle                     // an executor that outlived its node tells how the run of a call ended
-	Pass                       // so much time went by
-	Kinds                      // one past the last
+	CommandNoop        CommandKind = iota // proves that the council is in reach
+	CommandClaim                          // may From run this?
+	CommandStart                          // the executor is about to hear of it
+	CommandEnd                            // how its run ended
+	CommandRelease                        // nothing ran and nothing will under this fence
+	CommandReassign                       // Heir owns it from now on, if it is only claimed
+	CommandMarkUnknown                    // its owner is lost after the start
+	CommandResolve                        // an executor that outlived its node tells how the run of a call ended
+	CommandAdvanceTime                    // so much time went by
+	CommandKindCount                      // one past the last
 )
 
 // Command is one transition. Times are nanoseconds, Body is a hash.
 type Command struct {
-	Kind   CommandKind `cbor:"1,keyasint"`
-	From   Owner       `cbor:"2,keyasint"`           // who asks, and is answered
-	Seq    uint64      `cbor:"3,keyasint,omitempty"` // of the answer; the same in a command that is sent again
-	Key    Key         `cbor:"4,keyasint,omitempty"`
-	Fence  uint64      `cbor:"5,keyasint,omitempty"`  // Start, End, Release, Take, Doubt: the one the sender knows
-	Body   uint64      `cbor:"6,keyasint,omitempty"`  // Claim
-	For    int64       `cbor:"7,keyasint,omitempty"`  // Claim: until its due time; Pass: how long
-	Window int64       `cbor:"8,keyasint,omitempty"`  // Claim: for which a token is known from its start and end on
-	Work   []byte      `cbor:"9,keyasint,omitempty"`  // Claim: what an heir needs to run it
-	Call   string      `cbor:"10,keyasint,omitempty"` // Claim, Settle: the invocation's id at the owner's executor
-	Ending uint8       `cbor:"11,keyasint,omitempty"` // End, Settle
-	Result []byte      `cbor:"12,keyasint,omitempty"` // End, Settle
-	Heir   Owner       `cbor:"13,keyasint,omitempty"` // Take
-	At     int64       `cbor:"14,keyasint,omitempty"` // Pass: the table's time it counts from
-	Most   int64       `cbor:"15,keyasint,omitempty"` // Pass: bytes of the table from now on
-	Back   bool        `cbor:"16,keyasint,omitempty"` // Release: by an heir that has no room; another may have it
+	Kind          CommandKind `cbor:"1,keyasint"`
+	Sender        Owner       `cbor:"2,keyasint"`           // who asks, and is answered
+	Seq           uint64      `cbor:"3,keyasint,omitempty"` // of the answer; the same in a command that is sent again
+	Key           Key         `cbor:"4,keyasint,omitempty"`
+	Fence         uint64      `cbor:"5,keyasint,omitempty"`  // Start, End, Release, Take, Doubt: the one the sender knows
+	BodyHash      uint64      `cbor:"6,keyasint,omitempty"`  // Claim
+	Duration      int64       `cbor:"7,keyasint,omitempty"`  // Claim: until its due time; Pass: how long
+	Window        int64       `cbor:"8,keyasint,omitempty"`  // Claim: for which a token is known from its start and end on
+	Work          []byte      `cbor:"9,keyasint,omitempty"`  // Claim: what an heir needs to run it
+	InvocationID  string      `cbor:"10,keyasint,omitempty"` // Claim, Settle: the invocation's id at the owner's executor
+	Outcome       uint8       `cbor:"11,keyasint,omitempty"` // End, Settle
+	Result        []byte      `cbor:"12,keyasint,omitempty"` // End, Settle
+	NewOwner      Owner       `cbor:"13,keyasint,omitempty"` // Take
+	At            int64       `cbor:"14,keyasint,omitempty"` // Pass: the table's time it counts from
+	MaxTableBytes int64       `cbor:"15,keyasint,omitempty"` // Pass: bytes of the table from now on
+	Returned      bool        `cbor:"16,keyasint,omitempty"` // Release: by an heir that has no room; another may have it
 }
 
 // Answer is what became of a command.
@@ -96,45 +96,45 @@
 
 // The answers.
 const (
-	Done      Answer = iota // carried out, or it was before
-	Granted                 // the claim, or its start, is the sender's
-	Elsewhere               // another owner has it, and its end will be told
-	Known                   // it ended, with Ending and Result
-	Doubted                 // it may have run, how it ended is not known
-	Clash                   // the token came with another body
-	Fenced                  // the fence is old, or the claim is gone
-	Full                    // the table has no room; the first goes after For
+	AnswerDone           Answer = iota // carried out, or it was before
+	AnswerGranted                      // the claim, or its start, is the sender's
+	AnswerOwnedElsewhere               // another owner has it, and its end will be told
+	AnswerCompleted                    // it ended, with Ending and Result
+	AnswerOutcomeUnknown               // it may have run, how it ended is not known
+	AnswerBodyMismatch                 // the token came with another body
+	AnswerStaleFence                   // the fence is old, or the claim is gone
+	AnswerTableFull                    // the table has no room; the first goes after For
 )
 
 // Verdict answers a command.
 type Verdict struct {
-	Seq    uint64 `cbor:"1,keyasint"`
-	Answer Answer `cbor:"2,keyasint,omitempty"`
-	Fence  uint64 `cbor:"3,keyasint,omitempty"`
-	Owner  Owner  `cbor:"4,keyasint,omitempty"`
-	Ending uint8  `cbor:"5,keyasint,omitempty"`
-	Result []byte `cbor:"6,keyasint,omitempty"`
-	For    int64  `cbor:"7,keyasint,omitempty"`
+	Seq        uint64 `cbor:"1,keyasint"`
+	Answer     Answer `cbor:"2,keyasint,omitempty"`
+	Fence      uint64 `cbor:"3,keyasint,omitempty"`
+	Owner      Owner  `cbor:"4,keyasint,omitempty"`
+	Outcome    uint8  `cbor:"5,keyasint,omitempty"`
+	Result     []byte `cbor:"6,keyasint,omitempty"`
+	RetryAfter int64  `cbor:"7,keyasint,omitempty"`
 }
 
 // Entry is one claim.
 type Entry struct {
-	Key    Key     `cbor:"1,keyasint"`
-	Owner  Owner   `cbor:"2,keyasint"`
-	Fence  uint64  `cbor:"3,keyasint"`
-	State  State   `cbor:"4,keyasint,omitempty"`
-	Body   uint64  `cbor:"5,keyasint,omitempty"`
-	Until  int64   `cbor:"6,keyasint"` // in the table's time: due time while claimed, then the end of the window
-	Window int64   `cbor:"7,keyasint"`
-	Work   []byte  `cbor:"8,keyasint,omitempty"`
-	Call   string  `cbor:"9,keyasint,omitempty"`
-	Ending uint8   `cbor:"10,keyasint,omitempty"`
-	Result []byte  `cbor:"11,keyasint,omitempty"`
-	Taken  bool    `cbor:"12,keyasint,omitempty"` // its owner is an heir
-	Asking []Owner `cbor:"13,keyasint,omitempty"` // to be told of its end
-	Last   Owner   `cbor:"14,keyasint,omitempty"` // the heir that gave it back
-	Backs  int     `cbor:"15,keyasint,omitempty"` // how often that happened
-	place  int
+	Key            Key     `cbor:"1,keyasint"`
+	Owner          Owner   `cbor:"2,keyasint"`
+	Fence          uint64  `cbor:"3,keyasint"`
+	State          State   `cbor:"4,keyasint,omitempty"`
+	BodyHash       uint64  `cbor:"5,keyasint,omitempty"`
+	ExpiresAt      int64   `cbor:"6,keyasint"` // in the table's time: due time while claimed, then the end of the window
+	Window         int64   `cbor:"7,keyasint"`
+	Work           []byte  `cbor:"8,keyasint,omitempty"`
+	InvocationID   string  `cbor:"9,keyasint,omitempty"`
+	Outcome        uint8   `cbor:"10,keyasint,omitempty"`
+	Result         []byte  `cbor:"11,keyasint,omitempty"`
+	Reassigned     bool    `cbor:"12,keyasint,omitempty"` // its owner is an heir
+	Waiters        []Owner `cbor:"13,keyasint,omitempty"` // to be told of its end
+	LastReturnedBy Owner   `cbor:"14,keyasint,omitempty"` // the heir that gave it back
+	ReturnCount    int     `cbor:"15,keyasint,omitempty"` // how often that happened
+	place          int
 }
 
 func (e *Entry) size() int64 {
@@ -143,24 +143,24 @@
 
 // Counters are what became of commands on this table, since it was made or read from a snapshot.
 type Counters struct {
-	Claimed    int `json:"claimed"`
-	Started    int `json:"started"`
-	Ended      int `json:"ended"`
-	Joined     int `json:"joined"`
-	Taken      int `json:"taken"`
-	Unknown    int `json:"unknown"`
-	TakenEnded int `json:"taken_ended"` // by their heirs, with a result
-	Settled    int `json:"settled"`
-	Fenced     int `json:"fenced"`
-	Expired    int `json:"expired"`
-	Full       int `json:"full"`
+	Claimed         int `json:"claimed"`
+	Started         int `json:"started"`
+	Ended           int `json:"ended"`
+	Joined          int `json:"joined"`
+	Reassigned      int `json:"taken"`
+	Unknown         int `json:"unknown"`
+	ReassignedEnded int `json:"taken_ended"` // by their heirs, with a result
+	Resolved        int `json:"settled"`
+	Fenced          int `json:"fenced"`
+	Expired         int `json:"expired"`
+	TableFull       int `json:"full"`
 }
 
 // Table is the state that commands change, the same on all that carry out the same ones in the same order.
 type Table struct {
 	Counters Counters
 	// Told are the claims that settled in the last Apply, with those who asked to be told. It is valid until the next.
-	Told []Settled
+	EndedClaims []EndedClaim
 
 	entries map[Key]*Entry
 	owned   map[Owner]map[Key]*Entry // those whose owner can still be lost: claimed and started
@@ -172,10 +172,10 @@
 	most    int64
 }
 
-// Settled is a claim that others wait for, and that ended, became unknown, or went away.
-type Settled struct {
-	Key    Key
-	Asking []Owner
+// EndedClaim is a claim that others wait for, and that ended, became unknown, or went away.
+type EndedClaim struct {
+	Key     Key
+	Waiters []Owner
 }
 
 // NewTable is a table without claims.
@@ -185,30 +185,30 @@
 
 // Apply carries out one command. It depends on nothing but the commands before.
 func (t *Table) Apply(c *Command) Verdict {
-	t.Told = t.Told[:0]
+	t.EndedClaims = t.EndedClaims[:0]
 	v := Verdict{Seq: c.Seq}
 	e := t.entries[c.Key]
 	switch c.Kind {
-	case Claim:
+	case CommandClaim:
 		t.claim(c, e, &v)
-	case Start:
+	case CommandStart:
 		t.start(c, e, &v)
-	case End:
+	case CommandEnd:
 		t.end(c, e, &v)
-	case Release:
+	case CommandRelease:
 		t.release(c, e)
-	case Take:
+	case CommandReassign:
 		t.take(c, e, &v)
-	case Doubt:
-		if e != nil && e.Fence == c.Fence && e.State == Started {
+	case CommandMarkUnknown:
+		if e != nil && e.Fence == c.Fence && e.State == StateStarted {
 			t.Counters.Unknown++
 			t.leave(e)
-			e.State = Unknown
+			e.State = StateUnknown
 			t.tell(e)
 		}
-	case Settle:
+	case CommandResolve:
 		t.settle(c)
-	case Pass:
+	case CommandAdvanceTime:
 		t.pass(c)
 	}
 	return v
@@ -217,12 +217,12 @@
 func (t *Table) claim(c *Command, e *Entry, v *Verdict) {
 	switch {
 	case e == nil:
-		e = &Entry{Key: c.Key, Owner: c.From, Body: c.Body, Until: t.time + max(0, c.For), Window: max(0, c.Window), Work: c.Work, Call: c.Call}
+		e = &Entry{Key: c.Key, Owner: c.Sender, BodyHash: c.BodyHash, ExpiresAt: t.time + max(0, c.Duration), Window: max(0, c.Window), Work: c.Work, InvocationID: c.InvocationID}
 		if t.bytes+e.size() > t.most {
-			t.Counters.Full++
-			v.Answer = Full
+			t.Counters.TableFull++
+			v.Answer = AnswerTableFull
 			if len(t.expiry) > 0 {
-				v.For = max(0, t.expiry[0].Until-t.time)
+				v.RetryAfter = max(0, t.expiry[0].ExpiresAt-t.time)
 			}
 			return
 		}
@@ -233,20 +233,20 @@
 		heap.Push(&t.expiry, e)
 		t.own(e)
 		t.Counters.Claimed++
-		v.Answer, v.Fence = Granted, e.Fence
-	case e.Body != c.Body:
-		v.Answer = Clash
-	case e.State == Ended:
-		v.Answer, v.Ending, v.Result = Known, e.Ending, e.Result
-	case e.State == Unknown:
-		v.Answer = Doubted
-	case e.Owner == c.From && e.State == Claimed: // sent again, or given to it meanwhile
-		v.Answer, v.Fence = Granted, e.Fence
+		v.Answer, v.Fence = AnswerGranted, e.Fence
+	case e.BodyHash != c.BodyHash:
+		v.Answer = AnswerBodyMismatch
+	case e.State == StateEnded:
+		v.Answer, v.Outcome, v.Result = AnswerCompleted, e.Outcome, e.Result
+	case e.State == StateUnknown:
+		v.Answer = AnswerOutcomeUnknown
+	case e.Owner == c.Sender && e.State == StateClaimed: // sent again, or given to it meanwhile
+		v.Answer, v.Fence = AnswerGranted, e.Fence
 	default:
 		t.Counters.Joined++
-		v.Answer, v.Owner, v.Fence = Elsewhere, e.Owner, e.Fence
-		if e.Owner != c.From && len(e.Asking) < waitersMost && !slices.Contains(e.Asking, c.From) {
-			e.Asking = append(e.Asking, c.From)
+		v.Answer, v.Owner, v.Fence = AnswerOwnedElsewhere, e.Owner, e.Fence
+		if e.Owner != c.Sender && len(e.Waiters) < waitersMost && !slices.Contains(e.Waiters, c.Sender) {
+			e.Waiters = append(e.Waiters, c.Sender)
 		}
 	}
 }
@@ -254,26 +254,26 @@
 // start is agreed on before an executor hears of the work. Who sends it again is answered alike: a fence belongs to
 // one life of one node, which runs it at the first answer only.
 func (t *Table) start(c *Command, e *Entry, v *Verdict) {
-	if e == nil || e.Fence != c.Fence || e.Owner != c.From || e.State > Started {
+	if e == nil || e.Fence != c.Fence || e.Owner != c.Sender || e.State > StateStarted {
 		t.Counters.Fenced++
-		v.Answer = Fenced
+		v.Answer = AnswerStaleFence
 		return
 	}
-	v.Answer, v.Fence = Granted, e.Fence
-	if e.State == Claimed {
+	v.Answer, v.Fence = AnswerGranted, e.Fence
+	if e.State == StateClaimed {
 		t.Counters.Started++
 		t.bytes -= int64(len(e.Work))
-		e.State, e.Work = Started, nil
+		e.State, e.Work = StateStarted, nil
 		delete(t.taken, e.Key)
-		t.keep(e, t.time+e.Window+LagMost)
+		t.keep(e, t.time+e.Window+MaxTimeStep)
 	}
 }
 
 // end takes the word of whoever started under the fence, however late: that settles what was unknown.
 func (t *Table) end(c *Command, e *Entry, v *Verdict) {
-	if e == nil || e.Fence != c.Fence || e.State != Started && e.State != Unknown {
-		if e == nil || e.State != Ended {
-			v.Answer = Fenced
+	if e == nil || e.Fence != c.Fence || e.State != StateStarted && e.State != StateUnknown {
+		if e == nil || e.State != StateEnded {
+			v.Answer = AnswerStaleFence
 		}
 		return
 	}
@@ -281,29 +281,29 @@
 }
 
 func (t *Table) over(e *Entry, c *Command) {
-	if e.State == Unknown {
-		t.Counters.Settled++
+	if e.State == StateUnknown {
+		t.Counters.Resolved++
 	}
 	t.Counters.Ended++
-	if e.Taken {
-		t.Counters.TakenEnded++
+	if e.Reassigned {
+		t.Counters.ReassignedEnded++
 	}
 	t.leave(e)
-	e.State, e.Ending, e.Result = Ended, c.Ending, c.Result
+	e.State, e.Outcome, e.Result = StateEnded, c.Outcome, c.Result
 	t.bytes += int64(len(c.Result))
-	t.keep(e, t.time+e.Window+LagMost)
+	t.keep(e, t.time+e.Window+MaxTimeStep)
 	t.tell(e)
 }
 
 // release lets a claim go under which nothing ran. What an heir had no room for is nobody's until the next heir takes it.
 func (t *Table) release(c *Command, e *Entry) {
 	switch {
-	case e == nil || e.Fence != c.Fence || e.Owner != c.From || e.State > Started:
-	case c.Back && e.Taken && e.State == Claimed && e.Backs < backsMost:
+	case e == nil || e.Fence != c.Fence || e.Owner != c.Sender || e.State > StateStarted:
+	case c.Returned && e.Reassigned && e.State == StateClaimed && e.ReturnCount < backsMost:
 		t.leave(e)
 		t.fence++
-		e.Owner, e.Fence, e.Last = Owner{}, t.fence, c.From
-		e.Backs++
+		e.Owner, e.Fence, e.LastReturnedBy = Owner{}, t.fence, c.Sender
+		e.ReturnCount++
 		t.own(e)
 	default:
 		t.drop(e)
@@ -311,31 +311,31 @@
 }
 
 func (t *Table) take(c *Command, e *Entry, v *Verdict) {
-	if e == nil || e.Fence != c.Fence || e.State != Claimed {
+	if e == nil || e.Fence != c.Fence || e.State != StateClaimed {
 		t.Counters.Fenced++
-		v.Answer = Fenced
+		v.Answer = AnswerStaleFence
 		return
 	}
 	t.leave(e)
 	t.fence++
-	e.Owner, e.Fence, e.Taken = c.Heir, t.fence, true
+	e.Owner, e.Fence, e.Reassigned = c.NewOwner, t.fence, true
 	t.own(e)
-	t.Counters.Taken++
-	v.Answer, v.Fence = Granted, e.Fence
+	t.Counters.Reassigned++
+	v.Answer, v.Fence = AnswerGranted, e.Fence
 }
 
 // settle takes the word of an executor that outlived its node: it speaks of a call of any earlier life of it.
 func (t *Table) settle(c *Command) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.entries), Compare) {
-		if e := t.entries[k]; e.Call == c.Call && e.Call != "" && e.Owner.Name == c.From.Name && (e.State == Started || e.State == Unknown) {
+	for _, k := range slices.SortedFunc(maps.Keys(t.entries), CompareKeys) {
+		if e := t.entries[k]; e.InvocationID == c.InvocationID && e.InvocationID != "" && e.Owner.Name == c.Sender.Name && (e.State == StateStarted || e.State == StateUnknown) {
 			t.over(e, c)
 			return
 		}
 	}
 }
 
-// Compare orders keys by token.
-func Compare(a, b Key) int {
+// CompareKeys orders keys by token.
+func CompareKeys(a, b Key) int {
 	if n := strings.Compare(a.Token, b.Token); n != 0 {
 		return n
 	}
@@ -348,14 +348,14 @@
 // pass moves the time on, by what one member of the council measured since the time it names: two who measured the
 // same span can't both be counted, so the table's time is never ahead of the world's.
 func (t *Table) pass(c *Command) {
-	if c.At != t.time || c.For <= 0 {
+	if c.At != t.time || c.Duration <= 0 {
 		return
 	}
-	t.time += min(c.For, LagMost) // what is over is lost: an election's seconds
-	if c.Most > 0 {
-		t.most = c.Most
+	t.time += min(c.Duration, MaxTimeStep) // what is over is lost: an election's seconds
+	if c.MaxTableBytes > 0 {
+		t.most = c.MaxTableBytes
 	}
-	for len(t.expiry) > 0 && t.expiry[0].Until <= t.time {
+	for len(t.expiry) > 0 && t.expiry[0].ExpiresAt <= t.time {
 		t.Counters.Expired++
 		t.drop(t.expiry[0])
 	}
@@ -368,7 +368,7 @@
 		t.owned[e.Owner] = all
 	}
 	all[e.Key] = e
-	if e.Taken && e.State == Claimed && e.Owner != (Owner{}) {
+	if e.Reassigned && e.State == StateClaimed && e.Owner != (Owner{}) {
 		t.taken[e.Key] = e
 	}
 }
@@ -383,14 +383,14 @@
 }
 
 func (t *Table) keep(e *Entry, until int64) {
-	e.Until = max(e.Until, until)
+	e.ExpiresAt = max(e.ExpiresAt, until)
 	heap.Fix(&t.expiry, e.place)
 }
 
 func (t *Table) tell(e *Entry) {
-	if len(e.Asking) > 0 {
-		t.Told = append(t.Told, Settled{e.Key, e.Asking})
-		e.Asking = nil
+	if len(e.Waiters) > 0 {
+		t.EndedClaims = append(t.EndedClaims, EndedClaim{e.Key, e.Waiters})
+		e.Waiters = nil
 	}
 }
 
@@ -407,7 +407,7 @@
 	if n := strings.Compare(a.Name, b.Name); n != 0 {
 		return n
 	}
-	return cmp.Compare(a.Life, b.Life)
+	return cmp.Compare(a.Incarnation, b.Incarnation)
 }
 
 // Time is the table's own: ns that went by since it was founded, as far as its council agreed on them.
@@ -424,25 +424,25 @@
 	return slices.SortedFunc(maps.Keys(t.owned), CompareOwners)
 }
 
-// Of are an owner's claims that are not over, by token; they must not be changed.
-func (t *Table) Of(o Owner) (list []*Entry) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.owned[o]), Compare) {
+// OwnedBy are an owner's claims that are not over, by token; they must not be changed.
+func (t *Table) OwnedBy(o Owner) (list []*Entry) {
+	for _, k := range slices.SortedFunc(maps.Keys(t.owned[o]), CompareKeys) {
 		list = append(list, t.owned[o][k])
 	}
 	return list
 }
 
-// Taken are the claims that heirs own and have not begun, by token; they must not be changed.
-func (t *Table) Taken() (list []*Entry) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.taken), Compare) {
+// Reassigned are the claims that heirs own and have not begun, by token; they must not be changed.
+func (t *Table) Reassigned() (list []*Entry) {
+	for _, k := range slices.SortedFunc(maps.Keys(t.taken), CompareKeys) {
 		list = append(list, t.taken[k])
 	}
 	return list
 }
 
-// All are the claims by token, at most so many.
-func (t *Table) All(most int) (list []*Entry) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.entries), Compare) {
+// List are the claims by token, at most so many.
+func (t *Table) List(most int) (list []*Entry) {
+	for _, k := range slices.SortedFunc(maps.Keys(t.entries), CompareKeys) {
 		if len(list) == most {
 			break
 		}
@@ -461,7 +461,7 @@
 
 // Snapshot writes the table; two that are equal are written alike.
 func (t *Table) Snapshot() ([]byte, error) {
-	return cbor.Marshal(snapshot{t.time, t.fence, t.most, t.All(len(t.entries))})
+	return cbor.Marshal(snapshot{t.time, t.fence, t.most, t.List(len(t.entries))})
 }
 
 var decode = func() cbor.DecMode {
@@ -487,7 +487,7 @@
 		t.entries[e.Key] = e
 		t.bytes += e.size()
 		heap.Push(&t.expiry, e)
-		if e.State <= Started {
+		if e.State <= StateStarted {
 			t.own(e)
 		}
 	}
@@ -497,7 +497,7 @@
 type expiry []*Entry
 
 func (x expiry) Len() int           { return len(x) }
-func (x expiry) Less(a, b int) bool { return x[a].Until < x[b].Until }
+func (x expiry) Less(a, b int) bool { return x[a].ExpiresAt < x[b].ExpiresAt }
 func (x expiry) Swap(a, b int)      { x[a], x[b] = x[b], x[a]; x[a].place, x[b].place = a, b }
 func (x *expiry) Push(e any)        { e.(*Entry).place = len(*x); *x = append(*x, e.(*Entry)) }
 func (x *expiry) Pop() any {
--- a/internal/fleet/claims/claims_test.go
+++ b/internal/fleet/claims/claims_test.go
@@ -12,75 +12,75 @@
 func TestOneOwnerAtATime(t *testing.T) {
 	x := NewTable()
 	v := x.Apply(ask(a, "t"))
-	assert.Equal(t, Granted, v.Answer)
+	assert.Equal(t, AnswerGranted, v.Answer)
 	assert.Equal(t, v, x.Apply(ask(a, "t")), "a command that is sent again is answered alike")
 	other := x.Apply(ask(b, "t"))
-	assert.Equal(t, Elsewhere, other.Answer)
+	assert.Equal(t, AnswerOwnedElsewhere, other.Answer)
 	assert.Equal(t, a, other.Owner)
 	clash := ask(b, "t")
-	clash.Body = 8
-	assert.Equal(t, Clash, x.Apply(clash).Answer)
-	assert.Equal(t, Fenced, x.Apply(&Command{Kind: Start, From: b, Key: key("t"), Fence: v.Fence}).Answer, "a fence is its owner's")
-	assert.Equal(t, Granted, x.Apply(&Command{Kind: Start, From: a, Key: key("t"), Fence: v.Fence}).Answer)
-	assert.Equal(t, Done, x.Apply(&Command{Kind: End, From: a, Key: key("t"), Fence: v.Fence, Result: []byte("r")}).Answer)
-	assert.Equal(t, []Settled{{key("t"), []Owner{b}}}, x.Told)
+	clash.BodyHash = 8
+	assert.Equal(t, AnswerBodyMismatch, x.Apply(clash).Answer)
+	assert.Equal(t, AnswerStaleFence, x.Apply(&Command{Kind: CommandStart, Sender: b, Key: key("t"), Fence: v.Fence}).Answer, "a fence is its owner's")
+	assert.Equal(t, AnswerGranted, x.Apply(&Command{Kind: CommandStart, Sender: a, Key: key("t"), Fence: v.Fence}).Answer)
+	assert.Equal(t, AnswerDone, x.Apply(&Command{Kind: CommandEnd, Sender: a, Key: key("t"), Fence: v.Fence, Result: []byte("r")}).Answer)
+	assert.Equal(t, []EndedClaim{{key("t"), []Owner{b}}}, x.EndedClaims)
 	known := x.Apply(ask(b, "t"))
-	assert.Equal(t, Known, known.Answer)
+	assert.Equal(t, AnswerCompleted, known.Answer)
 	assert.Equal(t, "r", string(known.Result))
 }
 
 func TestTakenClaimIsLostToItsOwner(t *testing.T) {
 	x := NewTable()
 	old := x.Apply(ask(a, "t")).Fence
-	v := x.Apply(&Command{Kind: Take, Key: key("t"), Fence: old, Heir: b})
+	v := x.Apply(&Command{Kind: CommandReassign, Key: key("t"), Fence: old, NewOwner: b})
 	assert.Greater(t, v.Fence, old)
-	assert.Equal(t, Fenced, x.Apply(&Command{Kind: Take, Key: key("t"), Fence: old, Heir: a}).Answer, "nor is it taken twice")
-	assert.Equal(t, Fenced, x.Apply(&Command{Kind: Start, From: a, Key: key("t"), Fence: old}).Answer)
-	x.Apply(&Command{Kind: Release, From: a, Key: key("t"), Fence: old})
-	assert.Equal(t, Granted, x.Apply(&Command{Kind: Start, From: b, Key: key("t"), Fence: v.Fence}).Answer, "its late release changes nothing")
+	assert.Equal(t, AnswerStaleFence, x.Apply(&Command{Kind: CommandReassign, Key: key("t"), Fence: old, NewOwner: a}).Answer, "nor is it taken twice")
+	assert.Equal(t, AnswerStaleFence, x.Apply(&Command{Kind: CommandStart, Sender: a, Key: key("t"), Fence: old}).Answer)
+	x.Apply(&Command{Kind: CommandRelease, Sender: a, Key: key("t"), Fence: old})
+	assert.Equal(t, AnswerGranted, x.Apply(&Command{Kind: CommandStart, Sender: b, Key: key("t"), Fence: v.Fence}).Answer, "its late release changes nothing")
 }
 
 func TestStartedClaimIsNeverTaken(t *testing.T) {
 	x, fence := started("t")
-	assert.Equal(t, Fenced, x.Apply(&Command{Kind: Take, Key: key("t"), Fence: fence, Heir: b}).Answer)
-	x.Apply(&Command{Kind: Doubt, Key: key("t"), Fence: fence})
-	assert.Equal(t, Doubted, x.Apply(ask(b, "t")).Answer)
-	assert.Equal(t, Done, x.Apply(&Command{Kind: End, From: a, Key: key("t"), Fence: fence, Result: []byte("late")}).Answer)
-	assert.Equal(t, Known, x.Apply(ask(b, "t")).Answer, "a late result settles it")
-	assert.Equal(t, 1, x.Counters.Settled)
+	assert.Equal(t, AnswerStaleFence, x.Apply(&Command{Kind: CommandReassign, Key: key("t"), Fence: fence, NewOwner: b}).Answer)
+	x.Apply(&Command{Kind: CommandMarkUnknown, Key: key("t"), Fence: fence})
+	assert.Equal(t, AnswerOutcomeUnknown, x.Apply(ask(b, "t")).Answer)
+	assert.Equal(t, AnswerDone, x.Apply(&Command{Kind: CommandEnd, Sender: a, Key: key("t"), Fence: fence, Result: []byte("late")}).Answer)
+	assert.Equal(t, AnswerCompleted, x.Apply(ask(b, "t")).Answer, "a late result settles it")
+	assert.Equal(t, 1, x.Counters.Resolved)
 }
 
 func TestExecutorThatOutlivedItsNodeSettles(t *testing.T) {
 	x, fence := started("t")
-	x.Apply(&Command{Kind: Doubt, Key: key("t"), Fence: fence})
-	x.Apply(&Command{Kind: Settle, From: Owner{"b", 9}, Call: "c-t"})
-	assert.Equal(t, Unknown, x.Find(key("t")).State, "another node's executor knows nothing of it")
-	x.Apply(&Command{Kind: Settle, From: Owner{"a", 9}, Call: "c-t", Result: []byte("r")})
-	assert.Equal(t, Ended, x.Find(key("t")).State)
+	x.Apply(&Command{Kind: CommandMarkUnknown, Key: key("t"), Fence: fence})
+	x.Apply(&Command{Kind: CommandResolve, Sender: Owner{"b", 9}, InvocationID: "c-t"})
+	assert.Equal(t, StateUnknown, x.Find(key("t")).State, "another node's executor knows nothing of it")
+	x.Apply(&Command{Kind: CommandResolve, Sender: Owner{"a", 9}, InvocationID: "c-t", Result: []byte("r")})
+	assert.Equal(t, StateEnded, x.Find(key("t")).State)
 }
 
 func TestReleasedClaimIsFreeAgainUnderAnotherFence(t *testing.T) {
 	x, fence := started("t")
-	x.Apply(&Command{Kind: Release, From: a, Key: key("t"), Fence: fence})
+	x.Apply(&Command{Kind: CommandRelease, Sender: a, Key: key("t"), Fence: fence})
 	v := x.Apply(ask(b, "t"))
-	assert.Equal(t, Granted, v.Answer)
+	assert.Equal(t, AnswerGranted, v.Answer)
 	assert.Greater(t, v.Fence, fence)
-	assert.Equal(t, Fenced, x.Apply(&Command{Kind: Start, From: a, Key: key("t"), Fence: fence}).Answer)
+	assert.Equal(t, AnswerStaleFence, x.Apply(&Command{Kind: CommandStart, Sender: a, Key: key("t"), Fence: fence}).Answer)
 }
 
 func TestTimePassesOnceOnly(t *testing.T) {
 	x := NewTable()
 	x.Apply(ask(a, "t"))
-	x.Apply(&Command{Kind: Pass, At: 0, For: 300 * ms})
-	x.Apply(&Command{Kind: Pass, At: 0, For: 300 * ms})
+	x.Apply(&Command{Kind: CommandAdvanceTime, At: 0, Duration: 300 * ms})
+	x.Apply(&Command{Kind: CommandAdvanceTime, At: 0, Duration: 300 * ms})
 	assert.Equal(t, 300*ms, x.Time(), "who measured the same span is too late")
-	x.Apply(&Command{Kind: Pass, At: 300 * ms, For: 3_000 * ms})
-	assert.Equal(t, 300*ms+LagMost, x.Time(), "an election's seconds are lost")
+	x.Apply(&Command{Kind: CommandAdvanceTime, At: 300 * ms, Duration: 3_000 * ms})
+	assert.Equal(t, 300*ms+MaxTimeStep, x.Time(), "an election's seconds are lost")
 	require.NotNil(t, x.Find(key("t")))
 	pass(x, 4_200*ms)
 	assert.Nil(t, x.Find(key("t")), "what was only claimed goes at its due time")
 	x, _ = started("t")
-	pass(x, 60_000*ms+LagMost-1)
+	pass(x, 60_000*ms+MaxTimeStep-1)
 	require.NotNil(t, x.Find(key("t")), "what was started stays for its window")
 	pass(x, ms)
 	assert.Nil(t, x.Find(key("t")))
@@ -88,16 +88,16 @@
 
 func TestFullTableNamesATimeToComeBack(t *testing.T) {
 	x := NewTable()
-	x.Apply(&Command{Kind: Pass, For: 1, Most: 1_000})
+	x.Apply(&Command{Kind: CommandAdvanceTime, Duration: 1, MaxTableBytes: 1_000})
 	answers := map[Answer]int{}
 	for i := range 6 {
 		v := x.Apply(ask(a, fmt.Sprint(i)))
 		answers[v.Answer]++
-		if v.Answer == Full {
-			assert.Equal(t, 5_000*ms, v.For)
+		if v.Answer == AnswerTableFull {
+			assert.Equal(t, 5_000*ms, v.RetryAfter)
 		}
 	}
-	assert.Equal(t, map[Answer]int{Granted: 3, Full: 3}, answers)
+	assert.Equal(t, map[Answer]int{AnswerGranted: 3, AnswerTableFull: 3}, answers)
 	_, bytes := x.Size()
 	assert.LessOrEqual(t, bytes, int64(1_000))
 }
@@ -110,11 +110,11 @@
 		fences := map[Key]uint64{}
 		starts := map[Key]map[uint64]bool{}
 		for n := range rapid.IntRange(1, 120).Draw(t, "commands") {
-			c := Command{Kind: CommandKind(rapid.IntRange(0, int(Pass)).Draw(t, "kind")), From: Owner{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"), 1},
-				Key: key(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "token"))), Body: 7, For: rapid.Int64Range(0, 9_000*ms).Draw(t, "for"),
-				Window: 20_000 * ms, Work: []byte("w"), Fence: rapid.Uint64Range(0, 12).Draw(t, "fence"), Heir: b, At: x.Time(), Seq: uint64(n), Call: "c"}
+			c := Command{Kind: CommandKind(rapid.IntRange(0, int(CommandAdvanceTime)).Draw(t, "kind")), Sender: Owner{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "from"), 1},
+				Key: key(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "token"))), BodyHash: 7, Duration: rapid.Int64Range(0, 9_000*ms).Draw(t, "for"),
+				Window: 20_000 * ms, Work: []byte("w"), Fence: rapid.Uint64Range(0, 12).Draw(t, "fence"), NewOwner: b, At: x.Time(), Seq: uint64(n), InvocationID: "c"}
 			if e := x.Find(c.Key); e != nil && rapid.Bool().Draw(t, "apt") {
-				c.Fence, c.From = e.Fence, e.Owner
+				c.Fence, c.Sender = e.Fence, e.Owner
 			}
 			v := x.Apply(&c)
 			if w := y.Apply(&c); fmt.Sprint(v) != fmt.Sprint(w) {
@@ -126,7 +126,7 @@
 				}
 				fences[c.Key] = e.Fence
 			}
-			if c.Kind == Start && v.Answer == Granted {
+			if c.Kind == CommandStart && v.Answer == AnswerGranted {
 				if starts[c.Key] == nil {
 					starts[c.Key] = map[uint64]bool{}
 				}
@@ -147,9 +147,9 @@
 			}
 		}
 		sum, owned := int64(0), 0
-		for _, e := range x.All(100) {
+		for _, e := range x.List(100) {
 			sum += e.size()
-			if e.State <= Started {
+			if e.State <= StateStarted {
 				owned++
 			}
 		}
@@ -158,7 +158,7 @@
 			t.Fatalf("%d bytes of claims, %d counted", sum, bytes)
 		}
 		for _, o := range x.Owners() {
-			owned -= len(x.Of(o))
+			owned -= len(x.OwnedBy(o))
 		}
 		if owned != 0 {
 			t.Fatalf("%d claims have no owner to be lost with", owned)
@@ -178,14 +178,14 @@
 
 func BenchmarkClaimStartEnd(b *testing.B) {
 	x := NewTable()
-	x.Apply(&Command{Kind: Pass, For: 1, Most: 1 << 40})
+	x.Apply(&Command{Kind: CommandAdvanceTime, Duration: 1, MaxTableBytes: 1 << 40})
 	n := 0
 	for b.Loop() {
 		n++
 		c := ask(a, fmt.Sprint(n))
 		fence := x.Apply(c).Fence
-		x.Apply(&Command{Kind: Start, From: a, Key: c.Key, Fence: fence})
-		x.Apply(&Command{Kind: End, From: a, Key: c.Key, Fence: fence, Result: []byte("result")})
+		x.Apply(&Command{Kind: CommandStart, Sender: a, Key: c.Key, Fence: fence})
+		x.Apply(&Command{Kind: CommandEnd, Sender: a, Key: c.Key, Fence: fence, Result: []byte("result")})
 	}
 	entries, bytes := x.Size()
 	b.ReportMetric(float64(bytes)/float64(entries), "bytes/claim")
@@ -197,18 +197,18 @@
 	heirs := []Owner{b, {"c", 1}}
 	for n := range backsMost {
 		heir := heirs[n%2]
-		fence = x.Apply(&Command{Kind: Take, Key: key("t"), Fence: fence, Heir: heir}).Fence
-		require.Len(t, x.Taken(), 1)
-		x.Apply(&Command{Kind: Release, From: heir, Key: key("t"), Fence: fence, Back: true})
+		fence = x.Apply(&Command{Kind: CommandReassign, Key: key("t"), Fence: fence, NewOwner: heir}).Fence
+		require.Len(t, x.Reassigned(), 1)
+		x.Apply(&Command{Kind: CommandRelease, Sender: heir, Key: key("t"), Fence: fence, Returned: true})
 		e := x.Find(key("t"))
 		require.NotNil(t, e)
-		assert.Equal(t, heir, e.Last)
+		assert.Equal(t, heir, e.LastReturnedBy)
 		assert.Equal(t, []Owner{{}}, x.Owners(), "it is nobody's")
-		assert.Empty(t, x.Taken())
+		assert.Empty(t, x.Reassigned())
 		assert.Greater(t, e.Fence, fence)
 		fence = e.Fence
 	}
-	fence = x.Apply(&Command{Kind: Take, Key: key("t"), Fence: fence, Heir: b}).Fence
-	x.Apply(&Command{Kind: Release, From: b, Key: key("t"), Fence: fence, Back: true})
+	fence = x.Apply(&Command{Kind: CommandReassign, Key: key("t"), Fence: fence, NewOwner: b}).Fence
+	x.Apply(&Command{Kind: CommandRelease, Sender: b, Key: key("t"), Fence: fence, Returned: true})
 	assert.Nil(t, x.Find(key("t")), "then the fleet has no room")
 }
--- a/internal/fleet/claims/desk.go
+++ b/internal/fleet/claims/desk.go
@@ -20,60 +20,60 @@
 	batchMost   = 256        // commands in one message: at 3 kB each what a snapshot may be
 )
 
-// Want is what a node says at its desk.
-type Want uint8
+// RequestKind is what a node says at its desk.
+type RequestKind uint8
 
 // The wants.
 const (
-	Arrived     Want = iota // a token's first invocation was read: claim it
-	Begin                   // it is to run now
-	Finish                  // its run ended, with Ending and Result
-	Drop                    // nobody waits for it, and under the claim in hand nothing runs or will; also told of what is over
-	Answered                // the council's verdict
-	TellsEnd                // the council tells that a claim elsewhere is over
-	Given                   // the council gives this node a claim of one that was lost
-	Outlived                // the executor tells how a run of an earlier life ended
-	WithdrawAll             // a drain is over: what is only claimed is let go
+	RequestClaim     RequestKind = iota // a token's first invocation was read: claim it
+	RequestStart                        // it is to run now
+	ReportEnd                           // its run ended, with Ending and Result
+	AbandonClaim                        // nobody waits for it, and under the claim in hand nothing runs or will; also told of what is over
+	VerdictReceived                     // the council's verdict
+	EndNotified                         // the council tells that a claim elsewhere is over
+	ClaimAssigned                       // the council gives this node a claim of one that was lost
+	EarlierRunEnded                     // the executor tells how a run of an earlier life ended
+	ReleaseUnstarted                    // a drain is over: what is only claimed is let go
 )
 
 // Input is one thing that happened; only the fields of its kind are set.
 type Input struct {
-	Want    Want
-	Key     Key
-	Body    uint64
-	For     int64 // Arrived, Given: ns to its due time
-	Window  int64
-	Work    []byte
-	Call    string
-	Ending  uint8
-	Result  []byte
-	Fence   uint64 // Given
-	Verdict Verdict
+	Kind         RequestKind
+	Key          Key
+	BodyHash     uint64
+	Remaining    int64 // Arrived, Given: ns to its due time
+	Window       int64
+	Work         []byte
+	InvocationID string
+	Outcome      uint8
+	Result       []byte
+	Fence        uint64 // Given
+	Verdict      Verdict
 }
 
-// Deed is what a desk has its node do.
-type Deed uint8
+// ActionKind is what a desk has its node do.
+type ActionKind uint8
 
 // The deeds. Each Begin is followed by one of Run, Learn, Doubt, Differ or Deny, unless it is dropped before.
 const (
-	Ask    Deed = iota // send Commands to the council
-	Run                // the start is agreed on: the executor may hear of it
-	Learn              // it ended elsewhere, with Ending and Result
-	Unsure             // it may have run elsewhere
-	Differ             // the token came with another body elsewhere
-	Deny               // throttle: there is no room for the claim
-	Kept               // how the run ended is agreed on
-	Heir               // take this in and run it, for whoever asks
+	SendCommands       ActionKind = iota // send Commands to the council
+	StartRun                             // the start is agreed on: the executor may hear of it
+	CompletedElsewhere                   // it ended elsewhere, with Ending and Result
+	UnknownElsewhere                     // it may have run elsewhere
+	BodyMismatch                         // the token came with another body elsewhere
+	RejectClaim                          // throttle: there is no room for the claim
+	EndRecorded                          // how the run ended is agreed on
+	TakeOver                             // take this in and run it, for whoever asks
 )
 
 // Action is one thing to do; only the fields of its kind are set.
 type Action struct {
-	Deed     Deed
+	Kind     ActionKind
 	Key      Key
-	Body     uint64
-	For      int64 // Heir: ns to its due time; Deny: to a time to come back
+	BodyHash uint64
+	Duration int64 // Heir: ns to its due time; Deny: to a time to come back
 	Work     []byte
-	Ending   uint8
+	Outcome  uint8
 	Result   []byte
 	Commands []Command
 }
@@ -117,23 +117,23 @@
 	gone   bool
 }
 
-// DeskCounters are what operators see.
-type DeskCounters struct {
-	Claimed int `json:"claimed"`
-	Joined  int `json:"joined"` // waited for a run elsewhere
-	Kept    int `json:"kept"`   // had the result of a run elsewhere
-	Unknown int `json:"unknown"`
-	Heirs   int `json:"taken"`   // given to this node
-	Fenced  int `json:"fenced"`  // started too late: another had it
-	Zombies int `json:"zombies"` // claims of this node that it knew nothing of, let go
-	Sent    int `json:"sent"`    // commands, repeats included
-	OutOf   int `json:"out_of_reach"`
-	Settled int `json:"settled"`
+// ClientCounters are what operators see.
+type ClientCounters struct {
+	Claimed             int `json:"claimed"`
+	Joined              int `json:"joined"` // waited for a run elsewhere
+	ServedFromElsewhere int `json:"kept"`   // had the result of a run elsewhere
+	Unknown             int `json:"unknown"`
+	Assigned            int `json:"taken"`   // given to this node
+	Fenced              int `json:"fenced"`  // started too late: another had it
+	UnknownReleased     int `json:"zombies"` // claims of this node that it knew nothing of, let go
+	Sent                int `json:"sent"`    // commands, repeats included
+	Unreachable         int `json:"out_of_reach"`
+	Resolved            int `json:"settled"`
 }
 
-// Desk is where a node asks its council. It holds what is not over yet.
-type Desk struct {
-	Counters DeskCounters
+// Client is where a node asks its council. It holds what is not over yet.
+type Client struct {
+	Counters ClientCounters
 
 	self     Owner
 	claims   map[Key]*claim
@@ -153,26 +153,26 @@
 	scanned  int64
 }
 
-// NewDesk is the desk of one life of a node. Its council is out of reach until it answers.
-func NewDesk(self Owner) *Desk {
-	return &Desk{self: self, claims: map[Key]*claim{}, bySeq: map[uint64]*claim{}, probed: -probeEvery, scanAt: never}
+// NewClient is the desk of one life of a node. Its council is out of reach until it answers.
+func NewClient(self Owner) *Client {
+	return &Client{self: self, claims: map[Key]*claim{}, bySeq: map[uint64]*claim{}, probed: -probeEvery, scanAt: never}
 }
 
-// Reached says whether the council answers: without it nothing new may be claimed.
-func (d *Desk) Reached() bool { return d.reached }
+// Connected says whether the council answers: without it nothing new may be claimed.
+func (d *Client) Connected() bool { return d.reached }
 
-// Room says whether one more claim can be held.
-func (d *Desk) Room() bool { return len(d.claims) < recordsMost }
+// HasCapacity says whether one more claim can be held.
+func (d *Client) HasCapacity() bool { return len(d.claims) < recordsMost }
 
-// Elsewhere says whether another node holds the claim, so that it may run there or have run.
-func (d *Desk) Elsewhere(k Key) bool {
+// OwnedElsewhere says whether another node holds the claim, so that it may run there or have run.
+func (d *Client) OwnedElsewhere(k Key) bool {
 	c := d.claims[k]
 	return c != nil && c.step == elsewhere
 }
 
-// Unrun are the claims in hand under which nothing runs here and that are not on their way out, in the order of their
+// NotStarted are the claims in hand under which nothing runs here and that are not on their way out, in the order of their
 // coming, and those whose end is not agreed on yet.
-func (d *Desk) Unrun() (keys []Key) {
+func (d *Client) NotStarted() (keys []Key) {
 	for _, c := range d.order {
 		if !c.gone && (c.step < running || c.step == ending) {
 			keys = append(keys, c.key)
@@ -182,13 +182,13 @@
 }
 
 // Size is how many claims are in hand.
-func (d *Desk) Size() int { return len(d.claims) }
+func (d *Client) Size() int { return len(d.claims) }
 
-func (d *Desk) do(a Action) { d.out = append(d.out, a) }
+func (d *Client) do(a Action) { d.out = append(d.out, a) }
 
 // Step takes what happened up to now, by a clock that only advances. The actions are valid until the next step; wake is
 // when it is to step again at the latest.
-func (d *Desk) Step(now int64, inputs []Input) (actions []Action, wake int64) {
+func (d *Client) Step(now int64, inputs []Input) (actions []Action, wake int64) {
 	d.now, d.out, d.send = now, d.out[:0], nil
 	for i := range inputs {
 		d.take(&inputs[i])
@@ -197,29 +197,29 @@
 	for len(d.send) > 0 {
 		n := min(batchMost, len(d.send))
 		d.Counters.Sent += n
-		d.do(Action{Deed: Ask, Commands: d.send[:n]})
+		d.do(Action{Kind: SendCommands, Commands: d.send[:n]})
 		d.send = d.send[n:]
 	}
 	return d.out, wake
 }
 
-func (d *Desk) take(in *Input) {
+func (d *Client) take(in *Input) {
 	c := d.claims[in.Key]
-	switch in.Want {
-	case Arrived:
+	switch in.Kind {
+	case RequestClaim:
 		if c == nil {
-			c = d.add(&claim{key: in.Key, body: in.Body, due: d.now + in.For, window: in.Window, work: in.Work, call: in.Call})
+			c = d.add(&claim{key: in.Key, body: in.BodyHash, due: d.now + in.Remaining, window: in.Window, work: in.Work, call: in.InvocationID})
 			d.Counters.Claimed++
-			d.command(c, Claim)
+			d.command(c, CommandClaim)
 		} else if c.step == leaving {
-			c.step, c.due, c.body, c.work, c.call = asking, d.now+in.For, in.Body, in.Work, in.Call
+			c.step, c.due, c.body, c.work, c.call = asking, d.now+in.Remaining, in.BodyHash, in.Work, in.InvocationID
 		} else if c.step == releasing { // it was let go, and comes again before that is agreed on: under its fence nothing may start
-			c.next = &claim{key: in.Key, body: in.Body, due: d.now + in.For, window: in.Window, work: in.Work, call: in.Call}
+			c.next = &claim{key: in.Key, body: in.BodyHash, due: d.now + in.Remaining, window: in.Window, work: in.Work, call: in.InvocationID}
 		}
-	case Begin:
+	case RequestStart:
 		if c == nil {
-			c = d.add(&claim{key: in.Key, body: in.Body, due: d.now + in.For, window: in.Window, work: in.Work, call: in.Call})
-			d.command(c, Claim)
+			c = d.add(&claim{key: in.Key, body: in.BodyHash, due: d.now + in.Remaining, window: in.Window, work: in.Work, call: in.InvocationID})
+			d.command(c, CommandClaim)
 		}
 		if c.step == releasing && c.next != nil {
 			c.next.wanted = true
@@ -227,39 +227,39 @@
 			c.wanted = true
 			d.begin(c)
 		}
-	case Finish:
+	case ReportEnd:
 		if c != nil && c.step == running {
-			c.step, c.ending, c.result = ending, in.Ending, in.Result
-			d.command(c, End)
+			c.step, c.ending, c.result = ending, in.Outcome, in.Result
+			d.command(c, CommandEnd)
 		}
-	case Drop:
+	case AbandonClaim:
 		if c != nil {
 			d.letGo(c)
 		}
-	case Answered:
+	case VerdictReceived:
 		d.answered(&in.Verdict)
-	case TellsEnd:
+	case EndNotified:
 		if c != nil && c.step == elsewhere && c.seq == 0 {
-			d.command(c, Claim)
+			d.command(c, CommandClaim)
 		}
-	case Given:
+	case ClaimAssigned:
 		d.given(in, c)
-	case Outlived:
+	case EarlierRunEnded:
 		d.seq++
 		if len(d.settles) < settlesMost {
-			d.settles = append(d.settles, Command{Kind: Settle, From: d.self, Seq: d.seq, Call: in.Call, Ending: in.Ending, Result: in.Result})
+			d.settles = append(d.settles, Command{Kind: CommandResolve, Sender: d.self, Seq: d.seq, InvocationID: in.InvocationID, Outcome: in.Outcome, Result: in.Result})
 			d.settleAt = d.now
 		}
 	}
 }
 
-func (d *Desk) add(c *claim) *claim {
+func (d *Client) add(c *claim) *claim {
 	d.claims[c.key] = c
 	d.order = append(d.order, c)
 	return c
 }
 
-func (d *Desk) forget(c *claim) {
+func (d *Client) forget(c *claim) {
 	if c.gone = true; d.claims[c.key] == c {
 		delete(d.claims, c.key)
 	}
@@ -267,7 +267,7 @@
 }
 
 // command sends one for a claim, the only one of it that is on its way.
-func (d *Desk) command(c *claim, kind CommandKind) {
+func (d *Client) command(c *claim, kind CommandKind) {
 	delete(d.bySeq, c.seq)
 	d.seq++
 	c.seq, c.first, c.wait = d.seq, d.now, againFirst
@@ -276,16 +276,16 @@
 	d.resend(c, kind)
 }
 
-func (d *Desk) resend(c *claim, kind CommandKind) {
+func (d *Client) resend(c *claim, kind CommandKind) {
 	c.sent = d.now
-	m := Command{Kind: kind, From: d.self, Seq: c.seq, Key: c.key, Fence: c.fence}
+	m := Command{Kind: kind, Sender: d.self, Seq: c.seq, Key: c.key, Fence: c.fence}
 	switch kind {
-	case Claim:
-		m.Fence, m.Body, m.For, m.Window, m.Work, m.Call = 0, c.body, max(0, c.due-d.now), c.window, c.work, c.call
-	case Release:
-		m.Back = c.given
-	case End:
-		m.Ending, m.Result = c.ending, c.result
+	case CommandClaim:
+		m.Fence, m.BodyHash, m.Duration, m.Window, m.Work, m.InvocationID = 0, c.body, max(0, c.due-d.now), c.window, c.work, c.call
+	case CommandRelease:
+		m.Returned = c.given
+	case CommandEnd:
+		m.Outcome, m.Result = c.ending, c.result
 	}
 	d.send = append(d.send, m)
 }
@@ -293,48 +293,48 @@
 func (c *claim) kind() CommandKind {
 	switch c.step {
 	case starting:
-		return Start
+		return CommandStart
 	case ending:
-		return End
+		return CommandEnd
 	case releasing:
-		return Release
+		return CommandRelease
 	}
-	return Claim
+	return CommandClaim
 }
 
 // begin goes on with a claim whose run is wanted.
-func (d *Desk) begin(c *claim) {
+func (d *Client) begin(c *claim) {
 	if !c.wanted {
 		return
 	}
 	switch c.step {
 	case granted:
 		c.step = starting
-		d.command(c, Start)
+		d.command(c, CommandStart)
 	case learned:
 		v := c.verdict
 		d.forget(c)
 		switch v.Answer {
-		case Known:
-			d.Counters.Kept++
-			d.do(Action{Deed: Learn, Key: c.key, Ending: v.Ending, Result: v.Result})
-		case Doubted:
+		case AnswerCompleted:
+			d.Counters.ServedFromElsewhere++
+			d.do(Action{Kind: CompletedElsewhere, Key: c.key, Outcome: v.Outcome, Result: v.Result})
+		case AnswerOutcomeUnknown:
 			d.Counters.Unknown++
-			d.do(Action{Deed: Unsure, Key: c.key})
-		case Clash:
-			d.do(Action{Deed: Differ, Key: c.key})
+			d.do(Action{Kind: UnknownElsewhere, Key: c.key})
+		case AnswerBodyMismatch:
+			d.do(Action{Kind: BodyMismatch, Key: c.key})
 		default:
-			d.do(Action{Deed: Deny, Key: c.key, For: v.For})
+			d.do(Action{Kind: RejectClaim, Key: c.key, Duration: v.RetryAfter})
 		}
 	}
 }
 
 // letGo ends a claim under which nothing ran. One that is on its way may yet be granted, and is let go then.
-func (d *Desk) letGo(c *claim) {
+func (d *Client) letGo(c *claim) {
 	switch c.step {
 	case granted, starting, running:
 		c.step = releasing
-		d.command(c, Release)
+		d.command(c, CommandRelease)
 	case releasing:
 		c.next = nil
 	case asking, elsewhere, learned:
@@ -346,7 +346,7 @@
 	}
 }
 
-func (d *Desk) answered(v *Verdict) {
+func (d *Client) answered(v *Verdict) {
 	d.heard = d.now
 	d.reached = true
 	d.probe = 0
@@ -365,45 +365,45 @@
 	case asking, elsewhere:
 		d.claimed(c, v)
 	case starting:
-		if v.Answer == Granted {
+		if v.Answer == AnswerGranted {
 			c.step = running
-			d.do(Action{Deed: Run, Key: c.key})
+			d.do(Action{Kind: StartRun, Key: c.key})
 			return
 		}
 		d.Counters.Fenced++ // another has it by now: who, the table knows
 		c.step, c.fence = elsewhere, 0
-		d.command(c, Claim)
+		d.command(c, CommandClaim)
 	case ending:
 		key := c.key
 		d.forget(c)
-		d.do(Action{Deed: Kept, Key: key})
+		d.do(Action{Kind: EndRecorded, Key: key})
 	case releasing:
 		d.forget(c)
 		if c.next != nil {
-			d.command(d.add(c.next), Claim)
+			d.command(d.add(c.next), CommandClaim)
 		}
 	case leaving:
-		if v.Answer == Granted {
+		if v.Answer == AnswerGranted {
 			c.step, c.fence = releasing, v.Fence
-			d.command(c, Release)
+			d.command(c, CommandRelease)
 			return
 		}
 		d.forget(c)
 	}
 }
 
-func (d *Desk) claimed(c *claim, v *Verdict) {
+func (d *Client) claimed(c *claim, v *Verdict) {
 	switch {
-	case v.Answer == Granted:
+	case v.Answer == AnswerGranted:
 		c.step, c.fence = granted, v.Fence
 		d.begin(c)
-	case v.Answer == Elsewhere && v.Owner == d.self:
+	case v.Answer == AnswerOwnedElsewhere && v.Owner == d.self:
 		// A start of this life that it gave up before it was agreed on: nothing ran here under that fence, or the claim
 		// would still be in hand.
-		d.Counters.Zombies++
-		d.send = append(d.send, Command{Kind: Release, From: d.self, Key: c.key, Fence: v.Fence})
-		d.command(c, Claim)
-	case v.Answer == Elsewhere:
+		d.Counters.UnknownReleased++
+		d.send = append(d.send, Command{Kind: CommandRelease, Sender: d.self, Key: c.key, Fence: v.Fence})
+		d.command(c, CommandClaim)
+	case v.Answer == AnswerOwnedElsewhere:
 		if c.step != elsewhere {
 			d.Counters.Joined++
 		}
@@ -417,15 +417,15 @@
 
 // given takes a claim of a node that was lost. It may be told again and again, of what is over here too: then its start
 // is refused.
-func (d *Desk) given(in *Input, c *claim) {
+func (d *Client) given(in *Input, c *claim) {
 	switch {
 	case c == nil:
-		d.Counters.Heirs++
-		c = d.add(&claim{key: in.Key, step: granted, given: true, body: in.Body, due: d.now + in.For, window: in.Window, work: in.Work, call: in.Call, fence: in.Fence})
-		d.do(Action{Deed: Heir, Key: in.Key, Body: in.Body, For: in.For, Work: in.Work})
+		d.Counters.Assigned++
+		c = d.add(&claim{key: in.Key, step: granted, given: true, body: in.BodyHash, due: d.now + in.Remaining, window: in.Window, work: in.Work, call: in.InvocationID, fence: in.Fence})
+		d.do(Action{Kind: TakeOver, Key: in.Key, BodyHash: in.BodyHash, Duration: in.Remaining, Work: in.Work})
 	case c.step == asking || c.step == elsewhere || c.step == granted && c.fence < in.Fence:
 		if c.step != granted {
-			d.Counters.Heirs++
+			d.Counters.Assigned++
 		}
 		delete(d.bySeq, c.seq)
 		c.seq, c.step, c.fence = 0, granted, in.Fence
@@ -434,7 +434,7 @@
 }
 
 // keep sends again what was not answered, looks again at what is elsewhere, and says when that is due next.
-func (d *Desk) keep() (wake int64) {
+func (d *Client) keep() (wake int64) {
 	if d.now >= d.scanAt && d.now >= d.scanned+scanEvery {
 		d.scan()
 	}
@@ -442,7 +442,7 @@
 	if len(d.settles) > 0 {
 		if d.now >= d.settleAt {
 			d.settleAt = d.now + againMost
-			d.Counters.Settled += len(d.settles)
+			d.Counters.Resolved += len(d.settles)
 			d.send = append(d.send, d.settles...)
 		}
 		wake = min(wake, d.settleAt)
@@ -459,14 +459,14 @@
 		}
 		d.seq++
 		d.probed, d.probe = d.now, d.seq
-		d.send = append(d.send, Command{Kind: Nop, From: d.self, Seq: d.seq})
+		d.send = append(d.send, Command{Kind: CommandNoop, Sender: d.self, Seq: d.seq})
 		probeAt = d.now + probeEvery
 	}
 	return max(min(wake, probeAt), d.now+1)
 }
 
 // scan looks at all claims in hand, in the order of their coming.
-func (d *Desk) scan() {
+func (d *Client) scan() {
 	d.scanned, d.scanAt = d.now, never
 	oldest, kept := int64(never), d.order[:0]
 	for _, c := range d.order {
@@ -483,7 +483,7 @@
 			}
 			d.scanAt = min(d.scanAt, c.sent+c.wait)
 		case c.step == elsewhere && d.now >= c.lookAt:
-			d.command(c, Claim)
+			d.command(c, CommandClaim)
 		case c.step == elsewhere:
 			d.scanAt = min(d.scanAt, c.lookAt)
 		}
@@ -502,13 +502,13 @@
 
 // lose notes that the council is out of reach. What is not claimed and wants to run is given up at once; what is claimed
 // waits for its due time, since an election takes a second or two.
-func (d *Desk) lose() {
+func (d *Client) lose() {
 	d.reached = false
-	d.Counters.OutOf++
+	d.Counters.Unreachable++
 	for _, c := range d.order {
 		if !c.gone && c.step == asking && c.wanted {
 			c.step, c.wanted = leaving, false
-			d.do(Action{Deed: Deny, Key: c.key, For: reachFor})
+			d.do(Action{Kind: RejectClaim, Key: c.key, Duration: reachFor})
 		}
 	}
 }
--- a/internal/fleet/claims/fixtures_test.go
+++ b/internal/fleet/claims/fixtures_test.go
@@ -113,17 +113,17 @@
 func TestFixturesOfClaims(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
-		for _, kind := range []CommandKind{Nop, Claim, Start, End, Release, Take, Doubt, Settle, Pass} {
+		for _, kind := range []CommandKind{CommandNoop, CommandClaim, CommandStart, CommandEnd, CommandRelease, CommandReassign, CommandMarkUnknown, CommandResolve, CommandAdvanceTime} {
 			c := fullValue[Command](uint32(len(list)))
 			c.Kind = kind
 			list = append(list, c)
 		}
-		require.Len(t, list, int(Kinds))
+		require.Len(t, list, int(CommandKindCount))
 		sameBothWays(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
 		var list []Verdict
-		for _, answer := range []Answer{Done, Granted, Elsewhere, Known, Doubted, Clash, Fenced, Full} {
+		for _, answer := range []Answer{AnswerDone, AnswerGranted, AnswerOwnedElsewhere, AnswerCompleted, AnswerOutcomeUnknown, AnswerBodyMismatch, AnswerStaleFence, AnswerTableFull} {
 			v := fullValue[Verdict](uint32(len(list)))
 			v.Answer = answer
 			list = append(list, v)
@@ -132,12 +132,12 @@
 	})
 	t.Run("counters", func(t *testing.T) {
 		sameBothWays(t, "counters-v1.cbor", fullValue[Counters](1), cbor.Marshal, decode.Unmarshal)
-		sameBothWays(t, "desk-counters-v1.cbor", fullValue[DeskCounters](2), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "desk-counters-v1.cbor", fullValue[ClientCounters](2), cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("snapshot", func(t *testing.T) {
 		s := fullValue[snapshot](1)
 		s.Entries = nil
-		for _, state := range []State{Claimed, Started, Unknown, Ended} {
+		for _, state := range []State{StateClaimed, StateStarted, StateUnknown, StateEnded} {
 			e := fullValue[Entry](uint32(len(s.Entries)))
 			e.State = state
 			s.Entries = append(s.Entries, &e)
@@ -158,7 +158,7 @@
 			require.NotNil(t, got)
 			got.place, want.place = 0, 0
 			assert.Equal(t, want, got)
-			assert.Equal(t, want.State <= Started, len(table.Of(want.Owner)) == 1, "only what is claimed or started can be lost")
+			assert.Equal(t, want.State <= StateStarted, len(table.OwnedBy(want.Owner)) == 1, "only what is claimed or started can be lost")
 		}
 		_, size := table.Size()
 		assert.Equal(t, bytes, size)
--- a/internal/fleet/claims/helpers_test.go
+++ b/internal/fleet/claims/helpers_test.go
@@ -8,28 +8,28 @@
 func key(token string) Key { return Key{Operation: "hold", Token: token} }
 
 func ask(from Owner, token string) *Command {
-	return &Command{Kind: Claim, From: from, Key: key(token), Body: 7, For: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work"), Call: "c-" + token}
+	return &Command{Kind: CommandClaim, Sender: from, Key: key(token), BodyHash: 7, Duration: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work"), InvocationID: "c-" + token}
 }
 
 // started is a table in which a has started a token.
 func started(token string) (*Table, uint64) {
 	t := NewTable()
 	fence := t.Apply(ask(a, token)).Fence
-	t.Apply(&Command{Kind: Start, From: a, Key: key(token), Fence: fence})
+	t.Apply(&Command{Kind: CommandStart, Sender: a, Key: key(token), Fence: fence})
 	return t, fence
 }
 
 func pass(t *Table, by int64) {
-	for ; by > 0; by -= LagMost {
-		t.Apply(&Command{Kind: Pass, At: t.Time(), For: min(by, LagMost)})
+	for ; by > 0; by -= MaxTimeStep {
+		t.Apply(&Command{Kind: CommandAdvanceTime, At: t.Time(), Duration: min(by, MaxTimeStep)})
 	}
 }
 
 // at is a desk whose council answered last at a moment.
-func at(now int64) *Desk {
-	d := NewDesk(a)
+func at(now int64) *Client {
+	d := NewClient(a)
 	d.Step(now, nil)
-	d.Step(now, []Input{{Want: Answered, Verdict: Verdict{Seq: d.probe}}})
+	d.Step(now, []Input{{Kind: VerdictReceived, Verdict: Verdict{Seq: d.probe}}})
 	return d
 }
 
@@ -41,25 +41,25 @@
 	return list
 }
 
-func deeds(actions []Action) (list []Deed) {
+func deeds(actions []Action) (list []ActionKind) {
 	for _, x := range actions {
-		if x.Deed != Ask {
-			list = append(list, x.Deed)
+		if x.Kind != SendCommands {
+			list = append(list, x.Kind)
 		}
 	}
 	return list
 }
 
 func arrived(token string) Input {
-	return Input{Want: Arrived, Key: key(token), Body: 7, For: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
+	return Input{Kind: RequestClaim, Key: key(token), BodyHash: 7, Remaining: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
 }
 
 // after steps a desk a moment later.
-func after(d *Desk, by int64, inputs ...Input) []Action {
+func after(d *Client, by int64, inputs ...Input) []Action {
 	actions, _ := d.Step(d.now+by, inputs)
 	return actions
 }
 
 func verdict(seq uint64, answer Answer, fence uint64) Input {
-	return Input{Want: Answered, Verdict: Verdict{Seq: seq, Answer: answer, Fence: fence}}
+	return Input{Kind: VerdictReceived, Verdict: Verdict{Seq: seq, Answer: answer, Fence: fence}}
 }
--- a/internal/fleet/consensus/claims.go
+++ b/internal/fleet/consensus/claims.go
@@ -37,14 +37,14 @@
 	x.pending, x.verdicts, x.tells = map[asked]int64{}, map[claims.Owner][]claims.Verdict{}, map[claims.Owner][]claims.Key{}
 }
 
-func (x *claimTable) lead() { x.plan = takeover.New() }
+func (x *claimTable) lead() { x.plan = takeover.NewPlanner() }
 
 // wanted takes a command of a node on; without a leader it is dropped, and the node asks again.
 func (x *claimTable) wanted(command claims.Command) {
 	if x.seat.leader == 0 || len(x.pending) >= pendingMost {
 		return
 	}
-	x.pending[asked{command.From, command.Seq}] = x.seat.now
+	x.pending[asked{command.Sender, command.Seq}] = x.seat.now
 	x.queued = append(x.queued, command)
 }
 
@@ -60,20 +60,20 @@
 func (x *claimTable) rule() {
 	now := x.seat.now
 	if now-x.passedAt >= passEvery {
-		x.queued = append(x.queued, claims.Command{Kind: claims.Pass, At: x.table.Time(), For: now - x.passedAt, Most: x.most})
+		x.queued = append(x.queued, claims.Command{Kind: claims.CommandAdvanceTime, At: x.table.Time(), Duration: now - x.passedAt, MaxTableBytes: x.most})
 	}
 	commands, gifts := x.plan.Step(now, x.view, x.table, now-x.passedAt)
 	x.queued = append(x.queued, commands...)
 	for i := range gifts {
 		g := &gifts[i]
-		if g.For <= 0 {
+		if g.Remaining <= 0 {
 			continue
 		}
 		if g.First {
 			x.seat.remark(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", g.Entry.Key, g.From.Name, g.To.Name,
-				g.Entry.Fence, g.For/ms)
+				g.Entry.Fence, g.Remaining/ms)
 		}
-		x.seat.send(g.To.Name, Message{Kind: Gift, Owner: g.To, Entry: g.Entry, For: g.For})
+		x.seat.send(g.To.Name, Message{Kind: Gift, Owner: g.To, Entry: g.Entry, For: g.Remaining})
 	}
 }
 
@@ -103,7 +103,7 @@
 	if decode.Unmarshal(part, &list) != nil {
 		return
 	}
-	if slices.ContainsFunc(list, func(c claims.Command) bool { return c.Kind >= claims.Kinds }) {
+	if slices.ContainsFunc(list, func(c claims.Command) bool { return c.Kind >= claims.CommandKindCount }) {
 		panic("a command of a newer version: the others' tables would not be this one's any more")
 	}
 	for i := range list {
@@ -113,21 +113,21 @@
 
 func (x *claimTable) carryOut(command *claims.Command) {
 	x.seat.Counters.Agreed++
-	key := asked{command.From, command.Seq}
+	key := asked{command.Sender, command.Seq}
 	if x.alter != nil {
 		x.alter(command, x.table)
 	}
 	v := x.table.Apply(command)
-	if command.Kind == claims.Pass {
+	if command.Kind == claims.CommandAdvanceTime {
 		x.passedAt = x.seat.now
 	}
 	if _, here := x.pending[key]; here {
 		delete(x.pending, key)
-		x.verdicts[command.From] = append(x.verdicts[command.From], v)
+		x.verdicts[command.Sender] = append(x.verdicts[command.Sender], v)
 	}
 	if x.seat.leads() {
-		for _, t := range x.table.Told {
-			for _, o := range t.Asking {
+		for _, t := range x.table.EndedClaims {
+			for _, o := range t.Waiters {
 				x.tells[o] = append(x.tells[o], t.Key)
 			}
 		}
--- a/internal/fleet/consensus/configuration_test.go
+++ b/internal/fleet/consensus/configuration_test.go
@@ -19,7 +19,7 @@
 func (w *world) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
 	m := w.machines[3]
 	m.decided = nil
-	w.send(3, w.machines[seat].name, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Life: m.life}, Proposed: []configsync.Command{c}})
+	w.send(3, w.machines[seat].name, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Proposed: []configsync.Command{c}})
 	w.run(w.now + 500*ms)
 	require.Len(t, m.decided, 1, "one command, one verdict")
 	assert.Equal(t, []any{c.From, c.Seq}, []any{m.decided[0].From, m.decided[0].Seq})
@@ -60,7 +60,7 @@
 	}
 	assert.Equal(t, uint64(2), v.Version)
 	w.machines[3].decided = nil
-	w.send(3, "n1", Message{Kind: Propose, From: "n3", Owner: claims.Owner{Name: "n3", Life: w.machines[3].life},
+	w.send(3, "n1", Message{Kind: Propose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
 		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
 	w.run(w.now + 500*ms)
 	assert.False(t, w.heads()[0].Stopped, "only a seat says that a version goes no further")
--- a/internal/fleet/consensus/council.go
+++ b/internal/fleet/consensus/council.go
@@ -96,20 +96,20 @@
 
 // Picture is what a node shows of claims.
 type Picture struct {
-	Node    string               `json:"node" cbor:"1,keyasint"`
-	Desk    *claims.DeskCounters `json:"desk,omitempty" cbor:"2,keyasint,omitempty"`
-	InHand  int                  `json:"in_hand" cbor:"3,keyasint,omitempty"`
-	Reached bool                 `json:"council_reached" cbor:"4,keyasint,omitempty"`
-	Seat    *Counters            `json:"seat,omitempty" cbor:"5,keyasint,omitempty"`
-	Leader  string               `json:"leader,omitempty" cbor:"6,keyasint,omitempty"`
-	Table   *claims.Counters     `json:"table,omitempty" cbor:"7,keyasint,omitempty"`
-	Handed  *takeover.Counters   `json:"handed,omitempty" cbor:"8,keyasint,omitempty"`
-	Entries int                  `json:"claims" cbor:"9,keyasint,omitempty"`
-	Bytes   int64                `json:"bytes" cbor:"10,keyasint,omitempty"`
-	Time    int64                `json:"time_ns" cbor:"11,keyasint,omitempty"`
-	Limits  []*quota.Limit       `json:"limits,omitempty" cbor:"13,keyasint,omitempty"`
-	Lease   *quota.Counters      `json:"lease,omitempty" cbor:"14,keyasint,omitempty"`
-	Claims  []*claims.Entry      `json:"-" cbor:"12,keyasint,omitempty"`
+	Node    string                 `json:"node" cbor:"1,keyasint"`
+	Desk    *claims.ClientCounters `json:"desk,omitempty" cbor:"2,keyasint,omitempty"`
+	InHand  int                    `json:"in_hand" cbor:"3,keyasint,omitempty"`
+	Reached bool                   `json:"council_reached" cbor:"4,keyasint,omitempty"`
+	Seat    *Counters              `json:"seat,omitempty" cbor:"5,keyasint,omitempty"`
+	Leader  string                 `json:"leader,omitempty" cbor:"6,keyasint,omitempty"`
+	Table   *claims.Counters       `json:"table,omitempty" cbor:"7,keyasint,omitempty"`
+	Handed  *takeover.Counters     `json:"handed,omitempty" cbor:"8,keyasint,omitempty"`
+	Entries int                    `json:"claims" cbor:"9,keyasint,omitempty"`
+	Bytes   int64                  `json:"bytes" cbor:"10,keyasint,omitempty"`
+	Time    int64                  `json:"time_ns" cbor:"11,keyasint,omitempty"`
+	Limits  []*quota.Limit         `json:"limits,omitempty" cbor:"13,keyasint,omitempty"`
+	Lease   *quota.Counters        `json:"lease,omitempty" cbor:"14,keyasint,omitempty"`
+	Claims  []*claims.Entry        `json:"-" cbor:"12,keyasint,omitempty"`
 }
 
 // Show fills in what this seat knows, with so many claims at the most, without their work and results.
@@ -118,9 +118,9 @@
 	p.Seat, p.Leader, p.Table, p.Handed, p.Time = &c.Counters, c.Leader(), &c.table.Counters, &handed, c.table.Time()
 	p.Entries, p.Bytes = c.table.Size()
 	p.Limits = c.book.Limits()
-	for _, e := range c.table.All(most) {
+	for _, e := range c.table.List(most) {
 		short := *e
-		short.Work, short.Asking = nil, nil
+		short.Work, short.Waiters = nil, nil
 		p.Claims = append(p.Claims, &short)
 	}
 }
@@ -153,7 +153,7 @@
 func (c *Council) Limits(list []quota.Command) { c.limits = list }
 
 // Book is what was agreed on of limits. It must not be changed.
-func (c *Council) Book() *quota.Book { return c.book }
+func (c *Council) Book() *quota.LeaseTable { return c.book }
 
 // Table is what was agreed on of claims, as far as this seat has heard. It must not be changed.
 func (c *Council) Table() *claims.Table { return c.table }
@@ -204,11 +204,13 @@
 	switch m.Kind {
 	case Propose:
 		for i := range m.Commands {
-			if m.Commands[i].From == m.Owner && m.Commands[i].Kind != claims.Pass {
+			if m.Commands[i].Sender == m.Owner && m.Commands[i].Kind != claims.CommandAdvanceTime {
 				c.wanted(m.Commands[i])
 			}
 		}
-		c.lease(slices.DeleteFunc(m.Leases, func(q quota.Command) bool { return q.Kind != quota.Ask || q.From != quota.Who(m.Owner) }))
+		c.lease(slices.DeleteFunc(m.Leases, func(q quota.Command) bool {
+			return q.Kind != quota.CommandRequestLease || q.Sender != quota.Owner(m.Owner)
+		}))
 		if m.Owner.Name != "" {
 			c.versions.propose(m.Owner, m.Proposed)
 		}
--- a/internal/fleet/consensus/council_test.go
+++ b/internal/fleet/consensus/council_test.go
@@ -73,7 +73,7 @@
 	w := calm(t, 5, 3)
 	m := w.machines[4]
 	m.held[key(1)] = true // held by its module, and not begun
-	m.toDesk = append(m.toDesk, claims.Input{Want: claims.Arrived, Key: key(1), Body: 7, For: 4_000 * ms, Window: window, Work: []byte{1}})
+	m.toDesk = append(m.toDesk, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}})
 	w.soon(4)
 	w.run(w.now + 20*ms)
 	w.kill(4)
@@ -364,7 +364,7 @@
 	for n := range 1_000 {
 		k := key(n)
 		m.held[k] = true
-		m.toDesk = append(m.toDesk, claims.Input{Want: claims.Arrived, Key: k, Body: 7, For: 30_000 * ms, Window: window, Work: []byte{1}})
+		m.toDesk = append(m.toDesk, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 30_000 * ms, Window: window, Work: []byte{1}})
 	}
 	w.soon(7)
 	w.run(w.now + 200*ms)
@@ -379,7 +379,7 @@
 			first = w.now - lost
 		}
 		waiting := map[claims.Owner]int{}
-		for _, e := range w.anyTable().Taken() {
+		for _, e := range w.anyTable().Reassigned() {
 			waiting[e.Owner]++
 			most = max(most, waiting[e.Owner])
 		}
@@ -393,7 +393,7 @@
 func TestSeatThatMeetsANewerCommandBeginsAnew(t *testing.T) {
 	w := calm(t, 3, 3)
 	m := w.leader()
-	m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.Kinds, From: claims.Owner{Name: m.name, Life: m.life}, Seq: 99}}})
+	m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandKindCount, Sender: claims.Owner{Name: m.name, Incarnation: m.life}, Seq: 99}}})
 	w.soon(w.index(m))
 	w.run(w.now + 1_000*ms)
 	for _, x := range w.machines {
@@ -417,7 +417,7 @@
 }
 
 func TestBothBooksGoByOneLag(t *testing.T) {
-	assert.Equal(t, claims.LagMost, quota.Lag)
+	assert.Equal(t, claims.MaxTimeStep, quota.MaxTimeStep)
 }
 
 // A seat vouches for what was agreed on as current only while it hears of what the majority agrees on.
--- a/internal/fleet/consensus/disk_test.go
+++ b/internal/fleet/consensus/disk_test.go
@@ -187,8 +187,8 @@
 	m := w.leader()
 	c := m.seat
 	number := c.disk.number
-	self := claims.Owner{Name: m.name, Life: m.life}
-	effects, _ := c.Step(w.now, []Input{{Persisted: number}, {Own: []claims.Command{{Kind: claims.Claim, From: self, Seq: 99, Key: key(1), For: ms}}}})
+	self := claims.Owner{Name: m.name, Incarnation: m.life}
+	effects, _ := c.Step(w.now, []Input{{Persisted: number}, {Own: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
 	var write *Write
 	for _, e := range effects {
 		if e.Kind == Persist {
@@ -229,9 +229,9 @@
 func TestLogOnTheDiskIsCutBehindASnapshot(t *testing.T) {
 	w := onDisks(t, 4, 3)
 	m := w.leader()
-	self := claims.Owner{Name: m.name, Life: m.life}
+	self := claims.Owner{Name: m.name, Incarnation: m.life}
 	for n := range 2_500 { // more entries than one snapshot holds
-		m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.Claim, From: self, Seq: uint64(1_000 + n), Key: key(1), For: ms}}})
+		m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		w.soon(w.index(m))
 		w.run(w.now + 8*ms)
 	}
@@ -395,8 +395,8 @@
 		w.cut[[2]int{third, k}], w.cut[[2]int{k, third}] = true, true
 	}
 	w.machines[follower].disk.free = w.now + 60_000*ms
-	leader.toSeat = append(leader.toSeat, Input{Own: []claims.Command{{Kind: claims.Claim, From: claims.Owner{Name: "n3", Life: w.machines[3].life},
-		Seq: 1_000, Key: key(1), For: 600_000 * ms, Window: window}}})
+	leader.toSeat = append(leader.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
+		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Window: window}}})
 	w.soon(i)
 	w.run(w.now + 400*ms)
 	agreed = leader.seat.table.Find(key(1)) != nil
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -151,21 +151,21 @@
 
 // ordered are commands for each table of a council, which change all of them.
 func ordered() (list []claims.Command, asks []quota.Command, puts []configsync.Command) {
-	one, other := claims.Owner{Name: "node-1", Life: 11}, claims.Owner{Name: "node-2", Life: 12}
+	one, other := claims.Owner{Name: "node-1", Incarnation: 11}, claims.Owner{Name: "node-2", Incarnation: 12}
 	key := func(token string) claims.Key { return claims.Key{Operation: "resize", Tenant: "green", Token: token} }
 	for k, token := range []string{"waits", "runs", "ran", "lost"} {
-		list = append(list, claims.Command{Kind: claims.Claim, From: one, Seq: uint64(k + 1), Key: key(token), Body: uint64(1_000 + k), For: 60_000 * ms,
-			Window: 90_000 * ms, Work: []byte("work of " + token), Call: fmt.Sprintf("call-%d", k)})
+		list = append(list, claims.Command{Kind: claims.CommandClaim, Sender: one, Seq: uint64(k + 1), Key: key(token), BodyHash: uint64(1_000 + k), Duration: 60_000 * ms,
+			Window: 90_000 * ms, Work: []byte("work of " + token), InvocationID: fmt.Sprintf("call-%d", k)})
 	}
 	list = append(list,
-		claims.Command{Kind: claims.Claim, From: other, Seq: 5, Key: key("runs"), Body: 1_001, For: 60_000 * ms, Window: 90_000 * ms},
-		claims.Command{Kind: claims.Start, From: one, Seq: 6, Key: key("runs"), Fence: 2},
-		claims.Command{Kind: claims.Start, From: one, Seq: 7, Key: key("ran"), Fence: 3},
-		claims.Command{Kind: claims.End, From: one, Seq: 8, Key: key("ran"), Fence: 3, Ending: 2, Result: []byte("a result")},
-		claims.Command{Kind: claims.Take, Key: key("lost"), Fence: 4, Heir: other},
-		claims.Command{Kind: claims.Pass, For: 250 * ms, Most: 1 << 20})
-	asks = []quota.Command{{Kind: quota.Define, Limit: "wide", Units: 40, Version: 3, Wait: 500 * ms},
-		{Kind: quota.Ask, From: quota.Who{Name: "node-1", Life: 11}, Seq: 1, Limit: "wide", Want: 7, For: 5_000 * ms}}
+		claims.Command{Kind: claims.CommandClaim, Sender: other, Seq: 5, Key: key("runs"), BodyHash: 1_001, Duration: 60_000 * ms, Window: 90_000 * ms},
+		claims.Command{Kind: claims.CommandStart, Sender: one, Seq: 6, Key: key("runs"), Fence: 2},
+		claims.Command{Kind: claims.CommandStart, Sender: one, Seq: 7, Key: key("ran"), Fence: 3},
+		claims.Command{Kind: claims.CommandEnd, Sender: one, Seq: 8, Key: key("ran"), Fence: 3, Outcome: 2, Result: []byte("a result")},
+		claims.Command{Kind: claims.CommandReassign, Key: key("lost"), Fence: 4, NewOwner: other},
+		claims.Command{Kind: claims.CommandAdvanceTime, Duration: 250 * ms, MaxTableBytes: 1 << 20})
+	asks = []quota.Command{{Kind: quota.CommandDefineLimit, Limit: "wide", Units: 40, Version: 3, StartDelay: 500 * ms},
+		{Kind: quota.CommandRequestLease, Sender: quota.Owner{Name: "node-1", Incarnation: 11}, Seq: 1, Limit: "wide", WantedUnits: 7, LeaseDuration: 5_000 * ms}}
 	puts = []configsync.Command{{Kind: configsync.Put, From: "caller-1", Seq: 1, Wall: 101,
 		Changes: []configsync.Item{{Part: configsync.Operations, Name: "resize", Value: []byte(`{"quota_rps":1}`)}}}}
 	return list, asks, puts
@@ -225,10 +225,10 @@
 	got.apply(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
 	sameTables(t, want, got)
 	states := map[claims.State]int{}
-	for _, e := range got.table.All(10) {
+	for _, e := range got.table.List(10) {
 		states[e.State]++
 	}
-	assert.Equal(t, map[claims.State]int{claims.Claimed: 2, claims.Started: 1, claims.Ended: 1}, states)
+	assert.Equal(t, map[claims.State]int{claims.StateClaimed: 2, claims.StateStarted: 1, claims.StateEnded: 1}, states)
 	assert.Equal(t, int64(7), got.book.Find("wide").Leases[0].Want)
 	assert.Equal(t, uint64(1), got.versions.table.Head().Newest)
 }
@@ -269,7 +269,7 @@
 	change, err := proto.Marshal(&raftpb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*raftpb.ConfChangeSingle{
 		{Type: &remove, NodeId: &before}, {Type: &add, NodeId: &now}}})
 	require.NoError(t, err)
-	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.Pass, At: 250 * ms, For: 100 * ms}})
+	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.CommandAdvanceTime, At: 250 * ms, Duration: 100 * ms}})
 	require.NoError(t, err)
 	parts, err := canonical.Marshal(map[uint8]cbor.RawMessage{1: pass})
 	require.NoError(t, err)
--- a/internal/fleet/consensus/helpers_test.go
+++ b/internal/fleet/consensus/helpers_test.go
@@ -23,7 +23,7 @@
 	up      bool
 	paused  bool
 	seat    *Council
-	desk    *claims.Desk
+	desk    *claims.Client
 	toDesk  []claims.Input
 	toSeat  []Input
 	asks    map[claims.Key][]*ask // callers that wait
@@ -137,7 +137,7 @@
 	}
 	*m = machine{name: m.name, disk: m.disk, up: true, life: uint64(w.now)<<8 | uint64(i), asks: map[claims.Key][]*ask{}, held: map[claims.Key]bool{},
 		begun: map[claims.Key]bool{}, ended: map[claims.Key]string{}, waking: -1}
-	m.desk = claims.NewDesk(claims.Owner{Name: m.name, Life: m.life})
+	m.desk = claims.NewClient(claims.Owner{Name: m.name, Incarnation: m.life})
 	if i < len(w.seats) {
 		m.seat = New(w.seats, m.name, m.life, w.now, w.chance.Int63())
 		if w.extra != nil {
@@ -148,10 +148,10 @@
 		}
 		if w.careless {
 			m.seat.alter = func(c *claims.Command, t *claims.Table) {
-				if e := t.Find(c.Key); e != nil && (c.Kind == claims.Start || c.Kind == claims.End) {
+				if e := t.Find(c.Key); e != nil && (c.Kind == claims.CommandStart || c.Kind == claims.CommandEnd) {
 					c.Fence = e.Fence
-					if e.State == claims.Claimed {
-						c.From = e.Owner
+					if e.State == claims.StateClaimed {
+						c.Sender = e.Owner
 					}
 				}
 			}
@@ -243,7 +243,7 @@
 		if !w.sane && w.chance.Intn(20) == 0 {
 			alive = !alive
 		}
-		view = append(view, takeover.Member{Owner: claims.Owner{Name: m.name, Life: m.life}, Alive: alive || k == i, Fit: true})
+		view = append(view, takeover.Member{Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Alive: alive || k == i, AcceptsWork: true})
 	}
 	return view
 }
@@ -285,21 +285,21 @@
 
 func (w *world) got(i int, msg *Message) {
 	m := w.machines[i]
-	self := claims.Owner{Name: m.name, Life: m.life}
+	self := claims.Owner{Name: m.name, Incarnation: m.life}
 	switch msg.Kind {
 	case Verdicts, Tells, Gift:
 		if msg.Owner != self {
 			return
 		}
 		for k := range msg.Verdicts {
-			m.toDesk = append(m.toDesk, claims.Input{Want: claims.Answered, Verdict: msg.Verdicts[k]})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.VerdictReceived, Verdict: msg.Verdicts[k]})
 		}
 		m.decided = append(m.decided, msg.Decided...)
 		for _, key := range msg.Keys {
-			m.toDesk = append(m.toDesk, claims.Input{Want: claims.TellsEnd, Key: key})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.EndNotified, Key: key})
 		}
 		if e := msg.Entry; e != nil {
-			m.toDesk = append(m.toDesk, claims.Input{Want: claims.Given, Key: e.Key, Body: e.Body, For: msg.For, Window: e.Window, Work: e.Work, Call: e.Call, Fence: e.Fence})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: msg.For, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
 		}
 	default:
 		if m.seat != nil {
@@ -327,12 +327,12 @@
 			return
 		}
 		if !m.held[k] && !m.begun[k] {
-			if !m.desk.Reached() {
+			if !m.desk.Connected() {
 				w.answer(a, "throttled")
 				return
 			}
 			m.held[k] = true
-			m.toDesk = append(m.toDesk, claims.Input{Want: claims.Arrived, Key: k, Body: 7, For: 4_000 * ms, Window: window, Work: []byte{1}, Call: "c"})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
 			w.at(w.now+w.chance.Int63n(40*ms), i, func() { w.begin(i, k) })
 		}
 		m.asks[k] = append(m.asks[k], a)
@@ -341,7 +341,7 @@
 			if a.answered {
 				return
 			}
-			if m.desk.Elsewhere(k) {
+			if m.desk.OwnedElsewhere(k) {
 				w.answer(a, "unknown")
 			} else {
 				w.answer(a, "throttled")
@@ -349,7 +349,7 @@
 			m.asks[k] = slices.DeleteFunc(m.asks[k], func(b *ask) bool { return b == a })
 			if len(m.asks[k]) == 0 && !w.started[k] && m.begun[k] {
 				delete(m.begun, k)
-				m.toDesk = append(m.toDesk, claims.Input{Want: claims.Drop, Key: k})
+				m.toDesk = append(m.toDesk, claims.Input{Kind: claims.AbandonClaim, Key: k})
 				w.soon(i)
 			}
 		})
@@ -362,7 +362,7 @@
 	if m.held[k] {
 		delete(m.held, k)
 		m.begun[k] = true
-		m.toDesk = append(m.toDesk, claims.Input{Want: claims.Begin, Key: k, Body: 7, For: 4_000 * ms, Window: window, Work: []byte{1}, Call: "c"})
+		m.toDesk = append(m.toDesk, claims.Input{Kind: claims.RequestStart, Key: k, BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
 		if w.rash {
 			w.execute(i, k)
 		}
@@ -383,7 +383,7 @@
 		}
 		result := fmt.Sprintf("%s run %d", k, w.runs[token])
 		w.at(w.now+w.chance.Int63n(60*ms), i, func() {
-			m.toDesk = append(m.toDesk, claims.Input{Want: claims.Finish, Key: k, Result: []byte(result)})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.ReportEnd, Key: k, Result: []byte(result)})
 			m.ended[k] = result
 			w.soon(i)
 		})
@@ -392,33 +392,33 @@
 
 func (w *world) carry(i int, a *claims.Action) {
 	m := w.machines[i]
-	switch a.Deed {
-	case claims.Ask:
+	switch a.Kind {
+	case claims.SendCommands:
 		if m.seat != nil {
 			m.toSeat = append(m.toSeat, Input{Own: a.Commands})
 			return
 		}
 		to := w.seats[w.chance.Intn(len(w.seats))]
-		w.send(i, to, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Life: m.life}, Commands: a.Commands})
-	case claims.Run:
+		w.send(i, to, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Commands: a.Commands})
+	case claims.StartRun:
 		if !m.begun[a.Key] {
 			w.fail("%s may run at %s, which does not want it", a.Key, m.name)
 		} else if len(m.asks[a.Key]) == 0 && w.chance.Intn(2) == 0 && !w.rash && !w.sane { // nobody waits any more: nothing ran, and nothing will
 			delete(m.begun, a.Key)
-			m.toDesk = append(m.toDesk, claims.Input{Want: claims.Drop, Key: a.Key})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
 		} else if !w.rash {
 			w.execute(i, a.Key)
 		}
-	case claims.Kept:
+	case claims.EndRecorded:
 		w.over(i, a.Key, m.ended[a.Key])
-	case claims.Learn:
+	case claims.CompletedElsewhere:
 		m.ended[a.Key] = string(a.Result)
 		w.over(i, a.Key, string(a.Result))
-	case claims.Unsure:
+	case claims.UnknownElsewhere:
 		w.over(i, a.Key, "unknown")
-	case claims.Differ, claims.Deny:
+	case claims.BodyMismatch, claims.RejectClaim:
 		w.over(i, a.Key, "throttled")
-	case claims.Heir:
+	case claims.TakeOver:
 		w.taken++
 		m.held[a.Key] = true
 		k := a.Key
@@ -457,7 +457,7 @@
 			return
 		}
 	}
-	for _, e := range c.table.All(1 << 20) {
+	for _, e := range c.table.List(1 << 20) {
 		if before := w.fences[e.Key]; e.Fence > before {
 			w.fences[e.Key] = e.Fence
 		} else if e.Fence < before && c.leads() && !c.muted() && c.applied == c.node.BasicStatus().GetCommit() && w.sane {
--- a/internal/fleet/consensus/leases.go
+++ b/internal/fleet/consensus/leases.go
@@ -18,14 +18,14 @@
 type leaseTable struct {
 	seat    *Seat
 	limits  []quota.Command
-	book    *quota.Book
+	book    *quota.LeaseTable
 	asks    []quota.Command
 	leasing map[leased]int64 // when
 	grants  map[claims.Owner][]quota.Verdict
 }
 
 func (x *leaseTable) forget() {
-	x.book, x.asks = quota.NewBook(), nil
+	x.book, x.asks = quota.NewLeaseTable(), nil
 	x.leasing, x.grants = map[leased]int64{}, map[claims.Owner][]quota.Verdict{}
 }
 
@@ -37,7 +37,7 @@
 		if x.seat.leader == 0 || len(x.leasing) >= pendingMost {
 			return
 		}
-		x.leasing[leased{claims.Owner(list[i].From), list[i].Limit, list[i].Seq}] = x.seat.now
+		x.leasing[leased{claims.Owner(list[i].Sender), list[i].Limit, list[i].Seq}] = x.seat.now
 		x.asks = append(x.asks, list[i])
 	}
 }
@@ -72,7 +72,7 @@
 	if decode.Unmarshal(part, &list) != nil {
 		return
 	}
-	if slices.ContainsFunc(list, func(q quota.Command) bool { return q.Kind >= quota.Kinds }) {
+	if slices.ContainsFunc(list, func(q quota.Command) bool { return q.Kind >= quota.CommandKindCount }) {
 		panic("a command of a newer version: the others' tables would not be this one's any more")
 	}
 	for i := range list {
@@ -83,8 +83,8 @@
 func (x *leaseTable) grant(at int64, command *quota.Command) {
 	x.seat.Counters.Agreed++
 	v := x.book.Apply(at, command)
-	key := leased{claims.Owner(command.From), command.Limit, command.Seq}
-	if _, here := x.leasing[key]; here && command.Kind == quota.Ask {
+	key := leased{claims.Owner(command.Sender), command.Limit, command.Seq}
+	if _, here := x.leasing[key]; here && command.Kind == quota.CommandRequestLease {
 		delete(x.leasing, key)
 		x.grants[key.owner] = append(x.grants[key.owner], v)
 	}
@@ -95,7 +95,7 @@
 
 // Restore takes the place of the book of limits.
 func (x *leaseTable) Restore(text []byte) (err error) {
-	if x.book = quota.NewBook(); len(text) > 0 {
+	if x.book = quota.NewLeaseTable(); len(text) > 0 {
 		x.book, err = quota.Restore(text)
 	}
 	return err
--- a/internal/fleet/consensus/parts_test.go
+++ b/internal/fleet/consensus/parts_test.go
@@ -126,9 +126,9 @@
 		clear(x.steps)
 	}
 	m := w.leader()
-	self := claims.Owner{Name: m.name, Life: m.life}
+	self := claims.Owner{Name: m.name, Incarnation: m.life}
 	for n := range 2_500 { // more entries than one snapshot holds
-		m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.Claim, From: self, Seq: uint64(1_000 + n), Key: key(1), For: ms}}})
+		m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		w.soon(w.index(m))
 		w.run(w.now + 8*ms)
 	}
--- a/internal/fleet/fleetconfig/fleetconfig.go
+++ b/internal/fleet/fleetconfig/fleetconfig.go
@@ -45,11 +45,11 @@
 
 // Council is who agrees on claims of tokens for all.
 type Council struct {
-	Seats   []string     // names of nodes
-	Folder  string       // where the node's seat keeps what it must not forget; empty in memory only
-	Bytes   int64        // of the table of claims
-	Calls   *quota.Terms // of the limit on calls in hand, nil without one
-	Version uint64       // of that limit
+	Seats   []string            // names of nodes
+	Folder  string              // where the node's seat keeps what it must not forget; empty in memory only
+	Bytes   int64               // of the table of claims
+	Calls   *quota.HolderConfig // of the limit on calls in hand, nil without one
+	Version uint64              // of that limit
 }
 
 var schema = sync.OnceValue(func() *configfile.Schema {
@@ -172,8 +172,8 @@
 			if calls.Version != nil {
 				f.Council.Version = *calls.Version
 			}
-			f.Council.Calls = &quota.Terms{Name: "calls", Units: calls.Limit, Hold: int64(calls.Hold), Term: cmp.Or(int64(calls.Lease), leaseUsual)}
-			if wrong := f.Council.Calls.Usable(); wrong != "" {
+			f.Council.Calls = &quota.HolderConfig{Name: "calls", Units: calls.Limit, Hold: int64(calls.Hold), Term: cmp.Or(int64(calls.Lease), leaseUsual)}
+			if wrong := f.Council.Calls.Problem(); wrong != "" {
 				found = append(found, file.At([]string{"council", "calls"}, wrong, "see docs/operate/quota.md for the bounds"))
 			}
 		}
@@ -227,7 +227,7 @@
 		text += fmt.Sprintf("; a council of %d, which bears the loss of %d at a time, agrees on claims of tokens, %d kB at the most, %s",
 			len(f.Council.Seats), len(f.Council.Seats)/2, f.Council.Bytes>>10, where)
 		if f.Council.Calls != nil {
-			text += "; " + f.Council.Calls.Bound()
+			text += "; " + f.Council.Calls.DescribeBound()
 		}
 	}
 	if f.Configuration != nil {
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -42,7 +42,7 @@
 	f, err := Read("../../../deploy/fleet-council.jsonnet", "n1")
 	require.NoError(t, err)
 	assert.Equal(t, &Council{Seats: []string{"n1", "n2", "n3"}, Bytes: 4 << 20, Version: 1,
-		Calls: &quota.Terms{Name: "calls", Units: 90, Hold: 1_000_000_000, Term: 4_000_000_000}}, f.Council)
+		Calls: &quota.HolderConfig{Name: "calls", Units: 90, Hold: 1_000_000_000, Term: 4_000_000_000}}, f.Council)
 	assert.Contains(t, f.Bounds(), "at most 90 calls in use fleet-wide")
 	assert.Equal(t, int64(1_300_000_000), f.Known())
 	assert.Contains(t, f.Bounds(), "which bears the loss of 1 at a time")
--- a/internal/fleet/quota/fixtures_test.go
+++ b/internal/fleet/quota/fixtures_test.go
@@ -113,12 +113,12 @@
 func TestFixturesOfLimits(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
-		for _, kind := range []CommandKind{Define, Ask} {
+		for _, kind := range []CommandKind{CommandDefineLimit, CommandRequestLease} {
 			c := fullValue[Command](uint32(len(list)))
 			c.Kind = kind
 			list = append(list, c)
 		}
-		require.Len(t, list, int(Kinds))
+		require.Len(t, list, int(CommandKindCount))
 		sameBothWays(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
--- a/internal/fleet/quota/helpers_test.go
+++ b/internal/fleet/quota/helpers_test.go
@@ -7,26 +7,26 @@
 )
 
 var (
-	a     = Who{"a", 1}
-	b     = Who{"b", 1}
-	c     = Who{"c", 1}
-	terms = Terms{Name: "calls", Term: 4_000 * ms, Hold: 500 * ms, Units: 10}
+	a     = Owner{"a", 1}
+	b     = Owner{"b", 1}
+	c     = Owner{"c", 1}
+	terms = HolderConfig{Name: "calls", Term: 4_000 * ms, Hold: 500 * ms, Units: 10}
 )
 
 // defined is a book with one limit, whose first grants need not wait.
-func defined(units int64) *Book {
-	x := NewBook()
-	x.Apply(0, &Command{Kind: Define, Limit: "calls", Units: units, Version: 1, Wait: -Lag})
+func defined(units int64) *LeaseTable {
+	x := NewLeaseTable()
+	x.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: units, Version: 1, StartDelay: -MaxTimeStep})
 	return x
 }
 
-func ask(who Who, seq uint64, keep, want int64) *Command {
-	return &Command{Kind: Ask, From: who, Seq: seq, Limit: "calls", Keep: keep, Want: want, For: terms.Term}
+func ask(who Owner, seq uint64, keep, want int64) *Command {
+	return &Command{Kind: CommandRequestLease, Sender: who, Seq: seq, Limit: "calls", UnitsInUse: keep, WantedUnits: want, LeaseDuration: terms.Term}
 }
 
 // site is a holder with a clock of its own rate, and the units that it uses.
 type site struct {
-	holder *Holder
+	holder *LeaseHolder
 	rate   float64
 	until  int64   // that it stands still
 	used   []int64 // when each use ends, in the world's time
@@ -56,7 +56,7 @@
 	chance   *rand.Rand
 	now, seq int64
 	queue    happenings
-	book     *Book
+	book     *LeaseTable
 	table    int64 // its time
 	passed   int64
 	sites    []*site
@@ -71,13 +71,13 @@
 	area     float64
 	length   float64
 	peak     int
-	terms    Terms
+	terms    HolderConfig
 }
 
 func newWorld(seed int64, sites int, limit int64) *world {
-	w := &world{chance: rand.New(rand.NewSource(seed)), now: 1, book: NewBook(), late: 2 * ms, terms: terms}
+	w := &world{chance: rand.New(rand.NewSource(seed)), now: 1, book: NewLeaseTable(), late: 2 * ms, terms: terms}
 	w.terms.Units = limit
-	w.book.Apply(0, &Command{Kind: Define, Limit: "calls", Units: limit, Version: 1, Wait: terms.Term})
+	w.book.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: terms.Term})
 	w.cut = make([]bool, sites)
 	for i := range sites {
 		w.sites = append(w.sites, &site{})
@@ -109,7 +109,7 @@
 	s := w.sites[i]
 	used := s.used
 	*s = site{rate: 0.99 + 0.02*w.chance.Float64(), life: s.life + 1, used: used, load: s.load}
-	s.holder = NewHolder(w.terms, Who{fmt.Sprint("n", i), s.life})
+	s.holder = NewLeaseHolder(w.terms, Owner{fmt.Sprint("n", i), s.life})
 	w.wake(i, w.now)
 }
 
@@ -151,7 +151,7 @@
 	s.got = s.got[:0]
 	for k := range send {
 		if w.hoard {
-			send[k].Keep = w.terms.Units
+			send[k].UnitsInUse = w.terms.Units
 		}
 		w.ask(i, send[k])
 	}
@@ -199,12 +199,12 @@
 		}
 	}
 	way(func() {
-		if lag := min(Lag, int64(0.98*float64(w.now-w.passed))); lag > 0 && w.chance.Intn(2) == 0 { // behind, and slower than the world
+		if lag := min(MaxTimeStep, int64(0.98*float64(w.now-w.passed))); lag > 0 && w.chance.Intn(2) == 0 { // behind, and slower than the world
 			w.table, w.passed = w.table+lag, w.now
 		}
 		v := w.book.Apply(w.table, &command)
-		if l := w.book.Find("calls"); l.Held() > l.Units {
-			w.wrong = fmt.Sprintf("leases of %d units of %d", l.Held(), l.Units)
+		if l := w.book.Find("calls"); l.LeasedUnits() > l.Units {
+			w.wrong = fmt.Sprintf("leases of %d units of %d", l.LeasedUnits(), l.Units)
 		}
 		way(func() {
 			if s := w.sites[i]; s.life == life {
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -14,16 +14,16 @@
 	holdMost  = 2           // a hold takes this part of a lease at the most, or nothing could be used
 )
 
-// Terms are what a holder goes by. Times are nanoseconds.
-type Terms struct {
+// HolderConfig are what a holder goes by. Times are nanoseconds.
+type HolderConfig struct {
 	Name  string
 	Term  int64 // of a lease
 	Hold  int64 // longest use of one unit, with what lingers after it
 	Units int64 // of the limit, for checks
 }
 
-// Usable says what is wrong with terms, or nothing.
-func (t *Terms) Usable() string {
+// Problem says what is wrong with terms, or nothing.
+func (t *HolderConfig) Problem() string {
 	switch {
 	case t.Units < 1:
 		return "a limit of less than one unit"
@@ -35,23 +35,23 @@
 	return ""
 }
 
-// Bound says in words what holds of a limit, computed from its terms.
-func (t *Terms) Bound() string {
+// DescribeBound says in words what holds of a limit, computed from its terms.
+func (t *HolderConfig) DescribeBound() string {
 	return fmt.Sprintf("at most %d %s in use fleet-wide at any cut, pause or restart, 0 over; a node uses none later than %g s after it asked for its "+
 		"last lease; units of a node that is lost are free again within %g s; a lower limit holds once all have asked again, within %g s at the most",
-		t.Units, t.Name, seconds(t.Term-t.Term/driftPart), seconds(t.Term+t.Term/driftPart+Lag), seconds(t.Term+t.Term/driftPart+Lag))
+		t.Units, t.Name, seconds(t.Term-t.Term/driftPart), seconds(t.Term+t.Term/driftPart+MaxTimeStep), seconds(t.Term+t.Term/driftPart+MaxTimeStep))
 }
 
 func seconds(ns int64) float64 { return float64(ns) / 1e9 }
 
-// Holder says how much of one limit its node may use. A lease counts from when it was asked for, by the node's own
+// LeaseHolder says how much of one limit its node may use. A lease counts from when it was asked for, by the node's own
 // clock that only advances, and ends early by the drift that clocks may have and by the longest use of a unit: what is in
 // use when it can't be renewed has ended before anybody else can have it.
-type Holder struct {
+type LeaseHolder struct {
 	Counters Counters
 
-	terms   Terms
-	self    Who
+	terms   HolderConfig
+	self    Owner
 	seq     uint64
 	units   int64 // that may be used
 	until   int64 // ns until which units may be taken up
@@ -78,11 +78,13 @@
 	AgeMS  int64 `json:"age_ms"` // since the lease was asked for
 }
 
-// NewHolder holds nothing yet.
-func NewHolder(terms Terms, self Who) *Holder { return &Holder{terms: terms, self: self} }
+// NewLeaseHolder holds nothing yet.
+func NewLeaseHolder(terms HolderConfig, self Owner) *LeaseHolder {
+	return &LeaseHolder{terms: terms, self: self}
+}
 
 // Allowed is how many units may be in use now, those in use included; 0 while no lease goes on.
-func (h *Holder) Allowed(now int64) int64 {
+func (h *LeaseHolder) Allowed(now int64) int64 {
 	if now >= h.until {
 		return 0
 	}
@@ -90,11 +92,11 @@
 }
 
 // Until is when what is allowed ends unless it is renewed.
-func (h *Holder) Until() int64 { return h.until }
+func (h *LeaseHolder) Until() int64 { return h.until }
 
 // Step takes how many units are in use and how many are wanted beside them, and the verdicts that came. It says what to
 // send, and when to step again at the latest. What is allowed afterwards is to be obeyed before the command is sent.
-func (h *Holder) Step(now, used, wanted int64, verdicts []Verdict) (send []Command, wake int64) {
+func (h *LeaseHolder) Step(now, used, wanted int64, verdicts []Verdict) (send []Command, wake int64) {
 	for i := range verdicts {
 		h.answered(now, &verdicts[i])
 	}
@@ -114,7 +116,7 @@
 	case h.asked == 0 && now >= h.next && (want > 0 || h.units > 0 || h.next == 0):
 		h.units = min(h.units, max(used, min(want, h.target))) // what is in use of a lease that lapsed is kept too
 		h.seq++
-		h.open = Command{Kind: Ask, From: h.self, Seq: h.seq, Limit: h.terms.Name, Keep: max(h.units, used), Want: want, For: h.terms.Term}
+		h.open = Command{Kind: CommandRequestLease, Sender: h.self, Seq: h.seq, Limit: h.terms.Name, UnitsInUse: max(h.units, used), WantedUnits: want, LeaseDuration: h.terms.Term}
 		h.asked, h.sent, h.next = now, now, now+askEvery
 		h.Counters.Asked++
 		send = append(send, h.open)
@@ -126,32 +128,32 @@
 }
 
 // ending is what may still be in use of a lease that lapsed: taken up before its end.
-func (h *Holder) ending(now, used int64) int64 {
+func (h *LeaseHolder) ending(now, used int64) int64 {
 	if now >= h.until && now < h.until+h.terms.Hold {
 		return used
 	}
 	return 0
 }
 
-func (h *Holder) answered(now int64, v *Verdict) {
+func (h *LeaseHolder) answered(now int64, v *Verdict) {
 	if v.Seq != h.seq || h.asked == 0 || v.Limit != h.terms.Name {
 		return
 	}
 	lease := h.terms.Term - h.terms.Term/driftPart - h.terms.Hold
-	if v.Known {
-		h.units, h.until, h.target = v.Units, h.asked+lease, v.Target
+	if v.LimitDefined {
+		h.units, h.until, h.target = v.Units, h.asked+lease, v.FairShare
 		h.granted = h.asked
-		if v.Units < h.open.Want {
+		if v.Units < h.open.WantedUnits {
 			h.Counters.Short++
 		}
 	}
 	h.asked = 0
-	if v.Units > v.Target || v.Units < min(v.Target, h.open.Want) { // to be given back, or to come as others give back
+	if v.Units > v.FairShare || v.Units < min(v.FairShare, h.open.WantedUnits) { // to be given back, or to come as others give back
 		h.next = min(h.next, now+askEvery/4)
 	}
 }
 
-func (h *Holder) look(now, used, wanted int64) {
+func (h *LeaseHolder) look(now, used, wanted int64) {
 	if now-h.turned >= peakFor {
 		h.peaks[1], h.peaks[0] = h.peaks[0], 0
 		if now-h.turned >= 2*peakFor {
@@ -166,7 +168,7 @@
 	}
 }
 
-func (h *Holder) due(now int64) int64 {
+func (h *LeaseHolder) due(now int64) int64 {
 	at := int64(never)
 	if h.asked != 0 {
 		at = h.sent + askAgain
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/quota.go
@@ -24,22 +24,22 @@
 	unitsMost   = 1 << 30    // of one limit
 )
 
-// Lag is the most that the table's time moves on at once, in ns. The first such step after a grant may count time from
+// MaxTimeStep is the most that the table's time moves on at once, in ns. The first such step after a grant may count time from
 // before it, later ones can't, so leases are longer by that much in the book than their holders use them.
-const Lag = 500 * ms
+const MaxTimeStep = 500 * ms
 
-// Who is one life of a node.
-type Who struct {
-	Name string `cbor:"1,keyasint"`
-	Life uint64 `cbor:"2,keyasint"`
+// Owner is one life of a node.
+type Owner struct {
+	Name        string `cbor:"1,keyasint" json:"Name"`
+	Incarnation uint64 `cbor:"2,keyasint" json:"Life"`
 }
 
-// Compare orders holders by name, then life.
-func Compare(a, b Who) int {
+// CompareOwners orders holders by name, then life.
+func CompareOwners(a, b Owner) int {
 	if n := strings.Compare(a.Name, b.Name); n != 0 {
 		return n
 	}
-	return cmp.Compare(a.Life, b.Life)
+	return cmp.Compare(a.Incarnation, b.Incarnation)
 }
 
 // CommandKind names what a command does.
@@ -47,37 +47,37 @@
 
 // The commands.
 const (
-	Define CommandKind = iota // a limit, if its Version is higher than the one that is known
-	Ask                       // a lease: gives back what is over Keep, asks for Want in all
-	Kinds                     // one past the last
+	CommandDefineLimit  CommandKind = iota // a limit, if its Version is higher than the one that is known
+	CommandRequestLease                    // a lease: gives back what is over Keep, asks for Want in all
+	CommandKindCount                       // one past the last
 )
 
 // Command is one change of the book. Times are nanoseconds.
 type Command struct {
-	Kind    CommandKind `cbor:"1,keyasint"`
-	From    Who         `cbor:"2,keyasint"`
-	Seq     uint64      `cbor:"3,keyasint,omitempty"` // of the holder's asks: an older one that comes late changes nothing
-	Limit   string      `cbor:"4,keyasint"`
-	Keep    int64       `cbor:"5,keyasint,omitempty"`  // Ask: units that the holder may still use
-	Want    int64       `cbor:"6,keyasint,omitempty"`  // Ask
-	For     int64       `cbor:"7,keyasint,omitempty"`  // Ask: how long the lease is, in the table's time
-	Units   int64       `cbor:"8,keyasint,omitempty"`  // Define
-	Version uint64      `cbor:"9,keyasint,omitempty"`  // Define
-	Wait    int64       `cbor:"10,keyasint,omitempty"` // Define: since the founding, before the first grant: leases of an earlier council end
+	Kind          CommandKind `cbor:"1,keyasint"`
+	Sender        Owner       `cbor:"2,keyasint"`
+	Seq           uint64      `cbor:"3,keyasint,omitempty"` // of the holder's asks: an older one that comes late changes nothing
+	Limit         string      `cbor:"4,keyasint"`
+	UnitsInUse    int64       `cbor:"5,keyasint,omitempty"`  // Ask: units that the holder may still use
+	WantedUnits   int64       `cbor:"6,keyasint,omitempty"`  // Ask
+	LeaseDuration int64       `cbor:"7,keyasint,omitempty"`  // Ask: how long the lease is, in the table's time
+	Units         int64       `cbor:"8,keyasint,omitempty"`  // Define
+	Version       uint64      `cbor:"9,keyasint,omitempty"`  // Define
+	StartDelay    int64       `cbor:"10,keyasint,omitempty"` // Define: since the founding, before the first grant: leases of an earlier council end
 }
 
 // Verdict answers an Ask.
 type Verdict struct {
-	Limit  string `cbor:"1,keyasint"`
-	Seq    uint64 `cbor:"2,keyasint"`
-	Units  int64  `cbor:"3,keyasint,omitempty"` // that the holder may use from now on
-	Target int64  `cbor:"4,keyasint,omitempty"` // its fair part: what it holds over it should be given back
-	Known  bool   `cbor:"5,keyasint,omitempty"` // the limit is defined
+	Limit        string `cbor:"1,keyasint"`
+	Seq          uint64 `cbor:"2,keyasint"`
+	Units        int64  `cbor:"3,keyasint,omitempty"` // that the holder may use from now on
+	FairShare    int64  `cbor:"4,keyasint,omitempty"` // its fair part: what it holds over it should be given back
+	LimitDefined bool   `cbor:"5,keyasint,omitempty"` // the limit is defined
 }
 
 // Lease is what one holder has.
 type Lease struct {
-	Who   Who    `cbor:"1,keyasint"`
+	Who   Owner  `cbor:"1,keyasint"`
 	Units int64  `cbor:"2,keyasint,omitempty"`
 	Want  int64  `cbor:"3,keyasint,omitempty"`
 	Until int64  `cbor:"4,keyasint"` // in the table's time
@@ -93,52 +93,52 @@
 	Leases  []Lease `cbor:"5,keyasint,omitempty"`
 }
 
-// Held is the sum of all leases.
-func (l *Limit) Held() (sum int64) {
+// LeasedUnits is the sum of all leases.
+func (l *Limit) LeasedUnits() (sum int64) {
 	for i := range l.Leases {
 		sum += l.Leases[i].Units
 	}
 	return sum
 }
 
-// Book is all limits and leases, the same on all that carry out the same commands in the same order.
-type Book struct{ limits map[string]*Limit }
+// LeaseTable is all limits and leases, the same on all that carry out the same commands in the same order.
+type LeaseTable struct{ limits map[string]*Limit }
 
-// NewBook is a book without limits.
-func NewBook() *Book { return &Book{limits: map[string]*Limit{}} }
+// NewLeaseTable is a book without limits.
+func NewLeaseTable() *LeaseTable { return &LeaseTable{limits: map[string]*Limit{}} }
 
 // Apply carries out one command at a time of the table. The sum of a limit's leases only grows where it stays within
 // the limit; it may be over it after the limit was lowered, until holders gave back.
-func (b *Book) Apply(time int64, c *Command) Verdict {
+func (b *LeaseTable) Apply(time int64, c *Command) Verdict {
 	v := Verdict{Limit: c.Limit, Seq: c.Seq}
 	l := b.limits[c.Limit]
-	if c.Kind == Define {
+	if c.Kind == CommandDefineLimit {
 		b.define(c, l)
 		return v
 	}
 	if l == nil {
 		return v
 	}
-	v.Known = true
+	v.LimitDefined = true
 	l.expire(time)
-	k, held := slices.BinarySearchFunc(l.Leases, c.From, func(x Lease, w Who) int { return Compare(x.Who, w) })
+	k, held := slices.BinarySearchFunc(l.Leases, c.Sender, func(x Lease, w Owner) int { return CompareOwners(x.Who, w) })
 	if !held {
-		if c.Want <= 0 || len(l.Leases) >= holdersMost {
+		if c.WantedUnits <= 0 || len(l.Leases) >= holdersMost {
 			return v
 		}
-		l.Leases = slices.Insert(l.Leases, k, Lease{Who: c.From})
+		l.Leases = slices.Insert(l.Leases, k, Lease{Who: c.Sender})
 	}
 	x := &l.Leases[k]
 	if c.Seq < x.Seq { // late: what its holder may use was agreed on since
 		return v
 	}
 	if c.Seq > x.Seq {
-		x.Units, x.Want, x.Seq = min(x.Units, max(0, c.Keep)), min(max(0, c.Want), unitsMost), c.Seq
+		x.Units, x.Want, x.Seq = min(x.Units, max(0, c.UnitsInUse)), min(max(0, c.WantedUnits), unitsMost), c.Seq
 	}
-	x.Until = max(x.Until, time+max(0, c.For)+Lag)
-	v.Target = l.fair(time)[k]
-	if free := l.Units - l.Held(); time >= l.Wait+Lag && free > 0 {
-		x.Units += min(free, max(0, v.Target-x.Units))
+	x.Until = max(x.Until, time+max(0, c.LeaseDuration)+MaxTimeStep)
+	v.FairShare = l.fair(time)[k]
+	if free := l.Units - l.LeasedUnits(); time >= l.Wait+MaxTimeStep && free > 0 {
+		x.Units += min(free, max(0, v.FairShare-x.Units))
 	}
 	if v.Units = x.Units; x.Units == 0 && x.Want == 0 {
 		l.Leases = slices.Delete(l.Leases, k, k+1)
@@ -146,18 +146,18 @@
 	return v
 }
 
-func (b *Book) define(c *Command, l *Limit) {
+func (b *LeaseTable) define(c *Command, l *Limit) {
 	switch {
 	case c.Units < 0 || c.Units > unitsMost:
 	case l == nil && len(b.limits) < limitsMost:
-		b.limits[c.Limit] = &Limit{Name: c.Limit, Units: c.Units, Version: c.Version, Wait: c.Wait}
+		b.limits[c.Limit] = &Limit{Name: c.Limit, Units: c.Units, Version: c.Version, Wait: c.StartDelay}
 	case l != nil && c.Version > l.Version:
 		l.Units, l.Version = c.Units, c.Version
 	}
 }
 
-// Pass ends the leases whose time is over.
-func (b *Book) Pass(time int64) {
+// ExpireLeases ends the leases whose time is over.
+func (b *LeaseTable) ExpireLeases(time int64) {
 	for _, l := range b.limits {
 		l.expire(time)
 	}
@@ -210,7 +210,7 @@
 }
 
 // Limits are all of them, by name; they must not be changed.
-func (b *Book) Limits() (list []*Limit) {
+func (b *LeaseTable) Limits() (list []*Limit) {
 	for _, name := range slices.Sorted(maps.Keys(b.limits)) {
 		list = append(list, b.limits[name])
 	}
@@ -218,10 +218,10 @@
 }
 
 // Find is a limit by its name, nil where there is none.
-func (b *Book) Find(name string) *Limit { return b.limits[name] }
+func (b *LeaseTable) Find(name string) *Limit { return b.limits[name] }
 
 // Snapshot writes the book; two that are equal are written alike.
-func (b *Book) Snapshot() ([]byte, error) { return cbor.Marshal(b.Limits()) }
+func (b *LeaseTable) Snapshot() ([]byte, error) { return cbor.Marshal(b.Limits()) }
 
 var decode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: limitsMost * holdersMost, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
@@ -232,12 +232,12 @@
 }()
 
 // Restore reads a book.
-func Restore(text []byte) (*Book, error) {
+func Restore(text []byte) (*LeaseTable, error) {
 	var list []*Limit
 	if err := decode.Unmarshal(text, &list); err != nil {
 		return nil, fmt.Errorf("quota: a snapshot can't be read: %w", err)
 	}
-	b := NewBook()
+	b := NewLeaseTable()
 	for _, l := range list {
 		if l == nil || b.limits[l.Name] != nil {
 			return nil, fmt.Errorf("quota: a snapshot holds a limit twice or an empty one")
--- a/internal/fleet/quota/quota_test.go
+++ b/internal/fleet/quota/quota_test.go
@@ -17,12 +17,12 @@
 	assert.Equal(t, int64(8), x.Apply(1, ask(a, 1, 0, 8)).Units)
 	v := x.Apply(2, ask(b, 1, 0, 8))
 	assert.Equal(t, int64(2), v.Units, "what is left")
-	assert.Equal(t, int64(5), v.Target, "its part is half")
+	assert.Equal(t, int64(5), v.FairShare, "its part is half")
 	v = x.Apply(3, ask(a, 2, 8, 8))
-	assert.Equal(t, Verdict{Limit: "calls", Seq: 2, Units: 8, Target: 5, Known: true}, v, "nothing is taken from a holder")
+	assert.Equal(t, Verdict{Limit: "calls", Seq: 2, Units: 8, FairShare: 5, LimitDefined: true}, v, "nothing is taken from a holder")
 	assert.Equal(t, int64(5), x.Apply(4, ask(a, 3, 5, 8)).Units, "it gives back")
 	assert.Equal(t, int64(5), x.Apply(5, ask(b, 2, 2, 8)).Units)
-	assert.Equal(t, int64(10), x.Find("calls").Held())
+	assert.Equal(t, int64(10), x.Find("calls").LeasedUnits())
 }
 
 func TestLateAskChangesNothing(t *testing.T) {
@@ -31,34 +31,34 @@
 	x.Apply(1, late)
 	x.Apply(2, ask(a, 2, 4, 9))
 	assert.Zero(t, x.Apply(3, late).Units, "its holder passes the answer over")
-	assert.Equal(t, int64(9), x.Find("calls").Held(), "an ask of before, doubled on its way, takes nothing that was given since")
+	assert.Equal(t, int64(9), x.Find("calls").LeasedUnits(), "an ask of before, doubled on its way, takes nothing that was given since")
 	assert.Equal(t, int64(9), x.Apply(3, ask(a, 2, 4, 9)).Units, "and the same again is answered alike")
 }
 
 func TestLeaseOfTheLostIsFreeAtItsEnd(t *testing.T) {
 	x := defined(10)
 	x.Apply(1, ask(a, 1, 0, 10))
-	assert.Zero(t, x.Apply(terms.Term+Lag, ask(b, 1, 0, 10)).Units)
-	assert.Equal(t, int64(10), x.Apply(terms.Term+Lag+1, ask(b, 1, 0, 10)).Units)
+	assert.Zero(t, x.Apply(terms.Term+MaxTimeStep, ask(b, 1, 0, 10)).Units)
+	assert.Equal(t, int64(10), x.Apply(terms.Term+MaxTimeStep+1, ask(b, 1, 0, 10)).Units)
 }
 
 func TestFirstLeasesWaitOutWhatMayBeHeldStill(t *testing.T) {
-	x := NewBook()
-	x.Apply(0, &Command{Kind: Define, Limit: "calls", Units: 10, Version: 1, Wait: terms.Term})
-	assert.Zero(t, x.Apply(terms.Term+Lag-1, ask(a, 1, 0, 10)).Units)
-	assert.Equal(t, int64(10), x.Apply(terms.Term+Lag, ask(a, 1, 0, 10)).Units)
+	x := NewLeaseTable()
+	x.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, StartDelay: terms.Term})
+	assert.Zero(t, x.Apply(terms.Term+MaxTimeStep-1, ask(a, 1, 0, 10)).Units)
+	assert.Equal(t, int64(10), x.Apply(terms.Term+MaxTimeStep, ask(a, 1, 0, 10)).Units)
 }
 
 func TestLimitIsLoweredAndRaisedByVersion(t *testing.T) {
 	x := defined(10)
 	x.Apply(1, ask(a, 1, 0, 10))
-	x.Apply(2, &Command{Kind: Define, Limit: "calls", Units: 4, Version: 2})
-	x.Apply(2, &Command{Kind: Define, Limit: "calls", Units: 20, Version: 1})
+	x.Apply(2, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 4, Version: 2})
+	x.Apply(2, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 20, Version: 1})
 	v := x.Apply(3, ask(a, 2, 10, 10))
-	assert.Equal(t, int64(4), v.Target)
+	assert.Equal(t, int64(4), v.FairShare)
 	assert.Equal(t, int64(4), x.Apply(4, ask(a, 3, 4, 10)).Units)
 	assert.Zero(t, x.Apply(5, ask(b, 1, 0, 4)).Units, "what was given back is gone")
-	x.Apply(6, &Command{Kind: Define, Limit: "calls", Units: 12, Version: 3})
+	x.Apply(6, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 12, Version: 3})
 	assert.Positive(t, x.Apply(7, ask(b, 2, 0, 4)).Units)
 }
 
@@ -67,7 +67,7 @@
 	had := map[string]bool{}
 	for time := int64(0); time < 40*turnEvery; time += turnEvery / 4 {
 		for n := range 3 {
-			who := Who{fmt.Sprint(n), 1}
+			who := Owner{fmt.Sprint(n), 1}
 			keep := int64(0)
 			v := x.Apply(time, ask(who, uint64(time)+1, keep, 5))
 			had[who.Name] = had[who.Name] || v.Units > 0
@@ -84,11 +84,11 @@
 		time := int64(0)
 		for n := range rapid.IntRange(1, 60).Draw(t, "asks") {
 			time += rapid.Int64Range(0, terms.Term).Draw(t, "passes")
-			who := Who{rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "who"), 1}
+			who := Owner{rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "who"), 1}
 			v := x.Apply(time, ask(who, rapid.Uint64Range(0, uint64(n)+2).Draw(t, "seq"), rapid.Int64Range(-1, 40).Draw(t, "keep"), rapid.Int64Range(-1, 40).Draw(t, "want")))
 			l := x.Find("calls")
-			if l.Held() > l.Units {
-				t.Fatalf("%d units held of %d", l.Held(), l.Units)
+			if l.LeasedUnits() > l.Units {
+				t.Fatalf("%d units held of %d", l.LeasedUnits(), l.Units)
 			}
 			sum := int64(0)
 			for i, part := range l.fair(time) {
@@ -114,49 +114,49 @@
 }
 
 func TestHolderObeysBeforeItAsksAndStopsBeforeItsEnd(t *testing.T) {
-	h := NewHolder(terms, a)
+	h := NewLeaseHolder(terms, a)
 	send, _ := h.Step(1_000*ms, 0, 4, nil)
 	require.Len(t, send, 1)
-	assert.Equal(t, int64(6), send[0].Want, "with a little to spare")
+	assert.Equal(t, int64(6), send[0].WantedUnits, "with a little to spare")
 	assert.Zero(t, h.Allowed(1_000*ms))
-	h.Step(1_100*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, Target: 6, Known: true}})
+	h.Step(1_100*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, FairShare: 6, LimitDefined: true}})
 	assert.Equal(t, int64(6), h.Allowed(1_100*ms))
 	last := 1_000*ms + terms.Term - terms.Term/driftPart - terms.Hold // from when it was asked for
 	assert.Equal(t, int64(6), h.Allowed(last-1))
 	assert.Zero(t, h.Allowed(last))
 	send, _ = h.Step(1_260*ms, 1, 0, nil)
 	require.Len(t, send, 1)
-	assert.Equal(t, int64(6), send[0].Keep)
-	h.Step(1_270*ms, 1, 0, []Verdict{{Limit: "calls", Seq: 2, Units: 6, Target: 2, Known: true}})
+	assert.Equal(t, int64(6), send[0].UnitsInUse)
+	h.Step(1_270*ms, 1, 0, []Verdict{{Limit: "calls", Seq: 2, Units: 6, FairShare: 2, LimitDefined: true}})
 	send, _ = h.Step(1_600*ms, 1, 0, nil)
 	require.Len(t, send, 1)
-	assert.Equal(t, int64(2), send[0].Keep, "what is over its part")
+	assert.Equal(t, int64(2), send[0].UnitsInUse, "what is over its part")
 	assert.Equal(t, int64(2), h.Allowed(1_600*ms), "is given up before it is offered")
 }
 
 func TestWhatIsInUseOfALapsedLeaseIsNotGivenBack(t *testing.T) {
-	h := NewHolder(terms, a)
+	h := NewLeaseHolder(terms, a)
 	h.Step(1_000*ms, 0, 4, nil)
-	h.Step(1_100*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, Target: 6, Known: true}})
+	h.Step(1_100*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, FairShare: 6, LimitDefined: true}})
 	send, _ := h.Step(1_000*ms+terms.Term-terms.Hold, 3, 0, nil)
 	require.Len(t, send, 1)
-	assert.Equal(t, int64(3), send[0].Keep)
+	assert.Equal(t, int64(3), send[0].UnitsInUse)
 	assert.Zero(t, h.Allowed(1_000*ms+terms.Term-terms.Hold))
 }
 
 func TestVerdictThatCameLateGivesOnlyWhatIsLeftOfItsLease(t *testing.T) {
-	h := NewHolder(terms, a)
+	h := NewLeaseHolder(terms, a)
 	h.Step(1_000*ms, 0, 4, nil)
-	h.Step(9_000*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, Target: 6, Known: true}})
+	h.Step(9_000*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, FairShare: 6, LimitDefined: true}})
 	assert.Zero(t, h.Allowed(9_000*ms))
 }
 
 func TestTermsThatCantHoldAreNamed(t *testing.T) {
-	assert.Empty(t, terms.Usable())
-	assert.Contains(t, (&Terms{Term: 4_000 * ms, Hold: 2_000 * ms, Units: 1}).Usable(), "half a lease")
-	assert.Contains(t, (&Terms{Term: ms, Units: 1}).Usable(), "1 s to 60 s")
-	assert.Contains(t, (&Terms{Term: 4_000 * ms}).Usable(), "one unit")
-	assert.Contains(t, terms.Bound(), "at most 10 calls in use")
+	assert.Empty(t, terms.Problem())
+	assert.Contains(t, (&HolderConfig{Term: 4_000 * ms, Hold: 2_000 * ms, Units: 1}).Problem(), "half a lease")
+	assert.Contains(t, (&HolderConfig{Term: ms, Units: 1}).Problem(), "1 s to 60 s")
+	assert.Contains(t, (&HolderConfig{Term: 4_000 * ms}).Problem(), "one unit")
+	assert.Contains(t, terms.DescribeBound(), "at most 10 calls in use")
 }
 
 // schedule plays drawn cuts, loss, pauses, restarts and loads.
@@ -243,7 +243,7 @@
 func turns(seed int64, change func(w *world)) float64 {
 	w := newWorld(seed, 7, 12)
 	change(w)
-	lost := terms.Term + terms.Term/driftPart + Lag
+	lost := terms.Term + terms.Term/driftPart + MaxTimeStep
 	w.run(lost)
 	for turn := range 20 {
 		for i, s := range w.sites {
@@ -272,10 +272,10 @@
 }
 
 func BenchmarkHolderStep(b *testing.B) {
-	h := NewHolder(terms, a)
+	h := NewLeaseHolder(terms, a)
 	now := int64(1)
 	h.Step(now, 0, 4, nil)
-	h.Step(now, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, Target: 6, Known: true}})
+	h.Step(now, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, FairShare: 6, LimitDefined: true}})
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 1_000
@@ -286,12 +286,12 @@
 func BenchmarkBookOf300(b *testing.B) {
 	x := defined(5_000)
 	for n := range 300 {
-		x.Apply(1, ask(Who{fmt.Sprint(n), 1}, 1, 0, 20))
+		x.Apply(1, ask(Owner{fmt.Sprint(n), 1}, 1, 0, 20))
 	}
 	seq := uint64(1)
 	b.ReportAllocs()
 	for b.Loop() {
 		seq++
-		x.Apply(2, ask(Who{"7", 1}, seq, 16, 20))
+		x.Apply(2, ask(Owner{"7", 1}, seq, 16, 20))
 	}
 }
--- a/internal/fleet/takeover/takeover.go
+++ b/internal/fleet/takeover/takeover.go
@@ -25,11 +25,11 @@
 
 // Member is one that may inherit, or that is lost.
 type Member struct {
-	Owner claims.Owner
-	Alive bool // in the view: not dead, and it has not left
-	Fit   bool // it takes work: neither draining nor without an executor
-	Zone  string
-	Level int // of reduced service
+	Owner       claims.Owner
+	Alive       bool // in the view: not dead, and it has not left
+	AcceptsWork bool // it takes work: neither draining nor without an executor
+	Zone        string
+	Level       int // of reduced service
 }
 
 // Planner is what the leader of a council knows of hand-overs under way. It is made anew with each leader.
@@ -41,9 +41,9 @@
 
 // Counters are what operators see.
 type Counters struct {
-	Handed  int `json:"handed"`
-	Doubted int `json:"doubted"`
-	Waiting int `json:"-"` // claims of the lost that no heir has room for now
+	Reassigned    int `json:"handed"`
+	MarkedUnknown int `json:"doubted"`
+	Waiting       int `json:"-"` // claims of the lost that no heir has room for now
 }
 
 type handed struct {
@@ -53,29 +53,29 @@
 	at    int64 // when it was last told or proposed
 }
 
-// Gift is a claim that its heir is to be told of.
-type Gift struct {
-	To    claims.Owner
-	From  claims.Owner // who was lost
-	Entry *claims.Entry
-	For   int64 // ns to its due time
-	First bool
+// Reassignment is a claim that its heir is to be told of.
+type Reassignment struct {
+	To        claims.Owner
+	From      claims.Owner // who was lost
+	Entry     *claims.Entry
+	Remaining int64 // ns to its due time
+	First     bool
 }
 
-// New is a planner that has handed nothing over.
-func New() *Planner {
+// NewPlanner is a planner that has handed nothing over.
+func NewPlanner() *Planner {
 	return &Planner{handed: map[claims.Key]*handed{}, unseen: map[claims.Owner]int64{}}
 }
 
 // Step says what to propose of the claims of owners that are lost, and which heirs are to be told. An owner is lost where
 // the view has another life under its name, or has it dead or left, or never had it for long. Ahead is by how much
 // the table's time may lag.
-func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) (commands []claims.Command, gifts []Gift) {
+func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) (commands []claims.Command, gifts []Reassignment) {
 	by := make(map[string]*Member, len(view))
 	for i := range view {
 		by[view[i].Owner.Name] = &view[i]
 	}
-	for _, e := range table.Taken() { // an earlier leader handed it over, and its heir may not have heard of it
+	for _, e := range table.Reassigned() { // an earlier leader handed it over, and its heir may not have heard of it
 		if p.handed[e.Key] == nil {
 			p.handed[e.Key] = &handed{fence: e.Fence, heir: e.Owner, at: now - againAfter}
 		}
@@ -85,23 +85,23 @@
 		h := p.handed[k]
 		e := table.Find(k)
 		switch {
-		case e == nil || e.State != claims.Claimed || h.fence != 0 && (e.Fence != h.fence || e.Owner != h.heir):
+		case e == nil || e.State != claims.StateClaimed || h.fence != 0 && (e.Fence != h.fence || e.Owner != h.heir):
 			delete(p.handed, k)
 			continue
 		case h.fence == 0 && e.Owner == h.heir: // agreed on
 			h.fence, h.at = e.Fence, now
-			gifts = append(gifts, Gift{To: h.heir, From: h.from, Entry: e, For: e.Until - table.Time() - ahead, First: true})
+			gifts = append(gifts, Reassignment{To: h.heir, From: h.from, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead, First: true})
 		case h.fence == 0 && now >= h.at+againAfter: // the proposal was lost
 			delete(p.handed, k)
 			continue
 		case h.fence != 0 && now >= h.at+againAfter:
 			h.at = now
-			gifts = append(gifts, Gift{To: h.heir, From: h.from, Entry: e, For: e.Until - table.Time() - ahead})
+			gifts = append(gifts, Reassignment{To: h.heir, From: h.from, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead})
 		}
 		waiting[h.heir]++
 	}
 	for owner := range p.unseen {
-		if len(table.Of(owner)) == 0 {
+		if len(table.OwnedBy(owner)) == 0 {
 			delete(p.unseen, owner)
 		}
 	}
@@ -110,13 +110,13 @@
 		if !p.lost(now, owner, by[owner.Name]) {
 			continue
 		}
-		for _, e := range table.Of(owner) {
+		for _, e := range table.OwnedBy(owner) {
 			if len(commands) >= onceMost {
 				return commands, gifts
 			}
-			if e.State == claims.Started {
-				p.Counters.Doubted++
-				commands = append(commands, claims.Command{Kind: claims.Doubt, Key: e.Key, Fence: e.Fence})
+			if e.State == claims.StateStarted {
+				p.Counters.MarkedUnknown++
+				commands = append(commands, claims.Command{Kind: claims.CommandMarkUnknown, Key: e.Key, Fence: e.Fence})
 				continue
 			}
 			if h := p.handed[e.Key]; h != nil && h.heir == owner { // the heir is lost too
@@ -124,18 +124,18 @@
 			} else if h != nil {
 				continue
 			}
-			if e.Until-table.Time()-ahead < cutLeast {
+			if e.ExpiresAt-table.Time()-ahead < cutLeast {
 				continue
 			}
-			heir := Heir(e, view, by[owner.Name], func(o claims.Owner) bool { return waiting[o] < handedMost })
+			heir := ChooseNewOwner(e, view, by[owner.Name], func(o claims.Owner) bool { return waiting[o] < handedMost })
 			if heir == nil {
 				p.Counters.Waiting++
 				continue
 			}
 			waiting[heir.Owner]++
-			p.Counters.Handed++
+			p.Counters.Reassigned++
 			p.handed[e.Key] = &handed{heir: heir.Owner, from: owner, at: now}
-			commands = append(commands, claims.Command{Kind: claims.Take, Key: e.Key, Fence: e.Fence, Heir: heir.Owner})
+			commands = append(commands, claims.Command{Kind: claims.CommandReassign, Key: e.Key, Fence: e.Fence, NewOwner: heir.Owner})
 		}
 	}
 	return commands, gifts
@@ -146,7 +146,7 @@
 	for k := range p.handed {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, claims.Compare)
+	slices.SortFunc(keys, claims.CompareKeys)
 	return keys
 }
 
@@ -163,20 +163,20 @@
 		return now-since >= unseenFor
 	}
 	delete(p.unseen, owner)
-	return !m.Alive || m.Owner.Life > owner.Life
+	return !m.Alive || m.Owner.Incarnation > owner.Incarnation
 }
 
-// Heir is who inherits a claim: one that waits for it, else the one that rendezvous hashing with weights gives, among
+// ChooseNewOwner is who inherits a claim: one that waits for it, else the one that rendezvous hashing with weights gives, among
 // those with room. Nil where nobody has.
-func Heir(e *claims.Entry, view []Member, lost *Member, room func(claims.Owner) bool) *Member {
+func ChooseNewOwner(e *claims.Entry, view []Member, lost *Member, room func(claims.Owner) bool) *Member {
 	var best *Member
 	least := math.Inf(1)
 	for i := range view {
 		m := &view[i]
-		if !m.Alive || !m.Fit || m.Owner == e.Owner || m.Owner == e.Last || !room(m.Owner) {
+		if !m.Alive || !m.AcceptsWork || m.Owner == e.Owner || m.Owner == e.LastReturnedBy || !room(m.Owner) {
 			continue
 		}
-		if slices.Contains(e.Asking, m.Owner) {
+		if slices.Contains(e.Waiters, m.Owner) {
 			return m
 		}
 		weight := math.Pow(levelPart, float64(m.Level))
--- a/internal/fleet/takeover/takeover_test.go
+++ b/internal/fleet/takeover/takeover_test.go
@@ -10,7 +10,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
-var lost = claims.Owner{Name: "lost", Life: 1}
+var lost = claims.Owner{Name: "lost", Incarnation: 1}
 
 func key(n int) claims.Key { return claims.Key{Operation: "hold", Token: fmt.Sprint("t", n)} }
 
@@ -18,9 +18,9 @@
 func held(owner claims.Owner, first, tokens int) *claims.Table {
 	x := claims.NewTable()
 	for n := range tokens {
-		v := x.Apply(&claims.Command{Kind: claims.Claim, From: owner, Key: key(n), For: 5_000 * ms, Window: 60_000 * ms})
+		v := x.Apply(&claims.Command{Kind: claims.CommandClaim, Sender: owner, Key: key(n), Duration: 5_000 * ms, Window: 60_000 * ms})
 		if n < first {
-			x.Apply(&claims.Command{Kind: claims.Start, From: owner, Key: key(n), Fence: v.Fence})
+			x.Apply(&claims.Command{Kind: claims.CommandStart, Sender: owner, Key: key(n), Fence: v.Fence})
 		}
 	}
 	return x
@@ -29,7 +29,7 @@
 // fleet is a view of so many members that live, and the lost one.
 func fleet(n int) (view []Member) {
 	for i := range n {
-		view = append(view, Member{Owner: claims.Owner{Name: fmt.Sprint("n", i), Life: 1}, Alive: true, Fit: true})
+		view = append(view, Member{Owner: claims.Owner{Name: fmt.Sprint("n", i), Incarnation: 1}, Alive: true, AcceptsWork: true})
 	}
 	return append(view, Member{Owner: lost})
 }
@@ -41,7 +41,7 @@
 }
 
 func TestClaimsOfTheLostGoToHeirsAndWhatBeganIsDoubted(t *testing.T) {
-	x, p := held(lost, 3, 10), New()
+	x, p := held(lost, 3, 10), NewPlanner()
 	commands, gifts := p.Step(1, fleet(4), x, 0)
 	assert.Empty(t, gifts, "nothing is told before it is agreed on")
 	require.Len(t, commands, 10)
@@ -52,9 +52,9 @@
 	for _, g := range gifts {
 		assert.Equal(t, g.To, g.Entry.Owner)
 		assert.Equal(t, lost, g.From)
-		assert.Equal(t, 5_000*ms, g.For)
+		assert.Equal(t, 5_000*ms, g.Remaining)
 	}
-	assert.Equal(t, Counters{Handed: 7, Doubted: 3}, p.Counters)
+	assert.Equal(t, Counters{Reassigned: 7, MarkedUnknown: 3}, p.Counters)
 	_, gifts = p.Step(3, fleet(4), x, 0)
 	assert.Empty(t, gifts)
 	_, gifts = p.Step(2+againAfter, fleet(4), x, 0)
@@ -62,20 +62,20 @@
 }
 
 func TestSuspectsAndTheLivingKeepTheirClaims(t *testing.T) {
-	x, p := held(claims.Owner{Name: "n1", Life: 1}, 0, 5), New()
+	x, p := held(claims.Owner{Name: "n1", Incarnation: 1}, 0, 5), NewPlanner()
 	commands, _ := p.Step(1, fleet(4), x, 0)
 	assert.Empty(t, commands)
 	view := fleet(4)
-	view[1].Owner.Life = 2
+	view[1].Owner.Incarnation = 2
 	commands, _ = p.Step(2, view, x, 0)
 	assert.Len(t, commands, 5, "a new life knows nothing of the old one's")
-	view[1].Owner.Life = 0
-	commands, _ = New().Step(2, view, x, 0)
+	view[1].Owner.Incarnation = 0
+	commands, _ = NewPlanner().Step(2, view, x, 0)
 	assert.Empty(t, commands, "a view that is behind takes nothing from the life after it")
 }
 
 func TestOwnerThatNoViewHasIsLostAfterAWhile(t *testing.T) {
-	x, p := held(claims.Owner{Name: "stranger", Life: 1}, 0, 1), New()
+	x, p := held(claims.Owner{Name: "stranger", Incarnation: 1}, 0, 1), NewPlanner()
 	commands, _ := p.Step(1, fleet(2), x, 0)
 	assert.Empty(t, commands)
 	commands, _ = p.Step(1+unseenFor, fleet(2), x, 0)
@@ -83,7 +83,7 @@
 }
 
 func TestHeirsAreNotToppled(t *testing.T) {
-	x, p := held(lost, 0, 1_000), New()
+	x, p := held(lost, 0, 1_000), NewPlanner()
 	commands, _ := p.Step(1, fleet(3), x, 0)
 	assert.Len(t, commands, 3*handedMost)
 	assert.Equal(t, 1_000-3*handedMost, p.Counters.Waiting)
@@ -91,7 +91,7 @@
 	commands, gifts := p.Step(2, fleet(3), x, 0)
 	assert.Empty(t, commands)
 	for _, g := range gifts[:5] { // five begin: there is room for five
-		x.Apply(&claims.Command{Kind: claims.Start, From: g.To, Key: g.Entry.Key, Fence: g.Entry.Fence})
+		x.Apply(&claims.Command{Kind: claims.CommandStart, Sender: g.To, Key: g.Entry.Key, Fence: g.Entry.Fence})
 	}
 	commands, _ = p.Step(3, fleet(3), x, 0)
 	assert.Len(t, commands, 5)
@@ -100,12 +100,12 @@
 func TestWhoWaitsForATokenInheritsIt(t *testing.T) {
 	x := held(lost, 0, 20)
 	for n := range 20 {
-		x.Apply(&claims.Command{Kind: claims.Claim, From: claims.Owner{Name: "n2", Life: 1}, Key: key(n)})
+		x.Apply(&claims.Command{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n2", Incarnation: 1}, Key: key(n)})
 	}
-	commands, _ := New().Step(1, fleet(4), x, 0)
+	commands, _ := NewPlanner().Step(1, fleet(4), x, 0)
 	to := map[string]int{}
 	for _, c := range commands {
-		to[c.Heir.Name]++
+		to[c.NewOwner.Name]++
 	}
 	assert.Equal(t, handedMost, to["n2"], "as far as it has room, then others do")
 }
@@ -114,11 +114,11 @@
 	x := held(lost, 0, 2_000)
 	view := fleet(4)
 	view[4].Zone, view[0].Zone = "west", "west"
-	view[1].Fit = false
+	view[1].AcceptsWork = false
 	view[2].Level = 1
 	to := map[string]int{}
-	for _, e := range x.Of(lost) {
-		to[Heir(e, view, &view[4], func(claims.Owner) bool { return true }).Owner.Name]++
+	for _, e := range x.OwnedBy(lost) {
+		to[ChooseNewOwner(e, view, &view[4], func(claims.Owner) bool { return true }).Owner.Name]++
 	}
 	assert.Zero(t, to["n1"], "one that takes nothing in inherits nothing")
 	assert.InDelta(t, 2_000*0.25/1.75, to["n0"], 80, "the zone of the lost")
@@ -128,14 +128,14 @@
 
 func TestLeaderThatIsNewTellsWhatItsPredecessorHandedOver(t *testing.T) {
 	x := held(lost, 0, 2)
-	commands, _ := New().Step(1, fleet(3), x, 0)
+	commands, _ := NewPlanner().Step(1, fleet(3), x, 0)
 	apply(x, commands)
-	_, gifts := New().Step(1, fleet(3), x, 0)
+	_, gifts := NewPlanner().Step(1, fleet(3), x, 0)
 	assert.Len(t, gifts, 2)
 }
 
 func TestHeirThatIsLostTooHasHeirs(t *testing.T) {
-	x, p := held(lost, 0, 1), New()
+	x, p := held(lost, 0, 1), NewPlanner()
 	commands, _ := p.Step(1, fleet(2), x, 0)
 	apply(x, commands)
 	first := x.Find(key(0)).Owner
@@ -153,13 +153,13 @@
 }
 
 func TestWhatCantBeDoneInTimeIsNotHandedOver(t *testing.T) {
-	x, p := held(lost, 0, 1), New()
+	x, p := held(lost, 0, 1), NewPlanner()
 	commands, _ := p.Step(1, fleet(2), x, 5_000*ms-cutLeast+1)
 	assert.Empty(t, commands)
 }
 
 func BenchmarkStepWithNothingLost(b *testing.B) {
-	x, p, view := held(claims.Owner{Name: "n1", Life: 1}, 5_000, 10_000), New(), fleet(300)
+	x, p, view := held(claims.Owner{Name: "n1", Incarnation: 1}, 5_000, 10_000), NewPlanner(), fleet(300)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Step(1, view, x, 0)
@@ -167,12 +167,12 @@
 }
 
 func TestWhatAnHeirGaveBackGoesToAnother(t *testing.T) {
-	x, p := held(lost, 0, 1), New()
+	x, p := held(lost, 0, 1), NewPlanner()
 	commands, _ := p.Step(1, fleet(3), x, 0)
 	apply(x, commands)
 	p.Step(2, fleet(3), x, 0)
 	first := x.Find(key(0)).Owner
-	x.Apply(&claims.Command{Kind: claims.Release, From: first, Key: key(0), Fence: x.Find(key(0)).Fence, Back: true})
+	x.Apply(&claims.Command{Kind: claims.CommandRelease, Sender: first, Key: key(0), Fence: x.Find(key(0)).Fence, Returned: true})
 	for now := int64(3); now < 5; now++ {
 		commands, _ = p.Step(now, fleet(3), x, 0)
 		apply(x, commands)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -31,7 +31,7 @@
 // claimed is the door to what the fleet agrees on about tokens: the node's desk, and its seat in the council where it
 // has one. Without a council both are nil: no timer, no cost.
 type claimed struct {
-	desk   *claims.Desk
+	desk   *claims.Client
 	seat   *consensus.Council
 	self   claims.Owner
 	seats  []string
@@ -60,12 +60,12 @@
 func (r *Reducer) Convene(seats []string, bytes, now, seed int64) {
 	self := r.peers.members.Self()
 	c := &r.claimed
-	*c = claimed{self: claims.Owner{Name: self.Name, Life: uint64(self.Born)}, seats: slices.Sorted(slices.Values(seats)), links: map[string]int{}}
+	*c = claimed{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.Born)}, seats: slices.Sorted(slices.Values(seats)), links: map[string]int{}}
 	if r.kept.keeper != nil || r.hollow.on && !r.hollow.onlySeat {
-		c.desk = claims.NewDesk(c.self)
+		c.desk = claims.NewClient(c.self)
 	}
 	if c.asks = slices.Index(c.seats, self.Name); c.asks >= 0 {
-		c.seat = consensus.New(c.seats, self.Name, c.self.Life, now, seed)
+		c.seat = consensus.New(c.seats, self.Name, c.self.Incarnation, now, seed)
 		c.seat.Bound(bytes)
 	} else {
 		c.asks = int(uint64(seed) % uint64(len(c.seats)))
@@ -88,7 +88,7 @@
 	}
 	p := &consensus.Picture{Node: c.self.Name}
 	if c.desk != nil {
-		p.Desk, p.InHand, p.Reached = &c.desk.Counters, c.desk.Size(), c.desk.Reached()
+		p.Desk, p.InHand, p.Reached = &c.desk.Counters, c.desk.Size(), c.desk.Connected()
 	}
 	if h := r.leasing.holder; h != nil {
 		p.Lease = &h.Counters
@@ -119,7 +119,7 @@
 // unclaimed says whether a token's first invocation must be turned away, since nothing new can be claimed now.
 func (r *Reducer) unclaimed(v *invocation) bool {
 	c := &r.claimed
-	if c.desk == nil || v.key.Token == "" || c.desk.Reached() && c.desk.Room() {
+	if c.desk == nil || v.key.Token == "" || c.desk.Connected() && c.desk.HasCapacity() {
 		return false
 	}
 	if r.kept.held[v.key] != nil {
@@ -146,7 +146,7 @@
 	if !r.Invariants.Check(err == nil, "what an heir needs can be written") {
 		return
 	}
-	r.want(claims.Input{Want: claims.Arrived, Key: r.claimKey(v.key), Body: v.hash, For: v.due - r.now, Call: v.call, Work: text,
+	r.want(claims.Input{Kind: claims.RequestClaim, Key: r.claimKey(v.key), BodyHash: v.hash, Remaining: v.due - r.now, InvocationID: v.call, Work: text,
 		Window: v.terms.known})
 }
 
@@ -197,13 +197,13 @@
 	r.leasing.grants = append(r.leasing.grants, m.Grants...)
 	r.configuring.decided(m.Decided)
 	for k := range m.Verdicts {
-		r.want(claims.Input{Want: claims.Answered, Verdict: m.Verdicts[k]})
+		r.want(claims.Input{Kind: claims.VerdictReceived, Verdict: m.Verdicts[k]})
 	}
 	for _, key := range m.Keys {
-		r.want(claims.Input{Want: claims.TellsEnd, Key: key})
+		r.want(claims.Input{Kind: claims.EndNotified, Key: key})
 	}
 	if e := m.Entry; e != nil {
-		r.want(claims.Input{Want: claims.Given, Key: e.Key, Body: e.Body, For: m.For, Window: e.Window, Work: e.Work, Call: e.Call, Fence: e.Fence})
+		r.want(claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: m.For, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
 	}
 }
 
@@ -264,8 +264,8 @@
 	v := r.peers.members.View()
 	for k := range v.Members {
 		m := &v.Members[k]
-		list = append(list, takeover.Member{Owner: claims.Owner{Name: m.Name, Life: uint64(m.Born)}, Zone: m.Facts.Zone, Level: int(m.Facts.Level),
-			Alive: m.Status == membership.Alive || m.Status == membership.Suspect, Fit: m.Facts.Beat == 0 && !m.Facts.NoUse && m.Status == membership.Alive})
+		list = append(list, takeover.Member{Owner: claims.Owner{Name: m.Name, Incarnation: uint64(m.Born)}, Zone: m.Facts.Zone, Level: int(m.Facts.Level),
+			Alive: m.Status == membership.Alive || m.Status == membership.Suspect, AcceptsWork: m.Facts.Beat == 0 && !m.Facts.NoUse && m.Status == membership.Alive})
 	}
 	return list
 }
@@ -286,7 +286,7 @@
 
 // carryClaim does what the desk asks for.
 func (r *Reducer) carryClaim(a *claims.Action) {
-	if a.Deed == claims.Ask {
+	if a.Kind == claims.SendCommands {
 		r.askCouncil(a.Commands, nil)
 		return
 	}
@@ -296,24 +296,24 @@
 	}
 	key, known := r.resultKey(a.Key)
 	if !known {
-		r.want(claims.Input{Want: claims.Drop, Key: a.Key})
+		r.want(claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
 		return
 	}
-	switch a.Deed {
-	case claims.Run, claims.Kept:
+	switch a.Kind {
+	case claims.StartRun, claims.EndRecorded:
 		r.keeper(resultcache.Input{Kind: resultcache.WriteSucceeded, Key: key})
-	case claims.Learn:
-		r.keeper(resultcache.Input{Kind: resultcache.CompletedElsewhere, Key: key, Outcome: resultcache.Outcome(a.Ending), Result: a.Result})
-	case claims.Unsure:
+	case claims.CompletedElsewhere:
+		r.keeper(resultcache.Input{Kind: resultcache.CompletedElsewhere, Key: key, Outcome: resultcache.Outcome(a.Outcome), Result: a.Result})
+	case claims.UnknownElsewhere:
 		r.keeper(resultcache.Input{Kind: resultcache.UnknownElsewhere, Key: key})
-	case claims.Differ:
+	case claims.BodyMismatch:
 		r.keeper(resultcache.Input{Kind: resultcache.MismatchElsewhere, Key: key})
-	case claims.Deny:
-		r.keeper(resultcache.Input{Kind: resultcache.RejectedElsewhere, Key: key, Remaining: a.For})
-	case claims.Heir:
+	case claims.RejectClaim:
+		r.keeper(resultcache.Input{Kind: resultcache.RejectedElsewhere, Key: key, Remaining: a.Duration})
+	case claims.TakeOver:
 		if err := r.inherit(key, a); err != nil {
 			r.remark(Warn, "work of a lost node can't be taken over", a.Key.String(), err)
-			r.want(claims.Input{Want: claims.Drop, Key: a.Key})
+			r.want(claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
 		}
 	}
 }
@@ -370,10 +370,10 @@
 	if _, known := r.kept.keeper.BodyHash(key); known {
 		return nil
 	}
-	v := invocation{live: true, conn: heir, call: w.Call, op: r.config.Operations.Name(key.Operation), body: w.Body, key: key, hash: a.Body,
-		operation: key.Operation, tenant: key.Tenant, taken: r.now, due: r.now + a.For}
+	v := invocation{live: true, conn: heir, call: w.Call, op: r.config.Operations.Name(key.Operation), body: w.Body, key: key, hash: a.BodyHash,
+		operation: key.Operation, tenant: key.Tenant, taken: r.now, due: r.now + a.Duration}
 	v.arrival = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
-		Deadline: r.now + a.For, QueuedKB: w.HeldKB, ExpectedWork: w.Hint, Caller: w.Caller}
+		Deadline: r.now + a.Duration, QueuedKB: w.HeldKB, ExpectedWork: w.Hint, Caller: w.Caller}
 	i := r.admit(v)
 	r.invs[i].arrival.Invocation = i
 	r.kept.held[key] = &unrun{first: i, hash: v.hash}
@@ -390,13 +390,13 @@
 		r.sweepHollow()
 		return
 	}
-	for _, k := range c.desk.Unrun() {
+	for _, k := range c.desk.NotStarted() {
 		key, _ := r.resultKey(k)
 		if r.kept.held[key] != nil {
 			continue // the module's
 		}
 		if _, known := r.kept.keeper.BodyHash(key); !known {
-			r.want(claims.Input{Want: claims.Drop, Key: k})
+			r.want(claims.Input{Kind: claims.AbandonClaim, Key: k})
 			continue
 		}
 		askers, unrun := r.kept.keeper.Waiters(key)
@@ -405,7 +405,7 @@
 		}
 		for _, i := range askers {
 			if r.now >= r.invs[i].due-dueLead {
-				r.keeper(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: c.desk.Elsewhere(k)})
+				r.keeper(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: c.desk.OwnedElsewhere(k)})
 			}
 		}
 	}
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -30,7 +30,7 @@
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.claimed.links["n0"] = 3
 	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{{}}})
-	require.True(t, r.claimed.desk.Reached())
+	require.True(t, r.claimed.desk.Connected())
 	return r
 }
 
@@ -80,20 +80,20 @@
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
 	require.Len(t, claim, 1)
-	assert.Equal(t, claims.Claim, claim[0].Kind)
-	start := asked(t, r, heardFrom(t, r, answerTo(claim[0], claims.Granted)))
+	assert.Equal(t, claims.CommandClaim, claim[0].Kind)
+	start := asked(t, r, heardFrom(t, r, answerTo(claim[0], claims.AnswerGranted)))
 	require.Len(t, start, 1)
-	assert.Equal(t, claims.Start, start[0].Kind)
-	effects := heardFrom(t, r, answerTo(start[0], claims.Granted))
+	assert.Equal(t, claims.CommandStart, start[0].Kind)
+	effects := heardFrom(t, r, answerTo(start[0], claims.AnswerGranted))
 	require.Equal(t, []EffectKind{Tell}, toldOf(effects))
 	assert.Contains(t, string(effects[0].Bytes), "EXEC "+id(1))
 	effects = told(r, "EXIT 1 "+id(1)+" good 12 2|ok")
 	end := asked(t, r, effects)
 	require.Len(t, end, 1)
-	assert.Equal(t, claims.End, end[0].Kind)
+	assert.Equal(t, claims.CommandEnd, end[0].Kind)
 	assert.Equal(t, "ok", string(end[0].Result))
 	assert.Empty(t, toldOf(effects), "the answer waits for the end to be agreed on")
-	assert.Equal(t, []EffectKind{Send}, toldOf(heardFrom(t, r, answerTo(end[0], claims.Done))))
+	assert.Equal(t, []EffectKind{Send}, toldOf(heardFrom(t, r, answerTo(end[0], claims.AnswerDone))))
 	step(r)
 	assert.Zero(t, r.claimed.desk.Size())
 	assert.Equal(t, 1, r.Counters.Succeeded)
@@ -102,7 +102,7 @@
 func TestTokenThatEndedElsewhereIsAnsweredUnrun(t *testing.T) {
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
-	effects := heardFrom(t, r, answerTo(claim[0], claims.Known, func(v *claims.Verdict) { v.Result = []byte("kept") }))
+	effects := heardFrom(t, r, answerTo(claim[0], claims.AnswerCompleted, func(v *claims.Verdict) { v.Result = []byte("kept") }))
 	require.Equal(t, []EffectKind{Send}, toldOf(effects))
 	for _, e := range effects {
 		if e.Kind == Send {
@@ -114,7 +114,7 @@
 func TestTokenOfUnknownOutcomeElsewhereIsToldSo(t *testing.T) {
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
-	effects := heardFrom(t, r, answerTo(claim[0], claims.Doubted))
+	effects := heardFrom(t, r, answerTo(claim[0], claims.AnswerOutcomeUnknown))
 	require.Equal(t, []EffectKind{Send}, toldOf(effects))
 	assert.Equal(t, 1, r.Counters.Errored)
 	assert.True(t, strings.Contains(string(effects[0].Bytes), "unknown"))
@@ -123,7 +123,7 @@
 func TestTokenThatRunsElsewhereIsAnsweredBeforeItsClientTimeout(t *testing.T) {
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
-	heardFrom(t, r, answerTo(claim[0], claims.Elsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Life: 1} }))
+	heardFrom(t, r, answerTo(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answered := int64(0)
 	for from := r.now; r.now < from+3_000*ms && answered == 0; {
 		effects := append(step(r), heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{{}}})...)
@@ -141,7 +141,7 @@
 	for range 4_000 {
 		step(r)
 	}
-	require.False(t, r.claimed.desk.Reached())
+	require.False(t, r.claimed.desk.Connected())
 	before := r.Counters.Throttled
 	step(r, Input{Kind: Opened, Link: 8})
 	late := hold(1, "a1")
@@ -149,7 +149,7 @@
 	effects := step(r, late)
 	assert.Contains(t, toldOf(effects), Send)
 	for _, c := range asked(t, r, effects) {
-		assert.Equal(t, claims.Nop, c.Kind)
+		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
 	assert.Equal(t, before+1, r.Counters.Throttled)
 	assert.Zero(t, r.claimed.desk.Size())
@@ -160,7 +160,7 @@
 	work := invoked(t, r, 1, "a1")[0].Work
 	r2 := sitting(t)
 	gift := &consensus.Message{Kind: consensus.Gift, For: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
-		Fence: 9, Body: 1, Work: work, Window: 60_000 * ms}}
+		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
 	heardFrom(t, r2, gift)
 	start := asked(t, r2, heardFrom(t, r2, gift)) // told again, while the module decides
 	for from := r2.now; r2.now < from+100*ms && len(start) == 0; {
@@ -168,13 +168,13 @@
 	}
 	assert.Equal(t, 1, r2.Counters.Inherited)
 	require.Len(t, start, 1)
-	assert.Equal(t, claims.Start, start[0].Kind)
-	effects := heardFrom(t, r2, answerTo(start[0], claims.Granted))
+	assert.Equal(t, claims.CommandStart, start[0].Kind)
+	effects := heardFrom(t, r2, answerTo(start[0], claims.AnswerGranted))
 	require.Equal(t, []EffectKind{Tell}, toldOf(effects))
 	assert.Contains(t, string(effects[0].Bytes), "body")
 	end := asked(t, r2, told(r2, "EXIT 1 "+id(1)+" good 12 2|ok"))
 	require.Len(t, end, 1)
-	effects = heardFrom(t, r2, answerTo(end[0], claims.Done))
+	effects = heardFrom(t, r2, answerTo(end[0], claims.AnswerDone))
 	assert.Empty(t, toldOf(effects), "nobody is answered")
 	step(r2)
 	assert.Zero(t, r2.open)
@@ -189,7 +189,7 @@
 	release := asked(t, r2, heardFrom(t, r2, &consensus.Message{Kind: consensus.Gift, For: 2_000 * ms, Entry: &claims.Entry{
 		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
 	require.Len(t, release, 1)
-	assert.Equal(t, claims.Release, release[0].Kind)
+	assert.Equal(t, claims.CommandRelease, release[0].Kind)
 	assert.Zero(t, r2.Counters.Inherited)
 }
 
@@ -201,12 +201,12 @@
 		step(r)
 	}
 	var commands []claims.Command
-	commands = append(commands, asked(t, r, heardFrom(t, r, answerTo(claim[0], claims.Granted)))...)
+	commands = append(commands, asked(t, r, heardFrom(t, r, answerTo(claim[0], claims.AnswerGranted)))...)
 	for range 40 {
 		commands = append(commands, asked(t, r, step(r))...)
 	}
 	require.NotEmpty(t, commands)
-	assert.Equal(t, claims.Release, commands[len(commands)-1].Kind)
+	assert.Equal(t, claims.CommandRelease, commands[len(commands)-1].Kind)
 }
 
 func TestStreamThatCantBeUnderstoodIsHungUp(t *testing.T) {
@@ -221,6 +221,6 @@
 	r := sitting(t)
 	settle := asked(t, r, told(r, "EXIT 1 00000000000000ff good 5 2|ok"))
 	require.Len(t, settle, 1)
-	assert.Equal(t, claims.Settle, settle[0].Kind)
-	assert.Equal(t, "00000000000000ff", settle[0].Call)
+	assert.Equal(t, claims.CommandResolve, settle[0].Kind)
+	assert.Equal(t, "00000000000000ff", settle[0].InvocationID)
 }
--- a/internal/node/digestsite_test.go
+++ b/internal/node/digestsite_test.go
@@ -222,7 +222,7 @@
 		}
 	}
 	if n.lease {
-		r.Lease(quota.Terms{Name: "calls", Units: 9, Term: 4_000 * millisecond, Hold: 1_000 * millisecond}, 1)
+		r.Lease(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * millisecond, Hold: 1_000 * millisecond}, 1)
 	}
 	if n.configures {
 		file, err := new(configsync.Content).Apply(itemsOf(p))
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -240,7 +240,7 @@
 	i, v := r.lookup(words[2])
 	if v == nil { // given up and forgotten before it ended, or begun by an earlier life of this node
 		if outcome <= admission.Errored {
-			r.want(claims.Input{Want: claims.Outlived, Call: words[2], Ending: uint8(outcome), Result: body})
+			r.want(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: words[2], Outcome: uint8(outcome), Result: body})
 		}
 		return nil
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -65,7 +65,7 @@
 	}
 	h.counters.Wanted.Add(1)
 	c := &r.claimed
-	if c.desk == nil || !c.desk.Reached() || !c.desk.Room() || len(h.tokens) >= hollowMost {
+	if c.desk == nil || !c.desk.Connected() || !c.desk.HasCapacity() || len(h.tokens) >= hollowMost {
 		h.counters.TurnedAway.Add(1)
 		return
 	}
@@ -75,10 +75,10 @@
 	}
 	h.tokens[key] = &hollowToken{came: r.now, due: r.now + hollowFor}
 	hash := xxhash.Sum64(in.Bytes)
-	want := claims.Input{Want: claims.Arrived, Key: key, Body: hash, For: hollowFor, Window: hollowWindow, Call: fmt.Sprintf("%016x", hash),
+	want := claims.Input{Kind: claims.RequestClaim, Key: key, BodyHash: hash, Remaining: hollowFor, Window: hollowWindow, InvocationID: fmt.Sprintf("%016x", hash),
 		Work: binary.LittleEndian.AppendUint64(make([]byte, hollowBody-8), hash)}
 	r.want(want)
-	want.Want = claims.Begin
+	want.Kind = claims.RequestStart
 	r.want(want)
 	c.sweep = min(c.sweep, r.now+sweepClaims)
 }
@@ -97,10 +97,10 @@
 func (r *Reducer) carryHollow(a *claims.Action) {
 	h := &r.hollow
 	t := h.tokens[a.Key]
-	switch a.Deed {
-	case claims.Run:
+	switch a.Kind {
+	case claims.StartRun:
 		if t == nil {
-			r.want(claims.Input{Want: claims.Drop, Key: a.Key})
+			r.want(claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
 			return
 		}
 		t.running, t.ends = true, r.now+hollowRun
@@ -110,16 +110,16 @@
 		if took > h.counters.BeginMost.Load() {
 			h.counters.BeginMost.Store(took)
 		}
-	case claims.Kept:
+	case claims.EndRecorded:
 		if t != nil {
 			h.counters.Kept.Add(1)
 			delete(h.tokens, a.Key)
 		}
-	case claims.Heir:
+	case claims.TakeOver:
 		h.counters.Taken.Add(1)
 		if t == nil {
-			h.tokens[a.Key] = &hollowToken{came: r.now, due: r.now + a.For}
-			r.want(claims.Input{Want: claims.Begin, Key: a.Key, Body: a.Body, For: a.For, Window: hollowWindow, Work: a.Work})
+			h.tokens[a.Key] = &hollowToken{came: r.now, due: r.now + a.Duration}
+			r.want(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Window: hollowWindow, Work: a.Work})
 		}
 	default: // it ended elsewhere, or there is no room for it
 		if t != nil {
@@ -135,11 +135,11 @@
 		switch {
 		case t.running && !t.over && r.now >= t.ends:
 			t.over = true
-			r.want(claims.Input{Want: claims.Finish, Key: key, Ending: uint8(resultcache.Succeeded), Result: make([]byte, hollowResult)})
+			r.want(claims.Input{Kind: claims.ReportEnd, Key: key, Outcome: uint8(resultcache.Succeeded), Result: make([]byte, hollowResult)})
 		case !t.running && r.now >= t.due-dueLead:
 			r.hollow.counters.Late.Add(1)
 			delete(r.hollow.tokens, key)
-			r.want(claims.Input{Want: claims.Drop, Key: key})
+			r.want(claims.Input{Kind: claims.AbandonClaim, Key: key})
 		}
 	}
 }
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -21,7 +21,7 @@
 	r.Hollow(c, false)
 	r.Peer("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
 	r.Convene([]string{config.Name}, 4<<20, 0, 1)
-	r.Lease(quota.Terms{Name: "calls", Units: 5, Hold: 500 * ms, Term: 3_000 * ms}, 1)
+	r.Lease(quota.HolderConfig{Name: "calls", Units: 5, Hold: 500 * ms, Term: 3_000 * ms}, 1)
 	return r, c
 }
 
@@ -46,7 +46,7 @@
 	r, c := hollowNode(t)
 	now := int64(0)
 	came := run(t, r, &now, 4_000*ms)
-	require.True(t, r.claimed.desk.Reached())
+	require.True(t, r.claimed.desk.Connected())
 	var tokens []Input
 	for k := range 9 {
 		tokens = append(tokens, Input{Kind: TokenWanted, Bytes: fmt.Append(nil, "t", k)})
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -276,20 +276,20 @@
 		}
 	case resultcache.WriteStart:
 		if r.claimed.desk != nil {
-			r.want(claims.Input{Want: claims.Begin, Key: r.claimKey(a.Key), Body: a.BodyHash, For: a.Until - r.now, Window: a.Until - r.now})
+			r.want(claims.Input{Kind: claims.RequestStart, Key: r.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: a.Until - r.now, Window: a.Until - r.now})
 			return
 		}
 		r.do(Effect{Kind: Keep, Kept: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - r.now}})
 	case resultcache.WriteEnd:
 		if r.claimed.desk != nil {
-			r.want(claims.Input{Want: claims.Finish, Key: r.claimKey(a.Key), Ending: uint8(a.Outcome), Result: a.Result})
+			r.want(claims.Input{Kind: claims.ReportEnd, Key: r.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
 			return
 		}
 		r.do(Effect{Kind: Keep, Kept: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
 			Remaining: r.knownMost(a.Key.Operation)}})
 	case resultcache.RemoveRecord:
 		if r.claimed.desk != nil {
-			r.want(claims.Input{Want: claims.Drop, Key: r.claimKey(a.Key)})
+			r.want(claims.Input{Kind: claims.AbandonClaim, Key: r.claimKey(a.Key)})
 		}
 	case resultcache.Join:
 	default:
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -9,8 +9,8 @@
 
 // leasing is the door to the fleet's limit on calls in hand; without one the node has its fixed share, and no cost.
 type leasing struct {
-	holder *quota.Holder
-	terms  quota.Terms
+	holder *quota.LeaseHolder
+	terms  quota.HolderConfig
 	grants []quota.Verdict
 	at     int64 // when the holder is to step
 	told   int   // units that the module was told of
@@ -39,12 +39,12 @@
 
 // Lease has the node's calls in hand bounded by leases of a limit of the whole fleet, after Convene. Where this node has a
 // seat in the council it defines the limit, of a version, while it leads.
-func (r *Reducer) Lease(terms quota.Terms, version uint64) {
+func (r *Reducer) Lease(terms quota.HolderConfig, version uint64) {
 	if !r.hollow.onlySeat {
-		r.leasing = leasing{holder: quota.NewHolder(terms, quota.Who(r.claimed.self)), terms: terms, told: -1}
+		r.leasing = leasing{holder: quota.NewLeaseHolder(terms, quota.Owner(r.claimed.self)), terms: terms, told: -1}
 	}
 	if seat := r.claimed.seat; seat != nil {
-		seat.Limits([]quota.Command{{Kind: quota.Define, Limit: terms.Name, Units: terms.Units, Version: version, Wait: terms.Term}})
+		seat.Limits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: terms.Name, Units: terms.Units, Version: version, StartDelay: terms.Term}})
 	}
 }
 
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -15,7 +15,7 @@
 // renting is a node whose calls are leased from a council in which it has no seat, with a run that stands at a call.
 func renting(t *testing.T) *Reducer {
 	r := sitting(t)
-	r.Lease(quota.Terms{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
+	r.Lease(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
 	start := asked(t, r, heardFrom(t, r, answerTo(invoked(t, r, 1, "a1")[0], 1)))
 	require.Len(t, start, 1)
 	heardFrom(t, r, answerTo(start[0], 1))
@@ -42,7 +42,7 @@
 	require.NotEmpty(t, asks)
 	assert.Empty(t, kindsOf(effects, Reach), "none is made without a lease")
 	last := asks[len(asks)-1]
-	grant := &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, Target: 2, Known: true}}}
+	grant := &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
 	heardFrom(t, r, grant)
 	effects = step(r)
 	require.Len(t, kindsOf(effects, Reach), 1, "the module hears of it in the next step")
@@ -61,7 +61,7 @@
 		asks = append(asks, asksOf(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
-	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, Target: 1, Known: true}}})
+	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(r)
 	require.Len(t, r.supplies, 1)
 	step(r, Input{Kind: Reached, Link: r.supplies[0].link})
--- a/internal/testbed/processfleet/versions_play.go
+++ b/internal/testbed/processfleet/versions_play.go
@@ -52,7 +52,7 @@
 	command := c.command
 	c.sent = f.Now
 	if m := f.byName[f.seats[f.chance.Intn(len(f.seats))]]; m.Up {
-		in := consensus.Input{Proposed: []configsync.Command{*command}, Owner: claims.Owner{Name: c.name, Life: 1}}
+		in := consensus.Input{Proposed: []configsync.Command{*command}, Owner: claims.Owner{Name: c.name, Incarnation: 1}}
 		f.After(ms, func() {
 			if m.Up && m.life != nil {
 				m.life.seatGets(in)
