--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -32,8 +32,8 @@
 	Token string `arg:"" help:"The token."`
 }
 
-func (c *claimsAt) look() (*consensus.Picture, error) {
-	var p consensus.Picture
+func (c *claimsAt) look() (*consensus.Summary, error) {
+	var p consensus.Summary
 	if err := lookInto(c.Fleet, c.Address, membership.LookClaims, &p); err != nil {
 		return nil, fmt.Errorf("%w; a node without a council shows no claims", err)
 	}
@@ -52,7 +52,7 @@
 	Call      string `json:"call"`
 }
 
-func shown(p *consensus.Picture) (list []shownClaim) {
+func shown(p *consensus.Summary) (list []shownClaim) {
 	for _, e := range p.Claims {
 		list = append(list, shownClaim{e.Key.Operation, e.Key.Token, claims.StateNames[e.State], e.Owner.Name, e.Fence, (e.ExpiresAt - p.Time) / 1e6, e.Reassigned, e.InvocationID})
 	}
@@ -76,15 +76,15 @@
 	}
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(struct {
-			*consensus.Picture
+			*consensus.Summary
 			Claims []shownClaim `json:"table_of_claims"`
 		}{p, shown(p)})
 	}
-	if d := p.Desk; d != nil {
+	if d := p.Client; d != nil {
 		fmt.Printf("%s: council in reach %t, %d claims in hand; claimed %d, joined elsewhere %d, kept %d, unknown %d, taken over %d, refused by fence %d\n",
-			p.Node, p.Reached, p.InHand, d.Claimed, d.Joined, d.ServedFromElsewhere, d.Unknown, d.Assigned, d.Fenced)
+			p.Node, p.GroupReachable, p.ClaimsInFlight, d.Claimed, d.Joined, d.ServedFromElsewhere, d.Unknown, d.Assigned, d.Fenced)
 	}
-	if p.Seat == nil {
+	if p.Replica == nil {
 		fmt.Println("it has no seat in the council, and no table")
 		return nil
 	}
--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -84,9 +84,9 @@
 }
 
 // question asks one node.
-func (c *configAt) question(address string, q *configsync.Question) (*configsync.Answer, error) {
+func (c *configAt) question(address string, q *configsync.Query) (*configsync.Answer, error) {
 	name := envelope.FleetOf(c.Fleet)
-	ask, err := envelope.Seal(nil, name, node.AskConfiguration(q))
+	ask, err := envelope.Seal(nil, name, node.EncodeConfigQuery(q))
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	}
 	var a *configsync.Answer
 	if err == nil {
-		a, err = node.OpenConfiguration(text, name)
+		a, err = node.DecodeConfigAnswer(text, name)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", address, err)
@@ -105,7 +105,7 @@
 }
 
 // any asks the addresses in turn until one answers.
-func (c *configAt) any(q *configsync.Question) (a *configsync.Answer, err error) {
+func (c *configAt) any(q *configsync.Query) (a *configsync.Answer, err error) {
 	for _, address := range c.Addresses {
 		var wrong error
 		if a, wrong = c.question(address, q); wrong == nil {
@@ -118,7 +118,7 @@
 
 // seats are where seats hear, of any node that answers; without one the addresses that were given.
 func (c *configAt) seats() (addresses []string) {
-	if a, err := c.any(&configsync.Question{Kind: configsync.ShowStanding}); err == nil {
+	if a, err := c.any(&configsync.Query{Kind: configsync.ShowStanding}); err == nil {
 		for _, s := range a.Seats {
 			if s.Address != "" {
 				addresses = append(addresses, s.Address)
@@ -139,7 +139,7 @@
 	}
 	var all []known
 	for _, address := range c.seats() {
-		a, wrong := c.question(address, &configsync.Question{Kind: configsync.ShowStanding})
+		a, wrong := c.question(address, &configsync.Query{Kind: configsync.ShowStanding})
 		if wrong == nil && a.Seat != nil {
 			all = append(all, known{a, address})
 		} else {
@@ -157,11 +157,11 @@
 }
 
 // content reads a whole content of a node, again from the first where it changes meanwhile.
-func (c *configAt) content(address string, which int) (mark configsync.Mark, content *configsync.Content, err error) {
+func (c *configAt) content(address string, which int) (mark configsync.Revision, content *configsync.Content, err error) {
 	for range 5 {
 		var blocks []configsync.Block
 		for from := 0; ; {
-			a, err := c.question(address, &configsync.Question{Kind: configsync.ReadBlocks, Which: which, From: from})
+			a, err := c.question(address, &configsync.Query{Kind: configsync.ReadBlocks, Which: which, From: from})
 			if err != nil {
 				return mark, nil, err
 			} else if a.Why != "" {
@@ -274,7 +274,7 @@
 	err := errors.New("no time was given")
 	for k := 0; time.Now().Before(end); k++ {
 		var a *configsync.Answer
-		a, err = c.question(at[k%len(at)], &configsync.Question{Kind: configsync.Propose, Command: command})
+		a, err = c.question(at[k%len(at)], &configsync.Query{Kind: configsync.Propose, Command: command})
 		if err == nil && a.Verdict != nil {
 			return a.Verdict, nil
 		} else if err == nil {
@@ -389,8 +389,8 @@
 }
 
 // newest is what each node reported last, to whichever seat.
-func newest(list []*configsync.Answer) map[string]configsync.Standing {
-	has := map[string]configsync.Standing{}
+func newest(list []*configsync.Answer) map[string]configsync.NodeStatus {
+	has := map[string]configsync.NodeStatus{}
 	for _, a := range list {
 		for _, s := range a.Seat.Nodes {
 			if before, known := has[s.Name]; !known || s.At < before.At {
@@ -400,7 +400,7 @@
 	}
 	for _, a := range list { // what a seat says of itself is no report that may have been late
 		if s := a.Status; s != nil {
-			has[a.Node] = configsync.Standing{Name: a.Node, Mark: s.Mark, Refused: s.Refused, Why: s.Why, Age: s.TakenNS}
+			has[a.Node] = configsync.NodeStatus{Name: a.Node, Mark: s.Mark, Refused: s.Refused, Why: s.Why, Age: s.TakenNS}
 		}
 	}
 	return has
@@ -495,7 +495,7 @@
 
 // Run prints a content.
 func (c *configShow) Run() error {
-	var mark configsync.Mark
+	var mark configsync.Revision
 	var content *configsync.Content
 	var err error
 	if c.Newest {
@@ -606,14 +606,14 @@
 func (c *configStatus) Run() error {
 	list, _, err := c.agreed()
 	if err != nil {
-		if a, wrong := c.any(&configsync.Question{Kind: configsync.ShowStanding}); wrong == nil {
+		if a, wrong := c.any(&configsync.Query{Kind: configsync.ShowStanding}); wrong == nil {
 			fmt.Fprintf(os.Stderr, "%s has version %d in force, since %s; it last heard a seat %s\n", a.Node, a.Status.Mark.Version,
 				ago(a.Status.TakenNS), ago(a.Status.HeardNS))
 		}
 		return err
 	}
 	seat := list[0].Seat
-	by := map[configsync.Mark]*standing{}
+	by := map[configsync.Revision]*standing{}
 	refusals, silent := []refusal{}, []string{}
 	has := newest(list)
 	for _, name := range slices.Sorted(maps.Keys(has)) {
--- a/cmd/topazpost/fixtures_test.go
+++ b/cmd/topazpost/fixtures_test.go
@@ -116,7 +116,7 @@
 // What commands print as JSON, which scripts read.
 func TestFixturesOfWhatCommandsPrint(t *testing.T) {
 	t.Run("claims", func(t *testing.T) {
-		p := &consensus.Picture{Time: -7e6}
+		p := &consensus.Summary{Time: -7e6}
 		for k := range claims.StateNames {
 			e := fullValue[claims.Entry](uint32(k))
 			e.State = claims.State(k)
@@ -134,7 +134,7 @@
 		sameBothWays(t, "refusal-v1.json", fullValue[refusal](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("names of statuses and ways", func(t *testing.T) {
-		sameBothWays(t, "statuses-v1.json", membership.Statuses, json.Marshal, json.Unmarshal)
-		sameBothWays(t, "ways-v1.json", membership.Reaches, json.Marshal, json.Unmarshal)
+		sameBothWays(t, "statuses-v1.json", membership.StatusNames, json.Marshal, json.Unmarshal)
+		sameBothWays(t, "ways-v1.json", membership.ReachNames, json.Marshal, json.Unmarshal)
 	})
 }
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -46,7 +46,7 @@
 // lookInto asks a node for what it shows of itself.
 func lookInto(fleet, address, what string, into any) error {
 	name := envelope.FleetOf(fleet)
-	ask, err := envelope.Seal(nil, name, membership.Message{Kind: membership.Look, Why: what})
+	ask, err := envelope.Seal(nil, name, membership.Message{Kind: membership.MessageViewRequest, Why: what})
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 func show(v *membership.View, asJSON bool) error {
 	if asJSON {
 		type seen struct {
-			membership.Seen
+			membership.MemberStatus
 			Status string `json:"status"`
 			Reach  string `json:"reach"`
 		}
@@ -92,7 +92,7 @@
 			Members  []seen `json:"members"`
 		}{Number: v.Number, View: fmt.Sprintf("%016x", v.Hash), Alone: v.Alone, Majority: v.Majority}
 		for _, m := range v.Members {
-			out.Members = append(out.Members, seen{m, membership.Statuses[m.Status], membership.Reaches[m.Reach]})
+			out.Members = append(out.Members, seen{m, membership.StatusNames[m.Status], membership.ReachNames[m.Reach]})
 		}
 		return json.NewEncoder(os.Stdout).Encode(out)
 	}
@@ -105,12 +105,12 @@
 	}
 	fmt.Fprintln(w, "\nname\taddress\tstatus\tsince s\treach\tlinks\tzone\tversion\tlevel\tbeat\tincarnation")
 	for _, m := range v.Members {
-		status := membership.Statuses[m.Status]
+		status := membership.StatusNames[m.Status]
 		if m.Facts.NoUse {
 			status += ", of no use"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", m.Name, m.Address, status, float64(m.Since)/1e9,
-			membership.Reaches[m.Reach], m.Links, m.Facts.Zone, m.Facts.Version, m.Facts.Level, m.Facts.Beat, m.Inc)
+			membership.ReachNames[m.Reach], m.Links, m.Facts.Zone, m.Facts.Version, m.Facts.Level, m.Facts.Beat, m.Incarnation)
 	}
 	return w.Flush()
 }
@@ -130,7 +130,7 @@
 				continue
 			}
 			names[m.Name] = true
-			k := key{m.Name, membership.Statuses[m.Status]}
+			k := key{m.Name, membership.StatusNames[m.Status]}
 			by[k] = append(by[k], address)
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	slices.Sort(list)
 	for _, name := range list {
-		for _, status := range membership.Statuses {
+		for _, status := range membership.StatusNames {
 			if seen := by[key{name, status}]; len(seen) > 0 && len(seen) < len(c.Addresses) {
 				fmt.Printf("%s is %s to %d of %d: %v\n", name, status, len(seen), len(c.Addresses), seen)
 				differ = true
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -31,7 +31,7 @@
 		fmt.Printf("%s may use %d, uses %d, wants %d, its part is %d; asked for %d ms ago; asked %d times, given less than wanted %d, lapsed %d, worst over %d\n",
 			p.Node, l.Units, l.Used, l.Wanted, l.Target, l.AgeMS, l.Asked, l.Short, l.Lapsed, l.Worst)
 	}
-	if p.Seat == nil {
+	if p.Replica == nil {
 		fmt.Println("it has no seat in the council, and no book of leases")
 		return nil
 	}
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -171,7 +171,7 @@
 	s := startWith(b, false, nil, flags...)
 	defer s.command.Process.Kill()
 	if kind == "flood" {
-		text, err := envelope.Seal(nil, envelope.FleetOf("tests"), &membership.Message{Kind: membership.Ping, From: 7})
+		text, err := envelope.Seal(nil, envelope.FleetOf("tests"), &membership.Message{Kind: membership.MessagePing, From: 7})
 		require.NoError(b, err)
 		end := flood(b, bind, func() []byte { return text })
 		defer end()
--- a/integration/seat_test.go
+++ b/integration/seat_test.go
@@ -108,8 +108,8 @@
 		seq++
 		c.Sender, c.Seq, c.Key, c.BodyHash, c.Duration, c.Window = owner, seq, key, 1, 60_000_000_000, 600_000_000_000
 		for end := time.Now().Add(bound); time.Now().Before(end); {
-			write(s.t, conn, &consensus.Message{Kind: consensus.Propose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
-			if got := read(s.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.Verdicts {
+			write(s.t, conn, &consensus.Message{Kind: consensus.MessagePropose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
+			if got := read(s.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.MessageVerdicts {
 				for _, v := range got.Verdicts {
 					if v.Seq == c.Seq {
 						return v
--- a/integration/streams_test.go
+++ b/integration/streams_test.go
@@ -61,7 +61,7 @@
 	startWith(t, false, nil, "--fleet", path)
 	conn := stream(t, bind)
 	other := claims.Owner{Name: "n2", Incarnation: 7}
-	ask := &consensus.Message{Kind: consensus.Propose, From: "n2", Owner: other, Commands: []claims.Command{{Kind: claims.CommandClaim, Sender: other, Seq: 3,
+	ask := &consensus.Message{Kind: consensus.MessagePropose, From: "n2", Owner: other, Commands: []claims.Command{{Kind: claims.CommandClaim, Sender: other, Seq: 3,
 		Key: claims.Key{Operation: "x", Token: "t"}, BodyHash: 1, Duration: 60_000_000_000, Window: 60_000_000_000}}}
 	var got *consensus.Message
 	for got == nil { // what comes before there is a leader is dropped, and asked again
@@ -95,7 +95,7 @@
 	for range 4 {
 		flood := stream(t, bind)
 		go func() {
-			text, _ := envelope.Seal(nil, envelope.FleetOf("tests"), &consensus.Message{Kind: consensus.Raft, From: "n9", Raft: make([]byte, 1_000)})
+			text, _ := envelope.Seal(nil, envelope.FleetOf("tests"), &consensus.Message{Kind: consensus.MessageRaft, From: "n9", Raft: make([]byte, 1_000)})
 			text = append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...)
 			for range 200_000 {
 				if _, err := flood.Write(text); err != nil {
@@ -134,8 +134,8 @@
 }
 
 func FuzzCouncilMessages(f *testing.F) {
-	for _, m := range []*consensus.Message{{Kind: consensus.Hail, From: "n2", ID: 7, Life: 9, Fresh: true}, {Kind: consensus.Raft, From: "n2", Raft: []byte{8, 3}},
-		{Kind: consensus.Propose, From: "n2", Commands: []claims.Command{{Kind: claims.CommandClaim}}}} {
+	for _, m := range []*consensus.Message{{Kind: consensus.MessageDiscovery, From: "n2", ID: 7, Incarnation: 9, Unassigned: true}, {Kind: consensus.MessageRaft, From: "n2", Raft: []byte{8, 3}},
+		{Kind: consensus.MessagePropose, From: "n2", Commands: []claims.Command{{Kind: claims.CommandClaim}}}} {
 		text, err := envelope.Seal(nil, 1, m)
 		require.NoError(f, err)
 		f.Add(text[envelope.Head:])
@@ -145,7 +145,7 @@
 		if envelope.Body(body, m) != nil {
 			return
 		}
-		c := consensus.New([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
+		c := consensus.NewGroup([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
 		c.Step(2, []consensus.Input{{Message: m}})
 		c.Step(700_000_000, []consensus.Input{{Message: m}})
 	})
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -101,7 +101,7 @@
 }
 
 // Read reads a plan for the operations of a config, evaluating the file in this process.
-func Read(path string, operations *nodeconfig.Names) (*node.Plan, error) {
+func Read(path string, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 }
 
 // From reads a plan from a file that was evaluated. All that is wrong with it is told at once.
-func From(file *configfile.File, operations *nodeconfig.Names) (*node.Plan, error) {
+func From(file *configfile.File, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
-	p := &node.Plan{Text: string(file.JSON), Operations: operations.All(), Plan: degradation.Plan{Name: w.Name, UseSpareCapacity: w.Spare, MinHold: holdUsual, MaxHold: mostUsual,
+	p := &node.DegradationPlan{Text: string(file.JSON), Operations: operations.All(), Plan: degradation.Plan{Name: w.Name, UseSpareCapacity: w.Spare, MinHold: holdUsual, MaxHold: mostUsual,
 		HoldGapFactor: bridgesUsual, GapHalfLife: forgetUsual, ProofTime: proofUsual, Jitter: spreadUsual}}
 	if p.Name == "" {
 		p.Name = file.Path
@@ -158,7 +158,7 @@
 	return p, nil
 }
 
-func addRung(p *node.Plan, file *configfile.File, w *written, k int, operations *nodeconfig.Names,
+func addRung(p *node.DegradationPlan, file *configfile.File, w *written, k int, operations *nodeconfig.Names,
 	names []string) (found configfile.Problems) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
@@ -223,7 +223,7 @@
 
 // Show prints a plan as a table: what each level leaves, what it saves of the work and gives up of the billed value,
 // and its conditions. The mix tells the share of each operation in the work; one that it lacks has none.
-func Show(w io.Writer, p *node.Plan, of *nodeconfig.Config, mix map[string]float64) error {
+func Show(w io.Writer, p *node.DegradationPlan, of *nodeconfig.Config, mix map[string]float64) error {
 	names := of.Operations.All()
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "plan %s\n", p.Name)
--- a/internal/fleet/configsync/apart_test.go
+++ b/internal/fleet/configsync/apart_test.go
@@ -67,27 +67,27 @@
 type givers struct {
 	*Table
 	base  *Content
-	one   Mark
-	nodes map[string]*Holder
+	one   Revision
+	nodes map[string]*Replicator
 }
 
 func give(t *testing.T) *givers {
 	c := full(t, 100, 3_000)
-	g := &givers{Table: NewTable(), base: c, one: Mark{1, c.Digest()}, nodes: map[string]*Holder{}}
+	g := &givers{Table: NewTable(), base: c, one: Revision{1, c.Digest()}, nodes: map[string]*Replicator{}}
 	g.newest, g.all, g.first = c, c, c
-	g.head = Head{All: g.one, First: g.one, Newest: 1}
+	g.head = HeadRevision{All: g.one, First: g.one, Newest: 1}
 	for _, name := range []string{"a", "b"} {
-		g.nodes[name] = NewHolder(0, Terms{Name: name, Seed: 2}, Start{Mark: g.one, Content: c})
+		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{Mark: g.one, Content: c})
 	}
 	return g
 }
 
 // put makes a further version, which the givers have.
-func (g *givers) put(t *testing.T, changes ...Item) Mark {
+func (g *givers) put(t *testing.T, changes ...Item) Revision {
 	v := g.Apply(1, putOn(g.head.Newest, g.head.Newest, changes...))
 	require.True(t, v.Done, v.Refused)
 	r := g.log[len(g.log)-1].wire()
-	mark := Mark{r.Version, r.Digest}
+	mark := Revision{r.Version, r.Digest}
 	for _, n := range g.nodes {
 		n.readied(mark, g.newest, []*Record{&r})
 	}
@@ -95,7 +95,7 @@
 }
 
 // asker is a node that has the version before, and two neighbours.
-func (g *givers) asker() *Holder {
+func (g *givers) asker() *Replicator {
 	h := holding()
 	h.mark, h.ready, h.kept, h.content, h.next = g.one, g.one, g.one, g.base, g.base
 	return h
@@ -114,9 +114,9 @@
 }
 
 // fetch has an asker fetch until it has a version; each answer can be changed, nil for lost. It gives how often who answered and the bytes.
-func (g *givers) fetch(t *testing.T, h *Holder, goal Mark, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
+func (g *givers) fetch(t *testing.T, h *Replicator, goal Revision, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
 	from = map[string]int{}
-	in := []Input{vouchedFor(goal, goal), told("a", Head{All: goal, First: goal}, goal), told("b", Head{All: goal, First: goal}, goal)}
+	in := []Input{vouchedFor(goal, goal), told("a", HeadRevision{All: goal, First: goal}, goal), told("b", HeadRevision{All: goal, First: goal}, goal)}
 	k, most := 0, g.head.Newest
 	for now := h.filled + 500*ms; h.ready != goal && g.head.Newest == most; now += 10 * ms {
 		require.Less(t, now, 900_000*ms)
@@ -136,8 +136,8 @@
 			}
 			k++
 		}
-		if h.Counters.Lies > 0 { // a peer that is set aside tells again
-			in = append(in, told("a", Head{All: goal, First: goal}, goal), told("b", Head{All: goal, First: goal}, goal))
+		if h.Counters.InvalidResponses > 0 { // a peer that is set aside tells again
+			in = append(in, told("a", HeadRevision{All: goal, First: goal}, goal), told("b", HeadRevision{All: goal, First: goal}, goal))
 		}
 	}
 	return from, bytes
@@ -157,13 +157,13 @@
 		return [][]*Message{{m}, nil, {m, m}}[k%3]
 	})
 	require.Equal(t, two, h.ready)
-	require.Zero(t, h.Counters.Lies)
+	require.Zero(t, h.Counters.InvalidResponses)
 	require.Positive(t, from["a"])
 	require.Positive(t, from["b"])
 	require.Less(t, bytes, 2*(record.bytes()+2*Blocks*digestBytes), "doubled ones count twice here")
 	require.True(t, len(h.changes(g.one, two)) == len(record.Changes), "others can have them of this node")
-	require.Empty(t, h.changes(g.one, Mark{2, Digest{A: 1}}), "not those to another content")
-	require.Empty(t, h.changes(Mark{1, Digest{A: 1}}, two), "nor from one")
+	require.Empty(t, h.changes(g.one, Revision{2, Digest{A: 1}}), "not those to another content")
+	require.Empty(t, h.changes(Revision{1, Digest{A: 1}}, two), "nor from one")
 	require.Len(t, h.log, 1)
 	require.Equal(t, deltas{}, h.deltas, "nothing is kept twice")
 	g.nodes["a"], g.nodes["b"] = h, h
@@ -205,7 +205,7 @@
 		require.Equal(t, two, h.ready, name)
 		require.Equal(t, g.newest.Digest(), h.next.Digest(), name)
 		require.Zero(t, h.peers["a"].lies, name)
-		require.Positive(t, h.Counters.Lies, name)
+		require.Positive(t, h.Counters.InvalidResponses, name)
 	}
 }
 
@@ -214,7 +214,7 @@
 	g := give(t)
 	list := apart(g.base, 1_000)
 	two := g.put(t, list...)
-	h, part, three := g.asker(), 0, Mark{}
+	h, part, three := g.asker(), 0, Revision{}
 	_, first := g.fetch(t, h, two, func(_ int, _ string, m *Message) []*Message {
 		if len(m.Blocks) > 0 && part == 0 {
 			part = len(m.Blocks)
@@ -226,7 +226,7 @@
 	_, second := g.fetch(t, h, three, as)
 	require.Equal(t, three, h.ready)
 	require.Equal(t, g.newest.Digest(), h.next.Digest())
-	require.Zero(t, h.Counters.Lies)
+	require.Zero(t, h.Counters.InvalidResponses)
 	require.Less(t, first+second, g.log[0].bytes()+3*Blocks*digestBytes)
 }
 
@@ -271,11 +271,11 @@
 	h.blocks(ask, answer)
 	require.Len(t, answer.Blocks, came, "all of them")
 	other, none := *ask, &Message{Kind: Piece}
-	other.Has = Mark{1, Digest{A: 1}}
+	other.Has = Revision{1, Digest{A: 1}}
 	h.deltasOf(&other, none)
 	require.Empty(t, none.Blocks, "it doesn't know what changed since another content")
 	again.stock(3, again.known(3, "n"), answer.Blocks)
-	require.Zero(t, again.Counters.Lies)
+	require.Zero(t, again.Counters.InvalidResponses)
 	require.True(t, len(again.deltas.blocks) == came)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
@@ -366,7 +366,7 @@
 	list := apart(g.base, 1_000)
 	two := g.put(t, list...)
 	h := g.asker()
-	fill := func(index *Content, mark Mark, whole bool) {
+	fill := func(index *Content, mark Revision, whole bool) {
 		h.index, h.indexed = index.index(), mark
 		ask, answer := &Message{Kind: Fetch, Has: g.one, Want: mark}, &Message{Kind: Piece}
 		if h.missing(ask); whole {
@@ -384,7 +384,7 @@
 	}
 	three := g.put(t, back...)
 	fill(g.newest, three, true)
-	require.Zero(t, h.Counters.Lies)
+	require.Zero(t, h.Counters.InvalidResponses)
 	ask, answer := &Message{Kind: Fetch, Has: g.one, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}, &Message{Kind: Piece}
 	h.deltasOf(ask, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
@@ -416,7 +416,7 @@
 	only := []Item{{Tenants, name, []byte("1")}}
 	next, err := g.base.Apply(only)
 	require.NoError(t, err)
-	h.index, h.indexed = next.index(), Mark{3, next.Digest()}
+	h.index, h.indexed = next.index(), Revision{3, next.Digest()}
 	h.missing(&Message{})
 	require.True(t, h.merge([]Block{{N: uint16(n), Changes: only}}))
 	require.True(t, len(h.deltas.blocks[n]) == 1)
--- a/internal/fleet/configsync/board.go
+++ b/internal/fleet/configsync/board.go
@@ -7,32 +7,32 @@
 
 const standingsMost = 2_000 // nodes that a seat knows reports of: above any table of members
 
-// Standing is what one node reported last.
-type Standing struct {
+// NodeStatus is what one node reported last.
+type NodeStatus struct {
 	Name    string
-	Mark    Mark
-	Refused Mark
+	Mark    Revision
+	Refused Revision
 	Why     string
 	Age     int64 // ns since Mark was in force there, when it reported
 	At      int64 // when it reported
 }
 
-// Board is what nodes reported to one seat. It isn't agreed on: all seats' boards together say how the fleet stands.
+// StatusTable is what nodes reported to one seat. It isn't agreed on: all seats' boards together say how the fleet stands.
 // The zero value is empty.
-type Board struct {
-	nodes    map[string]*Standing
-	refusers map[string]*Standing // those of nodes that can't take something
+type StatusTable struct {
+	nodes    map[string]*NodeStatus
+	refusers map[string]*NodeStatus // those of nodes that can't take something
 }
 
 // Report notes what a node has. The one that was silent longest makes room.
-func (b *Board) Report(now int64, name string, has, refused Mark, why string, age int64) {
+func (b *StatusTable) Report(now int64, name string, has, refused Revision, why string, age int64) {
 	s := b.nodes[name]
 	if s == nil {
 		if b.nodes == nil {
-			b.nodes, b.refusers = map[string]*Standing{}, map[string]*Standing{}
+			b.nodes, b.refusers = map[string]*NodeStatus{}, map[string]*NodeStatus{}
 		}
 		if len(b.nodes) >= standingsMost {
-			var old *Standing
+			var old *NodeStatus
 			for _, s := range b.nodes {
 				if old == nil || cmp.Or(cmp.Compare(s.At, old.At), cmp.Compare(s.Name, old.Name)) < 0 {
 					old = s
@@ -41,7 +41,7 @@
 			delete(b.nodes, old.Name)
 			delete(b.refusers, old.Name)
 		}
-		s = &Standing{Name: name}
+		s = &NodeStatus{Name: name}
 		b.nodes[name] = s
 	}
 	s.Mark, s.Refused, s.Why, s.Age, s.At = has, refused, cut(why, reasonMost), age, now
@@ -52,18 +52,18 @@
 	}
 }
 
-// Standings are all that are known, by name.
-func (b *Board) Standings() []Standing {
-	list := make([]Standing, 0, len(b.nodes))
+// Statuses are all that are known, by name.
+func (b *StatusTable) Statuses() []NodeStatus {
+	list := make([]NodeStatus, 0, len(b.nodes))
 	for _, s := range b.nodes {
 		list = append(list, *s)
 	}
-	slices.SortFunc(list, func(x, y Standing) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(list, func(x, y NodeStatus) int { return cmp.Compare(x.Name, y.Name) })
 	return list
 }
 
 // refusal is a node that can't take a version, the first by name.
-func (b *Board) refusal(mark Mark) (who, why string, ok bool) {
+func (b *StatusTable) refusal(mark Revision) (who, why string, ok bool) {
 	for _, s := range b.refusers {
 		if s.Refused == mark && mark.Version > 0 && (!ok || s.Name < who) {
 			who, why, ok = s.Name, s.Why, true
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -190,7 +190,7 @@
 	table := NewTable()
 	table.Apply(1, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
 	file, base := []byte{}, table.newest
-	for text := range Encode(Mark{1, base.Digest()}, base) {
+	for text := range Encode(Revision{1, base.Digest()}, base) {
 		file = append(file, text...)
 	}
 	begin := len(file)
@@ -198,8 +198,8 @@
 		table.Apply(1, &Command{Kind: Put, From: "a", Seq: uint64(k + 2), Base: uint64(k + 1), Changes: []Item{{Tenants, fmt.Sprint(k), []byte("1")}}})
 		file = AppendRecord(file, table.log[k+1])
 	}
-	load := func(text []byte, piece int) (Start, error) {
-		l := &Loader{}
+	load := func(text []byte, piece int) (InitialState, error) {
+		l := &DiskLoader{}
 		for len(text) > 0 {
 			n := min(piece, len(text))
 			_, _ = l.Write(text[:n])
@@ -210,7 +210,7 @@
 	for _, piece := range []int{1, 7, len(file)} {
 		s, err := load(file, piece)
 		require.NoError(t, err)
-		require.Equal(t, Mark{4, table.newest.Digest()}, s.Mark)
+		require.Equal(t, Revision{4, table.newest.Digest()}, s.Mark)
 		require.Equal(t, s.Mark.Digest, s.Content.Digest())
 		require.Equal(t, len(file)-begin, s.Journal)
 	}
--- a/internal/fleet/configsync/disk.go
+++ b/internal/fleet/configsync/disk.go
@@ -15,9 +15,9 @@
 
 // frame is one body of a file: first the mark, then blocks, then records behind them.
 type frame struct {
-	Mark   *Mark   `cbor:"1,keyasint,omitempty"`
-	Blocks []Block `cbor:"2,keyasint,omitempty"`
-	Record *Record `cbor:"3,keyasint,omitempty"`
+	Mark   *Revision `cbor:"1,keyasint,omitempty"`
+	Blocks []Block   `cbor:"2,keyasint,omitempty"`
+	Record *Record   `cbor:"3,keyasint,omitempty"`
 }
 
 func (f *frame) append(to []byte) []byte {
@@ -31,7 +31,7 @@
 }
 
 // Encode yields a file that holds a content, in pieces of some 64 kB. Records are appended behind it.
-func Encode(mark Mark, c *Content) func(yield func([]byte) bool) {
+func Encode(mark Revision, c *Content) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		if !yield((&frame{Mark: &mark}).append(nil)) {
 			return
@@ -57,10 +57,10 @@
 	return (&frame{Record: &w}).append(to)
 }
 
-// Loader reads such a file, written to it in pieces of any size. The zero value is ready.
-type Loader struct {
+// DiskLoader reads such a file, written to it in pieces of any size. The zero value is ready.
+type DiskLoader struct {
 	text    []byte // of a frame that isn't whole yet
-	mark    Mark
+	mark    Revision
 	known   bool
 	content Content
 	own     [fan]bool
@@ -70,7 +70,7 @@
 }
 
 // Write takes the next bytes. It never fails: what can't be used is told at the end.
-func (l *Loader) Write(p []byte) (int, error) {
+func (l *DiskLoader) Write(p []byte) (int, error) {
 	for l.text = append(l.text, p...); l.wrong == nil && len(l.text) >= frameHead; {
 		size := int(binary.LittleEndian.Uint32(l.text))
 		if size > frameMost {
@@ -95,7 +95,7 @@
 	return len(p), nil
 }
 
-func (l *Loader) take(f *frame, size int) error {
+func (l *DiskLoader) take(f *frame, size int) error {
 	switch {
 	case f.Mark != nil && !l.known:
 		l.mark, l.known = *f.Mark, true
@@ -119,7 +119,7 @@
 		if r.Version != l.mark.Version+1 || r.Base != l.mark.Digest || next.Digest() != r.Digest {
 			return fmt.Errorf("the record of version %d doesn't follow version %d", r.Version, l.mark.Version)
 		}
-		l.ready, l.mark, l.journal = next, Mark{r.Version, r.Digest}, l.journal+size
+		l.ready, l.mark, l.journal = next, Revision{r.Version, r.Digest}, l.journal+size
 	default:
 		return fmt.Errorf("a frame out of order")
 	}
@@ -127,7 +127,7 @@
 }
 
 // whole notes that all blocks are there.
-func (l *Loader) whole() {
+func (l *DiskLoader) whole() {
 	if l.content.Digest() == l.mark.Digest {
 		c := l.content
 		l.ready = &c
@@ -136,7 +136,7 @@
 
 // Start is what the file held, up to the first thing that was wrong with it: the error says what. Nothing is taken of a
 // content that doesn't come to its digest.
-func (l *Loader) Start() (Start, error) {
+func (l *DiskLoader) Start() (InitialState, error) {
 	err := l.wrong
 	if err == nil && len(l.text) > 0 {
 		err = fmt.Errorf("the last frame is torn")
@@ -145,9 +145,9 @@
 		if err == nil {
 			err = fmt.Errorf("blocks are missing")
 		}
-		return Start{}, fmt.Errorf("configuration: nothing can be read back: %w", err)
+		return InitialState{}, fmt.Errorf("configuration: nothing can be read back: %w", err)
 	}
-	s := Start{Mark: l.mark, Content: l.ready, Source: "disk", Journal: l.journal}
+	s := InitialState{Mark: l.mark, Content: l.ready, Source: "disk", Journal: l.journal}
 	if err != nil {
 		s.Journal = -1
 		err = fmt.Errorf("configuration: read back to version %d only: %w", l.mark.Version, err)
--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -9,10 +9,10 @@
 	until   int64 // 0 while none goes on
 	next    int64
 	fails   int
-	gained  int64 // when something last came of one
-	has     Mark  // that it was asked from
+	gained  int64    // when something last came of one
+	has     Revision // that it was asked from
 	base    *Content
-	want    Mark
+	want    Revision
 	part    bool   // that peer has but some of it
 	index   []byte // by which blocks were asked for
 	missing []byte // a bit for each of them
@@ -34,7 +34,7 @@
 type run struct {
 	from    string // who gave the last of them
 	misses  int    // peers that could not go on with it
-	mark    Mark
+	mark    Revision
 	content *Content
 	records []*Record
 	bytes   int
@@ -43,7 +43,7 @@
 // deltas are changes from one version to another, block by block, each of which was compared with an index: so what is false is
 // found with the answer that has it and only who gave it is at fault, and whoever has some of them can give them on.
 type deltas struct {
-	from, to Mark
+	from, to Revision
 	blocks   map[int][]Item
 	bytes    int
 	gaps     bool // there was no room for all of them
@@ -70,7 +70,7 @@
 }
 
 // changes are those from one version to another, in order; none where this node doesn't know them.
-func (h *Holder) changes(from, to Mark) (list []Item) {
+func (h *Replicator) changes(from, to Revision) (list []Item) {
 	if d := &h.span; d.to.Version > 0 && d.from == from && d.to.Version <= to.Version {
 		if list, from = d.all(), d.to; from == to {
 			return list
@@ -97,7 +97,7 @@
 }
 
 // supplier is whom to ask for a version: a neighbour that has it, or a seat once none had it for a while.
-func (h *Holder) supplier(now int64, goal Mark) *peer {
+func (h *Replicator) supplier(now int64, goal Revision) *peer {
 	var may, part []*peer
 	at := max(h.ready.Version, h.run.mark.Version)
 	for _, name := range h.view.Neighbours {
@@ -140,7 +140,7 @@
 }
 
 // base is what blocks are put into.
-func (h *Holder) base() *Content {
+func (h *Replicator) base() *Content {
 	if h.staged != nil {
 		return h.staged
 	}
@@ -148,7 +148,7 @@
 }
 
 // missing asks for blocks that differ from the index.
-func (h *Holder) missing(m *Message) {
+func (h *Replicator) missing(m *Message) {
 	m.Missing = make([]byte, Blocks/8)
 	begin := h.chance.Intn(Blocks) // so that neighbours have different ones for each other
 	for k := range Blocks {
@@ -164,7 +164,7 @@
 	h.fetch.index, h.fetch.missing = h.index, m.Missing
 }
 
-func (h *Holder) missed(now int64) {
+func (h *Replicator) missed(now int64) {
 	h.Counters.Missed++
 	h.fetch.until = 0
 	if p := h.peers[h.fetch.to]; p != nil {
@@ -173,13 +173,13 @@
 	h.backoff(now)
 }
 
-func (h *Holder) backoff(now int64) {
+func (h *Replicator) backoff(now int64) {
 	h.fetch.next = now + h.draw(min(fetchAgain<<min(h.fetch.fails, 6), fetchMost))
 	h.fetch.fails++
 }
 
 // came takes the answer to a fetch.
-func (h *Holder) came(now int64, m *Message, effects []Effect) []Effect {
+func (h *Replicator) came(now int64, m *Message, effects []Effect) []Effect {
 	p := h.known(now, h.fetch.to)
 	if p == nil {
 		return effects
@@ -221,7 +221,7 @@
 	case h.index != nil && h.indexed != h.fetch.want: // what is missing changed since: the newer index is asked for
 		h.index = nil
 	default: // it has nothing of it
-		p.has = Mark{} // until it tells again
+		p.has = Revision{} // until it tells again
 		p.again = now + h.about(fetchAgain<<min(h.fetch.fails, 5))
 		h.run = run{}
 		h.backoff(now)
@@ -231,7 +231,7 @@
 
 // extend carries out records of a peer, false where they were of no use. They count once they come to a digest that a
 // seat vouched for.
-func (h *Holder) extend(now int64, p *peer, records []Record) bool {
+func (h *Replicator) extend(now int64, p *peer, records []Record) bool {
 	goal, ok := h.goal()
 	if !ok {
 		return false
@@ -243,7 +243,7 @@
 	x.from, x.misses = p.name, 0
 	for k := range records {
 		r := records[k]
-		if r.Was, r.size = nil, 0; r.Version > goal.Version { // newer than is wanted: it isn't vouched for yet
+		if r.Replaced, r.size = nil, 0; r.Version > goal.Version { // newer than is wanted: it isn't vouched for yet
 			break
 		}
 		content, err := x.content.Apply(r.Changes)
@@ -252,7 +252,7 @@
 			h.lie(now, p)
 			return false
 		}
-		x.content, x.mark, x.records, x.bytes = content, Mark{r.Version, r.Digest}, append(x.records, &r), x.bytes+r.bytes()
+		x.content, x.mark, x.records, x.bytes = content, Revision{r.Version, r.Digest}, append(x.records, &r), x.bytes+r.bytes()
 		if x.mark != goal && slices.Contains(h.marks, x.mark) { // sound so far, whoever goes on with it
 			h.readied(x.mark, x.content, x.records)
 			h.run = run{from: p.name, mark: h.ready, content: h.next}
@@ -276,7 +276,7 @@
 }
 
 // indexWith takes the index of what is wanted: pages that differ, beside those that this node has.
-func (h *Holder) indexWith(m *Message) bool {
+func (h *Replicator) indexWith(m *Message) bool {
 	if len(m.Index) != len(m.Pages)*fan*digestBytes {
 		return false
 	}
@@ -299,7 +299,7 @@
 
 // stock takes blocks towards the index. One of a version that was vouched for before the goal is of use too: most blocks are
 // alike, and records lead on from it.
-func (h *Holder) stock(now int64, p *peer, blocks []Block) {
+func (h *Replicator) stock(now int64, p *peer, blocks []Block) {
 	if h.staged = h.base(); !h.merge(blocks) {
 		h.lie(now, p)
 		return
@@ -336,7 +336,7 @@
 
 // merge has blocks of which changes came in their place, false where one doesn't come to the index: who gave it is at fault. They
 // are carried out on what this node asked them from, whatever came since.
-func (h *Holder) merge(blocks []Block) bool {
+func (h *Replicator) merge(blocks []Block) bool {
 	next, own, changes, seen := *h.staged, [fan]bool{}, []Item(nil), map[int][]Item{}
 	for _, b := range blocks {
 		if len(b.Changes) == 0 {
@@ -376,7 +376,7 @@
 }
 
 // arrived has what came by blocks at hand. Others can have its changes of this node, unless they are too large.
-func (h *Holder) arrived() {
+func (h *Replicator) arrived() {
 	d := h.deltas
 	switch d.from, d.to = h.ready, h.indexed; {
 	case d.gaps || len(d.blocks) == 0:
@@ -390,7 +390,7 @@
 }
 
 // serve answers a fetch within what the asker and all may have.
-func (h *Holder) serve(now int64, from string, m, answer *Message) {
+func (h *Replicator) serve(now int64, from string, m, answer *Message) {
 	p := h.known(now, from)
 	if p == nil {
 		h.Counters.Busy++
@@ -463,7 +463,7 @@
 }
 
 // contents are all that this node has blocks of.
-func (h *Holder) contents() []*Content {
+func (h *Replicator) contents() []*Content {
 	list := []*Content{h.next, h.content}
 	if h.agreed != nil {
 		list = append(list, h.agreed.All, h.agreed.First, h.agreed.Newest)
@@ -472,7 +472,7 @@
 }
 
 // blocks answers with those that have the digests that are asked for, or with what changes in those that are missing.
-func (h *Holder) blocks(m, answer *Message) {
+func (h *Replicator) blocks(m, answer *Message) {
 	if len(m.Missing) > 0 && len(m.Wanted) > 0 {
 		if h.deltasOf(m, answer); len(answer.Blocks) > 0 {
 			return
@@ -497,7 +497,7 @@
 
 // deltasOf answers with missing blocks, the first that is wanted and those behind it, each as its changes, or whole where that is
 // less; with none where this node doesn't know what changed.
-func (h *Holder) deltasOf(m, answer *Message) {
+func (h *Replicator) deltasOf(m, answer *Message) {
 	parted, room := byBlock(h.changes(m.Has, m.Want)), pieceMost
 	if len(parted) == 0 && h.staged != nil && h.index != nil && h.ready == m.Has && h.indexed == m.Want { // those that came so far
 		for n, changes := range h.deltas.blocks {
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -135,9 +135,9 @@
 		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("questions", func(t *testing.T) {
-		var list []Question
-		for k, kind := range []QuestionKind{ShowStanding, ReadBlocks, Propose} {
-			q := fullValue[Question](uint32(k))
+		var list []Query
+		for k, kind := range []QueryKind{ShowStanding, ReadBlocks, Propose} {
+			q := fullValue[Query](uint32(k))
 			q.Kind, q.Which = kind, []int{InForce, ForAll, Newest}[k]
 			list = append(list, q)
 		}
@@ -226,7 +226,7 @@
 // The file of a node is written to the bytes of a fixture, and read from it to what was written.
 func TestFixtureOfANodesFile(t *testing.T) {
 	table := tableOfFixtures(t)
-	log := table.Log()
+	log := table.Records()
 	mark := table.Head().All
 	all, _, newest := table.Contents()
 	var text []byte
@@ -239,12 +239,12 @@
 		}
 	}
 	fixture := sameAsFixture(t, "node-v1.bin", text)
-	var l Loader
+	var l DiskLoader
 	_, err := l.Write(fixture)
 	require.NoError(t, err)
 	got, err := l.Start()
 	require.NoError(t, err)
-	assert.Equal(t, Mark{table.Head().Newest, newest.Digest()}, got.Mark)
+	assert.Equal(t, Revision{table.Head().Newest, newest.Digest()}, got.Mark)
 	sameContent(t, newest, got.Content)
 	assert.Positive(t, got.Journal)
 }
--- a/internal/fleet/configsync/holder.go
+++ b/internal/fleet/configsync/holder.go
@@ -48,15 +48,15 @@
 	never        = 1<<63 - 1
 )
 
-// Terms are what a holder goes by.
-type Terms struct {
+// ReplicatorConfig are what a holder goes by.
+type ReplicatorConfig struct {
 	Name string
 	Seed int64
 }
 
-// Start is what a node has at its start.
-type Start struct {
-	Mark    Mark // version 0 where it is the file's
+// InitialState is what a node has at its start.
+type InitialState struct {
+	Mark    Revision // version 0 where it is the file's
 	Content *Content
 	Source  string // what operators are told: disk, file
 	Journal int    // bytes of records on disk behind the content that was read; -1 where all must be written anew
@@ -64,65 +64,65 @@
 
 // Counters are what operators see. Bytes are of messages as they were estimated.
 type Counters struct {
-	Taken     int   `json:"taken"`
-	Refused   int   `json:"refused"`
-	Lies      int   `json:"lies"` // of peers: what didn't come to its digest, or no seat knew of
-	Busy      int   `json:"busy"` // asks of others that were put off
-	Missed    int   `json:"missed"`
-	Dropped   int   `json:"dropped"` // reports of others that were not answered
-	BytesSent int64 `json:"bytes_sent"`
-	BytesCame int64 `json:"bytes_came"`
+	Applied          int   `json:"taken"`
+	Refused          int   `json:"refused"`
+	InvalidResponses int   `json:"lies"` // of peers: what didn't come to its digest, or no seat knew of
+	Busy             int   `json:"busy"` // asks of others that were put off
+	Missed           int   `json:"missed"`
+	Dropped          int   `json:"dropped"` // reports of others that were not answered
+	BytesSent        int64 `json:"bytes_sent"`
+	BytesReceived    int64 `json:"bytes_came"`
 }
 
 // peer is what is known of another node.
 type peer struct {
 	name      string
 	neighbour bool
-	head      Head // that it told
-	has       Mark
+	head      HeadRevision // that it told
+	has       Revision
 	offer     []Record // that came with its word
 	told      uint64   // h.news when it was told last
 	toldAt    int64
 	due       int64 // to be told again
 	aside     int64
 	lies      int
-	claim     Head  // the first that it told and no seat vouched for yet
-	claimed   int64 // when it was told
-	denied    int   // seats' answers against it
-	again     int64 // not asked before
+	claim     HeadRevision // the first that it told and no seat vouched for yet
+	claimed   int64        // when it was told
+	denied    int          // seats' answers against it
+	again     int64        // not asked before
 	tokens    int64
 	filled    int64
 	seen      int64
 }
 
-// Holder is a node's side: what it has, whom it asks for what is missing, what it tells others. The reducer owns it.
-type Holder struct {
+// Replicator is a node's side: what it has, whom it asks for what is missing, what it tells others. The reducer owns it.
+type Replicator struct {
 	Counters Counters
-	Board    Board // at a seat: who reported what
+	Statuses StatusTable // at a seat: who reported what
 
-	terms   Terms
+	terms   ReplicatorConfig
 	chance  *rand.Rand
 	source  string
 	view    View
 	peers   map[string]*peer
-	agreed  *Agreed // at a seat
-	current bool    // that seat is in touch with the council
-	head    Head    // vouched for
-	forked  Mark    // the last that a seat vouched for against what one did before
-	marks   []Mark  // the last that were vouched for, by version
-	heard   int64   // when a seat last vouched, 0 for never
+	agreed  *Agreed      // at a seat
+	current bool         // that seat is in touch with the council
+	head    HeadRevision // vouched for
+	forked  Revision     // the last that a seat vouched for against what one did before
+	marks   []Revision   // the last that were vouched for, by version
+	heard   int64        // when a seat last vouched, 0 for never
 	began   int64
 
-	mark, ready         Mark // in force; had, and not lower
+	mark, ready         Revision // in force; had, and not lower
 	content, next       *Content
 	since               int64 // when mark was taken
 	log                 []*Record
 	logged              int
-	taking, refused     Mark
-	checked             Mark     // was given to be checked, before it is its turn
+	taking, refused     Revision
+	checked             Revision // was given to be checked, before it is its turn
 	taken               *Content // that of taking
 	why                 string
-	kept                Mark
+	kept                Revision
 	journal             int // bytes of records on disk
 	full                bool
 	news                uint64 // counts what neighbours should be told of
@@ -141,7 +141,7 @@
 	deltas              deltas // what staged differs in, from ready
 	span                deltas // the last step over versions whose records aren't known
 	index               []byte // of indexed
-	indexed             Mark
+	indexed             Revision
 	lacking             int64 // since when there is a goal
 	ordered             int64
 	vouches, vouchesFor int64
@@ -150,50 +150,50 @@
 	trusting            bool // mutation: digests are not compared
 }
 
-// NewHolder begins with what a node has.
-func NewHolder(now int64, terms Terms, start Start) *Holder {
+// NewReplicator begins with what a node has.
+func NewReplicator(now int64, terms ReplicatorConfig, start InitialState) *Replicator {
 	if start.Content == nil {
 		start.Content = &Content{}
 	}
-	h := &Holder{terms: terms, chance: rand.New(rand.NewSource(terms.Seed)), peers: map[string]*peer{}, source: start.Source, began: now, since: now,
+	h := &Replicator{terms: terms, chance: rand.New(rand.NewSource(terms.Seed)), peers: map[string]*peer{}, source: start.Source, began: now, since: now,
 		mark: start.Mark, ready: start.Mark, kept: start.Mark, content: start.Content, next: start.Content, tokens: burst, filled: now,
 		journal: max(0, start.Journal), full: start.Journal < 0 || start.Mark.Version == 0}
 	if digest := start.Content.Digest(); digest != start.Mark.Digest { // of no agreed version, whatever it is called
-		h.mark, h.ready, h.full = Mark{Digest: digest}, Mark{Digest: digest}, true
+		h.mark, h.ready, h.full = Revision{Digest: digest}, Revision{Digest: digest}, true
 		h.kept = h.mark
 	}
 	h.report = now + h.draw(reportSpread)
 	return h
 }
 
-func (h *Holder) draw(most int64) int64 { return h.chance.Int63n(most) + 1 }
+func (h *Replicator) draw(most int64) int64 { return h.chance.Int63n(most) + 1 }
 
 // about is a time drawn between three quarters and five quarters.
-func (h *Holder) about(ns int64) int64 { return ns*3/4 + h.draw(ns/2) }
+func (h *Replicator) about(ns int64) int64 { return ns*3/4 + h.draw(ns/2) }
 
-// Mark is what is in force.
-func (h *Holder) Mark() Mark { return h.mark }
+// Revision is what is in force.
+func (h *Replicator) Revision() Revision { return h.mark }
 
 // Content is what is in force.
-func (h *Holder) Content() *Content { return h.content }
+func (h *Replicator) Content() *Content { return h.content }
 
 // Status is what operators see.
 type Status struct {
-	Mark     Mark
+	Mark     Revision
 	Source   string // where it came from: disk, file, fleet
-	Ready    Mark
-	Head     Head
+	Ready    Revision
+	Head     HeadRevision
 	TakenNS  int64 // since Mark is in force here
 	HeardNS  int64 // since a seat vouched for what holds; -1 for never
 	Behind   bool  // something newer is in force for all, as far as known
 	BehindNS int64
-	Refused  Mark
+	Refused  Revision
 	Why      string
 	Counters Counters
 }
 
 // Status says how this node stands.
-func (h *Holder) Status(now int64) Status {
+func (h *Replicator) Status(now int64) Status {
 	s := Status{Mark: h.mark, Source: h.source, Ready: h.ready, Head: h.head, TakenNS: now - h.since, HeardNS: -1, Refused: h.refused, Why: h.why,
 		Behind: h.head.All.Version > h.mark.Version, Counters: h.Counters}
 	if h.heard > 0 {
@@ -206,7 +206,7 @@
 }
 
 // Step takes what happened and says what to do, and when to step again at the latest.
-func (h *Holder) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
+func (h *Replicator) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
 	h.fill(now)
 	for k := range inputs {
 		effects = h.input(now, &inputs[k], effects)
@@ -217,7 +217,7 @@
 	return effects, max(h.due(now), now+1)
 }
 
-func (h *Holder) fill(now int64) {
+func (h *Replicator) fill(now int64) {
 	if ns := now - h.filled; ns > 0 {
 		h.tokens = min(burst, h.tokens+min(ns, 10_000*ms)*rate/1_000_000_000)
 		if ns*rate >= 1_000_000_000 || h.tokens == burst {
@@ -228,7 +228,7 @@
 
 // sent counts a message. Answers without content are no part of what is paced: a herd that asks must not keep this node
 // from giving to those that others can have it of.
-func (h *Holder) sent(m *Message) {
+func (h *Replicator) sent(m *Message) {
 	if m.Kind != Vouch && (m.Kind != Piece || m.content()) {
 		h.tokens -= int64(m.size())
 	}
@@ -236,7 +236,7 @@
 }
 
 // known is what is known of a peer; nil where there is no room for one more.
-func (h *Holder) known(now int64, name string) *peer {
+func (h *Replicator) known(now int64, name string) *peer {
 	p := h.peers[name]
 	if p == nil {
 		if len(h.peers) >= peersMost {
@@ -258,9 +258,9 @@
 	return p
 }
 
-func (h *Holder) input(now int64, i *Input, effects []Effect) []Effect {
+func (h *Replicator) input(now int64, i *Input, effects []Effect) []Effect {
 	if i.Message != nil {
-		h.Counters.BytesCame += int64(i.Message.size())
+		h.Counters.BytesReceived += int64(i.Message.size())
 		if i.Kind == Answered && i.Message.content() { // what others send unasked must not keep this node from what it needs
 			h.tokens -= int64(i.Message.size())
 		}
@@ -320,7 +320,7 @@
 }
 
 // see takes another view.
-func (h *Holder) see(now int64, v *View) {
+func (h *Replicator) see(now int64, v *View) {
 	if v == nil {
 		return
 	}
@@ -342,20 +342,20 @@
 }
 
 // lie sets a peer aside: it told what isn't so. It may be at fault itself or have believed another; it isn't asked either way.
-func (h *Holder) lie(now int64, p *peer) {
-	h.Counters.Lies++
+func (h *Replicator) lie(now int64, p *peer) {
+	h.Counters.InvalidResponses++
 	if p.aside > now {
 		return
 	}
 	p.aside = now + min(asideFor<<min(p.lies, 10), asideMost)
 	p.lies++
-	p.head, p.has, p.offer, p.claim = Head{}, Mark{}, nil, Head{}
+	p.head, p.has, p.offer, p.claim = HeadRevision{}, Revision{}, nil, HeadRevision{}
 }
 
 // belied says whether a peer told of another content for a version that was vouched for, or is held here.
-func (h *Holder) belied(marks ...Mark) bool {
+func (h *Replicator) belied(marks ...Revision) bool {
 	for _, x := range marks {
-		other := func(y Mark) bool { return x.Version == y.Version && x.Version > 0 && x.Digest != y.Digest }
+		other := func(y Revision) bool { return x.Version == y.Version && x.Version > 0 && x.Digest != y.Digest }
 		if other(h.ready) || other(h.head.All) || other(h.head.First) || slices.ContainsFunc(h.marks, other) {
 			return true
 		}
@@ -364,7 +364,7 @@
 }
 
 // claims follows the first rumour of a peer that no seat vouched for yet, true while there is one.
-func (p *peer) claims(now int64, mine *Head) bool {
+func (p *peer) claims(now int64, mine *HeadRevision) bool {
 	if !p.claim.newer(mine) {
 		p.claim, p.claimed, p.denied = p.head, now, 0
 	}
@@ -373,7 +373,7 @@
 
 // deny holds a seat's answer against the peers that told of more. It counts where that seat knows all and the report was sent
 // long after the rumour: a seat that is back, or cut off from the others, says nothing against a peer that knows better.
-func (h *Holder) deny(now int64) {
+func (h *Replicator) deny(now int64) {
 	if h.judged == h.seq {
 		return // an answer that came twice
 	}
@@ -390,7 +390,7 @@
 }
 
 // hear takes a neighbour's word. It only says whom to ask: what isn't vouched for by a seat is a rumour.
-func (h *Holder) hear(now int64, p *peer, m *Message) {
+func (h *Replicator) hear(now int64, p *peer, m *Message) {
 	if p.aside > now {
 		return
 	}
@@ -423,13 +423,15 @@
 }
 
 // heads is what neighbours are told of what was vouched for.
-func (h *Holder) heads() Head { return h.head.marks() }
+func (h *Replicator) heads() HeadRevision { return h.head.marks() }
 
 // marks is a head without what only seats tell.
-func (h Head) marks() Head { return Head{All: h.All, First: h.First, Stopped: h.Stopped} }
+func (h HeadRevision) marks() HeadRevision {
+	return HeadRevision{All: h.All, First: h.First, Stopped: h.Stopped}
+}
 
 // rumour says whether some neighbour told of something newer than was vouched for.
-func (h *Holder) rumour(now int64) bool {
+func (h *Replicator) rumour(now int64) bool {
 	mine := h.heads()
 	for _, p := range h.peers {
 		if p.aside <= now && p.head.newer(&mine) {
@@ -440,7 +442,7 @@
 }
 
 // vouch answers a report at a seat.
-func (h *Holder) vouch(now int64, from string, m *Message, effects []Effect) []Effect {
+func (h *Replicator) vouch(now int64, from string, m *Message, effects []Effect) []Effect {
 	if h.agreed == nil {
 		return effects
 	}
@@ -451,14 +453,14 @@
 		h.Counters.Dropped++
 		return effects
 	}
-	h.Board.Report(now, from, m.Has, m.Refused, m.Why, m.Age)
+	h.Statuses.Report(now, from, m.Has, m.Refused, m.Why, m.Age)
 	answer := &Message{Kind: Vouch, Seq: m.Seq, Head: h.agreed.Head, Current: h.current}
 	h.sent(answer)
 	return append(effects, Effect{Kind: Send, To: from, Message: answer})
 }
 
 // answered takes a seat's word.
-func (h *Holder) answered(now int64, m *Message, effects []Effect) []Effect {
+func (h *Replicator) answered(now int64, m *Message, effects []Effect) []Effect {
 	if m.Seq != h.seq {
 		return h.vouched(now, m.Head, effects) // late, and true all the same
 	}
@@ -484,10 +486,10 @@
 }
 
 // vouched takes what a seat stands for. Versions never go back, and one version has one digest.
-func (h *Holder) vouched(now int64, head Head, effects []Effect) []Effect {
+func (h *Replicator) vouched(now int64, head HeadRevision, effects []Effect) []Effect {
 	h.heard = now
-	for _, x := range [...]Mark{head.All, head.First} {
-		for _, y := range [...]Mark{h.head.All, h.head.First} {
+	for _, x := range [...]Revision{head.All, head.First} {
+		for _, y := range [...]Revision{h.head.All, h.head.First} {
 			if x.Version == y.Version && x.Digest != y.Digest {
 				if h.forked == x {
 					return effects
@@ -504,7 +506,7 @@
 			h.doubts = 0
 		}
 		h.head = head
-		for _, m := range [...]Mark{head.All, head.First} {
+		for _, m := range [...]Revision{head.All, head.First} {
 			if k := len(h.marks); k == 0 || h.marks[k-1].Version < m.Version {
 				h.marks = append(h.marks, m)
 			}
@@ -520,7 +522,7 @@
 }
 
 // goal is what is to be fetched next, if anything: what is in force for all, then what stands at the first stage.
-func (h *Holder) goal() (Mark, bool) {
+func (h *Replicator) goal() (Revision, bool) {
 	switch {
 	case h.head.All.Version > h.ready.Version:
 		return h.head.All, true
@@ -528,11 +530,11 @@
 	case h.head.First.Version > h.ready.Version && !h.head.Stopped:
 		return h.head.First, true
 	}
-	return Mark{}, false
+	return Revision{}, false
 }
 
 // drawn says whether this node is of the first stage of a version: one in 32, the first of its zone, and those that refused another.
-func (h *Holder) drawn(version uint64) bool {
+func (h *Replicator) drawn(version uint64) bool {
 	if h.refused.Version > h.mark.Version {
 		return true
 	}
@@ -550,7 +552,7 @@
 }
 
 // advance takes what is at hand.
-func (h *Holder) advance(now int64, effects []Effect) []Effect {
+func (h *Replicator) advance(now int64, effects []Effect) []Effect {
 	if goal, ok := h.goal(); ok && h.agreed != nil { // a seat's node has it
 		for _, c := range [...]*Content{h.agreed.All, h.agreed.First} {
 			if c.Digest() == goal.Digest {
@@ -579,7 +581,7 @@
 		}
 	}
 	if h.agreed != nil {
-		if who, why, ok := h.Board.refusal(h.head.First); ok && !h.head.Stopped && h.head.First.Version > h.head.All.Version && now >= h.ordered+orderAgain {
+		if who, why, ok := h.Statuses.refusal(h.head.First); ok && !h.head.Stopped && h.head.First.Version > h.head.All.Version && now >= h.ordered+orderAgain {
 			h.ordered = now
 			effects = append(effects, Effect{Kind: Order, Command: &Command{Kind: Stop, Version: h.head.First.Version, Who: who, Why: why}})
 		}
@@ -603,7 +605,7 @@
 }
 
 // refuse notes that a version can't be taken here, and has seats told.
-func (h *Holder) refuse(now int64, mark Mark, why string, effects []Effect) []Effect {
+func (h *Replicator) refuse(now int64, mark Revision, why string, effects []Effect) []Effect {
 	h.refused, h.why = mark, cut(why, reasonMost)
 	h.Counters.Refused++
 	h.report = min(h.report, now)
@@ -612,16 +614,16 @@
 }
 
 // took notes that a version is in force here, or can't be.
-func (h *Holder) took(now int64, i *Input, effects []Effect) []Effect {
+func (h *Replicator) took(now int64, i *Input, effects []Effect) []Effect {
 	if i.Mark != h.taking || h.taking.Version == 0 {
 		return effects
 	}
 	content := h.taken
-	h.taking, h.taken = Mark{}, nil
+	h.taking, h.taken = Revision{}, nil
 	if i.Why != "" {
 		return h.refuse(now, i.Mark, i.Why, effects)
 	}
-	h.Counters.Taken++
+	h.Counters.Applied++
 	h.mark, h.content, h.since, h.source = i.Mark, content, now, "fleet"
 	h.note(now)
 	if h.waiting == 0 {
@@ -631,14 +633,14 @@
 }
 
 // note has a seat's own board know of its node.
-func (h *Holder) note(now int64) {
+func (h *Replicator) note(now int64) {
 	if h.agreed != nil {
-		h.Board.Report(now, h.terms.Name, h.mark, h.refused, h.why, now-h.since)
+		h.Statuses.Report(now, h.terms.Name, h.mark, h.refused, h.why, now-h.since)
 	}
 }
 
 // persist has the disk follow.
-func (h *Holder) persist(effects []Effect) []Effect {
+func (h *Replicator) persist(effects []Effect) []Effect {
 	e := Effect{Kind: Persist, Mark: h.mark, New: h.content}
 	e.Records = between(h.records(), h.kept, h.mark.Version)
 	size := 0
@@ -654,7 +656,7 @@
 }
 
 // records are those that this node can give away.
-func (h *Holder) records() []*Record {
+func (h *Replicator) records() []*Record {
 	if h.agreed != nil {
 		return h.agreed.Log
 	}
@@ -662,7 +664,7 @@
 }
 
 // between are the records after a mark up to a version, none where the log doesn't reach.
-func between(log []*Record, after Mark, until uint64) []*Record {
+func between(log []*Record, after Revision, until uint64) []*Record {
 	if len(log) == 0 || after.Version+1 < log[0].Version || after.Version+1 > log[len(log)-1].Version || after.Version >= until {
 		return nil
 	}
@@ -674,7 +676,7 @@
 }
 
 // readied notes that a version is at hand; records lead to it from the one before, or nothing is known of them.
-func (h *Holder) readied(mark Mark, content *Content, records []*Record) {
+func (h *Replicator) readied(mark Revision, content *Content, records []*Record) {
 	if len(records) == 0 {
 		h.log, h.logged, h.span = nil, 0, deltas{}
 	}
@@ -692,7 +694,7 @@
 }
 
 // tell has neighbours know what is new, each at its time.
-func (h *Holder) tell(now int64, effects []Effect) []Effect {
+func (h *Replicator) tell(now int64, effects []Effect) []Effect {
 	for _, name := range h.view.Neighbours {
 		p := h.peers[name]
 		if p == nil || !(p.told < h.news && now >= p.toldAt+tellGap || p.due > 0 && now >= p.due) {
@@ -725,7 +727,7 @@
 }
 
 // ask reports to a seat and fetches what is missing.
-func (h *Holder) ask(now int64, effects []Effect) []Effect {
+func (h *Replicator) ask(now int64, effects []Effect) []Effect {
 	if h.waiting > 0 && now >= h.waiting {
 		h.waiting = 0
 		h.tries++
@@ -773,12 +775,12 @@
 }
 
 // patience is how long a seat's answer is waited for: longer once all were asked.
-func (h *Holder) patience() int64 {
+func (h *Replicator) patience() int64 {
 	return min(vouchFor<<min(h.tries/max(1, len(h.view.Seats)), 5), vouchMost)
 }
 
 // seat is the one to report to at a try: each node has its own order of them.
-func (h *Holder) seat(try int) string {
+func (h *Replicator) seat(try int) string {
 	if len(h.view.Seats) == 0 {
 		return ""
 	}
@@ -790,7 +792,7 @@
 }
 
 // due is when there is something to do next.
-func (h *Holder) due(now int64) int64 {
+func (h *Replicator) due(now int64) int64 {
 	at := max(h.report, h.reported+reportGap)
 	if h.waiting > 0 {
 		at = h.waiting
@@ -812,7 +814,7 @@
 		at = min(at, next)
 	}
 	if h.agreed != nil && h.head.First.Version > h.head.All.Version && !h.head.Stopped {
-		if _, _, ok := h.Board.refusal(h.head.First); ok {
+		if _, _, ok := h.Statuses.refusal(h.head.First); ok {
 			at = min(at, h.ordered+orderAgain)
 		}
 	}
--- a/internal/fleet/configsync/holder_test.go
+++ b/internal/fleet/configsync/holder_test.go
@@ -16,20 +16,22 @@
 	return x
 }
 
-func markOf(x *Table, version int) Mark { return Mark{uint64(version), x.log[version-1].Digest} }
+func markOf(x *Table, version int) Revision {
+	return Revision{uint64(version), x.log[version-1].Digest}
+}
 
 // vouchedFor is what a seat says, as an input.
-func vouchedFor(all, first Mark) Input {
-	return Input{Kind: Came, From: "s", Message: &Message{Kind: Vouch, Head: Head{All: all, First: first, Newest: first.Version}}}
+func vouchedFor(all, first Revision) Input {
+	return Input{Kind: Came, From: "s", Message: &Message{Kind: Vouch, Head: HeadRevision{All: all, First: first, Newest: first.Version}}}
 }
 
-func told(from string, head Head, has Mark, records ...Record) Input {
+func told(from string, head HeadRevision, has Revision, records ...Record) Input {
 	return Input{Kind: Came, From: from, Message: &Message{Kind: Tell, Head: head, Has: has, Records: records}}
 }
 
 // holding is a holder with two neighbours and two seats; it isn't of any first stage.
-func holding() *Holder {
-	h := NewHolder(0, Terms{Name: "n", Seed: 1}, Start{})
+func holding() *Replicator {
+	h := NewReplicator(0, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{})
 	v := &View{Neighbours: []string{"a", "b"}, Seats: []string{"s", "t"}}
 	for k := range 50 {
 		v.Zone = append(v.Zone, fmt.Sprint("z", k))
@@ -50,13 +52,13 @@
 func TestWhatIsInForceForAllIsTakenFirst(t *testing.T) {
 	x, h := chain(2), holding()
 	one, two := markOf(x, 1), markOf(x, 2)
-	h.Step(ms, []Input{told("a", Head{}, one, x.log[0].wire()), vouchedFor(Mark{}, one)})
+	h.Step(ms, []Input{told("a", HeadRevision{}, one, x.log[0].wire()), vouchedFor(Revision{}, one)})
 	require.Equal(t, one, h.ready)
-	effects, _ := h.Step(2*ms, []Input{told("a", Head{}, two, x.log[1].wire()), vouchedFor(one, two)})
+	effects, _ := h.Step(2*ms, []Input{told("a", HeadRevision{}, two, x.log[1].wire()), vouchedFor(one, two)})
 	require.Len(t, pick(effects, Take), 1)
 	require.Equal(t, one, pick(effects, Take)[0].Mark)
 	effects, _ = h.Step(3*ms, []Input{{Kind: Took, Mark: one}})
-	require.Equal(t, one, h.Mark())
+	require.Equal(t, one, h.Revision())
 	require.Empty(t, pick(effects, Take), "the next one is for the first stage only")
 	require.Equal(t, two, h.ready)
 }
@@ -67,7 +69,7 @@
 	h.Step(ms, []Input{vouchedFor(two, two)})
 	h.Step(2*ms, []Input{vouchedFor(one, two), vouchedFor(one, one)})
 	require.Equal(t, two, h.Status(3*ms).Head.All)
-	effects, _ := h.Step(3*ms, []Input{vouchedFor(Mark{2, Digest{A: 1}}, Mark{2, Digest{A: 1}})})
+	effects, _ := h.Step(3*ms, []Input{vouchedFor(Revision{2, Digest{A: 1}}, Revision{2, Digest{A: 1}})})
 	require.Len(t, pick(effects, Remark), 1, "a version has one digest")
 	require.Equal(t, two, h.Status(3*ms).Head.All)
 }
@@ -75,8 +77,8 @@
 func TestSomeOfTheWayIsTakenFromWhoHasIt(t *testing.T) {
 	x, h := chain(3), holding()
 	two, three := markOf(x, 2), markOf(x, 3)
-	h.Step(ms, []Input{vouchedFor(Mark{}, two)})
-	effects, _ := h.Step(500*ms, []Input{vouchedFor(Mark{}, three), told("a", Head{}, two)})
+	h.Step(ms, []Input{vouchedFor(Revision{}, two)})
+	effects, _ := h.Step(500*ms, []Input{vouchedFor(Revision{}, three), told("a", HeadRevision{}, two)})
 	ask := pick(effects, Exchange)
 	require.Len(t, ask, 1)
 	require.Equal(t, "a", ask[0].To)
@@ -90,7 +92,7 @@
 	x, h := chain(1), holding()
 	h.view.Zone, h.drawnFor = nil, 0 // drawn: it is the only one
 	one := markOf(x, 1)
-	effects, wake := h.Step(ms, []Input{told("a", Head{}, one, x.log[0].wire()), vouchedFor(Mark{}, one)})
+	effects, wake := h.Step(ms, []Input{told("a", HeadRevision{}, one, x.log[0].wire()), vouchedFor(Revision{}, one)})
 	require.True(t, pick(effects, Take)[0].First)
 	in := []Input{{Kind: Took, Mark: one, Why: "no such effect"}}
 	seats := map[string]int{}
@@ -100,7 +102,7 @@
 		for _, e := range pick(effects, Send) {
 			if e.Message.Kind == Report && e.Message.Refused == one {
 				seats[e.To]++
-				answer := vouchedFor(Mark{}, one)
+				answer := vouchedFor(Revision{}, one)
 				answer.From, answer.Message.Seq = e.To, e.Message.Seq
 				in = append(in, answer)
 			}
@@ -108,15 +110,15 @@
 	}
 	require.Positive(t, seats["s"])
 	require.Positive(t, seats["t"])
-	require.Equal(t, Mark{}, h.Mark(), "the last good one stays in force")
+	require.Equal(t, Revision{}, h.Revision(), "the last good one stays in force")
 }
 
 // TestAHerdDoesntKeepASeatFromItsNeighbours has many strangers report and ask for content, and a neighbour between them.
 func TestAHerdDoesntKeepASeatFromItsNeighbours(t *testing.T) {
-	h, c := NewHolder(0, Terms{Name: "s", Seed: 1}, Start{}), full(t, 100, 3_000)
-	mark := Mark{1, c.Digest()}
+	h, c := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{}), full(t, 100, 3_000)
+	mark := Revision{1, c.Digest()}
 	h.Step(1, []Input{{Kind: Viewed, View: &View{Neighbours: []string{"near"}}},
-		{Kind: Ordered, Agreed: &Agreed{Head: Head{All: mark, First: mark, Newest: 1}, All: c, First: c, Newest: c}}})
+		{Kind: Ordered, Agreed: &Agreed{Head: HeadRevision{All: mark, First: mark, Newest: 1}, All: c, First: c, Newest: c}}})
 	near, all := 0, 0
 	const seconds = 20
 	wanted := &Message{Kind: Fetch, Want: mark, Sums: (&Content{}).pageSums()}
@@ -153,7 +155,7 @@
 }
 
 // rumoured has neighbours tell of a version for some seconds, which seats don't know; it says how many reports were sent.
-func rumoured(h *Holder, head, rumour Head, seconds int64, current bool) (reports int) {
+func rumoured(h *Replicator, head, rumour HeadRevision, seconds int64, current bool) (reports int) {
 	var in []Input
 	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
 		if now%(500*ms) == ms {
@@ -177,13 +179,13 @@
 func TestSoundPeersAreNotSetAsideWhileSeatsLag(t *testing.T) {
 	x, h := chain(3), holding()
 	one, three := markOf(x, 1), markOf(x, 3)
-	h.Step(0, []Input{vouchedFor(one, one), told("a", Head{}, one, x.log[0].wire())})
+	h.Step(0, []Input{vouchedFor(one, one), told("a", HeadRevision{}, one, x.log[0].wire())})
 	h.Step(1, []Input{{Kind: Took, Mark: one}})
-	require.Equal(t, one, h.Mark())
-	reports := rumoured(h, Head{All: one, First: one}, Head{All: one, First: three}, 60, false)
-	require.Zero(t, h.Counters.Lies)
+	require.Equal(t, one, h.Revision())
+	reports := rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: three}, 60, false)
+	require.Zero(t, h.Counters.InvalidResponses)
 	require.Less(t, reports, 60, "seats are asked less and less often")
-	effects, _ := h.Step(60_001*ms, []Input{vouchedFor(one, three), told("a", Head{All: one, First: three}, three, wired(x.log[1:], eagerMost, true)...)})
+	effects, _ := h.Step(60_001*ms, []Input{vouchedFor(one, three), told("a", HeadRevision{All: one, First: three}, three, wired(x.log[1:], eagerMost, true)...)})
 	require.Empty(t, pick(effects, Take))
 	require.Equal(t, three, h.ready, "and neighbours are believed as soon as a seat vouches")
 }
@@ -192,21 +194,21 @@
 func TestARumourThatIsOnItsWayIsNoLie(t *testing.T) {
 	x, h := chain(2), holding()
 	one, two := markOf(x, 1), markOf(x, 2)
-	rumoured(h, Head{All: one, First: one}, Head{All: one, First: two}, claimFor/(1_000*ms), true)
-	require.Zero(t, h.Counters.Lies)
+	rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, claimFor/(1_000*ms), true)
+	require.Zero(t, h.Counters.InvalidResponses)
 }
 
 // TestWhoTellsOfWhatNobodyAgreedOnIsSetAside has seats that know all deny it, and one with another content for a known version.
 func TestWhoTellsOfWhatNobodyAgreedOnIsSetAside(t *testing.T) {
 	x, h := chain(2), holding()
 	one, two := markOf(x, 1), markOf(x, 2)
-	rumoured(h, Head{All: one, First: one}, Head{All: one, First: Mark{9, Digest{A: 9}}}, 20, true)
-	require.Equal(t, 2, h.Counters.Lies, "both neighbours told it")
+	rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: Revision{9, Digest{A: 9}}}, 20, true)
+	require.Equal(t, 2, h.Counters.InvalidResponses, "both neighbours told it")
 	require.Equal(t, 1, h.peers["a"].lies)
 	require.Equal(t, 1, h.peers["b"].lies)
 	h = holding()
-	h.Step(ms, []Input{vouchedFor(one, one), told("a", Head{All: one, First: Mark{2, Digest{A: 9}}}, one), told("b", Head{All: one, First: two}, two)})
-	require.Zero(t, h.Counters.Lies, "nobody knows yet")
+	h.Step(ms, []Input{vouchedFor(one, one), told("a", HeadRevision{All: one, First: Revision{2, Digest{A: 9}}}, one), told("b", HeadRevision{All: one, First: two}, two)})
+	require.Zero(t, h.Counters.InvalidResponses, "nobody knows yet")
 	h.Step(2*ms, []Input{vouchedFor(one, two)})
 	require.Equal(t, 1, h.peers["a"].lies)
 	require.Zero(t, h.peers["b"].lies)
@@ -214,13 +216,13 @@
 	for k := 1; k <= 9; k++ {
 		h.Step(int64(k)*ms, []Input{vouchedFor(markOf(x, k), markOf(x, k))})
 	}
-	h.Step(10*ms, []Input{told("a", Head{}, Mark{4, Digest{A: 4}}), told("b", Head{}, markOf(x, 4))})
+	h.Step(10*ms, []Input{told("a", HeadRevision{}, Revision{4, Digest{A: 4}}), told("b", HeadRevision{}, markOf(x, 4))})
 	require.Equal(t, 1, h.peers["a"].lies, "what passed is known for a while")
 	require.Zero(t, h.peers["b"].lies)
 }
 
 // asked is the exchange that a step opens, with the peer it goes to.
-func asked(t *testing.T, h *Holder, now int64, in ...Input) Effect {
+func asked(t *testing.T, h *Replicator, now int64, in ...Input) Effect {
 	effects, _ := h.Step(now, in)
 	list := pick(effects, Exchange)
 	require.Len(t, list, 1)
@@ -231,7 +233,7 @@
 func TestRecordsGoOnWithAnyPeer(t *testing.T) {
 	x, h := chain(3), holding()
 	one, three := markOf(x, 1), markOf(x, 3)
-	head := Head{All: three, First: three}
+	head := HeadRevision{All: three, First: three}
 	ask := asked(t, h, 500*ms, vouchedFor(three, three), told("a", head, three), told("b", head, three))
 	from, other := ask.To, map[string]string{"a": "b", "b": "a"}[ask.To]
 	ask = asked(t, h, 501*ms, Input{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wired(x.log[:1], pieceMost, false)}})
@@ -249,14 +251,14 @@
 	require.Equal(t, one, ask.Message.Has, "from where the first one left off")
 	h.Step(801*ms, []Input{{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wired(x.log[1:], pieceMost, false)}}})
 	require.Equal(t, three, h.ready)
-	require.Zero(t, h.Counters.Lies)
+	require.Zero(t, h.Counters.InvalidResponses)
 }
 
 // TestFalseRecordsAreLeftOnceNobodyGoesOnWithThem has one give records that agree with each other and that nobody agreed on.
 func TestFalseRecordsAreLeftOnceNobodyGoesOnWithThem(t *testing.T) {
 	x, h := chain(2), holding()
 	two := markOf(x, 2)
-	head := Head{All: two, First: two}
+	head := HeadRevision{All: two, First: two}
 	lie, err := (&Content{}).Apply([]Item{tenant(7, "7")})
 	require.NoError(t, err)
 	ask := asked(t, h, 500*ms, vouchedFor(two, two), told("a", head, two))
@@ -281,15 +283,15 @@
 // TestBlocksOnTheirWayAreKeptWhenTheVersionMovesOn has a further version agreed on while blocks travel, and each time anew.
 func TestBlocksOnTheirWayAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	h, c := holding(), full(t, 100, 3_000)
-	n := NewHolder(0, Terms{Name: "a"}, Start{Content: c, Mark: Mark{1, c.Digest()}}) // who gives
+	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, Mark: Revision{1, c.Digest()}}) // who gives
 	now, rounds, indices := 500*ms, 0, 0
 	for ; h.ready.Version == 0; rounds++ {
 		require.Less(t, rounds, 200)
-		mark := Mark{uint64(rounds + 1), c.Digest()}
+		mark := Revision{uint64(rounds + 1), c.Digest()}
 		n.next, n.content = c, c
 		n.ready = mark
 		var ask Effect
-		for effects, _ := h.Step(now, []Input{vouchedFor(mark, mark), told("a", Head{All: mark, First: mark}, mark)}); ; effects, _ = h.Step(now, nil) {
+		for effects, _ := h.Step(now, []Input{vouchedFor(mark, mark), told("a", HeadRevision{All: mark, First: mark}, mark)}); ; effects, _ = h.Step(now, nil) {
 			if list := pick(effects, Exchange); len(list) > 0 {
 				ask = list[0]
 				break
@@ -298,7 +300,7 @@
 		}
 		next, err := c.Apply([]Item{tenant(rounds, fmt.Sprint(rounds))})
 		require.NoError(t, err)
-		after := Mark{mark.Version + 1, next.Digest()}
+		after := Revision{mark.Version + 1, next.Digest()}
 		answer := &Message{Kind: Piece, Has: mark}
 		if len(ask.Message.Wanted) > 0 {
 			n.blocks(ask.Message, answer)
--- a/internal/fleet/configsync/message.go
+++ b/internal/fleet/configsync/message.go
@@ -14,23 +14,23 @@
 
 // Message is what holders tell each other.
 type Message struct {
-	Kind    MessageKind `cbor:"1,keyasint"`
-	Seq     uint32      `cbor:"2,keyasint,omitempty"`  // Report, and the Vouch that answers it
-	Head    Head        `cbor:"3,keyasint"`            // Tell, Vouch
-	Has     Mark        `cbor:"4,keyasint"`            // Tell, Fetch, Piece: ready at the sender; Report: in force there
-	Refused Mark        `cbor:"5,keyasint"`            // Report: the newest that it can't take
-	Why     string      `cbor:"6,keyasint,omitempty"`  // Report
-	Age     int64       `cbor:"7,keyasint,omitempty"`  // Report: ns since what it has is in force
-	Want    Mark        `cbor:"8,keyasint"`            // Fetch
-	Wanted  []uint16    `cbor:"9,keyasint,omitempty"`  // Fetch: blocks
-	Sums    []byte      `cbor:"10,keyasint,omitempty"` // Fetch: their digests in a row; without Wanted those of all pages that the sender has
-	Records []Record    `cbor:"11,keyasint,omitempty"` // Piece; Tell, where they are small
-	Pages   []uint8     `cbor:"15,keyasint,omitempty"` // Piece: pages of Want that differ from Sums
-	Index   []byte      `cbor:"12,keyasint,omitempty"` // Piece: the digests of their blocks in a row
-	Blocks  []Block     `cbor:"13,keyasint,omitempty"` // Piece
-	Busy    int64       `cbor:"14,keyasint,omitempty"` // Piece: ns after which to ask again
-	Current bool        `cbor:"16,keyasint,omitempty"` // Vouch: the seat is in touch with the council, so it knows all but what is on its way
-	Missing []byte      `cbor:"17,keyasint,omitempty"` // Fetch, with Wanted: a bit for each block that is missing, of which changes from Has to Want may come; older builds pass it over
+	Kind    MessageKind  `cbor:"1,keyasint"`
+	Seq     uint32       `cbor:"2,keyasint,omitempty"`  // Report, and the Vouch that answers it
+	Head    HeadRevision `cbor:"3,keyasint"`            // Tell, Vouch
+	Has     Revision     `cbor:"4,keyasint"`            // Tell, Fetch, Piece: ready at the sender; Report: in force there
+	Refused Revision     `cbor:"5,keyasint"`            // Report: the newest that it can't take
+	Why     string       `cbor:"6,keyasint,omitempty"`  // Report
+	Age     int64        `cbor:"7,keyasint,omitempty"`  // Report: ns since what it has is in force
+	Want    Revision     `cbor:"8,keyasint"`            // Fetch
+	Wanted  []uint16     `cbor:"9,keyasint,omitempty"`  // Fetch: blocks
+	Sums    []byte       `cbor:"10,keyasint,omitempty"` // Fetch: their digests in a row; without Wanted those of all pages that the sender has
+	Records []Record     `cbor:"11,keyasint,omitempty"` // Piece; Tell, where they are small
+	Pages   []uint8      `cbor:"15,keyasint,omitempty"` // Piece: pages of Want that differ from Sums
+	Index   []byte       `cbor:"12,keyasint,omitempty"` // Piece: the digests of their blocks in a row
+	Blocks  []Block      `cbor:"13,keyasint,omitempty"` // Piece
+	Busy    int64        `cbor:"14,keyasint,omitempty"` // Piece: ns after which to ask again
+	Current bool         `cbor:"16,keyasint,omitempty"` // Vouch: the seat is in touch with the council, so it knows all but what is on its way
+	Missing []byte       `cbor:"17,keyasint,omitempty"` // Fetch, with Wanted: a bit for each block that is missing, of which changes from Has to Want may come; older builds pass it over
 }
 
 // Block is one range of a content, or what changes in it.
@@ -67,7 +67,7 @@
 
 // Agreed is what the table of a seat comes to, at its own node.
 type Agreed struct {
-	Head               Head
+	Head               HeadRevision
 	All, First, Newest *Content
 	Log                []*Record
 }
@@ -101,7 +101,7 @@
 	View    *View
 	Agreed  *Agreed
 	Current bool
-	Mark    Mark
+	Mark    Revision
 	Why     string
 }
 
@@ -126,7 +126,7 @@
 	To       string
 	Link     int
 	Message  *Message
-	Mark     Mark
+	Mark     Revision
 	First    bool // Take, Check: for the first stage
 	Old, New *Content
 	Records  []*Record
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -12,8 +12,8 @@
 
 // TestLettersFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
 func TestLettersFit(t *testing.T) {
-	most := Mark{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
-	head := Head{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", writersMost), Why: strings.Repeat("y", reasonMost)}
+	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
+	head := HeadRevision{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", writersMost), Why: strings.Repeat("y", reasonMost)}
 	x := NewTable()
 	for k := range 200 {
 		x.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
@@ -22,13 +22,13 @@
 	piece := &Message{Kind: Piece, Has: most, Records: wired(x.log, pieceMost, false)}
 	index := &Message{Kind: Piece, Has: most}
 	pages(c.index(), nil, index)
-	h := NewHolder(0, Terms{Name: "n"}, Start{Content: c})
+	h := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
 	h.index = (&Content{}).index()
 	ask := &Message{Kind: Fetch, Has: most, Want: most}
 	h.missing(ask)
 	blocks := &Message{Kind: Piece, Has: most}
-	answerFrom := NewHolder(0, Terms{Name: "m"}, Start{Content: c})
-	h = NewHolder(0, Terms{Name: "n"}, Start{Content: &Content{}})
+	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
+	h = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
 	h.index = c.index()
 	wanted := &Message{Kind: Fetch, Has: most, Want: most}
 	h.missing(wanted)
@@ -68,10 +68,10 @@
 
 // TestFalseWordsAreSetAside floods a node with what no seat knows of; it goes by what seats say, and asks little.
 func TestFalseWordsAreSetAside(t *testing.T) {
-	h, sound := NewHolder(1, Terms{Name: "n", Seed: 1}, Start{Source: "file"}), &Content{}
+	h, sound := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"}), &Content{}
 	sound, err := sound.Apply([]Item{tenant(1, "1")})
 	require.NoError(t, err)
-	head := Head{All: Mark{1, sound.Digest()}, First: Mark{1, sound.Digest()}, Newest: 1}
+	head := HeadRevision{All: Revision{1, sound.Digest()}, First: Revision{1, sound.Digest()}, Newest: 1}
 	reports, seats := 0, 0
 	inputs := []Input{{Kind: Viewed, View: &View{Neighbours: []string{"liar", "b"}, Seats: []string{"s", "t"}}}}
 	for now := int64(1); now < 20_000*ms; now += 10 * ms {
@@ -95,13 +95,13 @@
 			}
 		}
 		for range 20 {
-			lie := Mark{uint64(2 + now/(10*ms)), Digest{A: uint64(now)}}
-			inputs = append(inputs, Input{Kind: Came, From: "liar", Message: &Message{Kind: Tell, Head: Head{All: lie, First: lie}, Has: lie}},
-				Input{Kind: Came, From: "liar", Message: &Message{Kind: Vouch, Head: Head{All: lie, First: lie}}})
+			lie := Revision{uint64(2 + now/(10*ms)), Digest{A: uint64(now)}}
+			inputs = append(inputs, Input{Kind: Came, From: "liar", Message: &Message{Kind: Tell, Head: HeadRevision{All: lie, First: lie}, Has: lie}},
+				Input{Kind: Came, From: "liar", Message: &Message{Kind: Vouch, Head: HeadRevision{All: lie, First: lie}}})
 		}
 	}
-	require.Equal(t, head.All, h.Mark())
+	require.Equal(t, head.All, h.Revision())
 	require.Positive(t, seats)
-	require.Positive(t, h.Counters.Lies)
+	require.Positive(t, h.Counters.InvalidResponses)
 	require.Less(t, reports, 40, "a flood makes few reports: the one who lied is passed over for longer each time")
 }
--- a/internal/fleet/configsync/operator.go
+++ b/internal/fleet/configsync/operator.go
@@ -2,14 +2,14 @@
 
 // What an operator's command asks a node for, and what it is told.
 
-// QuestionKind names what is asked.
-type QuestionKind uint8
+// QueryKind names what is asked.
+type QueryKind uint8
 
 // The questions.
 const (
-	ShowStanding QuestionKind = iota + 1 // how the node stands; at a seat also how those do that reported to it
-	ReadBlocks                           // blocks of a content
-	Propose                              // a Put or a Rollback
+	ShowStanding QueryKind = iota + 1 // how the node stands; at a seat also how those do that reported to it
+	ReadBlocks                        // blocks of a content
+	Propose                           // a Put or a Rollback
 )
 
 // Which content a ReadBlocks is of.
@@ -19,12 +19,12 @@
 	Newest         // at a seat: agreed on
 )
 
-// Question is one.
-type Question struct {
-	Kind    QuestionKind `cbor:"1,keyasint"`
-	Which   int          `cbor:"2,keyasint,omitempty"` // ReadBlocks
-	From    int          `cbor:"3,keyasint,omitempty"` // ReadBlocks: the first block
-	Command *Command     `cbor:"4,keyasint,omitempty"` // Propose
+// Query is one.
+type Query struct {
+	Kind    QueryKind `cbor:"1,keyasint"`
+	Which   int       `cbor:"2,keyasint,omitempty"` // ReadBlocks
+	From    int       `cbor:"3,keyasint,omitempty"` // ReadBlocks: the first block
+	Command *Command  `cbor:"4,keyasint,omitempty"` // Propose
 }
 
 // Answer is what the node says.
@@ -33,7 +33,7 @@
 	Seats   []Place  `cbor:"2,keyasint,omitempty"`
 	Status  *Status  `cbor:"3,keyasint,omitempty"`
 	Seat    *AtSeat  `cbor:"4,keyasint,omitempty"` // of a node with a seat that knows what was agreed on
-	Mark    Mark     `cbor:"5,keyasint"`           // ReadBlocks: of the content
+	Mark    Revision `cbor:"5,keyasint"`           // ReadBlocks: of the content
 	Blocks  []Block  `cbor:"6,keyasint,omitempty"`
 	Next    int      `cbor:"7,keyasint,omitempty"` // the first block that follows, 0 for none
 	Verdict *Verdict `cbor:"8,keyasint,omitempty"` // Propose; nil where no answer came in time: ask the same again
@@ -48,11 +48,11 @@
 
 // AtSeat is what a seat knows beside.
 type AtSeat struct {
-	Head   Head       `cbor:"1,keyasint"`
-	Newest Mark       `cbor:"2,keyasint"`
-	Good   []uint64   `cbor:"3,keyasint,omitempty"`
-	Nodes  []Standing `cbor:"4,keyasint,omitempty"` // At is ns since the report
-	Alive  []string   `cbor:"5,keyasint,omitempty"` // members in this seat's view
+	Head   HeadRevision `cbor:"1,keyasint"`
+	Newest Revision     `cbor:"2,keyasint"`
+	Good   []uint64     `cbor:"3,keyasint,omitempty"`
+	Nodes  []NodeStatus `cbor:"4,keyasint,omitempty"` // At is ns since the report
+	Alive  []string     `cbor:"5,keyasint,omitempty"` // members in this seat's view
 }
 
 // Blocks are those of a content from one on, as many as bytes allow and at least one, and the first that follows, 0 for none.
--- a/internal/fleet/configsync/pieces_test.go
+++ b/internal/fleet/configsync/pieces_test.go
@@ -53,13 +53,13 @@
 	assert.Equal(t, uint64(1), table.Head().Newest)
 	_, _, newest := table.Contents()
 	assert.Equal(t, whole.Digest(), newest.Digest())
-	assert.Empty(t, table.Log(), "a record that the log can't hold isn't kept")
+	assert.Empty(t, table.Records(), "a record that the log can't hold isn't kept")
 	v := table.Apply(100, &Command{Kind: Put, From: "b", Seq: 1, Changes: changes[:1]})
 	assert.Equal(t, []any{true, -1}, []any{v.Stale, v.More})
 	v = table.Apply(101, &Command{Kind: Put, From: "b", Seq: 2, Base: 1, Changes: []Item{{Tenants, "x", []byte(`{"quota_rps":5}`)}}})
 	assert.True(t, v.Done, v.Refused)
-	require.Len(t, table.Log(), 1)
-	assert.Equal(t, newest.Digest(), table.Log()[0].Base)
+	require.Len(t, table.Records(), 1)
+	assert.Equal(t, newest.Digest(), table.Records()[0].Base)
 }
 
 func TestPieceThatIsNotCanonicalIsRefusedAtOnce(t *testing.T) {
--- a/internal/fleet/configsync/schedules_test.go
+++ b/internal/fleet/configsync/schedules_test.go
@@ -75,7 +75,7 @@
 			w.back(c, w.order.Head().All.Version)
 		}
 	case 6:
-		if good := w.order.Good(); len(good) > 0 && w.callers[0].command == nil {
+		if good := w.order.RollbackVersions(); len(good) > 0 && w.callers[0].command == nil {
 			w.back(w.callers[0], good[r.Intn(len(good))])
 		}
 	case 7, 8: // a process is killed; seats keep what they agreed on
@@ -238,7 +238,7 @@
 		}
 		lying++
 		for _, n := range w.nodes {
-			lies += n.holder.Counters.Lies
+			lies += n.holder.Counters.InvalidResponses
 		}
 		if lies > 0 {
 			found++
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -25,15 +25,15 @@
 
 // saved is a table as a snapshot holds it: the newest content in blocks, the others as what differs from it.
 type saved struct {
-	Head   Head      `cbor:"1,keyasint"`
-	Since  int64     `cbor:"2,keyasint"`
-	Blocks [][]byte  `cbor:"3,keyasint"`
-	All    []Item    `cbor:"4,keyasint,omitempty"`
-	First  []Item    `cbor:"5,keyasint,omitempty"`
-	Log    []*Record `cbor:"6,keyasint,omitempty"`
-	Good   []uint64  `cbor:"7,keyasint,omitempty"`
-	Askers []Verdict `cbor:"8,keyasint,omitempty"`
-	Draft  draft     `cbor:"9,keyasint"`
+	Head   HeadRevision `cbor:"1,keyasint"`
+	Since  int64        `cbor:"2,keyasint"`
+	Blocks [][]byte     `cbor:"3,keyasint"`
+	All    []Item       `cbor:"4,keyasint,omitempty"`
+	First  []Item       `cbor:"5,keyasint,omitempty"`
+	Log    []*Record    `cbor:"6,keyasint,omitempty"`
+	Good   []uint64     `cbor:"7,keyasint,omitempty"`
+	Askers []Verdict    `cbor:"8,keyasint,omitempty"`
+	Draft  draft        `cbor:"9,keyasint"`
 }
 
 // SnapshotWriter is a snapshot of a table as it was when it was begun, written some at a time. The table may change meanwhile: its
@@ -169,11 +169,11 @@
 func (w *SnapshotWriter) record(r *Record) {
 	w.then(func() {
 		light := *r
-		light.Changes, light.Was = nil, nil
-		w.body(&light, some(len(r.Changes))+some(len(r.Was)))
+		light.Changes, light.Replaced = nil, nil
+		w.body(&light, some(len(r.Changes))+some(len(r.Replaced)))
 	})
 	w.items(6, r.Changes)
-	w.items(7, r.Was)
+	w.items(7, r.Replaced)
 }
 
 // items is a field with a list.
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -130,10 +130,10 @@
 	w := refused(t, true)
 	first := 0
 	for _, n := range w.nodes {
-		if n.holder.Mark().Version == 2 {
+		if n.holder.Revision().Version == 2 {
 			first++
 		} else {
-			require.EqualValues(t, 1, n.holder.Mark().Version)
+			require.EqualValues(t, 1, n.holder.Revision().Version)
 		}
 	}
 	require.Positive(t, first)
@@ -180,7 +180,7 @@
 }
 
 // putWhole has a whole content agreed on, in pieces, and says which version that is.
-func (w *world) putWhole(t *testing.T, c *Content) Mark {
+func (w *world) putWhole(t *testing.T, c *Content) Revision {
 	var list []Item
 	for i := range c.All {
 		list = append(list, i)
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -25,23 +25,23 @@
 	versionMost = 1 << 60     // that a table counts on from
 )
 
-// Mark is a version and what it comes to.
-type Mark struct {
+// Revision is a version and what it comes to.
+type Revision struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  Digest `cbor:"2,keyasint"`
 }
 
 // Record is one version as a change of the one before.
 type Record struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Base    Digest `cbor:"2,keyasint"` // before it
-	Digest  Digest `cbor:"3,keyasint"` // after it
-	From    string `cbor:"4,keyasint,omitempty"`
-	Wall    int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the caller, for operators only
-	Changes []Item `cbor:"6,keyasint,omitempty"`
-	Was     []Item `cbor:"7,keyasint,omitempty"` // what the changes replaced, at the seats only
-	Back    bool   `cbor:"8,keyasint,omitempty"` // a rollback
-	size    int
+	Version  uint64 `cbor:"1,keyasint"`
+	Base     Digest `cbor:"2,keyasint"` // before it
+	Digest   Digest `cbor:"3,keyasint"` // after it
+	From     string `cbor:"4,keyasint,omitempty"`
+	Wall     int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the caller, for operators only
+	Changes  []Item `cbor:"6,keyasint,omitempty"`
+	Replaced []Item `cbor:"7,keyasint,omitempty"` // what the changes replaced, at the seats only
+	Rollback bool   `cbor:"8,keyasint,omitempty"` // a rollback
+	size     int
 }
 
 func sizeOf(list []Item) (size int) {
@@ -54,7 +54,7 @@
 // bytes is about what a record takes.
 func (r *Record) bytes() int {
 	if r.size == 0 {
-		r.size = 96 + len(r.From) + sizeOf(r.Changes) + sizeOf(r.Was)
+		r.size = 96 + len(r.From) + sizeOf(r.Changes) + sizeOf(r.Replaced)
 	}
 	return r.size
 }
@@ -62,7 +62,7 @@
 // wire is a record as it travels.
 func (r *Record) wire() Record {
 	w := *r
-	w.Was, w.size = nil, 0
+	w.Replaced, w.size = nil, 0
 	return w
 }
 
@@ -105,18 +105,18 @@
 	More    int    `cbor:"8,keyasint,omitempty"` // Stale: items that changed and aren't named; -1 where the log no longer reaches
 }
 
-// Head is what a seat vouches for.
-type Head struct {
-	All     Mark   `cbor:"1,keyasint"`           // in force for all
-	First   Mark   `cbor:"2,keyasint"`           // for the first stage; All's where none stands there
-	Newest  uint64 `cbor:"3,keyasint"`           // agreed; those past First wait for the stage to end
-	Stopped bool   `cbor:"4,keyasint,omitempty"` // First goes no further
-	Who     string `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't take it
-	Why     string `cbor:"6,keyasint,omitempty"`
+// HeadRevision is what a seat vouches for.
+type HeadRevision struct {
+	All     Revision `cbor:"1,keyasint"`           // in force for all
+	First   Revision `cbor:"2,keyasint"`           // for the first stage; All's where none stands there
+	Newest  uint64   `cbor:"3,keyasint"`           // agreed; those past First wait for the stage to end
+	Stopped bool     `cbor:"4,keyasint,omitempty"` // First goes no further
+	Who     string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't take it
+	Why     string   `cbor:"6,keyasint,omitempty"`
 }
 
 // newer says whether a head was agreed on after another.
-func (h *Head) newer(than *Head) bool {
+func (h *HeadRevision) newer(than *HeadRevision) bool {
 	switch {
 	case h.All.Version != than.All.Version:
 		return h.All.Version > than.All.Version
@@ -130,7 +130,7 @@
 
 // Table is the agreed order of versions: the same on all that carry out the same commands in the same order.
 type Table struct {
-	head               Head
+	head               HeadRevision
 	all, first, newest *Content
 	since              int64 // when First began to stand
 	log                []*Record
@@ -159,16 +159,16 @@
 }
 
 // Head is what holds now.
-func (t *Table) Head() Head { return t.head }
+func (t *Table) Head() HeadRevision { return t.head }
 
 // Contents are what is in force for all, what stands at the first stage, and what the newest version comes to.
 func (t *Table) Contents() (all, first, newest *Content) { return t.all, t.first, t.newest }
 
-// Log is the last records, oldest first; they must not be changed.
-func (t *Table) Log() []*Record { return t.log }
+// Records is the last records, oldest first; they must not be changed.
+func (t *Table) Records() []*Record { return t.log }
 
-// Good are the versions that a Rollback can name, beside the one that is in force for all.
-func (t *Table) Good() []uint64 { return t.good }
+// RollbackVersions are the versions that a Rollback can name, beside the one that is in force for all.
+func (t *Table) RollbackVersions() []uint64 { return t.good }
 
 // Due is the command by which the version at the first stage goes to all, nil while it isn't time. Any seat may have it
 // ordered: the second one changes nothing.
@@ -323,7 +323,7 @@
 	if t.head.Newest == 0 && c.Kind == Put {
 		t.head.Newest = min(c.Version, versionMost)
 	}
-	r := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Back: back}
+	r := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Rollback: back}
 	kept := true                           // one that the log can't hold isn't made at all
 	for d := Diff(t.newest, next); kept; { // what comes to nothing isn't carried around
 		some := d.Next(logMost)
@@ -332,7 +332,7 @@
 		}
 		r.Changes = append(r.Changes, some...)
 		for _, i := range some {
-			r.Was = append(r.Was, Item{i.Part, i.Name, t.newest.Get(i.Part, i.Name)})
+			r.Replaced = append(r.Replaced, Item{i.Part, i.Name, t.newest.Get(i.Part, i.Name)})
 		}
 		r.size = 0
 		kept = r.bytes() <= logBytes
@@ -350,7 +350,7 @@
 	}
 	switch {
 	case back: // it was in force for all before
-		t.head.First, t.first = Mark{r.Version, r.Digest}, next
+		t.head.First, t.first = Revision{r.Version, r.Digest}, next
 		t.advance(at)
 	case t.head.First == t.head.All || t.head.Stopped:
 		t.stage(at)
@@ -359,7 +359,7 @@
 
 // stage has the newest version, and all that it is made on, stand at the first stage.
 func (t *Table) stage(at int64) {
-	t.head.First, t.first, t.since = Mark{t.head.Newest, t.newest.Digest()}, t.newest, at
+	t.head.First, t.first, t.since = Revision{t.head.Newest, t.newest.Digest()}, t.newest, at
 	t.head.Stopped, t.head.Who, t.head.Why = false, "", ""
 }
 
@@ -413,7 +413,7 @@
 		content = t.newest
 		for k := len(t.log) - 1; k >= 0 && t.log[k].Version > c.Version; k-- {
 			var err error
-			if content, err = content.Apply(t.log[k].Was); err != nil {
+			if content, err = content.Apply(t.log[k].Replaced); err != nil {
 				v.Refused = err.Error()
 				return
 			}
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -65,7 +65,7 @@
 	require.Equal(t, "n7", x.Head().Who)
 	back := x.Apply(100_000*ms, &Command{Kind: Rollback, From: "a", Seq: 3, Version: 1})
 	require.EqualValues(t, 3, back.Version, "a version is never gone back to; its content is")
-	require.EqualValues(t, Mark{3, x.log[0].Digest}, x.Head().All, "it was in force for all before")
+	require.EqualValues(t, Revision{3, x.log[0].Digest}, x.Head().All, "it was in force for all before")
 	require.False(t, x.Head().Stopped)
 	require.Contains(t, x.Apply(1, &Command{Kind: Rollback, From: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
 
@@ -132,7 +132,7 @@
 			require.Equal(t, a.Apply(at, c), b.Apply(at, c))
 			require.GreaterOrEqual(t, a.Head().Newest, head.Newest)
 			require.GreaterOrEqual(t, a.Head().All.Version, head.All.Version)
-			for n, content := range map[Mark]*Content{a.head.All: a.all, a.head.First: a.first} {
+			for n, content := range map[Revision]*Content{a.head.All: a.all, a.head.First: a.first} {
 				require.Equal(t, n.Digest, content.Digest())
 			}
 			one, err := a.Snapshot()
--- a/internal/fleet/configsync/world_test.go
+++ b/internal/fleet/configsync/world_test.go
@@ -10,7 +10,7 @@
 // node is a holder with what is around it: its process, its disk, its links.
 type node struct {
 	name   string
-	holder *Holder
+	holder *Replicator
 	life   int
 	up     bool
 	old    bool // of a build that can't take an item whose value says so
@@ -33,7 +33,7 @@
 
 // disk is what was kept, and it is as sound as its digest.
 type disk struct {
-	mark    Mark
+	mark    Revision
 	content *Content
 }
 
@@ -177,12 +177,12 @@
 	n := w.nodes[i]
 	n.life++
 	n.up, n.woken, n.inbox = true, 0, nil
-	start := Start{Mark: n.disk.mark, Content: n.disk.content, Source: "disk"}
+	start := InitialState{Mark: n.disk.mark, Content: n.disk.content, Source: "disk"}
 	if n.disk.content == nil {
-		start = Start{Content: w.file, Source: "file"}
+		start = InitialState{Content: w.file, Source: "file"}
 		n.most = 0
 	}
-	n.holder = NewHolder(w.now, Terms{Name: n.name, Seed: w.chance.Int63()}, start)
+	n.holder = NewReplicator(w.now, ReplicatorConfig{Name: n.name, Seed: w.chance.Int63()}, start)
 	n.holder.trusting = w.mutant
 	n.inbox = append(n.inbox, Input{Kind: Viewed, View: w.view(i, zones)})
 	if n.seat {
@@ -413,15 +413,15 @@
 	d := Digest{A: w.chance.Uint64(), B: w.chance.Uint64()}
 	switch w.chance.Intn(6) {
 	case 0:
-		m.Head.All = Mark{m.Head.All.Version + uint64(w.chance.Intn(5)), d}
+		m.Head.All = Revision{m.Head.All.Version + uint64(w.chance.Intn(5)), d}
 	case 1:
-		m.Has = Mark{m.Has.Version + uint64(w.chance.Intn(5)), d}
+		m.Has = Revision{m.Has.Version + uint64(w.chance.Intn(5)), d}
 	case 2:
-		m.Head.First, m.Has = Mark{m.Head.First.Version + 1, d}, Mark{m.Head.First.Version + 1, d}
+		m.Head.First, m.Has = Revision{m.Head.First.Version + 1, d}, Revision{m.Head.First.Version + 1, d}
 	case 3:
 		if m.Kind == Tell {
 			m.Kind = Vouch
-			m.Head.All = Mark{m.Head.All.Version + 1, d}
+			m.Head.All = Revision{m.Head.All.Version + 1, d}
 		}
 	}
 	if len(m.Index) > 0 && w.chance.Intn(2) == 0 {
@@ -637,8 +637,8 @@
 		return fmt.Sprintf("the council is still at a stage: %+v", head)
 	}
 	for _, n := range w.nodes {
-		if n.up && (n.holder.Mark() != head.All || n.holder.Content().Digest() != head.All.Digest) {
-			return fmt.Sprintf("%s has version %d, %d is in force for all: %+v", n.name, n.holder.Mark().Version, head.All.Version, n.holder.Status(w.now))
+		if n.up && (n.holder.Revision() != head.All || n.holder.Content().Digest() != head.All.Digest) {
+			return fmt.Sprintf("%s has version %d, %d is in force for all: %+v", n.name, n.holder.Revision().Version, head.All.Version, n.holder.Status(w.now))
 		}
 	}
 	return ""
--- a/internal/fleet/consensus/claims.go
+++ b/internal/fleet/consensus/claims.go
@@ -19,7 +19,7 @@
 // claimTable is the council's table of claims: who waits here for a verdict, who is to be told that a claim is over, and
 // while this seat leads, time and hand-overs.
 type claimTable struct {
-	seat     *Seat
+	seat     *Replica
 	most     int64 // bytes of the table, 0 for the usual
 	view     []takeover.Member
 	table    *claims.Table
@@ -73,7 +73,7 @@
 			x.seat.remark(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", g.Entry.Key, g.From.Name, g.To.Name,
 				g.Entry.Fence, g.Remaining/ms)
 		}
-		x.seat.send(g.To.Name, Message{Kind: Gift, Owner: g.To, Entry: g.Entry, For: g.Remaining})
+		x.seat.send(g.To.Name, Message{Kind: MessageReassignment, Owner: g.To, Entry: g.Entry, Remaining: g.Remaining})
 	}
 }
 
@@ -112,7 +112,7 @@
 }
 
 func (x *claimTable) carryOut(command *claims.Command) {
-	x.seat.Counters.Agreed++
+	x.seat.Counters.Committed++
 	key := asked{command.Sender, command.Seq}
 	if x.alter != nil {
 		x.alter(command, x.table)
--- a/internal/fleet/consensus/configuration.go
+++ b/internal/fleet/consensus/configuration.go
@@ -28,7 +28,7 @@
 // configurationTable is the council's table of versions of the configuration: who waits here for a verdict, and what is
 // proposed when a version has stood at the first stage for long enough.
 type configurationTable struct {
-	seat     *Seat
+	seat     *Replica
 	check    func(*configsync.Command) string // says why a change is unsound by itself, empty where it isn't; nil for none
 	table    *configsync.Table
 	used     bool // something of it was agreed on: else snapshots hold nothing of it
@@ -38,7 +38,7 @@
 	pending  map[configured]proposedBy
 	verdicts map[claims.Owner][]configsync.Verdict
 	dueAt    int64 // what is due isn't proposed again before
-	stage    configsync.Mark
+	stage    configsync.Revision
 	stageAt  int64 // when stage came to stand at the first stage, by this seat's clock
 }
 
@@ -135,7 +135,7 @@
 		if c.Kind < configsync.Put || c.Kind > configsync.Rollback {
 			panic("a command of a newer version: the others' tables would not be this one's any more")
 		}
-		x.seat.Counters.Agreed++
+		x.seat.Counters.Committed++
 		x.changed = true
 		v := x.table.Apply(at, c)
 		key := configured{c.From, c.Seq}
@@ -169,15 +169,15 @@
 	return nil
 }
 
-// CheckConfiguration has changes of the configuration looked at before they are ordered; check says why one is unsound by
+// SetConfigValidator has changes of the configuration looked at before they are ordered; check says why one is unsound by
 // itself, empty where it isn't.
-func (c *Council) CheckConfiguration(check func(*configsync.Command) string) {
+func (c *Group) SetConfigValidator(check func(*configsync.Command) string) {
 	c.versions.check = check
 }
 
-// Configured is what was agreed on of the configuration, where that changed since the last call. A seat that belongs to no
+// AgreedConfig is what was agreed on of the configuration, where that changed since the last call. A seat that belongs to no
 // council yet, or again, knows nothing: nil.
-func (c *Council) Configured() (agreed *configsync.Agreed, changed bool) {
+func (c *Group) AgreedConfig() (agreed *configsync.Agreed, changed bool) {
 	x := c.versions
 	if changed = x.changed || x.told != c.founded; changed && c.founded {
 		agreed = x.table.Agreed()
@@ -186,5 +186,5 @@
 	return agreed, changed
 }
 
-// GoodVersions are those that can be gone back to.
-func (c *Council) GoodVersions() []uint64 { return c.versions.table.Good() }
+// RollbackVersions are those that can be gone back to.
+func (c *Group) RollbackVersions() []uint64 { return c.versions.table.RollbackVersions() }
--- a/internal/fleet/consensus/configuration_test.go
+++ b/internal/fleet/consensus/configuration_test.go
@@ -19,14 +19,14 @@
 func (w *world) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
 	m := w.machines[3]
 	m.decided = nil
-	w.send(3, w.machines[seat].name, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Proposed: []configsync.Command{c}})
+	w.send(3, w.machines[seat].name, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Proposed: []configsync.Command{c}})
 	w.run(w.now + 500*ms)
 	require.Len(t, m.decided, 1, "one command, one verdict")
 	assert.Equal(t, []any{c.From, c.Seq}, []any{m.decided[0].From, m.decided[0].Seq})
 	return m.decided[0]
 }
 
-func (w *world) heads() (list []configsync.Head) {
+func (w *world) heads() (list []configsync.HeadRevision) {
 	for _, m := range w.machines[:len(w.seats)] {
 		list = append(list, m.seat.versions.table.Head())
 	}
@@ -60,7 +60,7 @@
 	}
 	assert.Equal(t, uint64(2), v.Version)
 	w.machines[3].decided = nil
-	w.send(3, "n1", Message{Kind: Propose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
+	w.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
 		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
 	w.run(w.now + 500*ms)
 	assert.False(t, w.heads()[0].Stopped, "only a seat says that a version goes no further")
@@ -81,11 +81,11 @@
 	w.run(w.now + 8_000*ms)
 	for i, h := range w.heads() {
 		assert.Equal(t, want, h, "seat %d", i)
-		agreed, changed := w.machines[i].seat.Configured()
+		agreed, changed := w.machines[i].seat.AgreedConfig()
 		assert.True(t, changed)
 		require.NotNil(t, agreed)
 		assert.Equal(t, 4, agreed.Newest.Len(configsync.Tenants))
-		_, changed = w.machines[i].seat.Configured()
+		_, changed = w.machines[i].seat.AgreedConfig()
 		assert.False(t, changed, "it is told once")
 	}
 	v = w.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
@@ -96,7 +96,7 @@
 func TestUnsoundChangeIsNotOrdered(t *testing.T) {
 	w := onDisks(t, 4, 3)
 	for _, m := range w.machines[:3] {
-		m.seat.CheckConfiguration(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
+		m.seat.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
 	}
 	v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantOf("x", 1)}})
 	assert.Equal(t, "unsound: x", v.Refused)
--- a/internal/fleet/consensus/council.go
+++ b/internal/fleet/consensus/council.go
@@ -17,54 +17,54 @@
 	pendingMost = 100_000    // commands taken here and not answered yet; more are answered by whom they are sent to next
 )
 
-// Kind names what a message is for.
-type Kind uint8
+// MessageKind names what a message is for.
+type MessageKind uint8
 
 // The messages.
 const (
-	Raft     Kind = iota + 1 // between seats
-	Hail                     // of a seat that belongs to no council, and the answer to it
-	Propose                  // commands of a node, to any seat
-	Verdicts                 // their answers
-	Tells                    // claims that the receiver waits for are over
-	Gift                     // the receiver inherits a claim
-	Return                   // a seat that is back from its disk asks what was heard of it
-	Heard                    // the answer
-	Want                     // a seat asks for a piece of what a snapshot names
-	Piece                    // the answer
+	MessageRaft         MessageKind = iota + 1 // between seats
+	MessageDiscovery                           // of a seat that belongs to no council, and the answer to it
+	MessagePropose                             // commands of a node, to any seat
+	MessageVerdicts                            // their answers
+	MessageClaimsEnded                         // claims that the receiver waits for are over
+	MessageReassignment                        // the receiver inherits a claim
+	MessageRejoin                              // a seat that is back from its disk asks what was heard of it
+	MessageRejoinAnswer                        // the answer
+	MessagePartRequest                         // a seat asks for a piece of what a snapshot names
+	MessagePart                                // the answer
 )
 
 // Message is what seats and nodes tell each other.
 type Message struct {
-	Kind     Kind                 `cbor:"1,keyasint"`
-	From     string               `cbor:"2,keyasint"`
-	Raft     []byte               `cbor:"3,keyasint,omitempty"`
-	ID       uint64               `cbor:"4,keyasint,omitempty"` // Hail
-	Life     uint64               `cbor:"5,keyasint,omitempty"` // Hail
-	Bound    uint64               `cbor:"6,keyasint,omitempty"` // Hail
-	Fresh    bool                 `cbor:"7,keyasint,omitempty"` // Hail: it belongs to no council
-	Owner    claims.Owner         `cbor:"8,keyasint,omitempty"` // Propose; in the others to whom
-	Commands []claims.Command     `cbor:"9,keyasint,omitempty"`
-	Verdicts []claims.Verdict     `cbor:"10,keyasint,omitempty"`
-	Keys     []claims.Key         `cbor:"11,keyasint,omitempty"` // Tells
-	Entry    *claims.Entry        `cbor:"12,keyasint,omitempty"` // Gift
-	For      int64                `cbor:"13,keyasint,omitempty"` // Gift: ns to its due time
-	Leases   []quota.Command      `cbor:"15,keyasint,omitempty"` // Propose
-	Grants   []quota.Verdict      `cbor:"16,keyasint,omitempty"` // Verdicts
-	Number   uint64               `cbor:"17,keyasint,omitempty"` // Raft: the last write that counts at the sender; Heard: the last that was heard
-	Part     string               `cbor:"18,keyasint,omitempty"` // Want, Piece: its digest
-	Offset   int                  `cbor:"19,keyasint,omitempty"` // in it
-	Size     int                  `cbor:"20,keyasint,omitempty"` // of it
-	Bytes    []byte               `cbor:"21,keyasint,omitempty"`
-	Proposed []configsync.Command `cbor:"22,keyasint,omitempty"` // Propose
-	Decided  []configsync.Verdict `cbor:"23,keyasint,omitempty"` // Verdicts
-	Leader   string               `cbor:"14,keyasint,omitempty"` // who leads the council, as far as the sender knows
+	Kind        MessageKind          `cbor:"1,keyasint"`
+	From        string               `cbor:"2,keyasint"`
+	Raft        []byte               `cbor:"3,keyasint,omitempty"`
+	ID          uint64               `cbor:"4,keyasint,omitempty"` // Hail
+	Incarnation uint64               `cbor:"5,keyasint,omitempty"` // Hail
+	BoundTo     uint64               `cbor:"6,keyasint,omitempty"` // Hail
+	Unassigned  bool                 `cbor:"7,keyasint,omitempty"` // Hail: it belongs to no council
+	Owner       claims.Owner         `cbor:"8,keyasint,omitempty"` // Propose; in the others to whom
+	Commands    []claims.Command     `cbor:"9,keyasint,omitempty"`
+	Verdicts    []claims.Verdict     `cbor:"10,keyasint,omitempty"`
+	Keys        []claims.Key         `cbor:"11,keyasint,omitempty"` // Tells
+	Entry       *claims.Entry        `cbor:"12,keyasint,omitempty"` // Gift
+	Remaining   int64                `cbor:"13,keyasint,omitempty"` // Gift: ns to its due time
+	Leases      []quota.Command      `cbor:"15,keyasint,omitempty"` // Propose
+	Grants      []quota.Verdict      `cbor:"16,keyasint,omitempty"` // Verdicts
+	Number      uint64               `cbor:"17,keyasint,omitempty"` // Raft: the last write that counts at the sender; Heard: the last that was heard
+	Part        string               `cbor:"18,keyasint,omitempty"` // Want, Piece: its digest
+	Offset      int                  `cbor:"19,keyasint,omitempty"` // in it
+	Size        int                  `cbor:"20,keyasint,omitempty"` // of it
+	Bytes       []byte               `cbor:"21,keyasint,omitempty"`
+	Proposed    []configsync.Command `cbor:"22,keyasint,omitempty"` // Propose
+	Decided     []configsync.Verdict `cbor:"23,keyasint,omitempty"` // Verdicts
+	Leader      string               `cbor:"14,keyasint,omitempty"` // who leads the council, as far as the sender knows
 }
 
 // Input is one thing that happened: a message, commands of this node's own, or another view.
 type Input struct {
 	Message  *Message
-	Own      []claims.Command
+	Claims   []claims.Command
 	Leases   []quota.Command      // of this node's own
 	View     []takeover.Member    // nil where it did not change
 	Proposed []configsync.Command // of the configuration
@@ -79,9 +79,9 @@
 
 // The effects.
 const (
-	Send    EffectKind = iota // to the node To
-	Remark                    // tell operators
-	Persist                   // write to the disk, in order, then say so
+	Send     EffectKind = iota // to the node To
+	WriteLog                   // tell operators
+	Persist                    // write to the disk, in order, then say so
 )
 
 // Effect is one thing to do. A message to this node's own name is one to itself.
@@ -94,28 +94,28 @@
 	Write   *Write
 }
 
-// Picture is what a node shows of claims.
-type Picture struct {
-	Node    string                 `json:"node" cbor:"1,keyasint"`
-	Desk    *claims.ClientCounters `json:"desk,omitempty" cbor:"2,keyasint,omitempty"`
-	InHand  int                    `json:"in_hand" cbor:"3,keyasint,omitempty"`
-	Reached bool                   `json:"council_reached" cbor:"4,keyasint,omitempty"`
-	Seat    *Counters              `json:"seat,omitempty" cbor:"5,keyasint,omitempty"`
-	Leader  string                 `json:"leader,omitempty" cbor:"6,keyasint,omitempty"`
-	Table   *claims.Counters       `json:"table,omitempty" cbor:"7,keyasint,omitempty"`
-	Handed  *takeover.Counters     `json:"handed,omitempty" cbor:"8,keyasint,omitempty"`
-	Entries int                    `json:"claims" cbor:"9,keyasint,omitempty"`
-	Bytes   int64                  `json:"bytes" cbor:"10,keyasint,omitempty"`
-	Time    int64                  `json:"time_ns" cbor:"11,keyasint,omitempty"`
-	Limits  []*quota.Limit         `json:"limits,omitempty" cbor:"13,keyasint,omitempty"`
-	Lease   *quota.Counters        `json:"lease,omitempty" cbor:"14,keyasint,omitempty"`
-	Claims  []*claims.Entry        `json:"-" cbor:"12,keyasint,omitempty"`
+// Summary is what a node shows of claims.
+type Summary struct {
+	Node           string                 `json:"node" cbor:"1,keyasint"`
+	Client         *claims.ClientCounters `json:"desk,omitempty" cbor:"2,keyasint,omitempty"`
+	ClaimsInFlight int                    `json:"in_hand" cbor:"3,keyasint,omitempty"`
+	GroupReachable bool                   `json:"council_reached" cbor:"4,keyasint,omitempty"`
+	Replica        *Counters              `json:"seat,omitempty" cbor:"5,keyasint,omitempty"`
+	Leader         string                 `json:"leader,omitempty" cbor:"6,keyasint,omitempty"`
+	Table          *claims.Counters       `json:"table,omitempty" cbor:"7,keyasint,omitempty"`
+	Takeover       *takeover.Counters     `json:"handed,omitempty" cbor:"8,keyasint,omitempty"`
+	Entries        int                    `json:"claims" cbor:"9,keyasint,omitempty"`
+	Bytes          int64                  `json:"bytes" cbor:"10,keyasint,omitempty"`
+	Time           int64                  `json:"time_ns" cbor:"11,keyasint,omitempty"`
+	Limits         []*quota.Limit         `json:"limits,omitempty" cbor:"13,keyasint,omitempty"`
+	Lease          *quota.Counters        `json:"lease,omitempty" cbor:"14,keyasint,omitempty"`
+	Claims         []*claims.Entry        `json:"-" cbor:"12,keyasint,omitempty"`
 }
 
-// Show fills in what this seat knows, with so many claims at the most, without their work and results.
-func (c *Council) Show(p *Picture, most int) {
-	handed := c.Planned()
-	p.Seat, p.Leader, p.Table, p.Handed, p.Time = &c.Counters, c.Leader(), &c.table.Counters, &handed, c.table.Time()
+// Summarize fills in what this seat knows, with so many claims at the most, without their work and results.
+func (c *Group) Summarize(p *Summary, most int) {
+	handed := c.TakeoverCounters()
+	p.Replica, p.Leader, p.Table, p.Takeover, p.Time = &c.Counters, c.Leader(), &c.table.Counters, &handed, c.table.Time()
 	p.Entries, p.Bytes = c.table.Size()
 	p.Limits = c.book.Limits()
 	for _, e := range c.table.List(most) {
@@ -125,41 +125,41 @@
 	}
 }
 
-// Council is one seat with its tables.
-type Council struct {
-	*Seat
+// Group is one seat with its tables.
+type Group struct {
+	*Replica
 	*claimTable
 	*leaseTable
 	versions *configurationTable
 	sweepAt  int64
 }
 
-// New is a seat that knows nothing yet. Names are all seats, this node's among them; life tells this start from others.
-func New(names []string, self string, life uint64, now, seed int64) *Council {
-	c := &Council{Seat: newSeat(names, self, life, now, seed)}
-	c.claimTable = &claimTable{seat: c.Seat}
-	c.leaseTable = &leaseTable{seat: c.Seat}
-	c.versions = &configurationTable{seat: c.Seat}
+// NewGroup is a seat that knows nothing yet. Names are all seats, this node's among them; life tells this start from others.
+func NewGroup(names []string, self string, life uint64, now, seed int64) *Group {
+	c := &Group{Replica: newSeat(names, self, life, now, seed)}
+	c.claimTable = &claimTable{seat: c.Replica}
+	c.leaseTable = &leaseTable{seat: c.Replica}
+	c.versions = &configurationTable{seat: c.Replica}
 	c.tables = []proposer{c.claimTable, c.leaseTable, c.versions}
 	c.time = func() int64 { return c.table.Time() }
 	c.begin()
 	return c
 }
 
-// Bound sets the bytes that the table of claims may take while this seat leads, 0 for the usual.
-func (c *Council) Bound(bytes int64) { c.most = bytes }
+// SetMaxTableBytes sets the bytes that the table of claims may take while this seat leads, 0 for the usual.
+func (c *Group) SetMaxTableBytes(bytes int64) { c.most = bytes }
 
-// Limits sets the limits that this seat defines while it leads.
-func (c *Council) Limits(list []quota.Command) { c.limits = list }
+// SetLimits sets the limits that this seat defines while it leads.
+func (c *Group) SetLimits(list []quota.Command) { c.limits = list }
 
-// Book is what was agreed on of limits. It must not be changed.
-func (c *Council) Book() *quota.LeaseTable { return c.book }
+// LeaseTable is what was agreed on of limits. It must not be changed.
+func (c *Group) LeaseTable() *quota.LeaseTable { return c.book }
 
 // Table is what was agreed on of claims, as far as this seat has heard. It must not be changed.
-func (c *Council) Table() *claims.Table { return c.table }
+func (c *Group) Table() *claims.Table { return c.table }
 
-// Planned is what hand-overs came to while this seat led.
-func (c *Council) Planned() takeover.Counters {
+// TakeoverCounters is what hand-overs came to while this seat led.
+func (c *Group) TakeoverCounters() takeover.Counters {
 	if c.plan == nil {
 		return takeover.Counters{}
 	}
@@ -168,7 +168,7 @@
 
 // Step takes what happened up to now, by a clock that only advances. The effects are valid until the next step; wake is
 // when it is to step again at the latest.
-func (c *Council) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
+func (c *Group) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
 	c.step(now, func() {
 		for i := range inputs {
 			c.take(&inputs[i])
@@ -185,12 +185,12 @@
 	return c.effects, c.wake
 }
 
-func (c *Council) take(in *Input) {
+func (c *Group) take(in *Input) {
 	if in.View != nil {
 		c.view = in.View
 	}
-	for i := range in.Own {
-		c.wanted(in.Own[i])
+	for i := range in.Claims {
+		c.wanted(in.Claims[i])
 	}
 	c.lease(in.Leases)
 	c.versions.propose(in.Owner, in.Proposed)
@@ -202,7 +202,7 @@
 		return
 	}
 	switch m.Kind {
-	case Propose:
+	case MessagePropose:
 		for i := range m.Commands {
 			if m.Commands[i].Sender == m.Owner && m.Commands[i].Kind != claims.CommandAdvanceTime {
 				c.wanted(m.Commands[i])
@@ -214,25 +214,25 @@
 		if m.Owner.Name != "" {
 			c.versions.propose(m.Owner, m.Proposed)
 		}
-	case Hail:
+	case MessageDiscovery:
 		c.hailed(m)
-	case Raft:
+	case MessageRaft:
 		c.fromSeat(m)
-	case Return:
+	case MessageRejoin:
 		if slices.Contains(c.names, m.From) {
 			c.answerReturn(m.From, m.ID)
 		}
-	case Heard:
+	case MessageRejoinAnswer:
 		c.toldHeard(m)
-	case Want:
+	case MessagePartRequest:
 		c.wantedPiece(m)
-	case Piece:
+	case MessagePart:
 		c.gotPiece(m)
 	}
 }
 
 // flush sends what gathered in this step, one message for each node.
-func (c *Council) flush() {
+func (c *Group) flush() {
 	for o := range c.grants {
 		if _, known := c.verdicts[o]; !known {
 			c.verdicts[o] = nil // one message brings both
@@ -244,12 +244,12 @@
 		}
 	}
 	for _, o := range owners(c.verdicts) {
-		c.send(o.Name, Message{Kind: Verdicts, Owner: o, Verdicts: c.verdicts[o], Grants: c.grants[o], Decided: c.versions.verdicts[o]})
+		c.send(o.Name, Message{Kind: MessageVerdicts, Owner: o, Verdicts: c.verdicts[o], Grants: c.grants[o], Decided: c.versions.verdicts[o]})
 	}
 	clear(c.grants)
 	clear(c.versions.verdicts)
 	for _, o := range owners(c.tells) {
-		c.send(o.Name, Message{Kind: Tells, Owner: o, Keys: c.tells[o]})
+		c.send(o.Name, Message{Kind: MessageClaimsEnded, Owner: o, Keys: c.tells[o]})
 	}
 	clear(c.verdicts)
 	clear(c.tells)
--- a/internal/fleet/consensus/council_test.go
+++ b/internal/fleet/consensus/council_test.go
@@ -200,7 +200,7 @@
 	m := w.leader()
 	c := m.seat
 	before := c.id
-	c.Step(w.now+1, []Input{{Message: &Message{Kind: Raft, From: "n0", Raft: []byte("no message")}}})
+	c.Step(w.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
 	assert.Equal(t, before, c.id, "what can't be read is dropped")
 	c.guarded(func() { panic("as raft would") })
 	assert.NotEqual(t, before, c.id)
@@ -393,7 +393,7 @@
 func TestSeatThatMeetsANewerCommandBeginsAnew(t *testing.T) {
 	w := calm(t, 3, 3)
 	m := w.leader()
-	m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandKindCount, Sender: claims.Owner{Name: m.name, Incarnation: m.life}, Seq: 99}}})
+	m.toSeat = append(m.toSeat, Input{Claims: []claims.Command{{Kind: claims.CommandKindCount, Sender: claims.Owner{Name: m.name, Incarnation: m.life}, Seq: 99}}})
 	w.soon(w.index(m))
 	w.run(w.now + 1_000*ms)
 	for _, x := range w.machines {
@@ -425,7 +425,7 @@
 	w := onDisks(t, 4, 3)
 	current := func() (list []bool) {
 		for _, m := range w.machines[:3] {
-			list = append(list, m.up && m.seat.Current())
+			list = append(list, m.up && m.seat.IsCurrent())
 		}
 		return list
 	}
--- a/internal/fleet/consensus/disk.go
+++ b/internal/fleet/consensus/disk.go
@@ -20,15 +20,15 @@
 // Write is what a seat wants on its disk, in the order of the numbers. It counts once a Persisted input named its number, or a
 // later one; what depends on it is held back until then. Text in it must not be changed.
 type Write struct {
-	Number  uint64
-	Forget  bool              // nothing of before is of use
-	Base    []byte            // takes the place of all that is there, at once and whole; nil where records are only added
-	Parts   map[string][]byte // all that the base names, by digest; what is there already needs no writing
-	Records [][]byte          // behind it
+	Number         uint64
+	DiscardEarlier bool              // nothing of before is of use
+	Base           []byte            // takes the place of all that is there, at once and whole; nil where records are only added
+	Parts          map[string][]byte // all that the base names, by digest; what is there already needs no writing
+	Records        [][]byte          // behind it
 }
 
-// Disk is what a disk gave back: the last base with its parts, and the records behind it, as many as are whole.
-type Disk struct {
+// DiskContents is what a disk gave back: the last base with its parts, and the records behind it, as many as are whole.
+type DiskContents struct {
 	Base    []byte
 	Parts   map[string][]byte
 	Records [][]byte
@@ -72,7 +72,7 @@
 
 // Recover has the seat keep what it must not forget on a disk, before its first step, and takes up what is there. A folder of
 // another council, or of a later build, is an error; nothing is lost by it.
-func (x *Seat) Recover(now int64, d Disk) (err error) {
+func (x *Replica) Recover(now int64, d DiskContents) (err error) {
 	x.disk.on, x.now = true, now
 	defer func() { x.early, x.effects = x.effects, nil }()
 	x.disk.written = len(d.Base)+len(d.Records) > 0
@@ -149,16 +149,16 @@
 }
 
 // Resumed says whether the seat holds what it knew before its process ended.
-func (x *Seat) Resumed() bool { return x.disk.on && x.founded && x.disk.number > 0 }
+func (x *Replica) Resumed() bool { return x.disk.on && x.founded && x.disk.number > 0 }
 
 // anew is another life of this seat, under another number, with nothing known.
-func (x *Seat) anew() {
+func (x *Replica) anew() {
 	x.life = max(x.life, x.born) + 1
 	x.begin()
 }
 
 // persist has a state, entries or a snapshot of raft's written, and what depends on it wait.
-func (x *Seat) persist(rd *raft.Ready) {
+func (x *Replica) persist(rd *raft.Ready) {
 	hard := rd.HardState
 	if raft.IsEmptyHardState(hard) {
 		hard, _, _ = x.storage.InitialState()
@@ -181,7 +181,7 @@
 }
 
 // base is a write that takes the place of all.
-func (x *Seat) base(snap *pb.Snapshot, hard *pb.HardState) Write {
+func (x *Replica) base(snap *pb.Snapshot, hard *pb.HardState) Write {
 	b := base{ID: x.id, Life: x.life, Names: x.names, Number: x.disk.number + 1, Hard: encode(hard), Snap: encode(snap), Marks: x.disk.marks}
 	text, err := canonical.Marshal(b)
 	if err != nil {
@@ -195,7 +195,7 @@
 }
 
 // rebase writes what a snapshot of this seat's own made of its log: bounds what is on the disk.
-func (x *Seat) rebase() {
+func (x *Replica) rebase() {
 	if !x.disk.on {
 		return
 	}
@@ -221,7 +221,7 @@
 }
 
 // write numbers a write and hands it out.
-func (x *Seat) write(w Write, r *record) {
+func (x *Replica) write(w Write, r *record) {
 	x.disk.number++
 	w.Number = x.disk.number
 	if r != nil {
@@ -234,12 +234,12 @@
 		}
 		w.Records = [][]byte{text}
 	}
-	x.disk.marked, x.disk.written = false, !w.Forget
+	x.disk.marked, x.disk.written = false, !w.DiscardEarlier
 	x.do(Effect{Kind: Persist, Write: &w})
 }
 
 // kept takes word of the disk.
-func (x *Seat) kept(number uint64, err error) {
+func (x *Replica) kept(number uint64, err error) {
 	if err != nil {
 		x.disk.failed = true
 		x.remark(true, "the council's seat stands still until this process is started anew: its disk failed: %v", err)
@@ -253,7 +253,7 @@
 }
 
 // heardWrite follows what a seat's words stand on, and tells one that speaks from less than it did before.
-func (x *Seat) heardWrite(id, number uint64, from string) {
+func (x *Replica) heardWrite(id, number uint64, from string) {
 	if number == 0 {
 		return
 	}
@@ -267,7 +267,7 @@
 	}
 }
 
-func (x *Seat) member(id uint64) bool {
+func (x *Replica) member(id uint64) bool {
 	for _, s := range x.seats {
 		if s.ID == id {
 			return true
@@ -279,7 +279,7 @@
 // comeBack asks the others what they heard of this seat last, and goes on once that is known: an old disk has forgotten what
 // was acknowledged, and votes. Guards against a volume that was set back; does harm where no other answers: 3 s more until the
 // council is there again.
-func (x *Seat) comeBack() {
+func (x *Replica) comeBack() {
 	d := &x.disk
 	if n := len(d.returning); n == len(x.names)-1 || 2*(n+1) > len(x.names) && x.now >= d.until {
 		d.returning = nil
@@ -290,21 +290,21 @@
 		d.returnAt = x.now + returnEvery
 		for _, name := range x.names {
 			if name != x.self && !d.returning[name] {
-				x.send(name, Message{Kind: Return, ID: x.id, Life: x.life})
+				x.send(name, Message{Kind: MessageRejoin, ID: x.id, Incarnation: x.life})
 			}
 		}
 	}
 }
 
 // answerReturn says what was heard of a seat's number last, and in which life it sits.
-func (x *Seat) answerReturn(to string, id uint64) {
+func (x *Replica) answerReturn(to string, id uint64) {
 	if x.founded {
-		x.send(to, Message{Kind: Heard, ID: id, Life: x.seats[to].Life, Number: x.disk.marks[id]})
+		x.send(to, Message{Kind: MessageRejoinAnswer, ID: id, Incarnation: x.seats[to].Life, Number: x.disk.marks[id]})
 	}
 }
 
 // toldHeard takes what another heard of this seat.
-func (x *Seat) toldHeard(m *Message) {
+func (x *Replica) toldHeard(m *Message) {
 	if m.ID != x.id || !x.disk.on || !slices.Contains(x.names, m.From) || m.From == x.self {
 		return
 	}
@@ -313,7 +313,7 @@
 		x.remark(true, "this seat's disk is behind what it had acknowledged: %s heard its write %d, and the last there was %d; it begins anew",
 			m.From, m.Number, x.disk.number)
 		x.anew()
-	case m.Life > x.life:
+	case m.Incarnation > x.life:
 		x.remark(true, "another life has this seat's place by what %s knows; it begins anew", m.From)
 		x.anew()
 	case x.disk.returning != nil:
--- a/internal/fleet/consensus/disk_test.go
+++ b/internal/fleet/consensus/disk_test.go
@@ -15,18 +15,18 @@
 
 // disk is what a seat's disk holds, and what is on its way there.
 type disk struct {
-	there Disk
+	there DiskContents
 	queue []*Write
 	free  int64 // when what is on its way is written
 }
 
 func (d *disk) carry(w *Write) {
-	if w.Forget {
-		d.there = Disk{}
+	if w.DiscardEarlier {
+		d.there = DiskContents{}
 		return
 	}
 	if w.Base != nil {
-		d.there = Disk{Base: w.Base, Parts: maps.Clone(w.Parts)}
+		d.there = DiskContents{Base: w.Base, Parts: maps.Clone(w.Parts)}
 	}
 	d.there.Records = append(d.there.Records[:len(d.there.Records):len(d.there.Records)], w.Records...)
 }
@@ -188,7 +188,7 @@
 	c := m.seat
 	number := c.disk.number
 	self := claims.Owner{Name: m.name, Incarnation: m.life}
-	effects, _ := c.Step(w.now, []Input{{Persisted: number}, {Own: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
+	effects, _ := c.Step(w.now, []Input{{Persisted: number}, {Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
 	var write *Write
 	for _, e := range effects {
 		if e.Kind == Persist {
@@ -219,10 +219,10 @@
 
 func TestFolderOfAnotherCouncilIsRefused(t *testing.T) {
 	w := onDisks(t, 4, 3)
-	c := New([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
+	c := NewGroup([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
 	assert.ErrorContains(t, c.Recover(1, w.machines[0].disk.there), "put the names back")
-	c = New(w.seats, "n0", 1, 1, 1)
-	assert.ErrorContains(t, c.Recover(1, Disk{Base: []byte("no base")}), "can't be read by this build")
+	c = NewGroup(w.seats, "n0", 1, 1, 1)
+	assert.ErrorContains(t, c.Recover(1, DiskContents{Base: []byte("no base")}), "can't be read by this build")
 }
 
 // What is on the disk is bounded: a base takes the place of the log before it.
@@ -231,7 +231,7 @@
 	m := w.leader()
 	self := claims.Owner{Name: m.name, Incarnation: m.life}
 	for n := range 2_500 { // more entries than one snapshot holds
-		m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
+		m.toSeat = append(m.toSeat, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		w.soon(w.index(m))
 		w.run(w.now + 8*ms)
 	}
@@ -381,10 +381,10 @@
 
 // acknowledgedByTwo has a leader and one follower, whose disk stands still, agree on a claim as far as they may, and both crash. The
 // follower comes back with what its disk holds, and with the third, which was cut off, it is most of the council.
-func acknowledgedByTwo(t *testing.T, fault func(c *Council)) (agreed, known bool) {
+func acknowledgedByTwo(t *testing.T, fault func(c *Group)) (agreed, known bool) {
 	w := newWorld(1, 4, 3)
 	w.sane, w.disks = true, true
-	w.extra = func(_ int, c *Council) { fault(c) }
+	w.extra = func(_ int, c *Group) { fault(c) }
 	w.up()
 	w.run(5_000 * ms)
 	leader := w.leader()
@@ -395,7 +395,7 @@
 		w.cut[[2]int{third, k}], w.cut[[2]int{k, third}] = true, true
 	}
 	w.machines[follower].disk.free = w.now + 60_000*ms
-	leader.toSeat = append(leader.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
+	leader.toSeat = append(leader.toSeat, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
 		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Window: window}}})
 	w.soon(i)
 	w.run(w.now + 400*ms)
@@ -411,8 +411,8 @@
 }
 
 func TestWhatTwoAgreedOnIsOnTheDisksOfTwo(t *testing.T) {
-	agreed, _ := acknowledgedByTwo(t, func(*Council) {})
+	agreed, _ := acknowledgedByTwo(t, func(*Group) {})
 	assert.False(t, agreed, "one disk is no majority")
-	agreed, known := acknowledgedByTwo(t, func(c *Council) { c.disk.rash = true })
+	agreed, known := acknowledgedByTwo(t, func(c *Group) { c.disk.rash = true })
 	assert.True(t, agreed && !known, "what is sent before what it stands on is on the disk is found: it is forgotten")
 }
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -121,7 +121,7 @@
 func TestFixturesOfTheCouncil(t *testing.T) {
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
-		for _, kind := range []Kind{Raft, Hail, Propose, Verdicts, Tells, Gift, Return, Heard, Want, Piece} {
+		for _, kind := range []MessageKind{MessageRaft, MessageDiscovery, MessagePropose, MessageVerdicts, MessageClaimsEnded, MessageReassignment, MessageRejoin, MessageRejoinAnswer, MessagePartRequest, MessagePart} {
 			m := fullValue[Message](uint32(len(list)))
 			m.Kind = kind
 			list = append(list, m)
@@ -129,7 +129,7 @@
 		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, cbor.Unmarshal)
 	})
 	t.Run("picture", func(t *testing.T) {
-		want := fullValue[Picture](1)
+		want := fullValue[Summary](1)
 		sameBothWays(t, "picture-v1.cbor", want, cbor.Marshal, cbor.Unmarshal)
 		want.Claims = nil // a command shows them in a form of its own
 		sameBothWays(t, "picture-v1.json", want, json.Marshal, json.Unmarshal)
@@ -172,8 +172,8 @@
 }
 
 // seatOfFixtures is a council of three that knows nothing yet.
-func seatOfFixtures() *Council {
-	c := New([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
+func seatOfFixtures() *Group {
+	c := NewGroup([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
 	c.early, c.effects = nil, nil
 	return c
 }
@@ -194,7 +194,7 @@
 }
 
 // sameTables compares what two seats hold.
-func sameTables(t *testing.T, want, got *Council) {
+func sameTables(t *testing.T, want, got *Group) {
 	t.Helper()
 	for i := range want.tables {
 		a, err := want.tables[i].Snapshot()
@@ -254,7 +254,7 @@
 	writer.write(w, nil)
 	require.Len(t, writer.effects, 1)
 	w = *writer.effects[0].Write
-	there := Disk{Base: sameAsFixture(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
+	there := DiskContents{Base: sameAsFixture(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
 	require.Len(t, w.Parts, 1, "the configuration lies apart")
 	for name, part := range w.Parts {
 		fixture := sameAsFixture(t, "disk-part-v1.cbor", part)
--- a/internal/fleet/consensus/helpers_test.go
+++ b/internal/fleet/consensus/helpers_test.go
@@ -22,7 +22,7 @@
 	life    uint64
 	up      bool
 	paused  bool
-	seat    *Council
+	seat    *Group
 	desk    *claims.Client
 	toDesk  []claims.Input
 	toSeat  []Input
@@ -84,10 +84,10 @@
 	careless bool // mutation: fences are not compared
 	taken    int
 	checked  uint64
-	disks    bool                    // seats have disks
-	extra    func(i int, c *Council) // done to each seat before it takes part
-	resumed  int                     // seats that went on from their disks
-	slow     int64                   // ns that a write may take, beside the usual
+	disks    bool                  // seats have disks
+	extra    func(i int, c *Group) // done to each seat before it takes part
+	resumed  int                   // seats that went on from their disks
+	slow     int64                 // ns that a write may take, beside the usual
 }
 
 func newWorld(seed int64, nodes, seats int) *world {
@@ -139,7 +139,7 @@
 		begun: map[claims.Key]bool{}, ended: map[claims.Key]string{}, waking: -1}
 	m.desk = claims.NewClient(claims.Owner{Name: m.name, Incarnation: m.life})
 	if i < len(w.seats) {
-		m.seat = New(w.seats, m.name, m.life, w.now, w.chance.Int63())
+		m.seat = NewGroup(w.seats, m.name, m.life, w.now, w.chance.Int63())
 		if w.extra != nil {
 			w.extra(i, m.seat)
 		}
@@ -287,7 +287,7 @@
 	m := w.machines[i]
 	self := claims.Owner{Name: m.name, Incarnation: m.life}
 	switch msg.Kind {
-	case Verdicts, Tells, Gift:
+	case MessageVerdicts, MessageClaimsEnded, MessageReassignment:
 		if msg.Owner != self {
 			return
 		}
@@ -299,7 +299,7 @@
 			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.EndNotified, Key: key})
 		}
 		if e := msg.Entry; e != nil {
-			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: msg.For, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
+			m.toDesk = append(m.toDesk, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: msg.Remaining, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
 		}
 	default:
 		if m.seat != nil {
@@ -395,11 +395,11 @@
 	switch a.Kind {
 	case claims.SendCommands:
 		if m.seat != nil {
-			m.toSeat = append(m.toSeat, Input{Own: a.Commands})
+			m.toSeat = append(m.toSeat, Input{Claims: a.Commands})
 			return
 		}
 		to := w.seats[w.chance.Intn(len(w.seats))]
-		w.send(i, to, Message{Kind: Propose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Commands: a.Commands})
+		w.send(i, to, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Commands: a.Commands})
 	case claims.StartRun:
 		if !m.begun[a.Key] {
 			w.fail("%s may run at %s, which does not want it", a.Key, m.name)
@@ -444,7 +444,7 @@
 func (w *world) fail(form string, args ...any) { w.wrong = append(w.wrong, fmt.Sprintf(form, args...)) }
 
 // check wants that no fence goes back on any seat's table, but for one that began anew.
-func (w *world) check(c *Council) {
+func (w *world) check(c *Group) {
 	if !c.leads() || c.applied == w.checked {
 		return
 	}
--- a/internal/fleet/consensus/leases.go
+++ b/internal/fleet/consensus/leases.go
@@ -16,7 +16,7 @@
 // leaseTable is the council's table of limits and leases: who waits here for a grant, and the limits that this seat defines while
 // it leads.
 type leaseTable struct {
-	seat    *Seat
+	seat    *Replica
 	limits  []quota.Command
 	book    *quota.LeaseTable
 	asks    []quota.Command
@@ -81,7 +81,7 @@
 }
 
 func (x *leaseTable) grant(at int64, command *quota.Command) {
-	x.seat.Counters.Agreed++
+	x.seat.Counters.Committed++
 	v := x.book.Apply(at, command)
 	key := leased{claims.Owner(command.Sender), command.Limit, command.Seq}
 	if _, here := x.leasing[key]; here && command.Kind == quota.CommandRequestLease {
--- a/internal/fleet/consensus/parts.go
+++ b/internal/fleet/consensus/parts.go
@@ -33,7 +33,7 @@
 }
 
 // lacks says whether a snapshot must wait for parts, and has it wait.
-func (x *Seat) lacks(m *pb.Message, from string) bool {
+func (x *Replica) lacks(m *pb.Message, from string) bool {
 	left := slices.DeleteFunc(digests(m.GetSnapshot()), func(d string) bool { return x.parts[d] != nil })
 	if len(left) == 0 {
 		x.fetch = nil
@@ -49,7 +49,7 @@
 }
 
 // ask asks for the next piece where that is due.
-func (x *Seat) ask() {
+func (x *Replica) ask() {
 	f := x.fetch
 	switch {
 	case f == nil || x.now < f.askAt:
@@ -57,21 +57,21 @@
 		x.fetch = nil
 	default:
 		f.askAt = x.now + pieceAgain
-		x.send(f.from, Message{Kind: Want, Part: f.left[0], Offset: len(f.text)})
+		x.send(f.from, Message{Kind: MessagePartRequest, Part: f.left[0], Offset: len(f.text)})
 	}
 }
 
 // wantedPiece answers one who asks.
-func (x *Seat) wantedPiece(m *Message) {
+func (x *Replica) wantedPiece(m *Message) {
 	text := x.parts[m.Part]
 	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(x.names, m.From) {
 		return
 	}
-	x.send(m.From, Message{Kind: Piece, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: text[m.Offset:min(len(text), m.Offset+pieceBytes)]})
+	x.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: text[m.Offset:min(len(text), m.Offset+pieceBytes)]})
 }
 
 // gotPiece takes a piece; what does not follow on what is there was asked for twice.
-func (x *Seat) gotPiece(m *Message) {
+func (x *Replica) gotPiece(m *Message) {
 	f := x.fetch
 	if f == nil || m.From != f.from || m.Part != f.left[0] || m.Offset != len(f.text) || m.Size > partMost || len(m.Bytes) == 0 {
 		return
@@ -128,7 +128,7 @@
 }
 
 // beginSnapshot begins a snapshot. What did not change since the last one is not written anew.
-func (x *Seat) beginSnapshot() *writing {
+func (x *Replica) beginSnapshot() *writing {
 	n := len(x.tables)
 	w := &writing{index: x.applied, confState: x.confState, seats: maps.Clone(x.seats), texts: slices.Clone(x.held), digests: slices.Clone(x.digests),
 		apart: make([]bool, n), changed: make([]bool, n), pieces: make([]pieces, n), hash: sha256.New()}
@@ -152,7 +152,7 @@
 }
 
 // writeSome goes on with what is written.
-func (x *Seat) writeSome() {
+func (x *Replica) writeSome() {
 	w := x.writing
 	if w == nil {
 		return
@@ -174,7 +174,7 @@
 }
 
 // written is the text of a snapshot that is whole, with the tables that lie apart named by their digests.
-func (x *Seat) written(w *writing) []byte {
+func (x *Replica) written(w *writing) []byte {
 	all := map[uint8]any{keySeats: w.seats}
 	for i, text := range w.texts {
 		part := any(text)
@@ -196,7 +196,7 @@
 }
 
 // unpart is the text of a table that a snapshot has as part, empty where it has none.
-func (x *Seat) unpart(part cbor.RawMessage) (text []byte, name string, err error) {
+func (x *Replica) unpart(part cbor.RawMessage) (text []byte, name string, err error) {
 	if len(part) == 0 {
 		return nil, "", nil
 	}
@@ -213,7 +213,7 @@
 }
 
 // trim lets go of parts that neither the last snapshot nor the one before names: one that is on its way may lack those.
-func (x *Seat) trim() {
+func (x *Replica) trim() {
 	snap, err := x.storage.Snapshot()
 	if err != nil {
 		return
--- a/internal/fleet/consensus/parts_test.go
+++ b/internal/fleet/consensus/parts_test.go
@@ -32,7 +32,7 @@
 	w := newWorld(1, 4, 3)
 	w.sane, w.disks = true, true
 	tables := make([]*large, 3)
-	w.extra = func(i int, c *Council) {
+	w.extra = func(i int, c *Group) {
 		tables[i] = &large{}
 		c.tables = append(c.tables, tables[i])
 		c.begin()
@@ -99,7 +99,7 @@
 	w := newWorld(1, 4, 3)
 	w.sane, w.disks = true, true
 	var tables [3]*watchedTable
-	w.extra = func(i int, c *Council) {
+	w.extra = func(i int, c *Group) {
 		tables[i] = &watchedTable{configurationTable: c.versions, steps: map[int]int{}}
 		c.tables[2] = tables[i]
 	}
@@ -128,7 +128,7 @@
 	m := w.leader()
 	self := claims.Owner{Name: m.name, Incarnation: m.life}
 	for n := range 2_500 { // more entries than one snapshot holds
-		m.toSeat = append(m.toSeat, Input{Own: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
+		m.toSeat = append(m.toSeat, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		w.soon(w.index(m))
 		w.run(w.now + 8*ms)
 	}
--- a/internal/fleet/consensus/seat.go
+++ b/internal/fleet/consensus/seat.go
@@ -72,17 +72,17 @@
 
 // Counters are what operators see.
 type Counters struct {
-	Agreed    int `json:"agreed"` // commands
-	Entries   int `json:"entries"`
-	Elections int `json:"stood"`
-	Snapshots int `json:"snapshots"`
-	Reseated  int `json:"reseated"`
-	Broken    int `json:"broken"` // messages that raft could not stand; the seat began anew
+	Committed     int `json:"agreed"` // commands
+	Entries       int `json:"entries"`
+	Elections     int `json:"stood"`
+	Snapshots     int `json:"snapshots"`
+	Reinitialized int `json:"reseated"`
+	Broken        int `json:"broken"` // messages that raft could not stand; the seat began anew
 }
 
-// Seat is one member of a council: raft, how a council is founded, who sits where, and elections. What is agreed on are parts
+// Replica is one member of a council: raft, how a council is founded, who sits where, and elections. What is agreed on are parts
 // for its tables.
-type Seat struct {
+type Replica struct {
 	Counters Counters
 
 	self    string
@@ -131,12 +131,12 @@
 	writing *writing          // nil where none is written
 }
 
-func newSeat(names []string, self string, life uint64, now, seed int64) *Seat {
-	return &Seat{self: self, life: life, born: life, names: slices.Sorted(slices.Values(names)), chance: rand.New(rand.NewSource(seed ^ int64(life))), now: now}
+func newSeat(names []string, self string, life uint64, now, seed int64) *Replica {
+	return &Replica{self: self, life: life, born: life, names: slices.Sorted(slices.Values(names)), chance: rand.New(rand.NewSource(seed ^ int64(life))), now: now}
 }
 
 // begin is a life of this seat, with nothing known.
-func (x *Seat) begin() {
+func (x *Replica) begin() {
 	x.id = xxhash.Sum64String(fmt.Sprintf("%s %d %d", x.self, x.life, x.chance.Uint64())) | 1
 	x.storage = raft.NewMemoryStorage()
 	x.seats, x.hails = map[string]incumbent{}, map[string]Message{}
@@ -146,7 +146,7 @@
 	x.parts, x.named, x.fetch, x.writing = map[string][]byte{}, nil, nil, nil
 	x.disk.marks, x.disk.marked, x.disk.owed, x.disk.returning = map[uint64]uint64{}, false, nil, nil
 	if x.disk.on && x.disk.written {
-		x.write(Write{Forget: true}, nil)
+		x.write(Write{DiscardEarlier: true}, nil)
 	}
 	for _, t := range x.tables {
 		t.forget()
@@ -158,7 +158,7 @@
 
 // raft makes the node over what is stored. Elections are this package's, from its own source of chance: raft's ticks are
 // only the leader's words.
-func (x *Seat) raft(applied uint64) {
+func (x *Replica) raft(applied uint64) {
 	node, err := raft.NewRawNode(&raft.Config{ID: x.id, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: x.storage, Applied: applied,
 		MaxSizePerMsg: messageBytes, MaxInflightMsgs: inFlight, MaxUncommittedEntriesSize: proposedBytes, PreVote: true,
 		MaxCommittedSizePerReady: proposedBytes, StepDownOnRemoval: true, Logger: quiet{}})
@@ -169,7 +169,7 @@
 }
 
 // step takes what happened, by take, and does what follows from it.
-func (x *Seat) step(now int64, take func()) {
+func (x *Replica) step(now int64, take func()) {
 	stood := x.wake > 0 && now-x.wake > gapLeast
 	x.now, x.effects, x.early = now, append(x.effects[:0], x.early...), nil
 	if stood && !x.leads() { // what came meanwhile is not read yet: a leader that was not heard is no sign
@@ -184,30 +184,30 @@
 	})
 }
 
-func (x *Seat) stand() { x.electAt = x.now + electLeast + x.chance.Int63n(electLeast) }
+func (x *Replica) stand() { x.electAt = x.now + electLeast + x.chance.Int63n(electLeast) }
 
-func (x *Seat) do(e Effect) { x.effects = append(x.effects, e) }
+func (x *Replica) do(e Effect) { x.effects = append(x.effects, e) }
 
-func (x *Seat) remark(warn bool, form string, args ...any) {
-	x.do(Effect{Kind: Remark, Warn: warn, Text: fmt.Sprintf(form, args...)})
+func (x *Replica) remark(warn bool, form string, args ...any) {
+	x.do(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(form, args...)})
 }
 
-func (x *Seat) send(to string, m Message) {
+func (x *Replica) send(to string, m Message) {
 	m.From = x.self
-	if m.Kind == Verdicts {
+	if m.Kind == MessageVerdicts {
 		m.Leader = x.Leader()
 	}
 	x.do(Effect{Kind: Send, To: to, Message: m})
 }
 
-func (x *Seat) leads() bool { return x.leader == x.id }
+func (x *Replica) leads() bool { return x.leader == x.id }
 
-// Leads says whether this seat leads the council, as far as it knows.
-func (x *Seat) Leads() bool { return x.leads() }
+// IsLeader says whether this seat leads the council, as far as it knows.
+func (x *Replica) IsLeader() bool { return x.leads() }
 
-// Current says whether this seat knows of all that was agreed on but for what is on its way: it hears a leader, or leads and is
+// IsCurrent says whether this seat knows of all that was agreed on but for what is on its way: it hears a leader, or leads and is
 // heard by a majority, and has carried out something of that leader's term, and with it all before.
-func (x *Seat) Current() bool {
+func (x *Replica) IsCurrent() bool {
 	if !x.founded || x.leader == 0 || x.now >= x.heardAt+electLeast || x.muted() {
 		return false
 	}
@@ -216,7 +216,7 @@
 }
 
 // Leader is the name of the seat that leads, as far as this one knows, empty where it knows none.
-func (x *Seat) Leader() string {
+func (x *Replica) Leader() string {
 	for name, s := range x.seats {
 		if s.ID == x.leader {
 			return name
@@ -227,7 +227,7 @@
 
 // guarded begins this seat anew where raft can't go on. Guards against messages that no sound seat sends; does harm
 // where a fault of this program would better be seen at once: it is counted and told.
-func (x *Seat) guarded(do func()) {
+func (x *Replica) guarded(do func()) {
 	defer func() {
 		if what := recover(); what != nil {
 			x.Counters.Broken++
@@ -238,7 +238,7 @@
 	do()
 }
 
-func (x *Seat) fromSeat(in *Message) {
+func (x *Replica) fromSeat(in *Message) {
 	m := new(pb.Message)
 	if proto.Unmarshal(in.Raft, m) != nil || m.GetTo() != x.id || !slices.Contains(x.names, in.From) || x.disk.returning != nil {
 		return
@@ -267,7 +267,7 @@
 }
 
 // lead follows who leads.
-func (x *Seat) lead() {
+func (x *Replica) lead() {
 	before := x.leader
 	if x.leader = x.node.BasicStatus().Lead; x.leader == before {
 		return
@@ -293,7 +293,7 @@
 
 // muted says whether this leader heard no majority, whatever it said, for long: it then keeps silent, so that those who hear it, and whom it
 // does not hear, choose another.
-func (x *Seat) muted() bool {
+func (x *Replica) muted() bool {
 	if !x.leads() {
 		return false
 	}
@@ -306,7 +306,7 @@
 	return 2*near <= len(x.seats)
 }
 
-func (x *Seat) timers() {
+func (x *Replica) timers() {
 	if !x.founded {
 		x.found()
 	} else if x.disk.returning != nil {
@@ -350,18 +350,18 @@
 }
 
 // seatAnew gives the place of one that forgot to its next life, one at a time.
-func (x *Seat) seatAnew() {
+func (x *Replica) seatAnew() {
 	for _, name := range x.names {
 		h, known := x.hails[name]
-		if s, sits := x.seats[name]; known && h.Fresh && sits && h.ID != s.ID && h.Life > s.Life && name != x.self {
-			x.reseat(name, incumbent{h.ID, h.Life}, s)
+		if s, sits := x.seats[name]; known && h.Unassigned && sits && h.ID != s.ID && h.Incarnation > s.Life && name != x.self {
+			x.reseat(name, incumbent{h.ID, h.Incarnation}, s)
 			break
 		}
 	}
 }
 
 // reseat has another life take the place of one that forgot what it knew.
-func (x *Seat) reseat(name string, now, before incumbent) {
+func (x *Replica) reseat(name string, now, before incumbent) {
 	context, err := cbor.Marshal(map[string]incumbent{name: now})
 	if err != nil {
 		return
@@ -373,7 +373,7 @@
 }
 
 // propose has what the tables want agreed on agreed on.
-func (x *Seat) propose() {
+func (x *Replica) propose() {
 	for {
 		parts := map[uint8]cbor.RawMessage{}
 		for i, t := range x.tables {
@@ -391,7 +391,7 @@
 }
 
 // ready carries out what raft wants done, until there is nothing more, or the disk is waited for.
-func (x *Seat) ready() {
+func (x *Replica) ready() {
 	for x.disk.owed == nil && !x.disk.failed && x.node.HasReady() {
 		rd := x.node.Ready()
 		if x.disk.on && !(raft.IsEmptySnap(rd.Snapshot) && raft.IsEmptyHardState(rd.HardState) && len(rd.Entries) == 0) {
@@ -409,7 +409,7 @@
 }
 
 // carry does what raft wants done, once it is on the disk where there is one.
-func (x *Seat) carry(rd *raft.Ready) {
+func (x *Replica) carry(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		x.storage.ApplySnapshot(rd.Snapshot)
 		x.restore(rd.Snapshot)
@@ -427,7 +427,7 @@
 }
 
 // say posts raft's messages, where this seat is not muted.
-func (x *Seat) say(messages []*pb.Message) {
+func (x *Replica) say(messages []*pb.Message) {
 	muted := x.muted()
 	for _, m := range messages {
 		if m.GetType() == pb.MsgSnap { // raft waits for word of it, sent or not
@@ -443,7 +443,7 @@
 	}
 }
 
-func (x *Seat) post(m *pb.Message) {
+func (x *Replica) post(m *pb.Message) {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return
@@ -452,12 +452,12 @@
 		if x.seats[name].ID != m.GetTo() && x.heardOf[name] != m.GetTo() { // who sits there now may be news that this one lacks
 			continue
 		}
-		x.send(name, Message{Kind: Raft, Raft: text, Number: x.disk.persisted})
+		x.send(name, Message{Kind: MessageRaft, Raft: text, Number: x.disk.persisted})
 		return
 	}
 }
 
-func (x *Seat) apply(e *pb.Entry) {
+func (x *Replica) apply(e *pb.Entry) {
 	x.applied = e.GetIndex()
 	if len(e.GetData()) == 0 && e.GetType() == pb.EntryNormal {
 		return
@@ -488,7 +488,7 @@
 	}
 }
 
-func (x *Seat) seated(e *pb.Entry) {
+func (x *Replica) seated(e *pb.Entry) {
 	cc := new(pb.ConfChangeV2)
 	if e.GetType() == pb.EntryConfChange {
 		one := new(pb.ConfChange)
@@ -506,14 +506,14 @@
 		for name, s := range who {
 			x.seats[name] = s
 			x.answered[s.ID] = x.now
-			x.Counters.Reseated++
+			x.Counters.Reinitialized++
 			x.remark(false, "%s sits in the council anew: what it knew before is lost with its last life", name)
 		}
 	}
 }
 
 // restore takes the place of what is known here. It panics where this seat can't go on with what the others agreed on.
-func (x *Seat) restore(s *pb.Snapshot) {
+func (x *Replica) restore(s *pb.Snapshot) {
 	var parts map[uint8]cbor.RawMessage
 	var seats map[string]incumbent
 	err := cbor.Unmarshal(s.GetData(), &parts)
@@ -542,7 +542,7 @@
 }
 
 // compact has a snapshot written where the log is long, and drops what it holds once it is whole.
-func (x *Seat) compact() {
+func (x *Replica) compact() {
 	switch {
 	case x.writing != nil && x.writing.whole():
 		x.remembered()
@@ -552,7 +552,7 @@
 }
 
 // remember has a snapshot written of what is known now.
-func (x *Seat) remember() {
+func (x *Replica) remember() {
 	x.writing = x.beginSnapshot()
 	x.writeSome()
 	if x.writing.whole() {
@@ -561,7 +561,7 @@
 }
 
 // remembered takes a snapshot that is whole in the place of what it holds.
-func (x *Seat) remembered() {
+func (x *Replica) remembered() {
 	w := x.writing
 	x.writing = nil
 	if _, err := x.storage.CreateSnapshot(w.index, w.confState, x.written(w)); err != nil {
@@ -575,7 +575,7 @@
 }
 
 // due is when the next of the timers is.
-func (x *Seat) due() int64 {
+func (x *Replica) due() int64 {
 	at := int64(never)
 	if !x.founded {
 		at = min(at, x.hailAt)
@@ -600,7 +600,7 @@
 // numbers that it sees, and founds once all are bound to the same. Where a council is there, its leader seats the newcomer.
 
 // found says where this seat stands, and founds.
-func (x *Seat) found() {
+func (x *Replica) found() {
 	bound := x.boundTo()
 	switch {
 	case x.bound == 0 && bound != 0:
@@ -623,18 +623,18 @@
 	}
 }
 
-func (x *Seat) hail(to string) {
-	x.send(to, Message{Kind: Hail, ID: x.id, Life: x.life, Bound: x.bound, Fresh: !x.founded})
+func (x *Replica) hail(to string) {
+	x.send(to, Message{Kind: MessageDiscovery, ID: x.id, Incarnation: x.life, BoundTo: x.bound, Unassigned: !x.founded})
 }
 
 // boundTo is the founding of all numbers that are seen, 0 where not all are, or one belongs to a council.
-func (x *Seat) boundTo() uint64 {
+func (x *Replica) boundTo() uint64 {
 	h := xxhash.New()
 	for _, name := range x.names {
 		id := x.id
 		if name != x.self {
 			m, known := x.hails[name]
-			if !known || !m.Fresh {
+			if !known || !m.Unassigned {
 				return 0
 			}
 			id = m.ID
@@ -644,9 +644,9 @@
 	return h.Sum64() | 1
 }
 
-func (x *Seat) allBound() bool {
+func (x *Replica) allBound() bool {
 	for _, name := range x.names {
-		if name != x.self && x.hails[name].Bound != x.bound {
+		if name != x.self && x.hails[name].BoundTo != x.bound {
 			return false
 		}
 	}
@@ -654,13 +654,13 @@
 }
 
 // establish starts from the same empty state on all seats.
-func (x *Seat) establish() {
+func (x *Replica) establish() {
 	x.seats[x.self] = incumbent{x.id, x.life}
 	voters := []uint64{x.id}
 	for _, name := range x.names {
 		if name != x.self {
 			h := x.hails[name]
-			x.seats[name] = incumbent{h.ID, h.Life}
+			x.seats[name] = incumbent{h.ID, h.Incarnation}
 			voters = append(voters, h.ID)
 		}
 	}
@@ -684,16 +684,16 @@
 	}
 }
 
-func (x *Seat) hailed(m *Message) {
+func (x *Replica) hailed(m *Message) {
 	if !slices.Contains(x.names, m.From) || m.From == x.self {
 		return
 	}
 	before, known := x.hails[m.From]
-	if known && m.Life < before.Life {
+	if known && m.Incarnation < before.Incarnation {
 		return // of an earlier life, late
 	}
 	x.hails[m.From] = *m
-	if m.Fresh && (x.founded || !known || before.ID != m.ID || before.Bound != m.Bound) {
+	if m.Unassigned && (x.founded || !known || before.ID != m.ID || before.BoundTo != m.BoundTo) {
 		x.hail(m.From)
 	}
 }
--- a/internal/fleet/fleetconfig/fleetconfig.go
+++ b/internal/fleet/fleetconfig/fleetconfig.go
@@ -120,7 +120,7 @@
 	}
 	f := &Fleet{Name: w.Fleet, Bind: w.Bind, Exposed: w.AnyAddress, WallAhead: int64(w.ClockAhead - w.ClockBehind),
 		Path: file.Path, Terms: membership.Config{Name: name, Address: w.Advertise, Zone: w.Zone, Seeds: w.Seeds,
-			Probe: probeUsual, Silence: silenceUsual, Settle: settleUsual, Forget: forgetUsual, MembersMost: membersUsual}}
+			ProbeInterval: probeUsual, LinkTimeout: silenceUsual, SuspicionTimeout: settleUsual, ForgetTimeout: forgetUsual, MaxMembers: membersUsual}}
 	c := &f.Terms
 	if c.Address == "" {
 		c.Address = w.Bind
@@ -128,13 +128,13 @@
 	for _, t := range []struct {
 		from *configfile.Time
 		to   *int64
-	}{{w.Probe, &c.Probe}, {w.Silence, &c.Silence}, {w.Settle, &c.Settle}, {w.Forget, &c.Forget}} {
+	}{{w.Probe, &c.ProbeInterval}, {w.Silence, &c.LinkTimeout}, {w.Settle, &c.SuspicionTimeout}, {w.Forget, &c.ForgetTimeout}} {
 		if t.from != nil {
 			*t.to = int64(*t.from)
 		}
 	}
 	if w.Members != nil {
-		c.MembersMost = *w.Members
+		c.MaxMembers = *w.Members
 	}
 	found := configfile.Problems{}
 	address := func(value string, path ...string) {
@@ -192,17 +192,17 @@
 		f.Configuration, wrong = configurationFrom(file, name, w.Configuration.Folder, w.Council != nil)
 		found = append(found, wrong...)
 	}
-	if c.Probe < probeLeast {
+	if c.ProbeInterval < probeLeast {
 		found = append(found, file.At([]string{"probe"}, "is shorter than 50 ms", "choose a longer one"))
 	}
-	if c.Silence < probesLeast*c.Probe {
+	if c.LinkTimeout < probesLeast*c.ProbeInterval {
 		found = append(found, file.At([]string{"silence"}, fmt.Sprintf("holds fewer than %d probes, so that some lost ones end a link",
 			probesLeast), "make it longer, or probe shorter"))
 	}
-	if c.Settle > c.Silence {
+	if c.SuspicionTimeout > c.LinkTimeout {
 		found = append(found, file.At([]string{"settle"}, "is longer than silence", "make it shorter: it bridges a change of links"))
 	}
-	if c.Forget < 2*c.Silence {
+	if c.ForgetTimeout < 2*c.LinkTimeout {
 		found = append(found, file.At([]string{"forget"}, "is shorter than two silences", "make it longer: the lost are looked for until then"))
 	}
 	if len(found) > 0 {
@@ -212,13 +212,15 @@
 }
 
 // Known is the time, in nanoseconds, by which a death is known to all where links are sound.
-func (f *Fleet) Known() int64 { return f.Terms.Silence + f.Terms.Settle + f.Terms.Probe }
+func (f *Fleet) Known() int64 {
+	return f.Terms.LinkTimeout + f.Terms.SuspicionTimeout + f.Terms.ProbeInterval
+}
 
 // Bounds says in words what the timing comes to: how long a pause is borne, and by when a death is known.
 func (f *Fleet) Bounds() string {
 	c := &f.Terms
 	text := fmt.Sprintf("a pause of up to %s is borne; a death is known to all within about %s; a member outside the view is looked for for %s",
-		span(c.Silence-c.Probe), span(f.Known()), span(c.Forget))
+		span(c.LinkTimeout-c.ProbeInterval), span(f.Known()), span(c.ForgetTimeout))
 	if f.Council != nil {
 		where := "in memory only"
 		if f.Council.Folder != "" {
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -21,7 +21,7 @@
 	f, err := Read(write(t, `{ fleet: 'x', bind: '127.0.0.1:7946', seeds: ['127.0.0.2:7946'], silence: '6 s', clock_behind: '10 s' }`), "n1")
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:7946", f.Terms.Address)
-	assert.Equal(t, []int64{6_000_000_000, probeUsual, settleUsual, -10_000_000_000}, []int64{f.Terms.Silence, f.Terms.Probe, f.Terms.Settle, f.WallAhead})
+	assert.Equal(t, []int64{6_000_000_000, probeUsual, settleUsual, -10_000_000_000}, []int64{f.Terms.LinkTimeout, f.Terms.ProbeInterval, f.Terms.SuspicionTimeout, f.WallAhead})
 	assert.Contains(t, f.Bounds(), "a pause of up to 5.5 s is borne")
 }
 
--- a/internal/fleet/membership/helpers_test.go
+++ b/internal/fleet/membership/helpers_test.go
@@ -7,11 +7,11 @@
 
 const s = 1_000 * ms
 
-var usual = Config{Name: "a", Address: "10.0.0.1:9", Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms, Forget: 60 * s, MembersMost: 1_000}
+var usual = Config{Name: "a", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60 * s, MaxMembers: 1_000}
 
 // record is what a member of a name tells of itself.
 func record(name string, inc uint64, links ...string) Record {
-	r := Record{Name: name, Address: "10.0.1." + name + ":9", Born: int64(inc), Inc: inc}
+	r := Record{Name: name, Address: "10.0.1." + name + ":9", StartedAt: int64(inc), Incarnation: inc}
 	for _, l := range links {
 		r.Links = append(r.Links, IDOf(l))
 	}
@@ -58,7 +58,7 @@
 func answer(m *Members) (inputs []Input) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			inputs = append(inputs, Input{Kind: Came, Message: &Message{Kind: Ack, From: m.members[l.member].id, Seq: l.seq, Digest: m.digest}})
+			inputs = append(inputs, Input{Kind: DatagramReceived, Message: &Message{Kind: MessageAck, From: m.members[l.member].id, Seq: l.seq, Digest: m.digest}})
 		}
 	}
 	return inputs
@@ -66,8 +66,8 @@
 
 func causes(effects []Effect) (list []string) {
 	for _, e := range effects {
-		if e.Kind == Changed {
-			list = append(list, e.Change.Who+" "+Causes[e.Change.Cause])
+		if e.Kind == ViewChanged {
+			list = append(list, e.Change.Who+" "+CauseNames[e.Change.Cause])
 		}
 	}
 	return list
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		m.oweNothing(int8(k))
-		*l = link{member: i, asked: m.t, proof: -m.config.Silence, heard: -m.config.Silence, healed: m.t, next: m.t}
+		*l = link{member: i, asked: m.t, proof: -m.config.LinkTimeout, heard: -m.config.LinkTimeout, healed: m.t, next: m.t}
 		m.members[i].link = int8(k)
 		m.oweTo(int8(k), 0)
 		return l
@@ -38,7 +38,7 @@
 func (m *Members) close(k int8) {
 	l := &m.links[k]
 	if l.up && !m.dirtySelf { // told together with others that end, and before its silence would have told it
-		m.dirtySelf, m.publishAt = true, max(m.publishAt, min(m.t+closedEvery, l.proof+m.config.Silence))
+		m.dirtySelf, m.publishAt = true, max(m.publishAt, min(m.t+closedEvery, l.proof+m.config.LinkTimeout))
 	}
 	m.members[l.member].link = -1
 	l.member, l.up, l.owing = -1, false, 0
@@ -77,7 +77,7 @@
 			for n := 1; n < len(order) && passed < passedMost; n++ {
 				i := order[((at+n*side)%len(order)+len(order))%len(order)]
 				l := m.want(i)
-				if l == nil || l.quiet(m.t) <= m.config.Silence/2 {
+				if l == nil || l.quiet(m.t) <= m.config.LinkTimeout/2 {
 					break
 				}
 				passed++
@@ -178,23 +178,23 @@
 			continue
 		}
 		quiet := l.quiet(m.t)
-		if l.up && m.t-l.proof > m.config.Silence {
+		if l.up && m.t-l.proof > m.config.LinkTimeout {
 			l.up, l.lost, m.dirtySelf, m.publishAt = false, true, true, min(m.publishAt, m.published+publishEvery)
 			m.members[l.member].word = m.members[0].id
 		}
-		if !l.wanted && m.t > l.linger && m.t-max(l.heard, l.asked) > m.config.Silence {
+		if !l.wanted && m.t > l.linger && m.t-max(l.heard, l.asked) > m.config.LinkTimeout {
 			m.close(int8(k))
 			continue
 		}
-		if doubt := quiet > m.config.Silence/2; doubt != l.doubt {
+		if doubt := quiet > m.config.LinkTimeout/2; doubt != l.doubt {
 			l.doubt = doubt
 			m.dirtyRings = true
 		}
 		if m.t < l.next || m.members[0].rec.Left {
 			continue
 		}
-		every := m.config.Probe
-		if quiet > m.config.Silence { // it is still asked now and then: a broken link may be mended
+		every := m.config.ProbeInterval
+		if quiet > m.config.LinkTimeout { // it is still asked now and then: a broken link may be mended
 			every *= 4
 		}
 		if l.seq == 0 {
@@ -203,12 +203,12 @@
 			l.probe = max(l.probe+every, m.t+every/2)
 		}
 		l.next = l.probe
-		if l.up && quiet < m.config.Silence/2 { // a lost one costs no more than this, up to the next that is due anyway
-			l.next = min(l.probe, m.t+max(m.config.Probe/retriesMost, 2*l.trip))
+		if l.up && quiet < m.config.LinkTimeout/2 { // a lost one costs no more than this, up to the next that is due anyway
+			l.next = min(l.probe, m.t+max(m.config.ProbeInterval/retriesMost, 2*l.trip))
 		}
 		l.seq = (l.seq + 1) &^ (1 << 31)
 		l.sent[l.seq%sentKept] = m.t
-		ping := Message{Kind: Ping, Seq: l.seq, Neighbour: l.wanted}
+		ping := Message{Kind: MessagePing, Seq: l.seq, Neighbour: l.wanted}
 		if !l.up { // it may not know this node
 			ping.Records = m.own()
 		}
@@ -311,7 +311,7 @@
 		if l.member < 0 || l.owing == 0 || m.t < l.newsAt {
 			continue
 		}
-		if l.quiet(m.t) > m.config.Silence { // it is healed once it is back
+		if l.quiet(m.t) > m.config.LinkTimeout { // it is healed once it is back
 			m.oweNothing(int8(k))
 			continue
 		}
@@ -324,7 +324,7 @@
 		if l.owing > recordsOnce {
 			l.newsAt = m.t + newsEvery/4
 		}
-		m.send(m.members[l.member].rec.Address, &Message{Kind: News, Records: records})
+		m.send(m.members[l.member].rec.Address, &Message{Kind: MessageGossip, Records: records})
 	}
 }
 
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -111,11 +111,11 @@
 // New starts a node. Wall is Unix time in nanoseconds, kept the incarnation of its last life where a disk kept it.
 func New(config Config, now, wall int64, kept uint64, seed int64) *Members {
 	m := &Members{config: config, chance: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, t: now, joinFor: joinEvery, follows: 1}
-	m.config.MembersMost = min(config.MembersMost, tableMost)
+	m.config.MaxMembers = min(config.MaxMembers, tableMost)
 	for k := range m.links {
 		m.links[k].member = -1
 	}
-	self := Record{Name: config.Name, Address: config.Address, Born: wall, Inc: max(uint64(max(wall, 1)), kept+1),
+	self := Record{Name: config.Name, Address: config.Address, StartedAt: wall, Incarnation: max(uint64(max(wall, 1)), kept+1),
 		Facts: Facts{Version: config.Version, Zone: config.Zone}}
 	m.add(&self)
 	m.members[0].in, m.members[0].was, m.inView, m.hash = true, true, 1, m.members[0].life()
@@ -139,14 +139,16 @@
 func (b *member) key(ring int) uint64 { return mix(uint64(b.id), uint64(ring)) }
 
 // life is a member's part in the hash of views.
-func (b *member) life() uint64 { return mix(uint64(b.id), uint64(b.rec.Born)) }
+func (b *member) life() uint64 { return mix(uint64(b.id), uint64(b.rec.StartedAt)) }
 
-func (b *member) hash() uint64 { return mix(mix(uint64(b.id), b.rec.Inc), uint64(b.rec.Ver)) }
+func (b *member) hash() uint64 {
+	return mix(mix(uint64(b.id), b.rec.Incarnation), uint64(b.rec.RecordVersion))
+}
 
 func (m *Members) do(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Members) remark(warn bool, form string, args ...any) {
-	m.do(Effect{Kind: Remark, Warn: warn, Text: fmt.Sprintf(form, args...)})
+	m.do(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(form, args...)})
 }
 
 func (m *Members) send(to string, msg *Message) {
@@ -170,7 +172,7 @@
 	}
 	m.Invariants.Check(now-m.slip >= m.t, "its own time only advances")
 	m.t = max(m.t, now-m.slip)
-	if stood > m.config.Silence/4 {
+	if stood > m.config.LinkTimeout/4 {
 		m.hurry()
 	}
 	for i := range inputs {
@@ -197,22 +199,22 @@
 
 func (m *Members) take(in *Input) {
 	switch in.Kind {
-	case Came:
+	case DatagramReceived:
 		if in.Message.From != m.members[0].id && m.t >= m.refused {
 			m.came(in.Message)
 		}
-	case Asked:
+	case ExchangeOpened:
 		m.asked(in.Link, in.Message)
-	case Answered:
+	case ExchangeAnswered:
 		if in.Link == m.healing {
 			m.healing = 0
 		}
 		m.answered(in.Message)
-	case Missed:
+	case ExchangeFailed:
 		if in.Link == m.healing {
 			m.healing = 0
 		}
-	case Told:
+	case FactsChanged:
 		if self := &m.members[0].rec; self.Facts != in.Facts {
 			self.Facts = in.Facts
 			self.Facts.Zone, self.Facts.Version = m.config.Zone, m.config.Version
@@ -234,7 +236,7 @@
 // renew gives this node's record another version and sends it round.
 func (m *Members) renew() {
 	m.digest ^= m.members[0].hash()
-	m.members[0].rec.Ver++
+	m.members[0].rec.RecordVersion++
 	m.digest ^= m.members[0].hash()
 	m.dirtyView = true
 	m.spread(0, -1)
@@ -250,12 +252,12 @@
 		m.learn(&msg.Records[k], from)
 	}
 	if i, known = m.byID[msg.From]; !known {
-		m.Counters.Strays++
+		m.Counters.UnmatchedMessages++
 		return
 	}
 	b := &m.members[i]
 	switch msg.Kind {
-	case Ping:
+	case MessagePing:
 		if msg.Neighbour && !m.members[0].rec.Left {
 			if b.link < 0 {
 				m.open(i)
@@ -264,8 +266,8 @@
 				m.links[b.link].heard = m.t
 			}
 		}
-		m.send(b.rec.Address, &Message{Kind: Ack, Seq: msg.Seq})
-	case Ack:
+		m.send(b.rec.Address, &Message{Kind: MessageAck, Seq: msg.Seq})
+	case MessageAck:
 		m.acked(i, msg.Seq)
 	}
 	if b := &m.members[i]; b.link >= 0 {
@@ -286,14 +288,14 @@
 			sent := l.sent[seq%sentKept]
 			l.proof = max(l.proof, sent)
 			if seq == l.seq { // an answer to an earlier one tells of a pause, and not of the way
-				if trip := min(m.t-sent, m.config.Probe); l.trip == 0 {
+				if trip := min(m.t-sent, m.config.ProbeInterval); l.trip == 0 {
 					l.trip = trip
 				} else {
 					l.trip += (trip - l.trip) / 8
 				}
 				l.next = l.probe
 			}
-			if !l.up && m.t-l.proof <= m.config.Silence {
+			if !l.up && m.t-l.proof <= m.config.LinkTimeout {
 				l.up, m.dirtySelf, m.publishAt = true, true, min(m.publishAt, m.published+publishEvery)
 				if l.lost || b.in && !b.reached {
 					l.lost, m.regained, m.publishAt = false, true, min(m.publishAt, m.published+regainsEvery)
@@ -305,7 +307,7 @@
 	for k := range m.knocks {
 		if m.knocks[k].id == b.id && m.knocks[k].seq == seq {
 			m.knocks[k].id = 0
-			b.hope = m.t + 2*m.config.Silence
+			b.hope = m.t + 2*m.config.LinkTimeout
 			m.dirtyRings = true
 			if m.healing == 0 {
 				m.ask(b.rec.Address)
@@ -313,7 +315,7 @@
 			return
 		}
 	}
-	m.Counters.Strays++
+	m.Counters.UnmatchedMessages++
 }
 
 // learn takes a record of a peer; from is the link that brought it, -1 for none.
@@ -344,21 +346,21 @@
 			return
 		}
 		m.relink(i, b.rec.Links, r.Links)
-		if b.rec.Born != r.Born && b.in {
-			b.grace = m.t + m.config.Silence + m.config.Settle
+		if b.rec.StartedAt != r.StartedAt && b.in {
+			b.grace = m.t + m.config.LinkTimeout + m.config.SuspicionTimeout
 			b.since = m.t
 			cause, changed = Replaced, true
 		} else if b.rec.Facts.NoUse != r.Facts.NoUse && b.in {
-			cause, changed = Useful, true
+			cause, changed = ExecutorRestored, true
 			if r.Facts.NoUse {
-				cause = Useless
+				cause = ExecutorLost
 			}
 		}
 		if b.counted {
 			m.digest ^= b.hash()
 		}
-		if !b.in && r.Inc > b.rec.Inc {
-			b.hope = m.t + m.config.Silence
+		if !b.in && r.Incarnation > b.rec.Incarnation {
+			b.hope = m.t + m.config.LinkTimeout
 		}
 		if b.in {
 			m.hash ^= b.life()
@@ -377,7 +379,7 @@
 	m.digest ^= b.hash()
 	m.dirtyView, m.dirtyRings = true, true
 	if changed {
-		m.changed(cause, b, r.Inc, b.rec.Name, 0)
+		m.changed(cause, b, r.Incarnation, b.rec.Name, 0)
 	}
 	m.spread(i, from)
 }
@@ -389,12 +391,12 @@
 	if !r.newer(self) {
 		return
 	}
-	if r.Address != self.Address && r.Born < self.Born && m.up() > 0 {
+	if r.Address != self.Address && r.StartedAt < self.StartedAt && m.up() > 0 {
 		m.keepAway(r.Address)
 		return
 	}
 	m.digest ^= m.members[0].hash()
-	self.Inc, self.Ver = r.Inc+1, 0
+	self.Incarnation, self.RecordVersion = r.Incarnation+1, 0
 	m.digest ^= m.members[0].hash()
 	m.dirtyView = true
 	m.spread(0, -1)
@@ -423,7 +425,7 @@
 
 // add keeps a member that was not known; -1 where the table is full of such as are in the view.
 func (m *Members) add(r *Record) int32 {
-	if len(m.byID) >= m.config.MembersMost && len(m.members) > 0 {
+	if len(m.byID) >= m.config.MaxMembers && len(m.members) > 0 {
 		oldest := int32(-1)
 		for i := range m.members {
 			if b := &m.members[i]; i > 0 && b.rec.Name != "" && !b.in && (oldest < 0 || b.out < m.members[oldest].out) {
@@ -447,7 +449,7 @@
 	}
 	m.near[i].left, m.followed[i], m.calm[i] = r.Left, 0, false
 	b := &m.members[i]
-	*b = member{rec: *r, id: IDOf(r.Name), link: -1, out: m.t, hope: m.t + m.config.Silence, since: m.t}
+	*b = member{rec: *r, id: IDOf(r.Name), link: -1, out: m.t, hope: m.t + m.config.LinkTimeout, since: m.t}
 	m.byID[b.id] = i
 	m.relink(i, nil, r.Links)
 	if i == 0 {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -16,7 +16,7 @@
 	m.learn(&r, -1)
 	assert.Empty(t, soon(m))
 	r = record("c", 101, "a", "b", "d")
-	r.Born = 100
+	r.StartedAt = 100
 	m.learn(&r, -1)
 	assert.Equal(t, []string{"d joined"}, soon(m))
 }
@@ -25,11 +25,11 @@
 	m := held("b", "c", "d")
 	for _, name := range []string{"b", "c"} { // they have no link to d any more; a has one of its own that is silent
 		r := record(name, 101, "a", "b", "c")
-		r.Born = 100
+		r.StartedAt = 100
 		m.learn(&r, -1)
 	}
 	m.links[m.members[m.byID[IDOf("d")]].link].proof = m.t - 4*s
-	assert.Empty(t, until(m, m.wake, m.wake+usual.Settle-50*ms, false))
+	assert.Empty(t, until(m, m.wake, m.wake+usual.SuspicionTimeout-50*ms, false))
 	assert.Equal(t, []string{"d lost"}, until(m, m.wake, m.wake+500*ms, false))
 }
 
@@ -42,7 +42,7 @@
 	assert.Equal(t, pauses+1, m.Counters.Pauses)
 	pings := 0
 	for _, e := range effects {
-		if e.Kind == Send && e.Message.Kind == Ping {
+		if e.Kind == Send && e.Message.Kind == MessagePing {
 			pings++
 		}
 	}
@@ -60,7 +60,7 @@
 	assert.False(t, v.Majority)
 	for _, seen := range v.Members[1:] {
 		assert.Equal(t, Suspect, seen.Status)
-		assert.Equal(t, None, seen.Reach)
+		assert.Equal(t, Unreachable, seen.Reach)
 	}
 	assert.Equal(t, []string{"a restored"}, until(m, m.wake, m.wake+5*s, true))
 }
@@ -68,11 +68,11 @@
 func TestLeaverIsNotSuspected(t *testing.T) {
 	m := held("b", "c")
 	r := record("c", 101, "a", "b")
-	r.Born, r.Left = 100, true
+	r.StartedAt, r.Left = 100, true
 	m.learn(&r, -1)
 	assert.Equal(t, []string{"c left"}, soon(m))
 	r = record("b", 101) // in beat 1, then silent
-	r.Born, r.Facts.Beat = 100, 1
+	r.StartedAt, r.Facts.Beat = 100, 1
 	m.learn(&r, -1)
 	assert.Equal(t, []string{"b left"}, soon(m))
 }
@@ -80,7 +80,7 @@
 func TestRestartUnderTheSameNameReplaces(t *testing.T) {
 	m := held("b", "c")
 	r := record("b", 200)
-	effects, _ := m.Step(m.wake, 100, []Input{{Kind: Came, Message: &Message{Kind: News, From: IDOf("c"), Records: []Record{r}}}})
+	effects, _ := m.Step(m.wake, 100, []Input{{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("c"), Records: []Record{r}}}})
 	assert.Equal(t, []string{"b replaced"}, causes(effects))
 	assert.Equal(t, 3, m.inView, "it has a silence's time to be reached")
 }
@@ -90,9 +90,9 @@
 	r := record("a", 500) // a clock that was ahead in the last life
 	r.Address = m.members[0].rec.Address
 	m.learn(&r, -1)
-	assert.Equal(t, uint64(501), m.Self().Inc)
+	assert.Equal(t, uint64(501), m.Self().Incarnation)
 	m.learn(&r, -1)
-	assert.Equal(t, uint64(501), m.Self().Inc)
+	assert.Equal(t, uint64(501), m.Self().Incarnation)
 }
 
 func TestOfTwoNodesOfOneNameTheLaterKeepsAway(t *testing.T) {
@@ -100,8 +100,8 @@
 	r := record("a", 300)
 	r.Address = "10.0.0.99:9"
 	earlier.learn(&r, -1) // of one that started later: outdone
-	assert.Equal(t, uint64(301), earlier.Self().Inc)
-	r.Born = 50
+	assert.Equal(t, uint64(301), earlier.Self().Incarnation)
+	r.StartedAt = 50
 	later.learn(&r, -1) // of one that started before it and still speaks
 	assert.Equal(t, 0, later.up())
 	assert.Equal(t, 1, later.Counters.Refused)
@@ -112,7 +112,7 @@
 	m := held("b", "c")
 	r := record("b", 300)
 	r.Address = "10.0.0.99:9"
-	asked := []Input{{Kind: Asked, Link: 7, Message: &Message{Kind: Ask, From: IDOf("b"), Records: []Record{r}}}}
+	asked := []Input{{Kind: ExchangeOpened, Link: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
 	effects, _ := m.Step(m.wake, 100, asked)
 	require.NotEmpty(t, effects)
 	replies := func(effects []Effect) (kinds []MessageKind) {
@@ -123,15 +123,15 @@
 		}
 		return kinds
 	}
-	assert.Equal(t, []MessageKind{Refuse}, replies(effects))
+	assert.Equal(t, []MessageKind{MessageReject}, replies(effects))
 	m.members[m.byID[IDOf("b")]].reached = false
 	effects, _ = m.Step(m.wake, 100, asked)
-	assert.Equal(t, []MessageKind{Answer}, replies(effects))
+	assert.Equal(t, []MessageKind{MessageSyncAnswer}, replies(effects))
 }
 
 func TestTableIsBounded(t *testing.T) {
 	c := usual
-	c.MembersMost = 10
+	c.MaxMembers = 10
 	m := New(c, s, 100, 0, 1)
 	for i := range 100 {
 		r := record(fmt.Sprint(i), 100)
@@ -153,7 +153,7 @@
 	for i := range linksMost + 1 {
 		long.Links = append(long.Links, ID(i))
 	}
-	for _, r := range []Record{{}, {Name: "x"}, {Name: string(make([]byte, 65)), Address: "y"}, long, {Name: "x", Address: "y", Inc: 1 << 63}} {
+	for _, r := range []Record{{}, {Name: "x"}, {Name: string(make([]byte, 65)), Address: "y"}, long, {Name: "x", Address: "y", Incarnation: 1 << 63}} {
 		m.learn(&r, -1)
 	}
 	assert.Equal(t, 5, m.Counters.Unusable)
@@ -167,7 +167,7 @@
 		m.acked(m.byID[IDOf("b")], seq)
 	}
 	assert.Equal(t, m.t-2*s, l.proof)
-	assert.Equal(t, 3, m.Counters.Strays)
+	assert.Equal(t, 3, m.Counters.UnmatchedMessages)
 }
 
 func TestWhatIsLearntDoesNotDependOnItsOrder(t *testing.T) {
@@ -175,7 +175,7 @@
 		var all []Record
 		for range rapid.IntRange(1, 20).Draw(t, "records") {
 			r := record(rapid.SampledFrom([]string{"b", "c", "d"}).Draw(t, "name"), uint64(rapid.IntRange(1, 4).Draw(t, "inc")))
-			r.Ver = uint32(rapid.IntRange(0, 3).Draw(t, "ver"))
+			r.RecordVersion = uint32(rapid.IntRange(0, 3).Draw(t, "ver"))
 			all = append(all, r)
 		}
 		first, second := New(usual, s, 100, 0, 1), New(usual, s, 100, 0, 1)
@@ -188,7 +188,7 @@
 		}
 		require.Equal(t, first.digest, second.digest)
 		for id, i := range first.byID {
-			require.Equal(t, first.members[i].rec.Ver, second.members[second.byID[id]].rec.Ver)
+			require.Equal(t, first.members[i].rec.RecordVersion, second.members[second.byID[id]].rec.RecordVersion)
 		}
 	})
 }
@@ -227,19 +227,19 @@
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	rapid.Check(t, func(t *rapid.T) {
 		c := usual
-		c.MembersMost = 5
+		c.MaxMembers = 5
 		m := New(c, s, 100, 0, 1)
 		now := s
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			r := record(rapid.SampledFrom(names[1:]).Draw(t, "name"), uint64(rapid.IntRange(1, 9).Draw(t, "inc")))
-			r.Ver, r.Left = uint32(rapid.IntRange(0, 9).Draw(t, "ver")), rapid.IntRange(0, 9).Draw(t, "left") == 0
+			r.RecordVersion, r.Left = uint32(rapid.IntRange(0, 9).Draw(t, "ver")), rapid.IntRange(0, 9).Draw(t, "left") == 0
 			for range rapid.IntRange(0, linksMost).Draw(t, "links") {
 				r.Links = append(r.Links, IDOf(rapid.SampledFrom(names).Draw(t, "link")))
 			}
 			if rapid.Bool().Draw(t, "sorted") {
 				slices.Sort(r.Links)
 			}
-			m.Step(now, 100, append(answer(m), Input{Kind: Came, Message: &Message{Kind: News, From: IDOf("b"), Records: []Record{r}}}))
+			m.Step(now, 100, append(answer(m), Input{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("b"), Records: []Record{r}}}))
 			now += rapid.Int64Range(1, 5*s).Draw(t, "later")
 			m.Step(now, 100, nil)
 			m.follow()
@@ -277,7 +277,7 @@
 		effects, _ := m.Step(now, now, nil)
 		var answers []Input
 		for _, e := range effects {
-			if e.Kind != Send || e.Message.Kind != Ping {
+			if e.Kind != Send || e.Message.Kind != MessagePing {
 				continue
 			}
 			to := m.byAddress(e.To)
@@ -288,7 +288,7 @@
 				at = append(at, (now-first)/ms)
 			}
 			if to != id || answered(e.Message.Seq) {
-				answers = append(answers, Input{Kind: Came, Message: &Message{Kind: Ack, From: to, Seq: e.Message.Seq, Digest: m.digest}})
+				answers = append(answers, Input{Kind: DatagramReceived, Message: &Message{Kind: MessageAck, From: to, Seq: e.Message.Seq, Digest: m.digest}})
 			}
 		}
 		m.Step(now, now, answers)
@@ -330,7 +330,7 @@
 func TestLinksThatAreBackAreToldOfBeforeTheLossIsBelieved(t *testing.T) {
 	m := held("b", "c", "d", "e", "f")
 	l := &m.links[m.members[m.byID[IDOf("b")]].link]
-	l.proof = m.t - usual.Silence - ms
+	l.proof = m.t - usual.LinkTimeout - ms
 	m.Step(m.wake, m.wake, nil)
 	until(m, m.wake, m.wake+250*ms, false)
 	require.NotContains(t, m.Self().Links, IDOf("b"))
@@ -338,7 +338,7 @@
 	m.Step(m.wake, m.wake, answer(m))
 	until(m, m.wake, told+regainsEvery+20*ms, false)
 	assert.Contains(t, m.Self().Links, IDOf("b"))
-	assert.Less(t, regainsEvery+newsEvery+followEvery, usual.Settle)
+	assert.Less(t, regainsEvery+newsEvery+followEvery, usual.SuspicionTimeout)
 }
 
 func TestTablesAreAskedForOnceNewsRest(t *testing.T) {
@@ -368,7 +368,7 @@
 		asked += differs(now)
 	}
 	assert.Equal(t, 1, asked, "once they rest it is asked for")
-	m.Step(now, now, []Input{{Kind: Missed, Link: m.healing}})
+	m.Step(now, now, []Input{{Kind: ExchangeFailed, Link: m.healing}})
 	asked = 0
 	for k := range 150 { // 15 s
 		now += 100 * ms
@@ -388,22 +388,22 @@
 			links = append(links, int8(k))
 		}
 	}
-	ver, closed, proof := m.Self().Ver, m.t, m.links[links[1]].proof
+	ver, closed, proof := m.Self().RecordVersion, m.t, m.links[links[1]].proof
 	m.close(links[0])
 	until(m, m.wake, closed+gainsEvery, true)
 	m.close(links[1])
 	for m.wake-m.slip < closed+closedEvery {
-		assert.Equal(t, ver, m.Self().Ver, "no version for each")
+		assert.Equal(t, ver, m.Self().RecordVersion, "no version for each")
 		m.Step(m.wake, 100, nil)
 	}
 	for m.t < closed+closedEvery {
 		m.Step(m.wake, 100, nil)
 	}
-	assert.Equal(t, ver+1, m.Self().Ver, "one for both")
-	assert.Less(t, closed+closedEvery, proof+usual.Silence, "before silence would have told it")
+	assert.Equal(t, ver+1, m.Self().RecordVersion, "one for both")
+	assert.Less(t, closed+closedEvery, proof+usual.LinkTimeout, "before silence would have told it")
 	m.close(links[2])
 	l := &m.links[links[3]]
-	l.proof = m.t - usual.Silence - 1
+	l.proof = m.t - usual.LinkTimeout - 1
 	m.keepLinks()
 	assert.LessOrEqual(t, m.publishAt, m.t+publishEvery, "a link that is lost is told at once, and those with it")
 }
--- a/internal/fleet/membership/neighbours_test.go
+++ b/internal/fleet/membership/neighbours_test.go
@@ -8,10 +8,10 @@
 
 func TestMembersOfOneZoneAndThoseWithoutOne(t *testing.T) {
 	for zone, want := range map[string][]string{"": {"c"}, "a": {"b"}} {
-		m := New(Config{Name: "n", Address: "10.0.0.1:9", Zone: zone, Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms, Forget: 60_000 * ms,
-			MembersMost: 9}, 0, 1, 0, 1)
-		for _, r := range []Record{{Name: "b", Address: "10.0.0.2:9", Born: 1, Inc: 1, Facts: Facts{Zone: "a"}}, {Name: "c", Address: "10.0.0.3:9", Born: 1, Inc: 1},
-			{Name: "d", Address: "10.0.0.4:9", Born: 1, Inc: 1, Facts: Facts{Zone: "z"}}, {Name: "lost", Address: "10.0.0.5:9", Born: 1, Inc: 1}} {
+		m := New(Config{Name: "n", Address: "10.0.0.1:9", Zone: zone, ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60_000 * ms,
+			MaxMembers: 9}, 0, 1, 0, 1)
+		for _, r := range []Record{{Name: "b", Address: "10.0.0.2:9", StartedAt: 1, Incarnation: 1, Facts: Facts{Zone: "a"}}, {Name: "c", Address: "10.0.0.3:9", StartedAt: 1, Incarnation: 1},
+			{Name: "d", Address: "10.0.0.4:9", StartedAt: 1, Incarnation: 1, Facts: Facts{Zone: "z"}}, {Name: "lost", Address: "10.0.0.5:9", StartedAt: 1, Incarnation: 1}} {
 			i := m.add(&r)
 			m.members[i].in = r.Name != "lost"
 		}
--- a/internal/fleet/membership/types.go
+++ b/internal/fleet/membership/types.go
@@ -57,11 +57,11 @@
 type Config struct {
 	Name, Address, Zone, Version string
 	Seeds                        []string
-	Probe                        int64 // between pings on a link
-	Silence                      int64 // without an answer past which a link is lost
-	Settle                       int64 // that a loss must last before the view follows
-	Forget                       int64 // after which a lost member is no longer knocked at
-	MembersMost                  int
+	ProbeInterval                int64 // between pings on a link
+	LinkTimeout                  int64 // without an answer past which a link is lost
+	SuspicionTimeout             int64 // that a loss must last before the view follows
+	ForgetTimeout                int64 // after which a lost member is no longer knocked at
+	MaxMembers                   int
 }
 
 // Facts are small things that a member tells of itself; the newest win.
@@ -75,34 +75,34 @@
 
 // Record is what a member says of itself. It alone writes it; of two the one with the higher Inc, then Ver counts.
 type Record struct {
-	Name    string `cbor:"1,keyasint"`
-	Address string `cbor:"2,keyasint"`
-	Born    int64  `cbor:"3,keyasint"`           // Unix ns of the start of this life
-	Inc     uint64 `cbor:"4,keyasint"`           // incarnation: Born, or one past any that is told of this name
-	Ver     uint32 `cbor:"5,keyasint,omitempty"` // of the record within the incarnation
-	Left    bool   `cbor:"6,keyasint,omitempty"`
-	Links   []ID   `cbor:"7,keyasint,omitempty"` // that it has round trips with, ascending
-	Facts   Facts  `cbor:"8,keyasint,omitempty"`
+	Name          string `cbor:"1,keyasint"`
+	Address       string `cbor:"2,keyasint"`
+	StartedAt     int64  `cbor:"3,keyasint"`           // Unix ns of the start of this life
+	Incarnation   uint64 `cbor:"4,keyasint"`           // incarnation: Born, or one past any that is told of this name
+	RecordVersion uint32 `cbor:"5,keyasint,omitempty"` // of the record within the incarnation
+	Left          bool   `cbor:"6,keyasint,omitempty"`
+	Links         []ID   `cbor:"7,keyasint,omitempty"` // that it has round trips with, ascending
+	Facts         Facts  `cbor:"8,keyasint,omitempty"`
 }
 
 func (r *Record) newer(than *Record) bool {
-	return r.Inc > than.Inc || r.Inc == than.Inc && r.Ver > than.Ver
+	return r.Incarnation > than.Incarnation || r.Incarnation == than.Incarnation && r.RecordVersion > than.RecordVersion
 }
 
 // usable says whether a record of a peer can be kept.
 func (r *Record) usable() bool {
 	return r.Name != "" && len(r.Name) <= nameMost && r.Address != "" && len(r.Address) <= addressMost &&
-		len(r.Links) <= linksMost && len(r.Facts.Version) <= factMost && len(r.Facts.Zone) <= factMost && r.Inc < math.MaxUint64/2
+		len(r.Links) <= linksMost && len(r.Facts.Version) <= factMost && len(r.Facts.Zone) <= factMost && r.Incarnation < math.MaxUint64/2
 }
 
 // size is about the bytes of a record in a message.
 func (r *Record) size() int { return 48 + len(r.Name) + len(r.Address) + 9*len(r.Links) }
 
-// Head names a record without its content.
-type Head struct {
-	ID  ID     `cbor:"1,keyasint"`
-	Inc uint64 `cbor:"2,keyasint"`
-	Ver uint32 `cbor:"3,keyasint,omitempty"`
+// RecordSummary names a record without its content.
+type RecordSummary struct {
+	ID            ID     `cbor:"1,keyasint"`
+	Incarnation   uint64 `cbor:"2,keyasint"`
+	RecordVersion uint32 `cbor:"3,keyasint,omitempty"`
 }
 
 // MessageKind names what a message is for.
@@ -110,14 +110,14 @@
 
 // The messages. Ping, Ack and News are datagrams, the others are for exchanges.
 const (
-	Ping   MessageKind = iota + 1 // asks for an Ack
-	Ack                           // proves that both directions of a link work
-	News                          // brings records
-	Ask                           // all heads of the sender, with its record: what is newer, what is wanted?
-	Answer                        // records that are newer than the heads, and ids that are wanted
-	Push                          // records that were wanted; answered by an Answer without content
-	Refuse                        // of an Ask: the name is held by another, or the table is full
-	Look                          // asks for the view; answered by a View in the place of a message
+	MessagePing        MessageKind = iota + 1 // asks for an Ack
+	MessageAck                                // proves that both directions of a link work
+	MessageGossip                             // brings records
+	MessageSyncRequest                        // all heads of the sender, with its record: what is newer, what is wanted?
+	MessageSyncAnswer                         // records that are newer than the heads, and ids that are wanted
+	MessageSyncPush                           // records that were wanted; answered by an Answer without content
+	MessageReject                             // of an Ask: the name is held by another, or the table is full
+	MessageViewRequest                        // asks for the view; answered by a View in the place of a message
 )
 
 // LookClaims in the Why of a Look asks for the claims instead of the view.
@@ -125,15 +125,15 @@
 
 // Message is what members tell each other.
 type Message struct {
-	Kind      MessageKind `cbor:"1,keyasint"`
-	From      ID          `cbor:"2,keyasint,omitempty"`
-	Seq       uint32      `cbor:"3,keyasint,omitempty"`
-	Digest    uint64      `cbor:"4,keyasint,omitempty"` // of the sender's table
-	Neighbour bool        `cbor:"5,keyasint,omitempty"` // the sender watches the receiver
-	Records   []Record    `cbor:"6,keyasint,omitempty"`
-	Heads     []Head      `cbor:"7,keyasint,omitempty"`
-	Wanted    []ID        `cbor:"8,keyasint,omitempty"`
-	Why       string      `cbor:"9,keyasint,omitempty"` // Refuse
+	Kind      MessageKind     `cbor:"1,keyasint"`
+	From      ID              `cbor:"2,keyasint,omitempty"`
+	Seq       uint32          `cbor:"3,keyasint,omitempty"`
+	Digest    uint64          `cbor:"4,keyasint,omitempty"` // of the sender's table
+	Neighbour bool            `cbor:"5,keyasint,omitempty"` // the sender watches the receiver
+	Records   []Record        `cbor:"6,keyasint,omitempty"`
+	Heads     []RecordSummary `cbor:"7,keyasint,omitempty"`
+	Wanted    []ID            `cbor:"8,keyasint,omitempty"`
+	Why       string          `cbor:"9,keyasint,omitempty"` // Refuse
 }
 
 // InputKind names what happened.
@@ -141,12 +141,12 @@
 
 // The inputs.
 const (
-	Came     InputKind = iota // a datagram
-	Asked                     // the message of an exchange that a peer opened on Link
-	Answered                  // the answer to an exchange of ours
-	Missed                    // an exchange of ours came to nothing
-	Told                      // the node's own facts changed
-	Leaving                   // the node begins to drain
+	DatagramReceived InputKind = iota // a datagram
+	ExchangeOpened                    // the message of an exchange that a peer opened on Link
+	ExchangeAnswered                  // the answer to an exchange of ours
+	ExchangeFailed                    // an exchange of ours came to nothing
+	FactsChanged                      // the node's own facts changed
+	Leaving                           // the node begins to drain
 )
 
 // Input is one thing that happened.
@@ -162,11 +162,11 @@
 
 // The effects.
 const (
-	Send     EffectKind = iota // a datagram
-	Exchange                   // open Link to To, write Message, wait for the answer
-	Reply                      // answer the exchange on Link
-	Changed                    // the view changed
-	Remark                     // tell operators
+	Send        EffectKind = iota // a datagram
+	Exchange                      // open Link to To, write Message, wait for the answer
+	Reply                         // answer the exchange on Link
+	ViewChanged                   // the view changed
+	WriteLog                      // tell operators
 )
 
 // Effect is one thing to do. Messages and their slices are valid until the next step.
@@ -191,21 +191,21 @@
 	Left
 )
 
-// Statuses name them.
-var Statuses = [...]string{"alive", "suspect", "dead", "left"}
+// StatusNames name them.
+var StatusNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // Reach is how this node gets to a member.
 type Reach uint8
 
 // The ways.
 const (
-	Direct  Reach = iota // it answers this node
-	Through              // others reach it, and this node them
-	None
+	Direct   Reach = iota // it answers this node
+	Indirect              // others reach it, and this node them
+	Unreachable
 )
 
-// Reaches name them.
-var Reaches = [...]string{"direct", "through others", "none"}
+// ReachNames name them.
+var ReachNames = [...]string{"direct", "through others", "none"}
 
 // Cause is why a view changed.
 type Cause uint8
@@ -216,58 +216,58 @@
 	Returned       // after a loss, in the same life or another
 	Replaced       // another life under the name, with no loss seen between
 	Lost
-	Departed // in a drain
-	Useless  // its executor is gone
-	Useful   // and back
-	CutOff   // this node has no link any more: it doubts itself and keeps its view
-	Restored // and has one again
+	Departed         // in a drain
+	ExecutorLost     // its executor is gone
+	ExecutorRestored // and back
+	Isolated         // this node has no link any more: it doubts itself and keeps its view
+	Reconnected      // and has one again
 )
 
-// Causes name them.
-var Causes = [...]string{"joined", "returned", "replaced", "lost", "left", "of no use", "of use again", "cut off", "restored"}
+// CauseNames name them.
+var CauseNames = [...]string{"joined", "returned", "replaced", "lost", "left", "of no use", "of use again", "cut off", "restored"}
 
 // Change is one change of the view.
 type Change struct {
-	Number uint64
-	Cause  Cause
-	Who    string
-	Inc    uint64
-	Word   string // whose link to it was the last to go, or whose record told
-	After  int64  // ns from the last path to it to the change
-	Size   int    // members of the view after it
-	Hash   uint64 // of the view after it, as View has it
+	Number      uint64
+	Cause       Cause
+	Who         string
+	Incarnation uint64
+	ReportedBy  string // whose link to it was the last to go, or whose record told
+	After       int64  // ns from the last path to it to the change
+	Size        int    // members of the view after it
+	Hash        uint64 // of the view after it, as View has it
 }
 
-// Seen is one member as the view has it.
-type Seen struct {
-	Name    string `json:"name" cbor:"1,keyasint"`
-	Address string `json:"address" cbor:"2,keyasint"`
-	Status  Status `json:"-" cbor:"3,keyasint,omitempty"`
-	Reach   Reach  `json:"-" cbor:"4,keyasint,omitempty"`
-	Inc     uint64 `json:"incarnation" cbor:"5,keyasint"`
-	Facts   Facts  `json:"facts" cbor:"6,keyasint"`
-	Links   int    `json:"links" cbor:"7,keyasint,omitempty"`
-	Since   int64  `json:"since_ns" cbor:"8,keyasint,omitempty"` // ns since its status is that
-	Born    int64  `json:"born" cbor:"9,keyasint,omitempty"`     // Unix ns of the start of its life
+// MemberStatus is one member as the view has it.
+type MemberStatus struct {
+	Name        string `json:"name" cbor:"1,keyasint"`
+	Address     string `json:"address" cbor:"2,keyasint"`
+	Status      Status `json:"-" cbor:"3,keyasint,omitempty"`
+	Reach       Reach  `json:"-" cbor:"4,keyasint,omitempty"`
+	Incarnation uint64 `json:"incarnation" cbor:"5,keyasint"`
+	Facts       Facts  `json:"facts" cbor:"6,keyasint"`
+	Links       int    `json:"links" cbor:"7,keyasint,omitempty"`
+	Since       int64  `json:"since_ns" cbor:"8,keyasint,omitempty"` // ns since its status is that
+	StartedAt   int64  `json:"born" cbor:"9,keyasint,omitempty"`     // Unix ns of the start of its life
 }
 
 // View is who is there. Self is always in it.
 type View struct {
-	Number   uint64 `cbor:"1,keyasint"`
-	Hash     uint64 `cbor:"2,keyasint"` // of names and lives, equal where views are
-	Alone    bool   `cbor:"3,keyasint,omitempty"`
-	Majority bool   `cbor:"4,keyasint,omitempty"` // it holds more than half of all members that are known
-	Members  []Seen `cbor:"5,keyasint"`           // by name; the lost that are not forgotten too
+	Number   uint64         `cbor:"1,keyasint"`
+	Hash     uint64         `cbor:"2,keyasint"` // of names and lives, equal where views are
+	Alone    bool           `cbor:"3,keyasint,omitempty"`
+	Majority bool           `cbor:"4,keyasint,omitempty"` // it holds more than half of all members that are known
+	Members  []MemberStatus `cbor:"5,keyasint"`           // by name; the lost that are not forgotten too
 }
 
 // Counters are what an operator may want to see.
 type Counters struct {
-	Sent      int `json:"sent"` // datagrams
-	Bytes     int `json:"-"`
-	Exchanges int `json:"exchanges"`
-	Strays    int `json:"strays"`   // messages of nobody that is known, answers to nothing
-	Unusable  int `json:"unusable"` // records that can't be kept
-	Refused   int `json:"refused"`
-	Pauses    int `json:"pauses"` // of this process
-	Views     int `json:"views"`
+	Sent              int `json:"sent"` // datagrams
+	Bytes             int `json:"-"`
+	Exchanges         int `json:"exchanges"`
+	UnmatchedMessages int `json:"strays"`   // messages of nobody that is known, answers to nothing
+	Unusable          int `json:"unusable"` // records that can't be kept
+	Refused           int `json:"refused"`
+	Pauses            int `json:"pauses"` // of this process
+	Views             int `json:"views"`
 }
