--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -133,7 +133,7 @@
 	}
 	if alone != m.alone {
 		m.alone = alone
-		m.changed(map[bool]Cause{true: CutOff, false: Restored}[alone], &m.members[0], m.members[0].rec.Inc, m.config.Name, 0)
+		m.changed(map[bool]Cause{true: Isolated, false: Reconnected}[alone], &m.members[0], m.members[0].rec.Incarnation, m.config.Name, 0)
 	}
 	m.viewAt = m.t + viewEvery
 	for i := 1; i < len(m.members); i++ {
@@ -153,13 +153,13 @@
 			m.status(b, Suspect)
 		case b.in && !b.reached && b.rec.Facts.Beat > 0:
 			m.leave(b, Departed)
-		case b.in && !b.reached && m.t >= max(b.lost+m.config.Settle, b.grace):
+		case b.in && !b.reached && m.t >= max(b.lost+m.config.SuspicionTimeout, b.grace):
 			b.falls = min(b.falls+1, fallsMost)
 			b.fell = m.t
 			m.leave(b, Lost)
 		case b.in && !b.reached:
 			m.status(b, Suspect)
-			m.viewAt = min(m.viewAt, max(b.lost+m.config.Settle, b.grace))
+			m.viewAt = min(m.viewAt, max(b.lost+m.config.SuspicionTimeout, b.grace))
 		case b.in:
 			if b.falls > 0 && m.t-b.fell > pardon {
 				b.falls = 0
@@ -173,7 +173,7 @@
 		case b.counted && m.t-b.out > coldAfter:
 			m.digest ^= b.hash()
 			b.counted = false
-		case m.t-b.out > m.config.Forget:
+		case m.t-b.out > m.config.ForgetTimeout:
 			m.forget(int32(i))
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 	b.status, b.since = Alive, m.t
 	m.dirtyRings = true
-	m.changed(cause, b, b.rec.Inc, "", 0)
+	m.changed(cause, b, b.rec.Incarnation, "", 0)
 }
 
 func (m *Members) leave(b *member, cause Cause) {
@@ -218,7 +218,7 @@
 	m.status(b, map[bool]Status{true: Left, false: Dead}[cause == Departed])
 	after := int64(0)
 	if b.lost > 0 {
-		after = m.t - b.lost + m.config.Silence
+		after = m.t - b.lost + m.config.LinkTimeout
 	}
 	word := b.rec.Name
 	if cause == Lost {
@@ -228,7 +228,7 @@
 		}
 	}
 	m.dirtyRings = true
-	m.changed(cause, b, b.rec.Inc, word, after)
+	m.changed(cause, b, b.rec.Incarnation, word, after)
 }
 
 func (m *Members) changed(cause Cause, b *member, inc uint64, word string, after int64) {
@@ -237,7 +237,7 @@
 	if invariant.Debug {
 		m.Invariants.Check(m.hash == m.View().Hash, "the hash is that of the view")
 	}
-	m.do(Effect{Kind: Changed, Change: Change{Number: m.number, Cause: cause, Who: b.rec.Name, Inc: inc, Word: word,
+	m.do(Effect{Kind: ViewChanged, Change: Change{Number: m.number, Cause: cause, Who: b.rec.Name, Incarnation: inc, ReportedBy: word,
 		After: after, Size: m.inView, Hash: m.hash}})
 }
 
@@ -313,7 +313,7 @@
 		}
 		m.knockSeq = (m.knockSeq + 1) | 1<<31
 		m.knocks[m.knockSeq%knocksMost].id, m.knocks[m.knockSeq%knocksMost].seq = b.id, m.knockSeq
-		m.send(b.rec.Address, &Message{Kind: Ping, Seq: m.knockSeq, Records: m.own()})
+		m.send(b.rec.Address, &Message{Kind: MessagePing, Seq: m.knockSeq, Records: m.own()})
 		return
 	}
 }
@@ -323,24 +323,24 @@
 	m.lastLink++
 	m.healing, m.healAt = m.lastLink, m.t
 	m.Counters.Exchanges++
-	heads := make([]Head, 0, len(m.byID))
+	heads := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
 		if b := &m.members[i]; b.counted {
-			heads = append(heads, Head{b.id, b.rec.Inc, b.rec.Ver})
+			heads = append(heads, RecordSummary{b.id, b.rec.Incarnation, b.rec.RecordVersion})
 		}
 	}
-	m.do(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: Ask, From: m.members[0].id,
+	m.do(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
 		Records: m.own(), Heads: heads}})
 }
 
 func (m *Members) asked(link int, msg *Message) {
-	answer := Message{Kind: Answer, From: m.members[0].id}
+	answer := Message{Kind: MessageSyncAnswer, From: m.members[0].id}
 	switch msg.Kind {
-	case Ask:
+	case MessageSyncRequest:
 		if why := m.unwelcome(msg); why != "" {
 			m.Counters.Refused++
 			m.remark(true, "%s", why)
-			m.do(Effect{Kind: Reply, Link: link, Message: Message{Kind: Refuse, From: m.members[0].id, Why: why}})
+			m.do(Effect{Kind: Reply, Link: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Why: why}})
 			return
 		}
 		m.stamp++
@@ -352,7 +352,7 @@
 			}
 			r := &m.members[i].rec
 			m.mark[i] = m.stamp
-			if theirs := (Record{Inc: h.Inc, Ver: h.Ver}); theirs.newer(r) {
+			if theirs := (Record{Incarnation: h.Incarnation, RecordVersion: h.RecordVersion}); theirs.newer(r) {
 				answer.Wanted = append(answer.Wanted, h.ID)
 			} else if r.newer(&theirs) {
 				answer.Records = append(answer.Records, *r)
@@ -366,7 +366,7 @@
 		for k := range msg.Records {
 			m.learn(&msg.Records[k], -1)
 		}
-	case Push:
+	case MessageSyncPush:
 		for k := range msg.Records {
 			m.learn(&msg.Records[k], -1)
 		}
@@ -385,7 +385,7 @@
 		return ""
 	}
 	held := &m.members[i]
-	if held.rec.Address == r.Address || !held.in || held.rec.Left || !held.reached && i != 0 || r.Born < held.rec.Born {
+	if held.rec.Address == r.Address || !held.in || held.rec.Left || !held.reached && i != 0 || r.StartedAt < held.rec.StartedAt {
 		return ""
 	}
 	return "the name " + r.Name + " is held by a node at " + held.rec.Address + ", so the one at " + r.Address + " is refused"
@@ -393,14 +393,14 @@
 
 func (m *Members) answered(msg *Message) {
 	switch msg.Kind {
-	case Refuse:
+	case MessageReject:
 		m.Counters.Refused++
 		m.remark(true, "refused: %s", msg.Why)
 		m.joinFor = joinMost
 		return
-	case Answer:
+	case MessageSyncAnswer:
 	default:
-		m.Counters.Strays++
+		m.Counters.UnmatchedMessages++
 		return
 	}
 	for k := range msg.Records {
@@ -409,7 +409,7 @@
 	if len(msg.Wanted) == 0 {
 		return
 	}
-	push := Message{Kind: Push, From: m.members[0].id}
+	push := Message{Kind: MessageSyncPush, From: m.members[0].id}
 	for _, id := range msg.Wanted {
 		if i, known := m.byID[id]; known && m.members[i].counted {
 			push.Records = append(push.Records, m.members[i].rec)
@@ -444,7 +444,7 @@
 		}
 		at = min(at, l.next)
 		if l.up {
-			at = min(at, l.proof+m.config.Silence+1)
+			at = min(at, l.proof+m.config.LinkTimeout+1)
 		}
 		if l.owing > 0 {
 			at = min(at, l.newsAt)
@@ -465,8 +465,8 @@
 		if b.rec.Name == "" || !b.was {
 			continue
 		}
-		s := Seen{Name: b.rec.Name, Address: b.rec.Address, Status: b.status, Reach: m.reach(int32(i)), Inc: b.rec.Inc,
-			Facts: b.rec.Facts, Links: len(b.rec.Links), Since: m.t - b.since, Born: b.rec.Born}
+		s := MemberStatus{Name: b.rec.Name, Address: b.rec.Address, Status: b.status, Reach: m.reach(int32(i)), Incarnation: b.rec.Incarnation,
+			Facts: b.rec.Facts, Links: len(b.rec.Links), Since: m.t - b.since, StartedAt: b.rec.StartedAt}
 		v.Members = append(v.Members, s)
 		if b.in {
 			v.Hash ^= b.life()
@@ -476,7 +476,7 @@
 		}
 	}
 	v.Majority = !m.alone && 2*m.inView > known
-	slices.SortFunc(v.Members, func(a, b Seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.Members, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return v
 }
 
@@ -486,9 +486,9 @@
 	case i == 0 || b.link >= 0 && m.links[b.link].up:
 		return Direct
 	case b.in && b.reached && !m.alone:
-		return Through
+		return Indirect
 	}
-	return None
+	return Unreachable
 }
 
 // Hash tells views apart without making one: of names and lives.
--- a/internal/node/amend.go
+++ b/internal/node/amend.go
@@ -65,8 +65,8 @@
 	numbers bool              // results are kept by the numbers of operations and tenants, beyond this life
 }
 
-// Version is the last version of the configuration that is in force as a whole, 0 before the first.
-func (r *Reducer) Version() uint64 { return r.amended.number }
+// ActiveVersion is the last version of the configuration that is in force as a whole, 0 before the first.
+func (r *StateMachine) ActiveVersion() uint64 { return r.amended.number }
 
 // termsOf are an operation's terms. A token is known for longer than its window, by the client timeout: a repeat that came
 // within the window may lie unread past its end, and until its caller has gone it could be run again. Stamps are whole
@@ -77,7 +77,7 @@
 }
 
 // termsNow are the terms that an operation's next invocation is taken under.
-func (r *Reducer) termsNow(op int32) *terms {
+func (r *StateMachine) termsNow(op int32) *terms {
 	a := &r.amended
 	a.terms = append(a.terms, make([][]*terms, max(0, int(op)+1-len(a.terms)))...)
 	if list := a.terms[op]; len(list) > 0 {
@@ -89,7 +89,7 @@
 }
 
 // knownMost is how long a token may be known by any terms that something in hand was taken under, and by those of now.
-func (r *Reducer) knownMost(op int32) int64 {
+func (r *StateMachine) knownMost(op int32) int64 {
 	known := r.termsNow(op).known
 	for _, t := range r.amended.terms[op] {
 		if t.inHand > 0 {
@@ -125,12 +125,12 @@
 }
 
 // retired says whether an invocation is of an operation or a tenant that is out of service, and repeats none that is known.
-func (r *Reducer) retired(e *admission.Event) bool {
+func (r *StateMachine) retired(e *admission.Event) bool {
 	return e.Original == admission.NoOriginal && (r.config.Operations.Retired(e.OperationIndex) || e.Tenant >= 0 && r.config.Tenants.Retired(e.Tenant))
 }
 
 // amend takes in a version: it is checked and taken once those before it are.
-func (r *Reducer) amend(in *Input) {
+func (r *StateMachine) amend(in *Input) {
 	a := &r.amended
 	last := a.number
 	if n := len(a.waiting); n > 0 {
@@ -146,13 +146,13 @@
 	}
 }
 
-func (r *Reducer) refuse(number uint64, err error) {
+func (r *StateMachine) refuse(number uint64, err error) {
 	r.Counters.VersionsRefused++
-	r.do(Effect{Kind: Amended, Version: number, Err: err})
+	r.do(Effect{Kind: VersionApplied, Version: number, Err: err})
 }
 
 // keepAmended takes what waits, a bounded part in each step, and forgets what nothing refers to any more.
-func (r *Reducer) keepAmended() {
+func (r *StateMachine) keepAmended() {
 	a := &r.amended
 	for left := amendedAStep; left > 0 && len(a.waiting) > 0; {
 		v := &a.waiting[0]
@@ -176,7 +176,7 @@
 		if len(v.changes) == 0 {
 			a.number = v.number
 			r.Counters.Versions++
-			r.do(Effect{Kind: Amended, Version: v.number, Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts[0], v.counts[1], v.counts[2])})
+			r.do(Effect{Kind: VersionApplied, Version: v.number, Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts[0], v.counts[1], v.counts[2])})
 			a.waiting = slices.Delete(a.waiting, 0, 1)
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 // fits says why a version can't be taken, once it has looked at the whole of it; nothing is changed.
-func (r *Reducer) fits(v *version) (whole bool, err error) {
+func (r *StateMachine) fits(v *version) (whole bool, err error) {
 	for end := v.looked + lookedAStep; v.looked < len(v.changes); v.looked++ {
 		if v.looked == end {
 			return false, nil
@@ -197,7 +197,7 @@
 }
 
 // misfits says which of some changes this node can't take, by what only its own files say.
-func (r *Reducer) misfits(changes []nodeconfig.Change) error {
+func (r *StateMachine) misfits(changes []nodeconfig.Change) error {
 	for i := range changes {
 		c := &changes[i]
 		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && r.to.Catalogue == "" && !r.hollow.on {
@@ -216,7 +216,7 @@
 }
 
 // change brings one change into force.
-func (r *Reducer) change(v *version, c nodeconfig.Change) {
+func (r *StateMachine) change(v *version, c nodeconfig.Change) {
 	a := &r.amended
 	if a.longest == 0 { // once in a node's life
 		for i := range r.config.Node.Operations {
@@ -250,7 +250,7 @@
 	if t.Added {
 		r.levels.place(t.Index, c.Name)
 	}
-	r.do(Effect{Kind: Slower, At: op.ClientTimeout})
+	r.do(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
 	if r.post != nil {
 		r.events = append(r.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: t.Index, Operation: &op, Services: r.levels.left(t.Index)})
 	}
@@ -265,7 +265,7 @@
 	return a.longest
 }
 
-func (r *Reducer) retire(part string, index int32) {
+func (r *StateMachine) retire(part string, index int32) {
 	a := &r.amended
 	if a.since == nil {
 		a.since = make(map[leaving]int64)
@@ -275,7 +275,7 @@
 }
 
 // inHand counts the invocations of an operation or a tenant.
-func (r *Reducer) inHand(part string, index int32) (n int) {
+func (r *StateMachine) inHand(part string, index int32) (n int) {
 	if part == nodeconfig.Tenants {
 		return r.amended.tenants[index]
 	}
@@ -288,7 +288,7 @@
 }
 
 // forgetRetired gives indices to whatever comes next, whose last invocation ended so long ago that nothing of it is left.
-func (r *Reducer) forgetRetired() {
+func (r *StateMachine) forgetRetired() {
 	a := &r.amended
 	for range min(forgottenOne, len(a.queue)) {
 		l := a.queue[0]
@@ -321,13 +321,13 @@
 }
 
 // amendedTo notes that all of a version is in force that was taken by change.
-func (r *Reducer) amendedTo(v *version) {
+func (r *StateMachine) amendedTo(v *version) {
 	r.amended.number = max(r.amended.number, v.number)
 	r.Counters.Versions++
 }
 
 // amendDue is when the next step is needed: at once while something waits; what is out of service waits for any step.
-func (r *Reducer) amendDue() int64 {
+func (r *StateMachine) amendDue() int64 {
 	if len(r.amended.waiting) > 0 {
 		return r.now + 1
 	}
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -27,18 +27,18 @@
 func versionOf(t require.TestingT, number uint64, items ...nodeconfig.Item) Input {
 	change, err := nodeconfig.Parse(items)
 	require.NoError(t, err)
-	return Input{Kind: Amend, Version: number, Change: change}
+	return Input{Kind: VersionReceived, Version: number, Change: change}
 }
 
 // amended brings items into force as the next version, and says why it can't.
-func amendedBy(t *testing.T, r *Reducer, items ...nodeconfig.Item) error {
-	got := kindsOf(step(r, versionOf(t, r.Version()+1, items...)), Amended)
+func amendedBy(t *testing.T, r *StateMachine, items ...nodeconfig.Item) error {
+	got := kindsOf(step(r, versionOf(t, r.ActiveVersion()+1, items...)), VersionApplied)
 	require.Len(t, got, 1)
 	return got[0].Err
 }
 
 // pass lets time pass in beats.
-func pass(r *Reducer, ns int64) {
+func pass(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
 		r.heardAt, r.conns[7].used = r.now, r.now // neither link is silent
@@ -47,17 +47,17 @@
 }
 
 // coming is an invocation that arrives now.
-func coming(r *Reducer, stream int, changed ...string) Input {
+func coming(r *StateMachine, stream int, changed ...string) Input {
 	return invoke(uint32(stream), append([]string{"call", id(stream), "recv", fmt.Sprint(1_000_000 + r.now/ms)}, changed...)...)
 }
 
 // holding is one of a token that arrives now.
-func holding(r *Reducer, stream int, token string) Input {
+func holding(r *StateMachine, stream int, token string) Input {
 	return coming(r, stream, "op", "hold", "dedupe", token)
 }
 
 // ran has the run of an invocation end well.
-func ran(r *Reducer, stream int) []Effect {
+func ran(r *StateMachine, stream int) []Effect {
 	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.notice+1, id(stream)))
 }
 
@@ -66,12 +66,12 @@
 	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, coming(r, 1, "op", "new"))))
 	require.NoError(t, amendedBy(t, r, operation("new", `,"class_calls":true`), tenant("x", 3), nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after",
 		Value: []byte("70")}))
-	assert.Equal(t, uint64(1), r.Version())
+	assert.Equal(t, uint64(1), r.ActiveVersion())
 	assert.Equal(t, 70*ms, r.config.Node.MaxRetryAfter)
 	assert.Equal(t, 1, runsOf(step(r, coming(r, 2, "op", "new", "org", "x"))))
 	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, coming(r, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, ran(r, 2)))
-	got := kindsOf(step(r, versionOf(t, 1, tenant("x", 4))), Amended)
+	got := kindsOf(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
 	assert.ErrorIs(t, got[0].Err, errVersion)
 	assert.Equal(t, []float64{3}, r.config.Node.TenantRates)
 }
@@ -81,7 +81,7 @@
 	before := r.config.Own()
 	assert.ErrorContains(t, amendedBy(t, r, tenant("x", 3), removed(nodeconfig.Operations, "catalogue"), removed(nodeconfig.Operations, "hold")), "none would be left")
 	assert.Equal(t, before, r.config.Own())
-	assert.Zero(t, r.Version())
+	assert.Zero(t, r.ActiveVersion())
 	assert.Equal(t, 1, r.Counters.VersionsRefused)
 	r.amended.numbers = true
 	assert.ErrorContains(t, amendedBy(t, r, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: results are kept in a folder")
@@ -161,8 +161,8 @@
 	kept := map[string]int64{}
 	for k, token := range []string{"a", "b"} {
 		effects := ran(r, k+1)
-		for _, e := range kindsOf(effects, Keep) {
-			kept[e.Kept.Key.Token] = e.Kept.Remaining
+		for _, e := range kindsOf(effects, WriteRecord) {
+			kept[e.Record.Key.Token] = e.Record.Remaining
 		}
 		written(r, effects)
 		_ = token
@@ -171,7 +171,7 @@
 	assert.Equal(t, 4_001*ms, kept["b"])
 	pass(r, 10_000*ms)
 	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, holding(r, 3, "a"))))
-	assert.Equal(t, 1, len(kindsOf(step(r, holding(r, 4, "b")), Keep)), "its window is over: it is begun anew")
+	assert.Equal(t, 1, len(kindsOf(step(r, holding(r, 4, "b")), WriteRecord)), "its window is over: it is begun anew")
 }
 
 func TestTenantThatComesBackSoonHasItsCountsAgain(t *testing.T) {
@@ -197,22 +197,22 @@
 	r := at(t, 1)
 	require.NoError(t, amendedBy(t, r, operation("new", ""), removed(nodeconfig.Operations, "catalogue")))
 	assert.Equal(t, "51 on 1", answers(t, step(r, coming(r, 1)))[0])
-	assert.Contains(t, text(step(r, coming(r, 2, "op", "new")), Tell), "EXEC "+id(2)+" new")
+	assert.Contains(t, text(step(r, coming(r, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
 	ran(r, 2)
 	pass(r, 10_000*ms)
 	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, amendedBy(t, r, operation("newer", "")))
-	assert.Contains(t, text(step(r, coming(r, 3, "op", "newer")), Tell), "EXEC "+id(3)+" newer", "not the form of the one before")
+	assert.Contains(t, text(step(r, coming(r, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "not the form of the one before")
 	ran(r, 3)
 	require.NoError(t, amendedBy(t, r, operation("catalogue", "")))
-	assert.Contains(t, text(step(r, coming(r, 4)), Tell), "EXEC "+id(4)+" catalogue-plain", "the plan speaks of it again")
+	assert.Contains(t, text(step(r, coming(r, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan speaks of it again")
 	plan := ladderOf(-1)
 	plan.Operations = []string{"gone", "newer"}
 	plan.Forms[0] = []string{"", "newer-plain"}
 	for k := range plan.Levels {
 		plan.Levels[k].Services[0], plan.Levels[k].Services[1] = plan.Levels[k].Services[1], plan.Levels[k].Services[0]
 	}
-	step(r, Input{Kind: Adopt, Plan: plan})
+	step(r, Input{Kind: PlanChanged, Plan: plan})
 	i, _ := r.config.Operations.Find("newer")
 	assert.Equal(t, admission.Reduced, r.levels.plan.Levels[0].Services[i].Form)
 	assert.Equal(t, "newer-plain", r.levels.plan.Forms[0][i])
@@ -238,12 +238,12 @@
 		}
 		assert.Equal(t, r.now+1, effects[len(effects)-1].At)
 	}
-	assert.Equal(t, uint64(2), r.Version())
+	assert.Equal(t, uint64(2), r.ActiveVersion())
 	in = []Input{versionOf(t, 3, items...)}
 	for k := range versionsWait {
 		in = append(in, versionOf(t, uint64(4+k), tenant("u", k)))
 	}
-	refused := kindsOf(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), Amended)
+	refused := kindsOf(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), VersionApplied)
 	require.Len(t, refused, 1, "those that wait are bounded")
 	assert.ErrorIs(t, refused[0].Err, errWaiting)
 }
@@ -285,9 +285,9 @@
 		p, err := nodeconfig.FromJSON(1, []byte(settings))
 		require.NoError(t, err)
 		want := p.Own()
-		r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-		step(r, Input{Kind: Opened, Link: 7})
-		step(r, Input{Kind: Joined, Link: r.dialing})
+		r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+		step(r, Input{Kind: ConnectionOpened, Link: 7})
+		step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 		told(r, "WELCOME old 0")
 		told(r, "METERS j1 0.1 1 0.1 3")
 		names := []string{"catalogue", "hold", "a", "b", "c", "d"}
@@ -309,16 +309,16 @@
 			require.NoError(t, err)
 			want.Take(&change.Changes[0])
 			r.heardAt = r.now
-			inputs := []Input{{Kind: Amend, Version: uint64(k + 1), Change: change}}
+			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
 			if r.conns[7] != nil && !r.conns[7].noMore && !r.conns[7].broken && r.conns[7].idle() {
 				stream++
 				asked++
 				inputs = append(inputs, coming(r, int(stream), "org", "a"))
 			}
 			r.now += 59 * ms
-			answered += len(kindsOf(step(r, inputs...), Send))
+			answered += len(kindsOf(step(r, inputs...), SendToConnection))
 			if i, v := r.lookup(id(int(stream))); i >= 0 && !v.answered {
-				answered += len(kindsOf(ran(r, int(stream)), Send))
+				answered += len(kindsOf(ran(r, int(stream)), SendToConnection))
 			}
 			if r.conns[7] != nil {
 				r.conns[7].faults = 0
@@ -326,7 +326,7 @@
 		}
 		assert.Greater(t, asked, 200)
 		assert.GreaterOrEqual(t, answered, asked)
-		assert.Equal(t, uint64(1_000), r.Version())
+		assert.Equal(t, uint64(1_000), r.ActiveVersion())
 		want.Node.Operations[0].SkippedCallWeightShare = 0
 		rest, starts := nodeconfig.Diff(want, r.config)
 		assert.Empty(t, rest)
@@ -348,7 +348,7 @@
 	refused = append(refused, operation("new", ""))
 	assert.Empty(t, step(r, versionOf(t, 1, refused...)))
 	assert.Empty(t, step(r))
-	got := kindsOf(step(r), Amended)
+	got := kindsOf(step(r), VersionApplied)
 	require.Len(t, got, 1)
 	assert.ErrorContains(t, got[0].Err, "operations.new")
 	assert.Equal(t, 1.0, r.config.Node.Operations[0].PriorityWeight)
--- a/internal/node/amendbench_test.go
+++ b/internal/node/amendbench_test.go
@@ -15,7 +15,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			r := New(p, Addresses{}, 5_000*ms, 4, 3)
+			r := NewStateMachine(p, Addresses{}, 5_000*ms, 4, 3)
 			var items []nodeconfig.Item
 			for k := range size[0] {
 				items = append(items, operation(fmt.Sprint("o", k), ""))
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -20,7 +20,7 @@
 }
 
 // call makes the call that a run stands at.
-func (r *Reducer) call(i int32, until int64) {
+func (r *StateMachine) call(i int32, until int64) {
 	v := &r.invs[i]
 	if !r.Invariants.Check(v.live && !v.calling && v.wanted != nil, "a call is made where a run stands at one") {
 		return
@@ -33,7 +33,7 @@
 
 // supplyWaiting gives calls a link each while there may be more links. The first call of a run takes the link that
 // stood idle for the shortest time; any later one a new link, on which no second copy of an earlier reply can come.
-func (r *Reducer) supplyWaiting() {
+func (r *StateMachine) supplyWaiting() {
 	for len(r.waiting) > 0 {
 		i := r.waiting[0]
 		best := -1
@@ -50,7 +50,7 @@
 		case len(r.supplies) < r.linkMost:
 			s := supply{link: r.newLink(), address: r.to.Catalogue, inv: i}
 			r.supplies = append(r.supplies, s)
-			r.do(Effect{Kind: Reach, Link: s.link, Address: s.address})
+			r.do(Effect{Kind: DialCatalogue, Link: s.link, Address: s.address})
 		case best >= 0:
 			r.leave(best)
 			continue
@@ -61,7 +61,7 @@
 	}
 }
 
-func (r *Reducer) fetch(s *supply) {
+func (r *StateMachine) fetch(s *supply) {
 	v := &r.invs[s.inv]
 	v.called = true
 	wait := strconv.FormatInt(max(1, (v.until-r.now)/ms), 10)
@@ -69,18 +69,18 @@
 	if r.leasing.holder != nil { // what is written late, after a pause, would be one call too many
 		by = v.until
 	}
-	r.do(Effect{Kind: Ask, Link: s.link, At: by, Bytes: lineprotocol.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
+	r.do(Effect{Kind: SendToCatalogue, Link: s.link, At: by, Bytes: lineprotocol.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
 }
 
 // leave closes a link, which gives up the call on it.
-func (r *Reducer) leave(k int) {
+func (r *StateMachine) leave(k int) {
 	r.linger(&r.supplies[k])
-	r.do(Effect{Kind: Quit, Link: r.supplies[k].link})
+	r.do(Effect{Kind: CloseCatalogue, Link: r.supplies[k].link})
 	r.supplies = slices.Delete(r.supplies, k, k+1)
 }
 
 // rest lets a link stand idle for a next call, or closes one that is not sound, known or wanted any more.
-func (r *Reducer) rest(k int) {
+func (r *StateMachine) rest(k int) {
 	s := &r.supplies[k]
 	idle := 0
 	for _, other := range r.supplies {
@@ -95,7 +95,7 @@
 }
 
 // quitCall gives up the call that an invocation has in hand, if any.
-func (r *Reducer) quitCall(i int32) {
+func (r *StateMachine) quitCall(i int32) {
 	if !r.invs[i].calling {
 		return
 	}
@@ -108,35 +108,35 @@
 }
 
 // supplying is the link that carries an invocation's call, or -1.
-func (r *Reducer) supplying(i int32) int {
+func (r *StateMachine) supplying(i int32) int {
 	return slices.IndexFunc(r.supplies, func(s supply) bool { return s.inv == i })
 }
 
 // callOver tells the module how a call ended that is on no link any more.
-func (r *Reducer) callOver(i int32, outcome admission.Outcome) {
+func (r *StateMachine) callOver(i int32, outcome admission.Outcome) {
 	r.invs[i].calling = false
 	r.events = append(r.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 }
 
-func (r *Reducer) fromCatalogue(in *Input) {
+func (r *StateMachine) fromCatalogue(in *Input) {
 	k := slices.IndexFunc(r.supplies, func(s supply) bool { return s.link == in.Link })
 	if k < 0 {
-		if in.Kind == Reached { // left while it was being opened
-			r.do(Effect{Kind: Quit, Link: in.Link})
+		if in.Kind == CatalogueConnected { // left while it was being opened
+			r.do(Effect{Kind: CloseCatalogue, Link: in.Link})
 		}
 		return
 	}
 	s := &r.supplies[k]
 	switch in.Kind {
-	case Reached:
+	case CatalogueConnected:
 		r.Counters.CatalogueLinks++
 		s.up, s.since = true, r.now
 		if s.inv >= 0 {
 			r.fetch(s)
 		}
-	case Unreached, Broke: // a call that was never written has not run; a break proves nothing
+	case CatalogueDialFailed, CatalogueDisconnected: // a call that was never written has not run; a break proves nothing
 		i, outcome := s.inv, admission.Broken
-		if in.Kind == Unreached {
+		if in.Kind == CatalogueDialFailed {
 			outcome = admission.Unreachable
 		}
 		r.remark(Debug, "catalogue link ended", "", in.Err)
@@ -145,7 +145,7 @@
 		if i >= 0 {
 			r.callOver(i, outcome)
 		}
-	case Replied:
+	case CatalogueLineReceived:
 		if !r.replied(k, in.Line.Words, in.Line.Body) {
 			i := s.inv
 			r.remark(Warn, "catalogue can't be understood", in.Line.Words[0], nil)
@@ -159,7 +159,7 @@
 }
 
 // replied maps a reply to the outcome that it proves. What is not asked for, or came before, is passed over.
-func (r *Reducer) replied(k int, words []string, body []byte) bool {
+func (r *StateMachine) replied(k int, words []string, body []byte) bool {
 	var outcome admission.Outcome
 	switch {
 	case len(words) == 3 && words[1] == "DATA":
@@ -179,7 +179,7 @@
 	}
 	s := &r.supplies[k]
 	if s.inv < 0 || r.invs[s.inv].call != words[0] {
-		r.Counters.StrayReplies++
+		r.Counters.UnmatchedReplies++
 		if s.strange = true; s.inv < 0 {
 			r.leave(k)
 		}
@@ -197,7 +197,7 @@
 }
 
 // keepCalls ends the waits that are over and drops links that stood idle too long to be trusted.
-func (r *Reducer) keepCalls() {
+func (r *StateMachine) keepCalls() {
 	for k := len(r.supplies) - 1; k >= 0; k-- {
 		switch s := &r.supplies[k]; {
 		case s.inv >= 0 && r.now >= r.invs[s.inv].until:
@@ -221,7 +221,7 @@
 	r.supplyWaiting()
 }
 
-func (r *Reducer) callsDue() int64 {
+func (r *StateMachine) callsDue() int64 {
 	at := int64(never)
 	for k := range r.supplies {
 		if s := &r.supplies[k]; s.inv >= 0 {
@@ -237,7 +237,7 @@
 }
 
 // moveCalls leaves the links to an address of before, but for those with a call in hand: it may end there.
-func (r *Reducer) moveCalls() {
+func (r *StateMachine) moveCalls() {
 	for k := len(r.supplies) - 1; k >= 0; k-- {
 		s := &r.supplies[k]
 		if s.up && s.inv >= 0 {
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -32,7 +32,7 @@
 // has one. Without a council both are nil: no timer, no cost.
 type claimed struct {
 	desk   *claims.Client
-	seat   *consensus.Council
+	seat   *consensus.Group
 	self   claims.Owner
 	seats  []string
 	wants  []claims.Input
@@ -55,51 +55,51 @@
 	Caller int64   `cbor:"5,keyasint,omitempty"`
 }
 
-// Convene has tokens claimed from a council, before the first step and after Peer and Keep; seats are the names of those
+// EnableConsensus has tokens claimed from a council, before the first step and after Peer and Keep; seats are the names of those
 // who sit in it. With bytes the council's table is bounded so.
-func (r *Reducer) Convene(seats []string, bytes, now, seed int64) {
+func (r *StateMachine) EnableConsensus(seats []string, bytes, now, seed int64) {
 	self := r.peers.members.Self()
 	c := &r.claimed
-	*c = claimed{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.Born)}, seats: slices.Sorted(slices.Values(seats)), links: map[string]int{}}
+	*c = claimed{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.StartedAt)}, seats: slices.Sorted(slices.Values(seats)), links: map[string]int{}}
 	if r.kept.keeper != nil || r.hollow.on && !r.hollow.onlySeat {
 		c.desk = claims.NewClient(c.self)
 	}
 	if c.asks = slices.Index(c.seats, self.Name); c.asks >= 0 {
-		c.seat = consensus.New(c.seats, self.Name, c.self.Incarnation, now, seed)
-		c.seat.Bound(bytes)
+		c.seat = consensus.NewGroup(c.seats, self.Name, c.self.Incarnation, now, seed)
+		c.seat.SetMaxTableBytes(bytes)
 	} else {
 		c.asks = int(uint64(seed) % uint64(len(c.seats)))
 	}
 }
 
-// Seated says whether this node has a seat in the council.
-func (r *Reducer) Seated() bool { return r.claimed.seat != nil }
+// HasReplica says whether this node has a seat in the council.
+func (r *StateMachine) HasReplica() bool { return r.claimed.seat != nil }
 
-// RecoverSeat has the seat go on from what a disk holds, and keep there what it must not forget, before the first step.
-func (r *Reducer) RecoverSeat(now int64, there consensus.Disk) error {
+// RecoverReplica has the seat go on from what a disk holds, and keep there what it must not forget, before the first step.
+func (r *StateMachine) RecoverReplica(now int64, there consensus.DiskContents) error {
 	return r.claimed.seat.Recover(now, there)
 }
 
 // Claims is what an operator may want to see of them, nil without a council.
-func (r *Reducer) Claims() *consensus.Picture {
+func (r *StateMachine) Claims() *consensus.Summary {
 	c := &r.claimed
 	if c.desk == nil && c.seat == nil {
 		return nil
 	}
-	p := &consensus.Picture{Node: c.self.Name}
+	p := &consensus.Summary{Node: c.self.Name}
 	if c.desk != nil {
-		p.Desk, p.InHand, p.Reached = &c.desk.Counters, c.desk.Size(), c.desk.Connected()
+		p.Client, p.ClaimsInFlight, p.GroupReachable = &c.desk.Counters, c.desk.Size(), c.desk.Connected()
 	}
 	if h := r.leasing.holder; h != nil {
 		p.Lease = &h.Counters
 	}
 	if c.seat != nil {
-		c.seat.Show(p, shownMost)
+		c.seat.Summarize(p, shownMost)
 	}
 	return p
 }
 
-func (r *Reducer) claimKey(k resultcache.Key) claims.Key {
+func (r *StateMachine) claimKey(k resultcache.Key) claims.Key {
 	key := claims.Key{Operation: r.config.Operations.Name(k.Operation), Token: k.Token}
 	if k.Tenant >= 0 {
 		key.Tenant = r.config.Tenants.Name(k.Tenant)
@@ -107,7 +107,7 @@
 	return key
 }
 
-func (r *Reducer) resultKey(k claims.Key) (key resultcache.Key, known bool) {
+func (r *StateMachine) resultKey(k claims.Key) (key resultcache.Key, known bool) {
 	op, known := r.config.Operations.Lookup(k.Operation)
 	tenant, named := r.config.Tenants.Lookup(k.Tenant)
 	if !named {
@@ -117,7 +117,7 @@
 }
 
 // unclaimed says whether a token's first invocation must be turned away, since nothing new can be claimed now.
-func (r *Reducer) unclaimed(v *invocation) bool {
+func (r *StateMachine) unclaimed(v *invocation) bool {
 	c := &r.claimed
 	if c.desk == nil || v.key.Token == "" || c.desk.Connected() && c.desk.HasCapacity() {
 		return false
@@ -130,14 +130,14 @@
 }
 
 // want says something at the desk, where there is one.
-func (r *Reducer) want(in claims.Input) {
+func (r *StateMachine) want(in claims.Input) {
 	if r.claimed.desk != nil {
 		r.claimed.wants = append(r.claimed.wants, in)
 	}
 }
 
 // claim has a token's first invocation claimed for this node, with all that an heir needs.
-func (r *Reducer) claim(i int32) {
+func (r *StateMachine) claim(i int32) {
 	if r.claimed.desk == nil {
 		return
 	}
@@ -151,9 +151,9 @@
 }
 
 // fromStream takes what a node says on a stream.
-func (r *Reducer) fromStream(in *Input) {
+func (r *StateMachine) fromStream(in *Input) {
 	c := &r.claimed
-	if in.Kind == PeerHungUp {
+	if in.Kind == PeerStreamClosed {
 		for name, link := range c.links {
 			if link == in.Link {
 				delete(c.links, name)
@@ -164,7 +164,7 @@
 	m := new(consensus.Message)
 	if err := envelope.Open(in.Bytes, r.peers.fleet, m); err != nil {
 		r.unusable(in, err)
-		r.do(Effect{Kind: PeerHangUp, Link: in.Link}) // where its letters begin is not known any more
+		r.do(Effect{Kind: CloseStream, Link: in.Link}) // where its letters begin is not known any more
 		return
 	}
 	if c.self.Name == "" {
@@ -175,10 +175,10 @@
 }
 
 // fromCouncil takes a message of a seat or a node, this one's own included.
-func (r *Reducer) fromCouncil(m *consensus.Message) {
+func (r *StateMachine) fromCouncil(m *consensus.Message) {
 	c := &r.claimed
 	switch m.Kind {
-	case consensus.Verdicts, consensus.Tells, consensus.Gift:
+	case consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment:
 		if m.Owner != c.self {
 			return // of an earlier life
 		}
@@ -188,7 +188,7 @@
 		}
 		return
 	}
-	if m.Kind == consensus.Verdicts {
+	if m.Kind == consensus.MessageVerdicts {
 		c.since = 0
 		if at := slices.Index(c.seats, m.Leader); at >= 0 && c.seat == nil {
 			c.asks = at
@@ -203,12 +203,12 @@
 		r.want(claims.Input{Kind: claims.EndNotified, Key: key})
 	}
 	if e := m.Entry; e != nil {
-		r.want(claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: m.For, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
+		r.want(claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: m.Remaining, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
 	}
 }
 
 // keepClaims steps the desk and the seat, as long as one has something to say to the other.
-func (r *Reducer) keepClaims() {
+func (r *StateMachine) keepClaims() {
 	c := &r.claimed
 	if c.desk == nil && c.seat == nil {
 		return
@@ -237,7 +237,7 @@
 	}
 }
 
-func (r *Reducer) stepSeat() {
+func (r *StateMachine) stepSeat() {
 	c := &r.claimed
 	if r.now >= c.viewAt {
 		c.viewAt = r.now + viewClaims
@@ -252,26 +252,26 @@
 		case consensus.Send:
 			r.toNode(e.To, &e.Message)
 		case consensus.Persist:
-			r.do(Effect{Kind: Persist, Write: e.Write})
-		case consensus.Remark:
-			r.remark(map[bool]Level{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
+			r.do(Effect{Kind: PersistReplicaWrite, Write: e.Write})
+		case consensus.WriteLog:
+			r.remark(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 		}
 	}
 }
 
 // heirs is the view as the council needs it. A node without any link keeps all in its view, so it holds nobody lost.
-func (r *Reducer) heirs() (list []takeover.Member) {
+func (r *StateMachine) heirs() (list []takeover.Member) {
 	v := r.peers.members.View()
 	for k := range v.Members {
 		m := &v.Members[k]
-		list = append(list, takeover.Member{Owner: claims.Owner{Name: m.Name, Incarnation: uint64(m.Born)}, Zone: m.Facts.Zone, Level: int(m.Facts.Level),
+		list = append(list, takeover.Member{Owner: claims.Owner{Name: m.Name, Incarnation: uint64(m.StartedAt)}, Zone: m.Facts.Zone, Level: int(m.Facts.Level),
 			Alive: m.Status == membership.Alive || m.Status == membership.Suspect, AcceptsWork: m.Facts.Beat == 0 && !m.Facts.NoUse && m.Status == membership.Alive})
 	}
 	return list
 }
 
 // toNode sends a message on the stream that a node last spoke on, else to its address.
-func (r *Reducer) toNode(to string, m *consensus.Message) {
+func (r *StateMachine) toNode(to string, m *consensus.Message) {
 	c := &r.claimed
 	if to == c.self.Name {
 		own := *m
@@ -280,12 +280,12 @@
 	}
 	address, known := r.peers.members.AddressOf(to)
 	if link := c.links[to]; link != 0 || known {
-		r.seal(Effect{Kind: PeerStream, Link: link, Address: address}, m)
+		r.seal(Effect{Kind: SendOnStream, Link: link, Address: address}, m)
 	}
 }
 
 // carryClaim does what the desk asks for.
-func (r *Reducer) carryClaim(a *claims.Action) {
+func (r *StateMachine) carryClaim(a *claims.Action) {
 	if a.Kind == claims.SendCommands {
 		r.askCouncil(a.Commands, nil)
 		return
@@ -320,7 +320,7 @@
 
 // askCouncil sends commands and asks for leases to a seat: this node's own while it knows a leader, else the one that
 // answered last, and another one where that is silent.
-func (r *Reducer) askCouncil(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
+func (r *StateMachine) askCouncil(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
 	c := &r.claimed
 	if c.since == 0 {
 		c.since = r.now
@@ -328,32 +328,32 @@
 		c.asks, c.since = (c.asks+1)%len(c.seats), r.now
 	}
 	if c.seat != nil && c.seat.Leader() != "" {
-		c.heard = append(c.heard, consensus.Input{Own: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: c.self})
+		c.heard = append(c.heard, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: c.self})
 		return
 	}
 	if to := c.seats[c.asks]; to != c.self.Name {
-		r.toNode(to, &consensus.Message{Kind: consensus.Propose, From: c.self.Name, Owner: c.self, Commands: commands, Leases: leases, Proposed: proposed})
+		r.toNode(to, &consensus.Message{Kind: consensus.MessagePropose, From: c.self.Name, Owner: c.self, Commands: commands, Leases: leases, Proposed: proposed})
 	}
 }
 
 // orderAtSeat has this node's seat order what it wants ordered of itself.
-func (r *Reducer) orderAtSeat(command *configsync.Command) {
+func (r *StateMachine) orderAtSeat(command *configsync.Command) {
 	if c := &r.claimed; c.seat != nil {
 		c.heard = append(c.heard, consensus.Input{Proposed: []configsync.Command{*command}})
 	}
 }
 
 // agreedAtSeat is what this node's seat knows to be agreed on of the configuration, where that changed since it was last asked.
-func (r *Reducer) agreedAtSeat() (agreed *configsync.Agreed, changed bool) {
+func (r *StateMachine) agreedAtSeat() (agreed *configsync.Agreed, changed bool) {
 	if c := &r.claimed; c.seat != nil {
-		return c.seat.Configured()
+		return c.seat.AgreedConfig()
 	}
 	return nil, false
 }
 
 // inherit takes in what a lost node had claimed, as an invocation whose caller is not here. Its due time stays; its latency
 // objective counts from now on, or the module would give up as hopeless what was lost with its node.
-func (r *Reducer) inherit(key resultcache.Key, a *claims.Action) error {
+func (r *StateMachine) inherit(key resultcache.Key, a *claims.Action) error {
 	if r.post == nil || r.noticed {
 		return fmt.Errorf("this node takes nothing in")
 	}
@@ -383,7 +383,7 @@
 }
 
 // sweepWaiting lets go of claims that nothing here waits for, and answers those whose client timeout comes near.
-func (r *Reducer) sweepWaiting() {
+func (r *StateMachine) sweepWaiting() {
 	c := &r.claimed
 	c.sweep = r.now + sweepClaims
 	if r.hollow.on {
@@ -412,7 +412,7 @@
 }
 
 // claimsDue is when desk or seat is to step again.
-func (r *Reducer) claimsDue() int64 {
+func (r *StateMachine) claimsDue() int64 {
 	c := &r.claimed
 	at := int64(never)
 	if c.seat != nil {
@@ -431,7 +431,7 @@
 }
 
 // turnAway throttles a token's first invocation while the council is out of reach.
-func (r *Reducer) turnAway(link int, stream uint32) {
+func (r *StateMachine) turnAway(link int, stream uint32) {
 	var fields []frame.Field
 	if back := min(contactFor, r.config.Node.MaxRetryAfter); back > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: fmt.Sprint((back + ms - 1) / ms)})
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -16,36 +16,36 @@
 )
 
 // sitting is a node that serves, whose claims are agreed on by a council in which n0 sits alone, and this node does not.
-func sitting(t *testing.T) *Reducer {
+func sitting(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
-	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	config := membership.Config{Name: "n1", Address: "127.0.0.1:1", Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms, Forget: 1 << 50, MembersMost: 8}
-	r.Peer("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
-	r.Keep(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
-	r.Convene([]string{"n0"}, 0, 0, 1)
-	step(r, Input{Kind: Opened, Link: 7})
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	config := membership.Config{Name: "n1", Address: "127.0.0.1:1", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 1 << 50, MaxMembers: 8}
+	r.JoinFleet("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
+	r.EnableResultCache(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
+	r.EnableConsensus([]string{"n0"}, 0, 0, 1)
+	step(r, Input{Kind: ConnectionOpened, Link: 7})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.claimed.links["n0"] = 3
-	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{{}}})
+	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
 	require.True(t, r.claimed.desk.Connected())
 	return r
 }
 
 // heardFrom is a message of the council's seat.
-func heardFrom(t *testing.T, r *Reducer, m *consensus.Message) []Effect {
+func heardFrom(t *testing.T, r *StateMachine, m *consensus.Message) []Effect {
 	m.From, m.Owner = "n0", r.claimed.self
 	text, err := envelope.Seal(nil, r.peers.fleet, m)
 	require.NoError(t, err)
-	return step(r, Input{Kind: PeerTold, Link: 3, Bytes: text})
+	return step(r, Input{Kind: PeerMessageReceived, Link: 3, Bytes: text})
 }
 
 // asked are the commands that effects bring to the council.
-func asked(t *testing.T, r *Reducer, effects []Effect) (list []claims.Command) {
+func asked(t *testing.T, r *StateMachine, effects []Effect) (list []claims.Command) {
 	for _, e := range effects {
-		if e.Kind == PeerStream {
+		if e.Kind == SendOnStream {
 			m := new(consensus.Message)
 			require.NoError(t, envelope.Open(e.Bytes, r.peers.fleet, m))
 			list = append(list, m.Commands...)
@@ -59,12 +59,12 @@
 	for _, f := range more {
 		f(&v)
 	}
-	return &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{v}}
+	return &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{v}}
 }
 
 func toldOf(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
-		if e.Kind != PeerSend && e.Kind != PeerStream {
+		if e.Kind != SendDatagram && e.Kind != SendOnStream {
 			list = append(list, e.Kind)
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // invoked has a tokened invocation come, and gives the commands that follow.
-func invoked(t *testing.T, r *Reducer, stream int, token string) []claims.Command {
+func invoked(t *testing.T, r *StateMachine, stream int, token string) []claims.Command {
 	return asked(t, r, step(r, hold(stream, token)))
 }
 
@@ -85,7 +85,7 @@
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
 	effects := heardFrom(t, r, answerTo(start[0], claims.AnswerGranted))
-	require.Equal(t, []EffectKind{Tell}, toldOf(effects))
+	require.Equal(t, []EffectKind{SendToExecutor}, toldOf(effects))
 	assert.Contains(t, string(effects[0].Bytes), "EXEC "+id(1))
 	effects = told(r, "EXIT 1 "+id(1)+" good 12 2|ok")
 	end := asked(t, r, effects)
@@ -93,7 +93,7 @@
 	assert.Equal(t, claims.CommandEnd, end[0].Kind)
 	assert.Equal(t, "ok", string(end[0].Result))
 	assert.Empty(t, toldOf(effects), "the answer waits for the end to be agreed on")
-	assert.Equal(t, []EffectKind{Send}, toldOf(heardFrom(t, r, answerTo(end[0], claims.AnswerDone))))
+	assert.Equal(t, []EffectKind{SendToConnection}, toldOf(heardFrom(t, r, answerTo(end[0], claims.AnswerDone))))
 	step(r)
 	assert.Zero(t, r.claimed.desk.Size())
 	assert.Equal(t, 1, r.Counters.Succeeded)
@@ -103,9 +103,9 @@
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
 	effects := heardFrom(t, r, answerTo(claim[0], claims.AnswerCompleted, func(v *claims.Verdict) { v.Result = []byte("kept") }))
-	require.Equal(t, []EffectKind{Send}, toldOf(effects))
+	require.Equal(t, []EffectKind{SendToConnection}, toldOf(effects))
 	for _, e := range effects {
-		if e.Kind == Send {
+		if e.Kind == SendToConnection {
 			assert.Contains(t, string(e.Bytes), "kept")
 		}
 	}
@@ -115,7 +115,7 @@
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
 	effects := heardFrom(t, r, answerTo(claim[0], claims.AnswerOutcomeUnknown))
-	require.Equal(t, []EffectKind{Send}, toldOf(effects))
+	require.Equal(t, []EffectKind{SendToConnection}, toldOf(effects))
 	assert.Equal(t, 1, r.Counters.Errored)
 	assert.True(t, strings.Contains(string(effects[0].Bytes), "unknown"))
 }
@@ -126,8 +126,8 @@
 	heardFrom(t, r, answerTo(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answered := int64(0)
 	for from := r.now; r.now < from+3_000*ms && answered == 0; {
-		effects := append(step(r), heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Verdicts: []claims.Verdict{{}}})...)
-		if len(kindsOf(effects, Send)) > 0 {
+		effects := append(step(r), heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})...)
+		if len(kindsOf(effects, SendToConnection)) > 0 {
 			answered = r.now - from
 		}
 	}
@@ -143,11 +143,11 @@
 	}
 	require.False(t, r.claimed.desk.Connected())
 	before := r.Counters.Throttled
-	step(r, Input{Kind: Opened, Link: 8})
+	step(r, Input{Kind: ConnectionOpened, Link: 8})
 	late := hold(1, "a1")
 	late.Link = 8
 	effects := step(r, late)
-	assert.Contains(t, toldOf(effects), Send)
+	assert.Contains(t, toldOf(effects), SendToConnection)
 	for _, c := range asked(t, r, effects) {
 		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
@@ -159,7 +159,7 @@
 	r := sitting(t)
 	work := invoked(t, r, 1, "a1")[0].Work
 	r2 := sitting(t)
-	gift := &consensus.Message{Kind: consensus.Gift, For: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
+	gift := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
 	heardFrom(t, r2, gift)
 	start := asked(t, r2, heardFrom(t, r2, gift)) // told again, while the module decides
@@ -170,7 +170,7 @@
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
 	effects := heardFrom(t, r2, answerTo(start[0], claims.AnswerGranted))
-	require.Equal(t, []EffectKind{Tell}, toldOf(effects))
+	require.Equal(t, []EffectKind{SendToExecutor}, toldOf(effects))
 	assert.Contains(t, string(effects[0].Bytes), "body")
 	end := asked(t, r2, told(r2, "EXIT 1 "+id(1)+" good 12 2|ok"))
 	require.Len(t, end, 1)
@@ -185,8 +185,8 @@
 	r := sitting(t)
 	work := invoked(t, r, 1, "a1")[0].Work
 	r2 := sitting(t)
-	step(r2, Input{Kind: Notice})
-	release := asked(t, r2, heardFrom(t, r2, &consensus.Message{Kind: consensus.Gift, For: 2_000 * ms, Entry: &claims.Entry{
+	step(r2, Input{Kind: DrainRequested})
+	release := asked(t, r2, heardFrom(t, r2, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
 		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
 	require.Len(t, release, 1)
 	assert.Equal(t, claims.CommandRelease, release[0].Kind)
@@ -196,7 +196,7 @@
 func TestCallerThatLeavesUnrunLetsItsClaimGo(t *testing.T) {
 	r := sitting(t)
 	claim := invoked(t, r, 1, "a1")
-	step(r, Input{Kind: Closed, Link: 7})
+	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	for range 40 {
 		step(r)
 	}
@@ -211,9 +211,9 @@
 
 func TestStreamThatCantBeUnderstoodIsHungUp(t *testing.T) {
 	r := sitting(t)
-	effects := step(r, Input{Kind: PeerTold, Link: 4, Bytes: []byte("no letter at all, of any kind")})
-	assert.Contains(t, toldOf(effects), PeerHangUp)
-	step(r, Input{Kind: PeerHungUp, Link: 3})
+	effects := step(r, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("no letter at all, of any kind")})
+	assert.Contains(t, toldOf(effects), CloseStream)
+	step(r, Input{Kind: PeerStreamClosed, Link: 3})
 	assert.Empty(t, r.claimed.links)
 }
 
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -23,10 +23,10 @@
 
 // configurationLetter is what nodes, and operators' commands, tell each other of the configuration.
 type configurationLetter struct {
-	From     string               `cbor:"1,keyasint,omitempty"`
-	Message  *configsync.Message  `cbor:"2,keyasint,omitempty"` // between holders
-	Question *configsync.Question `cbor:"3,keyasint,omitempty"` // of a command
-	Answer   *configsync.Answer   `cbor:"4,keyasint,omitempty"` // to it
+	From     string              `cbor:"1,keyasint,omitempty"`
+	Message  *configsync.Message `cbor:"2,keyasint,omitempty"` // between holders
+	Question *configsync.Query   `cbor:"3,keyasint,omitempty"` // of a command
+	Answer   *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to it
 }
 
 // body is a letter of it, without anything of membership's.
@@ -34,13 +34,13 @@
 	Configuration *configurationLetter `cbor:"10,keyasint"`
 }
 
-// AskConfiguration is the body of a letter by which a command asks, OpenConfiguration reads the answer.
-func AskConfiguration(q *configsync.Question) any {
+// EncodeConfigQuery is the body of a letter by which a command asks, OpenConfiguration reads the answer.
+func EncodeConfigQuery(q *configsync.Query) any {
 	return configurationBody{&configurationLetter{Question: q}}
 }
 
-// OpenConfiguration reads the answer to a question.
-func OpenConfiguration(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
+// DecodeConfigAnswer reads the answer to a question.
+func DecodeConfigAnswer(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
 	var body configurationBody
 	if err := envelope.Open(text, fleet, &body); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 
 // VersionInForce is a version that came into force at this node.
 type VersionInForce struct {
-	Mark                    configsync.Mark
+	Mark                    configsync.Revision
 	After                   uint64 // the version before it
 	Source                  string // fleet; at a start disk or file
 	First                   bool   // as one of the first stage
@@ -61,8 +61,8 @@
 	TookNS                  int64
 }
 
-// ConfigurationState is what operators see of it.
-type ConfigurationState struct {
+// ConfigSyncState is what operators see of it.
+type ConfigSyncState struct {
 	Version  uint64              `json:"version"`
 	Digest   string              `json:"digest"`
 	Source   string              `json:"source"`
@@ -84,7 +84,7 @@
 
 // taking is a version on its way into force: all of it is checked in a first pass, and taken in a second.
 type taking struct {
-	mark     configsync.Mark
+	mark     configsync.Revision
 	first    bool
 	only     bool // it is checked, and not taken
 	began    int64
@@ -96,7 +96,7 @@
 
 // configuring is the door to the fleet's configuration in service. Without a holder it is shut: no timer, no cost.
 type configuring struct {
-	holder  *configsync.Holder
+	holder  *configsync.Replicator
 	inputs  []configsync.Input
 	wakeAt  int64
 	view    configsync.View
@@ -111,10 +111,10 @@
 	verdict []configsync.Verdict
 }
 
-// Configure has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
+// EnableConfigSync has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
 // Convene. It begins with what start holds; where that is not what the node's own file holds, it comes into force at once. On
 // an error nothing is changed.
-func (r *Reducer) Configure(now, seed int64, start configsync.Start, file *configsync.Content) error {
+func (r *StateMachine) EnableConfigSync(now, seed int64, start configsync.InitialState, file *configsync.Content) error {
 	v := version{number: start.Mark.Version}
 	if !r.hollow.on {
 		for _, take := range []bool{false, true} {
@@ -143,29 +143,29 @@
 		}
 	}
 	c := &r.configuring
-	c.holder = configsync.NewHolder(now, configsync.Terms{Name: r.peers.members.Self().Name, Seed: seed}, start)
+	c.holder = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: r.peers.members.Self().Name, Seed: seed}, start)
 	if seat := r.claimed.seat; seat != nil {
-		seat.CheckConfiguration(r.unsound)
+		seat.SetConfigValidator(r.unsound)
 	}
-	r.do(Effect{Kind: InForce, InForce: &VersionInForce{Mark: c.holder.Mark(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
+	r.do(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.holder.Revision(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
 		Removed: v.counts[2]}})
 	c.early = slices.Clone(r.effects)
 	return nil
 }
 
-// Configuration is how the node stands, nil where it takes nothing in service.
-func (r *Reducer) Configuration() *ConfigurationState {
+// ConfigSyncState is how the node stands, nil where it takes nothing in service.
+func (r *StateMachine) ConfigSyncState() *ConfigSyncState {
 	h := r.configuring.holder
 	if h == nil {
 		return nil
 	}
 	s := h.Status(r.now)
-	return &ConfigurationState{Version: s.Mark.Version, Digest: s.Mark.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
+	return &ConfigSyncState{Version: s.Mark.Version, Digest: s.Mark.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
 		Behind: s.Behind, BehindNS: s.BehindNS, Refused: s.Refused.Version, Why: s.Why, Counters: s.Counters}
 }
 
 // changesOf reads items, and says which this node can't take.
-func (r *Reducer) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
+func (r *StateMachine) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
 	a, err := nodeconfig.Parse(plateItems(items))
 	if err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 
 // unsound says why a change must not be ordered, as a check of a file would; empty where it may. What only some nodes can't
 // take they refuse themselves, at the first stage.
-func (r *Reducer) unsound(command *configsync.Command) string {
+func (r *StateMachine) unsound(command *configsync.Command) string {
 	if _, err := nodeconfig.Parse(plateItems(command.Changes)); err != nil {
 		return err.Error()
 	}
@@ -209,19 +209,19 @@
 }
 
 // fromConfiguration takes a letter of another node or of a command.
-func (r *Reducer) fromConfiguration(in *Input, l *configurationLetter) {
+func (r *StateMachine) fromConfiguration(in *Input, l *configurationLetter) {
 	c := &r.configuring
 	m := l.Message
 	switch {
 	case c.holder == nil:
-		if in.Kind == PeerAsked {
-			r.do(Effect{Kind: PeerReply, Link: in.Link})
+		if in.Kind == PeerRequestReceived {
+			r.do(Effect{Kind: ReplyToExchange, Link: in.Link})
 		}
-	case in.Kind == PeerAsked && l.Question != nil:
+	case in.Kind == PeerRequestReceived && l.Question != nil:
 		r.fromOperator(in.Link, l.Question)
-	case in.Kind == PeerAsked && m != nil && m.Kind == configsync.Fetch:
+	case in.Kind == PeerRequestReceived && m != nil && m.Kind == configsync.Fetch:
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Asked, From: l.From, Link: in.Link, Message: m})
-	case in.Kind == PeerCame && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
+	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Came, From: l.From, Message: m})
 	default:
 		r.unusable(in, fmt.Errorf("%w: a letter of the configuration that does not belong there", envelope.ErrSpoilt))
@@ -229,13 +229,13 @@
 }
 
 // answeredConfiguration takes the end of an exchange of the holder's.
-func (r *Reducer) answeredConfiguration(in *Input) {
+func (r *StateMachine) answeredConfiguration(in *Input) {
 	c := &r.configuring
 	if c.holder == nil {
 		return
 	}
 	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configurationLinks}
-	if in.Kind == PeerAnswered {
+	if in.Kind == PeerResponseReceived {
 		var body configurationBody
 		if err := envelope.Open(in.Bytes, r.peers.fleet, &body); err != nil {
 			r.remark(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
@@ -247,7 +247,7 @@
 }
 
 // keptConfiguration takes word of the disk.
-func (r *Reducer) keptConfiguration(in *Input) {
+func (r *StateMachine) keptConfiguration(in *Input) {
 	next := configsync.Input{Kind: configsync.Saved}
 	if in.Err != nil {
 		next.Why = in.Err.Error()
@@ -256,7 +256,7 @@
 }
 
 // keepTaking brings some of a version into force, before the module decides.
-func (r *Reducer) keepTaking() {
+func (r *StateMachine) keepTaking() {
 	c := &r.configuring
 	for left := amendedAStep; c.taking != nil && left > 0; {
 		t := c.taking
@@ -283,7 +283,7 @@
 }
 
 // taken tells the holder of a version that is in force as a whole, or that can't be.
-func (r *Reducer) taken(t *taking, err error) {
+func (r *StateMachine) taken(t *taking, err error) {
 	c := &r.configuring
 	c.taking = nil
 	next := configsync.Input{Kind: configsync.Took, Mark: t.mark}
@@ -295,14 +295,14 @@
 		next.Why = err.Error()
 	} else if !t.only {
 		r.amendedTo(&t.version)
-		r.do(Effect{Kind: InForce, InForce: &VersionInForce{Mark: t.mark, After: c.holder.Mark().Version, Source: "fleet", First: t.first,
+		r.do(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: t.mark, After: c.holder.Revision().Version, Source: "fleet", First: t.first,
 			Added: t.version.counts[0], Changed: t.version.counts[1], Removed: t.version.counts[2], TookNS: r.now - t.began}})
 	}
 	c.inputs = append(c.inputs, next)
 }
 
 // keepConfiguration steps the holder when something came or is due.
-func (r *Reducer) keepConfiguration() {
+func (r *StateMachine) keepConfiguration() {
 	c := &r.configuring
 	if c.holder == nil {
 		return
@@ -312,7 +312,7 @@
 		c.agreed = agreed
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
-	if seat := r.claimed.seat; seat != nil && seat.Current() != c.current {
+	if seat := r.claimed.seat; seat != nil && seat.IsCurrent() != c.current {
 		c.current = !c.current
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Stood, Current: c.current})
 	}
@@ -330,7 +330,7 @@
 }
 
 // seeConfiguration tells the holder whom this node can reach, where that changed.
-func (r *Reducer) seeConfiguration() {
+func (r *StateMachine) seeConfiguration() {
 	c := &r.configuring
 	if r.now < c.seenAt {
 		return
@@ -349,7 +349,7 @@
 	c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Viewed, View: &view})
 }
 
-func (r *Reducer) carryConfiguration(e *configsync.Effect) {
+func (r *StateMachine) carryConfiguration(e *configsync.Effect) {
 	c := &r.configuring
 	switch e.Kind {
 	case configsync.Send:
@@ -357,12 +357,12 @@
 	case configsync.Exchange:
 		link := configurationLinks + e.Link
 		if address, known := r.peers.members.AddressOf(e.To); known {
-			r.sealConfiguration(Effect{Kind: PeerExchange, Link: link, Address: address}, &configurationLetter{Message: e.Message})
+			r.sealConfiguration(Effect{Kind: OpenExchange, Link: link, Address: address}, &configurationLetter{Message: e.Message})
 		} else {
 			c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Missed, Link: e.Link})
 		}
 	case configsync.Reply:
-		r.sealConfiguration(Effect{Kind: PeerReply, Link: e.Link}, &configurationLetter{Message: e.Message})
+		r.sealConfiguration(Effect{Kind: ReplyToExchange, Link: e.Link}, &configurationLetter{Message: e.Message})
 	case configsync.Take, configsync.Check:
 		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configsync.Check, began: r.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
 			checking: r.config.Checking(), version: version{number: e.Mark.Version}}
@@ -373,21 +373,21 @@
 		c.taking = t
 	case configsync.Persist:
 		kept := *e
-		r.do(Effect{Kind: KeepVersion, Persisting: &kept})
+		r.do(Effect{Kind: PersistVersion, Persisting: &kept})
 	case configsync.Order:
 		r.orderAtSeat(e.Command)
 	case configsync.Remark:
-		r.remark(map[bool]Level{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
+		r.remark(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 	}
 }
 
-func (r *Reducer) sealConfiguration(e Effect, l *configurationLetter) {
+func (r *StateMachine) sealConfiguration(e Effect, l *configurationLetter) {
 	l.From = r.peers.members.Self().Name
 	r.seal(e, configurationBody{l})
 }
 
 // sendConfiguration sends a datagram; records that make it too long are left out, and will be fetched.
-func (r *Reducer) sendConfiguration(to string, m *configsync.Message) {
+func (r *StateMachine) sendConfiguration(to string, m *configsync.Message) {
 	address, known := r.peers.members.AddressOf(to)
 	if !known {
 		return
@@ -400,12 +400,12 @@
 		text, err = envelope.Seal(nil, r.peers.fleet, configurationBody{l})
 	}
 	if r.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a word on the configuration can be written, and fits any path") {
-		r.do(Effect{Kind: PeerSend, Address: address, Bytes: text})
+		r.do(Effect{Kind: SendDatagram, Address: address, Bytes: text})
 	}
 }
 
 // fromOperator answers a command, or has its order wait for a verdict.
-func (r *Reducer) fromOperator(link int, q *configsync.Question) {
+func (r *StateMachine) fromOperator(link int, q *configsync.Query) {
 	c := &r.configuring
 	a := &configsync.Answer{Node: r.peers.members.Self().Name}
 	switch {
@@ -413,13 +413,13 @@
 		r.showConfiguration(a)
 	case q.Kind == configsync.ReadBlocks:
 		content := c.holder.Content()
-		a.Mark = c.holder.Mark()
+		a.Mark = c.holder.Revision()
 		if q.Which != configsync.InForce && c.agreed == nil {
 			a.Why = "it has no seat in the council, or its seat knows nothing yet"
 		} else if q.Which == configsync.ForAll {
 			content, a.Mark = c.agreed.All, c.agreed.Head.All
 		} else if q.Which == configsync.Newest {
-			content, a.Mark = c.agreed.Newest, configsync.Mark{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}
+			content, a.Mark = c.agreed.Newest, configsync.Revision{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}
 		}
 		if a.Why == "" {
 			a.Blocks, a.Next = content.Blocks(q.From, answerBytes)
@@ -440,11 +440,11 @@
 	default:
 		a.Why = "it doesn't know this question; it may be of an older build"
 	}
-	r.sealConfiguration(Effect{Kind: PeerReply, Link: link}, &configurationLetter{Answer: a})
+	r.sealConfiguration(Effect{Kind: ReplyToExchange, Link: link}, &configurationLetter{Answer: a})
 }
 
 // showConfiguration says how this node stands, and at a seat what it knows of others.
-func (r *Reducer) showConfiguration(a *configsync.Answer) {
+func (r *StateMachine) showConfiguration(a *configsync.Answer) {
 	c := &r.configuring
 	s := c.holder.Status(r.now)
 	a.Status, a.Mark = &s, s.Mark
@@ -455,8 +455,8 @@
 	if c.agreed == nil {
 		return
 	}
-	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: r.claimed.seat.GoodVersions(), Nodes: c.holder.Board.Standings(),
-		Newest: configsync.Mark{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}}
+	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: r.claimed.seat.RollbackVersions(), Nodes: c.holder.Statuses.Statuses(),
+		Newest: configsync.Revision{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}}
 	for k := range seat.Nodes {
 		seat.Nodes[k].At = r.now - seat.Nodes[k].At
 	}
@@ -482,7 +482,7 @@
 }
 
 // keepOrders answers orders that have a verdict or waited for too long, and has others ordered again.
-func (r *Reducer) keepOrders() {
+func (r *StateMachine) keepOrders() {
 	c := &r.configuring
 	for k := range c.verdict {
 		v := &c.verdict[k]
@@ -501,17 +501,17 @@
 	}
 }
 
-func (r *Reducer) endOrder(o *order, a *configsync.Answer) {
+func (r *StateMachine) endOrder(o *order, a *configsync.Answer) {
 	a.Node = r.peers.members.Self().Name
 	for _, link := range o.links {
-		r.sealConfiguration(Effect{Kind: PeerReply, Link: link}, &configurationLetter{Answer: a})
+		r.sealConfiguration(Effect{Kind: ReplyToExchange, Link: link}, &configurationLetter{Answer: a})
 	}
 	c := &r.configuring
 	c.orders = slices.DeleteFunc(c.orders, func(other *order) bool { return other == o })
 }
 
 // configurationDue is when the door is to step again.
-func (r *Reducer) configurationDue() int64 {
+func (r *StateMachine) configurationDue() int64 {
 	c := &r.configuring
 	if c.holder == nil {
 		return never
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -28,20 +28,20 @@
 
 // configuredNode is a node that serves, with the only seat of its council and its configuration in service; start changes what it
 // begins with.
-func configuredNode(t *testing.T, to Addresses, start func(file *configsync.Content) configsync.Start) (*Reducer, error) {
+func configuredNode(t *testing.T, to Addresses, start func(file *configsync.Content) configsync.InitialState) (*StateMachine, error) {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	r := New(p, to, 5_000*ms, 4, 3)
-	r.Peer("mobilier", membership.New(config, 0, 1, 0, 1))
-	r.Convene([]string{"n1"}, 1<<20, 0, 1)
+	r := NewStateMachine(p, to, 5_000*ms, 4, 3)
+	r.JoinFleet("mobilier", membership.New(config, 0, 1, 0, 1))
+	r.EnableConsensus([]string{"n1"}, 1<<20, 0, 1)
 	file := contentOf(t, p)
-	err = r.Configure(0, 1, start(file), file)
+	err = r.EnableConfigSync(0, 1, start(file), file)
 	return r, err
 }
 
-func servingNode(t *testing.T, r *Reducer) (effects []Effect) {
-	effects = step(r, Input{Kind: Opened, Link: 7})
-	step(r, Input{Kind: Joined, Link: r.dialing})
+func servingNode(t *testing.T, r *StateMachine) (effects []Effect) {
+	effects = step(r, Input{Kind: ConnectionOpened, Link: 7})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	for r.claimed.seat.Leader() == "" {
@@ -50,23 +50,23 @@
 	return effects
 }
 
-func fromFile(file *configsync.Content) configsync.Start {
-	return configsync.Start{Mark: configsync.Mark{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
+func fromFile(file *configsync.Content) configsync.InitialState {
+	return configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
 
 // questioned is a node's answer to a question, with all effects up to it.
-func questioned(t *testing.T, r *Reducer, q *configsync.Question) (a *configsync.Answer, all []Effect) {
-	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), AskConfiguration(q))
+func questioned(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
+	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), EncodeConfigQuery(q))
 	require.NoError(t, err)
-	in := []Input{{Kind: PeerAsked, Link: 3, From: "10.0.0.9:9", Bytes: text}}
+	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
 	for range 3_000 {
 		r.heardAt, r.conns[7].used = r.now, r.now
 		effects := step(r, in...)
 		in = nil
 		all = append(all, effects...)
 		for _, e := range effects {
-			if e.Kind == PeerReply && e.Link == 3 {
-				a, err = OpenConfiguration(e.Bytes, envelope.FleetOf("mobilier"))
+			if e.Kind == ReplyToExchange && e.Link == 3 {
+				a, err = DecodeConfigAnswer(e.Bytes, envelope.FleetOf("mobilier"))
 				require.NoError(t, err)
 				return a, all
 			}
@@ -77,7 +77,7 @@
 }
 
 // put has changes ordered on a version, and steps on until that version or a refusal of it shows.
-func put(t *testing.T, r *Reducer, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
+func put(t *testing.T, r *StateMachine, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
 	c := &configsync.Command{Kind: configsync.Put, From: from, Seq: 1, Base: base}
 	for _, i := range items {
 		if len(i.Value) > 0 {
@@ -87,10 +87,10 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	a, all := questioned(t, r, &configsync.Question{Kind: configsync.Propose, Command: c})
+	a, all := questioned(t, r, &configsync.Query{Kind: configsync.Propose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
-		if !a.Verdict.Done || r.Configuration().Version >= a.Verdict.Version || r.Configuration().Refused >= a.Verdict.Version {
+		if !a.Verdict.Done || r.ConfigSyncState().Version >= a.Verdict.Version || r.ConfigSyncState().Refused >= a.Verdict.Version {
 			break
 		}
 		all = append(all, step(r)...)
@@ -99,7 +99,7 @@
 }
 
 // settle lets time pass until nothing stands at the first stage.
-func settle(t *testing.T, r *Reducer) {
+func settle(t *testing.T, r *StateMachine) {
 	for range 100 {
 		if head := r.configuring.agreed.Head; head.All.Version == head.Newest {
 			return
@@ -110,7 +110,7 @@
 }
 
 // allOf is the file's content as items.
-func allOf(r *Reducer) (items []nodeconfig.Item) {
+func allOf(r *StateMachine) (items []nodeconfig.Item) {
 	for i := range r.configuring.holder.Content().All {
 		items = append(items, nodeconfig.Item(i))
 	}
@@ -120,7 +120,7 @@
 func TestVersionComesIntoForceWithWorkInHand(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
-	first := kindsOf(servingNode(t, r), InForce)
+	first := kindsOf(servingNode(t, r), ReportVersionInForce)
 	require.Len(t, first, 1, "what it starts with is told")
 	assert.Equal(t, "file", first[0].InForce.Source)
 	v, _ := put(t, r, "a", 0, allOf(r)...)
@@ -130,11 +130,11 @@
 	assert.Equal(t, 1, runsOf(step(r, coming(r, 1, "op", "hold"))))
 	v, effects := put(t, r, "b", 1, removed(nodeconfig.Operations, "hold"), operation("new", ""))
 	require.True(t, v.Done, v.Refused)
-	in := kindsOf(effects, InForce)
+	in := kindsOf(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
-	assert.Equal(t, VersionInForce{Mark: r.configuring.holder.Mark(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
+	assert.Equal(t, VersionInForce{Mark: r.configuring.holder.Revision(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
 		TookNS: in[0].InForce.TookNS}, *in[0].InForce)
-	kept := kindsOf(effects, KeepVersion)
+	kept := kindsOf(effects, PersistVersion)
 	require.Len(t, kept, 1)
 	assert.Equal(t, uint64(2), kept[0].Persisting.Mark.Version)
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, coming(r, 2, "op", "hold"))))
@@ -177,15 +177,15 @@
 	before := r.config.Own()
 	v, effects := put(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
 	require.True(t, v.Done, "by itself it is sound: %s", v.Refused)
-	assert.Empty(t, kindsOf(effects, InForce))
+	assert.Empty(t, kindsOf(effects, ReportVersionInForce))
 	assert.Equal(t, before, r.config.Own())
-	s := r.Configuration()
+	s := r.ConfigSyncState()
 	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.Refused})
 	assert.Contains(t, s.Why, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
 	for range 10 {
 		step(r)
 	}
-	a, _ := questioned(t, r, &configsync.Question{Kind: configsync.ShowStanding})
+	a, _ := questioned(t, r, &configsync.Query{Kind: configsync.ShowStanding})
 	assert.True(t, a.Seat.Head.Stopped, "it goes no further")
 	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.Seat.Head.Who, a.Seat.Head.All.Version})
 }
@@ -201,7 +201,7 @@
 	}
 	next, err := content.Apply(items)
 	require.NoError(t, err)
-	mark := configsync.Mark{Version: 9, Digest: next.Digest()}
+	mark := configsync.Revision{Version: 9, Digest: next.Digest()}
 	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Mark: mark, Old: content, New: next})
 	steps := 0
 	for ; r.configuring.taking != nil; steps++ {
@@ -214,7 +214,7 @@
 	}
 	assert.GreaterOrEqual(t, steps, 20, "looked at and taken a part at a time")
 	assert.Equal(t, 10*amendedAStep, r.config.Tenants.Len())
-	assert.Equal(t, uint64(9), r.Version())
+	assert.Equal(t, uint64(9), r.ActiveVersion())
 }
 
 // What stands at the first stage is checked at the others, and nothing of it is in force there.
@@ -239,7 +239,7 @@
 		}
 		next, err := content.Apply(items)
 		require.NoError(t, err)
-		e := &configsync.Effect{Kind: configsync.Check, Mark: configsync.Mark{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
+		e := &configsync.Effect{Kind: configsync.Check, Mark: configsync.Revision{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
 		r.carryConfiguration(e)
 		require.NotNil(t, r.configuring.taking)
 		if c.taken {
@@ -254,29 +254,29 @@
 			require.Less(t, steps, 20, c.name)
 		}
 		assert.Equal(t, c.refused, r.Counters.VersionsRefused, c.name)
-		assert.Len(t, kindsOf(all, InForce), map[bool]int{true: 1}[c.taken], c.name)
+		assert.Len(t, kindsOf(all, ReportVersionInForce), map[bool]int{true: 1}[c.taken], c.name)
 		if !c.taken {
 			assert.Equal(t, before, r.config.Own(), c.name)
-			assert.Zero(t, r.Version(), c.name)
+			assert.Zero(t, r.ActiveVersion(), c.name)
 		}
 	}
 }
 
 func TestStartIsFromTheDiskWhereItCanBeTaken(t *testing.T) {
-	kept := func(items ...nodeconfig.Item) func(file *configsync.Content) configsync.Start {
-		return func(file *configsync.Content) configsync.Start {
+	kept := func(items ...nodeconfig.Item) func(file *configsync.Content) configsync.InitialState {
+		return func(file *configsync.Content) configsync.InitialState {
 			var list []configsync.Item
 			for _, i := range items {
 				list = append(list, configsync.Item(i))
 			}
 			content, err := file.Apply(list)
 			require.NoError(t, err)
-			return configsync.Start{Mark: configsync.Mark{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
+			return configsync.InitialState{Mark: configsync.Revision{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
 		}
 	}
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removed(nodeconfig.Operations, "hold")))
 	require.NoError(t, err)
-	in := kindsOf(servingNode(t, r), InForce)
+	in := kindsOf(servingNode(t, r), ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Mark.Version, in[0].InForce.Added, in[0].InForce.Removed})
 	assert.Equal(t, 1, runsOf(step(r, coming(r, 1, "op", "new"))))
@@ -284,24 +284,24 @@
 
 	r, err = configuredNode(t, Addresses{"executor:1", "", "control:1"}, kept(operation("new", `,"class_calls":true`)))
 	assert.ErrorContains(t, err, "names no catalogue")
-	assert.Nil(t, r.Configuration())
+	assert.Nil(t, r.ConfigSyncState())
 	_, known := r.config.Operations.Find("new")
 	assert.False(t, known, "nothing is changed")
 }
 
 func TestLettersOfTheConfigurationAreToldFromMembership(t *testing.T) {
 	fleet := envelope.FleetOf("mobilier")
-	text, err := envelope.Seal(nil, fleet, AskConfiguration(&configsync.Question{Kind: configsync.ShowStanding}))
+	text, err := envelope.Seal(nil, fleet, EncodeConfigQuery(&configsync.Query{Kind: configsync.ShowStanding}))
 	require.NoError(t, err)
 	var older membership.Message
 	require.NoError(t, envelope.Open(text, fleet, &older))
 	assert.Equal(t, membership.Message{}, older, "a build without the door finds a message of no kind, which it refuses")
 	r := peered(t)
-	effects := r.Step(ms, 1, []Input{{Kind: PeerAsked, Link: 4, Bytes: text}})
-	require.Len(t, kindsOf(effects, PeerReply), 1, "where it is off the exchange is closed")
-	assert.Empty(t, kindsOf(effects, PeerReply)[0].Bytes)
+	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
+	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "where it is off the exchange is closed")
+	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
 	assert.Zero(t, r.peers.letters.Spoilt)
-	msg := membership.Message{Kind: membership.Push, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.Head{{ID: 1, Inc: 2}},
+	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
 		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
 	var body peerLetter
 	require.NoError(t, envelope.Open(sealed(t, "mobilier", msg), fleet, &body))
@@ -313,7 +313,7 @@
 	const tenants, changed, most = 40_000, 600, 128 // most a step: each lies in a block of 13 kB
 	note := strings.Repeat("n", 280)
 	var own, next *configsync.Content
-	r, err := configuredNode(t, Addresses{}, func(file *configsync.Content) configsync.Start {
+	r, err := configuredNode(t, Addresses{}, func(file *configsync.Content) configsync.InitialState {
 		var all, some []configsync.Item
 		for k := range tenants {
 			all = append(all, configsync.Item{Part: configsync.Tenants, Name: fmt.Sprint("tenant-", k), Value: fmt.Appendf(nil, `{"note":%q,"quota_rps":1}`, note)})
@@ -326,11 +326,11 @@
 		require.NoError(t, err)
 		next, err = own.Apply(some)
 		require.NoError(t, err)
-		return configsync.Start{Mark: configsync.Mark{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
+		return configsync.InitialState{Mark: configsync.Revision{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
 	})
 	require.NoError(t, err)
 	servingNode(t, r)
-	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Mark{Version: 2, Digest: next.Digest()}})
+	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Revision{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
 	for ; r.configuring.taking != nil; steps++ {
 		taking := r.configuring.taking
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -10,13 +10,13 @@
 )
 
 // many is a node with so many connections, all opened in one step and checked once in the next.
-func many(t *testing.T, count int) *Reducer {
+func many(t *testing.T, count int) *StateMachine {
 	r := up(t)
 	r.connMost = count
-	step(r, Input{Kind: Closed, Link: 7})
+	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
-		opened = append(opened, Input{Kind: Opened, Link: 100 + k})
+		opened = append(opened, Input{Kind: ConnectionOpened, Link: 100 + k})
 		checked = append(checked, checkOn(100+k))
 	}
 	step(r, opened...)
@@ -25,11 +25,11 @@
 }
 
 func checkOn(link int) Input {
-	return Input{Kind: Read, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
+	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
 }
 
 // on goes on by a time and keeps the executor's link from being taken as silent.
-func on(r *Reducer, by int64, inputs ...Input) []Effect {
+func on(r *StateMachine, by int64, inputs ...Input) []Effect {
 	r.now, r.heardAt = r.now+by-ms, r.now+by
 	return step(r, inputs...)
 }
@@ -66,11 +66,11 @@
 		closed = nil
 		for _, e := range effects {
 			switch e.Kind {
-			case Send:
+			case SendToConnection:
 				told++
 			case CloseAfterFlush:
 				ended++
-				closed = append(closed, Input{Kind: Closed, Link: e.Link})
+				closed = append(closed, Input{Kind: ConnectionClosed, Link: e.Link})
 			}
 		}
 		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, endsMost)
@@ -88,7 +88,7 @@
 func TestConnectionsAreToldAndEndedInTheirTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		r := up(t)
-		r.connMost, r.Spare = 12, 2
+		r.connMost, r.SpareConnections = 12, 2
 		next, wake, stream := 100, r.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
@@ -96,11 +96,11 @@
 			switch rapid.IntRange(0, 9).Draw(draw, "what") {
 			case 0, 1:
 				next++
-				inputs = append(inputs, Input{Kind: Opened, Link: next})
+				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: next})
 			case 2, 3:
 				inputs = append(inputs, checkOn(link))
 			case 4:
-				inputs = append(inputs, Input{Kind: Closed, Link: link})
+				inputs = append(inputs, Input{Kind: ConnectionClosed, Link: link})
 			case 5:
 				stream++
 				in := coming(r, int(stream))
@@ -119,7 +119,7 @@
 			for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
 				c, was := r.conns[e.Link], before[e.Link]
 				switch {
-				case e.Kind == Wake:
+				case e.Kind == SetWakeup:
 					wake = e.At
 				case e.Kind == CloseAfterFlush && !was.closing && !c.broken:
 					assert.GreaterOrEqual(draw, at-c.ended, int64(evictWait))
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -1,7 +1,7 @@
 package node
 
 // reported waits for the next report. A drain sends none: the entry lapses, where one more would keep it.
-func (r *Reducer) reported(err error) {
+func (r *StateMachine) reported(err error) {
 	r.reporting = 0
 	if err != nil {
 		r.Counters.ReportsFailed++
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -81,25 +81,25 @@
 
 // effect adds all fields of an effect, but for the texts of logs and of errors.
 func (d digest) effect(e *node.Effect) {
-	d.whole(int64(e.Kind), int64(e.Link), e.At, int64(e.Level), int64(e.Version))
+	d.whole(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
 	d.text(e.Address, e.ID)
 	d.bytes(e.Bytes)
-	d.flag(e.Ready, e.Err != nil, e.State != nil, e.Turn != nil, e.Change != nil, e.Kept != nil, e.Write != nil, e.Persisting != nil,
+	d.flag(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.Change != nil, e.Record != nil, e.Write != nil, e.Persisting != nil,
 		e.InForce != nil)
-	if e.Kind == node.Amended {
+	if e.Kind == node.VersionApplied {
 		d.numbers(e.Text)
 	}
 	if e.State != nil {
 		d.state(e.State)
 	}
-	if e.Turn != nil {
-		d.turn(e.Turn)
+	if e.LevelChange != nil {
+		d.turn(e.LevelChange)
 	}
 	if e.Change != nil {
 		d.change(e.Change)
 	}
-	if e.Kept != nil {
-		d.stored(e.Kept)
+	if e.Record != nil {
+		d.stored(e.Record)
 	}
 	if e.Write != nil {
 		d.write(e.Write)
@@ -140,12 +140,12 @@
 		d.text(c.Digest, c.Source)
 		d.flag(c.Behind, c.Why != "")
 		n := &c.Counters
-		d.whole(int64(n.Taken), int64(n.Refused), int64(n.Lies), int64(n.Busy), int64(n.Missed), int64(n.Dropped), n.BytesSent, n.BytesCame)
+		d.whole(int64(n.Applied), int64(n.Refused), int64(n.InvalidResponses), int64(n.Busy), int64(n.Missed), int64(n.Dropped), n.BytesSent, n.BytesReceived)
 	}
 }
 
 // turn adds a change of level.
-func (d digest) turn(t *node.Turn) {
+func (d digest) turn(t *node.LevelChange) {
 	d.whole(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionTime, t.PreviousTime, int64(t.Cause), t.HoldTime)
 	d.real(t.Value, t.Limit)
 	d.text(t.Plan, t.FromName, t.ToName)
@@ -160,8 +160,8 @@
 
 // change adds a change of the view of the fleet.
 func (d digest) change(c *membership.Change) {
-	d.whole(int64(c.Number), int64(c.Cause), int64(c.Inc), c.After, int64(c.Size), int64(c.Hash))
-	d.text(c.Who, c.Word)
+	d.whole(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.After, int64(c.Size), int64(c.Hash))
+	d.text(c.Who, c.ReportedBy)
 }
 
 // stored adds a record for the store.
@@ -175,7 +175,7 @@
 // write adds a write of the council's seat, its parts by name.
 func (d digest) write(w *consensus.Write) {
 	d.whole(int64(w.Number), int64(len(w.Parts)), int64(len(w.Records)))
-	d.flag(w.Forget, w.Base != nil)
+	d.flag(w.DiscardEarlier, w.Base != nil)
 	d.bytes(w.Base)
 	for _, name := range slices.Sorted(maps.Keys(w.Parts)) {
 		d.text(name)
@@ -187,7 +187,7 @@
 }
 
 // mark adds the name of a version.
-func (d digest) mark(m configsync.Mark) {
+func (d digest) mark(m configsync.Revision) {
 	d.whole(int64(m.Version), int64(m.Digest.A), int64(m.Digest.B))
 }
 
@@ -208,15 +208,15 @@
 	d.flag(e.First, e.Full, e.Warn, e.Message != nil, e.Command != nil, e.Old != nil, e.New != nil)
 	for _, c := range []*configsync.Content{e.Old, e.New} {
 		if c != nil {
-			d.mark(configsync.Mark{Digest: c.Digest()})
+			d.mark(configsync.Revision{Digest: c.Digest()})
 		}
 	}
 	for _, r := range e.Records {
 		d.whole(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.Wall)
 		d.text(r.From)
 		d.items(r.Changes)
-		d.items(r.Was)
-		d.flag(r.Back)
+		d.items(r.Replaced)
+		d.flag(r.Rollback)
 	}
 }
 
@@ -283,7 +283,7 @@
 	require.Equal(b, s.digest.sum(), again.sum())
 	b.ReportAllocs()
 	b.ResetTimer()
-	var brain *node.Reducer
+	var brain *node.StateMachine
 	for k := range b.N {
 		m := &moments[k%len(moments)]
 		if k%len(moments) == 0 {
--- a/internal/node/digestsite_test.go
+++ b/internal/node/digestsite_test.go
@@ -76,7 +76,7 @@
 	name    string
 	address string
 	seed    int64
-	brain   *node.Reducer
+	brain   *node.StateMachine
 	life    int
 	inbox   []node.Input
 	woken   bool
@@ -93,7 +93,7 @@
 	booted    int64
 	supplies  map[int]string // links to the catalogue, and the call on each
 	stored    []resultcache.Record
-	disk      consensus.Disk
+	disk      consensus.DiskContents
 	exchanges map[int]question // asked of this node
 	streams   map[int]stream
 	lastLink  int
@@ -182,7 +182,7 @@
 		n := s.stations[len(s.stations)-1]
 		s.At(length-9_000*millisecond, n.drain)
 		if s.aborts {
-			s.At(length-7_500*millisecond, func() { n.put(node.Input{Kind: node.Abort}) })
+			s.At(length-7_500*millisecond, func() { n.put(node.Input{Kind: node.AbortRequested}) })
 		}
 	}
 	s.Run(length)
@@ -192,24 +192,24 @@
 func (n *station) hollowOne() bool { return n.index >= n.nodes-n.hollow }
 
 // newBrain is the state of a node that starts.
-func (n *station) newBrain() *node.Reducer {
+func (n *station) newBrain() *node.StateMachine {
 	p, err := nodeconfig.FromJSON(n.seed, []byte(n.settings))
 	require.NoError(n.t, err)
-	r := node.New(p, node.Addresses{Executor: "executor:1", Catalogue: "catalogue:1", Control: "control:1"}, 5_000*millisecond, 8, n.links)
-	r.Spare = 2
+	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "catalogue:1", Control: "control:1"}, 5_000*millisecond, 8, n.links)
+	r.SpareConnections = 2
 	if n.hollowOne() {
-		r.Hollow(new(node.HollowCounters), false)
+		r.MakeHollow(new(node.HollowCounters), false)
 	}
 	if n.nodes > 1 || n.seats > 0 {
-		c := membership.Config{Name: n.name, Address: n.address, Probe: 500 * millisecond, Silence: 3_500 * millisecond,
-			Settle: 400 * millisecond, Forget: 60_000 * millisecond, MembersMost: 50, Zone: fmt.Sprint("z", n.index%2)}
+		c := membership.Config{Name: n.name, Address: n.address, ProbeInterval: 500 * millisecond, LinkTimeout: 3_500 * millisecond,
+			SuspicionTimeout: 400 * millisecond, ForgetTimeout: 60_000 * millisecond, MaxMembers: 50, Zone: fmt.Sprint("z", n.index%2)}
 		for _, other := range n.stations[:min(2, n.nodes)] {
 			c.Seeds = append(c.Seeds, other.address)
 		}
-		r.Peer(fleetName, membership.New(c, n.Now, epoch+n.Now, 0, n.seed+int64(n.life)))
+		r.JoinFleet(fleetName, membership.New(c, n.Now, epoch+n.Now, 0, n.seed+int64(n.life)))
 	}
 	if n.keep && !n.hollowOne() {
-		r.Keep(resultcache.Config{Durability: n.durability, MaxBytes: 200_000, MaxResultBytes: 1_000, Window: 8_000 * millisecond}, "dedupe",
+		r.EnableResultCache(resultcache.Config{Durability: n.durability, MaxBytes: 200_000, MaxResultBytes: 1_000, Window: 8_000 * millisecond}, "dedupe",
 			n.life > 1 && n.durability == resultcache.OnDisk)
 	}
 	if n.seats > 0 {
@@ -217,18 +217,18 @@
 		for k := range n.seats {
 			seats = append(seats, n.stations[k].name)
 		}
-		r.Convene(seats, 4<<20, n.Now, n.seed+int64(n.life))
-		if r.Seated() {
-			require.NoError(n.t, r.RecoverSeat(n.Now, n.disk))
+		r.EnableConsensus(seats, 4<<20, n.Now, n.seed+int64(n.life))
+		if r.HasReplica() {
+			require.NoError(n.t, r.RecoverReplica(n.Now, n.disk))
 		}
 	}
 	if n.lease {
-		r.Lease(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * millisecond, Hold: 1_000 * millisecond}, 1)
+		r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * millisecond, Hold: 1_000 * millisecond}, 1)
 	}
 	if n.configures {
 		file, err := new(configsync.Content).Apply(itemsOf(p))
 		require.NoError(n.t, err)
-		require.NoError(n.t, r.Configure(n.Now, n.seed+int64(n.life), configsync.Start{Mark: configsync.Mark{Digest: file.Digest()},
+		require.NoError(n.t, r.EnableConfigSync(n.Now, n.seed+int64(n.life), configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()},
 			Content: file, Source: "file", Journal: -1}, file))
 	}
 	return r
@@ -247,11 +247,11 @@
 	if n.keep && n.life > 1 && n.durability == resultcache.OnDisk && !n.hollowOne() {
 		stored := n.stored
 		n.later(30*millisecond, func() {
-			n.put(node.Input{Kind: node.KeptRecords, Kept: slices.Clone(stored)}, node.Input{Kind: node.KeptRead})
+			n.put(node.Input{Kind: node.RecordsRecovered, Records: slices.Clone(stored)}, node.Input{Kind: node.RecoveryCompleted})
 		})
 	}
 	if n.levels && !n.hollowOne() {
-		in = append(in, node.Input{Kind: node.Adopt, Plan: n.plan(0.6, true)})
+		in = append(in, node.Input{Kind: node.PlanChanged, Plan: n.plan(0.6, true)})
 	}
 	n.put(in...)
 }
@@ -271,7 +271,7 @@
 		n.After(200*millisecond, n.drain)
 		return
 	}
-	n.put(node.Input{Kind: node.Notice})
+	n.put(node.Input{Kind: node.DrainRequested})
 }
 
 // end notes which invariants did not hold in the life that ends.
@@ -348,42 +348,42 @@
 func (n *station) carry(e *node.Effect) {
 	link := e.Link
 	switch e.Kind {
-	case node.Wake:
+	case node.SetWakeup:
 		n.wake = e.At
-	case node.Leave:
+	case node.Exit:
 		n.end()
 		n.After(1_000*millisecond, n.start)
-	case node.Send:
+	case node.SendToConnection:
 		n.sent(e)
-	case node.CloseAfterFlush, node.Evict:
+	case node.CloseAfterFlush, node.EvictConnection:
 		n.closing(link)
-	case node.Resume:
+	case node.ResumeConnection:
 		if c := n.conn(link); c != nil {
 			c.closing++
 		}
 	case node.StopAccepting:
 		n.later(n.drawn(100, 400), func() { n.put(node.Input{Kind: node.ListenerClosed}) })
-	case node.Report:
+	case node.SendReport:
 		var err error
 		if n.odds(5) {
 			err = errDrawn
 		}
-		n.later(n.drawn(200, 900), func() { n.put(node.Input{Kind: node.Reported, Link: link, Err: err}) })
-	case node.Dial, node.Part, node.Tell:
+		n.later(n.drawn(200, 900), func() { n.put(node.Input{Kind: node.ReportFinished, Link: link, Err: err}) })
+	case node.DialExecutor, node.CloseExecutor, node.SendToExecutor:
 		n.executor(e)
-	case node.Reach, node.Ask, node.Quit:
+	case node.DialCatalogue, node.SendToCatalogue, node.CloseCatalogue:
 		n.catalogue(e)
-	case node.Keep:
-		n.keepRecord(*e.Kept)
-	case node.Persist:
+	case node.WriteRecord:
+		n.keepRecord(*e.Record)
+	case node.PersistReplicaWrite:
 		n.persist(e.Write)
-	case node.KeepVersion:
+	case node.PersistVersion:
 		var err error
 		if n.failing && n.odds(4) {
 			err = errDrawn
 		}
-		n.later(n.drawn(500, 4_000), func() { n.put(node.Input{Kind: node.VersionKept, Err: err}) })
-	case node.PeerSend, node.PeerExchange, node.PeerReply, node.PeerStream, node.PeerHangUp:
+		n.later(n.drawn(500, 4_000), func() { n.put(node.Input{Kind: node.VersionPersisted, Err: err}) })
+	case node.SendDatagram, node.OpenExchange, node.ReplyToExchange, node.SendOnStream, node.CloseStream:
 		n.peer(e)
 	}
 }
@@ -401,7 +401,7 @@
 // closed ends a connection.
 func (n *station) closed(link int) {
 	n.conns = slices.DeleteFunc(n.conns, func(c *conn) bool { return c.link == link })
-	n.put(node.Input{Kind: node.Closed, Link: link})
+	n.put(node.Input{Kind: node.ConnectionClosed, Link: link})
 }
 
 // closing ends a connection soon; now and then something crosses that.
@@ -449,7 +449,7 @@
 	n.lastConn++
 	c := &conn{link: n.lastConn, open: map[uint32]string{}}
 	n.conns = append(n.conns, c)
-	n.put(node.Input{Kind: node.Opened, Link: c.link})
+	n.put(node.Input{Kind: node.ConnectionOpened, Link: c.link})
 	return c
 }
 
@@ -527,7 +527,7 @@
 	}
 	b := frame.AppendInvocation(nil, stream, fields, []byte(body))
 	c.open[stream] = id
-	n.put(node.Input{Kind: node.Read, Link: c.link, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[headBytes:],
+	n.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[headBytes:],
 		Past: n.wild && n.odds(90)}})
 }
 
@@ -537,7 +537,7 @@
 		return
 	}
 	c := n.conns[n.Chance.Intn(len(n.conns))]
-	read := func(f frame.Frame) { n.put(node.Input{Kind: node.Read, Link: c.link, Frame: f}) }
+	read := func(f frame.Frame) { n.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: f}) }
 	switch kind := n.Chance.Intn(12); {
 	case kind < 3:
 		open := slices.Sorted(maps.Keys(c.open))
@@ -552,7 +552,7 @@
 		n.closed(c.link)
 	case !n.wild:
 	case kind == 7:
-		n.put(node.Input{Kind: node.Malformed, Link: c.link, Err: frame.ErrLength})
+		n.put(node.Input{Kind: node.FrameMalformed, Link: c.link, Err: frame.ErrLength})
 	case kind == 8:
 		read(frame.Frame{Type: 99, Stream: 1})
 	case kind == 9:
@@ -576,7 +576,7 @@
 	}
 	c.last++
 	b := frame.AppendInvocation(nil, c.last, fields, nil)
-	n.put(node.Input{Kind: node.Read, Link: c.link, Frame: frame.Frame{Type: frame.Check, Stream: c.last, Payload: b[headBytes:],
+	n.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Check, Stream: c.last, Payload: b[headBytes:],
 		Past: n.odds(20)}})
 }
 
@@ -587,7 +587,7 @@
 	if link := n.link; link != 0 && !n.silent {
 		n.later(150_000, func() { // all take the same time, so that they keep their order
 			if link == n.link {
-				n.put(node.Input{Kind: node.Told, Link: link, Line: line})
+				n.put(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: line})
 			}
 		})
 	}
@@ -608,22 +608,22 @@
 func (n *station) executor(e *node.Effect) {
 	link := e.Link
 	switch e.Kind {
-	case node.Dial:
+	case node.DialExecutor:
 		missed := n.fails(4)
 		n.later(n.drawn(100, 500), func() {
 			if missed {
-				n.put(node.Input{Kind: node.Parted, Link: link, Err: errDrawn})
+				n.put(node.Input{Kind: node.ExecutorDisconnected, Link: link, Err: errDrawn})
 				return
 			}
 			n.link, n.silent = link, false
-			n.put(node.Input{Kind: node.Joined, Link: link})
+			n.put(node.Input{Kind: node.ExecutorConnected, Link: link})
 		})
 		return
-	case node.Part:
+	case node.CloseExecutor:
 		if n.link == link {
 			n.link = 0
 		}
-		n.later(n.drawn(50, 200), func() { n.put(node.Input{Kind: node.Parted, Link: link}) })
+		n.later(n.drawn(50, 200), func() { n.put(node.Input{Kind: node.ExecutorDisconnected, Link: link}) })
 		return
 	}
 	if link != n.link {
@@ -685,7 +685,7 @@
 		return
 	}
 	words := strings.Fields(fmt.Sprintf("WELCOME %s %d", []string{"new", "old"}[n.seed&1], (n.Now-n.booted)/millisecond))
-	n.put(node.Input{Kind: node.Told, Link: link, Line: lineprotocol.Line{Words: words}})
+	n.put(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: lineprotocol.Line{Words: words}})
 	for _, c := range n.conns { // a check in the step of the first welcome is a deep one
 		if c.closing == 0 && n.odds(2) {
 			n.check(c, true)
@@ -756,21 +756,21 @@
 func (n *station) catalogue(e *node.Effect) {
 	link := e.Link
 	switch e.Kind {
-	case node.Reach:
-		kind, err := node.Reached, error(nil)
+	case node.DialCatalogue:
+		kind, err := node.CatalogueConnected, error(nil)
 		if n.fails(6) {
-			kind, err = node.Unreached, errDrawn
+			kind, err = node.CatalogueDialFailed, errDrawn
 		}
 		n.later(n.drawn(100, 2_000), func() {
-			if kind == node.Reached {
+			if kind == node.CatalogueConnected {
 				n.supplies[link] = ""
 			}
 			n.put(node.Input{Kind: kind, Link: link, Err: err})
 		})
-	case node.Quit:
+	case node.CloseCatalogue:
 		delete(n.supplies, link)
-		n.later(n.drawn(50, 200), func() { n.put(node.Input{Kind: node.Broke, Link: link}) })
-	case node.Ask:
+		n.later(n.drawn(50, 200), func() { n.put(node.Input{Kind: node.CatalogueDisconnected, Link: link}) })
+	case node.SendToCatalogue:
 		words, body := split(e.Bytes)
 		n.supplies[link] = words[1]
 		reply := lineprotocol.Line{Words: []string{words[1], "DATA", strconv.Itoa(len(body))}, Body: body}
@@ -790,12 +790,12 @@
 			}
 			if breaks {
 				delete(n.supplies, link)
-				n.put(node.Input{Kind: node.Broke, Link: link, Err: errDrawn})
+				n.put(node.Input{Kind: node.CatalogueDisconnected, Link: link, Err: errDrawn})
 				return
 			}
-			n.put(node.Input{Kind: node.Replied, Link: link, Line: reply})
+			n.put(node.Input{Kind: node.CatalogueLineReceived, Link: link, Line: reply})
 			if twice {
-				n.put(node.Input{Kind: node.Replied, Link: link, Line: lineprotocol.Line{Words: slices.Clone(reply.Words), Body: slices.Clone(reply.Body)}})
+				n.put(node.Input{Kind: node.CatalogueLineReceived, Link: link, Line: lineprotocol.Line{Words: slices.Clone(reply.Words), Body: slices.Clone(reply.Body)}})
 			}
 		})
 	}
@@ -806,32 +806,32 @@
 func (n *station) keepRecord(kept resultcache.Record) {
 	if n.failing && n.odds(6) {
 		n.later(n.drawn(200, 9_000), func() {
-			n.put(node.Input{Kind: node.KeptUnwritten, Err: errDrawn, Kept: []resultcache.Record{kept}})
+			n.put(node.Input{Kind: node.RecordWriteFailed, Err: errDrawn, Records: []resultcache.Record{kept}})
 		})
 		return
 	}
 	n.later(n.drawn(200, 9_000), func() {
 		n.stored = append(n.stored, kept)
-		n.put(node.Input{Kind: node.KeptWritten, Kept: []resultcache.Record{kept}})
+		n.put(node.Input{Kind: node.RecordWritten, Records: []resultcache.Record{kept}})
 	})
 }
 
 // persist writes what a seat must not forget, in order.
 func (n *station) persist(w *consensus.Write) {
-	number, base, records, forget := w.Number, bytes.Clone(w.Base), slices.Clone(w.Records), w.Forget
+	number, base, records, forget := w.Number, bytes.Clone(w.Base), slices.Clone(w.Records), w.DiscardEarlier
 	parts := maps.Clone(w.Parts)
 	n.later(2*millisecond, func() {
 		if forget {
-			n.disk = consensus.Disk{}
+			n.disk = consensus.DiskContents{}
 		}
 		if base != nil {
 			have := n.disk.Parts
-			n.disk = consensus.Disk{Base: base, Parts: map[string][]byte{}}
+			n.disk = consensus.DiskContents{Base: base, Parts: map[string][]byte{}}
 			maps.Copy(n.disk.Parts, have)
 			maps.Copy(n.disk.Parts, parts)
 		}
 		n.disk.Records = append(n.disk.Records, records...)
-		n.put(node.Input{Kind: node.Persisted, Number: number})
+		n.put(node.Input{Kind: node.ReplicaWritePersisted, Number: number})
 	})
 }
 
@@ -851,13 +851,13 @@
 	text, link, life := bytes.Clone(e.Bytes), e.Link, n.life
 	lost := n.loss > 0 && n.Chance.Float64() < n.loss
 	switch e.Kind {
-	case node.PeerSend:
+	case node.SendDatagram:
 		if to := n.reaches(e.Address, lost); to != nil {
-			to.later(n.drawn(300, 1_500), func() { to.put(node.Input{Kind: node.PeerCame, From: n.address, Bytes: text}) })
+			to.later(n.drawn(300, 1_500), func() { to.put(node.Input{Kind: node.PeerDatagramReceived, From: n.address, Bytes: text}) })
 		}
-	case node.PeerExchange:
+	case node.OpenExchange:
 		to := n.reaches(e.Address, lost)
-		missed := func() { n.put(node.Input{Kind: node.PeerMissed, Link: link, Err: errDrawn}) }
+		missed := func() { n.put(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: errDrawn}) }
 		if to == nil {
 			n.later(500*millisecond, missed)
 			return
@@ -866,7 +866,7 @@
 		number := n.exchange
 		to.later(n.drawn(900, 2_000), func() {
 			to.exchanges[number] = question{n, life, link}
-			to.put(node.Input{Kind: node.PeerAsked, Link: number, From: n.address, Bytes: text})
+			to.put(node.Input{Kind: node.PeerRequestReceived, Link: number, From: n.address, Bytes: text})
 		})
 		n.later(2_000*millisecond, func() {
 			if q, open := to.exchanges[number]; open && q.from == n {
@@ -874,20 +874,20 @@
 				missed()
 			}
 		})
-	case node.PeerReply:
+	case node.ReplyToExchange:
 		q, known := n.exchanges[link]
 		delete(n.exchanges, link)
 		if !known || q.from == nil || q.from.life != q.life {
 			return
 		}
-		in := node.Input{Kind: node.PeerAnswered, Link: q.link, From: n.address, Bytes: text}
+		in := node.Input{Kind: node.PeerResponseReceived, Link: q.link, From: n.address, Bytes: text}
 		if len(text) == 0 {
-			in = node.Input{Kind: node.PeerMissed, Link: q.link, Err: errDrawn}
+			in = node.Input{Kind: node.PeerExchangeFailed, Link: q.link, Err: errDrawn}
 		}
 		q.from.later(n.drawn(300, 1_500), func() { q.from.put(in) })
-	case node.PeerStream:
+	case node.SendOnStream:
 		n.letter(e.Address, link, text)
-	case node.PeerHangUp:
+	case node.CloseStream:
 		n.hangUp(link)
 	}
 }
@@ -920,7 +920,7 @@
 	to, at := there.to, there.link
 	to.later(800_000, func() { // all take the same time, so that they keep their order
 		if _, open := to.streams[at]; open {
-			to.put(node.Input{Kind: node.PeerTold, Link: at, From: n.address, Bytes: text})
+			to.put(node.Input{Kind: node.PeerMessageReceived, Link: at, From: n.address, Bytes: text})
 		}
 	})
 }
@@ -931,9 +931,9 @@
 	delete(n.streams, link)
 	if known && there.to.life == there.life {
 		delete(there.to.streams, there.link)
-		there.to.later(800_000, func() { there.to.put(node.Input{Kind: node.PeerHungUp, Link: there.link}) })
+		there.to.later(800_000, func() { there.to.put(node.Input{Kind: node.PeerStreamClosed, Link: there.link}) })
 	}
-	n.later(0, func() { n.put(node.Input{Kind: node.PeerHungUp, Link: link}) })
+	n.later(0, func() { n.put(node.Input{Kind: node.PeerStreamClosed, Link: link}) })
 }
 
 // What befalls a station.
@@ -944,9 +944,9 @@
 		// Seldom: the runs of tokens that end in one step are told of in the order of a map, which has none.
 		n.each(1_200, func() {
 			n.ids++
-			n.put(node.Input{Kind: node.TokenWanted, Bytes: fmt.Append(nil, "h", n.ids)})
+			n.put(node.Input{Kind: node.HollowClaimRequested, Bytes: fmt.Append(nil, "h", n.ids)})
 		})
-		n.each(1_000, func() { n.put(node.Input{Kind: node.CallsWanted, Link: n.Chance.Intn(8)}) })
+		n.each(1_000, func() { n.put(node.Input{Kind: node.HollowCallsRequested, Link: n.Chance.Intn(8)}) })
 	} else {
 		n.each(max(1, 1_000/int64(n.rate)), func() {
 			for range max(1, n.rate/1_000) {
@@ -970,14 +970,14 @@
 			if n.odds(5) {
 				plan = nil
 			}
-			n.put(node.Input{Kind: node.Adopt, Plan: plan})
+			n.put(node.Input{Kind: node.PlanChanged, Plan: plan})
 		})
 	}
 	if n.reloads {
 		n.each(4_000, func() {
 			at := func(name string) string { return fmt.Sprintf("%s:%d", name, 1+n.Chance.Intn(2)) }
-			n.put(node.Input{Kind: node.Reload, Plan: n.plan(0.5, false),
-				To: node.Addresses{Executor: at("executor"), Catalogue: at("catalogue"), Control: at("control")}})
+			n.put(node.Input{Kind: node.ReloadRequested, Plan: n.plan(0.5, false),
+				Addresses: node.Addresses{Executor: at("executor"), Catalogue: at("catalogue"), Control: at("control")}})
 		})
 	}
 	if n.amends {
@@ -997,22 +997,22 @@
 	if n.odds(8) {
 		of = "another"
 	}
-	kind := []node.InputKind{node.PeerCame, node.PeerAsked, node.PeerAsked, node.PeerAsked}[n.Chance.Intn(4)]
+	kind := []node.InputKind{node.PeerDatagramReceived, node.PeerRequestReceived, node.PeerRequestReceived, node.PeerRequestReceived}[n.Chance.Intn(4)]
 	var body any
 	switch n.Chance.Intn(6) {
 	case 0:
-		body = &membership.Message{Kind: membership.Look}
+		body = &membership.Message{Kind: membership.MessageViewRequest}
 	case 1:
-		body = &membership.Message{Kind: membership.Look, Why: membership.LookClaims}
+		body = &membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}
 	case 2:
-		body = &membership.Message{Kind: []membership.MessageKind{membership.Ask, membership.News, 0}[n.Chance.Intn(3)]}
+		body = &membership.Message{Kind: []membership.MessageKind{membership.MessageSyncRequest, membership.MessageGossip, 0}[n.Chance.Intn(3)]}
 	case 3:
-		body = node.AskConfiguration(&configsync.Question{Kind: configsync.ShowStanding})
+		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.ShowStanding})
 	case 4:
-		body = node.AskConfiguration(&configsync.Question{Kind: configsync.ReadBlocks,
+		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.ReadBlocks,
 			Which: n.Chance.Intn(3)})
 	default:
-		body = node.AskConfiguration(&configsync.Question{Kind: 77})
+		body = node.EncodeConfigQuery(&configsync.Query{Kind: 77})
 	}
 	text, err := envelope.Seal(nil, envelope.FleetOf(of), body)
 	require.NoError(n.t, err)
@@ -1022,7 +1022,7 @@
 	n.exchange++
 	n.put(node.Input{Kind: kind, Link: n.exchange, From: "10.0.9.9:9", Bytes: text})
 	if n.odds(20) {
-		n.put(node.Input{Kind: node.PeerTold, Link: 1_000_000 + n.exchange, From: "10.0.9.9:9", Bytes: text})
+		n.put(node.Input{Kind: node.PeerMessageReceived, Link: 1_000_000 + n.exchange, From: "10.0.9.9:9", Bytes: text})
 	}
 }
 
@@ -1046,13 +1046,13 @@
 	default:
 		link := n.link
 		n.link = 0
-		n.put(node.Input{Kind: node.Parted, Link: link, Err: errDrawn})
+		n.put(node.Input{Kind: node.ExecutorDisconnected, Link: link, Err: errDrawn})
 	}
 }
 
 // plan is one of two levels that begins at a load.
-func (n *station) plan(load float64, spare bool) *node.Plan {
-	p := &node.Plan{Forms: [][]string{{"catalogue-plain", "", ""}, {"catalogue-plain", "", "pay-plain"}}, Operations: []string{"catalogue", "hold", "pay"},
+func (n *station) plan(load float64, spare bool) *node.DegradationPlan {
+	p := &node.DegradationPlan{Forms: [][]string{{"catalogue-plain", "", ""}, {"catalogue-plain", "", "pay-plain"}}, Operations: []string{"catalogue", "hold", "pay"},
 		Text: fmt.Sprint(load, spare)}
 	p.Name, p.MinHold, p.MaxHold, p.UseSpareCapacity = "test", 300*millisecond, 5_000*millisecond, spare
 	p.IdleCondition = degradation.Condition{Limits: degradation.NoLimits()}
@@ -1101,15 +1101,15 @@
 	}
 	change, err := nodeconfig.Parse(n.items())
 	require.NoError(n.t, err)
-	number := n.brain.Version() + 1
+	number := n.brain.ActiveVersion() + 1
 	if n.odds(6) {
 		number--
 	}
-	n.put(node.Input{Kind: node.Amend, Version: number, Change: change})
+	n.put(node.Input{Kind: node.VersionReceived, Version: number, Change: change})
 	if n.odds(4) { // the next one before this one is taken
 		next, err := nodeconfig.Parse(n.items())
 		require.NoError(n.t, err)
-		n.put(node.Input{Kind: node.Amend, Version: number + 1, Change: next})
+		n.put(node.Input{Kind: node.VersionReceived, Version: number + 1, Change: next})
 	}
 }
 
@@ -1120,7 +1120,7 @@
 		return
 	}
 	s.orders++
-	c := &configsync.Command{Kind: configsync.Put, From: "operator", Seq: s.orders, Base: n.brain.Configuration().Version}
+	c := &configsync.Command{Kind: configsync.Put, From: "operator", Seq: s.orders, Base: n.brain.ConfigSyncState().Version}
 	for _, i := range s.items() {
 		if len(i.Value) > 0 {
 			var err error
@@ -1129,8 +1129,8 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.AskConfiguration(&configsync.Question{Kind: configsync.Propose, Command: c}))
+	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.EncodeConfigQuery(&configsync.Query{Kind: configsync.Propose, Command: c}))
 	require.NoError(s.t, err)
 	s.exchange++
-	n.put(node.Input{Kind: node.PeerAsked, Link: s.exchange, From: "10.0.9.9:9", Bytes: text})
+	n.put(node.Input{Kind: node.PeerRequestReceived, Link: s.exchange, From: "10.0.9.9:9", Bytes: text})
 }
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -27,7 +27,7 @@
 
 // opened takes a connection on. At the most that are kept an idle one makes room: one that brought nothing usable
 // before any other, then the one that has stood idle longest. Those that end already do not count, as far as Spare goes.
-func (r *Reducer) opened(link int) {
+func (r *StateMachine) opened(link int) {
 	if len(r.conns) >= r.connMost {
 		oldest, found, told, slow := 0, false, 0, 0
 		for id, c := range r.conns {
@@ -51,17 +51,17 @@
 			oldest, found = id, true
 		}
 		if found && len(r.conns)-told >= r.connMost {
-			r.evict(oldest, r.conns[oldest], told < r.Spare)
+			r.evict(oldest, r.conns[oldest], told < r.SpareConnections)
 		}
-		if told >= r.Spare && slow != 0 { // one that takes its time over half a frame, or over its own end
+		if told >= r.SpareConnections && slow != 0 { // one that takes its time over half a frame, or over its own end
 			r.conns[slow].hastened = true
-			r.do(Effect{Kind: Evict, Link: slow})
+			r.do(Effect{Kind: EvictConnection, Link: slow})
 		}
 	}
 	c := &connection{open: make(map[uint32]int32), used: r.now}
 	r.conns[link] = c
 	r.lookAt(link, c, r.now+firstWait)
-	r.do(Effect{Kind: Receive, Link: link})
+	r.do(Effect{Kind: ReadConnection, Link: link})
 	if r.shut {
 		r.noMore(link, c)
 	}
@@ -70,28 +70,28 @@
 // evict ends an idle connection whose place is wanted: once what crosses has had its time, or now if it never brought
 // anything usable or there is no place beside. The latter guards against a crowd that connects faster than those who
 // rest can be told; it does harm to an invocation that crosses the end, which its dispatcher sends again.
-func (r *Reducer) evict(link int, c *connection, beside bool) {
+func (r *StateMachine) evict(link int, c *connection, beside bool) {
 	r.Counters.Evicted++
 	c.evicted = true
 	if !c.usable || !beside {
 		c.closing, c.ending, c.hastened = true, true, true
-		r.do(Effect{Kind: Evict, Link: link})
+		r.do(Effect{Kind: EvictConnection, Link: link})
 		return
 	}
 	r.noMore(link, c)
 	r.lookAt(link, c, c.ended+evictWait)
 }
 
-func (r *Reducer) fromDispatcher(in *Input, c *connection) {
+func (r *StateMachine) fromDispatcher(in *Input, c *connection) {
 	switch in.Kind {
-	case Closed:
+	case ConnectionClosed:
 		delete(r.conns, in.Link)
 		r.lookAway(c)
 		for _, stream := range slices.Sorted(maps.Keys(c.open)) {
 			r.gone(c.open[stream])
 		}
 		return
-	case Malformed:
+	case FrameMalformed:
 		r.broken(in.Link, c, in.Err)
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // broken ends a connection that can't be understood, once what is open on it is answered.
-func (r *Reducer) broken(link int, c *connection, err error) {
+func (r *StateMachine) broken(link int, c *connection, err error) {
 	r.remark(Warn, "connection can't be understood", "", err)
 	if c.broken {
 		return
@@ -120,24 +120,24 @@
 	c.broken = true
 	r.Counters.BrokenConnections++
 	text := err.Error()
-	r.do(Effect{Kind: Send, Link: link,
+	r.do(Effect{Kind: SendToConnection, Link: link,
 		Bytes: append(frame.Head(nil, frame.Answer, 0, frame.Errored, nil, len(text)), text...)})
 	r.noMore(link, c)
-	r.do(Effect{Kind: Ignore, Link: link})
+	r.do(Effect{Kind: DiscardInput, Link: link})
 	c.closing = true
 	r.keepOpen(link, c)
 }
 
 // fault counts what can't be used against its connection. Guards against peers that make work of no use without
 // end; does harm to a dispatcher of another version, which loses its connections again and again.
-func (r *Reducer) fault(link int, c *connection) {
+func (r *StateMachine) fault(link int, c *connection) {
 	if c.faults++; c.faults >= faultsMost {
 		r.broken(link, c, errFaults)
 	}
 }
 
 // lookAt has a connection looked at, at a time or soon after it.
-func (r *Reducer) lookAt(link int, c *connection, at int64) {
+func (r *StateMachine) lookAt(link int, c *connection, at int64) {
 	r.lookAway(c)
 	if c.noMore {
 		c.look = r.crossing.Add((at+ms-1)/ms, int64(link))
@@ -147,7 +147,7 @@
 }
 
 // lookAway takes back that a connection is to be looked at.
-func (r *Reducer) lookAway(c *connection) {
+func (r *StateMachine) lookAway(c *connection) {
 	if c.noMore {
 		r.crossing.Remove(c.look)
 	} else {
@@ -159,7 +159,7 @@
 // keepConnections closes those that hold a descriptor to no use: that never brought anything usable, or that stand
 // idle long after it. Each is told before. It looks only at those whose time may have come, and at so many in one step:
 // those that came together are due together, and invocations would wait behind all of them.
-func (r *Reducer) keepConnections() {
+func (r *StateMachine) keepConnections() {
 	due := func(link int64) { r.due = append(r.due, int(link)) }
 	left := len(r.due)
 	r.crossing.Advance(r.now/ms, due)
@@ -184,7 +184,7 @@
 }
 
 // connectionsDue is when the next of them is looked at.
-func (r *Reducer) connectionsDue() int64 {
+func (r *StateMachine) connectionsDue() int64 {
 	at := r.sweepAt
 	if tick, some := r.crossing.Next(); some {
 		at = min(at, tick*ms)
@@ -196,7 +196,7 @@
 }
 
 // keepConnection tells or ends one that has had its time, and has any other looked at when that may have come.
-func (r *Reducer) keepConnection(link int, c *connection) (ends bool) {
+func (r *StateMachine) keepConnection(link int, c *connection) (ends bool) {
 	wait := int64(firstWait)
 	if c.usable {
 		wait = idleWait
@@ -221,12 +221,12 @@
 	return false
 }
 
-func (r *Reducer) noMore(link int, c *connection) {
+func (r *StateMachine) noMore(link int, c *connection) {
 	if !c.noMore {
 		r.lookAway(c)
 		c.noMore, c.ended = true, r.now
 		r.lookAt(link, c, r.now+c.crossing())
-		r.do(Effect{Kind: Send, Link: link, Bytes: frame.Append(nil, frame.NoMore, 0, nil)})
+		r.do(Effect{Kind: SendToConnection, Link: link, Bytes: frame.Append(nil, frame.NoMore, 0, nil)})
 	}
 }
 
@@ -239,7 +239,7 @@
 }
 
 // keepOpen closes a connection that is to end, once nothing is open on it.
-func (r *Reducer) keepOpen(link int, c *connection) {
+func (r *StateMachine) keepOpen(link int, c *connection) {
 	if c.idle() {
 		if c.used = r.now; c.closing {
 			r.closeAfterFlush(link, c)
@@ -249,7 +249,7 @@
 
 // closeAfterFlush has the server close a connection, which stays known until it is gone: what was read on it before is still
 // answered.
-func (r *Reducer) closeAfterFlush(link int, c *connection) {
+func (r *StateMachine) closeAfterFlush(link int, c *connection) {
 	c.closing = true
 	if !c.ending {
 		c.ending = true
@@ -258,17 +258,17 @@
 }
 
 // keepEnding takes that back for an invocation or a check that came on it meanwhile and is not answered yet.
-func (r *Reducer) keepEnding(link int, c *connection) {
+func (r *StateMachine) keepEnding(link int, c *connection) {
 	if c.ending {
 		c.ending, c.hastened = false, false
-		r.do(Effect{Kind: Resume, Link: link})
+		r.do(Effect{Kind: ResumeConnection, Link: link})
 	}
 }
 
-func (r *Reducer) gone(i int32) {
+func (r *StateMachine) gone(i int32) {
 	v := &r.invs[i]
 	if r.Invariants.Check(v.live && !v.answered, "an open stream is owed an answer") {
-		r.Counters.Gone++
+		r.Counters.CallersGone++
 		v.answered = true
 		r.open--
 		if r.leaveToken(i) { // others wait for its run, which goes on
@@ -282,7 +282,7 @@
 
 // intake takes an invocation in, or answers at once one that can't be used. Where its connection can't be understood
 // any more it is errored unrun: it may be no invocation at all, and a throttle would say that it never ran before.
-func (r *Reducer) intake(link int, c *connection, f *frame.Frame) {
+func (r *StateMachine) intake(link int, c *connection, f *frame.Frame) {
 	if c.broken {
 		if f.Stream > c.last {
 			c.last = f.Stream
@@ -342,7 +342,7 @@
 }
 
 // read turns an invocation's fields into an event.
-func (r *Reducer) read(f *frame.Frame, v *invocation, e *admission.Event) error {
+func (r *StateMachine) read(f *frame.Frame, v *invocation, e *admission.Event) error {
 	if f.Past {
 		return errBody
 	}
@@ -434,15 +434,15 @@
 func hex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdef") == "" }
 
 // plausible says whether a stamp can be that of an arrival. It is of this machine's own clock, which jumps with it.
-func (r *Reducer) plausible(stamp int64) bool {
+func (r *StateMachine) plausible(stamp int64) bool {
 	return stamp-r.wall/ms <= aheadMost && r.wall/ms-stamp <= ageMost
 }
 
 // age is how long ago an invocation came to the machine.
-func (r *Reducer) age(stamp int64) int64 { return max(0, r.wall-stamp*ms) }
+func (r *StateMachine) age(stamp int64) int64 { return max(0, r.wall-stamp*ms) }
 
 // check answers a health check from store, or has the executor do its work where the module leaves that.
-func (r *Reducer) check(link int, c *connection, f *frame.Frame) {
+func (r *StateMachine) check(link int, c *connection, f *frame.Frame) {
 	fields, _, err := frame.Fields(f.Payload)
 	deep := false
 	for _, field := range fields {
@@ -465,17 +465,17 @@
 	r.checked(link, f.Stream, r.post != nil && r.good)
 }
 
-func (r *Reducer) checked(link int, stream uint32, good bool) {
+func (r *StateMachine) checked(link int, stream uint32, good bool) {
 	code := byte(frame.Bad)
 	if good {
 		code = frame.Good
 	}
-	r.do(Effect{Kind: Send, Link: link,
+	r.do(Effect{Kind: SendToConnection, Link: link,
 		Bytes: frame.Head(nil, frame.Checked, stream, code, r.carried(nil), 0)})
 }
 
 // diagnosed answers the check that a deep one was for.
-func (r *Reducer) diagnosed(tag string, good bool) {
+func (r *StateMachine) diagnosed(tag string, good bool) {
 	d, ok := r.diags[tag]
 	if !ok {
 		return
@@ -488,7 +488,7 @@
 	}
 }
 
-func (r *Reducer) keepChecks() {
+func (r *StateMachine) keepChecks() {
 	for _, tag := range slices.Sorted(maps.Keys(r.diags)) {
 		if r.now >= r.diags[tag].until {
 			r.diagnosed(tag, false)
@@ -496,7 +496,7 @@
 	}
 }
 
-func (r *Reducer) checksDue() int64 {
+func (r *StateMachine) checksDue() int64 {
 	at := int64(never)
 	for _, d := range r.diags {
 		at = min(at, d.until)
@@ -505,14 +505,14 @@
 }
 
 // carried adds the free value to an answer's fields.
-func (r *Reducer) carried(fields []frame.Field) []frame.Field {
+func (r *StateMachine) carried(fields []frame.Field) []frame.Field {
 	if r.load != "" {
 		fields = append(fields, frame.Field{Name: "load", Value: r.load})
 	}
 	return fields
 }
 
-func (r *Reducer) throttle(a *admission.Action) {
+func (r *StateMachine) throttle(a *admission.Action) {
 	var fields []frame.Field
 	if a.Duration > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt((a.Duration+ms-1)/ms, 10)})
@@ -524,7 +524,7 @@
 }
 
 // succeed answers with a result; one of a reduced form says at which level, so that none takes it for a whole one.
-func (r *Reducer) succeed(i int32, result []byte, fields ...frame.Field) {
+func (r *StateMachine) succeed(i int32, result []byte, fields ...frame.Field) {
 	if level := r.invs[i].form; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
 	}
@@ -532,10 +532,10 @@
 	r.answer(i, frame.Succeeded, fields, result)
 }
 
-func (r *Reducer) fail(i int32) { r.answer(i, frame.Errored, nil, nil) }
+func (r *StateMachine) fail(i int32) { r.answer(i, frame.Errored, nil, nil) }
 
 // answer gives the one answer of an invocation.
-func (r *Reducer) answer(i int32, code byte, fields []frame.Field, body []byte) {
+func (r *StateMachine) answer(i int32, code byte, fields []frame.Field, body []byte) {
 	v := &r.invs[i]
 	if v.orphan { // nobody waits for it
 		r.quitCall(i)
@@ -571,7 +571,7 @@
 	}
 }
 
-func (r *Reducer) send(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
+func (r *StateMachine) send(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
 	head := frame.Head(nil, frame.Answer, stream, code, r.carried(fields), len(body))
-	r.do(Effect{Kind: Send, Link: link, Bytes: append(head, body...)})
+	r.do(Effect{Kind: SendToConnection, Link: link, Bytes: append(head, body...)})
 }
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -13,9 +13,9 @@
 
 // joined starts on a new link. It is told of nothing more before its welcome: an executor that is not up yet
 // carries out no command, that for the gauges included.
-func (r *Reducer) joined(link int) {
+func (r *StateMachine) joined(link int) {
 	if link != r.dialing { // to an address of before
-		r.do(Effect{Kind: Part, Link: link})
+		r.do(Effect{Kind: CloseExecutor, Link: link})
 		return
 	}
 	r.Counters.ExecutorLinks++
@@ -23,25 +23,25 @@
 	r.tell("JOIN", strconv.Itoa(r.notice))
 }
 
-func (r *Reducer) syncTag() string { return "j" + strconv.Itoa(r.link) }
+func (r *StateMachine) syncTag() string { return "j" + strconv.Itoa(r.link) }
 
 // tell writes a command that is worth nothing on a later link.
-func (r *Reducer) tell(words ...string) {
-	r.do(Effect{Kind: Tell, Link: r.link, Bytes: lineprotocol.Append(nil, words...)})
+func (r *StateMachine) tell(words ...string) {
+	r.do(Effect{Kind: SendToExecutor, Link: r.link, Bytes: lineprotocol.Append(nil, words...)})
 }
 
 // order writes a command that must be read; it is kept until the executor is known to have read it.
-func (r *Reducer) order(i int32, bytes []byte) {
+func (r *StateMachine) order(i int32, bytes []byte) {
 	r.seq++
 	r.unread = append(r.unread, command{r.seq, i, r.invs[i].call, bytes})
 	r.Invariants.Check(len(r.unread) <= commandMost, "commands not known to be read are bounded")
 	if r.synced {
-		r.do(Effect{Kind: Tell, Link: r.link, Bytes: bytes})
+		r.do(Effect{Kind: SendToExecutor, Link: r.link, Bytes: bytes})
 	}
 }
 
 // readBy drops the commands that are known to have been read.
-func (r *Reducer) readBy(read func(c *command) bool) {
+func (r *StateMachine) readBy(read func(c *command) bool) {
 	kept := r.unread[:0]
 	for i := range r.unread {
 		if !read(&r.unread[i]) {
@@ -55,7 +55,7 @@
 // askGauges asks for the gauges with the number of the last command: the answer proves that it was read. Until
 // the missed notices are known to be in it asks for that, again and again: one that is refused would else keep
 // every command back.
-func (r *Reducer) askGauges() {
+func (r *StateMachine) askGauges() {
 	tag := r.syncTag()
 	if r.synced {
 		tag, r.proving = "m"+strconv.Itoa(r.seq), r.seq
@@ -65,13 +65,13 @@
 
 // prove asks for the gauges behind new commands, so that at a break only those of the last round trip are in
 // doubt. Guards against a reply to a call told twice, which a run at its next call would take for that one's.
-func (r *Reducer) prove() {
+func (r *StateMachine) prove() {
 	if r.synced && r.seq > r.proving {
 		r.askGauges()
 	}
 }
 
-func (r *Reducer) run(i int32, form admission.Form) {
+func (r *StateMachine) run(i int32, form admission.Form) {
 	v := &r.invs[i]
 	if r.Invariants.Check(v.live && !v.answered, "no run after an answer") {
 		if v.key.Token != "" && !v.asked {
@@ -86,8 +86,8 @@
 	}
 }
 
-func (r *Reducer) fromExecutor(in *Input) {
-	if in.Kind == Parted {
+func (r *StateMachine) fromExecutor(in *Input) {
+	if in.Kind == ExecutorDisconnected {
 		r.remark(Info, "executor link ended", "", in.Err)
 		r.partExecutor()
 		r.redialAt = r.now + r.wait
@@ -97,19 +97,19 @@
 	r.heardAt = r.now
 	if err := r.told(in.Line.Words, in.Line.Body); err != nil {
 		r.remark(Warn, "executor can't be understood", "", err)
-		r.do(Effect{Kind: Part, Link: r.link})
+		r.do(Effect{Kind: CloseExecutor, Link: r.link})
 	}
 }
 
 // partExecutor forgets the link of now, open or being opened.
-func (r *Reducer) partExecutor() {
+func (r *StateMachine) partExecutor() {
 	r.link, r.dialing, r.synced = 0, 0, false
 	for _, tag := range slices.Sorted(maps.Keys(r.diags)) {
 		r.diagnosed(tag, false)
 	}
 }
 
-func (r *Reducer) told(words []string, body []byte) error {
+func (r *StateMachine) told(words []string, body []byte) error {
 	number := func(k int) int {
 		if k < len(words) {
 			if n, err := strconv.Atoi(words[k]); err == nil {
@@ -152,7 +152,7 @@
 
 // welcome starts the module when the executor is first heard of: its state and age are those of the cores.
 // The notices after the last one taken follow it; the gauges asked for now tell when all of them are in.
-func (r *Reducer) welcome(words []string) {
+func (r *StateMachine) welcome(words []string) {
 	r.welcomed = r.link
 	r.tell("METER", r.syncTag())
 	if r.post != nil || r.left { // the latter: it came too late for a node that is leaving
@@ -171,7 +171,7 @@
 	r.remark(Info, "executor is up, serving", words[1], nil)
 }
 
-func (r *Reducer) meters(words []string) error {
+func (r *StateMachine) meters(words []string) error {
 	tag := words[1]
 	for k, name := range r.config.Gauges {
 		v, err := strconv.ParseFloat(words[2+k], 64)
@@ -192,7 +192,7 @@
 		r.synced, r.proving = true, 0
 		for i := range r.unread {
 			if c := &r.unread[i]; r.isLive(c) {
-				r.do(Effect{Kind: Tell, Link: r.link, Bytes: c.bytes})
+				r.do(Effect{Kind: SendToExecutor, Link: r.link, Bytes: c.bytes})
 			}
 		}
 	} else if seq, err := strconv.Atoi(tag[1:]); tag[0] == 'm' && err == nil {
@@ -202,14 +202,14 @@
 	return nil
 }
 
-func (r *Reducer) isLive(c *command) bool {
+func (r *StateMachine) isLive(c *command) bool {
 	v := &r.invs[c.index]
 	return v.live && (!v.answered || v.orphan) && v.call == c.call
 }
 
 // refusedCommand ends a run that could not start: nothing ran, and the connection that brought it is at fault. A
 // refused reply to a call was read twice.
-func (r *Reducer) refusedCommand(words []string) {
+func (r *StateMachine) refusedCommand(words []string) {
 	r.remark(Warn, "executor did not carry out a command", words[len(words)-1], nil)
 	if i, v := r.lookup(words[len(words)-1]); v != nil && words[1] == "EXEC" {
 		if v.asked {
@@ -232,7 +232,7 @@
 }
 
 // exit answers with what the run came to, if that is still owed.
-func (r *Reducer) exit(words []string, body []byte) error {
+func (r *StateMachine) exit(words []string, body []byte) error {
 	outcome, known := ends[words[3]]
 	if !known {
 		return fmt.Errorf("end %q", words[3])
@@ -260,7 +260,7 @@
 	return nil
 }
 
-func (r *Reducer) callout(call string, body []byte) {
+func (r *StateMachine) callout(call string, body []byte) {
 	if i, v := r.lookup(call); v != nil {
 		r.readBy(func(c *command) bool { return c.call == v.call })
 		v.wanted = body
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -15,7 +15,7 @@
 func TestModuleHearsWhenItsProcessBegan(t *testing.T) {
 	p, err := nodeconfig.FromJSON(1, []byte(customers))
 	require.NoError(t, err)
-	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	var heard *admission.Config
 	var cores int64
 	decisions := r.Decisions
@@ -27,7 +27,7 @@
 	began := r.now
 	r.now += 3_000 * ms // the executor is out of reach for a while
 	step(r)
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME old 60000")
 	require.NotNil(t, heard)
 	assert.False(t, heard.ColdStart)
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -35,15 +35,15 @@
 }
 
 // serving is a node at a site with tenants; arrived are the invocations that its module is told of.
-func serving(t *testing.T) (r *Reducer, arrived *[]admission.Event) {
+func serving(t *testing.T) (r *StateMachine, arrived *[]admission.Event) {
 	p, err := nodeconfig.FromJSON(1, []byte(customers))
 	require.NoError(t, err)
-	r, arrived = New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
+	r, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
 	make := r.Decisions
 	r.Decisions = func(config *admission.Config, born int64) Decider { return spy{make(config, born), arrived} }
-	r.Keep(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
-	step(r, Input{Kind: Opened, Link: 7})
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	r.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	step(r, Input{Kind: ConnectionOpened, Link: 7})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	return r, arrived
@@ -103,11 +103,11 @@
 	p, err := nodeconfig.FromJSON(1, []byte(customers))
 	require.NoError(t, err)
 	before := p.Node
-	first := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	second := New(p, Addresses{"executor:2", "catalogue:2", "control:2"}, 5_000*ms, 4, 3)
-	first.Keep(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	first := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	second := NewStateMachine(p, Addresses{"executor:2", "catalogue:2", "control:2"}, 5_000*ms, 4, 3)
+	first.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(first)
-	step(first, Input{Kind: Joined, Link: first.dialing})
+	step(first, Input{Kind: ExecutorConnected, Link: first.dialing})
 	told(first, "WELCOME new 0")
 	assert.True(t, first.config.Node.ColdStart)
 	assert.False(t, second.config.Node.ColdStart, "it has heard of no executor")
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -128,8 +128,8 @@
 
 // Letters of membership, one of each kind, as they are sealed when sent and opened when they came, and what a command is shown.
 func TestFixturesOfMembership(t *testing.T) {
-	for k, kind := range []membership.MessageKind{membership.Ping, membership.Ack, membership.News, membership.Ask, membership.Answer,
-		membership.Push, membership.Refuse, membership.Look} {
+	for k, kind := range []membership.MessageKind{membership.MessagePing, membership.MessageAck, membership.MessageGossip, membership.MessageSyncRequest, membership.MessageSyncAnswer,
+		membership.MessageSyncPush, membership.MessageReject, membership.MessageViewRequest} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fullValue[membership.Message](uint32(k))
 			want.Kind = kind
@@ -141,7 +141,7 @@
 		})
 	}
 	t.Run("the ask for claims", func(t *testing.T) {
-		sameBothWays(t, "look-claims-v1.bin", membership.Message{Kind: membership.Look, Why: membership.LookClaims}, letterOf, openLetter)
+		sameBothWays(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}, letterOf, openLetter)
 	})
 	t.Run("view", func(t *testing.T) {
 		want := fullValue[membership.View](1)
@@ -156,10 +156,10 @@
 		sameAsFixture(t, "names-v1.txt", []byte(text))
 	})
 	t.Run("statuses and ways", func(t *testing.T) {
-		var list []membership.Seen
+		var list []membership.MemberStatus
 		for _, s := range []membership.Status{membership.Alive, membership.Suspect, membership.Dead, membership.Left} {
-			for _, r := range []membership.Reach{membership.Direct, membership.Through, membership.None} {
-				list = append(list, membership.Seen{Status: s, Reach: r})
+			for _, r := range []membership.Reach{membership.Direct, membership.Indirect, membership.Unreachable} {
+				list = append(list, membership.MemberStatus{Status: s, Reach: r})
 			}
 		}
 		sameBothWays(t, "seen-v1.cbor", list, cbor.Marshal, cbor.Unmarshal)
@@ -179,11 +179,11 @@
 			assert.Equal(t, peerLetter{Configuration: &want}, got)
 		})
 	}
-	for k, kind := range []configsync.QuestionKind{configsync.ShowStanding, configsync.ReadBlocks, configsync.Propose} {
+	for k, kind := range []configsync.QueryKind{configsync.ShowStanding, configsync.ReadBlocks, configsync.Propose} {
 		t.Run(fmt.Sprintf("question %d", k+1), func(t *testing.T) {
-			want := fullValue[configsync.Question](uint32(k))
+			want := fullValue[configsync.Query](uint32(k))
 			want.Kind = kind
-			text, err := letterOf(AskConfiguration(&want))
+			text, err := letterOf(EncodeConfigQuery(&want))
 			require.NoError(t, err)
 			var got peerLetter
 			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
@@ -194,7 +194,7 @@
 		want := fullValue[configsync.Answer](1)
 		text, err := letterOf(configurationBody{&configurationLetter{From: "node-1", Answer: &want}})
 		require.NoError(t, err)
-		got, err := OpenConfiguration(sameAsFixture(t, "answer-v1.bin", text), envelope.FleetOf("mobilier"))
+		got, err := DecodeConfigAnswer(sameAsFixture(t, "answer-v1.bin", text), envelope.FleetOf("mobilier"))
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
@@ -206,8 +206,8 @@
 
 // Letters of the council, one of each kind, with claims, leases and versions in them, and what a node shows of it.
 func TestFixturesOfLettersOfTheCouncil(t *testing.T) {
-	for k, kind := range []consensus.Kind{consensus.Raft, consensus.Hail, consensus.Propose, consensus.Verdicts, consensus.Tells, consensus.Gift, consensus.Return,
-		consensus.Heard, consensus.Want, consensus.Piece} {
+	for k, kind := range []consensus.MessageKind{consensus.MessageRaft, consensus.MessageDiscovery, consensus.MessagePropose, consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment, consensus.MessageRejoin,
+		consensus.MessageRejoinAnswer, consensus.MessagePartRequest, consensus.MessagePart} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fullValue[consensus.Message](uint32(k))
 			want.Kind = kind
@@ -215,7 +215,7 @@
 		})
 	}
 	t.Run("picture", func(t *testing.T) {
-		sameBothWays(t, "picture-v1.bin", fullValue[consensus.Picture](1), letterOf, openLetter)
+		sameBothWays(t, "picture-v1.bin", fullValue[consensus.Summary](1), letterOf, openLetter)
 	})
 	t.Run("what an heir needs", func(t *testing.T) {
 		sameBothWays(t, "work-v1.cbor", fullValue[work](1), cbor.Marshal, cbor.Unmarshal)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -18,17 +18,17 @@
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
 // fresh is a node that has not heard of its executor, with connection 7 open.
-func fresh(t *testing.T) *Reducer {
+func fresh(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	step(r, Input{Kind: Opened, Link: 7})
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	step(r, Input{Kind: ConnectionOpened, Link: 7})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	return r
 }
 
 // up is a node that serves.
-func up(t *testing.T) *Reducer {
+func up(t *testing.T) *StateMachine {
 	r := fresh(t)
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
@@ -37,38 +37,38 @@
 
 // step moves the clock on by a millisecond and returns the effects but for those that only wake, remark, sample,
 // report or ask for gauges.
-func step(r *Reducer, inputs ...Input) (got []Effect) {
+func step(r *StateMachine, inputs ...Input) (got []Effect) {
 	for _, e := range r.Step(r.now+ms, r.now+ms+1_000_000*ms, inputs) {
-		proof := e.Kind == Tell && strings.HasPrefix(string(e.Bytes), "METER m")
-		if e.Kind != Wake && e.Kind != Remark && e.Kind != Report && e.Kind != Sample && !proof {
+		proof := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
+		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != SampleState && !proof {
 			got = append(got, e)
 		}
 	}
 	return got
 }
 
-func told(r *Reducer, line string) []Effect {
+func told(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: Told, Link: r.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
+	return step(r, Input{Kind: ExecutorLineReceived, Link: r.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-func replied(r *Reducer, line string) []Effect {
+func replied(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: Replied, Link: r.supplies[0].link,
+	return step(r, Input{Kind: CatalogueLineReceived, Link: r.supplies[0].link,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 // reached has the last link to the catalogue come up.
-func reached(r *Reducer) []Effect {
-	return step(r, Input{Kind: Reached, Link: r.supplies[len(r.supplies)-1].link})
+func reached(r *StateMachine) []Effect {
+	return step(r, Input{Kind: CatalogueConnected, Link: r.supplies[len(r.supplies)-1].link})
 }
 
 // rejoined breaks the link to the executor and has a new one welcomed, its gauges not yet told.
-func rejoined(r *Reducer) {
-	step(r, Input{Kind: Parted, Link: r.link})
+func rejoined(r *StateMachine) {
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.link})
 	r.now = r.redialAt
 	step(r)
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME old 90")
 }
 
@@ -88,7 +88,7 @@
 		}
 	}
 	b := frame.AppendInvocation(nil, stream, fields, []byte("body"))
-	return Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
+	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
 }
 
 // text is what all effects of a kind write.
@@ -104,7 +104,7 @@
 // answers are the codes of the answers among the effects, with their stream.
 func answers(t *testing.T, effects []Effect) (got []string) {
 	for _, e := range effects {
-		if e.Kind != Send {
+		if e.Kind != SendToConnection {
 			continue
 		}
 		var p frame.Parser
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -44,20 +44,20 @@
 	running, over   bool  // over: its end is on its way to the council
 }
 
-// Hollow has the node do only what nodes do among themselves, before Peer, Convene and Lease. TokenWanted and CallsWanted
+// MakeHollow has the node do only what nodes do among themselves, before Peer, Convene and Lease. TokenWanted and CallsWanted
 // are its load; with onlySeat it has none.
-func (r *Reducer) Hollow(counters *HollowCounters, onlySeat bool) {
+func (r *StateMachine) MakeHollow(counters *HollowCounters, onlySeat bool) {
 	r.hollow = hollow{on: true, onlySeat: onlySeat, counters: counters, tokens: map[claims.Key]*hollowToken{}}
 	r.listenerClosed = true // there is none
 }
 
 // fromLoad takes what a hollow node is asked to do.
-func (r *Reducer) fromLoad(in *Input) {
+func (r *StateMachine) fromLoad(in *Input) {
 	h := &r.hollow
 	if !r.Invariants.Check(h.on, "only a hollow node has its load from inputs") {
 		return
 	}
-	if in.Kind == CallsWanted {
+	if in.Kind == HollowCallsRequested {
 		h.calls = in.Link
 		h.counters.Calls.Store(int64(h.calls))
 		r.leasing.at = r.now
@@ -84,7 +84,7 @@
 }
 
 // hollowOperation is the first that is deduplicated.
-func (r *Reducer) hollowOperation() string {
+func (r *StateMachine) hollowOperation() string {
 	for i := range r.config.Node.Operations {
 		if r.config.Node.Operations[i].Idempotency == admission.IdempotentWithKey {
 			return r.config.Operations.Name(int32(i))
@@ -94,7 +94,7 @@
 }
 
 // carryHollow does what the desk asks a hollow node for.
-func (r *Reducer) carryHollow(a *claims.Action) {
+func (r *StateMachine) carryHollow(a *claims.Action) {
 	h := &r.hollow
 	t := h.tokens[a.Key]
 	switch a.Kind {
@@ -130,7 +130,7 @@
 }
 
 // sweepHollow ends runs, and gives up what waited too long for the fleet.
-func (r *Reducer) sweepHollow() {
+func (r *StateMachine) sweepHollow() {
 	for key, t := range r.hollow.tokens {
 		switch {
 		case t.running && !t.over && r.now >= t.ends:
@@ -145,7 +145,7 @@
 }
 
 // need is how many calls are in hand and how many are wanted beside them; a node without its module has none.
-func (r *Reducer) need() (inHand, standing int, decides bool) {
+func (r *StateMachine) need() (inHand, standing int, decides bool) {
 	if h := &r.hollow; h.on {
 		allowed := r.leasing.holder.Allowed(r.now)
 		inHand = int(min(int64(h.calls), allowed))
@@ -161,7 +161,7 @@
 }
 
 // hollowWake is when a hollow node is to step again.
-func (r *Reducer) hollowWake() int64 {
+func (r *StateMachine) hollowWake() int64 {
 	at := min(r.peersDue(), r.claimsDue(), r.leaseDue(), r.configurationDue())
 	if at == math.MaxInt64 {
 		return never
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -14,24 +14,24 @@
 )
 
 // hollowNode sits alone in its council.
-func hollowNode(t *testing.T) (*Reducer, *HollowCounters) {
+func hollowNode(t *testing.T) (*StateMachine, *HollowCounters) {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
-	r, c := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new(HollowCounters)
-	r.Hollow(c, false)
-	r.Peer("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
-	r.Convene([]string{config.Name}, 4<<20, 0, 1)
-	r.Lease(quota.HolderConfig{Name: "calls", Units: 5, Hold: 500 * ms, Term: 3_000 * ms}, 1)
+	r, c := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new(HollowCounters)
+	r.MakeHollow(c, false)
+	r.JoinFleet("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
+	r.EnableConsensus([]string{config.Name}, 4<<20, 0, 1)
+	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 5, Hold: 500 * ms, Term: 3_000 * ms}, 1)
 	return r, c
 }
 
 // run steps it when it is to be woken, up to a time. It says which kinds of effects came.
-func run(t *testing.T, r *Reducer, now *int64, until int64, inputs ...Input) map[EffectKind]int {
+func run(t *testing.T, r *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
 	came, steps := map[EffectKind]int{}, 0
 	for wake := *now + 1; wake < until; steps++ {
 		*now = wake
 		for _, e := range r.Step(*now, *now, inputs) {
-			if came[e.Kind]++; e.Kind == Wake {
+			if came[e.Kind]++; e.Kind == SetWakeup {
 				wake = e.At
 			}
 		}
@@ -49,12 +49,12 @@
 	require.True(t, r.claimed.desk.Connected())
 	var tokens []Input
 	for k := range 9 {
-		tokens = append(tokens, Input{Kind: TokenWanted, Bytes: fmt.Append(nil, "t", k)})
+		tokens = append(tokens, Input{Kind: HollowClaimRequested, Bytes: fmt.Append(nil, "t", k)})
 	}
-	for kind, n := range run(t, r, &now, 8_000*ms, append(tokens, Input{Kind: CallsWanted, Link: 8})...) {
+	for kind, n := range run(t, r, &now, 8_000*ms, append(tokens, Input{Kind: HollowCallsRequested, Link: 8})...) {
 		came[kind] += n
 	}
-	for _, kind := range []EffectKind{Dial, Reach, Report, Receive, Send, StopAccepting, Sample} {
+	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, SampleState} {
 		assert.Zero(t, came[kind], "effect %d is of a whole node", kind)
 	}
 	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{c.Wanted.Load(), c.Begun.Load(), c.Kept.Load(), c.TurnedAway.Load(), c.Late.Load()})
@@ -67,16 +67,16 @@
 	now := int64(0)
 	run(t, r, &now, 4_000*ms)
 	var kinds []EffectKind
-	for _, e := range r.Step(now+1, now+1, []Input{{Kind: Notice}}) {
+	for _, e := range r.Step(now+1, now+1, []Input{{Kind: DrainRequested}}) {
 		kinds = append(kinds, e.Kind)
 	}
-	assert.Contains(t, kinds, Leave)
+	assert.Contains(t, kinds, Exit)
 	assert.NotContains(t, kinds, StopAccepting)
 }
 
 func TestLoadOfAHollowNodeIsNotForAWholeOne(t *testing.T) {
 	r := fresh(t)
-	load := func() { step(r, Input{Kind: TokenWanted, Bytes: []byte("t")}) }
+	load := func() { step(r, Input{Kind: HollowClaimRequested, Bytes: []byte("t")}) }
 	if invariant.Debug {
 		assert.Panics(t, load)
 		return
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -36,16 +36,16 @@
 	waiting []int32
 }
 
-// Keep has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
+// EnableResultCache has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
 // turned away until KeptRead tells that the store was read.
-func (r *Reducer) Keep(rules resultcache.Config, field string, unread bool) {
+func (r *StateMachine) EnableResultCache(rules resultcache.Config, field string, unread bool) {
 	r.config.Node.MaxDeduplicationEntries = rules.MaxTokens()
 	r.amended.numbers = unread
 	r.kept = kept{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*unrun), unread: unread}
 }
 
 // Results is what an operator may want to see of the tokens, nil where none are kept.
-func (r *Reducer) Results() *resultcache.Counters {
+func (r *StateMachine) Results() *resultcache.Counters {
 	if r.kept.keeper == nil {
 		return nil
 	}
@@ -53,10 +53,10 @@
 }
 
 // reading says whether a tokened invocation must be turned away: what ran in an earlier life is not known yet.
-func (r *Reducer) reading(v *invocation) bool { return r.kept.unread && v.key.Token != "" }
+func (r *StateMachine) reading(v *invocation) bool { return r.kept.unread && v.key.Token != "" }
 
 // repeats finds what an invocation repeats, and tells the module as the simulator's wire does.
-func (r *Reducer) repeats(v *invocation, e *admission.Event) error {
+func (r *StateMachine) repeats(v *invocation, e *admission.Event) error {
 	k := &r.kept
 	if v.key.Token == "" {
 		return nil
@@ -81,7 +81,7 @@
 }
 
 // hold notes a token's first invocation, which the module may hold, run or turn away.
-func (r *Reducer) hold(i, repeats int32) {
+func (r *StateMachine) hold(i, repeats int32) {
 	if v := &r.invs[i]; v.key.Token != "" && repeats == admission.NoOriginal {
 		r.kept.held[v.key] = &unrun{first: i, hash: v.hash}
 		r.claim(i)
@@ -89,7 +89,7 @@
 }
 
 // reuse has a repeat wait for the run of its token, or gets it what was kept.
-func (r *Reducer) reuse(i int32) {
+func (r *StateMachine) reuse(i int32) {
 	v := &r.invs[i]
 	if !r.Invariants.Check(v.live && !v.answered && v.key.Token != "", "only a repeat of a token is reused") {
 		return
@@ -106,7 +106,7 @@
 }
 
 // ask hands an invocation to the keeper, which decides whether it runs, joins or is answered.
-func (r *Reducer) ask(i int32) {
+func (r *StateMachine) ask(i int32) {
 	v := &r.invs[i]
 	v.asked = true
 	until := v.window
@@ -117,7 +117,7 @@
 }
 
 // runToken lets a token's first run, and those that waited for it join.
-func (r *Reducer) runToken(i int32) {
+func (r *StateMachine) runToken(i int32) {
 	v := &r.invs[i]
 	h := r.kept.held[v.key]
 	if r.Invariants.Check(h != nil && h.first == i, "a token's first invocation runs") {
@@ -132,7 +132,7 @@
 }
 
 // again takes a repeat in anew, as its token's first: what it repeated was turned away unrun, or its caller left.
-func (r *Reducer) again(i int32) {
+func (r *StateMachine) again(i int32) {
 	v := r.invs[i]
 	c := r.conns[v.conn]
 	if c == nil { // its connection ends in this step, and it with it
@@ -162,7 +162,7 @@
 
 // leaveToken takes an invocation that is answered, or whose caller left, out of what its token waits for. It says
 // whether it must run on all the same, as others wait for it.
-func (r *Reducer) leaveToken(i int32) bool {
+func (r *StateMachine) leaveToken(i int32) bool {
 	k, v := &r.kept, &r.invs[i]
 	if v.key.Token == "" {
 		return false
@@ -187,7 +187,7 @@
 }
 
 // runOver tells the module that a run is over whose answer waited for the disk.
-func (r *Reducer) runOver(i int32) {
+func (r *StateMachine) runOver(i int32) {
 	if v := &r.invs[i]; v.exited {
 		v.exited = false
 		r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.ending})
@@ -195,7 +195,7 @@
 }
 
 // tokenEnded tells the keeper how a run ended. The answer follows once that is kept.
-func (r *Reducer) tokenEnded(i int32, outcome admission.Outcome, body []byte) {
+func (r *StateMachine) tokenEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &r.invs[i]
 	v.exited, v.ending, v.runs = true, outcome, false
 	ending := resultcache.Failed
@@ -212,31 +212,31 @@
 }
 
 // fromStore takes what the store says.
-func (r *Reducer) fromStore(in *Input) {
+func (r *StateMachine) fromStore(in *Input) {
 	k := &r.kept
 	if k.keeper == nil {
 		return
 	}
 	switch in.Kind {
-	case KeptRecords:
-		for _, s := range in.Kept {
+	case RecordsRecovered:
+		for _, s := range in.Records {
 			k.stored++
 			k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.RecordRecovered, Key: s.Key, BodyHash: s.BodyHash, Completed: s.Completed, Outcome: s.Outcome,
 				Result: s.Result})
 		}
 		r.keeper()
-	case KeptRead:
+	case RecoveryCompleted:
 		k.unread = false
 		r.keeper(resultcache.Input{Kind: resultcache.RecoveryCompleted})
 		r.remark(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.stored,
 			k.keeper.Counters.Entries, k.keeper.Counters.Unknown), "", nil)
-	case KeptWritten, KeptUnwritten:
+	case RecordWritten, RecordWriteFailed:
 		failing := k.keeper.StoreFailing()
 		kind := resultcache.WriteSucceeded
-		if in.Kind == KeptUnwritten {
+		if in.Kind == RecordWriteFailed {
 			kind = resultcache.WriteFailed
 		}
-		for _, s := range in.Kept {
+		for _, s := range in.Records {
 			k.inputs = append(k.inputs, resultcache.Input{Kind: kind, Key: s.Key})
 		}
 		r.keeper()
@@ -249,7 +249,7 @@
 }
 
 // keeper steps the keeper with inputs; what follows from its actions is stepped after them, never within.
-func (r *Reducer) keeper(inputs ...resultcache.Input) {
+func (r *StateMachine) keeper(inputs ...resultcache.Input) {
 	k := &r.kept
 	k.inputs = append(k.inputs, inputs...)
 	if k.running {
@@ -266,7 +266,7 @@
 	k.running = false
 }
 
-func (r *Reducer) carryKept(a *resultcache.Action) {
+func (r *StateMachine) carryKept(a *resultcache.Action) {
 	switch a.Kind {
 	case resultcache.Run:
 		v := &r.invs[a.Invocation]
@@ -279,13 +279,13 @@
 			r.want(claims.Input{Kind: claims.RequestStart, Key: r.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: a.Until - r.now, Window: a.Until - r.now})
 			return
 		}
-		r.do(Effect{Kind: Keep, Kept: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - r.now}})
+		r.do(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - r.now}})
 	case resultcache.WriteEnd:
 		if r.claimed.desk != nil {
 			r.want(claims.Input{Kind: claims.ReportEnd, Key: r.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
 			return
 		}
-		r.do(Effect{Kind: Keep, Kept: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
+		r.do(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
 			Remaining: r.knownMost(a.Key.Operation)}})
 	case resultcache.RemoveRecord:
 		if r.claimed.desk != nil {
@@ -298,7 +298,7 @@
 }
 
 // answerKept gives an invocation the answer that the keeper has for it, and tells the module that it is over.
-func (r *Reducer) answerKept(a *resultcache.Action) {
+func (r *StateMachine) answerKept(a *resultcache.Action) {
 	i := a.Invocation
 	v := &r.invs[i]
 	if !r.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
@@ -338,14 +338,14 @@
 }
 
 // keepResults lets tokens expire that are due.
-func (r *Reducer) keepResults() {
+func (r *StateMachine) keepResults() {
 	if k := &r.kept; k.keeper != nil && r.now >= k.keeper.NextExpiry() {
 		k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.CallerDisconnected})
 		r.keeper()
 	}
 }
 
-func (r *Reducer) resultsDue() int64 {
+func (r *StateMachine) resultsDue() int64 {
 	if r.kept.keeper == nil {
 		return never
 	}
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -20,13 +20,13 @@
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
 // keeping is a node that keeps results, in memory or with a store that the test plays.
-func keeping(t *testing.T, durability resultcache.Durability) *Reducer {
+func keeping(t *testing.T, durability resultcache.Durability) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
-	r := New(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	r.Keep(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
-	step(r, Input{Kind: Opened, Link: 7})
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	step(r, Input{Kind: ConnectionOpened, Link: 7})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	return r
@@ -42,12 +42,12 @@
 }
 
 // runsOf counts the runs that effects start.
-func runsOf(effects []Effect) int { return strings.Count(text(effects, Tell), "EXEC ") }
+func runsOf(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
 
-func written(r *Reducer, effects []Effect) []Effect {
-	in := Input{Kind: KeptWritten}
-	for _, e := range kindsOf(effects, Keep) {
-		in.Kept = append(in.Kept, *e.Kept)
+func written(r *StateMachine, effects []Effect) []Effect {
+	in := Input{Kind: RecordWritten}
+	for _, e := range kindsOf(effects, WriteRecord) {
+		in.Records = append(in.Records, *e.Record)
 	}
 	return step(r, in)
 }
@@ -60,7 +60,7 @@
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 2"}, answers(t, sent))
 	sent = step(r, hold(3, "a"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
-	assert.Contains(t, text(sent, Send), "kept")
+	assert.Contains(t, text(sent, SendToConnection), "kept")
 	assert.Equal(t, 1, runsOf(step(r, hold(4, "b"))), "another token runs")
 	step(r)
 	assert.Equal(t, 1, r.open)
@@ -84,13 +84,13 @@
 func TestCallerThatLeavesDoesNotTakeTheRunFromThoseThatJoined(t *testing.T) {
 	r := keeping(t, resultcache.InMemory)
 	step(r, hold(1, "a"), hold(2, "a"))
-	gone := Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
+	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
 	require.NotEmpty(t, r.supplies, "its call is made all the same")
-	assert.Contains(t, text(reached(r), Ask), "FETCH "+id(1))
-	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), Tell), "RETURN "+id(1))
+	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
+	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
 	step(r)
 	assert.Zero(t, r.open)
@@ -100,20 +100,20 @@
 func TestCallerThatLeavesBeforeItsRunLeavesItToTheNext(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
 	intent := step(r, hold(1, "a"), hold(2, "a"))
-	step(r, Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
-	assert.Contains(t, text(written(r, intent), Tell), "EXEC "+id(2))
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	assert.Contains(t, text(written(r, intent), SendToExecutor), "EXEC "+id(2))
 }
 
 func TestIntentIsWrittenBeforeTheRunAndTheResultBeforeTheAnswer(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
 	intent := step(r, hold(1, "a"))
 	assert.Zero(t, runsOf(intent))
-	require.Len(t, kindsOf(intent, Keep), 1)
+	require.Len(t, kindsOf(intent, WriteRecord), 1)
 	assert.Equal(t, 1, runsOf(written(r, intent)))
 	ended := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.Empty(t, answers(t, ended))
-	require.Len(t, kindsOf(ended, Keep), 1)
-	assert.True(t, kindsOf(ended, Keep)[0].Kept.Completed)
+	require.Len(t, kindsOf(ended, WriteRecord), 1)
+	assert.True(t, kindsOf(ended, WriteRecord)[0].Record.Completed)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, written(r, ended)))
 	step(r)
 	assert.Empty(t, r.calls)
@@ -121,7 +121,7 @@
 
 func TestStoreThatFailsRefusesUnrun(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
-	in := Input{Kind: KeptUnwritten, Err: errField, Kept: []resultcache.Record{*kindsOf(step(r, hold(1, "a")), Keep)[0].Kept}}
+	in := Input{Kind: RecordWriteFailed, Err: errField, Records: []resultcache.Record{*kindsOf(step(r, hold(1, "a")), WriteRecord)[0].Record}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
 	assert.Empty(t, r.calls)
@@ -132,7 +132,7 @@
 	step(r, hold(1, "a"), hold(2, "a"))
 	sent := told(r, "BAD EXEC "+id(1))
 	assert.Equal(t, []string{"50 on 1"}, answers(t, sent))
-	assert.Contains(t, text(sent, Tell), "EXEC "+id(2))
+	assert.Contains(t, text(sent, SendToExecutor), "EXEC "+id(2))
 }
 
 func TestWhatRanInAnEarlierLifeIsNotRunAgain(t *testing.T) {
@@ -143,13 +143,13 @@
 	done := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
 	ended := done
 	ended.Completed, ended.Result = true, []byte("kept")
-	step(r, Input{Kind: KeptRecords, Kept: []resultcache.Record{begun, done, ended}}, Input{Kind: KeptRead})
+	step(r, Input{Kind: RecordsRecovered, Records: []resultcache.Record{begun, done, ended}}, Input{Kind: RecoveryCompleted})
 	sent := step(r, hold(2, "a"))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, sent))
-	assert.Contains(t, text(sent, Send), "unknown")
+	assert.Contains(t, text(sent, SendToConnection), "unknown")
 	sent = step(r, hold(3, "b"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
-	assert.Contains(t, text(sent, Send), "kept")
+	assert.Contains(t, text(sent, SendToConnection), "kept")
 	assert.Zero(t, runsOf(sent))
 	step(r)
 	assert.Zero(t, r.open)
@@ -169,7 +169,7 @@
 	open := r.open
 	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.key.Token))
 	assert.Equal(t, open+1, r.open)
-	step(r, Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
 	step(r)
 	assert.Equal(t, open, r.open)
 	h := r.kept.held[v.key]
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -10,8 +10,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// Plan is a ladder of levels together with the names that this door needs of it.
-type Plan struct {
+// DegradationPlan is a ladder of levels together with the names that this door needs of it.
+type DegradationPlan struct {
 	degradation.Plan
 	Forms [][]string // by level above full service and operation: the reduced form as the executor knows it
 	Text  string     // what it was read from; one of the same text is no other plan
@@ -19,8 +19,8 @@
 	Operations []string // by the index that Rung.Service and Forms go by; nil where that is the node's own
 }
 
-// Served counts what was answered at one level of service.
-type Served struct {
+// ServiceCounts counts what was answered at one level of service.
+type ServiceCounts struct {
 	Level     string `json:"level"`
 	Seconds   int64  `json:"seconds"` // in it, whole
 	Whole     int    `json:"whole"`
@@ -30,31 +30,31 @@
 	Entered   int    `json:"entered"`
 }
 
-// Turn tells of a change of level, or of the plan.
-type Turn struct {
+// LevelChange tells of a change of level, or of the plan.
+type LevelChange struct {
 	degradation.Change
 	Plan, FromName, ToName string
 	Signals                admission.LoadMetrics
-	Loads                  []float64 // at each level, full service first
-	Before                 Served    // in the stay that ends
+	Loads                  []float64     // at each level, full service first
+	Before                 ServiceCounts // in the stay that ends
 }
 
 // ladder is the door's state of the levels; the zero value has no plan.
 type ladder struct {
-	plan     *Plan
-	source   *Plan             // as it was given
+	plan     *DegradationPlan
+	source   *DegradationPlan  // as it was given
 	names    *nodeconfig.Names // of operations, by index in the source
 	steps    *degradation.Controller
 	chance   *rand.Rand
 	measures admission.LoadMetrics
-	served   []Served // by level, since the plan was taken
-	stay     Served   // since the last change
-	spent    []int64  // ns in each level
+	served   []ServiceCounts // by level, since the plan was taken
+	stay     ServiceCounts   // since the last change
+	spent    []int64         // ns in each level
 	since    int64
 }
 
 // adopt takes a plan, or another one; nil ends the levels. A plan that does not fit the operations changes nothing.
-func (r *Reducer) adopt(plan *Plan) {
+func (r *StateMachine) adopt(plan *DegradationPlan) {
 	l := &r.levels
 	if plan != nil && l.plan != nil && plan.Text != "" && plan.Text == l.plan.Text {
 		return // what was learnt of it stays
@@ -95,9 +95,9 @@
 	}
 	l.source, l.names = source, names
 	l.plan, l.steps, l.served, l.spent, l.since = plan, steps, nil, nil, r.now
-	t := &Turn{Change: change, FromName: from, Before: before}
+	t := &LevelChange{Change: change, FromName: from, Before: before}
 	if plan != nil {
-		l.served, l.spent = make([]Served, len(plan.Levels)+1), make([]int64, len(plan.Levels)+1)
+		l.served, l.spent = make([]ServiceCounts, len(plan.Levels)+1), make([]int64, len(plan.Levels)+1)
 		for k := range l.served {
 			l.served[k].Level = plan.LevelName(k)
 		}
@@ -109,7 +109,7 @@
 
 // fitted is a plan by the indices of the node that takes it: those change in service, and need not be those of a file. What
 // it says of operations that the node doesn't have counts for nothing.
-func fitted(plan *Plan, names, to *nodeconfig.Names) *Plan {
+func fitted(plan *DegradationPlan, names, to *nodeconfig.Names) *DegradationPlan {
 	p := *plan
 	p.Levels, p.Forms = slices.Clone(plan.Levels), make([][]string, len(plan.Levels))
 	for k := range p.Levels {
@@ -124,7 +124,7 @@
 }
 
 // place gives an index what the source says of the operation of a name.
-func (p *Plan) place(index int32, name string, source *Plan, names *nodeconfig.Names) {
+func (p *DegradationPlan) place(index int32, name string, source *DegradationPlan, names *nodeconfig.Names) {
 	i, known := names.Lookup(name)
 	for k := range p.Levels {
 		more := make([]admission.Service, max(0, int(index)+1-len(p.Levels[k].Services)))
@@ -168,7 +168,7 @@
 }
 
 func (l *ladder) begin(now int64) {
-	l.stay, l.since = Served{}, now
+	l.stay, l.since = ServiceCounts{}, now
 	if l.plan != nil {
 		l.served[l.steps.Level()].Entered++
 		l.stay.Level = l.plan.LevelName(l.steps.Level())
@@ -176,7 +176,7 @@
 }
 
 // keepLevels steps the ladder on the beat, and tells the module of another level.
-func (r *Reducer) keepLevels() {
+func (r *StateMachine) keepLevels() {
 	l := &r.levels
 	if l.steps == nil || r.post == nil || r.noticed { // a drain stays at its level: intake ends soon
 		return
@@ -190,15 +190,15 @@
 	before.Seconds = change.PreviousTime / (1_000 * ms)
 	l.account(r.now, change.From)
 	l.begin(r.now)
-	r.setLevel(&Turn{Change: change, Plan: l.plan.Name, FromName: l.plan.LevelName(change.From),
+	r.setLevel(&LevelChange{Change: change, Plan: l.plan.Name, FromName: l.plan.LevelName(change.From),
 		ToName: l.plan.LevelName(change.To), Signals: l.measures, Loads: l.steps.LoadByLevel(), Before: before})
 }
 
-func (r *Reducer) setLevel(t *Turn) {
+func (r *StateMachine) setLevel(t *LevelChange) {
 	if r.post != nil {
 		r.events = append(r.events, r.levels.event())
 	}
-	r.do(Effect{Kind: Turned, Turn: t})
+	r.do(Effect{Kind: LevelChanged, LevelChange: t})
 }
 
 // event tells the module what the level in force leaves of each operation.
@@ -211,7 +211,7 @@
 }
 
 // form is the name that an operation's run has at the executor, and the level's name where that is a reduced form.
-func (r *Reducer) form(op string, form admission.Form) (class, level string) {
+func (r *StateMachine) form(op string, form admission.Form) (class, level string) {
 	l := &r.levels
 	if form != admission.Reduced || l.steps == nil || l.steps.Level() == 0 {
 		return op, ""
@@ -241,17 +241,17 @@
 }
 
 // Levels is what was served at each level since the plan was taken, nil without a plan.
-func (r *Reducer) Levels() []Served {
+func (r *StateMachine) Levels() []ServiceCounts {
 	if r.levels.plan == nil {
 		return nil
 	}
-	all := append([]Served(nil), r.levels.served...)
+	all := append([]ServiceCounts(nil), r.levels.served...)
 	l := r.levels
 	l.served, l.spent = all, append([]int64(nil), l.spent...)
 	l.account(r.now, l.steps.Level())
 	return all
 }
 
-func (t *Turn) String() string {
+func (t *LevelChange) String() string {
 	return fmt.Sprintf("level %s to %s: %s", t.FromName, t.ToName, degradation.CauseNames[t.Cause])
 }
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -12,8 +12,8 @@
 )
 
 // ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
-func ladderOf(enter float64) *Plan {
-	p := &Plan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
+func ladderOf(enter float64) *DegradationPlan {
+	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
 	p.IdleCondition.Limits[degradation.Load] = -1
 	for k, s := range []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}} {
@@ -28,13 +28,13 @@
 }
 
 // at is a node at a level of the plan.
-func at(t *testing.T, level int) *Reducer {
+func at(t *testing.T, level int) *StateMachine {
 	r := up(t)
-	step(r, Input{Kind: Adopt, Plan: ladderOf(1e9)})
+	step(r, Input{Kind: PlanChanged, Plan: ladderOf(1e9)})
 	next := ladderOf(-1)
 	next.Levels = next.Levels[:level]
 	next.Forms = next.Forms[:level]
-	step(r, Input{Kind: Adopt, Plan: next})
+	step(r, Input{Kind: PlanChanged, Plan: next})
 	r.now = r.beatAt
 	step(r)
 	require.Equal(t, level, r.levels.steps.Level())
@@ -43,10 +43,10 @@
 
 func TestReducedRunNamesItsFormAndItsAnswerTheLevel(t *testing.T) {
 	r := at(t, 1)
-	assert.Contains(t, text(step(r, invoke(1)), Tell), "EXEC "+callID+" catalogue-plain 4")
+	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue-plain 4")
 	effects := told(r, "EXIT 1 "+callID+" good 5 2|ok")
 	var p frame.Parser
-	p.Wrote(copy(p.Space(), text(effects, Send)))
+	p.Wrote(copy(p.Space(), text(effects, SendToConnection)))
 	f, _, _ := p.Next()
 	fields, body, err := frame.Fields(f.Payload[1:])
 	require.NoError(t, err)
@@ -58,15 +58,15 @@
 func TestWholeAnswerNamesNoLevel(t *testing.T) {
 	r := at(t, 1)
 	effects := step(r, invoke(1, "op", "hold"))
-	assert.Contains(t, text(effects, Tell), "EXEC "+callID+" hold 4")
-	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), Send), "level")
+	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
+	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
 	assert.Equal(t, 1, r.levels.stay.Whole)
 }
 
 func TestRefusedByTheLevelIsCountedApart(t *testing.T) {
 	r := at(t, 2)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
-	assert.Equal(t, Served{Level: "none", Levelled: 1}, r.levels.stay)
+	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.levels.stay)
 	all := r.Levels()
 	assert.Equal(t, 1, all[2].Levelled)
 	assert.Equal(t, 0, r.levels.served[2].Levelled, "to look changes nothing")
@@ -74,12 +74,12 @@
 
 func TestChangeOfLevelIsToldWithItsCause(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: Adopt, Plan: ladderOf(-1)})
+	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
 	r.now = r.beatAt
-	var turn *Turn
+	var turn *LevelChange
 	for _, e := range step(r) {
-		if e.Kind == Turned {
-			turn = e.Turn
+		if e.Kind == LevelChanged {
+			turn = e.LevelChange
 		}
 	}
 	require.NotNil(t, turn)
@@ -93,20 +93,20 @@
 	bad := ladderOf(1)
 	bad.Levels[0].Services = bad.Levels[0].Services[:1]
 	before := r.levels
-	step(r, Input{Kind: Adopt, Plan: bad})
+	step(r, Input{Kind: PlanChanged, Plan: bad})
 	assert.Equal(t, before, r.levels)
 }
 
 func TestPlanTakenAwayGivesFullServiceBack(t *testing.T) {
 	r := at(t, 2)
-	step(r, Input{Kind: Adopt})
-	assert.Contains(t, text(step(r, invoke(1)), Tell), "EXEC "+callID+" catalogue 4")
+	step(r, Input{Kind: PlanChanged})
+	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue 4")
 	assert.Nil(t, r.Levels())
 }
 
 func TestPlanTakenBeforeTheExecutorIsUpCountsOnceItIs(t *testing.T) {
 	r := fresh(t)
-	step(r, Input{Kind: Adopt, Plan: ladderOf(-1)})
+	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.now = r.beatAt
@@ -117,13 +117,13 @@
 
 func TestDrainStaysAtItsLevel(t *testing.T) {
 	r := at(t, 2)
-	step(r, Input{Kind: Notice})
+	step(r, Input{Kind: DrainRequested})
 	next := ladderOf(1e9)
 	r.levels.plan, r.levels.steps = next, degradation.NewController(&next.Plan, r.now, r.levels.chance)
 	for range 10 {
 		r.now = r.beatAt
 		for _, e := range step(r) {
-			assert.NotEqual(t, Turned, e.Kind)
+			assert.NotEqual(t, LevelChanged, e.Kind)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 // A link to the executor that takes long to open must not keep the node awake.
 func TestWakeLiesAheadWhileTheExecutorIsDialled(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: Parted, Link: r.link})
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.link})
 	r.now = r.redialAt
 	step(r)
 	r.now += 10_000 * ms
@@ -147,7 +147,7 @@
 	for range 100 {
 		r.now = r.beatAt
 		for _, e := range r.Step(r.now, r.now, nil) {
-			if e.Kind == Sample {
+			if e.Kind == SampleState {
 				samples++
 				assert.Equal(t, 1, e.State.OnCores)
 				assert.Equal(t, 1, e.State.Connections)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -21,11 +21,11 @@
 	wakeAt  int64
 	loose   int64 // since when there is no executor, -1 while there is
 	told    membership.Facts
-	letters Letters
+	letters PeerMessageCounters
 }
 
-// Letters counts what came from peers and could not be used.
-type Letters struct {
+// PeerMessageCounters counts what came from peers and could not be used.
+type PeerMessageCounters struct {
 	Spoilt  int `json:"spoilt"`
 	Version int `json:"another_version"`
 	Fleet   int `json:"another_fleet"`
@@ -38,31 +38,31 @@
 	Configuration *configurationLetter `cbor:"10,keyasint,omitempty"`
 }
 
-// Peer makes the node one of a fleet, before its first step.
-func (r *Reducer) Peer(fleet string, members *membership.Members) {
+// JoinFleet makes the node one of a fleet, before its first step.
+func (r *StateMachine) JoinFleet(fleet string, members *membership.Members) {
 	r.peers = peers{members: members, fleet: envelope.FleetOf(fleet), loose: -1}
 	r.Invariants.Check(r.now == 0, "a node joins its fleet before its first step")
 }
 
 // Members is what the node knows of its fleet, nil outside one.
-func (r *Reducer) Members() *membership.Members { return r.peers.members }
+func (r *StateMachine) Members() *membership.Members { return r.peers.members }
 
-// Letters is what could not be used of what peers sent.
-func (r *Reducer) Letters() Letters { return r.peers.letters }
+// PeerMessageCounters is what could not be used of what peers sent.
+func (r *StateMachine) PeerMessageCounters() PeerMessageCounters { return r.peers.letters }
 
 // fromPeers takes a datagram or a part of an exchange.
-func (r *Reducer) fromPeers(in *Input) {
+func (r *StateMachine) fromPeers(in *Input) {
 	p := &r.peers
 	if p.members == nil {
 		return
 	}
-	if in.Link >= configurationLinks && (in.Kind == PeerMissed || in.Kind == PeerAnswered) {
+	if in.Link >= configurationLinks && (in.Kind == PeerExchangeFailed || in.Kind == PeerResponseReceived) {
 		r.answeredConfiguration(in)
 		return
 	}
-	if in.Kind == PeerMissed {
+	if in.Kind == PeerExchangeFailed {
 		r.remark(Debug, "exchange with a peer came to nothing", "", in.Err)
-		p.inputs = append(p.inputs, membership.Input{Kind: membership.Missed, Link: in.Link})
+		p.inputs = append(p.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
 		return
 	}
 	body := new(peerLetter)
@@ -75,29 +75,29 @@
 		return
 	}
 	msg := &body.Message
-	if datagram := msg.Kind <= membership.News; datagram != (in.Kind == PeerCame) || msg.Kind == 0 {
+	if datagram := msg.Kind <= membership.MessageGossip; datagram != (in.Kind == PeerDatagramReceived) || msg.Kind == 0 {
 		r.unusable(in, fmt.Errorf("%w: kind %d does not belong there", envelope.ErrSpoilt, msg.Kind))
 		return
 	}
-	if msg.Kind == membership.Look {
-		if in.Kind == PeerAsked && msg.Why == membership.LookClaims {
+	if msg.Kind == membership.MessageViewRequest {
+		if in.Kind == PeerRequestReceived && msg.Why == membership.LookClaims {
 			if picture := r.Claims(); picture != nil {
-				r.seal(Effect{Kind: PeerReply, Link: in.Link}, picture)
+				r.seal(Effect{Kind: ReplyToExchange, Link: in.Link}, picture)
 			} else {
-				r.do(Effect{Kind: PeerReply, Link: in.Link})
+				r.do(Effect{Kind: ReplyToExchange, Link: in.Link})
 			}
-		} else if in.Kind == PeerAsked {
+		} else if in.Kind == PeerRequestReceived {
 			v := p.members.View()
-			r.seal(Effect{Kind: PeerReply, Link: in.Link}, &v)
+			r.seal(Effect{Kind: ReplyToExchange, Link: in.Link}, &v)
 		}
 		return
 	}
-	kind := map[InputKind]membership.InputKind{PeerCame: membership.Came, PeerAsked: membership.Asked, PeerAnswered: membership.Answered}[in.Kind]
+	kind := map[InputKind]membership.InputKind{PeerDatagramReceived: membership.DatagramReceived, PeerRequestReceived: membership.ExchangeOpened, PeerResponseReceived: membership.ExchangeAnswered}[in.Kind]
 	p.inputs = append(p.inputs, membership.Input{Kind: kind, Link: in.Link, Message: msg})
 }
 
 // unusable counts and tells of what can't be used; an exchange of ours that brought it came to nothing.
-func (r *Reducer) unusable(in *Input, err error) {
+func (r *StateMachine) unusable(in *Input, err error) {
 	p := &r.peers
 	switch {
 	case errors.Is(err, envelope.ErrFleet):
@@ -109,22 +109,22 @@
 	}
 	r.remark(Warn, "peer can't be understood", in.From, err)
 	switch in.Kind {
-	case PeerAnswered:
-		p.inputs = append(p.inputs, membership.Input{Kind: membership.Missed, Link: in.Link})
-	case PeerAsked:
-		r.do(Effect{Kind: PeerReply, Link: in.Link}) // without bytes: it is closed
+	case PeerResponseReceived:
+		p.inputs = append(p.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
+	case PeerRequestReceived:
+		r.do(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
 	}
 }
 
 // keepPeers steps the membership when something came or is due.
-func (r *Reducer) keepPeers() {
+func (r *StateMachine) keepPeers() {
 	p := &r.peers
 	if p.members == nil {
 		return
 	}
 	if facts := r.facts(); facts != p.told {
 		p.told = facts
-		p.inputs = append(p.inputs, membership.Input{Kind: membership.Told, Facts: facts})
+		p.inputs = append(p.inputs, membership.Input{Kind: membership.FactsChanged, Facts: facts})
 	}
 	if r.now < p.wakeAt && len(p.inputs) == 0 {
 		return
@@ -136,26 +136,26 @@
 	r.carryPeers(effects)
 }
 
-func (r *Reducer) carryPeers(effects []membership.Effect) {
+func (r *StateMachine) carryPeers(effects []membership.Effect) {
 	for k := range effects {
 		switch e := &effects[k]; e.Kind {
 		case membership.Send:
-			r.seal(Effect{Kind: PeerSend, Address: e.To}, &e.Message)
+			r.seal(Effect{Kind: SendDatagram, Address: e.To}, &e.Message)
 		case membership.Exchange:
-			r.seal(Effect{Kind: PeerExchange, Link: e.Link, Address: e.To}, &e.Message)
+			r.seal(Effect{Kind: OpenExchange, Link: e.Link, Address: e.To}, &e.Message)
 		case membership.Reply:
-			r.seal(Effect{Kind: PeerReply, Link: e.Link}, &e.Message)
-		case membership.Changed:
+			r.seal(Effect{Kind: ReplyToExchange, Link: e.Link}, &e.Message)
+		case membership.ViewChanged:
 			change := e.Change
 			r.do(Effect{Kind: ViewChanged, Change: &change})
-		case membership.Remark:
-			r.remark(map[bool]Level{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
+		case membership.WriteLog:
+			r.remark(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 		}
 	}
 }
 
 // facts are what the fleet is told of this node.
-func (r *Reducer) facts() (f membership.Facts) {
+func (r *StateMachine) facts() (f membership.Facts) {
 	p := &r.peers
 	if r.post != nil && r.link != 0 {
 		p.loose = -1
@@ -176,7 +176,7 @@
 }
 
 // farewell tells the fleet that the node leaves now, some times over: nobody answers for a datagram that is lost.
-func (r *Reducer) farewell() {
+func (r *StateMachine) farewell() {
 	p := &r.peers
 	if p.members == nil {
 		return
@@ -187,18 +187,18 @@
 	}
 }
 
-func (r *Reducer) seal(e Effect, body any) {
+func (r *StateMachine) seal(e Effect, body any) {
 	var err error
 	if e.Bytes, err = envelope.Seal(nil, r.peers.fleet, body); !r.Invariants.Check(err == nil, "what peers are told can be written") {
 		return
 	}
-	if r.Invariants.Check(e.Kind != PeerSend || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
+	if r.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
 		r.do(e)
 	}
 }
 
 // peersDue is when the membership is to step again.
-func (r *Reducer) peersDue() int64 {
+func (r *StateMachine) peersDue() int64 {
 	p := &r.peers
 	if p.members == nil {
 		return never
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -13,15 +13,15 @@
 	"topazpost/internal/nodeconfig"
 )
 
-var config = membership.Config{Name: "n1", Address: "10.0.0.1:9", Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms,
-	Forget: 60_000 * ms, MembersMost: 100}
+var config = membership.Config{Name: "n1", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms,
+	ForgetTimeout: 60_000 * ms, MaxMembers: 100}
 
 // peered is a node of a fleet that has not stepped yet.
-func peered(t *testing.T) *Reducer {
+func peered(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	r := New(p, Addresses{}, 3_000*ms, 10, 10)
-	r.Peer("mobilier", membership.New(config, 0, 1, 0, 1))
+	r := NewStateMachine(p, Addresses{}, 3_000*ms, 10, 10)
+	r.JoinFleet("mobilier", membership.New(config, 0, 1, 0, 1))
 	return r
 }
 
@@ -41,49 +41,49 @@
 }
 
 func other(ver uint32, left bool) membership.Record {
-	return membership.Record{Name: "n2", Address: "10.0.0.2:9", Born: 7, Inc: 7, Ver: ver, Left: left, Links: []membership.ID{membership.IDOf("n1")}}
+	return membership.Record{Name: "n2", Address: "10.0.0.2:9", StartedAt: 7, Incarnation: 7, RecordVersion: ver, Left: left, Links: []membership.ID{membership.IDOf("n1")}}
 }
 
 func TestPingIsAnsweredAndAskedBack(t *testing.T) {
 	r := peered(t)
-	ping := sealed(t, "mobilier", membership.Message{Kind: membership.Ping, From: membership.IDOf("n2"), Seq: 5, Neighbour: true,
+	ping := sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing, From: membership.IDOf("n2"), Seq: 5, Neighbour: true,
 		Records: []membership.Record{other(0, false)}})
-	effects := r.Step(ms, 1, []Input{{Kind: PeerCame, From: "10.0.0.2:9", Bytes: ping}})
+	effects := r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, From: "10.0.0.2:9", Bytes: ping}})
 	var kinds []membership.MessageKind
-	for _, e := range kindsOf(effects, PeerSend) {
+	for _, e := range kindsOf(effects, SendDatagram) {
 		assert.Equal(t, "10.0.0.2:9", e.Address)
 		var msg membership.Message
 		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetOf("mobilier"), &msg))
 		kinds = append(kinds, msg.Kind)
 	}
-	assert.Subset(t, kinds, []membership.MessageKind{membership.Ack, membership.Ping})
+	assert.Subset(t, kinds, []membership.MessageKind{membership.MessageAck, membership.MessagePing})
 }
 
 func TestWhatPeersSendThatCantBeUsedIsCountedAndChangesNothing(t *testing.T) {
 	r := peered(t)
-	good := sealed(t, "mobilier", membership.Message{Kind: membership.News, Records: []membership.Record{other(0, false)}})
+	good := sealed(t, "mobilier", membership.Message{Kind: membership.MessageGossip, Records: []membership.Record{other(0, false)}})
 	version, spoilt := append([]byte(nil), good...), append([]byte(nil), good...)
 	version[0]++
 	spoilt[len(spoilt)-1]++
-	ask := sealed(t, "mobilier", membership.Message{Kind: membership.Ask})
+	ask := sealed(t, "mobilier", membership.Message{Kind: membership.MessageSyncRequest})
 	effects := r.Step(ms, 1, []Input{
-		{Kind: PeerCame, Bytes: sealed(t, "another", membership.Message{Kind: membership.News})},
-		{Kind: PeerCame, Bytes: version}, {Kind: PeerCame, Bytes: spoilt}, {Kind: PeerCame, Bytes: good[:5]},
-		{Kind: PeerCame, Bytes: ask}, {Kind: PeerAsked, Link: 3, Bytes: spoilt}})
-	assert.Equal(t, Letters{Spoilt: 4, Version: 1, Fleet: 1}, r.Letters())
-	assert.Len(t, kindsOf(effects, PeerReply), 1, "the exchange is closed")
+		{Kind: PeerDatagramReceived, Bytes: sealed(t, "another", membership.Message{Kind: membership.MessageGossip})},
+		{Kind: PeerDatagramReceived, Bytes: version}, {Kind: PeerDatagramReceived, Bytes: spoilt}, {Kind: PeerDatagramReceived, Bytes: good[:5]},
+		{Kind: PeerDatagramReceived, Bytes: ask}, {Kind: PeerRequestReceived, Link: 3, Bytes: spoilt}})
+	assert.Equal(t, PeerMessageCounters{Spoilt: 4, Version: 1, Fleet: 1}, r.PeerMessageCounters())
+	assert.Len(t, kindsOf(effects, ReplyToExchange), 1, "the exchange is closed")
 	assert.Len(t, r.Members().View().Members, 1)
 	r = peered(t) // without a fleet nothing is read
 	r.peers = peers{}
-	effects = r.Step(ms, 1, []Input{{Kind: PeerCame, Bytes: good}})
-	assert.Empty(t, kindsOf(effects, PeerSend))
+	effects = r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: good}})
+	assert.Empty(t, kindsOf(effects, SendDatagram))
 	assert.Equal(t, int64(never), r.peersDue())
 }
 
 func TestLookIsAnsweredWithTheView(t *testing.T) {
 	r := peered(t)
-	effects := r.Step(ms, 1, []Input{{Kind: PeerAsked, Link: 3, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.Look})}})
-	replies := kindsOf(effects, PeerReply)
+	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 3, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessageViewRequest})}})
+	replies := kindsOf(effects, ReplyToExchange)
 	require.Len(t, replies, 1)
 	var v membership.View
 	require.NoError(t, envelope.Open(replies[0].Bytes, envelope.FleetOf("mobilier"), &v))
@@ -92,14 +92,14 @@
 
 func TestNodeTellsThatItIsOfNoUseAndThatItLeaves(t *testing.T) {
 	r := peered(t)
-	r.Step(ms, 1, []Input{{Kind: PeerCame, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.Ping,
+	r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing,
 		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{other(0, false)}})}})
 	assert.False(t, r.Members().Self().Facts.NoUse)
 	r.Step(noUseAfter+ms, 1, nil)
 	assert.True(t, r.Members().Self().Facts.NoUse)
-	effects := r.Step(noUseAfter+2*ms, 1, []Input{{Kind: Notice}, {Kind: ListenerClosed}}) // it never had an executor, and leaves at once
+	effects := r.Step(noUseAfter+2*ms, 1, []Input{{Kind: DrainRequested}, {Kind: ListenerClosed}}) // it never had an executor, and leaves at once
 	last := 0
-	for _, e := range kindsOf(effects, PeerSend) {
+	for _, e := range kindsOf(effects, SendDatagram) {
 		var msg membership.Message
 		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetOf("mobilier"), &msg))
 		for _, rec := range msg.Records {
@@ -112,14 +112,14 @@
 }
 
 func FuzzPeers(f *testing.F) {
-	b, _ := envelope.Seal(nil, envelope.FleetOf("mobilier"), &membership.Message{Kind: membership.Ping, From: 7, Records: []membership.Record{other(0, false)},
-		Heads: []membership.Head{{ID: 1, Inc: 2}}, Wanted: []membership.ID{3}})
+	b, _ := envelope.Seal(nil, envelope.FleetOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{other(0, false)},
+		Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
 	f.Add(b[envelope.Head:], uint8(0))
 	f.Fuzz(func(t *testing.T, body []byte, kind uint8) {
 		r := peered(t)
 		text := append([]byte(nil), b[:5]...) // of the same version and fleet
 		text = append(binary.LittleEndian.AppendUint64(text, xxhash.Sum64(body)), body...)
-		in := Input{Kind: PeerCame + InputKind(kind%3), Link: 1, From: "x", Bytes: text}
+		in := Input{Kind: PeerDatagramReceived + InputKind(kind%3), Link: 1, From: "x", Bytes: text}
 		for now := ms; now < 6_000*ms; now += 700 * ms {
 			r.Step(now, now, []Input{in})
 		}
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -22,7 +22,7 @@
 
 // linger keeps the unit of a call that was written and given up: the dependency may work on it still. Guards against one
 // call more at the dependency than units, for each that is given up there.
-func (r *Reducer) linger(s *supply) {
+func (r *StateMachine) linger(s *supply) {
 	if l := &r.leasing; l.holder != nil && s.up && s.inv >= 0 {
 		l.lingers = append(l.lingers, r.now+l.terms.Hold/2)
 		l.at = r.now
@@ -37,19 +37,19 @@
 	return max(0, int(l.holder.Allowed(now))-len(l.lingers))
 }
 
-// Lease has the node's calls in hand bounded by leases of a limit of the whole fleet, after Convene. Where this node has a
+// EnableQuota has the node's calls in hand bounded by leases of a limit of the whole fleet, after Convene. Where this node has a
 // seat in the council it defines the limit, of a version, while it leads.
-func (r *Reducer) Lease(terms quota.HolderConfig, version uint64) {
+func (r *StateMachine) EnableQuota(terms quota.HolderConfig, version uint64) {
 	if !r.hollow.onlySeat {
 		r.leasing = leasing{holder: quota.NewLeaseHolder(terms, quota.Owner(r.claimed.self)), terms: terms, told: -1}
 	}
 	if seat := r.claimed.seat; seat != nil {
-		seat.Limits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: terms.Name, Units: terms.Units, Version: version, StartDelay: terms.Term}})
+		seat.SetLimits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: terms.Name, Units: terms.Units, Version: version, StartDelay: terms.Term}})
 	}
 }
 
 // keepLeases has the module hear how many calls may be in hand, before anybody else is told of what it gave back.
-func (r *Reducer) keepLeases() {
+func (r *StateMachine) keepLeases() {
 	l := &r.leasing
 	if l.holder == nil || r.now < l.at && len(l.grants) == 0 {
 		return
@@ -81,7 +81,7 @@
 }
 
 // lapse has the module hear of a lease that ended, and of units that linger, before it decides on anything else.
-func (r *Reducer) lapse() {
+func (r *StateMachine) lapse() {
 	if l := &r.leasing; l.holder != nil && l.told > 0 {
 		if units := l.units(r.now); units < l.told {
 			l.told = units
@@ -91,7 +91,7 @@
 }
 
 // leaseDue is when the holder is to step again.
-func (r *Reducer) leaseDue() int64 {
+func (r *StateMachine) leaseDue() int64 {
 	l := &r.leasing
 	if l.holder == nil || r.post == nil && !r.hollow.on {
 		return never
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -13,9 +13,9 @@
 )
 
 // renting is a node whose calls are leased from a council in which it has no seat, with a run that stands at a call.
-func renting(t *testing.T) *Reducer {
+func renting(t *testing.T) *StateMachine {
 	r := sitting(t)
-	r.Lease(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
+	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
 	start := asked(t, r, heardFrom(t, r, answerTo(invoked(t, r, 1, "a1")[0], 1)))
 	require.Len(t, start, 1)
 	heardFrom(t, r, answerTo(start[0], 1))
@@ -23,8 +23,8 @@
 }
 
 // asksOf are the leases that effects ask for.
-func asksOf(t *testing.T, r *Reducer, effects []Effect) (list []quota.Command) {
-	for _, e := range kindsOf(effects, PeerStream) {
+func asksOf(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
+	for _, e := range kindsOf(effects, SendOnStream) {
 		m := new(consensus.Message)
 		require.NoError(t, envelope.Open(e.Bytes, r.peers.fleet, m))
 		list = append(list, m.Leases...)
@@ -40,14 +40,14 @@
 		asks = append(asks, asksOf(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
-	assert.Empty(t, kindsOf(effects, Reach), "none is made without a lease")
+	assert.Empty(t, kindsOf(effects, DialCatalogue), "none is made without a lease")
 	last := asks[len(asks)-1]
-	grant := &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
+	grant := &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
 	heardFrom(t, r, grant)
 	effects = step(r)
-	require.Len(t, kindsOf(effects, Reach), 1, "the module hears of it in the next step")
-	effects = step(r, Input{Kind: Reached, Link: r.supplies[0].link})
-	fetch := kindsOf(effects, Ask)
+	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the module hears of it in the next step")
+	effects = step(r, Input{Kind: CatalogueConnected, Link: r.supplies[0].link})
+	fetch := kindsOf(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
 	assert.LessOrEqual(t, fetch[0].At, r.now+500*ms, "of no use once its part of the lease is over")
 	assert.Equal(t, int64(2), r.Claims().Lease.Units)
@@ -61,10 +61,10 @@
 		asks = append(asks, asksOf(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
-	heardFrom(t, r, &consensus.Message{Kind: consensus.Verdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
+	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(r)
 	require.Len(t, r.supplies, 1)
-	step(r, Input{Kind: Reached, Link: r.supplies[0].link})
+	step(r, Input{Kind: CatalogueConnected, Link: r.supplies[0].link})
 	for len(r.supplies) > 0 {
 		require.Less(t, r.now, r.leasing.holder.Until())
 		step(r)
