--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -122,12 +122,12 @@
 	Succeeded         int `json:"succeeded"`
 	Throttled         int `json:"throttled"`
 	Errored           int `json:"errored"`
-	Gone              int `json:"gone"`
+	CallersGone       int `json:"gone"`
 	BrokenInvocations int `json:"broken_invocations"`
 	BrokenConnections int `json:"broken_connections"`
 	ExecutorLinks     int `json:"executor_links"`
 	CatalogueLinks    int `json:"catalogue_links"`
-	StrayReplies      int `json:"stray_replies"`
+	UnmatchedReplies  int `json:"stray_replies"`
 	Evicted           int `json:"evicted"`
 	Idle              int `json:"idle"`
 	Reports           int `json:"reports"`
@@ -145,12 +145,12 @@
 	MeasureLoad(m *admission.LoadMetrics)
 }
 
-// Reducer is the state of one node.
-type Reducer struct {
-	Invariants invariant.Checker
-	Counters   Counters
-	Decisions  func(config *admission.Config, born int64) Decider // made once the executor is up
-	Spare      int                                                // connections that may be kept beside the most, while they end
+// StateMachine is the state of one node.
+type StateMachine struct {
+	Invariants       invariant.Checker
+	Counters         Counters
+	Decisions        func(config *admission.Config, born int64) Decider // made once the executor is up
+	SpareConnections int                                                // connections that may be kept beside the most, while they end
 
 	config   *nodeconfig.Config
 	stop     int64 // ns from the notice to the kill
@@ -220,15 +220,15 @@
 	counted Counters                   // the counters at the last one
 }
 
-// New is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
+// NewStateMachine is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
 // on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
-func New(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *Reducer {
-	r := &Reducer{config: onSockets(settings), to: to, stop: stop, connMost: connections, linkMost: links, calls: map[string]int32{},
+func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
+	r := &StateMachine{config: onSockets(settings), to: to, stop: stop, connMost: connections, linkMost: links, calls: map[string]int32{},
 		conns: map[int]*connection{}, diags: map[string]check{}, beatAt: never, meterAt: never,
 		metered: math.MinInt64 / 2, wait: redialFirst,
 		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
 	r.Invariants.Tell = func(what string, times int) {
-		r.do(Effect{Kind: Remark, Level: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
+		r.do(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
 	return r
 }
@@ -245,27 +245,27 @@
 	return &own
 }
 
-func (r *Reducer) do(e Effect) { r.effects = append(r.effects, e) }
+func (r *StateMachine) do(e Effect) { r.effects = append(r.effects, e) }
 
-func (r *Reducer) remark(level Level, text, id string, err error) {
-	r.do(Effect{Kind: Remark, Level: level, Text: text, ID: id, Err: err})
+func (r *StateMachine) remark(level LogLevel, text, id string, err error) {
+	r.do(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
 }
 
 // Step takes what happened up to now, a clock that only advances, with wall its time in Unix nanoseconds. The
 // effects are valid until the next step.
-func (r *Reducer) Step(now, wall int64, inputs []Input) []Effect {
+func (r *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
 	if r.resting == nil {
 		r.began, r.resting, r.crossing = now, timerwheel.New(now/ms), timerwheel.New(now/ms)
 	}
 	r.now, r.wall, r.effects, r.events = now, wall, r.effects[:0], append(r.events[:0], r.later...)
 	r.later, r.decided = r.later[:0], false
 	for i := range inputs {
-		if inputs[i].Kind != Opened {
+		if inputs[i].Kind != ConnectionOpened {
 			r.take(&inputs[i])
 		}
 	}
 	for i := range inputs { // last, so that none makes room at one that just brought an invocation
-		if inputs[i].Kind == Opened {
+		if inputs[i].Kind == ConnectionOpened {
 			r.opened(inputs[i].Link)
 		}
 	}
@@ -289,69 +289,69 @@
 	r.keepLeaving()
 	wake := r.wake()
 	r.Invariants.Check(wake > now, "the next wake lies ahead")
-	r.do(Effect{Kind: Wake, At: wake})
+	r.do(Effect{Kind: SetWakeup, At: wake})
 	return r.effects
 }
 
-func (r *Reducer) take(in *Input) {
+func (r *StateMachine) take(in *Input) {
 	switch in.Kind {
-	case Read, Malformed, Closed:
+	case FrameReceived, FrameMalformed, ConnectionClosed:
 		if c := r.conns[in.Link]; c != nil {
 			r.fromDispatcher(in, c)
 		}
-	case Joined:
+	case ExecutorConnected:
 		r.joined(in.Link)
-	case Told, Parted:
-		if in.Link == r.link || in.Kind == Parted && in.Link == r.dialing { // the latter: it could not be had
+	case ExecutorLineReceived, ExecutorDisconnected:
+		if in.Link == r.link || in.Kind == ExecutorDisconnected && in.Link == r.dialing { // the latter: it could not be had
 			r.fromExecutor(in)
 		}
-	case Reached, Unreached, Replied, Broke:
+	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
 		r.fromCatalogue(in)
-	case Reported:
+	case ReportFinished:
 		if in.Link == r.reporting {
 			r.reported(in.Err)
 		}
-	case KeptRecords, KeptWritten, KeptUnwritten, KeptRead:
+	case RecordsRecovered, RecordWritten, RecordWriteFailed, RecoveryCompleted:
 		r.fromStore(in)
-	case PeerCame, PeerAsked, PeerAnswered, PeerMissed:
+	case PeerDatagramReceived, PeerRequestReceived, PeerResponseReceived, PeerExchangeFailed:
 		r.fromPeers(in)
-	case PeerTold, PeerHungUp:
+	case PeerMessageReceived, PeerStreamClosed:
 		r.fromStream(in)
-	case VersionKept:
+	case VersionPersisted:
 		r.keptConfiguration(in)
-	case Persisted:
+	case ReplicaWritePersisted:
 		r.claimed.heard = append(r.claimed.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
-	case TokenWanted, CallsWanted:
+	case HollowClaimRequested, HollowCallsRequested:
 		r.fromLoad(in)
 	case ListenerClosed:
 		r.listenerClosed = true
-	case Notice:
+	case DrainRequested:
 		r.drain()
-	case Abort:
+	case AbortRequested:
 		r.drain()
 		r.abort()
-	case Reload:
-		r.reload(in.To)
+	case ReloadRequested:
+		r.reload(in.Addresses)
 		r.adopt(in.Plan)
-	case Adopt:
+	case PlanChanged:
 		r.adopt(in.Plan)
-	case Amend:
+	case VersionReceived:
 		r.amend(in)
 	}
 }
 
 // keepTimers does what is due.
-func (r *Reducer) keepTimers() {
+func (r *StateMachine) keepTimers() {
 	if r.hollow.on {
 		return
 	}
 	if r.now >= r.redialAt && r.link == 0 && r.dialing == 0 {
 		r.dialing = r.newLink()
-		r.do(Effect{Kind: Dial, Link: r.dialing, Address: r.to.Executor})
+		r.do(Effect{Kind: DialExecutor, Link: r.dialing, Address: r.to.Executor})
 	}
 	if r.now >= r.reportAt && r.reporting == 0 && !r.noticed {
 		r.reporting = r.newLink()
-		r.do(Effect{Kind: Report, Link: r.reporting, Address: r.to.Control, Ready: r.post != nil && r.good})
+		r.do(Effect{Kind: SendReport, Link: r.reporting, Address: r.to.Control, Ready: r.post != nil && r.good})
 	}
 	if r.now >= r.meterAt && r.link != 0 && r.welcomed == r.link {
 		r.meterAt = never
@@ -363,7 +363,7 @@
 		} else { // it may be late, or the link half open: a new one costs nothing, and one that waits for good serves nobody
 			r.remark(Info, "executor has not welcomed the link, opened anew", "", nil)
 		}
-		r.do(Effect{Kind: Part, Link: r.link})
+		r.do(Effect{Kind: CloseExecutor, Link: r.link})
 		r.partExecutor()
 		r.redialAt = r.now + r.wait
 	}
@@ -382,7 +382,7 @@
 }
 
 // wake is when the next of the timers is due.
-func (r *Reducer) wake() int64 {
+func (r *StateMachine) wake() int64 {
 	if r.hollow.on {
 		return r.hollowWake()
 	}
@@ -411,7 +411,7 @@
 }
 
 // carry does what the module asks for.
-func (r *Reducer) carry(a *admission.Action) {
+func (r *StateMachine) carry(a *admission.Action) {
 	switch a.Kind {
 	case admission.Run:
 		r.run(a.Invocation, a.Form)
@@ -447,7 +447,7 @@
 }
 
 // drain passes on the notice; a node that never had its executor has nothing to drain.
-func (r *Reducer) drain() {
+func (r *StateMachine) drain() {
 	if r.noticed {
 		return
 	}
@@ -463,7 +463,7 @@
 
 // abort brings the kill forward: all that is in hand is answered in this step, and the node leaves once its connections
 // have had their end.
-func (r *Reducer) abort() {
+func (r *StateMachine) abort() {
 	r.remark(Info, "drain notice again: what is in hand is aborted", "", nil)
 	r.killAt = min(r.killAt, r.now+abortFor)
 	if r.post != nil {
@@ -471,18 +471,18 @@
 	}
 }
 
-func (r *Reducer) newLink() int {
+func (r *StateMachine) newLink() int {
 	r.lastLink++
 	return r.lastLink
 }
 
 // reload goes on at the peers' new addresses at once: the old ones take nothing new and close what is open there
 // soon. What a peer's old address has in hand is heard to its end where that does no harm.
-func (r *Reducer) reload(to Addresses) {
+func (r *StateMachine) reload(to Addresses) {
 	from := r.to
 	r.to = to
 	if to.Executor != from.Executor { // the next join brings all that was not heard on this link
-		r.do(Effect{Kind: Part, Link: max(r.link, r.dialing)})
+		r.do(Effect{Kind: CloseExecutor, Link: max(r.link, r.dialing)})
 		r.partExecutor()
 		r.redialAt, r.wait = r.now, redialFirst
 	}
@@ -496,7 +496,7 @@
 }
 
 // stopIntake is the start of beat 3 on sockets: nobody can connect any more, and no connection brings more.
-func (r *Reducer) stopIntake() {
+func (r *StateMachine) stopIntake() {
 	if r.shut {
 		return
 	}
@@ -511,7 +511,7 @@
 
 // keepLeaving ends the node once nothing is owed: all is answered, and each connection has had its end, so that what
 // crosses is answered too. Shortly before the kill it waits for no peer any more.
-func (r *Reducer) keepLeaving() {
+func (r *StateMachine) keepLeaving() {
 	if !r.left || r.open > 0 || (len(r.conns) > 0 || !r.listenerClosed) && r.now < r.leaveBy() {
 		return
 	}
@@ -520,14 +520,14 @@
 		r.remark(Warn, fmt.Sprintf("leaving with %d connections that have not ended", len(r.conns)), "", nil)
 	}
 	r.farewell()
-	r.do(Effect{Kind: Leave})
+	r.do(Effect{Kind: Exit})
 }
 
-func (r *Reducer) leaveBy() int64 { return r.killAt - leaveMargin }
+func (r *StateMachine) leaveBy() int64 { return r.killAt - leaveMargin }
 
 // Admission of ids.
 
-func (r *Reducer) admit(v invocation) int32 {
+func (r *StateMachine) admit(v invocation) int32 {
 	r.amended.take(&v, r.termsNow(v.operation))
 	index := int32(len(r.invs))
 	if n := len(r.free); n > 0 {
@@ -542,7 +542,7 @@
 }
 
 // release forgets an index; the module ends nothing unanswered, but should it, an error is the answer.
-func (r *Reducer) release(i int32) {
+func (r *StateMachine) release(i int32) {
 	v := &r.invs[i]
 	if !r.Invariants.Check(v.live, "an index released is live") {
 		return
@@ -560,7 +560,7 @@
 }
 
 // tellModule tells the module of something, in the next step if it has decided in this one.
-func (r *Reducer) tellModule(e admission.Event) {
+func (r *StateMachine) tellModule(e admission.Event) {
 	if r.hollow.on {
 		return // it has none
 	}
@@ -572,7 +572,7 @@
 }
 
 // lookup finds the invocation that an id names, if it is live.
-func (r *Reducer) lookup(call string) (int32, *invocation) {
+func (r *StateMachine) lookup(call string) (int32, *invocation) {
 	if i, ok := r.calls[call]; ok {
 		return i, &r.invs[i]
 	}
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -26,10 +26,10 @@
 func TestNothingButJoinIsToldBeforeTheWelcomeAndRunsStartAfterIt(t *testing.T) {
 	r := fresh(t)
 	r.link, r.dialing = 0, 9
-	assert.Equal(t, "JOIN 0\r\n", text(step(r, Input{Kind: Joined, Link: 9}), Tell))
-	assert.Equal(t, "METER j9\r\n", text(told(r, "WELCOME new 3"), Tell))
-	assert.Empty(t, text(step(r, invoke(1)), Tell), "notices may still follow the welcome")
-	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(told(r, "METERS j9 0 0 0 0"), Tell))
+	assert.Equal(t, "JOIN 0\r\n", text(step(r, Input{Kind: ExecutorConnected, Link: 9}), SendToExecutor))
+	assert.Equal(t, "METER j9\r\n", text(told(r, "WELCOME new 3"), SendToExecutor))
+	assert.Empty(t, text(step(r, invoke(1)), SendToExecutor), "notices may still follow the welcome")
+	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(told(r, "METERS j9 0 0 0 0"), SendToExecutor))
 }
 
 func TestRefusedGaugesDoNotKeepCommandsBackForGood(t *testing.T) {
@@ -38,16 +38,16 @@
 	told(r, "BAD METER j1")
 	step(r, invoke(1))
 	r.now = r.meterAt
-	assert.Equal(t, "METER j1\r\n", text(step(r), Tell))
-	assert.Contains(t, text(told(r, "METERS j1 0 0 0 0"), Tell), "EXEC")
+	assert.Equal(t, "METER j1\r\n", text(step(r), SendToExecutor))
+	assert.Contains(t, text(told(r, "METERS j1 0 0 0 0"), SendToExecutor), "EXEC")
 }
 
 func TestInvocationIsRunAndItsResultIsTheAnswer(t *testing.T) {
 	r := up(t)
-	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(step(r, invoke(1)), Tell))
+	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(step(r, invoke(1)), SendToExecutor))
 	sent := told(r, "EXIT 1 "+callID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, sent))
-	assert.Contains(t, text(sent, Send), "result")
+	assert.Contains(t, text(sent, SendToConnection), "result")
 	assert.Empty(t, answers(t, told(r, "EXIT 1 "+callID+" good 12 6|result")), "a notice is taken once")
 	assert.Zero(t, r.open)
 	assert.Empty(t, r.calls)
@@ -56,10 +56,10 @@
 func TestCallerGoneIsOwedNoAnswer(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
-	step(r, Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
 	assert.Empty(t, answers(t, told(r, "EXIT 1 "+callID+" good 12 6|result")))
 	step(r, invoke(2))
-	assert.Empty(t, step(r, Input{Kind: Closed, Link: 7}))
+	assert.Empty(t, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 	assert.Empty(t, answers(t, told(r, "EXIT 2 "+callID+" good 12 6|result")))
 	assert.Empty(t, r.calls)
 }
@@ -68,21 +68,21 @@
 	r := up(t)
 	for i, broken := range []Input{invoke(1, "op", "other"), invoke(2, "call", "9B1F"), invoke(3, "recv", "-"),
 		invoke(4, "heap", "0"), invoke(5, "crit", "1"), invoke(6, "work", "NaN"), invoke(7, "src", "x"),
-		{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 8, Past: true}},
-		{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 9, Payload: []byte{200}}},
+		{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 8, Past: true}},
+		{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 9, Payload: []byte{200}}},
 		invoke(10, "recv", "99999999999999"), invoke(11, "recv", "-1"), invoke(12, "work", "0x1p2"),
 		invoke(13, "heap", "1e2"), invoke(14, "src", "9999999999999"), invoke(15, "row", "7f3a"),
 		invoke(16, "rep", "2")} {
 		r.conns[7].faults = 0
 		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, answers(t, step(r, broken)))
 	}
-	assert.NotEmpty(t, text(step(r, invoke(20)), Tell))
+	assert.NotEmpty(t, text(step(r, invoke(20)), SendToExecutor))
 	assert.Equal(t, []string{"51 on 21"}, answers(t, step(r, invoke(21))), "its id is in use")
 }
 
 func TestConnectionThatCannotBeUnderstoodEndsOnceItsStreamsAreAnswered(t *testing.T) {
-	for what, bad := range map[string]Input{"length": {Kind: Malformed, Link: 7, Err: frame.ErrLength},
-		"order": invoke(1), "type": {Kind: Read, Link: 7, Frame: frame.Frame{Type: 99}}} {
+	for what, bad := range map[string]Input{"length": {Kind: FrameMalformed, Link: 7, Err: frame.ErrLength},
+		"order": invoke(1), "type": {Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}} {
 		r := up(t)
 		step(r, invoke(1))
 		assert.Equal(t, []string{"51 on 0", "no more"}, answers(t, step(r, bad)), what)
@@ -99,12 +99,12 @@
 		r := up(t)
 		step(r, invoke(1))
 		told(r, "CALLOUT 1 "+callID+" 3|ask")
-		assert.Regexp(t, "^FETCH "+callID+` \d+ 3\r\nask\r\n$`, text(reached(r), Ask))
+		assert.Regexp(t, "^FETCH "+callID+` \d+ 3\r\nask\r\n$`, text(reached(r), SendToCatalogue))
 		got := replied(r, callID+" "+reply)
 		if want == "FETCH" { // again, over a new link
 			got = reached(r)
 		}
-		assert.Contains(t, text(got, Tell)+text(got, Ask)+fmt.Sprint(answers(t, got)), want, reply)
+		assert.Contains(t, text(got, SendToExecutor)+text(got, SendToCatalogue)+fmt.Sprint(answers(t, got)), want, reply)
 	}
 }
 
@@ -112,10 +112,10 @@
 	r := up(t)
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
-	again := step(r, Input{Kind: Unreached, Link: r.supplies[0].link})
-	assert.Equal(t, Reach, again[0].Kind)
+	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.supplies[0].link})
+	assert.Equal(t, DialCatalogue, again[0].Kind)
 	reached(r)
-	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: Broke, Link: r.supplies[0].link})))
+	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.supplies[0].link})))
 }
 
 func TestCallIsQuitAtTheEndOfItsWaitAndItsReplyIsDropped(t *testing.T) {
@@ -126,16 +126,16 @@
 	link := r.supplies[0].link
 	r.now, r.heardAt = r.invs[0].until, r.invs[0].until
 	got := step(r)
-	assert.Equal(t, Effect{Kind: Quit, Link: link}, got[0])
+	assert.Equal(t, Effect{Kind: CloseCatalogue, Link: link}, got[0])
 	assert.Equal(t, []string{"51 on 1"}, answers(t, got))
-	assert.Empty(t, step(r, Input{Kind: Replied, Link: link, Line: lineprotocol.Line{Words: []string{callID, "DATA", "0"}}}))
+	assert.Empty(t, step(r, Input{Kind: CatalogueLineReceived, Link: link, Line: lineprotocol.Line{Words: []string{callID, "DATA", "0"}}}))
 }
 
 func TestIdleCatalogueLinkIsNotTrustedWithACall(t *testing.T) {
 	r := up(t)
 	r.supplies = []supply{{link: 5, address: r.to.Catalogue, up: true, inv: -1, since: r.now - idleTrust}}
 	got := step(r)
-	assert.Equal(t, Quit, got[0].Kind)
+	assert.Equal(t, CloseCatalogue, got[0].Kind)
 	assert.Empty(t, r.supplies)
 }
 
@@ -147,16 +147,16 @@
 	told(r, "CALLOUT 2 "+other+" 3|ask")
 	assert.Len(t, r.supplies, 2)
 	reached(r)
-	step(r, Input{Kind: Reached, Link: r.supplies[0].link})
+	step(r, Input{Kind: CatalogueConnected, Link: r.supplies[0].link})
 	assert.Equal(t, []string{"51 on 1"}, answers(t, replied(r, "noise")))
-	got := step(r, Input{Kind: Replied, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
+	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
 		Body: []byte("x")}})
-	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, Tell))
+	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, SendToExecutor))
 	assert.True(t, r.supplies[0].up && r.supplies[0].inv < 0, "kept for the next first call of a run")
 	told(r, "CALLOUT 3 "+other+" 3|ask")
 	assert.Len(t, r.supplies, 2, "a second copy of the first reply can't pass for the second's")
-	got = step(r, Input{Kind: Replied, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
-	assert.Equal(t, Quit, got[0].Kind, "it brought what was not asked for")
+	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
+	assert.Equal(t, CloseCatalogue, got[0].Kind, "it brought what was not asked for")
 }
 
 func TestCallsWaitWhereThereMayBeNoMoreLinks(t *testing.T) {
@@ -169,7 +169,7 @@
 	assert.Equal(t, []int32{1}, r.waiting)
 	reached(r)
 	got := replied(r, callID+" DATA 0")
-	assert.Contains(t, text(got, Ask), "FETCH "+other)
+	assert.Contains(t, text(got, SendToCatalogue), "FETCH "+other)
 	assert.Empty(t, r.waiting)
 }
 
@@ -183,20 +183,20 @@
 	told(r, "CALLOUT 2 "+other+" 3|ask") // still being opened
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
-	for _, e := range r.Step(r.now+ms, r.wall, []Input{{Kind: Reload, To: to}}) {
+	for _, e := range r.Step(r.now+ms, r.wall, []Input{{Kind: ReloadRequested, Addresses: to}}) {
 		dialed[e.Kind] += e.Address
 	}
-	assert.Equal(t, map[EffectKind]string{Part: "", Dial: "executor:2", Quit: "", Reach: "catalogue:2",
-		Report: "control:2", Remark: "", Wake: ""}, dialed)
+	assert.Equal(t, map[EffectKind]string{CloseExecutor: "", DialExecutor: "executor:2", CloseCatalogue: "", DialCatalogue: "catalogue:2",
+		SendReport: "control:2", WriteLog: "", SetWakeup: ""}, dialed)
 	got := replied(r, callID+" DATA 0")
-	assert.Equal(t, Quit, got[0].Kind, "heard to its end, then left")
-	step(r, Input{Kind: Parted, Link: old}, Input{Kind: Reported, Link: reporting})
+	assert.Equal(t, CloseCatalogue, got[0].Kind, "heard to its end, then left")
+	step(r, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
 	assert.Equal(t, []int{r.lastLink - 1, 0}, []int{r.dialing, r.link}, "the end of the old link is no news")
-	got = step(r, Input{Kind: Joined, Link: old}, Input{Kind: Joined, Link: r.dialing})
-	assert.Equal(t, Effect{Kind: Part, Link: old}, got[0], "a link that was being opened does not win")
-	assert.Equal(t, "JOIN 2\r\n", text(got, Tell))
+	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.dialing})
+	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being opened does not win")
+	assert.Equal(t, "JOIN 2\r\n", text(got, SendToExecutor))
 	assert.NotEqual(t, reporting, r.reporting)
-	assert.Empty(t, step(r, Input{Kind: Reload, To: to}), "nothing new")
+	assert.Empty(t, step(r, Input{Kind: ReloadRequested, Addresses: to}), "nothing new")
 }
 
 func TestCommandsAreToldAgainOnlyOnceTheNoticesOfANewLinkAreIn(t *testing.T) {
@@ -205,14 +205,14 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	rejoined(r)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, told(r, "EXIT 1 "+callID+" good 12 1|r")))
-	assert.Equal(t, "EXEC "+other+" catalogue 4\r\nbody\r\n", text(told(r, "METERS "+r.syncTag()+" 0 0 0 0"), Tell))
+	assert.Equal(t, "EXEC "+other+" catalogue 4\r\nbody\r\n", text(told(r, "METERS "+r.syncTag()+" 0 0 0 0"), SendToExecutor))
 	told(r, fmt.Sprintf("METERS m%d 0 0 0 0", r.seq))
 	assert.Empty(t, r.unread, "the gauges prove that all before them was read")
 }
 
 func TestGaugesAreAskedForBehindNewCommandsOnce(t *testing.T) {
 	r := up(t)
-	asked := func(effects []Effect) int { return strings.Count(text(effects, Tell), "METER m1\r\n") }
+	asked := func(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "METER m1\r\n") }
 	assert.Equal(t, 1, asked(r.Step(r.now+1, 1_000_000*ms, []Input{invoke(1)})))
 	assert.Zero(t, asked(r.Step(r.now+1, 1_000_000*ms, nil)))
 }
@@ -226,18 +226,18 @@
 func TestLinkThatCannotBeHadIsTriedAgain(t *testing.T) {
 	r := up(t)
 	for range 3 { // the first ends, the others are refused
-		assert.Empty(t, step(r, Input{Kind: Parted, Link: max(r.link, r.dialing)}))
+		assert.Empty(t, step(r, Input{Kind: ExecutorDisconnected, Link: max(r.link, r.dialing)}))
 		r.now = r.redialAt
-		assert.Equal(t, []Effect{{Kind: Dial, Link: r.lastLink, Address: "executor:1"}}, step(r))
+		assert.Equal(t, []Effect{{Kind: DialExecutor, Link: r.lastLink, Address: "executor:1"}}, step(r))
 	}
 }
 
 func TestLinkThatIsNotWelcomedYetDoesNotKeepTheNodeAwake(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: Parted, Link: r.link})
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.link})
 	r.now = r.redialAt
 	step(r)
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	r.now = r.meterAt
 	step(r)
 	assert.Greater(t, r.wake(), r.now)
@@ -247,7 +247,7 @@
 	for _, line := range []string{"NONSENSE", "EXIT x y", "EXIT 1 " + callID + " maybe 3 0", "METERS j1 a b c d",
 		"CALLOUT 0 x 1"} {
 		r := up(t)
-		assert.Equal(t, []EffectKind{Part}, []EffectKind{told(r, line)[0].Kind}, line)
+		assert.Equal(t, []EffectKind{CloseExecutor}, []EffectKind{told(r, line)[0].Kind}, line)
 	}
 }
 
@@ -262,14 +262,14 @@
 }
 
 func TestHealthIsAnsweredFromStoreOrThroughTheExecutor(t *testing.T) {
-	deep := Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: frame.Check,
+	deep := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Check,
 		Payload: append([]byte{1, 3}, "e2e\x01\x001"...)}}
 	r := fresh(t)
 	assert.Equal(t, []string{"check 51"}, answers(t, step(r, deep)), "no executor yet")
 	r = up(t)
 	assert.Equal(t, []string{"check 20"}, answers(t, step(r, deep)))
 	r.stored, r.config.Node.DeepHealthChecks = false, true
-	assert.Equal(t, "DIAG d1\r\n", text(step(r, deep), Tell))
+	assert.Equal(t, "DIAG d1\r\n", text(step(r, deep), SendToExecutor))
 	assert.Equal(t, []string{"check 51"}, answers(t, told(r, "DIAGNOSED d1 bad")))
 	step(r, deep)
 	r.now += diagWait
@@ -279,7 +279,7 @@
 func TestDrainEndsIntakeThenLeavesOnceAllIsAnswered(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
-	step(r, Input{Kind: Notice})
+	step(r, Input{Kind: DrainRequested})
 	r.now += 2_000 * ms
 	step(r)
 	r.now += 100 * ms
@@ -287,23 +287,23 @@
 	for _, e := range step(r, invoke(2, "call", "00000000000000aa")) {
 		kinds = append(kinds, e.Kind)
 	}
-	assert.NotContains(t, kinds, Leave, "one is still open")
+	assert.NotContains(t, kinds, Exit, "one is still open")
 	assert.True(t, r.shut)
 	assert.Equal(t, 1, r.Counters.Throttled, "what came after intake ended is not run")
 	end := told(r, "EXIT 1 "+callID+" good 12 1|r")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, end))
-	assert.NotEqual(t, Leave, end[len(end)-1].Kind, "connection 7 has not ended, and somebody may still connect")
+	assert.NotEqual(t, Exit, end[len(end)-1].Kind, "connection 7 has not ended, and somebody may still connect")
 	crossed := step(r, invoke(3, "call", "00000000000000bb"))
 	assert.Equal(t, []string{"50 on 3"}, answers(t, crossed), "it crossed the notice that no more may come")
 	r.now += crossWait
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r))
 	assert.Empty(t, step(r, Input{Kind: ListenerClosed}))
-	assert.Equal(t, []Effect{{Kind: Leave}}, step(r, Input{Kind: Closed, Link: 7}))
+	assert.Equal(t, []Effect{{Kind: Exit}}, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 }
 
 func TestNodeWithoutItsExecutorLeavesOnceItsConnectionsHaveEnded(t *testing.T) {
 	r := fresh(t)
-	got := step(r, Input{Kind: Notice})
+	got := step(r, Input{Kind: DrainRequested})
 	assert.Equal(t, []string{"no more"}, answers(t, got))
 	told(r, "WELCOME new 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
@@ -311,35 +311,35 @@
 	assert.Equal(t, []string{"50 on 1"}, answers(t, got), "one that crosses is answered")
 	assert.Zero(t, runsOf(got), "though the executor is up by now")
 	assert.Empty(t, step(r, Input{Kind: ListenerClosed}))
-	assert.Equal(t, []Effect{{Kind: Leave}}, step(r, Input{Kind: Closed, Link: 7}))
+	assert.Equal(t, []Effect{{Kind: Exit}}, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 	r = fresh(t)
-	step(r, Input{Kind: Notice})
+	step(r, Input{Kind: DrainRequested})
 	r.now = r.killAt - leaveMargin
 	got = step(r, Input{Kind: ListenerClosed})
-	assert.Equal(t, Leave, got[len(got)-1].Kind, "no peer keeps it past its time")
+	assert.Equal(t, Exit, got[len(got)-1].Kind, "no peer keeps it past its time")
 }
 
 func TestFullTableOfConnectionsMakesRoomAtTheLongestIdle(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
-	step(r, Input{Kind: Opened, Link: 8})
-	step(r, Input{Kind: Opened, Link: 9})
-	step(r, Input{Kind: Opened, Link: 10})
+	step(r, Input{Kind: ConnectionOpened, Link: 8})
+	step(r, Input{Kind: ConnectionOpened, Link: 9})
+	step(r, Input{Kind: ConnectionOpened, Link: 10})
 	check := func(link int) Input {
-		return Input{Kind: Read, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
+		return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
 	}
 	step(r, check(9))
 	step(r, check(8))
-	r.Spare = 1
-	assert.Equal(t, Effect{Kind: Evict, Link: 10}, step(r, Input{Kind: Opened, Link: 11})[0], "it brought nothing")
-	step(r, Input{Kind: Closed, Link: 10})
+	r.SpareConnections = 1
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(r, Input{Kind: ConnectionOpened, Link: 11})[0], "it brought nothing")
+	step(r, Input{Kind: ConnectionClosed, Link: 10})
 	step(r, check(11))
-	step(r, Input{Kind: Opened, Link: 12})
+	step(r, Input{Kind: ConnectionOpened, Link: 12})
 	assert.True(t, r.conns[9].noMore, "8 was heard of later")
 	assert.False(t, r.conns[8].noMore)
 	assert.Equal(t, 2, r.Counters.Evicted)
 	step(r, check(12))
-	assert.Equal(t, Effect{Kind: Evict, Link: 8}, step(r, Input{Kind: Opened, Link: 13})[0], "no place is left beside")
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(r, Input{Kind: ConnectionOpened, Link: 13})[0], "no place is left beside")
 	r.now += evictWait
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(r))
 }
@@ -348,13 +348,13 @@
 func TestInvocationThatCrossesAnEndIsAnsweredBeforeIt(t *testing.T) {
 	for what, evicted := range map[string]bool{"it stood idle": false, "its place is wanted": true} {
 		r := up(t)
-		r.Spare = 1
+		r.SpareConnections = 1
 		step(r, invoke(1))
 		told(r, "EXIT 1 "+callID+" good 12 6|result")
 		if evicted {
 			for link := range 4 {
-				step(r, Input{Kind: Opened, Link: 8 + link})
-				step(r, Input{Kind: Read, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
+				step(r, Input{Kind: ConnectionOpened, Link: 8 + link})
+				step(r, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
 			}
 			r.now += evictWait
 		} else {
@@ -364,20 +364,20 @@
 		}
 		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), what)
 		got := step(r, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((r.now+ms)/ms+1_000_000)))
-		assert.Equal(t, Effect{Kind: Resume, Link: 7}, got[0], what)
+		assert.Equal(t, Effect{Kind: ResumeConnection, Link: 7}, got[0], what)
 		assert.Equal(t, 1, runsOf(got), what)
 		got = told(r, "EXIT 2 00000000000000aa good 12 6|result")
 		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
 		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
 		assert.Contains(t, r.conns, 7, what)
-		step(r, Input{Kind: Closed, Link: 7})
+		step(r, Input{Kind: ConnectionClosed, Link: 7})
 		assert.NotContains(t, r.conns, 7, what)
 	}
 }
 
 func TestWhatFollowsWhatCannotBeUnderstoodIsErroredUnrun(t *testing.T) {
 	r := up(t)
-	got := step(r, Input{Kind: Read, Link: 7, Frame: frame.Frame{Type: 99}}, invoke(1))
+	got := step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}, invoke(1))
 	assert.Equal(t, []string{"51 on 0", "no more", "51 on 1"}, answers(t, got))
 	assert.Zero(t, runsOf(got))
 }
@@ -385,12 +385,12 @@
 func TestConnectionsThatAreOfNoUseAreClosed(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
-	step(r, Input{Kind: Opened, Link: 8}) // brings nothing
+	step(r, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
 	r.now, r.heardAt = r.now+firstWait, r.now+firstWait
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
 	r.now += sweepEvery
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(r))
-	step(r, Input{Kind: Closed, Link: 8})
+	step(r, Input{Kind: ConnectionClosed, Link: 8})
 	told(r, "EXIT 1 "+callID+" good 12 6|result")
 	r.now, r.heardAt = r.now+idleWait, r.now+idleWait
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
@@ -406,7 +406,7 @@
 		got = step(r, invoke(stream+2, "op", "other"))
 	}
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
-	assert.Equal(t, Effect{Kind: Ignore, Link: 7}, got[3])
+	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
 	r.now, r.heardAt = r.now+1_000*ms, r.now+1_000*ms
 	assert.NotContains(t, kinds(step(r)), CloseAfterFlush, "what is open is owed its answer")
 	got = told(r, "EXIT 1 "+callID+" good 12 6|result")
@@ -427,15 +427,15 @@
 	link := r.link
 	r.now += silentMost
 	got := step(r)
-	assert.Equal(t, Effect{Kind: Part, Link: link}, got[0])
+	assert.Equal(t, Effect{Kind: CloseExecutor, Link: link}, got[0])
 	r.now = r.redialAt
-	assert.Equal(t, Dial, step(r)[0].Kind)
+	assert.Equal(t, DialExecutor, step(r)[0].Kind)
 }
 
 func TestNoticesBetweenAreAskedForOnANewLinkAndThoseHeardTwiceTakenOnce(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
-	assert.Equal(t, Part, told(r, "EXIT 2 "+callID+" good 12 6|result")[0].Kind)
+	assert.Equal(t, CloseExecutor, told(r, "EXIT 2 "+callID+" good 12 6|result")[0].Kind)
 	rejoined(r)
 	assert.Empty(t, told(r, "LOG 1 any words"))
 	assert.Equal(t, []string{"20 on 1"}, answers(t, told(r, "EXIT 2 "+callID+" good 12 6|result")))
@@ -482,11 +482,11 @@
 	r := fresh(t)
 	link := r.link
 	r.now += silentMost
-	assert.Contains(t, step(r), Effect{Kind: Part, Link: link})
+	assert.Contains(t, step(r), Effect{Kind: CloseExecutor, Link: link})
 	r.now = r.redialAt
-	assert.Contains(t, kinds(step(r)), Dial)
-	step(r, Input{Kind: Joined, Link: r.dialing})
+	assert.Contains(t, kinds(step(r)), DialExecutor)
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
 	told(r, "WELCOME new 3")
-	assert.Equal(t, []string{"check 20"}, answers(t, step(r, Input{Kind: Read, Link: 7,
+	assert.Equal(t, []string{"check 20"}, answers(t, step(r, Input{Kind: FrameReceived, Link: 7,
 		Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})))
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -21,29 +21,29 @@
 	GaugeAge    int64          `json:"gauge_age_ns"` // -1 before the first
 	Synced      bool           `json:"synced"`       // the executor's link carries commands
 
-	Configuration *ConfigurationState `json:"configuration,omitempty"` // nil where it isn't taken in service
+	Configuration *ConfigSyncState `json:"configuration,omitempty"` // nil where it isn't taken in service
 }
 
 // keepState samples the state once a second while the module decides; the beat keeps the node awake for it.
-func (r *Reducer) keepState() {
+func (r *StateMachine) keepState() {
 	if r.post == nil || r.now < r.stateAt {
 		return
 	}
 	s := r.state()
 	r.stateAt, r.counted, r.givenUp = r.now+stateEvery, r.Counters, [admission.ReasonCount]int{}
-	r.do(Effect{Kind: Sample, State: s})
+	r.do(Effect{Kind: SampleState, State: s})
 }
 
 // state is the state now.
-func (r *Reducer) state() *State {
+func (r *StateMachine) state() *State {
 	s := &State{ControllerState: r.post.State(), Succeeded: r.Counters.Succeeded - r.counted.Succeeded,
 		Refused: r.Counters.Throttled - r.counted.Throttled, Errored: r.Counters.Errored - r.counted.Errored,
-		Gone: r.Counters.Gone - r.counted.Gone, Connections: len(r.conns), Links: len(r.supplies),
+		Gone: r.Counters.CallersGone - r.counted.CallersGone, Connections: len(r.conns), Links: len(r.supplies),
 		Waiting: len(r.waiting), Unread: len(r.unread), GaugeAge: r.now - r.metered, Synced: r.synced}
 	if r.metered < 0 {
 		s.GaugeAge = -1
 	}
-	s.Configuration = r.Configuration()
+	s.Configuration = r.ConfigSyncState()
 	if l := &r.levels; l.plan != nil {
 		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.LoadByLevel()
 	}
--- a/internal/node/types.go
+++ b/internal/node/types.go
@@ -18,38 +18,38 @@
 // The inputs. A connection is named by a number of the server's, a link by that of the effect that opened it;
 // neither is ever used twice.
 const (
-	Opened         InputKind = iota // a dispatcher's connection was accepted
-	Read                            // a frame came on it
-	Malformed                       // what came on it can't be read any further
-	Closed                          // it is gone
-	ListenerClosed                  // the listening socket is closed, and all that the system took there was handed on
-	Joined                          // a link to the executor is up
-	Told                            // a line came on it
-	Parted                          // it ended, or could not be had
-	Reached                         // a link to the catalogue is up
-	Replied                         // a line came on it
-	Unreached                       // a link to the catalogue could not be had
-	Broke                           // it ended
-	Reported                        // a report to the control plane ended
-	Notice                          // the node is to drain
-	Abort                           // it is to be done with that now: what is in hand is aborted and answered
-	Reload                          // the peers have new addresses, and there may be another plan of levels
-	KeptRecords                     // records of an earlier life that the store held
-	KeptRead                        // all of them were read
-	KeptWritten                     // what was to be kept is written
-	KeptUnwritten                   // it could not be
-	PeerCame                        // a datagram of a peer
-	PeerAsked                       // a peer opened an exchange, with its message
-	PeerAnswered                    // the answer to an exchange of ours
-	PeerMissed                      // an exchange of ours came to nothing
-	PeerTold                        // a letter on a stream of a peer
-	PeerHungUp                      // a stream ended
-	Adopt                           // there is a plan of levels, another one, or none any more
-	VersionKept                     // the last KeepVersion was carried out, or wasn't: Err
-	Persisted                       // writes of the council's seat count up to Number, or the disk failed
-	TokenWanted                     // a hollow node is to claim a token, Bytes
-	CallsWanted                     // a hollow node wants so many calls at a time, Link
-	Amend                           // a version of the configuration is to come into force
+	ConnectionOpened      InputKind = iota // a dispatcher's connection was accepted
+	FrameReceived                          // a frame came on it
+	FrameMalformed                         // what came on it can't be read any further
+	ConnectionClosed                       // it is gone
+	ListenerClosed                         // the listening socket is closed, and all that the system took there was handed on
+	ExecutorConnected                      // a link to the executor is up
+	ExecutorLineReceived                   // a line came on it
+	ExecutorDisconnected                   // it ended, or could not be had
+	CatalogueConnected                     // a link to the catalogue is up
+	CatalogueLineReceived                  // a line came on it
+	CatalogueDialFailed                    // a link to the catalogue could not be had
+	CatalogueDisconnected                  // it ended
+	ReportFinished                         // a report to the control plane ended
+	DrainRequested                         // the node is to drain
+	AbortRequested                         // it is to be done with that now: what is in hand is aborted and answered
+	ReloadRequested                        // the peers have new addresses, and there may be another plan of levels
+	RecordsRecovered                       // records of an earlier life that the store held
+	RecoveryCompleted                      // all of them were read
+	RecordWritten                          // what was to be kept is written
+	RecordWriteFailed                      // it could not be
+	PeerDatagramReceived                   // a datagram of a peer
+	PeerRequestReceived                    // a peer opened an exchange, with its message
+	PeerResponseReceived                   // the answer to an exchange of ours
+	PeerExchangeFailed                     // an exchange of ours came to nothing
+	PeerMessageReceived                    // a letter on a stream of a peer
+	PeerStreamClosed                       // a stream ended
+	PlanChanged                            // there is a plan of levels, another one, or none any more
+	VersionPersisted                       // the last KeepVersion was carried out, or wasn't: Err
+	ReplicaWritePersisted                  // writes of the council's seat count up to Number, or the disk failed
+	HollowClaimRequested                   // a hollow node is to claim a token, Bytes
+	HollowCallsRequested                   // a hollow node wants so many calls at a time, Link
+	VersionReceived                        // a version of the configuration is to come into force
 )
 
 // Addresses are where the peers of a node are.
@@ -57,17 +57,17 @@
 
 // Input is one thing that happened. Payloads and bodies belong to the reducer from then on.
 type Input struct {
-	Kind   InputKind
-	Link   int // the connection or link
-	Frame  frame.Frame
-	Line   lineprotocol.Line
-	Err    error
-	To     Addresses // Reload
-	Plan   *Plan     // Adopt, Reload; nil for none
-	Bytes  []byte    // of peers
-	Kept   []resultcache.Record
-	Number uint64 // Persisted
-	From   string // address of the peer that sent them
+	Kind      InputKind
+	Link      int // the connection or link
+	Frame     frame.Frame
+	Line      lineprotocol.Line
+	Err       error
+	Addresses Addresses        // Reload
+	Plan      *DegradationPlan // Adopt, Reload; nil for none
+	Bytes     []byte           // of peers
+	Records   []resultcache.Record
+	Number    uint64 // Persisted
+	From      string // address of the peer that sent them
 
 	Version uint64                // Amend
 	Change  *nodeconfig.Amendment // Amend
@@ -78,66 +78,66 @@
 
 // The effects.
 const (
-	Receive         EffectKind = iota // read frames from a new connection
-	Send                              // write to a connection
-	CloseAfterFlush                   // close it once all is written and nothing lies unread, giving the peer time to read; then Closed
-	Evict                             // the same without that time, and without waiting for the rest of a frame; it may follow CloseAfterFlush
-	Resume                            // not yet: an invocation came on it meanwhile
-	Ignore                            // read on slowly, only to see its end: nothing on it can be used
-	Dial                              // open a link to the executor, giving Joined or Parted
-	Tell                              // write to the executor
-	Part                              // close the link to the executor, giving Parted
-	Reach                             // open a link to the catalogue, giving Reached or Unreached
-	Ask                               // write to the catalogue
-	Quit                              // close the link to the catalogue, giving Broke
-	Report                            // report to the control plane, giving Reported
-	StopAccepting                     // close the listening socket once all that waits there is taken, giving ListenerClosed
-	Leave                             // all is done: end
-	Wake                              // step again at this time at the latest
-	Remark                            // log
-	Sample                            // show the state
-	Turned                            // tell of a change of level
-	Keep                              // write Kept to the store, giving KeptWritten or KeptUnwritten
-	PeerSend                          // send a datagram to a peer
-	PeerExchange                      // open an exchange with a peer, giving PeerAnswered or PeerMissed
-	PeerReply                         // answer the exchange that a peer opened; without bytes, close it
-	ViewChanged                       // tell of a change of the view
-	PeerStream                        // write a letter to the stream Link, or where that is gone or 0 to one to Address
-	PeerHangUp                        // end the stream
-	Amended                           // a version is in force, or with Err it is refused and nothing is changed
-	KeepVersion                       // carry out Persisting on the disk, giving VersionKept
-	InForce                           // tell of a version that came into force
-	Persist                           // carry out Write on the disk of the council's seat, in order, giving Persisted
-	Slower                            // callers may wait for At ns from now on
+	ReadConnection       EffectKind = iota // read frames from a new connection
+	SendToConnection                       // write to a connection
+	CloseAfterFlush                        // close it once all is written and nothing lies unread, giving the peer time to read; then Closed
+	EvictConnection                        // the same without that time, and without waiting for the rest of a frame; it may follow CloseAfterFlush
+	ResumeConnection                       // not yet: an invocation came on it meanwhile
+	DiscardInput                           // read on slowly, only to see its end: nothing on it can be used
+	DialExecutor                           // open a link to the executor, giving Joined or Parted
+	SendToExecutor                         // write to the executor
+	CloseExecutor                          // close the link to the executor, giving Parted
+	DialCatalogue                          // open a link to the catalogue, giving Reached or Unreached
+	SendToCatalogue                        // write to the catalogue
+	CloseCatalogue                         // close the link to the catalogue, giving Broke
+	SendReport                             // report to the control plane, giving Reported
+	StopAccepting                          // close the listening socket once all that waits there is taken, giving ListenerClosed
+	Exit                                   // all is done: end
+	SetWakeup                              // step again at this time at the latest
+	WriteLog                               // log
+	SampleState                            // show the state
+	LevelChanged                           // tell of a change of level
+	WriteRecord                            // write Kept to the store, giving KeptWritten or KeptUnwritten
+	SendDatagram                           // send a datagram to a peer
+	OpenExchange                           // open an exchange with a peer, giving PeerAnswered or PeerMissed
+	ReplyToExchange                        // answer the exchange that a peer opened; without bytes, close it
+	ViewChanged                            // tell of a change of the view
+	SendOnStream                           // write a letter to the stream Link, or where that is gone or 0 to one to Address
+	CloseStream                            // end the stream
+	VersionApplied                         // a version is in force, or with Err it is refused and nothing is changed
+	PersistVersion                         // carry out Persisting on the disk, giving VersionKept
+	ReportVersionInForce                   // tell of a version that came into force
+	PersistReplicaWrite                    // carry out Write on the disk of the council's seat, in order, giving Persisted
+	CallerTimeoutRaised                    // callers may wait for At ns from now on
 )
 
-// Level is how loud a remark is.
-type Level uint8
+// LogLevel is how loud a remark is.
+type LogLevel uint8
 
 // The levels of remarks.
 const (
-	Debug Level = iota
+	Debug LogLevel = iota
 	Info
 	Warn
 )
 
 // Effect is one thing to do; only the fields of its kind are set.
 type Effect struct {
-	Kind    EffectKind
-	Link    int
-	Address string // Dial, Reach, Report
-	At      int64
-	Bytes   []byte
-	Ready   bool
-	Level   Level
-	Text    string
-	ID      string
-	Err     error
-	State   *State // Sample
-	Turn    *Turn  // Turned
-	Change  *membership.Change
-	Kept    *resultcache.Record
-	Version uint64 // Amended
+	Kind        EffectKind
+	Link        int
+	Address     string // Dial, Reach, Report
+	At          int64
+	Bytes       []byte
+	Ready       bool
+	LogLevel    LogLevel
+	Text        string
+	ID          string
+	Err         error
+	State       *State       // Sample
+	LevelChange *LevelChange // Turned
+	Change      *membership.Change
+	Record      *resultcache.Record
+	Version     uint64 // Amended
 
 	Write      *consensus.Write   // Persist
 	Persisting *configsync.Effect // KeepVersion
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -121,9 +121,9 @@
 
 var errVerdict = errors.New("no verdict in time")
 
-func question(address string, q *configsync.Question) (*configsync.Answer, error) {
+func question(address string, q *configsync.Query) (*configsync.Answer, error) {
 	name := envelope.FleetOf(fleetName)
-	ask, err := envelope.Seal(nil, name, node.AskConfiguration(q))
+	ask, err := envelope.Seal(nil, name, node.EncodeConfigQuery(q))
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return node.OpenConfiguration(text, name)
+	return node.DecodeConfigAnswer(text, name)
 }
 
 // put has changes agreed on, made on the newest version.
@@ -141,7 +141,7 @@
 		Wall: time.Now().UnixNano()}
 	end := time.Now().Add(verdictMost)
 	for k := 0; ; k++ {
-		a, err := question(o.seats[k%len(o.seats)], &configsync.Question{Kind: configsync.Propose, Command: c})
+		a, err := question(o.seats[k%len(o.seats)], &configsync.Query{Kind: configsync.Propose, Command: c})
 		switch {
 		case err == nil && a.Verdict != nil && a.Verdict.Done:
 			o.version = a.Verdict.Version
@@ -168,7 +168,7 @@
 			group.Go(func() {
 				defer func() { <-places }()
 				began := time.Now()
-				a, err := question(address, &configsync.Question{Kind: configsync.ShowStanding})
+				a, err := question(address, &configsync.Query{Kind: configsync.ShowStanding})
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || a.Status == nil || a.Status.Mark.Version < version {
--- a/internal/testbed/emulator/day.go
+++ b/internal/testbed/emulator/day.go
@@ -92,8 +92,8 @@
 	Settle      int64 // ns past its length in which what is open ends, 0 for the usual
 	Faults      []Fault
 
-	Plan  *node.Plan // nil for none
-	Next  *node.Plan // that a fault of the kind adopt brings
+	Plan  *node.DegradationPlan // nil for none
+	Next  *node.DegradationPlan // that a fault of the kind adopt brings
 	Make  func(*admission.Config, int64) node.Decider
 	Watch func(at int64, s *Second)
 }
@@ -241,12 +241,12 @@
 
 func (f *fleet) callSpan() int64 { return cmp.Or(f.day.CallSpan, callSpan) }
 
-func (f *fleet) brain(seed int64) (*node.Reducer, error) {
+func (f *fleet) brain(seed int64) (*node.StateMachine, error) {
 	p, err := nodeconfig.FromJSON(seed, []byte(f.settings))
 	if err != nil {
 		return nil, err
 	}
-	r := node.New(p, node.Addresses{Executor: "executor:1", Catalogue: "ledger:1", Control: "control:1"}, stopAt, 4000, 400)
+	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "ledger:1", Control: "control:1"}, stopAt, 4000, 400)
 	if f.day.Make != nil {
 		r.Decisions = f.day.Make
 	}
@@ -286,7 +286,7 @@
 		f.At(f.start+x.At+x.For, func() { f.ledger.Slow(1) })
 	case "adopt":
 		f.At(f.start+x.At, each(func(_ int, m *machine) {
-			m.put(node.Input{Kind: node.Adopt, Plan: f.day.Next})
+			m.put(node.Input{Kind: node.PlanChanged, Plan: f.day.Next})
 		}))
 	case "release":
 		f.At(f.start+x.At, each(func(k int, m *machine) {
--- a/internal/testbed/emulator/dispatcher.go
+++ b/internal/testbed/emulator/dispatcher.go
@@ -170,7 +170,7 @@
 		d.conns[m.index] = append(slices.DeleteFunc(d.conns[m.index], func(old *conn) bool {
 			return m.conns[old.link] != old
 		}), c)
-		m.put(node.Input{Kind: node.Opened, Link: c.link})
+		m.put(node.Input{Kind: node.ConnectionOpened, Link: c.link})
 	}
 	c.last++
 	a.conn, a.stream = c, c.last
@@ -186,7 +186,7 @@
 	}
 	const head = 9 // bytes of a frame before its payload
 	b := frame.AppendInvocation(nil, a.stream, fields, []byte(a.id))
-	in := node.Input{Kind: node.Read, Link: c.link,
+	in := node.Input{Kind: node.FrameReceived, Link: c.link,
 		Frame: frame.Frame{Type: frame.Invocation, Stream: a.stream, Payload: b[head:]}}
 	if c.born == m.Now { // nothing is read from a connection before the node has taken it on
 		m.later(0, func() { m.put(in) })
@@ -207,7 +207,7 @@
 			a.told = true
 			delete(c.open, a.stream)
 			delete(m.open, a.id)
-			m.put(node.Input{Kind: node.Read, Link: c.link, Frame: frame.Frame{Type: frame.Gone, Stream: a.stream}})
+			m.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Gone, Stream: a.stream}})
 			m.over(a)
 		}
 	})
--- a/internal/testbed/emulator/fleet_test.go
+++ b/internal/testbed/emulator/fleet_test.go
@@ -29,7 +29,7 @@
 }
 
 func reduces(d *Day) {
-	p := &node.Plan{Forms: [][]string{{"plain", ""}}}
+	p := &node.DegradationPlan{Forms: [][]string{{"plain", ""}}}
 	enter, exit := degradation.Condition{Limits: degradation.NoLimits(), Duration: second / 2}, degradation.Condition{Limits: degradation.NoLimits()}
 	enter.Limits[degradation.Load], exit.Limits[degradation.Load] = 1, 0.8
 	p.MaxHold, p.IdleCondition = 1, exit
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -19,7 +19,7 @@
 	*fleet
 	index  int
 	model  Model
-	brain  *node.Reducer
+	brain  *node.StateMachine
 	cores  *virtualtime.Resource
 	life   int // counts starts; what was planned in an earlier one is void
 	born   int64
@@ -59,7 +59,7 @@
 	m.sent = nil
 	m.cores = virtualtime.NewResource(m.World, m.pace)
 	if m.day.Plan != nil {
-		m.put(node.Input{Kind: node.Adopt, Plan: m.day.Plan})
+		m.put(node.Input{Kind: node.PlanChanged, Plan: m.day.Plan})
 	} else {
 		m.put()
 	}
@@ -138,7 +138,7 @@
 	}
 	m.noted = m.Now
 	life := m.life
-	m.put(node.Input{Kind: node.Notice})
+	m.put(node.Input{Kind: node.DrainRequested})
 	m.After(listed, func() { m.known = m.known && life != m.life })
 	m.After(stopAt, func() {
 		if life == m.life {
@@ -185,9 +185,9 @@
 	left := false
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
-		case node.Wake:
+		case node.SetWakeup:
 			wake = e.At
-		case node.Leave:
+		case node.Exit:
 			left = true
 		default:
 			m.carry(e)
@@ -220,44 +220,44 @@
 
 func (m *machine) carry(e *node.Effect) {
 	switch e.Kind {
-	case node.Send:
+	case node.SendToConnection:
 		m.send(e)
-	case node.CloseAfterFlush, node.Evict:
+	case node.CloseAfterFlush, node.EvictConnection:
 		link := e.Link
 		if c := m.conns[link]; c != nil {
 			c.noMore = true
 			delete(m.conns, link)
 		}
-		m.later(hop, func() { m.put(node.Input{Kind: node.Closed, Link: link}) })
-	case node.Dial:
+		m.later(hop, func() { m.put(node.Input{Kind: node.ConnectionClosed, Link: link}) })
+	case node.DialExecutor:
 		link := e.Link
 		m.later(hop, func() {
 			m.link = link
-			m.put(node.Input{Kind: node.Joined, Link: link})
+			m.put(node.Input{Kind: node.ExecutorConnected, Link: link})
 		})
-	case node.Tell:
+	case node.SendToExecutor:
 		words, body := split(e.Bytes)
 		m.told(words, body)
-	case node.Reach:
+	case node.DialCatalogue:
 		link := e.Link
-		m.later(hop, func() { m.put(node.Input{Kind: node.Reached, Link: link}) })
-	case node.Ask:
+		m.later(hop, func() { m.put(node.Input{Kind: node.CatalogueConnected, Link: link}) })
+	case node.SendToCatalogue:
 		words, body := split(e.Bytes)
 		m.ask(e.Link, words, body)
-	case node.Quit:
+	case node.CloseCatalogue:
 		if a := m.ledgers[e.Link]; a != nil {
 			delete(m.ledgers, e.Link)
 			m.giveUpCall(a)
 		}
-	case node.Report:
+	case node.SendReport:
 		link := e.Link
-		m.later(hop, func() { m.put(node.Input{Kind: node.Reported, Link: link}) })
+		m.later(hop, func() { m.put(node.Input{Kind: node.ReportFinished, Link: link}) })
 	case node.StopAccepting:
 		m.shut = true
 		m.later(hop, func() { m.put(node.Input{Kind: node.ListenerClosed}) })
-	case node.Turned:
-		m.level = e.Turn.ToName
-		m.total.turned(m, e.Turn)
+	case node.LevelChanged:
+		m.level = e.LevelChange.ToName
+		m.total.turned(m, e.LevelChange)
 	}
 }
 
@@ -274,7 +274,7 @@
 func (m *machine) tell(text string, body []byte) {
 	link := m.link
 	line := lineprotocol.Line{Words: strings.Fields(text), Body: body}
-	m.later(meter, func() { m.put(node.Input{Kind: node.Told, Link: link, Line: line}) })
+	m.later(meter, func() { m.put(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: line}) })
 }
 
 // told is the executor.
@@ -382,7 +382,7 @@
 			return
 		}
 		delete(m.ledgers, link)
-		m.put(node.Input{Kind: node.Replied, Link: link,
+		m.put(node.Input{Kind: node.CatalogueLineReceived, Link: link,
 			Line: lineprotocol.Line{Words: []string{a.id, "DATA", strconv.Itoa(len(body))}, Body: body}})
 	})
 	m.total.MostCalls = max(m.total.MostCalls, float64(m.ledger.Jobs())/m.slots)
--- a/internal/testbed/emulator/outcome.go
+++ b/internal/testbed/emulator/outcome.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func (o *Outcome) turned(m *machine, t *node.Turn) {
+func (o *Outcome) turned(m *machine, t *node.LevelChange) {
 	if t.From != t.To {
 		o.Turns = append(o.Turns, Turn{float64(m.Now-o.start) / 1e9, m.index, t.From, t.To, t.String()})
 	}
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -253,7 +253,7 @@
 			return 1
 		}
 	}
-	read := func(name string) (*node.Plan, error) {
+	read := func(name string) (*node.DegradationPlan, error) {
 		if name == "" {
 			return nil, nil
 		}
--- a/internal/testbed/processfleet/night.go
+++ b/internal/testbed/processfleet/night.go
@@ -469,7 +469,7 @@
 	for k := range events {
 		e := &events[k]
 		of[concern{e.Node, e.Who}] = append(of[concern{e.Node, e.Who}], e)
-		if e.At < start || e.Cause == membership.CutOff || e.Cause == membership.Restored {
+		if e.At < start || e.Cause == membership.Isolated || e.Cause == membership.Reconnected {
 			continue
 		}
 		switch e.Cause {
@@ -644,14 +644,14 @@
 		}
 		for k, times := range counts {
 			if k.second*second >= start {
-				all = append(all, line{k.second * second, fmt.Sprintf("%d changes of views: %s", times, membership.Causes[k.cause])})
+				all = append(all, line{k.second * second, fmt.Sprintf("%d changes of views: %s", times, membership.CauseNames[k.cause])})
 			}
 		}
 		events = nil
 	}
 	for _, e := range events {
 		if e.At >= start {
-			all = append(all, line{e.At, fmt.Sprintf("%s: %s %s, view of %d %016x", name(e.Node), e.Who, membership.Causes[e.Cause], e.Size, e.Hash)})
+			all = append(all, line{e.At, fmt.Sprintf("%s: %s %s, view of %d %016x", name(e.Node), e.Who, membership.CauseNames[e.Cause], e.Size, e.Hash)})
 		}
 	}
 	sort.SliceStable(all, func(a, b int) bool { return all[a].at < all[b].at })
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -274,7 +274,7 @@
 
 var causes = func() map[string]membership.Cause {
 	all := map[string]membership.Cause{}
-	for k, name := range membership.Causes {
+	for k, name := range membership.CauseNames {
 		all[name] = membership.Cause(k)
 	}
 	return all
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -54,7 +54,7 @@
 	seat  bool
 	old   bool
 	disk  kept
-	wrote consensus.Disk // the seat's
+	wrote consensus.DiskContents // the seat's
 	life  *life
 	held  []taken
 	out   []stretch // when it was out of reach
@@ -63,7 +63,7 @@
 
 // kept is a node's file: as sound as its digest.
 type kept struct {
-	mark    configsync.Mark
+	mark    configsync.Revision
 	content *configsync.Content
 }
 
@@ -79,12 +79,12 @@
 type life struct {
 	f       *versions
 	m       *member
-	holder  *configsync.Holder
+	holder  *configsync.Replicator
 	inbox   []configsync.Input
 	woken   alarm // of the holder
 	asked   map[int]func(body any, size int)
 	links   int
-	council *consensus.Council
+	council *consensus.Group
 	toSeat  []consensus.Input
 	seated  alarm // of the seat
 	current bool  // as the holder knows of its seat
@@ -167,21 +167,21 @@
 // begin is a new life of a node: from its disk, or from a file without anything.
 func (f *versions) begin(n *virtualfleet.Node) virtualfleet.Payload {
 	m := f.byName[n.Name]
-	start := configsync.Start{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
+	start := configsync.InitialState{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
 	l := &life{f: f, m: m, asked: map[int]func(any, int){}, fresh: m.disk.content == nil}
 	if l.fresh {
-		start = configsync.Start{Content: &configsync.Content{}, Source: "file"}
+		start = configsync.InitialState{Content: &configsync.Content{}, Source: "file"}
 	}
 	l.woken.step, l.seated.step = l.step, l.stepSeat
 	m.life = l
-	l.holder = configsync.NewHolder(f.Now, configsync.Terms{Name: n.Name, Seed: f.chance.Int63()}, start)
+	l.holder = configsync.NewReplicator(f.Now, configsync.ReplicatorConfig{Name: n.Name, Seed: f.chance.Int63()}, start)
 	if s := l.holder.Status(f.Now); s.Mark != m.disk.mark || s.Source != start.Source {
 		f.wrong = append(f.wrong, fmt.Sprintf("%s starts from its %s with version %d, and kept %d", n.Name, s.Source, s.Mark.Version, m.disk.mark.Version))
 	}
 	m.held = append(m.held, taken{f.Now, m.disk.mark.Version})
 	l.inbox = append(l.inbox, l.view())
 	if m.seat {
-		l.council = consensus.New(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
+		l.council = consensus.NewGroup(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
 		if err := l.council.Recover(f.Now, m.wrote); err != nil {
 			f.wrong = append(f.wrong, fmt.Sprintf("%s can't take its disk up: %v", n.Name, err))
 		}
@@ -204,7 +204,7 @@
 	m.Kill()
 	m.life = nil
 	if forgets {
-		m.disk, m.wrote = kept{}, consensus.Disk{}
+		m.disk, m.wrote = kept{}, consensus.DiskContents{}
 	}
 }
 
@@ -405,17 +405,17 @@
 			l.sendSeat(e)
 		case consensus.Persist:
 			l.persist(e.Write)
-		case consensus.Remark:
+		case consensus.WriteLog:
 			f.say("%s: %s", m.Name, e.Text)
 		}
 	}
-	if agreed, changed := l.council.Configured(); changed {
+	if agreed, changed := l.council.AgreedConfig(); changed {
 		if agreed != nil {
 			f.note(agreed)
 		}
 		l.give(configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
-	if current := l.council.Current(); current != l.current {
+	if current := l.council.IsCurrent(); current != l.current {
 		l.current = current
 		l.give(configsync.Input{Kind: configsync.Stood, Current: current})
 	}
@@ -424,7 +424,7 @@
 
 func (l *life) sendSeat(e *consensus.Effect) {
 	f, m := l.f, l.m
-	if e.Message.Kind == consensus.Verdicts && len(e.Message.Decided) > 0 {
+	if e.Message.Kind == consensus.MessageVerdicts && len(e.Message.Decided) > 0 {
 		list := slices.Clone(e.Message.Decided)
 		for _, c := range f.callers {
 			if c.name == e.To {
@@ -468,8 +468,8 @@
 
 func (m *member) write(w *consensus.Write) {
 	d := &m.wrote
-	if w.Forget {
-		*d = consensus.Disk{}
+	if w.DiscardEarlier {
+		*d = consensus.DiskContents{}
 		return
 	}
 	if w.Base != nil {
@@ -477,7 +477,7 @@
 		for k, v := range w.Parts {
 			parts[k] = v
 		}
-		*d = consensus.Disk{Base: w.Base, Parts: parts}
+		*d = consensus.DiskContents{Base: w.Base, Parts: parts}
 	}
 	d.Records = append(d.Records[:len(d.Records):len(d.Records)], w.Records...)
 }
--- a/internal/testbed/processfleet/versions_play.go
+++ b/internal/testbed/processfleet/versions_play.go
@@ -126,7 +126,7 @@
 }
 
 // stopped has an operator take back what was stopped, or what came through though some can't take it.
-func (f *versions) stopped(h *configsync.Head) {
+func (f *versions) stopped(h *configsync.HeadRevision) {
 	if f.bad == 0 || !(h.Stopped && h.First.Version >= f.bad || h.All.Version >= f.bad) {
 		return
 	}
@@ -197,8 +197,8 @@
 		return fmt.Sprintf("version %d of %d is in force for all", h.All.Version, h.Newest)
 	}
 	for _, m := range f.members {
-		if m.Up && m.life.holder.Mark() != h.All {
-			return fmt.Sprintf("%s has version %d, %d is in force for all", m.Name, m.life.holder.Mark().Version, h.All.Version)
+		if m.Up && m.life.holder.Revision() != h.All {
+			return fmt.Sprintf("%s has version %d, %d is in force for all", m.Name, m.life.holder.Revision().Version, h.All.Version)
 		}
 	}
 	return ""
@@ -371,7 +371,7 @@
 	clear(f.apart)
 	healed, last := f.Now, f.last.Head.Newest
 	o.Measures["healed_s"] = seconds(f.Until(int64(n.Calm*1e9), func() bool {
-		return !slices.ContainsFunc(f.members, func(m *member) bool { return m.life.holder.Mark().Version < last })
+		return !slices.ContainsFunc(f.members, func(m *member) bool { return m.life.holder.Revision().Version < last })
 	}))
 	if o.Measures["healed_s"] < 0 {
 		o.Measures["healed_s"] = math.Inf(1)
@@ -405,7 +405,7 @@
 	x["gone_back"], x["two_contents"], x["stops"], x["refusals"] = float64(f.back), float64(f.forked), float64(f.stops), float64(f.refused)
 	x["put_s"], x["recovered_s"], x["recoveries"] = quantile(f.puts, 0.99), quantile(f.recovers, 1), float64(len(f.recovers))
 	x["changes"], x["versions"] = float64(len(f.changes)), float64(f.last.Head.Newest)
-	unanswered, lost, lies, digests := 0, 0, 0, map[configsync.Mark]int{}
+	unanswered, lost, lies, digests := 0, 0, 0, map[configsync.Revision]int{}
 	for _, c := range f.changes {
 		switch r := f.records[c.version]; {
 		case c.version == 0:
@@ -422,17 +422,17 @@
 		}
 	}
 	for k, m := range f.members {
-		mark, content := m.life.holder.Mark(), m.life.holder.Content()
+		mark, content := m.life.holder.Revision(), m.life.holder.Content()
 		if digests[mark]++; content.Digest() != mark.Digest {
-			digests[configsync.Mark{}]++
+			digests[configsync.Revision{}]++
 		}
 		if (k*rebuilt)%len(f.members) < rebuilt { // from its items
 			again, err := (&configsync.Content{}).Apply(slices.Collect(content.All))
 			if err != nil || again.Digest() != mark.Digest {
-				digests[configsync.Mark{}]++
+				digests[configsync.Revision{}]++
 			}
 		}
-		lies += m.life.holder.Counters.Lies
+		lies += m.life.holder.Counters.InvalidResponses
 	}
 	x["unanswered"], x["lost"], x["lies"], x["digests"] = float64(unanswered), float64(lost), float64(lies), float64(len(digests))
 	if f.settled() != "" {
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -38,7 +38,7 @@
 
 	mu     sync.Mutex
 	marks  map[uint64]configsync.Digest // as nodes had them in force
-	has    []configsync.Mark
+	has    []configsync.Revision
 	up     []bool
 	lives  []int
 	began  []int64    // of each node's life
@@ -77,15 +77,15 @@
 }
 
 // question asks a node.
-func (f *polled) question(i int, q *configsync.Question) (*configsync.Answer, error) {
-	text, err := envelope.Seal(nil, f.fleet, node.AskConfiguration(q))
+func (f *polled) question(i int, q *configsync.Query) (*configsync.Answer, error) {
+	text, err := envelope.Seal(nil, f.fleet, node.EncodeConfigQuery(q))
 	if err != nil {
 		return nil, err
 	}
 	if text, err = server.Swap(context.Background(), "", f.p.bind[i], text); err != nil {
 		return nil, err
 	}
-	return node.OpenConfiguration(text, f.fleet)
+	return node.DecodeConfigAnswer(text, f.fleet)
 }
 
 // watch asks a node what it has, until the play ends.
@@ -96,7 +96,7 @@
 		f.mu.Unlock()
 		if up {
 			f.ask <- struct{}{}
-			a, err := f.question(i, &configsync.Question{Kind: configsync.ShowStanding})
+			a, err := f.question(i, &configsync.Query{Kind: configsync.ShowStanding})
 			now := f.p.now()
 			<-f.ask
 			if err == nil && a.Status != nil {
@@ -138,7 +138,7 @@
 		f.marks[mark.Version] = mark.Digest
 	}
 	c := &a.Status.Counters
-	f.bytes[i] = append(f.bytes[i], sample{now, c.BytesSent + c.BytesCame, c.Lies, life})
+	f.bytes[i] = append(f.bytes[i], sample{now, c.BytesSent + c.BytesReceived, c.InvalidResponses, life})
 	if s := a.Seat; s != nil && (s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped) {
 		if s.Head.Stopped && !f.agreed.Head.Stopped {
 			f.sayNow("version %d is stopped by %s: %s", s.Head.First.Version, s.Head.Who, s.Head.Why)
@@ -162,7 +162,7 @@
 		up := f.up[i]
 		f.mu.Unlock()
 		if up {
-			if a, err := f.question(i, &configsync.Question{Kind: configsync.Propose, Command: c}); err == nil && a.Verdict != nil {
+			if a, err := f.question(i, &configsync.Query{Kind: configsync.Propose, Command: c}); err == nil && a.Verdict != nil {
 				return a.Verdict
 			}
 		}
@@ -288,7 +288,7 @@
 func (n *Night) playVersionsOnProcesses(p *processes, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
 	f := &polled{versions: newVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
-		has: make([]configsync.Mark, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
+		has: make([]configsync.Revision, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
 		ask: make(chan struct{}, asksMost)}
 	f.World = virtualtime.New(seed, 0)
 	for i, m := range f.members {
@@ -385,7 +385,7 @@
 	}
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		behind := slices.IndexFunc(f.has, func(m configsync.Mark) bool { return m.Version < version })
+		behind := slices.IndexFunc(f.has, func(m configsync.Revision) bool { return m.Version < version })
 		f.mu.Unlock()
 		if behind < 0 {
 			return version, nil
@@ -403,7 +403,7 @@
 	for _, c := range f.changes {
 		newest = max(newest, c.version)
 	}
-	return !slices.ContainsFunc(f.has, func(m configsync.Mark) bool { return m.Version < newest })
+	return !slices.ContainsFunc(f.has, func(m configsync.Revision) bool { return m.Version < newest })
 }
 
 // trouble is a fault with when it begins, or ends.
@@ -460,7 +460,7 @@
 	for _, i := range list {
 		f.up[i] = true
 		f.lives[i]++
-		f.has[i], f.began[i] = configsync.Mark{}, now
+		f.has[i], f.began[i] = configsync.Revision{}, now
 	}
 	f.lookAround(now)
 	return nil
@@ -602,7 +602,7 @@
 		}
 	}
 	x["unanswered"] = float64(unanswered)
-	digests := map[configsync.Mark]bool{}
+	digests := map[configsync.Revision]bool{}
 	for _, m := range f.has {
 		digests[m] = true
 	}
@@ -622,9 +622,9 @@
 	}
 	for i := range f.terms.Seats {
 		var blocks []configsync.Block
-		var mark configsync.Mark
+		var mark configsync.Revision
 		for from, more := 0, true; more; {
-			a, err := f.question(i, &configsync.Question{Kind: configsync.ReadBlocks, Which: configsync.Newest, From: from})
+			a, err := f.question(i, &configsync.Query{Kind: configsync.ReadBlocks, Which: configsync.Newest, From: from})
 			if err != nil || a.Why != "" {
 				blocks = nil
 				break
--- a/internal/testbed/processfleet/virtual.go
+++ b/internal/testbed/processfleet/virtual.go
@@ -14,8 +14,8 @@
 
 func newVirtual(n *Night, seed int64) (*virtual, error) {
 	m := virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes))
-	for field, to := range map[string]*int64{"probe": &m.Membership.Probe, "silence": &m.Membership.Silence, "settle": &m.Membership.Settle,
-		"forget": &m.Membership.Forget} {
+	for field, to := range map[string]*int64{"probe": &m.Membership.ProbeInterval, "silence": &m.Membership.LinkTimeout, "settle": &m.Membership.SuspicionTimeout,
+		"forget": &m.Membership.ForgetTimeout} {
 		if value, set := n.Fleet[field]; set {
 			var t configfile.Time
 			if err := json.Unmarshal([]byte(strconv.Quote(value)), &t); err != nil {
--- a/internal/testbed/virtualfleet/mesh.go
+++ b/internal/testbed/virtualfleet/mesh.go
@@ -82,7 +82,7 @@
 }
 
 // Usual is a configuration as nodes have it.
-var Usual = membership.Config{Probe: 500 * ms, Silence: 3_500 * ms, Settle: 400 * ms, Forget: 600_000 * ms, MembersMost: 1_500} // as settings allow at the most
+var Usual = membership.Config{ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 600_000 * ms, MaxMembers: 1_500} // as settings allow at the most
 
 // New makes a fleet in which nobody is up yet; the first nodes are seeds.
 func New(seed int64, nodes, seeds int) *Mesh {
@@ -205,7 +205,7 @@
 		n.Sent++
 		n.Bytes += size
 		if to := m.byAddress[e.To]; to != nil && m.passes(n, to, size, true) {
-			arrive := func() { to.give(membership.Input{Kind: membership.Came, Message: &msg}) }
+			arrive := func() { to.give(membership.Input{Kind: membership.DatagramReceived, Message: &msg}) }
 			far := m.far(n, to)
 			m.After(far+m.travels(), arrive)
 			if m.Double > 0 && m.Chance.Float64() < m.Double {
@@ -219,7 +219,7 @@
 		if to == nil || !to.Up || !m.passes(n, to, 0, false) || !m.passes(to, n, 0, false) {
 			m.After(exchanged, func() {
 				if n.Started == life {
-					n.give(membership.Input{Kind: membership.Missed, Link: link})
+					n.give(membership.Input{Kind: membership.ExchangeFailed, Link: link})
 				}
 			})
 			return
@@ -230,7 +230,7 @@
 			if to.Up {
 				to.links[answer] = ask{n, link, life}
 			}
-			to.give(membership.Input{Kind: membership.Asked, Link: answer, Message: &msg})
+			to.give(membership.Input{Kind: membership.ExchangeOpened, Link: answer, Message: &msg})
 		})
 	case membership.Reply:
 		msg := e.Message
@@ -240,11 +240,11 @@
 		if known && m.passes(n, a.from, 0, false) {
 			m.After(travel+m.far(n, a.from), func() {
 				if a.from.Started == a.life {
-					a.from.give(membership.Input{Kind: membership.Answered, Link: a.link, Message: &msg})
+					a.from.give(membership.Input{Kind: membership.ExchangeAnswered, Link: a.link, Message: &msg})
 				}
 			})
 		}
-	case membership.Changed:
+	case membership.ViewChanged:
 		n.Changes = append(n.Changes, Change{m.Now, e.Change})
 		if n.payload != nil {
 			n.payload.Viewed(e.Change)
--- a/internal/testbed/virtualfleet/pause_test.go
+++ b/internal/testbed/virtualfleet/pause_test.go
@@ -26,7 +26,7 @@
 			seen[i] = len(n.Changes)
 		}
 		m.Run(m.Now + m.Chance.Int63n(s))
-		m.Nodes[m.Chance.Intn(nodes)].Pause(m.Membership.Silence - m.Membership.Probe)
+		m.Nodes[m.Chance.Intn(nodes)].Pause(m.Membership.LinkTimeout - m.Membership.ProbeInterval)
 		m.Run(m.Now + 7*s)
 		fell := false
 		for i, n := range m.Nodes {
--- a/internal/testbed/virtualfleet/schedule.go
+++ b/internal/testbed/virtualfleet/schedule.go
@@ -10,7 +10,7 @@
 // did not hold; the same seed plays the same course.
 func Schedule(seed int64, nodes int, length, settle int64) error {
 	m := New(seed, nodes, min(3, nodes))
-	m.Membership.Forget = 1_000_000 * ms
+	m.Membership.ForgetTimeout = 1_000_000 * ms
 	for _, n := range m.Nodes {
 		m.After(m.Chance.Int63n(2_000*ms), func() {
 			if !n.Up {
@@ -117,11 +117,11 @@
 			continue
 		}
 		for _, c := range n.Changes[n.looked:] {
-			if key := fmt.Sprint(n.Name, " born ", n.Started, " of ", c.Who); c.Cause != membership.CutOff && c.Cause != membership.Restored {
-				if c.Inc < highest[key] {
-					return fmt.Errorf("%s: incarnation of %s went back from %d to %d", n.Name, c.Who, highest[key], c.Inc)
+			if key := fmt.Sprint(n.Name, " born ", n.Started, " of ", c.Who); c.Cause != membership.Isolated && c.Cause != membership.Reconnected {
+				if c.Incarnation < highest[key] {
+					return fmt.Errorf("%s: incarnation of %s went back from %d to %d", n.Name, c.Who, highest[key], c.Incarnation)
 				}
-				highest[key] = c.Inc
+				highest[key] = c.Incarnation
 			}
 		}
 		n.looked = len(n.Changes)
--- a/internal/testbed/virtualfleet/size.go
+++ b/internal/testbed/virtualfleet/size.go
@@ -23,19 +23,19 @@
 		size += 1 + head(uint64(n))
 		for i := range msg.Heads {
 			h := &msg.Heads[i]
-			size += 1 + member(uint64(h.ID)) + member(h.Inc) + optional(uint64(h.Ver))
+			size += 1 + member(uint64(h.ID)) + member(h.Incarnation) + optional(uint64(h.RecordVersion))
 		}
 	}
 	return size + list(msg.Wanted)
 }
 
 func sizeOfRecord(r *membership.Record) int {
-	born := uint64(r.Born)
-	if r.Born < 0 {
-		born = uint64(-1 - r.Born)
+	born := uint64(r.StartedAt)
+	if r.StartedAt < 0 {
+		born = uint64(-1 - r.StartedAt)
 	}
 	size := 1 + 1 + head(uint64(len(r.Name))) + len(r.Name) + 1 + head(uint64(len(r.Address))) + len(r.Address) +
-		member(born) + member(r.Inc) + optional(uint64(r.Ver)) + list(r.Links)
+		member(born) + member(r.Incarnation) + optional(uint64(r.RecordVersion)) + list(r.Links)
 	if r.Left {
 		size += 2
 	}
--- a/internal/testbed/virtualfleet/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -24,14 +24,14 @@
 			Seq: uint32(number.Draw(t, "seq")), Digest: number.Draw(t, "digest"), Neighbour: rapid.Bool().Draw(t, "neighbour"),
 			Wanted: ids(30), Why: word.Draw(t, "why")}
 		for range rapid.IntRange(0, 30).Draw(t, "records") {
-			r := membership.Record{Name: word.Draw(t, "name"), Address: word.Draw(t, "address"), Born: int64(number.Draw(t, "born")),
-				Inc: number.Draw(t, "inc"), Ver: uint32(number.Draw(t, "ver")), Left: rapid.Bool().Draw(t, "left"), Links: ids(32)}
+			r := membership.Record{Name: word.Draw(t, "name"), Address: word.Draw(t, "address"), StartedAt: int64(number.Draw(t, "born")),
+				Incarnation: number.Draw(t, "inc"), RecordVersion: uint32(number.Draw(t, "ver")), Left: rapid.Bool().Draw(t, "left"), Links: ids(32)}
 			r.Facts = membership.Facts{Version: word.Draw(t, "version"), Zone: word.Draw(t, "zone"), Level: uint8(number.Draw(t, "level")),
 				Beat: uint8(number.Draw(t, "beat")), NoUse: rapid.Bool().Draw(t, "use")}
 			msg.Records = append(msg.Records, r)
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "heads") {
-			msg.Heads = append(msg.Heads, membership.Head{ID: membership.ID(number.Draw(t, "id")), Inc: number.Draw(t, "inc"), Ver: uint32(number.Draw(t, "ver"))})
+			msg.Heads = append(msg.Heads, membership.RecordSummary{ID: membership.ID(number.Draw(t, "id")), Incarnation: number.Draw(t, "inc"), RecordVersion: uint32(number.Draw(t, "ver"))})
 		}
 		b, err := envelope.Seal(nil, 1, &msg)
 		require.NoError(t, err)
--- a/internal/testbed/virtualfleet/standing.go
+++ b/internal/testbed/virtualfleet/standing.go
@@ -48,7 +48,7 @@
 }
 
 // seenAfter is when views hold what has changed.
-func (m *Mesh) seenAfter() int64 { return m.Membership.Silence + m.Membership.Settle }
+func (m *Mesh) seenAfter() int64 { return m.Membership.LinkTimeout + m.Membership.SuspicionTimeout }
 
 func (n *Node) stand() {
 	m, s, life := n.m, n.m.standing, n.lives
--- a/server/config.go
+++ b/server/config.go
@@ -29,11 +29,11 @@
 	MemoryMB                                 int
 	Sockets                                  int
 	Settings                                 *nodeconfig.Config
-	Levels                                   *node.Plan          // of reduced service, nil for none; from a file of its own
-	Fleet                                    *fleetconfig.Fleet  // nil for a node that shares nothing; from a file of its own
-	Keep                                     *cacheconfig.Config // what is kept of tokened invocations; nil for what is usual
-	Hollow                                   *Hollow             // nil for a whole node
-	digest                                   uint64              // of the settings as they were read
+	Levels                                   *node.DegradationPlan // of reduced service, nil for none; from a file of its own
+	Fleet                                    *fleetconfig.Fleet    // nil for a node that shares nothing; from a file of its own
+	Keep                                     *cacheconfig.Config   // what is kept of tokened invocations; nil for what is usual
+	Hollow                                   *Hollow               // nil for a whole node
+	digest                                   uint64                // of the settings as they were read
 }
 
 func (n *Config) peers() node.Addresses {
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return fmt.Errorf("configuration: the node's own file: %w", err)
 	}
-	ours := configsync.Start{Mark: configsync.Mark{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
+	ours := configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 	start, folder := ours, s.config.Fleet.Configuration.Folder
 	if folder != "" {
 		d := &configurationDisk{s: s, folder: folder, in: make(chan *configsync.Effect, persistsWaiting)}
@@ -60,10 +60,10 @@
 	}
 	now, _ := s.clock.Now()
 	seed := s.config.Settings.Node.Seed ^ configurationOwn
-	if err := s.state.Configure(now, seed, start, file); err != nil {
+	if err := s.state.EnableConfigSync(now, seed, start, file); err != nil {
 		s.log.Warn().Uint64("version", start.Mark.Version).Err(err).
 			Msg("configuration: this node can't start from the last version on its disk, and starts from its own file")
-		if err := s.state.Configure(now, seed, ours, file); err != nil {
+		if err := s.state.EnableConfigSync(now, seed, ours, file); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
 	}
@@ -84,12 +84,12 @@
 func (d *configurationDisk) path(name string) string { return filepath.Join(d.folder, name) }
 
 // read takes up what is there, and tells what was dropped of it.
-func (d *configurationDisk) read() (start configsync.Start, there bool) {
+func (d *configurationDisk) read() (start configsync.InitialState, there bool) {
 	file, err := os.OpenFile(d.path(lastGood), os.O_RDWR, 0o600)
 	if errors.Is(err, fs.ErrNotExist) {
 		return start, false
 	}
-	var loader configsync.Loader
+	var loader configsync.DiskLoader
 	if err == nil {
 		_, err = io.Copy(&loader, file)
 	}
@@ -120,7 +120,7 @@
 	case d.in <- e:
 	default:
 		d.s.group.Go(func() error {
-			d.s.tell(node.Input{Kind: node.VersionKept, Err: errPersists})
+			d.s.tell(node.Input{Kind: node.VersionPersisted, Err: errPersists})
 			return nil
 		})
 	}
@@ -132,7 +132,7 @@
 	for {
 		select {
 		case e := <-d.in:
-			d.s.tell(node.Input{Kind: node.VersionKept, Err: d.write(e)})
+			d.s.tell(node.Input{Kind: node.VersionPersisted, Err: d.write(e)})
 		case <-d.s.ctx.Done():
 			for len(d.in) > 0 {
 				d.write(<-d.in)
--- a/server/configuration_test.go
+++ b/server/configuration_test.go
@@ -16,13 +16,13 @@
 
 // versions are some in a row, each with an item more.
 func versions(t *testing.T, n int) (list []*configsync.Effect) {
-	content, mark := new(configsync.Content), configsync.Mark{}
+	content, mark := new(configsync.Content), configsync.Revision{}
 	for k := range n {
 		changes := []configsync.Item{{Part: configsync.Tenants, Name: fmt.Sprint("t", k), Value: []byte(`{"quota_rps":1}`)}}
 		next, err := content.Apply(changes)
 		require.NoError(t, err)
 		r := &configsync.Record{Version: mark.Version + 1, Base: content.Digest(), Digest: next.Digest(), Changes: changes}
-		content, mark = next, configsync.Mark{Version: r.Version, Digest: r.Digest}
+		content, mark = next, configsync.Revision{Version: r.Version, Digest: r.Digest}
 		list = append(list, &configsync.Effect{Mark: mark, New: next, Records: []*configsync.Record{r}})
 	}
 	return list
--- a/server/control.go
+++ b/server/control.go
@@ -24,7 +24,7 @@
 	number, ready := e.Link, e.Ready
 	s.group.Go(func() error {
 		defer end()
-		s.tell(node.Input{Kind: node.Reported, Link: number, Err: put(ctx, &s.reporter, address.String(), ready)})
+		s.tell(node.Input{Kind: node.ReportFinished, Link: number, Err: put(ctx, &s.reporter, address.String(), ready)})
 		return nil
 	})
 }
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -193,7 +193,7 @@
 		c.mu.Lock()
 		c.open[next] = k
 		c.mu.Unlock()
-		if !c.s.put(node.Input{Kind: node.Opened, Link: next}) {
+		if !c.s.put(node.Input{Kind: node.ConnectionOpened, Link: next}) {
 			k.net.Close()
 			return nil
 		}
@@ -225,7 +225,7 @@
 	err := c.frames(k)
 	if unusable := errors.Is(err, frame.ErrLength) || errors.Is(err, errHalf); unusable || errors.Is(err, errIgnored) {
 		if unusable {
-			c.s.put(node.Input{Kind: node.Malformed, Link: k.link, Err: err})
+			c.s.put(node.Input{Kind: node.FrameMalformed, Link: k.link, Err: err})
 		}
 		k.mu.Lock()
 		k.dead = true
@@ -235,7 +235,7 @@
 	} else if errors.Is(err, errQuiet) {
 		err = c.discard(k)
 	}
-	c.s.put(node.Input{Kind: node.Closed, Link: k.link, Err: err})
+	c.s.put(node.Input{Kind: node.ConnectionClosed, Link: k.link, Err: err})
 	c.drop(k)
 }
 
@@ -312,7 +312,7 @@
 			case <-c.s.ctx.Done():
 				return c.s.ctx.Err()
 			}
-			if !c.s.put(node.Input{Kind: node.Read, Link: k.link, Frame: f}) {
+			if !c.s.put(node.Input{Kind: node.FrameReceived, Link: k.link, Frame: f}) {
 				return c.s.ctx.Err()
 			}
 		}
@@ -340,7 +340,7 @@
 // keeps those of others waiting behind its own; does harm to none that keeps to its streams.
 func (c *connections) taken(inputs []node.Input) {
 	for i := range inputs {
-		if inputs[i].Kind != node.Read {
+		if inputs[i].Kind != node.FrameReceived {
 			continue
 		}
 		if k := c.get(inputs[i].Link); k != nil {
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -77,7 +77,7 @@
 
 // answered plays the reducer: it takes a frame and has it answered.
 func (h *held) answered(in node.Input) {
-	require.Equal(h.t, node.Read, in.Kind)
+	require.Equal(h.t, node.FrameReceived, in.Kind)
 	h.s.conns.send(1, frame.Append(nil, frame.Answer, in.Frame.Stream, []byte{frame.Throttled, 0}))
 	h.s.conns.taken([]node.Input{in})
 	h.s.conns.flush()
@@ -119,7 +119,7 @@
 		_, ended = h.next()
 		assert.True(t, ended, what)
 		h.peer.Close()
-		assert.Equal(t, node.Closed, h.input().Kind, what)
+		assert.Equal(t, node.ConnectionClosed, h.input().Kind, what)
 	}
 }
 
@@ -181,8 +181,8 @@
 	h.write(check(1)[:6])
 	h.s.conns.closeAfterFlush(1, false)
 	h.s.conns.closeAfterFlush(1, true)
-	assert.Equal(t, node.Malformed, h.input().Kind)
-	assert.Equal(t, node.Closed, h.input().Kind)
+	assert.Equal(t, node.FrameMalformed, h.input().Kind)
+	assert.Equal(t, node.ConnectionClosed, h.input().Kind)
 }
 
 // Half a frame without a rest ends as what can't be understood, and its connection then.
@@ -191,7 +191,7 @@
 	h.s.conns.receive(1)
 	h.write(check(1)[:6])
 	h.s.conns.closeAfterFlush(1, false)
-	assert.Equal(t, node.Malformed, h.input().Kind)
+	assert.Equal(t, node.FrameMalformed, h.input().Kind)
 	_, ended := h.next()
 	assert.True(t, ended)
 }
@@ -205,7 +205,7 @@
 	require.True(t, ended)
 	h.write(check(1))
 	h.peer.CloseWrite()
-	assert.Equal(t, node.Closed, h.input().Kind)
+	assert.Equal(t, node.ConnectionClosed, h.input().Kind)
 	assert.Empty(t, h.s.inputs)
 }
 
@@ -255,11 +255,11 @@
 			return node.Input{}
 		}
 	}
-	assert.Equal(t, node.Opened, input().Kind)
+	assert.Equal(t, node.ConnectionOpened, input().Kind)
 	s.conns.stopAccepting()
 	for range 3 {
 		<-s.conns.slots
-		assert.Equal(t, node.Opened, input().Kind)
+		assert.Equal(t, node.ConnectionOpened, input().Kind)
 	}
 	<-s.conns.slots
 	assert.Equal(t, node.ListenerClosed, input().Kind)
@@ -268,7 +268,7 @@
 	for link, peer := range peers {
 		s.conns.receive(link + 1)
 		in := input()
-		assert.Equal(t, node.Read, in.Kind)
+		assert.Equal(t, node.FrameReceived, in.Kind)
 		s.conns.send(in.Link, check(9))
 		s.conns.taken([]node.Input{in})
 		s.conns.flush()
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -61,12 +61,12 @@
 
 // WantToken has a hollow node claim a token; what there is no room for is lost, and told so.
 func (s *Server) WantToken(token string) bool {
-	return s.want(node.Input{Kind: node.TokenWanted, Bytes: []byte(token)})
+	return s.want(node.Input{Kind: node.HollowClaimRequested, Bytes: []byte(token)})
 }
 
 // WantCalls has a hollow node want so many calls at a time.
 func (s *Server) WantCalls(n int) bool {
-	return s.want(node.Input{Kind: node.CallsWanted, Link: n})
+	return s.want(node.Input{Kind: node.HollowCallsRequested, Link: n})
 }
 
 func (s *Server) want(in node.Input) bool {
--- a/server/kept.go
+++ b/server/kept.go
@@ -86,11 +86,11 @@
 				Completed: r.Kind == segmentstore.RunEnded, Outcome: resultcache.Outcome(r.Outcome), Result: r.Result})
 		}
 		k.first = k.first[n:]
-		if !k.s.tell(node.Input{Kind: node.KeptRecords, Kept: batch}) {
+		if !k.s.tell(node.Input{Kind: node.RecordsRecovered, Records: batch}) {
 			return
 		}
 	}
-	k.s.tell(node.Input{Kind: node.KeptRead})
+	k.s.tell(node.Input{Kind: node.RecoveryCompleted})
 	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
 	for {
@@ -132,7 +132,7 @@
 
 func (k *keeping) write(group []*resultcache.Record) {
 	records := make([]segmentstore.Record, len(group))
-	in := node.Input{Kind: node.KeptWritten}
+	in := node.Input{Kind: node.RecordWritten}
 	now := k.now()
 	for i, s := range group {
 		records[i] = segmentstore.Record{Kind: segmentstore.RunStarted, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, BodyHash: s.BodyHash,
@@ -140,7 +140,7 @@
 		if s.Completed {
 			records[i].Kind, records[i].Outcome, records[i].Result = segmentstore.RunEnded, uint8(s.Outcome), s.Result
 		}
-		in.Kept = append(in.Kept, *s)
+		in.Records = append(in.Records, *s)
 	}
 	err := k.log.Write(records, true)
 	if errors.Is(err, segmentstore.ErrFull) {
@@ -149,7 +149,7 @@
 		}
 	}
 	if err != nil {
-		in.Kind, in.Err = node.KeptUnwritten, err
+		in.Kind, in.Err = node.RecordWriteFailed, err
 	}
 	k.s.tell(in)
 }
@@ -157,11 +157,11 @@
 // keep hands a record to the writer; where too many wait it counts as not written.
 func (k *keeping) keep(e *node.Effect) {
 	select {
-	case k.in <- e.Kept:
+	case k.in <- e.Record:
 	default:
-		kept := []resultcache.Record{*e.Kept}
+		kept := []resultcache.Record{*e.Record}
 		k.s.group.Go(func() error {
-			k.s.tell(node.Input{Kind: node.KeptUnwritten, Kept: kept, Err: errWaiting})
+			k.s.tell(node.Input{Kind: node.RecordWriteFailed, Records: kept, Err: errWaiting})
 			return nil
 		})
 	}
--- a/server/levels.go
+++ b/server/levels.go
@@ -8,7 +8,7 @@
 
 // turned logs a change of level: from and to which, what called for it, and what was served in the stay that ends.
 // It is never dropped; the plan bounds how often it can come.
-func (s *Server) turned(t *node.Turn) {
+func (s *Server) turned(t *node.LevelChange) {
 	line := s.log.Info().Str("plan", t.Plan).Str("from", t.FromName).Str("to", t.ToName).
 		Str("cause", degradation.CauseNames[t.Cause])
 	if t.Cause != degradation.PlanReplaced {
--- a/server/link.go
+++ b/server/link.go
@@ -23,10 +23,10 @@
 }
 
 var (
-	toExecutor = kind{node.Joined, node.Parted, node.Told, node.Parted, func(words []string) bool {
+	toExecutor = kind{node.ExecutorConnected, node.ExecutorDisconnected, node.ExecutorLineReceived, node.ExecutorDisconnected, func(words []string) bool {
 		return words[0] == "EXIT" && len(words) == 6 || words[0] == "CALLOUT" && len(words) == 4
 	}}
-	toCatalogue = kind{node.Reached, node.Unreached, node.Replied, node.Broke,
+	toCatalogue = kind{node.CatalogueConnected, node.CatalogueDialFailed, node.CatalogueLineReceived, node.CatalogueDisconnected,
 		func(words []string) bool { return len(words) == 3 && words[1] == "DATA" }}
 )
 
@@ -50,7 +50,7 @@
 	s.links[number] = l
 	s.group.Go(func() error {
 		defer stop()
-		if kind.up == node.Reached { // one that was left may not have given its descriptor back yet
+		if kind.up == node.CatalogueConnected { // one that was left may not have given its descriptor back yet
 			select {
 			case s.calls <- struct{}{}:
 				defer func() { <-s.calls }()
--- a/server/peers.go
+++ b/server/peers.go
@@ -85,7 +85,7 @@
 	s.peers.streams = newStreams(s.peers, s.config.streamsMost())
 	s.clock = ahead{s.clock, fleet.WallAhead}
 	now, wall := s.clock.Now()
-	s.state.Peer(fleet.Name, membership.New(fleet.Terms, now, wall, fleet.Kept, s.config.Settings.Node.Seed^fleetSeed))
+	s.state.JoinFleet(fleet.Name, membership.New(fleet.Terms, now, wall, fleet.Kept, s.config.Settings.Node.Seed^fleetSeed))
 }
 
 // ahead sets the wall clock off, for tests of clocks that disagree.
@@ -141,7 +141,7 @@
 // came does so with a datagram.
 func (p *peering) came(from string, text []byte) bool {
 	select {
-	case p.in <- letter{kind: node.PeerCame, address: from, bytes: text}:
+	case p.in <- letter{kind: node.PeerDatagramReceived, address: from, bytes: text}:
 		return true
 	default:
 		p.counters.Dropped.Add(1)
@@ -304,7 +304,7 @@
 		delete(p.served, number)
 		p.mu.Unlock()
 	}()
-	if !p.give(node.Input{Kind: node.PeerAsked, Link: number, From: conn.RemoteAddr().String(), Bytes: text}) {
+	if !p.give(node.Input{Kind: node.PeerRequestReceived, Link: number, From: conn.RemoteAddr().String(), Bytes: text}) {
 		return
 	}
 	select {
@@ -333,16 +333,16 @@
 	select {
 	case p.opened <- struct{}{}:
 	default:
-		p.give(node.Input{Kind: node.PeerMissed, Link: link, Err: errBusy})
+		p.give(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: errBusy})
 		return
 	}
 	p.s.group.Go(func() error {
 		defer func() { <-p.opened }()
 		answer, err := swap(p.s.ctx, p.fleet.Bind, address, text, p.wired)
 		if err != nil {
-			p.give(node.Input{Kind: node.PeerMissed, Link: link, Err: err})
+			p.give(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: err})
 		} else {
-			p.give(node.Input{Kind: node.PeerAnswered, Link: link, From: address, Bytes: answer})
+			p.give(node.Input{Kind: node.PeerResponseReceived, Link: link, From: address, Bytes: answer})
 		}
 		return nil
 	})
@@ -404,7 +404,7 @@
 		return nil
 	}
 	c := &s.peers.counters
-	return map[string]any{"members": s.state.Members().Counters, "letters": s.state.Letters(), "dropped": c.Dropped.Load(),
+	return map[string]any{"members": s.state.Members().Counters, "letters": s.state.PeerMessageCounters(), "dropped": c.Dropped.Load(),
 		"flooded": c.Flooded.Load(), "refused": c.Refused.Load()}
 }
 
@@ -414,10 +414,10 @@
 		h.Changed(c)
 		return
 	}
-	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.Causes[c.Cause]).Str("who", c.Who).
-		Uint64("incarnation", c.Inc).Int("size", c.Size).Str("view", fmt.Sprintf("%016x", c.Hash))
-	if c.Word != "" && c.Word != c.Who {
-		line = line.Str("word", c.Word)
+	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.CauseNames[c.Cause]).Str("who", c.Who).
+		Uint64("incarnation", c.Incarnation).Int("size", c.Size).Str("view", fmt.Sprintf("%016x", c.Hash))
+	if c.ReportedBy != "" && c.ReportedBy != c.Who {
+		line = line.Str("word", c.ReportedBy)
 	}
 	if c.After > 0 {
 		line = line.Float64("after_s", seconds(c.After))
--- a/server/seat.go
+++ b/server/seat.go
@@ -44,7 +44,7 @@
 
 // openSeat opens the folder of a seat, locked against any other, and gives what is whole in it. A torn end of the log was never
 // acknowledged; it is cut off and told.
-func openSeat(s *Server, folder string) (d *seatDisk, there consensus.Disk, err error) {
+func openSeat(s *Server, folder string) (d *seatDisk, there consensus.DiskContents, err error) {
 	d = &seatDisk{s: s, folder: folder, in: make(chan *consensus.Write, seatWaiting)}
 	if err = os.MkdirAll(folder, 0o700); err != nil {
 		return nil, there, fmt.Errorf("seat: %w", err)
@@ -68,7 +68,7 @@
 func (d *seatDisk) logName() string { return fmt.Sprintf("%s%016x", seatLog, d.generation) }
 
 // read takes up what is there, and lets go of what no base names.
-func (d *seatDisk) read(there *consensus.Disk) (dropped int64, err error) {
+func (d *seatDisk) read(there *consensus.DiskContents) (dropped int64, err error) {
 	data, err := os.ReadFile(d.path(seatBase))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, d.sweep(nil)
@@ -197,7 +197,7 @@
 	var records []byte
 	last := uint64(0)
 	for {
-		if w.Forget || w.Base != nil { // what was to go before it counts no more
+		if w.DiscardEarlier || w.Base != nil { // what was to go before it counts no more
 			records = nil
 			d.failed = errors.Join(d.failed, d.replace(w))
 		} else {
@@ -217,10 +217,10 @@
 		}
 	}
 	if d.failed != nil { // after a sync that failed nobody knows what the disk holds
-		d.s.tell(node.Input{Kind: node.Persisted, Err: d.failed})
+		d.s.tell(node.Input{Kind: node.ReplicaWritePersisted, Err: d.failed})
 		return
 	}
-	d.s.tell(node.Input{Kind: node.Persisted, Number: last})
+	d.s.tell(node.Input{Kind: node.ReplicaWritePersisted, Number: last})
 }
 
 // replace puts a base in the place of all.
@@ -228,7 +228,7 @@
 	if d.failed != nil {
 		return nil
 	}
-	if w.Forget {
+	if w.DiscardEarlier {
 		if err := os.Remove(d.path(seatBase)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -333,7 +333,7 @@
 
 // takeSeat opens the folder of the node's seat, where it has both, and gives the seat what is there.
 func (s *Server) takeSeat() error {
-	if s.config.Fleet == nil || s.config.Fleet.Council == nil || s.config.Fleet.Council.Folder == "" || !s.state.Seated() {
+	if s.config.Fleet == nil || s.config.Fleet.Council == nil || s.config.Fleet.Council.Folder == "" || !s.state.HasReplica() {
 		return nil
 	}
 	d, there, err := openSeat(s, s.config.Fleet.Council.Folder)
@@ -341,7 +341,7 @@
 		return err
 	}
 	now, _ := s.clock.Now()
-	if err := s.state.RecoverSeat(now, there); err != nil {
+	if err := s.state.RecoverReplica(now, there); err != nil {
 		d.close()
 		return fmt.Errorf("seat: %s: %w", d.folder, err)
 	}
--- a/server/seat_test.go
+++ b/server/seat_test.go
@@ -21,7 +21,7 @@
 	return t.TempDir(), &Server{log: zerolog.Nop(), heard: make(chan node.Input, 4_096), ctx: context.Background()}
 }
 
-func opened(t *testing.T, folder string, s *Server) (*seatDisk, consensus.Disk) {
+func opened(t *testing.T, folder string, s *Server) (*seatDisk, consensus.DiskContents) {
 	d, there, err := openSeat(s, folder)
 	require.NoError(t, err)
 	return d, there
@@ -35,29 +35,29 @@
 func TestSeatsFolderGivesBackWhatWasWritten(t *testing.T) {
 	folder, s := seatFolder(t)
 	d, there := opened(t, folder, s)
-	assert.Equal(t, consensus.Disk{}, there)
+	assert.Equal(t, consensus.DiskContents{}, there)
 	_, parts := part("large")
 	d.in <- &consensus.Write{Number: 2, Records: [][]byte{[]byte("b")}}
 	d.in <- &consensus.Write{Number: 3, Records: [][]byte{[]byte("c")}}
 	d.take(&consensus.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
-	assert.Equal(t, node.Input{Kind: node.Persisted, Number: 3}, <-s.heard, "those that wait share a sync, and are told at once")
+	assert.Equal(t, node.Input{Kind: node.ReplicaWritePersisted, Number: 3}, <-s.heard, "those that wait share a sync, and are told at once")
 	d.close()
 	d, there = opened(t, folder, s)
-	assert.Equal(t, consensus.Disk{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, there)
+	assert.Equal(t, consensus.DiskContents{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, there)
 	_, _, err := openSeat(s, folder)
 	assert.ErrorContains(t, err, "in use by a node")
 
 	d.take(&consensus.Write{Number: 4, Base: []byte("second"), Records: [][]byte{[]byte("d")}})
 	d.close()
 	d, there = opened(t, folder, s)
-	assert.Equal(t, consensus.Disk{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, there)
+	assert.Equal(t, consensus.DiskContents{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, there)
 	names, err := d.names()
 	require.NoError(t, err)
 	assert.Len(t, names, 3, "lock, base and log: what no base names is gone")
-	d.take(&consensus.Write{Number: 5, Forget: true})
+	d.take(&consensus.Write{Number: 5, DiscardEarlier: true})
 	d.close()
 	_, there = opened(t, folder, s)
-	assert.Equal(t, consensus.Disk{}, there)
+	assert.Equal(t, consensus.DiskContents{}, there)
 }
 
 func TestPartThatIsThereIsNotWrittenAgain(t *testing.T) {
--- a/server/server.go
+++ b/server/server.go
@@ -52,7 +52,7 @@
 	log     zerolog.Logger
 	limited zerolog.Logger // for what peers can cause any number of times
 	clock   Clock
-	state   *node.Reducer
+	state   *node.StateMachine
 	inputs  chan node.Input // of dispatchers
 	heard   chan node.Input // of the node's own peers; they never wait behind dispatchers
 	notice  chan struct{}
@@ -88,10 +88,10 @@
 		reload: make(chan *Config, 1), links: make(map[int]*link), endReport: func() {}, reporter: newReporter()}
 	connections, spare, links := config.shares()
 	s.calls = make(chan struct{}, links)
-	s.state = node.New(config.Settings, config.peers(), int64(config.StopMS*1e6), connections, links)
-	s.state.Spare = spare - 1 // the last place is for the next one to be accepted
+	s.state = node.NewStateMachine(config.Settings, config.peers(), int64(config.StopMS*1e6), connections, links)
+	s.state.SpareConnections = spare - 1 // the last place is for the next one to be accepted
 	if h := config.Hollow; h != nil {
-		s.state.Hollow(h.Counters, h.OnlySeat)
+		s.state.MakeHollow(h.Counters, h.OnlySeat)
 	}
 	if config.Fleet != nil {
 		s.join(config.Fleet)
@@ -105,14 +105,14 @@
 		if convened { // what the council agrees on takes the place of the disk
 			rules.Durability, rules.OnStoreFailure = resultcache.OnDisk, resultcache.RejectOnStoreFailure
 		}
-		s.state.Keep(rules, k.Field, k.Folder != "")
+		s.state.EnableResultCache(rules, k.Field, k.Folder != "")
 	}
 	if convened {
 		now, _ := s.clock.Now()
 		c := config.Fleet.Council
-		s.state.Convene(c.Seats, c.Bytes, now, config.Settings.Node.Seed^councilSeed)
+		s.state.EnableConsensus(c.Seats, c.Bytes, now, config.Settings.Node.Seed^councilSeed)
 		if c.Calls != nil {
-			s.state.Lease(*c.Calls, c.Version)
+			s.state.EnableQuota(*c.Calls, c.Version)
 		}
 	}
 	return s
@@ -152,7 +152,7 @@
 // the item that is unsound by itself, and nothing is changed.
 func (s *Server) Amend(version uint64, items []nodeconfig.Item) error {
 	change, err := nodeconfig.Parse(items)
-	if err == nil && !s.tell(node.Input{Kind: node.Amend, Version: version, Change: change}) {
+	if err == nil && !s.tell(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
 		err = errLeft
 	}
 	return err
@@ -184,7 +184,7 @@
 	case n.Fleet == nil || n.Fleet.Council == nil:
 		return 0
 	case slices.Contains(n.Fleet.Council.Seats, n.Name):
-		return min(streamsSeat, n.Fleet.Terms.MembersMost, max(streamsOther, n.Sockets/4))
+		return min(streamsSeat, n.Fleet.Terms.MaxMembers, max(streamsOther, n.Sockets/4))
 	}
 	return streamsOther
 }
@@ -305,7 +305,7 @@
 	defer timer.Stop()
 	inputs := make([]node.Input, 0, inputsAStep)
 	if s.config.Levels != nil {
-		s.heard <- node.Input{Kind: node.Adopt, Plan: s.config.Levels}
+		s.heard <- node.Input{Kind: node.PlanChanged, Plan: s.config.Levels}
 	}
 	notice, wake := s.notice, int64(math.MaxInt64)
 	var peered, streamed chan letter
@@ -334,14 +334,14 @@
 			inputs = append(inputs, l.input())
 		case <-notice:
 			notice = nil
-			inputs = append(inputs, node.Input{Kind: node.Notice})
+			inputs = append(inputs, node.Input{Kind: node.DrainRequested})
 		case <-s.abort:
-			inputs = append(inputs, node.Input{Kind: node.Abort})
+			inputs = append(inputs, node.Input{Kind: node.AbortRequested})
 		case next := <-s.reload:
 			for _, field := range s.config.differs(next) {
 				s.log.Warn().Str("field", field).Msg("configuration: a new value here takes a new start")
 			}
-			inputs = append(inputs, node.Input{Kind: node.Reload, To: next.peers(), Plan: next.Levels})
+			inputs = append(inputs, node.Input{Kind: node.ReloadRequested, Addresses: next.peers(), Plan: next.Levels})
 		}
 		inputs = takeAll(inputs, s.heard, inputsAStep)
 		inputs = takeAll(inputs, s.inputs, inputsAStep)
@@ -356,12 +356,12 @@
 		}
 		for _, e := range effects {
 			switch {
-			case e.Kind == node.Wake:
+			case e.Kind == node.SetWakeup:
 				wake = e.At
-			case e.Kind == node.Leave:
+			case e.Kind == node.Exit:
 				s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.Levels()).
 					Interface("results", s.state.Results()).Interface("peers", s.peerCounts()).
-					Interface("claims", s.state.Claims()).Interface("configuration", s.state.Configuration()).
+					Interface("claims", s.state.Claims()).Interface("configuration", s.state.ConfigSyncState()).
 					Interface("did_not_hold", s.state.Invariants.All()).Msg("drained, leaving")
 				s.conns.flushAll()
 				if s.peers != nil {
@@ -397,7 +397,7 @@
 func (s *Server) forget(inputs []node.Input) {
 	for i := range inputs {
 		switch inputs[i].Kind {
-		case node.Parted, node.Unreached, node.Broke:
+		case node.ExecutorDisconnected, node.CatalogueDialFailed, node.CatalogueDisconnected:
 			delete(s.links, inputs[i].Link)
 		}
 	}
@@ -405,60 +405,60 @@
 
 func (s *Server) carry(e *node.Effect) {
 	switch e.Kind {
-	case node.Receive:
+	case node.ReadConnection:
 		s.conns.receive(e.Link)
-	case node.Send:
+	case node.SendToConnection:
 		s.conns.send(e.Link, e.Bytes)
 	case node.CloseAfterFlush:
 		s.conns.closeAfterFlush(e.Link, false)
-	case node.Evict:
+	case node.EvictConnection:
 		s.conns.closeAfterFlush(e.Link, true)
-	case node.Resume:
+	case node.ResumeConnection:
 		s.conns.resume(e.Link)
-	case node.Ignore:
+	case node.DiscardInput:
 		s.conns.ignore(e.Link)
-	case node.Dial:
+	case node.DialExecutor:
 		s.open(e.Link, e.Address, toExecutor)
-	case node.Reach:
+	case node.DialCatalogue:
 		s.open(e.Link, e.Address, toCatalogue)
-	case node.Tell, node.Ask:
+	case node.SendToExecutor, node.SendToCatalogue:
 		s.write(e.Link, e.Bytes, e.At)
-	case node.Part, node.Quit:
+	case node.CloseExecutor, node.CloseCatalogue:
 		s.disconnect(e.Link)
-	case node.Report:
+	case node.SendReport:
 		s.report(e)
 	case node.StopAccepting:
 		s.conns.stopAccepting()
-	case node.Sample:
+	case node.SampleState:
 		s.log.Debug().Interface("state", e.State).Msg("state")
-	case node.Turned:
-		s.turned(e.Turn)
-	case node.Keep:
+	case node.LevelChanged:
+		s.turned(e.LevelChange)
+	case node.WriteRecord:
 		s.kept.keep(e)
-	case node.Persist:
+	case node.PersistReplicaWrite:
 		s.seat.keep(e.Write)
-	case node.PeerSend:
+	case node.SendDatagram:
 		s.peers.send(e)
-	case node.PeerExchange:
+	case node.OpenExchange:
 		s.peers.open(e)
-	case node.PeerReply:
+	case node.ReplyToExchange:
 		s.peers.reply(e)
-	case node.PeerStream:
+	case node.SendOnStream:
 		s.peers.streams.send(e)
-	case node.PeerHangUp:
+	case node.CloseStream:
 		s.peers.streams.disconnect(e.Link)
-	case node.Amended:
+	case node.VersionApplied:
 		s.amended(e)
-	case node.KeepVersion:
+	case node.PersistVersion:
 		s.keepConfiguration(e.Persisting)
-	case node.InForce:
+	case node.ReportVersionInForce:
 		s.inForce(e.InForce)
-	case node.Slower:
+	case node.CallerTimeoutRaised:
 		s.conns.slower(e.At)
 	case node.ViewChanged:
 		s.viewChanged(e.Change)
-	case node.Remark:
-		level := [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}[e.Level]
+	case node.WriteLog:
+		level := [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}[e.LogLevel]
 		line := s.limited.WithLevel(level).Err(e.Err)
 		if e.ID != "" {
 			line = line.Str("id", e.ID)
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -57,7 +57,7 @@
 	assert.Len(t, k.turns, turnsMost, "no turn is left for a further one")
 	assert.Empty(t, s.inputs)
 	s.conns.taken(inputs[:1])
-	assert.Equal(t, node.Read, (<-s.inputs).Kind)
+	assert.Equal(t, node.FrameReceived, (<-s.inputs).Kind)
 }
 
 func TestEndOfTheContextStopsAtOnce(t *testing.T) {
--- a/server/streams.go
+++ b/server/streams.go
@@ -131,7 +131,7 @@
 	}
 	s.mu.Unlock()
 	x.end()
-	s.hand(letter{kind: node.PeerHungUp, link: x.number})
+	s.hand(letter{kind: node.PeerStreamClosed, link: x.number})
 }
 
 func (x *stream) end() { x.once.Do(func() { close(x.stop) }) }
@@ -306,7 +306,7 @@
 		}
 		x.heard.Store(time.Now().UnixNano())
 		x.letters.Store(true)
-		if !s.hand(letter{kind: node.PeerTold, link: x.number, address: conn.RemoteAddr().String(), bytes: text}) {
+		if !s.hand(letter{kind: node.PeerMessageReceived, link: x.number, address: conn.RemoteAddr().String(), bytes: text}) {
 			return net.ErrClosed
 		}
 	}
