--- a/internal/node/amend.go
+++ b/internal/node/amend.go
@@ -52,9 +52,9 @@
 	quiet bool  // nothing of it was in hand at the last look
 }
 
-// amended is the door by which versions of the configuration come into force, between two steps and each change at its
+// versionState is the door by which versions of the configuration come into force, between two steps and each change at its
 // own cost. Without them it only counts what is in hand.
-type amended struct {
+type versionState struct {
 	number  uint64 // the last version in force
 	waiting []version
 	terms   [][]*terms        // by operation, those of now last; empty before its first invocation
@@ -66,7 +66,7 @@
 }
 
 // ActiveVersion is the last version of the configuration that is in force as a whole, 0 before the first.
-func (r *StateMachine) ActiveVersion() uint64 { return r.amended.number }
+func (sm *StateMachine) ActiveVersion() uint64 { return sm.versions.number }
 
 // termsOf are an operation's terms. A token is known for longer than its window, by the client timeout: a repeat that came
 // within the window may lie unread past its end, and until its caller has gone it could be run again. Stamps are whole
@@ -76,22 +76,22 @@
 	return &terms{known: op.DeduplicationWindow + late, late: late}
 }
 
-// termsNow are the terms that an operation's next invocation is taken under.
-func (r *StateMachine) termsNow(op int32) *terms {
-	a := &r.amended
+// currentTerms are the terms that an operation's next invocation is taken under.
+func (sm *StateMachine) currentTerms(op int32) *terms {
+	a := &sm.versions
 	a.terms = append(a.terms, make([][]*terms, max(0, int(op)+1-len(a.terms)))...)
 	if list := a.terms[op]; len(list) > 0 {
 		return list[len(list)-1]
 	}
-	t := termsOf(&r.config.Node.Operations[op])
+	t := termsOf(&sm.config.Node.Operations[op])
 	a.terms[op] = append(a.terms[op], t)
 	return t
 }
 
-// knownMost is how long a token may be known by any terms that something in hand was taken under, and by those of now.
-func (r *StateMachine) knownMost(op int32) int64 {
-	known := r.termsNow(op).known
-	for _, t := range r.amended.terms[op] {
+// maxTokenLifetime is how long a token may be known by any terms that something in hand was taken under, and by those of now.
+func (sm *StateMachine) maxTokenLifetime(op int32) int64 {
+	known := sm.currentTerms(op).known
+	for _, t := range sm.versions.terms[op] {
 		if t.inHand > 0 {
 			known = max(known, t.known)
 		}
@@ -100,7 +100,7 @@
 }
 
 // take counts an invocation among those in hand; one that is taken in anew keeps its terms.
-func (a *amended) take(v *invocation, now *terms) {
+func (a *versionState) take(v *invocation, now *terms) {
 	if v.terms == nil {
 		v.terms = now
 	}
@@ -114,7 +114,7 @@
 }
 
 // over counts it out.
-func (a *amended) over(v *invocation) {
+func (a *versionState) over(v *invocation) {
 	v.terms.inHand--
 	if v.tenant < 0 {
 		return
@@ -124,45 +124,45 @@
 	}
 }
 
-// retired says whether an invocation is of an operation or a tenant that is out of service, and repeats none that is known.
-func (r *StateMachine) retired(e *admission.Event) bool {
-	return e.Original == admission.NoOriginal && (r.config.Operations.Retired(e.OperationIndex) || e.Tenant >= 0 && r.config.Tenants.Retired(e.Tenant))
+// isRetired says whether an invocation is of an operation or a tenant that is out of service, and repeats none that is known.
+func (sm *StateMachine) isRetired(e *admission.Event) bool {
+	return e.Original == admission.NoOriginal && (sm.config.Operations.Retired(e.OperationIndex) || e.Tenant >= 0 && sm.config.Tenants.Retired(e.Tenant))
 }
 
-// amend takes in a version: it is checked and taken once those before it are.
-func (r *StateMachine) amend(in *Input) {
-	a := &r.amended
+// queueVersion takes in a version: it is checked and taken once those before it are.
+func (sm *StateMachine) queueVersion(in *Input) {
+	a := &sm.versions
 	last := a.number
 	if n := len(a.waiting); n > 0 {
 		last = a.waiting[n-1].number
 	}
 	switch {
 	case in.Version <= last:
-		r.refuse(in.Version, errVersion)
+		sm.refuseVersion(in.Version, errVersion)
 	case len(a.waiting) >= versionsWait:
-		r.refuse(in.Version, errWaiting)
+		sm.refuseVersion(in.Version, errWaiting)
 	default:
 		a.waiting = append(a.waiting, version{number: in.Version, of: in.Change, changes: in.Change.Changes})
 	}
 }
 
-func (r *StateMachine) refuse(number uint64, err error) {
-	r.Counters.VersionsRefused++
-	r.do(Effect{Kind: VersionApplied, Version: number, Err: err})
+func (sm *StateMachine) refuseVersion(number uint64, err error) {
+	sm.Counters.VersionsRefused++
+	sm.emit(Effect{Kind: VersionApplied, Version: number, Err: err})
 }
 
-// keepAmended takes what waits, a bounded part in each step, and forgets what nothing refers to any more.
-func (r *StateMachine) keepAmended() {
-	a := &r.amended
+// applyVersions takes what waits, a bounded part in each step, and forgets what nothing refers to any more.
+func (sm *StateMachine) applyVersions() {
+	a := &sm.versions
 	for left := amendedAStep; left > 0 && len(a.waiting) > 0; {
 		v := &a.waiting[0]
 		if !v.checked {
-			whole, err := r.fits(v)
+			whole, err := sm.validateVersion(v)
 			if !whole {
 				return
 			}
 			if err != nil {
-				r.refuse(v.number, err)
+				sm.refuseVersion(v.number, err)
 				a.waiting = slices.Delete(a.waiting, 0, 1)
 				continue
 			}
@@ -170,44 +170,44 @@
 		}
 		n := min(left, len(v.changes))
 		for i := range v.changes[:n] {
-			r.change(v, v.changes[i])
+			sm.applyChange(v, v.changes[i])
 		}
 		v.changes, left = v.changes[n:], left-n
 		if len(v.changes) == 0 {
 			a.number = v.number
-			r.Counters.Versions++
-			r.do(Effect{Kind: VersionApplied, Version: v.number, Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts[0], v.counts[1], v.counts[2])})
+			sm.Counters.Versions++
+			sm.emit(Effect{Kind: VersionApplied, Version: v.number, Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts[0], v.counts[1], v.counts[2])})
 			a.waiting = slices.Delete(a.waiting, 0, 1)
 		}
 	}
-	r.forgetRetired()
+	sm.releaseRetired()
 }
 
-// fits says why a version can't be taken, once it has looked at the whole of it; nothing is changed.
-func (r *StateMachine) fits(v *version) (whole bool, err error) {
+// validateVersion says why a version can't be taken, once it has looked at the whole of it; nothing is changed.
+func (sm *StateMachine) validateVersion(v *version) (whole bool, err error) {
 	for end := v.looked + lookedAStep; v.looked < len(v.changes); v.looked++ {
 		if v.looked == end {
 			return false, nil
 		}
-		if err := r.misfits(v.changes[v.looked : v.looked+1]); err != nil {
+		if err := sm.validateChanges(v.changes[v.looked : v.looked+1]); err != nil {
 			return true, err
 		}
 	}
-	return true, r.config.Check(v.of)
+	return true, sm.config.Check(v.of)
 }
 
-// misfits says which of some changes this node can't take, by what only its own files say.
-func (r *StateMachine) misfits(changes []nodeconfig.Change) error {
+// validateChanges says which of some changes this node can't take, by what only its own files say.
+func (sm *StateMachine) validateChanges(changes []nodeconfig.Change) error {
 	for i := range changes {
 		c := &changes[i]
-		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && r.to.Catalogue == "" && !r.hollow.on {
+		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && sm.addresses.Catalogue == "" && !sm.hollow.on {
 			return fmt.Errorf("nodeconfig: %s.%s: %w", c.Part, c.Name, errNoCatalogue)
 		}
-		if !r.amended.numbers {
+		if !sm.versions.numbers {
 			continue
 		}
-		_, operation := r.config.Operations.Find(c.Name)
-		_, tenant := r.config.Tenants.Find(c.Name)
+		_, operation := sm.config.Operations.Find(c.Name)
+		_, tenant := sm.config.Tenants.Find(c.Name)
 		if c.Part == nodeconfig.Operations && operation == c.Removed || c.Part == nodeconfig.Tenants && tenant == c.Removed {
 			return fmt.Errorf("nodeconfig: %s.%s: %w", c.Part, c.Name, errNumbers)
 		}
@@ -215,22 +215,22 @@
 	return nil
 }
 
-// change brings one change into force.
-func (r *StateMachine) change(v *version, c nodeconfig.Change) {
-	a := &r.amended
+// applyChange brings one applyChange into force.
+func (sm *StateMachine) applyChange(v *version, c nodeconfig.Change) {
+	a := &sm.versions
 	if a.longest == 0 { // once in a node's life
-		for i := range r.config.Node.Operations {
-			a.longest = max(a.longest, termsOf(&r.config.Node.Operations[i]).known)
+		for i := range sm.config.Node.Operations {
+			a.longest = max(a.longest, termsOf(&sm.config.Node.Operations[i]).known)
 		}
 	}
 	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
-	t := r.config.Take(&c)
+	t := sm.config.Take(&c)
 	switch {
 	case !t.Changed:
 		return
 	case t.Removed:
 		v.counts[2]++
-		r.retire(c.Part, t.Index)
+		sm.retireIndex(c.Part, t.Index)
 		return
 	case t.Added:
 		v.counts[0]++
@@ -248,51 +248,51 @@
 		a.terms[t.Index] = append(slices.DeleteFunc(a.terms[t.Index], func(t *terms) bool { return t.inHand == 0 }), now)
 	}
 	if t.Added {
-		r.levels.place(t.Index, c.Name)
+		sm.degradation.place(t.Index, c.Name)
 	}
-	r.do(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
-	if r.post != nil {
-		r.events = append(r.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: t.Index, Operation: &op, Services: r.levels.left(t.Index)})
+	sm.emit(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
+	if sm.controller != nil {
+		sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: t.Index, Operation: &op, Services: sm.degradation.left(t.Index)})
 	}
 }
 
 // hold is how long an index out of service is kept after its last invocation: while a token of it may be known, and a
 // tenant counts for something in the module.
-func (a *amended) hold(part string) int64 {
+func (a *versionState) hold(part string) int64 {
 	if part == nodeconfig.Tenants {
 		return max(a.longest, countsFade)
 	}
 	return a.longest
 }
 
-func (r *StateMachine) retire(part string, index int32) {
-	a := &r.amended
+func (sm *StateMachine) retireIndex(part string, index int32) {
+	a := &sm.versions
 	if a.since == nil {
 		a.since = make(map[leaving]int64)
 	}
-	a.since[leaving{part: part, index: index}] = r.now
-	a.queue = append(a.queue, leaving{part: part, index: index, since: r.now, at: r.now + a.hold(part), quiet: r.inHand(part, index) == 0})
+	a.since[leaving{part: part, index: index}] = sm.now
+	a.queue = append(a.queue, leaving{part: part, index: index, since: sm.now, at: sm.now + a.hold(part), quiet: sm.referencesTo(part, index) == 0})
 }
 
-// inHand counts the invocations of an operation or a tenant.
-func (r *StateMachine) inHand(part string, index int32) (n int) {
+// referencesTo counts the invocations of an operation or a tenant.
+func (sm *StateMachine) referencesTo(part string, index int32) (n int) {
 	if part == nodeconfig.Tenants {
-		return r.amended.tenants[index]
+		return sm.versions.tenants[index]
 	}
-	if int(index) < len(r.amended.terms) {
-		for _, t := range r.amended.terms[index] {
+	if int(index) < len(sm.versions.terms) {
+		for _, t := range sm.versions.terms[index] {
 			n += t.inHand
 		}
 	}
 	return n
 }
 
-// forgetRetired gives indices to whatever comes next, whose last invocation ended so long ago that nothing of it is left.
-func (r *StateMachine) forgetRetired() {
-	a := &r.amended
+// releaseRetired gives indices to whatever comes next, whose last invocation ended so long ago that nothing of it is left.
+func (sm *StateMachine) releaseRetired() {
+	a := &sm.versions
 	for range min(forgottenOne, len(a.queue)) {
 		l := a.queue[0]
-		if l.at > r.now {
+		if l.at > sm.now {
 			return
 		}
 		a.queue = a.queue[1:]
@@ -300,36 +300,36 @@
 		if since, out := a.since[key]; !out || since != l.since {
 			continue // it came back; where it went again it stands further behind
 		}
-		if inHand := r.inHand(l.part, l.index); inHand > 0 || !l.quiet {
-			l.quiet, l.at = inHand == 0, r.now+a.hold(l.part)
+		if inHand := sm.referencesTo(l.part, l.index); inHand > 0 || !l.quiet {
+			l.quiet, l.at = inHand == 0, sm.now+a.hold(l.part)
 			a.queue = append(a.queue, l)
 			continue
 		}
 		delete(a.since, key)
-		r.config.Forget(l.part, l.index)
+		sm.config.Forget(l.part, l.index)
 		if l.part == nodeconfig.Tenants {
 			continue
 		}
 		if int(l.index) < len(a.terms) {
 			a.terms[l.index] = nil
 		}
-		r.levels.place(l.index, "")
-		if r.post != nil {
-			r.events = append(r.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: l.index})
+		sm.degradation.place(l.index, "")
+		if sm.controller != nil {
+			sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: l.index})
 		}
 	}
 }
 
-// amendedTo notes that all of a version is in force that was taken by change.
-func (r *StateMachine) amendedTo(v *version) {
-	r.amended.number = max(r.amended.number, v.number)
-	r.Counters.Versions++
+// versionApplied notes that all of a version is in force that was taken by change.
+func (sm *StateMachine) versionApplied(v *version) {
+	sm.versions.number = max(sm.versions.number, v.number)
+	sm.Counters.Versions++
 }
 
-// amendDue is when the next step is needed: at once while something waits; what is out of service waits for any step.
-func (r *StateMachine) amendDue() int64 {
-	if len(r.amended.waiting) > 0 {
-		return r.now + 1
+// versionsDue is when the next step is needed: at once while something waits; what is out of service waits for any step.
+func (sm *StateMachine) versionsDue() int64 {
+	if len(sm.versions.waiting) > 0 {
+		return sm.now + 1
 	}
 	return never
 }
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -41,7 +41,7 @@
 func pass(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
-		r.heardAt, r.conns[7].used = r.now, r.now // neither link is silent
+		r.executorHeardAt, r.connections[7].used = r.now, r.now // neither link is silent
 		step(r)
 	}
 }
@@ -58,7 +58,7 @@
 
 // ran has the run of an invocation end well.
 func ran(r *StateMachine, stream int) []Effect {
-	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.notice+1, id(stream)))
+	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.lastNotice+1, id(stream)))
 }
 
 func TestVersionIsInForceBetweenTwoSteps(t *testing.T) {
@@ -83,7 +83,7 @@
 	assert.Equal(t, before, r.config.Own())
 	assert.Zero(t, r.ActiveVersion())
 	assert.Equal(t, 1, r.Counters.VersionsRefused)
-	r.amended.numbers = true
+	r.versions.numbers = true
 	assert.ErrorContains(t, amendedBy(t, r, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: results are kept in a folder")
 	assert.ErrorContains(t, amendedBy(t, r, removed(nodeconfig.Operations, "hold")), "operations.hold")
 	assert.NoError(t, amendedBy(t, r, operation("catalogue", `,"importance":7`)))
@@ -99,7 +99,7 @@
 	step(r, coming(r, 2))
 	ends := map[string]int64{}
 	for len(ends) < 2 && r.now < from+5_000*ms {
-		r.heardAt = r.now
+		r.executorHeardAt = r.now
 		for _, a := range answers(t, step(r)) {
 			ends[a] = (r.now - from) / ms
 		}
@@ -117,7 +117,7 @@
 	for stream := range faultsMost + 2 {
 		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, holding(r, stream+2, "b"))))
 	}
-	assert.Zero(t, r.conns[7].faults)
+	assert.Zero(t, r.connections[7].faults)
 	assert.Empty(t, answers(t, step(r, holding(r, 50, "a"))), "it joins the run")
 	pass(r, 2_000*ms)
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, ran(r, 1)))
@@ -127,7 +127,7 @@
 	i, _ := r.config.Operations.Find("next")
 	assert.Equal(t, int32(2), i, "the index is still that of the tokens")
 	pass(r, 40_000*ms)
-	assert.Empty(t, r.amended.queue)
+	assert.Empty(t, r.versions.queue)
 	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, amendedBy(t, r, operation("last", "")))
 	i, _ = r.config.Operations.Find("last")
@@ -181,7 +181,7 @@
 	ran(r, 1)
 	require.NoError(t, amendedBy(t, r, removed(nodeconfig.Tenants, "y")))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, coming(r, 2, "org", "y"))))
-	assert.Zero(t, r.conns[7].faults)
+	assert.Zero(t, r.connections[7].faults)
 	require.NoError(t, amendedBy(t, r, tenant("z", 1), tenant("y", 5)))
 	i, _ := r.config.Tenants.Find("y")
 	assert.Equal(t, int32(1), i)
@@ -214,8 +214,8 @@
 	}
 	step(r, Input{Kind: PlanChanged, Plan: plan})
 	i, _ := r.config.Operations.Find("newer")
-	assert.Equal(t, admission.Reduced, r.levels.plan.Levels[0].Services[i].Form)
-	assert.Equal(t, "newer-plain", r.levels.plan.Forms[0][i])
+	assert.Equal(t, admission.Reduced, r.degradation.plan.Levels[0].Services[i].Form)
+	assert.Equal(t, "newer-plain", r.degradation.plan.Forms[0][i])
 	assert.Empty(t, r.Invariants.All())
 }
 
@@ -232,7 +232,7 @@
 		effects := r.Step(r.now+ms, r.now+ms+1_000_000*ms, in)
 		in = nil
 		assert.LessOrEqual(t, r.config.Tenants.Slots()-was, amendedAStep)
-		if len(r.amended.waiting) == 0 {
+		if len(r.versions.waiting) == 0 {
 			assert.Equal(t, 11, steps)
 			break
 		}
@@ -259,7 +259,7 @@
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
 	}
 	step(r, versionOf(t, 1, items...))
-	for len(r.amended.waiting) > 0 {
+	for len(r.versions.waiting) > 0 {
 		step(r)
 	}
 	number := uint64(1)
@@ -287,7 +287,7 @@
 		want := p.Own()
 		r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 		step(r, Input{Kind: ConnectionOpened, Link: 7})
-		step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+		step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 		told(r, "WELCOME old 0")
 		told(r, "METERS j1 0.1 1 0.1 3")
 		names := []string{"catalogue", "hold", "a", "b", "c", "d"}
@@ -308,20 +308,20 @@
 			change, err := nodeconfig.Parse([]nodeconfig.Item{it})
 			require.NoError(t, err)
 			want.Take(&change.Changes[0])
-			r.heardAt = r.now
+			r.executorHeardAt = r.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
-			if r.conns[7] != nil && !r.conns[7].noMore && !r.conns[7].broken && r.conns[7].idle() {
+			if r.connections[7] != nil && !r.connections[7].noMore && !r.connections[7].broken && r.connections[7].idle() {
 				stream++
 				asked++
 				inputs = append(inputs, coming(r, int(stream), "org", "a"))
 			}
 			r.now += 59 * ms
 			answered += len(kindsOf(step(r, inputs...), SendToConnection))
-			if i, v := r.lookup(id(int(stream))); i >= 0 && !v.answered {
+			if i, v := r.findInvocation(id(int(stream))); i >= 0 && !v.answered {
 				answered += len(kindsOf(ran(r, int(stream)), SendToConnection))
 			}
-			if r.conns[7] != nil {
-				r.conns[7].faults = 0
+			if r.connections[7] != nil {
+				r.connections[7].faults = 0
 			}
 		}
 		assert.Greater(t, asked, 200)
@@ -339,7 +339,7 @@
 // Where results are kept by number a large version is looked at over some steps, and refused as a whole.
 func TestLargeVersionIsLookedAtInBoundedSteps(t *testing.T) {
 	r := up(t)
-	r.amended.numbers = true
+	r.versions.numbers = true
 	items := []nodeconfig.Item{operation("catalogue", `,"importance":7`)}
 	for k := range 2 * lookedAStep {
 		items = append(items, removed(nodeconfig.Tenants, fmt.Sprint("t", k)))
--- a/internal/node/amendbench_test.go
+++ b/internal/node/amendbench_test.go
@@ -24,7 +24,7 @@
 				items = append(items, tenant(fmt.Sprint("t", k), 1))
 			}
 			step(r, versionOf(b, 1, items...))
-			for len(r.amended.waiting) > 0 {
+			for len(r.versions.waiting) > 0 {
 				step(r)
 			}
 			number := uint64(1)
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -8,9 +8,9 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-// supply is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
+// catalogueLink is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
 // is that call, and the link goes with it. Does harm, as each call in hand needs a descriptor, where there are few.
-type supply struct {
+type catalogueLink struct {
 	link    int
 	address string
 	up      bool
@@ -19,147 +19,147 @@
 	since   int64 // when it came to stand idle
 }
 
-// call makes the call that a run stands at.
-func (r *StateMachine) call(i int32, until int64) {
-	v := &r.invs[i]
-	if !r.Invariants.Check(v.live && !v.calling && v.wanted != nil, "a call is made where a run stands at one") {
+// callDependency makes the callDependency that a run stands at.
+func (sm *StateMachine) callDependency(i int32, until int64) {
+	v := &sm.invocations[i]
+	if !sm.Invariants.Check(v.live && !v.calling && v.wanted != nil, "a call is made where a run stands at one") {
 		return
 	}
-	r.Invariants.Check(r.leasing.holder == nil || r.leasing.holder.Allowed(r.now) > 0, "a call is made while a lease goes on")
-	v.calling, v.until = true, until
-	r.waiting = append(r.waiting, i)
-	r.supplyWaiting()
+	sm.Invariants.Check(sm.leases.holder == nil || sm.leases.holder.Allowed(sm.now) > 0, "a call is made while a lease goes on")
+	v.calling, v.callDeadline = true, until
+	sm.waitingCalls = append(sm.waitingCalls, i)
+	sm.sendWaitingCalls()
 }
 
-// supplyWaiting gives calls a link each while there may be more links. The first call of a run takes the link that
+// sendWaitingCalls gives calls a link each while there may be more links. The first call of a run takes the link that
 // stood idle for the shortest time; any later one a new link, on which no second copy of an earlier reply can come.
-func (r *StateMachine) supplyWaiting() {
-	for len(r.waiting) > 0 {
-		i := r.waiting[0]
+func (sm *StateMachine) sendWaitingCalls() {
+	for len(sm.waitingCalls) > 0 {
+		i := sm.waitingCalls[0]
 		best := -1
-		for k := range r.supplies {
-			s := &r.supplies[k]
-			if s.up && s.inv < 0 && r.now-s.since < idleTrust && (best < 0 || s.since > r.supplies[best].since) {
+		for k := range sm.catalogueLinks {
+			s := &sm.catalogueLinks[k]
+			if s.up && s.inv < 0 && sm.now-s.since < idleTrust && (best < 0 || s.since > sm.catalogueLinks[best].since) {
 				best = k
 			}
 		}
 		switch {
-		case best >= 0 && !r.invs[i].called:
-			r.supplies[best].inv = i
-			r.fetch(&r.supplies[best])
-		case len(r.supplies) < r.linkMost:
-			s := supply{link: r.newLink(), address: r.to.Catalogue, inv: i}
-			r.supplies = append(r.supplies, s)
-			r.do(Effect{Kind: DialCatalogue, Link: s.link, Address: s.address})
+		case best >= 0 && !sm.invocations[i].called:
+			sm.catalogueLinks[best].inv = i
+			sm.sendCall(&sm.catalogueLinks[best])
+		case len(sm.catalogueLinks) < sm.maxCatalogueLinks:
+			s := catalogueLink{link: sm.nextLink(), address: sm.addresses.Catalogue, inv: i}
+			sm.catalogueLinks = append(sm.catalogueLinks, s)
+			sm.emit(Effect{Kind: DialCatalogue, Link: s.link, Address: s.address})
 		case best >= 0:
-			r.leave(best)
+			sm.closeCatalogueLink(best)
 			continue
 		default:
 			return
 		}
-		r.waiting = slices.Delete(r.waiting, 0, 1)
+		sm.waitingCalls = slices.Delete(sm.waitingCalls, 0, 1)
 	}
 }
 
-func (r *StateMachine) fetch(s *supply) {
-	v := &r.invs[s.inv]
+func (sm *StateMachine) sendCall(s *catalogueLink) {
+	v := &sm.invocations[s.inv]
 	v.called = true
-	wait := strconv.FormatInt(max(1, (v.until-r.now)/ms), 10)
+	wait := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
 	by := int64(0)
-	if r.leasing.holder != nil { // what is written late, after a pause, would be one call too many
-		by = v.until
+	if sm.leases.holder != nil { // what is written late, after a pause, would be one call too many
+		by = v.callDeadline
 	}
-	r.do(Effect{Kind: SendToCatalogue, Link: s.link, At: by, Bytes: lineprotocol.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
+	sm.emit(Effect{Kind: SendToCatalogue, Link: s.link, At: by, Bytes: lineprotocol.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
 }
 
-// leave closes a link, which gives up the call on it.
-func (r *StateMachine) leave(k int) {
-	r.linger(&r.supplies[k])
-	r.do(Effect{Kind: CloseCatalogue, Link: r.supplies[k].link})
-	r.supplies = slices.Delete(r.supplies, k, k+1)
+// closeCatalogueLink closes a link, which gives up the call on it.
+func (sm *StateMachine) closeCatalogueLink(k int) {
+	sm.countAbandonedCall(&sm.catalogueLinks[k])
+	sm.emit(Effect{Kind: CloseCatalogue, Link: sm.catalogueLinks[k].link})
+	sm.catalogueLinks = slices.Delete(sm.catalogueLinks, k, k+1)
 }
 
-// rest lets a link stand idle for a next call, or closes one that is not sound, known or wanted any more.
-func (r *StateMachine) rest(k int) {
-	s := &r.supplies[k]
+// idleCatalogueLink lets a link stand idle for a next call, or closes one that is not sound, known or wanted any more.
+func (sm *StateMachine) idleCatalogueLink(k int) {
+	s := &sm.catalogueLinks[k]
 	idle := 0
-	for _, other := range r.supplies {
+	for _, other := range sm.catalogueLinks {
 		if other.up && other.inv < 0 {
 			idle++
 		}
 	}
-	s.inv, s.since = -1, r.now
-	if s.strange || s.address != r.to.Catalogue || idle >= idleMost {
-		r.leave(k)
+	s.inv, s.since = -1, sm.now
+	if s.strange || s.address != sm.addresses.Catalogue || idle >= idleMost {
+		sm.closeCatalogueLink(k)
 	}
 }
 
-// quitCall gives up the call that an invocation has in hand, if any.
-func (r *StateMachine) quitCall(i int32) {
-	if !r.invs[i].calling {
+// cancelCall gives up the call that an invocation has in hand, if any.
+func (sm *StateMachine) cancelCall(i int32) {
+	if !sm.invocations[i].calling {
 		return
 	}
-	r.invs[i].calling = false
-	if k := slices.Index(r.waiting, i); k >= 0 {
-		r.waiting = slices.Delete(r.waiting, k, k+1)
-	} else if k := r.supplying(i); r.Invariants.Check(k >= 0, "a call in hand has a link or waits for one") {
-		r.leave(k)
+	sm.invocations[i].calling = false
+	if k := slices.Index(sm.waitingCalls, i); k >= 0 {
+		sm.waitingCalls = slices.Delete(sm.waitingCalls, k, k+1)
+	} else if k := sm.linkOfCall(i); sm.Invariants.Check(k >= 0, "a call in hand has a link or waits for one") {
+		sm.closeCatalogueLink(k)
 	}
 }
 
-// supplying is the link that carries an invocation's call, or -1.
-func (r *StateMachine) supplying(i int32) int {
-	return slices.IndexFunc(r.supplies, func(s supply) bool { return s.inv == i })
+// linkOfCall is the link that carries an invocation's call, or -1.
+func (sm *StateMachine) linkOfCall(i int32) int {
+	return slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.inv == i })
 }
 
-// callOver tells the module how a call ended that is on no link any more.
-func (r *StateMachine) callOver(i int32, outcome admission.Outcome) {
-	r.invs[i].calling = false
-	r.events = append(r.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
+// callEnded tells the module how a call ended that is on no link any more.
+func (sm *StateMachine) callEnded(i int32, outcome admission.Outcome) {
+	sm.invocations[i].calling = false
+	sm.events = append(sm.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 }
 
-func (r *StateMachine) fromCatalogue(in *Input) {
-	k := slices.IndexFunc(r.supplies, func(s supply) bool { return s.link == in.Link })
+func (sm *StateMachine) applyCatalogueInput(in *Input) {
+	k := slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.link == in.Link })
 	if k < 0 {
 		if in.Kind == CatalogueConnected { // left while it was being opened
-			r.do(Effect{Kind: CloseCatalogue, Link: in.Link})
+			sm.emit(Effect{Kind: CloseCatalogue, Link: in.Link})
 		}
 		return
 	}
-	s := &r.supplies[k]
+	s := &sm.catalogueLinks[k]
 	switch in.Kind {
 	case CatalogueConnected:
-		r.Counters.CatalogueLinks++
-		s.up, s.since = true, r.now
+		sm.Counters.CatalogueLinks++
+		s.up, s.since = true, sm.now
 		if s.inv >= 0 {
-			r.fetch(s)
+			sm.sendCall(s)
 		}
 	case CatalogueDialFailed, CatalogueDisconnected: // a call that was never written has not run; a break proves nothing
 		i, outcome := s.inv, admission.Broken
 		if in.Kind == CatalogueDialFailed {
 			outcome = admission.Unreachable
 		}
-		r.remark(Debug, "catalogue link ended", "", in.Err)
-		r.linger(s)
-		r.supplies = slices.Delete(r.supplies, k, k+1)
+		sm.log(Debug, "catalogue link ended", "", in.Err)
+		sm.countAbandonedCall(s)
+		sm.catalogueLinks = slices.Delete(sm.catalogueLinks, k, k+1)
 		if i >= 0 {
-			r.callOver(i, outcome)
+			sm.callEnded(i, outcome)
 		}
 	case CatalogueLineReceived:
-		if !r.replied(k, in.Line.Words, in.Line.Body) {
+		if !sm.applyReply(k, in.Line.Words, in.Line.Body) {
 			i := s.inv
-			r.remark(Warn, "catalogue can't be understood", in.Line.Words[0], nil)
-			r.leave(k)
+			sm.log(Warn, "catalogue can't be understood", in.Line.Words[0], nil)
+			sm.closeCatalogueLink(k)
 			if i >= 0 {
-				r.callOver(i, admission.Broken)
+				sm.callEnded(i, admission.Broken)
 			}
 		}
 	}
-	r.supplyWaiting()
+	sm.sendWaitingCalls()
 }
 
-// replied maps a reply to the outcome that it proves. What is not asked for, or came before, is passed over.
-func (r *StateMachine) replied(k int, words []string, body []byte) bool {
+// applyReply maps a reply to the outcome that it proves. What is not asked for, or came before, is passed over.
+func (sm *StateMachine) applyReply(k int, words []string, body []byte) bool {
 	var outcome admission.Outcome
 	switch {
 	case len(words) == 3 && words[1] == "DATA":
@@ -177,76 +177,76 @@
 	default:
 		return false
 	}
-	s := &r.supplies[k]
-	if s.inv < 0 || r.invs[s.inv].call != words[0] {
-		r.Counters.UnmatchedReplies++
+	s := &sm.catalogueLinks[k]
+	if s.inv < 0 || sm.invocations[s.inv].call != words[0] {
+		sm.Counters.UnmatchedReplies++
 		if s.strange = true; s.inv < 0 {
-			r.leave(k)
+			sm.closeCatalogueLink(k)
 		}
 		return true
 	}
 	i := s.inv
-	v := &r.invs[i]
+	v := &sm.invocations[i]
 	if outcome == admission.Succeeded {
 		v.wanted = nil
-		r.order(i, lineprotocol.AppendBody(nil, body, "RETURN", v.call))
+		sm.sendCommand(i, lineprotocol.AppendBody(nil, body, "RETURN", v.call))
 	}
-	r.rest(k)
-	r.callOver(i, outcome)
+	sm.idleCatalogueLink(k)
+	sm.callEnded(i, outcome)
 	return true
 }
 
-// keepCalls ends the waits that are over and drops links that stood idle too long to be trusted.
-func (r *StateMachine) keepCalls() {
-	for k := len(r.supplies) - 1; k >= 0; k-- {
-		switch s := &r.supplies[k]; {
-		case s.inv >= 0 && r.now >= r.invs[s.inv].until:
+// expireCalls ends the waits that are over and drops links that stood idle too long to be trusted.
+func (sm *StateMachine) expireCalls() {
+	for k := len(sm.catalogueLinks) - 1; k >= 0; k-- {
+		switch s := &sm.catalogueLinks[k]; {
+		case s.inv >= 0 && sm.now >= sm.invocations[s.inv].callDeadline:
 			i, outcome := s.inv, admission.Unreachable
 			if s.up {
 				outcome = admission.TimedOut
 			}
-			r.leave(k)
-			r.callOver(i, outcome)
-		case s.inv < 0 && s.up && r.now-s.since >= idleTrust:
-			r.leave(k)
+			sm.closeCatalogueLink(k)
+			sm.callEnded(i, outcome)
+		case s.inv < 0 && s.up && sm.now-s.since >= idleTrust:
+			sm.closeCatalogueLink(k)
 		}
 	}
-	r.waiting = slices.DeleteFunc(r.waiting, func(i int32) bool {
-		over := r.now >= r.invs[i].until
+	sm.waitingCalls = slices.DeleteFunc(sm.waitingCalls, func(i int32) bool {
+		over := sm.now >= sm.invocations[i].callDeadline
 		if over {
-			r.callOver(i, admission.Unreachable)
+			sm.callEnded(i, admission.Unreachable)
 		}
 		return over
 	})
-	r.supplyWaiting()
+	sm.sendWaitingCalls()
 }
 
-func (r *StateMachine) callsDue() int64 {
+func (sm *StateMachine) callsDue() int64 {
 	at := int64(never)
-	for k := range r.supplies {
-		if s := &r.supplies[k]; s.inv >= 0 {
-			at = min(at, r.invs[s.inv].until)
+	for k := range sm.catalogueLinks {
+		if s := &sm.catalogueLinks[k]; s.inv >= 0 {
+			at = min(at, sm.invocations[s.inv].callDeadline)
 		} else if s.up {
 			at = min(at, s.since+idleTrust)
 		}
 	}
-	for _, i := range r.waiting {
-		at = min(at, r.invs[i].until)
+	for _, i := range sm.waitingCalls {
+		at = min(at, sm.invocations[i].callDeadline)
 	}
 	return at
 }
 
-// moveCalls leaves the links to an address of before, but for those with a call in hand: it may end there.
-func (r *StateMachine) moveCalls() {
-	for k := len(r.supplies) - 1; k >= 0; k-- {
-		s := &r.supplies[k]
+// redialCatalogue leaves the links to an address of before, but for those with a call in hand: it may end there.
+func (sm *StateMachine) redialCatalogue() {
+	for k := len(sm.catalogueLinks) - 1; k >= 0; k-- {
+		s := &sm.catalogueLinks[k]
 		if s.up && s.inv >= 0 {
 			continue
 		}
 		if s.inv >= 0 {
-			r.waiting = append(r.waiting, s.inv)
+			sm.waitingCalls = append(sm.waitingCalls, s.inv)
 		}
-		r.leave(k)
+		sm.closeCatalogueLink(k)
 	}
-	r.supplyWaiting()
+	sm.sendWaitingCalls()
 }
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -25,19 +25,19 @@
 	r.EnableResultCache(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
 	r.EnableConsensus([]string{"n0"}, 0, 0, 1)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
-	r.claimed.links["n0"] = 3
+	r.claiming.links["n0"] = 3
 	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
-	require.True(t, r.claimed.desk.Connected())
+	require.True(t, r.claiming.desk.Connected())
 	return r
 }
 
 // heardFrom is a message of the council's seat.
 func heardFrom(t *testing.T, r *StateMachine, m *consensus.Message) []Effect {
-	m.From, m.Owner = "n0", r.claimed.self
-	text, err := envelope.Seal(nil, r.peers.fleet, m)
+	m.From, m.Owner = "n0", r.claiming.self
+	text, err := envelope.Seal(nil, r.fleet.fleet, m)
 	require.NoError(t, err)
 	return step(r, Input{Kind: PeerMessageReceived, Link: 3, Bytes: text})
 }
@@ -47,7 +47,7 @@
 	for _, e := range effects {
 		if e.Kind == SendOnStream {
 			m := new(consensus.Message)
-			require.NoError(t, envelope.Open(e.Bytes, r.peers.fleet, m))
+			require.NoError(t, envelope.Open(e.Bytes, r.fleet.fleet, m))
 			list = append(list, m.Commands...)
 		}
 	}
@@ -95,7 +95,7 @@
 	assert.Empty(t, toldOf(effects), "the answer waits for the end to be agreed on")
 	assert.Equal(t, []EffectKind{SendToConnection}, toldOf(heardFrom(t, r, answerTo(end[0], claims.AnswerDone))))
 	step(r)
-	assert.Zero(t, r.claimed.desk.Size())
+	assert.Zero(t, r.claiming.desk.Size())
 	assert.Equal(t, 1, r.Counters.Succeeded)
 }
 
@@ -141,7 +141,7 @@
 	for range 4_000 {
 		step(r)
 	}
-	require.False(t, r.claimed.desk.Connected())
+	require.False(t, r.claiming.desk.Connected())
 	before := r.Counters.Throttled
 	step(r, Input{Kind: ConnectionOpened, Link: 8})
 	late := hold(1, "a1")
@@ -152,7 +152,7 @@
 		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
 	assert.Equal(t, before+1, r.Counters.Throttled)
-	assert.Zero(t, r.claimed.desk.Size())
+	assert.Zero(t, r.claiming.desk.Size())
 }
 
 func TestWorkOfALostNodeIsRunAndItsEndAgreedOn(t *testing.T) {
@@ -177,8 +177,8 @@
 	effects = heardFrom(t, r2, answerTo(end[0], claims.AnswerDone))
 	assert.Empty(t, toldOf(effects), "nobody is answered")
 	step(r2)
-	assert.Zero(t, r2.open)
-	assert.Empty(t, r2.calls, "and it is forgotten")
+	assert.Zero(t, r2.owedAnswers)
+	assert.Empty(t, r2.indexByCall, "and it is forgotten")
 }
 
 func TestGiftToANodeThatDrainsIsLetGo(t *testing.T) {
@@ -214,7 +214,7 @@
 	effects := step(r, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("no letter at all, of any kind")})
 	assert.Contains(t, toldOf(effects), CloseStream)
 	step(r, Input{Kind: PeerStreamClosed, Link: 3})
-	assert.Empty(t, r.claimed.links)
+	assert.Empty(t, r.claiming.links)
 }
 
 func TestEndOfARunOfAnEarlierLifeGoesToTheCouncil(t *testing.T) {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -21,8 +21,8 @@
 	fullEvery          = 10_000 * ms // ns after which the view is told again whether or not it seems to have changed
 )
 
-// configurationLetter is what nodes, and operators' commands, tell each other of the configuration.
-type configurationLetter struct {
+// configMessage is what nodes, and operators' commands, tell each other of the configuration.
+type configMessage struct {
 	From     string              `cbor:"1,keyasint,omitempty"`
 	Message  *configsync.Message `cbor:"2,keyasint,omitempty"` // between holders
 	Question *configsync.Query   `cbor:"3,keyasint,omitempty"` // of a command
@@ -30,18 +30,18 @@
 }
 
 // body is a letter of it, without anything of membership's.
-type configurationBody struct {
-	Configuration *configurationLetter `cbor:"10,keyasint"`
+type configMessageBody struct {
+	Configuration *configMessage `cbor:"10,keyasint"`
 }
 
 // EncodeConfigQuery is the body of a letter by which a command asks, OpenConfiguration reads the answer.
 func EncodeConfigQuery(q *configsync.Query) any {
-	return configurationBody{&configurationLetter{Question: q}}
+	return configMessageBody{&configMessage{Question: q}}
 }
 
 // DecodeConfigAnswer reads the answer to a question.
 func DecodeConfigAnswer(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
-	var body configurationBody
+	var body configMessageBody
 	if err := envelope.Open(text, fleet, &body); err != nil {
 		return nil, err
 	}
@@ -94,8 +94,8 @@
 	version  version
 }
 
-// configuring is the door to the fleet's configuration in service. Without a holder it is shut: no timer, no cost.
-type configuring struct {
+// configSyncState is the door to the fleet's configuration in service. Without a holder it is shut: no timer, no cost.
+type configSyncState struct {
 	holder  *configsync.Replicator
 	inputs  []configsync.Input
 	wakeAt  int64
@@ -114,13 +114,13 @@
 // EnableConfigSync has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
 // Convene. It begins with what start holds; where that is not what the node's own file holds, it comes into force at once. On
 // an error nothing is changed.
-func (r *StateMachine) EnableConfigSync(now, seed int64, start configsync.InitialState, file *configsync.Content) error {
+func (sm *StateMachine) EnableConfigSync(now, seed int64, start configsync.InitialState, file *configsync.Content) error {
 	v := version{number: start.Mark.Version}
-	if !r.hollow.on {
+	if !sm.hollow.on {
 		for _, take := range []bool{false, true} {
-			checking := r.config.Checking()
+			checking := sm.config.Checking()
 			for diff := configsync.Diff(file, start.Content); ; {
-				changes, err := r.changesOf(diff.Next(amendedAStep))
+				changes, err := sm.changesOf(diff.Next(amendedAStep))
 				if err != nil {
 					return err
 				}
@@ -130,7 +130,7 @@
 				checking.Add(changes)
 				for i := range changes {
 					if take {
-						r.change(&v, changes[i])
+						sm.applyChange(&v, changes[i])
 					}
 				}
 			}
@@ -139,38 +139,38 @@
 			}
 		}
 		if start.Mark.Version > 0 {
-			r.amendedTo(&v)
+			sm.versionApplied(&v)
 		}
 	}
-	c := &r.configuring
-	c.holder = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: r.peers.members.Self().Name, Seed: seed}, start)
-	if seat := r.claimed.seat; seat != nil {
-		seat.SetConfigValidator(r.unsound)
+	c := &sm.configSync
+	c.holder = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.members.Self().Name, Seed: seed}, start)
+	if seat := sm.claiming.seat; seat != nil {
+		seat.SetConfigValidator(sm.validateConfigCommand)
 	}
-	r.do(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.holder.Revision(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
+	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.holder.Revision(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
 		Removed: v.counts[2]}})
-	c.early = slices.Clone(r.effects)
+	c.early = slices.Clone(sm.effects)
 	return nil
 }
 
 // ConfigSyncState is how the node stands, nil where it takes nothing in service.
-func (r *StateMachine) ConfigSyncState() *ConfigSyncState {
-	h := r.configuring.holder
+func (sm *StateMachine) ConfigSyncState() *ConfigSyncState {
+	h := sm.configSync.holder
 	if h == nil {
 		return nil
 	}
-	s := h.Status(r.now)
+	s := h.Status(sm.now)
 	return &ConfigSyncState{Version: s.Mark.Version, Digest: s.Mark.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
 		Behind: s.Behind, BehindNS: s.BehindNS, Refused: s.Refused.Version, Why: s.Why, Counters: s.Counters}
 }
 
 // changesOf reads items, and says which this node can't take.
-func (r *StateMachine) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
+func (sm *StateMachine) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
 	a, err := nodeconfig.Parse(plateItems(items))
 	if err != nil {
 		return nil, err
 	}
-	return a.Changes, r.misfits(a.Changes)
+	return a.Changes, sm.validateChanges(a.Changes)
 }
 
 func plateItems(items []configsync.Item) []nodeconfig.Item {
@@ -181,13 +181,13 @@
 	return list
 }
 
-// unsound says why a change must not be ordered, as a check of a file would; empty where it may. What only some nodes can't
+// validateConfigCommand says why a change must not be ordered, as a check of a file would; empty where it may. What only some nodes can't
 // take they refuse themselves, at the first stage.
-func (r *StateMachine) unsound(command *configsync.Command) string {
+func (sm *StateMachine) validateConfigCommand(command *configsync.Command) string {
 	if _, err := nodeconfig.Parse(plateItems(command.Changes)); err != nil {
 		return err.Error()
 	}
-	agreed := r.configuring.agreed
+	agreed := sm.configSync.agreed
 	if agreed == nil || command.More || command.Piece > 0 || command.Base != agreed.Head.Newest {
 		return ""
 	}
@@ -208,37 +208,37 @@
 	return ""
 }
 
-// fromConfiguration takes a letter of another node or of a command.
-func (r *StateMachine) fromConfiguration(in *Input, l *configurationLetter) {
-	c := &r.configuring
+// applyConfigMessage takes a letter of another node or of a command.
+func (sm *StateMachine) applyConfigMessage(in *Input, l *configMessage) {
+	c := &sm.configSync
 	m := l.Message
 	switch {
 	case c.holder == nil:
 		if in.Kind == PeerRequestReceived {
-			r.do(Effect{Kind: ReplyToExchange, Link: in.Link})
+			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link})
 		}
 	case in.Kind == PeerRequestReceived && l.Question != nil:
-		r.fromOperator(in.Link, l.Question)
+		sm.applyOperatorQuery(in.Link, l.Question)
 	case in.Kind == PeerRequestReceived && m != nil && m.Kind == configsync.Fetch:
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Asked, From: l.From, Link: in.Link, Message: m})
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Came, From: l.From, Message: m})
 	default:
-		r.unusable(in, fmt.Errorf("%w: a letter of the configuration that does not belong there", envelope.ErrSpoilt))
+		sm.countUnusable(in, fmt.Errorf("%w: a letter of the configuration that does not belong there", envelope.ErrSpoilt))
 	}
 }
 
-// answeredConfiguration takes the end of an exchange of the holder's.
-func (r *StateMachine) answeredConfiguration(in *Input) {
-	c := &r.configuring
+// applyConfigResponse takes the end of an exchange of the holder's.
+func (sm *StateMachine) applyConfigResponse(in *Input) {
+	c := &sm.configSync
 	if c.holder == nil {
 		return
 	}
 	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configurationLinks}
 	if in.Kind == PeerResponseReceived {
-		var body configurationBody
-		if err := envelope.Open(in.Bytes, r.peers.fleet, &body); err != nil {
-			r.remark(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
+		var body configMessageBody
+		if err := envelope.Open(in.Bytes, sm.fleet.fleet, &body); err != nil {
+			sm.log(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
 		} else if l := body.Configuration; l != nil && l.Message != nil && l.Message.Kind == configsync.Piece {
 			next.Kind, next.From, next.Message = configsync.Answered, l.From, l.Message
 		}
@@ -246,23 +246,23 @@
 	c.inputs = append(c.inputs, next)
 }
 
-// keptConfiguration takes word of the disk.
-func (r *StateMachine) keptConfiguration(in *Input) {
+// configPersisted takes word of the disk.
+func (sm *StateMachine) configPersisted(in *Input) {
 	next := configsync.Input{Kind: configsync.Saved}
 	if in.Err != nil {
 		next.Why = in.Err.Error()
 	}
-	r.configuring.inputs = append(r.configuring.inputs, next)
+	sm.configSync.inputs = append(sm.configSync.inputs, next)
 }
 
-// keepTaking brings some of a version into force, before the module decides.
-func (r *StateMachine) keepTaking() {
-	c := &r.configuring
+// applyPendingConfig brings some of a version into force, before the module decides.
+func (sm *StateMachine) applyPendingConfig() {
+	c := &sm.configSync
 	for left := amendedAStep; c.taking != nil && left > 0; {
 		t := c.taking
 		items := t.diff.Next(left)
 		left -= max(len(items), amendedAStep/looksAStep) // where they lie apart, looking for them is what costs
-		changes, err := r.changesOf(items)
+		changes, err := sm.changesOf(items)
 		switch {
 		case t.checking != nil && err == nil && len(items) > 0:
 			t.checking.Add(changes)
@@ -271,146 +271,146 @@
 				t.checking, t.diff = nil, configsync.Diff(t.old, t.new)
 				continue
 			}
-		case t.checking == nil && r.Invariants.Check(err == nil, "a version that was checked can be taken") && len(items) > 0:
+		case t.checking == nil && sm.Invariants.Check(err == nil, "a version that was checked can be taken") && len(items) > 0:
 			for i := range changes {
-				r.change(&t.version, changes[i])
+				sm.applyChange(&t.version, changes[i])
 			}
 		}
 		if err != nil || len(items) == 0 {
-			r.taken(t, err)
+			sm.configApplied(t, err)
 		}
 	}
 }
 
-// taken tells the holder of a version that is in force as a whole, or that can't be.
-func (r *StateMachine) taken(t *taking, err error) {
-	c := &r.configuring
+// configApplied tells the holder of a version that is in force as a whole, or that can't be.
+func (sm *StateMachine) configApplied(t *taking, err error) {
+	c := &sm.configSync
 	c.taking = nil
 	next := configsync.Input{Kind: configsync.Took, Mark: t.mark}
 	if t.only {
 		next.Kind = configsync.Checked
 	}
 	if err != nil {
-		r.Counters.VersionsRefused++
+		sm.Counters.VersionsRefused++
 		next.Why = err.Error()
 	} else if !t.only {
-		r.amendedTo(&t.version)
-		r.do(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: t.mark, After: c.holder.Revision().Version, Source: "fleet", First: t.first,
-			Added: t.version.counts[0], Changed: t.version.counts[1], Removed: t.version.counts[2], TookNS: r.now - t.began}})
+		sm.versionApplied(&t.version)
+		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: t.mark, After: c.holder.Revision().Version, Source: "fleet", First: t.first,
+			Added: t.version.counts[0], Changed: t.version.counts[1], Removed: t.version.counts[2], TookNS: sm.now - t.began}})
 	}
 	c.inputs = append(c.inputs, next)
 }
 
-// keepConfiguration steps the holder when something came or is due.
-func (r *StateMachine) keepConfiguration() {
-	c := &r.configuring
+// stepConfigSync steps the holder when something came or is due.
+func (sm *StateMachine) stepConfigSync() {
+	c := &sm.configSync
 	if c.holder == nil {
 		return
 	}
-	r.effects, c.early = append(r.effects, c.early...), nil
-	if agreed, changed := r.agreedAtSeat(); changed {
+	sm.effects, c.early = append(sm.effects, c.early...), nil
+	if agreed, changed := sm.agreedAtReplica(); changed {
 		c.agreed = agreed
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
-	if seat := r.claimed.seat; seat != nil && seat.IsCurrent() != c.current {
+	if seat := sm.claiming.seat; seat != nil && seat.IsCurrent() != c.current {
 		c.current = !c.current
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Stood, Current: c.current})
 	}
-	r.seeConfiguration()
-	for round := 0; round < roundsMost && (len(c.inputs) > 0 || round == 0 && r.now >= c.wakeAt); round++ {
+	sm.observeFleet()
+	for round := 0; round < roundsMost && (len(c.inputs) > 0 || round == 0 && sm.now >= c.wakeAt); round++ {
 		inputs := c.inputs
 		c.inputs = nil
 		var effects []configsync.Effect
-		effects, c.wakeAt = c.holder.Step(r.now, inputs)
+		effects, c.wakeAt = c.holder.Step(sm.now, inputs)
 		for k := range effects {
-			r.carryConfiguration(&effects[k])
+			sm.executeConfigEffect(&effects[k])
 		}
 	}
-	r.keepOrders()
+	sm.expireOrders()
 }
 
-// seeConfiguration tells the holder whom this node can reach, where that changed.
-func (r *StateMachine) seeConfiguration() {
-	c := &r.configuring
-	if r.now < c.seenAt {
+// observeFleet tells the holder whom this node can reach, where that changed.
+func (sm *StateMachine) observeFleet() {
+	c := &sm.configSync
+	if sm.now < c.seenAt {
 		return
 	}
-	c.seenAt = r.now + seenEvery
-	hash, _ := r.peers.members.Hash()
-	neighbours := r.peers.members.Neighbours()
-	if hash == c.hash && slices.Equal(neighbours, c.view.Neighbours) && r.now < c.fullAt {
+	c.seenAt = sm.now + seenEvery
+	hash, _ := sm.fleet.members.Hash()
+	neighbours := sm.fleet.members.Neighbours()
+	if hash == c.hash && slices.Equal(neighbours, c.view.Neighbours) && sm.now < c.fullAt {
 		return
 	}
-	c.hash, c.fullAt = hash, r.now+fullEvery
-	self := r.peers.members.Self().Name
-	c.view = configsync.View{Neighbours: neighbours, Zone: r.peers.members.InZone(),
-		Seats: slices.DeleteFunc(slices.Clone(r.claimed.seats), func(name string) bool { return name == self })}
+	c.hash, c.fullAt = hash, sm.now+fullEvery
+	self := sm.fleet.members.Self().Name
+	c.view = configsync.View{Neighbours: neighbours, Zone: sm.fleet.members.InZone(),
+		Seats: slices.DeleteFunc(slices.Clone(sm.claiming.seats), func(name string) bool { return name == self })}
 	view := c.view
 	c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Viewed, View: &view})
 }
 
-func (r *StateMachine) carryConfiguration(e *configsync.Effect) {
-	c := &r.configuring
+func (sm *StateMachine) executeConfigEffect(e *configsync.Effect) {
+	c := &sm.configSync
 	switch e.Kind {
 	case configsync.Send:
-		r.sendConfiguration(e.To, e.Message)
+		sm.sendConfigMessage(e.To, e.Message)
 	case configsync.Exchange:
 		link := configurationLinks + e.Link
-		if address, known := r.peers.members.AddressOf(e.To); known {
-			r.sealConfiguration(Effect{Kind: OpenExchange, Link: link, Address: address}, &configurationLetter{Message: e.Message})
+		if address, known := sm.fleet.members.AddressOf(e.To); known {
+			sm.sendConfigEnvelope(Effect{Kind: OpenExchange, Link: link, Address: address}, &configMessage{Message: e.Message})
 		} else {
 			c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Missed, Link: e.Link})
 		}
 	case configsync.Reply:
-		r.sealConfiguration(Effect{Kind: ReplyToExchange, Link: e.Link}, &configurationLetter{Message: e.Message})
+		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &configMessage{Message: e.Message})
 	case configsync.Take, configsync.Check:
-		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configsync.Check, began: r.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
-			checking: r.config.Checking(), version: version{number: e.Mark.Version}}
-		if r.hollow.on { // it has no module that could not take it
-			r.taken(t, nil)
+		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configsync.Check, began: sm.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
+			checking: sm.config.Checking(), version: version{number: e.Mark.Version}}
+		if sm.hollow.on { // it has no module that could not take it
+			sm.configApplied(t, nil)
 			return
 		}
 		c.taking = t
 	case configsync.Persist:
 		kept := *e
-		r.do(Effect{Kind: PersistVersion, Persisting: &kept})
+		sm.emit(Effect{Kind: PersistVersion, Persisting: &kept})
 	case configsync.Order:
-		r.orderAtSeat(e.Command)
+		sm.proposeAtReplica(e.Command)
 	case configsync.Remark:
-		r.remark(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
+		sm.log(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 	}
 }
 
-func (r *StateMachine) sealConfiguration(e Effect, l *configurationLetter) {
-	l.From = r.peers.members.Self().Name
-	r.seal(e, configurationBody{l})
+func (sm *StateMachine) sendConfigEnvelope(e Effect, l *configMessage) {
+	l.From = sm.fleet.members.Self().Name
+	sm.sendEnvelope(e, configMessageBody{l})
 }
 
-// sendConfiguration sends a datagram; records that make it too long are left out, and will be fetched.
-func (r *StateMachine) sendConfiguration(to string, m *configsync.Message) {
-	address, known := r.peers.members.AddressOf(to)
+// sendConfigMessage sends a datagram; records that make it too long are left out, and will be fetched.
+func (sm *StateMachine) sendConfigMessage(to string, m *configsync.Message) {
+	address, known := sm.fleet.members.AddressOf(to)
 	if !known {
 		return
 	}
-	l := &configurationLetter{From: r.peers.members.Self().Name, Message: m}
-	text, err := envelope.Seal(nil, r.peers.fleet, configurationBody{l})
+	l := &configMessage{From: sm.fleet.members.Self().Name, Message: m}
+	text, err := envelope.Seal(nil, sm.fleet.fleet, configMessageBody{l})
 	if err == nil && len(text) > envelope.DatagramMost && len(m.Records) > 0 {
 		short := *m
 		short.Records, l.Message = nil, &short
-		text, err = envelope.Seal(nil, r.peers.fleet, configurationBody{l})
+		text, err = envelope.Seal(nil, sm.fleet.fleet, configMessageBody{l})
 	}
-	if r.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a word on the configuration can be written, and fits any path") {
-		r.do(Effect{Kind: SendDatagram, Address: address, Bytes: text})
+	if sm.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a word on the configuration can be written, and fits any path") {
+		sm.emit(Effect{Kind: SendDatagram, Address: address, Bytes: text})
 	}
 }
 
-// fromOperator answers a command, or has its order wait for a verdict.
-func (r *StateMachine) fromOperator(link int, q *configsync.Query) {
-	c := &r.configuring
-	a := &configsync.Answer{Node: r.peers.members.Self().Name}
+// applyOperatorQuery answers a command, or has its order wait for a verdict.
+func (sm *StateMachine) applyOperatorQuery(link int, q *configsync.Query) {
+	c := &sm.configSync
+	a := &configsync.Answer{Node: sm.fleet.members.Self().Name}
 	switch {
 	case q.Kind == configsync.ShowStanding:
-		r.showConfiguration(a)
+		sm.fillConfigAnswer(a)
 	case q.Kind == configsync.ReadBlocks:
 		content := c.holder.Content()
 		a.Mark = c.holder.Revision()
@@ -432,40 +432,40 @@
 			break
 		}
 		if o == nil {
-			o = &order{command: *q.Command, again: r.now}
+			o = &order{command: *q.Command, again: sm.now}
 			c.orders = append(c.orders, o)
 		}
-		o.links, o.until = append(o.links, link), r.now+orderFor
+		o.links, o.until = append(o.links, link), sm.now+orderFor
 		return
 	default:
 		a.Why = "it doesn't know this question; it may be of an older build"
 	}
-	r.sealConfiguration(Effect{Kind: ReplyToExchange, Link: link}, &configurationLetter{Answer: a})
+	sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: a})
 }
 
-// showConfiguration says how this node stands, and at a seat what it knows of others.
-func (r *StateMachine) showConfiguration(a *configsync.Answer) {
-	c := &r.configuring
-	s := c.holder.Status(r.now)
+// fillConfigAnswer says how this node stands, and at a seat what it knows of others.
+func (sm *StateMachine) fillConfigAnswer(a *configsync.Answer) {
+	c := &sm.configSync
+	s := c.holder.Status(sm.now)
 	a.Status, a.Mark = &s, s.Mark
-	for _, name := range r.claimed.seats {
-		address, _ := r.peers.members.AddressOf(name)
+	for _, name := range sm.claiming.seats {
+		address, _ := sm.fleet.members.AddressOf(name)
 		a.Seats = append(a.Seats, configsync.Place{Name: name, Address: address})
 	}
 	if c.agreed == nil {
 		return
 	}
-	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: r.claimed.seat.RollbackVersions(), Nodes: c.holder.Statuses.Statuses(),
+	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: sm.claiming.seat.RollbackVersions(), Nodes: c.holder.Statuses.Statuses(),
 		Newest: configsync.Revision{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}}
 	for k := range seat.Nodes {
-		seat.Nodes[k].At = r.now - seat.Nodes[k].At
+		seat.Nodes[k].At = sm.now - seat.Nodes[k].At
 	}
-	seat.Alive = r.peers.members.InView()
+	seat.Alive = sm.fleet.members.InView()
 	a.Seat = seat
 }
 
 // order finds one that waits, nil where there is none.
-func (c *configuring) order(from string, seq uint64) *order {
+func (c *configSyncState) order(from string, seq uint64) *order {
 	for _, o := range c.orders {
 		if o.command.From == from && o.command.Seq == seq {
 			return o
@@ -475,53 +475,53 @@
 }
 
 // decided takes verdicts of the council.
-func (c *configuring) decided(list []configsync.Verdict) {
+func (c *configSyncState) decided(list []configsync.Verdict) {
 	if c.holder != nil {
 		c.verdict = append(c.verdict, list...)
 	}
 }
 
-// keepOrders answers orders that have a verdict or waited for too long, and has others ordered again.
-func (r *StateMachine) keepOrders() {
-	c := &r.configuring
+// expireOrders answers orders that have a verdict or waited for too long, and has others ordered again.
+func (sm *StateMachine) expireOrders() {
+	c := &sm.configSync
 	for k := range c.verdict {
 		v := &c.verdict[k]
 		if o := c.order(v.From, v.Seq); o != nil {
-			r.endOrder(o, &configsync.Answer{Verdict: v})
+			sm.answerOrder(o, &configsync.Answer{Verdict: v})
 		}
 	}
 	c.verdict = nil
 	for _, o := range slices.Clone(c.orders) {
-		if r.now >= o.until {
-			r.endOrder(o, &configsync.Answer{Why: "no verdict of the council in time"})
-		} else if r.now >= o.again {
-			o.again = r.now + orderEvery
-			r.askCouncil(nil, nil, o.command)
+		if sm.now >= o.until {
+			sm.answerOrder(o, &configsync.Answer{Why: "no verdict of the council in time"})
+		} else if sm.now >= o.again {
+			o.again = sm.now + orderEvery
+			sm.proposeToGroup(nil, nil, o.command)
 		}
 	}
 }
 
-func (r *StateMachine) endOrder(o *order, a *configsync.Answer) {
-	a.Node = r.peers.members.Self().Name
+func (sm *StateMachine) answerOrder(o *order, a *configsync.Answer) {
+	a.Node = sm.fleet.members.Self().Name
 	for _, link := range o.links {
-		r.sealConfiguration(Effect{Kind: ReplyToExchange, Link: link}, &configurationLetter{Answer: a})
+		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: a})
 	}
-	c := &r.configuring
+	c := &sm.configSync
 	c.orders = slices.DeleteFunc(c.orders, func(other *order) bool { return other == o })
 }
 
-// configurationDue is when the door is to step again.
-func (r *StateMachine) configurationDue() int64 {
-	c := &r.configuring
+// configSyncDue is when the door is to step again.
+func (sm *StateMachine) configSyncDue() int64 {
+	c := &sm.configSync
 	if c.holder == nil {
 		return never
 	}
 	if c.taking != nil || len(c.inputs)+len(c.verdict) > 0 {
-		return r.now + 1
+		return sm.now + 1
 	}
 	at := int64(math.MaxInt64)
 	for _, o := range c.orders {
 		at = min(at, o.until, o.again)
 	}
-	return max(min(at, c.wakeAt), r.now+1)
+	return max(min(at, c.wakeAt), sm.now+1)
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -41,10 +41,10 @@
 
 func servingNode(t *testing.T, r *StateMachine) (effects []Effect) {
 	effects = step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
-	for r.claimed.seat.Leader() == "" {
+	for r.claiming.seat.Leader() == "" {
 		step(r)
 	}
 	return effects
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
 	for range 3_000 {
-		r.heardAt, r.conns[7].used = r.now, r.now
+		r.executorHeardAt, r.connections[7].used = r.now, r.now
 		effects := step(r, in...)
 		in = nil
 		all = append(all, effects...)
@@ -101,7 +101,7 @@
 // settle lets time pass until nothing stands at the first stage.
 func settle(t *testing.T, r *StateMachine) {
 	for range 100 {
-		if head := r.configuring.agreed.Head; head.All.Version == head.Newest {
+		if head := r.configSync.agreed.Head; head.All.Version == head.Newest {
 			return
 		}
 		pass(r, 50*ms)
@@ -111,7 +111,7 @@
 
 // allOf is the file's content as items.
 func allOf(r *StateMachine) (items []nodeconfig.Item) {
-	for i := range r.configuring.holder.Content().All {
+	for i := range r.configSync.holder.Content().All {
 		items = append(items, nodeconfig.Item(i))
 	}
 	return items
@@ -132,7 +132,7 @@
 	require.True(t, v.Done, v.Refused)
 	in := kindsOf(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
-	assert.Equal(t, VersionInForce{Mark: r.configuring.holder.Revision(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
+	assert.Equal(t, VersionInForce{Mark: r.configSync.holder.Revision(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
 		TookNS: in[0].InForce.TookNS}, *in[0].InForce)
 	kept := kindsOf(effects, PersistVersion)
 	require.Len(t, kept, 1)
@@ -194,7 +194,7 @@
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
 	servingNode(t, r)
-	content := r.configuring.holder.Content()
+	content := r.configSync.holder.Content()
 	var items []configsync.Item
 	for k := range 10 * amendedAStep {
 		items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
@@ -202,13 +202,13 @@
 	next, err := content.Apply(items)
 	require.NoError(t, err)
 	mark := configsync.Revision{Version: 9, Digest: next.Digest()}
-	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Mark: mark, Old: content, New: next})
+	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Mark: mark, Old: content, New: next})
 	steps := 0
-	for ; r.configuring.taking != nil; steps++ {
+	for ; r.configSync.taking != nil; steps++ {
 		was := r.config.Tenants.Slots()
 		effects := r.Step(r.now+ms, r.now+ms+1_000_000*ms, nil)
 		assert.LessOrEqual(t, r.config.Tenants.Slots()-was, amendedAStep)
-		if r.configuring.taking != nil {
+		if r.configSync.taking != nil {
 			assert.Equal(t, r.now+1, effects[len(effects)-1].At, "it goes on at once")
 		}
 	}
@@ -232,7 +232,7 @@
 		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 		require.NoError(t, err)
 		servingNode(t, r)
-		before, content := r.config.Own(), r.configuring.holder.Content()
+		before, content := r.config.Own(), r.configSync.holder.Content()
 		items := []configsync.Item{configsync.Item(c.item)}
 		for k := range 3 * amendedAStep {
 			items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
@@ -240,16 +240,16 @@
 		next, err := content.Apply(items)
 		require.NoError(t, err)
 		e := &configsync.Effect{Kind: configsync.Check, Mark: configsync.Revision{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
-		r.carryConfiguration(e)
-		require.NotNil(t, r.configuring.taking)
+		r.executeConfigEffect(e)
+		require.NotNil(t, r.configSync.taking)
 		if c.taken {
 			step(r)
 			again := *e
 			again.Kind = configsync.Take
-			r.carryConfiguration(&again)
+			r.executeConfigEffect(&again)
 		}
 		var all []Effect
-		for steps := 0; r.configuring.taking != nil; steps++ {
+		for steps := 0; r.configSync.taking != nil; steps++ {
 			all = append(all, step(r)...)
 			require.Less(t, steps, 20, c.name)
 		}
@@ -300,12 +300,12 @@
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
 	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "where it is off the exchange is closed")
 	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
-	assert.Zero(t, r.peers.letters.Spoilt)
+	assert.Zero(t, r.fleet.letters.Spoilt)
 	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
 		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
-	var body peerLetter
+	var body peerMessage
 	require.NoError(t, envelope.Open(sealed(t, "mobilier", msg), fleet, &body))
-	assert.Equal(t, peerLetter{Message: msg}, body)
+	assert.Equal(t, peerMessage{Message: msg}, body)
 }
 
 // A version whose changes lie apart in a large content is taken over steps that each look at a bounded part of it, and as a whole.
@@ -330,12 +330,12 @@
 	})
 	require.NoError(t, err)
 	servingNode(t, r)
-	r.carryConfiguration(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Revision{Version: 2, Digest: next.Digest()}})
+	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Revision{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
-	for ; r.configuring.taking != nil; steps++ {
-		taking := r.configuring.taking
+	for ; r.configSync.taking != nil; steps++ {
+		taking := r.configSync.taking
 		require.Less(t, steps, 1_000)
-		r.keepTaking()
+		r.applyPendingConfig()
 		if taken := taking.version.counts[1]; taking.checking == nil {
 			assert.LessOrEqual(t, taken-last, most)
 			last = taken
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -12,7 +12,7 @@
 // many is a node with so many connections, all opened in one step and checked once in the next.
 func many(t *testing.T, count int) *StateMachine {
 	r := up(t)
-	r.connMost = count
+	r.maxConnections = count
 	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
@@ -30,7 +30,7 @@
 
 // on goes on by a time and keeps the executor's link from being taken as silent.
 func on(r *StateMachine, by int64, inputs ...Input) []Effect {
-	r.now, r.heardAt = r.now+by-ms, r.now+by
+	r.now, r.executorHeardAt = r.now+by-ms, r.now+by
 	return step(r, inputs...)
 }
 
@@ -41,12 +41,12 @@
 	for r.now < 3_000*ms {
 		on(r, 10*ms)
 	}
-	assert.Equal(t, count, r.lookedAt, "once each, as those that bring nothing are told soon")
+	assert.Equal(t, count, r.connectionsChecked, "once each, as those that bring nothing are told soon")
 	for r.now < 14_000*ms {
 		on(r, 10*ms)
 	}
-	assert.Equal(t, count, r.lookedAt)
-	for _, c := range r.conns {
+	assert.Equal(t, count, r.connectionsChecked)
+	for _, c := range r.connections {
 		assert.False(t, c.noMore)
 	}
 }
@@ -60,8 +60,8 @@
 	}
 	told, ended, began := 0, 0, r.now
 	var closed []Input
-	for len(r.conns) > 0 && r.now-began < 5_000*ms {
-		before, beforeTold, beforeEnded := r.lookedAt, told, ended
+	for len(r.connections) > 0 && r.now-began < 5_000*ms {
+		before, beforeTold, beforeEnded := r.connectionsChecked, told, ended
 		effects := on(r, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
@@ -74,13 +74,13 @@
 			}
 		}
 		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, endsMost)
-		assert.LessOrEqual(t, r.lookedAt-before, looksMost)
+		assert.LessOrEqual(t, r.connectionsChecked-before, looksMost)
 	}
 	assert.Equal(t, count, told)
 	assert.Equal(t, count, ended)
 	assert.Less(t, r.now-began, 2*(count/endsMost+1)*sweepAgain+sweepEvery+crossWait+200*ms)
 	assert.Equal(t, count, r.Counters.Idle)
-	assert.Zero(t, r.resting.Len()+r.crossing.Len(), "nothing is kept of those that ended")
+	assert.Zero(t, r.idleWheel.Len()+r.closingWheel.Len(), "nothing is kept of those that ended")
 }
 
 // Whatever comes on connections, and however late steps come: none is told or ended before its time, each is by one sweep
@@ -88,7 +88,7 @@
 func TestConnectionsAreToldAndEndedInTheirTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		r := up(t)
-		r.connMost, r.SpareConnections = 12, 2
+		r.maxConnections, r.SpareConnections = 12, 2
 		next, wake, stream := 100, r.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
@@ -112,12 +112,12 @@
 				at = rapid.Int64Range(r.now+1, max(r.now+1, wake)).Draw(draw, "at")
 			}
 			before := map[int]connection{}
-			for link, c := range r.conns {
+			for link, c := range r.connections {
 				before[link] = *c
 			}
-			r.heardAt = at
+			r.executorHeardAt = at
 			for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
-				c, was := r.conns[e.Link], before[e.Link]
+				c, was := r.connections[e.Link], before[e.Link]
 				switch {
 				case e.Kind == SetWakeup:
 					wake = e.At
@@ -128,7 +128,7 @@
 					}
 				}
 			}
-			for link, c := range r.conns {
+			for link, c := range r.connections {
 				if c.noMore && !before[link].noMore && !c.evicted && !c.broken {
 					assert.GreaterOrEqual(draw, at-c.used, int64(firstWait))
 					assert.True(draw, !c.usable || at-c.used >= idleWait)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -1,14 +1,14 @@
 package node
 
-// reported waits for the next report. A drain sends none: the entry lapses, where one more would keep it.
-func (r *StateMachine) reported(err error) {
-	r.reporting = 0
+// reportFinished waits for the next report. A drain sends none: the entry lapses, where one more would keep it.
+func (sm *StateMachine) reportFinished(err error) {
+	sm.reportLink = 0
 	if err != nil {
-		r.Counters.ReportsFailed++
-		r.reportAt = r.now + reportAgain
-		r.remark(Info, "report failed", "", err)
+		sm.Counters.ReportsFailed++
+		sm.reportAt = sm.now + reportAgain
+		sm.log(Info, "report failed", "", err)
 		return
 	}
-	r.Counters.Reports++
-	r.reportAt = r.now + reportEvery
+	sm.Counters.Reports++
+	sm.reportAt = sm.now + reportEvery
 }
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -25,15 +25,15 @@
 
 func number(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// opened takes a connection on. At the most that are kept an idle one makes room: one that brought nothing usable
+// connectionOpened takes a connection on. At the most that are kept an idle one makes room: one that brought nothing usable
 // before any other, then the one that has stood idle longest. Those that end already do not count, as far as Spare goes.
-func (r *StateMachine) opened(link int) {
-	if len(r.conns) >= r.connMost {
+func (sm *StateMachine) connectionOpened(link int) {
+	if len(sm.connections) >= sm.maxConnections {
 		oldest, found, told, slow := 0, false, 0, 0
-		for id, c := range r.conns {
+		for id, c := range sm.connections {
 			if c.evicted || c.ending {
 				told++
-				if c.ending && !c.hastened && (slow == 0 || c.ended < r.conns[slow].ended || c.ended == r.conns[slow].ended && id < slow) {
+				if c.ending && !c.hastened && (slow == 0 || c.ended < sm.connections[slow].ended || c.ended == sm.connections[slow].ended && id < slow) {
 					slow = id
 				}
 				continue
@@ -42,7 +42,7 @@
 				continue
 			}
 			if found {
-				o := r.conns[oldest]
+				o := sm.connections[oldest]
 				sound, before := c.usable && c.faults == 0, o.usable && o.faults == 0
 				if sound && !before || sound == before && (c.used > o.used || c.used == o.used && id > oldest) {
 					continue
@@ -50,183 +50,183 @@
 			}
 			oldest, found = id, true
 		}
-		if found && len(r.conns)-told >= r.connMost {
-			r.evict(oldest, r.conns[oldest], told < r.SpareConnections)
+		if found && len(sm.connections)-told >= sm.maxConnections {
+			sm.evictConnection(oldest, sm.connections[oldest], told < sm.SpareConnections)
 		}
-		if told >= r.SpareConnections && slow != 0 { // one that takes its time over half a frame, or over its own end
-			r.conns[slow].hastened = true
-			r.do(Effect{Kind: EvictConnection, Link: slow})
+		if told >= sm.SpareConnections && slow != 0 { // one that takes its time over half a frame, or over its own end
+			sm.connections[slow].hastened = true
+			sm.emit(Effect{Kind: EvictConnection, Link: slow})
 		}
 	}
-	c := &connection{open: make(map[uint32]int32), used: r.now}
-	r.conns[link] = c
-	r.lookAt(link, c, r.now+firstWait)
-	r.do(Effect{Kind: ReadConnection, Link: link})
-	if r.shut {
-		r.noMore(link, c)
+	c := &connection{open: make(map[uint32]int32), used: sm.now}
+	sm.connections[link] = c
+	sm.scheduleCheck(link, c, sm.now+firstWait)
+	sm.emit(Effect{Kind: ReadConnection, Link: link})
+	if sm.acceptStopped {
+		sm.sendGoAway(link, c)
 	}
 }
 
-// evict ends an idle connection whose place is wanted: once what crosses has had its time, or now if it never brought
+// evictConnection ends an idle connection whose place is wanted: once what crosses has had its time, or now if it never brought
 // anything usable or there is no place beside. The latter guards against a crowd that connects faster than those who
 // rest can be told; it does harm to an invocation that crosses the end, which its dispatcher sends again.
-func (r *StateMachine) evict(link int, c *connection, beside bool) {
-	r.Counters.Evicted++
+func (sm *StateMachine) evictConnection(link int, c *connection, beside bool) {
+	sm.Counters.Evicted++
 	c.evicted = true
 	if !c.usable || !beside {
 		c.closing, c.ending, c.hastened = true, true, true
-		r.do(Effect{Kind: EvictConnection, Link: link})
+		sm.emit(Effect{Kind: EvictConnection, Link: link})
 		return
 	}
-	r.noMore(link, c)
-	r.lookAt(link, c, c.ended+evictWait)
+	sm.sendGoAway(link, c)
+	sm.scheduleCheck(link, c, c.ended+evictWait)
 }
 
-func (r *StateMachine) fromDispatcher(in *Input, c *connection) {
+func (sm *StateMachine) applyDispatcherInput(in *Input, c *connection) {
 	switch in.Kind {
 	case ConnectionClosed:
-		delete(r.conns, in.Link)
-		r.lookAway(c)
+		delete(sm.connections, in.Link)
+		sm.cancelCheck(c)
 		for _, stream := range slices.Sorted(maps.Keys(c.open)) {
-			r.gone(c.open[stream])
+			sm.callerDisconnected(c.open[stream])
 		}
 		return
 	case FrameMalformed:
-		r.broken(in.Link, c, in.Err)
+		sm.connectionBroken(in.Link, c, in.Err)
 		return
 	}
 	switch f := &in.Frame; f.Type {
 	case frame.Invocation:
-		r.intake(in.Link, c, f)
+		sm.invocationReceived(in.Link, c, f)
 	case frame.Gone:
 		if i, open := c.open[f.Stream]; open {
 			delete(c.open, f.Stream)
-			r.gone(i)
-			r.keepOpen(in.Link, c)
+			sm.callerDisconnected(i)
+			sm.touchConnection(in.Link, c)
 		}
 	case frame.Check:
-		r.check(in.Link, c, f)
+		sm.healthCheckReceived(in.Link, c, f)
 	default:
-		r.broken(in.Link, c, fmt.Errorf("%w: %d", errType, f.Type))
+		sm.connectionBroken(in.Link, c, fmt.Errorf("%w: %d", errType, f.Type))
 	}
 }
 
-// broken ends a connection that can't be understood, once what is open on it is answered.
-func (r *StateMachine) broken(link int, c *connection, err error) {
-	r.remark(Warn, "connection can't be understood", "", err)
+// connectionBroken ends a connection that can't be understood, once what is open on it is answered.
+func (sm *StateMachine) connectionBroken(link int, c *connection, err error) {
+	sm.log(Warn, "connection can't be understood", "", err)
 	if c.broken {
 		return
 	}
 	c.broken = true
-	r.Counters.BrokenConnections++
+	sm.Counters.BrokenConnections++
 	text := err.Error()
-	r.do(Effect{Kind: SendToConnection, Link: link,
+	sm.emit(Effect{Kind: SendToConnection, Link: link,
 		Bytes: append(frame.Head(nil, frame.Answer, 0, frame.Errored, nil, len(text)), text...)})
-	r.noMore(link, c)
-	r.do(Effect{Kind: DiscardInput, Link: link})
+	sm.sendGoAway(link, c)
+	sm.emit(Effect{Kind: DiscardInput, Link: link})
 	c.closing = true
-	r.keepOpen(link, c)
+	sm.touchConnection(link, c)
 }
 
-// fault counts what can't be used against its connection. Guards against peers that make work of no use without
+// countFault counts what can't be used against its connection. Guards against peers that make work of no use without
 // end; does harm to a dispatcher of another version, which loses its connections again and again.
-func (r *StateMachine) fault(link int, c *connection) {
+func (sm *StateMachine) countFault(link int, c *connection) {
 	if c.faults++; c.faults >= faultsMost {
-		r.broken(link, c, errFaults)
+		sm.connectionBroken(link, c, errFaults)
 	}
 }
 
-// lookAt has a connection looked at, at a time or soon after it.
-func (r *StateMachine) lookAt(link int, c *connection, at int64) {
-	r.lookAway(c)
+// scheduleCheck has a connection looked at, at a time or soon after it.
+func (sm *StateMachine) scheduleCheck(link int, c *connection, at int64) {
+	sm.cancelCheck(c)
 	if c.noMore {
-		c.look = r.crossing.Add((at+ms-1)/ms, int64(link))
+		c.look = sm.closingWheel.Add((at+ms-1)/ms, int64(link))
 	} else {
-		c.look = r.resting.Add((at+ms-1)/ms, int64(link))
+		c.look = sm.idleWheel.Add((at+ms-1)/ms, int64(link))
 	}
 }
 
-// lookAway takes back that a connection is to be looked at.
-func (r *StateMachine) lookAway(c *connection) {
+// cancelCheck takes back that a connection is to be looked at.
+func (sm *StateMachine) cancelCheck(c *connection) {
 	if c.noMore {
-		r.crossing.Remove(c.look)
+		sm.closingWheel.Remove(c.look)
 	} else {
-		r.resting.Remove(c.look)
+		sm.idleWheel.Remove(c.look)
 	}
 	c.look = timerwheel.Timer{} // in the other wheel it may name another's
 }
 
-// keepConnections closes those that hold a descriptor to no use: that never brought anything usable, or that stand
+// checkConnections closes those that hold a descriptor to no use: that never brought anything usable, or that stand
 // idle long after it. Each is told before. It looks only at those whose time may have come, and at so many in one step:
 // those that came together are due together, and invocations would wait behind all of them.
-func (r *StateMachine) keepConnections() {
-	due := func(link int64) { r.due = append(r.due, int(link)) }
-	left := len(r.due)
-	r.crossing.Advance(r.now/ms, due)
-	if r.now >= r.sweepAt {
-		r.sweepAt = r.now + sweepEvery
-		r.resting.Advance(r.now/ms, due)
-	}
-	slices.Sort(r.due[left:])
-	if r.now < r.dueAt || len(r.due) == 0 {
+func (sm *StateMachine) checkConnections() {
+	due := func(link int64) { sm.overdueConnections = append(sm.overdueConnections, int(link)) }
+	left := len(sm.overdueConnections)
+	sm.closingWheel.Advance(sm.now/ms, due)
+	if sm.now >= sm.sweepAt {
+		sm.sweepAt = sm.now + sweepEvery
+		sm.idleWheel.Advance(sm.now/ms, due)
+	}
+	slices.Sort(sm.overdueConnections[left:])
+	if sm.now < sm.overdueAt || len(sm.overdueConnections) == 0 {
 		return
 	}
 	looks, ends := 0, 0
-	for looks < min(looksMost, len(r.due)) && ends < endsMost {
-		link := r.due[looks]
-		if c := r.conns[link]; c != nil && !c.closing && r.keepConnection(link, c) {
+	for looks < min(looksMost, len(sm.overdueConnections)) && ends < endsMost {
+		link := sm.overdueConnections[looks]
+		if c := sm.connections[link]; c != nil && !c.closing && sm.checkConnection(link, c) {
 			ends++
 		}
 		looks++
 	}
-	r.lookedAt += looks
-	r.due, r.dueAt = slices.Delete(r.due, 0, looks), r.now+sweepAgain
+	sm.connectionsChecked += looks
+	sm.overdueConnections, sm.overdueAt = slices.Delete(sm.overdueConnections, 0, looks), sm.now+sweepAgain
 }
 
 // connectionsDue is when the next of them is looked at.
-func (r *StateMachine) connectionsDue() int64 {
-	at := r.sweepAt
-	if tick, some := r.crossing.Next(); some {
+func (sm *StateMachine) connectionsDue() int64 {
+	at := sm.sweepAt
+	if tick, some := sm.closingWheel.Next(); some {
 		at = min(at, tick*ms)
 	}
-	if len(r.due) > 0 {
-		at = min(at, r.dueAt)
+	if len(sm.overdueConnections) > 0 {
+		at = min(at, sm.overdueAt)
 	}
 	return at
 }
 
-// keepConnection tells or ends one that has had its time, and has any other looked at when that may have come.
-func (r *StateMachine) keepConnection(link int, c *connection) (ends bool) {
+// checkConnection tells or ends one that has had its time, and has any other looked at when that may have come.
+func (sm *StateMachine) checkConnection(link int, c *connection) (ends bool) {
 	wait := int64(firstWait)
 	if c.usable {
 		wait = idleWait
 	}
 	switch {
 	case !c.idle() && c.noMore:
-		r.lookAt(link, c, r.now+sweepEvery)
+		sm.scheduleCheck(link, c, sm.now+sweepEvery)
 	case !c.idle(): // it is idle from its last answer on, which is yet to come
-		r.lookAt(link, c, r.now+wait)
-	case c.noMore && r.now < c.ended+c.crossing():
-		r.lookAt(link, c, c.ended+c.crossing())
+		sm.scheduleCheck(link, c, sm.now+wait)
+	case c.noMore && sm.now < c.ended+c.crossing():
+		sm.scheduleCheck(link, c, c.ended+c.crossing())
 	case c.noMore:
-		r.Counters.Idle++
-		r.closeAfterFlush(link, c)
+		sm.Counters.Idle++
+		sm.closeAfterFlush(link, c)
 		return true
-	case r.now < c.used+wait:
-		r.lookAt(link, c, c.used+wait)
+	case sm.now < c.used+wait:
+		sm.scheduleCheck(link, c, c.used+wait)
 	default:
-		r.noMore(link, c)
+		sm.sendGoAway(link, c)
 		return true
 	}
 	return false
 }
 
-func (r *StateMachine) noMore(link int, c *connection) {
+func (sm *StateMachine) sendGoAway(link int, c *connection) {
 	if !c.noMore {
-		r.lookAway(c)
-		c.noMore, c.ended = true, r.now
-		r.lookAt(link, c, r.now+c.crossing())
-		r.do(Effect{Kind: SendToConnection, Link: link, Bytes: frame.Append(nil, frame.NoMore, 0, nil)})
+		sm.cancelCheck(c)
+		c.noMore, c.ended = true, sm.now
+		sm.scheduleCheck(link, c, sm.now+c.crossing())
+		sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: frame.Append(nil, frame.NoMore, 0, nil)})
 	}
 }
 
@@ -238,111 +238,111 @@
 	return crossWait
 }
 
-// keepOpen closes a connection that is to end, once nothing is open on it.
-func (r *StateMachine) keepOpen(link int, c *connection) {
+// touchConnection closes a connection that is to end, once nothing is open on it.
+func (sm *StateMachine) touchConnection(link int, c *connection) {
 	if c.idle() {
-		if c.used = r.now; c.closing {
-			r.closeAfterFlush(link, c)
+		if c.used = sm.now; c.closing {
+			sm.closeAfterFlush(link, c)
 		}
 	}
 }
 
 // closeAfterFlush has the server close a connection, which stays known until it is gone: what was read on it before is still
 // answered.
-func (r *StateMachine) closeAfterFlush(link int, c *connection) {
+func (sm *StateMachine) closeAfterFlush(link int, c *connection) {
 	c.closing = true
 	if !c.ending {
 		c.ending = true
-		r.do(Effect{Kind: CloseAfterFlush, Link: link})
+		sm.emit(Effect{Kind: CloseAfterFlush, Link: link})
 	}
 }
 
-// keepEnding takes that back for an invocation or a check that came on it meanwhile and is not answered yet.
-func (r *StateMachine) keepEnding(link int, c *connection) {
+// closeIfIdle takes that back for an invocation or a check that came on it meanwhile and is not answered yet.
+func (sm *StateMachine) closeIfIdle(link int, c *connection) {
 	if c.ending {
 		c.ending, c.hastened = false, false
-		r.do(Effect{Kind: ResumeConnection, Link: link})
+		sm.emit(Effect{Kind: ResumeConnection, Link: link})
 	}
 }
 
-func (r *StateMachine) gone(i int32) {
-	v := &r.invs[i]
-	if r.Invariants.Check(v.live && !v.answered, "an open stream is owed an answer") {
-		r.Counters.CallersGone++
+func (sm *StateMachine) callerDisconnected(i int32) {
+	v := &sm.invocations[i]
+	if sm.Invariants.Check(v.live && !v.answered, "an open stream is owed an answer") {
+		sm.Counters.CallersGone++
 		v.answered = true
-		r.open--
-		if r.leaveToken(i) { // others wait for its run, which goes on
+		sm.owedAnswers--
+		if sm.abandonToken(i) { // others wait for its run, which goes on
 			return
 		}
-		r.quitCall(i)
-		r.events = append(r.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
-		r.runOver(i)
+		sm.cancelCall(i)
+		sm.events = append(sm.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
+		sm.runFinished(i)
 	}
 }
 
-// intake takes an invocation in, or answers at once one that can't be used. Where its connection can't be understood
+// invocationReceived takes an invocation in, or answers at once one that can't be used. Where its connection can't be understood
 // any more it is errored unrun: it may be no invocation at all, and a throttle would say that it never ran before.
-func (r *StateMachine) intake(link int, c *connection, f *frame.Frame) {
+func (sm *StateMachine) invocationReceived(link int, c *connection, f *frame.Frame) {
 	if c.broken {
 		if f.Stream > c.last {
 			c.last = f.Stream
-			r.Counters.Invocations++
-			r.Counters.Errored++
-			r.send(link, f.Stream, frame.Errored, nil, nil)
+			sm.Counters.Invocations++
+			sm.Counters.Errored++
+			sm.sendFrame(link, f.Stream, frame.Errored, nil, nil)
 		}
 		return
 	}
 	if f.Stream <= c.last {
-		r.broken(link, c, fmt.Errorf("%w: %d after %d", errStream, f.Stream, c.last))
+		sm.connectionBroken(link, c, fmt.Errorf("%w: %d after %d", errStream, f.Stream, c.last))
 		return
 	}
 	c.last = f.Stream
-	r.Counters.Invocations++
-	v := invocation{live: true, conn: link, stream: f.Stream}
+	sm.Counters.Invocations++
+	v := invocation{live: true, connection: link, stream: f.Stream}
 	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Original: admission.NoOriginal}
-	err := r.read(f, &v, &e)
+	err := sm.decodeInvocation(f, &v, &e)
 	if err == nil {
-		err = r.repeats(&v, &e)
+		err = sm.findOriginal(&v, &e)
 	}
-	if err == nil && r.retired(&e) {
+	if err == nil && sm.isRetired(&e) {
 		err = errRetired
 	}
 	if err == nil && len(c.open) >= streamsOpen {
 		err = errors.New("too many streams are open")
 	}
 	if err != nil {
-		r.Counters.BrokenInvocations++
-		r.Counters.Errored++
-		r.remark(Warn, "invocation can't be used", v.call, err)
-		r.send(link, f.Stream, frame.Errored, nil, nil)
+		sm.Counters.BrokenInvocations++
+		sm.Counters.Errored++
+		sm.log(Warn, "invocation can't be used", v.call, err)
+		sm.sendFrame(link, f.Stream, frame.Errored, nil, nil)
 		if err != errRetired { // callers hear of a change as late as they do
-			r.fault(link, c)
+			sm.countFault(link, c)
 		}
 		return
 	}
-	c.usable, c.used = true, r.now
-	if r.unclaimed(&v) {
-		r.turnAway(link, f.Stream)
+	c.usable, c.used = true, sm.now
+	if sm.isUnclaimed(&v) {
+		sm.rejectUnread(link, f.Stream)
 		return
 	}
-	if r.post == nil || r.reading(&v) {
-		r.turnAway(link, f.Stream)
+	if sm.controller == nil || sm.awaitingRecovery(&v) {
+		sm.rejectUnread(link, f.Stream)
 		return
 	}
-	r.keepEnding(link, c)
+	sm.closeIfIdle(link, c)
 	v.operation, v.tenant = e.OperationIndex, e.Tenant
-	e.Invocation = r.admit(v)
-	if v.key.Token != "" {
-		r.invs[e.Invocation].arrival, r.invs[e.Invocation].taken = e, r.now
-		r.invs[e.Invocation].due = cmp.Or(e.Deadline, r.now-e.Age+r.config.Node.Operations[e.OperationIndex].ClientTimeout)
-		r.hold(e.Invocation, e.Original)
+	e.Invocation = sm.addInvocation(v)
+	if v.tokenKey.Token != "" {
+		sm.invocations[e.Invocation].arrival, sm.invocations[e.Invocation].arrivedAt = e, sm.now
+		sm.invocations[e.Invocation].deadline = cmp.Or(e.Deadline, sm.now-e.Age+sm.config.Node.Operations[e.OperationIndex].ClientTimeout)
+		sm.deferInvocation(e.Invocation, e.Original)
 	}
 	c.open[f.Stream] = e.Invocation
-	r.events = append(r.events, e)
+	sm.events = append(sm.events, e)
 }
 
-// read turns an invocation's fields into an event.
-func (r *StateMachine) read(f *frame.Frame, v *invocation, e *admission.Event) error {
+// decodeInvocation turns an invocation's fields into an event.
+func (sm *StateMachine) decodeInvocation(f *frame.Frame, v *invocation, e *admission.Event) error {
 	if f.Past {
 		return errBody
 	}
@@ -356,21 +356,21 @@
 		ok, n := true, 0.0
 		switch field.Name {
 		case "op":
-			e.OperationIndex, ok = r.config.Operations.Lookup(field.Value)
+			e.OperationIndex, ok = sm.config.Operations.Lookup(field.Value)
 			v.op, op = field.Value, true
 		case "call":
 			v.call, call, ok = field.Value, true, hex16(field.Value)
 		case "recv":
 			var at int64
 			at, ok = whole(field.Value)
-			recv, ok = true, ok && r.plausible(at)
-			e.Age = r.age(at)
+			recv, ok = true, ok && sm.plausible(at)
+			e.Age = sm.age(at)
 		case "src":
 			e.Caller, ok = whole(field.Value)
 			src, ok = true, ok && e.Caller <= callerMost
 		case "org":
-			if r.config.Tenants.Len() > 0 {
-				e.Tenant, ok = r.config.Tenants.Lookup(field.Value)
+			if sm.config.Tenants.Len() > 0 {
+				e.Tenant, ok = sm.config.Tenants.Lookup(field.Value)
 			}
 		case "ttl":
 			left, ok = whole(field.Value)
@@ -386,8 +386,8 @@
 		case "crit":
 			n, ok = decimal(field.Value)
 			ok = ok && n < 1
-		case r.kept.token:
-			v.key.Token, ok = field.Value, r.kept.keeper == nil || len(field.Value) <= tokenMost
+		case sm.results.token:
+			v.tokenKey.Token, ok = field.Value, sm.results.keeper == nil || len(field.Value) <= tokenMost
 		case "row":
 			e.HasReadKey, ok = true, hex16(field.Value)
 		}
@@ -398,16 +398,16 @@
 	if !(op && call && recv && src && heap) {
 		return fmt.Errorf("op, call, recv, src or heap: %w", errField)
 	}
-	if e.Tenant < 0 && r.config.Tenants.Len() > 0 {
+	if e.Tenant < 0 && sm.config.Tenants.Len() > 0 {
 		return fmt.Errorf("field org: %w: the settings name tenants", errField)
 	}
-	if r.kept.keeper != nil && v.key.Token == "" && r.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey {
-		return fmt.Errorf("field %s: %w: repeats of %s are known by it", r.kept.token, errField, v.op)
+	if sm.results.keeper != nil && v.tokenKey.Token == "" && sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey {
+		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.token, errField, v.op)
 	}
 	if left >= 0 {
-		e.Deadline = max(1, r.now-e.Age+left*ms) // 0 would say that it is not known
+		e.Deadline = max(1, sm.now-e.Age+left*ms) // 0 would say that it is not known
 	}
-	if _, known := r.calls[v.call]; known {
+	if _, known := sm.indexByCall[v.call]; known {
 		return fmt.Errorf("field call: %w: in use", errField)
 	}
 	if len(body) > bodyMost {
@@ -434,85 +434,85 @@
 func hex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdef") == "" }
 
 // plausible says whether a stamp can be that of an arrival. It is of this machine's own clock, which jumps with it.
-func (r *StateMachine) plausible(stamp int64) bool {
-	return stamp-r.wall/ms <= aheadMost && r.wall/ms-stamp <= ageMost
+func (sm *StateMachine) plausible(stamp int64) bool {
+	return stamp-sm.wall/ms <= aheadMost && sm.wall/ms-stamp <= ageMost
 }
 
 // age is how long ago an invocation came to the machine.
-func (r *StateMachine) age(stamp int64) int64 { return max(0, r.wall-stamp*ms) }
+func (sm *StateMachine) age(stamp int64) int64 { return max(0, sm.wall-stamp*ms) }
 
-// check answers a health check from store, or has the executor do its work where the module leaves that.
-func (r *StateMachine) check(link int, c *connection, f *frame.Frame) {
+// healthCheckReceived answers a health healthCheckReceived from store, or has the executor do its work where the module leaves that.
+func (sm *StateMachine) healthCheckReceived(link int, c *connection, f *frame.Frame) {
 	fields, _, err := frame.Fields(f.Payload)
 	deep := false
 	for _, field := range fields {
 		deep = deep || field.Name == "e2e" && field.Value == "1"
 	}
 	if err != nil || f.Past {
-		r.remark(Warn, "health check can't be read", "", err)
+		sm.log(Warn, "health check can't be read", "", err)
 	} else {
-		c.usable, c.used = true, r.now
+		c.usable, c.used = true, sm.now
 	}
-	if deep && r.good && !r.stored && r.config.Node.DeepHealthChecks && r.link != 0 && len(r.diags) < streamsOpen {
-		r.diagged++
-		tag := "d" + strconv.Itoa(r.diagged)
-		r.diags[tag] = check{link, f.Stream, r.now + diagWait}
+	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executorLink != 0 && len(sm.deepChecks) < streamsOpen {
+		sm.deepChecksStarted++
+		tag := "d" + strconv.Itoa(sm.deepChecksStarted)
+		sm.deepChecks[tag] = check{link, f.Stream, sm.now + diagWait}
 		c.checks++
-		r.keepEnding(link, c)
-		r.tell("DIAG", tag)
+		sm.closeIfIdle(link, c)
+		sm.sendToExecutor("DIAG", tag)
 		return
 	}
-	r.checked(link, f.Stream, r.post != nil && r.good)
+	sm.answerHealthCheck(link, f.Stream, sm.controller != nil && sm.healthy)
 }
 
-func (r *StateMachine) checked(link int, stream uint32, good bool) {
+func (sm *StateMachine) answerHealthCheck(link int, stream uint32, good bool) {
 	code := byte(frame.Bad)
 	if good {
 		code = frame.Good
 	}
-	r.do(Effect{Kind: SendToConnection, Link: link,
-		Bytes: frame.Head(nil, frame.Checked, stream, code, r.carried(nil), 0)})
+	sm.emit(Effect{Kind: SendToConnection, Link: link,
+		Bytes: frame.Head(nil, frame.Checked, stream, code, sm.withBackpressure(nil), 0)})
 }
 
-// diagnosed answers the check that a deep one was for.
-func (r *StateMachine) diagnosed(tag string, good bool) {
-	d, ok := r.diags[tag]
+// deepCheckFinished answers the check that a deep one was for.
+func (sm *StateMachine) deepCheckFinished(tag string, good bool) {
+	d, ok := sm.deepChecks[tag]
 	if !ok {
 		return
 	}
-	delete(r.diags, tag)
-	if c := r.conns[d.conn]; c != nil {
+	delete(sm.deepChecks, tag)
+	if c := sm.connections[d.conn]; c != nil {
 		c.checks--
-		r.checked(d.conn, d.stream, good && r.good)
-		r.keepOpen(d.conn, c)
+		sm.answerHealthCheck(d.conn, d.stream, good && sm.healthy)
+		sm.touchConnection(d.conn, c)
 	}
 }
 
-func (r *StateMachine) keepChecks() {
-	for _, tag := range slices.Sorted(maps.Keys(r.diags)) {
-		if r.now >= r.diags[tag].until {
-			r.diagnosed(tag, false)
+func (sm *StateMachine) expireDeepChecks() {
+	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
+		if sm.now >= sm.deepChecks[tag].until {
+			sm.deepCheckFinished(tag, false)
 		}
 	}
 }
 
-func (r *StateMachine) checksDue() int64 {
+func (sm *StateMachine) deepChecksDue() int64 {
 	at := int64(never)
-	for _, d := range r.diags {
+	for _, d := range sm.deepChecks {
 		at = min(at, d.until)
 	}
 	return at
 }
 
-// carried adds the free value to an answer's fields.
-func (r *StateMachine) carried(fields []frame.Field) []frame.Field {
-	if r.load != "" {
-		fields = append(fields, frame.Field{Name: "load", Value: r.load})
+// withBackpressure adds the free value to an answer's fields.
+func (sm *StateMachine) withBackpressure(fields []frame.Field) []frame.Field {
+	if sm.backpressure != "" {
+		fields = append(fields, frame.Field{Name: "load", Value: sm.backpressure})
 	}
 	return fields
 }
 
-func (r *StateMachine) throttle(a *admission.Action) {
+func (sm *StateMachine) reject(a *admission.Action) {
 	var fields []frame.Field
 	if a.Duration > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt((a.Duration+ms-1)/ms, 10)})
@@ -520,58 +520,58 @@
 	if a.NoRetry {
 		fields = append(fields, frame.Field{Name: "stop", Value: "1"})
 	}
-	r.answer(a.Invocation, frame.Throttled, fields, nil)
+	sm.answer(a.Invocation, frame.Throttled, fields, nil)
 }
 
 // succeed answers with a result; one of a reduced form says at which level, so that none takes it for a whole one.
-func (r *StateMachine) succeed(i int32, result []byte, fields ...frame.Field) {
-	if level := r.invs[i].form; level != "" {
+func (sm *StateMachine) succeed(i int32, result []byte, fields ...frame.Field) {
+	if level := sm.invocations[i].form; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
 	}
-	r.levels.count(true, r.invs[i].form != "", admission.ReasonNone)
-	r.answer(i, frame.Succeeded, fields, result)
+	sm.degradation.count(true, sm.invocations[i].form != "", admission.ReasonNone)
+	sm.answer(i, frame.Succeeded, fields, result)
 }
 
-func (r *StateMachine) fail(i int32) { r.answer(i, frame.Errored, nil, nil) }
+func (sm *StateMachine) fail(i int32) { sm.answer(i, frame.Errored, nil, nil) }
 
 // answer gives the one answer of an invocation.
-func (r *StateMachine) answer(i int32, code byte, fields []frame.Field, body []byte) {
-	v := &r.invs[i]
-	if v.orphan { // nobody waits for it
-		r.quitCall(i)
+func (sm *StateMachine) answer(i int32, code byte, fields []frame.Field, body []byte) {
+	v := &sm.invocations[i]
+	if v.abandoned { // nobody waits for it
+		sm.cancelCall(i)
 		return
 	}
-	if !r.Invariants.Check(v.live && !v.answered, "one answer an invocation") {
+	if !sm.Invariants.Check(v.live && !v.answered, "one answer an invocation") {
 		return
 	}
 	v.answered = true
-	r.open--
-	r.quitCall(i)
-	r.leaveToken(i)
-	r.runOver(i)
-	if v.conn == heir {
+	sm.owedAnswers--
+	sm.cancelCall(i)
+	sm.abandonToken(i)
+	sm.runFinished(i)
+	if v.connection == heir {
 		if code != frame.Succeeded {
-			r.Counters.InheritedGivenUp++
-			r.remark(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.call, nil)
+			sm.Counters.InheritedGivenUp++
+			sm.log(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.call, nil)
 		}
 		return
 	}
 	switch code {
 	case frame.Succeeded:
-		r.Counters.Succeeded++
+		sm.Counters.Succeeded++
 	case frame.Throttled:
-		r.Counters.Throttled++
+		sm.Counters.Throttled++
 	default:
-		r.Counters.Errored++
+		sm.Counters.Errored++
 	}
-	r.send(v.conn, v.stream, code, fields, body)
-	if c := r.conns[v.conn]; c != nil {
+	sm.sendFrame(v.connection, v.stream, code, fields, body)
+	if c := sm.connections[v.connection]; c != nil {
 		delete(c.open, v.stream)
-		r.keepOpen(v.conn, c)
+		sm.touchConnection(v.connection, c)
 	}
 }
 
-func (r *StateMachine) send(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
-	head := frame.Head(nil, frame.Answer, stream, code, r.carried(fields), len(body))
-	r.do(Effect{Kind: SendToConnection, Link: link, Bytes: append(head, body...)})
+func (sm *StateMachine) sendFrame(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
+	head := frame.Head(nil, frame.Answer, stream, code, sm.withBackpressure(fields), len(body))
+	sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: append(head, body...)})
 }
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -135,9 +135,9 @@
 			want.Kind = kind
 			text, err := letterOf(&want)
 			require.NoError(t, err)
-			var got peerLetter
+			var got peerMessage
 			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("member-message-%d-v1.bin", k+1), text), &got))
-			assert.Equal(t, peerLetter{Message: want}, got)
+			assert.Equal(t, peerMessage{Message: want}, got)
 		})
 	}
 	t.Run("the ask for claims", func(t *testing.T) {
@@ -170,13 +170,13 @@
 func TestFixturesOfLettersOfTheConfiguration(t *testing.T) {
 	for k, kind := range []configsync.MessageKind{configsync.Tell, configsync.Report, configsync.Vouch, configsync.Fetch, configsync.Piece} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
-			want := fullValue[configurationLetter](uint32(k))
+			want := fullValue[configMessage](uint32(k))
 			want.Message.Kind, want.Question, want.Answer = kind, nil, nil
-			text, err := letterOf(configurationBody{&want})
+			text, err := letterOf(configMessageBody{&want})
 			require.NoError(t, err)
-			var got peerLetter
+			var got peerMessage
 			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("configuration-message-%d-v1.bin", k+1), text), &got))
-			assert.Equal(t, peerLetter{Configuration: &want}, got)
+			assert.Equal(t, peerMessage{Configuration: &want}, got)
 		})
 	}
 	for k, kind := range []configsync.QueryKind{configsync.ShowStanding, configsync.ReadBlocks, configsync.Propose} {
@@ -185,22 +185,22 @@
 			want.Kind = kind
 			text, err := letterOf(EncodeConfigQuery(&want))
 			require.NoError(t, err)
-			var got peerLetter
+			var got peerMessage
 			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
-			assert.Equal(t, peerLetter{Configuration: &configurationLetter{Question: &want}}, got)
+			assert.Equal(t, peerMessage{Configuration: &configMessage{Question: &want}}, got)
 		})
 	}
 	t.Run("answer", func(t *testing.T) {
 		want := fullValue[configsync.Answer](1)
-		text, err := letterOf(configurationBody{&configurationLetter{From: "node-1", Answer: &want}})
+		text, err := letterOf(configMessageBody{&configMessage{From: "node-1", Answer: &want}})
 		require.NoError(t, err)
 		got, err := DecodeConfigAnswer(sameAsFixture(t, "answer-v1.bin", text), envelope.FleetOf("mobilier"))
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
 	t.Run("the whole letter", func(t *testing.T) {
-		sameBothWays(t, "letter-v1.bin", fullValue[peerLetter](1), letterOf, openLetter)
-		sameBothWays(t, "body-v1.bin", fullValue[configurationBody](1), letterOf, openLetter)
+		sameBothWays(t, "letter-v1.bin", fullValue[peerMessage](1), letterOf, openLetter)
+		sameBothWays(t, "body-v1.bin", fullValue[configMessageBody](1), letterOf, openLetter)
 	})
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	return r
 }
 
@@ -49,26 +49,26 @@
 
 func told(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: ExecutorLineReceived, Link: r.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
+	return step(r, Input{Kind: ExecutorLineReceived, Link: r.executorLink, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 func replied(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: CatalogueLineReceived, Link: r.supplies[0].link,
+	return step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].link,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 // reached has the last link to the catalogue come up.
 func reached(r *StateMachine) []Effect {
-	return step(r, Input{Kind: CatalogueConnected, Link: r.supplies[len(r.supplies)-1].link})
+	return step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[len(r.catalogueLinks)-1].link})
 }
 
 // rejoined breaks the link to the executor and has a new one welcomed, its gauges not yet told.
 func rejoined(r *StateMachine) {
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.link})
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
 	r.now = r.redialAt
 	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 90")
 }
 
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -18,19 +18,19 @@
 
 var errToken = errors.New("the token came with another body before")
 
-// kept is the door to what becomes of tokened invocations; without a keeper tokens mean nothing.
-type kept struct {
+// resultState is the door to what becomes of tokened invocations; without a keeper tokens mean nothing.
+type resultState struct {
 	keeper  *resultcache.Cache
 	token   string // name of the field that carries it
-	held    map[resultcache.Key]*unrun
+	held    map[resultcache.Key]*pendingRun
 	unread  bool // the store of an earlier life is not read yet
 	inputs  []resultcache.Input
 	running bool // the keeper steps
 	stored  int  // records that a start found
 }
 
-// unrun is a token whose invocation the module holds; repeats wait for it.
-type unrun struct {
+// pendingRun is a token whose invocation the module holds; repeats wait for it.
+type pendingRun struct {
 	first   int32
 	hash    uint64
 	waiting []int32
@@ -38,41 +38,43 @@
 
 // EnableResultCache has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
 // turned away until KeptRead tells that the store was read.
-func (r *StateMachine) EnableResultCache(rules resultcache.Config, field string, unread bool) {
-	r.config.Node.MaxDeduplicationEntries = rules.MaxTokens()
-	r.amended.numbers = unread
-	r.kept = kept{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*unrun), unread: unread}
+func (sm *StateMachine) EnableResultCache(rules resultcache.Config, field string, unread bool) {
+	sm.config.Node.MaxDeduplicationEntries = rules.MaxTokens()
+	sm.versions.numbers = unread
+	sm.results = resultState{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*pendingRun), unread: unread}
 }
 
 // Results is what an operator may want to see of the tokens, nil where none are kept.
-func (r *StateMachine) Results() *resultcache.Counters {
-	if r.kept.keeper == nil {
+func (sm *StateMachine) Results() *resultcache.Counters {
+	if sm.results.keeper == nil {
 		return nil
 	}
-	return &r.kept.keeper.Counters
+	return &sm.results.keeper.Counters
 }
 
-// reading says whether a tokened invocation must be turned away: what ran in an earlier life is not known yet.
-func (r *StateMachine) reading(v *invocation) bool { return r.kept.unread && v.key.Token != "" }
+// awaitingRecovery says whether a tokened invocation must be turned away: what ran in an earlier life is not known yet.
+func (sm *StateMachine) awaitingRecovery(v *invocation) bool {
+	return sm.results.unread && v.tokenKey.Token != ""
+}
 
-// repeats finds what an invocation repeats, and tells the module as the simulator's wire does.
-func (r *StateMachine) repeats(v *invocation, e *admission.Event) error {
-	k := &r.kept
-	if v.key.Token == "" {
+// findOriginal finds what an invocation findOriginal, and tells the module as the simulator's wire does.
+func (sm *StateMachine) findOriginal(v *invocation, e *admission.Event) error {
+	k := &sm.results
+	if v.tokenKey.Token == "" {
 		return nil
 	}
-	if k.keeper == nil || r.config.Node.Operations[e.OperationIndex].Idempotency != admission.IdempotentWithKey {
-		v.key.Token = ""
+	if k.keeper == nil || sm.config.Node.Operations[e.OperationIndex].Idempotency != admission.IdempotentWithKey {
+		v.tokenKey.Token = ""
 		return nil
 	}
-	v.key.Operation, v.key.Tenant, v.hash = e.OperationIndex, e.Tenant, xxhash.Sum64(v.body)
-	if h := k.held[v.key]; h != nil {
-		if h.hash != v.hash {
+	v.tokenKey.Operation, v.tokenKey.Tenant, v.bodyHash = e.OperationIndex, e.Tenant, xxhash.Sum64(v.body)
+	if h := k.held[v.tokenKey]; h != nil {
+		if h.hash != v.bodyHash {
 			return errToken
 		}
 		e.Original = h.first
-	} else if hash, known := k.keeper.BodyHash(v.key); known {
-		if hash != v.hash {
+	} else if hash, known := k.keeper.BodyHash(v.tokenKey); known {
+		if hash != v.bodyHash {
 			return errToken
 		}
 		e.Original = admission.OriginalEnded
@@ -80,124 +82,124 @@
 	return nil
 }
 
-// hold notes a token's first invocation, which the module may hold, run or turn away.
-func (r *StateMachine) hold(i, repeats int32) {
-	if v := &r.invs[i]; v.key.Token != "" && repeats == admission.NoOriginal {
-		r.kept.held[v.key] = &unrun{first: i, hash: v.hash}
-		r.claim(i)
+// deferInvocation notes a token's first invocation, which the module may deferInvocation, run or turn away.
+func (sm *StateMachine) deferInvocation(i, repeats int32) {
+	if v := &sm.invocations[i]; v.tokenKey.Token != "" && repeats == admission.NoOriginal {
+		sm.results.held[v.tokenKey] = &pendingRun{first: i, hash: v.bodyHash}
+		sm.claimToken(i)
 	}
 }
 
-// reuse has a repeat wait for the run of its token, or gets it what was kept.
-func (r *StateMachine) reuse(i int32) {
-	v := &r.invs[i]
-	if !r.Invariants.Check(v.live && !v.answered && v.key.Token != "", "only a repeat of a token is reused") {
+// joinOriginal has a repeat wait for the run of its token, or gets it what was kept.
+func (sm *StateMachine) joinOriginal(i int32) {
+	v := &sm.invocations[i]
+	if !sm.Invariants.Check(v.live && !v.answered && v.tokenKey.Token != "", "only a repeat of a token is reused") {
 		return
 	}
-	if h := r.kept.held[v.key]; h != nil {
+	if h := sm.results.held[v.tokenKey]; h != nil {
 		h.waiting = append(h.waiting, i)
 		return
 	}
-	if _, known := r.kept.keeper.BodyHash(v.key); !known { // its first was turned away unrun in the same step
-		r.again(i)
+	if _, known := sm.results.keeper.BodyHash(v.tokenKey); !known { // its first was turned away unrun in the same step
+		sm.askCacheAgain(i)
 		return
 	}
-	r.ask(i)
+	sm.queryCache(i)
 }
 
-// ask hands an invocation to the keeper, which decides whether it runs, joins or is answered.
-func (r *StateMachine) ask(i int32) {
-	v := &r.invs[i]
-	v.asked = true
-	until := v.window
+// queryCache hands an invocation to the keeper, which decides whether it runs, joins or is answered.
+func (sm *StateMachine) queryCache(i int32) {
+	v := &sm.invocations[i]
+	v.inCache = true
+	until := v.tokenExpiresAt
 	if until == 0 {
-		until = r.now + v.terms.known
+		until = sm.now + v.terms.known
 	}
-	r.keeper(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.key, BodyHash: v.hash, Remaining: until - r.now})
+	sm.stepCache(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.tokenKey, BodyHash: v.bodyHash, Remaining: until - sm.now})
 }
 
-// runToken lets a token's first run, and those that waited for it join.
-func (r *StateMachine) runToken(i int32) {
-	v := &r.invs[i]
-	h := r.kept.held[v.key]
-	if r.Invariants.Check(h != nil && h.first == i, "a token's first invocation runs") {
-		delete(r.kept.held, v.key)
+// startTokenRun lets a token's first run, and those that waited for it join.
+func (sm *StateMachine) startTokenRun(i int32) {
+	v := &sm.invocations[i]
+	h := sm.results.held[v.tokenKey]
+	if sm.Invariants.Check(h != nil && h.first == i, "a token's first invocation runs") {
+		delete(sm.results.held, v.tokenKey)
 	} else {
-		h = &unrun{}
+		h = &pendingRun{}
 	}
-	r.ask(i)
+	sm.queryCache(i)
 	for _, j := range h.waiting {
-		r.ask(j)
+		sm.queryCache(j)
 	}
 }
 
-// again takes a repeat in anew, as its token's first: what it repeated was turned away unrun, or its caller left.
-func (r *StateMachine) again(i int32) {
-	v := r.invs[i]
-	c := r.conns[v.conn]
+// askCacheAgain takes a repeat in anew, as its token's first: what it repeated was turned away unrun, or its caller left.
+func (sm *StateMachine) askCacheAgain(i int32) {
+	v := sm.invocations[i]
+	c := sm.connections[v.connection]
 	if c == nil { // its connection ends in this step, and it with it
 		return
 	}
-	if !r.Invariants.Check(v.live && !v.answered, "one that is taken in anew still waits") {
+	if !sm.Invariants.Check(v.live && !v.answered, "one that is taken in anew still waits") {
 		return
 	}
-	r.invs[i].answered = true
-	r.open--
-	r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
+	sm.invocations[i].answered = true
+	sm.owedAnswers--
+	sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
 	e := v.arrival
-	v.asked, v.window = false, 0
-	j := r.admit(v)
+	v.inCache, v.tokenExpiresAt = false, 0
+	j := sm.addInvocation(v)
 	c.open[v.stream] = j
-	e.Invocation, e.Age, e.Original = j, r.now-v.taken+e.Age, admission.NoOriginal
-	if v.terms != r.termsNow(v.operation) {
-		e.Deadline = v.due // its client timeout is that of its terms
+	e.Invocation, e.Age, e.Original = j, sm.now-v.arrivedAt+e.Age, admission.NoOriginal
+	if v.terms != sm.currentTerms(v.operation) {
+		e.Deadline = v.deadline // its client timeout is that of its terms
 	}
-	if h := r.kept.held[v.key]; h != nil {
+	if h := sm.results.held[v.tokenKey]; h != nil {
 		e.Original = h.first
 	}
-	r.invs[j].arrival, r.invs[j].taken = e, r.now
-	r.hold(j, e.Original)
-	r.tellModule(e)
+	sm.invocations[j].arrival, sm.invocations[j].arrivedAt = e, sm.now
+	sm.deferInvocation(j, e.Original)
+	sm.notifyController(e)
 }
 
-// leaveToken takes an invocation that is answered, or whose caller left, out of what its token waits for. It says
+// abandonToken takes an invocation that is answered, or whose caller left, out of what its token waits for. It says
 // whether it must run on all the same, as others wait for it.
-func (r *StateMachine) leaveToken(i int32) bool {
-	k, v := &r.kept, &r.invs[i]
-	if v.key.Token == "" {
+func (sm *StateMachine) abandonToken(i int32) bool {
+	k, v := &sm.results, &sm.invocations[i]
+	if v.tokenKey.Token == "" {
 		return false
 	}
-	if h := k.held[v.key]; h != nil && !v.asked {
+	if h := k.held[v.tokenKey]; h != nil && !v.inCache {
 		if h.first != i {
 			h.waiting = slices.DeleteFunc(h.waiting, func(j int32) bool { return j == i })
 			return false
 		}
-		delete(k.held, v.key)
+		delete(k.held, v.tokenKey)
 		for _, j := range h.waiting {
-			r.again(j)
+			sm.askCacheAgain(j)
 		}
 		return false
 	}
-	if !v.asked {
+	if !v.inCache {
 		return false
 	}
-	r.keeper(resultcache.Input{Kind: resultcache.CallerDisconnected, Invocation: i, Key: v.key})
-	v.orphan = v.runs && !v.exited && k.keeper.JoinedCount(v.key) > 0
-	return v.orphan
+	sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected, Invocation: i, Key: v.tokenKey})
+	v.abandoned = v.atExecutor && !v.exited && k.keeper.JoinedCount(v.tokenKey) > 0
+	return v.abandoned
 }
 
-// runOver tells the module that a run is over whose answer waited for the disk.
-func (r *StateMachine) runOver(i int32) {
-	if v := &r.invs[i]; v.exited {
+// runFinished tells the module that a run is over whose answer waited for the disk.
+func (sm *StateMachine) runFinished(i int32) {
+	if v := &sm.invocations[i]; v.exited {
 		v.exited = false
-		r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.ending})
+		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.outcome})
 	}
 }
 
-// tokenEnded tells the keeper how a run ended. The answer follows once that is kept.
-func (r *StateMachine) tokenEnded(i int32, outcome admission.Outcome, body []byte) {
-	v := &r.invs[i]
-	v.exited, v.ending, v.runs = true, outcome, false
+// tokenRunEnded tells the keeper how a run ended. The answer follows once that is kept.
+func (sm *StateMachine) tokenRunEnded(i int32, outcome admission.Outcome, body []byte) {
+	v := &sm.invocations[i]
+	v.exited, v.outcome, v.atExecutor = true, outcome, false
 	ending := resultcache.Failed
 	switch outcome {
 	case admission.Succeeded:
@@ -205,15 +207,15 @@
 	case admission.NeverStarted:
 		ending = resultcache.NeverStarted
 	}
-	r.keeper(resultcache.Input{Kind: resultcache.RunEnded, Key: v.key, Outcome: ending, Result: body})
-	if v := &r.invs[i]; v.answered {
-		r.runOver(i)
+	sm.stepCache(resultcache.Input{Kind: resultcache.RunEnded, Key: v.tokenKey, Outcome: ending, Result: body})
+	if v := &sm.invocations[i]; v.answered {
+		sm.runFinished(i)
 	}
 }
 
-// fromStore takes what the store says.
-func (r *StateMachine) fromStore(in *Input) {
-	k := &r.kept
+// applyStoreInput takes what the store says.
+func (sm *StateMachine) applyStoreInput(in *Input) {
+	k := &sm.results
 	if k.keeper == nil {
 		return
 	}
@@ -224,11 +226,11 @@
 			k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.RecordRecovered, Key: s.Key, BodyHash: s.BodyHash, Completed: s.Completed, Outcome: s.Outcome,
 				Result: s.Result})
 		}
-		r.keeper()
+		sm.stepCache()
 	case RecoveryCompleted:
 		k.unread = false
-		r.keeper(resultcache.Input{Kind: resultcache.RecoveryCompleted})
-		r.remark(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.stored,
+		sm.stepCache(resultcache.Input{Kind: resultcache.RecoveryCompleted})
+		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.stored,
 			k.keeper.Counters.Entries, k.keeper.Counters.Unknown), "", nil)
 	case RecordWritten, RecordWriteFailed:
 		failing := k.keeper.StoreFailing()
@@ -239,18 +241,18 @@
 		for _, s := range in.Records {
 			k.inputs = append(k.inputs, resultcache.Input{Kind: kind, Key: s.Key})
 		}
-		r.keeper()
+		sm.stepCache()
 		if now := k.keeper.StoreFailing(); now && !failing {
-			r.remark(Warn, "results can't be kept", "", in.Err)
+			sm.log(Warn, "results can't be kept", "", in.Err)
 		} else if failing && !now {
-			r.remark(Info, "results are kept again", "", nil)
+			sm.log(Info, "results are kept again", "", nil)
 		}
 	}
 }
 
-// keeper steps the keeper with inputs; what follows from its actions is stepped after them, never within.
-func (r *StateMachine) keeper(inputs ...resultcache.Input) {
-	k := &r.kept
+// stepCache steps the stepCache with inputs; what follows from its actions is stepped after them, never within.
+func (sm *StateMachine) stepCache(inputs ...resultcache.Input) {
+	k := &sm.results
 	k.inputs = append(k.inputs, inputs...)
 	if k.running {
 		return
@@ -259,49 +261,49 @@
 	for len(k.inputs) > 0 {
 		batch := k.inputs
 		k.inputs = nil
-		for _, a := range k.keeper.Step(r.now, batch) {
-			r.carryKept(&a)
+		for _, a := range k.keeper.Step(sm.now, batch) {
+			sm.executeCacheAction(&a)
 		}
 	}
 	k.running = false
 }
 
-func (r *StateMachine) carryKept(a *resultcache.Action) {
+func (sm *StateMachine) executeCacheAction(a *resultcache.Action) {
 	switch a.Kind {
 	case resultcache.Run:
-		v := &r.invs[a.Invocation]
+		v := &sm.invocations[a.Invocation]
 		if v.live && !v.answered {
-			v.runs = true
-			r.run(a.Invocation, v.runForm)
+			v.atExecutor = true
+			sm.startRun(a.Invocation, v.runForm)
 		}
 	case resultcache.WriteStart:
-		if r.claimed.desk != nil {
-			r.want(claims.Input{Kind: claims.RequestStart, Key: r.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: a.Until - r.now, Window: a.Until - r.now})
+		if sm.claiming.desk != nil {
+			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: a.Until - sm.now, Window: a.Until - sm.now})
 			return
 		}
-		r.do(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - r.now}})
+		sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - sm.now}})
 	case resultcache.WriteEnd:
-		if r.claimed.desk != nil {
-			r.want(claims.Input{Kind: claims.ReportEnd, Key: r.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
+		if sm.claiming.desk != nil {
+			sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
 			return
 		}
-		r.do(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
-			Remaining: r.knownMost(a.Key.Operation)}})
+		sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
+			Remaining: sm.maxTokenLifetime(a.Key.Operation)}})
 	case resultcache.RemoveRecord:
-		if r.claimed.desk != nil {
-			r.want(claims.Input{Kind: claims.AbandonClaim, Key: r.claimKey(a.Key)})
+		if sm.claiming.desk != nil {
+			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: sm.claimKey(a.Key)})
 		}
 	case resultcache.Join:
 	default:
-		r.answerKept(a)
+		sm.answerFromCache(a)
 	}
 }
 
-// answerKept gives an invocation the answer that the keeper has for it, and tells the module that it is over.
-func (r *StateMachine) answerKept(a *resultcache.Action) {
+// answerFromCache gives an invocation the answer that the keeper has for it, and tells the module that it is over.
+func (sm *StateMachine) answerFromCache(a *resultcache.Action) {
 	i := a.Invocation
-	v := &r.invs[i]
-	if !r.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
+	v := &sm.invocations[i]
+	if !sm.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
 		return
 	}
 	own := v.exited // a run of its own is over with its answer
@@ -314,13 +316,13 @@
 	switch a.Kind {
 	case resultcache.Serve:
 		outcome = admission.Succeeded
-		r.succeed(i, a.Result, fields...)
+		sm.succeed(i, a.Result, fields...)
 	case resultcache.Reject:
 		outcome = admission.NeverStarted
-		if back := min(a.RetryAfter, r.config.Node.MaxRetryAfter); back > 0 {
+		if back := min(a.RetryAfter, sm.config.Node.MaxRetryAfter); back > 0 {
 			note("pushback", strconv.FormatInt((back+ms-1)/ms, 10))
 		}
-		r.answer(i, frame.Throttled, fields, nil)
+		sm.answer(i, frame.Throttled, fields, nil)
 	default:
 		switch {
 		case a.Kind == resultcache.OutcomeUnknown:
@@ -330,24 +332,24 @@
 		case a.ResultNotCached:
 			note("outcome", "succeeded, its result is not kept")
 		}
-		r.answer(i, frame.Errored, fields, nil)
+		sm.answer(i, frame.Errored, fields, nil)
 	}
 	if !own {
-		r.tellModule(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
+		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 	}
 }
 
-// keepResults lets tokens expire that are due.
-func (r *StateMachine) keepResults() {
-	if k := &r.kept; k.keeper != nil && r.now >= k.keeper.NextExpiry() {
+// expireResults lets tokens expire that are due.
+func (sm *StateMachine) expireResults() {
+	if k := &sm.results; k.keeper != nil && sm.now >= k.keeper.NextExpiry() {
 		k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.CallerDisconnected})
-		r.keeper()
+		sm.stepCache()
 	}
 }
 
-func (r *StateMachine) resultsDue() int64 {
-	if r.kept.keeper == nil {
+func (sm *StateMachine) resultsDue() int64 {
+	if sm.results.keeper == nil {
 		return never
 	}
-	return max(r.now+1, r.kept.keeper.NextExpiry())
+	return max(sm.now+1, sm.results.keeper.NextExpiry())
 }
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -26,7 +26,7 @@
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	return r
@@ -63,8 +63,8 @@
 	assert.Contains(t, text(sent, SendToConnection), "kept")
 	assert.Equal(t, 1, runsOf(step(r, hold(4, "b"))), "another token runs")
 	step(r)
-	assert.Equal(t, 1, r.open)
-	assert.Len(t, r.calls, 1)
+	assert.Equal(t, 1, r.owedAnswers)
+	assert.Len(t, r.indexByCall, 1)
 }
 
 func TestRepeatsOfOneStepAreOneRun(t *testing.T) {
@@ -88,13 +88,13 @@
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
-	require.NotEmpty(t, r.supplies, "its call is made all the same")
+	require.NotEmpty(t, r.catalogueLinks, "its call is made all the same")
 	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
 	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
 	step(r)
-	assert.Zero(t, r.open)
-	assert.Empty(t, r.calls)
+	assert.Zero(t, r.owedAnswers)
+	assert.Empty(t, r.indexByCall)
 }
 
 func TestCallerThatLeavesBeforeItsRunLeavesItToTheNext(t *testing.T) {
@@ -116,7 +116,7 @@
 	assert.True(t, kindsOf(ended, WriteRecord)[0].Record.Completed)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, written(r, ended)))
 	step(r)
-	assert.Empty(t, r.calls)
+	assert.Empty(t, r.indexByCall)
 }
 
 func TestStoreThatFailsRefusesUnrun(t *testing.T) {
@@ -124,7 +124,7 @@
 	in := Input{Kind: RecordWriteFailed, Err: errField, Records: []resultcache.Record{*kindsOf(step(r, hold(1, "a")), WriteRecord)[0].Record}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
-	assert.Empty(t, r.calls)
+	assert.Empty(t, r.indexByCall)
 }
 
 func TestRunThatCouldNotStartIsThrottledAndTheNextRuns(t *testing.T) {
@@ -137,7 +137,7 @@
 
 func TestWhatRanInAnEarlierLifeIsNotRunAgain(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
-	r.kept.unread = true
+	r.results.unread = true
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, hold(1, "a"))), "not known yet")
 	begun := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "a"}, BodyHash: bodyHash}
 	done := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
@@ -152,7 +152,7 @@
 	assert.Contains(t, text(sent, SendToConnection), "kept")
 	assert.Zero(t, runsOf(sent))
 	step(r)
-	assert.Zero(t, r.open)
+	assert.Zero(t, r.owedAnswers)
 }
 
 func TestRepeatsOfOneTurnedAwayUnrunAreTakenInAnew(t *testing.T) {
@@ -161,25 +161,25 @@
 		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
 	var first int32 = -1
-	for _, h := range r.kept.held {
+	for _, h := range r.results.held {
 		first = max(first, h.first)
 	}
 	require.GreaterOrEqual(t, first, int32(0), "some wait unrun")
-	v := r.invs[first]
-	open := r.open
-	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.key.Token))
-	assert.Equal(t, open+1, r.open)
+	v := r.invocations[first]
+	open := r.owedAnswers
+	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
+	assert.Equal(t, open+1, r.owedAnswers)
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
 	step(r)
-	assert.Equal(t, open, r.open)
-	h := r.kept.held[v.key]
+	assert.Equal(t, open, r.owedAnswers)
+	h := r.results.held[v.tokenKey]
 	require.NotNil(t, h)
-	assert.Equal(t, id(100), r.invs[h.first].call, "the repeat is its token's first now")
+	assert.Equal(t, id(100), r.invocations[h.first].call, "the repeat is its token's first now")
 }
 
 func TestTokensMeanNothingWhereNoneAreKept(t *testing.T) {
 	r := keeping(t, resultcache.InMemory)
-	r.kept = kept{}
+	r.results = resultState{}
 	assert.Equal(t, 2, runsOf(step(r, hold(1, "a"), hold(2, "a"))))
 	assert.Nil(t, r.Results())
 }
@@ -191,7 +191,7 @@
 	assert.Equal(t, 1, runsOf(step(r, first)))
 	came := r.now
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
-	r.now, r.heardAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
+	r.now, r.executorHeardAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
 	stamp := fmt.Sprint((came+19_900*ms)/ms + 1_000_000)
 	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
 	assert.Zero(t, runsOf(got))
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -39,8 +39,8 @@
 	Before                 ServiceCounts // in the stay that ends
 }
 
-// ladder is the door's state of the levels; the zero value has no plan.
-type ladder struct {
+// degradationState is the door's state of the levels; the zero value has no plan.
+type degradationState struct {
 	plan     *DegradationPlan
 	source   *DegradationPlan  // as it was given
 	names    *nodeconfig.Names // of operations, by index in the source
@@ -53,26 +53,26 @@
 	since    int64
 }
 
-// adopt takes a plan, or another one; nil ends the levels. A plan that does not fit the operations changes nothing.
-func (r *StateMachine) adopt(plan *DegradationPlan) {
-	l := &r.levels
+// applyPlan takes a plan, or another one; nil ends the levels. A plan that does not fit the operations changes nothing.
+func (sm *StateMachine) applyPlan(plan *DegradationPlan) {
+	l := &sm.degradation
 	if plan != nil && l.plan != nil && plan.Text != "" && plan.Text == l.plan.Text {
 		return // what was learnt of it stays
 	}
 	source, names := plan, (*nodeconfig.Names)(nil)
 	if plan != nil {
 		if names = nodeconfig.NewNames(plan.Operations...); plan.Operations == nil {
-			names = nodeconfig.NewNames(r.config.Operations.All()...)
+			names = nodeconfig.NewNames(sm.config.Operations.All()...)
 		}
 		if faults := plan.Validate(names.Slots()); len(faults) > 0 {
-			r.remark(Warn, "plan of levels can't be used, the one of before stays", "",
+			sm.log(Warn, "plan of levels can't be used, the one of before stays", "",
 				fmt.Errorf("%v: %s", faults[0].Path, faults[0].Description))
 			return
 		}
-		plan = fitted(plan, names, r.config.Operations)
+		plan = fitted(plan, names, sm.config.Operations)
 	}
 	if l.chance == nil {
-		l.chance = rand.New(rand.NewSource(r.config.Node.Seed ^ 0x6c6576656c73))
+		l.chance = rand.New(rand.NewSource(sm.config.Node.Seed ^ 0x6c6576656c73))
 	}
 	change := degradation.Change{Cause: degradation.PlanReplaced}
 	from := ""
@@ -82,19 +82,19 @@
 		return
 	case plan == nil:
 		from = l.plan.LevelName(l.steps.Level())
-		change.From, change.PreviousTime = l.steps.Level(), r.now-l.since
+		change.From, change.PreviousTime = l.steps.Level(), sm.now-l.since
 	case l.steps == nil:
-		steps = degradation.NewController(&plan.Plan, r.now, l.chance)
+		steps = degradation.NewController(&plan.Plan, sm.now, l.chance)
 	default:
 		from = l.plan.LevelName(l.steps.Level())
-		steps, change = l.steps.ReplacePlan(&plan.Plan, r.now, l.chance)
+		steps, change = l.steps.ReplacePlan(&plan.Plan, sm.now, l.chance)
 	}
 	before := l.stay
 	if l.plan != nil {
-		l.account(r.now, l.steps.Level())
+		l.account(sm.now, l.steps.Level())
 	}
 	l.source, l.names = source, names
-	l.plan, l.steps, l.served, l.spent, l.since = plan, steps, nil, nil, r.now
+	l.plan, l.steps, l.served, l.spent, l.since = plan, steps, nil, nil, sm.now
 	t := &LevelChange{Change: change, FromName: from, Before: before}
 	if plan != nil {
 		l.served, l.spent = make([]ServiceCounts, len(plan.Levels)+1), make([]int64, len(plan.Levels)+1)
@@ -103,8 +103,8 @@
 		}
 		t.Plan, t.ToName = plan.Name, plan.LevelName(change.To)
 	}
-	l.begin(r.now)
-	r.setLevel(t)
+	l.begin(sm.now)
+	sm.applyLevel(t)
 }
 
 // fitted is a plan by the indices of the node that takes it: those change in service, and need not be those of a file. What
@@ -140,14 +140,14 @@
 }
 
 // place does so in the plan in force; without a name the index is no operation's any more.
-func (l *ladder) place(index int32, name string) {
+func (l *degradationState) place(index int32, name string) {
 	if l.plan != nil {
 		l.plan.place(index, name, l.source, l.names)
 	}
 }
 
 // left is what the level in force leaves of an operation, nil for all of it.
-func (l *ladder) left(index int32) []admission.Service {
+func (l *degradationState) left(index int32) []admission.Service {
 	if l.plan == nil {
 		return nil
 	}
@@ -159,7 +159,7 @@
 }
 
 // account adds the stay that ends to the totals of its level.
-func (l *ladder) account(now int64, level int) {
+func (l *degradationState) account(now int64, level int) {
 	s := &l.served[level]
 	s.Whole, s.Reduced = s.Whole+l.stay.Whole, s.Reduced+l.stay.Reduced
 	s.Levelled, s.Throttled = s.Levelled+l.stay.Levelled, s.Throttled+l.stay.Throttled
@@ -167,7 +167,7 @@
 	s.Seconds = l.spent[level] / (1_000 * ms)
 }
 
-func (l *ladder) begin(now int64) {
+func (l *degradationState) begin(now int64) {
 	l.stay, l.since = ServiceCounts{}, now
 	if l.plan != nil {
 		l.served[l.steps.Level()].Entered++
@@ -175,34 +175,34 @@
 	}
 }
 
-// keepLevels steps the ladder on the beat, and tells the module of another level.
-func (r *StateMachine) keepLevels() {
-	l := &r.levels
-	if l.steps == nil || r.post == nil || r.noticed { // a drain stays at its level: intake ends soon
+// stepDegradation steps the ladder on the beat, and tells the module of another level.
+func (sm *StateMachine) stepDegradation() {
+	l := &sm.degradation
+	if l.steps == nil || sm.controller == nil || sm.drainRequested { // a drain stays at its level: intake ends soon
 		return
 	}
-	r.post.MeasureLoad(&l.measures)
-	change, changed := l.steps.Step(r.now, &l.measures)
+	sm.controller.MeasureLoad(&l.measures)
+	change, changed := l.steps.Step(sm.now, &l.measures)
 	if !changed {
 		return
 	}
 	before := l.stay
 	before.Seconds = change.PreviousTime / (1_000 * ms)
-	l.account(r.now, change.From)
-	l.begin(r.now)
-	r.setLevel(&LevelChange{Change: change, Plan: l.plan.Name, FromName: l.plan.LevelName(change.From),
+	l.account(sm.now, change.From)
+	l.begin(sm.now)
+	sm.applyLevel(&LevelChange{Change: change, Plan: l.plan.Name, FromName: l.plan.LevelName(change.From),
 		ToName: l.plan.LevelName(change.To), Signals: l.measures, Loads: l.steps.LoadByLevel(), Before: before})
 }
 
-func (r *StateMachine) setLevel(t *LevelChange) {
-	if r.post != nil {
-		r.events = append(r.events, r.levels.event())
+func (sm *StateMachine) applyLevel(t *LevelChange) {
+	if sm.controller != nil {
+		sm.events = append(sm.events, sm.degradation.event())
 	}
-	r.do(Effect{Kind: LevelChanged, LevelChange: t})
+	sm.emit(Effect{Kind: LevelChanged, LevelChange: t})
 }
 
 // event tells the module what the level in force leaves of each operation.
-func (l *ladder) event() admission.Event {
+func (l *degradationState) event() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if l.plan != nil {
 		e.Services, e.UseSpareCapacity = l.plan.Services(l.steps.Level()), l.plan.UseSpareCapacity
@@ -210,23 +210,23 @@
 	return e
 }
 
-// form is the name that an operation's run has at the executor, and the level's name where that is a reduced form.
-func (r *StateMachine) form(op string, form admission.Form) (class, level string) {
-	l := &r.levels
-	if form != admission.Reduced || l.steps == nil || l.steps.Level() == 0 {
+// formFor is the name that an operation's run has at the executor, and the level's name where that is a reduced formFor.
+func (sm *StateMachine) formFor(op string, formFor admission.Form) (class, level string) {
+	l := &sm.degradation
+	if formFor != admission.Reduced || l.steps == nil || l.steps.Level() == 0 {
 		return op, ""
 	}
 	level = l.plan.LevelName(l.steps.Level())
-	i, _ := r.config.Operations.Lookup(op) // one that is out of service is known while it runs
+	i, _ := sm.config.Operations.Lookup(op) // one that is out of service is known while it runs
 	class = l.plan.Forms[l.steps.Level()-1][i]
-	if !r.Invariants.Check(class != "", "a reduced run has a form that the executor knows") {
+	if !sm.Invariants.Check(class != "", "a reduced run has a form that the executor knows") {
 		return op, ""
 	}
 	return class, level
 }
 
 // count counts an answer for the level in force.
-func (l *ladder) count(succeeded, reduced bool, why admission.Reason) {
+func (l *degradationState) count(succeeded, reduced bool, why admission.Reason) {
 	switch {
 	case l.plan == nil:
 	case succeeded && reduced:
@@ -241,14 +241,14 @@
 }
 
 // Levels is what was served at each level since the plan was taken, nil without a plan.
-func (r *StateMachine) Levels() []ServiceCounts {
-	if r.levels.plan == nil {
+func (sm *StateMachine) Levels() []ServiceCounts {
+	if sm.degradation.plan == nil {
 		return nil
 	}
-	all := append([]ServiceCounts(nil), r.levels.served...)
-	l := r.levels
+	all := append([]ServiceCounts(nil), sm.degradation.served...)
+	l := sm.degradation
 	l.served, l.spent = all, append([]int64(nil), l.spent...)
-	l.account(r.now, l.steps.Level())
+	l.account(sm.now, l.steps.Level())
 	return all
 }
 
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -35,9 +35,9 @@
 	next.Levels = next.Levels[:level]
 	next.Forms = next.Forms[:level]
 	step(r, Input{Kind: PlanChanged, Plan: next})
-	r.now = r.beatAt
+	r.now = r.timerAt
 	step(r)
-	require.Equal(t, level, r.levels.steps.Level())
+	require.Equal(t, level, r.degradation.steps.Level())
 	return r
 }
 
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "ok", string(body))
 	assert.Contains(t, fields, frame.Field{Name: "level", Value: "plain"})
-	assert.Equal(t, 1, r.levels.stay.Reduced)
+	assert.Equal(t, 1, r.degradation.stay.Reduced)
 }
 
 func TestWholeAnswerNamesNoLevel(t *testing.T) {
@@ -60,22 +60,22 @@
 	effects := step(r, invoke(1, "op", "hold"))
 	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
 	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
-	assert.Equal(t, 1, r.levels.stay.Whole)
+	assert.Equal(t, 1, r.degradation.stay.Whole)
 }
 
 func TestRefusedByTheLevelIsCountedApart(t *testing.T) {
 	r := at(t, 2)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
-	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.levels.stay)
+	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.degradation.stay)
 	all := r.Levels()
 	assert.Equal(t, 1, all[2].Levelled)
-	assert.Equal(t, 0, r.levels.served[2].Levelled, "to look changes nothing")
+	assert.Equal(t, 0, r.degradation.served[2].Levelled, "to look changes nothing")
 }
 
 func TestChangeOfLevelIsToldWithItsCause(t *testing.T) {
 	r := up(t)
 	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
-	r.now = r.beatAt
+	r.now = r.timerAt
 	var turn *LevelChange
 	for _, e := range step(r) {
 		if e.Kind == LevelChanged {
@@ -92,9 +92,9 @@
 	r := at(t, 1)
 	bad := ladderOf(1)
 	bad.Levels[0].Services = bad.Levels[0].Services[:1]
-	before := r.levels
+	before := r.degradation
 	step(r, Input{Kind: PlanChanged, Plan: bad})
-	assert.Equal(t, before, r.levels)
+	assert.Equal(t, before, r.degradation)
 }
 
 func TestPlanTakenAwayGivesFullServiceBack(t *testing.T) {
@@ -109,9 +109,9 @@
 	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
-	r.now = r.beatAt
+	r.now = r.timerAt
 	step(r)
-	assert.Equal(t, 2, r.levels.steps.Level())
+	assert.Equal(t, 2, r.degradation.steps.Level())
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
 }
 
@@ -119,9 +119,9 @@
 	r := at(t, 2)
 	step(r, Input{Kind: DrainRequested})
 	next := ladderOf(1e9)
-	r.levels.plan, r.levels.steps = next, degradation.NewController(&next.Plan, r.now, r.levels.chance)
+	r.degradation.plan, r.degradation.steps = next, degradation.NewController(&next.Plan, r.now, r.degradation.chance)
 	for range 10 {
-		r.now = r.beatAt
+		r.now = r.timerAt
 		for _, e := range step(r) {
 			assert.NotEqual(t, LevelChanged, e.Kind)
 		}
@@ -131,12 +131,12 @@
 // A link to the executor that takes long to open must not keep the node awake.
 func TestWakeLiesAheadWhileTheExecutorIsDialled(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.link})
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
 	r.now = r.redialAt
 	step(r)
 	r.now += 10_000 * ms
 	step(r)
-	assert.NotZero(t, r.dialing)
+	assert.NotZero(t, r.dialingLink)
 	assert.Zero(t, r.Invariants.Broken("the next wake lies ahead"))
 }
 
@@ -145,7 +145,7 @@
 	step(r, invoke(1))
 	samples := 0
 	for range 100 {
-		r.now = r.beatAt
+		r.now = r.timerAt
 		for _, e := range r.Step(r.now, r.now, nil) {
 			if e.Kind == SampleState {
 				samples++
@@ -164,6 +164,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.state()
+		r.snapshotState()
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,8 +13,8 @@
 	farewells  = 3          // times that a leaving node's last word goes round
 )
 
-// peers is the door to the other nodes; without members it is shut: no timer, no cost.
-type peers struct {
+// fleetState is the door to the other nodes; without members it is shut: no timer, no cost.
+type fleetState struct {
 	members *membership.Members
 	fleet   envelope.Fleet
 	inputs  []membership.Input
@@ -31,64 +31,64 @@
 	Fleet   int `json:"another_fleet"`
 }
 
-// peerLetter is the body of a letter that is a datagram or part of an exchange: membership's, or in a key of its own another
+// peerMessage is the body of a letter that is a datagram or part of an exchange: membership's, or in a key of its own another
 // door's. A build that lacks the door finds a message of no kind, and refuses it.
-type peerLetter struct {
+type peerMessage struct {
 	membership.Message
-	Configuration *configurationLetter `cbor:"10,keyasint,omitempty"`
+	Configuration *configMessage `cbor:"10,keyasint,omitempty"`
 }
 
 // JoinFleet makes the node one of a fleet, before its first step.
-func (r *StateMachine) JoinFleet(fleet string, members *membership.Members) {
-	r.peers = peers{members: members, fleet: envelope.FleetOf(fleet), loose: -1}
-	r.Invariants.Check(r.now == 0, "a node joins its fleet before its first step")
+func (sm *StateMachine) JoinFleet(fleet string, members *membership.Members) {
+	sm.fleet = fleetState{members: members, fleet: envelope.FleetOf(fleet), loose: -1}
+	sm.Invariants.Check(sm.now == 0, "a node joins its fleet before its first step")
 }
 
 // Members is what the node knows of its fleet, nil outside one.
-func (r *StateMachine) Members() *membership.Members { return r.peers.members }
+func (sm *StateMachine) Members() *membership.Members { return sm.fleet.members }
 
 // PeerMessageCounters is what could not be used of what peers sent.
-func (r *StateMachine) PeerMessageCounters() PeerMessageCounters { return r.peers.letters }
+func (sm *StateMachine) PeerMessageCounters() PeerMessageCounters { return sm.fleet.letters }
 
-// fromPeers takes a datagram or a part of an exchange.
-func (r *StateMachine) fromPeers(in *Input) {
-	p := &r.peers
+// applyPeerInput takes a datagram or a part of an exchange.
+func (sm *StateMachine) applyPeerInput(in *Input) {
+	p := &sm.fleet
 	if p.members == nil {
 		return
 	}
 	if in.Link >= configurationLinks && (in.Kind == PeerExchangeFailed || in.Kind == PeerResponseReceived) {
-		r.answeredConfiguration(in)
+		sm.applyConfigResponse(in)
 		return
 	}
 	if in.Kind == PeerExchangeFailed {
-		r.remark(Debug, "exchange with a peer came to nothing", "", in.Err)
+		sm.log(Debug, "exchange with a peer came to nothing", "", in.Err)
 		p.inputs = append(p.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
 		return
 	}
-	body := new(peerLetter)
+	body := new(peerMessage)
 	if err := envelope.Open(in.Bytes, p.fleet, body); err != nil {
-		r.unusable(in, err)
+		sm.countUnusable(in, err)
 		return
 	}
 	if body.Configuration != nil {
-		r.fromConfiguration(in, body.Configuration)
+		sm.applyConfigMessage(in, body.Configuration)
 		return
 	}
 	msg := &body.Message
 	if datagram := msg.Kind <= membership.MessageGossip; datagram != (in.Kind == PeerDatagramReceived) || msg.Kind == 0 {
-		r.unusable(in, fmt.Errorf("%w: kind %d does not belong there", envelope.ErrSpoilt, msg.Kind))
+		sm.countUnusable(in, fmt.Errorf("%w: kind %d does not belong there", envelope.ErrSpoilt, msg.Kind))
 		return
 	}
 	if msg.Kind == membership.MessageViewRequest {
 		if in.Kind == PeerRequestReceived && msg.Why == membership.LookClaims {
-			if picture := r.Claims(); picture != nil {
-				r.seal(Effect{Kind: ReplyToExchange, Link: in.Link}, picture)
+			if picture := sm.Claims(); picture != nil {
+				sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: in.Link}, picture)
 			} else {
-				r.do(Effect{Kind: ReplyToExchange, Link: in.Link})
+				sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link})
 			}
 		} else if in.Kind == PeerRequestReceived {
 			v := p.members.View()
-			r.seal(Effect{Kind: ReplyToExchange, Link: in.Link}, &v)
+			sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: in.Link}, &v)
 		}
 		return
 	}
@@ -96,9 +96,9 @@
 	p.inputs = append(p.inputs, membership.Input{Kind: kind, Link: in.Link, Message: msg})
 }
 
-// unusable counts and tells of what can't be used; an exchange of ours that brought it came to nothing.
-func (r *StateMachine) unusable(in *Input, err error) {
-	p := &r.peers
+// countUnusable counts and tells of what can't be used; an exchange of ours that brought it came to nothing.
+func (sm *StateMachine) countUnusable(in *Input, err error) {
+	p := &sm.fleet
 	switch {
 	case errors.Is(err, envelope.ErrFleet):
 		p.letters.Fleet++
@@ -107,105 +107,105 @@
 	default:
 		p.letters.Spoilt++
 	}
-	r.remark(Warn, "peer can't be understood", in.From, err)
+	sm.log(Warn, "peer can't be understood", in.From, err)
 	switch in.Kind {
 	case PeerResponseReceived:
 		p.inputs = append(p.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
 	case PeerRequestReceived:
-		r.do(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
+		sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
 	}
 }
 
-// keepPeers steps the membership when something came or is due.
-func (r *StateMachine) keepPeers() {
-	p := &r.peers
+// stepMembership steps the membership when something came or is due.
+func (sm *StateMachine) stepMembership() {
+	p := &sm.fleet
 	if p.members == nil {
 		return
 	}
-	if facts := r.facts(); facts != p.told {
+	if facts := sm.facts(); facts != p.told {
 		p.told = facts
 		p.inputs = append(p.inputs, membership.Input{Kind: membership.FactsChanged, Facts: facts})
 	}
-	if r.now < p.wakeAt && len(p.inputs) == 0 {
+	if sm.now < p.wakeAt && len(p.inputs) == 0 {
 		return
 	}
 	var effects []membership.Effect
-	effects, p.wakeAt = p.members.Step(r.now, r.wall, p.inputs)
+	effects, p.wakeAt = p.members.Step(sm.now, sm.wall, p.inputs)
 	clear(p.inputs)
 	p.inputs = p.inputs[:0]
-	r.carryPeers(effects)
+	sm.executeMembershipEffects(effects)
 }
 
-func (r *StateMachine) carryPeers(effects []membership.Effect) {
+func (sm *StateMachine) executeMembershipEffects(effects []membership.Effect) {
 	for k := range effects {
 		switch e := &effects[k]; e.Kind {
 		case membership.Send:
-			r.seal(Effect{Kind: SendDatagram, Address: e.To}, &e.Message)
+			sm.sendEnvelope(Effect{Kind: SendDatagram, Address: e.To}, &e.Message)
 		case membership.Exchange:
-			r.seal(Effect{Kind: OpenExchange, Link: e.Link, Address: e.To}, &e.Message)
+			sm.sendEnvelope(Effect{Kind: OpenExchange, Link: e.Link, Address: e.To}, &e.Message)
 		case membership.Reply:
-			r.seal(Effect{Kind: ReplyToExchange, Link: e.Link}, &e.Message)
+			sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &e.Message)
 		case membership.ViewChanged:
 			change := e.Change
-			r.do(Effect{Kind: ViewChanged, Change: &change})
+			sm.emit(Effect{Kind: ViewChanged, Change: &change})
 		case membership.WriteLog:
-			r.remark(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
+			sm.log(map[bool]LogLevel{true: Warn, false: Info}[e.Warn], e.Text, "", nil)
 		}
 	}
 }
 
 // facts are what the fleet is told of this node.
-func (r *StateMachine) facts() (f membership.Facts) {
-	p := &r.peers
-	if r.post != nil && r.link != 0 {
+func (sm *StateMachine) facts() (f membership.Facts) {
+	p := &sm.fleet
+	if sm.controller != nil && sm.executorLink != 0 {
 		p.loose = -1
 	} else if p.loose < 0 {
-		p.loose = r.now
+		p.loose = sm.now
 	}
-	f.NoUse = r.hollow.onlySeat || !r.hollow.on && p.loose >= 0 && r.now-p.loose >= noUseAfter
+	f.NoUse = sm.hollow.onlySeat || !sm.hollow.on && p.loose >= 0 && sm.now-p.loose >= noUseAfter
 	switch {
-	case r.shut:
+	case sm.acceptStopped:
 		f.Beat = 3
-	case r.noticed:
+	case sm.drainRequested:
 		f.Beat = 1
 	}
-	if l := &r.levels; l.steps != nil {
+	if l := &sm.degradation; l.steps != nil {
 		f.Level = uint8(l.steps.Level())
 	}
 	return f
 }
 
-// farewell tells the fleet that the node leaves now, some times over: nobody answers for a datagram that is lost.
-func (r *StateMachine) farewell() {
-	p := &r.peers
+// announceLeaving tells the fleet that the node leaves now, some times over: nobody answers for a datagram that is lost.
+func (sm *StateMachine) announceLeaving() {
+	p := &sm.fleet
 	if p.members == nil {
 		return
 	}
 	for range farewells {
-		effects, _ := p.members.Step(r.now, r.wall, []membership.Input{{Kind: membership.Leaving}})
-		r.carryPeers(effects)
+		effects, _ := p.members.Step(sm.now, sm.wall, []membership.Input{{Kind: membership.Leaving}})
+		sm.executeMembershipEffects(effects)
 	}
 }
 
-func (r *StateMachine) seal(e Effect, body any) {
+func (sm *StateMachine) sendEnvelope(e Effect, body any) {
 	var err error
-	if e.Bytes, err = envelope.Seal(nil, r.peers.fleet, body); !r.Invariants.Check(err == nil, "what peers are told can be written") {
+	if e.Bytes, err = envelope.Seal(nil, sm.fleet.fleet, body); !sm.Invariants.Check(err == nil, "what peers are told can be written") {
 		return
 	}
-	if r.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
-		r.do(e)
+	if sm.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
+		sm.emit(e)
 	}
 }
 
-// peersDue is when the membership is to step again.
-func (r *StateMachine) peersDue() int64 {
-	p := &r.peers
+// membershipDue is when the membership is to step again.
+func (sm *StateMachine) membershipDue() int64 {
+	p := &sm.fleet
 	if p.members == nil {
 		return never
 	}
 	at := p.wakeAt
-	if p.loose >= 0 && r.now-p.loose < noUseAfter && !r.hollow.on {
+	if p.loose >= 0 && sm.now-p.loose < noUseAfter && !sm.hollow.on {
 		at = min(at, p.loose+noUseAfter)
 	}
-	return max(at, r.now+1)
+	return max(at, sm.now+1)
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -74,10 +74,10 @@
 	assert.Len(t, kindsOf(effects, ReplyToExchange), 1, "the exchange is closed")
 	assert.Len(t, r.Members().View().Members, 1)
 	r = peered(t) // without a fleet nothing is read
-	r.peers = peers{}
+	r.fleet = fleetState{}
 	effects = r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: good}})
 	assert.Empty(t, kindsOf(effects, SendDatagram))
-	assert.Equal(t, int64(never), r.peersDue())
+	assert.Equal(t, int64(never), r.membershipDue())
 }
 
 func TestLookIsAnsweredWithTheView(t *testing.T) {
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -26,7 +26,7 @@
 func asksOf(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
 	for _, e := range kindsOf(effects, SendOnStream) {
 		m := new(consensus.Message)
-		require.NoError(t, envelope.Open(e.Bytes, r.peers.fleet, m))
+		require.NoError(t, envelope.Open(e.Bytes, r.fleet.fleet, m))
 		list = append(list, m.Leases...)
 	}
 	return list
@@ -46,7 +46,7 @@
 	heardFrom(t, r, grant)
 	effects = step(r)
 	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the module hears of it in the next step")
-	effects = step(r, Input{Kind: CatalogueConnected, Link: r.supplies[0].link})
+	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
 	fetch := kindsOf(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
 	assert.LessOrEqual(t, fetch[0].At, r.now+500*ms, "of no use once its part of the lease is over")
@@ -63,33 +63,33 @@
 	require.NotEmpty(t, asks)
 	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(r)
-	require.Len(t, r.supplies, 1)
-	step(r, Input{Kind: CatalogueConnected, Link: r.supplies[0].link})
-	for len(r.supplies) > 0 {
-		require.Less(t, r.now, r.leasing.holder.Until())
+	require.Len(t, r.catalogueLinks, 1)
+	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
+	for len(r.catalogueLinks) > 0 {
+		require.Less(t, r.now, r.leases.holder.Until())
 		step(r)
 	}
 	gaveUp := r.now
-	require.Equal(t, int64(1), r.leasing.holder.Allowed(r.now), "the lease goes on")
+	require.Equal(t, int64(1), r.leases.holder.Allowed(r.now), "the lease goes on")
 	for r.now < gaveUp+500*ms {
-		assert.Zero(t, r.leasing.told, "%d ms after it was given up", (r.now-gaveUp)/ms)
+		assert.Zero(t, r.leases.told, "%d ms after it was given up", (r.now-gaveUp)/ms)
 		assert.Equal(t, int64(1), r.Claims().Lease.Used)
 		step(r)
 	}
 	step(r)
-	assert.Equal(t, 1, r.leasing.told)
+	assert.Equal(t, 1, r.leases.told)
 	assert.Zero(t, r.Claims().Lease.Used)
 }
 
 func TestLeaseThatLapsedIsHeardOfBeforeAnythingElse(t *testing.T) {
 	r := renting(t)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
-	r.leasing.told = 2
+	r.leases.told = 2
 	r.Step(r.now+20_000*ms, 1, []Input{}) // stood still: what it held is another's by now
-	assert.Zero(t, r.leasing.told)
-	assert.Empty(t, r.supplies)
+	assert.Zero(t, r.leases.told)
+	assert.Empty(t, r.catalogueLinks)
 	var units []int
-	for _, e := range append(r.events, r.later...) {
+	for _, e := range append(r.events, r.deferredEvents...) {
 		if e.Kind == admission.CallLimitSet {
 			units = append(units, e.CallLimit)
 		}
--- a/internal/node/reducer.go
+++ b/internal/node/reducer.go
@@ -55,25 +55,25 @@
 // invocation is what the door keeps of one.
 type invocation struct {
 	live, answered bool
-	conn           int
+	connection     int
 	stream         uint32
 	call, op       string
 	body           []byte
 	wanted         []byte // body of the call that the run waits for
 	calling        bool
 	called         bool // a call of its was written to the catalogue, this one or an earlier one
-	until          int64
-	key            resultcache.Key // of a tokened one, its Token empty in others
-	hash           uint64          // of its body
-	window         int64           // until which its token is known, as the module asked
+	callDeadline   int64
+	tokenKey       resultcache.Key // of a tokened one, its Token empty in others
+	bodyHash       uint64          // of its body
+	tokenExpiresAt int64           // until which its token is known, as the module asked
 	arrival        admission.Event // as the module was told of it
-	taken          int64           // when
-	due            int64           // when its client timeout ends
-	runs           bool            // at the executor, for its token
-	asked          bool            // the keeper of results knows it
+	arrivedAt      int64           // when
+	deadline       int64           // when its client timeout ends
+	atExecutor     bool            // at the executor, for its token
+	inCache        bool            // the keeper of results knows it
 	exited         bool            // its run is over, and its answer waits for the disk
-	ending         admission.Outcome
-	orphan         bool // its caller left, others wait for its run
+	outcome        admission.Outcome
+	abandoned      bool // its caller left, others wait for its run
 	runForm        admission.Form
 	form           string // name of the level whose reduced form runs, empty for the whole operation
 	operation      int32
@@ -152,83 +152,83 @@
 	Decisions        func(config *admission.Config, born int64) Decider // made once the executor is up
 	SpareConnections int                                                // connections that may be kept beside the most, while they end
 
-	config   *nodeconfig.Config
-	stop     int64 // ns from the notice to the kill
-	connMost int
-	linkMost int
-	post     Decider
-	now      int64
-	began    int64 // when the first step was; no call was made before it in this life
-	wall     int64 // Unix ns at now
-	effects  []Effect
-	events   []admission.Event
-
-	invs     []invocation
-	free     []int32
-	calls    map[string]int32
-	conns    map[int]*connection
-	resting  *timerwheel.Wheel // when each connection that may bring more is looked at, in ms; nil before the first step
-	crossing *timerwheel.Wheel // the same of those that were told to bring no more
-	due      []int             // connections to be looked at that were too many for one step
-	lookedAt int               // connections that were looked at so far
-	open     int               // invocations that are owed an answer
-
-	beatAt, meterAt int64
-	heardAt         int64 // when the executor's link last brought a line
-	sweepAt         int64
-	dueAt           int64 // when the next of due are looked at
-	busy, runnable  float64
-	metered         int64 // when the gauges came
-
-	good, stored bool
-	load         string // what answers carry, empty before the first advice
-
-	to             Addresses
-	lastLink       int // the highest number given to a link or a report
-	link, welcomed int // to the executor, 0 where there is none; the last that was welcomed
-	dialing        int // the link to the executor that is being opened, 0 where none is
-	synced         bool
-	notice         int // the last that was taken
-	seq, proving   int // of the last command, and of the last that gauges were asked for behind
-	unread         []command
-	redialAt, wait int64
-	diags          map[string]check
-	diagged        int
-
-	supplies            []supply // links to the catalogue
-	waiting             []int32  // invocations whose call has no link yet
-	reportAt            int64
-	reporting           int // the report that is under way, 0 where none is
-	noticed, shut, left bool
-	listenerClosed      bool  // nobody connects any more
-	killAt              int64 // when the process is killed, once noticed
-
-	levels  ladder
-	peers   peers
-	kept    kept
-	claimed claimed
-	leasing leasing
-	hollow  hollow
-	amended amended
-
-	configuring configuring
-
-	later   []admission.Event          // what the module is told in the next step: it was deciding
-	decided bool                       // the module has decided in this step, or had nothing to decide
-	stateAt int64                      // when the next sample of the state is due
-	givenUp [admission.ReasonCount]int // invocations given up by reason since the last one
-	counted Counters                   // the counters at the last one
+	config            *nodeconfig.Config
+	drainTime         int64 // ns from the notice to the kill
+	maxConnections    int
+	maxCatalogueLinks int
+	controller        Decider
+	now               int64
+	startedAt         int64 // when the first step was; no call was made before it in this life
+	wall              int64 // Unix ns at now
+	effects           []Effect
+	events            []admission.Event
+
+	invocations        []invocation
+	freeIndices        []int32
+	indexByCall        map[string]int32
+	connections        map[int]*connection
+	idleWheel          *timerwheel.Wheel // when each connection that may bring more is looked at, in ms; nil before the first step
+	closingWheel       *timerwheel.Wheel // the same of those that were told to bring no more
+	overdueConnections []int             // connections to be looked at that were too many for one step
+	connectionsChecked int               // connections that were looked at so far
+	owedAnswers        int               // invocations that are owed an answer
+
+	timerAt, gaugesAt          int64
+	executorHeardAt            int64 // when the executor's link last brought a line
+	sweepAt                    int64
+	overdueAt                  int64 // when the next of due are looked at
+	busyShare, runnableThreads float64
+	gaugesReceivedAt           int64 // when the gauges came
+
+	healthy, healthCached bool
+	backpressure          string // what answers carry, empty before the first advice
+
+	addresses                       Addresses
+	lastLink                        int // the highest number given to a link or a report
+	executorLink, welcomedLink      int // to the executor, 0 where there is none; the last that was welcomed
+	dialingLink                     int // the link to the executor that is being opened, 0 where none is
+	executorSynced                  bool
+	lastNotice                      int // the last that was taken
+	commandSequence, gaugesSequence int // of the last command, and of the last that gauges were asked for behind
+	unreadCommands                  []command
+	redialAt, redialBackoff         int64
+	deepChecks                      map[string]check
+	deepChecksStarted               int
+
+	catalogueLinks                        []catalogueLink // links to the catalogue
+	waitingCalls                          []int32         // invocations whose call has no link yet
+	reportAt                              int64
+	reportLink                            int // the report that is under way, 0 where none is
+	drainRequested, acceptStopped, exited bool
+	listenerClosed                        bool  // nobody connects any more
+	killAt                                int64 // when the process is killed, once noticed
+
+	degradation degradationState
+	fleet       fleetState
+	results     resultState
+	claiming    claimState
+	leases      leaseState
+	hollow      hollowState
+	versions    versionState
+
+	configSync configSyncState
+
+	deferredEvents  []admission.Event          // what the module is told in the next step: it was deciding
+	decided         bool                       // the module has decided in this step, or had nothing to decide
+	stateAt         int64                      // when the next sample of the state is due
+	givenUpByReason [admission.ReasonCount]int // invocations given up by reason since the last one
+	lastCounters    Counters                   // the counters at the last one
 }
 
 // NewStateMachine is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
 // on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
 func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
-	r := &StateMachine{config: onSockets(settings), to: to, stop: stop, connMost: connections, linkMost: links, calls: map[string]int32{},
-		conns: map[int]*connection{}, diags: map[string]check{}, beatAt: never, meterAt: never,
-		metered: math.MinInt64 / 2, wait: redialFirst,
+	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, maxCatalogueLinks: links, indexByCall: map[string]int32{},
+		connections: map[int]*connection{}, deepChecks: map[string]check{}, timerAt: never, gaugesAt: never,
+		gaugesReceivedAt: math.MinInt64 / 2, redialBackoff: redialFirst,
 		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
 	r.Invariants.Tell = func(what string, times int) {
-		r.do(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
+		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
 	return r
 }
@@ -245,336 +245,336 @@
 	return &own
 }
 
-func (r *StateMachine) do(e Effect) { r.effects = append(r.effects, e) }
+func (sm *StateMachine) emit(e Effect) { sm.effects = append(sm.effects, e) }
 
-func (r *StateMachine) remark(level LogLevel, text, id string, err error) {
-	r.do(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
+func (sm *StateMachine) log(level LogLevel, text, id string, err error) {
+	sm.emit(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
 }
 
 // Step takes what happened up to now, a clock that only advances, with wall its time in Unix nanoseconds. The
 // effects are valid until the next step.
-func (r *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
-	if r.resting == nil {
-		r.began, r.resting, r.crossing = now, timerwheel.New(now/ms), timerwheel.New(now/ms)
+func (sm *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
+	if sm.idleWheel == nil {
+		sm.startedAt, sm.idleWheel, sm.closingWheel = now, timerwheel.New(now/ms), timerwheel.New(now/ms)
 	}
-	r.now, r.wall, r.effects, r.events = now, wall, r.effects[:0], append(r.events[:0], r.later...)
-	r.later, r.decided = r.later[:0], false
+	sm.now, sm.wall, sm.effects, sm.events = now, wall, sm.effects[:0], append(sm.events[:0], sm.deferredEvents...)
+	sm.deferredEvents, sm.decided = sm.deferredEvents[:0], false
 	for i := range inputs {
 		if inputs[i].Kind != ConnectionOpened {
-			r.take(&inputs[i])
+			sm.apply(&inputs[i])
 		}
 	}
 	for i := range inputs { // last, so that none makes room at one that just brought an invocation
 		if inputs[i].Kind == ConnectionOpened {
-			r.opened(inputs[i].Link)
+			sm.connectionOpened(inputs[i].Link)
 		}
 	}
-	r.keepTimers()
-	r.lapse()
-	r.keepAmended()
-	r.keepTaking()
-	r.decided = true // what the module is told from here on is for the next step
-	if r.post != nil && len(r.events) > 0 {
-		for _, a := range r.post.Decide(now, r.events) {
-			r.carry(&a)
+	sm.runTimers()
+	sm.expireLease()
+	sm.applyVersions()
+	sm.applyPendingConfig()
+	sm.decided = true // what the module is told from here on is for the next step
+	if sm.controller != nil && len(sm.events) > 0 {
+		for _, a := range sm.controller.Decide(now, sm.events) {
+			sm.execute(&a)
 		}
 	}
-	r.keepResults()
-	r.keepLeases()
-	r.keepClaims()
-	r.prove()
-	r.keepState()
-	r.keepConfiguration()
-	r.keepPeers()
-	r.keepLeaving()
-	wake := r.wake()
-	r.Invariants.Check(wake > now, "the next wake lies ahead")
-	r.do(Effect{Kind: SetWakeup, At: wake})
-	return r.effects
+	sm.expireResults()
+	sm.stepLeases()
+	sm.stepClaims()
+	sm.requestProof()
+	sm.sampleState()
+	sm.stepConfigSync()
+	sm.stepMembership()
+	sm.finishDrain()
+	wake := sm.nextWakeup()
+	sm.Invariants.Check(wake > now, "the next wake lies ahead")
+	sm.emit(Effect{Kind: SetWakeup, At: wake})
+	return sm.effects
 }
 
-func (r *StateMachine) take(in *Input) {
+func (sm *StateMachine) apply(in *Input) {
 	switch in.Kind {
 	case FrameReceived, FrameMalformed, ConnectionClosed:
-		if c := r.conns[in.Link]; c != nil {
-			r.fromDispatcher(in, c)
+		if c := sm.connections[in.Link]; c != nil {
+			sm.applyDispatcherInput(in, c)
 		}
 	case ExecutorConnected:
-		r.joined(in.Link)
+		sm.executorConnected(in.Link)
 	case ExecutorLineReceived, ExecutorDisconnected:
-		if in.Link == r.link || in.Kind == ExecutorDisconnected && in.Link == r.dialing { // the latter: it could not be had
-			r.fromExecutor(in)
+		if in.Link == sm.executorLink || in.Kind == ExecutorDisconnected && in.Link == sm.dialingLink { // the latter: it could not be had
+			sm.applyExecutorInput(in)
 		}
 	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
-		r.fromCatalogue(in)
+		sm.applyCatalogueInput(in)
 	case ReportFinished:
-		if in.Link == r.reporting {
-			r.reported(in.Err)
+		if in.Link == sm.reportLink {
+			sm.reportFinished(in.Err)
 		}
 	case RecordsRecovered, RecordWritten, RecordWriteFailed, RecoveryCompleted:
-		r.fromStore(in)
+		sm.applyStoreInput(in)
 	case PeerDatagramReceived, PeerRequestReceived, PeerResponseReceived, PeerExchangeFailed:
-		r.fromPeers(in)
+		sm.applyPeerInput(in)
 	case PeerMessageReceived, PeerStreamClosed:
-		r.fromStream(in)
+		sm.applyStreamMessage(in)
 	case VersionPersisted:
-		r.keptConfiguration(in)
+		sm.configPersisted(in)
 	case ReplicaWritePersisted:
-		r.claimed.heard = append(r.claimed.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
+		sm.claiming.heard = append(sm.claiming.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
 	case HollowClaimRequested, HollowCallsRequested:
-		r.fromLoad(in)
+		sm.applyLoadRequest(in)
 	case ListenerClosed:
-		r.listenerClosed = true
+		sm.listenerClosed = true
 	case DrainRequested:
-		r.drain()
+		sm.startDrain()
 	case AbortRequested:
-		r.drain()
-		r.abort()
+		sm.startDrain()
+		sm.abortDrain()
 	case ReloadRequested:
-		r.reload(in.Addresses)
-		r.adopt(in.Plan)
+		sm.applyAddresses(in.Addresses)
+		sm.applyPlan(in.Plan)
 	case PlanChanged:
-		r.adopt(in.Plan)
+		sm.applyPlan(in.Plan)
 	case VersionReceived:
-		r.amend(in)
+		sm.queueVersion(in)
 	}
 }
 
-// keepTimers does what is due.
-func (r *StateMachine) keepTimers() {
-	if r.hollow.on {
+// runTimers does what is due.
+func (sm *StateMachine) runTimers() {
+	if sm.hollow.on {
 		return
 	}
-	if r.now >= r.redialAt && r.link == 0 && r.dialing == 0 {
-		r.dialing = r.newLink()
-		r.do(Effect{Kind: DialExecutor, Link: r.dialing, Address: r.to.Executor})
+	if sm.now >= sm.redialAt && sm.executorLink == 0 && sm.dialingLink == 0 {
+		sm.dialingLink = sm.nextLink()
+		sm.emit(Effect{Kind: DialExecutor, Link: sm.dialingLink, Address: sm.addresses.Executor})
 	}
-	if r.now >= r.reportAt && r.reporting == 0 && !r.noticed {
-		r.reporting = r.newLink()
-		r.do(Effect{Kind: SendReport, Link: r.reporting, Address: r.to.Control, Ready: r.post != nil && r.good})
+	if sm.now >= sm.reportAt && sm.reportLink == 0 && !sm.drainRequested {
+		sm.reportLink = sm.nextLink()
+		sm.emit(Effect{Kind: SendReport, Link: sm.reportLink, Address: sm.addresses.Control, Ready: sm.controller != nil && sm.healthy})
 	}
-	if r.now >= r.meterAt && r.link != 0 && r.welcomed == r.link {
-		r.meterAt = never
-		r.askGauges()
+	if sm.now >= sm.gaugesAt && sm.executorLink != 0 && sm.welcomedLink == sm.executorLink {
+		sm.gaugesAt = never
+		sm.requestGauges()
 	}
-	if r.link != 0 && r.now-r.heardAt >= silentMost {
-		if r.welcomed == r.link {
-			r.remark(Warn, "executor link is silent, opened anew", "", nil)
+	if sm.executorLink != 0 && sm.now-sm.executorHeardAt >= silentMost {
+		if sm.welcomedLink == sm.executorLink {
+			sm.log(Warn, "executor link is silent, opened anew", "", nil)
 		} else { // it may be late, or the link half open: a new one costs nothing, and one that waits for good serves nobody
-			r.remark(Info, "executor has not welcomed the link, opened anew", "", nil)
+			sm.log(Info, "executor has not welcomed the link, opened anew", "", nil)
 		}
-		r.do(Effect{Kind: CloseExecutor, Link: r.link})
-		r.partExecutor()
-		r.redialAt = r.now + r.wait
-	}
-	r.keepConnections()
-	r.keepCalls()
-	r.keepChecks()
-	if r.now >= r.beatAt {
+		sm.emit(Effect{Kind: CloseExecutor, Link: sm.executorLink})
+		sm.disconnectExecutor()
+		sm.redialAt = sm.now + sm.redialBackoff
+	}
+	sm.checkConnections()
+	sm.expireCalls()
+	sm.expireDeepChecks()
+	if sm.now >= sm.timerAt {
 		e := admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
-		if r.now-r.metered <= meterStale {
-			e.BusyShare, e.RunnableThreads = r.busy, r.runnable
+		if sm.now-sm.gaugesReceivedAt <= meterStale {
+			e.BusyShare, e.RunnableThreads = sm.busyShare, sm.runnableThreads
 		}
-		r.beatAt = never
-		r.keepLevels()
-		r.events = append(r.events, e)
+		sm.timerAt = never
+		sm.stepDegradation()
+		sm.events = append(sm.events, e)
 	}
 }
 
-// wake is when the next of the timers is due.
-func (r *StateMachine) wake() int64 {
-	if r.hollow.on {
-		return r.hollowWake()
+// nextWakeup is when the next of the timers is due.
+func (sm *StateMachine) nextWakeup() int64 {
+	if sm.hollow.on {
+		return sm.hollowDue()
 	}
-	at := min(r.beatAt, r.callsDue(), r.checksDue(), r.peersDue(), r.resultsDue(), r.claimsDue(), r.leaseDue(), r.amendDue(), r.configurationDue())
-	if len(r.later) > 0 {
-		at = r.now + 1
+	at := min(sm.timerAt, sm.callsDue(), sm.deepChecksDue(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(), sm.versionsDue(), sm.configSyncDue())
+	if len(sm.deferredEvents) > 0 {
+		at = sm.now + 1
 	}
-	if len(r.conns) > 0 {
-		at = min(at, r.connectionsDue())
+	if len(sm.connections) > 0 {
+		at = min(at, sm.connectionsDue())
 	}
-	if r.left && r.open == 0 {
-		at = min(at, r.leaveBy())
+	if sm.exited && sm.owedAnswers == 0 {
+		at = min(at, sm.exitDeadline())
 	}
-	if r.link == 0 && r.dialing == 0 {
-		at = min(at, r.redialAt)
-	} else if r.link != 0 {
-		at = min(at, r.heardAt+silentMost)
-		if r.welcomed == r.link {
-			at = min(at, r.meterAt)
+	if sm.executorLink == 0 && sm.dialingLink == 0 {
+		at = min(at, sm.redialAt)
+	} else if sm.executorLink != 0 {
+		at = min(at, sm.executorHeardAt+silentMost)
+		if sm.welcomedLink == sm.executorLink {
+			at = min(at, sm.gaugesAt)
 		}
 	}
-	if r.reporting == 0 && !r.noticed {
-		at = min(at, r.reportAt)
+	if sm.reportLink == 0 && !sm.drainRequested {
+		at = min(at, sm.reportAt)
 	}
 	return at
 }
 
-// carry does what the module asks for.
-func (r *StateMachine) carry(a *admission.Action) {
+// execute does what the module asks for.
+func (sm *StateMachine) execute(a *admission.Action) {
 	switch a.Kind {
 	case admission.Run:
-		r.run(a.Invocation, a.Form)
+		sm.startRun(a.Invocation, a.Form)
 	case admission.Reject:
-		r.givenUp[a.Reason]++
-		r.levels.count(false, false, a.Reason)
-		r.throttle(a)
+		sm.givenUpByReason[a.Reason]++
+		sm.degradation.count(false, false, a.Reason)
+		sm.reject(a)
 	case admission.Fail:
-		r.givenUp[a.Reason]++
-		r.fail(a.Invocation)
+		sm.givenUpByReason[a.Reason]++
+		sm.fail(a.Invocation)
 	case admission.StartCall:
-		r.call(a.Invocation, a.At)
+		sm.callDependency(a.Invocation, a.At)
 	case admission.ReportHealth:
-		r.good, r.stored = a.Healthy, a.Cached
+		sm.healthy, sm.healthCached = a.Healthy, a.Cached
 	case admission.SignalBackpressure:
-		r.load = number(a.Value)
+		sm.backpressure = number(a.Value)
 	case admission.SetTimer:
-		r.beatAt, r.meterAt = a.At, a.At-meterLead
+		sm.timerAt, sm.gaugesAt = a.At, a.At-meterLead
 	case admission.StopAccepting:
-		r.stopIntake()
+		sm.stopAccepting()
 	case admission.Exit:
-		r.left = true
-		r.remark(Info, a.Report, "", nil)
+		sm.exited = true
+		sm.log(Info, a.Report, "", nil)
 	case admission.JoinOriginal:
-		r.reuse(a.Invocation)
+		sm.joinOriginal(a.Invocation)
 	case admission.RecordKey:
-		r.invs[a.Invocation].window = r.now + a.Duration + r.invs[a.Invocation].terms.late
+		sm.invocations[a.Invocation].tokenExpiresAt = sm.now + a.Duration + sm.invocations[a.Invocation].terms.late
 	case admission.Release:
-		r.release(a.Invocation)
+		sm.releaseInvocation(a.Invocation)
 	default:
-		r.Invariants.Check(false, "an action that this site allows")
+		sm.Invariants.Check(false, "an action that this site allows")
 	}
 }
 
-// drain passes on the notice; a node that never had its executor has nothing to drain.
-func (r *StateMachine) drain() {
-	if r.noticed {
+// startDrain passes on the notice; a node that never had its executor has nothing to startDrain.
+func (sm *StateMachine) startDrain() {
+	if sm.drainRequested {
 		return
 	}
-	r.noticed, r.killAt = true, r.now+r.stop
-	r.remark(Info, "drain notice", "", nil)
-	if r.post == nil {
-		r.stopIntake()
-		r.left = true
+	sm.drainRequested, sm.killAt = true, sm.now+sm.drainTime
+	sm.log(Info, "drain notice", "", nil)
+	if sm.controller == nil {
+		sm.stopAccepting()
+		sm.exited = true
 		return
 	}
-	r.events = append(r.events, admission.Event{Kind: admission.DrainRequested, KillAt: r.now + r.stop})
+	sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now + sm.drainTime})
 }
 
-// abort brings the kill forward: all that is in hand is answered in this step, and the node leaves once its connections
+// abortDrain brings the kill forward: all that is in hand is answered in this step, and the node leaves once its connections
 // have had their end.
-func (r *StateMachine) abort() {
-	r.remark(Info, "drain notice again: what is in hand is aborted", "", nil)
-	r.killAt = min(r.killAt, r.now+abortFor)
-	if r.post != nil {
-		r.events = append(r.events, admission.Event{Kind: admission.DrainRequested, KillAt: r.now})
+func (sm *StateMachine) abortDrain() {
+	sm.log(Info, "drain notice again: what is in hand is aborted", "", nil)
+	sm.killAt = min(sm.killAt, sm.now+abortFor)
+	if sm.controller != nil {
+		sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now})
 	}
 }
 
-func (r *StateMachine) newLink() int {
-	r.lastLink++
-	return r.lastLink
+func (sm *StateMachine) nextLink() int {
+	sm.lastLink++
+	return sm.lastLink
 }
 
-// reload goes on at the peers' new addresses at once: the old ones take nothing new and close what is open there
+// applyAddresses goes on at the peers' new addresses at once: the old ones take nothing new and close what is open there
 // soon. What a peer's old address has in hand is heard to its end where that does no harm.
-func (r *StateMachine) reload(to Addresses) {
-	from := r.to
-	r.to = to
+func (sm *StateMachine) applyAddresses(to Addresses) {
+	from := sm.addresses
+	sm.addresses = to
 	if to.Executor != from.Executor { // the next join brings all that was not heard on this link
-		r.do(Effect{Kind: CloseExecutor, Link: max(r.link, r.dialing)})
-		r.partExecutor()
-		r.redialAt, r.wait = r.now, redialFirst
+		sm.emit(Effect{Kind: CloseExecutor, Link: max(sm.executorLink, sm.dialingLink)})
+		sm.disconnectExecutor()
+		sm.redialAt, sm.redialBackoff = sm.now, redialFirst
 	}
 	if to.Catalogue != from.Catalogue {
-		r.moveCalls()
+		sm.redialCatalogue()
 	}
 	if to.Control != from.Control {
-		r.reporting, r.reportAt = 0, r.now
+		sm.reportLink, sm.reportAt = 0, sm.now
 	}
-	r.remark(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
+	sm.log(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
 }
 
-// stopIntake is the start of beat 3 on sockets: nobody can connect any more, and no connection brings more.
-func (r *StateMachine) stopIntake() {
-	if r.shut {
+// stopAccepting is the start of beat 3 on sockets: nobody can connect any more, and no connection brings more.
+func (sm *StateMachine) stopAccepting() {
+	if sm.acceptStopped {
 		return
 	}
-	r.shut = true
-	if !r.hollow.on {
-		r.do(Effect{Kind: StopAccepting})
+	sm.acceptStopped = true
+	if !sm.hollow.on {
+		sm.emit(Effect{Kind: StopAccepting})
 	}
-	for _, link := range slices.Sorted(maps.Keys(r.conns)) {
-		r.noMore(link, r.conns[link])
+	for _, link := range slices.Sorted(maps.Keys(sm.connections)) {
+		sm.sendGoAway(link, sm.connections[link])
 	}
 }
 
-// keepLeaving ends the node once nothing is owed: all is answered, and each connection has had its end, so that what
+// finishDrain ends the node once nothing is owed: all is answered, and each connection has had its end, so that what
 // crosses is answered too. Shortly before the kill it waits for no peer any more.
-func (r *StateMachine) keepLeaving() {
-	if !r.left || r.open > 0 || (len(r.conns) > 0 || !r.listenerClosed) && r.now < r.leaveBy() {
+func (sm *StateMachine) finishDrain() {
+	if !sm.exited || sm.owedAnswers > 0 || (len(sm.connections) > 0 || !sm.listenerClosed) && sm.now < sm.exitDeadline() {
 		return
 	}
-	r.left = false
-	if len(r.conns) > 0 {
-		r.remark(Warn, fmt.Sprintf("leaving with %d connections that have not ended", len(r.conns)), "", nil)
+	sm.exited = false
+	if len(sm.connections) > 0 {
+		sm.log(Warn, fmt.Sprintf("leaving with %d connections that have not ended", len(sm.connections)), "", nil)
 	}
-	r.farewell()
-	r.do(Effect{Kind: Exit})
+	sm.announceLeaving()
+	sm.emit(Effect{Kind: Exit})
 }
 
-func (r *StateMachine) leaveBy() int64 { return r.killAt - leaveMargin }
+func (sm *StateMachine) exitDeadline() int64 { return sm.killAt - leaveMargin }
 
 // Admission of ids.
 
-func (r *StateMachine) admit(v invocation) int32 {
-	r.amended.take(&v, r.termsNow(v.operation))
-	index := int32(len(r.invs))
-	if n := len(r.free); n > 0 {
-		index, r.free = r.free[n-1], r.free[:n-1]
+func (sm *StateMachine) addInvocation(v invocation) int32 {
+	sm.versions.take(&v, sm.currentTerms(v.operation))
+	index := int32(len(sm.invocations))
+	if n := len(sm.freeIndices); n > 0 {
+		index, sm.freeIndices = sm.freeIndices[n-1], sm.freeIndices[:n-1]
 	} else {
-		r.invs = append(r.invs, invocation{})
+		sm.invocations = append(sm.invocations, invocation{})
 	}
-	r.invs[index] = v
-	r.calls[v.call] = index
-	r.open++
+	sm.invocations[index] = v
+	sm.indexByCall[v.call] = index
+	sm.owedAnswers++
 	return index
 }
 
-// release forgets an index; the module ends nothing unanswered, but should it, an error is the answer.
-func (r *StateMachine) release(i int32) {
-	v := &r.invs[i]
-	if !r.Invariants.Check(v.live, "an index released is live") {
+// releaseInvocation forgets an index; the module ends nothing unanswered, but should it, an error is the answer.
+func (sm *StateMachine) releaseInvocation(i int32) {
+	v := &sm.invocations[i]
+	if !sm.Invariants.Check(v.live, "an index released is live") {
 		return
 	}
-	if !r.Invariants.Check(v.answered, "what is released was answered") {
-		r.fail(i)
+	if !sm.Invariants.Check(v.answered, "what is released was answered") {
+		sm.fail(i)
 	}
-	r.quitCall(i)
-	if r.calls[v.call] == i {
-		delete(r.calls, v.call)
+	sm.cancelCall(i)
+	if sm.indexByCall[v.call] == i {
+		delete(sm.indexByCall, v.call)
 	}
-	r.amended.over(v)
+	sm.versions.over(v)
 	*v = invocation{}
-	r.free = append(r.free, i)
+	sm.freeIndices = append(sm.freeIndices, i)
 }
 
-// tellModule tells the module of something, in the next step if it has decided in this one.
-func (r *StateMachine) tellModule(e admission.Event) {
-	if r.hollow.on {
+// notifyController tells the module of something, in the next step if it has decided in this one.
+func (sm *StateMachine) notifyController(e admission.Event) {
+	if sm.hollow.on {
 		return // it has none
 	}
-	if r.decided {
-		r.later = append(r.later, e)
+	if sm.decided {
+		sm.deferredEvents = append(sm.deferredEvents, e)
 	} else {
-		r.events = append(r.events, e)
+		sm.events = append(sm.events, e)
 	}
 }
 
-// lookup finds the invocation that an id names, if it is live.
-func (r *StateMachine) lookup(call string) (int32, *invocation) {
-	if i, ok := r.calls[call]; ok {
-		return i, &r.invs[i]
+// findInvocation finds the invocation that an id names, if it is live.
+func (sm *StateMachine) findInvocation(call string) (int32, *invocation) {
+	if i, ok := sm.indexByCall[call]; ok {
+		return i, &sm.invocations[i]
 	}
 	return -1, nil
 }
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -25,7 +25,7 @@
 
 func TestNothingButJoinIsToldBeforeTheWelcomeAndRunsStartAfterIt(t *testing.T) {
 	r := fresh(t)
-	r.link, r.dialing = 0, 9
+	r.executorLink, r.dialingLink = 0, 9
 	assert.Equal(t, "JOIN 0\r\n", text(step(r, Input{Kind: ExecutorConnected, Link: 9}), SendToExecutor))
 	assert.Equal(t, "METER j9\r\n", text(told(r, "WELCOME new 3"), SendToExecutor))
 	assert.Empty(t, text(step(r, invoke(1)), SendToExecutor), "notices may still follow the welcome")
@@ -37,7 +37,7 @@
 	told(r, "WELCOME new 3")
 	told(r, "BAD METER j1")
 	step(r, invoke(1))
-	r.now = r.meterAt
+	r.now = r.gaugesAt
 	assert.Equal(t, "METER j1\r\n", text(step(r), SendToExecutor))
 	assert.Contains(t, text(told(r, "METERS j1 0 0 0 0"), SendToExecutor), "EXEC")
 }
@@ -49,8 +49,8 @@
 	assert.Equal(t, []string{"20 on 1"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "result")
 	assert.Empty(t, answers(t, told(r, "EXIT 1 "+callID+" good 12 6|result")), "a notice is taken once")
-	assert.Zero(t, r.open)
-	assert.Empty(t, r.calls)
+	assert.Zero(t, r.owedAnswers)
+	assert.Empty(t, r.indexByCall)
 }
 
 func TestCallerGoneIsOwedNoAnswer(t *testing.T) {
@@ -61,7 +61,7 @@
 	step(r, invoke(2))
 	assert.Empty(t, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 	assert.Empty(t, answers(t, told(r, "EXIT 2 "+callID+" good 12 6|result")))
-	assert.Empty(t, r.calls)
+	assert.Empty(t, r.indexByCall)
 }
 
 func TestBrokenInvocationIsErroredAndItsConnectionLivesOn(t *testing.T) {
@@ -73,7 +73,7 @@
 		invoke(10, "recv", "99999999999999"), invoke(11, "recv", "-1"), invoke(12, "work", "0x1p2"),
 		invoke(13, "heap", "1e2"), invoke(14, "src", "9999999999999"), invoke(15, "row", "7f3a"),
 		invoke(16, "rep", "2")} {
-		r.conns[7].faults = 0
+		r.connections[7].faults = 0
 		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, answers(t, step(r, broken)))
 	}
 	assert.NotEmpty(t, text(step(r, invoke(20)), SendToExecutor))
@@ -112,10 +112,10 @@
 	r := up(t)
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
-	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.supplies[0].link})
+	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.catalogueLinks[0].link})
 	assert.Equal(t, DialCatalogue, again[0].Kind)
 	reached(r)
-	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.supplies[0].link})))
+	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.catalogueLinks[0].link})))
 }
 
 func TestCallIsQuitAtTheEndOfItsWaitAndItsReplyIsDropped(t *testing.T) {
@@ -123,8 +123,8 @@
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
-	link := r.supplies[0].link
-	r.now, r.heardAt = r.invs[0].until, r.invs[0].until
+	link := r.catalogueLinks[0].link
+	r.now, r.executorHeardAt = r.invocations[0].callDeadline, r.invocations[0].callDeadline
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseCatalogue, Link: link}, got[0])
 	assert.Equal(t, []string{"51 on 1"}, answers(t, got))
@@ -133,10 +133,10 @@
 
 func TestIdleCatalogueLinkIsNotTrustedWithACall(t *testing.T) {
 	r := up(t)
-	r.supplies = []supply{{link: 5, address: r.to.Catalogue, up: true, inv: -1, since: r.now - idleTrust}}
+	r.catalogueLinks = []catalogueLink{{link: 5, address: r.addresses.Catalogue, up: true, inv: -1, since: r.now - idleTrust}}
 	got := step(r)
 	assert.Equal(t, CloseCatalogue, got[0].Kind)
-	assert.Empty(t, r.supplies)
+	assert.Empty(t, r.catalogueLinks)
 }
 
 func TestEachCallHasALinkOfItsOwnAndASpoiltReplyTakesOnlyItsCall(t *testing.T) {
@@ -145,32 +145,32 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	told(r, "CALLOUT 2 "+other+" 3|ask")
-	assert.Len(t, r.supplies, 2)
+	assert.Len(t, r.catalogueLinks, 2)
 	reached(r)
-	step(r, Input{Kind: CatalogueConnected, Link: r.supplies[0].link})
+	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
 	assert.Equal(t, []string{"51 on 1"}, answers(t, replied(r, "noise")))
-	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
+	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
 		Body: []byte("x")}})
 	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, SendToExecutor))
-	assert.True(t, r.supplies[0].up && r.supplies[0].inv < 0, "kept for the next first call of a run")
+	assert.True(t, r.catalogueLinks[0].up && r.catalogueLinks[0].inv < 0, "kept for the next first call of a run")
 	told(r, "CALLOUT 3 "+other+" 3|ask")
-	assert.Len(t, r.supplies, 2, "a second copy of the first reply can't pass for the second's")
-	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.supplies[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
+	assert.Len(t, r.catalogueLinks, 2, "a second copy of the first reply can't pass for the second's")
+	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "it brought what was not asked for")
 }
 
 func TestCallsWaitWhereThereMayBeNoMoreLinks(t *testing.T) {
 	r := up(t)
-	r.linkMost = 1
+	r.maxCatalogueLinks = 1
 	const other = "00000000000000aa"
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	told(r, "CALLOUT 2 "+other+" 3|ask")
-	assert.Equal(t, []int32{1}, r.waiting)
+	assert.Equal(t, []int32{1}, r.waitingCalls)
 	reached(r)
 	got := replied(r, callID+" DATA 0")
 	assert.Contains(t, text(got, SendToCatalogue), "FETCH "+other)
-	assert.Empty(t, r.waiting)
+	assert.Empty(t, r.waitingCalls)
 }
 
 func TestReloadMovesToTheNewAddressesAtOnce(t *testing.T) {
@@ -179,7 +179,7 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
-	old, reporting := r.link, r.reporting
+	old, reporting := r.executorLink, r.reportLink
 	told(r, "CALLOUT 2 "+other+" 3|ask") // still being opened
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
@@ -191,11 +191,11 @@
 	got := replied(r, callID+" DATA 0")
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "heard to its end, then left")
 	step(r, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
-	assert.Equal(t, []int{r.lastLink - 1, 0}, []int{r.dialing, r.link}, "the end of the old link is no news")
-	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.dialing})
+	assert.Equal(t, []int{r.lastLink - 1, 0}, []int{r.dialingLink, r.executorLink}, "the end of the old link is no news")
+	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being opened does not win")
 	assert.Equal(t, "JOIN 2\r\n", text(got, SendToExecutor))
-	assert.NotEqual(t, reporting, r.reporting)
+	assert.NotEqual(t, reporting, r.reportLink)
 	assert.Empty(t, step(r, Input{Kind: ReloadRequested, Addresses: to}), "nothing new")
 }
 
@@ -206,8 +206,8 @@
 	rejoined(r)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, told(r, "EXIT 1 "+callID+" good 12 1|r")))
 	assert.Equal(t, "EXEC "+other+" catalogue 4\r\nbody\r\n", text(told(r, "METERS "+r.syncTag()+" 0 0 0 0"), SendToExecutor))
-	told(r, fmt.Sprintf("METERS m%d 0 0 0 0", r.seq))
-	assert.Empty(t, r.unread, "the gauges prove that all before them was read")
+	told(r, fmt.Sprintf("METERS m%d 0 0 0 0", r.commandSequence))
+	assert.Empty(t, r.unreadCommands, "the gauges prove that all before them was read")
 }
 
 func TestGaugesAreAskedForBehindNewCommandsOnce(t *testing.T) {
@@ -226,7 +226,7 @@
 func TestLinkThatCannotBeHadIsTriedAgain(t *testing.T) {
 	r := up(t)
 	for range 3 { // the first ends, the others are refused
-		assert.Empty(t, step(r, Input{Kind: ExecutorDisconnected, Link: max(r.link, r.dialing)}))
+		assert.Empty(t, step(r, Input{Kind: ExecutorDisconnected, Link: max(r.executorLink, r.dialingLink)}))
 		r.now = r.redialAt
 		assert.Equal(t, []Effect{{Kind: DialExecutor, Link: r.lastLink, Address: "executor:1"}}, step(r))
 	}
@@ -234,13 +234,13 @@
 
 func TestLinkThatIsNotWelcomedYetDoesNotKeepTheNodeAwake(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.link})
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
 	r.now = r.redialAt
 	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
-	r.now = r.meterAt
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	r.now = r.gaugesAt
 	step(r)
-	assert.Greater(t, r.wake(), r.now)
+	assert.Greater(t, r.nextWakeup(), r.now)
 }
 
 func TestUnreadableLineOpensTheLinkAnew(t *testing.T) {
@@ -268,7 +268,7 @@
 	assert.Equal(t, []string{"check 51"}, answers(t, step(r, deep)), "no executor yet")
 	r = up(t)
 	assert.Equal(t, []string{"check 20"}, answers(t, step(r, deep)))
-	r.stored, r.config.Node.DeepHealthChecks = false, true
+	r.healthCached, r.config.Node.DeepHealthChecks = false, true
 	assert.Equal(t, "DIAG d1\r\n", text(step(r, deep), SendToExecutor))
 	assert.Equal(t, []string{"check 51"}, answers(t, told(r, "DIAGNOSED d1 bad")))
 	step(r, deep)
@@ -288,7 +288,7 @@
 		kinds = append(kinds, e.Kind)
 	}
 	assert.NotContains(t, kinds, Exit, "one is still open")
-	assert.True(t, r.shut)
+	assert.True(t, r.acceptStopped)
 	assert.Equal(t, 1, r.Counters.Throttled, "what came after intake ended is not run")
 	end := told(r, "EXIT 1 "+callID+" good 12 1|r")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, end))
@@ -335,8 +335,8 @@
 	step(r, Input{Kind: ConnectionClosed, Link: 10})
 	step(r, check(11))
 	step(r, Input{Kind: ConnectionOpened, Link: 12})
-	assert.True(t, r.conns[9].noMore, "8 was heard of later")
-	assert.False(t, r.conns[8].noMore)
+	assert.True(t, r.connections[9].noMore, "8 was heard of later")
+	assert.False(t, r.connections[8].noMore)
 	assert.Equal(t, 2, r.Counters.Evicted)
 	step(r, check(12))
 	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(r, Input{Kind: ConnectionOpened, Link: 13})[0], "no place is left beside")
@@ -358,7 +358,7 @@
 			}
 			r.now += evictWait
 		} else {
-			r.now, r.heardAt = r.now+idleWait, r.now+idleWait
+			r.now, r.executorHeardAt = r.now+idleWait, r.now+idleWait
 			assert.Equal(t, []string{"no more"}, answers(t, step(r)), what)
 			r.now += crossWait
 		}
@@ -369,9 +369,9 @@
 		got = told(r, "EXIT 2 00000000000000aa good 12 6|result")
 		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
 		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
-		assert.Contains(t, r.conns, 7, what)
+		assert.Contains(t, r.connections, 7, what)
 		step(r, Input{Kind: ConnectionClosed, Link: 7})
-		assert.NotContains(t, r.conns, 7, what)
+		assert.NotContains(t, r.connections, 7, what)
 	}
 }
 
@@ -386,13 +386,13 @@
 	r := up(t)
 	step(r, invoke(1))
 	step(r, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
-	r.now, r.heardAt = r.now+firstWait, r.now+firstWait
+	r.now, r.executorHeardAt = r.now+firstWait, r.now+firstWait
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
 	r.now += sweepEvery
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(r))
 	step(r, Input{Kind: ConnectionClosed, Link: 8})
 	told(r, "EXIT 1 "+callID+" good 12 6|result")
-	r.now, r.heardAt = r.now+idleWait, r.now+idleWait
+	r.now, r.executorHeardAt = r.now+idleWait, r.now+idleWait
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
 	r.now += sweepEvery
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), "nothing crossed")
@@ -407,7 +407,7 @@
 	}
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
 	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
-	r.now, r.heardAt = r.now+1_000*ms, r.now+1_000*ms
+	r.now, r.executorHeardAt = r.now+1_000*ms, r.now+1_000*ms
 	assert.NotContains(t, kinds(step(r)), CloseAfterFlush, "what is open is owed its answer")
 	got = told(r, "EXIT 1 "+callID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, got))
@@ -418,13 +418,13 @@
 	r := up(t)
 	step(r, invoke(1))
 	assert.Equal(t, []string{"51 on 1"}, answers(t, told(r, "BAD EXEC "+callID)))
-	assert.Equal(t, 1, r.conns[7].faults)
-	assert.Empty(t, r.calls)
+	assert.Equal(t, 1, r.connections[7].faults)
+	assert.Empty(t, r.indexByCall)
 }
 
 func TestSilentLinkToTheExecutorIsOpenedAnew(t *testing.T) {
 	r := up(t)
-	link := r.link
+	link := r.executorLink
 	r.now += silentMost
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: link}, got[0])
@@ -458,8 +458,8 @@
 func TestThrottleNamesATimeAndTheWishAndCarriesTheFreeValue(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
-	r.load, r.effects = "0.25", nil
-	r.throttle(&admission.Action{Invocation: 0, Duration: 249*ms + 1, NoRetry: true})
+	r.backpressure, r.effects = "0.25", nil
+	r.reject(&admission.Action{Invocation: 0, Duration: 249*ms + 1, NoRetry: true})
 	_, payload, _ := strings.Cut(string(r.effects[0].Bytes), "\x32")
 	fields, _, err := frame.Fields([]byte(payload))
 	assert.NoError(t, err)
@@ -469,23 +469,23 @@
 
 func TestReportsAreMadeOneAtATimeAndAgainSoonAfterAnError(t *testing.T) {
 	r := up(t)
-	assert.NotZero(t, r.reporting)
-	r.reported(errField)
+	assert.NotZero(t, r.reportLink)
+	r.reportFinished(errField)
 	assert.Equal(t, r.now+reportAgain, r.reportAt)
-	r.reported(nil)
+	r.reportFinished(nil)
 	assert.Equal(t, r.now+reportEvery, r.reportAt)
-	assert.Zero(t, r.reporting)
+	assert.Zero(t, r.reportLink)
 }
 
 // A link may be half open: one that is up and never welcomed must not keep a node from serving.
 func TestLinkThatIsNeverWelcomedIsOpenedAnew(t *testing.T) {
 	r := fresh(t)
-	link := r.link
+	link := r.executorLink
 	r.now += silentMost
 	assert.Contains(t, step(r), Effect{Kind: CloseExecutor, Link: link})
 	r.now = r.redialAt
 	assert.Contains(t, kinds(step(r)), DialExecutor)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialing})
+	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME new 3")
 	assert.Equal(t, []string{"check 20"}, answers(t, step(r, Input{Kind: FrameReceived, Link: 7,
 		Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})))
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -24,30 +24,30 @@
 	Configuration *ConfigSyncState `json:"configuration,omitempty"` // nil where it isn't taken in service
 }
 
-// keepState samples the state once a second while the module decides; the beat keeps the node awake for it.
-func (r *StateMachine) keepState() {
-	if r.post == nil || r.now < r.stateAt {
+// sampleState samples the state once a second while the module decides; the beat keeps the node awake for it.
+func (sm *StateMachine) sampleState() {
+	if sm.controller == nil || sm.now < sm.stateAt {
 		return
 	}
-	s := r.state()
-	r.stateAt, r.counted, r.givenUp = r.now+stateEvery, r.Counters, [admission.ReasonCount]int{}
-	r.do(Effect{Kind: SampleState, State: s})
+	s := sm.snapshotState()
+	sm.stateAt, sm.lastCounters, sm.givenUpByReason = sm.now+stateEvery, sm.Counters, [admission.ReasonCount]int{}
+	sm.emit(Effect{Kind: SampleState, State: s})
 }
 
-// state is the state now.
-func (r *StateMachine) state() *State {
-	s := &State{ControllerState: r.post.State(), Succeeded: r.Counters.Succeeded - r.counted.Succeeded,
-		Refused: r.Counters.Throttled - r.counted.Throttled, Errored: r.Counters.Errored - r.counted.Errored,
-		Gone: r.Counters.CallersGone - r.counted.CallersGone, Connections: len(r.conns), Links: len(r.supplies),
-		Waiting: len(r.waiting), Unread: len(r.unread), GaugeAge: r.now - r.metered, Synced: r.synced}
-	if r.metered < 0 {
+// snapshotState is the snapshotState now.
+func (sm *StateMachine) snapshotState() *State {
+	s := &State{ControllerState: sm.controller.State(), Succeeded: sm.Counters.Succeeded - sm.lastCounters.Succeeded,
+		Refused: sm.Counters.Throttled - sm.lastCounters.Throttled, Errored: sm.Counters.Errored - sm.lastCounters.Errored,
+		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: len(sm.connections), Links: len(sm.catalogueLinks),
+		Waiting: len(sm.waitingCalls), Unread: len(sm.unreadCommands), GaugeAge: sm.now - sm.gaugesReceivedAt, Synced: sm.executorSynced}
+	if sm.gaugesReceivedAt < 0 {
 		s.GaugeAge = -1
 	}
-	s.Configuration = r.ConfigSyncState()
-	if l := &r.levels; l.plan != nil {
+	s.Configuration = sm.ConfigSyncState()
+	if l := &sm.degradation; l.plan != nil {
 		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.LoadByLevel()
 	}
-	for why, n := range r.givenUp {
+	for why, n := range sm.givenUpByReason {
 		if n > 0 {
 			if s.GivenUp == nil {
 				s.GivenUp = make(map[string]int)
@@ -55,8 +55,8 @@
 			s.GivenUp[admission.ReasonNames[why]] = n
 		}
 	}
-	for k := range r.supplies {
-		if r.supplies[k].up && r.supplies[k].inv < 0 {
+	for k := range sm.catalogueLinks {
+		if sm.catalogueLinks[k].up && sm.catalogueLinks[k].inv < 0 {
 			s.Idle++
 		}
 	}
