--- a/integration/knownred_test.go
+++ b/integration/knownred_test.go
@@ -27,15 +27,24 @@
 	skip, told, err := red("")
 	require.NoError(t, err)
 	assert.Empty(t, skip+told)
-	skip, told, err = red("TestOne | a cause | issue 38\nTestOneMore | another | issue 7\n")
+	skip, told, err = red("TestOne | go test -run One, seed 7 | it hung | issue 38\nTestOneMore | go test ./b | a wrong sum | issue 7\n")
 	require.NoError(t, err)
 	assert.Equal(t, "^(TestOne|TestOneMore)$", skip)
-	assert.Contains(t, told, "passed over: TestOne | a cause | issue 38")
+	assert.Contains(t, told, "passed over: TestOne | go test -run One, seed 7 | it hung | issue 38")
+	const rest = " | go test ./a, seed 7 | it hung | issue 38"
 	for text, why := range map[string]string{
-		strings.Repeat("TestOne | a cause | issue 38\n", 4): "line 4: three lines at most",
-		"TestOne, a cause, issue 38":                        "line 1: malformed", "TestOne |  | issue 38": "line 1: malformed", "\n": "line 1: malformed",
-		"Test.* | a cause | issue 38": "line 1: malformed", "TestNone | a cause | issue 38": "0 tests are named TestNone",
-		"TestTwo | a cause | issue 38": "2 tests are named TestTwo"} {
+		strings.Repeat("TestOne"+rest+"\n", 4):              "line 4: three lines at most",
+		"TestOne, go test ./a, it hung, issue 38":           "line 1: malformed",
+		"TestOne |  | it hung | issue 38":                   "line 1: malformed",
+		"TestOne | go test ./a |  | issue 38":               "line 1: malformed",
+		"TestOne | it hung | issue 38":                      "line 1: malformed",
+		"TestOne | go test ./a | it hung | issue":           "line 1: malformed",
+		"TestOne | go test ./a | it hung | more | issue 38": "line 1: malformed",
+		"\n":              "line 1: malformed",
+		"Test.*" + rest:   "line 1: malformed",
+		"TestNone" + rest: "0 tests are named TestNone",
+		"TestTwo" + rest:  "2 tests are named TestTwo",
+	} {
 		_, told, err = red(text)
 		assert.Error(t, err, text)
 		assert.Contains(t, told, why, text)
