--- a/internal/fleet/membership/helpers_test.go
+++ b/internal/fleet/membership/helpers_test.go
@@ -24,10 +24,10 @@
 	m.Step(s, 100, nil)
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			l.up, l.proof = true, m.t
+			l.up, l.lastProofAt = true, m.ownTime
 		}
 	}
-	m.dirtySelf = true
+	m.linksDirty = true
 	m.Step(s+300*ms, 100, nil)
 	return m
 }
@@ -38,7 +38,7 @@
 	all := append([]string{"a"}, others...)
 	for _, name := range others {
 		r := record(name, 100, slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == name })...)
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 	}
 	return linked(m)
 }
@@ -49,7 +49,7 @@
 	name := func(i int) string { return fmt.Sprint("m", (i+n)%n) }
 	for i := range n {
 		r := record(name(i), 100, name(i-1), name(i+1), "a")
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 	}
 	return linked(m)
 }
@@ -58,7 +58,7 @@
 func answer(m *Members) (inputs []Input) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			inputs = append(inputs, Input{Kind: DatagramReceived, Message: &Message{Kind: MessageAck, From: m.members[l.member].id, Seq: l.seq, Digest: m.digest}})
+			inputs = append(inputs, Input{Kind: DatagramReceived, Message: &Message{Kind: MessageAck, From: m.members[l.member].id, Seq: l.pingSeq, Digest: m.digest}})
 		}
 	}
 	return inputs
@@ -88,4 +88,4 @@
 }
 
 // soon is what changes at once.
-func soon(m *Members) []string { return until(m, m.wake, m.wake+100*ms, true) }
+func soon(m *Members) []string { return until(m, m.wakeAt, m.wakeAt+100*ms, true) }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -13,11 +13,11 @@
 func TestViewIsWhomAPathOfLinksLeadsTo(t *testing.T) {
 	m := held("b", "c")
 	r := record("d", 100, "c") // c does not tell of a link to it
-	m.learn(&r, -1)
+	m.applyRecord(&r, -1)
 	assert.Empty(t, soon(m))
 	r = record("c", 101, "a", "b", "d")
 	r.StartedAt = 100
-	m.learn(&r, -1)
+	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"d joined"}, soon(m))
 }
 
@@ -26,16 +26,16 @@
 	for _, name := range []string{"b", "c"} { // they have no link to d any more; a has one of its own that is silent
 		r := record(name, 101, "a", "b", "c")
 		r.StartedAt = 100
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 	}
-	m.links[m.members[m.byID[IDOf("d")]].link].proof = m.t - 4*s
-	assert.Empty(t, until(m, m.wake, m.wake+usual.SuspicionTimeout-50*ms, false))
-	assert.Equal(t, []string{"d lost"}, until(m, m.wake, m.wake+500*ms, false))
+	m.links[m.members[m.byID[IDOf("d")]].linkIndex].lastProofAt = m.ownTime - 4*s
+	assert.Empty(t, until(m, m.wakeAt, m.wakeAt+usual.SuspicionTimeout-50*ms, false))
+	assert.Equal(t, []string{"d lost"}, until(m, m.wakeAt, m.wakeAt+500*ms, false))
 }
 
 func TestPauseOfThisProcessAccusesNobody(t *testing.T) {
 	m := held("b", "c", "d")
-	last, pauses := m.wake, m.Counters.Pauses
+	last, pauses := m.wakeAt, m.Counters.Pauses
 	var got []string
 	effects, wake := m.Step(last+30*s, 100, nil) // it was stopped; the others answer once they are asked
 	got = append(got, causes(effects)...)
@@ -53,7 +53,7 @@
 
 func TestNodeThatHearsNobodyDoubtsItself(t *testing.T) {
 	m := held("b", "c", "d")
-	got := until(m, m.wake, m.wake+20*s, false)
+	got := until(m, m.wakeAt, m.wakeAt+20*s, false)
 	assert.Equal(t, []string{"a cut off"}, got)
 	v := m.View()
 	assert.True(t, v.Alone)
@@ -62,36 +62,36 @@
 		assert.Equal(t, Suspect, seen.Status)
 		assert.Equal(t, Unreachable, seen.Reach)
 	}
-	assert.Equal(t, []string{"a restored"}, until(m, m.wake, m.wake+5*s, true))
+	assert.Equal(t, []string{"a restored"}, until(m, m.wakeAt, m.wakeAt+5*s, true))
 }
 
 func TestLeaverIsNotSuspected(t *testing.T) {
 	m := held("b", "c")
 	r := record("c", 101, "a", "b")
 	r.StartedAt, r.Left = 100, true
-	m.learn(&r, -1)
+	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"c left"}, soon(m))
 	r = record("b", 101) // in beat 1, then silent
 	r.StartedAt, r.Facts.Beat = 100, 1
-	m.learn(&r, -1)
+	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"b left"}, soon(m))
 }
 
 func TestRestartUnderTheSameNameReplaces(t *testing.T) {
 	m := held("b", "c")
 	r := record("b", 200)
-	effects, _ := m.Step(m.wake, 100, []Input{{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("c"), Records: []Record{r}}}})
+	effects, _ := m.Step(m.wakeAt, 100, []Input{{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("c"), Records: []Record{r}}}})
 	assert.Equal(t, []string{"b replaced"}, causes(effects))
-	assert.Equal(t, 3, m.inView, "it has a silence's time to be reached")
+	assert.Equal(t, 3, m.viewSize, "it has a silence's time to be reached")
 }
 
 func TestOwnRecordOfAnEarlierLifeIsOutdone(t *testing.T) {
 	m := held("b", "c")
 	r := record("a", 500) // a clock that was ahead in the last life
-	r.Address = m.members[0].rec.Address
-	m.learn(&r, -1)
+	r.Address = m.members[0].record.Address
+	m.applyRecord(&r, -1)
 	assert.Equal(t, uint64(501), m.Self().Incarnation)
-	m.learn(&r, -1)
+	m.applyRecord(&r, -1)
 	assert.Equal(t, uint64(501), m.Self().Incarnation)
 }
 
@@ -99,13 +99,13 @@
 	earlier, later := held("b", "c"), held("b", "c")
 	r := record("a", 300)
 	r.Address = "10.0.0.99:9"
-	earlier.learn(&r, -1) // of one that started later: outdone
+	earlier.applyRecord(&r, -1) // of one that started later: outdone
 	assert.Equal(t, uint64(301), earlier.Self().Incarnation)
 	r.StartedAt = 50
-	later.learn(&r, -1) // of one that started before it and still speaks
-	assert.Equal(t, 0, later.up())
+	later.applyRecord(&r, -1) // of one that started before it and still speaks
+	assert.Equal(t, 0, later.linksUp())
 	assert.Equal(t, 1, later.Counters.Refused)
-	assert.Equal(t, 1, later.inView)
+	assert.Equal(t, 1, later.viewSize)
 }
 
 func TestNameHeldAtAnotherAddressIsRefusedUntilItsHolderIsGone(t *testing.T) {
@@ -113,7 +113,7 @@
 	r := record("b", 300)
 	r.Address = "10.0.0.99:9"
 	asked := []Input{{Kind: ExchangeOpened, Link: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
-	effects, _ := m.Step(m.wake, 100, asked)
+	effects, _ := m.Step(m.wakeAt, 100, asked)
 	require.NotEmpty(t, effects)
 	replies := func(effects []Effect) (kinds []MessageKind) {
 		for _, e := range effects {
@@ -124,8 +124,8 @@
 		return kinds
 	}
 	assert.Equal(t, []MessageKind{MessageReject}, replies(effects))
-	m.members[m.byID[IDOf("b")]].reached = false
-	effects, _ = m.Step(m.wake, 100, asked)
+	m.members[m.byID[IDOf("b")]].reachable = false
+	effects, _ = m.Step(m.wakeAt, 100, asked)
 	assert.Equal(t, []MessageKind{MessageSyncAnswer}, replies(effects))
 }
 
@@ -135,38 +135,38 @@
 	m := New(c, s, 100, 0, 1)
 	for i := range 100 {
 		r := record(fmt.Sprint(i), 100)
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 	}
 	assert.Len(t, m.byID, 10)
 	assert.LessOrEqual(t, len(m.members), 11)
 	for i := 1; i < len(m.members); i++ { // all in the view: nobody makes room
-		m.members[i].in = true
+		m.members[i].inView = true
 	}
 	r := record("x", 100)
-	m.learn(&r, -1)
+	m.applyRecord(&r, -1)
 	assert.Equal(t, 1, m.Counters.Unusable)
 }
 
 func TestRecordsThatCantBeKeptAreCounted(t *testing.T) {
 	m := held("b")
 	long := record("c", 100)
-	for i := range linksMost + 1 {
+	for i := range maxLinks + 1 {
 		long.Links = append(long.Links, ID(i))
 	}
 	for _, r := range []Record{{}, {Name: "x"}, {Name: string(make([]byte, 65)), Address: "y"}, long, {Name: "x", Address: "y", Incarnation: 1 << 63}} {
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 	}
 	assert.Equal(t, 5, m.Counters.Unusable)
 }
 
 func TestAcksOfOldPingsProveNothing(t *testing.T) {
 	m := held("b", "c")
-	l := &m.links[m.members[m.byID[IDOf("b")]].link]
-	l.seq, l.proof = 100, m.t-2*s
-	for _, seq := range []uint32{100 - sentKept, 101, 1 << 31} {
-		m.acked(m.byID[IDOf("b")], seq)
+	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
+	l.pingSeq, l.lastProofAt = 100, m.ownTime-2*s
+	for _, seq := range []uint32{100 - pingHistory, 101, 1 << 31} {
+		m.applyAck(m.byID[IDOf("b")], seq)
 	}
-	assert.Equal(t, m.t-2*s, l.proof)
+	assert.Equal(t, m.ownTime-2*s, l.lastProofAt)
 	assert.Equal(t, 3, m.Counters.UnmatchedMessages)
 }
 
@@ -180,22 +180,22 @@
 		}
 		first, second := New(usual, s, 100, 0, 1), New(usual, s, 100, 0, 1)
 		for i := range all {
-			first.learn(&all[i], -1)
+			first.applyRecord(&all[i], -1)
 		}
 		for _, i := range rapid.Permutation(all).Draw(t, "order") {
-			second.learn(&i, -1)
-			second.learn(&i, -1)
+			second.applyRecord(&i, -1)
+			second.applyRecord(&i, -1)
 		}
 		require.Equal(t, first.digest, second.digest)
 		for id, i := range first.byID {
-			require.Equal(t, first.members[i].rec.RecordVersion, second.members[second.byID[id]].rec.RecordVersion)
+			require.Equal(t, first.members[i].record.RecordVersion, second.members[second.byID[id]].record.RecordVersion)
 		}
 	})
 }
 
 func TestIdleStepAllocatesNothing(t *testing.T) {
 	m := many(300)
-	now := m.wake
+	now := m.wakeAt
 	for range 200 {
 		_, now = m.Step(now, now, answer(m))
 	}
@@ -203,8 +203,8 @@
 	assert.Zero(t, testing.AllocsPerRun(200, func() {
 		_, now = m.Step(now, now, nil)
 		for k := range inputs {
-			if i, known := m.byID[inputs[k].Message.From]; known && m.members[i].link >= 0 {
-				inputs[k].Message.Seq = m.links[m.members[i].link].seq
+			if i, known := m.byID[inputs[k].Message.From]; known && m.members[i].linkIndex >= 0 {
+				inputs[k].Message.Seq = m.links[m.members[i].linkIndex].pingSeq
 			}
 		}
 		m.Step(now-1, now-1, inputs)
@@ -214,7 +214,7 @@
 
 func BenchmarkStep300(b *testing.B) {
 	m := many(300)
-	now := m.wake
+	now := m.wakeAt
 	inputs := answer(m)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -233,7 +233,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			r := record(rapid.SampledFrom(names[1:]).Draw(t, "name"), uint64(rapid.IntRange(1, 9).Draw(t, "inc")))
 			r.RecordVersion, r.Left = uint32(rapid.IntRange(0, 9).Draw(t, "ver")), rapid.IntRange(0, 9).Draw(t, "left") == 0
-			for range rapid.IntRange(0, linksMost).Draw(t, "links") {
+			for range rapid.IntRange(0, maxLinks).Draw(t, "links") {
 				r.Links = append(r.Links, IDOf(rapid.SampledFrom(names).Draw(t, "link")))
 			}
 			if rapid.Bool().Draw(t, "sorted") {
@@ -242,27 +242,27 @@
 			m.Step(now, 100, append(answer(m), Input{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("b"), Records: []Record{r}}}))
 			now += rapid.Int64Range(1, 5*s).Draw(t, "later")
 			m.Step(now, 100, nil)
-			m.follow()
-			m.checkNear()
-			m.checkOwed()
+			m.traverse()
+			m.checkAdjacency()
+			m.checkQueues()
 			hash, size := m.Hash()
 			in := 0
 			for i := range m.members {
-				if m.members[i].in {
+				if m.members[i].inView {
 					in++
 				}
 			}
 			require.Equal(t, m.View().Hash, hash)
 			require.Equal(t, in, size)
-			m.keepOrders()
-			for r, order := range m.order {
+			m.updateRingOrders()
+			for r, order := range m.ringOrder {
 				var all []int32
 				for i := range m.members {
-					if b := &m.members[i]; i == 0 || b.rec.Name != "" && !b.rec.Left && (b.in || m.t < b.hope) {
+					if b := &m.members[i]; i == 0 || b.record.Name != "" && !b.record.Left && (b.inView || m.ownTime < b.watchUntil) {
 						all = append(all, int32(i))
 					}
 				}
-				slices.SortFunc(all, func(a, b int32) int { return m.along(r, a, b) })
+				slices.SortFunc(all, func(a, b int32) int { return m.compareInRing(r, a, b) })
 				require.Equal(t, all, order)
 			}
 			require.Empty(t, m.Invariants.All())
@@ -273,7 +273,7 @@
 // pingsOn are when a link is pinged until a moment, in ms after the first of them.
 func pingsOn(m *Members, id ID, to int64, answered func(seq uint32) bool) (at []int64) {
 	first := int64(0)
-	for now := m.wake; now < to; now = max(m.wake, now+1) {
+	for now := m.wakeAt; now < to; now = max(m.wakeAt, now+1) {
 		effects, _ := m.Step(now, now, nil)
 		var answers []Input
 		for _, e := range effects {
@@ -298,7 +298,7 @@
 
 func (m *Members) byAddress(address string) ID {
 	for i := range m.members {
-		if m.members[i].rec.Address == address {
+		if m.members[i].record.Address == address {
 			return m.members[i].id
 		}
 	}
@@ -310,18 +310,18 @@
 func TestPingsWithoutAnAnswerAreSentAgain(t *testing.T) {
 	b := IDOf("b")
 	m := held("b", "c")
-	assert.Equal(t, []int64{0, 500, 1_000, 1_500}, pingsOn(m, b, m.wake+1_990*ms, func(uint32) bool { return true }))
+	assert.Equal(t, []int64{0, 500, 1_000, 1_500}, pingsOn(m, b, m.wakeAt+1_990*ms, func(uint32) bool { return true }))
 	m = held("b", "c")
-	got := pingsOn(m, b, m.wake+1_990*ms, func(uint32) bool { return false })
+	got := pingsOn(m, b, m.wakeAt+1_990*ms, func(uint32) bool { return false })
 	require.Greater(t, len(got), 8)
 	assert.Equal(t, []int64{0, 125, 250, 375, 500, 625}, got[:6])
-	l := &m.links[m.members[m.byID[b]].link]
+	l := &m.links[m.members[m.byID[b]].linkIndex]
 	assert.True(t, l.up)
-	got = pingsOn(m, b, m.wake+1_400*ms, func(uint32) bool { return false })
+	got = pingsOn(m, b, m.wakeAt+1_400*ms, func(uint32) bool { return false })
 	assert.LessOrEqual(t, len(got), 4, "a probe each once it is in doubt")
 	m = held("b", "c")
-	m.links[m.members[m.byID[b]].link].trip = 200 * ms
-	got = pingsOn(m, b, m.wake+1_500*ms, func(uint32) bool { return false })
+	m.links[m.members[m.byID[b]].linkIndex].roundTrip = 200 * ms
+	got = pingsOn(m, b, m.wakeAt+1_500*ms, func(uint32) bool { return false })
 	require.Greater(t, len(got), 4)
 	assert.Equal(t, []int64{0, 400, 500, 900}, got[:4], "none before an answer from afar can be there")
 }
@@ -329,16 +329,16 @@
 // The settling bridges a link that was lost for a moment only if it is told of within it once it is back.
 func TestLinksThatAreBackAreToldOfBeforeTheLossIsBelieved(t *testing.T) {
 	m := held("b", "c", "d", "e", "f")
-	l := &m.links[m.members[m.byID[IDOf("b")]].link]
-	l.proof = m.t - usual.LinkTimeout - ms
-	m.Step(m.wake, m.wake, nil)
-	until(m, m.wake, m.wake+250*ms, false)
+	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
+	l.lastProofAt = m.ownTime - usual.LinkTimeout - ms
+	m.Step(m.wakeAt, m.wakeAt, nil)
+	until(m, m.wakeAt, m.wakeAt+250*ms, false)
 	require.NotContains(t, m.Self().Links, IDOf("b"))
-	told := m.published
-	m.Step(m.wake, m.wake, answer(m))
-	until(m, m.wake, told+regainsEvery+20*ms, false)
+	told := m.publishedAt
+	m.Step(m.wakeAt, m.wakeAt, answer(m))
+	until(m, m.wakeAt, told+regainedPublishInterval+20*ms, false)
 	assert.Contains(t, m.Self().Links, IDOf("b"))
-	assert.Less(t, regainsEvery+newsEvery+followEvery, usual.SuspicionTimeout)
+	assert.Less(t, regainedPublishInterval+gossipInterval+traversalInterval, usual.SuspicionTimeout)
 }
 
 func TestTablesAreAskedForOnceNewsRest(t *testing.T) {
@@ -356,24 +356,24 @@
 		}
 		return asked
 	}
-	now, asked := m.wake, 0
+	now, asked := m.wakeAt, 0
 	for k := range 60 { // news come for 6 s
 		now += 100 * ms
 		r := record(fmt.Sprint("e", k), 100)
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 		asked += differs(now)
 	}
 	assert.Zero(t, asked, "while news come, a table would be old at once")
-	for end := now + healRest + 100*ms; now < end; now += 100 * ms {
+	for end := now + syncQuietTime + 100*ms; now < end; now += 100 * ms {
 		asked += differs(now)
 	}
 	assert.Equal(t, 1, asked, "once they rest it is asked for")
-	m.Step(now, now, []Input{{Kind: ExchangeFailed, Link: m.healing}})
+	m.Step(now, now, []Input{{Kind: ExchangeFailed, Link: m.syncLink}})
 	asked = 0
 	for k := range 150 { // 15 s
 		now += 100 * ms
 		r := record(fmt.Sprint("f", k), 100)
-		m.learn(&r, -1)
+		m.applyRecord(&r, -1)
 		asked += differs(now)
 	}
 	assert.Equal(t, 1, asked, "news don't put it off for ever")
@@ -381,29 +381,29 @@
 
 func TestLinksThatNobodyWantsAreToldAsEndedTogether(t *testing.T) {
 	m := held("b", "c", "d", "e", "f")
-	until(m, m.wake, m.wake+gainsEvery, true)
+	until(m, m.wakeAt, m.wakeAt+gainedPublishInterval, true)
 	var links []int8
 	for k := range m.links {
 		if m.links[k].member >= 0 {
 			links = append(links, int8(k))
 		}
 	}
-	ver, closed, proof := m.Self().RecordVersion, m.t, m.links[links[1]].proof
-	m.close(links[0])
-	until(m, m.wake, closed+gainsEvery, true)
-	m.close(links[1])
-	for m.wake-m.slip < closed+closedEvery {
+	ver, closed, proof := m.Self().RecordVersion, m.ownTime, m.links[links[1]].lastProofAt
+	m.closeLink(links[0])
+	until(m, m.wakeAt, closed+gainedPublishInterval, true)
+	m.closeLink(links[1])
+	for m.wakeAt-m.pausedTime < closed+closedPublishInterval {
 		assert.Equal(t, ver, m.Self().RecordVersion, "no version for each")
-		m.Step(m.wake, 100, nil)
+		m.Step(m.wakeAt, 100, nil)
 	}
-	for m.t < closed+closedEvery {
-		m.Step(m.wake, 100, nil)
+	for m.ownTime < closed+closedPublishInterval {
+		m.Step(m.wakeAt, 100, nil)
 	}
 	assert.Equal(t, ver+1, m.Self().RecordVersion, "one for both")
-	assert.Less(t, closed+closedEvery, proof+usual.LinkTimeout, "before silence would have told it")
-	m.close(links[2])
+	assert.Less(t, closed+closedPublishInterval, proof+usual.LinkTimeout, "before silence would have told it")
+	m.closeLink(links[2])
 	l := &m.links[links[3]]
-	l.proof = m.t - usual.LinkTimeout - 1
-	m.keepLinks()
-	assert.LessOrEqual(t, m.publishAt, m.t+publishEvery, "a link that is lost is told at once, and those with it")
+	l.lastProofAt = m.ownTime - usual.LinkTimeout - 1
+	m.probeLinks()
+	assert.LessOrEqual(t, m.publishAt, m.ownTime+publishInterval, "a link that is lost is told at once, and those with it")
 }
--- a/internal/fleet/membership/neighbours.go
+++ b/internal/fleet/membership/neighbours.go
@@ -5,8 +5,8 @@
 // Neighbours are the members that a link of this node's works with, by name.
 func (m *Members) Neighbours() (names []string) {
 	for k := range m.links {
-		if l := &m.links[k]; l.member >= 0 && l.up && m.members[l.member].rec.Name != "" {
-			names = append(names, m.members[l.member].rec.Name)
+		if l := &m.links[k]; l.member >= 0 && l.up && m.members[l.member].record.Name != "" {
+			names = append(names, m.members[l.member].record.Name)
 		}
 	}
 	slices.Sort(names)
@@ -15,10 +15,10 @@
 
 // InZone are the other live members of this node's zone, by name; those without a zone are of one.
 func (m *Members) InZone() (names []string) {
-	zone := m.members[0].rec.Facts.Zone
+	zone := m.members[0].record.Facts.Zone
 	for i := range m.members {
-		if b := &m.members[i]; i > 0 && b.in && b.rec.Facts.Zone == zone {
-			names = append(names, b.rec.Name)
+		if b := &m.members[i]; i > 0 && b.inView && b.record.Facts.Zone == zone {
+			names = append(names, b.record.Name)
 		}
 	}
 	slices.Sort(names)
@@ -28,8 +28,8 @@
 // InView are the members of this node's view, itself among them, by name.
 func (m *Members) InView() (names []string) {
 	for i := range m.members {
-		if b := &m.members[i]; b.in {
-			names = append(names, b.rec.Name)
+		if b := &m.members[i]; b.inView {
+			names = append(names, b.record.Name)
 		}
 	}
 	slices.Sort(names)
--- a/internal/fleet/membership/neighbours_test.go
+++ b/internal/fleet/membership/neighbours_test.go
@@ -12,15 +12,15 @@
 			MaxMembers: 9}, 0, 1, 0, 1)
 		for _, r := range []Record{{Name: "b", Address: "10.0.0.2:9", StartedAt: 1, Incarnation: 1, Facts: Facts{Zone: "a"}}, {Name: "c", Address: "10.0.0.3:9", StartedAt: 1, Incarnation: 1},
 			{Name: "d", Address: "10.0.0.4:9", StartedAt: 1, Incarnation: 1, Facts: Facts{Zone: "z"}}, {Name: "lost", Address: "10.0.0.5:9", StartedAt: 1, Incarnation: 1}} {
-			i := m.add(&r)
-			m.members[i].in = r.Name != "lost"
+			i := m.addMember(&r)
+			m.members[i].inView = r.Name != "lost"
 		}
 		assert.Equal(t, want, m.InZone())
 		assert.Equal(t, []string{"b", "c", "d", "n"}, m.InView())
 		assert.Empty(t, m.Neighbours(), "no link works")
-		m.open(m.byID[IDOf("c")]).up = true
-		m.open(m.byID[IDOf("b")]).up = true
-		m.open(m.byID[IDOf("d")])
+		m.openLink(m.byID[IDOf("c")]).up = true
+		m.openLink(m.byID[IDOf("b")]).up = true
+		m.openLink(m.byID[IDOf("d")])
 		assert.Equal(t, []string{"b", "c"}, m.Neighbours())
 	}
 }
--- a/internal/fleet/membership/types.go
+++ b/internal/fleet/membership/types.go
@@ -11,40 +11,40 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	rings        = 4           // orders of the fleet in each of which a node watches both sides: eight links hold a graph together
-	passedMost   = 4           // silent members passed over on a side of a ring: two of three gone still leave a link
-	linksMost    = 32          // links of a node: four times those it looks for itself
-	sentKept     = 32          // pings on a link whose answer still counts: more than are sent while it may be silent
-	retriesMost  = 4           // pings that one probe can become where none is answered: a fifth of loss takes all four in 1 of 60 cases
-	recordsOnce  = 6           // records in one datagram: 1,200 bytes of the largest that are usual
-	roomOfNews   = 1_000       // bytes of records in one datagram, the rest of 1,200 is for its head
-	tableMost    = 1<<16 - 1   // members: places in the table are two bytes in what is followed
-	effectsKept  = 64          // room for effects that is kept between steps: a table that comes whole is a change for each member
-	nameMost     = 64          // bytes of a name
-	addressMost  = 64          // bytes of an address
-	factMost     = 32          // bytes of a fact
-	knocksMost   = 8           // addresses of the lost that are tried at once
-	fallsMost    = 5           // losses of one member that still lengthen its way back
-	lingerFor    = 4_000 * ms  // ns that a link is kept once it is not wanted: its successor is known to all by then
-	ringsEvery   = 100 * ms    // ns between looks at whom to watch: a herd of joins is one change
-	followEvery  = 50 * ms     // ns between two that follow all links: in a herd records change by the hundred
-	viewEvery    = 1_000 * ms  // ns between looks at who is forgotten
-	newsEvery    = 100 * ms    // ns between news on one link: records that change again meanwhile go once
-	publishEvery = 200 * ms    // ns between new links of one's own record
-	regainsEvery = 100 * ms    // ns between them where a link is back that was lost: with the news' way less than the settling
-	gainsEvery   = 500 * ms    // ns between them where only more were gained: in a herd many come at once
-	closedEvery  = 1_500 * ms  // ns between them where links ended that neither end wants: they end one by one after a herd
-	knockEvery   = 1_000 * ms  // ns between tries at one that was lost
-	joinEvery    = 500 * ms    // ns between tries at a seed, doubled up to joinMost
-	joinMost     = 4_000 * ms  // ns
-	healAfter    = 1_500 * ms  // ns that a neighbour's table differs before it is asked for all: news takes less
-	healAgain    = 3_000 * ms  // ns between full exchanges
-	healRest     = 500 * ms    // ns without news before one: while they come, tables differ, and a whole one is old at once
-	healMost     = 10_000 * ms // ns for which news put it off at the most
-	coldAfter    = 30_000 * ms // ns after which a lost member's record is no part of what tables are compared by
-	pardon       = 60_000 * ms // ns of standing after which a loss is forgotten
-	gapLeast     = 150 * ms    // ns past a wake from which this process stood still, and not the others
-	never        = math.MaxInt64
+	ringCount               = 4           // orders of the fleet in each of which a node watches both sides: eight links hold a graph together
+	maxPassedOver           = 4           // silent members passed over on a side of a ring: two of three gone still leave a link
+	maxLinks                = 32          // links of a node: four times those it looks for itself
+	pingHistory             = 32          // pings on a link whose answer still counts: more than are sent while it may be silent
+	maxPingsPerProbe        = 4           // pings that one probe can become where none is answered: a fifth of loss takes all four in 1 of 60 cases
+	maxRecordsPerDatagram   = 6           // records in one datagram: 1,200 bytes of the largest that are usual
+	maxGossipBytes          = 1_000       // bytes of records in one datagram, the rest of 1,200 is for its head
+	maxTableSize            = 1<<16 - 1   // members: places in the table are two bytes in what is followed
+	retainedEffects         = 64          // room for effects that is kept between steps: a table that comes whole is a change for each member
+	maxNameBytes            = 64          // bytes of a name
+	maxAddressBytes         = 64          // bytes of an address
+	maxFactBytes            = 32          // bytes of a fact
+	maxReconnects           = 8           // addresses of the lost that are tried at once
+	maxFlaps                = 5           // losses of one member that still lengthen its way back
+	unwantedLinkTimeout     = 4_000 * ms  // ns that a link is kept once it is not wanted: its successor is known to all by then
+	ringsInterval           = 100 * ms    // ns between looks at whom to watch: a herd of joins is one change
+	traversalInterval       = 50 * ms     // ns between two that follow all links: in a herd records change by the hundred
+	viewInterval            = 1_000 * ms  // ns between looks at who is forgotten
+	gossipInterval          = 100 * ms    // ns between news on one link: records that change again meanwhile go once
+	publishInterval         = 200 * ms    // ns between new links of one's own record
+	regainedPublishInterval = 100 * ms    // ns between them where a link is back that was lost: with the news' way less than the settling
+	gainedPublishInterval   = 500 * ms    // ns between them where only more were gained: in a herd many come at once
+	closedPublishInterval   = 1_500 * ms  // ns between them where links ended that neither end wants: they end one by one after a herd
+	reconnectInterval       = 1_000 * ms  // ns between tries at one that was lost
+	joinInterval            = 500 * ms    // ns between tries at a seed, doubled up to joinMost
+	maxJoinBackoff          = 4_000 * ms  // ns
+	syncDelay               = 1_500 * ms  // ns that a neighbour's table differs before it is asked for all: news takes less
+	syncInterval            = 3_000 * ms  // ns between full exchanges
+	syncQuietTime           = 500 * ms    // ns without news before one: while they come, tables differ, and a whole one is old at once
+	maxSyncDeferral         = 10_000 * ms // ns for which news put it off at the most
+	digestRetention         = 30_000 * ms // ns after which a lost member's record is no part of what tables are compared by
+	flapDecayTime           = 60_000 * ms // ns of standing after which a loss is forgotten
+	minPause                = 150 * ms    // ns past a wake from which this process stood still, and not the others
+	never                   = math.MaxInt64
 )
 
 // ID is a member's name in short.
@@ -91,8 +91,8 @@
 
 // usable says whether a record of a peer can be kept.
 func (r *Record) usable() bool {
-	return r.Name != "" && len(r.Name) <= nameMost && r.Address != "" && len(r.Address) <= addressMost &&
-		len(r.Links) <= linksMost && len(r.Facts.Version) <= factMost && len(r.Facts.Zone) <= factMost && r.Incarnation < math.MaxUint64/2
+	return r.Name != "" && len(r.Name) <= maxNameBytes && r.Address != "" && len(r.Address) <= maxAddressBytes &&
+		len(r.Links) <= maxLinks && len(r.Facts.Version) <= maxFactBytes && len(r.Facts.Zone) <= maxFactBytes && r.Incarnation < math.MaxUint64/2
 }
 
 // size is about the bytes of a record in a message.
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -7,110 +7,110 @@
 	"topazpost/internal/invariant"
 )
 
-// follow finds whom a path of links leads to: links that both ends tell of, from this node on.
-func (m *Members) follow() {
-	last := m.follows
-	m.follows++
-	m.followed[0], m.members[0].reached = m.follows, true
+// traverse finds whom a path of links leads to: links that both ends tell of, from this node on.
+func (m *Members) traverse() {
+	last := m.traversal
+	m.traversal++
+	m.lastTraversal[0], m.members[0].reachable = m.traversal, true
 	m.stack = append(m.stack[:0], 0)
 	for len(m.stack) > 0 {
 		i := m.stack[len(m.stack)-1]
 		m.stack = m.stack[:len(m.stack)-1]
-		for _, j := range m.linked(i) {
-			if m.followed[j] == m.follows || m.near[j].left {
+		for _, j := range m.neighboursOf(i) {
+			if m.lastTraversal[j] == m.traversal || m.adjacency[j].left {
 				continue
 			}
-			if m.followed[j] != last {
+			if m.lastTraversal[j] != last {
 				b := &m.members[j]
-				b.reached, b.lost, m.calm[j] = true, 0, false
+				b.reachable, b.unreachableSince, m.settled[j] = true, 0, false
 			}
-			m.followed[j] = m.follows
+			m.lastTraversal[j] = m.traversal
 			m.stack = append(m.stack, int32(j))
 		}
 	}
-	for i, at := range m.followed {
+	for i, at := range m.lastTraversal {
 		if at != last {
 			continue
 		}
 		b := &m.members[i]
-		if b.reached, m.calm[i] = false, false; b.in && b.lost == 0 {
-			b.lost = m.t
+		if b.reachable, m.settled[i] = false, false; b.inView && b.unreachableSince == 0 {
+			b.unreachableSince = m.ownTime
 		}
 	}
 	if invariant.Debug {
-		m.checkNear()
+		m.checkAdjacency()
 	}
 }
 
-// linked are those with whom a member has a link that both ends tell of.
-func (m *Members) linked(i int32) []uint16 {
-	n := &m.near[i]
-	return n.at[:n.n]
+// neighboursOf are those with whom a member has a link that both ends tell of.
+func (m *Members) neighboursOf(i int32) []uint16 {
+	n := &m.adjacency[i]
+	return n.neighbours[:n.count]
 }
 
-// relink has the links that both ends tell of follow a member's record, whose links were others before, and notes
+// updateAdjacency has the links that both ends tell of follow a member's record, whose links were others before, and notes
 // whose word a loss rests on: of those that a member had a link to and has no more.
-func (m *Members) relink(i int32, before, after []ID) {
+func (m *Members) updateAdjacency(i int32, before, after []ID) {
 	self := m.members[i].id
 	for _, id := range before {
-		if tells(after, id) {
+		if containsID(after, id) {
 			continue
 		}
 		if j, known := m.byID[id]; known {
 			if i > 0 { // its own are lost by its own word, said where that is noticed
-				m.members[j].word = self
+				m.members[j].lossReportedBy = self
 			}
-			if m.unlink(i, j) {
-				m.unlink(j, i)
+			if m.removeAdjacency(i, j) {
+				m.removeAdjacency(j, i)
 			}
 		}
 	}
 	for _, id := range after {
-		if tells(before, id) || !tells(after, id) {
+		if containsID(before, id) || !containsID(after, id) {
 			continue
 		}
-		if j, known := m.byID[id]; known && j != i && tells(m.members[j].rec.Links, self) && !slices.Contains(m.linked(i), uint16(j)) {
-			m.near[i].link(j)
-			m.near[j].link(i)
+		if j, known := m.byID[id]; known && j != i && containsID(m.members[j].record.Links, self) && !slices.Contains(m.neighboursOf(i), uint16(j)) {
+			m.adjacency[i].add(j)
+			m.adjacency[j].add(i)
 		}
 	}
 }
 
-// link takes a member up among those that another is linked with: one for each id of its record at the most.
-func (n *near) link(j int32) {
-	n.at[n.n] = uint16(j)
-	n.n++
+// add takes a member up among those that another is linked with: one for each id of its record at the most.
+func (n *adjacency) add(j int32) {
+	n.neighbours[n.count] = uint16(j)
+	n.count++
 }
 
-// unlink takes a member out of them, and says whether it was one.
-func (m *Members) unlink(i, j int32) bool {
-	n := &m.near[i]
-	at := slices.Index(m.linked(i), uint16(j))
+// removeAdjacency takes a member out of them, and says whether it was one.
+func (m *Members) removeAdjacency(i, j int32) bool {
+	n := &m.adjacency[i]
+	at := slices.Index(m.neighboursOf(i), uint16(j))
 	if at < 0 {
 		return false
 	}
-	n.n--
-	n.at[at] = n.at[n.n]
+	n.count--
+	n.neighbours[at] = n.neighbours[n.count]
 	return true
 }
 
-// tells says whether an id is among the links of a record.
-func tells(links []ID, id ID) bool {
+// containsID says whether an id is among the links of a record.
+func containsID(links []ID, id ID) bool {
 	_, found := slices.BinarySearch(links, id)
 	return found
 }
 
-// checkNear holds the links that are kept against those of the records.
-func (m *Members) checkNear() {
+// checkAdjacency holds the links that are kept against those of the records.
+func (m *Members) checkAdjacency() {
 	for i := range m.members {
-		b, n, kept := &m.members[i], 0, m.linked(int32(i))
-		m.Invariants.Check(i == 0 || m.near[i].left == b.rec.Left && b.reached == (m.followed[i] == m.follows), "what is followed is as the records are")
-		if b.rec.Name == "" {
+		b, n, kept := &m.members[i], 0, m.neighboursOf(int32(i))
+		m.Invariants.Check(i == 0 || m.adjacency[i].left == b.record.Left && b.reachable == (m.lastTraversal[i] == m.traversal), "what is followed is as the records are")
+		if b.record.Name == "" {
 			m.Invariants.Check(len(kept) == 0, "nobody is linked with the forgotten")
 			continue
 		}
 		for j := range m.members {
-			if o := &m.members[j]; i != j && o.rec.Name != "" && tells(b.rec.Links, o.id) && tells(o.rec.Links, b.id) {
+			if o := &m.members[j]; i != j && o.record.Name != "" && containsID(b.record.Links, o.id) && containsID(o.record.Links, b.id) {
 				n++
 				m.Invariants.Check(slices.Contains(kept, uint16(j)), "a link that both ends tell of is kept")
 			}
@@ -119,228 +119,228 @@
 	}
 }
 
-// keepView lets the view follow what is reached: those that come at once, those that are lost once that has lasted.
+// updateView lets the view follow what is reached: those that come at once, those that are lost once that has lasted.
 // A node without any link doubts itself, and not all others.
-func (m *Members) keepView() {
-	alone := m.inView > 1 && m.up() == 0 && !m.members[0].rec.Left
-	followed := m.dirtyView && m.t >= m.followAt
-	if !followed && alone == m.alone && m.t < m.viewAt {
+func (m *Members) updateView() {
+	alone := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
+	followed := m.viewDirty && m.ownTime >= m.nextTraversalAt
+	if !followed && alone == m.isolated && m.ownTime < m.nextViewAt {
 		return
 	}
 	if followed {
-		m.dirtyView, m.followAt = false, m.t+followEvery
-		m.follow()
+		m.viewDirty, m.nextTraversalAt = false, m.ownTime+traversalInterval
+		m.traverse()
 	}
-	if alone != m.alone {
-		m.alone = alone
-		m.changed(map[bool]Cause{true: Isolated, false: Reconnected}[alone], &m.members[0], m.members[0].rec.Incarnation, m.config.Name, 0)
+	if alone != m.isolated {
+		m.isolated = alone
+		m.emitChange(map[bool]Cause{true: Isolated, false: Reconnected}[alone], &m.members[0], m.members[0].record.Incarnation, m.config.Name, 0)
 	}
-	m.viewAt = m.t + viewEvery
+	m.nextViewAt = m.ownTime + viewInterval
 	for i := 1; i < len(m.members); i++ {
-		if m.calm[i] {
+		if m.settled[i] {
 			continue
 		}
 		b := &m.members[i]
-		if b.rec.Name == "" {
-			m.calm[i] = true
+		if b.record.Name == "" {
+			m.settled[i] = true
 			continue
 		}
 		switch {
-		case b.in && b.rec.Left:
-			m.leave(b, Departed)
-		case b.in && !b.reached && m.alone:
-			b.lost = m.t // counted anew once this node hears again
-			m.status(b, Suspect)
-		case b.in && !b.reached && b.rec.Facts.Beat > 0:
-			m.leave(b, Departed)
-		case b.in && !b.reached && m.t >= max(b.lost+m.config.SuspicionTimeout, b.grace):
-			b.falls = min(b.falls+1, fallsMost)
-			b.fell = m.t
-			m.leave(b, Lost)
-		case b.in && !b.reached:
-			m.status(b, Suspect)
-			m.viewAt = min(m.viewAt, max(b.lost+m.config.SuspicionTimeout, b.grace))
-		case b.in:
-			if b.falls > 0 && m.t-b.fell > pardon {
-				b.falls = 0
+		case b.inView && b.record.Left:
+			m.leaveView(b, Departed)
+		case b.inView && !b.reachable && m.isolated:
+			b.unreachableSince = m.ownTime // counted anew once this node hears again
+			m.setStatus(b, Suspect)
+		case b.inView && !b.reachable && b.record.Facts.Beat > 0:
+			m.leaveView(b, Departed)
+		case b.inView && !b.reachable && m.ownTime >= max(b.unreachableSince+m.config.SuspicionTimeout, b.reachGraceUntil):
+			b.flaps = min(b.flaps+1, maxFlaps)
+			b.lastFlapAt = m.ownTime
+			m.leaveView(b, Lost)
+		case b.inView && !b.reachable:
+			m.setStatus(b, Suspect)
+			m.nextViewAt = min(m.nextViewAt, max(b.unreachableSince+m.config.SuspicionTimeout, b.reachGraceUntil))
+		case b.inView:
+			if b.flaps > 0 && m.ownTime-b.lastFlapAt > flapDecayTime {
+				b.flaps = 0
 			}
-			m.status(b, Alive)
-			m.calm[i] = b.falls == 0
-		case b.reached && !b.rec.Left && m.t >= m.backAt(b):
-			m.enter(b)
-		case b.reached && !b.rec.Left:
-			m.viewAt = min(m.viewAt, m.backAt(b))
-		case b.counted && m.t-b.out > coldAfter:
-			m.digest ^= b.hash()
-			b.counted = false
-		case m.t-b.out > m.config.ForgetTimeout:
-			m.forget(int32(i))
+			m.setStatus(b, Alive)
+			m.settled[i] = b.flaps == 0
+		case b.reachable && !b.record.Left && m.ownTime >= m.flapDampedUntil(b):
+			m.enterView(b)
+		case b.reachable && !b.record.Left:
+			m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(b))
+		case b.inDigest && m.ownTime-b.outOfViewSince > digestRetention:
+			m.digest ^= b.recordHash()
+			b.inDigest = false
+		case m.ownTime-b.outOfViewSince > m.config.ForgetTimeout:
+			m.forgetMember(int32(i))
 		}
 	}
 }
 
-// backAt is when a member that is reached again may be in the view again. Guards against one that comes and goes
+// flapDampedUntil is when a member that is reached again may be in the view again. Guards against one that comes and goes
 // with its links; does harm to one that is restarted again and again, which is seen later by some seconds.
-func (m *Members) backAt(b *member) int64 {
-	if b.falls <= 1 {
+func (m *Members) flapDampedUntil(b *member) int64 {
+	if b.flaps <= 1 {
 		return 0
 	}
-	return b.fell + knockEvery<<(b.falls-2)
+	return b.lastFlapAt + reconnectInterval<<(b.flaps-2)
 }
 
-func (m *Members) status(b *member, s Status) {
+func (m *Members) setStatus(b *member, s Status) {
 	if b.status != s {
-		b.status, b.since = s, m.t
+		b.status, b.statusSince = s, m.ownTime
 	}
 }
 
-func (m *Members) enter(b *member) {
+func (m *Members) enterView(b *member) {
 	cause := Joined
-	if b.was {
+	if b.everInView {
 		cause = Returned
 	}
-	b.in, b.was = true, true
-	m.inView++
-	m.hash ^= b.life()
-	if !b.counted {
-		b.counted = true
-		m.digest ^= b.hash()
+	b.inView, b.everInView = true, true
+	m.viewSize++
+	m.viewHash ^= b.incarnationHash()
+	if !b.inDigest {
+		b.inDigest = true
+		m.digest ^= b.recordHash()
 	}
-	b.status, b.since = Alive, m.t
-	m.dirtyRings = true
-	m.changed(cause, b, b.rec.Incarnation, "", 0)
+	b.status, b.statusSince = Alive, m.ownTime
+	m.ringsDirty = true
+	m.emitChange(cause, b, b.record.Incarnation, "", 0)
 }
 
-func (m *Members) leave(b *member, cause Cause) {
-	b.in, b.out, b.hope = false, m.t, 0
-	m.inView--
-	m.hash ^= b.life()
-	m.status(b, map[bool]Status{true: Left, false: Dead}[cause == Departed])
+func (m *Members) leaveView(b *member, cause Cause) {
+	b.inView, b.outOfViewSince, b.watchUntil = false, m.ownTime, 0
+	m.viewSize--
+	m.viewHash ^= b.incarnationHash()
+	m.setStatus(b, map[bool]Status{true: Left, false: Dead}[cause == Departed])
 	after := int64(0)
-	if b.lost > 0 {
-		after = m.t - b.lost + m.config.LinkTimeout
+	if b.unreachableSince > 0 {
+		after = m.ownTime - b.unreachableSince + m.config.LinkTimeout
 	}
-	word := b.rec.Name
+	word := b.record.Name
 	if cause == Lost {
 		word = ""
-		if i, known := m.byID[b.word]; known {
-			word = m.members[i].rec.Name
+		if i, known := m.byID[b.lossReportedBy]; known {
+			word = m.members[i].record.Name
 		}
 	}
-	m.dirtyRings = true
-	m.changed(cause, b, b.rec.Incarnation, word, after)
+	m.ringsDirty = true
+	m.emitChange(cause, b, b.record.Incarnation, word, after)
 }
 
-func (m *Members) changed(cause Cause, b *member, inc uint64, word string, after int64) {
-	m.number++
+func (m *Members) emitChange(cause Cause, b *member, inc uint64, word string, after int64) {
+	m.viewNumber++
 	m.Counters.Views++
 	if invariant.Debug {
-		m.Invariants.Check(m.hash == m.View().Hash, "the hash is that of the view")
+		m.Invariants.Check(m.viewHash == m.View().Hash, "the hash is that of the view")
 	}
-	m.do(Effect{Kind: ViewChanged, Change: Change{Number: m.number, Cause: cause, Who: b.rec.Name, Incarnation: inc, ReportedBy: word,
-		After: after, Size: m.inView, Hash: m.hash}})
+	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Who: b.record.Name, Incarnation: inc, ReportedBy: word,
+		After: after, Size: m.viewSize, Hash: m.viewHash}})
 }
 
-// keepTies looks for those with whom there is no link: seeds, the lost, and neighbours whose table stays different.
-func (m *Members) keepTies() {
-	if m.members[0].rec.Left {
+// findPeers looks for those with whom there is no link: seeds, the lost, and neighbours whose table stays different.
+func (m *Members) findPeers() {
+	if m.members[0].record.Left {
 		return
 	}
-	up := m.up()
-	if up == 0 && m.t >= m.joinAt {
-		m.joinAt = m.t + m.jitter(m.joinFor)
-		if m.tried++; m.tried%max(1, len(m.config.Seeds)) == 0 { // all were asked in vain
-			m.joinFor = min(2*m.joinFor, joinMost)
+	up := m.linksUp()
+	if up == 0 && m.ownTime >= m.nextJoinAt {
+		m.nextJoinAt = m.ownTime + m.jitter(m.joinBackoff)
+		if m.seedsTried++; m.seedsTried%max(1, len(m.config.Seeds)) == 0 { // all were asked in vain
+			m.joinBackoff = min(2*m.joinBackoff, maxJoinBackoff)
 		}
-		m.askSeed(false)
+		m.syncWithSeed(false)
 	} else if up > 0 {
-		m.joinFor = joinEvery
-		m.joinAt = max(m.joinAt, m.t+joinEvery/2)
-		if m.t >= m.seedAt { // a part of the fleet that grew from another seed is found so
-			m.seedAt = m.t + m.jitter(2*joinMost)
-			m.askSeed(true)
+		m.joinBackoff = joinInterval
+		m.nextJoinAt = max(m.nextJoinAt, m.ownTime+joinInterval/2)
+		if m.ownTime >= m.nextSeedAt { // a part of the fleet that grew from another seed is found so
+			m.nextSeedAt = m.ownTime + m.jitter(2*maxJoinBackoff)
+			m.syncWithSeed(true)
 		}
 	}
-	if m.t >= m.knockAt {
-		m.knockAt = m.t + knockEvery
-		m.knock()
+	if m.ownTime >= m.nextReconnectAt {
+		m.nextReconnectAt = m.ownTime + reconnectInterval
+		m.reconnect()
 	}
-	if m.healing != 0 && m.t >= m.healAt+healAgain {
-		m.healing = 0
+	if m.syncLink != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
+		m.syncLink = 0
 	}
-	if m.t-m.learned >= healRest {
-		m.rested = m.t
+	if m.ownTime-m.lastNewsAt >= syncQuietTime {
+		m.newsQuietAt = m.ownTime
 	}
-	if m.healing == 0 && m.t >= m.healAt && (m.rested == m.t || m.t-m.rested >= healMost) {
+	if m.syncLink == 0 && m.ownTime >= m.lastSyncStart && (m.newsQuietAt == m.ownTime || m.ownTime-m.newsQuietAt >= maxSyncDeferral) {
 		for k := range m.links {
 			l := &m.links[k]
-			if l.member >= 0 && l.up && l.differ > 0 && m.t-l.differ >= healAfter && m.t-l.healed >= healAgain {
-				l.healed, l.differ, m.rested = m.t, 0, m.t
-				m.ask(m.members[l.member].rec.Address)
+			if l.member >= 0 && l.up && l.digestDiffersSince > 0 && m.ownTime-l.digestDiffersSince >= syncDelay && m.ownTime-l.lastSyncAt >= syncInterval {
+				l.lastSyncAt, l.digestDiffersSince, m.newsQuietAt = m.ownTime, 0, m.ownTime
+				m.startSync(m.members[l.member].record.Address)
 				break
 			}
 		}
 	}
 }
 
-// askSeed asks the next seed in turn for all that it knows; with strange, one that is in nobody's place of the view.
-func (m *Members) askSeed(strange bool) {
+// syncWithSeed asks the next seed in turn for all that it knows; with strange, one that is in nobody's place of the view.
+func (m *Members) syncWithSeed(strange bool) {
 	seeds := m.config.Seeds
 	for range seeds {
-		m.seed = (m.seed + 1) % len(seeds)
-		address := seeds[m.seed]
+		m.seedIndex = (m.seedIndex + 1) % len(seeds)
+		address := seeds[m.seedIndex]
 		known := address == m.config.Address
 		for i := range m.members {
-			known = known || strange && m.members[i].in && m.members[i].rec.Address == address
+			known = known || strange && m.members[i].inView && m.members[i].record.Address == address
 		}
 		if !known {
-			m.ask(address)
+			m.startSync(address)
 			return
 		}
 	}
 }
 
-// knock asks one of the lost whether it is there.
-func (m *Members) knock() {
+// reconnect asks one of the lost whether it is there.
+func (m *Members) reconnect() {
 	for range m.members {
-		m.knockPos = (m.knockPos + 1) % len(m.members)
-		if m.calm[m.knockPos] {
+		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
+		if m.settled[m.reconnectPosition] {
 			continue
 		}
-		b := &m.members[m.knockPos]
-		if b.rec.Name == "" || b.in || b.rec.Left || b.link >= 0 || m.knockPos == 0 {
+		b := &m.members[m.reconnectPosition]
+		if b.record.Name == "" || b.inView || b.record.Left || b.linkIndex >= 0 || m.reconnectPosition == 0 {
 			continue
 		}
-		m.knockSeq = (m.knockSeq + 1) | 1<<31
-		m.knocks[m.knockSeq%knocksMost].id, m.knocks[m.knockSeq%knocksMost].seq = b.id, m.knockSeq
-		m.send(b.rec.Address, &Message{Kind: MessagePing, Seq: m.knockSeq, Records: m.own()})
+		m.reconnectSeq = (m.reconnectSeq + 1) | 1<<31
+		m.reconnects[m.reconnectSeq%maxReconnects].id, m.reconnects[m.reconnectSeq%maxReconnects].seq = b.id, m.reconnectSeq
+		m.send(b.record.Address, &Message{Kind: MessagePing, Seq: m.reconnectSeq, Records: m.ownRecord()})
 		return
 	}
 }
 
-// ask opens an exchange: all heads, and this node's own record.
-func (m *Members) ask(to string) {
+// startSync opens an exchange: all heads, and this node's own record.
+func (m *Members) startSync(to string) {
 	m.lastLink++
-	m.healing, m.healAt = m.lastLink, m.t
+	m.syncLink, m.lastSyncStart = m.lastLink, m.ownTime
 	m.Counters.Exchanges++
 	heads := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
-		if b := &m.members[i]; b.counted {
-			heads = append(heads, RecordSummary{b.id, b.rec.Incarnation, b.rec.RecordVersion})
+		if b := &m.members[i]; b.inDigest {
+			heads = append(heads, RecordSummary{b.id, b.record.Incarnation, b.record.RecordVersion})
 		}
 	}
-	m.do(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
-		Records: m.own(), Heads: heads}})
+	m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
+		Records: m.ownRecord(), Heads: heads}})
 }
 
-func (m *Members) asked(link int, msg *Message) {
+func (m *Members) answerSync(link int, msg *Message) {
 	answer := Message{Kind: MessageSyncAnswer, From: m.members[0].id}
 	switch msg.Kind {
 	case MessageSyncRequest:
-		if why := m.unwelcome(msg); why != "" {
+		if why := m.rejectReason(msg); why != "" {
 			m.Counters.Refused++
-			m.remark(true, "%s", why)
-			m.do(Effect{Kind: Reply, Link: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Why: why}})
+			m.log(true, "%s", why)
+			m.emit(Effect{Kind: Reply, Link: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Why: why}})
 			return
 		}
 		m.stamp++
@@ -350,8 +350,8 @@
 				answer.Wanted = append(answer.Wanted, h.ID)
 				continue
 			}
-			r := &m.members[i].rec
-			m.mark[i] = m.stamp
+			r := &m.members[i].record
+			m.seenStamp[i] = m.stamp
 			if theirs := (Record{Incarnation: h.Incarnation, RecordVersion: h.RecordVersion}); theirs.newer(r) {
 				answer.Wanted = append(answer.Wanted, h.ID)
 			} else if r.newer(&theirs) {
@@ -359,23 +359,23 @@
 			}
 		}
 		for i := range m.members {
-			if b := &m.members[i]; b.counted && m.mark[i] != m.stamp {
-				answer.Records = append(answer.Records, b.rec)
+			if b := &m.members[i]; b.inDigest && m.seenStamp[i] != m.stamp {
+				answer.Records = append(answer.Records, b.record)
 			}
 		}
 		for k := range msg.Records {
-			m.learn(&msg.Records[k], -1)
+			m.applyRecord(&msg.Records[k], -1)
 		}
 	case MessageSyncPush:
 		for k := range msg.Records {
-			m.learn(&msg.Records[k], -1)
+			m.applyRecord(&msg.Records[k], -1)
 		}
 	}
-	m.do(Effect{Kind: Reply, Link: link, Message: answer})
+	m.emit(Effect{Kind: Reply, Link: link, Message: answer})
 }
 
-// unwelcome says why a node that asks is not taken: its name is held by one that lives at another address.
-func (m *Members) unwelcome(msg *Message) string {
+// rejectReason says why a node that asks is not taken: its name is held by one that lives at another address.
+func (m *Members) rejectReason(msg *Message) string {
 	if len(msg.Records) == 0 || !msg.Records[0].usable() {
 		return ""
 	}
@@ -385,18 +385,18 @@
 		return ""
 	}
 	held := &m.members[i]
-	if held.rec.Address == r.Address || !held.in || held.rec.Left || !held.reached && i != 0 || r.StartedAt < held.rec.StartedAt {
+	if held.record.Address == r.Address || !held.inView || held.record.Left || !held.reachable && i != 0 || r.StartedAt < held.record.StartedAt {
 		return ""
 	}
-	return "the name " + r.Name + " is held by a node at " + held.rec.Address + ", so the one at " + r.Address + " is refused"
+	return "the name " + r.Name + " is held by a node at " + held.record.Address + ", so the one at " + r.Address + " is refused"
 }
 
-func (m *Members) answered(msg *Message) {
+func (m *Members) applySyncAnswer(msg *Message) {
 	switch msg.Kind {
 	case MessageReject:
 		m.Counters.Refused++
-		m.remark(true, "refused: %s", msg.Why)
-		m.joinFor = joinMost
+		m.log(true, "refused: %s", msg.Why)
+		m.joinBackoff = maxJoinBackoff
 		return
 	case MessageSyncAnswer:
 	default:
@@ -404,103 +404,103 @@
 		return
 	}
 	for k := range msg.Records {
-		m.learn(&msg.Records[k], -1)
+		m.applyRecord(&msg.Records[k], -1)
 	}
 	if len(msg.Wanted) == 0 {
 		return
 	}
 	push := Message{Kind: MessageSyncPush, From: m.members[0].id}
 	for _, id := range msg.Wanted {
-		if i, known := m.byID[id]; known && m.members[i].counted {
-			push.Records = append(push.Records, m.members[i].rec)
+		if i, known := m.byID[id]; known && m.members[i].inDigest {
+			push.Records = append(push.Records, m.members[i].record)
 		}
 	}
 	if from, known := m.byID[msg.From]; known && len(push.Records) > 0 {
 		m.lastLink++
-		m.do(Effect{Kind: Exchange, Link: m.lastLink, To: m.members[from].rec.Address, Message: push})
+		m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: m.members[from].record.Address, Message: push})
 	}
 }
 
-// due is when the next thing is to be done, by this node's own time.
-func (m *Members) due() int64 {
-	at := m.t + knockEvery
-	if m.members[0].rec.Left {
-		return m.t + newsEvery
+// nextDue is when the next thing is to be done, by this node's own time.
+func (m *Members) nextDue() int64 {
+	at := m.ownTime + reconnectInterval
+	if m.members[0].record.Left {
+		return m.ownTime + gossipInterval
 	}
-	if m.dirtyRings {
-		at = min(at, m.ringsAt)
+	if m.ringsDirty {
+		at = min(at, m.nextRingsAt)
 	}
-	if m.dirtySelf {
+	if m.linksDirty {
 		at = min(at, m.publishAt)
 	}
-	at = min(at, m.viewAt)
-	if m.dirtyView {
-		at = min(at, m.followAt)
+	at = min(at, m.nextViewAt)
+	if m.viewDirty {
+		at = min(at, m.nextTraversalAt)
 	}
 	for k := range m.links {
 		l := &m.links[k]
 		if l.member < 0 {
 			continue
 		}
-		at = min(at, l.next)
+		at = min(at, l.nextPingAt)
 		if l.up {
-			at = min(at, l.proof+m.config.LinkTimeout+1)
+			at = min(at, l.lastProofAt+m.config.LinkTimeout+1)
 		}
-		if l.owing > 0 {
-			at = min(at, l.newsAt)
+		if l.owedRecords > 0 {
+			at = min(at, l.nextGossipAt)
 		}
 	}
-	if m.up() == 0 && len(m.config.Seeds) > 0 {
-		at = min(at, m.joinAt)
+	if m.linksUp() == 0 && len(m.config.Seeds) > 0 {
+		at = min(at, m.nextJoinAt)
 	}
-	return max(at, m.t+1)
+	return max(at, m.ownTime+1)
 }
 
 // View is who is there now. It is made anew at each call.
 func (m *Members) View() View {
-	v := View{Number: m.number, Alone: m.alone}
+	v := View{Number: m.viewNumber, Alone: m.isolated}
 	known := 0
 	for i := range m.members {
 		b := &m.members[i]
-		if b.rec.Name == "" || !b.was {
+		if b.record.Name == "" || !b.everInView {
 			continue
 		}
-		s := MemberStatus{Name: b.rec.Name, Address: b.rec.Address, Status: b.status, Reach: m.reach(int32(i)), Incarnation: b.rec.Incarnation,
-			Facts: b.rec.Facts, Links: len(b.rec.Links), Since: m.t - b.since, StartedAt: b.rec.StartedAt}
+		s := MemberStatus{Name: b.record.Name, Address: b.record.Address, Status: b.status, Reach: m.reachOf(int32(i)), Incarnation: b.record.Incarnation,
+			Facts: b.record.Facts, Links: len(b.record.Links), Since: m.ownTime - b.statusSince, StartedAt: b.record.StartedAt}
 		v.Members = append(v.Members, s)
-		if b.in {
-			v.Hash ^= b.life()
+		if b.inView {
+			v.Hash ^= b.incarnationHash()
 		}
-		if !b.rec.Left {
+		if !b.record.Left {
 			known++
 		}
 	}
-	v.Majority = !m.alone && 2*m.inView > known
+	v.Majority = !m.isolated && 2*m.viewSize > known
 	slices.SortFunc(v.Members, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return v
 }
 
-func (m *Members) reach(i int32) Reach {
+func (m *Members) reachOf(i int32) Reach {
 	b := &m.members[i]
 	switch {
-	case i == 0 || b.link >= 0 && m.links[b.link].up:
+	case i == 0 || b.linkIndex >= 0 && m.links[b.linkIndex].up:
 		return Direct
-	case b.in && b.reached && !m.alone:
+	case b.inView && b.reachable && !m.isolated:
 		return Indirect
 	}
 	return Unreachable
 }
 
 // Hash tells views apart without making one: of names and lives.
-func (m *Members) Hash() (hash uint64, size int) { return m.hash, m.inView }
+func (m *Members) Hash() (hash uint64, size int) { return m.viewHash, m.viewSize }
 
 // AddressOf is where a member hears its peers, false for one that is not known.
 func (m *Members) AddressOf(name string) (string, bool) {
 	if i, known := m.byID[IDOf(name)]; known {
-		return m.members[i].rec.Address, true
+		return m.members[i].record.Address, true
 	}
 	return "", false
 }
 
 // Self is this node's own record.
-func (m *Members) Self() Record { return m.members[0].rec }
+func (m *Members) Self() Record { return m.members[0].record }
