--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -99,8 +99,8 @@
 		if m.settled[i] && m.inRings[i] {
 			continue
 		}
-		b := &m.members[i]
-		may := i == 0 || b.record.Name != "" && !b.record.Left && (b.inView || m.ownTime < b.watchUntil)
+		peer := &m.members[i]
+		may := i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
 		if may && !m.inRings[i] {
 			m.ringJoiners = append(m.ringJoiners, int32(i))
 		} else if !may && m.inRings[i] {
@@ -121,20 +121,20 @@
 		for r, order := range m.ringOrder {
 			n := 0
 			for i := range m.members {
-				b := &m.members[i]
-				if may := i == 0 || b.record.Name != "" && !b.record.Left && (b.inView || m.ownTime < b.watchUntil); may {
+				peer := &m.members[i]
+				if may := i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil); may {
 					n++
 				}
 			}
-			m.Invariants.Check(n == len(order) && slices.IsSortedFunc(order, func(a, b int32) int { return m.compareInRing(r, a, b) }), "an order is whole and sorted")
+			m.Invariants.Check(n == len(order) && slices.IsSortedFunc(order, func(a, peer int32) int { return m.compareInRing(r, a, peer) }), "an order is whole and sorted")
 		}
 	}
 }
 
 // compareInRing compares members in an order.
 func (m *Members) compareInRing(r int, i, j int32) int {
-	a, b := &m.members[i], &m.members[j]
-	return cmp.Or(cmp.Compare(a.ringKey(r), b.ringKey(r)), cmp.Compare(a.id, b.id))
+	a, peer := &m.members[i], &m.members[j]
+	return cmp.Or(cmp.Compare(a.ringKey(r), peer.ringKey(r)), cmp.Compare(a.id, peer.id))
 }
 
 // mergeIntoRing takes some more into an order.
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -136,7 +136,7 @@
 }
 
 // ringKey is a member's place in an order of the fleet.
-func (b *member) ringKey(ring int) uint64 { return mixHash(uint64(b.id), uint64(ring)) }
+func (m *member) ringKey(ring int) uint64 { return mixHash(uint64(m.id), uint64(ring)) }
 
 // incarnationHash is a member's part in the hash of views.
 func (b *member) incarnationHash() uint64 { return mixHash(uint64(b.id), uint64(b.record.StartedAt)) }
@@ -255,23 +255,23 @@
 		m.Counters.UnmatchedMessages++
 		return
 	}
-	b := &m.members[i]
+	peer := &m.members[i]
 	switch msg.Kind {
 	case MessagePing:
 		if msg.Neighbour && !m.members[0].record.Left {
-			if b.linkIndex < 0 {
+			if peer.linkIndex < 0 {
 				m.openLink(i)
 			}
-			if b.linkIndex >= 0 {
-				m.links[b.linkIndex].watchedAt = m.ownTime
+			if peer.linkIndex >= 0 {
+				m.links[peer.linkIndex].watchedAt = m.ownTime
 			}
 		}
-		m.send(b.record.Address, &Message{Kind: MessageAck, Seq: msg.Seq})
+		m.send(peer.record.Address, &Message{Kind: MessageAck, Seq: msg.Seq})
 	case MessageAck:
 		m.applyAck(i, msg.Seq)
 	}
-	if b := &m.members[i]; b.linkIndex >= 0 {
-		if l := &m.links[b.linkIndex]; msg.Digest == m.digest {
+	if peer := &m.members[i]; peer.linkIndex >= 0 {
+		if l := &m.links[peer.linkIndex]; msg.Digest == m.digest {
 			l.digestDiffersSince = 0
 		} else if l.digestDiffersSince == 0 {
 			l.digestDiffersSince = m.ownTime
@@ -281,9 +281,9 @@
 
 // applyAck takes an answer to a ping: of a link, or of a knock at one that was lost.
 func (m *Members) applyAck(i int32, seq uint32) {
-	b := &m.members[i]
-	if b.linkIndex >= 0 {
-		l := &m.links[b.linkIndex]
+	peer := &m.members[i]
+	if peer.linkIndex >= 0 {
+		l := &m.links[peer.linkIndex]
 		if age := l.pingSeq - seq; age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq>>31 == 0 {
 			sent := l.pingsSent[seq%pingHistory]
 			l.lastProofAt = max(l.lastProofAt, sent)
@@ -297,7 +297,7 @@
 			}
 			if !l.up && m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
 				l.up, m.linksDirty, m.publishAt = true, true, min(m.publishAt, m.publishedAt+publishInterval)
-				if l.lostBefore || b.inView && !b.reachable {
+				if l.lostBefore || peer.inView && !peer.reachable {
 					l.lostBefore, m.linkRegained, m.publishAt = false, true, min(m.publishAt, m.publishedAt+regainedPublishInterval)
 				}
 			}
@@ -305,12 +305,12 @@
 		}
 	}
 	for k := range m.reconnects {
-		if m.reconnects[k].id == b.id && m.reconnects[k].seq == seq {
+		if m.reconnects[k].id == peer.id && m.reconnects[k].seq == seq {
 			m.reconnects[k].id = 0
-			b.watchUntil = m.ownTime + 2*m.config.LinkTimeout
+			peer.watchUntil = m.ownTime + 2*m.config.LinkTimeout
 			m.ringsDirty = true
 			if m.syncLink == 0 {
-				m.startSync(b.record.Address)
+				m.startSync(peer.record.Address)
 			}
 			return
 		}
@@ -338,48 +338,48 @@
 	}
 	cause, changed := Joined, false
 	if known {
-		b := &m.members[i]
-		if from >= 0 && !b.record.newer(r) { // it has this one already
+		peer := &m.members[i]
+		if from >= 0 && !peer.record.newer(r) { // it has this one already
 			m.dequeueOnLink(from, i)
 		}
-		if !r.newer(&b.record) {
+		if !r.newer(&peer.record) {
 			return
 		}
-		m.updateAdjacency(i, b.record.Links, r.Links)
-		if b.record.StartedAt != r.StartedAt && b.inView {
-			b.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
-			b.statusSince = m.ownTime
+		m.updateAdjacency(i, peer.record.Links, r.Links)
+		if peer.record.StartedAt != r.StartedAt && peer.inView {
+			peer.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
+			peer.statusSince = m.ownTime
 			cause, changed = Replaced, true
-		} else if b.record.Facts.NoUse != r.Facts.NoUse && b.inView {
+		} else if peer.record.Facts.NoUse != r.Facts.NoUse && peer.inView {
 			cause, changed = ExecutorRestored, true
 			if r.Facts.NoUse {
 				cause = ExecutorLost
 			}
 		}
-		if b.inDigest {
-			m.digest ^= b.recordHash()
+		if peer.inDigest {
+			m.digest ^= peer.recordHash()
 		}
-		if !b.inView && r.Incarnation > b.record.Incarnation {
-			b.watchUntil = m.ownTime + m.config.LinkTimeout
+		if !peer.inView && r.Incarnation > peer.record.Incarnation {
+			peer.watchUntil = m.ownTime + m.config.LinkTimeout
 		}
-		if b.inView {
-			m.viewHash ^= b.incarnationHash()
+		if peer.inView {
+			m.viewHash ^= peer.incarnationHash()
 		}
-		b.record = *r
+		peer.record = *r
 		m.adjacency[i].left, m.settled[i] = r.Left, false
-		if b.inView {
-			m.viewHash ^= b.incarnationHash()
+		if peer.inView {
+			m.viewHash ^= peer.incarnationHash()
 		}
 	}
-	b := &m.members[i]
-	b.inDigest, m.lastNewsAt = true, m.ownTime
-	if !b.inView {
-		b.outOfViewSince = m.ownTime
+	peer := &m.members[i]
+	peer.inDigest, m.lastNewsAt = true, m.ownTime
+	if !peer.inView {
+		peer.outOfViewSince = m.ownTime
 	}
-	m.digest ^= b.recordHash()
+	m.digest ^= peer.recordHash()
 	m.viewDirty, m.ringsDirty = true, true
 	if changed {
-		m.emitChange(cause, b, r.Incarnation, b.record.Name, 0)
+		m.emitChange(cause, peer, r.Incarnation, peer.record.Name, 0)
 	}
 	m.queueRecord(i, from)
 }
@@ -428,7 +428,7 @@
 	if len(m.byID) >= m.config.MaxMembers && len(m.members) > 0 {
 		oldest := int32(-1)
 		for i := range m.members {
-			if b := &m.members[i]; i > 0 && b.record.Name != "" && !b.inView && (oldest < 0 || b.outOfViewSince < m.members[oldest].outOfViewSince) {
+			if peer := &m.members[i]; i > 0 && peer.record.Name != "" && !peer.inView && (oldest < 0 || peer.outOfViewSince < m.members[oldest].outOfViewSince) {
 				oldest = int32(i)
 			}
 		}
@@ -448,13 +448,13 @@
 		m.settled, m.inRings = append(m.settled, false), append(m.inRings, false)
 	}
 	m.adjacency[i].left, m.lastTraversal[i], m.settled[i] = r.Left, 0, false
-	b := &m.members[i]
-	*b = member{record: *r, id: IDOf(r.Name), linkIndex: -1, outOfViewSince: m.ownTime, watchUntil: m.ownTime + m.config.LinkTimeout, statusSince: m.ownTime}
-	m.byID[b.id] = i
+	peer := &m.members[i]
+	*peer = member{record: *r, id: IDOf(r.Name), linkIndex: -1, outOfViewSince: m.ownTime, watchUntil: m.ownTime + m.config.LinkTimeout, statusSince: m.ownTime}
+	m.byID[peer.id] = i
 	m.updateAdjacency(i, nil, r.Links)
 	if i == 0 {
-		b.inDigest = true
-		m.digest ^= b.recordHash()
+		peer.inDigest = true
+		m.digest ^= peer.recordHash()
 	}
 	for k := range m.links {
 		if m.links[k].member >= 0 {
@@ -465,24 +465,24 @@
 }
 
 func (m *Members) forgetMember(i int32) {
-	b := &m.members[i]
-	if b.linkIndex >= 0 {
-		m.closeLink(b.linkIndex)
+	peer := &m.members[i]
+	if peer.linkIndex >= 0 {
+		m.closeLink(peer.linkIndex)
 	}
-	if b.inDigest {
-		m.digest ^= b.recordHash()
+	if peer.inDigest {
+		m.digest ^= peer.recordHash()
 	}
-	if b.inView {
+	if peer.inView {
 		m.viewSize--
-		m.viewHash ^= b.incarnationHash()
+		m.viewHash ^= peer.incarnationHash()
 	}
 	for _, j := range m.neighboursOf(i) {
 		m.removeAdjacency(int32(j), i)
 	}
 	m.adjacency[i], m.lastTraversal[i], m.settled[i] = adjacency{}, 0, false
 	m.ringsStale, m.inRings[i] = m.ringsStale || m.inRings[i], false
-	delete(m.byID, b.id)
-	*b = member{linkIndex: -1}
+	delete(m.byID, peer.id)
+	*peer = member{linkIndex: -1}
 	m.free = append(m.free, i)
 	m.ringsDirty, m.viewDirty = true, true
 }
--- a/internal/fleet/membership/neighbours.go
+++ b/internal/fleet/membership/neighbours.go
@@ -17,8 +17,8 @@
 func (m *Members) InZone() (names []string) {
 	zone := m.members[0].record.Facts.Zone
 	for i := range m.members {
-		if b := &m.members[i]; i > 0 && b.inView && b.record.Facts.Zone == zone {
-			names = append(names, b.record.Name)
+		if peer := &m.members[i]; i > 0 && peer.inView && peer.record.Facts.Zone == zone {
+			names = append(names, peer.record.Name)
 		}
 	}
 	slices.Sort(names)
@@ -28,8 +28,8 @@
 // InView are the members of this node's view, itself among them, by name.
 func (m *Members) InView() (names []string) {
 	for i := range m.members {
-		if b := &m.members[i]; b.inView {
-			names = append(names, b.record.Name)
+		if peer := &m.members[i]; peer.inView {
+			names = append(names, peer.record.Name)
 		}
 	}
 	slices.Sort(names)
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -21,8 +21,8 @@
 				continue
 			}
 			if m.lastTraversal[j] != last {
-				b := &m.members[j]
-				b.reachable, b.unreachableSince, m.settled[j] = true, 0, false
+				peer := &m.members[j]
+				peer.reachable, peer.unreachableSince, m.settled[j] = true, 0, false
 			}
 			m.lastTraversal[j] = m.traversal
 			m.stack = append(m.stack, int32(j))
@@ -32,9 +32,9 @@
 		if at != last {
 			continue
 		}
-		b := &m.members[i]
-		if b.reachable, m.settled[i] = false, false; b.inView && b.unreachableSince == 0 {
-			b.unreachableSince = m.ownTime
+		peer := &m.members[i]
+		if peer.reachable, m.settled[i] = false, false; peer.inView && peer.unreachableSince == 0 {
+			peer.unreachableSince = m.ownTime
 		}
 	}
 	if invariant.Debug {
@@ -140,40 +140,40 @@
 		if m.settled[i] {
 			continue
 		}
-		b := &m.members[i]
-		if b.record.Name == "" {
+		peer := &m.members[i]
+		if peer.record.Name == "" {
 			m.settled[i] = true
 			continue
 		}
 		switch {
-		case b.inView && b.record.Left:
-			m.leaveView(b, Departed)
-		case b.inView && !b.reachable && m.isolated:
-			b.unreachableSince = m.ownTime // counted anew once this node hears again
-			m.setStatus(b, Suspect)
-		case b.inView && !b.reachable && b.record.Facts.Beat > 0:
-			m.leaveView(b, Departed)
-		case b.inView && !b.reachable && m.ownTime >= max(b.unreachableSince+m.config.SuspicionTimeout, b.reachGraceUntil):
-			b.flaps = min(b.flaps+1, maxFlaps)
-			b.lastFlapAt = m.ownTime
-			m.leaveView(b, Lost)
-		case b.inView && !b.reachable:
-			m.setStatus(b, Suspect)
-			m.nextViewAt = min(m.nextViewAt, max(b.unreachableSince+m.config.SuspicionTimeout, b.reachGraceUntil))
-		case b.inView:
-			if b.flaps > 0 && m.ownTime-b.lastFlapAt > flapDecayTime {
-				b.flaps = 0
+		case peer.inView && peer.record.Left:
+			m.leaveView(peer, Departed)
+		case peer.inView && !peer.reachable && m.isolated:
+			peer.unreachableSince = m.ownTime // counted anew once this node hears again
+			m.setStatus(peer, Suspect)
+		case peer.inView && !peer.reachable && peer.record.Facts.Beat > 0:
+			m.leaveView(peer, Departed)
+		case peer.inView && !peer.reachable && m.ownTime >= max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil):
+			peer.flaps = min(peer.flaps+1, maxFlaps)
+			peer.lastFlapAt = m.ownTime
+			m.leaveView(peer, Lost)
+		case peer.inView && !peer.reachable:
+			m.setStatus(peer, Suspect)
+			m.nextViewAt = min(m.nextViewAt, max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil))
+		case peer.inView:
+			if peer.flaps > 0 && m.ownTime-peer.lastFlapAt > flapDecayTime {
+				peer.flaps = 0
 			}
-			m.setStatus(b, Alive)
-			m.settled[i] = b.flaps == 0
-		case b.reachable && !b.record.Left && m.ownTime >= m.flapDampedUntil(b):
-			m.enterView(b)
-		case b.reachable && !b.record.Left:
-			m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(b))
-		case b.inDigest && m.ownTime-b.outOfViewSince > digestRetention:
-			m.digest ^= b.recordHash()
-			b.inDigest = false
-		case m.ownTime-b.outOfViewSince > m.config.ForgetTimeout:
+			m.setStatus(peer, Alive)
+			m.settled[i] = peer.flaps == 0
+		case peer.reachable && !peer.record.Left && m.ownTime >= m.flapDampedUntil(peer):
+			m.enterView(peer)
+		case peer.reachable && !peer.record.Left:
+			m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(peer))
+		case peer.inDigest && m.ownTime-peer.outOfViewSince > digestRetention:
+			m.digest ^= peer.recordHash()
+			peer.inDigest = false
+		case m.ownTime-peer.outOfViewSince > m.config.ForgetTimeout:
 			m.forgetMember(int32(i))
 		}
 	}
@@ -181,63 +181,63 @@
 
 // flapDampedUntil is when a member that is reached again may be in the view again. Guards against one that comes and goes
 // with its links; does harm to one that is restarted again and again, which is seen later by some seconds.
-func (m *Members) flapDampedUntil(b *member) int64 {
-	if b.flaps <= 1 {
+func (m *Members) flapDampedUntil(peer *member) int64 {
+	if peer.flaps <= 1 {
 		return 0
 	}
-	return b.lastFlapAt + reconnectInterval<<(b.flaps-2)
+	return peer.lastFlapAt + reconnectInterval<<(peer.flaps-2)
 }
 
-func (m *Members) setStatus(b *member, s Status) {
-	if b.status != s {
-		b.status, b.statusSince = s, m.ownTime
+func (m *Members) setStatus(peer *member, s Status) {
+	if peer.status != s {
+		peer.status, peer.statusSince = s, m.ownTime
 	}
 }
 
-func (m *Members) enterView(b *member) {
+func (m *Members) enterView(peer *member) {
 	cause := Joined
-	if b.everInView {
+	if peer.everInView {
 		cause = Returned
 	}
-	b.inView, b.everInView = true, true
+	peer.inView, peer.everInView = true, true
 	m.viewSize++
-	m.viewHash ^= b.incarnationHash()
-	if !b.inDigest {
-		b.inDigest = true
-		m.digest ^= b.recordHash()
+	m.viewHash ^= peer.incarnationHash()
+	if !peer.inDigest {
+		peer.inDigest = true
+		m.digest ^= peer.recordHash()
 	}
-	b.status, b.statusSince = Alive, m.ownTime
+	peer.status, peer.statusSince = Alive, m.ownTime
 	m.ringsDirty = true
-	m.emitChange(cause, b, b.record.Incarnation, "", 0)
+	m.emitChange(cause, peer, peer.record.Incarnation, "", 0)
 }
 
-func (m *Members) leaveView(b *member, cause Cause) {
-	b.inView, b.outOfViewSince, b.watchUntil = false, m.ownTime, 0
+func (m *Members) leaveView(peer *member, cause Cause) {
+	peer.inView, peer.outOfViewSince, peer.watchUntil = false, m.ownTime, 0
 	m.viewSize--
-	m.viewHash ^= b.incarnationHash()
-	m.setStatus(b, map[bool]Status{true: Left, false: Dead}[cause == Departed])
+	m.viewHash ^= peer.incarnationHash()
+	m.setStatus(peer, map[bool]Status{true: Left, false: Dead}[cause == Departed])
 	after := int64(0)
-	if b.unreachableSince > 0 {
-		after = m.ownTime - b.unreachableSince + m.config.LinkTimeout
+	if peer.unreachableSince > 0 {
+		after = m.ownTime - peer.unreachableSince + m.config.LinkTimeout
 	}
-	word := b.record.Name
+	word := peer.record.Name
 	if cause == Lost {
 		word = ""
-		if i, known := m.byID[b.lossReportedBy]; known {
+		if i, known := m.byID[peer.lossReportedBy]; known {
 			word = m.members[i].record.Name
 		}
 	}
 	m.ringsDirty = true
-	m.emitChange(cause, b, b.record.Incarnation, word, after)
+	m.emitChange(cause, peer, peer.record.Incarnation, word, after)
 }
 
-func (m *Members) emitChange(cause Cause, b *member, inc uint64, word string, after int64) {
+func (m *Members) emitChange(cause Cause, peer *member, inc uint64, word string, after int64) {
 	m.viewNumber++
 	m.Counters.Views++
 	if invariant.Debug {
 		m.Invariants.Check(m.viewHash == m.View().Hash, "the hash is that of the view")
 	}
-	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Who: b.record.Name, Incarnation: inc, ReportedBy: word,
+	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Who: peer.record.Name, Incarnation: inc, ReportedBy: word,
 		After: after, Size: m.viewSize, Hash: m.viewHash}})
 }
 
@@ -307,13 +307,13 @@
 		if m.settled[m.reconnectPosition] {
 			continue
 		}
-		b := &m.members[m.reconnectPosition]
-		if b.record.Name == "" || b.inView || b.record.Left || b.linkIndex >= 0 || m.reconnectPosition == 0 {
+		peer := &m.members[m.reconnectPosition]
+		if peer.record.Name == "" || peer.inView || peer.record.Left || peer.linkIndex >= 0 || m.reconnectPosition == 0 {
 			continue
 		}
 		m.reconnectSeq = (m.reconnectSeq + 1) | 1<<31
-		m.reconnects[m.reconnectSeq%maxReconnects].id, m.reconnects[m.reconnectSeq%maxReconnects].seq = b.id, m.reconnectSeq
-		m.send(b.record.Address, &Message{Kind: MessagePing, Seq: m.reconnectSeq, Records: m.ownRecord()})
+		m.reconnects[m.reconnectSeq%maxReconnects].id, m.reconnects[m.reconnectSeq%maxReconnects].seq = peer.id, m.reconnectSeq
+		m.send(peer.record.Address, &Message{Kind: MessagePing, Seq: m.reconnectSeq, Records: m.ownRecord()})
 		return
 	}
 }
@@ -325,8 +325,8 @@
 	m.Counters.Exchanges++
 	heads := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
-		if b := &m.members[i]; b.inDigest {
-			heads = append(heads, RecordSummary{b.id, b.record.Incarnation, b.record.RecordVersion})
+		if peer := &m.members[i]; peer.inDigest {
+			heads = append(heads, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
 		}
 	}
 	m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
@@ -359,8 +359,8 @@
 			}
 		}
 		for i := range m.members {
-			if b := &m.members[i]; b.inDigest && m.seenStamp[i] != m.stamp {
-				answer.Records = append(answer.Records, b.record)
+			if peer := &m.members[i]; peer.inDigest && m.seenStamp[i] != m.stamp {
+				answer.Records = append(answer.Records, peer.record)
 			}
 		}
 		for k := range msg.Records {
@@ -461,31 +461,31 @@
 	v := View{Number: m.viewNumber, Alone: m.isolated}
 	known := 0
 	for i := range m.members {
-		b := &m.members[i]
-		if b.record.Name == "" || !b.everInView {
+		peer := &m.members[i]
+		if peer.record.Name == "" || !peer.everInView {
 			continue
 		}
-		s := MemberStatus{Name: b.record.Name, Address: b.record.Address, Status: b.status, Reach: m.reachOf(int32(i)), Incarnation: b.record.Incarnation,
-			Facts: b.record.Facts, Links: len(b.record.Links), Since: m.ownTime - b.statusSince, StartedAt: b.record.StartedAt}
+		s := MemberStatus{Name: peer.record.Name, Address: peer.record.Address, Status: peer.status, Reach: m.reachOf(int32(i)), Incarnation: peer.record.Incarnation,
+			Facts: peer.record.Facts, Links: len(peer.record.Links), Since: m.ownTime - peer.statusSince, StartedAt: peer.record.StartedAt}
 		v.Members = append(v.Members, s)
-		if b.inView {
-			v.Hash ^= b.incarnationHash()
+		if peer.inView {
+			v.Hash ^= peer.incarnationHash()
 		}
-		if !b.record.Left {
+		if !peer.record.Left {
 			known++
 		}
 	}
 	v.Majority = !m.isolated && 2*m.viewSize > known
-	slices.SortFunc(v.Members, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.Members, func(a, peer MemberStatus) int { return cmp.Compare(a.Name, peer.Name) })
 	return v
 }
 
 func (m *Members) reachOf(i int32) Reach {
-	b := &m.members[i]
+	peer := &m.members[i]
 	switch {
-	case i == 0 || b.linkIndex >= 0 && m.links[b.linkIndex].up:
+	case i == 0 || peer.linkIndex >= 0 && m.links[peer.linkIndex].up:
 		return Direct
-	case b.inView && b.reachable && !m.isolated:
+	case peer.inView && peer.reachable && !m.isolated:
 		return Indirect
 	}
 	return Unreachable
