--- /dev/null
+++ b/internal/fleet/membership/gossip.go
@@ -0,0 +1,119 @@
+package membership
+
+import (
+	"topazpost/internal/invariant"
+)
+
+// queueRecord owes a record to all links but the one that brought it.
+func (m *Members) queueRecord(i int32, from int8) {
+	for k := range m.links {
+		if l := &m.links[k]; l.member >= 0 && int8(k) != from && l.member != i {
+			m.queueOnLink(int8(k), i)
+		}
+	}
+}
+
+func (m *Members) queueOnLink(k int8, i int32) {
+	bit := uint32(1) << k
+	if m.owed[i]&bit == 0 {
+		m.owed[i] |= bit
+		m.links[k].owedRecords++
+	}
+	if m.owedTwice[i] &^= bit; m.viewSize < 2*ringCount { // few links bring each record: twice on each
+		m.owedTwice[i] |= bit
+	}
+}
+
+func (m *Members) dequeueOnLink(k int8, i int32) {
+	if bit := uint32(1) << k; m.owed[i]&bit != 0 {
+		m.owed[i] &^= bit
+		m.owedTwice[i] &^= bit
+		m.links[k].owedRecords--
+	}
+}
+
+// clearQueue forgets all that is owed on a link.
+func (m *Members) clearQueue(k int8) {
+	m.links[k].owedRecords = 0
+	for i := range m.owed {
+		m.owed[i] &^= 1 << k
+		m.owedTwice[i] &^= 1 << k
+	}
+}
+
+// checkQueues holds the counts of what is owed against what is.
+func (m *Members) checkQueues() {
+	for k := range m.links {
+		n := 0
+		for _, bits := range m.owed {
+			n += int(bits >> k & 1)
+		}
+		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].owedRecords, "what is owed on a link is counted")
+	}
+}
+
+// sendGossip sends what is owed, a datagram a link at a time.
+func (m *Members) sendGossip() {
+	if invariant.Debug {
+		m.checkQueues()
+	}
+	for k := range m.links {
+		l := &m.links[k]
+		if l.member < 0 || l.owedRecords == 0 || m.ownTime < l.nextGossipAt {
+			continue
+		}
+		if l.silence(m.ownTime) > m.config.LinkTimeout { // it is healed once it is back
+			m.clearQueue(int8(k))
+			continue
+		}
+		records := m.nextGossip(int8(k))
+		l.nextGossipAt = m.ownTime + gossipInterval
+		if len(records) == 0 {
+			m.clearQueue(int8(k))
+			continue
+		}
+		if l.owedRecords > maxRecordsPerDatagram {
+			l.nextGossipAt = m.ownTime + gossipInterval/4
+		}
+		m.send(m.members[l.member].record.Address, &Message{Kind: MessageGossip, Records: records})
+	}
+}
+
+// nextGossip takes what is to be sent next on a link: this node's own record first, then what is owed, in turn from the
+// member on at which the last datagram ended.
+func (m *Members) nextGossip(k int8) (records []Record) {
+	l, bit, size, found := &m.links[k], uint32(1)<<k, 0, 0
+	owing := l.owedRecords
+	take := func(i int) bool {
+		r := &m.members[i].record
+		if size += r.size(); len(records) > 0 && (size > maxGossipBytes || len(records) == maxRecordsPerDatagram) {
+			return false
+		}
+		records = append(records, *r)
+		found++
+		if m.owedTwice[i]&bit != 0 {
+			m.owedTwice[i] &^= bit
+		} else {
+			m.owed[i] &^= bit
+			l.owedRecords--
+		}
+		return true
+	}
+	if m.owed[0]&bit != 0 {
+		take(0)
+	}
+	at := l.nextOwed
+	for range m.members {
+		if found == owing { // no more can follow: the turn stays where it is
+			return records
+		}
+		if at > 0 && m.owed[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
+			break
+		}
+		if at++; at == len(m.members) {
+			at = 0
+		}
+	}
+	l.nextOwed = at
+	return records
+}
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -1,10 +1,7 @@
 package membership
 
 import (
-	"cmp"
 	"slices"
-
-	"topazpost/internal/invariant"
 )
 
 // openLink takes up a link to a member. Where all are taken, the one that is unwanted longest makes room.
@@ -56,107 +53,6 @@
 
 func (l *link) silence(t int64) int64 { return t - max(l.lastProofAt, l.openedAt) }
 
-// updateRings chooses whom to watch: on each side of this node in each ring the next that is not silent, and those
-// passed over on the way, so that a link that works again is found.
-func (m *Members) updateRings() {
-	if !m.ringsDirty || m.ownTime < m.nextRingsAt {
-		return
-	}
-	m.ringsDirty, m.nextRingsAt = false, m.ownTime+ringsInterval
-	for k := range m.links {
-		m.links[k].wanted = false
-	}
-	if m.members[0].record.Left || m.ownTime < m.refusedUntil {
-		return
-	}
-	m.updateRingOrders()
-	for _, order := range m.ringOrder {
-		at := slices.Index(order, 0)
-		for _, side := range [...]int{1, -1} {
-			passed := 0
-			for n := 1; n < len(order) && passed < maxPassedOver; n++ {
-				i := order[((at+n*side)%len(order)+len(order))%len(order)]
-				l := m.watch(i)
-				if l == nil || l.silence(m.ownTime) <= m.config.LinkTimeout/2 {
-					break
-				}
-				passed++
-			}
-		}
-	}
-	for k := range m.links {
-		if l := &m.links[k]; l.member >= 0 && l.wanted {
-			l.keepUntil = m.ownTime + unwantedLinkTimeout
-		}
-	}
-}
-
-// updateRingOrders has each order hold those that may be watched, sorted: who is there no more is taken out, and those who
-// came are sorted among themselves and merged in, so that a look costs one pass and not a sort of all.
-func (m *Members) updateRingOrders() {
-	m.ringJoiners = m.ringJoiners[:0]
-	for i := range m.members {
-		if m.settled[i] && m.inRings[i] {
-			continue
-		}
-		peer := &m.members[i]
-		may := i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
-		if may && !m.inRings[i] {
-			m.ringJoiners = append(m.ringJoiners, int32(i))
-		} else if !may && m.inRings[i] {
-			m.inRings[i], m.ringsStale = false, true
-		}
-	}
-	for r := range m.ringOrder {
-		if m.ringsStale { // a place in the table that was forgotten and taken again counts as new
-			m.ringOrder[r] = slices.DeleteFunc(m.ringOrder[r], func(i int32) bool { return !m.inRings[i] })
-		}
-		m.ringOrder[r] = m.mergeIntoRing(r, m.ringOrder[r], m.ringJoiners)
-	}
-	m.ringsStale = false
-	for _, i := range m.ringJoiners {
-		m.inRings[i] = true
-	}
-	if invariant.Debug {
-		for r, order := range m.ringOrder {
-			n := 0
-			for i := range m.members {
-				peer := &m.members[i]
-				if may := i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil); may {
-					n++
-				}
-			}
-			m.Invariants.Check(n == len(order) && slices.IsSortedFunc(order, func(a, peer int32) int { return m.compareInRing(r, a, peer) }), "an order is whole and sorted")
-		}
-	}
-}
-
-// compareInRing compares members in an order.
-func (m *Members) compareInRing(r int, i, j int32) int {
-	a, peer := &m.members[i], &m.members[j]
-	return cmp.Or(cmp.Compare(a.ringKey(r), peer.ringKey(r)), cmp.Compare(a.id, peer.id))
-}
-
-// mergeIntoRing takes some more into an order.
-func (m *Members) mergeIntoRing(r int, order, more []int32) []int32 {
-	if len(more) == 0 {
-		return order
-	}
-	slices.SortFunc(more, func(a, b int32) int { return m.compareInRing(r, a, b) })
-	old := len(order)
-	order = append(order, more...)
-	for at, left, right := len(order)-1, old-1, len(more)-1; right >= 0; at-- { // from the end on
-		if left >= 0 && m.compareInRing(r, order[left], more[right]) > 0 {
-			order[at] = order[left]
-			left--
-		} else {
-			order[at] = more[right]
-			right--
-		}
-	}
-	return order
-}
-
 func (m *Members) watch(i int32) *link {
 	var l *link
 	if k := m.members[i].linkIndex; k >= 0 {
@@ -216,8 +112,6 @@
 	}
 }
 
-func (m *Members) ownRecord() []Record { return []Record{m.members[0].record} }
-
 // publishLinks tells of this node's links once they changed. What is lost goes at once, unless it changes all the time; what
 // was lost and is back has to be known to all before the view follows the loss.
 func (m *Members) publishLinks() {
@@ -253,116 +147,60 @@
 	return true
 }
 
-// queueRecord owes a record to all links but the one that brought it.
-func (m *Members) queueRecord(i int32, from int8) {
-	for k := range m.links {
-		if l := &m.links[k]; l.member >= 0 && int8(k) != from && l.member != i {
-			m.queueOnLink(int8(k), i)
-		}
-	}
-}
-
-func (m *Members) queueOnLink(k int8, i int32) {
-	bit := uint32(1) << k
-	if m.owed[i]&bit == 0 {
-		m.owed[i] |= bit
-		m.links[k].owedRecords++
-	}
-	if m.owedTwice[i] &^= bit; m.viewSize < 2*ringCount { // few links bring each record: twice on each
-		m.owedTwice[i] |= bit
-	}
-}
-
-func (m *Members) dequeueOnLink(k int8, i int32) {
-	if bit := uint32(1) << k; m.owed[i]&bit != 0 {
-		m.owed[i] &^= bit
-		m.owedTwice[i] &^= bit
-		m.links[k].owedRecords--
-	}
-}
-
-// clearQueue forgets all that is owed on a link.
-func (m *Members) clearQueue(k int8) {
-	m.links[k].owedRecords = 0
-	for i := range m.owed {
-		m.owed[i] &^= 1 << k
-		m.owedTwice[i] &^= 1 << k
-	}
-}
-
-// checkQueues holds the counts of what is owed against what is.
-func (m *Members) checkQueues() {
-	for k := range m.links {
-		n := 0
-		for _, bits := range m.owed {
-			n += int(bits >> k & 1)
-		}
-		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].owedRecords, "what is owed on a link is counted")
-	}
-}
-
-// sendGossip sends what is owed, a datagram a link at a time.
-func (m *Members) sendGossip() {
-	if invariant.Debug {
-		m.checkQueues()
-	}
-	for k := range m.links {
-		l := &m.links[k]
-		if l.member < 0 || l.owedRecords == 0 || m.ownTime < l.nextGossipAt {
-			continue
-		}
-		if l.silence(m.ownTime) > m.config.LinkTimeout { // it is healed once it is back
-			m.clearQueue(int8(k))
-			continue
-		}
-		records := m.nextGossip(int8(k))
-		l.nextGossipAt = m.ownTime + gossipInterval
-		if len(records) == 0 {
-			m.clearQueue(int8(k))
-			continue
-		}
-		if l.owedRecords > maxRecordsPerDatagram {
-			l.nextGossipAt = m.ownTime + gossipInterval/4
-		}
-		m.send(m.members[l.member].record.Address, &Message{Kind: MessageGossip, Records: records})
-	}
-}
-
-// nextGossip takes what is to be sent next on a link: this node's own record first, then what is owed, in turn from the
-// member on at which the last datagram ended.
-func (m *Members) nextGossip(k int8) (records []Record) {
-	l, bit, size, found := &m.links[k], uint32(1)<<k, 0, 0
-	owing := l.owedRecords
-	take := func(i int) bool {
-		r := &m.members[i].record
-		if size += r.size(); len(records) > 0 && (size > maxGossipBytes || len(records) == maxRecordsPerDatagram) {
-			return false
-		}
-		records = append(records, *r)
-		found++
-		if m.owedTwice[i]&bit != 0 {
-			m.owedTwice[i] &^= bit
-		} else {
-			m.owed[i] &^= bit
-			l.owedRecords--
+// link is one to a member that this node watches, or that watches this node.
+type link struct {
+	member                         int32
+	wanted, suspect                bool
+	up                             bool // an answer came within the config's Silence
+	lostBefore                     bool // it was up before
+	openedAt                       int64
+	keepUntil                      int64 // until which it is kept although not wanted
+	lastProofAt                    int64 // when the last ping that was answered was sent
+	watchedAt                      int64 // when it last pinged as one that watches
+	nextPingAt, nextProbeAt        int64 // when the next ping is due at the earliest; when it is even if all were answered
+	roundTrip                      int64 // ns of a round trip, smoothed: no ping is sent again before its answer can be there
+	pingSeq                        uint32
+	pingsSent                      [pingHistory]int64
+	digestDiffersSince, lastSyncAt int64
+	owedRecords, nextOwed          int // records that are owed; the member after the one sent last
+	nextGossipAt                   int64
+}
+
+// applyAck takes an answer to a ping: of a link, or of a knock at one that was lost.
+func (m *Members) applyAck(i int32, seq uint32) {
+	peer := &m.members[i]
+	if peer.linkIndex >= 0 {
+		l := &m.links[peer.linkIndex]
+		if age := l.pingSeq - seq; age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq>>31 == 0 {
+			sent := l.pingsSent[seq%pingHistory]
+			l.lastProofAt = max(l.lastProofAt, sent)
+			if seq == l.pingSeq { // an answer to an earlier one tells of a pause, and not of the way
+				if trip := min(m.ownTime-sent, m.config.ProbeInterval); l.roundTrip == 0 {
+					l.roundTrip = trip
+				} else {
+					l.roundTrip += (trip - l.roundTrip) / 8
+				}
+				l.nextPingAt = l.nextProbeAt
+			}
+			if !l.up && m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
+				l.up, m.linksDirty, m.publishAt = true, true, min(m.publishAt, m.publishedAt+publishInterval)
+				if l.lostBefore || peer.inView && !peer.reachable {
+					l.lostBefore, m.linkRegained, m.publishAt = false, true, min(m.publishAt, m.publishedAt+regainedPublishInterval)
+				}
+			}
+			return
 		}
-		return true
-	}
-	if m.owed[0]&bit != 0 {
-		take(0)
 	}
-	at := l.nextOwed
-	for range m.members {
-		if found == owing { // no more can follow: the turn stays where it is
-			return records
-		}
-		if at > 0 && m.owed[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
-			break
-		}
-		if at++; at == len(m.members) {
-			at = 0
+	for k := range m.reconnects {
+		if m.reconnects[k].id == peer.id && m.reconnects[k].seq == seq {
+			m.reconnects[k].id = 0
+			peer.watchUntil = m.ownTime + 2*m.config.LinkTimeout
+			m.ringsDirty = true
+			if m.syncLink == 0 {
+				m.startSync(peer.record.Address)
+			}
+			return
 		}
 	}
-	l.nextOwed = at
-	return records
+	m.Counters.UnmatchedMessages++
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -7,52 +7,6 @@
 	"topazpost/internal/invariant"
 )
 
-// member is what is kept of one; index 0 is this node.
-type member struct {
-	record           Record
-	id               ID
-	linkIndex        int8 // its place in links, -1 without one
-	inView           bool // the view
-	inDigest         bool // its record is part of what tables are compared by
-	reachable        bool // a path of links leads to it
-	everInView       bool // in the view at some time
-	lossReportedBy   ID   // whose link to it went last
-	unreachableSince int64
-	reachGraceUntil  int64 // until which a new life need not be reached
-	outOfViewSince   int64 // when it left the view or became known, whichever came last
-	watchUntil       int64 // until which one outside the view is watched all the same
-	flaps            int
-	lastFlapAt       int64
-	status           Status
-	statusSince      int64 // of its status
-}
-
-// adjacency is what following links needs of a member, in little room: all of them are gone over at each change.
-type adjacency struct {
-	neighbours [maxLinks]uint16 // those with whom it has a link of which both ends tell
-	count      uint8
-	left       bool
-}
-
-// link is one to a member that this node watches, or that watches this node.
-type link struct {
-	member                         int32
-	wanted, suspect                bool
-	up                             bool // an answer came within the config's Silence
-	lostBefore                     bool // it was up before
-	openedAt                       int64
-	keepUntil                      int64 // until which it is kept although not wanted
-	lastProofAt                    int64 // when the last ping that was answered was sent
-	watchedAt                      int64 // when it last pinged as one that watches
-	nextPingAt, nextProbeAt        int64 // when the next ping is due at the earliest; when it is even if all were answered
-	roundTrip                      int64 // ns of a round trip, smoothed: no ping is sent again before its answer can be there
-	pingSeq                        uint32
-	pingsSent                      [pingHistory]int64
-	digestDiffersSince, lastSyncAt int64
-	owedRecords, nextOwed          int // records that are owed; the member after the one sent last
-	nextGossipAt                   int64
-}
-
 // Members is one node's state. Its own time stands still while its process does: what it did not see in a pause
 // accuses nobody.
 type Members struct {
@@ -135,16 +89,6 @@
 	return x ^ x>>31
 }
 
-// ringKey is a member's place in an order of the fleet.
-func (m *member) ringKey(ring int) uint64 { return mixHash(uint64(m.id), uint64(ring)) }
-
-// incarnationHash is a member's part in the hash of views.
-func (b *member) incarnationHash() uint64 { return mixHash(uint64(b.id), uint64(b.record.StartedAt)) }
-
-func (b *member) recordHash() uint64 {
-	return mixHash(mixHash(uint64(b.id), b.record.Incarnation), uint64(b.record.RecordVersion))
-}
-
 func (m *Members) emit(e Effect) { m.effects = append(m.effects, e) }
 
 func (m *Members) log(warn bool, form string, args ...any) {
@@ -233,15 +177,6 @@
 	}
 }
 
-// bumpRecord gives this node's record another version and sends it round.
-func (m *Members) bumpRecord() {
-	m.digest ^= m.members[0].recordHash()
-	m.members[0].record.RecordVersion++
-	m.digest ^= m.members[0].recordHash()
-	m.viewDirty = true
-	m.queueRecord(0, -1)
-}
-
 func (m *Members) applyDatagram(msg *Message) {
 	i, known := m.byID[msg.From]
 	for k := range msg.Records {
@@ -279,210 +214,37 @@
 	}
 }
 
-// applyAck takes an answer to a ping: of a link, or of a knock at one that was lost.
-func (m *Members) applyAck(i int32, seq uint32) {
-	peer := &m.members[i]
-	if peer.linkIndex >= 0 {
-		l := &m.links[peer.linkIndex]
-		if age := l.pingSeq - seq; age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq>>31 == 0 {
-			sent := l.pingsSent[seq%pingHistory]
-			l.lastProofAt = max(l.lastProofAt, sent)
-			if seq == l.pingSeq { // an answer to an earlier one tells of a pause, and not of the way
-				if trip := min(m.ownTime-sent, m.config.ProbeInterval); l.roundTrip == 0 {
-					l.roundTrip = trip
-				} else {
-					l.roundTrip += (trip - l.roundTrip) / 8
-				}
-				l.nextPingAt = l.nextProbeAt
-			}
-			if !l.up && m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
-				l.up, m.linksDirty, m.publishAt = true, true, min(m.publishAt, m.publishedAt+publishInterval)
-				if l.lostBefore || peer.inView && !peer.reachable {
-					l.lostBefore, m.linkRegained, m.publishAt = false, true, min(m.publishAt, m.publishedAt+regainedPublishInterval)
-				}
-			}
-			return
-		}
-	}
-	for k := range m.reconnects {
-		if m.reconnects[k].id == peer.id && m.reconnects[k].seq == seq {
-			m.reconnects[k].id = 0
-			peer.watchUntil = m.ownTime + 2*m.config.LinkTimeout
-			m.ringsDirty = true
-			if m.syncLink == 0 {
-				m.startSync(peer.record.Address)
-			}
-			return
-		}
-	}
-	m.Counters.UnmatchedMessages++
-}
-
-// applyRecord takes a record of a peer; from is the link that brought it, -1 for none.
-func (m *Members) applyRecord(r *Record, from int8) {
-	if !r.usable() {
-		m.Counters.Unusable++
-		return
-	}
-	id := IDOf(r.Name)
-	i, known := m.byID[id]
-	if known && i == 0 {
-		m.applyRecordOfSelf(r)
-		return
-	}
-	if !known {
-		if i = m.addMember(r); i < 0 {
-			m.Counters.Unusable++
-			return
-		}
-	}
-	cause, changed := Joined, false
-	if known {
-		peer := &m.members[i]
-		if from >= 0 && !peer.record.newer(r) { // it has this one already
-			m.dequeueOnLink(from, i)
-		}
-		if !r.newer(&peer.record) {
-			return
-		}
-		m.updateAdjacency(i, peer.record.Links, r.Links)
-		if peer.record.StartedAt != r.StartedAt && peer.inView {
-			peer.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
-			peer.statusSince = m.ownTime
-			cause, changed = Replaced, true
-		} else if peer.record.Facts.NoUse != r.Facts.NoUse && peer.inView {
-			cause, changed = ExecutorRestored, true
-			if r.Facts.NoUse {
-				cause = ExecutorLost
-			}
-		}
-		if peer.inDigest {
-			m.digest ^= peer.recordHash()
-		}
-		if !peer.inView && r.Incarnation > peer.record.Incarnation {
-			peer.watchUntil = m.ownTime + m.config.LinkTimeout
-		}
-		if peer.inView {
-			m.viewHash ^= peer.incarnationHash()
-		}
-		peer.record = *r
-		m.adjacency[i].left, m.settled[i] = r.Left, false
-		if peer.inView {
-			m.viewHash ^= peer.incarnationHash()
-		}
-	}
-	peer := &m.members[i]
-	peer.inDigest, m.lastNewsAt = true, m.ownTime
-	if !peer.inView {
-		peer.outOfViewSince = m.ownTime
+// nextDue is when the next thing is to be done, by this node's own time.
+func (m *Members) nextDue() int64 {
+	at := m.ownTime + reconnectInterval
+	if m.members[0].record.Left {
+		return m.ownTime + gossipInterval
 	}
-	m.digest ^= peer.recordHash()
-	m.viewDirty, m.ringsDirty = true, true
-	if changed {
-		m.emitChange(cause, peer, r.Incarnation, peer.record.Name, 0)
+	if m.ringsDirty {
+		at = min(at, m.nextRingsAt)
 	}
-	m.queueRecord(i, from)
-}
-
-// applyRecordOfSelf answers for a record of this node's name that is newer than its own: of an earlier life whose clock was
-// ahead, or of another node of that name. Of two that live the one that started later keeps away.
-func (m *Members) applyRecordOfSelf(r *Record) {
-	self := &m.members[0].record
-	if !r.newer(self) {
-		return
+	if m.linksDirty {
+		at = min(at, m.publishAt)
 	}
-	if r.Address != self.Address && r.StartedAt < self.StartedAt && m.linksUp() > 0 {
-		m.yieldName(r.Address)
-		return
+	at = min(at, m.nextViewAt)
+	if m.viewDirty {
+		at = min(at, m.nextTraversalAt)
 	}
-	m.digest ^= m.members[0].recordHash()
-	self.Incarnation, self.RecordVersion = r.Incarnation+1, 0
-	m.digest ^= m.members[0].recordHash()
-	m.viewDirty = true
-	m.queueRecord(0, -1)
-}
-
-// yieldName ends all ties of a node whose name is held by another, until its next try to join.
-func (m *Members) yieldName(holder string) {
-	m.Counters.Refused++
-	m.log(true, "the name %s is held by a node at %s that started earlier: this one keeps away; give it another name",
-		m.config.Name, holder)
 	for k := range m.links {
-		if m.links[k].member >= 0 {
-			m.closeLink(int8(k))
+		l := &m.links[k]
+		if l.member < 0 {
+			continue
 		}
-	}
-	for i := 1; i < len(m.members); i++ {
-		if m.members[i].record.Name != "" {
-			m.forgetMember(int32(i))
+		at = min(at, l.nextPingAt)
+		if l.up {
+			at = min(at, l.lastProofAt+m.config.LinkTimeout+1)
 		}
-	}
-	m.members[0].record.Links = nil
-	m.refusedUntil = m.ownTime + maxJoinBackoff
-	m.nextJoinAt, m.isolated = m.refusedUntil, false
-	m.ringsDirty, m.viewDirty, m.linksDirty = true, true, false
-}
-
-// addMember keeps a member that was not known; -1 where the table is full of such as are in the view.
-func (m *Members) addMember(r *Record) int32 {
-	if len(m.byID) >= m.config.MaxMembers && len(m.members) > 0 {
-		oldest := int32(-1)
-		for i := range m.members {
-			if peer := &m.members[i]; i > 0 && peer.record.Name != "" && !peer.inView && (oldest < 0 || peer.outOfViewSince < m.members[oldest].outOfViewSince) {
-				oldest = int32(i)
-			}
+		if l.owedRecords > 0 {
+			at = min(at, l.nextGossipAt)
 		}
-		if oldest < 0 {
-			return -1
-		}
-		m.forgetMember(oldest)
-	}
-	i := int32(len(m.members))
-	if n := len(m.free); n > 0 {
-		i, m.free = m.free[n-1], m.free[:n-1]
-	} else {
-		m.members = append(m.members, member{})
-		m.seenStamp = append(m.seenStamp, 0)
-		m.owed, m.owedTwice = append(m.owed, 0), append(m.owedTwice, 0)
-		m.adjacency, m.lastTraversal = append(m.adjacency, adjacency{}), append(m.lastTraversal, 0)
-		m.settled, m.inRings = append(m.settled, false), append(m.inRings, false)
-	}
-	m.adjacency[i].left, m.lastTraversal[i], m.settled[i] = r.Left, 0, false
-	peer := &m.members[i]
-	*peer = member{record: *r, id: IDOf(r.Name), linkIndex: -1, outOfViewSince: m.ownTime, watchUntil: m.ownTime + m.config.LinkTimeout, statusSince: m.ownTime}
-	m.byID[peer.id] = i
-	m.updateAdjacency(i, nil, r.Links)
-	if i == 0 {
-		peer.inDigest = true
-		m.digest ^= peer.recordHash()
-	}
-	for k := range m.links {
-		if m.links[k].member >= 0 {
-			m.dequeueOnLink(int8(k), i)
-		}
-	}
-	return i
-}
-
-func (m *Members) forgetMember(i int32) {
-	peer := &m.members[i]
-	if peer.linkIndex >= 0 {
-		m.closeLink(peer.linkIndex)
-	}
-	if peer.inDigest {
-		m.digest ^= peer.recordHash()
-	}
-	if peer.inView {
-		m.viewSize--
-		m.viewHash ^= peer.incarnationHash()
 	}
-	for _, j := range m.neighboursOf(i) {
-		m.removeAdjacency(int32(j), i)
+	if m.linksUp() == 0 && len(m.config.Seeds) > 0 {
+		at = min(at, m.nextJoinAt)
 	}
-	m.adjacency[i], m.lastTraversal[i], m.settled[i] = adjacency{}, 0, false
-	m.ringsStale, m.inRings[i] = m.ringsStale || m.inRings[i], false
-	delete(m.byID, peer.id)
-	*peer = member{linkIndex: -1}
-	m.free = append(m.free, i)
-	m.ringsDirty, m.viewDirty = true, true
+	return max(at, m.ownTime+1)
 }
--- /dev/null
+++ b/internal/fleet/membership/query.go
@@ -0,0 +1,89 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Neighbours are the members that a link of this node's works with, by name.
+func (m *Members) Neighbours() (names []string) {
+	for k := range m.links {
+		if l := &m.links[k]; l.member >= 0 && l.up && m.members[l.member].record.Name != "" {
+			names = append(names, m.members[l.member].record.Name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// InZone are the other live members of this node's zone, by name; those without a zone are of one.
+func (m *Members) InZone() (names []string) {
+	zone := m.members[0].record.Facts.Zone
+	for i := range m.members {
+		if peer := &m.members[i]; i > 0 && peer.inView && peer.record.Facts.Zone == zone {
+			names = append(names, peer.record.Name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// InView are the members of this node's view, itself among them, by name.
+func (m *Members) InView() (names []string) {
+	for i := range m.members {
+		if peer := &m.members[i]; peer.inView {
+			names = append(names, peer.record.Name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// View is who is there now. It is made anew at each call.
+func (m *Members) View() View {
+	v := View{Number: m.viewNumber, Alone: m.isolated}
+	known := 0
+	for i := range m.members {
+		peer := &m.members[i]
+		if peer.record.Name == "" || !peer.everInView {
+			continue
+		}
+		s := MemberStatus{Name: peer.record.Name, Address: peer.record.Address, Status: peer.status, Reach: m.reachOf(int32(i)), Incarnation: peer.record.Incarnation,
+			Facts: peer.record.Facts, Links: len(peer.record.Links), Since: m.ownTime - peer.statusSince, StartedAt: peer.record.StartedAt}
+		v.Members = append(v.Members, s)
+		if peer.inView {
+			v.Hash ^= peer.incarnationHash()
+		}
+		if !peer.record.Left {
+			known++
+		}
+	}
+	v.Majority = !m.isolated && 2*m.viewSize > known
+	slices.SortFunc(v.Members, func(a, peer MemberStatus) int { return cmp.Compare(a.Name, peer.Name) })
+	return v
+}
+
+func (m *Members) reachOf(i int32) Reach {
+	peer := &m.members[i]
+	switch {
+	case i == 0 || peer.linkIndex >= 0 && m.links[peer.linkIndex].up:
+		return Direct
+	case peer.inView && peer.reachable && !m.isolated:
+		return Indirect
+	}
+	return Unreachable
+}
+
+// Hash tells views apart without making one: of names and lives.
+func (m *Members) Hash() (hash uint64, size int) { return m.viewHash, m.viewSize }
+
+// AddressOf is where a member hears its peers, false for one that is not known.
+func (m *Members) AddressOf(name string) (string, bool) {
+	if i, known := m.byID[IDOf(name)]; known {
+		return m.members[i].record.Address, true
+	}
+	return "", false
+}
+
+// Self is this node's own record.
+func (m *Members) Self() Record { return m.members[0].record }
--- /dev/null
+++ b/internal/fleet/membership/sync.go
@@ -0,0 +1,181 @@
+package membership
+
+// findPeers looks for those with whom there is no link: seeds, the lost, and neighbours whose table stays different.
+func (m *Members) findPeers() {
+	if m.members[0].record.Left {
+		return
+	}
+	up := m.linksUp()
+	if up == 0 && m.ownTime >= m.nextJoinAt {
+		m.nextJoinAt = m.ownTime + m.jitter(m.joinBackoff)
+		if m.seedsTried++; m.seedsTried%max(1, len(m.config.Seeds)) == 0 { // all were asked in vain
+			m.joinBackoff = min(2*m.joinBackoff, maxJoinBackoff)
+		}
+		m.syncWithSeed(false)
+	} else if up > 0 {
+		m.joinBackoff = joinInterval
+		m.nextJoinAt = max(m.nextJoinAt, m.ownTime+joinInterval/2)
+		if m.ownTime >= m.nextSeedAt { // a part of the fleet that grew from another seed is found so
+			m.nextSeedAt = m.ownTime + m.jitter(2*maxJoinBackoff)
+			m.syncWithSeed(true)
+		}
+	}
+	if m.ownTime >= m.nextReconnectAt {
+		m.nextReconnectAt = m.ownTime + reconnectInterval
+		m.reconnect()
+	}
+	if m.syncLink != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
+		m.syncLink = 0
+	}
+	if m.ownTime-m.lastNewsAt >= syncQuietTime {
+		m.newsQuietAt = m.ownTime
+	}
+	if m.syncLink == 0 && m.ownTime >= m.lastSyncStart && (m.newsQuietAt == m.ownTime || m.ownTime-m.newsQuietAt >= maxSyncDeferral) {
+		for k := range m.links {
+			l := &m.links[k]
+			if l.member >= 0 && l.up && l.digestDiffersSince > 0 && m.ownTime-l.digestDiffersSince >= syncDelay && m.ownTime-l.lastSyncAt >= syncInterval {
+				l.lastSyncAt, l.digestDiffersSince, m.newsQuietAt = m.ownTime, 0, m.ownTime
+				m.startSync(m.members[l.member].record.Address)
+				break
+			}
+		}
+	}
+}
+
+// syncWithSeed asks the next seed in turn for all that it knows; with strange, one that is in nobody's place of the view.
+func (m *Members) syncWithSeed(strange bool) {
+	seeds := m.config.Seeds
+	for range seeds {
+		m.seedIndex = (m.seedIndex + 1) % len(seeds)
+		address := seeds[m.seedIndex]
+		known := address == m.config.Address
+		for i := range m.members {
+			known = known || strange && m.members[i].inView && m.members[i].record.Address == address
+		}
+		if !known {
+			m.startSync(address)
+			return
+		}
+	}
+}
+
+// reconnect asks one of the lost whether it is there.
+func (m *Members) reconnect() {
+	for range m.members {
+		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
+		if m.settled[m.reconnectPosition] {
+			continue
+		}
+		peer := &m.members[m.reconnectPosition]
+		if peer.record.Name == "" || peer.inView || peer.record.Left || peer.linkIndex >= 0 || m.reconnectPosition == 0 {
+			continue
+		}
+		m.reconnectSeq = (m.reconnectSeq + 1) | 1<<31
+		m.reconnects[m.reconnectSeq%maxReconnects].id, m.reconnects[m.reconnectSeq%maxReconnects].seq = peer.id, m.reconnectSeq
+		m.send(peer.record.Address, &Message{Kind: MessagePing, Seq: m.reconnectSeq, Records: m.ownRecord()})
+		return
+	}
+}
+
+// startSync opens an exchange: all heads, and this node's own record.
+func (m *Members) startSync(to string) {
+	m.lastLink++
+	m.syncLink, m.lastSyncStart = m.lastLink, m.ownTime
+	m.Counters.Exchanges++
+	heads := make([]RecordSummary, 0, len(m.byID))
+	for i := range m.members {
+		if peer := &m.members[i]; peer.inDigest {
+			heads = append(heads, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
+		}
+	}
+	m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
+		Records: m.ownRecord(), Heads: heads}})
+}
+
+func (m *Members) answerSync(link int, msg *Message) {
+	answer := Message{Kind: MessageSyncAnswer, From: m.members[0].id}
+	switch msg.Kind {
+	case MessageSyncRequest:
+		if why := m.rejectReason(msg); why != "" {
+			m.Counters.Refused++
+			m.log(true, "%s", why)
+			m.emit(Effect{Kind: Reply, Link: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Why: why}})
+			return
+		}
+		m.stamp++
+		for _, h := range msg.Heads {
+			i, known := m.byID[h.ID]
+			if !known {
+				answer.Wanted = append(answer.Wanted, h.ID)
+				continue
+			}
+			r := &m.members[i].record
+			m.seenStamp[i] = m.stamp
+			if theirs := (Record{Incarnation: h.Incarnation, RecordVersion: h.RecordVersion}); theirs.newer(r) {
+				answer.Wanted = append(answer.Wanted, h.ID)
+			} else if r.newer(&theirs) {
+				answer.Records = append(answer.Records, *r)
+			}
+		}
+		for i := range m.members {
+			if peer := &m.members[i]; peer.inDigest && m.seenStamp[i] != m.stamp {
+				answer.Records = append(answer.Records, peer.record)
+			}
+		}
+		for k := range msg.Records {
+			m.applyRecord(&msg.Records[k], -1)
+		}
+	case MessageSyncPush:
+		for k := range msg.Records {
+			m.applyRecord(&msg.Records[k], -1)
+		}
+	}
+	m.emit(Effect{Kind: Reply, Link: link, Message: answer})
+}
+
+// rejectReason says why a node that asks is not taken: its name is held by one that lives at another address.
+func (m *Members) rejectReason(msg *Message) string {
+	if len(msg.Records) == 0 || !msg.Records[0].usable() {
+		return ""
+	}
+	r := &msg.Records[0]
+	i, known := m.byID[IDOf(r.Name)]
+	if !known {
+		return ""
+	}
+	held := &m.members[i]
+	if held.record.Address == r.Address || !held.inView || held.record.Left || !held.reachable && i != 0 || r.StartedAt < held.record.StartedAt {
+		return ""
+	}
+	return "the name " + r.Name + " is held by a node at " + held.record.Address + ", so the one at " + r.Address + " is refused"
+}
+
+func (m *Members) applySyncAnswer(msg *Message) {
+	switch msg.Kind {
+	case MessageReject:
+		m.Counters.Refused++
+		m.log(true, "refused: %s", msg.Why)
+		m.joinBackoff = maxJoinBackoff
+		return
+	case MessageSyncAnswer:
+	default:
+		m.Counters.UnmatchedMessages++
+		return
+	}
+	for k := range msg.Records {
+		m.applyRecord(&msg.Records[k], -1)
+	}
+	if len(msg.Wanted) == 0 {
+		return
+	}
+	push := Message{Kind: MessageSyncPush, From: m.members[0].id}
+	for _, id := range msg.Wanted {
+		if i, known := m.byID[id]; known && m.members[i].inDigest {
+			push.Records = append(push.Records, m.members[i].record)
+		}
+	}
+	if from, known := m.byID[msg.From]; known && len(push.Records) > 0 {
+		m.lastLink++
+		m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: m.members[from].record.Address, Message: push})
+	}
+}
