--- /dev/null
+++ b/internal/fleet/membership/record.go
@@ -0,0 +1,60 @@
+package membership
+
+import (
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// ID is the hash of a member's name.
+type ID uint64
+
+// IDOf returns the ID of a name.
+func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
+
+// Facts are small properties that a member publishes of itself; the newest version counts.
+type Facts struct {
+	Version string `cbor:"1,keyasint,omitempty"`
+	Zone    string `cbor:"2,keyasint,omitempty"`
+	Level   uint8  `cbor:"3,keyasint,omitempty"` // degradation level
+	Beat    uint8  `cbor:"4,keyasint,omitempty"` // phase of the drain, 0 outside one
+	NoUse   bool   `cbor:"5,keyasint,omitempty"` // up, but without an executor
+}
+
+// Record is a member's own description. Only the member writes it; of two records the one with the higher
+// incarnation, then the higher version, counts.
+type Record struct {
+	Name          string `cbor:"1,keyasint"`
+	Address       string `cbor:"2,keyasint"`
+	StartedAt     int64  `cbor:"3,keyasint"`           // Unix ns
+	Incarnation   uint64 `cbor:"4,keyasint"`           // StartedAt, or one above any seen under this name
+	RecordVersion uint32 `cbor:"5,keyasint,omitempty"` // within the incarnation
+	Left          bool   `cbor:"6,keyasint,omitempty"`
+	Links         []ID   `cbor:"7,keyasint,omitempty"` // members with which a round trip works, ascending
+	Facts         Facts  `cbor:"8,keyasint,omitempty"`
+}
+
+func (r *Record) newer(than *Record) bool {
+	if r.Incarnation != than.Incarnation {
+		return r.Incarnation > than.Incarnation
+	}
+	return r.RecordVersion > than.RecordVersion
+}
+
+// usable reports whether a record from a peer is within all bounds.
+func (r *Record) usable() bool {
+	nameFits := r.Name != "" && len(r.Name) <= maxNameBytes
+	addressFits := r.Address != "" && len(r.Address) <= maxAddressBytes
+	factsFit := len(r.Facts.Version) <= maxFactBytes && len(r.Facts.Zone) <= maxFactBytes
+	return nameFits && addressFits && factsFit && len(r.Links) <= maxLinks && r.Incarnation < math.MaxUint64/2
+}
+
+// size estimates the bytes of a record in a message.
+func (r *Record) size() int { return 48 + len(r.Name) + len(r.Address) + 9*len(r.Links) }
+
+// RecordSummary identifies a version of a record without its content.
+type RecordSummary struct {
+	ID            ID     `cbor:"1,keyasint"`
+	Incarnation   uint64 `cbor:"2,keyasint"`
+	RecordVersion uint32 `cbor:"3,keyasint,omitempty"`
+}
--- /dev/null
+++ b/internal/fleet/membership/status.go
@@ -0,0 +1,93 @@
+package membership
+
+// Status is the state of a member in the view.
+type Status uint8
+
+// The statuses.
+const (
+	Alive   Status = iota
+	Suspect        // unreachable for less than the suspicion timeout, or this node is isolated
+	Dead
+	Left
+)
+
+// StatusNames holds the name of each status.
+var StatusNames = [...]string{"alive", "suspect", "dead", "left"}
+
+// Reach is how this node reaches a member.
+type Reach uint8
+
+// The kinds of reach.
+const (
+	Direct   Reach = iota // it answers this node's pings
+	Indirect              // a path of links leads to it
+	Unreachable
+)
+
+// ReachNames holds the name of each kind of reach.
+var ReachNames = [...]string{"direct", "through others", "none"}
+
+// Cause is why the view changed.
+type Cause uint8
+
+// The causes.
+const (
+	Joined   Cause = iota
+	Returned       // after a loss, in the same incarnation or another
+	Replaced       // by another incarnation, with no loss seen between
+	Lost
+	Departed // after a drain
+	ExecutorLost
+	ExecutorRestored
+	Isolated // this node has no link left; it keeps its view
+	Reconnected
+)
+
+// CauseNames holds the name of each cause.
+var CauseNames = [...]string{"joined", "returned", "replaced", "lost", "left", "of no use", "of use again", "cut off", "restored"}
+
+// Change is one change of the view.
+type Change struct {
+	Number      uint64
+	Cause       Cause
+	Who         string
+	Incarnation uint64
+	ReportedBy  string // the member whose link to it was the last to go down, or whose record says so
+	After       int64  // ns from the loss of the last path to the change
+	Size        int    // members of the view after the change
+	Hash        uint64 // hash of the view after the change, as in View
+}
+
+// MemberStatus is one member in a view.
+type MemberStatus struct {
+	Name        string `json:"name" cbor:"1,keyasint"`
+	Address     string `json:"address" cbor:"2,keyasint"`
+	Status      Status `json:"-" cbor:"3,keyasint,omitempty"`
+	Reach       Reach  `json:"-" cbor:"4,keyasint,omitempty"`
+	Incarnation uint64 `json:"incarnation" cbor:"5,keyasint"`
+	Facts       Facts  `json:"facts" cbor:"6,keyasint"`
+	Links       int    `json:"links" cbor:"7,keyasint,omitempty"`
+	Since       int64  `json:"since_ns" cbor:"8,keyasint,omitempty"` // ns in this status
+	StartedAt   int64  `json:"born" cbor:"9,keyasint,omitempty"`     // Unix ns
+}
+
+// View is the set of members as this node sees it, itself included.
+type View struct {
+	Number   uint64         `cbor:"1,keyasint"`
+	Hash     uint64         `cbor:"2,keyasint"` // over names and starts; equal where views are equal
+	Alone    bool           `cbor:"3,keyasint,omitempty"`
+	Majority bool           `cbor:"4,keyasint,omitempty"` // it holds more than half of all members that are known
+	Members  []MemberStatus `cbor:"5,keyasint"`           // by name; lost members that are not forgotten included
+}
+
+// Counters count events for operators.
+type Counters struct {
+	Sent              int `json:"sent"` // datagrams
+	Bytes             int `json:"-"`
+	Exchanges         int `json:"exchanges"`
+	UnmatchedMessages int `json:"strays"`   // from unknown members, or answers to no request
+	Unusable          int `json:"unusable"` // records that can't be kept
+	Refused           int `json:"refused"`
+	Pauses            int `json:"pauses"` // of this process
+	Views             int `json:"views"`
+}
