--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -10,58 +10,58 @@
 	"testing"
 )
 
-const start = 1_000 * 1_000 * ms
+const testStart = 1_000 * 1_000 * millisecond
 
-// post is a sound, warm node of two cores with one idempotent and one tokened operation.
-func post(change ...func(*Config)) *Controller {
+// newTestController is a sound, warm node of two cores with one idempotent and one tokened operation.
+func newTestController(change ...func(*Config)) *Controller {
 	config := &Config{
 		Operations: []Operation{
-			{LatencyObjective: 1_000 * ms, ClientTimeout: 3_000 * ms, PriorityWeight: 1, CallsDependency: true},
-			{LatencyObjective: 1_000 * ms, ClientTimeout: 3_000 * ms, PriorityWeight: 5, Idempotency: IdempotentWithKey,
-				DeduplicationWindow: 5_000 * ms, CallsDependency: true},
+			{LatencyObjective: 1_000 * millisecond, ClientTimeout: 3_000 * millisecond, PriorityWeight: 1, CallsDependency: true},
+			{LatencyObjective: 1_000 * millisecond, ClientTimeout: 3_000 * millisecond, PriorityWeight: 5, Idempotency: IdempotentWithKey,
+				DeduplicationWindow: 5_000 * millisecond, CallsDependency: true},
 		},
 		Cores: 2, MemoryKB: 1_000, RunningMemoryFactor: 4, DeduplicationEntryKB: 1, Peers: 2, Dependency: SharedDependency,
-		CallQuota: 2.4, CallQuotaWindow: 5_000 * ms, OverloadMultiple: 4, DrainGrace: 2_000 * ms,
-		MaxRetryAfter: 1_000 * ms, StopSupport: StopKeepsProgress,
+		CallQuota: 2.4, CallQuotaWindow: 5_000 * millisecond, OverloadMultiple: 4, DrainGrace: 2_000 * millisecond,
+		MaxRetryAfter: 1_000 * millisecond, StopSupport: StopKeepsProgress,
 	}
 	for _, c := range change {
 		c(config)
 	}
-	return NewController(config, start)
+	return NewController(config, testStart)
 }
 
-// put adds an invocation that arrived now, in the given state, and returns it.
-func put(p *Controller, op int, s state) *invocation {
-	p.invs = append(p.invs, invocation{op: p.ops[op], tenant: -1, arrived: p.now, base: float64(100 * ms), part: 1, worth: 1,
-		due: p.now + p.ops[op].ClientTimeout, kb: 10, ran: s == running || s == standing || s == calling})
-	p.live = append(p.live, int32(len(p.invs)-1))
-	p.opened++
-	v := &p.invs[len(p.invs)-1]
-	p.shift(v, s)
+// addInvocation adds an invocation that arrived now, in the given state, and returns it.
+func addInvocation(p *Controller, op int, s invocationState) *invocation {
+	p.invocations = append(p.invocations, invocation{operation: p.operations[op], tenant: -1, arrivedAt: p.now, baseWork: float64(100 * millisecond), workShare: 1, weightShare: 1,
+		deadline: p.now + p.operations[op].ClientTimeout, queuedKB: 10, started: s == stateRunning || s == stateAwaitingCall || s == stateCalling})
+	p.live = append(p.live, int32(len(p.invocations)-1))
+	p.arrivedCount++
+	v := &p.invocations[len(p.invocations)-1]
+	p.setState(v, s)
 	return v
 }
 
-// kinds lists the kinds of the actions decided so far.
-func kinds(p *Controller) []ActionKind {
+// actionKinds lists the actionKinds of the actions decided so far.
+func actionKinds(p *Controller) []ActionKind {
 	list := []ActionKind{}
-	for _, a := range p.out {
+	for _, a := range p.actions {
 		list = append(list, a.Kind)
 	}
 	return list
 }
 
-// decisions is the fingerprint of all actions over steps of events drawn from a seed, with 500 tenants of which some
+// digestOfDecisions is the fingerprint of all actions over steps of events drawn from a seed, with 500 tenants of which some
 // go quiet for minutes, and callers that come and go.
-func decisions(t *testing.T, seed int64, steps int) uint64 {
+func digestOfDecisions(t *testing.T, seed int64, steps int) uint64 {
 	t.Helper()
 	chance := rand.New(rand.NewSource(seed))
-	p := post(func(n *Config) {
+	p := newTestController(func(n *Config) {
 		n.Seed, n.OverQuotaWeightShare, n.Backpressure, n.MemoryKB = seed, 0.1, BackpressureCredits, 100_000
 		for range 500 {
 			n.TenantRates = append(n.TenantRates, float64(1+chance.Intn(4)))
 		}
 	})
-	print, now := fnv.New64a(), start
+	print, now := fnv.New64a(), testStart
 	var free []int32
 	type runs struct {
 		inv     int32
@@ -71,9 +71,9 @@
 	var running []runs
 	next, busy := int32(0), 0.5
 	for k := range steps {
-		now += int64(1+chance.Intn(30)) * ms
+		now += int64(1+chance.Intn(30)) * millisecond
 		if chance.Intn(150) == 0 {
-			now += 200_000 * ms // all fall silent, to come back
+			now += 200_000 * millisecond // all fall silent, to come back
 		}
 		var events []Event
 		running = slices.DeleteFunc(running, func(r runs) bool {
@@ -90,10 +90,10 @@
 				next++
 			}
 			events = append(events, Event{Kind: Arrived, Invocation: i, OperationIndex: int32(chance.Intn(2)), Tenant: int32(chance.Intn(1 + min(499, 1+k/2))),
-				Caller: int64(chance.Intn(30 + k/20)), Original: NoOriginal, Retry: chance.Intn(5) == 0, ExpectedWork: int64(20+chance.Intn(200)) * ms,
+				Caller: int64(chance.Intn(30 + k/20)), Original: NoOriginal, Retry: chance.Intn(5) == 0, ExpectedWork: int64(20+chance.Intn(200)) * millisecond,
 				QueuedKB: 1 + 10*chance.Float64()})
 		}
-		if now >= p.next {
+		if now >= p.nextTick {
 			busy = 0.7*busy + 0.4*chance.Float64()
 			events = append(events, Event{Kind: TimerFired, BusyShare: busy, RunnableThreads: 4 * busy})
 		}
@@ -103,7 +103,7 @@
 			case Release:
 				free = append(free, a.Invocation)
 			case Run:
-				running = append(running, runs{inv: a.Invocation, ends: now + int64(20+chance.Intn(400))*ms})
+				running = append(running, runs{inv: a.Invocation, ends: now + int64(20+chance.Intn(400))*millisecond})
 			case Stop:
 				for j := range running {
 					if running[j].inv == a.Invocation {
@@ -114,7 +114,7 @@
 		}
 		writeState(print, p.State())
 		for _, v := range p.live {
-			fmt.Fprintf(print, "%x", math.Float64bits(p.invs[v].key))
+			fmt.Fprintf(print, "%x", math.Float64bits(p.invocations[v].rank))
 		}
 	}
 	return print.Sum64()
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -8,56 +8,56 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleet is n nodes that each have as many runs standing at calls as they like, over a dependency on which every call
+// dependencyFleet is n nodes that each have as many runs standing at calls as they like, over a dependency on which every call
 // takes as long as the node allows it.
-type fleet struct {
-	posts  []*Controller
-	ends   []map[int32]int64 // of calls in hand, by node and invocation
-	adrift []int64           // ends of calls whose node is gone
-	share  float64
-	now    int64
+type dependencyFleet struct {
+	controllers    []*Controller
+	callEnds       []map[int32]int64 // of calls in hand, by node and invocation
+	lingeringCalls []int64           // ends of calls whose node is gone
+	callQuota      float64
+	now            int64
 }
 
 const (
-	fleetTick = 50 * ms
-	fleetSpan = 5_000 * ms
+	fleetStep        = 50 * millisecond
+	fleetQuotaWindow = 5_000 * millisecond
 )
 
-func (f *fleet) start(k int, fresh bool, age int64) {
-	f.posts[k] = NewController(post(func(n *Config) {
-		n.CallQuota, n.CallQuotaWindow, n.AbandonedCallTime, n.ColdStart, n.ColdSpeedShare = f.share, fleetSpan, 200*ms, fresh, 0.3
-		n.Operations[0].ClientTimeout, n.Operations[0].LatencyObjective = 60_000*ms, 30_000*ms
+func (f *dependencyFleet) restart(k int, fresh bool, age int64) {
+	f.controllers[k] = NewController(newTestController(func(n *Config) {
+		n.CallQuota, n.CallQuotaWindow, n.AbandonedCallTime, n.ColdStart, n.ColdSpeedShare = f.callQuota, fleetQuotaWindow, 200*millisecond, fresh, 0.3
+		n.Operations[0].ClientTimeout, n.Operations[0].LatencyObjective = 60_000*millisecond, 30_000*millisecond
 		n.ProcessStart = f.now
 	}).config, f.now-age)
-	for _, end := range f.ends[k] { // they linger in the dependency's hands
-		f.adrift = append(f.adrift, min(end, f.now+200*ms))
+	for _, end := range f.callEnds[k] { // they linger in the dependency's hands
+		f.lingeringCalls = append(f.lingeringCalls, min(end, f.now+200*millisecond))
 	}
-	f.ends[k] = map[int32]int64{}
+	f.callEnds[k] = map[int32]int64{}
 }
 
 // step returns how many calls are in the dependency's hands.
-func (f *fleet) step() (inHand int) {
-	f.now += fleetTick
-	for k, p := range f.posts {
+func (f *dependencyFleet) step() (inHand int) {
+	f.now += fleetStep
+	for k, p := range f.controllers {
 		var events []Event
-		for i, end := range f.ends[k] {
+		for i, end := range f.callEnds[k] {
 			if f.now >= end {
-				delete(f.ends[k], i)
+				delete(f.callEnds[k], i)
 				events = append(events, Event{Kind: CallEnded, Invocation: i, Outcome: Succeeded},
 					Event{Kind: RunEnded, Invocation: i, Outcome: Succeeded})
 			}
 		}
-		for p.standing < 4 {
-			put(p, 0, standing)
+		for p.callsAwaited < 4 {
+			addInvocation(p, 0, stateAwaitingCall)
 		}
 		for _, a := range p.Decide(f.now, events) {
 			if a.Kind == StartCall {
-				f.ends[k][a.Invocation] = a.At
+				f.callEnds[k][a.Invocation] = a.At
 			}
 		}
-		inHand += len(f.ends[k])
+		inHand += len(f.callEnds[k])
 	}
-	for _, end := range f.adrift {
+	for _, end := range f.lingeringCalls {
 		if f.now < end {
 			inHand++
 		}
@@ -75,17 +75,17 @@
 				part  float64
 				fresh bool
 				age   int64
-			}{{}, {0.5, true, 0}, {1, true, 0}, {1, true, 7_000 * ms}} {
-				f := &fleet{posts: make([]*Controller, nodes), ends: make([]map[int32]int64, nodes), share: share, now: start}
+			}{{}, {0.5, true, 0}, {1, true, 0}, {1, true, 7_000 * millisecond}} {
+				f := &dependencyFleet{controllers: make([]*Controller, nodes), callEnds: make([]map[int32]int64, nodes), callQuota: share, now: testStart}
 				for k := range nodes {
-					f.start(k, false, 0)
+					f.restart(k, false, 0)
 				}
 				budget := share * float64(nodes)
-				most, sum, last := 0.0, 0.0, make([]float64, fleetSpan/fleetTick)
+				most, sum, last := 0.0, 0.0, make([]float64, fleetQuotaWindow/fleetStep)
 				for tick := range 3 * len(last) {
 					if tick == 2*len(last)-20 {
 						for k := range int(again.part * float64(nodes)) {
-							f.start(k, again.fresh, again.age)
+							f.restart(k, again.fresh, again.age)
 						}
 					}
 					n := float64(f.step())
--- a/internal/stats/extremes_test.go
+++ b/internal/stats/extremes_test.go
@@ -23,7 +23,7 @@
 				there = append(there, n)
 			}
 			assert.Equal(t, len(there), e.Len())
-			assert.LessOrEqual(t, len(e.least.there)+len(e.least.gone), max(2, 3*len(there)))
+			assert.LessOrEqual(t, len(e.min.present)+len(e.min.removed), max(2, 3*len(there)))
 			if len(there) > 0 {
 				assert.Equal(t, []int64{slices.Min(there), slices.Max(there)}, []int64{e.Min(), e.Max()})
 			}
--- a/internal/stats/recent.go
+++ b/internal/stats/recent.go
@@ -3,27 +3,27 @@
 // DecayingCounter counts what was seen of late, by key; what it costs is that of the keys seen, however many there may be.
 // The zero value is ready.
 type DecayingCounter struct {
-	at     map[int64]int32 // place of each key that is remembered
-	keys   []int64
-	counts []float64
+	positions map[int64]int32 // place of each key that is remembered
+	keys      []int64
+	counts    []float64
 }
 
 // Add counts one of a key.
 func (r *DecayingCounter) Add(key int64) {
-	i, known := r.at[key]
+	i, known := r.positions[key]
 	if !known {
-		if r.at == nil {
-			r.at = make(map[int64]int32)
+		if r.positions == nil {
+			r.positions = make(map[int64]int32)
 		}
 		i = int32(len(r.keys))
-		r.at[key], r.keys, r.counts = i, append(r.keys, key), append(r.counts, 0)
+		r.positions[key], r.keys, r.counts = i, append(r.keys, key), append(r.counts, 0)
 	}
 	r.counts[i]++
 }
 
 // Count is what is remembered of a key.
 func (r *DecayingCounter) Count(key int64) float64 {
-	if i, known := r.at[key]; known {
+	if i, known := r.positions[key]; known {
 		return r.counts[i]
 	}
 	return 0
@@ -39,24 +39,24 @@
 			r.counts[i] = n * part
 			continue
 		}
-		r.forgetAt(int32(i))
+		r.removeAt(int32(i))
 		i--
 	}
 }
 
 // Remove drops what is remembered of a key.
 func (r *DecayingCounter) Remove(key int64) {
-	if i, known := r.at[key]; known {
-		r.forgetAt(i)
+	if i, known := r.positions[key]; known {
+		r.removeAt(i)
 	}
 }
 
-func (r *DecayingCounter) forgetAt(i int32) {
+func (r *DecayingCounter) removeAt(i int32) {
 	last := len(r.keys) - 1
-	delete(r.at, r.keys[i])
+	delete(r.positions, r.keys[i])
 	if int(i) != last {
 		r.keys[i], r.counts[i] = r.keys[last], r.counts[last]
-		r.at[r.keys[i]] = i
+		r.positions[r.keys[i]] = i
 	}
 	r.keys, r.counts = r.keys[:last], r.counts[:last]
 	if last == 0 {
--- a/internal/stats/tally.go
+++ b/internal/stats/tally.go
@@ -6,67 +6,67 @@
 
 // RatioHistogram counts ratios in bins of equal factors around 1.
 type RatioHistogram struct {
-	bins             []float64
-	perOctave        float64
-	seen, remembered float64
-	sum              float64 // of what was counted, each at the middle of its bin
+	bins                []float64
+	binsPerOctave       float64
+	samples, maxSamples float64
+	sum                 float64 // of what was counted, each at the middle of its bin
 }
 
 // NewRatioHistogram counts in a number of bins, so many to a factor of two, and halves them past a number of samples.
 func NewRatioHistogram(bins int, perOctave, remembered float64) RatioHistogram {
-	return RatioHistogram{bins: make([]float64, bins), perOctave: perOctave, remembered: remembered}
+	return RatioHistogram{bins: make([]float64, bins), binsPerOctave: perOctave, maxSamples: remembered}
 }
 
 // Add counts one ratio.
 func (r *RatioHistogram) Add(ratio float64) {
 	middle := len(r.bins) / 2
-	bin := int(math.Round(r.perOctave*math.Log2(max(ratio, 1e-9)))) + middle
+	bin := int(math.Round(r.binsPerOctave*math.Log2(max(ratio, 1e-9)))) + middle
 	bin = min(max(bin, 0), len(r.bins)-1)
 	r.bins[bin]++
-	r.sum += math.Exp2(float64(bin-middle) / r.perOctave)
-	if r.seen++; r.seen > r.remembered {
+	r.sum += math.Exp2(float64(bin-middle) / r.binsPerOctave)
+	if r.samples++; r.samples > r.maxSamples {
 		halve(r.bins)
-		r.seen, r.sum = r.seen/2, r.sum/2
+		r.samples, r.sum = r.samples/2, r.sum/2
 	}
 }
 
 // Mean counts one sample of the prior beside those seen.
 func (r *RatioHistogram) Mean(prior float64) float64 {
-	return (prior + r.sum) / (r.seen + 1)
+	return (prior + r.sum) / (r.samples + 1)
 }
 
 // SurvivalCurve counts how long some stay and when others leave, by equal parts of a whole.
 type SurvivalCurve struct {
-	stayed, left []float64
-	remembered   float64
+	atRisk, departed []float64
+	maxSamples       float64
 }
 
 // NewSurvivalCurve counts in a number of parts and halves them past a number of samples.
 func NewSurvivalCurve(parts int, remembered float64) SurvivalCurve {
-	return SurvivalCurve{stayed: make([]float64, parts), left: make([]float64, parts), remembered: remembered}
+	return SurvivalCurve{atRisk: make([]float64, parts), departed: make([]float64, parts), maxSamples: remembered}
 }
 
 // Add counts one that was there up to some part of the whole and then left, or was no longer watched.
 func (s *SurvivalCurve) Add(part float64, left bool) {
-	last := min(max(int(part*float64(len(s.left))), 0), len(s.left)-1)
+	last := min(max(int(part*float64(len(s.departed))), 0), len(s.departed)-1)
 	for i := range last + 1 {
-		s.stayed[i]++
+		s.atRisk[i]++
 	}
 	if left {
-		s.left[last]++
+		s.departed[last]++
 	}
-	if s.stayed[0] > s.remembered {
-		halve(s.stayed)
-		halve(s.left)
+	if s.atRisk[0] > s.maxSamples {
+		halve(s.atRisk)
+		halve(s.departed)
 	}
 }
 
 // TimeAtSurvival is the part of the whole up to which at least the given share stays.
 func (s *SurvivalCurve) TimeAtSurvival(share float64) float64 {
 	stay := 1.0
-	for i, n := range s.left {
-		if stay *= 1 - n/(s.stayed[i]+1); stay < share {
-			return float64(i) / float64(len(s.left))
+	for i, n := range s.departed {
+		if stay *= 1 - n/(s.atRisk[i]+1); stay < share {
+			return float64(i) / float64(len(s.departed))
 		}
 	}
 	return 1
@@ -74,19 +74,19 @@
 
 // SlidingSum sums what was counted in the last slices of time, the present one included.
 type SlidingSum struct {
-	slices       []float64
-	slice, index int64
+	slices             []float64
+	sliceLength, index int64
 }
 
 // NewSlidingSum sums over a span of time in a number of whole slices beside the present one.
 func NewSlidingSum(span int64, slices int) SlidingSum {
-	return SlidingSum{slices: make([]float64, slices+1), slice: max(1, span/int64(slices))}
+	return SlidingSum{slices: make([]float64, slices+1), sliceLength: max(1, span/int64(slices))}
 }
 
 // Add moves on to a moment and counts there.
 func (w *SlidingSum) Add(now int64, amount float64) {
 	n := int64(len(w.slices))
-	for w.index = max(w.index, now/w.slice-n); w.index < now/w.slice; w.index++ {
+	for w.index = max(w.index, now/w.sliceLength-n); w.index < now/w.sliceLength; w.index++ {
 		w.slices[(w.index+1)%n] = 0
 	}
 	w.slices[w.index%n] += amount
