--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDueRunIsErroredThenStopped(t *testing.T) {
+func TestRunAtItsDeadlineFailsAndIsStopped(t *testing.T) {
 	p := newTestController()
 	v := addInvocation(p, 0, stateRunning)
 	v.deadline = p.now + answerMargin
@@ -16,7 +16,7 @@
 	assert.True(t, v.answered)
 }
 
-func TestRunPastItsObjectiveGoesOnWhereItCannotBeStopped(t *testing.T) {
+func TestRunPastItsObjectiveContinuesWithoutStopSupport(t *testing.T) {
 	p := newTestController(func(n *Config) { n.StopSupport = StopUnsupported })
 	v := addInvocation(p, 0, stateRunning)
 	v.arrivedAt -= 2_000 * millisecond
@@ -24,7 +24,7 @@
 	assert.Empty(t, p.actions)
 }
 
-func TestHopelessIsThrottledAtOnceWithATimeToComeBack(t *testing.T) {
+func TestUnlikelyInTimeIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	p := newTestController()
 	p.queueingDelay = float64(300 * millisecond)
 	v := addInvocation(p, 0, stateQueued)
@@ -35,7 +35,7 @@
 	assert.Equal(t, stateEnded, v.state)
 }
 
-func TestHoldPutsValueForCoreTimeFirst(t *testing.T) {
+func TestQueueOrdersByWeightPerCoreTime(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	addInvocation(p, 1, stateQueued)
@@ -45,7 +45,7 @@
 	assert.Equal(t, []int32{1, 2, 0}, p.queueOrder)
 }
 
-func TestTenantOverItsShareComesAfterOthers(t *testing.T) {
+func TestTenantOverItsQuotaHasLowerWeight(t *testing.T) {
 	p := newTestController(func(n *Config) { n.TenantRates = []float64{2, 2}; n.OverQuotaWeightShare = 0.1 })
 	for k := range 50 {
 		p.tenants.Add(0)
@@ -59,7 +59,7 @@
 	assert.Equal(t, 1.0, p.tenantWeightShare(1))
 }
 
-func TestTokenedIsRecordedBeforeItRuns(t *testing.T) {
+func TestIdempotencyKeyIsRecordedBeforeTheRun(t *testing.T) {
 	p := newTestController()
 	out := p.Decide(testStart, []Event{{Kind: Arrived, Invocation: 0, OperationIndex: 1, Tenant: -1,
 		Original: NoOriginal, QueuedKB: 10}})
@@ -68,27 +68,27 @@
 	assert.Equal(t, Run, out[1].Kind)
 }
 
-func TestTokenedWithoutRoomInTheTableIsThrottledUnrun(t *testing.T) {
+func TestKeyedRequestIsRejectedWhenTheDeduplicationTableIsFull(t *testing.T) {
 	p := newTestController(func(n *Config) { n.DeduplicationEntryKB = 300 })
 	addInvocation(p, 1, stateQueued)
 	p.recordKey(0, p.now+5_000*millisecond)
 	assert.Equal(t, []ActionKind{Reject}, actionKinds(p))
 }
 
-func TestRepeatOfWhatRanIsReused(t *testing.T) {
+func TestRetryOfAStartedInvocationJoinsIt(t *testing.T) {
 	p := newTestController()
 	p.handleArrival(&Event{Kind: Arrived, OperationIndex: 1, Tenant: -1, Original: OriginalEnded, QueuedKB: 10})
 	assert.Equal(t, []ActionKind{JoinOriginal}, actionKinds(p))
 }
 
-func TestRepeatOfWhatRanIsErroredNotThrottledOnceIntakeEnded(t *testing.T) {
+func TestRetryOfAStartedInvocationFailsRatherThanRejectedAfterIntakeEnd(t *testing.T) {
 	p := newTestController()
 	p.drainRequestedAt, p.intakeEnd = p.now-millisecond, p.now
 	p.handleArrival(&Event{Kind: Arrived, OperationIndex: 1, Tenant: -1, Original: OriginalEnded, QueuedKB: 10})
 	assert.Equal(t, []ActionKind{Fail}, actionKinds(p))
 }
 
-func TestCallThatMayHaveRunIsRepeatedOnceAndOnlyIfIdempotent(t *testing.T) {
+func TestCallThatMayHaveRunIsRetriedOnceAndOnlyIfIdempotent(t *testing.T) {
 	for outcome, proof := range map[Outcome]bool{Overloaded: true, Unreachable: true,
 		TimedOut: false, Broken: false, Errored: false} {
 		for op, again := range []int{1, 0} { // the idempotent operation, the tokened one
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestReplyThatHardlyComesIsNotWaitedForWhereTheCallMayBeRepeated(t *testing.T) {
+func TestSlowCallTimesOutEarlyWhereItMayBeRetried(t *testing.T) {
 	p := newTestController(func(n *Config) { n.CallQuota = 24 })
 	p.callDurations.Add(0.0625) // of the shortest objective
 	for op, tries := range []int{0, 0, 2} {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestFailedCallIsLeftOutWhereAllowed(t *testing.T) {
+func TestFailedCallIsSkippedWhereAllowed(t *testing.T) {
 	p := newTestController(func(n *Config) { n.Operations[0].SkippedCallWeightShare = 0.5 })
 	v := addInvocation(p, 0, stateAwaitingCall)
 	v.callAttempts = maxCallAttempts
@@ -131,7 +131,7 @@
 	assert.Equal(t, stateRunning, v.state)
 }
 
-func TestCallsAreMadeHighestValueFirst(t *testing.T) {
+func TestCallsStartInOrderOfWeight(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateAwaitingCall)
 	addInvocation(p, 1, stateAwaitingCall)
@@ -141,7 +141,7 @@
 }
 
 // The incident of meubles-rennes on which a large fleet left each node a share below one.
-func TestCallsInHandKeepTheShareAsAMean(t *testing.T) {
+func TestCallsInFlightStayWithinTheMeanQuota(t *testing.T) {
 	p := newTestController(func(n *Config) { n.CallQuota, n.AbandonedCallTime = 0.35, 200*millisecond })
 	for range 8 {
 		p.callDurations.Add(0.02)
@@ -165,7 +165,7 @@
 }
 
 // The incident of boutique-brest on which every call was made for work already too late.
-func TestSlowDependencyHoldsBackStarts(t *testing.T) {
+func TestSlowDependencyLimitsStarts(t *testing.T) {
 	p := newTestController()
 	for range 6 {
 		p.callDurations.Add(0.5)
@@ -181,14 +181,14 @@
 	assert.Equal(t, Fail, p.actions[0].Kind)
 }
 
-func TestCrowdIsTighterWhileCold(t *testing.T) {
+func TestSafeConcurrencyIsLowerWhileWarmingUp(t *testing.T) {
 	p := newTestController(func(n *Config) { n.ColdStart = true; n.ColdSpeedShare = 0.2; n.WarmUpTime = 10_000 * millisecond })
 	assert.InDelta(t, safeOverloadShare*2*(1+3*0.2), p.maxSafeConcurrency(), 1e-9)
 	p.now += 20_000 * millisecond
 	assert.InDelta(t, safeOverloadShare*2*4, p.maxSafeConcurrency(), 1e-9)
 }
 
-func TestThoseAtCallsCountTowardsTheCrowd(t *testing.T) {
+func TestRunsBlockedOnCallsCountTowardsSafeConcurrency(t *testing.T) {
 	p := newTestController()
 	for range 6 {
 		addInvocation(p, 0, stateAwaitingCall)
@@ -199,7 +199,7 @@
 	assert.Empty(t, p.actions)
 }
 
-func TestMemoryStopsStartsAndTurnsAwayTheEndOfTheHold(t *testing.T) {
+func TestMemoryLimitStopsStartsAndRejectsTheQueueTail(t *testing.T) {
 	p := newTestController()
 	for range 2 {
 		addInvocation(p, 0, stateQueued).queuedKB = 480
@@ -212,7 +212,7 @@
 	assert.Equal(t, int32(1), p.actions[0].Invocation)
 }
 
-func TestLimitGrowsWhileCoresAreFreeAndFallsWithThroughput(t *testing.T) {
+func TestLimitGrowsWhileCoresAreIdleAndFallsWithThroughput(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	p.queueOrder, p.runningCount, p.coreIdle = []int32{0}, 2, true
@@ -226,7 +226,7 @@
 	assert.Equal(t, 2.0, p.runLimit, "the core count is the floor")
 }
 
-func TestNoticeTurnsHealthBadAndScalesBothDurations(t *testing.T) {
+func TestDrainRequestTurnsHealthBadAndScalesBothPhases(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateRunning)
 	p.startDrain(p.now + killMargin + 5_000*millisecond)
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestIntakeEndsWithinTheGraceAndASecondNoticeNeverExtends(t *testing.T) {
+func TestIntakeEndsWithinTheGraceAndASecondRequestNeverExtends(t *testing.T) {
 	p := newTestController()
 	p.startDrain(p.now + 60_000*millisecond)
 	assert.Equal(t, p.now+2_000*millisecond, p.intakeEnd)
@@ -252,7 +252,7 @@
 	assert.Equal(t, p.drainRequestedAt+2_000*millisecond, p.intakeEnd)
 }
 
-func TestDrainDeadlineAbortsAndCountsTheRest(t *testing.T) {
+func TestDrainDeadlineAbortsAndCountsTheRemainder(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateRunning)
 	addInvocation(p, 0, stateQueued)
@@ -262,7 +262,7 @@
 	assert.Equal(t, "drain: in flight at start 3, completed 2, abandoned 2", p.actions[4].Report)
 }
 
-func TestDrainIsOverOnceNothingIsOpenAndIntakeEnded(t *testing.T) {
+func TestDrainFinishesOnceIntakeEndedAndNothingIsInFlight(t *testing.T) {
 	p := newTestController()
 	v := addInvocation(p, 0, stateRunning)
 	p.drainRequestedAt, p.intakeEnd, p.drainDeadline = p.now-millisecond, p.now, p.now+1_000*millisecond
@@ -283,7 +283,7 @@
 	assert.True(t, p.unhealthy)
 }
 
-func TestAFullHoldIsNotUnhealthyButAsksForLess(t *testing.T) {
+func TestFullQueueIsHealthyButSignalsBackpressure(t *testing.T) {
 	p := newTestController(func(n *Config) { n.Backpressure = BackpressureLevel })
 	for range 20 {
 		addInvocation(p, 0, stateQueued)
@@ -294,7 +294,7 @@
 	assert.InDelta(t, 1-capacityDecrease, p.advertisedCapacity, 1e-9)
 }
 
-func TestDrainAdvisesCallersAway(t *testing.T) {
+func TestDrainRedirectsCallers(t *testing.T) {
 	for advice, want := range map[BackpressureKind]float64{BackpressureLevel: 1, BackpressureCredits: 0, BackpressureWeight: 0} {
 		p := newTestController(func(n *Config) { n.Backpressure = advice })
 		p.drainRequestedAt, p.intakeEnd = p.now, p.now+2*redirectLeadTime
@@ -306,7 +306,7 @@
 	}
 }
 
-func TestLateEventsOnEndedInvocationsDoNothing(t *testing.T) {
+func TestLateEventsOnEndedInvocationsAreIgnored(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	p.end(0)
@@ -328,13 +328,13 @@
 }
 
 // The incident of pret-quimper on which fresh nodes were flooded before their first answers.
-func TestColdStartInvitesLess(t *testing.T) {
+func TestColdStartAdvertisesLessCapacity(t *testing.T) {
 	p := newTestController(func(n *Config) { n.ColdStart = true; n.ColdSpeedShare = 0.25 })
 	assert.Equal(t, 0.25, p.advertisedCapacity)
 }
 
 // The incident of meubles-rennes on which reading and runs together crowded every node's cores.
-func TestReadingCountsTowardsTheLimit(t *testing.T) {
+func TestOtherRunnableThreadsCountTowardsTheLimit(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	addInvocation(p, 0, stateQueued)
@@ -344,7 +344,7 @@
 }
 
 // A day of boutique-brest on which nodes that reported bad got no more work and so never came back.
-func TestIdleNodeReturnsToGoodHealth(t *testing.T) {
+func TestIdleNodeBecomesHealthyAgain(t *testing.T) {
 	p := newTestController()
 	for range 8 {
 		p.serviceTimeRatio.Add(8)
@@ -358,7 +358,7 @@
 }
 
 // Grown deployments of two cores a node: the half-second mean of the busy gauge let the limit overshoot.
-func TestFreeCoresAreThoseThatNothingWantsNow(t *testing.T) {
+func TestCoresAreIdleWhenFewerThreadsAreRunnable(t *testing.T) {
 	p := newTestController()
 	p.apply(&Event{Kind: TimerFired, BusyShare: 0.2, RunnableThreads: 2})
 	assert.False(t, p.coreIdle)
@@ -369,7 +369,7 @@
 }
 
 // Grown meubles-rennes: with two cores, returns from calls crowded a node whose starts kept to the limit.
-func TestReturnsFromCallsCannotCrowdAFewCores(t *testing.T) {
+func TestReturnsFromCallsCannotOverloadFewCores(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	addInvocation(p, 0, stateCalling)
@@ -383,7 +383,7 @@
 }
 
 // Grown meubles-rennes: a fifth of all runs were for callers that wait about a third of the client timeout.
-func TestHoldReckonsWithCallersThatLeaveEarly(t *testing.T) {
+func TestQueueAccountsForEarlyAbandonment(t *testing.T) {
 	p := newTestController()
 	for range 20 {
 		v := addInvocation(p, 0, stateQueued)
@@ -400,7 +400,7 @@
 }
 
 // Overloaded days of the grown deployments: what every node turned away was read at node after node.
-func TestManyFurtherTriesAskForNoMoreUntilFewAreThrottled(t *testing.T) {
+func TestRetryStormMarksTheFleetOverloadedUntilFewAreRejected(t *testing.T) {
 	p := newTestController(func(n *Config) { n.RetriesMarked = true })
 	p.arrivals, p.retries, p.rejected = 10, 5, 4
 	p.updateBackpressure()
@@ -413,7 +413,7 @@
 	assert.False(t, p.fleetOverloaded)
 }
 
-func TestCreditForManyCallersIsNeverRoundedToNothing(t *testing.T) {
+func TestCreditsForManyCallersAreNeverRoundedToZero(t *testing.T) {
 	p := newTestController(func(n *Config) { n.Backpressure = BackpressureCredits })
 	for caller := range int64(1_000) {
 		p.callers.Add(caller)
@@ -424,7 +424,7 @@
 }
 
 // Grown pret-quimper: on two cores a short objective was missed behind one long run of little value.
-func TestLongRunMakesWayForOneOfHighRankIfItStillEndsInTime(t *testing.T) {
+func TestHighRankPreemptsALongRunThatStillEndsInTime(t *testing.T) {
 	for late, want := range map[int64][]ActionKind{0: {Stop}, 900 * millisecond: {}} {
 		p := newTestController()
 		p.runLimit = 1
@@ -437,7 +437,7 @@
 	}
 }
 
-func TestStallIsSeenLaterAmongFewRuns(t *testing.T) {
+func TestStallIsDetectedLaterAmongFewRuns(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateRunning)
 	addInvocation(p, 0, stateRunning)
@@ -461,7 +461,7 @@
 }
 
 // Grown pret-quimper: the mean of skewed costs gave up what half of the time ends within the objective.
-func TestHoldKeepsWhatTypicallyEndsInTime(t *testing.T) {
+func TestQueueRetainsWhatTypicallyEndsInTime(t *testing.T) {
 	p := newTestController()
 	v := addInvocation(p, 0, stateQueued)
 	v.arrivedAt -= 930 * millisecond // 70 of the 100 ms expected are left
@@ -473,7 +473,7 @@
 }
 
 // Drawn days of pret-quimper: nodes that had asked for least stayed shut to the end, for want of arrivals.
-func TestNodeThatHearsOfNothingOpensAgain(t *testing.T) {
+func TestIdleNodeRaisesItsAdvertisedCapacity(t *testing.T) {
 	p := newTestController()
 	p.queueingDelay, p.otherRunnable, p.advertisedCapacity = float64(900*millisecond), 2, minAdvertisedCapacity
 	p.updateBackpressure()
@@ -484,7 +484,7 @@
 }
 
 // The service days of meubles-rennes: a burst being read, or a few long runs, made nodes throttle what they had room for.
-func TestABurstOfReadingDoesNotShrinkWhatTheHoldIsReckonedToClear(t *testing.T) {
+func TestBurstOfOtherThreadsBarelyLowersAvailableCores(t *testing.T) {
 	p := newTestController(func(n *Config) { n.Cores = 8 })
 	for range 20 { // a second of little reading, then a beat of much
 		p.now += 50 * millisecond
@@ -501,7 +501,7 @@
 	assert.Equal(t, now+10*millisecond, p.gaugedAt)
 }
 
-func TestAFewLongRunsAreNoSlowNode(t *testing.T) {
+func TestFewLongRunsDoNotMakeTheNodeUnhealthy(t *testing.T) {
 	p := newTestController()
 	for range 20 {
 		p.serviceTimeRatio.Add(1)
@@ -514,7 +514,7 @@
 }
 
 // The service day on which, after some seconds of a slow dependency, no call was made any more.
-func TestOneCallIsAlwaysMadeHoweverLongCallsTookOfLate(t *testing.T) {
+func TestOneCallIsAlwaysStartedHoweverSlowTheDependency(t *testing.T) {
 	p := newTestController()
 	for range 12 {
 		p.callDurations.Add(2) // of the shortest objective
@@ -526,7 +526,7 @@
 	assert.Equal(t, stateCalling, p.invocations[0].state)
 }
 
-func TestCallsKeepToTheUnitsOfALease(t *testing.T) {
+func TestCallsRespectTheLeasedCallLimit(t *testing.T) {
 	p := newTestController()
 	for range 3 {
 		addInvocation(p, 0, stateAwaitingCall)
@@ -556,13 +556,13 @@
 }
 
 // The decisions over drawn events are those that were taken before tenants and callers were kept only as seen.
-func TestDecisionsOverDrawnEventsAreBitForBitThoseOfBefore(t *testing.T) {
+func TestDecisionsOverRandomEventsAreUnchanged(t *testing.T) {
 	assert.Equal(t, uint64(0xc8decd4b70530307), digestOfDecisions(t, 7, 1_200))
 	assert.Equal(t, uint64(0x27221d42ec36a438), digestOfDecisions(t, 8, 1_200))
 }
 
 // What a beat costs is that of the tenants seen of late, not of those that there are.
-func TestBeatGoesOverTheTenantsSeenOnly(t *testing.T) {
+func TestTickVisitsOnlyRecentTenants(t *testing.T) {
 	for _, all := range []int{0, 1_000, 130_000} {
 		p := newTestController(func(n *Config) { n.TenantRates = make([]float64, all) })
 		for k := range int32(40) {
@@ -576,7 +576,7 @@
 	}
 }
 
-func BenchmarkBeat(b *testing.B) {
+func BenchmarkTick(b *testing.B) {
 	for _, all := range []int{0, 1_000, 130_000} {
 		b.Run(fmt.Sprint(all, " tenants"), func(b *testing.B) {
 			p := newTestController(func(n *Config) { n.TenantRates = make([]float64, all) })
@@ -589,7 +589,7 @@
 	}
 }
 
-func TestOperationsChangeWhileWhatWasTakenKeepsItsTerms(t *testing.T) {
+func TestAcceptedInvocationsRetainTheirTermsWhenOperationsChange(t *testing.T) {
 	p := newTestController()
 	v := addInvocation(p, 0, stateRunning)
 	v.operation.serviceTimes.Add(4)
@@ -621,7 +621,7 @@
 }
 
 // A node that starts with indices that no operation has goes on without them.
-func TestIndicesOfNoOperationCountForNothing(t *testing.T) {
+func TestRemovedOperationsAreIgnored(t *testing.T) {
 	p := newTestController(func(n *Config) { n.Operations = append(n.Operations, Operation{Removed: true}) })
 	assert.Equal(t, float64(1_000*millisecond), p.shortestObjective)
 	p.Decide(p.now+tickInterval, []Event{{Kind: TimerFired, BusyShare: 0.5, RunnableThreads: 1}})
--- a/internal/admission/digest_test.go
+++ b/internal/admission/digest_test.go
@@ -16,429 +16,429 @@
 )
 
 const (
-	millisecond = int64(1_000_000)            // ns
-	firstMoment = 1_000_000_000 * millisecond // when simulated hosts start
-	lookEvery   = 16                          // steps between looks at the state and the measures
+	millisecond      = int64(1_000_000)            // ns
+	hostStart        = 1_000_000_000 * millisecond // when simulated hosts start
+	snapshotInterval = 16                          // steps between looks at the state and the measures
 )
 
-// digest sums up what the module returns. It is the only place that names the fields, one after the other, so that it is all
+// decisionDigest sums up what the module returns. It is the only place that names the fields, one after the other, so that it is all
 // there is to edit when they get other names or other types. Its figures are those of an amd64: others may round otherwise.
-type digest struct{ hash.Hash }
+type decisionDigest struct{ hash.Hash }
 
-func newDigest() digest { return digest{sha256.New()} }
+func newDecisionDigest() decisionDigest { return decisionDigest{sha256.New()} }
 
-// text is the digest so far, in hexadecimal digits.
-func (d digest) text() string { return hex.EncodeToString(d.Sum(nil)) }
+// sum is the digest so far, in hexadecimal digits.
+func (d decisionDigest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
 
-// whole adds an integer.
-func (d digest) whole(n int64) {
+// addInteger adds an integer.
+func (d decisionDigest) addInteger(n int64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
 	d.Write(b[:])
 }
 
-// real adds the bits of floating-point numbers.
-func (d digest) real(values ...float64) {
+// addFloats adds the bits of floating-point numbers.
+func (d decisionDigest) addFloats(values ...float64) {
 	for _, x := range values {
-		d.whole(int64(math.Float64bits(x)))
+		d.addInteger(int64(math.Float64bits(x)))
 	}
 }
 
-// flag adds truth values.
-func (d digest) flag(values ...bool) {
+// addBooleans adds truth values.
+func (d decisionDigest) addBooleans(values ...bool) {
 	for _, is := range values {
 		n := int64(0)
 		if is {
 			n = 1
 		}
-		d.whole(n)
+		d.addInteger(n)
 	}
 }
 
-// numbers adds the decimal numbers in a text, whose wording may change.
-func (d digest) numbers(text string) {
+// addNumbersOf adds the decimal addNumbersOf in a text, whose wording may change.
+func (d decisionDigest) addNumbersOf(text string) {
 	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r < '0' || r > '9' }) {
 		n := int64(0)
 		for _, c := range word {
 			n = 10*n + int64(c-'0')
 		}
-		d.whole(n)
+		d.addInteger(n)
 	}
 }
 
-// action adds all fields of an action; of the report of a drain only its numbers.
-func (d digest) action(a *admission.Action) {
-	d.whole(int64(a.Kind))
-	d.whole(int64(a.Invocation))
-	d.whole(a.At)
-	d.whole(a.Duration)
-	d.real(a.Value)
-	d.flag(a.Healthy, a.Cached, a.NoRetry)
-	d.whole(int64(a.Reason))
-	d.whole(int64(a.Form))
-	d.numbers(a.Report)
+// addAction adds all fields of an addAction; of the report of a drain only its numbers.
+func (d decisionDigest) addAction(a *admission.Action) {
+	d.addInteger(int64(a.Kind))
+	d.addInteger(int64(a.Invocation))
+	d.addInteger(a.At)
+	d.addInteger(a.Duration)
+	d.addFloats(a.Value)
+	d.addBooleans(a.Healthy, a.Cached, a.NoRetry)
+	d.addInteger(int64(a.Reason))
+	d.addInteger(int64(a.Form))
+	d.addNumbersOf(a.Report)
 }
 
-// state adds all fields of a state.
-func (d digest) state(s admission.ControllerState) {
-	d.real(s.Limit)
-	d.whole(int64(s.OnCores))
-	d.whole(int64(s.Queued))
-	d.whole(int64(s.AwaitingCall))
-	d.whole(int64(s.CallsInFlight))
-	d.real(s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
+// addState adds all fields of a addState.
+func (d decisionDigest) addState(s admission.ControllerState) {
+	d.addFloats(s.Limit)
+	d.addInteger(int64(s.OnCores))
+	d.addInteger(int64(s.Queued))
+	d.addInteger(int64(s.AwaitingCall))
+	d.addInteger(int64(s.CallsInFlight))
+	d.addFloats(s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
 		s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
-	d.whole(int64(s.Callers))
-	d.flag(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
+	d.addInteger(int64(s.Callers))
+	d.addBooleans(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
 
-// measures adds all fields of measures.
-func (d digest) measures(m *admission.LoadMetrics) {
-	d.whole(int64(len(m.DemandByOperation)))
-	d.real(m.DemandByOperation...)
-	d.real(m.IntakeShare, m.QueueWait, m.QueueingDelay, m.CallWait, m.RejectedShare, m.MemoryShare)
+// addLoadMetrics adds all fields of addLoadMetrics.
+func (d decisionDigest) addLoadMetrics(m *admission.LoadMetrics) {
+	d.addInteger(int64(len(m.DemandByOperation)))
+	d.addFloats(m.DemandByOperation...)
+	d.addFloats(m.IntakeShare, m.QueueWait, m.QueueingDelay, m.CallWait, m.RejectedShare, m.MemoryShare)
 }
 
-// phase is where an invocation is on a simulated host.
-type phase uint8
+// jobPhase is where an invocation is on a simulated host.
+type jobPhase uint8
 
 const (
-	unused phase = iota
-	waits
-	repeats // waits for the end of another one
-	runs
-	stands // at a call that is not made
-	calls
+	phaseUnused jobPhase = iota
+	phaseWaiting
+	phaseJoined // waits for the end of another one
+	phaseRunning
+	phaseAwaitingCall // at a call that is not made
+	phaseCalling
 )
 
-// job is an invocation on a simulated host.
-type job struct {
-	phase    phase
-	op       int32
-	of       int32 // the one that it repeats
-	calls    int   // that it is still to make
-	ends     int64 // its run, part of a run or call
-	halted   bool  // its run is to be withdrawn
-	answered bool
+// simulatedJob is an invocation on a simulated host.
+type simulatedJob struct {
+	phase          jobPhase
+	operationIndex int32
+	original       int32 // the one that it repeats
+	remainingCalls int   // that it is still to make
+	endsAt         int64 // its run, part of a run or call
+	stopping       bool  // its run is to be withdrawn
+	answered       bool
 }
 
-// host is a simulated host of the module: all that happens is drawn from a seed.
-type host struct {
-	chance  *rand.Rand
-	config  *admission.Config
-	post    *admission.Controller
-	now     int64
-	timer   int64
-	jobs    []job
-	free    []int32
-	events  []admission.Event
-	load    float64 // arrivals a step, at the mean
-	slow    float64 // times longer that runs last at present
-	present []bool  // operations
-	killAt  int64
-	steps   int
-	digest  digest
-	record  func(now int64, events []admission.Event) // nil for none
+// simulatedHost is a simulated simulatedHost of the module: all that happens is drawn from a seed.
+type simulatedHost struct {
+	random            *rand.Rand
+	config            *admission.Config
+	controller        *admission.Controller
+	now               int64
+	timerAt           int64
+	jobs              []simulatedJob
+	freeIndices       []int32
+	events            []admission.Event
+	meanArrivals      float64 // arrivals a step, at the mean
+	slowdown          float64 // times longer that runs last at present
+	presentOperations []bool  // operations
+	killAt            int64
+	steps             int
+	digest            decisionDigest
+	record            func(now int64, events []admission.Event) // nil for none
 }
 
-// newHost is a host that has just started.
-func newHost(config *admission.Config, seed int64, load float64) *host {
-	h := &host{chance: rand.New(rand.NewSource(seed)), config: config, now: firstMoment, load: load, slow: 1, digest: newDigest(),
-		present: make([]bool, len(config.Operations))}
+// newSimulatedHost is a host that has just started.
+func newSimulatedHost(config *admission.Config, seed int64, load float64) *simulatedHost {
+	h := &simulatedHost{random: rand.New(rand.NewSource(seed)), config: config, now: hostStart, meanArrivals: load, slowdown: 1, digest: newDecisionDigest(),
+		presentOperations: make([]bool, len(config.Operations))}
 	for k := range config.Operations {
-		h.present[k] = !config.Operations[k].Removed
+		h.presentOperations[k] = !config.Operations[k].Removed
 	}
-	h.post = admission.NewController(config, h.now)
+	h.controller = admission.NewController(config, h.now)
 	return h
 }
 
-// drawn is a duration between two bounds, in milliseconds.
-func (h *host) drawn(least, most int) int64 {
-	return int64(least)*millisecond + h.chance.Int63n(int64(most-least+1)*millisecond)
+// randomDuration is a duration between two bounds, in milliseconds.
+func (h *simulatedHost) randomDuration(least, most int) int64 {
+	return int64(least)*millisecond + h.random.Int63n(int64(most-least+1)*millisecond)
 }
 
-// odds says true once in so many times.
-func (h *host) odds(times int) bool { return h.chance.Intn(times) == 0 }
+// oneIn says true once in so many times.
+func (h *simulatedHost) oneIn(times int) bool { return h.random.Intn(times) == 0 }
 
-func (h *host) tell(e admission.Event) { h.events = append(h.events, e) }
+func (h *simulatedHost) enqueue(e admission.Event) { h.events = append(h.events, e) }
 
 // step lets time pass, tells the module what happened and does what it says.
-func (h *host) step(drain bool) {
+func (h *simulatedHost) step(drain bool) {
 	h.steps++
 	h.events = h.events[:0]
-	h.now += h.drawn(1, 14)
-	if h.odds(700) {
-		h.now += h.drawn(1_000, 20_000) // nothing happens for long
-	}
-	h.progress()
-	h.arrive()
-	h.command(drain)
-	if h.now >= h.timer {
+	h.now += h.randomDuration(1, 14)
+	if h.oneIn(700) {
+		h.now += h.randomDuration(1_000, 20_000) // nothing happens for long
+	}
+	h.reportEnds()
+	h.addArrivals()
+	h.addExternalEvents(drain)
+	if h.now >= h.timerAt {
 		e := admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
 		on := 0.0
 		for k := range h.jobs {
-			if h.jobs[k].phase == runs {
+			if h.jobs[k].phase == phaseRunning {
 				on++
 			}
 		}
-		if !h.odds(9) {
-			e.BusyShare = min(1, on/float64(h.config.Cores)*(0.8+0.3*h.chance.Float64()))
+		if !h.oneIn(9) {
+			e.BusyShare = min(1, on/float64(h.config.Cores)*(0.8+0.3*h.random.Float64()))
 		}
-		if !h.odds(5) {
-			e.RunnableThreads = on + float64(h.chance.Intn(3))*h.chance.Float64()
+		if !h.oneIn(5) {
+			e.RunnableThreads = on + float64(h.random.Intn(3))*h.random.Float64()
 		}
-		h.tell(e)
+		h.enqueue(e)
 	}
 	if h.record != nil {
 		h.record(h.now, h.events)
 	}
-	actions := h.post.Decide(h.now, h.events)
-	h.digest.whole(h.now)
-	h.digest.whole(int64(len(actions)))
+	actions := h.controller.Decide(h.now, h.events)
+	h.digest.addInteger(h.now)
+	h.digest.addInteger(int64(len(actions)))
 	for k := range actions {
-		h.digest.action(&actions[k])
-		h.carry(&actions[k])
+		h.digest.addAction(&actions[k])
+		h.perform(&actions[k])
 	}
-	if h.steps%lookEvery == 0 {
+	if h.steps%snapshotInterval == 0 {
 		var m admission.LoadMetrics
-		h.digest.state(h.post.State())
-		h.post.MeasureLoad(&m)
-		h.digest.measures(&m)
+		h.digest.addState(h.controller.State())
+		h.controller.MeasureLoad(&m)
+		h.digest.addLoadMetrics(&m)
 	}
 }
 
-// progress tells of runs and calls that ended.
-func (h *host) progress() {
+// reportEnds tells of runs and calls that ended.
+func (h *simulatedHost) reportEnds() {
 	outcomes := []admission.Outcome{admission.Errored, admission.Overloaded, admission.TimedOut, admission.Unreachable, admission.Broken, admission.NeverStarted}
 	for k := range h.jobs {
 		j, i := &h.jobs[k], int32(k)
 		switch {
-		case j.phase == unused || j.phase == waits || h.now < j.ends:
+		case j.phase == phaseUnused || j.phase == phaseWaiting || h.now < j.endsAt:
 			continue
-		case j.phase == runs && j.halted:
-			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.Stopped})
-			j.phase, j.halted = waits, false
-			h.follow(i, admission.Stopped)
-		case j.phase == runs && j.calls > 0 && !j.answered:
-			h.tell(admission.Event{Kind: admission.CallRequested, Invocation: i})
-			j.phase, j.ends = stands, math.MaxInt64
-		case j.phase == runs:
+		case j.phase == phaseRunning && j.stopping:
+			h.enqueue(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.Stopped})
+			j.phase, j.stopping = phaseWaiting, false
+			h.endJoined(i, admission.Stopped)
+		case j.phase == phaseRunning && j.remainingCalls > 0 && !j.answered:
+			h.enqueue(admission.Event{Kind: admission.CallRequested, Invocation: i})
+			j.phase, j.endsAt = phaseAwaitingCall, math.MaxInt64
+		case j.phase == phaseRunning:
 			outcome := admission.Succeeded
-			if h.odds(12) {
+			if h.oneIn(12) {
 				outcome = admission.Errored
 			}
-			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
-			j.phase = waits
-			h.follow(i, outcome)
-		case j.phase == calls && !j.answered:
+			h.enqueue(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
+			j.phase = phaseWaiting
+			h.endJoined(i, outcome)
+		case j.phase == phaseCalling && !j.answered:
 			outcome := admission.Succeeded
-			if h.chance.Float64() < 0.12*h.slow {
-				outcome = outcomes[h.chance.Intn(len(outcomes))]
+			if h.random.Float64() < 0.12*h.slowdown {
+				outcome = outcomes[h.random.Intn(len(outcomes))]
 			}
-			h.tell(admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
+			h.enqueue(admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 			if outcome == admission.Succeeded {
-				j.calls--
-				h.run(j)
+				j.remainingCalls--
+				h.startRun(j)
 			} else {
-				j.phase, j.ends = stands, math.MaxInt64
+				j.phase, j.endsAt = phaseAwaitingCall, math.MaxInt64
 			}
 		default: // nobody waits for it, or what it repeats ended long ago
 			outcome := admission.Succeeded
-			if j.phase != repeats {
+			if j.phase != phaseJoined {
 				outcome = admission.Stopped
 			}
-			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
-			j.phase = waits
-			h.follow(i, outcome)
+			h.enqueue(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
+			j.phase = phaseWaiting
+			h.endJoined(i, outcome)
 		}
 	}
 }
 
-// follow ends what repeats an invocation.
-func (h *host) follow(of int32, outcome admission.Outcome) {
+// endJoined ends what repeats an invocation.
+func (h *simulatedHost) endJoined(of int32, outcome admission.Outcome) {
 	for k := range h.jobs {
-		if j := &h.jobs[k]; j.phase == repeats && j.of == of {
-			h.tell(admission.Event{Kind: admission.RunEnded, Invocation: int32(k), Outcome: outcome})
-			j.phase = waits
+		if j := &h.jobs[k]; j.phase == phaseJoined && j.original == of {
+			h.enqueue(admission.Event{Kind: admission.RunEnded, Invocation: int32(k), Outcome: outcome})
+			j.phase = phaseWaiting
 		}
 	}
 }
 
-// run begins a part of a run.
-func (h *host) run(j *job) {
-	j.phase, j.ends = runs, h.now+int64(h.slow*float64(h.drawn(5, 120)))
+// startRun begins a part of a startRun.
+func (h *simulatedHost) startRun(j *simulatedJob) {
+	j.phase, j.endsAt = phaseRunning, h.now+int64(h.slowdown*float64(h.randomDuration(5, 120)))
 }
 
-// arrive tells of new invocations, at a rate that comes in waves.
-func (h *host) arrive() {
+// addArrivals tells of new invocations, at a rate that comes in waves.
+func (h *simulatedHost) addArrivals() {
 	wave := 1 + 0.9*math.Sin(float64(h.steps)/150)
-	for n := h.load * wave * 2 * h.chance.Float64(); n > 0; n-- {
-		if n < 1 && h.chance.Float64() >= n {
+	for n := h.meanArrivals * wave * 2 * h.random.Float64(); n > 0; n-- {
+		if n < 1 && h.random.Float64() >= n {
 			return
 		}
-		op := int32(h.chance.Intn(len(h.present)))
-		if !h.present[op] {
+		op := int32(h.random.Intn(len(h.presentOperations)))
+		if !h.presentOperations[op] {
 			continue
 		}
 		i := int32(len(h.jobs))
-		if k := len(h.free); k > 0 {
-			i, h.free = h.free[k-1], h.free[:k-1]
+		if k := len(h.freeIndices); k > 0 {
+			i, h.freeIndices = h.freeIndices[k-1], h.freeIndices[:k-1]
 		} else {
-			h.jobs = append(h.jobs, job{})
+			h.jobs = append(h.jobs, simulatedJob{})
 		}
-		e := admission.Event{Kind: admission.Arrived, Invocation: i, OperationIndex: op, Tenant: int32(h.chance.Intn(len(h.config.TenantRates)+1)) - 1,
-			Caller: int64(h.chance.Intn(40)), Original: admission.NoOriginal, Retry: h.odds(4), HasReadKey: h.odds(2), Write: h.odds(3),
-			Age: h.drawn(0, 8), QueuedKB: 4 + 30*h.chance.Float64()}
-		if !h.odds(3) {
-			e.ExpectedWork = h.drawn(10, 150)
+		e := admission.Event{Kind: admission.Arrived, Invocation: i, OperationIndex: op, Tenant: int32(h.random.Intn(len(h.config.TenantRates)+1)) - 1,
+			Caller: int64(h.random.Intn(40)), Original: admission.NoOriginal, Retry: h.oneIn(4), HasReadKey: h.oneIn(2), Write: h.oneIn(3),
+			Age: h.randomDuration(0, 8), QueuedKB: 4 + 30*h.random.Float64()}
+		if !h.oneIn(3) {
+			e.ExpectedWork = h.randomDuration(10, 150)
 		}
-		if h.odds(4) {
-			e.Deadline = h.now + h.drawn(80, 2_500)
+		if h.oneIn(4) {
+			e.Deadline = h.now + h.randomDuration(80, 2_500)
 		}
-		if h.odds(50) {
-			e.Deadline, e.Age = h.now+h.drawn(1, 30), h.drawn(200, 1_000)
+		if h.oneIn(50) {
+			e.Deadline, e.Age = h.now+h.randomDuration(1, 30), h.randomDuration(200, 1_000)
 		}
-		j := job{phase: waits, op: op, of: -1}
+		j := simulatedJob{phase: phaseWaiting, operationIndex: op, original: -1}
 		if h.config.Operations[op].CallsDependency {
-			j.calls = h.chance.Intn(3)
+			j.remainingCalls = h.random.Intn(3)
 		}
-		if h.odds(15) {
+		if h.oneIn(15) {
 			e.Original = admission.OriginalEnded
-			if of := int32(h.chance.Intn(len(h.jobs))); of != i && h.jobs[of].phase != unused && h.jobs[of].phase != repeats && !h.jobs[of].answered {
+			if of := int32(h.random.Intn(len(h.jobs))); of != i && h.jobs[of].phase != phaseUnused && h.jobs[of].phase != phaseJoined && !h.jobs[of].answered {
 				e.Original = of
 			}
-			j.of = e.Original
+			j.original = e.Original
 		}
 		h.jobs[i] = j
-		h.tell(e)
+		h.enqueue(e)
 	}
 }
 
-// command tells of callers that leave and of what the node's surroundings set.
-func (h *host) command(drain bool) {
+// addExternalEvents tells of callers that leave and of what the node's surroundings set.
+func (h *simulatedHost) addExternalEvents(drain bool) {
 	for k := range h.jobs {
-		if j := &h.jobs[k]; j.phase != unused && !j.answered && h.odds(900) {
-			h.tell(admission.Event{Kind: admission.CallerDisconnected, Invocation: int32(k)})
-			h.over(j)
+		if j := &h.jobs[k]; j.phase != phaseUnused && !j.answered && h.oneIn(900) {
+			h.enqueue(admission.Event{Kind: admission.CallerDisconnected, Invocation: int32(k)})
+			h.answer(j)
 		}
 	}
-	if len(h.free) > 0 && h.odds(40) { // too late to matter
-		kind := []admission.EventKind{admission.RunEnded, admission.CallerDisconnected, admission.CallEnded, admission.CallRequested}[h.chance.Intn(4)]
-		i := h.free[h.chance.Intn(len(h.free))]
+	if len(h.freeIndices) > 0 && h.oneIn(40) { // too late to matter
+		kind := []admission.EventKind{admission.RunEnded, admission.CallerDisconnected, admission.CallEnded, admission.CallRequested}[h.random.Intn(4)]
+		i := h.freeIndices[h.random.Intn(len(h.freeIndices))]
 		taken := false
 		for _, e := range h.events {
 			taken = taken || e.Kind == admission.Arrived && e.Invocation == i
 		}
 		if !taken {
-			h.tell(admission.Event{Kind: kind, Invocation: i})
+			h.enqueue(admission.Event{Kind: kind, Invocation: i})
 		}
 	}
-	if h.odds(350) {
-		h.slow = []float64{1, 1, 2, 4}[h.chance.Intn(4)]
+	if h.oneIn(350) {
+		h.slowdown = []float64{1, 1, 2, 4}[h.random.Intn(4)]
 	}
-	if h.odds(120) {
+	if h.oneIn(120) {
 		var services []admission.Service
-		if h.odds(2) {
-			for range 1 + h.chance.Intn(len(h.present)) {
+		if h.oneIn(2) {
+			for range 1 + h.random.Intn(len(h.presentOperations)) {
 				services = append(services, []admission.Service{{}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed},
-					{Form: admission.Shed, WorkShare: 0.4, WeightShare: 0.6}}[h.chance.Intn(4)])
+					{Form: admission.Shed, WorkShare: 0.4, WeightShare: 0.6}}[h.random.Intn(4)])
 			}
 		}
-		h.tell(admission.Event{Kind: admission.DegradationLevelSet, Services: services, UseSpareCapacity: h.odds(2)})
+		h.enqueue(admission.Event{Kind: admission.DegradationLevelSet, Services: services, UseSpareCapacity: h.oneIn(2)})
 	}
-	if h.odds(200) {
+	if h.oneIn(200) {
 		e := admission.Event{Kind: admission.CallLimitSet, CallLimit: math.MaxInt, MaxCallTime: math.MaxInt64 / 4}
-		if h.odds(2) {
-			e.CallLimit, e.MaxCallTime = h.chance.Intn(6), h.drawn(50, 400)
+		if h.oneIn(2) {
+			e.CallLimit, e.MaxCallTime = h.random.Intn(6), h.randomDuration(50, 400)
 		}
-		h.tell(e)
+		h.enqueue(e)
 	}
-	if h.odds(150) {
-		h.amend()
+	if h.oneIn(150) {
+		h.reconfigureOperation()
 	}
-	if drain && (h.killAt == 0 || h.odds(100)) {
-		h.killAt = h.now + h.drawn(500, 9_000)
-		h.tell(admission.Event{Kind: admission.DrainRequested, KillAt: h.killAt})
+	if drain && (h.killAt == 0 || h.oneIn(100)) {
+		h.killAt = h.now + h.randomDuration(500, 9_000)
+		h.enqueue(admission.Event{Kind: admission.DrainRequested, KillAt: h.killAt})
 	}
 }
 
-// amend gives an operation other terms, takes one away that nothing refers to, or brings one.
-func (h *host) amend() {
-	op := int32(h.chance.Intn(len(h.present)))
+// reconfigureOperation gives an operation other terms, takes one away that nothing refers to, or brings one.
+func (h *simulatedHost) reconfigureOperation() {
+	op := int32(h.random.Intn(len(h.presentOperations)))
 	terms := h.config.Operations[op]
-	terms.LatencyObjective += h.drawn(0, 100)
-	terms.PriorityWeight *= 0.5 + h.chance.Float64()
+	terms.LatencyObjective += h.randomDuration(0, 100)
+	terms.PriorityWeight *= 0.5 + h.random.Float64()
 	terms.Removed = false
 	e := admission.Event{Kind: admission.OperationConfigured, OperationIndex: op, Operation: &terms}
-	if h.odds(3) {
+	if h.oneIn(3) {
 		e.Services = []admission.Service{{Form: admission.Reduced, WorkShare: 0.6, WeightShare: 0.9}}
 	}
 	left := 0
-	for _, is := range h.present {
+	for _, is := range h.presentOperations {
 		if is {
 			left++
 		}
 	}
-	if h.present[op] && left > 1 && h.odds(2) {
+	if h.presentOperations[op] && left > 1 && h.oneIn(2) {
 		for k := range h.jobs {
-			if h.jobs[k].phase != unused && h.jobs[k].op == op {
+			if h.jobs[k].phase != phaseUnused && h.jobs[k].operationIndex == op {
 				return
 			}
 		}
 		e.Operation, e.Services = nil, nil
 	}
-	h.present[op] = e.Operation != nil
-	h.tell(e)
+	h.presentOperations[op] = e.Operation != nil
+	h.enqueue(e)
 }
 
-// over is the end of an invocation for its caller; what is at a call ends soon after, without it.
-func (h *host) over(j *job) {
+// answer is the end of an invocation for its caller; what is at a call ends soon after, without it.
+func (h *simulatedHost) answer(j *simulatedJob) {
 	j.answered = true
-	if j.phase == stands || j.phase == calls {
-		j.ends = h.now + h.drawn(1, 30)
+	if j.phase == phaseAwaitingCall || j.phase == phaseCalling {
+		j.endsAt = h.now + h.randomDuration(1, 30)
 	}
 }
 
-// carry does what the module says.
-func (h *host) carry(a *admission.Action) {
+// perform does what the module says.
+func (h *simulatedHost) perform(a *admission.Action) {
 	switch a.Kind {
 	case admission.SetTimer:
-		h.timer = a.At
+		h.timerAt = a.At
 		return
 	case admission.Run, admission.SkipCall:
 		j := &h.jobs[a.Invocation]
 		if a.Kind == admission.SkipCall {
-			j.calls--
+			j.remainingCalls--
 		}
-		h.run(j)
+		h.startRun(j)
 	case admission.StartCall:
 		j := &h.jobs[a.Invocation]
-		j.phase, j.ends = calls, min(a.At, h.now+int64(h.slow*float64(h.drawn(2, 150))))
+		j.phase, j.endsAt = phaseCalling, min(a.At, h.now+int64(h.slowdown*float64(h.randomDuration(2, 150))))
 	case admission.Stop:
-		if j := &h.jobs[a.Invocation]; !h.odds(6) { // else it had no effect
-			j.halted, j.ends = true, h.now+h.drawn(0, 10)
+		if j := &h.jobs[a.Invocation]; !h.oneIn(6) { // else it had no effect
+			j.stopping, j.endsAt = true, h.now+h.randomDuration(0, 10)
 		}
 	case admission.JoinOriginal:
 		j := &h.jobs[a.Invocation]
-		j.phase, j.ends = repeats, math.MaxInt64
-		if j.of < 0 || h.jobs[j.of].phase == unused {
-			j.ends = h.now + h.drawn(0, 20)
+		j.phase, j.endsAt = phaseJoined, math.MaxInt64
+		if j.original < 0 || h.jobs[j.original].phase == phaseUnused {
+			j.endsAt = h.now + h.randomDuration(0, 20)
 		}
 	case admission.Reject, admission.Fail:
-		h.over(&h.jobs[a.Invocation])
+		h.answer(&h.jobs[a.Invocation])
 	case admission.Release:
-		h.jobs[a.Invocation] = job{}
-		h.free = append(h.free, a.Invocation)
+		h.jobs[a.Invocation] = simulatedJob{}
+		h.freeIndices = append(h.freeIndices, a.Invocation)
 		for k := range h.jobs {
-			if j := &h.jobs[k]; j.phase == repeats && j.of == a.Invocation { // it was never run to its end
-				j.of, j.ends = -1, h.now+h.drawn(0, 20)
+			if j := &h.jobs[k]; j.phase == phaseJoined && j.original == a.Invocation { // it was never run to its end
+				j.original, j.endsAt = -1, h.now+h.randomDuration(0, 20)
 			}
 		}
 	}
 }
 
-// sound is a warm node of four cores with operations of each effect, changed as a run of the table needs it.
-func sound(change ...func(*admission.Config)) *admission.Config {
+// warmConfig is a warm node of four cores with operations of each effect, changed as a run of the table needs it.
+func warmConfig(change ...func(*admission.Config)) *admission.Config {
 	config := &admission.Config{
 		Operations: []admission.Operation{
 			{LatencyObjective: 400 * millisecond, ObjectivePerWork: 1, ClientTimeout: 1_200 * millisecond, PriorityWeight: 1, LateWeightShare: 0.2, CallsDependency: true},
@@ -474,9 +474,9 @@
 		n.StopSupport, n.WeightScalesWithWork, n.Backpressure = admission.StopDiscardsProgress, true, admission.BackpressureWeight
 	}, "7867c251472a8c26a9584c91f2a0628142180fadd830b4c82c970d1e59ca30a1"},
 	{"no halting", 4, 0.8, 3_000, func(n *admission.Config) { n.StopSupport, n.RetriesMarked = admission.StopUnsupported, true }, "92e3a5a6e64952018c2208ac983398fbf674453496d9ba2248ee49c16993c9ec"},
-	{"fresh", 5, 0.8, 3_000, func(n *admission.Config) { n.ColdStart, n.ProcessStart = true, firstMoment-1_000*millisecond }, "b10245f9ddbbd1331d765d038f892b33289b92142347e48dea7fe8831012acaf"},
+	{"fresh", 5, 0.8, 3_000, func(n *admission.Config) { n.ColdStart, n.ProcessStart = true, hostStart-1_000*millisecond }, "b10245f9ddbbd1331d765d038f892b33289b92142347e48dea7fe8831012acaf"},
 	{"fresh cores of an old process", 6, 1.5, 3_000, func(n *admission.Config) {
-		n.ColdStart, n.ProcessStart, n.Backpressure, n.CallQuota = true, firstMoment-9_000*millisecond, admission.NoBackpressure, 0.8
+		n.ColdStart, n.ProcessStart, n.Backpressure, n.CallQuota = true, hostStart-9_000*millisecond, admission.NoBackpressure, 0.8
 	}, "d965543722ce5d576bde0a533a3e01c6e0b5fc8480d9ab015757f5f01057908b"},
 	{"little memory", 7, 1.5, 3_000, func(n *admission.Config) {
 		n.MemoryKB, n.RunningMemoryFactor, n.StopSupport = 900, 2, admission.StopUnsupported
@@ -503,13 +503,13 @@
 func TestDigestsOfDecisions(t *testing.T) {
 	for _, run := range digestRuns {
 		t.Run(run.name, func(t *testing.T) {
-			config := sound(run.change)
+			config := warmConfig(run.change)
 			config.Seed = run.seed
-			h := newHost(config, run.seed, run.load)
+			h := newSimulatedHost(config, run.seed, run.load)
 			for k := range run.steps {
 				h.step(k > run.steps*4/5)
 			}
-			assert.Equal(t, run.digest, h.digest.text(), "digest of seed %d over %d steps", run.seed, run.steps)
+			assert.Equal(t, run.digest, h.digest.sum(), "digest of seed %d over %d steps", run.seed, run.steps)
 		})
 	}
 }
@@ -522,16 +522,16 @@
 	}
 	var moments []moment
 	config := func() *admission.Config {
-		return sound(func(n *admission.Config) { n.Cores, n.CallQuota, n.MemoryKB, n.Seed = 32, 40, 200_000, 1 })
+		return warmConfig(func(n *admission.Config) { n.Cores, n.CallQuota, n.MemoryKB, n.Seed = 32, 40, 200_000, 1 })
 	}
-	h := newHost(config(), 1, 4)
+	h := newSimulatedHost(config(), 1, 4)
 	h.record = func(now int64, events []admission.Event) {
 		moments = append(moments, moment{now, append([]admission.Event(nil), events...)})
 	}
 	inFlight := 0
 	for range 2_000 {
 		h.step(false)
-		inFlight += len(h.jobs) - len(h.free)
+		inFlight += len(h.jobs) - len(h.freeIndices)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -539,7 +539,7 @@
 	for k := range b.N {
 		m := &moments[k%len(moments)]
 		if k%len(moments) == 0 {
-			post = admission.NewController(config(), firstMoment)
+			post = admission.NewController(config(), hostStart)
 		}
 		post.Decide(m.now, m.events)
 	}
--- a/internal/admission/levels_test.go
+++ b/internal/admission/levels_test.go
@@ -19,7 +19,7 @@
 	return &Event{Kind: Arrived, OperationIndex: op, Tenant: -1, Original: NoOriginal, QueuedKB: 10}
 }
 
-func TestRefusedOperationIsThrottledAtTheDoorWithATimeToComeBack(t *testing.T) {
+func TestShedOperationIsRejectedOnArrivalWithRetryAfter(t *testing.T) {
 	p := newTestController()
 	applyLevel(p, false, shedService, Service{})
 	addInvocation(p, 1, stateQueued)
@@ -31,7 +31,7 @@
 	assert.Positive(t, p.actions[0].Duration)
 }
 
-func TestChangeOfLevelThrottlesWhatIsHeldAndRefusedButNothingElse(t *testing.T) {
+func TestLevelChangeRejectsQueuedShedInvocationsOnly(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	addInvocation(p, 0, stateRunning)
@@ -42,7 +42,7 @@
 }
 
 // A tokened invocation that has run is never refused because a level came between its tries.
-func TestLevelDoesNotRefuseWhatHasRun(t *testing.T) {
+func TestLevelDoesNotShedWhatHasStarted(t *testing.T) {
 	p := newTestController()
 	applyLevel(p, false, Service{}, shedService)
 	e := arrivalEvent(1)
@@ -54,7 +54,7 @@
 	assert.Len(t, p.actions, 1)
 }
 
-func TestLevelDoesNotRecordWhatItRefuses(t *testing.T) {
+func TestLevelDoesNotRecordKeysOfShedInvocations(t *testing.T) {
 	p := newTestController()
 	applyLevel(p, false, Service{}, shedService)
 	p.handleArrival(arrivalEvent(1))
@@ -62,7 +62,7 @@
 	assert.Empty(t, p.deduplicationExpiries)
 }
 
-func TestReducedFormRunsCheaperAndRanksByItsValue(t *testing.T) {
+func TestReducedFormRunsCheaperAndRanksByItsWeight(t *testing.T) {
 	p := newTestController()
 	whole := p.remainingWork(addInvocation(p, 0, stateQueued))
 	applyLevel(p, false, reducedService, Service{})
@@ -73,7 +73,7 @@
 	assert.Equal(t, Action{Kind: Run, Invocation: 0, Form: Reduced}, p.actions[0])
 }
 
-func TestWhatRunsIsNotReducedMidway(t *testing.T) {
+func TestStartedInvocationIsNotReduced(t *testing.T) {
 	p := newTestController()
 	v := addInvocation(p, 0, statePaused)
 	v.started = true
@@ -84,7 +84,7 @@
 	assert.Equal(t, Complete, p.actions[0].Form)
 }
 
-func TestLevelThatEndsBeforeTheStartLeavesTheWhole(t *testing.T) {
+func TestLevelThatEndsBeforeTheStartLeavesTheCompleteForm(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	applyLevel(p, false, reducedService, Service{})
@@ -95,7 +95,7 @@
 	assert.Equal(t, Complete, p.actions[0].Form)
 }
 
-func TestSpareRoomServesWholeWhatALevelReduces(t *testing.T) {
+func TestSpareCapacityServesReducedOperationsCompletely(t *testing.T) {
 	p := newTestController()
 	addInvocation(p, 0, stateQueued)
 	applyLevel(p, true, reducedService, Service{})
@@ -104,7 +104,7 @@
 	assert.Equal(t, Complete, p.actions[0].Form)
 }
 
-func TestSpareRoomServesLastWhatALevelRefuses(t *testing.T) {
+func TestSpareCapacityServesShedOperationsLast(t *testing.T) {
 	p := newTestController()
 	applyLevel(p, true, Service{Form: Shed, WorkShare: 0.4, WeightShare: 0.7}, Service{})
 	p.handleArrival(arrivalEvent(0))
@@ -118,7 +118,7 @@
 	assert.Equal(t, Reduced, p.actions[len(p.actions)-1].Form, "the form that the level before leaves")
 }
 
-func TestWhatALevelTurnsAwayIsNoSignOfPressure(t *testing.T) {
+func TestShedInvocationsAreNotCountedAsPressure(t *testing.T) {
 	p := newTestController()
 	applyLevel(p, false, shedService, Service{})
 	p.handleArrival(arrivalEvent(0))
@@ -127,7 +127,7 @@
 	assert.Zero(t, m.RejectedShare)
 }
 
-func TestAskedCountsFirstTriesWholeWhateverTheLevel(t *testing.T) {
+func TestDemandCountsFirstAttemptsInFullAtAnyLevel(t *testing.T) {
 	p := newTestController()
 	applyLevel(p, false, shedService, Service{})
 	p.handleArrival(arrivalEvent(0))
@@ -160,6 +160,6 @@
 }
 
 func BenchmarkDecide100(b *testing.B)          { benchmarkDecide(b, 100, false) }
-func BenchmarkDecide100Levelled(b *testing.B)  { benchmarkDecide(b, 100, true) }
+func BenchmarkDecide100Degraded(b *testing.B)  { benchmarkDecide(b, 100, true) }
 func BenchmarkDecide5000(b *testing.B)         { benchmarkDecide(b, 5000, false) }
-func BenchmarkDecide5000Levelled(b *testing.B) { benchmarkDecide(b, 5000, true) }
+func BenchmarkDecide5000Degraded(b *testing.B) { benchmarkDecide(b, 5000, true) }
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -68,7 +68,7 @@
 // The budget of what all share holds for the sum of all nodes, also where all of them are killed and started again within
 // its span: beyond N calls in the mean only 2 times the root of N and 2 are chance. What is restarted is on cores that
 // start with it, or is a process on cores that started some time before it.
-func TestCallsOfAWholeFleetKeepToTheirBudgetThroughRestarts(t *testing.T) {
+func TestFleetCallsStayWithinTheQuotaThroughRestarts(t *testing.T) {
 	for _, nodes := range []int{20, 30, 300} {
 		for _, share := range []float64{0.4, 3} {
 			for _, again := range []struct {
--- a/internal/stats/extremes_test.go
+++ b/internal/stats/extremes_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestExtremesAreThoseOfWhatIsThere(t *testing.T) {
+func TestMinMaxOfPresentNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e MinMax
 		var there []int64
--- a/internal/stats/tally_test.go
+++ b/internal/stats/tally_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRatiosAreHalved(t *testing.T) {
+func TestRatioHistogramDecays(t *testing.T) {
 	r := NewRatioHistogram(28, 2, 8)
 	for range 9 {
 		r.Add(2)
@@ -14,7 +14,7 @@
 	assert.InDelta(t, (1+4.5*2)/5.5, r.Mean(1), 1e-9)
 }
 
-func TestStaysTellWhenMostHaveLeft(t *testing.T) {
+func TestSurvivalCurveFindsWhenMostHaveLeft(t *testing.T) {
 	s := NewSurvivalCurve(20, 100)
 	for i := range 60 {
 		s.Add(0.36, i%2 == 0)
@@ -24,7 +24,7 @@
 	assert.Equal(t, 1.0, s.TimeAtSurvival(0.3))
 }
 
-func TestWindowForgetsWhatIsPast(t *testing.T) {
+func TestSlidingSumDropsOldSlices(t *testing.T) {
 	w := NewSlidingSum(100, 10)
 	w.Add(1_000, 3)
 	w.Add(1_099, 4)
@@ -35,7 +35,7 @@
 	assert.Equal(t, 1.0, w.Sum())
 }
 
-func TestRecentForgetsKeysAsTheyFade(t *testing.T) {
+func TestDecayingCounterDropsKeysBelowTheMinimum(t *testing.T) {
 	var r DecayingCounter
 	assert.Zero(t, r.Count(4))
 	r.Add(4)
