--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -167,7 +167,7 @@
 // NewController makes the decisions' state of a node that has just started, on cores that started at now.
 func NewController(config *Config, now int64) *Controller {
 	cores := float64(config.Cores)
-	p := &Controller{config: config, random: rand.New(rand.NewSource(config.Seed)), startedAt: now, now: now, nextTick: now,
+	c := &Controller{config: config, random: rand.New(rand.NewSource(config.Seed)), startedAt: now, now: now, nextTick: now,
 		serviceTimeRatio: newRatioHistogram(maxServiceTimeRatioSamples), callFailures: newRatioHistogram(maxCallSamples), callDurations: newRatioHistogram(maxCallSamples),
 		waitTimes:     stats.NewSurvivalCurve(waitTimeBins, maxOperationSamples),
 		callQuotaUsed: stats.NewSlidingSum(config.CallQuotaWindow, callQuotaSlices),
@@ -175,178 +175,178 @@
 		callLimit: math.MaxInt, maxCallTime: math.MaxInt64 / 4,
 		callerWaitShare: 1}
 	for i := range config.Operations {
-		if p.operations = append(p.operations, nil); !config.Operations[i].Removed {
-			p.configureOperation(int32(i), &config.Operations[i], nil)
+		if c.operations = append(c.operations, nil); !config.Operations[i].Removed {
+			c.configureOperation(int32(i), &config.Operations[i], nil)
 		}
 	}
-	p.callTimeUnit = p.shortestObjective
+	c.callTimeUnit = c.shortestObjective
 	if config.ColdStart {
-		p.advertisedCapacity = config.ColdSpeedShare
+		c.advertisedCapacity = config.ColdSpeedShare
 		// What a life before this one may have held counts as used: the dependency's mean still holds it.
 		part := usableCallQuotaShare * config.CallQuota * float64(config.CallQuotaWindow) / callQuotaSlices
 		for k, began := int64(callQuotaSlices), max(now, config.ProcessStart); k > 0; k-- {
-			p.callQuotaUsed.Add(began-k*config.CallQuotaWindow/callQuotaSlices, part)
+			c.callQuotaUsed.Add(began-k*config.CallQuotaWindow/callQuotaSlices, part)
 		}
 	}
-	return p
+	return c
 }
 
 // Decide is the one entry point: it takes what happened at a moment and returns what to do.
-func (p *Controller) Decide(now int64, events []Event) []Action {
-	p.actions = p.actions[:0]
-	p.advanceClocks(now)
+func (c *Controller) Decide(now int64, events []Event) []Action {
+	c.actions = c.actions[:0]
+	c.advanceClocks(now)
 	for i := range events {
-		p.apply(&events[i])
-	}
-	p.advanceDrain()
-	p.startCalls()
-	p.orderQueue()
-	p.startRuns()
-	p.enforceMemoryLimit()
-	if now >= p.nextTick {
-		p.nextTick = now + tickInterval
-		p.emit(Action{Kind: SetTimer, At: p.nextTick})
-		p.callerWaitShare = p.waitTimes.TimeAtSurvival(minCallersWaiting)
-		p.enforceDeadlines()
-		p.adjustLimit()
-		p.updateHealth()
-		p.updateBackpressure()
-	}
-	p.live = slices.DeleteFunc(p.live, func(i int32) bool {
-		over := p.invocations[i].state == stateEnded
+		c.apply(&events[i])
+	}
+	c.advanceDrain()
+	c.startCalls()
+	c.orderQueue()
+	c.startRuns()
+	c.enforceMemoryLimit()
+	if now >= c.nextTick {
+		c.nextTick = now + tickInterval
+		c.emit(Action{Kind: SetTimer, At: c.nextTick})
+		c.callerWaitShare = c.waitTimes.TimeAtSurvival(minCallersWaiting)
+		c.enforceDeadlines()
+		c.adjustLimit()
+		c.updateHealth()
+		c.updateBackpressure()
+	}
+	c.live = slices.DeleteFunc(c.live, func(i int32) bool {
+		over := c.invocations[i].state == stateEnded
 		if over {
-			p.emit(Action{Kind: Release, Invocation: i})
+			c.emit(Action{Kind: Release, Invocation: i})
 		}
 		return over
 	})
-	return p.actions
+	return c.actions
 }
 
-func (p *Controller) emit(a Action) { p.actions = append(p.actions, a) }
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
 // advanceClocks moves the clocks: that of the cores, which all runs share, and that of the calls in hand.
-func (p *Controller) advanceClocks(now int64) {
-	dt := float64(now - p.now)
-	p.meanBlocked += (float64(p.callsAwaited+p.callsInFlight) - p.meanBlocked) * min(1, dt/meanBlockedWindow)
-	p.coreClock += dt * min(1, p.cores/max(1, float64(p.runningCount)+p.otherRunnable))
-	p.callQuotaUsed.Add(now, dt*float64(p.callsInFlight))
-	p.now = now
+func (c *Controller) advanceClocks(now int64) {
+	dt := float64(now - c.now)
+	c.meanBlocked += (float64(c.callsAwaited+c.callsInFlight) - c.meanBlocked) * min(1, dt/meanBlockedWindow)
+	c.coreClock += dt * min(1, c.cores/max(1, float64(c.runningCount)+c.otherRunnable))
+	c.callQuotaUsed.Add(now, dt*float64(c.callsInFlight))
+	c.now = now
 }
 
-func (p *Controller) apply(e *Event) {
+func (c *Controller) apply(e *Event) {
 	switch i := e.Invocation; {
 	case e.Kind == Arrived:
-		p.handleArrival(e)
+		c.handleArrival(e)
 	case e.Kind == DrainRequested:
-		p.startDrain(e.KillAt)
+		c.startDrain(e.KillAt)
 	case e.Kind == TimerFired:
-		p.coreIdle = e.BusyShare >= 0 && e.BusyShare < maxIdleBusyShare
+		c.coreIdle = e.BusyShare >= 0 && e.BusyShare < maxIdleBusyShare
 		if e.RunnableThreads >= 0 {
-			p.coreIdle = e.RunnableThreads < p.cores
-			others, part := max(0, e.RunnableThreads-float64(p.runningCount)), float64(p.now-p.gaugedAt)/p.shortestObjective
-			p.otherRunnable, p.gaugedAt = p.otherRunnable+(others-p.otherRunnable)*min(1, part/gaugeWindow), p.now
-			p.meanOtherRunnable += (others - p.meanOtherRunnable) * min(1, part/meanGaugeWindow)
+			c.coreIdle = e.RunnableThreads < c.cores
+			others, part := max(0, e.RunnableThreads-float64(c.runningCount)), float64(c.now-c.gaugedAt)/c.shortestObjective
+			c.otherRunnable, c.gaugedAt = c.otherRunnable+(others-c.otherRunnable)*min(1, part/gaugeWindow), c.now
+			c.meanOtherRunnable += (others - c.meanOtherRunnable) * min(1, part/meanGaugeWindow)
 		}
 	case e.Kind == CallLimitSet:
-		p.callLimit, p.maxCallTime = e.CallLimit, e.MaxCallTime
+		c.callLimit, c.maxCallTime = e.CallLimit, e.MaxCallTime
 	case e.Kind == OperationConfigured:
-		p.configureOperation(e.OperationIndex, e.Operation, e.Services)
+		c.configureOperation(e.OperationIndex, e.Operation, e.Services)
 	case e.Kind == DegradationLevelSet:
-		p.setDegradationLevel(e.Services, e.UseSpareCapacity)
-	case p.invocations[i].state == stateEnded:
+		c.setDegradationLevel(e.Services, e.UseSpareCapacity)
+	case c.invocations[i].state == stateEnded:
 	case e.Kind == CallerDisconnected:
-		p.observeWait(&p.invocations[i], true)
-		p.invocations[i].answered = true
-		p.discard(i)
+		c.observeWait(&c.invocations[i], true)
+		c.invocations[i].answered = true
+		c.discard(i)
 	case e.Kind == CallRequested:
-		p.setState(&p.invocations[i], stateAwaitingCall)
+		c.setState(&c.invocations[i], stateAwaitingCall)
 	case e.Kind == CallEnded:
-		p.callEnded(&p.invocations[i], e.Outcome)
+		c.callEnded(&c.invocations[i], e.Outcome)
 	case e.Kind == RunEnded:
-		p.runEnded(i, e.Outcome)
+		c.runEnded(i, e.Outcome)
 	}
 }
 
 // setState moves an invocation to another state and keeps the counts and its core time true.
-func (p *Controller) setState(v *invocation, to invocationState) {
-	if v.state == stateRunning {
-		v.coreTime += p.coreClock - v.runningSince
+func (c *Controller) setState(inv *invocation, to invocationState) {
+	if inv.state == stateRunning {
+		inv.coreTime += c.coreClock - inv.runningSince
 	}
-	p.account(v, -1)
-	v.state, v.runningSince = to, p.coreClock
-	p.account(v, 1)
+	c.account(inv, -1)
+	inv.state, inv.runningSince = to, c.coreClock
+	c.account(inv, 1)
 }
 
 // account counts an invocation in or out of what its state takes up.
-func (p *Controller) account(v *invocation, by int) {
-	kb := v.queuedKB
-	if v.state >= stateRunning {
-		kb *= p.config.RunningMemoryFactor
+func (c *Controller) account(inv *invocation, by int) {
+	kb := inv.queuedKB
+	if inv.state >= stateRunning {
+		kb *= c.config.RunningMemoryFactor
 	}
-	switch v.state {
+	switch inv.state {
 	case stateEnded:
 		return
 	case stateQueued:
-		p.queuedCount += by
+		c.queuedCount += by
 	case stateRunning:
-		p.runningCount += by
+		c.runningCount += by
 	case stateCalling:
-		p.callsInFlight += by
+		c.callsInFlight += by
 	case stateAwaitingCall:
-		p.callsAwaited += by
+		c.callsAwaited += by
 	}
-	p.invocationsKB += float64(by) * kb
+	c.invocationsKB += float64(by) * kb
 }
 
-func (p *Controller) end(i int32) {
-	p.setState(&p.invocations[i], stateEnded)
-	p.endedCount++
+func (c *Controller) end(i int32) {
+	c.setState(&c.invocations[i], stateEnded)
+	c.endedCount++
 }
 
 // handleArrival takes what was read into the hold, joins it to the invocation it repeats, or turns it away.
-func (p *Controller) handleArrival(e *Event) {
-	p.invocations = append(p.invocations, make([]invocation, max(0, int(e.Invocation)+1-len(p.invocations)))...)
-	v, op, arrived := &p.invocations[e.Invocation], p.operations[e.OperationIndex], p.now-e.Age
-	*v = invocation{operation: op, tenant: e.Tenant, retry: e.Retry, arrivedAt: arrived, queuedKB: e.QueuedKB,
+func (c *Controller) handleArrival(e *Event) {
+	c.invocations = append(c.invocations, make([]invocation, max(0, int(e.Invocation)+1-len(c.invocations)))...)
+	inv, op, arrived := &c.invocations[e.Invocation], c.operations[e.OperationIndex], c.now-e.Age
+	*inv = invocation{operation: op, tenant: e.Tenant, retry: e.Retry, arrivedAt: arrived, queuedKB: e.QueuedKB,
 		deadline: cmp.Or(e.Deadline, arrived+op.ClientTimeout),
 		baseWork: float64(cmp.Or(e.ExpectedWork, op.LatencyObjective/8)), workShare: 1, weightShare: 1}
-	p.live = append(p.live, e.Invocation)
-	p.arrivedCount++
-	p.setState(v, stateQueued)
-	p.queueingDelay += (float64(e.Age) - p.queueingDelay) / queueingDelaySamples
-	p.arrivals++
-	p.callers.Add(e.Caller)
+	c.live = append(c.live, e.Invocation)
+	c.arrivedCount++
+	c.setState(inv, stateQueued)
+	c.queueingDelay += (float64(e.Age) - c.queueingDelay) / queueingDelaySamples
+	c.arrivals++
+	c.callers.Add(e.Caller)
 	if e.Retry {
-		p.retries++
+		c.retries++
 	} else {
-		op.demand.Add(p.now, v.baseWork*op.serviceTimes.Mean(1)*p.slowdown())
+		op.demand.Add(c.now, inv.baseWork*op.serviceTimes.Mean(1)*c.slowdown())
 	}
-	p.tenants.Add(int64(e.Tenant))
-	v.started = e.Original == OriginalEnded || e.Original >= 0 && p.invocations[e.Original].started
+	c.tenants.Add(int64(e.Tenant))
+	inv.started = e.Original == OriginalEnded || e.Original >= 0 && c.invocations[e.Original].started
 	switch {
-	case p.drainRequestedAt != 0 && p.now >= p.intakeEnd:
-		p.drop(e.Invocation, ReasonDraining)
+	case c.drainRequestedAt != 0 && c.now >= c.intakeEnd:
+		c.drop(e.Invocation, ReasonDraining)
 	case e.Original != NoOriginal:
-		p.emit(Action{Kind: JoinOriginal, Invocation: e.Invocation})
-		p.setState(v, stateJoined)
-	case op.service.Form == Shed && !p.useSpareCapacity:
-		p.drop(e.Invocation, ReasonDegraded)
+		c.emit(Action{Kind: JoinOriginal, Invocation: e.Invocation})
+		c.setState(inv, stateJoined)
+	case op.service.Form == Shed && !c.useSpareCapacity:
+		c.drop(e.Invocation, ReasonDegraded)
 	case op.Idempotency == IdempotentWithKey:
-		p.recordKey(e.Invocation, v.arrivedAt+op.DeduplicationWindow)
-	case op.Idempotency == Idempotent && p.config.ReadReuseWindow > 0 && e.HasReadKey && !e.Write:
-		p.recordKey(e.Invocation, v.deadline+p.config.ReadReuseWindow)
+		c.recordKey(e.Invocation, inv.arrivedAt+op.DeduplicationWindow)
+	case op.Idempotency == Idempotent && c.config.ReadReuseWindow > 0 && e.HasReadKey && !e.Write:
+		c.recordKey(e.Invocation, inv.deadline+c.config.ReadReuseWindow)
 	}
 }
 
 // configureOperation gives an index the terms of its operation, other terms, or none. What was measured stays with
 // the index as long as it is an operation's; what was taken keeps the terms that it was taken under.
-func (p *Controller) configureOperation(i int32, terms *Operation, service []Service) {
-	p.operations = append(p.operations, make([]*operation, max(0, int(i)+1-len(p.operations)))...)
-	was := p.operations[i]
+func (c *Controller) configureOperation(i int32, terms *Operation, service []Service) {
+	c.operations = append(c.operations, make([]*operation, max(0, int(i)+1-len(c.operations)))...)
+	was := c.operations[i]
 	if was != nil {
-		p.objectives.Remove(was.LatencyObjective)
+		c.objectives.Remove(was.LatencyObjective)
 	}
-	if p.operations[i] = nil; terms != nil {
+	if c.operations[i] = nil; terms != nil {
 		op := &operation{Operation: *terms}
 		if was != nil {
 			op.measurements = was.measurements
@@ -357,19 +357,19 @@
 		if len(service) > 0 {
 			op.service = service[0]
 		}
-		p.operations[i] = op
-		p.objectives.Add(op.LatencyObjective)
+		c.operations[i] = op
+		c.objectives.Add(op.LatencyObjective)
 	}
-	if p.objectives.Len() > 0 {
-		p.shortestObjective, p.longestObjective = float64(p.objectives.Min()), p.objectives.Max()
+	if c.objectives.Len() > 0 {
+		c.shortestObjective, c.longestObjective = float64(c.objectives.Min()), c.objectives.Max()
 	}
 }
 
 // setDegradationLevel applies a level of reduced service: what waits unrun and is refused now goes at once,
 // unless the plan leaves it the spare room.
-func (p *Controller) setDegradationLevel(services []Service, spare bool) {
-	p.useSpareCapacity = spare
-	for k, op := range p.operations {
+func (c *Controller) setDegradationLevel(services []Service, spare bool) {
+	c.useSpareCapacity = spare
+	for k, op := range c.operations {
 		if op == nil {
 			continue
 		}
@@ -377,343 +377,343 @@
 			op.service = services[k]
 		}
 	}
-	for _, i := range p.live {
-		v := &p.invocations[i]
-		if v.state == stateQueued && !v.started {
-			if v.workShare, v.weightShare = 1, 1; v.operation.service.Form == Shed && !p.useSpareCapacity {
-				p.drop(i, ReasonDegraded)
+	for _, i := range c.live {
+		inv := &c.invocations[i]
+		if inv.state == stateQueued && !inv.started {
+			if inv.workShare, inv.weightShare = 1, 1; inv.operation.service.Form == Shed && !c.useSpareCapacity {
+				c.drop(i, ReasonDegraded)
 			}
 		}
 	}
 }
 
 // hasSpareCapacity says whether a level need not reduce: the plan allows that, and what is held is gone within a moment.
-func (p *Controller) hasSpareCapacity() bool {
-	return p.useSpareCapacity && p.pendingWork(stateQueued) < maxSpareQueueWait*p.shortestObjective*p.availableCores()
+func (c *Controller) hasSpareCapacity() bool {
+	return c.useSpareCapacity && c.pendingWork(stateQueued) < maxSpareQueueWait*c.shortestObjective*c.availableCores()
 }
 
 // recordKey guards against a second effect; a tokened invocation that finds no room is turned away unrun.
-func (p *Controller) recordKey(i int32, until int64) {
-	room := p.config.MaxDeduplicationEntries == 0 || len(p.deduplicationExpiries) < p.config.MaxDeduplicationEntries
-	if room && p.deduplicationKB()+p.config.DeduplicationEntryKB <= maxDeduplicationMemoryShare*p.config.MemoryKB && until > p.now {
-		p.emit(Action{Kind: RecordKey, Invocation: i, Duration: until - p.now})
-		p.deduplicationExpiries = append(p.deduplicationExpiries, until)
-	} else if p.invocations[i].operation.Idempotency == IdempotentWithKey {
-		p.drop(i, ReasonMemory)
+func (c *Controller) recordKey(i int32, until int64) {
+	room := c.config.MaxDeduplicationEntries == 0 || len(c.deduplicationExpiries) < c.config.MaxDeduplicationEntries
+	if room && c.deduplicationKB()+c.config.DeduplicationEntryKB <= maxDeduplicationMemoryShare*c.config.MemoryKB && until > c.now {
+		c.emit(Action{Kind: RecordKey, Invocation: i, Duration: until - c.now})
+		c.deduplicationExpiries = append(c.deduplicationExpiries, until)
+	} else if c.invocations[i].operation.Idempotency == IdempotentWithKey {
+		c.drop(i, ReasonMemory)
 	}
 }
 
-func (p *Controller) deduplicationKB() float64 {
-	return float64(len(p.deduplicationExpiries)) * p.config.DeduplicationEntryKB
+func (c *Controller) deduplicationKB() float64 {
+	return float64(len(c.deduplicationExpiries)) * c.config.DeduplicationEntryKB
 }
 
 // drop gives the final answer to what will not be served, at once.
-func (p *Controller) drop(i int32, why Reason) {
-	v := &p.invocations[i]
-	if v.answered {
+func (c *Controller) drop(i int32, why Reason) {
+	inv := &c.invocations[i]
+	if inv.answered {
 		return
 	}
-	p.observeWait(v, false)
-	if v.answered = true; v.state == stateQueued && !v.started {
+	c.observeWait(inv, false)
+	if inv.answered = true; inv.state == stateQueued && !inv.started {
 		if why == ReasonDegraded {
-			p.degraded++
+			c.degraded++
 		}
-		if p.rejected++; !p.config.RetriesMarked {
-			p.retries++ // where they bear no mark, what is turned away here tells of those to come
+		if c.rejected++; !c.config.RetriesMarked {
+			c.retries++ // where they bear no mark, what is turned away here tells of those to come
 		}
-		p.emit(Action{Kind: Reject, Invocation: i, Duration: p.retryAfter(), NoRetry: v.retry || p.fleetOverloaded,
+		c.emit(Action{Kind: Reject, Invocation: i, Duration: c.retryAfter(), NoRetry: inv.retry || c.fleetOverloaded,
 			Reason: why})
 	} else {
-		p.emit(Action{Kind: Fail, Invocation: i, Reason: why})
+		c.emit(Action{Kind: Fail, Invocation: i, Reason: why})
 	}
-	p.discard(i)
+	c.discard(i)
 }
 
 // observeWait learns, by part of the client timeout, how long callers wait: most leave well before it.
-func (p *Controller) observeWait(v *invocation, left bool) {
-	if !v.answered {
-		p.waitTimes.Add(float64(p.now-v.arrivedAt)/float64(v.operation.ClientTimeout), left)
+func (c *Controller) observeWait(inv *invocation, left bool) {
+	if !inv.answered {
+		c.waitTimes.Add(float64(c.now-inv.arrivedAt)/float64(inv.operation.ClientTimeout), left)
 	}
 }
 
 // discard drops what needs no answer more; a run is stopped if that is allowed, one at a call ends by itself.
-func (p *Controller) discard(i int32) {
-	switch p.invocations[i].state {
+func (c *Controller) discard(i int32) {
+	switch c.invocations[i].state {
 	case stateQueued, stateJoined, statePaused:
-		p.end(i)
+		c.end(i)
 	case stateRunning:
-		if p.config.StopSupport != StopUnsupported {
-			p.emit(Action{Kind: Stop, Invocation: i})
+		if c.config.StopSupport != StopUnsupported {
+			c.emit(Action{Kind: Stop, Invocation: i})
 		}
 	}
 }
 
 // retryAfter names the time after which the node can take more: the end of its life, or of its backlog.
-func (p *Controller) retryAfter() int64 {
-	if p.drainRequestedAt != 0 {
-		return p.config.MaxRetryAfter
+func (c *Controller) retryAfter() int64 {
+	if c.drainRequestedAt != 0 {
+		return c.config.MaxRetryAfter
 	}
-	return min(p.config.MaxRetryAfter, int64((0.5+p.random.Float64())*p.queueWait())) // spread, not all at once
+	return min(c.config.MaxRetryAfter, int64((0.5+c.random.Float64())*c.queueWait())) // spread, not all at once
 }
 
 // Order of the hold.
 
 // remainingWork is the core time that an invocation is still to take.
-func (p *Controller) remainingWork(v *invocation) float64 {
-	cost, spent := v.baseWork*v.workShare*v.operation.serviceTimes.Mean(1)*p.slowdown(), v.coreTime
-	if v.state == stateRunning {
-		spent += p.coreClock - v.runningSince
+func (c *Controller) remainingWork(inv *invocation) float64 {
+	cost, spent := inv.baseWork*inv.workShare*inv.operation.serviceTimes.Mean(1)*c.slowdown(), inv.coreTime
+	if inv.state == stateRunning {
+		spent += c.coreClock - inv.runningSince
 	}
 	return max(cost-spent, minRemainingShare*cost)
 }
 
-func (p *Controller) slowdown() float64 { return max(p.serviceTimeRatio.Mean(1), p.stallRatio) }
+func (c *Controller) slowdown() float64 { return max(c.serviceTimeRatio.Mean(1), c.stallRatio) }
 
 // pendingWork is the core time that those in a state still need.
-func (p *Controller) pendingWork(of invocationState) (sum float64) {
-	for _, i := range p.live {
-		if v := &p.invocations[i]; v.state == of {
-			sum += p.remainingWork(v)
+func (c *Controller) pendingWork(of invocationState) (sum float64) {
+	for _, i := range c.live {
+		if inv := &c.invocations[i]; inv.state == of {
+			sum += c.remainingWork(inv)
 		}
 	}
 	return sum
 }
 
 // availableCores is what reading and checks leave to runs while the hold clears.
-func (p *Controller) availableCores() float64 { return max(p.cores/2, p.cores-p.meanOtherRunnable) }
+func (c *Controller) availableCores() float64 { return max(c.cores/2, c.cores-c.meanOtherRunnable) }
 
 // queueWait is how long the hold would take to clear, with the time that arrivals lay unread while any do.
-func (p *Controller) queueWait() float64 {
-	return p.pendingWork(stateQueued)/p.availableCores() + p.queueingDelay*min(1, p.otherRunnable) + p.callWait()
+func (c *Controller) queueWait() float64 {
+	return c.pendingWork(stateQueued)/c.availableCores() + c.queueingDelay*min(1, c.otherRunnable) + c.callWait()
 }
 
 // callWait is how long one that comes to a call now would stand there until it is made.
-func (p *Controller) callWait() float64 {
-	return float64(p.callsAwaited) / float64(max(1, p.callsInFlight)) * p.callDurations.Mean(0) * p.callTimeUnit
+func (c *Controller) callWait() float64 {
+	return float64(c.callsAwaited) / float64(max(1, c.callsInFlight)) * c.callDurations.Mean(0) * c.callTimeUnit
 }
 
-func (p *Controller) objectiveEnd(v *invocation) float64 {
-	return min(float64(v.arrivedAt+v.operation.LatencyObjective)+v.operation.ObjectivePerWork*v.baseWork, p.abandonmentTime(v))
+func (c *Controller) objectiveEnd(inv *invocation) float64 {
+	return min(float64(inv.arrivedAt+inv.operation.LatencyObjective)+inv.operation.ObjectivePerWork*inv.baseWork, c.abandonmentTime(inv))
 }
 
 // abandonmentTime is when most callers have abandonmentTime an invocation, or its due time.
-func (p *Controller) abandonmentTime(v *invocation) float64 {
-	return min(float64(v.deadline-answerMargin), float64(v.arrivedAt)+p.callerWaitShare*float64(v.operation.ClientTimeout))
+func (c *Controller) abandonmentTime(inv *invocation) float64 {
+	return min(float64(inv.deadline-answerMargin), float64(inv.arrivedAt)+c.callerWaitShare*float64(inv.operation.ClientTimeout))
 }
 
 // orderQueue ranks the hold and gives up at once on what is unlikely to end in time to earn anything. Guards
 // against work wasted on late answers, whatever made them late; does harm while large ones inflate the costs.
-func (p *Controller) orderQueue() {
-	p.queueOrder = p.queueOrder[:0]
-	for _, i := range p.live {
-		if v := &p.invocations[i]; v.state == stateQueued || v.state == statePaused {
-			if !v.started && v.operation.service.WorkShare > 0 {
-				v.workShare, v.weightShare = v.operation.service.WorkShare, v.operation.service.WeightShare
+func (c *Controller) orderQueue() {
+	c.queueOrder = c.queueOrder[:0]
+	for _, i := range c.live {
+		if inv := &c.invocations[i]; inv.state == stateQueued || inv.state == statePaused {
+			if !inv.started && inv.operation.service.WorkShare > 0 {
+				inv.workShare, inv.weightShare = inv.operation.service.WorkShare, inv.operation.service.WeightShare
 			}
-			p.updateRank(v)
-			p.queueOrder = append(p.queueOrder, i)
+			c.updateRank(inv)
+			c.queueOrder = append(c.queueOrder, i)
 		}
 	}
-	slices.SortStableFunc(p.queueOrder, p.byRank)
-	ahead := p.pendingWork(stateRunning)
-	p.queueOrder = slices.DeleteFunc(p.queueOrder, func(i int32) bool {
-		v := &p.invocations[i]
-		end := p.expectedEnd(v)
-		if float64(p.runningCount) >= p.cores || i != p.queueOrder[0] {
-			end += ahead / p.availableCores()
+	slices.SortStableFunc(c.queueOrder, c.byRank)
+	ahead := c.pendingWork(stateRunning)
+	c.queueOrder = slices.DeleteFunc(c.queueOrder, func(i int32) bool {
+		inv := &c.invocations[i]
+		end := c.expectedEnd(inv)
+		if float64(c.runningCount) >= c.cores || i != c.queueOrder[0] {
+			end += ahead / c.availableCores()
 		}
-		if end-minRemainingShare*p.remainingWork(v) > p.objectiveEnd(v) && (v.operation.LateWeightShare == 0 || end > p.abandonmentTime(v)) {
-			levelled := v.operation.service.Form == Shed
-			p.drop(i, map[bool]Reason{false: ReasonUnlikelyInTime, true: ReasonDegraded}[levelled])
+		if end-minRemainingShare*c.remainingWork(inv) > c.objectiveEnd(inv) && (inv.operation.LateWeightShare == 0 || end > c.abandonmentTime(inv)) {
+			levelled := inv.operation.service.Form == Shed
+			c.drop(i, map[bool]Reason{false: ReasonUnlikelyInTime, true: ReasonDegraded}[levelled])
 			return true
 		}
-		ahead += p.remainingWork(v)
+		ahead += c.remainingWork(inv)
 		return false
 	})
 }
 
 // updateRank sets the place in the order: billed value for each unit of core time, by the chance to end in time.
-func (p *Controller) updateRank(v *invocation) {
-	v.rank = v.operation.PriorityWeight * v.weightShare * p.tenantWeightShare(v.tenant)
-	if !p.config.WeightScalesWithWork {
-		v.rank /= p.remainingWork(v)
+func (c *Controller) updateRank(inv *invocation) {
+	inv.rank = inv.operation.PriorityWeight * inv.weightShare * c.tenantWeightShare(inv.tenant)
+	if !c.config.WeightScalesWithWork {
+		inv.rank /= c.remainingWork(inv)
 	}
-	if v.operation.service.Form == Shed && !v.started {
-		v.rank *= spareCapacityRankFactor
+	if inv.operation.service.Form == Shed && !inv.started {
+		inv.rank *= spareCapacityRankFactor
 	}
-	if need, slack := p.expectedEnd(v)-float64(p.now), p.objectiveEnd(v)-float64(p.now); need > slack {
-		v.rank *= v.operation.LateWeightShare
+	if need, slack := c.expectedEnd(inv)-float64(c.now), c.objectiveEnd(inv)-float64(c.now); need > slack {
+		inv.rank *= inv.operation.LateWeightShare
 	} else {
-		v.rank *= 1 - math.Exp(-slack/need)
+		inv.rank *= 1 - math.Exp(-slack/need)
 	}
 }
 
 // expectedEnd is when an invocation would end if it ran from now on.
-func (p *Controller) expectedEnd(v *invocation) float64 {
-	end := float64(p.now) + p.remainingWork(v)
-	if v.operation.CallsDependency {
-		end += v.operation.blockedTimes.Mean(0)*float64(v.operation.LatencyObjective) + p.callWait()
+func (c *Controller) expectedEnd(inv *invocation) float64 {
+	end := float64(c.now) + c.remainingWork(inv)
+	if inv.operation.CallsDependency {
+		end += inv.operation.blockedTimes.Mean(0)*float64(inv.operation.LatencyObjective) + c.callWait()
 	}
 	return end
 }
 
 // tenantWeightShare is the expected part of full value for a tenant that may be over its share of the fleet.
-func (p *Controller) tenantWeightShare(tenant int32) float64 {
-	if tenant < 0 || p.config.TenantRates[tenant] <= 0 {
+func (c *Controller) tenantWeightShare(tenant int32) float64 {
+	if tenant < 0 || c.config.TenantRates[tenant] <= 0 {
 		return 1
 	}
-	share := p.config.TenantRates[tenant] / float64(max(1, p.config.Peers)) * float64(tickInterval) / 1e9 / (1 - counterDecay)
-	inside := share / max(share, p.tenants.Count(int64(tenant)))
-	return inside + (1-inside)*p.config.OverQuotaWeightShare
+	share := c.config.TenantRates[tenant] / float64(max(1, c.config.Peers)) * float64(tickInterval) / 1e9 / (1 - counterDecay)
+	inside := share / max(share, c.tenants.Count(int64(tenant)))
+	return inside + (1-inside)*c.config.OverQuotaWeightShare
 }
 
 // maxSafeConcurrency is the crowd on the cores that is safe now, at the slowest warm-up that is guaranteed.
-func (p *Controller) maxSafeConcurrency() float64 {
+func (c *Controller) maxSafeConcurrency() float64 {
 	warm := 1.0
-	if p.config.ColdStart {
-		age := float64(p.now-p.startedAt) / float64(max(1, p.config.WarmUpTime))
-		warm = min(1, p.config.ColdSpeedShare+(1-p.config.ColdSpeedShare)*age)
+	if c.config.ColdStart {
+		age := float64(c.now-c.startedAt) / float64(max(1, c.config.WarmUpTime))
+		warm = min(1, c.config.ColdSpeedShare+(1-c.config.ColdSpeedShare)*age)
 	}
-	return safeOverloadShare * p.cores * (1 + (p.config.OverloadMultiple-1)*warm)
+	return safeOverloadShare * c.cores * (1 + (c.config.OverloadMultiple-1)*warm)
 }
 
 // startRuns starts the hold in order. Reading counts towards the limit, but one run always goes on. What left
 // the cores returns unasked, so it has a bound with runs: the crowd or, with no core free, twice its usual.
-func (p *Controller) startRuns() {
-	room, all := max(1, p.runLimit-p.otherRunnable), p.maxSafeConcurrency()
-	if !p.coreIdle {
-		all = min(all, room+maxBlockedOverMean*p.meanBlocked)
-	}
-	for _, i := range p.queueOrder {
-		v := &p.invocations[i]
-		if float64(p.runningCount) >= room || float64(p.runningCount+p.callsAwaited+p.callsInFlight) >= all {
-			p.preemptFor(v)
+func (c *Controller) startRuns() {
+	room, all := max(1, c.runLimit-c.otherRunnable), c.maxSafeConcurrency()
+	if !c.coreIdle {
+		all = min(all, room+maxBlockedOverMean*c.meanBlocked)
+	}
+	for _, i := range c.queueOrder {
+		inv := &c.invocations[i]
+		if float64(c.runningCount) >= room || float64(c.runningCount+c.callsAwaited+c.callsInFlight) >= all {
+			c.preemptFor(inv)
 			return
 		}
-		if v.state == stateQueued && p.invocationsKB+p.deduplicationKB()+v.queuedKB*(p.config.RunningMemoryFactor-1) > maxRunMemoryShare*p.config.MemoryKB {
+		if inv.state == stateQueued && c.invocationsKB+c.deduplicationKB()+inv.queuedKB*(c.config.RunningMemoryFactor-1) > maxRunMemoryShare*c.config.MemoryKB {
 			continue
 		}
 		form := Complete
-		if v.operation.service.Form == Reduced && !v.started && p.hasSpareCapacity() {
-			v.workShare, v.weightShare = 1, 1
-		} else if v.workShare < 1 {
+		if inv.operation.service.Form == Reduced && !inv.started && c.hasSpareCapacity() {
+			inv.workShare, inv.weightShare = 1, 1
+		} else if inv.workShare < 1 {
 			form = Reduced
 		}
-		v.started = true
-		p.emit(Action{Kind: Run, Invocation: i, Form: form})
-		p.setState(v, stateRunning)
+		inv.started = true
+		c.emit(Action{Kind: Run, Invocation: i, Form: form})
+		c.setState(inv, stateRunning)
 	}
 }
 
 // preemptFor pauses the run of the lowest rank where one that waits ranks far above it and it still ends in time
 // after that. Guards against short objectives missed behind long runs; does harm where expectations fail.
-func (p *Controller) preemptFor(first *invocation) {
-	least, key, takes := int32(-1), first.rank, p.remainingWork(first)
-	for _, i := range p.live {
-		if v := &p.invocations[i]; v.state == stateRunning && !v.answered && p.expectedEnd(v)+takes < p.objectiveEnd(v) {
-			if p.updateRank(v); v.rank*preemptionRatio < key {
-				least, key = i, v.rank*preemptionRatio
+func (c *Controller) preemptFor(first *invocation) {
+	least, key, takes := int32(-1), first.rank, c.remainingWork(first)
+	for _, i := range c.live {
+		if inv := &c.invocations[i]; inv.state == stateRunning && !inv.answered && c.expectedEnd(inv)+takes < c.objectiveEnd(inv) {
+			if c.updateRank(inv); inv.rank*preemptionRatio < key {
+				least, key = i, inv.rank*preemptionRatio
 			}
 		}
 	}
-	if least >= 0 && p.config.StopSupport == StopKeepsProgress {
-		p.emit(Action{Kind: Stop, Invocation: least})
+	if least >= 0 && c.config.StopSupport == StopKeepsProgress {
+		c.emit(Action{Kind: Stop, Invocation: least})
 	}
 }
 
 // adjustLimit grows the limit while cores are free and work waits, and backs off when throughput drops.
-func (p *Controller) adjustLimit() {
-	waiting := len(p.queueOrder) > 0 && float64(p.runningCount) >= p.runLimit-1
-	if !p.coreIdle {
-		p.runLimit -= limitGrowth
+func (c *Controller) adjustLimit() {
+	waiting := len(c.queueOrder) > 0 && float64(c.runningCount) >= c.runLimit-1
+	if !c.coreIdle {
+		c.runLimit -= limitGrowth
 	} else if waiting {
-		p.runLimit += max(1, limitGrowth*p.runLimit)
-	}
-	if p.now-p.windowStart >= 20*tickInterval {
-		rate := p.completedWork / float64(p.now-p.windowStart)
-		if p.runLimit > p.cores && waiting && rate < limitBackoff*p.bestThroughput {
-			p.runLimit *= limitBackoff
-		} else if p.runLimit <= p.cores || rate > p.bestThroughput {
-			p.bestThroughput = rate
+		c.runLimit += max(1, limitGrowth*c.runLimit)
+	}
+	if c.now-c.windowStart >= 20*tickInterval {
+		rate := c.completedWork / float64(c.now-c.windowStart)
+		if c.runLimit > c.cores && waiting && rate < limitBackoff*c.bestThroughput {
+			c.runLimit *= limitBackoff
+		} else if c.runLimit <= c.cores || rate > c.bestThroughput {
+			c.bestThroughput = rate
 		}
-		p.completedWork, p.windowStart = 0, p.now
+		c.completedWork, c.windowStart = 0, c.now
 	}
-	p.runLimit = max(p.cores, min(p.runLimit, p.maxSafeConcurrency()))
+	c.runLimit = max(c.cores, min(c.runLimit, c.maxSafeConcurrency()))
 }
 
 // runEnded closes a run and learns what it cost.
-func (p *Controller) runEnded(i int32, outcome Outcome) {
-	v := &p.invocations[i]
-	if outcome == Stopped && !v.answered && p.config.StopSupport != StopUnsupported {
-		p.setState(v, map[StopSupport]invocationState{StopKeepsProgress: statePaused, StopDiscardsProgress: stateQueued}[p.config.StopSupport])
+func (c *Controller) runEnded(i int32, outcome Outcome) {
+	inv := &c.invocations[i]
+	if outcome == Stopped && !inv.answered && c.config.StopSupport != StopUnsupported {
+		c.setState(inv, map[StopSupport]invocationState{StopKeepsProgress: statePaused, StopDiscardsProgress: stateQueued}[c.config.StopSupport])
 		return
 	}
-	if v.state == stateCalling {
-		p.callQuotaUsed.Add(p.now, float64(p.config.AbandonedCallTime))
+	if inv.state == stateCalling {
+		c.callQuotaUsed.Add(c.now, float64(c.config.AbandonedCallTime))
 	}
-	p.observeWait(v, false)
-	own, usual := v.state != stateJoined, v.baseWork*v.workShare*v.operation.serviceTimes.Mean(1)
-	if p.end(i); own && (outcome == Succeeded || v.coreTime > usual) {
-		p.serviceTimeRatio.Add(v.coreTime / usual)
-		v.operation.serviceTimes.Add(v.coreTime / (v.baseWork * v.workShare))
-		p.completedWork += usual
+	c.observeWait(inv, false)
+	own, usual := inv.state != stateJoined, inv.baseWork*inv.workShare*inv.operation.serviceTimes.Mean(1)
+	if c.end(i); own && (outcome == Succeeded || inv.coreTime > usual) {
+		c.serviceTimeRatio.Add(inv.coreTime / usual)
+		inv.operation.serviceTimes.Add(inv.coreTime / (inv.baseWork * inv.workShare))
+		c.completedWork += usual
 	}
 }
 
 // startCalls makes the calls that runs stand at, highest billed value first, then the oldest. If allowed, one
 // that failed, or may fail or be late, is left out; else what can't end in time is given up while one is in
 // hand: were none made, nothing would tell that calls are short again.
-func (p *Controller) startCalls() {
-	p.queueOrder = p.queueOrder[:0]
-	for _, i := range p.live {
-		if v := &p.invocations[i]; v.state == stateAwaitingCall && !v.answered {
-			v.rank = v.operation.PriorityWeight * v.weightShare
-			p.queueOrder = append(p.queueOrder, i)
+func (c *Controller) startCalls() {
+	c.queueOrder = c.queueOrder[:0]
+	for _, i := range c.live {
+		if inv := &c.invocations[i]; inv.state == stateAwaitingCall && !inv.answered {
+			inv.rank = inv.operation.PriorityWeight * inv.weightShare
+			c.queueOrder = append(c.queueOrder, i)
 		}
 	}
-	slices.SortStableFunc(p.queueOrder, p.byRank)
-	for _, i := range p.queueOrder {
-		v, room := &p.invocations[i], p.nextCallTimeLimit()
-		until, failed := min(v.deadline-answerMargin, p.now+min(room, p.maxCallTime)), v.callAttempts >= maxCallAttempts
-		skippable, latest := v.operation.SkippedCallWeightShare > 0, int64(p.objectiveEnd(v)-p.remainingWork(v))
+	slices.SortStableFunc(c.queueOrder, c.byRank)
+	for _, i := range c.queueOrder {
+		inv, room := &c.invocations[i], c.nextCallTimeLimit()
+		until, failed := min(inv.deadline-answerMargin, c.now+min(room, c.maxCallTime)), inv.callAttempts >= maxCallAttempts
+		skippable, latest := inv.operation.SkippedCallWeightShare > 0, int64(c.objectiveEnd(inv)-c.remainingWork(inv))
 		if skippable {
 			until = min(until, latest)
-		} else if v.operation.Idempotency == Idempotent && v.callAttempts < maxCallAttempts/2 && p.callDurations.Mean(0) > 0 {
-			until = min(until, p.now+int64(retryableCallTimeRatio*p.callDurations.Mean(0)*p.callTimeUnit))
+		} else if inv.operation.Idempotency == Idempotent && inv.callAttempts < maxCallAttempts/2 && c.callDurations.Mean(0) > 0 {
+			until = min(until, c.now+int64(retryableCallTimeRatio*c.callDurations.Mean(0)*c.callTimeUnit))
 		}
 		switch {
-		case skippable && (failed || latest <= p.now || p.random.Float64() < p.callFailures.Mean(0)):
-			p.emit(Action{Kind: SkipCall, Invocation: i})
-			p.setState(v, stateRunning)
-		case failed, !skippable && v.operation.LateWeightShare == 0 && p.callsInFlight > 0 &&
-			float64(p.now)+p.callDurations.Mean(0)*p.callTimeUnit > p.objectiveEnd(v):
-			p.drop(i, ReasonNoCallCapacity)
-		case room > 0 && until > p.now && p.callsInFlight < p.callLimit:
-			v.callStartedAt, v.callDeadline, v.callAttempts = p.now, until, v.callAttempts+1
-			p.emit(Action{Kind: StartCall, Invocation: i, At: until})
-			p.setState(v, stateCalling)
+		case skippable && (failed || latest <= c.now || c.random.Float64() < c.callFailures.Mean(0)):
+			c.emit(Action{Kind: SkipCall, Invocation: i})
+			c.setState(inv, stateRunning)
+		case failed, !skippable && inv.operation.LateWeightShare == 0 && c.callsInFlight > 0 &&
+			float64(c.now)+c.callDurations.Mean(0)*c.callTimeUnit > c.objectiveEnd(inv):
+			c.drop(i, ReasonNoCallCapacity)
+		case room > 0 && until > c.now && c.callsInFlight < c.callLimit:
+			inv.callStartedAt, inv.callDeadline, inv.callAttempts = c.now, until, inv.callAttempts+1
+			c.emit(Action{Kind: StartCall, Invocation: i, At: until})
+			c.setState(inv, stateCalling)
 		}
 	}
 }
 
-func (p *Controller) byRank(a, b int32) int {
-	return cmp.Compare(p.invocations[b].rank, p.invocations[a].rank)
+func (c *Controller) byRank(a, b int32) int {
+	return cmp.Compare(c.invocations[b].rank, c.invocations[a].rank)
 }
 
 // nextCallTimeLimit is how long one more call may take: a third of the share left if all in hand are left at the
 // last, or some times the usual. Guards against hangs, small shares; does harm where calls grow longer.
-func (p *Controller) nextCallTimeLimit() int64 {
-	if p.config.Dependency != SharedDependency || p.callLimit < math.MaxInt { // a lease counts calls, not their time
+func (c *Controller) nextCallTimeLimit() int64 {
+	if c.config.Dependency != SharedDependency || c.callLimit < math.MaxInt { // a lease counts calls, not their time
 		return math.MaxInt64 / 4
 	}
-	linger := float64(p.config.AbandonedCallTime)
-	spare := usableCallQuotaShare*p.config.CallQuota*float64(p.config.CallQuotaWindow) - p.callQuotaUsed.Sum()
-	for _, i := range p.live {
-		if v := &p.invocations[i]; v.state == stateCalling {
-			spare -= float64(max(0, v.callDeadline-p.now)) + linger
+	linger := float64(c.config.AbandonedCallTime)
+	spare := usableCallQuotaShare*c.config.CallQuota*float64(c.config.CallQuotaWindow) - c.callQuotaUsed.Sum()
+	for _, i := range c.live {
+		if inv := &c.invocations[i]; inv.state == stateCalling {
+			spare -= float64(max(0, inv.callDeadline-c.now)) + linger
 		}
 	}
-	usual := p.callDurations.Mean(0) * p.callTimeUnit
+	usual := c.callDurations.Mean(0) * c.callTimeUnit
 	room := max(spare/callQuotaParts-linger, min(spare-linger, smallQuotaCallTimeRatio*usual))
 	if room < 2*usual {
 		return 0
@@ -723,166 +723,166 @@
 
 // callEnded learns how calls go; one that failed is repeated if known not to have run, or once if idempotent.
 // Guards against replies spoilt or lost; does harm where a dependency fails for the calls that it gets.
-func (p *Controller) callEnded(v *invocation, outcome Outcome) {
-	took := float64(p.now - v.callStartedAt)
-	p.callDurations.Add(took / p.callTimeUnit)
+func (c *Controller) callEnded(inv *invocation, outcome Outcome) {
+	took := float64(c.now - inv.callStartedAt)
+	c.callDurations.Add(took / c.callTimeUnit)
 	if outcome == Succeeded {
-		v.operation.blockedTimes.Add(took / float64(v.operation.LatencyObjective))
-		p.callFailures.Add(0)
-		v.callAttempts = 0
-		p.setState(v, stateRunning)
+		inv.operation.blockedTimes.Add(took / float64(inv.operation.LatencyObjective))
+		c.callFailures.Add(0)
+		inv.callAttempts = 0
+		c.setState(inv, stateRunning)
 		return
 	}
-	p.callFailures.Add(1)
-	p.setState(v, stateAwaitingCall)
+	c.callFailures.Add(1)
+	c.setState(inv, stateAwaitingCall)
 	if outcome != Overloaded && outcome != Unreachable {
-		v.callAttempts += 1 + maxCallAttempts*int(v.operation.Idempotency) // no more, unless it is idempotent
-		p.callQuotaUsed.Add(p.now, float64(p.config.AbandonedCallTime))
+		inv.callAttempts += 1 + maxCallAttempts*int(inv.operation.Idempotency) // no more, unless it is idempotent
+		c.callQuotaUsed.Add(c.now, float64(c.config.AbandonedCallTime))
 	}
 }
 
 // enforceDeadlines answers what is due and stops runs that can earn nothing more.
-func (p *Controller) enforceDeadlines() {
-	for _, i := range p.live {
-		v := &p.invocations[i]
-		futile := v.state == stateRunning && p.config.StopSupport != StopUnsupported && v.operation.LateWeightShare == 0
-		if v.state != stateEnded && (futile && float64(p.now) > p.objectiveEnd(v) || p.now >= v.deadline-answerMargin) {
-			p.drop(i, ReasonDeadline)
+func (c *Controller) enforceDeadlines() {
+	for _, i := range c.live {
+		inv := &c.invocations[i]
+		futile := inv.state == stateRunning && c.config.StopSupport != StopUnsupported && inv.operation.LateWeightShare == 0
+		if inv.state != stateEnded && (futile && float64(c.now) > c.objectiveEnd(inv) || c.now >= inv.deadline-answerMargin) {
+			c.drop(i, ReasonDeadline)
 		}
-		if v.state == stateRunning && v.answered {
-			p.discard(i) // again: a stop has no effect while the cores stand still
+		if inv.state == stateRunning && inv.answered {
+			c.discard(i) // again: a stop has no effect while the cores stand still
 		}
 	}
 }
 
 // enforceMemoryLimit turns away the end of the hold before memory runs out and forgets records that ended.
-func (p *Controller) enforceMemoryLimit() {
-	p.deduplicationExpiries = slices.DeleteFunc(p.deduplicationExpiries, func(until int64) bool { return until < p.now })
-	for k := len(p.queueOrder) - 1; k >= 0 && p.invocationsKB+p.deduplicationKB() > (1+maxRunMemoryShare)/2*p.config.MemoryKB; k-- {
-		if p.invocations[p.queueOrder[k]].state == stateQueued {
-			p.drop(p.queueOrder[k], ReasonMemory)
+func (c *Controller) enforceMemoryLimit() {
+	c.deduplicationExpiries = slices.DeleteFunc(c.deduplicationExpiries, func(until int64) bool { return until < c.now })
+	for k := len(c.queueOrder) - 1; k >= 0 && c.invocationsKB+c.deduplicationKB() > (1+maxRunMemoryShare)/2*c.config.MemoryKB; k-- {
+		if c.invocations[c.queueOrder[k]].state == stateQueued {
+			c.drop(c.queueOrder[k], ReasonMemory)
 		}
 	}
 }
 
 // startDrain is beat 1: bad health, a sample of what is in flight. Both durations shrink to fit under the kill,
 // the delay only as far as the longest objective needs: guards against refusals while callers hear late.
-func (p *Controller) startDrain(kill int64) {
-	if p.drainRequestedAt == 0 {
-		p.drainRequestedAt, p.inFlightAtDrain, p.endedBeforeDrain = p.now, p.arrivedCount-p.endedCount, p.endedCount
-		p.intakeEnd, p.drainDeadline = math.MaxInt64, math.MaxInt64
-		p.unhealthy, p.nextTick = true, p.now
-		p.reportHealth()
-	}
-	room := max(0, kill-killMargin-p.drainRequestedAt)
+func (c *Controller) startDrain(kill int64) {
+	if c.drainRequestedAt == 0 {
+		c.drainRequestedAt, c.inFlightAtDrain, c.endedBeforeDrain = c.now, c.arrivedCount-c.endedCount, c.endedCount
+		c.intakeEnd, c.drainDeadline = math.MaxInt64, math.MaxInt64
+		c.unhealthy, c.nextTick = true, c.now
+		c.reportHealth()
+	}
+	room := max(0, kill-killMargin-c.drainRequestedAt)
 	scale := min(1, float64(room)/float64(preDrainDelay+drainTimeout))
-	delay := max(int64(scale*float64(preDrainDelay)), min(preDrainDelay, room-p.longestObjective))
-	p.intakeEnd = min(p.intakeEnd, p.drainRequestedAt+min(delay, p.config.DrainGrace))
-	p.drainDeadline = min(p.drainDeadline, p.drainRequestedAt+room, p.intakeEnd+int64(scale*float64(drainTimeout)))
+	delay := max(int64(scale*float64(preDrainDelay)), min(preDrainDelay, room-c.longestObjective))
+	c.intakeEnd = min(c.intakeEnd, c.drainRequestedAt+min(delay, c.config.DrainGrace))
+	c.drainDeadline = min(c.drainDeadline, c.drainRequestedAt+room, c.intakeEnd+int64(scale*float64(drainTimeout)))
 }
 
 // advanceDrain stops intake and ends beat 3 once nothing is open; at the deadline the rest is aborted, counted.
-func (p *Controller) advanceDrain() {
-	if p.drainRequestedAt == 0 || p.drainFinished || p.now < p.intakeEnd {
+func (c *Controller) advanceDrain() {
+	if c.drainRequestedAt == 0 || c.drainFinished || c.now < c.intakeEnd {
 		return
 	}
-	p.emit(Action{Kind: StopAccepting})
-	abandoned, completed := 0, p.endedCount-p.endedBeforeDrain
-	for _, i := range p.live {
-		if v := &p.invocations[i]; v.state != stateEnded && !v.answered {
-			if p.now < p.drainDeadline {
+	c.emit(Action{Kind: StopAccepting})
+	abandoned, completed := 0, c.endedCount-c.endedBeforeDrain
+	for _, i := range c.live {
+		if inv := &c.invocations[i]; inv.state != stateEnded && !inv.answered {
+			if c.now < c.drainDeadline {
 				return
 			}
 			abandoned++
-			p.drop(i, ReasonDraining)
+			c.drop(i, ReasonDraining)
 		}
 	}
-	p.drainFinished = true
-	p.emit(Action{Kind: Exit, Report: fmt.Sprintf(
-		"drain: in flight at start %d, completed %d, abandoned %d", p.inFlightAtDrain, completed, abandoned)})
+	c.drainFinished = true
+	c.emit(Action{Kind: Exit, Report: fmt.Sprintf(
+		"drain: in flight at start %d, completed %d, abandoned %d", c.inFlightAtDrain, completed, abandoned)})
 }
 
 // updateHealth reports bad in a drain or while doing worse than usual; were full ones bad, none were left.
-func (p *Controller) updateHealth() {
-	if p.stallRatio = 0; p.runningCount == 0 {
-		p.serviceTimeRatio.Add(1) // an idle node comes back: nothing else would tell it that it may
-	}
-	for _, i := range p.live {
-		v := &p.invocations[i]
-		usual := v.baseWork * v.workShare * v.operation.serviceTimes.Mean(1)
-		stay := (v.coreTime + p.coreClock - v.runningSince) / usual / (1 + stallDiscountRuns/float64(p.runningCount))
-		if v.state == stateRunning && 2*float64(p.runningCount) > p.cores && (p.stallRatio == 0 || stay < p.stallRatio) {
-			p.stallRatio = stay
+func (c *Controller) updateHealth() {
+	if c.stallRatio = 0; c.runningCount == 0 {
+		c.serviceTimeRatio.Add(1) // an idle node comes back: nothing else would tell it that it may
+	}
+	for _, i := range c.live {
+		inv := &c.invocations[i]
+		usual := inv.baseWork * inv.workShare * inv.operation.serviceTimes.Mean(1)
+		stay := (inv.coreTime + c.coreClock - inv.runningSince) / usual / (1 + stallDiscountRuns/float64(c.runningCount))
+		if inv.state == stateRunning && 2*float64(c.runningCount) > c.cores && (c.stallRatio == 0 || stay < c.stallRatio) {
+			c.stallRatio = stay
 		}
 	}
-	was, pace := p.unhealthy, p.slowdown()
-	p.unhealthy = p.drainRequestedAt != 0 || pace > unhealthyServiceTimeRatio || p.unhealthy && pace > healthyServiceTimeRatio
-	if p.unhealthy != was || p.lastSignal < 0 {
-		p.reportHealth()
+	was, pace := c.unhealthy, c.slowdown()
+	c.unhealthy = c.drainRequestedAt != 0 || pace > unhealthyServiceTimeRatio || c.unhealthy && pace > healthyServiceTimeRatio
+	if c.unhealthy != was || c.lastSignal < 0 {
+		c.reportHealth()
 	}
 }
 
 // reportHealth answers checks from store, since a full one costs work.
-func (p *Controller) reportHealth() {
-	p.emit(Action{Kind: ReportHealth, Healthy: !p.unhealthy, Cached: true})
+func (c *Controller) reportHealth() {
+	c.emit(Action{Kind: ReportHealth, Healthy: !c.unhealthy, Cached: true})
 }
 
 // updateBackpressure tells callers how much to send: less while the wait is long, more while it is short.
-func (p *Controller) updateBackpressure() {
-	p.arrivals, p.retries = p.arrivals*counterDecay, p.retries*counterDecay
-	p.rejected, p.degraded = p.rejected*counterDecay, p.degraded*counterDecay
+func (c *Controller) updateBackpressure() {
+	c.arrivals, c.retries = c.arrivals*counterDecay, c.retries*counterDecay
+	c.rejected, c.degraded = c.rejected*counterDecay, c.degraded*counterDecay
 	sum, squares := 0.0, 1e-9
-	for _, n := range p.callers.Counts() {
+	for _, n := range c.callers.Counts() {
 		sum, squares = sum+math.Round(n), squares+math.Round(n)*math.Round(n)
 	}
-	p.fleetOverloaded = p.rejected > overloadRetryShare/2*p.arrivals && (p.fleetOverloaded || p.retries > overloadRetryShare*p.arrivals)
-	p.callers.Decay(counterDecay, minCallerCount)
-	p.tenants.Decay(counterDecay, minTenantCount)
-	if wait := p.queueWait(); wait > highPressure*p.shortestObjective {
-		p.advertisedCapacity = max(minAdvertisedCapacity, p.advertisedCapacity*(1-capacityDecrease))
-	} else if wait < lowPressure*p.shortestObjective {
-		p.advertisedCapacity = min(1, p.advertisedCapacity+capacityIncrease)
-	}
-	value, away := p.advertisedCapacity, 0.0
-	if p.config.Backpressure == BackpressureLevel {
-		value, away = maxBackpressureLevel*(1-p.advertisedCapacity), 1
-	} else if p.config.Backpressure == BackpressureCredits { // for each caller that counts, unequal as they are
-		value *= maxCreditsPerCore * p.cores / max(1, sum*sum/squares)
-	}
-	if p.drainRequestedAt != 0 && p.now >= p.intakeEnd-redirectLeadTime {
+	c.fleetOverloaded = c.rejected > overloadRetryShare/2*c.arrivals && (c.fleetOverloaded || c.retries > overloadRetryShare*c.arrivals)
+	c.callers.Decay(counterDecay, minCallerCount)
+	c.tenants.Decay(counterDecay, minTenantCount)
+	if wait := c.queueWait(); wait > highPressure*c.shortestObjective {
+		c.advertisedCapacity = max(minAdvertisedCapacity, c.advertisedCapacity*(1-capacityDecrease))
+	} else if wait < lowPressure*c.shortestObjective {
+		c.advertisedCapacity = min(1, c.advertisedCapacity+capacityIncrease)
+	}
+	value, away := c.advertisedCapacity, 0.0
+	if c.config.Backpressure == BackpressureLevel {
+		value, away = maxBackpressureLevel*(1-c.advertisedCapacity), 1
+	} else if c.config.Backpressure == BackpressureCredits { // for each caller that counts, unequal as they are
+		value *= maxCreditsPerCore * c.cores / max(1, sum*sum/squares)
+	}
+	if c.drainRequestedAt != 0 && c.now >= c.intakeEnd-redirectLeadTime {
 		value = away
 	}
 	value = math.Ceil(value*100) / 100 // never rounded to nothing
-	if value != p.lastSignal && p.config.Backpressure != NoBackpressure {
-		p.emit(Action{Kind: SignalBackpressure, Value: value})
+	if value != c.lastSignal && c.config.Backpressure != NoBackpressure {
+		c.emit(Action{Kind: SignalBackpressure, Value: value})
 	}
-	p.lastSignal = value
+	c.lastSignal = value
 }
 
 // State is what decisions stand on now; it changes nothing.
-func (p *Controller) State() ControllerState {
-	return ControllerState{Limit: p.runLimit, OnCores: p.runningCount, Queued: p.queuedCount, AwaitingCall: p.callsAwaited,
-		CallsInFlight: p.callsInFlight, MeanBlocked: p.meanBlocked,
-		QueueWait: p.queueWait(), CallWait: p.callWait(), QueueingDelay: p.queueingDelay, OtherRunnable: p.otherRunnable, MeanOtherRunnable: p.meanOtherRunnable,
-		ServiceTimeRatio: p.serviceTimeRatio.Mean(1), StallRatio: p.stallRatio, CallerWaitShare: p.callerWaitShare, CallTime: p.callDurations.Mean(0) * p.callTimeUnit,
-		CallFailureShare: p.callFailures.Mean(0), MaxCallTime: float64(p.nextCallTimeLimit()), AdvertisedCapacity: p.advertisedCapacity, LastSignal: p.lastSignal,
-		CallQuotaUsed: p.callQuotaUsed.Sum() / max(1, p.config.CallQuota*float64(p.config.CallQuotaWindow)),
-		Arrivals:      p.arrivals, Retries: p.retries, Rejected: p.rejected, Callers: len(p.callers.Counts()),
-		Memory: p.invocationsKB, FleetOverloaded: p.fleetOverloaded, Unhealthy: p.unhealthy, CoreIdle: p.coreIdle}
+func (c *Controller) State() ControllerState {
+	return ControllerState{Limit: c.runLimit, OnCores: c.runningCount, Queued: c.queuedCount, AwaitingCall: c.callsAwaited,
+		CallsInFlight: c.callsInFlight, MeanBlocked: c.meanBlocked,
+		QueueWait: c.queueWait(), CallWait: c.callWait(), QueueingDelay: c.queueingDelay, OtherRunnable: c.otherRunnable, MeanOtherRunnable: c.meanOtherRunnable,
+		ServiceTimeRatio: c.serviceTimeRatio.Mean(1), StallRatio: c.stallRatio, CallerWaitShare: c.callerWaitShare, CallTime: c.callDurations.Mean(0) * c.callTimeUnit,
+		CallFailureShare: c.callFailures.Mean(0), MaxCallTime: float64(c.nextCallTimeLimit()), AdvertisedCapacity: c.advertisedCapacity, LastSignal: c.lastSignal,
+		CallQuotaUsed: c.callQuotaUsed.Sum() / max(1, c.config.CallQuota*float64(c.config.CallQuotaWindow)),
+		Arrivals:      c.arrivals, Retries: c.retries, Rejected: c.rejected, Callers: len(c.callers.Counts()),
+		Memory: c.invocationsKB, FleetOverloaded: c.fleetOverloaded, Unhealthy: c.unhealthy, CoreIdle: c.coreIdle}
 }
 
 // MeasureLoad tells of the present what concerns more than one invocation, into m.
-func (p *Controller) MeasureLoad(m *LoadMetrics) {
+func (c *Controller) MeasureLoad(m *LoadMetrics) {
 	m.DemandByOperation = m.DemandByOperation[:0]
-	for _, op := range p.operations {
+	for _, op := range c.operations {
 		if op == nil {
 			m.DemandByOperation = append(m.DemandByOperation, 0)
 			continue
 		}
-		op.demand.Add(p.now, 0)
-		m.DemandByOperation = append(m.DemandByOperation, op.demand.Sum()/(float64(demandWindow)*p.cores))
+		op.demand.Add(c.now, 0)
+		m.DemandByOperation = append(m.DemandByOperation, op.demand.Sum()/(float64(demandWindow)*c.cores))
 	}
-	m.IntakeShare = min(p.meanOtherRunnable, p.cores) / max(p.cores, float64(p.runningCount)+p.meanOtherRunnable)
-	m.QueueWait, m.QueueingDelay, m.CallWait = p.queueWait()/p.shortestObjective, p.queueingDelay/p.shortestObjective, p.callWait()/p.shortestObjective
-	m.RejectedShare, m.MemoryShare = (p.rejected-p.degraded)/max(1, p.arrivals), p.invocationsKB/p.config.MemoryKB
+	m.IntakeShare = min(c.meanOtherRunnable, c.cores) / max(c.cores, float64(c.runningCount)+c.meanOtherRunnable)
+	m.QueueWait, m.QueueingDelay, m.CallWait = c.queueWait()/c.shortestObjective, c.queueingDelay/c.shortestObjective, c.callWait()/c.shortestObjective
+	m.RejectedShare, m.MemoryShare = (c.rejected-c.degraded)/max(1, c.arrivals), c.invocationsKB/c.config.MemoryKB
 }
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -31,20 +31,20 @@
 }
 
 // addInvocation adds an invocation that arrived now, in the given state, and returns it.
-func addInvocation(p *Controller, op int, s invocationState) *invocation {
-	p.invocations = append(p.invocations, invocation{operation: p.operations[op], tenant: -1, arrivedAt: p.now, baseWork: float64(100 * millisecond), workShare: 1, weightShare: 1,
-		deadline: p.now + p.operations[op].ClientTimeout, queuedKB: 10, started: s == stateRunning || s == stateAwaitingCall || s == stateCalling})
-	p.live = append(p.live, int32(len(p.invocations)-1))
-	p.arrivedCount++
-	v := &p.invocations[len(p.invocations)-1]
-	p.setState(v, s)
-	return v
+func addInvocation(c *Controller, op int, s invocationState) *invocation {
+	c.invocations = append(c.invocations, invocation{operation: c.operations[op], tenant: -1, arrivedAt: c.now, baseWork: float64(100 * millisecond), workShare: 1, weightShare: 1,
+		deadline: c.now + c.operations[op].ClientTimeout, queuedKB: 10, started: s == stateRunning || s == stateAwaitingCall || s == stateCalling})
+	c.live = append(c.live, int32(len(c.invocations)-1))
+	c.arrivedCount++
+	inv := &c.invocations[len(c.invocations)-1]
+	c.setState(inv, s)
+	return inv
 }
 
 // actionKinds lists the actionKinds of the actions decided so far.
-func actionKinds(p *Controller) []ActionKind {
+func actionKinds(c *Controller) []ActionKind {
 	list := []ActionKind{}
-	for _, a := range p.actions {
+	for _, a := range c.actions {
 		list = append(list, a.Kind)
 	}
 	return list
@@ -55,7 +55,7 @@
 func digestOfDecisions(t *testing.T, seed int64, steps int) uint64 {
 	t.Helper()
 	chance := rand.New(rand.NewSource(seed))
-	p := newTestController(func(n *Config) {
+	c := newTestController(func(n *Config) {
 		n.Seed, n.OverQuotaWeightShare, n.Backpressure, n.MemoryKB = seed, 0.1, BackpressureCredits, 100_000
 		for range 500 {
 			n.TenantRates = append(n.TenantRates, float64(1+chance.Intn(4)))
@@ -93,11 +93,11 @@
 				Caller: int64(chance.Intn(30 + k/20)), Original: NoOriginal, Retry: chance.Intn(5) == 0, ExpectedWork: int64(20+chance.Intn(200)) * millisecond,
 				QueuedKB: 1 + 10*chance.Float64()})
 		}
-		if now >= p.nextTick {
+		if now >= c.nextTick {
 			busy = 0.7*busy + 0.4*chance.Float64()
 			events = append(events, Event{Kind: TimerFired, BusyShare: busy, RunnableThreads: 4 * busy})
 		}
-		for _, a := range p.Decide(now, events) {
+		for _, a := range c.Decide(now, events) {
 			writeAction(print, &a)
 			switch a.Kind {
 			case Release:
@@ -112,9 +112,9 @@
 				}
 			}
 		}
-		writeState(print, p.State())
-		for _, v := range p.live {
-			fmt.Fprintf(print, "%x", math.Float64bits(p.invocations[v].rank))
+		writeState(print, c.State())
+		for _, inv := range c.live {
+			fmt.Fprintf(print, "%x", math.Float64bits(c.invocations[inv].rank))
 		}
 	}
 	return print.Sum64()
--- a/internal/admission/levels_test.go
+++ b/internal/admission/levels_test.go
@@ -11,8 +11,8 @@
 	reducedService = Service{Form: Reduced, WorkShare: 0.4, WeightShare: 0.7}
 )
 
-func applyLevel(p *Controller, spare bool, services ...Service) {
-	p.setDegradationLevel(services, spare)
+func applyLevel(c *Controller, spare bool, services ...Service) {
+	c.setDegradationLevel(services, spare)
 }
 
 func arrivalEvent(op int32) *Event {
@@ -20,142 +20,142 @@
 }
 
 func TestShedOperationIsRejectedOnArrivalWithRetryAfter(t *testing.T) {
-	p := newTestController()
-	applyLevel(p, false, shedService, Service{})
-	addInvocation(p, 1, stateQueued)
+	c := newTestController()
+	applyLevel(c, false, shedService, Service{})
+	addInvocation(c, 1, stateQueued)
 	e := arrivalEvent(0)
 	e.Invocation = 1
-	p.handleArrival(e)
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(p))
-	assert.Equal(t, ReasonDegraded, p.actions[0].Reason)
-	assert.Positive(t, p.actions[0].Duration)
+	c.handleArrival(e)
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(c))
+	assert.Equal(t, ReasonDegraded, c.actions[0].Reason)
+	assert.Positive(t, c.actions[0].Duration)
 }
 
 func TestLevelChangeRejectsQueuedShedInvocationsOnly(t *testing.T) {
-	p := newTestController()
-	addInvocation(p, 0, stateQueued)
-	addInvocation(p, 0, stateRunning)
-	addInvocation(p, 1, stateQueued)
-	applyLevel(p, false, shedService, Service{})
-	assert.Equal(t, []invocationState{stateEnded, stateRunning, stateQueued}, []invocationState{p.invocations[0].state, p.invocations[1].state, p.invocations[2].state})
-	assert.Len(t, p.actions, 1)
+	c := newTestController()
+	addInvocation(c, 0, stateQueued)
+	addInvocation(c, 0, stateRunning)
+	addInvocation(c, 1, stateQueued)
+	applyLevel(c, false, shedService, Service{})
+	assert.Equal(t, []invocationState{stateEnded, stateRunning, stateQueued}, []invocationState{c.invocations[0].state, c.invocations[1].state, c.invocations[2].state})
+	assert.Len(t, c.actions, 1)
 }
 
 // A tokened invocation that has run is never refused because a level came between its tries.
 func TestLevelDoesNotShedWhatHasStarted(t *testing.T) {
-	p := newTestController()
-	applyLevel(p, false, Service{}, shedService)
+	c := newTestController()
+	applyLevel(c, false, Service{}, shedService)
 	e := arrivalEvent(1)
 	e.Original = OriginalEnded
-	p.handleArrival(e)
-	assert.Equal(t, []ActionKind{JoinOriginal}, actionKinds(p))
-	addInvocation(p, 1, statePaused).started = true
-	applyLevel(p, false, shedService, shedService)
-	assert.Len(t, p.actions, 1)
+	c.handleArrival(e)
+	assert.Equal(t, []ActionKind{JoinOriginal}, actionKinds(c))
+	addInvocation(c, 1, statePaused).started = true
+	applyLevel(c, false, shedService, shedService)
+	assert.Len(t, c.actions, 1)
 }
 
 func TestLevelDoesNotRecordKeysOfShedInvocations(t *testing.T) {
-	p := newTestController()
-	applyLevel(p, false, Service{}, shedService)
-	p.handleArrival(arrivalEvent(1))
-	assert.Equal(t, []ActionKind{Reject}, actionKinds(p))
-	assert.Empty(t, p.deduplicationExpiries)
+	c := newTestController()
+	applyLevel(c, false, Service{}, shedService)
+	c.handleArrival(arrivalEvent(1))
+	assert.Equal(t, []ActionKind{Reject}, actionKinds(c))
+	assert.Empty(t, c.deduplicationExpiries)
 }
 
 func TestReducedFormRunsCheaperAndRanksByItsWeight(t *testing.T) {
-	p := newTestController()
-	whole := p.remainingWork(addInvocation(p, 0, stateQueued))
-	applyLevel(p, false, reducedService, Service{})
-	p.orderQueue()
-	assert.InDelta(t, 0.4*whole, p.remainingWork(&p.invocations[0]), 1)
-	assert.Equal(t, 0.7, p.invocations[0].weightShare)
-	p.startRuns()
-	assert.Equal(t, Action{Kind: Run, Invocation: 0, Form: Reduced}, p.actions[0])
+	c := newTestController()
+	whole := c.remainingWork(addInvocation(c, 0, stateQueued))
+	applyLevel(c, false, reducedService, Service{})
+	c.orderQueue()
+	assert.InDelta(t, 0.4*whole, c.remainingWork(&c.invocations[0]), 1)
+	assert.Equal(t, 0.7, c.invocations[0].weightShare)
+	c.startRuns()
+	assert.Equal(t, Action{Kind: Run, Invocation: 0, Form: Reduced}, c.actions[0])
 }
 
 func TestStartedInvocationIsNotReduced(t *testing.T) {
-	p := newTestController()
-	v := addInvocation(p, 0, statePaused)
-	v.started = true
-	applyLevel(p, false, reducedService, Service{})
-	p.orderQueue()
-	assert.Equal(t, 1.0, v.workShare)
-	p.startRuns()
-	assert.Equal(t, Complete, p.actions[0].Form)
+	c := newTestController()
+	inv := addInvocation(c, 0, statePaused)
+	inv.started = true
+	applyLevel(c, false, reducedService, Service{})
+	c.orderQueue()
+	assert.Equal(t, 1.0, inv.workShare)
+	c.startRuns()
+	assert.Equal(t, Complete, c.actions[0].Form)
 }
 
 func TestLevelThatEndsBeforeTheStartLeavesTheCompleteForm(t *testing.T) {
-	p := newTestController()
-	addInvocation(p, 0, stateQueued)
-	applyLevel(p, false, reducedService, Service{})
-	p.orderQueue()
-	p.setDegradationLevel(nil, false)
-	p.orderQueue()
-	p.startRuns()
-	assert.Equal(t, Complete, p.actions[0].Form)
+	c := newTestController()
+	addInvocation(c, 0, stateQueued)
+	applyLevel(c, false, reducedService, Service{})
+	c.orderQueue()
+	c.setDegradationLevel(nil, false)
+	c.orderQueue()
+	c.startRuns()
+	assert.Equal(t, Complete, c.actions[0].Form)
 }
 
 func TestSpareCapacityServesReducedOperationsCompletely(t *testing.T) {
-	p := newTestController()
-	addInvocation(p, 0, stateQueued)
-	applyLevel(p, true, reducedService, Service{})
-	p.orderQueue()
-	p.startRuns()
-	assert.Equal(t, Complete, p.actions[0].Form)
+	c := newTestController()
+	addInvocation(c, 0, stateQueued)
+	applyLevel(c, true, reducedService, Service{})
+	c.orderQueue()
+	c.startRuns()
+	assert.Equal(t, Complete, c.actions[0].Form)
 }
 
 func TestSpareCapacityServesShedOperationsLast(t *testing.T) {
-	p := newTestController()
-	applyLevel(p, true, Service{Form: Shed, WorkShare: 0.4, WeightShare: 0.7}, Service{})
-	p.handleArrival(arrivalEvent(0))
-	p.invocations[0].baseWork /= 100 // by far the best in value for work
+	c := newTestController()
+	applyLevel(c, true, Service{Form: Shed, WorkShare: 0.4, WeightShare: 0.7}, Service{})
+	c.handleArrival(arrivalEvent(0))
+	c.invocations[0].baseWork /= 100 // by far the best in value for work
 	e := arrivalEvent(1)
 	e.Invocation = 1
-	p.handleArrival(e)
-	p.orderQueue()
-	assert.Equal(t, []int32{1, 0}, p.queueOrder)
-	p.startRuns()
-	assert.Equal(t, Reduced, p.actions[len(p.actions)-1].Form, "the form that the level before leaves")
+	c.handleArrival(e)
+	c.orderQueue()
+	assert.Equal(t, []int32{1, 0}, c.queueOrder)
+	c.startRuns()
+	assert.Equal(t, Reduced, c.actions[len(c.actions)-1].Form, "the form that the level before leaves")
 }
 
 func TestShedInvocationsAreNotCountedAsPressure(t *testing.T) {
-	p := newTestController()
-	applyLevel(p, false, shedService, Service{})
-	p.handleArrival(arrivalEvent(0))
+	c := newTestController()
+	applyLevel(c, false, shedService, Service{})
+	c.handleArrival(arrivalEvent(0))
 	var m LoadMetrics
-	p.MeasureLoad(&m)
+	c.MeasureLoad(&m)
 	assert.Zero(t, m.RejectedShare)
 }
 
 func TestDemandCountsFirstAttemptsInFullAtAnyLevel(t *testing.T) {
-	p := newTestController()
-	applyLevel(p, false, shedService, Service{})
-	p.handleArrival(arrivalEvent(0))
+	c := newTestController()
+	applyLevel(c, false, shedService, Service{})
+	c.handleArrival(arrivalEvent(0))
 	e := arrivalEvent(0)
 	e.Invocation, e.Retry = 1, true
-	p.handleArrival(e)
+	c.handleArrival(e)
 	var m LoadMetrics
-	p.MeasureLoad(&m)
-	assert.InDelta(t, float64(125*millisecond)/float64(demandWindow)/p.cores, m.DemandByOperation[0], 1e-9)
-	p.now += 2 * demandWindow
-	p.MeasureLoad(&m)
+	c.MeasureLoad(&m)
+	assert.InDelta(t, float64(125*millisecond)/float64(demandWindow)/c.cores, m.DemandByOperation[0], 1e-9)
+	c.now += 2 * demandWindow
+	c.MeasureLoad(&m)
 	assert.Zero(t, m.DemandByOperation[0], "a drop is seen within its span")
 }
 
 func benchmarkDecide(b *testing.B, live int, level bool) {
-	p := newTestController(func(n *Config) { n.MemoryKB, n.MaxRetryAfter = 1e9, 0 })
+	c := newTestController(func(n *Config) { n.MemoryKB, n.MaxRetryAfter = 1e9, 0 })
 	for k := range live {
-		addInvocation(p, k%2, stateQueued).deadline = testStart * 1000
-		p.invocations[k].arrivedAt = testStart * 900
+		addInvocation(c, k%2, stateQueued).deadline = testStart * 1000
+		c.invocations[k].arrivedAt = testStart * 900
 	}
 	if level {
-		applyLevel(p, true, reducedService, Service{})
+		applyLevel(c, true, reducedService, Service{})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.nextTick = p.now + tickInterval
-		p.runningCount = 100 // nothing starts
-		p.Decide(p.now, nil)
+		c.nextTick = c.now + tickInterval
+		c.runningCount = 100 // nothing starts
+		c.Decide(c.now, nil)
 	}
 }
 
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -38,7 +38,7 @@
 // step returns how many calls are in the dependency's hands.
 func (f *dependencyFleet) step() (inHand int) {
 	f.now += fleetStep
-	for k, p := range f.controllers {
+	for k, c := range f.controllers {
 		var events []Event
 		for i, end := range f.callEnds[k] {
 			if f.now >= end {
@@ -47,10 +47,10 @@
 					Event{Kind: RunEnded, Invocation: i, Outcome: Succeeded})
 			}
 		}
-		for p.callsAwaited < 4 {
-			addInvocation(p, 0, stateAwaitingCall)
+		for c.callsAwaited < 4 {
+			addInvocation(c, 0, stateAwaitingCall)
 		}
-		for _, a := range p.Decide(f.now, events) {
+		for _, a := range c.Decide(f.now, events) {
 			if a.Kind == StartCall {
 				f.callEnds[k][a.Invocation] = a.At
 			}
--- a/internal/stats/recent.go
+++ b/internal/stats/recent.go
@@ -9,57 +9,57 @@
 }
 
 // Add counts one of a key.
-func (r *DecayingCounter) Add(key int64) {
-	i, known := r.positions[key]
+func (c *DecayingCounter) Add(key int64) {
+	i, known := c.positions[key]
 	if !known {
-		if r.positions == nil {
-			r.positions = make(map[int64]int32)
+		if c.positions == nil {
+			c.positions = make(map[int64]int32)
 		}
-		i = int32(len(r.keys))
-		r.positions[key], r.keys, r.counts = i, append(r.keys, key), append(r.counts, 0)
+		i = int32(len(c.keys))
+		c.positions[key], c.keys, c.counts = i, append(c.keys, key), append(c.counts, 0)
 	}
-	r.counts[i]++
+	c.counts[i]++
 }
 
 // Count is what is remembered of a key.
-func (r *DecayingCounter) Count(key int64) float64 {
-	if i, known := r.positions[key]; known {
-		return r.counts[i]
+func (c *DecayingCounter) Count(key int64) float64 {
+	if i, known := c.positions[key]; known {
+		return c.counts[i]
 	}
 	return 0
 }
 
 // Counts are what is remembered of all keys, valid until the next change.
-func (r *DecayingCounter) Counts() []float64 { return r.counts }
+func (c *DecayingCounter) Counts() []float64 { return c.counts }
 
 // Decay keeps a part of each count, and forgets the keys whose count was under least.
-func (r *DecayingCounter) Decay(part, least float64) {
-	for i := 0; i < len(r.keys); i++ {
-		if n := r.counts[i]; n >= least {
-			r.counts[i] = n * part
+func (c *DecayingCounter) Decay(part, least float64) {
+	for i := 0; i < len(c.keys); i++ {
+		if n := c.counts[i]; n >= least {
+			c.counts[i] = n * part
 			continue
 		}
-		r.removeAt(int32(i))
+		c.removeAt(int32(i))
 		i--
 	}
 }
 
 // Remove drops what is remembered of a key.
-func (r *DecayingCounter) Remove(key int64) {
-	if i, known := r.positions[key]; known {
-		r.removeAt(i)
+func (c *DecayingCounter) Remove(key int64) {
+	if i, known := c.positions[key]; known {
+		c.removeAt(i)
 	}
 }
 
-func (r *DecayingCounter) removeAt(i int32) {
-	last := len(r.keys) - 1
-	delete(r.positions, r.keys[i])
+func (c *DecayingCounter) removeAt(i int32) {
+	last := len(c.keys) - 1
+	delete(c.positions, c.keys[i])
 	if int(i) != last {
-		r.keys[i], r.counts[i] = r.keys[last], r.counts[last]
-		r.positions[r.keys[i]] = i
+		c.keys[i], c.counts[i] = c.keys[last], c.counts[last]
+		c.positions[c.keys[i]] = i
 	}
-	r.keys, r.counts = r.keys[:last], r.counts[:last]
+	c.keys, c.counts = c.keys[:last], c.counts[:last]
 	if last == 0 {
-		*r = DecayingCounter{} // a map that once was large keeps its room
+		*c = DecayingCounter{} // a map that once was large keeps its room
 	}
 }
--- a/internal/stats/tally.go
+++ b/internal/stats/tally.go
@@ -18,21 +18,21 @@
 }
 
 // Add counts one ratio.
-func (r *RatioHistogram) Add(ratio float64) {
-	middle := len(r.bins) / 2
-	bin := int(math.Round(r.binsPerOctave*math.Log2(max(ratio, 1e-9)))) + middle
-	bin = min(max(bin, 0), len(r.bins)-1)
-	r.bins[bin]++
-	r.sum += math.Exp2(float64(bin-middle) / r.binsPerOctave)
-	if r.samples++; r.samples > r.maxSamples {
-		halve(r.bins)
-		r.samples, r.sum = r.samples/2, r.sum/2
+func (h *RatioHistogram) Add(ratio float64) {
+	middle := len(h.bins) / 2
+	bin := int(math.Round(h.binsPerOctave*math.Log2(max(ratio, 1e-9)))) + middle
+	bin = min(max(bin, 0), len(h.bins)-1)
+	h.bins[bin]++
+	h.sum += math.Exp2(float64(bin-middle) / h.binsPerOctave)
+	if h.samples++; h.samples > h.maxSamples {
+		halve(h.bins)
+		h.samples, h.sum = h.samples/2, h.sum/2
 	}
 }
 
 // Mean counts one sample of the prior beside those seen.
-func (r *RatioHistogram) Mean(prior float64) float64 {
-	return (prior + r.sum) / (r.samples + 1)
+func (h *RatioHistogram) Mean(prior float64) float64 {
+	return (prior + h.sum) / (h.samples + 1)
 }
 
 // SurvivalCurve counts how long some stay and when others leave, by equal parts of a whole.
@@ -84,17 +84,17 @@
 }
 
 // Add moves on to a moment and counts there.
-func (w *SlidingSum) Add(now int64, amount float64) {
-	n := int64(len(w.slices))
-	for w.index = max(w.index, now/w.sliceLength-n); w.index < now/w.sliceLength; w.index++ {
-		w.slices[(w.index+1)%n] = 0
+func (s *SlidingSum) Add(now int64, amount float64) {
+	n := int64(len(s.slices))
+	for s.index = max(s.index, now/s.sliceLength-n); s.index < now/s.sliceLength; s.index++ {
+		s.slices[(s.index+1)%n] = 0
 	}
-	w.slices[w.index%n] += amount
+	s.slices[s.index%n] += amount
 }
 
 // Sum is what the window holds.
-func (w *SlidingSum) Sum() (sum float64) {
-	for _, amount := range w.slices {
+func (s *SlidingSum) Sum() (sum float64) {
+	for _, amount := range s.slices {
 		sum += amount
 	}
 	return sum
