--- /dev/null
+++ b/internal/stats/histogram_test.go
@@ -0,0 +1,15 @@
+package stats
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestRatioHistogramDecays(t *testing.T) {
+	histogram := NewRatioHistogram(28, 2, 8)
+	for range 9 {
+		histogram.Add(2)
+	}
+	assert.InDelta(t, (1+4.5*2)/5.5, histogram.Mean(1), 1e-9)
+}
