--- /dev/null
+++ b/internal/admission/controller.go
@@ -0,0 +1,157 @@
+package admission
+
+import (
+	"math/rand"
+	"slices"
+)
+
+const (
+	millisecond = int64(1_000_000) // ns
+	second      = 1_000 * millisecond
+
+	tickInterval = 50 * millisecond // short beside any client timeout
+	answerMargin = 60 * millisecond // before the deadline, for the final answer: a tick and the delay of a timer
+)
+
+// Controller makes the decisions of one node.
+type Controller struct {
+	config    *Config
+	random    *rand.Rand
+	startedAt int64
+	now       int64
+	nextTick  int64
+	actions   []Action // the result of Decide
+
+	invocations []invocation // by index
+	live        []int32      // those that have not ended, in order of arrival
+	queueOrder  []int32      // those that wait for a core, in the order in which they are to run
+	callOrder   []int32      // those that wait for a call, in the order in which these are to start
+
+	operations       operationTable
+	useSpareCapacity bool // of the degradation level
+
+	counts       invocationCounts
+	memory       memoryUsage
+	cores        coreUsage
+	concurrency  concurrencyLimit
+	calls        dependencyCalls
+	callers      callerStatistics
+	health       nodeHealth
+	backpressure backpressureState
+	drain        drainState
+}
+
+// NewController returns the controller of a node whose cores started at now.
+func NewController(config *Config, now int64) *Controller {
+	cores := float64(config.Cores)
+	c := &Controller{
+		config:       config,
+		random:       rand.New(rand.NewSource(config.Seed)),
+		startedAt:    now,
+		now:          now,
+		nextTick:     now,
+		operations:   newOperationTable(config.Operations),
+		cores:        coreUsage{count: cores},
+		concurrency:  concurrencyLimit{limit: cores, windowStart: now},
+		callers:      newCallerStatistics(),
+		health:       newNodeHealth(),
+		backpressure: backpressureState{advertisedCapacity: 1, lastSignal: noSignal},
+	}
+	c.calls = newDependencyCalls(config, c.operations.shortestObjective)
+	if config.ColdStart {
+		c.backpressure.advertisedCapacity = config.ColdSpeedShare
+		c.calls.assumeQuotaUsed(config, max(now, config.ProcessStart))
+	}
+	return c
+}
+
+// Decide advances time to now, applies the events and returns the actions to carry out, in order. The result is
+// valid until the next call.
+func (c *Controller) Decide(now int64, events []Event) []Action {
+	c.actions = c.actions[:0]
+	c.advanceTime(now)
+	for i := range events {
+		c.apply(&events[i])
+	}
+	c.advanceDrain()
+	c.startCalls()
+	c.orderQueue()
+	c.startRuns()
+	c.enforceMemoryLimit()
+	if now >= c.nextTick {
+		c.tick()
+	}
+	c.releaseEnded()
+	return c.actions
+}
+
+// advanceTime integrates what is measured over time up to now.
+func (c *Controller) advanceTime(now int64) {
+	elapsed := float64(now - c.now)
+	c.calls.advanceTime(now, elapsed, &c.counts)
+	c.cores.advanceTime(elapsed, c.counts.running)
+	c.now = now
+}
+
+// apply records an event.
+func (c *Controller) apply(e *Event) {
+	switch e.Kind {
+	case Arrived:
+		c.handleArrival(e)
+	case DrainRequested:
+		c.startDrain(e.KillAt)
+	case TimerFired:
+		c.cores.observeGauges(e, c.now, c.counts.running, c.operations.shortestObjective)
+	case CallLimitSet:
+		c.calls.limit = e.CallLimit
+		c.calls.maxDuration = e.MaxCallTime
+	case OperationConfigured:
+		c.operations.configure(e.OperationIndex, e.Operation, e.Services)
+	case DegradationLevelSet:
+		c.setDegradationLevel(e.Services, e.UseSpareCapacity)
+	default:
+		c.applyToInvocation(e)
+	}
+}
+
+// applyToInvocation records an event of an invocation that has arrived. Once it has ended, the event came too late.
+func (c *Controller) applyToInvocation(e *Event) {
+	inv := &c.invocations[e.Invocation]
+	if inv.state == stateEnded {
+		return
+	}
+	switch e.Kind {
+	case CallerDisconnected:
+		c.observeWait(inv, true)
+		inv.answered = true
+		c.discard(e.Invocation)
+	case CallRequested:
+		c.setState(inv, stateAwaitingCall)
+	case CallEnded:
+		c.callEnded(inv, e.Outcome)
+	case RunEnded:
+		c.runEnded(e.Invocation, e.Outcome)
+	}
+}
+
+// tick does what is due at regular intervals.
+func (c *Controller) tick() {
+	c.nextTick = c.now + tickInterval
+	c.emit(setTimer(c.nextTick))
+	c.callers.updateWaitShare()
+	c.enforceDeadlines()
+	c.adjustConcurrencyLimit()
+	c.updateHealth()
+	c.updateBackpressure()
+}
+
+// releaseEnded gives the indices of ended invocations back to the host.
+func (c *Controller) releaseEnded() {
+	c.live = slices.DeleteFunc(c.live, func(i int32) bool {
+		ended := c.invocations[i].state == stateEnded
+		if ended {
+			c.emit(release(i))
+		}
+		return ended
+	})
+}
--- /dev/null
+++ b/internal/admission/drain.go
@@ -0,0 +1,89 @@
+package admission
+
+import (
+	"fmt"
+	"math"
+)
+
+const (
+	preDrainDelay    = 5 * second        // from the request to the end of intake
+	drainTimeout     = 20 * second       // from the end of intake to the deadline
+	killMargin       = 300 * millisecond // between the deadline and the kill, for a pause of the process
+	redirectLeadTime = 1 * second        // before the end of intake, for callers to be redirected
+)
+
+// drainState is the progress of a graceful shutdown: health turns bad at the request, intake ends after a delay that
+// lets callers notice, and the node exits once nothing is in flight, at the deadline at the latest.
+type drainState struct {
+	requestedAt     int64 // 0 before
+	intakeEnd       int64
+	deadline        int64
+	inFlightAtStart int
+	endedBefore     int // the request
+	finished        bool
+}
+
+func (d *drainState) requested() bool { return d.requestedAt != 0 }
+
+func (d *drainState) intakeEnded(now int64) bool { return d.requested() && now >= d.intakeEnd }
+
+// redirects says whether callers are to go to other nodes.
+func (d *drainState) redirects(now int64) bool {
+	return d.requested() && now >= d.intakeEnd-redirectLeadTime
+}
+
+// schedule sets the end of intake and the deadline, which a later request may advance but not defer. Both phases shrink
+// in proportion to fit before the kill, the first one only as far as the longest objective needs, so that callers
+// notice in time wherever possible.
+func (d *drainState) schedule(killAt, longestObjective, grace int64) {
+	available := max(0, killAt-killMargin-d.requestedAt)
+	scale := min(1, float64(available)/float64(preDrainDelay+drainTimeout))
+	delay := max(int64(scale*float64(preDrainDelay)), min(preDrainDelay, available-longestObjective))
+	d.intakeEnd = min(d.intakeEnd, d.requestedAt+min(delay, grace))
+	timeout := int64(scale * float64(drainTimeout))
+	d.deadline = min(d.deadline, d.requestedAt+available, d.intakeEnd+timeout)
+}
+
+// startDrain starts a drain, or advances one to an earlier kill.
+func (c *Controller) startDrain(killAt int64) {
+	if !c.drain.requested() {
+		c.drain = drainState{
+			requestedAt:     c.now,
+			intakeEnd:       math.MaxInt64,
+			deadline:        math.MaxInt64,
+			inFlightAtStart: c.counts.inFlight(),
+			endedBefore:     c.counts.ended,
+		}
+		c.nextTick = c.now
+		c.health.unhealthy = true
+		c.emit(reportHealth(false))
+	}
+	c.drain.schedule(killAt, c.operations.longestObjective, c.config.DrainGrace)
+}
+
+// advanceDrain stops intake, and finishes the drain once nothing is in flight. At the deadline the remainder fails.
+func (c *Controller) advanceDrain() {
+	if !c.drain.intakeEnded(c.now) || c.drain.finished {
+		return
+	}
+	c.emit(stopAccepting())
+	completed := c.counts.ended - c.drain.endedBefore
+	abandoned := 0
+	for _, i := range c.live {
+		inv := &c.invocations[i]
+		if inv.state == stateEnded || inv.answered {
+			continue
+		}
+		if c.now < c.drain.deadline {
+			return
+		}
+		abandoned++
+		c.drop(i, ReasonDraining)
+	}
+	c.drain.finished = true
+	c.emit(exit(c.drain.report(completed, abandoned)))
+}
+
+func (d *drainState) report(completed, abandoned int) string {
+	return fmt.Sprintf("drain: in flight at start %d, completed %d, abandoned %d", d.inFlightAtStart, completed, abandoned)
+}
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -31,11 +31,11 @@
 }
 
 // addInvocation adds an invocation that arrived now, in the given state, and returns it.
-func addInvocation(c *Controller, op int, s invocationState) *invocation {
-	c.invocations = append(c.invocations, invocation{operation: c.operations[op], tenant: -1, arrivedAt: c.now, baseWork: float64(100 * millisecond), workShare: 1, weightShare: 1,
-		deadline: c.now + c.operations[op].ClientTimeout, queuedKB: 10, started: s == stateRunning || s == stateAwaitingCall || s == stateCalling})
+func insertInvocation(c *Controller, op int, s invocationState) *invocation {
+	c.invocations = append(c.invocations, invocation{operation: c.operations.list[op], tenant: -1, arrivedAt: c.now, baseWork: float64(100 * millisecond), workShare: 1, weightShare: 1,
+		deadline: c.now + c.operations.list[op].ClientTimeout, queuedKB: 10, started: s == stateRunning || s == stateAwaitingCall || s == stateCalling})
 	c.live = append(c.live, int32(len(c.invocations)-1))
-	c.arrivedCount++
+	c.counts.arrived++
 	inv := &c.invocations[len(c.invocations)-1]
 	c.setState(inv, s)
 	return inv
--- a/internal/admission/levels_test.go
+++ b/internal/admission/levels_test.go
@@ -22,7 +22,7 @@
 func TestShedOperationIsRejectedOnArrivalWithRetryAfter(t *testing.T) {
 	c := newTestController()
 	applyLevel(c, false, shedService, Service{})
-	addInvocation(c, 1, stateQueued)
+	insertInvocation(c, 1, stateQueued)
 	e := arrivalEvent(0)
 	e.Invocation = 1
 	c.handleArrival(e)
@@ -33,9 +33,9 @@
 
 func TestLevelChangeRejectsQueuedShedInvocationsOnly(t *testing.T) {
 	c := newTestController()
-	addInvocation(c, 0, stateQueued)
-	addInvocation(c, 0, stateRunning)
-	addInvocation(c, 1, stateQueued)
+	insertInvocation(c, 0, stateQueued)
+	insertInvocation(c, 0, stateRunning)
+	insertInvocation(c, 1, stateQueued)
 	applyLevel(c, false, shedService, Service{})
 	assert.Equal(t, []invocationState{stateEnded, stateRunning, stateQueued}, []invocationState{c.invocations[0].state, c.invocations[1].state, c.invocations[2].state})
 	assert.Len(t, c.actions, 1)
@@ -49,7 +49,7 @@
 	e.Original = OriginalEnded
 	c.handleArrival(e)
 	assert.Equal(t, []ActionKind{JoinOriginal}, actionKinds(c))
-	addInvocation(c, 1, statePaused).started = true
+	insertInvocation(c, 1, statePaused).started = true
 	applyLevel(c, false, shedService, shedService)
 	assert.Len(t, c.actions, 1)
 }
@@ -59,12 +59,12 @@
 	applyLevel(c, false, Service{}, shedService)
 	c.handleArrival(arrivalEvent(1))
 	assert.Equal(t, []ActionKind{Reject}, actionKinds(c))
-	assert.Empty(t, c.deduplicationExpiries)
+	assert.Empty(t, c.memory.keyExpiries)
 }
 
 func TestReducedFormRunsCheaperAndRanksByItsWeight(t *testing.T) {
 	c := newTestController()
-	whole := c.remainingWork(addInvocation(c, 0, stateQueued))
+	whole := c.remainingWork(insertInvocation(c, 0, stateQueued))
 	applyLevel(c, false, reducedService, Service{})
 	c.orderQueue()
 	assert.InDelta(t, 0.4*whole, c.remainingWork(&c.invocations[0]), 1)
@@ -75,7 +75,7 @@
 
 func TestStartedInvocationIsNotReduced(t *testing.T) {
 	c := newTestController()
-	inv := addInvocation(c, 0, statePaused)
+	inv := insertInvocation(c, 0, statePaused)
 	inv.started = true
 	applyLevel(c, false, reducedService, Service{})
 	c.orderQueue()
@@ -86,7 +86,7 @@
 
 func TestLevelThatEndsBeforeTheStartLeavesTheCompleteForm(t *testing.T) {
 	c := newTestController()
-	addInvocation(c, 0, stateQueued)
+	insertInvocation(c, 0, stateQueued)
 	applyLevel(c, false, reducedService, Service{})
 	c.orderQueue()
 	c.setDegradationLevel(nil, false)
@@ -97,7 +97,7 @@
 
 func TestSpareCapacityServesReducedOperationsCompletely(t *testing.T) {
 	c := newTestController()
-	addInvocation(c, 0, stateQueued)
+	insertInvocation(c, 0, stateQueued)
 	applyLevel(c, true, reducedService, Service{})
 	c.orderQueue()
 	c.startRuns()
@@ -136,7 +136,7 @@
 	c.handleArrival(e)
 	var m LoadMetrics
 	c.MeasureLoad(&m)
-	assert.InDelta(t, float64(125*millisecond)/float64(demandWindow)/c.cores, m.DemandByOperation[0], 1e-9)
+	assert.InDelta(t, float64(125*millisecond)/float64(demandWindow)/c.cores.count, m.DemandByOperation[0], 1e-9)
 	c.now += 2 * demandWindow
 	c.MeasureLoad(&m)
 	assert.Zero(t, m.DemandByOperation[0], "a drop is seen within its span")
@@ -145,7 +145,7 @@
 func benchmarkDecide(b *testing.B, live int, level bool) {
 	c := newTestController(func(n *Config) { n.MemoryKB, n.MaxRetryAfter = 1e9, 0 })
 	for k := range live {
-		addInvocation(c, k%2, stateQueued).deadline = testStart * 1000
+		insertInvocation(c, k%2, stateQueued).deadline = testStart * 1000
 		c.invocations[k].arrivedAt = testStart * 900
 	}
 	if level {
@@ -154,7 +154,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		c.nextTick = c.now + tickInterval
-		c.runningCount = 100 // nothing starts
+		c.counts.running = 100 // nothing starts
 		c.Decide(c.now, nil)
 	}
 }
--- a/internal/admission/ramp_test.go
+++ b/internal/admission/ramp_test.go
@@ -47,8 +47,8 @@
 					Event{Kind: RunEnded, Invocation: i, Outcome: Succeeded})
 			}
 		}
-		for c.callsAwaited < 4 {
-			addInvocation(c, 0, stateAwaitingCall)
+		for c.counts.awaitingCall < 4 {
+			insertInvocation(c, 0, stateAwaitingCall)
 		}
 		for _, a := range c.Decide(f.now, events) {
 			if a.Kind == StartCall {
