--- a/internal/admission/arrival.go
+++ b/internal/admission/arrival.go
@@ -58,7 +58,7 @@
 func (c *Controller) observeArrival(inv *invocation, e *Event) {
 	c.callers.countArrival(e)
 	if !e.Retry {
-		inv.operation.demand.Add(c.now, inv.usualCoreTime()*c.slowdown())
+		inv.operation.demand.Add(c.now, inv.usualCoreTime()*c.health.slowdown())
 	}
 }
 
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -115,7 +115,10 @@
 
 // canDelay says whether an invocation is a run that ends within its objective also if it is delayed.
 func (c *Controller) canDelay(inv *invocation, delay float64) bool {
-	return inv.state == stateRunning && !inv.answered && c.expectedEnd(inv)+delay < c.objectiveEnd(inv)
+	if inv.state != stateRunning || inv.answered {
+		return false
+	}
+	return c.expectedEnd(inv, c.remainingWork(inv))+delay < c.objectiveEnd(inv)
 }
 
 // observeServiceTime learns from a run that ended. A run that failed early tells nothing of the usual cost.
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -13,26 +13,29 @@
 	return stats.NewRatioHistogram(ratioBins, ratioBinsPerOctave, maxSamples)
 }
 
-// slowdown is the ratio of present service times to the usual ones.
-func (c *Controller) slowdown() float64 { return c.health.slowdown() }
-
 // remainingWork is the core time that an invocation is expected still to take.
 func (c *Controller) remainingWork(inv *invocation) float64 {
-	expected := inv.usualCoreTime() * c.slowdown()
+	return inv.remainingWork(c.health.slowdown(), c.cores.clock)
+}
+
+// remainingWork is the core time that the invocation is expected still to take on a node with the given slowdown.
+func (inv *invocation) remainingWork(slowdown, coreClock float64) float64 {
+	expected := inv.usualCoreTime() * slowdown
 	spent := inv.coreTime
 	if inv.state == stateRunning {
-		spent += c.cores.clock - inv.runningSince
+		spent += coreClock - inv.runningSince
 	}
 	return max(expected-spent, minRemainingShare*expected)
 }
 
 // pendingWork is the core time that all invocations in a state are expected still to take.
 func (c *Controller) pendingWork(state invocationState) float64 {
+	slowdown := c.health.slowdown()
 	sum := 0.0
 	for _, i := range c.live {
 		inv := &c.invocations[i]
 		if inv.state == state {
-			sum += c.remainingWork(inv)
+			sum += inv.remainingWork(slowdown, c.cores.clock)
 		}
 	}
 	return sum
@@ -51,9 +54,9 @@
 	return perCall * c.calls.durations.Mean(0) * c.calls.durationUnit
 }
 
-// expectedEnd is when an invocation would end if it ran from now on.
-func (c *Controller) expectedEnd(inv *invocation) float64 {
-	end := float64(c.now) + c.remainingWork(inv)
+// expectedEnd is when an invocation with the given work left would end if it ran from now on.
+func (c *Controller) expectedEnd(inv *invocation, work float64) float64 {
+	end := float64(c.now) + work
 	if inv.operation.CallsDependency {
 		end += inv.operation.blockedTimes.Mean(0)*float64(inv.operation.LatencyObjective) + c.callWait()
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -33,24 +33,25 @@
 	remaining := c.queueOrder[:0]
 	for k, i := range c.queueOrder {
 		inv := &c.invocations[i]
-		end := c.expectedEnd(inv)
+		work := c.remainingWork(inv)
+		end := c.expectedEnd(inv, work)
 		startsNow := k == 0 && float64(c.counts.running) < c.cores.count
 		if !startsNow {
 			end += ahead / c.cores.available()
 		}
-		if c.isUnlikelyInTime(inv, end) {
+		if c.isUnlikelyInTime(inv, end, work) {
 			c.drop(i, unlikelyInTimeReason(inv))
 			continue
 		}
-		ahead += c.remainingWork(inv)
+		ahead += work
 		remaining = append(remaining, i)
 	}
 	c.queueOrder = remaining
 }
 
-// isUnlikelyInTime says whether an invocation with the given expected end is unlikely to be of value.
-func (c *Controller) isUnlikelyInTime(inv *invocation, end float64) bool {
-	typicalEnd := end - minRemainingShare*c.remainingWork(inv)
+// isUnlikelyInTime says whether an invocation with the given expected end and work is unlikely to be of value.
+func (c *Controller) isUnlikelyInTime(inv *invocation, end, work float64) bool {
+	typicalEnd := end - minRemainingShare*work
 	if typicalEnd <= c.objectiveEnd(inv) {
 		return false
 	}
@@ -67,19 +68,20 @@
 // updateRank sets the rank within the queue: the expected weight that a unit of core time yields.
 func (c *Controller) updateRank(inv *invocation) {
 	op := inv.operation
+	work := c.remainingWork(inv)
 	rank := op.PriorityWeight * inv.weightShare * c.tenantWeightShare(inv.tenant)
 	if !c.config.WeightScalesWithWork {
-		rank /= c.remainingWork(inv)
+		rank /= work
 	}
 	if op.service.Form == Shed && !inv.started {
 		rank *= spareCapacityRankFactor
 	}
-	inv.rank = rank * c.inTimeShare(inv)
+	inv.rank = rank * c.inTimeShare(inv, work)
 }
 
-// inTimeShare is the expected share of the weight, by the chance to end within the objective.
-func (c *Controller) inTimeShare(inv *invocation) float64 {
-	need := c.expectedEnd(inv) - float64(c.now)
+// inTimeShare is the expected share of the weight, by the chance to end within the objective with the given work left.
+func (c *Controller) inTimeShare(inv *invocation, work float64) float64 {
+	need := c.expectedEnd(inv, work) - float64(c.now)
 	slack := c.objectiveEnd(inv) - float64(c.now)
 	if need > slack {
 		return inv.operation.LateWeightShare
--- a/internal/stats/histogram.go
+++ b/internal/stats/histogram.go
@@ -7,7 +7,8 @@
 // RatioHistogram is a histogram of ratios whose bins are of equal factors around 1. Once it holds more than a
 // given number of samples, all counts are halved, so that recent samples dominate.
 type RatioHistogram struct {
-	bins          []float64
+	bins          []float64 // counts
+	middles       []float64 // the ratio in the middle of each bin
 	binsPerOctave float64
 	samples       float64
 	maxSamples    float64
@@ -17,26 +18,34 @@
 // NewRatioHistogram returns an empty histogram with the given number of bins, binsPerOctave of them to a factor
 // of two, that remembers about maxSamples samples.
 func NewRatioHistogram(bins int, binsPerOctave, maxSamples float64) RatioHistogram {
-	return RatioHistogram{
+	h := RatioHistogram{
 		bins:          make([]float64, bins),
+		middles:       make([]float64, bins),
 		binsPerOctave: binsPerOctave,
 		maxSamples:    maxSamples,
 	}
+	for bin := range h.middles {
+		h.middles[bin] = math.Exp2(float64(bin-bins/2) / binsPerOctave)
+	}
+	return h
 }
 
 // Add records one ratio. Ratios beyond the outermost bins are counted in these.
 func (h *RatioHistogram) Add(ratio float64) {
-	middle := len(h.bins) / 2
-	bin := int(math.Round(h.binsPerOctave*math.Log2(max(ratio, minRatio)))) + middle
-	bin = min(max(bin, 0), len(h.bins)-1)
+	bin := h.binOf(ratio)
 	h.bins[bin]++
-	h.sum += math.Exp2(float64(bin-middle) / h.binsPerOctave)
+	h.sum += h.middles[bin]
 	h.samples++
 	if h.samples > h.maxSamples {
 		h.decay()
 	}
 }
 
+func (h *RatioHistogram) binOf(ratio float64) int {
+	offset := int(math.Round(h.binsPerOctave * math.Log2(max(ratio, minRatio))))
+	return min(max(offset+len(h.bins)/2, 0), len(h.bins)-1)
+}
+
 func (h *RatioHistogram) decay() {
 	halve(h.bins)
 	h.samples /= 2
