--- /dev/null
+++ b/internal/admission/callers_test.go
@@ -0,0 +1,22 @@
+package admission
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// The cost of a tick is that of recent tenants, not of all that are configured.
+func TestTickVisitsOnlyRecentTenants(t *testing.T) {
+	for _, tenants := range []int{0, 1_000, 130_000} {
+		c := newTestController(func(n *Config) { n.TenantRates = make([]float64, tenants) })
+		for k := range int32(40) {
+			c.Decide(c.now, []Event{{Kind: Arrived, Invocation: k, Tenant: min(k, int32(tenants)) - 1, Original: NoOriginal, QueuedKB: 1}})
+		}
+		assert.Len(t, c.callers.byTenant.Counts(), min(40, tenants+1))
+		for range 2_100 { // ticks without arrivals
+			c.updateBackpressure()
+		}
+		assert.Empty(t, c.callers.byTenant.Counts(), "removed once they make no difference")
+	}
+}
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -137,3 +137,19 @@
 	fmt.Fprintf(print, " Arrivals:%v Echoes:%v Throttled:%v Callers:%v", s.Arrivals, s.Retries, s.Rejected, s.Callers)
 	fmt.Fprintf(print, " Memory:%v AllFull:%v Unhealthy:%v Free:%v}", s.Memory, s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
+
+// The services of degradation levels in tests.
+var (
+	shedService    = Service{Form: Shed}
+	reducedService = Service{Form: Reduced, WorkShare: 0.4, WeightShare: 0.7}
+)
+
+// applyLevel applies a degradation level.
+func applyLevel(c *Controller, useSpareCapacity bool, services ...Service) {
+	c.setDegradationLevel(services, useSpareCapacity)
+}
+
+// arrivalEvent is the arrival of invocation 0 of an operation.
+func arrivalEvent(operation int32) *Event {
+	return &Event{Kind: Arrived, OperationIndex: operation, Tenant: -1, Original: NoOriginal, QueuedKB: 10}
+}
