--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -51,6 +51,12 @@
 	}
 }
 
+// setLimit sets the limits of a lease.
+func (d *dependencyCalls) setLimit(limit int, maxDuration int64) {
+	d.limit = limit
+	d.maxDuration = maxDuration
+}
+
 // advanceTime counts the calls in flight towards the quota, up to now.
 func (d *dependencyCalls) advanceTime(now int64, elapsed float64, counts *invocationCounts) {
 	d.meanBlocked += (float64(counts.blocked()) - d.meanBlocked) * min(1, elapsed/meanBlockedWindow)
@@ -62,6 +68,16 @@
 	d.quotaUsed.Add(now, float64(config.AbandonedCallTime))
 }
 
+// observe learns from a call that ended.
+func (d *dependencyCalls) observe(duration float64, outcome Outcome) {
+	d.durations.Add(duration / d.durationUnit)
+	if outcome == Succeeded {
+		d.failures.Add(0)
+	} else {
+		d.failures.Add(1)
+	}
+}
+
 // usualDuration is the usual duration of a call (ns), 0 before the first one.
 func (d *dependencyCalls) usualDuration() float64 { return d.durations.Mean(0) * d.durationUnit }
 
@@ -183,15 +199,13 @@
 // retries make up for lost replies, and add load where a dependency fails because of its load.
 func (c *Controller) callEnded(inv *invocation, outcome Outcome) {
 	duration := float64(c.now - inv.callStartedAt)
-	c.calls.durations.Add(duration / c.calls.durationUnit)
+	c.calls.observe(duration, outcome)
 	if outcome == Succeeded {
 		inv.operation.blockedTimes.Add(duration / float64(inv.operation.LatencyObjective))
-		c.calls.failures.Add(0)
 		inv.callAttempts = 0
 		c.setState(inv, stateRunning)
 		return
 	}
-	c.calls.failures.Add(1)
 	c.setState(inv, stateAwaitingCall)
 	if outcome != Overloaded && outcome != Unreachable {
 		inv.callAttempts += unprovenAttempts(inv.operation.Idempotency)
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -35,6 +35,9 @@
 	l.limit = max(c.cores.count, min(l.limit, c.maxSafeConcurrency()))
 }
 
+// countCompleted counts the usual core time of a completed run towards throughput.
+func (l *concurrencyLimit) countCompleted(coreTime float64) { l.completedWork += coreTime }
+
 // compareThroughput ends a window: it backs off where throughput was lower than at a lower limit.
 func (l *concurrencyLimit) compareThroughput(now int64, minLimit float64, limited bool) {
 	throughput := l.completedWork / float64(now-l.windowStart)
@@ -122,13 +125,13 @@
 	return c.expectedEnd(inv, c.remainingWork(inv))+delay < c.objectiveEnd(inv)
 }
 
-// observeServiceTime learns from a run that ended. A run that failed early tells nothing of the usual cost.
+// observeServiceTime learns from a run that ended. The cost of one that failed early is not typical.
 func (c *Controller) observeServiceTime(inv *invocation, outcome Outcome) {
 	usual := inv.usualCoreTime()
 	if outcome != Succeeded && inv.coreTime <= usual {
 		return
 	}
-	c.health.serviceTimeRatio.Add(inv.coreTime / usual)
+	c.health.observeServiceTime(inv.coreTime / usual)
 	inv.operation.serviceTimes.Add(inv.coreTime / (inv.baseWork * inv.workShare))
-	c.concurrency.completedWork += usual
+	c.concurrency.countCompleted(usual)
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -103,8 +103,7 @@
 	case TimerFired:
 		c.cores.observeGauges(e, c.now, c.counts.running, c.operations.shortestObjective)
 	case CallLimitSet:
-		c.calls.limit = e.CallLimit
-		c.calls.maxDuration = e.MaxCallTime
+		c.calls.setLimit(e.CallLimit, e.MaxCallTime)
 	case OperationConfigured:
 		c.operations.configure(e.OperationIndex, e.Operation, e.Services)
 	case DegradationLevelSet:
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -23,11 +23,14 @@
 // slowdown is the ratio of present service times to the usual ones.
 func (h *nodeHealth) slowdown() float64 { return max(h.serviceTimeRatio.Mean(1), h.stallRatio) }
 
+// observeServiceTime learns from a run, given its service time over the usual one.
+func (h *nodeHealth) observeServiceTime(ratio float64) { h.serviceTimeRatio.Add(ratio) }
+
 // updateHealth reports the node unhealthy in a drain and while it is slower than usual, and a change of that. Load alone
 // does not count: if full nodes were unhealthy, none would be left.
 func (c *Controller) updateHealth() {
 	if c.counts.running == 0 {
-		c.health.serviceTimeRatio.Add(1) // an unhealthy node gets no work that would show its recovery
+		c.health.observeServiceTime(1) // an unhealthy node gets no work that would show its recovery
 	}
 	c.health.stallRatio = c.minStallRatio()
 	wasUnhealthy := c.health.unhealthy
--- a/internal/admission/invocation.go
+++ b/internal/admission/invocation.go
@@ -92,7 +92,7 @@
 		return
 	}
 	c.counts.add(inv.state, delta)
-	c.memory.invocationsKB += float64(delta) * c.invocationKB(inv)
+	c.memory.addInvocations(delta, c.invocationKB(inv))
 }
 
 func (c *Controller) end(i int32) {
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -14,6 +14,11 @@
 	keyExpiries   []int64 // of recorded keys
 }
 
+// addInvocations adds a number of invocations of a size, or removes them where it is negative.
+func (m *memoryUsage) addInvocations(count int, sizeKB float64) {
+	m.invocationsKB += float64(count) * sizeKB
+}
+
 // deduplicationKB is the size of the deduplication table.
 func (c *Controller) deduplicationKB() float64 {
 	return float64(len(c.memory.keyExpiries)) * c.config.DeduplicationEntryKB
