--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -8,6 +8,11 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
+const (
+	idleTrust = 100 * ms // ns of standing idle past which a link to the catalogue is left: it may be forgotten there
+	idleMost  = 8        // links to the catalogue that may stand idle: those of a burst are not kept
+)
+
 // catalogueLink is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
 // is that call, and the link goes with it. Does harm, as each call in hand needs a descriptor, where there are few.
 type catalogueLink struct {
--- /dev/null
+++ b/internal/node/counters.go
@@ -0,0 +1,23 @@
+package node
+
+// Counters are what an operator may want to see of a node's life.
+type Counters struct {
+	Invocations       int `json:"invocations"`
+	Succeeded         int `json:"succeeded"`
+	Throttled         int `json:"throttled"`
+	Errored           int `json:"errored"`
+	CallersGone       int `json:"gone"`
+	BrokenInvocations int `json:"broken_invocations"`
+	BrokenConnections int `json:"broken_connections"`
+	ExecutorLinks     int `json:"executor_links"`
+	CatalogueLinks    int `json:"catalogue_links"`
+	UnmatchedReplies  int `json:"stray_replies"`
+	Evicted           int `json:"evicted"`
+	Idle              int `json:"idle"`
+	Reports           int `json:"reports"`
+	ReportsFailed     int `json:"reports_failed"`
+	Inherited         int `json:"inherited"`
+	InheritedGivenUp  int `json:"inherited_given_up"`
+	Versions          int `json:"versions"`
+	VersionsRefused   int `json:"versions_refused"`
+}
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -11,6 +11,25 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
+const (
+	redialFirst = 2 * ms     // ns to the first new try at a link that ended
+	redialMost  = 500 * ms   // ns to any further try
+	silentMost  = 2_000 * ms // ns without a line of the executor, asked for gauges each beat, past which its link is opened anew
+	commandMost = 65_536     // commands not known to be read: two for each invocation that connections can hold
+)
+
+// command is one that the executor may not have read.
+type command struct {
+	seq   int
+	index int32
+	call  string
+	bytes []byte
+}
+
+var ends = map[string]admission.Outcome{
+	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
+}
+
 // executorConnected starts on a new link. It is told of nothing more before its welcome: an executor that is not up yet
 // carries out no command, that for the gauges included.
 func (sm *StateMachine) executorConnected(link int) {
@@ -23,69 +42,6 @@
 	sm.sendToExecutor("JOIN", strconv.Itoa(sm.lastNotice))
 }
 
-func (sm *StateMachine) syncTag() string { return "j" + strconv.Itoa(sm.executorLink) }
-
-// sendToExecutor writes a command that is worth nothing on a later link.
-func (sm *StateMachine) sendToExecutor(words ...string) {
-	sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: lineprotocol.Append(nil, words...)})
-}
-
-// sendCommand writes a command that must be read; it is kept until the executor is known to have read it.
-func (sm *StateMachine) sendCommand(i int32, bytes []byte) {
-	sm.commandSequence++
-	sm.unreadCommands = append(sm.unreadCommands, command{sm.commandSequence, i, sm.invocations[i].call, bytes})
-	sm.Invariants.Check(len(sm.unreadCommands) <= commandMost, "commands not known to be read are bounded")
-	if sm.executorSynced {
-		sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: bytes})
-	}
-}
-
-// acknowledgeCommands drops the commands that are known to have been read.
-func (sm *StateMachine) acknowledgeCommands(read func(c *command) bool) {
-	kept := sm.unreadCommands[:0]
-	for i := range sm.unreadCommands {
-		if !read(&sm.unreadCommands[i]) {
-			kept = append(kept, sm.unreadCommands[i])
-		}
-	}
-	clear(sm.unreadCommands[len(kept):])
-	sm.unreadCommands = kept
-}
-
-// requestGauges asks for the gauges with the number of the last command: the answer proves that it was read. Until
-// the missed notices are known to be in it asks for that, again and again: one that is refused would else keep
-// every command back.
-func (sm *StateMachine) requestGauges() {
-	tag := sm.syncTag()
-	if sm.executorSynced {
-		tag, sm.gaugesSequence = "m"+strconv.Itoa(sm.commandSequence), sm.commandSequence
-	}
-	sm.sendToExecutor("METER", tag)
-}
-
-// requestProof asks for the gauges behind new commands, so that at a break only those of the last round trip are in
-// doubt. Guards against a reply to a call told twice, which a run at its next call would take for that one's.
-func (sm *StateMachine) requestProof() {
-	if sm.executorSynced && sm.commandSequence > sm.gaugesSequence {
-		sm.requestGauges()
-	}
-}
-
-func (sm *StateMachine) startRun(i int32, form admission.Form) {
-	v := &sm.invocations[i]
-	if sm.Invariants.Check(v.live && !v.answered, "no run after an answer") {
-		if v.tokenKey.Token != "" && !v.inCache {
-			v.runForm = form
-			sm.startTokenRun(i)
-			return
-		}
-		class, level := sm.formFor(v.op, form)
-		v.form = level
-		sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.call, class))
-		v.body = nil
-	}
-}
-
 func (sm *StateMachine) applyExecutorInput(in *Input) {
 	if in.Kind == ExecutorDisconnected {
 		sm.log(Info, "executor link ended", "", in.Err)
@@ -171,40 +127,42 @@
 	sm.log(Info, "executor is up, serving", words[1], nil)
 }
 
-func (sm *StateMachine) applyGauges(words []string) error {
-	tag := words[1]
-	for k, name := range sm.config.Gauges {
-		v, err := strconv.ParseFloat(words[2+k], 64)
-		if err != nil {
-			return fmt.Errorf("gauge %s: %w", name, err)
-		}
-		switch name {
-		case "cpu_busy":
-			sm.busyShare = v
-		case "runnable":
-			sm.runnableThreads = v
+// runExited answers with what the run came to, if that is still owed.
+func (sm *StateMachine) runExited(words []string, body []byte) error {
+	outcome, known := ends[words[3]]
+	if !known {
+		return fmt.Errorf("end %q", words[3])
+	}
+	i, v := sm.findInvocation(words[2])
+	if v == nil { // given up and forgotten before it ended, or begun by an earlier life of this node
+		if outcome <= admission.Errored {
+			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: words[2], Outcome: uint8(outcome), Result: body})
 		}
+		return nil
 	}
-	if sm.gaugesReceivedAt = sm.now; sm.controller != nil && sm.executorSynced {
-		sm.events = append(sm.events, admission.Event{Kind: admission.TimerFired, BusyShare: sm.busyShare, RunnableThreads: sm.runnableThreads})
+	sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
+	if v.inCache {
+		sm.tokenRunEnded(i, outcome, body)
+		return nil
 	}
-	if tag == sm.syncTag() && !sm.executorSynced {
-		sm.executorSynced, sm.gaugesSequence = true, 0
-		for i := range sm.unreadCommands {
-			if c := &sm.unreadCommands[i]; sm.isCurrent(c) {
-				sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: c.bytes})
-			}
+	if !v.answered {
+		if outcome == admission.Succeeded {
+			sm.succeed(i, body)
+		} else {
+			sm.fail(i)
 		}
-	} else if seq, err := strconv.Atoi(tag[1:]); tag[0] == 'm' && err == nil {
-		sm.redialBackoff = redialFirst // the link has lived for some beats
-		sm.acknowledgeCommands(func(c *command) bool { return c.seq <= seq })
 	}
+	sm.events = append(sm.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 	return nil
 }
 
-func (sm *StateMachine) isCurrent(c *command) bool {
-	v := &sm.invocations[c.index]
-	return v.live && (!v.answered || v.abandoned) && v.call == c.call
+func (sm *StateMachine) callRequested(call string, body []byte) {
+	if i, v := sm.findInvocation(call); v != nil {
+		sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
+		v.wanted = body
+		sm.leases.at = sm.now // it is a need for one more
+		sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
+	}
 }
 
 // commandRefused ends a run that could not start: nothing ran, and the connection that brought it is at fault. A
@@ -227,44 +185,86 @@
 	}
 }
 
-var ends = map[string]admission.Outcome{
-	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
+func (sm *StateMachine) syncTag() string { return "j" + strconv.Itoa(sm.executorLink) }
+
+// sendToExecutor writes a command that is worth nothing on a later link.
+func (sm *StateMachine) sendToExecutor(words ...string) {
+	sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: lineprotocol.Append(nil, words...)})
 }
 
-// runExited answers with what the run came to, if that is still owed.
-func (sm *StateMachine) runExited(words []string, body []byte) error {
-	outcome, known := ends[words[3]]
-	if !known {
-		return fmt.Errorf("end %q", words[3])
+// sendCommand writes a command that must be read; it is kept until the executor is known to have read it.
+func (sm *StateMachine) sendCommand(i int32, bytes []byte) {
+	sm.commandSequence++
+	sm.unreadCommands = append(sm.unreadCommands, command{sm.commandSequence, i, sm.invocations[i].call, bytes})
+	sm.Invariants.Check(len(sm.unreadCommands) <= commandMost, "commands not known to be read are bounded")
+	if sm.executorSynced {
+		sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: bytes})
 	}
-	i, v := sm.findInvocation(words[2])
-	if v == nil { // given up and forgotten before it ended, or begun by an earlier life of this node
-		if outcome <= admission.Errored {
-			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: words[2], Outcome: uint8(outcome), Result: body})
+}
+
+func (sm *StateMachine) isCurrent(c *command) bool {
+	v := &sm.invocations[c.index]
+	return v.live && (!v.answered || v.abandoned) && v.call == c.call
+}
+
+// acknowledgeCommands drops the commands that are known to have been read.
+func (sm *StateMachine) acknowledgeCommands(read func(c *command) bool) {
+	kept := sm.unreadCommands[:0]
+	for i := range sm.unreadCommands {
+		if !read(&sm.unreadCommands[i]) {
+			kept = append(kept, sm.unreadCommands[i])
 		}
-		return nil
 	}
-	sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
-	if v.inCache {
-		sm.tokenRunEnded(i, outcome, body)
-		return nil
+	clear(sm.unreadCommands[len(kept):])
+	sm.unreadCommands = kept
+}
+
+// requestGauges asks for the gauges with the number of the last command: the answer proves that it was read. Until
+// the missed notices are known to be in it asks for that, again and again: one that is refused would else keep
+// every command back.
+func (sm *StateMachine) requestGauges() {
+	tag := sm.syncTag()
+	if sm.executorSynced {
+		tag, sm.gaugesSequence = "m"+strconv.Itoa(sm.commandSequence), sm.commandSequence
 	}
-	if !v.answered {
-		if outcome == admission.Succeeded {
-			sm.succeed(i, body)
-		} else {
-			sm.fail(i)
-		}
+	sm.sendToExecutor("METER", tag)
+}
+
+// requestProof asks for the gauges behind new commands, so that at a break only those of the last round trip are in
+// doubt. Guards against a reply to a call told twice, which a run at its next call would take for that one's.
+func (sm *StateMachine) requestProof() {
+	if sm.executorSynced && sm.commandSequence > sm.gaugesSequence {
+		sm.requestGauges()
 	}
-	sm.events = append(sm.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
-	return nil
 }
 
-func (sm *StateMachine) callRequested(call string, body []byte) {
-	if i, v := sm.findInvocation(call); v != nil {
-		sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
-		v.wanted = body
-		sm.leases.at = sm.now // it is a need for one more
-		sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
+func (sm *StateMachine) applyGauges(words []string) error {
+	tag := words[1]
+	for k, name := range sm.config.Gauges {
+		v, err := strconv.ParseFloat(words[2+k], 64)
+		if err != nil {
+			return fmt.Errorf("gauge %s: %w", name, err)
+		}
+		switch name {
+		case "cpu_busy":
+			sm.busyShare = v
+		case "runnable":
+			sm.runnableThreads = v
+		}
 	}
+	if sm.gaugesReceivedAt = sm.now; sm.controller != nil && sm.executorSynced {
+		sm.events = append(sm.events, admission.Event{Kind: admission.TimerFired, BusyShare: sm.busyShare, RunnableThreads: sm.runnableThreads})
+	}
+	if tag == sm.syncTag() && !sm.executorSynced {
+		sm.executorSynced, sm.gaugesSequence = true, 0
+		for i := range sm.unreadCommands {
+			if c := &sm.unreadCommands[i]; sm.isCurrent(c) {
+				sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: c.bytes})
+			}
+		}
+	} else if seq, err := strconv.Atoi(tag[1:]); tag[0] == 'm' && err == nil {
+		sm.redialBackoff = redialFirst // the link has lived for some beats
+		sm.acknowledgeCommands(func(c *command) bool { return c.seq <= seq })
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/node/healthchecks.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+
+	"topazpost/internal/protocol/frame"
+)
+
+const (
+	diagWait = 900 * ms // ns that a deep check may take: dispatchers wait little longer
+)
+
+// check is a deep health check that the executor works on.
+type check struct {
+	conn   int
+	stream uint32
+	until  int64
+}
+
+// healthCheckReceived answers a health healthCheckReceived from store, or has the executor do its work where the module leaves that.
+func (sm *StateMachine) healthCheckReceived(link int, c *connection, f *frame.Frame) {
+	fields, _, err := frame.Fields(f.Payload)
+	deep := false
+	for _, field := range fields {
+		deep = deep || field.Name == "e2e" && field.Value == "1"
+	}
+	if err != nil || f.Past {
+		sm.log(Warn, "health check can't be read", "", err)
+	} else {
+		c.usable, c.used = true, sm.now
+	}
+	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executorLink != 0 && len(sm.deepChecks) < streamsOpen {
+		sm.deepChecksStarted++
+		tag := "d" + strconv.Itoa(sm.deepChecksStarted)
+		sm.deepChecks[tag] = check{link, f.Stream, sm.now + diagWait}
+		c.checks++
+		sm.closeIfIdle(link, c)
+		sm.sendToExecutor("DIAG", tag)
+		return
+	}
+	sm.answerHealthCheck(link, f.Stream, sm.controller != nil && sm.healthy)
+}
+
+func (sm *StateMachine) answerHealthCheck(link int, stream uint32, good bool) {
+	code := byte(frame.Bad)
+	if good {
+		code = frame.Good
+	}
+	sm.emit(Effect{Kind: SendToConnection, Link: link,
+		Bytes: frame.Head(nil, frame.Checked, stream, code, sm.withBackpressure(nil), 0)})
+}
+
+// deepCheckFinished answers the check that a deep one was for.
+func (sm *StateMachine) deepCheckFinished(tag string, good bool) {
+	d, ok := sm.deepChecks[tag]
+	if !ok {
+		return
+	}
+	delete(sm.deepChecks, tag)
+	if c := sm.connections[d.conn]; c != nil {
+		c.checks--
+		sm.answerHealthCheck(d.conn, d.stream, good && sm.healthy)
+		sm.touchConnection(d.conn, c)
+	}
+}
+
+func (sm *StateMachine) expireDeepChecks() {
+	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
+		if sm.now >= sm.deepChecks[tag].until {
+			sm.deepCheckFinished(tag, false)
+		}
+	}
+}
+
+func (sm *StateMachine) deepChecksDue() int64 {
+	at := int64(never)
+	for _, d := range sm.deepChecks {
+		at = min(at, d.until)
+	}
+	return at
+}
--- /dev/null
+++ b/internal/node/machine.go
@@ -0,0 +1,294 @@
+// Package node holds the one state of a real node. Step takes what happened and returns what is to be
+// done; it has no goroutine, no socket and no clock. All that it decides by is package control.
+package node
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/invariant"
+	"topazpost/internal/nodeconfig"
+	"topazpost/internal/timerwheel"
+)
+
+const (
+	ms    = int64(1_000_000) // ns in a millisecond
+	never = math.MaxInt64
+)
+
+// Decider is what decides about invocations: control.Post, or a baseline of the laboratory.
+type Decider interface {
+	Decide(now int64, events []admission.Event) []admission.Action
+	State() admission.ControllerState
+	MeasureLoad(m *admission.LoadMetrics)
+}
+
+// StateMachine is the state of one node.
+type StateMachine struct {
+	Invariants       invariant.Checker
+	Counters         Counters
+	Decisions        func(config *admission.Config, born int64) Decider // made once the executor is up
+	SpareConnections int                                                // connections that may be kept beside the most, while they end
+
+	config            *nodeconfig.Config
+	drainTime         int64 // ns from the notice to the kill
+	maxConnections    int
+	maxCatalogueLinks int
+	controller        Decider
+	now               int64
+	startedAt         int64 // when the first step was; no call was made before it in this life
+	wall              int64 // Unix ns at now
+	effects           []Effect
+	events            []admission.Event
+
+	invocations        []invocation
+	freeIndices        []int32
+	indexByCall        map[string]int32
+	connections        map[int]*connection
+	idleWheel          *timerwheel.Wheel // when each connection that may bring more is looked at, in ms; nil before the first step
+	closingWheel       *timerwheel.Wheel // the same of those that were told to bring no more
+	overdueConnections []int             // connections to be looked at that were too many for one step
+	connectionsChecked int               // connections that were looked at so far
+	owedAnswers        int               // invocations that are owed an answer
+
+	timerAt, gaugesAt          int64
+	executorHeardAt            int64 // when the executor's link last brought a line
+	sweepAt                    int64
+	overdueAt                  int64 // when the next of due are looked at
+	busyShare, runnableThreads float64
+	gaugesReceivedAt           int64 // when the gauges came
+
+	healthy, healthCached bool
+	backpressure          string // what answers carry, empty before the first advice
+
+	addresses                       Addresses
+	lastLink                        int // the highest number given to a link or a report
+	executorLink, welcomedLink      int // to the executor, 0 where there is none; the last that was welcomed
+	dialingLink                     int // the link to the executor that is being opened, 0 where none is
+	executorSynced                  bool
+	lastNotice                      int // the last that was taken
+	commandSequence, gaugesSequence int // of the last command, and of the last that gauges were asked for behind
+	unreadCommands                  []command
+	redialAt, redialBackoff         int64
+	deepChecks                      map[string]check
+	deepChecksStarted               int
+
+	catalogueLinks                        []catalogueLink // links to the catalogue
+	waitingCalls                          []int32         // invocations whose call has no link yet
+	reportAt                              int64
+	reportLink                            int // the report that is under way, 0 where none is
+	drainRequested, acceptStopped, exited bool
+	listenerClosed                        bool  // nobody connects any more
+	killAt                                int64 // when the process is killed, once noticed
+
+	degradation degradationState
+	fleet       fleetState
+	results     resultState
+	claiming    claimState
+	leases      leaseState
+	hollow      hollowState
+	versions    versionState
+
+	configSync configSyncState
+
+	deferredEvents  []admission.Event          // what the module is told in the next step: it was deciding
+	decided         bool                       // the module has decided in this step, or had nothing to decide
+	stateAt         int64                      // when the next sample of the state is due
+	givenUpByReason [admission.ReasonCount]int // invocations given up by reason since the last one
+	lastCounters    Counters                   // the counters at the last one
+}
+
+// NewStateMachine is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
+// on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
+func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
+	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, maxCatalogueLinks: links, indexByCall: map[string]int32{},
+		connections: map[int]*connection{}, deepChecks: map[string]check{}, timerAt: never, gaugesAt: never,
+		gaugesReceivedAt: math.MinInt64 / 2, redialBackoff: redialFirst,
+		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
+	r.Invariants.Tell = func(what string, times int) {
+		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
+	}
+	return r
+}
+
+// onSockets leaves out of the settings what the protocol on sockets has no word for: to stop a run, to go on without a
+// call, to share the answer of a read. Records of tokens lie in the node's own memory there, not in the executor's.
+func onSockets(settings *nodeconfig.Config) *nodeconfig.Config {
+	own := *settings
+	n := &own.Node
+	n.DeduplicationEntryKB, n.StopSupport, n.ReadReuseWindow, n.Operations = 0, admission.StopUnsupported, 0, slices.Clone(n.Operations)
+	for i := range n.Operations {
+		n.Operations[i].SkippedCallWeightShare = 0
+	}
+	return &own
+}
+
+// Step takes what happened up to now, a clock that only advances, with wall its time in Unix nanoseconds. The
+// effects are valid until the next step.
+func (sm *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
+	if sm.idleWheel == nil {
+		sm.startedAt, sm.idleWheel, sm.closingWheel = now, timerwheel.New(now/ms), timerwheel.New(now/ms)
+	}
+	sm.now, sm.wall, sm.effects, sm.events = now, wall, sm.effects[:0], append(sm.events[:0], sm.deferredEvents...)
+	sm.deferredEvents, sm.decided = sm.deferredEvents[:0], false
+	for i := range inputs {
+		if inputs[i].Kind != ConnectionOpened {
+			sm.apply(&inputs[i])
+		}
+	}
+	for i := range inputs { // last, so that none makes room at one that just brought an invocation
+		if inputs[i].Kind == ConnectionOpened {
+			sm.connectionOpened(inputs[i].Link)
+		}
+	}
+	sm.runTimers()
+	sm.expireLease()
+	sm.applyVersions()
+	sm.applyPendingConfig()
+	sm.decided = true // what the module is told from here on is for the next step
+	if sm.controller != nil && len(sm.events) > 0 {
+		for _, a := range sm.controller.Decide(now, sm.events) {
+			sm.execute(&a)
+		}
+	}
+	sm.expireResults()
+	sm.stepLeases()
+	sm.stepClaims()
+	sm.requestProof()
+	sm.sampleState()
+	sm.stepConfigSync()
+	sm.stepMembership()
+	sm.finishDrain()
+	wake := sm.nextWakeup()
+	sm.Invariants.Check(wake > now, "the next wake lies ahead")
+	sm.emit(Effect{Kind: SetWakeup, At: wake})
+	return sm.effects
+}
+
+func (sm *StateMachine) apply(in *Input) {
+	switch in.Kind {
+	case FrameReceived, FrameMalformed, ConnectionClosed:
+		if c := sm.connections[in.Link]; c != nil {
+			sm.applyDispatcherInput(in, c)
+		}
+	case ExecutorConnected:
+		sm.executorConnected(in.Link)
+	case ExecutorLineReceived, ExecutorDisconnected:
+		if in.Link == sm.executorLink || in.Kind == ExecutorDisconnected && in.Link == sm.dialingLink { // the latter: it could not be had
+			sm.applyExecutorInput(in)
+		}
+	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
+		sm.applyCatalogueInput(in)
+	case ReportFinished:
+		if in.Link == sm.reportLink {
+			sm.reportFinished(in.Err)
+		}
+	case RecordsRecovered, RecordWritten, RecordWriteFailed, RecoveryCompleted:
+		sm.applyStoreInput(in)
+	case PeerDatagramReceived, PeerRequestReceived, PeerResponseReceived, PeerExchangeFailed:
+		sm.applyPeerInput(in)
+	case PeerMessageReceived, PeerStreamClosed:
+		sm.applyStreamMessage(in)
+	case VersionPersisted:
+		sm.configPersisted(in)
+	case ReplicaWritePersisted:
+		sm.claiming.heard = append(sm.claiming.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
+	case HollowClaimRequested, HollowCallsRequested:
+		sm.applyLoadRequest(in)
+	case ListenerClosed:
+		sm.listenerClosed = true
+	case DrainRequested:
+		sm.startDrain()
+	case AbortRequested:
+		sm.startDrain()
+		sm.abortDrain()
+	case ReloadRequested:
+		sm.applyAddresses(in.Addresses)
+		sm.applyPlan(in.Plan)
+	case PlanChanged:
+		sm.applyPlan(in.Plan)
+	case VersionReceived:
+		sm.queueVersion(in)
+	}
+}
+
+// execute does what the module asks for.
+func (sm *StateMachine) execute(a *admission.Action) {
+	switch a.Kind {
+	case admission.Run:
+		sm.startRun(a.Invocation, a.Form)
+	case admission.Reject:
+		sm.givenUpByReason[a.Reason]++
+		sm.degradation.count(false, false, a.Reason)
+		sm.reject(a)
+	case admission.Fail:
+		sm.givenUpByReason[a.Reason]++
+		sm.fail(a.Invocation)
+	case admission.StartCall:
+		sm.callDependency(a.Invocation, a.At)
+	case admission.ReportHealth:
+		sm.healthy, sm.healthCached = a.Healthy, a.Cached
+	case admission.SignalBackpressure:
+		sm.backpressure = number(a.Value)
+	case admission.SetTimer:
+		sm.timerAt, sm.gaugesAt = a.At, a.At-meterLead
+	case admission.StopAccepting:
+		sm.stopAccepting()
+	case admission.Exit:
+		sm.exited = true
+		sm.log(Info, a.Report, "", nil)
+	case admission.JoinOriginal:
+		sm.joinOriginal(a.Invocation)
+	case admission.RecordKey:
+		sm.invocations[a.Invocation].tokenExpiresAt = sm.now + a.Duration + sm.invocations[a.Invocation].terms.late
+	case admission.Release:
+		sm.releaseInvocation(a.Invocation)
+	default:
+		sm.Invariants.Check(false, "an action that this site allows")
+	}
+}
+
+// notifyController tells the module of something, in the next step if it has decided in this one.
+func (sm *StateMachine) notifyController(e admission.Event) {
+	if sm.hollow.on {
+		return // it has none
+	}
+	if sm.decided {
+		sm.deferredEvents = append(sm.deferredEvents, e)
+	} else {
+		sm.events = append(sm.events, e)
+	}
+}
+
+func (sm *StateMachine) emit(e Effect) { sm.effects = append(sm.effects, e) }
+
+func (sm *StateMachine) log(level LogLevel, text, id string, err error) {
+	sm.emit(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
+}
+
+func (sm *StateMachine) nextLink() int {
+	sm.lastLink++
+	return sm.lastLink
+}
+
+// applyAddresses goes on at the peers' new addresses at once: the old ones take nothing new and close what is open there
+// soon. What a peer's old address has in hand is heard to its end where that does no harm.
+func (sm *StateMachine) applyAddresses(to Addresses) {
+	from := sm.addresses
+	sm.addresses = to
+	if to.Executor != from.Executor { // the next join brings all that was not heard on this link
+		sm.emit(Effect{Kind: CloseExecutor, Link: max(sm.executorLink, sm.dialingLink)})
+		sm.disconnectExecutor()
+		sm.redialAt, sm.redialBackoff = sm.now, redialFirst
+	}
+	if to.Catalogue != from.Catalogue {
+		sm.redialCatalogue()
+	}
+	if to.Control != from.Control {
+		sm.reportLink, sm.reportAt = 0, sm.now
+	}
+	sm.log(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
+}
--- a/internal/node/control.go
+++ b/internal/node/reports.go
@@ -1,5 +1,10 @@
 package node
 
+const (
+	reportEvery = 1_000 * ms // ns between reports, three to the time after which an entry lapses
+	reportAgain = 200 * ms   // ns to the next try after one that failed
+)
+
 // reportFinished waits for the next report. A drain sends none: the entry lapses, where one more would keep it.
 func (sm *StateMachine) reportFinished(err error) {
 	sm.reportLink = 0
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -2,6 +2,10 @@
 
 import "topazpost/internal/admission"
 
+const (
+	stateEvery = 1_000 * ms // ns between samples of the state: fine beside what operators act on, a line a second
+)
+
 // State is what the whole node stands on at a moment: what its module goes by, and what its doors hold. Counts
 // with a name in the past are of the time since the last sample. Times are nanoseconds.
 type State struct {
