--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -41,7 +41,7 @@
 func pass(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
-		r.executorHeardAt, r.connections[7].used = r.now, r.now // neither link is silent
+		r.executorHeardAt, r.connections[7].lastUsedAt = r.now, r.now // neither link is silent
 		step(r)
 	}
 }
@@ -114,7 +114,7 @@
 	r := keeping(t, resultcache.InMemory)
 	assert.Equal(t, 1, runsOf(step(r, holding(r, 1, "a"))))
 	require.NoError(t, amendedBy(t, r, operation("other", ""), removed(nodeconfig.Operations, "hold")))
-	for stream := range faultsMost + 2 {
+	for stream := range maxFaults + 2 {
 		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, holding(r, stream+2, "b"))))
 	}
 	assert.Zero(t, r.connections[7].faults)
@@ -310,7 +310,7 @@
 			want.Take(&change.Changes[0])
 			r.executorHeardAt = r.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
-			if r.connections[7] != nil && !r.connections[7].noMore && !r.connections[7].broken && r.connections[7].idle() {
+			if r.connections[7] != nil && !r.connections[7].goAwaySent && !r.connections[7].broken && r.connections[7].isIdle() {
 				stream++
 				asked++
 				inputs = append(inputs, coming(r, int(stream), "org", "a"))
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	idleTrust = 100 * ms // ns of standing idle past which a link to the catalogue is left: it may be forgotten there
-	idleMost  = 8        // links to the catalogue that may stand idle: those of a burst are not kept
+	catalogueIdleTimeout  = 100 * ms // ns of standing idle past which a link to the catalogue is left: it may be forgotten there
+	maxIdleCatalogueLinks = 8        // links to the catalogue that may stand idle: those of a burst are not kept
 )
 
 // catalogueLink is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
 // is that call, and the link goes with it. Does harm, as each call in hand needs a descriptor, where there are few.
 type catalogueLink struct {
-	link    int
-	address string
-	up      bool
-	inv     int32 // whose call it carries, -1 for none
-	strange bool  // it brought what was not asked for
-	since   int64 // when it came to stand idle
+	id         int
+	address    string
+	up         bool
+	invocation int32 // whose call it carries, -1 for none
+	unmatched  bool  // it brought what was not asked for
+	idleSince  int64 // when it came to stand idle
 }
 
 // callDependency makes the callDependency that a run stands at.
 func (sm *StateMachine) callDependency(i int32, until int64) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.calling && v.wanted != nil, "a call is made where a run stands at one") {
+	if !sm.Invariants.Check(v.live && !v.calling && v.callRequest != nil, "a call is made where a run stands at one") {
 		return
 	}
 	sm.Invariants.Check(sm.leases.holder == nil || sm.leases.holder.Allowed(sm.now) > 0, "a call is made while a lease goes on")
@@ -44,18 +44,18 @@
 		best := -1
 		for k := range sm.catalogueLinks {
 			s := &sm.catalogueLinks[k]
-			if s.up && s.inv < 0 && sm.now-s.since < idleTrust && (best < 0 || s.since > sm.catalogueLinks[best].since) {
+			if s.up && s.invocation < 0 && sm.now-s.idleSince < catalogueIdleTimeout && (best < 0 || s.idleSince > sm.catalogueLinks[best].idleSince) {
 				best = k
 			}
 		}
 		switch {
 		case best >= 0 && !sm.invocations[i].called:
-			sm.catalogueLinks[best].inv = i
+			sm.catalogueLinks[best].invocation = i
 			sm.sendCall(&sm.catalogueLinks[best])
 		case len(sm.catalogueLinks) < sm.maxCatalogueLinks:
-			s := catalogueLink{link: sm.nextLink(), address: sm.addresses.Catalogue, inv: i}
+			s := catalogueLink{id: sm.nextLink(), address: sm.addresses.Catalogue, invocation: i}
 			sm.catalogueLinks = append(sm.catalogueLinks, s)
-			sm.emit(Effect{Kind: DialCatalogue, Link: s.link, Address: s.address})
+			sm.emit(Effect{Kind: DialCatalogue, Link: s.id, Address: s.address})
 		case best >= 0:
 			sm.closeCatalogueLink(best)
 			continue
@@ -67,20 +67,20 @@
 }
 
 func (sm *StateMachine) sendCall(s *catalogueLink) {
-	v := &sm.invocations[s.inv]
+	v := &sm.invocations[s.invocation]
 	v.called = true
 	wait := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
 	by := int64(0)
 	if sm.leases.holder != nil { // what is written late, after a pause, would be one call too many
 		by = v.callDeadline
 	}
-	sm.emit(Effect{Kind: SendToCatalogue, Link: s.link, At: by, Bytes: lineprotocol.AppendBody(nil, v.wanted, "FETCH", v.call, wait)})
+	sm.emit(Effect{Kind: SendToCatalogue, Link: s.id, At: by, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.call, wait)})
 }
 
 // closeCatalogueLink closes a link, which gives up the call on it.
 func (sm *StateMachine) closeCatalogueLink(k int) {
 	sm.countAbandonedCall(&sm.catalogueLinks[k])
-	sm.emit(Effect{Kind: CloseCatalogue, Link: sm.catalogueLinks[k].link})
+	sm.emit(Effect{Kind: CloseCatalogue, Link: sm.catalogueLinks[k].id})
 	sm.catalogueLinks = slices.Delete(sm.catalogueLinks, k, k+1)
 }
 
@@ -89,12 +89,12 @@
 	s := &sm.catalogueLinks[k]
 	idle := 0
 	for _, other := range sm.catalogueLinks {
-		if other.up && other.inv < 0 {
+		if other.up && other.invocation < 0 {
 			idle++
 		}
 	}
-	s.inv, s.since = -1, sm.now
-	if s.strange || s.address != sm.addresses.Catalogue || idle >= idleMost {
+	s.invocation, s.idleSince = -1, sm.now
+	if s.unmatched || s.address != sm.addresses.Catalogue || idle >= maxIdleCatalogueLinks {
 		sm.closeCatalogueLink(k)
 	}
 }
@@ -114,7 +114,7 @@
 
 // linkOfCall is the link that carries an invocation's call, or -1.
 func (sm *StateMachine) linkOfCall(i int32) int {
-	return slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.inv == i })
+	return slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.invocation == i })
 }
 
 // callEnded tells the module how a call ended that is on no link any more.
@@ -124,7 +124,7 @@
 }
 
 func (sm *StateMachine) applyCatalogueInput(in *Input) {
-	k := slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.link == in.Link })
+	k := slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.id == in.Link })
 	if k < 0 {
 		if in.Kind == CatalogueConnected { // left while it was being opened
 			sm.emit(Effect{Kind: CloseCatalogue, Link: in.Link})
@@ -135,12 +135,12 @@
 	switch in.Kind {
 	case CatalogueConnected:
 		sm.Counters.CatalogueLinks++
-		s.up, s.since = true, sm.now
-		if s.inv >= 0 {
+		s.up, s.idleSince = true, sm.now
+		if s.invocation >= 0 {
 			sm.sendCall(s)
 		}
 	case CatalogueDialFailed, CatalogueDisconnected: // a call that was never written has not run; a break proves nothing
-		i, outcome := s.inv, admission.Broken
+		i, outcome := s.invocation, admission.Broken
 		if in.Kind == CatalogueDialFailed {
 			outcome = admission.Unreachable
 		}
@@ -152,7 +152,7 @@
 		}
 	case CatalogueLineReceived:
 		if !sm.applyReply(k, in.Line.Words, in.Line.Body) {
-			i := s.inv
+			i := s.invocation
 			sm.log(Warn, "catalogue can't be understood", in.Line.Words[0], nil)
 			sm.closeCatalogueLink(k)
 			if i >= 0 {
@@ -183,17 +183,17 @@
 		return false
 	}
 	s := &sm.catalogueLinks[k]
-	if s.inv < 0 || sm.invocations[s.inv].call != words[0] {
+	if s.invocation < 0 || sm.invocations[s.invocation].call != words[0] {
 		sm.Counters.UnmatchedReplies++
-		if s.strange = true; s.inv < 0 {
+		if s.unmatched = true; s.invocation < 0 {
 			sm.closeCatalogueLink(k)
 		}
 		return true
 	}
-	i := s.inv
+	i := s.invocation
 	v := &sm.invocations[i]
 	if outcome == admission.Succeeded {
-		v.wanted = nil
+		v.callRequest = nil
 		sm.sendCommand(i, lineprotocol.AppendBody(nil, body, "RETURN", v.call))
 	}
 	sm.idleCatalogueLink(k)
@@ -205,14 +205,14 @@
 func (sm *StateMachine) expireCalls() {
 	for k := len(sm.catalogueLinks) - 1; k >= 0; k-- {
 		switch s := &sm.catalogueLinks[k]; {
-		case s.inv >= 0 && sm.now >= sm.invocations[s.inv].callDeadline:
-			i, outcome := s.inv, admission.Unreachable
+		case s.invocation >= 0 && sm.now >= sm.invocations[s.invocation].callDeadline:
+			i, outcome := s.invocation, admission.Unreachable
 			if s.up {
 				outcome = admission.TimedOut
 			}
 			sm.closeCatalogueLink(k)
 			sm.callEnded(i, outcome)
-		case s.inv < 0 && s.up && sm.now-s.since >= idleTrust:
+		case s.invocation < 0 && s.up && sm.now-s.idleSince >= catalogueIdleTimeout:
 			sm.closeCatalogueLink(k)
 		}
 	}
@@ -229,10 +229,10 @@
 func (sm *StateMachine) callsDue() int64 {
 	at := int64(never)
 	for k := range sm.catalogueLinks {
-		if s := &sm.catalogueLinks[k]; s.inv >= 0 {
-			at = min(at, sm.invocations[s.inv].callDeadline)
+		if s := &sm.catalogueLinks[k]; s.invocation >= 0 {
+			at = min(at, sm.invocations[s.invocation].callDeadline)
 		} else if s.up {
-			at = min(at, s.since+idleTrust)
+			at = min(at, s.idleSince+catalogueIdleTimeout)
 		}
 	}
 	for _, i := range sm.waitingCalls {
@@ -245,11 +245,11 @@
 func (sm *StateMachine) redialCatalogue() {
 	for k := len(sm.catalogueLinks) - 1; k >= 0; k-- {
 		s := &sm.catalogueLinks[k]
-		if s.up && s.inv >= 0 {
+		if s.up && s.invocation >= 0 {
 			continue
 		}
-		if s.inv >= 0 {
-			sm.waitingCalls = append(sm.waitingCalls, s.inv)
+		if s.invocation >= 0 {
+			sm.waitingCalls = append(sm.waitingCalls, s.invocation)
 		}
 		sm.closeCatalogueLink(k)
 	}
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -361,7 +361,7 @@
 	if err := cbor.Unmarshal(a.Work, &w); err != nil {
 		return fmt.Errorf("its work can't be read: %w", err)
 	}
-	if _, used := sm.indexByCall[w.Call]; used || !hex16(w.Call) || len(w.Body) > bodyMost || w.HeldKB <= 0 || w.HeldKB >= heapMost {
+	if _, used := sm.indexByCall[w.Call]; used || !isHex16(w.Call) || len(w.Body) > maxBodyBytes || w.HeldKB <= 0 || w.HeldKB >= maxHeapKB {
 		return fmt.Errorf("call %q: in use, or not one", w.Call)
 	}
 	if sm.results.held[key] != nil {
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -9,60 +9,60 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// many is a node with so many connections, all opened in one step and checked once in the next.
-func many(t *testing.T, count int) *StateMachine {
+// withConnections is a node with so withConnections connections, all opened in one step and checked once in the next.
+func withConnections(t *testing.T, count int) *StateMachine {
 	r := up(t)
 	r.maxConnections = count
 	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
 		opened = append(opened, Input{Kind: ConnectionOpened, Link: 100 + k})
-		checked = append(checked, checkOn(100+k))
+		checked = append(checked, healthCheckOn(100+k))
 	}
 	step(r, opened...)
 	step(r, checked...)
 	return r
 }
 
-func checkOn(link int) Input {
+func healthCheckOn(link int) Input {
 	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
 }
 
-// on goes on by a time and keeps the executor's link from being taken as silent.
-func on(r *StateMachine, by int64, inputs ...Input) []Effect {
+// advance goes advance by a time and keeps the executor's link from being taken as silent.
+func advance(r *StateMachine, by int64, inputs ...Input) []Effect {
 	r.now, r.executorHeardAt = r.now+by-ms, r.now+by
 	return step(r, inputs...)
 }
 
 // Connections that rest cost nothing: each is looked at as often as its time may have come, not in every sweep.
-func TestConnectionsThatRestAreLookedAtOnlyWhenTheirTimeMayHaveCome(t *testing.T) {
+func TestIdleConnectionsAreCheckedOnlyWhenTheirTimeoutMayHavePassed(t *testing.T) {
 	const count = 14_000
-	r := many(t, count)
+	r := withConnections(t, count)
 	for r.now < 3_000*ms {
-		on(r, 10*ms)
+		advance(r, 10*ms)
 	}
 	assert.Equal(t, count, r.connectionsChecked, "once each, as those that bring nothing are told soon")
 	for r.now < 14_000*ms {
-		on(r, 10*ms)
+		advance(r, 10*ms)
 	}
 	assert.Equal(t, count, r.connectionsChecked)
 	for _, c := range r.connections {
-		assert.False(t, c.noMore)
+		assert.False(t, c.goAwaySent)
 	}
 }
 
 // Those that came together are due together: what comes meanwhile doesn't wait behind all of them.
-func TestAHerdOfConnectionsIsToldAndEndedAFewAtATime(t *testing.T) {
+func TestManyOverdueConnectionsAreClosedAFewPerStep(t *testing.T) {
 	const count = 14_000
-	r := many(t, count)
+	r := withConnections(t, count)
 	for r.now < 14_900*ms {
-		on(r, 50*ms)
+		advance(r, 50*ms)
 	}
 	told, ended, began := 0, 0, r.now
 	var closed []Input
 	for len(r.connections) > 0 && r.now-began < 5_000*ms {
 		before, beforeTold, beforeEnded := r.connectionsChecked, told, ended
-		effects := on(r, ms/2, closed...)
+		effects := advance(r, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
 			switch e.Kind {
@@ -73,19 +73,19 @@
 				closed = append(closed, Input{Kind: ConnectionClosed, Link: e.Link})
 			}
 		}
-		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, endsMost)
-		assert.LessOrEqual(t, r.connectionsChecked-before, looksMost)
+		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, maxClosesPerStep)
+		assert.LessOrEqual(t, r.connectionsChecked-before, maxChecksPerStep)
 	}
 	assert.Equal(t, count, told)
 	assert.Equal(t, count, ended)
-	assert.Less(t, r.now-began, 2*(count/endsMost+1)*sweepAgain+sweepEvery+crossWait+200*ms)
+	assert.Less(t, r.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
 	assert.Equal(t, count, r.Counters.Idle)
 	assert.Zero(t, r.idleWheel.Len()+r.closingWheel.Len(), "nothing is kept of those that ended")
 }
 
 // Whatever comes on connections, and however late steps come: none is told or ended before its time, each is by one sweep
 // after it where steps come when they were asked for.
-func TestConnectionsAreToldAndEndedInTheirTime(t *testing.T) {
+func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		r := up(t)
 		r.maxConnections, r.SpareConnections = 12, 2
@@ -98,7 +98,7 @@
 				next++
 				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: next})
 			case 2, 3:
-				inputs = append(inputs, checkOn(link))
+				inputs = append(inputs, healthCheckOn(link))
 			case 4:
 				inputs = append(inputs, Input{Kind: ConnectionClosed, Link: link})
 			case 5:
@@ -122,29 +122,29 @@
 				case e.Kind == SetWakeup:
 					wake = e.At
 				case e.Kind == CloseAfterFlush && !was.closing && !c.broken:
-					assert.GreaterOrEqual(draw, at-c.ended, int64(evictWait))
+					assert.GreaterOrEqual(draw, at-c.goAwayAt, int64(evictionGrace))
 					if !c.evicted {
-						assert.GreaterOrEqual(draw, at-c.ended, int64(crossWait))
+						assert.GreaterOrEqual(draw, at-c.goAwayAt, int64(goAwayGrace))
 					}
 				}
 			}
 			for link, c := range r.connections {
-				if c.noMore && !before[link].noMore && !c.evicted && !c.broken {
-					assert.GreaterOrEqual(draw, at-c.used, int64(firstWait))
-					assert.True(draw, !c.usable || at-c.used >= idleWait)
+				if c.goAwaySent && !before[link].goAwaySent && !c.evicted && !c.broken {
+					assert.GreaterOrEqual(draw, at-c.lastUsedAt, int64(firstUseTimeout))
+					assert.True(draw, !c.usable || at-c.lastUsedAt >= idleTimeout)
 				}
-				if !c.idle() || c.closing {
+				if !c.isIdle() || c.closing {
 					continue
 				}
-				wait := int64(firstWait)
+				wait := int64(firstUseTimeout)
 				if c.usable {
-					wait = idleWait
+					wait = idleTimeout
 				}
-				late := wake - c.used - wait
-				if c.noMore {
-					late = wake - max(c.ended+c.crossing(), c.used)
+				late := wake - c.lastUsedAt - wait
+				if c.goAwaySent {
+					late = wake - max(c.goAwayAt+c.goAwayGrace(), c.lastUsedAt)
 				}
-				assert.LessOrEqual(draw, late, int64(sweepEvery+sweepAgain), "link %d", link)
+				assert.LessOrEqual(draw, late, int64(sweepInterval+overdueInterval), "link %d", link)
 			}
 		}
 	})
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	streamsOpen = 32 // invocations that may be open on one connection
+	maxOpenStreams = 32 // invocations that may be open on one connection
 )
 
 // What makes an invocation's fields unusable.
 var (
-	errField  = errors.New("missing or malformed")
-	errBody   = errors.New("the body is too large")
-	errStream = errors.New("stream out of order")
-	errType   = errors.New("unknown type of frame")
-	errFaults = errors.New("too many invocations that can't be used")
+	errField         = errors.New("missing or malformed")
+	errBodyTooLarge  = errors.New("the body is too large")
+	errStreamOrder   = errors.New("stream out of order")
+	errFrameType     = errors.New("unknown type of frame")
+	errTooManyFaults = errors.New("too many invocations that can't be used")
 )
 
 func (sm *StateMachine) applyDispatcherInput(in *Input, c *connection) {
@@ -29,8 +29,8 @@
 	case ConnectionClosed:
 		delete(sm.connections, in.Link)
 		sm.cancelCheck(c)
-		for _, stream := range slices.Sorted(maps.Keys(c.open)) {
-			sm.callerDisconnected(c.open[stream])
+		for _, stream := range slices.Sorted(maps.Keys(c.openStreams)) {
+			sm.callerDisconnected(c.openStreams[stream])
 		}
 		return
 	case FrameMalformed:
@@ -41,15 +41,15 @@
 	case frame.Invocation:
 		sm.invocationReceived(in.Link, c, f)
 	case frame.Gone:
-		if i, open := c.open[f.Stream]; open {
-			delete(c.open, f.Stream)
+		if i, open := c.openStreams[f.Stream]; open {
+			delete(c.openStreams, f.Stream)
 			sm.callerDisconnected(i)
-			sm.touchConnection(in.Link, c)
+			sm.releaseIfIdle(in.Link, c)
 		}
 	case frame.Check:
 		sm.healthCheckReceived(in.Link, c, f)
 	default:
-		sm.connectionBroken(in.Link, c, fmt.Errorf("%w: %d", errType, f.Type))
+		sm.connectionBroken(in.Link, c, fmt.Errorf("%w: %d", errFrameType, f.Type))
 	}
 }
 
@@ -57,19 +57,19 @@
 // any more it is errored unrun: it may be no invocation at all, and a throttle would say that it never ran before.
 func (sm *StateMachine) invocationReceived(link int, c *connection, f *frame.Frame) {
 	if c.broken {
-		if f.Stream > c.last {
-			c.last = f.Stream
+		if f.Stream > c.lastStream {
+			c.lastStream = f.Stream
 			sm.Counters.Invocations++
 			sm.Counters.Errored++
 			sm.sendFrame(link, f.Stream, frame.Errored, nil, nil)
 		}
 		return
 	}
-	if f.Stream <= c.last {
-		sm.connectionBroken(link, c, fmt.Errorf("%w: %d after %d", errStream, f.Stream, c.last))
+	if f.Stream <= c.lastStream {
+		sm.connectionBroken(link, c, fmt.Errorf("%w: %d after %d", errStreamOrder, f.Stream, c.lastStream))
 		return
 	}
-	c.last = f.Stream
+	c.lastStream = f.Stream
 	sm.Counters.Invocations++
 	v := invocation{live: true, connection: link, stream: f.Stream}
 	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Original: admission.NoOriginal}
@@ -80,7 +80,7 @@
 	if err == nil && sm.isRetired(&e) {
 		err = errRetired
 	}
-	if err == nil && len(c.open) >= streamsOpen {
+	if err == nil && len(c.openStreams) >= maxOpenStreams {
 		err = errors.New("too many streams are open")
 	}
 	if err != nil {
@@ -93,7 +93,7 @@
 		}
 		return
 	}
-	c.usable, c.used = true, sm.now
+	c.usable, c.lastUsedAt = true, sm.now
 	if sm.isUnclaimed(&v) {
 		sm.rejectUnread(link, f.Stream)
 		return
@@ -102,7 +102,7 @@
 		sm.rejectUnread(link, f.Stream)
 		return
 	}
-	sm.closeIfIdle(link, c)
+	sm.resumeConnection(link, c)
 	v.operation, v.tenant = e.OperationIndex, e.Tenant
 	e.Invocation = sm.addInvocation(v)
 	if v.tokenKey.Token != "" {
@@ -110,7 +110,7 @@
 		sm.invocations[e.Invocation].deadline = cmp.Or(e.Deadline, sm.now-e.Age+sm.config.Node.Operations[e.OperationIndex].ClientTimeout)
 		sm.deferInvocation(e.Invocation, e.Original)
 	}
-	c.open[f.Stream] = e.Invocation
+	c.openStreams[f.Stream] = e.Invocation
 	sm.events = append(sm.events, e)
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	abortFor    = 1_000 * ms // ns from a second notice to the end: for connections to be told, heard once more and closed
-	leaveMargin = 100 * ms   // ns before the kill at which the process ends, whoever has not read what he is owed
+	abortTimeout = 1_000 * ms // ns from a second notice to the end: for connections to be told, heard once more and closed
+	exitMargin   = 100 * ms   // ns before the kill at which the process ends, whoever has not read what he is owed
 )
 
 // startDrain passes on the notice; a node that never had its executor has nothing to startDrain.
@@ -32,7 +32,7 @@
 // have had their end.
 func (sm *StateMachine) abortDrain() {
 	sm.log(Info, "drain notice again: what is in hand is aborted", "", nil)
-	sm.killAt = min(sm.killAt, sm.now+abortFor)
+	sm.killAt = min(sm.killAt, sm.now+abortTimeout)
 	if sm.controller != nil {
 		sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now})
 	}
@@ -66,4 +66,4 @@
 	sm.emit(Effect{Kind: Exit})
 }
 
-func (sm *StateMachine) exitDeadline() int64 { return sm.killAt - leaveMargin }
+func (sm *StateMachine) exitDeadline() int64 { return sm.killAt - exitMargin }
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	redialFirst = 2 * ms     // ns to the first new try at a link that ended
-	redialMost  = 500 * ms   // ns to any further try
-	silentMost  = 2_000 * ms // ns without a line of the executor, asked for gauges each beat, past which its link is opened anew
-	commandMost = 65_536     // commands not known to be read: two for each invocation that connections can hold
+	minRedialBackoff       = 2 * ms     // ns to the first new try at a link that ended
+	maxRedialBackoff       = 500 * ms   // ns to any further try
+	executorSilenceTimeout = 2_000 * ms // ns without a line of the executor, asked for gauges each beat, past which its link is opened anew
+	maxUnreadCommands      = 65_536     // commands not known to be read: two for each invocation that connections can hold
 )
 
 // command is one that the executor may not have read.
 type command struct {
-	seq   int
-	index int32
-	call  string
-	bytes []byte
+	sequence   int
+	invocation int32
+	call       string
+	bytes      []byte
 }
 
-var ends = map[string]admission.Outcome{
+var outcomeByWord = map[string]admission.Outcome{
 	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
 }
 
@@ -47,7 +47,7 @@
 		sm.log(Info, "executor link ended", "", in.Err)
 		sm.disconnectExecutor()
 		sm.redialAt = sm.now + sm.redialBackoff
-		sm.redialBackoff = min(2*sm.redialBackoff, redialMost)
+		sm.redialBackoff = min(2*sm.redialBackoff, maxRedialBackoff)
 		return
 	}
 	sm.executorHeardAt = sm.now
@@ -129,7 +129,7 @@
 
 // runExited answers with what the run came to, if that is still owed.
 func (sm *StateMachine) runExited(words []string, body []byte) error {
-	outcome, known := ends[words[3]]
+	outcome, known := outcomeByWord[words[3]]
 	if !known {
 		return fmt.Errorf("end %q", words[3])
 	}
@@ -159,7 +159,7 @@
 func (sm *StateMachine) callRequested(call string, body []byte) {
 	if i, v := sm.findInvocation(call); v != nil {
 		sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
-		v.wanted = body
+		v.callRequest = body
 		sm.leases.at = sm.now // it is a need for one more
 		sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
 	}
@@ -196,14 +196,14 @@
 func (sm *StateMachine) sendCommand(i int32, bytes []byte) {
 	sm.commandSequence++
 	sm.unreadCommands = append(sm.unreadCommands, command{sm.commandSequence, i, sm.invocations[i].call, bytes})
-	sm.Invariants.Check(len(sm.unreadCommands) <= commandMost, "commands not known to be read are bounded")
+	sm.Invariants.Check(len(sm.unreadCommands) <= maxUnreadCommands, "commands not known to be read are bounded")
 	if sm.executorSynced {
 		sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: bytes})
 	}
 }
 
 func (sm *StateMachine) isCurrent(c *command) bool {
-	v := &sm.invocations[c.index]
+	v := &sm.invocations[c.invocation]
 	return v.live && (!v.answered || v.abandoned) && v.call == c.call
 }
 
@@ -263,8 +263,8 @@
 			}
 		}
 	} else if seq, err := strconv.Atoi(tag[1:]); tag[0] == 'm' && err == nil {
-		sm.redialBackoff = redialFirst // the link has lived for some beats
-		sm.acknowledgeCommands(func(c *command) bool { return c.seq <= seq })
+		sm.redialBackoff = minRedialBackoff // the link has lived for some beats
+		sm.acknowledgeCommands(func(c *command) bool { return c.sequence <= seq })
 	}
 	return nil
 }
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -12,8 +12,8 @@
 
 // A process that begins on cores that live on has to count what the life before it may still hold: its module is told
 // how old the cores are, and when this process began.
-func TestModuleHearsWhenItsProcessBegan(t *testing.T) {
-	p, err := nodeconfig.FromJSON(1, []byte(customers))
+func TestControllerGetsTheProcessStart(t *testing.T) {
+	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	var heard *admission.Config
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/resultcache"
 )
 
-const customers = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000},
+const tenantSettings = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000},
 	{"name":"look","aim":1000,"give_up":3000,"importance":1,"effect":"idempotent"}],
 	"tenants":[{"name":"north","quota_rps":9},{"name":"south","quota_rps":4}],
 	"family_info":{"n_cores":2,"memory_kb":9000,"blowup":4,"entry_kb":800,"halt":"drop","class_skip_worth":[0.5,0.5],"share_for":900,
@@ -19,13 +19,13 @@
 	"gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// spy hands what the module is told to a test.
-type spy struct {
+// recordingDecider hands what the module is told to a test.
+type recordingDecider struct {
 	Decider
 	arrived *[]admission.Event
 }
 
-func (s spy) Decide(now int64, events []admission.Event) []admission.Action {
+func (s recordingDecider) Decide(now int64, events []admission.Event) []admission.Action {
 	for _, e := range events {
 		if e.Kind == admission.Arrived {
 			*s.arrived = append(*s.arrived, e)
@@ -36,11 +36,13 @@
 
 // serving is a node at a site with tenants; arrived are the invocations that its module is told of.
 func serving(t *testing.T) (r *StateMachine, arrived *[]admission.Event) {
-	p, err := nodeconfig.FromJSON(1, []byte(customers))
+	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
 	r, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
 	make := r.Decisions
-	r.Decisions = func(config *admission.Config, born int64) Decider { return spy{make(config, born), arrived} }
+	r.Decisions = func(config *admission.Config, born int64) Decider {
+		return recordingDecider{make(config, born), arrived}
+	}
 	r.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
 	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
@@ -49,7 +51,7 @@
 	return r, arrived
 }
 
-func TestTenantAndStatedTimeReachTheModule(t *testing.T) {
+func TestTenantAndDeadlineReachTheController(t *testing.T) {
 	r, arrived := serving(t)
 	now := r.now + ms
 	step(r, invoke(1, "op", "look", "org", "south", "ttl", "250"))
@@ -61,7 +63,7 @@
 	assert.Zero(t, second.Deadline)
 }
 
-func TestOneThatCannotBeToldApartIsErrored(t *testing.T) {
+func TestInvocationWithMalformedTenantTokenOrTTLFails(t *testing.T) {
 	for what, fields := range map[string][]string{"no tenant": {"org", "-"}, "another tenant": {"org", "norths"},
 		"no token": {"op", "hold", "org", "north"}, "time in words": {"org", "north", "ttl", "soon"},
 		"time gone by": {"org", "north", "ttl", "-5"}, "a time without end": {"org", "north", "ttl", "9000000000000000000"}} {
@@ -71,13 +73,13 @@
 	}
 }
 
-func TestAStatedTimeThatIsOverIsAnsweredAtOnce(t *testing.T) {
+func TestExpiredTTLIsRejectedAtOnce(t *testing.T) {
 	r, _ := serving(t)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1, "op", "look", "org", "north", "ttl", "0"))))
 }
 
 // A token of one tenant must not find the result of another's.
-func TestTokensOfTenantsAreKeptApart(t *testing.T) {
+func TestTokensAreScopedToTheirTenant(t *testing.T) {
 	r, _ := serving(t)
 	assert.Equal(t, 1, runsOf(step(r, invoke(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
@@ -86,7 +88,7 @@
 }
 
 // Records lie in the node's own memory on sockets: entry_kb, of the executor's, would leave room for two of them.
-func TestRecordsAreBoundByTheNodesOwnMemory(t *testing.T) {
+func TestResultCacheIsBoundedByTheNodesOwnMemory(t *testing.T) {
 	r, arrived := serving(t)
 	for n := range 8 {
 		step(r, invoke(uint32(n+1), "op", "hold", "org", "north", "dedupe", id(n), "call", id(n+1)))
@@ -99,8 +101,8 @@
 }
 
 // Two nodes of one process that were given the same settings share nothing through them.
-func TestNodesOfOneProcessShareNothing(t *testing.T) {
-	p, err := nodeconfig.FromJSON(1, []byte(customers))
+func TestNodesOfOneProcessShareNoState(t *testing.T) {
+	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
 	before := p.Node
 	first := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	diagWait = 900 * ms // ns that a deep check may take: dispatchers wait little longer
+	deepCheckTimeout = 900 * ms // ns that a deep check may take: dispatchers wait little longer
 )
 
-// check is a deep health check that the executor works on.
-type check struct {
-	conn   int
-	stream uint32
-	until  int64
+// deepCheck is a deep health deepCheck that the executor works on.
+type deepCheck struct {
+	connection int
+	stream     uint32
+	deadline   int64
 }
 
 // healthCheckReceived answers a health healthCheckReceived from store, or has the executor do its work where the module leaves that.
@@ -29,14 +29,14 @@
 	if err != nil || f.Past {
 		sm.log(Warn, "health check can't be read", "", err)
 	} else {
-		c.usable, c.used = true, sm.now
+		c.usable, c.lastUsedAt = true, sm.now
 	}
-	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executorLink != 0 && len(sm.deepChecks) < streamsOpen {
+	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executorLink != 0 && len(sm.deepChecks) < maxOpenStreams {
 		sm.deepChecksStarted++
 		tag := "d" + strconv.Itoa(sm.deepChecksStarted)
-		sm.deepChecks[tag] = check{link, f.Stream, sm.now + diagWait}
-		c.checks++
-		sm.closeIfIdle(link, c)
+		sm.deepChecks[tag] = deepCheck{link, f.Stream, sm.now + deepCheckTimeout}
+		c.pendingChecks++
+		sm.resumeConnection(link, c)
 		sm.sendToExecutor("DIAG", tag)
 		return
 	}
@@ -59,16 +59,16 @@
 		return
 	}
 	delete(sm.deepChecks, tag)
-	if c := sm.connections[d.conn]; c != nil {
-		c.checks--
-		sm.answerHealthCheck(d.conn, d.stream, good && sm.healthy)
-		sm.touchConnection(d.conn, c)
+	if c := sm.connections[d.connection]; c != nil {
+		c.pendingChecks--
+		sm.answerHealthCheck(d.connection, d.stream, good && sm.healthy)
+		sm.releaseIfIdle(d.connection, c)
 	}
 }
 
 func (sm *StateMachine) expireDeepChecks() {
 	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
-		if sm.now >= sm.deepChecks[tag].until {
+		if sm.now >= sm.deepChecks[tag].deadline {
 			sm.deepCheckFinished(tag, false)
 		}
 	}
@@ -77,7 +77,7 @@
 func (sm *StateMachine) deepChecksDue() int64 {
 	at := int64(never)
 	for _, d := range sm.deepChecks {
-		at = min(at, d.until)
+		at = min(at, d.deadline)
 	}
 	return at
 }
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -16,7 +16,7 @@
 	stream         uint32
 	call, op       string
 	body           []byte
-	wanted         []byte // body of the call that the run waits for
+	callRequest    []byte // body of the call that the run waits for
 	calling        bool
 	called         bool // a call of its was written to the catalogue, this one or an earlier one
 	callDeadline   int64
@@ -162,7 +162,7 @@
 	}
 	sm.sendFrame(v.connection, v.stream, code, fields, body)
 	if c := sm.connections[v.connection]; c != nil {
-		delete(c.open, v.stream)
-		sm.touchConnection(v.connection, c)
+		delete(c.openStreams, v.stream)
+		sm.releaseIfIdle(v.connection, c)
 	}
 }
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -149,7 +149,7 @@
 	e := v.arrival
 	v.inCache, v.tokenExpiresAt = false, 0
 	j := sm.addInvocation(v)
-	c.open[v.stream] = j
+	c.openStreams[v.stream] = j
 	e.Invocation, e.Age, e.Original = j, sm.now-v.arrivedAt+e.Age, admission.NoOriginal
 	if v.terms != sm.currentTerms(v.operation) {
 		e.Deadline = v.deadline // its client timeout is that of its terms
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -73,7 +73,7 @@
 	commandSequence, gaugesSequence int // of the last command, and of the last that gauges were asked for behind
 	unreadCommands                  []command
 	redialAt, redialBackoff         int64
-	deepChecks                      map[string]check
+	deepChecks                      map[string]deepCheck
 	deepChecksStarted               int
 
 	catalogueLinks                        []catalogueLink // links to the catalogue
@@ -105,8 +105,8 @@
 // on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
 func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
 	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, maxCatalogueLinks: links, indexByCall: map[string]int32{},
-		connections: map[int]*connection{}, deepChecks: map[string]check{}, timerAt: never, gaugesAt: never,
-		gaugesReceivedAt: math.MinInt64 / 2, redialBackoff: redialFirst,
+		connections: map[int]*connection{}, deepChecks: map[string]deepCheck{}, timerAt: never, gaugesAt: never,
+		gaugesReceivedAt: math.MinInt64 / 2, redialBackoff: minRedialBackoff,
 		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
 	r.Invariants.Tell = func(what string, times int) {
 		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
@@ -232,9 +232,9 @@
 	case admission.ReportHealth:
 		sm.healthy, sm.healthCached = a.Healthy, a.Cached
 	case admission.SignalBackpressure:
-		sm.backpressure = number(a.Value)
+		sm.backpressure = formatNumber(a.Value)
 	case admission.SetTimer:
-		sm.timerAt, sm.gaugesAt = a.At, a.At-meterLead
+		sm.timerAt, sm.gaugesAt = a.At, a.At-gaugesLeadTime
 	case admission.StopAccepting:
 		sm.stopAccepting()
 	case admission.Exit:
@@ -282,7 +282,7 @@
 	if to.Executor != from.Executor { // the next join brings all that was not heard on this link
 		sm.emit(Effect{Kind: CloseExecutor, Link: max(sm.executorLink, sm.dialingLink)})
 		sm.disconnectExecutor()
-		sm.redialAt, sm.redialBackoff = sm.now, redialFirst
+		sm.redialAt, sm.redialBackoff = sm.now, minRedialBackoff
 	}
 	if to.Catalogue != from.Catalogue {
 		sm.redialCatalogue()
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -23,7 +23,7 @@
 // countAbandonedCall keeps the unit of a call that was written and given up: the dependency may work on it still. Guards against one
 // call more at the dependency than units, for each that is given up there.
 func (sm *StateMachine) countAbandonedCall(s *catalogueLink) {
-	if l := &sm.leases; l.holder != nil && s.up && s.inv >= 0 {
+	if l := &sm.leases; l.holder != nil && s.up && s.invocation >= 0 {
 		l.lingers = append(l.lingers, sm.now+l.terms.Hold/2)
 		l.at = sm.now
 	}
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -46,7 +46,7 @@
 	heardFrom(t, r, grant)
 	effects = step(r)
 	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the module hears of it in the next step")
-	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
+	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].id})
 	fetch := kindsOf(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
 	assert.LessOrEqual(t, fetch[0].At, r.now+500*ms, "of no use once its part of the lease is over")
@@ -64,7 +64,7 @@
 	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(r)
 	require.Len(t, r.catalogueLinks, 1)
-	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
+	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].id})
 	for len(r.catalogueLinks) > 0 {
 		require.Less(t, r.now, r.leases.holder.Until())
 		step(r)
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-func name(f frame.Frame) string {
+func frameText(f frame.Frame) string {
 	switch {
 	case f.Type == frame.NoMore:
 		return "no more"
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%d on %d", f.Payload[0], f.Stream)
 }
 
-func TestNothingButJoinIsToldBeforeTheWelcomeAndRunsStartAfterIt(t *testing.T) {
+func TestExecutorGetsOnlyJoinBeforeItsWelcomeAndRunsAfterIt(t *testing.T) {
 	r := fresh(t)
 	r.executorLink, r.dialingLink = 0, 9
 	assert.Equal(t, "JOIN 0\r\n", text(step(r, Input{Kind: ExecutorConnected, Link: 9}), SendToExecutor))
@@ -32,7 +32,7 @@
 	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(told(r, "METERS j9 0 0 0 0"), SendToExecutor))
 }
 
-func TestRefusedGaugesDoNotKeepCommandsBackForGood(t *testing.T) {
+func TestRefusedGaugesRequestDoesNotBlockCommands(t *testing.T) {
 	r := fresh(t)
 	told(r, "WELCOME new 3")
 	told(r, "BAD METER j1")
@@ -42,7 +42,7 @@
 	assert.Contains(t, text(told(r, "METERS j1 0 0 0 0"), SendToExecutor), "EXEC")
 }
 
-func TestInvocationIsRunAndItsResultIsTheAnswer(t *testing.T) {
+func TestInvocationRunsAndIsAnsweredWithItsResult(t *testing.T) {
 	r := up(t)
 	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(step(r, invoke(1)), SendToExecutor))
 	sent := told(r, "EXIT 1 "+callID+" good 12 6|result")
@@ -53,7 +53,7 @@
 	assert.Empty(t, r.indexByCall)
 }
 
-func TestCallerGoneIsOwedNoAnswer(t *testing.T) {
+func TestDisconnectedCallerGetsNoAnswer(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
@@ -64,7 +64,7 @@
 	assert.Empty(t, r.indexByCall)
 }
 
-func TestBrokenInvocationIsErroredAndItsConnectionLivesOn(t *testing.T) {
+func TestMalformedInvocationFailsAndItsConnectionStaysOpen(t *testing.T) {
 	r := up(t)
 	for i, broken := range []Input{invoke(1, "op", "other"), invoke(2, "call", "9B1F"), invoke(3, "recv", "-"),
 		invoke(4, "heap", "0"), invoke(5, "crit", "1"), invoke(6, "work", "NaN"), invoke(7, "src", "x"),
@@ -80,7 +80,7 @@
 	assert.Equal(t, []string{"51 on 21"}, answers(t, step(r, invoke(21))), "its id is in use")
 }
 
-func TestConnectionThatCannotBeUnderstoodEndsOnceItsStreamsAreAnswered(t *testing.T) {
+func TestBrokenConnectionClosesOnceItsStreamsAreAnswered(t *testing.T) {
 	for what, bad := range map[string]Input{"length": {Kind: FrameMalformed, Link: 7, Err: frame.ErrLength},
 		"order": invoke(1), "type": {Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}} {
 		r := up(t)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestReplyIsReturnedUnchangedAndOtherRepliesEndTheCall(t *testing.T) {
+func TestDataReplyIsReturnedUnchangedAndOtherRepliesEndTheCall(t *testing.T) {
 	for reply, want := range map[string]string{"DATA 5|reply": "RETURN " + callID + " 5\r\nreply\r\n",
 		"LATER": "FETCH", "NOUSE": "FETCH", "FAULT": "51", "TOOSLOW": "51"} {
 		r := up(t)
@@ -108,22 +108,22 @@
 	}
 }
 
-func TestRefusedCatalogueProvesThatNoCallRanAndABreakProvesNothing(t *testing.T) {
+func TestFailedCatalogueDialIsRetriedAndADisconnectIsNot(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
-	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.catalogueLinks[0].link})
+	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.catalogueLinks[0].id})
 	assert.Equal(t, DialCatalogue, again[0].Kind)
 	reached(r)
-	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.catalogueLinks[0].link})))
+	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.catalogueLinks[0].id})))
 }
 
-func TestCallIsQuitAtTheEndOfItsWaitAndItsReplyIsDropped(t *testing.T) {
+func TestCallTimesOutAtItsDeadlineAndItsReplyIsDropped(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
-	link := r.catalogueLinks[0].link
+	link := r.catalogueLinks[0].id
 	r.now, r.executorHeardAt = r.invocations[0].callDeadline, r.invocations[0].callDeadline
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseCatalogue, Link: link}, got[0])
@@ -131,15 +131,15 @@
 	assert.Empty(t, step(r, Input{Kind: CatalogueLineReceived, Link: link, Line: lineprotocol.Line{Words: []string{callID, "DATA", "0"}}}))
 }
 
-func TestIdleCatalogueLinkIsNotTrustedWithACall(t *testing.T) {
+func TestCatalogueLinkClosesAfterItsIdleTimeout(t *testing.T) {
 	r := up(t)
-	r.catalogueLinks = []catalogueLink{{link: 5, address: r.addresses.Catalogue, up: true, inv: -1, since: r.now - idleTrust}}
+	r.catalogueLinks = []catalogueLink{{id: 5, address: r.addresses.Catalogue, up: true, invocation: -1, idleSince: r.now - catalogueIdleTimeout}}
 	got := step(r)
 	assert.Equal(t, CloseCatalogue, got[0].Kind)
 	assert.Empty(t, r.catalogueLinks)
 }
 
-func TestEachCallHasALinkOfItsOwnAndASpoiltReplyTakesOnlyItsCall(t *testing.T) {
+func TestEachCallHasItsOwnLinkAndAMalformedReplyFailsOnlyItsCall(t *testing.T) {
 	r := up(t)
 	const other = "00000000000000aa"
 	step(r, invoke(1), invoke(2, "call", other))
@@ -147,19 +147,19 @@
 	told(r, "CALLOUT 2 "+other+" 3|ask")
 	assert.Len(t, r.catalogueLinks, 2)
 	reached(r)
-	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
+	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].id})
 	assert.Equal(t, []string{"51 on 1"}, answers(t, replied(r, "noise")))
-	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
+	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
 		Body: []byte("x")}})
 	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, SendToExecutor))
-	assert.True(t, r.catalogueLinks[0].up && r.catalogueLinks[0].inv < 0, "kept for the next first call of a run")
+	assert.True(t, r.catalogueLinks[0].up && r.catalogueLinks[0].invocation < 0, "kept for the next first call of a run")
 	told(r, "CALLOUT 3 "+other+" 3|ask")
 	assert.Len(t, r.catalogueLinks, 2, "a second copy of the first reply can't pass for the second's")
-	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].link, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
+	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "it brought what was not asked for")
 }
 
-func TestCallsWaitWhereThereMayBeNoMoreLinks(t *testing.T) {
+func TestCallsWaitAtTheLinkLimit(t *testing.T) {
 	r := up(t)
 	r.maxCatalogueLinks = 1
 	const other = "00000000000000aa"
@@ -173,7 +173,7 @@
 	assert.Empty(t, r.waitingCalls)
 }
 
-func TestReloadMovesToTheNewAddressesAtOnce(t *testing.T) {
+func TestReloadSwitchesToTheNewAddressesAtOnce(t *testing.T) {
 	r := up(t)
 	const other = "00000000000000aa"
 	step(r, invoke(1), invoke(2, "call", other))
@@ -199,7 +199,7 @@
 	assert.Empty(t, step(r, Input{Kind: ReloadRequested, Addresses: to}), "nothing new")
 }
 
-func TestCommandsAreToldAgainOnlyOnceTheNoticesOfANewLinkAreIn(t *testing.T) {
+func TestCommandsAreResentOnceTheNoticesOfANewLinkAreReceived(t *testing.T) {
 	r := up(t)
 	const other = "00000000000000aa"
 	step(r, invoke(1), invoke(2, "call", other))
@@ -210,20 +210,20 @@
 	assert.Empty(t, r.unreadCommands, "the gauges prove that all before them was read")
 }
 
-func TestGaugesAreAskedForBehindNewCommandsOnce(t *testing.T) {
+func TestGaugesAreRequestedOnceAfterNewCommands(t *testing.T) {
 	r := up(t)
 	asked := func(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "METER m1\r\n") }
 	assert.Equal(t, 1, asked(r.Step(r.now+1, 1_000_000*ms, []Input{invoke(1)})))
 	assert.Zero(t, asked(r.Step(r.now+1, 1_000_000*ms, nil)))
 }
 
-func TestGaugesReachTheModuleAsTheyCome(t *testing.T) {
+func TestGaugesReachTheControllerAsReceived(t *testing.T) {
 	r := up(t)
 	told(r, "METERS m0 0.5 3 0.1 3")
 	assert.Equal(t, []admission.Event{{Kind: admission.TimerFired, BusyShare: 0.5, RunnableThreads: 3}}, r.events)
 }
 
-func TestLinkThatCannotBeHadIsTriedAgain(t *testing.T) {
+func TestExecutorLinkIsRedialedAfterADialFailure(t *testing.T) {
 	r := up(t)
 	for range 3 { // the first ends, the others are refused
 		assert.Empty(t, step(r, Input{Kind: ExecutorDisconnected, Link: max(r.executorLink, r.dialingLink)}))
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestLinkThatIsNotWelcomedYetDoesNotKeepTheNodeAwake(t *testing.T) {
+func TestUnwelcomedLinkDoesNotKeepTheNodeAwake(t *testing.T) {
 	r := up(t)
 	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
 	r.now = r.redialAt
@@ -243,7 +243,7 @@
 	assert.Greater(t, r.nextWakeup(), r.now)
 }
 
-func TestUnreadableLineOpensTheLinkAnew(t *testing.T) {
+func TestMalformedLineReopensTheExecutorLink(t *testing.T) {
 	for _, line := range []string{"NONSENSE", "EXIT x y", "EXIT 1 " + callID + " maybe 3 0", "METERS j1 a b c d",
 		"CALLOUT 0 x 1"} {
 		r := up(t)
@@ -251,17 +251,17 @@
 	}
 }
 
-func TestAgeIsCountedFromTheStampOfThisMachinesClock(t *testing.T) {
+func TestArrivalAgeIsMeasuredByTheLocalWallClock(t *testing.T) {
 	r := up(t)
 	r.wall = 500_000 * ms
-	assert.Equal(t, 250*ms, r.age(499_750))
-	assert.Zero(t, r.age(500_001))
+	assert.Equal(t, 250*ms, r.arrivalAge(499_750))
+	assert.Zero(t, r.arrivalAge(500_001))
 	for stamp, can := range map[int64]bool{0: false, 440_000: true, 500_900: true, 502_000: false, 1 << 62: false} {
-		assert.Equal(t, can, r.plausible(stamp), stamp)
+		assert.Equal(t, can, r.isPlausibleStamp(stamp), stamp)
 	}
 }
 
-func TestHealthIsAnsweredFromStoreOrThroughTheExecutor(t *testing.T) {
+func TestHealthCheckIsAnsweredFromCacheOrByTheExecutor(t *testing.T) {
 	deep := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Check,
 		Payload: append([]byte{1, 3}, "e2e\x01\x001"...)}}
 	r := fresh(t)
@@ -272,11 +272,11 @@
 	assert.Equal(t, "DIAG d1\r\n", text(step(r, deep), SendToExecutor))
 	assert.Equal(t, []string{"check 51"}, answers(t, told(r, "DIAGNOSED d1 bad")))
 	step(r, deep)
-	r.now += diagWait
+	r.now += deepCheckTimeout
 	assert.Equal(t, []string{"check 51"}, answers(t, step(r)))
 }
 
-func TestDrainEndsIntakeThenLeavesOnceAllIsAnswered(t *testing.T) {
+func TestDrainStopsAcceptingThenExitsOnceAllIsAnswered(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	step(r, Input{Kind: DrainRequested})
@@ -295,13 +295,13 @@
 	assert.NotEqual(t, Exit, end[len(end)-1].Kind, "connection 7 has not ended, and somebody may still connect")
 	crossed := step(r, invoke(3, "call", "00000000000000bb"))
 	assert.Equal(t, []string{"50 on 3"}, answers(t, crossed), "it crossed the notice that no more may come")
-	r.now += crossWait
+	r.now += goAwayGrace
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r))
 	assert.Empty(t, step(r, Input{Kind: ListenerClosed}))
 	assert.Equal(t, []Effect{{Kind: Exit}}, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 }
 
-func TestNodeWithoutItsExecutorLeavesOnceItsConnectionsHaveEnded(t *testing.T) {
+func TestDrainWithoutAnExecutorExitsOnceConnectionsAreClosed(t *testing.T) {
 	r := fresh(t)
 	got := step(r, Input{Kind: DrainRequested})
 	assert.Equal(t, []string{"no more"}, answers(t, got))
@@ -314,12 +314,12 @@
 	assert.Equal(t, []Effect{{Kind: Exit}}, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 	r = fresh(t)
 	step(r, Input{Kind: DrainRequested})
-	r.now = r.killAt - leaveMargin
+	r.now = r.killAt - exitMargin
 	got = step(r, Input{Kind: ListenerClosed})
 	assert.Equal(t, Exit, got[len(got)-1].Kind, "no peer keeps it past its time")
 }
 
-func TestFullTableOfConnectionsMakesRoomAtTheLongestIdle(t *testing.T) {
+func TestFullConnectionTableEvictsTheLongestIdle(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	step(r, Input{Kind: ConnectionOpened, Link: 8})
@@ -335,17 +335,17 @@
 	step(r, Input{Kind: ConnectionClosed, Link: 10})
 	step(r, check(11))
 	step(r, Input{Kind: ConnectionOpened, Link: 12})
-	assert.True(t, r.connections[9].noMore, "8 was heard of later")
-	assert.False(t, r.connections[8].noMore)
+	assert.True(t, r.connections[9].goAwaySent, "8 was heard of later")
+	assert.False(t, r.connections[8].goAwaySent)
 	assert.Equal(t, 2, r.Counters.Evicted)
 	step(r, check(12))
 	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(r, Input{Kind: ConnectionOpened, Link: 13})[0], "no place is left beside")
-	r.now += evictWait
+	r.now += evictionGrace
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(r))
 }
 
 // What is read on a connection that was to end is answered all the same, and the end waits for that.
-func TestInvocationThatCrossesAnEndIsAnsweredBeforeIt(t *testing.T) {
+func TestInvocationThatCrossesACloseIsAnsweredBeforeIt(t *testing.T) {
 	for what, evicted := range map[string]bool{"it stood idle": false, "its place is wanted": true} {
 		r := up(t)
 		r.SpareConnections = 1
@@ -356,11 +356,11 @@
 				step(r, Input{Kind: ConnectionOpened, Link: 8 + link})
 				step(r, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
 			}
-			r.now += evictWait
+			r.now += evictionGrace
 		} else {
-			r.now, r.executorHeardAt = r.now+idleWait, r.now+idleWait
+			r.now, r.executorHeardAt = r.now+idleTimeout, r.now+idleTimeout
 			assert.Equal(t, []string{"no more"}, answers(t, step(r)), what)
-			r.now += crossWait
+			r.now += goAwayGrace
 		}
 		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), what)
 		got := step(r, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((r.now+ms)/ms+1_000_000)))
@@ -375,34 +375,34 @@
 	}
 }
 
-func TestWhatFollowsWhatCannotBeUnderstoodIsErroredUnrun(t *testing.T) {
+func TestInvocationAfterAMalformedFrameFailsWithoutARun(t *testing.T) {
 	r := up(t)
 	got := step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}, invoke(1))
 	assert.Equal(t, []string{"51 on 0", "no more", "51 on 1"}, answers(t, got))
 	assert.Zero(t, runsOf(got))
 }
 
-func TestConnectionsThatAreOfNoUseAreClosed(t *testing.T) {
+func TestUnusedAndIdleConnectionsAreClosed(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	step(r, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
-	r.now, r.executorHeardAt = r.now+firstWait, r.now+firstWait
+	r.now, r.executorHeardAt = r.now+firstUseTimeout, r.now+firstUseTimeout
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
-	r.now += sweepEvery
+	r.now += sweepInterval
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(r))
 	step(r, Input{Kind: ConnectionClosed, Link: 8})
 	told(r, "EXIT 1 "+callID+" good 12 6|result")
-	r.now, r.executorHeardAt = r.now+idleWait, r.now+idleWait
+	r.now, r.executorHeardAt = r.now+idleTimeout, r.now+idleTimeout
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
-	r.now += sweepEvery
+	r.now += sweepInterval
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), "nothing crossed")
 }
 
-func TestConnectionThatBringsNothingUsableIsNotHeardAnyMore(t *testing.T) {
+func TestConnectionWithTooManyFaultsIsDiscarded(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	var got []Effect
-	for stream := range uint32(faultsMost) {
+	for stream := range uint32(maxFaults) {
 		got = step(r, invoke(stream+2, "op", "other"))
 	}
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
@@ -414,7 +414,7 @@
 	assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1])
 }
 
-func TestRunThatTheExecutorRefusesCountsAgainstItsConnection(t *testing.T) {
+func TestRefusedRunCountsAsAFaultOfItsConnection(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	assert.Equal(t, []string{"51 on 1"}, answers(t, told(r, "BAD EXEC "+callID)))
@@ -422,17 +422,17 @@
 	assert.Empty(t, r.indexByCall)
 }
 
-func TestSilentLinkToTheExecutorIsOpenedAnew(t *testing.T) {
+func TestSilentExecutorLinkIsReopened(t *testing.T) {
 	r := up(t)
 	link := r.executorLink
-	r.now += silentMost
+	r.now += executorSilenceTimeout
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: link}, got[0])
 	r.now = r.redialAt
 	assert.Equal(t, DialExecutor, step(r)[0].Kind)
 }
 
-func TestNoticesBetweenAreAskedForOnANewLinkAndThoseHeardTwiceTakenOnce(t *testing.T) {
+func TestMissedNoticesAreRequestedOnANewLinkAndDuplicatesIgnored(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	assert.Equal(t, CloseExecutor, told(r, "EXIT 2 "+callID+" good 12 6|result")[0].Kind)
@@ -442,7 +442,7 @@
 	assert.Empty(t, told(r, "EXIT 2 "+callID+" good 12 6|result"))
 }
 
-func TestASecondAnswerIsABreach(t *testing.T) {
+func TestASecondAnswerViolatesAnInvariant(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	again := func() { r.fail(0); r.fail(0) }
@@ -455,7 +455,7 @@
 	assert.Equal(t, 1, r.Counters.Errored)
 }
 
-func TestThrottleNamesATimeAndTheWishAndCarriesTheFreeValue(t *testing.T) {
+func TestThrottleCarriesPushbackStopAndBackpressure(t *testing.T) {
 	r := up(t)
 	step(r, invoke(1))
 	r.backpressure, r.effects = "0.25", nil
@@ -467,21 +467,21 @@
 		{Name: "load", Value: "0.25"}}, fields)
 }
 
-func TestReportsAreMadeOneAtATimeAndAgainSoonAfterAnError(t *testing.T) {
+func TestReportsAreSentOneAtATimeAndRetriedAfterAnError(t *testing.T) {
 	r := up(t)
 	assert.NotZero(t, r.reportLink)
 	r.reportFinished(errField)
-	assert.Equal(t, r.now+reportAgain, r.reportAt)
+	assert.Equal(t, r.now+reportRetryBackoff, r.reportAt)
 	r.reportFinished(nil)
-	assert.Equal(t, r.now+reportEvery, r.reportAt)
+	assert.Equal(t, r.now+reportInterval, r.reportAt)
 	assert.Zero(t, r.reportLink)
 }
 
 // A link may be half open: one that is up and never welcomed must not keep a node from serving.
-func TestLinkThatIsNeverWelcomedIsOpenedAnew(t *testing.T) {
+func TestUnwelcomedExecutorLinkIsReopened(t *testing.T) {
 	r := fresh(t)
 	link := r.executorLink
-	r.now += silentMost
+	r.now += executorSilenceTimeout
 	assert.Contains(t, step(r), Effect{Kind: CloseExecutor, Link: link})
 	r.now = r.redialAt
 	assert.Contains(t, kinds(step(r)), DialExecutor)
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -3,7 +3,7 @@
 import "topazpost/internal/admission"
 
 const (
-	stateEvery = 1_000 * ms // ns between samples of the state: fine beside what operators act on, a line a second
+	stateSampleInterval = 1_000 * ms // ns between samples of the state: fine beside what operators act on, a line a second
 )
 
 // State is what the whole node stands on at a moment: what its module goes by, and what its doors hold. Counts
@@ -34,7 +34,7 @@
 		return
 	}
 	s := sm.snapshotState()
-	sm.stateAt, sm.lastCounters, sm.givenUpByReason = sm.now+stateEvery, sm.Counters, [admission.ReasonCount]int{}
+	sm.stateAt, sm.lastCounters, sm.givenUpByReason = sm.now+stateSampleInterval, sm.Counters, [admission.ReasonCount]int{}
 	sm.emit(Effect{Kind: SampleState, State: s})
 }
 
@@ -60,7 +60,7 @@
 		}
 	}
 	for k := range sm.catalogueLinks {
-		if sm.catalogueLinks[k].up && sm.catalogueLinks[k].inv < 0 {
+		if sm.catalogueLinks[k].up && sm.catalogueLinks[k].invocation < 0 {
 			s.Idle++
 		}
 	}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -3,8 +3,8 @@
 import "topazpost/internal/admission"
 
 const (
-	meterLead  = 5 * ms   // ns before a timer of the module at which the gauges are asked for: a round trip
-	meterStale = 500 * ms // ns after which gauges say nothing: the span over which they are taken
+	gaugesLeadTime = 5 * ms   // ns before a timer of the module at which the gauges are asked for: a round trip
+	maxGaugesAge   = 500 * ms // ns after which gauges say nothing: the span over which they are taken
 )
 
 // runTimers does what is due.
@@ -24,7 +24,7 @@
 		sm.gaugesAt = never
 		sm.requestGauges()
 	}
-	if sm.executorLink != 0 && sm.now-sm.executorHeardAt >= silentMost {
+	if sm.executorLink != 0 && sm.now-sm.executorHeardAt >= executorSilenceTimeout {
 		if sm.welcomedLink == sm.executorLink {
 			sm.log(Warn, "executor link is silent, opened anew", "", nil)
 		} else { // it may be late, or the link half open: a new one costs nothing, and one that waits for good serves nobody
@@ -39,7 +39,7 @@
 	sm.expireDeepChecks()
 	if sm.now >= sm.timerAt {
 		e := admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
-		if sm.now-sm.gaugesReceivedAt <= meterStale {
+		if sm.now-sm.gaugesReceivedAt <= maxGaugesAge {
 			e.BusyShare, e.RunnableThreads = sm.busyShare, sm.runnableThreads
 		}
 		sm.timerAt = never
@@ -66,7 +66,7 @@
 	if sm.executorLink == 0 && sm.dialingLink == 0 {
 		at = min(at, sm.redialAt)
 	} else if sm.executorLink != 0 {
-		at = min(at, sm.executorHeardAt+silentMost)
+		at = min(at, sm.executorHeardAt+executorSilenceTimeout)
 		if sm.welcomedLink == sm.executorLink {
 			at = min(at, sm.gaugesAt)
 		}
