--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -41,7 +41,7 @@
 func pass(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
-		r.executorHeardAt, r.connections[7].lastUsedAt = r.now, r.now // neither link is silent
+		r.executor.lastLineAt, r.connections[7].lastUsedAt = r.now, r.now // neither link is silent
 		step(r)
 	}
 }
@@ -58,7 +58,7 @@
 
 // ran has the run of an invocation end well.
 func ran(r *StateMachine, stream int) []Effect {
-	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.lastNotice+1, id(stream)))
+	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.executor.lastNotice+1, id(stream)))
 }
 
 func TestVersionIsInForceBetweenTwoSteps(t *testing.T) {
@@ -99,7 +99,7 @@
 	step(r, coming(r, 2))
 	ends := map[string]int64{}
 	for len(ends) < 2 && r.now < from+5_000*ms {
-		r.executorHeardAt = r.now
+		r.executor.lastLineAt = r.now
 		for _, a := range answers(t, step(r)) {
 			ends[a] = (r.now - from) / ms
 		}
@@ -287,7 +287,7 @@
 		want := p.Own()
 		r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 		step(r, Input{Kind: ConnectionOpened, Link: 7})
-		step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+		step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 		told(r, "WELCOME old 0")
 		told(r, "METERS j1 0.1 1 0.1 3")
 		names := []string{"catalogue", "hold", "a", "b", "c", "d"}
@@ -308,7 +308,7 @@
 			change, err := nodeconfig.Parse([]nodeconfig.Item{it})
 			require.NoError(t, err)
 			want.Take(&change.Changes[0])
-			r.executorHeardAt = r.now
+			r.executor.lastLineAt = r.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
 			if r.connections[7] != nil && !r.connections[7].goAwaySent && !r.connections[7].broken && r.connections[7].isIdle() {
 				stream++
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -25,7 +25,7 @@
 	r.EnableResultCache(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 1 << 10, Window: 60_000 * ms}, "dedupe", false)
 	r.EnableConsensus([]string{"n0"}, 0, 0, 1)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.claiming.links["n0"] = 3
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -41,7 +41,7 @@
 
 func servingNode(t *testing.T, r *StateMachine) (effects []Effect) {
 	effects = step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	for r.claiming.seat.Leader() == "" {
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
 	for range 3_000 {
-		r.executorHeardAt, r.connections[7].lastUsedAt = r.now, r.now
+		r.executor.lastLineAt, r.connections[7].lastUsedAt = r.now, r.now
 		effects := step(r, in...)
 		in = nil
 		all = append(all, effects...)
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -30,7 +30,7 @@
 
 // advance goes advance by a time and keeps the executor's link from being taken as silent.
 func advance(r *StateMachine, by int64, inputs ...Input) []Effect {
-	r.now, r.executorHeardAt = r.now+by-ms, r.now+by
+	r.now, r.executor.lastLineAt = r.now+by-ms, r.now+by
 	return step(r, inputs...)
 }
 
@@ -115,7 +115,7 @@
 			for link, c := range r.connections {
 				before[link] = *c
 			}
-			r.executorHeardAt = at
+			r.executor.lastLineAt = at
 			for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
 				c, was := r.connections[e.Link], before[e.Link]
 				switch {
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"strconv"
 
 	"topazpost/internal/admission"
@@ -11,136 +9,249 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
+// Timing of the executor's link, in nanoseconds.
 const (
-	minRedialBackoff       = 2 * ms     // ns to the first new try at a link that ended
-	maxRedialBackoff       = 500 * ms   // ns to any further try
-	executorSilenceTimeout = 2_000 * ms // ns without a line of the executor, asked for gauges each beat, past which its link is opened anew
-	maxUnreadCommands      = 65_536     // commands not known to be read: two for each invocation that connections can hold
+	minRedialBackoff       = 2 * ms
+	maxRedialBackoff       = 500 * ms
+	executorSilenceTimeout = 2_000 * ms // without a line, though gauges are requested at each tick
 )
 
-// command is one that the executor may not have read.
-type command struct {
-	sequence   int
-	invocation int32
-	call       string
-	bytes      []byte
+// executorState is the connection to the executor. A link is dialed, joined, welcomed, and synced once all notices that
+// earlier links missed were received. Commands are sent on a synced link only.
+type executorState struct {
+	sm *StateMachine
+
+	link          int // the open link, 0 without one
+	dialingLink   int // the link being dialed, 0 without one
+	welcomedLink  int // the last link that the executor welcomed
+	synced        bool
+	lastNotice    int   // number of the last notice applied
+	lastLineAt    int64 // when the link was opened or last brought a line
+	redialAt      int64
+	redialBackoff int64
+	commands      commandLog
+	gauges        gauges
 }
 
-var outcomeByWord = map[string]admission.Outcome{
-	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
+func newExecutorState(sm *StateMachine) executorState {
+	return executorState{sm: sm, redialBackoff: minRedialBackoff, gauges: newGauges()}
+}
+
+// isConnected reports whether a link is open, welcomed or not.
+func (x *executorState) isConnected() bool { return x.link != 0 }
+
+func (x *executorState) isWelcomed() bool { return x.isConnected() && x.welcomedLink == x.link }
+
+func (x *executorState) isDisconnected() bool { return x.link == 0 && x.dialingLink == 0 }
+
+// apply handles an input of one of the executor's links; those of abandoned links are ignored.
+func (x *executorState) apply(in *Input) {
+	switch in.Kind {
+	case ExecutorConnected:
+		x.connected(in.Link)
+	case ExecutorDisconnected:
+		if in.Link == x.link || in.Link == x.dialingLink {
+			x.disconnected(in.Err)
+		}
+	case ExecutorLineReceived:
+		if in.Link == x.link {
+			x.lineReceived(in.Line)
+		}
+	}
 }
 
-// executorConnected starts on a new link. It is told of nothing more before its welcome: an executor that is not up yet
-// carries out no command, that for the gauges included.
-func (sm *StateMachine) executorConnected(link int) {
-	if link != sm.dialingLink { // to an address of before
-		sm.emit(Effect{Kind: CloseExecutor, Link: link})
+// connected joins on a new link. Nothing else is sent before the welcome: an executor that is still starting carries out
+// no command, not even a request for gauges.
+func (x *executorState) connected(link int) {
+	if link != x.dialingLink { // to an earlier address
+		x.sm.emit(Effect{Kind: CloseExecutor, Link: link})
 		return
 	}
-	sm.Counters.ExecutorLinks++
-	sm.executorLink, sm.dialingLink, sm.executorSynced, sm.redialAt, sm.executorHeardAt = link, 0, false, never, sm.now
-	sm.sendToExecutor("JOIN", strconv.Itoa(sm.lastNotice))
+	x.sm.Counters.ExecutorLinks++
+	x.link = link
+	x.dialingLink = 0
+	x.synced = false
+	x.redialAt = never
+	x.lastLineAt = x.sm.now
+	x.send("JOIN", strconv.Itoa(x.lastNotice))
 }
 
-func (sm *StateMachine) applyExecutorInput(in *Input) {
-	if in.Kind == ExecutorDisconnected {
-		sm.log(Info, "executor link ended", "", in.Err)
-		sm.disconnectExecutor()
-		sm.redialAt = sm.now + sm.redialBackoff
-		sm.redialBackoff = min(2*sm.redialBackoff, maxRedialBackoff)
+// disconnected schedules the next dial after a link ended or could not be opened.
+func (x *executorState) disconnected(err error) {
+	x.sm.log(Info, "executor link ended", "", err)
+	x.reset()
+	x.redialAt = x.sm.now + x.redialBackoff
+	x.redialBackoff = min(2*x.redialBackoff, maxRedialBackoff)
+}
+
+// reset drops the current link, open or being dialed, and fails what depends on it.
+func (x *executorState) reset() {
+	x.link = 0
+	x.dialingLink = 0
+	x.synced = false
+	x.sm.failDeepChecks()
+}
+
+// addressChanged leaves the link for the new address at once. The next join asks for all notices missed on it.
+func (x *executorState) addressChanged() {
+	x.sm.emit(Effect{Kind: CloseExecutor, Link: max(x.link, x.dialingLink)})
+	x.reset()
+	x.redialAt = x.sm.now
+	x.redialBackoff = minRedialBackoff
+}
+
+func (x *executorState) dialIfDue() {
+	if x.isDisconnected() && x.sm.now >= x.redialAt {
+		x.dialingLink = x.sm.nextLink()
+		x.sm.emit(Effect{Kind: DialExecutor, Link: x.dialingLink, Address: x.sm.addresses.Executor})
+	}
+}
+
+// closeIfSilent reopens a link without lines. One that was never welcomed may be half open, or the executor late: a new
+// link costs little, and waiting on a dead one would keep the node from serving.
+func (x *executorState) closeIfSilent() {
+	if !x.isConnected() || x.sm.now-x.lastLineAt < executorSilenceTimeout {
 		return
 	}
-	sm.executorHeardAt = sm.now
-	if err := sm.applyExecutorLine(in.Line.Words, in.Line.Body); err != nil {
-		sm.log(Warn, "executor can't be understood", "", err)
-		sm.emit(Effect{Kind: CloseExecutor, Link: sm.executorLink})
+	if x.isWelcomed() {
+		x.sm.log(Warn, "executor link is silent, opened anew", "", nil)
+	} else {
+		x.sm.log(Info, "executor has not welcomed the link, opened anew", "", nil)
 	}
+	x.sm.emit(Effect{Kind: CloseExecutor, Link: x.link})
+	x.reset()
+	x.redialAt = x.sm.now + x.redialBackoff
 }
 
-// disconnectExecutor forgets the link of now, open or being opened.
-func (sm *StateMachine) disconnectExecutor() {
-	sm.executorLink, sm.dialingLink, sm.executorSynced = 0, 0, false
-	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
-		sm.deepCheckFinished(tag, false)
+// dueAt is when the next of the link's timers is due.
+func (x *executorState) dueAt() int64 {
+	switch {
+	case x.isDisconnected():
+		return x.redialAt
+	case !x.isConnected():
+		return never
+	case x.isWelcomed():
+		return min(x.lastLineAt+executorSilenceTimeout, x.gauges.requestAt)
 	}
+	return x.lastLineAt + executorSilenceTimeout
 }
 
-func (sm *StateMachine) applyExecutorLine(words []string, body []byte) error {
-	number := func(k int) int {
-		if k < len(words) {
-			if n, err := strconv.Atoi(words[k]); err == nil {
-				return n
-			}
-		}
-		return -1
+// send writes a command that is of no use on a later link.
+func (x *executorState) send(words ...string) {
+	x.sm.emit(Effect{Kind: SendToExecutor, Link: x.link, Bytes: lineprotocol.Append(nil, words...)})
+}
+
+func (x *executorState) lineReceived(line lineprotocol.Line) {
+	x.lastLineAt = x.sm.now
+	if err := x.applyLine(line.Words, line.Body); err != nil {
+		x.sm.log(Warn, "executor can't be understood", "", err)
+		x.sm.emit(Effect{Kind: CloseExecutor, Link: x.link})
 	}
-	switch word := words[0]; {
-	case word == "WELCOME" && len(words) == 3 && (words[1] == "new" || words[1] == "old"):
-		sm.applyWelcome(words)
-		return nil
-	case word == "METERS" && len(words) == 2+len(sm.config.Gauges):
-		return sm.applyGauges(words)
-	case word == "DIAGNOSED" && len(words) == 3:
-		sm.deepCheckFinished(words[1], words[2] == "good")
-		return nil
-	case word == "BAD" && len(words) >= 2:
-		sm.commandRefused(words)
-		return nil
-	case word == "EXIT" && len(words) == 6 || word == "CALLOUT" && len(words) == 4 || word == "LOG":
-		n := number(1)
-		if n <= 0 || n > sm.lastNotice+1 && sm.executorSynced { // the next link brings those between
-			return fmt.Errorf("notice %d after %d", n, sm.lastNotice)
+}
+
+func (x *executorState) applyLine(words []string, body []byte) error {
+	count := len(words)
+	switch words[0] {
+	case "WELCOME":
+		if count == 3 && (words[1] == "new" || words[1] == "old") {
+			x.welcomed(words[1], words[2])
+			return nil
 		}
-		if n <= sm.lastNotice {
-			return nil // taken before
+	case "METERS":
+		if count == 2+len(x.sm.config.Gauges) {
+			return x.gaugesReceived(words[1], words[2:])
 		}
-		sm.lastNotice = n
-		switch word {
-		case "EXIT":
-			return sm.runExited(words, body)
-		case "CALLOUT":
-			sm.callRequested(words[2], body)
+	case "DIAGNOSED":
+		if count == 3 {
+			x.sm.deepCheckFinished(words[1], words[2] == "good")
+			return nil
 		}
-		return nil
+	case "BAD":
+		if count >= 2 {
+			x.commandRefused(words[1], words[count-1])
+			return nil
+		}
+	case "EXIT":
+		if count == 6 {
+			return x.noticeReceived(words, body)
+		}
+	case "CALLOUT":
+		if count == 4 {
+			return x.noticeReceived(words, body)
+		}
+	case "LOG":
+		return x.noticeReceived(words, body)
 	}
 	return fmt.Errorf("line %q", words)
 }
 
-// applyWelcome starts the module when the executor is first heard of: its state and age are those of the cores.
-// The notices after the last one taken follow it; the gauges asked for now tell when all of them are in.
-func (sm *StateMachine) applyWelcome(words []string) {
-	sm.welcomedLink = sm.executorLink
-	sm.sendToExecutor("METER", sm.syncTag())
-	if sm.controller != nil || sm.exited { // the latter: it came too late for a node that is leaving
+// welcomed starts the controller at the executor's first welcome: its state and age are those of the cores. The notices
+// after the last one applied follow the welcome; the gauges requested here prove that all of them were received.
+func (x *executorState) welcomed(state, age string) {
+	x.welcomedLink = x.link
+	x.send("METER", x.syncTag())
+	if x.sm.controller != nil || x.sm.exited { // the latter: too late for a node that is exiting
 		return
 	}
-	age, err := strconv.ParseFloat(words[2], 64)
-	if err != nil || age < 0 {
-		age = 0
+	ageMS, err := strconv.ParseFloat(age, 64)
+	if err != nil || ageMS < 0 {
+		ageMS = 0
+	}
+	x.sm.startController(state == "new", x.sm.now-int64(ageMS*float64(ms)))
+	x.sm.log(Info, "executor is up, serving", state, nil)
+}
+
+// noticeReceived applies a numbered notice once. On a synced link none may be missing.
+func (x *executorState) noticeReceived(words []string, body []byte) error {
+	number := noticeNumber(words)
+	if number <= 0 || number > x.lastNotice+1 && x.synced { // the next link brings those between
+		return fmt.Errorf("notice %d after %d", number, x.lastNotice)
+	}
+	if number <= x.lastNotice {
+		return nil
 	}
-	sm.config.Node.ColdStart, sm.config.Node.ProcessStart = words[1] == "new", sm.startedAt
-	sm.controller = sm.Decisions(&sm.config.Node, sm.now-int64(age*float64(ms)))
-	sm.healthy, sm.timerAt = true, sm.now
-	if sm.degradation.plan != nil {
-		sm.events = append(sm.events, sm.degradation.event())
+	x.lastNotice = number
+	switch words[0] {
+	case "EXIT":
+		return x.runExited(words[2], words[3], body)
+	case "CALLOUT":
+		x.callRequested(words[2], body)
 	}
-	sm.log(Info, "executor is up, serving", words[1], nil)
+	return nil
 }
 
-// runExited answers with what the run came to, if that is still owed.
-func (sm *StateMachine) runExited(words []string, body []byte) error {
-	outcome, known := outcomeByWord[words[3]]
+// noticeNumber is a notice's number, or -1 without a valid one.
+func noticeNumber(words []string) int {
+	if len(words) < 2 {
+		return -1
+	}
+	number, err := strconv.Atoi(words[1])
+	if err != nil {
+		return -1
+	}
+	return number
+}
+
+// outcomeByWord maps the executor's words for the end of a run.
+var outcomeByWord = map[string]admission.Outcome{
+	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
+}
+
+// runExited answers an invocation with the outcome of its run, unless it was answered before.
+func (x *executorState) runExited(call, word string, body []byte) error {
+	outcome, known := outcomeByWord[word]
 	if !known {
-		return fmt.Errorf("end %q", words[3])
+		return fmt.Errorf("end %q", word)
 	}
-	i, v := sm.findInvocation(words[2])
-	if v == nil { // given up and forgotten before it ended, or begun by an earlier life of this node
+	sm := x.sm
+	i, v := sm.findInvocation(call)
+	if v == nil { // released before it ended, or started by an earlier incarnation of this node
 		if outcome <= admission.Errored {
-			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: words[2], Outcome: uint8(outcome), Result: body})
+			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: call, Outcome: uint8(outcome), Result: body})
 		}
 		return nil
 	}
-	sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
+	x.commands.acknowledgeCall(v.call)
 	if v.inCache {
 		sm.tokenRunEnded(i, outcome, body)
 		return nil
@@ -156,115 +267,38 @@
 	return nil
 }
 
-func (sm *StateMachine) callRequested(call string, body []byte) {
-	if i, v := sm.findInvocation(call); v != nil {
-		sm.acknowledgeCommands(func(c *command) bool { return c.call == v.call })
-		v.callRequest = body
-		sm.leases.at = sm.now // it is a need for one more
-		sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
-	}
-}
-
-// commandRefused ends a run that could not start: nothing ran, and the connection that brought it is at fault. A
-// refused reply to a call was read twice.
-func (sm *StateMachine) commandRefused(words []string) {
-	sm.log(Warn, "executor did not carry out a command", words[len(words)-1], nil)
-	if i, v := sm.findInvocation(words[len(words)-1]); v != nil && words[1] == "EXEC" {
-		if v.inCache {
-			sm.tokenRunEnded(i, admission.NeverStarted, nil)
-			return
-		}
-		if !v.answered {
-			link := v.connection
-			sm.fail(i)
-			if c := sm.connections[link]; c != nil {
-				sm.countFault(link, c)
-			}
-		}
-		sm.events = append(sm.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
-	}
-}
-
-func (sm *StateMachine) syncTag() string { return "j" + strconv.Itoa(sm.executorLink) }
-
-// sendToExecutor writes a command that is worth nothing on a later link.
-func (sm *StateMachine) sendToExecutor(words ...string) {
-	sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: lineprotocol.Append(nil, words...)})
-}
-
-// sendCommand writes a command that must be read; it is kept until the executor is known to have read it.
-func (sm *StateMachine) sendCommand(i int32, bytes []byte) {
-	sm.commandSequence++
-	sm.unreadCommands = append(sm.unreadCommands, command{sm.commandSequence, i, sm.invocations[i].call, bytes})
-	sm.Invariants.Check(len(sm.unreadCommands) <= maxUnreadCommands, "commands not known to be read are bounded")
-	if sm.executorSynced {
-		sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: bytes})
-	}
-}
-
-func (sm *StateMachine) isCurrent(c *command) bool {
-	v := &sm.invocations[c.invocation]
-	return v.live && (!v.answered || v.abandoned) && v.call == c.call
-}
-
-// acknowledgeCommands drops the commands that are known to have been read.
-func (sm *StateMachine) acknowledgeCommands(read func(c *command) bool) {
-	kept := sm.unreadCommands[:0]
-	for i := range sm.unreadCommands {
-		if !read(&sm.unreadCommands[i]) {
-			kept = append(kept, sm.unreadCommands[i])
-		}
-	}
-	clear(sm.unreadCommands[len(kept):])
-	sm.unreadCommands = kept
-}
-
-// requestGauges asks for the gauges with the number of the last command: the answer proves that it was read. Until
-// the missed notices are known to be in it asks for that, again and again: one that is refused would else keep
-// every command back.
-func (sm *StateMachine) requestGauges() {
-	tag := sm.syncTag()
-	if sm.executorSynced {
-		tag, sm.gaugesSequence = "m"+strconv.Itoa(sm.commandSequence), sm.commandSequence
-	}
-	sm.sendToExecutor("METER", tag)
-}
-
-// requestProof asks for the gauges behind new commands, so that at a break only those of the last round trip are in
-// doubt. Guards against a reply to a call told twice, which a run at its next call would take for that one's.
-func (sm *StateMachine) requestProof() {
-	if sm.executorSynced && sm.commandSequence > sm.gaugesSequence {
-		sm.requestGauges()
+// callRequested passes on that a run waits for a call to the dependency.
+func (x *executorState) callRequested(call string, body []byte) {
+	sm := x.sm
+	i, v := sm.findInvocation(call)
+	if v == nil {
+		return
 	}
+	x.commands.acknowledgeCall(v.call)
+	v.callRequest = body
+	sm.leases.at = sm.now // the demand for leases has grown
+	sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
 }
 
-func (sm *StateMachine) applyGauges(words []string) error {
-	tag := words[1]
-	for k, name := range sm.config.Gauges {
-		v, err := strconv.ParseFloat(words[2+k], 64)
-		if err != nil {
-			return fmt.Errorf("gauge %s: %w", name, err)
-		}
-		switch name {
-		case "cpu_busy":
-			sm.busyShare = v
-		case "runnable":
-			sm.runnableThreads = v
-		}
+// commandRefused ends a run that could not start: nothing ran, and the connection that brought it is at fault. A refused
+// reply to a call is a duplicate of one that the executor had read before.
+func (x *executorState) commandRefused(name, call string) {
+	sm := x.sm
+	sm.log(Warn, "executor did not carry out a command", call, nil)
+	i, v := sm.findInvocation(call)
+	if v == nil || name != "EXEC" {
+		return
 	}
-	if sm.gaugesReceivedAt = sm.now; sm.controller != nil && sm.executorSynced {
-		sm.events = append(sm.events, admission.Event{Kind: admission.TimerFired, BusyShare: sm.busyShare, RunnableThreads: sm.runnableThreads})
+	if v.inCache {
+		sm.tokenRunEnded(i, admission.NeverStarted, nil)
+		return
 	}
-	if tag == sm.syncTag() && !sm.executorSynced {
-		sm.executorSynced, sm.gaugesSequence = true, 0
-		for i := range sm.unreadCommands {
-			if c := &sm.unreadCommands[i]; sm.isCurrent(c) {
-				sm.emit(Effect{Kind: SendToExecutor, Link: sm.executorLink, Bytes: c.bytes})
-			}
+	if !v.answered {
+		link := v.connection
+		sm.fail(i)
+		if c := sm.connections[link]; c != nil {
+			sm.countFault(link, c)
 		}
-	} else if seq, err := strconv.Atoi(tag[1:]); tag[0] == 'm' && err == nil {
-		sm.redialBackoff = minRedialBackoff // the link has lived for some beats
-		sm.acknowledgeCommands(func(c *command) bool { return c.sequence <= seq })
 	}
-	return nil
+	sm.events = append(sm.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
 }
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -27,7 +27,7 @@
 	began := r.now
 	r.now += 3_000 * ms // the executor is out of reach for a while
 	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 60000")
 	require.NotNil(t, heard)
 	assert.False(t, heard.ColdStart)
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -45,7 +45,7 @@
 	}
 	r.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	return r, arrived
@@ -109,7 +109,7 @@
 	second := NewStateMachine(p, Addresses{"executor:2", "catalogue:2", "control:2"}, 5_000*ms, 4, 3)
 	first.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(first)
-	step(first, Input{Kind: ExecutorConnected, Link: first.dialingLink})
+	step(first, Input{Kind: ExecutorConnected, Link: first.executor.dialingLink})
 	told(first, "WELCOME new 0")
 	assert.True(t, first.config.Node.ColdStart)
 	assert.False(t, second.config.Node.ColdStart, "it has heard of no executor")
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -31,13 +31,13 @@
 	} else {
 		c.usable, c.lastUsedAt = true, sm.now
 	}
-	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executorLink != 0 && len(sm.deepChecks) < maxOpenStreams {
+	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executor.isConnected() && len(sm.deepChecks) < maxOpenStreams {
 		sm.deepChecksStarted++
 		tag := "d" + strconv.Itoa(sm.deepChecksStarted)
 		sm.deepChecks[tag] = deepCheck{link, f.Stream, sm.now + deepCheckTimeout}
 		c.pendingChecks++
 		sm.resumeConnection(link, c)
-		sm.sendToExecutor("DIAG", tag)
+		sm.executor.send("DIAG", tag)
 		return
 	}
 	sm.answerHealthCheck(link, f.Stream, sm.controller != nil && sm.healthy)
@@ -66,6 +66,13 @@
 	}
 }
 
+// failDeepChecks answers all deep checks: the executor is gone.
+func (sm *StateMachine) failDeepChecks() {
+	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
+		sm.deepCheckFinished(tag, false)
+	}
+}
+
 func (sm *StateMachine) expireDeepChecks() {
 	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
 		if sm.now >= sm.deepChecks[tag].deadline {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	return r
 }
 
@@ -49,7 +49,7 @@
 
 func told(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: ExecutorLineReceived, Link: r.executorLink, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
+	return step(r, Input{Kind: ExecutorLineReceived, Link: r.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 func replied(r *StateMachine, line string) []Effect {
@@ -65,10 +65,10 @@
 
 // rejoined breaks the link to the executor and has a new one welcomed, its gauges not yet told.
 func rejoined(r *StateMachine) {
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
-	r.now = r.redialAt
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.executor.link})
+	r.now = r.executor.redialAt
 	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 90")
 }
 
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -166,3 +166,6 @@
 		sm.releaseIfIdle(v.connection, c)
 	}
 }
+
+// sendCommand sends the executor a command of an invocation.
+func (sm *StateMachine) sendCommand(i int32, bytes []byte) { sm.executor.sendCommand(i, bytes) }
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -26,7 +26,7 @@
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	return r
@@ -191,7 +191,7 @@
 	assert.Equal(t, 1, runsOf(step(r, first)))
 	came := r.now
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
-	r.now, r.executorHeardAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
+	r.now, r.executor.lastLineAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
 	stamp := fmt.Sprint((came+19_900*ms)/ms + 1_000_000)
 	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
 	assert.Zero(t, runsOf(got))
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -131,12 +131,12 @@
 // A link to the executor that takes long to open must not keep the node awake.
 func TestWakeLiesAheadWhileTheExecutorIsDialled(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
-	r.now = r.redialAt
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.executor.link})
+	r.now = r.executor.redialAt
 	step(r)
 	r.now += 10_000 * ms
 	step(r)
-	assert.NotZero(t, r.dialingLink)
+	assert.NotZero(t, r.executor.dialingLink)
 	assert.Zero(t, r.Invariants.Broken("the next wake lies ahead"))
 }
 
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -54,27 +54,18 @@
 	connectionsChecked int               // connections that were looked at so far
 	owedAnswers        int               // invocations that are owed an answer
 
-	timerAt, gaugesAt          int64
-	executorHeardAt            int64 // when the executor's link last brought a line
-	sweepAt                    int64
-	overdueAt                  int64 // when the next of due are looked at
-	busyShare, runnableThreads float64
-	gaugesReceivedAt           int64 // when the gauges came
+	timerAt   int64 // when the controller is to be stepped next
+	sweepAt   int64
+	overdueAt int64 // when the next of due are looked at
 
 	healthy, healthCached bool
 	backpressure          string // what answers carry, empty before the first advice
 
-	addresses                       Addresses
-	lastLink                        int // the highest number given to a link or a report
-	executorLink, welcomedLink      int // to the executor, 0 where there is none; the last that was welcomed
-	dialingLink                     int // the link to the executor that is being opened, 0 where none is
-	executorSynced                  bool
-	lastNotice                      int // the last that was taken
-	commandSequence, gaugesSequence int // of the last command, and of the last that gauges were asked for behind
-	unreadCommands                  []command
-	redialAt, redialBackoff         int64
-	deepChecks                      map[string]deepCheck
-	deepChecksStarted               int
+	addresses         Addresses
+	lastLink          int // the highest number given to a link or a report
+	executor          executorState
+	deepChecks        map[string]deepCheck
+	deepChecksStarted int
 
 	catalogueLinks                        []catalogueLink // links to the catalogue
 	waitingCalls                          []int32         // invocations whose call has no link yet
@@ -105,9 +96,9 @@
 // on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
 func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
 	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, maxCatalogueLinks: links, indexByCall: map[string]int32{},
-		connections: map[int]*connection{}, deepChecks: map[string]deepCheck{}, timerAt: never, gaugesAt: never,
-		gaugesReceivedAt: math.MinInt64 / 2, redialBackoff: minRedialBackoff,
+		connections: map[int]*connection{}, deepChecks: map[string]deepCheck{}, timerAt: never,
 		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
+	r.executor = newExecutorState(r)
 	r.Invariants.Tell = func(what string, times int) {
 		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
@@ -157,7 +148,7 @@
 	sm.expireResults()
 	sm.stepLeases()
 	sm.stepClaims()
-	sm.requestProof()
+	sm.executor.requestAcknowledgement()
 	sm.sampleState()
 	sm.stepConfigSync()
 	sm.stepMembership()
@@ -174,12 +165,8 @@
 		if c := sm.connections[in.Link]; c != nil {
 			sm.applyDispatcherInput(in, c)
 		}
-	case ExecutorConnected:
-		sm.executorConnected(in.Link)
-	case ExecutorLineReceived, ExecutorDisconnected:
-		if in.Link == sm.executorLink || in.Kind == ExecutorDisconnected && in.Link == sm.dialingLink { // the latter: it could not be had
-			sm.applyExecutorInput(in)
-		}
+	case ExecutorConnected, ExecutorLineReceived, ExecutorDisconnected:
+		sm.executor.apply(in)
 	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
 		sm.applyCatalogueInput(in)
 	case ReportFinished:
@@ -234,7 +221,8 @@
 	case admission.SignalBackpressure:
 		sm.backpressure = formatNumber(a.Value)
 	case admission.SetTimer:
-		sm.timerAt, sm.gaugesAt = a.At, a.At-gaugesLeadTime
+		sm.timerAt = a.At
+		sm.executor.scheduleGauges(a.At)
 	case admission.StopAccepting:
 		sm.stopAccepting()
 	case admission.Exit:
@@ -279,10 +267,8 @@
 func (sm *StateMachine) applyAddresses(to Addresses) {
 	from := sm.addresses
 	sm.addresses = to
-	if to.Executor != from.Executor { // the next join brings all that was not heard on this link
-		sm.emit(Effect{Kind: CloseExecutor, Link: max(sm.executorLink, sm.dialingLink)})
-		sm.disconnectExecutor()
-		sm.redialAt, sm.redialBackoff = sm.now, minRedialBackoff
+	if to.Executor != from.Executor {
+		sm.executor.addressChanged()
 	}
 	if to.Catalogue != from.Catalogue {
 		sm.redialCatalogue()
@@ -292,3 +278,16 @@
 	}
 	sm.log(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
 }
+
+// startController starts deciding once the executor is up. The age of the cores is that of the executor; a cold one has
+// just started.
+func (sm *StateMachine) startController(cold bool, coresStartedAt int64) {
+	sm.config.Node.ColdStart = cold
+	sm.config.Node.ProcessStart = sm.startedAt
+	sm.controller = sm.Decisions(&sm.config.Node, coresStartedAt)
+	sm.healthy = true
+	sm.timerAt = sm.now
+	if sm.degradation.plan != nil {
+		sm.events = append(sm.events, sm.degradation.event())
+	}
+}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -157,7 +157,7 @@
 // facts are what the fleet is told of this node.
 func (sm *StateMachine) facts() (f membership.Facts) {
 	p := &sm.fleet
-	if sm.controller != nil && sm.executorLink != 0 {
+	if sm.controller != nil && sm.executor.isConnected() {
 		p.loose = -1
 	} else if p.loose < 0 {
 		p.loose = sm.now
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -25,7 +25,7 @@
 
 func TestExecutorGetsOnlyJoinBeforeItsWelcomeAndRunsAfterIt(t *testing.T) {
 	r := fresh(t)
-	r.executorLink, r.dialingLink = 0, 9
+	r.executor.link, r.executor.dialingLink = 0, 9
 	assert.Equal(t, "JOIN 0\r\n", text(step(r, Input{Kind: ExecutorConnected, Link: 9}), SendToExecutor))
 	assert.Equal(t, "METER j9\r\n", text(told(r, "WELCOME new 3"), SendToExecutor))
 	assert.Empty(t, text(step(r, invoke(1)), SendToExecutor), "notices may still follow the welcome")
@@ -37,7 +37,7 @@
 	told(r, "WELCOME new 3")
 	told(r, "BAD METER j1")
 	step(r, invoke(1))
-	r.now = r.gaugesAt
+	r.now = r.executor.gauges.requestAt
 	assert.Equal(t, "METER j1\r\n", text(step(r), SendToExecutor))
 	assert.Contains(t, text(told(r, "METERS j1 0 0 0 0"), SendToExecutor), "EXEC")
 }
@@ -124,7 +124,7 @@
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
 	link := r.catalogueLinks[0].id
-	r.now, r.executorHeardAt = r.invocations[0].callDeadline, r.invocations[0].callDeadline
+	r.now, r.executor.lastLineAt = r.invocations[0].callDeadline, r.invocations[0].callDeadline
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseCatalogue, Link: link}, got[0])
 	assert.Equal(t, []string{"51 on 1"}, answers(t, got))
@@ -179,7 +179,7 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
-	old, reporting := r.executorLink, r.reportLink
+	old, reporting := r.executor.link, r.reportLink
 	told(r, "CALLOUT 2 "+other+" 3|ask") // still being opened
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
@@ -191,8 +191,8 @@
 	got := replied(r, callID+" DATA 0")
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "heard to its end, then left")
 	step(r, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
-	assert.Equal(t, []int{r.lastLink - 1, 0}, []int{r.dialingLink, r.executorLink}, "the end of the old link is no news")
-	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	assert.Equal(t, []int{r.lastLink - 1, 0}, []int{r.executor.dialingLink, r.executor.link}, "the end of the old link is no news")
+	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being opened does not win")
 	assert.Equal(t, "JOIN 2\r\n", text(got, SendToExecutor))
 	assert.NotEqual(t, reporting, r.reportLink)
@@ -205,9 +205,9 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	rejoined(r)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, told(r, "EXIT 1 "+callID+" good 12 1|r")))
-	assert.Equal(t, "EXEC "+other+" catalogue 4\r\nbody\r\n", text(told(r, "METERS "+r.syncTag()+" 0 0 0 0"), SendToExecutor))
-	told(r, fmt.Sprintf("METERS m%d 0 0 0 0", r.commandSequence))
-	assert.Empty(t, r.unreadCommands, "the gauges prove that all before them was read")
+	assert.Equal(t, "EXEC "+other+" catalogue 4\r\nbody\r\n", text(told(r, "METERS "+r.executor.syncTag()+" 0 0 0 0"), SendToExecutor))
+	told(r, fmt.Sprintf("METERS m%d 0 0 0 0", r.executor.commands.sequence))
+	assert.Empty(t, r.executor.commands.unread, "the gauges prove that all before them was read")
 }
 
 func TestGaugesAreRequestedOnceAfterNewCommands(t *testing.T) {
@@ -226,19 +226,19 @@
 func TestExecutorLinkIsRedialedAfterADialFailure(t *testing.T) {
 	r := up(t)
 	for range 3 { // the first ends, the others are refused
-		assert.Empty(t, step(r, Input{Kind: ExecutorDisconnected, Link: max(r.executorLink, r.dialingLink)}))
-		r.now = r.redialAt
+		assert.Empty(t, step(r, Input{Kind: ExecutorDisconnected, Link: max(r.executor.link, r.executor.dialingLink)}))
+		r.now = r.executor.redialAt
 		assert.Equal(t, []Effect{{Kind: DialExecutor, Link: r.lastLink, Address: "executor:1"}}, step(r))
 	}
 }
 
 func TestUnwelcomedLinkDoesNotKeepTheNodeAwake(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
-	r.now = r.redialAt
+	step(r, Input{Kind: ExecutorDisconnected, Link: r.executor.link})
+	r.now = r.executor.redialAt
 	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
-	r.now = r.gaugesAt
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
+	r.now = r.executor.gauges.requestAt
 	step(r)
 	assert.Greater(t, r.nextWakeup(), r.now)
 }
@@ -358,7 +358,7 @@
 			}
 			r.now += evictionGrace
 		} else {
-			r.now, r.executorHeardAt = r.now+idleTimeout, r.now+idleTimeout
+			r.now, r.executor.lastLineAt = r.now+idleTimeout, r.now+idleTimeout
 			assert.Equal(t, []string{"no more"}, answers(t, step(r)), what)
 			r.now += goAwayGrace
 		}
@@ -386,13 +386,13 @@
 	r := up(t)
 	step(r, invoke(1))
 	step(r, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
-	r.now, r.executorHeardAt = r.now+firstUseTimeout, r.now+firstUseTimeout
+	r.now, r.executor.lastLineAt = r.now+firstUseTimeout, r.now+firstUseTimeout
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
 	r.now += sweepInterval
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(r))
 	step(r, Input{Kind: ConnectionClosed, Link: 8})
 	told(r, "EXIT 1 "+callID+" good 12 6|result")
-	r.now, r.executorHeardAt = r.now+idleTimeout, r.now+idleTimeout
+	r.now, r.executor.lastLineAt = r.now+idleTimeout, r.now+idleTimeout
 	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
 	r.now += sweepInterval
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), "nothing crossed")
@@ -407,7 +407,7 @@
 	}
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
 	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
-	r.now, r.executorHeardAt = r.now+1_000*ms, r.now+1_000*ms
+	r.now, r.executor.lastLineAt = r.now+1_000*ms, r.now+1_000*ms
 	assert.NotContains(t, kinds(step(r)), CloseAfterFlush, "what is open is owed its answer")
 	got = told(r, "EXIT 1 "+callID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, got))
@@ -424,11 +424,11 @@
 
 func TestSilentExecutorLinkIsReopened(t *testing.T) {
 	r := up(t)
-	link := r.executorLink
+	link := r.executor.link
 	r.now += executorSilenceTimeout
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: link}, got[0])
-	r.now = r.redialAt
+	r.now = r.executor.redialAt
 	assert.Equal(t, DialExecutor, step(r)[0].Kind)
 }
 
@@ -480,12 +480,12 @@
 // A link may be half open: one that is up and never welcomed must not keep a node from serving.
 func TestUnwelcomedExecutorLinkIsReopened(t *testing.T) {
 	r := fresh(t)
-	link := r.executorLink
+	link := r.executor.link
 	r.now += executorSilenceTimeout
 	assert.Contains(t, step(r), Effect{Kind: CloseExecutor, Link: link})
-	r.now = r.redialAt
+	r.now = r.executor.redialAt
 	assert.Contains(t, kinds(step(r)), DialExecutor)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME new 3")
 	assert.Equal(t, []string{"check 20"}, answers(t, step(r, Input{Kind: FrameReceived, Link: 7,
 		Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})))
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -43,10 +43,7 @@
 	s := &State{ControllerState: sm.controller.State(), Succeeded: sm.Counters.Succeeded - sm.lastCounters.Succeeded,
 		Refused: sm.Counters.Throttled - sm.lastCounters.Throttled, Errored: sm.Counters.Errored - sm.lastCounters.Errored,
 		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: len(sm.connections), Links: len(sm.catalogueLinks),
-		Waiting: len(sm.waitingCalls), Unread: len(sm.unreadCommands), GaugeAge: sm.now - sm.gaugesReceivedAt, Synced: sm.executorSynced}
-	if sm.gaugesReceivedAt < 0 {
-		s.GaugeAge = -1
-	}
+		Waiting: len(sm.waitingCalls), Unread: sm.executor.unreadCommands(), GaugeAge: sm.executor.gauges.age(sm.now), Synced: sm.executor.synced}
 	s.Configuration = sm.ConfigSyncState()
 	if l := &sm.degradation; l.plan != nil {
 		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.LoadByLevel()
