--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -9,249 +9,307 @@
 )
 
 const (
-	catalogueIdleTimeout  = 100 * ms // ns of standing idle past which a link to the catalogue is left: it may be forgotten there
-	maxIdleCatalogueLinks = 8        // links to the catalogue that may stand idle: those of a burst are not kept
+	catalogueIdleTimeout  = 100 * ms // ns after which the catalogue may have forgotten an idle link
+	maxIdleCatalogueLinks = 8        // those of a burst are not pooled
+	noInvocation          = int32(-1)
 )
 
-// catalogueLink is a link to the catalogue. It carries one call at a time: what a spoilt or missing reply takes with it
-// is that call, and the link goes with it. Does harm, as each call in hand needs a descriptor, where there are few.
+// catalogueLink is a link to the catalogue. It carries one call at a time: a malformed or missing reply fails that call
+// only, and the link is closed with it.
 type catalogueLink struct {
 	id         int
 	address    string
 	up         bool
-	invocation int32 // whose call it carries, -1 for none
-	unmatched  bool  // it brought what was not asked for
-	idleSince  int64 // when it came to stand idle
+	invocation int32 // whose call it carries, or noInvocation
+	unmatched  bool  // it brought a reply that was not asked for
+	idleSince  int64
 }
 
-// callDependency makes the callDependency that a run stands at.
-func (sm *StateMachine) callDependency(i int32, until int64) {
+func (l *catalogueLink) isBusy() bool { return l.invocation != noInvocation }
+
+func (l *catalogueLink) isIdle() bool { return l.up && !l.isBusy() }
+
+// catalogueState is the links to the catalogue and the calls that wait for one.
+type catalogueState struct {
+	sm       *StateMachine
+	links    []catalogueLink
+	waiting  []int32 // invocations whose call has no link yet
+	maxLinks int
+}
+
+// startCall makes the call that a run waits for.
+func (c *catalogueState) startCall(i int32, deadline int64) {
+	sm := c.sm
 	v := &sm.invocations[i]
 	if !sm.Invariants.Check(v.live && !v.calling && v.callRequest != nil, "a call is made where a run stands at one") {
 		return
 	}
 	sm.Invariants.Check(sm.leases.holder == nil || sm.leases.holder.Allowed(sm.now) > 0, "a call is made while a lease goes on")
-	v.calling, v.callDeadline = true, until
-	sm.waitingCalls = append(sm.waitingCalls, i)
-	sm.sendWaitingCalls()
+	v.calling = true
+	v.callDeadline = deadline
+	c.waiting = append(c.waiting, i)
+	c.sendWaiting()
 }
 
-// sendWaitingCalls gives calls a link each while there may be more links. The first call of a run takes the link that
-// stood idle for the shortest time; any later one a new link, on which no second copy of an earlier reply can come.
-func (sm *StateMachine) sendWaitingCalls() {
-	for len(sm.waitingCalls) > 0 {
-		i := sm.waitingCalls[0]
-		best := -1
-		for k := range sm.catalogueLinks {
-			s := &sm.catalogueLinks[k]
-			if s.up && s.invocation < 0 && sm.now-s.idleSince < catalogueIdleTimeout && (best < 0 || s.idleSince > sm.catalogueLinks[best].idleSince) {
-				best = k
-			}
-		}
+// sendWaiting gives each waiting call a link, as far as the limit on links allows. The first call of a run takes the link
+// that became idle last; a later one a new link, on which no duplicate of an earlier reply can arrive.
+func (c *catalogueState) sendWaiting() {
+	for len(c.waiting) > 0 {
+		i := c.waiting[0]
+		idle := c.newestIdleLink()
 		switch {
-		case best >= 0 && !sm.invocations[i].called:
-			sm.catalogueLinks[best].invocation = i
-			sm.sendCall(&sm.catalogueLinks[best])
-		case len(sm.catalogueLinks) < sm.maxCatalogueLinks:
-			s := catalogueLink{id: sm.nextLink(), address: sm.addresses.Catalogue, invocation: i}
-			sm.catalogueLinks = append(sm.catalogueLinks, s)
-			sm.emit(Effect{Kind: DialCatalogue, Link: s.id, Address: s.address})
-		case best >= 0:
-			sm.closeCatalogueLink(best)
+		case idle >= 0 && !c.sm.invocations[i].called:
+			c.links[idle].invocation = i
+			c.sendCall(&c.links[idle])
+		case len(c.links) < c.maxLinks:
+			c.dial(i)
+		case idle >= 0:
+			c.closeLink(idle)
 			continue
 		default:
 			return
 		}
-		sm.waitingCalls = slices.Delete(sm.waitingCalls, 0, 1)
+		c.waiting = slices.Delete(c.waiting, 0, 1)
+	}
+}
+
+// newestIdleLink is the index of the link that became idle last and has not timed out, or -1.
+func (c *catalogueState) newestIdleLink() int {
+	newest := -1
+	for k := range c.links {
+		l := &c.links[k]
+		if !l.isIdle() || c.sm.now-l.idleSince >= catalogueIdleTimeout {
+			continue
+		}
+		if newest < 0 || l.idleSince > c.links[newest].idleSince {
+			newest = k
+		}
 	}
+	return newest
+}
+
+// dial opens a link for the call of an invocation.
+func (c *catalogueState) dial(i int32) {
+	l := catalogueLink{id: c.sm.nextLink(), address: c.sm.addresses.Catalogue, invocation: i}
+	c.links = append(c.links, l)
+	c.sm.emit(Effect{Kind: DialCatalogue, Link: l.id, Address: l.address})
 }
 
-func (sm *StateMachine) sendCall(s *catalogueLink) {
-	v := &sm.invocations[s.invocation]
+func (c *catalogueState) sendCall(l *catalogueLink) {
+	sm := c.sm
+	v := &sm.invocations[l.invocation]
 	v.called = true
-	wait := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
-	by := int64(0)
-	if sm.leases.holder != nil { // what is written late, after a pause, would be one call too many
-		by = v.callDeadline
+	timeout := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
+	writeBy := int64(0)
+	if sm.leases.holder != nil { // a call written late, after a pause, would exceed the lease
+		writeBy = v.callDeadline
 	}
-	sm.emit(Effect{Kind: SendToCatalogue, Link: s.id, At: by, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.call, wait)})
+	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.call, timeout)})
 }
 
-// closeCatalogueLink closes a link, which gives up the call on it.
-func (sm *StateMachine) closeCatalogueLink(k int) {
-	sm.countAbandonedCall(&sm.catalogueLinks[k])
-	sm.emit(Effect{Kind: CloseCatalogue, Link: sm.catalogueLinks[k].id})
-	sm.catalogueLinks = slices.Delete(sm.catalogueLinks, k, k+1)
+// closeLink closes a link, which abandons the call on it.
+func (c *catalogueState) closeLink(k int) {
+	c.sm.countAbandonedCall(&c.links[k])
+	c.sm.emit(Effect{Kind: CloseCatalogue, Link: c.links[k].id})
+	c.links = slices.Delete(c.links, k, k+1)
 }
 
-// idleCatalogueLink lets a link stand idle for a next call, or closes one that is not sound, known or wanted any more.
-func (sm *StateMachine) idleCatalogueLink(k int) {
-	s := &sm.catalogueLinks[k]
-	idle := 0
-	for _, other := range sm.catalogueLinks {
-		if other.up && other.invocation < 0 {
-			idle++
-		}
+// releaseLink pools a link for a next call, or closes one that is unsound, outdated or not needed.
+func (c *catalogueState) releaseLink(k int) {
+	idle := c.idleLinks()
+	l := &c.links[k]
+	l.invocation = noInvocation
+	l.idleSince = c.sm.now
+	if l.unmatched || l.address != c.sm.addresses.Catalogue || idle >= maxIdleCatalogueLinks {
+		c.closeLink(k)
 	}
-	s.invocation, s.idleSince = -1, sm.now
-	if s.unmatched || s.address != sm.addresses.Catalogue || idle >= maxIdleCatalogueLinks {
-		sm.closeCatalogueLink(k)
+}
+
+func (c *catalogueState) idleLinks() (count int) {
+	for k := range c.links {
+		if c.links[k].isIdle() {
+			count++
+		}
 	}
+	return count
 }
 
-// cancelCall gives up the call that an invocation has in hand, if any.
-func (sm *StateMachine) cancelCall(i int32) {
-	if !sm.invocations[i].calling {
+// cancelCall abandons the call of an invocation, if it has one in flight.
+func (c *catalogueState) cancelCall(i int32) {
+	v := &c.sm.invocations[i]
+	if !v.calling {
+		return
+	}
+	v.calling = false
+	if k := slices.Index(c.waiting, i); k >= 0 {
+		c.waiting = slices.Delete(c.waiting, k, k+1)
 		return
 	}
-	sm.invocations[i].calling = false
-	if k := slices.Index(sm.waitingCalls, i); k >= 0 {
-		sm.waitingCalls = slices.Delete(sm.waitingCalls, k, k+1)
-	} else if k := sm.linkOfCall(i); sm.Invariants.Check(k >= 0, "a call in hand has a link or waits for one") {
-		sm.closeCatalogueLink(k)
+	k := slices.IndexFunc(c.links, func(l catalogueLink) bool { return l.invocation == i })
+	if c.sm.Invariants.Check(k >= 0, "a call in hand has a link or waits for one") {
+		c.closeLink(k)
 	}
 }
 
-// linkOfCall is the link that carries an invocation's call, or -1.
-func (sm *StateMachine) linkOfCall(i int32) int {
-	return slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.invocation == i })
-}
-
-// callEnded tells the module how a call ended that is on no link any more.
-func (sm *StateMachine) callEnded(i int32, outcome admission.Outcome) {
-	sm.invocations[i].calling = false
-	sm.events = append(sm.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
+// callEnded reports the outcome of a call that is on no link any more.
+func (c *catalogueState) callEnded(i int32, outcome admission.Outcome) {
+	c.sm.invocations[i].calling = false
+	c.sm.events = append(c.sm.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 }
 
-func (sm *StateMachine) applyCatalogueInput(in *Input) {
-	k := slices.IndexFunc(sm.catalogueLinks, func(s catalogueLink) bool { return s.id == in.Link })
+// apply handles an input of one of the catalogue's links; those of closed links are ignored.
+func (c *catalogueState) apply(in *Input) {
+	k := slices.IndexFunc(c.links, func(l catalogueLink) bool { return l.id == in.Link })
 	if k < 0 {
-		if in.Kind == CatalogueConnected { // left while it was being opened
-			sm.emit(Effect{Kind: CloseCatalogue, Link: in.Link})
+		if in.Kind == CatalogueConnected { // closed while it was being dialed
+			c.sm.emit(Effect{Kind: CloseCatalogue, Link: in.Link})
 		}
 		return
 	}
-	s := &sm.catalogueLinks[k]
 	switch in.Kind {
 	case CatalogueConnected:
-		sm.Counters.CatalogueLinks++
-		s.up, s.idleSince = true, sm.now
-		if s.invocation >= 0 {
-			sm.sendCall(s)
-		}
-	case CatalogueDialFailed, CatalogueDisconnected: // a call that was never written has not run; a break proves nothing
-		i, outcome := s.invocation, admission.Broken
-		if in.Kind == CatalogueDialFailed {
-			outcome = admission.Unreachable
-		}
-		sm.log(Debug, "catalogue link ended", "", in.Err)
-		sm.countAbandonedCall(s)
-		sm.catalogueLinks = slices.Delete(sm.catalogueLinks, k, k+1)
-		if i >= 0 {
-			sm.callEnded(i, outcome)
-		}
+		c.connected(&c.links[k])
+	case CatalogueDialFailed: // a call that was never written has not run
+		c.disconnected(k, admission.Unreachable, in.Err)
+	case CatalogueDisconnected:
+		c.disconnected(k, admission.Broken, in.Err)
 	case CatalogueLineReceived:
-		if !sm.applyReply(k, in.Line.Words, in.Line.Body) {
-			i := s.invocation
-			sm.log(Warn, "catalogue can't be understood", in.Line.Words[0], nil)
-			sm.closeCatalogueLink(k)
-			if i >= 0 {
-				sm.callEnded(i, admission.Broken)
-			}
-		}
+		c.replyReceived(k, in.Line)
 	}
-	sm.sendWaitingCalls()
+	c.sendWaiting()
 }
 
-// applyReply maps a reply to the outcome that it proves. What is not asked for, or came before, is passed over.
-func (sm *StateMachine) applyReply(k int, words []string, body []byte) bool {
-	var outcome admission.Outcome
-	switch {
-	case len(words) == 3 && words[1] == "DATA":
-		outcome = admission.Succeeded
-	case len(words) != 2:
-		return false
-	case words[1] == "LATER":
-		outcome = admission.Overloaded
-	case words[1] == "NOUSE":
-		outcome = admission.Unreachable
-	case words[1] == "FAULT":
-		outcome = admission.Errored
-	case words[1] == "TOOSLOW":
-		outcome = admission.TimedOut
-	default:
-		return false
+func (c *catalogueState) connected(l *catalogueLink) {
+	c.sm.Counters.CatalogueLinks++
+	l.up = true
+	l.idleSince = c.sm.now
+	if l.isBusy() {
+		c.sendCall(l)
+	}
+}
+
+// disconnected drops a link that ended, with an outcome for the call on it.
+func (c *catalogueState) disconnected(k int, outcome admission.Outcome, err error) {
+	i := c.links[k].invocation
+	c.sm.log(Debug, "catalogue link ended", "", err)
+	c.sm.countAbandonedCall(&c.links[k])
+	c.links = slices.Delete(c.links, k, k+1)
+	if i != noInvocation {
+		c.callEnded(i, outcome)
+	}
+}
+
+// replyReceived ends a call with the outcome that its reply proves. A reply that was not asked for is ignored; after a
+// malformed one the link is closed.
+func (c *catalogueState) replyReceived(k int, line lineprotocol.Line) {
+	outcome, valid := replyOutcome(line.Words)
+	if !valid {
+		i := c.links[k].invocation
+		c.sm.log(Warn, "catalogue can't be understood", line.Words[0], nil)
+		c.closeLink(k)
+		if i != noInvocation {
+			c.callEnded(i, admission.Broken)
+		}
+		return
 	}
-	s := &sm.catalogueLinks[k]
-	if s.invocation < 0 || sm.invocations[s.invocation].call != words[0] {
-		sm.Counters.UnmatchedReplies++
-		if s.unmatched = true; s.invocation < 0 {
-			sm.closeCatalogueLink(k)
+	l := &c.links[k]
+	if !l.isBusy() || c.sm.invocations[l.invocation].call != line.Words[0] {
+		c.sm.Counters.UnmatchedReplies++
+		l.unmatched = true
+		if !l.isBusy() {
+			c.closeLink(k)
 		}
-		return true
+		return
 	}
-	i := s.invocation
-	v := &sm.invocations[i]
+	i := l.invocation
 	if outcome == admission.Succeeded {
+		v := &c.sm.invocations[i]
 		v.callRequest = nil
-		sm.sendCommand(i, lineprotocol.AppendBody(nil, body, "RETURN", v.call))
+		c.sm.sendCommand(i, lineprotocol.AppendBody(nil, line.Body, "RETURN", v.call))
 	}
-	sm.idleCatalogueLink(k)
-	sm.callEnded(i, outcome)
-	return true
+	c.releaseLink(k)
+	c.callEnded(i, outcome)
 }
 
-// expireCalls ends the waits that are over and drops links that stood idle too long to be trusted.
-func (sm *StateMachine) expireCalls() {
-	for k := len(sm.catalogueLinks) - 1; k >= 0; k-- {
-		switch s := &sm.catalogueLinks[k]; {
-		case s.invocation >= 0 && sm.now >= sm.invocations[s.invocation].callDeadline:
-			i, outcome := s.invocation, admission.Unreachable
-			if s.up {
-				outcome = admission.TimedOut
-			}
-			sm.closeCatalogueLink(k)
-			sm.callEnded(i, outcome)
-		case s.invocation < 0 && s.up && sm.now-s.idleSince >= catalogueIdleTimeout:
-			sm.closeCatalogueLink(k)
+// outcomeByReply maps the catalogue's replies without data.
+var outcomeByReply = map[string]admission.Outcome{
+	"LATER": admission.Overloaded, "NOUSE": admission.Unreachable, "FAULT": admission.Errored, "TOOSLOW": admission.TimedOut,
+}
+
+// replyOutcome is the outcome that a reply proves, false for a malformed one.
+func replyOutcome(words []string) (outcome admission.Outcome, valid bool) {
+	if len(words) == 3 && words[1] == "DATA" {
+		return admission.Succeeded, true
+	}
+	if len(words) != 2 {
+		return 0, false
+	}
+	outcome, valid = outcomeByReply[words[1]]
+	return outcome, valid
+}
+
+// expire ends calls at their deadlines and closes links after their idle timeout.
+func (c *catalogueState) expire() {
+	now := c.sm.now
+	for k := len(c.links) - 1; k >= 0; k-- {
+		l := &c.links[k]
+		switch {
+		case l.isBusy() && now >= c.sm.invocations[l.invocation].callDeadline:
+			c.callTimedOut(k)
+		case l.isIdle() && now-l.idleSince >= catalogueIdleTimeout:
+			c.closeLink(k)
 		}
 	}
-	sm.waitingCalls = slices.DeleteFunc(sm.waitingCalls, func(i int32) bool {
-		over := sm.now >= sm.invocations[i].callDeadline
-		if over {
-			sm.callEnded(i, admission.Unreachable)
+	c.waiting = slices.DeleteFunc(c.waiting, func(i int32) bool {
+		expired := now >= c.sm.invocations[i].callDeadline
+		if expired {
+			c.callEnded(i, admission.Unreachable)
 		}
-		return over
+		return expired
 	})
-	sm.sendWaitingCalls()
+	c.sendWaiting()
+}
+
+// callTimedOut ends the call on a link; one that was never written has not run.
+func (c *catalogueState) callTimedOut(k int) {
+	i := c.links[k].invocation
+	outcome := admission.Unreachable
+	if c.links[k].up {
+		outcome = admission.TimedOut
+	}
+	c.closeLink(k)
+	c.callEnded(i, outcome)
 }
 
-func (sm *StateMachine) callsDue() int64 {
+// dueAt is when the next call or idle link expires.
+func (c *catalogueState) dueAt() int64 {
 	at := int64(never)
-	for k := range sm.catalogueLinks {
-		if s := &sm.catalogueLinks[k]; s.invocation >= 0 {
-			at = min(at, sm.invocations[s.invocation].callDeadline)
-		} else if s.up {
-			at = min(at, s.idleSince+catalogueIdleTimeout)
+	for k := range c.links {
+		l := &c.links[k]
+		switch {
+		case l.isBusy():
+			at = min(at, c.sm.invocations[l.invocation].callDeadline)
+		case l.up:
+			at = min(at, l.idleSince+catalogueIdleTimeout)
 		}
 	}
-	for _, i := range sm.waitingCalls {
-		at = min(at, sm.invocations[i].callDeadline)
+	for _, i := range c.waiting {
+		at = min(at, c.sm.invocations[i].callDeadline)
 	}
 	return at
 }
 
-// redialCatalogue leaves the links to an address of before, but for those with a call in hand: it may end there.
-func (sm *StateMachine) redialCatalogue() {
-	for k := len(sm.catalogueLinks) - 1; k >= 0; k-- {
-		s := &sm.catalogueLinks[k]
-		if s.up && s.invocation >= 0 {
+// addressChanged closes the links to the earlier address, but for those with a call in flight.
+func (c *catalogueState) addressChanged() {
+	for k := len(c.links) - 1; k >= 0; k-- {
+		l := &c.links[k]
+		if l.up && l.isBusy() {
 			continue
 		}
-		if s.invocation >= 0 {
-			sm.waitingCalls = append(sm.waitingCalls, s.invocation)
+		if l.isBusy() {
+			c.waiting = append(c.waiting, l.invocation)
 		}
-		sm.closeCatalogueLink(k)
+		c.closeLink(k)
 	}
-	sm.sendWaitingCalls()
+	c.sendWaiting()
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -54,13 +54,13 @@
 
 func replied(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].id,
+	return step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogue.links[0].id,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 // reached has the last link to the catalogue come up.
 func reached(r *StateMachine) []Effect {
-	return step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[len(r.catalogueLinks)-1].id})
+	return step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[len(r.catalogue.links)-1].id})
 }
 
 // rejoined breaks the link to the executor and has a new one welcomed, its gauges not yet told.
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -69,7 +69,7 @@
 	if !sm.Invariants.Check(v.answered, "what is released was answered") {
 		sm.fail(i)
 	}
-	sm.cancelCall(i)
+	sm.catalogue.cancelCall(i)
 	if sm.indexByCall[v.call] == i {
 		delete(sm.indexByCall, v.call)
 	}
@@ -102,7 +102,7 @@
 		if sm.abandonToken(i) { // others wait for its run, which goes on
 			return
 		}
-		sm.cancelCall(i)
+		sm.catalogue.cancelCall(i)
 		sm.events = append(sm.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
 		sm.runFinished(i)
 	}
@@ -134,7 +134,7 @@
 func (sm *StateMachine) answer(i int32, code byte, fields []frame.Field, body []byte) {
 	v := &sm.invocations[i]
 	if v.abandoned { // nobody waits for it
-		sm.cancelCall(i)
+		sm.catalogue.cancelCall(i)
 		return
 	}
 	if !sm.Invariants.Check(v.live && !v.answered, "one answer an invocation") {
@@ -142,7 +142,7 @@
 	}
 	v.answered = true
 	sm.owedAnswers--
-	sm.cancelCall(i)
+	sm.catalogue.cancelCall(i)
 	sm.abandonToken(i)
 	sm.runFinished(i)
 	if v.connection == heir {
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -88,7 +88,7 @@
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
-	require.NotEmpty(t, r.catalogueLinks, "its call is made all the same")
+	require.NotEmpty(t, r.catalogue.links, "its call is made all the same")
 	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
 	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -33,16 +33,15 @@
 	Decisions        func(config *admission.Config, born int64) Decider // made once the executor is up
 	SpareConnections int                                                // connections that may be kept beside the most, while they end
 
-	config            *nodeconfig.Config
-	drainTime         int64 // ns from the notice to the kill
-	maxConnections    int
-	maxCatalogueLinks int
-	controller        Decider
-	now               int64
-	startedAt         int64 // when the first step was; no call was made before it in this life
-	wall              int64 // Unix ns at now
-	effects           []Effect
-	events            []admission.Event
+	config         *nodeconfig.Config
+	drainTime      int64 // ns from the notice to the kill
+	maxConnections int
+	controller     Decider
+	now            int64
+	startedAt      int64 // when the first step was; no call was made before it in this life
+	wall           int64 // Unix ns at now
+	effects        []Effect
+	events         []admission.Event
 
 	invocations        []invocation
 	freeIndices        []int32
@@ -64,11 +63,10 @@
 	addresses         Addresses
 	lastLink          int // the highest number given to a link or a report
 	executor          executorState
+	catalogue         catalogueState
 	deepChecks        map[string]deepCheck
 	deepChecksStarted int
 
-	catalogueLinks                        []catalogueLink // links to the catalogue
-	waitingCalls                          []int32         // invocations whose call has no link yet
 	reportAt                              int64
 	reportLink                            int // the report that is under way, 0 where none is
 	drainRequested, acceptStopped, exited bool
@@ -95,10 +93,11 @@
 // NewStateMachine is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
 // on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
 func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
-	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, maxCatalogueLinks: links, indexByCall: map[string]int32{},
+	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, indexByCall: map[string]int32{},
 		connections: map[int]*connection{}, deepChecks: map[string]deepCheck{}, timerAt: never,
 		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
 	r.executor = newExecutorState(r)
+	r.catalogue = catalogueState{sm: r, maxLinks: links}
 	r.Invariants.Tell = func(what string, times int) {
 		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
@@ -168,7 +167,7 @@
 	case ExecutorConnected, ExecutorLineReceived, ExecutorDisconnected:
 		sm.executor.apply(in)
 	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
-		sm.applyCatalogueInput(in)
+		sm.catalogue.apply(in)
 	case ReportFinished:
 		if in.Link == sm.reportLink {
 			sm.reportFinished(in.Err)
@@ -215,7 +214,7 @@
 		sm.givenUpByReason[a.Reason]++
 		sm.fail(a.Invocation)
 	case admission.StartCall:
-		sm.callDependency(a.Invocation, a.At)
+		sm.catalogue.startCall(a.Invocation, a.At)
 	case admission.ReportHealth:
 		sm.healthy, sm.healthCached = a.Healthy, a.Cached
 	case admission.SignalBackpressure:
@@ -271,7 +270,7 @@
 		sm.executor.addressChanged()
 	}
 	if to.Catalogue != from.Catalogue {
-		sm.redialCatalogue()
+		sm.catalogue.addressChanged()
 	}
 	if to.Control != from.Control {
 		sm.reportLink, sm.reportAt = 0, sm.now
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -46,7 +46,7 @@
 	heardFrom(t, r, grant)
 	effects = step(r)
 	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the module hears of it in the next step")
-	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].id})
+	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[0].id})
 	fetch := kindsOf(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
 	assert.LessOrEqual(t, fetch[0].At, r.now+500*ms, "of no use once its part of the lease is over")
@@ -63,9 +63,9 @@
 	require.NotEmpty(t, asks)
 	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(r)
-	require.Len(t, r.catalogueLinks, 1)
-	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].id})
-	for len(r.catalogueLinks) > 0 {
+	require.Len(t, r.catalogue.links, 1)
+	step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[0].id})
+	for len(r.catalogue.links) > 0 {
 		require.Less(t, r.now, r.leases.holder.Until())
 		step(r)
 	}
@@ -87,7 +87,7 @@
 	r.leases.told = 2
 	r.Step(r.now+20_000*ms, 1, []Input{}) // stood still: what it held is another's by now
 	assert.Zero(t, r.leases.told)
-	assert.Empty(t, r.catalogueLinks)
+	assert.Empty(t, r.catalogue.links)
 	var units []int
 	for _, e := range append(r.events, r.deferredEvents...) {
 		if e.Kind == admission.CallLimitSet {
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -112,10 +112,10 @@
 	r := up(t)
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
-	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.catalogueLinks[0].id})
+	again := step(r, Input{Kind: CatalogueDialFailed, Link: r.catalogue.links[0].id})
 	assert.Equal(t, DialCatalogue, again[0].Kind)
 	reached(r)
-	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.catalogueLinks[0].id})))
+	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, Input{Kind: CatalogueDisconnected, Link: r.catalogue.links[0].id})))
 }
 
 func TestCallTimesOutAtItsDeadlineAndItsReplyIsDropped(t *testing.T) {
@@ -123,7 +123,7 @@
 	step(r, invoke(1))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
-	link := r.catalogueLinks[0].id
+	link := r.catalogue.links[0].id
 	r.now, r.executor.lastLineAt = r.invocations[0].callDeadline, r.invocations[0].callDeadline
 	got := step(r)
 	assert.Equal(t, Effect{Kind: CloseCatalogue, Link: link}, got[0])
@@ -133,10 +133,10 @@
 
 func TestCatalogueLinkClosesAfterItsIdleTimeout(t *testing.T) {
 	r := up(t)
-	r.catalogueLinks = []catalogueLink{{id: 5, address: r.addresses.Catalogue, up: true, invocation: -1, idleSince: r.now - catalogueIdleTimeout}}
+	r.catalogue.links = []catalogueLink{{id: 5, address: r.addresses.Catalogue, up: true, invocation: -1, idleSince: r.now - catalogueIdleTimeout}}
 	got := step(r)
 	assert.Equal(t, CloseCatalogue, got[0].Kind)
-	assert.Empty(t, r.catalogueLinks)
+	assert.Empty(t, r.catalogue.links)
 }
 
 func TestEachCallHasItsOwnLinkAndAMalformedReplyFailsOnlyItsCall(t *testing.T) {
@@ -145,32 +145,32 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	told(r, "CALLOUT 2 "+other+" 3|ask")
-	assert.Len(t, r.catalogueLinks, 2)
+	assert.Len(t, r.catalogue.links, 2)
 	reached(r)
-	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].id})
+	step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[0].id})
 	assert.Equal(t, []string{"51 on 1"}, answers(t, replied(r, "noise")))
-	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
+	got := step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogue.links[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
 		Body: []byte("x")}})
 	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, SendToExecutor))
-	assert.True(t, r.catalogueLinks[0].up && r.catalogueLinks[0].invocation < 0, "kept for the next first call of a run")
+	assert.True(t, r.catalogue.links[0].up && r.catalogue.links[0].invocation < 0, "kept for the next first call of a run")
 	told(r, "CALLOUT 3 "+other+" 3|ask")
-	assert.Len(t, r.catalogueLinks, 2, "a second copy of the first reply can't pass for the second's")
-	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
+	assert.Len(t, r.catalogue.links, 2, "a second copy of the first reply can't pass for the second's")
+	got = step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogue.links[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "it brought what was not asked for")
 }
 
 func TestCallsWaitAtTheLinkLimit(t *testing.T) {
 	r := up(t)
-	r.maxCatalogueLinks = 1
+	r.catalogue.maxLinks = 1
 	const other = "00000000000000aa"
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	told(r, "CALLOUT 2 "+other+" 3|ask")
-	assert.Equal(t, []int32{1}, r.waitingCalls)
+	assert.Equal(t, []int32{1}, r.catalogue.waiting)
 	reached(r)
 	got := replied(r, callID+" DATA 0")
 	assert.Contains(t, text(got, SendToCatalogue), "FETCH "+other)
-	assert.Empty(t, r.waitingCalls)
+	assert.Empty(t, r.catalogue.waiting)
 }
 
 func TestReloadSwitchesToTheNewAddressesAtOnce(t *testing.T) {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -42,8 +42,8 @@
 func (sm *StateMachine) snapshotState() *State {
 	s := &State{ControllerState: sm.controller.State(), Succeeded: sm.Counters.Succeeded - sm.lastCounters.Succeeded,
 		Refused: sm.Counters.Throttled - sm.lastCounters.Throttled, Errored: sm.Counters.Errored - sm.lastCounters.Errored,
-		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: len(sm.connections), Links: len(sm.catalogueLinks),
-		Waiting: len(sm.waitingCalls), Unread: sm.executor.unreadCommands(), GaugeAge: sm.executor.gauges.age(sm.now), Synced: sm.executor.synced}
+		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: len(sm.connections), Links: len(sm.catalogue.links),
+		Waiting: len(sm.catalogue.waiting), Unread: sm.executor.unreadCommands(), GaugeAge: sm.executor.gauges.age(sm.now), Synced: sm.executor.synced}
 	s.Configuration = sm.ConfigSyncState()
 	if l := &sm.degradation; l.plan != nil {
 		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.LoadByLevel()
@@ -56,10 +56,6 @@
 			s.GivenUp[admission.ReasonNames[why]] = n
 		}
 	}
-	for k := range sm.catalogueLinks {
-		if sm.catalogueLinks[k].up && sm.catalogueLinks[k].invocation < 0 {
-			s.Idle++
-		}
-	}
+	s.Idle = sm.catalogue.idleLinks()
 	return s
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -13,7 +13,7 @@
 	sm.executor.requestGaugesIfDue()
 	sm.executor.closeIfSilent()
 	sm.checkConnections()
-	sm.expireCalls()
+	sm.catalogue.expire()
 	sm.expireDeepChecks()
 	if sm.now >= sm.timerAt {
 		sm.timerAt = never
@@ -27,7 +27,7 @@
 	if sm.hollow.on {
 		return sm.hollowDue()
 	}
-	at := min(sm.timerAt, sm.executor.dueAt(), sm.callsDue(), sm.deepChecksDue(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(), sm.versionsDue(), sm.configSyncDue())
+	at := min(sm.timerAt, sm.executor.dueAt(), sm.catalogue.dueAt(), sm.deepChecksDue(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(), sm.versionsDue(), sm.configSyncDue())
 	if len(sm.deferredEvents) > 0 {
 		at = sm.now + 1
 	}
