--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -41,7 +41,7 @@
 func pass(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
-		r.executor.lastLineAt, r.connections[7].lastUsedAt = r.now, r.now // neither link is silent
+		r.executor.lastLineAt, r.connections.byLink[7].lastUsedAt = r.now, r.now // neither link is silent
 		step(r)
 	}
 }
@@ -117,7 +117,7 @@
 	for stream := range maxFaults + 2 {
 		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, holding(r, stream+2, "b"))))
 	}
-	assert.Zero(t, r.connections[7].faults)
+	assert.Zero(t, r.connections.byLink[7].faults)
 	assert.Empty(t, answers(t, step(r, holding(r, 50, "a"))), "it joins the run")
 	pass(r, 2_000*ms)
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, ran(r, 1)))
@@ -181,7 +181,7 @@
 	ran(r, 1)
 	require.NoError(t, amendedBy(t, r, removed(nodeconfig.Tenants, "y")))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, coming(r, 2, "org", "y"))))
-	assert.Zero(t, r.connections[7].faults)
+	assert.Zero(t, r.connections.byLink[7].faults)
 	require.NoError(t, amendedBy(t, r, tenant("z", 1), tenant("y", 5)))
 	i, _ := r.config.Tenants.Find("y")
 	assert.Equal(t, int32(1), i)
@@ -310,7 +310,7 @@
 			want.Take(&change.Changes[0])
 			r.executor.lastLineAt = r.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
-			if r.connections[7] != nil && !r.connections[7].goAwaySent && !r.connections[7].broken && r.connections[7].isIdle() {
+			if r.connections.byLink[7] != nil && !r.connections.byLink[7].goAwaySent && !r.connections.byLink[7].broken && r.connections.byLink[7].isIdle() {
 				stream++
 				asked++
 				inputs = append(inputs, coming(r, int(stream), "org", "a"))
@@ -320,8 +320,8 @@
 			if i, v := r.findInvocation(id(int(stream))); i >= 0 && !v.answered {
 				answered += len(kindsOf(ran(r, int(stream)), SendToConnection))
 			}
-			if r.connections[7] != nil {
-				r.connections[7].faults = 0
+			if r.connections.byLink[7] != nil {
+				r.connections.byLink[7].faults = 0
 			}
 		}
 		assert.Greater(t, asked, 200)
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -60,7 +60,7 @@
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
 	for range 3_000 {
-		r.executor.lastLineAt, r.connections[7].lastUsedAt = r.now, r.now
+		r.executor.lastLineAt, r.connections.byLink[7].lastUsedAt = r.now, r.now
 		effects := step(r, in...)
 		in = nil
 		all = append(all, effects...)
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -12,7 +12,7 @@
 // withConnections is a node with so withConnections connections, all opened in one step and checked once in the next.
 func withConnections(t *testing.T, count int) *StateMachine {
 	r := up(t)
-	r.maxConnections = count
+	r.connections.max = count
 	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
@@ -41,12 +41,12 @@
 	for r.now < 3_000*ms {
 		advance(r, 10*ms)
 	}
-	assert.Equal(t, count, r.connectionsChecked, "once each, as those that bring nothing are told soon")
+	assert.Equal(t, count, r.connections.checked, "once each, as those that bring nothing are told soon")
 	for r.now < 14_000*ms {
 		advance(r, 10*ms)
 	}
-	assert.Equal(t, count, r.connectionsChecked)
-	for _, c := range r.connections {
+	assert.Equal(t, count, r.connections.checked)
+	for _, c := range r.connections.byLink {
 		assert.False(t, c.goAwaySent)
 	}
 }
@@ -60,8 +60,8 @@
 	}
 	told, ended, began := 0, 0, r.now
 	var closed []Input
-	for len(r.connections) > 0 && r.now-began < 5_000*ms {
-		before, beforeTold, beforeEnded := r.connectionsChecked, told, ended
+	for len(r.connections.byLink) > 0 && r.now-began < 5_000*ms {
+		before, beforeTold, beforeEnded := r.connections.checked, told, ended
 		effects := advance(r, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
@@ -74,13 +74,13 @@
 			}
 		}
 		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, maxClosesPerStep)
-		assert.LessOrEqual(t, r.connectionsChecked-before, maxChecksPerStep)
+		assert.LessOrEqual(t, r.connections.checked-before, maxChecksPerStep)
 	}
 	assert.Equal(t, count, told)
 	assert.Equal(t, count, ended)
 	assert.Less(t, r.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
 	assert.Equal(t, count, r.Counters.Idle)
-	assert.Zero(t, r.idleWheel.Len()+r.closingWheel.Len(), "nothing is kept of those that ended")
+	assert.Zero(t, r.connections.idleWheel.Len()+r.connections.closingWheel.Len(), "nothing is kept of those that ended")
 }
 
 // Whatever comes on connections, and however late steps come: none is told or ended before its time, each is by one sweep
@@ -88,7 +88,7 @@
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		r := up(t)
-		r.maxConnections, r.SpareConnections = 12, 2
+		r.connections.max, r.SpareConnections = 12, 2
 		next, wake, stream := 100, r.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
@@ -112,12 +112,12 @@
 				at = rapid.Int64Range(r.now+1, max(r.now+1, wake)).Draw(draw, "at")
 			}
 			before := map[int]connection{}
-			for link, c := range r.connections {
+			for link, c := range r.connections.byLink {
 				before[link] = *c
 			}
 			r.executor.lastLineAt = at
 			for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
-				c, was := r.connections[e.Link], before[e.Link]
+				c, was := r.connections.byLink[e.Link], before[e.Link]
 				switch {
 				case e.Kind == SetWakeup:
 					wake = e.At
@@ -128,7 +128,7 @@
 					}
 				}
 			}
-			for link, c := range r.connections {
+			for link, c := range r.connections.byLink {
 				if c.goAwaySent && !before[link].goAwaySent && !c.evicted && !c.broken {
 					assert.GreaterOrEqual(draw, at-c.lastUsedAt, int64(firstUseTimeout))
 					assert.True(draw, !c.usable || at-c.lastUsedAt >= idleTimeout)
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -4,122 +4,128 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 
 	"topazpost/internal/admission"
 	"topazpost/internal/protocol/frame"
 )
 
-const (
-	maxOpenStreams = 32 // invocations that may be open on one connection
-)
+// maxOpenStreams is how many streams without an answer a connection may have.
+const maxOpenStreams = 32
 
-// What makes an invocation's fields unusable.
+// Reasons why a frame or an invocation can't be used.
 var (
-	errField         = errors.New("missing or malformed")
-	errBodyTooLarge  = errors.New("the body is too large")
-	errStreamOrder   = errors.New("stream out of order")
-	errFrameType     = errors.New("unknown type of frame")
-	errTooManyFaults = errors.New("too many invocations that can't be used")
+	errField          = errors.New("missing or malformed")
+	errBodyTooLarge   = errors.New("the body is too large")
+	errStreamOrder    = errors.New("stream out of order")
+	errFrameType      = errors.New("unknown type of frame")
+	errTooManyFaults  = errors.New("too many invocations that can't be used")
+	errTooManyStreams = errors.New("too many streams are open")
 )
 
-func (sm *StateMachine) applyDispatcherInput(in *Input, c *connection) {
-	switch in.Kind {
-	case ConnectionClosed:
-		delete(sm.connections, in.Link)
-		sm.cancelCheck(c)
-		for _, stream := range slices.Sorted(maps.Keys(c.openStreams)) {
-			sm.callerDisconnected(c.openStreams[stream])
-		}
-		return
-	case FrameMalformed:
-		sm.connectionBroken(in.Link, c, in.Err)
-		return
-	}
-	switch f := &in.Frame; f.Type {
+// frameReceived handles a frame on a dispatcher's connection.
+func (sm *StateMachine) frameReceived(c *connection, f *frame.Frame) {
+	switch f.Type {
 	case frame.Invocation:
-		sm.invocationReceived(in.Link, c, f)
+		sm.invocationReceived(c, f)
 	case frame.Gone:
 		if i, open := c.openStreams[f.Stream]; open {
 			delete(c.openStreams, f.Stream)
 			sm.callerDisconnected(i)
-			sm.releaseIfIdle(in.Link, c)
+			sm.connections.released(c)
 		}
 	case frame.Check:
-		sm.healthCheckReceived(in.Link, c, f)
+		sm.health.received(c, f)
 	default:
-		sm.connectionBroken(in.Link, c, fmt.Errorf("%w: %d", errFrameType, f.Type))
+		sm.connections.markBroken(c, fmt.Errorf("%w: %d", errFrameType, f.Type))
 	}
 }
 
-// invocationReceived takes an invocation in, or answers at once one that can't be used. Where its connection can't be understood
-// any more it is errored unrun: it may be no invocation at all, and a throttle would say that it never ran before.
-func (sm *StateMachine) invocationReceived(link int, c *connection, f *frame.Frame) {
+// invocationReceived admits an invocation for the controller's decision, or answers one that can't be used.
+func (sm *StateMachine) invocationReceived(c *connection, f *frame.Frame) {
 	if c.broken {
-		if f.Stream > c.lastStream {
-			c.lastStream = f.Stream
-			sm.Counters.Invocations++
-			sm.Counters.Errored++
-			sm.sendFrame(link, f.Stream, frame.Errored, nil, nil)
-		}
+		sm.failOnBrokenConnection(c, f)
 		return
 	}
 	if f.Stream <= c.lastStream {
-		sm.connectionBroken(link, c, fmt.Errorf("%w: %d after %d", errStreamOrder, f.Stream, c.lastStream))
+		sm.connections.markBroken(c, fmt.Errorf("%w: %d after %d", errStreamOrder, f.Stream, c.lastStream))
 		return
 	}
 	c.lastStream = f.Stream
 	sm.Counters.Invocations++
-	v := invocation{live: true, connection: link, stream: f.Stream}
+	v := invocation{live: true, connection: c.link, stream: f.Stream}
 	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Original: admission.NoOriginal}
-	err := sm.decodeInvocation(f, &v, &e)
-	if err == nil {
-		err = sm.findOriginal(&v, &e)
-	}
-	if err == nil && sm.isRetired(&e) {
-		err = errRetired
-	}
-	if err == nil && len(c.openStreams) >= maxOpenStreams {
-		err = errors.New("too many streams are open")
-	}
-	if err != nil {
-		sm.Counters.BrokenInvocations++
-		sm.Counters.Errored++
-		sm.log(Warn, "invocation can't be used", v.call, err)
-		sm.sendFrame(link, f.Stream, frame.Errored, nil, nil)
-		if err != errRetired { // callers hear of a change as late as they do
-			sm.countFault(link, c)
-		}
+	if err := sm.validateInvocation(c, f, &v, &e); err != nil {
+		sm.failMalformed(c, &v, err)
 		return
 	}
-	c.usable, c.lastUsedAt = true, sm.now
-	if sm.isUnclaimed(&v) {
-		sm.rejectUnread(link, f.Stream)
+	c.markUsed(sm.now)
+	if sm.isUnclaimed(&v) || sm.controller == nil || sm.awaitingRecovery(&v) {
+		sm.rejectUnread(c.link, f.Stream)
 		return
 	}
-	if sm.controller == nil || sm.awaitingRecovery(&v) {
-		sm.rejectUnread(link, f.Stream)
-		return
-	}
-	sm.resumeConnection(link, c)
-	v.operation, v.tenant = e.OperationIndex, e.Tenant
+	sm.connections.resume(c)
+	v.operation = e.OperationIndex
+	v.tenant = e.Tenant
 	e.Invocation = sm.addInvocation(v)
 	if v.tokenKey.Token != "" {
-		sm.invocations[e.Invocation].arrival, sm.invocations[e.Invocation].arrivedAt = e, sm.now
-		sm.invocations[e.Invocation].deadline = cmp.Or(e.Deadline, sm.now-e.Age+sm.config.Node.Operations[e.OperationIndex].ClientTimeout)
+		added := &sm.invocations[e.Invocation]
+		added.arrival = e
+		added.arrivedAt = sm.now
+		added.deadline = cmp.Or(e.Deadline, sm.now-e.Age+sm.config.Node.Operations[e.OperationIndex].ClientTimeout)
 		sm.deferInvocation(e.Invocation, e.Original)
 	}
 	c.openStreams[f.Stream] = e.Invocation
 	sm.events = append(sm.events, e)
 }
 
+// validateInvocation decodes an invocation and checks that the node may take it.
+func (sm *StateMachine) validateInvocation(c *connection, f *frame.Frame, v *invocation, e *admission.Event) error {
+	if err := sm.decodeInvocation(f, v, e); err != nil {
+		return err
+	}
+	if err := sm.findOriginal(v, e); err != nil {
+		return err
+	}
+	if sm.isRetired(e) {
+		return errRetired
+	}
+	if len(c.openStreams) >= maxOpenStreams {
+		return errTooManyStreams
+	}
+	return nil
+}
+
+// failMalformed answers an invocation that can't be used. One of an operation or a tenant that was retired is no fault of
+// the connection: callers learn of a change late.
+func (sm *StateMachine) failMalformed(c *connection, v *invocation, err error) {
+	sm.Counters.BrokenInvocations++
+	sm.Counters.Errored++
+	sm.log(Warn, "invocation can't be used", v.call, err)
+	sm.sendFrame(c.link, v.stream, frame.Errored, nil, nil)
+	if !errors.Is(err, errRetired) {
+		sm.connections.countFault(c)
+	}
+}
+
+// failOnBrokenConnection answers what follows a malformed frame with an error: it may be no invocation at all, and a
+// throttle would promise that it has never run.
+func (sm *StateMachine) failOnBrokenConnection(c *connection, f *frame.Frame) {
+	if f.Stream <= c.lastStream {
+		return
+	}
+	c.lastStream = f.Stream
+	sm.Counters.Invocations++
+	sm.Counters.Errored++
+	sm.sendFrame(c.link, f.Stream, frame.Errored, nil, nil)
+}
+
+// sendFrame writes an answer with the current backpressure signal.
 func (sm *StateMachine) sendFrame(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
 	head := frame.Head(nil, frame.Answer, stream, code, sm.withBackpressure(fields), len(body))
 	sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: append(head, body...)})
 }
 
-// withBackpressure adds the free value to an answer's fields.
+// withBackpressure adds the backpressure signal to an answer's fields.
 func (sm *StateMachine) withBackpressure(fields []frame.Field) []frame.Field {
 	if sm.backpressure != "" {
 		fields = append(fields, frame.Field{Name: "load", Value: sm.backpressure})
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 
 	"topazpost/internal/admission"
 )
@@ -47,20 +45,18 @@
 	if !sm.hollow.on {
 		sm.emit(Effect{Kind: StopAccepting})
 	}
-	for _, link := range slices.Sorted(maps.Keys(sm.connections)) {
-		sm.sendGoAway(link, sm.connections[link])
-	}
+	sm.connections.sendGoAwayToAll()
 }
 
 // finishDrain ends the node once nothing is owed: all is answered, and each connection has had its end, so that what
 // crosses is answered too. Shortly before the kill it waits for no peer any more.
 func (sm *StateMachine) finishDrain() {
-	if !sm.exited || sm.owedAnswers > 0 || (len(sm.connections) > 0 || !sm.listenerClosed) && sm.now < sm.exitDeadline() {
+	if !sm.exited || sm.owedAnswers > 0 || (sm.connections.count() > 0 || !sm.listenerClosed) && sm.now < sm.exitDeadline() {
 		return
 	}
 	sm.exited = false
-	if len(sm.connections) > 0 {
-		sm.log(Warn, fmt.Sprintf("leaving with %d connections that have not ended", len(sm.connections)), "", nil)
+	if sm.connections.count() > 0 {
+		sm.log(Warn, fmt.Sprintf("leaving with %d connections that have not ended", sm.connections.count()), "", nil)
 	}
 	sm.announceLeaving()
 	sm.emit(Effect{Kind: Exit})
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -89,7 +89,7 @@
 	x.link = 0
 	x.dialingLink = 0
 	x.synced = false
-	x.sm.failDeepChecks()
+	x.sm.health.failDeepChecks()
 }
 
 // addressChanged leaves the link for the new address at once. The next join asks for all notices missed on it.
@@ -163,7 +163,7 @@
 		}
 	case "DIAGNOSED":
 		if count == 3 {
-			x.sm.deepCheckFinished(words[1], words[2] == "good")
+			x.sm.health.deepCheckFinished(words[1], words[2] == "good")
 			return nil
 		}
 	case "BAD":
@@ -296,8 +296,8 @@
 	if !v.answered {
 		link := v.connection
 		sm.fail(i)
-		if c := sm.connections[link]; c != nil {
-			sm.countFault(link, c)
+		if c := sm.connections.get(link); c != nil {
+			sm.connections.countFault(c)
 		}
 	}
 	sm.events = append(sm.events, admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -9,81 +9,110 @@
 )
 
 const (
-	deepCheckTimeout = 900 * ms // ns that a deep check may take: dispatchers wait little longer
+	deepCheckTimeout = 900 * ms // ns; dispatchers wait little longer
+	maxDeepChecks    = 32       // in progress at a time
 )
 
-// deepCheck is a deep health deepCheck that the executor works on.
+// deepCheck is a health check that the executor works on.
 type deepCheck struct {
-	connection int
-	stream     uint32
-	deadline   int64
+	link     int
+	stream   uint32
+	deadline int64
 }
 
-// healthCheckReceived answers a health healthCheckReceived from store, or has the executor do its work where the module leaves that.
-func (sm *StateMachine) healthCheckReceived(link int, c *connection, f *frame.Frame) {
+// healthChecks answers the dispatchers' health checks.
+type healthChecks struct {
+	sm      *StateMachine
+	healthy bool                 // as the controller last reported
+	cached  bool                 // deep checks are answered by that as well
+	deep    map[string]deepCheck // by tag
+	started int                  // deep checks so far
+}
+
+// setHealth sets what the controller reports.
+func (h *healthChecks) setHealth(healthy, cached bool) {
+	h.healthy = healthy
+	h.cached = cached
+}
+
+// isServing reports whether the node takes invocations and is healthy.
+func (h *healthChecks) isServing() bool { return h.sm.controller != nil && h.healthy }
+
+// received answers a health check, or passes a deep one to the executor.
+func (h *healthChecks) received(c *connection, f *frame.Frame) {
 	fields, _, err := frame.Fields(f.Payload)
-	deep := false
-	for _, field := range fields {
-		deep = deep || field.Name == "e2e" && field.Value == "1"
-	}
 	if err != nil || f.Past {
-		sm.log(Warn, "health check can't be read", "", err)
+		h.sm.log(Warn, "health check can't be read", "", err)
 	} else {
-		c.usable, c.lastUsedAt = true, sm.now
+		c.markUsed(h.sm.now)
 	}
-	if deep && sm.healthy && !sm.healthCached && sm.config.Node.DeepHealthChecks && sm.executor.isConnected() && len(sm.deepChecks) < maxOpenStreams {
-		sm.deepChecksStarted++
-		tag := "d" + strconv.Itoa(sm.deepChecksStarted)
-		sm.deepChecks[tag] = deepCheck{link, f.Stream, sm.now + deepCheckTimeout}
-		c.pendingChecks++
-		sm.resumeConnection(link, c)
-		sm.executor.send("DIAG", tag)
+	if isDeepCheck(fields) && h.canStartDeepCheck() {
+		h.startDeepCheck(c, f.Stream)
 		return
 	}
-	sm.answerHealthCheck(link, f.Stream, sm.controller != nil && sm.healthy)
+	h.answer(c.link, f.Stream, h.isServing())
+}
+
+func isDeepCheck(fields []frame.Field) bool {
+	return slices.ContainsFunc(fields, func(field frame.Field) bool { return field.Name == "e2e" && field.Value == "1" })
+}
+
+func (h *healthChecks) canStartDeepCheck() bool {
+	return h.healthy && !h.cached && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deep) < maxDeepChecks
+}
+
+func (h *healthChecks) startDeepCheck(c *connection, stream uint32) {
+	h.started++
+	tag := "d" + strconv.Itoa(h.started)
+	h.deep[tag] = deepCheck{link: c.link, stream: stream, deadline: h.sm.now + deepCheckTimeout}
+	c.pendingChecks++
+	h.sm.connections.resume(c)
+	h.sm.executor.send("DIAG", tag)
 }
 
-func (sm *StateMachine) answerHealthCheck(link int, stream uint32, good bool) {
+func (h *healthChecks) answer(link int, stream uint32, healthy bool) {
 	code := byte(frame.Bad)
-	if good {
+	if healthy {
 		code = frame.Good
 	}
-	sm.emit(Effect{Kind: SendToConnection, Link: link,
-		Bytes: frame.Head(nil, frame.Checked, stream, code, sm.withBackpressure(nil), 0)})
+	head := frame.Head(nil, frame.Checked, stream, code, h.sm.withBackpressure(nil), 0)
+	h.sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: head})
 }
 
-// deepCheckFinished answers the check that a deep one was for.
-func (sm *StateMachine) deepCheckFinished(tag string, good bool) {
-	d, ok := sm.deepChecks[tag]
+// deepCheckFinished answers a deep check, if it has not timed out.
+func (h *healthChecks) deepCheckFinished(tag string, passed bool) {
+	d, ok := h.deep[tag]
 	if !ok {
 		return
 	}
-	delete(sm.deepChecks, tag)
-	if c := sm.connections[d.connection]; c != nil {
+	delete(h.deep, tag)
+	if c := h.sm.connections.get(d.link); c != nil {
 		c.pendingChecks--
-		sm.answerHealthCheck(d.connection, d.stream, good && sm.healthy)
-		sm.releaseIfIdle(d.connection, c)
+		h.answer(d.link, d.stream, passed && h.healthy)
+		h.sm.connections.released(c)
 	}
 }
 
-// failDeepChecks answers all deep checks: the executor is gone.
-func (sm *StateMachine) failDeepChecks() {
-	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
-		sm.deepCheckFinished(tag, false)
+// failDeepChecks fails all deep checks when the executor's link is lost.
+func (h *healthChecks) failDeepChecks() {
+	for _, tag := range slices.Sorted(maps.Keys(h.deep)) {
+		h.deepCheckFinished(tag, false)
 	}
 }
 
-func (sm *StateMachine) expireDeepChecks() {
-	for _, tag := range slices.Sorted(maps.Keys(sm.deepChecks)) {
-		if sm.now >= sm.deepChecks[tag].deadline {
-			sm.deepCheckFinished(tag, false)
+// expire fails the deep checks that have timed out.
+func (h *healthChecks) expire() {
+	for _, tag := range slices.Sorted(maps.Keys(h.deep)) {
+		if h.sm.now >= h.deep[tag].deadline {
+			h.deepCheckFinished(tag, false)
 		}
 	}
 }
 
-func (sm *StateMachine) deepChecksDue() int64 {
+// dueAt is when the next deep check times out.
+func (h *healthChecks) dueAt() int64 {
 	at := int64(never)
-	for _, d := range sm.deepChecks {
+	for _, d := range h.deep {
 		at = min(at, d.deadline)
 	}
 	return at
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -161,9 +161,8 @@
 		sm.Counters.Errored++
 	}
 	sm.sendFrame(v.connection, v.stream, code, fields, body)
-	if c := sm.connections[v.connection]; c != nil {
-		delete(c.openStreams, v.stream)
-		sm.releaseIfIdle(v.connection, c)
+	if c := sm.connections.get(v.connection); c != nil {
+		sm.connections.streamClosed(c, v.stream)
 	}
 }
 
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -136,7 +136,7 @@
 // askCacheAgain takes a repeat in anew, as its token's first: what it repeated was turned away unrun, or its caller left.
 func (sm *StateMachine) askCacheAgain(i int32) {
 	v := sm.invocations[i]
-	c := sm.connections[v.connection]
+	c := sm.connections.get(v.connection)
 	if c == nil { // its connection ends in this step, and it with it
 		return
 	}
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -11,7 +11,6 @@
 	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/invariant"
 	"topazpost/internal/nodeconfig"
-	"topazpost/internal/timerwheel"
 )
 
 const (
@@ -33,39 +32,31 @@
 	Decisions        func(config *admission.Config, born int64) Decider // made once the executor is up
 	SpareConnections int                                                // connections that may be kept beside the most, while they end
 
-	config         *nodeconfig.Config
-	drainTime      int64 // ns from the notice to the kill
-	maxConnections int
-	controller     Decider
-	now            int64
-	startedAt      int64 // when the first step was; no call was made before it in this life
-	wall           int64 // Unix ns at now
-	effects        []Effect
-	events         []admission.Event
+	config     *nodeconfig.Config
+	drainTime  int64 // ns from the notice to the kill
+	controller Decider
+	now        int64
+	started    bool
+	startedAt  int64 // when the first step was; no call was made before it in this life
+	wall       int64 // Unix ns at now
+	effects    []Effect
+	events     []admission.Event
 
-	invocations        []invocation
-	freeIndices        []int32
-	indexByCall        map[string]int32
-	connections        map[int]*connection
-	idleWheel          *timerwheel.Wheel // when each connection that may bring more is looked at, in ms; nil before the first step
-	closingWheel       *timerwheel.Wheel // the same of those that were told to bring no more
-	overdueConnections []int             // connections to be looked at that were too many for one step
-	connectionsChecked int               // connections that were looked at so far
-	owedAnswers        int               // invocations that are owed an answer
+	invocations []invocation
+	freeIndices []int32
+	indexByCall map[string]int32
+	owedAnswers int // invocations that are owed an answer
 
-	timerAt   int64 // when the controller is to be stepped next
-	sweepAt   int64
-	overdueAt int64 // when the next of due are looked at
+	timerAt int64 // when the controller is to be stepped next
 
-	healthy, healthCached bool
-	backpressure          string // what answers carry, empty before the first advice
+	backpressure string // what answers carry, empty before the first advice
 
-	addresses         Addresses
-	lastLink          int // the highest number given to a link or a report
-	executor          executorState
-	catalogue         catalogueState
-	deepChecks        map[string]deepCheck
-	deepChecksStarted int
+	addresses   Addresses
+	lastLink    int // the highest number given to a link or a report
+	executor    executorState
+	catalogue   catalogueState
+	connections connectionTable
+	health      healthChecks
 
 	reportAt                              int64
 	reportLink                            int // the report that is under way, 0 where none is
@@ -93,11 +84,13 @@
 // NewStateMachine is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
 // on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
 func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
-	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, maxConnections: connections, indexByCall: map[string]int32{},
-		connections: map[int]*connection{}, deepChecks: map[string]deepCheck{}, timerAt: never,
+	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, indexByCall: map[string]int32{},
+		timerAt:   never,
 		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
 	r.executor = newExecutorState(r)
 	r.catalogue = catalogueState{sm: r, maxLinks: links}
+	r.connections = newConnectionTable(r, connections)
+	r.health = healthChecks{sm: r, deep: map[string]deepCheck{}}
 	r.Invariants.Tell = func(what string, times int) {
 		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
 	}
@@ -119,8 +112,10 @@
 // Step takes what happened up to now, a clock that only advances, with wall its time in Unix nanoseconds. The
 // effects are valid until the next step.
 func (sm *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
-	if sm.idleWheel == nil {
-		sm.startedAt, sm.idleWheel, sm.closingWheel = now, timerwheel.New(now/ms), timerwheel.New(now/ms)
+	if !sm.started {
+		sm.started = true
+		sm.startedAt = now
+		sm.connections.start(now)
 	}
 	sm.now, sm.wall, sm.effects, sm.events = now, wall, sm.effects[:0], append(sm.events[:0], sm.deferredEvents...)
 	sm.deferredEvents, sm.decided = sm.deferredEvents[:0], false
@@ -131,7 +126,7 @@
 	}
 	for i := range inputs { // last, so that none makes room at one that just brought an invocation
 		if inputs[i].Kind == ConnectionOpened {
-			sm.connectionOpened(inputs[i].Link)
+			sm.connections.opened(inputs[i].Link)
 		}
 	}
 	sm.runTimers()
@@ -161,9 +156,7 @@
 func (sm *StateMachine) apply(in *Input) {
 	switch in.Kind {
 	case FrameReceived, FrameMalformed, ConnectionClosed:
-		if c := sm.connections[in.Link]; c != nil {
-			sm.applyDispatcherInput(in, c)
-		}
+		sm.connections.apply(in)
 	case ExecutorConnected, ExecutorLineReceived, ExecutorDisconnected:
 		sm.executor.apply(in)
 	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
@@ -216,7 +209,7 @@
 	case admission.StartCall:
 		sm.catalogue.startCall(a.Invocation, a.At)
 	case admission.ReportHealth:
-		sm.healthy, sm.healthCached = a.Healthy, a.Cached
+		sm.health.setHealth(a.Healthy, a.Cached)
 	case admission.SignalBackpressure:
 		sm.backpressure = formatNumber(a.Value)
 	case admission.SetTimer:
@@ -284,7 +277,7 @@
 	sm.config.Node.ColdStart = cold
 	sm.config.Node.ProcessStart = sm.startedAt
 	sm.controller = sm.Decisions(&sm.config.Node, coresStartedAt)
-	sm.healthy = true
+	sm.health.healthy = true
 	sm.timerAt = sm.now
 	if sm.degradation.plan != nil {
 		sm.events = append(sm.events, sm.degradation.event())
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -73,7 +73,7 @@
 		invoke(10, "recv", "99999999999999"), invoke(11, "recv", "-1"), invoke(12, "work", "0x1p2"),
 		invoke(13, "heap", "1e2"), invoke(14, "src", "9999999999999"), invoke(15, "row", "7f3a"),
 		invoke(16, "rep", "2")} {
-		r.connections[7].faults = 0
+		r.connections.byLink[7].faults = 0
 		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, answers(t, step(r, broken)))
 	}
 	assert.NotEmpty(t, text(step(r, invoke(20)), SendToExecutor))
@@ -268,7 +268,7 @@
 	assert.Equal(t, []string{"check 51"}, answers(t, step(r, deep)), "no executor yet")
 	r = up(t)
 	assert.Equal(t, []string{"check 20"}, answers(t, step(r, deep)))
-	r.healthCached, r.config.Node.DeepHealthChecks = false, true
+	r.health.cached, r.config.Node.DeepHealthChecks = false, true
 	assert.Equal(t, "DIAG d1\r\n", text(step(r, deep), SendToExecutor))
 	assert.Equal(t, []string{"check 51"}, answers(t, told(r, "DIAGNOSED d1 bad")))
 	step(r, deep)
@@ -335,8 +335,8 @@
 	step(r, Input{Kind: ConnectionClosed, Link: 10})
 	step(r, check(11))
 	step(r, Input{Kind: ConnectionOpened, Link: 12})
-	assert.True(t, r.connections[9].goAwaySent, "8 was heard of later")
-	assert.False(t, r.connections[8].goAwaySent)
+	assert.True(t, r.connections.byLink[9].goAwaySent, "8 was heard of later")
+	assert.False(t, r.connections.byLink[8].goAwaySent)
 	assert.Equal(t, 2, r.Counters.Evicted)
 	step(r, check(12))
 	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(r, Input{Kind: ConnectionOpened, Link: 13})[0], "no place is left beside")
@@ -369,9 +369,9 @@
 		got = told(r, "EXIT 2 00000000000000aa good 12 6|result")
 		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
 		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
-		assert.Contains(t, r.connections, 7, what)
+		assert.Contains(t, r.connections.byLink, 7, what)
 		step(r, Input{Kind: ConnectionClosed, Link: 7})
-		assert.NotContains(t, r.connections, 7, what)
+		assert.NotContains(t, r.connections.byLink, 7, what)
 	}
 }
 
@@ -418,7 +418,7 @@
 	r := up(t)
 	step(r, invoke(1))
 	assert.Equal(t, []string{"51 on 1"}, answers(t, told(r, "BAD EXEC "+callID)))
-	assert.Equal(t, 1, r.connections[7].faults)
+	assert.Equal(t, 1, r.connections.byLink[7].faults)
 	assert.Empty(t, r.indexByCall)
 }
 
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -42,7 +42,7 @@
 func (sm *StateMachine) snapshotState() *State {
 	s := &State{ControllerState: sm.controller.State(), Succeeded: sm.Counters.Succeeded - sm.lastCounters.Succeeded,
 		Refused: sm.Counters.Throttled - sm.lastCounters.Throttled, Errored: sm.Counters.Errored - sm.lastCounters.Errored,
-		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: len(sm.connections), Links: len(sm.catalogue.links),
+		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: sm.connections.count(), Links: len(sm.catalogue.links),
 		Waiting: len(sm.catalogue.waiting), Unread: sm.executor.unreadCommands(), GaugeAge: sm.executor.gauges.age(sm.now), Synced: sm.executor.synced}
 	s.Configuration = sm.ConfigSyncState()
 	if l := &sm.degradation; l.plan != nil {
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -8,13 +8,13 @@
 	sm.executor.dialIfDue()
 	if sm.now >= sm.reportAt && sm.reportLink == 0 && !sm.drainRequested {
 		sm.reportLink = sm.nextLink()
-		sm.emit(Effect{Kind: SendReport, Link: sm.reportLink, Address: sm.addresses.Control, Ready: sm.controller != nil && sm.healthy})
+		sm.emit(Effect{Kind: SendReport, Link: sm.reportLink, Address: sm.addresses.Control, Ready: sm.health.isServing()})
 	}
 	sm.executor.requestGaugesIfDue()
 	sm.executor.closeIfSilent()
-	sm.checkConnections()
+	sm.connections.checkDue()
 	sm.catalogue.expire()
-	sm.expireDeepChecks()
+	sm.health.expire()
 	if sm.now >= sm.timerAt {
 		sm.timerAt = never
 		sm.stepDegradation()
@@ -27,13 +27,10 @@
 	if sm.hollow.on {
 		return sm.hollowDue()
 	}
-	at := min(sm.timerAt, sm.executor.dueAt(), sm.catalogue.dueAt(), sm.deepChecksDue(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(), sm.versionsDue(), sm.configSyncDue())
+	at := min(sm.timerAt, sm.executor.dueAt(), sm.catalogue.dueAt(), sm.health.dueAt(), sm.connections.dueAt(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(), sm.versionsDue(), sm.configSyncDue())
 	if len(sm.deferredEvents) > 0 {
 		at = sm.now + 1
 	}
-	if len(sm.connections) > 0 {
-		at = min(at, sm.connectionsDue())
-	}
 	if sm.exited && sm.owedAnswers == 0 {
 		at = min(at, sm.exitDeadline())
 	}
