--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"strconv"
 	"strings"
 
@@ -9,18 +10,41 @@
 	"topazpost/internal/protocol/frame"
 )
 
+// Limits of an invocation's fields, far above what a sound dispatcher sends.
 const (
-	maxBodyBytes    = 2 << 10    // bytes of an invocation's body
-	maxHeapKB       = 2_000.0    // kB of memory that an invocation may be booked with
-	maxArrivalAgeMS = 60_000     // ms past which the stamp of an arrival can't be one: far above any client timeout
-	maxClockSkewMS  = 1_000      // ms that a stamp may lie ahead: a clock that was set back between it and its reading
-	maxTTLMS        = 86_400_000 // ms that a caller may say it waits: a day, far above any client timeout
-	maxCallerNumber = 1 << 32    // numbers of callers: a few thousand in the largest fleet
-	maxWorkMS       = 1e7        // ms of work that may be expected: some hours
-	maxDecimalBytes = 32         // bytes of a decimal number
+	maxBodyBytes    = 2 << 10
+	maxHeapKB       = 2_000.0
+	maxArrivalAgeMS = 60_000
+	maxClockSkewMS  = 1_000 // that a stamp may lie ahead: the clock may be set back after it
+	maxTTLMS        = 86_400_000
+	maxCallerNumber = 1 << 32
+	maxWorkMS       = 1e7
+	maxDecimalBytes = 32
 )
 
-// decodeInvocation turns an invocation's fields into an event.
+// fieldSet is the fields that an invocation has.
+type fieldSet uint8
+
+const (
+	fieldOp fieldSet = 1 << iota
+	fieldCall
+	fieldRecv
+	fieldSrc
+	fieldHeap
+
+	requiredFields = fieldOp | fieldCall | fieldRecv | fieldSrc | fieldHeap
+)
+
+// fieldDecoder collects the fields of one invocation.
+type fieldDecoder struct {
+	sm         *StateMachine
+	invocation *invocation
+	event      *admission.Event
+	present    fieldSet
+	ttlMS      int64 // that the caller waits from the arrival on, -1 where it isn't given
+}
+
+// decodeInvocation decodes an invocation's fields and body into v and its event.
 func (sm *StateMachine) decodeInvocation(f *frame.Frame, v *invocation, e *admission.Event) error {
 	if f.Past {
 		return errBodyTooLarge
@@ -29,82 +53,119 @@
 	if err != nil {
 		return err
 	}
-	var op, call, recv, src, heap bool
-	left := int64(-1) // ms that the caller waits from the arrival on, where it says so
+	d := fieldDecoder{sm: sm, invocation: v, event: e, ttlMS: -1}
 	for _, field := range fields {
-		ok, n := true, 0.0
-		switch field.Name {
-		case "op":
-			e.OperationIndex, ok = sm.config.Operations.Lookup(field.Value)
-			v.op, op = field.Value, true
-		case "call":
-			v.call, call, ok = field.Value, true, isHex16(field.Value)
-		case "recv":
-			var at int64
-			at, ok = parseWhole(field.Value)
-			recv, ok = true, ok && sm.isPlausibleStamp(at)
-			e.Age = sm.arrivalAge(at)
-		case "src":
-			e.Caller, ok = parseWhole(field.Value)
-			src, ok = true, ok && e.Caller <= maxCallerNumber
-		case "org":
-			if sm.config.Tenants.Len() > 0 {
-				e.Tenant, ok = sm.config.Tenants.Lookup(field.Value)
-			}
-		case "ttl":
-			left, ok = parseWhole(field.Value)
-			ok = ok && left <= maxTTLMS
-		case "rep":
-			e.Retry, ok = true, field.Value == "1"
-		case "work":
-			n, ok = parseDecimal(field.Value)
-			e.ExpectedWork, ok = int64(n*float64(ms)), ok && n <= maxWorkMS
-		case "heap":
-			e.QueuedKB, ok = parseDecimal(field.Value)
-			heap, ok = true, ok && e.QueuedKB > 0 && e.QueuedKB < maxHeapKB
-		case "crit":
-			n, ok = parseDecimal(field.Value)
-			ok = ok && n < 1
-		case sm.results.token:
-			v.tokenKey.Token, ok = field.Value, sm.results.keeper == nil || len(field.Value) <= tokenMost
-		case "row":
-			e.HasReadKey, ok = true, isHex16(field.Value)
-		}
-		if !ok {
+		if !d.decode(field.Name, field.Value) {
 			return fmt.Errorf("field %s: %w", field.Name, errField)
 		}
 	}
-	if !(op && call && recv && src && heap) {
+	if err := d.validate(); err != nil {
+		return err
+	}
+	if len(body) > maxBodyBytes {
+		return errBodyTooLarge
+	}
+	v.body = body
+	return nil
+}
+
+// decode takes one field over, and reports whether its value is valid. Unknown fields are ignored.
+func (d *fieldDecoder) decode(name, value string) (valid bool) {
+	v := d.invocation
+	e := d.event
+	switch name {
+	case "op":
+		d.present |= fieldOp
+		v.op = value
+		e.OperationIndex, valid = d.sm.config.Operations.Lookup(value)
+	case "call":
+		d.present |= fieldCall
+		v.call = value
+		valid = isHex16(value)
+	case "recv":
+		d.present |= fieldRecv
+		valid = d.decodeArrival(value)
+	case "src":
+		d.present |= fieldSrc
+		e.Caller, valid = parseWhole(value, maxCallerNumber)
+	case "org":
+		valid = d.decodeTenant(value)
+	case "ttl":
+		d.ttlMS, valid = parseWhole(value, maxTTLMS)
+	case "rep":
+		e.Retry = true
+		valid = value == "1"
+	case "work":
+		workMS, ok := parseDecimal(value)
+		e.ExpectedWork = int64(workMS * float64(ms))
+		valid = ok && workMS <= maxWorkMS
+	case "heap":
+		d.present |= fieldHeap
+		e.QueuedKB, valid = parseDecimal(value)
+		valid = valid && e.QueuedKB > 0 && e.QueuedKB < maxHeapKB
+	case "crit":
+		weight, ok := parseDecimal(value)
+		valid = ok && weight < 1
+	case d.sm.results.token:
+		v.tokenKey.Token = value
+		valid = d.sm.results.keeper == nil || len(value) <= tokenMost
+	case "row":
+		e.HasReadKey = true
+		valid = isHex16(value)
+	default:
+		valid = true
+	}
+	return valid
+}
+
+func (d *fieldDecoder) decodeArrival(value string) (valid bool) {
+	stamp, ok := parseWhole(value, math.MaxInt64)
+	d.event.Age = d.sm.arrivalAge(stamp)
+	return ok && d.sm.isPlausibleStamp(stamp)
+}
+
+// decodeTenant is valid for any value where the configuration names no tenants.
+func (d *fieldDecoder) decodeTenant(value string) (valid bool) {
+	if d.sm.config.Tenants.Len() == 0 {
+		return true
+	}
+	d.event.Tenant, valid = d.sm.config.Tenants.Lookup(value)
+	return valid
+}
+
+// validate checks the fields together once all are decoded, and sets the deadline.
+func (d *fieldDecoder) validate() error {
+	sm := d.sm
+	v := d.invocation
+	e := d.event
+	if d.present&requiredFields != requiredFields {
 		return fmt.Errorf("op, call, recv, src or heap: %w", errField)
 	}
 	if e.Tenant < 0 && sm.config.Tenants.Len() > 0 {
 		return fmt.Errorf("field org: %w: the settings name tenants", errField)
 	}
-	if sm.results.keeper != nil && v.tokenKey.Token == "" && sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey {
+	needsToken := sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey
+	if sm.results.keeper != nil && v.tokenKey.Token == "" && needsToken {
 		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.token, errField, v.op)
 	}
-	if left >= 0 {
-		e.Deadline = max(1, sm.now-e.Age+left*ms) // 0 would say that it is not known
+	if d.ttlMS >= 0 {
+		e.Deadline = max(1, sm.now-e.Age+d.ttlMS*ms) // 0 stands for an unknown one
 	}
 	if _, known := sm.indexByCall[v.call]; known {
 		return fmt.Errorf("field call: %w: in use", errField)
 	}
-	if len(body) > maxBodyBytes {
-		return errBodyTooLarge
-	}
-	v.body = body
 	return nil
 }
 
-// isPlausibleStamp says whether a stamp can be that of an arrival. It is of this machine's own clock, which jumps with it.
+// isPlausibleStamp reports whether a stamp, in Unix milliseconds of this machine's clock, can be that of an arrival.
 func (sm *StateMachine) isPlausibleStamp(stamp int64) bool {
 	return stamp-sm.wall/ms <= maxClockSkewMS && sm.wall/ms-stamp <= maxArrivalAgeMS
 }
 
-// arrivalAge is how long ago an invocation came to the machine.
+// arrivalAge is how long ago an invocation arrived at the machine.
 func (sm *StateMachine) arrivalAge(stamp int64) int64 { return max(0, sm.wall-stamp*ms) }
 
-// parseDecimal reads digits with at most one point among them, and nothing else that a parser of numbers would take.
+// parseDecimal parses digits with at most one point, and none of the other forms that strconv accepts.
 func parseDecimal(s string) (float64, bool) {
 	if len(s) > maxDecimalBytes || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
@@ -113,11 +174,13 @@
 	return n, err == nil
 }
 
-func parseWhole(s string) (int64, bool) {
+// parseWhole parses a decimal integer from 0 to a limit.
+func parseWhole(s string, limit int64) (int64, bool) {
 	n, err := strconv.ParseUint(s, 10, 63)
-	return int64(n), err == nil
+	return int64(n), err == nil && int64(n) <= limit
 }
 
+// isHex16 reports whether a text is 16 lower-case hexadecimal digits.
 func isHex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdef") == "" }
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
