--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -125,6 +125,13 @@
 	}
 }
 
+// openLinks is how many links are open or being dialed.
+func (c *catalogueState) openLinks() int { return len(c.links) }
+
+// waitingCalls is how many calls have no link.
+func (c *catalogueState) waitingCalls() int { return len(c.waiting) }
+
+// idleLinks is how many links carry no call.
 func (c *catalogueState) idleLinks() (count int) {
 	for k := range c.links {
 		if c.links[k].isIdle() {
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -354,7 +354,7 @@
 // takeOverInvocation takes in what a lost node had claimed, as an invocation whose caller is not here. Its due time stays; its latency
 // objective counts from now on, or the module would give up as hopeless what was lost with its node.
 func (sm *StateMachine) takeOverInvocation(key resultcache.Key, a *claims.Action) error {
-	if sm.controller == nil || sm.drainRequested {
+	if sm.controller == nil || sm.drain.isRequested() {
 		return fmt.Errorf("this node takes nothing in")
 	}
 	var w work
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -145,7 +145,7 @@
 	t.byLink[link] = c
 	t.scheduleCheck(c, t.sm.now+firstUseTimeout)
 	t.sm.emit(Effect{Kind: ReadConnection, Link: link})
-	if t.sm.acceptStopped {
+	if t.sm.drain.isAcceptStopped() {
 		t.sendGoAway(c)
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,60 +6,107 @@
 	"topazpost/internal/admission"
 )
 
+// Timing of the end of a drain, in nanoseconds.
 const (
-	abortTimeout = 1_000 * ms // ns from a second notice to the end: for connections to be told, heard once more and closed
-	exitMargin   = 100 * ms   // ns before the kill at which the process ends, whoever has not read what he is owed
+	abortTimeout = 1_000 * ms // from an abort to the kill: for connections to close
+	exitMargin   = 100 * ms   // before the kill at which the process exits, whatever its peers have not read
 )
 
-// startDrain passes on the notice; a node that never had its executor has nothing to startDrain.
-func (sm *StateMachine) startDrain() {
-	if sm.drainRequested {
+// drainState is the progress of a graceful shutdown: the notice, the end of accepting, and the exit once nothing is
+// pending or shortly before the process is killed.
+type drainState struct {
+	sm             *StateMachine
+	killDelay      int64 // ns from the notice to the kill
+	killAt         int64 // when the process is killed, after the notice
+	requested      bool
+	acceptStopped  bool
+	listenerClosed bool
+	exitPending    bool // the controller has finished, and the node exits once all is answered and closed
+}
+
+// isRequested reports whether the drain notice has come.
+func (d *drainState) isRequested() bool { return d.requested }
+
+// isAcceptStopped reports whether the node accepts no more connections and invocations.
+func (d *drainState) isAcceptStopped() bool { return d.acceptStopped }
+
+// isExitPending reports whether the node is about to exit.
+func (d *drainState) isExitPending() bool { return d.exitPending }
+
+// setListenerClosed records that no more connections can be opened.
+func (d *drainState) setListenerClosed() { d.listenerClosed = true }
+
+// start passes the drain notice on to the controller. Without one there is nothing to drain.
+func (d *drainState) start() {
+	if d.requested {
 		return
 	}
-	sm.drainRequested, sm.killAt = true, sm.now+sm.drainTime
+	sm := d.sm
+	d.requested = true
+	d.killAt = sm.now + d.killDelay
 	sm.log(Info, "drain notice", "", nil)
 	if sm.controller == nil {
-		sm.stopAccepting()
-		sm.exited = true
+		d.stopAccepting()
+		d.exitPending = true
 		return
 	}
-	sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now + sm.drainTime})
+	sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: d.killAt})
 }
 
-// abortDrain brings the kill forward: all that is in hand is answered in this step, and the node leaves once its connections
-// have had their end.
-func (sm *StateMachine) abortDrain() {
+// abort starts the drain if need be and brings the kill forward: all that is pending is answered in this step, and the
+// node exits once its connections are closed.
+func (d *drainState) abort() {
+	d.start()
+	sm := d.sm
 	sm.log(Info, "drain notice again: what is in hand is aborted", "", nil)
-	sm.killAt = min(sm.killAt, sm.now+abortTimeout)
+	d.killAt = min(d.killAt, sm.now+abortTimeout)
 	if sm.controller != nil {
 		sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now})
 	}
 }
 
-// stopAccepting is the start of beat 3 on sockets: nobody can connect any more, and no connection brings more.
-func (sm *StateMachine) stopAccepting() {
-	if sm.acceptStopped {
+// stopAccepting closes the listener and asks all dispatchers to send no more.
+func (d *drainState) stopAccepting() {
+	if d.acceptStopped {
 		return
 	}
-	sm.acceptStopped = true
-	if !sm.hollow.on {
-		sm.emit(Effect{Kind: StopAccepting})
+	d.acceptStopped = true
+	if !d.sm.hollow.on {
+		d.sm.emit(Effect{Kind: StopAccepting})
 	}
-	sm.connections.sendGoAwayToAll()
+	d.sm.connections.sendGoAwayToAll()
 }
 
-// finishDrain ends the node once nothing is owed: all is answered, and each connection has had its end, so that what
-// crosses is answered too. Shortly before the kill it waits for no peer any more.
-func (sm *StateMachine) finishDrain() {
-	if !sm.exited || sm.owedAnswers > 0 || (sm.connections.count() > 0 || !sm.listenerClosed) && sm.now < sm.exitDeadline() {
+// setExitPending has the node exit as soon as nothing is pending.
+func (d *drainState) setExitPending(report string) {
+	d.exitPending = true
+	d.sm.log(Info, report, "", nil)
+}
+
+// finish exits once all is answered and every connection is closed, so that what crosses a go-away is answered too, or
+// shortly before the kill.
+func (d *drainState) finish() {
+	if !d.exitPending || d.sm.owedAnswers > 0 {
+		return
+	}
+	open := d.sm.connections.count()
+	if (open > 0 || !d.listenerClosed) && d.sm.now < d.exitDeadline() {
 		return
 	}
-	sm.exited = false
-	if sm.connections.count() > 0 {
-		sm.log(Warn, fmt.Sprintf("leaving with %d connections that have not ended", sm.connections.count()), "", nil)
+	d.exitPending = false
+	if open > 0 {
+		d.sm.log(Warn, fmt.Sprintf("leaving with %d connections that have not ended", open), "", nil)
 	}
-	sm.announceLeaving()
-	sm.emit(Effect{Kind: Exit})
+	d.sm.announceLeaving()
+	d.sm.emit(Effect{Kind: Exit})
 }
 
-func (sm *StateMachine) exitDeadline() int64 { return sm.killAt - exitMargin }
+func (d *drainState) exitDeadline() int64 { return d.killAt - exitMargin }
+
+// dueAt is when the node exits at the latest.
+func (d *drainState) dueAt() int64 {
+	if d.exitPending && d.sm.owedAnswers == 0 {
+		return d.exitDeadline()
+	}
+	return never
+}
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -42,6 +42,9 @@
 
 func (x *executorState) isWelcomed() bool { return x.isConnected() && x.welcomedLink == x.link }
 
+// isSynced reports whether the link carries commands.
+func (x *executorState) isSynced() bool { return x.synced }
+
 func (x *executorState) isDisconnected() bool { return x.link == 0 && x.dialingLink == 0 }
 
 // apply handles an input of one of the executor's links; those of abandoned links are ignored.
@@ -190,7 +193,7 @@
 func (x *executorState) welcomed(state, age string) {
 	x.welcomedLink = x.link
 	x.send("METER", x.syncTag())
-	if x.sm.controller != nil || x.sm.exited { // the latter: too late for a node that is exiting
+	if x.sm.controller != nil || x.sm.drain.isExitPending() { // the latter: too late for a node that is exiting
 		return
 	}
 	ageMS, err := strconv.ParseFloat(age, 64)
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -56,6 +56,12 @@
 	return nil
 }
 
+// gaugesAge is the age of the last measurement, or -1 before the first.
+func (x *executorState) gaugesAge() int64 { return x.gauges.age(x.sm.now) }
+
+// tick is a tick of the controller with the last measurement.
+func (x *executorState) tick() admission.Event { return x.gauges.event(x.sm.now) }
+
 // scheduleGauges has gauges requested so that they are fresh at a timer of the controller.
 func (x *executorState) scheduleGauges(timerAt int64) { x.gauges.requestAt = timerAt - gaugesLeadTime }
 
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -48,7 +48,7 @@
 // are its load; with onlySeat it has none.
 func (sm *StateMachine) MakeHollow(counters *HollowCounters, onlySeat bool) {
 	sm.hollow = hollowState{on: true, onlySeat: onlySeat, counters: counters, tokens: map[claims.Key]*hollowToken{}}
-	sm.listenerClosed = true // there is none
+	sm.drain.setListenerClosed() // there is none
 }
 
 // applyLoadRequest takes what a hollow node is asked to do.
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -178,7 +178,7 @@
 // stepDegradation steps the ladder on the beat, and tells the module of another level.
 func (sm *StateMachine) stepDegradation() {
 	l := &sm.degradation
-	if l.steps == nil || sm.controller == nil || sm.drainRequested { // a drain stays at its level: intake ends soon
+	if l.steps == nil || sm.controller == nil || sm.drain.isRequested() { // a drain stays at its level: intake ends soon
 		return
 	}
 	sm.controller.MeasureLoad(&l.measures)
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -164,6 +164,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.snapshotState()
+		r.sampler.snapshot()
 	}
 }
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -25,44 +25,48 @@
 	MeasureLoad(m *admission.LoadMetrics)
 }
 
-// StateMachine is the state of one node.
+// StateMachine is the state of one node: the invocations and what the controller is told of them, and a component for
+// each kind of connection and each subsystem.
 type StateMachine struct {
-	Invariants       invariant.Checker
-	Counters         Counters
-	Decisions        func(config *admission.Config, born int64) Decider // made once the executor is up
-	SpareConnections int                                                // connections that may be kept beside the most, while they end
+	Invariants invariant.Checker
+	Counters   Counters
+	// Decisions makes the controller once the executor is up; born is when its cores started.
+	Decisions func(config *admission.Config, born int64) Decider
+	// SpareConnections is how many connections that are being closed may exceed the limit on connections.
+	SpareConnections int
 
-	config     *nodeconfig.Config
-	drainTime  int64 // ns from the notice to the kill
-	controller Decider
-	now        int64
-	started    bool
-	startedAt  int64 // when the first step was; no call was made before it in this life
-	wall       int64 // Unix ns at now
-	effects    []Effect
-	events     []admission.Event
+	config    *nodeconfig.Config
+	addresses Addresses
 
+	// The step.
+	started   bool
+	startedAt int64 // time of the first step
+	now       int64
+	wall      int64 // Unix nanoseconds at now
+	effects   []Effect
+	lastLink  int // the highest number given to a link or a report
+
+	// The controller, nil before the executor's first welcome.
+	controller     Decider
+	timerAt        int64 // when it wants to be stepped next
+	events         []admission.Event
+	deferredEvents []admission.Event // of the next step: they occurred after the decisions of this one
+	decided        bool              // the controller has decided in this step, or had nothing to decide
+	backpressure   string            // the signal that answers carry, empty before the first
+
+	// The invocations, by an index that the controller knows them by.
 	invocations []invocation
 	freeIndices []int32
 	indexByCall map[string]int32
-	owedAnswers int // invocations that are owed an answer
-
-	timerAt int64 // when the controller is to be stepped next
-
-	backpressure string // what answers carry, empty before the first advice
+	owedAnswers int
 
-	addresses   Addresses
-	lastLink    int // the highest number given to a link or a report
 	executor    executorState
 	catalogue   catalogueState
 	connections connectionTable
 	health      healthChecks
-
-	reportAt                              int64
-	reportLink                            int // the report that is under way, 0 where none is
-	drainRequested, acceptStopped, exited bool
-	listenerClosed                        bool  // nobody connects any more
-	killAt                                int64 // when the process is killed, once noticed
+	reports     reporter
+	drain       drainState
+	sampler     stateSampler
 
 	degradation degradationState
 	fleet       fleetState
@@ -71,60 +75,58 @@
 	leases      leaseState
 	hollow      hollowState
 	versions    versionState
-
-	configSync configSyncState
-
-	deferredEvents  []admission.Event          // what the module is told in the next step: it was deciding
-	decided         bool                       // the module has decided in this step, or had nothing to decide
-	stateAt         int64                      // when the next sample of the state is due
-	givenUpByReason [admission.ReasonCount]int // invocations given up by reason since the last one
-	lastCounters    Counters                   // the counters at the last one
+	configSync  configSyncState
 }
 
-// NewStateMachine is the state of a node that has just started. Settings are those of its configuration, and the node's own from then
-// on, since it amends them; connections and links are the most that it is to keep of dispatchers and to the catalogue.
-func NewStateMachine(settings *nodeconfig.Config, to Addresses, stop int64, connections, links int) *StateMachine {
-	r := &StateMachine{config: onSockets(settings), addresses: to, drainTime: stop, indexByCall: map[string]int32{},
-		timerAt:   never,
-		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) }}
-	r.executor = newExecutorState(r)
-	r.catalogue = catalogueState{sm: r, maxLinks: links}
-	r.connections = newConnectionTable(r, connections)
-	r.health = healthChecks{sm: r, deep: map[string]deepCheck{}}
-	r.Invariants.Tell = func(what string, times int) {
-		r.emit(Effect{Kind: WriteLog, LogLevel: Warn, Text: fmt.Sprintf("did not hold, %d times so far: %s", times, what)})
+// NewStateMachine is the state of a node that has just started. It copies the configuration and amends its copy.
+// killDelay is the time from a drain notice to the kill, in nanoseconds.
+func NewStateMachine(config *nodeconfig.Config, addresses Addresses, killDelay int64, maxConnections, maxCatalogueLinks int) *StateMachine {
+	sm := &StateMachine{
+		config:      withoutUnsupported(config),
+		addresses:   addresses,
+		timerAt:     never,
+		indexByCall: map[string]int32{},
+		Decisions:   func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) },
 	}
-	return r
+	sm.executor = newExecutorState(sm)
+	sm.catalogue = catalogueState{sm: sm, maxLinks: maxCatalogueLinks}
+	sm.connections = newConnectionTable(sm, maxConnections)
+	sm.health = healthChecks{sm: sm, deep: map[string]deepCheck{}}
+	sm.reports = reporter{sm: sm}
+	sm.drain = drainState{sm: sm, killDelay: killDelay}
+	sm.sampler = stateSampler{sm: sm}
+	sm.Invariants.Tell = func(what string, times int) {
+		sm.log(Warn, fmt.Sprintf("did not hold, %d times so far: %s", times, what), "", nil)
+	}
+	return sm
 }
 
-// onSockets leaves out of the settings what the protocol on sockets has no word for: to stop a run, to go on without a
-// call, to share the answer of a read. Records of tokens lie in the node's own memory there, not in the executor's.
-func onSockets(settings *nodeconfig.Config) *nodeconfig.Config {
-	own := *settings
+// withoutUnsupported copies a configuration without what the protocol on sockets can't express: to stop a run, to go on
+// without a call, and to share the answer of a read. Results of tokens are cached in the node's memory, not in the
+// executor's.
+func withoutUnsupported(config *nodeconfig.Config) *nodeconfig.Config {
+	own := *config
 	n := &own.Node
-	n.DeduplicationEntryKB, n.StopSupport, n.ReadReuseWindow, n.Operations = 0, admission.StopUnsupported, 0, slices.Clone(n.Operations)
+	n.DeduplicationEntryKB = 0
+	n.StopSupport = admission.StopUnsupported
+	n.ReadReuseWindow = 0
+	n.Operations = slices.Clone(n.Operations)
 	for i := range n.Operations {
 		n.Operations[i].SkippedCallWeightShare = 0
 	}
 	return &own
 }
 
-// Step takes what happened up to now, a clock that only advances, with wall its time in Unix nanoseconds. The
-// effects are valid until the next step.
+// Step applies the inputs up to now, by a clock that only advances, with wall its time in Unix nanoseconds. The effects
+// are valid until the next step.
 func (sm *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
-	if !sm.started {
-		sm.started = true
-		sm.startedAt = now
-		sm.connections.start(now)
-	}
-	sm.now, sm.wall, sm.effects, sm.events = now, wall, sm.effects[:0], append(sm.events[:0], sm.deferredEvents...)
-	sm.deferredEvents, sm.decided = sm.deferredEvents[:0], false
+	sm.begin(now, wall)
 	for i := range inputs {
 		if inputs[i].Kind != ConnectionOpened {
 			sm.apply(&inputs[i])
 		}
 	}
-	for i := range inputs { // last, so that none makes room at one that just brought an invocation
+	for i := range inputs { // last, so that none evicts a connection that just brought an invocation
 		if inputs[i].Kind == ConnectionOpened {
 			sm.connections.opened(inputs[i].Link)
 		}
@@ -133,26 +135,47 @@
 	sm.expireLease()
 	sm.applyVersions()
 	sm.applyPendingConfig()
-	sm.decided = true // what the module is told from here on is for the next step
-	if sm.controller != nil && len(sm.events) > 0 {
-		for _, a := range sm.controller.Decide(now, sm.events) {
-			sm.execute(&a)
-		}
-	}
+	sm.decide()
 	sm.expireResults()
 	sm.stepLeases()
 	sm.stepClaims()
 	sm.executor.requestAcknowledgement()
-	sm.sampleState()
+	sm.sampler.sampleIfDue()
 	sm.stepConfigSync()
 	sm.stepMembership()
-	sm.finishDrain()
+	sm.drain.finish()
 	wake := sm.nextWakeup()
 	sm.Invariants.Check(wake > now, "the next wake lies ahead")
 	sm.emit(Effect{Kind: SetWakeup, At: wake})
 	return sm.effects
 }
 
+// begin sets the clock and takes over the events that the last step deferred.
+func (sm *StateMachine) begin(now, wall int64) {
+	if !sm.started {
+		sm.started = true
+		sm.startedAt = now
+		sm.connections.start(now)
+	}
+	sm.now = now
+	sm.wall = wall
+	sm.effects = sm.effects[:0]
+	sm.events = append(sm.events[:0], sm.deferredEvents...)
+	sm.deferredEvents = sm.deferredEvents[:0]
+	sm.decided = false
+}
+
+// decide has the controller decide on the events; those that occur from here on are of the next step.
+func (sm *StateMachine) decide() {
+	sm.decided = true
+	if sm.controller == nil || len(sm.events) == 0 {
+		return
+	}
+	for _, action := range sm.controller.Decide(sm.now, sm.events) {
+		sm.execute(&action)
+	}
+}
+
 func (sm *StateMachine) apply(in *Input) {
 	switch in.Kind {
 	case FrameReceived, FrameMalformed, ConnectionClosed:
@@ -162,28 +185,15 @@
 	case CatalogueConnected, CatalogueDialFailed, CatalogueLineReceived, CatalogueDisconnected:
 		sm.catalogue.apply(in)
 	case ReportFinished:
-		if in.Link == sm.reportLink {
-			sm.reportFinished(in.Err)
-		}
+		sm.reports.finished(in.Link, in.Err)
 	case RecordsRecovered, RecordWritten, RecordWriteFailed, RecoveryCompleted:
 		sm.applyStoreInput(in)
-	case PeerDatagramReceived, PeerRequestReceived, PeerResponseReceived, PeerExchangeFailed:
-		sm.applyPeerInput(in)
-	case PeerMessageReceived, PeerStreamClosed:
-		sm.applyStreamMessage(in)
-	case VersionPersisted:
-		sm.configPersisted(in)
-	case ReplicaWritePersisted:
-		sm.claiming.heard = append(sm.claiming.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
-	case HollowClaimRequested, HollowCallsRequested:
-		sm.applyLoadRequest(in)
 	case ListenerClosed:
-		sm.listenerClosed = true
+		sm.drain.setListenerClosed()
 	case DrainRequested:
-		sm.startDrain()
+		sm.drain.start()
 	case AbortRequested:
-		sm.startDrain()
-		sm.abortDrain()
+		sm.drain.abort()
 	case ReloadRequested:
 		sm.applyAddresses(in.Addresses)
 		sm.applyPlan(in.Plan)
@@ -191,6 +201,24 @@
 		sm.applyPlan(in.Plan)
 	case VersionReceived:
 		sm.queueVersion(in)
+	default:
+		sm.applyFleetInput(in)
+	}
+}
+
+// applyFleetInput applies an input of the other nodes or of this node's replica.
+func (sm *StateMachine) applyFleetInput(in *Input) {
+	switch in.Kind {
+	case PeerDatagramReceived, PeerRequestReceived, PeerResponseReceived, PeerExchangeFailed:
+		sm.applyPeerInput(in)
+	case PeerMessageReceived, PeerStreamClosed:
+		sm.applyStreamMessage(in)
+	case VersionPersisted:
+		sm.configPersisted(in)
+	case ReplicaWritePersisted:
+		sm.claiming.heard = append(sm.claiming.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
+	case HollowClaimRequested, HollowCallsRequested:
+		sm.applyLoadRequest(in)
 	}
 }
 
@@ -200,11 +228,11 @@
 	case admission.Run:
 		sm.startRun(a.Invocation, a.Form)
 	case admission.Reject:
-		sm.givenUpByReason[a.Reason]++
+		sm.sampler.countGivenUp(a.Reason)
 		sm.degradation.count(false, false, a.Reason)
 		sm.reject(a)
 	case admission.Fail:
-		sm.givenUpByReason[a.Reason]++
+		sm.sampler.countGivenUp(a.Reason)
 		sm.fail(a.Invocation)
 	case admission.StartCall:
 		sm.catalogue.startCall(a.Invocation, a.At)
@@ -216,10 +244,9 @@
 		sm.timerAt = a.At
 		sm.executor.scheduleGauges(a.At)
 	case admission.StopAccepting:
-		sm.stopAccepting()
+		sm.drain.stopAccepting()
 	case admission.Exit:
-		sm.exited = true
-		sm.log(Info, a.Report, "", nil)
+		sm.drain.setExitPending(a.Report)
 	case admission.JoinOriginal:
 		sm.joinOriginal(a.Invocation)
 	case admission.RecordKey:
@@ -266,7 +293,7 @@
 		sm.catalogue.addressChanged()
 	}
 	if to.Control != from.Control {
-		sm.reportLink, sm.reportAt = 0, sm.now
+		sm.reports.addressChanged()
 	}
 	sm.log(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
 }
@@ -277,7 +304,7 @@
 	sm.config.Node.ColdStart = cold
 	sm.config.Node.ProcessStart = sm.startedAt
 	sm.controller = sm.Decisions(&sm.config.Node, coresStartedAt)
-	sm.health.healthy = true
+	sm.health.setHealth(true, false)
 	sm.timerAt = sm.now
 	if sm.degradation.plan != nil {
 		sm.events = append(sm.events, sm.degradation.event())
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -164,9 +164,9 @@
 	}
 	f.NoUse = sm.hollow.onlySeat || !sm.hollow.on && p.loose >= 0 && sm.now-p.loose >= noUseAfter
 	switch {
-	case sm.acceptStopped:
+	case sm.drain.isAcceptStopped():
 		f.Beat = 3
-	case sm.drainRequested:
+	case sm.drain.isRequested():
 		f.Beat = 1
 	}
 	if l := &sm.degradation; l.steps != nil {
--- a/internal/node/quota.go
+++ b/internal/node/quota.go
@@ -58,7 +58,7 @@
 	if !decides {
 		return
 	}
-	if sm.acceptStopped {
+	if sm.drain.isAcceptStopped() {
 		standing = 0 // what is left to make in a drain is made with what is held
 	}
 	l.units(sm.now)
--- a/internal/node/reducer_test.go
+++ b/internal/node/reducer_test.go
@@ -179,7 +179,7 @@
 	step(r, invoke(1), invoke(2, "call", other))
 	told(r, "CALLOUT 1 "+callID+" 3|ask")
 	reached(r)
-	old, reporting := r.executor.link, r.reportLink
+	old, reporting := r.executor.link, r.reports.link
 	told(r, "CALLOUT 2 "+other+" 3|ask") // still being opened
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
@@ -195,7 +195,7 @@
 	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being opened does not win")
 	assert.Equal(t, "JOIN 2\r\n", text(got, SendToExecutor))
-	assert.NotEqual(t, reporting, r.reportLink)
+	assert.NotEqual(t, reporting, r.reports.link)
 	assert.Empty(t, step(r, Input{Kind: ReloadRequested, Addresses: to}), "nothing new")
 }
 
@@ -288,7 +288,7 @@
 		kinds = append(kinds, e.Kind)
 	}
 	assert.NotContains(t, kinds, Exit, "one is still open")
-	assert.True(t, r.acceptStopped)
+	assert.True(t, r.drain.acceptStopped)
 	assert.Equal(t, 1, r.Counters.Throttled, "what came after intake ended is not run")
 	end := told(r, "EXIT 1 "+callID+" good 12 1|r")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, end))
@@ -314,7 +314,7 @@
 	assert.Equal(t, []Effect{{Kind: Exit}}, step(r, Input{Kind: ConnectionClosed, Link: 7}))
 	r = fresh(t)
 	step(r, Input{Kind: DrainRequested})
-	r.now = r.killAt - exitMargin
+	r.now = r.drain.killAt - exitMargin
 	got = step(r, Input{Kind: ListenerClosed})
 	assert.Equal(t, Exit, got[len(got)-1].Kind, "no peer keeps it past its time")
 }
@@ -469,12 +469,12 @@
 
 func TestReportsAreSentOneAtATimeAndRetriedAfterAnError(t *testing.T) {
 	r := up(t)
-	assert.NotZero(t, r.reportLink)
-	r.reportFinished(errField)
-	assert.Equal(t, r.now+reportRetryBackoff, r.reportAt)
-	r.reportFinished(nil)
-	assert.Equal(t, r.now+reportInterval, r.reportAt)
-	assert.Zero(t, r.reportLink)
+	assert.NotZero(t, r.reports.link)
+	r.reports.finished(r.reports.link, errField)
+	assert.Equal(t, r.now+reportRetryBackoff, r.reports.nextAt)
+	r.reports.finished(r.reports.link, nil)
+	assert.Equal(t, r.now+reportInterval, r.reports.nextAt)
+	assert.Zero(t, r.reports.link)
 }
 
 // A link may be half open: one that is up and never welcomed must not keep a node from serving.
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -1,19 +1,55 @@
 package node
 
+// Timing of reports to the control plane, in nanoseconds.
 const (
-	reportInterval     = 1_000 * ms // ns between reports, three to the time after which an entry lapses
-	reportRetryBackoff = 200 * ms   // ns to the next try after one that failed
+	reportInterval     = 1_000 * ms // a third of the time after which the node's entry expires
+	reportRetryBackoff = 200 * ms
 )
 
-// reportFinished waits for the next report. A drain sends none: the entry lapses, where one more would keep it.
-func (sm *StateMachine) reportFinished(err error) {
-	sm.reportLink = 0
+// reporter reports the node's readiness to the control plane, one report at a time. A draining node sends none, so that
+// its entry expires.
+type reporter struct {
+	sm     *StateMachine
+	link   int // of the report in flight, 0 without one
+	nextAt int64
+}
+
+func (r *reporter) isInFlight() bool { return r.link != 0 }
+
+// addressChanged abandons a report in flight and reports to the new address at once.
+func (r *reporter) addressChanged() {
+	r.link = 0
+	r.nextAt = r.sm.now
+}
+
+func (r *reporter) sendIfDue() {
+	if r.sm.now < r.dueAt() {
+		return
+	}
+	r.link = r.sm.nextLink()
+	r.sm.emit(Effect{Kind: SendReport, Link: r.link, Address: r.sm.addresses.Control, Ready: r.sm.health.isServing()})
+}
+
+// finished schedules the next report; the ends of abandoned ones are ignored.
+func (r *reporter) finished(link int, err error) {
+	if link != r.link {
+		return
+	}
+	r.link = 0
 	if err != nil {
-		sm.Counters.ReportsFailed++
-		sm.reportAt = sm.now + reportRetryBackoff
-		sm.log(Info, "report failed", "", err)
+		r.sm.Counters.ReportsFailed++
+		r.nextAt = r.sm.now + reportRetryBackoff
+		r.sm.log(Info, "report failed", "", err)
 		return
 	}
-	sm.Counters.Reports++
-	sm.reportAt = sm.now + reportInterval
+	r.sm.Counters.Reports++
+	r.nextAt = r.sm.now + reportInterval
+}
+
+// dueAt is when the next report is due.
+func (r *reporter) dueAt() int64 {
+	if r.isInFlight() || r.sm.drain.isRequested() {
+		return never
+	}
+	return r.nextAt
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -2,60 +2,89 @@
 
 import "topazpost/internal/admission"
 
-const (
-	stateSampleInterval = 1_000 * ms // ns between samples of the state: fine beside what operators act on, a line a second
-)
+const stateSampleInterval = 1_000 * ms // ns
 
-// State is what the whole node stands on at a moment: what its module goes by, and what its doors hold. Counts
-// with a name in the past are of the time since the last sample. Times are nanoseconds.
+// State is a sample of the whole node: what its controller decides by, and what its connections hold. Counts of answers
+// are of the time since the last sample. Times are nanoseconds.
 type State struct {
 	admission.ControllerState
-	Level       string         `json:"level,omitempty"` // of reduced service, where there is a plan
-	Loads       []float64      `json:"loads,omitempty"` // what is asked of the cores at each level, full service first
+	Level       string         `json:"level,omitempty"` // of degraded service, where there is a plan
+	Loads       []float64      `json:"loads,omitempty"` // demand on the cores at each level, full service first
 	Succeeded   int            `json:"succeeded"`
 	Refused     int            `json:"refused"` // answered by a throttle
 	Errored     int            `json:"errored"`
-	Gone        int            `json:"gone"` // the caller left
+	Gone        int            `json:"gone"` // whose caller disconnected
 	GivenUp     map[string]int `json:"given_up,omitempty"`
 	Connections int            `json:"connections"`  // of dispatchers
-	Links       int            `json:"links"`        // to the catalogue, open or being opened
+	Links       int            `json:"links"`        // to the catalogue, open or being dialed
 	Idle        int            `json:"idle"`         // of them
 	Waiting     int            `json:"waiting"`      // calls without a link
-	Unread      int            `json:"unread"`       // commands that the executor may not have read
+	Unread      int            `json:"unread"`       // commands that the executor has not acknowledged
 	GaugeAge    int64          `json:"gauge_age_ns"` // -1 before the first
 	Synced      bool           `json:"synced"`       // the executor's link carries commands
 
-	Configuration *ConfigSyncState `json:"configuration,omitempty"` // nil where it isn't taken in service
+	Configuration *ConfigSyncState `json:"configuration,omitempty"` // nil where it isn't distributed
 }
 
-// sampleState samples the state once a second while the module decides; the beat keeps the node awake for it.
-func (sm *StateMachine) sampleState() {
-	if sm.controller == nil || sm.now < sm.stateAt {
+// stateSampler samples the state at an interval while there is a controller, whose ticks keep the node awake for it.
+type stateSampler struct {
+	sm      *StateMachine
+	nextAt  int64
+	givenUp [admission.ReasonCount]int // invocations by reason since the last sample
+	last    Counters                   // at the last sample
+}
+
+// countGivenUp counts an invocation that the controller rejected or failed.
+func (s *stateSampler) countGivenUp(reason admission.Reason) { s.givenUp[reason]++ }
+
+func (s *stateSampler) sampleIfDue() {
+	sm := s.sm
+	if sm.controller == nil || sm.now < s.nextAt {
 		return
 	}
-	s := sm.snapshotState()
-	sm.stateAt, sm.lastCounters, sm.givenUpByReason = sm.now+stateSampleInterval, sm.Counters, [admission.ReasonCount]int{}
-	sm.emit(Effect{Kind: SampleState, State: s})
+	state := s.snapshot()
+	s.nextAt = sm.now + stateSampleInterval
+	s.last = sm.Counters
+	s.givenUp = [admission.ReasonCount]int{}
+	sm.emit(Effect{Kind: SampleState, State: state})
 }
 
-// snapshotState is the snapshotState now.
-func (sm *StateMachine) snapshotState() *State {
-	s := &State{ControllerState: sm.controller.State(), Succeeded: sm.Counters.Succeeded - sm.lastCounters.Succeeded,
-		Refused: sm.Counters.Throttled - sm.lastCounters.Throttled, Errored: sm.Counters.Errored - sm.lastCounters.Errored,
-		Gone: sm.Counters.CallersGone - sm.lastCounters.CallersGone, Connections: sm.connections.count(), Links: len(sm.catalogue.links),
-		Waiting: len(sm.catalogue.waiting), Unread: sm.executor.unreadCommands(), GaugeAge: sm.executor.gauges.age(sm.now), Synced: sm.executor.synced}
-	s.Configuration = sm.ConfigSyncState()
-	if l := &sm.degradation; l.plan != nil {
-		s.Level, s.Loads = l.plan.LevelName(l.steps.Level()), l.steps.LoadByLevel()
+// snapshot is the state now.
+func (s *stateSampler) snapshot() *State {
+	sm := s.sm
+	state := &State{
+		ControllerState: sm.controller.State(),
+		Succeeded:       sm.Counters.Succeeded - s.last.Succeeded,
+		Refused:         sm.Counters.Throttled - s.last.Throttled,
+		Errored:         sm.Counters.Errored - s.last.Errored,
+		Gone:            sm.Counters.CallersGone - s.last.CallersGone,
+		GivenUp:         s.givenUpByName(),
+		Connections:     sm.connections.count(),
+		Links:           sm.catalogue.openLinks(),
+		Idle:            sm.catalogue.idleLinks(),
+		Waiting:         sm.catalogue.waitingCalls(),
+		Unread:          sm.executor.unreadCommands(),
+		GaugeAge:        sm.executor.gaugesAge(),
+		Synced:          sm.executor.isSynced(),
+		Configuration:   sm.ConfigSyncState(),
+	}
+	if d := &sm.degradation; d.plan != nil {
+		state.Level = d.plan.LevelName(d.steps.Level())
+		state.Loads = d.steps.LoadByLevel()
 	}
-	for why, n := range sm.givenUpByReason {
-		if n > 0 {
-			if s.GivenUp == nil {
-				s.GivenUp = make(map[string]int)
-			}
-			s.GivenUp[admission.ReasonNames[why]] = n
+	return state
+}
+
+// givenUpByName is the reasons that were given since the last sample, nil without any.
+func (s *stateSampler) givenUpByName() (counts map[string]int) {
+	for reason, count := range s.givenUp {
+		if count == 0 {
+			continue
+		}
+		if counts == nil {
+			counts = make(map[string]int)
 		}
+		counts[admission.ReasonNames[reason]] = count
 	}
-	s.Idle = sm.catalogue.idleLinks()
-	return s
+	return counts
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -6,10 +6,7 @@
 		return
 	}
 	sm.executor.dialIfDue()
-	if sm.now >= sm.reportAt && sm.reportLink == 0 && !sm.drainRequested {
-		sm.reportLink = sm.nextLink()
-		sm.emit(Effect{Kind: SendReport, Link: sm.reportLink, Address: sm.addresses.Control, Ready: sm.health.isServing()})
-	}
+	sm.reports.sendIfDue()
 	sm.executor.requestGaugesIfDue()
 	sm.executor.closeIfSilent()
 	sm.connections.checkDue()
@@ -18,24 +15,19 @@
 	if sm.now >= sm.timerAt {
 		sm.timerAt = never
 		sm.stepDegradation()
-		sm.events = append(sm.events, sm.executor.gauges.event(sm.now))
+		sm.events = append(sm.events, sm.executor.tick())
 	}
 }
 
-// nextWakeup is when the next of the timers is due.
+// nextWakeup is when the next step is needed at the latest.
 func (sm *StateMachine) nextWakeup() int64 {
 	if sm.hollow.on {
 		return sm.hollowDue()
 	}
-	at := min(sm.timerAt, sm.executor.dueAt(), sm.catalogue.dueAt(), sm.health.dueAt(), sm.connections.dueAt(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(), sm.versionsDue(), sm.configSyncDue())
+	at := min(sm.timerAt, sm.catalogue.dueAt(), sm.health.dueAt(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(),
+		sm.versionsDue(), sm.configSyncDue())
 	if len(sm.deferredEvents) > 0 {
 		at = sm.now + 1
 	}
-	if sm.exited && sm.owedAnswers == 0 {
-		at = min(at, sm.exitDeadline())
-	}
-	if sm.reportLink == 0 && !sm.drainRequested {
-		at = min(at, sm.reportAt)
-	}
-	return at
+	return min(at, sm.connections.dueAt(), sm.drain.dueAt(), sm.executor.dueAt(), sm.reports.dueAt())
 }
