--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -1,6 +1,8 @@
 package node
 
-// Counters are what an operator may want to see of a node's life.
+import "topazpost/internal/protocol/frame"
+
+// Counters counts what a node has done since its start, for operators.
 type Counters struct {
 	Invocations       int `json:"invocations"`
 	Succeeded         int `json:"succeeded"`
@@ -21,3 +23,15 @@
 	Versions          int `json:"versions"`
 	VersionsRefused   int `json:"versions_refused"`
 }
+
+// countAnswer counts an answer by its code.
+func (c *Counters) countAnswer(code byte) {
+	switch code {
+	case frame.Succeeded:
+		c.Succeeded++
+	case frame.Throttled:
+		c.Throttled++
+	default:
+		c.Errored++
+	}
+}
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -7,73 +7,73 @@
 	"topazpost/internal/resultcache"
 )
 
-// EffectKind names what is to be done.
+// EffectKind is what kind of effect an Effect is.
 type EffectKind uint8
 
-// The effects.
+// The kinds of effects, with the inputs that follow them.
 const (
 	ReadConnection       EffectKind = iota // read frames from a new connection
-	SendToConnection                       // write to a connection
-	CloseAfterFlush                        // close it once all is written and nothing lies unread, giving the peer time to read; then Closed
-	EvictConnection                        // the same without that time, and without waiting for the rest of a frame; it may follow CloseAfterFlush
-	ResumeConnection                       // not yet: an invocation came on it meanwhile
-	DiscardInput                           // read on slowly, only to see its end: nothing on it can be used
-	DialExecutor                           // open a link to the executor, giving Joined or Parted
-	SendToExecutor                         // write to the executor
-	CloseExecutor                          // close the link to the executor, giving Parted
-	DialCatalogue                          // open a link to the catalogue, giving Reached or Unreached
-	SendToCatalogue                        // write to the catalogue
-	CloseCatalogue                         // close the link to the catalogue, giving Broke
-	SendReport                             // report to the control plane, giving Reported
-	StopAccepting                          // close the listening socket once all that waits there is taken, giving ListenerClosed
-	Exit                                   // all is done: end
-	SetWakeup                              // step again at this time at the latest
-	WriteLog                               // log
-	SampleState                            // show the state
-	LevelChanged                           // tell of a change of level
-	WriteRecord                            // write Kept to the store, giving KeptWritten or KeptUnwritten
-	SendDatagram                           // send a datagram to a peer
-	OpenExchange                           // open an exchange with a peer, giving PeerAnswered or PeerMissed
-	ReplyToExchange                        // answer the exchange that a peer opened; without bytes, close it
-	ViewChanged                            // tell of a change of the view
-	SendOnStream                           // write a letter to the stream Link, or where that is gone or 0 to one to Address
-	CloseStream                            // end the stream
-	VersionApplied                         // a version is in force, or with Err it is refused and nothing is changed
-	PersistVersion                         // carry out Persisting on the disk, giving VersionKept
-	ReportVersionInForce                   // tell of a version that came into force
-	PersistReplicaWrite                    // carry out Write on the disk of the council's seat, in order, giving Persisted
-	CallerTimeoutRaised                    // callers may wait for At ns from now on
+	SendToConnection                       // write Bytes to a connection
+	CloseAfterFlush                        // close it once all is written and read, giving the peer time to read; then ConnectionClosed
+	EvictConnection                        // close it without that time, even within a frame; may follow CloseAfterFlush
+	ResumeConnection                       // cancel CloseAfterFlush: an invocation has crossed it
+	DiscardInput                           // read on slowly, only to see its end
+	DialExecutor                           // open a link to the executor; then ExecutorConnected or ExecutorDisconnected
+	SendToExecutor                         // write Bytes to it
+	CloseExecutor                          // close it; then ExecutorDisconnected
+	DialCatalogue                          // open a link to the catalogue; then CatalogueConnected or CatalogueDialFailed
+	SendToCatalogue                        // write Bytes to it, unless At is set and has passed
+	CloseCatalogue                         // close it; then CatalogueDisconnected
+	SendReport                             // report Ready to the control plane; then ReportFinished
+	StopAccepting                          // close the listener once all waiting connections are accepted; then ListenerClosed
+	Exit                                   // end the process
+	SetWakeup                              // step again at At at the latest
+	WriteLog                               // write a log entry
+	SampleState                            // publish State
+	LevelChanged                           // the degradation level has changed
+	WriteRecord                            // write Record to the store; then RecordWritten or RecordWriteFailed
+	SendDatagram                           // send Bytes to another node
+	OpenExchange                           // send Bytes in an exchange; then PeerResponseReceived or PeerExchangeFailed
+	ReplyToExchange                        // answer the exchange that another node opened; without Bytes, close it
+	ViewChanged                            // the view of the fleet has changed
+	SendOnStream                           // write a message to the stream Link, or if that is gone or 0, to one to Address
+	CloseStream                            // close the stream
+	VersionApplied                         // Version is in force, or with Err it is refused and nothing has changed
+	PersistVersion                         // carry out Persisting on the disk; then VersionPersisted
+	ReportVersionInForce                   // publish that a version came into force
+	PersistReplicaWrite                    // carry out Write on the replica's disk, in order; then ReplicaWritePersisted
+	CallerTimeoutRaised                    // callers may wait for At nanoseconds from now on
 )
 
-// LogLevel is how loud a remark is.
+// LogLevel is the severity of a log entry.
 type LogLevel uint8
 
-// The levels of remarks.
+// The severities of log entries.
 const (
 	Debug LogLevel = iota
 	Info
 	Warn
 )
 
-// Effect is one thing to do; only the fields of its kind are set.
+// Effect is something that the host is to do; only the fields of its kind are set.
 type Effect struct {
 	Kind        EffectKind
 	Link        int
-	Address     string // Dial, Reach, Report
+	Address     string
 	At          int64
 	Bytes       []byte
 	Ready       bool
 	LogLevel    LogLevel
 	Text        string
-	ID          string
+	ID          string // call that a log entry is about
 	Err         error
-	State       *State       // Sample
-	LevelChange *LevelChange // Turned
+	State       *State
+	LevelChange *LevelChange
 	Change      *membership.Change
 	Record      *resultcache.Record
-	Version     uint64 // Amended
+	Version     uint64
 
-	Write      *consensus.Write   // Persist
-	Persisting *configsync.Effect // KeepVersion
-	InForce    *VersionInForce    // InForce
+	Write      *consensus.Write
+	Persisting *configsync.Effect
+	InForce    *VersionInForce
 }
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -7,63 +7,63 @@
 	"topazpost/internal/resultcache"
 )
 
-// InputKind names what happened.
+// InputKind is what kind of input an Input is.
 type InputKind uint8
 
-// The inputs. A connection is named by a number of the server's, a link by that of the effect that opened it;
-// neither is ever used twice.
+// The kinds of inputs. A dispatcher's connection is identified by a number of the host, any other link by that of the
+// effect that opened it. No number is used twice.
 const (
 	ConnectionOpened      InputKind = iota // a dispatcher's connection was accepted
-	FrameReceived                          // a frame came on it
-	FrameMalformed                         // what came on it can't be read any further
-	ConnectionClosed                       // it is gone
-	ListenerClosed                         // the listening socket is closed, and all that the system took there was handed on
-	ExecutorConnected                      // a link to the executor is up
-	ExecutorLineReceived                   // a line came on it
-	ExecutorDisconnected                   // it ended, or could not be had
-	CatalogueConnected                     // a link to the catalogue is up
-	CatalogueLineReceived                  // a line came on it
-	CatalogueDialFailed                    // a link to the catalogue could not be had
+	FrameReceived                          // a frame was read from it
+	FrameMalformed                         // what it brought can't be parsed any further
+	ConnectionClosed                       // it is closed
+	ListenerClosed                         // the listener is closed, and all connections that it had accepted were passed on
+	ExecutorConnected                      // a link to the executor is open
+	ExecutorLineReceived                   // a line was read from it
+	ExecutorDisconnected                   // it ended, or could not be opened
+	CatalogueConnected                     // a link to the catalogue is open
+	CatalogueLineReceived                  // a line was read from it
+	CatalogueDialFailed                    // it could not be opened
 	CatalogueDisconnected                  // it ended
-	ReportFinished                         // a report to the control plane ended
+	ReportFinished                         // a report to the control plane succeeded, or failed with Err
 	DrainRequested                         // the node is to drain
-	AbortRequested                         // it is to be done with that now: what is in hand is aborted and answered
-	ReloadRequested                        // the peers have new addresses, and there may be another plan of levels
-	RecordsRecovered                       // records of an earlier life that the store held
+	AbortRequested                         // it is to abort what is pending and exit
+	ReloadRequested                        // Addresses and Plan may have changed
+	RecordsRecovered                       // Records that the store had from an earlier incarnation
 	RecoveryCompleted                      // all of them were read
-	RecordWritten                          // what was to be kept is written
-	RecordWriteFailed                      // it could not be
-	PeerDatagramReceived                   // a datagram of a peer
-	PeerRequestReceived                    // a peer opened an exchange, with its message
-	PeerResponseReceived                   // the answer to an exchange of ours
-	PeerExchangeFailed                     // an exchange of ours came to nothing
-	PeerMessageReceived                    // a letter on a stream of a peer
+	RecordWritten                          // a record is durable
+	RecordWriteFailed                      // it could not be written
+	PeerDatagramReceived                   // a datagram of another node
+	PeerRequestReceived                    // another node opened an exchange, with its message
+	PeerResponseReceived                   // the response in an exchange of this node
+	PeerExchangeFailed                     // an exchange of this node failed
+	PeerMessageReceived                    // a message on a stream of another node
 	PeerStreamClosed                       // a stream ended
-	PlanChanged                            // there is a plan of levels, another one, or none any more
-	VersionPersisted                       // the last KeepVersion was carried out, or wasn't: Err
-	ReplicaWritePersisted                  // writes of the council's seat count up to Number, or the disk failed
-	HollowClaimRequested                   // a hollow node is to claim a token, Bytes
-	HollowCallsRequested                   // a hollow node wants so many calls at a time, Link
-	VersionReceived                        // a version of the configuration is to come into force
+	PlanChanged                            // Plan is the degradation plan from now on
+	VersionPersisted                       // the last PersistVersion was carried out, or failed with Err
+	ReplicaWritePersisted                  // the replica's writes up to Number are durable, or the disk failed with Err
+	HollowClaimRequested                   // a hollow node is to claim the token in Bytes
+	HollowCallsRequested                   // a hollow node is to have Link calls in flight
+	VersionReceived                        // Version of the configuration is to be applied, Change
 )
 
-// Addresses are where the peers of a node are.
+// Addresses is where a node reaches its peers.
 type Addresses struct{ Executor, Catalogue, Control string }
 
-// Input is one thing that happened. Payloads and bodies belong to the reducer from then on.
+// Input is something that happened; only the fields of its kind are set. The state machine owns its payloads from then on.
 type Input struct {
 	Kind      InputKind
 	Link      int // the connection or link
 	Frame     frame.Frame
 	Line      lineprotocol.Line
 	Err       error
-	Addresses Addresses        // Reload
-	Plan      *DegradationPlan // Adopt, Reload; nil for none
-	Bytes     []byte           // of peers
+	Addresses Addresses
+	Plan      *DegradationPlan // nil for none
+	Bytes     []byte           // of other nodes
 	Records   []resultcache.Record
-	Number    uint64 // Persisted
-	From      string // address of the peer that sent them
+	Number    uint64
+	From      string // address of the other node
 
-	Version uint64                // Amend
-	Change  *nodeconfig.Amendment // Amend
+	Version uint64
+	Change  *nodeconfig.Amendment
 }
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -9,50 +9,60 @@
 	"topazpost/internal/resultcache"
 )
 
-// invocation is what the door keeps of one.
+// invocation is a dispatcher's invocation, from its arrival until the controller releases its index.
 type invocation struct {
-	live, answered bool
-	connection     int
+	live           bool
+	answered       bool
+	connection     int // link of its connection
 	stream         uint32
-	call, op       string
+	call           string // the dispatcher's id of it
+	op             string // name of its operation
 	body           []byte
-	callRequest    []byte // body of the call that the run waits for
-	calling        bool
-	called         bool // a call of its was written to the catalogue, this one or an earlier one
+	callRequest    []byte // body of the dependency call that its run waits for
+	calling        bool   // that call is in flight
+	called         bool   // a call of it was written to the catalogue, this one or an earlier one
 	callDeadline   int64
-	tokenKey       resultcache.Key // of a tokened one, its Token empty in others
-	bodyHash       uint64          // of its body
-	tokenExpiresAt int64           // until which its token is known, as the module asked
-	arrival        admission.Event // as the module was told of it
-	arrivedAt      int64           // when
-	deadline       int64           // when its client timeout ends
-	atExecutor     bool            // at the executor, for its token
-	inCache        bool            // the keeper of results knows it
-	exited         bool            // its run is over, and its answer waits for the disk
+	tokenKey       resultcache.Key // its Token is empty without an idempotency key
+	bodyHash       uint64
+	tokenExpiresAt int64 // when its token is forgotten
+	arrival        admission.Event
+	arrivedAt      int64
+	deadline       int64 // when its client timeout ends
+	atExecutor     bool  // its run for its token is at the executor
+	inCache        bool  // the result cache knows it
+	exited         bool  // its run has ended, and its answer waits for the disk
 	outcome        admission.Outcome
-	abandoned      bool // its caller left, others wait for its run
+	abandoned      bool // its caller left, and others wait for its run
 	runForm        admission.Form
-	form           string // name of the level whose reduced form runs, empty for the whole operation
+	form           string // name of the level whose reduced form runs, empty for the full operation
 	operation      int32
-	tenant         int32 // -1 where it has none
+	tenant         int32 // -1 without one
 	terms          *terms
 }
 
+// addInvocation gives an invocation an index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
 	sm.versions.take(&v, sm.currentTerms(v.operation))
-	index := int32(len(sm.invocations))
-	if n := len(sm.freeIndices); n > 0 {
-		index, sm.freeIndices = sm.freeIndices[n-1], sm.freeIndices[:n-1]
-	} else {
-		sm.invocations = append(sm.invocations, invocation{})
-	}
+	index := sm.nextIndex()
 	sm.invocations[index] = v
 	sm.indexByCall[v.call] = index
 	sm.owedAnswers++
 	return index
 }
 
-// findInvocation finds the invocation that an id names, if it is live.
+// nextIndex is a free index of invocations.
+func (sm *StateMachine) nextIndex() int32 {
+	last := len(sm.freeIndices) - 1
+	if last < 0 {
+		sm.invocations = append(sm.invocations, invocation{})
+		return int32(len(sm.invocations) - 1)
+	}
+	index := sm.freeIndices[last]
+	sm.freeIndices = sm.freeIndices[:last]
+	return index
+}
+
+// findInvocation is the live invocation of a call, or nil.
 func (sm *StateMachine) findInvocation(call string) (int32, *invocation) {
 	if i, ok := sm.indexByCall[call]; ok {
 		return i, &sm.invocations[i]
@@ -60,7 +70,7 @@
 	return -1, nil
 }
 
-// releaseInvocation forgets an index; the module ends nothing unanswered, but should it, an error is the answer.
+// releaseInvocation frees an index. Should the controller release an invocation without an answer, it is failed.
 func (sm *StateMachine) releaseInvocation(i int32) {
 	v := &sm.invocations[i]
 	if !sm.Invariants.Check(v.live, "an index released is live") {
@@ -78,36 +88,41 @@
 	sm.freeIndices = append(sm.freeIndices, i)
 }
 
+// startRun sends an invocation to the executor, by way of its token where it has one.
 func (sm *StateMachine) startRun(i int32, form admission.Form) {
 	v := &sm.invocations[i]
-	if sm.Invariants.Check(v.live && !v.answered, "no run after an answer") {
-		if v.tokenKey.Token != "" && !v.inCache {
-			v.runForm = form
-			sm.startTokenRun(i)
-			return
-		}
-		class, level := sm.formFor(v.op, form)
-		v.form = level
-		sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.call, class))
-		v.body = nil
+	if !sm.Invariants.Check(v.live && !v.answered, "no run after an answer") {
+		return
 	}
+	if v.tokenKey.Token != "" && !v.inCache {
+		v.runForm = form
+		sm.startTokenRun(i)
+		return
+	}
+	class, level := sm.formFor(v.op, form)
+	v.form = level
+	sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.call, class))
+	v.body = nil
 }
 
+// callerDisconnected ends an invocation whose caller left, unless others wait for its run.
 func (sm *StateMachine) callerDisconnected(i int32) {
 	v := &sm.invocations[i]
-	if sm.Invariants.Check(v.live && !v.answered, "an open stream is owed an answer") {
-		sm.Counters.CallersGone++
-		v.answered = true
-		sm.owedAnswers--
-		if sm.abandonToken(i) { // others wait for its run, which goes on
-			return
-		}
-		sm.catalogue.cancelCall(i)
-		sm.events = append(sm.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
-		sm.runFinished(i)
+	if !sm.Invariants.Check(v.live && !v.answered, "an open stream is owed an answer") {
+		return
+	}
+	sm.Counters.CallersGone++
+	v.answered = true
+	sm.owedAnswers--
+	if sm.abandonToken(i) {
+		return
 	}
+	sm.catalogue.cancelCall(i)
+	sm.events = append(sm.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
+	sm.runFinished(i)
 }
 
+// reject answers with a throttle, which promises that the invocation has never run.
 func (sm *StateMachine) reject(a *admission.Action) {
 	var fields []frame.Field
 	if a.Duration > 0 {
@@ -119,7 +134,7 @@
 	sm.answer(a.Invocation, frame.Throttled, fields, nil)
 }
 
-// succeed answers with a result; one of a reduced form says at which level, so that none takes it for a whole one.
+// succeed answers with a result. That of a reduced form names its level.
 func (sm *StateMachine) succeed(i int32, result []byte, fields ...frame.Field) {
 	if level := sm.invocations[i].form; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
@@ -128,12 +143,13 @@
 	sm.answer(i, frame.Succeeded, fields, result)
 }
 
+// fail answers with an error.
 func (sm *StateMachine) fail(i int32) { sm.answer(i, frame.Errored, nil, nil) }
 
 // answer gives the one answer of an invocation.
 func (sm *StateMachine) answer(i int32, code byte, fields []frame.Field, body []byte) {
 	v := &sm.invocations[i]
-	if v.abandoned { // nobody waits for it
+	if v.abandoned {
 		sm.catalogue.cancelCall(i)
 		return
 	}
@@ -146,25 +162,23 @@
 	sm.abandonToken(i)
 	sm.runFinished(i)
 	if v.connection == heir {
-		if code != frame.Succeeded {
-			sm.Counters.InheritedGivenUp++
-			sm.log(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.call, nil)
-		}
+		sm.takenOverAnswered(v, code)
 		return
 	}
-	switch code {
-	case frame.Succeeded:
-		sm.Counters.Succeeded++
-	case frame.Throttled:
-		sm.Counters.Throttled++
-	default:
-		sm.Counters.Errored++
-	}
+	sm.Counters.countAnswer(code)
 	sm.sendFrame(v.connection, v.stream, code, fields, body)
 	if c := sm.connections.get(v.connection); c != nil {
 		sm.connections.streamClosed(c, v.stream)
 	}
 }
 
+// takenOverAnswered ends an invocation that was taken over from a lost node: there is no caller to answer.
+func (sm *StateMachine) takenOverAnswered(v *invocation, code byte) {
+	if code != frame.Succeeded {
+		sm.Counters.InheritedGivenUp++
+		sm.log(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.call, nil)
+	}
+}
+
 // sendCommand sends the executor a command of an invocation.
 func (sm *StateMachine) sendCommand(i int32, bytes []byte) { sm.executor.sendCommand(i, bytes) }
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -1,5 +1,10 @@
-// Package node holds the one state of a real node. Step takes what happened and returns what is to be
-// done; it has no goroutine, no socket and no clock. All that it decides by is package control.
+// Package node is the state machine of one node. StateMachine.Step takes the inputs since the last step and returns the
+// effects that the host is to carry out, in order; it has no goroutine, no socket and no clock. What happens to an
+// invocation is decided by package admission.
+//
+// The state machine keeps the invocations and passes events to the controller and actions from it. Each kind of
+// connection and each subsystem is a component with its own fields: executorState, catalogueState, connectionTable (the
+// dispatchers), healthChecks, reporter (the control plane), drainState, and those of the fleet.
 package node
 
 import (
@@ -14,11 +19,11 @@
 )
 
 const (
-	ms    = int64(1_000_000) // ns in a millisecond
+	ms    = int64(1_000_000) // nanoseconds in a millisecond
 	never = math.MaxInt64
 )
 
-// Decider is what decides about invocations: control.Post, or a baseline of the laboratory.
+// Decider decides about invocations: an admission.Controller, or a baseline of the test bed.
 type Decider interface {
 	Decide(now int64, events []admission.Event) []admission.Action
 	State() admission.ControllerState
@@ -176,6 +181,7 @@
 	}
 }
 
+// apply passes an input to the component that it belongs to.
 func (sm *StateMachine) apply(in *Input) {
 	switch in.Kind {
 	case FrameReceived, FrameMalformed, ConnectionClosed:
@@ -222,7 +228,7 @@
 	}
 }
 
-// execute does what the module asks for.
+// execute carries out an action of the controller.
 func (sm *StateMachine) execute(a *admission.Action) {
 	switch a.Kind {
 	case admission.Run:
@@ -250,7 +256,8 @@
 	case admission.JoinOriginal:
 		sm.joinOriginal(a.Invocation)
 	case admission.RecordKey:
-		sm.invocations[a.Invocation].tokenExpiresAt = sm.now + a.Duration + sm.invocations[a.Invocation].terms.late
+		v := &sm.invocations[a.Invocation]
+		v.tokenExpiresAt = sm.now + a.Duration + v.terms.late
 	case admission.Release:
 		sm.releaseInvocation(a.Invocation)
 	default:
@@ -258,10 +265,10 @@
 	}
 }
 
-// notifyController tells the module of something, in the next step if it has decided in this one.
+// notifyController passes an event to the controller, in the next step if it has decided in this one.
 func (sm *StateMachine) notifyController(e admission.Event) {
 	if sm.hollow.on {
-		return // it has none
+		return // without a controller
 	}
 	if sm.decided {
 		sm.deferredEvents = append(sm.deferredEvents, e)
@@ -270,19 +277,22 @@
 	}
 }
 
+// emit adds an effect of this step.
 func (sm *StateMachine) emit(e Effect) { sm.effects = append(sm.effects, e) }
 
+// log emits a log entry; id is the call that it is about, if any.
 func (sm *StateMachine) log(level LogLevel, text, id string, err error) {
 	sm.emit(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
 }
 
+// nextLink numbers a new link or report; no number is used twice.
 func (sm *StateMachine) nextLink() int {
 	sm.lastLink++
 	return sm.lastLink
 }
 
-// applyAddresses goes on at the peers' new addresses at once: the old ones take nothing new and close what is open there
-// soon. What a peer's old address has in hand is heard to its end where that does no harm.
+// applyAddresses switches to the peers' new addresses at once. Calls in flight at an old address of the catalogue may end
+// there.
 func (sm *StateMachine) applyAddresses(to Addresses) {
 	from := sm.addresses
 	sm.addresses = to
@@ -298,8 +308,7 @@
 	sm.log(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
 }
 
-// startController starts deciding once the executor is up. The age of the cores is that of the executor; a cold one has
-// just started.
+// startController starts the controller when the executor is up, cold if the executor has just started itself.
 func (sm *StateMachine) startController(cold bool, coresStartedAt int64) {
 	sm.config.Node.ColdStart = cold
 	sm.config.Node.ProcessStart = sm.startedAt
