--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -32,8 +32,8 @@
 // sum is the digest so far, in hexadecimal digits.
 func (d digest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
 
-// whole adds integers.
-func (d digest) whole(values ...int64) {
+// integers adds integers.
+func (d digest) integers(values ...int64) {
 	var b [8]byte
 	for _, n := range values {
 		binary.LittleEndian.PutUint64(b[:], uint64(n))
@@ -41,65 +41,65 @@
 	}
 }
 
-// real adds the bits of floating-point numbers.
-func (d digest) real(values ...float64) {
+// floats adds the bits of floating-point numbers.
+func (d digest) floats(values ...float64) {
 	for _, x := range values {
-		d.whole(int64(math.Float64bits(x)))
+		d.integers(int64(math.Float64bits(x)))
 	}
 }
 
-// flag adds truth values.
-func (d digest) flag(values ...bool) {
+// bools adds truth values.
+func (d digest) bools(values ...bool) {
 	for _, is := range values {
 		n := int64(0)
 		if is {
 			n = 1
 		}
-		d.whole(n)
+		d.integers(n)
 	}
 }
 
 // bytes adds bytes with their number.
 func (d digest) bytes(b []byte) {
-	d.whole(int64(len(b)))
+	d.integers(int64(len(b)))
 	d.Write(b)
 }
 
-// text adds texts that other programs read; texts for logs are left out.
-func (d digest) text(values ...string) {
+// texts adds texts that other programs read; texts for logs are left out.
+func (d digest) texts(values ...string) {
 	for _, s := range values {
 		d.bytes([]byte(s))
 	}
 }
 
-// numbers adds the decimal numbers in a text, whose wording may change.
-func (d digest) numbers(text string) {
+// numbersIn adds the decimal numbersIn in a text, whose wording may change.
+func (d digest) numbersIn(text string) {
 	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r < '0' || r > '9' }) {
-		d.text(word)
+		d.texts(word)
 	}
 }
 
 // effect adds all fields of an effect, but for the texts of logs and of errors.
 func (d digest) effect(e *node.Effect) {
-	d.whole(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
-	d.text(e.Address, e.ID)
+	d.integers(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
+	d.texts(e.Address, e.ID)
 	d.bytes(e.Bytes)
-	d.flag(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.Change != nil, e.Record != nil, e.Write != nil, e.Persisting != nil,
+	d.bools(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.Change != nil, e.Record != nil, e.Write != nil, e.Persisting != nil,
 		e.InForce != nil)
 	if e.Kind == node.VersionApplied {
-		d.numbers(e.Text)
+		d.numbersIn(e.Text)
 	}
 	if e.State != nil {
 		d.state(e.State)
 	}
 	if e.LevelChange != nil {
-		d.turn(e.LevelChange)
+		d.levelChange(e.LevelChange)
 	}
 	if e.Change != nil {
 		d.change(e.Change)
 	}
 	if e.Record != nil {
-		d.stored(e.Record)
+		d.record(e.Record)
 	}
 	if e.Write != nil {
 		d.write(e.Write)
@@ -108,77 +108,77 @@
 		d.persisting(e.Persisting)
 	}
 	if f := e.InForce; f != nil {
-		d.mark(f.Mark)
-		d.whole(int64(f.After), int64(f.Added), int64(f.Changed), int64(f.Removed), f.TookNS)
-		d.text(f.Source)
-		d.flag(f.First)
+		d.revision(f.Mark)
+		d.integers(int64(f.After), int64(f.Added), int64(f.Changed), int64(f.Removed), f.TookNS)
+		d.texts(f.Source)
+		d.bools(f.First)
 	}
 }
 
-// decisions adds what the decisions stand on.
-func (d digest) decisions(s *admission.ControllerState) {
-	d.real(s.Limit, s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
+// controllerState adds what the controllerState stand on.
+func (d digest) controllerState(s *admission.ControllerState) {
+	d.floats(s.Limit, s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
 		s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
-	d.whole(int64(s.OnCores), int64(s.Queued), int64(s.AwaitingCall), int64(s.CallsInFlight), int64(s.Callers))
-	d.flag(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
+	d.integers(int64(s.OnCores), int64(s.Queued), int64(s.AwaitingCall), int64(s.CallsInFlight), int64(s.Callers))
+	d.bools(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
 
 // state adds a sample of the whole node; of reasons only how often each was given.
 func (d digest) state(s *node.State) {
-	d.decisions(&s.ControllerState)
-	d.text(s.Level)
-	d.whole(int64(len(s.Loads)))
-	d.real(s.Loads...)
-	d.whole(int64(s.Succeeded), int64(s.Refused), int64(s.Errored), int64(s.Gone), int64(s.Connections), int64(s.Links), int64(s.Idle),
+	d.controllerState(&s.ControllerState)
+	d.texts(s.Level)
+	d.integers(int64(len(s.Loads)))
+	d.floats(s.Loads...)
+	d.integers(int64(s.Succeeded), int64(s.Refused), int64(s.Errored), int64(s.Gone), int64(s.Connections), int64(s.Links), int64(s.Idle),
 		int64(s.Waiting), int64(s.Unread), s.GaugeAge)
 	for _, name := range admission.ReasonNames {
-		d.whole(int64(s.GivenUp[name]))
+		d.integers(int64(s.GivenUp[name]))
 	}
-	d.flag(s.Synced, s.Configuration != nil)
+	d.bools(s.Synced, s.Configuration != nil)
 	if c := s.Configuration; c != nil {
-		d.whole(int64(c.Version), c.AgeNS, c.HeardNS, c.BehindNS, int64(c.Refused))
-		d.text(c.Digest, c.Source)
-		d.flag(c.Behind, c.Why != "")
+		d.integers(int64(c.Version), c.AgeNS, c.HeardNS, c.BehindNS, int64(c.Refused))
+		d.texts(c.Digest, c.Source)
+		d.bools(c.Behind, c.Why != "")
 		n := &c.Counters
-		d.whole(int64(n.Applied), int64(n.Refused), int64(n.InvalidResponses), int64(n.Busy), int64(n.Missed), int64(n.Dropped), n.BytesSent, n.BytesReceived)
+		d.integers(int64(n.Applied), int64(n.Refused), int64(n.InvalidResponses), int64(n.Busy), int64(n.Missed), int64(n.Dropped), n.BytesSent, n.BytesReceived)
 	}
 }
 
-// turn adds a change of level.
-func (d digest) turn(t *node.LevelChange) {
-	d.whole(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionTime, t.PreviousTime, int64(t.Cause), t.HoldTime)
-	d.real(t.Value, t.Limit)
-	d.text(t.Plan, t.FromName, t.ToName)
-	d.whole(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
-	d.real(t.Signals.DemandByOperation...)
-	d.real(t.Signals.IntakeShare, t.Signals.QueueWait, t.Signals.QueueingDelay, t.Signals.CallWait, t.Signals.RejectedShare, t.Signals.MemoryShare)
-	d.real(t.Loads...)
+// levelChange adds a change of level.
+func (d digest) levelChange(t *node.LevelChange) {
+	d.integers(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionTime, t.PreviousTime, int64(t.Cause), t.HoldTime)
+	d.floats(t.Value, t.Limit)
+	d.texts(t.Plan, t.FromName, t.ToName)
+	d.integers(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
+	d.floats(t.Signals.DemandByOperation...)
+	d.floats(t.Signals.IntakeShare, t.Signals.QueueWait, t.Signals.QueueingDelay, t.Signals.CallWait, t.Signals.RejectedShare, t.Signals.MemoryShare)
+	d.floats(t.Loads...)
 	b := &t.Before
-	d.text(b.Level)
-	d.whole(b.Seconds, int64(b.Whole), int64(b.Reduced), int64(b.Levelled), int64(b.Throttled), int64(b.Entered))
+	d.texts(b.Level)
+	d.integers(b.Seconds, int64(b.Whole), int64(b.Reduced), int64(b.Levelled), int64(b.Throttled), int64(b.Entered))
 }
 
 // change adds a change of the view of the fleet.
 func (d digest) change(c *membership.Change) {
-	d.whole(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.After, int64(c.Size), int64(c.Hash))
-	d.text(c.Who, c.ReportedBy)
+	d.integers(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.After, int64(c.Size), int64(c.Hash))
+	d.texts(c.Who, c.ReportedBy)
 }
 
-// stored adds a record for the store.
-func (d digest) stored(s *resultcache.Record) {
-	d.whole(int64(s.Key.Operation), int64(s.Key.Tenant), int64(s.BodyHash), s.Remaining, int64(s.Outcome))
-	d.text(s.Key.Token)
-	d.flag(s.Completed)
+// record adds a record for the store.
+func (d digest) record(s *resultcache.Record) {
+	d.integers(int64(s.Key.Operation), int64(s.Key.Tenant), int64(s.BodyHash), s.Remaining, int64(s.Outcome))
+	d.texts(s.Key.Token)
+	d.bools(s.Completed)
 	d.bytes(s.Result)
 }
 
 // write adds a write of the council's seat, its parts by name.
 func (d digest) write(w *consensus.Write) {
-	d.whole(int64(w.Number), int64(len(w.Parts)), int64(len(w.Records)))
-	d.flag(w.DiscardEarlier, w.Base != nil)
+	d.integers(int64(w.Number), int64(len(w.Parts)), int64(len(w.Records)))
+	d.bools(w.DiscardEarlier, w.Base != nil)
 	d.bytes(w.Base)
 	for _, name := range slices.Sorted(maps.Keys(w.Parts)) {
-		d.text(name)
+		d.texts(name)
 		d.bytes(w.Parts[name])
 	}
 	for _, b := range w.Records {
@@ -186,71 +186,71 @@
 	}
 }
 
-// mark adds the name of a version.
-func (d digest) mark(m configsync.Revision) {
-	d.whole(int64(m.Version), int64(m.Digest.A), int64(m.Digest.B))
+// revision adds the name of a version.
+func (d digest) revision(m configsync.Revision) {
+	d.integers(int64(m.Version), int64(m.Digest.A), int64(m.Digest.B))
 }
 
 // items adds items of a configuration.
 func (d digest) items(list []configsync.Item) {
-	d.whole(int64(len(list)))
+	d.integers(int64(len(list)))
 	for k := range list {
-		d.text(list[k].Part, list[k].Name)
+		d.texts(list[k].Part, list[k].Name)
 		d.bytes(list[k].Value)
 	}
 }
 
 // persisting adds what the disk is to keep of a configuration.
 func (d digest) persisting(e *configsync.Effect) {
-	d.whole(int64(e.Kind), int64(e.Link), int64(len(e.Records)))
-	d.text(e.To)
-	d.mark(e.Mark)
-	d.flag(e.First, e.Full, e.Warn, e.Message != nil, e.Command != nil, e.Old != nil, e.New != nil)
+	d.integers(int64(e.Kind), int64(e.Link), int64(len(e.Records)))
+	d.texts(e.To)
+	d.revision(e.Mark)
+	d.bools(e.First, e.Full, e.Warn, e.Message != nil, e.Command != nil, e.Old != nil, e.New != nil)
 	for _, c := range []*configsync.Content{e.Old, e.New} {
 		if c != nil {
-			d.mark(configsync.Revision{Digest: c.Digest()})
+			d.revision(configsync.Revision{Digest: c.Digest()})
 		}
 	}
 	for _, r := range e.Records {
-		d.whole(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.Wall)
-		d.text(r.From)
+		d.integers(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.Wall)
+		d.texts(r.From)
 		d.items(r.Changes)
 		d.items(r.Replaced)
-		d.flag(r.Rollback)
+		d.bools(r.Rollback)
 	}
 }
 
-// digestRuns are the runs whose effects are recorded: a digest changes with any effect, its order and any number in it.
-var digestRuns = []struct {
+// digestCases are the runs whose effects are recorded: a digest changes with any effect, its order and any number in it.
+var digestCases = []struct {
 	name   string
 	seed   int64
-	site   siteOptions
+	site   simulationOptions
 	digest string
 }{
-	{"one node with levels, versions and other addresses", 1, siteOptions{nodes: 1, seconds: 30, rate: 60, levels: true, amends: true, reloads: true, drains: true}, "50f74bb4bd307a333367a795068705773642facd89d7c994d42293ea54d9e168"},
-	{"overload, and a drain that is aborted", 2, siteOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "2435b9a3f9c53faca21c2854454d511664e9bb94a5f06c400f4bce32fe515ff4"},
-	{"callers that misbehave", 3, siteOptions{nodes: 1, seconds: 60, rate: 30, callers: 25, wild: true}, "9afd738be7332a0861e5d0bdbf2cf61123980c67825d226b4479108969f293a7"},
-	{"an executor and a catalogue that fail", 4, siteOptions{nodes: 1, seconds: 40, rate: 40, links: 2, broken: true, reloads: true}, "8288a99f3eceedd3d47b57eeb3b9b1bf7770e0adf8cb70bb220aa5f4e20e71aa"},
-	{"kept on a disk that fails at times", 5, siteOptions{nodes: 1, seconds: 30, rate: 40, keep: true, durability: resultcache.OnDisk, failing: true, kills: true, broken: true}, "79cc5560ec15261f308a7a749bc41c5fdf92fce43969febb0b2145b0d3084c4d"},
-	{"kept in memory, with versions", 6, siteOptions{nodes: 1, seconds: 30, rate: 40, keep: true, durability: resultcache.InMemory, amends: true, wild: true, drains: true}, "cbf7b2656eee9cd49ad9eedf38cfd0ad578ec71243feef70ed4a09bbb17e3b96"},
-	{"a fleet with a council", 7, siteOptions{nodes: 4, seats: 3, seconds: 40, rate: 30, keep: true, durability: resultcache.OnDisk, kills: true, drains: true}, "dc794478402252a79fb09166f2dffb2161f6e906adb02e5f363f3cf276f29adc"},
-	{"a fleet with leases and links that fail", 8, siteOptions{nodes: 3, seats: 1, seconds: 25, rate: 30, keep: true, durability: resultcache.OnDisk, lease: true, broken: true, loss: 0.05}, "6c9be58eedb91d1e00feb9165c857364a55114c6969c8c8dbc68d8a6bf23a1a4"},
-	{"a fleet with its configuration in service", 9, siteOptions{nodes: 4, seats: 3, seconds: 30, rate: 15, configures: true, kills: true, loss: 0.02, levels: true}, "775ed77b604924f845c7f56f66e5e8a5afc76447b692983cb80f2b1c6bbddb51"},
-	{"hollow nodes beside whole ones", 10, siteOptions{nodes: 5, hollow: 3, seats: 3, seconds: 25, rate: 15, keep: true, durability: resultcache.OnDisk, lease: true, kills: true}, "32cb0854536c727eca372e29594ca21f98f76fc5eb0ddb71ca3fbafb7753ed41"},
-	{"many cores and links", 11, siteOptions{nodes: 1, seconds: 15, rate: 400, cores: 32, links: 60, levels: true, drains: true}, "b76ebf04e8831fb7faa07411207f769c6f637bea3fe136ceb6d4bbdd0cff9965"},
+	{"one node with levels, versions and other addresses", 1, simulationOptions{nodes: 1, seconds: 30, rate: 60, levels: true, versions: true, reloads: true, drains: true}, "50f74bb4bd307a333367a795068705773642facd89d7c994d42293ea54d9e168"},
+	{"overload, and a drain that is aborted", 2, simulationOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "2435b9a3f9c53faca21c2854454d511664e9bb94a5f06c400f4bce32fe515ff4"},
+	{"callers that misbehave", 3, simulationOptions{nodes: 1, seconds: 60, rate: 30, callers: 25, misbehaving: true}, "9afd738be7332a0861e5d0bdbf2cf61123980c67825d226b4479108969f293a7"},
+	{"an executor and a catalogue that fail", 4, simulationOptions{nodes: 1, seconds: 40, rate: 40, links: 2, faultyLinks: true, reloads: true}, "8288a99f3eceedd3d47b57eeb3b9b1bf7770e0adf8cb70bb220aa5f4e20e71aa"},
+	{"kept on a disk that fails at times", 5, simulationOptions{nodes: 1, seconds: 30, rate: 40, caching: true, durability: resultcache.OnDisk, faultyDisks: true, kills: true, faultyLinks: true}, "79cc5560ec15261f308a7a749bc41c5fdf92fce43969febb0b2145b0d3084c4d"},
+	{"kept in memory, with versions", 6, simulationOptions{nodes: 1, seconds: 30, rate: 40, caching: true, durability: resultcache.InMemory, versions: true, misbehaving: true, drains: true}, "cbf7b2656eee9cd49ad9eedf38cfd0ad578ec71243feef70ed4a09bbb17e3b96"},
+	{"a fleet with a council", 7, simulationOptions{nodes: 4, replicas: 3, seconds: 40, rate: 30, caching: true, durability: resultcache.OnDisk, kills: true, drains: true}, "dc794478402252a79fb09166f2dffb2161f6e906adb02e5f363f3cf276f29adc"},
+	{"a fleet with leases and links that fail", 8, simulationOptions{nodes: 3, replicas: 1, seconds: 25, rate: 30, caching: true, durability: resultcache.OnDisk, leases: true, faultyLinks: true, loss: 0.05}, "6c9be58eedb91d1e00feb9165c857364a55114c6969c8c8dbc68d8a6bf23a1a4"},
+	{"a fleet with its configuration in service", 9, simulationOptions{nodes: 4, replicas: 3, seconds: 30, rate: 15, configSync: true, kills: true, loss: 0.02, levels: true}, "775ed77b604924f845c7f56f66e5e8a5afc76447b692983cb80f2b1c6bbddb51"},
+	{"hollow nodes beside whole ones", 10, simulationOptions{nodes: 5, hollow: 3, replicas: 3, seconds: 25, rate: 15, caching: true, durability: resultcache.OnDisk, leases: true, kills: true}, "32cb0854536c727eca372e29594ca21f98f76fc5eb0ddb71ca3fbafb7753ed41"},
+	{"many cores and links", 11, simulationOptions{nodes: 1, seconds: 15, rate: 400, cores: 32, links: 60, levels: true, drains: true}, "b76ebf04e8831fb7faa07411207f769c6f637bea3fe136ceb6d4bbdd0cff9965"},
 }
 
 // What Step returns over drawn runs stays the same, bit for bit.
 func TestDigestsOfSteps(t *testing.T) {
-	for _, run := range digestRuns {
+	for _, run := range digestCases {
 		t.Run(run.name, func(t *testing.T) {
 			s := newSite(t, run.seed, run.site)
-			s.play()
-			for _, n := range s.stations {
-				if n.brain != nil {
+			s.runAll()
+			for _, n := range s.simNodes {
+				if n.machine != nil {
 					n.end()
 				}
-				for _, what := range n.broken {
+				for _, what := range n.violations {
 					t.Errorf("%s: an invariant did not hold: %s", n.name, what)
 				}
 			}
@@ -262,7 +262,7 @@
 
 // BenchmarkStep repeats the steps of a recorded run of steady load on one node, with some dozens of invocations in flight.
 func BenchmarkStep(b *testing.B) {
-	s := newSite(b, 1, siteOptions{nodes: 1, seconds: 10, rate: 150, cores: 24, levels: true})
+	s := newSite(b, 1, simulationOptions{nodes: 1, seconds: 10, rate: 150, cores: 24, levels: true})
 	type moment struct {
 		now, wall int64
 		inputs    []node.Input
@@ -271,11 +271,11 @@
 	s.record = func(now, wall int64, inputs []node.Input) {
 		moments = append(moments, moment{now, wall, slices.Clone(inputs)})
 	}
-	s.play()
+	s.runAll()
 	again := newDigest()
-	for brain, k := s.stations[0].newBrain(), 0; k < len(moments); k++ { // to repeat the inputs is to repeat the run
+	for brain, k := s.simNodes[0].newMachine(), 0; k < len(moments); k++ { // to repeat the inputs is to repeat the run
 		effects := brain.Step(moments[k].now, moments[k].wall, moments[k].inputs)
-		again.whole(0, 1, moments[k].now, int64(len(effects)))
+		again.integers(0, 1, moments[k].now, int64(len(effects)))
 		for j := range effects {
 			again.effect(&effects[j])
 		}
@@ -287,15 +287,15 @@
 	for k := range b.N {
 		m := &moments[k%len(moments)]
 		if k%len(moments) == 0 {
-			brain = s.stations[0].newBrain()
+			brain = s.simNodes[0].newMachine()
 		}
 		brain.Step(m.now, m.wall, m.inputs)
 	}
 	b.ReportMetric(float64(s.inFlight)/float64(max(1, s.steps)), "in-flight")
 }
 
-// itemsOf are those of a config that may change in service.
-func itemsOf(p *nodeconfig.Config) (list []configsync.Item) {
+// itemsIn are those of a config that may change in service.
+func itemsIn(p *nodeconfig.Config) (list []configsync.Item) {
 	found, _ := nodeconfig.Diff(nil, p)
 	for k := range found {
 		list = append(list, configsync.Item(found[k]))
