--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -23,8 +23,8 @@
 	"topazpost/internal/resultcache"
 )
 
-// digest sums up what steps return. It is the only place that names the fields, one after the other, so that it is all there
-// is to edit when they get other names or other types. Its figures are those of an amd64: others may round otherwise.
+// digest hashes what steps return. It is the only place that names the fields, so that it is all there is to edit when they
+// get other names or other types. Its values are those of amd64; other architectures may round differently.
 type digest struct{ hash.Hash }
 
 func newDigest() digest { return digest{sha256.New()} }
@@ -48,7 +48,7 @@
 	}
 }
 
-// bools adds truth values.
+// bools adds booleans.
 func (d digest) bools(values ...bool) {
 	for _, is := range values {
 		n := int64(0)
@@ -59,7 +59,7 @@
 	}
 }
 
-// bytes adds bytes with their number.
+// bytes adds bytes with their length.
 func (d digest) bytes(b []byte) {
 	d.integers(int64(len(b)))
 	d.Write(b)
@@ -72,7 +72,7 @@
 	}
 }
 
-// numbersIn adds the decimal numbersIn in a text, whose wording may change.
+// numbersIn adds the decimal numbers in a text, whose wording may change.
 func (d digest) numbersIn(text string) {
 	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r < '0' || r > '9' }) {
 		d.texts(word)
@@ -115,7 +115,7 @@
 	}
 }
 
-// controllerState adds what the controllerState stand on.
+// controllerState adds the state that decisions are made by.
 func (d digest) controllerState(s *admission.ControllerState) {
 	d.floats(s.Limit, s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
 		s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
@@ -123,7 +123,7 @@
 	d.bools(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
 
-// state adds a sample of the whole node; of reasons only how often each was given.
+// state adds a sample of the whole node.
 func (d digest) state(s *node.State) {
 	d.controllerState(&s.ControllerState)
 	d.texts(s.Level)
@@ -172,7 +172,7 @@
 	d.bytes(s.Result)
 }
 
-// write adds a write of the council's seat, its parts by name.
+// write adds a write of the replica, its parts in the order of their names.
 func (d digest) write(w *consensus.Write) {
 	d.integers(int64(w.Number), int64(len(w.Parts)), int64(len(w.Records)))
 	d.bools(w.DiscardEarlier, w.Base != nil)
@@ -186,7 +186,7 @@
 	}
 }
 
-// revision adds the name of a version.
+// revision adds a revision.
 func (d digest) revision(m configsync.Revision) {
 	d.integers(int64(m.Version), int64(m.Digest.A), int64(m.Digest.B))
 }
@@ -200,7 +200,7 @@
 	}
 }
 
-// persisting adds what the disk is to keep of a configuration.
+// persisting adds what is to be persisted of a configuration.
 func (d digest) persisting(e *configsync.Effect) {
 	d.integers(int64(e.Kind), int64(e.Link), int64(len(e.Records)))
 	d.texts(e.To)
@@ -220,31 +220,31 @@
 	}
 }
 
-// digestCases are the runs whose effects are recorded: a digest changes with any effect, its order and any number in it.
+// digestCases are the simulations and the digests of their effects: one changes with any effect, its order and its numbers.
 var digestCases = []struct {
 	name   string
 	seed   int64
 	site   simulationOptions
 	digest string
 }{
-	{"one node with levels, versions and other addresses", 1, simulationOptions{nodes: 1, seconds: 30, rate: 60, levels: true, versions: true, reloads: true, drains: true}, "50f74bb4bd307a333367a795068705773642facd89d7c994d42293ea54d9e168"},
-	{"overload, and a drain that is aborted", 2, simulationOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "2435b9a3f9c53faca21c2854454d511664e9bb94a5f06c400f4bce32fe515ff4"},
-	{"callers that misbehave", 3, simulationOptions{nodes: 1, seconds: 60, rate: 30, callers: 25, misbehaving: true}, "9afd738be7332a0861e5d0bdbf2cf61123980c67825d226b4479108969f293a7"},
-	{"an executor and a catalogue that fail", 4, simulationOptions{nodes: 1, seconds: 40, rate: 40, links: 2, faultyLinks: true, reloads: true}, "8288a99f3eceedd3d47b57eeb3b9b1bf7770e0adf8cb70bb220aa5f4e20e71aa"},
-	{"kept on a disk that fails at times", 5, simulationOptions{nodes: 1, seconds: 30, rate: 40, caching: true, durability: resultcache.OnDisk, faultyDisks: true, kills: true, faultyLinks: true}, "79cc5560ec15261f308a7a749bc41c5fdf92fce43969febb0b2145b0d3084c4d"},
-	{"kept in memory, with versions", 6, simulationOptions{nodes: 1, seconds: 30, rate: 40, caching: true, durability: resultcache.InMemory, versions: true, misbehaving: true, drains: true}, "cbf7b2656eee9cd49ad9eedf38cfd0ad578ec71243feef70ed4a09bbb17e3b96"},
-	{"a fleet with a council", 7, simulationOptions{nodes: 4, replicas: 3, seconds: 40, rate: 30, caching: true, durability: resultcache.OnDisk, kills: true, drains: true}, "dc794478402252a79fb09166f2dffb2161f6e906adb02e5f363f3cf276f29adc"},
-	{"a fleet with leases and links that fail", 8, simulationOptions{nodes: 3, replicas: 1, seconds: 25, rate: 30, caching: true, durability: resultcache.OnDisk, leases: true, faultyLinks: true, loss: 0.05}, "6c9be58eedb91d1e00feb9165c857364a55114c6969c8c8dbc68d8a6bf23a1a4"},
-	{"a fleet with its configuration in service", 9, simulationOptions{nodes: 4, replicas: 3, seconds: 30, rate: 15, configSync: true, kills: true, loss: 0.02, levels: true}, "775ed77b604924f845c7f56f66e5e8a5afc76447b692983cb80f2b1c6bbddb51"},
-	{"hollow nodes beside whole ones", 10, simulationOptions{nodes: 5, hollow: 3, replicas: 3, seconds: 25, rate: 15, caching: true, durability: resultcache.OnDisk, leases: true, kills: true}, "32cb0854536c727eca372e29594ca21f98f76fc5eb0ddb71ca3fbafb7753ed41"},
+	{"one node with levels, versions and address changes", 1, simulationOptions{nodes: 1, seconds: 30, rate: 60, levels: true, versions: true, reloads: true, drains: true}, "50f74bb4bd307a333367a795068705773642facd89d7c994d42293ea54d9e168"},
+	{"overload and an aborted drain", 2, simulationOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "2435b9a3f9c53faca21c2854454d511664e9bb94a5f06c400f4bce32fe515ff4"},
+	{"misbehaving callers", 3, simulationOptions{nodes: 1, seconds: 60, rate: 30, callers: 25, misbehaving: true}, "9afd738be7332a0861e5d0bdbf2cf61123980c67825d226b4479108969f293a7"},
+	{"a faulty executor and catalogue", 4, simulationOptions{nodes: 1, seconds: 40, rate: 40, links: 2, faultyLinks: true, reloads: true}, "8288a99f3eceedd3d47b57eeb3b9b1bf7770e0adf8cb70bb220aa5f4e20e71aa"},
+	{"results cached on a faulty disk", 5, simulationOptions{nodes: 1, seconds: 30, rate: 40, caching: true, durability: resultcache.OnDisk, faultyDisks: true, kills: true, faultyLinks: true}, "79cc5560ec15261f308a7a749bc41c5fdf92fce43969febb0b2145b0d3084c4d"},
+	{"results cached in memory, with versions", 6, simulationOptions{nodes: 1, seconds: 30, rate: 40, caching: true, durability: resultcache.InMemory, versions: true, misbehaving: true, drains: true}, "cbf7b2656eee9cd49ad9eedf38cfd0ad578ec71243feef70ed4a09bbb17e3b96"},
+	{"a fleet with a consensus group", 7, simulationOptions{nodes: 4, replicas: 3, seconds: 40, rate: 30, caching: true, durability: resultcache.OnDisk, kills: true, drains: true}, "dc794478402252a79fb09166f2dffb2161f6e906adb02e5f363f3cf276f29adc"},
+	{"a fleet with leases and faulty links", 8, simulationOptions{nodes: 3, replicas: 1, seconds: 25, rate: 30, caching: true, durability: resultcache.OnDisk, leases: true, faultyLinks: true, loss: 0.05}, "6c9be58eedb91d1e00feb9165c857364a55114c6969c8c8dbc68d8a6bf23a1a4"},
+	{"a fleet with configuration changes", 9, simulationOptions{nodes: 4, replicas: 3, seconds: 30, rate: 15, configSync: true, kills: true, loss: 0.02, levels: true}, "775ed77b604924f845c7f56f66e5e8a5afc76447b692983cb80f2b1c6bbddb51"},
+	{"hollow nodes beside full ones", 10, simulationOptions{nodes: 5, hollow: 3, replicas: 3, seconds: 25, rate: 15, caching: true, durability: resultcache.OnDisk, leases: true, kills: true}, "32cb0854536c727eca372e29594ca21f98f76fc5eb0ddb71ca3fbafb7753ed41"},
 	{"many cores and links", 11, simulationOptions{nodes: 1, seconds: 15, rate: 400, cores: 32, links: 60, levels: true, drains: true}, "b76ebf04e8831fb7faa07411207f769c6f637bea3fe136ceb6d4bbdd0cff9965"},
 }
 
-// What Step returns over drawn runs stays the same, bit for bit.
+// TestDigestsOfSteps checks that Step returns the same effects in random simulations, bit for bit.
 func TestDigestsOfSteps(t *testing.T) {
 	for _, run := range digestCases {
 		t.Run(run.name, func(t *testing.T) {
-			s := newSite(t, run.seed, run.site)
+			s := newSimulation(t, run.seed, run.site)
 			s.runAll()
 			for _, n := range s.simNodes {
 				if n.machine != nil {
@@ -260,9 +260,9 @@
 	}
 }
 
-// BenchmarkStep repeats the steps of a recorded run of steady load on one node, with some dozens of invocations in flight.
+// BenchmarkStep repeats the steps of one node under steady load, with some dozens of invocations in flight.
 func BenchmarkStep(b *testing.B) {
-	s := newSite(b, 1, simulationOptions{nodes: 1, seconds: 10, rate: 150, cores: 24, levels: true})
+	s := newSimulation(b, 1, simulationOptions{nodes: 1, seconds: 10, rate: 150, cores: 24, levels: true})
 	type moment struct {
 		now, wall int64
 		inputs    []node.Input
@@ -273,7 +273,7 @@
 	}
 	s.runAll()
 	again := newDigest()
-	for brain, k := s.simNodes[0].newMachine(), 0; k < len(moments); k++ { // to repeat the inputs is to repeat the run
+	for brain, k := s.simNodes[0].newMachine(), 0; k < len(moments); k++ { // the same inputs give the same effects
 		effects := brain.Step(moments[k].now, moments[k].wall, moments[k].inputs)
 		again.integers(0, 1, moments[k].now, int64(len(effects)))
 		for j := range effects {
@@ -294,7 +294,7 @@
 	b.ReportMetric(float64(s.inFlight)/float64(max(1, s.steps)), "in-flight")
 }
 
-// itemsIn are those of a config that may change in service.
+// itemsIn is the items of a configuration that may be changed in service.
 func itemsIn(p *nodeconfig.Config) (list []configsync.Item) {
 	found, _ := nodeconfig.Diff(nil, p)
 	for k := range found {
--- /dev/null
+++ b/internal/node/digestcallers_test.go
@@ -0,0 +1,228 @@
+package node_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
+)
+
+func (n *simNode) conn(link int) *callerConn {
+	k := slices.IndexFunc(n.conns, func(c *callerConn) bool { return c.link == link })
+	if k < 0 {
+		return nil
+	}
+	return n.conns[k]
+}
+
+// closeConn closes a connection.
+func (n *simNode) closeConn(link int) {
+	n.conns = slices.DeleteFunc(n.conns, func(c *callerConn) bool { return c.link == link })
+	n.deliver(node.Input{Kind: node.ConnectionClosed, Link: link})
+}
+
+// closeConnSoon closes a connection soon; now and then an invocation crosses that.
+func (n *simNode) closeConnSoon(link int) {
+	c := n.conn(link)
+	if c == nil {
+		return
+	}
+	c.closeCount++
+	at := c.closeCount
+	if n.oneIn(4) {
+		n.schedule(n.randomDuration(50, 200), func() {
+			if c.closeCount == at && n.conn(link) == c {
+				n.invoke(c)
+			}
+		})
+	}
+	n.schedule(n.randomDuration(250, 900), func() {
+		if c.closeCount == at {
+			n.closeConn(link)
+		}
+	})
+}
+
+// writtenToCaller applies what the node writes to a caller.
+func (n *simNode) writtenToCaller(e *node.Effect) {
+	c := n.conn(e.Link)
+	if c == nil {
+		return
+	}
+	var p frame.Parser
+	p.Wrote(copy(p.Space(), e.Bytes))
+	f, ok, err := p.Next()
+	require.True(n.t, ok && err == nil, "what is written to callers can be parsed")
+	switch f.Type {
+	case frame.NoMore:
+		c.goAwayReceived = true
+	case frame.Answer:
+		delete(c.open, f.Stream)
+	}
+}
+
+// openConn opens a connection.
+func (n *simNode) openConn() *callerConn {
+	n.lastConn++
+	c := &callerConn{link: n.lastConn, open: map[uint32]string{}}
+	n.conns = append(n.conns, c)
+	n.deliver(node.Input{Kind: node.ConnectionOpened, Link: c.link})
+	return c
+}
+
+// invokeOnAnyConn sends an invocation on a drawn connection, or a new one.
+func (n *simNode) invokeOnAnyConn() {
+	if n.machine == nil || n.isHollow() {
+		return
+	}
+	var usable []*callerConn
+	for _, c := range n.conns {
+		if !c.goAwayReceived && c.closeCount == 0 && len(c.open) < 32 {
+			usable = append(usable, c)
+		}
+	}
+	if len(usable) == 0 || len(n.conns) < n.callers && n.oneIn(15) {
+		c := n.openConn()
+		if !n.misbehaving || !n.oneIn(3) { // the node accepts a connection before it reads from it
+			n.schedule(n.randomDuration(10, 300), func() { n.invoke(c) })
+		}
+		return
+	}
+	n.invoke(usable[n.Chance.Intn(len(usable))])
+}
+
+// invoke sends an invocation on a connection.
+func (n *simNode) invoke(c *callerConn) {
+	if n.conn(c.link) != c {
+		return
+	}
+	n.lastID++
+	c.lastStream++
+	id := fmt.Sprintf("%016x", n.lastID)
+	stream := c.lastStream
+	fields := n.invocationFields(id)
+	body := "body of " + id
+	if n.caching {
+		token := fmt.Sprint("t", n.Chance.Intn(20)+n.lastID/20*10) // many are repeated
+		fields = append(fields, frame.Field{Name: "dedupe", Value: token})
+		body = "body of " + token
+	}
+	if n.misbehaving {
+		fields = n.distortFields(c, fields)
+	}
+	if n.caching && n.oneIn(60) {
+		body = "another body"
+	}
+	if n.misbehaving && n.oneIn(60) {
+		body = strings.Repeat("b", 3_000)
+	}
+	if n.misbehaving && n.oneIn(80) && stream > 1 {
+		stream--
+	}
+	b := frame.AppendInvocation(nil, stream, fields, []byte(body))
+	c.open[stream] = id
+	n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[frameHeaderBytes:],
+		Past: n.misbehaving && n.oneIn(90)}})
+}
+
+// invocationFields draws the fields of a valid invocation.
+func (n *simNode) invocationFields(id string) []frame.Field {
+	fields := []frame.Field{{Name: "op", Value: []string{"catalogue", "hold", "pay"}[n.Chance.Intn(3)]}, {Name: "call", Value: id},
+		{Name: "recv", Value: strconv.FormatInt((epoch+n.Now)/millisecond-n.Chance.Int63n(20), 10)}, {Name: "src", Value: strconv.Itoa(n.Chance.Intn(9))},
+		{Name: "heap", Value: strconv.Itoa(5 + n.Chance.Intn(40))}, {Name: "org", Value: []string{"x", "x", "x", "y"}[n.Chance.Intn(4)]}}
+	if n.oneIn(2) {
+		fields = append(fields, frame.Field{Name: "work", Value: fmt.Sprintf("%.2f", 5+60*n.Chance.Float64())})
+	}
+	if n.oneIn(3) {
+		fields = append(fields, frame.Field{Name: "ttl", Value: strconv.Itoa(100 + n.Chance.Intn(2_000))})
+	}
+	if n.oneIn(4) {
+		fields = append(fields, frame.Field{Name: "rep", Value: "1"})
+	}
+	if n.oneIn(3) {
+		fields = append(fields, frame.Field{Name: "row", Value: fmt.Sprintf("%016x", n.Chance.Intn(50))})
+	}
+	return fields
+}
+
+// distortFields makes some invocations invalid: malformed or missing fields, and calls that are in use.
+func (n *simNode) distortFields(c *callerConn, fields []frame.Field) []frame.Field {
+	if n.oneIn(25) {
+		k := n.Chance.Intn(len(fields))
+		fields[k].Value = []string{"", "x", "-1", "99999999999999999999", "0x1"}[n.Chance.Intn(5)]
+	}
+	if n.oneIn(40) {
+		k := n.Chance.Intn(len(fields))
+		fields = slices.Delete(fields, k, k+1)
+	}
+	if n.oneIn(40) {
+		fields = append(fields, frame.Field{Name: "crit", Value: fmt.Sprintf("%.2f", 1.2*n.Chance.Float64())})
+	}
+	if n.oneIn(60) && len(c.open) > 0 {
+		inUse := c.open[slices.Sorted(maps.Keys(c.open))[0]]
+		fields[min(1, len(fields)-1)] = frame.Field{Name: "call", Value: inUse}
+	}
+	return fields
+}
+
+// callerActivity draws what callers do beside invocations.
+func (n *simNode) callerActivity() {
+	if len(n.conns) == 0 || n.machine == nil {
+		return
+	}
+	c := n.conns[n.Chance.Intn(len(n.conns))]
+	read := func(f frame.Frame) { n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: f}) }
+	switch kind := n.Chance.Intn(12); {
+	case kind < 3:
+		open := slices.Sorted(maps.Keys(c.open))
+		if len(open) > 0 {
+			stream := open[n.Chance.Intn(len(open))]
+			delete(c.open, stream)
+			read(frame.Frame{Type: frame.Gone, Stream: stream})
+		}
+	case kind < 6:
+		n.checkHealth(c, n.oneIn(2))
+	case kind == 6:
+		n.closeConn(c.link)
+	case !n.misbehaving:
+	case kind == 7:
+		n.deliver(node.Input{Kind: node.FrameMalformed, Link: c.link, Err: frame.ErrLength})
+	case kind == 8:
+		read(frame.Frame{Type: 99, Stream: 1})
+	case kind == 9:
+		for range 40 {
+			n.invoke(c)
+		}
+	case kind == 10:
+		read(frame.Frame{Type: frame.Check, Stream: 1, Payload: []byte{255, 1}})
+	default:
+		for range 3 {
+			n.openConn()
+		}
+	}
+}
+
+// checkHealth sends a health check; a deep one needs the executor.
+func (n *simNode) checkHealth(c *callerConn, deep bool) {
+	var fields []frame.Field
+	if deep {
+		fields = []frame.Field{{Name: "e2e", Value: "1"}}
+	}
+	c.lastStream++
+	b := frame.AppendInvocation(nil, c.lastStream, fields, nil)
+	n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Check, Stream: c.lastStream, Payload: b[frameHeaderBytes:],
+		Past: n.oneIn(20)}})
+}
+
+// abandonConns has callers use none of their connections any more, so that those reach their idle timeout.
+func (n *simNode) abandonConns() {
+	for _, c := range n.conns {
+		c.goAwayReceived = true
+	}
+}
--- /dev/null
+++ b/internal/node/digestexecutor_test.go
@@ -0,0 +1,264 @@
+package node_test
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/node"
+	"topazpost/internal/protocol/lineprotocol"
+)
+
+// deliverLine sends the node a line on the open link.
+func (n *simNode) deliverLine(line lineprotocol.Line) {
+	if link := n.executorLink; link != 0 && !n.executorSilent {
+		n.schedule(150_000, func() { // all take the same time, so that they keep their order
+			if link == n.executorLink {
+				n.deliver(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: line})
+			}
+		})
+	}
+}
+
+// sendLine sends the node a line without a body.
+func (n *simNode) sendLine(text string) {
+	n.deliverLine(lineprotocol.Line{Words: strings.Fields(text), Body: []byte("")})
+}
+
+// sendNotice sends the node a numbered notice, which later links may repeat.
+func (n *simNode) sendNotice(kind, rest, body string) {
+	line := lineprotocol.Line{Words: strings.Fields(fmt.Sprintf("%s %d %s", kind, len(n.notices)+1, rest)), Body: []byte(body)}
+	n.notices = append(n.notices, line)
+	n.deliverLine(line)
+}
+
+// executorEffect carries out an effect on the executor's links.
+func (n *simNode) executorEffect(e *node.Effect) {
+	link := e.Link
+	switch e.Kind {
+	case node.DialExecutor:
+		failed := n.linkFault(4)
+		n.schedule(n.randomDuration(100, 500), func() {
+			if failed {
+				n.deliver(node.Input{Kind: node.ExecutorDisconnected, Link: link, Err: errSimulated})
+				return
+			}
+			n.executorLink, n.executorSilent = link, false
+			n.deliver(node.Input{Kind: node.ExecutorConnected, Link: link})
+		})
+	case node.CloseExecutor:
+		if n.executorLink == link {
+			n.executorLink = 0
+		}
+		n.schedule(n.randomDuration(50, 200), func() { n.deliver(node.Input{Kind: node.ExecutorDisconnected, Link: link}) })
+	case node.SendToExecutor:
+		if link == n.executorLink {
+			words, body := splitCommand(e.Bytes)
+			n.executorCommand(link, words, body)
+		}
+	}
+}
+
+// executorCommand has the executor carry out a command.
+func (n *simNode) executorCommand(link int, words []string, body []byte) {
+	switch words[0] {
+	case "JOIN":
+		from, err := strconv.Atoi(words[1])
+		require.NoError(n.t, err)
+		wait := int64(0)
+		if n.oneIn(2) {
+			wait = 300 * millisecond
+		}
+		n.schedule(wait, func() { n.welcome(link, from) })
+	case "METER":
+		n.sendGauges(words[1])
+	case "DIAG":
+		text := "DIAGNOSED " + words[1] + " " + []string{"good", "bad"}[n.Chance.Intn(2)]
+		if !n.oneIn(4) {
+			n.schedule(n.randomDuration(1_000, 60_000), func() { n.sendLine(text) })
+		}
+	case "EXEC":
+		n.startRun(words[1], words[2], body)
+	case "RETURN":
+		if r := n.runs[words[1]]; r != nil && r.awaitingCall {
+			r.awaitingCall = false
+			n.runSegment(r)
+		} else if n.linkFault(2) {
+			n.sendLine("BAD RETURN " + words[1])
+		}
+	}
+}
+
+// sendGauges answers a request for gauges, behind the notices that a new link brings.
+func (n *simNode) sendGauges(tag string) {
+	running := 0
+	for _, r := range n.runs {
+		if !r.awaitingCall {
+			running++
+		}
+	}
+	delay := n.randomDuration(800, 1_500)
+	text := fmt.Sprintf("METERS %s %.3f %d 0.1 %d", tag, min(1, float64(running)/float64(n.cores)), running, len(n.conns))
+	n.schedule(delay, func() { n.sendLine(text) })
+}
+
+// startRun starts a run once: a new link repeats the commands that may not have been read.
+func (n *simNode) startRun(id, class string, body []byte) {
+	if n.executed[id] {
+		return
+	}
+	n.executed[id] = true
+	if n.linkFault(20) {
+		n.sendLine("BAD EXEC " + id)
+		return
+	}
+	r := &executorRun{id: id, body: string(body), calls: n.Chance.Intn(3)}
+	if class == "pay" {
+		r.calls = 0
+	}
+	n.runs[r.id] = r
+	n.runSegment(r)
+}
+
+// welcome sends the welcome of a link, and the notices that the node has not applied.
+func (n *simNode) welcome(link, from int) {
+	if link != n.executorLink {
+		return
+	}
+	words := strings.Fields(fmt.Sprintf("WELCOME %s %d", []string{"new", "old"}[n.seed&1], (n.Now-n.executorStartedAt)/millisecond))
+	n.deliver(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: lineprotocol.Line{Words: words}})
+	for _, c := range n.conns { // a check in the step of the first welcome is a deep one
+		if c.closeCount == 0 && n.oneIn(2) {
+			n.checkHealth(c, true)
+		}
+	}
+	n.schedule(400_000, func() {
+		if n.executorLink == link {
+			for _, line := range n.notices[min(from, len(n.notices)):] {
+				n.deliverLine(lineprotocol.Line{Words: slices.Clone(line.Words), Body: slices.Clone(line.Body)})
+			}
+		}
+	})
+}
+
+// runSegment continues a run up to its next call or its end. It goes on when the node's process ends.
+func (n *simNode) runSegment(r *executorRun) {
+	n.After(n.randomDuration(3_000, 90_000), func() {
+		if r.calls > 0 {
+			r.calls--
+			r.awaitingCall = true
+			n.sendNotice("CALLOUT", fmt.Sprintf("%s %d", r.id, len(r.id)), r.id)
+			n.After(3_000*millisecond, func() {
+				if r.awaitingCall { // nobody brings it its answer
+					r.awaitingCall, r.calls = false, 0
+					n.endRun(r, "cut")
+				}
+			})
+			return
+		}
+		end := "good"
+		if n.oneIn(10) {
+			end = []string{"bad", "cut", "gone"}[n.Chance.Intn(3)]
+		}
+		n.endRun(r, end)
+	})
+}
+
+// endRun ends a run and sends its notice.
+func (n *simNode) endRun(r *executorRun, end string) {
+	if n.runs[r.id] != r {
+		return
+	}
+	delete(n.runs, r.id)
+	result := "result of " + r.body
+	if n.oneIn(12) {
+		result = strings.Repeat("r", 1_500)
+	}
+	n.sendNotice("EXIT", fmt.Sprintf("%s %s %d %d", r.id, end, 12, len(result)), result)
+	if n.oneIn(20) {
+		n.sendNotice("LOG", "said", "")
+	}
+}
+
+// linkFault is true once in so many times if links are faulty.
+func (n *simNode) linkFault(times int) bool { return n.simulationOptions.faultyLinks && n.oneIn(times) }
+
+// executorFault disturbs the executor's link.
+func (n *simNode) executorFault() {
+	if n.machine == nil || n.executorLink == 0 {
+		return
+	}
+	switch n.Chance.Intn(5) {
+	case 0:
+		n.executorSilent = true
+	case 1:
+		n.sendLine([]string{"WHAT is this", "EXIT 999999 x good 1 0", "METERS m1 x x x x", "BAD", "EXIT -1 a good 1 0", "DIAGNOSED d999 good"}[n.Chance.Intn(6)])
+	default:
+		link := n.executorLink
+		n.executorLink = 0
+		n.deliver(node.Input{Kind: node.ExecutorDisconnected, Link: link, Err: errSimulated})
+	}
+}
+
+// splitCommand splits a command into the words of its line and its body.
+func splitCommand(b []byte) (words []string, body []byte) {
+	end := bytes.Index(b, []byte("\r\n"))
+	words = strings.Fields(string(b[:end]))
+	if rest := b[end+2:]; len(rest) >= 2 {
+		body = bytes.Clone(rest[:len(rest)-2])
+	}
+	return words, body
+}
+
+// catalogueEffect carries out an effect on the catalogue's links.
+func (n *simNode) catalogueEffect(e *node.Effect) {
+	link := e.Link
+	switch e.Kind {
+	case node.DialCatalogue:
+		kind, err := node.CatalogueConnected, error(nil)
+		if n.linkFault(6) {
+			kind, err = node.CatalogueDialFailed, errSimulated
+		}
+		n.schedule(n.randomDuration(100, 2_000), func() {
+			if kind == node.CatalogueConnected {
+				n.catalogueCalls[link] = ""
+			}
+			n.deliver(node.Input{Kind: kind, Link: link, Err: err})
+		})
+	case node.CloseCatalogue:
+		delete(n.catalogueCalls, link)
+		n.schedule(n.randomDuration(50, 200), func() { n.deliver(node.Input{Kind: node.CatalogueDisconnected, Link: link}) })
+	case node.SendToCatalogue:
+		words, body := splitCommand(e.Bytes)
+		n.catalogueCalls[link] = words[1]
+		reply := lineprotocol.Line{Words: []string{words[1], "DATA", strconv.Itoa(len(body))}, Body: body}
+		if n.oneIn(8) {
+			reply = lineprotocol.Line{Words: []string{words[1], []string{"LATER", "NOUSE", "FAULT", "TOOSLOW"}[n.Chance.Intn(4)]}}
+		}
+		if n.linkFault(15) {
+			reply = lineprotocol.Line{Words: [][]string{{"what"}, {words[1], "WHAT"}, {"ffffffffffffffff", "LATER"}}[n.Chance.Intn(3)]}
+		}
+		takes, twice, breaks := n.randomDuration(2_000, 80_000), n.linkFault(10), n.linkFault(15)
+		if n.linkFault(12) {
+			takes = 4_000 * millisecond
+		}
+		n.schedule(takes, func() {
+			if n.catalogueCalls[link] != words[1] {
+				return
+			}
+			if breaks {
+				delete(n.catalogueCalls, link)
+				n.deliver(node.Input{Kind: node.CatalogueDisconnected, Link: link, Err: errSimulated})
+				return
+			}
+			n.deliver(node.Input{Kind: node.CatalogueLineReceived, Link: link, Line: reply})
+			if twice {
+				n.deliver(node.Input{Kind: node.CatalogueLineReceived, Link: link, Line: lineprotocol.Line{Words: slices.Clone(reply.Words), Body: slices.Clone(reply.Body)}})
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/node/digestnode_test.go
@@ -0,0 +1,313 @@
+package node_test
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"slices"
+
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/consensus"
+	"topazpost/internal/fleet/membership"
+	"topazpost/internal/fleet/quota"
+	"topazpost/internal/node"
+	"topazpost/internal/nodeconfig"
+	"topazpost/internal/protocol/lineprotocol"
+	"topazpost/internal/resultcache"
+)
+
+// simNode is one node with its peers. It outlives the node's process.
+type simNode struct {
+	*simulation
+	index         int
+	name          string
+	address       string
+	seed          int64
+	machine       *node.StateMachine
+	incarnation   int
+	inbox         []node.Input
+	stepScheduled bool
+	wakeAt        int64
+	violations    []string // invariants that did not hold
+
+	conns             []*callerConn // of callers, open ones
+	lastConn          int
+	executorLink      int // to the executor that is up
+	executorSilent    bool
+	runs              map[string]*executorRun
+	executed          map[string]bool // calls whose run was started or refused
+	notices           []lineprotocol.Line
+	executorStartedAt int64
+	catalogueCalls    map[int]string // links to the catalogue, and the call on each
+	stored            []resultcache.Record
+	disk              consensus.DiskContents
+	exchanges         map[int]pendingExchange // of other nodes with this one
+	streams           map[int]peerStream
+	lastLink          int
+}
+
+// callerConn is a connection of a caller.
+type callerConn struct {
+	link           int
+	lastStream     uint32
+	open           map[uint32]string
+	goAwayReceived bool
+	closeCount     int // closes that were started or cancelled
+}
+
+// executorRun is a run at the executor.
+type executorRun struct {
+	id, body     string
+	calls        int
+	awaitingCall bool
+}
+
+// pendingExchange is the other end of an exchange that a node is to answer.
+type pendingExchange struct {
+	from        *simNode
+	incarnation int
+	link        int
+}
+
+// peerStream is the other end of a stream.
+type peerStream struct {
+	to          *simNode
+	incarnation int
+	link        int
+}
+
+// isHollow reports whether a node has no callers and no executor.
+func (n *simNode) isHollow() bool { return n.index >= n.nodes-n.hollow }
+
+// newMachine is the state machine of a node that starts.
+func (n *simNode) newMachine() *node.StateMachine {
+	p, err := nodeconfig.FromJSON(n.seed, []byte(n.settings))
+	require.NoError(n.t, err)
+	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "catalogue:1", Control: "control:1"}, 5_000*millisecond, 8, n.links)
+	r.SpareConnections = 2
+	if n.isHollow() {
+		r.MakeHollow(new(node.HollowCounters), false)
+	}
+	if n.nodes > 1 || n.replicas > 0 {
+		c := membership.Config{Name: n.name, Address: n.address, ProbeInterval: 500 * millisecond, LinkTimeout: 3_500 * millisecond,
+			SuspicionTimeout: 400 * millisecond, ForgetTimeout: 60_000 * millisecond, MaxMembers: 50, Zone: fmt.Sprint("z", n.index%2)}
+		for _, other := range n.simNodes[:min(2, n.nodes)] {
+			c.Seeds = append(c.Seeds, other.address)
+		}
+		r.JoinFleet(fleetName, membership.New(c, n.Now, epoch+n.Now, 0, n.seed+int64(n.incarnation)))
+	}
+	if n.caching && !n.isHollow() {
+		r.EnableResultCache(resultcache.Config{Durability: n.durability, MaxBytes: 200_000, MaxResultBytes: 1_000, Window: 8_000 * millisecond}, "dedupe",
+			n.incarnation > 1 && n.durability == resultcache.OnDisk)
+	}
+	if n.replicas > 0 {
+		var seats []string
+		for k := range n.replicas {
+			seats = append(seats, n.simNodes[k].name)
+		}
+		r.EnableConsensus(seats, 4<<20, n.Now, n.seed+int64(n.incarnation))
+		if r.HasReplica() {
+			require.NoError(n.t, r.RecoverReplica(n.Now, n.disk))
+		}
+	}
+	if n.leases {
+		r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * millisecond, Hold: 1_000 * millisecond}, 1)
+	}
+	if n.configSync {
+		file, err := new(configsync.Content).Apply(itemsIn(p))
+		require.NoError(n.t, err)
+		require.NoError(n.t, r.EnableConfigSync(n.Now, n.seed+int64(n.incarnation), configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()},
+			Content: file, Source: "file", Journal: -1}, file))
+	}
+	return r
+}
+
+// start starts the node's process.
+func (n *simNode) start() {
+	n.incarnation++
+	n.machine = n.newMachine()
+	n.inbox, n.stepScheduled, n.conns, n.executorLink = nil, false, nil, 0
+	n.catalogueCalls, n.exchanges, n.streams = map[int]string{}, map[int]pendingExchange{}, map[int]peerStream{}
+	if n.runs == nil {
+		n.runs, n.executed, n.executorStartedAt = map[string]*executorRun{}, map[string]bool{}, n.Now
+	}
+	var in []node.Input
+	if n.caching && n.incarnation > 1 && n.durability == resultcache.OnDisk && !n.isHollow() {
+		stored := n.stored
+		n.schedule(30*millisecond, func() {
+			n.deliver(node.Input{Kind: node.RecordsRecovered, Records: slices.Clone(stored)}, node.Input{Kind: node.RecoveryCompleted})
+		})
+	}
+	if n.levels && !n.isHollow() {
+		in = append(in, node.Input{Kind: node.PlanChanged, Plan: n.plan(0.6, true)})
+	}
+	n.deliver(in...)
+}
+
+// kill ends the process and restarts it later.
+func (n *simNode) kill() {
+	if n.machine == nil || n.Now > int64(n.seconds-10)*1_000*millisecond { // the last seconds are for drains
+		return
+	}
+	n.end()
+	n.After(n.randomDuration(100_000, 8_000_000), n.start)
+}
+
+// drain has the node drain, once it is started.
+func (n *simNode) drain() {
+	if n.machine == nil {
+		n.After(200*millisecond, n.drain)
+		return
+	}
+	n.deliver(node.Input{Kind: node.DrainRequested})
+}
+
+// end ends an incarnation and keeps the invariants that did not hold in it.
+func (n *simNode) end() {
+	n.violations = append(n.violations, n.invariants()...)
+	n.machine = nil
+	n.incarnation++
+}
+
+func (n *simNode) invariants() (list []string) {
+	for what := range n.machine.Invariants.All() {
+		list = append(list, fmt.Sprint(what))
+	}
+	slices.Sort(list)
+	return list
+}
+
+// deliver delivers inputs to the node; those of one moment go into one step.
+func (n *simNode) deliver(in ...node.Input) {
+	if n.machine == nil {
+		return
+	}
+	n.inbox = append(n.inbox, in...)
+	if !n.stepScheduled {
+		n.stepScheduled = true
+		n.schedule(0, n.step)
+	}
+}
+
+// schedule calls a function later, unless the node's process ends before.
+func (n *simNode) schedule(ns int64, do func()) {
+	incarnation := n.incarnation
+	n.After(ns, func() {
+		if incarnation == n.incarnation {
+			do()
+		}
+	})
+}
+
+// step steps the node, adds its effects to the digest and carries them out.
+func (n *simNode) step() {
+	in := n.inbox
+	n.inbox, n.stepScheduled = nil, false
+	if n.record != nil && n.index == 0 {
+		n.record(n.Now, epoch+n.Now, in)
+	}
+	effects := n.machine.Step(n.Now, epoch+n.Now, in)
+	n.steps++
+	n.effects += len(effects)
+	n.digest.integers(int64(n.index), int64(n.incarnation), n.Now, int64(len(effects)))
+	for k := range effects {
+		n.kinds[effects[k].Kind]++
+		n.digest.effect(&effects[k])
+	}
+	for _, c := range n.conns {
+		n.inFlight += len(c.open)
+	}
+	incarnation := n.incarnation
+	for k := range effects {
+		n.execute(&effects[k])
+		if incarnation != n.incarnation {
+			return
+		}
+	}
+	if wake := n.wakeAt; wake < 1<<62 {
+		n.schedule(max(1, wake-n.Now), func() {
+			if n.wakeAt == wake && !n.stepScheduled {
+				n.step()
+			}
+		})
+	}
+}
+
+// execute carries out an effect.
+func (n *simNode) execute(e *node.Effect) {
+	link := e.Link
+	switch e.Kind {
+	case node.SetWakeup:
+		n.wakeAt = e.At
+	case node.Exit:
+		n.end()
+		n.After(1_000*millisecond, n.start)
+	case node.SendToConnection:
+		n.writtenToCaller(e)
+	case node.CloseAfterFlush, node.EvictConnection:
+		n.closeConnSoon(link)
+	case node.ResumeConnection:
+		if c := n.conn(link); c != nil {
+			c.closeCount++
+		}
+	case node.StopAccepting:
+		n.schedule(n.randomDuration(100, 400), func() { n.deliver(node.Input{Kind: node.ListenerClosed}) })
+	case node.SendReport:
+		var err error
+		if n.oneIn(5) {
+			err = errSimulated
+		}
+		n.schedule(n.randomDuration(200, 900), func() { n.deliver(node.Input{Kind: node.ReportFinished, Link: link, Err: err}) })
+	case node.DialExecutor, node.CloseExecutor, node.SendToExecutor:
+		n.executorEffect(e)
+	case node.DialCatalogue, node.SendToCatalogue, node.CloseCatalogue:
+		n.catalogueEffect(e)
+	case node.WriteRecord:
+		n.storeRecord(*e.Record)
+	case node.PersistReplicaWrite:
+		n.persistReplica(e.Write)
+	case node.PersistVersion:
+		var err error
+		if n.faultyDisks && n.oneIn(4) {
+			err = errSimulated
+		}
+		n.schedule(n.randomDuration(500, 4_000), func() { n.deliver(node.Input{Kind: node.VersionPersisted, Err: err}) })
+	case node.SendDatagram, node.OpenExchange, node.ReplyToExchange, node.SendOnStream, node.CloseStream:
+		n.peerEffect(e)
+	}
+}
+
+// storeRecord writes a record to the store.
+func (n *simNode) storeRecord(kept resultcache.Record) {
+	if n.faultyDisks && n.oneIn(6) {
+		n.schedule(n.randomDuration(200, 9_000), func() {
+			n.deliver(node.Input{Kind: node.RecordWriteFailed, Err: errSimulated, Records: []resultcache.Record{kept}})
+		})
+		return
+	}
+	n.schedule(n.randomDuration(200, 9_000), func() {
+		n.stored = append(n.stored, kept)
+		n.deliver(node.Input{Kind: node.RecordWritten, Records: []resultcache.Record{kept}})
+	})
+}
+
+// persistReplica carries out a replica's write, in order.
+func (n *simNode) persistReplica(w *consensus.Write) {
+	number, base, records, forget := w.Number, bytes.Clone(w.Base), slices.Clone(w.Records), w.DiscardEarlier
+	parts := maps.Clone(w.Parts)
+	n.schedule(2*millisecond, func() {
+		if forget {
+			n.disk = consensus.DiskContents{}
+		}
+		if base != nil {
+			have := n.disk.Parts
+			n.disk = consensus.DiskContents{Base: base, Parts: map[string][]byte{}}
+			maps.Copy(n.disk.Parts, have)
+			maps.Copy(n.disk.Parts, parts)
+		}
+		n.disk.Records = append(n.disk.Records, records...)
+		n.deliver(node.Input{Kind: node.ReplicaWritePersisted, Number: number})
+	})
+}
--- /dev/null
+++ b/internal/node/digestsimulation_test.go
@@ -0,0 +1,111 @@
+package node_test
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"testing"
+
+	"topazpost/internal/node"
+	"topazpost/internal/resultcache"
+	"topazpost/internal/testbed/virtualtime"
+)
+
+const (
+	millisecond      = int64(1_000_000)                // ns
+	epoch            = 1_764_576_000_000 * millisecond // wall time of a simulation's start
+	fleetName        = "tests"
+	frameHeaderBytes = 9 // of a frame before its payload
+)
+
+var errSimulated = errors.New("simulated fault")
+
+// simulationOptions are the size of a simulation, its features and its faults.
+type simulationOptions struct {
+	nodes, hollow, replicas, cores int
+	seconds, rate                  int // rate: invocations a second at each node that is not hollow
+	links                          int // to the catalogue that a node may have
+	callers                        int // connections of each node's callers
+	loss                           float64
+	durability                     resultcache.Durability
+
+	caching, leases, configSync                      bool
+	levels, versions, reloads, drains, aborts, kills bool
+	misbehaving, faultyLinks, faultyDisks            bool // of callers; of executor and catalogue; of stores
+}
+
+// simulation is nodes and their peers in virtual time, drawn from one seed.
+type simulation struct {
+	*virtualtime.World
+	simulationOptions
+	t            testing.TB
+	simNodes     []*simNode
+	settings     string
+	digest       digest
+	steps        int
+	effects      int
+	kinds        [64]int // effects by kind
+	inFlight     int     // summed over steps
+	lastID       int
+	lastExchange int
+	lastOrder    uint64
+	record       func(now, wall int64, inputs []node.Input) // of the first node; nil for none
+}
+
+// newSimulation is a simulation in which no node is started.
+func newSimulation(t testing.TB, seed int64, options simulationOptions) *simulation {
+	t.Helper()
+	s := &simulation{World: virtualtime.New(seed, 0), simulationOptions: options, t: t, digest: newDigest()}
+	effect := "idempotent"
+	if s.caching {
+		effect = "deduplicated"
+	}
+	s.cores, s.callers, s.links = max(2, s.cores), max(6, s.callers), cmp.Or(s.links, 6)
+	s.settings = fmt.Sprintf(`{"grades":[{"name":"catalogue","aim":600,"give_up":1500,"importance":1,"late_share":0.2,"effect":"idempotent"},
+	{"name":"hold","aim":800,"give_up":2000,"importance":5,"effect":%q,"window":8000},
+	{"name":"pay","aim":900,"give_up":2500,"importance":3,"effect":"at_most_once"}],
+	"family_info":{"n_cores":%d,"memory_kb":90000,"blowup":4,"entry_kb":1,"class_calls":[true,true,false],"below":"common","calls_out":%d,
+	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"],"full_checks":true},
+	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`, effect, s.cores, 2*s.cores)
+	for k := range s.nodes {
+		n := &simNode{simulation: s, index: k, name: fmt.Sprint("n", k), address: fmt.Sprintf("10.0.0.%d:9", k+1), seed: s.Chance.Int63()}
+		s.simNodes = append(s.simNodes, n)
+	}
+	return s
+}
+
+// randomDuration is a duration between two bounds, in microseconds.
+func (s *simulation) randomDuration(least, most int64) int64 {
+	return (least + s.Chance.Int63n(most-least+1)) * 1_000
+}
+
+// oneIn is true once in so many times, on average.
+func (s *simulation) oneIn(times int) bool { return s.Chance.Intn(times) == 0 }
+
+// repeat calls a function after random times of about so many milliseconds each.
+func (s *simulation) repeat(about int64, do func()) {
+	s.After(s.randomDuration(500*about, 1_500*about), func() {
+		do()
+		s.repeat(about, do)
+	})
+}
+
+// runAll runs the whole simulation.
+func (s *simulation) runAll() {
+	for _, n := range s.simNodes {
+		s.After(s.randomDuration(1, 200_000), n.start)
+		n.scheduleActivity()
+	}
+	if s.configSync {
+		s.repeat(1_500, s.proposeConfig)
+	}
+	length := int64(s.seconds) * 1_000 * millisecond
+	if s.drains {
+		n := s.simNodes[len(s.simNodes)-1]
+		s.At(length-9_000*millisecond, n.drain)
+		if s.aborts {
+			s.At(length-7_500*millisecond, func() { n.deliver(node.Input{Kind: node.AbortRequested}) })
+		}
+	}
+	s.Run(length)
+}
