--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -1,15 +1,17 @@
 package node
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
 	"topazpost/internal/protocol/frame"
 )
 
-// withConnections is a node with so withConnections connections, all opened in one step and checked once in the next.
+// withConnections is a node with some connections, all opened in one step and used once in the next.
 func withConnections(t *testing.T, count int) *StateMachine {
 	r := up(t)
 	r.connections.max = count
@@ -24,24 +26,113 @@
 	return r
 }
 
+// healthCheckOn is a shallow health check.
 func healthCheckOn(link int) Input {
 	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
 }
 
-// advance goes advance by a time and keeps the executor's link from being taken as silent.
+// advance advances the clock and keeps the executor's link from being silent.
 func advance(r *StateMachine, by int64, inputs ...Input) []Effect {
 	r.now, r.executor.lastLineAt = r.now+by-ms, r.now+by
 	return step(r, inputs...)
 }
 
-// Connections that rest cost nothing: each is looked at as often as its time may have come, not in every sweep.
+func TestFullConnectionTableEvictsTheLongestIdle(t *testing.T) {
+	r := up(t)
+	step(r, invoke(1))
+	step(r, Input{Kind: ConnectionOpened, Link: 8})
+	step(r, Input{Kind: ConnectionOpened, Link: 9})
+	step(r, Input{Kind: ConnectionOpened, Link: 10})
+	check := func(link int) Input {
+		return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
+	}
+	step(r, check(9))
+	step(r, check(8))
+	r.SpareConnections = 1
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(r, Input{Kind: ConnectionOpened, Link: 11})[0], "it was never used")
+	step(r, Input{Kind: ConnectionClosed, Link: 10})
+	step(r, check(11))
+	step(r, Input{Kind: ConnectionOpened, Link: 12})
+	assert.True(t, r.connections.byLink[9].goAwaySent, "8 was used later")
+	assert.False(t, r.connections.byLink[8].goAwaySent)
+	assert.Equal(t, 2, r.Counters.Evicted)
+	step(r, check(12))
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(r, Input{Kind: ConnectionOpened, Link: 13})[0], "there is no spare place")
+	r.now += evictionGrace
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(r))
+}
+
+// An invocation on a connection that is being closed is answered, and the close waits for that.
+func TestInvocationThatCrossesACloseIsAnsweredBeforeIt(t *testing.T) {
+	for what, evicted := range map[string]bool{"idle": false, "evicted": true} {
+		r := up(t)
+		r.SpareConnections = 1
+		step(r, invoke(1))
+		told(r, "EXIT 1 "+callID+" good 12 6|result")
+		if evicted {
+			for link := range 4 {
+				step(r, Input{Kind: ConnectionOpened, Link: 8 + link})
+				step(r, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
+			}
+			r.now += evictionGrace
+		} else {
+			r.now, r.executor.lastLineAt = r.now+idleTimeout, r.now+idleTimeout
+			assert.Equal(t, []string{"no more"}, answers(t, step(r)), what)
+			r.now += goAwayGrace
+		}
+		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), what)
+		got := step(r, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((r.now+ms)/ms+1_000_000)))
+		assert.Equal(t, Effect{Kind: ResumeConnection, Link: 7}, got[0], what)
+		assert.Equal(t, 1, runsOf(got), what)
+		got = told(r, "EXIT 2 00000000000000aa good 12 6|result")
+		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
+		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
+		assert.Contains(t, r.connections.byLink, 7, what)
+		step(r, Input{Kind: ConnectionClosed, Link: 7})
+		assert.NotContains(t, r.connections.byLink, 7, what)
+	}
+}
+
+func TestUnusedAndIdleConnectionsAreClosed(t *testing.T) {
+	r := up(t)
+	step(r, invoke(1))
+	step(r, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
+	r.now, r.executor.lastLineAt = r.now+firstUseTimeout, r.now+firstUseTimeout
+	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
+	r.now += sweepInterval
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(r))
+	step(r, Input{Kind: ConnectionClosed, Link: 8})
+	told(r, "EXIT 1 "+callID+" good 12 6|result")
+	r.now, r.executor.lastLineAt = r.now+idleTimeout, r.now+idleTimeout
+	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
+	r.now += sweepInterval
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), "nothing crossed")
+}
+
+func TestConnectionWithTooManyFaultsIsDiscarded(t *testing.T) {
+	r := up(t)
+	step(r, invoke(1))
+	var got []Effect
+	for stream := range uint32(maxFaults) {
+		got = step(r, invoke(stream+2, "op", "other"))
+	}
+	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
+	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
+	r.now, r.executor.lastLineAt = r.now+1_000*ms, r.now+1_000*ms
+	assert.NotContains(t, kinds(step(r)), CloseAfterFlush, "an open stream awaits its answer")
+	got = told(r, "EXIT 1 "+callID+" good 12 6|result")
+	assert.Equal(t, []string{"20 on 1"}, answers(t, got))
+	assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1])
+}
+
+// Idle connections cost nothing: each is checked when its timeout may have passed, not in every sweep.
 func TestIdleConnectionsAreCheckedOnlyWhenTheirTimeoutMayHavePassed(t *testing.T) {
 	const count = 14_000
 	r := withConnections(t, count)
 	for r.now < 3_000*ms {
 		advance(r, 10*ms)
 	}
-	assert.Equal(t, count, r.connections.checked, "once each, as those that bring nothing are told soon")
+	assert.Equal(t, count, r.connections.checked, "once each, at the timeout of the first use")
 	for r.now < 14_000*ms {
 		advance(r, 10*ms)
 	}
@@ -51,7 +142,7 @@
 	}
 }
 
-// Those that came together are due together: what comes meanwhile doesn't wait behind all of them.
+// Connections that were opened together are due together: invocations must not wait behind all of them.
 func TestManyOverdueConnectionsAreClosedAFewPerStep(t *testing.T) {
 	const count = 14_000
 	r := withConnections(t, count)
@@ -80,23 +171,23 @@
 	assert.Equal(t, count, ended)
 	assert.Less(t, r.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
 	assert.Equal(t, count, r.Counters.Idle)
-	assert.Zero(t, r.connections.idleWheel.Len()+r.connections.closingWheel.Len(), "nothing is kept of those that ended")
+	assert.Zero(t, r.connections.idleWheel.Len()+r.connections.closingWheel.Len(), "no timer is left of closed connections")
 }
 
-// Whatever comes on connections, and however late steps come: none is told or ended before its time, each is by one sweep
-// after it where steps come when they were asked for.
+// Whatever connections bring, and however late steps are: none gets a go-away or is closed before its timeout, each at
+// most a sweep after it if steps are on time.
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		r := up(t)
 		r.connections.max, r.SpareConnections = 12, 2
-		next, wake, stream := 100, r.now+ms, uint32(0)
+		newest, wake, stream := 100, r.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
-			link := rapid.IntRange(7, next).Draw(draw, "link")
+			link := rapid.IntRange(7, newest).Draw(draw, "link")
 			switch rapid.IntRange(0, 9).Draw(draw, "what") {
 			case 0, 1:
-				next++
-				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: next})
+				newest++
+				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: newest})
 			case 2, 3:
 				inputs = append(inputs, healthCheckOn(link))
 			case 4:
@@ -107,45 +198,51 @@
 				in.Link = link
 				inputs = append(inputs, in)
 			}
-			at, asked := wake, len(inputs) == 0
-			if !asked {
+			at := wake
+			if len(inputs) > 0 {
 				at = rapid.Int64Range(r.now+1, max(r.now+1, wake)).Draw(draw, "at")
 			}
-			before := map[int]connection{}
-			for link, c := range r.connections.byLink {
-				before[link] = *c
-			}
-			r.executor.lastLineAt = at
-			for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
-				c, was := r.connections.byLink[e.Link], before[e.Link]
-				switch {
-				case e.Kind == SetWakeup:
-					wake = e.At
-				case e.Kind == CloseAfterFlush && !was.closing && !c.broken:
-					assert.GreaterOrEqual(draw, at-c.goAwayAt, int64(evictionGrace))
-					if !c.evicted {
-						assert.GreaterOrEqual(draw, at-c.goAwayAt, int64(goAwayGrace))
-					}
-				}
-			}
-			for link, c := range r.connections.byLink {
-				if c.goAwaySent && !before[link].goAwaySent && !c.evicted && !c.broken {
-					assert.GreaterOrEqual(draw, at-c.lastUsedAt, int64(firstUseTimeout))
-					assert.True(draw, !c.usable || at-c.lastUsedAt >= idleTimeout)
-				}
-				if !c.isIdle() || c.closing {
-					continue
-				}
-				wait := int64(firstUseTimeout)
-				if c.usable {
-					wait = idleTimeout
-				}
-				late := wake - c.lastUsedAt - wait
-				if c.goAwaySent {
-					late = wake - max(c.goAwayAt+c.goAwayGrace(), c.lastUsedAt)
-				}
-				assert.LessOrEqual(draw, late, int64(sweepInterval+overdueInterval), "link %d", link)
-			}
+			wake = stepInTime(draw, r, at, inputs)
 		}
 	})
 }
+
+// stepInTime steps a node and checks that its connections get go-aways and are closed in time. It returns the next wakeup.
+func stepInTime(t require.TestingT, r *StateMachine, at int64, inputs []Input) (wake int64) {
+	before := map[int]connection{}
+	for link, c := range r.connections.byLink {
+		before[link] = *c
+	}
+	r.executor.lastLineAt = at
+	for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
+		c, was := r.connections.byLink[e.Link], before[e.Link]
+		switch {
+		case e.Kind == SetWakeup:
+			wake = e.At
+		case e.Kind == CloseAfterFlush && !was.closing && !c.broken:
+			assert.GreaterOrEqual(t, at-c.goAwayAt, evictionGrace)
+			if !c.evicted {
+				assert.GreaterOrEqual(t, at-c.goAwayAt, goAwayGrace)
+			}
+		}
+	}
+	for link, c := range r.connections.byLink {
+		if c.goAwaySent && !before[link].goAwaySent && !c.evicted && !c.broken {
+			assert.GreaterOrEqual(t, at-c.lastUsedAt, firstUseTimeout)
+			assert.True(t, !c.usable || at-c.lastUsedAt >= idleTimeout)
+		}
+		if !c.isIdle() || c.closing {
+			continue
+		}
+		timeout := firstUseTimeout
+		if c.usable {
+			timeout = idleTimeout
+		}
+		late := wake - c.lastUsedAt - timeout
+		if c.goAwaySent {
+			late = wake - max(c.goAwayAt+c.goAwayGrace(), c.lastUsedAt)
+		}
+		assert.LessOrEqual(t, late, sweepInterval+overdueInterval, "link %d", link)
+	}
+	return wake
+}
--- a/internal/node/fields_test.go
+++ b/internal/node/fields_test.go
@@ -19,7 +19,7 @@
 	"gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// recordingDecider hands what the module is told to a test.
+// recordingDecider records the arrivals that the controller gets.
 type recordingDecider struct {
 	Decider
 	arrived *[]admission.Event
@@ -34,7 +34,7 @@
 	return s.Decider.Decide(now, events)
 }
 
-// serving is a node at a site with tenants; arrived are the invocations that its module is told of.
+// serving is a node with tenants that serves; arrived is the arrivals that its controller gets.
 func serving(t *testing.T) (r *StateMachine, arrived *[]admission.Event) {
 	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, invoke(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
 }
 
-// Records lie in the node's own memory on sockets: entry_kb, of the executor's, would leave room for two of them.
+// Results are cached in the node's own memory: entry_kb, of the executor's, would allow two of them.
 func TestResultCacheIsBoundedByTheNodesOwnMemory(t *testing.T) {
 	r, arrived := serving(t)
 	for n := range 8 {
@@ -100,7 +100,7 @@
 	assert.Zero(t, r.config.Node.Operations[0].SkippedCallWeightShare)
 }
 
-// Two nodes of one process that were given the same settings share nothing through them.
+// Two nodes of one process with the same configuration share no state through it.
 func TestNodesOfOneProcessShareNoState(t *testing.T) {
 	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
@@ -112,7 +112,17 @@
 	step(first, Input{Kind: ExecutorConnected, Link: first.executor.dialingLink})
 	told(first, "WELCOME new 0")
 	assert.True(t, first.config.Node.ColdStart)
-	assert.False(t, second.config.Node.ColdStart, "it has heard of no executor")
+	assert.False(t, second.config.Node.ColdStart, "it has no executor")
 	assert.Zero(t, second.config.Node.MaxDeduplicationEntries)
 	assert.Equal(t, before, p.Node)
 }
+
+func TestArrivalAgeIsMeasuredByTheLocalWallClock(t *testing.T) {
+	r := up(t)
+	r.wall = 500_000 * ms
+	assert.Equal(t, 250*ms, r.arrivalAge(499_750))
+	assert.Zero(t, r.arrivalAge(500_001))
+	for stamp, can := range map[int64]bool{0: false, 440_000: true, 500_900: true, 502_000: false, 1 << 62: false} {
+		assert.Equal(t, can, r.isPlausibleStamp(stamp), stamp)
+	}
+}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -17,7 +18,7 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// fresh is a node that has not heard of its executor, with connection 7 open.
+// fresh is a node whose executor has not welcomed it, with connection 7 open.
 func fresh(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
@@ -27,7 +28,7 @@
 	return r
 }
 
-// up is a node that serves.
+// up is a node that serves, with connection 7 open.
 func up(t *testing.T) *StateMachine {
 	r := fresh(t)
 	told(r, "WELCOME old 0")
@@ -35,8 +36,8 @@
 	return r
 }
 
-// step moves the clock on by a millisecond and returns the effects but for those that only wake, remark, sample,
-// report or ask for gauges.
+// step advances the clock by a millisecond and returns the effects, without wakeups, log entries, samples, reports and
+// requests for gauges.
 func step(r *StateMachine, inputs ...Input) (got []Effect) {
 	for _, e := range r.Step(r.now+ms, r.now+ms+1_000_000*ms, inputs) {
 		proof := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
@@ -47,23 +48,25 @@
 	return got
 }
 
+// told delivers a line of the executor, with its body after a bar.
 func told(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(r, Input{Kind: ExecutorLineReceived, Link: r.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
+// replied delivers a line of the catalogue on its first link, with its body after a bar.
 func replied(r *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogue.links[0].id,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-// reached has the last link to the catalogue come up.
+// reached opens the last link to the catalogue.
 func reached(r *StateMachine) []Effect {
 	return step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[len(r.catalogue.links)-1].id})
 }
 
-// rejoined breaks the link to the executor and has a new one welcomed, its gauges not yet told.
+// rejoined breaks the executor's link and has a new one welcomed, but not synced.
 func rejoined(r *StateMachine) {
 	step(r, Input{Kind: ExecutorDisconnected, Link: r.executor.link})
 	r.now = r.executor.redialAt
@@ -91,7 +94,7 @@
 	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
 }
 
-// text is what all effects of a kind write.
+// text is the bytes of all effects of a kind.
 func text(effects []Effect, kind EffectKind) (s string) {
 	for _, e := range effects {
 		if e.Kind == kind {
@@ -101,7 +104,7 @@
 	return s
 }
 
-// answers are the codes of the answers among the effects, with their stream.
+// answers is the frames among the effects.
 func answers(t *testing.T, effects []Effect) (got []string) {
 	for _, e := range effects {
 		if e.Kind != SendToConnection {
@@ -116,9 +119,21 @@
 	return got
 }
 
+// kinds is the kinds of effects.
 func kinds(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
 		list = append(list, e.Kind)
 	}
 	return list
 }
+
+// frameText is the code and the stream of an answer, or the kind of any other frame.
+func frameText(f frame.Frame) string {
+	switch f.Type {
+	case frame.NoMore:
+		return "no more"
+	case frame.Checked:
+		return fmt.Sprintf("check %d", f.Payload[0])
+	}
+	return fmt.Sprintf("%d on %d", f.Payload[0], f.Stream)
+}
