--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -1,9 +1,6 @@
 package node
 
-import (
-	"slices"
-	"strconv"
-)
+import "strconv"
 
 // maxUnreadCommands bounds the commands not acknowledged: two for each invocation that the connections can hold.
 const maxUnreadCommands = 65_536
@@ -30,12 +27,24 @@
 
 // acknowledgeCall drops the commands of a call, of which a notice proves that they were read.
 func (l *commandLog) acknowledgeCall(call string) {
-	l.unread = slices.DeleteFunc(l.unread, func(c command) bool { return c.call == call })
+	l.acknowledge(func(c *command) bool { return c.call == call })
 }
 
 // acknowledgeUpTo drops the commands that were sent before a request for gauges that was answered.
 func (l *commandLog) acknowledgeUpTo(sequence int) {
-	l.unread = slices.DeleteFunc(l.unread, func(c command) bool { return c.sequence <= sequence })
+	l.acknowledge(func(c *command) bool { return c.sequence <= sequence })
+}
+
+// acknowledge drops the commands that were read.
+func (l *commandLog) acknowledge(isRead func(c *command) bool) {
+	kept := l.unread[:0]
+	for i := range l.unread {
+		if !isRead(&l.unread[i]) {
+			kept = append(kept, l.unread[i])
+		}
+	}
+	clear(l.unread[len(kept):])
+	l.unread = kept
 }
 
 // sendCommand sends a command that must be read; it is logged until the executor is known to have read it.
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -33,7 +33,7 @@
 			n.repeat(20_000, n.abandonConns)
 		}
 	}
-	if n.simulationOptions.faultyLinks {
+	if n.faultyLinks {
 		n.repeat(2_500, n.executorFault)
 	}
 	if n.kills {
--- a/internal/node/digestexecutor_test.go
+++ b/internal/node/digestexecutor_test.go
@@ -185,7 +185,7 @@
 }
 
 // linkFault is true once in so many times if links are faulty.
-func (n *simNode) linkFault(times int) bool { return n.simulationOptions.faultyLinks && n.oneIn(times) }
+func (n *simNode) linkFault(times int) bool { return n.faultyLinks && n.oneIn(times) }
 
 // executorFault disturbs the executor's link.
 func (n *simNode) executorFault() {
