--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -3,30 +3,30 @@
 
 // Checker counts what did not hold, by name. The zero value is ready.
 type Checker struct {
-	broken map[string]int
-	Tell   func(what string, times int) // told of each breach, may be nil
+	violations  map[string]int
+	OnViolation func(what string, times int) // told of each breach, may be nil
 }
 
 // Check reports whether what must hold does.
-func (c *Checker) Check(ok bool, what string) bool {
+func (c *Checker) Check(ok bool, name string) bool {
 	if ok {
 		return true
 	}
 	if Debug {
-		panic("invariant: " + what)
+		panic("invariant: " + name)
 	}
-	if c.broken == nil {
-		c.broken = make(map[string]int)
+	if c.violations == nil {
+		c.violations = make(map[string]int)
 	}
-	c.broken[what]++
-	if c.Tell != nil {
-		c.Tell(what, c.broken[what])
+	c.violations[name]++
+	if c.OnViolation != nil {
+		c.OnViolation(name, c.violations[name])
 	}
 	return false
 }
 
 // All is how often each did not hold.
-func (c *Checker) All() map[string]int { return c.broken }
+func (c *Checker) All() map[string]int { return c.violations }
 
 // Broken is how often something did not hold.
-func (c *Checker) Broken(what string) int { return c.broken[what] }
+func (c *Checker) Broken(name string) int { return c.violations[name] }
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -100,7 +100,7 @@
 	sm.reports = reporter{sm: sm}
 	sm.drain = drainState{sm: sm, killDelay: killDelay}
 	sm.sampler = stateSampler{sm: sm}
-	sm.Invariants.Tell = func(what string, times int) {
+	sm.Invariants.OnViolation = func(what string, times int) {
 		sm.log(Warn, fmt.Sprintf("did not hold, %d times so far: %s", times, what), "", nil)
 	}
 	return sm
--- a/internal/testbed/baselines/pool.go
+++ b/internal/testbed/baselines/pool.go
@@ -9,134 +9,134 @@
 )
 
 const (
-	runsACore = 2           // of the pool
-	lineACore = 4           // that wait for it; more are turned away
-	beat      = 50_000_000  // ns
-	margin    = 100_000_000 // ns before the due time at which a final answer is given
+	runsPerCore   = 2           // of the pool
+	queuedPerCore = 4           // that wait for it; more are turned away
+	tickInterval  = 50_000_000  // ns
+	answerMargin  = 100_000_000 // ns before the due time at which a final answer is given
 )
 
-type entry struct {
-	due      int64
+type invocation struct {
+	deadline int64
 	live     bool
-	runs     bool
+	running  bool
 	answered bool
 }
 
 // pool runs so many for each core and keeps a short line; it rejects the rest.
 type pool struct {
-	config  *admission.Config
-	entries []entry
-	line    []int32
-	running int
-	intake  int64 // when it ends, 0 while there was no notice
-	out     []admission.Action
-	said    bool
+	config          *admission.Config
+	invocations     []invocation
+	queue           []int32
+	running         int
+	stopAcceptingAt int64 // when it ends, 0 while there was no notice
+	actions         []admission.Action
+	healthReported  bool
 }
 
 // Pool is a plain pool with a short queue that rejects.
 func Pool(config *admission.Config, _ int64) node.Decider { return &pool{config: config} }
 
-func (p *pool) do(a admission.Action) { p.out = append(p.out, a) }
+func (p *pool) act(a admission.Action) { p.actions = append(p.actions, a) }
 
 // Decide takes what happened and returns what to do.
 func (p *pool) Decide(now int64, events []admission.Event) []admission.Action {
-	p.out = p.out[:0]
+	p.actions = p.actions[:0]
 	var over []int32
-	if !p.said {
-		p.said = true
-		p.do(admission.Action{Kind: admission.ReportHealth, Healthy: true, Cached: true})
+	if !p.healthReported {
+		p.healthReported = true
+		p.act(admission.Action{Kind: admission.ReportHealth, Healthy: true, Cached: true})
 	}
 	for i := range events {
 		switch e := &events[i]; e.Kind {
 		case admission.Arrived:
 			p.arrived(now, e, &over)
 		case admission.DrainRequested:
-			p.intake = now + min(p.config.DrainGrace, e.KillAt-now)
+			p.stopAcceptingAt = now + min(p.config.DrainGrace, e.KillAt-now)
 		case admission.CallRequested:
-			p.do(admission.Action{Kind: admission.StartCall, Invocation: e.Invocation, At: max(now+1, p.entries[e.Invocation].due-margin)})
+			p.act(admission.Action{Kind: admission.StartCall, Invocation: e.Invocation, At: max(now+1, p.invocations[e.Invocation].deadline-answerMargin)})
 		case admission.CallEnded:
 			if e.Outcome != admission.Succeeded {
 				p.answer(e.Invocation, admission.Fail)
 			}
 		case admission.CallerDisconnected:
-			p.entries[e.Invocation].answered = true
-			if !p.entries[e.Invocation].runs {
+			p.invocations[e.Invocation].answered = true
+			if !p.invocations[e.Invocation].running {
 				over = append(over, e.Invocation)
 			}
 		case admission.RunEnded:
 			p.running--
-			p.entries[e.Invocation].answered = true
+			p.invocations[e.Invocation].answered = true
 			over = append(over, e.Invocation)
 		case admission.TimerFired:
-			p.keep(now, &over)
-			p.do(admission.Action{Kind: admission.SetTimer, At: now + beat})
+			p.tick(now, &over)
+			p.act(admission.Action{Kind: admission.SetTimer, At: now + tickInterval})
 		}
 	}
-	p.line = slices.DeleteFunc(p.line, func(i int32) bool { return p.entries[i].answered })
-	for len(p.line) > 0 && p.running < runsACore*p.config.Cores {
-		i := p.line[0]
-		p.line = p.line[1:]
-		if x := &p.entries[i]; x.live && !x.answered {
-			x.runs = true
+	p.queue = slices.DeleteFunc(p.queue, func(i int32) bool { return p.invocations[i].answered })
+	for len(p.queue) > 0 && p.running < runsPerCore*p.config.Cores {
+		i := p.queue[0]
+		p.queue = p.queue[1:]
+		if x := &p.invocations[i]; x.live && !x.answered {
+			x.running = true
 			p.running++
-			p.do(admission.Action{Kind: admission.Run, Invocation: i})
+			p.act(admission.Action{Kind: admission.Run, Invocation: i})
 		}
 	}
 	if len(over) > 0 { // an index may stand for another one once it is released
-		p.line = slices.DeleteFunc(p.line, func(i int32) bool { return slices.Contains(over, i) })
+		p.queue = slices.DeleteFunc(p.queue, func(i int32) bool { return slices.Contains(over, i) })
 	}
 	for _, i := range over {
-		if p.entries[i].live {
-			p.entries[i].live = false
-			p.do(admission.Action{Kind: admission.Release, Invocation: i})
+		if p.invocations[i].live {
+			p.invocations[i].live = false
+			p.act(admission.Action{Kind: admission.Release, Invocation: i})
 		}
 	}
-	return p.out
+	return p.actions
 }
 
 func (p *pool) arrived(now int64, e *admission.Event, over *[]int32) {
-	p.entries = append(p.entries, make([]entry, max(0, int(e.Invocation)+1-len(p.entries)))...)
-	p.entries[e.Invocation] = entry{due: now - e.Age + p.config.Operations[e.OperationIndex].ClientTimeout, live: true}
-	if p.running+len(p.line) >= (runsACore+lineACore)*p.config.Cores || p.intake > 0 && now >= p.intake {
+	p.invocations = append(p.invocations, make([]invocation, max(0, int(e.Invocation)+1-len(p.invocations)))...)
+	p.invocations[e.Invocation] = invocation{deadline: now - e.Age + p.config.Operations[e.OperationIndex].ClientTimeout, live: true}
+	if p.running+len(p.queue) >= (runsPerCore+queuedPerCore)*p.config.Cores || p.stopAcceptingAt > 0 && now >= p.stopAcceptingAt {
 		p.answer(e.Invocation, admission.Reject)
 		*over = append(*over, e.Invocation)
 		return
 	}
-	p.line = append(p.line, e.Invocation)
+	p.queue = append(p.queue, e.Invocation)
 }
 
 func (p *pool) answer(i int32, kind admission.ActionKind) {
-	if x := &p.entries[i]; !x.answered {
+	if x := &p.invocations[i]; !x.answered {
 		x.answered = true
-		p.do(admission.Action{Kind: kind, Invocation: i})
+		p.act(admission.Action{Kind: kind, Invocation: i})
 	}
 }
 
-// keep answers what is due.
-func (p *pool) keep(now int64, over *[]int32) {
+// tick answers what is due.
+func (p *pool) tick(now int64, over *[]int32) {
 	open := false
-	for i := range p.entries {
-		x := &p.entries[i]
+	for i := range p.invocations {
+		x := &p.invocations[i]
 		if !x.live || x.answered {
 			continue
 		}
-		if open = true; now >= x.due-margin {
-			if p.answer(int32(i), map[bool]admission.ActionKind{true: admission.Fail, false: admission.Reject}[x.runs]); !x.runs {
+		if open = true; now >= x.deadline-answerMargin {
+			if p.answer(int32(i), map[bool]admission.ActionKind{true: admission.Fail, false: admission.Reject}[x.running]); !x.running {
 				*over = append(*over, int32(i))
 			}
 		}
 	}
-	if p.intake > 0 && now >= p.intake {
-		p.do(admission.Action{Kind: admission.StopAccepting})
+	if p.stopAcceptingAt > 0 && now >= p.stopAcceptingAt {
+		p.act(admission.Action{Kind: admission.StopAccepting})
 		if !open {
-			p.do(admission.Action{Kind: admission.Exit, Report: "pool: drained"})
+			p.act(admission.Action{Kind: admission.Exit, Report: "pool: drained"})
 		}
 	}
 }
 
 // State tells nothing.
 func (p *pool) State() admission.ControllerState {
-	return admission.ControllerState{Queued: len(p.line), OnCores: p.running}
+	return admission.ControllerState{Queued: len(p.queue), OnCores: p.running}
 }
 
 // MeasureLoad tells nothing: a pool has no levels.
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -5,10 +5,10 @@
 import "math/bits"
 
 const (
-	levelBits = 6              // slots of a level: 64, one word to find the next one that is in use
-	slots     = 1 << levelBits // of a level
-	levels    = 6              // 64^6 ticks ahead: two years of milliseconds; later timers wait at the last slot
-	none      = int32(-1)
+	levelBits     = 6              // slots of a level: 64, one word to find the next one that is in use
+	slotsPerLevel = 1 << levelBits // of a level
+	levelCount    = 6              // 64^6 ticks ahead: two years of milliseconds; later timers wait at the last slot
+	noNode        = int32(-1)
 )
 
 // Timer names a timer that was added, until it is due or taken out.
@@ -18,7 +18,7 @@
 }
 
 type node struct {
-	at         int64 // tick
+	tick       int64 // tick
 	value      int64
 	next, prev int32
 	generation uint32
@@ -27,19 +27,19 @@
 
 // Wheel is timers ahead of a tick. New makes one.
 type Wheel struct {
-	now   int64 // the last tick that was gone through
-	nodes []node
-	free  int32
-	heads [levels * slots]int32
-	used  [levels]uint64 // which slots hold timers
-	count int
+	now       int64 // the last tick that was gone through
+	nodes     []node
+	free      int32
+	slotHeads [levelCount * slotsPerLevel]int32
+	occupied  [levelCount]uint64 // which slots hold timers
+	count     int
 }
 
 // New is a wheel without timers at a tick.
 func New(now int64) *Wheel {
-	w := &Wheel{now: now, free: none}
-	for i := range w.heads {
-		w.heads[i] = none
+	w := &Wheel{now: now, free: noNode}
+	for i := range w.slotHeads {
+		w.slotHeads[i] = noNode
 	}
 	return w
 }
@@ -50,14 +50,14 @@
 // Add has a value come due at a tick, or at the next one where that has gone by.
 func (w *Wheel) Add(at, value int64) Timer {
 	i := w.free
-	if i == none {
+	if i == noNode {
 		i = int32(len(w.nodes))
 		w.nodes = append(w.nodes, node{})
 	} else {
 		w.free = w.nodes[i].next
 	}
 	n := &w.nodes[i]
-	n.at, n.value = max(at, w.now+1), value
+	n.tick, n.value = max(at, w.now+1), value
 	n.generation++
 	w.count++
 	w.place(i)
@@ -70,7 +70,7 @@
 		return false
 	}
 	n := &w.nodes[t.index]
-	if n.generation != t.generation || n.slot == none {
+	if n.generation != t.generation || n.slot == noNode {
 		return false
 	}
 	w.unlink(t.index)
@@ -89,8 +89,8 @@
 		}
 		w.now = next
 		w.cascade()
-		slot := int32(w.now & (slots - 1))
-		for i := w.heads[slot]; i != none; i = w.heads[slot] {
+		slot := int32(w.now & (slotsPerLevel - 1))
+		for i := w.slotHeads[slot]; i != noNode; i = w.slotHeads[slot] {
 			value := w.nodes[i].value
 			w.unlink(i)
 			w.release(i)
@@ -111,40 +111,40 @@
 // place puts a node into the slot of the lowest level whose span reaches its tick.
 func (w *Wheel) place(i int32) {
 	n := &w.nodes[i]
-	level, at := 0, n.at
-	for level < levels-1 && at>>(levelBits*(level+1)) != w.now>>(levelBits*(level+1)) {
+	level, at := 0, n.tick
+	for level < levelCount-1 && at>>(levelBits*(level+1)) != w.now>>(levelBits*(level+1)) {
 		level++
 	}
-	if level == levels-1 && at>>(levelBits*levels) != w.now>>(levelBits*levels) {
-		at = w.now | (1<<(levelBits*levels) - 1) // past the last level: looked at again when that comes round
+	if level == levelCount-1 && at>>(levelBits*levelCount) != w.now>>(levelBits*levelCount) {
+		at = w.now | (1<<(levelBits*levelCount) - 1) // past the last level: looked at again when that comes round
 	}
-	slot := int32(level*slots) + int32(at>>(levelBits*level))&(slots-1)
-	n.slot, n.prev, n.next = slot, none, w.heads[slot]
-	if n.next != none {
+	slot := int32(level*slotsPerLevel) + int32(at>>(levelBits*level))&(slotsPerLevel-1)
+	n.slot, n.prev, n.next = slot, noNode, w.slotHeads[slot]
+	if n.next != noNode {
 		w.nodes[n.next].prev = i
 	}
-	w.heads[slot] = i
-	w.used[level] |= 1 << (slot & (slots - 1))
+	w.slotHeads[slot] = i
+	w.occupied[level] |= 1 << (slot & (slotsPerLevel - 1))
 }
 
 func (w *Wheel) unlink(i int32) {
 	n := &w.nodes[i]
-	if n.prev != none {
+	if n.prev != noNode {
 		w.nodes[n.prev].next = n.next
 	} else {
-		w.heads[n.slot] = n.next
-		if n.next == none {
-			w.used[n.slot/slots] &^= 1 << (n.slot & (slots - 1))
+		w.slotHeads[n.slot] = n.next
+		if n.next == noNode {
+			w.occupied[n.slot/slotsPerLevel] &^= 1 << (n.slot & (slotsPerLevel - 1))
 		}
 	}
-	if n.next != none {
+	if n.next != noNode {
 		w.nodes[n.next].prev = n.prev
 	}
 }
 
 func (w *Wheel) release(i int32) {
 	n := &w.nodes[i]
-	n.slot, n.next = none, w.free
+	n.slot, n.next = noNode, w.free
 	n.generation++
 	w.free = i
 	w.count--
@@ -154,17 +154,17 @@
 // one past it.
 func (w *Wheel) nextTick(to int64) int64 {
 	best := to + 1
-	for level := range levels {
+	for level := range levelCount {
 		at := w.now >> (levelBits * level)
-		ahead := w.used[level] >> (at & (slots - 1)) >> 1 << 1 // slots behind the present one of this turn
+		ahead := w.occupied[level] >> (at & (slotsPerLevel - 1)) >> 1 << 1 // slots behind the present one of this turn
 		if ahead != 0 {
 			step := int64(bits.TrailingZeros64(ahead))
 			if tick := (at + step) << (levelBits * level); tick < best {
 				best = tick
 			}
 		}
-		if level == levels-1 && w.used[level] != 0 { // those past the last level
-			if tick := ((w.now >> (levelBits * levels)) + 1) << (levelBits * levels); tick < best {
+		if level == levelCount-1 && w.occupied[level] != 0 { // those past the last level
+			if tick := ((w.now >> (levelBits * levelCount)) + 1) << (levelBits * levelCount); tick < best {
 				best = tick
 			}
 		}
@@ -174,25 +174,25 @@
 
 // cascade spreads the slots that begin at now over the levels below, from the top.
 func (w *Wheel) cascade() {
-	for level := levels - 1; level > 0; level-- {
+	for level := levelCount - 1; level > 0; level-- {
 		if w.now&(1<<(levelBits*level)-1) != 0 {
 			continue
 		}
-		slot := int32(level*slots) + int32(w.now>>(levelBits*level))&(slots-1)
-		w.spread(slot)
-		if level == levels-1 && w.now&(1<<(levelBits*levels)-1) == 0 {
-			for s := range int32(slots) {
-				w.spread(int32(level*slots) + s)
+		slot := int32(level*slotsPerLevel) + int32(w.now>>(levelBits*level))&(slotsPerLevel-1)
+		w.relocate(slot)
+		if level == levelCount-1 && w.now&(1<<(levelBits*levelCount)-1) == 0 {
+			for s := range int32(slotsPerLevel) {
+				w.relocate(int32(level*slotsPerLevel) + s)
 			}
 		}
 	}
 }
 
-func (w *Wheel) spread(slot int32) {
-	i := w.heads[slot]
-	w.heads[slot] = none
-	w.used[slot/slots] &^= 1 << (slot & (slots - 1))
-	for i != none {
+func (w *Wheel) relocate(slot int32) {
+	i := w.slotHeads[slot]
+	w.slotHeads[slot] = noNode
+	w.occupied[slot/slotsPerLevel] &^= 1 << (slot & (slotsPerLevel - 1))
+	for i != noNode {
 		next := w.nodes[i].next
 		w.place(i)
 		i = next
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -11,7 +11,7 @@
 )
 
 // Any course of adding, taking out and going on gives what a plain list gives.
-func TestWheelAgainstAPlainList(t *testing.T) {
+func TestWheelMatchesASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 1<<40).Draw(t, "start")
 		w := New(now)
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestTimerAddedWhileItsTickIsGoneThroughComesDueAtTheNext(t *testing.T) {
+func TestTimerAddedDuringItsTickIsDueAtTheNext(t *testing.T) {
 	w := New(0)
 	var got []int64
 	w.Add(5, 1)
@@ -67,13 +67,13 @@
 	assert.Equal(t, []int64{1, 5, 2, 6, 3, 7}, got)
 }
 
-type plainHeap []int64
+type timerHeap []int64
 
-func (h plainHeap) Len() int           { return len(h) }
-func (h plainHeap) Less(a, b int) bool { return h[a] < h[b] }
-func (h plainHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *plainHeap) Push(x any)        { *h = append(*h, x.(int64)) }
-func (h *plainHeap) Pop() any {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(a, b int) bool { return h[a] < h[b] }
+func (h timerHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(int64)) }
+func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
@@ -93,7 +93,7 @@
 }
 
 func benchmarkHeap(b *testing.B, n int) {
-	h, chance := plainHeap{}, rand.New(rand.NewSource(1))
+	h, chance := timerHeap{}, rand.New(rand.NewSource(1))
 	for range n {
 		h = append(h, 1+chance.Int63n(int64(n)))
 	}
