--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug says that a breach panics.
+// Debug is whether a violation panics.
 const Debug = true
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,13 +1,15 @@
-// Package invariant checks what has to hold: builds with the tag debug panic where it does not, others count it.
+// Package invariant checks conditions that must always hold: builds with the tag debug panic on a violation, others count
+// it.
 package invariant
 
-// Checker counts what did not hold, by name. The zero value is ready.
+// Checker counts violations by name. The zero value is ready for use.
 type Checker struct {
-	violations  map[string]int
-	OnViolation func(what string, times int) // told of each breach, may be nil
+	violations map[string]int
+	// OnViolation, if set, is called on each violation with its count so far.
+	OnViolation func(name string, count int)
 }
 
-// Check reports whether what must hold does.
+// Check reports whether a condition holds, and counts a violation where it doesn't.
 func (c *Checker) Check(ok bool, name string) bool {
 	if ok {
 		return true
@@ -25,8 +27,8 @@
 	return false
 }
 
-// All is how often each did not hold.
+// All is the count of each violation, by name.
 func (c *Checker) All() map[string]int { return c.violations }
 
-// Broken is how often something did not hold.
+// Broken is how often a condition was violated.
 func (c *Checker) Broken(name string) int { return c.violations[name] }
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,41 +1,42 @@
-// Package timerwheel is a hierarchical timing wheel: timers by whole ticks, each put in and taken out in a time that does not
-// depend on how many there are. It has no clock and decides nothing.
+// Package timerwheel is a hierarchical timing wheel: a queue of timers by whole ticks, each added and removed in constant
+// time. It has no clock of its own.
 package timerwheel
 
 import "math/bits"
 
 const (
-	levelBits     = 6              // slots of a level: 64, one word to find the next one that is in use
-	slotsPerLevel = 1 << levelBits // of a level
-	levelCount    = 6              // 64^6 ticks ahead: two years of milliseconds; later timers wait at the last slot
+	levelBits     = 6 // the occupied slots of a level fit one word
+	slotsPerLevel = 1 << levelBits
+	levelCount    = 6 // 64^6 ticks ahead: two years of milliseconds; later timers wait in the last slot
 	noNode        = int32(-1)
 )
 
-// Timer names a timer that was added, until it is due or taken out.
+// Timer identifies a timer until it is due or removed. The zero value identifies none.
 type Timer struct {
 	index      int32
 	generation uint32
 }
 
+// node is a timer in the list of its slot, or in the free list.
 type node struct {
-	tick       int64 // tick
+	tick       int64
 	value      int64
 	next, prev int32
 	generation uint32
-	slot       int32 // level and slot, none where it is free
+	slot       int32 // its slot over all levels, or noNode while it is free
 }
 
-// Wheel is timers ahead of a tick. New makes one.
+// Wheel is the timers after a tick. Use New to make one.
 type Wheel struct {
-	now       int64 // the last tick that was gone through
+	now       int64 // the last tick whose timers were due
 	nodes     []node
-	free      int32
+	free      int32 // head of the free list
 	slotHeads [levelCount * slotsPerLevel]int32
 	occupied  [levelCount]uint64 // which slots hold timers
 	count     int
 }
 
-// New is a wheel without timers at a tick.
+// New returns a wheel without timers at a tick.
 func New(now int64) *Wheel {
 	w := &Wheel{now: now, free: noNode}
 	for i := range w.slotHeads {
@@ -44,10 +45,10 @@
 	return w
 }
 
-// Len is how many timers there are.
+// Len is the number of timers.
 func (w *Wheel) Len() int { return w.count }
 
-// Add has a value come due at a tick, or at the next one where that has gone by.
+// Add adds a timer with a value that is due at a tick, or at the next one if that has passed.
 func (w *Wheel) Add(at, value int64) Timer {
 	i := w.free
 	if i == noNode {
@@ -64,7 +65,7 @@
 	return Timer{i, n.generation}
 }
 
-// Remove takes a timer out; false where it was due or taken out before.
+// Remove removes a timer, and reports whether it was still pending.
 func (w *Wheel) Remove(t Timer) bool {
 	if t.index < 0 || int(t.index) >= len(w.nodes) {
 		return false
@@ -78,8 +79,8 @@
 	return true
 }
 
-// Advance goes on to a tick and gives the value of each timer that is due, in order of their ticks. The function may
-// add and remove timers; what it adds for a tick gone by comes due at the next one.
+// Advance advances to a tick and calls due with the value of each timer that is due, in the order of their ticks. The
+// function may add and remove timers; those that it adds for a passed tick are due at the next one.
 func (w *Wheel) Advance(to int64, due func(value int64)) {
 	for w.now < to {
 		next := w.nextTick(to)
@@ -99,8 +100,8 @@
 	}
 }
 
-// Next is a tick at or before which no timer comes due earlier: that of the next timer, or of the next slot that has to
-// be looked at; false where there are none.
+// Next is a tick before which no timer is due: that of the next timer, or of the next slot that is to be moved to a lower
+// level. It is false without timers.
 func (w *Wheel) Next() (int64, bool) {
 	if w.count == 0 {
 		return 0, false
@@ -108,7 +109,7 @@
 	return w.nextTick(1<<62 - 1), true
 }
 
-// place puts a node into the slot of the lowest level whose span reaches its tick.
+// place adds a node to the slot of the lowest level whose span reaches its tick.
 func (w *Wheel) place(i int32) {
 	n := &w.nodes[i]
 	level, at := 0, n.tick
@@ -127,6 +128,7 @@
 	w.occupied[level] |= 1 << (slot & (slotsPerLevel - 1))
 }
 
+// unlink removes a node from its slot.
 func (w *Wheel) unlink(i int32) {
 	n := &w.nodes[i]
 	if n.prev != noNode {
@@ -142,6 +144,7 @@
 	}
 }
 
+// release adds a node to the free list.
 func (w *Wheel) release(i int32) {
 	n := &w.nodes[i]
 	n.slot, n.next = noNode, w.free
@@ -150,8 +153,7 @@
 	w.count--
 }
 
-// nextTick is the next tick after now at which a slot is due or has to be spread over the level below, to at the most
-// one past it.
+// nextTick is the next tick after now at which a slot is due or is to be moved to a lower level, at most one past a limit.
 func (w *Wheel) nextTick(to int64) int64 {
 	best := to + 1
 	for level := range levelCount {
@@ -172,7 +174,7 @@
 	return best
 }
 
-// cascade spreads the slots that begin at now over the levels below, from the top.
+// cascade moves the timers of the slots that start at now to lower levels, from the top.
 func (w *Wheel) cascade() {
 	for level := levelCount - 1; level > 0; level-- {
 		if w.now&(1<<(levelBits*level)-1) != 0 {
@@ -188,6 +190,7 @@
 	}
 }
 
+// relocate places the timers of a slot anew.
 func (w *Wheel) relocate(slot int32) {
 	i := w.slotHeads[slot]
 	w.slotHeads[slot] = noNode
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Any course of adding, taking out and going on gives what a plain list gives.
+// Any sequence of adding, removing and advancing gives what a sorted list gives.
 func TestWheelMatchesASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 1<<40).Draw(t, "start")
@@ -79,7 +79,7 @@
 	return last
 }
 
-// Each iteration adds one timer some seconds ahead and goes on by a millisecond, with so many in all.
+// benchmarkWheel adds one timer far ahead and advances by a tick in each iteration, with n timers at a time.
 func benchmarkWheel(b *testing.B, n int) {
 	w, chance := New(0), rand.New(rand.NewSource(1))
 	for range n {
