--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -13,17 +13,17 @@
 
 // withConnections is a node with some connections, all opened in one step and used once in the next.
 func withConnections(t *testing.T, count int) *StateMachine {
-	r := up(t)
-	r.connections.max = count
-	step(r, Input{Kind: ConnectionClosed, Link: 7})
+	sm := up(t)
+	sm.connections.max = count
+	step(sm, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
 		opened = append(opened, Input{Kind: ConnectionOpened, Link: 100 + k})
 		checked = append(checked, healthCheckOn(100+k))
 	}
-	step(r, opened...)
-	step(r, checked...)
-	return r
+	step(sm, opened...)
+	step(sm, checked...)
+	return sm
 }
 
 // healthCheckOn is a shallow health check.
@@ -32,95 +32,95 @@
 }
 
 // advance advances the clock and keeps the executor's link from being silent.
-func advance(r *StateMachine, by int64, inputs ...Input) []Effect {
-	r.now, r.executor.lastLineAt = r.now+by-ms, r.now+by
-	return step(r, inputs...)
+func advance(sm *StateMachine, by int64, inputs ...Input) []Effect {
+	sm.now, sm.executor.lastLineAt = sm.now+by-ms, sm.now+by
+	return step(sm, inputs...)
 }
 
 func TestFullConnectionTableEvictsTheLongestIdle(t *testing.T) {
-	r := up(t)
-	step(r, invoke(1))
-	step(r, Input{Kind: ConnectionOpened, Link: 8})
-	step(r, Input{Kind: ConnectionOpened, Link: 9})
-	step(r, Input{Kind: ConnectionOpened, Link: 10})
+	sm := up(t)
+	step(sm, invoke(1))
+	step(sm, Input{Kind: ConnectionOpened, Link: 8})
+	step(sm, Input{Kind: ConnectionOpened, Link: 9})
+	step(sm, Input{Kind: ConnectionOpened, Link: 10})
 	check := func(link int) Input {
 		return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
 	}
-	step(r, check(9))
-	step(r, check(8))
-	r.SpareConnections = 1
-	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(r, Input{Kind: ConnectionOpened, Link: 11})[0], "it was never used")
-	step(r, Input{Kind: ConnectionClosed, Link: 10})
-	step(r, check(11))
-	step(r, Input{Kind: ConnectionOpened, Link: 12})
-	assert.True(t, r.connections.byLink[9].goAwaySent, "8 was used later")
-	assert.False(t, r.connections.byLink[8].goAwaySent)
-	assert.Equal(t, 2, r.Counters.Evicted)
-	step(r, check(12))
-	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(r, Input{Kind: ConnectionOpened, Link: 13})[0], "there is no spare place")
-	r.now += evictionGrace
-	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(r))
+	step(sm, check(9))
+	step(sm, check(8))
+	sm.SpareConnections = 1
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "it was never used")
+	step(sm, Input{Kind: ConnectionClosed, Link: 10})
+	step(sm, check(11))
+	step(sm, Input{Kind: ConnectionOpened, Link: 12})
+	assert.True(t, sm.connections.byLink[9].goAwaySent, "8 was used later")
+	assert.False(t, sm.connections.byLink[8].goAwaySent)
+	assert.Equal(t, 2, sm.Counters.Evicted)
+	step(sm, check(12))
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "there is no spare place")
+	sm.now += evictionGrace
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(sm))
 }
 
 // An invocation on a connection that is being closed is answered, and the close waits for that.
 func TestInvocationThatCrossesACloseIsAnsweredBeforeIt(t *testing.T) {
 	for what, evicted := range map[string]bool{"idle": false, "evicted": true} {
-		r := up(t)
-		r.SpareConnections = 1
-		step(r, invoke(1))
-		told(r, "EXIT 1 "+callID+" good 12 6|result")
+		sm := up(t)
+		sm.SpareConnections = 1
+		step(sm, invoke(1))
+		told(sm, "EXIT 1 "+callID+" good 12 6|result")
 		if evicted {
 			for link := range 4 {
-				step(r, Input{Kind: ConnectionOpened, Link: 8 + link})
-				step(r, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
+				step(sm, Input{Kind: ConnectionOpened, Link: 8 + link})
+				step(sm, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
 			}
-			r.now += evictionGrace
+			sm.now += evictionGrace
 		} else {
-			r.now, r.executor.lastLineAt = r.now+idleTimeout, r.now+idleTimeout
-			assert.Equal(t, []string{"no more"}, answers(t, step(r)), what)
-			r.now += goAwayGrace
+			sm.now, sm.executor.lastLineAt = sm.now+idleTimeout, sm.now+idleTimeout
+			assert.Equal(t, []string{"no more"}, answers(t, step(sm)), what)
+			sm.now += goAwayGrace
 		}
-		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), what)
-		got := step(r, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((r.now+ms)/ms+1_000_000)))
+		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), what)
+		got := step(sm, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((sm.now+ms)/ms+1_000_000)))
 		assert.Equal(t, Effect{Kind: ResumeConnection, Link: 7}, got[0], what)
 		assert.Equal(t, 1, runsOf(got), what)
-		got = told(r, "EXIT 2 00000000000000aa good 12 6|result")
+		got = told(sm, "EXIT 2 00000000000000aa good 12 6|result")
 		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
 		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
-		assert.Contains(t, r.connections.byLink, 7, what)
-		step(r, Input{Kind: ConnectionClosed, Link: 7})
-		assert.NotContains(t, r.connections.byLink, 7, what)
+		assert.Contains(t, sm.connections.byLink, 7, what)
+		step(sm, Input{Kind: ConnectionClosed, Link: 7})
+		assert.NotContains(t, sm.connections.byLink, 7, what)
 	}
 }
 
 func TestUnusedAndIdleConnectionsAreClosed(t *testing.T) {
-	r := up(t)
-	step(r, invoke(1))
-	step(r, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
-	r.now, r.executor.lastLineAt = r.now+firstUseTimeout, r.now+firstUseTimeout
-	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
-	r.now += sweepInterval
-	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(r))
-	step(r, Input{Kind: ConnectionClosed, Link: 8})
-	told(r, "EXIT 1 "+callID+" good 12 6|result")
-	r.now, r.executor.lastLineAt = r.now+idleTimeout, r.now+idleTimeout
-	assert.Equal(t, []string{"no more"}, answers(t, step(r)))
-	r.now += sweepInterval
-	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(r), "nothing crossed")
+	sm := up(t)
+	step(sm, invoke(1))
+	step(sm, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
+	sm.now, sm.executor.lastLineAt = sm.now+firstUseTimeout, sm.now+firstUseTimeout
+	assert.Equal(t, []string{"no more"}, answers(t, step(sm)))
+	sm.now += sweepInterval
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(sm))
+	step(sm, Input{Kind: ConnectionClosed, Link: 8})
+	told(sm, "EXIT 1 "+callID+" good 12 6|result")
+	sm.now, sm.executor.lastLineAt = sm.now+idleTimeout, sm.now+idleTimeout
+	assert.Equal(t, []string{"no more"}, answers(t, step(sm)))
+	sm.now += sweepInterval
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), "nothing crossed")
 }
 
 func TestConnectionWithTooManyFaultsIsDiscarded(t *testing.T) {
-	r := up(t)
-	step(r, invoke(1))
+	sm := up(t)
+	step(sm, invoke(1))
 	var got []Effect
 	for stream := range uint32(maxFaults) {
-		got = step(r, invoke(stream+2, "op", "other"))
+		got = step(sm, invoke(stream+2, "op", "other"))
 	}
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
 	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
-	r.now, r.executor.lastLineAt = r.now+1_000*ms, r.now+1_000*ms
-	assert.NotContains(t, kinds(step(r)), CloseAfterFlush, "an open stream awaits its answer")
-	got = told(r, "EXIT 1 "+callID+" good 12 6|result")
+	sm.now, sm.executor.lastLineAt = sm.now+1_000*ms, sm.now+1_000*ms
+	assert.NotContains(t, kinds(step(sm)), CloseAfterFlush, "an open stream awaits its answer")
+	got = told(sm, "EXIT 1 "+callID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, got))
 	assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1])
 }
@@ -128,16 +128,16 @@
 // Idle connections cost nothing: each is checked when its timeout may have passed, not in every sweep.
 func TestIdleConnectionsAreCheckedOnlyWhenTheirTimeoutMayHavePassed(t *testing.T) {
 	const count = 14_000
-	r := withConnections(t, count)
-	for r.now < 3_000*ms {
-		advance(r, 10*ms)
+	sm := withConnections(t, count)
+	for sm.now < 3_000*ms {
+		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, r.connections.checked, "once each, at the timeout of the first use")
-	for r.now < 14_000*ms {
-		advance(r, 10*ms)
+	assert.Equal(t, count, sm.connections.checked, "once each, at the timeout of the first use")
+	for sm.now < 14_000*ms {
+		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, r.connections.checked)
-	for _, c := range r.connections.byLink {
+	assert.Equal(t, count, sm.connections.checked)
+	for _, c := range sm.connections.byLink {
 		assert.False(t, c.goAwaySent)
 	}
 }
@@ -145,15 +145,15 @@
 // Connections that were opened together are due together: invocations must not wait behind all of them.
 func TestManyOverdueConnectionsAreClosedAFewPerStep(t *testing.T) {
 	const count = 14_000
-	r := withConnections(t, count)
-	for r.now < 14_900*ms {
-		advance(r, 50*ms)
+	sm := withConnections(t, count)
+	for sm.now < 14_900*ms {
+		advance(sm, 50*ms)
 	}
-	told, ended, began := 0, 0, r.now
+	told, ended, began := 0, 0, sm.now
 	var closed []Input
-	for len(r.connections.byLink) > 0 && r.now-began < 5_000*ms {
-		before, beforeTold, beforeEnded := r.connections.checked, told, ended
-		effects := advance(r, ms/2, closed...)
+	for len(sm.connections.byLink) > 0 && sm.now-began < 5_000*ms {
+		before, beforeTold, beforeEnded := sm.connections.checked, told, ended
+		effects := advance(sm, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
 			switch e.Kind {
@@ -165,22 +165,22 @@
 			}
 		}
 		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, maxClosesPerStep)
-		assert.LessOrEqual(t, r.connections.checked-before, maxChecksPerStep)
+		assert.LessOrEqual(t, sm.connections.checked-before, maxChecksPerStep)
 	}
 	assert.Equal(t, count, told)
 	assert.Equal(t, count, ended)
-	assert.Less(t, r.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
-	assert.Equal(t, count, r.Counters.Idle)
-	assert.Zero(t, r.connections.idleWheel.Len()+r.connections.closingWheel.Len(), "no timer is left of closed connections")
+	assert.Less(t, sm.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
+	assert.Equal(t, count, sm.Counters.Idle)
+	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.closingWheel.Len(), "no timer is left of closed connections")
 }
 
 // Whatever connections bring, and however late steps are: none gets a go-away or is closed before its timeout, each at
 // most a sweep after it if steps are on time.
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
-		r := up(t)
-		r.connections.max, r.SpareConnections = 12, 2
-		newest, wake, stream := 100, r.now+ms, uint32(0)
+		sm := up(t)
+		sm.connections.max, sm.SpareConnections = 12, 2
+		newest, wake, stream := 100, sm.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
 			link := rapid.IntRange(7, newest).Draw(draw, "link")
@@ -194,28 +194,28 @@
 				inputs = append(inputs, Input{Kind: ConnectionClosed, Link: link})
 			case 5:
 				stream++
-				in := coming(r, int(stream))
+				in := coming(sm, int(stream))
 				in.Link = link
 				inputs = append(inputs, in)
 			}
 			at := wake
 			if len(inputs) > 0 {
-				at = rapid.Int64Range(r.now+1, max(r.now+1, wake)).Draw(draw, "at")
+				at = rapid.Int64Range(sm.now+1, max(sm.now+1, wake)).Draw(draw, "at")
 			}
-			wake = stepInTime(draw, r, at, inputs)
+			wake = stepInTime(draw, sm, at, inputs)
 		}
 	})
 }
 
 // stepInTime steps a node and checks that its connections get go-aways and are closed in time. It returns the next wakeup.
-func stepInTime(t require.TestingT, r *StateMachine, at int64, inputs []Input) (wake int64) {
+func stepInTime(t require.TestingT, sm *StateMachine, at int64, inputs []Input) (wake int64) {
 	before := map[int]connection{}
-	for link, c := range r.connections.byLink {
+	for link, c := range sm.connections.byLink {
 		before[link] = *c
 	}
-	r.executor.lastLineAt = at
-	for _, e := range r.Step(at, at+1_000_000*ms, inputs) {
-		c, was := r.connections.byLink[e.Link], before[e.Link]
+	sm.executor.lastLineAt = at
+	for _, e := range sm.Step(at, at+1_000_000*ms, inputs) {
+		c, was := sm.connections.byLink[e.Link], before[e.Link]
 		switch {
 		case e.Kind == SetWakeup:
 			wake = e.At
@@ -226,7 +226,7 @@
 			}
 		}
 	}
-	for link, c := range r.connections.byLink {
+	for link, c := range sm.connections.byLink {
 		if c.goAwaySent && !before[link].goAwaySent && !c.evicted && !c.broken {
 			assert.GreaterOrEqual(t, at-c.lastUsedAt, firstUseTimeout)
 			assert.True(t, !c.usable || at-c.lastUsedAt >= idleTimeout)
--- a/internal/node/fields_test.go
+++ b/internal/node/decode_test.go
@@ -35,27 +35,27 @@
 }
 
 // serving is a node with tenants that serves; arrived is the arrivals that its controller gets.
-func serving(t *testing.T) (r *StateMachine, arrived *[]admission.Event) {
+func serving(t *testing.T) (sm *StateMachine, arrived *[]admission.Event) {
 	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
-	r, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
-	make := r.Decisions
-	r.Decisions = func(config *admission.Config, born int64) Decider {
+	sm, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
+	make := sm.Decisions
+	sm.Decisions = func(config *admission.Config, born int64) Decider {
 		return recordingDecider{make(config, born), arrived}
 	}
-	r.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
-	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
-	told(r, "WELCOME old 0")
-	told(r, "METERS j1 0.1 1 0.1 3")
-	return r, arrived
+	sm.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	step(sm, Input{Kind: ConnectionOpened, Link: 7})
+	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
+	told(sm, "WELCOME old 0")
+	told(sm, "METERS j1 0.1 1 0.1 3")
+	return sm, arrived
 }
 
 func TestTenantAndDeadlineReachTheController(t *testing.T) {
-	r, arrived := serving(t)
-	now := r.now + ms
-	step(r, invoke(1, "op", "look", "org", "south", "ttl", "250"))
-	step(r, invoke(2, "op", "look", "call", id(2), "org", "north"))
+	sm, arrived := serving(t)
+	now := sm.now + ms
+	step(sm, invoke(1, "op", "look", "org", "south", "ttl", "250"))
+	step(sm, invoke(2, "op", "look", "call", id(2), "org", "north"))
 	require.Len(t, *arrived, 2)
 	first, second := (*arrived)[0], (*arrived)[1]
 	assert.Equal(t, []int32{1, 0}, []int32{first.Tenant, second.Tenant})
@@ -67,37 +67,37 @@
 	for what, fields := range map[string][]string{"no tenant": {"org", "-"}, "another tenant": {"org", "norths"},
 		"no token": {"op", "hold", "org", "north"}, "time in words": {"org", "north", "ttl", "soon"},
 		"time gone by": {"org", "north", "ttl", "-5"}, "a time without end": {"org", "north", "ttl", "9000000000000000000"}} {
-		r, arrived := serving(t)
-		assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, invoke(1, append([]string{"op", "look"}, fields...)...))), what)
+		sm, arrived := serving(t)
+		assert.Equal(t, []string{"51 on 1"}, answers(t, step(sm, invoke(1, append([]string{"op", "look"}, fields...)...))), what)
 		assert.Empty(t, *arrived, what)
 	}
 }
 
 func TestExpiredTTLIsRejectedAtOnce(t *testing.T) {
-	r, _ := serving(t)
-	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1, "op", "look", "org", "north", "ttl", "0"))))
+	sm, _ := serving(t)
+	assert.Equal(t, []string{"50 on 1"}, answers(t, step(sm, invoke(1, "op", "look", "org", "north", "ttl", "0"))))
 }
 
 // A token of one tenant must not find the result of another's.
 func TestTokensAreScopedToTheirTenant(t *testing.T) {
-	r, _ := serving(t)
-	assert.Equal(t, 1, runsOf(step(r, invoke(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
-	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
-	assert.Equal(t, 1, runsOf(step(r, invoke(2, "op", "hold", "org", "south", "dedupe", "a", "call", id(2)))))
-	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, invoke(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
+	sm, _ := serving(t)
+	assert.Equal(t, 1, runsOf(step(sm, invoke(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
+	told(sm, "EXIT 1 "+id(1)+" good 12 6|result")
+	assert.Equal(t, 1, runsOf(step(sm, invoke(2, "op", "hold", "org", "south", "dedupe", "a", "call", id(2)))))
+	assert.Equal(t, []string{"20 on 3"}, answers(t, step(sm, invoke(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
 }
 
 // Results are cached in the node's own memory: entry_kb, of the executor's, would allow two of them.
 func TestResultCacheIsBoundedByTheNodesOwnMemory(t *testing.T) {
-	r, arrived := serving(t)
+	sm, arrived := serving(t)
 	for n := range 8 {
-		step(r, invoke(uint32(n+1), "op", "hold", "org", "north", "dedupe", id(n), "call", id(n+1)))
-		told(r, "EXIT "+string(rune('1'+n))+" "+id(n+1)+" good 12 6|result")
+		step(sm, invoke(uint32(n+1), "op", "hold", "org", "north", "dedupe", id(n), "call", id(n+1)))
+		told(sm, "EXIT "+string(rune('1'+n))+" "+id(n+1)+" good 12 6|result")
 	}
-	assert.Equal(t, 8, r.Counters.Succeeded)
+	assert.Equal(t, 8, sm.Counters.Succeeded)
 	assert.Len(t, *arrived, 8)
-	assert.Equal(t, admission.StopUnsupported, r.config.Node.StopSupport)
-	assert.Zero(t, r.config.Node.Operations[0].SkippedCallWeightShare)
+	assert.Equal(t, admission.StopUnsupported, sm.config.Node.StopSupport)
+	assert.Zero(t, sm.config.Node.Operations[0].SkippedCallWeightShare)
 }
 
 // Two nodes of one process with the same configuration share no state through it.
@@ -118,11 +118,11 @@
 }
 
 func TestArrivalAgeIsMeasuredByTheLocalWallClock(t *testing.T) {
-	r := up(t)
-	r.wall = 500_000 * ms
-	assert.Equal(t, 250*ms, r.arrivalAge(499_750))
-	assert.Zero(t, r.arrivalAge(500_001))
+	sm := up(t)
+	sm.wall = 500_000 * ms
+	assert.Equal(t, 250*ms, sm.arrivalAge(499_750))
+	assert.Zero(t, sm.arrivalAge(500_001))
 	for stamp, can := range map[int64]bool{0: false, 440_000: true, 500_900: true, 502_000: false, 1 << 62: false} {
-		assert.Equal(t, can, r.isPlausibleStamp(stamp), stamp)
+		assert.Equal(t, can, sm.isPlausibleStamp(stamp), stamp)
 	}
 }
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -12,29 +12,29 @@
 )
 
 func TestInvocationRunsAndIsAnsweredWithItsResult(t *testing.T) {
-	r := up(t)
-	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(step(r, invoke(1)), SendToExecutor))
-	sent := told(r, "EXIT 1 "+callID+" good 12 6|result")
+	sm := up(t)
+	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(step(sm, invoke(1)), SendToExecutor))
+	sent := told(sm, "EXIT 1 "+callID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "result")
-	assert.Empty(t, answers(t, told(r, "EXIT 1 "+callID+" good 12 6|result")), "a notice is applied once")
-	assert.Zero(t, r.owedAnswers)
-	assert.Empty(t, r.indexByCall)
+	assert.Empty(t, answers(t, told(sm, "EXIT 1 "+callID+" good 12 6|result")), "a notice is applied once")
+	assert.Zero(t, sm.owedAnswers)
+	assert.Empty(t, sm.indexByCall)
 }
 
 func TestDisconnectedCallerGetsNoAnswer(t *testing.T) {
-	r := up(t)
-	step(r, invoke(1))
-	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
-	assert.Empty(t, answers(t, told(r, "EXIT 1 "+callID+" good 12 6|result")))
-	step(r, invoke(2))
-	assert.Empty(t, step(r, Input{Kind: ConnectionClosed, Link: 7}))
-	assert.Empty(t, answers(t, told(r, "EXIT 2 "+callID+" good 12 6|result")))
-	assert.Empty(t, r.indexByCall)
+	sm := up(t)
+	step(sm, invoke(1))
+	step(sm, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	assert.Empty(t, answers(t, told(sm, "EXIT 1 "+callID+" good 12 6|result")))
+	step(sm, invoke(2))
+	assert.Empty(t, step(sm, Input{Kind: ConnectionClosed, Link: 7}))
+	assert.Empty(t, answers(t, told(sm, "EXIT 2 "+callID+" good 12 6|result")))
+	assert.Empty(t, sm.indexByCall)
 }
 
 func TestMalformedInvocationFailsAndItsConnectionStaysOpen(t *testing.T) {
-	r := up(t)
+	sm := up(t)
 	for i, broken := range []Input{invoke(1, "op", "other"), invoke(2, "call", "9B1F"), invoke(3, "recv", "-"),
 		invoke(4, "heap", "0"), invoke(5, "crit", "1"), invoke(6, "work", "NaN"), invoke(7, "src", "x"),
 		{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 8, Past: true}},
@@ -42,39 +42,39 @@
 		invoke(10, "recv", "99999999999999"), invoke(11, "recv", "-1"), invoke(12, "work", "0x1p2"),
 		invoke(13, "heap", "1e2"), invoke(14, "src", "9999999999999"), invoke(15, "row", "7f3a"),
 		invoke(16, "rep", "2")} {
-		r.connections.byLink[7].faults = 0
-		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, answers(t, step(r, broken)))
+		sm.connections.byLink[7].faults = 0
+		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, answers(t, step(sm, broken)))
 	}
-	assert.NotEmpty(t, text(step(r, invoke(20)), SendToExecutor))
-	assert.Equal(t, []string{"51 on 21"}, answers(t, step(r, invoke(21))), "its call is in use")
+	assert.NotEmpty(t, text(step(sm, invoke(20)), SendToExecutor))
+	assert.Equal(t, []string{"51 on 21"}, answers(t, step(sm, invoke(21))), "its call is in use")
 }
 
 func TestBrokenConnectionClosesOnceItsStreamsAreAnswered(t *testing.T) {
 	for what, bad := range map[string]Input{"length": {Kind: FrameMalformed, Link: 7, Err: frame.ErrLength},
 		"order": invoke(1), "type": {Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}} {
-		r := up(t)
-		step(r, invoke(1))
-		assert.Equal(t, []string{"51 on 0", "no more"}, answers(t, step(r, bad)), what)
-		assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, invoke(2, "call", "0000000000000000"))), "without a run: "+what)
-		end := told(r, "EXIT 1 "+callID+" good 12 6|result")
+		sm := up(t)
+		step(sm, invoke(1))
+		assert.Equal(t, []string{"51 on 0", "no more"}, answers(t, step(sm, bad)), what)
+		assert.Equal(t, []string{"51 on 2"}, answers(t, step(sm, invoke(2, "call", "0000000000000000"))), "without a run: "+what)
+		end := told(sm, "EXIT 1 "+callID+" good 12 6|result")
 		assert.Equal(t, []string{"20 on 1"}, answers(t, end), what)
 		assert.Equal(t, CloseAfterFlush, end[len(end)-1].Kind, what)
 	}
 }
 
 func TestInvocationAfterAMalformedFrameFailsWithoutARun(t *testing.T) {
-	r := up(t)
-	got := step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}, invoke(1))
+	sm := up(t)
+	got := step(sm, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}, invoke(1))
 	assert.Equal(t, []string{"51 on 0", "no more", "51 on 1"}, answers(t, got))
 	assert.Zero(t, runsOf(got))
 }
 
 func TestThrottleCarriesPushbackStopAndBackpressure(t *testing.T) {
-	r := up(t)
-	step(r, invoke(1))
-	r.backpressure, r.effects = "0.25", nil
-	r.reject(&admission.Action{Invocation: 0, Duration: 249*ms + 1, NoRetry: true})
-	_, payload, _ := strings.Cut(string(r.effects[0].Bytes), "\x32")
+	sm := up(t)
+	step(sm, invoke(1))
+	sm.backpressure, sm.effects = "0.25", nil
+	sm.reject(&admission.Action{Invocation: 0, Duration: 249*ms + 1, NoRetry: true})
+	_, payload, _ := strings.Cut(string(sm.effects[0].Bytes), "\x32")
 	fields, _, err := frame.Fields([]byte(payload))
 	assert.NoError(t, err)
 	assert.Equal(t, []frame.Field{{Name: "pushback", Value: "250"}, {Name: "stop", Value: "1"},
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -22,24 +22,24 @@
 func fresh(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
-	return r
+	sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	step(sm, Input{Kind: ConnectionOpened, Link: 7})
+	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
+	return sm
 }
 
 // up is a node that serves, with connection 7 open.
 func up(t *testing.T) *StateMachine {
-	r := fresh(t)
-	told(r, "WELCOME old 0")
-	told(r, "METERS j1 0.1 1 0.1 3")
-	return r
+	sm := fresh(t)
+	told(sm, "WELCOME old 0")
+	told(sm, "METERS j1 0.1 1 0.1 3")
+	return sm
 }
 
 // step advances the clock by a millisecond and returns the effects, without wakeups, log entries, samples, reports and
 // requests for gauges.
-func step(r *StateMachine, inputs ...Input) (got []Effect) {
-	for _, e := range r.Step(r.now+ms, r.now+ms+1_000_000*ms, inputs) {
+func step(sm *StateMachine, inputs ...Input) (got []Effect) {
+	for _, e := range sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, inputs) {
 		proof := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
 		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != SampleState && !proof {
 			got = append(got, e)
@@ -49,30 +49,30 @@
 }
 
 // told delivers a line of the executor, with its body after a bar.
-func told(r *StateMachine, line string) []Effect {
+func told(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: ExecutorLineReceived, Link: r.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
+	return step(sm, Input{Kind: ExecutorLineReceived, Link: sm.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 // replied delivers a line of the catalogue on its first link, with its body after a bar.
-func replied(r *StateMachine, line string) []Effect {
+func replied(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogue.links[0].id,
+	return step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
 // reached opens the last link to the catalogue.
-func reached(r *StateMachine) []Effect {
-	return step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[len(r.catalogue.links)-1].id})
+func reached(sm *StateMachine) []Effect {
+	return step(sm, Input{Kind: CatalogueConnected, Link: sm.catalogue.links[len(sm.catalogue.links)-1].id})
 }
 
 // rejoined breaks the executor's link and has a new one welcomed, but not synced.
-func rejoined(r *StateMachine) {
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.executor.link})
-	r.now = r.executor.redialAt
-	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
-	told(r, "WELCOME old 90")
+func rejoined(sm *StateMachine) {
+	step(sm, Input{Kind: ExecutorDisconnected, Link: sm.executor.link})
+	sm.now = sm.executor.redialAt
+	step(sm)
+	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
+	told(sm, "WELCOME old 90")
 }
 
 const callID = "9b1f03aa5c7e2d41"
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -30,7 +30,7 @@
 	MeasureLoad(m *admission.LoadMetrics)
 }
 
-// StateMachine is the state of one node: the invocations and what the controller is told of them, and a component for
+// StateMachine is the state of one node: the invocations, the events and actions of the controller, and a component for
 // each kind of connection and each subsystem.
 type StateMachine struct {
 	Invariants invariant.Checker
@@ -124,6 +124,9 @@
 
 // Step applies the inputs up to now, by a clock that only advances, with wall its time in Unix nanoseconds. The effects
 // are valid until the next step.
+//
+// The order of a step: the inputs, the timers, changes of the configuration, the decisions, the subsystems that follow
+// from those, and last the exit and the next wakeup.
 func (sm *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
 	sm.begin(now, wall)
 	for i := range inputs {
--- a/internal/node/machine_test.go
+++ b/internal/node/machine_test.go
@@ -9,40 +9,40 @@
 )
 
 func TestReloadSwitchesToTheNewAddressesAtOnce(t *testing.T) {
-	r := up(t)
+	sm := up(t)
 	const other = "00000000000000aa"
-	step(r, invoke(1), invoke(2, "call", other))
-	told(r, "CALLOUT 1 "+callID+" 3|ask")
-	reached(r)
-	old, reporting := r.executor.link, r.reports.link
-	told(r, "CALLOUT 2 "+other+" 3|ask") // still being opened
+	step(sm, invoke(1), invoke(2, "call", other))
+	told(sm, "CALLOUT 1 "+callID+" 3|ask")
+	reached(sm)
+	old, reporting := sm.executor.link, sm.reports.link
+	told(sm, "CALLOUT 2 "+other+" 3|ask") // still being opened
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
-	for _, e := range r.Step(r.now+ms, r.wall, []Input{{Kind: ReloadRequested, Addresses: to}}) {
+	for _, e := range sm.Step(sm.now+ms, sm.wall, []Input{{Kind: ReloadRequested, Addresses: to}}) {
 		dialed[e.Kind] += e.Address
 	}
 	assert.Equal(t, map[EffectKind]string{CloseExecutor: "", DialExecutor: "executor:2", CloseCatalogue: "", DialCatalogue: "catalogue:2",
 		SendReport: "control:2", WriteLog: "", SetWakeup: ""}, dialed)
-	got := replied(r, callID+" DATA 0")
+	got := replied(sm, callID+" DATA 0")
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "closed once its call has ended")
-	step(r, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
-	assert.Equal(t, []int{r.lastLink - 1, 0}, []int{r.executor.dialingLink, r.executor.link}, "the end of the old link is ignored")
-	got = step(r, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
+	step(sm, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
+	assert.Equal(t, []int{sm.lastLink - 1, 0}, []int{sm.executor.dialingLink, sm.executor.link}, "the end of the old link is ignored")
+	got = step(sm, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being dialed is closed")
 	assert.Equal(t, "JOIN 2\r\n", text(got, SendToExecutor))
-	assert.NotEqual(t, reporting, r.reports.link)
-	assert.Empty(t, step(r, Input{Kind: ReloadRequested, Addresses: to}), "the addresses are the same")
+	assert.NotEqual(t, reporting, sm.reports.link)
+	assert.Empty(t, step(sm, Input{Kind: ReloadRequested, Addresses: to}), "the addresses are the same")
 }
 
 func TestASecondAnswerViolatesAnInvariant(t *testing.T) {
-	r := up(t)
-	step(r, invoke(1))
-	again := func() { r.fail(0); r.fail(0) }
+	sm := up(t)
+	step(sm, invoke(1))
+	again := func() { sm.fail(0); sm.fail(0) }
 	if invariant.Debug {
 		assert.Panics(t, again)
 		return
 	}
 	again()
-	assert.Equal(t, 1, r.Invariants.Broken("one answer an invocation"))
-	assert.Equal(t, 1, r.Counters.Errored)
+	assert.Equal(t, 1, sm.Invariants.Broken("one answer an invocation"))
+	assert.Equal(t, 1, sm.Counters.Errored)
 }
--- a/internal/node/reports_test.go
+++ b/internal/node/reports_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestReportsAreSentOneAtATimeAndRetriedAfterAnError(t *testing.T) {
-	r := up(t)
-	assert.NotZero(t, r.reports.link)
-	r.reports.finished(r.reports.link, errField)
-	assert.Equal(t, r.now+reportRetryBackoff, r.reports.nextAt)
-	r.reports.finished(r.reports.link, nil)
-	assert.Equal(t, r.now+reportInterval, r.reports.nextAt)
-	assert.Zero(t, r.reports.link)
+	sm := up(t)
+	assert.NotZero(t, sm.reports.link)
+	sm.reports.finished(sm.reports.link, errField)
+	assert.Equal(t, sm.now+reportRetryBackoff, sm.reports.nextAt)
+	sm.reports.finished(sm.reports.link, nil)
+	assert.Equal(t, sm.now+reportInterval, sm.reports.nextAt)
+	assert.Zero(t, sm.reports.link)
 }
