--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -25,8 +25,8 @@
 	return r, c
 }
 
-// executorRun steps it when it is to be woken, up to a time. It says which kinds of effects came.
-func executorRun(t *testing.T, r *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
+// run steps it when it is to be woken, up to a time. It says which kinds of effects came.
+func run(t *testing.T, r *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
 	came, steps := map[EffectKind]int{}, 0
 	for wake := *now + 1; wake < until; steps++ {
 		*now = wake
@@ -45,13 +45,13 @@
 func TestHollowNodeClaimsTokensAndLeasesCallsWithoutExecutorAndReports(t *testing.T) {
 	r, c := hollowNode(t)
 	now := int64(0)
-	came := executorRun(t, r, &now, 4_000*ms)
+	came := run(t, r, &now, 4_000*ms)
 	require.True(t, r.claiming.desk.Connected())
 	var tokens []Input
 	for k := range 9 {
 		tokens = append(tokens, Input{Kind: HollowClaimRequested, Bytes: fmt.Append(nil, "t", k)})
 	}
-	for kind, n := range executorRun(t, r, &now, 8_000*ms, append(tokens, Input{Kind: HollowCallsRequested, Link: 8})...) {
+	for kind, n := range run(t, r, &now, 8_000*ms, append(tokens, Input{Kind: HollowCallsRequested, Link: 8})...) {
 		came[kind] += n
 	}
 	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, SampleState} {
@@ -65,7 +65,7 @@
 func TestHollowNodeLeavesAtOnceWhenDrained(t *testing.T) {
 	r, _ := hollowNode(t)
 	now := int64(0)
-	executorRun(t, r, &now, 4_000*ms)
+	run(t, r, &now, 4_000*ms)
 	var kinds []EffectKind
 	for _, e := range r.Step(now+1, now+1, []Input{{Kind: DrainRequested}}) {
 		kinds = append(kinds, e.Kind)
