--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,32 +1,34 @@
-// Package invariant checks what has to hold: builds with the tag debug panic where it does not, others count it.
+// Package invariant checks conditions that must always hold: builds with the tag debug panic on a violation, others count
+// it.
 package invariant
 
-// Checker counts what did not hold, by name. The zero value is ready.
+// Checker counts violations by name. The zero value is ready for use.
 type Checker struct {
-	broken map[string]int
-	Tell   func(what string, times int) // told of each breach, may be nil
+	violations map[string]int
+	// OnViolation, if set, is called on each violation with its count so far.
+	OnViolation func(name string, count int)
 }
 
-// Check reports whether what must hold does.
-func (c *Checker) Check(ok bool, what string) bool {
+// Check reports whether a condition holds, and counts a violation where it doesn't.
+func (c *Checker) Check(ok bool, name string) bool {
 	if ok {
 		return true
 	}
 	if Debug {
-		panic("invariant: " + what)
+		panic("invariant: " + name)
 	}
-	if c.broken == nil {
-		c.broken = make(map[string]int)
+	if c.violations == nil {
+		c.violations = make(map[string]int)
 	}
-	c.broken[what]++
-	if c.Tell != nil {
-		c.Tell(what, c.broken[what])
+	c.violations[name]++
+	if c.OnViolation != nil {
+		c.OnViolation(name, c.violations[name])
 	}
 	return false
 }
 
-// All is how often each did not hold.
-func (c *Checker) All() map[string]int { return c.broken }
+// All is the count of each violation, by name.
+func (c *Checker) All() map[string]int { return c.violations }
 
-// Broken is how often something did not hold.
-func (c *Checker) Broken(what string) int { return c.broken[what] }
+// Broken is how often a condition was violated.
+func (c *Checker) Broken(name string) int { return c.violations[name] }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -354,14 +354,14 @@
 // takeOverInvocation takes in what a lost node had claimed, as an invocation whose caller is not here. Its due time stays; its latency
 // objective counts from now on, or the module would give up as hopeless what was lost with its node.
 func (sm *StateMachine) takeOverInvocation(key resultcache.Key, a *claims.Action) error {
-	if sm.controller == nil || sm.drainRequested {
+	if sm.controller == nil || sm.drain.isRequested() {
 		return fmt.Errorf("this node takes nothing in")
 	}
 	var w work
 	if err := cbor.Unmarshal(a.Work, &w); err != nil {
 		return fmt.Errorf("its work can't be read: %w", err)
 	}
-	if _, used := sm.indexByCall[w.Call]; used || !hex16(w.Call) || len(w.Body) > bodyMost || w.HeldKB <= 0 || w.HeldKB >= heapMost {
+	if _, used := sm.indexByCall[w.Call]; used || !isHex16(w.Call) || len(w.Body) > maxBodyBytes || w.HeldKB <= 0 || w.HeldKB >= maxHeapKB {
 		return fmt.Errorf("call %q: in use, or not one", w.Call)
 	}
 	if sm.results.held[key] != nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -157,16 +157,16 @@
 // facts are what the fleet is told of this node.
 func (sm *StateMachine) facts() (f membership.Facts) {
 	p := &sm.fleet
-	if sm.controller != nil && sm.executorLink != 0 {
+	if sm.controller != nil && sm.executor.isConnected() {
 		p.loose = -1
 	} else if p.loose < 0 {
 		p.loose = sm.now
 	}
 	f.NoUse = sm.hollow.onlySeat || !sm.hollow.on && p.loose >= 0 && sm.now-p.loose >= noUseAfter
 	switch {
-	case sm.acceptStopped:
+	case sm.drain.isAcceptStopped():
 		f.Beat = 3
-	case sm.drainRequested:
+	case sm.drain.isRequested():
 		f.Beat = 1
 	}
 	if l := &sm.degradation; l.steps != nil {
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Any course of adding, taking out and going on gives what a plain list gives.
-func TestWheelAgainstAPlainList(t *testing.T) {
+// Any sequence of adding, removing and advancing gives what a sorted list gives.
+func TestWheelMatchesASortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 1<<40).Draw(t, "start")
 		w := New(now)
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestTimerAddedWhileItsTickIsGoneThroughComesDueAtTheNext(t *testing.T) {
+func TestTimerAddedDuringItsTickIsDueAtTheNext(t *testing.T) {
 	w := New(0)
 	var got []int64
 	w.Add(5, 1)
@@ -67,19 +67,19 @@
 	assert.Equal(t, []int64{1, 5, 2, 6, 3, 7}, got)
 }
 
-type plainHeap []int64
+type timerHeap []int64
 
-func (h plainHeap) Len() int           { return len(h) }
-func (h plainHeap) Less(a, b int) bool { return h[a] < h[b] }
-func (h plainHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *plainHeap) Push(x any)        { *h = append(*h, x.(int64)) }
-func (h *plainHeap) Pop() any {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(a, b int) bool { return h[a] < h[b] }
+func (h timerHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(int64)) }
+func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// Each iteration adds one timer some seconds ahead and goes on by a millisecond, with so many in all.
+// benchmarkWheel adds one timer far ahead and advances by a tick in each iteration, with n timers at a time.
 func benchmarkWheel(b *testing.B, n int) {
 	w, chance := New(0), rand.New(rand.NewSource(1))
 	for range n {
@@ -93,7 +93,7 @@
 }
 
 func benchmarkHeap(b *testing.B, n int) {
-	h, chance := plainHeap{}, rand.New(rand.NewSource(1))
+	h, chance := timerHeap{}, rand.New(rand.NewSource(1))
 	for range n {
 		h = append(h, 1+chance.Int63n(int64(n)))
 	}
