--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -2,161 +2,64 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
-	"hash/crc32"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
-	"strconv"
-	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-)
-
-var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
-
-// sameAsFixture says that the bytes are those of a file of testdata, and gives the file's.
-func sameAsFixture(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		require.NoError(t, os.MkdirAll("testdata", 0o777))
-		require.NoError(t, os.WriteFile(path, encoded, 0o666))
-	}
-	fixture, err := os.ReadFile(path)
-	require.NoError(t, err)
-	assert.Equal(t, fixture, encoded, "%s: the encoding isn't what it was", name)
-	return fixture
-}
-
-// sameBothWays says that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
-func sameBothWays[T any](t *testing.T, name string, value T, encode func(any) ([]byte, error), decode func([]byte, any) error) {
-	t.Helper()
-	encoded, err := encode(value)
-	require.NoError(t, err)
-	var again T
-	require.NoError(t, decode(sameAsFixture(t, name, encoded), &again))
-	assert.Equal(t, value, again, name)
-}
 
-// fullValue is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
-// field that is renamed keeps its value as long as it keeps its key.
-func fullValue[T any](seed uint32) (value T) {
-	setFull(reflect.ValueOf(&value).Elem(), seed)
-	return value
-}
-
-func setFull(v reflect.Value, seed uint32) {
-	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(seed%(1<<min(v.Type().Bits()-1, 31)-1)) + 1)
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(seed)%(1<<min(v.Type().Bits(), 32)-1) + 1)
-	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(seed) + 0.5)
-	case reflect.String:
-		v.SetString(fmt.Sprintf("t%010d", seed))
-	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		setFull(v.Elem(), seed)
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for k := range 2 {
-			setFull(v.Index(k), 31*seed+1_000+uint32(k))
-		}
-	case reflect.Map:
-		v.Set(reflect.MakeMap(v.Type()))
-		for k := range uint32(2) {
-			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-			setFull(key, 31*seed+2_000+k)
-			setFull(value, 31*seed+3_000+k)
-			v.SetMapIndex(key, value)
-		}
-	case reflect.Struct:
-		for k := range v.NumField() {
-			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
-				setFull(v.Field(k), 31*seed+key)
-			}
-		}
-	default:
-		panic("no value for " + v.Type().String())
-	}
-}
-
-// keyOf is what a field is known by in the encoding: a number, a name, or in an array its place.
-func keyOf(f reflect.StructField, place int) (key uint32, encoded bool) {
-	tag := f.Tag.Get("cbor")
-	if tag == "" {
-		tag = f.Tag.Get("json")
-	}
-	name, rest, _ := strings.Cut(tag, ",")
-	switch {
-	case !f.IsExported() && !f.Anonymous || tag == "-":
-		return 0, false
-	case f.Anonymous && name == "":
-		return 0, true
-	case strings.Contains(rest, "keyasint"):
-		number, err := strconv.ParseUint(name, 10, 32)
-		return uint32(number), err == nil
-	case name == "":
-		name = f.Name
-	}
-	return crc32.ChecksumIEEE([]byte(name)), true
-}
+	"topazpost/internal/fixture"
+)
 
 // What holders, replicas and operators' commands say of the configuration, one of each kind.
 func TestFixturesOfConfiguration(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
 		for _, kind := range []CommandKind{Put, Advance, Stop, Rollback} {
-			c := fullValue[Command](uint32(len(list)))
+			c := fixture.Filled[Command](uint32(len(list)))
 			c.Kind = kind
 			list = append(list, c)
 		}
-		sameBothWays(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
-		sameBothWays(t, "verdicts-v1.cbor", fullValue[[]Verdict](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "verdicts-v1.cbor", fixture.Filled[[]Verdict](1), cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
 		for _, kind := range []MessageKind{Tell, Report, Vouch, Fetch, Piece} {
-			m := fullValue[Message](uint32(len(list)))
+			m := fixture.Filled[Message](uint32(len(list)))
 			m.Kind = kind
 			list = append(list, m)
 		}
-		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "messages-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("questions", func(t *testing.T) {
 		var list []Query
 		for k, kind := range []QueryKind{ShowStanding, ReadBlocks, Propose} {
-			q := fullValue[Query](uint32(k))
+			q := fixture.Filled[Query](uint32(k))
 			q.Kind, q.Which = kind, []int{InForce, ForAll, Newest}[k]
 			list = append(list, q)
 		}
-		sameBothWays(t, "questions-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "questions-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("answer", func(t *testing.T) {
-		sameBothWays(t, "answer-v1.cbor", fullValue[Answer](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "answer-v1.cbor", fixture.Filled[Answer](1), cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("place for people", func(t *testing.T) {
-		sameBothWays(t, "place-v1.json", fullValue[Place](1), json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "place-v1.json", fixture.Filled[Place](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("counters for people", func(t *testing.T) {
-		sameBothWays(t, "counters-v1.json", fullValue[Counters](1), json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "counters-v1.json", fixture.Filled[Counters](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("saved", func(t *testing.T) {
-		sameBothWays(t, "saved-v1.cbor", fullValue[saved](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "saved-v1.cbor", fixture.Filled[saved](1), cbor.Marshal, decode.Unmarshal)
 	})
 	t.Run("frame", func(t *testing.T) {
-		sameBothWays(t, "frame-v1.cbor", fullValue[frame](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "frame-v1.cbor", fixture.Filled[frame](1), cbor.Marshal, decode.Unmarshal)
 	})
 }
 
@@ -198,13 +101,13 @@
 	want := tableOfFixtures(t)
 	text, err := want.Snapshot()
 	require.NoError(t, err)
-	fixture := sameAsFixture(t, "table-v1.cbor", text)
+	content := fixture.Equal(t, "table-v1.cbor", text)
 	var s saved
-	require.NoError(t, decode.Unmarshal(fixture, &s))
+	require.NoError(t, decode.Unmarshal(content, &s))
 	for k, v := 0, reflect.ValueOf(s); k < v.NumField(); k++ {
 		assert.False(t, v.Field(k).IsZero(), "field %d of the snapshot holds something", k)
 	}
-	got, err := Restore(fixture)
+	got, err := Restore(content)
 	require.NoError(t, err)
 	assert.Equal(t, want.head, got.head)
 	assert.Equal(t, want.since, got.since)
@@ -220,7 +123,7 @@
 	assert.Equal(t, draftWithout, gotWithout)
 	again, err := got.Snapshot()
 	require.NoError(t, err)
-	assert.Equal(t, fixture, again)
+	assert.Equal(t, content, again)
 }
 
 // The file of a node is written to the bytes of a fixture, and read from it to what was written.
@@ -238,9 +141,9 @@
 			text = AppendRecord(text, r)
 		}
 	}
-	fixture := sameAsFixture(t, "node-v1.bin", text)
+	content := fixture.Equal(t, "node-v1.bin", text)
 	var l DiskLoader
-	_, err := l.Write(fixture)
+	_, err := l.Write(content)
 	require.NoError(t, err)
 	got, err := l.Start()
 	require.NoError(t, err)
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -2,14 +2,7 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
-	"hash/crc32"
-	"os"
-	"path/filepath"
-	"reflect"
-	"strconv"
-	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -18,134 +11,42 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"topazpost/internal/fixture"
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/quota"
 	"topazpost/internal/fleet/takeover"
 )
 
-var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
-
-// sameAsFixture says that the bytes are those of a file of testdata, and gives the file's.
-func sameAsFixture(t *testing.T, name string, encoded []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		require.NoError(t, os.MkdirAll("testdata", 0o777))
-		require.NoError(t, os.WriteFile(path, encoded, 0o666))
-	}
-	fixture, err := os.ReadFile(path)
-	require.NoError(t, err)
-	assert.Equal(t, fixture, encoded, "%s: the encoding isn't what it was", name)
-	return fixture
-}
-
-// sameBothWays says that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
-func sameBothWays[T any](t *testing.T, name string, value T, encode func(any) ([]byte, error), decode func([]byte, any) error) {
-	t.Helper()
-	encoded, err := encode(value)
-	require.NoError(t, err)
-	var again T
-	require.NoError(t, decode(sameAsFixture(t, name, encoded), &again))
-	assert.Equal(t, value, again, name)
-}
-
-// fullValue is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
-// field that is renamed keeps its value as long as it keeps its key.
-func fullValue[T any](seed uint32) (value T) {
-	setFull(reflect.ValueOf(&value).Elem(), seed)
-	return value
-}
-
-func setFull(v reflect.Value, seed uint32) {
-	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(seed%(1<<min(v.Type().Bits()-1, 31)-1)) + 1)
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(seed)%(1<<min(v.Type().Bits(), 32)-1) + 1)
-	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(seed) + 0.5)
-	case reflect.String:
-		v.SetString(fmt.Sprintf("t%010d", seed))
-	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		setFull(v.Elem(), seed)
-	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		for k := range 2 {
-			setFull(v.Index(k), 31*seed+1_000+uint32(k))
-		}
-	case reflect.Map:
-		v.Set(reflect.MakeMap(v.Type()))
-		for k := range uint32(2) {
-			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-			setFull(key, 31*seed+2_000+k)
-			setFull(value, 31*seed+3_000+k)
-			v.SetMapIndex(key, value)
-		}
-	case reflect.Struct:
-		for k := range v.NumField() {
-			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
-				setFull(v.Field(k), 31*seed+key)
-			}
-		}
-	default:
-		panic("no value for " + v.Type().String())
-	}
-}
-
-// keyOf is what a field is known by in the encoding: a number, a name, or in an array its place.
-func keyOf(f reflect.StructField, place int) (key uint32, encoded bool) {
-	tag := f.Tag.Get("cbor")
-	if tag == "" {
-		tag = f.Tag.Get("json")
-	}
-	name, rest, _ := strings.Cut(tag, ",")
-	switch {
-	case !f.IsExported() && !f.Anonymous || tag == "-":
-		return 0, false
-	case f.Anonymous && name == "":
-		return 0, true
-	case strings.Contains(rest, "keyasint"):
-		number, err := strconv.ParseUint(name, 10, 32)
-		return uint32(number), err == nil
-	case name == "":
-		name = f.Name
-	}
-	return crc32.ChecksumIEEE([]byte(name)), true
-}
-
 // What seats and nodes tell each other, one message of each kind, what a node shows, and the bodies of what a seat keeps on its disk.
 func TestFixturesOfTheCouncil(t *testing.T) {
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
 		for _, kind := range []MessageKind{MessageRaft, MessageDiscovery, MessagePropose, MessageVerdicts, MessageClaimsEnded, MessageReassignment, MessageRejoin, MessageRejoinAnswer, MessagePartRequest, MessagePart} {
-			m := fullValue[Message](uint32(len(list)))
+			m := fixture.Filled[Message](uint32(len(list)))
 			m.Kind = kind
 			list = append(list, m)
 		}
-		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, cbor.Unmarshal)
+		fixture.RoundTrip(t, "messages-v1.cbor", list, cbor.Marshal, cbor.Unmarshal)
 	})
 	t.Run("picture", func(t *testing.T) {
-		want := fullValue[Summary](1)
-		sameBothWays(t, "picture-v1.cbor", want, cbor.Marshal, cbor.Unmarshal)
+		want := fixture.Filled[Summary](1)
+		fixture.RoundTrip(t, "picture-v1.cbor", want, cbor.Marshal, cbor.Unmarshal)
 		want.Claims = nil // a command shows them in a form of its own
-		sameBothWays(t, "picture-v1.json", want, json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "picture-v1.json", want, json.Marshal, json.Unmarshal)
 	})
 	t.Run("counters", func(t *testing.T) {
-		sameBothWays(t, "counters-v1.cbor", fullValue[Counters](1), cbor.Marshal, cbor.Unmarshal)
-		sameBothWays(t, "handed-v1.cbor", fullValue[takeover.Counters](2), cbor.Marshal, cbor.Unmarshal)
+		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, cbor.Unmarshal)
+		fixture.RoundTrip(t, "handed-v1.cbor", fixture.Filled[takeover.Counters](2), cbor.Marshal, cbor.Unmarshal)
 	})
 	t.Run("seats", func(t *testing.T) {
-		sameBothWays(t, "seats-v1.cbor", fullValue[map[string]incumbent](1), canonical.Marshal, cbor.Unmarshal)
+		fixture.RoundTrip(t, "seats-v1.cbor", fixture.Filled[map[string]incumbent](1), canonical.Marshal, cbor.Unmarshal)
 	})
 	t.Run("base", func(t *testing.T) {
-		sameBothWays(t, "base-v1.cbor", fullValue[base](1), canonical.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "base-v1.cbor", fixture.Filled[base](1), canonical.Marshal, decode.Unmarshal)
 	})
 	t.Run("record", func(t *testing.T) {
-		sameBothWays(t, "record-v1.cbor", fullValue[record](1), canonical.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "record-v1.cbor", fixture.Filled[record](1), canonical.Marshal, decode.Unmarshal)
 	})
 }
 
@@ -207,7 +108,7 @@
 
 // An entry of the log with commands for all tables is written to the bytes of a fixture and carried out from it as it was meant.
 func TestFixtureOfAnEntry(t *testing.T) {
-	fixture := sameAsFixture(t, "entry-v1.cbor", entryOfFixtures(t))
+	content := fixture.Equal(t, "entry-v1.cbor", entryOfFixtures(t))
 	want := seatOfFixtures()
 	list, asks, puts := ordered()
 	for i := range list {
@@ -222,7 +123,7 @@
 	want.versions.used = true
 	got := seatOfFixtures()
 	index, term := uint64(2), uint64(1)
-	got.apply(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
+	got.apply(&raftpb.Entry{Data: content, Index: &index, Term: &term})
 	sameTables(t, want, got)
 	states := map[claims.State]int{}
 	for _, e := range got.table.List(10) {
@@ -245,7 +146,7 @@
 		writer.writeSome()
 	}
 	text := writer.written(writer.writing)
-	sameAsFixture(t, "snapshot-v1.cbor", text)
+	fixture.Equal(t, "snapshot-v1.cbor", text)
 	conf := &raftpb.ConfState{Voters: []uint64{0x21, 0x22, 0x23}}
 	writer.disk.number, writer.disk.marks = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
 	w := writer.base(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
@@ -254,12 +155,12 @@
 	writer.write(w, nil)
 	require.Len(t, writer.effects, 1)
 	w = *writer.effects[0].Write
-	there := DiskContents{Base: sameAsFixture(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
+	there := DiskContents{Base: fixture.Equal(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
 	require.Len(t, w.Parts, 1, "the configuration lies apart")
 	for name, part := range w.Parts {
-		fixture := sameAsFixture(t, "disk-part-v1.cbor", part)
-		there.Parts[name] = fixture
-		assert.Equal(t, name, digest(fixture))
+		content := fixture.Equal(t, "disk-part-v1.cbor", part)
+		there.Parts[name] = content
+		assert.Equal(t, name, digest(content))
 	}
 
 	context, err := cbor.Marshal(map[string]incumbent{"n3": {0x33, 33}})
@@ -279,7 +180,7 @@
 		{Data: parts, Index: &third, Term: &term, Type: &normal}, {Data: change, Index: &fourth, Term: &later, Type: &changes}})})
 	require.Len(t, writer.effects, 1)
 	require.Equal(t, Persist, writer.effects[0].Kind)
-	there.Records = [][]byte{sameAsFixture(t, "disk-record-v1.cbor", writer.effects[0].Write.Records[0])}
+	there.Records = [][]byte{fixture.Equal(t, "disk-record-v1.cbor", writer.effects[0].Write.Records[0])}
 
 	reader := seatOfFixtures()
 	require.NoError(t, reader.Recover(0, there))
@@ -314,6 +215,6 @@
 	text, err := proto.Marshal(m)
 	require.NoError(t, err)
 	again := new(raftpb.Message)
-	require.NoError(t, proto.Unmarshal(sameAsFixture(t, "raft-v1.bin", text), again))
+	require.NoError(t, proto.Unmarshal(fixture.Equal(t, "raft-v1.bin", text), again))
 	assert.True(t, proto.Equal(m, again))
 }
--- a/internal/fleet/envelope/fixtures_test.go
+++ b/internal/fleet/envelope/fixtures_test.go
@@ -1,16 +1,13 @@
 package envelope
 
 import (
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-)
 
-var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
+	"topazpost/internal/fixture"
+)
 
 // A letter is the bytes of a fixture, and is opened to its body; the number of its fleet is part of them.
 func TestFixtureOfALetter(t *testing.T) {
@@ -25,19 +22,12 @@
 			want := body{-7, "text", []byte{1, 2, 3}, []uint64{1, 1 << 40}}
 			text, err := Seal(nil, FleetOf(fleet), want)
 			require.NoError(t, err)
-			path := filepath.Join("testdata", name)
-			if *update {
-				require.NoError(t, os.MkdirAll("testdata", 0o777))
-				require.NoError(t, os.WriteFile(path, text, 0o666))
-			}
-			fixture, err := os.ReadFile(path)
-			require.NoError(t, err)
-			assert.Equal(t, fixture, text, "the encoding isn't what it was")
+			content := fixture.Equal(t, name, text)
 			var got body
-			require.NoError(t, Open(fixture, FleetOf(fleet), &got))
+			require.NoError(t, Open(content, FleetOf(fleet), &got))
 			assert.Equal(t, want, got)
 			got = body{}
-			require.NoError(t, Body(fixture[Head:], &got))
+			require.NoError(t, Body(content[Head:], &got))
 			assert.Equal(t, want, got)
 		})
 	}
