--- a/internal/fleet/claims/fixtures_test.go
+++ b/internal/fleet/claims/fixtures_test.go
@@ -13,7 +13,7 @@
 )
 
 // What nodes and replicas say of claims, one of each kind, and what a table holds, one of each state.
-func TestFixturesOfClaims(t *testing.T) {
+func TestClaimsFixtures(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
 		for _, kind := range []CommandKind{CommandNoop, CommandClaim, CommandStart, CommandEnd, CommandRelease, CommandReassign, CommandMarkUnknown, CommandResolve, CommandAdvanceTime} {
@@ -22,7 +22,7 @@
 			list = append(list, c)
 		}
 		require.Len(t, list, int(CommandKindCount))
-		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
 		var list []Verdict
@@ -31,11 +31,11 @@
 			v.Answer = answer
 			list = append(list, v)
 		}
-		fixture.RoundTrip(t, "verdicts-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "verdicts-v1.cbor", list, cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("counters", func(t *testing.T) {
-		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, decode.Unmarshal)
-		fixture.RoundTrip(t, "desk-counters-v1.cbor", fixture.Filled[ClientCounters](2), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, decodeMode.Unmarshal)
+		fixture.RoundTrip(t, "desk-counters-v1.cbor", fixture.Filled[ClientCounters](2), cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("snapshot", func(t *testing.T) {
 		s := fixture.Filled[snapshot](1)
@@ -45,21 +45,21 @@
 			e.State = state
 			s.Entries = append(s.Entries, &e)
 		}
-		fixture.RoundTrip(t, "snapshot-v1.cbor", s, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "snapshot-v1.cbor", s, cbor.Marshal, decodeMode.Unmarshal)
 		content, err := os.ReadFile(filepath.Join("testdata", "snapshot-v1.cbor"))
 		require.NoError(t, err)
 		table, err := Restore(content)
 		require.NoError(t, err)
 		assert.Equal(t, s.Time, table.Time())
 		assert.Equal(t, s.Fence, table.fence)
-		assert.Equal(t, s.Most, table.most)
+		assert.Equal(t, s.MaxBytes, table.maxBytes)
 		require.Len(t, table.entries, len(s.Entries))
 		var bytes int64
 		for _, want := range s.Entries {
-			bytes += want.size()
+			bytes += want.sizeBytes()
 			got := table.Find(want.Key)
 			require.NotNil(t, got)
-			got.place, want.place = 0, 0
+			got.heapIndex, want.heapIndex = 0, 0
 			assert.Equal(t, want, got)
 			assert.Equal(t, want.State <= StateStarted, len(table.OwnedBy(want.Owner)) == 1, "only what is claimed or started can be lost")
 		}
--- a/internal/fleet/claims/claims.go
+++ b/internal/fleet/claims/table.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	entryBytes  = 300     // of one claim beside its token, work and result: its record, indexes, and its part of a snapshot
-	backsMost   = 4       // heirs that may give a claim back, before it is let go: the fleet has no room
-	waitersMost = 16      // nodes that are told of the end of one claim; more ask again by themselves
-	itemsMost   = 1 << 17 // claims in one snapshot: far above what the bytes allow
-	bytesUsual  = 4 << 20 // bytes of a table until its council has said otherwise
+	entryOverheadBytes  = 300     // of one claim beside its token, work and result: its record, indexes, and its part of a snapshot
+	maxReturns          = 4       // heirs that may give a claim back, before it is let go: the fleet has no room
+	maxWaiters          = 16      // nodes that are told of the end of one claim; more ask again by themselves
+	maxSnapshotElements = 1 << 17 // claims in one snapshot: far above what the bytes allow
+	defaultTableBytes   = 4 << 20 // bytes of a table until its council has said otherwise
 )
 
 // MaxTimeStep is the most that the table's time moves on at once, in ns. The first such step after a command may count time
@@ -134,11 +134,11 @@
 	Waiters        []Owner `cbor:"13,keyasint,omitempty"` // to be told of its end
 	LastReturnedBy Owner   `cbor:"14,keyasint,omitempty"` // the heir that gave it back
 	ReturnCount    int     `cbor:"15,keyasint,omitempty"` // how often that happened
-	place          int
+	heapIndex      int
 }
 
-func (e *Entry) size() int64 {
-	return entryBytes + int64(len(e.Key.Operation)+len(e.Key.Tenant)+len(e.Key.Token)+len(e.Work)+len(e.Result))
+func (e *Entry) sizeBytes() int64 {
+	return entryOverheadBytes + int64(len(e.Key.Operation)+len(e.Key.Tenant)+len(e.Key.Token)+len(e.Work)+len(e.Result))
 }
 
 // Counters are what became of commands on this table, since it was made or read from a snapshot.
@@ -162,14 +162,14 @@
 	// Told are the claims that settled in the last Apply, with those who asked to be told. It is valid until the next.
 	EndedClaims []EndedClaim
 
-	entries map[Key]*Entry
-	owned   map[Owner]map[Key]*Entry // those whose owner can still be lost: claimed and started
-	taken   map[Key]*Entry           // those that an heir owns and has not begun
-	expiry  expiry
-	time    int64
-	fence   uint64
-	bytes   int64
-	most    int64
+	entries    map[Key]*Entry
+	owned      map[Owner]map[Key]*Entry // those whose owner can still be lost: claimed and started
+	reassigned map[Key]*Entry           // those that an heir owns and has not begun
+	expiry     expiry
+	time       int64
+	fence      uint64
+	bytes      int64
+	maxBytes   int64
 }
 
 // EndedClaim is a claim that others wait for, and that ended, became unknown, or went away.
@@ -180,155 +180,155 @@
 
 // NewTable is a table without claims.
 func NewTable() *Table {
-	return &Table{entries: map[Key]*Entry{}, owned: map[Owner]map[Key]*Entry{}, taken: map[Key]*Entry{}, most: bytesUsual}
+	return &Table{entries: map[Key]*Entry{}, owned: map[Owner]map[Key]*Entry{}, reassigned: map[Key]*Entry{}, maxBytes: defaultTableBytes}
 }
 
 // Apply carries out one command. It depends on nothing but the commands before.
-func (t *Table) Apply(c *Command) Verdict {
+func (t *Table) Apply(command *Command) Verdict {
 	t.EndedClaims = t.EndedClaims[:0]
-	v := Verdict{Seq: c.Seq}
-	e := t.entries[c.Key]
-	switch c.Kind {
+	verdict := Verdict{Seq: command.Seq}
+	entry := t.entries[command.Key]
+	switch command.Kind {
 	case CommandClaim:
-		t.claim(c, e, &v)
+		t.claim(command, entry, &verdict)
 	case CommandStart:
-		t.start(c, e, &v)
+		t.start(command, entry, &verdict)
 	case CommandEnd:
-		t.end(c, e, &v)
+		t.end(command, entry, &verdict)
 	case CommandRelease:
-		t.release(c, e)
+		t.release(command, entry)
 	case CommandReassign:
-		t.take(c, e, &v)
+		t.reassign(command, entry, &verdict)
 	case CommandMarkUnknown:
-		if e != nil && e.Fence == c.Fence && e.State == StateStarted {
+		if entry != nil && entry.Fence == command.Fence && entry.State == StateStarted {
 			t.Counters.Unknown++
-			t.leave(e)
-			e.State = StateUnknown
-			t.tell(e)
+			t.removeOwned(entry)
+			entry.State = StateUnknown
+			t.notifyWaiters(entry)
 		}
 	case CommandResolve:
-		t.settle(c)
+		t.resolve(command)
 	case CommandAdvanceTime:
-		t.pass(c)
+		t.advanceTime(command)
 	}
-	return v
+	return verdict
 }
 
-func (t *Table) claim(c *Command, e *Entry, v *Verdict) {
+func (t *Table) claim(command *Command, entry *Entry, verdict *Verdict) {
 	switch {
-	case e == nil:
-		e = &Entry{Key: c.Key, Owner: c.Sender, BodyHash: c.BodyHash, ExpiresAt: t.time + max(0, c.Duration), Window: max(0, c.Window), Work: c.Work, InvocationID: c.InvocationID}
-		if t.bytes+e.size() > t.most {
+	case entry == nil:
+		entry = &Entry{Key: command.Key, Owner: command.Sender, BodyHash: command.BodyHash, ExpiresAt: t.time + max(0, command.Duration), Window: max(0, command.Window), Work: command.Work, InvocationID: command.InvocationID}
+		if t.bytes+entry.sizeBytes() > t.maxBytes {
 			t.Counters.TableFull++
-			v.Answer = AnswerTableFull
+			verdict.Answer = AnswerTableFull
 			if len(t.expiry) > 0 {
-				v.RetryAfter = max(0, t.expiry[0].ExpiresAt-t.time)
+				verdict.RetryAfter = max(0, t.expiry[0].ExpiresAt-t.time)
 			}
 			return
 		}
 		t.fence++
-		e.Fence = t.fence
-		t.entries[c.Key] = e
-		t.bytes += e.size()
-		heap.Push(&t.expiry, e)
-		t.own(e)
+		entry.Fence = t.fence
+		t.entries[command.Key] = entry
+		t.bytes += entry.sizeBytes()
+		heap.Push(&t.expiry, entry)
+		t.addOwned(entry)
 		t.Counters.Claimed++
-		v.Answer, v.Fence = AnswerGranted, e.Fence
-	case e.BodyHash != c.BodyHash:
-		v.Answer = AnswerBodyMismatch
-	case e.State == StateEnded:
-		v.Answer, v.Outcome, v.Result = AnswerCompleted, e.Outcome, e.Result
-	case e.State == StateUnknown:
-		v.Answer = AnswerOutcomeUnknown
-	case e.Owner == c.Sender && e.State == StateClaimed: // sent again, or given to it meanwhile
-		v.Answer, v.Fence = AnswerGranted, e.Fence
+		verdict.Answer, verdict.Fence = AnswerGranted, entry.Fence
+	case entry.BodyHash != command.BodyHash:
+		verdict.Answer = AnswerBodyMismatch
+	case entry.State == StateEnded:
+		verdict.Answer, verdict.Outcome, verdict.Result = AnswerCompleted, entry.Outcome, entry.Result
+	case entry.State == StateUnknown:
+		verdict.Answer = AnswerOutcomeUnknown
+	case entry.Owner == command.Sender && entry.State == StateClaimed: // sent again, or given to it meanwhile
+		verdict.Answer, verdict.Fence = AnswerGranted, entry.Fence
 	default:
 		t.Counters.Joined++
-		v.Answer, v.Owner, v.Fence = AnswerOwnedElsewhere, e.Owner, e.Fence
-		if e.Owner != c.Sender && len(e.Waiters) < waitersMost && !slices.Contains(e.Waiters, c.Sender) {
-			e.Waiters = append(e.Waiters, c.Sender)
+		verdict.Answer, verdict.Owner, verdict.Fence = AnswerOwnedElsewhere, entry.Owner, entry.Fence
+		if entry.Owner != command.Sender && len(entry.Waiters) < maxWaiters && !slices.Contains(entry.Waiters, command.Sender) {
+			entry.Waiters = append(entry.Waiters, command.Sender)
 		}
 	}
 }
 
 // start is agreed on before an executor hears of the work. Who sends it again is answered alike: a fence belongs to
 // one life of one node, which runs it at the first answer only.
-func (t *Table) start(c *Command, e *Entry, v *Verdict) {
-	if e == nil || e.Fence != c.Fence || e.Owner != c.Sender || e.State > StateStarted {
+func (t *Table) start(command *Command, entry *Entry, verdict *Verdict) {
+	if entry == nil || entry.Fence != command.Fence || entry.Owner != command.Sender || entry.State > StateStarted {
 		t.Counters.Fenced++
-		v.Answer = AnswerStaleFence
+		verdict.Answer = AnswerStaleFence
 		return
 	}
-	v.Answer, v.Fence = AnswerGranted, e.Fence
-	if e.State == StateClaimed {
+	verdict.Answer, verdict.Fence = AnswerGranted, entry.Fence
+	if entry.State == StateClaimed {
 		t.Counters.Started++
-		t.bytes -= int64(len(e.Work))
-		e.State, e.Work = StateStarted, nil
-		delete(t.taken, e.Key)
-		t.keep(e, t.time+e.Window+MaxTimeStep)
+		t.bytes -= int64(len(entry.Work))
+		entry.State, entry.Work = StateStarted, nil
+		delete(t.reassigned, entry.Key)
+		t.extend(entry, t.time+entry.Window+MaxTimeStep)
 	}
 }
 
 // end takes the word of whoever started under the fence, however late: that settles what was unknown.
-func (t *Table) end(c *Command, e *Entry, v *Verdict) {
-	if e == nil || e.Fence != c.Fence || e.State != StateStarted && e.State != StateUnknown {
-		if e == nil || e.State != StateEnded {
-			v.Answer = AnswerStaleFence
+func (t *Table) end(command *Command, entry *Entry, verdict *Verdict) {
+	if entry == nil || entry.Fence != command.Fence || entry.State != StateStarted && entry.State != StateUnknown {
+		if entry == nil || entry.State != StateEnded {
+			verdict.Answer = AnswerStaleFence
 		}
 		return
 	}
-	t.over(e, c)
+	t.complete(entry, command)
 }
 
-func (t *Table) over(e *Entry, c *Command) {
-	if e.State == StateUnknown {
+func (t *Table) complete(entry *Entry, command *Command) {
+	if entry.State == StateUnknown {
 		t.Counters.Resolved++
 	}
 	t.Counters.Ended++
-	if e.Reassigned {
+	if entry.Reassigned {
 		t.Counters.ReassignedEnded++
 	}
-	t.leave(e)
-	e.State, e.Outcome, e.Result = StateEnded, c.Outcome, c.Result
-	t.bytes += int64(len(c.Result))
-	t.keep(e, t.time+e.Window+MaxTimeStep)
-	t.tell(e)
+	t.removeOwned(entry)
+	entry.State, entry.Outcome, entry.Result = StateEnded, command.Outcome, command.Result
+	t.bytes += int64(len(command.Result))
+	t.extend(entry, t.time+entry.Window+MaxTimeStep)
+	t.notifyWaiters(entry)
 }
 
 // release lets a claim go under which nothing ran. What an heir had no room for is nobody's until the next heir takes it.
-func (t *Table) release(c *Command, e *Entry) {
+func (t *Table) release(command *Command, entry *Entry) {
 	switch {
-	case e == nil || e.Fence != c.Fence || e.Owner != c.Sender || e.State > StateStarted:
-	case c.Returned && e.Reassigned && e.State == StateClaimed && e.ReturnCount < backsMost:
-		t.leave(e)
+	case entry == nil || entry.Fence != command.Fence || entry.Owner != command.Sender || entry.State > StateStarted:
+	case command.Returned && entry.Reassigned && entry.State == StateClaimed && entry.ReturnCount < maxReturns:
+		t.removeOwned(entry)
 		t.fence++
-		e.Owner, e.Fence, e.LastReturnedBy = Owner{}, t.fence, c.Sender
-		e.ReturnCount++
-		t.own(e)
+		entry.Owner, entry.Fence, entry.LastReturnedBy = Owner{}, t.fence, command.Sender
+		entry.ReturnCount++
+		t.addOwned(entry)
 	default:
-		t.drop(e)
+		t.remove(entry)
 	}
 }
 
-func (t *Table) take(c *Command, e *Entry, v *Verdict) {
-	if e == nil || e.Fence != c.Fence || e.State != StateClaimed {
+func (t *Table) reassign(command *Command, entry *Entry, verdict *Verdict) {
+	if entry == nil || entry.Fence != command.Fence || entry.State != StateClaimed {
 		t.Counters.Fenced++
-		v.Answer = AnswerStaleFence
+		verdict.Answer = AnswerStaleFence
 		return
 	}
-	t.leave(e)
+	t.removeOwned(entry)
 	t.fence++
-	e.Owner, e.Fence, e.Reassigned = c.NewOwner, t.fence, true
-	t.own(e)
+	entry.Owner, entry.Fence, entry.Reassigned = command.NewOwner, t.fence, true
+	t.addOwned(entry)
 	t.Counters.Reassigned++
-	v.Answer, v.Fence = AnswerGranted, e.Fence
+	verdict.Answer, verdict.Fence = AnswerGranted, entry.Fence
 }
 
-// settle takes the word of an executor that outlived its node: it speaks of a call of any earlier life of it.
-func (t *Table) settle(c *Command) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.entries), CompareKeys) {
-		if e := t.entries[k]; e.InvocationID == c.InvocationID && e.InvocationID != "" && e.Owner.Name == c.Sender.Name && (e.State == StateStarted || e.State == StateUnknown) {
-			t.over(e, c)
+// resolve takes the word of an executor that outlived its node: it speaks of a call of any earlier life of it.
+func (t *Table) resolve(command *Command) {
+	for _, key := range slices.SortedFunc(maps.Keys(t.entries), CompareKeys) {
+		if entry := t.entries[key]; entry.InvocationID == command.InvocationID && entry.InvocationID != "" && entry.Owner.Name == command.Sender.Name && (entry.State == StateStarted || entry.State == StateUnknown) {
+			t.complete(entry, command)
 			return
 		}
 	}
@@ -345,61 +345,61 @@
 	return strings.Compare(a.Tenant, b.Tenant)
 }
 
-// pass moves the time on, by what one member of the council measured since the time it names: two who measured the
+// advanceTime moves the time on, by what one member of the council measured since the time it names: two who measured the
 // same span can't both be counted, so the table's time is never ahead of the world's.
-func (t *Table) pass(c *Command) {
-	if c.At != t.time || c.Duration <= 0 {
+func (t *Table) advanceTime(command *Command) {
+	if command.At != t.time || command.Duration <= 0 {
 		return
 	}
-	t.time += min(c.Duration, MaxTimeStep) // what is over is lost: an election's seconds
-	if c.MaxTableBytes > 0 {
-		t.most = c.MaxTableBytes
+	t.time += min(command.Duration, MaxTimeStep) // what is over is lost: an election's seconds
+	if command.MaxTableBytes > 0 {
+		t.maxBytes = command.MaxTableBytes
 	}
 	for len(t.expiry) > 0 && t.expiry[0].ExpiresAt <= t.time {
 		t.Counters.Expired++
-		t.drop(t.expiry[0])
+		t.remove(t.expiry[0])
 	}
 }
 
-func (t *Table) own(e *Entry) {
-	all := t.owned[e.Owner]
-	if all == nil {
-		all = map[Key]*Entry{}
-		t.owned[e.Owner] = all
+func (t *Table) addOwned(entry *Entry) {
+	owned := t.owned[entry.Owner]
+	if owned == nil {
+		owned = map[Key]*Entry{}
+		t.owned[entry.Owner] = owned
 	}
-	all[e.Key] = e
-	if e.Reassigned && e.State == StateClaimed && e.Owner != (Owner{}) {
-		t.taken[e.Key] = e
+	owned[entry.Key] = entry
+	if entry.Reassigned && entry.State == StateClaimed && entry.Owner != (Owner{}) {
+		t.reassigned[entry.Key] = entry
 	}
 }
 
-func (t *Table) leave(e *Entry) {
-	delete(t.taken, e.Key)
-	all := t.owned[e.Owner]
-	delete(all, e.Key)
-	if len(all) == 0 {
-		delete(t.owned, e.Owner)
+func (t *Table) removeOwned(entry *Entry) {
+	delete(t.reassigned, entry.Key)
+	owned := t.owned[entry.Owner]
+	delete(owned, entry.Key)
+	if len(owned) == 0 {
+		delete(t.owned, entry.Owner)
 	}
 }
 
-func (t *Table) keep(e *Entry, until int64) {
-	e.ExpiresAt = max(e.ExpiresAt, until)
-	heap.Fix(&t.expiry, e.place)
+func (t *Table) extend(entry *Entry, until int64) {
+	entry.ExpiresAt = max(entry.ExpiresAt, until)
+	heap.Fix(&t.expiry, entry.heapIndex)
 }
 
-func (t *Table) tell(e *Entry) {
-	if len(e.Waiters) > 0 {
-		t.EndedClaims = append(t.EndedClaims, EndedClaim{e.Key, e.Waiters})
-		e.Waiters = nil
+func (t *Table) notifyWaiters(entry *Entry) {
+	if len(entry.Waiters) > 0 {
+		t.EndedClaims = append(t.EndedClaims, EndedClaim{entry.Key, entry.Waiters})
+		entry.Waiters = nil
 	}
 }
 
-func (t *Table) drop(e *Entry) {
-	t.tell(e)
-	t.leave(e)
-	heap.Remove(&t.expiry, e.place)
-	delete(t.entries, e.Key)
-	t.bytes -= e.size()
+func (t *Table) remove(entry *Entry) {
+	t.notifyWaiters(entry)
+	t.removeOwned(entry)
+	heap.Remove(&t.expiry, entry.heapIndex)
+	delete(t.entries, entry.Key)
+	t.bytes -= entry.sizeBytes()
 }
 
 // CompareOwners orders owners by name, then life.
@@ -434,16 +434,16 @@
 
 // Reassigned are the claims that heirs own and have not begun, by token; they must not be changed.
 func (t *Table) Reassigned() (list []*Entry) {
-	for _, k := range slices.SortedFunc(maps.Keys(t.taken), CompareKeys) {
-		list = append(list, t.taken[k])
+	for _, k := range slices.SortedFunc(maps.Keys(t.reassigned), CompareKeys) {
+		list = append(list, t.reassigned[k])
 	}
 	return list
 }
 
 // List are the claims by token, at most so many.
-func (t *Table) List(most int) (list []*Entry) {
+func (t *Table) List(limit int) (list []*Entry) {
 	for _, k := range slices.SortedFunc(maps.Keys(t.entries), CompareKeys) {
-		if len(list) == most {
+		if len(list) == limit {
 			break
 		}
 		list = append(list, t.entries[k])
@@ -453,19 +453,19 @@
 
 // snapshot is a table as it is written.
 type snapshot struct {
-	Time    int64    `cbor:"1,keyasint"`
-	Fence   uint64   `cbor:"2,keyasint"`
-	Most    int64    `cbor:"3,keyasint"`
-	Entries []*Entry `cbor:"4,keyasint"`
+	Time     int64    `cbor:"1,keyasint"`
+	Fence    uint64   `cbor:"2,keyasint"`
+	MaxBytes int64    `cbor:"3,keyasint"`
+	Entries  []*Entry `cbor:"4,keyasint"`
 }
 
 // Snapshot writes the table; two that are equal are written alike.
 func (t *Table) Snapshot() ([]byte, error) {
-	return cbor.Marshal(snapshot{t.time, t.fence, t.most, t.List(len(t.entries))})
+	return cbor.Marshal(snapshot{t.time, t.fence, t.maxBytes, t.List(len(t.entries))})
 }
 
-var decode = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: itemsMost, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+var decodeMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxSnapshotElements, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err) // of constants
 	}
@@ -475,20 +475,20 @@
 // Restore reads a table.
 func Restore(text []byte) (*Table, error) {
 	var s snapshot
-	if err := decode.Unmarshal(text, &s); err != nil {
+	if err := decodeMode.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("claims: a snapshot can't be read: %w", err)
 	}
 	t := NewTable()
-	t.time, t.fence, t.most = s.Time, s.Fence, s.Most
+	t.time, t.fence, t.maxBytes = s.Time, s.Fence, s.MaxBytes
 	for _, e := range s.Entries {
 		if e == nil || t.entries[e.Key] != nil {
 			return nil, fmt.Errorf("claims: a snapshot holds a claim twice or an empty one")
 		}
 		t.entries[e.Key] = e
-		t.bytes += e.size()
+		t.bytes += e.sizeBytes()
 		heap.Push(&t.expiry, e)
 		if e.State <= StateStarted {
-			t.own(e)
+			t.addOwned(e)
 		}
 	}
 	return t, nil
@@ -498,8 +498,8 @@
 
 func (x expiry) Len() int           { return len(x) }
 func (x expiry) Less(a, b int) bool { return x[a].ExpiresAt < x[b].ExpiresAt }
-func (x expiry) Swap(a, b int)      { x[a], x[b] = x[b], x[a]; x[a].place, x[b].place = a, b }
-func (x *expiry) Push(e any)        { e.(*Entry).place = len(*x); *x = append(*x, e.(*Entry)) }
+func (x expiry) Swap(a, b int)      { x[a], x[b] = x[b], x[a]; x[a].heapIndex, x[b].heapIndex = a, b }
+func (x *expiry) Push(e any)        { e.(*Entry).heapIndex = len(*x); *x = append(*x, e.(*Entry)) }
 func (x *expiry) Pop() any {
 	last := (*x)[len(*x)-1]
 	*x = (*x)[:len(*x)-1]
