--- /dev/null
+++ b/internal/fleet/claims/client_verdicts.go
@@ -0,0 +1,126 @@
+package claims
+
+import "slices"
+
+// handleVerdict handles the group's answer to a command.
+func (c *Client) handleVerdict(verdict *Verdict) {
+	c.lastAnswerAt = c.now
+	c.connected = true
+	c.probeSeq = 0
+	if c.resolved(verdict.Seq) {
+		return
+	}
+	claim := c.bySeq[verdict.Seq]
+	if claim == nil || verdict.Seq == 0 {
+		return
+	}
+	delete(c.bySeq, verdict.Seq)
+	claim.pendingSeq = 0
+	switch claim.phase {
+	case phaseClaiming, phaseElsewhere:
+		c.handleClaimVerdict(claim, verdict)
+	case phaseStarting:
+		c.handleStartVerdict(claim, verdict)
+	case phaseEnding:
+		c.remove(claim)
+		c.emit(Action{Kind: EndRecorded, Key: claim.key})
+	case phaseReleasing:
+		c.remove(claim)
+		if claim.successor != nil {
+			c.sendCommand(c.add(claim.successor), CommandClaim)
+		}
+	case phaseAbandoned:
+		c.handleAbandonedVerdict(claim, verdict)
+	}
+}
+
+// resolved removes the report on an earlier incarnation that has the sequence number, if there is one.
+func (c *Client) resolved(seq uint64) bool {
+	before := len(c.resolutions)
+	if before == 0 {
+		return false
+	}
+	c.resolutions = slices.DeleteFunc(c.resolutions, func(command Command) bool { return command.Seq == seq })
+	return len(c.resolutions) < before
+}
+
+func (c *Client) handleClaimVerdict(claim *trackedClaim, verdict *Verdict) {
+	switch {
+	case verdict.Answer == AnswerGranted:
+		claim.phase = phaseGranted
+		claim.fence = verdict.Fence
+		c.proceed(claim)
+	case verdict.Answer == AnswerOwnedElsewhere && verdict.Owner == c.self:
+		// A start of this incarnation that was given up before it was committed: nothing ran here under that fence, or
+		// the claim would still be tracked.
+		c.Counters.UnknownReleased++
+		c.commands = append(c.commands, Command{Kind: CommandRelease, Sender: c.self, Key: claim.key, Fence: verdict.Fence})
+		c.sendCommand(claim, CommandClaim)
+	case verdict.Answer == AnswerOwnedElsewhere:
+		if claim.phase != phaseElsewhere {
+			c.Counters.Joined++
+		}
+		claim.phase = phaseElsewhere
+		claim.recheckAt = c.now + recheckInterval
+		c.nextScanAt = min(c.nextScanAt, claim.recheckAt)
+	default:
+		claim.phase = phaseDecided
+		claim.verdict = *verdict
+		c.proceed(claim)
+	}
+}
+
+func (c *Client) handleStartVerdict(claim *trackedClaim, verdict *Verdict) {
+	if verdict.Answer == AnswerGranted {
+		claim.phase = phaseRunning
+		c.emit(Action{Kind: StartRun, Key: claim.key})
+		return
+	}
+	c.Counters.Fenced++
+	claim.phase = phaseElsewhere
+	claim.fence = 0
+	c.sendCommand(claim, CommandClaim) // the table knows who has it
+}
+
+func (c *Client) handleAbandonedVerdict(claim *trackedClaim, verdict *Verdict) {
+	if verdict.Answer != AnswerGranted {
+		c.remove(claim)
+		return
+	}
+	claim.phase = phaseReleasing
+	claim.fence = verdict.Fence
+	c.sendCommand(claim, CommandRelease)
+}
+
+// handleEndNotification claims a token again that another node had.
+func (c *Client) handleEndNotification(claim *trackedClaim) {
+	if claim != nil && claim.phase == phaseElsewhere && claim.pendingSeq == 0 {
+		c.sendCommand(claim, CommandClaim)
+	}
+}
+
+// handleAssignment takes over the claim of a lost node. Notifications repeat, also for a claim that is over here: its start is
+// refused then.
+func (c *Client) handleAssignment(input *Input, claim *trackedClaim) {
+	if claim == nil {
+		c.Counters.Assigned++
+		claim = c.add(c.newClaim(input))
+		claim.phase = phaseGranted
+		claim.assigned = true
+		claim.fence = input.Fence
+		c.emit(Action{Kind: TakeOver, Key: input.Key, BodyHash: input.BodyHash, Duration: input.Remaining, Work: input.Work})
+		return
+	}
+	switch {
+	case claim.phase == phaseClaiming || claim.phase == phaseElsewhere:
+		c.Counters.Assigned++
+	case claim.phase == phaseGranted && claim.fence < input.Fence:
+	default:
+		return
+	}
+	delete(c.bySeq, claim.pendingSeq)
+	claim.pendingSeq = 0
+	claim.phase = phaseGranted
+	claim.fence = input.Fence
+	c.proceed(claim)
+}
