--- /dev/null
+++ b/internal/fleet/claims/client_retry_test.go
@@ -0,0 +1,65 @@
+package claims
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestClaimElsewhereIsRecheckedAndNotified(t *testing.T) {
+	client := connectedClient()
+	claim := sentCommands(stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}))
+	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeB, Fence: 3}})
+	recheck := sentCommands(stepAfter(client, ms, Input{Kind: EndNotified, Key: testKey("t")}))
+	require.Len(t, recheck, 1)
+	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: recheck[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeB, Fence: 3}})
+	assert.Len(t, sentCommands(stepAfter(client, recheckInterval+scanInterval)), 1, "though the notification was lost")
+	assert.Equal(t, []ActionKind{UnknownElsewhere}, actionKinds(stepAfter(client, ms, verdictInput(client.lastSeq, AnswerOutcomeUnknown, 0))))
+}
+
+func TestUnansweredCommandIsRetriedUnderItsSequenceNumber(t *testing.T) {
+	client := connectedClient()
+	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
+	again := sentCommands(stepAfter(client, firstRetryBackoff))
+	require.Len(t, again, 1)
+	assert.Equal(t, claim[0].Seq, again[0].Seq)
+	assert.Equal(t, claim[0].Duration-firstRetryBackoff, again[0].Duration, "with what is left of its time")
+}
+
+func TestUnreachableGroupRejectsUngrantedClaims(t *testing.T) {
+	client := connectedClient()
+	stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}, claimRequest("waiting"))
+	assert.True(t, client.Connected())
+	stepAfter(client, firstRetryBackoff)
+	actions := stepAfter(client, unreachableTimeout)
+	assert.Equal(t, []ActionKind{RejectClaim}, actionKinds(actions))
+	assert.False(t, client.Connected())
+	probe := sentCommands(stepAfter(client, probeInterval))
+	require.NotEmpty(t, probe)
+	assert.Equal(t, CommandNoop, probe[len(probe)-1].Kind)
+	late := client.claims[testKey("t")].pendingSeq
+	release := sentCommands(stepAfter(client, ms, verdictInput(late, AnswerGranted, 5)))
+	assert.True(t, client.Connected())
+	require.Len(t, release, 1)
+	assert.Equal(t, CommandRelease, release[0].Kind, "a late grant is released")
+}
+
+func TestIdleClientProbesTheGroup(t *testing.T) {
+	client := connectedClient()
+	probe := sentCommands(stepAfter(client, idleProbeInterval+ms))
+	require.Len(t, probe, 1)
+	assert.Equal(t, CommandNoop, probe[0].Kind)
+	stepAfter(client, unreachableTimeout+ms)
+	assert.False(t, client.Connected())
+}
+
+func TestEndOfAnEarlierIncarnationIsRetriedUntilCommitted(t *testing.T) {
+	client := connectedClient()
+	first := sentCommands(stepAfter(client, ms, Input{Kind: EarlierRunEnded, InvocationID: "c", Result: []byte("r")}))
+	require.Len(t, first, 1)
+	assert.Equal(t, CommandResolve, first[0].Kind)
+	assert.Len(t, sentCommands(stepAfter(client, maxRetryBackoff)), 1)
+	stepAfter(client, ms, verdictInput(first[0].Seq, AnswerDone, 0))
+	assert.Empty(t, sentCommands(stepAfter(client, maxRetryBackoff)))
+}
--- /dev/null
+++ b/internal/fleet/claims/client_verdicts_test.go
@@ -0,0 +1,43 @@
+package claims
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestStaleFenceClaimsAgain(t *testing.T) {
+	client := connectedClient()
+	claim := sentCommands(stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}))
+	start := sentCommands(stepAfter(client, ms, verdictInput(claim[0].Seq, AnswerGranted, 3)))
+	again := sentCommands(stepAfter(client, ms, verdictInput(start[0].Seq, AnswerStaleFence, 0)))
+	require.Len(t, again, 1)
+	assert.Equal(t, CommandClaim, again[0].Kind)
+	assert.True(t, client.OwnedElsewhere(testKey("t")))
+	assert.Equal(t, []ActionKind{CompletedElsewhere}, actionKinds(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: again[0].Seq, Answer: AnswerCompleted, Result: []byte("r")}})))
+}
+
+func TestUnknownClaimOfThisIncarnationIsReleased(t *testing.T) {
+	client := connectedClient()
+	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
+	actions := sentCommands(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeA, Fence: 9}}))
+	require.Len(t, actions, 2)
+	assert.Equal(t, CommandRelease, actions[0].Kind)
+	assert.Equal(t, uint64(9), actions[0].Fence)
+	assert.Equal(t, CommandClaim, actions[1].Kind)
+}
+
+func TestAssignedClaimIsTakenOverOnce(t *testing.T) {
+	client := connectedClient()
+	assignment := Input{Kind: ClaimAssigned, Key: testKey("t"), BodyHash: 7, Remaining: 1_000 * ms, Fence: 5, Work: []byte("work")}
+	assert.Equal(t, []ActionKind{TakeOver}, actionKinds(stepAfter(client, ms, assignment)))
+	assert.Empty(t, stepAfter(client, ms, assignment), "a repeated assignment")
+	start := sentCommands(stepAfter(client, ms, Input{Kind: RequestStart, Key: testKey("t")}))
+	assert.Equal(t, uint64(5), start[0].Fence)
+	stepAfter(client, ms, claimRequest("u"), Input{Kind: RequestStart, Key: testKey("u")})
+	assignment.Key = testKey("u")
+	joined := stepAfter(client, ms, assignment)
+	assert.Empty(t, actionKinds(joined), "a caller is here already: its invocation goes on")
+	assert.Equal(t, CommandStart, sentCommands(joined)[0].Kind)
+}
--- a/internal/fleet/claims/fixtures_test.go
+++ b/internal/fleet/claims/fixtures_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/fixture"
 )
 
-// What nodes and replicas say of claims, one of each kind, and what a table holds, one of each state.
+// Commands and verdicts, one of each kind, counters, and a snapshot with an entry of each state.
 func TestClaimsFixtures(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -61,7 +61,7 @@
 			require.NotNil(t, got)
 			got.heapIndex, want.heapIndex = 0, 0
 			assert.Equal(t, want, got)
-			assert.Equal(t, want.State <= StateStarted, len(table.OwnedBy(want.Owner)) == 1, "only what is claimed or started can be lost")
+			assert.Equal(t, want.State <= StateStarted, len(table.OwnedBy(want.Owner)) == 1, "only a claimed or started entry can be lost with its owner")
 		}
 		_, size := table.Size()
 		assert.Equal(t, bytes, size)
--- a/internal/fleet/claims/helpers_test.go
+++ b/internal/fleet/claims/helpers_test.go
@@ -7,56 +7,67 @@
 
 func testKey(token string) Key { return Key{Operation: "hold", Token: token} }
 
-func claimCommand(from Owner, token string) *Command {
-	return &Command{Kind: CommandClaim, Sender: from, Key: testKey(token), BodyHash: 7, Duration: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work"), InvocationID: "c-" + token}
+func claimCommand(sender Owner, token string) *Command {
+	return &Command{
+		Kind:         CommandClaim,
+		Sender:       sender,
+		Key:          testKey(token),
+		BodyHash:     7,
+		Duration:     5_000 * ms,
+		Window:       60_000 * ms,
+		Work:         []byte("work"),
+		InvocationID: "c-" + token,
+	}
 }
 
-// startedTable is a table in which a has startedTable a token.
-func startedTable(token string) (*Table, uint64) {
-	t := NewTable()
-	fence := t.Apply(claimCommand(nodeA, token)).Fence
-	t.Apply(&Command{Kind: CommandStart, Sender: nodeA, Key: testKey(token), Fence: fence})
-	return t, fence
+// startedTable is a table in which node a has started token t, and its fence.
+func startedTable() (*Table, uint64) {
+	table := NewTable()
+	fence := table.Apply(claimCommand(nodeA, "t")).Fence
+	table.Apply(&Command{Kind: CommandStart, Sender: nodeA, Key: testKey("t"), Fence: fence})
+	return table, fence
 }
 
-func advanceTime(t *Table, by int64) {
-	for ; by > 0; by -= MaxTimeStep {
-		t.Apply(&Command{Kind: CommandAdvanceTime, At: t.Time(), Duration: min(by, MaxTimeStep)})
+func advanceTime(table *Table, duration int64) {
+	for ; duration > 0; duration -= MaxTimeStep {
+		table.Apply(&Command{Kind: CommandAdvanceTime, At: table.Time(), Duration: min(duration, MaxTimeStep)})
 	}
 }
 
-// connectedClient is a desk whose council answered last connectedClient a moment.
-func connectedClient(now int64) *Client {
-	d := NewClient(nodeA)
-	d.Step(now, nil)
-	d.Step(now, []Input{{Kind: VerdictReceived, Verdict: Verdict{Seq: d.probeSeq}}})
-	return d
+// connectedClient is a client whose group answered its first probe.
+func connectedClient() *Client {
+	const now = 1
+	client := NewClient(nodeA)
+	client.Step(now, nil)
+	client.Step(now, []Input{{Kind: VerdictReceived, Verdict: Verdict{Seq: client.probeSeq}}})
+	return client
 }
 
 // sentCommands are the commands among actions.
-func sentCommands(actions []Action) (list []Command) {
-	for _, x := range actions {
-		list = append(list, x.Commands...)
+func sentCommands(actions []Action) (commands []Command) {
+	for _, action := range actions {
+		commands = append(commands, action.Commands...)
 	}
-	return list
+	return commands
 }
 
-func actionKinds(actions []Action) (list []ActionKind) {
-	for _, x := range actions {
-		if x.Kind != SendCommands {
-			list = append(list, x.Kind)
+// actionKinds are the kinds of the actions that send no commands.
+func actionKinds(actions []Action) (kinds []ActionKind) {
+	for _, action := range actions {
+		if action.Kind != SendCommands {
+			kinds = append(kinds, action.Kind)
 		}
 	}
-	return list
+	return kinds
 }
 
 func claimRequest(token string) Input {
 	return Input{Kind: RequestClaim, Key: testKey(token), BodyHash: 7, Remaining: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
 }
 
-// stepAfter steps a desk a moment later.
-func stepAfter(d *Client, by int64, inputs ...Input) []Action {
-	actions, _ := d.Step(d.now+by, inputs)
+// stepAfter steps a client after a duration.
+func stepAfter(client *Client, duration int64, inputs ...Input) []Action {
+	actions, _ := client.Step(client.now+duration, inputs)
 	return actions
 }
 
