--- a/internal/fleet/quota/fixtures_test.go
+++ b/internal/fleet/quota/fixtures_test.go
@@ -13,7 +13,7 @@
 )
 
 // What holders and replicas say of leases, one of each kind, and what a book holds.
-func TestFixturesOfLimits(t *testing.T) {
+func TestQuotaFixtures(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
 		for _, kind := range []CommandKind{CommandDefineLimit, CommandRequestLease} {
@@ -22,17 +22,17 @@
 			list = append(list, c)
 		}
 		require.Len(t, list, int(CommandKindCount))
-		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
-		fixture.RoundTrip(t, "verdicts-v1.cbor", fixture.Filled[[]Verdict](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "verdicts-v1.cbor", fixture.Filled[[]Verdict](1), cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("counters", func(t *testing.T) {
-		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("snapshot", func(t *testing.T) {
 		limits := fixture.Filled[[]*Limit](1)
-		fixture.RoundTrip(t, "snapshot-v1.cbor", limits, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "snapshot-v1.cbor", limits, cbor.Marshal, decodeMode.Unmarshal)
 		content, err := os.ReadFile(filepath.Join("testdata", "snapshot-v1.cbor"))
 		require.NoError(t, err)
 		book, err := Restore(content)
--- a/internal/fleet/quota/quota.go
+++ b/internal/fleet/quota/lease_table.go
@@ -17,11 +17,11 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	turnEvery   = 5_000 * ms // ns after which units that can't be parted evenly go to others
-	turnBits    = 11         // of a name's hash that it is turned by then: no divisor of 64
-	limitsMost  = 256        // limits of a fleet
-	holdersMost = 2_000      // holders of one limit: above any table of members
-	unitsMost   = 1 << 30    // of one limit
+	rotationInterval = 5_000 * ms // ns after which units that can't be parted evenly go to others
+	rotationBits     = 11         // of a name's hash that it is turned by then: no divisor of 64
+	maxLimits        = 256        // limits of a fleet
+	maxHolders       = 2_000      // holders of one limit: above any table of members
+	maxUnits         = 1 << 30    // of one limit
 )
 
 // MaxTimeStep is the most that the table's time moves on at once, in ns. The first such step after a grant may count time from
@@ -120,10 +120,10 @@
 		return v
 	}
 	v.LimitDefined = true
-	l.expire(time)
+	l.expireLeases(time)
 	k, held := slices.BinarySearchFunc(l.Leases, c.Sender, func(x Lease, w Owner) int { return CompareOwners(x.Who, w) })
 	if !held {
-		if c.WantedUnits <= 0 || len(l.Leases) >= holdersMost {
+		if c.WantedUnits <= 0 || len(l.Leases) >= maxHolders {
 			return v
 		}
 		l.Leases = slices.Insert(l.Leases, k, Lease{Who: c.Sender})
@@ -133,10 +133,10 @@
 		return v
 	}
 	if c.Seq > x.Seq {
-		x.Units, x.Want, x.Seq = min(x.Units, max(0, c.UnitsInUse)), min(max(0, c.WantedUnits), unitsMost), c.Seq
+		x.Units, x.Want, x.Seq = min(x.Units, max(0, c.UnitsInUse)), min(max(0, c.WantedUnits), maxUnits), c.Seq
 	}
 	x.Until = max(x.Until, time+max(0, c.LeaseDuration)+MaxTimeStep)
-	v.FairShare = l.fair(time)[k]
+	v.FairShare = l.fairShares(time)[k]
 	if free := l.Units - l.LeasedUnits(); time >= l.Wait+MaxTimeStep && free > 0 {
 		x.Units += min(free, max(0, v.FairShare-x.Units))
 	}
@@ -148,8 +148,8 @@
 
 func (b *LeaseTable) define(c *Command, l *Limit) {
 	switch {
-	case c.Units < 0 || c.Units > unitsMost:
-	case l == nil && len(b.limits) < limitsMost:
+	case c.Units < 0 || c.Units > maxUnits:
+	case l == nil && len(b.limits) < maxLimits:
 		b.limits[c.Limit] = &Limit{Name: c.Limit, Units: c.Units, Version: c.Version, Wait: c.StartDelay}
 	case l != nil && c.Version > l.Version:
 		l.Units, l.Version = c.Units, c.Version
@@ -159,17 +159,17 @@
 // ExpireLeases ends the leases whose time is over.
 func (b *LeaseTable) ExpireLeases(time int64) {
 	for _, l := range b.limits {
-		l.expire(time)
+		l.expireLeases(time)
 	}
 }
 
-func (l *Limit) expire(time int64) {
+func (l *Limit) expireLeases(time int64) {
 	l.Leases = slices.DeleteFunc(l.Leases, func(x Lease) bool { return x.Until <= time })
 }
 
-// fair is each holder's part, in the order of the leases: no more than it wants, and what some do not want goes to the
+// fairShares is each holder's part, in the order of the leases: no more than it wants, and what some do not want goes to the
 // others alike. What can't be parted evenly goes round.
-func (l *Limit) fair(time int64) []int64 {
+func (l *Limit) fairShares(time int64) []int64 {
 	parts := make([]int64, len(l.Leases))
 	left, open := l.Units, make([]int, 0, len(parts))
 	for i := range l.Leases {
@@ -194,7 +194,7 @@
 	}
 	turns := make([]turn, len(open))
 	for k, i := range open { // another order each time
-		turns[k] = turn{bits.RotateLeft64(xxhash.Sum64String(l.Leases[i].Who.Name), int(time/turnEvery*turnBits)), i}
+		turns[k] = turn{bits.RotateLeft64(xxhash.Sum64String(l.Leases[i].Who.Name), int(time/rotationInterval*rotationBits)), i}
 	}
 	slices.SortFunc(turns, func(a, b turn) int { return cmp.Compare(a.key, b.key) })
 	for _, t := range turns[:min(int64(len(turns)), left)] {
@@ -223,8 +223,8 @@
 // Snapshot writes the book; two that are equal are written alike.
 func (b *LeaseTable) Snapshot() ([]byte, error) { return cbor.Marshal(b.Limits()) }
 
-var decode = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: limitsMost * holdersMost, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+var decodeMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxLimits * maxHolders, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err) // of constants
 	}
@@ -234,7 +234,7 @@
 // Restore reads a book.
 func Restore(text []byte) (*LeaseTable, error) {
 	var list []*Limit
-	if err := decode.Unmarshal(text, &list); err != nil {
+	if err := decodeMode.Unmarshal(text, &list); err != nil {
 		return nil, fmt.Errorf("quota: a snapshot can't be read: %w", err)
 	}
 	b := NewLeaseTable()
