--- a/internal/fleet/quota/fixtures_test.go
+++ b/internal/fleet/quota/fixtures_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/fixture"
 )
 
-// What holders and replicas say of leases, one of each kind, and what a book holds.
+// Commands, one of each kind, verdicts, counters, and a snapshot.
 func TestQuotaFixtures(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -35,10 +35,10 @@
 		fixture.RoundTrip(t, "snapshot-v1.cbor", limits, cbor.Marshal, decodeMode.Unmarshal)
 		content, err := os.ReadFile(filepath.Join("testdata", "snapshot-v1.cbor"))
 		require.NoError(t, err)
-		book, err := Restore(content)
+		table, err := Restore(content)
 		require.NoError(t, err)
-		assert.Equal(t, limits, book.Limits())
-		text, err := book.Snapshot()
+		assert.Equal(t, limits, table.Limits())
+		text, err := table.Snapshot()
 		require.NoError(t, err)
 		assert.Equal(t, content, text)
 	})
--- /dev/null
+++ b/internal/fleet/quota/helpers_test.go
@@ -0,0 +1,18 @@
+package quota
+
+var (
+	nodeA      = Owner{"a", 1}
+	nodeB      = Owner{"b", 1}
+	testConfig = HolderConfig{Name: "calls", Term: 4_000 * ms, Hold: 500 * ms, Units: 10}
+)
+
+// tableWithLimit is a table with one limit, whose first grants need not wait.
+func tableWithLimit(units int64) *LeaseTable {
+	table := NewLeaseTable()
+	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: units, Version: 1, StartDelay: -MaxTimeStep})
+	return table
+}
+
+func leaseRequest(holder Owner, seq uint64, unitsInUse, wanted int64) *Command {
+	return &Command{Kind: CommandRequestLease, Sender: holder, Seq: seq, Limit: "calls", UnitsInUse: unitsInUse, WantedUnits: wanted, LeaseDuration: testConfig.Term}
+}
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -6,30 +6,12 @@
 	"math/rand"
 )
 
-var (
-	nodeA      = Owner{"a", 1}
-	nodeB      = Owner{"b", 1}
-	nodeC      = Owner{"c", 1}
-	testConfig = HolderConfig{Name: "calls", Term: 4_000 * ms, Hold: 500 * ms, Units: 10}
-)
-
-// tableWithLimit is a book with one limit, whose first grants need not wait.
-func tableWithLimit(units int64) *LeaseTable {
-	x := NewLeaseTable()
-	x.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: units, Version: 1, StartDelay: -MaxTimeStep})
-	return x
-}
-
-func leaseRequest(who Owner, seq uint64, keep, want int64) *Command {
-	return &Command{Kind: CommandRequestLease, Sender: who, Seq: seq, Limit: "calls", UnitsInUse: keep, WantedUnits: want, LeaseDuration: testConfig.Term}
-}
-
 // simulatedNode is a holder with a clock of its own rate, and the units that it uses.
 type simulatedNode struct {
 	holder      *LeaseHolder
 	clockRate   float64
-	pausedUntil int64   // that it stands still
-	useEnds     []int64 // when each use ends, in the world's time
+	pausedUntil int64
+	useEnds     []int64 // when each use ends, in the simulation's time
 	demand      int
 	incarnation uint64
 	wakeAt      int64
@@ -44,172 +26,185 @@
 type eventQueue []event
 
 func (x eventQueue) Len() int { return len(x) }
+
 func (x eventQueue) Less(i, j int) bool {
 	return x[i].at < x[j].at || x[i].at == x[j].at && x[i].seq < x[j].seq
 }
+
 func (x eventQueue) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
-func (x *eventQueue) Push(e any)   { *x = append(*x, e.(event)) }
-func (x *eventQueue) Pop() any     { l := (*x)[len(*x)-1]; *x = (*x)[:len(*x)-1]; return l }
 
-// simulation plays holders over links that lose, delay and double, beside one book whose time lags behind the simulation's.
+func (x *eventQueue) Push(e any) { *x = append(*x, e.(event)) }
+
+func (x *eventQueue) Pop() any {
+	last := (*x)[len(*x)-1]
+	*x = (*x)[:len(*x)-1]
+	return last
+}
+
+// simulation runs holders over links that lose, delay and duplicate messages, and one lease table whose time lags behind the simulation's.
 type simulation struct {
 	rng              *rand.Rand
 	now, lastSeq     int64
 	events           eventQueue
 	table            *LeaseTable
-	tableTime        int64 // its time
-	tableTimeAt      int64
+	tableTime        int64
+	tableTimeAt      int64 // when it last advanced
 	nodes            []*simulatedNode
 	partitioned      []bool
 	lossRate         float64
-	maxDelay         int64 // ns that a message may take at the most
+	maxDelay         int64 // ns that a message takes, if it is no duplicate
 	violation        string
 	useExpiredLeases bool  // mutation: leases are used past their end
 	neverGiveBack    bool  // mutation: holders give nothing back
-	fixedShare       int64 // that each site may use whatever its lease, as fixed shares are; 0 for leases
-	measuring        bool  // the limit is wanted, and no bound lets it lie unused
+	fixedShare       int64 // that each node may use whatever its lease; 0 for leases
+	measuring        bool  // the limit is wanted, and nothing excuses unused units
 	utilizationTime  float64
 	measuredTime     float64
 	peak             int
 	config           HolderConfig
 }
 
-func newSimulation(seed int64, sites int, limit int64) *simulation {
-	w := &simulation{rng: rand.New(rand.NewSource(seed)), now: 1, table: NewLeaseTable(), maxDelay: 2 * ms, config: testConfig}
-	w.config.Units = limit
-	w.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.Term})
-	w.partitioned = make([]bool, sites)
-	for i := range sites {
-		w.nodes = append(w.nodes, &simulatedNode{})
-		w.restart(i)
+func newSimulation(seed int64, nodes int, limit int64) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewSource(seed)), now: 1, table: NewLeaseTable(), maxDelay: 2 * ms, config: testConfig}
+	sim.config.Units = limit
+	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.Term})
+	sim.partitioned = make([]bool, nodes)
+	for i := range nodes {
+		sim.nodes = append(sim.nodes, &simulatedNode{})
+		sim.restart(i)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) schedule(schedule int64, do func()) {
-	w.lastSeq++
-	heap.Push(&w.events, event{max(schedule, w.now), w.lastSeq, do})
+func (sim *simulation) schedule(at int64, run func()) {
+	sim.lastSeq++
+	heap.Push(&sim.events, event{at: max(at, sim.now), seq: sim.lastSeq, run: run})
 }
 
-func (w *simulation) run(until int64) {
-	for len(w.events) > 0 && w.events[0].at <= until && w.violation == "" {
-		e := heap.Pop(&w.events).(event)
-		if w.measuring {
-			w.measuredTime += float64(e.at - w.now)
-			w.utilizationTime += float64(w.totalInUse()) / float64(w.config.Units) * float64(e.at-w.now)
+func (sim *simulation) run(until int64) {
+	for len(sim.events) > 0 && sim.events[0].at <= until && sim.violation == "" {
+		e := heap.Pop(&sim.events).(event)
+		if sim.measuring {
+			sim.measuredTime += float64(e.at - sim.now)
+			sim.utilizationTime += float64(sim.totalInUse()) / float64(sim.config.Units) * float64(e.at-sim.now)
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
-// restart is a new life of a site; what it used goes on at the dependency to its end.
-func (w *simulation) restart(i int) {
-	s := w.nodes[i]
-	used := s.useEnds
-	*s = simulatedNode{clockRate: 0.99 + 0.02*w.rng.Float64(), incarnation: s.incarnation + 1, useEnds: used, demand: s.demand}
-	s.holder = NewLeaseHolder(w.config, Owner{fmt.Sprint("n", i), s.incarnation})
-	w.wakeNode(i, w.now)
+// restart begins a new incarnation of a node; its use of units goes on to its end at the dependency.
+func (sim *simulation) restart(i int) {
+	node := sim.nodes[i]
+	used := node.useEnds
+	*node = simulatedNode{clockRate: 0.99 + 0.02*sim.rng.Float64(), incarnation: node.incarnation + 1, useEnds: used, demand: node.demand}
+	node.holder = NewLeaseHolder(sim.config, Owner{fmt.Sprint("n", i), node.incarnation})
+	sim.wakeNode(i, sim.now)
 }
 
-func (s *simulatedNode) clock(now int64) int64 { return int64(s.clockRate*float64(now)) + 1_000_000*ms }
+func (node *simulatedNode) clock(now int64) int64 {
+	return int64(node.clockRate*float64(now)) + 1_000_000*ms
+}
 
-func (w *simulation) wakeNode(i int, at int64) {
-	s, life := w.nodes[i], w.nodes[i].incarnation
-	at = max(at, w.now)
-	if s.wakeAt > 0 && s.wakeAt <= at {
+func (sim *simulation) wakeNode(i int, at int64) {
+	node := sim.nodes[i]
+	incarnation := node.incarnation
+	at = max(at, sim.now)
+	if node.wakeAt > 0 && node.wakeAt <= at {
 		return
 	}
-	s.wakeAt = at
-	w.schedule(at, func() {
-		if s.incarnation == life && s.wakeAt == at {
-			s.wakeAt = 0
-			w.stepNode(i)
+	node.wakeAt = at
+	sim.schedule(at, func() {
+		if node.incarnation == incarnation && node.wakeAt == at {
+			node.wakeAt = 0
+			sim.stepNode(i)
 		}
 	})
 }
 
-func (w *simulation) stepNode(i int) {
-	s := w.nodes[i]
-	if w.now < s.pausedUntil {
-		w.wakeNode(i, s.pausedUntil)
+func (sim *simulation) stepNode(i int) {
+	node := sim.nodes[i]
+	if sim.now < node.pausedUntil {
+		sim.wakeNode(i, node.pausedUntil)
 		return
 	}
-	local := s.clock(w.now)
-	allowed := s.holder.Allowed(local)
-	if w.useExpiredLeases {
-		allowed = s.holder.units
+	local := node.clock(sim.now)
+	allowed := node.holder.Allowed(local)
+	if sim.useExpiredLeases {
+		allowed = node.holder.units
 	}
-	if w.fixedShare > 0 {
-		allowed = w.fixedShare
+	if sim.fixedShare > 0 {
+		allowed = sim.fixedShare
 	}
-	for int64(w.unitsInUse(s)) < allowed && w.unitsInUse(s) < s.demand {
-		s.useEnds = append(s.useEnds, w.now+w.rng.Int63n(int64(0.98*float64(w.config.Hold))))
+	for int64(sim.unitsInUse(node)) < allowed && sim.unitsInUse(node) < node.demand {
+		node.useEnds = append(node.useEnds, sim.now+sim.rng.Int63n(int64(0.98*float64(sim.config.Hold))))
 	}
-	send, next := s.holder.Step(local, int64(w.unitsInUse(s)), int64(max(0, s.demand-w.unitsInUse(s))), s.verdicts)
-	s.verdicts = s.verdicts[:0]
+	send, next := node.holder.Step(local, int64(sim.unitsInUse(node)), int64(max(0, node.demand-sim.unitsInUse(node))), node.verdicts)
+	node.verdicts = node.verdicts[:0]
 	for k := range send {
-		if w.neverGiveBack {
-			send[k].UnitsInUse = w.config.Units
+		if sim.neverGiveBack {
+			send[k].UnitsInUse = sim.config.Units
 		}
-		w.request(i, send[k])
+		sim.request(i, send[k])
 	}
-	w.checkLimit()
-	w.wakeNode(i, w.now+int64(min(float64(20*ms), float64(next-local)/s.clockRate))+1)
+	sim.checkLimit()
+	sim.wakeNode(i, sim.now+int64(min(float64(20*ms), float64(next-local)/node.clockRate))+1)
 }
 
-func (w *simulation) unitsInUse(s *simulatedNode) (n int) {
-	kept := s.useEnds[:0]
-	for _, end := range s.useEnds {
-		if end > w.now {
-			kept = append(kept, end)
+func (sim *simulation) unitsInUse(node *simulatedNode) (n int) {
+	current := node.useEnds[:0]
+	for _, end := range node.useEnds {
+		if end > sim.now {
+			current = append(current, end)
 		}
 	}
-	s.useEnds = kept
-	return len(kept)
+	node.useEnds = current
+	return len(current)
 }
 
-func (w *simulation) totalInUse() (sum int) {
-	for _, s := range w.nodes {
-		sum += w.unitsInUse(s)
+func (sim *simulation) totalInUse() (sum int) {
+	for _, node := range sim.nodes {
+		sum += sim.unitsInUse(node)
 	}
 	return sum
 }
 
-// checkLimit wants that all that is used fits the limit, at this moment.
-func (w *simulation) checkLimit() {
-	sum := w.totalInUse()
-	w.peak = max(w.peak, sum)
-	if int64(sum) > w.config.Units {
-		w.violation = fmt.Sprintf("%d units of %d in use at %d ms", sum, w.config.Units, w.now/ms)
+// checkLimit records a violation if more units are in use now than the limit has.
+func (sim *simulation) checkLimit() {
+	sum := sim.totalInUse()
+	sim.peak = max(sim.peak, sum)
+	if int64(sum) > sim.config.Units {
+		sim.violation = fmt.Sprintf("%d units of %d in use at %d ms", sum, sim.config.Units, sim.now/ms)
 	}
 }
 
-// request brings a command to the book and its verdict back.
-func (w *simulation) request(i int, command Command) {
-	life := w.nodes[i].incarnation
-	way := func(do func()) {
-		if w.partitioned[i] || w.rng.Float64() < w.lossRate {
+// request carries a command to the table and its verdict back.
+func (sim *simulation) request(i int, command Command) {
+	incarnation := sim.nodes[i].incarnation
+	deliver := func(run func()) {
+		if sim.partitioned[i] || sim.rng.Float64() < sim.lossRate {
 			return
 		}
-		w.schedule(w.now+w.rng.Int63n(w.maxDelay)+1, do)
-		if w.rng.Intn(20) == 0 {
-			w.schedule(w.now+w.rng.Int63n(20*w.maxDelay)+1, do)
+		sim.schedule(sim.now+sim.rng.Int63n(sim.maxDelay)+1, run)
+		if sim.rng.Intn(20) == 0 {
+			sim.schedule(sim.now+sim.rng.Int63n(20*sim.maxDelay)+1, run)
 		}
 	}
-	way(func() {
-		if lag := min(MaxTimeStep, int64(0.98*float64(w.now-w.tableTimeAt))); lag > 0 && w.rng.Intn(2) == 0 { // behind, and slower than the world
-			w.tableTime, w.tableTimeAt = w.tableTime+lag, w.now
+	deliver(func() {
+		// The table's time lags behind, and runs slower than the simulation.
+		if step := min(MaxTimeStep, int64(0.98*float64(sim.now-sim.tableTimeAt))); step > 0 && sim.rng.Intn(2) == 0 {
+			sim.tableTime += step
+			sim.tableTimeAt = sim.now
 		}
-		v := w.table.Apply(w.tableTime, &command)
-		if l := w.table.Find("calls"); l.LeasedUnits() > l.Units {
-			w.violation = fmt.Sprintf("leases of %d units of %d", l.LeasedUnits(), l.Units)
+		verdict := sim.table.Apply(sim.tableTime, &command)
+		if l := sim.table.Find("calls"); l.LeasedUnits() > l.Units {
+			sim.violation = fmt.Sprintf("leases of %d units of %d", l.LeasedUnits(), l.Units)
 		}
-		way(func() {
-			if s := w.nodes[i]; s.incarnation == life {
-				s.verdicts = append(s.verdicts, v)
-				w.wakeNode(i, w.now)
+		deliver(func() {
+			if node := sim.nodes[i]; node.incarnation == incarnation {
+				node.verdicts = append(node.verdicts, verdict)
+				sim.wakeNode(i, sim.now)
 			}
 		})
 	})
