--- a/internal/fleet/takeover/takeover.go
+++ b/internal/fleet/takeover/planner.go
@@ -14,13 +14,13 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	handedMost = 8           // claims that one heir is given and has not begun: a few times what a node starts in a round trip
-	onceMost   = 256         // commands proposed in one step: an entry of the log stays small
-	againAfter = 200 * ms    // ns after which an heir that has not begun is told again
-	unseenFor  = 10_000 * ms // ns after which an owner that no view ever had is lost: views settle in a few seconds
-	sameZone   = 0.25        // weight of an heir in the zone of the lost: zones are lost as a whole
-	levelPart  = 0.5         // weight that each level of reduced service takes from an heir
-	cutLeast   = 20 * ms     // ns to the due time below which a hand-over comes to nothing
+	maxUnstartedPerOwner = 8           // claims that one heir is given and has not begun: a few times what a node starts in a round trip
+	maxCommandsPerStep   = 256         // commands proposed in one step: an entry of the log stays small
+	retryInterval        = 200 * ms    // ns after which an heir that has not begun is told again
+	unseenTimeout        = 10_000 * ms // ns after which an owner that no view ever had is lost: views settle in a few seconds
+	sameZoneWeight       = 0.25        // weight of an heir in the zone of the lost: zones are lost as a whole
+	levelWeight          = 0.5         // weight that each level of reduced service takes from an heir
+	minRemaining         = 20 * ms     // ns to the due time below which a hand-over comes to nothing
 )
 
 // Member is one that may inherit, or that is lost.
@@ -34,9 +34,9 @@
 
 // Planner is what the leader of a council knows of hand-overs under way. It is made anew with each leader.
 type Planner struct {
-	Counters Counters
-	handed   map[claims.Key]*handed
-	unseen   map[claims.Owner]int64 // since when
+	Counters      Counters
+	reassignments map[claims.Key]*pendingReassignment
+	unseenSince   map[claims.Owner]int64 // since when
 }
 
 // Counters are what operators see.
@@ -46,11 +46,11 @@
 	Waiting       int `json:"-"` // claims of the lost that no heir has room for now
 }
 
-type handed struct {
-	fence uint64 // under which the heir has it, 0 until that is agreed on
-	heir  claims.Owner
-	from  claims.Owner
-	at    int64 // when it was last told or proposed
+type pendingReassignment struct {
+	fence         uint64 // under which the heir has it, 0 until that is agreed on
+	newOwner      claims.Owner
+	lostOwner     claims.Owner
+	lastAttemptAt int64 // when it was last told or proposed
 }
 
 // Reassignment is a claim that its heir is to be told of.
@@ -64,7 +64,7 @@
 
 // NewPlanner is a planner that has handed nothing over.
 func NewPlanner() *Planner {
-	return &Planner{handed: map[claims.Key]*handed{}, unseen: map[claims.Owner]int64{}}
+	return &Planner{reassignments: map[claims.Key]*pendingReassignment{}, unseenSince: map[claims.Owner]int64{}}
 }
 
 // Step says what to propose of the claims of owners that are lost, and which heirs are to be told. An owner is lost where
@@ -76,42 +76,42 @@
 		by[view[i].Owner.Name] = &view[i]
 	}
 	for _, e := range table.Reassigned() { // an earlier leader handed it over, and its heir may not have heard of it
-		if p.handed[e.Key] == nil {
-			p.handed[e.Key] = &handed{fence: e.Fence, heir: e.Owner, at: now - againAfter}
+		if p.reassignments[e.Key] == nil {
+			p.reassignments[e.Key] = &pendingReassignment{fence: e.Fence, newOwner: e.Owner, lastAttemptAt: now - retryInterval}
 		}
 	}
 	waiting := map[claims.Owner]int{}
-	for _, k := range p.keys() {
-		h := p.handed[k]
+	for _, k := range p.sortedKeys() {
+		h := p.reassignments[k]
 		e := table.Find(k)
 		switch {
-		case e == nil || e.State != claims.StateClaimed || h.fence != 0 && (e.Fence != h.fence || e.Owner != h.heir):
-			delete(p.handed, k)
+		case e == nil || e.State != claims.StateClaimed || h.fence != 0 && (e.Fence != h.fence || e.Owner != h.newOwner):
+			delete(p.reassignments, k)
 			continue
-		case h.fence == 0 && e.Owner == h.heir: // agreed on
-			h.fence, h.at = e.Fence, now
-			gifts = append(gifts, Reassignment{To: h.heir, From: h.from, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead, First: true})
-		case h.fence == 0 && now >= h.at+againAfter: // the proposal was lost
-			delete(p.handed, k)
+		case h.fence == 0 && e.Owner == h.newOwner: // agreed on
+			h.fence, h.lastAttemptAt = e.Fence, now
+			gifts = append(gifts, Reassignment{To: h.newOwner, From: h.lostOwner, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead, First: true})
+		case h.fence == 0 && now >= h.lastAttemptAt+retryInterval: // the proposal was lost
+			delete(p.reassignments, k)
 			continue
-		case h.fence != 0 && now >= h.at+againAfter:
-			h.at = now
-			gifts = append(gifts, Reassignment{To: h.heir, From: h.from, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead})
+		case h.fence != 0 && now >= h.lastAttemptAt+retryInterval:
+			h.lastAttemptAt = now
+			gifts = append(gifts, Reassignment{To: h.newOwner, From: h.lostOwner, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead})
 		}
-		waiting[h.heir]++
+		waiting[h.newOwner]++
 	}
-	for owner := range p.unseen {
+	for owner := range p.unseenSince {
 		if len(table.OwnedBy(owner)) == 0 {
-			delete(p.unseen, owner)
+			delete(p.unseenSince, owner)
 		}
 	}
 	p.Counters.Waiting = 0
 	for _, owner := range table.Owners() {
-		if !p.lost(now, owner, by[owner.Name]) {
+		if !p.isLost(now, owner, by[owner.Name]) {
 			continue
 		}
 		for _, e := range table.OwnedBy(owner) {
-			if len(commands) >= onceMost {
+			if len(commands) >= maxCommandsPerStep {
 				return commands, gifts
 			}
 			if e.State == claims.StateStarted {
@@ -119,50 +119,50 @@
 				commands = append(commands, claims.Command{Kind: claims.CommandMarkUnknown, Key: e.Key, Fence: e.Fence})
 				continue
 			}
-			if h := p.handed[e.Key]; h != nil && h.heir == owner { // the heir is lost too
-				delete(p.handed, e.Key)
+			if h := p.reassignments[e.Key]; h != nil && h.newOwner == owner { // the heir is lost too
+				delete(p.reassignments, e.Key)
 			} else if h != nil {
 				continue
 			}
-			if e.ExpiresAt-table.Time()-ahead < cutLeast {
+			if e.ExpiresAt-table.Time()-ahead < minRemaining {
 				continue
 			}
-			heir := ChooseNewOwner(e, view, by[owner.Name], func(o claims.Owner) bool { return waiting[o] < handedMost })
+			heir := ChooseNewOwner(e, view, by[owner.Name], func(o claims.Owner) bool { return waiting[o] < maxUnstartedPerOwner })
 			if heir == nil {
 				p.Counters.Waiting++
 				continue
 			}
 			waiting[heir.Owner]++
 			p.Counters.Reassigned++
-			p.handed[e.Key] = &handed{heir: heir.Owner, from: owner, at: now}
+			p.reassignments[e.Key] = &pendingReassignment{newOwner: heir.Owner, lostOwner: owner, lastAttemptAt: now}
 			commands = append(commands, claims.Command{Kind: claims.CommandReassign, Key: e.Key, Fence: e.Fence, NewOwner: heir.Owner})
 		}
 	}
 	return commands, gifts
 }
 
-func (p *Planner) keys() []claims.Key {
-	keys := make([]claims.Key, 0, len(p.handed))
-	for k := range p.handed {
+func (p *Planner) sortedKeys() []claims.Key {
+	keys := make([]claims.Key, 0, len(p.reassignments))
+	for k := range p.reassignments {
 		keys = append(keys, k)
 	}
 	slices.SortFunc(keys, claims.CompareKeys)
 	return keys
 }
 
-func (p *Planner) lost(now int64, owner claims.Owner, m *Member) bool {
+func (p *Planner) isLost(now int64, owner claims.Owner, m *Member) bool {
 	if owner == (claims.Owner{}) { // an heir gave them back
 		return true
 	}
 	if m == nil {
-		since, seen := p.unseen[owner]
+		since, seen := p.unseenSince[owner]
 		if !seen {
 			since = now
-			p.unseen[owner] = now
+			p.unseenSince[owner] = now
 		}
-		return now-since >= unseenFor
+		return now-since >= unseenTimeout
 	}
-	delete(p.unseen, owner)
+	delete(p.unseenSince, owner)
 	return !m.Alive || m.Owner.Incarnation > owner.Incarnation
 }
 
@@ -179,9 +179,9 @@
 		if slices.Contains(e.Waiters, m.Owner) {
 			return m
 		}
-		weight := math.Pow(levelPart, float64(m.Level))
+		weight := math.Pow(levelWeight, float64(m.Level))
 		if lost != nil && lost.Zone != "" && m.Zone == lost.Zone {
-			weight *= sameZone
+			weight *= sameZoneWeight
 		}
 		drawn := (float64(xxhash.Sum64String(m.Owner.Name+"\x00"+e.Key.Token)>>11) + 0.5) / (1 << 53)
 		if score := -math.Log(drawn) / weight; score < least {
