--- a/internal/fleet/takeover/planner.go
+++ b/internal/fleet/takeover/planner.go
@@ -1,192 +1,250 @@
-// Package takeover decides what becomes of the claims of a node that was lost: who is their heir, and when each is handed
-// over. It does no I/O, reads no clock, and decides about no fence: what it proposes is refused where it is late.
+// Package takeover plans what becomes of the claims of a lost node: who is the new owner of each, and when it is notified. It does
+// no I/O, reads no clock, and gives out no fence: what it proposes is refused by the table of claims where it is late.
 package takeover
 
 import (
-	"math"
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-
 	"topazpost/internal/fleet/claims"
 )
 
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	maxUnstartedPerOwner = 8           // claims that one heir is given and has not begun: a few times what a node starts in a round trip
-	maxCommandsPerStep   = 256         // commands proposed in one step: an entry of the log stays small
-	retryInterval        = 200 * ms    // ns after which an heir that has not begun is told again
+	maxUnstartedPerOwner = 8           // reassigned claims that one new owner has not started: a few times what it starts in a round trip
+	maxCommandsPerStep   = 256         // so that an entry of the log stays small
+	retryInterval        = 200 * ms    // ns after which a new owner that has not started is notified again
 	unseenTimeout        = 10_000 * ms // ns after which an owner that no view ever had is lost: views settle in a few seconds
-	sameZoneWeight       = 0.25        // weight of an heir in the zone of the lost: zones are lost as a whole
-	levelWeight          = 0.5         // weight that each level of reduced service takes from an heir
-	minRemaining         = 20 * ms     // ns to the due time below which a hand-over comes to nothing
+	minRemaining         = 20 * ms     // ns to the due time, below which a reassigned claim can't be run in time
 )
 
-// Member is one that may inherit, or that is lost.
+// Member is a node that may become a new owner, or that is lost.
 type Member struct {
 	Owner       claims.Owner
-	Alive       bool // in the view: not dead, and it has not left
-	AcceptsWork bool // it takes work: neither draining nor without an executor
+	Alive       bool // in the view: neither dead nor gone
+	AcceptsWork bool // neither draining nor without an executor
 	Zone        string
-	Level       int // of reduced service
-}
-
-// Planner is what the leader of a council knows of hand-overs under way. It is made anew with each leader.
-type Planner struct {
-	Counters      Counters
-	reassignments map[claims.Key]*pendingReassignment
-	unseenSince   map[claims.Owner]int64 // since when
+	Level       int // of graceful degradation
 }
 
 // Counters are what operators see.
 type Counters struct {
 	Reassigned    int `json:"handed"`
 	MarkedUnknown int `json:"doubted"`
-	Waiting       int `json:"-"` // claims of the lost that no heir has room for now
+	Waiting       int `json:"-"` // claims of lost nodes that no new owner has capacity for now
 }
 
+// Planner is what the leader of a consensus group knows of reassignments in progress. Each leader starts with a new one.
+type Planner struct {
+	Counters Counters
+
+	reassignments map[claims.Key]*pendingReassignment
+	unseenSince   map[claims.Owner]int64 // of owners that no view ever had
+	members       map[string]*Member     // of the last view, by name
+}
+
+// pendingReassignment is a claim that its new owner has not started.
 type pendingReassignment struct {
-	fence         uint64 // under which the heir has it, 0 until that is agreed on
+	fence         uint64 // under which the new owner has it, 0 until that is committed
 	newOwner      claims.Owner
 	lostOwner     claims.Owner
-	lastAttemptAt int64 // when it was last told or proposed
+	lastAttemptAt int64 // when it was last proposed, or its new owner notified
 }
 
-// Reassignment is a claim that its heir is to be told of.
+// Reassignment is a claim that its new owner is to be notified of.
 type Reassignment struct {
 	To        claims.Owner
-	From      claims.Owner // who was lost
+	From      claims.Owner // the lost one
 	Entry     *claims.Entry
 	Remaining int64 // ns to its due time
 	First     bool
 }
 
-// NewPlanner is a planner that has handed nothing over.
+// NewPlanner returns a planner without reassignments in progress.
 func NewPlanner() *Planner {
-	return &Planner{reassignments: map[claims.Key]*pendingReassignment{}, unseenSince: map[claims.Owner]int64{}}
+	return &Planner{
+		reassignments: map[claims.Key]*pendingReassignment{},
+		unseenSince:   map[claims.Owner]int64{},
+		members:       map[string]*Member{},
+	}
+}
+
+// step is the state of one Step.
+type step struct {
+	planner       *Planner
+	now           int64
+	tableTime     int64 // with the time that the table may lag behind
+	view          []Member
+	table         *claims.Table
+	unstarted     map[claims.Owner]int // reassigned claims by new owner
+	commands      []claims.Command
+	notifications []Reassignment
 }
 
-// Step says what to propose of the claims of owners that are lost, and which heirs are to be told. An owner is lost where
-// the view has another life under its name, or has it dead or left, or never had it for long. Ahead is by how much
-// the table's time may lag.
-func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) (commands []claims.Command, gifts []Reassignment) {
-	by := make(map[string]*Member, len(view))
+// Step returns what to propose for the claims of lost owners, and which new owners to notify. An owner is lost where the view has
+// a later incarnation under its name, or has it dead or gone, or never had it for long. Ahead is by how much the table's time may
+// lag.
+func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) ([]claims.Command, []Reassignment) {
+	s := step{
+		planner:   p,
+		now:       now,
+		tableTime: table.Time() + ahead,
+		view:      view,
+		table:     table,
+	}
+	p.setView(view)
+	p.adoptReassignments(now, table)
+	for _, key := range p.sortedKeys() {
+		s.followUp(key)
+	}
+	p.forgetUnseen(table)
+	p.Counters.Waiting = 0
+	s.planLostOwners()
+	return s.commands, s.notifications
+}
+
+func (p *Planner) setView(view []Member) {
+	clear(p.members)
 	for i := range view {
-		by[view[i].Owner.Name] = &view[i]
+		p.members[view[i].Owner.Name] = &view[i]
 	}
-	for _, e := range table.Reassigned() { // an earlier leader handed it over, and its heir may not have heard of it
-		if p.reassignments[e.Key] == nil {
-			p.reassignments[e.Key] = &pendingReassignment{fence: e.Fence, newOwner: e.Owner, lastAttemptAt: now - retryInterval}
+}
+
+// adoptReassignments takes over those of an earlier leader, whose new owners may not have been notified.
+func (p *Planner) adoptReassignments(now int64, table *claims.Table) {
+	for _, entry := range table.Reassigned() {
+		if p.reassignments[entry.Key] == nil {
+			p.reassignments[entry.Key] = &pendingReassignment{fence: entry.Fence, newOwner: entry.Owner, lastAttemptAt: now - retryInterval}
 		}
 	}
-	waiting := map[claims.Owner]int{}
-	for _, k := range p.sortedKeys() {
-		h := p.reassignments[k]
-		e := table.Find(k)
-		switch {
-		case e == nil || e.State != claims.StateClaimed || h.fence != 0 && (e.Fence != h.fence || e.Owner != h.newOwner):
-			delete(p.reassignments, k)
-			continue
-		case h.fence == 0 && e.Owner == h.newOwner: // agreed on
-			h.fence, h.lastAttemptAt = e.Fence, now
-			gifts = append(gifts, Reassignment{To: h.newOwner, From: h.lostOwner, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead, First: true})
-		case h.fence == 0 && now >= h.lastAttemptAt+retryInterval: // the proposal was lost
-			delete(p.reassignments, k)
-			continue
-		case h.fence != 0 && now >= h.lastAttemptAt+retryInterval:
-			h.lastAttemptAt = now
-			gifts = append(gifts, Reassignment{To: h.newOwner, From: h.lostOwner, Entry: e, Remaining: e.ExpiresAt - table.Time() - ahead})
-		}
-		waiting[h.newOwner]++
+}
+
+// sortedKeys are the keys of the reassignments in progress.
+func (p *Planner) sortedKeys() []claims.Key {
+	keys := make([]claims.Key, 0, len(p.reassignments))
+	for key := range p.reassignments {
+		keys = append(keys, key)
 	}
+	slices.SortFunc(keys, claims.CompareKeys)
+	return keys
+}
+
+// forgetUnseen drops the owners that have no claims any more.
+func (p *Planner) forgetUnseen(table *claims.Table) {
 	for owner := range p.unseenSince {
 		if len(table.OwnedBy(owner)) == 0 {
 			delete(p.unseenSince, owner)
 		}
 	}
-	p.Counters.Waiting = 0
-	for _, owner := range table.Owners() {
-		if !p.isLost(now, owner, by[owner.Name]) {
+}
+
+// followUp notifies the new owner of a claim once its reassignment is committed and until it is started, and drops a reassignment
+// that is over or whose proposal was lost.
+func (s *step) followUp(key claims.Key) {
+	pending := s.planner.reassignments[key]
+	entry := s.table.Find(key)
+	if pending.isOver(entry) {
+		delete(s.planner.reassignments, key)
+		return
+	}
+	retryDue := s.now >= pending.lastAttemptAt+retryInterval
+	switch {
+	case pending.fence == 0 && entry.Owner == pending.newOwner: // committed
+		pending.fence = entry.Fence
+		s.notify(pending, entry, true)
+	case pending.fence == 0 && retryDue:
+		delete(s.planner.reassignments, key)
+		return
+	case pending.fence != 0 && retryDue:
+		s.notify(pending, entry, false)
+	}
+	s.addUnstarted(pending.newOwner)
+}
+
+// isOver says whether the claim was started, ended or given to another owner.
+func (r *pendingReassignment) isOver(entry *claims.Entry) bool {
+	if entry == nil || entry.State != claims.StateClaimed {
+		return true
+	}
+	return r.fence != 0 && (entry.Fence != r.fence || entry.Owner != r.newOwner)
+}
+
+func (s *step) notify(pending *pendingReassignment, entry *claims.Entry, first bool) {
+	pending.lastAttemptAt = s.now
+	s.notifications = append(s.notifications, Reassignment{
+		To:        pending.newOwner,
+		From:      pending.lostOwner,
+		Entry:     entry,
+		Remaining: entry.ExpiresAt - s.tableTime,
+		First:     first,
+	})
+}
+
+// planLostOwners proposes what becomes of the claims of lost owners, as far as one step may.
+func (s *step) planLostOwners() {
+	for _, owner := range s.table.Owners() {
+		if !s.planner.isLost(s.now, owner, s.planner.members[owner.Name]) {
 			continue
 		}
-		for _, e := range table.OwnedBy(owner) {
-			if len(commands) >= maxCommandsPerStep {
-				return commands, gifts
-			}
-			if e.State == claims.StateStarted {
-				p.Counters.MarkedUnknown++
-				commands = append(commands, claims.Command{Kind: claims.CommandMarkUnknown, Key: e.Key, Fence: e.Fence})
-				continue
+		for _, entry := range s.table.OwnedBy(owner) {
+			if len(s.commands) >= maxCommandsPerStep {
+				return
 			}
-			if h := p.reassignments[e.Key]; h != nil && h.newOwner == owner { // the heir is lost too
-				delete(p.reassignments, e.Key)
-			} else if h != nil {
-				continue
-			}
-			if e.ExpiresAt-table.Time()-ahead < minRemaining {
-				continue
-			}
-			heir := ChooseNewOwner(e, view, by[owner.Name], func(o claims.Owner) bool { return waiting[o] < maxUnstartedPerOwner })
-			if heir == nil {
-				p.Counters.Waiting++
-				continue
-			}
-			waiting[heir.Owner]++
-			p.Counters.Reassigned++
-			p.reassignments[e.Key] = &pendingReassignment{newOwner: heir.Owner, lostOwner: owner, lastAttemptAt: now}
-			commands = append(commands, claims.Command{Kind: claims.CommandReassign, Key: e.Key, Fence: e.Fence, NewOwner: heir.Owner})
+			s.planClaim(entry, owner)
 		}
 	}
-	return commands, gifts
 }
 
-func (p *Planner) sortedKeys() []claims.Key {
-	keys := make([]claims.Key, 0, len(p.reassignments))
-	for k := range p.reassignments {
-		keys = append(keys, k)
+// isLost says whether an owner is lost, by the member of its name in the view.
+func (p *Planner) isLost(now int64, owner claims.Owner, member *Member) bool {
+	if owner == (claims.Owner{}) { // a new owner returned the claim
+		return true
 	}
-	slices.SortFunc(keys, claims.CompareKeys)
-	return keys
+	if member != nil {
+		delete(p.unseenSince, owner)
+		return !member.Alive || member.Owner.Incarnation > owner.Incarnation
+	}
+	since, known := p.unseenSince[owner]
+	if !known {
+		since = now
+		p.unseenSince[owner] = now
+	}
+	return now-since >= unseenTimeout
 }
 
-func (p *Planner) isLost(now int64, owner claims.Owner, m *Member) bool {
-	if owner == (claims.Owner{}) { // an heir gave them back
-		return true
+// planClaim proposes what becomes of one claim of a lost owner.
+func (s *step) planClaim(entry *claims.Entry, owner claims.Owner) {
+	if entry.State == claims.StateStarted {
+		s.planner.Counters.MarkedUnknown++
+		s.commands = append(s.commands, claims.Command{Kind: claims.CommandMarkUnknown, Key: entry.Key, Fence: entry.Fence})
+		return
 	}
-	if m == nil {
-		since, seen := p.unseenSince[owner]
-		if !seen {
-			since = now
-			p.unseenSince[owner] = now
+	if pending := s.planner.reassignments[entry.Key]; pending != nil {
+		if pending.newOwner != owner {
+			return
 		}
-		return now-since >= unseenTimeout
+		delete(s.planner.reassignments, entry.Key) // the new owner is lost too
+	}
+	if entry.ExpiresAt-s.tableTime < minRemaining {
+		return
 	}
-	delete(p.unseenSince, owner)
-	return !m.Alive || m.Owner.Incarnation > owner.Incarnation
+	member := ChooseNewOwner(entry, s.view, s.planner.members[owner.Name], s.hasCapacity)
+	if member == nil {
+		s.planner.Counters.Waiting++
+		return
+	}
+	newOwner := member.Owner
+	s.addUnstarted(newOwner)
+	s.planner.Counters.Reassigned++
+	s.planner.reassignments[entry.Key] = &pendingReassignment{newOwner: newOwner, lostOwner: owner, lastAttemptAt: s.now}
+	s.commands = append(s.commands, claims.Command{Kind: claims.CommandReassign, Key: entry.Key, Fence: entry.Fence, NewOwner: newOwner})
 }
 
-// ChooseNewOwner is who inherits a claim: one that waits for it, else the one that rendezvous hashing with weights gives, among
-// those with room. Nil where nobody has.
-func ChooseNewOwner(e *claims.Entry, view []Member, lost *Member, room func(claims.Owner) bool) *Member {
-	var best *Member
-	least := math.Inf(1)
-	for i := range view {
-		m := &view[i]
-		if !m.Alive || !m.AcceptsWork || m.Owner == e.Owner || m.Owner == e.LastReturnedBy || !room(m.Owner) {
-			continue
-		}
-		if slices.Contains(e.Waiters, m.Owner) {
-			return m
-		}
-		weight := math.Pow(levelWeight, float64(m.Level))
-		if lost != nil && lost.Zone != "" && m.Zone == lost.Zone {
-			weight *= sameZoneWeight
-		}
-		drawn := (float64(xxhash.Sum64String(m.Owner.Name+"\x00"+e.Key.Token)>>11) + 0.5) / (1 << 53)
-		if score := -math.Log(drawn) / weight; score < least {
-			best, least = m, score
-		}
+func (s *step) addUnstarted(owner claims.Owner) {
+	if s.unstarted == nil {
+		s.unstarted = map[claims.Owner]int{}
 	}
-	return best
+	s.unstarted[owner]++
 }
+
+func (s *step) hasCapacity(owner claims.Owner) bool { return s.unstarted[owner] < maxUnstartedPerOwner }
