--- a/internal/resultcache/results.go
+++ b/internal/resultcache/cache.go
@@ -42,10 +42,10 @@
 	Window         int64 // ns, the longest window of any operation: all that is recovered is kept for it
 }
 
-const entryBytes = 160 // of one token beside its text and its result: its record, index and timers
+const entryOverheadBytes = 160 // of one token beside its text and its result: its record, index and timers
 
 // MaxTokens is how many tokens there is room for at the most, each with no result.
-func (r *Config) MaxTokens() int { return max(1, int(r.MaxBytes/entryBytes)) }
+func (r *Config) MaxTokens() int { return max(1, int(r.MaxBytes/entryOverheadBytes)) }
 
 // Outcome is how a run ended.
 type Outcome uint8
@@ -138,25 +138,25 @@
 type state uint8
 
 const (
-	beginning state = iota // its intent is on the way to the disk
-	running
-	finishing // its end is on the way to the disk
-	done
-	unknown
+	stateStarting state = iota // its intent is on the way to the disk
+	stateRunning
+	stateEnding // its end is on the way to the disk
+	stateDone
+	stateUnknown
 )
 
 type entry struct {
-	state   state
-	key     Key
-	body    uint64
-	until   int64
-	runner  int32 // whose invocation runs, -1 once it has left or before any
-	waiting []int32
-	ending  Outcome
-	result  []byte
-	booked  int64 // bytes
-	large   bool  // the result was not kept
-	place   int   // among those that expire, -1 where it may not yet
+	state           state
+	key             Key
+	bodyHash        uint64
+	expiresAt       int64
+	runner          int32 // whose invocation runs, -1 once it has left or before any
+	waiters         []int32
+	outcome         Outcome
+	result          []byte
+	reservedBytes   int64 // bytes
+	resultNotCached bool  // the result was not kept
+	heapIndex       int   // among those that expire, -1 where it may not yet
 }
 
 // Counters are what operators see.
@@ -168,202 +168,202 @@
 
 // Cache is the state of all tokens of a node.
 type Cache struct {
-	Counters Counters
-	rules    Config
-	entries  map[Key]*entry
-	expiry   expiry
-	out      []Action
-	failing  bool // the store failed last
+	Counters     Counters
+	config       Config
+	entries      map[Key]*entry
+	expiry       expiry
+	actions      []Action
+	storeFailing bool // the store failed last
 }
 
 // New is a keeper of nothing.
 func New(rules Config) *Cache {
-	return &Cache{rules: rules, entries: make(map[Key]*entry)}
+	return &Cache{config: rules, entries: make(map[Key]*entry)}
 }
 
-func (k *Cache) do(a Action) { k.out = append(k.out, a) }
+func (k *Cache) emit(a Action) { k.actions = append(k.actions, a) }
 
 // Step takes what happened at a moment of a clock that only advances, and returns what to do, valid until the next
 // step.
 func (k *Cache) Step(now int64, inputs []Input) []Action {
-	k.out = k.out[:0]
+	k.actions = k.actions[:0]
 	k.expire(now)
 	for i := range inputs {
 		in := &inputs[i]
 		e := k.entries[in.Key]
 		switch in.Kind {
 		case InvocationReceived:
-			k.asked(now, in, e)
+			k.handleInvocation(now, in, e)
 		case RecordRecovered:
-			k.recovered(now, in, e)
+			k.recoverRecord(now, in, e)
 		case RecoveryCompleted:
-			k.restarted(now)
+			k.completeRecovery(now)
 		case CallerDisconnected:
 			if e != nil {
-				e.leave(in.Invocation)
+				e.removeWaiter(in.Invocation)
 			}
 		case WriteSucceeded, WriteFailed:
 			if e != nil {
-				k.written(now, e, in.Kind == WriteSucceeded)
+				k.handleWritten(now, e, in.Kind == WriteSucceeded)
 			}
 		case RunEnded:
-			if e != nil && e.state == running {
-				k.ended(now, e, in)
+			if e != nil && e.state == stateRunning {
+				k.handleRunEnded(now, e, in)
 			}
 		case CompletedElsewhere, UnknownElsewhere, MismatchElsewhere, RejectedElsewhere:
-			if e != nil && e.state == beginning {
-				k.elsewhere(now, e, in)
+			if e != nil && e.state == stateStarting {
+				k.handleElsewhere(now, e, in)
 			}
 		case AnswerRequired:
 			if e != nil {
-				k.dismiss(now, e, in)
+				k.answerNow(now, e, in)
 			}
 		case OutcomeResolved:
-			if e != nil && e.state == unknown {
-				k.settle(e, in)
+			if e != nil && e.state == stateUnknown {
+				k.resolve(e, in)
 			}
 		case TokenRemoved:
-			if e != nil && (e.state == done || e.state == unknown) {
-				k.drop(e)
+			if e != nil && (e.state == stateDone || e.state == stateUnknown) {
+				k.remove(e)
 			}
 		}
 	}
-	return k.out
+	return k.actions
 }
 
-func (k *Cache) asked(now int64, in *Input, e *entry) {
+func (k *Cache) handleInvocation(now int64, in *Input, e *entry) {
 	switch {
 	case e == nil:
-		k.begin(now, in)
-	case e.body != in.BodyHash:
+		k.admit(now, in)
+	case e.bodyHash != in.BodyHash:
 		k.Counters.Mismatched++
-		k.do(Action{Kind: Mismatch, Invocation: in.Invocation, Key: in.Key})
-	case e.state == done:
+		k.emit(Action{Kind: Mismatch, Invocation: in.Invocation, Key: in.Key})
+	case e.state == stateDone:
 		k.answer(e, in.Invocation, true)
-	case e.state == unknown && in.Idempotent && k.Counters.Bytes-e.booked+k.need(in.Key) > k.rules.MaxBytes:
-		k.deny(now, in.Invocation, in.Key)
-	case e.state == unknown && in.Idempotent:
+	case e.state == stateUnknown && in.Idempotent && k.Counters.Bytes-e.reservedBytes+k.maxEntryBytes(in.Key) > k.config.MaxBytes:
+		k.reject(now, in.Invocation, in.Key)
+	case e.state == stateUnknown && in.Idempotent:
 		k.Counters.Unknown--
-		k.book(e, k.need(in.Key)) // only that it ran was kept
-		e.until = max(e.until, now+in.Remaining)
+		k.reserve(e, k.maxEntryBytes(in.Key)) // only that it ran was kept
+		e.expiresAt = max(e.expiresAt, now+in.Remaining)
 		k.start(e, in.Invocation)
-	case e.state == unknown:
+	case e.state == stateUnknown:
 		k.Counters.UnknownAnswered++
-		k.do(Action{Kind: OutcomeUnknown, Invocation: in.Invocation, Key: in.Key})
+		k.emit(Action{Kind: OutcomeUnknown, Invocation: in.Invocation, Key: in.Key})
 	default:
 		k.Counters.Joined++
-		e.until = max(e.until, now+in.Remaining) // should the first prove not to have run, this one's window counts
-		e.waiting = append(e.waiting, in.Invocation)
-		k.do(Action{Kind: Join, Invocation: in.Invocation, Key: in.Key})
+		e.expiresAt = max(e.expiresAt, now+in.Remaining) // should the first prove not to have run, this one's window counts
+		e.waiters = append(e.waiters, in.Invocation)
+		k.emit(Action{Kind: Join, Invocation: in.Invocation, Key: in.Key})
 	}
 }
 
-// need is what a token takes at the most, its result included: booked before it runs, so that what has run always
+// maxEntryBytes is what a token takes at the most, its result included: booked before it runs, so that what has run always
 // has room for its end.
-func (k *Cache) need(key Key) int64 {
-	return entryBytes + int64(len(key.Token)) + k.rules.MaxResultBytes
+func (k *Cache) maxEntryBytes(key Key) int64 {
+	return entryOverheadBytes + int64(len(key.Token)) + k.config.MaxResultBytes
 }
 
-func (k *Cache) book(e *entry, bytes int64) {
-	k.Counters.Bytes += bytes - e.booked
-	e.booked = bytes
+func (k *Cache) reserve(e *entry, bytes int64) {
+	k.Counters.Bytes += bytes - e.reservedBytes
+	e.reservedBytes = bytes
 }
 
-// begin takes a new token on, or denies it unrun where there is no room: none inside its window is put out for it.
-func (k *Cache) begin(now int64, in *Input) {
-	if k.Counters.Bytes+k.need(in.Key) > k.rules.MaxBytes || in.Remaining <= 0 {
-		k.deny(now, in.Invocation, in.Key)
+// admit takes a new token on, or denies it unrun where there is no room: none inside its window is put out for it.
+func (k *Cache) admit(now int64, in *Input) {
+	if k.Counters.Bytes+k.maxEntryBytes(in.Key) > k.config.MaxBytes || in.Remaining <= 0 {
+		k.reject(now, in.Invocation, in.Key)
 		return
 	}
-	e := &entry{key: in.Key, body: in.BodyHash, until: now + in.Remaining, place: -1}
+	e := &entry{key: in.Key, bodyHash: in.BodyHash, expiresAt: now + in.Remaining, heapIndex: -1}
 	k.entries[in.Key] = e
 	k.Counters.Entries++
-	k.book(e, k.need(in.Key))
+	k.reserve(e, k.maxEntryBytes(in.Key))
 	k.start(e, in.Invocation)
 }
 
 // start has a token run, once that it does is on disk.
 func (k *Cache) start(e *entry, asker int32) {
-	e.runner, e.state = asker, running
-	if e.place >= 0 {
-		heap.Remove(&k.expiry, e.place)
+	e.runner, e.state = asker, stateRunning
+	if e.heapIndex >= 0 {
+		heap.Remove(&k.expiry, e.heapIndex)
 	}
 	k.Counters.Running++
-	if k.rules.Durability == OnDisk {
-		e.state = beginning
-		k.do(Action{Kind: Join, Invocation: asker, Key: e.key})
-		k.do(Action{Kind: WriteStart, Key: e.key, BodyHash: e.body, Until: e.until})
+	if k.config.Durability == OnDisk {
+		e.state = stateStarting
+		k.emit(Action{Kind: Join, Invocation: asker, Key: e.key})
+		k.emit(Action{Kind: WriteStart, Key: e.key, BodyHash: e.bodyHash, Until: e.expiresAt})
 		return
 	}
 	k.run(e)
 }
 
 func (k *Cache) run(e *entry) {
-	e.state = running
+	e.state = stateRunning
 	k.Counters.Ran++
-	k.do(Action{Kind: Run, Invocation: e.runner, Key: e.key})
+	k.emit(Action{Kind: Run, Invocation: e.runner, Key: e.key})
 }
 
-func (k *Cache) deny(now int64, asker int32, key Key) {
+func (k *Cache) reject(now int64, asker int32, key Key) {
 	k.Counters.Denied++
 	back := int64(0)
 	if len(k.expiry) > 0 {
-		back = max(0, k.expiry[0].until-now)
+		back = max(0, k.expiry[0].expiresAt-now)
 	}
-	k.do(Action{Kind: Reject, Invocation: asker, Key: key, RetryAfter: back})
+	k.emit(Action{Kind: Reject, Invocation: asker, Key: key, RetryAfter: back})
 }
 
-// leave takes an invocation out of those that wait; a run that began goes on for the others and for the token.
-func (e *entry) leave(asker int32) {
+// removeWaiter takes an invocation out of those that wait; a run that began goes on for the others and for the token.
+func (e *entry) removeWaiter(asker int32) {
 	if e.runner == asker {
 		e.runner = -1
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, func(i int32) bool { return i == asker })
+	e.waiters = slices.DeleteFunc(e.waiters, func(i int32) bool { return i == asker })
 }
 
-// written goes on with a token once its record is on disk, or could not be had there. Before a run that failure is no
+// handleWritten goes on with a token once its record is on disk, or could not be had there. Before a run that failure is no
 // harm: nothing ran, so it may be denied. After a run the answer is given all the same, as it is true; but a repeat
 // after a crash would find the run unknown, which is counted.
-func (k *Cache) written(now int64, e *entry, ok bool) {
-	k.failing = !ok
+func (k *Cache) handleWritten(now int64, e *entry, ok bool) {
+	k.storeFailing = !ok
 	switch {
-	case e.state == finishing:
+	case e.state == stateEnding:
 		if !ok {
 			k.Counters.Lost++
 		}
-		k.finish(e)
-	case e.state != beginning:
-	case !ok && k.rules.OnStoreFailure == RejectOnStoreFailure:
-		for _, asker := range append([]int32{e.runner}, e.waiting...) {
+		k.complete(e)
+	case e.state != stateStarting:
+	case !ok && k.config.OnStoreFailure == RejectOnStoreFailure:
+		for _, asker := range append([]int32{e.runner}, e.waiters...) {
 			if asker >= 0 {
-				k.deny(now, asker, e.key)
+				k.reject(now, asker, e.key)
 			}
 		}
 		k.Counters.Running--
-		k.drop(e)
+		k.remove(e)
 	default:
-		if e.runner < 0 && len(e.waiting) > 0 { // its first caller left before it ran
-			e.runner, e.waiting = e.waiting[0], e.waiting[1:]
+		if e.runner < 0 && len(e.waiters) > 0 { // its first caller left before it ran
+			e.runner, e.waiters = e.waiters[0], e.waiters[1:]
 		}
 		if e.runner < 0 { // nobody waits, and nothing ran
 			k.Counters.Running--
-			k.drop(e)
+			k.remove(e)
 			return
 		}
 		k.run(e)
 	}
 }
 
-// elsewhere ends a token that was to begin here with what became of it at another node.
-func (k *Cache) elsewhere(now int64, e *entry, in *Input) {
-	all := e.waiting
+// handleElsewhere ends a token that was to begin here with what became of it at another node.
+func (k *Cache) handleElsewhere(now int64, e *entry, in *Input) {
+	all := e.waiters
 	if e.runner >= 0 {
 		all = append([]int32{e.runner}, all...)
 	}
 	k.Counters.Running--
 	if in.Kind == CompletedElsewhere {
-		e.keep(k, in.Outcome, in.Result)
-		e.state, e.runner, e.waiting = done, -1, nil
+		e.setOutcome(k, in.Outcome, in.Result)
+		e.state, e.runner, e.waiters = stateDone, -1, nil
 		heap.Push(&k.expiry, e)
 		for _, asker := range all {
 			k.answer(e, asker, true)
@@ -371,103 +371,103 @@
 		return
 	}
 	for _, asker := range all {
-		k.part(now, e, asker, in)
+		k.answerWithoutRun(now, e, asker, in)
 	}
-	k.drop(e)
+	k.remove(e)
 }
 
-// part answers one that waits for a token, which goes on without it.
-func (k *Cache) part(now int64, e *entry, asker int32, in *Input) {
+// answerWithoutRun answers one that waits for a token, which goes on without it.
+func (k *Cache) answerWithoutRun(now int64, e *entry, asker int32, in *Input) {
 	switch {
 	case in.Kind == MismatchElsewhere:
 		k.Counters.Mismatched++
-		k.do(Action{Kind: Mismatch, Invocation: asker, Key: e.key})
+		k.emit(Action{Kind: Mismatch, Invocation: asker, Key: e.key})
 	case in.Kind == UnknownElsewhere || in.MayHaveRun:
 		k.Counters.UnknownAnswered++
-		k.do(Action{Kind: OutcomeUnknown, Invocation: asker, Key: e.key})
+		k.emit(Action{Kind: OutcomeUnknown, Invocation: asker, Key: e.key})
 	case in.Remaining > 0:
 		k.Counters.Denied++
-		k.do(Action{Kind: Reject, Invocation: asker, Key: e.key, RetryAfter: in.Remaining})
+		k.emit(Action{Kind: Reject, Invocation: asker, Key: e.key, RetryAfter: in.Remaining})
 	default:
-		k.deny(now, asker, e.key)
+		k.reject(now, asker, e.key)
 	}
 }
 
-// dismiss answers one that can't wait any longer, or with -1 for an asker drops a token that nobody waits for. Of a token whose run is over it is told the end, which is true though it
+// answerNow answers one that can't wait any longer, or with -1 for an asker drops a token that nobody waits for. Of a token whose run is over it is told the end, which is true though it
 // may not be kept yet; one whose run goes on is told nothing.
-func (k *Cache) dismiss(now int64, e *entry, in *Input) {
-	if e.runner != in.Invocation && !slices.Contains(e.waiting, in.Invocation) {
+func (k *Cache) answerNow(now int64, e *entry, in *Input) {
+	if e.runner != in.Invocation && !slices.Contains(e.waiters, in.Invocation) {
 		return
 	}
 	switch e.state {
-	case finishing:
-		k.written(now, e, false)
-	case beginning:
-		if e.leave(in.Invocation); in.Invocation >= 0 {
-			k.part(now, e, in.Invocation, in)
+	case stateEnding:
+		k.handleWritten(now, e, false)
+	case stateStarting:
+		if e.removeWaiter(in.Invocation); in.Invocation >= 0 {
+			k.answerWithoutRun(now, e, in.Invocation, in)
 		}
-		if e.runner < 0 && len(e.waiting) == 0 {
+		if e.runner < 0 && len(e.waiters) == 0 {
 			k.Counters.Running--
-			k.drop(e)
+			k.remove(e)
 		}
 	}
 }
 
-// ended keeps how a run ended. One that proved not to have run goes to the next that waits, if any.
-func (k *Cache) ended(now int64, e *entry, in *Input) {
+// handleRunEnded keeps how a run handleRunEnded. One that proved not to have run goes to the next that waits, if any.
+func (k *Cache) handleRunEnded(now int64, e *entry, in *Input) {
 	if in.Outcome == NeverStarted {
 		k.Counters.Ran--
 		k.Counters.Running--
 		if e.runner >= 0 {
-			k.deny(now, e.runner, e.key)
+			k.reject(now, e.runner, e.key)
 		}
-		if len(e.waiting) == 0 {
-			k.drop(e)
+		if len(e.waiters) == 0 {
+			k.remove(e)
 			return
 		}
-		next := e.waiting[0]
-		e.waiting = e.waiting[1:]
+		next := e.waiters[0]
+		e.waiters = e.waiters[1:]
 		e.runner = next
 		k.Counters.Running++
 		k.run(e)
 		return
 	}
-	e.keep(k, in.Outcome, in.Result)
-	if k.rules.Durability == OnDisk {
-		e.state = finishing
-		told := e.ending
-		if e.large {
+	e.setOutcome(k, in.Outcome, in.Result)
+	if k.config.Durability == OnDisk {
+		e.state = stateEnding
+		told := e.outcome
+		if e.resultNotCached {
 			told = ResultNotCached
 		}
-		k.do(Action{Kind: WriteEnd, Key: e.key, Outcome: told, Result: e.result})
+		k.emit(Action{Kind: WriteEnd, Key: e.key, Outcome: told, Result: e.result})
 		return
 	}
-	k.finish(e)
+	k.complete(e)
 }
 
-func (e *entry) keep(k *Cache, ending Outcome, result []byte) {
-	e.ending, e.result = ending, result
+func (e *entry) setOutcome(k *Cache, ending Outcome, result []byte) {
+	e.outcome, e.result = ending, result
 	if ending == ResultNotCached {
-		e.ending, e.large, e.result = Succeeded, true, nil
-	} else if int64(len(result)) > k.rules.MaxResultBytes {
-		e.large, e.result = true, nil
+		e.outcome, e.resultNotCached, e.result = Succeeded, true, nil
+	} else if int64(len(result)) > k.config.MaxResultBytes {
+		e.resultNotCached, e.result = true, nil
 		k.Counters.NotKept++
 	}
-	k.book(e, entryBytes+int64(len(e.key.Token)+len(e.result)))
+	k.reserve(e, entryOverheadBytes+int64(len(e.key.Token)+len(e.result)))
 }
 
-// finish answers all that wait for a token; it expires from now on.
-func (k *Cache) finish(e *entry) {
-	e.state = done
+// complete answers all that wait for a token; it expires from now on.
+func (k *Cache) complete(e *entry) {
+	e.state = stateDone
 	k.Counters.Running--
 	heap.Push(&k.expiry, e)
 	if e.runner >= 0 {
 		k.answer(e, e.runner, false)
 	}
-	for _, asker := range e.waiting {
+	for _, asker := range e.waiters {
 		k.answer(e, asker, true)
 	}
-	e.runner, e.waiting = -1, nil
+	e.runner, e.waiters = -1, nil
 }
 
 func (k *Cache) answer(e *entry, asker int32, kept bool) {
@@ -475,70 +475,70 @@
 		k.Counters.Kept++
 	}
 	a := Action{Kind: Serve, Invocation: asker, Key: e.key, Result: e.result, FromCache: kept}
-	if e.ending != Succeeded || e.large {
-		a.Kind, a.Result, a.ResultNotCached = Fail, nil, e.large
+	if e.outcome != Succeeded || e.resultNotCached {
+		a.Kind, a.Result, a.ResultNotCached = Fail, nil, e.resultNotCached
 	}
-	k.do(a)
+	k.emit(a)
 }
 
-// recovered takes a record of an earlier life. How much of a window is left can't be told from a clock that may have
+// recoverRecord takes a record of an earlier life. How much of a window is left can't be told from a clock that may have
 // been set since, so all are kept for the longest window again: at most once goes before freshness.
-func (k *Cache) recovered(now int64, in *Input, e *entry) {
+func (k *Cache) recoverRecord(now int64, in *Input, e *entry) {
 	if e == nil {
-		e = &entry{key: in.Key, body: in.BodyHash, state: unknown, runner: -1, place: -1}
+		e = &entry{key: in.Key, bodyHash: in.BodyHash, state: stateUnknown, runner: -1, heapIndex: -1}
 		k.entries[in.Key] = e
 		k.Counters.Entries++
 		k.Counters.Unknown++
 	}
-	e.until = now + k.rules.Window
-	k.book(e, entryBytes+int64(len(in.Key.Token)))
-	if in.Completed && e.state == unknown {
-		e.state = done
+	e.expiresAt = now + k.config.Window
+	k.reserve(e, entryOverheadBytes+int64(len(in.Key.Token)))
+	if in.Completed && e.state == stateUnknown {
+		e.state = stateDone
 		k.Counters.Unknown--
-		e.keep(k, in.Outcome, in.Result)
+		e.setOutcome(k, in.Outcome, in.Result)
 	}
 }
 
-func (k *Cache) restarted(now int64) {
+func (k *Cache) completeRecovery(now int64) {
 	for _, e := range k.entries {
-		if e.place < 0 && (e.state == done || e.state == unknown) {
-			e.place = len(k.expiry)
+		if e.heapIndex < 0 && (e.state == stateDone || e.state == stateUnknown) {
+			e.heapIndex = len(k.expiry)
 			k.expiry = append(k.expiry, e)
 		}
 	}
 	heap.Init(&k.expiry)
 }
 
-func (k *Cache) settle(e *entry, in *Input) {
+func (k *Cache) resolve(e *entry, in *Input) {
 	k.Counters.Unknown--
-	e.state = done
-	e.keep(k, in.Outcome, in.Result)
+	e.state = stateDone
+	e.setOutcome(k, in.Outcome, in.Result)
 }
 
-func (k *Cache) drop(e *entry) {
-	if e.place >= 0 {
-		heap.Remove(&k.expiry, e.place)
+func (k *Cache) remove(e *entry) {
+	if e.heapIndex >= 0 {
+		heap.Remove(&k.expiry, e.heapIndex)
 	}
-	if e.state == unknown {
+	if e.state == stateUnknown {
 		k.Counters.Unknown--
 	}
-	k.book(e, 0)
+	k.reserve(e, 0)
 	delete(k.entries, e.key)
 	k.Counters.Entries--
-	k.do(Action{Kind: RemoveRecord, Key: e.key})
+	k.emit(Action{Kind: RemoveRecord, Key: e.key})
 }
 
 // expire drops what is past its window. One whose run goes on is never dropped.
 func (k *Cache) expire(now int64) {
-	for len(k.expiry) > 0 && k.expiry[0].until < now {
-		k.drop(k.expiry[0])
+	for len(k.expiry) > 0 && k.expiry[0].expiresAt < now {
+		k.remove(k.expiry[0])
 	}
 }
 
 // BodyHash is the hash of the body that a token came with, false where it is not known.
 func (k *Cache) BodyHash(key Key) (uint64, bool) {
 	if e := k.entries[key]; e != nil {
-		return e.body, true
+		return e.bodyHash, true
 	}
 	return 0, false
 }
@@ -546,7 +546,7 @@
 // JoinedCount is how many wait for the run of a token beside the one whose invocation runs.
 func (k *Cache) JoinedCount(key Key) int {
 	if e := k.entries[key]; e != nil {
-		return len(e.waiting)
+		return len(e.waiters)
 	}
 	return 0
 }
@@ -560,7 +560,7 @@
 	if e.runner >= 0 {
 		list = append(list, e.runner)
 	}
-	return append(list, e.waiting...), e.state == beginning
+	return append(list, e.waiters...), e.state == stateStarting
 }
 
 // NextExpiry is when the next token expires, math.MaxInt64 where none does.
@@ -568,22 +568,22 @@
 	if len(k.expiry) == 0 {
 		return math.MaxInt64
 	}
-	return k.expiry[0].until + 1
+	return k.expiry[0].expiresAt + 1
 }
 
 // StoreFailing says whether the store failed last.
-func (k *Cache) StoreFailing() bool { return k.failing }
+func (k *Cache) StoreFailing() bool { return k.storeFailing }
 
 // expiry is a heap of those that may expire.
 type expiry []*entry
 
 func (x expiry) Len() int           { return len(x) }
-func (x expiry) Less(a, b int) bool { return x[a].until < x[b].until }
-func (x expiry) Swap(a, b int)      { x[a], x[b] = x[b], x[a]; x[a].place, x[b].place = a, b }
-func (x *expiry) Push(e any)        { e.(*entry).place = len(*x); *x = append(*x, e.(*entry)) }
+func (x expiry) Less(a, b int) bool { return x[a].expiresAt < x[b].expiresAt }
+func (x expiry) Swap(a, b int)      { x[a], x[b] = x[b], x[a]; x[a].heapIndex, x[b].heapIndex = a, b }
+func (x *expiry) Push(e any)        { e.(*entry).heapIndex = len(*x); *x = append(*x, e.(*entry)) }
 func (x *expiry) Pop() any {
 	last := (*x)[len(*x)-1]
 	*x = (*x)[:len(*x)-1]
-	last.place = -1
+	last.heapIndex = -1
 	return last
 }
