--- a/internal/resultcache/cache.go
+++ b/internal/resultcache/cache.go
@@ -19,6 +19,7 @@
 	config       Config
 	entries      map[Key]*entry
 	expiry       expiryheap.Heap[*entry] // of those that are done or unknown
+	recovered    []*entry                // until RecoveryCompleted, in the order of their records
 	actions      []Action
 	storeFailing bool // the last write failed
 }
--- a/internal/resultcache/recovery.go
+++ b/internal/resultcache/recovery.go
@@ -7,6 +7,7 @@
 		e = newEntry(input.Key, input.BodyHash)
 		e.state = stateUnknown
 		c.entries[input.Key] = e
+		c.recovered = append(c.recovered, e)
 		c.Counters.Entries++
 		c.Counters.Unknown++
 	}
@@ -19,11 +20,12 @@
 	}
 }
 
-// completeRecovery has the recovered tokens expire from now on.
+// completeRecovery has the recovered tokens expire from now on, unless they were removed or run again meanwhile.
 func (c *Cache) completeRecovery() {
-	for _, e := range c.entries {
-		if e.heapIndex < 0 && e.isOver() {
+	for _, e := range c.recovered {
+		if c.entries[e.key] == e && e.heapIndex < 0 && e.isOver() {
 			c.expiry.Push(e)
 		}
 	}
+	c.recovered = nil
 }
