--- a/internal/resultcache/recovery_test.go
+++ b/internal/resultcache/recovery_test.go
@@ -33,3 +33,25 @@
 	assert.Equal(t, []Action{{Kind: RemoveRecord, Key: testKey(2)}}, cache.Step(testWindow+1, nil))
 	assert.Zero(t, cache.Counters.Entries)
 }
+
+func TestRecoveredRunOfUnknownOutcomeIsRepeatedOnlyIfIdempotent(t *testing.T) {
+	cache := New(testConfig)
+	cache.Step(0, []Input{{Kind: RecordRecovered, Key: testKey(1), BodyHash: 7}, {Kind: RecoveryCompleted}})
+	assert.Equal(t, []ActionKind{OutcomeUnknown}, actionKinds(cache.Step(0, []Input{invocation(1, 1)})))
+	again := invocation(2, 1)
+	again.Idempotent = true
+	assert.Equal(t, []ActionKind{Join, WriteStart}, actionKinds(cache.Step(0, []Input{again})))
+}
+
+// Guards against an oversized result that is recovered as an empty one.
+func TestOversizedResultIsRecoveredAsNotCached(t *testing.T) {
+	cache := cacheWithStartingRun(t)
+	cache.Step(2, []Input{{Kind: WriteSucceeded, Key: testKey(1)}})
+	end := cache.Step(3, []Input{{Kind: RunEnded, Key: testKey(1), Result: make([]byte, 101)}})
+	assert.Equal(t, ResultNotCached, end[0].Outcome)
+	next := New(testConfig)
+	next.Step(1, []Input{{Kind: RecordRecovered, Key: testKey(1), BodyHash: 7, Completed: true, Outcome: end[0].Outcome}, {Kind: RecoveryCompleted}})
+	answer := next.Step(2, []Input{invocation(1, 1)})
+	assert.Equal(t, Fail, answer[0].Kind)
+	assert.True(t, answer[0].ResultNotCached)
+}
