--- a/internal/resultcache/segmentstore/compact.go
+++ b/internal/resultcache/segmentstore/compact.go
@@ -45,8 +45,8 @@
 	last := slices.DeleteFunc(LatestRecords(records), func(r Record) bool { return !stays(&r) })
 	for len(last) > 0 {
 		n, bytes := 0, 0
-		for n < len(last) && n < compactGroup && (n == 0 || bytes < int(bounds.SegmentBytes)/4) {
-			bytes += recordHead + len(last[n].Token) + len(last[n].Result) + 64
+		for n < len(last) && n < maxCompactionGroup && (n == 0 || bytes < int(bounds.SegmentBytes)/4) {
+			bytes += recordHeaderBytes + len(last[n].Token) + len(last[n].Result) + 64
 			n++
 		}
 		if err := l.Write(last[:n], false); err != nil {
--- a/internal/resultcache/segmentstore/crash_test.go
+++ b/internal/resultcache/segmentstore/crash_test.go
@@ -15,27 +15,27 @@
 
 const crashWindow = int64(1_000_000)
 
-// node is a keeper over a log on a disk that fails, tears and crashes, as server drives them.
-type node struct {
-	d       *disk
-	log     *Log
-	keeper  *resultcache.Cache
-	now     int64
-	asker   int32
-	pending []resultcache.Action // records on their way to the disk
-	ran     map[string]int       // runs by token, over all lives
-	running map[string]resultcache.Key
-	served  map[string]string // results that are on disk, as the store said
-	asked   map[int32]string
+// simulatedNode is a keeper over a log on a disk that fails, tears and crashes, as server drives them.
+type simulatedNode struct {
+	storage        *fakeStorage
+	log            *Log
+	cache          *resultcache.Cache
+	now            int64
+	lastInvocation int32
+	pending        []resultcache.Action // records on their way to the disk
+	runs           map[string]int       // runs by token, over all lives
+	running        map[string]resultcache.Key
+	durableResults map[string]string // results that are on disk, as the store said
+	asked          map[int32]string
 }
 
-func (n *node) start() error {
-	l, records, _, err := Open(n.d, Limits{SegmentBytes: 20_000, MaxBytes: 400_000})
+func (n *simulatedNode) start() error {
+	l, records, _, err := Open(n.storage, Limits{SegmentBytes: 20_000, MaxBytes: 400_000})
 	if err != nil {
 		return err
 	}
 	n.log, n.pending, n.running, n.asked = l, nil, map[string]resultcache.Key{}, map[int32]string{}
-	n.keeper = resultcache.New(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 200, Window: crashWindow})
+	n.cache = resultcache.New(resultcache.Config{Durability: resultcache.OnDisk, MaxBytes: 1 << 20, MaxResultBytes: 200, Window: crashWindow})
 	var found []resultcache.Input
 	for _, r := range records {
 		found = append(found, resultcache.Input{Kind: resultcache.RecordRecovered, Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token},
@@ -44,11 +44,11 @@
 	return n.step(append(found, resultcache.Input{Kind: resultcache.RecoveryCompleted})...)
 }
 
-func (n *node) step(inputs ...resultcache.Input) error {
-	for _, a := range n.keeper.Step(n.now, inputs) {
+func (n *simulatedNode) step(inputs ...resultcache.Input) error {
+	for _, a := range n.cache.Step(n.now, inputs) {
 		switch a.Kind {
 		case resultcache.Run:
-			if n.ran[a.Key.Token]++; n.ran[a.Key.Token] > 1 {
+			if n.runs[a.Key.Token]++; n.runs[a.Key.Token] > 1 {
 				return fmt.Errorf("%s ran twice", a.Key.Token)
 			}
 			n.running[a.Key.Token] = a.Key
@@ -59,7 +59,7 @@
 				return fmt.Errorf("%s was answered %q", a.Key.Token, a.Result)
 			}
 		case resultcache.OutcomeUnknown:
-			if n.served[a.Key.Token] != "" {
+			if n.durableResults[a.Key.Token] != "" {
 				return fmt.Errorf("%s was acknowledged, and its result is lost", a.Key.Token)
 			}
 		}
@@ -68,11 +68,11 @@
 }
 
 // write writes some of what waits as one group.
-func (n *node) write() error {
+func (n *simulatedNode) write() error {
 	if len(n.pending) == 0 {
 		return nil
 	}
-	k := 1 + n.d.chance.Intn(len(n.pending))
+	k := 1 + n.storage.rng.Intn(len(n.pending))
 	group := n.pending[:k]
 	n.pending = n.pending[k:]
 	var records []Record
@@ -89,7 +89,7 @@
 	}
 	for _, a := range group {
 		if kind == resultcache.WriteSucceeded && a.Kind == resultcache.WriteEnd {
-			n.served[a.Key.Token] = string(a.Result)
+			n.durableResults[a.Key.Token] = string(a.Result)
 		}
 		if err := n.step(resultcache.Input{Kind: kind, Key: a.Key}); err != nil {
 			return err
@@ -98,22 +98,22 @@
 	return nil
 }
 
-func crashes(seed int64) error {
-	n := &node{d: newDisk(seed), ran: map[string]int{}, served: map[string]string{}}
+func runCrashSchedule(seed int64) error {
+	n := &simulatedNode{storage: newFakeStorage(seed), runs: map[string]int{}, durableResults: map[string]string{}}
 	if err := n.start(); err != nil {
 		return err
 	}
-	chance := n.d.chance
+	chance := n.storage.rng
 	failing := false
-	n.d.fail = func(string) bool { return failing && chance.Intn(4) == 0 }
+	n.storage.fail = func(string) bool { return failing && chance.Intn(4) == 0 }
 	for range 60 {
 		failing = chance.Intn(4) == 0
 		n.now += int64(chance.Intn(100))
 		var err error
 		switch chance.Intn(8) {
 		case 0, 1, 2:
-			n.asker++
-			err = n.step(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: n.asker, Key: resultcache.Key{Operation: 1, Tenant: -1,
+			n.lastInvocation++
+			err = n.step(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: n.lastInvocation, Key: resultcache.Key{Operation: 1, Tenant: -1,
 				Token: fmt.Sprint("t", chance.Intn(12))}, BodyHash: 7, Remaining: crashWindow})
 		case 3, 4:
 			err = n.write()
@@ -127,11 +127,11 @@
 			failing = false
 			if chance.Intn(3) > 0 { // killed in the middle of a write
 				left := chance.Intn(4)
-				n.d.fail = func(string) bool { left--; return left < 0 }
+				n.storage.fail = func(string) bool { left--; return left < 0 }
 				n.write()
-				n.d.fail = func(string) bool { return failing && chance.Intn(4) == 0 }
+				n.storage.fail = func(string) bool { return failing && chance.Intn(4) == 0 }
 			}
-			n.d.crash()
+			n.storage.crash()
 			err = n.start()
 		}
 		if err != nil {
@@ -152,6 +152,6 @@
 		many, _ = strconv.Atoi(v)
 	}
 	for seed := range int64(many) {
-		require.NoError(t, crashes(first+seed))
+		require.NoError(t, runCrashSchedule(first+seed))
 	}
 }
--- a/internal/resultcache/segmentstore/fixtures_test.go
+++ b/internal/resultcache/segmentstore/fixtures_test.go
@@ -15,7 +15,7 @@
 )
 
 // A segment of two groups with one record of each kind in each, and a record that no foot acknowledges.
-func TestFixtureOfASegment(t *testing.T) {
+func TestSegmentFixture(t *testing.T) {
 	const size, number = 1 << 10, 0x0102030405060708
 	var want ScanResult
 	text := Header(number, size)
@@ -40,14 +40,14 @@
 	got, err := Scan(content)
 	require.NoError(t, err)
 	assert.Equal(t, &want, got)
-	assert.Equal(t, int(kinds), int(RunEnded)+1, "each kind is in the fixture")
-	require.NoError(t, cbor.Wellformed(content[headBytes+recordHead:][:content[headBytes+1]]), "a body is one item of CBOR")
+	assert.Equal(t, int(kindCount), int(RunEnded)+1, "each kind is in the fixture")
+	require.NoError(t, cbor.Wellformed(content[headerBytes+recordHeaderBytes:][:content[headerBytes+1]]), "a body is one item of CBOR")
 }
 
 // A log of two segments as Write leaves it is found under the same names with the same bytes, and opened to its records.
-func TestFixtureOfALog(t *testing.T) {
+func TestLogFixture(t *testing.T) {
 	bounds := Limits{SegmentBytes: 32 << 10, MaxBytes: 256 << 10}
-	files := newDisk(1)
+	files := newFakeStorage(1)
 	log, _, _, err := Open(files, bounds)
 	require.NoError(t, err)
 	var want []Record
@@ -66,12 +66,12 @@
 	slices.Sort(names)
 	require.Len(t, names, 2)
 	var listing strings.Builder
-	kept := newDisk(1)
+	kept := newFakeStorage(1)
 	for _, name := range names {
 		data, err := files.Read(name)
 		require.NoError(t, err)
 		fmt.Fprintf(&listing, "%s %d %x\n", name, len(data), sha256.Sum256(data))
-		kept.files[name] = &memory{disk: kept, synced: data, live: data}
+		kept.files[name] = &fakeFile{storage: kept, synced: data, live: data}
 	}
 	fixture.Equal(t, "log-v1.txt", []byte(listing.String()))
 	_, records, dropped, err := Open(kept, bounds)
--- a/internal/resultcache/segmentstore/index.go
+++ b/internal/resultcache/segmentstore/index.go
@@ -11,14 +11,14 @@
 }
 
 type slot struct {
-	hash  uint64 // 0 for a free slot
-	where uint64
+	hash     uint64 // 0 for a free slot
+	location uint64
 }
 
 const (
-	leastSlots = 16
-	fullOf     = 8 // of so many slots fullAt may be taken: past that probes get long
-	fullAt     = 7
+	minSlots        = 16
+	loadDenominator = 8 // of so many slots fullAt may be taken: past that probes get long
+	loadNumerator   = 7
 )
 
 // Len is how many entries there are.
@@ -33,71 +33,71 @@
 func nonzero(hash uint64) uint64 { return max(1, hash) }
 
 // Put adds an entry.
-func (x *Index) Put(hash, where uint64) {
-	if (x.count+1)*fullOf > len(x.slots)*fullAt {
+func (x *Index) Put(hash, location uint64) {
+	if (x.count+1)*loadDenominator > len(x.slots)*loadNumerator {
 		old := x.slots
-		x.slots = make([]slot, max(leastSlots, 1<<bits.Len(uint(len(old)))))
+		x.slots = make([]slot, max(minSlots, 1<<bits.Len(uint(len(old)))))
 		for _, s := range old {
 			if s.hash != 0 {
-				x.put(s)
+				x.insert(s)
 			}
 		}
 	}
-	x.put(slot{nonzero(hash), where})
+	x.insert(slot{nonzero(hash), location})
 	x.count++
 }
 
-func (x *Index) put(s slot) {
-	at := s.hash & x.mask()
-	for x.slots[at].hash != 0 {
-		at = (at + 1) & x.mask()
+func (x *Index) insert(s slot) {
+	i := s.hash & x.mask()
+	for x.slots[i].hash != 0 {
+		i = (i + 1) & x.mask()
 	}
-	x.slots[at] = s
+	x.slots[i] = s
 }
 
 // find is the slot of an entry that the caller knows by where it leads to; false ends the search unfound.
-func (x *Index) find(hash uint64, is func(where uint64) bool) (at uint64, found bool) {
+func (x *Index) find(hash uint64, match func(where uint64) bool) (i uint64, found bool) {
 	if x.count == 0 {
 		return 0, false
 	}
 	hash = nonzero(hash)
-	for at = hash & x.mask(); x.slots[at].hash != 0; at = (at + 1) & x.mask() {
-		if x.slots[at].hash == hash && is(x.slots[at].where) {
-			return at, true
+	for i = hash & x.mask(); x.slots[i].hash != 0; i = (i + 1) & x.mask() {
+		if x.slots[i].hash == hash && match(x.slots[i].location) {
+			return i, true
 		}
 	}
 	return 0, false
 }
 
 // Get gives where the entry of a hash leads to that the caller takes for its own.
-func (x *Index) Get(hash uint64, is func(where uint64) bool) (uint64, bool) {
-	at, found := x.find(hash, is)
+func (x *Index) Get(hash uint64, match func(where uint64) bool) (uint64, bool) {
+	i, found := x.find(hash, match)
 	if !found {
 		return 0, false
 	}
-	return x.slots[at].where, true
+	return x.slots[i].location, true
 }
 
 // Move has an entry lead somewhere else.
 func (x *Index) Move(hash, from, to uint64) bool {
-	at, found := x.find(hash, func(where uint64) bool { return where == from })
+	i, found := x.find(hash, func(where uint64) bool { return where == from })
 	if found {
-		x.slots[at].where = to
+		x.slots[i].location = to
 	}
 	return found
 }
 
 // Delete takes an entry out and moves those up that were put behind it.
-func (x *Index) Delete(hash, where uint64) bool {
-	hole, found := x.find(hash, func(w uint64) bool { return w == where })
+func (x *Index) Delete(hash, location uint64) bool {
+	hole, found := x.find(hash, func(candidate uint64) bool { return candidate == location })
 	if !found {
 		return false
 	}
-	for at := (hole + 1) & x.mask(); x.slots[at].hash != 0; at = (at + 1) & x.mask() {
-		home := x.slots[at].hash & x.mask()
-		if (at-home)&x.mask() >= (at-hole)&x.mask() { // its home lies at the hole or before it
-			x.slots[hole] = x.slots[at]
-			hole = at
+	for i := (hole + 1) & x.mask(); x.slots[i].hash != 0; i = (i + 1) & x.mask() {
+		home := x.slots[i].hash & x.mask()
+		if (i-home)&x.mask() >= (i-hole)&x.mask() { // its home lies at the hole or before it
+			x.slots[hole] = x.slots[i]
+			hole = i
 		}
 	}
 	x.slots[hole] = slot{}
--- a/internal/resultcache/segmentstore/index_test.go
+++ b/internal/resultcache/segmentstore/index_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-func any64(uint64) bool { return true }
+func matchAny(uint64) bool { return true }
 
 // Any course of entries, many of one hash or of one home, gives what a plain map gives.
-func TestIndexAgainstAPlainMap(t *testing.T) {
+func TestIndexMatchesAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index
 		plain := map[[2]uint64]bool{}
@@ -45,7 +45,7 @@
 	x.Put(5, 1)
 	assert.True(t, x.Move(5, 1, 9))
 	assert.False(t, x.Move(5, 1, 9))
-	where, found := x.Get(5, any64)
+	where, found := x.Get(5, matchAny)
 	assert.True(t, found)
 	assert.Equal(t, uint64(9), where)
 }
@@ -77,7 +77,7 @@
 	taken := float64(heapBytes()-before) / million
 	b.ResetTimer()
 	for i := range b.N {
-		x.Get(xxhash.Sum64String(list[i*7919%million]), any64)
+		x.Get(xxhash.Sum64String(list[i*7919%million]), matchAny)
 	}
 	b.ReportMetric(taken, "bytes/entry")
 	runtime.KeepAlive(&x)
--- a/internal/resultcache/segmentstore/log.go
+++ b/internal/resultcache/segmentstore/log.go
@@ -22,7 +22,7 @@
 	Remove(name string) error
 }
 
-const suffix = ".seg"
+const segmentSuffix = ".seg"
 
 // Limits of a log. Bytes.
 type Limits struct {
@@ -32,21 +32,21 @@
 
 // Log is the segments of one folder: written in groups, aged out by whole segments.
 type Log struct {
-	files    Storage
-	bounds   Limits
-	segments []kept
-	next     uint64
-	now      File // the segment that is written, nil for none
-	end      int64
-	start    int64 // of the records that no foot acknowledges yet
-	open     int   // how many those are
-	buffer   []byte
+	storage      Storage
+	limits       Limits
+	segments     []segmentInfo
+	nextNumber   uint64
+	active       File // the segment that is written, nil for none
+	writeOffset  int64
+	groupStart   int64 // of the records that no foot acknowledges yet
+	groupRecords int   // how many those are
+	buffer       []byte
 }
 
-// kept is a segment that is there.
-type kept struct {
-	name  string
-	until int64 // Unix ns, when the last of its records expires
+// segmentInfo is a segment that is there.
+type segmentInfo struct {
+	name      string
+	expiresAt int64 // Unix ns, when the last of its records expires
 }
 
 // TruncatedTail tells of what a crash left unfinished; nothing of it was acknowledged.
@@ -58,7 +58,7 @@
 // Open reads a log and gives its records, oldest first. What is broken is told with its file and offset, and changes
 // nothing.
 func Open(files Storage, bounds Limits) (*Log, []Record, []TruncatedTail, error) {
-	if bounds.SegmentBytes < headBytes+recordHead+bodyMost+footBytes || bounds.SegmentBytes > 1<<31 || bounds.MaxBytes < 2*bounds.SegmentBytes {
+	if bounds.SegmentBytes < headerBytes+recordHeaderBytes+maxBodyBytes+footerBytes || bounds.SegmentBytes > 1<<31 || bounds.MaxBytes < 2*bounds.SegmentBytes {
 		return nil, nil, nil, fmt.Errorf("store: segments of %d bytes within %d in all: a segment takes one record at the least, "+
 			"2 GiB at the most, and there must be room for two", bounds.SegmentBytes, bounds.MaxBytes)
 	}
@@ -67,18 +67,18 @@
 		return nil, nil, nil, fmt.Errorf("store: %w", err)
 	}
 	slices.Sort(names)
-	l := &Log{files: files, bounds: bounds}
+	l := &Log{storage: files, limits: bounds}
 	var records []Record
 	var dropped []TruncatedTail
 	for _, name := range names {
-		if !strings.HasSuffix(name, suffix) {
+		if !strings.HasSuffix(name, segmentSuffix) {
 			continue
 		}
 		data, err := files.Read(name)
 		if err != nil {
 			return nil, nil, nil, fmt.Errorf("store: %s: %w", name, err)
 		}
-		if int64(len(data)) == bounds.SegmentBytes && unborn(data) { // the crash came before its head was on disk: nothing in it was acknowledged
+		if int64(len(data)) == bounds.SegmentBytes && neverUsed(data) { // the crash came before its head was on disk: nothing in it was acknowledged
 			if err := files.Remove(name); err != nil {
 				return nil, nil, nil, fmt.Errorf("store: %s: %w", name, err)
 			}
@@ -86,7 +86,7 @@
 			continue
 		}
 		s, err := Scan(data)
-		if err == nil && nameOf(s.Number) != name {
+		if err == nil && segmentName(s.Number) != name {
 			err = &CorruptionError{16, "its name is that of another segment"}
 		}
 		if err != nil {
@@ -95,23 +95,23 @@
 		if s.Dropped > 0 {
 			dropped = append(dropped, TruncatedTail{name, s.Dropped})
 		}
-		segment := kept{name: name}
+		segment := segmentInfo{name: name}
 		for i := range s.Records {
-			segment.until = max(segment.until, s.Records[i].ExpiresAt)
+			segment.expiresAt = max(segment.expiresAt, s.Records[i].ExpiresAt)
 		}
 		records = append(records, s.Records...)
-		l.segments, l.next = append(l.segments, segment), s.Number+1
+		l.segments, l.nextNumber = append(l.segments, segment), s.Number+1
 	}
 	return l, records, dropped, nil
 }
 
-// unborn says whether a segment of its full size holds nothing but what is left of its head. A shorter one was cut, since
+// neverUsed says whether a segment of its full size holds nothing but what is left of its head. A shorter one was cut, since
 // segments have their size before they are written.
-func unborn(data []byte) bool {
-	if _, err := scanHead(data); err == nil || errors.Is(err, ErrVersion) {
+func neverUsed(data []byte) bool {
+	if _, err := scanHeader(data); err == nil || errors.Is(err, ErrVersion) {
 		return false
 	}
-	for _, b := range data[min(headBytes, len(data)):] {
+	for _, b := range data[min(headerBytes, len(data)):] {
 		if b != 0 {
 			return false
 		}
@@ -119,7 +119,7 @@
 	return true
 }
 
-func nameOf(number uint64) string { return fmt.Sprintf("%016x%s", number, suffix) }
+func segmentName(number uint64) string { return fmt.Sprintf("%016x%s", number, segmentSuffix) }
 
 // Write appends a group of records and, with sync, makes it lasting with all that was written before. After an error
 // none of what was not lasting counts, and the next group goes to a new segment: what is in this one can't be known.
@@ -133,20 +133,20 @@
 		until = max(until, records[i].ExpiresAt)
 	}
 	l.buffer = group[:0]
-	if int64(headBytes+len(group)+footBytes) > l.bounds.SegmentBytes {
+	if int64(headerBytes+len(group)+footerBytes) > l.limits.SegmentBytes {
 		return ErrTooLarge
 	}
-	if l.now == nil || l.end+int64(len(group)+footBytes) > l.bounds.SegmentBytes {
-		if err := l.roll(); err != nil {
+	if l.active == nil || l.writeOffset+int64(len(group)+footerBytes) > l.limits.SegmentBytes {
+		if err := l.rotate(); err != nil {
 			return err
 		}
 	}
 	last := &l.segments[len(l.segments)-1]
-	last.until = max(last.until, until) // what fails may be there all the same
-	if _, err := l.now.WriteAt(group, l.end); err != nil {
-		return l.failed(err)
+	last.expiresAt = max(last.expiresAt, until) // what fails may be there all the same
+	if _, err := l.active.WriteAt(group, l.writeOffset); err != nil {
+		return l.abandonActive(err)
 	}
-	l.end, l.open = l.end+int64(len(group)), l.open+len(records)
+	l.writeOffset, l.groupRecords = l.writeOffset+int64(len(group)), l.groupRecords+len(records)
 	if sync {
 		return l.Sync()
 	}
@@ -156,77 +156,77 @@
 // Sync makes lasting what was written. The foot goes to the disk once the records are there, and not with them: a disk
 // writes in any order, and a foot must prove what it speaks of, or a torn group could not be told from a spoilt one.
 func (l *Log) Sync() error {
-	if l.now == nil || l.open == 0 {
+	if l.active == nil || l.groupRecords == 0 {
 		return nil
 	}
-	if err := l.now.Sync(); err != nil {
-		return l.failed(err)
+	if err := l.active.Sync(); err != nil {
+		return l.abandonActive(err)
 	}
-	if _, err := l.now.WriteAt(Footer(nil, l.start, l.open), l.end); err != nil {
-		return l.failed(err)
+	if _, err := l.active.WriteAt(Footer(nil, l.groupStart, l.groupRecords), l.writeOffset); err != nil {
+		return l.abandonActive(err)
 	}
-	if err := l.now.Sync(); err != nil {
-		return l.failed(err)
+	if err := l.active.Sync(); err != nil {
+		return l.abandonActive(err)
 	}
-	l.end += footBytes
-	l.start, l.open = l.end, 0
+	l.writeOffset += footerBytes
+	l.groupStart, l.groupRecords = l.writeOffset, 0
 	return nil
 }
 
-// failed leaves the segment.
-func (l *Log) failed(err error) error {
+// abandonActive leaves the segment.
+func (l *Log) abandonActive(err error) error {
 	name := l.segments[len(l.segments)-1].name
-	l.leave()
+	l.closeActive()
 	return fmt.Errorf("store: %s: %w", name, err)
 }
 
-// roll starts a new segment, within the bound of all.
-func (l *Log) roll() error {
+// rotate starts a new segment, within the bound of all.
+func (l *Log) rotate() error {
 	if err := l.Close(); err != nil {
 		return err
 	}
-	if int64(len(l.segments)+1)*l.bounds.SegmentBytes > l.bounds.MaxBytes {
+	if int64(len(l.segments)+1)*l.limits.SegmentBytes > l.limits.MaxBytes {
 		return ErrFull
 	}
-	name := nameOf(l.next)
-	file, err := l.files.Create(name, l.bounds.SegmentBytes)
+	name := segmentName(l.nextNumber)
+	file, err := l.storage.Create(name, l.limits.SegmentBytes)
 	if err != nil {
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
-	if _, err = file.WriteAt(Header(l.next, uint32(l.bounds.SegmentBytes)), 0); err == nil {
+	if _, err = file.WriteAt(Header(l.nextNumber, uint32(l.limits.SegmentBytes)), 0); err == nil {
 		err = file.Sync()
 	}
-	l.next++ // a number that failed is not used again
-	l.segments = append(l.segments, kept{name: name})
+	l.nextNumber++ // a number that failed is not used again
+	l.segments = append(l.segments, segmentInfo{name: name})
 	if err != nil {
 		file.Close()
 		return fmt.Errorf("store: %s: %w", name, err)
 	}
-	l.now, l.end, l.start, l.open = file, headBytes, headBytes, 0
+	l.active, l.writeOffset, l.groupStart, l.groupRecords = file, headerBytes, headerBytes, 0
 	return nil
 }
 
-func (l *Log) leave() {
-	l.now.Close()
-	l.now = nil
+func (l *Log) closeActive() {
+	l.active.Close()
+	l.active = nil
 }
 
 // Close ends the log, with all of it lasting.
 func (l *Log) Close() error {
 	err := l.Sync()
-	if l.now != nil {
-		l.leave()
+	if l.active != nil {
+		l.closeActive()
 	}
 	return err
 }
 
 // Expire removes segments all of whose records are past their windows by a Unix time in nanoseconds, oldest first.
 func (l *Log) Expire(wall int64) error {
-	for len(l.segments) > 0 && l.segments[0].until < wall {
-		if len(l.segments) == 1 && l.now != nil {
+	for len(l.segments) > 0 && l.segments[0].expiresAt < wall {
+		if len(l.segments) == 1 && l.active != nil {
 			return nil
 		}
-		if err := l.files.Remove(l.segments[0].name); err != nil {
+		if err := l.storage.Remove(l.segments[0].name); err != nil {
 			return fmt.Errorf("store: %s: %w", l.segments[0].name, err)
 		}
 		l.segments = l.segments[1:]
@@ -237,9 +237,9 @@
 // RetainUntil keeps all segments until a Unix time in nanoseconds at the least: what was recovered is known anew from then on.
 func (l *Log) RetainUntil(until int64) {
 	for i := range l.segments {
-		l.segments[i].until = max(l.segments[i].until, until)
+		l.segments[i].expiresAt = max(l.segments[i].expiresAt, until)
 	}
 }
 
 // Bytes is what the segments take.
-func (l *Log) Bytes() int64 { return int64(len(l.segments)) * l.bounds.SegmentBytes }
+func (l *Log) Bytes() int64 { return int64(len(l.segments)) * l.limits.SegmentBytes }
--- a/internal/resultcache/segmentstore/segment.go
+++ b/internal/resultcache/segmentstore/segment.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	magic        = "TPSTORE\n"
-	version      = 1
-	headBytes    = 32   // magic 8, version 4, size 4, number 8, zeros 4, CRC32C of those 28
-	recordHead   = 10   // mark 1, length of the body 4, CRC32C 4, kind 1
-	footBytes    = 24   // mark 4, start of the group 8, records 4, zeros 4, CRC32C of those 20
-	recordMark   = 0xD1 // no zero: what was never written is zeros
-	footMark     = "\xF7GRP"
-	bodyMost     = 16 << 10 // bytes: a token, a result of 4 KiB and room for what a later version adds
-	compactGroup = 256      // records written at once by a compaction
+	magic              = "TPSTORE\n"
+	formatVersion      = 1
+	headerBytes        = 32   // magic 8, version 4, size 4, number 8, zeros 4, CRC32C of those 28
+	recordHeaderBytes  = 10   // mark 1, length of the body 4, CRC32C 4, kind 1
+	footerBytes        = 24   // mark 4, start of the group 8, records 4, zeros 4, CRC32C of those 20
+	recordMark         = 0xD1 // no zero: what was never written is zeros
+	footerMark         = "\xF7GRP"
+	maxBodyBytes       = 16 << 10 // bytes: a token, a result of 4 KiB and room for what a later version adds
+	maxCompactionGroup = 256      // records written at once by a compaction
 )
 
 // Kind names what a record tells.
 type Kind uint8
 
-// The kinds of records.
+// The kindCount of records.
 const (
 	RunStarted Kind = iota + 1 // a run of the token begins
 	RunEnded                   // how it ended
-	kinds                      // one past the last
+	kindCount                  // one past the last
 )
 
 // Record is one record, its body in CBOR with whole numbers as names.
@@ -64,10 +64,10 @@
 	return fmt.Sprintf("store: broken at offset %d: %s", b.Offset, b.Reason)
 }
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// decode takes bodies as they are written here and nothing that could take much memory.
-var decode = func() cbor.DecMode {
+// decodeMode takes bodies as they are written here and nothing that could take much memory.
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 64}.DecMode()
 	if err != nil {
 		panic(err)
@@ -77,15 +77,15 @@
 
 // Header is the first bytes of a segment of so many bytes in all, the rest being zeros. Segments have their full size
 // from the start, so that one that was cut is told from one that has room.
-func Header(number uint64, size uint32) []byte { return head(version, size, number) }
+func Header(number uint64, size uint32) []byte { return appendHeader(formatVersion, size, number) }
 
-func head(format, size uint32, number uint64) []byte {
-	b := append(make([]byte, 0, headBytes), magic...)
+func appendHeader(format, size uint32, number uint64) []byte {
+	b := append(make([]byte, 0, headerBytes), magic...)
 	b = binary.LittleEndian.AppendUint32(b, format)
 	b = binary.LittleEndian.AppendUint32(b, size)
 	b = binary.LittleEndian.AppendUint64(b, number)
 	b = append(b, 0, 0, 0, 0)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
 // AppendRecord writes a record behind b.
@@ -94,7 +94,7 @@
 	if err != nil {
 		return b, err
 	}
-	if len(body) > bodyMost {
+	if len(body) > maxBodyBytes {
 		return b, ErrTooLarge
 	}
 	at := len(b)
@@ -102,25 +102,25 @@
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	b = append(b, 0, 0, 0, 0, byte(r.Kind))
 	b = append(b, body...)
-	binary.LittleEndian.PutUint32(b[at+5:], recordSum(b[at:]))
+	binary.LittleEndian.PutUint32(b[at+5:], recordChecksum(b[at:]))
 	return b, nil
 }
 
-// recordSum is over mark, length, kind and body.
-func recordSum(record []byte) uint32 {
-	sum := crc32.Checksum(record[:5], castagnoli)
-	return crc32.Update(sum, castagnoli, record[9:])
+// recordChecksum is over mark, length, kind and body.
+func recordChecksum(record []byte) uint32 {
+	sum := crc32.Checksum(record[:5], crcTable)
+	return crc32.Update(sum, crcTable, record[9:])
 }
 
 // Footer closes a group of records that began at an offset of the segment. Records count as acknowledged once their foot
 // is on disk.
 func Footer(b []byte, start int64, records int) []byte {
 	at := len(b)
-	b = append(b, footMark...)
+	b = append(b, footerMark...)
 	b = binary.LittleEndian.AppendUint64(b, uint64(start))
 	b = binary.LittleEndian.AppendUint32(b, uint32(records))
 	b = append(b, 0, 0, 0, 0)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], crcTable))
 }
 
 // ScanResult is what a segment holds.
@@ -137,25 +137,25 @@
 // begun is not to be forgotten. A segment is not written any more once it was scanned: what a crash left behind its end
 // could be taken for records of a later group.
 func Scan(data []byte) (*ScanResult, error) {
-	number, err := scanHead(data)
+	number, err := scanHeader(data)
 	if err != nil {
 		return nil, err
 	}
-	s := &ScanResult{Number: number, End: headBytes}
-	start, count := int64(headBytes), uint32(0)
-	for pos := int64(headBytes); ; {
+	s := &ScanResult{Number: number, End: headerBytes}
+	start, count := int64(headerBytes), uint32(0)
+	for pos := int64(headerBytes); ; {
 		rest := data[pos:]
-		if len(rest) >= footBytes && string(rest[:4]) == footMark && sound(rest) {
+		if len(rest) >= footerBytes && string(rest[:4]) == footerMark && isValidFooter(rest) {
 			if binary.LittleEndian.Uint64(rest[4:]) != uint64(start) || binary.LittleEndian.Uint32(rest[12:]) != count {
 				return nil, &CorruptionError{pos, "the foot of a group speaks of other records"}
 			}
-			pos += footBytes
+			pos += footerBytes
 			start, count, s.End = pos, 0, pos
 			continue
 		}
 		record, n, ok := scanRecord(rest)
 		if !ok {
-			if far := laterFoot(rest); far >= 0 {
+			if far := findFooter(rest); far >= 0 {
 				return nil, &CorruptionError{pos, fmt.Sprintf("no record can be read, but records were acknowledged up to offset %d",
 					pos+int64(far))}
 			}
@@ -168,14 +168,14 @@
 	}
 }
 
-func scanHead(data []byte) (uint64, error) {
-	if len(data) < headBytes || string(data[:8]) != magic {
+func scanHeader(data []byte) (uint64, error) {
+	if len(data) < headerBytes || string(data[:8]) != magic {
 		return 0, &CorruptionError{0, "this is no segment, or its head is spoilt"}
 	}
-	if crc32.Checksum(data[:28], castagnoli) != binary.LittleEndian.Uint32(data[28:]) {
+	if crc32.Checksum(data[:28], crcTable) != binary.LittleEndian.Uint32(data[28:]) {
 		return 0, &CorruptionError{8, "the head is spoilt"}
 	}
-	if binary.LittleEndian.Uint32(data[8:]) != version {
+	if binary.LittleEndian.Uint32(data[8:]) != formatVersion {
 		return 0, ErrVersion
 	}
 	if size := binary.LittleEndian.Uint32(data[12:]); int(size) != len(data) {
@@ -186,36 +186,36 @@
 
 // scanRecord reads the record that data begins with.
 func scanRecord(data []byte) (r Record, n int, ok bool) {
-	if len(data) < recordHead || data[0] != recordMark {
+	if len(data) < recordHeaderBytes || data[0] != recordMark {
 		return r, 0, false
 	}
 	body := binary.LittleEndian.Uint32(data[1:])
-	if body > bodyMost || len(data) < recordHead+int(body) {
+	if body > maxBodyBytes || len(data) < recordHeaderBytes+int(body) {
 		return r, 0, false
 	}
-	n = recordHead + int(body)
-	if recordSum(data[:n]) != binary.LittleEndian.Uint32(data[5:]) || data[9] == 0 || data[9] >= byte(kinds) {
+	n = recordHeaderBytes + int(body)
+	if recordChecksum(data[:n]) != binary.LittleEndian.Uint32(data[5:]) || data[9] == 0 || data[9] >= byte(kindCount) {
 		return r, 0, false
 	}
-	if decode.Unmarshal(data[recordHead:n], &r) != nil {
+	if decodeMode.Unmarshal(data[recordHeaderBytes:n], &r) != nil {
 		return r, 0, false
 	}
 	r.Kind = Kind(data[9])
 	return r, n, true
 }
 
-func sound(foot []byte) bool {
-	return crc32.Checksum(foot[:20], castagnoli) == binary.LittleEndian.Uint32(foot[20:])
+func isValidFooter(foot []byte) bool {
+	return crc32.Checksum(foot[:20], crcTable) == binary.LittleEndian.Uint32(foot[20:])
 }
 
-// laterFoot finds a sound foot anywhere behind what can't be read, -1 where there is none.
-func laterFoot(data []byte) int {
-	for at := 0; at+footBytes <= len(data); {
-		k := bytes.Index(data[at:], []byte(footMark))
-		if k < 0 || at+k+footBytes > len(data) {
+// findFooter finds a sound foot anywhere behind what can't be read, -1 where there is none.
+func findFooter(data []byte) int {
+	for at := 0; at+footerBytes <= len(data); {
+		k := bytes.Index(data[at:], []byte(footerMark))
+		if k < 0 || at+k+footerBytes > len(data) {
 			return -1
 		}
-		if at += k; sound(data[at:]) {
+		if at += k; isValidFooter(data[at:]) {
 			return at
 		}
 		at++
--- a/internal/resultcache/segmentstore/segment_test.go
+++ b/internal/resultcache/segmentstore/segment_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// segment is one of so many groups of two records each, with room behind them.
-func segment(t testing.TB, groups int) (data []byte, records []Record) {
+// testSegment is one of so many groups of two records each, with room behind them.
+func testSegment(t testing.TB, groups int) (data []byte, records []Record) {
 	const size = 2048
 	data = Header(7, size)
 	for g := range groups {
@@ -29,8 +29,8 @@
 	return append(data, make([]byte, size-len(data))...), records
 }
 
-func TestSegmentGivesBackWhatWasWritten(t *testing.T) {
-	data, records := segment(t, 4)
+func TestScanReturnsTheRecordsWritten(t *testing.T) {
+	data, records := testSegment(t, 4)
 	s, err := Scan(data)
 	require.NoError(t, err)
 	assert.Equal(t, records, s.Records)
@@ -38,8 +38,8 @@
 	assert.Zero(t, s.Dropped)
 }
 
-func TestCutAtAnyOffsetIsRefusedWithTheOffset(t *testing.T) {
-	data, _ := segment(t, 4)
+func TestTruncationAtAnyOffsetIsRejected(t *testing.T) {
+	data, _ := testSegment(t, 4)
 	for n := range len(data) {
 		_, err := Scan(data[:n])
 		broken := &CorruptionError{}
@@ -48,8 +48,8 @@
 }
 
 // A flipped bit anywhere gives all records, or an error; never fewer or others without one.
-func TestAnyFlippedBitIsHarmlessOrTold(t *testing.T) {
-	data, records := segment(t, 3)
+func TestAnyFlippedBitIsHarmlessOrReported(t *testing.T) {
+	data, records := testSegment(t, 3)
 	told := 0
 	for bit := range 8 * len(data) {
 		data[bit/8] ^= 1 << (bit % 8)
@@ -60,13 +60,13 @@
 		}
 		data[bit/8] ^= 1 << (bit % 8)
 	}
-	assert.Greater(t, told, 8*headBytes)
+	assert.Greater(t, told, 8*headerBytes)
 }
 
 // A crash leaves any part of the group that was being written; what was acknowledged before is whole.
-func TestTornGroupLosesNothingThatWasAcknowledged(t *testing.T) {
-	before, acknowledged := segment(t, 2)
-	after, all := segment(t, 3)
+func TestTornGroupLosesNoAcknowledgedRecord(t *testing.T) {
+	before, acknowledged := testSegment(t, 2)
+	after, all := testSegment(t, 3)
 	scanned, err := Scan(before)
 	require.NoError(t, err)
 	last, err := Scan(after)
@@ -80,25 +80,25 @@
 	}
 }
 
-func TestVersionThatIsNotKnownIsRefused(t *testing.T) {
-	data, _ := segment(t, 1)
-	copy(data, head(9, 2048, 7))
+func TestUnknownVersionIsRejected(t *testing.T) {
+	data, _ := testSegment(t, 1)
+	copy(data, appendHeader(9, 2048, 7))
 	_, err := Scan(data)
 	assert.ErrorIs(t, err, ErrVersion)
 }
 
-func TestRecordTooLargeIsRefused(t *testing.T) {
-	_, err := AppendRecord(nil, &Record{Kind: RunEnded, Result: make([]byte, bodyMost)})
+func TestOversizedRecordIsRejected(t *testing.T) {
+	_, err := AppendRecord(nil, &Record{Kind: RunEnded, Result: make([]byte, maxBodyBytes)})
 	assert.ErrorIs(t, err, ErrTooLarge)
 }
 
 func FuzzScan(f *testing.F) {
-	data, _ := segment(f, 2)
+	data, _ := testSegment(f, 2)
 	f.Add(data)
-	f.Add(Header(1, headBytes))
+	f.Add(Header(1, headerBytes))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Scan(data)
-		if err == nil && (s.End < headBytes || s.End+s.Dropped > int64(len(data))) {
+		if err == nil && (s.End < headerBytes || s.End+s.Dropped > int64(len(data))) {
 			t.Fatalf("end %d and %d dropped of %d bytes", s.End, s.Dropped, len(data))
 		}
 	})
