--- a/internal/resultcache/segmentstore/compact.go
+++ b/internal/resultcache/segmentstore/compact.go
@@ -1,67 +1,86 @@
 package segmentstore
 
-import (
-	"fmt"
-	"slices"
+import "slices"
+
+const (
+	maxCompactionGroup  = 256 // records written at once
+	recordOverheadBytes = 64  // estimate of a record's fields beside token and result
 )
 
-// LatestRecords gives the last state of each token, in the order in which they were first told of: that its run began, or how it
-// ended, with the hash of its body.
+// tokenKey identifies a token within a store.
+type tokenKey struct {
+	operation, tenant int32
+	token             string
+}
+
+// LatestRecords returns the latest state of each token, in the order of their first records: that its run started, or how it ended,
+// with the hash of its body.
 func LatestRecords(records []Record) []Record {
-	type key struct {
-		operation, tenant int32
-		token             string
-	}
-	at := make(map[key]int)
-	var last []Record
-	for _, r := range records {
-		k := key{r.Operation, r.Tenant, r.Token}
-		i, known := at[k]
+	indices := make(map[tokenKey]int)
+	var latest []Record
+	for i := range records {
+		record := &records[i]
+		key := tokenKey{operation: record.Operation, tenant: record.Tenant, token: record.Token}
+		index, known := indices[key]
 		if !known {
-			at[k] = len(last)
-			last = append(last, r)
+			indices[key] = len(latest)
+			latest = append(latest, *record)
 			continue
 		}
-		if was := &last[i]; r.Kind == RunEnded || was.Kind == RunStarted {
-			if r.BodyHash == 0 {
-				r.BodyHash = was.BodyHash
-			}
-			r.ExpiresAt = max(r.ExpiresAt, was.ExpiresAt)
-			*was = r
-		}
+		latest[index].update(record)
 	}
-	return last
+	return latest
 }
 
-// Compact writes the last state of the tokens that are to stay into new segments, and removes those of before once all
-// of it is lasting. A crash on the way leaves both, which say the same.
-func Compact(files Storage, bounds Limits, stays func(r *Record) bool) (before, after int64, err error) {
-	l, records, _, err := Open(files, bounds)
+// update replaces a record by a later one of the same token, unless that would forget an end.
+func (r *Record) update(later *Record) {
+	if later.Kind != RunEnded && r.Kind != RunStarted {
+		return
+	}
+	earlier := *r
+	*r = *later
+	if r.BodyHash == 0 {
+		r.BodyHash = earlier.BodyHash
+	}
+	r.ExpiresAt = max(r.ExpiresAt, earlier.ExpiresAt)
+}
+
+// Compact writes the latest state of the tokens that are retained into new segments, and removes the earlier ones once all of it is
+// durable. A crash meanwhile leaves both, which have the same meaning.
+func Compact(storage Storage, limits Limits, retain func(r *Record) bool) (before, after int64, err error) {
+	log, records, _, err := Open(storage, limits)
 	if err != nil {
 		return 0, 0, err
 	}
-	old := len(l.segments)
-	before = l.Bytes()
-	last := slices.DeleteFunc(LatestRecords(records), func(r Record) bool { return !stays(&r) })
-	for len(last) > 0 {
-		n, bytes := 0, 0
-		for n < len(last) && n < maxCompactionGroup && (n == 0 || bytes < int(bounds.SegmentBytes)/4) {
-			bytes += recordHeaderBytes + len(last[n].Token) + len(last[n].Result) + 64
-			n++
-		}
-		if err := l.Write(last[:n], false); err != nil {
+	earlier := len(log.segments)
+	before = log.Bytes()
+	latest := slices.DeleteFunc(LatestRecords(records), func(r Record) bool { return !retain(&r) })
+	for len(latest) > 0 {
+		n := compactionGroup(latest, limits)
+		if err := log.Write(latest[:n], false); err != nil {
 			return before, 0, err
 		}
-		last = last[n:]
+		latest = latest[n:]
 	}
-	if err := l.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		return before, 0, err
 	}
-	for _, s := range l.segments[:old] {
-		if err := files.Remove(s.name); err != nil {
-			return before, 0, fmt.Errorf("store: %s: %w", s.name, err)
+	for _, segment := range log.segments[:earlier] {
+		if err := storage.Remove(segment.name); err != nil {
+			return before, 0, segmentError(segment.name, err)
 		}
 	}
-	l.segments = l.segments[old:]
-	return before, l.Bytes(), nil
+	log.segments = log.segments[earlier:]
+	return before, log.Bytes(), nil
+}
+
+// compactionGroup is how many of the records to write at once: they take up to about a quarter of a segment.
+func compactionGroup(records []Record, limits Limits) int {
+	n := 0
+	bytes := 0
+	for n < len(records) && n < maxCompactionGroup && (n == 0 || bytes < int(limits.SegmentBytes)/4) {
+		bytes += recordHeaderBytes + len(records[n].Token) + len(records[n].Result) + recordOverheadBytes
+		n++
+	}
+	return n
 }
--- a/internal/resultcache/segmentstore/directory.go
+++ b/internal/resultcache/segmentstore/directory.go
@@ -5,34 +5,35 @@
 	"path/filepath"
 )
 
-// Directory is the files of one folder of the system.
+// Directory is the Storage of a directory of the file system.
 type Directory string
 
-// Names lists them.
-func (f Directory) Names() ([]string, error) {
-	entries, err := os.ReadDir(string(f))
+// Names lists the regular files.
+func (d Directory) Names() ([]string, error) {
+	entries, err := os.ReadDir(string(d))
 	var names []string
-	for _, e := range entries {
-		if e.Type().IsRegular() {
-			names = append(names, e.Name())
+	for _, entry := range entries {
+		if entry.Type().IsRegular() {
+			names = append(names, entry.Name())
 		}
 	}
 	return names, err
 }
 
-// Read reads a file whole.
-func (f Directory) Read(name string) ([]byte, error) {
-	return os.ReadFile(filepath.Join(string(f), name))
+// Read reads a whole file.
+func (d Directory) Read(name string) ([]byte, error) {
+	return os.ReadFile(d.path(name))
 }
 
-// Create makes a file of zeros whose name lasts. It must be new: none is ever written again.
-func (f Directory) Create(name string, size int64) (File, error) {
-	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+// Create makes a file of zeros whose name is durable. It must not exist: no file is ever written again.
+func (d Directory) Create(name string, size int64) (File, error) {
+	file, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	if err = file.Truncate(size); err == nil {
-		err = f.sync()
+	err = file.Truncate(size)
+	if err == nil {
+		err = d.sync()
 	}
 	if err != nil {
 		file.Close()
@@ -41,20 +42,22 @@
 	return file, nil
 }
 
-// Remove takes a file out.
-func (f Directory) Remove(name string) error {
-	if err := os.Remove(filepath.Join(string(f), name)); err != nil {
+// Remove removes a file.
+func (d Directory) Remove(name string) error {
+	if err := os.Remove(d.path(name)); err != nil {
 		return err
 	}
-	return f.sync()
+	return d.sync()
 }
 
-// sync makes names lasting.
-func (f Directory) sync() error {
-	folder, err := os.Open(string(f))
+func (d Directory) path(name string) string { return filepath.Join(string(d), name) }
+
+// sync makes the names of files durable.
+func (d Directory) sync() error {
+	directory, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer directory.Close()
+	return directory.Sync()
 }
