--- a/internal/resultcache/segmentstore/fake_storage_test.go
+++ b/internal/resultcache/segmentstore/fake_storage_test.go
@@ -2,18 +2,21 @@
 
 import (
 	"errors"
+	"maps"
 	"math/rand"
 	"slices"
 )
 
-var errFakeStorage = errors.New("the disk failed")
+const blockBytes = 16 // that a crash keeps or loses as one
 
-// fakeStorage is a folder in memory that fails when told to, and that a crash takes back to what was synced and some of what
-// was not.
+var errFakeStorage = errors.New("the fake storage failed")
+
+// fakeStorage is a directory in memory that fails on demand, and that a crash takes back to what was synced and some of what was
+// not.
 type fakeStorage struct {
 	files map[string]*fakeFile
 	rng   *rand.Rand
-	fail  func(what string) bool
+	fail  func(operation string) bool
 }
 
 type fakeFile struct {
@@ -26,68 +29,69 @@
 	return &fakeStorage{files: map[string]*fakeFile{}, rng: rand.New(rand.NewSource(seed)), fail: func(string) bool { return false }}
 }
 
-func (d *fakeStorage) Names() (names []string, err error) {
-	for name := range d.files {
+func (storage *fakeStorage) Names() (names []string, err error) {
+	for name := range storage.files {
 		names = append(names, name)
 	}
 	return names, nil
 }
 
-func (d *fakeStorage) Read(name string) ([]byte, error) {
-	if d.fail("read") {
+func (storage *fakeStorage) Read(name string) ([]byte, error) {
+	if storage.fail("read") {
 		return nil, errFakeStorage
 	}
-	return slices.Clone(d.files[name].live), nil
+	return slices.Clone(storage.files[name].live), nil
 }
 
-func (d *fakeStorage) Create(name string, size int64) (File, error) {
-	if d.fail("create") {
+func (storage *fakeStorage) Create(name string, size int64) (File, error) {
+	if storage.fail("create") {
 		return nil, errFakeStorage
 	}
-	d.files[name] = &fakeFile{storage: d, synced: make([]byte, size), live: make([]byte, size)}
-	return d.files[name], nil
+	storage.files[name] = &fakeFile{storage: storage, synced: make([]byte, size), live: make([]byte, size)}
+	return storage.files[name], nil
 }
 
-func (d *fakeStorage) Remove(name string) error {
-	if d.fail("remove") {
+func (storage *fakeStorage) Remove(name string) error {
+	if storage.fail("remove") {
 		return errFakeStorage
 	}
-	delete(d.files, name)
+	delete(storage.files, name)
 	return nil
 }
 
-func (m *fakeFile) WriteAt(p []byte, at int64) (int, error) {
+func (file *fakeFile) WriteAt(p []byte, at int64) (int, error) {
 	n := len(p)
-	failed := m.storage.fail("write")
+	failed := file.storage.fail("write")
 	if failed {
-		n = m.storage.rng.Intn(len(p) + 1) // torn
+		n = file.storage.rng.Intn(len(p) + 1) // torn
 	}
-	copy(m.live[at:], p[:n])
+	copy(file.live[at:], p[:n])
 	if failed {
 		return n, errFakeStorage
 	}
 	return n, nil
 }
 
-func (m *fakeFile) Sync() error {
-	if m.storage.fail("sync") {
+func (file *fakeFile) Sync() error {
+	if file.storage.fail("sync") {
 		return errFakeStorage
 	}
-	copy(m.synced, m.live)
+	copy(file.synced, file.live)
 	return nil
 }
 
-func (m *fakeFile) Close() error { return nil }
+func (file *fakeFile) Close() error { return nil }
 
-// crash keeps what was synced, and of what was not some blocks of sixteen bytes in any order.
-func (d *fakeStorage) crash() {
-	for _, m := range d.files {
-		for at := 0; at < len(m.live); at += 16 {
-			end := min(at+16, len(m.live))
-			if d.rng.Intn(2) == 0 {
-				copy(m.synced[at:end], m.live[at:end])
+// crash keeps what was synced, and some blocks of what was not, in any order.
+func (storage *fakeStorage) crash() {
+	for _, name := range slices.Sorted(maps.Keys(storage.files)) { // so that a seed draws the same blocks each time
+		file := storage.files[name]
+		for at := 0; at < len(file.live); at += blockBytes {
+			end := min(at+blockBytes, len(file.live))
+			if storage.rng.Intn(2) == 0 {
+				copy(file.synced[at:end], file.live[at:end])
 			}
 		}
-		m.live = slices.Clone(m.synced)
+		file.live = slices.Clone(file.synced)
 	}
 }
--- a/internal/resultcache/segmentstore/fixtures_test.go
+++ b/internal/resultcache/segmentstore/fixtures_test.go
@@ -14,7 +14,7 @@
 	"topazpost/internal/fixture"
 )
 
-// A segment of two groups with one record of each kind in each, and a record that no foot acknowledges.
+// A segment of two groups with one record of each kind in each, and of records that no footer acknowledges.
 func TestSegmentFixture(t *testing.T) {
 	const size, number = 1 << 10, 0x0102030405060708
 	var want ScanResult
@@ -24,7 +24,8 @@
 		for _, kind := range []Kind{RunStarted, RunEnded} {
 			r := fixture.Filled[Record](100*group + uint32(kind))
 			r.Kind = kind
-			want.Records, want.Offsets = append(want.Records, r), append(want.Offsets, int64(len(text)))
+			want.Records = append(want.Records, r)
+			want.Offsets = append(want.Offsets, int64(len(text)))
 			var err error
 			text, err = AppendRecord(text, &r)
 			require.NoError(t, err)
@@ -33,7 +34,8 @@
 			text = Footer(text, start, 2)
 		}
 	}
-	want.Number, want.End = number, int64(len(text))
+	want.Number = number
+	want.End = int64(len(text))
 	require.LessOrEqual(t, len(text), size)
 	text = append(text, make([]byte, size-len(text))...)
 	content := fixture.Equal(t, "segment-v1.bin", text)
@@ -46,35 +48,35 @@
 
 // A log of two segments as Write leaves it is found under the same names with the same bytes, and opened to its records.
 func TestLogFixture(t *testing.T) {
-	bounds := Limits{SegmentBytes: 32 << 10, MaxBytes: 256 << 10}
-	files := newFakeStorage(1)
-	log, _, _, err := Open(files, bounds)
+	limits := Limits{SegmentBytes: 32 << 10, MaxBytes: 256 << 10}
+	storage := newFakeStorage(1)
+	log, _, _, err := Open(storage, limits)
 	require.NoError(t, err)
 	var want []Record
 	for k := range uint32(2) {
 		r := fixture.Filled[Record](k)
 		r.Kind = RunStarted
-		r.Result = []byte(strings.Repeat(fmt.Sprint(k), 10<<10)) // two of them and their feet take most of a segment
+		r.Result = []byte(strings.Repeat(fmt.Sprint(k), 10<<10)) // two of them and their footers take most of a segment
 		group := []Record{r, r}
 		group[1].Kind = RunEnded
 		want = append(want, group...)
 		require.NoError(t, log.Write(group, true))
 	}
 	require.NoError(t, log.Close())
-	names, err := files.Names()
+	names, err := storage.Names()
 	require.NoError(t, err)
 	slices.Sort(names)
 	require.Len(t, names, 2)
 	var listing strings.Builder
-	kept := newFakeStorage(1)
+	reopened := newFakeStorage(1)
 	for _, name := range names {
-		data, err := files.Read(name)
+		data, err := storage.Read(name)
 		require.NoError(t, err)
 		fmt.Fprintf(&listing, "%s %d %x\n", name, len(data), sha256.Sum256(data))
-		kept.files[name] = &fakeFile{storage: kept, synced: data, live: data}
+		reopened.files[name] = &fakeFile{storage: reopened, synced: data, live: data}
 	}
 	fixture.Equal(t, "log-v1.txt", []byte(listing.String()))
-	_, records, dropped, err := Open(kept, bounds)
+	_, records, dropped, err := Open(reopened, limits)
 	require.NoError(t, err)
 	assert.Empty(t, dropped)
 	assert.Equal(t, want, records)
--- a/internal/resultcache/segmentstore/index.go
+++ b/internal/resultcache/segmentstore/index.go
@@ -2,11 +2,11 @@
 
 import "math/bits"
 
-// Index finds where a token's last record is, by the hash of the token: open addressing with linear probing in slots of
-// 16 bytes, deletion by shifting back, so that no look-up grows with what was once there. Two tokens of one hash are two
-// entries; who looks up compares the record. The zero value is ready.
+// Index finds the location of a token's last record by the hash of the token. It is a hash table with open addressing, linear
+// probing and deletion by shifting back, so that no look-up gets slower by what was deleted. Two tokens of one hash are two
+// entries; the caller tells them apart by their records. The zero value is empty.
 type Index struct {
-	slots []slot // a power of two
+	slots []slot // their number is a power of two
 	count int
 }
 
@@ -16,16 +16,17 @@
 }
 
 const (
+	slotBytes       = 16
 	minSlots        = 16
-	loadDenominator = 8 // of so many slots fullAt may be taken: past that probes get long
-	loadNumerator   = 7
+	loadNumerator   = 7 // of loadDenominator slots so many may be taken: beyond that probes get long
+	loadDenominator = 8
 )
 
 // Len is how many entries there are.
 func (x *Index) Len() int { return x.count }
 
 // Bytes is what the slots take.
-func (x *Index) Bytes() int { return 16 * len(x.slots) }
+func (x *Index) Bytes() int { return slotBytes * len(x.slots) }
 
 func (x *Index) mask() uint64 { return uint64(len(x.slots) - 1) }
 
@@ -35,28 +36,33 @@
 // Put adds an entry.
 func (x *Index) Put(hash, location uint64) {
 	if (x.count+1)*loadDenominator > len(x.slots)*loadNumerator {
-		old := x.slots
-		x.slots = make([]slot, max(minSlots, 1<<bits.Len(uint(len(old)))))
-		for _, s := range old {
-			if s.hash != 0 {
-				x.insert(s)
-			}
-		}
+		x.grow()
 	}
-	x.insert(slot{nonzero(hash), location})
+	x.insert(slot{hash: nonzero(hash), location: location})
 	x.count++
 }
 
-func (x *Index) insert(s slot) {
-	i := s.hash & x.mask()
+func (x *Index) grow() {
+	entries := x.slots
+	x.slots = make([]slot, max(minSlots, 1<<bits.Len(uint(len(entries)))))
+	for _, entry := range entries {
+		if entry.hash != 0 {
+			x.insert(entry)
+		}
+	}
+}
+
+// insert puts an entry into the first free slot from its home on.
+func (x *Index) insert(entry slot) {
+	i := entry.hash & x.mask()
 	for x.slots[i].hash != 0 {
 		i = (i + 1) & x.mask()
 	}
-	x.slots[i] = s
+	x.slots[i] = entry
 }
 
-// find is the slot of an entry that the caller knows by where it leads to; false ends the search unfound.
-func (x *Index) find(hash uint64, match func(where uint64) bool) (i uint64, found bool) {
+// find returns the slot of the entry of a hash whose location the caller matches.
+func (x *Index) find(hash uint64, match func(location uint64) bool) (i uint64, found bool) {
 	if x.count == 0 {
 		return 0, false
 	}
@@ -69,8 +75,8 @@
 	return 0, false
 }
 
-// Get gives where the entry of a hash leads to that the caller takes for its own.
-func (x *Index) Get(hash uint64, match func(where uint64) bool) (uint64, bool) {
+// Get returns the location of the entry of a hash that the caller matches.
+func (x *Index) Get(hash uint64, match func(location uint64) bool) (uint64, bool) {
 	i, found := x.find(hash, match)
 	if !found {
 		return 0, false
@@ -78,16 +84,16 @@
 	return x.slots[i].location, true
 }
 
-// Move has an entry lead somewhere else.
+// Move changes the location of an entry, and returns whether there is one.
 func (x *Index) Move(hash, from, to uint64) bool {
-	i, found := x.find(hash, func(where uint64) bool { return where == from })
+	i, found := x.find(hash, func(location uint64) bool { return location == from })
 	if found {
 		x.slots[i].location = to
 	}
 	return found
 }
 
-// Delete takes an entry out and moves those up that were put behind it.
+// Delete removes an entry and shifts back those that were put behind it. It returns whether there was one.
 func (x *Index) Delete(hash, location uint64) bool {
 	hole, found := x.find(hash, func(candidate uint64) bool { return candidate == location })
 	if !found {
@@ -95,7 +101,7 @@
 	}
 	for i := (hole + 1) & x.mask(); x.slots[i].hash != 0; i = (i + 1) & x.mask() {
 		home := x.slots[i].hash & x.mask()
-		if (i-home)&x.mask() >= (i-hole)&x.mask() { // its home lies at the hole or before it
+		if (i-home)&x.mask() >= (i-hole)&x.mask() { // its home is the hole, or lies before it
 			x.slots[hole] = x.slots[i]
 			hole = i
 		}
--- a/internal/resultcache/segmentstore/segment_test.go
+++ b/internal/resultcache/segmentstore/segment_test.go
@@ -8,16 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testSegment is one of so many groups of two records each, with room behind them.
+// testSegment is a segment with groups of two records each, and room behind them.
 func testSegment(t testing.TB, groups int) (data []byte, records []Record) {
+	t.Helper()
 	const size = 2048
 	data = Header(7, size)
 	for g := range groups {
 		start := int64(len(data))
-		for k, kind := range []Kind{RunStarted, RunEnded} {
+		for _, kind := range []Kind{RunStarted, RunEnded} {
 			r := Record{Kind: kind, Operation: int32(g), Tenant: -1, Token: fmt.Sprint("token-", g), BodyHash: 9, ExpiresAt: 1e18}
-			if k == 1 {
-				r.Outcome, r.Result = 1, []byte("a result")
+			if kind == RunEnded {
+				r.Outcome = 1
+				r.Result = []byte("a result")
 			}
 			var err error
 			data, err = AppendRecord(data, &r)
@@ -42,28 +44,28 @@
 	data, _ := testSegment(t, 4)
 	for n := range len(data) {
 		_, err := Scan(data[:n])
-		broken := &CorruptionError{}
-		require.ErrorAs(t, err, &broken, "%d bytes", n)
+		corruption := &CorruptionError{}
+		require.ErrorAs(t, err, &corruption, "%d bytes", n)
 	}
 }
 
 // A flipped bit anywhere gives all records, or an error; never fewer or others without one.
 func TestAnyFlippedBitIsHarmlessOrReported(t *testing.T) {
 	data, records := testSegment(t, 3)
-	told := 0
+	rejected := 0
 	for bit := range 8 * len(data) {
 		data[bit/8] ^= 1 << (bit % 8)
 		if s, err := Scan(data); err != nil {
-			told++
+			rejected++
 		} else {
 			require.Equal(t, records, s.Records, "bit %d", bit)
 		}
 		data[bit/8] ^= 1 << (bit % 8)
 	}
-	assert.Greater(t, told, 8*headerBytes)
+	assert.Greater(t, rejected, 8*headerBytes)
 }
 
-// A crash leaves any part of the group that was being written; what was acknowledged before is whole.
+// A crash leaves any part of the group that was being written; what was acknowledged before is complete.
 func TestTornGroupLosesNoAcknowledgedRecord(t *testing.T) {
 	before, acknowledged := testSegment(t, 2)
 	after, all := testSegment(t, 3)
