--- a/internal/resultcache/cacheconfig/keep.go
+++ b/internal/resultcache/cacheconfig/cacheconfig.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	fieldUsual   = "dedupe"
-	resultUsual  = 4 << 10   // bytes of one result: the most that an answer carries
-	resultMost   = 15 << 10  // bytes of one result that a record of the store holds
-	memoryUsual  = 32 << 20  // bytes of tokens and results in memory
-	memoryPart   = 4         // part of the node's own memory that they may take where nothing is written of them
-	sizeUsual    = 256 << 20 // bytes of all segments
-	segmentUsual = 8 << 20   // bytes of one: a few minutes of a busy node
-	gatherUsual  = 2_000_000 // ns that a group waits for more: short beside a sync
-	gatherMost   = 100_000_000
+	defaultField        = "dedupe"
+	defaultResultBytes  = 4 << 10   // bytes of one result: the most that an answer carries
+	maxResultBytes      = 15 << 10  // bytes of one result that a record of the store holds
+	defaultMemoryBytes  = 32 << 20  // bytes of tokens and results in memory
+	memoryDivisor       = 4         // part of the node's own memory that they may take where nothing is written of them
+	defaultStoreBytes   = 256 << 20 // bytes of all segments
+	defaultSegmentBytes = 8 << 20   // bytes of one: a few minutes of a busy node
+	defaultBatchWindow  = 2_000_000 // ns that a group waits for more: short beside a sync
+	maxBatchWindow      = 100_000_000
 )
 
 // Durability says when a record is on disk.
@@ -60,14 +60,14 @@
   "gather": {"type": "string", "pattern": "TIME"}}}`))
 })
 
-type written struct {
+type fileContent struct {
 	Token, Durability, Trouble, Folder string
 	Memory, Result, Size, Segment      *configfile.Size
 	Gather                             *configfile.Time
 }
 
-// longest is the longest window of the tokened operations, 0 where there are none.
-func longest(operations []admission.Operation) (window int64) {
+// longestWindow is the longestWindow window of the tokened operations, 0 where there are none.
+func longestWindow(operations []admission.Operation) (window int64) {
 	for _, op := range operations {
 		if op.Idempotency == admission.IdempotentWithKey {
 			window = max(window, op.DeduplicationWindow+op.ClientTimeout) // repeats may lie unread for so long
@@ -78,12 +78,12 @@
 
 // Default is what a node keeps without a file: in memory only, and nothing where no operation is tokened (nil).
 func Default(operations []admission.Operation, memoryMB int) *Config {
-	window := longest(operations)
+	window := longestWindow(operations)
 	if window == 0 {
 		return nil
 	}
-	return &Config{Field: fieldUsual, Cache: resultcache.Config{MaxBytes: min(memoryUsual, int64(memoryMB)<<20/memoryPart),
-		MaxResultBytes: resultUsual, Window: window}}
+	return &Config{Field: defaultField, Cache: resultcache.Config{MaxBytes: min(defaultMemoryBytes, int64(memoryMB)<<20/memoryDivisor),
+		MaxResultBytes: defaultResultBytes, Window: window}}
 }
 
 // Read reads a file in this process.
@@ -100,7 +100,7 @@
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
-	var w written
+	var w fileContent
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 	if strings.Contains(" op call recv src org ttl rep work heap crit row ", " "+k.Field+" ") {
 		found = append(found, file.At([]string{"token"}, fmt.Sprintf("%q is a field of its own", k.Field), "name another one"))
 	}
-	k.Limits, k.BatchWindow = segmentstore.Limits{SegmentBytes: segmentUsual, MaxBytes: sizeUsual}, gatherUsual
+	k.Limits, k.BatchWindow = segmentstore.Limits{SegmentBytes: defaultSegmentBytes, MaxBytes: defaultStoreBytes}, defaultBatchWindow
 	for _, s := range []struct {
 		from *configfile.Size
 		to   *int64
@@ -131,13 +131,13 @@
 	if w.Trouble == "memory" {
 		k.Cache.OnStoreFailure = resultcache.ContinueInMemory
 	}
-	if k.Cache.MaxResultBytes > resultMost {
+	if k.Cache.MaxResultBytes > maxResultBytes {
 		found = append(found, file.At([]string{"result"}, "is more than a record holds", "15 KiB at the most"))
 	}
 	if k.Cache.MaxBytes > int64(memoryMB)<<20/2 {
 		found = append(found, file.At([]string{"memory"}, fmt.Sprintf("is more than half of the node's %d MB", memoryMB), "make it smaller"))
 	}
-	if k.BatchWindow > gatherMost {
+	if k.BatchWindow > maxBatchWindow {
 		found = append(found, file.At([]string{"gather"}, "is longer than 100 ms", "make it shorter: each tokened invocation waits for it"))
 	}
 	k.Durability = map[string]Durability{"": InMemory, "none": InMemory, "batched": SyncBatched, "each": SyncEach}[w.Durability]
--- a/internal/resultcache/cacheconfig/keep_test.go
+++ b/internal/resultcache/cacheconfig/cacheconfig_test.go
@@ -12,24 +12,24 @@
 	"topazpost/internal/resultcache"
 )
 
-var tokened = []admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 5_000_000_000}, {}}
+var operations = []admission.Operation{{Idempotency: admission.IdempotentWithKey, DeduplicationWindow: 5_000_000_000}, {}}
 
-func TestWithoutAFileTokensAreKeptInMemoryAndNothingWhereNoneAre(t *testing.T) {
+func TestDefaultIsInMemoryAndNilWithoutIdempotentOperations(t *testing.T) {
 	assert.Nil(t, Default([]admission.Operation{{}}, 192))
-	k := Default(tokened, 48)
-	assert.Equal(t, resultcache.Config{MaxBytes: 12 << 20, MaxResultBytes: resultUsual, Window: 5_000_000_000}, k.Cache)
+	k := Default(operations, 48)
+	assert.Equal(t, resultcache.Config{MaxBytes: 12 << 20, MaxResultBytes: defaultResultBytes, Window: 5_000_000_000}, k.Cache)
 	assert.Equal(t, "in memory only, a crash forgets them", k.Location())
 }
 
-func TestDeployedFileCanBeReadAndFaultsAreNamed(t *testing.T) {
-	k, err := Read("../../../deploy/kept.jsonnet", tokened, 192)
+func TestDeployedFileIsValidAndProblemsAreNamed(t *testing.T) {
+	k, err := Read("../../../deploy/kept.jsonnet", operations, 192)
 	require.NoError(t, err)
 	assert.Equal(t, resultcache.OnDisk, k.Cache.Durability)
-	_, err = Read("../../../deploy/kept.jsonnet", tokened[1:], 192)
+	_, err = Read("../../../deploy/kept.jsonnet", operations[1:], 192)
 	assert.ErrorContains(t, err, "no operation is tokened")
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte("{\n token: 'call',\n durability: 'each',\n result: '20 KiB',\n memory: '150 MiB',\n size: '1 MiB',\n gather: '1 s' }"), 0o600))
-	_, err = Read(path, tokened, 192)
+	_, err = Read(path, operations, 192)
 	for _, want := range []string{":2: token: ", ":3: durability: needs a folder", ":4: result: ", ":5: memory: ", ":6: size: ", ":7: gather: "} {
 		assert.ErrorContains(t, err, want)
 	}
