--- a/internal/resultcache/cacheconfig/cacheconfig_test.go
+++ b/internal/resultcache/cacheconfig/cacheconfig_test.go
@@ -16,15 +16,15 @@
 
 func TestDefaultIsInMemoryAndNilWithoutIdempotentOperations(t *testing.T) {
 	assert.Nil(t, Default([]admission.Operation{{}}, 192))
-	k := Default(operations, 48)
-	assert.Equal(t, resultcache.Config{MaxBytes: 12 << 20, MaxResultBytes: defaultResultBytes, Window: 5_000_000_000}, k.Cache)
-	assert.Equal(t, "in memory only, a crash forgets them", k.Location())
+	config := Default(operations, 48)
+	assert.Equal(t, resultcache.Config{MaxBytes: 12 << 20, MaxResultBytes: defaultResultBytes, Window: 5_000_000_000}, config.Cache)
+	assert.Equal(t, "in memory only, a crash forgets them", config.Location())
 }
 
 func TestDeployedFileIsValidAndProblemsAreNamed(t *testing.T) {
-	k, err := Read("../../../deploy/kept.jsonnet", operations, 192)
+	config, err := Read("../../../deploy/kept.jsonnet", operations, 192)
 	require.NoError(t, err)
-	assert.Equal(t, resultcache.OnDisk, k.Cache.Durability)
+	assert.Equal(t, resultcache.OnDisk, config.Cache.Durability)
 	_, err = Read("../../../deploy/kept.jsonnet", operations[1:], 192)
 	assert.ErrorContains(t, err, "no operation is tokened")
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
--- /dev/null
+++ b/internal/resultcache/cacheconfig/default.go
@@ -0,0 +1,55 @@
+package cacheconfig
+
+import (
+	"topazpost/internal/admission"
+	"topazpost/internal/resultcache"
+	"topazpost/internal/resultcache/segmentstore"
+)
+
+const (
+	defaultField        = "dedupe"
+	defaultResultBytes  = 4 << 10   // of one result: the most that an answer carries
+	defaultMemoryBytes  = 32 << 20  // of tokens and results
+	memoryDivisor       = 4         // part of the node's own memory that they take at most by default
+	defaultStoreBytes   = 256 << 20 // of all segments
+	defaultSegmentBytes = 8 << 20   // of one segment: a few minutes of a busy node
+	defaultBatchWindow  = 2_000_000 // ns, short beside a sync
+)
+
+// Default is the configuration without a file: in memory only, or nil where no operation has an idempotency token.
+func Default(operations []admission.Operation, memoryMB int) *Config {
+	window := longestWindow(operations)
+	if window == 0 {
+		return nil
+	}
+	return &Config{
+		Field: defaultField,
+		Cache: resultcache.Config{
+			MaxBytes:       min(defaultMemoryBytes, megabytes(memoryMB)/memoryDivisor),
+			MaxResultBytes: defaultResultBytes,
+			Window:         window,
+		},
+	}
+}
+
+// defaultForFile is the configuration that a file changes.
+func defaultForFile(operations []admission.Operation, memoryMB int) *Config {
+	config := Default(operations, memoryMB)
+	if config != nil {
+		config.Limits = segmentstore.Limits{SegmentBytes: defaultSegmentBytes, MaxBytes: defaultStoreBytes}
+		config.BatchWindow = defaultBatchWindow
+	}
+	return config
+}
+
+// longestWindow is the longest window of the operations with a token, 0 where there are none.
+func longestWindow(operations []admission.Operation) (window int64) {
+	for _, operation := range operations {
+		if operation.Idempotency == admission.IdempotentWithKey {
+			window = max(window, operation.DeduplicationWindow+operation.ClientTimeout) // repeats may lie unread for so long
+		}
+	}
+	return window
+}
+
+func megabytes(n int) int64 { return int64(n) << 20 }
