--- a/internal/fleet/claims/helpers_test.go
+++ b/internal/fleet/claims/helpers_test.go
@@ -1,65 +1,76 @@
 package claims
 
 var (
-	a = Owner{"a", 1}
-	b = Owner{"b", 1}
+	nodeA = Owner{"a", 1}
+	nodeB = Owner{"b", 1}
 )
 
-func key(token string) Key { return Key{Operation: "hold", Token: token} }
+func testKey(token string) Key { return Key{Operation: "hold", Token: token} }
 
-func ask(from Owner, token string) *Command {
-	return &Command{Kind: CommandClaim, Sender: from, Key: key(token), BodyHash: 7, Duration: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work"), InvocationID: "c-" + token}
+func claimCommand(sender Owner, token string) *Command {
+	return &Command{
+		Kind:         CommandClaim,
+		Sender:       sender,
+		Key:          testKey(token),
+		BodyHash:     7,
+		Duration:     5_000 * ms,
+		Window:       60_000 * ms,
+		Work:         []byte("work"),
+		InvocationID: "c-" + token,
+	}
 }
 
-// started is a table in which a has started a token.
-func started(token string) (*Table, uint64) {
-	t := NewTable()
-	fence := t.Apply(ask(a, token)).Fence
-	t.Apply(&Command{Kind: CommandStart, Sender: a, Key: key(token), Fence: fence})
-	return t, fence
+// startedTable is a table in which node a has started token t, and its fence.
+func startedTable() (*Table, uint64) {
+	table := NewTable()
+	fence := table.Apply(claimCommand(nodeA, "t")).Fence
+	table.Apply(&Command{Kind: CommandStart, Sender: nodeA, Key: testKey("t"), Fence: fence})
+	return table, fence
 }
 
-func pass(t *Table, by int64) {
-	for ; by > 0; by -= MaxTimeStep {
-		t.Apply(&Command{Kind: CommandAdvanceTime, At: t.Time(), Duration: min(by, MaxTimeStep)})
+func advanceTime(table *Table, duration int64) {
+	for ; duration > 0; duration -= MaxTimeStep {
+		table.Apply(&Command{Kind: CommandAdvanceTime, At: table.Time(), Duration: min(duration, MaxTimeStep)})
 	}
 }
 
-// at is a desk whose council answered last at a moment.
-func at(now int64) *Client {
-	d := NewClient(a)
-	d.Step(now, nil)
-	d.Step(now, []Input{{Kind: VerdictReceived, Verdict: Verdict{Seq: d.probe}}})
-	return d
+// connectedClient is a client whose group answered its first probe.
+func connectedClient() *Client {
+	const now = 1
+	client := NewClient(nodeA)
+	client.Step(now, nil)
+	client.Step(now, []Input{{Kind: VerdictReceived, Verdict: Verdict{Seq: client.probeSeq}}})
+	return client
 }
 
-// sent are the commands among actions.
-func sent(actions []Action) (list []Command) {
-	for _, x := range actions {
-		list = append(list, x.Commands...)
+// sentCommands are the commands among actions.
+func sentCommands(actions []Action) (commands []Command) {
+	for _, action := range actions {
+		commands = append(commands, action.Commands...)
 	}
-	return list
+	return commands
 }
 
-func deeds(actions []Action) (list []ActionKind) {
-	for _, x := range actions {
-		if x.Kind != SendCommands {
-			list = append(list, x.Kind)
+// actionKinds are the kinds of the actions that send no commands.
+func actionKinds(actions []Action) (kinds []ActionKind) {
+	for _, action := range actions {
+		if action.Kind != SendCommands {
+			kinds = append(kinds, action.Kind)
 		}
 	}
-	return list
+	return kinds
 }
 
-func arrived(token string) Input {
-	return Input{Kind: RequestClaim, Key: key(token), BodyHash: 7, Remaining: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
+func claimRequest(token string) Input {
+	return Input{Kind: RequestClaim, Key: testKey(token), BodyHash: 7, Remaining: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
 }
 
-// after steps a desk a moment later.
-func after(d *Client, by int64, inputs ...Input) []Action {
-	actions, _ := d.Step(d.now+by, inputs)
+// stepAfter steps a client after a duration.
+func stepAfter(client *Client, duration int64, inputs ...Input) []Action {
+	actions, _ := client.Step(client.now+duration, inputs)
 	return actions
 }
 
-func verdict(seq uint64, answer Answer, fence uint64) Input {
+func verdictInput(seq uint64, answer Answer, fence uint64) Input {
 	return Input{Kind: VerdictReceived, Verdict: Verdict{Seq: seq, Answer: answer, Fence: fence}}
 }
--- /dev/null
+++ b/internal/fleet/quota/lease_table.go
@@ -0,0 +1,124 @@
+// Package quota shares limits that hold for a whole fleet. LeaseTable is the replicated table of leases that a consensus group
+// agrees on; LeaseHolder is a node's side, which says how much the node may use now. The package does no I/O and reads no clock.
+package quota
+
+import (
+	"maps"
+	"slices"
+)
+
+const (
+	ms = int64(1_000_000) // ns in a millisecond
+
+	maxLimits  = 256     // limits of a fleet
+	maxHolders = 2_000   // holders of one limit: above the size of any fleet
+	maxUnits   = 1 << 30 // units of one limit
+)
+
+// MaxTimeStep is the most that the table's time advances at once, in ns. The first step after a grant may count time from before
+// the grant, later ones can't, so leases are longer by that much in the table than their holders use them.
+const MaxTimeStep = 500 * ms
+
+// Lease is what one holder has of a limit.
+type Lease struct {
+	Who   Owner  `cbor:"1,keyasint"`
+	Units int64  `cbor:"2,keyasint,omitempty"`
+	Want  int64  `cbor:"3,keyasint,omitempty"`
+	Until int64  `cbor:"4,keyasint"` // in the table's time
+	Seq   uint64 `cbor:"5,keyasint"`
+}
+
+// Limit is one limit with its leases, in the order of their holders.
+type Limit struct {
+	Name    string  `cbor:"1,keyasint"`
+	Units   int64   `cbor:"2,keyasint"`
+	Version uint64  `cbor:"3,keyasint"`
+	Wait    int64   `cbor:"4,keyasint,omitempty"`
+	Leases  []Lease `cbor:"5,keyasint,omitempty"`
+}
+
+// LeasedUnits is the sum of all leases.
+func (l *Limit) LeasedUnits() (sum int64) {
+	for i := range l.Leases {
+		sum += l.Leases[i].Units
+	}
+	return sum
+}
+
+// LeaseTable is the replicated state: all limits and leases, the same on all replicas that apply the same commands in the same
+// order.
+type LeaseTable struct{ limits map[string]*Limit }
+
+// NewLeaseTable returns a table without limits.
+func NewLeaseTable() *LeaseTable { return &LeaseTable{limits: map[string]*Limit{}} }
+
+// Apply carries out one command at a time of the table. The sum of a limit's leases only grows where it stays within the limit; it
+// may exceed the limit after that was lowered, until holders have given back.
+func (t *LeaseTable) Apply(time int64, command *Command) Verdict {
+	verdict := Verdict{Limit: command.Limit, Seq: command.Seq}
+	limit := t.limits[command.Limit]
+	switch {
+	case command.Kind == CommandDefineLimit:
+		t.define(command, limit)
+	case limit != nil:
+		verdict.LimitDefined = true
+		limit.expireLeases(time)
+		limit.request(time, command, &verdict)
+	}
+	return verdict
+}
+
+func (t *LeaseTable) define(command *Command, limit *Limit) {
+	switch {
+	case command.Units < 0 || command.Units > maxUnits:
+	case limit == nil && len(t.limits) < maxLimits:
+		t.limits[command.Limit] = &Limit{Name: command.Limit, Units: command.Units, Version: command.Version, Wait: command.StartDelay}
+	case limit != nil && command.Version > limit.Version:
+		limit.Units = command.Units
+		limit.Version = command.Version
+	}
+}
+
+// request renews a holder's lease, taking what it gives back and granting up to its fair share.
+func (l *Limit) request(time int64, command *Command, verdict *Verdict) {
+	i, found := slices.BinarySearchFunc(l.Leases, command.Sender, func(lease Lease, holder Owner) int { return CompareOwners(lease.Who, holder) })
+	if !found {
+		if command.WantedUnits <= 0 || len(l.Leases) >= maxHolders {
+			return
+		}
+		l.Leases = slices.Insert(l.Leases, i, Lease{Who: command.Sender})
+	}
+	lease := &l.Leases[i]
+	if command.Seq < lease.Seq { // late: a newer request was answered since
+		return
+	}
+	if command.Seq > lease.Seq {
+		lease.Units = min(lease.Units, max(0, command.UnitsInUse))
+		lease.Want = min(max(0, command.WantedUnits), maxUnits)
+		lease.Seq = command.Seq
+	}
+	lease.Until = max(lease.Until, time+max(0, command.LeaseDuration)+MaxTimeStep)
+	verdict.FairShare = l.fairShares(time)[i]
+	if free := l.Units - l.LeasedUnits(); time >= l.Wait+MaxTimeStep && free > 0 {
+		lease.Units += min(free, max(0, verdict.FairShare-lease.Units))
+	}
+	verdict.Units = lease.Units
+	if lease.Units == 0 && lease.Want == 0 {
+		l.Leases = slices.Delete(l.Leases, i, i+1)
+	}
+}
+
+func (l *Limit) expireLeases(time int64) {
+	l.Leases = slices.DeleteFunc(l.Leases, func(lease Lease) bool { return lease.Until <= time })
+}
+
+// Limits are all limits, by name; they must not be changed.
+func (t *LeaseTable) Limits() (list []*Limit) {
+	for _, name := range slices.Sorted(maps.Keys(t.limits)) {
+		list = append(list, t.limits[name])
+	}
+	return list
+}
+
+// Find returns a limit by its name, nil where there is none.
+func (t *LeaseTable) Find(name string) *Limit { return t.limits[name] }
--- /dev/null
+++ b/internal/fleet/quota/simulation_test.go
@@ -0,0 +1,211 @@
+package quota
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand"
+)
+
+// simulatedNode is a holder with a clock of its own rate, and the units that it uses.
+type simulatedNode struct {
+	holder      *LeaseHolder
+	clockRate   float64
+	pausedUntil int64
+	useEnds     []int64 // when each use ends, in the simulation's time
+	demand      int
+	incarnation uint64
+	wakeAt      int64
+	verdicts    []Verdict
+}
+
+type event struct {
+	at, seq int64
+	run     func()
+}
+
+type eventQueue []event
+
+func (x eventQueue) Len() int { return len(x) }
+
+func (x eventQueue) Less(i, j int) bool {
+	return x[i].at < x[j].at || x[i].at == x[j].at && x[i].seq < x[j].seq
+}
+
+func (x eventQueue) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
+
+func (x *eventQueue) Push(e any) { *x = append(*x, e.(event)) }
+
+func (x *eventQueue) Pop() any {
+	last := (*x)[len(*x)-1]
+	*x = (*x)[:len(*x)-1]
+	return last
+}
+
+// simulation runs holders over links that lose, delay and duplicate messages, and one lease table whose time lags behind the simulation's.
+type simulation struct {
+	rng              *rand.Rand
+	now, lastSeq     int64
+	events           eventQueue
+	table            *LeaseTable
+	tableTime        int64
+	tableTimeAt      int64 // when it last advanced
+	nodes            []*simulatedNode
+	partitioned      []bool
+	lossRate         float64
+	maxDelay         int64 // ns that a message takes, if it is no duplicate
+	violation        string
+	useExpiredLeases bool  // mutation: leases are used past their end
+	neverGiveBack    bool  // mutation: holders give nothing back
+	fixedShare       int64 // that each node may use whatever its lease; 0 for leases
+	measuring        bool  // the limit is wanted, and nothing excuses unused units
+	utilizationTime  float64
+	measuredTime     float64
+	peak             int
+	config           HolderConfig
+}
+
+func newSimulation(seed int64, nodes int, limit int64) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewSource(seed)), now: 1, table: NewLeaseTable(), maxDelay: 2 * ms, config: testConfig}
+	sim.config.Units = limit
+	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.Term})
+	sim.partitioned = make([]bool, nodes)
+	for i := range nodes {
+		sim.nodes = append(sim.nodes, &simulatedNode{})
+		sim.restart(i)
+	}
+	return sim
+}
+
+func (sim *simulation) schedule(at int64, run func()) {
+	sim.lastSeq++
+	heap.Push(&sim.events, event{at: max(at, sim.now), seq: sim.lastSeq, run: run})
+}
+
+func (sim *simulation) run(until int64) {
+	for len(sim.events) > 0 && sim.events[0].at <= until && sim.violation == "" {
+		e := heap.Pop(&sim.events).(event)
+		if sim.measuring {
+			sim.measuredTime += float64(e.at - sim.now)
+			sim.utilizationTime += float64(sim.totalInUse()) / float64(sim.config.Units) * float64(e.at-sim.now)
+		}
+		sim.now = e.at
+		e.run()
+	}
+	sim.now = until
+}
+
+// restart begins a new incarnation of a node; its use of units goes on to its end at the dependency.
+func (sim *simulation) restart(i int) {
+	node := sim.nodes[i]
+	used := node.useEnds
+	*node = simulatedNode{clockRate: 0.99 + 0.02*sim.rng.Float64(), incarnation: node.incarnation + 1, useEnds: used, demand: node.demand}
+	node.holder = NewLeaseHolder(sim.config, Owner{fmt.Sprint("n", i), node.incarnation})
+	sim.wakeNode(i, sim.now)
+}
+
+func (node *simulatedNode) clock(now int64) int64 {
+	return int64(node.clockRate*float64(now)) + 1_000_000*ms
+}
+
+func (sim *simulation) wakeNode(i int, at int64) {
+	node := sim.nodes[i]
+	incarnation := node.incarnation
+	at = max(at, sim.now)
+	if node.wakeAt > 0 && node.wakeAt <= at {
+		return
+	}
+	node.wakeAt = at
+	sim.schedule(at, func() {
+		if node.incarnation == incarnation && node.wakeAt == at {
+			node.wakeAt = 0
+			sim.stepNode(i)
+		}
+	})
+}
+
+func (sim *simulation) stepNode(i int) {
+	node := sim.nodes[i]
+	if sim.now < node.pausedUntil {
+		sim.wakeNode(i, node.pausedUntil)
+		return
+	}
+	local := node.clock(sim.now)
+	allowed := node.holder.Allowed(local)
+	if sim.useExpiredLeases {
+		allowed = node.holder.units
+	}
+	if sim.fixedShare > 0 {
+		allowed = sim.fixedShare
+	}
+	for int64(sim.unitsInUse(node)) < allowed && sim.unitsInUse(node) < node.demand {
+		node.useEnds = append(node.useEnds, sim.now+sim.rng.Int63n(int64(0.98*float64(sim.config.Hold))))
+	}
+	send, next := node.holder.Step(local, int64(sim.unitsInUse(node)), int64(max(0, node.demand-sim.unitsInUse(node))), node.verdicts)
+	node.verdicts = node.verdicts[:0]
+	for k := range send {
+		if sim.neverGiveBack {
+			send[k].UnitsInUse = sim.config.Units
+		}
+		sim.request(i, send[k])
+	}
+	sim.checkLimit()
+	sim.wakeNode(i, sim.now+int64(min(float64(20*ms), float64(next-local)/node.clockRate))+1)
+}
+
+func (sim *simulation) unitsInUse(node *simulatedNode) (n int) {
+	current := node.useEnds[:0]
+	for _, end := range node.useEnds {
+		if end > sim.now {
+			current = append(current, end)
+		}
+	}
+	node.useEnds = current
+	return len(current)
+}
+
+func (sim *simulation) totalInUse() (sum int) {
+	for _, node := range sim.nodes {
+		sum += sim.unitsInUse(node)
+	}
+	return sum
+}
+
+// checkLimit records a violation if more units are in use now than the limit has.
+func (sim *simulation) checkLimit() {
+	sum := sim.totalInUse()
+	sim.peak = max(sim.peak, sum)
+	if int64(sum) > sim.config.Units {
+		sim.violation = fmt.Sprintf("%d units of %d in use at %d ms", sum, sim.config.Units, sim.now/ms)
+	}
+}
+
+// request carries a command to the table and its verdict back.
+func (sim *simulation) request(i int, command Command) {
+	incarnation := sim.nodes[i].incarnation
+	deliver := func(run func()) {
+		if sim.partitioned[i] || sim.rng.Float64() < sim.lossRate {
+			return
+		}
+		sim.schedule(sim.now+sim.rng.Int63n(sim.maxDelay)+1, run)
+		if sim.rng.Intn(20) == 0 {
+			sim.schedule(sim.now+sim.rng.Int63n(20*sim.maxDelay)+1, run)
+		}
+	}
+	deliver(func() {
+		// The table's time lags behind, and runs slower than the simulation.
+		if step := min(MaxTimeStep, int64(0.98*float64(sim.now-sim.tableTimeAt))); step > 0 && sim.rng.Intn(2) == 0 {
+			sim.tableTime += step
+			sim.tableTimeAt = sim.now
+		}
+		verdict := sim.table.Apply(sim.tableTime, &command)
+		if l := sim.table.Find("calls"); l.LeasedUnits() > l.Units {
+			sim.violation = fmt.Sprintf("leases of %d units of %d", l.LeasedUnits(), l.Units)
+		}
+		deliver(func() {
+			if node := sim.nodes[i]; node.incarnation == incarnation {
+				node.verdicts = append(node.verdicts, verdict)
+				sim.wakeNode(i, sim.now)
+			}
+		})
+	})
+}
--- /dev/null
+++ b/internal/resultcache/cacheconfig/cacheconfig.go
@@ -0,0 +1,69 @@
+// Package cacheconfig reads the operators' configuration of the result cache: the token's field, durability, and limits.
+package cacheconfig
+
+import (
+	"fmt"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/configfile"
+	"topazpost/internal/resultcache"
+	"topazpost/internal/resultcache/segmentstore"
+)
+
+// Durability says when a record is on disk.
+type Durability uint8
+
+// The durabilities.
+const (
+	InMemory    Durability = iota // never
+	SyncBatched                   // groups of records share a sync
+	SyncEach                      // each record has its own sync
+)
+
+// Config is what a node caches, and where.
+type Config struct {
+	Cache       resultcache.Config
+	Field       string // of an invocation, which carries the token
+	Durability  Durability
+	Folder      string
+	Limits      segmentstore.Limits
+	BatchWindow int64 // ns for which a group waits for more records
+}
+
+// Location describes where results are stored.
+func (c *Config) Location() string {
+	if c.Durability == InMemory {
+		return "in memory only, a crash forgets them"
+	}
+	return fmt.Sprintf("in %s, %d MB at the most", c.Folder, c.Limits.MaxBytes>>20)
+}
+
+// Read reads the file of a path.
+func Read(path string, operations []admission.Operation, memoryMB int) (*Config, error) {
+	file, err := configfile.Read(path)
+	if err != nil {
+		return nil, err
+	}
+	return From(file, operations, memoryMB)
+}
+
+// From reads the configuration from a file that was evaluated. All problems are reported at once.
+func From(file *configfile.File, operations []admission.Operation, memoryMB int) (*Config, error) {
+	if err := file.Check(schema()); err != nil {
+		return nil, err
+	}
+	var content fileContent
+	if err := file.Into(&content); err != nil {
+		return nil, err
+	}
+	config := defaultForFile(operations, memoryMB)
+	if config == nil {
+		return nil, configfile.Problems{file.At(nil, "keeps results where no operation is tokened",
+			"leave the file out, or give an operation the effect \"deduplicated\" and a window")}
+	}
+	content.applyTo(config, file.Path)
+	if problems := config.problems(file, memoryMB); len(problems) > 0 {
+		return nil, problems
+	}
+	return config, nil
+}
--- a/internal/resultcache/segmentstore/index.go
+++ b/internal/resultcache/segmentstore/index.go
@@ -2,30 +2,31 @@
 
 import "math/bits"
 
-// Index finds where a token's last record is, by the hash of the token: open addressing with linear probing in slots of
-// 16 bytes, deletion by shifting back, so that no look-up grows with what was once there. Two tokens of one hash are two
-// entries; who looks up compares the record. The zero value is ready.
+// Index finds the location of a token's last record by the hash of the token. It is a hash table with open addressing, linear
+// probing and deletion by shifting back, so that no look-up gets slower by what was deleted. Two tokens of one hash are two
+// entries; the caller tells them apart by their records. The zero value is empty.
 type Index struct {
-	slots []slot // a power of two
+	slots []slot // their number is a power of two
 	count int
 }
 
 type slot struct {
-	hash  uint64 // 0 for a free slot
-	where uint64
+	hash     uint64 // 0 for a free slot
+	location uint64
 }
 
 const (
-	leastSlots = 16
-	fullOf     = 8 // of so many slots fullAt may be taken: past that probes get long
-	fullAt     = 7
+	slotBytes       = 16
+	minSlots        = 16
+	loadNumerator   = 7 // of loadDenominator slots so many may be taken: beyond that probes get long
+	loadDenominator = 8
 )
 
 // Len is how many entries there are.
 func (x *Index) Len() int { return x.count }
 
 // Bytes is what the slots take.
-func (x *Index) Bytes() int { return 16 * len(x.slots) }
+func (x *Index) Bytes() int { return slotBytes * len(x.slots) }
 
 func (x *Index) mask() uint64 { return uint64(len(x.slots) - 1) }
 
@@ -33,71 +34,76 @@
 func nonzero(hash uint64) uint64 { return max(1, hash) }
 
 // Put adds an entry.
-func (x *Index) Put(hash, where uint64) {
-	if (x.count+1)*fullOf > len(x.slots)*fullAt {
-		old := x.slots
-		x.slots = make([]slot, max(leastSlots, 1<<bits.Len(uint(len(old)))))
-		for _, s := range old {
-			if s.hash != 0 {
-				x.put(s)
-			}
-		}
+func (x *Index) Put(hash, location uint64) {
+	if (x.count+1)*loadDenominator > len(x.slots)*loadNumerator {
+		x.grow()
 	}
-	x.put(slot{nonzero(hash), where})
+	x.insert(slot{hash: nonzero(hash), location: location})
 	x.count++
 }
 
-func (x *Index) put(s slot) {
-	at := s.hash & x.mask()
-	for x.slots[at].hash != 0 {
-		at = (at + 1) & x.mask()
+func (x *Index) grow() {
+	entries := x.slots
+	x.slots = make([]slot, max(minSlots, 1<<bits.Len(uint(len(entries)))))
+	for _, entry := range entries {
+		if entry.hash != 0 {
+			x.insert(entry)
+		}
+	}
+}
+
+// insert puts an entry into the first free slot from its home on.
+func (x *Index) insert(entry slot) {
+	i := entry.hash & x.mask()
+	for x.slots[i].hash != 0 {
+		i = (i + 1) & x.mask()
 	}
-	x.slots[at] = s
+	x.slots[i] = entry
 }
 
-// find is the slot of an entry that the caller knows by where it leads to; false ends the search unfound.
-func (x *Index) find(hash uint64, is func(where uint64) bool) (at uint64, found bool) {
+// find returns the slot of the entry of a hash whose location the caller matches.
+func (x *Index) find(hash uint64, match func(location uint64) bool) (i uint64, found bool) {
 	if x.count == 0 {
 		return 0, false
 	}
 	hash = nonzero(hash)
-	for at = hash & x.mask(); x.slots[at].hash != 0; at = (at + 1) & x.mask() {
-		if x.slots[at].hash == hash && is(x.slots[at].where) {
-			return at, true
+	for i = hash & x.mask(); x.slots[i].hash != 0; i = (i + 1) & x.mask() {
+		if x.slots[i].hash == hash && match(x.slots[i].location) {
+			return i, true
 		}
 	}
 	return 0, false
 }
 
-// Get gives where the entry of a hash leads to that the caller takes for its own.
-func (x *Index) Get(hash uint64, is func(where uint64) bool) (uint64, bool) {
-	at, found := x.find(hash, is)
+// Get returns the location of the entry of a hash that the caller matches.
+func (x *Index) Get(hash uint64, match func(location uint64) bool) (uint64, bool) {
+	i, found := x.find(hash, match)
 	if !found {
 		return 0, false
 	}
-	return x.slots[at].where, true
+	return x.slots[i].location, true
 }
 
-// Move has an entry lead somewhere else.
+// Move changes the location of an entry, and returns whether there is one.
 func (x *Index) Move(hash, from, to uint64) bool {
-	at, found := x.find(hash, func(where uint64) bool { return where == from })
+	i, found := x.find(hash, func(location uint64) bool { return location == from })
 	if found {
-		x.slots[at].where = to
+		x.slots[i].location = to
 	}
 	return found
 }
 
-// Delete takes an entry out and moves those up that were put behind it.
-func (x *Index) Delete(hash, where uint64) bool {
-	hole, found := x.find(hash, func(w uint64) bool { return w == where })
+// Delete removes an entry and shifts back those that were put behind it. It returns whether there was one.
+func (x *Index) Delete(hash, location uint64) bool {
+	hole, found := x.find(hash, func(candidate uint64) bool { return candidate == location })
 	if !found {
 		return false
 	}
-	for at := (hole + 1) & x.mask(); x.slots[at].hash != 0; at = (at + 1) & x.mask() {
-		home := x.slots[at].hash & x.mask()
-		if (at-home)&x.mask() >= (at-hole)&x.mask() { // its home lies at the hole or before it
-			x.slots[hole] = x.slots[at]
-			hole = at
+	for i := (hole + 1) & x.mask(); x.slots[i].hash != 0; i = (i + 1) & x.mask() {
+		home := x.slots[i].hash & x.mask()
+		if (i-home)&x.mask() >= (i-hole)&x.mask() { // its home is the hole, or lies before it
+			x.slots[hole] = x.slots[i]
+			hole = i
 		}
 	}
 	x.slots[hole] = slot{}
