--- a/internal/testbed/capacity/reach.go
+++ b/internal/testbed/capacity/reach.go
@@ -36,7 +36,7 @@
 	{"internal/fleet/fleetconfig/fleetconfig.go", "tableUsual", tableUsual}, {"internal/fleet/fleetconfig/fleetconfig.go", "tableMost", tableMost},
 	{"server/streams.go", "streamsSeat", streamsSeat}, {"server/peers.go", "sourceRate", sourceRate},
 	{"server/peers.go", "sourcesMost", sourcesMost},
-	{"internal/node/reducer.go", "idleWait", idleWaitS * 1e9},
+	{"internal/node/connections.go", "idleTimeout", idleWaitS * 1e9},
 }
 
 // row is one of the table of reach.
