--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -27,6 +27,7 @@
 	silentProbeFactor   = 4          // times the probe interval at which a silent link is probed
 	roundTripSmoothing  = 8          // weight of the smoothed round trip against a new sample
 	unwantedLinkTimeout = 4_000 * ms // ns that a link is kept after no ring wants it
+	reconnectSeqBit     = 1 << 31    // set in the sequence numbers of reconnect pings
 	minPause            = 150 * ms   // ns past a wakeup from which this process counts as paused
 )
 
@@ -61,7 +62,6 @@
 	maxSyncDeferral   = 10_000 * ms // ns for which gossip may put off a table exchange
 )
 
-
 // Config holds the settings of one node. Times are nanoseconds.
 type Config struct {
 	Name, Address, Zone, Version string
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// openLink takes up a link to a member. Where all are taken, the one that is unwanted longest makes room.
+// openLink opens a link to a member. Where all places are taken, the link that has been unwanted for longest is closed.
 func (m *Members) openLink(i int32) *link {
 	oldest := -1
 	for k := range m.links {
@@ -34,14 +34,14 @@
 
 func (m *Members) closeLink(k int8) {
 	l := &m.links[k]
-	if l.up && !m.linksDirty { // told together with others that end, and before its silence would have told it
+	if l.up && !m.linksDirty { // published with other closings, and before the peer would notice the silence
 		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.ownTime+closedPublishInterval, l.lastProofAt+m.config.LinkTimeout))
 	}
 	m.members[l.member].linkIndex = -1
 	l.member, l.up, l.owedRecords = -1, false, 0
 }
 
-// linksUp is how many links work.
+// linksUp returns how many links work.
 func (m *Members) linksUp() (n int) {
 	for k := range m.links {
 		if m.links[k].member >= 0 && m.links[k].up {
@@ -51,8 +51,10 @@
 	return n
 }
 
+// silence returns for how long no ping was answered.
 func (l *link) silence(t int64) int64 { return t - max(l.lastProofAt, l.openedAt) }
 
+// watch opens a link to a member, or marks the one there is as wanted.
 func (m *Members) watch(i int32) *link {
 	var l *link
 	if k := m.members[i].linkIndex; k >= 0 {
@@ -66,50 +68,75 @@
 	return l
 }
 
-// probeLinks pings, notices silence, and lets go of links that neither end wants.
+// probeLinks pings, notices silence, and closes links that neither end wants.
 func (m *Members) probeLinks() {
 	for k := range m.links {
 		l := &m.links[k]
 		if l.member < 0 {
 			continue
 		}
-		quiet := l.silence(m.ownTime)
-		if l.up && m.ownTime-l.lastProofAt > m.config.LinkTimeout {
-			l.up, l.lostBefore, m.linksDirty, m.publishAt = false, true, true, min(m.publishAt, m.publishedAt+publishInterval)
-			m.members[l.member].lossReportedBy = m.members[0].id
-		}
-		if !l.wanted && m.ownTime > l.keepUntil && m.ownTime-max(l.watchedAt, l.openedAt) > m.config.LinkTimeout {
+		silence := l.silence(m.ownTime)
+		m.noticeSilence(l)
+		if m.isUnwanted(l) {
 			m.closeLink(int8(k))
 			continue
 		}
-		if doubt := quiet > m.config.LinkTimeout/2; doubt != l.suspect {
-			l.suspect = doubt
+		if suspect := silence > m.config.LinkTimeout/2; suspect != l.suspect {
+			l.suspect = suspect
 			m.ringsDirty = true
 		}
 		if m.ownTime < l.nextPingAt || m.members[0].record.Left {
 			continue
 		}
-		every := m.config.ProbeInterval
-		if quiet > m.config.LinkTimeout { // it is still asked now and then: a broken link may be mended
-			every *= 4
-		}
-		if l.pingSeq == 0 {
-			l.nextProbeAt = m.ownTime + m.jitter(every) // from then on links are asked at moments of their own
-		} else if m.ownTime >= l.nextProbeAt {
-			l.nextProbeAt = max(l.nextProbeAt+every, m.ownTime+every/2)
-		}
-		l.nextPingAt = l.nextProbeAt
-		if l.up && quiet < m.config.LinkTimeout/2 { // a lost one costs no more than this, up to the next that is due anyway
-			l.nextPingAt = min(l.nextProbeAt, m.ownTime+max(m.config.ProbeInterval/maxPingsPerProbe, 2*l.roundTrip))
-		}
-		l.pingSeq = (l.pingSeq + 1) &^ (1 << 31)
-		l.pingsSent[l.pingSeq%pingHistory] = m.ownTime
-		ping := Message{Kind: MessagePing, Seq: l.pingSeq, Neighbour: l.wanted}
-		if !l.up { // it may not know this node
-			ping.Records = m.ownRecord()
-		}
-		m.send(m.members[l.member].record.Address, &ping)
+		m.schedulePing(l, silence)
+		m.ping(l)
+	}
+}
+
+// noticeSilence marks a link as down once no ping was answered for the link timeout.
+func (m *Members) noticeSilence(l *link) {
+	if !l.up || m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
+		return
+	}
+	l.up = false
+	l.lostBefore = true
+	m.linksDirty = true
+	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
+	m.members[l.member].lossReportedBy = m.members[0].id
+}
+
+// isUnwanted reports whether neither end has wanted a link for a while.
+func (m *Members) isUnwanted(l *link) bool {
+	unwatched := m.ownTime - max(l.watchedAt, l.openedAt)
+	return !l.wanted && m.ownTime > l.keepUntil && unwatched > m.config.LinkTimeout
+}
+
+// schedulePing sets when the next probe and the next ping of a link are due.
+func (m *Members) schedulePing(l *link, silence int64) {
+	interval := m.config.ProbeInterval
+	if silence > m.config.LinkTimeout {
+		interval *= silentProbeFactor
+	}
+	if l.pingSeq == 0 {
+		l.nextProbeAt = m.ownTime + m.jitter(interval) // spreads the probes of links that were opened together
+	} else if m.ownTime >= l.nextProbeAt {
+		l.nextProbeAt = max(l.nextProbeAt+interval, m.ownTime+interval/2)
+	}
+	l.nextPingAt = l.nextProbeAt
+	if l.up && silence < m.config.LinkTimeout/2 {
+		resend := max(m.config.ProbeInterval/maxPingsPerProbe, 2*l.roundTrip)
+		l.nextPingAt = min(l.nextProbeAt, m.ownTime+resend)
+	}
+}
+
+func (m *Members) ping(l *link) {
+	l.pingSeq = (l.pingSeq + 1) &^ reconnectSeqBit
+	l.pingsSent[l.pingSeq%pingHistory] = m.ownTime
+	ping := Message{Kind: MessagePing, Seq: l.pingSeq, Neighbour: l.wanted}
+	if !l.up { // the peer may not know this node
+		ping.Records = m.ownRecord()
 	}
+	m.send(m.members[l.member].record.Address, &ping)
 }
 
 // publishLinks tells of this node's links once they changed. What is lost goes at once, unless it changes all the time; what
@@ -166,30 +193,12 @@
 	nextGossipAt                   int64
 }
 
-// applyAck takes an answer to a ping: of a link, or of a knock at one that was lost.
+// applyAck takes the answer to a ping, either of a link or of a reconnect attempt.
 func (m *Members) applyAck(i int32, seq uint32) {
 	peer := &m.members[i]
-	if peer.linkIndex >= 0 {
-		l := &m.links[peer.linkIndex]
-		if age := l.pingSeq - seq; age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq>>31 == 0 {
-			sent := l.pingsSent[seq%pingHistory]
-			l.lastProofAt = max(l.lastProofAt, sent)
-			if seq == l.pingSeq { // an answer to an earlier one tells of a pause, and not of the way
-				if trip := min(m.ownTime-sent, m.config.ProbeInterval); l.roundTrip == 0 {
-					l.roundTrip = trip
-				} else {
-					l.roundTrip += (trip - l.roundTrip) / 8
-				}
-				l.nextPingAt = l.nextProbeAt
-			}
-			if !l.up && m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
-				l.up, m.linksDirty, m.publishAt = true, true, min(m.publishAt, m.publishedAt+publishInterval)
-				if l.lostBefore || peer.inView && !peer.reachable {
-					l.lostBefore, m.linkRegained, m.publishAt = false, true, min(m.publishAt, m.publishedAt+regainedPublishInterval)
-				}
-			}
-			return
-		}
+	if peer.linkIndex >= 0 && m.links[peer.linkIndex].expects(seq) {
+		m.linkProved(&m.links[peer.linkIndex], peer, seq)
+		return
 	}
 	for k := range m.reconnects {
 		if m.reconnects[k].id == peer.id && m.reconnects[k].seq == seq {
@@ -204,3 +213,38 @@
 	}
 	m.Counters.UnmatchedMessages++
 }
+
+// expects reports whether a sequence number is that of a recent ping on the link.
+func (l *link) expects(seq uint32) bool {
+	age := l.pingSeq - seq
+	return age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq&reconnectSeqBit == 0
+}
+
+// linkProved notes that the ping with a sequence number was answered, and brings the link up if the proof is recent.
+func (m *Members) linkProved(l *link, peer *member, seq uint32) {
+	sent := l.pingsSent[seq%pingHistory]
+	l.lastProofAt = max(l.lastProofAt, sent)
+	if seq == l.pingSeq { // the answer to an older ping may be late because of a pause, so it is no round trip
+		l.addRoundTrip(min(m.ownTime-sent, m.config.ProbeInterval))
+		l.nextPingAt = l.nextProbeAt
+	}
+	if l.up || m.ownTime-l.lastProofAt > m.config.LinkTimeout {
+		return
+	}
+	l.up = true
+	m.linksDirty = true
+	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
+	if l.lostBefore || peer.inView && !peer.reachable {
+		l.lostBefore = false
+		m.linkRegained = true
+		m.publishAt = min(m.publishAt, m.publishedAt+regainedPublishInterval)
+	}
+}
+
+func (l *link) addRoundTrip(sample int64) {
+	if l.roundTrip == 0 {
+		l.roundTrip = sample
+	} else {
+		l.roundTrip += (sample - l.roundTrip) / roundTripSmoothing
+	}
+}
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -1,36 +1,37 @@
 package membership
 
-// member is what is kept of one; index 0 is this node.
+// member is the state of one member of the table; index 0 is this node.
 type member struct {
 	record           Record
 	id               ID
 	linkIndex        int8 // its place in links, -1 without one
-	inView           bool // the view
-	inDigest         bool // its record is part of what tables are compared by
+	inView           bool
+	inDigest         bool // its record is part of the table's digest
 	reachable        bool // a path of links leads to it
-	everInView       bool // in the view at some time
-	lossReportedBy   ID   // whose link to it went last
+	everInView       bool
+	lossReportedBy   ID // the member whose link to it went down last
 	unreachableSince int64
-	reachGraceUntil  int64 // until which a new life need not be reached
-	outOfViewSince   int64 // when it left the view or became known, whichever came last
-	watchUntil       int64 // until which one outside the view is watched all the same
+	reachGraceUntil  int64 // until then a new incarnation need not be reachable
+	outOfViewSince   int64 // when it left the view or became known
+	watchUntil       int64 // until then it is probed although it is outside the view
 	flaps            int
 	lastFlapAt       int64
 	status           Status
-	statusSince      int64 // of its status
+	statusSince      int64
 }
 
-// ringKey is a member's place in an order of the fleet.
+// ringKey is a member's position on a ring.
 func (m *member) ringKey(ring int) uint64 { return mixHash(uint64(m.id), uint64(ring)) }
 
-// incarnationHash is a member's part in the hash of views.
-func (b *member) incarnationHash() uint64 { return mixHash(uint64(b.id), uint64(b.record.StartedAt)) }
+// incarnationHash is a member's part in the hash of the view.
+func (m *member) incarnationHash() uint64 { return mixHash(uint64(m.id), uint64(m.record.StartedAt)) }
 
-func (b *member) recordHash() uint64 {
-	return mixHash(mixHash(uint64(b.id), b.record.Incarnation), uint64(b.record.RecordVersion))
+// recordHash is a member's part in the digest of the table.
+func (m *member) recordHash() uint64 {
+	return mixHash(mixHash(uint64(m.id), m.record.Incarnation), uint64(m.record.RecordVersion))
 }
 
-// addMember keeps a member that was not known; -1 where the table is full of such as are in the view.
+// addMember adds a member to the table and returns its index, or -1 where the table is full of members of the view.
 func (m *Members) addMember(r *Record) int32 {
 	if len(m.byID) >= m.config.MaxMembers && len(m.members) > 0 {
 		oldest := int32(-1)
@@ -71,6 +72,7 @@
 	return i
 }
 
+// forgetMember removes a member from the table.
 func (m *Members) forgetMember(i int32) {
 	peer := &m.members[i]
 	if peer.linkIndex >= 0 {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -7,8 +7,8 @@
 	"topazpost/internal/invariant"
 )
 
-// Members is one node's state. Its own time stands still while its process does: what it did not see in a pause
-// accuses nobody.
+// Members is the membership state of one node. Its own time stops while its process is paused, so that silence during a
+// pause marks no link as down.
 type Members struct {
 	Invariants invariant.Checker
 	Counters   Counters
@@ -62,7 +62,8 @@
 	seedsTried        int // seeds asked in a row in vain
 }
 
-// New starts a node. Wall is Unix time in nanoseconds, kept the incarnation of its last life where a disk kept it.
+// New returns the state of a node that starts at now. Wall is Unix time in nanoseconds, kept the last incarnation that is
+// on disk, 0 for none; seed is that of its random choices.
 func New(config Config, now, wall int64, kept uint64, seed int64) *Members {
 	m := &Members{config: config, chance: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, ownTime: now, joinBackoff: joinInterval, traversal: 1}
 	m.config.MaxMembers = min(config.MaxMembers, maxTableSize)
@@ -101,8 +102,8 @@
 	m.emit(Effect{Kind: Send, To: to, Message: *msg})
 }
 
-// Step takes what happened up to now, by a clock that only advances, with wall its Unix time in nanoseconds. The
-// effects are valid until the next step; wake is when it is to step again at the latest.
+// Step applies inputs at now, in ns of a monotonic clock, with wall its Unix time in ns. The effects are valid until the next
+// step; wake is when Step must be called again at the latest.
 func (m *Members) Step(now, wall int64, inputs []Input) (effects []Effect, wake int64) {
 	clear(m.effects) // what the messages held
 	if m.effects = m.effects[:0]; cap(m.effects) > retainedEffects {
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -1,8 +1,9 @@
 package membership
 
+// ownRecord returns this node's record as the content of a message.
 func (m *Members) ownRecord() []Record { return []Record{m.members[0].record} }
 
-// bumpRecord gives this node's record another version and sends it round.
+// bumpRecord gives this node's record a new version and queues it on all links.
 func (m *Members) bumpRecord() {
 	m.digest ^= m.members[0].recordHash()
 	m.members[0].record.RecordVersion++
@@ -17,8 +18,7 @@
 		m.Counters.Unusable++
 		return
 	}
-	id := IDOf(r.Name)
-	i, known := m.byID[id]
+	i, known := m.byID[IDOf(r.Name)]
 	if known && i == 0 {
 		m.applyRecordOfSelf(r)
 		return
@@ -32,53 +32,64 @@
 	cause, changed := Joined, false
 	if known {
 		peer := &m.members[i]
-		if from >= 0 && !peer.record.newer(r) { // it has this one already
+		if from >= 0 && !peer.record.newer(r) { // the sender has this version already
 			m.dequeueOnLink(from, i)
 		}
 		if !r.newer(&peer.record) {
 			return
 		}
-		m.updateAdjacency(i, peer.record.Links, r.Links)
-		if peer.record.StartedAt != r.StartedAt && peer.inView {
-			peer.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
-			peer.statusSince = m.ownTime
-			cause, changed = Replaced, true
-		} else if peer.record.Facts.NoUse != r.Facts.NoUse && peer.inView {
-			cause, changed = ExecutorRestored, true
-			if r.Facts.NoUse {
-				cause = ExecutorLost
-			}
-		}
-		if peer.inDigest {
-			m.digest ^= peer.recordHash()
-		}
-		if !peer.inView && r.Incarnation > peer.record.Incarnation {
-			peer.watchUntil = m.ownTime + m.config.LinkTimeout
-		}
-		if peer.inView {
-			m.viewHash ^= peer.incarnationHash()
-		}
-		peer.record = *r
-		m.adjacency[i].left, m.settled[i] = r.Left, false
-		if peer.inView {
-			m.viewHash ^= peer.incarnationHash()
-		}
+		cause, changed = m.replaceRecord(i, r)
 	}
 	peer := &m.members[i]
-	peer.inDigest, m.lastNewsAt = true, m.ownTime
+	peer.inDigest = true
+	m.lastNewsAt = m.ownTime
 	if !peer.inView {
 		peer.outOfViewSince = m.ownTime
 	}
 	m.digest ^= peer.recordHash()
-	m.viewDirty, m.ringsDirty = true, true
+	m.viewDirty = true
+	m.ringsDirty = true
 	if changed {
 		m.emitChange(cause, peer, r.Incarnation, peer.record.Name, 0)
 	}
 	m.queueRecord(i, from)
 }
 
-// applyRecordOfSelf answers for a record of this node's name that is newer than its own: of an earlier life whose clock was
-// ahead, or of another node of that name. Of two that live the one that started later keeps away.
+// replaceRecord gives a known member a newer record and takes the old one out of the digest. It reports whether the view
+// changes by that, and why.
+func (m *Members) replaceRecord(i int32, r *Record) (cause Cause, changed bool) {
+	peer := &m.members[i]
+	m.updateAdjacency(i, peer.record.Links, r.Links)
+	switch {
+	case peer.inView && peer.record.StartedAt != r.StartedAt:
+		peer.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
+		peer.statusSince = m.ownTime
+		cause, changed = Replaced, true
+	case peer.inView && r.Facts.NoUse && !peer.record.Facts.NoUse:
+		cause, changed = ExecutorLost, true
+	case peer.inView && !r.Facts.NoUse && peer.record.Facts.NoUse:
+		cause, changed = ExecutorRestored, true
+	}
+	if peer.inDigest {
+		m.digest ^= peer.recordHash()
+	}
+	if !peer.inView && r.Incarnation > peer.record.Incarnation {
+		peer.watchUntil = m.ownTime + m.config.LinkTimeout
+	}
+	if peer.inView {
+		m.viewHash ^= peer.incarnationHash()
+	}
+	peer.record = *r
+	m.adjacency[i].left = r.Left
+	m.settled[i] = false
+	if peer.inView {
+		m.viewHash ^= peer.incarnationHash()
+	}
+	return cause, changed
+}
+
+// applyRecordOfSelf handles a record under this node's name that is newer than its own: of an earlier incarnation whose
+// clock was ahead, or of another node with the same name. Of two running nodes the one that started later yields.
 func (m *Members) applyRecordOfSelf(r *Record) {
 	self := &m.members[0].record
 	if !r.newer(self) {
@@ -95,7 +106,7 @@
 	m.queueRecord(0, -1)
 }
 
-// yieldName ends all ties of a node whose name is held by another, until its next try to join.
+// yieldName drops all links and members, since another node has this node's name, until the next attempt to join.
 func (m *Members) yieldName(holder string) {
 	m.Counters.Refused++
 	m.log(true, "the name %s is held by a node at %s that started earlier: this one keeps away; give it another name",
@@ -112,6 +123,9 @@
 	}
 	m.members[0].record.Links = nil
 	m.refusedUntil = m.ownTime + maxJoinBackoff
-	m.nextJoinAt, m.isolated = m.refusedUntil, false
-	m.ringsDirty, m.viewDirty, m.linksDirty = true, true, false
+	m.nextJoinAt = m.refusedUntil
+	m.isolated = false
+	m.ringsDirty = true
+	m.viewDirty = true
+	m.linksDirty = false
 }
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -1,6 +1,6 @@
 package membership
 
-// findPeers looks for those with whom there is no link: seeds, the lost, and neighbours whose table stays different.
+// findPeers contacts members without a link: seeds and lost members, and neighbours whose table differs.
 func (m *Members) findPeers() {
 	if m.members[0].record.Left {
 		return
@@ -24,25 +24,35 @@
 		m.nextReconnectAt = m.ownTime + reconnectInterval
 		m.reconnect()
 	}
+	m.syncWithNeighbour()
+}
+
+// syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for a while, at a time without gossip.
+func (m *Members) syncWithNeighbour() {
 	if m.syncLink != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
 		m.syncLink = 0
 	}
 	if m.ownTime-m.lastNewsAt >= syncQuietTime {
 		m.newsQuietAt = m.ownTime
 	}
-	if m.syncLink == 0 && m.ownTime >= m.lastSyncStart && (m.newsQuietAt == m.ownTime || m.ownTime-m.newsQuietAt >= maxSyncDeferral) {
-		for k := range m.links {
-			l := &m.links[k]
-			if l.member >= 0 && l.up && l.digestDiffersSince > 0 && m.ownTime-l.digestDiffersSince >= syncDelay && m.ownTime-l.lastSyncAt >= syncInterval {
-				l.lastSyncAt, l.digestDiffersSince, m.newsQuietAt = m.ownTime, 0, m.ownTime
-				m.startSync(m.members[l.member].record.Address)
-				break
-			}
+	quiet := m.newsQuietAt == m.ownTime || m.ownTime-m.newsQuietAt >= maxSyncDeferral
+	if m.syncLink != 0 || m.ownTime < m.lastSyncStart || !quiet {
+		return
+	}
+	for k := range m.links {
+		l := &m.links[k]
+		differs := l.digestDiffersSince > 0 && m.ownTime-l.digestDiffersSince >= syncDelay
+		if l.member >= 0 && l.up && differs && m.ownTime-l.lastSyncAt >= syncInterval {
+			l.lastSyncAt = m.ownTime
+			l.digestDiffersSince = 0
+			m.newsQuietAt = m.ownTime
+			m.startSync(m.members[l.member].record.Address)
+			return
 		}
 	}
 }
 
-// syncWithSeed asks the next seed in turn for all that it knows; with strange, one that is in nobody's place of the view.
+// syncWithSeed starts a table exchange with the next seed; with strange, only with one at an address outside the view.
 func (m *Members) syncWithSeed(strange bool) {
 	seeds := m.config.Seeds
 	for range seeds {
@@ -59,7 +69,7 @@
 	}
 }
 
-// reconnect asks one of the lost whether it is there.
+// reconnect pings one lost member.
 func (m *Members) reconnect() {
 	for range m.members {
 		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
@@ -70,14 +80,14 @@
 		if peer.record.Name == "" || peer.inView || peer.record.Left || peer.linkIndex >= 0 || m.reconnectPosition == 0 {
 			continue
 		}
-		m.reconnectSeq = (m.reconnectSeq + 1) | 1<<31
+		m.reconnectSeq = (m.reconnectSeq + 1) | reconnectSeqBit
 		m.reconnects[m.reconnectSeq%maxReconnects].id, m.reconnects[m.reconnectSeq%maxReconnects].seq = peer.id, m.reconnectSeq
 		m.send(peer.record.Address, &Message{Kind: MessagePing, Seq: m.reconnectSeq, Records: m.ownRecord()})
 		return
 	}
 }
 
-// startSync opens an exchange: all heads, and this node's own record.
+// startSync opens a table exchange with an address.
 func (m *Members) startSync(to string) {
 	m.lastLink++
 	m.syncLink, m.lastSyncStart = m.lastLink, m.ownTime
@@ -92,6 +102,7 @@
 		Records: m.ownRecord(), Heads: heads}})
 }
 
+// answerSync answers an exchange that a peer opened.
 func (m *Members) answerSync(link int, msg *Message) {
 	answer := Message{Kind: MessageSyncAnswer, From: m.members[0].id}
 	switch msg.Kind {
@@ -133,7 +144,7 @@
 	m.emit(Effect{Kind: Reply, Link: link, Message: answer})
 }
 
-// rejectReason says why a node that asks is not taken: its name is held by one that lives at another address.
+// rejectReason returns why a node may not join, or nothing: a running node at another address has its name.
 func (m *Members) rejectReason(msg *Message) string {
 	if len(msg.Records) == 0 || !msg.Records[0].usable() {
 		return ""
@@ -150,6 +161,7 @@
 	return "the name " + r.Name + " is held by a node at " + held.record.Address + ", so the one at " + r.Address + " is refused"
 }
 
+// applySyncAnswer takes the answer to an exchange and pushes the records that the peer wants.
 func (m *Members) applySyncAnswer(msg *Message) {
 	switch msg.Kind {
 	case MessageReject:
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,8 +4,8 @@
 	"topazpost/internal/invariant"
 )
 
-// updateView lets the view follow what is reached: those that come at once, those that are lost once that has lasted.
-// A node without any link doubts itself, and not all others.
+// updateView brings the view in line with reachability: new members at once, lost ones after the suspicion timeout. A node
+// without any link keeps its view, since it is more likely at fault than all others.
 func (m *Members) updateView() {
 	alone := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
 	followed := m.viewDirty && m.ownTime >= m.nextTraversalAt
@@ -18,7 +18,11 @@
 	}
 	if alone != m.isolated {
 		m.isolated = alone
-		m.emitChange(map[bool]Cause{true: Isolated, false: Reconnected}[alone], &m.members[0], m.members[0].record.Incarnation, m.config.Name, 0)
+		cause := Reconnected
+		if alone {
+			cause = Isolated
+		}
+		m.emitChange(cause, &m.members[0], m.members[0].record.Incarnation, m.config.Name, 0)
 	}
 	m.nextViewAt = m.ownTime + viewInterval
 	for i := 1; i < len(m.members); i++ {
@@ -26,46 +30,64 @@
 			continue
 		}
 		peer := &m.members[i]
-		if peer.record.Name == "" {
-			m.settled[i] = true
-			continue
-		}
 		switch {
-		case peer.inView && peer.record.Left:
-			m.leaveView(peer, Departed)
-		case peer.inView && !peer.reachable && m.isolated:
-			peer.unreachableSince = m.ownTime // counted anew once this node hears again
-			m.setStatus(peer, Suspect)
-		case peer.inView && !peer.reachable && peer.record.Facts.Beat > 0:
-			m.leaveView(peer, Departed)
-		case peer.inView && !peer.reachable && m.ownTime >= max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil):
-			peer.flaps = min(peer.flaps+1, maxFlaps)
-			peer.lastFlapAt = m.ownTime
-			m.leaveView(peer, Lost)
-		case peer.inView && !peer.reachable:
-			m.setStatus(peer, Suspect)
-			m.nextViewAt = min(m.nextViewAt, max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil))
+		case peer.record.Name == "":
+			m.settled[i] = true
 		case peer.inView:
-			if peer.flaps > 0 && m.ownTime-peer.lastFlapAt > flapDecayTime {
-				peer.flaps = 0
-			}
-			m.setStatus(peer, Alive)
-			m.settled[i] = peer.flaps == 0
-		case peer.reachable && !peer.record.Left && m.ownTime >= m.flapDampedUntil(peer):
-			m.enterView(peer)
-		case peer.reachable && !peer.record.Left:
-			m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(peer))
-		case peer.inDigest && m.ownTime-peer.outOfViewSince > digestRetention:
-			m.digest ^= peer.recordHash()
-			peer.inDigest = false
-		case m.ownTime-peer.outOfViewSince > m.config.ForgetTimeout:
-			m.forgetMember(int32(i))
+			m.updateViewMember(int32(i))
+		default:
+			m.updateOutsider(int32(i))
+		}
+	}
+}
+
+// updateViewMember sets the status of a member of the view, or takes it out of the view.
+func (m *Members) updateViewMember(i int32) {
+	peer := &m.members[i]
+	lossEndsAt := max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil)
+	switch {
+	case peer.record.Left:
+		m.leaveView(peer, Departed)
+	case peer.reachable:
+		if peer.flaps > 0 && m.ownTime-peer.lastFlapAt > flapDecayTime {
+			peer.flaps = 0
 		}
+		m.setStatus(peer, Alive)
+		m.settled[i] = peer.flaps == 0
+	case m.isolated:
+		peer.unreachableSince = m.ownTime // the suspicion timeout starts once this node has links again
+		m.setStatus(peer, Suspect)
+	case peer.record.Facts.Beat > 0:
+		m.leaveView(peer, Departed)
+	case m.ownTime >= lossEndsAt:
+		peer.flaps = min(peer.flaps+1, maxFlaps)
+		peer.lastFlapAt = m.ownTime
+		m.leaveView(peer, Lost)
+	default:
+		m.setStatus(peer, Suspect)
+		m.nextViewAt = min(m.nextViewAt, lossEndsAt)
 	}
 }
 
-// flapDampedUntil is when a member that is reached again may be in the view again. Guards against one that comes and goes
-// with its links; does harm to one that is restarted again and again, which is seen later by some seconds.
+// updateOutsider takes a member that is reachable again into the view, and forgets one that has been out of it for long.
+func (m *Members) updateOutsider(i int32) {
+	peer := &m.members[i]
+	outFor := m.ownTime - peer.outOfViewSince
+	switch {
+	case peer.reachable && !peer.record.Left && m.ownTime >= m.flapDampedUntil(peer):
+		m.enterView(peer)
+	case peer.reachable && !peer.record.Left:
+		m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(peer))
+	case peer.inDigest && outFor > digestRetention:
+		m.digest ^= peer.recordHash()
+		peer.inDigest = false
+	case outFor > m.config.ForgetTimeout:
+		m.forgetMember(i)
+	}
+}
+
+// flapDampedUntil returns when a member that is reachable again may return to the view. It damps members that come and go;
+// one that restarts often is seen some seconds late.
 func (m *Members) flapDampedUntil(peer *member) int64 {
 	if peer.flaps <= 1 {
 		return 0
@@ -100,7 +122,11 @@
 	peer.inView, peer.outOfViewSince, peer.watchUntil = false, m.ownTime, 0
 	m.viewSize--
 	m.viewHash ^= peer.incarnationHash()
-	m.setStatus(peer, map[bool]Status{true: Left, false: Dead}[cause == Departed])
+	status := Dead
+	if cause == Departed {
+		status = Left
+	}
+	m.setStatus(peer, status)
 	after := int64(0)
 	if peer.unreachableSince > 0 {
 		after = m.ownTime - peer.unreachableSince + m.config.LinkTimeout
