--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -66,7 +66,7 @@
 func (s *simulation) delay() int64 { return ms + s.random.Int63n(20*ms) }
 
 // start gives an address a new incarnation.
-func (s *simulation) start(k int, seeds []string) *simulatedNode {
+func (s *simulation) start(k int, seeds []string) {
 	address := fmt.Sprintf("10.0.0.%d:9", k)
 	n := s.nodes[address]
 	if n == nil {
@@ -79,7 +79,6 @@
 		ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 20_000 * ms, MaxMembers: 64}
 	n.members = New(config, s.now, s.now+1, 0, s.random.Int63())
 	s.step(n)
-	return n
 }
 
 func clone(t *testing.T, m *Message) (*Message, []byte) {
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -4,7 +4,7 @@
 	"topazpost/internal/invariant"
 )
 
-// queueRecord owes a record to all links but the one that brought it.
+// queueRecord queues a record on all links but the one that brought it.
 func (m *Members) queueRecord(i int32, from int8) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && int8(k) != from && l.member != i {
@@ -13,6 +13,7 @@
 	}
 }
 
+// queueOnLink queues a record on one link, and to be sent twice in a small fleet.
 func (m *Members) queueOnLink(k int8, i int32) {
 	bit := uint32(1) << k
 	if m.owed[i]&bit == 0 {
@@ -24,6 +25,7 @@
 	}
 }
 
+// dequeueOnLink takes a record out of the queue of a link.
 func (m *Members) dequeueOnLink(k int8, i int32) {
 	if bit := uint32(1) << k; m.owed[i]&bit != 0 {
 		m.owed[i] &^= bit
@@ -32,7 +34,7 @@
 	}
 }
 
-// clearQueue forgets all that is owed on a link.
+// clearQueue empties the queue of a link.
 func (m *Members) clearQueue(k int8) {
 	m.links[k].owedRecords = 0
 	for i := range m.owed {
@@ -41,7 +43,7 @@
 	}
 }
 
-// checkQueues holds the counts of what is owed against what is.
+// checkQueues compares the counts of queued records with the queues.
 func (m *Members) checkQueues() {
 	for k := range m.links {
 		n := 0
@@ -52,7 +54,7 @@
 	}
 }
 
-// sendGossip sends what is owed, a datagram a link at a time.
+// sendGossip sends queued records, one datagram on each link.
 func (m *Members) sendGossip() {
 	if invariant.Debug {
 		m.checkQueues()
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -13,7 +13,7 @@
 	left       bool
 }
 
-// traverse finds whom a path of links leads to: links that both ends tell of, from this node on.
+// traverse finds the members that are reachable from this node over links that both ends publish.
 func (m *Members) traverse() {
 	last := m.traversal
 	m.traversal++
@@ -48,7 +48,7 @@
 	}
 }
 
-// neighboursOf are those with whom a member has a link that both ends tell of.
+// neighboursOf returns the members with which a member has a link that both ends publish.
 func (m *Members) neighboursOf(i int32) []uint16 {
 	n := &m.adjacency[i]
 	return n.neighbours[:n.count]
@@ -88,7 +88,7 @@
 	n.count++
 }
 
-// removeAdjacency takes a member out of them, and says whether it was one.
+// removeAdjacency removes a neighbour and reports whether it was one.
 func (m *Members) removeAdjacency(i, j int32) bool {
 	n := &m.adjacency[i]
 	at := slices.Index(m.neighboursOf(i), uint16(j))
@@ -100,13 +100,13 @@
 	return true
 }
 
-// containsID says whether an id is among the links of a record.
+// containsID reports whether an id is among the sorted links of a record.
 func containsID(links []ID, id ID) bool {
 	_, found := slices.BinarySearch(links, id)
 	return found
 }
 
-// checkAdjacency holds the links that are kept against those of the records.
+// checkAdjacency compares the adjacency lists with the links of the records.
 func (m *Members) checkAdjacency() {
 	for i := range m.members {
 		b, n, kept := &m.members[i], 0, m.neighboursOf(int32(i))
--- a/internal/fleet/membership/rings.go
+++ b/internal/fleet/membership/rings.go
@@ -7,8 +7,8 @@
 	"topazpost/internal/invariant"
 )
 
-// updateRings chooses whom to watch: on each side of this node in each ring the next that is not silent, and those
-// passed over on the way, so that a link that works again is found.
+// updateRings chooses the members to watch: on both sides of this node on each ring the next that answers, and the silent
+// ones that were skipped on the way, so that a link that works again is noticed.
 func (m *Members) updateRings() {
 	if !m.ringsDirty || m.ownTime < m.nextRingsAt {
 		return
@@ -42,24 +42,24 @@
 	}
 }
 
-// updateRingOrders has each order hold those that may be watched, sorted: who is there no more is taken out, and those who
-// came are sorted among themselves and merged in, so that a look costs one pass and not a sort of all.
+// updateRingOrders has each ring hold the members that may be watched, sorted. Members that are gone are taken out; new ones are
+// sorted among themselves and merged in, so that an update costs one pass and not a sort of all.
 func (m *Members) updateRingOrders() {
 	m.ringJoiners = m.ringJoiners[:0]
 	for i := range m.members {
 		if m.settled[i] && m.inRings[i] {
 			continue
 		}
-		peer := &m.members[i]
-		may := i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
-		if may && !m.inRings[i] {
+		watchable := m.isWatchable(i)
+		if watchable && !m.inRings[i] {
 			m.ringJoiners = append(m.ringJoiners, int32(i))
-		} else if !may && m.inRings[i] {
-			m.inRings[i], m.ringsStale = false, true
+		} else if !watchable && m.inRings[i] {
+			m.inRings[i] = false
+			m.ringsStale = true
 		}
 	}
 	for r := range m.ringOrder {
-		if m.ringsStale { // a place in the table that was forgotten and taken again counts as new
+		if m.ringsStale { // an index that was freed and used again counts as new
 			m.ringOrder[r] = slices.DeleteFunc(m.ringOrder[r], func(i int32) bool { return !m.inRings[i] })
 		}
 		m.ringOrder[r] = m.mergeIntoRing(r, m.ringOrder[r], m.ringJoiners)
@@ -69,26 +69,36 @@
 		m.inRings[i] = true
 	}
 	if invariant.Debug {
-		for r, order := range m.ringOrder {
-			n := 0
-			for i := range m.members {
-				peer := &m.members[i]
-				if may := i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil); may {
-					n++
-				}
+		m.checkRingOrders()
+	}
+}
+
+// isWatchable reports whether a member belongs on the rings: it is this node, in the view, or may still come into it.
+func (m *Members) isWatchable(i int) bool {
+	peer := &m.members[i]
+	return i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
+}
+
+func (m *Members) checkRingOrders() {
+	for r, order := range m.ringOrder {
+		n := 0
+		for i := range m.members {
+			if m.isWatchable(i) {
+				n++
 			}
-			m.Invariants.Check(n == len(order) && slices.IsSortedFunc(order, func(a, peer int32) int { return m.compareInRing(r, a, peer) }), "an order is whole and sorted")
 		}
+		sorted := slices.IsSortedFunc(order, func(a, b int32) int { return m.compareInRing(r, a, b) })
+		m.Invariants.Check(n == len(order) && sorted, "an order is whole and sorted")
 	}
 }
 
-// compareInRing compares members in an order.
+// compareInRing orders members on a ring.
 func (m *Members) compareInRing(r int, i, j int32) int {
 	a, peer := &m.members[i], &m.members[j]
 	return cmp.Or(cmp.Compare(a.ringKey(r), peer.ringKey(r)), cmp.Compare(a.id, peer.id))
 }
 
-// mergeIntoRing takes some more into an order.
+// mergeIntoRing merges more members into a sorted ring.
 func (m *Members) mergeIntoRing(r int, order, more []int32) []int32 {
 	if len(more) == 0 {
 		return order
