--- a/internal/fleet/consensus/configuration_test.go
+++ b/internal/fleet/consensus/configuration_test.go
@@ -11,41 +11,41 @@
 	"topazpost/internal/fleet/configsync"
 )
 
-func tenantOf(name string, rate int) configsync.Item {
+func tenantItem(name string, rate int) configsync.Item {
 	return configsync.Item{Part: configsync.Tenants, Name: name, Value: fmt.Appendf(nil, `{"quota_rps":%d}`, rate)}
 }
 
 // propose has a node that is no seat ask one for a command, and gives the verdicts that it has then.
-func (w *world) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
+func (w *simulation) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
 	m := w.machines[3]
-	m.decided = nil
-	w.send(3, w.machines[seat].name, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.life}, Proposed: []configsync.Command{c}})
+	m.configVerdicts = nil
+	w.send(3, w.machines[seat].name, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Proposed: []configsync.Command{c}})
 	w.run(w.now + 500*ms)
-	require.Len(t, m.decided, 1, "one command, one verdict")
-	assert.Equal(t, []any{c.From, c.Seq}, []any{m.decided[0].From, m.decided[0].Seq})
-	return m.decided[0]
+	require.Len(t, m.configVerdicts, 1, "one command, one verdict")
+	assert.Equal(t, []any{c.From, c.Seq}, []any{m.configVerdicts[0].From, m.configVerdicts[0].Seq})
+	return m.configVerdicts[0]
 }
 
-func (w *world) heads() (list []configsync.HeadRevision) {
-	for _, m := range w.machines[:len(w.seats)] {
-		list = append(list, m.seat.versions.table.Head())
+func (w *simulation) heads() (list []configsync.HeadRevision) {
+	for _, m := range w.machines[:len(w.members)] {
+		list = append(list, m.replica.configs.table.Head())
 	}
 	return list
 }
 
 func TestVersionsAreATableOfTheSeatAndOutliveIt(t *testing.T) {
-	w := onDisks(t, 4, 3)
+	w := newDiskSimulation(t, 4, 3)
 	for _, m := range w.machines[:3] {
-		text, err := m.seat.versions.Snapshot()
+		text, err := m.replica.configs.Snapshot()
 		require.NoError(t, err)
 		assert.Empty(t, text, "a council without versions has nothing of them in its snapshots")
-		assert.False(t, m.seat.versions.apart())
+		assert.False(t, m.replica.configs.storedSeparately())
 	}
-	put := configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantOf("x", 1)}}
+	put := configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x", 1)}}
 	v := w.propose(t, 0, put)
 	assert.Equal(t, configsync.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
 	assert.Equal(t, v, w.propose(t, 1, put), "the same at another seat has the same verdict")
-	v = w.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantOf("y", 1)}})
+	v = w.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y", 1)}})
 	assert.True(t, v.Stale)
 	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differ)
 
@@ -55,17 +55,17 @@
 	}
 	for k := range 3 { // a long change
 		v = w.propose(t, k, configsync.Command{Kind: configsync.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
-			Changes: []configsync.Item{tenantOf(fmt.Sprint("z", k), 1)}})
+			Changes: []configsync.Item{tenantItem(fmt.Sprint("z", k), 1)}})
 		assert.True(t, v.Done, v.Refused)
 	}
 	assert.Equal(t, uint64(2), v.Version)
-	w.machines[3].decided = nil
-	w.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
+	w.machines[3].configVerdicts = nil
+	w.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: w.machines[3].incarnation},
 		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
 	w.run(w.now + 500*ms)
 	assert.False(t, w.heads()[0].Stopped, "only a seat says that a version goes no further")
-	w.machines[1].toSeat = append(w.machines[1].toSeat, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
-	w.soon(1)
+	w.machines[1].replicaInputs = append(w.machines[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
+	w.wakeNow(1)
 	w.run(w.now + 6_000*ms)
 	want := w.heads()[0]
 	assert.Equal(t, []any{uint64(1), uint64(2), true, "n7"}, []any{want.All.Version, want.First.Version, want.Stopped, want.Who})
@@ -73,7 +73,7 @@
 	for i := range 3 {
 		w.kill(i)
 	}
-	w.machines[2].disk = &disk{} // one of them is lost
+	w.machines[2].disk = &simDisk{} // one of them is lost
 	w.run(w.now + 1_000*ms)
 	for i := range 3 {
 		w.start(i)
@@ -81,11 +81,11 @@
 	w.run(w.now + 8_000*ms)
 	for i, h := range w.heads() {
 		assert.Equal(t, want, h, "seat %d", i)
-		agreed, changed := w.machines[i].seat.AgreedConfig()
+		agreed, changed := w.machines[i].replica.AgreedConfig()
 		assert.True(t, changed)
 		require.NotNil(t, agreed)
 		assert.Equal(t, 4, agreed.Newest.Len(configsync.Tenants))
-		_, changed = w.machines[i].seat.AgreedConfig()
+		_, changed = w.machines[i].replica.AgreedConfig()
 		assert.False(t, changed, "it is told once")
 	}
 	v = w.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
@@ -94,12 +94,12 @@
 }
 
 func TestUnsoundChangeIsNotOrdered(t *testing.T) {
-	w := onDisks(t, 4, 3)
+	w := newDiskSimulation(t, 4, 3)
 	for _, m := range w.machines[:3] {
-		m.seat.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
+		m.replica.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
 	}
-	v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantOf("x", 1)}})
+	v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x", 1)}})
 	assert.Equal(t, "unsound: x", v.Refused)
 	assert.Zero(t, w.heads()[0].Newest)
-	assert.False(t, w.machines[0].seat.versions.used)
+	assert.False(t, w.machines[0].replica.configs.inUse)
 }
--- a/internal/fleet/consensus/council.go
+++ b/internal/fleet/consensus/council.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	pendingFor  = 5_000 * ms // ns after which a command that was not agreed on is not answered from here any more
-	entryMost   = 512        // commands of a kind in one entry
-	pendingMost = 100_000    // commands taken here and not answered yet; more are answered by whom they are sent to next
+	pendingTimeout     = 5_000 * ms // ns after which a command that was not agreed on is not answered from here any more
+	maxEntryCommands   = 512        // commands of a kind in one entry
+	maxPendingCommands = 100_000    // commands taken here and not answered yet; more are answered by whom they are sent to next
 )
 
 // MessageKind names what a message is for.
@@ -117,7 +117,7 @@
 	handed := c.TakeoverCounters()
 	p.Replica, p.Leader, p.Table, p.Takeover, p.Time = &c.Counters, c.Leader(), &c.table.Counters, &handed, c.table.Time()
 	p.Entries, p.Bytes = c.table.Size()
-	p.Limits = c.book.Limits()
+	p.Limits = c.leases.Limits()
 	for _, e := range c.table.List(most) {
 		short := *e
 		short.Work, short.Waiters = nil, nil
@@ -130,40 +130,40 @@
 	*Replica
 	*claimTable
 	*leaseTable
-	versions *configurationTable
-	sweepAt  int64
+	configs  *configTable
+	expireAt int64
 }
 
 // NewGroup is a seat that knows nothing yet. Names are all seats, this node's among them; life tells this start from others.
 func NewGroup(names []string, self string, life uint64, now, seed int64) *Group {
-	c := &Group{Replica: newSeat(names, self, life, now, seed)}
-	c.claimTable = &claimTable{seat: c.Replica}
-	c.leaseTable = &leaseTable{seat: c.Replica}
-	c.versions = &configurationTable{seat: c.Replica}
-	c.tables = []proposer{c.claimTable, c.leaseTable, c.versions}
-	c.time = func() int64 { return c.table.Time() }
-	c.begin()
+	c := &Group{Replica: newReplica(names, self, life, now, seed)}
+	c.claimTable = &claimTable{replica: c.Replica}
+	c.leaseTable = &leaseTable{replica: c.Replica}
+	c.configs = &configTable{replica: c.Replica}
+	c.tables = []replicatedTable{c.claimTable, c.leaseTable, c.configs}
+	c.agreedTime = func() int64 { return c.table.Time() }
+	c.initialize()
 	return c
 }
 
 // SetMaxTableBytes sets the bytes that the table of claims may take while this seat leads, 0 for the usual.
-func (c *Group) SetMaxTableBytes(bytes int64) { c.most = bytes }
+func (c *Group) SetMaxTableBytes(bytes int64) { c.maxBytes = bytes }
 
 // SetLimits sets the limits that this seat defines while it leads.
 func (c *Group) SetLimits(list []quota.Command) { c.limits = list }
 
 // LeaseTable is what was agreed on of limits. It must not be changed.
-func (c *Group) LeaseTable() *quota.LeaseTable { return c.book }
+func (c *Group) LeaseTable() *quota.LeaseTable { return c.leases }
 
 // Table is what was agreed on of claims, as far as this seat has heard. It must not be changed.
 func (c *Group) Table() *claims.Table { return c.table }
 
 // TakeoverCounters is what hand-overs came to while this seat led.
 func (c *Group) TakeoverCounters() takeover.Counters {
-	if c.plan == nil {
+	if c.planner == nil {
 		return takeover.Counters{}
 	}
-	return c.plan.Counters
+	return c.planner.Counters
 }
 
 // Step takes what happened up to now, by a clock that only advances. The effects are valid until the next step; wake is
@@ -171,31 +171,31 @@
 func (c *Group) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
 	c.step(now, func() {
 		for i := range inputs {
-			c.take(&inputs[i])
+			c.handleInput(&inputs[i])
 		}
-		if c.now >= c.sweepAt {
-			c.sweepAt = c.now + pendingFor
-			c.claimTable.sweep()
-			c.leaseTable.sweep()
-			c.versions.sweep()
+		if c.now >= c.expireAt {
+			c.expireAt = c.now + pendingTimeout
+			c.claimTable.expirePending()
+			c.leaseTable.expirePending()
+			c.configs.expirePending()
 		}
 	})
 	c.flush()
-	c.wake = max(now+1, c.due())
-	return c.effects, c.wake
+	c.wakeAt = max(now+1, c.nextDeadline())
+	return c.effects, c.wakeAt
 }
 
-func (c *Group) take(in *Input) {
+func (c *Group) handleInput(in *Input) {
 	if in.View != nil {
 		c.view = in.View
 	}
 	for i := range in.Claims {
-		c.wanted(in.Claims[i])
+		c.enqueue(in.Claims[i])
 	}
-	c.lease(in.Leases)
-	c.versions.propose(in.Owner, in.Proposed)
+	c.requestLeases(in.Leases)
+	c.configs.enqueue(in.Owner, in.Proposed)
 	if in.Persisted > 0 || in.Err != nil {
-		c.kept(in.Persisted, in.Err)
+		c.handlePersisted(in.Persisted, in.Err)
 	}
 	m := in.Message
 	if m == nil {
@@ -205,29 +205,29 @@
 	case MessagePropose:
 		for i := range m.Commands {
 			if m.Commands[i].Sender == m.Owner && m.Commands[i].Kind != claims.CommandAdvanceTime {
-				c.wanted(m.Commands[i])
+				c.enqueue(m.Commands[i])
 			}
 		}
-		c.lease(slices.DeleteFunc(m.Leases, func(q quota.Command) bool {
+		c.requestLeases(slices.DeleteFunc(m.Leases, func(q quota.Command) bool {
 			return q.Kind != quota.CommandRequestLease || q.Sender != quota.Owner(m.Owner)
 		}))
 		if m.Owner.Name != "" {
-			c.versions.propose(m.Owner, m.Proposed)
+			c.configs.enqueue(m.Owner, m.Proposed)
 		}
 	case MessageDiscovery:
-		c.hailed(m)
+		c.handleDiscovery(m)
 	case MessageRaft:
-		c.fromSeat(m)
+		c.handleRaft(m)
 	case MessageRejoin:
-		if slices.Contains(c.names, m.From) {
-			c.answerReturn(m.From, m.ID)
+		if slices.Contains(c.members, m.From) {
+			c.answerRejoin(m.From, m.ID)
 		}
 	case MessageRejoinAnswer:
-		c.toldHeard(m)
+		c.handleRejoinAnswer(m)
 	case MessagePartRequest:
-		c.wantedPiece(m)
+		c.handlePartRequest(m)
 	case MessagePart:
-		c.gotPiece(m)
+		c.handlePart(m)
 	}
 }
 
@@ -238,24 +238,24 @@
 			c.verdicts[o] = nil // one message brings both
 		}
 	}
-	for o := range c.versions.verdicts {
+	for o := range c.configs.verdicts {
 		if _, known := c.verdicts[o]; !known {
 			c.verdicts[o] = nil
 		}
 	}
-	for _, o := range owners(c.verdicts) {
-		c.send(o.Name, Message{Kind: MessageVerdicts, Owner: o, Verdicts: c.verdicts[o], Grants: c.grants[o], Decided: c.versions.verdicts[o]})
+	for _, o := range sortedOwners(c.verdicts) {
+		c.send(o.Name, Message{Kind: MessageVerdicts, Owner: o, Verdicts: c.verdicts[o], Grants: c.grants[o], Decided: c.configs.verdicts[o]})
 	}
 	clear(c.grants)
-	clear(c.versions.verdicts)
-	for _, o := range owners(c.tells) {
-		c.send(o.Name, Message{Kind: MessageClaimsEnded, Owner: o, Keys: c.tells[o]})
+	clear(c.configs.verdicts)
+	for _, o := range sortedOwners(c.endedClaims) {
+		c.send(o.Name, Message{Kind: MessageClaimsEnded, Owner: o, Keys: c.endedClaims[o]})
 	}
 	clear(c.verdicts)
-	clear(c.tells)
+	clear(c.endedClaims)
 }
 
-func owners[T any](of map[claims.Owner]T) (list []claims.Owner) {
+func sortedOwners[T any](of map[claims.Owner]T) (list []claims.Owner) {
 	for o := range of {
 		list = append(list, o)
 	}
--- a/internal/fleet/consensus/disk_test.go
+++ b/internal/fleet/consensus/disk_test.go
@@ -13,66 +13,66 @@
 	"topazpost/internal/fleet/claims"
 )
 
-// disk is what a seat's disk holds, and what is on its way there.
-type disk struct {
-	there DiskContents
-	queue []*Write
-	free  int64 // when what is on its way is written
+// simDisk is what a seat's simDisk holds, and what is on its way there.
+type simDisk struct {
+	contents DiskContents
+	inFlight []*Write
+	freeAt   int64 // when what is on its way is written
 }
 
-func (d *disk) carry(w *Write) {
+func (d *simDisk) apply(w *Write) {
 	if w.DiscardEarlier {
-		d.there = DiskContents{}
+		d.contents = DiskContents{}
 		return
 	}
 	if w.Base != nil {
-		d.there = DiskContents{Base: w.Base, Parts: maps.Clone(w.Parts)}
+		d.contents = DiskContents{Base: w.Base, Parts: maps.Clone(w.Parts)}
 	}
-	d.there.Records = append(d.there.Records[:len(d.there.Records):len(d.there.Records)], w.Records...)
+	d.contents.Records = append(d.contents.Records[:len(d.contents.Records):len(d.contents.Records)], w.Records...)
 }
 
 // crash leaves a part of what was on its way, and nothing of it was told.
-func (d *disk) crash(chance *rand.Rand) {
-	for _, w := range d.queue[:chance.Intn(len(d.queue)+1)] {
-		d.carry(w)
+func (d *simDisk) crash(chance *rand.Rand) {
+	for _, w := range d.inFlight[:chance.Intn(len(d.inFlight)+1)] {
+		d.apply(w)
 	}
-	d.queue, d.free = nil, 0
+	d.inFlight, d.freeAt = nil, 0
 }
 
-func (w *world) recover(m *machine) {
+func (w *simulation) recover(m *simNode) {
 	if m.disk == nil {
-		m.disk = &disk{}
+		m.disk = &simDisk{}
 	}
-	if err := m.seat.Recover(w.now, m.disk.there); err != nil {
+	if err := m.replica.Recover(w.now, m.disk.contents); err != nil {
 		w.fail("%s can't take its disk up: %v", m.name, err)
 	}
-	if m.seat.Resumed() {
+	if m.replica.Resumed() {
 		w.resumed++
 	}
 }
 
 // persist has writes reach the disk in their order, some time later: now and then much later.
-func (w *world) persist(i int, x *Write) {
+func (w *simulation) persist(i int, x *Write) {
 	m := w.machines[i]
 	d := m.disk
-	took := ms/10 + w.chance.Int63n(2*ms+w.slow)
+	took := ms/10 + w.chance.Int63n(2*ms+w.maxExtraWrite)
 	if w.chance.Intn(200) == 0 {
 		took += w.chance.Int63n(300 * ms)
 	}
-	d.free = max(d.free, w.now) + took
-	d.queue = append(d.queue, x)
-	w.at(d.free, i, func() {
-		d.carry(d.queue[0])
-		d.queue = d.queue[1:]
-		m.toSeat = append(m.toSeat, Input{Persisted: x.Number})
-		w.soon(i)
+	d.freeAt = max(d.freeAt, w.now) + took
+	d.inFlight = append(d.inFlight, x)
+	w.at(d.freeAt, i, func() {
+		d.apply(d.inFlight[0])
+		d.inFlight = d.inFlight[1:]
+		m.replicaInputs = append(m.replicaInputs, Input{Persisted: x.Number})
+		w.wakeNow(i)
 	})
 }
 
-// onDisks is a calm world whose seats have disks.
-func onDisks(t *testing.T, nodes, seats int) *world {
-	w := newWorld(1, nodes, seats)
-	w.sane, w.disks = true, true
+// newDiskSimulation is a calm world whose seats have disks.
+func newDiskSimulation(t *testing.T, nodes, seats int) *simulation {
+	w := newSimulation(1, nodes, seats)
+	w.stable, w.disks = true, true
 	for i := range nodes {
 		w.start(i)
 	}
@@ -81,113 +81,113 @@
 	return w
 }
 
-// down ends all seats at once.
-func (w *world) down() {
-	for i := range w.seats {
+// killReplicas ends all seats at once.
+func (w *simulation) killReplicas() {
+	for i := range w.members {
 		w.kill(i)
 	}
 }
 
-func (w *world) up() {
+func (w *simulation) startAll() {
 	for i := range w.machines {
 		w.start(i)
 	}
 }
 
-// alike says where tables of seats that are up and equally far differ.
-func (w *world) alike(t assert.TestingT) {
+// assertSameTables says where tables of seats that are up and equally far differ.
+func (w *simulation) assertSameTables(t assert.TestingT) {
 	by := map[uint64]string{}
-	for _, m := range w.machines[:len(w.seats)] {
-		if !m.up || !m.seat.founded {
+	for _, m := range w.machines[:len(w.members)] {
+		if !m.up || !m.replica.bootstrapped {
 			continue
 		}
 		text := ""
-		for i := range m.seat.tables {
-			m.seat.held[i] = nil
-			part, err := m.seat.tables[i].Snapshot()
+		for i := range m.replica.tables {
+			m.replica.cachedTexts[i] = nil
+			part, err := m.replica.tables[i].Snapshot()
 			assert.NoError(t, err)
 			text += string(part)
 		}
-		if before, known := by[m.seat.applied]; known {
-			assert.True(t, before == text, "tables at entry %d differ", m.seat.applied)
+		if before, known := by[m.replica.appliedIndex]; known {
+			assert.True(t, before == text, "tables at entry %d differ", m.replica.appliedIndex)
 		}
-		by[m.seat.applied] = text
+		by[m.replica.appliedIndex] = text
 	}
 }
 
 func TestCouncilsOnDisksComeBackWhole(t *testing.T) {
 	for _, seats := range []int{1, 3, 5} {
 		t.Run(fmt.Sprint(seats), func(t *testing.T) {
-			w := onDisks(t, seats+1, seats)
+			w := newDiskSimulation(t, seats+1, seats)
 			a := w.ask(1, 1, seats)
 			w.run(w.now + 500*ms)
-			require.Equal(t, "hold//t1 run 1", a.got)
+			require.Equal(t, "hold//t1 run 1", a.outcome)
 			ids := map[string]uint64{}
 			for _, m := range w.machines[:seats] {
-				ids[m.name] = m.seat.id
+				ids[m.name] = m.replica.raftID
 			}
-			w.down()
+			w.killReplicas()
 			w.kill(seats)
 			w.run(w.now + 60_000*ms)
-			w.up()
+			w.startAll()
 			w.run(w.now + 3_000*ms)
 			for _, m := range w.machines[:seats] {
-				assert.Equal(t, ids[m.name], m.seat.id, "it goes on under its number")
+				assert.Equal(t, ids[m.name], m.replica.raftID, "it goes on under its number")
 			}
 			b := w.ask(2, 1, seats)
 			w.run(w.now + 500*ms)
-			assert.Equal(t, a.got, b.got)
+			assert.Equal(t, a.outcome, b.outcome)
 			assert.Equal(t, 1, w.runs[1])
-			w.alike(t)
+			w.assertSameTables(t)
 		})
 	}
 }
 
 func TestSeatThatLostItsDiskIsSeatedAnew(t *testing.T) {
-	w := onDisks(t, 4, 3)
+	w := newDiskSimulation(t, 4, 3)
 	w.ask(1, 1, 3)
 	w.run(w.now + 500*ms)
-	before := w.machines[0].seat.id
+	before := w.machines[0].replica.raftID
 	w.kill(0)
 	w.machines[0].disk = nil
 	w.start(0)
 	w.run(w.now + 3_000*ms)
-	c := w.machines[0].seat
-	assert.NotEqual(t, before, c.id)
+	c := w.machines[0].replica
+	assert.NotEqual(t, before, c.raftID)
 	assert.NotNil(t, c.table.Find(key(1)))
-	w.down() // and what it got is on its new disk
-	w.up()
+	w.killReplicas() // and what it got is on its new disk
+	w.startAll()
 	w.run(w.now + 3_000*ms)
-	assert.Equal(t, c.id, w.machines[0].seat.id)
-	assert.NotNil(t, w.machines[0].seat.table.Find(key(1)))
+	assert.Equal(t, c.raftID, w.machines[0].replica.raftID)
+	assert.NotNil(t, w.machines[0].replica.table.Find(key(1)))
 }
 
 func TestSeatWithAnOldDiskIsToldAndBeginsAnew(t *testing.T) {
-	w := onDisks(t, 4, 3)
-	i := (w.index(w.leader()) + 1) % 3
-	old, before := w.machines[i].disk.there, w.machines[i].seat.id
+	w := newDiskSimulation(t, 4, 3)
+	i := (w.indexOf(w.leader()) + 1) % 3
+	old, before := w.machines[i].disk.contents, w.machines[i].replica.raftID
 	a := w.ask(1, 1, 3)
 	w.run(w.now + 500*ms)
-	w.down()
-	w.machines[i].disk.there = old
-	w.up()
+	w.killReplicas()
+	w.machines[i].disk.contents = old
+	w.startAll()
 	w.run(w.now + 5_000*ms)
-	c := w.machines[i].seat
-	assert.NotEqual(t, before, c.id, "it does not vote by what it forgot")
-	assert.True(t, c.founded)
+	c := w.machines[i].replica
+	assert.NotEqual(t, before, c.raftID, "it does not vote by what it forgot")
+	assert.True(t, c.bootstrapped)
 	assert.NotNil(t, c.table.Find(key(1)))
 	b := w.ask(2, 1, 3)
 	w.run(w.now + 500*ms)
-	assert.Equal(t, a.got, b.got)
-	w.alike(t)
+	assert.Equal(t, a.outcome, b.outcome)
+	w.assertSameTables(t)
 }
 
 func TestNothingIsSaidBeforeItIsOnTheDisk(t *testing.T) {
-	w := onDisks(t, 4, 3)
+	w := newDiskSimulation(t, 4, 3)
 	m := w.leader()
-	c := m.seat
-	number := c.disk.number
-	self := claims.Owner{Name: m.name, Incarnation: m.life}
+	c := m.replica
+	number := c.disk.lastWrite
+	self := claims.Owner{Name: m.name, Incarnation: m.incarnation}
 	effects, _ := c.Step(w.now, []Input{{Persisted: number}, {Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
 	var write *Write
 	for _, e := range effects {
@@ -203,71 +203,71 @@
 }
 
 func TestSeatWhoseDiskFailedSaysNothingMore(t *testing.T) {
-	w := onDisks(t, 4, 3)
-	i := w.index(w.leader())
+	w := newDiskSimulation(t, 4, 3)
+	i := w.indexOf(w.leader())
 	m := w.machines[i]
-	m.toSeat = append(m.toSeat, Input{Err: fmt.Errorf("no space left")})
-	w.soon(i)
+	m.replicaInputs = append(m.replicaInputs, Input{Err: fmt.Errorf("no space left")})
+	w.wakeNow(i)
 	w.run(w.now + 4_000*ms)
 	require.NotNil(t, w.leader())
-	assert.NotEqual(t, i, w.index(w.leader()), "another leads")
+	assert.NotEqual(t, i, w.indexOf(w.leader()), "another leads")
 	w.kill(i)
 	w.start(i)
 	w.run(w.now + 2_000*ms)
-	assert.Equal(t, w.leader().seat.applied, w.machines[i].seat.applied, "started anew it goes on")
+	assert.Equal(t, w.leader().replica.appliedIndex, w.machines[i].replica.appliedIndex, "started anew it goes on")
 }
 
 func TestFolderOfAnotherCouncilIsRefused(t *testing.T) {
-	w := onDisks(t, 4, 3)
+	w := newDiskSimulation(t, 4, 3)
 	c := NewGroup([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
-	assert.ErrorContains(t, c.Recover(1, w.machines[0].disk.there), "put the names back")
-	c = NewGroup(w.seats, "n0", 1, 1, 1)
+	assert.ErrorContains(t, c.Recover(1, w.machines[0].disk.contents), "put the names back")
+	c = NewGroup(w.members, "n0", 1, 1, 1)
 	assert.ErrorContains(t, c.Recover(1, DiskContents{Base: []byte("no base")}), "can't be read by this build")
 }
 
 // What is on the disk is bounded: a base takes the place of the log before it.
 func TestLogOnTheDiskIsCutBehindASnapshot(t *testing.T) {
-	w := onDisks(t, 4, 3)
+	w := newDiskSimulation(t, 4, 3)
 	m := w.leader()
-	self := claims.Owner{Name: m.name, Incarnation: m.life}
+	self := claims.Owner{Name: m.name, Incarnation: m.incarnation}
 	for n := range 2_500 { // more entries than one snapshot holds
-		m.toSeat = append(m.toSeat, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
-		w.soon(w.index(m))
+		m.replicaInputs = append(m.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
+		w.wakeNow(w.indexOf(m))
 		w.run(w.now + 8*ms)
 	}
 	for _, m := range w.machines[:3] {
-		assert.Less(t, len(m.disk.there.Records), 3*entriesMost, "an entry has two records, its own and that it is agreed on")
-		assert.GreaterOrEqual(t, m.seat.Counters.Snapshots, 1)
+		assert.Less(t, len(m.disk.contents.Records), 3*maxLogEntries, "an entry has two records, its own and that it is agreed on")
+		assert.GreaterOrEqual(t, m.replica.Counters.Snapshots, 1)
 	}
 }
 
-// diskSchedule plays drawn crashes of any number of seats at once, cuts and pauses; and one disk at a time that is lost, or
+// runDiskSchedule plays drawn crashes of any number of seats at once, cuts and pauses; and one disk at a time that is lost, or
 // set back while the others can be heard.
-func diskSchedule(seed int64, alter func(w *world)) *world {
+func runDiskSchedule(seed int64, alter func(w *simulation)) *simulation {
 	chance := rand.New(rand.NewSource(seed))
 	seats := []int{1, 3, 3, 3, 5}[chance.Intn(5)]
 	nodes := seats + 1 + chance.Intn(3)
-	w := newWorld(seed, nodes, seats)
+	w := newSimulation(seed, nodes, seats)
 	w.disks = true
 	if alter != nil {
 		alter(w)
 	}
-	w.up()
-	w.sane = true
+	w.startAll()
+	w.stable = true
 	w.run(3_000 * ms)
-	w.sane = false
+	w.stable = false
 	w.loss = []float64{0, 0, 0.05, 0.2}[chance.Intn(4)]
 	loss := w.loss
-	w.slow = []int64{0, 0, 60 * ms}[chance.Intn(3)]
+	w.maxExtraWrite = []int64{0, 0, 60 * ms}[chance.Intn(3)]
 	heal := func() {
-		clear(w.cut)
+		clear(w.cutLinks)
 		for k := range w.machines {
 			w.pause(k, false)
 		}
-		w.up()
+		w.startAll()
 	}
 	end := w.now + 5_000*ms
-	for w.now < end && len(w.wrong) == 0 {
+	for w.now < end && len(w.failures) == 0 {
 		for range 1 + chance.Intn(3) {
 			w.ask(chance.Intn(8), 1+chance.Intn(12), chance.Intn(nodes))
 		}
@@ -282,7 +282,7 @@
 				}
 			}
 		case 4:
-			w.down()
+			w.killReplicas()
 		case 5, 6, 7, 8:
 			for k := range w.machines {
 				if chance.Intn(2) == 0 {
@@ -298,21 +298,21 @@
 		case 16:
 			w.cutOff(i, chance)
 		case 17, 18, 19:
-			clear(w.cut)
+			clear(w.cutLinks)
 		case 20:
-			if i < seats && w.spare(i) && w.settled(i) {
+			if i < seats && w.majorityWithout(i) && w.settled(i) {
 				w.kill(i)
 				w.machines[i].disk = nil
 				w.start(i)
 			}
 		case 21:
-			if i < seats && w.spare(i) && w.settled(i) { // a volume that is set back to what it was a while ago
+			if i < seats && w.majorityWithout(i) && w.settled(i) { // a volume that is set back to what it was a while ago
 				m := w.machines[i]
-				old := m.disk.there
+				old := m.disk.contents
 				w.run(w.now + chance.Int63n(300*ms))
-				if w.spare(i) && w.settled(i) {
+				if w.majorityWithout(i) && w.settled(i) {
 					w.kill(i)
-					m.disk.there = old
+					m.disk.contents = old
 					heal()
 					w.loss = 0
 					w.run(w.now + 500*ms)
@@ -323,38 +323,38 @@
 		w.run(w.now + chance.Int63n(120*ms))
 	}
 	heal()
-	w.loss, w.sane = 0, true
+	w.loss, w.stable = 0, true
 	w.run(w.now + 8_000*ms)
-	if len(w.wrong) > 0 {
+	if len(w.failures) > 0 {
 		return w
 	}
-	last := len(w.asked)
+	last := len(w.attempts)
 	for token := 1; token <= 12; token++ {
 		w.ask(9, token, chance.Intn(nodes))
 	}
 	w.run(w.now + 6_000*ms)
-	for _, a := range w.asked[last:] {
-		if !a.answered || a.got == "throttled" || a.got == "lost" {
-			w.fail("after the healing t%d is answered %q", a.token, a.got)
+	for _, a := range w.attempts[last:] {
+		if !a.answered || a.outcome == "throttled" || a.outcome == "lost" {
+			w.fail("after the healing t%d is answered %q", a.token, a.outcome)
 		}
 	}
-	if len(w.wrong) == 0 && !w.linear() {
+	if len(w.failures) == 0 && !w.linearizable() {
 		w.fail("what callers saw is not linearizable")
 	}
 	var apart differences
-	w.alike(&apart)
-	w.wrong = append(w.wrong, apart...)
+	w.assertSameTables(&apart)
+	w.failures = append(w.failures, apart...)
 	return w
 }
 
 // settled says whether all other seats that are up stand on their disks and sit where the council has them.
-func (w *world) settled(i int) bool {
-	for k, m := range w.machines[:len(w.seats)] {
-		if k != i && m.up && (m.seat.disk.returning != nil || !m.seat.founded) {
+func (w *simulation) settled(i int) bool {
+	for k, m := range w.machines[:len(w.members)] {
+		if k != i && m.up && (m.replica.disk.rejoinAnswers != nil || !m.replica.bootstrapped) {
 			return false
 		}
 	}
-	return w.machines[i].up && w.machines[i].seat.disk.returning == nil && w.machines[i].seat.founded
+	return w.machines[i].up && w.machines[i].replica.disk.rejoinAnswers == nil && w.machines[i].replica.bootstrapped
 }
 
 type differences []string
@@ -362,11 +362,11 @@
 func (d *differences) Errorf(form string, args ...any) { *d = append(*d, fmt.Sprintf(form, args...)) }
 
 func TestNothingAcknowledgedIsForgottenInDrawnSchedulesOnDisks(t *testing.T) {
-	first, many := fromEnvironment(t, "SEED", 1), fromEnvironment(t, "SCHEDULES", 50)
+	first, many := seedFromEnvironment(t, "SEED", 1), seedFromEnvironment(t, "SCHEDULES", 50)
 	resumed, ran := 0, 0
 	for seed := first; seed < first+many; seed++ {
-		w := diskSchedule(seed, nil)
-		for _, wrong := range w.wrong {
+		w := runDiskSchedule(seed, nil)
+		for _, wrong := range w.failures {
 			t.Errorf("seed %d: %s; replay: SEED=%d SCHEDULES=1 go test -run SchedulesOnDisks ./council", seed, wrong, seed)
 		}
 		resumed += w.resumed
@@ -379,40 +379,40 @@
 	assert.True(t, many < 50 || resumed > 0, "a seat went on from its disk")
 }
 
-// acknowledgedByTwo has a leader and one follower, whose disk stands still, agree on a claim as far as they may, and both crash. The
+// agreeOnTwoDisks has a leader and one follower, whose disk stands still, agree on a claim as far as they may, and both crash. The
 // follower comes back with what its disk holds, and with the third, which was cut off, it is most of the council.
-func acknowledgedByTwo(t *testing.T, fault func(c *Group)) (agreed, known bool) {
-	w := newWorld(1, 4, 3)
-	w.sane, w.disks = true, true
-	w.extra = func(_ int, c *Group) { fault(c) }
-	w.up()
+func agreeOnTwoDisks(t *testing.T, fault func(c *Group)) (agreed, known bool) {
+	w := newSimulation(1, 4, 3)
+	w.stable, w.disks = true, true
+	w.configure = func(_ int, c *Group) { fault(c) }
+	w.startAll()
 	w.run(5_000 * ms)
 	leader := w.leader()
 	require.NotNil(t, leader)
-	i := w.index(leader)
+	i := w.indexOf(leader)
 	follower, third := (i+1)%3, (i+2)%3
 	for k := range w.machines {
-		w.cut[[2]int{third, k}], w.cut[[2]int{k, third}] = true, true
+		w.cutLinks[[2]int{third, k}], w.cutLinks[[2]int{k, third}] = true, true
 	}
-	w.machines[follower].disk.free = w.now + 60_000*ms
-	leader.toSeat = append(leader.toSeat, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: w.machines[3].life},
+	w.machines[follower].disk.freeAt = w.now + 60_000*ms
+	leader.replicaInputs = append(leader.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: w.machines[3].incarnation},
 		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Window: window}}})
-	w.soon(i)
+	w.wakeNow(i)
 	w.run(w.now + 400*ms)
-	agreed = leader.seat.table.Find(key(1)) != nil
-	w.machines[follower].disk.queue = nil // nothing of it reached the disk
+	agreed = leader.replica.table.Find(key(1)) != nil
+	w.machines[follower].disk.inFlight = nil // nothing of it reached the disk
 	w.kill(i)
 	w.kill(follower)
-	clear(w.cut)
+	clear(w.cutLinks)
 	w.start(follower)
 	w.run(w.now + 8_000*ms)
 	require.NotNil(t, w.leader(), "two of three go on")
-	return agreed, w.leader().seat.table.Find(key(1)) != nil
+	return agreed, w.leader().replica.table.Find(key(1)) != nil
 }
 
 func TestWhatTwoAgreedOnIsOnTheDisksOfTwo(t *testing.T) {
-	agreed, _ := acknowledgedByTwo(t, func(*Group) {})
+	agreed, _ := agreeOnTwoDisks(t, func(*Group) {})
 	assert.False(t, agreed, "one disk is no majority")
-	agreed, known := acknowledgedByTwo(t, func(c *Group) { c.disk.rash = true })
+	agreed, known := agreeOnTwoDisks(t, func(c *Group) { c.disk.unsafeNoWait = true })
 	assert.True(t, agreed && !known, "what is sent before what it stands on is on the disk is found: it is forgotten")
 }
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -139,18 +139,18 @@
 		sameBothWays(t, "handed-v1.cbor", fullValue[takeover.Counters](2), cbor.Marshal, cbor.Unmarshal)
 	})
 	t.Run("seats", func(t *testing.T) {
-		sameBothWays(t, "seats-v1.cbor", fullValue[map[string]incumbent](1), canonical.Marshal, cbor.Unmarshal)
+		sameBothWays(t, "seats-v1.cbor", fullValue[map[string]replicaIncarnation](1), cborEncoding.Marshal, cbor.Unmarshal)
 	})
 	t.Run("base", func(t *testing.T) {
-		sameBothWays(t, "base-v1.cbor", fullValue[base](1), canonical.Marshal, decode.Unmarshal)
+		sameBothWays(t, "base-v1.cbor", fullValue[diskBase](1), cborEncoding.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("record", func(t *testing.T) {
-		sameBothWays(t, "record-v1.cbor", fullValue[record](1), canonical.Marshal, decode.Unmarshal)
+		sameBothWays(t, "record-v1.cbor", fullValue[diskRecord](1), cborEncoding.Marshal, cborDecoding.Unmarshal)
 	})
 }
 
-// ordered are commands for each table of a council, which change all of them.
-func ordered() (list []claims.Command, asks []quota.Command, puts []configsync.Command) {
+// fixtureCommands are commands for each table of a council, which change all of them.
+func fixtureCommands() (list []claims.Command, asks []quota.Command, puts []configsync.Command) {
 	one, other := claims.Owner{Name: "node-1", Incarnation: 11}, claims.Owner{Name: "node-2", Incarnation: 12}
 	key := func(token string) claims.Key { return claims.Key{Operation: "resize", Tenant: "green", Token: token} }
 	for k, token := range []string{"waits", "runs", "ran", "lost"} {
@@ -171,24 +171,24 @@
 	return list, asks, puts
 }
 
-// seatOfFixtures is a council of three that knows nothing yet.
-func seatOfFixtures() *Group {
+// fixtureGroup is a council of three that knows nothing yet.
+func fixtureGroup() *Group {
 	c := NewGroup([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
-	c.early, c.effects = nil, nil
+	c.earlyEffects, c.effects = nil, nil
 	return c
 }
 
-// entryOfFixtures is the text of an entry with commands for all tables.
-func entryOfFixtures(t *testing.T) []byte {
+// fixtureEntry is the text of an entry with commands for all tables.
+func fixtureEntry(t *testing.T) []byte {
 	t.Helper()
-	c := seatOfFixtures()
-	c.queued, c.asks, c.versions.queued = ordered()
+	c := fixtureGroup()
+	c.queuedClaims, c.queuedLeases, c.configs.queued = fixtureCommands()
 	parts := map[uint8]cbor.RawMessage{}
 	for i, table := range c.tables {
-		parts[uint8(i)+1] = table.next()
+		parts[uint8(i)+1] = table.nextProposal()
 		require.NotEmpty(t, parts[uint8(i)+1])
 	}
-	text, err := canonical.Marshal(parts)
+	text, err := cborEncoding.Marshal(parts)
 	require.NoError(t, err)
 	return text
 }
@@ -207,51 +207,51 @@
 
 // An entry of the log with commands for all tables is written to the bytes of a fixture and carried out from it as it was meant.
 func TestFixtureOfAnEntry(t *testing.T) {
-	fixture := sameAsFixture(t, "entry-v1.cbor", entryOfFixtures(t))
-	want := seatOfFixtures()
-	list, asks, puts := ordered()
+	fixture := sameAsFixture(t, "entry-v1.cbor", fixtureEntry(t))
+	want := fixtureGroup()
+	list, asks, puts := fixtureCommands()
 	for i := range list {
 		want.table.Apply(&list[i])
 	}
 	for i := range asks {
-		want.book.Apply(want.table.Time(), &asks[i])
+		want.leases.Apply(want.table.Time(), &asks[i])
 	}
 	for i := range puts {
-		want.versions.table.Apply(want.table.Time(), &puts[i])
+		want.configs.table.Apply(want.table.Time(), &puts[i])
 	}
-	want.versions.used = true
-	got := seatOfFixtures()
+	want.configs.inUse = true
+	got := fixtureGroup()
 	index, term := uint64(2), uint64(1)
-	got.apply(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
+	got.applyEntry(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
 	sameTables(t, want, got)
 	states := map[claims.State]int{}
 	for _, e := range got.table.List(10) {
 		states[e.State]++
 	}
 	assert.Equal(t, map[claims.State]int{claims.StateClaimed: 2, claims.StateStarted: 1, claims.StateEnded: 1}, states)
-	assert.Equal(t, int64(7), got.book.Find("wide").Leases[0].Want)
-	assert.Equal(t, uint64(1), got.versions.table.Head().Newest)
+	assert.Equal(t, int64(7), got.leases.Find("wide").Leases[0].Want)
+	assert.Equal(t, uint64(1), got.configs.table.Head().Newest)
 }
 
 // What a seat writes to its disk, a base with the council's snapshot and a part beside it, and records of the log behind it, comes to the
 // bytes of fixtures, and a seat that is started on them knows what was meant.
 func TestFixturesOfASeatsDisk(t *testing.T) {
-	writer := seatOfFixtures()
+	writer := fixtureGroup()
 	index, term, commit, vote := uint64(2), uint64(3), uint64(2), uint64(0x21)
-	writer.id, writer.seats = 0x21, map[string]incumbent{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
-	writer.apply(&raftpb.Entry{Data: entryOfFixtures(t), Index: &index, Term: &term})
-	writer.writing = writer.beginSnapshot()
-	for !writer.writing.whole() {
-		writer.writeSome()
+	writer.raftID, writer.replicas = 0x21, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
+	writer.applyEntry(&raftpb.Entry{Data: fixtureEntry(t), Index: &index, Term: &term})
+	writer.snapshotWriter = writer.beginSnapshot()
+	for !writer.snapshotWriter.complete() {
+		writer.continueSnapshot()
 	}
-	text := writer.written(writer.writing)
+	text := writer.encodeSnapshot(writer.snapshotWriter)
 	sameAsFixture(t, "snapshot-v1.cbor", text)
 	conf := &raftpb.ConfState{Voters: []uint64{0x21, 0x22, 0x23}}
-	writer.disk.number, writer.disk.marks = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
-	w := writer.base(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
+	writer.disk.lastWrite, writer.disk.peerWrites = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
+	w := writer.baseWrite(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
 		&raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit})
 	writer.effects = nil
-	writer.write(w, nil)
+	writer.emitWrite(w, nil)
 	require.Len(t, writer.effects, 1)
 	w = *writer.effects[0].Write
 	there := DiskContents{Base: sameAsFixture(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
@@ -259,10 +259,10 @@
 	for name, part := range w.Parts {
 		fixture := sameAsFixture(t, "disk-part-v1.cbor", part)
 		there.Parts[name] = fixture
-		assert.Equal(t, name, digest(fixture))
+		assert.Equal(t, name, partDigest(fixture))
 	}
 
-	context, err := cbor.Marshal(map[string]incumbent{"n3": {0x33, 33}})
+	context, err := cbor.Marshal(map[string]replicaIncarnation{"n3": {0x33, 33}})
 	require.NoError(t, err)
 	remove, add, auto := raftpb.ConfChangeRemoveNode, raftpb.ConfChangeAddNode, raftpb.ConfChangeTransitionAuto
 	before, now := uint64(0x23), uint64(0x33)
@@ -271,24 +271,24 @@
 	require.NoError(t, err)
 	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.CommandAdvanceTime, At: 250 * ms, Duration: 100 * ms}})
 	require.NoError(t, err)
-	parts, err := canonical.Marshal(map[uint8]cbor.RawMessage{1: pass})
+	parts, err := cborEncoding.Marshal(map[uint8]cbor.RawMessage{1: pass})
 	require.NoError(t, err)
 	normal, changes, third, fourth, later := raftpb.EntryNormal, raftpb.EntryConfChangeV2, uint64(3), uint64(4), uint64(4)
-	writer.disk.marks, writer.disk.marked, writer.effects = map[uint64]uint64{0x22: 8}, true, nil
-	writer.write(Write{}, &record{Hard: encode(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}), Entries: encodeEntries([]*raftpb.Entry{
+	writer.disk.peerWrites, writer.disk.peerWritesChanged, writer.effects = map[uint64]uint64{0x22: 8}, true, nil
+	writer.emitWrite(Write{}, &diskRecord{HardState: marshalProto(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}), Entries: marshalEntries([]*raftpb.Entry{
 		{Data: parts, Index: &third, Term: &term, Type: &normal}, {Data: change, Index: &fourth, Term: &later, Type: &changes}})})
 	require.Len(t, writer.effects, 1)
 	require.Equal(t, Persist, writer.effects[0].Kind)
 	there.Records = [][]byte{sameAsFixture(t, "disk-record-v1.cbor", writer.effects[0].Write.Records[0])}
 
-	reader := seatOfFixtures()
+	reader := fixtureGroup()
 	require.NoError(t, reader.Recover(0, there))
 	assert.True(t, reader.Resumed())
-	assert.Equal(t, uint64(0x21), reader.id)
-	assert.Equal(t, uint64(21), reader.life)
-	assert.Equal(t, writer.seats, reader.seats)
-	assert.Equal(t, uint64(8), reader.disk.number)
-	assert.Equal(t, map[uint64]uint64{0x22: 8, 0x23: 5}, reader.disk.marks)
+	assert.Equal(t, uint64(0x21), reader.raftID)
+	assert.Equal(t, uint64(21), reader.incarnation)
+	assert.Equal(t, writer.replicas, reader.replicas)
+	assert.Equal(t, uint64(8), reader.disk.lastWrite)
+	assert.Equal(t, map[uint64]uint64{0x22: 8, 0x23: 5}, reader.disk.peerWrites)
 	assert.Equal(t, conf.GetVoters(), reader.confState.GetVoters())
 	sameTables(t, writer, reader)
 	hard, _, err := reader.storage.InitialState()
@@ -297,10 +297,10 @@
 	entries, err := reader.storage.Entries(3, 5, never)
 	require.NoError(t, err)
 	require.Len(t, entries, 2)
-	reader.apply(entries[0])
+	reader.applyEntry(entries[0])
 	assert.Equal(t, 350*ms, reader.table.Time())
-	reader.apply(entries[1])
-	assert.Equal(t, map[string]incumbent{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.seats)
+	reader.applyEntry(entries[1])
+	assert.Equal(t, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.replicas)
 }
 
 // The words of raft go within messages as raft encodes them: one of each field that seats use.
--- a/internal/fleet/consensus/parts.go
+++ b/internal/fleet/consensus/parts.go
@@ -16,130 +16,130 @@
 // own round trips are the pace.
 
 const (
-	pieceBytes = 256 << 10  // of a part in one message
-	partMost   = 64 << 20   // bytes of a part
-	pieceAgain = 300 * ms   // ns without a piece after which it is asked for again
-	pieceFor   = 5_000 * ms // ns without a piece after which the snapshot is given up: its sender may be gone, or have a later one
+	chunkBytes         = 256 << 10  // of a part in one message
+	maxPartBytes       = 64 << 20   // bytes of a part
+	chunkRetryInterval = 300 * ms   // ns without a piece after which it is asked for again
+	chunkTimeout       = 5_000 * ms // ns without a piece after which the snapshot is given up: its sender may be gone, or have a later one
 )
 
-// fetch is a snapshot that waits for parts.
-type fetch struct {
-	message *pb.Message
-	from    string
-	left    []string // digests
-	text    []byte   // of the first of them, as far as it came
-	askAt   int64
-	heardAt int64
+// partFetch is a snapshot that waits for parts.
+type partFetch struct {
+	message    *pb.Message
+	from       string
+	missing    []string // digests
+	received   []byte   // of the first of them, as far as it came
+	requestAt  int64
+	progressAt int64
 }
 
-// lacks says whether a snapshot must wait for parts, and has it wait.
-func (x *Replica) lacks(m *pb.Message, from string) bool {
-	left := slices.DeleteFunc(digests(m.GetSnapshot()), func(d string) bool { return x.parts[d] != nil })
+// awaitParts says whether a snapshot must wait for parts, and has it wait.
+func (x *Replica) awaitParts(m *pb.Message, from string) bool {
+	left := slices.DeleteFunc(separateDigests(m.GetSnapshot()), func(d string) bool { return x.storedParts[d] != nil })
 	if len(left) == 0 {
-		x.fetch = nil
+		x.partFetch = nil
 		return false
 	}
-	next := &fetch{message: m, from: from, left: left, askAt: x.now, heardAt: x.now}
-	if f := x.fetch; f != nil && f.left[0] == left[0] {
-		next.text, next.askAt, next.heardAt = f.text, f.askAt, f.heardAt // it goes on
+	next := &partFetch{message: m, from: from, missing: left, requestAt: x.now, progressAt: x.now}
+	if f := x.partFetch; f != nil && f.missing[0] == left[0] {
+		next.received, next.requestAt, next.progressAt = f.received, f.requestAt, f.progressAt // it goes on
 	}
-	x.fetch = next
-	x.ask()
+	x.partFetch = next
+	x.requestChunk()
 	return true
 }
 
-// ask asks for the next piece where that is due.
-func (x *Replica) ask() {
-	f := x.fetch
+// requestChunk asks for the next piece where that is due.
+func (x *Replica) requestChunk() {
+	f := x.partFetch
 	switch {
-	case f == nil || x.now < f.askAt:
-	case x.now-f.heardAt >= pieceFor:
-		x.fetch = nil
+	case f == nil || x.now < f.requestAt:
+	case x.now-f.progressAt >= chunkTimeout:
+		x.partFetch = nil
 	default:
-		f.askAt = x.now + pieceAgain
-		x.send(f.from, Message{Kind: MessagePartRequest, Part: f.left[0], Offset: len(f.text)})
+		f.requestAt = x.now + chunkRetryInterval
+		x.send(f.from, Message{Kind: MessagePartRequest, Part: f.missing[0], Offset: len(f.received)})
 	}
 }
 
-// wantedPiece answers one who asks.
-func (x *Replica) wantedPiece(m *Message) {
-	text := x.parts[m.Part]
-	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(x.names, m.From) {
+// handlePartRequest answers one who asks.
+func (x *Replica) handlePartRequest(m *Message) {
+	text := x.storedParts[m.Part]
+	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(x.members, m.From) {
 		return
 	}
-	x.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: text[m.Offset:min(len(text), m.Offset+pieceBytes)]})
+	x.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: text[m.Offset:min(len(text), m.Offset+chunkBytes)]})
 }
 
-// gotPiece takes a piece; what does not follow on what is there was asked for twice.
-func (x *Replica) gotPiece(m *Message) {
-	f := x.fetch
-	if f == nil || m.From != f.from || m.Part != f.left[0] || m.Offset != len(f.text) || m.Size > partMost || len(m.Bytes) == 0 {
+// handlePart takes a piece; what does not follow on what is there was asked for twice.
+func (x *Replica) handlePart(m *Message) {
+	f := x.partFetch
+	if f == nil || m.From != f.from || m.Part != f.missing[0] || m.Offset != len(f.received) || m.Size > maxPartBytes || len(m.Bytes) == 0 {
 		return
 	}
-	f.text, f.askAt, f.heardAt = append(f.text, m.Bytes...), x.now, x.now
-	if len(f.text) >= m.Size {
-		if digest(f.text) == f.left[0] {
-			x.parts[f.left[0]] = f.text
-			f.left = f.left[1:]
+	f.received, f.requestAt, f.progressAt = append(f.received, m.Bytes...), x.now, x.now
+	if len(f.received) >= m.Size {
+		if partDigest(f.received) == f.missing[0] {
+			x.storedParts[f.missing[0]] = f.received
+			f.missing = f.missing[1:]
 		}
-		f.text = nil
+		f.received = nil
 	}
-	if len(f.left) == 0 {
-		x.fetch = nil
+	if len(f.missing) == 0 {
+		x.partFetch = nil
 		x.node.Step(f.message)
-		x.lead()
+		x.followLeader()
 		return
 	}
-	x.ask()
+	x.requestChunk()
 }
 
 // A snapshot is written of what is known at one entry, some in each step; entries go on being carried out meanwhile.
 
-const writtenOnce = 128 << 10 // bytes that are written in one step, and their digest taken: some 0.3 ms
+const snapshotBytesPerStep = 128 << 10 // bytes that are written in one step, and their digest taken: some 0.3 ms
 
-// inPieces is a table whose snapshot takes long.
-type inPieces interface {
+// incrementalTable is a table whose snapshot takes long.
+type incrementalTable interface {
 	// beginSnapshot begins a snapshot of what the table holds now; the table may change before it is whole.
-	beginSnapshot() pieces
+	beginSnapshot() incrementalSnapshot
 }
 
-// pieces writes so many bytes more, one block above them at the most, and says whether all is there.
-type pieces interface {
+// incrementalSnapshot writes so many bytes more, one block above them at the most, and says whether all is there.
+type incrementalSnapshot interface {
 	Next(least int) (whole bool)
 	Text() []byte // so far
 }
 
-// writing is a snapshot on its way.
-type writing struct {
+// snapshotWriter is a snapshot on its way.
+type snapshotWriter struct {
 	index     uint64
 	confState *pb.ConfState
-	seats     map[string]incumbent
+	replicas  map[string]replicaIncarnation
 	texts     [][]byte // by table, nil for those that are not written yet
 	digests   []string // of those that lie apart
-	apart     []bool
-	changed   []bool   // the table changed since
-	pieces    []pieces // by table, nil for those that were written at once
+	separate  []bool
+	changed   []bool                // the table changed since
+	pending   []incrementalSnapshot // by table, nil for those that were written at once
 	hash      hash.Hash
 	hashed    int // bytes of the first in pieces
 }
 
-func (w *writing) whole() bool {
+func (w *snapshotWriter) complete() bool {
 	return !slices.ContainsFunc(w.texts, func(text []byte) bool { return text == nil })
 }
 
 // beginSnapshot begins a snapshot. What did not change since the last one is not written anew.
-func (x *Replica) beginSnapshot() *writing {
+func (x *Replica) beginSnapshot() *snapshotWriter {
 	n := len(x.tables)
-	w := &writing{index: x.applied, confState: x.confState, seats: maps.Clone(x.seats), texts: slices.Clone(x.held), digests: slices.Clone(x.digests),
-		apart: make([]bool, n), changed: make([]bool, n), pieces: make([]pieces, n), hash: sha256.New()}
+	w := &snapshotWriter{index: x.appliedIndex, confState: x.confState, replicas: maps.Clone(x.replicas), texts: slices.Clone(x.cachedTexts), digests: slices.Clone(x.cachedDigests),
+		separate: make([]bool, n), changed: make([]bool, n), pending: make([]incrementalSnapshot, n), hash: sha256.New()}
 	for i, t := range x.tables {
-		w.apart[i] = t.apart()
+		w.separate[i] = t.storedSeparately()
 		if w.texts[i] != nil {
 			continue
 		}
 		w.digests[i] = ""
-		if slow, is := t.(inPieces); is && w.apart[i] {
-			w.pieces[i] = slow.beginSnapshot()
+		if slow, is := t.(incrementalTable); is && w.separate[i] {
+			w.pending[i] = slow.beginSnapshot()
 			continue
 		}
 		text, err := t.Snapshot()
@@ -151,52 +151,52 @@
 	return w
 }
 
-// writeSome goes on with what is written.
-func (x *Replica) writeSome() {
-	w := x.writing
+// continueSnapshot goes on with what is written.
+func (x *Replica) continueSnapshot() {
+	w := x.snapshotWriter
 	if w == nil {
 		return
 	}
-	for i, p := range w.pieces {
+	for i, p := range w.pending {
 		if w.texts[i] != nil || p == nil {
 			continue
 		}
-		whole := p.Next(writtenOnce)
+		whole := p.Next(snapshotBytesPerStep)
 		text := p.Text()
 		w.hash.Write(text[w.hashed:])
 		if w.hashed = len(text); whole {
 			w.texts[i], w.digests[i] = text, fmt.Sprintf("%x", w.hash.Sum(nil))
-			w.pieces[i], w.hashed = nil, 0
+			w.pending[i], w.hashed = nil, 0
 			w.hash.Reset()
 		}
 		return
 	}
 }
 
-// written is the text of a snapshot that is whole, with the tables that lie apart named by their digests.
-func (x *Replica) written(w *writing) []byte {
-	all := map[uint8]any{keySeats: w.seats}
+// encodeSnapshot is the text of a snapshot that is whole, with the tables that lie apart named by their digests.
+func (x *Replica) encodeSnapshot(w *snapshotWriter) []byte {
+	all := map[uint8]any{snapshotKeyReplicas: w.replicas}
 	for i, text := range w.texts {
 		part := any(text)
-		if w.apart[i] {
+		if w.separate[i] {
 			if w.digests[i] == "" {
-				w.digests[i] = digest(text)
+				w.digests[i] = partDigest(text)
 			}
-			x.parts[w.digests[i]], part = text, w.digests[i]
+			x.storedParts[w.digests[i]], part = text, w.digests[i]
 		}
-		if all[keySeats+1+uint8(i)] = part; !w.changed[i] {
-			x.held[i], x.digests[i] = text, w.digests[i]
+		if all[snapshotKeyReplicas+1+uint8(i)] = part; !w.changed[i] {
+			x.cachedTexts[i], x.cachedDigests[i] = text, w.digests[i]
 		}
 	}
-	text, err := canonical.Marshal(all)
+	text, err := cborEncoding.Marshal(all)
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// unpart is the text of a table that a snapshot has as part, empty where it has none.
-func (x *Replica) unpart(part cbor.RawMessage) (text []byte, name string, err error) {
+// decodePart is the text of a table that a snapshot has as part, empty where it has none.
+func (x *Replica) decodePart(part cbor.RawMessage) (text []byte, name string, err error) {
 	if len(part) == 0 {
 		return nil, "", nil
 	}
@@ -205,24 +205,24 @@
 		return text, "", err
 	}
 	if err = cbor.Unmarshal(part, &name); err == nil {
-		if text = x.parts[name]; text == nil {
-			err = errLacks
+		if text = x.storedParts[name]; text == nil {
+			err = errMissingPart
 		}
 	}
 	return text, name, err
 }
 
-// trim lets go of parts that neither the last snapshot nor the one before names: one that is on its way may lack those.
-func (x *Replica) trim() {
+// dropUnusedParts lets go of parts that neither the last snapshot nor the one before names: one that is on its way may lack those.
+func (x *Replica) dropUnusedParts() {
 	snap, err := x.storage.Snapshot()
 	if err != nil {
 		return
 	}
-	now := digests(snap)
-	for d := range x.parts {
-		if !slices.Contains(now, d) && !slices.Contains(x.named, d) && (x.fetch == nil || !slices.Contains(digests(x.fetch.message.GetSnapshot()), d)) {
-			delete(x.parts, d)
+	now := separateDigests(snap)
+	for d := range x.storedParts {
+		if !slices.Contains(now, d) && !slices.Contains(x.previousDigests, d) && (x.partFetch == nil || !slices.Contains(separateDigests(x.partFetch.message.GetSnapshot()), d)) {
+			delete(x.storedParts, d)
 		}
 	}
-	x.named = now
+	x.previousDigests = now
 }
