--- a/internal/fleet/consensus/claims.go
+++ b/internal/fleet/consensus/claims.go
@@ -32,55 +32,55 @@
 	alterCommand func(command *claims.Command, table *claims.Table) // of tests that want a fault to be found
 }
 
-func (x *claimTable) reset() {
-	x.table, x.planner, x.advancedAt, x.queuedClaims = claims.NewTable(), nil, x.replica.now, nil
-	x.pending, x.verdicts, x.endedClaims = map[commandID]int64{}, map[claims.Owner][]claims.Verdict{}, map[claims.Owner][]claims.Key{}
+func (t *claimTable) reset() {
+	t.table, t.planner, t.advancedAt, t.queuedClaims = claims.NewTable(), nil, t.replica.now, nil
+	t.pending, t.verdicts, t.endedClaims = map[commandID]int64{}, map[claims.Owner][]claims.Verdict{}, map[claims.Owner][]claims.Key{}
 }
 
-func (x *claimTable) becomeLeader() { x.planner = takeover.NewPlanner() }
+func (t *claimTable) becomeLeader() { t.planner = takeover.NewPlanner() }
 
 // enqueue takes a command of a node on; without a leader it is dropped, and the node asks again.
-func (x *claimTable) enqueue(command claims.Command) {
-	if x.replica.leaderID == 0 || len(x.pending) >= maxPendingCommands {
+func (t *claimTable) enqueue(command claims.Command) {
+	if t.replica.leaderID == 0 || len(t.pending) >= maxPendingCommands {
 		return
 	}
-	x.pending[commandID{command.Sender, command.Seq}] = x.replica.now
-	x.queuedClaims = append(x.queuedClaims, command)
+	t.pending[commandID{command.Sender, command.Seq}] = t.replica.now
+	t.queuedClaims = append(t.queuedClaims, command)
 }
 
-func (x *claimTable) expirePending() {
-	for key, at := range x.pending {
-		if x.replica.now-at >= pendingTimeout {
-			delete(x.pending, key)
+func (t *claimTable) expirePending() {
+	for key, at := range t.pending {
+		if t.replica.now-at >= pendingTimeout {
+			delete(t.pending, key)
 		}
 	}
 }
 
 // leaderTick is what a leader proposes of its own: time and hand-overs.
-func (x *claimTable) leaderTick() {
-	now := x.replica.now
-	if now-x.advancedAt >= timeAdvanceInterval {
-		x.queuedClaims = append(x.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, At: x.table.Time(), Duration: now - x.advancedAt, MaxTableBytes: x.maxBytes})
+func (t *claimTable) leaderTick() {
+	now := t.replica.now
+	if now-t.advancedAt >= timeAdvanceInterval {
+		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, At: t.table.Time(), Duration: now - t.advancedAt, MaxTableBytes: t.maxBytes})
 	}
-	commands, gifts := x.planner.Step(now, x.view, x.table, now-x.advancedAt)
-	x.queuedClaims = append(x.queuedClaims, commands...)
+	commands, gifts := t.planner.Step(now, t.view, t.table, now-t.advancedAt)
+	t.queuedClaims = append(t.queuedClaims, commands...)
 	for i := range gifts {
 		g := &gifts[i]
 		if g.Remaining <= 0 {
 			continue
 		}
 		if g.First {
-			x.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", g.Entry.Key, g.From.Name, g.To.Name,
+			t.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", g.Entry.Key, g.From.Name, g.To.Name,
 				g.Entry.Fence, g.Remaining/ms)
 		}
-		x.replica.send(g.To.Name, Message{Kind: MessageReassignment, Owner: g.To, Entry: g.Entry, Remaining: g.Remaining})
+		t.replica.send(g.To.Name, Message{Kind: MessageReassignment, Owner: g.To, Entry: g.Entry, Remaining: g.Remaining})
 	}
 }
 
-func (x *claimTable) storedSeparately() bool { return false }
+func (t *claimTable) storedSeparately() bool { return false }
 
-func (x *claimTable) nextProposal() (part []byte) {
-	part, x.queuedClaims = encodeQueued(x.queuedClaims)
+func (t *claimTable) nextProposal() (part []byte) {
+	part, t.queuedClaims = encodeQueued(t.queuedClaims)
 	return part
 }
 
@@ -98,7 +98,7 @@
 }
 
 // Apply carries claims' part of an entry out; the time is the table's own.
-func (x *claimTable) Apply(_ int64, part []byte) {
+func (t *claimTable) Apply(_ int64, part []byte) {
 	var list []claims.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
 		return
@@ -107,41 +107,41 @@
 		panic("a command of a newer version: the others' tables would not be this one's any more")
 	}
 	for i := range list {
-		x.applyCommand(&list[i])
+		t.applyCommand(&list[i])
 	}
 }
 
-func (x *claimTable) applyCommand(command *claims.Command) {
-	x.replica.Counters.Committed++
+func (t *claimTable) applyCommand(command *claims.Command) {
+	t.replica.Counters.Committed++
 	key := commandID{command.Sender, command.Seq}
-	if x.alterCommand != nil {
-		x.alterCommand(command, x.table)
+	if t.alterCommand != nil {
+		t.alterCommand(command, t.table)
 	}
-	v := x.table.Apply(command)
+	verdict := t.table.Apply(command)
 	if command.Kind == claims.CommandAdvanceTime {
-		x.advancedAt = x.replica.now
+		t.advancedAt = t.replica.now
 	}
-	if _, here := x.pending[key]; here {
-		delete(x.pending, key)
-		x.verdicts[command.Sender] = append(x.verdicts[command.Sender], v)
+	if _, here := t.pending[key]; here {
+		delete(t.pending, key)
+		t.verdicts[command.Sender] = append(t.verdicts[command.Sender], verdict)
 	}
-	if x.replica.isLeader() {
-		for _, t := range x.table.EndedClaims {
-			for _, o := range t.Waiters {
-				x.endedClaims[o] = append(x.endedClaims[o], t.Key)
+	if t.replica.isLeader() {
+		for _, ended := range t.table.EndedClaims {
+			for _, o := range ended.Waiters {
+				t.endedClaims[o] = append(t.endedClaims[o], ended.Key)
 			}
 		}
 	}
 }
 
 // Snapshot is the table of claims.
-func (x *claimTable) Snapshot() ([]byte, error) { return x.table.Snapshot() }
+func (t *claimTable) Snapshot() ([]byte, error) { return t.table.Snapshot() }
 
 // Restore takes the place of the table of claims.
-func (x *claimTable) Restore(text []byte) (err error) {
-	x.advancedAt = x.replica.now
-	if x.table = claims.NewTable(); len(text) > 0 {
-		x.table, err = claims.Restore(text)
+func (t *claimTable) Restore(text []byte) (err error) {
+	t.advancedAt = t.replica.now
+	if t.table = claims.NewTable(); len(text) > 0 {
+		t.table, err = claims.Restore(text)
 	}
 	return err
 }
--- a/internal/fleet/consensus/configuration_test.go
+++ b/internal/fleet/consensus/configuration_test.go
@@ -16,90 +16,90 @@
 }
 
 // propose has a node that is no seat ask one for a command, and gives the verdicts that it has then.
-func (w *simulation) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
-	m := w.machines[3]
+func (s *simulation) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
+	m := s.machines[3]
 	m.configVerdicts = nil
-	w.send(3, w.machines[seat].name, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Proposed: []configsync.Command{c}})
-	w.run(w.now + 500*ms)
+	s.send(3, s.machines[seat].name, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Proposed: []configsync.Command{c}})
+	s.run(s.now + 500*ms)
 	require.Len(t, m.configVerdicts, 1, "one command, one verdict")
 	assert.Equal(t, []any{c.From, c.Seq}, []any{m.configVerdicts[0].From, m.configVerdicts[0].Seq})
 	return m.configVerdicts[0]
 }
 
-func (w *simulation) heads() (list []configsync.HeadRevision) {
-	for _, m := range w.machines[:len(w.members)] {
+func (s *simulation) heads() (list []configsync.HeadRevision) {
+	for _, m := range s.machines[:len(s.members)] {
 		list = append(list, m.replica.configs.table.Head())
 	}
 	return list
 }
 
 func TestVersionsAreATableOfTheSeatAndOutliveIt(t *testing.T) {
-	w := newDiskSimulation(t, 4, 3)
-	for _, m := range w.machines[:3] {
+	sim := newDiskSimulation(t, 4, 3)
+	for _, m := range sim.machines[:3] {
 		text, err := m.replica.configs.Snapshot()
 		require.NoError(t, err)
 		assert.Empty(t, text, "a council without versions has nothing of them in its snapshots")
 		assert.False(t, m.replica.configs.storedSeparately())
 	}
 	put := configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x", 1)}}
-	v := w.propose(t, 0, put)
+	v := sim.propose(t, 0, put)
 	assert.Equal(t, configsync.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
-	assert.Equal(t, v, w.propose(t, 1, put), "the same at another seat has the same verdict")
-	v = w.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y", 1)}})
+	assert.Equal(t, v, sim.propose(t, 1, put), "the same at another seat has the same verdict")
+	v = sim.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y", 1)}})
 	assert.True(t, v.Stale)
 	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differ)
 
-	w.run(w.now + 4_000*ms)
-	for _, h := range w.heads() {
+	sim.run(sim.now + 4_000*ms)
+	for _, h := range sim.heads() {
 		assert.Equal(t, uint64(1), h.All.Version, "the leader has it go to all once it stood")
 	}
 	for k := range 3 { // a long change
-		v = w.propose(t, k, configsync.Command{Kind: configsync.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
+		v = sim.propose(t, k, configsync.Command{Kind: configsync.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
 			Changes: []configsync.Item{tenantItem(fmt.Sprint("z", k), 1)}})
 		assert.True(t, v.Done, v.Refused)
 	}
 	assert.Equal(t, uint64(2), v.Version)
-	w.machines[3].configVerdicts = nil
-	w.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: w.machines[3].incarnation},
+	sim.machines[3].configVerdicts = nil
+	sim.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: sim.machines[3].incarnation},
 		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
-	w.run(w.now + 500*ms)
-	assert.False(t, w.heads()[0].Stopped, "only a seat says that a version goes no further")
-	w.machines[1].replicaInputs = append(w.machines[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
-	w.wakeNow(1)
-	w.run(w.now + 6_000*ms)
-	want := w.heads()[0]
+	sim.run(sim.now + 500*ms)
+	assert.False(t, sim.heads()[0].Stopped, "only a seat says that a version goes no further")
+	sim.machines[1].replicaInputs = append(sim.machines[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
+	sim.wakeNow(1)
+	sim.run(sim.now + 6_000*ms)
+	want := sim.heads()[0]
 	assert.Equal(t, []any{uint64(1), uint64(2), true, "n7"}, []any{want.All.Version, want.First.Version, want.Stopped, want.Who})
 
 	for i := range 3 {
-		w.kill(i)
+		sim.kill(i)
 	}
-	w.machines[2].disk = &simDisk{} // one of them is lost
-	w.run(w.now + 1_000*ms)
+	sim.machines[2].disk = &simDisk{} // one of them is lost
+	sim.run(sim.now + 1_000*ms)
 	for i := range 3 {
-		w.start(i)
+		sim.start(i)
 	}
-	w.run(w.now + 8_000*ms)
-	for i, h := range w.heads() {
+	sim.run(sim.now + 8_000*ms)
+	for i, h := range sim.heads() {
 		assert.Equal(t, want, h, "seat %d", i)
-		agreed, changed := w.machines[i].replica.AgreedConfig()
+		agreed, changed := sim.machines[i].replica.AgreedConfig()
 		assert.True(t, changed)
 		require.NotNil(t, agreed)
 		assert.Equal(t, 4, agreed.Newest.Len(configsync.Tenants))
-		_, changed = w.machines[i].replica.AgreedConfig()
+		_, changed = sim.machines[i].replica.AgreedConfig()
 		assert.False(t, changed, "it is told once")
 	}
-	v = w.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
+	v = sim.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
 	assert.Equal(t, configsync.Verdict{From: "d", Seq: 1, Done: true, Version: 3}, v)
-	assert.Equal(t, uint64(3), w.heads()[0].All.Version)
+	assert.Equal(t, uint64(3), sim.heads()[0].All.Version)
 }
 
 func TestUnsoundChangeIsNotOrdered(t *testing.T) {
-	w := newDiskSimulation(t, 4, 3)
-	for _, m := range w.machines[:3] {
+	sim := newDiskSimulation(t, 4, 3)
+	for _, m := range sim.machines[:3] {
 		m.replica.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
 	}
-	v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x", 1)}})
+	v := sim.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x", 1)}})
 	assert.Equal(t, "unsound: x", v.Refused)
-	assert.Zero(t, w.heads()[0].Newest)
-	assert.False(t, w.machines[0].replica.configs.inUse)
+	assert.Zero(t, sim.heads()[0].Newest)
+	assert.False(t, sim.machines[0].replica.configs.inUse)
 }
--- a/internal/fleet/consensus/council.go
+++ b/internal/fleet/consensus/council.go
@@ -113,12 +113,12 @@
 }
 
 // Summarize fills in what this seat knows, with so many claims at the most, without their work and results.
-func (c *Group) Summarize(p *Summary, most int) {
-	handed := c.TakeoverCounters()
-	p.Replica, p.Leader, p.Table, p.Takeover, p.Time = &c.Counters, c.Leader(), &c.table.Counters, &handed, c.table.Time()
-	p.Entries, p.Bytes = c.table.Size()
-	p.Limits = c.leases.Limits()
-	for _, e := range c.table.List(most) {
+func (g *Group) Summarize(p *Summary, most int) {
+	handed := g.TakeoverCounters()
+	p.Replica, p.Leader, p.Table, p.Takeover, p.Time = &g.Counters, g.Leader(), &g.table.Counters, &handed, g.table.Time()
+	p.Entries, p.Bytes = g.table.Size()
+	p.Limits = g.leases.Limits()
+	for _, e := range g.table.List(most) {
 		short := *e
 		short.Work, short.Waiters = nil, nil
 		p.Claims = append(p.Claims, &short)
@@ -147,55 +147,55 @@
 }
 
 // SetMaxTableBytes sets the bytes that the table of claims may take while this seat leads, 0 for the usual.
-func (c *Group) SetMaxTableBytes(bytes int64) { c.maxBytes = bytes }
+func (g *Group) SetMaxTableBytes(bytes int64) { g.maxBytes = bytes }
 
 // SetLimits sets the limits that this seat defines while it leads.
-func (c *Group) SetLimits(list []quota.Command) { c.limits = list }
+func (g *Group) SetLimits(list []quota.Command) { g.limits = list }
 
 // LeaseTable is what was agreed on of limits. It must not be changed.
-func (c *Group) LeaseTable() *quota.LeaseTable { return c.leases }
+func (g *Group) LeaseTable() *quota.LeaseTable { return g.leases }
 
 // Table is what was agreed on of claims, as far as this seat has heard. It must not be changed.
-func (c *Group) Table() *claims.Table { return c.table }
+func (g *Group) Table() *claims.Table { return g.table }
 
 // TakeoverCounters is what hand-overs came to while this seat led.
-func (c *Group) TakeoverCounters() takeover.Counters {
-	if c.planner == nil {
+func (g *Group) TakeoverCounters() takeover.Counters {
+	if g.planner == nil {
 		return takeover.Counters{}
 	}
-	return c.planner.Counters
+	return g.planner.Counters
 }
 
 // Step takes what happened up to now, by a clock that only advances. The effects are valid until the next step; wake is
 // when it is to step again at the latest.
-func (c *Group) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
-	c.step(now, func() {
+func (g *Group) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
+	g.step(now, func() {
 		for i := range inputs {
-			c.handleInput(&inputs[i])
+			g.handleInput(&inputs[i])
 		}
-		if c.now >= c.expireAt {
-			c.expireAt = c.now + pendingTimeout
-			c.claimTable.expirePending()
-			c.leaseTable.expirePending()
-			c.configs.expirePending()
+		if g.now >= g.expireAt {
+			g.expireAt = g.now + pendingTimeout
+			g.claimTable.expirePending()
+			g.leaseTable.expirePending()
+			g.configs.expirePending()
 		}
 	})
-	c.flush()
-	c.wakeAt = max(now+1, c.nextDeadline())
-	return c.effects, c.wakeAt
+	g.flush()
+	g.wakeAt = max(now+1, g.nextDeadline())
+	return g.effects, g.wakeAt
 }
 
-func (c *Group) handleInput(in *Input) {
+func (g *Group) handleInput(in *Input) {
 	if in.View != nil {
-		c.view = in.View
+		g.view = in.View
 	}
 	for i := range in.Claims {
-		c.enqueue(in.Claims[i])
+		g.enqueue(in.Claims[i])
 	}
-	c.requestLeases(in.Leases)
-	c.configs.enqueue(in.Owner, in.Proposed)
+	g.requestLeases(in.Leases)
+	g.configs.enqueue(in.Owner, in.Proposed)
 	if in.Persisted > 0 || in.Err != nil {
-		c.handlePersisted(in.Persisted, in.Err)
+		g.handlePersisted(in.Persisted, in.Err)
 	}
 	m := in.Message
 	if m == nil {
@@ -205,54 +205,54 @@
 	case MessagePropose:
 		for i := range m.Commands {
 			if m.Commands[i].Sender == m.Owner && m.Commands[i].Kind != claims.CommandAdvanceTime {
-				c.enqueue(m.Commands[i])
+				g.enqueue(m.Commands[i])
 			}
 		}
-		c.requestLeases(slices.DeleteFunc(m.Leases, func(q quota.Command) bool {
+		g.requestLeases(slices.DeleteFunc(m.Leases, func(q quota.Command) bool {
 			return q.Kind != quota.CommandRequestLease || q.Sender != quota.Owner(m.Owner)
 		}))
 		if m.Owner.Name != "" {
-			c.configs.enqueue(m.Owner, m.Proposed)
+			g.configs.enqueue(m.Owner, m.Proposed)
 		}
 	case MessageDiscovery:
-		c.handleDiscovery(m)
+		g.handleDiscovery(m)
 	case MessageRaft:
-		c.handleRaft(m)
+		g.handleRaft(m)
 	case MessageRejoin:
-		if slices.Contains(c.members, m.From) {
-			c.answerRejoin(m.From, m.ID)
+		if slices.Contains(g.members, m.From) {
+			g.answerRejoin(m.From, m.ID)
 		}
 	case MessageRejoinAnswer:
-		c.handleRejoinAnswer(m)
+		g.handleRejoinAnswer(m)
 	case MessagePartRequest:
-		c.handlePartRequest(m)
+		g.handlePartRequest(m)
 	case MessagePart:
-		c.handlePart(m)
+		g.handlePart(m)
 	}
 }
 
 // flush sends what gathered in this step, one message for each node.
-func (c *Group) flush() {
-	for o := range c.grants {
-		if _, known := c.verdicts[o]; !known {
-			c.verdicts[o] = nil // one message brings both
+func (g *Group) flush() {
+	for o := range g.grants {
+		if _, known := g.verdicts[o]; !known {
+			g.verdicts[o] = nil // one message brings both
 		}
 	}
-	for o := range c.configs.verdicts {
-		if _, known := c.verdicts[o]; !known {
-			c.verdicts[o] = nil
+	for o := range g.configs.verdicts {
+		if _, known := g.verdicts[o]; !known {
+			g.verdicts[o] = nil
 		}
 	}
-	for _, o := range sortedOwners(c.verdicts) {
-		c.send(o.Name, Message{Kind: MessageVerdicts, Owner: o, Verdicts: c.verdicts[o], Grants: c.grants[o], Decided: c.configs.verdicts[o]})
+	for _, o := range sortedOwners(g.verdicts) {
+		g.send(o.Name, Message{Kind: MessageVerdicts, Owner: o, Verdicts: g.verdicts[o], Grants: g.grants[o], Decided: g.configs.verdicts[o]})
 	}
-	clear(c.grants)
-	clear(c.configs.verdicts)
-	for _, o := range sortedOwners(c.endedClaims) {
-		c.send(o.Name, Message{Kind: MessageClaimsEnded, Owner: o, Keys: c.endedClaims[o]})
+	clear(g.grants)
+	clear(g.configs.verdicts)
+	for _, o := range sortedOwners(g.endedClaims) {
+		g.send(o.Name, Message{Kind: MessageClaimsEnded, Owner: o, Keys: g.endedClaims[o]})
 	}
-	clear(c.verdicts)
-	clear(c.endedClaims)
+	clear(g.verdicts)
+	clear(g.endedClaims)
 }
 
 func sortedOwners[T any](of map[claims.Owner]T) (list []claims.Owner) {
--- a/internal/fleet/consensus/council_test.go
+++ b/internal/fleet/consensus/council_test.go
@@ -16,18 +16,18 @@
 
 // newStableSimulation is a world whose council has a leader.
 func newStableSimulation(t *testing.T, nodes, seats int) *simulation {
-	w := newSimulation(1, nodes, seats)
-	w.stable = true
+	sim := newSimulation(1, nodes, seats)
+	sim.stable = true
 	for i := range nodes {
-		w.start(i)
+		sim.start(i)
 	}
-	w.run(5_000 * ms)
-	require.NotNil(t, w.leader(), "a council is founded and has a leader")
-	return w
+	sim.run(5_000 * ms)
+	require.NotNil(t, sim.leader(), "a council is founded and has a leader")
+	return sim
 }
 
-func (w *simulation) leader() *simNode {
-	for _, m := range w.machines {
+func (s *simulation) leader() *simNode {
+	for _, m := range s.machines {
 		if m.up && !m.paused && m.replica != nil && m.replica.isLeader() && !m.replica.steppedDown() {
 			return m
 		}
@@ -35,9 +35,9 @@
 	return nil
 }
 
-func (w *simulation) indexOf(m *simNode) int {
-	for i := range w.machines {
-		if w.machines[i] == m {
+func (s *simulation) indexOf(m *simNode) int {
+	for i := range s.machines {
+		if s.machines[i] == m {
 			return i
 		}
 	}
@@ -47,174 +47,174 @@
 func TestCouncilsOfAllSizesAreFounded(t *testing.T) {
 	for _, seats := range []int{1, 3, 5} {
 		t.Run(fmt.Sprint(seats), func(t *testing.T) {
-			w := newStableSimulation(t, 6, seats)
-			a := w.ask(1, 1, 5)
-			w.run(w.now + 500*ms)
+			sim := newStableSimulation(t, 6, seats)
+			a := sim.ask(1, 1, 5)
+			sim.run(sim.now + 500*ms)
 			assert.Equal(t, "hold//t1 run 1", a.outcome)
-			b := w.ask(2, 1, 0)
-			w.run(w.now + 500*ms)
+			b := sim.ask(2, 1, 0)
+			sim.run(sim.now + 500*ms)
 			assert.Equal(t, a.outcome, b.outcome, "a repeat at another node gets the kept result")
-			assert.Equal(t, 1, w.runs[1])
+			assert.Equal(t, 1, sim.runs[1])
 		})
 	}
 }
 
 func TestRepeatElsewhereWaitsForTheRun(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	a := w.ask(1, 1, 3)
-	w.run(w.now + 5*ms)
-	b := w.ask(2, 1, 4)
-	w.run(w.now + 400*ms)
+	sim := newStableSimulation(t, 5, 3)
+	a := sim.ask(1, 1, 3)
+	sim.run(sim.now + 5*ms)
+	b := sim.ask(2, 1, 4)
+	sim.run(sim.now + 400*ms)
 	assert.Equal(t, a.outcome, b.outcome)
-	assert.Equal(t, 1, w.runs[1])
+	assert.Equal(t, 1, sim.runs[1])
 }
 
 func TestClaimOfALostNodeIsTakenOver(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	m := w.machines[4]
+	sim := newStableSimulation(t, 5, 3)
+	m := sim.machines[4]
 	m.pending[key(1)] = true // held by its module, and not begun
 	m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}})
-	w.wakeNow(4)
-	w.run(w.now + 20*ms)
-	w.kill(4)
-	a := w.ask(2, 1, 3)
-	w.run(w.now + 1_000*ms)
+	sim.wakeNow(4)
+	sim.run(sim.now + 20*ms)
+	sim.kill(4)
+	a := sim.ask(2, 1, 3)
+	sim.run(sim.now + 1_000*ms)
 	assert.Equal(t, "hold//t1 run 1", a.outcome)
-	assert.Equal(t, 1, w.runs[1])
+	assert.Equal(t, 1, sim.runs[1])
 }
 
 func TestStartedWorkOfALostNodeIsToldAsUnknown(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	w.ask(1, 1, 4)
-	for w.runs[1] == 0 {
-		w.run(w.now + ms)
+	sim := newStableSimulation(t, 5, 3)
+	sim.ask(1, 1, 4)
+	for sim.runs[1] == 0 {
+		sim.run(sim.now + ms)
 	}
-	w.kill(4)
-	b := w.ask(2, 1, 3)
-	w.run(w.now + 2_000*ms)
+	sim.kill(4)
+	b := sim.ask(2, 1, 3)
+	sim.run(sim.now + 2_000*ms)
 	assert.Equal(t, "unknown", b.outcome)
-	assert.Equal(t, 1, w.runs[1])
+	assert.Equal(t, 1, sim.runs[1])
 }
 
 func TestOwnerThatWasPausedFindsItsFenceOld(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	m := w.machines[4]
-	w.ask(1, 1, 4)
-	for m.client.Size() == 0 || w.leaderTable().Find(key(1)) == nil {
-		w.run(w.now + ms/10)
+	sim := newStableSimulation(t, 5, 3)
+	m := sim.machines[4]
+	sim.ask(1, 1, 4)
+	for m.client.Size() == 0 || sim.leaderTable().Find(key(1)) == nil {
+		sim.run(sim.now + ms/10)
 	}
-	w.pause(4, true)
-	b := w.ask(2, 1, 3)
-	w.run(w.now + 1_000*ms)
+	sim.pause(4, true)
+	b := sim.ask(2, 1, 3)
+	sim.run(sim.now + 1_000*ms)
 	assert.Equal(t, "hold//t1 run 1", b.outcome, "taken over while its owner stood still")
-	w.pause(4, false)
-	w.run(w.now + 2_000*ms)
-	assert.Equal(t, 1, w.runs[1])
-	assert.Equal(t, b.outcome, w.attempts[0].outcome, "and the owner's caller has the heir's result")
+	sim.pause(4, false)
+	sim.run(sim.now + 2_000*ms)
+	assert.Equal(t, 1, sim.runs[1])
+	assert.Equal(t, b.outcome, sim.attempts[0].outcome, "and the owner's caller has the heir's result")
 }
 
-func (w *simulation) leaderTable() *claims.Table { return w.leader().replica.table }
+func (s *simulation) leaderTable() *claims.Table { return s.leader().replica.table }
 
 func TestLateResultSettlesWhatWasUnknown(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	a := w.ask(1, 1, 4)
-	for w.runs[1] == 0 {
-		w.run(w.now + ms/10)
+	sim := newStableSimulation(t, 5, 3)
+	a := sim.ask(1, 1, 4)
+	for sim.runs[1] == 0 {
+		sim.run(sim.now + ms/10)
 	}
-	w.pause(4, true)
-	b := w.ask(2, 1, 3)
-	w.run(w.now + 1_000*ms)
+	sim.pause(4, true)
+	b := sim.ask(2, 1, 3)
+	sim.run(sim.now + 1_000*ms)
 	assert.Equal(t, "unknown", b.outcome)
-	w.pause(4, false)
-	w.run(w.now + 2_000*ms)
-	c := w.ask(3, 1, 2)
-	w.run(w.now + 500*ms)
+	sim.pause(4, false)
+	sim.run(sim.now + 2_000*ms)
+	c := sim.ask(3, 1, 2)
+	sim.run(sim.now + 500*ms)
 	assert.Equal(t, a.outcome, c.outcome)
 	assert.Equal(t, "hold//t1 run 1", c.outcome)
 }
 
 func TestLeaderThatIsLostIsReplacedAndComesBackAsAnother(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	w.ask(1, 1, 4)
-	w.run(w.now + 300*ms)
-	i := w.indexOf(w.leader())
-	w.kill(i)
-	w.run(w.now + 4_000*ms)
-	require.NotNil(t, w.leader())
-	w.start(i)
-	w.run(w.now + 4_000*ms)
-	m := w.machines[i]
+	sim := newStableSimulation(t, 5, 3)
+	sim.ask(1, 1, 4)
+	sim.run(sim.now + 300*ms)
+	i := sim.indexOf(sim.leader())
+	sim.kill(i)
+	sim.run(sim.now + 4_000*ms)
+	require.NotNil(t, sim.leader())
+	sim.start(i)
+	sim.run(sim.now + 4_000*ms)
+	m := sim.machines[i]
 	assert.True(t, m.replica.bootstrapped)
-	assert.Equal(t, m.replica.raftID, w.leader().replica.replicas[m.name].ID)
+	assert.Equal(t, m.replica.raftID, sim.leader().replica.replicas[m.name].ID)
 	assert.NotNil(t, m.replica.table.Find(key(1)), "it knows what was agreed on in its absence")
-	for k := range w.members { // and each of the others may be lost in its turn
+	for k := range sim.members { // and each of the others may be lost in its turn
 		if k != i {
-			w.kill(k)
-			w.run(w.now + 4_000*ms)
-			b := w.ask(2, 1, i)
-			w.run(w.now + 500*ms)
-			assert.Equal(t, w.attempts[0].outcome, b.outcome)
-			w.start(k)
-			w.run(w.now + 4_000*ms)
+			sim.kill(k)
+			sim.run(sim.now + 4_000*ms)
+			b := sim.ask(2, 1, i)
+			sim.run(sim.now + 500*ms)
+			assert.Equal(t, sim.attempts[0].outcome, b.outcome)
+			sim.start(k)
+			sim.run(sim.now + 4_000*ms)
 		}
 	}
 }
 
 func TestCouncilThatLostItsMajorityStaysClosed(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	w.ask(1, 1, 4)
-	w.run(w.now + 300*ms)
-	w.kill(0)
-	w.kill(1)
-	w.start(0)
-	w.start(1)
-	w.run(w.now + 20_000*ms)
-	assert.Nil(t, w.leader(), "two that forgot can't outvote one that remembers")
-	b := w.ask(2, 2, 4)
-	w.run(w.now + 100*ms)
+	sim := newStableSimulation(t, 5, 3)
+	sim.ask(1, 1, 4)
+	sim.run(sim.now + 300*ms)
+	sim.kill(0)
+	sim.kill(1)
+	sim.start(0)
+	sim.start(1)
+	sim.run(sim.now + 20_000*ms)
+	assert.Nil(t, sim.leader(), "two that forgot can't outvote one that remembers")
+	b := sim.ask(2, 2, 4)
+	sim.run(sim.now + 100*ms)
 	assert.Equal(t, "throttled", b.outcome, "nothing is claimed without a council")
-	w.kill(2)
-	w.start(2)
-	w.run(w.now + 10_000*ms)
-	assert.NotNil(t, w.leader(), "once nobody remembers, another is founded")
+	sim.kill(2)
+	sim.start(2)
+	sim.run(sim.now + 10_000*ms)
+	assert.NotNil(t, sim.leader(), "once nobody remembers, another is founded")
 }
 
 func TestDeafLeaderIsReplaced(t *testing.T) {
-	w := newStableSimulation(t, 5, 3)
-	i := w.indexOf(w.leader())
-	for k := range w.machines {
+	sim := newStableSimulation(t, 5, 3)
+	i := sim.indexOf(sim.leader())
+	for k := range sim.machines {
 		if k != i {
-			w.cutLinks[[2]int{k, i}] = true // it is heard, and hears nobody
+			sim.cutLinks[[2]int{k, i}] = true // it is heard, and hears nobody
 		}
 	}
-	w.run(w.now + 6_000*ms)
-	require.NotNil(t, w.leader())
-	assert.NotEqual(t, i, w.indexOf(w.leader()))
-	clear(w.cutLinks)
-	w.run(w.now + 3_000*ms)
-	assert.False(t, w.machines[i].replica.isLeader())
+	sim.run(sim.now + 6_000*ms)
+	require.NotNil(t, sim.leader())
+	assert.NotEqual(t, i, sim.indexOf(sim.leader()))
+	clear(sim.cutLinks)
+	sim.run(sim.now + 3_000*ms)
+	assert.False(t, sim.machines[i].replica.isLeader())
 }
 
 func TestMessagesThatRaftCantStandBeginASeatAnew(t *testing.T) {
-	w := newStableSimulation(t, 3, 3)
-	m := w.leader()
+	sim := newStableSimulation(t, 3, 3)
+	m := sim.leader()
 	c := m.replica
 	before := c.raftID
-	c.Step(w.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
+	c.Step(sim.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
 	assert.Equal(t, before, c.raftID, "what can't be read is dropped")
 	c.restartOnPanic(func() { panic("as raft would") })
 	assert.NotEqual(t, before, c.raftID)
 	assert.Equal(t, 1, c.Counters.Broken)
-	w.run(w.now + 6_000*ms)
-	assert.NotNil(t, w.leader())
+	sim.run(sim.now + 6_000*ms)
+	assert.NotNil(t, sim.leader())
 	assert.True(t, c.bootstrapped, "and it is seated anew")
 }
 
 // majorityWithout says whether most of the council would remember without a seat, and no seat is on its way back: what is promised
 // ends where it does not.
-func (w *simulation) majorityWithout(i int) bool {
+func (s *simulation) majorityWithout(i int) bool {
 	left := 0
-	for k, m := range w.machines[:len(w.members)] {
+	for k, m := range s.machines[:len(s.members)] {
 		if !m.up {
 			continue
 		}
@@ -225,90 +225,90 @@
 			left++
 		}
 	}
-	return 2*left > len(w.members)
+	return 2*left > len(s.members)
 }
 
 // runSchedule plays drawn faults over drawn work, then heals all and wants answers. It returns what was wrong.
-func runSchedule(seed int64, alter func(w *simulation)) *simulation {
+func runSchedule(seed int64, alter func(sim *simulation)) *simulation {
 	chance := rand.New(rand.NewSource(seed))
 	seats := []int{1, 3, 3, 3, 5}[chance.Intn(5)]
 	nodes := seats + 1 + chance.Intn(3)
-	w := newSimulation(seed, nodes, seats)
+	sim := newSimulation(seed, nodes, seats)
 	if alter != nil {
-		alter(w)
+		alter(sim)
 	}
 	for i := range nodes {
-		w.start(i)
+		sim.start(i)
 	}
-	w.stable = true
-	w.run(3_000 * ms)
-	w.stable = false
-	w.loss = []float64{0, 0, 0.05, 0.2}[chance.Intn(4)]
+	sim.stable = true
+	sim.run(3_000 * ms)
+	sim.stable = false
+	sim.loss = []float64{0, 0, 0.05, 0.2}[chance.Intn(4)]
 	down := -1
-	end := w.now + 4_000*ms
-	for w.now < end && len(w.failures) == 0 {
+	end := sim.now + 4_000*ms
+	for sim.now < end && len(sim.failures) == 0 {
 		for range 1 + chance.Intn(3) {
-			w.ask(chance.Intn(8), 1+chance.Intn(12), chance.Intn(nodes))
+			sim.ask(chance.Intn(8), 1+chance.Intn(12), chance.Intn(nodes))
 		}
 		i := chance.Intn(nodes)
 		switch chance.Intn(24) {
 		case 0, 1: // one seat at a time forgets; the others, any number
-			if i >= seats || down < 0 && w.majorityWithout(i) {
-				w.kill(i)
+			if i >= seats || down < 0 && sim.majorityWithout(i) {
+				sim.kill(i)
 				if i < seats {
 					down = i
 				}
 			}
 		case 2, 3, 4:
 			if down >= 0 {
-				w.start(down)
+				sim.start(down)
 				down = -1
 			}
 			if i >= seats {
-				w.start(i)
+				sim.start(i)
 			}
 		case 5, 6:
-			w.pause(i, true)
+			sim.pause(i, true)
 		case 7, 8, 9:
-			w.resume()
+			sim.resume()
 		case 10, 11:
-			w.cutFrom(i, chance)
+			sim.cutFrom(i, chance)
 		case 12:
-			w.cutOff(i, chance)
+			sim.cutOff(i, chance)
 		case 13, 14, 15:
-			clear(w.cutLinks)
+			clear(sim.cutLinks)
 		}
-		w.run(w.now + chance.Int63n(120*ms))
+		sim.run(sim.now + chance.Int63n(120*ms))
 	}
-	clear(w.cutLinks)
-	w.loss, w.stable = 0, true
-	for i := range w.machines {
-		w.pause(i, false)
-		w.start(i)
+	clear(sim.cutLinks)
+	sim.loss, sim.stable = 0, true
+	for i := range sim.machines {
+		sim.pause(i, false)
+		sim.start(i)
 	}
-	w.run(w.now + 8_000*ms)
-	if len(w.failures) > 0 {
-		return w
+	sim.run(sim.now + 8_000*ms)
+	if len(sim.failures) > 0 {
+		return sim
 	}
-	last := len(w.attempts)
+	last := len(sim.attempts)
 	for token := 1; token <= 12; token++ {
-		w.ask(9, token, chance.Intn(nodes))
+		sim.ask(9, token, chance.Intn(nodes))
 	}
-	w.run(w.now + 6_000*ms)
-	for _, a := range w.attempts[last:] {
+	sim.run(sim.now + 6_000*ms)
+	for _, a := range sim.attempts[last:] {
 		if !a.answered || a.outcome == "throttled" || a.outcome == "lost" {
-			w.fail("after the healing t%d is answered %q", a.token, a.outcome)
+			sim.fail("after the healing t%d is answered %q", a.token, a.outcome)
 		}
 	}
-	for _, a := range w.attempts {
+	for _, a := range sim.attempts {
 		if !a.answered {
-			w.fail("t%d, asked at %d ms, was never answered", a.token, a.at/ms)
+			sim.fail("t%d, asked at %d ms, was never answered", a.token, a.at/ms)
 		}
 	}
-	if len(w.failures) == 0 && !w.linearizable() {
-		w.fail("what callers saw is not linearizable")
+	if len(sim.failures) == 0 && !sim.linearizable() {
+		sim.fail("what callers saw is not linearizable")
 	}
-	return w
+	return sim
 }
 
 // SCHEDULES says how many are played, SEED which one to replay.
@@ -325,12 +325,12 @@
 	first, many := seedFromEnvironment(t, "SEED", 1), seedFromEnvironment(t, "SCHEDULES", 150)
 	taken, ran := 0, 0
 	for seed := first; seed < first+many; seed++ {
-		w := runSchedule(seed, nil)
-		for _, wrong := range w.failures {
+		sim := runSchedule(seed, nil)
+		for _, wrong := range sim.failures {
 			t.Errorf("seed %d: %s; replay: SEED=%d SCHEDULES=1 go test -run DrawnSchedules ./council", seed, wrong, seed)
 		}
-		taken += w.takeovers
-		ran += len(w.runs)
+		taken += sim.takeovers
+		ran += len(sim.runs)
 		if t.Failed() {
 			return
 		}
@@ -341,14 +341,14 @@
 
 // A search that can't fail shows nothing.
 func TestSchedulesFindFaults(t *testing.T) {
-	for name, alter := range map[string]func(w *simulation){
-		"the start is agreed on after the run": func(w *simulation) { w.runBeforeStart = true },
-		"fences are not compared":              func(w *simulation) { w.ignoreFences = true },
+	for name, alter := range map[string]func(sim *simulation){
+		"the start is agreed on after the run": func(sim *simulation) { sim.runBeforeStart = true },
+		"fences are not compared":              func(sim *simulation) { sim.ignoreFences = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := int64(380); seed <= 2_000; seed++ {
-				if w := runSchedule(seed, alter); len(w.failures) > 0 {
-					t.Logf("found at seed %d: %s", seed, w.failures[0])
+				if sim := runSchedule(seed, alter); len(sim.failures) > 0 {
+					t.Logf("found at seed %d: %s", seed, sim.failures[0])
 					return
 				}
 			}
@@ -359,60 +359,60 @@
 
 // A thousand claims of one node that is lost: heirs run eight at a time, and begin what they are given within 40 ms.
 func TestThousandClaimsOfALostNodeAreTakenOverAtAPace(t *testing.T) {
-	w := newStableSimulation(t, 8, 3)
-	m := w.machines[7]
+	sim := newStableSimulation(t, 8, 3)
+	m := sim.machines[7]
 	for n := range 1_000 {
 		k := key(n)
 		m.pending[k] = true
 		m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 30_000 * ms, Window: window, Work: []byte{1}})
 	}
-	w.wakeNow(7)
-	w.run(w.now + 200*ms)
-	entries, bytes := w.leaderTable().Size()
+	sim.wakeNow(7)
+	sim.run(sim.now + 200*ms)
+	entries, bytes := sim.leaderTable().Size()
 	require.Equal(t, 1_000, entries)
-	w.kill(7)
-	lost := w.now
+	sim.kill(7)
+	lost := sim.now
 	first, most := int64(0), 0
-	for len(w.runs) < 1_000 && w.now < lost+25_000*ms {
-		w.run(w.now + 5*ms)
-		if first == 0 && len(w.runs) > 0 {
-			first = w.now - lost
+	for len(sim.runs) < 1_000 && sim.now < lost+25_000*ms {
+		sim.run(sim.now + 5*ms)
+		if first == 0 && len(sim.runs) > 0 {
+			first = sim.now - lost
 		}
 		waiting := map[claims.Owner]int{}
-		for _, e := range w.leaderTable().Reassigned() {
+		for _, e := range sim.leaderTable().Reassigned() {
 			waiting[e.Owner]++
 			most = max(most, waiting[e.Owner])
 		}
 	}
-	t.Logf("the first began %d ms after the loss was known, the last %d ms after; %d bytes a claim", first/ms, (w.now-lost)/ms, bytes/1_000)
-	assert.Len(t, w.runs, 1_000)
-	assert.Empty(t, w.failures)
+	t.Logf("the first began %d ms after the loss was known, the last %d ms after; %d bytes a claim", first/ms, (sim.now-lost)/ms, bytes/1_000)
+	assert.Len(t, sim.runs, 1_000)
+	assert.Empty(t, sim.failures)
 	assert.LessOrEqual(t, most, 8, "no heir is given more than it can begin")
 }
 
 func TestSeatThatMeetsANewerCommandBeginsAnew(t *testing.T) {
-	w := newStableSimulation(t, 3, 3)
-	m := w.leader()
+	sim := newStableSimulation(t, 3, 3)
+	m := sim.leader()
 	m.replicaInputs = append(m.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandKindCount, Sender: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Seq: 99}}})
-	w.wakeNow(w.indexOf(m))
-	w.run(w.now + 1_000*ms)
-	for _, x := range w.machines {
+	sim.wakeNow(sim.indexOf(m))
+	sim.run(sim.now + 1_000*ms)
+	for _, x := range sim.machines {
 		assert.Positive(t, x.replica.Counters.Broken, "a table that would differ from others is none")
 	}
 }
 
 func TestCommandsThatNobodyAgreesOnAreForgotten(t *testing.T) {
-	w := newStableSimulation(t, 3, 3)
-	m := w.leader()
-	for k := range w.machines {
-		w.cutLinks[[2]int{w.indexOf(m), k}] = true
+	sim := newStableSimulation(t, 3, 3)
+	m := sim.leader()
+	for k := range sim.machines {
+		sim.cutLinks[[2]int{sim.indexOf(m), k}] = true
 	}
-	w.ask(1, 1, w.indexOf(m))
-	w.run(w.now + 100*ms)
+	sim.ask(1, 1, sim.indexOf(m))
+	sim.run(sim.now + 100*ms)
 	assert.NotEmpty(t, m.replica.pending)
-	clear(w.cutLinks)
-	w.kill(w.indexOf(w.machines[(w.indexOf(m)+1)%3]))
-	w.run(w.now + 20_000*ms)
+	clear(sim.cutLinks)
+	sim.kill(sim.indexOf(sim.machines[(sim.indexOf(m)+1)%3]))
+	sim.run(sim.now + 20_000*ms)
 	assert.Empty(t, m.replica.pending)
 }
 
@@ -422,35 +422,35 @@
 
 // A seat vouches for what was agreed on as current only while it hears of what the majority agrees on.
 func TestSeatKnowsWhetherItIsCurrent(t *testing.T) {
-	w := newDiskSimulation(t, 4, 3)
+	sim := newDiskSimulation(t, 4, 3)
 	current := func() (list []bool) {
-		for _, m := range w.machines[:3] {
+		for _, m := range sim.machines[:3] {
 			list = append(list, m.up && m.replica.IsCurrent())
 		}
 		return list
 	}
-	w.run(w.now + 2_000*ms)
+	sim.run(sim.now + 2_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	i := w.indexOf(w.leader()) // cut off, it goes on leading as far as it knows
-	for k := range w.machines {
-		w.cutLinks[[2]int{k, i}], w.cutLinks[[2]int{i, k}] = k != i, k != i
+	i := sim.indexOf(sim.leader()) // cut off, it goes on leading as far as it knows
+	for k := range sim.machines {
+		sim.cutLinks[[2]int{k, i}], sim.cutLinks[[2]int{i, k}] = k != i, k != i
 	}
-	w.run(w.now + 6_000*ms)
+	sim.run(sim.now + 6_000*ms)
 	want := []bool{true, true, true}
 	want[i] = false
 	assert.Equal(t, want, current())
-	clear(w.cutLinks)
-	w.run(w.now + 4_000*ms)
+	clear(sim.cutLinks)
+	sim.run(sim.now + 4_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	w.killReplicas()
-	w.start(0)
-	w.run(w.now + 5_000*ms)
-	require.NotZero(t, w.machines[0].replica.appliedIndex, "it knows what it knew")
+	sim.killReplicas()
+	sim.start(0)
+	sim.run(sim.now + 5_000*ms)
+	require.NotZero(t, sim.machines[0].replica.appliedIndex, "it knows what it knew")
 	assert.Equal(t, []bool{false, false, false}, current(), "and not what others may have agreed on since")
-	w.startAll()
-	w.run(w.now + 4_000*ms)
+	sim.startAll()
+	sim.run(sim.now + 4_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	for _, m := range w.machines[:3] { // for each, what it holds is of the term that goes on
+	for _, m := range sim.machines[:3] { // for each, what it holds is of the term that goes on
 		m.replica.leaderID = 0
 	}
 	assert.Equal(t, []bool{false, false, false}, current(), "without a leader none is")
--- a/internal/fleet/consensus/disk.go
+++ b/internal/fleet/consensus/disk.go
@@ -72,203 +72,203 @@
 
 // Recover has the seat keep what it must not forget on a disk, before its first step, and takes up what is there. A folder of
 // another council, or of a later build, is an error; nothing is lost by it.
-func (x *Replica) Recover(now int64, d DiskContents) (err error) {
-	x.disk.enabled, x.now = true, now
-	defer func() { x.earlyEffects, x.effects = x.effects, nil }()
-	x.disk.nonEmpty = len(d.Base)+len(d.Records) > 0
-	if len(d.Base) == 0 {
+func (r *Replica) Recover(now int64, contents DiskContents) (err error) {
+	r.disk.enabled, r.now = true, now
+	defer func() { r.earlyEffects, r.effects = r.effects, nil }()
+	r.disk.nonEmpty = len(contents.Base)+len(contents.Records) > 0
+	if len(contents.Base) == 0 {
 		return nil
 	}
-	var b diskBase
-	if err := cborDecoding.Unmarshal(d.Base, &b); err != nil {
+	var state diskBase
+	if err := cborDecoding.Unmarshal(contents.Base, &state); err != nil {
 		return fmt.Errorf("the base can't be read by this build: %w", err)
 	}
-	if !slices.Equal(b.Members, x.members) {
+	if !slices.Equal(state.Members, r.members) {
 		return fmt.Errorf("it holds a council of %v, and the fleet's file names %v: put the names back, or have all seats begin anew with empty folders",
-			b.Members, x.members)
+			state.Members, r.members)
 	}
 	defer func() {
-		if what := recover(); what != nil {
-			err = fmt.Errorf("it can't be taken up: %v", what)
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("it can't be taken up: %v", cause)
 		}
 	}()
 	snap, hard := new(pb.Snapshot), new(pb.HardState)
-	if err := proto.Unmarshal(b.Snapshot, snap); err != nil {
+	if err := proto.Unmarshal(state.Snapshot, snap); err != nil {
 		return fmt.Errorf("the base's snapshot can't be read: %w", err)
 	}
-	if err := proto.Unmarshal(b.HardState, hard); err != nil {
+	if err := proto.Unmarshal(state.HardState, hard); err != nil {
 		return fmt.Errorf("the base's state can't be read: %w", err)
 	}
-	x.raftID, x.incarnation, x.storedParts = b.ID, b.Incarnation, d.Parts
-	x.disk.lastWrite, x.disk.peerWrites = b.Number, b.PeerWrites
-	if x.disk.peerWrites == nil {
-		x.disk.peerWrites = map[uint64]uint64{}
+	r.raftID, r.incarnation, r.storedParts = state.ID, state.Incarnation, contents.Parts
+	r.disk.lastWrite, r.disk.peerWrites = state.Number, state.PeerWrites
+	if r.disk.peerWrites == nil {
+		r.disk.peerWrites = map[uint64]uint64{}
 	}
-	x.storage.ApplySnapshot(snap)
-	x.storage.SetHardState(hard)
-	for _, text := range d.Records {
-		var r diskRecord
-		if err := cborDecoding.Unmarshal(text, &r); err != nil {
+	r.storage.ApplySnapshot(snap)
+	r.storage.SetHardState(hard)
+	for _, text := range contents.Records {
+		var rec diskRecord
+		if err := cborDecoding.Unmarshal(text, &rec); err != nil {
 			return fmt.Errorf("a record can't be read by this build: %w", err)
 		}
-		entries := make([]*pb.Entry, len(r.Entries))
-		for i := range r.Entries {
+		entries := make([]*pb.Entry, len(rec.Entries))
+		for i := range rec.Entries {
 			entries[i] = new(pb.Entry)
-			if err := proto.Unmarshal(r.Entries[i], entries[i]); err != nil {
+			if err := proto.Unmarshal(rec.Entries[i], entries[i]); err != nil {
 				return fmt.Errorf("an entry can't be read: %w", err)
 			}
 		}
-		x.storage.Append(entries)
-		if len(r.HardState) > 0 {
+		r.storage.Append(entries)
+		if len(rec.HardState) > 0 {
 			hard = new(pb.HardState)
-			if err := proto.Unmarshal(r.HardState, hard); err != nil {
+			if err := proto.Unmarshal(rec.HardState, hard); err != nil {
 				return fmt.Errorf("a record's state can't be read: %w", err)
 			}
-			x.storage.SetHardState(hard)
+			r.storage.SetHardState(hard)
 		}
-		maps.Copy(x.disk.peerWrites, r.PeerWrites)
-		x.disk.lastWrite = r.Number
+		maps.Copy(r.disk.peerWrites, rec.PeerWrites)
+		r.disk.lastWrite = rec.Number
 	}
-	x.disk.lastPersisted = x.disk.lastWrite
-	x.restoreSnapshot(snap)
-	if x.replicas[x.self].ID != x.raftID { // its place was given to another
-		x.restart()
+	r.disk.lastPersisted = r.disk.lastWrite
+	r.restoreSnapshot(snap)
+	if r.replicas[r.self].ID != r.raftID { // its place was given to another
+		r.restart()
 		return nil
 	}
-	x.startRaft(x.appliedIndex)
-	x.boundAt, x.leaderContactAt = now, 0
-	x.resetElectionTimer()
-	if len(x.members) == 1 {
-		x.electionAt = now
+	r.startRaft(r.appliedIndex)
+	r.boundAt, r.leaderContactAt = now, 0
+	r.resetElectionTimer()
+	if len(r.members) == 1 {
+		r.electionAt = now
 	} else {
-		x.disk.rejoinAnswers, x.disk.rejoinAt, x.disk.rejoinDeadline = map[string]bool{}, now, now+rejoinTimeout
+		r.disk.rejoinAnswers, r.disk.rejoinAt, r.disk.rejoinDeadline = map[string]bool{}, now, now+rejoinTimeout
 	}
-	last, _ := x.storage.LastIndex()
-	x.log(false, "back from the disk: what was agreed on up to entry %d, and entries up to %d", hard.GetCommit(), last)
+	last, _ := r.storage.LastIndex()
+	r.log(false, "back from the disk: what was agreed on up to entry %d, and entries up to %d", hard.GetCommit(), last)
 	return nil
 }
 
 // Resumed says whether the seat holds what it knew before its process ended.
-func (x *Replica) Resumed() bool { return x.disk.enabled && x.bootstrapped && x.disk.lastWrite > 0 }
+func (r *Replica) Resumed() bool { return r.disk.enabled && r.bootstrapped && r.disk.lastWrite > 0 }
 
 // restart is another life of this seat, under another number, with nothing known.
-func (x *Replica) restart() {
-	x.incarnation = max(x.incarnation, x.processIncarnation) + 1
-	x.initialize()
+func (r *Replica) restart() {
+	r.incarnation = max(r.incarnation, r.processIncarnation) + 1
+	r.initialize()
 }
 
 // persistReady has a state, entries or a snapshot of raft's written, and what depends on it wait.
-func (x *Replica) persistReady(rd *raft.Ready) {
+func (r *Replica) persistReady(rd *raft.Ready) {
 	hard := rd.HardState
 	if raft.IsEmptyHardState(hard) {
-		hard, _, _ = x.storage.InitialState()
+		hard, _, _ = r.storage.InitialState()
 	}
 	if raft.IsEmptySnap(rd.Snapshot) {
-		r := diskRecord{Entries: marshalEntries(rd.Entries)}
+		rec := diskRecord{Entries: marshalEntries(rd.Entries)}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			r.HardState = marshalProto(rd.HardState)
+			rec.HardState = marshalProto(rd.HardState)
 		}
-		x.emitWrite(Write{}, &r)
+		r.emitWrite(Write{}, &rec)
 	} else {
-		w := x.baseWrite(rd.Snapshot, hard)
+		w := r.baseWrite(rd.Snapshot, hard)
 		if len(rd.Entries) > 0 {
-			x.emitWrite(w, &diskRecord{Entries: marshalEntries(rd.Entries)})
+			r.emitWrite(w, &diskRecord{Entries: marshalEntries(rd.Entries)})
 		} else {
-			x.emitWrite(w, nil)
+			r.emitWrite(w, nil)
 		}
 	}
-	x.disk.pendingReady, x.disk.pendingWrite = rd, x.disk.lastWrite
+	r.disk.pendingReady, r.disk.pendingWrite = rd, r.disk.lastWrite
 }
 
 // baseWrite is a write that takes the place of all.
-func (x *Replica) baseWrite(snap *pb.Snapshot, hard *pb.HardState) Write {
-	b := diskBase{ID: x.raftID, Incarnation: x.incarnation, Members: x.members, Number: x.disk.lastWrite + 1, HardState: marshalProto(hard), Snapshot: marshalProto(snap), PeerWrites: x.disk.peerWrites}
-	text, err := cborEncoding.Marshal(b)
+func (r *Replica) baseWrite(snap *pb.Snapshot, hard *pb.HardState) Write {
+	state := diskBase{ID: r.raftID, Incarnation: r.incarnation, Members: r.members, Number: r.disk.lastWrite + 1, HardState: marshalProto(hard), Snapshot: marshalProto(snap), PeerWrites: r.disk.peerWrites}
+	text, err := cborEncoding.Marshal(state)
 	if err != nil {
 		panic(err)
 	}
 	w := Write{Base: text, Parts: map[string][]byte{}}
 	for _, digest := range separateDigests(snap) {
-		w.Parts[digest] = x.storedParts[digest]
+		w.Parts[digest] = r.storedParts[digest]
 	}
 	return w
 }
 
 // rewriteBase writes what a snapshot of this seat's own made of its log: bounds what is on the disk.
-func (x *Replica) rewriteBase() {
-	if !x.disk.enabled {
+func (r *Replica) rewriteBase() {
+	if !r.disk.enabled {
 		return
 	}
-	snap, err := x.storage.Snapshot()
+	snap, err := r.storage.Snapshot()
 	if err != nil {
 		panic(err)
 	}
-	maps.DeleteFunc(x.disk.peerWrites, func(id, _ uint64) bool { return !x.isMember(id) }) // of lives that are over
-	hard, _, _ := x.storage.InitialState()
+	maps.DeleteFunc(r.disk.peerWrites, func(id, _ uint64) bool { return !r.isMember(id) }) // of lives that are over
+	hard, _, _ := r.storage.InitialState()
 	from, last := snap.GetMetadata().GetIndex()+1, uint64(0)
-	if last, err = x.storage.LastIndex(); err != nil {
+	if last, err = r.storage.LastIndex(); err != nil {
 		panic(err)
 	}
-	var r *diskRecord
+	var rec *diskRecord
 	if last >= from {
-		entries, err := x.storage.Entries(from, last+1, never)
+		entries, err := r.storage.Entries(from, last+1, never)
 		if err != nil {
 			panic(err)
 		}
-		r = &diskRecord{Entries: marshalEntries(entries)}
+		rec = &diskRecord{Entries: marshalEntries(entries)}
 	}
-	x.emitWrite(x.baseWrite(snap, hard), r)
+	r.emitWrite(r.baseWrite(snap, hard), rec)
 }
 
 // emitWrite numbers a emitWrite and hands it out.
-func (x *Replica) emitWrite(w Write, r *diskRecord) {
-	x.disk.lastWrite++
-	w.Number = x.disk.lastWrite
-	if r != nil {
-		if r.Number = w.Number; x.disk.peerWritesChanged && w.Base == nil {
-			r.PeerWrites = x.disk.peerWrites
+func (r *Replica) emitWrite(w Write, rec *diskRecord) {
+	r.disk.lastWrite++
+	w.Number = r.disk.lastWrite
+	if rec != nil {
+		if rec.Number = w.Number; r.disk.peerWritesChanged && w.Base == nil {
+			rec.PeerWrites = r.disk.peerWrites
 		}
-		text, err := cborEncoding.Marshal(r)
+		text, err := cborEncoding.Marshal(rec)
 		if err != nil {
 			panic(err)
 		}
 		w.Records = [][]byte{text}
 	}
-	x.disk.peerWritesChanged, x.disk.nonEmpty = false, !w.DiscardEarlier
-	x.emit(Effect{Kind: Persist, Write: &w})
+	r.disk.peerWritesChanged, r.disk.nonEmpty = false, !w.DiscardEarlier
+	r.emit(Effect{Kind: Persist, Write: &w})
 }
 
 // handlePersisted takes word of the disk.
-func (x *Replica) handlePersisted(number uint64, err error) {
+func (r *Replica) handlePersisted(number uint64, err error) {
 	if err != nil {
-		x.disk.failed = true
-		x.log(true, "the council's seat stands still until this process is started anew: its disk failed: %v", err)
+		r.disk.failed = true
+		r.log(true, "the council's seat stands still until this process is started anew: its disk failed: %v", err)
 		return
 	}
-	x.disk.lastPersisted = max(x.disk.lastPersisted, number)
-	if rd := x.disk.pendingReady; rd != nil && number >= x.disk.pendingWrite && !x.disk.failed {
-		x.disk.pendingReady = nil
-		x.applyReady(rd)
+	r.disk.lastPersisted = max(r.disk.lastPersisted, number)
+	if rd := r.disk.pendingReady; rd != nil && number >= r.disk.pendingWrite && !r.disk.failed {
+		r.disk.pendingReady = nil
+		r.applyReady(rd)
 	}
 }
 
 // trackPeerWrite follows what a seat's words stand on, and tells one that speaks from less than it did before.
-func (x *Replica) trackPeerWrite(id, number uint64, from string) {
+func (r *Replica) trackPeerWrite(id, number uint64, from string) {
 	if number == 0 {
 		return
 	}
-	if len(x.disk.peerWrites) >= maxTrackedIDs && !x.isMember(id) {
+	if len(r.disk.peerWrites) >= maxTrackedIDs && !r.isMember(id) {
 		return
 	}
-	if before := x.disk.peerWrites[id]; number > before {
-		x.disk.peerWrites[id], x.disk.peerWritesChanged = number, true
+	if before := r.disk.peerWrites[id]; number > before {
+		r.disk.peerWrites[id], r.disk.peerWritesChanged = number, true
 	} else if number < before {
-		x.answerRejoin(from, id)
+		r.answerRejoin(from, id)
 	}
 }
 
-func (x *Replica) isMember(id uint64) bool {
-	for _, s := range x.replicas {
+func (r *Replica) isMember(id uint64) bool {
+	for _, s := range r.replicas {
 		if s.ID == id {
 			return true
 		}
@@ -279,45 +279,45 @@
 // tickRejoin asks the others what they heard of this seat last, and goes on once that is known: an old disk has forgotten what
 // was acknowledged, and votes. Guards against a volume that was set back; does harm where no other answers: 3 s more until the
 // council is there again.
-func (x *Replica) tickRejoin() {
-	d := &x.disk
-	if n := len(d.rejoinAnswers); n == len(x.members)-1 || 2*(n+1) > len(x.members) && x.now >= d.rejoinDeadline {
+func (r *Replica) tickRejoin() {
+	d := &r.disk
+	if n := len(d.rejoinAnswers); n == len(r.members)-1 || 2*(n+1) > len(r.members) && r.now >= d.rejoinDeadline {
 		d.rejoinAnswers = nil
-		x.resetElectionTimer()
+		r.resetElectionTimer()
 		return
 	}
-	if x.now >= d.rejoinAt {
-		d.rejoinAt = x.now + rejoinInterval
-		for _, name := range x.members {
-			if name != x.self && !d.rejoinAnswers[name] {
-				x.send(name, Message{Kind: MessageRejoin, ID: x.raftID, Incarnation: x.incarnation})
+	if r.now >= d.rejoinAt {
+		d.rejoinAt = r.now + rejoinInterval
+		for _, name := range r.members {
+			if name != r.self && !d.rejoinAnswers[name] {
+				r.send(name, Message{Kind: MessageRejoin, ID: r.raftID, Incarnation: r.incarnation})
 			}
 		}
 	}
 }
 
 // answerRejoin says what was heard of a seat's number last, and in which life it sits.
-func (x *Replica) answerRejoin(to string, id uint64) {
-	if x.bootstrapped {
-		x.send(to, Message{Kind: MessageRejoinAnswer, ID: id, Incarnation: x.replicas[to].Incarnation, Number: x.disk.peerWrites[id]})
+func (r *Replica) answerRejoin(to string, id uint64) {
+	if r.bootstrapped {
+		r.send(to, Message{Kind: MessageRejoinAnswer, ID: id, Incarnation: r.replicas[to].Incarnation, Number: r.disk.peerWrites[id]})
 	}
 }
 
 // handleRejoinAnswer takes what another heard of this seat.
-func (x *Replica) handleRejoinAnswer(m *Message) {
-	if m.ID != x.raftID || !x.disk.enabled || !slices.Contains(x.members, m.From) || m.From == x.self {
+func (r *Replica) handleRejoinAnswer(m *Message) {
+	if m.ID != r.raftID || !r.disk.enabled || !slices.Contains(r.members, m.From) || m.From == r.self {
 		return
 	}
 	switch {
-	case m.Number > x.disk.lastWrite:
-		x.log(true, "this seat's disk is behind what it had acknowledged: %s heard its write %d, and the last there was %d; it begins anew",
-			m.From, m.Number, x.disk.lastWrite)
-		x.restart()
-	case m.Incarnation > x.incarnation:
-		x.log(true, "another life has this seat's place by what %s knows; it begins anew", m.From)
-		x.restart()
-	case x.disk.rejoinAnswers != nil:
-		x.disk.rejoinAnswers[m.From] = true
+	case m.Number > r.disk.lastWrite:
+		r.log(true, "this seat's disk is behind what it had acknowledged: %s heard its write %d, and the last there was %d; it begins anew",
+			m.From, m.Number, r.disk.lastWrite)
+		r.restart()
+	case m.Incarnation > r.incarnation:
+		r.log(true, "another life has this seat's place by what %s knows; it begins anew", m.From)
+		r.restart()
+	case r.disk.rejoinAnswers != nil:
+		r.disk.rejoinAnswers[m.From] = true
 	}
 }
 
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -248,15 +248,15 @@
 	sameAsFixture(t, "snapshot-v1.cbor", text)
 	conf := &raftpb.ConfState{Voters: []uint64{0x21, 0x22, 0x23}}
 	writer.disk.lastWrite, writer.disk.peerWrites = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
-	w := writer.baseWrite(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
+	write := writer.baseWrite(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
 		&raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit})
 	writer.effects = nil
-	writer.emitWrite(w, nil)
+	writer.emitWrite(write, nil)
 	require.Len(t, writer.effects, 1)
-	w = *writer.effects[0].Write
-	there := DiskContents{Base: sameAsFixture(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
-	require.Len(t, w.Parts, 1, "the configuration lies apart")
-	for name, part := range w.Parts {
+	write = *writer.effects[0].Write
+	there := DiskContents{Base: sameAsFixture(t, "disk-base-v1.cbor", write.Base), Parts: map[string][]byte{}}
+	require.Len(t, write.Parts, 1, "the configuration lies apart")
+	for name, part := range write.Parts {
 		fixture := sameAsFixture(t, "disk-part-v1.cbor", part)
 		there.Parts[name] = fixture
 		assert.Equal(t, name, partDigest(fixture))
--- a/internal/fleet/consensus/helpers_test.go
+++ b/internal/fleet/consensus/helpers_test.go
@@ -91,32 +91,32 @@
 }
 
 func newSimulation(seed int64, nodes, seats int) *simulation {
-	w := &simulation{chance: rand.New(rand.NewSource(seed)), cutLinks: map[[2]int]bool{}, runs: map[int]int{}, fences: map[claims.Key]uint64{}, started: map[claims.Key]bool{}, now: 1}
+	s := &simulation{chance: rand.New(rand.NewSource(seed)), cutLinks: map[[2]int]bool{}, runs: map[int]int{}, fences: map[claims.Key]uint64{}, started: map[claims.Key]bool{}, now: 1}
 	for i := range nodes {
-		w.machines = append(w.machines, &simNode{name: fmt.Sprint("n", i)})
+		s.machines = append(s.machines, &simNode{name: fmt.Sprint("n", i)})
 		if i < seats {
-			w.members = append(w.members, w.machines[i].name)
+			s.members = append(s.members, s.machines[i].name)
 		}
 	}
-	return w
+	return s
 }
 
-func (w *simulation) at(at int64, node int, do func()) {
-	w.seq++
+func (s *simulation) at(at int64, node int, do func()) {
+	s.seq++
 	life := uint64(0)
 	if node >= 0 {
-		life = w.machines[node].incarnation
+		life = s.machines[node].incarnation
 	}
-	heap.Push(&w.queue, event{max(at, w.now), w.seq, node, life, do})
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, node, life, do})
 }
 
 // run plays on. What is for a machine that stands still waits for it; what is for one that died is lost.
-func (w *simulation) run(until int64) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && len(w.failures) == 0 {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+func (s *simulation) run(until int64) {
+	for len(s.queue) > 0 && s.queue[0].at <= until && len(s.failures) == 0 {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		if e.node >= 0 {
-			m := w.machines[e.node]
+			m := s.machines[e.node]
 			if !m.up || m.incarnation != e.incarnation {
 				continue
 			}
@@ -127,26 +127,26 @@
 		}
 		e.do()
 	}
-	w.now = until
+	s.now = until
 }
 
-func (w *simulation) start(i int) {
-	m := w.machines[i]
+func (s *simulation) start(i int) {
+	m := s.machines[i]
 	if m.up {
 		return
 	}
-	*m = simNode{name: m.name, disk: m.disk, up: true, incarnation: uint64(w.now)<<8 | uint64(i), waiting: map[claims.Key][]*attempt{}, pending: map[claims.Key]bool{},
+	*m = simNode{name: m.name, disk: m.disk, up: true, incarnation: uint64(s.now)<<8 | uint64(i), waiting: map[claims.Key][]*attempt{}, pending: map[claims.Key]bool{},
 		starting: map[claims.Key]bool{}, results: map[claims.Key]string{}, wakeAt: -1}
 	m.client = claims.NewClient(claims.Owner{Name: m.name, Incarnation: m.incarnation})
-	if i < len(w.members) {
-		m.replica = NewGroup(w.members, m.name, m.incarnation, w.now, w.chance.Int63())
-		if w.configure != nil {
-			w.configure(i, m.replica)
+	if i < len(s.members) {
+		m.replica = NewGroup(s.members, m.name, m.incarnation, s.now, s.chance.Int63())
+		if s.configure != nil {
+			s.configure(i, m.replica)
 		}
-		if w.disks {
-			w.recover(m)
+		if s.disks {
+			s.recover(m)
 		}
-		if w.ignoreFences {
+		if s.ignoreFences {
 			m.replica.alterCommand = func(c *claims.Command, t *claims.Table) {
 				if e := t.Find(c.Key); e != nil && (c.Kind == claims.CommandStart || c.Kind == claims.CommandEnd) {
 					c.Fence = e.Fence
@@ -157,90 +157,90 @@
 			}
 		}
 	}
-	w.wake(i, w.now)
+	s.wake(i, s.now)
 }
 
 // kill ends a machine: its callers learn that their connection broke.
-func (w *simulation) kill(i int) {
-	m := w.machines[i]
+func (s *simulation) kill(i int) {
+	m := s.machines[i]
 	if !m.up {
 		return
 	}
 	m.up = false
 	if m.disk != nil {
-		m.disk.crash(w.chance)
+		m.disk.crash(s.chance)
 	}
-	for _, a := range w.attempts {
+	for _, a := range s.attempts {
 		if a.node == i {
-			w.answer(a, "lost")
+			s.answer(a, "lost")
 		}
 	}
 }
 
-func (w *simulation) pause(i int, stop bool) {
-	m := w.machines[i]
+func (s *simulation) pause(i int, stop bool) {
+	m := s.machines[i]
 	if m.paused = stop; !stop {
 		late := m.backlog
 		m.backlog = nil
 		for _, e := range late {
-			w.at(w.now, i, e.do)
+			s.at(s.now, i, e.do)
 		}
 	}
 }
 
-func (w *simulation) wake(i int, at int64) {
-	m := w.machines[i]
+func (s *simulation) wake(i int, at int64) {
+	m := s.machines[i]
 	if m.wakeAt >= 0 && m.wakeAt <= at {
 		return
 	}
 	m.wakeAt = at
-	w.at(at, i, func() {
+	s.at(at, i, func() {
 		if m.wakeAt == at {
 			m.wakeAt = -1
-			w.step(i)
+			s.step(i)
 		}
 	})
 }
 
 // wakeNow steps a machine at this moment, after all that happens in it.
-func (w *simulation) wakeNow(i int) { w.wake(i, w.now) }
+func (s *simulation) wakeNow(i int) { s.wake(i, s.now) }
 
-func (w *simulation) step(i int) {
-	m := w.machines[i]
+func (s *simulation) step(i int) {
+	m := s.machines[i]
 	next := int64(never)
 	for round := 0; round == 0 || len(m.clientInputs)+len(m.replicaInputs) > 0; round++ {
 		if m.replica != nil {
 			in := m.replicaInputs
 			m.replicaInputs = nil
-			in = append(in, Input{View: w.view(i)})
-			effects, wake := m.replica.Step(w.now, in)
+			in = append(in, Input{View: s.view(i)})
+			effects, wake := m.replica.Step(s.now, in)
 			next = min(next, wake)
 			for k := range effects {
 				switch e := &effects[k]; e.Kind {
 				case Send:
-					w.send(i, e.To, e.Message)
+					s.send(i, e.To, e.Message)
 				case Persist:
-					w.persist(i, e.Write)
+					s.persist(i, e.Write)
 				}
 			}
-			w.check(m.replica)
+			s.check(m.replica)
 		}
 		in := m.clientInputs
 		m.clientInputs = nil
-		actions, wake := m.client.Step(w.now, in)
+		actions, wake := m.client.Step(s.now, in)
 		next = min(next, wake)
 		for k := range actions {
-			w.applyAction(i, &actions[k])
+			s.applyAction(i, &actions[k])
 		}
 	}
-	w.wake(i, next)
+	s.wake(i, next)
 }
 
 // view is what a machine holds to be there: the truth some time after, where all is sane, and else drawn.
-func (w *simulation) view(i int) (view []takeover.Member) {
-	for k, m := range w.machines {
+func (s *simulation) view(i int) (view []takeover.Member) {
+	for k, m := range s.machines {
 		alive := m.up && !m.paused
-		if !w.stable && w.chance.Intn(20) == 0 {
+		if !s.stable && s.chance.Intn(20) == 0 {
 			alive = !alive
 		}
 		view = append(view, takeover.Member{Owner: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Alive: alive || k == i, AcceptsWork: true})
@@ -249,42 +249,42 @@
 }
 
 // send carries a message over a link, in bytes, as on a real one.
-func (w *simulation) send(from int, to string, m Message) {
-	i := slices.IndexFunc(w.machines, func(x *simNode) bool { return x.name == to })
+func (s *simulation) send(from int, to string, m Message) {
+	i := slices.IndexFunc(s.machines, func(x *simNode) bool { return x.name == to })
 	if i < 0 {
 		return
 	}
-	if i != from && (w.cutLinks[[2]int{from, i}] || w.chance.Float64() < w.loss) {
+	if i != from && (s.cutLinks[[2]int{from, i}] || s.chance.Float64() < s.loss) {
 		return
 	}
 	text, err := cbor.Marshal(m)
 	if err != nil {
-		w.fail("a message can't be written: %v", err)
+		s.fail("a message can't be written: %v", err)
 		return
 	}
 	delay := int64(0)
 	if i != from {
-		delay = ms/5 + w.chance.Int63n(ms)
-		if !w.stable && w.chance.Intn(50) == 0 {
-			delay += w.chance.Int63n(300 * ms)
+		delay = ms/5 + s.chance.Int63n(ms)
+		if !s.stable && s.chance.Intn(50) == 0 {
+			delay += s.chance.Int63n(300 * ms)
 		}
 	}
 	copies := 1
-	if !w.stable && w.chance.Intn(50) == 0 {
+	if !s.stable && s.chance.Intn(50) == 0 {
 		copies = 2
 	}
 	for range copies {
-		w.at(w.now+delay, i, func() {
+		s.at(s.now+delay, i, func() {
 			got := new(Message)
 			if cbor.Unmarshal(text, got) == nil {
-				w.receive(i, got)
+				s.receive(i, got)
 			}
 		})
 	}
 }
 
-func (w *simulation) receive(i int, msg *Message) {
-	m := w.machines[i]
+func (s *simulation) receive(i int, msg *Message) {
+	m := s.machines[i]
 	self := claims.Owner{Name: m.name, Incarnation: m.incarnation}
 	switch msg.Kind {
 	case MessageVerdicts, MessageClaimsEnded, MessageReassignment:
@@ -306,170 +306,170 @@
 			m.replicaInputs = append(m.replicaInputs, Input{Message: msg})
 		}
 	}
-	w.wakeNow(i)
+	s.wakeNow(i)
 }
 
 func key(token int) claims.Key { return claims.Key{Operation: "hold", Token: fmt.Sprint("t", token)} }
 
 // ask has a caller try a token at a machine, as a node with its module would: claimed at once, begun after a hold.
-func (w *simulation) ask(client, token, i int) *attempt {
-	a := &attempt{token: token, at: w.now, client: client, node: i}
-	w.attempts = append(w.attempts, a)
-	m := w.machines[i]
+func (s *simulation) ask(client, token, i int) *attempt {
+	a := &attempt{token: token, at: s.now, client: client, node: i}
+	s.attempts = append(s.attempts, a)
+	m := s.machines[i]
 	if !m.up {
-		w.answer(a, "lost")
+		s.answer(a, "lost")
 		return a
 	}
-	w.at(w.now, i, func() {
+	s.at(s.now, i, func() {
 		k := key(token)
 		if got, known := m.results[k]; known {
-			w.answer(a, got)
+			s.answer(a, got)
 			return
 		}
 		if !m.pending[k] && !m.starting[k] {
 			if !m.client.Connected() {
-				w.answer(a, "throttled")
+				s.answer(a, "throttled")
 				return
 			}
 			m.pending[k] = true
 			m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
-			w.at(w.now+w.chance.Int63n(40*ms), i, func() { w.begin(i, k) })
+			s.at(s.now+s.chance.Int63n(40*ms), i, func() { s.begin(i, k) })
 		}
 		m.waiting[k] = append(m.waiting[k], a)
-		w.wakeNow(i)
-		w.at(w.now+4_000*ms, i, func() {
+		s.wakeNow(i)
+		s.at(s.now+4_000*ms, i, func() {
 			if a.answered {
 				return
 			}
 			if m.client.OwnedElsewhere(k) {
-				w.answer(a, "unknown")
+				s.answer(a, "unknown")
 			} else {
-				w.answer(a, "throttled")
+				s.answer(a, "throttled")
 			}
 			m.waiting[k] = slices.DeleteFunc(m.waiting[k], func(b *attempt) bool { return b == a })
-			if len(m.waiting[k]) == 0 && !w.started[k] && m.starting[k] {
+			if len(m.waiting[k]) == 0 && !s.started[k] && m.starting[k] {
 				delete(m.starting, k)
 				m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: k})
-				w.wakeNow(i)
+				s.wakeNow(i)
 			}
 		})
 	})
 	return a
 }
 
-func (w *simulation) begin(i int, k claims.Key) {
-	m := w.machines[i]
+func (s *simulation) begin(i int, k claims.Key) {
+	m := s.machines[i]
 	if m.pending[k] {
 		delete(m.pending, k)
 		m.starting[k] = true
 		m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.RequestStart, Key: k, BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
-		if w.runBeforeStart {
-			w.execute(i, k)
+		if s.runBeforeStart {
+			s.execute(i, k)
 		}
-		w.wakeNow(i)
+		s.wakeNow(i)
 	}
 }
 
 // execute has the executor hear of a run, after a moment in which the machine may stop or die.
-func (w *simulation) execute(i int, k claims.Key) {
-	m := w.machines[i]
-	w.at(w.now+w.chance.Int63n(2*ms), i, func() {
+func (s *simulation) execute(i int, k claims.Key) {
+	m := s.machines[i]
+	s.at(s.now+s.chance.Int63n(2*ms), i, func() {
 		var token int
 		fmt.Sscanf(k.Token, "t%d", &token)
-		w.runs[token]++
-		w.started[k] = true
-		if w.runs[token] > 1 {
-			w.fail("%s ran %d times", k, w.runs[token])
+		s.runs[token]++
+		s.started[k] = true
+		if s.runs[token] > 1 {
+			s.fail("%s ran %d times", k, s.runs[token])
 		}
-		result := fmt.Sprintf("%s run %d", k, w.runs[token])
-		w.at(w.now+w.chance.Int63n(60*ms), i, func() {
+		result := fmt.Sprintf("%s run %d", k, s.runs[token])
+		s.at(s.now+s.chance.Int63n(60*ms), i, func() {
 			m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.ReportEnd, Key: k, Result: []byte(result)})
 			m.results[k] = result
-			w.wakeNow(i)
+			s.wakeNow(i)
 		})
 	})
 }
 
-func (w *simulation) applyAction(i int, a *claims.Action) {
-	m := w.machines[i]
+func (s *simulation) applyAction(i int, a *claims.Action) {
+	m := s.machines[i]
 	switch a.Kind {
 	case claims.SendCommands:
 		if m.replica != nil {
 			m.replicaInputs = append(m.replicaInputs, Input{Claims: a.Commands})
 			return
 		}
-		to := w.members[w.chance.Intn(len(w.members))]
-		w.send(i, to, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Commands: a.Commands})
+		to := s.members[s.chance.Intn(len(s.members))]
+		s.send(i, to, Message{Kind: MessagePropose, From: m.name, Owner: claims.Owner{Name: m.name, Incarnation: m.incarnation}, Commands: a.Commands})
 	case claims.StartRun:
 		if !m.starting[a.Key] {
-			w.fail("%s may run at %s, which does not want it", a.Key, m.name)
-		} else if len(m.waiting[a.Key]) == 0 && w.chance.Intn(2) == 0 && !w.runBeforeStart && !w.stable { // nobody waits any more: nothing ran, and nothing will
+			s.fail("%s may run at %s, which does not want it", a.Key, m.name)
+		} else if len(m.waiting[a.Key]) == 0 && s.chance.Intn(2) == 0 && !s.runBeforeStart && !s.stable { // nobody waits any more: nothing ran, and nothing will
 			delete(m.starting, a.Key)
 			m.clientInputs = append(m.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
-		} else if !w.runBeforeStart {
-			w.execute(i, a.Key)
+		} else if !s.runBeforeStart {
+			s.execute(i, a.Key)
 		}
 	case claims.EndRecorded:
-		w.complete(i, a.Key, m.results[a.Key])
+		s.complete(i, a.Key, m.results[a.Key])
 	case claims.CompletedElsewhere:
 		m.results[a.Key] = string(a.Result)
-		w.complete(i, a.Key, string(a.Result))
+		s.complete(i, a.Key, string(a.Result))
 	case claims.UnknownElsewhere:
-		w.complete(i, a.Key, "unknown")
+		s.complete(i, a.Key, "unknown")
 	case claims.BodyMismatch, claims.RejectClaim:
-		w.complete(i, a.Key, "throttled")
+		s.complete(i, a.Key, "throttled")
 	case claims.TakeOver:
-		w.takeovers++
+		s.takeovers++
 		m.pending[a.Key] = true
 		k := a.Key
-		w.at(w.now+w.chance.Int63n(10*ms), i, func() { w.begin(i, k) })
+		s.at(s.now+s.chance.Int63n(10*ms), i, func() { s.begin(i, k) })
 	}
 }
 
-func (w *simulation) complete(i int, k claims.Key, got string) {
-	m := w.machines[i]
+func (s *simulation) complete(i int, k claims.Key, got string) {
+	m := s.machines[i]
 	delete(m.starting, k)
 	for _, a := range m.waiting[k] {
-		w.answer(a, got)
+		s.answer(a, got)
 	}
 	delete(m.waiting, k)
 }
 
-func (w *simulation) answer(a *attempt, got string) {
+func (s *simulation) answer(a *attempt, got string) {
 	if !a.answered {
-		a.answered, a.outcome, a.end = true, got, w.now
+		a.answered, a.outcome, a.end = true, got, s.now
 	}
 }
 
-func (w *simulation) fail(form string, args ...any) {
-	w.failures = append(w.failures, fmt.Sprintf(form, args...))
+func (s *simulation) fail(form string, args ...any) {
+	s.failures = append(s.failures, fmt.Sprintf(form, args...))
 }
 
 // check wants that no fence goes back on any seat's table, but for one that began anew.
-func (w *simulation) check(c *Group) {
-	if !c.isLeader() || c.appliedIndex == w.checkedIndex {
+func (s *simulation) check(c *Group) {
+	if !c.isLeader() || c.appliedIndex == s.checkedIndex {
 		return
 	}
-	w.checkedIndex = c.appliedIndex
+	s.checkedIndex = c.appliedIndex
 	if term, err := c.storage.Term(c.appliedIndex); err != nil || term != c.node.BasicStatus().GetTerm() {
 		return // it has not carried out yet what was agreed on before it led
 	}
-	for _, m := range w.machines { // one that does not know yet that another leads has an old table
+	for _, m := range s.machines { // one that does not know yet that another leads has an old table
 		if m.up && m.replica != nil && m.replica.node.BasicStatus().GetTerm() > c.node.BasicStatus().GetTerm() {
 			return
 		}
 	}
 	for _, e := range c.table.List(1 << 20) {
-		if before := w.fences[e.Key]; e.Fence > before {
-			w.fences[e.Key] = e.Fence
-		} else if e.Fence < before && c.isLeader() && !c.steppedDown() && c.appliedIndex == c.node.BasicStatus().GetCommit() && w.stable {
-			w.fail("%s: fence %d after %d", e.Key, e.Fence, before)
+		if before := s.fences[e.Key]; e.Fence > before {
+			s.fences[e.Key] = e.Fence
+		} else if e.Fence < before && c.isLeader() && !c.steppedDown() && c.appliedIndex == c.node.BasicStatus().GetCommit() && s.stable {
+			s.fail("%s: fence %d after %d", e.Key, e.Fence, before)
 		}
 	}
 }
 
 // linearizable says whether what callers saw of the tokens could have come from one place where each ran at most once.
-func (w *simulation) linearizable() bool {
+func (s *simulation) linearizable() bool {
 	type input struct{ token int }
 	model := porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
@@ -497,7 +497,7 @@
 		},
 	}
 	var history []porcupine.Operation
-	for _, a := range w.attempts {
+	for _, a := range s.attempts {
 		if a.answered {
 			history = append(history, porcupine.Operation{ClientId: a.client, Input: input{a.token}, Call: a.at, Output: a.outcome, Return: a.end})
 		}
@@ -506,26 +506,26 @@
 }
 
 // resume has all go on that were paused.
-func (w *simulation) resume() {
-	for i := range w.machines {
-		w.pause(i, false)
+func (s *simulation) resume() {
+	for i := range s.machines {
+		s.pause(i, false)
 	}
 }
 
 // cutFrom cuts the way from a machine to some of the others.
-func (w *simulation) cutFrom(i int, chance *rand.Rand) {
-	for k := range w.machines {
+func (s *simulation) cutFrom(i int, chance *rand.Rand) {
+	for k := range s.machines {
 		if k != i && chance.Intn(2) == 0 {
-			w.cutLinks[[2]int{i, k}] = true
+			s.cutLinks[[2]int{i, k}] = true
 		}
 	}
 }
 
 // cutOff cuts the way of all others to a machine, and its way to some of them.
-func (w *simulation) cutOff(i int, chance *rand.Rand) {
-	for k := range w.machines {
+func (s *simulation) cutOff(i int, chance *rand.Rand) {
+	for k := range s.machines {
 		if k != i {
-			w.cutLinks[[2]int{k, i}], w.cutLinks[[2]int{i, k}] = true, chance.Intn(2) == 0
+			s.cutLinks[[2]int{k, i}], s.cutLinks[[2]int{i, k}] = true, chance.Intn(2) == 0
 		}
 	}
 }
--- a/internal/fleet/consensus/leases.go
+++ b/internal/fleet/consensus/leases.go
@@ -24,50 +24,50 @@
 	grants        map[claims.Owner][]quota.Verdict
 }
 
-func (x *leaseTable) reset() {
-	x.leases, x.queuedLeases = quota.NewLeaseTable(), nil
-	x.pendingLeases, x.grants = map[leaseCommandID]int64{}, map[claims.Owner][]quota.Verdict{}
+func (t *leaseTable) reset() {
+	t.leases, t.queuedLeases = quota.NewLeaseTable(), nil
+	t.pendingLeases, t.grants = map[leaseCommandID]int64{}, map[claims.Owner][]quota.Verdict{}
 }
 
-func (x *leaseTable) becomeLeader() {}
+func (t *leaseTable) becomeLeader() {}
 
 // requestLeases takes asks for leases on; without a leader they are dropped, and asked again.
-func (x *leaseTable) requestLeases(list []quota.Command) {
+func (t *leaseTable) requestLeases(list []quota.Command) {
 	for i := range list {
-		if x.replica.leaderID == 0 || len(x.pendingLeases) >= maxPendingCommands {
+		if t.replica.leaderID == 0 || len(t.pendingLeases) >= maxPendingCommands {
 			return
 		}
-		x.pendingLeases[leaseCommandID{claims.Owner(list[i].Sender), list[i].Limit, list[i].Seq}] = x.replica.now
-		x.queuedLeases = append(x.queuedLeases, list[i])
+		t.pendingLeases[leaseCommandID{claims.Owner(list[i].Sender), list[i].Limit, list[i].Seq}] = t.replica.now
+		t.queuedLeases = append(t.queuedLeases, list[i])
 	}
 }
 
-func (x *leaseTable) expirePending() {
-	for key, at := range x.pendingLeases {
-		if x.replica.now-at >= pendingTimeout {
-			delete(x.pendingLeases, key)
+func (t *leaseTable) expirePending() {
+	for key, at := range t.pendingLeases {
+		if t.replica.now-at >= pendingTimeout {
+			delete(t.pendingLeases, key)
 		}
 	}
 }
 
 // leaderTick defines the limits that are not agreed on yet.
-func (x *leaseTable) leaderTick() {
-	for _, l := range x.limits {
-		if known := x.leases.Find(l.Limit); known == nil || known.Version < l.Version {
-			x.queuedLeases = append(x.queuedLeases, l)
+func (t *leaseTable) leaderTick() {
+	for _, l := range t.limits {
+		if known := t.leases.Find(l.Limit); known == nil || known.Version < l.Version {
+			t.queuedLeases = append(t.queuedLeases, l)
 		}
 	}
 }
 
-func (x *leaseTable) storedSeparately() bool { return false }
+func (t *leaseTable) storedSeparately() bool { return false }
 
-func (x *leaseTable) nextProposal() (part []byte) {
-	part, x.queuedLeases = encodeQueued(x.queuedLeases)
+func (t *leaseTable) nextProposal() (part []byte) {
+	part, t.queuedLeases = encodeQueued(t.queuedLeases)
 	return part
 }
 
 // Apply carries leases' part of an entry out.
-func (x *leaseTable) Apply(at int64, part []byte) {
+func (t *leaseTable) Apply(at int64, part []byte) {
 	var list []quota.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
 		return
@@ -76,27 +76,27 @@
 		panic("a command of a newer version: the others' tables would not be this one's any more")
 	}
 	for i := range list {
-		x.applyCommand(at, &list[i])
+		t.applyCommand(at, &list[i])
 	}
 }
 
-func (x *leaseTable) applyCommand(at int64, command *quota.Command) {
-	x.replica.Counters.Committed++
-	v := x.leases.Apply(at, command)
+func (t *leaseTable) applyCommand(at int64, command *quota.Command) {
+	t.replica.Counters.Committed++
+	verdict := t.leases.Apply(at, command)
 	key := leaseCommandID{claims.Owner(command.Sender), command.Limit, command.Seq}
-	if _, here := x.pendingLeases[key]; here && command.Kind == quota.CommandRequestLease {
-		delete(x.pendingLeases, key)
-		x.grants[key.owner] = append(x.grants[key.owner], v)
+	if _, here := t.pendingLeases[key]; here && command.Kind == quota.CommandRequestLease {
+		delete(t.pendingLeases, key)
+		t.grants[key.owner] = append(t.grants[key.owner], verdict)
 	}
 }
 
 // Snapshot is the book of limits.
-func (x *leaseTable) Snapshot() ([]byte, error) { return x.leases.Snapshot() }
+func (t *leaseTable) Snapshot() ([]byte, error) { return t.leases.Snapshot() }
 
 // Restore takes the place of the book of limits.
-func (x *leaseTable) Restore(text []byte) (err error) {
-	if x.leases = quota.NewLeaseTable(); len(text) > 0 {
-		x.leases, err = quota.Restore(text)
+func (t *leaseTable) Restore(text []byte) (err error) {
+	if t.leases = quota.NewLeaseTable(); len(text) > 0 {
+		t.leases, err = quota.Restore(text)
 	}
 	return err
 }
--- a/internal/fleet/consensus/parts.go
+++ b/internal/fleet/consensus/parts.go
@@ -33,64 +33,64 @@
 }
 
 // awaitParts says whether a snapshot must wait for parts, and has it wait.
-func (x *Replica) awaitParts(m *pb.Message, from string) bool {
-	left := slices.DeleteFunc(separateDigests(m.GetSnapshot()), func(d string) bool { return x.storedParts[d] != nil })
+func (r *Replica) awaitParts(m *pb.Message, from string) bool {
+	left := slices.DeleteFunc(separateDigests(m.GetSnapshot()), func(d string) bool { return r.storedParts[d] != nil })
 	if len(left) == 0 {
-		x.partFetch = nil
+		r.partFetch = nil
 		return false
 	}
-	next := &partFetch{message: m, from: from, missing: left, requestAt: x.now, progressAt: x.now}
-	if f := x.partFetch; f != nil && f.missing[0] == left[0] {
+	next := &partFetch{message: m, from: from, missing: left, requestAt: r.now, progressAt: r.now}
+	if f := r.partFetch; f != nil && f.missing[0] == left[0] {
 		next.received, next.requestAt, next.progressAt = f.received, f.requestAt, f.progressAt // it goes on
 	}
-	x.partFetch = next
-	x.requestChunk()
+	r.partFetch = next
+	r.requestChunk()
 	return true
 }
 
 // requestChunk asks for the next piece where that is due.
-func (x *Replica) requestChunk() {
-	f := x.partFetch
+func (r *Replica) requestChunk() {
+	f := r.partFetch
 	switch {
-	case f == nil || x.now < f.requestAt:
-	case x.now-f.progressAt >= chunkTimeout:
-		x.partFetch = nil
+	case f == nil || r.now < f.requestAt:
+	case r.now-f.progressAt >= chunkTimeout:
+		r.partFetch = nil
 	default:
-		f.requestAt = x.now + chunkRetryInterval
-		x.send(f.from, Message{Kind: MessagePartRequest, Part: f.missing[0], Offset: len(f.received)})
+		f.requestAt = r.now + chunkRetryInterval
+		r.send(f.from, Message{Kind: MessagePartRequest, Part: f.missing[0], Offset: len(f.received)})
 	}
 }
 
 // handlePartRequest answers one who asks.
-func (x *Replica) handlePartRequest(m *Message) {
-	text := x.storedParts[m.Part]
-	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(x.members, m.From) {
+func (r *Replica) handlePartRequest(m *Message) {
+	text := r.storedParts[m.Part]
+	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(r.members, m.From) {
 		return
 	}
-	x.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: text[m.Offset:min(len(text), m.Offset+chunkBytes)]})
+	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: text[m.Offset:min(len(text), m.Offset+chunkBytes)]})
 }
 
 // handlePart takes a piece; what does not follow on what is there was asked for twice.
-func (x *Replica) handlePart(m *Message) {
-	f := x.partFetch
+func (r *Replica) handlePart(m *Message) {
+	f := r.partFetch
 	if f == nil || m.From != f.from || m.Part != f.missing[0] || m.Offset != len(f.received) || m.Size > maxPartBytes || len(m.Bytes) == 0 {
 		return
 	}
-	f.received, f.requestAt, f.progressAt = append(f.received, m.Bytes...), x.now, x.now
+	f.received, f.requestAt, f.progressAt = append(f.received, m.Bytes...), r.now, r.now
 	if len(f.received) >= m.Size {
 		if partDigest(f.received) == f.missing[0] {
-			x.storedParts[f.missing[0]] = f.received
+			r.storedParts[f.missing[0]] = f.received
 			f.missing = f.missing[1:]
 		}
 		f.received = nil
 	}
 	if len(f.missing) == 0 {
-		x.partFetch = nil
-		x.node.Step(f.message)
-		x.followLeader()
+		r.partFetch = nil
+		r.node.Step(f.message)
+		r.followLeader()
 		return
 	}
-	x.requestChunk()
+	r.requestChunk()
 }
 
 // A snapshot is written of what is known at one entry, some in each step; entries go on being carried out meanwhile.
@@ -128,11 +128,11 @@
 }
 
 // beginSnapshot begins a snapshot. What did not change since the last one is not written anew.
-func (x *Replica) beginSnapshot() *snapshotWriter {
-	n := len(x.tables)
-	w := &snapshotWriter{index: x.appliedIndex, confState: x.confState, replicas: maps.Clone(x.replicas), texts: slices.Clone(x.cachedTexts), digests: slices.Clone(x.cachedDigests),
+func (r *Replica) beginSnapshot() *snapshotWriter {
+	n := len(r.tables)
+	w := &snapshotWriter{index: r.appliedIndex, confState: r.confState, replicas: maps.Clone(r.replicas), texts: slices.Clone(r.cachedTexts), digests: slices.Clone(r.cachedDigests),
 		separate: make([]bool, n), changed: make([]bool, n), pending: make([]incrementalSnapshot, n), hash: sha256.New()}
-	for i, t := range x.tables {
+	for i, t := range r.tables {
 		w.separate[i] = t.storedSeparately()
 		if w.texts[i] != nil {
 			continue
@@ -152,8 +152,8 @@
 }
 
 // continueSnapshot goes on with what is written.
-func (x *Replica) continueSnapshot() {
-	w := x.snapshotWriter
+func (r *Replica) continueSnapshot() {
+	w := r.snapshotWriter
 	if w == nil {
 		return
 	}
@@ -174,7 +174,7 @@
 }
 
 // encodeSnapshot is the text of a snapshot that is whole, with the tables that lie apart named by their digests.
-func (x *Replica) encodeSnapshot(w *snapshotWriter) []byte {
+func (r *Replica) encodeSnapshot(w *snapshotWriter) []byte {
 	all := map[uint8]any{snapshotKeyReplicas: w.replicas}
 	for i, text := range w.texts {
 		part := any(text)
@@ -182,10 +182,10 @@
 			if w.digests[i] == "" {
 				w.digests[i] = partDigest(text)
 			}
-			x.storedParts[w.digests[i]], part = text, w.digests[i]
+			r.storedParts[w.digests[i]], part = text, w.digests[i]
 		}
 		if all[snapshotKeyReplicas+1+uint8(i)] = part; !w.changed[i] {
-			x.cachedTexts[i], x.cachedDigests[i] = text, w.digests[i]
+			r.cachedTexts[i], r.cachedDigests[i] = text, w.digests[i]
 		}
 	}
 	text, err := cborEncoding.Marshal(all)
@@ -196,7 +196,7 @@
 }
 
 // decodePart is the text of a table that a snapshot has as part, empty where it has none.
-func (x *Replica) decodePart(part cbor.RawMessage) (text []byte, name string, err error) {
+func (r *Replica) decodePart(part cbor.RawMessage) (text []byte, name string, err error) {
 	if len(part) == 0 {
 		return nil, "", nil
 	}
@@ -205,7 +205,7 @@
 		return text, "", err
 	}
 	if err = cbor.Unmarshal(part, &name); err == nil {
-		if text = x.storedParts[name]; text == nil {
+		if text = r.storedParts[name]; text == nil {
 			err = errMissingPart
 		}
 	}
@@ -213,16 +213,16 @@
 }
 
 // dropUnusedParts lets go of parts that neither the last snapshot nor the one before names: one that is on its way may lack those.
-func (x *Replica) dropUnusedParts() {
-	snap, err := x.storage.Snapshot()
+func (r *Replica) dropUnusedParts() {
+	snap, err := r.storage.Snapshot()
 	if err != nil {
 		return
 	}
 	now := separateDigests(snap)
-	for d := range x.storedParts {
-		if !slices.Contains(now, d) && !slices.Contains(x.previousDigests, d) && (x.partFetch == nil || !slices.Contains(separateDigests(x.partFetch.message.GetSnapshot()), d)) {
-			delete(x.storedParts, d)
+	for d := range r.storedParts {
+		if !slices.Contains(now, d) && !slices.Contains(r.previousDigests, d) && (r.partFetch == nil || !slices.Contains(separateDigests(r.partFetch.message.GetSnapshot()), d)) {
+			delete(r.storedParts, d)
 		}
 	}
-	x.previousDigests = now
+	r.previousDigests = now
 }
--- a/internal/fleet/consensus/parts_test.go
+++ b/internal/fleet/consensus/parts_test.go
@@ -19,37 +19,37 @@
 	snapshots int // snapshots
 }
 
-func (x *largeTable) Apply(_ int64, part []byte)  { x.text = bytes.Repeat(part, 1<<20) }
-func (x *largeTable) Snapshot() ([]byte, error)   { x.snapshots++; return x.text, nil }
-func (x *largeTable) Restore(text []byte) error   { x.text = text; return nil }
-func (x *largeTable) reset()                      { x.text = []byte{0} }
-func (x *largeTable) becomeLeader()               {}
-func (x *largeTable) leaderTick()                 {}
-func (x *largeTable) storedSeparately() bool      { return true }
-func (x *largeTable) nextProposal() (part []byte) { part, x.queued = x.queued, nil; return part }
+func (t *largeTable) Apply(_ int64, part []byte)  { t.text = bytes.Repeat(part, 1<<20) }
+func (t *largeTable) Snapshot() ([]byte, error)   { t.snapshots++; return t.text, nil }
+func (t *largeTable) Restore(text []byte) error   { t.text = text; return nil }
+func (t *largeTable) reset()                      { t.text = []byte{0} }
+func (t *largeTable) becomeLeader()               {}
+func (t *largeTable) leaderTick()                 {}
+func (t *largeTable) storedSeparately() bool      { return true }
+func (t *largeTable) nextProposal() (part []byte) { part, t.queued = t.queued, nil; return part }
 
 func TestLargeTableIsEncodedAndSentOnceForEachContent(t *testing.T) {
-	w := newSimulation(1, 4, 3)
-	w.stable, w.disks = true, true
+	sim := newSimulation(1, 4, 3)
+	sim.stable, sim.disks = true, true
 	tables := make([]*largeTable, 3)
-	w.configure = func(i int, c *Group) {
+	sim.configure = func(i int, c *Group) {
 		tables[i] = &largeTable{}
 		c.tables = append(c.tables, tables[i])
 		c.initialize()
 	}
-	w.startAll()
-	w.run(5_000 * ms)
-	leader := w.leader()
+	sim.startAll()
+	sim.run(5_000 * ms)
+	leader := sim.leader()
 	require.NotNil(t, leader)
-	i := w.indexOf(leader)
+	i := sim.indexOf(leader)
 	tables[i].queued = []byte{7}
-	w.run(w.now + 1_000*ms)
+	sim.run(sim.now + 1_000*ms)
 	lost := (i + 1) % 3
 	for round := range 3 {
-		w.kill(lost)
-		w.machines[lost].disk = nil
-		w.start(lost)
-		w.run(w.now + 4_000*ms)
+		sim.kill(lost)
+		sim.machines[lost].disk = nil
+		sim.start(lost)
+		sim.run(sim.now + 4_000*ms)
 		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].text, "round %d: it came in pieces", round)
 	}
 	snap, err := leader.replica.storage.Snapshot()
@@ -57,9 +57,9 @@
 	assert.Less(t, len(snap.GetData()), 64<<10, "a snapshot names it only")
 	assert.LessOrEqual(t, tables[i].snapshots, 2, "empty, and as it is")
 	assert.LessOrEqual(t, len(leader.replica.storedParts), 2)
-	w.killReplicas()
-	w.startAll()
-	w.run(w.now + 4_000*ms)
+	sim.killReplicas()
+	sim.startAll()
+	sim.run(sim.now + 4_000*ms)
 	for k := range tables {
 		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[k].text, "it comes back from the disk")
 	}
@@ -77,46 +77,46 @@
 	table *watchedTable
 }
 
-func (x *watchedTable) beginSnapshot() incrementalSnapshot {
-	return &watchedSnapshot{x.configTable.beginSnapshot(), x}
+func (t *watchedTable) beginSnapshot() incrementalSnapshot {
+	return &watchedSnapshot{t.configTable.beginSnapshot(), t}
 }
 
-func (x *watchedTable) nextProposal() []byte {
-	x.nextCalls++
-	return x.configTable.nextProposal()
+func (t *watchedTable) nextProposal() []byte {
+	t.nextCalls++
+	return t.configTable.nextProposal()
 }
 
-func (p *watchedSnapshot) Next(least int) bool {
-	before := len(p.Text())
-	whole := p.incrementalSnapshot.Next(least)
-	p.table.bytesByStep[p.table.nextCalls] += len(p.Text()) - before
+func (t *watchedSnapshot) Next(least int) bool {
+	before := len(t.Text())
+	whole := t.incrementalSnapshot.Next(least)
+	t.table.bytesByStep[t.table.nextCalls] += len(t.Text()) - before
 	return whole
 }
 
 // A snapshot of a large configuration is written over many steps while entries go on being agreed on, at the bound of the log and
 // where a seat that forgot is seated anew, and what comes back from the disk is what was agreed on.
 func TestSnapshotOfALargeTableIsSpreadOverSteps(t *testing.T) {
-	w := newSimulation(1, 4, 3)
-	w.stable, w.disks = true, true
+	sim := newSimulation(1, 4, 3)
+	sim.stable, sim.disks = true, true
 	var tables [3]*watchedTable
-	w.configure = func(i int, c *Group) {
+	sim.configure = func(i int, c *Group) {
 		tables[i] = &watchedTable{configTable: c.configs, bytesByStep: map[int]int{}}
 		c.tables[2] = tables[i]
 	}
-	w.startAll()
-	w.run(5_000 * ms)
-	require.NotNil(t, w.leader())
+	sim.startAll()
+	sim.run(5_000 * ms)
+	require.NotNil(t, sim.leader())
 	const pieces, each = 30, 1_000
 	for k := range pieces {
 		var changes []configsync.Item
 		for n := range each {
 			changes = append(changes, tenantItem(fmt.Sprintf("tenant-%d-%d", k, n), 1))
 		}
-		v := w.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes})
+		v := sim.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes})
 		require.True(t, v.Done, v.Refused)
 	}
-	w.run(w.now + 4_000*ms)
-	size := w.leader().replica.configs.table.Agreed().All.Bytes()
+	sim.run(sim.now + 4_000*ms)
+	size := sim.leader().replica.configs.table.Agreed().All.Bytes()
 	const most = 256 << 10 // bytes: some half a millisecond, with the digest
 	check := func(x *watchedTable, what string) {
 		assert.Greater(t, len(x.bytesByStep), size/most, what)
@@ -125,30 +125,30 @@
 		}
 		clear(x.bytesByStep)
 	}
-	m := w.leader()
+	m := sim.leader()
 	self := claims.Owner{Name: m.name, Incarnation: m.incarnation}
 	for n := range 2_500 { // more entries than one snapshot holds
 		m.replicaInputs = append(m.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
-		w.wakeNow(w.indexOf(m))
-		w.run(w.now + 8*ms)
+		sim.wakeNow(sim.indexOf(m))
+		sim.run(sim.now + 8*ms)
 	}
 	for i := range tables {
 		check(tables[i], "at the bound of the log")
 	}
-	lost := (w.indexOf(m) + 1) % 3
-	w.kill(lost)
-	w.machines[lost].disk = nil
-	w.start(lost)
-	w.propose(t, w.indexOf(m), configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantItem("x", 1)}})
-	w.run(w.now + 8_000*ms)
-	check(tables[w.indexOf(m)], "a seat anew")
-	assert.Equal(t, uint64(2), w.machines[lost].replica.configs.table.Head().All.Version)
-	w.killReplicas()
-	w.startAll()
-	w.run(w.now + 4_000*ms)
-	for i, h := range w.heads() {
+	lost := (sim.indexOf(m) + 1) % 3
+	sim.kill(lost)
+	sim.machines[lost].disk = nil
+	sim.start(lost)
+	sim.propose(t, sim.indexOf(m), configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantItem("x", 1)}})
+	sim.run(sim.now + 8_000*ms)
+	check(tables[sim.indexOf(m)], "a seat anew")
+	assert.Equal(t, uint64(2), sim.machines[lost].replica.configs.table.Head().All.Version)
+	sim.killReplicas()
+	sim.startAll()
+	sim.run(sim.now + 4_000*ms)
+	for i, h := range sim.heads() {
 		assert.Equal(t, uint64(2), h.All.Version, "seat %d is back from its disk", i)
-		assert.Equal(t, pieces*each+1, w.machines[i].replica.configs.table.Agreed().All.Len(configsync.Tenants))
-		assert.LessOrEqual(t, len(w.machines[i].replica.storedParts), 2)
+		assert.Equal(t, pieces*each+1, sim.machines[i].replica.configs.table.Agreed().All.Len(configsync.Tenants))
+		assert.LessOrEqual(t, len(sim.machines[i].replica.storedParts), 2)
 	}
 }
--- a/internal/fleet/consensus/seat.go
+++ b/internal/fleet/consensus/seat.go
@@ -136,91 +136,91 @@
 }
 
 // initialize is a life of this seat, with nothing known.
-func (x *Replica) initialize() {
-	x.raftID = xxhash.Sum64String(fmt.Sprintf("%s %d %d", x.self, x.incarnation, x.random.Uint64())) | 1
-	x.storage = raft.NewMemoryStorage()
-	x.replicas, x.discovered = map[string]replicaIncarnation{}, map[string]Message{}
-	x.appliedIndex, x.snapshotIndex, x.confState, x.bootstrapped, x.boundSet = 0, 0, nil, false, 0
-	x.leaderID, x.lastContact, x.snapshotSentAt, x.lastIDs = 0, map[uint64]int64{}, map[uint64]int64{}, map[string]uint64{}
-	x.cachedTexts, x.cachedDigests, x.announceStepDown = make([][]byte, len(x.tables)), make([]string, len(x.tables)), false
-	x.storedParts, x.previousDigests, x.partFetch, x.snapshotWriter = map[string][]byte{}, nil, nil, nil
-	x.disk.peerWrites, x.disk.peerWritesChanged, x.disk.pendingReady, x.disk.rejoinAnswers = map[uint64]uint64{}, false, nil, nil
-	if x.disk.enabled && x.disk.nonEmpty {
-		x.emitWrite(Write{DiscardEarlier: true}, nil)
-	}
-	for _, t := range x.tables {
+func (r *Replica) initialize() {
+	r.raftID = xxhash.Sum64String(fmt.Sprintf("%s %d %d", r.self, r.incarnation, r.random.Uint64())) | 1
+	r.storage = raft.NewMemoryStorage()
+	r.replicas, r.discovered = map[string]replicaIncarnation{}, map[string]Message{}
+	r.appliedIndex, r.snapshotIndex, r.confState, r.bootstrapped, r.boundSet = 0, 0, nil, false, 0
+	r.leaderID, r.lastContact, r.snapshotSentAt, r.lastIDs = 0, map[uint64]int64{}, map[uint64]int64{}, map[string]uint64{}
+	r.cachedTexts, r.cachedDigests, r.announceStepDown = make([][]byte, len(r.tables)), make([]string, len(r.tables)), false
+	r.storedParts, r.previousDigests, r.partFetch, r.snapshotWriter = map[string][]byte{}, nil, nil, nil
+	r.disk.peerWrites, r.disk.peerWritesChanged, r.disk.pendingReady, r.disk.rejoinAnswers = map[uint64]uint64{}, false, nil, nil
+	if r.disk.enabled && r.disk.nonEmpty {
+		r.emitWrite(Write{DiscardEarlier: true}, nil)
+	}
+	for _, t := range r.tables {
 		t.reset()
 	}
-	x.discoveryAt, x.leaderTickAt = x.now, x.now
-	x.startRaft(0)
-	x.resetElectionTimer()
+	r.discoveryAt, r.leaderTickAt = r.now, r.now
+	r.startRaft(0)
+	r.resetElectionTimer()
 }
 
 // startRaft makes the node over what is stored. Elections are this package's, from its own source of chance: startRaft's ticks are
 // only the leader's words.
-func (x *Replica) startRaft(applied uint64) {
-	node, err := raft.NewRawNode(&raft.Config{ID: x.raftID, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: x.storage, Applied: applied,
+func (r *Replica) startRaft(applied uint64) {
+	node, err := raft.NewRawNode(&raft.Config{ID: r.raftID, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: r.storage, Applied: applied,
 		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInFlightMessages, MaxUncommittedEntriesSize: maxUncommittedBytes, PreVote: true,
 		MaxCommittedSizePerReady: maxUncommittedBytes, StepDownOnRemoval: true, Logger: raftLogger{}})
 	if err != nil {
 		panic(err) // of constants
 	}
-	x.node = node
+	r.node = node
 }
 
 // step takes what happened, by take, and does what follows from it.
-func (x *Replica) step(now int64, take func()) {
-	stood := x.wakeAt > 0 && now-x.wakeAt > minStandstill
-	x.now, x.effects, x.earlyEffects = now, append(x.effects[:0], x.earlyEffects...), nil
-	if stood && !x.isLeader() { // what came meanwhile is not read yet: a leader that was not heard is no sign
-		x.resetElectionTimer()
+func (r *Replica) step(now int64, take func()) {
+	stood := r.wakeAt > 0 && now-r.wakeAt > minStandstill
+	r.now, r.effects, r.earlyEffects = now, append(r.effects[:0], r.earlyEffects...), nil
+	if stood && !r.isLeader() { // what came meanwhile is not read yet: a leader that was not heard is no sign
+		r.resetElectionTimer()
 	}
-	x.restartOnPanic(func() {
+	r.restartOnPanic(func() {
 		take()
-		x.runTimers()
-		x.propose()
-		x.processReady()
-		x.announceStepDown = x.announceStepDown && x.disk.pendingReady != nil
+		r.runTimers()
+		r.propose()
+		r.processReady()
+		r.announceStepDown = r.announceStepDown && r.disk.pendingReady != nil
 	})
 }
 
-func (x *Replica) resetElectionTimer() {
-	x.electionAt = x.now + minElectionTimeout + x.random.Int63n(minElectionTimeout)
+func (r *Replica) resetElectionTimer() {
+	r.electionAt = r.now + minElectionTimeout + r.random.Int63n(minElectionTimeout)
 }
 
-func (x *Replica) emit(e Effect) { x.effects = append(x.effects, e) }
+func (r *Replica) emit(e Effect) { r.effects = append(r.effects, e) }
 
-func (x *Replica) log(warn bool, form string, args ...any) {
-	x.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(form, args...)})
+func (r *Replica) log(warn bool, form string, args ...any) {
+	r.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(form, args...)})
 }
 
-func (x *Replica) send(to string, m Message) {
-	m.From = x.self
+func (r *Replica) send(to string, m Message) {
+	m.From = r.self
 	if m.Kind == MessageVerdicts {
-		m.Leader = x.Leader()
+		m.Leader = r.Leader()
 	}
-	x.emit(Effect{Kind: Send, To: to, Message: m})
+	r.emit(Effect{Kind: Send, To: to, Message: m})
 }
 
-func (x *Replica) isLeader() bool { return x.leaderID == x.raftID }
+func (r *Replica) isLeader() bool { return r.leaderID == r.raftID }
 
 // IsLeader says whether this seat leads the council, as far as it knows.
-func (x *Replica) IsLeader() bool { return x.isLeader() }
+func (r *Replica) IsLeader() bool { return r.isLeader() }
 
 // IsCurrent says whether this seat knows of all that was agreed on but for what is on its way: it hears a leader, or leads and is
 // heard by a majority, and has carried out something of that leader's term, and with it all before.
-func (x *Replica) IsCurrent() bool {
-	if !x.bootstrapped || x.leaderID == 0 || x.now >= x.leaderContactAt+minElectionTimeout || x.steppedDown() {
+func (r *Replica) IsCurrent() bool {
+	if !r.bootstrapped || r.leaderID == 0 || r.now >= r.leaderContactAt+minElectionTimeout || r.steppedDown() {
 		return false
 	}
-	term, err := x.storage.Term(x.appliedIndex)
-	return err == nil && term == x.node.BasicStatus().GetTerm()
+	term, err := r.storage.Term(r.appliedIndex)
+	return err == nil && term == r.node.BasicStatus().GetTerm()
 }
 
 // Leader is the name of the seat that leads, as far as this one knows, empty where it knows none.
-func (x *Replica) Leader() string {
-	for name, s := range x.replicas {
-		if s.ID == x.leaderID {
+func (r *Replica) Leader() string {
+	for name, s := range r.replicas {
+		if s.ID == r.leaderID {
 			return name
 		}
 	}
@@ -229,156 +229,156 @@
 
 // restartOnPanic begins this seat anew where raft can't go on. Guards against messages that no sound seat sends; does harm
 // where a fault of this program would better be seen at once: it is counted and told.
-func (x *Replica) restartOnPanic(do func()) {
+func (r *Replica) restartOnPanic(do func()) {
 	defer func() {
-		if what := recover(); what != nil {
-			x.Counters.Broken++
-			x.restart()
-			x.log(true, "the council's seat could not go on and begins anew: %v", what)
+		if cause := recover(); cause != nil {
+			r.Counters.Broken++
+			r.restart()
+			r.log(true, "the council's seat could not go on and begins anew: %v", cause)
 		}
 	}()
 	do()
 }
 
-func (x *Replica) handleRaft(in *Message) {
+func (r *Replica) handleRaft(in *Message) {
 	m := new(pb.Message)
-	if proto.Unmarshal(in.Raft, m) != nil || m.GetTo() != x.raftID || !slices.Contains(x.members, in.From) || x.disk.rejoinAnswers != nil {
+	if proto.Unmarshal(in.Raft, m) != nil || m.GetTo() != r.raftID || !slices.Contains(r.members, in.From) || r.disk.rejoinAnswers != nil {
 		return
 	}
-	if len(x.lastContact) >= maxTrackedIDs {
-		clear(x.lastContact)
+	if len(r.lastContact) >= maxTrackedIDs {
+		clear(r.lastContact)
 	}
-	x.lastContact[m.GetFrom()], x.lastIDs[in.From] = x.now, m.GetFrom()
-	x.trackPeerWrite(m.GetFrom(), in.Number, in.From)
+	r.lastContact[m.GetFrom()], r.lastIDs[in.From] = r.now, m.GetFrom()
+	r.trackPeerWrite(m.GetFrom(), in.Number, in.From)
 	switch m.GetType() {
 	case pb.MsgPreVote, pb.MsgVote: // who hears a leader, or leads, does not help to unseat it
-		if x.leaderID != 0 && x.now < x.leaderContactAt+minElectionTimeout && m.GetFrom() != x.leaderID {
+		if r.leaderID != 0 && r.now < r.leaderContactAt+minElectionTimeout && m.GetFrom() != r.leaderID {
 			return
 		}
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		if m.GetTerm() >= x.node.BasicStatus().GetTerm() {
-			x.leaderContactAt = x.now
-			x.resetElectionTimer()
+		if m.GetTerm() >= r.node.BasicStatus().GetTerm() {
+			r.leaderContactAt = r.now
+			r.resetElectionTimer()
 		}
 	}
-	if m.GetType() == pb.MsgSnap && x.awaitParts(m, in.From) {
+	if m.GetType() == pb.MsgSnap && r.awaitParts(m, in.From) {
 		return
 	}
-	x.node.Step(m) // what it refuses is old
-	x.followLeader()
+	r.node.Step(m) // what it refuses is old
+	r.followLeader()
 }
 
 // followLeader follows who leads.
-func (x *Replica) followLeader() {
-	before := x.leaderID
-	if x.leaderID = x.node.BasicStatus().Lead; x.leaderID == before {
+func (r *Replica) followLeader() {
+	before := r.leaderID
+	if r.leaderID = r.node.BasicStatus().Lead; r.leaderID == before {
 		return
 	}
-	if x.leaderID == 0 {
+	if r.leaderID == 0 {
 		return
 	}
-	if x.isLeader() {
-		x.heartbeatAt, x.leaderTickAt = x.now, x.now
-		for _, t := range x.tables {
+	if r.isLeader() {
+		r.heartbeatAt, r.leaderTickAt = r.now, r.now
+		for _, t := range r.tables {
 			t.becomeLeader()
 		}
-		clear(x.lastContact)
-		for _, s := range x.replicas {
-			x.lastContact[s.ID] = x.now
+		clear(r.lastContact)
+		for _, s := range r.replicas {
+			r.lastContact[s.ID] = r.now
 		}
-		x.leaderContactAt = x.now
-		x.log(false, "this node leads the council, term %d", x.node.BasicStatus().GetTerm())
+		r.leaderContactAt = r.now
+		r.log(false, "this node leads the council, term %d", r.node.BasicStatus().GetTerm())
 	} else {
-		x.leaderContactAt = x.now
+		r.leaderContactAt = r.now
 	}
 }
 
 // steppedDown says whether this leader heard no majority, whatever it said, for long: it then keeps silent, so that those who hear it, and whom it
 // does not hear, choose another.
-func (x *Replica) steppedDown() bool {
-	if !x.isLeader() {
+func (r *Replica) steppedDown() bool {
+	if !r.isLeader() {
 		return false
 	}
 	near := 0
-	for _, s := range x.replicas {
-		if s.ID == x.raftID || x.now-x.lastContact[s.ID] < leaderSilenceTimeout {
+	for _, s := range r.replicas {
+		if s.ID == r.raftID || r.now-r.lastContact[s.ID] < leaderSilenceTimeout {
 			near++
 		}
 	}
-	return 2*near <= len(x.replicas)
+	return 2*near <= len(r.replicas)
 }
 
-func (x *Replica) runTimers() {
-	if !x.bootstrapped {
-		x.tickBootstrap()
-	} else if x.disk.rejoinAnswers != nil {
-		x.tickRejoin()
+func (r *Replica) runTimers() {
+	if !r.bootstrapped {
+		r.tickBootstrap()
+	} else if r.disk.rejoinAnswers != nil {
+		r.tickRejoin()
 		return
-	} else if last, _ := x.storage.LastIndex(); last == 1 && x.appliedIndex == 1 && x.leaderID == 0 && x.now-x.boundAt > bootstrapTimeout {
-		x.restart() // nothing was ever agreed on or acknowledged; others may have given this founding up
-	}
-	x.requestChunk()
-	if x.isLeader() {
-		if x.now >= x.heartbeatAt {
-			x.heartbeatAt = x.now + heartbeatInterval
-			x.node.Tick()
-			if !x.steppedDown() {
-				x.leaderContactAt = x.now
-			} else if x.now >= x.stepDownAt {
-				x.stepDownAt, x.announceStepDown = x.now+stepDownInterval, true
+	} else if last, _ := r.storage.LastIndex(); last == 1 && r.appliedIndex == 1 && r.leaderID == 0 && r.now-r.boundAt > bootstrapTimeout {
+		r.restart() // nothing was ever agreed on or acknowledged; others may have given this founding up
+	}
+	r.requestChunk()
+	if r.isLeader() {
+		if r.now >= r.heartbeatAt {
+			r.heartbeatAt = r.now + heartbeatInterval
+			r.node.Tick()
+			if !r.steppedDown() {
+				r.leaderContactAt = r.now
+			} else if r.now >= r.stepDownAt {
+				r.stepDownAt, r.announceStepDown = r.now+stepDownInterval, true
 			}
 		}
-		for id, at := range x.snapshotSentAt {
-			if x.now >= at+snapshotTimeout {
-				delete(x.snapshotSentAt, id)
-				x.node.ReportSnapshot(id, raft.SnapshotFailure)
+		for id, at := range r.snapshotSentAt {
+			if r.now >= at+snapshotTimeout {
+				delete(r.snapshotSentAt, id)
+				r.node.ReportSnapshot(id, raft.SnapshotFailure)
 			}
 		}
-		if x.now >= x.leaderTickAt {
-			x.leaderTickAt = x.now + leaderTickInterval
-			for _, t := range x.tables {
+		if r.now >= r.leaderTickAt {
+			r.leaderTickAt = r.now + leaderTickInterval
+			for _, t := range r.tables {
 				t.leaderTick()
 			}
-			x.replaceRestarted()
+			r.replaceRestarted()
 		}
-	} else if x.now >= x.electionAt {
-		x.resetElectionTimer()
-		if x.bootstrapped {
-			x.Counters.Elections++
-			x.node.Campaign()
-			x.followLeader()
+	} else if r.now >= r.electionAt {
+		r.resetElectionTimer()
+		if r.bootstrapped {
+			r.Counters.Elections++
+			r.node.Campaign()
+			r.followLeader()
 		}
 	}
 }
 
 // replaceRestarted gives the place of one that forgot to its next life, one at a time.
-func (x *Replica) replaceRestarted() {
-	for _, name := range x.members {
-		h, known := x.discovered[name]
-		if s, sits := x.replicas[name]; known && h.Unassigned && sits && h.ID != s.ID && h.Incarnation > s.Incarnation && name != x.self {
-			x.proposeReplacement(name, replicaIncarnation{h.ID, h.Incarnation}, s)
+func (r *Replica) replaceRestarted() {
+	for _, name := range r.members {
+		h, known := r.discovered[name]
+		if s, sits := r.replicas[name]; known && h.Unassigned && sits && h.ID != s.ID && h.Incarnation > s.Incarnation && name != r.self {
+			r.proposeReplacement(name, replicaIncarnation{h.ID, h.Incarnation}, s)
 			break
 		}
 	}
 }
 
 // proposeReplacement has another life take the place of one that forgot what it knew.
-func (x *Replica) proposeReplacement(name string, now, before replicaIncarnation) {
+func (r *Replica) proposeReplacement(name string, now, before replicaIncarnation) {
 	context, err := cbor.Marshal(map[string]replicaIncarnation{name: now})
 	if err != nil {
 		return
 	}
 	remove, add := pb.ConfChangeRemoveNode, pb.ConfChangeAddNode
 	auto := pb.ConfChangeTransitionAuto
-	x.node.ProposeConfChange(&pb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*pb.ConfChangeSingle{
+	r.node.ProposeConfChange(&pb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*pb.ConfChangeSingle{
 		{Type: &remove, NodeId: &before.ID}, {Type: &add, NodeId: &now.ID}}})
 }
 
 // propose has what the tables want agreed on agreed on.
-func (x *Replica) propose() {
+func (r *Replica) propose() {
 	for {
 		parts := map[uint8]cbor.RawMessage{}
-		for i, t := range x.tables {
+		for i, t := range r.tables {
 			if part := t.nextProposal(); part != nil {
 				parts[uint8(i)+1] = part
 			}
@@ -387,110 +387,110 @@
 			return
 		}
 		if text, err := cborEncoding.Marshal(parts); err == nil {
-			x.node.Propose(text) // one that is dropped is asked for again
+			r.node.Propose(text) // one that is dropped is asked for again
 		}
 	}
 }
 
 // processReady carries out what raft wants done, until there is nothing more, or the disk is waited for.
-func (x *Replica) processReady() {
-	for x.disk.pendingReady == nil && !x.disk.failed && x.node.HasReady() {
-		rd := x.node.Ready()
-		if x.disk.enabled && !(raft.IsEmptySnap(rd.Snapshot) && raft.IsEmptyHardState(rd.HardState) && len(rd.Entries) == 0) {
-			if x.persistReady(&rd); !x.disk.unsafeNoWait {
+func (r *Replica) processReady() {
+	for r.disk.pendingReady == nil && !r.disk.failed && r.node.HasReady() {
+		rd := r.node.Ready()
+		if r.disk.enabled && !(raft.IsEmptySnap(rd.Snapshot) && raft.IsEmptyHardState(rd.HardState) && len(rd.Entries) == 0) {
+			if r.persistReady(&rd); !r.disk.unsafeNoWait {
 				return
 			}
-			x.disk.pendingReady = nil
+			r.disk.pendingReady = nil
 		}
-		x.applyReady(&rd)
+		r.applyReady(&rd)
 	}
-	x.continueSnapshot()
-	if x.disk.pendingReady == nil && !x.disk.failed {
-		x.compact()
+	r.continueSnapshot()
+	if r.disk.pendingReady == nil && !r.disk.failed {
+		r.compact()
 	}
 }
 
 // applyReady does what raft wants done, once it is on the disk where there is one.
-func (x *Replica) applyReady(rd *raft.Ready) {
+func (r *Replica) applyReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		x.storage.ApplySnapshot(rd.Snapshot)
-		x.restoreSnapshot(rd.Snapshot)
+		r.storage.ApplySnapshot(rd.Snapshot)
+		r.restoreSnapshot(rd.Snapshot)
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		x.storage.SetHardState(rd.HardState)
+		r.storage.SetHardState(rd.HardState)
 	}
-	x.storage.Append(rd.Entries)
-	x.sendRaftMessages(rd.Messages)
+	r.storage.Append(rd.Entries)
+	r.sendRaftMessages(rd.Messages)
 	for _, e := range rd.CommittedEntries {
-		x.applyEntry(e)
+		r.applyEntry(e)
 	}
-	x.node.Advance(*rd)
-	x.followLeader()
+	r.node.Advance(*rd)
+	r.followLeader()
 }
 
 // sendRaftMessages posts raft's messages, where this seat is not muted.
-func (x *Replica) sendRaftMessages(messages []*pb.Message) {
-	muted := x.steppedDown()
+func (r *Replica) sendRaftMessages(messages []*pb.Message) {
+	muted := r.steppedDown()
 	for _, m := range messages {
 		if m.GetType() == pb.MsgSnap { // raft waits for word of it, sent or not
-			x.snapshotSentAt[m.GetTo()] = x.now
-			if x.snapshotWriter != nil { // the last one may be of before the other sat here
-				x.snapshotSentAt[m.GetTo()] += snapshotRetryBackoff - snapshotTimeout
+			r.snapshotSentAt[m.GetTo()] = r.now
+			if r.snapshotWriter != nil { // the last one may be of before the other sat here
+				r.snapshotSentAt[m.GetTo()] += snapshotRetryBackoff - snapshotTimeout
 				continue
 			}
 		}
-		if !muted || x.announceStepDown {
-			x.sendRaftMessage(m)
+		if !muted || r.announceStepDown {
+			r.sendRaftMessage(m)
 		}
 	}
 }
 
-func (x *Replica) sendRaftMessage(m *pb.Message) {
+func (r *Replica) sendRaftMessage(m *pb.Message) {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return
 	}
-	for _, name := range x.members {
-		if x.replicas[name].ID != m.GetTo() && x.lastIDs[name] != m.GetTo() { // who sits there now may be news that this one lacks
+	for _, name := range r.members {
+		if r.replicas[name].ID != m.GetTo() && r.lastIDs[name] != m.GetTo() { // who sits there now may be news that this one lacks
 			continue
 		}
-		x.send(name, Message{Kind: MessageRaft, Raft: text, Number: x.disk.lastPersisted})
+		r.send(name, Message{Kind: MessageRaft, Raft: text, Number: r.disk.lastPersisted})
 		return
 	}
 }
 
-func (x *Replica) applyEntry(e *pb.Entry) {
-	x.appliedIndex = e.GetIndex()
+func (r *Replica) applyEntry(e *pb.Entry) {
+	r.appliedIndex = e.GetIndex()
 	if len(e.GetData()) == 0 && e.GetType() == pb.EntryNormal {
 		return
 	}
 	switch e.GetType() {
 	case pb.EntryConfChangeV2, pb.EntryConfChange:
-		x.applyConfChange(e)
+		r.applyConfChange(e)
 	case pb.EntryNormal:
 		var parts map[uint8]cbor.RawMessage
 		if cborDecoding.Unmarshal(e.GetData(), &parts) != nil {
 			return // alike on all
 		}
-		x.Counters.Entries++
+		r.Counters.Entries++
 		for key := range parts {
-			if key == 0 || int(key) > len(x.tables) {
+			if key == 0 || int(key) > len(r.tables) {
 				panic("a table of a newer version: what the others know would not be known here")
 			}
 		}
-		for i, t := range x.tables {
+		for i, t := range r.tables {
 			if part := parts[uint8(i)+1]; part != nil {
-				x.cachedTexts[i] = nil
-				if x.snapshotWriter != nil {
-					x.snapshotWriter.changed[i] = true
+				r.cachedTexts[i] = nil
+				if r.snapshotWriter != nil {
+					r.snapshotWriter.changed[i] = true
 				}
-				t.Apply(x.agreedTime(), part)
+				t.Apply(r.agreedTime(), part)
 			}
 		}
 	}
 }
 
-func (x *Replica) applyConfChange(e *pb.Entry) {
+func (r *Replica) applyConfChange(e *pb.Entry) {
 	cc := new(pb.ConfChangeV2)
 	if e.GetType() == pb.EntryConfChange {
 		one := new(pb.ConfChange)
@@ -501,100 +501,100 @@
 	} else if proto.Unmarshal(e.GetData(), cc) != nil {
 		return
 	}
-	x.confState = x.node.ApplyConfChange(cc)
-	defer x.startSnapshot() // a seat that is new takes no snapshot of before it was there; one that is being written is begun anew
+	r.confState = r.node.ApplyConfChange(cc)
+	defer r.startSnapshot() // a seat that is new takes no snapshot of before it was there; one that is being written is begun anew
 	var who map[string]replicaIncarnation
 	if len(cc.Context) > 0 && cbor.Unmarshal(cc.Context, &who) == nil {
 		for name, s := range who {
-			x.replicas[name] = s
-			x.lastContact[s.ID] = x.now
-			x.Counters.Reinitialized++
-			x.log(false, "%s sits in the council anew: what it knew before is lost with its last life", name)
+			r.replicas[name] = s
+			r.lastContact[s.ID] = r.now
+			r.Counters.Reinitialized++
+			r.log(false, "%s sits in the council anew: what it knew before is lost with its last life", name)
 		}
 	}
 }
 
 // restoreSnapshot takes the place of what is known here. It panics where this seat can't go on with what the others agreed on.
-func (x *Replica) restoreSnapshot(s *pb.Snapshot) {
+func (r *Replica) restoreSnapshot(s *pb.Snapshot) {
 	var parts map[uint8]cbor.RawMessage
 	var seats map[string]replicaIncarnation
 	err := cbor.Unmarshal(s.GetData(), &parts)
 	if err == nil {
 		err = cbor.Unmarshal(parts[snapshotKeyReplicas], &seats)
 	}
-	for i, t := range x.tables {
+	for i, t := range r.tables {
 		var text []byte
 		if err == nil {
-			text, x.cachedDigests[i], err = x.decodePart(parts[snapshotKeyReplicas+1+uint8(i)])
+			text, r.cachedDigests[i], err = r.decodePart(parts[snapshotKeyReplicas+1+uint8(i)])
 		}
 		if err == nil {
 			err = t.Restore(text)
 		}
-		x.cachedTexts[i] = text
+		r.cachedTexts[i] = text
 	}
 	if err != nil {
 		panic(err)
 	}
-	x.replicas, x.snapshotWriter = seats, nil
-	x.confState = s.GetMetadata().GetConfState()
-	x.appliedIndex, x.snapshotIndex = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
-	x.bootstrapped = true
-	x.dropUnusedParts()
-	x.Counters.Snapshots++
+	r.replicas, r.snapshotWriter = seats, nil
+	r.confState = s.GetMetadata().GetConfState()
+	r.appliedIndex, r.snapshotIndex = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex()
+	r.bootstrapped = true
+	r.dropUnusedParts()
+	r.Counters.Snapshots++
 }
 
 // compact has a snapshot written where the log is long, and drops what it holds once it is whole.
-func (x *Replica) compact() {
+func (r *Replica) compact() {
 	switch {
-	case x.snapshotWriter != nil && x.snapshotWriter.complete():
-		x.finishSnapshot()
-	case x.snapshotWriter == nil && x.appliedIndex-x.snapshotIndex >= maxLogEntries:
-		x.startSnapshot()
+	case r.snapshotWriter != nil && r.snapshotWriter.complete():
+		r.finishSnapshot()
+	case r.snapshotWriter == nil && r.appliedIndex-r.snapshotIndex >= maxLogEntries:
+		r.startSnapshot()
 	}
 }
 
 // startSnapshot has a snapshot written of what is known now.
-func (x *Replica) startSnapshot() {
-	x.snapshotWriter = x.beginSnapshot()
-	x.continueSnapshot()
-	if x.snapshotWriter.complete() {
-		x.finishSnapshot()
+func (r *Replica) startSnapshot() {
+	r.snapshotWriter = r.beginSnapshot()
+	r.continueSnapshot()
+	if r.snapshotWriter.complete() {
+		r.finishSnapshot()
 	}
 }
 
 // finishSnapshot takes a snapshot that is whole in the place of what it holds.
-func (x *Replica) finishSnapshot() {
-	w := x.snapshotWriter
-	x.snapshotWriter = nil
-	if _, err := x.storage.CreateSnapshot(w.index, w.confState, x.encodeSnapshot(w)); err != nil {
+func (r *Replica) finishSnapshot() {
+	w := r.snapshotWriter
+	r.snapshotWriter = nil
+	if _, err := r.storage.CreateSnapshot(w.index, w.confState, r.encodeSnapshot(w)); err != nil {
 		return
 	}
-	x.Counters.Snapshots++
-	x.snapshotIndex = w.index
-	x.storage.Compact(w.index - min(w.index-1, retainedEntries))
-	x.dropUnusedParts()
-	x.rewriteBase()
+	r.Counters.Snapshots++
+	r.snapshotIndex = w.index
+	r.storage.Compact(w.index - min(w.index-1, retainedEntries))
+	r.dropUnusedParts()
+	r.rewriteBase()
 }
 
 // nextDeadline is when the next of the timers is.
-func (x *Replica) nextDeadline() int64 {
+func (r *Replica) nextDeadline() int64 {
 	at := int64(never)
-	if !x.bootstrapped {
-		at = min(at, x.discoveryAt)
+	if !r.bootstrapped {
+		at = min(at, r.discoveryAt)
 	}
-	if x.disk.rejoinAnswers != nil {
-		return min(at, x.disk.rejoinAt)
+	if r.disk.rejoinAnswers != nil {
+		return min(at, r.disk.rejoinAt)
 	}
-	if x.partFetch != nil {
-		at = min(at, x.partFetch.requestAt)
+	if r.partFetch != nil {
+		at = min(at, r.partFetch.requestAt)
 	}
-	if x.snapshotWriter != nil && !x.snapshotWriter.complete() {
-		return x.now
+	if r.snapshotWriter != nil && !r.snapshotWriter.complete() {
+		return r.now
 	}
-	if x.isLeader() {
-		return min(at, x.heartbeatAt, x.leaderTickAt)
+	if r.isLeader() {
+		return min(at, r.heartbeatAt, r.leaderTickAt)
 	}
-	return min(at, x.electionAt)
+	return min(at, r.electionAt)
 }
 
 // Founding. A seat that starts has no memory of what it may have voted before, so it never takes part under a number of
@@ -602,40 +602,40 @@
 // numbers that it sees, and founds once all are bound to the same. Where a council is there, its leader seats the newcomer.
 
 // tickBootstrap says where this seat stands, and founds.
-func (x *Replica) tickBootstrap() {
-	bound := x.visibleSet()
+func (r *Replica) tickBootstrap() {
+	bound := r.visibleSet()
 	switch {
-	case x.boundSet == 0 && bound != 0:
-		x.boundSet, x.boundAt = bound, x.now
-		x.discoveryAt = x.now
-	case x.boundSet != 0 && x.now-x.boundAt > bindingTimeout:
-		x.restart() // nobody can count on that number any more: it took part in nothing
-	}
-	if x.boundSet != 0 && x.allBound() {
-		x.bootstrap()
+	case r.boundSet == 0 && bound != 0:
+		r.boundSet, r.boundAt = bound, r.now
+		r.discoveryAt = r.now
+	case r.boundSet != 0 && r.now-r.boundAt > bindingTimeout:
+		r.restart() // nobody can count on that number any more: it took part in nothing
+	}
+	if r.boundSet != 0 && r.allBound() {
+		r.bootstrap()
 		return
 	}
-	if x.now >= x.discoveryAt {
-		x.discoveryAt = x.now + discoveryInterval
-		for _, name := range x.members {
-			if name != x.self {
-				x.sendDiscovery(name)
+	if r.now >= r.discoveryAt {
+		r.discoveryAt = r.now + discoveryInterval
+		for _, name := range r.members {
+			if name != r.self {
+				r.sendDiscovery(name)
 			}
 		}
 	}
 }
 
-func (x *Replica) sendDiscovery(to string) {
-	x.send(to, Message{Kind: MessageDiscovery, ID: x.raftID, Incarnation: x.incarnation, BoundTo: x.boundSet, Unassigned: !x.bootstrapped})
+func (r *Replica) sendDiscovery(to string) {
+	r.send(to, Message{Kind: MessageDiscovery, ID: r.raftID, Incarnation: r.incarnation, BoundTo: r.boundSet, Unassigned: !r.bootstrapped})
 }
 
 // visibleSet is the founding of all numbers that are seen, 0 where not all are, or one belongs to a council.
-func (x *Replica) visibleSet() uint64 {
+func (r *Replica) visibleSet() uint64 {
 	h := xxhash.New()
-	for _, name := range x.members {
-		id := x.raftID
-		if name != x.self {
-			m, known := x.discovered[name]
+	for _, name := range r.members {
+		id := r.raftID
+		if name != r.self {
+			m, known := r.discovered[name]
 			if !known || !m.Unassigned {
 				return 0
 			}
@@ -646,9 +646,9 @@
 	return h.Sum64() | 1
 }
 
-func (x *Replica) allBound() bool {
-	for _, name := range x.members {
-		if name != x.self && x.discovered[name].BoundTo != x.boundSet {
+func (r *Replica) allBound() bool {
+	for _, name := range r.members {
+		if name != r.self && r.discovered[name].BoundTo != r.boundSet {
 			return false
 		}
 	}
@@ -656,47 +656,47 @@
 }
 
 // bootstrap starts from the same empty state on all seats.
-func (x *Replica) bootstrap() {
-	x.replicas[x.self] = replicaIncarnation{x.raftID, x.incarnation}
-	voters := []uint64{x.raftID}
-	for _, name := range x.members {
-		if name != x.self {
-			h := x.discovered[name]
-			x.replicas[name] = replicaIncarnation{h.ID, h.Incarnation}
+func (r *Replica) bootstrap() {
+	r.replicas[r.self] = replicaIncarnation{r.raftID, r.incarnation}
+	voters := []uint64{r.raftID}
+	for _, name := range r.members {
+		if name != r.self {
+			h := r.discovered[name]
+			r.replicas[name] = replicaIncarnation{h.ID, h.Incarnation}
 			voters = append(voters, h.ID)
 		}
 	}
 	slices.Sort(voters)
 	one := uint64(1)
 	conf := &pb.ConfState{Voters: voters}
-	x.storage.ApplySnapshot(&pb.Snapshot{Data: x.encodeSnapshot(x.beginSnapshot()), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: &one, Term: &one}})
-	x.storage.SetHardState(&pb.HardState{Term: &one, Commit: &one})
-	x.confState, x.appliedIndex, x.snapshotIndex, x.bootstrapped = conf, 1, 1, true
-	x.rewriteBase()
-	x.startRaft(1)
-	x.resetElectionTimer()
-	if len(x.members) == 1 {
-		x.electionAt = x.now
-	}
-	x.log(false, "a council of %d is founded, with no claims", len(x.members))
-	for _, name := range x.members {
-		if name != x.self {
-			x.sendDiscovery(name)
+	r.storage.ApplySnapshot(&pb.Snapshot{Data: r.encodeSnapshot(r.beginSnapshot()), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: &one, Term: &one}})
+	r.storage.SetHardState(&pb.HardState{Term: &one, Commit: &one})
+	r.confState, r.appliedIndex, r.snapshotIndex, r.bootstrapped = conf, 1, 1, true
+	r.rewriteBase()
+	r.startRaft(1)
+	r.resetElectionTimer()
+	if len(r.members) == 1 {
+		r.electionAt = r.now
+	}
+	r.log(false, "a council of %d is founded, with no claims", len(r.members))
+	for _, name := range r.members {
+		if name != r.self {
+			r.sendDiscovery(name)
 		}
 	}
 }
 
-func (x *Replica) handleDiscovery(m *Message) {
-	if !slices.Contains(x.members, m.From) || m.From == x.self {
+func (r *Replica) handleDiscovery(m *Message) {
+	if !slices.Contains(r.members, m.From) || m.From == r.self {
 		return
 	}
-	before, known := x.discovered[m.From]
+	before, known := r.discovered[m.From]
 	if known && m.Incarnation < before.Incarnation {
 		return // of an earlier life, late
 	}
-	x.discovered[m.From] = *m
-	if m.Unassigned && (x.bootstrapped || !known || before.ID != m.ID || before.BoundTo != m.BoundTo) {
-		x.sendDiscovery(m.From)
+	r.discovered[m.From] = *m
+	if m.Unassigned && (r.bootstrapped || !known || before.ID != m.ID || before.BoundTo != m.BoundTo) {
+		r.sendDiscovery(m.From)
 	}
 }
 
