--- /dev/null
+++ b/internal/fleet/consensus/apply.go
@@ -0,0 +1,45 @@
+package consensus
+
+import (
+	"github.com/fxamacker/cbor/v2"
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+// applyEntry applies a committed entry to the tables or to the membership.
+func (r *Replica) applyEntry(e *pb.Entry) {
+	r.raft.appliedIndex = e.GetIndex()
+	if len(e.GetData()) == 0 && e.GetType() == pb.EntryNormal {
+		return
+	}
+	switch e.GetType() {
+	case pb.EntryConfChangeV2, pb.EntryConfChange:
+		r.applyConfChange(e)
+	case pb.EntryNormal:
+		r.applyToTables(e.GetData())
+	}
+}
+
+// applyToTables applies the parts of an entry. One that can't be decoded is ignored, as it is by all replicas.
+func (r *Replica) applyToTables(data []byte) {
+	var parts map[uint8]cbor.RawMessage
+	if cborDecoding.Unmarshal(data, &parts) != nil {
+		return
+	}
+	r.Counters.Entries++
+	for key := range parts {
+		if key == 0 || int(key) > len(r.tables) {
+			panic(errNewerTable)
+		}
+	}
+	for i, t := range r.tables {
+		part := parts[uint8(i)+1]
+		if part == nil {
+			continue
+		}
+		r.snapshots.cachedTexts[i] = nil
+		if r.snapshots.writer != nil {
+			r.snapshots.writer.changed[i] = true
+		}
+		t.Apply(r.agreedTime(), part)
+	}
+}
--- /dev/null
+++ b/internal/fleet/consensus/bootstrap.go
@@ -0,0 +1,207 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// A replica that starts without its state can't know what it voted for, so it never takes part under the raft ID of an earlier
+// incarnation. A group is bootstrapped where all members are without one: each binds itself, for this incarnation, to the set of raft
+// IDs that it sees, and starts the group once all are bound to the same set. Where a group exists already, its leader replaces the
+// earlier incarnation by the new one.
+
+const (
+	discoveryInterval = 100 * ms    // ns between discovery messages of a replica that belongs to no group
+	bindingTimeout    = 3_000 * ms  // ns that an incarnation stays bound to a bootstrap that does not complete
+	bootstrapTimeout  = 10_000 * ms // ns after which its members give up a group that never had a leader
+)
+
+// tickBootstrap sends discovery messages, binds this incarnation, and starts the group once all are bound alike.
+func (r *Replica) tickBootstrap() {
+	visible := r.visibleSet()
+	switch {
+	case r.bootstrap.boundSet == 0 && visible != 0:
+		r.bootstrap.boundSet = visible
+		r.bootstrap.boundAt = r.now
+		r.bootstrap.discoveryAt = r.now
+	case r.bootstrap.boundSet != 0 && r.now-r.bootstrap.boundAt > bindingTimeout:
+		r.restart() // nobody depends on this ID: it took part in nothing
+	}
+	if r.bootstrap.boundSet != 0 && r.allBound() {
+		r.startGroup()
+		return
+	}
+	if r.now >= r.bootstrap.discoveryAt {
+		r.bootstrap.discoveryAt = r.now + discoveryInterval
+		r.broadcastDiscovery()
+	}
+}
+
+// bootstrapTimedOut reports whether a group was started and neither had a leader nor committed anything for bootstrapTimeout.
+func (r *Replica) bootstrapTimedOut() bool {
+	last, err := r.raft.storage.LastIndex()
+	mustSucceed(err)
+	return last == 1 && r.raft.appliedIndex == 1 && r.leadership.leaderID == 0 && r.now-r.bootstrap.boundAt > bootstrapTimeout
+}
+
+func (r *Replica) broadcastDiscovery() {
+	for _, name := range r.members {
+		if name != r.self {
+			r.sendDiscovery(name)
+		}
+	}
+}
+
+func (r *Replica) sendDiscovery(to string) {
+	r.send(to, Message{
+		Kind:        MessageDiscovery,
+		ID:          r.raft.id,
+		Incarnation: r.incarnation,
+		BoundTo:     r.bootstrap.boundSet,
+		Unassigned:  !r.bootstrap.done,
+	})
+}
+
+// visibleSet is the hash of all members' raft IDs, 0 where not all are known, or one belongs to a group.
+func (r *Replica) visibleSet() uint64 {
+	hash := xxhash.New()
+	for _, name := range r.members {
+		id := r.raft.id
+		if name != r.self {
+			m, known := r.bootstrap.discovered[name]
+			if !known || !m.Unassigned {
+				return 0
+			}
+			id = m.ID
+		}
+		_, _ = fmt.Fprintf(hash, "%s %x\n", name, id) // a hash returns no error
+	}
+	return hash.Sum64() | 1
+}
+
+func (r *Replica) allBound() bool {
+	for _, name := range r.members {
+		if name != r.self && r.bootstrap.discovered[name].BoundTo != r.bootstrap.boundSet {
+			return false
+		}
+	}
+	return true
+}
+
+// startGroup starts the group from the same empty state at all replicas.
+func (r *Replica) startGroup() {
+	r.replicas[r.self] = replicaIncarnation{r.raft.id, r.incarnation}
+	voters := []uint64{r.raft.id}
+	for _, name := range r.members {
+		if name != r.self {
+			m := r.bootstrap.discovered[name]
+			r.replicas[name] = replicaIncarnation{m.ID, m.Incarnation}
+			voters = append(voters, m.ID)
+		}
+	}
+	slices.Sort(voters)
+	r.storeInitialState(&pb.ConfState{Voters: voters})
+	r.rewriteBase()
+	r.startRaft(1)
+	r.resetElectionTimer()
+	if len(r.members) == 1 {
+		r.leadership.electionAt = r.now
+	}
+	r.log(false, "a council of %d is founded, with no claims", len(r.members))
+	r.broadcastDiscovery()
+}
+
+// storeInitialState stores a snapshot of the empty tables as the log's first entry.
+func (r *Replica) storeInitialState(conf *pb.ConfState) {
+	one := uint64(1)
+	mustSucceed(r.raft.storage.ApplySnapshot(&pb.Snapshot{
+		Data:     r.encodeSnapshot(r.beginSnapshot()),
+		Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: &one, Term: &one},
+	}))
+	mustSucceed(r.raft.storage.SetHardState(&pb.HardState{Term: &one, Commit: &one}))
+	r.raft.confState = conf
+	r.raft.appliedIndex = 1
+	r.raft.snapshotIndex = 1
+	r.bootstrap.done = true
+}
+
+func (r *Replica) handleDiscovery(m *Message) {
+	if !slices.Contains(r.members, m.From) || m.From == r.self {
+		return
+	}
+	before, known := r.bootstrap.discovered[m.From]
+	if known && m.Incarnation < before.Incarnation {
+		return // delayed message of an earlier incarnation
+	}
+	r.bootstrap.discovered[m.From] = *m
+	if m.Unassigned && (r.bootstrap.done || !known || before.ID != m.ID || before.BoundTo != m.BoundTo) {
+		r.sendDiscovery(m.From)
+	}
+}
+
+// replaceRestarted proposes to replace a member's incarnation that lost its state by its next one, one member at a time.
+func (r *Replica) replaceRestarted() {
+	for _, name := range r.members {
+		m, known := r.bootstrap.discovered[name]
+		before, isMember := r.replicas[name]
+		if known && m.Unassigned && isMember && m.ID != before.ID && m.Incarnation > before.Incarnation && name != r.self {
+			r.proposeReplacement(name, replicaIncarnation{m.ID, m.Incarnation}, before)
+			return
+		}
+	}
+}
+
+func (r *Replica) proposeReplacement(name string, now, before replicaIncarnation) {
+	context, err := cbor.Marshal(map[string]replicaIncarnation{name: now})
+	if err != nil {
+		return
+	}
+	remove := pb.ConfChangeRemoveNode
+	add := pb.ConfChangeAddNode
+	auto := pb.ConfChangeTransitionAuto
+	change := &pb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*pb.ConfChangeSingle{
+		{Type: &remove, NodeId: &before.ID},
+		{Type: &add, NodeId: &now.ID},
+	}}
+	_ = r.raft.node.ProposeConfChange(change) // a dropped one is proposed again at the next tick
+}
+
+// applyConfChange applies a membership change, and starts a snapshot: a new incarnation can't use one from before it was a member.
+func (r *Replica) applyConfChange(e *pb.Entry) {
+	change, err := decodeConfChange(e)
+	if err != nil {
+		return
+	}
+	r.raft.confState = r.raft.node.ApplyConfChange(change)
+	defer r.startSnapshot()
+	var replaced map[string]replicaIncarnation
+	if len(change.Context) == 0 || cbor.Unmarshal(change.Context, &replaced) != nil {
+		return
+	}
+	for name, replica := range replaced {
+		r.replicas[name] = replica
+		r.leadership.lastContact[replica.ID] = r.now
+		r.Counters.Reinitialized++
+		r.log(false, "%s sits in the council anew: what it knew before is lost with its last life", name)
+	}
+}
+
+func decodeConfChange(e *pb.Entry) (*pb.ConfChangeV2, error) {
+	if e.GetType() == pb.EntryConfChange {
+		change := new(pb.ConfChange)
+		if err := proto.Unmarshal(e.GetData(), change); err != nil {
+			return nil, err
+		}
+		return change.AsV2(), nil
+	}
+	change := new(pb.ConfChangeV2)
+	if err := proto.Unmarshal(e.GetData(), change); err != nil {
+		return nil, err
+	}
+	return change, nil
+}
--- a/internal/fleet/consensus/claims.go
+++ b/internal/fleet/consensus/claimtable.go
@@ -11,37 +11,43 @@
 
 const timeAdvanceInterval = 250 * ms // ns that the table's time may lag
 
+// commandID identifies a command of a node.
 type commandID struct {
 	owner claims.Owner
 	seq   uint64
 }
 
-// claimTable is the council's table of claims: who waits here for a verdict, who is to be told that a claim is over, and
-// while this seat leads, time and hand-overs.
+// claimTable is the replicated table of claims, with the callers that wait for a verdict of this replica. While this replica leads, it
+// also advances the table's time, plans takeovers, and collects the ended claims that nodes wait for.
 type claimTable struct {
 	replica      *Replica
-	maxBytes     int64 // bytes of the table, 0 for the usual
+	maxBytes     int64 // of the table, 0 for the default
 	view         []takeover.Member
 	table        *claims.Table
 	planner      *takeover.Planner
-	advancedAt   int64 // when this seat carried out the last Pass
+	advancedAt   int64 // when this replica last applied an advance of time
 	queuedClaims []claims.Command
-	pending      map[commandID]int64 // when
+	pending      map[commandID]int64 // when each came
 	verdicts     map[claims.Owner][]claims.Verdict
 	endedClaims  map[claims.Owner][]claims.Key
-	alterCommand func(command *claims.Command, table *claims.Table) // of tests that want a fault to be found
+	alterCommand func(command *claims.Command, table *claims.Table) // fault injection of tests
 }
 
 func (t *claimTable) reset() {
-	t.table, t.planner, t.advancedAt, t.queuedClaims = claims.NewTable(), nil, t.replica.now, nil
-	t.pending, t.verdicts, t.endedClaims = map[commandID]int64{}, map[claims.Owner][]claims.Verdict{}, map[claims.Owner][]claims.Key{}
+	t.table = claims.NewTable()
+	t.planner = nil
+	t.advancedAt = t.replica.now
+	t.queuedClaims = nil
+	t.pending = map[commandID]int64{}
+	t.verdicts = map[claims.Owner][]claims.Verdict{}
+	t.endedClaims = map[claims.Owner][]claims.Key{}
 }
 
 func (t *claimTable) becomeLeader() { t.planner = takeover.NewPlanner() }
 
-// enqueue takes a command of a node on; without a leader it is dropped, and the node asks again.
-func (t *claimTable) enqueue(command claims.Command) {
-	if t.replica.leaderID == 0 || len(t.pending) >= maxPendingCommands {
+// enqueueClaim takes a node's command to propose it. Without a leader it is dropped, and the node asks again.
+func (t *claimTable) enqueueClaim(command claims.Command) {
+	if t.replica.leadership.leaderID == 0 || len(t.pending) >= maxPendingCommands {
 		return
 	}
 	t.pending[commandID{command.Sender, command.Seq}] = t.replica.now
@@ -49,34 +55,39 @@
 }
 
 func (t *claimTable) expirePending() {
-	for key, at := range t.pending {
+	for id, at := range t.pending {
 		if t.replica.now-at >= pendingTimeout {
-			delete(t.pending, key)
+			delete(t.pending, id)
 		}
 	}
 }
 
-// leaderTick is what a leader proposes of its own: time and hand-overs.
+// leaderTick queues the leader's own commands: the advance of time, and takeovers.
 func (t *claimTable) leaderTick() {
 	now := t.replica.now
-	if now-t.advancedAt >= timeAdvanceInterval {
-		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, At: t.table.Time(), Duration: now - t.advancedAt, MaxTableBytes: t.maxBytes})
+	sinceAdvance := now - t.advancedAt
+	if sinceAdvance >= timeAdvanceInterval {
+		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, At: t.table.Time(), Duration: sinceAdvance,
+			MaxTableBytes: t.maxBytes})
 	}
-	commands, gifts := t.planner.Step(now, t.view, t.table, now-t.advancedAt)
+	commands, reassignments := t.planner.Step(now, t.view, t.table, sinceAdvance)
 	t.queuedClaims = append(t.queuedClaims, commands...)
-	for i := range gifts {
-		g := &gifts[i]
-		if g.Remaining <= 0 {
-			continue
-		}
-		if g.First {
-			t.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", g.Entry.Key, g.From.Name, g.To.Name,
-				g.Entry.Fence, g.Remaining/ms)
-		}
-		t.replica.send(g.To.Name, Message{Kind: MessageReassignment, Owner: g.To, Entry: g.Entry, Remaining: g.Remaining})
+	for i := range reassignments {
+		t.sendReassignment(&reassignments[i])
 	}
 }
 
+func (t *claimTable) sendReassignment(a *takeover.Reassignment) {
+	if a.Remaining <= 0 {
+		return
+	}
+	if a.First {
+		t.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", a.Entry.Key, a.From.Name, a.To.Name,
+			a.Entry.Fence, a.Remaining/ms)
+	}
+	t.replica.send(a.To.Name, Message{Kind: MessageReassignment, Owner: a.To, Entry: a.Entry, Remaining: a.Remaining})
+}
+
 func (t *claimTable) storedSeparately() bool { return false }
 
 func (t *claimTable) nextProposal() (part []byte) {
@@ -84,7 +95,7 @@
 	return part
 }
 
-// encodeQueued encodes the first of what is queued, as many as an entry may have of a kind.
+// encodeQueued encodes the first of what is queued, as many as an entry may have of a table.
 func encodeQueued[T any](queued []T) (part []byte, rest []T) {
 	n := min(len(queued), maxEntryCommands)
 	if n == 0 {
@@ -92,19 +103,19 @@
 	}
 	part, err := cbor.Marshal(queued[:n])
 	if err != nil {
-		return nil, nil // asked for again
+		return nil, nil // the nodes ask again
 	}
 	return part, queued[n:]
 }
 
-// Apply carries claims' part of an entry out; the time is the table's own.
+// Apply applies the claims' part of an entry; the time is the table's own.
 func (t *claimTable) Apply(_ int64, part []byte) {
 	var list []claims.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
 		return
 	}
 	if slices.ContainsFunc(list, func(c claims.Command) bool { return c.Kind >= claims.CommandKindCount }) {
-		panic("a command of a newer version: the others' tables would not be this one's any more")
+		panic(errNewerCommand)
 	}
 	for i := range list {
 		t.applyCommand(&list[i])
@@ -113,7 +124,7 @@
 
 func (t *claimTable) applyCommand(command *claims.Command) {
 	t.replica.Counters.Committed++
-	key := commandID{command.Sender, command.Seq}
+	id := commandID{command.Sender, command.Seq}
 	if t.alterCommand != nil {
 		t.alterCommand(command, t.table)
 	}
@@ -121,26 +132,31 @@
 	if command.Kind == claims.CommandAdvanceTime {
 		t.advancedAt = t.replica.now
 	}
-	if _, here := t.pending[key]; here {
-		delete(t.pending, key)
+	if _, waits := t.pending[id]; waits {
+		delete(t.pending, id)
 		t.verdicts[command.Sender] = append(t.verdicts[command.Sender], verdict)
 	}
-	if t.replica.isLeader() {
-		for _, ended := range t.table.EndedClaims {
-			for _, o := range ended.Waiters {
-				t.endedClaims[o] = append(t.endedClaims[o], ended.Key)
-			}
+	if t.replica.IsLeader() {
+		t.collectEnded()
+	}
+}
+
+func (t *claimTable) collectEnded() {
+	for _, ended := range t.table.EndedClaims {
+		for _, owner := range ended.Waiters {
+			t.endedClaims[owner] = append(t.endedClaims[owner], ended.Key)
 		}
 	}
 }
 
-// Snapshot is the table of claims.
+// Snapshot encodes the table of claims.
 func (t *claimTable) Snapshot() ([]byte, error) { return t.table.Snapshot() }
 
-// Restore takes the place of the table of claims.
+// Restore replaces the table of claims.
 func (t *claimTable) Restore(text []byte) (err error) {
 	t.advancedAt = t.replica.now
-	if t.table = claims.NewTable(); len(text) > 0 {
+	t.table = claims.NewTable()
+	if len(text) > 0 {
 		t.table, err = claims.Restore(text)
 	}
 	return err
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -238,13 +238,13 @@
 func TestFixturesOfASeatsDisk(t *testing.T) {
 	writer := fixtureGroup()
 	index, term, commit, vote := uint64(2), uint64(3), uint64(2), uint64(0x21)
-	writer.raftID, writer.replicas = 0x21, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
+	writer.raft.id, writer.replicas = 0x21, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
 	writer.applyEntry(&raftpb.Entry{Data: fixtureEntry(t), Index: &index, Term: &term})
-	writer.snapshotWriter = writer.beginSnapshot()
-	for !writer.snapshotWriter.complete() {
+	writer.snapshots.writer = writer.beginSnapshot()
+	for !writer.snapshots.writer.complete() {
 		writer.continueSnapshot()
 	}
-	text := writer.encodeSnapshot(writer.snapshotWriter)
+	text := writer.encodeSnapshot(writer.snapshots.writer)
 	sameAsFixture(t, "snapshot-v1.cbor", text)
 	conf := &raftpb.ConfState{Voters: []uint64{0x21, 0x22, 0x23}}
 	writer.disk.lastWrite, writer.disk.peerWrites = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
@@ -284,17 +284,17 @@
 	reader := fixtureGroup()
 	require.NoError(t, reader.Recover(0, there))
 	assert.True(t, reader.Resumed())
-	assert.Equal(t, uint64(0x21), reader.raftID)
+	assert.Equal(t, uint64(0x21), reader.raft.id)
 	assert.Equal(t, uint64(21), reader.incarnation)
 	assert.Equal(t, writer.replicas, reader.replicas)
 	assert.Equal(t, uint64(8), reader.disk.lastWrite)
 	assert.Equal(t, map[uint64]uint64{0x22: 8, 0x23: 5}, reader.disk.peerWrites)
-	assert.Equal(t, conf.GetVoters(), reader.confState.GetVoters())
+	assert.Equal(t, conf.GetVoters(), reader.raft.confState.GetVoters())
 	sameTables(t, writer, reader)
-	hard, _, err := reader.storage.InitialState()
+	hard, _, err := reader.raft.storage.InitialState()
 	require.NoError(t, err)
 	assert.True(t, proto.Equal(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}, hard))
-	entries, err := reader.storage.Entries(3, 5, never)
+	entries, err := reader.raft.storage.Entries(3, 5, never)
 	require.NoError(t, err)
 	require.Len(t, entries, 2)
 	reader.applyEntry(entries[0])
--- a/internal/fleet/consensus/council_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -28,7 +28,7 @@
 
 func (s *simulation) leader() *simNode {
 	for _, m := range s.machines {
-		if m.up && !m.paused && m.replica != nil && m.replica.isLeader() && !m.replica.steppedDown() {
+		if m.up && !m.paused && m.replica != nil && m.replica.IsLeader() && !m.replica.steppedDown() {
 			return m
 		}
 	}
@@ -144,8 +144,8 @@
 	sim.start(i)
 	sim.run(sim.now + 4_000*ms)
 	m := sim.machines[i]
-	assert.True(t, m.replica.bootstrapped)
-	assert.Equal(t, m.replica.raftID, sim.leader().replica.replicas[m.name].ID)
+	assert.True(t, m.replica.bootstrap.done)
+	assert.Equal(t, m.replica.raft.id, sim.leader().replica.replicas[m.name].ID)
 	assert.NotNil(t, m.replica.table.Find(key(1)), "it knows what was agreed on in its absence")
 	for k := range sim.members { // and each of the others may be lost in its turn
 		if k != i {
@@ -192,22 +192,22 @@
 	assert.NotEqual(t, i, sim.indexOf(sim.leader()))
 	clear(sim.cutLinks)
 	sim.run(sim.now + 3_000*ms)
-	assert.False(t, sim.machines[i].replica.isLeader())
+	assert.False(t, sim.machines[i].replica.IsLeader())
 }
 
 func TestMessagesThatRaftCantStandBeginASeatAnew(t *testing.T) {
 	sim := newStableSimulation(t, 3, 3)
 	m := sim.leader()
 	c := m.replica
-	before := c.raftID
+	before := c.raft.id
 	c.Step(sim.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
-	assert.Equal(t, before, c.raftID, "what can't be read is dropped")
+	assert.Equal(t, before, c.raft.id, "what can't be read is dropped")
 	c.restartOnPanic(func() { panic("as raft would") })
-	assert.NotEqual(t, before, c.raftID)
+	assert.NotEqual(t, before, c.raft.id)
 	assert.Equal(t, 1, c.Counters.Broken)
 	sim.run(sim.now + 6_000*ms)
 	assert.NotNil(t, sim.leader())
-	assert.True(t, c.bootstrapped, "and it is seated anew")
+	assert.True(t, c.bootstrap.done, "and it is seated anew")
 }
 
 // majorityWithout says whether most of the council would remember without a seat, and no seat is on its way back: what is promised
@@ -218,7 +218,7 @@
 		if !m.up {
 			continue
 		}
-		if !m.replica.bootstrapped || len(m.replica.confState.VotersOutgoing) > 0 || m.replica.replicas[m.name].ID != m.replica.raftID {
+		if !m.replica.bootstrap.done || len(m.replica.raft.confState.VotersOutgoing) > 0 || m.replica.replicas[m.name].ID != m.replica.raft.id {
 			return false
 		}
 		if k != i {
@@ -445,13 +445,13 @@
 	sim.killReplicas()
 	sim.start(0)
 	sim.run(sim.now + 5_000*ms)
-	require.NotZero(t, sim.machines[0].replica.appliedIndex, "it knows what it knew")
+	require.NotZero(t, sim.machines[0].replica.raft.appliedIndex, "it knows what it knew")
 	assert.Equal(t, []bool{false, false, false}, current(), "and not what others may have agreed on since")
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
 	for _, m := range sim.machines[:3] { // for each, what it holds is of the term that goes on
-		m.replica.leaderID = 0
+		m.replica.leadership.leaderID = 0
 	}
 	assert.Equal(t, []bool{false, false, false}, current(), "without a leader none is")
 }
--- a/internal/fleet/consensus/leases.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -7,34 +7,37 @@
 	"topazpost/internal/fleet/quota"
 )
 
+// leaseCommandID identifies a lease request of a node.
 type leaseCommandID struct {
 	owner claims.Owner
 	limit string
 	seq   uint64
 }
 
-// leaseTable is the council's table of limits and leases: who waits here for a grant, and the limits that this seat defines while
-// it leads.
+// leaseTable is the replicated table of limits and leases, with the callers that wait for a grant of this replica, and the limits that
+// it defines while it leads.
 type leaseTable struct {
 	replica       *Replica
 	limits        []quota.Command
 	leases        *quota.LeaseTable
 	queuedLeases  []quota.Command
-	pendingLeases map[leaseCommandID]int64 // when
+	pendingLeases map[leaseCommandID]int64 // when each came
 	grants        map[claims.Owner][]quota.Verdict
 }
 
 func (t *leaseTable) reset() {
-	t.leases, t.queuedLeases = quota.NewLeaseTable(), nil
-	t.pendingLeases, t.grants = map[leaseCommandID]int64{}, map[claims.Owner][]quota.Verdict{}
+	t.leases = quota.NewLeaseTable()
+	t.queuedLeases = nil
+	t.pendingLeases = map[leaseCommandID]int64{}
+	t.grants = map[claims.Owner][]quota.Verdict{}
 }
 
 func (t *leaseTable) becomeLeader() {}
 
-// requestLeases takes asks for leases on; without a leader they are dropped, and asked again.
+// requestLeases takes lease requests to propose them. Without a leader they are dropped, and the node asks again.
 func (t *leaseTable) requestLeases(list []quota.Command) {
 	for i := range list {
-		if t.replica.leaderID == 0 || len(t.pendingLeases) >= maxPendingCommands {
+		if t.replica.leadership.leaderID == 0 || len(t.pendingLeases) >= maxPendingCommands {
 			return
 		}
 		t.pendingLeases[leaseCommandID{claims.Owner(list[i].Sender), list[i].Limit, list[i].Seq}] = t.replica.now
@@ -43,18 +46,19 @@
 }
 
 func (t *leaseTable) expirePending() {
-	for key, at := range t.pendingLeases {
+	for id, at := range t.pendingLeases {
 		if t.replica.now-at >= pendingTimeout {
-			delete(t.pendingLeases, key)
+			delete(t.pendingLeases, id)
 		}
 	}
 }
 
-// leaderTick defines the limits that are not agreed on yet.
+// leaderTick queues the definitions of limits that are not in the table yet, or in an earlier version.
 func (t *leaseTable) leaderTick() {
-	for _, l := range t.limits {
-		if known := t.leases.Find(l.Limit); known == nil || known.Version < l.Version {
-			t.queuedLeases = append(t.queuedLeases, l)
+	for _, limit := range t.limits {
+		known := t.leases.Find(limit.Limit)
+		if known == nil || known.Version < limit.Version {
+			t.queuedLeases = append(t.queuedLeases, limit)
 		}
 	}
 }
@@ -66,14 +70,14 @@
 	return part
 }
 
-// Apply carries leases' part of an entry out.
+// Apply applies the leases' part of an entry.
 func (t *leaseTable) Apply(at int64, part []byte) {
 	var list []quota.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
 		return
 	}
-	if slices.ContainsFunc(list, func(q quota.Command) bool { return q.Kind >= quota.CommandKindCount }) {
-		panic("a command of a newer version: the others' tables would not be this one's any more")
+	if slices.ContainsFunc(list, func(c quota.Command) bool { return c.Kind >= quota.CommandKindCount }) {
+		panic(errNewerCommand)
 	}
 	for i := range list {
 		t.applyCommand(at, &list[i])
@@ -83,19 +87,20 @@
 func (t *leaseTable) applyCommand(at int64, command *quota.Command) {
 	t.replica.Counters.Committed++
 	verdict := t.leases.Apply(at, command)
-	key := leaseCommandID{claims.Owner(command.Sender), command.Limit, command.Seq}
-	if _, here := t.pendingLeases[key]; here && command.Kind == quota.CommandRequestLease {
-		delete(t.pendingLeases, key)
-		t.grants[key.owner] = append(t.grants[key.owner], verdict)
+	id := leaseCommandID{claims.Owner(command.Sender), command.Limit, command.Seq}
+	if _, waits := t.pendingLeases[id]; waits && command.Kind == quota.CommandRequestLease {
+		delete(t.pendingLeases, id)
+		t.grants[id.owner] = append(t.grants[id.owner], verdict)
 	}
 }
 
-// Snapshot is the book of limits.
+// Snapshot encodes the table of limits and leases.
 func (t *leaseTable) Snapshot() ([]byte, error) { return t.leases.Snapshot() }
 
-// Restore takes the place of the book of limits.
+// Restore replaces the table of limits and leases.
 func (t *leaseTable) Restore(text []byte) (err error) {
-	if t.leases = quota.NewLeaseTable(); len(text) > 0 {
+	t.leases = quota.NewLeaseTable()
+	if len(text) > 0 {
 		t.leases, err = quota.Restore(text)
 	}
 	return err
--- /dev/null
+++ b/internal/fleet/consensus/messages.go
@@ -0,0 +1,103 @@
+package consensus
+
+import (
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/quota"
+	"topazpost/internal/fleet/takeover"
+)
+
+// MessageKind names what a message is for.
+type MessageKind uint8
+
+// The kinds of messages.
+const (
+	MessageRaft         MessageKind = iota + 1 // a raft message between replicas
+	MessageDiscovery                           // of a replica that belongs to no group, and the answer to it
+	MessagePropose                             // commands of a node, to any replica
+	MessageVerdicts                            // the answers to commands
+	MessageClaimsEnded                         // claims that the receiver waits for have ended
+	MessageReassignment                        // the receiver is the new owner of a claim
+	MessageRejoin                              // a replica that is back from its disk asks what is known of it
+	MessageRejoinAnswer                        // the answer to MessageRejoin
+	MessagePartRequest                         // a replica requests a chunk of a part that a snapshot refers to
+	MessagePart                                // the answer to MessagePartRequest
+)
+
+// Message is what replicas and nodes send each other. A field that is not for all kinds names its kinds.
+type Message struct {
+	Kind        MessageKind          `cbor:"1,keyasint"`
+	From        string               `cbor:"2,keyasint"`
+	Raft        []byte               `cbor:"3,keyasint,omitempty"`  // MessageRaft
+	ID          uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer: a raft ID
+	Incarnation uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer
+	BoundTo     uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery
+	Unassigned  bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group
+	Owner       claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; in answers the receiver
+	Commands    []claims.Command     `cbor:"9,keyasint,omitempty"`  // MessagePropose
+	Verdicts    []claims.Verdict     `cbor:"10,keyasint,omitempty"` // MessageVerdicts
+	Keys        []claims.Key         `cbor:"11,keyasint,omitempty"` // MessageClaimsEnded
+	Entry       *claims.Entry        `cbor:"12,keyasint,omitempty"` // MessageReassignment
+	Remaining   int64                `cbor:"13,keyasint,omitempty"` // MessageReassignment: ns to the claim's deadline
+	Leases      []quota.Command      `cbor:"15,keyasint,omitempty"` // MessagePropose
+	Grants      []quota.Verdict      `cbor:"16,keyasint,omitempty"` // MessageVerdicts
+	Number      uint64               `cbor:"17,keyasint,omitempty"` // MessageRaft: the sender's last persisted write; MessageRejoinAnswer: the receiver's last write that is known
+	Part        string               `cbor:"18,keyasint,omitempty"` // MessagePartRequest, MessagePart: digest of the part
+	Offset      int                  `cbor:"19,keyasint,omitempty"` // MessagePartRequest, MessagePart: bytes into the part
+	Size        int                  `cbor:"20,keyasint,omitempty"` // MessagePart: bytes of the part
+	Bytes       []byte               `cbor:"21,keyasint,omitempty"` // MessagePart
+	Proposed    []configsync.Command `cbor:"22,keyasint,omitempty"` // MessagePropose
+	Decided     []configsync.Verdict `cbor:"23,keyasint,omitempty"` // MessageVerdicts
+	Leader      string               `cbor:"14,keyasint,omitempty"` // MessageVerdicts: the group's leader, as far as the sender knows
+}
+
+// Input is one event: a message, commands of this node, another membership view, or the result of writes.
+type Input struct {
+	Message  *Message
+	Claims   []claims.Command     // of this node
+	Leases   []quota.Command      // of this node
+	View     []takeover.Member    // nil where it did not change
+	Proposed []configsync.Command // of the configuration
+	Owner    claims.Owner         // receives the verdicts on Proposed; zero where this replica proposes on its own behalf
+
+	Persisted uint64 // writes up to this number count
+	Err       error  // of the disk: that write and all later ones failed
+}
+
+// EffectKind names what is to be done.
+type EffectKind uint8
+
+// The kinds of effects.
+const (
+	Send     EffectKind = iota // to the node To
+	WriteLog                   // for operators
+	Persist                    // write to the disk, in order, then report it as Input.Persisted
+)
+
+// Effect is one thing to do. A message to this node's own name is one to itself.
+type Effect struct {
+	Kind    EffectKind
+	To      string
+	Message Message
+	Text    string
+	Warn    bool
+	Write   *Write
+}
+
+// Summary is what a node shows of claims.
+type Summary struct {
+	Node           string                 `json:"node" cbor:"1,keyasint"`
+	Client         *claims.ClientCounters `json:"desk,omitempty" cbor:"2,keyasint,omitempty"`
+	ClaimsInFlight int                    `json:"in_hand" cbor:"3,keyasint,omitempty"`
+	GroupReachable bool                   `json:"council_reached" cbor:"4,keyasint,omitempty"`
+	Replica        *Counters              `json:"seat,omitempty" cbor:"5,keyasint,omitempty"`
+	Leader         string                 `json:"leader,omitempty" cbor:"6,keyasint,omitempty"`
+	Table          *claims.Counters       `json:"table,omitempty" cbor:"7,keyasint,omitempty"`
+	Takeover       *takeover.Counters     `json:"handed,omitempty" cbor:"8,keyasint,omitempty"`
+	Entries        int                    `json:"claims" cbor:"9,keyasint,omitempty"`
+	Bytes          int64                  `json:"bytes" cbor:"10,keyasint,omitempty"`
+	Time           int64                  `json:"time_ns" cbor:"11,keyasint,omitempty"`
+	Limits         []*quota.Limit         `json:"limits,omitempty" cbor:"13,keyasint,omitempty"`
+	Lease          *quota.Counters        `json:"lease,omitempty" cbor:"14,keyasint,omitempty"`
+	Claims         []*claims.Entry        `json:"-" cbor:"12,keyasint,omitempty"`
+}
--- a/internal/fleet/consensus/helpers_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -447,22 +447,22 @@
 
 // check wants that no fence goes back on any seat's table, but for one that began anew.
 func (s *simulation) check(c *Group) {
-	if !c.isLeader() || c.appliedIndex == s.checkedIndex {
+	if !c.IsLeader() || c.raft.appliedIndex == s.checkedIndex {
 		return
 	}
-	s.checkedIndex = c.appliedIndex
-	if term, err := c.storage.Term(c.appliedIndex); err != nil || term != c.node.BasicStatus().GetTerm() {
+	s.checkedIndex = c.raft.appliedIndex
+	if term, err := c.raft.storage.Term(c.raft.appliedIndex); err != nil || term != c.raft.node.BasicStatus().GetTerm() {
 		return // it has not carried out yet what was agreed on before it led
 	}
 	for _, m := range s.machines { // one that does not know yet that another leads has an old table
-		if m.up && m.replica != nil && m.replica.node.BasicStatus().GetTerm() > c.node.BasicStatus().GetTerm() {
+		if m.up && m.replica != nil && m.replica.raft.node.BasicStatus().GetTerm() > c.raft.node.BasicStatus().GetTerm() {
 			return
 		}
 	}
 	for _, e := range c.table.List(1 << 20) {
 		if before := s.fences[e.Key]; e.Fence > before {
 			s.fences[e.Key] = e.Fence
-		} else if e.Fence < before && c.isLeader() && !c.steppedDown() && c.appliedIndex == c.node.BasicStatus().GetCommit() && s.stable {
+		} else if e.Fence < before && c.IsLeader() && !c.steppedDown() && c.raft.appliedIndex == c.raft.node.BasicStatus().GetCommit() && s.stable {
 			s.fail("%s: fence %d after %d", e.Key, e.Fence, before)
 		}
 	}
--- /dev/null
+++ b/internal/fleet/consensus/snapshotparts.go
@@ -0,0 +1,162 @@
+package consensus
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+// A table that is large and changes seldom is stored beside snapshots as a part, which they refer to by its digest, so that each
+// content is encoded, stored and sent once. A replica that receives a snapshot requests the parts that it lacks, one chunk at a time:
+// the round trips limit the rate.
+
+const (
+	chunkBytes         = 256 << 10  // of a part in one message
+	maxPartBytes       = 64 << 20   // of a part
+	chunkRetryInterval = 300 * ms   // ns without a chunk after which it is requested again
+	chunkTimeout       = 5_000 * ms // ns without a chunk after which the snapshot is given up: its sender may be gone, or have a later one
+)
+
+// partFetch is a received snapshot that waits for parts.
+type partFetch struct {
+	message    *pb.Message
+	from       string
+	missing    []string // digests
+	received   []byte   // of the first of missing
+	requestAt  int64
+	progressAt int64 // the last chunk
+}
+
+// awaitParts reports whether a snapshot must wait for parts, and requests them.
+func (r *Replica) awaitParts(m *pb.Message, from string) bool {
+	missing := slices.DeleteFunc(separateDigests(m.GetSnapshot()), func(digest string) bool { return r.snapshots.parts[digest] != nil })
+	if len(missing) == 0 {
+		r.snapshots.fetch = nil
+		return false
+	}
+	next := &partFetch{message: m, from: from, missing: missing, requestAt: r.now, progressAt: r.now}
+	if before := r.snapshots.fetch; before != nil && before.missing[0] == missing[0] { // it goes on
+		next.received = before.received
+		next.requestAt = before.requestAt
+		next.progressAt = before.progressAt
+	}
+	r.snapshots.fetch = next
+	r.requestChunk()
+	return true
+}
+
+// requestChunk requests the next chunk where that is due.
+func (r *Replica) requestChunk() {
+	fetch := r.snapshots.fetch
+	switch {
+	case fetch == nil || r.now < fetch.requestAt:
+	case r.now-fetch.progressAt >= chunkTimeout:
+		r.snapshots.fetch = nil
+	default:
+		fetch.requestAt = r.now + chunkRetryInterval
+		r.send(fetch.from, Message{Kind: MessagePartRequest, Part: fetch.missing[0], Offset: len(fetch.received)})
+	}
+}
+
+// handlePartRequest answers a request for a chunk.
+func (r *Replica) handlePartRequest(m *Message) {
+	text := r.snapshots.parts[m.Part]
+	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(r.members, m.From) {
+		return
+	}
+	chunk := text[m.Offset:min(len(text), m.Offset+chunkBytes)]
+	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: chunk})
+}
+
+// handlePart takes a chunk; one that does not follow on what is received answers a repeated request.
+func (r *Replica) handlePart(m *Message) {
+	fetch := r.snapshots.fetch
+	if fetch == nil || m.From != fetch.from || m.Part != fetch.missing[0] || m.Offset != len(fetch.received) ||
+		m.Size > maxPartBytes || len(m.Bytes) == 0 {
+		return
+	}
+	fetch.received = append(fetch.received, m.Bytes...)
+	fetch.requestAt = r.now
+	fetch.progressAt = r.now
+	if len(fetch.received) >= m.Size {
+		if partDigest(fetch.received) == fetch.missing[0] {
+			r.snapshots.parts[fetch.missing[0]] = fetch.received
+			fetch.missing = fetch.missing[1:]
+		}
+		fetch.received = nil
+	}
+	if len(fetch.missing) == 0 {
+		r.snapshots.fetch = nil
+		_ = r.raft.node.Step(fetch.message) // what it refuses is outdated
+		r.followLeader()
+		return
+	}
+	r.requestChunk()
+}
+
+// decodePart is a table's text in a snapshot, empty where it has none, with its digest where it is stored separately.
+func (r *Replica) decodePart(part cbor.RawMessage) (text []byte, digest string, err error) {
+	if len(part) == 0 {
+		return nil, "", nil
+	}
+	if !isTextString(part) {
+		err = cbor.Unmarshal(part, &text)
+		return text, "", err
+	}
+	if err = cbor.Unmarshal(part, &digest); err != nil {
+		return nil, "", err
+	}
+	text = r.snapshots.parts[digest]
+	if text == nil {
+		return nil, digest, errMissingPart
+	}
+	return text, digest, nil
+}
+
+// dropUnusedParts drops parts that neither the last snapshot nor the one before refers to, nor the one that waits for parts. The one
+// before may still be on its way to another replica.
+func (r *Replica) dropUnusedParts() {
+	snap, err := r.raft.storage.Snapshot()
+	if err != nil {
+		return
+	}
+	current := separateDigests(snap)
+	inUse := slices.Concat(current, r.snapshots.previousDigests)
+	if r.snapshots.fetch != nil {
+		inUse = append(inUse, separateDigests(r.snapshots.fetch.message.GetSnapshot())...)
+	}
+	for digest := range r.snapshots.parts {
+		if !slices.Contains(inUse, digest) {
+			delete(r.snapshots.parts, digest)
+		}
+	}
+	r.snapshots.previousDigests = current
+}
+
+// partDigest names a part by its content.
+func partDigest(text []byte) string { return fmt.Sprintf("%x", sha256.Sum256(text)) }
+
+// separateDigests are the digests of the parts that a snapshot refers to.
+func separateDigests(snap *pb.Snapshot) (list []string) {
+	var parts map[uint8]cbor.RawMessage
+	if cbor.Unmarshal(snap.GetData(), &parts) != nil {
+		return nil
+	}
+	for _, part := range parts {
+		var digest string
+		if isTextString(part) && cbor.Unmarshal(part, &digest) == nil {
+			list = append(list, digest)
+		}
+	}
+	slices.Sort(list)
+	return list
+}
+
+// isTextString reports whether a CBOR item is a text string, which in a snapshot is a digest.
+func isTextString(part cbor.RawMessage) bool {
+	const majorTypeText = 3
+	return len(part) > 0 && part[0]>>5 == majorTypeText
+}
--- a/internal/fleet/consensus/parts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -52,11 +52,11 @@
 		sim.run(sim.now + 4_000*ms)
 		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].text, "round %d: it came in pieces", round)
 	}
-	snap, err := leader.replica.storage.Snapshot()
+	snap, err := leader.replica.raft.storage.Snapshot()
 	require.NoError(t, err)
 	assert.Less(t, len(snap.GetData()), 64<<10, "a snapshot names it only")
 	assert.LessOrEqual(t, tables[i].snapshots, 2, "empty, and as it is")
-	assert.LessOrEqual(t, len(leader.replica.storedParts), 2)
+	assert.LessOrEqual(t, len(leader.replica.snapshots.parts), 2)
 	sim.killReplicas()
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
@@ -149,6 +149,6 @@
 	for i, h := range sim.heads() {
 		assert.Equal(t, uint64(2), h.All.Version, "seat %d is back from its disk", i)
 		assert.Equal(t, pieces*each+1, sim.machines[i].replica.configs.table.Agreed().All.Len(configsync.Tenants))
-		assert.LessOrEqual(t, len(sim.machines[i].replica.storedParts), 2)
+		assert.LessOrEqual(t, len(sim.machines[i].replica.snapshots.parts), 2)
 	}
 }
--- a/internal/fleet/consensus/disk_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -98,20 +98,20 @@
 func (s *simulation) assertSameTables(t assert.TestingT) {
 	by := map[uint64]string{}
 	for _, m := range s.machines[:len(s.members)] {
-		if !m.up || !m.replica.bootstrapped {
+		if !m.up || !m.replica.bootstrap.done {
 			continue
 		}
 		text := ""
 		for i := range m.replica.tables {
-			m.replica.cachedTexts[i] = nil
+			m.replica.snapshots.cachedTexts[i] = nil
 			part, err := m.replica.tables[i].Snapshot()
 			assert.NoError(t, err)
 			text += string(part)
 		}
-		if before, known := by[m.replica.appliedIndex]; known {
-			assert.True(t, before == text, "tables at entry %d differ", m.replica.appliedIndex)
+		if before, known := by[m.replica.raft.appliedIndex]; known {
+			assert.True(t, before == text, "tables at entry %d differ", m.replica.raft.appliedIndex)
 		}
-		by[m.replica.appliedIndex] = text
+		by[m.replica.raft.appliedIndex] = text
 	}
 }
 
@@ -124,7 +124,7 @@
 			require.Equal(t, "hold//t1 run 1", a.outcome)
 			ids := map[string]uint64{}
 			for _, m := range sim.machines[:seats] {
-				ids[m.name] = m.replica.raftID
+				ids[m.name] = m.replica.raft.id
 			}
 			sim.killReplicas()
 			sim.kill(seats)
@@ -132,7 +132,7 @@
 			sim.startAll()
 			sim.run(sim.now + 3_000*ms)
 			for _, m := range sim.machines[:seats] {
-				assert.Equal(t, ids[m.name], m.replica.raftID, "it goes on under its number")
+				assert.Equal(t, ids[m.name], m.replica.raft.id, "it goes on under its number")
 			}
 			b := sim.ask(2, 1, seats)
 			sim.run(sim.now + 500*ms)
@@ -147,25 +147,25 @@
 	sim := newDiskSimulation(t, 4, 3)
 	sim.ask(1, 1, 3)
 	sim.run(sim.now + 500*ms)
-	before := sim.machines[0].replica.raftID
+	before := sim.machines[0].replica.raft.id
 	sim.kill(0)
 	sim.machines[0].disk = nil
 	sim.start(0)
 	sim.run(sim.now + 3_000*ms)
 	c := sim.machines[0].replica
-	assert.NotEqual(t, before, c.raftID)
+	assert.NotEqual(t, before, c.raft.id)
 	assert.NotNil(t, c.table.Find(key(1)))
 	sim.killReplicas() // and what it got is on its new disk
 	sim.startAll()
 	sim.run(sim.now + 3_000*ms)
-	assert.Equal(t, c.raftID, sim.machines[0].replica.raftID)
+	assert.Equal(t, c.raft.id, sim.machines[0].replica.raft.id)
 	assert.NotNil(t, sim.machines[0].replica.table.Find(key(1)))
 }
 
 func TestSeatWithAnOldDiskIsToldAndBeginsAnew(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	i := (sim.indexOf(sim.leader()) + 1) % 3
-	old, before := sim.machines[i].disk.contents, sim.machines[i].replica.raftID
+	old, before := sim.machines[i].disk.contents, sim.machines[i].replica.raft.id
 	a := sim.ask(1, 1, 3)
 	sim.run(sim.now + 500*ms)
 	sim.killReplicas()
@@ -173,8 +173,8 @@
 	sim.startAll()
 	sim.run(sim.now + 5_000*ms)
 	c := sim.machines[i].replica
-	assert.NotEqual(t, before, c.raftID, "it does not vote by what it forgot")
-	assert.True(t, c.bootstrapped)
+	assert.NotEqual(t, before, c.raft.id, "it does not vote by what it forgot")
+	assert.True(t, c.bootstrap.done)
 	assert.NotNil(t, c.table.Find(key(1)))
 	b := sim.ask(2, 1, 3)
 	sim.run(sim.now + 500*ms)
@@ -214,7 +214,7 @@
 	sim.kill(i)
 	sim.start(i)
 	sim.run(sim.now + 2_000*ms)
-	assert.Equal(t, sim.leader().replica.appliedIndex, sim.machines[i].replica.appliedIndex, "started anew it goes on")
+	assert.Equal(t, sim.leader().replica.raft.appliedIndex, sim.machines[i].replica.raft.appliedIndex, "started anew it goes on")
 }
 
 func TestFolderOfAnotherCouncilIsRefused(t *testing.T) {
@@ -350,11 +350,11 @@
 // settled says whether all other seats that are up stand on their disks and sit where the council has them.
 func (s *simulation) settled(i int) bool {
 	for k, m := range s.machines[:len(s.members)] {
-		if k != i && m.up && (m.replica.disk.rejoinAnswers != nil || !m.replica.bootstrapped) {
+		if k != i && m.up && (m.replica.disk.rejoinAnswers != nil || !m.replica.bootstrap.done) {
 			return false
 		}
 	}
-	return s.machines[i].up && s.machines[i].replica.disk.rejoinAnswers == nil && s.machines[i].replica.bootstrapped
+	return s.machines[i].up && s.machines[i].replica.disk.rejoinAnswers == nil && s.machines[i].replica.bootstrap.done
 }
 
 type differences []string
