--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -15,11 +15,11 @@
 	return configsync.Item{Part: configsync.Tenants, Name: name, Value: []byte(`{"quota_rps":1}`)}
 }
 
-// propose has a node that is no seat ask one for a command, and gives the verdicts that it has then.
-func (s *simulation) propose(t *testing.T, seat int, c configsync.Command) configsync.Verdict {
+// propose sends a command from a node that is no replica to a replica, and returns its verdict.
+func (s *simulation) propose(t *testing.T, replica int, c configsync.Command) configsync.Verdict {
 	node := s.nodes[3]
 	node.configVerdicts = nil
-	s.send(3, s.nodes[seat].name, Message{Kind: MessagePropose, From: node.name, Owner: claims.Owner{Name: node.name, Incarnation: node.incarnation}, Proposed: []configsync.Command{c}})
+	s.send(3, s.nodes[replica].name, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), Proposed: []configsync.Command{c}})
 	s.run(s.now + 500*ms)
 	require.Len(t, node.configVerdicts, 1, "one command, one verdict")
 	assert.Equal(t, []any{c.From, c.Seq}, []any{node.configVerdicts[0].From, node.configVerdicts[0].Seq})
@@ -38,22 +38,22 @@
 	for _, node := range sim.nodes[:3] {
 		text, err := node.replica.configs.Snapshot()
 		require.NoError(t, err)
-		assert.Empty(t, text, "a council without versions has nothing of them in its snapshots")
+		assert.Empty(t, text, "a group without a configuration has nothing of it in its snapshots")
 		assert.False(t, node.replica.configs.storedSeparately())
 	}
 	put := configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}}
 	v := sim.propose(t, 0, put)
 	assert.Equal(t, configsync.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
-	assert.Equal(t, v, sim.propose(t, 1, put), "the same at another seat has the same verdict")
+	assert.Equal(t, v, sim.propose(t, 1, put), "the same command at another replica has the same verdict")
 	v = sim.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y")}})
 	assert.True(t, v.Stale)
 	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differ)
 
 	sim.run(sim.now + 4_000*ms)
 	for _, h := range sim.heads() {
-		assert.Equal(t, uint64(1), h.All.Version, "the leader has it go to all once it stood")
+		assert.Equal(t, uint64(1), h.All.Version, "the leader rolls it out to all after the canary stage")
 	}
-	for k := range 3 { // a long change
+	for k := range 3 { // a change in several commands
 		v = sim.propose(t, k, configsync.Command{Kind: configsync.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
 			Changes: []configsync.Item{tenantItem(fmt.Sprint("z", k))}})
 		assert.True(t, v.Done, v.Refused)
@@ -63,7 +63,7 @@
 	sim.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
 		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
 	sim.run(sim.now + 500*ms)
-	assert.False(t, sim.heads()[0].Stopped, "only a seat says that a version goes no further")
+	assert.False(t, sim.heads()[0].Stopped, "only a replica may stop a version")
 	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
 	sim.wakeNow(1)
 	sim.run(sim.now + 6_000*ms)
@@ -73,20 +73,20 @@
 	for i := range 3 {
 		sim.kill(i)
 	}
-	sim.nodes[2].disk = &simDisk{} // one of them is lost
+	sim.nodes[2].disk = &simDisk{} // one disk is lost
 	sim.run(sim.now + 1_000*ms)
 	for i := range 3 {
 		sim.start(i)
 	}
 	sim.run(sim.now + 8_000*ms)
 	for i, h := range sim.heads() {
-		assert.Equal(t, want, h, "seat %d", i)
+		assert.Equal(t, want, h, "replica %d", i)
 		agreed, changed := sim.nodes[i].replica.AgreedConfig()
 		assert.True(t, changed)
 		require.NotNil(t, agreed)
 		assert.Equal(t, 4, agreed.Newest.Len(configsync.Tenants))
 		_, changed = sim.nodes[i].replica.AgreedConfig()
-		assert.False(t, changed, "it is told once")
+		assert.False(t, changed, "it is reported once")
 	}
 	v = sim.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
 	assert.Equal(t, configsync.Verdict{From: "d", Seq: 1, Done: true, Version: 3}, v)
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -24,9 +24,9 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
+var update = flag.Bool("update", false, "rewrite the fixtures of testdata with what this build encodes")
 
-// sameAsFixture says that the bytes are those of a file of testdata, and gives the file's.
+// sameAsFixture requires that the bytes are those of a file of testdata, and returns the file's.
 func sameAsFixture(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -36,11 +36,11 @@
 	}
 	fixture, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, fixture, encoded, "%s: the encoding isn't what it was", name)
+	assert.Equal(t, fixture, encoded, "%s: the encoding changed", name)
 	return fixture
 }
 
-// sameBothWays says that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
+// sameBothWays requires that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
 func sameBothWays[T any](t *testing.T, name string, value T, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	encoded, err := encode(value)
@@ -50,7 +50,7 @@
 	assert.Equal(t, value, again, name)
 }
 
-// fullValue is a value with every encoded field set, to what follows from its key in the encoding and not from its name in Go: a
+// fullValue is a value with every encoded field set to what follows from its key in the encoding, and not from its name in Go: a
 // field that is renamed keeps its value as long as it keeps its key.
 func fullValue[T any](seed uint32) (value T) {
 	setFull(reflect.ValueOf(&value).Elem(), seed)
@@ -117,7 +117,7 @@
 	return crc32.ChecksumIEEE([]byte(name)), true
 }
 
-// What seats and nodes tell each other, one message of each kind, what a node shows, and the bodies of what a seat keeps on its disk.
+// The encodings of messages of each kind, of the summary and counters, and of a replica's disk.
 func TestFixturesOfTheGroup(t *testing.T) {
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
@@ -138,7 +138,7 @@
 		sameBothWays(t, "counters-v1.cbor", fullValue[Counters](1), cbor.Marshal, cbor.Unmarshal)
 		sameBothWays(t, "handed-v1.cbor", fullValue[takeover.Counters](2), cbor.Marshal, cbor.Unmarshal)
 	})
-	t.Run("seats", func(t *testing.T) {
+	t.Run("replicas", func(t *testing.T) {
 		sameBothWays(t, "seats-v1.cbor", fullValue[map[string]replicaIncarnation](1), cborEncoding.Marshal, cbor.Unmarshal)
 	})
 	t.Run("base", func(t *testing.T) {
@@ -149,7 +149,7 @@
 	})
 }
 
-// fixtureCommands are commands for each table of a council, which change all of them.
+// fixtureCommands are commands that change each table of a group.
 func fixtureCommands() (list []claims.Command, asks []quota.Command, puts []configsync.Command) {
 	one, other := claims.Owner{Name: "node-1", Incarnation: 11}, claims.Owner{Name: "node-2", Incarnation: 12}
 	key := func(token string) claims.Key { return claims.Key{Operation: "resize", Tenant: "green", Token: token} }
@@ -171,7 +171,7 @@
 	return list, asks, puts
 }
 
-// fixtureGroup is a council of three that knows nothing yet.
+// fixtureGroup is a replica of a group of three that knows nothing yet.
 func fixtureGroup() *Group {
 	c := NewGroup([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
 	c.earlyEffects, c.effects = nil, nil
@@ -193,7 +193,7 @@
 	return text
 }
 
-// sameTables compares what two seats hold.
+// sameTables compares the tables of two replicas.
 func sameTables(t *testing.T, want, got *Group) {
 	t.Helper()
 	for i := range want.tables {
@@ -205,7 +205,7 @@
 	}
 }
 
-// An entry of the log with commands for all tables is written to the bytes of a fixture and carried out from it as it was meant.
+// An entry with commands for all tables is encoded to the bytes of a fixture, and applied from it as intended.
 func TestFixtureOfAnEntry(t *testing.T) {
 	fixture := sameAsFixture(t, "entry-v1.cbor", fixtureEntry(t))
 	want := fixtureGroup()
@@ -233,8 +233,8 @@
 	assert.Equal(t, uint64(1), got.configs.table.Head().Newest)
 }
 
-// What a seat writes to its disk, a base with the council's snapshot and a part beside it, and records of the log behind it, comes to the
-// bytes of fixtures, and a seat that is started on them knows what was meant.
+// What a replica writes to its disk, a base with a snapshot, a part stored separately and records of the log, has the bytes of fixtures,
+// and a replica that recovers from them has the same state.
 func TestFixturesOfAReplicasDisk(t *testing.T) {
 	writer := fixtureGroup()
 	index, term, commit, vote := uint64(2), uint64(3), uint64(2), uint64(0x21)
@@ -255,7 +255,7 @@
 	require.Len(t, writer.effects, 1)
 	write = *writer.effects[0].Write
 	there := DiskContents{Base: sameAsFixture(t, "disk-base-v1.cbor", write.Base), Parts: map[string][]byte{}}
-	require.Len(t, write.Parts, 1, "the configuration lies apart")
+	require.Len(t, write.Parts, 1, "the configuration is stored separately")
 	for name, part := range write.Parts {
 		fixture := sameAsFixture(t, "disk-part-v1.cbor", part)
 		there.Parts[name] = fixture
@@ -303,7 +303,7 @@
 	assert.Equal(t, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.replicas)
 }
 
-// The words of raft go within messages as raft encodes them: one of each field that seats use.
+// Messages carry raft messages as raft encodes them; this one has each field that is in use.
 func TestFixtureOfRaftMessages(t *testing.T) {
 	number := func(n uint64) *uint64 { return &n }
 	kind, normal, reject := raftpb.MsgApp, raftpb.EntryNormal, true
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/group_test.go
@@ -12,15 +12,15 @@
 )
 
 func TestGroupsOfAllSizesBootstrap(t *testing.T) {
-	for _, seats := range []int{1, 3, 5} {
-		t.Run(fmt.Sprint(seats), func(t *testing.T) {
-			sim := newStableSimulation(t, 6, seats)
+	for _, replicas := range []int{1, 3, 5} {
+		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
+			sim := newStableSimulation(t, 6, replicas)
 			a := sim.ask(1, 1, 5)
 			sim.run(sim.now + 500*ms)
 			assert.Equal(t, "hold//t1 run 1", a.outcome)
 			b := sim.ask(2, 1, 0)
 			sim.run(sim.now + 500*ms)
-			assert.Equal(t, a.outcome, b.outcome, "a repeat at another node gets the kept result")
+			assert.Equal(t, a.outcome, b.outcome, "a repeat at another node gets the cached result")
 			assert.Equal(t, 1, sim.runs[1])
 		})
 	}
@@ -39,8 +39,8 @@
 	node := sim.nodes[i]
 	assert.True(t, node.replica.bootstrap.done)
 	assert.Equal(t, node.replica.raft.id, sim.leader().replica.replicas[node.name].ID)
-	assert.NotNil(t, node.replica.table.Find(key(1)), "it knows what was agreed on in its absence")
-	for k := range sim.members { // and each of the others may be lost in its turn
+	assert.NotNil(t, node.replica.table.Find(key(1)), "it knows what was committed in its absence")
+	for k := range sim.members { // each of the others may be lost in turn
 		if k != i {
 			sim.kill(k)
 			sim.run(sim.now + 4_000*ms)
@@ -62,14 +62,14 @@
 	sim.start(0)
 	sim.start(1)
 	sim.run(sim.now + 20_000*ms)
-	assert.Nil(t, sim.leader(), "two that forgot can't outvote one that remembers")
+	assert.Nil(t, sim.leader(), "two that lost their state can't outvote one that has it")
 	b := sim.ask(2, 2, 4)
 	sim.run(sim.now + 100*ms)
-	assert.Equal(t, "throttled", b.outcome, "nothing is claimed without a council")
+	assert.Equal(t, "throttled", b.outcome, "nothing is claimed without a leader")
 	sim.kill(2)
 	sim.start(2)
 	sim.run(sim.now + 10_000*ms)
-	assert.NotNil(t, sim.leader(), "once nobody remembers, another is founded")
+	assert.NotNil(t, sim.leader(), "once all have lost their state, another group bootstraps")
 }
 
 func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
@@ -77,7 +77,7 @@
 	i := sim.indexOf(sim.leader())
 	for k := range sim.nodes {
 		if k != i {
-			sim.cutLinks[[2]int{k, i}] = true // it is heard, and hears nobody
+			sim.cutLinks[[2]int{k, i}] = true // it can send, and receives nothing
 		}
 	}
 	sim.run(sim.now + 6_000*ms)
@@ -94,23 +94,23 @@
 	replica := node.replica
 	before := replica.raft.id
 	replica.Step(sim.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
-	assert.Equal(t, before, replica.raft.id, "what can't be read is dropped")
+	assert.Equal(t, before, replica.raft.id, "what can't be decoded is dropped")
 	replica.restartOnPanic(func() { panic("as raft would") })
 	assert.NotEqual(t, before, replica.raft.id)
 	assert.Equal(t, 1, replica.Counters.Broken)
 	sim.run(sim.now + 6_000*ms)
 	assert.NotNil(t, sim.leader())
-	assert.True(t, replica.bootstrap.done, "and it is seated anew")
+	assert.True(t, replica.bootstrap.done, "the group has replaced it")
 }
 
 func TestNewerCommandRestartsReplica(t *testing.T) {
 	sim := newStableSimulation(t, 3, 3)
 	node := sim.leader()
-	node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandKindCount, Sender: claims.Owner{Name: node.name, Incarnation: node.incarnation}, Seq: 99}}})
+	node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandKindCount, Sender: node.owner(), Seq: 99}}})
 	sim.wakeNow(sim.indexOf(node))
 	sim.run(sim.now + 1_000*ms)
 	for _, x := range sim.nodes {
-		assert.Positive(t, x.replica.Counters.Broken, "a table that would differ from others is none")
+		assert.Positive(t, x.replica.Counters.Broken, "a replica whose table would diverge restarts")
 	}
 }
 
@@ -133,7 +133,7 @@
 	assert.Equal(t, claims.MaxTimeStep, quota.MaxTimeStep)
 }
 
-// A seat vouches for what was agreed on as current only while it hears of what the majority agrees on.
+// A replica reports itself current only while it learns of what the majority commits.
 func TestReplicaKnowsWhetherItIsCurrent(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	current := func() (list []bool) {
@@ -144,7 +144,7 @@
 	}
 	sim.run(sim.now + 2_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	i := sim.indexOf(sim.leader()) // cut off, it goes on leading as far as it knows
+	i := sim.indexOf(sim.leader()) // cut off, it still leads as far as it knows
 	for k := range sim.nodes {
 		sim.cutLinks[[2]int{k, i}], sim.cutLinks[[2]int{i, k}] = k != i, k != i
 	}
@@ -158,12 +158,12 @@
 	sim.killReplicas()
 	sim.start(0)
 	sim.run(sim.now + 5_000*ms)
-	require.NotZero(t, sim.nodes[0].replica.raft.appliedIndex, "it knows what it knew")
-	assert.Equal(t, []bool{false, false, false}, current(), "and not what others may have agreed on since")
+	require.NotZero(t, sim.nodes[0].replica.raft.appliedIndex, "it has its recovered state")
+	assert.Equal(t, []bool{false, false, false}, current(), "it can't know what was committed since")
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	for _, node := range sim.nodes[:3] { // for each, what it holds is of the term that goes on
+	for _, node := range sim.nodes[:3] { // each has applied an entry of the current term
 		node.replica.leadership.leaderID = 0
 	}
 	assert.Equal(t, []bool{false, false, false}, current(), "without a leader none is")
--- a/internal/fleet/consensus/schedules_test.go
+++ b/internal/fleet/consensus/schedules_test.go
@@ -235,8 +235,8 @@
 	s.startAll()
 }
 
-// majorityWithout says whether most of the council would remember without a seat, and no seat is on its way back: what is promised
-// ends where it does not.
+// majorityWithout reports whether a majority would remember all without a replica, and no replica is being replaced. Else the group gives
+// no guarantee.
 func (s *simulation) majorityWithout(i int) bool {
 	left := 0
 	for k, node := range s.nodes[:len(s.members)] {
@@ -253,7 +253,7 @@
 	return 2*left > len(s.members)
 }
 
-// SCHEDULES says how many are played, SEED which one to replay.
+// seedFromEnvironment reads SCHEDULES, the number of schedules, or SEED, the first of them.
 func seedFromEnvironment(t *testing.T, name string, usual int64) int64 {
 	if text := os.Getenv(name); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
@@ -278,13 +278,13 @@
 		}
 	}
 	t.Logf("%d schedules: %d tokens ran, %d were taken over", many, ran, taken)
-	assert.True(t, many < 100 || taken > 0, "a takeover was seen")
+	assert.True(t, many < 100 || taken > 0, "a takeover occurred")
 }
 
-// A search that can't fail shows nothing.
+// The schedules find faults that are injected on purpose.
 func TestRandomSchedulesFindInjectedFaults(t *testing.T) {
 	for name, alter := range map[string]func(sim *simulation){
-		"the start is agreed on after the run": func(sim *simulation) { sim.runBeforeStart = true },
+		"the start is committed after the run": func(sim *simulation) { sim.runBeforeStart = true },
 		"fences are not compared":              func(sim *simulation) { sim.ignoreFences = true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -299,7 +299,7 @@
 	}
 }
 
-// settled says whether all other seats that are up stand on their disks and sit where the council has them.
+// settled reports whether a replica and all others that are up are members and not rejoining.
 func (s *simulation) settled(i int) bool {
 	for k, node := range s.nodes[:len(s.members)] {
 		if k != i && node.up && (node.replica.disk.rejoinAnswers != nil || !node.replica.bootstrap.done) {
@@ -327,6 +327,6 @@
 			return
 		}
 	}
-	t.Logf("%d schedules: %d tokens ran, %d seats went on from their disks", many, ran, resumed)
-	assert.True(t, many < 50 || resumed > 0, "a seat went on from its disk")
+	t.Logf("%d schedules: %d tokens ran, %d replicas recovered from their disks", many, ran, resumed)
+	assert.True(t, many < 50 || resumed > 0, "a replica recovered from its disk")
 }
--- a/internal/fleet/consensus/simcallers_test.go
+++ b/internal/fleet/consensus/simcallers_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
-// attempt is one caller's try.
+// attempt is one caller's request.
 type attempt struct {
 	token    int
 	at, end  int64
@@ -21,7 +21,7 @@
 
 func key(token int) claims.Key { return claims.Key{Operation: "hold", Token: fmt.Sprint("t", token)} }
 
-// ask has a caller try a token at a machine, as a node with its module would: claimed at once, begun after a hold.
+// ask has a caller request a token at a node, which claims it at once and starts it after some time in the queue.
 func (s *simulation) ask(client, token, i int) *attempt {
 	a := &attempt{token: token, at: s.now, client: client, node: i}
 	s.attempts = append(s.attempts, a)
@@ -42,50 +42,60 @@
 				return
 			}
 			node.pending[k] = true
-			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
+			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7,
+				Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
 			s.at(s.now+s.random.Int63n(40*ms), i, func() { s.begin(i, k) })
 		}
 		node.waiting[k] = append(node.waiting[k], a)
 		s.wakeNow(i)
-		s.at(s.now+4_000*ms, i, func() {
-			if a.answered {
-				return
-			}
-			if node.client.OwnedElsewhere(k) {
-				s.answer(a, "unknown")
-			} else {
-				s.answer(a, "throttled")
-			}
-			node.waiting[k] = slices.DeleteFunc(node.waiting[k], func(b *attempt) bool { return b == a })
-			if len(node.waiting[k]) == 0 && !s.started[k] && node.starting[k] {
-				delete(node.starting, k)
-				node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: k})
-				s.wakeNow(i)
-			}
-		})
+		s.at(s.now+4_000*ms, i, func() { s.timeOut(i, a) })
 	})
 	return a
 }
 
-func (s *simulation) begin(i int, k claims.Key) {
+// timeOut answers a caller whose result did not come in time, and abandons work that nobody else waits for.
+func (s *simulation) timeOut(i int, a *attempt) {
+	if a.answered {
+		return
+	}
 	node := s.nodes[i]
-	if node.pending[k] {
-		delete(node.pending, k)
-		node.starting[k] = true
-		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestStart, Key: k, BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
-		if s.runBeforeStart {
-			s.execute(i, k)
-		}
+	k := key(a.token)
+	if node.client.OwnedElsewhere(k) {
+		s.answer(a, "unknown")
+	} else {
+		s.answer(a, "throttled")
+	}
+	node.waiting[k] = slices.DeleteFunc(node.waiting[k], func(b *attempt) bool { return b == a })
+	if len(node.waiting[k]) == 0 && !s.started[k] && node.starting[k] {
+		delete(node.starting, k)
+		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: k})
 		s.wakeNow(i)
 	}
 }
 
-// execute has the executor hear of a run, after a moment in which the machine may stop or die.
+func (s *simulation) begin(i int, k claims.Key) {
+	node := s.nodes[i]
+	if !node.pending[k] {
+		return
+	}
+	delete(node.pending, k)
+	node.starting[k] = true
+	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestStart, Key: k, BodyHash: 7, Remaining: 4_000 * ms,
+		Window: window, Work: []byte{1}, InvocationID: "c"})
+	if s.runBeforeStart {
+		s.execute(i, k)
+	}
+	s.wakeNow(i)
+}
+
+// execute starts a run at the executor, after a moment in which the node may pause or be killed.
 func (s *simulation) execute(i int, k claims.Key) {
 	node := s.nodes[i]
 	s.at(s.now+s.random.Int63n(2*ms), i, func() {
 		var token int
-		fmt.Sscanf(k.Token, "t%d", &token)
+		if _, err := fmt.Sscanf(k.Token, "t%d", &token); err != nil {
+			s.fail("token %q has no number: %v", k.Token, err)
+		}
 		s.runs[token]++
 		s.started[k] = true
 		if s.runs[token] > 1 {
@@ -109,16 +119,9 @@
 			return
 		}
 		to := s.members[s.random.Intn(len(s.members))]
-		s.send(i, to, Message{Kind: MessagePropose, From: node.name, Owner: claims.Owner{Name: node.name, Incarnation: node.incarnation}, Commands: a.Commands})
+		s.send(i, to, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), Commands: a.Commands})
 	case claims.StartRun:
-		if !node.starting[a.Key] {
-			s.fail("%s may run at %s, which does not want it", a.Key, node.name)
-		} else if len(node.waiting[a.Key]) == 0 && s.random.Intn(2) == 0 && !s.runBeforeStart && !s.stable { // nobody waits any more: nothing ran, and nothing will
-			delete(node.starting, a.Key)
-			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
-		} else if !s.runBeforeStart {
-			s.execute(i, a.Key)
-		}
+		s.startRun(i, a.Key)
 	case claims.EndRecorded:
 		s.complete(i, a.Key, node.results[a.Key])
 	case claims.CompletedElsewhere:
@@ -136,6 +139,20 @@
 	}
 }
 
+// startRun runs a token, or now and then abandons it where nobody waits any more: it did not run, and will not.
+func (s *simulation) startRun(i int, k claims.Key) {
+	node := s.nodes[i]
+	switch {
+	case !node.starting[k]:
+		s.fail("%s may run at %s, which did not request it", k, node.name)
+	case len(node.waiting[k]) == 0 && s.random.Intn(2) == 0 && !s.runBeforeStart && !s.stable:
+		delete(node.starting, k)
+		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: k})
+	case !s.runBeforeStart:
+		s.execute(i, k)
+	}
+}
+
 func (s *simulation) complete(i int, k claims.Key, got string) {
 	node := s.nodes[i]
 	delete(node.starting, k)
@@ -147,7 +164,9 @@
 
 func (s *simulation) answer(a *attempt, got string) {
 	if !a.answered {
-		a.answered, a.outcome, a.end = true, got, s.now
+		a.answered = true
+		a.outcome = got
+		a.end = s.now
 	}
 }
 
@@ -155,30 +174,34 @@
 	s.failures = append(s.failures, fmt.Sprintf(form, args...))
 }
 
-// check wants that no fence goes back on any seat's table, but for one that began anew.
+// check requires that no fence in a leader's table is lower than one seen before.
 func (s *simulation) check(group *Group) {
 	if !group.IsLeader() || group.raft.appliedIndex == s.checkedIndex {
 		return
 	}
 	s.checkedIndex = group.raft.appliedIndex
-	if term, err := group.raft.storage.Term(group.raft.appliedIndex); err != nil || term != group.raft.node.BasicStatus().GetTerm() {
-		return // it has not carried out yet what was agreed on before it led
+	term, err := group.raft.storage.Term(group.raft.appliedIndex)
+	if err != nil || term != group.raft.node.BasicStatus().GetTerm() {
+		return // it has not applied yet what was committed before it led
 	}
-	for _, node := range s.nodes { // one that does not know yet that another leads has an old table
+	for _, node := range s.nodes { // one that does not know yet of a later leader has an outdated table
 		if node.up && node.replica != nil && node.replica.raft.node.BasicStatus().GetTerm() > group.raft.node.BasicStatus().GetTerm() {
 			return
 		}
 	}
+	current := s.stable && !group.steppedDown() && group.raft.appliedIndex == group.raft.node.BasicStatus().GetCommit()
 	for _, e := range group.table.List(1 << 20) {
-		if before := s.fences[e.Key]; e.Fence > before {
+		before := s.fences[e.Key]
+		if e.Fence > before {
 			s.fences[e.Key] = e.Fence
-		} else if e.Fence < before && group.IsLeader() && !group.steppedDown() && group.raft.appliedIndex == group.raft.node.BasicStatus().GetCommit() && s.stable {
+		}
+		if e.Fence < before && current {
 			s.fail("%s: fence %d after %d", e.Key, e.Fence, before)
 		}
 	}
 }
 
-// linearizable says whether what callers saw of the tokens could have come from one place where each ran at most once.
+// linearizable reports whether the callers' results could come from a single node at which each token ran at most once.
 func (s *simulation) linearizable() bool {
 	type input struct{ token int }
 	model := porcupine.Model{
--- a/internal/fleet/consensus/simdisk_test.go
+++ b/internal/fleet/consensus/simdisk_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simDisk is what a seat's simDisk holds, and what is on its way there.
+// simDisk is a replica's disk, with the writes that are in flight.
 type simDisk struct {
 	contents DiskContents
 	inFlight []*Write
-	freeAt   int64 // when what is on its way is written
+	freeAt   int64 // when the last of inFlight is written
 }
 
 func (d *simDisk) apply(write *Write) {
@@ -27,7 +27,7 @@
 	d.contents.Records = append(d.contents.Records[:len(d.contents.Records):len(d.contents.Records)], write.Records...)
 }
 
-// crash leaves a part of what was on its way, and nothing of it was told.
+// crash applies some of the writes in flight, of which none was reported.
 func (d *simDisk) crash(random *rand.Rand) {
 	for _, write := range d.inFlight[:random.Intn(len(d.inFlight)+1)] {
 		d.apply(write)
@@ -40,14 +40,14 @@
 		node.disk = &simDisk{}
 	}
 	if err := node.replica.Recover(s.now, node.disk.contents); err != nil {
-		s.fail("%s can't take its disk up: %v", node.name, err)
+		s.fail("%s can't recover from its disk: %v", node.name, err)
 	}
 	if node.replica.Resumed() {
 		s.resumed++
 	}
 }
 
-// persist has writes reach the disk in their order, some time later: now and then much later.
+// persist applies writes in their order, some time later; now and then much later.
 func (s *simulation) persist(i int, write *Write) {
 	node := s.nodes[i]
 	d := node.disk
@@ -65,19 +65,19 @@
 	})
 }
 
-// newDiskSimulation is a calm world whose seats have disks.
-func newDiskSimulation(t *testing.T, nodes, seats int) *simulation {
-	sim := newSimulation(1, nodes, seats)
+// newDiskSimulation is a simulation without faults whose replicas have disks and a leader.
+func newDiskSimulation(t *testing.T, nodes, replicas int) *simulation {
+	sim := newSimulation(1, nodes, replicas)
 	sim.stable, sim.disks = true, true
 	for i := range nodes {
 		sim.start(i)
 	}
 	sim.run(5_000 * ms)
-	require.NotNil(t, sim.leader(), "a council is founded and has a leader")
+	require.NotNil(t, sim.leader(), "the group has bootstrapped and has a leader")
 	return sim
 }
 
-// killReplicas ends all seats at once.
+// killReplicas ends all replicas at once.
 func (s *simulation) killReplicas() {
 	for i := range s.members {
 		s.kill(i)
@@ -90,7 +90,7 @@
 	}
 }
 
-// assertSameTables says where tables of seats that are up and equally far differ.
+// assertSameTables requires that the tables of all replicas that applied the same entry are equal.
 func (s *simulation) assertSameTables(t assert.TestingT) {
 	by := map[uint64]string{}
 	for _, node := range s.nodes[:len(s.members)] {
--- a/internal/fleet/consensus/simulation_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -17,7 +17,7 @@
 
 const window = 600_000 * ms
 
-// simNode is a node of the world: a desk, a seat where it has one, and an executor that dies with it.
+// simNode is a simulated node: a claims client, a replica where it has one, and an executor that ends with it.
 type simNode struct {
 	name           string
 	incarnation    uint64
@@ -27,16 +27,18 @@
 	client         *claims.Client
 	clientInputs   []claims.Input
 	replicaInputs  []Input
-	waiting        map[claims.Key][]*attempt // callers that wait
-	pending        map[claims.Key]bool
-	starting       map[claims.Key]bool // the run is wanted
+	waiting        map[claims.Key][]*attempt // for the result
+	pending        map[claims.Key]bool       // queued, and not started
+	starting       map[claims.Key]bool       // the start is requested, or the run has started
 	results        map[claims.Key]string
 	wakeAt         int64
 	backlog        []event
 	configVerdicts []configsync.Verdict
-	disk           *simDisk // nil for one that is in memory only; it outlives the machine's lives
+	disk           *simDisk // nil for one that is in memory only; it outlives the node's incarnations
 }
 
+func (n *simNode) owner() claims.Owner { return claims.Owner{Name: n.name, Incarnation: n.incarnation} }
+
 type event struct {
 	at          int64
 	seq         int
@@ -53,9 +55,13 @@
 }
 func (x eventQueue) Swap(a, b int) { x[a], x[b] = x[b], x[a] }
 func (x *eventQueue) Push(e any)   { *x = append(*x, e.(event)) }
-func (x *eventQueue) Pop() any     { l := (*x)[len(*x)-1]; *x = (*x)[:len(*x)-1]; return l }
+func (x *eventQueue) Pop() any {
+	last := (*x)[len(*x)-1]
+	*x = (*x)[:len(*x)-1]
+	return last
+}
 
-// simulation plays a fleet in virtual time: the true council, desks and planner, with links, executors and callers emulated.
+// simulation is a fleet in virtual time: real groups, claims clients and takeover planners, with emulated links, executors and callers.
 type simulation struct {
 	random         *rand.Rand
 	now            int64
@@ -65,27 +71,34 @@
 	members        []string
 	cutLinks       map[[2]int]bool
 	loss           float64
-	stable         bool // views follow what is up, and nothing is cut or lost
+	stable         bool // membership views are correct, and nothing is cut or lost
 	runs           map[int]int
 	attempts       []*attempt
 	fences         map[claims.Key]uint64
 	failures       []string
 	started        map[claims.Key]bool
-	runBeforeStart bool // mutation: run first, ask for the start after
-	ignoreFences   bool // mutation: fences are not compared
+	runBeforeStart bool // injected fault: run first, request the start after
+	ignoreFences   bool // injected fault: fences are not compared
 	takeovers      int
 	checkedIndex   uint64
-	disks          bool                  // seats have disks
-	configure      func(i int, c *Group) // done to each seat before it takes part
-	resumed        int                   // seats that went on from their disks
-	maxExtraWrite  int64                 // ns that a write may take, beside the usual
+	disks          bool                      // replicas have disks
+	configure      func(i int, group *Group) // called for each replica before its first step
+	resumed        int                       // replicas that recovered from their disks
+	maxExtraWrite  int64                     // ns that a write may take longer
 }
 
-func newSimulation(seed int64, nodes, seats int) *simulation {
-	s := &simulation{random: rand.New(rand.NewSource(seed)), cutLinks: map[[2]int]bool{}, runs: map[int]int{}, fences: map[claims.Key]uint64{}, started: map[claims.Key]bool{}, now: 1}
+func newSimulation(seed int64, nodes, replicas int) *simulation {
+	s := &simulation{
+		random:   rand.New(rand.NewSource(seed)),
+		cutLinks: map[[2]int]bool{},
+		runs:     map[int]int{},
+		fences:   map[claims.Key]uint64{},
+		started:  map[claims.Key]bool{},
+		now:      1,
+	}
 	for i := range nodes {
 		s.nodes = append(s.nodes, &simNode{name: fmt.Sprint("n", i)})
-		if i < seats {
+		if i < replicas {
 			s.members = append(s.members, s.nodes[i].name)
 		}
 	}
@@ -94,14 +107,14 @@
 
 func (s *simulation) at(at int64, node int, do func()) {
 	s.seq++
-	life := uint64(0)
+	incarnation := uint64(0)
 	if node >= 0 {
-		life = s.nodes[node].incarnation
+		incarnation = s.nodes[node].incarnation
 	}
-	heap.Push(&s.queue, event{max(at, s.now), s.seq, node, life, do})
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, node, incarnation, do})
 }
 
-// run plays on. What is for a machine that stands still waits for it; what is for one that died is lost.
+// run goes on to a time. Events for a paused node wait for it; those for one that was killed are lost.
 func (s *simulation) run(until int64) {
 	for len(s.queue) > 0 && s.queue[0].at <= until && len(s.failures) == 0 {
 		e := heap.Pop(&s.queue).(event)
@@ -126,32 +139,51 @@
 	if node.up {
 		return
 	}
-	*node = simNode{name: node.name, disk: node.disk, up: true, incarnation: uint64(s.now)<<8 | uint64(i), waiting: map[claims.Key][]*attempt{}, pending: map[claims.Key]bool{},
-		starting: map[claims.Key]bool{}, results: map[claims.Key]string{}, wakeAt: -1}
-	node.client = claims.NewClient(claims.Owner{Name: node.name, Incarnation: node.incarnation})
+	*node = simNode{
+		name:        node.name,
+		disk:        node.disk,
+		up:          true,
+		incarnation: uint64(s.now)<<8 | uint64(i),
+		waiting:     map[claims.Key][]*attempt{},
+		pending:     map[claims.Key]bool{},
+		starting:    map[claims.Key]bool{},
+		results:     map[claims.Key]string{},
+		wakeAt:      -1,
+	}
+	node.client = claims.NewClient(node.owner())
 	if i < len(s.members) {
-		node.replica = NewGroup(s.members, node.name, node.incarnation, s.now, s.random.Int63())
-		if s.configure != nil {
-			s.configure(i, node.replica)
-		}
-		if s.disks {
-			s.recoverFromDisk(node)
-		}
-		if s.ignoreFences {
-			node.replica.alterCommand = func(c *claims.Command, t *claims.Table) {
-				if e := t.Find(c.Key); e != nil && (c.Kind == claims.CommandStart || c.Kind == claims.CommandEnd) {
-					c.Fence = e.Fence
-					if e.State == claims.StateClaimed {
-						c.Sender = e.Owner
-					}
-				}
-			}
-		}
+		s.startReplica(i)
 	}
 	s.wake(i, s.now)
 }
 
-// kill ends a machine: its callers learn that their connection broke.
+func (s *simulation) startReplica(i int) {
+	node := s.nodes[i]
+	node.replica = NewGroup(s.members, node.name, node.incarnation, s.now, s.random.Int63())
+	if s.configure != nil {
+		s.configure(i, node.replica)
+	}
+	if s.disks {
+		s.recoverFromDisk(node)
+	}
+	if s.ignoreFences {
+		node.replica.alterCommand = passFence
+	}
+}
+
+// passFence alters a command so that its fence is never outdated.
+func passFence(command *claims.Command, table *claims.Table) {
+	entry := table.Find(command.Key)
+	if entry == nil || command.Kind != claims.CommandStart && command.Kind != claims.CommandEnd {
+		return
+	}
+	command.Fence = entry.Fence
+	if entry.State == claims.StateClaimed {
+		command.Sender = entry.Owner
+	}
+}
+
+// kill ends a node; its callers lose their connections.
 func (s *simulation) kill(i int) {
 	node := s.nodes[i]
 	if !node.up {
@@ -170,12 +202,14 @@
 
 func (s *simulation) pause(i int, stop bool) {
 	node := s.nodes[i]
-	if node.paused = stop; !stop {
-		late := node.backlog
-		node.backlog = nil
-		for _, e := range late {
-			s.at(s.now, i, e.do)
-		}
+	node.paused = stop
+	if stop {
+		return
+	}
+	late := node.backlog
+	node.backlog = nil
+	for _, e := range late {
+		s.at(s.now, i, e.do)
 	}
 }
 
@@ -193,7 +227,7 @@
 	})
 }
 
-// wakeNow steps a machine at this moment, after all that happens in it.
+// wakeNow steps a node at this moment, after all other events of it.
 func (s *simulation) wakeNow(i int) { s.wake(i, s.now) }
 
 func (s *simulation) step(i int) {
@@ -201,20 +235,7 @@
 	next := int64(never)
 	for round := 0; round == 0 || len(node.clientInputs)+len(node.replicaInputs) > 0; round++ {
 		if node.replica != nil {
-			in := node.replicaInputs
-			node.replicaInputs = nil
-			in = append(in, Input{View: s.view(i)})
-			effects, wake := node.replica.Step(s.now, in)
-			next = min(next, wake)
-			for k := range effects {
-				switch e := &effects[k]; e.Kind {
-				case Send:
-					s.send(i, e.To, e.Message)
-				case Persist:
-					s.persist(i, e.Write)
-				}
-			}
-			s.check(node.replica)
+			next = min(next, s.stepReplica(i))
 		}
 		in := node.clientInputs
 		node.clientInputs = nil
@@ -227,19 +248,37 @@
 	s.wake(i, next)
 }
 
-// view is what a machine holds to be there: the truth some time after, where all is sane, and else drawn.
+func (s *simulation) stepReplica(i int) (wake int64) {
+	node := s.nodes[i]
+	inputs := append(node.replicaInputs, Input{View: s.view(i)})
+	node.replicaInputs = nil
+	effects, wake := node.replica.Step(s.now, inputs)
+	for k := range effects {
+		effect := &effects[k]
+		switch effect.Kind {
+		case Send:
+			s.send(i, effect.To, effect.Message)
+		case Persist:
+			s.persist(i, effect.Write)
+		}
+	}
+	s.check(node.replica)
+	return wake
+}
+
+// view is a node's membership view: correct where the simulation is stable, else with random errors.
 func (s *simulation) view(i int) (view []takeover.Member) {
 	for k, node := range s.nodes {
 		alive := node.up && !node.paused
 		if !s.stable && s.random.Intn(20) == 0 {
 			alive = !alive
 		}
-		view = append(view, takeover.Member{Owner: claims.Owner{Name: node.name, Incarnation: node.incarnation}, Alive: alive || k == i, AcceptsWork: true})
+		view = append(view, takeover.Member{Owner: node.owner(), Alive: alive || k == i, AcceptsWork: true})
 	}
 	return view
 }
 
-// send carries a message over a link, in bytes, as on a real one.
+// send sends an encoded message over a link.
 func (s *simulation) send(from int, to string, m Message) {
 	i := slices.IndexFunc(s.nodes, func(x *simNode) bool { return x.name == to })
 	if i < 0 {
@@ -250,7 +289,7 @@
 	}
 	text, err := cbor.Marshal(m)
 	if err != nil {
-		s.fail("a message can't be written: %v", err)
+		s.fail("a message can't be encoded: %v", err)
 		return
 	}
 	delay := int64(0)
@@ -276,22 +315,12 @@
 
 func (s *simulation) receive(i int, msg *Message) {
 	node := s.nodes[i]
-	self := claims.Owner{Name: node.name, Incarnation: node.incarnation}
 	switch msg.Kind {
 	case MessageVerdicts, MessageClaimsEnded, MessageReassignment:
-		if msg.Owner != self {
+		if msg.Owner != node.owner() {
 			return
 		}
-		for k := range msg.Verdicts {
-			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.VerdictReceived, Verdict: msg.Verdicts[k]})
-		}
-		node.configVerdicts = append(node.configVerdicts, msg.Decided...)
-		for _, key := range msg.Keys {
-			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.EndNotified, Key: key})
-		}
-		if e := msg.Entry; e != nil {
-			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: msg.Remaining, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
-		}
+		node.receiveAnswer(msg)
 	default:
 		if node.replica != nil {
 			node.replicaInputs = append(node.replicaInputs, Input{Message: msg})
@@ -300,14 +329,28 @@
 	s.wakeNow(i)
 }
 
-// resume has all go on that were paused.
+func (n *simNode) receiveAnswer(msg *Message) {
+	for k := range msg.Verdicts {
+		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.VerdictReceived, Verdict: msg.Verdicts[k]})
+	}
+	n.configVerdicts = append(n.configVerdicts, msg.Decided...)
+	for _, key := range msg.Keys {
+		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.EndNotified, Key: key})
+	}
+	if e := msg.Entry; e != nil {
+		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash,
+			Remaining: msg.Remaining, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
+	}
+}
+
+// resume ends all pauses.
 func (s *simulation) resume() {
 	for i := range s.nodes {
 		s.pause(i, false)
 	}
 }
 
-// cutFrom cuts the way from a machine to some of the others.
+// cutFrom cuts the links from a node to some of the others.
 func (s *simulation) cutFrom(i int, random *rand.Rand) {
 	for k := range s.nodes {
 		if k != i && random.Intn(2) == 0 {
@@ -316,24 +359,25 @@
 	}
 }
 
-// cutOff cuts the way of all others to a machine, and its way to some of them.
+// cutOff cuts the links of all others to a node, and its links to some of them.
 func (s *simulation) cutOff(i int, random *rand.Rand) {
 	for k := range s.nodes {
 		if k != i {
-			s.cutLinks[[2]int{k, i}], s.cutLinks[[2]int{i, k}] = true, random.Intn(2) == 0
+			s.cutLinks[[2]int{k, i}] = true
+			s.cutLinks[[2]int{i, k}] = random.Intn(2) == 0
 		}
 	}
 }
 
-// newStableSimulation is a world whose council has a leader.
-func newStableSimulation(t *testing.T, nodes, seats int) *simulation {
-	sim := newSimulation(1, nodes, seats)
+// newStableSimulation is a simulation without faults whose group has a leader.
+func newStableSimulation(t *testing.T, nodes, replicas int) *simulation {
+	sim := newSimulation(1, nodes, replicas)
 	sim.stable = true
 	for i := range nodes {
 		sim.start(i)
 	}
 	sim.run(5_000 * ms)
-	require.NotNil(t, sim.leader(), "a council is founded and has a leader")
+	require.NotNil(t, sim.leader(), "the group has bootstrapped and has a leader")
 	return sim
 }
 
--- a/internal/fleet/consensus/snapshotparts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/fleet/configsync"
 )
 
-// largeTable is a table of a megabyte that one command changes.
+// largeTable is a table of a megabyte that a command replaces.
 type largeTable struct {
 	text      []byte
 	queued    []byte
@@ -50,26 +50,26 @@
 		sim.nodes[lost].disk = nil
 		sim.start(lost)
 		sim.run(sim.now + 4_000*ms)
-		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].text, "round %d: it came in pieces", round)
+		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].text, "round %d: it came in chunks", round)
 	}
 	snap, err := leader.replica.raft.storage.Snapshot()
 	require.NoError(t, err)
-	assert.Less(t, len(snap.GetData()), 64<<10, "a snapshot names it only")
-	assert.LessOrEqual(t, tables[i].snapshots, 2, "empty, and as it is")
+	assert.Less(t, len(snap.GetData()), 64<<10, "the snapshot refers to it by its digest")
+	assert.LessOrEqual(t, tables[i].snapshots, 2, "once empty, and once with the content")
 	assert.LessOrEqual(t, len(leader.replica.snapshots.parts), 2)
 	sim.killReplicas()
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	for k := range tables {
-		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[k].text, "it comes back from the disk")
+		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[k].text, "it is recovered from the disk")
 	}
 }
 
-// watchedTable is the table of versions, with a look at how much of a snapshot each step writes.
+// watchedTable is a config table that counts how much of a snapshot each step encodes.
 type watchedTable struct {
 	*configTable
-	nextCalls   int         // calls of next: each step has one at least, before it writes
-	bytesByStep map[int]int // bytes by step
+	nextCalls   int         // each step has at least one, before it encodes
+	bytesByStep map[int]int // by nextCalls
 }
 
 type watchedSnapshot struct {
@@ -93,8 +93,8 @@
 	return whole
 }
 
-// A snapshot of a large configuration is written over many steps while entries go on being agreed on, at the bound of the log and
-// where a seat that forgot is seated anew, and what comes back from the disk is what was agreed on.
+// A snapshot of a large configuration is encoded over many steps while entries are committed, at the bound of the log and where a lost
+// replica is replaced, and what is recovered from the disk is what was committed.
 func TestSnapshotOfALargeTableIsSpreadOverSteps(t *testing.T) {
 	sim := newSimulation(1, 4, 3)
 	sim.stable, sim.disks = true, true
@@ -117,7 +117,7 @@
 	}
 	sim.run(sim.now + 4_000*ms)
 	size := sim.leader().replica.configs.table.Agreed().All.Bytes()
-	const most = 256 << 10 // bytes: some half a millisecond, with the digest
+	const most = 256 << 10 // bytes in a step
 	check := func(x *watchedTable, what string) {
 		assert.Greater(t, len(x.bytesByStep), size/most, what)
 		for _, n := range x.bytesByStep {
@@ -126,8 +126,8 @@
 		clear(x.bytesByStep)
 	}
 	node := sim.leader()
-	self := claims.Owner{Name: node.name, Incarnation: node.incarnation}
-	for n := range 2_500 { // more entries than one snapshot holds
+	self := node.owner()
+	for n := range 2_500 { // more than maxLogEntries
 		node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		sim.wakeNow(sim.indexOf(node))
 		sim.run(sim.now + 8*ms)
@@ -141,13 +141,13 @@
 	sim.start(lost)
 	sim.propose(t, sim.indexOf(node), configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantItem("x")}})
 	sim.run(sim.now + 8_000*ms)
-	check(tables[sim.indexOf(node)], "a seat anew")
+	check(tables[sim.indexOf(node)], "a replaced replica")
 	assert.Equal(t, uint64(2), sim.nodes[lost].replica.configs.table.Head().All.Version)
 	sim.killReplicas()
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	for i, h := range sim.heads() {
-		assert.Equal(t, uint64(2), h.All.Version, "seat %d is back from its disk", i)
+		assert.Equal(t, uint64(2), h.All.Version, "replica %d is back from its disk", i)
 		assert.Equal(t, pieces*each+1, sim.nodes[i].replica.configs.table.Agreed().All.Len(configsync.Tenants))
 		assert.LessOrEqual(t, len(sim.nodes[i].replica.snapshots.parts), 2)
 	}
--- a/internal/fleet/consensus/storage_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -12,25 +12,25 @@
 )
 
 func TestGroupsRecoverFromDisks(t *testing.T) {
-	for _, seats := range []int{1, 3, 5} {
-		t.Run(fmt.Sprint(seats), func(t *testing.T) {
-			sim := newDiskSimulation(t, seats+1, seats)
-			a := sim.ask(1, 1, seats)
+	for _, replicas := range []int{1, 3, 5} {
+		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
+			sim := newDiskSimulation(t, replicas+1, replicas)
+			a := sim.ask(1, 1, replicas)
 			sim.run(sim.now + 500*ms)
 			require.Equal(t, "hold//t1 run 1", a.outcome)
 			ids := map[string]uint64{}
-			for _, node := range sim.nodes[:seats] {
+			for _, node := range sim.nodes[:replicas] {
 				ids[node.name] = node.replica.raft.id
 			}
 			sim.killReplicas()
-			sim.kill(seats)
+			sim.kill(replicas)
 			sim.run(sim.now + 60_000*ms)
 			sim.startAll()
 			sim.run(sim.now + 3_000*ms)
-			for _, node := range sim.nodes[:seats] {
-				assert.Equal(t, ids[node.name], node.replica.raft.id, "it goes on under its number")
+			for _, node := range sim.nodes[:replicas] {
+				assert.Equal(t, ids[node.name], node.replica.raft.id, "it resumes with its raft ID")
 			}
-			b := sim.ask(2, 1, seats)
+			b := sim.ask(2, 1, replicas)
 			sim.run(sim.now + 500*ms)
 			assert.Equal(t, a.outcome, b.outcome)
 			assert.Equal(t, 1, sim.runs[1])
@@ -51,7 +51,7 @@
 	replica := sim.nodes[0].replica
 	assert.NotEqual(t, before, replica.raft.id)
 	assert.NotNil(t, replica.table.Find(key(1)))
-	sim.killReplicas() // and what it got is on its new disk
+	sim.killReplicas() // what it received is on its new disk
 	sim.startAll()
 	sim.run(sim.now + 3_000*ms)
 	assert.Equal(t, replica.raft.id, sim.nodes[0].replica.raft.id)
@@ -69,7 +69,7 @@
 	sim.startAll()
 	sim.run(sim.now + 5_000*ms)
 	replica := sim.nodes[i].replica
-	assert.NotEqual(t, before, replica.raft.id, "it does not vote by what it forgot")
+	assert.NotEqual(t, before, replica.raft.id, "it does not vote with outdated state")
 	assert.True(t, replica.bootstrap.done)
 	assert.NotNil(t, replica.table.Find(key(1)))
 	b := sim.ask(2, 1, 3)
@@ -83,19 +83,19 @@
 	node := sim.leader()
 	replica := node.replica
 	number := replica.disk.lastWrite
-	self := claims.Owner{Name: node.name, Incarnation: node.incarnation}
+	self := node.owner()
 	effects, _ := replica.Step(sim.now, []Input{{Persisted: number}, {Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
 	var write *Write
 	for _, e := range effects {
 		if e.Kind == Persist {
 			write = e.Write
 		}
-		assert.NotEqual(t, Send, e.Kind, "the entry is on no disk")
+		assert.NotEqual(t, Send, e.Kind, "the entry is on no disk yet")
 	}
 	require.NotNil(t, write)
 	assert.Greater(t, write.Number, number)
 	effects, _ = replica.Step(sim.now+1, []Input{{Persisted: write.Number}})
-	assert.True(t, slices.ContainsFunc(effects, func(e Effect) bool { return e.Kind == Send }), "now it is")
+	assert.True(t, slices.ContainsFunc(effects, func(e Effect) bool { return e.Kind == Send }), "the entry is on the disk")
 }
 
 func TestReplicaWithFailedDiskSendsNothing(t *testing.T) {
@@ -106,11 +106,11 @@
 	sim.wakeNow(i)
 	sim.run(sim.now + 4_000*ms)
 	require.NotNil(t, sim.leader())
-	assert.NotEqual(t, i, sim.indexOf(sim.leader()), "another leads")
+	assert.NotEqual(t, i, sim.indexOf(sim.leader()), "another replica leads")
 	sim.kill(i)
 	sim.start(i)
 	sim.run(sim.now + 2_000*ms)
-	assert.Equal(t, sim.leader().replica.raft.appliedIndex, sim.nodes[i].replica.raft.appliedIndex, "started anew it goes on")
+	assert.Equal(t, sim.leader().replica.raft.appliedIndex, sim.nodes[i].replica.raft.appliedIndex, "restarted it catches up")
 }
 
 func TestDiskOfAnotherGroupIsRefused(t *testing.T) {
@@ -121,24 +121,24 @@
 	assert.ErrorContains(t, c.Recover(1, DiskContents{Base: []byte("no base")}), "can't be read by this build")
 }
 
-// What is on the disk is bounded: a base takes the place of the log before it.
+// What is on the disk is bounded: a base replaces the log before it.
 func TestLogOnDiskIsTruncatedAtSnapshot(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	node := sim.leader()
-	self := claims.Owner{Name: node.name, Incarnation: node.incarnation}
-	for n := range 2_500 { // more entries than one snapshot holds
+	self := node.owner()
+	for n := range 2_500 { // more than maxLogEntries
 		node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		sim.wakeNow(sim.indexOf(node))
 		sim.run(sim.now + 8*ms)
 	}
 	for _, node := range sim.nodes[:3] {
-		assert.Less(t, len(node.disk.contents.Records), 3*maxLogEntries, "an entry has two records, its own and that it is agreed on")
+		assert.Less(t, len(node.disk.contents.Records), 3*maxLogEntries, "an entry has two records, its own and its commit")
 		assert.GreaterOrEqual(t, node.replica.Counters.Snapshots, 1)
 	}
 }
 
-// commitOnTwoReplicas has a leader and one follower, whose disk stands still, agree on a claim as far as they may, and both crash. The
-// follower comes back with what its disk holds, and with the third, which was cut off, it is most of the council.
+// commitOnTwoReplicas has a leader and one follower, whose disk is stalled, commit a claim as far as they can, and both crash. The
+// follower returns with what its disk holds, and together with the third, which was cut off, is a majority.
 func commitOnTwoReplicas(t *testing.T, fault func(group *Group)) (agreed, known bool) {
 	sim := newSimulation(1, 4, 3)
 	sim.stable, sim.disks = true, true
@@ -164,7 +164,7 @@
 	clear(sim.cutLinks)
 	sim.start(follower)
 	sim.run(sim.now + 8_000*ms)
-	require.NotNil(t, sim.leader(), "two of three go on")
+	require.NotNil(t, sim.leader(), "two of three elect a leader")
 	return agreed, sim.leader().replica.table.Find(key(1)) != nil
 }
 
@@ -172,5 +172,5 @@
 	agreed, _ := commitOnTwoReplicas(t, func(*Group) {})
 	assert.False(t, agreed, "one disk is no majority")
 	agreed, known := commitOnTwoReplicas(t, func(group *Group) { group.disk.unsafeNoWait = true })
-	assert.True(t, agreed && !known, "what is sent before what it stands on is on the disk is found: it is forgotten")
+	assert.True(t, agreed && !known, "a message sent before its state is persisted loses a committed entry")
 }
--- a/internal/fleet/consensus/takeover_test.go
+++ b/internal/fleet/consensus/takeover_test.go
@@ -22,7 +22,7 @@
 func TestClaimOfALostNodeIsTakenOver(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	node := sim.nodes[4]
-	node.pending[key(1)] = true // held by its module, and not begun
+	node.pending[key(1)] = true // queued there, and not started
 	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}})
 	sim.wakeNow(4)
 	sim.run(sim.now + 20*ms)
@@ -56,11 +56,11 @@
 	sim.pause(4, true)
 	b := sim.ask(2, 1, 3)
 	sim.run(sim.now + 1_000*ms)
-	assert.Equal(t, "hold//t1 run 1", b.outcome, "taken over while its owner stood still")
+	assert.Equal(t, "hold//t1 run 1", b.outcome, "taken over while its owner was paused")
 	sim.pause(4, false)
 	sim.run(sim.now + 2_000*ms)
 	assert.Equal(t, 1, sim.runs[1])
-	assert.Equal(t, b.outcome, sim.attempts[0].outcome, "and the owner's caller has the heir's result")
+	assert.Equal(t, b.outcome, sim.attempts[0].outcome, "the owner's caller has the new owner's result")
 }
 
 func TestLateResultReplacesUnknownOutcome(t *testing.T) {
@@ -81,7 +81,7 @@
 	assert.Equal(t, "hold//t1 run 1", c.outcome)
 }
 
-// A thousand claims of one node that is lost: heirs run eight at a time, and begin what they are given within 40 ms.
+// New owners run eight claims at a time, and start what they are assigned within 40 ms.
 func TestThousandClaimsOfALostNodeAreTakenOverAtABoundedRate(t *testing.T) {
 	sim := newStableSimulation(t, 8, 3)
 	node := sim.nodes[7]
@@ -108,8 +108,8 @@
 			most = max(most, waiting[e.Owner])
 		}
 	}
-	t.Logf("the first began %d ms after the loss was known, the last %d ms after; %d bytes a claim", first/ms, (sim.now-lost)/ms, bytes/1_000)
+	t.Logf("the first started %d ms after the loss was known, the last %d ms after; %d bytes a claim", first/ms, (sim.now-lost)/ms, bytes/1_000)
 	assert.Len(t, sim.runs, 1_000)
 	assert.Empty(t, sim.failures)
-	assert.LessOrEqual(t, most, 8, "no heir is given more than it can begin")
+	assert.LessOrEqual(t, most, 8, "no new owner is assigned more than it can start")
 }
