--- a/internal/fleet/configsync/apart_test.go
+++ b/internal/fleet/configsync/apart_test.go
@@ -56,7 +56,7 @@
 		took[len(took)/2]/ms, took[len(took)*99/100]/ms, took[len(took)-1]/ms)
 	all := int64(record.bytes() + Blocks*digestBytes) // that one node gets
 	doublings := int64(bits.Len(uint((nodes+seats-1)/seats - 1)))
-	bound := stageFor + seatAfter + doublings*all*1_000_000_000/rate
+	bound := canaryDuration + replicaFallbackDelay + doublings*all*1_000_000_000/bytesPerSecond
 	t.Logf("the pace allows %d ms: all have it once those that do doubled %d times, each as long as a node needs to give %d bytes", bound/ms, doublings, all)
 	require.LessOrEqual(t, took[len(took)-1], bound)
 	w.check()
@@ -74,7 +74,7 @@
 func give(t *testing.T) *givers {
 	c := full(t, 100, 3_000)
 	g := &givers{Table: NewTable(), base: c, one: Revision{1, c.Digest()}, nodes: map[string]*Replicator{}}
-	g.newest, g.all, g.first = c, c, c
+	g.newest, g.all, g.canary = c, c, c
 	g.head = HeadRevision{All: g.one, First: g.one, Newest: 1}
 	for _, name := range []string{"a", "b"} {
 		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{Mark: g.one, Content: c})
@@ -89,7 +89,7 @@
 	r := g.log[len(g.log)-1].wire()
 	mark := Revision{r.Version, r.Digest}
 	for _, n := range g.nodes {
-		n.readied(mark, g.newest, []*Record{&r})
+		n.setReady(mark, g.newest, []*Record{&r})
 	}
 	return mark
 }
@@ -97,16 +97,16 @@
 // asker is a node that has the version before, and two neighbours.
 func (g *givers) asker() *Replicator {
 	h := holding()
-	h.mark, h.ready, h.kept, h.content, h.next = g.one, g.one, g.one, g.base, g.base
+	h.applied, h.ready, h.persisted, h.appliedContent, h.readyContent = g.one, g.one, g.one, g.base, g.base
 	return h
 }
 
 // answer is what a peer says to an ask. It may give again at once.
 func (g *givers) answer(now int64, e Effect) *Message {
 	n := g.nodes[e.To]
-	n.tokens, n.filled = burst, now
+	n.tokens, n.refilledAt = burstBytes, now
 	for _, p := range n.peers {
-		p.tokens = burst
+		p.tokens = burstBytes
 	}
 	ask := *e.Message
 	effects, _ := n.Step(now, []Input{{Kind: Asked, From: "n", Link: 1, Message: &ask}})
@@ -118,7 +118,7 @@
 	from = map[string]int{}
 	in := []Input{vouchedFor(goal, goal), told("a", HeadRevision{All: goal, First: goal}, goal), told("b", HeadRevision{All: goal, First: goal}, goal)}
 	k, most := 0, g.head.Newest
-	for now := h.filled + 500*ms; h.ready != goal && g.head.Newest == most; now += 10 * ms {
+	for now := h.refilledAt + 500*ms; h.ready != goal && g.head.Newest == most; now += 10 * ms {
 		require.Less(t, now, 900_000*ms)
 		effects, _ := h.Step(now, in)
 		in = nil
@@ -150,10 +150,10 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	record := g.log[0].wire()
-	require.Greater(t, record.bytes(), 2*pieceMost)
+	require.Greater(t, record.bytes(), 2*maxPieceBytes)
 	h := g.asker()
 	from, bytes := g.fetch(t, h, two, func(k int, _ string, m *Message) []*Message {
-		require.LessOrEqual(t, m.size(), 180+pieceMost, "one answer's worth")
+		require.LessOrEqual(t, m.size(), 180+maxPieceBytes, "one answer's worth")
 		return [][]*Message{{m}, nil, {m, m}}[k%3]
 	})
 	require.Equal(t, two, h.ready)
@@ -161,16 +161,16 @@
 	require.Positive(t, from["a"])
 	require.Positive(t, from["b"])
 	require.Less(t, bytes, 2*(record.bytes()+2*Blocks*digestBytes), "doubled ones count twice here")
-	require.True(t, len(h.changes(g.one, two)) == len(record.Changes), "others can have them of this node")
-	require.Empty(t, h.changes(g.one, Revision{2, Digest{A: 1}}), "not those to another content")
-	require.Empty(t, h.changes(Revision{1, Digest{A: 1}}, two), "nor from one")
+	require.True(t, len(h.changesBetween(g.one, two)) == len(record.Changes), "others can have them of this node")
+	require.Empty(t, h.changesBetween(g.one, Revision{2, Digest{A: 1}}), "not those to another content")
+	require.Empty(t, h.changesBetween(Revision{1, Digest{A: 1}}, two), "nor from one")
 	require.Len(t, h.log, 1)
-	require.Equal(t, deltas{}, h.deltas, "nothing is kept twice")
+	require.Equal(t, blockDeltas{}, h.assembledDeltas, "nothing is kept twice")
 	g.nodes["a"], g.nodes["b"] = h, h
 	again := g.asker()
 	g.fetch(t, again, two, as)
 	require.Equal(t, two, again.ready)
-	require.Equal(t, g.newest.Digest(), again.next.Digest())
+	require.Equal(t, g.newest.Digest(), again.readyContent.Digest())
 }
 
 // TestWhoGivesFalseChangesIsSetAside has one peer give changes that aren't so, in some ways; the other one never is, and what it gave stays.
@@ -183,15 +183,15 @@
 		"no such block":    func(list []Block) { list[0].N = Blocks },
 		"the same again":   func(list []Block) { list[1] = list[0] },
 		"no such part":     func(list []Block) { list[0].Changes[0].Part = "x" },
-		"a name too long":  func(list []Block) { list[0].Changes[0].Name = string(make([]byte, nameMost+1)) },
+		"a name too long":  func(list []Block) { list[0].Changes[0].Name = string(make([]byte, maxNameBytes+1)) },
 		"one more of them": func(list []Block) { list[0].Changes = append(list[0].Changes, Item{Tenants, "false", []byte("1")}) },
 	} {
 		g := give(t)
 		two := g.put(t, apart(g.base, 1_000)...)
 		h, kept := g.asker(), 0
 		g.fetch(t, h, two, func(_ int, from string, m *Message) []*Message {
-			require.GreaterOrEqual(t, len(h.deltas.blocks), kept, "%s: what came stays", name)
-			if kept = len(h.deltas.blocks); from == "b" && len(m.Blocks) > 1 {
+			require.GreaterOrEqual(t, len(h.assembledDeltas.blocks), kept, "%s: what came stays", name)
+			if kept = len(h.assembledDeltas.blocks); from == "b" && len(m.Blocks) > 1 {
 				again, list := *m, make([]Block, len(m.Blocks))
 				for k, b := range m.Blocks {
 					list[k] = Block{N: b.N, Text: b.Text, Changes: append([]Item(nil), b.Changes...)}
@@ -203,8 +203,8 @@
 			return []*Message{m}
 		})
 		require.Equal(t, two, h.ready, name)
-		require.Equal(t, g.newest.Digest(), h.next.Digest(), name)
-		require.Zero(t, h.peers["a"].lies, name)
+		require.Equal(t, g.newest.Digest(), h.readyContent.Digest(), name)
+		require.Zero(t, h.peers["a"].invalidResponses, name)
 		require.Positive(t, h.Counters.InvalidResponses, name)
 	}
 }
@@ -225,7 +225,7 @@
 	require.Equal(t, g.one, h.ready)
 	_, second := g.fetch(t, h, three, as)
 	require.Equal(t, three, h.ready)
-	require.Equal(t, g.newest.Digest(), h.next.Digest())
+	require.Equal(t, g.newest.Digest(), h.readyContent.Digest())
 	require.Zero(t, h.Counters.InvalidResponses)
 	require.Less(t, first+second, g.log[0].bytes()+3*Blocks*digestBytes)
 }
@@ -245,7 +245,7 @@
 	again := g.asker()
 	_, bytes := g.fetch(t, again, four, as)
 	require.Equal(t, four, again.ready)
-	require.Equal(t, g.newest.Digest(), again.next.Digest())
+	require.Equal(t, g.newest.Digest(), again.readyContent.Digest())
 	require.Less(t, bytes, g.log[0].bytes()+3*Blocks*digestBytes)
 }
 
@@ -254,36 +254,36 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h, again := g.asker(), g.asker()
-	h.index, h.indexed = g.newest.index(), two
+	h.blockIndex, h.indexRevision = g.newest.index(), two
 	ask, answer := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece}
-	h.missing(ask)
-	g.nodes["a"].blocks(ask, answer)
+	h.requestMissing(ask)
+	g.nodes["a"].serveBlocks(ask, answer)
 	came := 100
-	h.stock(1, h.known(1, "a"), answer.Blocks[:came])
+	h.storeBlocks(1, h.peerFor(1, "a"), answer.Blocks[:came])
 
 	ask, answer = &Message{Kind: Fetch, Has: g.one, Want: two, Sums: g.base.pageSums()}, &Message{Kind: Piece}
-	h.serve(2, "again", ask, answer)
-	again.fetch.want, again.fetch.base = two, again.base()
-	require.True(t, again.indexWith(answer))
+	h.serveFetch(2, "again", ask, answer)
+	again.fetch.want, again.fetch.base = two, again.assemblyBase()
+	require.True(t, again.applyIndex(answer))
 
 	ask, answer = &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece}
-	again.missing(ask)
-	h.blocks(ask, answer)
+	again.requestMissing(ask)
+	h.serveBlocks(ask, answer)
 	require.Len(t, answer.Blocks, came, "all of them")
 	other, none := *ask, &Message{Kind: Piece}
 	other.Has = Revision{1, Digest{A: 1}}
-	h.deltasOf(&other, none)
+	h.serveDeltas(&other, none)
 	require.Empty(t, none.Blocks, "it doesn't know what changed since another content")
-	again.stock(3, again.known(3, "n"), answer.Blocks)
+	again.storeBlocks(3, again.peerFor(3, "n"), answer.Blocks)
 	require.Zero(t, again.Counters.InvalidResponses)
-	require.True(t, len(again.deltas.blocks) == came)
+	require.True(t, len(again.assembledDeltas.blocks) == came)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
-	h.index, h.indexed = g.newest.index(), three // what came of one block is of the version before
+	h.blockIndex, h.indexRevision = g.newest.index(), three // what came of one block is of the version before
 	ask, answer = &Message{Kind: Fetch, Has: g.one, Want: three}, &Message{Kind: Piece}
-	again.index, again.staged = h.index, nil
-	again.missing(ask)
-	h.blocks(ask, answer)
+	again.blockIndex, again.assembled = h.blockIndex, nil
+	again.requestMissing(ask)
+	h.serveBlocks(ask, answer)
 	require.Len(t, answer.Blocks, came-1)
 }
 
@@ -292,15 +292,15 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h := g.asker()
-	h.index = g.newest.index()
+	h.blockIndex = g.newest.index()
 	ask := &Message{Kind: Fetch, Has: g.one, Want: two}
-	h.missing(ask)
-	require.Len(t, ask.Wanted, wantedMost)
+	h.requestMissing(ask)
+	require.Len(t, ask.Wanted, maxWantedBlocks)
 	answer := &Message{Kind: Piece}
-	g.nodes["a"].blocks(ask, answer)
+	g.nodes["a"].serveBlocks(ask, answer)
 	require.NotEmpty(t, answer.Blocks[0].Changes)
 	ask.Missing, answer = nil, &Message{Kind: Piece}
-	g.nodes["a"].blocks(ask, answer)
+	g.nodes["a"].serveBlocks(ask, answer)
 	require.NotEmpty(t, answer.Blocks)
 	for _, b := range answer.Blocks {
 		require.Empty(t, b.Changes)
@@ -308,12 +308,12 @@
 	}
 	h = g.asker()
 	for _, n := range g.nodes { // they know nothing of changes
-		n.log, n.logged = nil, 0
+		n.log, n.logSize = nil, 0
 	}
 	g.fetch(t, h, two, as)
 	require.Equal(t, two, h.ready)
-	require.Equal(t, g.newest.Digest(), h.next.Digest())
-	require.True(t, len(h.changes(g.one, two)) == 1_000, "what differs is known all the same")
+	require.Equal(t, g.newest.Digest(), h.readyContent.Digest())
+	require.True(t, len(h.changesBetween(g.one, two)) == 1_000, "what differs is known all the same")
 }
 
 // TestBlocksThatAreLessThanTheirChangesComeWhole removes nearly all.
@@ -344,17 +344,17 @@
 }
 
 func TestChangesOnTheirWayAreBounded(t *testing.T) {
-	var d deltas
-	big := []Item{{Tenants, "x", make([]byte, valueMost)}}
-	for n := range holdMost/valueMost - 10 {
+	var d blockDeltas
+	big := []Item{{Tenants, "x", make([]byte, maxValueBytes)}}
+	for n := range maxRetainedBytes/maxValueBytes - 10 {
 		d.put(n, big)
 		d.put(n, big) // in the place of the first
 	}
 	require.NotEmpty(t, d.blocks)
 	for n := range 20 {
-		d.put(holdMost/valueMost+n, big)
+		d.put(maxRetainedBytes/maxValueBytes+n, big)
 	}
-	require.True(t, d.gaps)
+	require.True(t, d.overflowed)
 	require.Empty(t, d.blocks)
 	d.put(1, big)
 	require.Empty(t, d.blocks, "nor afterwards")
@@ -367,17 +367,17 @@
 	two := g.put(t, list...)
 	h := g.asker()
 	fill := func(index *Content, mark Revision, whole bool) {
-		h.index, h.indexed = index.index(), mark
+		h.blockIndex, h.indexRevision = index.index(), mark
 		ask, answer := &Message{Kind: Fetch, Has: g.one, Want: mark}, &Message{Kind: Piece}
-		if h.missing(ask); whole {
+		if h.requestMissing(ask); whole {
 			ask.Missing = nil
 		}
-		g.nodes["a"].blocks(ask, answer)
-		h.stock(1, h.known(1, "a"), answer.Blocks)
+		g.nodes["a"].serveBlocks(ask, answer)
+		h.storeBlocks(1, h.peerFor(1, "a"), answer.Blocks)
 	}
 	fill(g.newest, two, false)
-	came := len(h.deltas.blocks)
-	require.Greater(t, came, wantedMost)
+	came := len(h.assembledDeltas.blocks)
+	require.Greater(t, came, maxWantedBlocks)
 	var back []Item
 	for _, i := range list {
 		back = append(back, Item{i.Part, i.Name, g.base.Get(i.Part, i.Name)})
@@ -386,15 +386,15 @@
 	fill(g.newest, three, true)
 	require.Zero(t, h.Counters.InvalidResponses)
 	ask, answer := &Message{Kind: Fetch, Has: g.one, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}, &Message{Kind: Piece}
-	h.deltasOf(ask, answer)
+	h.serveDeltas(ask, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
 	taken := 0
-	for _, changes := range h.deltas.blocks {
+	for _, changes := range h.assembledDeltas.blocks {
 		if len(changes) == 0 {
 			taken++
 		}
 	}
-	require.Equal(t, wantedMost, taken)
+	require.Equal(t, maxWantedBlocks, taken)
 }
 
 // TestChangesAreCarriedOutOnWhatTheyAreFrom has a block come of a version whose change the next one takes back.
@@ -402,24 +402,24 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h := g.asker()
-	h.index, h.indexed = g.newest.index(), two
+	h.blockIndex, h.indexRevision = g.newest.index(), two
 	ask, answer := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece}
-	h.missing(ask)
-	g.nodes["a"].blocks(ask, answer)
-	h.stock(1, h.known(1, "a"), answer.Blocks)
+	h.requestMissing(ask)
+	g.nodes["a"].serveBlocks(ask, answer)
+	h.storeBlocks(1, h.peerFor(1, "a"), answer.Blocks)
 	n, name := 0, ""
 	for k := 0; n == 0; k++ { // one that falls there too
-		if i := tenant(k, "1"); len(h.deltas.blocks[i.block()]) > 0 {
+		if i := tenant(k, "1"); len(h.assembledDeltas.blocks[i.block()]) > 0 {
 			n, name = i.block(), i.Name
 		}
 	}
 	only := []Item{{Tenants, name, []byte("1")}}
 	next, err := g.base.Apply(only)
 	require.NoError(t, err)
-	h.index, h.indexed = next.index(), Revision{3, next.Digest()}
-	h.missing(&Message{})
-	require.True(t, h.merge([]Block{{N: uint16(n), Changes: only}}))
-	require.True(t, len(h.deltas.blocks[n]) == 1)
+	h.blockIndex, h.indexRevision = next.index(), Revision{3, next.Digest()}
+	h.requestMissing(&Message{})
+	require.True(t, h.mergeDeltas([]Block{{N: uint16(n), Changes: only}}))
+	require.True(t, len(h.assembledDeltas.blocks[n]) == 1)
 }
 
 // TestThosePutOffAskOneAfterAnother has a node that gave what its pace allows be asked by all at once.
@@ -429,20 +429,20 @@
 	h, now := g.nodes["a"], 1_000*ms
 	names := []string{"n0", "n1", "n2", "n3"}
 	h.Step(now, []Input{{Kind: Viewed, View: &View{Neighbours: names}}})
-	for _, most := range []int64{fetchMost, strangerMost} {
-		h.tokens, h.filled = 0, now
+	for _, most := range []int64{maxFetchBackoff, maxNonNeighbourWait} {
+		h.tokens, h.refilledAt = 0, now
 		var busy []int64
 		for k := range 12 {
 			from, answer := fmt.Sprint("far", k), &Message{}
-			if most == fetchMost {
+			if most == maxFetchBackoff {
 				from = names[k%len(names)]
 			}
-			h.serve(now, from, &Message{Kind: Fetch, Has: g.one, Want: two}, answer)
+			h.serveFetch(now, from, &Message{Kind: Fetch, Has: g.one, Want: two}, answer)
 			busy = append(busy, answer.Busy)
 		}
 		require.Positive(t, busy[0])
 		for k := 1; k < 3; k++ {
-			require.GreaterOrEqual(t, busy[k], min(busy[k-1]+pieceMost*1_000_000_000/rate, most))
+			require.GreaterOrEqual(t, busy[k], min(busy[k-1]+maxPieceBytes*1_000_000_000/bytesPerSecond, most))
 		}
 		require.LessOrEqual(t, busy[11], most)
 		require.Greater(t, busy[11], most/2)
@@ -454,6 +454,6 @@
 	g := give(t)
 	g.put(t, apart(g.base, 1_000)...)
 	h, item := g.asker(), g.log[0].Changes[0]
-	h.stock(1, h.known(1, "a"), []Block{{N: uint16(item.block()), Changes: []Item{item}}})
-	require.Equal(t, 1, h.peers["a"].lies)
+	h.storeBlocks(1, h.peerFor(1, "a"), []Block{{N: uint16(item.block()), Changes: []Item{item}}})
+	require.Equal(t, 1, h.peers["a"].invalidResponses)
 }
--- a/internal/fleet/configsync/board.go
+++ b/internal/fleet/configsync/board.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const standingsMost = 2_000 // nodes that a seat knows reports of: above any table of members
+const maxStatuses = 2_000 // nodes that a seat knows reports of: above any table of members
 
 // NodeStatus is what one node reported last.
 type NodeStatus struct {
@@ -31,7 +31,7 @@
 		if b.nodes == nil {
 			b.nodes, b.refusers = map[string]*NodeStatus{}, map[string]*NodeStatus{}
 		}
-		if len(b.nodes) >= standingsMost {
+		if len(b.nodes) >= maxStatuses {
 			var old *NodeStatus
 			for _, s := range b.nodes {
 				if old == nil || cmp.Or(cmp.Compare(s.At, old.At), cmp.Compare(s.Name, old.Name)) < 0 {
@@ -44,7 +44,7 @@
 		s = &NodeStatus{Name: name}
 		b.nodes[name] = s
 	}
-	s.Mark, s.Refused, s.Why, s.Age, s.At = has, refused, cut(why, reasonMost), age, now
+	s.Mark, s.Refused, s.Why, s.Age, s.At = has, refused, truncate(why, maxReasonBytes), age, now
 	if refused.Version > 0 {
 		b.refusers[name] = s
 	} else {
--- a/internal/fleet/configsync/build.go
+++ b/internal/fleet/configsync/build.go
@@ -15,7 +15,7 @@
 	var err error
 	all(func(i Item) {
 		if err == nil {
-			err = i.usable()
+			err = i.validate()
 		}
 		if err == nil && len(i.Value) > 0 {
 			part := byte(slices.Index(partNames[:], i.Part))
@@ -37,7 +37,7 @@
 			blocks[n] = appendEntry(blocks[n], part, i.Name, i.Value)
 		}
 	})
-	c, own := new(Content), [fan]bool{}
+	c, own := new(Content), [fanout]bool{}
 	var entries []entry
 	for n := range blocks {
 		if len(blocks[n]) == 0 {
@@ -46,20 +46,20 @@
 		room, entries = append(room[:0], blocks[n]...), entries[:0]
 		for rest := room; len(rest) > 0; {
 			var e entry
-			e, rest, _ = take(rest)
+			e, rest, _ = readEntry(rest)
 			entries = append(entries, e)
 		}
 		slices.SortStableFunc(entries, func(a, b entry) int { return a.compare(b.part, string(b.name)) })
 		block := blocks[n][:0]
 		for k := range entries {
 			if e := &entries[k]; k+1 == len(entries) || entries[k+1].compare(e.part, string(e.name)) != 0 {
-				block = append(block, e.text...)
+				block = append(block, e.encoded...)
 			}
 		}
-		if len(block) > blockMost {
+		if len(block) > maxBlockBytes {
 			e := &entries[0]
 			return nil, fmt.Errorf("configuration: no room for %s %q: names that fall together have %d bytes, %d at the most; make values smaller",
-				partNames[e.part], e.name, len(block), blockMost)
+				partNames[e.part], e.name, len(block), maxBlockBytes)
 		}
 		if len(block) < cap(block) {
 			block = bytes.Clone(block)
@@ -67,8 +67,8 @@
 		c.set(n, block, &own)
 		blocks[n] = nil
 	}
-	if c.bytes > contentMost {
-		return nil, fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", c.bytes, contentMost)
+	if c.bytes > maxContentBytes {
+		return nil, fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", c.bytes, maxContentBytes)
 	}
 	return c, nil
 }
--- a/internal/fleet/configsync/build_test.go
+++ b/internal/fleet/configsync/build_test.go
@@ -29,14 +29,14 @@
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	})
-	wrong := []Item{{"parts", "a", []byte("1")}, {Tenants, "", []byte("1")}, {Tenants, "a", make([]byte, valueMost+1)}}
+	wrong := []Item{{"parts", "a", []byte("1")}, {Tenants, "", []byte("1")}, {Tenants, "a", make([]byte, maxValueBytes+1)}}
 	for _, i := range wrong {
 		_, err := Build(func(yield func(Item)) { yield(i) })
 		assert.Error(t, err)
 	}
 	_, err := Build(func(yield func(Item)) {
 		for k := range 16 << 10 {
-			yield(Item{Tenants, fmt.Sprint("t", k), make([]byte, valueMost)})
+			yield(Item{Tenants, fmt.Sprint("t", k), make([]byte, maxValueBytes)})
 		}
 	})
 	assert.ErrorContains(t, err, "make values smaller")
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -96,8 +96,8 @@
 	}{
 		{Item{"listeners", "a", []byte("1")}, `part "listeners" is none of operations, tenants, limits`},
 		{Item{Tenants, "", []byte("1")}, "a name in tenants of 0 bytes; it must have 1 to 256"},
-		{Item{Tenants, strings.Repeat("a", nameMost+1), []byte("1")}, "of 257 bytes"},
-		{Item{Tenants, "a", make([]byte, valueMost+1)}, `tenants "a" has 4097 bytes; 4096 at the most`},
+		{Item{Tenants, strings.Repeat("a", maxNameBytes+1), []byte("1")}, "of 257 bytes"},
+		{Item{Tenants, "a", make([]byte, maxValueBytes+1)}, `tenants "a" has 4097 bytes; 4096 at the most`},
 	} {
 		_, err := (&Content{}).Apply([]Item{{Tenants, "sound", []byte("1")}, c.item})
 		require.ErrorContains(t, err, c.want)
@@ -106,7 +106,7 @@
 	for n := 0; err == nil; n += 500 { // values as large as they may be, until there is no room
 		list := make([]Item, 500)
 		for k := range list {
-			list[k] = Item{Tenants, fmt.Sprint(n + k), bytes.Repeat([]byte("1"), valueMost)}
+			list[k] = Item{Tenants, fmt.Sprint(n + k), bytes.Repeat([]byte("1"), maxValueBytes)}
 		}
 		c, err = c.Apply(list)
 	}
@@ -162,7 +162,7 @@
 		largest = max(largest, len(block))
 	}
 	t.Logf("the largest of %d blocks has %d bytes", Blocks, largest)
-	require.Less(t, largest, pieceMost)
+	require.Less(t, largest, maxPieceBytes)
 	versions := []*Content{c}
 	for k := range 20 { // each is another content that shares what it can
 		next, err := versions[k].Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k), []byte("1")}})
@@ -171,7 +171,7 @@
 	}
 	more := int64(inUse()) - int64(before) - held
 	t.Logf("20 further versions with one change each: %d bytes", more)
-	require.Less(t, more, int64(20*2*pieceMost))
+	require.Less(t, more, int64(20*2*maxPieceBytes))
 	runtime.KeepAlive(versions)
 }
 
--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -2,57 +2,57 @@
 
 import "slices"
 
-// fetch is the exchange that goes on.
-type fetch struct {
-	link    int // of the last one
-	to      string
-	until   int64 // 0 while none goes on
-	next    int64
-	fails   int
-	gained  int64    // when something last came of one
-	has     Revision // that it was asked from
-	base    *Content
-	want    Revision
-	part    bool   // that peer has but some of it
-	index   []byte // by which blocks were asked for
-	missing []byte // a bit for each of them
+// fetchState is the exchange that goes on.
+type fetchState struct {
+	link       int // of the last one
+	peer       string
+	deadline   int64 // 0 while none goes on
+	nextAt     int64
+	failures   int
+	progressAt int64    // when something last came of one
+	from       Revision // that it was asked from
+	base       *Content
+	want       Revision
+	partial    bool   // that peer has but some of it
+	index      []byte // by which blocks were asked for
+	missing    []byte // a bit for each of them
 }
 
-// asked is the digest of a block that was asked for.
-func (f *fetch) asked(n uint16) (Digest, bool) {
-	if int(n) >= Blocks || !marked(f.missing, int(n)) {
+// requested is the digest of a block that was requested for.
+func (f *fetchState) requested(n uint16) (Digest, bool) {
+	if int(n) >= Blocks || !bitSet(f.missing, int(n)) {
 		return Digest{}, false
 	}
 	return digestAt(f.index, int(n)), true
 }
 
-// marked says whether the bit of a block is set.
-func marked(bits []byte, n int) bool { return n/8 < len(bits) && bits[n/8]>>(n%8)&1 == 1 }
+// bitSet says whether the bit of a block is set.
+func bitSet(bits []byte, n int) bool { return n/8 < len(bits) && bits[n/8]>>(n%8)&1 == 1 }
 
-// run is records that don't reach a version that was vouched for yet. Any peer may go on with it: it does so only where its own
+// recordRun is records that don't reach a version that was vouched for yet. Any peer may go on with it: it does so only where its own
 // log has the mark that they came to, so what is false at their end is its own.
-type run struct {
-	from    string // who gave the last of them
-	misses  int    // peers that could not go on with it
-	mark    Revision
-	content *Content
-	records []*Record
-	bytes   int
+type recordRun struct {
+	from     string // who gave the last of them
+	misses   int    // peers that could not go on with it
+	revision Revision
+	content  *Content
+	records  []*Record
+	bytes    int
 }
 
-// deltas are changes from one version to another, block by block, each of which was compared with an index: so what is false is
+// blockDeltas are changes from one version to another, block by block, each of which was compared with an index: so what is false is
 // found with the answer that has it and only who gave it is at fault, and whoever has some of them can give them on.
-type deltas struct {
-	from, to Revision
-	blocks   map[int][]Item
-	bytes    int
-	gaps     bool // there was no room for all of them
+type blockDeltas struct {
+	from, to   Revision
+	blocks     map[int][]Item
+	bytes      int
+	overflowed bool // there was no room for all of them
 }
 
 // put notes the changes of a block, in the place of those to an earlier version.
-func (d *deltas) put(n int, changes []Item) {
-	if d.bytes += sizeOf(changes) - sizeOf(d.blocks[n]); d.gaps || d.bytes > holdMost {
-		*d = deltas{gaps: true}
+func (d *blockDeltas) put(n int, changes []Item) {
+	if d.bytes += sizeOf(changes) - sizeOf(d.blocks[n]); d.overflowed || d.bytes > maxRetainedBytes {
+		*d = blockDeltas{overflowed: true}
 		return
 	}
 	if d.blocks == nil {
@@ -62,21 +62,21 @@
 }
 
 // all are the changes of all blocks.
-func (d *deltas) all() (list []Item) {
+func (d *blockDeltas) all() (list []Item) {
 	for n := range Blocks {
 		list = append(list, d.blocks[n]...)
 	}
 	return list
 }
 
-// changes are those from one version to another, in order; none where this node doesn't know them.
-func (h *Replicator) changes(from, to Revision) (list []Item) {
-	if d := &h.span; d.to.Version > 0 && d.from == from && d.to.Version <= to.Version {
+// changesBetween are those from one version to another, in order; none where this node doesn't know them.
+func (h *Replicator) changesBetween(from, to Revision) (list []Item) {
+	if d := &h.spanDeltas; d.to.Version > 0 && d.from == from && d.to.Version <= to.Version {
 		if list, from = d.all(), d.to; from == to {
 			return list
 		}
 	}
-	records := between(h.records(), from, to.Version)
+	records := recordsBetween(h.availableRecords(), from, to.Version)
 	if k := len(records); k == 0 || records[k-1].Version != to.Version || records[k-1].Digest != to.Digest {
 		return nil
 	}
@@ -86,8 +86,8 @@
 	return list
 }
 
-// byBlock parts changes by the block that they are in. All are usable.
-func byBlock(list []Item) map[int][]Item {
+// groupByBlock parts changes by the block that they are in. All are usable.
+func groupByBlock(list []Item) map[int][]Item {
 	parted := map[int][]Item{}
 	for _, i := range list {
 		n := i.block()
@@ -96,15 +96,15 @@
 	return parted
 }
 
-// supplier is whom to ask for a version: a neighbour that has it, or a seat once none had it for a while.
-func (h *Replicator) supplier(now int64, goal Revision) *peer {
+// choosePeer is whom to ask for a version: a neighbour that has it, or a seat once none had it for a while.
+func (h *Replicator) choosePeer(now int64, goal Revision) *peer {
 	var may, part []*peer
-	at := max(h.ready.Version, h.run.mark.Version)
+	at := max(h.ready.Version, h.run.revision.Version)
 	for _, name := range h.view.Neighbours {
-		if p := h.peers[name]; p != nil && p.aside <= now && p.again <= now && p.has.Version > at {
-			if p.has.Version >= goal.Version {
+		if p := h.peers[name]; p != nil && p.backoffUntil <= now && p.retryAt <= now && p.ready.Version > at {
+			if p.ready.Version >= goal.Version {
 				may = append(may, p)
-			} else if slices.Contains(h.marks, p.has) {
+			} else if slices.Contains(h.confirmed, p.ready) {
 				part = append(part, p)
 			}
 		}
@@ -112,132 +112,132 @@
 	if len(may) == 0 {
 		may = part // some of the way
 	}
-	if h.fetch.part = false; len(may) > 0 {
-		return may[h.chance.Intn(len(may))]
+	if h.fetch.partial = false; len(may) > 0 {
+		return may[h.random.Intn(len(may))]
 	}
 	others := 0
-	if h.run.content == nil && (h.index != nil || now >= h.lacking+seatAfter) { // those that are on the way there too may have blocks already
+	if h.run.content == nil && (h.blockIndex != nil || now >= h.goalSince+replicaFallbackDelay) { // those that are on the way there too may have blocks already
 		for _, name := range h.view.Neighbours {
-			if p := h.peers[name]; p != nil && p.aside <= now && p.has.Version <= at && (p.head.All == goal || p.head.First == goal) {
-				if others++; p.again <= now {
+			if p := h.peers[name]; p != nil && p.backoffUntil <= now && p.ready.Version <= at && (p.head.All == goal || p.head.First == goal) {
+				if others++; p.retryAt <= now {
 					may = append(may, p)
 				}
 			}
 		}
 	}
 	full := len(may)
-	if now >= h.lacking+seatAfter && (others == 0 || now >= max(h.lacking, h.fetch.gained)+herdAfter) {
-		if p := h.known(now, h.seat(h.fetch.fails)); p != nil && p.name != "" && p.aside <= now && p.again <= now {
+	if now >= h.goalSince+replicaFallbackDelay && (others == 0 || now >= max(h.goalSince, h.fetch.progressAt)+thunderingHerdDelay) {
+		if p := h.peerFor(now, h.reportTarget(h.fetch.failures)); p != nil && p.name != "" && p.backoffUntil <= now && p.retryAt <= now {
 			may = append(may, p)
 		}
 	}
 	if len(may) == 0 {
 		return nil
 	}
-	k := h.chance.Intn(len(may))
-	h.fetch.part = k < full
+	k := h.random.Intn(len(may))
+	h.fetch.partial = k < full
 	return may[k]
 }
 
-// base is what blocks are put into.
-func (h *Replicator) base() *Content {
-	if h.staged != nil {
-		return h.staged
+// assemblyBase is what blocks are put into.
+func (h *Replicator) assemblyBase() *Content {
+	if h.assembled != nil {
+		return h.assembled
 	}
-	return h.next
+	return h.readyContent
 }
 
-// missing asks for blocks that differ from the index.
-func (h *Replicator) missing(m *Message) {
+// requestMissing asks for blocks that differ from the index.
+func (h *Replicator) requestMissing(m *Message) {
 	m.Missing = make([]byte, Blocks/8)
-	begin := h.chance.Intn(Blocks) // so that neighbours have different ones for each other
+	begin := h.random.Intn(Blocks) // so that neighbours have different ones for each other
 	for k := range Blocks {
 		n := (begin + k) % Blocks
-		want := digestAt(h.index, n)
-		if _, sum := h.base().Block(n); sum == want {
+		want := digestAt(h.blockIndex, n)
+		if _, sum := h.assemblyBase().Block(n); sum == want {
 			continue
 		}
-		if m.Missing[n/8] |= 1 << (n % 8); len(m.Wanted) < wantedMost {
+		if m.Missing[n/8] |= 1 << (n % 8); len(m.Wanted) < maxWantedBlocks {
 			m.Wanted, m.Sums = append(m.Wanted, uint16(n)), want.append(m.Sums)
 		}
 	}
-	h.fetch.index, h.fetch.missing = h.index, m.Missing
+	h.fetch.index, h.fetch.missing = h.blockIndex, m.Missing
 }
 
-func (h *Replicator) missed(now int64) {
+func (h *Replicator) handleFetchFailure(now int64) {
 	h.Counters.Missed++
-	h.fetch.until = 0
-	if p := h.peers[h.fetch.to]; p != nil {
-		p.again = now + h.about(fetchAgain<<min(h.fetch.fails, 5))
+	h.fetch.deadline = 0
+	if p := h.peers[h.fetch.peer]; p != nil {
+		p.retryAt = now + h.jitter(minFetchBackoff<<min(h.fetch.failures, 5))
 	}
-	h.backoff(now)
+	h.backOff(now)
 }
 
-func (h *Replicator) backoff(now int64) {
-	h.fetch.next = now + h.draw(min(fetchAgain<<min(h.fetch.fails, 6), fetchMost))
-	h.fetch.fails++
+func (h *Replicator) backOff(now int64) {
+	h.fetch.nextAt = now + h.randomUpTo(min(minFetchBackoff<<min(h.fetch.failures, 6), maxFetchBackoff))
+	h.fetch.failures++
 }
 
-// came takes the answer to a fetch.
-func (h *Replicator) came(now int64, m *Message, effects []Effect) []Effect {
-	p := h.known(now, h.fetch.to)
+// handleFetchAnswer takes the answer to a fetch.
+func (h *Replicator) handleFetchAnswer(now int64, m *Message, effects []Effect) []Effect {
+	p := h.peerFor(now, h.fetch.peer)
 	if p == nil {
 		return effects
 	}
-	if h.fetch.next = now; m != nil && m.content() {
-		h.fetch.gained = now
+	if h.fetch.nextAt = now; m != nil && m.hasContent() {
+		h.fetch.progressAt = now
 	}
 	switch {
-	case m == nil || m.Kind != Piece || p.aside > now:
-		h.backoff(now)
+	case m == nil || m.Kind != Piece || p.backoffUntil > now:
+		h.backOff(now)
 	case m.Busy > 0:
-		p.again = now + min(m.Busy, p.patience()) + h.draw(fetchAgain)
-	case h.fetch.part && !m.content():
-		p.again, h.fetch.next = now+h.about(partAgain), now+h.about(partNext)
+		p.retryAt = now + min(m.Busy, p.maxBusyWait()) + h.randomUpTo(minFetchBackoff)
+	case h.fetch.partial && !m.hasContent():
+		p.retryAt, h.fetch.nextAt = now+h.jitter(partialPeerBackoff), now+h.jitter(partialFetchBackoff)
 	case len(m.Records) > 0:
-		if h.fetch.has == h.ready && h.run.content == nil || h.run.content != nil && h.fetch.has == h.run.mark { // else it moved on meanwhile
-			h.extend(now, p, m.Records)
+		if h.fetch.from == h.ready && h.run.content == nil || h.run.content != nil && h.fetch.from == h.run.revision { // else it moved on meanwhile
+			h.extendRun(now, p, m.Records)
 		}
-	case h.run.content != nil && h.run.from != p.name && h.run.misses < missesMost: // others may know how it goes on
+	case h.run.content != nil && h.run.from != p.name && h.run.misses < maxRunMisses: // others may know how it goes on
 		h.run.misses++
-		p.again = now + h.about(fetchMost)
+		p.retryAt = now + h.jitter(maxFetchBackoff)
 	case len(m.Index) > 0 && h.fetch.want.Version <= h.ready.Version: // it came by another way
 	case len(m.Index) > 0:
-		if h.run = (run{}); h.fetch.base != h.base() {
+		if h.run = (recordRun{}); h.fetch.base != h.assemblyBase() {
 			break // it moved on meanwhile
 		}
-		if !h.indexWith(m) {
-			h.lie(now, p)
+		if !h.applyIndex(m) {
+			h.penalize(now, p)
 			break
 		}
-		h.stock(now, p, nil)
-	case len(m.Blocks) > 0 && h.fetch.base != h.base(): // it moved on meanwhile
+		h.storeBlocks(now, p, nil)
+	case len(m.Blocks) > 0 && h.fetch.base != h.assemblyBase(): // it moved on meanwhile
 	case len(m.Blocks) > 0:
-		h.stock(now, p, m.Blocks)
-	case h.base().Digest() == h.fetch.want.Digest: // no block differs: another version comes to what is here
+		h.storeBlocks(now, p, m.Blocks)
+	case h.assemblyBase().Digest() == h.fetch.want.Digest: // no block differs: another version comes to what is here
 		if goal, ok := h.goal(); ok && goal == h.fetch.want {
-			h.readied(goal, h.base(), nil)
+			h.setReady(goal, h.assemblyBase(), nil)
 		}
-	case h.index != nil && h.indexed != h.fetch.want: // what is missing changed since: the newer index is asked for
-		h.index = nil
+	case h.blockIndex != nil && h.indexRevision != h.fetch.want: // what is missing changed since: the newer index is asked for
+		h.blockIndex = nil
 	default: // it has nothing of it
-		p.has = Revision{} // until it tells again
-		p.again = now + h.about(fetchAgain<<min(h.fetch.fails, 5))
-		h.run = run{}
-		h.backoff(now)
+		p.ready = Revision{} // until it tells again
+		p.retryAt = now + h.jitter(minFetchBackoff<<min(h.fetch.failures, 5))
+		h.run = recordRun{}
+		h.backOff(now)
 	}
 	return effects
 }
 
-// extend carries out records of a peer, false where they were of no use. They count once they come to a digest that a
+// extendRun carries out records of a peer, false where they were of no use. They count once they come to a digest that a
 // seat vouched for.
-func (h *Replicator) extend(now int64, p *peer, records []Record) bool {
+func (h *Replicator) extendRun(now int64, p *peer, records []Record) bool {
 	goal, ok := h.goal()
 	if !ok {
 		return false
 	}
 	if h.run.content == nil {
-		h.run = run{from: p.name, mark: h.ready, content: h.next}
+		h.run = recordRun{from: p.name, revision: h.ready, content: h.readyContent}
 	}
 	x := &h.run
 	x.from, x.misses = p.name, 0
@@ -247,110 +247,110 @@
 			break
 		}
 		content, err := x.content.Apply(r.Changes)
-		if r.Version != x.mark.Version+1 || err != nil || !h.trusting && (r.Base != x.mark.Digest || content.Digest() != r.Digest) {
-			h.run = run{}
-			h.lie(now, p)
+		if r.Version != x.revision.Version+1 || err != nil || !h.skipDigests && (r.Base != x.revision.Digest || content.Digest() != r.Digest) {
+			h.run = recordRun{}
+			h.penalize(now, p)
 			return false
 		}
-		x.content, x.mark, x.records, x.bytes = content, Revision{r.Version, r.Digest}, append(x.records, &r), x.bytes+r.bytes()
-		if x.mark != goal && slices.Contains(h.marks, x.mark) { // sound so far, whoever goes on with it
-			h.readied(x.mark, x.content, x.records)
-			h.run = run{from: p.name, mark: h.ready, content: h.next}
+		x.content, x.revision, x.records, x.bytes = content, Revision{r.Version, r.Digest}, append(x.records, &r), x.bytes+r.bytes()
+		if x.revision != goal && slices.Contains(h.confirmed, x.revision) { // sound so far, whoever goes on with it
+			h.setReady(x.revision, x.content, x.records)
+			h.run = recordRun{from: p.name, revision: h.ready, content: h.readyContent}
 		}
 	}
 	switch {
-	case x.mark == goal || h.trusting && x.mark.Version == goal.Version:
-		p.lies = 0
-		h.readied(goal, x.content, x.records)
-	case x.mark.Version == goal.Version:
-		h.run = run{}
-		h.lie(now, p)
+	case x.revision == goal || h.skipDigests && x.revision.Version == goal.Version:
+		p.invalidResponses = 0
+		h.setReady(goal, x.content, x.records)
+	case x.revision.Version == goal.Version:
+		h.run = recordRun{}
+		h.penalize(now, p)
 		return false
-	case x.mark == h.ready: // no further, or not begun
-		h.run = run{}
-	case x.bytes > 2*holdMost:
-		h.run = run{}
+	case x.revision == h.ready: // no further, or not begun
+		h.run = recordRun{}
+	case x.bytes > 2*maxRetainedBytes:
+		h.run = recordRun{}
 		return false
 	}
 	return true
 }
 
-// indexWith takes the index of what is wanted: pages that differ, beside those that this node has.
-func (h *Replicator) indexWith(m *Message) bool {
-	if len(m.Index) != len(m.Pages)*fan*digestBytes {
+// applyIndex takes the index of what is wanted: pages that differ, beside those that this node has.
+func (h *Replicator) applyIndex(m *Message) bool {
+	if len(m.Index) != len(m.Pages)*fanout*digestBytes {
 		return false
 	}
 	index, sum := h.fetch.base.index(), Digest{}
 	for k, page := range m.Pages {
-		if int(page) >= fan {
+		if int(page) >= fanout {
 			return false
 		}
-		copy(index[int(page)*fan*digestBytes:][:fan*digestBytes], m.Index[k*fan*digestBytes:])
+		copy(index[int(page)*fanout*digestBytes:][:fanout*digestBytes], m.Index[k*fanout*digestBytes:])
 	}
 	for n := range Blocks {
 		sum = sum.plus(digestAt(index, n))
 	}
-	if sum != h.fetch.want.Digest && !h.trusting {
+	if sum != h.fetch.want.Digest && !h.skipDigests {
 		return false
 	}
-	h.index, h.indexed = index, h.fetch.want
+	h.blockIndex, h.indexRevision = index, h.fetch.want
 	return true
 }
 
-// stock takes blocks towards the index. One of a version that was vouched for before the goal is of use too: most blocks are
+// storeBlocks takes blocks towards the index. One of a version that was vouched for before the goal is of use too: most blocks are
 // alike, and records lead on from it.
-func (h *Replicator) stock(now int64, p *peer, blocks []Block) {
-	if h.staged = h.base(); !h.merge(blocks) {
-		h.lie(now, p)
+func (h *Replicator) storeBlocks(now int64, p *peer, blocks []Block) {
+	if h.assembled = h.assemblyBase(); !h.mergeDeltas(blocks) {
+		h.penalize(now, p)
 		return
 	}
 	for _, b := range blocks {
 		if len(b.Changes) > 0 {
 			continue
 		}
-		want, asked := h.fetch.asked(b.N)
+		want, asked := h.fetch.requested(b.N)
 		if !asked {
-			h.lie(now, p)
+			h.penalize(now, p)
 			return
 		}
-		if sum, ok := checked(int(b.N), b.Text); ok && h.trusting {
+		if sum, ok := checkBlock(int(b.N), b.Text); ok && h.skipDigests {
 			want = sum
 		}
-		next := h.staged.WithBlock(int(b.N), b.Text, want)
+		next := h.assembled.WithBlock(int(b.N), b.Text, want)
 		if next == nil {
-			h.lie(now, p)
+			h.penalize(now, p)
 			return
 		}
-		h.staged = next
-		old, _ := h.next.Block(int(b.N))
+		h.assembled = next
+		old, _ := h.readyContent.Block(int(b.N))
 		text, _ := next.Block(int(b.N))
-		h.deltas.put(int(b.N), (&Difference{next: Blocks, old: old, new: text}).Next(blockMost))
+		h.assembledDeltas.put(int(b.N), (&Difference{next: Blocks, old: old, new: text}).Next(maxBlockBytes))
 	}
-	if h.staged.Digest() == h.indexed.Digest || h.trusting && len(blocks) > 0 {
-		if goal, ok := h.goal(); ok && (goal == h.indexed || h.indexed.Version > h.ready.Version && h.indexed.Version < goal.Version &&
-			slices.Contains(h.marks, h.indexed)) {
-			h.arrived()
+	if h.assembled.Digest() == h.indexRevision.Digest || h.skipDigests && len(blocks) > 0 {
+		if goal, ok := h.goal(); ok && (goal == h.indexRevision || h.indexRevision.Version > h.ready.Version && h.indexRevision.Version < goal.Version &&
+			slices.Contains(h.confirmed, h.indexRevision)) {
+			h.finishAssembly()
 		}
 	}
 }
 
-// merge has blocks of which changes came in their place, false where one doesn't come to the index: who gave it is at fault. They
+// mergeDeltas has blocks of which changes came in their place, false where one doesn't come to the index: who gave it is at fault. They
 // are carried out on what this node asked them from, whatever came since.
-func (h *Replicator) merge(blocks []Block) bool {
-	next, own, changes, seen := *h.staged, [fan]bool{}, []Item(nil), map[int][]Item{}
+func (h *Replicator) mergeDeltas(blocks []Block) bool {
+	next, own, changes, seen := *h.assembled, [fanout]bool{}, []Item(nil), map[int][]Item{}
 	for _, b := range blocks {
 		if len(b.Changes) == 0 {
 			continue
 		}
-		if _, asked := h.fetch.asked(b.N); !asked || seen[int(b.N)] != nil {
+		if _, asked := h.fetch.requested(b.N); !asked || seen[int(b.N)] != nil {
 			return false
 		}
 		for k := range b.Changes {
-			if i := &b.Changes[k]; i.usable() != nil || i.block() != int(b.N) {
+			if i := &b.Changes[k]; i.validate() != nil || i.block() != int(b.N) {
 				return false
 			}
 		}
-		text, sum := h.next.Block(int(b.N))
+		text, sum := h.readyContent.Block(int(b.N))
 		if _, other := next.Block(int(b.N)); other != sum {
 			next.set(int(b.N), text, &own)
 		}
@@ -364,96 +364,96 @@
 		return false
 	}
 	for n := range seen {
-		if _, sum := merged.Block(n); sum != digestAt(h.fetch.index, n) && !h.trusting {
+		if _, sum := merged.Block(n); sum != digestAt(h.fetch.index, n) && !h.skipDigests {
 			return false
 		}
 	}
-	h.staged = merged
+	h.assembled = merged
 	for n, changes := range seen {
-		h.deltas.put(n, changes)
+		h.assembledDeltas.put(n, changes)
 	}
 	return true
 }
 
-// arrived has what came by blocks at hand. Others can have its changes of this node, unless they are too large.
-func (h *Replicator) arrived() {
-	d := h.deltas
-	switch d.from, d.to = h.ready, h.indexed; {
-	case d.gaps || len(d.blocks) == 0:
-		h.readied(d.to, h.staged, nil)
+// finishAssembly has what came by blocks at hand. Others can have its changes of this node, unless they are too large.
+func (h *Replicator) finishAssembly() {
+	d := h.assembledDeltas
+	switch d.from, d.to = h.ready, h.indexRevision; {
+	case d.overflowed || len(d.blocks) == 0:
+		h.setReady(d.to, h.assembled, nil)
 	case d.to.Version == d.from.Version+1:
-		h.readied(d.to, h.staged, []*Record{{Version: d.to.Version, Base: d.from.Digest, Digest: d.to.Digest, Changes: d.all()}})
+		h.setReady(d.to, h.assembled, []*Record{{Version: d.to.Version, Base: d.from.Digest, Digest: d.to.Digest, Changes: d.all()}})
 	default:
-		h.readied(d.to, h.staged, nil)
-		h.span = d
+		h.setReady(d.to, h.assembled, nil)
+		h.spanDeltas = d
 	}
 }
 
-// serve answers a fetch within what the asker and all may have.
-func (h *Replicator) serve(now int64, from string, m, answer *Message) {
-	p := h.known(now, from)
+// serveFetch answers a fetch within what the asker and all may have.
+func (h *Replicator) serveFetch(now int64, from string, m, answer *Message) {
+	p := h.peerFor(now, from)
 	if p == nil {
 		h.Counters.Busy++
 		answer.Busy = 1_000 * ms
 		return
 	}
-	if ns := now - p.filled; ns*askerRate >= 1_000_000_000 {
-		p.tokens, p.filled = min(burst, p.tokens+min(ns, 10_000*ms)*askerRate/1_000_000_000), now
+	if ns := now - p.refilledAt; ns*peerBytesPerSecond >= 1_000_000_000 {
+		p.tokens, p.refilledAt = min(burstBytes, p.tokens+min(ns, 10_000*ms)*peerBytesPerSecond/1_000_000_000), now
 	}
-	floor := int64(burst / 2) // what this node needs for itself comes first, then its neighbours, who give it to others
+	floor := int64(burstBytes / 2) // what this node needs for itself comes first, then its neighbours, who give it to others
 	if !p.neighbour {
-		floor = burst * 3 / 4
+		floor = burstBytes * 3 / 4
 	}
 	if h.tokens < floor || p.tokens <= 0 {
 		h.Counters.Busy++
-		answer.Busy = max((floor-h.tokens)*1_000_000_000/rate, -p.tokens*1_000_000_000/askerRate, 50*ms)
+		answer.Busy = max((floor-h.tokens)*1_000_000_000/bytesPerSecond, -p.tokens*1_000_000_000/peerBytesPerSecond, 50*ms)
 		if h.tokens < floor { // one after another: asks of all at once would cost more than what they ask for
-			turn := &h.turns[0]
+			turn := &h.admissionSlots[0]
 			if !p.neighbour {
-				turn = &h.turns[1]
+				turn = &h.admissionSlots[1]
 			}
-			*turn = min(max(*turn, now), now+p.patience())
-			answer.Busy, *turn = max(answer.Busy, *turn-now), max(*turn, now+answer.Busy)+int64(pieceMost)*1_000_000_000/rate
+			*turn = min(max(*turn, now), now+p.maxBusyWait())
+			answer.Busy, *turn = max(answer.Busy, *turn-now), max(*turn, now+answer.Busy)+int64(maxPieceBytes)*1_000_000_000/bytesPerSecond
 		}
 		return
 	}
 	switch {
 	case len(m.Wanted) > 0:
-		h.blocks(m, answer)
+		h.serveBlocks(m, answer)
 	default:
-		if answer.Records = wired(between(h.records(), m.Has, m.Want.Version), pieceMost, false); len(answer.Records) == 0 {
+		if answer.Records = wireRecords(recordsBetween(h.availableRecords(), m.Has, m.Want.Version), maxPieceBytes, false); len(answer.Records) == 0 {
 			for _, c := range h.contents() {
 				if c.Digest() == m.Want.Digest {
-					pages(c.index(), m.Sums, answer)
+					appendDifferingPages(c.index(), m.Sums, answer)
 					break
 				}
 			}
-			if !answer.content() && h.index != nil && h.indexed == m.Want {
-				pages(h.index, m.Sums, answer)
+			if !answer.hasContent() && h.blockIndex != nil && h.indexRevision == m.Want {
+				appendDifferingPages(h.blockIndex, m.Sums, answer)
 			}
 		}
 	}
-	if answer.content() {
+	if answer.hasContent() {
 		p.tokens -= int64(answer.size())
 	}
 }
 
-// patience is how long a busy peer is left alone at the most: one that isn't a neighbour has its own neighbours first.
-func (p *peer) patience() int64 {
+// maxBusyWait is how long a busy peer is left alone at the most: one that isn't a neighbour has its own neighbours first.
+func (p *peer) maxBusyWait() int64 {
 	if p.neighbour {
-		return fetchMost
+		return maxFetchBackoff
 	}
-	return strangerMost
+	return maxNonNeighbourWait
 }
 
-// pages answers with the index of those that differ.
-func pages(index, sums []byte, answer *Message) {
-	if len(sums) != fan*digestBytes {
-		sums = make([]byte, fan*digestBytes)
-	}
-	for k := range fan {
-		page, sum := index[k*fan*digestBytes:][:fan*digestBytes], Digest{}
-		for n := range fan {
+// appendDifferingPages answers with the index of those that differ.
+func appendDifferingPages(index, sums []byte, answer *Message) {
+	if len(sums) != fanout*digestBytes {
+		sums = make([]byte, fanout*digestBytes)
+	}
+	for k := range fanout {
+		page, sum := index[k*fanout*digestBytes:][:fanout*digestBytes], Digest{}
+		for n := range fanout {
 			sum = sum.plus(digestAt(page, n))
 		}
 		if sum != digestAt(sums, k) {
@@ -464,22 +464,22 @@
 
 // contents are all that this node has blocks of.
 func (h *Replicator) contents() []*Content {
-	list := []*Content{h.next, h.content}
+	list := []*Content{h.readyContent, h.appliedContent}
 	if h.agreed != nil {
 		list = append(list, h.agreed.All, h.agreed.First, h.agreed.Newest)
 	}
 	return list
 }
 
-// blocks answers with those that have the digests that are asked for, or with what changes in those that are missing.
-func (h *Replicator) blocks(m, answer *Message) {
+// serveBlocks answers with those that have the digests that are asked for, or with what changes in those that are missing.
+func (h *Replicator) serveBlocks(m, answer *Message) {
 	if len(m.Missing) > 0 && len(m.Wanted) > 0 {
-		if h.deltasOf(m, answer); len(answer.Blocks) > 0 {
+		if h.serveDeltas(m, answer); len(answer.Blocks) > 0 {
 			return
 		}
 	}
-	list, room := h.contents(), pieceMost
-	for k, n := range m.Wanted[:min(len(m.Wanted), wantedMost, len(m.Sums)/digestBytes)] {
+	list, room := h.contents(), maxPieceBytes
+	for k, n := range m.Wanted[:min(len(m.Wanted), maxWantedBlocks, len(m.Sums)/digestBytes)] {
 		for _, c := range list {
 			if int(n) >= Blocks {
 				break
@@ -495,13 +495,13 @@
 	}
 }
 
-// deltasOf answers with missing blocks, the first that is wanted and those behind it, each as its changes, or whole where that is
+// serveDeltas answers with missing blocks, the first that is wanted and those behind it, each as its changes, or whole where that is
 // less; with none where this node doesn't know what changed.
-func (h *Replicator) deltasOf(m, answer *Message) {
-	parted, room := byBlock(h.changes(m.Has, m.Want)), pieceMost
-	if len(parted) == 0 && h.staged != nil && h.index != nil && h.ready == m.Has && h.indexed == m.Want { // those that came so far
-		for n, changes := range h.deltas.blocks {
-			if _, sum := h.staged.Block(n); sum == digestAt(h.index, n) { // else of a version before that one
+func (h *Replicator) serveDeltas(m, answer *Message) {
+	parted, room := groupByBlock(h.changesBetween(m.Has, m.Want)), maxPieceBytes
+	if len(parted) == 0 && h.assembled != nil && h.blockIndex != nil && h.ready == m.Has && h.indexRevision == m.Want { // those that came so far
+		for n, changes := range h.assembledDeltas.blocks {
+			if _, sum := h.assembled.Block(n); sum == digestAt(h.blockIndex, n) { // else of a version before that one
 				parted[n] = changes
 			}
 		}
@@ -516,7 +516,7 @@
 	for k := range Blocks {
 		n := (int(m.Wanted[0]) + k) % Blocks
 		b := Block{N: uint16(n), Changes: parted[n]}
-		if len(b.Changes) == 0 || !marked(m.Missing, n) {
+		if len(b.Changes) == 0 || !bitSet(m.Missing, n) {
 			continue
 		}
 		if whole != nil {
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -120,10 +120,10 @@
 			c.Kind = kind
 			list = append(list, c)
 		}
-		sameBothWays(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "commands-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
-		sameBothWays(t, "verdicts-v1.cbor", fullValue[[]Verdict](1), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "verdicts-v1.cbor", fullValue[[]Verdict](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
@@ -132,7 +132,7 @@
 			m.Kind = kind
 			list = append(list, m)
 		}
-		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "messages-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("questions", func(t *testing.T) {
 		var list []Query
@@ -141,10 +141,10 @@
 			q.Kind, q.Which = kind, []int{InForce, ForAll, Newest}[k]
 			list = append(list, q)
 		}
-		sameBothWays(t, "questions-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "questions-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("answer", func(t *testing.T) {
-		sameBothWays(t, "answer-v1.cbor", fullValue[Answer](1), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "answer-v1.cbor", fullValue[Answer](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("place for people", func(t *testing.T) {
 		sameBothWays(t, "place-v1.json", fullValue[Place](1), json.Marshal, json.Unmarshal)
@@ -153,10 +153,10 @@
 		sameBothWays(t, "counters-v1.json", fullValue[Counters](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("saved", func(t *testing.T) {
-		sameBothWays(t, "saved-v1.cbor", fullValue[saved](1), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "saved-v1.cbor", fullValue[savedTable](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("frame", func(t *testing.T) {
-		sameBothWays(t, "frame-v1.cbor", fullValue[frame](1), cbor.Marshal, decode.Unmarshal)
+		sameBothWays(t, "frame-v1.cbor", fullValue[frame](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 }
 
@@ -177,9 +177,9 @@
 	value := func(n int) []byte { return fmt.Appendf(nil, `{"quota_rps":%d}`, n) }
 	for k, c := range []Command{
 		{Kind: Put, From: "caller-1", Seq: 1, Wall: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
-		{Kind: Advance, Version: 1, Stood: stageFor},
+		{Kind: Advance, Version: 1, Stood: canaryDuration},
 		{Kind: Put, From: "caller-1", Seq: 2, Base: 1, Wall: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
-		{Kind: Advance, Version: 2, Stood: stageFor},
+		{Kind: Advance, Version: 2, Stood: canaryDuration},
 		{Kind: Rollback, From: "caller-2", Seq: 3, Version: 1, Wall: 103},
 		{Kind: Put, From: "caller-1", Seq: 4, Base: 3, Wall: 104, Changes: []Item{{Operations, "crop", value(5)}}},
 		{Kind: Put, From: "caller-1", Seq: 5, Base: 4, Wall: 105, Changes: []Item{{Operations, "turn", value(6)}}},
@@ -199,20 +199,20 @@
 	text, err := want.Snapshot()
 	require.NoError(t, err)
 	fixture := sameAsFixture(t, "table-v1.cbor", text)
-	var s saved
-	require.NoError(t, decode.Unmarshal(fixture, &s))
+	var s savedTable
+	require.NoError(t, cborDecoding.Unmarshal(fixture, &s))
 	for k, v := 0, reflect.ValueOf(s); k < v.NumField(); k++ {
 		assert.False(t, v.Field(k).IsZero(), "field %d of the snapshot holds something", k)
 	}
 	got, err := Restore(fixture)
 	require.NoError(t, err)
 	assert.Equal(t, want.head, got.head)
-	assert.Equal(t, want.since, got.since)
-	assert.Equal(t, want.good, got.good)
-	assert.Equal(t, want.askers, got.askers)
+	assert.Equal(t, want.canarySince, got.canarySince)
+	assert.Equal(t, want.rollbackVersions, got.rollbackVersions)
+	assert.Equal(t, want.lastVerdicts, got.lastVerdicts)
 	sameContent(t, want.newest, got.newest)
 	sameContent(t, want.all, got.all)
-	sameContent(t, want.first, got.first)
+	sameContent(t, want.canary, got.canary)
 	assert.Equal(t, want.log, got.log)
 	sameContent(t, want.draft.content, got.draft.content)
 	draftWithout, gotWithout := want.draft, got.draft
--- a/internal/fleet/configsync/holder_test.go
+++ b/internal/fleet/configsync/holder_test.go
@@ -82,7 +82,7 @@
 	ask := pick(effects, Exchange)
 	require.Len(t, ask, 1)
 	require.Equal(t, "a", ask[0].To)
-	piece := &Message{Kind: Piece, Has: two, Records: wired(x.log[:2], pieceMost, false)}
+	piece := &Message{Kind: Piece, Has: two, Records: wireRecords(x.log[:2], maxPieceBytes, false)}
 	h.Step(501*ms, []Input{{Kind: Answered, Link: ask[0].Link, Message: piece}})
 	require.Equal(t, two, h.ready)
 }
@@ -90,7 +90,7 @@
 // TestARefusalIsToldToOneSeatAfterAnother wants that a seat which dies after it heard of a refusal isn't the only one to know.
 func TestARefusalIsToldToOneSeatAfterAnother(t *testing.T) {
 	x, h := chain(1), holding()
-	h.view.Zone, h.drawnFor = nil, 0 // drawn: it is the only one
+	h.view.Zone, h.canaryVersion = nil, 0 // drawn: it is the only one
 	one := markOf(x, 1)
 	effects, wake := h.Step(ms, []Input{told("a", HeadRevision{}, one, x.log[0].wire()), vouchedFor(Revision{}, one)})
 	require.True(t, pick(effects, Take)[0].First)
@@ -133,7 +133,7 @@
 		}
 		effects, _ := h.Step(now, in)
 		for _, e := range pick(effects, Reply) {
-			if size := e.Message.size(); e.Message.content() {
+			if size := e.Message.size(); e.Message.hasContent() {
 				if all += size; e.Link == 1 {
 					near++
 				}
@@ -142,16 +142,16 @@
 	}
 	t.Logf("%d bytes of content in %d s; %d answers of 20 to the neighbour", all, seconds, near)
 	require.GreaterOrEqual(t, near, 5, "a neighbour asks once a second, and what it gets is 16 kB")
-	require.LessOrEqual(t, all, seconds*rate+burst+blockMost)
+	require.LessOrEqual(t, all, seconds*bytesPerSecond+burstBytes+maxBlockBytes)
 	one := 0
 	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that asks always, alone
 		effects, _ := h.Step(now, []Input{{Kind: Asked, From: "greedy", Link: 1, Message: wanted}})
-		if e := pick(effects, Reply); e[0].Message.content() {
+		if e := pick(effects, Reply); e[0].Message.hasContent() {
 			one += e[0].Message.size()
 		}
 	}
 	require.Positive(t, one)
-	require.LessOrEqual(t, one, seconds*askerRate+burst+blockMost)
+	require.LessOrEqual(t, one, seconds*peerBytesPerSecond+burstBytes+maxBlockBytes)
 }
 
 // rumoured has neighbours tell of a version for some seconds, which seats don't know; it says how many reports were sent.
@@ -185,7 +185,7 @@
 	reports := rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: three}, 60, false)
 	require.Zero(t, h.Counters.InvalidResponses)
 	require.Less(t, reports, 60, "seats are asked less and less often")
-	effects, _ := h.Step(60_001*ms, []Input{vouchedFor(one, three), told("a", HeadRevision{All: one, First: three}, three, wired(x.log[1:], eagerMost, true)...)})
+	effects, _ := h.Step(60_001*ms, []Input{vouchedFor(one, three), told("a", HeadRevision{All: one, First: three}, three, wireRecords(x.log[1:], maxEagerBytes, true)...)})
 	require.Empty(t, pick(effects, Take))
 	require.Equal(t, three, h.ready, "and neighbours are believed as soon as a seat vouches")
 }
@@ -194,7 +194,7 @@
 func TestARumourThatIsOnItsWayIsNoLie(t *testing.T) {
 	x, h := chain(2), holding()
 	one, two := markOf(x, 1), markOf(x, 2)
-	rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, claimFor/(1_000*ms), true)
+	rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, unconfirmedGracePeriod/(1_000*ms), true)
 	require.Zero(t, h.Counters.InvalidResponses)
 }
 
@@ -204,21 +204,21 @@
 	one, two := markOf(x, 1), markOf(x, 2)
 	rumoured(h, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: Revision{9, Digest{A: 9}}}, 20, true)
 	require.Equal(t, 2, h.Counters.InvalidResponses, "both neighbours told it")
-	require.Equal(t, 1, h.peers["a"].lies)
-	require.Equal(t, 1, h.peers["b"].lies)
+	require.Equal(t, 1, h.peers["a"].invalidResponses)
+	require.Equal(t, 1, h.peers["b"].invalidResponses)
 	h = holding()
 	h.Step(ms, []Input{vouchedFor(one, one), told("a", HeadRevision{All: one, First: Revision{2, Digest{A: 9}}}, one), told("b", HeadRevision{All: one, First: two}, two)})
 	require.Zero(t, h.Counters.InvalidResponses, "nobody knows yet")
 	h.Step(2*ms, []Input{vouchedFor(one, two)})
-	require.Equal(t, 1, h.peers["a"].lies)
-	require.Zero(t, h.peers["b"].lies)
+	require.Equal(t, 1, h.peers["a"].invalidResponses)
+	require.Zero(t, h.peers["b"].invalidResponses)
 	x, h = chain(9), holding()
 	for k := 1; k <= 9; k++ {
 		h.Step(int64(k)*ms, []Input{vouchedFor(markOf(x, k), markOf(x, k))})
 	}
 	h.Step(10*ms, []Input{told("a", HeadRevision{}, Revision{4, Digest{A: 4}}), told("b", HeadRevision{}, markOf(x, 4))})
-	require.Equal(t, 1, h.peers["a"].lies, "what passed is known for a while")
-	require.Zero(t, h.peers["b"].lies)
+	require.Equal(t, 1, h.peers["a"].invalidResponses, "what passed is known for a while")
+	require.Zero(t, h.peers["b"].invalidResponses)
 }
 
 // asked is the exchange that a step opens, with the peer it goes to.
@@ -236,7 +236,7 @@
 	head := HeadRevision{All: three, First: three}
 	ask := asked(t, h, 500*ms, vouchedFor(three, three), told("a", head, three), told("b", head, three))
 	from, other := ask.To, map[string]string{"a": "b", "b": "a"}[ask.To]
-	ask = asked(t, h, 501*ms, Input{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wired(x.log[:1], pieceMost, false)}})
+	ask = asked(t, h, 501*ms, Input{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(x.log[:1], maxPieceBytes, false)}})
 	for ask.To == other { // it has nothing at hand
 		ask = asked(t, h, 502*ms, Input{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Busy: ms}})
 	}
@@ -249,7 +249,7 @@
 	ask = pick(effects, Exchange)[0]
 	require.Equal(t, other, ask.To)
 	require.Equal(t, one, ask.Message.Has, "from where the first one left off")
-	h.Step(801*ms, []Input{{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wired(x.log[1:], pieceMost, false)}}})
+	h.Step(801*ms, []Input{{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(x.log[1:], maxPieceBytes, false)}}})
 	require.Equal(t, three, h.ready)
 	require.Zero(t, h.Counters.InvalidResponses)
 }
@@ -267,17 +267,17 @@
 	for now := 510 * ms; h.ready != two; now += 10 * ms {
 		require.Less(t, now, 30_000*ms)
 		var in []Input
-		if h.fetch.until > 0 {
+		if h.fetch.deadline > 0 {
 			m := &Message{Kind: Piece, Busy: 4_000 * ms} // whoever lied isn't there for it any more
-			if h.fetch.to == "b" {
+			if h.fetch.peer == "b" {
 				m.Busy, m.Has = 0, two
-				m.Records = wired(between(x.log, h.fetch.has, 2), pieceMost, false)
+				m.Records = wireRecords(recordsBetween(x.log, h.fetch.from, 2), maxPieceBytes, false)
 			}
 			in = append(in, Input{Kind: Answered, Link: h.fetch.link, Message: m})
 		}
 		h.Step(now, append(in, told("b", head, two)))
 	}
-	require.Zero(t, h.peers["b"].lies)
+	require.Zero(t, h.peers["b"].invalidResponses)
 }
 
 // TestBlocksOnTheirWayAreKeptWhenTheVersionMovesOn has a further version agreed on while blocks travel, and each time anew.
@@ -288,7 +288,7 @@
 	for ; h.ready.Version == 0; rounds++ {
 		require.Less(t, rounds, 200)
 		mark := Revision{uint64(rounds + 1), c.Digest()}
-		n.next, n.content = c, c
+		n.readyContent, n.appliedContent = c, c
 		n.ready = mark
 		var ask Effect
 		for effects, _ := h.Step(now, []Input{vouchedFor(mark, mark), told("a", HeadRevision{All: mark, First: mark}, mark)}); ; effects, _ = h.Step(now, nil) {
@@ -303,15 +303,15 @@
 		after := Revision{mark.Version + 1, next.Digest()}
 		answer := &Message{Kind: Piece, Has: mark}
 		if len(ask.Message.Wanted) > 0 {
-			n.blocks(ask.Message, answer)
+			n.serveBlocks(ask.Message, answer)
 		} else {
-			pages(c.index(), ask.Message.Sums, answer)
+			appendDifferingPages(c.index(), ask.Message.Sums, answer)
 			indices++
 		}
 		h.Step(now+ms, []Input{vouchedFor(after, after)})
 		h.Step(now+2*ms, []Input{{Kind: Answered, Link: ask.Link, Message: answer}})
 		now, c = now+2_000*ms, next
-		if h.base().Digest() == h.indexed.Digest {
+		if h.assemblyBase().Digest() == h.indexRevision.Digest {
 			break
 		}
 	}
--- a/internal/fleet/configsync/message.go
+++ b/internal/fleet/configsync/message.go
@@ -43,8 +43,8 @@
 // bytes is about what a block takes.
 func (b *Block) bytes() int { return 12 + len(b.Text) + sizeOf(b.Changes) }
 
-// content says whether a message carries records, an index or blocks.
-func (m *Message) content() bool { return len(m.Records)+len(m.Index)+len(m.Blocks) > 0 }
+// hasContent says whether a message carries records, an index or blocks.
+func (m *Message) hasContent() bool { return len(m.Records)+len(m.Index)+len(m.Blocks) > 0 }
 
 // size is about the bytes of a message, its envelope included.
 func (m *Message) size() int {
@@ -73,7 +73,7 @@
 }
 
 // Agreed is what a seat's holder is told after each change.
-func (t *Table) Agreed() *Agreed { return &Agreed{t.head, t.all, t.first, t.newest, t.log} }
+func (t *Table) Agreed() *Agreed { return &Agreed{t.head, t.all, t.canary, t.newest, t.log} }
 
 // InputKind names what happened.
 type InputKind uint8
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -13,42 +13,42 @@
 // TestLettersFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
 func TestLettersFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
-	head := HeadRevision{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", writersMost), Why: strings.Repeat("y", reasonMost)}
+	head := HeadRevision{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", maxCallerNameBytes), Why: strings.Repeat("y", maxReasonBytes)}
 	x := NewTable()
 	for k := range 200 {
 		x.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
 	}
 	c := full(t, 300, 10_000)
-	piece := &Message{Kind: Piece, Has: most, Records: wired(x.log, pieceMost, false)}
+	piece := &Message{Kind: Piece, Has: most, Records: wireRecords(x.log, maxPieceBytes, false)}
 	index := &Message{Kind: Piece, Has: most}
-	pages(c.index(), nil, index)
+	appendDifferingPages(c.index(), nil, index)
 	h := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
-	h.index = (&Content{}).index()
+	h.blockIndex = (&Content{}).index()
 	ask := &Message{Kind: Fetch, Has: most, Want: most}
-	h.missing(ask)
+	h.requestMissing(ask)
 	blocks := &Message{Kind: Piece, Has: most}
 	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
 	h = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
-	h.index = c.index()
+	h.blockIndex = c.index()
 	wanted := &Message{Kind: Fetch, Has: most, Want: most}
-	h.missing(wanted)
-	answerFrom.blocks(wanted, blocks)
-	require.Len(t, wanted.Wanted, wantedMost)
+	h.requestMissing(wanted)
+	answerFrom.serveBlocks(wanted, blocks)
+	require.Len(t, wanted.Wanted, maxWantedBlocks)
 	require.NotEmpty(t, blocks.Blocks)
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h = g.asker()
-	h.index = g.newest.index()
+	h.blockIndex = g.newest.index()
 	parts, parted := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece, Has: most}
-	h.missing(parts)
-	g.nodes["a"].blocks(parts, parted)
+	h.requestMissing(parts)
+	g.nodes["a"].serveBlocks(parts, parted)
 	require.NotEmpty(t, parted.Blocks[0].Changes)
 	for _, m := range []struct {
 		*Message
 		most int
 	}{
-		{&Message{Kind: Tell, Head: head.marks(), Has: most, Records: wired(x.log, eagerMost, false)}, envelope.DatagramMost},
-		{&Message{Kind: Report, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", reasonMost), Age: 1 << 60}, envelope.DatagramMost},
+		{&Message{Kind: Tell, Head: head.announced(), Has: most, Records: wireRecords(x.log, maxEagerBytes, false)}, envelope.DatagramMost},
+		{&Message{Kind: Report, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", maxReasonBytes), Age: 1 << 60}, envelope.DatagramMost},
 		{&Message{Kind: Vouch, Seq: 1 << 31, Head: head}, envelope.DatagramMost},
 		{ask, 64 << 10}, {wanted, 64 << 10}, {piece, 64 << 10}, {index, 64 << 10}, {blocks, 64 << 10},
 		{parts, 64 << 10}, {parted, 64 << 10},
--- a/internal/fleet/configsync/operator.go
+++ b/internal/fleet/configsync/operator.go
@@ -73,9 +73,9 @@
 
 // FromBlocks is the content of blocks that were read, nil where it isn't of sound form or doesn't come to the digest.
 func FromBlocks(list []Block, want Digest) *Content {
-	c, own := &Content{}, [fan]bool{}
+	c, own := &Content{}, [fanout]bool{}
 	for _, b := range list {
-		if _, ok := checked(int(b.N), b.Text); !ok || int(b.N) >= Blocks {
+		if _, ok := checkBlock(int(b.N), b.Text); !ok || int(b.N) >= Blocks {
 			return nil
 		}
 		c.set(int(b.N), b.Text, &own)
--- a/internal/fleet/configsync/schedules_test.go
+++ b/internal/fleet/configsync/schedules_test.go
@@ -202,7 +202,7 @@
 		}
 	}
 	for i, n := range w.nodes { // what refused it under the old build takes it in a new life
-		if n.holder.refused.Version > n.holder.mark.Version && n.up {
+		if n.holder.refused.Version > n.holder.applied.Version && n.up {
 			w.crash(i)
 			w.restart(i)
 		}
@@ -272,7 +272,7 @@
 		"digests are not compared": func(w *world) {
 			w.mutant = true
 			for _, n := range w.nodes {
-				n.holder.trusting = true
+				n.holder.skipDigests = true
 			}
 		},
 		"acknowledged before agreed on": func(w *world) { w.hasty = true },
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -48,13 +48,13 @@
 	w, parts, last, seq := table.BeginSnapshot(), 0, 0, uint64(1_000)
 	for whole := false; !whole; parts++ {
 		whole = w.Next(once)
-		assert.LessOrEqual(t, len(w.Text())-last, once+blockMost)
+		assert.LessOrEqual(t, len(w.Text())-last, once+maxBlockBytes)
 		last = len(w.Text())
 		seq++
 		table.Apply(1<<41, &Command{Kind: Put, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
-		table.Apply(1<<41+int64(parts)*stageFor, &Command{Kind: Advance, Version: table.Head().First.Version})
+		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: Advance, Version: table.Head().First.Version})
 	}
-	assert.Greater(t, parts, len(before)/(once+blockMost))
+	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
 	assert.Equal(t, before, w.Text())
 	assert.LessOrEqual(t, cap(w.Text()), len(before)*11/10, "its room is known before, so that it is never copied")
 	again, err := Restore(w.Text())
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table, at := NewTable(), int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
-			at += rapid.SampledFrom([]int64{0, stageFor}).Draw(t, "later")
+			at += rapid.SampledFrom([]int64{0, canaryDuration}).Draw(t, "later")
 			c := Command{Kind: Put, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
@@ -92,8 +92,8 @@
 			}
 			table.Apply(at, &c)
 		}
-		s := saved{Head: table.head, Since: table.since, Blocks: make([][]byte, Blocks), All: items(table.newest, table.all),
-			First: items(table.newest, table.first), Log: table.log, Good: table.good, Askers: table.askers, Draft: table.draft}
+		s := savedTable{Head: table.head, Since: table.canarySince, Blocks: make([][]byte, Blocks), All: items(table.newest, table.all),
+			First: items(table.newest, table.canary), Log: table.log, Good: table.rollbackVersions, Askers: table.lastVerdicts, Draft: table.draft}
 		for n := range s.Blocks {
 			s.Blocks[n], _ = table.newest.Block(n)
 		}
@@ -105,7 +105,7 @@
 		w := table.BeginSnapshot()
 		for !w.Next(rapid.IntRange(1, 10_000).Draw(t, "least")) {
 		}
-		var one, two saved
+		var one, two savedTable
 		require.NoError(t, cbor.Unmarshal(whole, &one))
 		require.NoError(t, cbor.Unmarshal(w.Text(), &two))
 		require.Equal(t, one, two)
@@ -138,7 +138,7 @@
 // items are all that differ.
 func items(from, to *Content) (all []Item) {
 	for d := Diff(from, to); ; {
-		some := d.Next(logMost)
+		some := d.Next(maxLogRecords)
 		if len(some) == 0 {
 			return all
 		}
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -111,7 +111,7 @@
 	w.run(w.now + 10_000*ms)
 	require.Empty(t, w.settled())
 	for _, n := range w.nodes {
-		if n.old = n.holder.drawn(2) == drawn && !n.seat; n.old {
+		if n.old = n.holder.isCanary(2) == drawn && !n.seat; n.old {
 			break
 		}
 	}
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -13,16 +13,16 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	stageFor    = 2_500 * ms  // ns that a version stands at the first stage without a refusal: 2.3 s for hops there, fetch, a refusal lost once and its way back
-	draftFor    = 60_000 * ms // ns that pieces of a long change are waited for
-	putMost     = 128 << 10   // bytes of one command: raft carries it as one entry
-	logMost     = 1_024       // records that are kept: a minute of a thousand changes
-	logBytes    = 1 << 20     // bytes of them; nodes that need older ones take blocks
-	askersMost  = 256         // callers whose last verdict is kept
-	namedMost   = 32          // items that a refusal names; the rest is counted
-	reasonMost  = 256         // bytes of a node's reason
-	writersMost = 128         // bytes of a caller's name
-	versionMost = 1 << 60     // that a table counts on from
+	canaryDuration     = 2_500 * ms  // ns that a version stands at the first stage without a refusal: 2.3 s for hops there, fetch, a refusal lost once and its way back
+	draftTimeout       = 60_000 * ms // ns that pieces of a long change are waited for
+	maxPutBytes        = 128 << 10   // bytes of one command: raft carries it as one entry
+	maxLogRecords      = 1_024       // records that are kept: a minute of a thousand changes
+	maxLogBytes        = 1 << 20     // bytes of them; nodes that need older ones take blocks
+	maxCallers         = 256         // callers whose last verdict is kept
+	maxNamedItems      = 32          // items that a refusal names; the rest is counted
+	maxReasonBytes     = 256         // bytes of a node's reason
+	maxCallerNameBytes = 128         // bytes of a caller's name
+	maxStartVersion    = 1 << 60     // that a table counts on from
 )
 
 // Revision is a version and what it comes to.
@@ -130,15 +130,15 @@
 
 // Table is the agreed order of versions: the same on all that carry out the same commands in the same order.
 type Table struct {
-	head               HeadRevision
-	all, first, newest *Content
-	since              int64 // when First began to stand
-	log                []*Record
-	logged             int      // bytes
-	good               []uint64 // versions that were in force for all and can be gone back to
-	askers             []Verdict
-	draft              draft
-	snapshot           []byte // nil where it isn't up to date
+	head                HeadRevision
+	all, canary, newest *Content
+	canarySince         int64 // when First began to stand
+	log                 []*Record
+	logSize             int      // bytes
+	rollbackVersions    []uint64 // versions that were in force for all and can be gone back to
+	lastVerdicts        []Verdict
+	draft               draft
+	snapshot            []byte // nil where it isn't up to date
 }
 
 // draft is a long change of which pieces are missing.
@@ -155,25 +155,25 @@
 // NewTable is at version 0, which has no items.
 func NewTable() *Table {
 	empty := &Content{}
-	return &Table{all: empty, first: empty, newest: empty}
+	return &Table{all: empty, canary: empty, newest: empty}
 }
 
 // Head is what holds now.
 func (t *Table) Head() HeadRevision { return t.head }
 
 // Contents are what is in force for all, what stands at the first stage, and what the newest version comes to.
-func (t *Table) Contents() (all, first, newest *Content) { return t.all, t.first, t.newest }
+func (t *Table) Contents() (all, first, newest *Content) { return t.all, t.canary, t.newest }
 
 // Records is the last records, oldest first; they must not be changed.
 func (t *Table) Records() []*Record { return t.log }
 
 // RollbackVersions are the versions that a Rollback can name, beside the one that is in force for all.
-func (t *Table) RollbackVersions() []uint64 { return t.good }
+func (t *Table) RollbackVersions() []uint64 { return t.rollbackVersions }
 
 // Due is the command by which the version at the first stage goes to all, nil while it isn't time. Any seat may have it
 // ordered: the second one changes nothing.
 func (t *Table) Due(at int64) *Command {
-	if t.head.First == t.head.All || t.head.Stopped || at < t.since+stageFor {
+	if t.head.First == t.head.All || t.head.Stopped || at < t.canarySince+canaryDuration {
 		return nil
 	}
 	return &Command{Kind: Advance, Version: t.head.First.Version}
@@ -182,7 +182,7 @@
 // DueAfter is as Due, where the version at the first stage has stood so many ns by the caller's own clock since it carried that out.
 // The table's time is slower than the world's by a round trip between seats in each of its steps: over far seats twice as slow.
 func (t *Table) DueAfter(stood int64) *Command {
-	if t.head.First == t.head.All || t.head.Stopped || stood < stageFor {
+	if t.head.First == t.head.All || t.head.Stopped || stood < canaryDuration {
 		return nil
 	}
 	return &Command{Kind: Advance, Version: t.head.First.Version, Stood: stood}
@@ -193,7 +193,7 @@
 	if t.head.First == t.head.All || t.head.Stopped {
 		return 0
 	}
-	return t.since + stageFor
+	return t.canarySince + canaryDuration
 }
 
 // Apply carries out one command at a time of the table.
@@ -201,37 +201,37 @@
 	v := Verdict{From: c.From, Seq: c.Seq, Version: t.head.Newest}
 	switch c.Kind {
 	case Put, Rollback:
-		if len(c.From) > writersMost {
-			v.Refused = fmt.Sprintf("a caller's name of over %d bytes", writersMost)
+		if len(c.From) > maxCallerNameBytes {
+			v.Refused = fmt.Sprintf("a caller's name of over %d bytes", maxCallerNameBytes)
 			return v
 		}
-		k := slices.IndexFunc(t.askers, func(v Verdict) bool { return v.From == c.From })
-		if k >= 0 && c.Seq <= t.askers[k].Seq {
-			if c.Seq == t.askers[k].Seq {
-				return t.askers[k]
+		k := slices.IndexFunc(t.lastVerdicts, func(v Verdict) bool { return v.From == c.From })
+		if k >= 0 && c.Seq <= t.lastVerdicts[k].Seq {
+			if c.Seq == t.lastVerdicts[k].Seq {
+				return t.lastVerdicts[k]
 			}
 			v.Refused = "late: the caller asked again since"
 			return v
 		}
 		t.snapshot = nil
 		if c.Kind == Put {
-			t.put(at, c, &v)
+			t.applyPut(at, c, &v)
 		} else {
-			t.rollback(at, c, &v)
+			t.applyRollback(at, c, &v)
 		}
 		if k >= 0 { // the one that asked last stands last
-			t.askers = slices.Delete(t.askers, k, k+1)
-		} else if len(t.askers) >= askersMost {
-			t.askers = slices.Delete(t.askers, 0, 1)
+			t.lastVerdicts = slices.Delete(t.lastVerdicts, k, k+1)
+		} else if len(t.lastVerdicts) >= maxCallers {
+			t.lastVerdicts = slices.Delete(t.lastVerdicts, 0, 1)
 		}
-		t.askers = append(t.askers, v)
+		t.lastVerdicts = append(t.lastVerdicts, v)
 	case Advance:
 		if due := cmp.Or(t.Due(at), t.DueAfter(c.Stood)); due == nil || due.Version != c.Version {
 			v.Refused = "not the version at the first stage, or too early for it"
 			return v
 		}
 		t.snapshot, v.Done = nil, true
-		t.advance(at)
+		t.promote(at)
 	case Stop:
 		if c.Version != t.head.First.Version || t.head.First == t.head.All {
 			v.Refused = "not at the first stage"
@@ -239,7 +239,7 @@
 		}
 		if v.Done = true; !t.head.Stopped {
 			t.snapshot = nil
-			t.head.Stopped, t.head.Who, t.head.Why = true, cut(c.Who, writersMost), cut(c.Why, reasonMost)
+			t.head.Stopped, t.head.Who, t.head.Why = true, truncate(c.Who, maxCallerNameBytes), truncate(c.Why, maxReasonBytes)
 		}
 	default: // of a later build: it is passed over by all alike
 		v.Refused = "unknown command"
@@ -247,16 +247,16 @@
 	return v
 }
 
-func cut(s string, most int) string { return s[:min(len(s), most)] }
+func truncate(s string, most int) string { return s[:min(len(s), most)] }
 
-// put makes a version of a change.
-func (t *Table) put(at int64, c *Command, v *Verdict) {
-	if size := sizeOf(c.Changes); size > putMost {
-		v.Refused = fmt.Sprintf("%d bytes at once; put it in pieces of %d", size, putMost)
+// applyPut makes a version of a change.
+func (t *Table) applyPut(at int64, c *Command, v *Verdict) {
+	if size := sizeOf(c.Changes); size > maxPutBytes {
+		v.Refused = fmt.Sprintf("%d bytes at once; put it in pieces of %d", size, maxPutBytes)
 		return
 	}
 	if c.Base != t.head.Newest {
-		t.stale(c.Base, v)
+		t.refuseStale(c.Base, v)
 		return
 	}
 	for k := range c.Changes {
@@ -271,23 +271,23 @@
 	}
 	next, err := t.newest, error(nil)
 	if c.More || c.Piece > 0 {
-		if next = t.piece(at, c, v); next == nil {
+		if next = t.applyPiece(at, c, v); next == nil {
 			return
 		}
 	} else if next, err = next.Apply(c.Changes); err != nil {
 		v.Refused = err.Error()
 		return
 	}
-	t.agree(at, c, next, false, v)
+	t.commit(at, c, next, false, v)
 }
 
-// piece takes one piece of a long change, at the cost of the piece. With the last one it gives what all of it comes to, else nil.
-func (t *Table) piece(at int64, c *Command, v *Verdict) *Content {
+// applyPiece takes one applyPiece of a long change, at the cost of the applyPiece. With the last one it gives what all of it comes to, else nil.
+func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
 	d := &t.draft
-	other := d.Pieces > 0 && d.From != c.From && at < d.At+draftFor
+	other := d.Pieces > 0 && d.From != c.From && at < d.At+draftTimeout
 	switch {
 	case c.Piece == 0 && other:
-		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.From, draftFor/(1_000*ms))
+		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.From, draftTimeout/(1_000*ms))
 		return nil
 	case c.Piece == 0:
 		*d = draft{From: c.From, Base: c.Base, content: t.newest}
@@ -295,9 +295,9 @@
 		v.Refused = fmt.Sprintf("piece %d doesn't follow; put all of them again from the first", c.Piece)
 		return nil
 	}
-	if d.Bytes += sizeOf(c.Changes); d.Bytes > contentMost {
+	if d.Bytes += sizeOf(c.Changes); d.Bytes > maxContentBytes {
 		*d = draft{}
-		v.Refused = fmt.Sprintf("over %d bytes in all", contentMost)
+		v.Refused = fmt.Sprintf("over %d bytes in all", maxContentBytes)
 		return nil
 	}
 	next, err := d.content.Apply(c.Changes)
@@ -314,19 +314,19 @@
 	return next
 }
 
-// agree makes a content the newest version. One that comes to the same makes none.
-func (t *Table) agree(at int64, c *Command, next *Content, back bool, v *Verdict) {
+// commit makes a content the newest version. One that comes to the same makes none.
+func (t *Table) commit(at int64, c *Command, next *Content, back bool, v *Verdict) {
 	v.Done = true
 	if next.Digest() == t.newest.Digest() && (!back || t.head.Newest == t.head.All.Version) {
 		return
 	}
 	if t.head.Newest == 0 && c.Kind == Put {
-		t.head.Newest = min(c.Version, versionMost)
+		t.head.Newest = min(c.Version, maxStartVersion)
 	}
 	r := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Rollback: back}
 	kept := true                           // one that the log can't hold isn't made at all
 	for d := Diff(t.newest, next); kept; { // what comes to nothing isn't carried around
-		some := d.Next(logMost)
+		some := d.Next(maxLogRecords)
 		if len(some) == 0 {
 			break
 		}
@@ -335,50 +335,50 @@
 			r.Replaced = append(r.Replaced, Item{i.Part, i.Name, t.newest.Get(i.Part, i.Name)})
 		}
 		r.size = 0
-		kept = r.bytes() <= logBytes
+		kept = r.bytes() <= maxLogBytes
 	}
 	t.newest, t.head.Newest, v.Version = next, r.Version, r.Version
 	if !kept {
-		t.log, t.logged = nil, 0
+		t.log, t.logSize = nil, 0
 	} else {
-		t.log, t.logged = append(t.log, r), t.logged+r.bytes()
+		t.log, t.logSize = append(t.log, r), t.logSize+r.bytes()
 	}
-	for t.logged > logBytes || len(t.log) > logMost {
-		t.logged -= t.log[0].bytes()
+	for t.logSize > maxLogBytes || len(t.log) > maxLogRecords {
+		t.logSize -= t.log[0].bytes()
 		t.log[0] = nil
 		t.log = t.log[1:]
 	}
 	switch {
 	case back: // it was in force for all before
-		t.head.First, t.first = Revision{r.Version, r.Digest}, next
-		t.advance(at)
+		t.head.First, t.canary = Revision{r.Version, r.Digest}, next
+		t.promote(at)
 	case t.head.First == t.head.All || t.head.Stopped:
-		t.stage(at)
+		t.startCanary(at)
 	}
 }
 
-// stage has the newest version, and all that it is made on, stand at the first stage.
-func (t *Table) stage(at int64) {
-	t.head.First, t.first, t.since = Revision{t.head.Newest, t.newest.Digest()}, t.newest, at
+// startCanary has the newest version, and all that it is made on, stand at the first startCanary.
+func (t *Table) startCanary(at int64) {
+	t.head.First, t.canary, t.canarySince = Revision{t.head.Newest, t.newest.Digest()}, t.newest, at
 	t.head.Stopped, t.head.Who, t.head.Why = false, "", ""
 }
 
-// advance has the version at the first stage in force for all. What was agreed on meanwhile stands there next, as one.
-func (t *Table) advance(at int64) {
-	if t.good = append(t.good, t.head.All.Version); len(t.good) > logMost {
-		t.good = slices.Delete(t.good, 0, 1)
+// promote has the version at the first stage in force for all. What was agreed on meanwhile stands there next, as one.
+func (t *Table) promote(at int64) {
+	if t.rollbackVersions = append(t.rollbackVersions, t.head.All.Version); len(t.rollbackVersions) > maxLogRecords {
+		t.rollbackVersions = slices.Delete(t.rollbackVersions, 0, 1)
 	}
-	t.head.All, t.all = t.head.First, t.first
+	t.head.All, t.all = t.head.First, t.canary
 	first := t.head.Newest + 1
 	if len(t.log) > 0 {
 		first = t.log[0].Version
 	}
-	t.good = slices.DeleteFunc(t.good, func(version uint64) bool { return version+1 < first })
-	t.stage(at)
+	t.rollbackVersions = slices.DeleteFunc(t.rollbackVersions, func(version uint64) bool { return version+1 < first })
+	t.startCanary(at)
 }
 
-// stale refuses a change that was made on another version.
-func (t *Table) stale(base uint64, v *Verdict) {
+// refuseStale refuses a change that was made on another version.
+func (t *Table) refuseStale(base uint64, v *Verdict) {
 	v.Stale = true
 	if v.Refused = fmt.Sprintf("made on version %d, the newest is %d; look at what differs and put it again", base, t.head.Newest); base > t.head.Newest {
 		v.Refused = fmt.Sprintf("made on version %d, the newest is %d: it was made on what another council agreed on", base, t.head.Newest)
@@ -392,7 +392,7 @@
 	for _, r := range t.log[base+1-t.log[0].Version:] {
 		for _, i := range r.Changes {
 			if n := (name{i.Part, i.Name}); !seen[n] {
-				if seen[n] = true; len(v.Differ) < namedMost {
+				if seen[n] = true; len(v.Differ) < maxNamedItems {
 					v.Differ = append(v.Differ, Item{Part: i.Part, Name: i.Name})
 				} else {
 					v.More++
@@ -402,11 +402,11 @@
 	}
 }
 
-// rollback makes a new version of what an older one came to. That one was in force for all, so this one is at once.
-func (t *Table) rollback(at int64, c *Command, v *Verdict) {
+// applyRollback makes a new version of what an older one came to. That one was in force for all, so this one is at once.
+func (t *Table) applyRollback(at int64, c *Command, v *Verdict) {
 	content := t.all
 	if c.Version != t.head.All.Version {
-		if !slices.Contains(t.good, c.Version) || len(t.log) == 0 || c.Version+1 < t.log[0].Version {
+		if !slices.Contains(t.rollbackVersions, c.Version) || len(t.log) == 0 || c.Version+1 < t.log[0].Version {
 			v.Refused = fmt.Sprintf("version %d was never in force for all, or the log no longer reaches it; put its content as a change", c.Version)
 			return
 		}
@@ -419,7 +419,7 @@
 			}
 		}
 	}
-	t.agree(at, c, content, true, v)
+	t.commit(at, c, content, true, v)
 }
 
 // Snapshot writes the table; two that are equal are written alike. One that didn't change since the last snapshot gives
@@ -429,13 +429,13 @@
 		return t.snapshot, nil
 	}
 	w := t.BeginSnapshot()
-	for !w.Next(atOnce) {
+	for !w.Next(bytesPerWholeStep) {
 	}
 	t.snapshot = w.Text()
 	return t.snapshot, nil
 }
 
-var decode = func() cbor.DecMode {
+var cborDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 21, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
 	if err != nil {
 		panic(err) // of constants
@@ -445,20 +445,20 @@
 
 // Restore reads a table.
 func Restore(text []byte) (*Table, error) {
-	var s saved
-	if err := decode.Unmarshal(text, &s); err != nil {
+	var s savedTable
+	if err := cborDecoding.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("configuration: a snapshot can't be read: %w", err)
 	}
 	if len(s.Blocks) != Blocks {
 		return nil, fmt.Errorf("configuration: a snapshot of %d blocks, not %d", len(s.Blocks), Blocks)
 	}
 	t := NewTable()
-	newest, own := &Content{}, [fan]bool{}
+	newest, own := &Content{}, [fanout]bool{}
 	for n, block := range s.Blocks {
 		if len(block) == 0 {
 			continue
 		}
-		if _, ok := checked(n, block); !ok {
+		if _, ok := checkBlock(n, block); !ok {
 			return nil, fmt.Errorf("configuration: block %d of a snapshot is malformed", n)
 		}
 		newest.set(n, bytes.Clone(block), &own)
@@ -471,8 +471,8 @@
 	if all.Digest() != s.Head.All.Digest || first.Digest() != s.Head.First.Digest {
 		return nil, fmt.Errorf("configuration: a snapshot comes to %s and %s, not to the digests that it names", all.Digest(), first.Digest())
 	}
-	t.head, t.since, t.newest, t.all, t.first = s.Head, s.Since, newest, all, first
-	t.log, t.good, t.askers, t.draft = s.Log, s.Good, s.Askers, s.Draft
+	t.head, t.canarySince, t.newest, t.all, t.canary = s.Head, s.Since, newest, all, first
+	t.log, t.rollbackVersions, t.lastVerdicts, t.draft = s.Log, s.Good, s.Askers, s.Draft
 	if t.draft.Pieces > 0 {
 		if t.draft.content, err = newest.Apply(t.draft.Changes); err != nil {
 			return nil, fmt.Errorf("configuration: a snapshot can't be read: %w", err)
@@ -483,7 +483,7 @@
 		if r == nil || r.Version != s.Head.Newest-uint64(len(t.log)-1-k) {
 			return nil, fmt.Errorf("configuration: the log of a snapshot has gaps")
 		}
-		t.logged += r.bytes()
+		t.logSize += r.bytes()
 	}
 	return t, nil
 }
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -41,10 +41,10 @@
 	none := x.Apply(9, putOn(3, 4, tenant(3, "1")))
 	require.True(t, none.Done)
 	require.EqualValues(t, 3, none.Version, "what changes nothing makes no version")
-	for k := range logMost + 1 {
+	for k := range maxLogRecords + 1 {
 		require.True(t, x.Apply(9, putOn(uint64(k+3), uint64(k+5), tenant(3, fmt.Sprint(k+2)))).Done)
 	}
-	require.Len(t, x.log, logMost)
+	require.Len(t, x.log, maxLogRecords)
 	require.Equal(t, -1, x.Apply(9, &Command{Kind: Put, From: "b", Seq: 2, Base: 2}).More, "the log no longer reaches it")
 }
 
@@ -53,9 +53,9 @@
 	x.Apply(100*ms, putOn(0, 1, tenant(1, "1")))
 	x.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the stage of the one before
 	require.EqualValues(t, 1, x.Head().First.Version)
-	require.Nil(t, x.Due(100*ms+stageFor-1))
-	require.False(t, x.Apply(100*ms+stageFor-1, &Command{Kind: Advance, Version: 1}).Done, "too early")
-	require.True(t, x.Apply(100*ms+stageFor, x.Due(100*ms+stageFor)).Done)
+	require.Nil(t, x.Due(100*ms+canaryDuration-1))
+	require.False(t, x.Apply(100*ms+canaryDuration-1, &Command{Kind: Advance, Version: 1}).Done, "too early")
+	require.True(t, x.Apply(100*ms+canaryDuration, x.Due(100*ms+canaryDuration)).Done)
 	require.EqualValues(t, 1, x.Head().All.Version)
 	require.EqualValues(t, 2, x.Head().First.Version, "the next stage begins")
 	stop := &Command{Kind: Stop, Version: 2, Who: "n7", Why: "no such effect"}
@@ -75,15 +75,15 @@
 func TestAStageEndsByTheClockOfASeat(t *testing.T) {
 	x := NewTable()
 	x.Apply(100*ms, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
-	require.Nil(t, x.DueAfter(stageFor-1))
-	require.False(t, x.Apply(200*ms, &Command{Kind: Advance, Version: 1, Stood: stageFor - 1}).Done)
-	require.False(t, x.Apply(200*ms, &Command{Kind: Advance, Version: 2, Stood: stageFor}).Done)
-	require.True(t, x.Apply(200*ms, x.DueAfter(stageFor)).Done)
+	require.Nil(t, x.DueAfter(canaryDuration-1))
+	require.False(t, x.Apply(200*ms, &Command{Kind: Advance, Version: 1, Stood: canaryDuration - 1}).Done)
+	require.False(t, x.Apply(200*ms, &Command{Kind: Advance, Version: 2, Stood: canaryDuration}).Done)
+	require.True(t, x.Apply(200*ms, x.DueAfter(canaryDuration)).Done)
 	require.EqualValues(t, 1, x.Head().All.Version)
-	require.Nil(t, x.DueAfter(stageFor), "nothing stands there")
+	require.Nil(t, x.DueAfter(canaryDuration), "nothing stands there")
 	x.Apply(300*ms, &Command{Kind: Put, From: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
 	x.Apply(400*ms, &Command{Kind: Stop, Version: 2, Who: "b", Why: "can't"})
-	require.Nil(t, x.DueAfter(100*stageFor), "what is stopped goes no further")
+	require.Nil(t, x.DueAfter(100*canaryDuration), "what is stopped goes no further")
 }
 
 func TestALongChangeComesInPieces(t *testing.T) {
@@ -100,7 +100,7 @@
 	require.EqualValues(t, 1, last.Version)
 	require.Equal(t, last, piece(4, "a", 2, false, tenant(3, "1")))
 	require.Equal(t, 3, x.newest.Len(Tenants))
-	require.Contains(t, x.Apply(1, putOn(1, 9, Item{Tenants, "big", make([]byte, putMost)})).Refused, "put it in pieces")
+	require.Contains(t, x.Apply(1, putOn(1, 9, Item{Tenants, "big", make([]byte, maxPutBytes)})).Refused, "put it in pieces")
 	require.Contains(t, x.Apply(1, putOn(1, 10, tenant(1, `{ "a":1}`))).Refused, `tenants "t1" is not in canonical form`)
 }
 
@@ -132,7 +132,7 @@
 			require.Equal(t, a.Apply(at, c), b.Apply(at, c))
 			require.GreaterOrEqual(t, a.Head().Newest, head.Newest)
 			require.GreaterOrEqual(t, a.Head().All.Version, head.All.Version)
-			for n, content := range map[Revision]*Content{a.head.All: a.all, a.head.First: a.first} {
+			for n, content := range map[Revision]*Content{a.head.All: a.all, a.head.First: a.canary} {
 				require.Equal(t, n.Digest, content.Digest())
 			}
 			one, err := a.Snapshot()
@@ -166,7 +166,7 @@
 		spoilt[k] ^= 4
 		if y, err := Restore(spoilt); err == nil { // what a digest stands for is compared
 			require.Equal(t, y.head.All.Digest, y.all.Digest())
-			require.Equal(t, y.head.First.Digest, y.first.Digest())
+			require.Equal(t, y.head.First.Digest, y.canary.Digest())
 		}
 		spoilt[k] ^= 4
 	}
@@ -177,7 +177,7 @@
 	x := NewTable()
 	x.Apply(1, putOn(0, 1, tenant(0, "1")))
 	before := x.Agreed()
-	for k := range logMost + 10 {
+	for k := range maxLogRecords + 10 {
 		x.Apply(1, putOn(uint64(k+1), uint64(k+2), tenant(0, fmt.Sprint(k+2))))
 	}
 	require.EqualValues(t, 1, before.Log[0].Version)
--- a/internal/fleet/configsync/world_test.go
+++ b/internal/fleet/configsync/world_test.go
@@ -183,7 +183,7 @@
 		n.most = 0
 	}
 	n.holder = NewReplicator(w.now, ReplicatorConfig{Name: n.name, Seed: w.chance.Int63()}, start)
-	n.holder.trusting = w.mutant
+	n.holder.skipDigests = w.mutant
 	n.inbox = append(n.inbox, Input{Kind: Viewed, View: w.view(i, zones)})
 	if n.seat {
 		n.inbox = append(n.inbox, Input{Kind: Ordered, Agreed: n.table.Agreed()})
@@ -265,7 +265,7 @@
 		}
 	}
 	for _, p := range n.holder.peers {
-		if p.lies > 0 && !w.byName[p.name].liar {
+		if p.invalidResponses > 0 && !w.byName[p.name].liar {
 			w.fail("%s sets %s aside, which is sound", n.name, p.name)
 		}
 	}
@@ -374,7 +374,7 @@
 	}
 	sum := Digest{}
 	for item := range e.New.All { // computed anew
-		sum = sum.plus(digestOf(appendEntry(nil, byte(slices.Index(partNames[:], item.Part)), item.Name, item.Value)))
+		sum = sum.plus(hashItem(appendEntry(nil, byte(slices.Index(partNames[:], item.Part)), item.Name, item.Value)))
 	}
 	if sum != w.history[mark.Version] || sum != mark.Digest {
 		w.fail("%s takes %s as version %d, which is %s", n.name, sum, mark.Version, w.history[mark.Version])
@@ -553,7 +553,7 @@
 // tick has seats that are together follow the log, order what is due, and callers go on.
 func (w *world) tick() {
 	for i, n := range w.nodes[:w.seats] {
-		if current := w.majority(i) && n.seen == len(w.entries); n.up && current != n.holder.current {
+		if current := w.majority(i) && n.seen == len(w.entries); n.up && current != n.holder.groupCurrent {
 			w.give(i, Input{Kind: Stood, Current: current})
 		}
 		if !w.majority(i) {
@@ -660,7 +660,7 @@
 			for _, b := range n.spent[at : at+window] {
 				sum += b
 			}
-			if most := int64(burst + blockMost + Blocks*digestBytes + window*(rate+4_000)); sum > most && !n.liar {
+			if most := int64(burstBytes + maxBlockBytes + Blocks*digestBytes + window*(bytesPerSecond+4_000)); sum > most && !n.liar {
 				w.fail("%s: %d bytes in %d s, %d at the most", n.name, sum, window, most)
 			}
 		}
