--- a/internal/fleet/configsync/board.go
+++ b/internal/fleet/configsync/board.go
@@ -25,48 +25,48 @@
 }
 
 // Report notes what a node has. The one that was silent longest makes room.
-func (b *StatusTable) Report(now int64, name string, has, refused Revision, why string, age int64) {
-	s := b.nodes[name]
-	if s == nil {
-		if b.nodes == nil {
-			b.nodes, b.refusers = map[string]*NodeStatus{}, map[string]*NodeStatus{}
+func (t *StatusTable) Report(now int64, name string, has, refused Revision, why string, age int64) {
+	status := t.nodes[name]
+	if status == nil {
+		if t.nodes == nil {
+			t.nodes, t.refusers = map[string]*NodeStatus{}, map[string]*NodeStatus{}
 		}
-		if len(b.nodes) >= maxStatuses {
+		if len(t.nodes) >= maxStatuses {
 			var old *NodeStatus
-			for _, s := range b.nodes {
-				if old == nil || cmp.Or(cmp.Compare(s.At, old.At), cmp.Compare(s.Name, old.Name)) < 0 {
-					old = s
+			for _, status := range t.nodes {
+				if old == nil || cmp.Or(cmp.Compare(status.At, old.At), cmp.Compare(status.Name, old.Name)) < 0 {
+					old = status
 				}
 			}
-			delete(b.nodes, old.Name)
-			delete(b.refusers, old.Name)
+			delete(t.nodes, old.Name)
+			delete(t.refusers, old.Name)
 		}
-		s = &NodeStatus{Name: name}
-		b.nodes[name] = s
+		status = &NodeStatus{Name: name}
+		t.nodes[name] = status
 	}
-	s.Mark, s.Refused, s.Why, s.Age, s.At = has, refused, truncate(why, maxReasonBytes), age, now
+	status.Mark, status.Refused, status.Why, status.Age, status.At = has, refused, truncate(why, maxReasonBytes), age, now
 	if refused.Version > 0 {
-		b.refusers[name] = s
+		t.refusers[name] = status
 	} else {
-		delete(b.refusers, name)
+		delete(t.refusers, name)
 	}
 }
 
 // Statuses are all that are known, by name.
-func (b *StatusTable) Statuses() []NodeStatus {
-	list := make([]NodeStatus, 0, len(b.nodes))
-	for _, s := range b.nodes {
-		list = append(list, *s)
+func (t *StatusTable) Statuses() []NodeStatus {
+	list := make([]NodeStatus, 0, len(t.nodes))
+	for _, status := range t.nodes {
+		list = append(list, *status)
 	}
 	slices.SortFunc(list, func(x, y NodeStatus) int { return cmp.Compare(x.Name, y.Name) })
 	return list
 }
 
 // refusal is a node that can't take a version, the first by name.
-func (b *StatusTable) refusal(mark Revision) (who, why string, ok bool) {
-	for _, s := range b.refusers {
-		if s.Refused == mark && mark.Version > 0 && (!ok || s.Name < who) {
-			who, why, ok = s.Name, s.Why, true
+func (t *StatusTable) refusal(revision Revision) (who, why string, ok bool) {
+	for _, status := range t.refusers {
+		if status.Refused == revision && revision.Version > 0 && (!ok || status.Name < who) {
+			who, why, ok = status.Name, status.Why, true
 		}
 	}
 	return who, why, ok
--- a/internal/fleet/configsync/disk.go
+++ b/internal/fleet/configsync/disk.go
@@ -31,21 +31,21 @@
 }
 
 // Encode yields a file that holds a content, in pieces of some 64 kB. Records are appended behind it.
-func Encode(mark Revision, c *Content) func(yield func([]byte) bool) {
+func Encode(revision Revision, c *Content) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
-		if !yield((&frame{Revision: &mark}).append(nil)) {
+		if !yield((&frame{Revision: &revision}).append(nil)) {
 			return
 		}
-		f, size := frame{}, 0
+		next, size := frame{}, 0
 		for n := range Blocks {
 			if text, _ := c.Block(n); len(text) > 0 {
-				f.Blocks, size = append(f.Blocks, Block{N: uint16(n), Text: text}), size+len(text)
+				next.Blocks, size = append(next.Blocks, Block{N: uint16(n), Text: text}), size+len(text)
 			}
 			if size > maxPieceBytes || n == Blocks-1 && size > 0 {
-				if !yield(f.append(nil)) {
+				if !yield(next.append(nil)) {
 					return
 				}
-				f, size = frame{}, 0
+				next, size = frame{}, 0
 			}
 		}
 	}
@@ -111,15 +111,15 @@
 		}
 		l.checkComplete()
 	case f.Record != nil && l.ready != nil:
-		r := f.Record
-		next, err := l.ready.Apply(r.Changes)
+		record := f.Record
+		next, err := l.ready.Apply(record.Changes)
 		if err != nil {
 			return err
 		}
-		if r.Version != l.revision.Version+1 || r.Base != l.revision.Digest || next.Digest() != r.Digest {
-			return fmt.Errorf("the record of version %d doesn't follow version %d", r.Version, l.revision.Version)
+		if record.Version != l.revision.Version+1 || record.Base != l.revision.Digest || next.Digest() != record.Digest {
+			return fmt.Errorf("the record of version %d doesn't follow version %d", record.Version, l.revision.Version)
 		}
-		l.ready, l.revision, l.journalSize = next, Revision{r.Version, r.Digest}, l.journalSize+size
+		l.ready, l.revision, l.journalSize = next, Revision{record.Version, record.Digest}, l.journalSize+size
 	default:
 		return fmt.Errorf("a frame out of order")
 	}
@@ -147,10 +147,10 @@
 		}
 		return InitialState{}, fmt.Errorf("configuration: nothing can be read back: %w", err)
 	}
-	s := InitialState{Mark: l.revision, Content: l.ready, Source: "disk", Journal: l.journalSize}
+	state := InitialState{Mark: l.revision, Content: l.ready, Source: "disk", Journal: l.journalSize}
 	if err != nil {
-		s.Journal = -1
+		state.Journal = -1
 		err = fmt.Errorf("configuration: read back to version %d only: %w", l.revision.Version, err)
 	}
-	return s, err
+	return state, err
 }
--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -70,18 +70,18 @@
 }
 
 // changesBetween are those from one version to another, in order; none where this node doesn't know them.
-func (h *Replicator) changesBetween(from, to Revision) (list []Item) {
-	if d := &h.spanDeltas; d.to.Version > 0 && d.from == from && d.to.Version <= to.Version {
+func (r *Replicator) changesBetween(from, to Revision) (list []Item) {
+	if d := &r.spanDeltas; d.to.Version > 0 && d.from == from && d.to.Version <= to.Version {
 		if list, from = d.all(), d.to; from == to {
 			return list
 		}
 	}
-	records := recordsBetween(h.availableRecords(), from, to.Version)
+	records := recordsBetween(r.availableRecords(), from, to.Version)
 	if k := len(records); k == 0 || records[k-1].Version != to.Version || records[k-1].Digest != to.Digest {
 		return nil
 	}
-	for _, r := range records {
-		list = append(list, r.Changes...)
+	for _, record := range records {
+		list = append(list, record.Changes...)
 	}
 	return list
 }
@@ -97,14 +97,14 @@
 }
 
 // choosePeer is whom to ask for a version: a neighbour that has it, or a seat once none had it for a while.
-func (h *Replicator) choosePeer(now int64, goal Revision) *peer {
+func (r *Replicator) choosePeer(now int64, goal Revision) *peer {
 	var may, part []*peer
-	at := max(h.ready.Version, h.run.revision.Version)
-	for _, name := range h.view.Neighbours {
-		if p := h.peers[name]; p != nil && p.backoffUntil <= now && p.retryAt <= now && p.ready.Version > at {
+	at := max(r.ready.Version, r.run.revision.Version)
+	for _, name := range r.view.Neighbours {
+		if p := r.peers[name]; p != nil && p.backoffUntil <= now && p.retryAt <= now && p.ready.Version > at {
 			if p.ready.Version >= goal.Version {
 				may = append(may, p)
-			} else if slices.Contains(h.confirmed, p.ready) {
+			} else if slices.Contains(r.confirmed, p.ready) {
 				part = append(part, p)
 			}
 		}
@@ -112,13 +112,13 @@
 	if len(may) == 0 {
 		may = part // some of the way
 	}
-	if h.fetch.partial = false; len(may) > 0 {
-		return may[h.random.Intn(len(may))]
+	if r.fetch.partial = false; len(may) > 0 {
+		return may[r.random.Intn(len(may))]
 	}
 	others := 0
-	if h.run.content == nil && (h.blockIndex != nil || now >= h.goalSince+replicaFallbackDelay) { // those that are on the way there too may have blocks already
-		for _, name := range h.view.Neighbours {
-			if p := h.peers[name]; p != nil && p.backoffUntil <= now && p.ready.Version <= at && (p.head.All == goal || p.head.First == goal) {
+	if r.run.content == nil && (r.blockIndex != nil || now >= r.goalSince+replicaFallbackDelay) { // those that are on the way there too may have blocks already
+		for _, name := range r.view.Neighbours {
+			if p := r.peers[name]; p != nil && p.backoffUntil <= now && p.ready.Version <= at && (p.head.All == goal || p.head.First == goal) {
 				if others++; p.retryAt <= now {
 					may = append(may, p)
 				}
@@ -126,161 +126,161 @@
 		}
 	}
 	full := len(may)
-	if now >= h.goalSince+replicaFallbackDelay && (others == 0 || now >= max(h.goalSince, h.fetch.progressAt)+thunderingHerdDelay) {
-		if p := h.peerFor(now, h.reportTarget(h.fetch.failures)); p != nil && p.name != "" && p.backoffUntil <= now && p.retryAt <= now {
+	if now >= r.goalSince+replicaFallbackDelay && (others == 0 || now >= max(r.goalSince, r.fetch.progressAt)+thunderingHerdDelay) {
+		if p := r.peerFor(now, r.reportTarget(r.fetch.failures)); p != nil && p.name != "" && p.backoffUntil <= now && p.retryAt <= now {
 			may = append(may, p)
 		}
 	}
 	if len(may) == 0 {
 		return nil
 	}
-	k := h.random.Intn(len(may))
-	h.fetch.partial = k < full
+	k := r.random.Intn(len(may))
+	r.fetch.partial = k < full
 	return may[k]
 }
 
 // assemblyBase is what blocks are put into.
-func (h *Replicator) assemblyBase() *Content {
-	if h.assembled != nil {
-		return h.assembled
+func (r *Replicator) assemblyBase() *Content {
+	if r.assembled != nil {
+		return r.assembled
 	}
-	return h.readyContent
+	return r.readyContent
 }
 
 // requestMissing asks for blocks that differ from the index.
-func (h *Replicator) requestMissing(m *Message) {
+func (r *Replicator) requestMissing(m *Message) {
 	m.Missing = make([]byte, Blocks/8)
-	begin := h.random.Intn(Blocks) // so that neighbours have different ones for each other
+	begin := r.random.Intn(Blocks) // so that neighbours have different ones for each other
 	for k := range Blocks {
 		n := (begin + k) % Blocks
-		want := digestAt(h.blockIndex, n)
-		if _, sum := h.assemblyBase().Block(n); sum == want {
+		want := digestAt(r.blockIndex, n)
+		if _, sum := r.assemblyBase().Block(n); sum == want {
 			continue
 		}
 		if m.Missing[n/8] |= 1 << (n % 8); len(m.Wanted) < maxWantedBlocks {
 			m.Wanted, m.Sums = append(m.Wanted, uint16(n)), want.append(m.Sums)
 		}
 	}
-	h.fetch.index, h.fetch.missing = h.blockIndex, m.Missing
+	r.fetch.index, r.fetch.missing = r.blockIndex, m.Missing
 }
 
-func (h *Replicator) handleFetchFailure(now int64) {
-	h.Counters.Missed++
-	h.fetch.deadline = 0
-	if p := h.peers[h.fetch.peer]; p != nil {
-		p.retryAt = now + h.jitter(minFetchBackoff<<min(h.fetch.failures, 5))
+func (r *Replicator) handleFetchFailure(now int64) {
+	r.Counters.Missed++
+	r.fetch.deadline = 0
+	if p := r.peers[r.fetch.peer]; p != nil {
+		p.retryAt = now + r.jitter(minFetchBackoff<<min(r.fetch.failures, 5))
 	}
-	h.backOff(now)
+	r.backOff(now)
 }
 
-func (h *Replicator) backOff(now int64) {
-	h.fetch.nextAt = now + h.randomUpTo(min(minFetchBackoff<<min(h.fetch.failures, 6), maxFetchBackoff))
-	h.fetch.failures++
+func (r *Replicator) backOff(now int64) {
+	r.fetch.nextAt = now + r.randomUpTo(min(minFetchBackoff<<min(r.fetch.failures, 6), maxFetchBackoff))
+	r.fetch.failures++
 }
 
 // handleFetchAnswer takes the answer to a fetch.
-func (h *Replicator) handleFetchAnswer(now int64, m *Message, effects []Effect) []Effect {
-	p := h.peerFor(now, h.fetch.peer)
+func (r *Replicator) handleFetchAnswer(now int64, m *Message, effects []Effect) []Effect {
+	p := r.peerFor(now, r.fetch.peer)
 	if p == nil {
 		return effects
 	}
-	if h.fetch.nextAt = now; m != nil && m.hasContent() {
-		h.fetch.progressAt = now
+	if r.fetch.nextAt = now; m != nil && m.hasContent() {
+		r.fetch.progressAt = now
 	}
 	switch {
 	case m == nil || m.Kind != Piece || p.backoffUntil > now:
-		h.backOff(now)
+		r.backOff(now)
 	case m.Busy > 0:
-		p.retryAt = now + min(m.Busy, p.maxBusyWait()) + h.randomUpTo(minFetchBackoff)
-	case h.fetch.partial && !m.hasContent():
-		p.retryAt, h.fetch.nextAt = now+h.jitter(partialPeerBackoff), now+h.jitter(partialFetchBackoff)
+		p.retryAt = now + min(m.Busy, p.maxBusyWait()) + r.randomUpTo(minFetchBackoff)
+	case r.fetch.partial && !m.hasContent():
+		p.retryAt, r.fetch.nextAt = now+r.jitter(partialPeerBackoff), now+r.jitter(partialFetchBackoff)
 	case len(m.Records) > 0:
-		if h.fetch.from == h.ready && h.run.content == nil || h.run.content != nil && h.fetch.from == h.run.revision { // else it moved on meanwhile
-			h.extendRun(now, p, m.Records)
+		if r.fetch.from == r.ready && r.run.content == nil || r.run.content != nil && r.fetch.from == r.run.revision { // else it moved on meanwhile
+			r.extendRun(now, p, m.Records)
 		}
-	case h.run.content != nil && h.run.from != p.name && h.run.misses < maxRunMisses: // others may know how it goes on
-		h.run.misses++
-		p.retryAt = now + h.jitter(maxFetchBackoff)
-	case len(m.Index) > 0 && h.fetch.want.Version <= h.ready.Version: // it came by another way
+	case r.run.content != nil && r.run.from != p.name && r.run.misses < maxRunMisses: // others may know how it goes on
+		r.run.misses++
+		p.retryAt = now + r.jitter(maxFetchBackoff)
+	case len(m.Index) > 0 && r.fetch.want.Version <= r.ready.Version: // it came by another way
 	case len(m.Index) > 0:
-		if h.run = (recordRun{}); h.fetch.base != h.assemblyBase() {
+		if r.run = (recordRun{}); r.fetch.base != r.assemblyBase() {
 			break // it moved on meanwhile
 		}
-		if !h.applyIndex(m) {
-			h.penalize(now, p)
+		if !r.applyIndex(m) {
+			r.penalize(now, p)
 			break
 		}
-		h.storeBlocks(now, p, nil)
-	case len(m.Blocks) > 0 && h.fetch.base != h.assemblyBase(): // it moved on meanwhile
+		r.storeBlocks(now, p, nil)
+	case len(m.Blocks) > 0 && r.fetch.base != r.assemblyBase(): // it moved on meanwhile
 	case len(m.Blocks) > 0:
-		h.storeBlocks(now, p, m.Blocks)
-	case h.assemblyBase().Digest() == h.fetch.want.Digest: // no block differs: another version comes to what is here
-		if goal, ok := h.goal(); ok && goal == h.fetch.want {
-			h.setReady(goal, h.assemblyBase(), nil)
+		r.storeBlocks(now, p, m.Blocks)
+	case r.assemblyBase().Digest() == r.fetch.want.Digest: // no block differs: another version comes to what is here
+		if goal, ok := r.goal(); ok && goal == r.fetch.want {
+			r.setReady(goal, r.assemblyBase(), nil)
 		}
-	case h.blockIndex != nil && h.indexRevision != h.fetch.want: // what is missing changed since: the newer index is asked for
-		h.blockIndex = nil
+	case r.blockIndex != nil && r.indexRevision != r.fetch.want: // what is missing changed since: the newer index is asked for
+		r.blockIndex = nil
 	default: // it has nothing of it
 		p.ready = Revision{} // until it tells again
-		p.retryAt = now + h.jitter(minFetchBackoff<<min(h.fetch.failures, 5))
-		h.run = recordRun{}
-		h.backOff(now)
+		p.retryAt = now + r.jitter(minFetchBackoff<<min(r.fetch.failures, 5))
+		r.run = recordRun{}
+		r.backOff(now)
 	}
 	return effects
 }
 
 // extendRun carries out records of a peer, false where they were of no use. They count once they come to a digest that a
 // seat vouched for.
-func (h *Replicator) extendRun(now int64, p *peer, records []Record) bool {
-	goal, ok := h.goal()
+func (r *Replicator) extendRun(now int64, p *peer, records []Record) bool {
+	goal, ok := r.goal()
 	if !ok {
 		return false
 	}
-	if h.run.content == nil {
-		h.run = recordRun{from: p.name, revision: h.ready, content: h.readyContent}
+	if r.run.content == nil {
+		r.run = recordRun{from: p.name, revision: r.ready, content: r.readyContent}
 	}
-	x := &h.run
-	x.from, x.misses = p.name, 0
+	run := &r.run
+	run.from, run.misses = p.name, 0
 	for k := range records {
-		r := records[k]
-		if r.Replaced, r.size = nil, 0; r.Version > goal.Version { // newer than is wanted: it isn't vouched for yet
+		record := records[k]
+		if record.Replaced, record.size = nil, 0; record.Version > goal.Version { // newer than is wanted: it isn't vouched for yet
 			break
 		}
-		content, err := x.content.Apply(r.Changes)
-		if r.Version != x.revision.Version+1 || err != nil || !h.skipDigests && (r.Base != x.revision.Digest || content.Digest() != r.Digest) {
-			h.run = recordRun{}
-			h.penalize(now, p)
+		content, err := run.content.Apply(record.Changes)
+		if record.Version != run.revision.Version+1 || err != nil || !r.skipDigests && (record.Base != run.revision.Digest || content.Digest() != record.Digest) {
+			r.run = recordRun{}
+			r.penalize(now, p)
 			return false
 		}
-		x.content, x.revision, x.records, x.bytes = content, Revision{r.Version, r.Digest}, append(x.records, &r), x.bytes+r.bytes()
-		if x.revision != goal && slices.Contains(h.confirmed, x.revision) { // sound so far, whoever goes on with it
-			h.setReady(x.revision, x.content, x.records)
-			h.run = recordRun{from: p.name, revision: h.ready, content: h.readyContent}
+		run.content, run.revision, run.records, run.bytes = content, Revision{record.Version, record.Digest}, append(run.records, &record), run.bytes+record.bytes()
+		if run.revision != goal && slices.Contains(r.confirmed, run.revision) { // sound so far, whoever goes on with it
+			r.setReady(run.revision, run.content, run.records)
+			r.run = recordRun{from: p.name, revision: r.ready, content: r.readyContent}
 		}
 	}
 	switch {
-	case x.revision == goal || h.skipDigests && x.revision.Version == goal.Version:
+	case run.revision == goal || r.skipDigests && run.revision.Version == goal.Version:
 		p.invalidResponses = 0
-		h.setReady(goal, x.content, x.records)
-	case x.revision.Version == goal.Version:
-		h.run = recordRun{}
-		h.penalize(now, p)
+		r.setReady(goal, run.content, run.records)
+	case run.revision.Version == goal.Version:
+		r.run = recordRun{}
+		r.penalize(now, p)
 		return false
-	case x.revision == h.ready: // no further, or not begun
-		h.run = recordRun{}
-	case x.bytes > 2*maxRetainedBytes:
-		h.run = recordRun{}
+	case run.revision == r.ready: // no further, or not begun
+		r.run = recordRun{}
+	case run.bytes > 2*maxRetainedBytes:
+		r.run = recordRun{}
 		return false
 	}
 	return true
 }
 
 // applyIndex takes the index of what is wanted: pages that differ, beside those that this node has.
-func (h *Replicator) applyIndex(m *Message) bool {
+func (r *Replicator) applyIndex(m *Message) bool {
 	if len(m.Index) != len(m.Pages)*fanout*digestBytes {
 		return false
 	}
-	index, sum := h.fetch.base.index(), Digest{}
+	index, sum := r.fetch.base.index(), Digest{}
 	for k, page := range m.Pages {
 		if int(page) >= fanout {
 			return false
@@ -290,59 +290,59 @@
 	for n := range Blocks {
 		sum = sum.plus(digestAt(index, n))
 	}
-	if sum != h.fetch.want.Digest && !h.skipDigests {
+	if sum != r.fetch.want.Digest && !r.skipDigests {
 		return false
 	}
-	h.blockIndex, h.indexRevision = index, h.fetch.want
+	r.blockIndex, r.indexRevision = index, r.fetch.want
 	return true
 }
 
 // storeBlocks takes blocks towards the index. One of a version that was vouched for before the goal is of use too: most blocks are
 // alike, and records lead on from it.
-func (h *Replicator) storeBlocks(now int64, p *peer, blocks []Block) {
-	if h.assembled = h.assemblyBase(); !h.mergeDeltas(blocks) {
-		h.penalize(now, p)
+func (r *Replicator) storeBlocks(now int64, p *peer, blocks []Block) {
+	if r.assembled = r.assemblyBase(); !r.mergeDeltas(blocks) {
+		r.penalize(now, p)
 		return
 	}
-	for _, b := range blocks {
-		if len(b.Changes) > 0 {
+	for _, block := range blocks {
+		if len(block.Changes) > 0 {
 			continue
 		}
-		want, asked := h.fetch.requested(b.N)
+		want, asked := r.fetch.requested(block.N)
 		if !asked {
-			h.penalize(now, p)
+			r.penalize(now, p)
 			return
 		}
-		if sum, ok := checkBlock(int(b.N), b.Text); ok && h.skipDigests {
+		if sum, ok := checkBlock(int(block.N), block.Text); ok && r.skipDigests {
 			want = sum
 		}
-		next := h.assembled.WithBlock(int(b.N), b.Text, want)
+		next := r.assembled.WithBlock(int(block.N), block.Text, want)
 		if next == nil {
-			h.penalize(now, p)
+			r.penalize(now, p)
 			return
 		}
-		h.assembled = next
-		old, _ := h.readyContent.Block(int(b.N))
-		text, _ := next.Block(int(b.N))
-		h.assembledDeltas.put(int(b.N), (&Difference{next: Blocks, old: old, new: text}).Next(maxBlockBytes))
+		r.assembled = next
+		old, _ := r.readyContent.Block(int(block.N))
+		text, _ := next.Block(int(block.N))
+		r.assembledDeltas.put(int(block.N), (&Difference{next: Blocks, old: old, new: text}).Next(maxBlockBytes))
 	}
-	if h.assembled.Digest() == h.indexRevision.Digest || h.skipDigests && len(blocks) > 0 {
-		if goal, ok := h.goal(); ok && (goal == h.indexRevision || h.indexRevision.Version > h.ready.Version && h.indexRevision.Version < goal.Version &&
-			slices.Contains(h.confirmed, h.indexRevision)) {
-			h.finishAssembly()
+	if r.assembled.Digest() == r.indexRevision.Digest || r.skipDigests && len(blocks) > 0 {
+		if goal, ok := r.goal(); ok && (goal == r.indexRevision || r.indexRevision.Version > r.ready.Version && r.indexRevision.Version < goal.Version &&
+			slices.Contains(r.confirmed, r.indexRevision)) {
+			r.finishAssembly()
 		}
 	}
 }
 
 // mergeDeltas has blocks of which changes came in their place, false where one doesn't come to the index: who gave it is at fault. They
 // are carried out on what this node asked them from, whatever came since.
-func (h *Replicator) mergeDeltas(blocks []Block) bool {
-	next, own, changes, seen := *h.assembled, [fanout]bool{}, []Item(nil), map[int][]Item{}
+func (r *Replicator) mergeDeltas(blocks []Block) bool {
+	next, own, changes, seen := *r.assembled, [fanout]bool{}, []Item(nil), map[int][]Item{}
 	for _, b := range blocks {
 		if len(b.Changes) == 0 {
 			continue
 		}
-		if _, asked := h.fetch.requested(b.N); !asked || seen[int(b.N)] != nil {
+		if _, asked := r.fetch.requested(b.N); !asked || seen[int(b.N)] != nil {
 			return false
 		}
 		for k := range b.Changes {
@@ -350,7 +350,7 @@
 				return false
 			}
 		}
-		text, sum := h.readyContent.Block(int(b.N))
+		text, sum := r.readyContent.Block(int(b.N))
 		if _, other := next.Block(int(b.N)); other != sum {
 			next.set(int(b.N), text, &own)
 		}
@@ -364,36 +364,36 @@
 		return false
 	}
 	for n := range seen {
-		if _, sum := merged.Block(n); sum != digestAt(h.fetch.index, n) && !h.skipDigests {
+		if _, sum := merged.Block(n); sum != digestAt(r.fetch.index, n) && !r.skipDigests {
 			return false
 		}
 	}
-	h.assembled = merged
+	r.assembled = merged
 	for n, changes := range seen {
-		h.assembledDeltas.put(n, changes)
+		r.assembledDeltas.put(n, changes)
 	}
 	return true
 }
 
 // finishAssembly has what came by blocks at hand. Others can have its changes of this node, unless they are too large.
-func (h *Replicator) finishAssembly() {
-	d := h.assembledDeltas
-	switch d.from, d.to = h.ready, h.indexRevision; {
+func (r *Replicator) finishAssembly() {
+	d := r.assembledDeltas
+	switch d.from, d.to = r.ready, r.indexRevision; {
 	case d.overflowed || len(d.blocks) == 0:
-		h.setReady(d.to, h.assembled, nil)
+		r.setReady(d.to, r.assembled, nil)
 	case d.to.Version == d.from.Version+1:
-		h.setReady(d.to, h.assembled, []*Record{{Version: d.to.Version, Base: d.from.Digest, Digest: d.to.Digest, Changes: d.all()}})
+		r.setReady(d.to, r.assembled, []*Record{{Version: d.to.Version, Base: d.from.Digest, Digest: d.to.Digest, Changes: d.all()}})
 	default:
-		h.setReady(d.to, h.assembled, nil)
-		h.spanDeltas = d
+		r.setReady(d.to, r.assembled, nil)
+		r.spanDeltas = d
 	}
 }
 
 // serveFetch answers a fetch within what the asker and all may have.
-func (h *Replicator) serveFetch(now int64, from string, m, answer *Message) {
-	p := h.peerFor(now, from)
+func (r *Replicator) serveFetch(now int64, from string, m, answer *Message) {
+	p := r.peerFor(now, from)
 	if p == nil {
-		h.Counters.Busy++
+		r.Counters.Busy++
 		answer.Busy = 1_000 * ms
 		return
 	}
@@ -404,13 +404,13 @@
 	if !p.neighbour {
 		floor = burstBytes * 3 / 4
 	}
-	if h.tokens < floor || p.tokens <= 0 {
-		h.Counters.Busy++
-		answer.Busy = max((floor-h.tokens)*1_000_000_000/bytesPerSecond, -p.tokens*1_000_000_000/peerBytesPerSecond, 50*ms)
-		if h.tokens < floor { // one after another: asks of all at once would cost more than what they ask for
-			turn := &h.admissionSlots[0]
+	if r.tokens < floor || p.tokens <= 0 {
+		r.Counters.Busy++
+		answer.Busy = max((floor-r.tokens)*1_000_000_000/bytesPerSecond, -p.tokens*1_000_000_000/peerBytesPerSecond, 50*ms)
+		if r.tokens < floor { // one after another: asks of all at once would cost more than what they ask for
+			turn := &r.admissionSlots[0]
 			if !p.neighbour {
-				turn = &h.admissionSlots[1]
+				turn = &r.admissionSlots[1]
 			}
 			*turn = min(max(*turn, now), now+p.maxBusyWait())
 			answer.Busy, *turn = max(answer.Busy, *turn-now), max(*turn, now+answer.Busy)+int64(maxPieceBytes)*1_000_000_000/bytesPerSecond
@@ -419,17 +419,17 @@
 	}
 	switch {
 	case len(m.Wanted) > 0:
-		h.serveBlocks(m, answer)
+		r.serveBlocks(m, answer)
 	default:
-		if answer.Records = wireRecords(recordsBetween(h.availableRecords(), m.Has, m.Want.Version), maxPieceBytes, false); len(answer.Records) == 0 {
-			for _, c := range h.contents() {
+		if answer.Records = wireRecords(recordsBetween(r.availableRecords(), m.Has, m.Want.Version), maxPieceBytes, false); len(answer.Records) == 0 {
+			for _, c := range r.contents() {
 				if c.Digest() == m.Want.Digest {
 					appendDifferingPages(c.index(), m.Sums, answer)
 					break
 				}
 			}
-			if !answer.hasContent() && h.blockIndex != nil && h.indexRevision == m.Want {
-				appendDifferingPages(h.blockIndex, m.Sums, answer)
+			if !answer.hasContent() && r.blockIndex != nil && r.indexRevision == m.Want {
+				appendDifferingPages(r.blockIndex, m.Sums, answer)
 			}
 		}
 	}
@@ -463,22 +463,22 @@
 }
 
 // contents are all that this node has blocks of.
-func (h *Replicator) contents() []*Content {
-	list := []*Content{h.readyContent, h.appliedContent}
-	if h.agreed != nil {
-		list = append(list, h.agreed.All, h.agreed.First, h.agreed.Newest)
+func (r *Replicator) contents() []*Content {
+	list := []*Content{r.readyContent, r.appliedContent}
+	if r.agreed != nil {
+		list = append(list, r.agreed.All, r.agreed.First, r.agreed.Newest)
 	}
 	return list
 }
 
 // serveBlocks answers with those that have the digests that are asked for, or with what changes in those that are missing.
-func (h *Replicator) serveBlocks(m, answer *Message) {
+func (r *Replicator) serveBlocks(m, answer *Message) {
 	if len(m.Missing) > 0 && len(m.Wanted) > 0 {
-		if h.serveDeltas(m, answer); len(answer.Blocks) > 0 {
+		if r.serveDeltas(m, answer); len(answer.Blocks) > 0 {
 			return
 		}
 	}
-	list, room := h.contents(), maxPieceBytes
+	list, room := r.contents(), maxPieceBytes
 	for k, n := range m.Wanted[:min(len(m.Wanted), maxWantedBlocks, len(m.Sums)/digestBytes)] {
 		for _, c := range list {
 			if int(n) >= Blocks {
@@ -497,17 +497,17 @@
 
 // serveDeltas answers with missing blocks, the first that is wanted and those behind it, each as its changes, or whole where that is
 // less; with none where this node doesn't know what changed.
-func (h *Replicator) serveDeltas(m, answer *Message) {
-	parted, room := groupByBlock(h.changesBetween(m.Has, m.Want)), maxPieceBytes
-	if len(parted) == 0 && h.assembled != nil && h.blockIndex != nil && h.ready == m.Has && h.indexRevision == m.Want { // those that came so far
-		for n, changes := range h.assembledDeltas.blocks {
-			if _, sum := h.assembled.Block(n); sum == digestAt(h.blockIndex, n) { // else of a version before that one
+func (r *Replicator) serveDeltas(m, answer *Message) {
+	parted, room := groupByBlock(r.changesBetween(m.Has, m.Want)), maxPieceBytes
+	if len(parted) == 0 && r.assembled != nil && r.blockIndex != nil && r.ready == m.Has && r.indexRevision == m.Want { // those that came so far
+		for n, changes := range r.assembledDeltas.blocks {
+			if _, sum := r.assembled.Block(n); sum == digestAt(r.blockIndex, n) { // else of a version before that one
 				parted[n] = changes
 			}
 		}
 	}
 	var whole *Content
-	for _, c := range h.contents() {
+	for _, c := range r.contents() {
 		if c.Digest() == m.Want.Digest {
 			whole = c
 			break
--- a/internal/fleet/configsync/holder.go
+++ b/internal/fleet/configsync/holder.go
@@ -166,16 +166,16 @@
 	return h
 }
 
-func (h *Replicator) randomUpTo(most int64) int64 { return h.random.Int63n(most) + 1 }
+func (r *Replicator) randomUpTo(most int64) int64 { return r.random.Int63n(most) + 1 }
 
 // jitter is a time drawn between three quarters and five quarters.
-func (h *Replicator) jitter(ns int64) int64 { return ns*3/4 + h.randomUpTo(ns/2) }
+func (r *Replicator) jitter(ns int64) int64 { return ns*3/4 + r.randomUpTo(ns/2) }
 
 // Revision is what is in force.
-func (h *Replicator) Revision() Revision { return h.applied }
+func (r *Replicator) Revision() Revision { return r.applied }
 
 // Content is what is in force.
-func (h *Replicator) Content() *Content { return h.appliedContent }
+func (r *Replicator) Content() *Content { return r.appliedContent }
 
 // Status is what operators see.
 type Status struct {
@@ -193,55 +193,55 @@
 }
 
 // Status says how this node stands.
-func (h *Replicator) Status(now int64) Status {
-	s := Status{Mark: h.applied, Source: h.source, Ready: h.ready, Head: h.head, TakenNS: now - h.appliedAt, HeardNS: -1, Refused: h.refused, Why: h.refusedReason,
-		Behind: h.head.All.Version > h.applied.Version, Counters: h.Counters}
-	if h.confirmedAt > 0 {
-		s.HeardNS = now - h.confirmedAt
+func (r *Replicator) Status(now int64) Status {
+	status := Status{Mark: r.applied, Source: r.source, Ready: r.ready, Head: r.head, TakenNS: now - r.appliedAt, HeardNS: -1, Refused: r.refused, Why: r.refusedReason,
+		Behind: r.head.All.Version > r.applied.Version, Counters: r.Counters}
+	if r.confirmedAt > 0 {
+		status.HeardNS = now - r.confirmedAt
 	}
-	if s.Behind && h.goalSince > 0 {
-		s.BehindNS = now - h.goalSince
+	if status.Behind && r.goalSince > 0 {
+		status.BehindNS = now - r.goalSince
 	}
-	return s
+	return status
 }
 
 // Step takes what happened and says what to do, and when to step again at the latest.
-func (h *Replicator) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
-	h.refillTokens(now)
+func (r *Replicator) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
+	r.refillTokens(now)
 	for k := range inputs {
-		effects = h.handleInput(now, &inputs[k], effects)
+		effects = r.handleInput(now, &inputs[k], effects)
 	}
-	effects = h.applyReady(now, effects)
-	effects = h.announce(now, effects)
-	effects = h.reportAndFetch(now, effects)
-	return effects, max(h.nextDeadline(now), now+1)
+	effects = r.applyReady(now, effects)
+	effects = r.announce(now, effects)
+	effects = r.reportAndFetch(now, effects)
+	return effects, max(r.nextDeadline(now), now+1)
 }
 
-func (h *Replicator) refillTokens(now int64) {
-	if ns := now - h.refilledAt; ns > 0 {
-		h.tokens = min(burstBytes, h.tokens+min(ns, 10_000*ms)*bytesPerSecond/1_000_000_000)
-		if ns*bytesPerSecond >= 1_000_000_000 || h.tokens == burstBytes {
-			h.refilledAt = now
+func (r *Replicator) refillTokens(now int64) {
+	if ns := now - r.refilledAt; ns > 0 {
+		r.tokens = min(burstBytes, r.tokens+min(ns, 10_000*ms)*bytesPerSecond/1_000_000_000)
+		if ns*bytesPerSecond >= 1_000_000_000 || r.tokens == burstBytes {
+			r.refilledAt = now
 		}
 	}
 }
 
 // countSent counts a message. Answers without content are no part of what is paced: a herd that asks must not keep this node
 // from giving to those that others can have it of.
-func (h *Replicator) countSent(m *Message) {
+func (r *Replicator) countSent(m *Message) {
 	if m.Kind != Vouch && (m.Kind != Piece || m.hasContent()) {
-		h.tokens -= int64(m.size())
+		r.tokens -= int64(m.size())
 	}
-	h.Counters.BytesSent += int64(m.size())
+	r.Counters.BytesSent += int64(m.size())
 }
 
 // peerFor is what is peerFor of a peer; nil where there is no room for one more.
-func (h *Replicator) peerFor(now int64, name string) *peer {
-	p := h.peers[name]
+func (r *Replicator) peerFor(now int64, name string) *peer {
+	p := r.peers[name]
 	if p == nil {
-		if len(h.peers) >= maxPeers {
+		if len(r.peers) >= maxPeers {
 			var old *peer
-			for _, q := range h.peers { // the one that was silent longest and isn't wanted
+			for _, q := range r.peers { // the one that was silent longest and isn't wanted
 				if !q.neighbour && q.backoffUntil <= now && (old == nil || cmp.Or(cmp.Compare(q.seenAt, old.seenAt), cmp.Compare(q.name, old.name)) < 0) {
 					old = q
 				}
@@ -249,101 +249,101 @@
 			if old == nil {
 				return nil
 			}
-			delete(h.peers, old.name)
+			delete(r.peers, old.name)
 		}
 		p = &peer{name: name, tokens: burstBytes, refilledAt: now}
-		h.peers[name] = p
+		r.peers[name] = p
 	}
 	p.seenAt = now
 	return p
 }
 
-func (h *Replicator) handleInput(now int64, i *Input, effects []Effect) []Effect {
-	if i.Message != nil {
-		h.Counters.BytesReceived += int64(i.Message.size())
-		if i.Kind == Answered && i.Message.hasContent() { // what others send unasked must not keep this node from what it needs
-			h.tokens -= int64(i.Message.size())
+func (r *Replicator) handleInput(now int64, in *Input, effects []Effect) []Effect {
+	if in.Message != nil {
+		r.Counters.BytesReceived += int64(in.Message.size())
+		if in.Kind == Answered && in.Message.hasContent() { // what others send unasked must not keep this node from what it needs
+			r.tokens -= int64(in.Message.size())
 		}
 	}
-	switch i.Kind {
+	switch in.Kind {
 	case Viewed:
-		h.handleView(now, i.View)
+		r.handleView(now, in.View)
 	case Ordered:
-		if h.agreed = i.Agreed; h.agreed != nil {
-			effects = h.confirm(now, h.agreed.Head, effects)
+		if r.agreed = in.Agreed; r.agreed != nil {
+			effects = r.confirm(now, r.agreed.Head, effects)
 		}
 	case Stood:
-		h.groupCurrent = i.Current
+		r.groupCurrent = in.Current
 	case Came:
-		switch p := h.peerFor(now, i.From); {
-		case i.Message == nil || p == nil:
-		case i.Message.Kind == Tell:
-			h.handleAnnouncement(now, p, i.Message)
-		case i.Message.Kind == Report:
-			effects = h.handleReport(now, i.From, i.Message, effects)
-		case i.Message.Kind == Vouch:
-			if !slices.Contains(h.view.Seats, i.From) { // nobody else vouches for anything
-				h.penalize(now, p)
+		switch p := r.peerFor(now, in.From); {
+		case in.Message == nil || p == nil:
+		case in.Message.Kind == Tell:
+			r.handleAnnouncement(now, p, in.Message)
+		case in.Message.Kind == Report:
+			effects = r.handleReport(now, in.From, in.Message, effects)
+		case in.Message.Kind == Vouch:
+			if !slices.Contains(r.view.Seats, in.From) { // nobody else vouches for anything
+				r.penalize(now, p)
 				break
 			}
-			effects = h.handleConfirmation(now, i.Message, effects)
+			effects = r.handleConfirmation(now, in.Message, effects)
 		}
 	case Asked:
-		m := &Message{Kind: Piece, Has: h.ready}
-		if i.Message != nil && i.Message.Kind == Fetch {
-			h.serveFetch(now, i.From, i.Message, m)
+		m := &Message{Kind: Piece, Has: r.ready}
+		if in.Message != nil && in.Message.Kind == Fetch {
+			r.serveFetch(now, in.From, in.Message, m)
 		}
-		h.countSent(m)
-		effects = append(effects, Effect{Kind: Reply, Link: i.Link, Message: m})
+		r.countSent(m)
+		effects = append(effects, Effect{Kind: Reply, Link: in.Link, Message: m})
 	case Answered:
-		if h.fetch.deadline > 0 && i.Link == h.fetch.link {
-			h.fetch.deadline = 0
-			effects = h.handleFetchAnswer(now, i.Message, effects)
+		if r.fetch.deadline > 0 && in.Link == r.fetch.link {
+			r.fetch.deadline = 0
+			effects = r.handleFetchAnswer(now, in.Message, effects)
 		}
 	case Missed:
-		if h.fetch.deadline > 0 && i.Link == h.fetch.link {
-			h.handleFetchFailure(now)
+		if r.fetch.deadline > 0 && in.Link == r.fetch.link {
+			r.handleFetchFailure(now)
 		}
 	case Took:
-		effects = h.handleApplied(now, i, effects)
+		effects = r.handleApplied(now, in, effects)
 	case Checked:
-		if i.Why != "" && i.Mark == h.validating && i.Mark != h.refused && h.applying != i.Mark && h.applied != i.Mark {
-			effects = h.refuse(now, i.Mark, i.Why, effects)
+		if in.Why != "" && in.Mark == r.validating && in.Mark != r.refused && r.applying != in.Mark && r.applied != in.Mark {
+			effects = r.refuse(now, in.Mark, in.Why, effects)
 		}
 	case Saved:
-		if i.Why != "" {
-			h.rewriteDisk = true
-			effects = append(effects, Effect{Kind: Remark, Warn: true, Text: fmt.Sprintf("configuration %d can't be kept on disk: %s", h.persisted.Version, i.Why)})
+		if in.Why != "" {
+			r.rewriteDisk = true
+			effects = append(effects, Effect{Kind: Remark, Warn: true, Text: fmt.Sprintf("configuration %d can't be kept on disk: %s", r.persisted.Version, in.Why)})
 		}
 	}
 	return effects
 }
 
 // handleView takes another view.
-func (h *Replicator) handleView(now int64, v *View) {
-	if v == nil {
+func (r *Replicator) handleView(now int64, view *View) {
+	if view == nil {
 		return
 	}
-	if h.answerDeadline == 0 && !slices.Equal(h.view.Seats, v.Seats) {
-		h.reportAt = min(h.reportAt, now+h.randomUpTo(appliedReportSpread))
+	if r.answerDeadline == 0 && !slices.Equal(r.view.Seats, view.Seats) {
+		r.reportAt = min(r.reportAt, now+r.randomUpTo(appliedReportSpread))
 	}
-	h.view, h.canaryVersion = *v, 0
-	for _, p := range h.peers {
+	r.view, r.canaryVersion = *view, 0
+	for _, p := range r.peers {
 		p.neighbour = false
 	}
-	for _, name := range v.Neighbours {
-		if p := h.peerFor(now, name); p != nil {
+	for _, name := range view.Neighbours {
+		if p := r.peerFor(now, name); p != nil {
 			p.neighbour = true
 			if p.announcedChange == 0 && p.announceAt == 0 {
-				p.announceAt = now + h.randomUpTo(minAnnounceInterval)
+				p.announceAt = now + r.randomUpTo(minAnnounceInterval)
 			}
 		}
 	}
 }
 
 // penalize sets a peer aside: it told what isn't so. It may be at fault itself or have believed another; it isn't asked either way.
-func (h *Replicator) penalize(now int64, p *peer) {
-	h.Counters.InvalidResponses++
+func (r *Replicator) penalize(now int64, p *peer) {
+	r.Counters.InvalidResponses++
 	if p.backoffUntil > now {
 		return
 	}
@@ -353,10 +353,12 @@
 }
 
 // contradictsConfirmed says whether a peer told of another content for a version that was vouched for, or is held here.
-func (h *Replicator) contradictsConfirmed(marks ...Revision) bool {
-	for _, x := range marks {
-		other := func(y Revision) bool { return x.Version == y.Version && x.Version > 0 && x.Digest != y.Digest }
-		if other(h.ready) || other(h.head.All) || other(h.head.First) || slices.ContainsFunc(h.confirmed, other) {
+func (r *Replicator) contradictsConfirmed(revisions ...Revision) bool {
+	for _, told := range revisions {
+		other := func(known Revision) bool {
+			return told.Version == known.Version && told.Version > 0 && told.Digest != known.Digest
+		}
+		if other(r.ready) || other(r.head.All) || other(r.head.First) || slices.ContainsFunc(r.confirmed, other) {
 			return true
 		}
 	}
@@ -373,45 +375,45 @@
 
 // countDenials holds a seat's answer against the peers that told of more. It counts where that seat knows all and the report was sent
 // long after the rumour: a seat that is back, or cut off from the others, says nothing against a peer that knows better.
-func (h *Replicator) countDenials(now int64) {
-	if h.deniedSeq == h.reportSeq {
+func (r *Replicator) countDenials(now int64) {
+	if r.deniedSeq == r.reportSeq {
 		return // an answer that came twice
 	}
-	h.deniedSeq = h.reportSeq
-	mine := h.announcedHead()
-	for _, p := range h.peers {
-		if p.backoffUntil > now || !p.trackUnconfirmed(now, &mine) || h.reportedAt < p.unconfirmedSince+unconfirmedGracePeriod {
+	r.deniedSeq = r.reportSeq
+	mine := r.announcedHead()
+	for _, p := range r.peers {
+		if p.backoffUntil > now || !p.trackUnconfirmed(now, &mine) || r.reportedAt < p.unconfirmedSince+unconfirmedGracePeriod {
 			continue
 		}
 		if p.denials++; p.denials >= maxDenials {
-			h.penalize(now, p)
+			r.penalize(now, p)
 		}
 	}
 }
 
 // handleAnnouncement takes a neighbour's word. It only says whom to ask: what isn't vouched for by a seat is a rumour.
-func (h *Replicator) handleAnnouncement(now int64, p *peer, m *Message) {
+func (r *Replicator) handleAnnouncement(now int64, p *peer, m *Message) {
 	if p.backoffUntil > now {
 		return
 	}
-	if h.contradictsConfirmed(m.Head.All, m.Head.First, m.Has) {
-		h.penalize(now, p)
+	if r.contradictsConfirmed(m.Head.All, m.Head.First, m.Has) {
+		r.penalize(now, p)
 		return
 	}
 	p.head, p.ready = m.Head.announced(), m.Has
-	mine := h.announcedHead()
+	mine := r.announcedHead()
 	p.trackUnconfirmed(now, &mine)
-	if mine.newer(&p.head) || h.ready.Version > p.ready.Version { // it lacks what this node can tell
+	if mine.newer(&p.head) || r.ready.Version > p.ready.Version { // it lacks what this node can tell
 		p.announceAt = min(p.announceAt, max(now, p.announcedAt)+reannounceDelay)
 	}
 	switch {
-	case !h.hasUnconfirmed(now):
-	case h.answerDeadline == 0:
-		h.reportAt = min(h.reportAt, max(now+h.randomUpTo(unconfirmedReportSpread), h.reportedAt+minReportInterval<<min(h.unconfirmedAnswers/2, 4)))
+	case !r.hasUnconfirmed(now):
+	case r.answerDeadline == 0:
+		r.reportAt = min(r.reportAt, max(now+r.randomUpTo(unconfirmedReportSpread), r.reportedAt+minReportInterval<<min(r.unconfirmedAnswers/2, 4)))
 	default: // another seat is asked soon, however long this one is waited for
-		h.answerDeadline = min(h.answerDeadline, max(now, h.reportedAt+minAnswerTimeout))
+		r.answerDeadline = min(r.answerDeadline, max(now, r.reportedAt+minAnswerTimeout))
 	}
-	if p.offered = nil; p.neighbour && len(m.Records) > 0 && m.Records[0].Version > h.ready.Version {
+	if p.offered = nil; p.neighbour && len(m.Records) > 0 && m.Records[0].Version > r.ready.Version {
 		size := 0
 		for k := range m.Records {
 			size += m.Records[k].bytes()
@@ -423,7 +425,7 @@
 }
 
 // announcedHead is what neighbours are told of what was vouched for.
-func (h *Replicator) announcedHead() HeadRevision { return h.head.announced() }
+func (r *Replicator) announcedHead() HeadRevision { return r.head.announced() }
 
 // announced is a head without what only seats tell.
 func (h HeadRevision) announced() HeadRevision {
@@ -431,9 +433,9 @@
 }
 
 // hasUnconfirmed says whether some neighbour told of something newer than was vouched for.
-func (h *Replicator) hasUnconfirmed(now int64) bool {
-	mine := h.announcedHead()
-	for _, p := range h.peers {
+func (r *Replicator) hasUnconfirmed(now int64) bool {
+	mine := r.announcedHead()
+	for _, p := range r.peers {
 		if p.backoffUntil <= now && p.head.newer(&mine) {
 			return true
 		}
@@ -442,79 +444,79 @@
 }
 
 // handleReport answers a report at a seat.
-func (h *Replicator) handleReport(now int64, from string, m *Message, effects []Effect) []Effect {
-	if h.agreed == nil {
+func (r *Replicator) handleReport(now int64, from string, m *Message, effects []Effect) []Effect {
+	if r.agreed == nil {
 		return effects
 	}
-	if now >= h.confirmationsSince+1_000*ms {
-		h.confirmations, h.confirmationsSince = 0, now
+	if now >= r.confirmationsSince+1_000*ms {
+		r.confirmations, r.confirmationsSince = 0, now
 	}
-	if h.confirmations++; h.confirmations > maxConfirmationsPerSecond {
-		h.Counters.Dropped++
+	if r.confirmations++; r.confirmations > maxConfirmationsPerSecond {
+		r.Counters.Dropped++
 		return effects
 	}
-	h.Statuses.Report(now, from, m.Has, m.Refused, m.Why, m.Age)
-	answer := &Message{Kind: Vouch, Seq: m.Seq, Head: h.agreed.Head, Current: h.groupCurrent}
-	h.countSent(answer)
+	r.Statuses.Report(now, from, m.Has, m.Refused, m.Why, m.Age)
+	answer := &Message{Kind: Vouch, Seq: m.Seq, Head: r.agreed.Head, Current: r.groupCurrent}
+	r.countSent(answer)
 	return append(effects, Effect{Kind: Send, To: from, Message: answer})
 }
 
 // handleConfirmation takes a seat's word.
-func (h *Replicator) handleConfirmation(now int64, m *Message, effects []Effect) []Effect {
-	if m.Seq != h.reportSeq {
-		return h.confirm(now, m.Head, effects) // late, and true all the same
+func (r *Replicator) handleConfirmation(now int64, m *Message, effects []Effect) []Effect {
+	if m.Seq != r.reportSeq {
+		return r.confirm(now, m.Head, effects) // late, and true all the same
 	}
-	if h.answerDeadline > 0 {
-		h.answerDeadline = 0
-		h.reportAt = now + h.jitter(reportInterval)
+	if r.answerDeadline > 0 {
+		r.answerDeadline = 0
+		r.reportAt = now + r.jitter(reportInterval)
 	}
-	effects = h.confirm(now, m.Head, effects)
-	if !h.hasUnconfirmed(now) {
-		if h.reportAttempts, h.unconfirmedAnswers = 0, 0; h.refused.Version > 0 && h.refused == h.head.First && !h.head.Stopped && h.head.First != h.head.All {
-			h.reportAttempts = 1 + int(h.reportSeq)%max(1, len(h.view.Seats)) // the seat that knows may be lost before it had the stop ordered
-			h.reportAt = now + h.jitter(minAnswerTimeout)
+	effects = r.confirm(now, m.Head, effects)
+	if !r.hasUnconfirmed(now) {
+		if r.reportAttempts, r.unconfirmedAnswers = 0, 0; r.refused.Version > 0 && r.refused == r.head.First && !r.head.Stopped && r.head.First != r.head.All {
+			r.reportAttempts = 1 + int(r.reportSeq)%max(1, len(r.view.Seats)) // the seat that knows may be lost before it had the stop ordered
+			r.reportAt = now + r.jitter(minAnswerTimeout)
 		}
 		return effects
 	}
-	h.reportAttempts++ // this seat lags behind what a neighbour heard, or that one lied: another seat is asked
+	r.reportAttempts++ // this seat lags behind what a neighbour heard, or that one lied: another seat is asked
 	if m.Current {
-		h.countDenials(now)
+		r.countDenials(now)
 	}
-	h.reportAt = now + h.jitter(min(minAnswerTimeout<<min(h.unconfirmedAnswers/maxDenials, 5), maxAnswerTimeout))
-	h.unconfirmedAnswers++
+	r.reportAt = now + r.jitter(min(minAnswerTimeout<<min(r.unconfirmedAnswers/maxDenials, 5), maxAnswerTimeout))
+	r.unconfirmedAnswers++
 	return effects
 }
 
 // confirm takes what a seat stands for. Versions never go back, and one version has one digest.
-func (h *Replicator) confirm(now int64, head HeadRevision, effects []Effect) []Effect {
-	h.confirmedAt = now
-	for _, x := range [...]Revision{head.All, head.First} {
-		for _, y := range [...]Revision{h.head.All, h.head.First} {
-			if x.Version == y.Version && x.Digest != y.Digest {
-				if h.conflicting == x {
+func (r *Replicator) confirm(now int64, head HeadRevision, effects []Effect) []Effect {
+	r.confirmedAt = now
+	for _, newRevision := range [...]Revision{head.All, head.First} {
+		for _, known := range [...]Revision{r.head.All, r.head.First} {
+			if newRevision.Version == known.Version && newRevision.Digest != known.Digest {
+				if r.conflicting == newRevision {
 					return effects
 				}
-				h.conflicting = x
+				r.conflicting = newRevision
 				return append(effects, Effect{Kind: Remark, Warn: true, Text: fmt.Sprintf(
-					"seats vouch for two contents of version %d, %s and %s: they forgot; this node keeps what it has", x.Version, y.Digest, x.Digest)})
+					"seats vouch for two contents of version %d, %s and %s: they forgot; this node keeps what it has", newRevision.Version, known.Digest, newRevision.Digest)})
 			}
 		}
 	}
-	if head.newer(&h.head) {
-		if head.announced() != h.head.announced() {
-			h.changes++
-			h.unconfirmedAnswers = 0
+	if head.newer(&r.head) {
+		if head.announced() != r.head.announced() {
+			r.changes++
+			r.unconfirmedAnswers = 0
 		}
-		h.head = head
+		r.head = head
 		for _, m := range [...]Revision{head.All, head.First} {
-			if k := len(h.confirmed); k == 0 || h.confirmed[k-1].Version < m.Version {
-				h.confirmed = append(h.confirmed, m)
+			if k := len(r.confirmed); k == 0 || r.confirmed[k-1].Version < m.Version {
+				r.confirmed = append(r.confirmed, m)
 			}
 		}
-		h.confirmed = h.confirmed[max(0, len(h.confirmed)-maxConfirmedRevisions):]
-		for _, p := range h.peers {
-			if p.backoffUntil <= now && h.contradictsConfirmed(p.unconfirmed.All, p.unconfirmed.First, p.head.All, p.head.First, p.ready) {
-				h.penalize(now, p)
+		r.confirmed = r.confirmed[max(0, len(r.confirmed)-maxConfirmedRevisions):]
+		for _, p := range r.peers {
+			if p.backoffUntil <= now && r.contradictsConfirmed(p.unconfirmed.All, p.unconfirmed.First, p.head.All, p.head.First, p.ready) {
+				r.penalize(now, p)
 			}
 		}
 	}
@@ -522,29 +524,29 @@
 }
 
 // goal is what is to be fetched next, if anything: what is in force for all, then what stands at the first stage.
-func (h *Replicator) goal() (Revision, bool) {
+func (r *Replicator) goal() (Revision, bool) {
 	switch {
-	case h.head.All.Version > h.ready.Version:
-		return h.head.All, true
-	case h.ready == h.head.All && h.applied.Version < h.ready.Version && h.ready != h.refused: // it is taken first
-	case h.head.First.Version > h.ready.Version && !h.head.Stopped:
-		return h.head.First, true
+	case r.head.All.Version > r.ready.Version:
+		return r.head.All, true
+	case r.ready == r.head.All && r.applied.Version < r.ready.Version && r.ready != r.refused: // it is taken first
+	case r.head.First.Version > r.ready.Version && !r.head.Stopped:
+		return r.head.First, true
 	}
 	return Revision{}, false
 }
 
 // isCanary says whether this node is of the first stage of a version: one in 32, the first of its zone, and those that refused another.
-func (h *Replicator) isCanary(version uint64) bool {
-	if h.refused.Version > h.applied.Version {
+func (r *Replicator) isCanary(version uint64) bool {
+	if r.refused.Version > r.applied.Version {
 		return true
 	}
-	if h.canaryVersion != version {
-		mine := canaryHash(h.config.Name, version)
-		h.canaryVersion, h.inCanary = version, mine%canaryOneIn == 0 || !slices.ContainsFunc(h.view.Zone, func(name string) bool {
-			return name != h.config.Name && canaryHash(name, version) < mine
+	if r.canaryVersion != version {
+		mine := canaryHash(r.config.Name, version)
+		r.canaryVersion, r.inCanary = version, mine%canaryOneIn == 0 || !slices.ContainsFunc(r.view.Zone, func(name string) bool {
+			return name != r.config.Name && canaryHash(name, version) < mine
 		})
 	}
-	return h.inCanary
+	return r.inCanary
 }
 
 func canaryHash(name string, version uint64) uint64 {
@@ -552,115 +554,115 @@
 }
 
 // applyReady takes what is at hand.
-func (h *Replicator) applyReady(now int64, effects []Effect) []Effect {
-	if goal, ok := h.goal(); ok && h.agreed != nil { // a seat's node has it
-		for _, c := range [...]*Content{h.agreed.All, h.agreed.First} {
+func (r *Replicator) applyReady(now int64, effects []Effect) []Effect {
+	if goal, ok := r.goal(); ok && r.agreed != nil { // a seat's node has it
+		for _, c := range [...]*Content{r.agreed.All, r.agreed.First} {
 			if c.Digest() == goal.Digest {
-				h.setReady(goal, c, nil)
+				r.setReady(goal, c, nil)
 				break
 			}
 		}
 	}
-	if goal, ok := h.goal(); !ok {
-		h.goalSince = 0
-	} else if h.goalSince == 0 {
-		h.goalSince, h.fetch.failures, h.fetch.nextAt = now, 0, now
-	} else if h.indexRevision.Version <= h.ready.Version || h.indexRevision.Version > goal.Version {
-		h.blockIndex = nil
+	if goal, ok := r.goal(); !ok {
+		r.goalSince = 0
+	} else if r.goalSince == 0 {
+		r.goalSince, r.fetch.failures, r.fetch.nextAt = now, 0, now
+	} else if r.indexRevision.Version <= r.ready.Version || r.indexRevision.Version > goal.Version {
+		r.blockIndex = nil
 	}
-	if _, ok := h.goal(); ok && h.run.content == nil {
-		for _, name := range h.view.Neighbours {
-			p := h.peers[name]
-			if p == nil || len(p.offered) == 0 || p.offered[0].Version != h.ready.Version+1 || p.offered[0].Base != h.ready.Digest {
+	if _, ok := r.goal(); ok && r.run.content == nil {
+		for _, name := range r.view.Neighbours {
+			p := r.peers[name]
+			if p == nil || len(p.offered) == 0 || p.offered[0].Version != r.ready.Version+1 || p.offered[0].Base != r.ready.Digest {
 				continue
 			}
 			offer := p.offered
-			if p.offered = nil; h.extendRun(now, p, offer) {
+			if p.offered = nil; r.extendRun(now, p, offer) {
 				break
 			}
 		}
 	}
-	if h.agreed != nil {
-		if who, why, ok := h.Statuses.refusal(h.head.First); ok && !h.head.Stopped && h.head.First.Version > h.head.All.Version && now >= h.stopOrderedAt+stopRetryInterval {
-			h.stopOrderedAt = now
-			effects = append(effects, Effect{Kind: Order, Command: &Command{Kind: Stop, Version: h.head.First.Version, Who: who, Why: why}})
+	if r.agreed != nil {
+		if who, why, ok := r.Statuses.refusal(r.head.First); ok && !r.head.Stopped && r.head.First.Version > r.head.All.Version && now >= r.stopOrderedAt+stopRetryInterval {
+			r.stopOrderedAt = now
+			effects = append(effects, Effect{Kind: Order, Command: &Command{Kind: Stop, Version: r.head.First.Version, Who: who, Why: why}})
 		}
 	}
-	if h.applying.Version > 0 || h.ready.Version <= h.applied.Version || h.ready == h.refused {
+	if r.applying.Version > 0 || r.ready.Version <= r.applied.Version || r.ready == r.refused {
 		return effects
 	}
-	first := h.ready == h.head.First && h.ready.Version > h.head.All.Version
-	if first && h.head.Stopped || !first && h.ready != h.head.All {
+	first := r.ready == r.head.First && r.ready.Version > r.head.All.Version
+	if first && r.head.Stopped || !first && r.ready != r.head.All {
 		return effects
 	}
-	if first && !h.isCanary(h.ready.Version) { // a refusal anywhere stops a version while it stands at the first stage
-		if h.validating == h.ready {
+	if first && !r.isCanary(r.ready.Version) { // a refusal anywhere stops a version while it stands at the first stage
+		if r.validating == r.ready {
 			return effects
 		}
-		h.validating = h.ready
-		return append(effects, Effect{Kind: Check, Mark: h.ready, First: true, Old: h.appliedContent, New: h.readyContent})
+		r.validating = r.ready
+		return append(effects, Effect{Kind: Check, Mark: r.ready, First: true, Old: r.appliedContent, New: r.readyContent})
 	}
-	h.applying, h.applyingContent = h.ready, h.readyContent
-	return append(effects, Effect{Kind: Take, Mark: h.ready, First: first, Old: h.appliedContent, New: h.readyContent})
+	r.applying, r.applyingContent = r.ready, r.readyContent
+	return append(effects, Effect{Kind: Take, Mark: r.ready, First: first, Old: r.appliedContent, New: r.readyContent})
 }
 
 // refuse notes that a version can't be taken here, and has seats told.
-func (h *Replicator) refuse(now int64, mark Revision, why string, effects []Effect) []Effect {
-	h.refused, h.refusedReason = mark, truncate(why, maxReasonBytes)
-	h.Counters.Refused++
-	h.reportAt = min(h.reportAt, now)
-	h.recordOwnStatus(now)
-	return append(effects, Effect{Kind: Remark, Warn: true, Text: fmt.Sprintf("configuration %d can't be taken, %d stays in force: %s", mark.Version, h.applied.Version, h.refusedReason)})
+func (r *Replicator) refuse(now int64, revision Revision, why string, effects []Effect) []Effect {
+	r.refused, r.refusedReason = revision, truncate(why, maxReasonBytes)
+	r.Counters.Refused++
+	r.reportAt = min(r.reportAt, now)
+	r.recordOwnStatus(now)
+	return append(effects, Effect{Kind: Remark, Warn: true, Text: fmt.Sprintf("configuration %d can't be taken, %d stays in force: %s", revision.Version, r.applied.Version, r.refusedReason)})
 }
 
 // handleApplied notes that a version is in force here, or can't be.
-func (h *Replicator) handleApplied(now int64, i *Input, effects []Effect) []Effect {
-	if i.Mark != h.applying || h.applying.Version == 0 {
+func (r *Replicator) handleApplied(now int64, in *Input, effects []Effect) []Effect {
+	if in.Mark != r.applying || r.applying.Version == 0 {
 		return effects
 	}
-	content := h.applyingContent
-	h.applying, h.applyingContent = Revision{}, nil
-	if i.Why != "" {
-		return h.refuse(now, i.Mark, i.Why, effects)
+	content := r.applyingContent
+	r.applying, r.applyingContent = Revision{}, nil
+	if in.Why != "" {
+		return r.refuse(now, in.Mark, in.Why, effects)
 	}
-	h.Counters.Applied++
-	h.applied, h.appliedContent, h.appliedAt, h.source = i.Mark, content, now, "fleet"
-	h.recordOwnStatus(now)
-	if h.answerDeadline == 0 {
-		h.reportAt = min(h.reportAt, now+h.randomUpTo(appliedReportSpread))
+	r.Counters.Applied++
+	r.applied, r.appliedContent, r.appliedAt, r.source = in.Mark, content, now, "fleet"
+	r.recordOwnStatus(now)
+	if r.answerDeadline == 0 {
+		r.reportAt = min(r.reportAt, now+r.randomUpTo(appliedReportSpread))
 	}
-	return h.persist(effects)
+	return r.persist(effects)
 }
 
 // recordOwnStatus has a seat's own board know of its node.
-func (h *Replicator) recordOwnStatus(now int64) {
-	if h.agreed != nil {
-		h.Statuses.Report(now, h.config.Name, h.applied, h.refused, h.refusedReason, now-h.appliedAt)
+func (r *Replicator) recordOwnStatus(now int64) {
+	if r.agreed != nil {
+		r.Statuses.Report(now, r.config.Name, r.applied, r.refused, r.refusedReason, now-r.appliedAt)
 	}
 }
 
 // persist has the disk follow.
-func (h *Replicator) persist(effects []Effect) []Effect {
-	e := Effect{Kind: Persist, Mark: h.applied, New: h.appliedContent}
-	e.Records = recordsBetween(h.availableRecords(), h.persisted, h.applied.Version)
+func (r *Replicator) persist(effects []Effect) []Effect {
+	e := Effect{Kind: Persist, Mark: r.applied, New: r.appliedContent}
+	e.Records = recordsBetween(r.availableRecords(), r.persisted, r.applied.Version)
 	size := 0
-	for _, r := range e.Records {
-		size += r.bytes()
+	for _, record := range e.Records {
+		size += record.bytes()
 	}
-	if e.Full = h.rewriteDisk || len(e.Records) == 0 || e.Records[len(e.Records)-1].Version != h.applied.Version || h.journalSize+size > maxJournalBytes; e.Full {
-		e.Records, size, h.journalSize = nil, 0, 0
+	if e.Full = r.rewriteDisk || len(e.Records) == 0 || e.Records[len(e.Records)-1].Version != r.applied.Version || r.journalSize+size > maxJournalBytes; e.Full {
+		e.Records, size, r.journalSize = nil, 0, 0
 	}
-	h.persisted, h.rewriteDisk = h.applied, false
-	h.journalSize += size
+	r.persisted, r.rewriteDisk = r.applied, false
+	r.journalSize += size
 	return append(effects, e)
 }
 
 // availableRecords are those that this node can give away.
-func (h *Replicator) availableRecords() []*Record {
-	if h.agreed != nil {
-		return h.agreed.Log
+func (r *Replicator) availableRecords() []*Record {
+	if r.agreed != nil {
+		return r.agreed.Log
 	}
-	return h.log
+	return r.log
 }
 
 // recordsBetween are the records after a mark up to a version, none where the log doesn't reach.
@@ -676,36 +678,36 @@
 }
 
 // setReady notes that a version is at hand; records lead to it from the one before, or nothing is known of them.
-func (h *Replicator) setReady(mark Revision, content *Content, records []*Record) {
+func (r *Replicator) setReady(revision Revision, content *Content, records []*Record) {
 	if len(records) == 0 {
-		h.log, h.logSize, h.spanDeltas = nil, 0, blockDeltas{}
+		r.log, r.logSize, r.spanDeltas = nil, 0, blockDeltas{}
 	}
-	for _, r := range records {
-		h.log, h.logSize = append(h.log, r), h.logSize+r.bytes()
+	for _, record := range records {
+		r.log, r.logSize = append(r.log, record), r.logSize+record.bytes()
 	}
-	for len(h.log) > 0 && (h.logSize > maxRetainedBytes || len(h.log) > maxLogRecords) {
-		h.logSize -= h.log[0].bytes()
-		h.log = h.log[1:] // not cleared: effects go on showing it
+	for len(r.log) > 0 && (r.logSize > maxRetainedBytes || len(r.log) > maxLogRecords) {
+		r.logSize -= r.log[0].bytes()
+		r.log = r.log[1:] // not cleared: effects go on showing it
 	}
-	h.ready, h.readyContent = mark, content
-	h.run, h.assembled, h.blockIndex, h.assembledDeltas = recordRun{}, nil, nil, blockDeltas{}
-	h.fetch.failures = 0
-	h.changes++
+	r.ready, r.readyContent = revision, content
+	r.run, r.assembled, r.blockIndex, r.assembledDeltas = recordRun{}, nil, nil, blockDeltas{}
+	r.fetch.failures = 0
+	r.changes++
 }
 
 // announce has neighbours know what is new, each at its time.
-func (h *Replicator) announce(now int64, effects []Effect) []Effect {
-	for _, name := range h.view.Neighbours {
-		p := h.peers[name]
-		if p == nil || !(p.announcedChange < h.changes && now >= p.announcedAt+minAnnounceInterval || p.announceAt > 0 && now >= p.announceAt) {
+func (r *Replicator) announce(now int64, effects []Effect) []Effect {
+	for _, name := range r.view.Neighbours {
+		peer := r.peers[name]
+		if peer == nil || !(peer.announcedChange < r.changes && now >= peer.announcedAt+minAnnounceInterval || peer.announceAt > 0 && now >= peer.announceAt) {
 			continue
 		}
-		m := &Message{Kind: Tell, Head: h.announcedHead(), Has: h.ready}
-		if h.tokens > burstBytes/2 {
-			m.Records = wireRecords(recordsBetween(h.availableRecords(), p.ready, h.ready.Version), maxEagerBytes, true)
+		m := &Message{Kind: Tell, Head: r.announcedHead(), Has: r.ready}
+		if r.tokens > burstBytes/2 {
+			m.Records = wireRecords(recordsBetween(r.availableRecords(), peer.ready, r.ready.Version), maxEagerBytes, true)
 		}
-		p.announcedChange, p.announcedAt, p.announceAt = h.changes, now, now+h.jitter(announceInterval)
-		h.countSent(m)
+		peer.announcedChange, peer.announcedAt, peer.announceAt = r.changes, now, now+r.jitter(announceInterval)
+		r.countSent(m)
 		effects = append(effects, Effect{Kind: Send, To: name, Message: m})
 	}
 	return effects
@@ -714,108 +716,108 @@
 // wireRecords are records as they travel, as many as fit, or none unless all do.
 func wireRecords(list []*Record, most int, all bool) (records []Record) {
 	for _, r := range list {
-		w := r.wire()
-		if most -= w.bytes(); most < 0 {
+		wire := r.wire()
+		if most -= wire.bytes(); most < 0 {
 			if all {
 				return nil
 			}
 			break
 		}
-		records = append(records, w)
+		records = append(records, wire)
 	}
 	return records
 }
 
 // reportAndFetch reports to a seat and fetches what is missing.
-func (h *Replicator) reportAndFetch(now int64, effects []Effect) []Effect {
-	if h.answerDeadline > 0 && now >= h.answerDeadline {
-		h.answerDeadline = 0
-		h.reportAttempts++
-		h.reportAt = now + h.randomUpTo(h.answerTimeout()/4)
-	}
-	if h.answerDeadline == 0 && now >= h.reportAt && now >= h.reportedAt+minReportInterval {
-		if seat := h.reportTarget(h.reportAttempts); seat == "" || h.agreed != nil && !h.hasUnconfirmed(now) { // a seat knows by itself
-			h.reportAt = now + h.jitter(reportInterval)
+func (r *Replicator) reportAndFetch(now int64, effects []Effect) []Effect {
+	if r.answerDeadline > 0 && now >= r.answerDeadline {
+		r.answerDeadline = 0
+		r.reportAttempts++
+		r.reportAt = now + r.randomUpTo(r.answerTimeout()/4)
+	}
+	if r.answerDeadline == 0 && now >= r.reportAt && now >= r.reportedAt+minReportInterval {
+		if seat := r.reportTarget(r.reportAttempts); seat == "" || r.agreed != nil && !r.hasUnconfirmed(now) { // a seat knows by itself
+			r.reportAt = now + r.jitter(reportInterval)
 		} else {
-			h.reportSeq++
-			m := &Message{Kind: Report, Seq: h.reportSeq, Has: h.applied, Refused: h.refused, Why: h.refusedReason, Age: now - h.appliedAt}
-			h.reportedAt, h.answerDeadline = now, now+h.answerTimeout()
-			h.countSent(m)
+			r.reportSeq++
+			m := &Message{Kind: Report, Seq: r.reportSeq, Has: r.applied, Refused: r.refused, Why: r.refusedReason, Age: now - r.appliedAt}
+			r.reportedAt, r.answerDeadline = now, now+r.answerTimeout()
+			r.countSent(m)
 			effects = append(effects, Effect{Kind: Send, To: seat, Message: m})
 		}
 	}
-	if h.fetch.deadline > 0 && now >= h.fetch.deadline {
-		h.handleFetchFailure(now)
+	if r.fetch.deadline > 0 && now >= r.fetch.deadline {
+		r.handleFetchFailure(now)
 	}
-	if goal, ok := h.goal(); ok && h.fetch.deadline == 0 && now >= h.fetch.nextAt && h.tokens > 0 {
-		p := h.choosePeer(now, goal)
+	if goal, ok := r.goal(); ok && r.fetch.deadline == 0 && now >= r.fetch.nextAt && r.tokens > 0 {
+		p := r.choosePeer(now, goal)
 		if p == nil {
-			h.fetch.nextAt = now + h.jitter(minFetchBackoff)
+			r.fetch.nextAt = now + r.jitter(minFetchBackoff)
 			return effects
 		}
-		h.fetch.link++
-		h.fetch.peer, h.fetch.deadline, h.fetch.want = p.name, now+fetchTimeout, goal
-		m := &Message{Kind: Fetch, Has: h.ready, Want: goal}
-		if h.run.content != nil {
-			m.Has = h.run.revision
+		r.fetch.link++
+		r.fetch.peer, r.fetch.deadline, r.fetch.want = p.name, now+fetchTimeout, goal
+		m := &Message{Kind: Fetch, Has: r.ready, Want: goal}
+		if r.run.content != nil {
+			m.Has = r.run.revision
 		}
-		if h.fetch.base, h.fetch.index, h.fetch.missing = h.assemblyBase(), nil, nil; h.blockIndex != nil {
-			h.requestMissing(m)
+		if r.fetch.base, r.fetch.index, r.fetch.missing = r.assemblyBase(), nil, nil; r.blockIndex != nil {
+			r.requestMissing(m)
 		}
 		if len(m.Wanted) == 0 {
-			h.blockIndex, m.Sums = nil, h.fetch.base.pageSums()
+			r.blockIndex, m.Sums = nil, r.fetch.base.pageSums()
 		} else {
-			m.Has, m.Want = h.ready, h.indexRevision // changes of blocks are from the one to the other
+			m.Has, m.Want = r.ready, r.indexRevision // changes of blocks are from the one to the other
 		}
-		h.fetch.from = m.Has
-		h.countSent(m)
-		effects = append(effects, Effect{Kind: Exchange, To: p.name, Link: h.fetch.link, Message: m})
+		r.fetch.from = m.Has
+		r.countSent(m)
+		effects = append(effects, Effect{Kind: Exchange, To: p.name, Link: r.fetch.link, Message: m})
 	}
 	return effects
 }
 
 // answerTimeout is how long a seat's answer is waited for: longer once all were asked.
-func (h *Replicator) answerTimeout() int64 {
-	return min(minAnswerTimeout<<min(h.reportAttempts/max(1, len(h.view.Seats)), 5), maxAnswerTimeout)
+func (r *Replicator) answerTimeout() int64 {
+	return min(minAnswerTimeout<<min(r.reportAttempts/max(1, len(r.view.Seats)), 5), maxAnswerTimeout)
 }
 
 // reportTarget is the one to report to at a try: each node has its own order of them.
-func (h *Replicator) reportTarget(try int) string {
-	if len(h.view.Seats) == 0 {
+func (r *Replicator) reportTarget(try int) string {
+	if len(r.view.Seats) == 0 {
 		return ""
 	}
-	seats := slices.Clone(h.view.Seats)
+	seats := slices.Clone(r.view.Seats)
 	slices.SortFunc(seats, func(a, b string) int {
-		return cmp.Compare(xxhash.Sum64String(h.config.Name+"\x00"+a), xxhash.Sum64String(h.config.Name+"\x00"+b))
+		return cmp.Compare(xxhash.Sum64String(r.config.Name+"\x00"+a), xxhash.Sum64String(r.config.Name+"\x00"+b))
 	})
 	return seats[try%len(seats)]
 }
 
 // nextDeadline is when there is something to do next.
-func (h *Replicator) nextDeadline(now int64) int64 {
-	at := max(h.reportAt, h.reportedAt+minReportInterval)
-	if h.answerDeadline > 0 {
-		at = h.answerDeadline
-	}
-	for _, name := range h.view.Neighbours {
-		if p := h.peers[name]; p != nil {
-			if at = min(at, max(p.announceAt, now)); p.announcedChange < h.changes {
+func (r *Replicator) nextDeadline(now int64) int64 {
+	at := max(r.reportAt, r.reportedAt+minReportInterval)
+	if r.answerDeadline > 0 {
+		at = r.answerDeadline
+	}
+	for _, name := range r.view.Neighbours {
+		if p := r.peers[name]; p != nil {
+			if at = min(at, max(p.announceAt, now)); p.announcedChange < r.changes {
 				at = min(at, p.announcedAt+minAnnounceInterval)
 			}
 		}
 	}
-	if h.fetch.deadline > 0 {
-		at = min(at, h.fetch.deadline)
-	} else if _, ok := h.goal(); ok {
-		next := h.fetch.nextAt
-		if h.tokens <= 0 {
-			next = max(next, now+(1-h.tokens)*1_000_000_000/bytesPerSecond)
+	if r.fetch.deadline > 0 {
+		at = min(at, r.fetch.deadline)
+	} else if _, ok := r.goal(); ok {
+		next := r.fetch.nextAt
+		if r.tokens <= 0 {
+			next = max(next, now+(1-r.tokens)*1_000_000_000/bytesPerSecond)
 		}
 		at = min(at, next)
 	}
-	if h.agreed != nil && h.head.First.Version > h.head.All.Version && !h.head.Stopped {
-		if _, _, ok := h.Statuses.refusal(h.head.First); ok {
-			at = min(at, h.stopOrderedAt+stopRetryInterval)
+	if r.agreed != nil && r.head.First.Version > r.head.All.Version && !r.head.Stopped {
+		if _, _, ok := r.Statuses.refusal(r.head.First); ok {
+			at = min(at, r.stopOrderedAt+stopRetryInterval)
 		}
 	}
 	return at
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -61,9 +61,9 @@
 
 // wire is a record as it travels.
 func (r *Record) wire() Record {
-	w := *r
-	w.Replaced, w.size = nil, 0
-	return w
+	wire := *r
+	wire.Replaced, wire.size = nil, 0
+	return wire
 }
 
 // CommandKind names what a command does.
