--- /dev/null
+++ b/internal/fleet/configsync/apply.go
@@ -0,0 +1,166 @@
+package configsync
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const canaryOneIn = 32 // one node in so many is drawn for the canary stage, and one of each zone
+
+// goal is what is to be fetched next, if anything: what is in force for all, then what is at the canary stage.
+func (r *Replicator) goal() (Revision, bool) {
+	switch {
+	case r.head.All.Version > r.ready.Version:
+		return r.head.All, true
+	case r.ready == r.head.All && r.applied.Version < r.ready.Version && r.ready != r.refused: // it is applied first
+	case r.head.First.Version > r.ready.Version && !r.head.Stopped:
+		return r.head.First, true
+	}
+	return Revision{}, false
+}
+
+// isCanary reports whether this node is at the canary stage of a version: one in 32, the first of its zone, and those that refused
+// another.
+func (r *Replicator) isCanary(version uint64) bool {
+	if r.refused.Version > r.applied.Version {
+		return true
+	}
+	if r.canary.version != version {
+		r.canary = canaryState{version: version, member: r.drawCanary(version)}
+	}
+	return r.canary.member
+}
+
+func (r *Replicator) drawCanary(version uint64) bool {
+	mine := canaryHash(r.config.Name, version)
+	return mine%canaryOneIn == 0 || !slices.ContainsFunc(r.view.Zone, func(name string) bool {
+		return name != r.config.Name && canaryHash(name, version) < mine
+	})
+}
+
+func canaryHash(name string, version uint64) uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%s\x00%d", name, version))
+}
+
+// advance goes on with what is at hand.
+func (r *Replicator) advance(now int64, effects []Effect) []Effect {
+	r.takeAgreedContent()
+	r.trackGoal(now)
+	r.useOffers(now)
+	effects = r.orderStop(now, effects)
+	return r.applyReady(effects)
+}
+
+// takeAgreedContent takes the goal from the table, at a replica's own node.
+func (r *Replicator) takeAgreedContent() {
+	goal, ok := r.goal()
+	if !ok || r.agreed == nil {
+		return
+	}
+	for _, content := range [...]*Content{r.agreed.All, r.agreed.First} {
+		if content.Digest() == goal.Digest {
+			r.setReady(goal, content, nil)
+			return
+		}
+	}
+}
+
+func (r *Replicator) trackGoal(now int64) {
+	goal, ok := r.goal()
+	switch {
+	case !ok:
+		r.goalSince = 0
+	case r.goalSince == 0:
+		r.goalSince = now
+		r.fetch.failures = 0
+		r.fetch.nextAt = now
+	case r.assembly.revision.Version <= r.ready.Version || r.assembly.revision.Version > goal.Version:
+		r.assembly.index = nil
+	}
+}
+
+// useOffers takes records that came with a neighbour's announcement.
+func (r *Replicator) useOffers(now int64) {
+	if _, ok := r.goal(); !ok || r.run.content != nil {
+		return
+	}
+	for _, name := range r.view.Neighbours {
+		p := r.peers[name]
+		if p == nil || len(p.offered) == 0 || p.offered[0].Version != r.ready.Version+1 || p.offered[0].Base != r.ready.Digest {
+			continue
+		}
+		records := p.offered
+		p.offered = nil
+		if r.extendRun(now, p, records) {
+			return
+		}
+	}
+}
+
+// applyReady has the ready version applied where it is its stage, or checked while it is at the canary stage of others.
+func (r *Replicator) applyReady(effects []Effect) []Effect {
+	if r.applying.Version > 0 || r.ready.Version <= r.applied.Version || r.ready == r.refused {
+		return effects
+	}
+	canary := r.ready == r.head.First && r.ready.Version > r.head.All.Version
+	if canary && r.head.Stopped || !canary && r.ready != r.head.All {
+		return effects
+	}
+	if canary && !r.isCanary(r.ready.Version) { // a refusal anywhere stops a version while it is at the canary stage
+		return r.checkReady(effects)
+	}
+	r.applying = r.ready
+	r.applyingContent = r.readyContent
+	return append(effects, Effect{Kind: Take, Mark: r.ready, First: canary, Old: r.appliedContent, New: r.readyContent})
+}
+
+func (r *Replicator) checkReady(effects []Effect) []Effect {
+	if r.validating == r.ready {
+		return effects
+	}
+	r.validating = r.ready
+	return append(effects, Effect{Kind: Check, Mark: r.ready, First: true, Old: r.appliedContent, New: r.readyContent})
+}
+
+// handleChecked takes the result of a check.
+func (r *Replicator) handleChecked(now int64, in *Input, effects []Effect) []Effect {
+	if in.Why == "" || in.Mark != r.validating || in.Mark == r.refused || in.Mark == r.applying || in.Mark == r.applied {
+		return effects
+	}
+	return r.refuse(now, in.Mark, in.Why, effects)
+}
+
+// handleApplied takes the result of applying a version.
+func (r *Replicator) handleApplied(now int64, in *Input, effects []Effect) []Effect {
+	if in.Mark != r.applying || r.applying.Version == 0 {
+		return effects
+	}
+	content := r.applyingContent
+	r.applying = Revision{}
+	r.applyingContent = nil
+	if in.Why != "" {
+		return r.refuse(now, in.Mark, in.Why, effects)
+	}
+	r.Counters.Applied++
+	r.applied = in.Mark
+	r.appliedContent = content
+	r.appliedAt = now
+	r.source = "fleet"
+	r.recordOwnStatus(now)
+	if r.reports.answerDeadline == 0 {
+		r.reports.dueAt = min(r.reports.dueAt, now+r.randomUpTo(appliedReportSpread))
+	}
+	return r.persist(effects)
+}
+
+// refuse notes that a version can't be applied here, and reports it.
+func (r *Replicator) refuse(now int64, revision Revision, why string, effects []Effect) []Effect {
+	r.refused = revision
+	r.refusedReason = truncate(why, maxReasonBytes)
+	r.Counters.Refused++
+	r.reports.dueAt = min(r.reports.dueAt, now)
+	r.recordOwnStatus(now)
+	return append(effects, warning("configuration %d can't be taken, %d stays in force: %s", revision.Version, r.applied.Version, r.refusedReason))
+}
--- a/internal/fleet/configsync/apart_test.go
+++ b/internal/fleet/configsync/blockassembly_test.go
@@ -97,7 +97,7 @@
 // asker is a node that has the version before, and two neighbours.
 func (g *givers) asker() *Replicator {
 	h := holding()
-	h.applied, h.ready, h.persisted, h.appliedContent, h.readyContent = g.one, g.one, g.one, g.base, g.base
+	h.applied, h.ready, h.disk.revision, h.appliedContent, h.readyContent = g.one, g.one, g.one, g.base, g.base
 	return h
 }
 
@@ -165,7 +165,7 @@
 	require.Empty(t, h.changesBetween(g.one, Revision{2, Digest{A: 1}}), "not those to another content")
 	require.Empty(t, h.changesBetween(Revision{1, Digest{A: 1}}, two), "nor from one")
 	require.Len(t, h.log, 1)
-	require.Equal(t, blockDeltas{}, h.assembledDeltas, "nothing is kept twice")
+	require.Equal(t, blockDeltas{}, h.assembly.deltas, "nothing is kept twice")
 	g.nodes["a"], g.nodes["b"] = h, h
 	again := g.asker()
 	g.fetch(t, again, two, as)
@@ -190,8 +190,8 @@
 		two := g.put(t, apart(g.base, 1_000)...)
 		h, kept := g.asker(), 0
 		g.fetch(t, h, two, func(_ int, from string, m *Message) []*Message {
-			require.GreaterOrEqual(t, len(h.assembledDeltas.blocks), kept, "%s: what came stays", name)
-			if kept = len(h.assembledDeltas.blocks); from == "b" && len(m.Blocks) > 1 {
+			require.GreaterOrEqual(t, len(h.assembly.deltas.blocks), kept, "%s: what came stays", name)
+			if kept = len(h.assembly.deltas.blocks); from == "b" && len(m.Blocks) > 1 {
 				again, list := *m, make([]Block, len(m.Blocks))
 				for k, b := range m.Blocks {
 					list[k] = Block{N: b.N, Text: b.Text, Changes: append([]Item(nil), b.Changes...)}
@@ -254,7 +254,7 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h, again := g.asker(), g.asker()
-	h.blockIndex, h.indexRevision = g.newest.index(), two
+	h.assembly.index, h.assembly.revision = g.newest.index(), two
 	ask, answer := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece}
 	h.requestMissing(ask)
 	g.nodes["a"].serveBlocks(ask, answer)
@@ -276,12 +276,12 @@
 	require.Empty(t, none.Blocks, "it doesn't know what changed since another content")
 	again.storeBlocks(3, again.peerFor(3, "n"), answer.Blocks)
 	require.Zero(t, again.Counters.InvalidResponses)
-	require.True(t, len(again.assembledDeltas.blocks) == came)
+	require.True(t, len(again.assembly.deltas.blocks) == came)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
-	h.blockIndex, h.indexRevision = g.newest.index(), three // what came of one block is of the version before
+	h.assembly.index, h.assembly.revision = g.newest.index(), three // what came of one block is of the version before
 	ask, answer = &Message{Kind: Fetch, Has: g.one, Want: three}, &Message{Kind: Piece}
-	again.blockIndex, again.assembled = h.blockIndex, nil
+	again.assembly.index, again.assembly.content = h.assembly.index, nil
 	again.requestMissing(ask)
 	h.serveBlocks(ask, answer)
 	require.Len(t, answer.Blocks, came-1)
@@ -292,7 +292,7 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h := g.asker()
-	h.blockIndex = g.newest.index()
+	h.assembly.index = g.newest.index()
 	ask := &Message{Kind: Fetch, Has: g.one, Want: two}
 	h.requestMissing(ask)
 	require.Len(t, ask.Wanted, maxWantedBlocks)
@@ -367,7 +367,7 @@
 	two := g.put(t, list...)
 	h := g.asker()
 	fill := func(index *Content, mark Revision, whole bool) {
-		h.blockIndex, h.indexRevision = index.index(), mark
+		h.assembly.index, h.assembly.revision = index.index(), mark
 		ask, answer := &Message{Kind: Fetch, Has: g.one, Want: mark}, &Message{Kind: Piece}
 		if h.requestMissing(ask); whole {
 			ask.Missing = nil
@@ -376,7 +376,7 @@
 		h.storeBlocks(1, h.peerFor(1, "a"), answer.Blocks)
 	}
 	fill(g.newest, two, false)
-	came := len(h.assembledDeltas.blocks)
+	came := len(h.assembly.deltas.blocks)
 	require.Greater(t, came, maxWantedBlocks)
 	var back []Item
 	for _, i := range list {
@@ -389,7 +389,7 @@
 	h.serveDeltas(ask, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
 	taken := 0
-	for _, changes := range h.assembledDeltas.blocks {
+	for _, changes := range h.assembly.deltas.blocks {
 		if len(changes) == 0 {
 			taken++
 		}
@@ -402,24 +402,24 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h := g.asker()
-	h.blockIndex, h.indexRevision = g.newest.index(), two
+	h.assembly.index, h.assembly.revision = g.newest.index(), two
 	ask, answer := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece}
 	h.requestMissing(ask)
 	g.nodes["a"].serveBlocks(ask, answer)
 	h.storeBlocks(1, h.peerFor(1, "a"), answer.Blocks)
 	n, name := 0, ""
 	for k := 0; n == 0; k++ { // one that falls there too
-		if i := tenant(k, "1"); len(h.assembledDeltas.blocks[i.block()]) > 0 {
+		if i := tenant(k, "1"); len(h.assembly.deltas.blocks[i.block()]) > 0 {
 			n, name = i.block(), i.Name
 		}
 	}
 	only := []Item{{Tenants, name, []byte("1")}}
 	next, err := g.base.Apply(only)
 	require.NoError(t, err)
-	h.blockIndex, h.indexRevision = next.index(), Revision{3, next.Digest()}
+	h.assembly.index, h.assembly.revision = next.index(), Revision{3, next.Digest()}
 	h.requestMissing(&Message{})
 	require.True(t, h.mergeDeltas([]Block{{N: uint16(n), Changes: only}}))
-	require.True(t, len(h.assembledDeltas.blocks[n]) == 1)
+	require.True(t, len(h.assembly.deltas.blocks[n]) == 1)
 }
 
 // TestThosePutOffAskOneAfterAnother has a node that gave what its pace allows be asked by all at once.
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -23,13 +23,13 @@
 	index := &Message{Kind: Piece, Has: most}
 	appendDifferingPages(c.index(), nil, index)
 	h := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
-	h.blockIndex = (&Content{}).index()
+	h.assembly.index = (&Content{}).index()
 	ask := &Message{Kind: Fetch, Has: most, Want: most}
 	h.requestMissing(ask)
 	blocks := &Message{Kind: Piece, Has: most}
 	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
 	h = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
-	h.blockIndex = c.index()
+	h.assembly.index = c.index()
 	wanted := &Message{Kind: Fetch, Has: most, Want: most}
 	h.requestMissing(wanted)
 	answerFrom.serveBlocks(wanted, blocks)
@@ -38,7 +38,7 @@
 	g := give(t)
 	two := g.put(t, apart(g.base, 1_000)...)
 	h = g.asker()
-	h.blockIndex = g.newest.index()
+	h.assembly.index = g.newest.index()
 	parts, parted := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece, Has: most}
 	h.requestMissing(parts)
 	g.nodes["a"].serveBlocks(parts, parted)
--- a/internal/fleet/configsync/holder_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -90,7 +90,7 @@
 // TestARefusalIsToldToOneSeatAfterAnother wants that a seat which dies after it heard of a refusal isn't the only one to know.
 func TestARefusalIsToldToOneSeatAfterAnother(t *testing.T) {
 	x, h := chain(1), holding()
-	h.view.Zone, h.canaryVersion = nil, 0 // drawn: it is the only one
+	h.view.Zone, h.canary.version = nil, 0 // drawn: it is the only one
 	one := markOf(x, 1)
 	effects, wake := h.Step(ms, []Input{told("a", HeadRevision{}, one, x.log[0].wire()), vouchedFor(Revision{}, one)})
 	require.True(t, pick(effects, Take)[0].First)
@@ -311,7 +311,7 @@
 		h.Step(now+ms, []Input{vouchedFor(after, after)})
 		h.Step(now+2*ms, []Input{{Kind: Answered, Link: ask.Link, Message: answer}})
 		now, c = now+2_000*ms, next
-		if h.assemblyBase().Digest() == h.indexRevision.Digest {
+		if h.assemblyBase().Digest() == h.assembly.revision.Digest {
 			break
 		}
 	}
