--- a/internal/fleet/configsync/build.go
+++ b/internal/fleet/configsync/build.go
@@ -2,73 +2,96 @@
 
 import (
 	"bytes"
-	"fmt"
 	"slices"
 )
 
-// Build is a content of many items at once, the later counting where one comes twice. They are yielded two times, alike: each
-// block is made at the size that it has in the end. Made by Apply some at a time, blocks of all sizes on the way there would be
-// left behind as holes, half as much again as the content. An item that can't be held is told by name.
+// Build returns a content of many items at once, the later counting where one comes twice. The items are yielded two times, alike: each
+// block is allocated at its final size. Apply, some at a time, would leave blocks of all sizes on the way as holes in the heap. An item
+// that can't be held is named in the error.
 func Build(all func(yield func(Item))) (*Content, error) {
-	var sizes [Blocks]int
-	var room []byte
-	var err error
-	all(func(i Item) {
-		if err == nil {
-			err = i.validate()
-		}
-		if err == nil && len(i.Value) > 0 {
-			part := byte(slices.Index(partNames[:], i.Part))
-			room = appendEntry(room[:0], part, i.Name, i.Value)
-			sizes[blockOf(part, i.Name)] += len(room)
-		}
-	})
+	sizes, err := blockSizes(all)
 	if err != nil {
 		return nil, err
 	}
-	var blocks [Blocks][]byte
-	for n, size := range sizes {
-		blocks[n] = make([]byte, 0, size)
-	}
-	all(func(i Item) {
-		if len(i.Value) > 0 {
-			part := byte(slices.Index(partNames[:], i.Part))
-			n := blockOf(part, i.Name)
-			blocks[n] = appendEntry(blocks[n], part, i.Name, i.Value)
-		}
-	})
-	c, own := new(Content), [fanout]bool{}
+	blocks := fillBlocks(all, sizes)
+	content := new(Content)
+	owned := [fanout]bool{}
+	var scratch []byte
 	var entries []entry
 	for n := range blocks {
 		if len(blocks[n]) == 0 {
 			continue
 		}
-		room, entries = append(room[:0], blocks[n]...), entries[:0]
-		for rest := room; len(rest) > 0; {
-			var e entry
-			e, rest, _ = readEntry(rest)
-			entries = append(entries, e)
-		}
-		slices.SortStableFunc(entries, func(a, b entry) int { return a.compare(b.part, string(b.name)) })
-		block := blocks[n][:0]
-		for k := range entries {
-			if e := &entries[k]; k+1 == len(entries) || entries[k+1].compare(e.part, string(e.name)) != 0 {
-				block = append(block, e.encoded...)
-			}
-		}
+		scratch = append(scratch[:0], blocks[n]...)
+		entries = sortedEntries(entries[:0], scratch)
+		block := appendLastOfEach(blocks[n][:0], entries)
 		if len(block) > maxBlockBytes {
-			e := &entries[0]
-			return nil, fmt.Errorf("configuration: no room for %s %q: names that fall together have %d bytes, %d at the most; make values smaller",
-				partNames[e.part], e.name, len(block), maxBlockBytes)
+			return nil, errBlockFull(partNames[entries[0].part], string(entries[0].name), len(block))
 		}
 		if len(block) < cap(block) {
 			block = bytes.Clone(block)
 		}
-		c.set(n, block, &own)
+		content.set(n, block, &owned)
 		blocks[n] = nil
 	}
-	if c.bytes > maxContentBytes {
-		return nil, fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", c.bytes, maxContentBytes)
+	if content.bytes > maxContentBytes {
+		return nil, errContentFull(content.bytes)
+	}
+	return content, nil
+}
+
+// blockSizes validates all items, and returns the bytes of each block.
+func blockSizes(all func(yield func(Item))) (*[Blocks]int, error) {
+	var sizes [Blocks]int
+	var scratch []byte
+	var err error
+	all(func(item Item) {
+		if err == nil {
+			err = item.validate()
+		}
+		if err == nil && len(item.Value) > 0 {
+			part := byte(slices.Index(partNames[:], item.Part))
+			scratch = appendEntry(scratch[:0], part, item.Name, item.Value)
+			sizes[blockOf(part, item.Name)] += len(scratch)
+		}
+	})
+	return &sizes, err
+}
+
+// fillBlocks puts all items into blocks of these sizes, in the order in which they come.
+func fillBlocks(all func(yield func(Item)), sizes *[Blocks]int) *[Blocks][]byte {
+	var blocks [Blocks][]byte
+	for n, size := range sizes {
+		blocks[n] = make([]byte, 0, size)
+	}
+	all(func(item Item) {
+		if len(item.Value) > 0 {
+			part := byte(slices.Index(partNames[:], item.Part))
+			n := blockOf(part, item.Name)
+			blocks[n] = appendEntry(blocks[n], part, item.Name, item.Value)
+		}
+	})
+	return &blocks
+}
+
+func sortedEntries(entries []entry, block []byte) []entry {
+	for len(block) > 0 {
+		e, rest, _ := readEntry(block)
+		entries = append(entries, e)
+		block = rest
+	}
+	slices.SortStableFunc(entries, func(a, b entry) int { return a.compare(b.part, string(b.name)) })
+	return entries
+}
+
+// appendLastOfEach appends sorted entries, the last of each item only.
+func appendLastOfEach(block []byte, entries []entry) []byte {
+	for k := range entries {
+		e := &entries[k]
+		last := k+1 == len(entries) || entries[k+1].compare(e.part, string(e.name)) != 0
+		if last {
+			block = append(block, e.encoded...)
+		}
 	}
-	return c, nil
+	return block
 }
--- /dev/null
+++ b/internal/fleet/configsync/change.go
@@ -0,0 +1,190 @@
+package configsync
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// maxEntryOverhead bounds the bytes of an entry beside its name and value.
+const maxEntryOverhead = 8
+
+// placedChange is a change with its place.
+type placedChange struct {
+	block int
+	order int // among the changes
+	part  byte
+	item  *Item
+}
+
+// Apply returns the content with some items changed, the later counting where one comes twice. It costs what the blocks of those items
+// cost. An item that can't be held is named in the error, and nothing changes then.
+func (c *Content) Apply(changes []Item) (*Content, error) {
+	order, err := placeChanges(changes)
+	if err != nil {
+		return nil, err
+	}
+	next := *c
+	owned := [fanout]bool{}
+	for len(order) > 0 {
+		n := 1
+		for n < len(order) && order[n].block == order[0].block {
+			n++
+		}
+		old, _ := next.Block(order[0].block)
+		block, sum := next.merge(old, order[:n])
+		if len(block) > maxBlockBytes {
+			return nil, errBlockFull(order[0].item.Part, order[0].item.Name, len(block))
+		}
+		next.ownPage(order[0].block, &owned).put(order[0].block, block, sum)
+		order = order[n:]
+	}
+	if next.bytes > maxContentBytes {
+		return nil, errContentFull(next.bytes)
+	}
+	return &next, nil
+}
+
+func errBlockFull(part, name string, size int) error {
+	return fmt.Errorf("configuration: no room for %s %q: names that fall together have %d bytes, %d at the most; make values smaller",
+		part, name, size, maxBlockBytes)
+}
+
+func errContentFull(size int) error {
+	return fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", size, maxContentBytes)
+}
+
+// placeChanges orders changes by their place, those of one item as they came.
+func placeChanges(changes []Item) ([]placedChange, error) {
+	order := make([]placedChange, len(changes))
+	for k := range changes {
+		item := &changes[k]
+		if err := item.validate(); err != nil {
+			return nil, err
+		}
+		part := byte(slices.Index(partNames[:], item.Part))
+		order[k] = placedChange{blockOf(part, item.Name), k, part, item}
+	}
+	slices.SortFunc(order, func(a, b placedChange) int {
+		if a.block != b.block {
+			return a.block - b.block
+		}
+		return cmp.Or(cmp.Compare(a.part, b.part), strings.Compare(a.item.Name, b.item.Name), a.order-b.order)
+	})
+	return order, nil
+}
+
+// merge returns a block with changes in order applied, and what they add to its digest. Their items are counted in and out.
+func (c *Content) merge(old []byte, changes []placedChange) (block []byte, sum Digest) {
+	size := len(old)
+	for k := range changes {
+		size += len(changes[k].item.Name) + len(changes[k].item.Value) + maxEntryOverhead
+	}
+	to := make([]byte, 0, size)
+	for k := range changes {
+		change := &changes[k]
+		for len(old) > 0 {
+			e, rest, _ := readEntry(old)
+			order := e.compare(change.part, change.item.Name)
+			if order > 0 {
+				break
+			}
+			if order < 0 {
+				to = append(to, e.encoded...)
+			} else {
+				sum = sum.minus(c.countItem(&e, false))
+			}
+			old = rest
+		}
+		if len(change.item.Value) > 0 && !sameItemFollows(changes[k:]) {
+			at := len(to)
+			to = appendEntry(to, change.part, change.item.Name, change.item.Value)
+			sum = sum.plus(c.countItem(&entry{part: change.part, encoded: to[at:]}, true))
+		}
+	}
+	to = append(to, old...)
+	if len(to) == 0 {
+		return nil, sum
+	}
+	return bytes.Clone(to), sum // without spare capacity: blocks live long
+}
+
+// sameItemFollows reports whether the second of some changes is of the same item as the first.
+func sameItemFollows(changes []placedChange) bool {
+	return len(changes) > 1 && changes[1].part == changes[0].part && changes[1].item.Name == changes[0].item.Name
+}
+
+// ownPage is the page of a block, copied unless this content owns it already.
+func (c *Content) ownPage(n int, owned *[fanout]bool) *page {
+	k := n / fanout
+	if !owned[k] {
+		p := &page{}
+		if c.pages[k] != nil {
+			*p = *c.pages[k]
+		}
+		c.pages[k] = p
+		owned[k] = true
+	}
+	return c.pages[k]
+}
+
+// put puts a block in its place; sum is what that adds to its digest.
+func (p *page) put(n int, block []byte, sum Digest) {
+	k := n % fanout
+	p.blocks[k] = block
+	p.sums[k] = p.sums[k].plus(sum)
+	p.sum = p.sum.plus(sum)
+}
+
+// set puts a well-formed block in its place, and counts its items in and those of the former block out.
+func (c *Content) set(n int, block []byte, owned *[fanout]bool) {
+	p := c.ownPage(n, owned)
+	before := c.countItems(p.blocks[n%fanout], false)
+	p.put(n, block, c.countItems(block, true).minus(before))
+}
+
+// countItems counts a block's items in or out, and returns its digest.
+func (c *Content) countItems(block []byte, in bool) (sum Digest) {
+	for len(block) > 0 {
+		e, rest, _ := readEntry(block)
+		sum = sum.plus(c.countItem(&e, in))
+		block = rest
+	}
+	return sum
+}
+
+// countItem counts an item in or out, and returns its digest.
+func (c *Content) countItem(e *entry, in bool) Digest {
+	digest := hashItem(e.encoded)
+	if in {
+		c.sums[e.part] = c.sums[e.part].plus(digest)
+		c.items[e.part]++
+		c.bytes += len(e.encoded)
+	} else {
+		c.sums[e.part] = c.sums[e.part].minus(digest)
+		c.items[e.part]--
+		c.bytes -= len(e.encoded)
+	}
+	return digest
+}
+
+// WithBlock returns the content with one block replaced, nil where the block is malformed or has another digest.
+func (c *Content) WithBlock(n int, block []byte, want Digest) *Content {
+	if n < 0 || n >= Blocks {
+		return nil
+	}
+	if sum, ok := checkBlock(n, block); !ok || sum != want {
+		return nil
+	}
+	if len(block) == 0 {
+		block = nil
+	}
+	next := *c
+	next.set(n, bytes.Clone(block), &[fanout]bool{})
+	if next.bytes > maxContentBytes {
+		return nil
+	}
+	return &next
+}
--- /dev/null
+++ b/internal/fleet/configsync/digest.go
@@ -0,0 +1,43 @@
+package configsync
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	digestBytes    = 16
+	secondHashSeed = 0x63_6f_6e_66_32 // of the second half of a digest
+)
+
+// Digest identifies a set of items: the sum of their hashes, so it doesn't depend on their order, and a change of one item costs only
+// that item's hash. It detects faults, not forgeries.
+type Digest struct {
+	_    struct{} `cbor:",toarray"`
+	A, B uint64
+}
+
+func (d Digest) String() string { return fmt.Sprintf("%016x%016x", d.A, d.B) }
+
+func (d Digest) plus(e Digest) Digest { return Digest{A: d.A + e.A, B: d.B + e.B} }
+
+func (d Digest) minus(e Digest) Digest { return Digest{A: d.A - e.A, B: d.B - e.B} }
+
+func (d Digest) append(to []byte) []byte {
+	return binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(to, d.A), d.B)
+}
+
+func digestAt(b []byte, k int) Digest {
+	b = b[k*digestBytes:]
+	return Digest{A: binary.LittleEndian.Uint64(b), B: binary.LittleEndian.Uint64(b[8:])}
+}
+
+// hashItem is the digest of one encoded item.
+func hashItem(text []byte) Digest {
+	var second xxhash.Digest
+	second.ResetWithSeed(secondHashSeed)
+	_, _ = second.Write(text)
+	return Digest{A: xxhash.Sum64(text), B: second.Sum64()}
+}
--- /dev/null
+++ b/internal/fleet/configsync/draft.go
@@ -0,0 +1,51 @@
+package configsync
+
+import "fmt"
+
+// draft is a long change of which pieces are missing.
+type draft struct {
+	From    string `cbor:"1,keyasint,omitempty"`
+	Base    uint64 `cbor:"2,keyasint,omitempty"`
+	Pieces  int    `cbor:"3,keyasint,omitempty"`
+	At      int64  `cbor:"4,keyasint,omitempty"`
+	Changes []Item `cbor:"5,keyasint,omitempty"` // in a snapshot: what content differs in from the newest
+	Bytes   int    `cbor:"6,keyasint,omitempty"`
+	content *Content
+}
+
+// applyPiece applies one piece of a long change, at the cost of that piece. With the last one it returns the content, else nil.
+func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
+	d := &t.draft
+	ofAnother := d.Pieces > 0 && d.From != c.From && at < d.At+draftTimeout
+	switch {
+	case c.Piece == 0 && ofAnother:
+		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.From, draftTimeout/second)
+		return nil
+	case c.Piece == 0:
+		*d = draft{From: c.From, Base: c.Base, content: t.newest}
+	case d.From != c.From || d.Pieces != c.Piece || d.Base != c.Base:
+		v.Refused = fmt.Sprintf("piece %d doesn't follow; put all of them again from the first", c.Piece)
+		return nil
+	}
+	d.Bytes += sizeOf(c.Changes)
+	if d.Bytes > maxContentBytes {
+		*d = draft{}
+		v.Refused = fmt.Sprintf("over %d bytes in all", maxContentBytes)
+		return nil
+	}
+	next, err := d.content.Apply(c.Changes)
+	if err != nil {
+		*d = draft{}
+		v.Refused = err.Error()
+		return nil
+	}
+	d.Pieces++
+	d.At = at
+	d.content = next
+	v.Done = c.More
+	if c.More {
+		return nil
+	}
+	*d = draft{}
+	return next
+}
--- /dev/null
+++ b/internal/fleet/configsync/restore.go
@@ -0,0 +1,106 @@
+package configsync
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+var errLogGaps = errors.New("configuration: the log of a snapshot has gaps")
+
+var cborDecoding = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 21, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	if err != nil {
+		panic(err) // the options are constant
+	}
+	return mode
+}()
+
+// Restore decodes a table from a snapshot.
+func Restore(text []byte) (*Table, error) {
+	var saved savedTable
+	if err := cborDecoding.Unmarshal(text, &saved); err != nil {
+		return nil, errUnreadableSnapshot(err)
+	}
+	newest, err := restoreBlocks(saved.Blocks)
+	if err != nil {
+		return nil, err
+	}
+	all, err := newest.Apply(saved.All)
+	if err != nil {
+		return nil, errUnreadableSnapshot(err)
+	}
+	canary, err := newest.Apply(saved.Canary)
+	if err != nil {
+		return nil, errUnreadableSnapshot(err)
+	}
+	if all.Digest() != saved.Head.All.Digest || canary.Digest() != saved.Head.First.Digest {
+		return nil, fmt.Errorf("configuration: a snapshot comes to %s and %s, not to the digests that it names", all.Digest(), canary.Digest())
+	}
+	t := &Table{
+		head:             saved.Head,
+		all:              all,
+		canary:           canary,
+		newest:           newest,
+		canarySince:      saved.CanarySince,
+		log:              saved.Log,
+		rollbackVersions: saved.RollbackVersions,
+		lastVerdicts:     saved.LastVerdicts,
+		draft:            saved.Draft,
+	}
+	if err := t.restoreDraft(); err != nil {
+		return nil, err
+	}
+	if err := t.restoreLogSize(); err != nil {
+		return nil, err
+	}
+	return t, nil
+}
+
+func errUnreadableSnapshot(cause error) error {
+	return fmt.Errorf("configuration: a snapshot can't be read: %w", cause)
+}
+
+func restoreBlocks(blocks [][]byte) (*Content, error) {
+	if len(blocks) != Blocks {
+		return nil, fmt.Errorf("configuration: a snapshot of %d blocks, not %d", len(blocks), Blocks)
+	}
+	content := &Content{}
+	owned := [fanout]bool{}
+	for n, block := range blocks {
+		if len(block) == 0 {
+			continue
+		}
+		if _, ok := checkBlock(n, block); !ok {
+			return nil, fmt.Errorf("configuration: block %d of a snapshot is malformed", n)
+		}
+		content.set(n, bytes.Clone(block), &owned)
+	}
+	return content, nil
+}
+
+func (t *Table) restoreDraft() error {
+	if t.draft.Pieces == 0 {
+		return nil
+	}
+	content, err := t.newest.Apply(t.draft.Changes)
+	if err != nil {
+		return errUnreadableSnapshot(err)
+	}
+	t.draft.content = content
+	t.draft.Changes = nil
+	return nil
+}
+
+// restoreLogSize checks that the log ends with the newest version and has no gaps, and adds its size up.
+func (t *Table) restoreLogSize() error {
+	for k, record := range t.log {
+		if record == nil || record.Version != t.head.Newest-uint64(len(t.log)-1-k) {
+			return errLogGaps
+		}
+		t.logSize += record.bytes()
+	}
+	return nil
+}
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -8,99 +8,166 @@
 )
 
 const (
-	itemsPerStep      = 64      // items that are written between two looks at what a call has done: some 10 µs
-	bytesPerItem      = 128     // bytes of a block that cost what it costs to encode one item: a microsecond
-	maxItemOverhead   = 32      // bytes of an item's head and keys, at the most
-	maxRecordOverhead = 64      // bytes of keys and heads of a record or verdict, at the most
+	itemsPerStep      = 64      // items that are encoded before the cost of a call is looked at again
+	bytesPerItem      = 128     // bytes of a block that cost as much as encoding one item
+	maxItemOverhead   = 32      // bytes of an item's head and keys
+	maxRecordOverhead = 64      // bytes of keys and heads of a record or verdict
 	maxHeadBytes      = 1 << 10 // bytes of a head, with a reason, and of a draft without its changes
+	maxLengthBytes    = 9       // bytes of a CBOR head
 	bytesPerWholeStep = 1 << 20 // bytes a call of Next, where nobody waits
-	cborBytes         = 2 << 5  // CBOR (RFC 8949): the major type of a byte string, in the first byte of its head
-	cborArray         = 4 << 5  // of an array
-	cborMap           = 5 << 5  // of a map
-	cborNull          = 0xf6    // null, which an empty block is
-	lengthOf8         = 24      // in a head: the length follows in one byte; below that it is the length itself
-	lengthOf16        = 25      // in two bytes, big-endian
-	lengthOf32        = 26      // in four
 )
 
-// savedTable is a table as a snapshot holds it: the newest content in blocks, the others as what differs from it.
+// CBOR (RFC 8949): major types in the first byte of a head, and how a length is encoded in it.
+const (
+	cborBytes  = 2 << 5 // a byte string
+	cborArray  = 4 << 5
+	cborMap    = 5 << 5
+	cborNull   = 0xf6 // stands for an empty block
+	lengthOf8  = 24   // the length follows in one byte; below that it is the length itself
+	lengthOf16 = 25   // in two bytes, big-endian
+	lengthOf32 = 26   // in four bytes, big-endian
+)
+
+// Keys of savedTable that the writer encodes itself.
+const (
+	keyHead             = byte(1)
+	keyCanarySince      = byte(2)
+	keyBlocks           = byte(3)
+	keyAll              = byte(4)
+	keyCanary           = byte(5)
+	keyLog              = byte(6)
+	keyRollbackVersions = byte(7)
+	keyLastVerdicts     = byte(8)
+	keyDraft            = byte(9)
+
+	keyDraftChanges   = byte(5) // of draft
+	keyRecordChanges  = byte(6) // of Record
+	keyRecordReplaced = byte(7) // of Record
+)
+
+// savedTable is a table as a snapshot has it: the newest content in blocks, the others as their differences from it.
 type savedTable struct {
-	Head   HeadRevision `cbor:"1,keyasint"`
-	Since  int64        `cbor:"2,keyasint"`
-	Blocks [][]byte     `cbor:"3,keyasint"`
-	All    []Item       `cbor:"4,keyasint,omitempty"`
-	First  []Item       `cbor:"5,keyasint,omitempty"`
-	Log    []*Record    `cbor:"6,keyasint,omitempty"`
-	Good   []uint64     `cbor:"7,keyasint,omitempty"`
-	Askers []Verdict    `cbor:"8,keyasint,omitempty"`
-	Draft  draft        `cbor:"9,keyasint"`
-}
-
-// SnapshotWriter is a snapshot of a table as it was when it was begun, written some at a time. The table may change meanwhile: its
-// contents and records never do, and the rest is copied.
+	Head             HeadRevision `cbor:"1,keyasint"`
+	CanarySince      int64        `cbor:"2,keyasint"`
+	Blocks           [][]byte     `cbor:"3,keyasint"`
+	All              []Item       `cbor:"4,keyasint,omitempty"`
+	Canary           []Item       `cbor:"5,keyasint,omitempty"`
+	Log              []*Record    `cbor:"6,keyasint,omitempty"`
+	RollbackVersions []uint64     `cbor:"7,keyasint,omitempty"`
+	LastVerdicts     []Verdict    `cbor:"8,keyasint,omitempty"`
+	Draft            draft        `cbor:"9,keyasint"`
+}
+
+// SnapshotWriter encodes a snapshot of a table as it was at the beginning, some at a time. The table may change meanwhile: its contents
+// and records are immutable, and the rest is copied.
 type SnapshotWriter struct {
 	table Table
 	steps []func() bool // what is to be done, each called until it is done
-	cost  int           // of the call of Next in hand, in bytes
-	size  int           // that the text will have at the most
+	cost  int           // bytes, of the current call of Next
+	size  int           // bytes that the text can have
 	text  []byte
 }
 
+// Snapshot encodes the table; two that are equal are encoded alike. A table that didn't change since the last snapshot returns the same
+// bytes again, which must not be changed.
+func (t *Table) Snapshot() ([]byte, error) {
+	if t.snapshot != nil {
+		return t.snapshot, nil
+	}
+	w := t.BeginSnapshot()
+	for !w.Next(bytesPerWholeStep) {
+	}
+	t.snapshot = w.Text()
+	return t.snapshot, nil
+}
+
 // BeginSnapshot begins a snapshot, at a cost that doesn't grow with the contents.
 func (t *Table) BeginSnapshot() *SnapshotWriter {
 	w := &SnapshotWriter{table: *t}
-	w.table.log, w.table.rollbackVersions, w.table.lastVerdicts = slices.Clone(t.log), slices.Clone(t.rollbackVersions), slices.Clone(t.lastVerdicts)
-	t = &w.table
-	w.size = t.newest.bytes + (Blocks+len(t.rollbackVersions))*9 + t.logSize + (len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxHeadBytes
+	w.table.log = slices.Clone(t.log)
+	w.table.rollbackVersions = slices.Clone(t.rollbackVersions)
+	w.table.lastVerdicts = slices.Clone(t.lastVerdicts)
+	w.size = w.table.maxSnapshotBytes()
+	all := w.countDifference(t.all)
+	canary := w.countDifference(t.canary)
+	drafted := w.countDifference(t.draft.content)
+	w.addSingleStep(func() { w.writeStart(*all, *canary) })
+	w.addBlocks()
+	w.addDifference(keyAll, t.all, all)
+	w.addDifference(keyCanary, t.canary, canary)
+	w.addLog()
+	w.addSingleStep(func() { w.writeEnd(*drafted) })
+	w.addDifference(keyDraftChanges, t.draft.content, drafted)
+	return w
+}
+
+// maxSnapshotBytes bounds a snapshot's size, but for what the contents differ in.
+func (t *Table) maxSnapshotBytes() int {
+	size := t.newest.bytes + (Blocks+len(t.rollbackVersions))*maxLengthBytes + t.logSize +
+		(len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxHeadBytes
 	for k := range t.lastVerdicts {
 		v := &t.lastVerdicts[k]
-		w.size += len(v.From) + len(v.Refused) + sizeOf(v.Differ)
+		size += len(v.From) + len(v.Refused) + sizeOf(v.Differ)
 	}
-	all, first, drafted := w.countDifference(t.all), w.countDifference(t.canary), w.countDifference(t.draft.content)
-	w.addSingleStep(func() {
-		w.text = make([]byte, 0, w.size)
-		w.writeHead(cborMap, 4+oneIfAny(*all)+oneIfAny(*first)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
-		w.writeField(1, t.head)
-		w.writeField(2, t.canarySince)
-		w.writeArrayKey(3, cborArray, Blocks)
-	})
-	block := 0
+	return size
+}
+
+// writeStart writes the fields up to the head of the blocks.
+func (w *SnapshotWriter) writeStart(all, canary int) {
+	t := &w.table
+	w.text = make([]byte, 0, w.size)
+	always := 4 // head, canary since, blocks, draft
+	w.writeHead(cborMap, always+oneIfAny(all)+oneIfAny(canary)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
+	w.writeField(keyHead, t.head)
+	w.writeField(keyCanarySince, t.canarySince)
+	w.writeArrayHead(keyBlocks, Blocks)
+}
+
+// writeEnd writes the fields after the log, up to the draft's changes.
+func (w *SnapshotWriter) writeEnd(drafted int) {
+	t := &w.table
+	if len(t.rollbackVersions) > 0 {
+		w.writeField(keyRollbackVersions, t.rollbackVersions)
+	}
+	if len(t.lastVerdicts) > 0 {
+		w.writeField(keyLastVerdicts, t.lastVerdicts)
+	}
+	w.text = append(w.text, keyDraft)
+	w.writeBody(t.draft, oneIfAny(drafted))
+}
+
+// addBlocks adds the blocks of the newest content.
+func (w *SnapshotWriter) addBlocks() {
+	n := 0
 	w.addStep(func() bool {
-		if text, _ := t.newest.Block(block); text == nil {
+		block, _ := w.table.newest.Block(n)
+		if block == nil {
 			w.text = append(w.text, cborNull)
 		} else {
-			w.writeHead(cborBytes, len(text))
-			w.text = append(w.text, text...)
+			w.writeHead(cborBytes, len(block))
+			w.text = append(w.text, block...)
 		}
-		block++
-		return block == Blocks
+		n++
+		return n == Blocks
 	})
-	w.addDifference(4, t.all, all)
-	w.addDifference(5, t.canary, first)
-	if len(t.log) > 0 {
-		w.addSingleStep(func() { w.writeArrayKey(6, cborArray, len(t.log)) })
-		for _, r := range t.log {
-			w.addRecord(r)
-		}
+}
+
+// addLog adds the log.
+func (w *SnapshotWriter) addLog() {
+	if len(w.table.log) == 0 {
+		return
+	}
+	w.addSingleStep(func() { w.writeArrayHead(keyLog, len(w.table.log)) })
+	for _, record := range w.table.log {
+		w.addRecord(record)
 	}
-	w.addSingleStep(func() {
-		if len(t.rollbackVersions) > 0 {
-			w.writeField(7, t.rollbackVersions)
-		}
-		if len(t.lastVerdicts) > 0 {
-			w.writeField(8, t.lastVerdicts)
-		}
-		w.text = append(w.text, 9)
-		w.writeBody(t.draft, oneIfAny(*drafted))
-	})
-	w.addDifference(5, t.draft.content, drafted)
-	return w
 }
 
-// Next writes at least so many bytes more, or what costs as much, and says whether the snapshot is whole. It goes beyond them by
-// what one block, or one look for what differs, takes at the most.
+// Next encodes at least so many bytes more, or what costs as much, and reports whether the snapshot is complete. It exceeds them by one
+// block, or one call of Difference.Next, at the most.
 func (w *SnapshotWriter) Next(least int) (whole bool) {
-	for w.cost = 0; len(w.steps) > 0 && w.cost < least; {
+	w.cost = 0
+	for len(w.steps) > 0 && w.cost < least {
 		before := len(w.text)
 		if w.steps[0]() {
 			w.steps[0] = nil
@@ -111,17 +178,22 @@
 	return len(w.steps) == 0
 }
 
-// Text is what is written so far. It must not be changed.
+// Text is what is encoded so far. It must not be changed.
 func (w *SnapshotWriter) Text() []byte { return w.text }
 
-func (w *SnapshotWriter) addStep(part func() bool) { w.steps = append(w.steps, part) }
+func (w *SnapshotWriter) addStep(step func() bool) { w.steps = append(w.steps, step) }
 
-func (w *SnapshotWriter) addSingleStep(part func()) { w.addStep(func() bool { part(); return true }) }
+func (w *SnapshotWriter) addSingleStep(step func()) {
+	w.addStep(func() bool {
+		step()
+		return true
+	})
+}
 
 func oneIfAny(n int) int { return min(n, 1) }
 
-// countDifference is how many items a content differs in from the newest, once that is known. They are gone through before anything
-// is written, so that the text has its room from the beginning.
+// countDifference counts the items that a content differs in from the newest. They are counted before anything is encoded, so that the
+// text is allocated once.
 func (w *SnapshotWriter) countDifference(content *Content) *int {
 	n := new(int)
 	if content == nil || content.Digest() == w.table.newest.Digest() {
@@ -140,7 +212,7 @@
 	return n
 }
 
-// nextDifference gives the next items that differ; what was gone through for them counts.
+// nextDifference returns the next items that differ, and adds up what was scanned for them.
 func (w *SnapshotWriter) nextDifference(d *Difference) []Item {
 	before := d.scanned
 	list := d.Next(itemsPerStep)
@@ -148,40 +220,41 @@
 	return list
 }
 
-// addDifference is a field with what a content differs in from the newest; none where that is nothing.
+// addDifference adds a field with the items that a content differs in from the newest, where there are any.
 func (w *SnapshotWriter) addDifference(key byte, content *Content, n *int) {
-	var d *Difference
+	var difference *Difference
 	w.addStep(func() bool {
 		if *n == 0 {
 			return true
 		}
-		if d == nil {
-			d = Diff(w.table.newest, content)
-			w.writeArrayKey(key, cborArray, *n)
+		if difference == nil {
+			difference = Diff(w.table.newest, content)
+			w.writeArrayHead(key, *n)
 		}
-		list := w.nextDifference(d)
+		list := w.nextDifference(difference)
 		w.writeItems(list)
 		return len(list) == 0
 	})
 }
 
-// addRecord is one of the log: its fields in order, but for its changes, which come last.
+// addRecord adds one record: its fields in order, but for its changes, which come last.
 func (w *SnapshotWriter) addRecord(r *Record) {
 	w.addSingleStep(func() {
-		light := *r
-		light.Changes, light.Replaced = nil, nil
-		w.writeBody(&light, oneIfAny(len(r.Changes))+oneIfAny(len(r.Replaced)))
+		rest := *r
+		rest.Changes = nil
+		rest.Replaced = nil
+		w.writeBody(&rest, oneIfAny(len(r.Changes))+oneIfAny(len(r.Replaced)))
 	})
-	w.addItems(6, r.Changes)
-	w.addItems(7, r.Replaced)
+	w.addItems(keyRecordChanges, r.Changes)
+	w.addItems(keyRecordReplaced, r.Replaced)
 }
 
-// addItems is a field with a list.
+// addItems adds a field with a list, where it has any items.
 func (w *SnapshotWriter) addItems(key byte, list []Item) {
 	if len(list) == 0 {
 		return
 	}
-	w.addSingleStep(func() { w.writeArrayKey(key, cborArray, len(list)) })
+	w.addSingleStep(func() { w.writeArrayHead(key, len(list)) })
 	w.addStep(func() bool {
 		n := min(itemsPerStep, len(list))
 		w.writeItems(list[:n])
@@ -197,7 +270,7 @@
 	}
 }
 
-// writeBody writes a value that is a map of less than 24 fields, with so many more to follow.
+// writeBody encodes a value that is a map of less than 24 fields, of which so many more follow.
 func (w *SnapshotWriter) writeBody(value any, more int) {
 	at := len(w.text)
 	w.writeValue(value)
@@ -209,20 +282,20 @@
 	w.writeValue(value)
 }
 
-func (w *SnapshotWriter) writeArrayKey(writeArrayKey, kind byte, n int) {
-	w.text = append(w.text, writeArrayKey)
-	w.writeHead(kind, n)
+func (w *SnapshotWriter) writeArrayHead(key byte, n int) {
+	w.text = append(w.text, key)
+	w.writeHead(cborArray, n)
 }
 
-func (w *SnapshotWriter) writeValue(writeValue any) {
-	text, err := cbor.Marshal(writeValue)
+func (w *SnapshotWriter) writeValue(value any) {
+	text, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // plain fields can always be encoded
 	}
 	w.text = append(w.text, text...)
 }
 
-// writeHead is the kind of a value and its length.
+// writeHead encodes the major type of a value and its length.
 func (w *SnapshotWriter) writeHead(kind byte, n int) {
 	switch {
 	case n < lengthOf8:
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -92,8 +92,9 @@
 			}
 			table.Apply(at, &c)
 		}
-		s := savedTable{Head: table.head, Since: table.canarySince, Blocks: make([][]byte, Blocks), All: items(table.newest, table.all),
-			First: items(table.newest, table.canary), Log: table.log, Good: table.rollbackVersions, Askers: table.lastVerdicts, Draft: table.draft}
+		s := savedTable{Head: table.head, CanarySince: table.canarySince, Blocks: make([][]byte, Blocks), All: items(table.newest, table.all),
+			Canary: items(table.newest, table.canary), Log: table.log, RollbackVersions: table.rollbackVersions, LastVerdicts: table.lastVerdicts,
+			Draft: table.draft}
 		for n := range s.Blocks {
 			s.Blocks[n], _ = table.newest.Block(n)
 		}
--- /dev/null
+++ b/internal/fleet/configsync/versions.go
@@ -0,0 +1,143 @@
+package configsync
+
+import (
+	"fmt"
+	"slices"
+)
+
+// commit makes a content the newest version. One that equals the newest makes none, unless a rollback brings it in force for all.
+func (t *Table) commit(at int64, c *Command, next *Content, v *Verdict) {
+	rollback := c.Kind == Rollback
+	v.Done = true
+	if next.Digest() == t.newest.Digest() && (!rollback || t.head.Newest == t.head.All.Version) {
+		return
+	}
+	if t.head.Newest == 0 && c.Kind == Put {
+		t.head.Newest = min(c.Version, maxStartVersion)
+	}
+	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Rollback: rollback}
+	fits := record.fill(t.newest, next)
+	t.newest = next
+	t.head.Newest = record.Version
+	v.Version = record.Version
+	t.appendLog(record, fits)
+	switch {
+	case rollback: // it was in force for all before
+		t.head.First = Revision{record.Version, record.Digest}
+		t.canary = next
+		t.promote(at)
+	case !t.atCanary():
+		t.startCanary(at)
+	}
+}
+
+// fill sets a record's changes, without those that change nothing. It is false for more than the log can hold, and stops then.
+func (r *Record) fill(before, after *Content) bool {
+	for difference := Diff(before, after); ; {
+		changes := difference.Next(maxLogRecords)
+		if len(changes) == 0 {
+			return true
+		}
+		r.Changes = append(r.Changes, changes...)
+		for _, item := range changes {
+			r.Replaced = append(r.Replaced, Item{item.Part, item.Name, before.Get(item.Part, item.Name)})
+		}
+		r.size = 0
+		if r.bytes() > maxLogBytes {
+			return false
+		}
+	}
+}
+
+// appendLog appends a record, or begins an empty log where that doesn't fit.
+func (t *Table) appendLog(record *Record, fits bool) {
+	if !fits {
+		t.log = nil
+		t.logSize = 0
+		return
+	}
+	t.log = append(t.log, record)
+	t.logSize += record.bytes()
+	for t.logSize > maxLogBytes || len(t.log) > maxLogRecords {
+		t.logSize -= t.log[0].bytes()
+		t.log[0] = nil
+		t.log = t.log[1:]
+	}
+}
+
+// startCanary begins the canary stage of the newest version, with all that it is made on.
+func (t *Table) startCanary(at int64) {
+	t.head.First = Revision{t.head.Newest, t.newest.Digest()}
+	t.head.Stopped = false
+	t.head.Who = ""
+	t.head.Why = ""
+	t.canary = t.newest
+	t.canarySince = at
+}
+
+// promote has the version at the canary stage in force for all. What was agreed on meanwhile is at the canary stage next, as one.
+func (t *Table) promote(at int64) {
+	t.rollbackVersions = append(t.rollbackVersions, t.head.All.Version)
+	if len(t.rollbackVersions) > maxLogRecords {
+		t.rollbackVersions = slices.Delete(t.rollbackVersions, 0, 1)
+	}
+	t.head.All = t.head.First
+	t.all = t.canary
+	first := t.head.Newest + 1
+	if len(t.log) > 0 {
+		first = t.log[0].Version
+	}
+	t.rollbackVersions = slices.DeleteFunc(t.rollbackVersions, func(version uint64) bool { return version+1 < first })
+	t.startCanary(at)
+}
+
+// refuseStale refuses a change that was made on another version, and names the items that changed since.
+func (t *Table) refuseStale(base uint64, v *Verdict) {
+	v.Stale = true
+	v.Refused = fmt.Sprintf("made on version %d, the newest is %d; look at what differs and put it again", base, t.head.Newest)
+	if base > t.head.Newest {
+		v.Refused = fmt.Sprintf("made on version %d, the newest is %d: it was made on what another council agreed on", base, t.head.Newest)
+	}
+	if len(t.log) == 0 || base+1 < t.log[0].Version || base > t.head.Newest {
+		v.More = -1
+		return
+	}
+	type itemName struct{ part, name string }
+	seen := map[itemName]bool{}
+	for _, record := range t.log[base+1-t.log[0].Version:] {
+		for _, item := range record.Changes {
+			name := itemName{item.Part, item.Name}
+			if seen[name] {
+				continue
+			}
+			seen[name] = true
+			if len(v.Differ) < maxNamedItems {
+				v.Differ = append(v.Differ, Item{Part: item.Part, Name: item.Name})
+			} else {
+				v.More++
+			}
+		}
+	}
+}
+
+// applyRollback makes a new version of an older one's content. That one was in force for all, so this one is at once.
+func (t *Table) applyRollback(at int64, c *Command, v *Verdict) {
+	if c.Version == t.head.All.Version {
+		t.commit(at, c, t.all, v)
+		return
+	}
+	if !slices.Contains(t.rollbackVersions, c.Version) || len(t.log) == 0 || c.Version+1 < t.log[0].Version {
+		v.Refused = fmt.Sprintf("version %d was never in force for all, or the log no longer reaches it; put its content as a change", c.Version)
+		return
+	}
+	content := t.newest
+	for k := len(t.log) - 1; k >= 0 && t.log[k].Version > c.Version; k-- {
+		var err error
+		content, err = content.Apply(t.log[k].Replaced)
+		if err != nil {
+			v.Refused = err.Error()
+			return
+		}
+	}
+	t.commit(at, c, content, v)
+}
