--- /dev/null
+++ b/internal/fleet/configsync/events.go
@@ -0,0 +1,79 @@
+package configsync
+
+// View is whom a node can reach, by name, without itself.
+type View struct {
+	Neighbours []string // along membership's links
+	Seats      []string // the replicas
+	Zone       []string // live members of its own zone, or of none where it knows none
+}
+
+// Agreed is the state of a replica's table, for the replicator of its node.
+type Agreed struct {
+	Head               HeadRevision
+	All, First, Newest *Content
+	Log                []*Record
+}
+
+// Agreed returns the table's state, which the replicator gets after each change.
+func (t *Table) Agreed() *Agreed { return &Agreed{t.head, t.all, t.canary, t.newest, t.log} }
+
+// InputKind names what happened.
+type InputKind uint8
+
+// The kinds of inputs.
+const (
+	Viewed   InputKind = iota // the view changed
+	Came                      // a datagram of From
+	Asked                     // From opened an exchange on Link
+	Answered                  // the answer to an exchange of this node on Link
+	Missed                    // an exchange of this node on Link failed
+	Took                      // Mark is in force at this node, or can't be: Why
+	Checked                   // Mark could be applied, or can't be: Why
+	Saved                     // the last Persist was carried out, or wasn't: Why
+	Ordered                   // the table of this node's replica changed
+	Stood                     // this node's replica is in contact with the group, or not any more: Current
+)
+
+// Input is one event. The replicator owns what it points to.
+type Input struct {
+	Kind    InputKind
+	From    string
+	Link    int
+	Message *Message
+	View    *View
+	Agreed  *Agreed
+	Current bool
+	Mark    Revision
+	Why     string
+}
+
+// EffectKind names what is to be done.
+type EffectKind uint8
+
+// The kinds of effects.
+const (
+	Send     EffectKind = iota // a datagram to To
+	Exchange                   // open Link to To, write Message, wait for the answer
+	Reply                      // answer the exchange on Link
+	Take                       // apply Mark: Diff(Old, New) are the changes; answered by Took. It replaces a pending Check
+	Check                      // check whether Mark could be applied, and change nothing; answered by Checked
+	Persist                    // write Mark to the disk: Records after what was written before, or all of New where Full; answered by Saved
+	Order                      // have the replica propose Command
+	Remark                     // log Text
+)
+
+// Effect is one thing to do. What it points to must not be changed.
+type Effect struct {
+	Kind     EffectKind
+	To       string
+	Link     int
+	Message  *Message
+	Mark     Revision
+	First    bool // Take, Check: for the canary stage
+	Old, New *Content
+	Records  []*Record
+	Full     bool
+	Command  *Command
+	Text     string
+	Warn     bool
+}
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const maxStatuses = 2_000 // nodes that a seat knows reports of: above any table of members
+const maxStatuses = 2_000 // nodes whose reports a replica remembers: above any number of members
 
 // NodeStatus is what one node reported last.
 type NodeStatus struct {
@@ -17,39 +17,53 @@
 	At      int64 // when it reported
 }
 
-// StatusTable is what nodes reported to one seat. It isn't agreed on: all seats' boards together say how the fleet stands.
-// The zero value is empty.
+// StatusTable is what nodes reported to one replica. It isn't replicated: the tables of all replicas together show the whole fleet. The
+// zero value is empty.
 type StatusTable struct {
 	nodes    map[string]*NodeStatus
-	refusers map[string]*NodeStatus // those of nodes that can't take something
+	refusing map[string]*NodeStatus // those of nodes that refused a version
 }
 
-// Report notes what a node has. The one that was silent longest makes room.
+// Report notes what a node has. A full table forgets the node that was silent longest.
 func (t *StatusTable) Report(now int64, name string, has, refused Revision, why string, age int64) {
 	status := t.nodes[name]
 	if status == nil {
-		if t.nodes == nil {
-			t.nodes, t.refusers = map[string]*NodeStatus{}, map[string]*NodeStatus{}
-		}
-		if len(t.nodes) >= maxStatuses {
-			var old *NodeStatus
-			for _, status := range t.nodes {
-				if old == nil || cmp.Or(cmp.Compare(status.At, old.At), cmp.Compare(status.Name, old.Name)) < 0 {
-					old = status
-				}
-			}
-			delete(t.nodes, old.Name)
-			delete(t.refusers, old.Name)
-		}
-		status = &NodeStatus{Name: name}
-		t.nodes[name] = status
+		status = t.add(name)
 	}
-	status.Mark, status.Refused, status.Why, status.Age, status.At = has, refused, truncate(why, maxReasonBytes), age, now
+	status.Mark = has
+	status.Refused = refused
+	status.Why = truncate(why, maxReasonBytes)
+	status.Age = age
+	status.At = now
 	if refused.Version > 0 {
-		t.refusers[name] = status
+		t.refusing[name] = status
 	} else {
-		delete(t.refusers, name)
+		delete(t.refusing, name)
+	}
+}
+
+func (t *StatusTable) add(name string) *NodeStatus {
+	if t.nodes == nil {
+		t.nodes = map[string]*NodeStatus{}
+		t.refusing = map[string]*NodeStatus{}
+	}
+	if len(t.nodes) >= maxStatuses {
+		t.removeOldest()
 	}
+	status := &NodeStatus{Name: name}
+	t.nodes[name] = status
+	return status
+}
+
+func (t *StatusTable) removeOldest() {
+	var oldest *NodeStatus
+	for _, status := range t.nodes {
+		if oldest == nil || cmp.Or(cmp.Compare(status.At, oldest.At), cmp.Compare(status.Name, oldest.Name)) < 0 {
+			oldest = status
+		}
+	}
+	delete(t.nodes, oldest.Name)
+	delete(t.refusing, oldest.Name)
 }
 
 // Statuses are all that are known, by name.
@@ -58,15 +72,20 @@
 	for _, status := range t.nodes {
 		list = append(list, *status)
 	}
-	slices.SortFunc(list, func(x, y NodeStatus) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(list, func(a, b NodeStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-// refusal is a node that can't take a version, the first by name.
+// refusal is the first node by name that refused a version, and its reason.
 func (t *StatusTable) refusal(revision Revision) (who, why string, ok bool) {
-	for _, status := range t.refusers {
-		if status.Refused == revision && revision.Version > 0 && (!ok || status.Name < who) {
-			who, why, ok = status.Name, status.Why, true
+	if revision.Version == 0 {
+		return "", "", false
+	}
+	for _, status := range t.refusing {
+		if status.Refused == revision && (!ok || status.Name < who) {
+			who = status.Name
+			why = status.Why
+			ok = true
 		}
 	}
 	return who, why, ok
