--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -25,7 +25,7 @@
 	return list
 }
 
-func all(c *Content) map[string]string {
+func itemsByName(c *Content) map[string]string {
 	m := map[string]string{}
 	for i := range c.All {
 		m[i.Part+"/"+i.Name] = string(i.Value)
@@ -50,13 +50,13 @@
 			next, err := c.Apply(list)
 			require.NoError(t, err)
 			applyTo(m, list)
-			require.Equal(t, m, all(next))
+			require.Equal(t, m, itemsByName(next))
 			if first == c {
-				was = maps.Clone(all(c))
+				was = maps.Clone(itemsByName(c))
 			}
 			c = next
 		}
-		require.Equal(t, was, all(first), "an older content doesn't change")
+		require.Equal(t, was, itemsByName(first), "an older content doesn't change")
 		var again []Item
 		for i := range c.All {
 			again = append(again, i)
@@ -84,7 +84,7 @@
 			back, err = back.Apply(some)
 			require.NoError(t, err)
 		}
-		require.Equal(t, m, all(back))
+		require.Equal(t, m, itemsByName(back))
 		require.Equal(t, c.Digest(), back.Digest())
 	})
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// full is a content of the size that is wanted in two years.
-func full(t testing.TB, operations, tenants int) *Content {
+// fullContent is a content of the size that is wanted in two years.
+func fullContent(t testing.TB, operations, tenants int) *Content {
 	list := make([]Item, 0, operations+tenants)
 	for k := range operations {
 		list = append(list, Item{Operations, fmt.Sprintf("region-%d/service-%d/operation-%d", k%7, k%390, k),
@@ -141,7 +141,7 @@
 	return c
 }
 
-func inUse() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -151,9 +151,9 @@
 
 // TestMemoryAtFullSize wants what a node holds to be little more than its bytes, and a change to cost little.
 func TestMemoryAtFullSize(t *testing.T) {
-	before := inUse()
-	c := full(t, 4_700, 130_000)
-	held := int64(inUse()) - int64(before)
+	before := heapInUse()
+	c := fullContent(t, 4_700, 130_000)
+	held := int64(heapInUse()) - int64(before)
 	t.Logf("%d bytes of names and values are held in %d", c.Bytes(), held)
 	require.Less(t, held, int64(10<<20))
 	largest := 0
@@ -169,14 +169,14 @@
 		require.NoError(t, err)
 		versions = append(versions, next)
 	}
-	more := int64(inUse()) - int64(before) - held
+	more := int64(heapInUse()) - int64(before) - held
 	t.Logf("20 further versions with one change each: %d bytes", more)
 	require.Less(t, more, int64(20*2*maxPieceBytes))
 	runtime.KeepAlive(versions)
 }
 
 func BenchmarkChangeAtFullSize(b *testing.B) {
-	c := full(b, 4_700, 130_000)
+	c := fullContent(b, 4_700, 130_000)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
 		if _, err := c.Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k%130_000), []byte("1")}}); err != nil {
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -14,40 +14,40 @@
 func TestLettersFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
 	head := HeadRevision{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", maxCallerNameBytes), Why: strings.Repeat("y", maxReasonBytes)}
-	x := NewTable()
+	table := NewTable()
 	for k := range 200 {
-		x.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
+		table.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
 	}
-	c := full(t, 300, 10_000)
-	piece := &Message{Kind: Piece, Has: most, Records: wireRecords(x.log, maxPieceBytes, false)}
+	c := fullContent(t, 300, 10_000)
+	piece := &Message{Kind: Piece, Has: most, Records: wireRecords(table.log, maxPieceBytes, false)}
 	index := &Message{Kind: Piece, Has: most}
 	appendDifferingPages(c.index(), nil, index)
-	h := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
-	h.assembly.index = (&Content{}).index()
+	r := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
+	r.assembly.index = (&Content{}).index()
 	ask := &Message{Kind: Fetch, Has: most, Want: most}
-	h.requestMissing(ask)
+	r.requestMissing(ask)
 	blocks := &Message{Kind: Piece, Has: most}
 	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
-	h = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
-	h.assembly.index = c.index()
+	r = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
+	r.assembly.index = c.index()
 	wanted := &Message{Kind: Fetch, Has: most, Want: most}
-	h.requestMissing(wanted)
+	r.requestMissing(wanted)
 	answerFrom.serveBlocks(wanted, blocks)
 	require.Len(t, wanted.Wanted, maxWantedBlocks)
 	require.NotEmpty(t, blocks.Blocks)
-	g := give(t)
-	two := g.put(t, apart(g.base, 1_000)...)
-	h = g.asker()
-	h.assembly.index = g.newest.index()
-	parts, parted := &Message{Kind: Fetch, Has: g.one, Want: two}, &Message{Kind: Piece, Has: most}
-	h.requestMissing(parts)
+	g := newSuppliers(t)
+	two := g.put(t, scattered(g.base, 1_000)...)
+	r = g.fetcher()
+	r.assembly.index = g.newest.index()
+	parts, parted := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece, Has: most}
+	r.requestMissing(parts)
 	g.nodes["a"].serveBlocks(parts, parted)
 	require.NotEmpty(t, parted.Blocks[0].Changes)
 	for _, m := range []struct {
 		*Message
 		most int
 	}{
-		{&Message{Kind: Tell, Head: head.announced(), Has: most, Records: wireRecords(x.log, maxEagerBytes, false)}, envelope.DatagramMost},
+		{&Message{Kind: Tell, Head: head.announced(), Has: most, Records: wireRecords(table.log, maxEagerBytes, false)}, envelope.DatagramMost},
 		{&Message{Kind: Report, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", maxReasonBytes), Age: 1 << 60}, envelope.DatagramMost},
 		{&Message{Kind: Vouch, Seq: 1 << 31, Head: head}, envelope.DatagramMost},
 		{ask, 64 << 10}, {wanted, 64 << 10}, {piece, 64 << 10}, {index, 64 << 10}, {blocks, 64 << 10},
@@ -68,14 +68,14 @@
 
 // TestFalseWordsAreSetAside floods a node with what no seat knows of; it goes by what seats say, and asks little.
 func TestFalseWordsAreSetAside(t *testing.T) {
-	h, sound := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"}), &Content{}
+	r, sound := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"}), &Content{}
 	sound, err := sound.Apply([]Item{tenant(1, "1")})
 	require.NoError(t, err)
 	head := HeadRevision{All: Revision{1, sound.Digest()}, First: Revision{1, sound.Digest()}, Newest: 1}
 	reports, seats := 0, 0
 	inputs := []Input{{Kind: Viewed, View: &View{Neighbours: []string{"liar", "b"}, Seats: []string{"s", "t"}}}}
 	for now := int64(1); now < 20_000*ms; now += 10 * ms {
-		effects, _ := h.Step(now, inputs)
+		effects, _ := r.Step(now, inputs)
 		inputs = nil
 		for _, e := range effects {
 			switch {
@@ -100,8 +100,8 @@
 				Input{Kind: Came, From: "liar", Message: &Message{Kind: Vouch, Head: HeadRevision{All: lie, First: lie}}})
 		}
 	}
-	require.Equal(t, head.All, h.Revision())
+	require.Equal(t, head.All, r.Revision())
 	require.Positive(t, seats)
-	require.Positive(t, h.Counters.InvalidResponses)
+	require.Positive(t, r.Counters.InvalidResponses)
 	require.Less(t, reports, 40, "a flood makes few reports: the one who lied is passed over for longer each time")
 }
--- a/internal/fleet/configsync/pieces_test.go
+++ b/internal/fleet/configsync/pieces_test.go
@@ -32,7 +32,7 @@
 		if next := table.draft.content; k > 0 && k < pieces-1 {
 			differ := 0
 			for n := range Blocks {
-				if _, a := before.Block(n); a != sumOf(next, n) {
+				if _, a := before.Block(n); a != digestOfBlock(next, n) {
 					differ++
 				}
 			}
@@ -68,7 +68,7 @@
 	assert.Contains(t, v.Refused, "not in canonical form")
 }
 
-func sumOf(c *Content, n int) Digest {
+func digestOfBlock(c *Content, n int) Digest {
 	_, sum := c.Block(n)
 	return sum
 }
--- a/internal/fleet/configsync/schedules_test.go
+++ b/internal/fleet/configsync/schedules_test.go
@@ -15,39 +15,39 @@
 	oneSeed   = flag.Int64("seed", 0, "play this one only")
 )
 
-// play draws a fleet and what happens to it, and checks all that must hold.
-func play(seed int64, mutate func(*world)) *world {
-	w := newWorld(seed, 5+int(seed%7), 3, 2)
-	r := w.chance
-	w.loss, w.double, w.strays = 0.15*r.Float64(), 0.1*r.Float64(), 0.03*r.Float64()
-	w.callers = []*caller{{name: "a"}, {name: "b"}}
+// runSchedule draws a fleet and what happens to it, and checks all that must hold.
+func runSchedule(seed int64, mutate func(*simulation)) *simulation {
+	sim := newSimulation(seed, 5+int(seed%7), 3, 2)
+	r := sim.random
+	sim.loss, sim.duplication, sim.stragglers = 0.15*r.Float64(), 0.1*r.Float64(), 0.03*r.Float64()
+	sim.callers = []*caller{{name: "a"}, {name: "b"}}
 	if mutate != nil {
-		mutate(w)
+		mutate(sim)
 	}
 	if r.Intn(3) == 0 {
-		w.nodes[w.seats+r.Intn(len(w.nodes)-w.seats)].old = true
+		sim.nodes[sim.replicas+r.Intn(len(sim.nodes)-sim.replicas)].olderBuild = true
 	}
 	if r.Intn(3) == 0 {
-		w.nodes[w.seats+r.Intn(len(w.nodes)-w.seats)].liar = true
+		sim.nodes[sim.replicas+r.Intn(len(sim.nodes)-sim.replicas)].faulty = true
 	}
-	w.large = r.Intn(4) == 0
+	sim.largeChanges = r.Intn(4) == 0
 	if r.Intn(4) == 0 {
-		w.file, _ = w.file.Apply([]Item{{Tenants, "of the file", []byte("1")}})
+		sim.file, _ = sim.file.Apply([]Item{{Tenants, "of the file", []byte("1")}})
 	}
-	end := w.now + 40_000*ms
-	for w.now < end && w.wrong == "" {
-		w.event()
-		w.run(w.now + r.Int63n(2_500*ms))
+	end := sim.now + 40_000*ms
+	for sim.now < end && sim.failure == "" {
+		sim.injectRandomEvent()
+		sim.run(sim.now + r.Int63n(2_500*ms))
 	}
-	w.finish()
-	return w
+	sim.finish()
+	return sim
 }
 
-// event draws one thing that happens.
-func (w *world) event() {
-	r := w.chance
-	i := r.Intn(len(w.nodes))
-	n := w.nodes[i]
+// injectRandomEvent draws one thing that happens.
+func (s *simulation) injectRandomEvent() {
+	r := s.random
+	i := r.Intn(len(s.nodes))
+	n := s.nodes[i]
 	item := func() Item {
 		name := fmt.Sprintf("t%d", r.Intn(6))
 		switch r.Intn(12) {
@@ -61,65 +61,65 @@
 		return Item{Tenants, name, []byte(fmt.Sprintf(`{"rate":%d}`, r.Intn(9)))}
 	}
 	kinds := 14
-	if w.large {
+	if s.largeChanges {
 		kinds = 17
 	}
 	switch r.Intn(kinds) {
 	case 0, 1, 2, 3:
-		w.put(w.callers[r.Intn(2)], item(), item())
+		s.put(s.callers[r.Intn(2)], item(), item())
 	case 4: // on both sides at once
-		w.put(w.callers[0], item())
-		w.put(w.callers[1], item())
+		s.put(s.callers[0], item())
+		s.put(s.callers[1], item())
 	case 5:
-		if c := w.callers[r.Intn(2)]; c.command == nil {
-			w.back(c, w.order.Head().All.Version)
+		if c := s.callers[r.Intn(2)]; c.command == nil {
+			s.rollback(c, s.agreed.Head().All.Version)
 		}
 	case 6:
-		if good := w.order.RollbackVersions(); len(good) > 0 && w.callers[0].command == nil {
-			w.back(w.callers[0], good[r.Intn(len(good))])
+		if good := s.agreed.RollbackVersions(); len(good) > 0 && s.callers[0].command == nil {
+			s.rollback(s.callers[0], good[r.Intn(len(good))])
 		}
 	case 7, 8: // a process is killed; seats keep what they agreed on
 		if n.up {
-			w.crash(i)
+			s.crash(i)
 		}
 	case 9: // back, with its disk, an older one, or none
 		if !n.up {
 			switch r.Intn(4) {
 			case 0:
-				n.disk = disk{}
+				n.disk = simDisk{}
 			case 1:
-				n.disk, n.most = n.before, n.before.mark.Version
+				n.disk, n.maxVersion = n.olderDisk, n.olderDisk.revision.Version
 			}
-			w.restart(i)
+			s.restart(i)
 		}
 	case 10: // a cut, callers on both sides
-		for _, m := range w.nodes {
-			m.side = r.Intn(2)
+		for _, m := range s.nodes {
+			m.partition = r.Intn(2)
 		}
-		w.callers[0].side, w.callers[1].side = 0, 1
+		s.callers[0].side, s.callers[1].side = 0, 1
 	case 11:
-		w.heal()
+		s.heal()
 	case 12: // a leader is killed after it had something agreed on, and before it told
-		w.put(w.callers[0], item())
-		w.at(w.now+30*ms, func() {
-			if k := r.Intn(w.seats); w.nodes[k].up {
-				w.crash(k)
+		s.put(s.callers[0], item())
+		s.at(s.now+30*ms, func() {
+			if k := r.Intn(s.replicas); s.nodes[k].up {
+				s.crash(k)
 			}
 		})
 	case 13: // false words, many
-		for _, m := range w.nodes {
-			if m.liar && m.up {
+		for _, m := range s.nodes {
+			if m.faulty && m.up {
 				for range 50 {
-					lie := Message{Kind: Tell, Head: w.order.Head()}
+					lie := Message{Kind: Tell, Head: s.agreed.Head()}
 					lie.Head.All.Version += uint64(r.Intn(1 << 20))
 					lie.Head.All.Digest.A = r.Uint64()
 					lie.Has = lie.Head.All
-					w.give(i, Input{Kind: Came, From: m.name, Message: &lie})
+					s.deliver(i, Input{Kind: Came, From: m.name, Message: &lie})
 				}
 			}
 		}
 	case 14, 15, 16: // one whose record is more than one answer
-		w.put(w.callers[r.Intn(2)], largeChange(r.Intn(3))...)
+		s.put(s.callers[r.Intn(2)], largeChange(r.Intn(3))...)
 	}
 }
 
@@ -149,82 +149,82 @@
 	return list
 }
 
-func (w *world) heal() {
-	for _, m := range w.nodes {
-		m.side = 0
+func (s *simulation) heal() {
+	for _, m := range s.nodes {
+		m.partition = 0
 	}
-	for _, c := range w.callers {
+	for _, c := range s.callers {
 		c.side = 0
 	}
 }
 
 // restart brings a process back. A seat's table is read from its snapshot and the log behind it, or learnt anew.
-func (w *world) restart(i int) {
-	n := w.nodes[i]
-	if n.seat {
+func (s *simulation) restart(i int) {
+	n := s.nodes[i]
+	if n.isReplica {
 		text, err := n.table.Snapshot()
 		if err != nil {
-			w.fail("%s: %v", n.name, err)
+			s.fail("%s: %v", n.name, err)
 			return
 		}
 		if n.table, err = Restore(text); err != nil {
-			w.fail("%s: %v", n.name, err)
+			s.fail("%s: %v", n.name, err)
 			return
 		}
-		if n.disk.content == nil && w.chance.Intn(2) == 0 {
-			n.table, n.seen = NewTable(), 0
+		if n.disk.content == nil && s.random.Intn(2) == 0 {
+			n.table, n.appliedEntries = NewTable(), 0
 		}
 	}
-	w.start(i, 2)
+	s.start(i, 2)
 }
 
 // finish heals everything, has operators take back what was stopped, and waits for one version at all.
-func (w *world) finish() {
-	if w.wrong != "" {
+func (s *simulation) finish() {
+	if s.failure != "" {
 		return
 	}
-	w.heal()
-	for i, n := range w.nodes {
+	s.heal()
+	for i, n := range s.nodes {
 		if !n.up {
-			w.restart(i)
+			s.restart(i)
 		}
-		n.old = false // the last of them are replaced by the new build
+		n.olderBuild = false // the last of them are replaced by the new build
 	}
-	w.loss, w.strays = min(w.loss, 0.05), 0
-	for end := w.now + 30_000*ms; w.now < end && w.wrong == ""; w.run(w.now + 1_000*ms) {
-		if c := w.callers[0]; w.order.Head().Stopped && c.command == nil {
-			w.back(c, w.order.Head().All.Version)
+	s.loss, s.stragglers = min(s.loss, 0.05), 0
+	for end := s.now + 30_000*ms; s.now < end && s.failure == ""; s.run(s.now + 1_000*ms) {
+		if c := s.callers[0]; s.agreed.Head().Stopped && c.command == nil {
+			s.rollback(c, s.agreed.Head().All.Version)
 		}
 	}
-	for _, c := range w.callers {
+	for _, c := range s.callers {
 		if c.command != nil {
-			w.fail("%s still waits for %+v", c.name, c.command)
+			s.fail("%s still waits for %+v", c.name, c.command)
 		}
 	}
-	for i, n := range w.nodes { // what refused it under the old build takes it in a new life
-		if n.holder.refused.Version > n.holder.applied.Version && n.up {
-			w.crash(i)
-			w.restart(i)
+	for i, n := range s.nodes { // what refused it under the old build takes it in a new life
+		if n.replicator.refused.Version > n.replicator.applied.Version && n.up {
+			s.crash(i)
+			s.restart(i)
 		}
 	}
-	healed := w.now
-	for w.settled() != "" && w.now < healed+10_000*ms && w.wrong == "" {
-		w.run(w.now + 250*ms)
+	healed := s.now
+	for s.unsettled() != "" && s.now < healed+10_000*ms && s.failure == "" {
+		s.run(s.now + 250*ms)
 	}
-	if why := w.settled(); why != "" {
-		w.fail("10 s after the last healing %s", why)
+	if why := s.unsettled(); why != "" {
+		s.fail("10 s after the last healing %s", why)
 	}
-	w.check()
+	s.check()
 }
 
 // TestDrawnSchedules plays a fleet through drawn faults. -schedules N plays more, -seed N plays one.
 func TestDrawnSchedules(t *testing.T) {
 	if *oneSeed != 0 {
-		require.Empty(t, play(*oneSeed, nil).wrong)
+		require.Empty(t, runSchedule(*oneSeed, nil).failure)
 		return
 	}
 	for seed := int64(1); seed <= int64(*schedules); seed++ {
-		require.Empty(t, play(seed, nil).wrong, "go test ./configuration -run TestDrawnSchedules -seed %d", seed)
+		require.Empty(t, runSchedule(seed, nil).failure, "go test ./configuration -run TestDrawnSchedules -seed %d", seed)
 	}
 }
 
@@ -232,13 +232,13 @@
 func TestLiarsAreSetAside(t *testing.T) {
 	lying, found := 0, 0
 	for seed := int64(1); seed <= 60; seed++ {
-		w, lies := play(seed, nil), 0
-		if !slices.ContainsFunc(w.nodes, func(n *node) bool { return n.liar }) {
+		sim, lies := runSchedule(seed, nil), 0
+		if !slices.ContainsFunc(sim.nodes, func(n *simNode) bool { return n.faulty }) {
 			continue
 		}
 		lying++
-		for _, n := range w.nodes {
-			lies += n.holder.Counters.InvalidResponses
+		for _, n := range sim.nodes {
+			lies += n.replicator.Counters.InvalidResponses
 		}
 		if lies > 0 {
 			found++
@@ -253,14 +253,14 @@
 func TestSchedulesHaveLargeChanges(t *testing.T) {
 	large, parted, answers := 0, 0, 0
 	for seed := int64(1); seed <= 60; seed++ {
-		w := play(seed, nil)
-		if w.large {
+		sim := runSchedule(seed, nil)
+		if sim.largeChanges {
 			large++
 		}
-		if w.parted > 0 {
+		if sim.deltaAnswers > 0 {
 			parted++
 		}
-		answers += w.parted
+		answers += sim.deltaAnswers
 	}
 	t.Logf("%d schedules of 60 have large changes, %d such answers, in %d of them", large, answers, parted)
 	require.Greater(t, parted, 5)
@@ -268,18 +268,18 @@
 
 // TestMutationsAreFound wants that the schedules see faults that were put in.
 func TestMutationsAreFound(t *testing.T) {
-	for name, mutate := range map[string]func(*world){
-		"digests are not compared": func(w *world) {
-			w.mutant = true
-			for _, n := range w.nodes {
-				n.holder.skipDigests = true
+	for name, mutate := range map[string]func(*simulation){
+		"digests are not compared": func(sim *simulation) {
+			sim.skipDigests = true
+			for _, n := range sim.nodes {
+				n.replicator.skipDigests = true
 			}
 		},
-		"acknowledged before agreed on": func(w *world) { w.hasty = true },
+		"acknowledged before agreed on": func(sim *simulation) { sim.acknowledgeEarly = true },
 	} {
 		found := int64(0)
 		for seed := int64(1); seed <= 200 && found == 0; seed++ {
-			if play(seed, mutate).wrong != "" {
+			if runSchedule(seed, mutate).failure != "" {
 				found = seed
 			}
 		}
--- a/internal/fleet/configsync/simulation_test.go
+++ b/internal/fleet/configsync/simulation_test.go
@@ -7,111 +7,111 @@
 	"slices"
 )
 
-// node is a holder with what is around it: its process, its disk, its links.
-type node struct {
-	name   string
-	holder *Replicator
-	life   int
-	up     bool
-	old    bool // of a build that can't take an item whose value says so
-	liar   bool
-	side   int
-	region int
-	index  int
-	woken  int64
-	disk   disk
-	before disk // an older state of it
-	table  *Table
-	seat   bool
-	seen   int // entries of the log that its table carried out
-	most   uint64
-
-	spent []int64 // bytes in each second, both ways
-	inbox []Input
-	took  map[uint64]int64
-}
-
-// disk is what was kept, and it is as sound as its digest.
-type disk struct {
-	mark    Revision
-	content *Content
-}
-
-type happening struct {
+// simNode is a holder with what is around it: its process, its disk, its links.
+type simNode struct {
+	name           string
+	replicator     *Replicator
+	incarnation    int
+	up             bool
+	olderBuild     bool // of a build that can't take an item whose value says so
+	faulty         bool
+	partition      int
+	region         int
+	index          int
+	wakeAt         int64
+	disk           simDisk
+	olderDisk      simDisk // an older state of it
+	table          *Table
+	isReplica      bool
+	appliedEntries int // entries of the log that its table carried out
+	maxVersion     uint64
+
+	bytesBySecond []int64 // bytes in each second, both ways
+	inbox         []Input
+	appliedAt     map[uint64]int64
+}
+
+// simDisk is what was kept, and it is as sound as its digest.
+type simDisk struct {
+	revision Revision
+	content  *Content
+}
+
+type event struct {
 	at, seq int64
 	do      func()
 }
 
-type happenings []happening
+type eventQueue []event
 
-func (x happenings) Len() int { return len(x) }
-func (x happenings) Less(i, j int) bool {
+func (x eventQueue) Len() int { return len(x) }
+func (x eventQueue) Less(i, j int) bool {
 	return x[i].at < x[j].at || x[i].at == x[j].at && x[i].seq < x[j].seq
 }
-func (x happenings) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
-func (x *happenings) Push(e any)   { *x = append(*x, e.(happening)) }
-func (x *happenings) Pop() any     { l := (*x)[len(*x)-1]; *x = (*x)[:len(*x)-1]; return l }
+func (x eventQueue) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
+func (x *eventQueue) Push(e any)   { *x = append(*x, e.(event)) }
+func (x *eventQueue) Pop() any     { l := (*x)[len(*x)-1]; *x = (*x)[:len(*x)-1]; return l }
 
-// ordered is a command that the council agreed on.
-type ordered struct {
-	at int64
-	c  *Command
+// logEntry is a command that the council agreed on.
+type logEntry struct {
+	at      int64
+	command *Command
 }
 
 // caller puts changes, one after another, at any seat that it reaches.
 type caller struct {
-	name    string
-	side    int
-	seq     uint64
-	base    uint64
-	command *Command // not acknowledged yet
-	sent    int64
-	acked   []Verdict
-	asked   []*Command // as acked
-	refused int
-}
-
-// world is a small fleet in virtual time: real tables behind a model of an agreed log, real holders on links that lose,
+	name         string
+	side         int
+	seq          uint64
+	base         uint64
+	command      *Command // not acknowledged yet
+	sentAt       int64
+	verdicts     []Verdict
+	acknowledged []*Command // as acked
+	refusals     int
+}
+
+// simulation is a small fleet in virtual time: real tables behind a model of an agreed log, real holders on links that lose,
 // double, delay and reorder.
-type world struct {
-	chance   *rand.Rand
-	now      int64
-	seq      int64
-	queue    happenings
-	nodes    []*node
-	byName   map[string]*node
-	seats    int
-	entries  []ordered
-	order    *Table            // carries out each entry as it is agreed on
-	history  map[uint64]Digest // what each agreed version comes to
-	putBy    map[string]uint64 // version by caller and number
-	stopped  map[uint64]bool
-	agreedAt map[uint64]int64
-	allAt    map[uint64]int64 // when a version was in force for all at the council
-	firstAt  map[uint64]int64
-	callers  []*caller
-	loss     float64
-	double   float64
-	late     int64 // ns that a message takes at the most, but for stragglers
-	strays   float64
-	wrong    string
-	mutant   bool // mutation: holders compare no digests
-	hasty    bool // mutation: a seat acknowledges before the council agreed
-	parted   int  // answers with blocks as their changes
-	large    bool // some changes are more than one answer
-	file     *Content
-	links    [][]int // of each node, as membership's: both sides in four orders of the fleet
-	far      int64   // ns that a message takes more between regions
-	lag      int64   // of the table's time behind the world's
-}
-
-func newWorld(seed int64, nodes, seats, zones int) *world {
-	w := &world{chance: rand.New(rand.NewSource(seed)), now: 1_000 * ms, byName: map[string]*node{}, seats: seats, order: NewTable(),
-		history: map[uint64]Digest{0: {}}, putBy: map[string]uint64{}, stopped: map[uint64]bool{}, agreedAt: map[uint64]int64{}, allAt: map[uint64]int64{0: 0}, firstAt: map[uint64]int64{},
-		late: 40 * ms, file: &Content{}}
+type simulation struct {
+	random           *rand.Rand
+	now              int64
+	seq              int64
+	queue            eventQueue
+	nodes            []*simNode
+	byName           map[string]*simNode
+	replicas         int
+	log              []logEntry
+	agreed           *Table            // carries out each entry as it is agreed on
+	digests          map[uint64]Digest // what each agreed version comes to
+	versionOf        map[string]uint64 // version by caller and number
+	stopped          map[uint64]bool
+	agreedAt         map[uint64]int64
+	allAt            map[uint64]int64 // when a version was in force for all at the council
+	canaryAt         map[uint64]int64
+	callers          []*caller
+	loss             float64
+	duplication      float64
+	maxDelay         int64 // ns that a message takes at the most, but for stragglers
+	stragglers       float64
+	failure          string
+	skipDigests      bool // mutation: holders compare no digests
+	acknowledgeEarly bool // mutation: a seat acknowledges before the council agreed
+	deltaAnswers     int  // answers with blocks as their changes
+	largeChanges     bool // some changes are more than one answer
+	file             *Content
+	links            [][]int // of each node, as membership's: both sides in four orders of the fleet
+	regionDelay      int64   // ns that a message takes more between regions
+	tableLag         int64   // of the table's time behind the world's
+}
+
+func newSimulation(seed int64, nodes, seats, zones int) *simulation {
+	w := &simulation{random: rand.New(rand.NewSource(seed)), now: 1_000 * ms, byName: map[string]*simNode{}, replicas: seats, agreed: NewTable(),
+		digests: map[uint64]Digest{0: {}}, versionOf: map[string]uint64{}, stopped: map[uint64]bool{}, agreedAt: map[uint64]int64{}, allAt: map[uint64]int64{0: 0}, canaryAt: map[uint64]int64{},
+		maxDelay: 40 * ms, file: &Content{}}
 	for i := range nodes {
-		n := &node{name: fmt.Sprintf("n%d", i), index: i, seat: i < seats, up: true, took: map[uint64]int64{}}
-		if n.seat {
+		n := &simNode{name: fmt.Sprintf("n%d", i), index: i, isReplica: i < seats, up: true, appliedAt: map[uint64]int64{}}
+		if n.isReplica {
 			n.table = NewTable()
 		}
 		w.nodes = append(w.nodes, n)
@@ -119,7 +119,7 @@
 	}
 	w.links = make([][]int, nodes)
 	for range 4 {
-		ring := w.chance.Perm(nodes)
+		ring := w.random.Perm(nodes)
 		for k, i := range ring {
 			for _, j := range [...]int{ring[(k+1)%nodes], ring[(k+nodes-1)%nodes]} {
 				if j != i && !slices.Contains(w.links[i], j) {
@@ -135,34 +135,34 @@
 	return w
 }
 
-func (w *world) at(at int64, do func()) {
-	w.seq++
-	heap.Push(&w.queue, happening{max(at, w.now), w.seq, do})
+func (s *simulation) at(at int64, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
 }
 
-func (w *world) run(until int64) {
-	for len(w.queue) > 0 && w.queue[0].at <= until && w.wrong == "" {
-		e := heap.Pop(&w.queue).(happening)
-		w.now = e.at
+func (s *simulation) run(until int64) {
+	for len(s.queue) > 0 && s.queue[0].at <= until && s.failure == "" {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.do()
 	}
-	w.now = max(w.now, until)
+	s.now = max(s.now, until)
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf("at %d ms: ", w.now/ms) + fmt.Sprintf(format, args...)
+func (s *simulation) fail(format string, args ...any) {
+	if s.failure == "" {
+		s.failure = fmt.Sprintf("at %d ms: ", s.now/ms) + fmt.Sprintf(format, args...)
 	}
 }
 
 // view is a node's, as membership has it in the end: itself left out, seats that it reaches.
-func (w *world) view(i, zones int) *View {
+func (s *simulation) view(i, zones int) *View {
 	v := &View{}
-	for _, k := range w.links[i] {
-		v.Neighbours = append(v.Neighbours, w.nodes[k].name)
+	for _, k := range s.links[i] {
+		v.Neighbours = append(v.Neighbours, s.nodes[k].name)
 	}
-	for k, m := range w.nodes {
-		if k != i && m.seat {
+	for k, m := range s.nodes {
+		if k != i && m.isReplica {
 			v.Seats = append(v.Seats, m.name)
 		}
 		if k != i && k%zones == i%zones {
@@ -173,214 +173,214 @@
 }
 
 // start is a new life of a node, from its disk or from the file.
-func (w *world) start(i, zones int) {
-	n := w.nodes[i]
-	n.life++
-	n.up, n.woken, n.inbox = true, 0, nil
-	start := InitialState{Mark: n.disk.mark, Content: n.disk.content, Source: "disk"}
+func (s *simulation) start(i, zones int) {
+	n := s.nodes[i]
+	n.incarnation++
+	n.up, n.wakeAt, n.inbox = true, 0, nil
+	start := InitialState{Mark: n.disk.revision, Content: n.disk.content, Source: "disk"}
 	if n.disk.content == nil {
-		start = InitialState{Content: w.file, Source: "file"}
-		n.most = 0
+		start = InitialState{Content: s.file, Source: "file"}
+		n.maxVersion = 0
 	}
-	n.holder = NewReplicator(w.now, ReplicatorConfig{Name: n.name, Seed: w.chance.Int63()}, start)
-	n.holder.skipDigests = w.mutant
-	n.inbox = append(n.inbox, Input{Kind: Viewed, View: w.view(i, zones)})
-	if n.seat {
+	n.replicator = NewReplicator(s.now, ReplicatorConfig{Name: n.name, Seed: s.random.Int63()}, start)
+	n.replicator.skipDigests = s.skipDigests
+	n.inbox = append(n.inbox, Input{Kind: Viewed, View: s.view(i, zones)})
+	if n.isReplica {
 		n.inbox = append(n.inbox, Input{Kind: Ordered, Agreed: n.table.Agreed()})
 	}
-	w.wake(i, w.now)
+	s.wake(i, s.now)
 }
 
-func (w *world) crash(i int) {
-	n := w.nodes[i]
+func (s *simulation) crash(i int) {
+	n := s.nodes[i]
 	n.up = false
-	n.life++
+	n.incarnation++
 }
 
-func (w *world) wake(i int, at int64) {
-	n, life := w.nodes[i], w.nodes[i].life
-	at = max(at, w.now)
-	if n.woken > 0 && n.woken <= at {
+func (s *simulation) wake(i int, at int64) {
+	n, life := s.nodes[i], s.nodes[i].incarnation
+	at = max(at, s.now)
+	if n.wakeAt > 0 && n.wakeAt <= at {
 		return
 	}
-	n.woken = at
-	w.at(at, func() {
-		if n.life == life && n.woken == at && n.up {
-			n.woken = 0
-			w.step(i)
+	n.wakeAt = at
+	s.at(at, func() {
+		if n.incarnation == life && n.wakeAt == at && n.up {
+			n.wakeAt = 0
+			s.step(i)
 		}
 	})
 }
 
-func (w *world) give(i int, in Input) {
-	n := w.nodes[i]
+func (s *simulation) deliver(i int, in Input) {
+	n := s.nodes[i]
 	if n.up {
 		n.inbox = append(n.inbox, in)
-		w.wake(i, w.now)
+		s.wake(i, s.now)
 	}
 }
 
-func (n *node) spend(now int64, m *Message) {
+func (n *simNode) countBytes(now int64, m *Message) {
 	s := int(now / (1_000 * ms))
-	for len(n.spent) <= s {
-		n.spent = append(n.spent, 0)
+	for len(n.bytesBySecond) <= s {
+		n.bytesBySecond = append(n.bytesBySecond, 0)
 	}
-	n.spent[s] += int64(m.size())
+	n.bytesBySecond[s] += int64(m.size())
 }
 
-// way has something arrive, or not.
-func (w *world) way(from, to *node, do func()) {
-	if from.side != to.side || w.chance.Float64() < w.loss {
+// transmit has something arrive, or not.
+func (s *simulation) transmit(from, to *simNode, do func()) {
+	if from.partition != to.partition || s.random.Float64() < s.loss {
 		return
 	}
 	delay := func() int64 {
-		if w.chance.Float64() < w.strays {
-			return w.chance.Int63n(30_000 * ms)
+		if s.random.Float64() < s.stragglers {
+			return s.random.Int63n(30_000 * ms)
 		}
 		if from.region != to.region {
-			return w.chance.Int63n(w.late) + ms + w.far
+			return s.random.Int63n(s.maxDelay) + ms + s.regionDelay
 		}
-		return w.chance.Int63n(w.late) + ms
+		return s.random.Int63n(s.maxDelay) + ms
 	}
 	arrive := func() {
-		if to.side == from.side {
+		if to.partition == from.partition {
 			do()
 		}
 	}
-	w.at(w.now+delay(), arrive)
-	if w.chance.Float64() < w.double {
-		w.at(w.now+delay(), arrive)
+	s.at(s.now+delay(), arrive)
+	if s.random.Float64() < s.duplication {
+		s.at(s.now+delay(), arrive)
 	}
 }
 
-func (w *world) step(i int) {
-	n := w.nodes[i]
+func (s *simulation) step(i int) {
+	n := s.nodes[i]
 	in := n.inbox
 	n.inbox = nil
-	effects, next := n.holder.Step(w.now, in)
+	effects, next := n.replicator.Step(s.now, in)
 	for k := range effects {
-		w.carry(i, &effects[k])
-		if w.wrong != "" {
+		s.execute(i, &effects[k])
+		if s.failure != "" {
 			return
 		}
 	}
-	for _, p := range n.holder.peers {
-		if p.invalidResponses > 0 && !w.byName[p.name].liar {
-			w.fail("%s sets %s aside, which is sound", n.name, p.name)
+	for _, p := range n.replicator.peers {
+		if p.invalidResponses > 0 && !s.byName[p.name].faulty {
+			s.fail("%s sets %s aside, which is sound", n.name, p.name)
 		}
 	}
-	if next <= w.now {
-		w.fail("%s wakes in the past", n.name)
+	if next <= s.now {
+		s.fail("%s wakes in the past", n.name)
 	}
-	w.wake(i, next)
+	s.wake(i, next)
 }
 
-// carry carries one effect out.
-func (w *world) carry(i int, e *Effect) {
-	n, life := w.nodes[i], w.nodes[i].life
-	to := w.byName[e.To]
+// execute carries one effect out.
+func (s *simulation) execute(i int, e *Effect) {
+	n, life := s.nodes[i], s.nodes[i].incarnation
+	to := s.byName[e.To]
 	switch e.Kind {
 	case Send:
 		m := *e.Message
-		if n.liar {
-			w.twist(&m)
+		if n.faulty {
+			s.corrupt(&m)
 		}
-		n.spend(w.now, &m)
-		w.way(n, to, func() {
+		n.countBytes(s.now, &m)
+		s.transmit(n, to, func() {
 			if to.up {
-				to.spend(w.now, &m)
+				to.countBytes(s.now, &m)
 				again := m
-				w.give(to.index, Input{Kind: Came, From: n.name, Message: &again})
+				s.deliver(to.index, Input{Kind: Came, From: n.name, Message: &again})
 			}
 		})
 	case Exchange:
 		link, m, done := e.Link, *e.Message, false
-		n.spend(w.now, &m)
-		w.way(n, to, func() {
+		n.countBytes(s.now, &m)
+		s.transmit(n, to, func() {
 			if !to.up || done {
 				return
 			}
 			done = true
-			to.spend(w.now, &m)
-			key := w.open(i, life, link)
-			w.give(to.index, Input{Kind: Asked, From: n.name, Link: key, Message: &m})
+			to.countBytes(s.now, &m)
+			key := s.linkOf(i, life, link)
+			s.deliver(to.index, Input{Kind: Asked, From: n.name, Link: key, Message: &m})
 		})
-		w.at(w.now+4_000*ms, func() {
-			if n.life == life {
-				w.give(i, Input{Kind: Missed, Link: link})
+		s.at(s.now+4_000*ms, func() {
+			if n.incarnation == life {
+				s.deliver(i, Input{Kind: Missed, Link: link})
 			}
 		})
 	case Reply:
 		k, life, link := e.Link>>32, e.Link>>16&0xffff, e.Link&0xffff
-		to := w.nodes[k]
+		to := s.nodes[k]
 		m := *e.Message
-		if n.liar {
-			w.twist(&m)
+		if n.faulty {
+			s.corrupt(&m)
 		}
 		if slices.ContainsFunc(m.Blocks, func(b Block) bool { return len(b.Changes) > 0 }) {
-			w.parted++
+			s.deltaAnswers++
 		}
-		n.spend(w.now, &m)
-		w.way(n, to, func() {
-			if to.life&0xffff == life && to.up {
-				to.spend(w.now, &m)
-				w.give(k, Input{Kind: Answered, Link: link, Message: &m})
+		n.countBytes(s.now, &m)
+		s.transmit(n, to, func() {
+			if to.incarnation&0xffff == life && to.up {
+				to.countBytes(s.now, &m)
+				s.deliver(k, Input{Kind: Answered, Link: link, Message: &m})
 			}
 		})
 	case Take, Check:
-		w.take(i, e)
+		s.applyVersion(i, e)
 	case Persist:
-		n.before = n.disk
-		n.disk = disk{e.Mark, e.New}
+		n.olderDisk = n.disk
+		n.disk = simDisk{e.Mark, e.New}
 		if !e.Full { // what records come to is what is in force
-			c := n.before.content
+			c := n.olderDisk.content
 			for _, r := range e.Records {
 				var err error
 				if c, err = c.Apply(r.Changes); err != nil {
-					w.fail("%s: record %d on disk: %v", n.name, r.Version, err)
+					s.fail("%s: record %d on disk: %v", n.name, r.Version, err)
 					return
 				}
 			}
 			n.disk.content = c
 		}
 		if got := n.disk.content.Digest(); got != e.Mark.Digest {
-			w.fail("%s keeps %s as version %d, which is %s", n.name, got, e.Mark.Version, e.Mark.Digest)
+			s.fail("%s keeps %s as version %d, which is %s", n.name, got, e.Mark.Version, e.Mark.Digest)
 		}
 	case Order:
-		w.propose(i, e.Command, nil)
+		s.propose(i, e.Command, nil)
 	}
 }
 
-// open names an exchange so that its answer finds back.
-func (w *world) open(i, life, link int) int { return i<<32 | (life&0xffff)<<16 | link&0xffff }
+// linkOf names an exchange so that its answer finds back.
+func (s *simulation) linkOf(i, life, link int) int { return i<<32 | (life&0xffff)<<16 | link&0xffff }
 
-// take has a version in force at a node, after what a reducer needs, and checks all that must hold of it.
-func (w *world) take(i int, e *Effect) {
-	n, life, mark := w.nodes[i], w.nodes[i].life, e.Mark
+// applyVersion has a version in force at a node, after what a reducer needs, and checks all that must hold of it.
+func (s *simulation) applyVersion(i int, e *Effect) {
+	n, life, revision := s.nodes[i], s.nodes[i].incarnation, e.Mark
 	why := ""
 	for item := range e.New.All {
-		if n.old && string(item.Value) == `"new"` {
+		if n.olderBuild && string(item.Value) == `"new"` {
 			why = fmt.Sprintf("%s %s is of a later build", item.Part, item.Name)
 		}
 	}
-	if _, agreed := w.history[mark.Version]; !agreed {
-		w.fail("%s takes version %d, which nobody agreed on", n.name, mark.Version)
+	if _, agreed := s.digests[revision.Version]; !agreed {
+		s.fail("%s takes version %d, which nobody agreed on", n.name, revision.Version)
 	}
-	if w.allAt[mark.Version] == 0 && !e.First {
-		w.fail("%s takes version %d for all, which isn't", n.name, mark.Version)
+	if s.allAt[revision.Version] == 0 && !e.First {
+		s.fail("%s takes version %d for all, which isn't", n.name, revision.Version)
 	}
-	if w.firstAt[mark.Version] == 0 {
-		w.fail("%s takes version %d, which never stood at a stage", n.name, mark.Version)
+	if s.canaryAt[revision.Version] == 0 {
+		s.fail("%s takes version %d, which never stood at a stage", n.name, revision.Version)
 	}
 	sum := Digest{}
 	for item := range e.New.All { // computed anew
 		sum = sum.plus(hashItem(appendEntry(nil, byte(slices.Index(partNames[:], item.Part)), item.Name, item.Value)))
 	}
-	if sum != w.history[mark.Version] || sum != mark.Digest {
-		w.fail("%s takes %s as version %d, which is %s", n.name, sum, mark.Version, w.history[mark.Version])
+	if sum != s.digests[revision.Version] || sum != revision.Digest {
+		s.fail("%s takes %s as version %d, which is %s", n.name, sum, revision.Version, s.digests[revision.Version])
 	}
-	if mark.Version <= n.most {
-		w.fail("%s goes from version %d to %d", n.name, n.most, mark.Version)
+	if revision.Version <= n.maxVersion {
+		s.fail("%s goes from version %d to %d", n.name, n.maxVersion, revision.Version)
 	}
 	old := e.Old
 	for d := Diff(e.Old, e.New); ; {
@@ -391,31 +391,31 @@
 		old, _ = old.Apply(some)
 	}
 	if old.Digest() != sum {
-		w.fail("%s: the changes to version %d come to something else", n.name, mark.Version)
+		s.fail("%s: the changes to version %d come to something else", n.name, revision.Version)
 	}
-	w.at(w.now+w.chance.Int63n(20*ms), func() {
-		if n.life == life && n.up {
+	s.at(s.now+s.random.Int63n(20*ms), func() {
+		if n.incarnation == life && n.up {
 			if e.Kind == Check {
-				w.give(i, Input{Kind: Checked, Mark: mark, Why: why})
+				s.deliver(i, Input{Kind: Checked, Mark: revision, Why: why})
 				return
 			}
 			if why == "" {
-				n.most = mark.Version
-				n.took[mark.Version] = w.now
+				n.maxVersion = revision.Version
+				n.appliedAt[revision.Version] = s.now
 			}
-			w.give(i, Input{Kind: Took, Mark: mark, Why: why})
+			s.deliver(i, Input{Kind: Took, Mark: revision, Why: why})
 		}
 	})
 }
 
-// twist makes a lie of a message.
-func (w *world) twist(m *Message) {
-	d := Digest{A: w.chance.Uint64(), B: w.chance.Uint64()}
-	switch w.chance.Intn(6) {
+// corrupt makes a lie of a message.
+func (s *simulation) corrupt(m *Message) {
+	d := Digest{A: s.random.Uint64(), B: s.random.Uint64()}
+	switch s.random.Intn(6) {
 	case 0:
-		m.Head.All = Revision{m.Head.All.Version + uint64(w.chance.Intn(5)), d}
+		m.Head.All = Revision{m.Head.All.Version + uint64(s.random.Intn(5)), d}
 	case 1:
-		m.Has = Revision{m.Has.Version + uint64(w.chance.Intn(5)), d}
+		m.Has = Revision{m.Has.Version + uint64(s.random.Intn(5)), d}
 	case 2:
 		m.Head.First, m.Has = Revision{m.Head.First.Version + 1, d}, Revision{m.Head.First.Version + 1, d}
 	case 3:
@@ -424,15 +424,15 @@
 			m.Head.All = Revision{m.Head.All.Version + 1, d}
 		}
 	}
-	if len(m.Index) > 0 && w.chance.Intn(2) == 0 {
+	if len(m.Index) > 0 && s.random.Intn(2) == 0 {
 		m.Index = slices.Clone(m.Index)
-		m.Index[w.chance.Intn(len(m.Index))]++
+		m.Index[s.random.Intn(len(m.Index))]++
 	}
-	if len(m.Blocks) > 0 && w.chance.Intn(2) == 0 {
+	if len(m.Blocks) > 0 && s.random.Intn(2) == 0 {
 		m.Blocks = slices.Clone(m.Blocks)
 		if b := &m.Blocks[0]; len(b.Changes) == 0 {
 			b.Text = appendEntry(nil, 1, "false", []byte("1"))
-		} else if b.Changes = slices.Clone(b.Changes); w.chance.Intn(2) == 0 {
+		} else if b.Changes = slices.Clone(b.Changes); s.random.Intn(2) == 0 {
 			b.Changes[0].Value = []byte("7")
 		} else {
 			b.Changes = b.Changes[1:]
@@ -440,8 +440,8 @@
 	}
 	if len(m.Records) > 0 {
 		m.Records = slices.Clone(m.Records)
-		r := &m.Records[w.chance.Intn(len(m.Records))]
-		switch r.Changes = slices.Clone(r.Changes); w.chance.Intn(3) {
+		r := &m.Records[s.random.Intn(len(m.Records))]
+		switch r.Changes = slices.Clone(r.Changes); s.random.Intn(3) {
 		case 0:
 			r.Changes = append(r.Changes, Item{Tenants, "false", []byte("1")})
 		case 1: // with a digest that fits
@@ -454,43 +454,43 @@
 	}
 }
 
-// majority says whether a seat is on the side of most seats that are up.
-func (w *world) majority(i int) bool {
+// inMajority says whether a seat is on the side of most seats that are up.
+func (s *simulation) inMajority(i int) bool {
 	together := 0
-	for _, n := range w.nodes[:w.seats] {
-		if n.up && n.side == w.nodes[i].side {
+	for _, n := range s.nodes[:s.replicas] {
+		if n.up && n.partition == s.nodes[i].partition {
 			together++
 		}
 	}
-	return w.nodes[i].up && together > w.seats/2
+	return s.nodes[i].up && together > s.replicas/2
 }
 
 // propose has the council agree on a command if it can; told is called with what the seat's own table says of it.
-func (w *world) propose(i int, c *Command, told func(Verdict)) {
-	n, life := w.nodes[i], w.nodes[i].life
-	if w.hasty && told != nil && n.up { // mutation
+func (s *simulation) propose(i int, c *Command, told func(Verdict)) {
+	n, life := s.nodes[i], s.nodes[i].incarnation
+	if s.acknowledgeEarly && told != nil && n.up { // mutation
 		v := Verdict{From: c.From, Seq: c.Seq, Done: true, Version: n.table.head.Newest + 1}
 		told(v)
 	}
-	w.at(w.now+w.chance.Int63n(w.late)+ms, func() {
-		if n.life != life || !w.majority(i) {
+	s.at(s.now+s.random.Int63n(s.maxDelay)+ms, func() {
+		if n.incarnation != life || !s.inMajority(i) {
 			return
 		}
-		w.lag = min(w.lag+w.chance.Int63n(20*ms), 500*ms)
-		if w.chance.Intn(4) == 0 {
-			w.lag = 0
+		s.tableLag = min(s.tableLag+s.random.Int63n(20*ms), 500*ms)
+		if s.random.Intn(4) == 0 {
+			s.tableLag = 0
 		}
-		e := ordered{w.now - w.lag, c}
-		if k := len(w.entries); k > 0 {
-			e.at = max(e.at, w.entries[k-1].at)
+		e := logEntry{s.now - s.tableLag, c}
+		if k := len(s.log); k > 0 {
+			e.at = max(e.at, s.log[k-1].at)
 		}
-		w.agree(e)
-		index := len(w.entries)
-		w.at(w.now+w.chance.Int63n(w.late)+ms, func() {
-			if n.life != life || !n.up || !w.majority(i) {
+		s.commit(e)
+		index := len(s.log)
+		s.at(s.now+s.random.Int63n(s.maxDelay)+ms, func() {
+			if n.incarnation != life || !n.up || !s.inMajority(i) {
 				return
 			}
-			v := w.apply(i, index)
+			v := s.applyLog(i, index)
 			if told != nil {
 				told(v)
 			}
@@ -498,113 +498,113 @@
 	})
 }
 
-// agree puts an entry on the log, and has the order of the world follow.
-func (w *world) agree(e ordered) {
-	w.entries = append(w.entries, e)
-	before := w.order.Head()
-	v := w.order.Apply(e.at, e.c)
-	head := w.order.Head()
+// commit puts an entry on the log, and has the order of the world follow.
+func (s *simulation) commit(e logEntry) {
+	s.log = append(s.log, e)
+	before := s.agreed.Head()
+	v := s.agreed.Apply(e.at, e.command)
+	head := s.agreed.Head()
 	if head.Newest < before.Newest || head.All.Version < before.All.Version || head.First.Version < head.All.Version || head.Newest < head.First.Version {
-		w.fail("the order goes from %+v to %+v", before, head)
+		s.fail("the order goes from %+v to %+v", before, head)
 	}
 	if head.Newest != before.Newest {
-		w.history[head.Newest] = w.order.newest.Digest()
-		w.agreedAt[head.Newest] = w.now
+		s.digests[head.Newest] = s.agreed.newest.Digest()
+		s.agreedAt[head.Newest] = s.now
 	}
 	if head.Stopped && !before.Stopped {
-		w.stopped[head.First.Version] = true
+		s.stopped[head.First.Version] = true
 	}
 	if head.All != before.All {
-		w.allAt[head.All.Version] = w.now
-		if w.stopped[head.All.Version] {
-			w.fail("version %d was stopped and is in force for all", head.All.Version)
+		s.allAt[head.All.Version] = s.now
+		if s.stopped[head.All.Version] {
+			s.fail("version %d was stopped and is in force for all", head.All.Version)
 		}
-		if w.firstAt[head.All.Version] == 0 {
-			w.firstAt[head.All.Version] = w.now
+		if s.canaryAt[head.All.Version] == 0 {
+			s.canaryAt[head.All.Version] = s.now
 		}
 	}
-	if head.First != before.First && w.firstAt[head.First.Version] == 0 {
-		w.firstAt[head.First.Version] = w.now
+	if head.First != before.First && s.canaryAt[head.First.Version] == 0 {
+		s.canaryAt[head.First.Version] = s.now
 	}
-	if v.Done && e.c.From != "" && !e.c.More {
-		w.putBy[fmt.Sprint(e.c.From, e.c.Seq)] = v.Version
+	if v.Done && e.command.From != "" && !e.command.More {
+		s.versionOf[fmt.Sprint(e.command.From, e.command.Seq)] = v.Version
 	}
 }
 
-// apply has a seat's table carry out the log up to an index, and gives the last verdict.
-func (w *world) apply(i, index int) (v Verdict) {
-	n := w.nodes[i]
+// applyLog has a seat's table carry out the log up to an index, and gives the last verdict.
+func (s *simulation) applyLog(i, index int) (v Verdict) {
+	n := s.nodes[i]
 	moved := false
-	for n.seen < index {
-		v, moved = n.table.Apply(w.entries[n.seen].at, w.entries[n.seen].c), true
-		n.seen++
+	for n.appliedEntries < index {
+		v, moved = n.table.Apply(s.log[n.appliedEntries].at, s.log[n.appliedEntries].command), true
+		n.appliedEntries++
 	}
 	if !moved && index > 0 { // carried out before: the same caller and number have the same verdict
-		if e := w.entries[index-1]; e.c.From != "" {
-			v = n.table.Apply(e.at, e.c)
+		if e := s.log[index-1]; e.command.From != "" {
+			v = n.table.Apply(e.at, e.command)
 		}
 	}
 	if moved {
-		w.give(i, Input{Kind: Ordered, Agreed: n.table.Agreed()})
+		s.deliver(i, Input{Kind: Ordered, Agreed: n.table.Agreed()})
 	}
 	return v
 }
 
 // tick has seats that are together follow the log, order what is due, and callers go on.
-func (w *world) tick() {
-	for i, n := range w.nodes[:w.seats] {
-		if current := w.majority(i) && n.seen == len(w.entries); n.up && current != n.holder.groupCurrent {
-			w.give(i, Input{Kind: Stood, Current: current})
+func (s *simulation) tick() {
+	for i, n := range s.nodes[:s.replicas] {
+		if current := s.inMajority(i) && n.appliedEntries == len(s.log); n.up && current != n.replicator.groupCurrent {
+			s.deliver(i, Input{Kind: Stood, Current: current})
 		}
-		if !w.majority(i) {
+		if !s.inMajority(i) {
 			continue
 		}
-		if n.seen < len(w.entries) && w.chance.Intn(3) > 0 {
-			w.apply(i, len(w.entries))
+		if n.appliedEntries < len(s.log) && s.random.Intn(3) > 0 {
+			s.applyLog(i, len(s.log))
 		}
-		if c := n.table.Due(w.now - w.lag); c != nil && w.chance.Intn(2) == 0 {
-			w.propose(i, c, nil)
+		if c := n.table.Due(s.now - s.tableLag); c != nil && s.random.Intn(2) == 0 {
+			s.propose(i, c, nil)
 		}
 	}
-	for _, c := range w.callers {
-		w.call(c)
+	for _, c := range s.callers {
+		s.sendCommand(c)
 	}
-	w.at(w.now+100*ms, w.tick)
+	s.at(s.now+100*ms, s.tick)
 }
 
-// call sends a caller's command to a seat on its side, again after a while.
-func (w *world) call(c *caller) {
-	if c.command == nil || w.now < c.sent+1_500*ms && c.sent > 0 {
+// sendCommand sends a caller's command to a seat on its side, again after a while.
+func (s *simulation) sendCommand(c *caller) {
+	if c.command == nil || s.now < c.sentAt+1_500*ms && c.sentAt > 0 {
 		return
 	}
-	c.sent = w.now
-	i := w.chance.Intn(w.seats)
+	c.sentAt = s.now
+	i := s.random.Intn(s.replicas)
 	command := c.command
-	if n := w.nodes[i]; !n.up || n.side != c.side {
+	if n := s.nodes[i]; !n.up || n.partition != c.side {
 		return
 	}
-	w.at(w.now+w.chance.Int63n(w.late), func() {
-		w.propose(i, command, func(v Verdict) {
-			if w.chance.Float64() < w.loss { // the answer is lost
+	s.at(s.now+s.random.Int63n(s.maxDelay), func() {
+		s.propose(i, command, func(v Verdict) {
+			if s.random.Float64() < s.loss { // the answer is lost
 				return
 			}
-			w.at(w.now+w.chance.Int63n(w.late), func() {
-				if c.command == nil || v.Seq != c.command.Seq || w.nodes[i].side != c.side {
+			s.at(s.now+s.random.Int63n(s.maxDelay), func() {
+				if c.command == nil || v.Seq != c.command.Seq || s.nodes[i].partition != c.side {
 					return
 				}
 				switch {
 				case v.Done:
-					c.acked, c.asked = append(c.acked, v), append(c.asked, c.command)
+					c.verdicts, c.acknowledged = append(c.verdicts, v), append(c.acknowledged, c.command)
 					c.base = v.Version
 					c.command = nil
 				case v.Stale: // made anew on the newest
-					c.refused++
+					c.refusals++
 					next := *c.command
 					c.seq++
 					next.Seq, next.Base = c.seq, v.Version
-					c.command, c.sent = &next, 0
+					c.command, c.sentAt = &next, 0
 				default:
-					c.refused++
+					c.refusals++
 					c.command = nil
 				}
 			})
@@ -613,55 +613,55 @@
 }
 
 // put gives a caller something to do, if it has nothing.
-func (w *world) put(c *caller, changes ...Item) bool {
+func (s *simulation) put(c *caller, changes ...Item) bool {
 	if c.command != nil {
 		return false
 	}
 	c.seq++
-	c.command, c.sent = &Command{Kind: Put, From: c.name, Seq: c.seq, Base: c.base, Changes: changes}, 0
+	c.command, c.sentAt = &Command{Kind: Put, From: c.name, Seq: c.seq, Base: c.base, Changes: changes}, 0
 	return true
 }
 
-func (w *world) back(c *caller, version uint64) {
+func (s *simulation) rollback(c *caller, version uint64) {
 	c.seq++
-	c.command, c.sent = &Command{Kind: Rollback, From: c.name, Seq: c.seq, Version: version}, 0
+	c.command, c.sentAt = &Command{Kind: Rollback, From: c.name, Seq: c.seq, Version: version}, 0
 }
 
-// settled says what isn't as it must be in the end.
-func (w *world) settled() string {
-	head := w.order.Head()
+// unsettled says what isn't as it must be in the end.
+func (s *simulation) unsettled() string {
+	head := s.agreed.Head()
 	if head.Newest == 0 {
 		return "" // each goes on with its file
 	}
 	if head.First != head.All || head.Newest != head.All.Version {
 		return fmt.Sprintf("the council is still at a stage: %+v", head)
 	}
-	for _, n := range w.nodes {
-		if n.up && (n.holder.Revision() != head.All || n.holder.Content().Digest() != head.All.Digest) {
-			return fmt.Sprintf("%s has version %d, %d is in force for all: %+v", n.name, n.holder.Revision().Version, head.All.Version, n.holder.Status(w.now))
+	for _, n := range s.nodes {
+		if n.up && (n.replicator.Revision() != head.All || n.replicator.Content().Digest() != head.All.Digest) {
+			return fmt.Sprintf("%s has version %d, %d is in force for all: %+v", n.name, n.replicator.Revision().Version, head.All.Version, n.replicator.Status(s.now))
 		}
 	}
 	return ""
 }
 
 // check looks at what callers were told, once all is over.
-func (w *world) check() {
-	for _, c := range w.callers {
-		for k, v := range c.acked {
-			if got, ok := w.putBy[fmt.Sprint(c.name, c.asked[k].Seq)]; !ok || got != v.Version {
-				w.fail("%s was told that %d is version %d; it is %d", c.name, c.asked[k].Seq, v.Version, got)
+func (s *simulation) check() {
+	for _, c := range s.callers {
+		for k, v := range c.verdicts {
+			if got, ok := s.versionOf[fmt.Sprint(c.name, c.acknowledged[k].Seq)]; !ok || got != v.Version {
+				s.fail("%s was told that %d is version %d; it is %d", c.name, c.acknowledged[k].Seq, v.Version, got)
 			}
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		const window = 15
-		for at := 0; at+window <= len(n.spent); at++ {
+		for at := 0; at+window <= len(n.bytesBySecond); at++ {
 			sum := int64(0)
-			for _, b := range n.spent[at : at+window] {
+			for _, b := range n.bytesBySecond[at : at+window] {
 				sum += b
 			}
-			if most := int64(burstBytes + maxBlockBytes + Blocks*digestBytes + window*(bytesPerSecond+4_000)); sum > most && !n.liar {
-				w.fail("%s: %d bytes in %d s, %d at the most", n.name, sum, window, most)
+			if most := int64(burstBytes + maxBlockBytes + Blocks*digestBytes + window*(bytesPerSecond+4_000)); sum > most && !n.faulty {
+				s.fail("%s: %d bytes in %d s, %d at the most", n.name, sum, window, most)
 			}
 		}
 	}
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// crowded is a table with so many tenants, and a longer change on the way.
-func crowded(t *testing.T, tenants int) *Table {
+// largeTable is a table with so many tenants, and a longer change on the way.
+func largeTable(t *testing.T, tenants int) *Table {
 	table := NewTable()
 	put := func(seq, base uint64, piece int, more bool, from, to, rate int) {
 		var changes []Item
@@ -42,8 +42,8 @@
 // was when it was begun, whatever became of the table meanwhile.
 func TestSnapshotIsWrittenInBoundedParts(t *testing.T) {
 	const once = 64 << 10
-	table := crowded(t, 130_000)
-	before, err := crowded(t, 130_000).Snapshot()
+	table := largeTable(t, 130_000)
+	before, err := largeTable(t, 130_000).Snapshot()
 	require.NoError(t, err)
 	w, parts, last, seq := table.BeginSnapshot(), 0, 0, uint64(1_000)
 	for whole := false; !whole; parts++ {
@@ -92,14 +92,14 @@
 			}
 			table.Apply(at, &c)
 		}
-		s := savedTable{Head: table.head, CanarySince: table.canarySince, Blocks: make([][]byte, Blocks), All: items(table.newest, table.all),
-			Canary: items(table.newest, table.canary), Log: table.log, RollbackVersions: table.rollbackVersions, LastVerdicts: table.lastVerdicts,
+		s := savedTable{Head: table.head, CanarySince: table.canarySince, Blocks: make([][]byte, Blocks), All: differences(table.newest, table.all),
+			Canary: differences(table.newest, table.canary), Log: table.log, RollbackVersions: table.rollbackVersions, LastVerdicts: table.lastVerdicts,
 			Draft: table.draft}
 		for n := range s.Blocks {
 			s.Blocks[n], _ = table.newest.Block(n)
 		}
 		if s.Draft.content != nil {
-			s.Draft.Changes = items(table.newest, s.Draft.content)
+			s.Draft.Changes = differences(table.newest, s.Draft.content)
 		}
 		whole, err := cbor.Marshal(&s)
 		require.NoError(t, err)
@@ -116,7 +116,7 @@
 
 // Changes that lie apart, one to a block, are found at the cost of some blocks a look, and all of them.
 func TestLookForChangesThatLieApartIsBounded(t *testing.T) {
-	from := crowded(t, 130_000).newest
+	from := largeTable(t, 130_000).newest
 	var changes []Item
 	for k := range 2_000 {
 		changes = append(changes, Item{Tenants, fmt.Sprintf("tenant-%06d", 60*k), []byte(`{"quota_rps":9}`)})
@@ -136,8 +136,8 @@
 	assert.Greater(t, looks, 30)
 }
 
-// items are all that differ.
-func items(from, to *Content) (all []Item) {
+// differences are all that differ.
+func differences(from, to *Content) (all []Item) {
 	for d := Diff(from, to); ; {
 		some := d.Next(maxLogRecords)
 		if len(some) == 0 {
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -21,95 +21,95 @@
 }
 
 func TestAStalePutNamesWhatDiffers(t *testing.T) {
-	x := NewTable()
-	require.EqualValues(t, 1, x.Apply(1, putOn(0, 1, tenant(1, "1"), tenant(2, "1"))).Version)
-	require.EqualValues(t, 2, x.Apply(1, putOn(1, 2, tenant(1, "2"))).Version)
-	require.EqualValues(t, 3, x.Apply(1, putOn(2, 3, tenant(3, "1"), tenant(1, ""))).Version)
-	v := x.Apply(1, &Command{Kind: Put, From: "b", Seq: 1, Base: 1, Changes: []Item{tenant(9, "1")}})
+	table := NewTable()
+	require.EqualValues(t, 1, table.Apply(1, putOn(0, 1, tenant(1, "1"), tenant(2, "1"))).Version)
+	require.EqualValues(t, 2, table.Apply(1, putOn(1, 2, tenant(1, "2"))).Version)
+	require.EqualValues(t, 3, table.Apply(1, putOn(2, 3, tenant(3, "1"), tenant(1, ""))).Version)
+	v := table.Apply(1, &Command{Kind: Put, From: "b", Seq: 1, Base: 1, Changes: []Item{tenant(9, "1")}})
 	require.False(t, v.Done)
 	require.True(t, v.Stale)
 	require.EqualValues(t, 3, v.Version)
 	require.ElementsMatch(t, []Item{tenant(1, ""), tenant(3, "")}, v.Differ)
 	require.Contains(t, v.Refused, "made on version 1, the newest is 3")
-	require.Nil(t, x.newest.Get(Tenants, "t9"))
+	require.Nil(t, table.newest.Get(Tenants, "t9"))
 
-	again := x.Apply(9, putOn(1, 2, tenant(1, "2")))
+	again := table.Apply(9, putOn(1, 2, tenant(1, "2")))
 	require.EqualValues(t, Verdict{From: "a", Seq: 2, Version: 3, Refused: "late: the caller asked again since"}, again)
-	require.Equal(t, Verdict{From: "a", Seq: 3, Done: true, Version: 3}, x.Apply(9, putOn(2, 3, tenant(3, "1"))), "the same number has the same verdict")
-	require.EqualValues(t, 3, x.Head().Newest)
+	require.Equal(t, Verdict{From: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "the same number has the same verdict")
+	require.EqualValues(t, 3, table.Head().Newest)
 
-	none := x.Apply(9, putOn(3, 4, tenant(3, "1")))
+	none := table.Apply(9, putOn(3, 4, tenant(3, "1")))
 	require.True(t, none.Done)
 	require.EqualValues(t, 3, none.Version, "what changes nothing makes no version")
 	for k := range maxLogRecords + 1 {
-		require.True(t, x.Apply(9, putOn(uint64(k+3), uint64(k+5), tenant(3, fmt.Sprint(k+2)))).Done)
+		require.True(t, table.Apply(9, putOn(uint64(k+3), uint64(k+5), tenant(3, fmt.Sprint(k+2)))).Done)
 	}
-	require.Len(t, x.log, maxLogRecords)
-	require.Equal(t, -1, x.Apply(9, &Command{Kind: Put, From: "b", Seq: 2, Base: 2}).More, "the log no longer reaches it")
+	require.Len(t, table.log, maxLogRecords)
+	require.Equal(t, -1, table.Apply(9, &Command{Kind: Put, From: "b", Seq: 2, Base: 2}).More, "the log no longer reaches it")
 }
 
 func TestAStageEndsByTimeOrARefusal(t *testing.T) {
-	x := NewTable()
-	x.Apply(100*ms, putOn(0, 1, tenant(1, "1")))
-	x.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the stage of the one before
-	require.EqualValues(t, 1, x.Head().First.Version)
-	require.Nil(t, x.Due(100*ms+canaryDuration-1))
-	require.False(t, x.Apply(100*ms+canaryDuration-1, &Command{Kind: Advance, Version: 1}).Done, "too early")
-	require.True(t, x.Apply(100*ms+canaryDuration, x.Due(100*ms+canaryDuration)).Done)
-	require.EqualValues(t, 1, x.Head().All.Version)
-	require.EqualValues(t, 2, x.Head().First.Version, "the next stage begins")
+	table := NewTable()
+	table.Apply(100*ms, putOn(0, 1, tenant(1, "1")))
+	table.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the stage of the one before
+	require.EqualValues(t, 1, table.Head().First.Version)
+	require.Nil(t, table.Due(100*ms+canaryDuration-1))
+	require.False(t, table.Apply(100*ms+canaryDuration-1, &Command{Kind: Advance, Version: 1}).Done, "too early")
+	require.True(t, table.Apply(100*ms+canaryDuration, table.Due(100*ms+canaryDuration)).Done)
+	require.EqualValues(t, 1, table.Head().All.Version)
+	require.EqualValues(t, 2, table.Head().First.Version, "the next stage begins")
 	stop := &Command{Kind: Stop, Version: 2, Who: "n7", Why: "no such effect"}
-	require.True(t, x.Apply(4_000*ms, stop).Done)
-	require.Nil(t, x.Due(100_000*ms))
-	require.False(t, x.Apply(100_000*ms, &Command{Kind: Advance, Version: 2}).Done, "stopped")
-	require.Equal(t, "n7", x.Head().Who)
-	back := x.Apply(100_000*ms, &Command{Kind: Rollback, From: "a", Seq: 3, Version: 1})
+	require.True(t, table.Apply(4_000*ms, stop).Done)
+	require.Nil(t, table.Due(100_000*ms))
+	require.False(t, table.Apply(100_000*ms, &Command{Kind: Advance, Version: 2}).Done, "stopped")
+	require.Equal(t, "n7", table.Head().Who)
+	back := table.Apply(100_000*ms, &Command{Kind: Rollback, From: "a", Seq: 3, Version: 1})
 	require.EqualValues(t, 3, back.Version, "a version is never gone back to; its content is")
-	require.EqualValues(t, Revision{3, x.log[0].Digest}, x.Head().All, "it was in force for all before")
-	require.False(t, x.Head().Stopped)
-	require.Contains(t, x.Apply(1, &Command{Kind: Rollback, From: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
+	require.EqualValues(t, Revision{3, table.log[0].Digest}, table.Head().All, "it was in force for all before")
+	require.False(t, table.Head().Stopped)
+	require.Contains(t, table.Apply(1, &Command{Kind: Rollback, From: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
 
 }
 
 // The table's time may be slower than the world's; a seat's own clock counts as well.
 func TestAStageEndsByTheClockOfASeat(t *testing.T) {
-	x := NewTable()
-	x.Apply(100*ms, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
-	require.Nil(t, x.DueAfter(canaryDuration-1))
-	require.False(t, x.Apply(200*ms, &Command{Kind: Advance, Version: 1, Stood: canaryDuration - 1}).Done)
-	require.False(t, x.Apply(200*ms, &Command{Kind: Advance, Version: 2, Stood: canaryDuration}).Done)
-	require.True(t, x.Apply(200*ms, x.DueAfter(canaryDuration)).Done)
-	require.EqualValues(t, 1, x.Head().All.Version)
-	require.Nil(t, x.DueAfter(canaryDuration), "nothing stands there")
-	x.Apply(300*ms, &Command{Kind: Put, From: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
-	x.Apply(400*ms, &Command{Kind: Stop, Version: 2, Who: "b", Why: "can't"})
-	require.Nil(t, x.DueAfter(100*canaryDuration), "what is stopped goes no further")
+	table := NewTable()
+	table.Apply(100*ms, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
+	require.Nil(t, table.DueAfter(canaryDuration-1))
+	require.False(t, table.Apply(200*ms, &Command{Kind: Advance, Version: 1, Stood: canaryDuration - 1}).Done)
+	require.False(t, table.Apply(200*ms, &Command{Kind: Advance, Version: 2, Stood: canaryDuration}).Done)
+	require.True(t, table.Apply(200*ms, table.DueAfter(canaryDuration)).Done)
+	require.EqualValues(t, 1, table.Head().All.Version)
+	require.Nil(t, table.DueAfter(canaryDuration), "nothing stands there")
+	table.Apply(300*ms, &Command{Kind: Put, From: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
+	table.Apply(400*ms, &Command{Kind: Stop, Version: 2, Who: "b", Why: "can't"})
+	require.Nil(t, table.DueAfter(100*canaryDuration), "what is stopped goes no further")
 }
 
 func TestALongChangeComesInPieces(t *testing.T) {
-	x := NewTable()
+	table := NewTable()
 	piece := func(seq uint64, from string, n int, more bool, list ...Item) Verdict {
-		return x.Apply(int64(seq)*ms, &Command{Kind: Put, From: from, Seq: seq, Piece: n, More: more, Changes: list})
+		return table.Apply(int64(seq)*ms, &Command{Kind: Put, From: from, Seq: seq, Piece: n, More: more, Changes: list})
 	}
 	require.True(t, piece(1, "a", 0, true, tenant(1, "1")).Done)
 	require.Contains(t, piece(1, "b", 0, true, tenant(2, "1")).Refused, "a long change by a is coming in")
 	require.Contains(t, piece(2, "a", 2, false, tenant(3, "1")).Refused, "doesn't follow")
-	require.Zero(t, x.Head().Newest)
+	require.Zero(t, table.Head().Newest)
 	require.True(t, piece(3, "a", 1, true, tenant(2, "1")).Done)
 	last := piece(4, "a", 2, false, tenant(3, "1"))
 	require.EqualValues(t, 1, last.Version)
 	require.Equal(t, last, piece(4, "a", 2, false, tenant(3, "1")))
-	require.Equal(t, 3, x.newest.Len(Tenants))
-	require.Contains(t, x.Apply(1, putOn(1, 9, Item{Tenants, "big", make([]byte, maxPutBytes)})).Refused, "put it in pieces")
-	require.Contains(t, x.Apply(1, putOn(1, 10, tenant(1, `{ "a":1}`))).Refused, `tenants "t1" is not in canonical form`)
+	require.Equal(t, 3, table.newest.Len(Tenants))
+	require.Contains(t, table.Apply(1, putOn(1, 9, Item{Tenants, "big", make([]byte, maxPutBytes)})).Refused, "put it in pieces")
+	require.Contains(t, table.Apply(1, putOn(1, 10, tenant(1, `{ "a":1}`))).Refused, `tenants "t1" is not in canonical form`)
 }
 
 func TestACouncilThatForgotCountsOn(t *testing.T) {
-	x := NewTable()
+	table := NewTable()
 	c := putOn(0, 1, tenant(1, "1"))
 	c.Version = 500
-	require.EqualValues(t, 501, x.Apply(1, c).Version)
-	require.EqualValues(t, 502, x.Apply(1, putOn(501, 2, tenant(1, "2"))).Version)
+	require.EqualValues(t, 501, table.Apply(1, c).Version)
+	require.EqualValues(t, 502, table.Apply(1, putOn(501, 2, tenant(1, "2"))).Version)
 }
 
 // TestTablesThatCarryOutTheSameAreTheSame has one of two tables go through snapshots, at drawn commands.
@@ -150,12 +150,12 @@
 }
 
 func TestASnapshotOfAnUnchangedTableCostsNothing(t *testing.T) {
-	x := NewTable()
-	x.Apply(1, putOn(0, 1, tenant(1, "1")))
-	one, _ := x.Snapshot()
-	require.Zero(t, testing.AllocsPerRun(10, func() { _, _ = x.Snapshot() }))
-	x.Apply(1, &Command{Kind: Advance, Version: 7}) // refused
-	two, _ := x.Snapshot()
+	table := NewTable()
+	table.Apply(1, putOn(0, 1, tenant(1, "1")))
+	one, _ := table.Snapshot()
+	require.Zero(t, testing.AllocsPerRun(10, func() { _, _ = table.Snapshot() }))
+	table.Apply(1, &Command{Kind: Advance, Version: 7}) // refused
+	two, _ := table.Snapshot()
 	require.Same(t, &one[0], &two[0])
 	for end := 0; end < len(one); end += 11 {
 		_, err := Restore(one[:end])
@@ -174,12 +174,12 @@
 
 // TestWhatWasGivenAwayStays holds on to what a seat's holder was told while the table goes on past the bound of its log.
 func TestWhatWasGivenAwayStays(t *testing.T) {
-	x := NewTable()
-	x.Apply(1, putOn(0, 1, tenant(0, "1")))
-	before := x.Agreed()
+	table := NewTable()
+	table.Apply(1, putOn(0, 1, tenant(0, "1")))
+	before := table.Agreed()
 	for k := range maxLogRecords + 10 {
-		x.Apply(1, putOn(uint64(k+1), uint64(k+2), tenant(0, fmt.Sprint(k+2))))
+		table.Apply(1, putOn(uint64(k+1), uint64(k+2), tenant(0, fmt.Sprint(k+2))))
 	}
 	require.EqualValues(t, 1, before.Log[0].Version)
-	require.EqualValues(t, 12, x.Agreed().Log[0].Version)
+	require.EqualValues(t, 12, table.Agreed().Log[0].Version)
 }
