--- a/internal/fleet/configsync/blockassembly_test.go
+++ b/internal/fleet/configsync/blockassembly_test.go
@@ -9,27 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quarterContent is a content of a quarterContent of the wanted size.
-func quarterContent(t *testing.T) *Content { return fullContent(t, 1_175, 32_500) }
-
-// scattered are changes of tenants of a content that lie scattered: no two of them are neighbours.
-func scattered(c *Content, n int) (list []Item) {
-	k, step := 0, c.Len(Tenants)/n
-	for i := range c.All {
-		if i.Part != Tenants {
-			continue
-		}
-		if k++; k%step == 0 && len(list) < n {
-			list = append(list, Item{Tenants, i.Name, []byte(fmt.Sprintf(`{"quota_rps":%d,"weight":7}`, 100_000+k))})
-		}
-	}
-	return list
-}
-
-// TestAThousandItemsApartAreInForceAsThePaceAllows has one version of 1,000 items that lie apart, whose record is more than one answer.
-func TestAThousandItemsApartAreInForceAsThePaceAllows(t *testing.T) {
-	nodes, seats := *apartFleet, max(3, *apartFleet/144)
-	sim, c := newFleetSimulation(*apartSeed, nodes, seats, 5, 2, 30*ms), quarterContent(t)
+// One version changes 1,000 scattered items, and its record is more than one answer.
+func TestThousandItemsScatteredAreInForceAsTheRateAllows(t *testing.T) {
+	nodes, replicas := *apartFleet, max(3, *apartFleet/144)
+	sim, c := newFleetSimulation(*apartSeed, nodes, replicas, 5, 2, 30*ms), quarterContent(t)
 	revision := sim.putWhole(t, c)
 	for i, n := range sim.nodes {
 		n.disk = simDisk{revision, c}
@@ -40,7 +23,7 @@
 	require.Empty(t, sim.unsettled())
 	a := sim.callers[0]
 	a.base = sim.agreed.Head().Newest
-	sim.put(a, scattered(c, 1_000)...)
+	sim.put(a, scattered(c)...)
 	for sim.agreed.Head().Newest == revision.Version {
 		sim.run(sim.now + 10*ms)
 	}
@@ -55,100 +38,18 @@
 	t.Logf("%d bytes of changes, %d nodes: half after %d ms, 99 in 100 %d ms, the last %d ms (simulated)", record.bytes(), len(sim.nodes),
 		took[len(took)/2]/ms, took[len(took)*99/100]/ms, took[len(took)-1]/ms)
 	all := int64(record.bytes() + Blocks*digestBytes) // that one node gets
-	doublings := int64(bits.Len(uint((nodes+seats-1)/seats - 1)))
+	doublings := int64(bits.Len(uint((nodes+replicas-1)/replicas - 1)))
 	bound := canaryDuration + replicaFallbackDelay + doublings*all*1_000_000_000/bytesPerSecond
-	t.Logf("the pace allows %d ms: all have it once those that do doubled %d times, each as long as a node needs to give %d bytes", bound/ms, doublings, all)
+	t.Logf("the rate allows %d ms: %d doublings of the nodes that have it, each as long as a node takes to send %d bytes", bound/ms, doublings, all)
 	require.LessOrEqual(t, took[len(took)-1], bound)
 	sim.check()
 	require.Empty(t, sim.failure)
 }
 
-// suppliers are peers that have a content and a further version of it, whose record is more than one answer.
-type suppliers struct {
-	*Table
-	base  *Content
-	first Revision
-	nodes map[string]*Replicator
-}
-
-func newSuppliers(t *testing.T) *suppliers {
-	c := fullContent(t, 100, 3_000)
-	g := &suppliers{Table: NewTable(), base: c, first: Revision{1, c.Digest()}, nodes: map[string]*Replicator{}}
-	g.newest, g.all, g.canary = c, c, c
-	g.head = HeadRevision{All: g.first, First: g.first, Newest: 1}
-	for _, name := range []string{"a", "b"} {
-		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{Mark: g.first, Content: c})
-	}
-	return g
-}
-
-// put makes a further version, which the givers have.
-func (g *suppliers) put(t *testing.T, changes ...Item) Revision {
-	v := g.Apply(1, putOn(g.head.Newest, g.head.Newest, changes...))
-	require.True(t, v.Done, v.Refused)
-	r := g.log[len(g.log)-1].wire()
-	revision := Revision{r.Version, r.Digest}
-	for _, n := range g.nodes {
-		n.setReady(revision, g.newest, []*Record{&r})
-	}
-	return revision
-}
-
-// fetcher is a node that has the version before, and two neighbours.
-func (g *suppliers) fetcher() *Replicator {
-	r := newTestReplicator()
-	r.applied, r.ready, r.disk.revision, r.appliedContent, r.readyContent = g.first, g.first, g.first, g.base, g.base
-	return r
-}
-
-// answer is what a peer says to an ask. It may give again at once.
-func (g *suppliers) answer(now int64, e Effect) *Message {
-	n := g.nodes[e.To]
-	n.tokens, n.refilledAt = burstBytes, now
-	for _, p := range n.peers {
-		p.tokens = burstBytes
-	}
-	ask := *e.Message
-	effects, _ := n.Step(now, []Input{{Kind: Asked, From: "n", Link: 1, Message: &ask}})
-	return effectsOf(effects, Reply)[0].Message
-}
-
-// fetch has an asker fetch until it has a version; each answer can be changed, nil for lost. It gives how often who answered and the bytes.
-func (g *suppliers) fetch(t *testing.T, r *Replicator, goal Revision, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
-	from = map[string]int{}
-	in := []Input{confirmation(goal, goal), announcement("a", HeadRevision{All: goal, First: goal}, goal), announcement("b", HeadRevision{All: goal, First: goal}, goal)}
-	k, most := 0, g.head.Newest
-	for now := r.refilledAt + 500*ms; r.ready != goal && g.head.Newest == most; now += 10 * ms {
-		require.Less(t, now, 900_000*ms)
-		effects, _ := r.Step(now, in)
-		in = nil
-		for _, e := range effectsOf(effects, Exchange) {
-			if g.nodes[e.To] == nil {
-				in = append(in, Input{Kind: Missed, Link: e.Link})
-				continue
-			}
-			for _, m := range change(k, e.To, g.answer(now, e)) {
-				if m != nil {
-					from[e.To]++
-					bytes += m.size()
-					in = append(in, Input{Kind: Answered, Link: e.Link, Message: m})
-				}
-			}
-			k++
-		}
-		if r.Counters.InvalidResponses > 0 { // a peer that is set aside tells again
-			in = append(in, announcement("a", HeadRevision{All: goal, First: goal}, goal), announcement("b", HeadRevision{All: goal, First: goal}, goal))
-		}
-	}
-	return from, bytes
-}
-
-func unchanged(_ int, _ string, m *Message) []*Message { return []*Message{m} }
-
-// TestChangesOfBlocksComeFromAnyPeer loses some answers, doubles some, and wants what came to go on to others.
+// Some answers are lost, some duplicated, and what was fetched is served to others.
 func TestChangesOfBlocksComeFromAnyPeer(t *testing.T) {
 	g := newSuppliers(t)
-	two := g.put(t, scattered(g.base, 1_000)...)
+	two := g.put(t, scattered(g.base)...)
 	record := g.log[0].wire()
 	require.Greater(t, record.bytes(), 2*maxPieceBytes)
 	r := g.fetcher()
@@ -160,12 +61,12 @@
 	require.Zero(t, r.Counters.InvalidResponses)
 	require.Positive(t, from["a"])
 	require.Positive(t, from["b"])
-	require.Less(t, bytes, 2*(record.bytes()+2*Blocks*digestBytes), "doubled ones count twice here")
-	require.True(t, len(r.changesBetween(g.first, two)) == len(record.Changes), "others can have them of this node")
-	require.Empty(t, r.changesBetween(g.first, Revision{2, Digest{A: 1}}), "not those to another content")
-	require.Empty(t, r.changesBetween(Revision{1, Digest{A: 1}}, two), "nor from one")
+	require.Less(t, bytes, 2*(record.bytes()+2*Blocks*digestBytes), "duplicates count twice here")
+	require.True(t, len(r.changesBetween(g.first, two)) == len(record.Changes), "this node can serve them")
+	require.Empty(t, r.changesBetween(g.first, Revision{2, Digest{A: 1}}), "not the changes to another content")
+	require.Empty(t, r.changesBetween(Revision{1, Digest{A: 1}}, two), "nor from another content")
 	require.Len(t, r.log, 1)
-	require.Equal(t, blockDeltas{}, r.assembly.deltas, "nothing is kept twice")
+	require.Equal(t, blockDeltas{}, r.assembly.deltas, "nothing is stored twice")
 	g.nodes["a"], g.nodes["b"] = r, r
 	again := g.fetcher()
 	g.fetch(t, again, two, unchanged)
@@ -173,8 +74,8 @@
 	require.Equal(t, g.newest.Digest(), again.readyContent.Digest())
 }
 
-// TestWhoGivesFalseChangesIsSetAside has one peer give changes that aren't so, in some ways; the other one never is, and what it gave stays.
-func TestWhoGivesFalseChangesIsSetAside(t *testing.T) {
+// One peer answers with invalid changes of several kinds. The other one is never penalized, and its blocks are retained.
+func TestPeerWithInvalidChangesIsPenalized(t *testing.T) {
 	for name, spoil := range map[string]func(list []Block){
 		"a value":          func(list []Block) { list[0].Changes[0].Value = []byte(`{"quota_rps":1}`) },
 		"an item less":     func(list []Block) { list[len(list)-1].Changes = list[len(list)-1].Changes[1:] },
@@ -187,10 +88,10 @@
 		"one more of them": func(list []Block) { list[0].Changes = append(list[0].Changes, Item{Tenants, "false", []byte("1")}) },
 	} {
 		g := newSuppliers(t)
-		two := g.put(t, scattered(g.base, 1_000)...)
+		two := g.put(t, scattered(g.base)...)
 		r, kept := g.fetcher(), 0
 		g.fetch(t, r, two, func(_ int, from string, m *Message) []*Message {
-			require.GreaterOrEqual(t, len(r.assembly.deltas.blocks), kept, "%s: what came stays", name)
+			require.GreaterOrEqual(t, len(r.assembly.deltas.blocks), kept, "%s: fetched blocks are retained", name)
 			if kept = len(r.assembly.deltas.blocks); from == "b" && len(m.Blocks) > 1 {
 				again, list := *m, make([]Block, len(m.Blocks))
 				for k, b := range m.Blocks {
@@ -209,10 +110,10 @@
 	}
 }
 
-// TestChangesOnTheirWayAreKeptWhenTheVersionMovesOn has a further version agreed on once half of the changes came.
-func TestChangesOnTheirWayAreKeptWhenTheVersionMovesOn(t *testing.T) {
+// A further version is agreed on once half of the changes were fetched.
+func TestFetchedChangesAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	g := newSuppliers(t)
-	list := scattered(g.base, 1_000)
+	list := scattered(g.base)
 	two := g.put(t, list...)
 	r, part, three := g.fetcher(), 0, Revision{}
 	_, first := g.fetch(t, r, two, func(_ int, _ string, m *Message) []*Message {
@@ -230,10 +131,10 @@
 	require.Less(t, first+second, g.log[0].bytes()+3*Blocks*digestBytes)
 }
 
-// TestChangesOverSomeVersionsAreGivenOn has a node go over two versions at once, whose records it doesn't have then.
-func TestChangesOverSomeVersionsAreGivenOn(t *testing.T) {
+// A node fetches two versions at once, and doesn't have their records then.
+func TestChangesOverSeveralVersionsAreServed(t *testing.T) {
 	g := newSuppliers(t)
-	list := scattered(g.base, 1_000)
+	list := scattered(g.base)
 	g.put(t, list...)
 	three := g.put(t, list[0], Item{Tenants, list[0].Name, []byte(`{"quota_rps":3}`)}, Item{Part: Tenants, Name: list[7].Name}, tenant(1, "1"))
 	r := g.fetcher()
@@ -249,75 +150,75 @@
 	require.Less(t, bytes, g.log[0].bytes()+3*Blocks*digestBytes)
 }
 
-// TestWhatCameSoFarIsGivenOn has a node with some of the blocks give them, and the index.
-func TestWhatCameSoFarIsGivenOn(t *testing.T) {
+// A node with some of the blocks serves these, and the index.
+func TestPartialAssemblyIsServed(t *testing.T) {
 	g := newSuppliers(t)
-	two := g.put(t, scattered(g.base, 1_000)...)
+	two := g.put(t, scattered(g.base)...)
 	r, again := g.fetcher(), g.fetcher()
 	r.assembly.index, r.assembly.revision = g.newest.index(), two
-	ask, answer := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
-	r.requestMissing(ask)
-	g.nodes["a"].serveBlocks(ask, answer)
-	came := 100
-	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks[:came])
+	fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
+	r.requestMissing(fetch)
+	g.nodes["a"].serveBlocks(fetch, answer)
+	fetched := 100
+	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks[:fetched])
 
-	ask, answer = &Message{Kind: Fetch, Has: g.first, Want: two, Sums: g.base.pageSums()}, &Message{Kind: Piece}
-	r.serveFetch(2, "again", ask, answer)
+	fetch, answer = &Message{Kind: Fetch, Has: g.first, Want: two, Sums: g.base.pageSums()}, &Message{Kind: Piece}
+	r.serveFetch(2, "again", fetch, answer)
 	again.fetch.want, again.fetch.base = two, again.assemblyBase()
 	require.True(t, again.applyIndex(answer))
 
-	ask, answer = &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
-	again.requestMissing(ask)
-	r.serveBlocks(ask, answer)
-	require.Len(t, answer.Blocks, came, "all of them")
-	other, none := *ask, &Message{Kind: Piece}
+	fetch, answer = &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
+	again.requestMissing(fetch)
+	r.serveBlocks(fetch, answer)
+	require.Len(t, answer.Blocks, fetched, "all of them")
+	other, none := *fetch, &Message{Kind: Piece}
 	other.Has = Revision{1, Digest{A: 1}}
 	r.serveDeltas(&other, none)
-	require.Empty(t, none.Blocks, "it doesn't know what changed since another content")
+	require.Empty(t, none.Blocks, "it doesn't know the changes since another content")
 	again.storeBlocks(3, again.peerFor(3, "n"), answer.Blocks)
 	require.Zero(t, again.Counters.InvalidResponses)
-	require.True(t, len(again.assembly.deltas.blocks) == came)
+	require.True(t, len(again.assembly.deltas.blocks) == fetched)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
-	r.assembly.index, r.assembly.revision = g.newest.index(), three // what came of one block is of the version before
-	ask, answer = &Message{Kind: Fetch, Has: g.first, Want: three}, &Message{Kind: Piece}
+	r.assembly.index, r.assembly.revision = g.newest.index(), three // the fetched changes of one block are of the version before
+	fetch, answer = &Message{Kind: Fetch, Has: g.first, Want: three}, &Message{Kind: Piece}
 	again.assembly.index, again.assembly.content = r.assembly.index, nil
-	again.requestMissing(ask)
-	r.serveBlocks(ask, answer)
-	require.Len(t, answer.Blocks, came-1)
+	again.requestMissing(fetch)
+	r.serveBlocks(fetch, answer)
+	require.Len(t, answer.Blocks, fetched-1)
 }
 
-// TestPeersOfAnOlderBuildGiveAndGetWholeBlocks has an ask and an answer without what older builds don't know.
-func TestPeersOfAnOlderBuildGiveAndGetWholeBlocks(t *testing.T) {
+// Fetches and answers lack what older builds don't know.
+func TestPeersOfAnOlderBuildExchangeWholeBlocks(t *testing.T) {
 	g := newSuppliers(t)
-	two := g.put(t, scattered(g.base, 1_000)...)
+	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
 	r.assembly.index = g.newest.index()
-	ask := &Message{Kind: Fetch, Has: g.first, Want: two}
-	r.requestMissing(ask)
-	require.Len(t, ask.Wanted, maxWantedBlocks)
+	fetch := &Message{Kind: Fetch, Has: g.first, Want: two}
+	r.requestMissing(fetch)
+	require.Len(t, fetch.Wanted, maxWantedBlocks)
 	answer := &Message{Kind: Piece}
-	g.nodes["a"].serveBlocks(ask, answer)
+	g.nodes["a"].serveBlocks(fetch, answer)
 	require.NotEmpty(t, answer.Blocks[0].Changes)
-	ask.Missing, answer = nil, &Message{Kind: Piece}
-	g.nodes["a"].serveBlocks(ask, answer)
+	fetch.Missing, answer = nil, &Message{Kind: Piece}
+	g.nodes["a"].serveBlocks(fetch, answer)
 	require.NotEmpty(t, answer.Blocks)
 	for _, b := range answer.Blocks {
 		require.Empty(t, b.Changes)
 		require.NotEmpty(t, b.Text)
 	}
 	r = g.fetcher()
-	for _, n := range g.nodes { // they know nothing of changes
+	for _, n := range g.nodes { // they have no records
 		n.log, n.logSize = nil, 0
 	}
 	g.fetch(t, r, two, unchanged)
 	require.Equal(t, two, r.ready)
 	require.Equal(t, g.newest.Digest(), r.readyContent.Digest())
-	require.True(t, len(r.changesBetween(g.first, two)) == 1_000, "what differs is known all the same")
+	require.True(t, len(r.changesBetween(g.first, two)) == 1_000, "the differences are known all the same")
 }
 
-// TestBlocksThatAreLessThanTheirChangesComeWhole removes nearly all.
-func TestBlocksThatAreLessThanTheirChangesComeWhole(t *testing.T) {
+// Nearly all items are removed.
+func TestBlocksSmallerThanTheirChangesAreSentWhole(t *testing.T) {
 	g := newSuppliers(t)
 	var gone []Item
 	for i := range g.base.All {
@@ -343,12 +244,12 @@
 	require.Greater(t, whole, parted)
 }
 
-func TestChangesOnTheirWayAreBounded(t *testing.T) {
+func TestBlockDeltasAreBounded(t *testing.T) {
 	var d blockDeltas
 	big := []Item{{Tenants, "x", make([]byte, maxValueBytes)}}
 	for n := range maxRetainedBytes/maxValueBytes - 10 {
 		d.put(n, big)
-		d.put(n, big) // in the place of the first
+		d.put(n, big) // replaces the first
 	}
 	require.NotEmpty(t, d.blocks)
 	for n := range 20 {
@@ -360,24 +261,24 @@
 	require.Empty(t, d.blocks, "nor afterwards")
 }
 
-// TestWhatWasTakenBackIsNoChange has a version whose changes came taken back while they travel.
-func TestWhatWasTakenBackIsNoChange(t *testing.T) {
+// A version is reverted while its changes are fetched.
+func TestRevertedChangeIsNoChange(t *testing.T) {
 	g := newSuppliers(t)
-	list := scattered(g.base, 1_000)
+	list := scattered(g.base)
 	two := g.put(t, list...)
 	r := g.fetcher()
 	fill := func(index *Content, revision Revision, whole bool) {
 		r.assembly.index, r.assembly.revision = index.index(), revision
-		ask, answer := &Message{Kind: Fetch, Has: g.first, Want: revision}, &Message{Kind: Piece}
-		if r.requestMissing(ask); whole {
-			ask.Missing = nil
+		fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: revision}, &Message{Kind: Piece}
+		if r.requestMissing(fetch); whole {
+			fetch.Missing = nil
 		}
-		g.nodes["a"].serveBlocks(ask, answer)
+		g.nodes["a"].serveBlocks(fetch, answer)
 		r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks)
 	}
 	fill(g.newest, two, false)
-	came := len(r.assembly.deltas.blocks)
-	require.Greater(t, came, maxWantedBlocks)
+	fetched := len(r.assembly.deltas.blocks)
+	require.Greater(t, fetched, maxWantedBlocks)
 	var back []Item
 	for _, i := range list {
 		back = append(back, Item{i.Part, i.Name, g.base.Get(i.Part, i.Name)})
@@ -385,8 +286,8 @@
 	three := g.put(t, back...)
 	fill(g.newest, three, true)
 	require.Zero(t, r.Counters.InvalidResponses)
-	ask, answer := &Message{Kind: Fetch, Has: g.first, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}, &Message{Kind: Piece}
-	r.serveDeltas(ask, answer)
+	fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}, &Message{Kind: Piece}
+	r.serveDeltas(fetch, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
 	taken := 0
 	for _, changes := range r.assembly.deltas.blocks {
@@ -397,18 +298,18 @@
 	require.Equal(t, maxWantedBlocks, taken)
 }
 
-// TestChangesAreCarriedOutOnWhatTheyAreFrom has a block come of a version whose change the next one takes back.
-func TestChangesAreCarriedOutOnWhatTheyAreFrom(t *testing.T) {
+// A fetched block's change is reverted by the next version.
+func TestChangesAreAppliedToTheirBase(t *testing.T) {
 	g := newSuppliers(t)
-	two := g.put(t, scattered(g.base, 1_000)...)
+	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
 	r.assembly.index, r.assembly.revision = g.newest.index(), two
-	ask, answer := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
-	r.requestMissing(ask)
-	g.nodes["a"].serveBlocks(ask, answer)
+	fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
+	r.requestMissing(fetch)
+	g.nodes["a"].serveBlocks(fetch, answer)
 	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks)
 	n, name := 0, ""
-	for k := 0; n == 0; k++ { // one that falls there too
+	for k := 0; n == 0; k++ { // one that falls into such a block
 		if i := tenant(k, "1"); len(r.assembly.deltas.blocks[i.block()]) > 0 {
 			n, name = i.block(), i.Name
 		}
@@ -422,10 +323,10 @@
 	require.True(t, len(r.assembly.deltas.blocks[n]) == 1)
 }
 
-// TestThosePutOffAskOneAfterAnother has a node that gave what its pace allows be asked by all at once.
-func TestThosePutOffAskOneAfterAnother(t *testing.T) {
+// A node that has used up its rate gets fetches of all others at once.
+func TestBusyAskersGetSuccessiveSlots(t *testing.T) {
 	g := newSuppliers(t)
-	two := g.put(t, scattered(g.base, 1_000)...)
+	two := g.put(t, scattered(g.base)...)
 	r, now := g.nodes["a"], 1_000*ms
 	names := []string{"n0", "n1", "n2", "n3"}
 	r.Step(now, []Input{{Kind: Viewed, View: &View{Neighbours: names}}})
@@ -449,10 +350,10 @@
 	}
 }
 
-// TestBlocksThatWereNotAskedForAreFalse has sound changes come as the answer to an ask for the index.
-func TestBlocksThatWereNotAskedForAreFalse(t *testing.T) {
+// Valid changes come as the answer to a fetch of the index.
+func TestUnrequestedBlocksAreInvalid(t *testing.T) {
 	g := newSuppliers(t)
-	g.put(t, scattered(g.base, 1_000)...)
+	g.put(t, scattered(g.base)...)
 	r, item := g.fetcher(), g.log[0].Changes[0]
 	r.storeBlocks(1, r.peerFor(1, "a"), []Block{{N: uint16(item.block()), Changes: []Item{item}}})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
--- a/internal/fleet/configsync/build_test.go
+++ b/internal/fleet/configsync/build_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A content that is built at once is that of the same items one after the other.
-func TestBuiltAtOnceIsAsBuiltByChanges(t *testing.T) {
+// A content that is built at once equals that of the same items applied one after the other.
+func TestBuildEqualsApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Item
 		for range rapid.IntRange(0, 300).Draw(t, "items") {
@@ -42,22 +42,22 @@
 	assert.ErrorContains(t, err, "make values smaller")
 }
 
-// What a large content holds of the heap is what its items have, and little more: no holes of blocks on the way there.
-func TestLargeContentLeavesNoHoles(t *testing.T) {
-	held := func() uint64 {
+// A large content takes little more of the heap than its items: outgrown blocks leave no holes.
+func TestBuildLeavesNoHolesInTheHeap(t *testing.T) {
+	heap := func() uint64 {
 		var m runtime.MemStats
 		debug.FreeOSMemory()
 		runtime.ReadMemStats(&m)
 		return m.HeapInuse
 	}
-	before := held()
+	before := heap()
 	c, err := Build(func(yield func(Item)) {
 		for k := range 130_000 {
 			yield(Item{Tenants, fmt.Sprintf("tenant-%06d", k), []byte(`{"quota_rps":1.5}`)})
 		}
 	})
 	require.NoError(t, err)
-	size := held() - before
+	size := heap() - before
 	assert.Less(t, size, uint64(c.Bytes()*3/2), "%d bytes of items", c.Bytes())
 	runtime.KeepAlive(c)
 }
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawItems draws changes over few names, so that they meet.
+// drawItems draws changes of few names, so that they collide.
 func drawItems(t *rapid.T) (list []Item) {
 	for range rapid.IntRange(0, 12).Draw(t, "changes") {
 		i := Item{Part: rapid.SampledFrom(partNames[:]).Draw(t, "part"), Name: fmt.Sprint("x", rapid.IntRange(0, 20).Draw(t, "name"))}
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestContentIsWhatAMapIs compares contents with maps under drawn changes.
-func TestContentIsWhatAMapIs(t *testing.T) {
+// Contents are compared with maps under random changes.
+func TestContentBehavesAsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, m, first, was := &Content{}, map[string]string{}, &Content{}, map[string]string{}
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
@@ -56,20 +56,20 @@
 			}
 			c = next
 		}
-		require.Equal(t, was, itemsByName(first), "an older content doesn't change")
+		require.Equal(t, was, itemsByName(first), "a content is immutable")
 		var again []Item
 		for i := range c.All {
 			again = append(again, i)
 			require.Equal(t, i.Value, c.Get(i.Part, i.Name))
 		}
 		slices.Reverse(again)
-		anew, err := (&Content{}).Apply(again)
+		rebuilt, err := (&Content{}).Apply(again)
 		require.NoError(t, err)
-		require.Equal(t, c.Digest(), anew.Digest(), "whatever the order")
-		require.Equal(t, c.Bytes(), anew.Bytes())
+		require.Equal(t, c.Digest(), rebuilt.Digest(), "whatever the order")
+		require.Equal(t, c.Bytes(), rebuilt.Bytes())
 		size := 0
 		for _, part := range partNames {
-			require.Equal(t, c.PartDigest(part), anew.PartDigest(part))
+			require.Equal(t, c.PartDigest(part), rebuilt.PartDigest(part))
 			size += c.Len(part)
 		}
 		require.Equal(t, len(m), size)
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestItemsThatCantBeHeldAreNamed(t *testing.T) {
+func TestInvalidItemsAreNamed(t *testing.T) {
 	for _, c := range []struct {
 		item Item
 		want string
@@ -99,11 +99,11 @@
 		{Item{Tenants, strings.Repeat("a", maxNameBytes+1), []byte("1")}, "of 257 bytes"},
 		{Item{Tenants, "a", make([]byte, maxValueBytes+1)}, `tenants "a" has 4097 bytes; 4096 at the most`},
 	} {
-		_, err := (&Content{}).Apply([]Item{{Tenants, "sound", []byte("1")}, c.item})
+		_, err := (&Content{}).Apply([]Item{{Tenants, "valid", []byte("1")}, c.item})
 		require.ErrorContains(t, err, c.want)
 	}
 	c, err := &Content{}, error(nil)
-	for n := 0; err == nil; n += 500 { // values as large as they may be, until there is no room
+	for n := 0; err == nil; n += 500 { // the largest values, until there is no room
 		list := make([]Item, 500)
 		for k := range list {
 			list[k] = Item{Tenants, fmt.Sprint(n + k), bytes.Repeat([]byte("1"), maxValueBytes)}
@@ -113,7 +113,7 @@
 	require.ErrorContains(t, err, "make values smaller")
 }
 
-func TestCanonicalIsOneForm(t *testing.T) {
+func TestCanonicalIsUnique(t *testing.T) {
 	got, err := Canonical([]byte(" {\"b\": 1.50, \"a\": [true, null, \"<x>\"]}\n"))
 	require.NoError(t, err)
 	require.Equal(t, `{"a":[true,null,"<x>"],"b":1.50}`, string(got))
@@ -126,7 +126,7 @@
 	}
 }
 
-// fullContent is a content of the size that is wanted in two years.
+// fullContent is a content of so many operations and tenants.
 func fullContent(t testing.TB, operations, tenants int) *Content {
 	list := make([]Item, 0, operations+tenants)
 	for k := range operations {
@@ -149,13 +149,13 @@
 	return m.HeapAlloc
 }
 
-// TestMemoryAtFullSize wants what a node holds to be little more than its bytes, and a change to cost little.
+// A content takes little more memory than its bytes, and a change of it little.
 func TestMemoryAtFullSize(t *testing.T) {
 	before := heapInUse()
 	c := fullContent(t, 4_700, 130_000)
-	held := int64(heapInUse()) - int64(before)
-	t.Logf("%d bytes of names and values are held in %d", c.Bytes(), held)
-	require.Less(t, held, int64(10<<20))
+	used := int64(heapInUse()) - int64(before)
+	t.Logf("%d bytes of names and values are stored in %d", c.Bytes(), used)
+	require.Less(t, used, int64(10<<20))
 	largest := 0
 	for n := range Blocks {
 		block, _ := c.Block(n)
@@ -164,12 +164,12 @@
 	t.Logf("the largest of %d blocks has %d bytes", Blocks, largest)
 	require.Less(t, largest, maxPieceBytes)
 	versions := []*Content{c}
-	for k := range 20 { // each is another content that shares what it can
+	for k := range 20 { // each shares what it can with the one before
 		next, err := versions[k].Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k), []byte("1")}})
 		require.NoError(t, err)
 		versions = append(versions, next)
 	}
-	more := int64(heapInUse()) - int64(before) - held
+	more := int64(heapInUse()) - int64(before) - used
 	t.Logf("20 further versions with one change each: %d bytes", more)
 	require.Less(t, more, int64(20*2*maxPieceBytes))
 	runtime.KeepAlive(versions)
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestAFileIsReadBack writes what a node keeps and reads it in odd pieces, whole, torn and spoilt.
-func TestAFileIsReadBack(t *testing.T) {
+// A file is read back in pieces of several sizes, complete, torn and corrupted.
+func TestDiskFileIsReadBack(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
 	file, base := []byte{}, table.newest
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -18,9 +18,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
+var update = flag.Bool("update", false, "rewrite the fixtures of testdata with what this build encodes")
 
-// sameAsFixture says that the bytes are those of a file of testdata, and gives the file's.
+// sameAsFixture requires that the bytes are those of a file of testdata, and returns the file's.
 func sameAsFixture(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -30,11 +30,11 @@
 	}
 	fixture, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, fixture, encoded, "%s: the encoding isn't what it was", name)
+	assert.Equal(t, fixture, encoded, "%s: the encoding changed", name)
 	return fixture
 }
 
-// sameBothWays says that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
+// sameBothWays requires that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
 func sameBothWays[T any](t *testing.T, name string, value T, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	encoded, err := encode(value)
@@ -81,7 +81,7 @@
 		}
 	case reflect.Struct:
 		for k := range v.NumField() {
-			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
+			if key, encoded := keyOf(v.Type().Field(k)); encoded {
 				setFull(v.Field(k), 31*seed+key)
 			}
 		}
@@ -90,8 +90,8 @@
 	}
 }
 
-// keyOf is what a field is known by in the encoding: a number, a name, or in an array its place.
-func keyOf(f reflect.StructField, place int) (key uint32, encoded bool) {
+// keyOf is what a field is known by in the encoding: a number or a name.
+func keyOf(f reflect.StructField) (key uint32, encoded bool) {
 	tag := f.Tag.Get("cbor")
 	if tag == "" {
 		tag = f.Tag.Get("json")
@@ -111,7 +111,7 @@
 	return crc32.ChecksumIEEE([]byte(name)), true
 }
 
-// What holders, replicas and operators' commands say of the configuration, one of each kind.
+// The encodings of messages, commands, queries and files, one of each kind.
 func TestFixturesOfConfiguration(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -170,7 +170,7 @@
 	assert.Equal(t, want.Bytes(), got.Bytes())
 }
 
-// tableOfFixtures is a table of which each part of a snapshot holds something.
+// tableOfFixtures is a table whose snapshot has every field.
 func tableOfFixtures(t *testing.T) *Table {
 	t.Helper()
 	table := NewTable()
@@ -193,7 +193,7 @@
 	return table
 }
 
-// The replicas' table of versions is written to the bytes of a fixture, and read from it to what was written.
+// The replicas' table of versions is encoded to the bytes of a fixture, and restored from it.
 func TestFixtureOfATableOfVersions(t *testing.T) {
 	want := tableOfFixtures(t)
 	text, err := want.Snapshot()
@@ -202,7 +202,7 @@
 	var s savedTable
 	require.NoError(t, cborDecoding.Unmarshal(fixture, &s))
 	for k, v := 0, reflect.ValueOf(s); k < v.NumField(); k++ {
-		assert.False(t, v.Field(k).IsZero(), "field %d of the snapshot holds something", k)
+		assert.False(t, v.Field(k).IsZero(), "field %d of the snapshot is set", k)
 	}
 	got, err := Restore(fixture)
 	require.NoError(t, err)
@@ -223,7 +223,7 @@
 	assert.Equal(t, fixture, again)
 }
 
-// The file of a node is written to the bytes of a fixture, and read from it to what was written.
+// The file of a node is encoded to the bytes of a fixture, and loaded from it.
 func TestFixtureOfANodesFile(t *testing.T) {
 	table := tableOfFixtures(t)
 	log := table.Records()
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -10,8 +10,8 @@
 	"topazpost/internal/fleet/envelope"
 )
 
-// TestLettersFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
-func TestLettersFit(t *testing.T) {
+// TestMessagesFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
+func TestMessagesFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
 	head := HeadRevision{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", maxCallerNameBytes), Why: strings.Repeat("y", maxReasonBytes)}
 	table := NewTable()
@@ -24,8 +24,8 @@
 	appendDifferingPages(c.index(), nil, index)
 	r := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
 	r.assembly.index = (&Content{}).index()
-	ask := &Message{Kind: Fetch, Has: most, Want: most}
-	r.requestMissing(ask)
+	fetch := &Message{Kind: Fetch, Has: most, Want: most}
+	r.requestMissing(fetch)
 	blocks := &Message{Kind: Piece, Has: most}
 	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
 	r = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
@@ -36,7 +36,7 @@
 	require.Len(t, wanted.Wanted, maxWantedBlocks)
 	require.NotEmpty(t, blocks.Blocks)
 	g := newSuppliers(t)
-	two := g.put(t, scattered(g.base, 1_000)...)
+	two := g.put(t, scattered(g.base)...)
 	r = g.fetcher()
 	r.assembly.index = g.newest.index()
 	parts, parted := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece, Has: most}
@@ -50,7 +50,7 @@
 		{&Message{Kind: Tell, Head: head.announced(), Has: most, Records: wireRecords(table.log, maxEagerBytes, false)}, envelope.DatagramMost},
 		{&Message{Kind: Report, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", maxReasonBytes), Age: 1 << 60}, envelope.DatagramMost},
 		{&Message{Kind: Vouch, Seq: 1 << 31, Head: head}, envelope.DatagramMost},
-		{ask, 64 << 10}, {wanted, 64 << 10}, {piece, 64 << 10}, {index, 64 << 10}, {blocks, 64 << 10},
+		{fetch, 64 << 10}, {wanted, 64 << 10}, {piece, 64 << 10}, {index, 64 << 10}, {blocks, 64 << 10},
 		{parts, 64 << 10}, {parted, 64 << 10},
 	} {
 		text, err := envelope.Seal(nil, 1, m.Message)
@@ -66,14 +66,14 @@
 	}
 }
 
-// TestFalseWordsAreSetAside floods a node with what no seat knows of; it goes by what seats say, and asks little.
-func TestFalseWordsAreSetAside(t *testing.T) {
-	r, sound := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"}), &Content{}
-	sound, err := sound.Apply([]Item{tenant(1, "1")})
+// A node is flooded with versions that no replica confirms.
+func TestInvalidAnnouncementsAreIgnored(t *testing.T) {
+	r, valid := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"}), &Content{}
+	valid, err := valid.Apply([]Item{tenant(1, "1")})
 	require.NoError(t, err)
-	head := HeadRevision{All: Revision{1, sound.Digest()}, First: Revision{1, sound.Digest()}, Newest: 1}
-	reports, seats := 0, 0
-	inputs := []Input{{Kind: Viewed, View: &View{Neighbours: []string{"liar", "b"}, Seats: []string{"s", "t"}}}}
+	head := HeadRevision{All: Revision{1, valid.Digest()}, First: Revision{1, valid.Digest()}, Newest: 1}
+	reports, replicas := 0, 0
+	inputs := []Input{{Kind: Viewed, View: &View{Neighbours: []string{"faulty", "b"}, Seats: []string{"s", "t"}}}}
 	for now := int64(1); now < 20_000*ms; now += 10 * ms {
 		effects, _ := r.Step(now, inputs)
 		inputs = nil
@@ -82,26 +82,26 @@
 			case e.Kind == Send && e.Message.Kind == Report:
 				reports++
 				inputs = append(inputs, Input{Kind: Came, From: e.To, Message: &Message{Kind: Vouch, Seq: e.Message.Seq, Head: head}})
-			case e.Kind == Exchange && e.To == "liar":
+			case e.Kind == Exchange && e.To == "faulty":
 				inputs = append(inputs, Input{Kind: Answered, Link: e.Link, Message: &Message{Kind: Piece, Records: []Record{
 					{Version: 1, Digest: head.All.Digest, Changes: []Item{tenant(2, "1")}}}}})
 			case e.Kind == Exchange:
-				seats++
+				replicas++
 				inputs = append(inputs, Input{Kind: Answered, Link: e.Link, Message: &Message{Kind: Piece, Records: []Record{
 					{Version: 1, Digest: head.All.Digest, Changes: []Item{tenant(1, "1")}}}}})
 			case e.Kind == Take:
-				require.Equal(t, sound.Digest(), e.New.Digest())
+				require.Equal(t, valid.Digest(), e.New.Digest())
 				inputs = append(inputs, Input{Kind: Took, Mark: e.Mark})
 			}
 		}
 		for range 20 {
-			lie := Revision{uint64(2 + now/(10*ms)), Digest{A: uint64(now)}}
-			inputs = append(inputs, Input{Kind: Came, From: "liar", Message: &Message{Kind: Tell, Head: HeadRevision{All: lie, First: lie}, Has: lie}},
-				Input{Kind: Came, From: "liar", Message: &Message{Kind: Vouch, Head: HeadRevision{All: lie, First: lie}}})
+			invalid := Revision{uint64(2 + now/(10*ms)), Digest{A: uint64(now)}}
+			inputs = append(inputs, Input{Kind: Came, From: "faulty", Message: &Message{Kind: Tell, Head: HeadRevision{All: invalid, First: invalid}, Has: invalid}},
+				Input{Kind: Came, From: "faulty", Message: &Message{Kind: Vouch, Head: HeadRevision{All: invalid, First: invalid}}})
 		}
 	}
 	require.Equal(t, head.All, r.Revision())
-	require.Positive(t, seats)
+	require.Positive(t, replicas)
 	require.Positive(t, r.Counters.InvalidResponses)
-	require.Less(t, reports, 40, "a flood makes few reports: the one who lied is passed over for longer each time")
+	require.Less(t, reports, 40, "a flood causes few reports: the backoff of the faulty peer grows")
 }
--- a/internal/fleet/configsync/pieces_test.go
+++ b/internal/fleet/configsync/pieces_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A long change costs at each piece what the piece costs, so that no seat stands still with the last one.
-func TestLongChangeIsMadeAsItsPiecesCome(t *testing.T) {
+// Each piece of a long change costs only what that piece costs, also the last one.
+func TestLongChangeIsAppliedPieceByPiece(t *testing.T) {
 	const pieces, each = 60, 400
 	var changes []Item
 	for k := range pieces * each {
@@ -53,7 +53,7 @@
 	assert.Equal(t, uint64(1), table.Head().Newest)
 	_, _, newest := table.Contents()
 	assert.Equal(t, whole.Digest(), newest.Digest())
-	assert.Empty(t, table.Records(), "a record that the log can't hold isn't kept")
+	assert.Empty(t, table.Records(), "a record that the log can't hold is dropped")
 	v := table.Apply(100, &Command{Kind: Put, From: "b", Seq: 1, Changes: changes[:1]})
 	assert.Equal(t, []any{true, -1}, []any{v.Stale, v.More})
 	v = table.Apply(101, &Command{Kind: Put, From: "b", Seq: 2, Base: 1, Changes: []Item{{Tenants, "x", []byte(`{"quota_rps":5}`)}}})
@@ -62,7 +62,7 @@
 	assert.Equal(t, newest.Digest(), table.Records()[0].Base)
 }
 
-func TestPieceThatIsNotCanonicalIsRefusedAtOnce(t *testing.T) {
+func TestPieceNotInCanonicalFormIsRefused(t *testing.T) {
 	table := NewTable()
 	v := table.Apply(0, &Command{Kind: Put, From: "a", Seq: 1, More: true, Changes: []Item{{Tenants, "x", []byte(`{ "quota_rps": 5 }`)}}})
 	assert.Contains(t, v.Refused, "not in canonical form")
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -20,7 +20,7 @@
 	return Revision{uint64(version), table.log[version-1].Digest}
 }
 
-// confirmation is what a seat says, as an input.
+// confirmation is a replica's answer, as an input.
 func confirmation(all, first Revision) Input {
 	return Input{Kind: Came, From: "s", Message: &Message{Kind: Vouch, Head: HeadRevision{All: all, First: first, Newest: first.Version}}}
 }
@@ -29,7 +29,7 @@
 	return Input{Kind: Came, From: from, Message: &Message{Kind: Tell, Head: head, Has: has, Records: records}}
 }
 
-// newTestReplicator is a holder with two neighbours and two seats; it isn't of any first stage.
+// newTestReplicator is a replicator with two neighbours and two replicas, which is at no canary stage.
 func newTestReplicator() *Replicator {
 	r := NewReplicator(0, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{})
 	v := &View{Neighbours: []string{"a", "b"}, Seats: []string{"s", "t"}}
@@ -49,7 +49,7 @@
 	return list
 }
 
-func TestWhatIsInForceForAllIsTakenFirst(t *testing.T) {
+func TestVersionForAllIsAppliedBeforeCanary(t *testing.T) {
 	table, r := tableWithVersions(2), newTestReplicator()
 	one, two := revisionOf(table, 1), revisionOf(table, 2)
 	r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
@@ -59,11 +59,11 @@
 	require.Equal(t, one, effectsOf(effects, Take)[0].Mark)
 	effects, _ = r.Step(3*ms, []Input{{Kind: Took, Mark: one}})
 	require.Equal(t, one, r.Revision())
-	require.Empty(t, effectsOf(effects, Take), "the next one is for the first stage only")
+	require.Empty(t, effectsOf(effects, Take), "the next one is at the canary stage only")
 	require.Equal(t, two, r.ready)
 }
 
-func TestOlderHeadsChangeNothing(t *testing.T) {
+func TestOlderHeadsAreIgnored(t *testing.T) {
 	table, r := tableWithVersions(2), newTestReplicator()
 	one, two := revisionOf(table, 1), revisionOf(table, 2)
 	r.Step(ms, []Input{confirmation(two, two)})
@@ -74,47 +74,48 @@
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 }
 
-func TestSomeOfTheWayIsTakenFromWhoHasIt(t *testing.T) {
+func TestRecordsTowardsTheGoalAreFetched(t *testing.T) {
 	table, r := tableWithVersions(3), newTestReplicator()
 	two, three := revisionOf(table, 2), revisionOf(table, 3)
 	r.Step(ms, []Input{confirmation(Revision{}, two)})
 	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", HeadRevision{}, two)})
-	ask := effectsOf(effects, Exchange)
-	require.Len(t, ask, 1)
-	require.Equal(t, "a", ask[0].To)
+	fetch := effectsOf(effects, Exchange)
+	require.Len(t, fetch, 1)
+	require.Equal(t, "a", fetch[0].To)
 	piece := &Message{Kind: Piece, Has: two, Records: wireRecords(table.log[:2], maxPieceBytes, false)}
-	r.Step(501*ms, []Input{{Kind: Answered, Link: ask[0].Link, Message: piece}})
+	r.Step(501*ms, []Input{{Kind: Answered, Link: fetch[0].Link, Message: piece}})
 	require.Equal(t, two, r.ready)
 }
 
-// TestARefusalIsToldToOneSeatAfterAnother wants that a seat which dies after it heard of a refusal isn't the only one to know.
-func TestARefusalIsToldToOneSeatAfterAnother(t *testing.T) {
+// A replica that is lost after it got a refusal must not be the only one that knows it.
+func TestRefusalIsReportedToSeveralReplicas(t *testing.T) {
 	table, r := tableWithVersions(1), newTestReplicator()
-	r.view.Zone, r.canary.version = nil, 0 // drawn: it is the only one
+	r.view.Zone, r.canary.version = nil, 0 // at the canary stage: it is alone in its zone
 	one := revisionOf(table, 1)
-	effects, wake := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	effects, _ := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.True(t, effectsOf(effects, Take)[0].First)
+	var wake int64
 	in := []Input{{Kind: Took, Mark: one, Why: "no such effect"}}
-	seats := map[string]int{}
+	replicas := map[string]int{}
 	for now := 2 * ms; now < 3_000*ms; now = min(wake, now+50*ms) {
 		effects, wake = r.Step(now, in)
 		in = nil
 		for _, e := range effectsOf(effects, Send) {
 			if e.Message.Kind == Report && e.Message.Refused == one {
-				seats[e.To]++
+				replicas[e.To]++
 				answer := confirmation(Revision{}, one)
 				answer.From, answer.Message.Seq = e.To, e.Message.Seq
 				in = append(in, answer)
 			}
 		}
 	}
-	require.Positive(t, seats["s"])
-	require.Positive(t, seats["t"])
-	require.Equal(t, Revision{}, r.Revision(), "the last good one stays in force")
+	require.Positive(t, replicas["s"])
+	require.Positive(t, replicas["t"])
+	require.Equal(t, Revision{}, r.Revision(), "the last valid version stays in force")
 }
 
-// TestAHerdDoesntKeepASeatFromItsNeighbours has many strangers report and ask for content, and a neighbour between them.
-func TestAHerdDoesntKeepASeatFromItsNeighbours(t *testing.T) {
+// Many nodes report and fetch content at once, with one neighbour among them.
+func TestThunderingHerdDoesNotStarveNeighbours(t *testing.T) {
 	r, c := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{}), fullContent(t, 100, 3_000)
 	revision := Revision{1, c.Digest()}
 	r.Step(1, []Input{{Kind: Viewed, View: &View{Neighbours: []string{"near"}}},
@@ -141,10 +142,10 @@
 		}
 	}
 	t.Logf("%d bytes of content in %d s; %d answers of 20 to the neighbour", all, seconds, near)
-	require.GreaterOrEqual(t, near, 5, "a neighbour asks once a second, and what it gets is 16 kB")
+	require.GreaterOrEqual(t, near, 5, "a neighbour fetches once a second, 16 kB each time")
 	require.LessOrEqual(t, all, seconds*bytesPerSecond+burstBytes+maxBlockBytes)
 	one := 0
-	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that asks always, alone
+	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that fetches all the time, alone
 		effects, _ := r.Step(now, []Input{{Kind: Asked, From: "greedy", Link: 1, Message: wanted}})
 		if e := effectsOf(effects, Reply); e[0].Message.hasContent() {
 			one += e[0].Message.size()
@@ -154,12 +155,12 @@
 	require.LessOrEqual(t, one, seconds*peerBytesPerSecond+burstBytes+maxBlockBytes)
 }
 
-// announceUnconfirmed has neighbours tell of a version for some seconds, which seats don't know; it says how many reports were sent.
-func announceUnconfirmed(r *Replicator, head, rumour HeadRevision, seconds int64, current bool) (reports int) {
+// announceUnconfirmed has neighbours announce a version for some seconds that replicas don't know, and returns the number of reports.
+func announceUnconfirmed(r *Replicator, head, unconfirmed HeadRevision, seconds int64, current bool) (reports int) {
 	var in []Input
 	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
 		if now%(500*ms) == ms {
-			in = append(in, announcement("a", rumour, rumour.First), announcement("b", rumour, rumour.First))
+			in = append(in, announcement("a", unconfirmed, unconfirmed.First), announcement("b", unconfirmed, unconfirmed.First))
 		}
 		effects, _ := r.Step(now, in)
 		in = nil
@@ -175,8 +176,8 @@
 	return reports
 }
 
-// TestSoundPeersAreNotSetAsideWhileSeatsLag has all seats back with what they knew before, and in touch with no majority.
-func TestSoundPeersAreNotSetAsideWhileSeatsLag(t *testing.T) {
+// All replicas are back with an older state, and in contact with no majority.
+func TestPeersAreNotPenalizedWhileReplicasLag(t *testing.T) {
 	table, r := tableWithVersions(3), newTestReplicator()
 	one, three := revisionOf(table, 1), revisionOf(table, 3)
 	r.Step(0, []Input{confirmation(one, one), announcement("a", HeadRevision{}, one, table.log[0].wire())})
@@ -184,31 +185,31 @@
 	require.Equal(t, one, r.Revision())
 	reports := announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: three}, 60, false)
 	require.Zero(t, r.Counters.InvalidResponses)
-	require.Less(t, reports, 60, "seats are asked less and less often")
+	require.Less(t, reports, 60, "the backoff between reports grows")
 	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", HeadRevision{All: one, First: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
 	require.Empty(t, effectsOf(effects, Take))
-	require.Equal(t, three, r.ready, "and neighbours are believed as soon as a seat vouches")
+	require.Equal(t, three, r.ready, "announced records are used as soon as a replica confirms")
 }
 
-// TestARumourThatIsOnItsWayIsNoLie has seats that are in touch with the council learn of it some seconds later than neighbours.
-func TestARumourThatIsOnItsWayIsNoLie(t *testing.T) {
+// Replicas in contact with the group learn of a version some seconds later than neighbours.
+func TestUnconfirmedVersionHasAGracePeriod(t *testing.T) {
 	table, r := tableWithVersions(2), newTestReplicator()
 	one, two := revisionOf(table, 1), revisionOf(table, 2)
 	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, unconfirmedGracePeriod/(1_000*ms), true)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
-// TestWhoTellsOfWhatNobodyAgreedOnIsSetAside has seats that know all deny it, and one with another content for a known version.
-func TestWhoTellsOfWhatNobodyAgreedOnIsSetAside(t *testing.T) {
+// Current replicas deny a version, and a peer announces another content for a known version.
+func TestPeerWithUnknownVersionsIsPenalized(t *testing.T) {
 	table, r := tableWithVersions(2), newTestReplicator()
 	one, two := revisionOf(table, 1), revisionOf(table, 2)
 	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: Revision{9, Digest{A: 9}}}, 20, true)
-	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours told it")
+	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours announced it")
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 	require.Equal(t, 1, r.peers["b"].invalidResponses)
 	r = newTestReplicator()
 	r.Step(ms, []Input{confirmation(one, one), announcement("a", HeadRevision{All: one, First: Revision{2, Digest{A: 9}}}, one), announcement("b", HeadRevision{All: one, First: two}, two)})
-	require.Zero(t, r.Counters.InvalidResponses, "nobody knows yet")
+	require.Zero(t, r.Counters.InvalidResponses, "no replica confirmed it yet")
 	r.Step(2*ms, []Input{confirmation(one, two)})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 	require.Zero(t, r.peers["b"].invalidResponses)
@@ -217,11 +218,11 @@
 		r.Step(int64(k)*ms, []Input{confirmation(revisionOf(table, k), revisionOf(table, k))})
 	}
 	r.Step(10*ms, []Input{announcement("a", HeadRevision{}, Revision{4, Digest{A: 4}}), announcement("b", HeadRevision{}, revisionOf(table, 4))})
-	require.Equal(t, 1, r.peers["a"].invalidResponses, "what passed is known for a while")
+	require.Equal(t, 1, r.peers["a"].invalidResponses, "past revisions are remembered for a while")
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
 
-// fetchOf is the exchange that a step opens, with the peer it goes to.
+// fetchOf is the fetch that a step starts.
 func fetchOf(t *testing.T, r *Replicator, now int64, in ...Input) Effect {
 	effects, _ := r.Step(now, in)
 	list := effectsOf(effects, Exchange)
@@ -229,46 +230,46 @@
 	return list[0]
 }
 
-// TestRecordsGoOnWithAnyPeer has the peer that gave some of the records busy, while another one knows how they go on.
-func TestRecordsGoOnWithAnyPeer(t *testing.T) {
+// The peer that sent some of the records is busy, and another one has the rest.
+func TestRecordsAreContinuedByAnyPeer(t *testing.T) {
 	table, r := tableWithVersions(3), newTestReplicator()
 	one, three := revisionOf(table, 1), revisionOf(table, 3)
 	head := HeadRevision{All: three, First: three}
-	ask := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
-	from, other := ask.To, map[string]string{"a": "b", "b": "a"}[ask.To]
-	ask = fetchOf(t, r, 501*ms, Input{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[:1], maxPieceBytes, false)}})
-	for ask.To == other { // it has nothing at hand
-		ask = fetchOf(t, r, 502*ms, Input{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Busy: ms}})
+	fetch := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
+	from, other := fetch.To, map[string]string{"a": "b", "b": "a"}[fetch.To]
+	fetch = fetchOf(t, r, 501*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[:1], maxPieceBytes, false)}})
+	for fetch.To == other { // it is busy
+		fetch = fetchOf(t, r, 502*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: ms}})
 	}
-	require.Equal(t, from, ask.To)
-	effects, _ := r.Step(503*ms, []Input{{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Busy: 30_000 * ms}}})
+	require.Equal(t, from, fetch.To)
+	effects, _ := r.Step(503*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: 30_000 * ms}}})
 	for now := 504 * ms; len(effectsOf(effects, Exchange)) == 0; now += 10 * ms {
-		require.Less(t, now, 800*ms, "the other one is asked soon")
+		require.Less(t, now, 800*ms, "the other peer is asked soon")
 		effects, _ = r.Step(now, nil)
 	}
-	ask = effectsOf(effects, Exchange)[0]
-	require.Equal(t, other, ask.To)
-	require.Equal(t, one, ask.Message.Has, "from where the first one left off")
-	r.Step(801*ms, []Input{{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
+	fetch = effectsOf(effects, Exchange)[0]
+	require.Equal(t, other, fetch.To)
+	require.Equal(t, one, fetch.Message.Has, "from where the first peer ended")
+	r.Step(801*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
 	require.Equal(t, three, r.ready)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
-// TestFalseRecordsAreLeftOnceNobodyGoesOnWithThem has one give records that agree with each other and that nobody agreed on.
-func TestFalseRecordsAreLeftOnceNobodyGoesOnWithThem(t *testing.T) {
+// A peer sends records that are consistent and were never agreed on.
+func TestRecordsThatNobodyContinuesAreDropped(t *testing.T) {
 	table, r := tableWithVersions(2), newTestReplicator()
 	two := revisionOf(table, 2)
 	head := HeadRevision{All: two, First: two}
-	lie, err := (&Content{}).Apply([]Item{tenant(7, "7")})
+	invalid, err := (&Content{}).Apply([]Item{tenant(7, "7")})
 	require.NoError(t, err)
-	ask := fetchOf(t, r, 500*ms, confirmation(two, two), announcement("a", head, two))
-	r.Step(501*ms, []Input{{Kind: Answered, Link: ask.Link, Message: &Message{Kind: Piece, Has: two,
-		Records: []Record{{Version: 1, Digest: lie.Digest(), Changes: []Item{tenant(7, "7")}}}}}, announcement("b", head, two)})
+	fetch := fetchOf(t, r, 500*ms, confirmation(two, two), announcement("a", head, two))
+	r.Step(501*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: two,
+		Records: []Record{{Version: 1, Digest: invalid.Digest(), Changes: []Item{tenant(7, "7")}}}}}, announcement("b", head, two)})
 	for now := 510 * ms; r.ready != two; now += 10 * ms {
 		require.Less(t, now, 30_000*ms)
 		var in []Input
 		if r.fetch.deadline > 0 {
-			m := &Message{Kind: Piece, Busy: 4_000 * ms} // whoever lied isn't there for it any more
+			m := &Message{Kind: Piece, Busy: 4_000 * ms} // the faulty peer is busy
 			if r.fetch.peer == "b" {
 				m.Busy, m.Has = 0, two
 				m.Records = wireRecords(recordsBetween(table.log, r.fetch.from, 2), maxPieceBytes, false)
@@ -280,20 +281,20 @@
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
 
-// TestBlocksOnTheirWayAreKeptWhenTheVersionMovesOn has a further version agreed on while blocks travel, and each time anew.
-func TestBlocksOnTheirWayAreKeptWhenTheVersionMovesOn(t *testing.T) {
+// A further version is agreed on during each fetch of blocks.
+func TestFetchedBlocksAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	r, c := newTestReplicator(), fullContent(t, 100, 3_000)
-	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, Mark: Revision{1, c.Digest()}}) // who gives
+	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, Mark: Revision{1, c.Digest()}}) // the peer
 	now, rounds, indices := 500*ms, 0, 0
 	for ; r.ready.Version == 0; rounds++ {
 		require.Less(t, rounds, 200)
 		revision := Revision{uint64(rounds + 1), c.Digest()}
 		n.readyContent, n.appliedContent = c, c
 		n.ready = revision
-		var ask Effect
+		var fetch Effect
 		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, First: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
 			if list := effectsOf(effects, Exchange); len(list) > 0 {
-				ask = list[0]
+				fetch = list[0]
 				break
 			}
 			now += 10 * ms
@@ -302,14 +303,14 @@
 		require.NoError(t, err)
 		after := Revision{revision.Version + 1, next.Digest()}
 		answer := &Message{Kind: Piece, Has: revision}
-		if len(ask.Message.Wanted) > 0 {
-			n.serveBlocks(ask.Message, answer)
+		if len(fetch.Message.Wanted) > 0 {
+			n.serveBlocks(fetch.Message, answer)
 		} else {
-			appendDifferingPages(c.index(), ask.Message.Sums, answer)
+			appendDifferingPages(c.index(), fetch.Message.Sums, answer)
 			indices++
 		}
 		r.Step(now+ms, []Input{confirmation(after, after)})
-		r.Step(now+2*ms, []Input{{Kind: Answered, Link: ask.Link, Message: answer}})
+		r.Step(now+2*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: answer}})
 		now, c = now+2_000*ms, next
 		if r.assemblyBase().Digest() == r.assembly.revision.Digest {
 			break
--- /dev/null
+++ b/internal/fleet/configsync/simeffects_test.go
@@ -0,0 +1,250 @@
+package configsync
+
+import (
+	"fmt"
+	"slices"
+)
+
+// execute carries out one effect of a node.
+func (s *simulation) execute(i int, e *Effect) {
+	switch e.Kind {
+	case Send:
+		s.sendDatagram(i, e)
+	case Exchange:
+		s.openExchange(i, e)
+	case Reply:
+		s.replyToExchange(i, e)
+	case Take, Check:
+		s.applyVersion(i, e)
+	case Persist:
+		s.persist(i, e)
+	case Order:
+		s.propose(i, e.Command, nil)
+	}
+}
+
+func (s *simulation) sendDatagram(i int, e *Effect) {
+	n := s.nodes[i]
+	to := s.byName[e.To]
+	m := s.outgoing(n, e.Message)
+	s.transmit(n, to, func() {
+		if to.up {
+			to.countBytes(s.now, &m)
+			received := m
+			s.deliver(to.index, Input{Kind: Came, From: n.name, Message: &received})
+		}
+	})
+}
+
+// outgoing is a message as its sender sends it, and counts its bytes.
+func (s *simulation) outgoing(n *simNode, message *Message) Message {
+	m := *message
+	if n.faulty && m.Kind != Fetch {
+		s.corrupt(&m)
+	}
+	n.countBytes(s.now, &m)
+	return m
+}
+
+func (s *simulation) openExchange(i int, e *Effect) {
+	n := s.nodes[i]
+	incarnation := n.incarnation
+	to := s.byName[e.To]
+	link := e.Link
+	m := s.outgoing(n, e.Message)
+	opened := false
+	s.transmit(n, to, func() {
+		if !to.up || opened {
+			return
+		}
+		opened = true
+		to.countBytes(s.now, &m)
+		s.deliver(to.index, Input{Kind: Asked, From: n.name, Link: s.linkOf(i, incarnation, link), Message: &m})
+	})
+	s.at(s.now+4_000*ms, func() {
+		if n.incarnation == incarnation {
+			s.deliver(i, Input{Kind: Missed, Link: link})
+		}
+	})
+}
+
+// linkOf encodes an exchange, so that its answer finds the asker.
+func (s *simulation) linkOf(i, incarnation, link int) int {
+	return i<<32 | (incarnation&0xffff)<<16 | link&0xffff
+}
+
+func (s *simulation) replyToExchange(i int, e *Effect) {
+	n := s.nodes[i]
+	asker := e.Link >> 32
+	incarnation := e.Link >> 16 & 0xffff
+	link := e.Link & 0xffff
+	to := s.nodes[asker]
+	m := s.outgoing(n, e.Message)
+	if slices.ContainsFunc(m.Blocks, func(b Block) bool { return len(b.Changes) > 0 }) {
+		s.deltaAnswers++
+	}
+	s.transmit(n, to, func() {
+		if to.incarnation&0xffff == incarnation && to.up {
+			to.countBytes(s.now, &m)
+			s.deliver(asker, Input{Kind: Answered, Link: link, Message: &m})
+		}
+	})
+}
+
+// persist writes to a node's disk, and checks that records lead to what is in force.
+func (s *simulation) persist(i int, e *Effect) {
+	n := s.nodes[i]
+	n.olderDisk = n.disk
+	n.disk = simDisk{e.Mark, e.New}
+	if !e.Full {
+		content := n.olderDisk.content
+		for _, record := range e.Records {
+			var err error
+			content, err = content.Apply(record.Changes)
+			if err != nil {
+				s.fail("%s: record %d on disk: %v", n.name, record.Version, err)
+				return
+			}
+		}
+		n.disk.content = content
+	}
+	if got := n.disk.content.Digest(); got != e.Mark.Digest {
+		s.fail("%s keeps %s as version %d, which is %s", n.name, got, e.Mark.Version, e.Mark.Digest)
+	}
+}
+
+// applyVersion applies or checks a version at a node, some time later, and checks all that must hold of it.
+func (s *simulation) applyVersion(i int, e *Effect) {
+	n := s.nodes[i]
+	incarnation := n.incarnation
+	revision := e.Mark
+	why := n.refusal(e.New)
+	s.checkStages(n, e)
+	s.checkChanges(n, e)
+	s.at(s.now+s.random.Int63n(20*ms), func() {
+		if n.incarnation != incarnation || !n.up {
+			return
+		}
+		if e.Kind == Check {
+			s.deliver(i, Input{Kind: Checked, Mark: revision, Why: why})
+			return
+		}
+		if why == "" {
+			n.maxVersion = revision.Version
+			n.appliedAt[revision.Version] = s.now
+		}
+		s.deliver(i, Input{Kind: Took, Mark: revision, Why: why})
+	})
+}
+
+// refusal is why a node can't apply a content, empty where it can.
+func (n *simNode) refusal(content *Content) (why string) {
+	for item := range content.All {
+		if n.olderBuild && string(item.Value) == `"new"` {
+			why = fmt.Sprintf("%s %s is of a later build", item.Part, item.Name)
+		}
+	}
+	return why
+}
+
+// checkStages requires that a version was agreed on, and is at the stage at which it is applied.
+func (s *simulation) checkStages(n *simNode, e *Effect) {
+	version := e.Mark.Version
+	if _, agreed := s.digests[version]; !agreed {
+		s.fail("%s applies version %d, which nobody agreed on", n.name, version)
+	}
+	if s.allAt[version] == 0 && !e.First {
+		s.fail("%s applies version %d for all, which isn't in force for all", n.name, version)
+	}
+	if s.canaryAt[version] == 0 {
+		s.fail("%s applies version %d, which never was at the canary stage", n.name, version)
+	}
+	if version <= n.maxVersion {
+		s.fail("%s goes from version %d to %d", n.name, n.maxVersion, version)
+	}
+}
+
+// checkChanges requires that the content of a version is what was agreed on, and that its changes lead to it.
+func (s *simulation) checkChanges(n *simNode, e *Effect) {
+	version := e.Mark.Version
+	sum := Digest{}
+	for item := range e.New.All { // computed from scratch
+		sum = sum.plus(hashItem(appendEntry(nil, byte(slices.Index(partNames[:], item.Part)), item.Name, item.Value)))
+	}
+	if sum != s.digests[version] || sum != e.Mark.Digest {
+		s.fail("%s applies %s as version %d, which is %s", n.name, sum, version, s.digests[version])
+	}
+	content := e.Old
+	for difference := Diff(e.Old, e.New); ; {
+		changes := difference.Next(3)
+		if len(changes) == 0 {
+			break
+		}
+		content, _ = content.Apply(changes) // one that fails has another digest
+	}
+	if content.Digest() != sum {
+		s.fail("%s: the changes to version %d come to another content", n.name, version)
+	}
+}
+
+// corrupt makes a message invalid, or leaves it as it is.
+func (s *simulation) corrupt(m *Message) {
+	s.corruptHead(m)
+	if len(m.Index) > 0 && s.random.Intn(2) == 0 {
+		m.Index = slices.Clone(m.Index)
+		m.Index[s.random.Intn(len(m.Index))]++
+	}
+	if len(m.Blocks) > 0 && s.random.Intn(2) == 0 {
+		m.Blocks = slices.Clone(m.Blocks)
+		s.corruptBlock(&m.Blocks[0])
+	}
+	if len(m.Records) > 0 {
+		m.Records = slices.Clone(m.Records)
+		s.corruptRecord(&m.Records[s.random.Intn(len(m.Records))])
+	}
+}
+
+func (s *simulation) corruptHead(m *Message) {
+	digest := Digest{A: s.random.Uint64(), B: s.random.Uint64()}
+	switch s.random.Intn(6) {
+	case 0:
+		m.Head.All = Revision{m.Head.All.Version + uint64(s.random.Intn(5)), digest}
+	case 1:
+		m.Has = Revision{m.Has.Version + uint64(s.random.Intn(5)), digest}
+	case 2:
+		m.Head.First = Revision{m.Head.First.Version + 1, digest}
+		m.Has = m.Head.First
+	case 3:
+		if m.Kind == Tell {
+			m.Kind = Vouch
+			m.Head.All = Revision{m.Head.All.Version + 1, digest}
+		}
+	}
+}
+
+func (s *simulation) corruptBlock(b *Block) {
+	if len(b.Changes) == 0 {
+		b.Text = appendEntry(nil, 1, "false", []byte("1"))
+		return
+	}
+	b.Changes = slices.Clone(b.Changes)
+	if s.random.Intn(2) == 0 {
+		b.Changes[0].Value = []byte("7")
+	} else {
+		b.Changes = b.Changes[1:]
+	}
+}
+
+func (s *simulation) corruptRecord(r *Record) {
+	r.Changes = slices.Clone(r.Changes)
+	switch s.random.Intn(3) {
+	case 0:
+		r.Changes = append(r.Changes, Item{Tenants, "false", []byte("1")})
+	case 1: // with a digest that matches
+		content, _ := (&Content{}).Apply([]Item{{Tenants, "false", []byte("1")}})
+		r.Changes = append(r.Changes, Item{Tenants, "false", []byte("1")})
+		r.Digest = r.Digest.plus(content.Digest())
+	case 2:
+		r.Version++
+	}
+}
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// largeTable is a table with so many tenants, and a longer change on the way.
+// largeTable is a table with so many tenants, and an incomplete long change.
 func largeTable(t *testing.T, tenants int) *Table {
 	table := NewTable()
 	put := func(seq, base uint64, piece int, more bool, from, to, rate int) {
@@ -34,13 +34,13 @@
 		put(seq, uint64(k+1), 0, false, k, k+1, 2)
 	}
 	seq++
-	put(seq, 21, 0, true, 0, piece, 3) // more of it will come
+	put(seq, 21, 0, true, 0, piece, 3) // further pieces are missing
 	return table
 }
 
-// A snapshot of a table of the size that is wanted is written in parts of which none costs much, and is that of the table as it
-// was when it was begun, whatever became of the table meanwhile.
-func TestSnapshotIsWrittenInBoundedParts(t *testing.T) {
+// A snapshot of a large table is encoded in steps of bounded cost, and is that of the table as it was at the beginning, whatever became
+// of the table meanwhile.
+func TestSnapshotIsEncodedInBoundedSteps(t *testing.T) {
 	const once = 64 << 10
 	table := largeTable(t, 130_000)
 	before, err := largeTable(t, 130_000).Snapshot()
@@ -56,7 +56,7 @@
 	}
 	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
 	assert.Equal(t, before, w.Text())
-	assert.LessOrEqual(t, cap(w.Text()), len(before)*11/10, "its room is known before, so that it is never copied")
+	assert.LessOrEqual(t, cap(w.Text()), len(before)*11/10, "its size is known before, so that it is never copied")
 	again, err := Restore(w.Text())
 	require.NoError(t, err)
 	text, err := again.Snapshot()
@@ -64,8 +64,8 @@
 	assert.Equal(t, before, text)
 }
 
-// Written in parts it says what the encoder says of all of it, so that builds before this one read it.
-func TestSnapshotInPartsIsThatOfTheEncoder(t *testing.T) {
+// A snapshot that is encoded in steps equals that of the encoder, so that earlier builds can read it.
+func TestIncrementalSnapshotEqualsEncoder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, at := NewTable(), int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
@@ -110,12 +110,12 @@
 		require.NoError(t, cbor.Unmarshal(whole, &one))
 		require.NoError(t, cbor.Unmarshal(w.Text(), &two))
 		require.Equal(t, one, two)
-		require.Len(t, w.Text(), len(whole), "nothing is there twice")
+		require.Len(t, w.Text(), len(whole), "nothing is encoded twice")
 	})
 }
 
-// Changes that lie apart, one to a block, are found at the cost of some blocks a look, and all of them.
-func TestLookForChangesThatLieApartIsBounded(t *testing.T) {
+// Scattered changes, one to a block, are all found, at the cost of some blocks a call.
+func TestDifferenceOfScatteredChangesIsBounded(t *testing.T) {
 	from := largeTable(t, 130_000).newest
 	var changes []Item
 	for k := range 2_000 {
@@ -136,7 +136,7 @@
 	assert.Greater(t, looks, 30)
 }
 
-// differences are all that differ.
+// differences are all items that differ.
 func differences(from, to *Content) (all []Item) {
 	for d := Diff(from, to); ; {
 		some := d.Next(maxLogRecords)
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -9,45 +9,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newFleetSimulation is a fleet of regions, all sound, with seats parted over them.
-func newFleetSimulation(seed int64, nodes, seats, zones, regions int, far int64) *simulation {
-	sim := newSimulation(seed, nodes, seats, zones)
+// newFleetSimulation is a fleet of regions without faulty nodes, with replicas spread over them.
+func newFleetSimulation(seed int64, nodes, replicas, zones, regions int, regionDelay int64) *simulation {
+	sim := newSimulation(seed, nodes, replicas, zones)
 	for i, n := range sim.nodes {
 		n.region = i % zones % regions
 	}
-	sim.maxDelay, sim.regionDelay = 4*ms, far
+	sim.maxDelay, sim.regionDelay = 4*ms, regionDelay
 	sim.callers = []*caller{{name: "a"}}
 	sim.run(sim.now + 3_000*ms)
 	return sim
 }
 
-// inForce is, for a version agreed on at a time, how long nodes took until they had it or a newer one, in order; and how many don't.
-func (s *simulation) inForce(version uint64, since int64) (took []int64, missing int) {
-	for _, n := range s.nodes {
-		first := int64(-1)
-		for v, at := range n.appliedAt {
-			if v >= version && (first < 0 || at < first) {
-				first = at
-			}
-		}
-		if first < 0 {
-			missing++
-			continue
-		}
-		took = append(took, first-since)
-	}
-	slices.Sort(took)
-	return took, missing
-}
-
 var fleet = flag.Int("fleet", 200, "nodes of the fleet that changes spread over")
-var apartFleet = flag.Int("apart", 24, "nodes of the fleet that a change of 1,000 items that lie apart spreads over")
+var apartFleet = flag.Int("apart", 24, "nodes of the fleet that a change of 1,000 scattered items spreads over")
 var apartSeed = flag.Int64("apart-seed", 6, "its seed")
 
-// TestAChangeIsInForceWithinItsFormula puts changes, some while the stage of the one before goes on, and loses 5 % of all messages.
-func TestAChangeIsInForceWithinItsFormula(t *testing.T) {
+// Changes are put, some during the canary stage of the one before, and 5 % of all messages are lost.
+func TestChangeIsInForceInTime(t *testing.T) {
 	nodes, changes := *fleet, 3
-	sim := newFleetSimulation(1, nodes, max(3, nodes/144), 15, 7, 80*ms) // some 140 nodes ask one seat
+	sim := newFleetSimulation(1, nodes, max(3, nodes/144), 15, 7, 80*ms) // some 140 nodes report to one replica
 	sim.loss = 0.05
 	agreed := map[uint64]int64{}
 	for k := range changes {
@@ -71,8 +52,8 @@
 	}
 }
 
-// TestAThousandChangesInAMinute has them all agreed on, in force in stages, and within the bytes.
-func TestAThousandChangesInAMinute(t *testing.T) {
+// All are agreed on, in force in stages, and within the rate.
+func TestThousandChangesInAMinute(t *testing.T) {
 	sim := newFleetSimulation(2, 24, 3, 5, 2, 30*ms)
 	done, begin := 0, sim.now
 	for sim.now < begin+60_000*ms && sim.failure == "" {
@@ -90,7 +71,7 @@
 	require.Empty(t, sim.unsettled())
 	sim.check()
 	require.Empty(t, sim.failure)
-	t.Logf("%d changes in %d s, %d versions at stages", len(sim.callers[0].verdicts), (sim.now-begin)/(1_000*ms), len(sim.canaryAt))
+	t.Logf("%d changes in %d s, %d versions at canary stages", len(sim.callers[0].verdicts), (sim.now-begin)/(1_000*ms), len(sim.canaryAt))
 	var times []int64
 	for version, at := range sim.agreedAt {
 		took, missing := sim.inForce(version, at)
@@ -103,15 +84,15 @@
 	require.GreaterOrEqual(t, len(sim.callers[0].verdicts), 1_000)
 }
 
-// newRefusedCanary is a fleet in which version 2 was stopped, since one node can't take it: one that is drawn for its first stage, or not.
-func newRefusedCanary(t *testing.T, drawn bool) *simulation {
+// newRefusedCanary is a fleet in which version 2 was stopped, since one node refused it: one at its canary stage, or not.
+func newRefusedCanary(t *testing.T, canary bool) *simulation {
 	sim := newFleetSimulation(3, 60, 5, 5, 2, 80*ms)
 	sim.loss = 0.05
 	sim.put(sim.callers[0], tenant(1, "1"))
 	sim.run(sim.now + 10_000*ms)
 	require.Empty(t, sim.unsettled())
 	for _, n := range sim.nodes {
-		if n.olderBuild = n.replicator.isCanary(2) == drawn && !n.isReplica; n.olderBuild {
+		if n.olderBuild = n.replicator.isCanary(2) == canary && !n.isReplica; n.olderBuild {
 			break
 		}
 	}
@@ -125,8 +106,8 @@
 	return sim
 }
 
-// TestARefusalStopsAVersionBeforeTheNextStage has one node of the first stage that can't take it, everything else sound.
-func TestARefusalStopsAVersionBeforeTheNextStage(t *testing.T) {
+// One node at the canary stage refuses a version, and nothing else fails.
+func TestCanaryRefusalStopsVersion(t *testing.T) {
 	sim := newRefusedCanary(t, true)
 	first := 0
 	for _, n := range sim.nodes {
@@ -140,22 +121,22 @@
 	require.Less(t, first, 20)
 	sim.rollback(sim.callers[0], 1)
 	sim.run(sim.now + 6_000*ms)
-	require.Empty(t, sim.unsettled(), "a rollback goes to all at once")
+	require.Empty(t, sim.unsettled(), "a rollback is in force for all at once")
 	require.EqualValues(t, 3, sim.agreed.Head().All.Version)
 }
 
-// TestARefusalByANodeThatIsntDrawnStopsAVersion has one node that can't take it and isn't of its first stage.
-func TestARefusalByANodeThatIsntDrawnStopsAVersion(t *testing.T) {
+// One node refuses a version, and isn't at its canary stage.
+func TestRefusalOutsideTheCanaryStopsVersion(t *testing.T) {
 	sim := newRefusedCanary(t, false)
-	sim.put(sim.callers[0], Item{Part: Operations, Name: "new"}) // taken away again, without a rollback
+	sim.put(sim.callers[0], Item{Part: Operations, Name: "new"}) // reverted without a rollback
 	sim.run(sim.now + 15_000*ms)
 	require.Empty(t, sim.failure)
 	require.Empty(t, sim.unsettled())
 	require.False(t, sim.agreed.Head().Stopped)
 }
 
-// TestACutRegionGoesOnAndCatchesUp cuts off nodes without a seat, and counts from the healing.
-func TestACutRegionGoesOnAndCatchesUp(t *testing.T) {
+// Nodes without a replica are cut off for a while.
+func TestPartitionedRegionGoesOnAndCatchesUp(t *testing.T) {
 	sim := newFleetSimulation(4, 60, 5, 5, 2, 80*ms)
 	sim.put(sim.callers[0], tenant(1, "1"))
 	sim.run(sim.now + 10_000*ms)
@@ -169,7 +150,7 @@
 	for _, n := range sim.nodes[20:] {
 		s := n.replicator.Status(sim.now)
 		require.EqualValues(t, 1, s.Mark.Version)
-		require.Greater(t, s.HeardNS, 55_000*ms, "it says how old what it has is")
+		require.Greater(t, s.HeardNS, 55_000*ms, "its status says how long it had no confirmation")
 	}
 	sim.heal()
 	sim.run(sim.now + 10_000*ms)
@@ -179,30 +160,13 @@
 	require.Empty(t, sim.failure)
 }
 
-// putWhole has a whole content agreed on, in pieces, and says which version that is.
-func (s *simulation) putWhole(t *testing.T, c *Content) Revision {
-	var list []Item
-	for i := range c.All {
-		list = append(list, i)
-	}
-	seq := uint64(0)
-	for len(list) > 0 {
-		n := min(len(list), 600)
-		s.commit(logEntry{s.now, &Command{Kind: Put, From: "file", Seq: seq + 1, Piece: int(seq), More: n < len(list), Changes: list[:n]}})
-		list, seq = list[n:], seq+1
-	}
-	revision := s.agreed.Head().First
-	require.Equal(t, c.Digest(), revision.Digest)
-	return revision
-}
-
-// TestAZoneThatComesBackKeepsToItsBytes has a zone start with empty disks beside a fleet that holds much, and compares the
-// bytes of each node and second with the formula.
-func TestAZoneThatComesBackKeepsToItsBytes(t *testing.T) {
+// A zone starts with empty disks beside a fleet with a large content, and the bytes of each node and second are compared with the
+// limit.
+func TestRestartedZoneKeepsToItsRate(t *testing.T) {
 	sim := newFleetSimulation(5, 45, 5, 5, 2, 30*ms)
-	c := fullContent(t, 100, 3_000) // as much as a minute carries
+	c := fullContent(t, 100, 3_000) // as much as can be sent in a minute
 	revision := sim.putWhole(t, c)
-	for i, n := range sim.nodes { // all but one zone have it
+	for i, n := range sim.nodes { // in all zones but one
 		if i%5 != 4 {
 			n.disk = simDisk{revision, c}
 			sim.crash(i)
@@ -233,5 +197,5 @@
 		worst = max(worst, sum/seconds)
 	}
 	t.Logf("%d bytes to each of 9 nodes took %d s (simulated); a node's mean over it was %d bytes a second at the most", c.Bytes(), seconds, worst)
-	require.Less(t, worst, int64(21_000-1_250), "beside membership's")
+	require.Less(t, worst, int64(21_000-1_250), "the rest is membership's")
 }
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -20,7 +20,7 @@
 	return i
 }
 
-func TestAStalePutNamesWhatDiffers(t *testing.T) {
+func TestStalePutNamesDifferences(t *testing.T) {
 	table := NewTable()
 	require.EqualValues(t, 1, table.Apply(1, putOn(0, 1, tenant(1, "1"), tenant(2, "1"))).Version)
 	require.EqualValues(t, 2, table.Apply(1, putOn(1, 2, tenant(1, "2"))).Version)
@@ -35,12 +35,12 @@
 
 	again := table.Apply(9, putOn(1, 2, tenant(1, "2")))
 	require.EqualValues(t, Verdict{From: "a", Seq: 2, Version: 3, Refused: "late: the caller asked again since"}, again)
-	require.Equal(t, Verdict{From: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "the same number has the same verdict")
+	require.Equal(t, Verdict{From: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "a repeated command has the same verdict")
 	require.EqualValues(t, 3, table.Head().Newest)
 
 	none := table.Apply(9, putOn(3, 4, tenant(3, "1")))
 	require.True(t, none.Done)
-	require.EqualValues(t, 3, none.Version, "what changes nothing makes no version")
+	require.EqualValues(t, 3, none.Version, "a put without changes makes no version")
 	for k := range maxLogRecords + 1 {
 		require.True(t, table.Apply(9, putOn(uint64(k+3), uint64(k+5), tenant(3, fmt.Sprint(k+2)))).Done)
 	}
@@ -48,31 +48,31 @@
 	require.Equal(t, -1, table.Apply(9, &Command{Kind: Put, From: "b", Seq: 2, Base: 2}).More, "the log no longer reaches it")
 }
 
-func TestAStageEndsByTimeOrARefusal(t *testing.T) {
+func TestCanaryStageEndsByTimeOrRefusal(t *testing.T) {
 	table := NewTable()
 	table.Apply(100*ms, putOn(0, 1, tenant(1, "1")))
-	table.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the stage of the one before
+	table.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the canary stage of the one before
 	require.EqualValues(t, 1, table.Head().First.Version)
 	require.Nil(t, table.Due(100*ms+canaryDuration-1))
 	require.False(t, table.Apply(100*ms+canaryDuration-1, &Command{Kind: Advance, Version: 1}).Done, "too early")
 	require.True(t, table.Apply(100*ms+canaryDuration, table.Due(100*ms+canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
-	require.EqualValues(t, 2, table.Head().First.Version, "the next stage begins")
+	require.EqualValues(t, 2, table.Head().First.Version, "the next canary stage begins")
 	stop := &Command{Kind: Stop, Version: 2, Who: "n7", Why: "no such effect"}
 	require.True(t, table.Apply(4_000*ms, stop).Done)
 	require.Nil(t, table.Due(100_000*ms))
 	require.False(t, table.Apply(100_000*ms, &Command{Kind: Advance, Version: 2}).Done, "stopped")
 	require.Equal(t, "n7", table.Head().Who)
 	back := table.Apply(100_000*ms, &Command{Kind: Rollback, From: "a", Seq: 3, Version: 1})
-	require.EqualValues(t, 3, back.Version, "a version is never gone back to; its content is")
+	require.EqualValues(t, 3, back.Version, "a rollback makes a new version")
 	require.EqualValues(t, Revision{3, table.log[0].Digest}, table.Head().All, "it was in force for all before")
 	require.False(t, table.Head().Stopped)
 	require.Contains(t, table.Apply(1, &Command{Kind: Rollback, From: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
 
 }
 
-// The table's time may be slower than the world's; a seat's own clock counts as well.
-func TestAStageEndsByTheClockOfASeat(t *testing.T) {
+// The table's time may be slower than real time; a replica's own clock counts as well.
+func TestCanaryStageEndsByTheClockOfAReplica(t *testing.T) {
 	table := NewTable()
 	table.Apply(100*ms, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
 	require.Nil(t, table.DueAfter(canaryDuration-1))
@@ -80,13 +80,13 @@
 	require.False(t, table.Apply(200*ms, &Command{Kind: Advance, Version: 2, Stood: canaryDuration}).Done)
 	require.True(t, table.Apply(200*ms, table.DueAfter(canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
-	require.Nil(t, table.DueAfter(canaryDuration), "nothing stands there")
+	require.Nil(t, table.DueAfter(canaryDuration), "nothing is at the canary stage")
 	table.Apply(300*ms, &Command{Kind: Put, From: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
 	table.Apply(400*ms, &Command{Kind: Stop, Version: 2, Who: "b", Why: "can't"})
-	require.Nil(t, table.DueAfter(100*canaryDuration), "what is stopped goes no further")
+	require.Nil(t, table.DueAfter(100*canaryDuration), "a stopped version goes no further")
 }
 
-func TestALongChangeComesInPieces(t *testing.T) {
+func TestLongChangeComesInPieces(t *testing.T) {
 	table := NewTable()
 	piece := func(seq uint64, from string, n int, more bool, list ...Item) Verdict {
 		return table.Apply(int64(seq)*ms, &Command{Kind: Put, From: from, Seq: seq, Piece: n, More: more, Changes: list})
@@ -104,7 +104,7 @@
 	require.Contains(t, table.Apply(1, putOn(1, 10, tenant(1, `{ "a":1}`))).Refused, `tenants "t1" is not in canonical form`)
 }
 
-func TestACouncilThatForgotCountsOn(t *testing.T) {
+func TestNewGroupCountsOn(t *testing.T) {
 	table := NewTable()
 	c := putOn(0, 1, tenant(1, "1"))
 	c.Version = 500
@@ -112,8 +112,8 @@
 	require.EqualValues(t, 502, table.Apply(1, putOn(501, 2, tenant(1, "2"))).Version)
 }
 
-// TestTablesThatCarryOutTheSameAreTheSame has one of two tables go through snapshots, at drawn commands.
-func TestTablesThatCarryOutTheSameAreTheSame(t *testing.T) {
+// One of two tables is restored from a snapshot after each random command.
+func TestSameCommandsMakeSameTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, at := NewTable(), NewTable(), int64(0)
 		for k := range rapid.IntRange(1, 10).Draw(t, "commands") {
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestASnapshotOfAnUnchangedTableCostsNothing(t *testing.T) {
+func TestSnapshotOfAnUnchangedTableIsCached(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, putOn(0, 1, tenant(1, "1")))
 	one, _ := table.Snapshot()
@@ -161,19 +161,19 @@
 		_, err := Restore(one[:end])
 		require.Error(t, err)
 	}
-	spoilt := append([]byte{}, one...)
-	for k := 0; k < len(spoilt); k += 7 {
-		spoilt[k] ^= 4
-		if y, err := Restore(spoilt); err == nil { // what a digest stands for is compared
+	corrupted := append([]byte{}, one...)
+	for k := 0; k < len(corrupted); k += 7 {
+		corrupted[k] ^= 4
+		if y, err := Restore(corrupted); err == nil { // the digests are checked
 			require.Equal(t, y.head.All.Digest, y.all.Digest())
 			require.Equal(t, y.head.First.Digest, y.canary.Digest())
 		}
-		spoilt[k] ^= 4
+		corrupted[k] ^= 4
 	}
 }
 
-// TestWhatWasGivenAwayStays holds on to what a seat's holder was told while the table goes on past the bound of its log.
-func TestWhatWasGivenAwayStays(t *testing.T) {
+// A replicator's agreed state is retained while the table goes on past the bound of its log.
+func TestAgreedStateIsNotModified(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, putOn(0, 1, tenant(0, "1")))
 	before := table.Agreed()
