--- a/internal/fleet/configsync/blockassembly_test.go
+++ b/internal/fleet/configsync/blockassembly_test.go
@@ -11,8 +11,10 @@
 
 // One version changes 1,000 scattered items, and its record is more than one answer.
 func TestThousandItemsScatteredAreInForceAsTheRateAllows(t *testing.T) {
-	nodes, replicas := *apartFleet, max(3, *apartFleet/144)
-	sim, c := newFleetSimulation(*apartSeed, nodes, replicas, 5, 2, 30*ms), quarterContent(t)
+	nodes := *apartFleet
+	replicas := max(3, *apartFleet/144)
+	sim := newFleetSimulation(*apartSeed, nodes, replicas, 5, 2, 30*ms)
+	c := quarterContent(t)
 	revision := sim.putWhole(t, c)
 	for i, n := range sim.nodes {
 		n.disk = simDisk{revision, c}
@@ -27,7 +29,8 @@
 	for sim.agreed.Head().Newest == revision.Version {
 		sim.run(sim.now + 10*ms)
 	}
-	begin, record := sim.now, sim.agreed.log[0].wire()
+	begin := sim.now
+	record := sim.agreed.log[0].wire()
 	for sim.unsettled() != "" && sim.now < begin+300_000*ms && sim.failure == "" {
 		sim.run(sim.now + 500*ms)
 	}
@@ -89,11 +92,14 @@
 	} {
 		g := newSuppliers(t)
 		two := g.put(t, scattered(g.base)...)
-		r, kept := g.fetcher(), 0
+		r := g.fetcher()
+		kept := 0
 		g.fetch(t, r, two, func(_ int, from string, m *Message) []*Message {
 			require.GreaterOrEqual(t, len(r.assembly.deltas.blocks), kept, "%s: fetched blocks are retained", name)
-			if kept = len(r.assembly.deltas.blocks); from == "b" && len(m.Blocks) > 1 {
-				again, list := *m, make([]Block, len(m.Blocks))
+			kept = len(r.assembly.deltas.blocks)
+			if from == "b" && len(m.Blocks) > 1 {
+				again := *m
+				list := make([]Block, len(m.Blocks))
 				for k, b := range m.Blocks {
 					list[k] = Block{N: b.N, Text: b.Text, Changes: append([]Item(nil), b.Changes...)}
 				}
@@ -115,7 +121,9 @@
 	g := newSuppliers(t)
 	list := scattered(g.base)
 	two := g.put(t, list...)
-	r, part, three := g.fetcher(), 0, Revision{}
+	r := g.fetcher()
+	part := 0
+	three := Revision{}
 	_, first := g.fetch(t, r, two, func(_ int, _ string, m *Message) []*Message {
 		if len(m.Blocks) > 0 && part == 0 {
 			part = len(m.Blocks)
@@ -154,24 +162,31 @@
 func TestPartialAssemblyIsServed(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
-	r, again := g.fetcher(), g.fetcher()
-	r.assembly.index, r.assembly.revision = g.newest.index(), two
-	fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
+	r := g.fetcher()
+	again := g.fetcher()
+	r.assembly.index = g.newest.index()
+	r.assembly.revision = two
+	fetch := &Message{Kind: Fetch, Has: g.first, Want: two}
+	answer := &Message{Kind: Piece}
 	r.requestMissing(fetch)
 	g.nodes["a"].serveBlocks(fetch, answer)
 	fetched := 100
 	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks[:fetched])
 
-	fetch, answer = &Message{Kind: Fetch, Has: g.first, Want: two, Sums: g.base.pageSums()}, &Message{Kind: Piece}
+	fetch = &Message{Kind: Fetch, Has: g.first, Want: two, Sums: g.base.pageSums()}
+	answer = &Message{Kind: Piece}
 	r.serveFetch(2, "again", fetch, answer)
-	again.fetch.want, again.fetch.base = two, again.assemblyBase()
+	again.fetch.want = two
+	again.fetch.base = again.assemblyBase()
 	require.True(t, again.applyIndex(answer))
 
-	fetch, answer = &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
+	fetch = &Message{Kind: Fetch, Has: g.first, Want: two}
+	answer = &Message{Kind: Piece}
 	again.requestMissing(fetch)
 	r.serveBlocks(fetch, answer)
 	require.Len(t, answer.Blocks, fetched, "all of them")
-	other, none := *fetch, &Message{Kind: Piece}
+	other := *fetch
+	none := &Message{Kind: Piece}
 	other.Has = Revision{1, Digest{A: 1}}
 	r.serveDeltas(&other, none)
 	require.Empty(t, none.Blocks, "it doesn't know the changes since another content")
@@ -180,9 +195,12 @@
 	require.True(t, len(again.assembly.deltas.blocks) == fetched)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
-	r.assembly.index, r.assembly.revision = g.newest.index(), three // the fetched changes of one block are of the version before
-	fetch, answer = &Message{Kind: Fetch, Has: g.first, Want: three}, &Message{Kind: Piece}
-	again.assembly.index, again.assembly.content = r.assembly.index, nil
+	r.assembly.index = g.newest.index() // the fetched changes of one block are of the version before
+	r.assembly.revision = three
+	fetch = &Message{Kind: Fetch, Has: g.first, Want: three}
+	answer = &Message{Kind: Piece}
+	again.assembly.index = r.assembly.index
+	again.assembly.content = nil
 	again.requestMissing(fetch)
 	r.serveBlocks(fetch, answer)
 	require.Len(t, answer.Blocks, fetched-1)
@@ -200,7 +218,8 @@
 	answer := &Message{Kind: Piece}
 	g.nodes["a"].serveBlocks(fetch, answer)
 	require.NotEmpty(t, answer.Blocks[0].Changes)
-	fetch.Missing, answer = nil, &Message{Kind: Piece}
+	fetch.Missing = nil
+	answer = &Message{Kind: Piece}
 	g.nodes["a"].serveBlocks(fetch, answer)
 	require.NotEmpty(t, answer.Blocks)
 	for _, b := range answer.Blocks {
@@ -209,7 +228,8 @@
 	}
 	r = g.fetcher()
 	for _, n := range g.nodes { // they have no records
-		n.log, n.logSize = nil, 0
+		n.log = nil
+		n.logSize = 0
 	}
 	g.fetch(t, r, two, unchanged)
 	require.Equal(t, two, r.ready)
@@ -226,7 +246,9 @@
 			gone = append(gone, Item{Part: i.Part, Name: i.Name})
 		}
 	}
-	two, whole, parted := g.put(t, gone...), 0, 0
+	two := g.put(t, gone...)
+	whole := 0
+	parted := 0
 	r := g.fetcher()
 	g.fetch(t, r, two, func(_ int, _ string, m *Message) []*Message {
 		for _, b := range m.Blocks {
@@ -268,9 +290,12 @@
 	two := g.put(t, list...)
 	r := g.fetcher()
 	fill := func(index *Content, revision Revision, whole bool) {
-		r.assembly.index, r.assembly.revision = index.index(), revision
-		fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: revision}, &Message{Kind: Piece}
-		if r.requestMissing(fetch); whole {
+		r.assembly.index = index.index()
+		r.assembly.revision = revision
+		fetch := &Message{Kind: Fetch, Has: g.first, Want: revision}
+		answer := &Message{Kind: Piece}
+		r.requestMissing(fetch)
+		if whole {
 			fetch.Missing = nil
 		}
 		g.nodes["a"].serveBlocks(fetch, answer)
@@ -286,7 +311,8 @@
 	three := g.put(t, back...)
 	fill(g.newest, three, true)
 	require.Zero(t, r.Counters.InvalidResponses)
-	fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}, &Message{Kind: Piece}
+	fetch := &Message{Kind: Fetch, Has: g.first, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}
+	answer := &Message{Kind: Piece}
 	r.serveDeltas(fetch, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
 	taken := 0
@@ -303,21 +329,26 @@
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
-	r.assembly.index, r.assembly.revision = g.newest.index(), two
-	fetch, answer := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece}
+	r.assembly.index = g.newest.index()
+	r.assembly.revision = two
+	fetch := &Message{Kind: Fetch, Has: g.first, Want: two}
+	answer := &Message{Kind: Piece}
 	r.requestMissing(fetch)
 	g.nodes["a"].serveBlocks(fetch, answer)
 	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks)
-	n, name := 0, ""
+	n := 0
+	name := ""
 	for k := 0; n == 0; k++ { // one that falls into such a block
 		if i := tenant(k, "1"); len(r.assembly.deltas.blocks[i.block()]) > 0 {
-			n, name = i.block(), i.Name
+			n = i.block()
+			name = i.Name
 		}
 	}
 	only := []Item{{Tenants, name, []byte("1")}}
 	next, err := g.base.Apply(only)
 	require.NoError(t, err)
-	r.assembly.index, r.assembly.revision = next.index(), Revision{3, next.Digest()}
+	r.assembly.index = next.index()
+	r.assembly.revision = Revision{3, next.Digest()}
 	r.requestMissing(&Message{})
 	require.True(t, r.mergeDeltas([]Block{{N: uint16(n), Changes: only}}))
 	require.True(t, len(r.assembly.deltas.blocks[n]) == 1)
@@ -327,14 +358,17 @@
 func TestBusyAskersGetSuccessiveSlots(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
-	r, now := g.nodes["a"], 1_000*ms
+	r := g.nodes["a"]
+	now := 1_000 * ms
 	names := []string{"n0", "n1", "n2", "n3"}
 	r.Step(now, []Input{{Kind: Viewed, View: &View{Neighbours: names}}})
 	for _, most := range []int64{maxFetchBackoff, maxNonNeighbourWait} {
-		r.tokens, r.refilledAt = 0, now
+		r.tokens = 0
+		r.refilledAt = now
 		var busy []int64
 		for k := range 12 {
-			from, answer := fmt.Sprint("far", k), &Message{}
+			from := fmt.Sprint("far", k)
+			answer := &Message{}
 			if most == maxFetchBackoff {
 				from = names[k%len(names)]
 			}
@@ -354,7 +388,8 @@
 func TestUnrequestedBlocksAreInvalid(t *testing.T) {
 	g := newSuppliers(t)
 	g.put(t, scattered(g.base)...)
-	r, item := g.fetcher(), g.log[0].Changes[0]
+	r := g.fetcher()
+	item := g.log[0].Changes[0]
 	r.storeBlocks(1, r.peerFor(1, "a"), []Block{{N: uint16(item.block()), Changes: []Item{item}}})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 }
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -35,7 +35,8 @@
 
 func applyTo(m map[string]string, list []Item) {
 	for _, i := range list {
-		if delete(m, i.Part+"/"+i.Name); i.Value != nil {
+		delete(m, i.Part+"/"+i.Name)
+		if i.Value != nil {
 			m[i.Part+"/"+i.Name] = string(i.Value)
 		}
 	}
@@ -44,7 +45,10 @@
 // Contents are compared with maps under random changes.
 func TestContentBehavesAsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, m, first, was := &Content{}, map[string]string{}, &Content{}, map[string]string{}
+		c := &Content{}
+		m := map[string]string{}
+		first := &Content{}
+		was := map[string]string{}
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			list := drawItems(t)
 			next, err := c.Apply(list)
@@ -102,7 +106,8 @@
 		_, err := (&Content{}).Apply([]Item{{Tenants, "valid", []byte("1")}, c.item})
 		require.ErrorContains(t, err, c.want)
 	}
-	c, err := &Content{}, error(nil)
+	c := &Content{}
+	err := error(nil)
 	for n := 0; err == nil; n += 500 { // the largest values, until there is no room
 		list := make([]Item, 500)
 		for k := range list {
@@ -189,7 +194,8 @@
 func TestDiskFileIsReadBack(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
-	file, base := []byte{}, table.newest
+	file := []byte{}
+	base := table.newest
 	for text := range Encode(Revision{1, base.Digest()}, base) {
 		file = append(file, text...)
 	}
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -39,7 +39,8 @@
 	two := g.put(t, scattered(g.base)...)
 	r = g.fetcher()
 	r.assembly.index = g.newest.index()
-	parts, parted := &Message{Kind: Fetch, Has: g.first, Want: two}, &Message{Kind: Piece, Has: most}
+	parts := &Message{Kind: Fetch, Has: g.first, Want: two}
+	parted := &Message{Kind: Piece, Has: most}
 	r.requestMissing(parts)
 	g.nodes["a"].serveBlocks(parts, parted)
 	require.NotEmpty(t, parted.Blocks[0].Changes)
@@ -68,11 +69,13 @@
 
 // A node is flooded with versions that no replica confirms.
 func TestInvalidAnnouncementsAreIgnored(t *testing.T) {
-	r, valid := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"}), &Content{}
+	r := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"})
+	valid := &Content{}
 	valid, err := valid.Apply([]Item{tenant(1, "1")})
 	require.NoError(t, err)
 	head := HeadRevision{All: Revision{1, valid.Digest()}, First: Revision{1, valid.Digest()}, Newest: 1}
-	reports, replicas := 0, 0
+	reports := 0
+	replicas := 0
 	inputs := []Input{{Kind: Viewed, View: &View{Neighbours: []string{"faulty", "b"}, Seats: []string{"s", "t"}}}}
 	for now := int64(1); now < 20_000*ms; now += 10 * ms {
 		effects, _ := r.Step(now, inputs)
--- a/internal/fleet/configsync/pieces_test.go
+++ b/internal/fleet/configsync/pieces_test.go
@@ -21,7 +21,8 @@
 	for i := range whole.All { // in the order of a difference, as commands put them
 		changes = append(changes, i)
 	}
-	table, restored := NewTable(), 0
+	table := NewTable()
+	restored := 0
 	piece := func(k int) *Command {
 		return &Command{Kind: Put, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes[k*each : (k+1)*each]}
 	}
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -50,8 +50,10 @@
 }
 
 func TestVersionForAllIsAppliedBeforeCanary(t *testing.T) {
-	table, r := tableWithVersions(2), newTestReplicator()
-	one, two := revisionOf(table, 1), revisionOf(table, 2)
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
 	r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.Equal(t, one, r.ready)
 	effects, _ := r.Step(2*ms, []Input{announcement("a", HeadRevision{}, two, table.log[1].wire()), confirmation(one, two)})
@@ -64,8 +66,10 @@
 }
 
 func TestOlderHeadsAreIgnored(t *testing.T) {
-	table, r := tableWithVersions(2), newTestReplicator()
-	one, two := revisionOf(table, 1), revisionOf(table, 2)
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
 	r.Step(ms, []Input{confirmation(two, two)})
 	r.Step(2*ms, []Input{confirmation(one, two), confirmation(one, one)})
 	require.Equal(t, two, r.Status(3*ms).Head.All)
@@ -75,8 +79,10 @@
 }
 
 func TestRecordsTowardsTheGoalAreFetched(t *testing.T) {
-	table, r := tableWithVersions(3), newTestReplicator()
-	two, three := revisionOf(table, 2), revisionOf(table, 3)
+	table := tableWithVersions(3)
+	r := newTestReplicator()
+	two := revisionOf(table, 2)
+	three := revisionOf(table, 3)
 	r.Step(ms, []Input{confirmation(Revision{}, two)})
 	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", HeadRevision{}, two)})
 	fetch := effectsOf(effects, Exchange)
@@ -89,8 +95,10 @@
 
 // A replica that is lost after it got a refusal must not be the only one that knows it.
 func TestRefusalIsReportedToSeveralReplicas(t *testing.T) {
-	table, r := tableWithVersions(1), newTestReplicator()
-	r.view.Zone, r.canary.version = nil, 0 // at the canary stage: it is alone in its zone
+	table := tableWithVersions(1)
+	r := newTestReplicator()
+	r.view.Zone = nil // at the canary stage: it is alone in its zone
+	r.canary.version = 0
 	one := revisionOf(table, 1)
 	effects, _ := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.True(t, effectsOf(effects, Take)[0].First)
@@ -104,7 +112,8 @@
 			if e.Message.Kind == Report && e.Message.Refused == one {
 				replicas[e.To]++
 				answer := confirmation(Revision{}, one)
-				answer.From, answer.Message.Seq = e.To, e.Message.Seq
+				answer.From = e.To
+				answer.Message.Seq = e.Message.Seq
 				in = append(in, answer)
 			}
 		}
@@ -116,11 +125,13 @@
 
 // Many nodes report and fetch content at once, with one neighbour among them.
 func TestThunderingHerdDoesNotStarveNeighbours(t *testing.T) {
-	r, c := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{}), fullContent(t, 100, 3_000)
+	r := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{})
+	c := fullContent(t, 100, 3_000)
 	revision := Revision{1, c.Digest()}
 	r.Step(1, []Input{{Kind: Viewed, View: &View{Neighbours: []string{"near"}}},
 		{Kind: Ordered, Agreed: &Agreed{Head: HeadRevision{All: revision, First: revision, Newest: 1}, All: c, First: c, Newest: c}}})
-	near, all := 0, 0
+	near := 0
+	all := 0
 	const seconds = 20
 	wanted := &Message{Kind: Fetch, Want: revision, Sums: (&Content{}).pageSums()}
 	for now := 20 * ms; now < seconds*1_000*ms; now += 20 * ms {
@@ -134,8 +145,9 @@
 		}
 		effects, _ := r.Step(now, in)
 		for _, e := range effectsOf(effects, Reply) {
-			if size := e.Message.size(); e.Message.hasContent() {
-				if all += size; e.Link == 1 {
+			if e.Message.hasContent() {
+				all += e.Message.size()
+				if e.Link == 1 {
 					near++
 				}
 			}
@@ -178,8 +190,10 @@
 
 // All replicas are back with an older state, and in contact with no majority.
 func TestPeersAreNotPenalizedWhileReplicasLag(t *testing.T) {
-	table, r := tableWithVersions(3), newTestReplicator()
-	one, three := revisionOf(table, 1), revisionOf(table, 3)
+	table := tableWithVersions(3)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	three := revisionOf(table, 3)
 	r.Step(0, []Input{confirmation(one, one), announcement("a", HeadRevision{}, one, table.log[0].wire())})
 	r.Step(1, []Input{{Kind: Took, Mark: one}})
 	require.Equal(t, one, r.Revision())
@@ -193,16 +207,20 @@
 
 // Replicas in contact with the group learn of a version some seconds later than neighbours.
 func TestUnconfirmedVersionHasAGracePeriod(t *testing.T) {
-	table, r := tableWithVersions(2), newTestReplicator()
-	one, two := revisionOf(table, 1), revisionOf(table, 2)
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
 	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, unconfirmedGracePeriod/(1_000*ms), true)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
 // Current replicas deny a version, and a peer announces another content for a known version.
 func TestPeerWithUnknownVersionsIsPenalized(t *testing.T) {
-	table, r := tableWithVersions(2), newTestReplicator()
-	one, two := revisionOf(table, 1), revisionOf(table, 2)
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
 	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: Revision{9, Digest{A: 9}}}, 20, true)
 	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours announced it")
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
@@ -213,7 +231,8 @@
 	r.Step(2*ms, []Input{confirmation(one, two)})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 	require.Zero(t, r.peers["b"].invalidResponses)
-	table, r = tableWithVersions(9), newTestReplicator()
+	table = tableWithVersions(9)
+	r = newTestReplicator()
 	for k := 1; k <= 9; k++ {
 		r.Step(int64(k)*ms, []Input{confirmation(revisionOf(table, k), revisionOf(table, k))})
 	}
@@ -232,11 +251,17 @@
 
 // The peer that sent some of the records is busy, and another one has the rest.
 func TestRecordsAreContinuedByAnyPeer(t *testing.T) {
-	table, r := tableWithVersions(3), newTestReplicator()
-	one, three := revisionOf(table, 1), revisionOf(table, 3)
+	table := tableWithVersions(3)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	three := revisionOf(table, 3)
 	head := HeadRevision{All: three, First: three}
 	fetch := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
-	from, other := fetch.To, map[string]string{"a": "b", "b": "a"}[fetch.To]
+	from := fetch.To
+	other := "a"
+	if from == "a" {
+		other = "b"
+	}
 	fetch = fetchOf(t, r, 501*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[:1], maxPieceBytes, false)}})
 	for fetch.To == other { // it is busy
 		fetch = fetchOf(t, r, 502*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: ms}})
@@ -257,7 +282,8 @@
 
 // A peer sends records that are consistent and were never agreed on.
 func TestRecordsThatNobodyContinuesAreDropped(t *testing.T) {
-	table, r := tableWithVersions(2), newTestReplicator()
+	table := tableWithVersions(2)
+	r := newTestReplicator()
 	two := revisionOf(table, 2)
 	head := HeadRevision{All: two, First: two}
 	invalid, err := (&Content{}).Apply([]Item{tenant(7, "7")})
@@ -271,7 +297,8 @@
 		if r.fetch.deadline > 0 {
 			m := &Message{Kind: Piece, Busy: 4_000 * ms} // the faulty peer is busy
 			if r.fetch.peer == "b" {
-				m.Busy, m.Has = 0, two
+				m.Busy = 0
+				m.Has = two
 				m.Records = wireRecords(recordsBetween(table.log, r.fetch.from, 2), maxPieceBytes, false)
 			}
 			in = append(in, Input{Kind: Answered, Link: r.fetch.link, Message: m})
@@ -283,13 +310,17 @@
 
 // A further version is agreed on during each fetch of blocks.
 func TestFetchedBlocksAreKeptWhenTheVersionMovesOn(t *testing.T) {
-	r, c := newTestReplicator(), fullContent(t, 100, 3_000)
+	r := newTestReplicator()
+	c := fullContent(t, 100, 3_000)
 	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, Mark: Revision{1, c.Digest()}}) // the peer
-	now, rounds, indices := 500*ms, 0, 0
+	now := 500 * ms
+	rounds := 0
+	indices := 0
 	for ; r.ready.Version == 0; rounds++ {
 		require.Less(t, rounds, 200)
 		revision := Revision{uint64(rounds + 1), c.Digest()}
-		n.readyContent, n.appliedContent = c, c
+		n.readyContent = c
+		n.appliedContent = c
 		n.ready = revision
 		var fetch Effect
 		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, First: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
@@ -311,7 +342,8 @@
 		}
 		r.Step(now+ms, []Input{confirmation(after, after)})
 		r.Step(now+2*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: answer}})
-		now, c = now+2_000*ms, next
+		now = now + 2_000*ms
+		c = next
 		if r.assemblyBase().Digest() == r.assembly.revision.Digest {
 			break
 		}
--- a/internal/fleet/configsync/schedules_test.go
+++ b/internal/fleet/configsync/schedules_test.go
@@ -17,7 +17,9 @@
 func runSchedule(seed int64, injectFault func(*simulation)) *simulation {
 	sim := newSimulation(seed, 5+int(seed%7), 3, 2)
 	r := sim.random
-	sim.loss, sim.duplication, sim.stragglers = 0.15*r.Float64(), 0.1*r.Float64(), 0.03*r.Float64()
+	sim.loss = 0.15 * r.Float64()
+	sim.duplication = 0.1 * r.Float64()
+	sim.stragglers = 0.03 * r.Float64()
 	sim.callers = []*caller{{name: "a"}, {name: "b"}}
 	if injectFault != nil {
 		injectFault(sim)
@@ -54,9 +56,11 @@
 
 // Schedules have faulty nodes, and others detect them. Each step checks that no other node is penalized.
 func TestFaultyNodesArePenalized(t *testing.T) {
-	faulty, found := 0, 0
+	faulty := 0
+	found := 0
 	for seed := int64(1); seed <= 60; seed++ {
-		sim, invalid := runSchedule(seed, nil), 0
+		sim := runSchedule(seed, nil)
+		invalid := 0
 		if !slices.ContainsFunc(sim.nodes, func(n *simNode) bool { return n.faulty }) {
 			continue
 		}
@@ -75,7 +79,9 @@
 
 // In some schedules blocks are sent as changes.
 func TestSchedulesHaveLargeChanges(t *testing.T) {
-	large, parted, answers := 0, 0, 0
+	large := 0
+	parted := 0
+	answers := 0
 	for seed := int64(1); seed <= 60; seed++ {
 		sim := runSchedule(seed, nil)
 		if sim.largeChanges {
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -45,7 +45,10 @@
 	table := largeTable(t, 130_000)
 	before, err := largeTable(t, 130_000).Snapshot()
 	require.NoError(t, err)
-	w, parts, last, seq := table.BeginSnapshot(), 0, 0, uint64(1_000)
+	w := table.BeginSnapshot()
+	parts := 0
+	last := 0
+	seq := uint64(1_000)
 	for whole := false; !whole; parts++ {
 		whole = w.Next(once)
 		assert.LessOrEqual(t, len(w.Text())-last, once+maxBlockBytes)
@@ -67,7 +70,8 @@
 // A snapshot that is encoded in steps equals that of the encoder, so that earlier builds can read it.
 func TestIncrementalSnapshotEqualsEncoder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, at := NewTable(), int64(0)
+		table := NewTable()
+		at := int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
 			at += rapid.SampledFrom([]int64{0, canaryDuration}).Draw(t, "later")
 			c := Command{Kind: Put, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
@@ -79,7 +83,8 @@
 			case 2:
 				c = Command{Kind: Rollback, From: "c", Seq: seq + 1, Version: table.Head().All.Version}
 			case 3:
-				c.Piece, c.More = table.draft.Pieces, rapid.Bool().Draw(t, "more")
+				c.Piece = table.draft.Pieces
+				c.More = rapid.Bool().Draw(t, "more")
 				fallthrough
 			default:
 				for range rapid.IntRange(1, 40).Draw(t, "items") {
@@ -123,14 +128,17 @@
 	}
 	to, err := from.Apply(changes)
 	require.NoError(t, err)
-	d, found, looks := Diff(from, to), 0, 0
+	d := Diff(from, to)
+	found := 0
+	looks := 0
 	for before := 0; ; before = d.scanned {
 		some := d.Next(256)
 		assert.LessOrEqual(t, d.scanned-before, 256<<10)
 		if len(some) == 0 {
 			break
 		}
-		found, looks = found+len(some), looks+1
+		found = found + len(some)
+		looks++
 	}
 	assert.Equal(t, len(changes), found)
 	assert.Greater(t, looks, 30)
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -15,7 +15,8 @@
 	for i, n := range sim.nodes {
 		n.region = i % zones % regions
 	}
-	sim.maxDelay, sim.regionDelay = 4*ms, regionDelay
+	sim.maxDelay = 4 * ms
+	sim.regionDelay = regionDelay
 	sim.callers = []*caller{{name: "a"}}
 	sim.run(sim.now + 3_000*ms)
 	return sim
@@ -27,7 +28,8 @@
 
 // Changes are put, some during the canary stage of the one before, and 5 % of all messages are lost.
 func TestChangeIsInForceInTime(t *testing.T) {
-	nodes, changes := *fleet, 3
+	nodes := *fleet
+	changes := 3
 	sim := newFleetSimulation(1, nodes, max(3, nodes/144), 15, 7, 80*ms) // some 140 nodes report to one replica
 	sim.loss = 0.05
 	agreed := map[uint64]int64{}
@@ -46,7 +48,8 @@
 	for version, at := range agreed {
 		took, missing := sim.inForce(version, at)
 		require.Zero(t, missing)
-		p99, last := took[len(took)*99/100], took[len(took)-1]
+		p99 := took[len(took)*99/100]
+		last := took[len(took)-1]
 		t.Logf("version %d (simulated, %d nodes): 99 in 100 after %d ms, the last after %d ms", version, nodes, p99/ms, last/ms)
 		require.LessOrEqual(t, p99, 10_000*ms)
 	}
@@ -55,7 +58,8 @@
 // All are agreed on, in force in stages, and within the rate.
 func TestThousandChangesInAMinute(t *testing.T) {
 	sim := newFleetSimulation(2, 24, 3, 5, 2, 30*ms)
-	done, begin := 0, sim.now
+	done := 0
+	begin := sim.now
 	for sim.now < begin+60_000*ms && sim.failure == "" {
 		if c := sim.callers[0]; c.command == nil && int64(done) < (sim.now-begin)/(58*ms) && done < 1_000 {
 			done++
@@ -92,7 +96,8 @@
 	sim.run(sim.now + 10_000*ms)
 	require.Empty(t, sim.unsettled())
 	for _, n := range sim.nodes {
-		if n.olderBuild = n.replicator.isCanary(2) == canary && !n.isReplica; n.olderBuild {
+		n.olderBuild = n.replicator.isCanary(2) == canary && !n.isReplica
+		if n.olderBuild {
 			break
 		}
 	}
@@ -176,7 +181,8 @@
 	sim.run(sim.now + 5_000*ms)
 	for i := 4; i < len(sim.nodes); i += 5 {
 		sim.crash(i)
-		sim.nodes[i].disk, sim.nodes[i].maxVersion = simDisk{}, 0
+		sim.nodes[i].disk = simDisk{}
+		sim.nodes[i].maxVersion = 0
 		sim.restart(i)
 	}
 	begin := sim.now
--- a/internal/fleet/configsync/suppliers_test.go
+++ b/internal/fleet/configsync/suppliers_test.go
@@ -14,7 +14,8 @@
 
 // scattered are changes of scatteredItems tenants of a content, no two of which are neighbours.
 func scattered(c *Content) (list []Item) {
-	k, step := 0, c.Len(Tenants)/scatteredItems
+	k := 0
+	step := c.Len(Tenants) / scatteredItems
 	for i := range c.All {
 		if i.Part != Tenants {
 			continue
@@ -38,7 +39,9 @@
 func newSuppliers(t *testing.T) *suppliers {
 	c := fullContent(t, 100, 3_000)
 	g := &suppliers{Table: NewTable(), base: c, first: Revision{1, c.Digest()}, nodes: map[string]*Replicator{}}
-	g.newest, g.all, g.canary = c, c, c
+	g.newest = c
+	g.all = c
+	g.canary = c
 	g.head = HeadRevision{All: g.first, First: g.first, Newest: 1}
 	for _, name := range []string{"a", "b"} {
 		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{Mark: g.first, Content: c})
@@ -61,14 +64,19 @@
 // fetcher is a node that has the version before, and two neighbours.
 func (g *suppliers) fetcher() *Replicator {
 	r := newTestReplicator()
-	r.applied, r.ready, r.disk.revision, r.appliedContent, r.readyContent = g.first, g.first, g.first, g.base, g.base
+	r.applied = g.first
+	r.ready = g.first
+	r.disk.revision = g.first
+	r.appliedContent = g.base
+	r.readyContent = g.base
 	return r
 }
 
 // answer is a peer's answer to a fetch. Its rate limit is lifted.
 func (g *suppliers) answer(now int64, e Effect) *Message {
 	n := g.nodes[e.To]
-	n.tokens, n.refilledAt = burstBytes, now
+	n.tokens = burstBytes
+	n.refilledAt = now
 	for _, p := range n.peers {
 		p.tokens = burstBytes
 	}
@@ -81,7 +89,8 @@
 func (g *suppliers) fetch(t *testing.T, r *Replicator, goal Revision, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
 	from = map[string]int{}
 	in := []Input{confirmation(goal, goal), announcement("a", HeadRevision{All: goal, First: goal}, goal), announcement("b", HeadRevision{All: goal, First: goal}, goal)}
-	k, most := 0, g.head.Newest
+	k := 0
+	most := g.head.Newest
 	for now := r.refilledAt + 500*ms; r.ready != goal && g.head.Newest == most; now += 10 * ms {
 		require.Less(t, now, 900_000*ms)
 		effects, _ := r.Step(now, in)
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -115,7 +115,9 @@
 // One of two tables is restored from a snapshot after each random command.
 func TestSameCommandsMakeSameTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, at := NewTable(), NewTable(), int64(0)
+		a := NewTable()
+		b := NewTable()
+		at := int64(0)
 		for k := range rapid.IntRange(1, 10).Draw(t, "commands") {
 			at += rapid.Int64Range(0, 2_000*ms).Draw(t, "later")
 			head := a.Head()
--- a/internal/fleet/consensus/schedules_test.go
+++ b/internal/fleet/consensus/schedules_test.go
@@ -264,8 +264,10 @@
 }
 
 func TestNoTokenRunsTwiceInRandomSchedules(t *testing.T) {
-	first, many := seedFromEnvironment(t, "SEED", 1), seedFromEnvironment(t, "SCHEDULES", 150)
-	taken, ran := 0, 0
+	first := seedFromEnvironment(t, "SEED", 1)
+	many := seedFromEnvironment(t, "SCHEDULES", 150)
+	taken := 0
+	ran := 0
 	for seed := first; seed < first+many; seed++ {
 		sim := runSchedule(seed, func(*simulation) {})
 		for _, wrong := range sim.failures {
@@ -314,8 +316,10 @@
 func (d *differences) Errorf(form string, args ...any) { *d = append(*d, fmt.Sprintf(form, args...)) }
 
 func TestNothingAcknowledgedIsLostInRandomDiskSchedules(t *testing.T) {
-	first, many := seedFromEnvironment(t, "SEED", 1), seedFromEnvironment(t, "SCHEDULES", 50)
-	resumed, ran := 0, 0
+	first := seedFromEnvironment(t, "SEED", 1)
+	many := seedFromEnvironment(t, "SCHEDULES", 50)
+	resumed := 0
+	ran := 0
 	for seed := first; seed < first+many; seed++ {
 		sim := runDiskSchedule(seed)
 		for _, wrong := range sim.failures {
--- a/internal/fleet/consensus/simdisk_test.go
+++ b/internal/fleet/consensus/simdisk_test.go
@@ -32,7 +32,8 @@
 	for _, write := range d.inFlight[:random.Intn(len(d.inFlight)+1)] {
 		d.apply(write)
 	}
-	d.inFlight, d.freeAt = nil, 0
+	d.inFlight = nil
+	d.freeAt = 0
 }
 
 func (s *simulation) recoverFromDisk(node *simNode) {
@@ -68,7 +69,8 @@
 // newDiskSimulation is a simulation without faults whose replicas have disks and a leader.
 func newDiskSimulation(t *testing.T, nodes, replicas int) *simulation {
 	sim := newSimulation(1, nodes, replicas)
-	sim.stable, sim.disks = true, true
+	sim.stable = true
+	sim.disks = true
 	for i := range nodes {
 		sim.start(i)
 	}
--- a/internal/fleet/consensus/simulation_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -4,10 +4,8 @@
 	"container/heap"
 	"fmt"
 	"math/rand"
-	"slices"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/fleet/claims"
@@ -278,71 +276,6 @@
 	return view
 }
 
-// send sends an encoded message over a link.
-func (s *simulation) send(from int, to string, m Message) {
-	i := slices.IndexFunc(s.nodes, func(x *simNode) bool { return x.name == to })
-	if i < 0 {
-		return
-	}
-	if i != from && (s.cutLinks[[2]int{from, i}] || s.random.Float64() < s.loss) {
-		return
-	}
-	text, err := cbor.Marshal(m)
-	if err != nil {
-		s.fail("a message can't be encoded: %v", err)
-		return
-	}
-	delay := int64(0)
-	if i != from {
-		delay = ms/5 + s.random.Int63n(ms)
-		if !s.stable && s.random.Intn(50) == 0 {
-			delay += s.random.Int63n(300 * ms)
-		}
-	}
-	copies := 1
-	if !s.stable && s.random.Intn(50) == 0 {
-		copies = 2
-	}
-	for range copies {
-		s.at(s.now+delay, i, func() {
-			got := new(Message)
-			if cbor.Unmarshal(text, got) == nil {
-				s.receive(i, got)
-			}
-		})
-	}
-}
-
-func (s *simulation) receive(i int, msg *Message) {
-	node := s.nodes[i]
-	switch msg.Kind {
-	case MessageVerdicts, MessageClaimsEnded, MessageReassignment:
-		if msg.Owner != node.owner() {
-			return
-		}
-		node.receiveAnswer(msg)
-	default:
-		if node.replica != nil {
-			node.replicaInputs = append(node.replicaInputs, Input{Message: msg})
-		}
-	}
-	s.wakeNow(i)
-}
-
-func (n *simNode) receiveAnswer(msg *Message) {
-	for k := range msg.Verdicts {
-		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.VerdictReceived, Verdict: msg.Verdicts[k]})
-	}
-	n.configVerdicts = append(n.configVerdicts, msg.Decided...)
-	for _, key := range msg.Keys {
-		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.EndNotified, Key: key})
-	}
-	if e := msg.Entry; e != nil {
-		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash,
-			Remaining: msg.Remaining, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
-	}
-}
-
 // resume ends all pauses.
 func (s *simulation) resume() {
 	for i := range s.nodes {
@@ -350,25 +283,6 @@
 	}
 }
 
-// cutFrom cuts the links from a node to some of the others.
-func (s *simulation) cutFrom(i int, random *rand.Rand) {
-	for k := range s.nodes {
-		if k != i && random.Intn(2) == 0 {
-			s.cutLinks[[2]int{i, k}] = true
-		}
-	}
-}
-
-// cutOff cuts the links of all others to a node, and its links to some of them.
-func (s *simulation) cutOff(i int, random *rand.Rand) {
-	for k := range s.nodes {
-		if k != i {
-			s.cutLinks[[2]int{k, i}] = true
-			s.cutLinks[[2]int{i, k}] = random.Intn(2) == 0
-		}
-	}
-}
-
 // newStableSimulation is a simulation without faults whose group has a leader.
 func newStableSimulation(t *testing.T, nodes, replicas int) *simulation {
 	sim := newSimulation(1, nodes, replicas)
--- a/internal/fleet/consensus/snapshotparts.go
+++ b/internal/fleet/consensus/snapshotparts.go
@@ -106,7 +106,8 @@
 		err = cbor.Unmarshal(part, &text)
 		return text, "", err
 	}
-	if err = cbor.Unmarshal(part, &digest); err != nil {
+	err = cbor.Unmarshal(part, &digest)
+	if err != nil {
 		return nil, "", err
 	}
 	text = r.snapshots.parts[digest]
--- a/internal/fleet/consensus/snapshotparts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -19,18 +19,32 @@
 	snapshots int // snapshots
 }
 
-func (t *largeTable) Apply(_ int64, part []byte)  { t.text = bytes.Repeat(part, 1<<20) }
-func (t *largeTable) Snapshot() ([]byte, error)   { t.snapshots++; return t.text, nil }
-func (t *largeTable) Restore(text []byte) error   { t.text = text; return nil }
-func (t *largeTable) reset()                      { t.text = []byte{0} }
-func (t *largeTable) becomeLeader()               {}
-func (t *largeTable) leaderTick()                 {}
-func (t *largeTable) storedSeparately() bool      { return true }
-func (t *largeTable) nextProposal() (part []byte) { part, t.queued = t.queued, nil; return part }
+func (t *largeTable) Apply(_ int64, part []byte) { t.text = bytes.Repeat(part, 1<<20) }
+func (t *largeTable) reset()                     { t.text = []byte{0} }
+func (t *largeTable) becomeLeader()              {}
+func (t *largeTable) leaderTick()                {}
+func (t *largeTable) storedSeparately() bool     { return true }
+
+func (t *largeTable) Snapshot() ([]byte, error) {
+	t.snapshots++
+	return t.text, nil
+}
+
+func (t *largeTable) Restore(text []byte) error {
+	t.text = text
+	return nil
+}
+
+func (t *largeTable) nextProposal() []byte {
+	part := t.queued
+	t.queued = nil
+	return part
+}
 
 func TestLargeTableIsEncodedAndSentOnceForEachContent(t *testing.T) {
 	sim := newSimulation(1, 4, 3)
-	sim.stable, sim.disks = true, true
+	sim.stable = true
+	sim.disks = true
 	tables := make([]*largeTable, 3)
 	sim.configure = func(i int, group *Group) {
 		tables[i] = &largeTable{}
@@ -97,7 +111,8 @@
 // replica is replaced, and what is recovered from the disk is what was committed.
 func TestSnapshotOfALargeTableIsSpreadOverSteps(t *testing.T) {
 	sim := newSimulation(1, 4, 3)
-	sim.stable, sim.disks = true, true
+	sim.stable = true
+	sim.disks = true
 	var tables [3]*watchedTable
 	sim.configure = func(i int, group *Group) {
 		tables[i] = &watchedTable{configTable: group.configs, bytesByStep: map[int]int{}}
--- a/internal/fleet/consensus/storage_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -61,7 +61,8 @@
 func TestReplicaWithOutdatedDiskRestarts(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	i := (sim.indexOf(sim.leader()) + 1) % 3
-	old, before := sim.nodes[i].disk.contents, sim.nodes[i].replica.raft.id
+	old := sim.nodes[i].disk.contents
+	before := sim.nodes[i].replica.raft.id
 	a := sim.ask(1, 1, 3)
 	sim.run(sim.now + 500*ms)
 	sim.killReplicas()
@@ -141,14 +142,16 @@
 // follower returns with what its disk holds, and together with the third, which was cut off, is a majority.
 func commitOnTwoReplicas(t *testing.T, fault func(group *Group)) (agreed, known bool) {
 	sim := newSimulation(1, 4, 3)
-	sim.stable, sim.disks = true, true
+	sim.stable = true
+	sim.disks = true
 	sim.configure = func(_ int, group *Group) { fault(group) }
 	sim.startAll()
 	sim.run(5_000 * ms)
 	leader := sim.leader()
 	require.NotNil(t, leader)
 	i := sim.indexOf(leader)
-	follower, third := (i+1)%3, (i+2)%3
+	follower := (i + 1) % 3
+	third := (i + 2) % 3
 	for k := range sim.nodes {
 		sim.cutLinks[[2]int{third, k}], sim.cutLinks[[2]int{k, third}] = true, true
 	}
--- a/internal/fleet/consensus/takeover_test.go
+++ b/internal/fleet/consensus/takeover_test.go
@@ -96,7 +96,8 @@
 	require.Equal(t, 1_000, entries)
 	sim.kill(7)
 	lost := sim.now
-	first, most := int64(0), 0
+	first := int64(0)
+	most := 0
 	for len(sim.runs) < 1_000 && sim.now < lost+25_000*ms {
 		sim.run(sim.now + 5*ms)
 		if first == 0 && len(sim.runs) > 0 {
