--- a/internal/fleet/configsync/build.go
+++ b/internal/fleet/configsync/build.go
@@ -6,8 +6,8 @@
 )
 
 // Build returns a content of many items at once, the later counting where one comes twice. The items are yielded two times, alike: each
-// block is allocated at its final size. Apply, some at a time, would leave blocks of all sizes on the way as holes in the heap. An item
-// that can't be held is named in the error.
+// block is allocated at its final size. Apply, some at a time, would leave blocks of all sizes on the way as holes in the heap. An invalid item is
+// named in the error.
 func Build(all func(yield func(Item))) (*Content, error) {
 	sizes, err := blockSizes(all)
 	if err != nil {
--- a/internal/fleet/configsync/change.go
+++ b/internal/fleet/configsync/change.go
@@ -20,7 +20,7 @@
 }
 
 // Apply returns the content with some items changed, the later counting where one comes twice. It costs what the blocks of those items
-// cost. An item that can't be held is named in the error, and nothing changes then.
+// cost. An invalid item is named in the error, and nothing changes then.
 func (c *Content) Apply(changes []Item) (*Content, error) {
 	order, err := placeChanges(changes)
 	if err != nil {
--- a/internal/fleet/configsync/gossip.go
+++ b/internal/fleet/configsync/gossip.go
@@ -67,7 +67,7 @@
 	return size
 }
 
-// announcedHead is what neighbours are told of the confirmed head.
+// announcedHead is what is announced of the confirmed head.
 func (r *Replicator) announcedHead() HeadRevision { return r.head.announced() }
 
 // announced is a head without what only replicas send.
@@ -75,7 +75,7 @@
 	return HeadRevision{All: h.All, First: h.First, Stopped: h.Stopped}
 }
 
-// announce tells neighbours what is new, each at its time.
+// announce announces to neighbours what is new, to each at its time.
 func (r *Replicator) announce(now int64, effects []Effect) []Effect {
 	for _, name := range r.view.Neighbours {
 		p := r.peers[name]
--- a/internal/fleet/configsync/reports.go
+++ b/internal/fleet/configsync/reports.go
@@ -137,7 +137,7 @@
 }
 
 // handleAgreement ends the attempts, but for a refused version that goes on: the replica that knows of the refusal may be lost before it
-// had the stop ordered, so another is told.
+// had the stop ordered, so another one gets the refusal too.
 func (r *Replicator) handleAgreement(now int64) {
 	r.reports.attempts = 0
 	r.reports.unconfirmedAnswers = 0
--- a/internal/fleet/consensus/group.go
+++ b/internal/fleet/consensus/group.go
@@ -26,10 +26,10 @@
 	expireAt int64 // when pending commands are looked through next
 }
 
-// NewGroup returns a replica that knows nothing yet. Names are all members, this one among them; life tells this start of the process
-// from others.
-func NewGroup(names []string, self string, life uint64, now, seed int64) *Group {
-	g := &Group{Replica: newReplica(names, self, life, now, seed)}
+// NewGroup returns a replica that knows nothing yet. Names are all members, this one among them; the incarnation distinguishes this start
+// of the process from others.
+func NewGroup(names []string, self string, incarnation uint64, now, seed int64) *Group {
+	g := &Group{Replica: newReplica(names, self, incarnation, now, seed)}
 	g.claimTable = &claimTable{replica: g.Replica}
 	g.leaseTable = &leaseTable{replica: g.Replica}
 	g.configs = &configTable{replica: g.Replica}
--- a/internal/fleet/consensus/leader.go
+++ b/internal/fleet/consensus/leader.go
@@ -8,7 +8,7 @@
 	heartbeatInterval    = 80 * ms    // ns
 	minElectionTimeout   = 600 * ms   // ns without contact to a leader; timeouts are drawn from here to twice that
 	leaderSilenceTimeout = 1_200 * ms // ns without contact to a majority after which a leader steps down, so that others may be elected
-	stepDownInterval     = 3_000 * ms // ns between announcements of a leader that stepped down: enough for two such to learn of each other, too few to hinder an election
+	stepDownInterval     = 3_000 * ms // ns between announcements of a leader that stepped down: two such learn of each other, and others can be elected in between
 	leaderTickInterval   = 50 * ms    // ns
 	snapshotTimeout      = 1_000 * ms // ns that a snapshot may be on its way
 	snapshotRetryBackoff = 50 * ms    // ns until a snapshot is sent that is still being written
--- a/internal/fleet/consensus/snapshots.go
+++ b/internal/fleet/consensus/snapshots.go
@@ -17,7 +17,7 @@
 
 const (
 	maxLogEntries        = 2_048     // entries after which another snapshot is started
-	retainedEntries      = 256       // entries kept behind a snapshot, for replicas that lag a little
+	retainedEntries      = 256       // entries retained behind a snapshot, for replicas that lag a little
 	snapshotBytesPerStep = 128 << 10 // bytes that are encoded and digested in one step
 )
 
--- a/internal/fleet/consensus/step.go
+++ b/internal/fleet/consensus/step.go
@@ -9,15 +9,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const minStandstill = 150 * ms // ns past a wake-up from which it is this process that stood still, and not the others
+const minPause = 150 * ms // ns past a wake-up from which this process was paused, and not the others
 
 // step handles what happened, by handle, and then carries out what is due.
 func (r *Replica) step(now int64, handle func()) {
-	stoodStill := r.wakeAt > 0 && now-r.wakeAt > minStandstill
+	paused := r.wakeAt > 0 && now-r.wakeAt > minPause
 	r.now = now
 	r.effects = append(r.effects[:0], r.earlyEffects...)
 	r.earlyEffects = nil
-	if stoodStill && !r.IsLeader() { // messages of the leader may wait unread
+	if paused && !r.IsLeader() { // messages of the leader may wait unread
 		r.resetElectionTimer()
 	}
 	r.restartOnPanic(func() {
