--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawItems draws changes over few names, so that they meet.
+// drawItems draws changes of few names, so that they collide.
 func drawItems(t *rapid.T) (list []Item) {
 	for range rapid.IntRange(0, 12).Draw(t, "changes") {
 		i := Item{Part: rapid.SampledFrom(partNames[:]).Draw(t, "part"), Name: fmt.Sprint("x", rapid.IntRange(0, 20).Draw(t, "name"))}
@@ -25,7 +25,7 @@
 	return list
 }
 
-func all(c *Content) map[string]string {
+func itemsByName(c *Content) map[string]string {
 	m := map[string]string{}
 	for i := range c.All {
 		m[i.Part+"/"+i.Name] = string(i.Value)
@@ -35,41 +35,45 @@
 
 func applyTo(m map[string]string, list []Item) {
 	for _, i := range list {
-		if delete(m, i.Part+"/"+i.Name); i.Value != nil {
+		delete(m, i.Part+"/"+i.Name)
+		if i.Value != nil {
 			m[i.Part+"/"+i.Name] = string(i.Value)
 		}
 	}
 }
 
-// TestContentIsWhatAMapIs compares contents with maps under drawn changes.
-func TestContentIsWhatAMapIs(t *testing.T) {
+// Contents are compared with maps under random changes.
+func TestContentBehavesAsAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, m, first, was := &Content{}, map[string]string{}, &Content{}, map[string]string{}
+		c := &Content{}
+		m := map[string]string{}
+		first := &Content{}
+		was := map[string]string{}
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			list := drawItems(t)
 			next, err := c.Apply(list)
 			require.NoError(t, err)
 			applyTo(m, list)
-			require.Equal(t, m, all(next))
+			require.Equal(t, m, itemsByName(next))
 			if first == c {
-				was = maps.Clone(all(c))
+				was = maps.Clone(itemsByName(c))
 			}
 			c = next
 		}
-		require.Equal(t, was, all(first), "an older content doesn't change")
+		require.Equal(t, was, itemsByName(first), "a content is immutable")
 		var again []Item
 		for i := range c.All {
 			again = append(again, i)
 			require.Equal(t, i.Value, c.Get(i.Part, i.Name))
 		}
 		slices.Reverse(again)
-		anew, err := (&Content{}).Apply(again)
+		rebuilt, err := (&Content{}).Apply(again)
 		require.NoError(t, err)
-		require.Equal(t, c.Digest(), anew.Digest(), "whatever the order")
-		require.Equal(t, c.Bytes(), anew.Bytes())
+		require.Equal(t, c.Digest(), rebuilt.Digest(), "whatever the order")
+		require.Equal(t, c.Bytes(), rebuilt.Bytes())
 		size := 0
 		for _, part := range partNames {
-			require.Equal(t, c.PartDigest(part), anew.PartDigest(part))
+			require.Equal(t, c.PartDigest(part), rebuilt.PartDigest(part))
 			size += c.Len(part)
 		}
 		require.Equal(t, len(m), size)
@@ -84,36 +88,37 @@
 			back, err = back.Apply(some)
 			require.NoError(t, err)
 		}
-		require.Equal(t, m, all(back))
+		require.Equal(t, m, itemsByName(back))
 		require.Equal(t, c.Digest(), back.Digest())
 	})
 }
 
-func TestItemsThatCantBeHeldAreNamed(t *testing.T) {
+func TestInvalidItemsAreNamed(t *testing.T) {
 	for _, c := range []struct {
 		item Item
 		want string
 	}{
 		{Item{"listeners", "a", []byte("1")}, `part "listeners" is none of operations, tenants, limits`},
 		{Item{Tenants, "", []byte("1")}, "a name in tenants of 0 bytes; it must have 1 to 256"},
-		{Item{Tenants, strings.Repeat("a", nameMost+1), []byte("1")}, "of 257 bytes"},
-		{Item{Tenants, "a", make([]byte, valueMost+1)}, `tenants "a" has 4097 bytes; 4096 at the most`},
+		{Item{Tenants, strings.Repeat("a", maxNameBytes+1), []byte("1")}, "of 257 bytes"},
+		{Item{Tenants, "a", make([]byte, maxValueBytes+1)}, `tenants "a" has 4097 bytes; 4096 at the most`},
 	} {
-		_, err := (&Content{}).Apply([]Item{{Tenants, "sound", []byte("1")}, c.item})
+		_, err := (&Content{}).Apply([]Item{{Tenants, "valid", []byte("1")}, c.item})
 		require.ErrorContains(t, err, c.want)
 	}
-	c, err := &Content{}, error(nil)
-	for n := 0; err == nil; n += 500 { // values as large as they may be, until there is no room
+	c := &Content{}
+	err := error(nil)
+	for n := 0; err == nil; n += 500 { // the largest values, until there is no room
 		list := make([]Item, 500)
 		for k := range list {
-			list[k] = Item{Tenants, fmt.Sprint(n + k), bytes.Repeat([]byte("1"), valueMost)}
+			list[k] = Item{Tenants, fmt.Sprint(n + k), bytes.Repeat([]byte("1"), maxValueBytes)}
 		}
 		c, err = c.Apply(list)
 	}
 	require.ErrorContains(t, err, "make values smaller")
 }
 
-func TestCanonicalIsOneForm(t *testing.T) {
+func TestCanonicalIsUnique(t *testing.T) {
 	got, err := Canonical([]byte(" {\"b\": 1.50, \"a\": [true, null, \"<x>\"]}\n"))
 	require.NoError(t, err)
 	require.Equal(t, `{"a":[true,null,"<x>"],"b":1.50}`, string(got))
@@ -126,8 +131,8 @@
 	}
 }
 
-// full is a content of the size that is wanted in two years.
-func full(t testing.TB, operations, tenants int) *Content {
+// fullContent is a content of so many operations and tenants.
+func fullContent(t testing.TB, operations, tenants int) *Content {
 	list := make([]Item, 0, operations+tenants)
 	for k := range operations {
 		list = append(list, Item{Operations, fmt.Sprintf("region-%d/service-%d/operation-%d", k%7, k%390, k),
@@ -141,7 +146,7 @@
 	return c
 }
 
-func inUse() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -149,34 +154,34 @@
 	return m.HeapAlloc
 }
 
-// TestMemoryAtFullSize wants what a node holds to be little more than its bytes, and a change to cost little.
+// A content takes little more memory than its bytes, and a change of it little.
 func TestMemoryAtFullSize(t *testing.T) {
-	before := inUse()
-	c := full(t, 4_700, 130_000)
-	held := int64(inUse()) - int64(before)
-	t.Logf("%d bytes of names and values are held in %d", c.Bytes(), held)
-	require.Less(t, held, int64(10<<20))
+	before := heapInUse()
+	c := fullContent(t, 4_700, 130_000)
+	used := int64(heapInUse()) - int64(before)
+	t.Logf("%d bytes of names and values are stored in %d", c.Bytes(), used)
+	require.Less(t, used, int64(10<<20))
 	largest := 0
 	for n := range Blocks {
 		block, _ := c.Block(n)
 		largest = max(largest, len(block))
 	}
 	t.Logf("the largest of %d blocks has %d bytes", Blocks, largest)
-	require.Less(t, largest, pieceMost)
+	require.Less(t, largest, maxPieceBytes)
 	versions := []*Content{c}
-	for k := range 20 { // each is another content that shares what it can
+	for k := range 20 { // each shares what it can with the one before
 		next, err := versions[k].Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k), []byte("1")}})
 		require.NoError(t, err)
 		versions = append(versions, next)
 	}
-	more := int64(inUse()) - int64(before) - held
+	more := int64(heapInUse()) - int64(before) - used
 	t.Logf("20 further versions with one change each: %d bytes", more)
-	require.Less(t, more, int64(20*2*pieceMost))
+	require.Less(t, more, int64(20*2*maxPieceBytes))
 	runtime.KeepAlive(versions)
 }
 
 func BenchmarkChangeAtFullSize(b *testing.B) {
-	c := full(b, 4_700, 130_000)
+	c := fullContent(b, 4_700, 130_000)
 	b.ReportAllocs()
 	for k := 0; b.Loop(); k++ {
 		if _, err := c.Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k%130_000), []byte("1")}}); err != nil {
@@ -185,11 +190,12 @@
 	}
 }
 
-// TestAFileIsReadBack writes what a node keeps and reads it in odd pieces, whole, torn and spoilt.
-func TestAFileIsReadBack(t *testing.T) {
+// A file is read back in pieces of several sizes, complete, torn and corrupted.
+func TestDiskFileIsReadBack(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, &Command{Kind: Put, From: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
-	file, base := []byte{}, table.newest
+	file := []byte{}
+	base := table.newest
 	for text := range Encode(Revision{1, base.Digest()}, base) {
 		file = append(file, text...)
 	}
--- /dev/null
+++ b/internal/fleet/configsync/diskfile.go
@@ -0,0 +1,184 @@
+package configsync
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+)
+
+const (
+	frameLengthBytes = 4
+	frameHeaderBytes = 12      // the length, and the body's checksum of 8 bytes, little-endian
+	maxFrameBytes    = 4 << 20 // of a body: above any record that is retained, and far above a group of blocks
+)
+
+// Errors of a file that a DiskLoader reads.
+var (
+	errChecksum      = errors.New("a checksum differs")
+	errNoVersion     = errors.New("no version at the beginning")
+	errFrameOrder    = errors.New("a frame out of order")
+	errTornFrame     = errors.New("the last frame is torn")
+	errMissingBlocks = errors.New("blocks are missing")
+)
+
+// frame is one body of a file: first the revision, then blocks, then records after them.
+type frame struct {
+	Revision *Revision `cbor:"1,keyasint,omitempty"`
+	Blocks   []Block   `cbor:"2,keyasint,omitempty"`
+	Record   *Record   `cbor:"3,keyasint,omitempty"`
+}
+
+func (f *frame) append(to []byte) []byte {
+	body, err := cbor.Marshal(f)
+	if err != nil {
+		panic(err) // plain fields can always be encoded
+	}
+	to = binary.LittleEndian.AppendUint32(to, uint32(len(body)))
+	to = binary.LittleEndian.AppendUint64(to, xxhash.Sum64(body))
+	return append(to, body...)
+}
+
+// Encode yields a file with a content, in pieces of some 64 kB. Records can be appended to it.
+func Encode(revision Revision, c *Content) func(yield func([]byte) bool) {
+	return func(yield func([]byte) bool) {
+		if !yield((&frame{Revision: &revision}).append(nil)) {
+			return
+		}
+		next := frame{}
+		size := 0
+		for n := range Blocks {
+			text, _ := c.Block(n)
+			if len(text) > 0 {
+				next.Blocks = append(next.Blocks, Block{N: uint16(n), Text: text})
+				size += len(text)
+			}
+			if size > maxPieceBytes || n == Blocks-1 && size > 0 {
+				if !yield(next.append(nil)) {
+					return
+				}
+				next = frame{}
+				size = 0
+			}
+		}
+	}
+}
+
+// AppendRecord appends a record as it is encoded in a file.
+func AppendRecord(to []byte, r *Record) []byte {
+	wire := r.wire()
+	return (&frame{Record: &wire}).append(to)
+}
+
+// DiskLoader reads a file that Encode and AppendRecord made, written to it in pieces of any size. The zero value is ready.
+type DiskLoader struct {
+	buffer      []byte // of a frame that isn't complete yet
+	revision    Revision
+	hasRevision bool
+	content     Content
+	owned       [fanout]bool
+	ready       *Content // once it matched the revision's digest
+	journalSize int
+	err         error
+}
+
+// Write takes the next bytes. It never fails: Start returns what was wrong.
+func (l *DiskLoader) Write(p []byte) (int, error) {
+	l.buffer = append(l.buffer, p...)
+	for l.err == nil && len(l.buffer) >= frameHeaderBytes {
+		size := int(binary.LittleEndian.Uint32(l.buffer))
+		if size > maxFrameBytes {
+			l.err = fmt.Errorf("a frame of %d bytes", size)
+			break
+		}
+		if len(l.buffer) < frameHeaderBytes+size {
+			break
+		}
+		l.err = l.readFrame(l.buffer[:frameHeaderBytes+size])
+		l.buffer = l.buffer[frameHeaderBytes+size:]
+	}
+	if l.err != nil {
+		l.buffer = nil
+	}
+	return len(p), nil
+}
+
+func (l *DiskLoader) readFrame(encoded []byte) error {
+	body := encoded[frameHeaderBytes:]
+	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(encoded[frameLengthBytes:]) {
+		return errChecksum
+	}
+	var f frame
+	if err := cborDecoding.Unmarshal(body, &f); err != nil {
+		return err
+	}
+	switch {
+	case f.Revision != nil && !l.hasRevision:
+		l.revision = *f.Revision
+		l.hasRevision = true
+		l.checkComplete()
+		return nil
+	case !l.hasRevision:
+		return errNoVersion
+	case len(f.Blocks) > 0 && l.ready == nil:
+		return l.addBlocks(f.Blocks)
+	case f.Record != nil && l.ready != nil:
+		return l.addRecord(f.Record, len(encoded))
+	}
+	return errFrameOrder
+}
+
+func (l *DiskLoader) addBlocks(blocks []Block) error {
+	for _, block := range blocks {
+		if !l.content.setChecked(block, &l.owned) {
+			return fmt.Errorf("block %d is malformed", block.N)
+		}
+	}
+	l.checkComplete()
+	return nil
+}
+
+func (l *DiskLoader) addRecord(record *Record, size int) error {
+	next, err := l.ready.Apply(record.Changes)
+	if err != nil {
+		return err
+	}
+	if record.Version != l.revision.Version+1 || record.Base != l.revision.Digest || next.Digest() != record.Digest {
+		return fmt.Errorf("the record of version %d doesn't follow version %d", record.Version, l.revision.Version)
+	}
+	l.ready = next
+	l.revision = Revision{record.Version, record.Digest}
+	l.journalSize += size
+	return nil
+}
+
+// checkComplete notes that all blocks are there.
+func (l *DiskLoader) checkComplete() {
+	if l.content.Digest() == l.revision.Digest {
+		content := l.content
+		l.ready = &content
+	}
+}
+
+// Start returns what the file had, up to its first fault, and that as an error. Nothing is returned of a content that doesn't match its
+// digest.
+func (l *DiskLoader) Start() (InitialState, error) {
+	err := l.err
+	if err == nil && len(l.buffer) > 0 {
+		err = errTornFrame
+	}
+	if l.ready == nil {
+		if err == nil {
+			err = errMissingBlocks
+		}
+		return InitialState{}, fmt.Errorf("configuration: nothing can be read back: %w", err)
+	}
+	state := InitialState{Mark: l.revision, Content: l.ready, Source: "disk", Journal: l.journalSize}
+	if err != nil {
+		state.Journal = -1
+		err = fmt.Errorf("configuration: read back to version %d only: %w", l.revision.Version, err)
+	}
+	return state, err
+}
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -14,7 +14,7 @@
 	"topazpost/internal/fixture"
 )
 
-// What holders, replicas and operators' commands say of the configuration, one of each kind.
+// The encodings of messages, commands, queries and files, one of each kind.
 func TestFixturesOfConfiguration(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -23,10 +23,10 @@
 			c.Kind = kind
 			list = append(list, c)
 		}
-		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "commands-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("verdicts", func(t *testing.T) {
-		fixture.RoundTrip(t, "verdicts-v1.cbor", fixture.Filled[[]Verdict](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "verdicts-v1.cbor", fixture.Filled[[]Verdict](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
@@ -35,7 +35,7 @@
 			m.Kind = kind
 			list = append(list, m)
 		}
-		fixture.RoundTrip(t, "messages-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "messages-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("questions", func(t *testing.T) {
 		var list []Query
@@ -44,10 +44,10 @@
 			q.Kind, q.Which = kind, []int{InForce, ForAll, Newest}[k]
 			list = append(list, q)
 		}
-		fixture.RoundTrip(t, "questions-v1.cbor", list, cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "questions-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("answer", func(t *testing.T) {
-		fixture.RoundTrip(t, "answer-v1.cbor", fixture.Filled[Answer](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "answer-v1.cbor", fixture.Filled[Answer](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("place for people", func(t *testing.T) {
 		fixture.RoundTrip(t, "place-v1.json", fixture.Filled[Place](1), json.Marshal, json.Unmarshal)
@@ -56,10 +56,10 @@
 		fixture.RoundTrip(t, "counters-v1.json", fixture.Filled[Counters](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("saved", func(t *testing.T) {
-		fixture.RoundTrip(t, "saved-v1.cbor", fixture.Filled[saved](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "saved-v1.cbor", fixture.Filled[savedTable](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("frame", func(t *testing.T) {
-		fixture.RoundTrip(t, "frame-v1.cbor", fixture.Filled[frame](1), cbor.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "frame-v1.cbor", fixture.Filled[frame](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 }
 
@@ -73,16 +73,16 @@
 	assert.Equal(t, want.Bytes(), got.Bytes())
 }
 
-// tableOfFixtures is a table of which each part of a snapshot holds something.
+// tableOfFixtures is a table whose snapshot has every field.
 func tableOfFixtures(t *testing.T) *Table {
 	t.Helper()
 	table := NewTable()
 	value := func(n int) []byte { return fmt.Appendf(nil, `{"quota_rps":%d}`, n) }
 	for k, c := range []Command{
 		{Kind: Put, From: "caller-1", Seq: 1, Wall: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
-		{Kind: Advance, Version: 1, Stood: stageFor},
+		{Kind: Advance, Version: 1, Stood: canaryDuration},
 		{Kind: Put, From: "caller-1", Seq: 2, Base: 1, Wall: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
-		{Kind: Advance, Version: 2, Stood: stageFor},
+		{Kind: Advance, Version: 2, Stood: canaryDuration},
 		{Kind: Rollback, From: "caller-2", Seq: 3, Version: 1, Wall: 103},
 		{Kind: Put, From: "caller-1", Seq: 4, Base: 3, Wall: 104, Changes: []Item{{Operations, "crop", value(5)}}},
 		{Kind: Put, From: "caller-1", Seq: 5, Base: 4, Wall: 105, Changes: []Item{{Operations, "turn", value(6)}}},
@@ -96,26 +96,26 @@
 	return table
 }
 
-// The replicas' table of versions is written to the bytes of a fixture, and read from it to what was written.
+// The replicas' table of versions is encoded to the bytes of a fixture, and restored from it.
 func TestFixtureOfATableOfVersions(t *testing.T) {
 	want := tableOfFixtures(t)
 	text, err := want.Snapshot()
 	require.NoError(t, err)
-	content := fixture.Equal(t, "table-v1.cbor", text)
-	var s saved
-	require.NoError(t, decode.Unmarshal(content, &s))
+	fixture := fixture.Equal(t, "table-v1.cbor", text)
+	var s savedTable
+	require.NoError(t, cborDecoding.Unmarshal(fixture, &s))
 	for k, v := 0, reflect.ValueOf(s); k < v.NumField(); k++ {
-		assert.False(t, v.Field(k).IsZero(), "field %d of the snapshot holds something", k)
+		assert.False(t, v.Field(k).IsZero(), "field %d of the snapshot is set", k)
 	}
-	got, err := Restore(content)
+	got, err := Restore(fixture)
 	require.NoError(t, err)
 	assert.Equal(t, want.head, got.head)
-	assert.Equal(t, want.since, got.since)
-	assert.Equal(t, want.good, got.good)
-	assert.Equal(t, want.askers, got.askers)
+	assert.Equal(t, want.canarySince, got.canarySince)
+	assert.Equal(t, want.rollbackVersions, got.rollbackVersions)
+	assert.Equal(t, want.lastVerdicts, got.lastVerdicts)
 	sameContent(t, want.newest, got.newest)
 	sameContent(t, want.all, got.all)
-	sameContent(t, want.first, got.first)
+	sameContent(t, want.canary, got.canary)
 	assert.Equal(t, want.log, got.log)
 	sameContent(t, want.draft.content, got.draft.content)
 	draftWithout, gotWithout := want.draft, got.draft
@@ -123,10 +123,10 @@
 	assert.Equal(t, draftWithout, gotWithout)
 	again, err := got.Snapshot()
 	require.NoError(t, err)
-	assert.Equal(t, content, again)
+	assert.Equal(t, fixture, again)
 }
 
-// The file of a node is written to the bytes of a fixture, and read from it to what was written.
+// The file of a node is encoded to the bytes of a fixture, and loaded from it.
 func TestFixtureOfANodesFile(t *testing.T) {
 	table := tableOfFixtures(t)
 	log := table.Records()
@@ -141,9 +141,9 @@
 			text = AppendRecord(text, r)
 		}
 	}
-	content := fixture.Equal(t, "node-v1.bin", text)
+	fixture := fixture.Equal(t, "node-v1.bin", text)
 	var l DiskLoader
-	_, err := l.Write(content)
+	_, err := l.Write(fixture)
 	require.NoError(t, err)
 	got, err := l.Start()
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/fleet/configsync/replicator_test.go
@@ -0,0 +1,353 @@
+package configsync
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// tableWithVersions is a table with some versions, all put at once.
+func tableWithVersions(versions int) *Table {
+	table := NewTable()
+	for k := range versions {
+		table.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, "1")))
+	}
+	return table
+}
+
+func revisionOf(table *Table, version int) Revision {
+	return Revision{uint64(version), table.log[version-1].Digest}
+}
+
+// confirmation is a replica's answer, as an input.
+func confirmation(all, first Revision) Input {
+	return Input{Kind: Came, From: "s", Message: &Message{Kind: Vouch, Head: HeadRevision{All: all, First: first, Newest: first.Version}}}
+}
+
+func announcement(from string, head HeadRevision, has Revision, records ...Record) Input {
+	return Input{Kind: Came, From: from, Message: &Message{Kind: Tell, Head: head, Has: has, Records: records}}
+}
+
+// newTestReplicator is a replicator with two neighbours and two replicas, which is at no canary stage.
+func newTestReplicator() *Replicator {
+	r := NewReplicator(0, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{})
+	v := &View{Neighbours: []string{"a", "b"}, Seats: []string{"s", "t"}}
+	for k := range 50 {
+		v.Zone = append(v.Zone, fmt.Sprint("z", k))
+	}
+	r.Step(1, []Input{{Kind: Viewed, View: v}})
+	return r
+}
+
+func effectsOf(effects []Effect, kind EffectKind) (list []Effect) {
+	for _, e := range effects {
+		if e.Kind == kind {
+			list = append(list, e)
+		}
+	}
+	return list
+}
+
+func TestVersionForAllIsAppliedBeforeCanary(t *testing.T) {
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
+	r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	require.Equal(t, one, r.ready)
+	effects, _ := r.Step(2*ms, []Input{announcement("a", HeadRevision{}, two, table.log[1].wire()), confirmation(one, two)})
+	require.Len(t, effectsOf(effects, Take), 1)
+	require.Equal(t, one, effectsOf(effects, Take)[0].Mark)
+	effects, _ = r.Step(3*ms, []Input{{Kind: Took, Mark: one}})
+	require.Equal(t, one, r.Revision())
+	require.Empty(t, effectsOf(effects, Take), "the next one is at the canary stage only")
+	require.Equal(t, two, r.ready)
+}
+
+func TestOlderHeadsAreIgnored(t *testing.T) {
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
+	r.Step(ms, []Input{confirmation(two, two)})
+	r.Step(2*ms, []Input{confirmation(one, two), confirmation(one, one)})
+	require.Equal(t, two, r.Status(3*ms).Head.All)
+	effects, _ := r.Step(3*ms, []Input{confirmation(Revision{2, Digest{A: 1}}, Revision{2, Digest{A: 1}})})
+	require.Len(t, effectsOf(effects, Remark), 1, "a version has one digest")
+	require.Equal(t, two, r.Status(3*ms).Head.All)
+}
+
+func TestRecordsTowardsTheGoalAreFetched(t *testing.T) {
+	table := tableWithVersions(3)
+	r := newTestReplicator()
+	two := revisionOf(table, 2)
+	three := revisionOf(table, 3)
+	r.Step(ms, []Input{confirmation(Revision{}, two)})
+	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", HeadRevision{}, two)})
+	fetch := effectsOf(effects, Exchange)
+	require.Len(t, fetch, 1)
+	require.Equal(t, "a", fetch[0].To)
+	piece := &Message{Kind: Piece, Has: two, Records: wireRecords(table.log[:2], maxPieceBytes, false)}
+	r.Step(501*ms, []Input{{Kind: Answered, Link: fetch[0].Link, Message: piece}})
+	require.Equal(t, two, r.ready)
+}
+
+// A replica that is lost after it got a refusal must not be the only one that knows it.
+func TestRefusalIsReportedToSeveralReplicas(t *testing.T) {
+	table := tableWithVersions(1)
+	r := newTestReplicator()
+	r.view.Zone = nil // at the canary stage: it is alone in its zone
+	r.canary.version = 0
+	one := revisionOf(table, 1)
+	effects, _ := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	require.True(t, effectsOf(effects, Take)[0].First)
+	var wake int64
+	in := []Input{{Kind: Took, Mark: one, Why: "no such effect"}}
+	replicas := map[string]int{}
+	for now := 2 * ms; now < 3_000*ms; now = min(wake, now+50*ms) {
+		effects, wake = r.Step(now, in)
+		in = nil
+		for _, e := range effectsOf(effects, Send) {
+			if e.Message.Kind == Report && e.Message.Refused == one {
+				replicas[e.To]++
+				answer := confirmation(Revision{}, one)
+				answer.From = e.To
+				answer.Message.Seq = e.Message.Seq
+				in = append(in, answer)
+			}
+		}
+	}
+	require.Positive(t, replicas["s"])
+	require.Positive(t, replicas["t"])
+	require.Equal(t, Revision{}, r.Revision(), "the last valid version stays in force")
+}
+
+// Many nodes report and fetch content at once, with one neighbour among them.
+func TestThunderingHerdDoesNotStarveNeighbours(t *testing.T) {
+	r := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{})
+	c := fullContent(t, 100, 3_000)
+	revision := Revision{1, c.Digest()}
+	r.Step(1, []Input{{Kind: Viewed, View: &View{Neighbours: []string{"near"}}},
+		{Kind: Ordered, Agreed: &Agreed{Head: HeadRevision{All: revision, First: revision, Newest: 1}, All: c, First: c, Newest: c}}})
+	near := 0
+	all := 0
+	const seconds = 20
+	wanted := &Message{Kind: Fetch, Want: revision, Sums: (&Content{}).pageSums()}
+	for now := 20 * ms; now < seconds*1_000*ms; now += 20 * ms {
+		var in []Input
+		for k := range 10 {
+			from := fmt.Sprint("far", (int(now/(20*ms))*10+k)%500)
+			in = append(in, Input{Kind: Came, From: from, Message: &Message{Kind: Report}}, Input{Kind: Asked, From: from, Link: k + 2, Message: wanted})
+		}
+		if now%(1_000*ms) == 500*ms {
+			in = append(in, Input{Kind: Asked, From: "near", Link: 1, Message: wanted})
+		}
+		effects, _ := r.Step(now, in)
+		for _, e := range effectsOf(effects, Reply) {
+			if e.Message.hasContent() {
+				all += e.Message.size()
+				if e.Link == 1 {
+					near++
+				}
+			}
+		}
+	}
+	t.Logf("%d bytes of content in %d s; %d answers of 20 to the neighbour", all, seconds, near)
+	require.GreaterOrEqual(t, near, 5, "a neighbour fetches once a second, 16 kB each time")
+	require.LessOrEqual(t, all, seconds*bytesPerSecond+burstBytes+maxBlockBytes)
+	one := 0
+	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that fetches all the time, alone
+		effects, _ := r.Step(now, []Input{{Kind: Asked, From: "greedy", Link: 1, Message: wanted}})
+		if e := effectsOf(effects, Reply); e[0].Message.hasContent() {
+			one += e[0].Message.size()
+		}
+	}
+	require.Positive(t, one)
+	require.LessOrEqual(t, one, seconds*peerBytesPerSecond+burstBytes+maxBlockBytes)
+}
+
+// announceUnconfirmed has neighbours announce a version for some seconds that replicas don't know, and returns the number of reports.
+func announceUnconfirmed(r *Replicator, head, unconfirmed HeadRevision, seconds int64, current bool) (reports int) {
+	var in []Input
+	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
+		if now%(500*ms) == ms {
+			in = append(in, announcement("a", unconfirmed, unconfirmed.First), announcement("b", unconfirmed, unconfirmed.First))
+		}
+		effects, _ := r.Step(now, in)
+		in = nil
+		for _, e := range effectsOf(effects, Send) {
+			if e.Message.Kind == Report {
+				reports++
+				answer := Input{Kind: Came, From: e.To, Message: &Message{Kind: Vouch, Seq: e.Message.Seq, Head: head, Current: current}}
+				twice := *answer.Message
+				in = append(in, answer, Input{Kind: Came, From: e.To, Message: &twice})
+			}
+		}
+	}
+	return reports
+}
+
+// All replicas are back with an older state, and in contact with no majority.
+func TestPeersAreNotPenalizedWhileReplicasLag(t *testing.T) {
+	table := tableWithVersions(3)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	three := revisionOf(table, 3)
+	r.Step(0, []Input{confirmation(one, one), announcement("a", HeadRevision{}, one, table.log[0].wire())})
+	r.Step(1, []Input{{Kind: Took, Mark: one}})
+	require.Equal(t, one, r.Revision())
+	reports := announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: three}, 60, false)
+	require.Zero(t, r.Counters.InvalidResponses)
+	require.Less(t, reports, 60, "the backoff between reports grows")
+	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", HeadRevision{All: one, First: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
+	require.Empty(t, effectsOf(effects, Take))
+	require.Equal(t, three, r.ready, "announced records are used as soon as a replica confirms")
+}
+
+// Replicas in contact with the group learn of a version some seconds later than neighbours.
+func TestUnconfirmedVersionHasAGracePeriod(t *testing.T) {
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
+	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, unconfirmedGracePeriod/(1_000*ms), true)
+	require.Zero(t, r.Counters.InvalidResponses)
+}
+
+// Current replicas deny a version, and a peer announces another content for a known version.
+func TestPeerWithUnknownVersionsIsPenalized(t *testing.T) {
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	two := revisionOf(table, 2)
+	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: Revision{9, Digest{A: 9}}}, 20, true)
+	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours announced it")
+	require.Equal(t, 1, r.peers["a"].invalidResponses)
+	require.Equal(t, 1, r.peers["b"].invalidResponses)
+	r = newTestReplicator()
+	r.Step(ms, []Input{confirmation(one, one), announcement("a", HeadRevision{All: one, First: Revision{2, Digest{A: 9}}}, one), announcement("b", HeadRevision{All: one, First: two}, two)})
+	require.Zero(t, r.Counters.InvalidResponses, "no replica confirmed it yet")
+	r.Step(2*ms, []Input{confirmation(one, two)})
+	require.Equal(t, 1, r.peers["a"].invalidResponses)
+	require.Zero(t, r.peers["b"].invalidResponses)
+	table = tableWithVersions(9)
+	r = newTestReplicator()
+	for k := 1; k <= 9; k++ {
+		r.Step(int64(k)*ms, []Input{confirmation(revisionOf(table, k), revisionOf(table, k))})
+	}
+	r.Step(10*ms, []Input{announcement("a", HeadRevision{}, Revision{4, Digest{A: 4}}), announcement("b", HeadRevision{}, revisionOf(table, 4))})
+	require.Equal(t, 1, r.peers["a"].invalidResponses, "past revisions are remembered for a while")
+	require.Zero(t, r.peers["b"].invalidResponses)
+}
+
+// fetchOf is the fetch that a step starts.
+func fetchOf(t *testing.T, r *Replicator, now int64, in ...Input) Effect {
+	effects, _ := r.Step(now, in)
+	list := effectsOf(effects, Exchange)
+	require.Len(t, list, 1)
+	return list[0]
+}
+
+// The peer that sent some of the records is busy, and another one has the rest.
+func TestRecordsAreContinuedByAnyPeer(t *testing.T) {
+	table := tableWithVersions(3)
+	r := newTestReplicator()
+	one := revisionOf(table, 1)
+	three := revisionOf(table, 3)
+	head := HeadRevision{All: three, First: three}
+	fetch := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
+	from := fetch.To
+	other := "a"
+	if from == "a" {
+		other = "b"
+	}
+	fetch = fetchOf(t, r, 501*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[:1], maxPieceBytes, false)}})
+	for fetch.To == other { // it is busy
+		fetch = fetchOf(t, r, 502*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: ms}})
+	}
+	require.Equal(t, from, fetch.To)
+	effects, _ := r.Step(503*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: 30_000 * ms}}})
+	for now := 504 * ms; len(effectsOf(effects, Exchange)) == 0; now += 10 * ms {
+		require.Less(t, now, 800*ms, "the other peer is asked soon")
+		effects, _ = r.Step(now, nil)
+	}
+	fetch = effectsOf(effects, Exchange)[0]
+	require.Equal(t, other, fetch.To)
+	require.Equal(t, one, fetch.Message.Has, "from where the first peer ended")
+	r.Step(801*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
+	require.Equal(t, three, r.ready)
+	require.Zero(t, r.Counters.InvalidResponses)
+}
+
+// A peer sends records that are consistent and were never agreed on.
+func TestRecordsThatNobodyContinuesAreDropped(t *testing.T) {
+	table := tableWithVersions(2)
+	r := newTestReplicator()
+	two := revisionOf(table, 2)
+	head := HeadRevision{All: two, First: two}
+	invalid, err := (&Content{}).Apply([]Item{tenant(7, "7")})
+	require.NoError(t, err)
+	fetch := fetchOf(t, r, 500*ms, confirmation(two, two), announcement("a", head, two))
+	r.Step(501*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: two,
+		Records: []Record{{Version: 1, Digest: invalid.Digest(), Changes: []Item{tenant(7, "7")}}}}}, announcement("b", head, two)})
+	for now := 510 * ms; r.ready != two; now += 10 * ms {
+		require.Less(t, now, 30_000*ms)
+		var in []Input
+		if r.fetch.deadline > 0 {
+			m := &Message{Kind: Piece, Busy: 4_000 * ms} // the faulty peer is busy
+			if r.fetch.peer == "b" {
+				m.Busy = 0
+				m.Has = two
+				m.Records = wireRecords(recordsBetween(table.log, r.fetch.from, 2), maxPieceBytes, false)
+			}
+			in = append(in, Input{Kind: Answered, Link: r.fetch.link, Message: m})
+		}
+		r.Step(now, append(in, announcement("b", head, two)))
+	}
+	require.Zero(t, r.peers["b"].invalidResponses)
+}
+
+// A further version is agreed on during each fetch of blocks.
+func TestFetchedBlocksAreKeptWhenTheVersionMovesOn(t *testing.T) {
+	r := newTestReplicator()
+	c := fullContent(t, 100, 3_000)
+	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, Mark: Revision{1, c.Digest()}}) // the peer
+	now := 500 * ms
+	rounds := 0
+	indices := 0
+	for ; r.ready.Version == 0; rounds++ {
+		require.Less(t, rounds, 200)
+		revision := Revision{uint64(rounds + 1), c.Digest()}
+		n.readyContent = c
+		n.appliedContent = c
+		n.ready = revision
+		var fetch Effect
+		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, First: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
+			if list := effectsOf(effects, Exchange); len(list) > 0 {
+				fetch = list[0]
+				break
+			}
+			now += 10 * ms
+		}
+		next, err := c.Apply([]Item{tenant(rounds, fmt.Sprint(rounds))})
+		require.NoError(t, err)
+		after := Revision{revision.Version + 1, next.Digest()}
+		answer := &Message{Kind: Piece, Has: revision}
+		if len(fetch.Message.Wanted) > 0 {
+			n.serveBlocks(fetch.Message, answer)
+		} else {
+			appendDifferingPages(c.index(), fetch.Message.Sums, answer)
+			indices++
+		}
+		r.Step(now+ms, []Input{confirmation(after, after)})
+		r.Step(now+2*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: answer}})
+		now = now + 2_000*ms
+		c = next
+		if r.assemblyBase().Digest() == r.assembly.revision.Digest {
+			break
+		}
+	}
+	t.Logf("%d rounds, the index %d times", rounds, indices)
+	require.Less(t, indices, rounds/4)
+}
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// crowded is a table with so many tenants, and a longer change on the way.
-func crowded(t *testing.T, tenants int) *Table {
+// largeTable is a table with so many tenants, and an incomplete long change.
+func largeTable(t *testing.T, tenants int) *Table {
 	table := NewTable()
 	put := func(seq, base uint64, piece int, more bool, from, to, rate int) {
 		var changes []Item
@@ -34,29 +34,32 @@
 		put(seq, uint64(k+1), 0, false, k, k+1, 2)
 	}
 	seq++
-	put(seq, 21, 0, true, 0, piece, 3) // more of it will come
+	put(seq, 21, 0, true, 0, piece, 3) // further pieces are missing
 	return table
 }
 
-// A snapshot of a table of the size that is wanted is written in parts of which none costs much, and is that of the table as it
-// was when it was begun, whatever became of the table meanwhile.
-func TestSnapshotIsWrittenInBoundedParts(t *testing.T) {
+// A snapshot of a large table is encoded in steps of bounded cost, and is that of the table as it was at the beginning, whatever became
+// of the table meanwhile.
+func TestSnapshotIsEncodedInBoundedSteps(t *testing.T) {
 	const once = 64 << 10
-	table := crowded(t, 130_000)
-	before, err := crowded(t, 130_000).Snapshot()
+	table := largeTable(t, 130_000)
+	before, err := largeTable(t, 130_000).Snapshot()
 	require.NoError(t, err)
-	w, parts, last, seq := table.BeginSnapshot(), 0, 0, uint64(1_000)
+	w := table.BeginSnapshot()
+	parts := 0
+	last := 0
+	seq := uint64(1_000)
 	for whole := false; !whole; parts++ {
 		whole = w.Next(once)
-		assert.LessOrEqual(t, len(w.Text())-last, once+blockMost)
+		assert.LessOrEqual(t, len(w.Text())-last, once+maxBlockBytes)
 		last = len(w.Text())
 		seq++
 		table.Apply(1<<41, &Command{Kind: Put, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
-		table.Apply(1<<41+int64(parts)*stageFor, &Command{Kind: Advance, Version: table.Head().First.Version})
+		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: Advance, Version: table.Head().First.Version})
 	}
-	assert.Greater(t, parts, len(before)/(once+blockMost))
+	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
 	assert.Equal(t, before, w.Text())
-	assert.LessOrEqual(t, cap(w.Text()), len(before)*11/10, "its room is known before, so that it is never copied")
+	assert.LessOrEqual(t, cap(w.Text()), len(before)*11/10, "its size is known before, so that it is never copied")
 	again, err := Restore(w.Text())
 	require.NoError(t, err)
 	text, err := again.Snapshot()
@@ -64,12 +67,13 @@
 	assert.Equal(t, before, text)
 }
 
-// Written in parts it says what the encoder says of all of it, so that builds before this one read it.
-func TestSnapshotInPartsIsThatOfTheEncoder(t *testing.T) {
+// A snapshot that is encoded in steps equals that of the encoder, so that earlier builds can read it.
+func TestIncrementalSnapshotEqualsEncoder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, at := NewTable(), int64(0)
+		table := NewTable()
+		at := int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
-			at += rapid.SampledFrom([]int64{0, stageFor}).Draw(t, "later")
+			at += rapid.SampledFrom([]int64{0, canaryDuration}).Draw(t, "later")
 			c := Command{Kind: Put, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
@@ -79,7 +83,8 @@
 			case 2:
 				c = Command{Kind: Rollback, From: "c", Seq: seq + 1, Version: table.Head().All.Version}
 			case 3:
-				c.Piece, c.More = table.draft.Pieces, rapid.Bool().Draw(t, "more")
+				c.Piece = table.draft.Pieces
+				c.More = rapid.Bool().Draw(t, "more")
 				fallthrough
 			default:
 				for range rapid.IntRange(1, 40).Draw(t, "items") {
@@ -92,53 +97,57 @@
 			}
 			table.Apply(at, &c)
 		}
-		s := saved{Head: table.head, Since: table.since, Blocks: make([][]byte, Blocks), All: items(table.newest, table.all),
-			First: items(table.newest, table.first), Log: table.log, Good: table.good, Askers: table.askers, Draft: table.draft}
+		s := savedTable{Head: table.head, CanarySince: table.canarySince, Blocks: make([][]byte, Blocks), All: differences(table.newest, table.all),
+			Canary: differences(table.newest, table.canary), Log: table.log, RollbackVersions: table.rollbackVersions, LastVerdicts: table.lastVerdicts,
+			Draft: table.draft}
 		for n := range s.Blocks {
 			s.Blocks[n], _ = table.newest.Block(n)
 		}
 		if s.Draft.content != nil {
-			s.Draft.Changes = items(table.newest, s.Draft.content)
+			s.Draft.Changes = differences(table.newest, s.Draft.content)
 		}
 		whole, err := cbor.Marshal(&s)
 		require.NoError(t, err)
 		w := table.BeginSnapshot()
 		for !w.Next(rapid.IntRange(1, 10_000).Draw(t, "least")) {
 		}
-		var one, two saved
+		var one, two savedTable
 		require.NoError(t, cbor.Unmarshal(whole, &one))
 		require.NoError(t, cbor.Unmarshal(w.Text(), &two))
 		require.Equal(t, one, two)
-		require.Len(t, w.Text(), len(whole), "nothing is there twice")
+		require.Len(t, w.Text(), len(whole), "nothing is encoded twice")
 	})
 }
 
-// Changes that lie apart, one to a block, are found at the cost of some blocks a look, and all of them.
-func TestLookForChangesThatLieApartIsBounded(t *testing.T) {
-	from := crowded(t, 130_000).newest
+// Scattered changes, one to a block, are all found, at the cost of some blocks a call.
+func TestDifferenceOfScatteredChangesIsBounded(t *testing.T) {
+	from := largeTable(t, 130_000).newest
 	var changes []Item
 	for k := range 2_000 {
 		changes = append(changes, Item{Tenants, fmt.Sprintf("tenant-%06d", 60*k), []byte(`{"quota_rps":9}`)})
 	}
 	to, err := from.Apply(changes)
 	require.NoError(t, err)
-	d, found, looks := Diff(from, to), 0, 0
+	d := Diff(from, to)
+	found := 0
+	looks := 0
 	for before := 0; ; before = d.scanned {
 		some := d.Next(256)
 		assert.LessOrEqual(t, d.scanned-before, 256<<10)
 		if len(some) == 0 {
 			break
 		}
-		found, looks = found+len(some), looks+1
+		found = found + len(some)
+		looks++
 	}
 	assert.Equal(t, len(changes), found)
 	assert.Greater(t, looks, 30)
 }
 
-// items are all that differ.
-func items(from, to *Content) (all []Item) {
+// differences are all items that differ.
+func differences(from, to *Content) (all []Item) {
 	for d := Diff(from, to); ; {
-		some := d.Next(logMost)
+		some := d.Next(maxLogRecords)
 		if len(some) == 0 {
 			return all
 		}
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -18,8 +18,8 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-// What seats and nodes tell each other, one message of each kind, what a node shows, and the bodies of what a seat keeps on its disk.
-func TestFixturesOfTheCouncil(t *testing.T) {
+// The encodings of messages of each kind, of the summary and counters, and of a replica's disk.
+func TestFixturesOfTheGroup(t *testing.T) {
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
 		for _, kind := range []MessageKind{MessageRaft, MessageDiscovery, MessagePropose, MessageVerdicts, MessageClaimsEnded, MessageReassignment, MessageRejoin, MessageRejoinAnswer, MessagePartRequest, MessagePart} {
@@ -39,19 +39,19 @@
 		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, cbor.Unmarshal)
 		fixture.RoundTrip(t, "handed-v1.cbor", fixture.Filled[takeover.Counters](2), cbor.Marshal, cbor.Unmarshal)
 	})
-	t.Run("seats", func(t *testing.T) {
-		fixture.RoundTrip(t, "seats-v1.cbor", fixture.Filled[map[string]incumbent](1), canonical.Marshal, cbor.Unmarshal)
+	t.Run("replicas", func(t *testing.T) {
+		fixture.RoundTrip(t, "seats-v1.cbor", fixture.Filled[map[string]replicaIncarnation](1), cborEncoding.Marshal, cbor.Unmarshal)
 	})
 	t.Run("base", func(t *testing.T) {
-		fixture.RoundTrip(t, "base-v1.cbor", fixture.Filled[base](1), canonical.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "base-v1.cbor", fixture.Filled[diskBase](1), cborEncoding.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("record", func(t *testing.T) {
-		fixture.RoundTrip(t, "record-v1.cbor", fixture.Filled[record](1), canonical.Marshal, decode.Unmarshal)
+		fixture.RoundTrip(t, "record-v1.cbor", fixture.Filled[diskRecord](1), cborEncoding.Marshal, cborDecoding.Unmarshal)
 	})
 }
 
-// ordered are commands for each table of a council, which change all of them.
-func ordered() (list []claims.Command, asks []quota.Command, puts []configsync.Command) {
+// fixtureCommands are commands that change each table of a group.
+func fixtureCommands() (list []claims.Command, asks []quota.Command, puts []configsync.Command) {
 	one, other := claims.Owner{Name: "node-1", Incarnation: 11}, claims.Owner{Name: "node-2", Incarnation: 12}
 	key := func(token string) claims.Key { return claims.Key{Operation: "resize", Tenant: "green", Token: token} }
 	for k, token := range []string{"waits", "runs", "ran", "lost"} {
@@ -72,29 +72,29 @@
 	return list, asks, puts
 }
 
-// seatOfFixtures is a council of three that knows nothing yet.
-func seatOfFixtures() *Group {
+// fixtureGroup is a replica of a group of three that knows nothing yet.
+func fixtureGroup() *Group {
 	c := NewGroup([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
-	c.early, c.effects = nil, nil
+	c.earlyEffects, c.effects = nil, nil
 	return c
 }
 
-// entryOfFixtures is the text of an entry with commands for all tables.
-func entryOfFixtures(t *testing.T) []byte {
+// fixtureEntry is the text of an entry with commands for all tables.
+func fixtureEntry(t *testing.T) []byte {
 	t.Helper()
-	c := seatOfFixtures()
-	c.queued, c.asks, c.versions.queued = ordered()
+	c := fixtureGroup()
+	c.queuedClaims, c.queuedLeases, c.configs.queued = fixtureCommands()
 	parts := map[uint8]cbor.RawMessage{}
 	for i, table := range c.tables {
-		parts[uint8(i)+1] = table.next()
+		parts[uint8(i)+1] = table.nextProposal()
 		require.NotEmpty(t, parts[uint8(i)+1])
 	}
-	text, err := canonical.Marshal(parts)
+	text, err := cborEncoding.Marshal(parts)
 	require.NoError(t, err)
 	return text
 }
 
-// sameTables compares what two seats hold.
+// sameTables compares the tables of two replicas.
 func sameTables(t *testing.T, want, got *Group) {
 	t.Helper()
 	for i := range want.tables {
@@ -106,64 +106,64 @@
 	}
 }
 
-// An entry of the log with commands for all tables is written to the bytes of a fixture and carried out from it as it was meant.
+// An entry with commands for all tables is encoded to the bytes of a fixture, and applied from it as intended.
 func TestFixtureOfAnEntry(t *testing.T) {
-	content := fixture.Equal(t, "entry-v1.cbor", entryOfFixtures(t))
-	want := seatOfFixtures()
-	list, asks, puts := ordered()
+	fixture := fixture.Equal(t, "entry-v1.cbor", fixtureEntry(t))
+	want := fixtureGroup()
+	list, asks, puts := fixtureCommands()
 	for i := range list {
 		want.table.Apply(&list[i])
 	}
 	for i := range asks {
-		want.book.Apply(want.table.Time(), &asks[i])
+		want.leases.Apply(want.table.Time(), &asks[i])
 	}
 	for i := range puts {
-		want.versions.table.Apply(want.table.Time(), &puts[i])
+		want.configs.table.Apply(want.table.Time(), &puts[i])
 	}
-	want.versions.used = true
-	got := seatOfFixtures()
+	want.configs.inUse = true
+	got := fixtureGroup()
 	index, term := uint64(2), uint64(1)
-	got.apply(&raftpb.Entry{Data: content, Index: &index, Term: &term})
+	got.applyEntry(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
 	sameTables(t, want, got)
 	states := map[claims.State]int{}
 	for _, e := range got.table.List(10) {
 		states[e.State]++
 	}
 	assert.Equal(t, map[claims.State]int{claims.StateClaimed: 2, claims.StateStarted: 1, claims.StateEnded: 1}, states)
-	assert.Equal(t, int64(7), got.book.Find("wide").Leases[0].Want)
-	assert.Equal(t, uint64(1), got.versions.table.Head().Newest)
+	assert.Equal(t, int64(7), got.leases.Find("wide").Leases[0].Want)
+	assert.Equal(t, uint64(1), got.configs.table.Head().Newest)
 }
 
-// What a seat writes to its disk, a base with the council's snapshot and a part beside it, and records of the log behind it, comes to the
-// bytes of fixtures, and a seat that is started on them knows what was meant.
-func TestFixturesOfASeatsDisk(t *testing.T) {
-	writer := seatOfFixtures()
+// What a replica writes to its disk, a base with a snapshot, a part stored separately and records of the log, has the bytes of fixtures,
+// and a replica that recovers from them has the same state.
+func TestFixturesOfAReplicasDisk(t *testing.T) {
+	writer := fixtureGroup()
 	index, term, commit, vote := uint64(2), uint64(3), uint64(2), uint64(0x21)
-	writer.id, writer.seats = 0x21, map[string]incumbent{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
-	writer.apply(&raftpb.Entry{Data: entryOfFixtures(t), Index: &index, Term: &term})
-	writer.writing = writer.beginSnapshot()
-	for !writer.writing.whole() {
-		writer.writeSome()
+	writer.raft.id, writer.replicas = 0x21, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x23, 23}}
+	writer.applyEntry(&raftpb.Entry{Data: fixtureEntry(t), Index: &index, Term: &term})
+	writer.snapshots.writer = writer.beginSnapshot()
+	for !writer.snapshots.writer.complete() {
+		writer.continueSnapshot()
 	}
-	text := writer.written(writer.writing)
+	text := writer.encodeSnapshot(writer.snapshots.writer)
 	fixture.Equal(t, "snapshot-v1.cbor", text)
 	conf := &raftpb.ConfState{Voters: []uint64{0x21, 0x22, 0x23}}
-	writer.disk.number, writer.disk.marks = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
-	w := writer.base(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
+	writer.disk.lastWrite, writer.disk.peerWrites = 6, map[uint64]uint64{0x22: 4, 0x23: 5}
+	write := writer.baseWrite(&raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &index, Term: &term}},
 		&raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit})
 	writer.effects = nil
-	writer.write(w, nil)
+	writer.emitWrite(write, nil)
 	require.Len(t, writer.effects, 1)
-	w = *writer.effects[0].Write
-	there := DiskContents{Base: fixture.Equal(t, "disk-base-v1.cbor", w.Base), Parts: map[string][]byte{}}
-	require.Len(t, w.Parts, 1, "the configuration lies apart")
-	for name, part := range w.Parts {
-		content := fixture.Equal(t, "disk-part-v1.cbor", part)
-		there.Parts[name] = content
-		assert.Equal(t, name, digest(content))
+	write = *writer.effects[0].Write
+	there := DiskContents{Base: fixture.Equal(t, "disk-base-v1.cbor", write.Base), Parts: map[string][]byte{}}
+	require.Len(t, write.Parts, 1, "the configuration is stored separately")
+	for name, part := range write.Parts {
+		fixture := fixture.Equal(t, "disk-part-v1.cbor", part)
+		there.Parts[name] = fixture
+		assert.Equal(t, name, partDigest(fixture))
 	}
 
-	context, err := cbor.Marshal(map[string]incumbent{"n3": {0x33, 33}})
+	context, err := cbor.Marshal(map[string]replicaIncarnation{"n3": {0x33, 33}})
 	require.NoError(t, err)
 	remove, add, auto := raftpb.ConfChangeRemoveNode, raftpb.ConfChangeAddNode, raftpb.ConfChangeTransitionAuto
 	before, now := uint64(0x23), uint64(0x33)
@@ -172,40 +172,40 @@
 	require.NoError(t, err)
 	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.CommandAdvanceTime, At: 250 * ms, Duration: 100 * ms}})
 	require.NoError(t, err)
-	parts, err := canonical.Marshal(map[uint8]cbor.RawMessage{1: pass})
+	parts, err := cborEncoding.Marshal(map[uint8]cbor.RawMessage{1: pass})
 	require.NoError(t, err)
 	normal, changes, third, fourth, later := raftpb.EntryNormal, raftpb.EntryConfChangeV2, uint64(3), uint64(4), uint64(4)
-	writer.disk.marks, writer.disk.marked, writer.effects = map[uint64]uint64{0x22: 8}, true, nil
-	writer.write(Write{}, &record{Hard: encode(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}), Entries: encodeEntries([]*raftpb.Entry{
+	writer.disk.peerWrites, writer.disk.peerWritesChanged, writer.effects = map[uint64]uint64{0x22: 8}, true, nil
+	writer.emitWrite(Write{}, &diskRecord{HardState: marshalProto(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}), Entries: marshalEntries([]*raftpb.Entry{
 		{Data: parts, Index: &third, Term: &term, Type: &normal}, {Data: change, Index: &fourth, Term: &later, Type: &changes}})})
 	require.Len(t, writer.effects, 1)
 	require.Equal(t, Persist, writer.effects[0].Kind)
 	there.Records = [][]byte{fixture.Equal(t, "disk-record-v1.cbor", writer.effects[0].Write.Records[0])}
 
-	reader := seatOfFixtures()
+	reader := fixtureGroup()
 	require.NoError(t, reader.Recover(0, there))
 	assert.True(t, reader.Resumed())
-	assert.Equal(t, uint64(0x21), reader.id)
-	assert.Equal(t, uint64(21), reader.life)
-	assert.Equal(t, writer.seats, reader.seats)
-	assert.Equal(t, uint64(8), reader.disk.number)
-	assert.Equal(t, map[uint64]uint64{0x22: 8, 0x23: 5}, reader.disk.marks)
-	assert.Equal(t, conf.GetVoters(), reader.confState.GetVoters())
+	assert.Equal(t, uint64(0x21), reader.raft.id)
+	assert.Equal(t, uint64(21), reader.incarnation)
+	assert.Equal(t, writer.replicas, reader.replicas)
+	assert.Equal(t, uint64(8), reader.disk.lastWrite)
+	assert.Equal(t, map[uint64]uint64{0x22: 8, 0x23: 5}, reader.disk.peerWrites)
+	assert.Equal(t, conf.GetVoters(), reader.raft.confState.GetVoters())
 	sameTables(t, writer, reader)
-	hard, _, err := reader.storage.InitialState()
+	hard, _, err := reader.raft.storage.InitialState()
 	require.NoError(t, err)
 	assert.True(t, proto.Equal(&raftpb.HardState{Term: &later, Vote: &vote, Commit: &index}, hard))
-	entries, err := reader.storage.Entries(3, 5, never)
+	entries, err := reader.raft.storage.Entries(3, 5, never)
 	require.NoError(t, err)
 	require.Len(t, entries, 2)
-	reader.apply(entries[0])
+	reader.applyEntry(entries[0])
 	assert.Equal(t, 350*ms, reader.table.Time())
-	reader.apply(entries[1])
-	assert.Equal(t, map[string]incumbent{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.seats)
+	reader.applyEntry(entries[1])
+	assert.Equal(t, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.replicas)
 }
 
-// The words of raft go within messages as raft encodes them: one of each field that seats use.
-func TestFixtureOfRaftsWords(t *testing.T) {
+// Messages carry raft messages as raft encodes them; this one has each field that is in use.
+func TestFixtureOfRaftMessages(t *testing.T) {
 	number := func(n uint64) *uint64 { return &n }
 	kind, normal, reject := raftpb.MsgApp, raftpb.EntryNormal, true
 	m := &raftpb.Message{Type: &kind, To: number(1), From: number(2), Term: number(3), LogTerm: number(4), Index: number(5), Commit: number(6),
--- /dev/null
+++ b/internal/fleet/consensus/group_test.go
@@ -0,0 +1,170 @@
+package consensus
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/quota"
+)
+
+func TestGroupsOfAllSizesBootstrap(t *testing.T) {
+	for _, replicas := range []int{1, 3, 5} {
+		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
+			sim := newStableSimulation(t, 6, replicas)
+			a := sim.ask(1, 1, 5)
+			sim.run(sim.now + 500*ms)
+			assert.Equal(t, "hold//t1 run 1", a.outcome)
+			b := sim.ask(2, 1, 0)
+			sim.run(sim.now + 500*ms)
+			assert.Equal(t, a.outcome, b.outcome, "a repeat at another node gets the cached result")
+			assert.Equal(t, 1, sim.runs[1])
+		})
+	}
+}
+
+func TestLostLeaderIsReplacedAndReturnsAsNewIncarnation(t *testing.T) {
+	sim := newStableSimulation(t, 5, 3)
+	sim.ask(1, 1, 4)
+	sim.run(sim.now + 300*ms)
+	i := sim.indexOf(sim.leader())
+	sim.kill(i)
+	sim.run(sim.now + 4_000*ms)
+	require.NotNil(t, sim.leader())
+	sim.start(i)
+	sim.run(sim.now + 4_000*ms)
+	node := sim.nodes[i]
+	assert.True(t, node.replica.bootstrap.done)
+	assert.Equal(t, node.replica.raft.id, sim.leader().replica.replicas[node.name].ID)
+	assert.NotNil(t, node.replica.table.Find(key(1)), "it knows what was committed in its absence")
+	for k := range sim.members { // each of the others may be lost in turn
+		if k != i {
+			sim.kill(k)
+			sim.run(sim.now + 4_000*ms)
+			b := sim.ask(2, 1, i)
+			sim.run(sim.now + 500*ms)
+			assert.Equal(t, sim.attempts[0].outcome, b.outcome)
+			sim.start(k)
+			sim.run(sim.now + 4_000*ms)
+		}
+	}
+}
+
+func TestGroupWithoutMajorityElectsNoLeader(t *testing.T) {
+	sim := newStableSimulation(t, 5, 3)
+	sim.ask(1, 1, 4)
+	sim.run(sim.now + 300*ms)
+	sim.kill(0)
+	sim.kill(1)
+	sim.start(0)
+	sim.start(1)
+	sim.run(sim.now + 20_000*ms)
+	assert.Nil(t, sim.leader(), "two that lost their state can't outvote one that has it")
+	b := sim.ask(2, 2, 4)
+	sim.run(sim.now + 100*ms)
+	assert.Equal(t, "throttled", b.outcome, "nothing is claimed without a leader")
+	sim.kill(2)
+	sim.start(2)
+	sim.run(sim.now + 10_000*ms)
+	assert.NotNil(t, sim.leader(), "once all have lost their state, another group bootstraps")
+}
+
+func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
+	sim := newStableSimulation(t, 5, 3)
+	i := sim.indexOf(sim.leader())
+	for k := range sim.nodes {
+		if k != i {
+			sim.cutLinks[[2]int{k, i}] = true // it can send, and receives nothing
+		}
+	}
+	sim.run(sim.now + 6_000*ms)
+	require.NotNil(t, sim.leader())
+	assert.NotEqual(t, i, sim.indexOf(sim.leader()))
+	clear(sim.cutLinks)
+	sim.run(sim.now + 3_000*ms)
+	assert.False(t, sim.nodes[i].replica.IsLeader())
+}
+
+func TestPanicInRaftRestartsReplica(t *testing.T) {
+	sim := newStableSimulation(t, 3, 3)
+	node := sim.leader()
+	replica := node.replica
+	before := replica.raft.id
+	replica.Step(sim.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
+	assert.Equal(t, before, replica.raft.id, "what can't be decoded is dropped")
+	replica.restartOnPanic(func() { panic("as raft would") })
+	assert.NotEqual(t, before, replica.raft.id)
+	assert.Equal(t, 1, replica.Counters.Broken)
+	sim.run(sim.now + 6_000*ms)
+	assert.NotNil(t, sim.leader())
+	assert.True(t, replica.bootstrap.done, "the group has replaced it")
+}
+
+func TestNewerCommandRestartsReplica(t *testing.T) {
+	sim := newStableSimulation(t, 3, 3)
+	node := sim.leader()
+	node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandKindCount, Sender: node.owner(), Seq: 99}}})
+	sim.wakeNow(sim.indexOf(node))
+	sim.run(sim.now + 1_000*ms)
+	for _, x := range sim.nodes {
+		assert.Positive(t, x.replica.Counters.Broken, "a replica whose table would diverge restarts")
+	}
+}
+
+func TestUncommittedCommandsExpire(t *testing.T) {
+	sim := newStableSimulation(t, 3, 3)
+	node := sim.leader()
+	for k := range sim.nodes {
+		sim.cutLinks[[2]int{sim.indexOf(node), k}] = true
+	}
+	sim.ask(1, 1, sim.indexOf(node))
+	sim.run(sim.now + 100*ms)
+	assert.NotEmpty(t, node.replica.pending)
+	clear(sim.cutLinks)
+	sim.kill(sim.indexOf(sim.nodes[(sim.indexOf(node)+1)%3]))
+	sim.run(sim.now + 20_000*ms)
+	assert.Empty(t, node.replica.pending)
+}
+
+func TestClaimsAndQuotaShareMaxTimeStep(t *testing.T) {
+	assert.Equal(t, claims.MaxTimeStep, quota.MaxTimeStep)
+}
+
+// A replica reports itself current only while it learns of what the majority commits.
+func TestReplicaKnowsWhetherItIsCurrent(t *testing.T) {
+	sim := newDiskSimulation(t, 4, 3)
+	current := func() (list []bool) {
+		for _, node := range sim.nodes[:3] {
+			list = append(list, node.up && node.replica.IsCurrent())
+		}
+		return list
+	}
+	sim.run(sim.now + 2_000*ms)
+	assert.Equal(t, []bool{true, true, true}, current())
+	i := sim.indexOf(sim.leader()) // cut off, it still leads as far as it knows
+	for k := range sim.nodes {
+		sim.cutLinks[[2]int{k, i}], sim.cutLinks[[2]int{i, k}] = k != i, k != i
+	}
+	sim.run(sim.now + 6_000*ms)
+	want := []bool{true, true, true}
+	want[i] = false
+	assert.Equal(t, want, current())
+	clear(sim.cutLinks)
+	sim.run(sim.now + 4_000*ms)
+	assert.Equal(t, []bool{true, true, true}, current())
+	sim.killReplicas()
+	sim.start(0)
+	sim.run(sim.now + 5_000*ms)
+	require.NotZero(t, sim.nodes[0].replica.raft.appliedIndex, "it has its recovered state")
+	assert.Equal(t, []bool{false, false, false}, current(), "it can't know what was committed since")
+	sim.startAll()
+	sim.run(sim.now + 4_000*ms)
+	assert.Equal(t, []bool{true, true, true}, current())
+	for _, node := range sim.nodes[:3] { // each has applied an entry of the current term
+		node.replica.leadership.leaderID = 0
+	}
+	assert.Equal(t, []bool{false, false, false}, current(), "without a leader none is")
+}
--- /dev/null
+++ b/internal/fleet/consensus/leasetable.go
@@ -0,0 +1,107 @@
+package consensus
+
+import (
+	"slices"
+
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/quota"
+)
+
+// leaseCommandID identifies a lease request of a node.
+type leaseCommandID struct {
+	owner claims.Owner
+	limit string
+	seq   uint64
+}
+
+// leaseTable is the replicated table of limits and leases, with the callers that wait for a grant of this replica, and the limits that
+// it defines while it leads.
+type leaseTable struct {
+	replica       *Replica
+	limits        []quota.Command
+	leases        *quota.LeaseTable
+	queuedLeases  []quota.Command
+	pendingLeases map[leaseCommandID]int64 // when each came
+	grants        map[claims.Owner][]quota.Verdict
+}
+
+func (t *leaseTable) reset() {
+	t.leases = quota.NewLeaseTable()
+	t.queuedLeases = nil
+	t.pendingLeases = map[leaseCommandID]int64{}
+	t.grants = map[claims.Owner][]quota.Verdict{}
+}
+
+func (t *leaseTable) becomeLeader() {}
+
+// requestLeases takes lease requests to propose them. Without a leader they are dropped, and the node asks again.
+func (t *leaseTable) requestLeases(list []quota.Command) {
+	for i := range list {
+		if t.replica.leadership.leaderID == 0 || len(t.pendingLeases) >= maxPendingCommands {
+			return
+		}
+		t.pendingLeases[leaseCommandID{claims.Owner(list[i].Sender), list[i].Limit, list[i].Seq}] = t.replica.now
+		t.queuedLeases = append(t.queuedLeases, list[i])
+	}
+}
+
+func (t *leaseTable) expirePending() {
+	for id, at := range t.pendingLeases {
+		if t.replica.now-at >= pendingTimeout {
+			delete(t.pendingLeases, id)
+		}
+	}
+}
+
+// leaderTick queues the definitions of limits that are not in the table yet, or in an earlier version.
+func (t *leaseTable) leaderTick() {
+	for _, limit := range t.limits {
+		known := t.leases.Find(limit.Limit)
+		if known == nil || known.Version < limit.Version {
+			t.queuedLeases = append(t.queuedLeases, limit)
+		}
+	}
+}
+
+func (t *leaseTable) storedSeparately() bool { return false }
+
+func (t *leaseTable) nextProposal() (part []byte) {
+	part, t.queuedLeases = encodeQueued(t.queuedLeases)
+	return part
+}
+
+// Apply applies the leases' part of an entry.
+func (t *leaseTable) Apply(at int64, part []byte) {
+	var list []quota.Command
+	if cborDecoding.Unmarshal(part, &list) != nil {
+		return
+	}
+	if slices.ContainsFunc(list, func(c quota.Command) bool { return c.Kind >= quota.CommandKindCount }) {
+		panic(errNewerCommand)
+	}
+	for i := range list {
+		t.applyCommand(at, &list[i])
+	}
+}
+
+func (t *leaseTable) applyCommand(at int64, command *quota.Command) {
+	t.replica.Counters.Committed++
+	verdict := t.leases.Apply(at, command)
+	id := leaseCommandID{claims.Owner(command.Sender), command.Limit, command.Seq}
+	if _, waits := t.pendingLeases[id]; waits && command.Kind == quota.CommandRequestLease {
+		delete(t.pendingLeases, id)
+		t.grants[id.owner] = append(t.grants[id.owner], verdict)
+	}
+}
+
+// Snapshot encodes the table of limits and leases.
+func (t *leaseTable) Snapshot() ([]byte, error) { return t.leases.Snapshot() }
+
+// Restore replaces the table of limits and leases.
+func (t *leaseTable) Restore(text []byte) (err error) {
+	t.leases = quota.NewLeaseTable()
+	if len(text) > 0 {
+		t.leases, err = quota.Restore(text)
+	}
+	return err
+}
