--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -72,7 +72,7 @@
 	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, coming(r, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, ran(r, 2)))
 	got := kindsOf(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
-	assert.ErrorIs(t, got[0].Err, errVersion)
+	assert.ErrorIs(t, got[0].Err, errStaleVersion)
 	assert.Equal(t, []float64{3}, r.config.Node.TenantRates)
 }
 
@@ -83,7 +83,7 @@
 	assert.Equal(t, before, r.config.Own())
 	assert.Zero(t, r.ActiveVersion())
 	assert.Equal(t, 1, r.Counters.VersionsRefused)
-	r.versions.numbers = true
+	r.versions.indicesPinned = true
 	assert.ErrorContains(t, amendedBy(t, r, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: results are kept in a folder")
 	assert.ErrorContains(t, amendedBy(t, r, removed(nodeconfig.Operations, "hold")), "operations.hold")
 	assert.NoError(t, amendedBy(t, r, operation("catalogue", `,"importance":7`)))
@@ -127,7 +127,7 @@
 	i, _ := r.config.Operations.Find("next")
 	assert.Equal(t, int32(2), i, "the index is still that of the tokens")
 	pass(r, 40_000*ms)
-	assert.Empty(t, r.versions.queue)
+	assert.Empty(t, r.versions.retired)
 	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, amendedBy(t, r, operation("last", "")))
 	i, _ = r.config.Operations.Find("last")
@@ -187,7 +187,7 @@
 	assert.Equal(t, int32(1), i)
 	assert.Equal(t, []float64{3, 5, 1}, r.config.Node.TenantRates)
 	require.NoError(t, amendedBy(t, r, removed(nodeconfig.Tenants, "y")))
-	pass(r, countsFade+1_000*ms)
+	pass(r, tenantCountsRetention+1_000*ms)
 	require.NoError(t, amendedBy(t, r, tenant("w", 9)))
 	i, _ = r.config.Tenants.Find("w")
 	assert.Equal(t, int32(1), i, "once nothing of it is left the index is another's")
@@ -223,7 +223,7 @@
 func TestLargeVersionIsTakenInBoundedSteps(t *testing.T) {
 	r := up(t)
 	var items []nodeconfig.Item
-	for k := range 10*amendedAStep + 1 {
+	for k := range 10*maxChangesPerStep + 1 {
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
 	}
 	in := []Input{versionOf(t, 1, items...), versionOf(t, 2, removed(nodeconfig.Tenants, "t0"))}
@@ -231,8 +231,8 @@
 		was := r.config.Tenants.Slots()
 		effects := r.Step(r.now+ms, r.now+ms+1_000_000*ms, in)
 		in = nil
-		assert.LessOrEqual(t, r.config.Tenants.Slots()-was, amendedAStep)
-		if len(r.versions.waiting) == 0 {
+		assert.LessOrEqual(t, r.config.Tenants.Slots()-was, maxChangesPerStep)
+		if len(r.versions.pending) == 0 {
 			assert.Equal(t, 11, steps)
 			break
 		}
@@ -240,12 +240,12 @@
 	}
 	assert.Equal(t, uint64(2), r.ActiveVersion())
 	in = []Input{versionOf(t, 3, items...)}
-	for k := range versionsWait {
+	for k := range maxPendingVersions {
 		in = append(in, versionOf(t, uint64(4+k), tenant("u", k)))
 	}
 	refused := kindsOf(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), VersionApplied)
 	require.Len(t, refused, 1, "those that wait are bounded")
-	assert.ErrorIs(t, refused[0].Err, errWaiting)
+	assert.ErrorIs(t, refused[0].Err, errTooManyVersions)
 }
 
 // allocations counts those of one change at a table of some size.
@@ -259,7 +259,7 @@
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
 	}
 	step(r, versionOf(t, 1, items...))
-	for len(r.versions.waiting) > 0 {
+	for len(r.versions.pending) > 0 {
 		step(r)
 	}
 	number := uint64(1)
@@ -339,9 +339,9 @@
 // Where results are kept by number a large version is looked at over some steps, and refused as a whole.
 func TestLargeVersionIsLookedAtInBoundedSteps(t *testing.T) {
 	r := up(t)
-	r.versions.numbers = true
+	r.versions.indicesPinned = true
 	items := []nodeconfig.Item{operation("catalogue", `,"importance":7`)}
-	for k := range 2 * lookedAStep {
+	for k := range 2 * maxLookupsPerStep {
 		items = append(items, removed(nodeconfig.Tenants, fmt.Sprint("t", k)))
 	}
 	refused := items[: len(items)-1 : len(items)-1]
--- a/internal/node/amendbench_test.go
+++ b/internal/node/amendbench_test.go
@@ -24,7 +24,7 @@
 				items = append(items, tenant(fmt.Sprint("t", k), 1))
 			}
 			step(r, versionOf(b, 1, items...))
-			for len(r.versions.waiting) > 0 {
+			for len(r.versions.pending) > 0 {
 				step(r)
 			}
 			number := uint64(1)
@@ -32,7 +32,7 @@
 				b.StopTimer()
 				number++
 				items = items[:0]
-				for k := range amendedAStep / 2 {
+				for k := range maxChangesPerStep / 2 {
 					items = append(items, operation(fmt.Sprint("o", k%size[0]+k/size[0]*10_000), fmt.Sprintf(`,"importance":%d`, number)), tenant(fmt.Sprint("t", k), int(number)))
 				}
 				in := versionOf(b, number, items...)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -19,40 +19,40 @@
 )
 
 const (
-	dueLead     = 50 * ms  // ns before its client timeout at which one that waits for the fleet is answered: a way back, and a sweep
-	sweepClaims = 20 * ms  // ns between looks at what waits for the fleet
-	viewClaims  = 100 * ms // ns between looks at the view for a seat of the council
-	contactFor  = 200 * ms // ns without an answer after which another seat is asked
-	roundsMost  = 8        // turns that desk and seat take in one step; what is left waits for the next
-	shownMost   = 500      // claims that are told to an operator at once
-	heir        = -1       // connection of an invocation that was inherited: nobody is answered
+	answerMargin       = 50 * ms  // ns before its client timeout at which one that waits for the fleet is answered: a way back, and a sweep
+	claimSweepInterval = 20 * ms  // ns between looks at what waits for the fleet
+	groupViewInterval  = 100 * ms // ns between looks at the view for a seat of the council
+	replicaTimeout     = 200 * ms // ns without an answer after which another seat is asked
+	maxRoundsPerStep   = 8        // turns that desk and seat take in one step; what is left waits for the next
+	maxClaimsShown     = 500      // claims that are told to an operator at once
+	heir               = -1       // connection of an invocation that was inherited: nobody is answered
 )
 
 // claimState is the door to what the fleet agrees on about tokens: the node's desk, and its seat in the council where it
 // has one. Without a council both are nil: no timer, no cost.
 type claimState struct {
-	desk   *claims.Client
-	seat   *consensus.Group
-	self   claims.Owner
-	seats  []string
-	wants  []claims.Input
-	heard  []consensus.Input
-	links  map[string]int // streams that nodes last spoke on
-	deskAt int64
-	seatAt int64
-	sweep  int64
-	viewAt int64
-	asks   int   // seat that commands go to
-	since  int64 // when it was first asked something since its last answer, 0 where it owes none
+	client          *claims.Client
+	replica         *consensus.Group
+	self            claims.Owner
+	replicas        []string
+	clientInputs    []claims.Input
+	heard           []consensus.Input
+	streams         map[string]int // streams that nodes last spoke on
+	clientAt        int64
+	replicaAt       int64
+	sweepAt         int64
+	viewAt          int64
+	contact         int   // seat that commands go to
+	unansweredSince int64 // when it was first asked something since its last answer, 0 where it owes none
 }
 
-// work is what an heir needs of an invocation.
-type work struct {
-	Call   string  `cbor:"1,keyasint"`
-	Body   []byte  `cbor:"2,keyasint"`
-	HeldKB float64 `cbor:"3,keyasint"`
-	Hint   int64   `cbor:"4,keyasint,omitempty"`
-	Caller int64   `cbor:"5,keyasint,omitempty"`
+// takeoverWork is what an heir needs of an invocation.
+type takeoverWork struct {
+	Call         string  `cbor:"1,keyasint"`
+	Body         []byte  `cbor:"2,keyasint"`
+	QueuedKB     float64 `cbor:"3,keyasint"`
+	ExpectedWork int64   `cbor:"4,keyasint,omitempty"`
+	Caller       int64   `cbor:"5,keyasint,omitempty"`
 }
 
 // EnableConsensus has tokens claimed from a council, before the first step and after Peer and Keep; seats are the names of those
@@ -60,41 +60,41 @@
 func (sm *StateMachine) EnableConsensus(seats []string, bytes, now, seed int64) {
 	self := sm.fleet.members.Self()
 	c := &sm.claiming
-	*c = claimState{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.StartedAt)}, seats: slices.Sorted(slices.Values(seats)), links: map[string]int{}}
-	if sm.results.keeper != nil || sm.hollow.on && !sm.hollow.onlySeat {
-		c.desk = claims.NewClient(c.self)
+	*c = claimState{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.StartedAt)}, replicas: slices.Sorted(slices.Values(seats)), streams: map[string]int{}}
+	if sm.results.keeper != nil || sm.hollow.on && !sm.hollow.replicaOnly {
+		c.client = claims.NewClient(c.self)
 	}
-	if c.asks = slices.Index(c.seats, self.Name); c.asks >= 0 {
-		c.seat = consensus.NewGroup(c.seats, self.Name, c.self.Incarnation, now, seed)
-		c.seat.SetMaxTableBytes(bytes)
+	if c.contact = slices.Index(c.replicas, self.Name); c.contact >= 0 {
+		c.replica = consensus.NewGroup(c.replicas, self.Name, c.self.Incarnation, now, seed)
+		c.replica.SetMaxTableBytes(bytes)
 	} else {
-		c.asks = int(uint64(seed) % uint64(len(c.seats)))
+		c.contact = int(uint64(seed) % uint64(len(c.replicas)))
 	}
 }
 
 // HasReplica says whether this node has a seat in the council.
-func (sm *StateMachine) HasReplica() bool { return sm.claiming.seat != nil }
+func (sm *StateMachine) HasReplica() bool { return sm.claiming.replica != nil }
 
 // RecoverReplica has the seat go on from what a disk holds, and keep there what it must not forget, before the first step.
 func (sm *StateMachine) RecoverReplica(now int64, there consensus.DiskContents) error {
-	return sm.claiming.seat.Recover(now, there)
+	return sm.claiming.replica.Recover(now, there)
 }
 
 // Claims is what an operator may want to see of them, nil without a council.
 func (sm *StateMachine) Claims() *consensus.Summary {
 	c := &sm.claiming
-	if c.desk == nil && c.seat == nil {
+	if c.client == nil && c.replica == nil {
 		return nil
 	}
 	p := &consensus.Summary{Node: c.self.Name}
-	if c.desk != nil {
-		p.Client, p.ClaimsInFlight, p.GroupReachable = &c.desk.Counters, c.desk.Size(), c.desk.Connected()
+	if c.client != nil {
+		p.Client, p.ClaimsInFlight, p.GroupReachable = &c.client.Counters, c.client.Size(), c.client.Connected()
 	}
 	if h := sm.leases.holder; h != nil {
 		p.Lease = &h.Counters
 	}
-	if c.seat != nil {
-		c.seat.Summarize(p, shownMost)
+	if c.replica != nil {
+		c.replica.Summarize(p, maxClaimsShown)
 	}
 	return p
 }
@@ -119,10 +119,10 @@
 // isUnclaimed says whether a token's first invocation must be turned away, since nothing new can be claimed now.
 func (sm *StateMachine) isUnclaimed(v *invocation) bool {
 	c := &sm.claiming
-	if c.desk == nil || v.tokenKey.Token == "" || c.desk.Connected() && c.desk.HasCapacity() {
+	if c.client == nil || v.tokenKey.Token == "" || c.client.Connected() && c.client.HasCapacity() {
 		return false
 	}
-	if sm.results.held[v.tokenKey] != nil {
+	if sm.results.pending[v.tokenKey] != nil {
 		return false
 	}
 	_, known := sm.results.keeper.BodyHash(v.tokenKey)
@@ -131,38 +131,38 @@
 
 // addClaimInput says something at the desk, where there is one.
 func (sm *StateMachine) addClaimInput(in claims.Input) {
-	if sm.claiming.desk != nil {
-		sm.claiming.wants = append(sm.claiming.wants, in)
+	if sm.claiming.client != nil {
+		sm.claiming.clientInputs = append(sm.claiming.clientInputs, in)
 	}
 }
 
 // claimToken has a token's first invocation claimed for this node, with all that an heir needs.
 func (sm *StateMachine) claimToken(i int32) {
-	if sm.claiming.desk == nil {
+	if sm.claiming.client == nil {
 		return
 	}
 	v := &sm.invocations[i]
-	text, err := cbor.Marshal(work{Call: v.call, Body: v.body, HeldKB: v.arrival.QueuedKB, Hint: v.arrival.ExpectedWork, Caller: v.arrival.Caller})
+	text, err := cbor.Marshal(takeoverWork{Call: v.call, Body: v.body, QueuedKB: v.arrival.QueuedKB, ExpectedWork: v.arrival.ExpectedWork, Caller: v.arrival.Caller})
 	if !sm.Invariants.Check(err == nil, "what an heir needs can be written") {
 		return
 	}
 	sm.addClaimInput(claims.Input{Kind: claims.RequestClaim, Key: sm.claimKey(v.tokenKey), BodyHash: v.bodyHash, Remaining: v.deadline - sm.now, InvocationID: v.call, Work: text,
-		Window: v.terms.known})
+		Window: v.terms.tokenLifetime})
 }
 
 // applyStreamMessage takes what a node says on a stream.
 func (sm *StateMachine) applyStreamMessage(in *Input) {
 	c := &sm.claiming
 	if in.Kind == PeerStreamClosed {
-		for name, link := range c.links {
+		for name, link := range c.streams {
 			if link == in.Link {
-				delete(c.links, name)
+				delete(c.streams, name)
 			}
 		}
 		return
 	}
 	m := new(consensus.Message)
-	if err := envelope.Open(in.Bytes, sm.fleet.fleet, m); err != nil {
+	if err := envelope.Open(in.Bytes, sm.fleet.id, m); err != nil {
 		sm.countUnusable(in, err)
 		sm.emit(Effect{Kind: CloseStream, Link: in.Link}) // where its letters begin is not known any more
 		return
@@ -170,7 +170,7 @@
 	if c.self.Name == "" {
 		return
 	}
-	c.links[m.From] = in.Link
+	c.streams[m.From] = in.Link
 	sm.applyGroupMessage(m)
 }
 
@@ -183,19 +183,19 @@
 			return // of an earlier life
 		}
 	default:
-		if c.seat != nil {
+		if c.replica != nil {
 			c.heard = append(c.heard, consensus.Input{Message: m})
 		}
 		return
 	}
 	if m.Kind == consensus.MessageVerdicts {
-		c.since = 0
-		if at := slices.Index(c.seats, m.Leader); at >= 0 && c.seat == nil {
-			c.asks = at
+		c.unansweredSince = 0
+		if at := slices.Index(c.replicas, m.Leader); at >= 0 && c.replica == nil {
+			c.contact = at
 		}
 	}
 	sm.leases.grants = append(sm.leases.grants, m.Grants...)
-	sm.configSync.decided(m.Decided)
+	sm.configSync.addVerdicts(m.Decided)
 	for k := range m.Verdicts {
 		sm.addClaimInput(claims.Input{Kind: claims.VerdictReceived, Verdict: m.Verdicts[k]})
 	}
@@ -210,15 +210,15 @@
 // stepClaims steps the desk and the seat, as long as one has something to say to the other.
 func (sm *StateMachine) stepClaims() {
 	c := &sm.claiming
-	if c.desk == nil && c.seat == nil {
+	if c.client == nil && c.replica == nil {
 		return
 	}
-	if c.desk != nil && sm.now >= c.sweep {
+	if c.client != nil && sm.now >= c.sweepAt {
 		sm.expireWaiting()
 	}
-	for range roundsMost {
-		seat := c.seat != nil && (len(c.heard) > 0 || sm.now >= c.seatAt)
-		desk := c.desk != nil && (len(c.wants) > 0 || sm.now >= c.deskAt)
+	for range maxRoundsPerStep {
+		seat := c.replica != nil && (len(c.heard) > 0 || sm.now >= c.replicaAt)
+		desk := c.client != nil && (len(c.clientInputs) > 0 || sm.now >= c.clientAt)
 		if !seat && !desk {
 			return
 		}
@@ -226,10 +226,10 @@
 			sm.stepReplica()
 		}
 		if desk {
-			inputs := c.wants
-			c.wants = nil
+			inputs := c.clientInputs
+			c.clientInputs = nil
 			var actions []claims.Action
-			actions, c.deskAt = c.desk.Step(sm.now, inputs)
+			actions, c.clientAt = c.client.Step(sm.now, inputs)
 			for k := range actions {
 				sm.executeClaimAction(&actions[k])
 			}
@@ -240,13 +240,13 @@
 func (sm *StateMachine) stepReplica() {
 	c := &sm.claiming
 	if sm.now >= c.viewAt {
-		c.viewAt = sm.now + viewClaims
+		c.viewAt = sm.now + groupViewInterval
 		c.heard = append(c.heard, consensus.Input{View: sm.takeoverMembers()})
 	}
 	inputs := c.heard
 	c.heard = nil
 	var effects []consensus.Effect
-	effects, c.seatAt = c.seat.Step(sm.now, inputs)
+	effects, c.replicaAt = c.replica.Step(sm.now, inputs)
 	for k := range effects {
 		switch e := &effects[k]; e.Kind {
 		case consensus.Send:
@@ -279,7 +279,7 @@
 		return
 	}
 	address, known := sm.fleet.members.AddressOf(to)
-	if link := c.links[to]; link != 0 || known {
+	if link := c.streams[to]; link != 0 || known {
 		sm.sendEnvelope(Effect{Kind: SendOnStream, Link: link, Address: address}, m)
 	}
 }
@@ -322,31 +322,31 @@
 // answered last, and another one where that is silent.
 func (sm *StateMachine) proposeToGroup(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
 	c := &sm.claiming
-	if c.since == 0 {
-		c.since = sm.now
-	} else if sm.now-c.since >= contactFor {
-		c.asks, c.since = (c.asks+1)%len(c.seats), sm.now
+	if c.unansweredSince == 0 {
+		c.unansweredSince = sm.now
+	} else if sm.now-c.unansweredSince >= replicaTimeout {
+		c.contact, c.unansweredSince = (c.contact+1)%len(c.replicas), sm.now
 	}
-	if c.seat != nil && c.seat.Leader() != "" {
+	if c.replica != nil && c.replica.Leader() != "" {
 		c.heard = append(c.heard, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: c.self})
 		return
 	}
-	if to := c.seats[c.asks]; to != c.self.Name {
+	if to := c.replicas[c.contact]; to != c.self.Name {
 		sm.sendGroupMessage(to, &consensus.Message{Kind: consensus.MessagePropose, From: c.self.Name, Owner: c.self, Commands: commands, Leases: leases, Proposed: proposed})
 	}
 }
 
 // proposeAtReplica has this node's seat order what it wants ordered of itself.
 func (sm *StateMachine) proposeAtReplica(command *configsync.Command) {
-	if c := &sm.claiming; c.seat != nil {
+	if c := &sm.claiming; c.replica != nil {
 		c.heard = append(c.heard, consensus.Input{Proposed: []configsync.Command{*command}})
 	}
 }
 
 // agreedAtReplica is what this node's seat knows to be agreed on of the configuration, where that changed since it was last asked.
 func (sm *StateMachine) agreedAtReplica() (agreed *configsync.Agreed, changed bool) {
-	if c := &sm.claiming; c.seat != nil {
-		return c.seat.AgreedConfig()
+	if c := &sm.claiming; c.replica != nil {
+		return c.replica.AgreedConfig()
 	}
 	return nil, false
 }
@@ -357,14 +357,14 @@
 	if sm.controller == nil || sm.drainRequested {
 		return fmt.Errorf("this node takes nothing in")
 	}
-	var w work
+	var w takeoverWork
 	if err := cbor.Unmarshal(a.Work, &w); err != nil {
 		return fmt.Errorf("its work can't be read: %w", err)
 	}
-	if _, used := sm.indexByCall[w.Call]; used || !hex16(w.Call) || len(w.Body) > bodyMost || w.HeldKB <= 0 || w.HeldKB >= heapMost {
+	if _, used := sm.indexByCall[w.Call]; used || !hex16(w.Call) || len(w.Body) > bodyMost || w.QueuedKB <= 0 || w.QueuedKB >= heapMost {
 		return fmt.Errorf("call %q: in use, or not one", w.Call)
 	}
-	if sm.results.held[key] != nil {
+	if sm.results.pending[key] != nil {
 		return nil // a caller is here already, and its invocation goes on under this claim
 	}
 	if _, known := sm.results.keeper.BodyHash(key); known {
@@ -373,10 +373,10 @@
 	v := invocation{live: true, connection: heir, call: w.Call, op: sm.config.Operations.Name(key.Operation), body: w.Body, tokenKey: key, bodyHash: a.BodyHash,
 		operation: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
 	v.arrival = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
-		Deadline: sm.now + a.Duration, QueuedKB: w.HeldKB, ExpectedWork: w.Hint, Caller: w.Caller}
+		Deadline: sm.now + a.Duration, QueuedKB: w.QueuedKB, ExpectedWork: w.ExpectedWork, Caller: w.Caller}
 	i := sm.addInvocation(v)
 	sm.invocations[i].arrival.Invocation = i
-	sm.results.held[key] = &pendingRun{first: i, hash: v.bodyHash}
+	sm.results.pending[key] = &pendingRun{original: i, bodyHash: v.bodyHash}
 	sm.notifyController(sm.invocations[i].arrival)
 	sm.Counters.Inherited++
 	return nil
@@ -385,14 +385,14 @@
 // expireWaiting lets go of claims that nothing here waits for, and answers those whose client timeout comes near.
 func (sm *StateMachine) expireWaiting() {
 	c := &sm.claiming
-	c.sweep = sm.now + sweepClaims
+	c.sweepAt = sm.now + claimSweepInterval
 	if sm.hollow.on {
 		sm.expireHollowTokens()
 		return
 	}
-	for _, k := range c.desk.NotStarted() {
+	for _, k := range c.client.NotStarted() {
 		key, _ := sm.resultKey(k)
-		if sm.results.held[key] != nil {
+		if sm.results.pending[key] != nil {
 			continue // the module's
 		}
 		if _, known := sm.results.keeper.BodyHash(key); !known {
@@ -404,8 +404,8 @@
 			sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: -1, Key: key})
 		}
 		for _, i := range askers {
-			if sm.now >= sm.invocations[i].deadline-dueLead {
-				sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: c.desk.OwnedElsewhere(k)})
+			if sm.now >= sm.invocations[i].deadline-answerMargin {
+				sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: c.client.OwnedElsewhere(k)})
 			}
 		}
 	}
@@ -415,16 +415,16 @@
 func (sm *StateMachine) claimsDue() int64 {
 	c := &sm.claiming
 	at := int64(never)
-	if c.seat != nil {
-		at = min(at, c.seatAt)
+	if c.replica != nil {
+		at = min(at, c.replicaAt)
 	}
-	if c.desk != nil {
-		at = min(at, c.deskAt)
-		if c.desk.Size() > 0 {
-			at = min(at, c.sweep)
+	if c.client != nil {
+		at = min(at, c.clientAt)
+		if c.client.Size() > 0 {
+			at = min(at, c.sweepAt)
 		}
 	}
-	if len(c.wants)+len(c.heard) > 0 {
+	if len(c.clientInputs)+len(c.heard) > 0 {
 		at = sm.now + 1
 	}
 	return max(at, sm.now+1)
@@ -433,7 +433,7 @@
 // rejectUnread throttles a token's first invocation while the council is out of reach.
 func (sm *StateMachine) rejectUnread(link int, stream uint32) {
 	var fields []frame.Field
-	if back := min(contactFor, sm.config.Node.MaxRetryAfter); back > 0 {
+	if back := min(replicaTimeout, sm.config.Node.MaxRetryAfter); back > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: fmt.Sprint((back + ms - 1) / ms)})
 	}
 	sm.Counters.Throttled++
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -28,16 +28,16 @@
 	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
-	r.claiming.links["n0"] = 3
+	r.claiming.streams["n0"] = 3
 	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
-	require.True(t, r.claiming.desk.Connected())
+	require.True(t, r.claiming.client.Connected())
 	return r
 }
 
 // heardFrom is a message of the council's seat.
 func heardFrom(t *testing.T, r *StateMachine, m *consensus.Message) []Effect {
 	m.From, m.Owner = "n0", r.claiming.self
-	text, err := envelope.Seal(nil, r.fleet.fleet, m)
+	text, err := envelope.Seal(nil, r.fleet.id, m)
 	require.NoError(t, err)
 	return step(r, Input{Kind: PeerMessageReceived, Link: 3, Bytes: text})
 }
@@ -47,7 +47,7 @@
 	for _, e := range effects {
 		if e.Kind == SendOnStream {
 			m := new(consensus.Message)
-			require.NoError(t, envelope.Open(e.Bytes, r.fleet.fleet, m))
+			require.NoError(t, envelope.Open(e.Bytes, r.fleet.id, m))
 			list = append(list, m.Commands...)
 		}
 	}
@@ -95,7 +95,7 @@
 	assert.Empty(t, toldOf(effects), "the answer waits for the end to be agreed on")
 	assert.Equal(t, []EffectKind{SendToConnection}, toldOf(heardFrom(t, r, answerTo(end[0], claims.AnswerDone))))
 	step(r)
-	assert.Zero(t, r.claiming.desk.Size())
+	assert.Zero(t, r.claiming.client.Size())
 	assert.Equal(t, 1, r.Counters.Succeeded)
 }
 
@@ -141,7 +141,7 @@
 	for range 4_000 {
 		step(r)
 	}
-	require.False(t, r.claiming.desk.Connected())
+	require.False(t, r.claiming.client.Connected())
 	before := r.Counters.Throttled
 	step(r, Input{Kind: ConnectionOpened, Link: 8})
 	late := hold(1, "a1")
@@ -152,7 +152,7 @@
 		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
 	assert.Equal(t, before+1, r.Counters.Throttled)
-	assert.Zero(t, r.claiming.desk.Size())
+	assert.Zero(t, r.claiming.client.Size())
 }
 
 func TestWorkOfALostNodeIsRunAndItsEndAgreedOn(t *testing.T) {
@@ -214,7 +214,7 @@
 	effects := step(r, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("no letter at all, of any kind")})
 	assert.Contains(t, toldOf(effects), CloseStream)
 	step(r, Input{Kind: PeerStreamClosed, Link: 3})
-	assert.Empty(t, r.claiming.links)
+	assert.Empty(t, r.claiming.streams)
 }
 
 func TestEndOfARunOfAnEarlierLifeGoesToTheCouncil(t *testing.T) {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	configurationLinks = 1 << 32     // added to the numbers of its exchanges, so that they are told from membership's
-	ordersMost         = 8           // orders of operators that wait for the council, of up to 512 kB; more are told to ask again
-	orderFor           = 1_600 * ms  // ns that one waits here: its exchange ends after 2 s, and then it is asked again
-	orderEvery         = 400 * ms    // ns to the next try at having it ordered
-	answerBytes        = 384 << 10   // of blocks in one answer to an operator: an exchange carries 512 kB
-	looksAStep         = 8           // looks for changes in one step, each through 128 kB: a millisecond in all
-	seenEvery          = 100 * ms    // ns between looks at the view
-	fullEvery          = 10_000 * ms // ns after which the view is told again whether or not it seems to have changed
+	configLinkOffset      = 1 << 32     // added to the numbers of its exchanges, so that they are told from membership's
+	maxPendingProposals   = 8           // orders of operators that wait for the council, of up to 512 kB; more are told to ask again
+	proposalTimeout       = 1_600 * ms  // ns that one waits here: its exchange ends after 2 s, and then it is asked again
+	proposalRetryInterval = 400 * ms    // ns to the next try at having it ordered
+	maxAnswerBytes        = 384 << 10   // of blocks in one answer to an operator: an exchange carries 512 kB
+	maxSearchesPerStep    = 8           // looks for changes in one step, each through 128 kB: a millisecond in all
+	viewCheckInterval     = 100 * ms    // ns between looks at the view
+	viewRefreshInterval   = 10_000 * ms // ns after which the view is told again whether or not it seems to have changed
 )
 
 // configMessage is what nodes, and operators' commands, tell each other of the configuration.
@@ -75,40 +75,40 @@
 	Counters configsync.Counters `json:"counters"`
 }
 
-// order is one of an operator.
-type order struct {
-	command      configsync.Command
-	links        []int // exchanges that wait for its verdict
-	until, again int64
+// configProposal is one of an operator.
+type configProposal struct {
+	command            configsync.Command
+	exchanges          []int // exchanges that wait for its verdict
+	expiresAt, retryAt int64
 }
 
-// taking is a version on its way into force: all of it is checked in a first pass, and taken in a second.
-type taking struct {
-	mark     configsync.Revision
-	first    bool
-	only     bool // it is checked, and not taken
-	began    int64
-	old, new *configsync.Content
-	diff     *configsync.Difference
-	checking *nodeconfig.Checking // nil in the second pass
-	version  version
+// pendingConfig is a version on its way into force: all of it is checked in a first pass, and taken in a second.
+type pendingConfig struct {
+	mark       configsync.Revision
+	canary     bool
+	checkOnly  bool // it is checked, and not taken
+	startedAt  int64
+	old, new   *configsync.Content
+	diff       *configsync.Difference
+	validation *nodeconfig.Checking // nil in the second pass
+	version    version
 }
 
 // configSyncState is the door to the fleet's configuration in service. Without a holder it is shut: no timer, no cost.
 type configSyncState struct {
-	holder  *configsync.Replicator
-	inputs  []configsync.Input
-	wakeAt  int64
-	view    configsync.View
-	hash    uint64 // of the view
-	seenAt  int64
-	fullAt  int64
-	early   []Effect // from before the first step
-	taking  *taking
-	agreed  *configsync.Agreed // of this node's seat
-	current bool               // as the holder knows of that seat
-	orders  []*order           // by when they came
-	verdict []configsync.Verdict
+	replicator     *configsync.Replicator
+	inputs         []configsync.Input
+	wakeAt         int64
+	view           configsync.View
+	viewHash       uint64 // of the view
+	viewCheckAt    int64
+	viewRefreshAt  int64
+	startupEffects []Effect // from before the first step
+	pending        *pendingConfig
+	agreed         *configsync.Agreed // of this node's seat
+	replicaCurrent bool               // as the holder knows of that seat
+	proposals      []*configProposal  // by when they came
+	verdicts       []configsync.Verdict
 }
 
 // EnableConfigSync has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
@@ -120,7 +120,7 @@
 		for _, take := range []bool{false, true} {
 			checking := sm.config.Checking()
 			for diff := configsync.Diff(file, start.Content); ; {
-				changes, err := sm.changesOf(diff.Next(amendedAStep))
+				changes, err := sm.changesOf(diff.Next(maxChangesPerStep))
 				if err != nil {
 					return err
 				}
@@ -143,19 +143,19 @@
 		}
 	}
 	c := &sm.configSync
-	c.holder = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.members.Self().Name, Seed: seed}, start)
-	if seat := sm.claiming.seat; seat != nil {
+	c.replicator = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.members.Self().Name, Seed: seed}, start)
+	if seat := sm.claiming.replica; seat != nil {
 		seat.SetConfigValidator(sm.validateConfigCommand)
 	}
-	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.holder.Revision(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
+	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.replicator.Revision(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
 		Removed: v.counts[2]}})
-	c.early = slices.Clone(sm.effects)
+	c.startupEffects = slices.Clone(sm.effects)
 	return nil
 }
 
 // ConfigSyncState is how the node stands, nil where it takes nothing in service.
 func (sm *StateMachine) ConfigSyncState() *ConfigSyncState {
-	h := sm.configSync.holder
+	h := sm.configSync.replicator
 	if h == nil {
 		return nil
 	}
@@ -166,14 +166,14 @@
 
 // changesOf reads items, and says which this node can't take.
 func (sm *StateMachine) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
-	a, err := nodeconfig.Parse(plateItems(items))
+	a, err := nodeconfig.Parse(nodeconfigItems(items))
 	if err != nil {
 		return nil, err
 	}
 	return a.Changes, sm.validateChanges(a.Changes)
 }
 
-func plateItems(items []configsync.Item) []nodeconfig.Item {
+func nodeconfigItems(items []configsync.Item) []nodeconfig.Item {
 	list := make([]nodeconfig.Item, len(items))
 	for i := range items {
 		list[i] = nodeconfig.Item(items[i])
@@ -184,7 +184,7 @@
 // validateConfigCommand says why a change must not be ordered, as a check of a file would; empty where it may. What only some nodes can't
 // take they refuse themselves, at the first stage.
 func (sm *StateMachine) validateConfigCommand(command *configsync.Command) string {
-	if _, err := nodeconfig.Parse(plateItems(command.Changes)); err != nil {
+	if _, err := nodeconfig.Parse(nodeconfigItems(command.Changes)); err != nil {
 		return err.Error()
 	}
 	agreed := sm.configSync.agreed
@@ -213,7 +213,7 @@
 	c := &sm.configSync
 	m := l.Message
 	switch {
-	case c.holder == nil:
+	case c.replicator == nil:
 		if in.Kind == PeerRequestReceived {
 			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link})
 		}
@@ -231,13 +231,13 @@
 // applyConfigResponse takes the end of an exchange of the holder's.
 func (sm *StateMachine) applyConfigResponse(in *Input) {
 	c := &sm.configSync
-	if c.holder == nil {
+	if c.replicator == nil {
 		return
 	}
-	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configurationLinks}
+	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configLinkOffset}
 	if in.Kind == PeerResponseReceived {
 		var body configMessageBody
-		if err := envelope.Open(in.Bytes, sm.fleet.fleet, &body); err != nil {
+		if err := envelope.Open(in.Bytes, sm.fleet.id, &body); err != nil {
 			sm.log(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
 		} else if l := body.Configuration; l != nil && l.Message != nil && l.Message.Kind == configsync.Piece {
 			next.Kind, next.From, next.Message = configsync.Answered, l.From, l.Message
@@ -258,20 +258,20 @@
 // applyPendingConfig brings some of a version into force, before the module decides.
 func (sm *StateMachine) applyPendingConfig() {
 	c := &sm.configSync
-	for left := amendedAStep; c.taking != nil && left > 0; {
-		t := c.taking
+	for left := maxChangesPerStep; c.pending != nil && left > 0; {
+		t := c.pending
 		items := t.diff.Next(left)
-		left -= max(len(items), amendedAStep/looksAStep) // where they lie apart, looking for them is what costs
+		left -= max(len(items), maxChangesPerStep/maxSearchesPerStep) // where they lie apart, looking for them is what costs
 		changes, err := sm.changesOf(items)
 		switch {
-		case t.checking != nil && err == nil && len(items) > 0:
-			t.checking.Add(changes)
-		case t.checking != nil && err == nil:
-			if err = t.checking.Err(); err == nil && !t.only {
-				t.checking, t.diff = nil, configsync.Diff(t.old, t.new)
+		case t.validation != nil && err == nil && len(items) > 0:
+			t.validation.Add(changes)
+		case t.validation != nil && err == nil:
+			if err = t.validation.Err(); err == nil && !t.checkOnly {
+				t.validation, t.diff = nil, configsync.Diff(t.old, t.new)
 				continue
 			}
-		case t.checking == nil && sm.Invariants.Check(err == nil, "a version that was checked can be taken") && len(items) > 0:
+		case t.validation == nil && sm.Invariants.Check(err == nil, "a version that was checked can be taken") && len(items) > 0:
 			for i := range changes {
 				sm.applyChange(&t.version, changes[i])
 			}
@@ -283,20 +283,20 @@
 }
 
 // configApplied tells the holder of a version that is in force as a whole, or that can't be.
-func (sm *StateMachine) configApplied(t *taking, err error) {
+func (sm *StateMachine) configApplied(t *pendingConfig, err error) {
 	c := &sm.configSync
-	c.taking = nil
+	c.pending = nil
 	next := configsync.Input{Kind: configsync.Took, Mark: t.mark}
-	if t.only {
+	if t.checkOnly {
 		next.Kind = configsync.Checked
 	}
 	if err != nil {
 		sm.Counters.VersionsRefused++
 		next.Why = err.Error()
-	} else if !t.only {
+	} else if !t.checkOnly {
 		sm.versionApplied(&t.version)
-		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: t.mark, After: c.holder.Revision().Version, Source: "fleet", First: t.first,
-			Added: t.version.counts[0], Changed: t.version.counts[1], Removed: t.version.counts[2], TookNS: sm.now - t.began}})
+		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: t.mark, After: c.replicator.Revision().Version, Source: "fleet", First: t.canary,
+			Added: t.version.counts[0], Changed: t.version.counts[1], Removed: t.version.counts[2], TookNS: sm.now - t.startedAt}})
 	}
 	c.inputs = append(c.inputs, next)
 }
@@ -304,47 +304,47 @@
 // stepConfigSync steps the holder when something came or is due.
 func (sm *StateMachine) stepConfigSync() {
 	c := &sm.configSync
-	if c.holder == nil {
+	if c.replicator == nil {
 		return
 	}
-	sm.effects, c.early = append(sm.effects, c.early...), nil
+	sm.effects, c.startupEffects = append(sm.effects, c.startupEffects...), nil
 	if agreed, changed := sm.agreedAtReplica(); changed {
 		c.agreed = agreed
 		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
-	if seat := sm.claiming.seat; seat != nil && seat.IsCurrent() != c.current {
-		c.current = !c.current
-		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Stood, Current: c.current})
+	if seat := sm.claiming.replica; seat != nil && seat.IsCurrent() != c.replicaCurrent {
+		c.replicaCurrent = !c.replicaCurrent
+		c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Stood, Current: c.replicaCurrent})
 	}
 	sm.observeFleet()
-	for round := 0; round < roundsMost && (len(c.inputs) > 0 || round == 0 && sm.now >= c.wakeAt); round++ {
+	for round := 0; round < maxRoundsPerStep && (len(c.inputs) > 0 || round == 0 && sm.now >= c.wakeAt); round++ {
 		inputs := c.inputs
 		c.inputs = nil
 		var effects []configsync.Effect
-		effects, c.wakeAt = c.holder.Step(sm.now, inputs)
+		effects, c.wakeAt = c.replicator.Step(sm.now, inputs)
 		for k := range effects {
 			sm.executeConfigEffect(&effects[k])
 		}
 	}
-	sm.expireOrders()
+	sm.stepProposals()
 }
 
 // observeFleet tells the holder whom this node can reach, where that changed.
 func (sm *StateMachine) observeFleet() {
 	c := &sm.configSync
-	if sm.now < c.seenAt {
+	if sm.now < c.viewCheckAt {
 		return
 	}
-	c.seenAt = sm.now + seenEvery
+	c.viewCheckAt = sm.now + viewCheckInterval
 	hash, _ := sm.fleet.members.Hash()
 	neighbours := sm.fleet.members.Neighbours()
-	if hash == c.hash && slices.Equal(neighbours, c.view.Neighbours) && sm.now < c.fullAt {
+	if hash == c.viewHash && slices.Equal(neighbours, c.view.Neighbours) && sm.now < c.viewRefreshAt {
 		return
 	}
-	c.hash, c.fullAt = hash, sm.now+fullEvery
+	c.viewHash, c.viewRefreshAt = hash, sm.now+viewRefreshInterval
 	self := sm.fleet.members.Self().Name
 	c.view = configsync.View{Neighbours: neighbours, Zone: sm.fleet.members.InZone(),
-		Seats: slices.DeleteFunc(slices.Clone(sm.claiming.seats), func(name string) bool { return name == self })}
+		Seats: slices.DeleteFunc(slices.Clone(sm.claiming.replicas), func(name string) bool { return name == self })}
 	view := c.view
 	c.inputs = append(c.inputs, configsync.Input{Kind: configsync.Viewed, View: &view})
 }
@@ -355,7 +355,7 @@
 	case configsync.Send:
 		sm.sendConfigMessage(e.To, e.Message)
 	case configsync.Exchange:
-		link := configurationLinks + e.Link
+		link := configLinkOffset + e.Link
 		if address, known := sm.fleet.members.AddressOf(e.To); known {
 			sm.sendConfigEnvelope(Effect{Kind: OpenExchange, Link: link, Address: address}, &configMessage{Message: e.Message})
 		} else {
@@ -364,13 +364,13 @@
 	case configsync.Reply:
 		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &configMessage{Message: e.Message})
 	case configsync.Take, configsync.Check:
-		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configsync.Check, began: sm.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
-			checking: sm.config.Checking(), version: version{number: e.Mark.Version}}
+		t := &pendingConfig{mark: e.Mark, canary: e.First, checkOnly: e.Kind == configsync.Check, startedAt: sm.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
+			validation: sm.config.Checking(), version: version{number: e.Mark.Version}}
 		if sm.hollow.on { // it has no module that could not take it
 			sm.configApplied(t, nil)
 			return
 		}
-		c.taking = t
+		c.pending = t
 	case configsync.Persist:
 		kept := *e
 		sm.emit(Effect{Kind: PersistVersion, Persisting: &kept})
@@ -393,11 +393,11 @@
 		return
 	}
 	l := &configMessage{From: sm.fleet.members.Self().Name, Message: m}
-	text, err := envelope.Seal(nil, sm.fleet.fleet, configMessageBody{l})
+	text, err := envelope.Seal(nil, sm.fleet.id, configMessageBody{l})
 	if err == nil && len(text) > envelope.DatagramMost && len(m.Records) > 0 {
 		short := *m
 		short.Records, l.Message = nil, &short
-		text, err = envelope.Seal(nil, sm.fleet.fleet, configMessageBody{l})
+		text, err = envelope.Seal(nil, sm.fleet.id, configMessageBody{l})
 	}
 	if sm.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a word on the configuration can be written, and fits any path") {
 		sm.emit(Effect{Kind: SendDatagram, Address: address, Bytes: text})
@@ -412,8 +412,8 @@
 	case q.Kind == configsync.ShowStanding:
 		sm.fillConfigAnswer(a)
 	case q.Kind == configsync.ReadBlocks:
-		content := c.holder.Content()
-		a.Mark = c.holder.Revision()
+		content := c.replicator.Content()
+		a.Mark = c.replicator.Revision()
 		if q.Which != configsync.InForce && c.agreed == nil {
 			a.Why = "it has no seat in the council, or its seat knows nothing yet"
 		} else if q.Which == configsync.ForAll {
@@ -422,20 +422,20 @@
 			content, a.Mark = c.agreed.Newest, configsync.Revision{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}
 		}
 		if a.Why == "" {
-			a.Blocks, a.Next = content.Blocks(q.From, answerBytes)
+			a.Blocks, a.Next = content.Blocks(q.From, maxAnswerBytes)
 		}
 	case q.Kind == configsync.Propose && q.Command != nil && q.Command.From != "" &&
 		(q.Command.Kind == configsync.Put || q.Command.Kind == configsync.Rollback):
-		o := c.order(q.Command.From, q.Command.Seq)
-		if o == nil && len(c.orders) >= ordersMost {
+		o := c.findProposal(q.Command.From, q.Command.Seq)
+		if o == nil && len(c.proposals) >= maxPendingProposals {
 			a.Why = "too many orders wait here"
 			break
 		}
 		if o == nil {
-			o = &order{command: *q.Command, again: sm.now}
-			c.orders = append(c.orders, o)
+			o = &configProposal{command: *q.Command, retryAt: sm.now}
+			c.proposals = append(c.proposals, o)
 		}
-		o.links, o.until = append(o.links, link), sm.now+orderFor
+		o.exchanges, o.expiresAt = append(o.exchanges, link), sm.now+proposalTimeout
 		return
 	default:
 		a.Why = "it doesn't know this question; it may be of an older build"
@@ -446,16 +446,16 @@
 // fillConfigAnswer says how this node stands, and at a seat what it knows of others.
 func (sm *StateMachine) fillConfigAnswer(a *configsync.Answer) {
 	c := &sm.configSync
-	s := c.holder.Status(sm.now)
+	s := c.replicator.Status(sm.now)
 	a.Status, a.Mark = &s, s.Mark
-	for _, name := range sm.claiming.seats {
+	for _, name := range sm.claiming.replicas {
 		address, _ := sm.fleet.members.AddressOf(name)
 		a.Seats = append(a.Seats, configsync.Place{Name: name, Address: address})
 	}
 	if c.agreed == nil {
 		return
 	}
-	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: sm.claiming.seat.RollbackVersions(), Nodes: c.holder.Statuses.Statuses(),
+	seat := &configsync.AtSeat{Head: c.agreed.Head, Good: sm.claiming.replica.RollbackVersions(), Nodes: c.replicator.Statuses.Statuses(),
 		Newest: configsync.Revision{Version: c.agreed.Head.Newest, Digest: c.agreed.Newest.Digest()}}
 	for k := range seat.Nodes {
 		seat.Nodes[k].At = sm.now - seat.Nodes[k].At
@@ -464,9 +464,9 @@
 	a.Seat = seat
 }
 
-// order finds one that waits, nil where there is none.
-func (c *configSyncState) order(from string, seq uint64) *order {
-	for _, o := range c.orders {
+// findProposal finds one that waits, nil where there is none.
+func (c *configSyncState) findProposal(from string, seq uint64) *configProposal {
+	for _, o := range c.proposals {
 		if o.command.From == from && o.command.Seq == seq {
 			return o
 		}
@@ -474,54 +474,54 @@
 	return nil
 }
 
-// decided takes verdicts of the council.
-func (c *configSyncState) decided(list []configsync.Verdict) {
-	if c.holder != nil {
-		c.verdict = append(c.verdict, list...)
+// addVerdicts takes verdicts of the council.
+func (c *configSyncState) addVerdicts(list []configsync.Verdict) {
+	if c.replicator != nil {
+		c.verdicts = append(c.verdicts, list...)
 	}
 }
 
-// expireOrders answers orders that have a verdict or waited for too long, and has others ordered again.
-func (sm *StateMachine) expireOrders() {
+// stepProposals answers orders that have a verdict or waited for too long, and has others ordered again.
+func (sm *StateMachine) stepProposals() {
 	c := &sm.configSync
-	for k := range c.verdict {
-		v := &c.verdict[k]
-		if o := c.order(v.From, v.Seq); o != nil {
-			sm.answerOrder(o, &configsync.Answer{Verdict: v})
+	for k := range c.verdicts {
+		v := &c.verdicts[k]
+		if o := c.findProposal(v.From, v.Seq); o != nil {
+			sm.answerProposal(o, &configsync.Answer{Verdict: v})
 		}
 	}
-	c.verdict = nil
-	for _, o := range slices.Clone(c.orders) {
-		if sm.now >= o.until {
-			sm.answerOrder(o, &configsync.Answer{Why: "no verdict of the council in time"})
-		} else if sm.now >= o.again {
-			o.again = sm.now + orderEvery
+	c.verdicts = nil
+	for _, o := range slices.Clone(c.proposals) {
+		if sm.now >= o.expiresAt {
+			sm.answerProposal(o, &configsync.Answer{Why: "no verdict of the council in time"})
+		} else if sm.now >= o.retryAt {
+			o.retryAt = sm.now + proposalRetryInterval
 			sm.proposeToGroup(nil, nil, o.command)
 		}
 	}
 }
 
-func (sm *StateMachine) answerOrder(o *order, a *configsync.Answer) {
+func (sm *StateMachine) answerProposal(o *configProposal, a *configsync.Answer) {
 	a.Node = sm.fleet.members.Self().Name
-	for _, link := range o.links {
+	for _, link := range o.exchanges {
 		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: a})
 	}
 	c := &sm.configSync
-	c.orders = slices.DeleteFunc(c.orders, func(other *order) bool { return other == o })
+	c.proposals = slices.DeleteFunc(c.proposals, func(other *configProposal) bool { return other == o })
 }
 
 // configSyncDue is when the door is to step again.
 func (sm *StateMachine) configSyncDue() int64 {
 	c := &sm.configSync
-	if c.holder == nil {
+	if c.replicator == nil {
 		return never
 	}
-	if c.taking != nil || len(c.inputs)+len(c.verdict) > 0 {
+	if c.pending != nil || len(c.inputs)+len(c.verdicts) > 0 {
 		return sm.now + 1
 	}
 	at := int64(math.MaxInt64)
-	for _, o := range c.orders {
-		at = min(at, o.until, o.again)
+	for _, o := range c.proposals {
+		at = min(at, o.expiresAt, o.retryAt)
 	}
 	return max(min(at, c.wakeAt), sm.now+1)
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -44,7 +44,7 @@
 	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
-	for r.claiming.seat.Leader() == "" {
+	for r.claiming.replica.Leader() == "" {
 		step(r)
 	}
 	return effects
@@ -111,7 +111,7 @@
 
 // allOf is the file's content as items.
 func allOf(r *StateMachine) (items []nodeconfig.Item) {
-	for i := range r.configSync.holder.Content().All {
+	for i := range r.configSync.replicator.Content().All {
 		items = append(items, nodeconfig.Item(i))
 	}
 	return items
@@ -132,7 +132,7 @@
 	require.True(t, v.Done, v.Refused)
 	in := kindsOf(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
-	assert.Equal(t, VersionInForce{Mark: r.configSync.holder.Revision(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
+	assert.Equal(t, VersionInForce{Mark: r.configSync.replicator.Revision(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
 		TookNS: in[0].InForce.TookNS}, *in[0].InForce)
 	kept := kindsOf(effects, PersistVersion)
 	require.Len(t, kept, 1)
@@ -194,9 +194,9 @@
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
 	servingNode(t, r)
-	content := r.configSync.holder.Content()
+	content := r.configSync.replicator.Content()
 	var items []configsync.Item
-	for k := range 10 * amendedAStep {
+	for k := range 10 * maxChangesPerStep {
 		items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
 	}
 	next, err := content.Apply(items)
@@ -204,16 +204,16 @@
 	mark := configsync.Revision{Version: 9, Digest: next.Digest()}
 	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Mark: mark, Old: content, New: next})
 	steps := 0
-	for ; r.configSync.taking != nil; steps++ {
+	for ; r.configSync.pending != nil; steps++ {
 		was := r.config.Tenants.Slots()
 		effects := r.Step(r.now+ms, r.now+ms+1_000_000*ms, nil)
-		assert.LessOrEqual(t, r.config.Tenants.Slots()-was, amendedAStep)
-		if r.configSync.taking != nil {
+		assert.LessOrEqual(t, r.config.Tenants.Slots()-was, maxChangesPerStep)
+		if r.configSync.pending != nil {
 			assert.Equal(t, r.now+1, effects[len(effects)-1].At, "it goes on at once")
 		}
 	}
 	assert.GreaterOrEqual(t, steps, 20, "looked at and taken a part at a time")
-	assert.Equal(t, 10*amendedAStep, r.config.Tenants.Len())
+	assert.Equal(t, 10*maxChangesPerStep, r.config.Tenants.Len())
 	assert.Equal(t, uint64(9), r.ActiveVersion())
 }
 
@@ -232,16 +232,16 @@
 		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 		require.NoError(t, err)
 		servingNode(t, r)
-		before, content := r.config.Own(), r.configSync.holder.Content()
+		before, content := r.config.Own(), r.configSync.replicator.Content()
 		items := []configsync.Item{configsync.Item(c.item)}
-		for k := range 3 * amendedAStep {
+		for k := range 3 * maxChangesPerStep {
 			items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
 		}
 		next, err := content.Apply(items)
 		require.NoError(t, err)
 		e := &configsync.Effect{Kind: configsync.Check, Mark: configsync.Revision{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
 		r.executeConfigEffect(e)
-		require.NotNil(t, r.configSync.taking)
+		require.NotNil(t, r.configSync.pending)
 		if c.taken {
 			step(r)
 			again := *e
@@ -249,7 +249,7 @@
 			r.executeConfigEffect(&again)
 		}
 		var all []Effect
-		for steps := 0; r.configSync.taking != nil; steps++ {
+		for steps := 0; r.configSync.pending != nil; steps++ {
 			all = append(all, step(r)...)
 			require.Less(t, steps, 20, c.name)
 		}
@@ -300,7 +300,7 @@
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
 	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "where it is off the exchange is closed")
 	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
-	assert.Zero(t, r.fleet.letters.Spoilt)
+	assert.Zero(t, r.fleet.counters.Spoilt)
 	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
 		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
 	var body peerMessage
@@ -332,11 +332,11 @@
 	servingNode(t, r)
 	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Revision{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
-	for ; r.configSync.taking != nil; steps++ {
-		taking := r.configSync.taking
+	for ; r.configSync.pending != nil; steps++ {
+		taking := r.configSync.pending
 		require.Less(t, steps, 1_000)
 		r.applyPendingConfig()
-		if taken := taking.version.counts[1]; taking.checking == nil {
+		if taken := taking.version.counts[1]; taking.validation == nil {
 			assert.LessOrEqual(t, taken-last, most)
 			last = taken
 		}
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -218,6 +218,6 @@
 		sameBothWays(t, "picture-v1.bin", fullValue[consensus.Summary](1), letterOf, openLetter)
 	})
 	t.Run("what an heir needs", func(t *testing.T) {
-		sameBothWays(t, "work-v1.cbor", fullValue[work](1), cbor.Marshal, cbor.Unmarshal)
+		sameBothWays(t, "work-v1.cbor", fullValue[takeoverWork](1), cbor.Marshal, cbor.Unmarshal)
 	})
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	hollowFor    = 5_000 * ms  // ns that a hollow token may wait for the fleet: a usual client timeout
-	hollowWindow = 10_000 * ms // ns that it is known once it ended
-	hollowRun    = 40 * ms     // ns of its run
-	hollowBody   = 256         // bytes of what an heir would need
-	hollowResult = 64          // bytes of its result
-	hollowMost   = 4_096       // tokens in hand at one node; more are turned away
+	hollowClaimTimeout  = 5_000 * ms  // ns that a hollow token may wait for the fleet: a usual client timeout
+	hollowTokenLifetime = 10_000 * ms // ns that it is known once it ended
+	hollowRunTime       = 40 * ms     // ns of its run
+	hollowWorkBytes     = 256         // bytes of what an heir would need
+	hollowResultBytes   = 64          // bytes of its result
+	maxHollowTokens     = 4_096       // tokens in hand at one node; more are turned away
 )
 
 // HollowCounters count what a hollow node was asked to do; they are read while it runs. Times are nanoseconds.
@@ -32,22 +32,22 @@
 // hollowState is what a node without dispatchers, executor, reports and module has in their place: tokens and calls that inputs
 // ask for, and runs that take their time and nothing else.
 type hollowState struct {
-	on       bool
-	onlySeat bool // it has no load, inherits nothing and is of no use to callers
-	counters *HollowCounters
-	tokens   map[claims.Key]*hollowToken
-	calls    int // wanted at a time
+	on          bool
+	replicaOnly bool // it has no load, inherits nothing and is of no use to callers
+	counters    *HollowCounters
+	tokens      map[claims.Key]*hollowToken
+	wantedCalls int // wanted at a time
 }
 
 type hollowToken struct {
-	came, due, ends int64 // ends is set while it runs
-	running, over   bool  // over: its end is on its way to the council
+	requestedAt, deadline, endsAt int64 // ends is set while it runs
+	running, ended                bool  // over: its end is on its way to the council
 }
 
 // MakeHollow has the node do only what nodes do among themselves, before Peer, Convene and Lease. TokenWanted and CallsWanted
 // are its load; with onlySeat it has none.
 func (sm *StateMachine) MakeHollow(counters *HollowCounters, onlySeat bool) {
-	sm.hollow = hollowState{on: true, onlySeat: onlySeat, counters: counters, tokens: map[claims.Key]*hollowToken{}}
+	sm.hollow = hollowState{on: true, replicaOnly: onlySeat, counters: counters, tokens: map[claims.Key]*hollowToken{}}
 	sm.listenerClosed = true // there is none
 }
 
@@ -58,14 +58,14 @@
 		return
 	}
 	if in.Kind == HollowCallsRequested {
-		h.calls = in.Link
-		h.counters.Calls.Store(int64(h.calls))
+		h.wantedCalls = in.Link
+		h.counters.Calls.Store(int64(h.wantedCalls))
 		sm.leases.at = sm.now
 		return
 	}
 	h.counters.Wanted.Add(1)
 	c := &sm.claiming
-	if c.desk == nil || !c.desk.Connected() || !c.desk.HasCapacity() || len(h.tokens) >= hollowMost {
+	if c.client == nil || !c.client.Connected() || !c.client.HasCapacity() || len(h.tokens) >= maxHollowTokens {
 		h.counters.TurnedAway.Add(1)
 		return
 	}
@@ -73,14 +73,14 @@
 	if h.tokens[key] != nil {
 		return
 	}
-	h.tokens[key] = &hollowToken{came: sm.now, due: sm.now + hollowFor}
+	h.tokens[key] = &hollowToken{requestedAt: sm.now, deadline: sm.now + hollowClaimTimeout}
 	hash := xxhash.Sum64(in.Bytes)
-	want := claims.Input{Kind: claims.RequestClaim, Key: key, BodyHash: hash, Remaining: hollowFor, Window: hollowWindow, InvocationID: fmt.Sprintf("%016x", hash),
-		Work: binary.LittleEndian.AppendUint64(make([]byte, hollowBody-8), hash)}
+	want := claims.Input{Kind: claims.RequestClaim, Key: key, BodyHash: hash, Remaining: hollowClaimTimeout, Window: hollowTokenLifetime, InvocationID: fmt.Sprintf("%016x", hash),
+		Work: binary.LittleEndian.AppendUint64(make([]byte, hollowWorkBytes-8), hash)}
 	sm.addClaimInput(want)
 	want.Kind = claims.RequestStart
 	sm.addClaimInput(want)
-	c.sweep = min(c.sweep, sm.now+sweepClaims)
+	c.sweepAt = min(c.sweepAt, sm.now+claimSweepInterval)
 }
 
 // hollowOperation is the first that is deduplicated.
@@ -103,8 +103,8 @@
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
 			return
 		}
-		t.running, t.ends = true, sm.now+hollowRun
-		took := sm.now - t.came
+		t.running, t.endsAt = true, sm.now+hollowRunTime
+		took := sm.now - t.requestedAt
 		h.counters.Begun.Add(1)
 		h.counters.BeginSum.Add(took)
 		if took > h.counters.BeginMost.Load() {
@@ -118,8 +118,8 @@
 	case claims.TakeOver:
 		h.counters.Taken.Add(1)
 		if t == nil {
-			h.tokens[a.Key] = &hollowToken{came: sm.now, due: sm.now + a.Duration}
-			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Window: hollowWindow, Work: a.Work})
+			h.tokens[a.Key] = &hollowToken{requestedAt: sm.now, deadline: sm.now + a.Duration}
+			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Window: hollowTokenLifetime, Work: a.Work})
 		}
 	default: // it ended elsewhere, or there is no room for it
 		if t != nil {
@@ -133,10 +133,10 @@
 func (sm *StateMachine) expireHollowTokens() {
 	for key, t := range sm.hollow.tokens {
 		switch {
-		case t.running && !t.over && sm.now >= t.ends:
-			t.over = true
-			sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: key, Outcome: uint8(resultcache.Succeeded), Result: make([]byte, hollowResult)})
-		case !t.running && sm.now >= t.due-dueLead:
+		case t.running && !t.ended && sm.now >= t.endsAt:
+			t.ended = true
+			sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: key, Outcome: uint8(resultcache.Succeeded), Result: make([]byte, hollowResultBytes)})
+		case !t.running && sm.now >= t.deadline-answerMargin:
 			sm.hollow.counters.Late.Add(1)
 			delete(sm.hollow.tokens, key)
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: key})
@@ -148,10 +148,10 @@
 func (sm *StateMachine) callDemand() (inHand, standing int, decides bool) {
 	if h := &sm.hollow; h.on {
 		allowed := sm.leases.holder.Allowed(sm.now)
-		inHand = int(min(int64(h.calls), allowed))
+		inHand = int(min(int64(h.wantedCalls), allowed))
 		h.counters.Allowed.Store(allowed)
 		h.counters.InHand.Store(int64(inHand))
-		return inHand, h.calls - inHand, true
+		return inHand, h.wantedCalls - inHand, true
 	}
 	if sm.controller == nil {
 		return 0, 0, false
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -46,7 +46,7 @@
 	r, c := hollowNode(t)
 	now := int64(0)
 	came := run(t, r, &now, 4_000*ms)
-	require.True(t, r.claiming.desk.Connected())
+	require.True(t, r.claiming.client.Connected())
 	var tokens []Input
 	for k := range 9 {
 		tokens = append(tokens, Input{Kind: HollowClaimRequested, Bytes: fmt.Append(nil, "t", k)})
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -16,32 +16,32 @@
 
 const tokenMost = 128 // bytes of a token
 
-var errToken = errors.New("the token came with another body before")
+var errTokenReused = errors.New("the token came with another body before")
 
 // resultState is the door to what becomes of tokened invocations; without a keeper tokens mean nothing.
 type resultState struct {
-	keeper  *resultcache.Cache
-	token   string // name of the field that carries it
-	held    map[resultcache.Key]*pendingRun
-	unread  bool // the store of an earlier life is not read yet
-	inputs  []resultcache.Input
-	running bool // the keeper steps
-	stored  int  // records that a start found
+	keeper     *resultcache.Cache
+	token      string // name of the field that carries it
+	pending    map[resultcache.Key]*pendingRun
+	recovering bool // the store of an earlier life is not read yet
+	inputs     []resultcache.Input
+	stepping   bool // the keeper steps
+	recovered  int  // records that a start found
 }
 
 // pendingRun is a token whose invocation the module holds; repeats wait for it.
 type pendingRun struct {
-	first   int32
-	hash    uint64
-	waiting []int32
+	original   int32
+	bodyHash   uint64
+	duplicates []int32
 }
 
 // EnableResultCache has the node keep results of tokened invocations, whose token comes in a field. With unread, tokened work is
 // turned away until KeptRead tells that the store was read.
 func (sm *StateMachine) EnableResultCache(rules resultcache.Config, field string, unread bool) {
 	sm.config.Node.MaxDeduplicationEntries = rules.MaxTokens()
-	sm.versions.numbers = unread
-	sm.results = resultState{keeper: resultcache.New(rules), token: field, held: make(map[resultcache.Key]*pendingRun), unread: unread}
+	sm.versions.indicesPinned = unread
+	sm.results = resultState{keeper: resultcache.New(rules), token: field, pending: make(map[resultcache.Key]*pendingRun), recovering: unread}
 }
 
 // Results is what an operator may want to see of the tokens, nil where none are kept.
@@ -54,7 +54,7 @@
 
 // awaitingRecovery says whether a tokened invocation must be turned away: what ran in an earlier life is not known yet.
 func (sm *StateMachine) awaitingRecovery(v *invocation) bool {
-	return sm.results.unread && v.tokenKey.Token != ""
+	return sm.results.recovering && v.tokenKey.Token != ""
 }
 
 // findOriginal finds what an invocation findOriginal, and tells the module as the simulator's wire does.
@@ -68,14 +68,14 @@
 		return nil
 	}
 	v.tokenKey.Operation, v.tokenKey.Tenant, v.bodyHash = e.OperationIndex, e.Tenant, xxhash.Sum64(v.body)
-	if h := k.held[v.tokenKey]; h != nil {
-		if h.hash != v.bodyHash {
-			return errToken
+	if h := k.pending[v.tokenKey]; h != nil {
+		if h.bodyHash != v.bodyHash {
+			return errTokenReused
 		}
-		e.Original = h.first
+		e.Original = h.original
 	} else if hash, known := k.keeper.BodyHash(v.tokenKey); known {
 		if hash != v.bodyHash {
-			return errToken
+			return errTokenReused
 		}
 		e.Original = admission.OriginalEnded
 	}
@@ -85,7 +85,7 @@
 // deferInvocation notes a token's first invocation, which the module may deferInvocation, run or turn away.
 func (sm *StateMachine) deferInvocation(i, repeats int32) {
 	if v := &sm.invocations[i]; v.tokenKey.Token != "" && repeats == admission.NoOriginal {
-		sm.results.held[v.tokenKey] = &pendingRun{first: i, hash: v.bodyHash}
+		sm.results.pending[v.tokenKey] = &pendingRun{original: i, bodyHash: v.bodyHash}
 		sm.claimToken(i)
 	}
 }
@@ -96,8 +96,8 @@
 	if !sm.Invariants.Check(v.live && !v.answered && v.tokenKey.Token != "", "only a repeat of a token is reused") {
 		return
 	}
-	if h := sm.results.held[v.tokenKey]; h != nil {
-		h.waiting = append(h.waiting, i)
+	if h := sm.results.pending[v.tokenKey]; h != nil {
+		h.duplicates = append(h.duplicates, i)
 		return
 	}
 	if _, known := sm.results.keeper.BodyHash(v.tokenKey); !known { // its first was turned away unrun in the same step
@@ -113,7 +113,7 @@
 	v.inCache = true
 	until := v.tokenExpiresAt
 	if until == 0 {
-		until = sm.now + v.terms.known
+		until = sm.now + v.terms.tokenLifetime
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.tokenKey, BodyHash: v.bodyHash, Remaining: until - sm.now})
 }
@@ -121,14 +121,14 @@
 // startTokenRun lets a token's first run, and those that waited for it join.
 func (sm *StateMachine) startTokenRun(i int32) {
 	v := &sm.invocations[i]
-	h := sm.results.held[v.tokenKey]
-	if sm.Invariants.Check(h != nil && h.first == i, "a token's first invocation runs") {
-		delete(sm.results.held, v.tokenKey)
+	h := sm.results.pending[v.tokenKey]
+	if sm.Invariants.Check(h != nil && h.original == i, "a token's first invocation runs") {
+		delete(sm.results.pending, v.tokenKey)
 	} else {
 		h = &pendingRun{}
 	}
 	sm.queryCache(i)
-	for _, j := range h.waiting {
+	for _, j := range h.duplicates {
 		sm.queryCache(j)
 	}
 }
@@ -154,8 +154,8 @@
 	if v.terms != sm.currentTerms(v.operation) {
 		e.Deadline = v.deadline // its client timeout is that of its terms
 	}
-	if h := sm.results.held[v.tokenKey]; h != nil {
-		e.Original = h.first
+	if h := sm.results.pending[v.tokenKey]; h != nil {
+		e.Original = h.original
 	}
 	sm.invocations[j].arrival, sm.invocations[j].arrivedAt = e, sm.now
 	sm.deferInvocation(j, e.Original)
@@ -169,13 +169,13 @@
 	if v.tokenKey.Token == "" {
 		return false
 	}
-	if h := k.held[v.tokenKey]; h != nil && !v.inCache {
-		if h.first != i {
-			h.waiting = slices.DeleteFunc(h.waiting, func(j int32) bool { return j == i })
+	if h := k.pending[v.tokenKey]; h != nil && !v.inCache {
+		if h.original != i {
+			h.duplicates = slices.DeleteFunc(h.duplicates, func(j int32) bool { return j == i })
 			return false
 		}
-		delete(k.held, v.tokenKey)
-		for _, j := range h.waiting {
+		delete(k.pending, v.tokenKey)
+		for _, j := range h.duplicates {
 			sm.askCacheAgain(j)
 		}
 		return false
@@ -222,15 +222,15 @@
 	switch in.Kind {
 	case RecordsRecovered:
 		for _, s := range in.Records {
-			k.stored++
+			k.recovered++
 			k.inputs = append(k.inputs, resultcache.Input{Kind: resultcache.RecordRecovered, Key: s.Key, BodyHash: s.BodyHash, Completed: s.Completed, Outcome: s.Outcome,
 				Result: s.Result})
 		}
 		sm.stepCache()
 	case RecoveryCompleted:
-		k.unread = false
+		k.recovering = false
 		sm.stepCache(resultcache.Input{Kind: resultcache.RecoveryCompleted})
-		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.stored,
+		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", k.recovered,
 			k.keeper.Counters.Entries, k.keeper.Counters.Unknown), "", nil)
 	case RecordWritten, RecordWriteFailed:
 		failing := k.keeper.StoreFailing()
@@ -254,10 +254,10 @@
 func (sm *StateMachine) stepCache(inputs ...resultcache.Input) {
 	k := &sm.results
 	k.inputs = append(k.inputs, inputs...)
-	if k.running {
+	if k.stepping {
 		return
 	}
-	k.running = true
+	k.stepping = true
 	for len(k.inputs) > 0 {
 		batch := k.inputs
 		k.inputs = nil
@@ -265,7 +265,7 @@
 			sm.executeCacheAction(&a)
 		}
 	}
-	k.running = false
+	k.stepping = false
 }
 
 func (sm *StateMachine) executeCacheAction(a *resultcache.Action) {
@@ -277,20 +277,20 @@
 			sm.startRun(a.Invocation, v.runForm)
 		}
 	case resultcache.WriteStart:
-		if sm.claiming.desk != nil {
+		if sm.claiming.client != nil {
 			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: a.Until - sm.now, Window: a.Until - sm.now})
 			return
 		}
 		sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Until - sm.now}})
 	case resultcache.WriteEnd:
-		if sm.claiming.desk != nil {
+		if sm.claiming.client != nil {
 			sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
 			return
 		}
 		sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
 			Remaining: sm.maxTokenLifetime(a.Key.Operation)}})
 	case resultcache.RemoveRecord:
-		if sm.claiming.desk != nil {
+		if sm.claiming.client != nil {
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: sm.claimKey(a.Key)})
 		}
 	case resultcache.Join:
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -137,7 +137,7 @@
 
 func TestWhatRanInAnEarlierLifeIsNotRunAgain(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
-	r.results.unread = true
+	r.results.recovering = true
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, hold(1, "a"))), "not known yet")
 	begun := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "a"}, BodyHash: bodyHash}
 	done := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
@@ -161,8 +161,8 @@
 		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
 	var first int32 = -1
-	for _, h := range r.results.held {
-		first = max(first, h.first)
+	for _, h := range r.results.pending {
+		first = max(first, h.original)
 	}
 	require.GreaterOrEqual(t, first, int32(0), "some wait unrun")
 	v := r.invocations[first]
@@ -172,9 +172,9 @@
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
 	step(r)
 	assert.Equal(t, open, r.owedAnswers)
-	h := r.results.held[v.tokenKey]
+	h := r.results.pending[v.tokenKey]
 	require.NotNil(t, h)
-	assert.Equal(t, id(100), r.invocations[h.first].call, "the repeat is its token's first now")
+	assert.Equal(t, id(100), r.invocations[h.original].call, "the repeat is its token's first now")
 }
 
 func TestTokensMeanNothingWhereNoneAreKept(t *testing.T) {
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -41,16 +41,16 @@
 
 // degradationState is the door's state of the levels; the zero value has no plan.
 type degradationState struct {
-	plan     *DegradationPlan
-	source   *DegradationPlan  // as it was given
-	names    *nodeconfig.Names // of operations, by index in the source
-	steps    *degradation.Controller
-	chance   *rand.Rand
-	measures admission.LoadMetrics
-	served   []ServiceCounts // by level, since the plan was taken
-	stay     ServiceCounts   // since the last change
-	spent    []int64         // ns in each level
-	since    int64
+	plan        *DegradationPlan
+	given       *DegradationPlan  // as it was given
+	givenNames  *nodeconfig.Names // of operations, by index in the source
+	steps       *degradation.Controller
+	random      *rand.Rand
+	metrics     admission.LoadMetrics
+	totals      []ServiceCounts // by level, since the plan was taken
+	current     ServiceCounts   // since the last change
+	timeByLevel []int64         // ns in each level
+	enteredAt   int64
 }
 
 // applyPlan takes a plan, or another one; nil ends the levels. A plan that does not fit the operations changes nothing.
@@ -69,10 +69,10 @@
 				fmt.Errorf("%v: %s", faults[0].Path, faults[0].Description))
 			return
 		}
-		plan = fitted(plan, names, sm.config.Operations)
+		plan = fitPlan(plan, names, sm.config.Operations)
 	}
-	if l.chance == nil {
-		l.chance = rand.New(rand.NewSource(sm.config.Node.Seed ^ 0x6c6576656c73))
+	if l.random == nil {
+		l.random = rand.New(rand.NewSource(sm.config.Node.Seed ^ 0x6c6576656c73))
 	}
 	change := degradation.Change{Cause: degradation.PlanReplaced}
 	from := ""
@@ -82,34 +82,34 @@
 		return
 	case plan == nil:
 		from = l.plan.LevelName(l.steps.Level())
-		change.From, change.PreviousTime = l.steps.Level(), sm.now-l.since
+		change.From, change.PreviousTime = l.steps.Level(), sm.now-l.enteredAt
 	case l.steps == nil:
-		steps = degradation.NewController(&plan.Plan, sm.now, l.chance)
+		steps = degradation.NewController(&plan.Plan, sm.now, l.random)
 	default:
 		from = l.plan.LevelName(l.steps.Level())
-		steps, change = l.steps.ReplacePlan(&plan.Plan, sm.now, l.chance)
+		steps, change = l.steps.ReplacePlan(&plan.Plan, sm.now, l.random)
 	}
-	before := l.stay
+	before := l.current
 	if l.plan != nil {
-		l.account(sm.now, l.steps.Level())
+		l.closePeriod(sm.now, l.steps.Level())
 	}
-	l.source, l.names = source, names
-	l.plan, l.steps, l.served, l.spent, l.since = plan, steps, nil, nil, sm.now
+	l.given, l.givenNames = source, names
+	l.plan, l.steps, l.totals, l.timeByLevel, l.enteredAt = plan, steps, nil, nil, sm.now
 	t := &LevelChange{Change: change, FromName: from, Before: before}
 	if plan != nil {
-		l.served, l.spent = make([]ServiceCounts, len(plan.Levels)+1), make([]int64, len(plan.Levels)+1)
-		for k := range l.served {
-			l.served[k].Level = plan.LevelName(k)
+		l.totals, l.timeByLevel = make([]ServiceCounts, len(plan.Levels)+1), make([]int64, len(plan.Levels)+1)
+		for k := range l.totals {
+			l.totals[k].Level = plan.LevelName(k)
 		}
 		t.Plan, t.ToName = plan.Name, plan.LevelName(change.To)
 	}
-	l.begin(sm.now)
+	l.startPeriod(sm.now)
 	sm.applyLevel(t)
 }
 
-// fitted is a plan by the indices of the node that takes it: those change in service, and need not be those of a file. What
+// fitPlan is a plan by the indices of the node that takes it: those change in service, and need not be those of a file. What
 // it says of operations that the node doesn't have counts for nothing.
-func fitted(plan *DegradationPlan, names, to *nodeconfig.Names) *DegradationPlan {
+func fitPlan(plan *DegradationPlan, names, to *nodeconfig.Names) *DegradationPlan {
 	p := *plan
 	p.Levels, p.Forms = slices.Clone(plan.Levels), make([][]string, len(plan.Levels))
 	for k := range p.Levels {
@@ -117,14 +117,14 @@
 	}
 	for i := range int32(to.Slots()) {
 		if to.Has(i) {
-			p.place(i, to.Name(i), plan, names)
+			p.setOperation(i, to.Name(i), plan, names)
 		}
 	}
 	return &p
 }
 
-// place gives an index what the source says of the operation of a name.
-func (p *DegradationPlan) place(index int32, name string, source *DegradationPlan, names *nodeconfig.Names) {
+// setOperation gives an index what the source says of the operation of a name.
+func (p *DegradationPlan) setOperation(index int32, name string, source *DegradationPlan, names *nodeconfig.Names) {
 	i, known := names.Lookup(name)
 	for k := range p.Levels {
 		more := make([]admission.Service, max(0, int(index)+1-len(p.Levels[k].Services)))
@@ -139,15 +139,15 @@
 	}
 }
 
-// place does so in the plan in force; without a name the index is no operation's any more.
-func (l *degradationState) place(index int32, name string) {
+// setOperation does so in the plan in force; without a name the index is no operation's any more.
+func (l *degradationState) setOperation(index int32, name string) {
 	if l.plan != nil {
-		l.plan.place(index, name, l.source, l.names)
+		l.plan.setOperation(index, name, l.given, l.givenNames)
 	}
 }
 
-// left is what the level in force leaves of an operation, nil for all of it.
-func (l *degradationState) left(index int32) []admission.Service {
+// servicesOf is what the level in force leaves of an operation, nil for all of it.
+func (l *degradationState) servicesOf(index int32) []admission.Service {
 	if l.plan == nil {
 		return nil
 	}
@@ -158,20 +158,20 @@
 	return all[index : index+1]
 }
 
-// account adds the stay that ends to the totals of its level.
-func (l *degradationState) account(now int64, level int) {
-	s := &l.served[level]
-	s.Whole, s.Reduced = s.Whole+l.stay.Whole, s.Reduced+l.stay.Reduced
-	s.Levelled, s.Throttled = s.Levelled+l.stay.Levelled, s.Throttled+l.stay.Throttled
-	l.spent[level] += now - l.since
-	s.Seconds = l.spent[level] / (1_000 * ms)
+// closePeriod adds the stay that ends to the totals of its level.
+func (l *degradationState) closePeriod(now int64, level int) {
+	s := &l.totals[level]
+	s.Whole, s.Reduced = s.Whole+l.current.Whole, s.Reduced+l.current.Reduced
+	s.Levelled, s.Throttled = s.Levelled+l.current.Levelled, s.Throttled+l.current.Throttled
+	l.timeByLevel[level] += now - l.enteredAt
+	s.Seconds = l.timeByLevel[level] / (1_000 * ms)
 }
 
-func (l *degradationState) begin(now int64) {
-	l.stay, l.since = ServiceCounts{}, now
+func (l *degradationState) startPeriod(now int64) {
+	l.current, l.enteredAt = ServiceCounts{}, now
 	if l.plan != nil {
-		l.served[l.steps.Level()].Entered++
-		l.stay.Level = l.plan.LevelName(l.steps.Level())
+		l.totals[l.steps.Level()].Entered++
+		l.current.Level = l.plan.LevelName(l.steps.Level())
 	}
 }
 
@@ -181,17 +181,17 @@
 	if l.steps == nil || sm.controller == nil || sm.drainRequested { // a drain stays at its level: intake ends soon
 		return
 	}
-	sm.controller.MeasureLoad(&l.measures)
-	change, changed := l.steps.Step(sm.now, &l.measures)
+	sm.controller.MeasureLoad(&l.metrics)
+	change, changed := l.steps.Step(sm.now, &l.metrics)
 	if !changed {
 		return
 	}
-	before := l.stay
+	before := l.current
 	before.Seconds = change.PreviousTime / (1_000 * ms)
-	l.account(sm.now, change.From)
-	l.begin(sm.now)
+	l.closePeriod(sm.now, change.From)
+	l.startPeriod(sm.now)
 	sm.applyLevel(&LevelChange{Change: change, Plan: l.plan.Name, FromName: l.plan.LevelName(change.From),
-		ToName: l.plan.LevelName(change.To), Signals: l.measures, Loads: l.steps.LoadByLevel(), Before: before})
+		ToName: l.plan.LevelName(change.To), Signals: l.metrics, Loads: l.steps.LoadByLevel(), Before: before})
 }
 
 func (sm *StateMachine) applyLevel(t *LevelChange) {
@@ -230,13 +230,13 @@
 	switch {
 	case l.plan == nil:
 	case succeeded && reduced:
-		l.stay.Reduced++
+		l.current.Reduced++
 	case succeeded:
-		l.stay.Whole++
+		l.current.Whole++
 	case why == admission.ReasonDegraded:
-		l.stay.Levelled++
+		l.current.Levelled++
 	default:
-		l.stay.Throttled++
+		l.current.Throttled++
 	}
 }
 
@@ -245,10 +245,10 @@
 	if sm.degradation.plan == nil {
 		return nil
 	}
-	all := append([]ServiceCounts(nil), sm.degradation.served...)
+	all := append([]ServiceCounts(nil), sm.degradation.totals...)
 	l := sm.degradation
-	l.served, l.spent = all, append([]int64(nil), l.spent...)
-	l.account(sm.now, l.steps.Level())
+	l.totals, l.timeByLevel = all, append([]int64(nil), l.timeByLevel...)
+	l.closePeriod(sm.now, l.steps.Level())
 	return all
 }
 
--- a/internal/node/levels_test.go
+++ b/internal/node/levels_test.go
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "ok", string(body))
 	assert.Contains(t, fields, frame.Field{Name: "level", Value: "plain"})
-	assert.Equal(t, 1, r.degradation.stay.Reduced)
+	assert.Equal(t, 1, r.degradation.current.Reduced)
 }
 
 func TestWholeAnswerNamesNoLevel(t *testing.T) {
@@ -60,16 +60,16 @@
 	effects := step(r, invoke(1, "op", "hold"))
 	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
 	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
-	assert.Equal(t, 1, r.degradation.stay.Whole)
+	assert.Equal(t, 1, r.degradation.current.Whole)
 }
 
 func TestRefusedByTheLevelIsCountedApart(t *testing.T) {
 	r := at(t, 2)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
-	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.degradation.stay)
+	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.degradation.current)
 	all := r.Levels()
 	assert.Equal(t, 1, all[2].Levelled)
-	assert.Equal(t, 0, r.degradation.served[2].Levelled, "to look changes nothing")
+	assert.Equal(t, 0, r.degradation.totals[2].Levelled, "to look changes nothing")
 }
 
 func TestChangeOfLevelIsToldWithItsCause(t *testing.T) {
@@ -119,7 +119,7 @@
 	r := at(t, 2)
 	step(r, Input{Kind: DrainRequested})
 	next := ladderOf(1e9)
-	r.degradation.plan, r.degradation.steps = next, degradation.NewController(&next.Plan, r.now, r.degradation.chance)
+	r.degradation.plan, r.degradation.steps = next, degradation.NewController(&next.Plan, r.now, r.degradation.random)
 	for range 10 {
 		r.now = r.timerAt
 		for _, e := range step(r) {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	noUseAfter = 2_000 * ms // ns without an executor past which the node says that it is of no use
-	farewells  = 3          // times that a leaving node's last word goes round
+	executorLossTimeout = 2_000 * ms // ns without an executor past which the node says that it is of no use
+	leaveAnnouncements  = 3          // times that a leaving node's last word goes round
 )
 
 // fleetState is the door to the other nodes; without members it is shut: no timer, no cost.
 type fleetState struct {
-	members *membership.Members
-	fleet   envelope.Fleet
-	inputs  []membership.Input
-	wakeAt  int64
-	loose   int64 // since when there is no executor, -1 while there is
-	told    membership.Facts
-	letters PeerMessageCounters
+	members        *membership.Members
+	id             envelope.Fleet
+	inputs         []membership.Input
+	wakeAt         int64
+	executorLostAt int64 // since when there is no executor, -1 while there is
+	announced      membership.Facts
+	counters       PeerMessageCounters
 }
 
 // PeerMessageCounters counts what came from peers and could not be used.
@@ -40,7 +40,7 @@
 
 // JoinFleet makes the node one of a fleet, before its first step.
 func (sm *StateMachine) JoinFleet(fleet string, members *membership.Members) {
-	sm.fleet = fleetState{members: members, fleet: envelope.FleetOf(fleet), loose: -1}
+	sm.fleet = fleetState{members: members, id: envelope.FleetOf(fleet), executorLostAt: -1}
 	sm.Invariants.Check(sm.now == 0, "a node joins its fleet before its first step")
 }
 
@@ -48,7 +48,7 @@
 func (sm *StateMachine) Members() *membership.Members { return sm.fleet.members }
 
 // PeerMessageCounters is what could not be used of what peers sent.
-func (sm *StateMachine) PeerMessageCounters() PeerMessageCounters { return sm.fleet.letters }
+func (sm *StateMachine) PeerMessageCounters() PeerMessageCounters { return sm.fleet.counters }
 
 // applyPeerInput takes a datagram or a part of an exchange.
 func (sm *StateMachine) applyPeerInput(in *Input) {
@@ -56,7 +56,7 @@
 	if p.members == nil {
 		return
 	}
-	if in.Link >= configurationLinks && (in.Kind == PeerExchangeFailed || in.Kind == PeerResponseReceived) {
+	if in.Link >= configLinkOffset && (in.Kind == PeerExchangeFailed || in.Kind == PeerResponseReceived) {
 		sm.applyConfigResponse(in)
 		return
 	}
@@ -66,7 +66,7 @@
 		return
 	}
 	body := new(peerMessage)
-	if err := envelope.Open(in.Bytes, p.fleet, body); err != nil {
+	if err := envelope.Open(in.Bytes, p.id, body); err != nil {
 		sm.countUnusable(in, err)
 		return
 	}
@@ -101,11 +101,11 @@
 	p := &sm.fleet
 	switch {
 	case errors.Is(err, envelope.ErrFleet):
-		p.letters.Fleet++
+		p.counters.Fleet++
 	case errors.Is(err, envelope.ErrVersion):
-		p.letters.Version++
+		p.counters.Version++
 	default:
-		p.letters.Spoilt++
+		p.counters.Spoilt++
 	}
 	sm.log(Warn, "peer can't be understood", in.From, err)
 	switch in.Kind {
@@ -122,8 +122,8 @@
 	if p.members == nil {
 		return
 	}
-	if facts := sm.facts(); facts != p.told {
-		p.told = facts
+	if facts := sm.facts(); facts != p.announced {
+		p.announced = facts
 		p.inputs = append(p.inputs, membership.Input{Kind: membership.FactsChanged, Facts: facts})
 	}
 	if sm.now < p.wakeAt && len(p.inputs) == 0 {
@@ -158,11 +158,11 @@
 func (sm *StateMachine) facts() (f membership.Facts) {
 	p := &sm.fleet
 	if sm.controller != nil && sm.executorLink != 0 {
-		p.loose = -1
-	} else if p.loose < 0 {
-		p.loose = sm.now
+		p.executorLostAt = -1
+	} else if p.executorLostAt < 0 {
+		p.executorLostAt = sm.now
 	}
-	f.NoUse = sm.hollow.onlySeat || !sm.hollow.on && p.loose >= 0 && sm.now-p.loose >= noUseAfter
+	f.NoUse = sm.hollow.replicaOnly || !sm.hollow.on && p.executorLostAt >= 0 && sm.now-p.executorLostAt >= executorLossTimeout
 	switch {
 	case sm.acceptStopped:
 		f.Beat = 3
@@ -181,7 +181,7 @@
 	if p.members == nil {
 		return
 	}
-	for range farewells {
+	for range leaveAnnouncements {
 		effects, _ := p.members.Step(sm.now, sm.wall, []membership.Input{{Kind: membership.Leaving}})
 		sm.executeMembershipEffects(effects)
 	}
@@ -189,7 +189,7 @@
 
 func (sm *StateMachine) sendEnvelope(e Effect, body any) {
 	var err error
-	if e.Bytes, err = envelope.Seal(nil, sm.fleet.fleet, body); !sm.Invariants.Check(err == nil, "what peers are told can be written") {
+	if e.Bytes, err = envelope.Seal(nil, sm.fleet.id, body); !sm.Invariants.Check(err == nil, "what peers are told can be written") {
 		return
 	}
 	if sm.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
@@ -204,8 +204,8 @@
 		return never
 	}
 	at := p.wakeAt
-	if p.loose >= 0 && sm.now-p.loose < noUseAfter && !sm.hollow.on {
-		at = min(at, p.loose+noUseAfter)
+	if p.executorLostAt >= 0 && sm.now-p.executorLostAt < executorLossTimeout && !sm.hollow.on {
+		at = min(at, p.executorLostAt+executorLossTimeout)
 	}
 	return max(at, sm.now+1)
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -95,9 +95,9 @@
 	r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing,
 		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{other(0, false)}})}})
 	assert.False(t, r.Members().Self().Facts.NoUse)
-	r.Step(noUseAfter+ms, 1, nil)
+	r.Step(executorLossTimeout+ms, 1, nil)
 	assert.True(t, r.Members().Self().Facts.NoUse)
-	effects := r.Step(noUseAfter+2*ms, 1, []Input{{Kind: DrainRequested}, {Kind: ListenerClosed}}) // it never had an executor, and leaves at once
+	effects := r.Step(executorLossTimeout+2*ms, 1, []Input{{Kind: DrainRequested}, {Kind: ListenerClosed}}) // it never had an executor, and leaves at once
 	last := 0
 	for _, e := range kindsOf(effects, SendDatagram) {
 		var msg membership.Message
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	assert.Equal(t, farewells, last)
+	assert.Equal(t, leaveAnnouncements, last)
 }
 
 func FuzzPeers(f *testing.F) {
--- a/internal/node/quota_test.go
+++ b/internal/node/quota_test.go
@@ -26,7 +26,7 @@
 func asksOf(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
 	for _, e := range kindsOf(effects, SendOnStream) {
 		m := new(consensus.Message)
-		require.NoError(t, envelope.Open(e.Bytes, r.fleet.fleet, m))
+		require.NoError(t, envelope.Open(e.Bytes, r.fleet.id, m))
 		list = append(list, m.Leases...)
 	}
 	return list
@@ -72,21 +72,21 @@
 	gaveUp := r.now
 	require.Equal(t, int64(1), r.leases.holder.Allowed(r.now), "the lease goes on")
 	for r.now < gaveUp+500*ms {
-		assert.Zero(t, r.leases.told, "%d ms after it was given up", (r.now-gaveUp)/ms)
+		assert.Zero(t, r.leases.announcedUnits, "%d ms after it was given up", (r.now-gaveUp)/ms)
 		assert.Equal(t, int64(1), r.Claims().Lease.Used)
 		step(r)
 	}
 	step(r)
-	assert.Equal(t, 1, r.leases.told)
+	assert.Equal(t, 1, r.leases.announcedUnits)
 	assert.Zero(t, r.Claims().Lease.Used)
 }
 
 func TestLeaseThatLapsedIsHeardOfBeforeAnythingElse(t *testing.T) {
 	r := renting(t)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
-	r.leases.told = 2
+	r.leases.announcedUnits = 2
 	r.Step(r.now+20_000*ms, 1, []Input{}) // stood still: what it held is another's by now
-	assert.Zero(t, r.leases.told)
+	assert.Zero(t, r.leases.announcedUnits)
 	assert.Empty(t, r.catalogueLinks)
 	var units []int
 	for _, e := range append(r.events, r.deferredEvents...) {
