--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -147,8 +147,8 @@
 	if seat := sm.claiming.replica; seat != nil {
 		seat.SetConfigValidator(sm.validateConfigCommand)
 	}
-	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.replicator.Revision(), Source: start.Source, Added: v.counts[0], Changed: v.counts[1],
-		Removed: v.counts[2]}})
+	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: c.replicator.Revision(), Source: start.Source, Added: v.counts.added, Changed: v.counts.changed,
+		Removed: v.counts.removed}})
 	c.startupEffects = slices.Clone(sm.effects)
 	return nil
 }
@@ -296,7 +296,7 @@
 	} else if !t.checkOnly {
 		sm.versionApplied(&t.version)
 		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: t.mark, After: c.replicator.Revision().Version, Source: "fleet", First: t.canary,
-			Added: t.version.counts[0], Changed: t.version.counts[1], Removed: t.version.counts[2], TookNS: sm.now - t.startedAt}})
+			Added: t.version.counts.added, Changed: t.version.counts.changed, Removed: t.version.counts.removed, TookNS: sm.now - t.startedAt}})
 	}
 	c.inputs = append(c.inputs, next)
 }
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -336,7 +336,7 @@
 		taking := r.configSync.pending
 		require.Less(t, steps, 1_000)
 		r.applyPendingConfig()
-		if taken := taking.version.counts[1]; taking.validation == nil {
+		if taken := taking.version.counts.changed; taking.validation == nil {
 			assert.LessOrEqual(t, taken-last, most)
 			last = taken
 		}
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -40,7 +40,7 @@
 // turned away until KeptRead tells that the store was read.
 func (sm *StateMachine) EnableResultCache(rules resultcache.Config, field string, unread bool) {
 	sm.config.Node.MaxDeduplicationEntries = rules.MaxTokens()
-	sm.versions.indicesPinned = unread
+	sm.versions.pinIndices(unread)
 	sm.results = resultState{keeper: resultcache.New(rules), token: field, pending: make(map[resultcache.Key]*pendingRun), recovering: unread}
 }
 
--- /dev/null
+++ b/internal/node/versions.go
@@ -0,0 +1,211 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/nodeconfig"
+)
+
+const (
+	maxChangesPerStep  = 256   // changes applied in one step: some hundreds of microseconds
+	maxLookupsPerStep  = 4_096 // changes whose names are looked up in one step: as long
+	maxPendingVersions = 64    // versions queued behind a large one
+)
+
+var (
+	errRetired         = errors.New("the operation or tenant is not in service any more")
+	errStaleVersion    = errors.New("it comes after one that is as new")
+	errTooManyVersions = errors.New("too many versions wait to be taken; try again")
+	errNoCatalogue     = errors.New("class_calls: it makes calls, and this node's own file names no catalogue; set catalog there and restart the node, or leave it out")
+	errIndicesPinned   = errors.New("results are kept in a folder by the numbers of operation and tenant, so adding or removing one takes a new start; " +
+		"keep them in the fleet's council, or restart with a new file")
+)
+
+// changeCounts are the changes of a version that had an effect, by what they did.
+type changeCounts struct {
+	added   int
+	changed int
+	removed int
+}
+
+// version is a version of the configuration on its way into force.
+type version struct {
+	number    uint64
+	amendment *nodeconfig.Amendment
+	changes   []nodeconfig.Change // those of the amendment not applied yet
+	lookedUp  int                 // changes validated by name so far
+	validated bool
+	counts    changeCounts
+}
+
+// versionState brings versions of the configuration into force between two steps, in parts of bounded cost, and tracks which
+// operations and tenants are referenced by invocations in flight. Without versions it only counts references.
+type versionState struct {
+	active           uint64 // last version in force
+	pending          []version
+	termsByOperation [][]*terms // by operation index, the current terms last; empty before the first invocation
+	inHandByTenant   map[int32]int
+	retired          []retiredIndex // by checkAt
+	retiredAt        map[indexKey]int64
+	maxLifetime      int64 // ns, the longest token lifetime of any operation so far; 0 before the first change
+	indicesPinned    bool  // stored results refer to indices of operations and tenants
+}
+
+// ActiveVersion is the last version of the configuration that is in force as a whole, 0 before the first.
+func (sm *StateMachine) ActiveVersion() uint64 { return sm.versions.active }
+
+// pinIndices has versions rejected that add or remove operations or tenants.
+func (vs *versionState) pinIndices(pinned bool) { vs.indicesPinned = pinned }
+
+// lastQueued is the newest version that is in force or pending.
+func (vs *versionState) lastQueued() uint64 {
+	if n := len(vs.pending); n > 0 {
+		return vs.pending[n-1].number
+	}
+	return vs.active
+}
+
+// dropFirst removes the first pending version.
+func (vs *versionState) dropFirst() { vs.pending = slices.Delete(vs.pending, 0, 1) }
+
+// queueVersion queues a version; it is validated and applied once those before it are.
+func (sm *StateMachine) queueVersion(in *Input) {
+	vs := &sm.versions
+	switch {
+	case in.Version <= vs.lastQueued():
+		sm.refuseVersion(in.Version, errStaleVersion)
+	case len(vs.pending) >= maxPendingVersions:
+		sm.refuseVersion(in.Version, errTooManyVersions)
+	default:
+		vs.pending = append(vs.pending, version{number: in.Version, amendment: in.Change, changes: in.Change.Changes})
+	}
+}
+
+func (sm *StateMachine) refuseVersion(number uint64, err error) {
+	sm.Counters.VersionsRefused++
+	sm.emit(Effect{Kind: VersionApplied, Version: number, Err: err})
+}
+
+// applyVersions applies a bounded part of the pending versions, and releases indices that nothing refers to any more.
+func (sm *StateMachine) applyVersions() {
+	vs := &sm.versions
+	for budget := maxChangesPerStep; budget > 0 && len(vs.pending) > 0; {
+		v := &vs.pending[0]
+		if !v.validated {
+			complete, err := sm.validateVersion(v)
+			if !complete {
+				return
+			}
+			if err != nil {
+				sm.refuseVersion(v.number, err)
+				vs.dropFirst()
+				continue
+			}
+			v.validated = true
+		}
+		n := min(budget, len(v.changes))
+		for i := range v.changes[:n] {
+			sm.applyChange(v, v.changes[i])
+		}
+		v.changes = v.changes[n:]
+		budget -= n
+		if len(v.changes) == 0 {
+			sm.versionApplied(v)
+			sm.emit(Effect{Kind: VersionApplied, Version: v.number,
+				Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts.added, v.counts.changed, v.counts.removed)})
+			vs.dropFirst()
+		}
+	}
+	sm.releaseRetired()
+}
+
+// versionApplied records that a version is in force as a whole.
+func (sm *StateMachine) versionApplied(v *version) {
+	sm.versions.active = max(sm.versions.active, v.number)
+	sm.Counters.Versions++
+}
+
+// validateVersion gives the reason why a version can't be applied, once all of it was examined. It changes nothing in force.
+func (sm *StateMachine) validateVersion(v *version) (complete bool, err error) {
+	for end := v.lookedUp + maxLookupsPerStep; v.lookedUp < len(v.changes); v.lookedUp++ {
+		if v.lookedUp == end {
+			return false, nil
+		}
+		if err := sm.validateChanges(v.changes[v.lookedUp : v.lookedUp+1]); err != nil {
+			return true, err
+		}
+	}
+	return true, sm.config.Check(v.amendment)
+}
+
+// validateChanges checks changes against what only this node's own file says.
+func (sm *StateMachine) validateChanges(changes []nodeconfig.Change) error {
+	for i := range changes {
+		c := &changes[i]
+		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && sm.addresses.Catalogue == "" && !sm.hollow.on {
+			return fmt.Errorf("nodeconfig: %s.%s: %w", c.Part, c.Name, errNoCatalogue)
+		}
+		if sm.versions.indicesPinned && sm.changesIndices(c) {
+			return fmt.Errorf("nodeconfig: %s.%s: %w", c.Part, c.Name, errIndicesPinned)
+		}
+	}
+	return nil
+}
+
+// changesIndices says whether a change adds or removes an operation or a tenant.
+func (sm *StateMachine) changesIndices(c *nodeconfig.Change) bool {
+	switch c.Part {
+	case nodeconfig.Operations:
+		_, known := sm.config.Operations.Find(c.Name)
+		return known == c.Removed
+	case nodeconfig.Tenants:
+		_, known := sm.config.Tenants.Find(c.Name)
+		return known == c.Removed
+	default:
+		return false
+	}
+}
+
+// applyChange brings one change into force.
+func (sm *StateMachine) applyChange(v *version, c nodeconfig.Change) {
+	sm.initMaxLifetime()
+	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
+	t := sm.config.Take(&c)
+	switch {
+	case !t.Changed:
+		return
+	case t.Removed:
+		v.counts.removed++
+		sm.retireIndex(indexKey{part: c.Part, index: t.Index})
+		return
+	case t.Added:
+		v.counts.added++
+		delete(sm.versions.retiredAt, indexKey{part: c.Part, index: t.Index})
+	default:
+		v.counts.changed++
+	}
+	if c.Part != nodeconfig.Operations {
+		return
+	}
+	op := c.Operation
+	sm.versions.replaceTerms(t.Index, &op)
+	if t.Added {
+		sm.degradation.setOperation(t.Index, c.Name)
+	}
+	sm.emit(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
+	if sm.controller != nil {
+		sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: t.Index, Operation: &op,
+			Services: sm.degradation.servicesOf(t.Index)})
+	}
+}
+
+// versionsDue is when the next step is needed: at once while versions are pending. Releasing indices waits for any step.
+func (sm *StateMachine) versionsDue() int64 {
+	if len(sm.versions.pending) > 0 {
+		return sm.now + 1
+	}
+	return never
+}
