--- /dev/null
+++ b/internal/node/configsync.go
@@ -0,0 +1,318 @@
+package node
+
+import (
+	"slices"
+
+	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/nodeconfig"
+)
+
+const (
+	maxSearchesPerStep  = 8           // searches for changes in one step, each through 128 kB: a millisecond in all
+	viewCheckInterval   = 100 * ms    // ns between looks at the view
+	viewRefreshInterval = 10_000 * ms // ns after which the replicator gets the view whether or not it seems to have changed
+)
+
+// VersionInForce is a version that came into force at this node.
+type VersionInForce struct {
+	Mark                    configsync.Revision
+	After                   uint64 // the version before it
+	Source                  string // fleet; at a start disk or file
+	First                   bool   // as one of the canary stage
+	Added, Changed, Removed int
+	TookNS                  int64
+}
+
+// ConfigSyncState is the status of the configuration for operators.
+type ConfigSyncState struct {
+	Version  uint64              `json:"version"`
+	Digest   string              `json:"digest"`
+	Source   string              `json:"source"`
+	AgeNS    int64               `json:"age_ns"`
+	HeardNS  int64               `json:"seat_heard_ns"` // since the last message of a replica, -1 before the first
+	Behind   bool                `json:"behind,omitempty"`
+	BehindNS int64               `json:"behind_ns,omitempty"`
+	Refused  uint64              `json:"refused,omitempty"`
+	Why      string              `json:"why,omitempty"`
+	Counters configsync.Counters `json:"counters"`
+}
+
+// pendingConfig is a version on its way into force: all of it is validated in a first pass, and applied in a second.
+type pendingConfig struct {
+	mark       configsync.Revision
+	canary     bool
+	checkOnly  bool // it is validated, and not applied
+	startedAt  int64
+	old        *configsync.Content
+	new        *configsync.Content
+	diff       *configsync.Difference
+	validation *nodeconfig.Checking // nil in the second pass
+	version    version
+}
+
+// configSyncState replicates the fleet's configuration to this node in service. Without a replicator there is no timer and no cost.
+type configSyncState struct {
+	replicator     *configsync.Replicator
+	inputs         []configsync.Input
+	wakeAt         int64
+	view           configsync.View
+	viewHash       uint64
+	viewCheckAt    int64
+	viewRefreshAt  int64
+	startupEffects []Effect // from before the first step
+	pending        *pendingConfig
+	agreed         *configsync.Agreed // as of this node's replica of the consensus group
+	replicaCurrent bool               // as the replicator knows of that replica
+	proposals      []*configProposal  // by arrival
+	verdicts       []configsync.Verdict
+}
+
+// EnableConfigSync has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
+// EnableConsensus. It begins with the initial state; where that is not what the node's own file holds, it comes into force at once. On
+// an error nothing is changed.
+func (sm *StateMachine) EnableConfigSync(now, seed int64, initial configsync.InitialState, file *configsync.Content) error {
+	v := version{number: initial.Mark.Version}
+	if !sm.hollow.enabled() {
+		if err := sm.validateInitialConfig(initial, file); err != nil {
+			return err
+		}
+		if err := sm.forChanges(file, initial.Content, func(changes []nodeconfig.Change) { sm.applyChanges(&v, changes) }); err != nil {
+			return err
+		}
+		if initial.Mark.Version > 0 {
+			sm.versionApplied(&v)
+		}
+	}
+	cs := &sm.configSync
+	cs.replicator = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.selfName(), Seed: seed}, initial)
+	sm.claiming.setConfigValidator(sm.validateConfigCommand)
+	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: cs.replicator.Revision(), Source: initial.Source,
+		Added: v.counts.added, Changed: v.counts.changed, Removed: v.counts.removed}})
+	cs.startupEffects = slices.Clone(sm.effects)
+	return nil
+}
+
+// validateInitialConfig checks that this node can apply what differs from its own file.
+func (sm *StateMachine) validateInitialConfig(initial configsync.InitialState, file *configsync.Content) error {
+	validation := sm.config.Checking()
+	if err := sm.forChanges(file, initial.Content, validation.Add); err != nil {
+		return err
+	}
+	if initial.Content == file {
+		return nil
+	}
+	return validation.Err()
+}
+
+// forChanges calls a function with the changes from one content to another, a part at a time, until one can't be read or applied by
+// this node.
+func (sm *StateMachine) forChanges(from, to *configsync.Content, do func([]nodeconfig.Change)) error {
+	diff := configsync.Diff(from, to)
+	for {
+		changes, err := sm.changesOf(diff.Next(maxChangesPerStep))
+		if err != nil {
+			return err
+		}
+		if len(changes) == 0 {
+			return nil
+		}
+		do(changes)
+	}
+}
+
+// ConfigSyncState is the status of the configuration, nil where it isn't taken in service.
+func (sm *StateMachine) ConfigSyncState() *ConfigSyncState {
+	replicator := sm.configSync.replicator
+	if replicator == nil {
+		return nil
+	}
+	s := replicator.Status(sm.now)
+	return &ConfigSyncState{Version: s.Mark.Version, Digest: s.Mark.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
+		Behind: s.Behind, BehindNS: s.BehindNS, Refused: s.Refused.Version, Why: s.Why, Counters: s.Counters}
+}
+
+// changesOf reads items as changes, with an error where this node can't apply one.
+func (sm *StateMachine) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
+	amendment, err := nodeconfig.Parse(nodeconfigItems(items))
+	if err != nil {
+		return nil, err
+	}
+	return amendment.Changes, sm.validateChanges(amendment.Changes)
+}
+
+func nodeconfigItems(items []configsync.Item) []nodeconfig.Item {
+	list := make([]nodeconfig.Item, len(items))
+	for i := range items {
+		list[i] = nodeconfig.Item(items[i])
+	}
+	return list
+}
+
+// configPersisted applies the end of a write to the disk.
+func (sm *StateMachine) configPersisted(in *Input) {
+	next := configsync.Input{Kind: configsync.Saved}
+	if in.Err != nil {
+		next.Why = in.Err.Error()
+	}
+	sm.configSync.inputs = append(sm.configSync.inputs, next)
+}
+
+// startPending starts to validate a version, and to apply it unless it is only to be checked.
+func (sm *StateMachine) startPending(e *configsync.Effect) {
+	pending := &pendingConfig{mark: e.Mark, canary: e.First, checkOnly: e.Kind == configsync.Check, startedAt: sm.now, old: e.Old, new: e.New,
+		diff: configsync.Diff(e.Old, e.New), validation: sm.config.Checking(), version: version{number: e.Mark.Version}}
+	if sm.hollow.enabled() { // it has no admission controller that could not apply it
+		sm.configApplied(pending, nil)
+		return
+	}
+	sm.configSync.pending = pending
+}
+
+// applyPendingConfig applies a bounded part of a version, before the controller decides.
+func (sm *StateMachine) applyPendingConfig() {
+	cs := &sm.configSync
+	for budget := maxChangesPerStep; cs.pending != nil && budget > 0; {
+		p := cs.pending
+		items := p.diff.Next(budget)
+		budget -= max(len(items), maxChangesPerStep/maxSearchesPerStep) // where they lie apart, the search for them is what costs
+		changes, err := sm.changesOf(items)
+		switch {
+		case p.validation == nil:
+			sm.applyPendingChanges(p, changes, err)
+		case err == nil && len(items) > 0:
+			p.validation.Add(changes)
+		case err == nil:
+			if err = p.validation.Err(); err == nil && !p.checkOnly {
+				p.startApplying()
+				continue
+			}
+		}
+		if err != nil || len(items) == 0 {
+			sm.configApplied(p, err)
+		}
+	}
+}
+
+// startApplying begins the second pass.
+func (p *pendingConfig) startApplying() {
+	p.validation = nil
+	p.diff = configsync.Diff(p.old, p.new)
+}
+
+// applyPendingChanges applies some changes of the second pass.
+func (sm *StateMachine) applyPendingChanges(p *pendingConfig, changes []nodeconfig.Change, err error) {
+	if !sm.Invariants.Check(err == nil, "a version that was checked can be taken") {
+		return
+	}
+	sm.applyChanges(&p.version, changes)
+}
+
+// configApplied reports to the replicator a version that is in force as a whole, or can't be.
+func (sm *StateMachine) configApplied(p *pendingConfig, err error) {
+	cs := &sm.configSync
+	cs.pending = nil
+	next := configsync.Input{Kind: configsync.Took, Mark: p.mark}
+	if p.checkOnly {
+		next.Kind = configsync.Checked
+	}
+	if err != nil {
+		sm.Counters.VersionsRefused++
+		next.Why = err.Error()
+	} else if !p.checkOnly {
+		sm.versionApplied(&p.version)
+		counts := &p.version.counts
+		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: p.mark, After: cs.replicator.Revision().Version, Source: "fleet",
+			First: p.canary, Added: counts.added, Changed: counts.changed, Removed: counts.removed, TookNS: sm.now - p.startedAt}})
+	}
+	cs.inputs = append(cs.inputs, next)
+}
+
+// stepConfigSync steps the replicator when something came or is due.
+func (sm *StateMachine) stepConfigSync() {
+	cs := &sm.configSync
+	if cs.replicator == nil {
+		return
+	}
+	sm.effects = append(sm.effects, cs.startupEffects...)
+	cs.startupEffects = nil
+	sm.observeReplica()
+	sm.observeFleet()
+	for round := 0; round < maxRoundsPerStep && (len(cs.inputs) > 0 || round == 0 && sm.now >= cs.wakeAt); round++ {
+		inputs := cs.inputs
+		cs.inputs = nil
+		var effects []configsync.Effect
+		effects, cs.wakeAt = cs.replicator.Step(sm.now, inputs)
+		for k := range effects {
+			sm.executeConfigEffect(&effects[k])
+		}
+	}
+	sm.stepProposals()
+}
+
+// observeReplica reports to the replicator what changed at this node's replica of the consensus group.
+func (sm *StateMachine) observeReplica() {
+	cs := &sm.configSync
+	if agreed, changed := sm.claiming.agreedConfig(); changed {
+		cs.agreed = agreed
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
+	}
+	if current, has := sm.claiming.replicaIsCurrent(); has && current != cs.replicaCurrent {
+		cs.replicaCurrent = current
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Stood, Current: current})
+	}
+}
+
+// observeFleet reports to the replicator whom this node can reach, where that changed.
+func (sm *StateMachine) observeFleet() {
+	cs := &sm.configSync
+	if sm.now < cs.viewCheckAt {
+		return
+	}
+	cs.viewCheckAt = sm.now + viewCheckInterval
+	members := sm.Members()
+	hash, _ := members.Hash()
+	neighbours := members.Neighbours()
+	if hash == cs.viewHash && slices.Equal(neighbours, cs.view.Neighbours) && sm.now < cs.viewRefreshAt {
+		return
+	}
+	cs.viewHash = hash
+	cs.viewRefreshAt = sm.now + viewRefreshInterval
+	self := sm.fleet.selfName()
+	others := slices.DeleteFunc(slices.Clone(sm.claiming.replicaNames()), func(name string) bool { return name == self })
+	cs.view = configsync.View{Neighbours: neighbours, Zone: members.InZone(), Seats: others}
+	view := cs.view
+	cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Viewed, View: &view})
+}
+
+// executeConfigEffect carries out an effect of the replicator.
+func (sm *StateMachine) executeConfigEffect(e *configsync.Effect) {
+	switch e.Kind {
+	case configsync.Send:
+		sm.sendConfigMessage(e.To, e.Message)
+	case configsync.Exchange:
+		sm.openConfigExchange(e)
+	case configsync.Reply:
+		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &configMessage{Message: e.Message})
+	case configsync.Take, configsync.Check:
+		sm.startPending(e)
+	case configsync.Persist:
+		persisting := *e
+		sm.emit(Effect{Kind: PersistVersion, Persisting: &persisting})
+	case configsync.Order:
+		sm.claiming.proposeConfig(e.Command)
+	case configsync.Remark:
+		sm.logComponent(e.Warn, e.Text)
+	}
+}
+
+// configSyncDue is when the replicator is to step again.
+func (sm *StateMachine) configSyncDue() int64 {
+	cs := &sm.configSync
+	if cs.replicator == nil {
+		return never
+	}
+	if cs.pending != nil || len(cs.inputs)+len(cs.verdicts) > 0 {
+		return sm.now + 1
+	}
+	return max(min(cs.proposalsDue(), cs.wakeAt), sm.now+1)
+}
--- /dev/null
+++ b/internal/node/configsync_messages.go
@@ -0,0 +1,132 @@
+package node
+
+import (
+	"fmt"
+
+	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
+)
+
+const configLinkOffset = 1 << 32 // added to the numbers of exchanges of the replicator, to tell them from those of membership
+
+// configMessage is what nodes, and operators' commands, send each other on the configuration.
+type configMessage struct {
+	From     string              `cbor:"1,keyasint,omitempty"`
+	Message  *configsync.Message `cbor:"2,keyasint,omitempty"` // between replicators
+	Question *configsync.Query   `cbor:"3,keyasint,omitempty"` // of a command
+	Answer   *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to it
+}
+
+// configMessageBody is the body of a message on the configuration, without the fields of membership's.
+type configMessageBody struct {
+	Configuration *configMessage `cbor:"10,keyasint"`
+}
+
+// EncodeConfigQuery is the body of the message by which a command asks; DecodeConfigAnswer reads the answer.
+func EncodeConfigQuery(q *configsync.Query) any {
+	return configMessageBody{&configMessage{Question: q}}
+}
+
+// DecodeConfigAnswer reads the answer to a command.
+func DecodeConfigAnswer(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
+	var body configMessageBody
+	if err := envelope.Open(text, fleet, &body); err != nil {
+		return nil, err
+	}
+	if body.Configuration == nil || body.Configuration.Answer == nil {
+		return nil, envelope.ErrBody
+	}
+	return body.Configuration.Answer, nil
+}
+
+// isConfigExchange says whether an input ends an exchange of the replicator's.
+func isConfigExchange(in *Input) bool {
+	return in.Link >= configLinkOffset && (in.Kind == PeerExchangeFailed || in.Kind == PeerResponseReceived)
+}
+
+// applyConfigMessage applies a message of another node or of a command.
+func (sm *StateMachine) applyConfigMessage(in *Input, envelopeBody *configMessage) {
+	cs := &sm.configSync
+	m := envelopeBody.Message
+	request := in.Kind == PeerRequestReceived
+	switch {
+	case cs.replicator == nil:
+		if request {
+			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
+		}
+	case request && envelopeBody.Question != nil:
+		sm.applyOperatorQuery(in.Link, envelopeBody.Question)
+	case request && m != nil && m.Kind == configsync.Fetch:
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Asked, From: envelopeBody.From, Link: in.Link, Message: m})
+	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Came, From: envelopeBody.From, Message: m})
+	default:
+		sm.countUnusable(in, fmt.Errorf("%w: a letter of the configuration that does not belong there", envelope.ErrSpoilt))
+	}
+}
+
+// applyConfigResponse applies the end of an exchange of the replicator's.
+func (sm *StateMachine) applyConfigResponse(in *Input) {
+	cs := &sm.configSync
+	if cs.replicator == nil {
+		return
+	}
+	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configLinkOffset}
+	if in.Kind == PeerResponseReceived {
+		if response := sm.decodeConfigResponse(in); response != nil {
+			next.Kind = configsync.Answered
+			next.From, next.Message = response.From, response.Message
+		}
+	}
+	cs.inputs = append(cs.inputs, next)
+}
+
+// decodeConfigResponse reads a response that carries a piece of the configuration, nil where it is none.
+func (sm *StateMachine) decodeConfigResponse(in *Input) *configMessage {
+	var body configMessageBody
+	if err := sm.fleet.open(in.Bytes, &body); err != nil {
+		sm.log(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
+		return nil
+	}
+	response := body.Configuration
+	if response == nil || response.Message == nil || response.Message.Kind != configsync.Piece {
+		return nil
+	}
+	return response
+}
+
+// sendConfigEnvelope emits an effect with a message on the configuration.
+func (sm *StateMachine) sendConfigEnvelope(e Effect, m *configMessage) {
+	m.From = sm.fleet.selfName()
+	sm.sendEnvelope(e, configMessageBody{m})
+}
+
+// sendConfigMessage sends a datagram; records that make it too long are left out, and will be fetched.
+func (sm *StateMachine) sendConfigMessage(to string, m *configsync.Message) {
+	address, known := sm.fleet.addressOf(to)
+	if !known {
+		return
+	}
+	l := &configMessage{From: sm.fleet.selfName(), Message: m}
+	text, err := sm.fleet.seal(configMessageBody{l})
+	if err == nil && len(text) > envelope.DatagramMost && len(m.Records) > 0 {
+		short := *m
+		short.Records = nil
+		l.Message = &short
+		text, err = sm.fleet.seal(configMessageBody{l})
+	}
+	if sm.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a word on the configuration can be written, and fits any path") {
+		sm.emit(Effect{Kind: SendDatagram, Address: address, Bytes: text})
+	}
+}
+
+// openConfigExchange opens an exchange of the replicator's; to a node without a known address it fails at once.
+func (sm *StateMachine) openConfigExchange(e *configsync.Effect) {
+	address, known := sm.fleet.addressOf(e.To)
+	if !known {
+		cs := &sm.configSync
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Missed, Link: e.Link})
+		return
+	}
+	sm.sendConfigEnvelope(Effect{Kind: OpenExchange, Link: configLinkOffset + e.Link, Address: address}, &configMessage{Message: e.Message})
+}
--- /dev/null
+++ b/internal/node/configsync_messages_test.go
@@ -0,0 +1,31 @@
+package node
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/fleet/configsync"
+	"topazpost/internal/fleet/envelope"
+	"topazpost/internal/fleet/membership"
+)
+
+func TestLettersOfTheConfigurationAreToldFromMembership(t *testing.T) {
+	fleet := envelope.FleetOf("mobilier")
+	text, err := envelope.Seal(nil, fleet, EncodeConfigQuery(&configsync.Query{Kind: configsync.ShowStanding}))
+	require.NoError(t, err)
+	var older membership.Message
+	require.NoError(t, envelope.Open(text, fleet, &older))
+	assert.Equal(t, membership.Message{}, older, "a build without the door finds a message of no kind, which it refuses")
+	r := peered(t)
+	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
+	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "where it is off the exchange is closed")
+	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
+	assert.Zero(t, r.fleet.counters.Spoilt)
+	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
+		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
+	var body peerMessage
+	require.NoError(t, envelope.Open(sealed(t, "mobilier", msg), fleet, &body))
+	assert.Equal(t, peerMessage{Message: msg}, body)
+}
--- /dev/null
+++ b/internal/node/degradation_plan_test.go
@@ -0,0 +1,53 @@
+package node
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/degradation"
+)
+
+// ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
+func ladderOf(enter float64) *DegradationPlan {
+	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
+	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
+	p.IdleCondition.Limits[degradation.Load] = -1
+	for k, s := range []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}} {
+		c := degradation.Condition{Limits: degradation.NoLimits()}
+		c.Limits[degradation.Load] = enter
+		exit := degradation.Condition{Limits: degradation.NoLimits()}
+		exit.Limits[degradation.Load] = enter - 1
+		p.Levels = append(p.Levels, degradation.Level{Name: []string{"plain", "none"}[k], Services: []admission.Service{s, {}},
+			Enter: []degradation.Condition{c}, Exit: exit})
+	}
+	return p
+}
+
+func TestPlanThatDoesNotFitChangesNothing(t *testing.T) {
+	r := at(t, 1)
+	bad := ladderOf(1)
+	bad.Levels[0].Services = bad.Levels[0].Services[:1]
+	before := r.degradation
+	step(r, Input{Kind: PlanChanged, Plan: bad})
+	assert.Equal(t, before, r.degradation)
+}
+
+func TestPlanTakenAwayGivesFullServiceBack(t *testing.T) {
+	r := at(t, 2)
+	step(r, Input{Kind: PlanChanged})
+	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue 4")
+	assert.Nil(t, r.Levels())
+}
+
+func TestPlanTakenBeforeTheExecutorIsUpCountsOnceItIs(t *testing.T) {
+	r := fresh(t)
+	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
+	told(r, "WELCOME old 0")
+	told(r, "METERS j1 0.1 1 0.1 3")
+	r.now = r.timerAt
+	step(r)
+	assert.Equal(t, 2, r.degradation.steps.Level())
+	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
+}
--- /dev/null
+++ b/internal/node/results_answers.go
@@ -0,0 +1,214 @@
+package node
+
+import (
+	"fmt"
+	"strconv"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/protocol/frame"
+	"topazpost/internal/resultcache"
+)
+
+// queryCache hands an invocation to the cache, which decides whether it runs, joins or is answered.
+func (sm *StateMachine) queryCache(i int32) {
+	v := &sm.invocations[i]
+	v.inCache = true
+	until := v.tokenExpiresAt
+	if until == 0 {
+		until = sm.now + v.terms.tokenLifetime
+	}
+	sm.stepCache(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.tokenKey, BodyHash: v.bodyHash, Remaining: until - sm.now})
+}
+
+// tokenRunEnded reports to the cache how a run ended. The answer follows once that is written.
+func (sm *StateMachine) tokenRunEnded(i int32, outcome admission.Outcome, body []byte) {
+	v := &sm.invocations[i]
+	v.exited, v.outcome, v.atExecutor = true, outcome, false
+	ending := resultcache.Failed
+	switch outcome {
+	case admission.Succeeded:
+		ending = resultcache.Succeeded
+	case admission.NeverStarted:
+		ending = resultcache.NeverStarted
+	}
+	sm.stepCache(resultcache.Input{Kind: resultcache.RunEnded, Key: v.tokenKey, Outcome: ending, Result: body})
+	if sm.invocations[i].answered { // by the step, which may have moved the invocations
+		sm.runFinished(i)
+	}
+}
+
+// runFinished reports to the admission controller a run that is over and whose answer waited for the disk.
+func (sm *StateMachine) runFinished(i int32) {
+	v := &sm.invocations[i]
+	if v.exited {
+		v.exited = false
+		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.outcome})
+	}
+}
+
+// applyStoreInput applies what the store reports.
+func (sm *StateMachine) applyStoreInput(in *Input) {
+	rs := &sm.results
+	if rs.keeper == nil {
+		return
+	}
+	switch in.Kind {
+	case RecordsRecovered:
+		for _, r := range in.Records {
+			rs.recovered++
+			rs.inputs = append(rs.inputs, resultcache.Input{Kind: resultcache.RecordRecovered, Key: r.Key, BodyHash: r.BodyHash, Completed: r.Completed,
+				Outcome: r.Outcome, Result: r.Result})
+		}
+		sm.stepCache()
+	case RecoveryCompleted:
+		rs.recovering = false
+		sm.stepCache(resultcache.Input{Kind: resultcache.RecoveryCompleted})
+		counters := &rs.keeper.Counters
+		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", rs.recovered, counters.Entries, counters.Unknown), "", nil)
+	case RecordWritten:
+		sm.recordsWritten(in, resultcache.WriteSucceeded)
+	case RecordWriteFailed:
+		sm.recordsWritten(in, resultcache.WriteFailed)
+	}
+}
+
+// recordsWritten applies the end of writes, and logs where the store begins or ceases to fail.
+func (sm *StateMachine) recordsWritten(in *Input, kind resultcache.InputKind) {
+	rs := &sm.results
+	before := rs.keeper.StoreFailing()
+	for _, r := range in.Records {
+		rs.inputs = append(rs.inputs, resultcache.Input{Kind: kind, Key: r.Key})
+	}
+	sm.stepCache()
+	after := rs.keeper.StoreFailing()
+	if after && !before {
+		sm.log(Warn, "results can't be kept", "", in.Err)
+	} else if before && !after {
+		sm.log(Info, "results are kept again", "", nil)
+	}
+}
+
+// stepCache steps the cache with inputs; what follows from its actions is stepped after them, never within.
+func (sm *StateMachine) stepCache(inputs ...resultcache.Input) {
+	rs := &sm.results
+	rs.inputs = append(rs.inputs, inputs...)
+	if rs.stepping {
+		return
+	}
+	rs.stepping = true
+	for len(rs.inputs) > 0 {
+		batch := rs.inputs
+		rs.inputs = nil
+		for _, a := range rs.keeper.Step(sm.now, batch) {
+			sm.executeCacheAction(&a)
+		}
+	}
+	rs.stepping = false
+}
+
+func (sm *StateMachine) executeCacheAction(a *resultcache.Action) {
+	switch a.Kind {
+	case resultcache.Run:
+		v := &sm.invocations[a.Invocation]
+		if v.live && !v.answered {
+			v.atExecutor = true
+			sm.startRun(a.Invocation, v.runForm)
+		}
+	case resultcache.WriteStart:
+		sm.writeStart(a)
+	case resultcache.WriteEnd:
+		sm.writeEnd(a)
+	case resultcache.RemoveRecord:
+		if sm.claiming.enabled() {
+			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: sm.claimKey(a.Key)})
+		}
+	case resultcache.Join:
+	default:
+		sm.answerFromCache(a)
+	}
+}
+
+// writeStart records that a run starts: at the consensus group, else in the store.
+func (sm *StateMachine) writeStart(a *resultcache.Action) {
+	remaining := a.Until - sm.now
+	if sm.claiming.enabled() {
+		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Window: remaining})
+		return
+	}
+	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: remaining}})
+}
+
+// writeEnd records how a run ended.
+func (sm *StateMachine) writeEnd(a *resultcache.Action) {
+	if sm.claiming.enabled() {
+		sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
+		return
+	}
+	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, Completed: true, Outcome: a.Outcome, Result: a.Result,
+		Remaining: sm.maxTokenLifetime(a.Key.Operation)}})
+}
+
+// answerFromCache answers an invocation with what the cache has for it, and reports to the admission controller that it is over.
+func (sm *StateMachine) answerFromCache(a *resultcache.Action) {
+	i := a.Invocation
+	v := &sm.invocations[i]
+	if !sm.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
+		return
+	}
+	ownRun := v.exited // a run of its own is over with its answer
+	var fields []frame.Field
+	if a.FromCache {
+		fields = append(fields, frame.Field{Name: "kept", Value: "1"})
+	}
+	outcome := admission.Errored
+	switch a.Kind {
+	case resultcache.Serve:
+		outcome = admission.Succeeded
+		sm.succeed(i, a.Result, fields...)
+	case resultcache.Reject:
+		outcome = admission.NeverStarted
+		if retryAfter := min(a.RetryAfter, sm.config.Node.MaxRetryAfter); retryAfter > 0 {
+			fields = append(fields, frame.Field{Name: "pushback", Value: strconv.FormatInt((retryAfter+ms-1)/ms, 10)})
+		}
+		sm.answer(i, frame.Throttled, fields, nil)
+	default:
+		if text := outcomeText(a); text != "" {
+			fields = append(fields, frame.Field{Name: "outcome", Value: text})
+		}
+		sm.answer(i, frame.Errored, fields, nil)
+	}
+	if !ownRun {
+		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
+	}
+}
+
+// outcomeText says to the caller what is known of a run that can't be answered with its result, empty where that is nothing more.
+func outcomeText(a *resultcache.Action) string {
+	switch {
+	case a.Kind == resultcache.OutcomeUnknown:
+		return "unknown"
+	case a.Kind == resultcache.Mismatch:
+		return "token of another body"
+	case a.ResultNotCached:
+		return "succeeded, its result is not kept"
+	default:
+		return ""
+	}
+}
+
+// expireResults has tokens expire that are due.
+func (sm *StateMachine) expireResults() {
+	rs := &sm.results
+	if rs.keeper != nil && sm.now >= rs.keeper.NextExpiry() {
+		sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected})
+	}
+}
+
+// resultsDue is when the next token expires.
+func (sm *StateMachine) resultsDue() int64 {
+	if sm.results.keeper == nil {
+		return never
+	}
+	return max(sm.now+1, sm.results.keeper.NextExpiry())
+}
--- /dev/null
+++ b/internal/node/takeover.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/membership"
+	"topazpost/internal/fleet/takeover"
+	"topazpost/internal/resultcache"
+)
+
+const heir = -1 // connection of an invocation that was taken over: nobody is answered
+
+var errNotAccepting = errors.New("this node takes nothing in")
+
+// takeoverWork is what a new owner needs of an invocation.
+type takeoverWork struct {
+	Call         string  `cbor:"1,keyasint"`
+	Body         []byte  `cbor:"2,keyasint"`
+	QueuedKB     float64 `cbor:"3,keyasint"`
+	ExpectedWork int64   `cbor:"4,keyasint,omitempty"`
+	Caller       int64   `cbor:"5,keyasint,omitempty"`
+}
+
+func workOf(v *invocation) takeoverWork {
+	return takeoverWork{Call: v.call, Body: v.body, QueuedKB: v.arrival.QueuedKB, ExpectedWork: v.arrival.ExpectedWork, Caller: v.arrival.Caller}
+}
+
+// valid says whether its fields are within the bounds of an invocation.
+func (w *takeoverWork) valid() bool {
+	return hex16(w.Call) && len(w.Body) <= bodyMost && w.QueuedKB > 0 && w.QueuedKB < heapMost
+}
+
+// takeOverInvocation submits what a lost node had claimed, as an invocation whose caller is not here. Its deadline stays; its latency
+// objective counts from now on, or the controller would give up as hopeless what was lost with its node.
+func (sm *StateMachine) takeOverInvocation(key resultcache.Key, a *claims.Action) error {
+	if sm.controller == nil || sm.drainRequested {
+		return errNotAccepting
+	}
+	var work takeoverWork
+	if err := cbor.Unmarshal(a.Work, &work); err != nil {
+		return fmt.Errorf("its work can't be read: %w", err)
+	}
+	if _, used := sm.indexByCall[work.Call]; used || !work.valid() {
+		return fmt.Errorf("call %q: in use, or not one", work.Call)
+	}
+	if sm.results.isKnown(key) {
+		return nil // a caller is here already, and its invocation goes on under this claim
+	}
+	v := invocation{live: true, connection: heir, call: work.Call, op: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
+		bodyHash: a.BodyHash, operation: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
+	v.arrival = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
+		Deadline: sm.now + a.Duration, QueuedKB: work.QueuedKB, ExpectedWork: work.ExpectedWork, Caller: work.Caller}
+	i := sm.addInvocation(v)
+	sm.invocations[i].arrival.Invocation = i
+	sm.results.addPending(key, i, v.bodyHash)
+	sm.notifyController(sm.invocations[i].arrival)
+	sm.Counters.Inherited++
+	return nil
+}
+
+// takeoverMembers is the view as the consensus group needs it. A node without any link keeps all in its view, so it takes nobody for
+// lost.
+func (sm *StateMachine) takeoverMembers() []takeover.Member {
+	var list []takeover.Member
+	view := sm.Members().View()
+	for k := range view.Members {
+		m := &view.Members[k]
+		alive := m.Status == membership.Alive
+		list = append(list, takeover.Member{
+			Owner:       claims.Owner{Name: m.Name, Incarnation: uint64(m.StartedAt)},
+			Zone:        m.Facts.Zone,
+			Level:       int(m.Facts.Level),
+			Alive:       alive || m.Status == membership.Suspect,
+			AcceptsWork: alive && m.Facts.Beat == 0 && !m.Facts.NoUse,
+		})
+	}
+	return list
+}
--- /dev/null
+++ b/internal/node/takeover_test.go
@@ -0,0 +1,49 @@
+package node
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/consensus"
+)
+
+func TestWorkOfALostNodeIsRunAndItsEndAgreedOn(t *testing.T) {
+	r := sitting(t)
+	work := invoked(t, r, 1, "a1")[0].Work
+	r2 := sitting(t)
+	gift := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
+		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
+	heardFrom(t, r2, gift)
+	start := asked(t, r2, heardFrom(t, r2, gift)) // told again, while the module decides
+	for from := r2.now; r2.now < from+100*ms && len(start) == 0; {
+		start = asked(t, r2, step(r2))
+	}
+	assert.Equal(t, 1, r2.Counters.Inherited)
+	require.Len(t, start, 1)
+	assert.Equal(t, claims.CommandStart, start[0].Kind)
+	effects := heardFrom(t, r2, answerTo(start[0], claims.AnswerGranted))
+	require.Equal(t, []EffectKind{SendToExecutor}, toldOf(effects))
+	assert.Contains(t, string(effects[0].Bytes), "body")
+	end := asked(t, r2, told(r2, "EXIT 1 "+id(1)+" good 12 2|ok"))
+	require.Len(t, end, 1)
+	effects = heardFrom(t, r2, answerTo(end[0], claims.AnswerDone))
+	assert.Empty(t, toldOf(effects), "nobody is answered")
+	step(r2)
+	assert.Zero(t, r2.owedAnswers)
+	assert.Empty(t, r2.indexByCall, "and it is forgotten")
+}
+
+func TestGiftToANodeThatDrainsIsLetGo(t *testing.T) {
+	r := sitting(t)
+	work := invoked(t, r, 1, "a1")[0].Work
+	r2 := sitting(t)
+	step(r2, Input{Kind: DrainRequested})
+	release := asked(t, r2, heardFrom(t, r2, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
+		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
+	require.Len(t, release, 1)
+	assert.Equal(t, claims.CommandRelease, release[0].Kind)
+	assert.Zero(t, r2.Counters.Inherited)
+}
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -107,9 +107,7 @@
 			v.validated = true
 		}
 		n := min(budget, len(v.changes))
-		for i := range v.changes[:n] {
-			sm.applyChange(v, v.changes[i])
-		}
+		sm.applyChanges(v, v.changes[:n])
 		v.changes = v.changes[n:]
 		budget -= n
 		if len(v.changes) == 0 {
@@ -169,7 +167,13 @@
 	}
 }
 
-// applyChange brings one change into force.
+// applyChanges brings changes of a version into force.
+func (sm *StateMachine) applyChanges(v *version, changes []nodeconfig.Change) {
+	for i := range changes {
+		sm.applyChange(v, changes[i])
+	}
+}
+
 func (sm *StateMachine) applyChange(v *version, c nodeconfig.Change) {
 	sm.initMaxLifetime()
 	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
