--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -36,6 +36,9 @@
 	unansweredSince int64          // when it was first sent a command since its last answer, 0 where it owes none
 }
 
+// owner is this node as an owner of claims and leases.
+func (cs *claimState) owner() claims.Owner { return cs.self }
+
 // enabled says whether tokens are claimed from the consensus group.
 func (cs *claimState) enabled() bool { return cs.client != nil }
 
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -24,7 +24,7 @@
 // replica of the consensus group defines the limit, of a version, while it leads.
 func (sm *StateMachine) EnableQuota(config quota.HolderConfig, version uint64) {
 	if !sm.hollow.isReplicaOnly() {
-		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.claiming.self)), config: config, announcedUnits: -1}
+		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.claiming.owner())), config: config, announcedUnits: -1}
 	}
 	sm.claiming.setLimits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: config.Name, Units: config.Units, Version: version,
 		StartDelay: config.Term}})
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -1,8 +1,10 @@
 package node
 
 import (
+	"math"
 	"testing"
 
+	"github.com/fxamacker/cbor/v2"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
@@ -47,3 +49,17 @@
 	assert.Equal(t, claims.CommandRelease, release[0].Kind)
 	assert.Zero(t, r2.Counters.Inherited)
 }
+
+// Work whose memory is no number, or out of bounds, is refused before the controller counts with it.
+func TestTakeoverOfWorkOutOfBoundsIsRefused(t *testing.T) {
+	for _, queuedKB := range []float64{math.NaN(), 0, -1, heapMost, math.Inf(1)} {
+		r := sitting(t)
+		work, err := cbor.Marshal(takeoverWork{Call: id(1), Body: []byte("body"), QueuedKB: queuedKB})
+		require.NoError(t, err)
+		release := asked(t, r, heardFrom(t, r, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
+			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}))
+		require.Len(t, release, 1, queuedKB)
+		assert.Equal(t, claims.CommandRelease, release[0].Kind, queuedKB)
+		assert.Zero(t, r.Counters.Inherited, queuedKB)
+	}
+}
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -143,7 +143,7 @@
 func (sm *StateMachine) validateChanges(changes []nodeconfig.Change) error {
 	for i := range changes {
 		c := &changes[i]
-		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && sm.addresses.Catalogue == "" && !sm.hollow.on {
+		if c.Part == nodeconfig.Operations && !c.Removed && c.Operation.CallsDependency && sm.addresses.Catalogue == "" && !sm.hollow.enabled() {
 			return fmt.Errorf("nodeconfig: %s.%s: %w", c.Part, c.Name, errNoCatalogue)
 		}
 		if sm.versions.indicesPinned && sm.changesIndices(c) {
