--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -15,8 +15,8 @@
 	"topazpost/internal/resultcache"
 )
 
-// sitting is a node that serves, whose claims are agreed on by a council in which n0 sits alone, and this node does not.
-func sitting(t *testing.T) *StateMachine {
+// claimingNode is a node that serves, whose claims are agreed on by a council in which n0 sits alone, and this node does not.
+func claimingNode(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
@@ -29,21 +29,21 @@
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.claiming.streams["n0"] = 3
-	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
+	receiveFromReplica(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
 	require.True(t, r.claiming.client.Connected())
 	return r
 }
 
-// heardFrom is a message of the council's seat.
-func heardFrom(t *testing.T, r *StateMachine, m *consensus.Message) []Effect {
+// receiveFromReplica is a message of the council's seat.
+func receiveFromReplica(t *testing.T, r *StateMachine, m *consensus.Message) []Effect {
 	m.From, m.Owner = "n0", r.claiming.self
 	text, err := envelope.Seal(nil, r.fleet.id, m)
 	require.NoError(t, err)
 	return step(r, Input{Kind: PeerMessageReceived, Link: 3, Bytes: text})
 }
 
-// asked are the commands that effects bring to the council.
-func asked(t *testing.T, r *StateMachine, effects []Effect) (list []claims.Command) {
+// claimCommands are the commands that effects bring to the council.
+func claimCommands(t *testing.T, r *StateMachine, effects []Effect) (list []claims.Command) {
 	for _, e := range effects {
 		if e.Kind == SendOnStream {
 			m := new(consensus.Message)
@@ -54,7 +54,7 @@
 	return list
 }
 
-func answerTo(c claims.Command, answer claims.Answer, more ...func(*claims.Verdict)) *consensus.Message {
+func verdictOn(c claims.Command, answer claims.Answer, more ...func(*claims.Verdict)) *consensus.Message {
 	v := claims.Verdict{Seq: c.Seq, Answer: answer, Fence: 5}
 	for _, f := range more {
 		f(&v)
@@ -62,7 +62,7 @@
 	return &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{v}}
 }
 
-func toldOf(effects []Effect) (list []EffectKind) {
+func localEffects(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
 		if e.Kind != SendDatagram && e.Kind != SendOnStream {
 			list = append(list, e.Kind)
@@ -71,39 +71,39 @@
 	return list
 }
 
-// invoked has a tokened invocation come, and gives the commands that follow.
-func invoked(t *testing.T, r *StateMachine, stream int, token string) []claims.Command {
-	return asked(t, r, step(r, hold(stream, token)))
+// claimsOfInvocation has a tokened invocation come, and gives the commands that follow.
+func claimsOfInvocation(t *testing.T, r *StateMachine, stream int, token string) []claims.Command {
+	return claimCommands(t, r, step(r, tokenInvocation(stream, token)))
 }
 
-func TestExecutorHearsOfATokenOnceItsStartIsAgreedOn(t *testing.T) {
-	r := sitting(t)
-	claim := invoked(t, r, 1, "a1")
+func TestRunStartsOnceItsClaimIsGranted(t *testing.T) {
+	r := claimingNode(t)
+	claim := claimsOfInvocation(t, r, 1, "a1")
 	require.Len(t, claim, 1)
 	assert.Equal(t, claims.CommandClaim, claim[0].Kind)
-	start := asked(t, r, heardFrom(t, r, answerTo(claim[0], claims.AnswerGranted)))
+	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerGranted)))
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
-	effects := heardFrom(t, r, answerTo(start[0], claims.AnswerGranted))
-	require.Equal(t, []EffectKind{SendToExecutor}, toldOf(effects))
+	effects := receiveFromReplica(t, r, verdictOn(start[0], claims.AnswerGranted))
+	require.Equal(t, []EffectKind{SendToExecutor}, localEffects(effects))
 	assert.Contains(t, string(effects[0].Bytes), "EXEC "+id(1))
 	effects = told(r, "EXIT 1 "+id(1)+" good 12 2|ok")
-	end := asked(t, r, effects)
+	end := claimCommands(t, r, effects)
 	require.Len(t, end, 1)
 	assert.Equal(t, claims.CommandEnd, end[0].Kind)
 	assert.Equal(t, "ok", string(end[0].Result))
-	assert.Empty(t, toldOf(effects), "the answer waits for the end to be agreed on")
-	assert.Equal(t, []EffectKind{SendToConnection}, toldOf(heardFrom(t, r, answerTo(end[0], claims.AnswerDone))))
+	assert.Empty(t, localEffects(effects), "the answer waits for the end to be agreed on")
+	assert.Equal(t, []EffectKind{SendToConnection}, localEffects(receiveFromReplica(t, r, verdictOn(end[0], claims.AnswerDone))))
 	step(r)
 	assert.Zero(t, r.claiming.client.Size())
 	assert.Equal(t, 1, r.Counters.Succeeded)
 }
 
-func TestTokenThatEndedElsewhereIsAnsweredUnrun(t *testing.T) {
-	r := sitting(t)
-	claim := invoked(t, r, 1, "a1")
-	effects := heardFrom(t, r, answerTo(claim[0], claims.AnswerCompleted, func(v *claims.Verdict) { v.Result = []byte("kept") }))
-	require.Equal(t, []EffectKind{SendToConnection}, toldOf(effects))
+func TestTokenCompletedElsewhereIsAnsweredWithoutARun(t *testing.T) {
+	r := claimingNode(t)
+	claim := claimsOfInvocation(t, r, 1, "a1")
+	effects := receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerCompleted, func(v *claims.Verdict) { v.Result = []byte("kept") }))
+	require.Equal(t, []EffectKind{SendToConnection}, localEffects(effects))
 	for _, e := range effects {
 		if e.Kind == SendToConnection {
 			assert.Contains(t, string(e.Bytes), "kept")
@@ -111,22 +111,22 @@
 	}
 }
 
-func TestTokenOfUnknownOutcomeElsewhereIsToldSo(t *testing.T) {
-	r := sitting(t)
-	claim := invoked(t, r, 1, "a1")
-	effects := heardFrom(t, r, answerTo(claim[0], claims.AnswerOutcomeUnknown))
-	require.Equal(t, []EffectKind{SendToConnection}, toldOf(effects))
+func TestUnknownOutcomeElsewhereIsAnsweredAsUnknown(t *testing.T) {
+	r := claimingNode(t)
+	claim := claimsOfInvocation(t, r, 1, "a1")
+	effects := receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerOutcomeUnknown))
+	require.Equal(t, []EffectKind{SendToConnection}, localEffects(effects))
 	assert.Equal(t, 1, r.Counters.Errored)
 	assert.True(t, strings.Contains(string(effects[0].Bytes), "unknown"))
 }
 
-func TestTokenThatRunsElsewhereIsAnsweredBeforeItsClientTimeout(t *testing.T) {
-	r := sitting(t)
-	claim := invoked(t, r, 1, "a1")
-	heardFrom(t, r, answerTo(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
+func TestTokenOwnedElsewhereIsAnsweredBeforeItsClientTimeout(t *testing.T) {
+	r := claimingNode(t)
+	claim := claimsOfInvocation(t, r, 1, "a1")
+	receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answered := int64(0)
 	for from := r.now; r.now < from+3_000*ms && answered == 0; {
-		effects := append(step(r), heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})...)
+		effects := append(step(r), receiveFromReplica(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})...)
 		if len(kindsOf(effects, SendToConnection)) > 0 {
 			answered = r.now - from
 		}
@@ -136,17 +136,17 @@
 	assert.Equal(t, 1, r.Counters.Errored, "it may run: a throttle would say that it did not")
 }
 
-func TestCallerThatLeavesUnrunLetsItsClaimGo(t *testing.T) {
-	r := sitting(t)
-	claim := invoked(t, r, 1, "a1")
+func TestClaimIsReleasedWhenTheCallerLeavesBeforeTheRun(t *testing.T) {
+	r := claimingNode(t)
+	claim := claimsOfInvocation(t, r, 1, "a1")
 	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	for range 40 {
 		step(r)
 	}
 	var commands []claims.Command
-	commands = append(commands, asked(t, r, heardFrom(t, r, answerTo(claim[0], claims.AnswerGranted)))...)
+	commands = append(commands, claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerGranted)))...)
 	for range 40 {
-		commands = append(commands, asked(t, r, step(r))...)
+		commands = append(commands, claimCommands(t, r, step(r))...)
 	}
 	require.NotEmpty(t, commands)
 	assert.Equal(t, claims.CommandRelease, commands[len(commands)-1].Kind)
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -11,14 +11,14 @@
 	"topazpost/internal/fleet/membership"
 )
 
-func TestLettersOfTheConfigurationAreToldFromMembership(t *testing.T) {
+func TestConfigurationMessagesAreDistinctFromMembership(t *testing.T) {
 	fleet := envelope.FleetOf("mobilier")
 	text, err := envelope.Seal(nil, fleet, EncodeConfigQuery(&configsync.Query{Kind: configsync.ShowStanding}))
 	require.NoError(t, err)
 	var older membership.Message
 	require.NoError(t, envelope.Open(text, fleet, &older))
 	assert.Equal(t, membership.Message{}, older, "a build without the door finds a message of no kind, which it refuses")
-	r := peered(t)
+	r := fleetNode(t)
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
 	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "where it is off the exchange is closed")
 	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -11,8 +11,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// questioned is a node's answer to a question, with all effects up to it.
-func questioned(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
+// query is a node's answer to a question, with all effects up to it.
+func query(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
 	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), EncodeConfigQuery(q))
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
@@ -44,7 +44,7 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	a, all := questioned(t, r, &configsync.Query{Kind: configsync.Propose, Command: c})
+	a, all := query(t, r, &configsync.Query{Kind: configsync.Propose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
 		if !a.Verdict.Done || r.ConfigSyncState().Version >= a.Verdict.Version || r.ConfigSyncState().Refused >= a.Verdict.Version {
@@ -55,7 +55,7 @@
 	return a.Verdict, append(all, step(r)...)
 }
 
-func TestPutIsCheckedBeforeItIsOrdered(t *testing.T) {
+func TestPutIsValidatedBeforeItIsOrdered(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
 	servingNode(t, r)
@@ -74,13 +74,13 @@
 	}
 }
 
-func TestNodeThatCantTakeAVersionKeepsTheLastAndSaysSo(t *testing.T) {
+func TestNodeReportsAVersionItCannotApply(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 	require.NoError(t, err)
 	servingNode(t, r)
-	v, _ := put(t, r, "a", 0, allOf(r)...)
+	v, _ := put(t, r, "a", 0, contentItems(r)...)
 	require.True(t, v.Done, v.Refused)
-	settle(t, r)
+	awaitRollout(t, r)
 	before := r.config.Own()
 	v, effects := put(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
 	require.True(t, v.Done, "by itself it is sound: %s", v.Refused)
@@ -92,7 +92,7 @@
 	for range 10 {
 		step(r)
 	}
-	a, _ := questioned(t, r, &configsync.Query{Kind: configsync.ShowStanding})
+	a, _ := query(t, r, &configsync.Query{Kind: configsync.ShowStanding})
 	assert.True(t, a.Seat.Head.Stopped, "it goes no further")
 	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.Seat.Head.Who, a.Seat.Head.All.Version})
 }
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -53,37 +53,37 @@
 	return configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
 
-// settle lets time pass until nothing stands at the first stage.
-func settle(t *testing.T, r *StateMachine) {
+// awaitRollout lets time pass until nothing stands at the first stage.
+func awaitRollout(t *testing.T, r *StateMachine) {
 	for range 100 {
 		if head := r.configSync.agreed.Head; head.All.Version == head.Newest {
 			return
 		}
-		pass(r, 50*ms)
+		advance(r, 50*ms)
 	}
 	t.Fatal("a version stands at the first stage for good")
 }
 
-// allOf is the file's content as items.
-func allOf(r *StateMachine) (items []nodeconfig.Item) {
+// contentItems is the file's content as items.
+func contentItems(r *StateMachine) (items []nodeconfig.Item) {
 	for i := range r.configSync.replicator.Content().All {
 		items = append(items, nodeconfig.Item(i))
 	}
 	return items
 }
 
-func TestVersionComesIntoForceWithWorkInHand(t *testing.T) {
+func TestVersionComesIntoForceWithWorkInFlight(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
 	first := kindsOf(servingNode(t, r), ReportVersionInForce)
 	require.Len(t, first, 1, "what it starts with is told")
 	assert.Equal(t, "file", first[0].InForce.Source)
-	v, _ := put(t, r, "a", 0, allOf(r)...)
+	v, _ := put(t, r, "a", 0, contentItems(r)...)
 	require.True(t, v.Done, v.Refused)
 
-	settle(t, r)
-	assert.Equal(t, 1, runsOf(step(r, coming(r, 1, "op", "hold"))))
-	v, effects := put(t, r, "b", 1, removed(nodeconfig.Operations, "hold"), operation("new", ""))
+	awaitRollout(t, r)
+	assert.Equal(t, 1, runsOf(step(r, arrival(r, 1, "op", "hold"))))
+	v, effects := put(t, r, "b", 1, removal(nodeconfig.Operations, "hold"), operation("new", ""))
 	require.True(t, v.Done, v.Refused)
 	in := kindsOf(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
@@ -92,9 +92,9 @@
 	kept := kindsOf(effects, PersistVersion)
 	require.Len(t, kept, 1)
 	assert.Equal(t, uint64(2), kept[0].Persisting.Mark.Version)
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, coming(r, 2, "op", "hold"))))
-	assert.Equal(t, 1, runsOf(step(r, coming(r, 3, "op", "new"))))
-	assert.Equal(t, []string{"20 on 1"}, answers(t, ran(r, 1)), "what was in hand ends as it began")
+	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
+	assert.Equal(t, 1, runsOf(step(r, arrival(r, 3, "op", "new"))))
+	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(r, 1)), "what was in hand ends as it began")
 
 	v, _ = put(t, r, "c", 1, tenant("x", 3))
 	assert.True(t, v.Stale)
@@ -103,7 +103,7 @@
 	assert.Equal(t, uint64(2), again.Version, "the same request has the same verdict")
 }
 
-func TestLargeVersionTakesNoLongStep(t *testing.T) {
+func TestLargeReplicatedVersionIsAppliedInBoundedSteps(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
 	servingNode(t, r)
@@ -131,7 +131,7 @@
 }
 
 // What stands at the first stage is checked at the others, and nothing of it is in force there.
-func TestAVersionThatIsOnlyCheckedChangesNothing(t *testing.T) {
+func TestVersionThatIsOnlyValidatedChangesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		item    nodeconfig.Item
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestStartIsFromTheDiskWhereItCanBeTaken(t *testing.T) {
+func TestStartIsFromTheDiskWhereItIsValid(t *testing.T) {
 	kept := func(items ...nodeconfig.Item) func(file *configsync.Content) configsync.InitialState {
 		return func(file *configsync.Content) configsync.InitialState {
 			var list []configsync.Item
@@ -187,13 +187,13 @@
 			return configsync.InitialState{Mark: configsync.Revision{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
 		}
 	}
-	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removed(nodeconfig.Operations, "hold")))
+	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removal(nodeconfig.Operations, "hold")))
 	require.NoError(t, err)
 	in := kindsOf(servingNode(t, r), ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Mark.Version, in[0].InForce.Added, in[0].InForce.Removed})
-	assert.Equal(t, 1, runsOf(step(r, coming(r, 1, "op", "new"))))
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, coming(r, 2, "op", "hold"))))
+	assert.Equal(t, 1, runsOf(step(r, arrival(r, 1, "op", "new"))))
+	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
 
 	r, err = configuredNode(t, Addresses{"executor:1", "", "control:1"}, kept(operation("new", `,"class_calls":true`)))
 	assert.ErrorContains(t, err, "names no catalogue")
@@ -203,7 +203,7 @@
 }
 
 // A version whose changes lie apart in a large content is taken over steps that each look at a bounded part of it, and as a whole.
-func TestVersionOfChangesThatLieApartIsTakenOverSteps(t *testing.T) {
+func TestScatteredChangesAreAppliedInBoundedSteps(t *testing.T) {
 	const tenants, changed, most = 40_000, 600, 128 // most a step: each lies in a block of 13 kB
 	note := strings.Repeat("n", 280)
 	var own, next *configsync.Content
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -103,7 +103,7 @@
 				inputs = append(inputs, Input{Kind: ConnectionClosed, Link: link})
 			case 5:
 				stream++
-				in := coming(r, int(stream))
+				in := arrival(r, int(stream))
 				in.Link = link
 				inputs = append(inputs, in)
 			}
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -9,8 +9,8 @@
 	"topazpost/internal/degradation"
 )
 
-// ladderOf reduces the catalogue, then refuses it; its load is above any threshold.
-func ladderOf(enter float64) *DegradationPlan {
+// testPlan reduces the catalogue, then refuses it; its load is above any threshold.
+func testPlan(enter float64) *DegradationPlan {
 	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
 	p.IdleCondition.Limits[degradation.Load] = -1
@@ -25,25 +25,25 @@
 	return p
 }
 
-func TestPlanThatDoesNotFitChangesNothing(t *testing.T) {
-	r := at(t, 1)
-	bad := ladderOf(1)
+func TestInvalidPlanChangesNothing(t *testing.T) {
+	r := nodeAtLevel(t, 1)
+	bad := testPlan(1)
 	bad.Levels[0].Services = bad.Levels[0].Services[:1]
 	before := r.degradation
 	step(r, Input{Kind: PlanChanged, Plan: bad})
 	assert.Equal(t, before, r.degradation)
 }
 
-func TestPlanTakenAwayGivesFullServiceBack(t *testing.T) {
-	r := at(t, 2)
+func TestRemovedPlanRestoresFullService(t *testing.T) {
+	r := nodeAtLevel(t, 2)
 	step(r, Input{Kind: PlanChanged})
 	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue 4")
 	assert.Nil(t, r.Levels())
 }
 
-func TestPlanTakenBeforeTheExecutorIsUpCountsOnceItIs(t *testing.T) {
+func TestPlanAdoptedBeforeTheExecutorConnectsAppliesOnceItDoes(t *testing.T) {
 	r := fresh(t)
-	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
+	step(r, Input{Kind: PlanChanged, Plan: testPlan(-1)})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.now = r.timerAt
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -10,11 +10,11 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// at is a node at a level of the plan.
-func at(t *testing.T, level int) *StateMachine {
+// nodeAtLevel is a node nodeAtLevel a level of the plan.
+func nodeAtLevel(t *testing.T, level int) *StateMachine {
 	r := up(t)
-	step(r, Input{Kind: PlanChanged, Plan: ladderOf(1e9)})
-	next := ladderOf(-1)
+	step(r, Input{Kind: PlanChanged, Plan: testPlan(1e9)})
+	next := testPlan(-1)
 	next.Levels = next.Levels[:level]
 	next.Forms = next.Forms[:level]
 	step(r, Input{Kind: PlanChanged, Plan: next})
@@ -25,7 +25,7 @@
 }
 
 func TestReducedRunNamesItsFormAndItsAnswerTheLevel(t *testing.T) {
-	r := at(t, 1)
+	r := nodeAtLevel(t, 1)
 	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue-plain 4")
 	effects := told(r, "EXIT 1 "+callID+" good 5 2|ok")
 	var p frame.Parser
@@ -39,15 +39,15 @@
 }
 
 func TestWholeAnswerNamesNoLevel(t *testing.T) {
-	r := at(t, 1)
+	r := nodeAtLevel(t, 1)
 	effects := step(r, invoke(1, "op", "hold"))
 	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
 	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
 	assert.Equal(t, 1, r.degradation.current.Whole)
 }
 
-func TestRefusedByTheLevelIsCountedApart(t *testing.T) {
-	r := at(t, 2)
+func TestRejectionsByTheLevelAreCountedApart(t *testing.T) {
+	r := nodeAtLevel(t, 2)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
 	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.degradation.current)
 	all := r.Levels()
@@ -55,9 +55,9 @@
 	assert.Equal(t, 0, r.degradation.totals[2].Levelled, "to look changes nothing")
 }
 
-func TestChangeOfLevelIsToldWithItsCause(t *testing.T) {
+func TestLevelChangeIsReportedWithItsCause(t *testing.T) {
 	r := up(t)
-	step(r, Input{Kind: PlanChanged, Plan: ladderOf(-1)})
+	step(r, Input{Kind: PlanChanged, Plan: testPlan(-1)})
 	r.now = r.timerAt
 	var turn *LevelChange
 	for _, e := range step(r) {
@@ -71,10 +71,10 @@
 	assert.Equal(t, -1.0, turn.Limit)
 }
 
-func TestDrainStaysAtItsLevel(t *testing.T) {
-	r := at(t, 2)
+func TestDrainKeepsItsLevel(t *testing.T) {
+	r := nodeAtLevel(t, 2)
 	step(r, Input{Kind: DrainRequested})
-	next := ladderOf(1e9)
+	next := testPlan(1e9)
 	r.degradation.plan, r.degradation.steps = next, degradation.NewController(&next.Plan, r.now, r.degradation.random)
 	for range 10 {
 		r.now = r.timerAt
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -86,7 +86,7 @@
 		}
 	case reflect.Struct:
 		for k := range v.NumField() {
-			if key, encoded := keyOf(v.Type().Field(k), k); encoded {
+			if key, encoded := encodedKey(v.Type().Field(k), k); encoded {
 				setFull(v.Field(k), 31*seed+key)
 			}
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// keyOf is what a field is known by in the encoding: a number, a name, or in an array its place.
-func keyOf(f reflect.StructField, place int) (key uint32, encoded bool) {
+// encodedKey is what a field is known by in the encoding: a number, a name, or in an array its place.
+func encodedKey(f reflect.StructField, place int) (key uint32, encoded bool) {
 	tag := f.Tag.Get("cbor")
 	if tag == "" {
 		tag = f.Tag.Get("json")
@@ -116,36 +116,36 @@
 	return crc32.ChecksumIEEE([]byte(name)), true
 }
 
-// letterOf seals a letter of the fleet of the fixtures.
-func letterOf(body any) ([]byte, error) {
+// sealMessage seals a letter of the fleet of the fixtures.
+func sealMessage(body any) ([]byte, error) {
 	return envelope.Seal(nil, envelope.FleetOf("mobilier"), body)
 }
 
-// openLetter opens one.
-func openLetter(text []byte, body any) error {
+// openMessage opens one.
+func openMessage(text []byte, body any) error {
 	return envelope.Open(text, envelope.FleetOf("mobilier"), body)
 }
 
 // Letters of membership, one of each kind, as they are sealed when sent and opened when they came, and what a command is shown.
-func TestFixturesOfMembership(t *testing.T) {
+func TestFixturesOfMembershipMessages(t *testing.T) {
 	for k, kind := range []membership.MessageKind{membership.MessagePing, membership.MessageAck, membership.MessageGossip, membership.MessageSyncRequest, membership.MessageSyncAnswer,
 		membership.MessageSyncPush, membership.MessageReject, membership.MessageViewRequest} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fullValue[membership.Message](uint32(k))
 			want.Kind = kind
-			text, err := letterOf(&want)
+			text, err := sealMessage(&want)
 			require.NoError(t, err)
 			var got peerMessage
-			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("member-message-%d-v1.bin", k+1), text), &got))
+			require.NoError(t, openMessage(sameAsFixture(t, fmt.Sprintf("member-message-%d-v1.bin", k+1), text), &got))
 			assert.Equal(t, peerMessage{Message: want}, got)
 		})
 	}
 	t.Run("the ask for claims", func(t *testing.T) {
-		sameBothWays(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}, letterOf, openLetter)
+		sameBothWays(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}, sealMessage, openMessage)
 	})
 	t.Run("view", func(t *testing.T) {
 		want := fullValue[membership.View](1)
-		sameBothWays(t, "view-v1.bin", want, letterOf, openLetter)
+		sameBothWays(t, "view-v1.bin", want, sealMessage, openMessage)
 		seen := want.Members[0]
 		seen.Status, seen.Reach = 0, 0 // a command shows their names
 		sameBothWays(t, "seen-v1.json", seen, json.Marshal, json.Unmarshal)
@@ -167,15 +167,15 @@
 }
 
 // Letters of the configuration between holders, and of commands and what they are answered.
-func TestFixturesOfLettersOfTheConfiguration(t *testing.T) {
+func TestFixturesOfConfigurationMessages(t *testing.T) {
 	for k, kind := range []configsync.MessageKind{configsync.Tell, configsync.Report, configsync.Vouch, configsync.Fetch, configsync.Piece} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fullValue[configMessage](uint32(k))
 			want.Message.Kind, want.Question, want.Answer = kind, nil, nil
-			text, err := letterOf(configMessageBody{&want})
+			text, err := sealMessage(configMessageBody{&want})
 			require.NoError(t, err)
 			var got peerMessage
-			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("configuration-message-%d-v1.bin", k+1), text), &got))
+			require.NoError(t, openMessage(sameAsFixture(t, fmt.Sprintf("configuration-message-%d-v1.bin", k+1), text), &got))
 			assert.Equal(t, peerMessage{Configuration: &want}, got)
 		})
 	}
@@ -183,39 +183,39 @@
 		t.Run(fmt.Sprintf("question %d", k+1), func(t *testing.T) {
 			want := fullValue[configsync.Query](uint32(k))
 			want.Kind = kind
-			text, err := letterOf(EncodeConfigQuery(&want))
+			text, err := sealMessage(EncodeConfigQuery(&want))
 			require.NoError(t, err)
 			var got peerMessage
-			require.NoError(t, openLetter(sameAsFixture(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
+			require.NoError(t, openMessage(sameAsFixture(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
 			assert.Equal(t, peerMessage{Configuration: &configMessage{Question: &want}}, got)
 		})
 	}
 	t.Run("answer", func(t *testing.T) {
 		want := fullValue[configsync.Answer](1)
-		text, err := letterOf(configMessageBody{&configMessage{From: "node-1", Answer: &want}})
+		text, err := sealMessage(configMessageBody{&configMessage{From: "node-1", Answer: &want}})
 		require.NoError(t, err)
 		got, err := DecodeConfigAnswer(sameAsFixture(t, "answer-v1.bin", text), envelope.FleetOf("mobilier"))
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
 	t.Run("the whole letter", func(t *testing.T) {
-		sameBothWays(t, "letter-v1.bin", fullValue[peerMessage](1), letterOf, openLetter)
-		sameBothWays(t, "body-v1.bin", fullValue[configMessageBody](1), letterOf, openLetter)
+		sameBothWays(t, "letter-v1.bin", fullValue[peerMessage](1), sealMessage, openMessage)
+		sameBothWays(t, "body-v1.bin", fullValue[configMessageBody](1), sealMessage, openMessage)
 	})
 }
 
 // Letters of the council, one of each kind, with claims, leases and versions in them, and what a node shows of it.
-func TestFixturesOfLettersOfTheCouncil(t *testing.T) {
+func TestFixturesOfConsensusMessages(t *testing.T) {
 	for k, kind := range []consensus.MessageKind{consensus.MessageRaft, consensus.MessageDiscovery, consensus.MessagePropose, consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment, consensus.MessageRejoin,
 		consensus.MessageRejoinAnswer, consensus.MessagePartRequest, consensus.MessagePart} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fullValue[consensus.Message](uint32(k))
 			want.Kind = kind
-			sameBothWays(t, fmt.Sprintf("council-message-%d-v1.bin", k+1), want, letterOf, openLetter)
+			sameBothWays(t, fmt.Sprintf("council-message-%d-v1.bin", k+1), want, sealMessage, openMessage)
 		})
 	}
 	t.Run("picture", func(t *testing.T) {
-		sameBothWays(t, "picture-v1.bin", fullValue[consensus.Summary](1), letterOf, openLetter)
+		sameBothWays(t, "picture-v1.bin", fullValue[consensus.Summary](1), sealMessage, openMessage)
 	})
 	t.Run("what an heir needs", func(t *testing.T) {
 		sameBothWays(t, "work-v1.cbor", fullValue[takeoverWork](1), cbor.Marshal, cbor.Unmarshal)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -25,8 +25,8 @@
 	return r, c
 }
 
-// run steps it when it is to be woken, up to a time. It says which kinds of effects came.
-func run(t *testing.T, r *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
+// runUntil steps it when it is to be woken, up to a time. It says which kinds of effects came.
+func runUntil(t *testing.T, r *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
 	came, steps := map[EffectKind]int{}, 0
 	for wake := *now + 1; wake < until; steps++ {
 		*now = wake
@@ -45,13 +45,13 @@
 func TestHollowNodeClaimsTokensAndLeasesCallsWithoutExecutorAndReports(t *testing.T) {
 	r, c := hollowNode(t)
 	now := int64(0)
-	came := run(t, r, &now, 4_000*ms)
+	came := runUntil(t, r, &now, 4_000*ms)
 	require.True(t, r.claiming.client.Connected())
 	var tokens []Input
 	for k := range 9 {
 		tokens = append(tokens, Input{Kind: HollowClaimRequested, Bytes: fmt.Append(nil, "t", k)})
 	}
-	for kind, n := range run(t, r, &now, 8_000*ms, append(tokens, Input{Kind: HollowCallsRequested, Link: 8})...) {
+	for kind, n := range runUntil(t, r, &now, 8_000*ms, append(tokens, Input{Kind: HollowCallsRequested, Link: 8})...) {
 		came[kind] += n
 	}
 	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, SampleState} {
@@ -62,10 +62,10 @@
 	assert.False(t, r.facts().NoUse, "it may be given claims of the lost")
 }
 
-func TestHollowNodeLeavesAtOnceWhenDrained(t *testing.T) {
+func TestHollowNodeExitsAtOnceWhenDrained(t *testing.T) {
 	r, _ := hollowNode(t)
 	now := int64(0)
-	run(t, r, &now, 4_000*ms)
+	runUntil(t, r, &now, 4_000*ms)
 	var kinds []EffectKind
 	for _, e := range r.Step(now+1, now+1, []Input{{Kind: DrainRequested}}) {
 		kinds = append(kinds, e.Kind)
@@ -74,7 +74,7 @@
 	assert.NotContains(t, kinds, StopAccepting)
 }
 
-func TestLoadOfAHollowNodeIsNotForAWholeOne(t *testing.T) {
+func TestLoadInputsAreOnlyForHollowNodes(t *testing.T) {
 	r := fresh(t)
 	load := func() { step(r, Input{Kind: HollowClaimRequested, Bytes: []byte("t")}) }
 	if invariant.Debug {
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -12,18 +12,18 @@
 	"topazpost/internal/fleet/quota"
 )
 
-// renting is a node whose calls are leased from a council in which it has no seat, with a run that stands at a call.
-func renting(t *testing.T) *StateMachine {
-	r := sitting(t)
+// leasingNode is a node whose calls are leased from a council in which it has no seat, with a run that stands at a call.
+func leasingNode(t *testing.T) *StateMachine {
+	r := claimingNode(t)
 	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
-	start := asked(t, r, heardFrom(t, r, answerTo(invoked(t, r, 1, "a1")[0], 1)))
+	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claimsOfInvocation(t, r, 1, "a1")[0], 1)))
 	require.Len(t, start, 1)
-	heardFrom(t, r, answerTo(start[0], 1))
+	receiveFromReplica(t, r, verdictOn(start[0], 1))
 	return r
 }
 
-// asksOf are the leases that effects ask for.
-func asksOf(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
+// leaseRequests are the leases that effects ask for.
+func leaseRequests(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
 	for _, e := range kindsOf(effects, SendOnStream) {
 		m := new(consensus.Message)
 		require.NoError(t, envelope.Open(e.Bytes, r.fleet.id, m))
@@ -33,17 +33,17 @@
 }
 
 func TestCallWaitsForALeaseAndEndsWithIt(t *testing.T) {
-	r := renting(t)
+	r := leasingNode(t)
 	effects := told(r, "CALLOUT 1 "+id(1)+" 3|ask")
-	asks := asksOf(t, r, effects)
+	asks := leaseRequests(t, r, effects)
 	for from := r.now; len(asks) == 0 && r.now < from+300*ms; {
-		asks = append(asks, asksOf(t, r, step(r))...)
+		asks = append(asks, leaseRequests(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
 	assert.Empty(t, kindsOf(effects, DialCatalogue), "none is made without a lease")
 	last := asks[len(asks)-1]
 	grant := &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
-	heardFrom(t, r, grant)
+	receiveFromReplica(t, r, grant)
 	effects = step(r)
 	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the module hears of it in the next step")
 	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
@@ -54,14 +54,14 @@
 }
 
 // The dependency may work on a call that was given up for the other half of the longest use: its unit makes no other call.
-func TestUnitOfACallThatWasGivenUpStaysInUse(t *testing.T) {
-	r := renting(t)
-	asks := asksOf(t, r, told(r, "CALLOUT 1 "+id(1)+" 3|ask"))
+func TestUnitOfAnAbandonedCallStaysReserved(t *testing.T) {
+	r := leasingNode(t)
+	asks := leaseRequests(t, r, told(r, "CALLOUT 1 "+id(1)+" 3|ask"))
 	for from := r.now; len(asks) == 0 && r.now < from+300*ms; {
-		asks = append(asks, asksOf(t, r, step(r))...)
+		asks = append(asks, leaseRequests(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
-	heardFrom(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
+	receiveFromReplica(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: asks[len(asks)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(r)
 	require.Len(t, r.catalogueLinks, 1)
 	step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
@@ -81,8 +81,8 @@
 	assert.Zero(t, r.Claims().Lease.Used)
 }
 
-func TestLeaseThatLapsedIsHeardOfBeforeAnythingElse(t *testing.T) {
-	r := renting(t)
+func TestExpiredLeaseIsAppliedBeforeAnyDecision(t *testing.T) {
+	r := leasingNode(t)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	r.leases.announcedUnits = 2
 	r.Step(r.now+20_000*ms, 1, []Input{}) // stood still: what it held is another's by now
@@ -97,8 +97,8 @@
 	assert.Equal(t, []int{0}, units)
 }
 
-func TestWithoutALimitThereIsNoHolder(t *testing.T) {
-	r := sitting(t)
+func TestWithoutALimitThereIsNoLeaseHolder(t *testing.T) {
+	r := claimingNode(t)
 	assert.Nil(t, r.Claims().Lease)
 	assert.Equal(t, int64(never), r.leaseDue())
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -16,8 +16,8 @@
 var config = membership.Config{Name: "n1", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms,
 	ForgetTimeout: 60_000 * ms, MaxMembers: 100}
 
-// peered is a node of a fleet that has not stepped yet.
-func peered(t *testing.T) *StateMachine {
+// fleetNode is a node of a fleet that has not stepped yet.
+func fleetNode(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{}, 3_000*ms, 10, 10)
@@ -44,8 +44,8 @@
 	return membership.Record{Name: "n2", Address: "10.0.0.2:9", StartedAt: 7, Incarnation: 7, RecordVersion: ver, Left: left, Links: []membership.ID{membership.IDOf("n1")}}
 }
 
-func TestPingIsAnsweredAndAskedBack(t *testing.T) {
-	r := peered(t)
+func TestPingIsAcknowledgedAndReturned(t *testing.T) {
+	r := fleetNode(t)
 	ping := sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing, From: membership.IDOf("n2"), Seq: 5, Neighbour: true,
 		Records: []membership.Record{other(0, false)}})
 	effects := r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, From: "10.0.0.2:9", Bytes: ping}})
@@ -59,8 +59,8 @@
 	assert.Subset(t, kinds, []membership.MessageKind{membership.MessageAck, membership.MessagePing})
 }
 
-func TestWhatPeersSendThatCantBeUsedIsCountedAndChangesNothing(t *testing.T) {
-	r := peered(t)
+func TestUnusablePeerMessagesAreCountedAndChangeNothing(t *testing.T) {
+	r := fleetNode(t)
 	good := sealed(t, "mobilier", membership.Message{Kind: membership.MessageGossip, Records: []membership.Record{other(0, false)}})
 	version, spoilt := append([]byte(nil), good...), append([]byte(nil), good...)
 	version[0]++
@@ -73,15 +73,15 @@
 	assert.Equal(t, PeerMessageCounters{Spoilt: 4, Version: 1, Fleet: 1}, r.PeerMessageCounters())
 	assert.Len(t, kindsOf(effects, ReplyToExchange), 1, "the exchange is closed")
 	assert.Len(t, r.Members().View().Members, 1)
-	r = peered(t) // without a fleet nothing is read
+	r = fleetNode(t) // without a fleet nothing is read
 	r.fleet = fleetState{}
 	effects = r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: good}})
 	assert.Empty(t, kindsOf(effects, SendDatagram))
 	assert.Equal(t, int64(never), r.membershipDue())
 }
 
-func TestLookIsAnsweredWithTheView(t *testing.T) {
-	r := peered(t)
+func TestViewRequestIsAnsweredWithTheView(t *testing.T) {
+	r := fleetNode(t)
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 3, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessageViewRequest})}})
 	replies := kindsOf(effects, ReplyToExchange)
 	require.Len(t, replies, 1)
@@ -90,8 +90,8 @@
 	assert.Equal(t, "n1", v.Members[0].Name)
 }
 
-func TestNodeTellsThatItIsOfNoUseAndThatItLeaves(t *testing.T) {
-	r := peered(t)
+func TestNodeAnnouncesExecutorLossAndLeaving(t *testing.T) {
+	r := fleetNode(t)
 	r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing,
 		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{other(0, false)}})}})
 	assert.False(t, r.Members().Self().Facts.NoUse)
@@ -116,7 +116,7 @@
 		Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
 	f.Add(b[envelope.Head:], uint8(0))
 	f.Fuzz(func(t *testing.T, body []byte, kind uint8) {
-		r := peered(t)
+		r := fleetNode(t)
 		text := append([]byte(nil), b[:5]...) // of the same version and fleet
 		text = append(binary.LittleEndian.AppendUint64(text, xxhash.Sum64(body)), body...)
 		in := Input{Kind: PeerDatagramReceived + InputKind(kind%3), Link: 1, From: "x", Bytes: text}
--- a/internal/node/results_answers_test.go
+++ b/internal/node/results_answers_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/resultcache"
 )
 
-func written(r *StateMachine, effects []Effect) []Effect {
+func recordsWritten(r *StateMachine, effects []Effect) []Effect {
 	in := Input{Kind: RecordWritten}
 	for _, e := range kindsOf(effects, WriteRecord) {
 		in.Records = append(in.Records, *e.Record)
@@ -17,50 +17,50 @@
 	return step(r, in)
 }
 
-func TestIntentIsWrittenBeforeTheRunAndTheResultBeforeTheAnswer(t *testing.T) {
-	r := keeping(t, resultcache.OnDisk)
-	intent := step(r, hold(1, "a"))
+func TestStartIsWrittenBeforeTheRunAndTheResultBeforeTheAnswer(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
+	intent := step(r, tokenInvocation(1, "a"))
 	assert.Zero(t, runsOf(intent))
 	require.Len(t, kindsOf(intent, WriteRecord), 1)
-	assert.Equal(t, 1, runsOf(written(r, intent)))
+	assert.Equal(t, 1, runsOf(recordsWritten(r, intent)))
 	ended := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.Empty(t, answers(t, ended))
 	require.Len(t, kindsOf(ended, WriteRecord), 1)
 	assert.True(t, kindsOf(ended, WriteRecord)[0].Record.Completed)
-	assert.Equal(t, []string{"20 on 1"}, answers(t, written(r, ended)))
+	assert.Equal(t, []string{"20 on 1"}, answers(t, recordsWritten(r, ended)))
 	step(r)
 	assert.Empty(t, r.indexByCall)
 }
 
-func TestStoreThatFailsRefusesUnrun(t *testing.T) {
-	r := keeping(t, resultcache.OnDisk)
-	in := Input{Kind: RecordWriteFailed, Err: errField, Records: []resultcache.Record{*kindsOf(step(r, hold(1, "a")), WriteRecord)[0].Record}}
+func TestStoreFailureRejectsWithoutARun(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
+	in := Input{Kind: RecordWriteFailed, Err: errField, Records: []resultcache.Record{*kindsOf(step(r, tokenInvocation(1, "a")), WriteRecord)[0].Record}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
 	assert.Empty(t, r.indexByCall)
 }
 
-func TestRunThatCouldNotStartIsThrottledAndTheNextRuns(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	step(r, hold(1, "a"), hold(2, "a"))
+func TestRunThatNeverStartedIsThrottledAndTheNextRuns(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	sent := told(r, "BAD EXEC "+id(1))
 	assert.Equal(t, []string{"50 on 1"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToExecutor), "EXEC "+id(2))
 }
 
-func TestWhatRanInAnEarlierLifeIsNotRunAgain(t *testing.T) {
-	r := keeping(t, resultcache.OnDisk)
+func TestRunOfAnEarlierIncarnationIsNotRepeated(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
 	r.results.recovering = true
-	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, hold(1, "a"))), "not known yet")
+	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, tokenInvocation(1, "a"))), "not known yet")
 	begun := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "a"}, BodyHash: bodyHash}
 	done := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
 	ended := done
 	ended.Completed, ended.Result = true, []byte("kept")
 	step(r, Input{Kind: RecordsRecovered, Records: []resultcache.Record{begun, done, ended}}, Input{Kind: RecoveryCompleted})
-	sent := step(r, hold(2, "a"))
+	sent := step(r, tokenInvocation(2, "a"))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "unknown")
-	sent = step(r, hold(3, "b"))
+	sent = step(r, tokenInvocation(3, "b"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "kept")
 	assert.Zero(t, runsOf(sent))
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -20,8 +20,8 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// keeping is a node that keeps results, in memory or with a store that the test plays.
-func keeping(t *testing.T, durability resultcache.Durability) *StateMachine {
+// cachingNode is a node that keeps results, in memory or with a store that the test plays.
+func cachingNode(t *testing.T, durability resultcache.Durability) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
@@ -37,46 +37,46 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// hold is an invocation of a token on a stream.
-func hold(stream int, token string) Input {
+// tokenInvocation is an invocation of a token on a stream.
+func tokenInvocation(stream int, token string) Input {
 	return invoke(uint32(stream), "op", "hold", "call", id(stream), "dedupe", token)
 }
 
 // runsOf counts the runs that effects start.
 func runsOf(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
 
-func TestRepeatOfOneThatRunsJoinsItAndOfOneThatEndedGetsWhatWasKept(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	assert.Equal(t, 1, runsOf(step(r, hold(1, "a"))))
-	assert.Zero(t, runsOf(step(r, hold(2, "a"))))
+func TestDuplicateJoinsTheRunOrGetsTheCachedResult(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(1, "a"))))
+	assert.Zero(t, runsOf(step(r, tokenInvocation(2, "a"))))
 	sent := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 2"}, answers(t, sent))
-	sent = step(r, hold(3, "a"))
+	sent = step(r, tokenInvocation(3, "a"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "kept")
-	assert.Equal(t, 1, runsOf(step(r, hold(4, "b"))), "another token runs")
+	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(4, "b"))), "another token runs")
 	step(r)
 	assert.Equal(t, 1, r.owedAnswers)
 	assert.Len(t, r.indexByCall, 1)
 }
 
-func TestRepeatsOfOneStepAreOneRun(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	assert.Equal(t, 1, runsOf(step(r, hold(1, "a"), hold(2, "a"), hold(3, "a"))))
+func TestDuplicatesOfOneStepShareOneRun(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"), tokenInvocation(3, "a"))))
 	assert.Len(t, answers(t, told(r, "EXIT 1 "+id(1)+" good 12 6|result")), 3)
 }
 
-func TestTokenWithAnotherBodyIsAnErrorThatSaysSo(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	step(r, hold(1, "a"))
-	other := hold(2, "a")
+func TestTokenWithAnotherBodyIsAnError(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	step(r, tokenInvocation(1, "a"))
+	other := tokenInvocation(2, "a")
 	other.Frame.Payload = append(other.Frame.Payload, '!')
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, other)))
 }
 
-func TestCallerThatLeavesDoesNotTakeTheRunFromThoseThatJoined(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	step(r, hold(1, "a"), hold(2, "a"))
+func TestRunGoesOnForJoinedDuplicatesAfterTheCallerLeaves(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
@@ -90,15 +90,15 @@
 	assert.Empty(t, r.indexByCall)
 }
 
-func TestCallerThatLeavesBeforeItsRunLeavesItToTheNext(t *testing.T) {
-	r := keeping(t, resultcache.OnDisk)
-	intent := step(r, hold(1, "a"), hold(2, "a"))
+func TestDuplicateRunsAfterTheFirstCallerLeaves(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
+	intent := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
-	assert.Contains(t, text(written(r, intent), SendToExecutor), "EXEC "+id(2))
+	assert.Contains(t, text(recordsWritten(r, intent), SendToExecutor), "EXEC "+id(2))
 }
 
-func TestRepeatsOfOneTurnedAwayUnrunAreTakenInAnew(t *testing.T) {
-	r := keeping(t, resultcache.OnDisk)
+func TestDuplicatesOfARejectedInvocationAreSubmittedAnew(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
 	for n := range 24 { // more than run at once
 		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
@@ -119,17 +119,17 @@
 	assert.Equal(t, id(100), r.invocations[h.original].call, "the repeat is its token's first now")
 }
 
-func TestTokensMeanNothingWhereNoneAreKept(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
+func TestTokensAreIgnoredWithoutAResultCache(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
 	r.results = resultState{}
-	assert.Equal(t, 2, runsOf(step(r, hold(1, "a"), hold(2, "a"))))
+	assert.Equal(t, 2, runsOf(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))))
 	assert.Nil(t, r.Results())
 }
 
 // A repeat that came within the window and lay unread past its end gets the result: it must not run again.
-func TestRepeatThatLayUnreadPastItsWindowDoesNotRun(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	first := hold(1, "a")
+func TestDuplicateReadPastItsWindowDoesNotRun(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	first := tokenInvocation(1, "a")
 	assert.Equal(t, 1, runsOf(step(r, first)))
 	came := r.now
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -12,13 +12,13 @@
 )
 
 // What is in hand keeps its client timeout; what comes has the new one.
-func TestChangedClientTimeoutIsForWhatComes(t *testing.T) {
+func TestChangedClientTimeoutAppliesToNewInvocations(t *testing.T) {
 	r := up(t)
 	from := r.now
-	step(r, coming(r, 1))
+	step(r, arrival(r, 1))
 	short := nodeconfig.Item{Part: nodeconfig.Operations, Name: "catalogue", Value: []byte(`{"aim":200,"effect":"at_most_once","give_up":400}`)}
-	require.NoError(t, amendedBy(t, r, short))
-	step(r, coming(r, 2))
+	require.NoError(t, applyVersion(t, r, short))
+	step(r, arrival(r, 2))
 	ends := map[string]int64{}
 	for len(ends) < 2 && r.now < from+5_000*ms {
 		r.executorHeardAt = r.now
@@ -32,85 +32,85 @@
 
 // What is in hand when its operation goes runs to its end, a repeat of its token gets its answer, and new work is refused
 // without harm to the connection. Once nothing of it is known the index is free for another.
-func TestOperationGoesWithWorkInHandAndInItsTokenWindow(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	assert.Equal(t, 1, runsOf(step(r, holding(r, 1, "a"))))
-	require.NoError(t, amendedBy(t, r, operation("other", ""), removed(nodeconfig.Operations, "hold")))
+func TestRetiredOperationKeepsInFlightWorkAndCachedTokens(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	assert.Equal(t, 1, runsOf(step(r, tokenArrival(r, 1, "a"))))
+	require.NoError(t, applyVersion(t, r, operation("other", ""), removal(nodeconfig.Operations, "hold")))
 	for stream := range faultsMost + 2 {
-		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, holding(r, stream+2, "b"))))
+		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, tokenArrival(r, stream+2, "b"))))
 	}
 	assert.Zero(t, r.connections[7].faults)
-	assert.Empty(t, answers(t, step(r, holding(r, 50, "a"))), "it joins the run")
-	pass(r, 2_000*ms)
-	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, ran(r, 1)))
-	pass(r, 10_000*ms)
-	assert.Equal(t, []string{"20 on 60"}, answers(t, step(r, holding(r, 60, "a"))), "its result is kept for its window")
-	require.NoError(t, amendedBy(t, r, operation("next", "")))
+	assert.Empty(t, answers(t, step(r, tokenArrival(r, 50, "a"))), "it joins the run")
+	advance(r, 2_000*ms)
+	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, endRun(r, 1)))
+	advance(r, 10_000*ms)
+	assert.Equal(t, []string{"20 on 60"}, answers(t, step(r, tokenArrival(r, 60, "a"))), "its result is kept for its window")
+	require.NoError(t, applyVersion(t, r, operation("next", "")))
 	i, _ := r.config.Operations.Find("next")
 	assert.Equal(t, int32(2), i, "the index is still that of the tokens")
-	pass(r, 40_000*ms)
+	advance(r, 40_000*ms)
 	assert.Empty(t, r.versions.retired)
 	assert.True(t, r.config.Node.Operations[0].Removed)
-	require.NoError(t, amendedBy(t, r, operation("last", "")))
+	require.NoError(t, applyVersion(t, r, operation("last", "")))
 	i, _ = r.config.Operations.Find("last")
 	assert.Zero(t, i, "it is free")
-	assert.Equal(t, 1, runsOf(step(r, coming(r, 99, "op", "last"))))
+	assert.Equal(t, 1, runsOf(step(r, arrival(r, 99, "op", "last"))))
 	assert.Empty(t, r.Invariants.All())
 }
 
-func TestOperationThatComesBackHasItsTokensAgain(t *testing.T) {
-	r := keeping(t, resultcache.InMemory)
-	step(r, holding(r, 1, "a"))
-	ran(r, 1)
-	require.NoError(t, amendedBy(t, r, operation("other", ""), removed(nodeconfig.Operations, "hold")))
+func TestReinstatedOperationKeepsItsTokens(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	step(r, tokenArrival(r, 1, "a"))
+	endRun(r, 1)
+	require.NoError(t, applyVersion(t, r, operation("other", ""), removal(nodeconfig.Operations, "hold")))
 	back := nodeconfig.Item{Part: nodeconfig.Operations, Name: "hold", Value: []byte(`{"aim":1000,"effect":"deduplicated","give_up":3000,"window":20000}`)}
-	require.NoError(t, amendedBy(t, r, back))
-	assert.Equal(t, []string{"20 on 2"}, answers(t, step(r, holding(r, 2, "a"))))
-	assert.Equal(t, 1, runsOf(step(r, holding(r, 3, "b"))))
-	ran(r, 3)
-	pass(r, 200_000*ms)
+	require.NoError(t, applyVersion(t, r, back))
+	assert.Equal(t, []string{"20 on 2"}, answers(t, step(r, tokenArrival(r, 2, "a"))))
+	assert.Equal(t, 1, runsOf(step(r, tokenArrival(r, 3, "b"))))
+	endRun(r, 3)
+	advance(r, 200_000*ms)
 	i, known := r.config.Operations.Find("hold")
 	assert.True(t, known && i == 0, "what came back is not forgotten")
 }
 
 // A window that shrinks is that of what comes: what was taken before is known for as long as it was promised.
-func TestShorterWindowIsForWhatComes(t *testing.T) {
-	r := keeping(t, resultcache.OnDisk)
-	written(r, step(r, holding(r, 1, "a")))
+func TestShorterWindowAppliesToNewTokens(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
+	recordsWritten(r, step(r, tokenArrival(r, 1, "a")))
 	short := nodeconfig.Item{Part: nodeconfig.Operations, Name: "hold", Value: []byte(`{"aim":1000,"effect":"deduplicated","give_up":3000,"window":1000}`)}
-	require.NoError(t, amendedBy(t, r, short))
-	written(r, step(r, holding(r, 2, "b")))
+	require.NoError(t, applyVersion(t, r, short))
+	recordsWritten(r, step(r, tokenArrival(r, 2, "b")))
 	kept := map[string]int64{}
 	for k, token := range []string{"a", "b"} {
-		effects := ran(r, k+1)
+		effects := endRun(r, k+1)
 		for _, e := range kindsOf(effects, WriteRecord) {
 			kept[e.Record.Key.Token] = e.Record.Remaining
 		}
-		written(r, effects)
+		recordsWritten(r, effects)
 		_ = token
 	}
 	assert.Equal(t, 23_001*ms, kept["a"])
 	assert.Equal(t, 4_001*ms, kept["b"])
-	pass(r, 10_000*ms)
-	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, holding(r, 3, "a"))))
-	assert.Equal(t, 1, len(kindsOf(step(r, holding(r, 4, "b")), WriteRecord)), "its window is over: it is begun anew")
+	advance(r, 10_000*ms)
+	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, tokenArrival(r, 3, "a"))))
+	assert.Equal(t, 1, len(kindsOf(step(r, tokenArrival(r, 4, "b")), WriteRecord)), "its window is over: it is begun anew")
 }
 
-func TestTenantThatComesBackSoonHasItsCountsAgain(t *testing.T) {
+func TestReinstatedTenantKeepsItsCounts(t *testing.T) {
 	r := up(t)
-	require.NoError(t, amendedBy(t, r, tenant("x", 3), tenant("y", 1)))
-	step(r, coming(r, 1, "op", "hold", "org", "y"))
-	ran(r, 1)
-	require.NoError(t, amendedBy(t, r, removed(nodeconfig.Tenants, "y")))
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, coming(r, 2, "org", "y"))))
+	require.NoError(t, applyVersion(t, r, tenant("x", 3), tenant("y", 1)))
+	step(r, arrival(r, 1, "op", "hold", "org", "y"))
+	endRun(r, 1)
+	require.NoError(t, applyVersion(t, r, removal(nodeconfig.Tenants, "y")))
+	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "org", "y"))))
 	assert.Zero(t, r.connections[7].faults)
-	require.NoError(t, amendedBy(t, r, tenant("z", 1), tenant("y", 5)))
+	require.NoError(t, applyVersion(t, r, tenant("z", 1), tenant("y", 5)))
 	i, _ := r.config.Tenants.Find("y")
 	assert.Equal(t, int32(1), i)
 	assert.Equal(t, []float64{3, 5, 1}, r.config.Node.TenantRates)
-	require.NoError(t, amendedBy(t, r, removed(nodeconfig.Tenants, "y")))
-	pass(r, tenantCountsRetention+1_000*ms)
-	require.NoError(t, amendedBy(t, r, tenant("w", 9)))
+	require.NoError(t, applyVersion(t, r, removal(nodeconfig.Tenants, "y")))
+	advance(r, tenantCountsRetention+1_000*ms)
+	require.NoError(t, applyVersion(t, r, tenant("w", 9)))
 	i, _ = r.config.Tenants.Find("w")
 	assert.Equal(t, int32(1), i, "once nothing of it is left the index is another's")
 }
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -12,38 +12,38 @@
 	"topazpost/internal/fleet/consensus"
 )
 
-func TestWorkOfALostNodeIsRunAndItsEndAgreedOn(t *testing.T) {
-	r := sitting(t)
-	work := invoked(t, r, 1, "a1")[0].Work
-	r2 := sitting(t)
+func TestTakenOverWorkRunsAndItsEndIsReported(t *testing.T) {
+	r := claimingNode(t)
+	work := claimsOfInvocation(t, r, 1, "a1")[0].Work
+	r2 := claimingNode(t)
 	gift := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
-	heardFrom(t, r2, gift)
-	start := asked(t, r2, heardFrom(t, r2, gift)) // told again, while the module decides
+	receiveFromReplica(t, r2, gift)
+	start := claimCommands(t, r2, receiveFromReplica(t, r2, gift)) // told again, while the module decides
 	for from := r2.now; r2.now < from+100*ms && len(start) == 0; {
-		start = asked(t, r2, step(r2))
+		start = claimCommands(t, r2, step(r2))
 	}
 	assert.Equal(t, 1, r2.Counters.Inherited)
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
-	effects := heardFrom(t, r2, answerTo(start[0], claims.AnswerGranted))
-	require.Equal(t, []EffectKind{SendToExecutor}, toldOf(effects))
+	effects := receiveFromReplica(t, r2, verdictOn(start[0], claims.AnswerGranted))
+	require.Equal(t, []EffectKind{SendToExecutor}, localEffects(effects))
 	assert.Contains(t, string(effects[0].Bytes), "body")
-	end := asked(t, r2, told(r2, "EXIT 1 "+id(1)+" good 12 2|ok"))
+	end := claimCommands(t, r2, told(r2, "EXIT 1 "+id(1)+" good 12 2|ok"))
 	require.Len(t, end, 1)
-	effects = heardFrom(t, r2, answerTo(end[0], claims.AnswerDone))
-	assert.Empty(t, toldOf(effects), "nobody is answered")
+	effects = receiveFromReplica(t, r2, verdictOn(end[0], claims.AnswerDone))
+	assert.Empty(t, localEffects(effects), "nobody is answered")
 	step(r2)
 	assert.Zero(t, r2.owedAnswers)
 	assert.Empty(t, r2.indexByCall, "and it is forgotten")
 }
 
-func TestGiftToANodeThatDrainsIsLetGo(t *testing.T) {
-	r := sitting(t)
-	work := invoked(t, r, 1, "a1")[0].Work
-	r2 := sitting(t)
+func TestDrainingNodeReleasesReassignedClaim(t *testing.T) {
+	r := claimingNode(t)
+	work := claimsOfInvocation(t, r, 1, "a1")[0].Work
+	r2 := claimingNode(t)
 	step(r2, Input{Kind: DrainRequested})
-	release := asked(t, r2, heardFrom(t, r2, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
+	release := claimCommands(t, r2, receiveFromReplica(t, r2, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
 		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
 	require.Len(t, release, 1)
 	assert.Equal(t, claims.CommandRelease, release[0].Kind)
@@ -53,10 +53,10 @@
 // Work whose memory is no number, or out of bounds, is refused before the controller counts with it.
 func TestTakeoverOfWorkOutOfBoundsIsRefused(t *testing.T) {
 	for _, queuedKB := range []float64{math.NaN(), 0, -1, heapMost, math.Inf(1)} {
-		r := sitting(t)
+		r := claimingNode(t)
 		work, err := cbor.Marshal(takeoverWork{Call: id(1), Body: []byte("body"), QueuedKB: queuedKB})
 		require.NoError(t, err)
-		release := asked(t, r, heardFrom(t, r, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
+		release := claimCommands(t, r, receiveFromReplica(t, r, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
 			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}))
 		require.Len(t, release, 1, queuedKB)
 		assert.Equal(t, claims.CommandRelease, release[0].Kind, queuedKB)
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -16,7 +16,7 @@
 	return nodeconfig.Item{Part: nodeconfig.Operations, Name: name, Value: []byte(`{"aim":1000,"effect":"idempotent","give_up":3000` + fields + `}`)}
 }
 
-func removed(part, name string) nodeconfig.Item { return nodeconfig.Item{Part: part, Name: name} }
+func removal(part, name string) nodeconfig.Item { return nodeconfig.Item{Part: part, Name: name} }
 
 func tenant(name string, rate int) nodeconfig.Item {
 	return nodeconfig.Item{Part: nodeconfig.Tenants, Name: name, Value: fmt.Appendf(nil, `{"quota_rps":%d}`, rate)}
@@ -30,14 +30,14 @@
 }
 
 // amended brings items into force as the next version, and says why it can't.
-func amendedBy(t *testing.T, r *StateMachine, items ...nodeconfig.Item) error {
+func applyVersion(t *testing.T, r *StateMachine, items ...nodeconfig.Item) error {
 	got := kindsOf(step(r, versionOf(t, r.ActiveVersion()+1, items...)), VersionApplied)
 	require.Len(t, got, 1)
 	return got[0].Err
 }
 
-// pass lets time pass in beats.
-func pass(r *StateMachine, ns int64) {
+// advance lets time advance in beats.
+func advance(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
 		r.executorHeardAt, r.connections[7].used = r.now, r.now // neither link is silent
@@ -45,63 +45,63 @@
 	}
 }
 
-// coming is an invocation that arrives now.
-func coming(r *StateMachine, stream int, changed ...string) Input {
+// arrival is an invocation that arrives now.
+func arrival(r *StateMachine, stream int, changed ...string) Input {
 	return invoke(uint32(stream), append([]string{"call", id(stream), "recv", fmt.Sprint(1_000_000 + r.now/ms)}, changed...)...)
 }
 
-// holding is one of a token that arrives now.
-func holding(r *StateMachine, stream int, token string) Input {
-	return coming(r, stream, "op", "hold", "dedupe", token)
+// tokenArrival is one of a token that arrives now.
+func tokenArrival(r *StateMachine, stream int, token string) Input {
+	return arrival(r, stream, "op", "hold", "dedupe", token)
 }
 
-// ran has the run of an invocation end well.
-func ran(r *StateMachine, stream int) []Effect {
+// endRun has the run of an invocation end well.
+func endRun(r *StateMachine, stream int) []Effect {
 	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.lastNotice+1, id(stream)))
 }
 
-func TestVersionIsInForceBetweenTwoSteps(t *testing.T) {
+func TestVersionIsAppliedBetweenTwoSteps(t *testing.T) {
 	r := up(t)
-	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, coming(r, 1, "op", "new"))))
-	require.NoError(t, amendedBy(t, r, operation("new", `,"class_calls":true`), tenant("x", 3), nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after",
+	assert.Equal(t, []string{"51 on 1"}, answers(t, step(r, arrival(r, 1, "op", "new"))))
+	require.NoError(t, applyVersion(t, r, operation("new", `,"class_calls":true`), tenant("x", 3), nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after",
 		Value: []byte("70")}))
 	assert.Equal(t, uint64(1), r.ActiveVersion())
 	assert.Equal(t, 70*ms, r.config.Node.MaxRetryAfter)
-	assert.Equal(t, 1, runsOf(step(r, coming(r, 2, "op", "new", "org", "x"))))
-	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, coming(r, 3, "op", "new", "org", "y"))))
-	assert.Equal(t, []string{"20 on 2"}, answers(t, ran(r, 2)))
+	assert.Equal(t, 1, runsOf(step(r, arrival(r, 2, "op", "new", "org", "x"))))
+	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, arrival(r, 3, "op", "new", "org", "y"))))
+	assert.Equal(t, []string{"20 on 2"}, answers(t, endRun(r, 2)))
 	got := kindsOf(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
 	assert.ErrorIs(t, got[0].Err, errStaleVersion)
 	assert.Equal(t, []float64{3}, r.config.Node.TenantRates)
 }
 
-func TestVersionThatCannotBeTakenChangesNothing(t *testing.T) {
+func TestInvalidVersionChangesNothing(t *testing.T) {
 	r := up(t)
 	before := r.config.Own()
-	assert.ErrorContains(t, amendedBy(t, r, tenant("x", 3), removed(nodeconfig.Operations, "catalogue"), removed(nodeconfig.Operations, "hold")), "none would be left")
+	assert.ErrorContains(t, applyVersion(t, r, tenant("x", 3), removal(nodeconfig.Operations, "catalogue"), removal(nodeconfig.Operations, "hold")), "none would be left")
 	assert.Equal(t, before, r.config.Own())
 	assert.Zero(t, r.ActiveVersion())
 	assert.Equal(t, 1, r.Counters.VersionsRefused)
 	r.versions.indicesPinned = true
-	assert.ErrorContains(t, amendedBy(t, r, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: results are kept in a folder")
-	assert.ErrorContains(t, amendedBy(t, r, removed(nodeconfig.Operations, "hold")), "operations.hold")
-	assert.NoError(t, amendedBy(t, r, operation("catalogue", `,"importance":7`)))
-}
-
-func TestLevelsGoByNamesAsOperationsComeAndGo(t *testing.T) {
-	r := at(t, 1)
-	require.NoError(t, amendedBy(t, r, operation("new", ""), removed(nodeconfig.Operations, "catalogue")))
-	assert.Equal(t, "51 on 1", answers(t, step(r, coming(r, 1)))[0])
-	assert.Contains(t, text(step(r, coming(r, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
-	ran(r, 2)
-	pass(r, 10_000*ms)
+	assert.ErrorContains(t, applyVersion(t, r, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: results are kept in a folder")
+	assert.ErrorContains(t, applyVersion(t, r, removal(nodeconfig.Operations, "hold")), "operations.hold")
+	assert.NoError(t, applyVersion(t, r, operation("catalogue", `,"importance":7`)))
+}
+
+func TestLevelsFollowOperationNamesAcrossVersions(t *testing.T) {
+	r := nodeAtLevel(t, 1)
+	require.NoError(t, applyVersion(t, r, operation("new", ""), removal(nodeconfig.Operations, "catalogue")))
+	assert.Equal(t, "51 on 1", answers(t, step(r, arrival(r, 1)))[0])
+	assert.Contains(t, text(step(r, arrival(r, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
+	endRun(r, 2)
+	advance(r, 10_000*ms)
 	assert.True(t, r.config.Node.Operations[0].Removed)
-	require.NoError(t, amendedBy(t, r, operation("newer", "")))
-	assert.Contains(t, text(step(r, coming(r, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "not the form of the one before")
-	ran(r, 3)
-	require.NoError(t, amendedBy(t, r, operation("catalogue", "")))
-	assert.Contains(t, text(step(r, coming(r, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan speaks of it again")
-	plan := ladderOf(-1)
+	require.NoError(t, applyVersion(t, r, operation("newer", "")))
+	assert.Contains(t, text(step(r, arrival(r, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "not the form of the one before")
+	endRun(r, 3)
+	require.NoError(t, applyVersion(t, r, operation("catalogue", "")))
+	assert.Contains(t, text(step(r, arrival(r, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan speaks of it again")
+	plan := testPlan(-1)
 	plan.Operations = []string{"gone", "newer"}
 	plan.Forms[0] = []string{"", "newer-plain"}
 	for k := range plan.Levels {
@@ -115,13 +115,13 @@
 }
 
 // A large version takes steps of a bounded size, and nothing in it waits for a timer.
-func TestLargeVersionIsTakenInBoundedSteps(t *testing.T) {
+func TestLargeVersionIsAppliedInBoundedSteps(t *testing.T) {
 	r := up(t)
 	var items []nodeconfig.Item
 	for k := range 10*maxChangesPerStep + 1 {
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
 	}
-	in := []Input{versionOf(t, 1, items...), versionOf(t, 2, removed(nodeconfig.Tenants, "t0"))}
+	in := []Input{versionOf(t, 1, items...), versionOf(t, 2, removal(nodeconfig.Tenants, "t0"))}
 	for steps := 1; ; steps++ {
 		was := r.config.Tenants.Slots()
 		effects := r.Step(r.now+ms, r.now+ms+1_000_000*ms, in)
@@ -143,8 +143,8 @@
 	assert.ErrorIs(t, refused[0].Err, errTooManyVersions)
 }
 
-// allocations counts those of one change at a table of some size.
-func allocations(t *testing.T, operations, tenants int) float64 {
+// allocationsPerChange counts those of one change at a table of some size.
+func allocationsPerChange(t *testing.T, operations, tenants int) float64 {
 	r := up(t)
 	var items []nodeconfig.Item
 	for k := range operations {
@@ -160,15 +160,15 @@
 	number := uint64(1)
 	return testing.AllocsPerRun(200, func() {
 		number++
-		step(r, versionOf(t, number, operation("o7", fmt.Sprintf(`,"importance":%d`, number)), tenant("t7", int(number)), removed(nodeconfig.Tenants, "t8")))
+		step(r, versionOf(t, number, operation("o7", fmt.Sprintf(`,"importance":%d`, number)), tenant("t7", int(number)), removal(nodeconfig.Tenants, "t8")))
 		number++
 		step(r, versionOf(t, number, tenant("t8", 1)))
 	})
 }
 
 // What a change costs doesn't grow with the table: it is counted, not timed.
-func TestCostOfAChangeIsThatOfTheChange(t *testing.T) {
-	small, large := allocations(t, 20, 20), allocations(t, 2_000, 40_000)
+func TestCostOfAChangeIsIndependentOfTheTableSize(t *testing.T) {
+	small, large := allocationsPerChange(t, 20, 20), allocationsPerChange(t, 2_000, 40_000)
 	assert.InDelta(t, small, large, 3)
 }
 
@@ -192,13 +192,13 @@
 			var it nodeconfig.Item
 			switch chance.Intn(4) {
 			case 0:
-				it = removed(nodeconfig.Operations, name)
+				it = removal(nodeconfig.Operations, name)
 			case 1:
 				it = operation(name, fmt.Sprintf(`,"importance":%d`, k))
 			case 2:
 				it = tenant(name, k)
 			default:
-				it = removed(nodeconfig.Tenants, name)
+				it = removal(nodeconfig.Tenants, name)
 			}
 			change, err := nodeconfig.Parse([]nodeconfig.Item{it})
 			require.NoError(t, err)
@@ -208,12 +208,12 @@
 			if r.connections[7] != nil && !r.connections[7].noMore && !r.connections[7].broken && r.connections[7].idle() {
 				stream++
 				asked++
-				inputs = append(inputs, coming(r, int(stream), "org", "a"))
+				inputs = append(inputs, arrival(r, int(stream), "org", "a"))
 			}
 			r.now += 59 * ms
 			answered += len(kindsOf(step(r, inputs...), SendToConnection))
 			if i, v := r.findInvocation(id(int(stream))); i >= 0 && !v.answered {
-				answered += len(kindsOf(ran(r, int(stream)), SendToConnection))
+				answered += len(kindsOf(endRun(r, int(stream)), SendToConnection))
 			}
 			if r.connections[7] != nil {
 				r.connections[7].faults = 0
@@ -232,12 +232,12 @@
 }
 
 // Where results are kept by number a large version is looked at over some steps, and refused as a whole.
-func TestLargeVersionIsLookedAtInBoundedSteps(t *testing.T) {
+func TestLargeVersionIsValidatedInBoundedSteps(t *testing.T) {
 	r := up(t)
 	r.versions.indicesPinned = true
 	items := []nodeconfig.Item{operation("catalogue", `,"importance":7`)}
 	for k := range 2 * maxLookupsPerStep {
-		items = append(items, removed(nodeconfig.Tenants, fmt.Sprint("t", k)))
+		items = append(items, removal(nodeconfig.Tenants, fmt.Sprint("t", k)))
 	}
 	refused := items[: len(items)-1 : len(items)-1]
 	refused = append(refused, operation("new", ""))
