--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -119,7 +119,7 @@
 	}
 	v := &sm.invocations[i]
 	text, err := cbor.Marshal(workOf(v))
-	if !sm.Invariants.Check(err == nil, "what an heir needs can be written") {
+	if !sm.Invariants.Check(err == nil, "the work for a takeover can be encoded") {
 		return
 	}
 	sm.addClaimInput(claims.Input{Kind: claims.RequestClaim, Key: sm.claimKey(v.tokenKey), BodyHash: v.bodyHash, Remaining: v.deadline - sm.now,
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -15,7 +15,7 @@
 	"topazpost/internal/resultcache"
 )
 
-// claimingNode is a node that serves, whose claims are agreed on by a council in which n0 sits alone, and this node does not.
+// claimingNode is a node that serves, whose claims are decided by a consensus group with a single replica at n0.
 func claimingNode(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 	return r
 }
 
-// receiveFromReplica is a message of the council's seat.
+// receiveFromReplica steps with a message of the replica at n0.
 func receiveFromReplica(t *testing.T, r *StateMachine, m *consensus.Message) []Effect {
 	m.From, m.Owner = "n0", r.claiming.self
 	text, err := envelope.Seal(nil, r.fleet.id, m)
@@ -42,7 +42,7 @@
 	return step(r, Input{Kind: PeerMessageReceived, Link: 3, Bytes: text})
 }
 
-// claimCommands are the commands that effects bring to the council.
+// claimCommands are the commands that effects send to the consensus group.
 func claimCommands(t *testing.T, r *StateMachine, effects []Effect) (list []claims.Command) {
 	for _, e := range effects {
 		if e.Kind == SendOnStream {
@@ -71,7 +71,7 @@
 	return list
 }
 
-// claimsOfInvocation has a tokened invocation come, and gives the commands that follow.
+// claimsOfInvocation are the commands that follow the arrival of a tokened invocation.
 func claimsOfInvocation(t *testing.T, r *StateMachine, stream int, token string) []claims.Command {
 	return claimCommands(t, r, step(r, tokenInvocation(stream, token)))
 }
@@ -92,7 +92,7 @@
 	require.Len(t, end, 1)
 	assert.Equal(t, claims.CommandEnd, end[0].Kind)
 	assert.Equal(t, "ok", string(end[0].Result))
-	assert.Empty(t, localEffects(effects), "the answer waits for the end to be agreed on")
+	assert.Empty(t, localEffects(effects), "the answer waits for the end to be committed")
 	assert.Equal(t, []EffectKind{SendToConnection}, localEffects(receiveFromReplica(t, r, verdictOn(end[0], claims.AnswerDone))))
 	step(r)
 	assert.Zero(t, r.claiming.client.Size())
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -201,7 +201,7 @@
 
 // applyPendingChanges applies some changes of the second pass.
 func (sm *StateMachine) applyPendingChanges(p *pendingConfig, changes []nodeconfig.Change, err error) {
-	if !sm.Invariants.Check(err == nil, "a version that was checked can be taken") {
+	if !sm.Invariants.Check(err == nil, "a version that was validated can be applied") {
 		return
 	}
 	sm.applyChanges(&p.version, changes)
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -45,23 +45,23 @@
 }
 
 // applyConfigMessage applies a message of another node or of a command.
-func (sm *StateMachine) applyConfigMessage(in *Input, envelopeBody *configMessage) {
+func (sm *StateMachine) applyConfigMessage(in *Input, received *configMessage) {
 	cs := &sm.configSync
-	m := envelopeBody.Message
+	m := received.Message
 	request := in.Kind == PeerRequestReceived
 	switch {
 	case cs.replicator == nil:
 		if request {
 			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
 		}
-	case request && envelopeBody.Question != nil:
-		sm.applyOperatorQuery(in.Link, envelopeBody.Question)
+	case request && received.Question != nil:
+		sm.applyOperatorQuery(in.Link, received.Question)
 	case request && m != nil && m.Kind == configsync.Fetch:
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Asked, From: envelopeBody.From, Link: in.Link, Message: m})
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Asked, From: received.From, Link: in.Link, Message: m})
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Came, From: envelopeBody.From, Message: m})
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Came, From: received.From, Message: m})
 	default:
-		sm.countUnusable(in, fmt.Errorf("%w: a letter of the configuration that does not belong there", envelope.ErrSpoilt))
+		sm.countUnusable(in, fmt.Errorf("%w: a configuration message that does not belong there", envelope.ErrSpoilt))
 	}
 }
 
@@ -107,15 +107,15 @@
 	if !known {
 		return
 	}
-	l := &configMessage{From: sm.fleet.selfName(), Message: m}
-	text, err := sm.fleet.seal(configMessageBody{l})
+	out := &configMessage{From: sm.fleet.selfName(), Message: m}
+	text, err := sm.fleet.seal(configMessageBody{out})
 	if err == nil && len(text) > envelope.DatagramMost && len(m.Records) > 0 {
 		short := *m
 		short.Records = nil
-		l.Message = &short
-		text, err = sm.fleet.seal(configMessageBody{l})
+		out.Message = &short
+		text, err = sm.fleet.seal(configMessageBody{out})
 	}
-	if sm.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a word on the configuration can be written, and fits any path") {
+	if sm.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a configuration message can be encoded, and fits any path") {
 		sm.emit(Effect{Kind: SendDatagram, Address: address, Bytes: text})
 	}
 }
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -17,10 +17,10 @@
 	require.NoError(t, err)
 	var older membership.Message
 	require.NoError(t, envelope.Open(text, fleet, &older))
-	assert.Equal(t, membership.Message{}, older, "a build without the door finds a message of no kind, which it refuses")
+	assert.Equal(t, membership.Message{}, older, "a build without the component finds a message of no kind, which it rejects")
 	r := fleetNode(t)
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
-	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "where it is off the exchange is closed")
+	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "without a replicator the exchange is closed")
 	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
 	assert.Zero(t, r.fleet.counters.Spoilt)
 	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// query is a node's answer to a question, with all effects up to it.
+// query is a node's answer to an operator's query, with all effects up to it.
 func query(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
 	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), EncodeConfigQuery(q))
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	return nil, nil
 }
 
-// put has changes ordered on a version, and steps on until that version or a refusal of it shows.
+// put proposes changes of a version, and steps until the new version is in force or refused.
 func put(t *testing.T, r *StateMachine, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
 	c := &configsync.Command{Kind: configsync.Put, From: from, Seq: 1, Base: base}
 	for _, i := range items {
@@ -83,7 +83,7 @@
 	awaitRollout(t, r)
 	before := r.config.Own()
 	v, effects := put(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
-	require.True(t, v.Done, "by itself it is sound: %s", v.Refused)
+	require.True(t, v.Done, "by itself it is valid: %s", v.Refused)
 	assert.Empty(t, kindsOf(effects, ReportVersionInForce))
 	assert.Equal(t, before, r.config.Own())
 	s := r.ConfigSyncState()
@@ -93,6 +93,6 @@
 		step(r)
 	}
 	a, _ := query(t, r, &configsync.Query{Kind: configsync.ShowStanding})
-	assert.True(t, a.Seat.Head.Stopped, "it goes no further")
+	assert.True(t, a.Seat.Head.Stopped, "the rollout stops")
 	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.Seat.Head.Who, a.Seat.Head.All.Version})
 }
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// contentOf is what a config holds of what may change in service.
+// contentOf is the part of a config that may change in service.
 func contentOf(t *testing.T, p *nodeconfig.Config) *configsync.Content {
 	found, _ := nodeconfig.Diff(nil, p)
 	var items []configsync.Item
@@ -25,8 +25,7 @@
 	return content
 }
 
-// configuredNode is a node that serves, with the only seat of its council and its configuration in service; start changes what it
-// begins with.
+// configuredNode is a node with the only replica of its consensus group and a replicated configuration; start gives its initial state.
 func configuredNode(t *testing.T, to Addresses, start func(file *configsync.Content) configsync.InitialState) (*StateMachine, error) {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
@@ -53,7 +52,7 @@
 	return configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
 
-// awaitRollout lets time pass until nothing stands at the first stage.
+// awaitRollout lets time pass until no version is at the canary stage.
 func awaitRollout(t *testing.T, r *StateMachine) {
 	for range 100 {
 		if head := r.configSync.agreed.Head; head.All.Version == head.Newest {
@@ -61,10 +60,10 @@
 		}
 		advance(r, 50*ms)
 	}
-	t.Fatal("a version stands at the first stage for good")
+	t.Fatal("a version stays at the canary stage")
 }
 
-// contentItems is the file's content as items.
+// contentItems is the content in force as items.
 func contentItems(r *StateMachine) (items []nodeconfig.Item) {
 	for i := range r.configSync.replicator.Content().All {
 		items = append(items, nodeconfig.Item(i))
@@ -76,7 +75,7 @@
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
 	first := kindsOf(servingNode(t, r), ReportVersionInForce)
-	require.Len(t, first, 1, "what it starts with is told")
+	require.Len(t, first, 1, "the initial version is reported")
 	assert.Equal(t, "file", first[0].InForce.Source)
 	v, _ := put(t, r, "a", 0, contentItems(r)...)
 	require.True(t, v.Done, v.Refused)
@@ -94,7 +93,7 @@
 	assert.Equal(t, uint64(2), kept[0].Persisting.Mark.Version)
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
 	assert.Equal(t, 1, runsOf(step(r, arrival(r, 3, "op", "new"))))
-	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(r, 1)), "what was in hand ends as it began")
+	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(r, 1)), "work in flight ends under the old version")
 
 	v, _ = put(t, r, "c", 1, tenant("x", 3))
 	assert.True(t, v.Stale)
@@ -125,12 +124,12 @@
 			assert.Equal(t, r.now+1, effects[len(effects)-1].At, "it goes on at once")
 		}
 	}
-	assert.GreaterOrEqual(t, steps, 20, "looked at and taken a part at a time")
+	assert.GreaterOrEqual(t, steps, 20, "validated and applied a part at a time")
 	assert.Equal(t, 10*maxChangesPerStep, r.config.Tenants.Len())
 	assert.Equal(t, uint64(9), r.ActiveVersion())
 }
 
-// What stands at the first stage is checked at the others, and nothing of it is in force there.
+// A version at the canary stage is validated at the other nodes, and nothing of it is in force there.
 func TestVersionThatIsOnlyValidatedChangesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -202,7 +201,7 @@
 	assert.False(t, known, "nothing is changed")
 }
 
-// A version whose changes lie apart in a large content is taken over steps that each look at a bounded part of it, and as a whole.
+// A version with scattered changes in a large content is applied as a whole, in steps that each search a bounded part of it.
 func TestScatteredChangesAreAppliedInBoundedSteps(t *testing.T) {
 	const tenants, changed, most = 40_000, 600, 128 // most a step: each lies in a block of 13 kB
 	note := strings.Repeat("n", 280)
@@ -235,7 +234,7 @@
 			last = taken
 		}
 	}
-	assert.GreaterOrEqual(t, steps, 2*changed/most, "checked, and taken")
+	assert.GreaterOrEqual(t, steps, 2*changed/most, "validated, and applied")
 	assert.Equal(t, changed, last)
 	for _, k := range []int{0, 60, 61, 60 * (changed - 1)} {
 		i, known := r.config.Tenants.Find(fmt.Sprint("tenant-", k))
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/degradation"
 )
 
-// testPlan reduces the catalogue, then refuses it; its load is above any threshold.
+// testPlan reduces the catalogue at its first level, and sheds it at its second.
 func testPlan(enter float64) *DegradationPlan {
 	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -10,7 +10,7 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// nodeAtLevel is a node nodeAtLevel a level of the plan.
+// nodeAtLevel is a node at a level of the plan.
 func nodeAtLevel(t *testing.T, level int) *StateMachine {
 	r := up(t)
 	step(r, Input{Kind: PlanChanged, Plan: testPlan(1e9)})
@@ -52,7 +52,7 @@
 	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.degradation.current)
 	all := r.Levels()
 	assert.Equal(t, 1, all[2].Levelled)
-	assert.Equal(t, 0, r.degradation.totals[2].Levelled, "to look changes nothing")
+	assert.Equal(t, 0, r.degradation.totals[2].Levelled, "a read changes nothing")
 }
 
 func TestLevelChangeIsReportedWithItsCause(t *testing.T) {
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -25,7 +25,7 @@
 
 var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
 
-// sameAsFixture says that the bytes are those of a file of testdata, and gives the file's.
+// sameAsFixture asserts that the bytes are those of a file of testdata, and returns the file's.
 func sameAsFixture(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -39,7 +39,7 @@
 	return fixture
 }
 
-// sameBothWays says that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
+// sameBothWays asserts that a value is encoded to the bytes of a fixture, and that those are decoded to the value.
 func sameBothWays[T any](t *testing.T, name string, value T, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	encoded, err := encode(value)
@@ -95,7 +95,7 @@
 	}
 }
 
-// encodedKey is what a field is known by in the encoding: a number, a name, or in an array its place.
+// encodedKey is what a field is known by in the encoding: a number, a name, or in an array its position.
 func encodedKey(f reflect.StructField, place int) (key uint32, encoded bool) {
 	tag := f.Tag.Get("cbor")
 	if tag == "" {
@@ -116,17 +116,17 @@
 	return crc32.ChecksumIEEE([]byte(name)), true
 }
 
-// sealMessage seals a letter of the fleet of the fixtures.
+// sealMessage seals a message of the fleet of the fixtures.
 func sealMessage(body any) ([]byte, error) {
 	return envelope.Seal(nil, envelope.FleetOf("mobilier"), body)
 }
 
-// openMessage opens one.
+// openMessage opens a message of that fleet.
 func openMessage(text []byte, body any) error {
 	return envelope.Open(text, envelope.FleetOf("mobilier"), body)
 }
 
-// Letters of membership, one of each kind, as they are sealed when sent and opened when they came, and what a command is shown.
+// Membership messages, one of each kind, as they are sealed when sent and opened when received, and what a command is shown.
 func TestFixturesOfMembershipMessages(t *testing.T) {
 	for k, kind := range []membership.MessageKind{membership.MessagePing, membership.MessageAck, membership.MessageGossip, membership.MessageSyncRequest, membership.MessageSyncAnswer,
 		membership.MessageSyncPush, membership.MessageReject, membership.MessageViewRequest} {
@@ -166,7 +166,7 @@
 	})
 }
 
-// Letters of the configuration between holders, and of commands and what they are answered.
+// Configuration messages between replicators, and of commands and their answers.
 func TestFixturesOfConfigurationMessages(t *testing.T) {
 	for k, kind := range []configsync.MessageKind{configsync.Tell, configsync.Report, configsync.Vouch, configsync.Fetch, configsync.Piece} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
@@ -198,13 +198,13 @@
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
-	t.Run("the whole letter", func(t *testing.T) {
+	t.Run("the whole message", func(t *testing.T) {
 		sameBothWays(t, "letter-v1.bin", fullValue[peerMessage](1), sealMessage, openMessage)
 		sameBothWays(t, "body-v1.bin", fullValue[configMessageBody](1), sealMessage, openMessage)
 	})
 }
 
-// Letters of the council, one of each kind, with claims, leases and versions in them, and what a node shows of it.
+// Messages of the consensus group, one of each kind, with claims, leases and versions in them, and the summary for operators.
 func TestFixturesOfConsensusMessages(t *testing.T) {
 	for k, kind := range []consensus.MessageKind{consensus.MessageRaft, consensus.MessageDiscovery, consensus.MessagePropose, consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment, consensus.MessageRejoin,
 		consensus.MessageRejoinAnswer, consensus.MessagePartRequest, consensus.MessagePart} {
@@ -217,7 +217,7 @@
 	t.Run("picture", func(t *testing.T) {
 		sameBothWays(t, "picture-v1.bin", fullValue[consensus.Summary](1), sealMessage, openMessage)
 	})
-	t.Run("what an heir needs", func(t *testing.T) {
+	t.Run("the work for a takeover", func(t *testing.T) {
 		sameBothWays(t, "work-v1.cbor", fullValue[takeoverWork](1), cbor.Marshal, cbor.Unmarshal)
 	})
 }
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// hollowNode sits alone in its council.
+// hollowNode has the only replica of its consensus group.
 func hollowNode(t *testing.T) (*StateMachine, *HollowCounters) {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
@@ -25,7 +25,7 @@
 	return r, c
 }
 
-// runUntil steps it when it is to be woken, up to a time. It says which kinds of effects came.
+// runUntil steps a node at each wake-up, up to a time, and counts the effects by kind.
 func runUntil(t *testing.T, r *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
 	came, steps := map[EffectKind]int{}, 0
 	for wake := *now + 1; wake < until; steps++ {
@@ -55,11 +55,11 @@
 		came[kind] += n
 	}
 	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, SampleState} {
-		assert.Zero(t, came[kind], "effect %d is of a whole node", kind)
+		assert.Zero(t, came[kind], "effect %d is not of a hollow node", kind)
 	}
 	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{c.Wanted.Load(), c.Begun.Load(), c.Kept.Load(), c.TurnedAway.Load(), c.Late.Load()})
-	assert.Equal(t, []int64{8, 5, 5}, []int64{c.Calls.Load(), c.Allowed.Load(), c.InHand.Load()}, "of the limit all, and no more")
-	assert.False(t, r.facts().NoUse, "it may be given claims of the lost")
+	assert.Equal(t, []int64{8, 5, 5}, []int64{c.Calls.Load(), c.Allowed.Load(), c.InHand.Load()}, "the whole limit, and no more")
+	assert.False(t, r.facts().NoUse, "it accepts claims of lost nodes")
 }
 
 func TestHollowNodeExitsAtOnceWhenDrained(t *testing.T) {
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/fleet/quota"
 )
 
-// leasingNode is a node whose calls are leased from a council in which it has no seat, with a run that stands at a call.
+// leasingNode is a node without a replica whose calls are bounded by leases, with a run that waits for a call.
 func leasingNode(t *testing.T) *StateMachine {
 	r := claimingNode(t)
 	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
@@ -22,7 +22,7 @@
 	return r
 }
 
-// leaseRequests are the leases that effects ask for.
+// leaseRequests are the requests for leases that effects send.
 func leaseRequests(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
 	for _, e := range kindsOf(effects, SendOnStream) {
 		m := new(consensus.Message)
@@ -45,7 +45,7 @@
 	grant := &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
 	receiveFromReplica(t, r, grant)
 	effects = step(r)
-	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the module hears of it in the next step")
+	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the controller learns of it in the next step")
 	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[0].link})
 	fetch := kindsOf(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
@@ -53,7 +53,7 @@
 	assert.Equal(t, int64(2), r.Claims().Lease.Units)
 }
 
-// The dependency may work on a call that was given up for the other half of the longest use: its unit makes no other call.
+// The dependency may work on an abandoned call for the other half of the longest use: its unit makes no other call.
 func TestUnitOfAnAbandonedCallStaysReserved(t *testing.T) {
 	r := leasingNode(t)
 	asks := leaseRequests(t, r, told(r, "CALLOUT 1 "+id(1)+" 3|ask"))
@@ -72,7 +72,7 @@
 	gaveUp := r.now
 	require.Equal(t, int64(1), r.leases.holder.Allowed(r.now), "the lease goes on")
 	for r.now < gaveUp+500*ms {
-		assert.Zero(t, r.leases.announcedUnits, "%d ms after it was given up", (r.now-gaveUp)/ms)
+		assert.Zero(t, r.leases.announcedUnits, "%d ms after it was abandoned", (r.now-gaveUp)/ms)
 		assert.Equal(t, int64(1), r.Claims().Lease.Used)
 		step(r)
 	}
@@ -85,7 +85,7 @@
 	r := leasingNode(t)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	r.leases.announcedUnits = 2
-	r.Step(r.now+20_000*ms, 1, []Input{}) // stood still: what it held is another's by now
+	r.Step(r.now+20_000*ms, 1, []Input{}) // after a pause: its units are another node's by now
 	assert.Zero(t, r.leases.announcedUnits)
 	assert.Empty(t, r.catalogueLinks)
 	var units []int
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -246,7 +246,7 @@
 func (sm *StateMachine) sendEnvelope(e Effect, body any) {
 	var err error
 	e.Bytes, err = sm.fleet.seal(body)
-	if !sm.Invariants.Check(err == nil, "what peers are told can be written") {
+	if !sm.Invariants.Check(err == nil, "a message to a peer can be encoded") {
 		return
 	}
 	if sm.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -12,7 +12,7 @@
 
 const tokenMost = 128 // bytes of a token
 
-var errTokenReused = errors.New("the token came with another body before")
+var errTokenReused = errors.New("node: the token came with another body before")
 
 // resultState has the result cache of tokened invocations; without a cache tokens mean nothing.
 type resultState struct {
@@ -155,7 +155,7 @@
 	if c == nil { // its connection ends in this step, and it with it
 		return
 	}
-	if !sm.Invariants.Check(v.live && !v.answered, "one that is taken in anew still waits") {
+	if !sm.Invariants.Check(v.live && !v.answered, "an invocation submitted anew still waits") {
 		return
 	}
 	sm.invocations[i].answered = true
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -153,7 +153,7 @@
 func (sm *StateMachine) answerFromCache(a *resultcache.Action) {
 	i := a.Invocation
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.answered, "the keeper answers only those that wait") {
+	if !sm.Invariants.Check(v.live && !v.answered, "the result cache answers only invocations that wait") {
 		return
 	}
 	ownRun := v.exited // a run of its own is over with its answer
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -20,7 +20,7 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// cachingNode is a node that keeps results, in memory or with a store that the test plays.
+// cachingNode is a node that caches results, in memory or with a store that the test plays.
 func cachingNode(t *testing.T, durability resultcache.Durability) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokened))
 	require.NoError(t, err)
@@ -81,7 +81,7 @@
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
-	require.NotEmpty(t, r.catalogueLinks, "its call is made all the same")
+	require.NotEmpty(t, r.catalogueLinks, "its call is made nevertheless")
 	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
 	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
@@ -106,7 +106,7 @@
 	for _, h := range r.results.pending {
 		first = max(first, h.original)
 	}
-	require.GreaterOrEqual(t, first, int32(0), "some wait unrun")
+	require.GreaterOrEqual(t, first, int32(0), "some are pending")
 	v := r.invocations[first]
 	open := r.owedAnswers
 	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
@@ -116,7 +116,7 @@
 	assert.Equal(t, open, r.owedAnswers)
 	h := r.results.pending[v.tokenKey]
 	require.NotNil(t, h)
-	assert.Equal(t, id(100), r.invocations[h.original].call, "the repeat is its token's first now")
+	assert.Equal(t, id(100), r.invocations[h.original].call, "the duplicate is its token's original now")
 }
 
 func TestTokensAreIgnoredWithoutAResultCache(t *testing.T) {
@@ -126,7 +126,7 @@
 	assert.Nil(t, r.Results())
 }
 
-// A repeat that came within the window and lay unread past its end gets the result: it must not run again.
+// A duplicate that came within the window and was read past its end gets the result: it must not run again.
 func TestDuplicateReadPastItsWindowDoesNotRun(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	first := tokenInvocation(1, "a")
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/resultcache"
 )
 
-// What is in hand keeps its client timeout; what comes has the new one.
+// Invocations in flight keep their client timeout; later ones have the new one.
 func TestChangedClientTimeoutAppliesToNewInvocations(t *testing.T) {
 	r := up(t)
 	from := r.now
@@ -30,8 +30,8 @@
 	assert.InDelta(t, 3_000, ends["51 on 1"], 120)
 }
 
-// What is in hand when its operation goes runs to its end, a repeat of its token gets its answer, and new work is refused
-// without harm to the connection. Once nothing of it is known the index is free for another.
+// Invocations in flight when their operation is retired run to their end, a duplicate of a token gets its answer, and new work is
+// refused without harm to the connection. Once nothing refers to it the index is free for another.
 func TestRetiredOperationKeepsInFlightWorkAndCachedTokens(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	assert.Equal(t, 1, runsOf(step(r, tokenArrival(r, 1, "a"))))
@@ -44,10 +44,10 @@
 	advance(r, 2_000*ms)
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, endRun(r, 1)))
 	advance(r, 10_000*ms)
-	assert.Equal(t, []string{"20 on 60"}, answers(t, step(r, tokenArrival(r, 60, "a"))), "its result is kept for its window")
+	assert.Equal(t, []string{"20 on 60"}, answers(t, step(r, tokenArrival(r, 60, "a"))), "its result is cached for its window")
 	require.NoError(t, applyVersion(t, r, operation("next", "")))
 	i, _ := r.config.Operations.Find("next")
-	assert.Equal(t, int32(2), i, "the index is still that of the tokens")
+	assert.Equal(t, int32(2), i, "the index is reserved while tokens refer to it")
 	advance(r, 40_000*ms)
 	assert.Empty(t, r.versions.retired)
 	assert.True(t, r.config.Node.Operations[0].Removed)
@@ -70,10 +70,10 @@
 	endRun(r, 3)
 	advance(r, 200_000*ms)
 	i, known := r.config.Operations.Find("hold")
-	assert.True(t, known && i == 0, "what came back is not forgotten")
+	assert.True(t, known && i == 0, "a reinstated operation is not released")
 }
 
-// A window that shrinks is that of what comes: what was taken before is known for as long as it was promised.
+// A shorter window is that of later tokens: those accepted before are known for as long as was promised.
 func TestShorterWindowAppliesToNewTokens(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
 	recordsWritten(r, step(r, tokenArrival(r, 1, "a")))
@@ -93,7 +93,7 @@
 	assert.Equal(t, 4_001*ms, kept["b"])
 	advance(r, 10_000*ms)
 	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, tokenArrival(r, 3, "a"))))
-	assert.Equal(t, 1, len(kindsOf(step(r, tokenArrival(r, 4, "b")), WriteRecord)), "its window is over: it is begun anew")
+	assert.Equal(t, 1, len(kindsOf(step(r, tokenArrival(r, 4, "b")), WriteRecord)), "its window is over: it runs anew")
 }
 
 func TestReinstatedTenantKeepsItsCounts(t *testing.T) {
@@ -112,5 +112,5 @@
 	advance(r, tenantCountsRetention+1_000*ms)
 	require.NoError(t, applyVersion(t, r, tenant("w", 9)))
 	i, _ = r.config.Tenants.Find("w")
-	assert.Equal(t, int32(1), i, "once nothing of it is left the index is another's")
+	assert.Equal(t, int32(1), i, "once nothing refers to it the index is reused")
 }
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -15,7 +15,7 @@
 
 const heir = -1 // connection of an invocation that was taken over: nobody is answered
 
-var errNotAccepting = errors.New("this node takes nothing in")
+var errNotAccepting = errors.New("node: it accepts no work")
 
 // takeoverWork is what a new owner needs of an invocation.
 type takeoverWork struct {
@@ -43,10 +43,10 @@
 	}
 	var work takeoverWork
 	if err := cbor.Unmarshal(a.Work, &work); err != nil {
-		return fmt.Errorf("its work can't be read: %w", err)
+		return fmt.Errorf("node: the work for a takeover can't be decoded: %w", err)
 	}
 	if _, used := sm.indexByCall[work.Call]; used || !work.valid() {
-		return fmt.Errorf("call %q: in use, or not one", work.Call)
+		return fmt.Errorf("node: call %q is in use, or not valid", work.Call)
 	}
 	if sm.results.isKnown(key) {
 		return nil // a caller is here already, and its invocation goes on under this claim
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -19,7 +19,7 @@
 	gift := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
 	receiveFromReplica(t, r2, gift)
-	start := claimCommands(t, r2, receiveFromReplica(t, r2, gift)) // told again, while the module decides
+	start := claimCommands(t, r2, receiveFromReplica(t, r2, gift)) // repeated while the controller decides
 	for from := r2.now; r2.now < from+100*ms && len(start) == 0; {
 		start = claimCommands(t, r2, step(r2))
 	}
@@ -35,7 +35,7 @@
 	assert.Empty(t, localEffects(effects), "nobody is answered")
 	step(r2)
 	assert.Zero(t, r2.owedAnswers)
-	assert.Empty(t, r2.indexByCall, "and it is forgotten")
+	assert.Empty(t, r2.indexByCall, "and it is released")
 }
 
 func TestDrainingNodeReleasesReassignedClaim(t *testing.T) {
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	errRetired         = errors.New("the operation or tenant is not in service any more")
-	errStaleVersion    = errors.New("it comes after one that is as new")
-	errTooManyVersions = errors.New("too many versions wait to be taken; try again")
+	errRetired         = errors.New("node: the operation or tenant is not in service any more")
+	errStaleVersion    = errors.New("node: the version is not newer than the last one")
+	errTooManyVersions = errors.New("node: too many versions are pending; try again")
 	errNoCatalogue     = errors.New("class_calls: it makes calls, and this node's own file names no catalogue; set catalog there and restart the node, or leave it out")
 	errIndicesPinned   = errors.New("results are kept in a folder by the numbers of operation and tenant, so adding or removing one takes a new start; " +
 		"keep them in the fleet's council, or restart with a new file")
--- a/internal/node/versions_bench_test.go
+++ b/internal/node/versions_bench_test.go
@@ -7,7 +7,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// BenchmarkVersion takes the largest part of a version that one step takes.
+// BenchmarkVersion applies the largest part of a version that one step applies.
 func BenchmarkVersion(b *testing.B) {
 	for _, size := range [][2]int{{20, 300}, {4_700, 130_000}} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -22,21 +22,21 @@
 	return nodeconfig.Item{Part: nodeconfig.Tenants, Name: name, Value: fmt.Appendf(nil, `{"quota_rps":%d}`, rate)}
 }
 
-// version is the input of the next version.
+// versionOf is the input of a version.
 func versionOf(t require.TestingT, number uint64, items ...nodeconfig.Item) Input {
 	change, err := nodeconfig.Parse(items)
 	require.NoError(t, err)
 	return Input{Kind: VersionReceived, Version: number, Change: change}
 }
 
-// amended brings items into force as the next version, and says why it can't.
+// applyVersion brings items into force as the next version, or returns why that can't be.
 func applyVersion(t *testing.T, r *StateMachine, items ...nodeconfig.Item) error {
 	got := kindsOf(step(r, versionOf(t, r.ActiveVersion()+1, items...)), VersionApplied)
 	require.Len(t, got, 1)
 	return got[0].Err
 }
 
-// advance lets time advance in beats.
+// advance lets time pass in ticks.
 func advance(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
@@ -50,12 +50,12 @@
 	return invoke(uint32(stream), append([]string{"call", id(stream), "recv", fmt.Sprint(1_000_000 + r.now/ms)}, changed...)...)
 }
 
-// tokenArrival is one of a token that arrives now.
+// tokenArrival is an invocation of a token that arrives now.
 func tokenArrival(r *StateMachine, stream int, token string) Input {
 	return arrival(r, stream, "op", "hold", "dedupe", token)
 }
 
-// endRun has the run of an invocation end well.
+// endRun has the run of an invocation succeed.
 func endRun(r *StateMachine, stream int) []Effect {
 	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.lastNotice+1, id(stream)))
 }
@@ -100,7 +100,7 @@
 	assert.Contains(t, text(step(r, arrival(r, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "not the form of the one before")
 	endRun(r, 3)
 	require.NoError(t, applyVersion(t, r, operation("catalogue", "")))
-	assert.Contains(t, text(step(r, arrival(r, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan speaks of it again")
+	assert.Contains(t, text(step(r, arrival(r, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan names it again")
 	plan := testPlan(-1)
 	plan.Operations = []string{"gone", "newer"}
 	plan.Forms[0] = []string{"", "newer-plain"}
@@ -114,7 +114,7 @@
 	assert.Empty(t, r.Invariants.All())
 }
 
-// A large version takes steps of a bounded size, and nothing in it waits for a timer.
+// A large version is applied in steps of a bounded size, and nothing in it waits for a timer.
 func TestLargeVersionIsAppliedInBoundedSteps(t *testing.T) {
 	r := up(t)
 	var items []nodeconfig.Item
@@ -139,11 +139,11 @@
 		in = append(in, versionOf(t, uint64(4+k), tenant("u", k)))
 	}
 	refused := kindsOf(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), VersionApplied)
-	require.Len(t, refused, 1, "those that wait are bounded")
+	require.Len(t, refused, 1, "pending versions are bounded")
 	assert.ErrorIs(t, refused[0].Err, errTooManyVersions)
 }
 
-// allocationsPerChange counts those of one change at a table of some size.
+// allocationsPerChange counts allocations of one change at a table of some size.
 func allocationsPerChange(t *testing.T, operations, tenants int) float64 {
 	r := up(t)
 	var items []nodeconfig.Item
@@ -166,14 +166,14 @@
 	})
 }
 
-// What a change costs doesn't grow with the table: it is counted, not timed.
+// The cost of a change doesn't grow with the table: allocations are counted, not time.
 func TestCostOfAChangeIsIndependentOfTheTableSize(t *testing.T) {
 	small, large := allocationsPerChange(t, 20, 20), allocationsPerChange(t, 2_000, 40_000)
 	assert.InDelta(t, small, large, 3)
 }
 
-// A thousand changes in a minute, beside traffic: every invocation is answered once, indices are used again, and the node's
-// configuration is in the end that of all the changes.
+// A thousand changes in a minute, beside traffic: every invocation is answered once, indices are reused, and the
+// node's configuration is in the end that of all the changes.
 func TestThousandChangesInAMinute(t *testing.T) {
 	for seed := range int64(6) {
 		chance := rand.New(rand.NewSource(seed))
@@ -231,7 +231,7 @@
 	}
 }
 
-// Where results are kept by number a large version is looked at over some steps, and refused as a whole.
+// Where stored results refer to indices a large version is validated over some steps, and refused as a whole.
 func TestLargeVersionIsValidatedInBoundedSteps(t *testing.T) {
 	r := up(t)
 	r.versions.indicesPinned = true
