--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -72,13 +72,13 @@
 }
 
 // claimsOfInvocation are the commands that follow the arrival of a tokened invocation.
-func claimsOfInvocation(t *testing.T, r *StateMachine, stream int, token string) []claims.Command {
-	return claimCommands(t, r, step(r, tokenInvocation(stream, token)))
+func claimsOfInvocation(t *testing.T, r *StateMachine) []claims.Command {
+	return claimCommands(t, r, step(r, tokenInvocation(1, "a1")))
 }
 
 func TestRunStartsOnceItsClaimIsGranted(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r, 1, "a1")
+	claim := claimsOfInvocation(t, r)
 	require.Len(t, claim, 1)
 	assert.Equal(t, claims.CommandClaim, claim[0].Kind)
 	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerGranted)))
@@ -101,7 +101,7 @@
 
 func TestTokenCompletedElsewhereIsAnsweredWithoutARun(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r, 1, "a1")
+	claim := claimsOfInvocation(t, r)
 	effects := receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerCompleted, func(v *claims.Verdict) { v.Result = []byte("kept") }))
 	require.Equal(t, []EffectKind{SendToConnection}, localEffects(effects))
 	for _, e := range effects {
@@ -113,7 +113,7 @@
 
 func TestUnknownOutcomeElsewhereIsAnsweredAsUnknown(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r, 1, "a1")
+	claim := claimsOfInvocation(t, r)
 	effects := receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerOutcomeUnknown))
 	require.Equal(t, []EffectKind{SendToConnection}, localEffects(effects))
 	assert.Equal(t, 1, r.Counters.Errored)
@@ -122,7 +122,7 @@
 
 func TestTokenOwnedElsewhereIsAnsweredBeforeItsClientTimeout(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r, 1, "a1")
+	claim := claimsOfInvocation(t, r)
 	receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answered := int64(0)
 	for from := r.now; r.now < from+3_000*ms && answered == 0; {
@@ -138,7 +138,7 @@
 
 func TestClaimIsReleasedWhenTheCallerLeavesBeforeTheRun(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r, 1, "a1")
+	claim := claimsOfInvocation(t, r)
 	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	for range 40 {
 		step(r)
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -58,7 +58,7 @@
 func TestPutIsValidatedBeforeItIsOrdered(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
-	servingNode(t, r)
+	servingNode(r)
 	for _, c := range []struct {
 		item nodeconfig.Item
 		want string
@@ -77,7 +77,7 @@
 func TestNodeReportsAVersionItCannotApply(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 	require.NoError(t, err)
-	servingNode(t, r)
+	servingNode(r)
 	v, _ := put(t, r, "a", 0, contentItems(r)...)
 	require.True(t, v.Done, v.Refused)
 	awaitRollout(t, r)
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -37,7 +37,8 @@
 	return r, err
 }
 
-func servingNode(t *testing.T, r *StateMachine) (effects []Effect) {
+// servingNode brings a configured node up, and returns the effects of its first step.
+func servingNode(r *StateMachine) (effects []Effect) {
 	effects = step(r, Input{Kind: ConnectionOpened, Link: 7})
 	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
 	told(r, "WELCOME old 0")
@@ -74,7 +75,7 @@
 func TestVersionComesIntoForceWithWorkInFlight(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
-	first := kindsOf(servingNode(t, r), ReportVersionInForce)
+	first := kindsOf(servingNode(r), ReportVersionInForce)
 	require.Len(t, first, 1, "the initial version is reported")
 	assert.Equal(t, "file", first[0].InForce.Source)
 	v, _ := put(t, r, "a", 0, contentItems(r)...)
@@ -105,7 +106,7 @@
 func TestLargeReplicatedVersionIsAppliedInBoundedSteps(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
-	servingNode(t, r)
+	servingNode(r)
 	content := r.configSync.replicator.Content()
 	var items []configsync.Item
 	for k := range 10 * maxChangesPerStep {
@@ -143,7 +144,7 @@
 	} {
 		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 		require.NoError(t, err)
-		servingNode(t, r)
+		servingNode(r)
 		before, content := r.config.Own(), r.configSync.replicator.Content()
 		items := []configsync.Item{configsync.Item(c.item)}
 		for k := range 3 * maxChangesPerStep {
@@ -188,7 +189,7 @@
 	}
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removal(nodeconfig.Operations, "hold")))
 	require.NoError(t, err)
-	in := kindsOf(servingNode(t, r), ReportVersionInForce)
+	in := kindsOf(servingNode(r), ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Mark.Version, in[0].InForce.Added, in[0].InForce.Removed})
 	assert.Equal(t, 1, runsOf(step(r, arrival(r, 1, "op", "new"))))
@@ -222,7 +223,7 @@
 		return configsync.InitialState{Mark: configsync.Revision{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
 	})
 	require.NoError(t, err)
-	servingNode(t, r)
+	servingNode(r)
 	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Revision{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
 	for ; r.configSync.pending != nil; steps++ {
--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -38,8 +38,8 @@
 
 func TestEndOfARunOfAnEarlierIncarnationIsReported(t *testing.T) {
 	r := claimingNode(t)
-	settle := claimCommands(t, r, told(r, "EXIT 1 00000000000000ff good 5 2|ok"))
-	require.Len(t, settle, 1)
-	assert.Equal(t, claims.CommandResolve, settle[0].Kind)
-	assert.Equal(t, "00000000000000ff", settle[0].InvocationID)
+	resolve := claimCommands(t, r, told(r, "EXIT 1 00000000000000ff good 5 2|ok"))
+	require.Len(t, resolve, 1)
+	assert.Equal(t, claims.CommandResolve, resolve[0].Kind)
+	assert.Equal(t, "00000000000000ff", resolve[0].InvocationID)
 }
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -59,16 +59,16 @@
 	r := up(t)
 	step(r, Input{Kind: PlanChanged, Plan: testPlan(-1)})
 	r.now = r.timerAt
-	var turn *LevelChange
+	var change *LevelChange
 	for _, e := range step(r) {
 		if e.Kind == LevelChanged {
-			turn = e.LevelChange
+			change = e.LevelChange
 		}
 	}
-	require.NotNil(t, turn)
-	assert.Equal(t, "level full to none: entered", turn.String())
-	assert.Equal(t, degradation.Load, turn.Signal)
-	assert.Equal(t, -1.0, turn.Limit)
+	require.NotNil(t, change)
+	assert.Equal(t, "level full to none: entered", change.String())
+	assert.Equal(t, degradation.Load, change.Signal)
+	assert.Equal(t, -1.0, change.Limit)
 }
 
 func TestDrainKeepsItsLevel(t *testing.T) {
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -86,7 +86,7 @@
 		}
 	case reflect.Struct:
 		for k := range v.NumField() {
-			if key, encoded := encodedKey(v.Type().Field(k), k); encoded {
+			if key, encoded := encodedKey(v.Type().Field(k)); encoded {
 				setFull(v.Field(k), 31*seed+key)
 			}
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// encodedKey is what a field is known by in the encoding: a number, a name, or in an array its position.
-func encodedKey(f reflect.StructField, place int) (key uint32, encoded bool) {
+// encodedKey is what a field is known by in the encoding: a number or a name.
+func encodedKey(f reflect.StructField) (key uint32, encoded bool) {
 	tag := f.Tag.Get("cbor")
 	if tag == "" {
 		tag = f.Tag.Get("json")
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -16,7 +16,7 @@
 func leasingNode(t *testing.T) *StateMachine {
 	r := claimingNode(t)
 	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
-	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claimsOfInvocation(t, r, 1, "a1")[0], 1)))
+	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claimsOfInvocation(t, r)[0], 1)))
 	require.Len(t, start, 1)
 	receiveFromReplica(t, r, verdictOn(start[0], 1))
 	return r
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -62,14 +62,14 @@
 func TestUnusablePeerMessagesAreCountedAndChangeNothing(t *testing.T) {
 	r := fleetNode(t)
 	good := sealed(t, "mobilier", membership.Message{Kind: membership.MessageGossip, Records: []membership.Record{other(0, false)}})
-	version, spoilt := append([]byte(nil), good...), append([]byte(nil), good...)
+	version, corrupted := append([]byte(nil), good...), append([]byte(nil), good...)
 	version[0]++
-	spoilt[len(spoilt)-1]++
-	ask := sealed(t, "mobilier", membership.Message{Kind: membership.MessageSyncRequest})
+	corrupted[len(corrupted)-1]++
+	request := sealed(t, "mobilier", membership.Message{Kind: membership.MessageSyncRequest})
 	effects := r.Step(ms, 1, []Input{
 		{Kind: PeerDatagramReceived, Bytes: sealed(t, "another", membership.Message{Kind: membership.MessageGossip})},
-		{Kind: PeerDatagramReceived, Bytes: version}, {Kind: PeerDatagramReceived, Bytes: spoilt}, {Kind: PeerDatagramReceived, Bytes: good[:5]},
-		{Kind: PeerDatagramReceived, Bytes: ask}, {Kind: PeerRequestReceived, Link: 3, Bytes: spoilt}})
+		{Kind: PeerDatagramReceived, Bytes: version}, {Kind: PeerDatagramReceived, Bytes: corrupted}, {Kind: PeerDatagramReceived, Bytes: good[:5]},
+		{Kind: PeerDatagramReceived, Bytes: request}, {Kind: PeerRequestReceived, Link: 3, Bytes: corrupted}})
 	assert.Equal(t, PeerMessageCounters{Spoilt: 4, Version: 1, Fleet: 1}, r.PeerMessageCounters())
 	assert.Len(t, kindsOf(effects, ReplyToExchange), 1, "the exchange is closed")
 	assert.Len(t, r.Members().View().Members, 1)
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -14,12 +14,12 @@
 
 func TestTakenOverWorkRunsAndItsEndIsReported(t *testing.T) {
 	r := claimingNode(t)
-	work := claimsOfInvocation(t, r, 1, "a1")[0].Work
+	work := claimsOfInvocation(t, r)[0].Work
 	r2 := claimingNode(t)
-	gift := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
+	reassignment := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
-	receiveFromReplica(t, r2, gift)
-	start := claimCommands(t, r2, receiveFromReplica(t, r2, gift)) // repeated while the controller decides
+	receiveFromReplica(t, r2, reassignment)
+	start := claimCommands(t, r2, receiveFromReplica(t, r2, reassignment)) // repeated while the controller decides
 	for from := r2.now; r2.now < from+100*ms && len(start) == 0; {
 		start = claimCommands(t, r2, step(r2))
 	}
@@ -40,7 +40,7 @@
 
 func TestDrainingNodeReleasesReassignedClaim(t *testing.T) {
 	r := claimingNode(t)
-	work := claimsOfInvocation(t, r, 1, "a1")[0].Work
+	work := claimsOfInvocation(t, r)[0].Work
 	r2 := claimingNode(t)
 	step(r2, Input{Kind: DrainRequested})
 	release := claimCommands(t, r2, receiveFromReplica(t, r2, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
