--- /dev/null
+++ b/internal/degradation/conditions_test.go
@@ -0,0 +1,41 @@
+package degradation
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestLimitsWithoutASignalAreEmpty(t *testing.T) {
+	limits := NoLimits()
+	assert.True(t, limits.isEmpty())
+	assert.Equal(t, Load, limits.firstSignal())
+	limits[Memory] = 0
+	assert.False(t, limits.isEmpty(), "a limit of zero is set")
+	assert.Equal(t, Memory, limits.firstSignal())
+	limits[CallWait] = 0.5
+	assert.Equal(t, CallWait, limits.firstSignal())
+}
+
+func TestConditionOnLoad(t *testing.T) {
+	onLoad, onMemory := condition(Load, 1, second), condition(Memory, 1, second)
+	assert.True(t, onLoad.isOnLoad())
+	assert.False(t, onMemory.isOnLoad())
+}
+
+// All limits have to be passed together; a value at a limit is on neither side.
+func TestLimitsHoldTogether(t *testing.T) {
+	c := newController()
+	metrics := demand(1)
+	metrics.CallWait, metrics.MemoryShare = 0.5, 0.25
+	c.measureLoads(metrics)
+	limits := NoLimits()
+	limits[CallWait], limits[Memory] = 0.4, 0.2
+	assert.True(t, c.allAbove(&limits, 1, metrics))
+	assert.False(t, c.allBelow(&limits, 1, metrics))
+	limits[Memory] = 0.25
+	assert.False(t, c.allAbove(&limits, 1, metrics))
+	assert.False(t, c.allBelow(&limits, 1, metrics))
+	limits[CallWait], limits[Memory] = 0.6, 0.3
+	assert.True(t, c.allBelow(&limits, 1, metrics))
+}
