--- a/internal/degradation/degradationlog/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -17,9 +17,9 @@
 func TestTimelineIsRebuiltFromACutLog(t *testing.T) {
 	var all Timeline
 	require.NoError(t, all.Read("logs/x.log", strings.NewReader(log)))
-	assert.Equal(t, Log{Node: "n7", Turns: 2, Cut: 2, Last: all.Logs[0].Last, Level: "full", Broken: 1}, all.Logs[0])
-	assert.Equal(t, "a", all.Turns[0].To)
-	assert.Equal(t, 40, all.Turns[0].Before.Whole)
+	assert.Equal(t, NodeLog{Node: "n7", Changes: 2, Unreadable: 2, LastAt: all.Logs[0].LastAt, Level: "full", Gaps: 1}, all.Logs[0])
+	assert.Equal(t, "a", all.Changes[0].To)
+	assert.Equal(t, 40, all.Changes[0].Before.Whole)
 }
 
 func TestLogsOfSeveralNodesAreToldInOrderOfTime(t *testing.T) {
@@ -41,6 +41,6 @@
 	for n := range len(log) {
 		var all Timeline
 		require.NoError(t, all.Read("n.log", strings.NewReader(log[:n])))
-		assert.Equal(t, strings.Count(log[:n], "level changed\"}"), len(all.Turns))
+		assert.Equal(t, strings.Count(log[:n], "level changed\"}"), len(all.Changes))
 	}
 }
--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -16,14 +16,14 @@
 
 // Bounds of what is read.
 const (
-	Head         = 13         // bytes before the body: version 1, fleet 4, checksum 8, all little-endian
-	DatagramMost = 1_200      // bytes that any path carries whole
-	ExchangeMost = 512 << 10  // bytes of one message of an exchange: a table of the most members that settings allow
-	StreamMost   = 16 << 20   // bytes of one letter of a stream: a snapshot of the largest table that settings allow
-	itemsMost    = 1 << 14    // items of one list
-	pairsMost    = 64         // of one map: far above the fields of any message
-	depthMost    = 8          // of nesting
-	seedOfFleet  = 0x66_6c_74 // told apart from other hashes of names
+	Head          = 13         // bytes before the body: version 1, fleet 4, checksum 8, all little-endian
+	DatagramMost  = 1_200      // bytes that any path carries whole
+	ExchangeMost  = 512 << 10  // bytes of one message of an exchange: a table of the most members that settings allow
+	StreamMost    = 16 << 20   // bytes of one letter of a stream: a snapshot of the largest table that settings allow
+	maxArrayItems = 1 << 14    // items of one list
+	maxMapPairs   = 64         // of one map: far above the fields of any message
+	maxNesting    = 8          // of nesting
+	fleetHashSeed = 0x66_6c_74 // told apart from other hashes of names
 )
 
 // What makes a letter of no use.
@@ -35,8 +35,8 @@
 	ErrBody    = errors.New("envelope: the body can't be read")
 )
 
-var decode = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: itemsMost, MaxMapPairs: pairsMost, MaxNestedLevels: depthMost,
+var decodeMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayItems, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNesting,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // of constants
@@ -48,37 +48,37 @@
 type Fleet uint32
 
 // FleetOf is that of a name.
-func FleetOf(name string) Fleet { return Fleet(xxhash.Sum64String(name) ^ seedOfFleet) }
+func FleetOf(name string) Fleet { return Fleet(xxhash.Sum64String(name) ^ fleetHashSeed) }
 
 // Seal appends a letter.
-func Seal(to []byte, fleet Fleet, body any) ([]byte, error) {
-	text, err := cbor.Marshal(body)
+func Seal(dst []byte, fleet Fleet, body any) ([]byte, error) {
+	encoded, err := cbor.Marshal(body)
 	if err != nil {
-		return to, err
+		return dst, err
 	}
-	to = binary.LittleEndian.AppendUint32(append(to, Version), uint32(fleet))
-	to = binary.LittleEndian.AppendUint64(to, xxhash.Sum64(text))
-	return append(to, text...), nil
+	dst = binary.LittleEndian.AppendUint32(append(dst, Version), uint32(fleet))
+	dst = binary.LittleEndian.AppendUint64(dst, xxhash.Sum64(encoded))
+	return append(dst, encoded...), nil
 }
 
 // Open reads a letter into a body.
-func Open(b []byte, fleet Fleet, body any) error {
+func Open(message []byte, fleet Fleet, body any) error {
 	switch {
-	case len(b) < Head:
+	case len(message) < Head:
 		return ErrShort
-	case b[0] != Version:
+	case message[0] != Version:
 		return ErrVersion
-	case Fleet(binary.LittleEndian.Uint32(b[1:])) != fleet:
+	case Fleet(binary.LittleEndian.Uint32(message[1:])) != fleet:
 		return ErrFleet
-	case binary.LittleEndian.Uint64(b[5:]) != xxhash.Sum64(b[Head:]):
+	case binary.LittleEndian.Uint64(message[5:]) != xxhash.Sum64(message[Head:]):
 		return ErrSpoilt
 	}
-	return Body(b[Head:], body)
+	return Body(message[Head:], body)
 }
 
 // Body reads what is behind the head of a letter.
-func Body(b []byte, body any) error {
-	if err := decode.Unmarshal(b, body); err != nil {
+func Body(encoded []byte, body any) error {
+	if err := decodeMode.Unmarshal(encoded, body); err != nil {
 		return errors.Join(ErrBody, err)
 	}
 	return nil
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -12,7 +12,7 @@
 
 const (
 	degradationSeedSalt = 0x6c6576656c73 // keeps the draws for degradation apart from others of the same seed
-	second              = 1_000 * ms
+	nsPerSecond         = 1_000 * ms
 )
 
 // DegradationPlan is a plan of degradation levels with the names of the reduced forms of operations.
@@ -161,7 +161,7 @@
 	total := &ds.totals[level]
 	total.add(&ds.current)
 	ds.timeByLevel[level] += now - ds.enteredAt
-	total.Seconds = ds.timeByLevel[level] / second
+	total.Seconds = ds.timeByLevel[level] / nsPerSecond
 }
 
 // startPeriod starts counting at the level in force.
@@ -185,7 +185,7 @@
 		return
 	}
 	before := ds.current
-	before.Seconds = change.PreviousTime / second
+	before.Seconds = change.PreviousTime / nsPerSecond
 	ds.closePeriod(sm.now, change.From)
 	ds.startPeriod(sm.now)
 	sm.applyLevel(&LevelChange{Change: change, Plan: ds.plan.Name, FromName: ds.plan.LevelName(change.From),
