--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -1,26 +1,33 @@
-// Package degradationlog rebuilds from the logs of nodes what level of service each was at. Logs may be cut anywhere.
+// Package degradationlog rebuilds from the logs of nodes which level of service each was at. Logs may be cut anywhere.
 package degradationlog
 
 import (
 	"bufio"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"path/filepath"
-	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
+
+	"topazpost/internal/degradation"
 )
 
-const maxLineBytes = 1 << 20 // bytes of a line; a longer one is passed over
+const maxLineBytes = 1 << 20 // a longer line is passed over
+
+// Messages of log lines that a timeline is built from.
+const (
+	messageListening    = "listening"
+	messageDrained      = "drained, leaving"
+	messageLevelChanged = "level changed"
+)
 
-// LevelChange is one change of level, as a log tells it.
+// LevelChange is one change of level in a log.
 type LevelChange struct {
-	Node             string
-	At               time.Time
-	Line             int
+	Node string    `json:"-"`
+	At   time.Time `json:"-"`
+	Line int       `json:"-"`
+
 	Plan             string  `json:"plan"`
 	From             string  `json:"from"`
 	To               string  `json:"to"`
@@ -30,16 +37,22 @@
 	Limit            float64 `json:"threshold"`
 	ConditionSeconds float64 `json:"for_s"`
 	PreviousSeconds  float64 `json:"lasted_s"`
-	Before           struct {
-		Whole, Reduced, Levelled, Throttled int
-	} `json:"before"`
+	Before           Answers `json:"before"`
 }
 
-// NodeLog is what one node's log came to.
+// Answers counts what was answered at the level before.
+type Answers struct {
+	Whole     int `json:"whole"`
+	Reduced   int `json:"reduced"`
+	Levelled  int `json:"levelled"` // throttled by the level
+	Throttled int `json:"throttled"`
+}
+
+// NodeLog summarizes one node's log.
 type NodeLog struct {
 	Node       string
 	Changes    int
-	Unreadable int  // lines that can't be read
+	Unreadable int  // lines
 	Drained    bool // its last line is that of a drained node; else it was killed, or runs still
 	LastAt     time.Time
 	Level      string
@@ -58,22 +71,21 @@
 	Name    string    `json:"name"`
 }
 
-// Read adds a log. What is no JSON on a line counts as cut, but for text before its first brace.
+// Read adds a log. A line that is no JSON counts as unreadable, but for text before its first brace.
 func (t *Timeline) Read(path string, from io.Reader) error {
-	log := NodeLog{Node: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), Level: "full"}
+	log := NodeLog{Node: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), Level: degradation.FullService}
 	in := bufio.NewReaderSize(from, maxLineBytes)
 	first := len(t.Changes)
 	for number := 1; ; number++ {
-		text, err := in.ReadSlice('\n')
-		long := errors.Is(err, bufio.ErrBufferFull)
-		for errors.Is(err, bufio.ErrBufferFull) {
-			_, err = in.ReadSlice('\n')
-		}
+		text, tooLong, err := readLine(in)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		if len(text) > 0 {
-			log.applyLine(t, string(text), number, long)
+			if change, changed := log.apply(text, tooLong); changed {
+				change.Line = number
+				t.Changes = append(t.Changes, change)
+			}
 		}
 		if err != nil {
 			break
@@ -86,63 +98,53 @@
 	return nil
 }
 
-func (log *NodeLog) applyLine(t *Timeline, text string, number int, long bool) {
+// readLine reads a line; of one that is too long the beginning is returned, and the rest is passed over.
+func readLine(in *bufio.Reader) (text string, tooLong bool, err error) {
+	line, err := in.ReadSlice('\n')
+	text = string(line) // ReadSlice overwrites it
+	for errors.Is(err, bufio.ErrBufferFull) {
+		tooLong = true
+		_, err = in.ReadSlice('\n')
+	}
+	return text, tooLong, err
+}
+
+// apply adds a line to the summary, and returns the change of level that it records, if any.
+func (log *NodeLog) apply(text string, tooLong bool) (change LevelChange, changed bool) {
 	start := strings.IndexByte(text, '{')
-	var l logLine
-	if long || start < 0 || json.Unmarshal([]byte(text[start:]), &l) != nil {
+	var line logLine
+	if tooLong || start < 0 || json.Unmarshal([]byte(text[start:]), &line) != nil {
 		if strings.TrimSpace(text) != "" {
 			log.Unreadable++
 		}
-		return
+		return LevelChange{}, false
 	}
-	log.LastAt, log.Drained = l.Time, false
-	switch l.Message {
-	case "listening":
-		log.Node, log.Level = l.Name, "full"
-	case "drained, leaving":
+	log.LastAt, log.Drained = line.Time, false
+	switch line.Message {
+	case messageListening:
+		log.Node, log.Level = line.Name, degradation.FullService
+	case messageDrained:
 		log.Drained = true
-	case "level changed":
-		turn := LevelChange{At: l.Time, Line: number}
-		if json.Unmarshal([]byte(text[start:]), &turn) != nil {
+	case messageLevelChanged:
+		change.At = line.Time
+		if json.Unmarshal([]byte(text[start:]), &change) != nil {
 			log.Unreadable++
-			return
-		}
-		if turn.From != "" && turn.From != log.Level {
-			log.Gaps++
+			return LevelChange{}, false
 		}
-		log.Level = turn.To
-		if log.Level == "" {
-			log.Level = "full"
-		}
-		log.Changes++
-		t.Changes = append(t.Changes, turn)
+		log.applyChange(&change)
+		return change, true
 	}
+	return LevelChange{}, false
 }
 
-// Print writes the changes of all nodes, earliest first, and how each log ended.
-func (t *Timeline) Print(to io.Writer) error {
-	turns := slices.Clone(t.Changes)
-	slices.SortStableFunc(turns, func(a, b LevelChange) int { return a.At.Compare(b.At) })
-	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "time\tnode\tfrom\tto\twhy\tafter\twhole\treduced\tby the level\tthrottled")
-	for i := range turns {
-		turn := &turns[i]
-		why := turn.Cause
-		if turn.Signal != "" {
-			why += fmt.Sprintf(": %s %.0f %% past %.0f %% for %.1f s", turn.Signal, 100*turn.Value, 100*turn.Limit, turn.ConditionSeconds)
-		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\n", turn.At.UTC().Format("2006-01-02 15:04:05"), turn.Node,
-			turn.From, turn.To, why, turn.PreviousSeconds, turn.Before.Whole, turn.Before.Reduced, turn.Before.Levelled,
-			turn.Before.Throttled)
+// applyChange follows a change of level.
+func (log *NodeLog) applyChange(change *LevelChange) {
+	if change.From != "" && change.From != log.Level {
+		log.Gaps++
 	}
-	for i := range t.Logs {
-		log := &t.Logs[i]
-		end := "no end of a drain: killed, or it runs still"
-		if log.Drained {
-			end = "drained"
-		}
-		fmt.Fprintf(w, "%s\t%s\t\t%s\t%d changes, %d lines cut, %d gaps; %s\n", log.LastAt.UTC().Format("2006-01-02 15:04:05"),
-			log.Node, log.Level, log.Changes, log.Unreadable, log.Gaps, end)
+	log.Level = change.To
+	if log.Level == "" {
+		log.Level = degradation.FullService
 	}
-	return w.Flush()
+	log.Changes++
 }
--- /dev/null
+++ b/internal/degradation/degradationlog/print_test.go
@@ -0,0 +1,23 @@
+package degradationlog
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+func TestChangesOfSeveralNodesArePrintedInOrderOfTime(t *testing.T) {
+	var all Timeline
+	require.NoError(t, all.Read("late.log", strings.NewReader(log)))
+	early := strings.ReplaceAll(strings.ReplaceAll(log, "10:00:09", "09:59:59"), `"n7"`, `"n8"`)
+	require.NoError(t, all.Read("early.log", strings.NewReader(early+"\n{\"time\":\"2026-12-01T11:00:00Z\",\"message\":\"drained, leaving\"}")))
+	var b strings.Builder
+	require.NoError(t, all.Print(&b))
+	rows := strings.Split(b.String(), "\n")
+	assert.Contains(t, rows[1], "n8")
+	assert.Contains(t, rows[1], "entered: load 120 % past 100 % for 0.5 s")
+	assert.Contains(t, rows[2], "n7")
+	assert.Contains(t, b.String(), "drained")
+}
