--- a/internal/degradation/degradationlog/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -9,7 +9,6 @@
 )
 
 const log = `[0.01] {"level":"info","name":"n7","time":"2026-12-01T10:00:00Z","message":"listening"}
-
 {"level":"info","plan":"p","from":"full","to":"a","cause":"entered","signal":"load","value":1.2,"threshold":1,"for_s":0.5,"lasted_s":9,"before":{"whole":40,"throttled":3},"time":"2026-12-01T10:00:09Z","message":"level changed"}
 panic: something that is no line of ours
 {"level":"info","plan":"p","from":"b","to":"full","cause":"idle","time":"2026-12-01T10:00:20Z","message":"level changed"}
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -15,7 +15,6 @@
 )
 
 const tokened = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000}],
-
 	"family_info":{"n_cores":2,"memory_kb":9000,"blowup":4,"entry_kb":1,"class_calls":[true],"below":"common","calls_out":9,
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
