--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -1,5 +1,5 @@
-// Package envelope is the envelope of all that nodes tell each other: a version, the fleet, a checksum, and a body in
-// CBOR. It is pure, and knows no body's meaning.
+// Package envelope encodes and decodes the messages that nodes send each other: a version, the fleet, a checksum, and a body in CBOR.
+// It does no I/O, and knows no body's meaning.
 package envelope
 
 import (
@@ -10,23 +10,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is of the envelope. Bodies grow by keys that older nodes pass over; this number changes only where they
-// must not even try.
+// Version is that of the envelope. Bodies grow by keys that older nodes skip; this number changes only where older nodes must not
+// even try.
 const Version = 1
 
-// Bounds of what is read.
+// Bounds of messages, in bytes.
 const (
-	Head          = 13         // bytes before the body: version 1, fleet 4, checksum 8, all little-endian
-	DatagramMost  = 1_200      // bytes that any path carries whole
-	ExchangeMost  = 512 << 10  // bytes of one message of an exchange: a table of the most members that settings allow
-	StreamMost    = 16 << 20   // bytes of one letter of a stream: a snapshot of the largest table that settings allow
-	maxArrayItems = 1 << 14    // items of one list
-	maxMapPairs   = 64         // of one map: far above the fields of any message
-	maxNesting    = 8          // of nesting
-	fleetHashSeed = 0x66_6c_74 // told apart from other hashes of names
+	Head         = 13        // of the header: version 1, fleet 4, checksum 8, all little-endian
+	DatagramMost = 1_200     // of a datagram that any path carries whole
+	ExchangeMost = 512 << 10 // of one message of an exchange: a table of the most members that settings allow
+	StreamMost   = 16 << 20  // of one message of a stream: a snapshot of the largest table that settings allow
 )
 
-// What makes a letter of no use.
+// Offsets of the header's fields.
+const (
+	fleetOffset    = 1
+	checksumOffset = 5
+)
+
+// Bounds of what is decoded.
+const (
+	maxArrayItems = 1 << 14
+	maxMapPairs   = 64 // far above the fields of any message
+	maxNesting    = 8
+)
+
+const fleetHashSeed = 0x66_6c_74 // keeps the hash of a fleet's name apart from other hashes of names
+
+// Errors of messages that can't be used.
 var (
 	ErrShort   = errors.New("envelope: too short")
 	ErrVersion = errors.New("envelope: another version")
@@ -35,48 +46,53 @@
 	ErrBody    = errors.New("envelope: the body can't be read")
 )
 
-var decodeMode = func() cbor.DecMode {
+var decodeMode = newDecodeMode()
+
+func newDecodeMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayItems, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNesting,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // only constants decide on it
 	}
 	return mode
-}()
+}
 
-// Fleet is a fleet's name in short.
+// Fleet is a hash of a fleet's name.
 type Fleet uint32
 
-// FleetOf is that of a name.
+// FleetOf is the hash of a name.
 func FleetOf(name string) Fleet { return Fleet(xxhash.Sum64String(name) ^ fleetHashSeed) }
 
-// Seal appends a letter.
+// Seal appends a message with a body.
 func Seal(dst []byte, fleet Fleet, body any) ([]byte, error) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
 		return dst, err
 	}
-	dst = binary.LittleEndian.AppendUint32(append(dst, Version), uint32(fleet))
+	dst = append(dst, Version)
+	dst = binary.LittleEndian.AppendUint32(dst, uint32(fleet))
 	dst = binary.LittleEndian.AppendUint64(dst, xxhash.Sum64(encoded))
 	return append(dst, encoded...), nil
 }
 
-// Open reads a letter into a body.
+// Open checks a message's header and decodes its body.
 func Open(message []byte, fleet Fleet, body any) error {
-	switch {
-	case len(message) < Head:
+	if len(message) < Head {
 		return ErrShort
+	}
+	encoded := message[Head:]
+	switch {
 	case message[0] != Version:
 		return ErrVersion
-	case Fleet(binary.LittleEndian.Uint32(message[1:])) != fleet:
+	case Fleet(binary.LittleEndian.Uint32(message[fleetOffset:])) != fleet:
 		return ErrFleet
-	case binary.LittleEndian.Uint64(message[5:]) != xxhash.Sum64(message[Head:]):
+	case binary.LittleEndian.Uint64(message[checksumOffset:]) != xxhash.Sum64(encoded):
 		return ErrSpoilt
 	}
-	return Body(message[Head:], body)
+	return Body(encoded, body)
 }
 
-// Body reads what is behind the head of a letter.
+// Body decodes what follows the header of a message.
 func Body(encoded []byte, body any) error {
 	if err := decodeMode.Unmarshal(encoded, body); err != nil {
 		return errors.Join(ErrBody, err)
--- a/internal/fleet/envelope/fixtures_test.go
+++ b/internal/fleet/envelope/fixtures_test.go
@@ -12,8 +12,8 @@
 
 var update = flag.Bool("update", false, "write the fixtures of testdata anew from what this build encodes")
 
-// A letter is the bytes of a fixture, and is opened to its body; the number of its fleet is part of them.
-func TestFixtureOfALetter(t *testing.T) {
+// A message is encoded to the bytes of a fixture, and decoded to its body; the hash of its fleet is part of them.
+func TestFixtureOfAMessage(t *testing.T) {
 	type body struct {
 		Number int64    `cbor:"1,keyasint"`
 		Text   string   `cbor:"2,keyasint"`
