--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -59,7 +59,7 @@
 		if head := r.configSync.agreed.Head; head.All.Version == head.Newest {
 			return
 		}
-		advance(r, 50*ms)
+		passTime(r, 50*ms)
 	}
 	t.Fatal("a version stays at the canary stage")
 }
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -36,8 +36,8 @@
 	return got[0].Err
 }
 
-// advance lets time pass in ticks.
-func advance(r *StateMachine, ns int64) {
+// passTime lets time pass in ticks.
+func passTime(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
 		r.executorHeardAt, r.connections[7].used = r.now, r.now // neither link is silent
@@ -94,7 +94,7 @@
 	assert.Equal(t, "51 on 1", answers(t, step(r, arrival(r, 1)))[0])
 	assert.Contains(t, text(step(r, arrival(r, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
 	endRun(r, 2)
-	advance(r, 10_000*ms)
+	passTime(r, 10_000*ms)
 	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, applyVersion(t, r, operation("newer", "")))
 	assert.Contains(t, text(step(r, arrival(r, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "not the form of the one before")
