--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -40,7 +40,7 @@
 // servingNode brings a configured node up, and returns the effects of its first step.
 func servingNode(r *StateMachine) (effects []Effect) {
 	effects = step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	for r.claiming.replica.Leader() == "" {
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -176,7 +176,7 @@
 // stepDegradation steps the degradation controller on each tick, and applies a change of level.
 func (sm *StateMachine) stepDegradation() {
 	ds := &sm.degradation
-	if ds.steps == nil || sm.controller == nil || sm.drainRequested { // a drain stays at its level: intake ends soon
+	if ds.steps == nil || sm.controller == nil || sm.drain.isRequested() { // a drain stays at its level: intake ends soon
 		return
 	}
 	sm.controller.MeasureLoad(&ds.metrics)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -17,28 +18,28 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// fresh is a node that has not heard of its executor, with connection 7 open.
+// fresh is a node whose executor has not welcomed it, with connection 7 open.
 func fresh(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
-	return r
+	sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	step(sm, Input{Kind: ConnectionOpened, Link: 7})
+	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
+	return sm
 }
 
-// up is a node that serves.
+// up is a node that serves, with connection 7 open.
 func up(t *testing.T) *StateMachine {
-	r := fresh(t)
-	told(r, "WELCOME old 0")
-	told(r, "METERS j1 0.1 1 0.1 3")
-	return r
+	sm := fresh(t)
+	told(sm, "WELCOME old 0")
+	told(sm, "METERS j1 0.1 1 0.1 3")
+	return sm
 }
 
-// step moves the clock on by a millisecond and returns the effects but for those that only wake, remark, sample,
-// report or ask for gauges.
-func step(r *StateMachine, inputs ...Input) (got []Effect) {
-	for _, e := range r.Step(r.now+ms, r.now+ms+1_000_000*ms, inputs) {
+// step advances the clock by a millisecond and returns the effects, without wakeups, log entries, samples, reports and
+// requests for gauges.
+func step(sm *StateMachine, inputs ...Input) (got []Effect) {
+	for _, e := range sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, inputs) {
 		proof := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
 		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != SampleState && !proof {
 			got = append(got, e)
@@ -47,29 +48,31 @@
 	return got
 }
 
-func told(r *StateMachine, line string) []Effect {
+// told delivers a line of the executor, with its body after a bar.
+func told(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: ExecutorLineReceived, Link: r.executorLink, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
+	return step(sm, Input{Kind: ExecutorLineReceived, Link: sm.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-func replied(r *StateMachine, line string) []Effect {
+// replied delivers a line of the catalogue on its first link, with its body after a bar.
+func replied(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
-	return step(r, Input{Kind: CatalogueLineReceived, Link: r.catalogueLinks[0].link,
+	return step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-// reached has the last link to the catalogue come up.
-func reached(r *StateMachine) []Effect {
-	return step(r, Input{Kind: CatalogueConnected, Link: r.catalogueLinks[len(r.catalogueLinks)-1].link})
+// reached opens the last link to the catalogue.
+func reached(sm *StateMachine) []Effect {
+	return step(sm, Input{Kind: CatalogueConnected, Link: sm.catalogue.links[len(sm.catalogue.links)-1].id})
 }
 
-// rejoined breaks the link to the executor and has a new one welcomed, its gauges not yet told.
-func rejoined(r *StateMachine) {
-	step(r, Input{Kind: ExecutorDisconnected, Link: r.executorLink})
-	r.now = r.redialAt
-	step(r)
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
-	told(r, "WELCOME old 90")
+// rejoined breaks the executor's link and has a new one welcomed, but not synced.
+func rejoined(sm *StateMachine) {
+	step(sm, Input{Kind: ExecutorDisconnected, Link: sm.executor.link})
+	sm.now = sm.executor.redialAt
+	step(sm)
+	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
+	told(sm, "WELCOME old 90")
 }
 
 const callID = "9b1f03aa5c7e2d41"
@@ -91,7 +94,7 @@
 	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
 }
 
-// text is what all effects of a kind write.
+// text is the bytes of all effects of a kind.
 func text(effects []Effect, kind EffectKind) (s string) {
 	for _, e := range effects {
 		if e.Kind == kind {
@@ -101,7 +104,7 @@
 	return s
 }
 
-// answers are the codes of the answers among the effects, with their stream.
+// answers is the frames among the effects.
 func answers(t *testing.T, effects []Effect) (got []string) {
 	for _, e := range effects {
 		if e.Kind != SendToConnection {
@@ -111,14 +114,26 @@
 		p.Wrote(copy(p.Space(), e.Bytes))
 		f, ok, err := p.Next()
 		require.True(t, ok && err == nil)
-		got = append(got, name(f))
+		got = append(got, frameText(f))
 	}
 	return got
 }
 
+// kinds is the kinds of effects.
 func kinds(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
 		list = append(list, e.Kind)
 	}
 	return list
 }
+
+// frameText is the code and the stream of an answer, or the kind of any other frame.
+func frameText(f frame.Frame) string {
+	switch f.Type {
+	case frame.NoMore:
+		return "no more"
+	case frame.Checked:
+		return fmt.Sprintf("check %d", f.Payload[0])
+	}
+	return fmt.Sprintf("%d on %d", f.Payload[0], f.Stream)
+}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -68,7 +68,7 @@
 // HollowClaimRequested and HollowCallsRequested are its load; with replicaOnly it has none.
 func (sm *StateMachine) MakeHollow(counters *HollowCounters, replicaOnly bool) {
 	sm.hollow = hollowState{on: true, replicaOnly: replicaOnly, counters: counters, tokens: map[claims.Key]*hollowToken{}}
-	sm.listenerClosed = true // there is none
+	sm.drain.setListenerClosed() // there is none
 }
 
 // enabled says whether the node is hollow.
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -68,7 +68,7 @@
 // against one call more at the dependency than units, for each that is abandoned there.
 func (sm *StateMachine) countAbandonedCall(s *catalogueLink) {
 	ls := &sm.leases
-	if ls.holder == nil || !s.up || s.inv < 0 {
+	if ls.holder == nil || !s.up || s.invocation < 0 {
 		return
 	}
 	ls.abandonedUntil = append(ls.abandonedUntil, sm.now+ls.config.Hold/2)
@@ -85,7 +85,7 @@
 	if !known {
 		return
 	}
-	if sm.acceptStopped {
+	if sm.drain.isAcceptStopped() {
 		waiting = 0 // a drain makes its calls with the units it has
 	}
 	ls.units(sm.now)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -213,7 +213,7 @@
 // facts are what this node announces of itself.
 func (sm *StateMachine) facts() (f membership.Facts) {
 	fs := &sm.fleet
-	if sm.controller != nil && sm.executorLink != 0 {
+	if sm.controller != nil && sm.executor.isConnected() {
 		fs.executorLostAt = -1
 	} else if fs.executorLostAt < 0 {
 		fs.executorLostAt = sm.now
@@ -221,9 +221,9 @@
 	executorLost := fs.executorLostAt >= 0 && sm.now-fs.executorLostAt >= executorLossTimeout
 	f.NoUse = sm.hollow.isReplicaOnly() || !sm.hollow.enabled() && executorLost
 	switch {
-	case sm.acceptStopped:
+	case sm.drain.isAcceptStopped():
 		f.Beat = drainStageStopped
-	case sm.drainRequested:
+	case sm.drain.isRequested():
 		f.Beat = drainStageRequested
 	}
 	f.Level = uint8(sm.degradation.level())
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -151,7 +151,7 @@
 // askCacheAgain submits a repeat anew, as its token's first: what it repeated was rejected unrun, or its caller left.
 func (sm *StateMachine) askCacheAgain(i int32) {
 	v := sm.invocations[i]
-	c := sm.connections[v.connection]
+	c := sm.connections.get(v.connection)
 	if c == nil { // its connection ends in this step, and it with it
 		return
 	}
@@ -164,7 +164,7 @@
 	e := v.arrival
 	v.inCache, v.tokenExpiresAt = false, 0
 	j := sm.addInvocation(v)
-	c.open[v.stream] = j
+	c.openStreams[v.stream] = j
 	e.Invocation, e.Age, e.Original = j, sm.now-v.arrivedAt+e.Age, admission.NoOriginal
 	if v.terms != sm.currentTerms(v.operation) {
 		e.Deadline = v.deadline // its client timeout is that of its terms
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -26,7 +26,7 @@
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
-	step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
 	told(r, "METERS j1 0.1 1 0.1 3")
 	return r
@@ -80,7 +80,7 @@
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
-	require.NotEmpty(t, r.catalogueLinks, "its call is made nevertheless")
+	require.NotEmpty(t, r.catalogue.links, "its call is made nevertheless")
 	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
 	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
@@ -132,7 +132,7 @@
 	assert.Equal(t, 1, runsOf(step(r, first)))
 	came := r.now
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
-	r.now, r.executorHeardAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
+	r.now, r.executor.lastLineAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
 	stamp := fmt.Sprint((came+19_900*ms)/ms + 1_000_000)
 	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
 	assert.Zero(t, runsOf(got))
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -21,7 +21,7 @@
 	step(r, arrival(r, 2))
 	ends := map[string]int64{}
 	for len(ends) < 2 && r.now < from+5_000*ms {
-		r.executorHeardAt = r.now
+		r.executor.lastLineAt = r.now
 		for _, a := range answers(t, step(r)) {
 			ends[a] = (r.now - from) / ms
 		}
@@ -36,10 +36,10 @@
 	r := cachingNode(t, resultcache.InMemory)
 	assert.Equal(t, 1, runsOf(step(r, tokenArrival(r, 1, "a"))))
 	require.NoError(t, applyVersion(t, r, operation("other", ""), removal(nodeconfig.Operations, "hold")))
-	for stream := range faultsMost + 2 {
+	for stream := range maxFaults + 2 {
 		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, tokenArrival(r, stream+2, "b"))))
 	}
-	assert.Zero(t, r.connections[7].faults)
+	assert.Zero(t, r.connections.byLink[7].faults)
 	assert.Empty(t, answers(t, step(r, tokenArrival(r, 50, "a"))), "it joins the run")
 	passTime(r, 2_000*ms)
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, endRun(r, 1)))
@@ -103,7 +103,7 @@
 	endRun(r, 1)
 	require.NoError(t, applyVersion(t, r, removal(nodeconfig.Tenants, "y")))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "org", "y"))))
-	assert.Zero(t, r.connections[7].faults)
+	assert.Zero(t, r.connections.byLink[7].faults)
 	require.NoError(t, applyVersion(t, r, tenant("z", 1), tenant("y", 5)))
 	i, _ := r.config.Tenants.Find("y")
 	assert.Equal(t, int32(1), i)
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -32,13 +32,13 @@
 
 // valid says whether its fields are within the bounds of an invocation.
 func (w *takeoverWork) valid() bool {
-	return hex16(w.Call) && len(w.Body) <= bodyMost && w.QueuedKB > 0 && w.QueuedKB < heapMost
+	return isHex16(w.Call) && len(w.Body) <= maxBodyBytes && w.QueuedKB > 0 && w.QueuedKB < maxHeapKB
 }
 
 // takeOverInvocation submits what a lost node had claimed, as an invocation whose caller is not here. Its deadline stays; its latency
 // objective counts from now on, or the controller would give up as hopeless what was lost with its node.
 func (sm *StateMachine) takeOverInvocation(key resultcache.Key, a *claims.Action) error {
-	if sm.controller == nil || sm.drainRequested {
+	if sm.controller == nil || sm.drain.isRequested() {
 		return errNotAccepting
 	}
 	var work takeoverWork
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -52,7 +52,7 @@
 
 // Work whose memory is no number, or out of bounds, is refused before the controller counts with it.
 func TestTakeoverOfWorkOutOfBoundsIsRefused(t *testing.T) {
-	for _, queuedKB := range []float64{math.NaN(), 0, -1, heapMost, math.Inf(1)} {
+	for _, queuedKB := range []float64{math.NaN(), 0, -1, maxHeapKB, math.Inf(1)} {
 		r := claimingNode(t)
 		work, err := cbor.Marshal(takeoverWork{Call: id(1), Body: []byte("body"), QueuedKB: queuedKB})
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/node/timers.go
@@ -0,0 +1,33 @@
+package node
+
+// runTimers does what is due.
+func (sm *StateMachine) runTimers() {
+	if sm.hollow.on {
+		return
+	}
+	sm.executor.dialIfDue()
+	sm.reports.sendIfDue()
+	sm.executor.requestGaugesIfDue()
+	sm.executor.closeIfSilent()
+	sm.connections.checkDue()
+	sm.catalogue.expire()
+	sm.health.expire()
+	if sm.now >= sm.timerAt {
+		sm.timerAt = never
+		sm.stepDegradation()
+		sm.events = append(sm.events, sm.executor.tick())
+	}
+}
+
+// nextWakeup is when the next step is needed at the latest.
+func (sm *StateMachine) nextWakeup() int64 {
+	if sm.hollow.on {
+		return sm.hollowDue()
+	}
+	at := min(sm.timerAt, sm.catalogue.dueAt(), sm.health.dueAt(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(),
+		sm.versionsDue(), sm.configSyncDue())
+	if len(sm.deferredEvents) > 0 {
+		at = sm.now + 1
+	}
+	return min(at, sm.connections.dueAt(), sm.drain.dueAt(), sm.executor.dueAt(), sm.reports.dueAt())
+}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -40,7 +40,7 @@
 func passTime(r *StateMachine, ns int64) {
 	for end := r.now + ns; r.now < end; {
 		r.now = min(end, r.now+50*ms) - ms
-		r.executorHeardAt, r.connections[7].used = r.now, r.now // neither link is silent
+		r.executor.lastLineAt, r.connections.byLink[7].lastUsedAt = r.now, r.now // neither link is silent
 		step(r)
 	}
 }
@@ -57,7 +57,7 @@
 
 // endRun has the run of an invocation succeed.
 func endRun(r *StateMachine, stream int) []Effect {
-	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.lastNotice+1, id(stream)))
+	return told(r, fmt.Sprintf("EXIT %d %s good 12 6|result", r.executor.lastNotice+1, id(stream)))
 }
 
 func TestVersionIsAppliedBetweenTwoSteps(t *testing.T) {
@@ -182,7 +182,7 @@
 		want := p.Own()
 		r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 		step(r, Input{Kind: ConnectionOpened, Link: 7})
-		step(r, Input{Kind: ExecutorConnected, Link: r.dialingLink})
+		step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 		told(r, "WELCOME old 0")
 		told(r, "METERS j1 0.1 1 0.1 3")
 		names := []string{"catalogue", "hold", "a", "b", "c", "d"}
@@ -203,9 +203,9 @@
 			change, err := nodeconfig.Parse([]nodeconfig.Item{it})
 			require.NoError(t, err)
 			want.Take(&change.Changes[0])
-			r.executorHeardAt = r.now
+			r.executor.lastLineAt = r.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
-			if r.connections[7] != nil && !r.connections[7].noMore && !r.connections[7].broken && r.connections[7].idle() {
+			if r.connections.byLink[7] != nil && !r.connections.byLink[7].goAwaySent && !r.connections.byLink[7].broken && r.connections.byLink[7].isIdle() {
 				stream++
 				asked++
 				inputs = append(inputs, arrival(r, int(stream), "org", "a"))
@@ -215,8 +215,8 @@
 			if i, v := r.findInvocation(id(int(stream))); i >= 0 && !v.answered {
 				answered += len(kindsOf(endRun(r, int(stream)), SendToConnection))
 			}
-			if r.connections[7] != nil {
-				r.connections[7].faults = 0
+			if r.connections.byLink[7] != nil {
+				r.connections.byLink[7].faults = 0
 			}
 		}
 		assert.Greater(t, asked, 200)
