--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -28,7 +28,7 @@
 
 	replica         *consensus.Group
 	replicas        []string // names of the nodes with a replica
-	heard           []consensus.Input
+	replicaInputs   []consensus.Input
 	replicaAt       int64 // when the replica is to step
 	viewAt          int64
 	streams         map[string]int // that nodes last sent on
@@ -136,7 +136,7 @@
 		sm.expireWaiting()
 	}
 	for range maxRoundsPerStep {
-		stepReplica := cs.replica != nil && (len(cs.heard) > 0 || sm.now >= cs.replicaAt)
+		stepReplica := cs.replica != nil && (len(cs.replicaInputs) > 0 || sm.now >= cs.replicaAt)
 		stepClient := cs.client != nil && (len(cs.clientInputs) > 0 || sm.now >= cs.clientAt)
 		if !stepReplica && !stepClient {
 			return
@@ -242,7 +242,7 @@
 			at = min(at, cs.sweepAt)
 		}
 	}
-	if len(cs.clientInputs)+len(cs.heard) > 0 {
+	if len(cs.clientInputs)+len(cs.replicaInputs) > 0 {
 		at = sm.now + 1
 	}
 	return max(at, sm.now+1)
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -81,7 +81,7 @@
 // proposeConfig has the replica, where there is one, order what this node itself wants ordered.
 func (cs *claimState) proposeConfig(command *configsync.Command) {
 	if cs.replica != nil {
-		cs.heard = append(cs.heard, consensus.Input{Proposed: []configsync.Command{*command}})
+		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Proposed: []configsync.Command{*command}})
 	}
 }
 
@@ -143,7 +143,7 @@
 		}
 	default:
 		if cs.replica != nil {
-			cs.heard = append(cs.heard, consensus.Input{Message: m})
+			cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Message: m})
 		}
 	}
 }
@@ -171,10 +171,10 @@
 	cs := &sm.claiming
 	if sm.now >= cs.viewAt {
 		cs.viewAt = sm.now + groupViewInterval
-		cs.heard = append(cs.heard, consensus.Input{View: sm.takeoverMembers()})
+		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{View: sm.takeoverMembers()})
 	}
-	inputs := cs.heard
-	cs.heard = nil
+	inputs := cs.replicaInputs
+	cs.replicaInputs = nil
 	var effects []consensus.Effect
 	effects, cs.replicaAt = cs.replica.Step(sm.now, inputs)
 	for k := range effects {
@@ -211,7 +211,7 @@
 	cs := &sm.claiming
 	cs.rotateContact(sm.now)
 	if cs.replica != nil && cs.replica.Leader() != "" {
-		cs.heard = append(cs.heard, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: cs.self})
+		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: cs.self})
 		return
 	}
 	if to := cs.replicas[cs.contact]; to != cs.self.Name {
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -64,7 +64,7 @@
 	plan        *DegradationPlan  // by this node's operation indices
 	given       *DegradationPlan  // by the indices it was written for
 	givenNames  *nodeconfig.Names // of those
-	steps       *degradation.Controller
+	controller  *degradation.Controller
 	random      *rand.Rand
 	metrics     admission.LoadMetrics
 	totals      []ServiceCounts // by level, since the plan was adopted
@@ -75,10 +75,10 @@
 
 // level is the level in force, 0 for full service.
 func (ds *degradationState) level() int {
-	if ds.steps == nil {
+	if ds.controller == nil {
 		return 0
 	}
-	return ds.steps.Level()
+	return ds.controller.Level()
 }
 
 // levelName is the name of the level in force, empty without a plan.
@@ -127,7 +127,7 @@
 		ds.closePeriod(sm.now, ds.level())
 	}
 	ds.given, ds.givenNames = given, givenNames
-	ds.plan, ds.steps = plan, controller
+	ds.plan, ds.controller = plan, controller
 	ds.totals, ds.timeByLevel = nil, nil
 	ds.enteredAt = sm.now
 	if plan != nil {
@@ -150,10 +150,10 @@
 		change.PreviousTime = now - ds.enteredAt
 		return nil, change
 	}
-	if ds.steps == nil {
+	if ds.controller == nil {
 		return degradation.NewController(&plan.Plan, now, ds.random), change
 	}
-	return ds.steps.ReplacePlan(&plan.Plan, now, ds.random)
+	return ds.controller.ReplacePlan(&plan.Plan, now, ds.random)
 }
 
 // closePeriod adds the period that ends to the totals of its level.
@@ -176,11 +176,11 @@
 // stepDegradation steps the degradation controller on each tick, and applies a change of level.
 func (sm *StateMachine) stepDegradation() {
 	ds := &sm.degradation
-	if ds.steps == nil || sm.controller == nil || sm.drain.isRequested() { // a drain stays at its level: intake ends soon
+	if ds.controller == nil || sm.controller == nil || sm.drain.isRequested() { // a drain stays at its level: intake ends soon
 		return
 	}
 	sm.controller.MeasureLoad(&ds.metrics)
-	change, changed := ds.steps.Step(sm.now, &ds.metrics)
+	change, changed := ds.controller.Step(sm.now, &ds.metrics)
 	if !changed {
 		return
 	}
@@ -189,19 +189,19 @@
 	ds.closePeriod(sm.now, change.From)
 	ds.startPeriod(sm.now)
 	sm.applyLevel(&LevelChange{Change: change, Plan: ds.plan.Name, FromName: ds.plan.LevelName(change.From),
-		ToName: ds.plan.LevelName(change.To), Signals: ds.metrics, Loads: ds.steps.LoadByLevel(), Before: before})
+		ToName: ds.plan.LevelName(change.To), Signals: ds.metrics, Loads: ds.controller.LoadByLevel(), Before: before})
 }
 
 // applyLevel has the admission controller apply the level in force, and reports the change.
 func (sm *StateMachine) applyLevel(change *LevelChange) {
 	if sm.controller != nil {
-		sm.events = append(sm.events, sm.degradation.event())
+		sm.events = append(sm.events, sm.degradation.levelEvent())
 	}
 	sm.emit(Effect{Kind: LevelChanged, LevelChange: change})
 }
 
-// event is the event for the admission controller of what the level in force leaves of each operation.
-func (ds *degradationState) event() admission.Event {
+// levelEvent is the levelEvent for the admission controller of what the level in force leaves of each operation.
+func (ds *degradationState) levelEvent() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if ds.plan != nil {
 		e.Services, e.UseSpareCapacity = ds.plan.Services(ds.level()), ds.plan.UseSpareCapacity
@@ -223,8 +223,8 @@
 	return class, ds.levelName()
 }
 
-// count counts an answer at the level in force.
-func (ds *degradationState) count(succeeded, reduced bool, reason admission.Reason) {
+// countAnswer counts an answer at the level in force.
+func (ds *degradationState) countAnswer(succeeded, reduced bool, reason admission.Reason) {
 	switch {
 	case ds.plan == nil:
 	case succeeded && reduced:
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -48,6 +48,6 @@
 	told(r, "METERS j1 0.1 1 0.1 3")
 	r.now = r.timerAt
 	step(r)
-	assert.Equal(t, 2, r.degradation.steps.Level())
+	assert.Equal(t, 2, r.degradation.controller.Level())
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
 }
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -20,7 +20,7 @@
 	step(r, Input{Kind: PlanChanged, Plan: next})
 	r.now = r.timerAt
 	step(r)
-	require.Equal(t, level, r.degradation.steps.Level())
+	require.Equal(t, level, r.degradation.controller.Level())
 	return r
 }
 
@@ -75,7 +75,7 @@
 	r := nodeAtLevel(t, 2)
 	step(r, Input{Kind: DrainRequested})
 	next := testPlan(1e9)
-	r.degradation.plan, r.degradation.steps = next, degradation.NewController(&next.Plan, r.now, r.degradation.random)
+	r.degradation.plan, r.degradation.controller = next, degradation.NewController(&next.Plan, r.now, r.degradation.random)
 	for range 10 {
 		r.now = r.timerAt
 		for _, e := range step(r) {
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -42,7 +42,7 @@
 
 // addInvocation gives an invocation an index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
-	sm.versions.take(&v, sm.currentTerms(v.operation))
+	sm.versions.acquire(&v, sm.currentTerms(v.operation))
 	index := sm.nextIndex()
 	sm.invocations[index] = v
 	sm.indexByCall[v.call] = index
@@ -83,7 +83,7 @@
 	if sm.indexByCall[v.call] == i {
 		delete(sm.indexByCall, v.call)
 	}
-	sm.versions.over(v)
+	sm.versions.release(v)
 	*v = invocation{}
 	sm.freeIndices = append(sm.freeIndices, i)
 }
@@ -139,7 +139,7 @@
 	if level := sm.invocations[i].form; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
 	}
-	sm.degradation.count(true, sm.invocations[i].form != "", admission.ReasonNone)
+	sm.degradation.countAnswer(true, sm.invocations[i].form != "", admission.ReasonNone)
 	sm.answer(i, frame.Succeeded, fields, result)
 }
 
@@ -161,7 +161,7 @@
 	sm.catalogue.cancelCall(i)
 	sm.abandonToken(i)
 	sm.runFinished(i)
-	if v.connection == heir {
+	if v.connection == noConnection {
 		sm.takenOverAnswered(v, code)
 		return
 	}
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -12,7 +12,7 @@
 	holder         *quota.LeaseHolder
 	config         quota.HolderConfig
 	grants         []quota.Verdict
-	at             int64 // when the holder is to step
+	stepAt         int64 // when the holder is to step
 	announcedUnits int   // last sent to the admission controller
 
 	// When the units of abandoned calls are free again, earliest first. The admission controller waits for half of the longest
@@ -42,7 +42,7 @@
 func (ls *leaseState) addGrants(grants []quota.Verdict) { ls.grants = append(ls.grants, grants...) }
 
 // requestStep has the holder step in this step: the demand changed.
-func (ls *leaseState) requestStep(now int64) { ls.at = now }
+func (ls *leaseState) requestStep(now int64) { ls.stepAt = now }
 
 // allowed is how many units the lease allows, those of abandoned calls included.
 func (ls *leaseState) allowed(now int64) int64 { return ls.holder.Allowed(now) }
@@ -78,7 +78,7 @@
 // stepLeases steps the holder and announces the call limit before anybody else learns what the node returned.
 func (sm *StateMachine) stepLeases() {
 	ls := &sm.leases
-	if ls.holder == nil || sm.now < ls.at && len(ls.grants) == 0 {
+	if ls.holder == nil || sm.now < ls.stepAt && len(ls.grants) == 0 {
 		return
 	}
 	inFlight, waiting, known := sm.callDemand()
@@ -91,7 +91,7 @@
 	ls.units(sm.now)
 	requests, wake := ls.holder.Step(sm.now, int64(inFlight+len(ls.abandonedUntil)), int64(waiting), ls.grants)
 	ls.grants = ls.grants[:0]
-	ls.at = ls.nextStep(sm.now, wake, inFlight+waiting)
+	ls.stepAt = ls.nextStep(sm.now, wake, inFlight+waiting)
 	if units := ls.units(sm.now); units != ls.announcedUnits {
 		sm.notifyController(ls.limitEvent(units))
 	}
@@ -142,5 +142,5 @@
 	if ls.holder == nil || sm.controller == nil && !sm.hollow.enabled() {
 		return never
 	}
-	return max(ls.at, sm.now+1)
+	return max(ls.stepAt, sm.now+1)
 }
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -225,7 +225,7 @@
 	case VersionPersisted:
 		sm.configPersisted(in)
 	case ReplicaWritePersisted:
-		sm.claiming.heard = append(sm.claiming.heard, consensus.Input{Persisted: in.Number, Err: in.Err})
+		sm.claiming.replicaInputs = append(sm.claiming.replicaInputs, consensus.Input{Persisted: in.Number, Err: in.Err})
 	case HollowClaimRequested, HollowCallsRequested:
 		sm.applyLoadRequest(in)
 	}
@@ -238,7 +238,7 @@
 		sm.startRun(a.Invocation, a.Form)
 	case admission.Reject:
 		sm.sampler.countGivenUp(a.Reason)
-		sm.degradation.count(false, false, a.Reason)
+		sm.degradation.countAnswer(false, false, a.Reason)
 		sm.reject(a)
 	case admission.Fail:
 		sm.sampler.countGivenUp(a.Reason)
@@ -260,7 +260,7 @@
 		sm.joinOriginal(a.Invocation)
 	case admission.RecordKey:
 		v := &sm.invocations[a.Invocation]
-		v.tokenExpiresAt = sm.now + a.Duration + v.terms.late
+		v.tokenExpiresAt = sm.now + a.Duration + v.terms.lateAllowance
 	case admission.Release:
 		sm.releaseInvocation(a.Invocation)
 	default:
@@ -319,6 +319,6 @@
 	sm.health.setHealth(true, false)
 	sm.timerAt = sm.now
 	if sm.degradation.plan != nil {
-		sm.events = append(sm.events, sm.degradation.event())
+		sm.events = append(sm.events, sm.degradation.levelEvent())
 	}
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -10,14 +10,14 @@
 	"topazpost/internal/resultcache"
 )
 
-const tokenMost = 128 // bytes of a token
+const maxTokenBytes = 128 // bytes of a token
 
 var errTokenReused = errors.New("node: the token came with another body before")
 
 // resultState has the result cache of tokened invocations; without a cache tokens mean nothing.
 type resultState struct {
-	keeper     *resultcache.Cache
-	token      string // name of the field that carries it
+	cache      *resultcache.Cache
+	tokenField string // name of the field that carries it
 	pending    map[resultcache.Key]*pendingRun
 	recovering bool // the store of an earlier incarnation is not read yet
 	inputs     []resultcache.Input
@@ -37,19 +37,19 @@
 func (sm *StateMachine) EnableResultCache(config resultcache.Config, field string, recovering bool) {
 	sm.config.Node.MaxDeduplicationEntries = config.MaxTokens()
 	sm.versions.pinIndices(recovering)
-	sm.results = resultState{keeper: resultcache.New(config), token: field, pending: make(map[resultcache.Key]*pendingRun), recovering: recovering}
+	sm.results = resultState{cache: resultcache.New(config), tokenField: field, pending: make(map[resultcache.Key]*pendingRun), recovering: recovering}
 }
 
 // Results counts what the result cache did, nil without one.
 func (sm *StateMachine) Results() *resultcache.Counters {
-	if sm.results.keeper == nil {
+	if sm.results.cache == nil {
 		return nil
 	}
-	return &sm.results.keeper.Counters
+	return &sm.results.cache.Counters
 }
 
 // enabled says whether results are cached.
-func (rs *resultState) enabled() bool { return rs.keeper != nil }
+func (rs *resultState) enabled() bool { return rs.cache != nil }
 
 // isPending says whether a token's first invocation was not run yet.
 func (rs *resultState) isPending(key resultcache.Key) bool { return rs.pending[key] != nil }
@@ -59,7 +59,7 @@
 	if rs.isPending(key) {
 		return true
 	}
-	_, cached := rs.keeper.BodyHash(key)
+	_, cached := rs.cache.BodyHash(key)
 	return cached
 }
 
@@ -70,7 +70,7 @@
 
 // waiters are the invocations that wait for a token's run, and whether that has not started.
 func (rs *resultState) waiters(key resultcache.Key) (list []int32, unrun bool) {
-	return rs.keeper.Waiters(key)
+	return rs.cache.Waiters(key)
 }
 
 // awaitingRecovery says whether a tokened invocation must be rejected: what ran in an earlier incarnation is not known yet.
@@ -84,7 +84,7 @@
 	if v.tokenKey.Token == "" {
 		return nil
 	}
-	if rs.keeper == nil || sm.config.Node.Operations[e.OperationIndex].Idempotency != admission.IdempotentWithKey {
+	if rs.cache == nil || sm.config.Node.Operations[e.OperationIndex].Idempotency != admission.IdempotentWithKey {
 		v.tokenKey.Token = ""
 		return nil
 	}
@@ -97,7 +97,7 @@
 		e.Original = p.original
 		return nil
 	}
-	if hash, cached := rs.keeper.BodyHash(v.tokenKey); cached {
+	if hash, cached := rs.cache.BodyHash(v.tokenKey); cached {
 		if hash != v.bodyHash {
 			return errTokenReused
 		}
@@ -192,7 +192,7 @@
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected, Invocation: i, Key: v.tokenKey})
 	v = &sm.invocations[i] // the step may have moved the invocations
-	v.abandoned = v.atExecutor && !v.exited && sm.results.keeper.JoinedCount(v.tokenKey) > 0
+	v.abandoned = v.atExecutor && !v.exited && sm.results.cache.JoinedCount(v.tokenKey) > 0
 	return v.abandoned
 }
 
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -50,7 +50,7 @@
 // applyStoreInput applies what the store reports.
 func (sm *StateMachine) applyStoreInput(in *Input) {
 	rs := &sm.results
-	if rs.keeper == nil {
+	if rs.cache == nil {
 		return
 	}
 	switch in.Kind {
@@ -64,7 +64,7 @@
 	case RecoveryCompleted:
 		rs.recovering = false
 		sm.stepCache(resultcache.Input{Kind: resultcache.RecoveryCompleted})
-		counters := &rs.keeper.Counters
+		counters := &rs.cache.Counters
 		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", rs.recovered, counters.Entries, counters.Unknown), "", nil)
 	case RecordWritten:
 		sm.recordsWritten(in, resultcache.WriteSucceeded)
@@ -76,12 +76,12 @@
 // recordsWritten applies the end of writes, and logs where the store begins or ceases to fail.
 func (sm *StateMachine) recordsWritten(in *Input, kind resultcache.InputKind) {
 	rs := &sm.results
-	before := rs.keeper.StoreFailing()
+	before := rs.cache.StoreFailing()
 	for _, r := range in.Records {
 		rs.inputs = append(rs.inputs, resultcache.Input{Kind: kind, Key: r.Key})
 	}
 	sm.stepCache()
-	after := rs.keeper.StoreFailing()
+	after := rs.cache.StoreFailing()
 	if after && !before {
 		sm.log(Warn, "results can't be kept", "", in.Err)
 	} else if before && !after {
@@ -100,7 +100,7 @@
 	for len(rs.inputs) > 0 {
 		batch := rs.inputs
 		rs.inputs = nil
-		for _, a := range rs.keeper.Step(sm.now, batch) {
+		for _, a := range rs.cache.Step(sm.now, batch) {
 			sm.executeCacheAction(&a)
 		}
 	}
@@ -200,15 +200,15 @@
 // expireResults has tokens expire that are due.
 func (sm *StateMachine) expireResults() {
 	rs := &sm.results
-	if rs.keeper != nil && sm.now >= rs.keeper.NextExpiry() {
+	if rs.cache != nil && sm.now >= rs.cache.NextExpiry() {
 		sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected})
 	}
 }
 
 // resultsDue is when the next token expires.
 func (sm *StateMachine) resultsDue() int64 {
-	if sm.results.keeper == nil {
+	if sm.results.cache == nil {
 		return never
 	}
-	return max(sm.now+1, sm.results.keeper.NextExpiry())
+	return max(sm.now+1, sm.results.cache.NextExpiry())
 }
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -15,7 +15,7 @@
 // terms are the terms of an operation that invocations were accepted under.
 type terms struct {
 	tokenLifetime int64 // ns that a token is known, from the arrival of its first invocation
-	late          int64 // ns of these past the deduplication window
+	lateAllowance int64 // ns of these past the deduplication window
 	inHand        int   // invocations in flight under these terms
 }
 
@@ -38,7 +38,7 @@
 // milliseconds, so one more.
 func termsOf(op *admission.Operation) *terms {
 	late := op.ClientTimeout + ms
-	return &terms{tokenLifetime: op.DeduplicationWindow + late, late: late}
+	return &terms{tokenLifetime: op.DeduplicationWindow + late, lateAllowance: late}
 }
 
 // currentTerms are the terms that an operation's next invocation is accepted under.
@@ -86,8 +86,8 @@
 	return lifetime
 }
 
-// take counts an invocation's references; one that is submitted anew keeps its terms.
-func (vs *versionState) take(v *invocation, current *terms) {
+// acquire counts an invocation's references; one that is submitted anew keeps its terms.
+func (vs *versionState) acquire(v *invocation, current *terms) {
 	if v.terms == nil {
 		v.terms = current
 	}
@@ -101,8 +101,8 @@
 	vs.inHandByTenant[v.tenant]++
 }
 
-// over drops an invocation's references.
-func (vs *versionState) over(v *invocation) {
+// release drops an invocation's references.
+func (vs *versionState) release(v *invocation) {
 	v.terms.inHand--
 	if v.tenant < 0 {
 		return
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -69,8 +69,8 @@
 		Configuration:   sm.ConfigSyncState(),
 	}
 	if d := &sm.degradation; d.plan != nil {
-		state.Level = d.plan.LevelName(d.steps.Level())
-		state.Loads = d.steps.LoadByLevel()
+		state.Level = d.plan.LevelName(d.controller.Level())
+		state.Loads = d.controller.LoadByLevel()
 	}
 	return state
 }
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/resultcache"
 )
 
-const heir = -1 // connection of an invocation that was taken over: nobody is answered
+const noConnection = -1 // connection of an invocation that was taken over: nobody is answered
 
 var errNotAccepting = errors.New("node: it accepts no work")
 
@@ -51,7 +51,7 @@
 	if sm.results.isKnown(key) {
 		return nil // a caller is here already, and its invocation goes on under this claim
 	}
-	v := invocation{live: true, connection: heir, call: work.Call, op: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
+	v := invocation{live: true, connection: noConnection, call: work.Call, op: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
 		bodyHash: a.BodyHash, operation: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
 	v.arrival = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
 		Deadline: sm.now + a.Duration, QueuedKB: work.QueuedKB, ExpectedWork: work.ExpectedWork, Caller: work.Caller}
