--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -44,7 +44,7 @@
 	if !sm.Invariants.Check(v.live && !v.calling && v.callRequest != nil, "a call is made where a run stands at one") {
 		return
 	}
-	sm.Invariants.Check(sm.leases.holder == nil || sm.leases.holder.Allowed(sm.now) > 0, "a call is made while a lease goes on")
+	sm.Invariants.Check(sm.leases.allowsCall(sm.now), "a call is made while a lease goes on")
 	v.calling = true
 	v.callDeadline = deadline
 	c.waiting = append(c.waiting, i)
@@ -101,7 +101,7 @@
 	v.called = true
 	timeout := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
 	writeBy := int64(0)
-	if sm.leases.holder != nil { // a call written late, after a pause, would exceed the lease
+	if sm.leases.enabled() { // a call written late, after a pause, would exceed the lease
 		writeBy = v.callDeadline
 	}
 	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.call, timeout)})
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -85,6 +85,11 @@
 	}
 }
 
+// replicaWritePersisted reports to the replica that its writes up to a number are on disk, or that the disk failed.
+func (cs *claimState) replicaWritePersisted(number uint64, err error) {
+	cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Persisted: number, Err: err})
+}
+
 // streamClosed forgets a stream.
 func (cs *claimState) streamClosed(link int) {
 	for name, stream := range cs.streams {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -106,9 +106,9 @@
 	case "crit":
 		weight, ok := parseDecimal(value)
 		valid = ok && weight < 1
-	case d.sm.results.tokenField:
+	case d.sm.results.tokenFieldName():
 		v.tokenKey.Token = value
-		valid = d.sm.results.cache == nil || len(value) <= maxTokenBytes
+		valid = d.sm.results.isValidToken(value)
 	case "row":
 		e.HasReadKey = true
 		valid = isHex16(value)
@@ -145,8 +145,8 @@
 		return fmt.Errorf("field org: %w: the settings name tenants", errField)
 	}
 	needsToken := sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey
-	if sm.results.cache != nil && v.tokenKey.Token == "" && needsToken {
-		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.tokenField, errField, v.op)
+	if sm.results.enabled() && v.tokenKey.Token == "" && needsToken {
+		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.tokenFieldName(), errField, v.op)
 	}
 	if d.ttlMS >= 0 {
 		e.Deadline = max(1, sm.now-e.Age+d.ttlMS*ms) // 0 stands for an unknown one
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -73,6 +73,9 @@
 	enteredAt   int64
 }
 
+// enabled says whether there is a plan.
+func (ds *degradationState) enabled() bool { return ds.plan != nil }
+
 // level is the level in force, 0 for full service.
 func (ds *degradationState) level() int {
 	if ds.controller == nil {
@@ -89,6 +92,9 @@
 	return ds.plan.LevelName(ds.level())
 }
 
+// loadByLevel is the load at each level, full service first. There must be a plan.
+func (ds *degradationState) loadByLevel() []float64 { return ds.controller.LoadByLevel() }
+
 // applyPlan adopts a plan in place of the present one; nil ends degradation. An invalid plan changes nothing.
 func (sm *StateMachine) applyPlan(plan *DegradationPlan) {
 	ds := &sm.degradation
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -71,7 +71,7 @@
 		return
 	}
 	d.acceptStopped = true
-	if !d.sm.hollow.on {
+	if !d.sm.hollow.enabled() {
 		d.sm.emit(Effect{Kind: StopAccepting})
 	}
 	d.sm.connections.sendGoAwayToAll()
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -279,7 +279,7 @@
 	}
 	x.commands.acknowledgeCall(v.call)
 	v.callRequest = body
-	sm.leases.stepAt = sm.now // the demand for leases has grown
+	sm.leases.requestStep(sm.now) // the demand for leases has grown
 	sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
 }
 
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -30,6 +30,14 @@
 		StartDelay: config.Term}})
 }
 
+// enabled says whether calls are bounded by leases.
+func (ls *leaseState) enabled() bool { return ls.holder != nil }
+
+// allowsCall says whether a call may be made now.
+func (ls *leaseState) allowsCall(now int64) bool {
+	return ls.holder == nil || ls.holder.Allowed(now) > 0
+}
+
 // counters are those of the holder, nil without one.
 func (ls *leaseState) counters() *quota.Counters {
 	if ls.holder == nil {
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -13,7 +13,6 @@
 	"slices"
 
 	"topazpost/internal/admission"
-	"topazpost/internal/fleet/consensus"
 	"topazpost/internal/invariant"
 	"topazpost/internal/nodeconfig"
 )
@@ -225,7 +224,7 @@
 	case VersionPersisted:
 		sm.configPersisted(in)
 	case ReplicaWritePersisted:
-		sm.claiming.replicaInputs = append(sm.claiming.replicaInputs, consensus.Input{Persisted: in.Number, Err: in.Err})
+		sm.claiming.replicaWritePersisted(in.Number, in.Err)
 	case HollowClaimRequested, HollowCallsRequested:
 		sm.applyLoadRequest(in)
 	}
@@ -270,7 +269,7 @@
 
 // notifyController passes an event to the controller, in the next step if it has decided in this one.
 func (sm *StateMachine) notifyController(e admission.Event) {
-	if sm.hollow.on {
+	if sm.hollow.enabled() {
 		return // without a controller
 	}
 	if sm.decided {
@@ -318,7 +317,7 @@
 	sm.controller = sm.Decisions(&sm.config.Node, coresStartedAt)
 	sm.health.setHealth(true, false)
 	sm.timerAt = sm.now
-	if sm.degradation.plan != nil {
+	if sm.degradation.enabled() {
 		sm.events = append(sm.events, sm.degradation.levelEvent())
 	}
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -51,6 +51,14 @@
 // enabled says whether results are cached.
 func (rs *resultState) enabled() bool { return rs.cache != nil }
 
+// tokenFieldName is the name of the field that carries a token, empty without a cache.
+func (rs *resultState) tokenFieldName() string { return rs.tokenField }
+
+// isValidToken says whether a token can be used; without a cache any is ignored.
+func (rs *resultState) isValidToken(token string) bool {
+	return rs.cache == nil || len(token) <= maxTokenBytes
+}
+
 // isPending says whether a token's first invocation was not run yet.
 func (rs *resultState) isPending(key resultcache.Key) bool { return rs.pending[key] != nil }
 
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -68,9 +68,9 @@
 		Synced:          sm.executor.isSynced(),
 		Configuration:   sm.ConfigSyncState(),
 	}
-	if d := &sm.degradation; d.plan != nil {
-		state.Level = d.plan.LevelName(d.controller.Level())
-		state.Loads = d.controller.LoadByLevel()
+	if sm.degradation.enabled() {
+		state.Level = sm.degradation.levelName()
+		state.Loads = sm.degradation.loadByLevel()
 	}
 	return state
 }
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -2,7 +2,7 @@
 
 // runTimers does what is due.
 func (sm *StateMachine) runTimers() {
-	if sm.hollow.on {
+	if sm.hollow.enabled() {
 		return
 	}
 	sm.executor.dialIfDue()
@@ -21,7 +21,7 @@
 
 // nextWakeup is when the next step is needed at the latest.
 func (sm *StateMachine) nextWakeup() int64 {
-	if sm.hollow.on {
+	if sm.hollow.enabled() {
 		return sm.hollowDue()
 	}
 	at := min(sm.timerAt, sm.catalogue.dueAt(), sm.health.dueAt(), sm.membershipDue(), sm.resultsDue(), sm.claimsDue(), sm.leaseDue(),
