--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -17,7 +17,7 @@
 
 var (
 	errRetired         = errors.New("node: the operation or tenant is not in service any more")
-	errStaleVersion    = errors.New("node: the version is not newer than the last one")
+	errStaleVersion    = errors.New("it comes after one that is as new")
 	errTooManyVersions = errors.New("node: too many versions are pending; try again")
 	errNoCatalogue     = errors.New("class_calls: it makes calls, and this node's own file names no catalogue; set catalog there and restart the node, or leave it out")
 	errIndicesPinned   = errors.New("results are kept in a folder by the numbers of operation and tenant, so adding or removing one takes a new start; " +
