--- a/internal/degradation/controller.go
+++ b/internal/degradation/controller.go
@@ -122,7 +122,8 @@
 
 // leaveRecovered returns to the level before once the condition of exit held for its time, and the hold time is over.
 func (c *Controller) leaveRecovered(now int64, m *admission.LoadMetrics) (Change, bool) {
-	s, exit := &c.states[c.level-1], &c.plan.Levels[c.level-1].Exit
+	s := &c.states[c.level-1]
+	exit := &c.plan.Levels[c.level-1].Exit
 	held := s.exitSince != never && now-s.exitSince >= exit.Duration
 	if !held || now-s.neededAt < c.HoldTime(now) || now-c.levelSince < c.jittered(c.plan.MinHold) {
 		return Change{}, false
@@ -150,7 +151,8 @@
 
 // updateEntry tracks the conditions of entry of a level, and says whether one calls for it.
 func (c *Controller) updateEntry(now int64, level int, m *admission.LoadMetrics) (needed bool) {
-	s, conditions := &c.states[level-1], c.plan.Levels[level-1].Enter
+	s := &c.states[level-1]
+	conditions := c.plan.Levels[level-1].Enter
 	for i := range conditions {
 		condition := &conditions[i]
 		if !c.allAbove(&condition.Limits, level, m) {
@@ -198,7 +200,8 @@
 			c.learnGap(now, k+1, now-leftAt)
 		}
 	}
-	s, conditions := &c.states[level-1], c.plan.Levels[level-1].Enter
+	s := &c.states[level-1]
+	conditions := c.plan.Levels[level-1].Enter
 	change := Change{Cause: Entered}
 	for i := range conditions {
 		condition := &conditions[i]
@@ -236,7 +239,8 @@
 
 // move puts a level into force and completes the change.
 func (c *Controller) move(now int64, level int, change Change) Change {
-	change.From, change.To = c.level, level
+	change.From = c.level
+	change.To = level
 	change.PreviousTime = now - c.levelSince
 	for k := level; k < c.level; k++ {
 		s := &c.states[k]
--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -119,10 +119,12 @@
 		}
 		return LevelChange{}, false
 	}
-	log.LastAt, log.Drained = line.Time, false
+	log.LastAt = line.Time
+	log.Drained = false
 	switch line.Message {
 	case messageListening:
-		log.Node, log.Level = line.Name, degradation.FullService
+		log.Node = line.Name
+		log.Level = degradation.FullService
 	case messageDrained:
 		log.Drained = true
 	case messageLevelChanged:
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -162,7 +162,8 @@
 		return service, ""
 	}
 	before := &r.plan.Levels[k-1].Services[operation]
-	service.WorkShare, service.WeightShare = before.WorkShare, before.WeightShare
+	service.WorkShare = before.WorkShare
+	service.WeightShare = before.WeightShare
 	return service, r.plan.Forms[k-1][operation]
 }
 
--- a/internal/degradation/plan.go
+++ b/internal/degradation/plan.go
@@ -46,7 +46,8 @@
 // AtMostAsRestrictive says whether services take nothing away that others leave.
 func AtMostAsRestrictive(services, others []admission.Service) bool {
 	for op := range services {
-		a, b := &services[op], &others[op]
+		a := &services[op]
+		b := &others[op]
 		if a.Form > b.Form {
 			return false
 		}
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -75,7 +75,8 @@
 	if in.Kind == PeerResponseReceived {
 		if response := sm.decodeConfigResponse(in); response != nil {
 			next.Kind = configsync.Answered
-			next.From, next.Message = response.From, response.Message
+			next.From = response.From
+			next.Message = response.Message
 		}
 	}
 	cs.inputs = append(cs.inputs, next)
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -62,9 +62,11 @@
 		}
 		switch q.Which {
 		case configsync.ForAll:
-			content, a.Mark = cs.agreed.All, cs.agreed.Head.All
+			content = cs.agreed.All
+			a.Mark = cs.agreed.Head.All
 		case configsync.Newest:
-			content, a.Mark = cs.agreed.Newest, newestRevision(cs.agreed)
+			content = cs.agreed.Newest
+			a.Mark = newestRevision(cs.agreed)
 		}
 	}
 	a.Blocks, a.Next = content.Blocks(q.From, maxAnswerBytes)
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -126,9 +126,12 @@
 	if ds.plan != nil {
 		ds.closePeriod(sm.now, ds.level())
 	}
-	ds.given, ds.givenNames = given, givenNames
-	ds.plan, ds.steps = plan, controller
-	ds.totals, ds.timeByLevel = nil, nil
+	ds.given = given
+	ds.givenNames = givenNames
+	ds.plan = plan
+	ds.steps = controller
+	ds.totals = nil
+	ds.timeByLevel = nil
 	ds.enteredAt = sm.now
 	if plan != nil {
 		ds.totals = make([]ServiceCounts, len(plan.Levels)+1)
@@ -136,7 +139,8 @@
 		for level := range ds.totals {
 			ds.totals[level].Level = plan.LevelName(level)
 		}
-		event.Plan, event.ToName = plan.Name, plan.LevelName(change.To)
+		event.Plan = plan.Name
+		event.ToName = plan.LevelName(change.To)
 	}
 	ds.startPeriod(sm.now)
 	sm.applyLevel(event)
@@ -166,7 +170,8 @@
 
 // startPeriod starts counting at the level in force.
 func (ds *degradationState) startPeriod(now int64) {
-	ds.current, ds.enteredAt = ServiceCounts{}, now
+	ds.current = ServiceCounts{}
+	ds.enteredAt = now
 	if ds.plan != nil {
 		ds.totals[ds.level()].Entered++
 		ds.current.Level = ds.levelName()
@@ -204,7 +209,8 @@
 func (ds *degradationState) event() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if ds.plan != nil {
-		e.Services, e.UseSpareCapacity = ds.plan.Services(ds.level()), ds.plan.UseSpareCapacity
+		e.Services = ds.plan.Services(ds.level())
+		e.UseSpareCapacity = ds.plan.UseSpareCapacity
 	}
 	return e
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -88,7 +88,8 @@
 		v.tokenKey.Token = ""
 		return nil
 	}
-	v.tokenKey.Operation, v.tokenKey.Tenant = e.OperationIndex, e.Tenant
+	v.tokenKey.Operation = e.OperationIndex
+	v.tokenKey.Tenant = e.Tenant
 	v.bodyHash = xxhash.Sum64(v.body)
 	if p := rs.pending[v.tokenKey]; p != nil {
 		if p.bodyHash != v.bodyHash {
@@ -127,7 +128,7 @@
 		return
 	}
 	if !sm.results.isKnown(v.tokenKey) { // its original was rejected unrun in the same step
-		sm.askCacheAgain(i)
+		sm.resubmitInvocation(i)
 		return
 	}
 	sm.queryCache(i)
@@ -148,8 +149,8 @@
 	}
 }
 
-// askCacheAgain submits a repeat anew, as its token's first: what it repeated was rejected unrun, or its caller left.
-func (sm *StateMachine) askCacheAgain(i int32) {
+// resubmitInvocation submits a repeat anew, as its token's first: what it repeated was rejected unrun, or its caller left.
+func (sm *StateMachine) resubmitInvocation(i int32) {
 	v := sm.invocations[i]
 	c := sm.connections[v.connection]
 	if c == nil { // its connection ends in this step, and it with it
@@ -162,17 +163,21 @@
 	sm.owedAnswers--
 	sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
 	e := v.arrival
-	v.inCache, v.tokenExpiresAt = false, 0
+	v.inCache = false
+	v.tokenExpiresAt = 0
 	j := sm.addInvocation(v)
 	c.open[v.stream] = j
-	e.Invocation, e.Age, e.Original = j, sm.now-v.arrivedAt+e.Age, admission.NoOriginal
+	e.Invocation = j
+	e.Age = sm.now - v.arrivedAt + e.Age
+	e.Original = admission.NoOriginal
 	if v.terms != sm.currentTerms(v.operation) {
 		e.Deadline = v.deadline // its client timeout is that of its terms
 	}
 	if p := sm.results.pending[v.tokenKey]; p != nil {
 		e.Original = p.original
 	}
-	sm.invocations[j].arrival, sm.invocations[j].arrivedAt = e, sm.now
+	sm.invocations[j].arrival = e
+	sm.invocations[j].arrivedAt = sm.now
 	sm.deferInvocation(j, e.Original)
 	sm.notifyController(e)
 }
@@ -204,6 +209,6 @@
 	}
 	delete(sm.results.pending, sm.invocations[i].tokenKey)
 	for _, j := range p.duplicates {
-		sm.askCacheAgain(j)
+		sm.resubmitInvocation(j)
 	}
 }
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -24,7 +24,9 @@
 // tokenRunEnded reports to the cache how a run ended. The answer follows once that is written.
 func (sm *StateMachine) tokenRunEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &sm.invocations[i]
-	v.exited, v.outcome, v.atExecutor = true, outcome, false
+	v.exited = true
+	v.outcome = outcome
+	v.atExecutor = false
 	ending := resultcache.Failed
 	switch outcome {
 	case admission.Succeeded:
