--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"topazpost/internal/fleet/claims"
+	"topazpost/internal/resultcache"
 )
 
 func TestTokensAreRejectedWhileTheConsensusGroupIsUnreachable(t *testing.T) {
@@ -43,3 +44,37 @@
 	assert.Equal(t, claims.CommandResolve, resolve[0].Kind)
 	assert.Equal(t, "00000000000000ff", resolve[0].InvocationID)
 }
+
+func TestContactRotatesAmongReplicasThatAreSilent(t *testing.T) {
+	cs := &claimState{replicas: []string{"a", "b", "c"}, contact: 2}
+	cs.rotateContact(10 * ms)
+	assert.Equal(t, 2, cs.contact, "the first command only starts the wait")
+	cs.rotateContact(10*ms + replicaTimeout - 1)
+	assert.Equal(t, 2, cs.contact)
+	cs.rotateContact(10*ms + replicaTimeout)
+	assert.Equal(t, 0, cs.contact, "it wraps around")
+	cs.rotateContact(10*ms + 2*replicaTimeout - 1)
+	assert.Equal(t, 0, cs.contact, "the next replica has its time too")
+}
+
+func TestContactFollowsTheLeader(t *testing.T) {
+	cs := &claimState{replicas: []string{"a", "b", "c"}, unansweredSince: 5}
+	cs.answeredBy("c")
+	assert.Equal(t, 2, cs.contact)
+	assert.Zero(t, cs.unansweredSince)
+	cs.answeredBy("unknown")
+	assert.Equal(t, 2, cs.contact)
+}
+
+func TestWithoutAConsensusGroupNothingIsClaimed(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	assert.False(t, r.claiming.enabled())
+	assert.False(t, r.claiming.canClaim())
+	assert.Nil(t, r.Claims())
+	current, has := r.claiming.replicaIsCurrent()
+	assert.False(t, current || has)
+	agreed, changed := r.claiming.agreedConfig()
+	assert.Nil(t, agreed)
+	assert.False(t, changed)
+	assert.Equal(t, int64(never), r.claimsDue())
+}
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -7,6 +7,7 @@
 
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation"
+	"topazpost/internal/nodeconfig"
 )
 
 // testPlan reduces the catalogue at its first level, and sheds it at its second.
@@ -51,3 +52,14 @@
 	assert.Equal(t, 2, r.degradation.steps.Level())
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
 }
+
+// A plan that was written for other operations is fitted by their names; what it says of unknown ones is left out.
+func TestPlanIsFittedByTheNamesOfOperations(t *testing.T) {
+	plan := testPlan(1)
+	own := nodeconfig.NewNames("hold", "new", "catalogue")
+	fitted := fitPlan(plan, nodeconfig.NewNames("catalogue", "gone"), own)
+	assert.Equal(t, []admission.Service{{}, {}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}}, fitted.Levels[0].Services)
+	assert.Equal(t, []string{"", "", "catalogue-plain"}, fitted.Forms[0])
+	assert.Equal(t, admission.Shed, fitted.Levels[1].Services[2].Form)
+	assert.Len(t, plan.Levels[0].Services, 2, "the plan that was given is unchanged")
+}
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -102,3 +102,22 @@
 	assert.Nil(t, r.Claims().Lease)
 	assert.Equal(t, int64(never), r.leaseDue())
 }
+
+func TestNextStepOfALease(t *testing.T) {
+	now := 1_000 * ms
+	for _, c := range []struct {
+		name           string
+		abandonedUntil []int64
+		wake           int64
+		demand         int
+		want           int64
+	}{
+		{"demand is looked at often", nil, now + 500*ms, 1, now + demandInterval},
+		{"without demand the holder's own time counts", nil, now + 500*ms, 0, now + 500*ms},
+		{"an earlier wish of the holder", nil, now + ms, 1, now + ms},
+		{"the unit of an abandoned call is free again", []int64{now + 2*ms, now + 900*ms}, now + 500*ms, 0, now + 2*ms},
+	} {
+		ls := &leaseState{abandonedUntil: c.abandonedUntil}
+		assert.Equal(t, c.want, ls.nextStep(now, c.wake, c.demand), c.name)
+	}
+}
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
@@ -125,3 +126,11 @@
 		}
 	})
 }
+
+func TestMessagesAreCountedByWhatIsWrongWithThem(t *testing.T) {
+	var counters PeerMessageCounters
+	for _, err := range []error{envelope.ErrFleet, envelope.ErrVersion, envelope.ErrShort, envelope.ErrSpoilt, fmt.Errorf("wrapped: %w", envelope.ErrFleet)} {
+		counters.add(err)
+	}
+	assert.Equal(t, PeerMessageCounters{Spoilt: 2, Version: 1, Fleet: 2}, counters)
+}
