--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -132,9 +132,12 @@
 	if ds.plan != nil {
 		ds.closePeriod(sm.now, ds.level())
 	}
-	ds.given, ds.givenNames = given, givenNames
-	ds.plan, ds.controller = plan, controller
-	ds.totals, ds.timeByLevel = nil, nil
+	ds.given = given
+	ds.givenNames = givenNames
+	ds.plan = plan
+	ds.controller = controller
+	ds.totals = nil
+	ds.timeByLevel = nil
 	ds.enteredAt = sm.now
 	if plan != nil {
 		ds.totals = make([]ServiceCounts, len(plan.Levels)+1)
@@ -142,7 +145,8 @@
 		for level := range ds.totals {
 			ds.totals[level].Level = plan.LevelName(level)
 		}
-		event.Plan, event.ToName = plan.Name, plan.LevelName(change.To)
+		event.Plan = plan.Name
+		event.ToName = plan.LevelName(change.To)
 	}
 	ds.startPeriod(sm.now)
 	sm.applyLevel(event)
@@ -172,7 +176,8 @@
 
 // startPeriod starts counting at the level in force.
 func (ds *degradationState) startPeriod(now int64) {
-	ds.current, ds.enteredAt = ServiceCounts{}, now
+	ds.current = ServiceCounts{}
+	ds.enteredAt = now
 	if ds.plan != nil {
 		ds.totals[ds.level()].Entered++
 		ds.current.Level = ds.levelName()
@@ -206,11 +211,12 @@
 	sm.emit(Effect{Kind: LevelChanged, LevelChange: change})
 }
 
-// levelEvent is the levelEvent for the admission controller of what the level in force leaves of each operation.
+// levelEvent is the event for the admission controller of what the level in force leaves of each operation.
 func (ds *degradationState) levelEvent() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if ds.plan != nil {
-		e.Services, e.UseSpareCapacity = ds.plan.Services(ds.level()), ds.plan.UseSpareCapacity
+		e.Services = ds.plan.Services(ds.level())
+		e.UseSpareCapacity = ds.plan.UseSpareCapacity
 	}
 	return e
 }
