--- /dev/null
+++ b/internal/node/degradation_plan_test.go
@@ -0,0 +1,65 @@
+package node
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"topazpost/internal/admission"
+	"topazpost/internal/degradation"
+	"topazpost/internal/nodeconfig"
+)
+
+// testPlan reduces the catalogue at its first level, and sheds it at its second.
+func testPlan(enter float64) *DegradationPlan {
+	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
+	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
+	p.IdleCondition.Limits[degradation.Load] = -1
+	for k, s := range []admission.Service{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, {Form: admission.Shed}} {
+		c := degradation.Condition{Limits: degradation.NoLimits()}
+		c.Limits[degradation.Load] = enter
+		exit := degradation.Condition{Limits: degradation.NoLimits()}
+		exit.Limits[degradation.Load] = enter - 1
+		p.Levels = append(p.Levels, degradation.Level{Name: []string{"plain", "none"}[k], Services: []admission.Service{s, {}},
+			Enter: []degradation.Condition{c}, Exit: exit})
+	}
+	return p
+}
+
+func TestInvalidPlanChangesNothing(t *testing.T) {
+	r := nodeAtLevel(t, 1)
+	bad := testPlan(1)
+	bad.Levels[0].Services = bad.Levels[0].Services[:1]
+	before := r.degradation
+	step(r, Input{Kind: PlanChanged, Plan: bad})
+	assert.Equal(t, before, r.degradation)
+}
+
+func TestRemovedPlanRestoresFullService(t *testing.T) {
+	r := nodeAtLevel(t, 2)
+	step(r, Input{Kind: PlanChanged})
+	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue 4")
+	assert.Nil(t, r.Levels())
+}
+
+func TestPlanAdoptedBeforeTheExecutorConnectsAppliesOnceItDoes(t *testing.T) {
+	r := fresh(t)
+	step(r, Input{Kind: PlanChanged, Plan: testPlan(-1)})
+	told(r, "WELCOME old 0")
+	told(r, "METERS j1 0.1 1 0.1 3")
+	r.now = r.timerAt
+	step(r)
+	assert.Equal(t, 2, r.degradation.controller.Level())
+	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
+}
+
+// A plan that was written for other operations is fitted by their names; what it says of unknown ones is left out.
+func TestPlanIsFittedByTheNamesOfOperations(t *testing.T) {
+	plan := testPlan(1)
+	own := nodeconfig.NewNames("hold", "new", "catalogue")
+	fitted := fitPlan(plan, nodeconfig.NewNames("catalogue", "gone"), own)
+	assert.Equal(t, []admission.Service{{}, {}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}}, fitted.Levels[0].Services)
+	assert.Equal(t, []string{"", "", "catalogue-plain"}, fitted.Forms[0])
+	assert.Equal(t, admission.Shed, fitted.Levels[1].Services[2].Form)
+	assert.Len(t, plan.Levels[0].Services, 2, "the plan that was given is unchanged")
+}
--- /dev/null
+++ b/internal/node/results_test.go
@@ -0,0 +1,140 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/nodeconfig"
+	"topazpost/internal/protocol/frame"
+	"topazpost/internal/resultcache"
+)
+
+const tokened = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000}],
+	"family_info":{"n_cores":2,"memory_kb":9000,"blowup":4,"entry_kb":1,"class_calls":[true],"below":"common","calls_out":9,
+	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
+	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
+
+// cachingNode is a node that caches results, in memory or with a store that the test plays.
+func cachingNode(t *testing.T, durability resultcache.Durability) *StateMachine {
+	p, err := nodeconfig.FromJSON(1, []byte(tokened))
+	require.NoError(t, err)
+	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
+	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
+	step(r, Input{Kind: ConnectionOpened, Link: 7})
+	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
+	told(r, "WELCOME old 0")
+	told(r, "METERS j1 0.1 1 0.1 3")
+	return r
+}
+
+var bodyHash = xxhash.Sum64String("body")
+
+func id(n int) string { return fmt.Sprintf("%016x", n) }
+
+// tokenInvocation is an invocation of a token on a stream.
+func tokenInvocation(stream int, token string) Input {
+	return invoke(uint32(stream), "op", "hold", "call", id(stream), "dedupe", token)
+}
+
+// runsOf counts the runs that effects start.
+func runsOf(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
+
+func TestDuplicateJoinsTheRunOrGetsTheCachedResult(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(1, "a"))))
+	assert.Zero(t, runsOf(step(r, tokenInvocation(2, "a"))))
+	sent := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
+	assert.ElementsMatch(t, []string{"20 on 1", "20 on 2"}, answers(t, sent))
+	sent = step(r, tokenInvocation(3, "a"))
+	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
+	assert.Contains(t, text(sent, SendToConnection), "kept")
+	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(4, "b"))), "another token runs")
+	step(r)
+	assert.Equal(t, 1, r.owedAnswers)
+	assert.Len(t, r.indexByCall, 1)
+}
+
+func TestDuplicatesOfOneStepShareOneRun(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"), tokenInvocation(3, "a"))))
+	assert.Len(t, answers(t, told(r, "EXIT 1 "+id(1)+" good 12 6|result")), 3)
+}
+
+func TestTokenWithAnotherBodyIsAnError(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	step(r, tokenInvocation(1, "a"))
+	other := tokenInvocation(2, "a")
+	other.Frame.Payload = append(other.Frame.Payload, '!')
+	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, other)))
+}
+
+func TestRunGoesOnForJoinedDuplicatesAfterTheCallerLeaves(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
+	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
+	step(r, gone)
+	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
+	step(r)
+	require.NotEmpty(t, r.catalogue.links, "its call is made nevertheless")
+	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
+	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
+	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
+	step(r)
+	assert.Zero(t, r.owedAnswers)
+	assert.Empty(t, r.indexByCall)
+}
+
+func TestDuplicateRunsAfterTheFirstCallerLeaves(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
+	intent := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	assert.Contains(t, text(recordsWritten(r, intent), SendToExecutor), "EXEC "+id(2))
+}
+
+func TestDuplicatesOfARejectedInvocationAreSubmittedAnew(t *testing.T) {
+	r := cachingNode(t, resultcache.OnDisk)
+	for n := range 24 { // more than run at once
+		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
+	}
+	var first int32 = -1
+	for _, h := range r.results.pending {
+		first = max(first, h.original)
+	}
+	require.GreaterOrEqual(t, first, int32(0), "some are pending")
+	v := r.invocations[first]
+	open := r.owedAnswers
+	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
+	assert.Equal(t, open+1, r.owedAnswers)
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
+	step(r)
+	assert.Equal(t, open, r.owedAnswers)
+	h := r.results.pending[v.tokenKey]
+	require.NotNil(t, h)
+	assert.Equal(t, id(100), r.invocations[h.original].call, "the duplicate is its token's original now")
+}
+
+func TestTokensAreIgnoredWithoutAResultCache(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	r.results = resultState{}
+	assert.Equal(t, 2, runsOf(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))))
+	assert.Nil(t, r.Results())
+}
+
+// A duplicate that came within the window and was read past its end gets the result: it must not run again.
+func TestDuplicateReadPastItsWindowDoesNotRun(t *testing.T) {
+	r := cachingNode(t, resultcache.InMemory)
+	first := tokenInvocation(1, "a")
+	assert.Equal(t, 1, runsOf(step(r, first)))
+	came := r.now
+	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
+	r.now, r.executor.lastLineAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
+	stamp := fmt.Sprint((came+19_900*ms)/ms + 1_000_000)
+	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
+	assert.Zero(t, runsOf(got))
+	assert.Equal(t, []string{"20 on 2"}, answers(t, got))
+}
