--- a/integration/cold_test.go
+++ b/integration/cold_test.go
@@ -156,7 +156,7 @@
 	}
 	before := answer
 	for _, c := range fleet {
-		await(t, c.site.ended)
+		_ = await(t, c.site.ended) // the error of the kill
 	}
 	answer = hang()
 	before()
--- a/integration/configuration_test.go
+++ b/integration/configuration_test.go
@@ -196,7 +196,7 @@
 	f.end(syscall.SIGKILL) // all seats
 	n1 := f.nodes[0]
 	require.NoError(t, n1.command.Process.Kill())
-	<-n1.ended
+	_ = <-n1.ended // the error of the kill
 	n1.renew("new")
 	n1.run()
 	f.inForce(0, 4, "disk")
--- a/integration/endings_test.go
+++ b/integration/endings_test.go
@@ -182,7 +182,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		took = append(took, time.Since(from))
-		await(t, ended)
+		_ = await(t, ended) // a killed process ends with an error, a drained one without
 	}
 	close(over)
 	load.Wait()
@@ -199,7 +199,9 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
-	conn.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	if _, err := conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})); err != nil {
+		return false
+	}
 	b := make([]byte, 10)
 	_, err = io.ReadFull(conn, b)
 	return err == nil && b[4] == frame.Checked && b[9] == frame.Good
--- a/integration/hostile_test.go
+++ b/integration/hostile_test.go
@@ -118,9 +118,9 @@
 		t.Cleanup(func() { conn.Close() })
 		switch n % 3 {
 		case 0:
-			conn.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+			_, _ = conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})) // the node may have closed it
 		case 1:
-			conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})[:7])
+			_, _ = conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})[:7]) // likewise
 		}
 	}
 	link.Close()
@@ -131,7 +131,7 @@
 	back, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go http.Serve(back, s.control)
+	go func() { _ = http.Serve(back, s.control) }() // it ends with the listener
 	s.config["control"] = back.Addr().String()
 	s.configure(false)
 	s.signal(syscall.SIGHUP)
--- a/integration/integration_test.go
+++ b/integration/integration_test.go
@@ -261,13 +261,14 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600))
 	out, err := exec.Command(program, "check", path).CombinedOutput()
-	require.Error(t, err)
+	var unusable *exec.ExitError
+	require.ErrorAs(t, err, &unusable)
 	assert.Contains(t, string(out), "configuration: listen")
 	assert.NotContains(t, string(out), "goroutine")
-	failed := err.(*exec.ExitError).ExitCode()
 	_, err = exec.Command(program, "--no-such-flag").CombinedOutput()
-	require.Error(t, err)
-	assert.NotEqual(t, failed, err.(*exec.ExitError).ExitCode())
+	var usage *exec.ExitError
+	require.ErrorAs(t, err, &usage)
+	assert.NotEqual(t, unusable.ExitCode(), usage.ExitCode())
 	out, err = exec.Command(program, "version").CombinedOutput()
 	assert.NoError(t, err)
 	assert.Contains(t, string(out), "topazpost")
@@ -346,9 +347,9 @@
 		conn, err := net.Dial("tcp", s.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
-		go conn.Write(b)
+		go func() { _, _ = conn.Write(b) }() // the node may close the connection first
 		go func() {
-			io.Copy(io.Discard, conn)
+			_, _ = io.Copy(io.Discard, conn) // a reset is an end as well
 			ended <- what
 		}()
 	}
--- a/integration/kept_test.go
+++ b/integration/kept_test.go
@@ -38,7 +38,7 @@
 		{Name: "heap", Value: "24.5"}, {Name: "dedupe", Value: token}}, []byte(body)))
 }
 
-func topazpost(t *testing.T, args ...string) (string, error) {
+func topazpost(args ...string) (string, error) {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	return string(out), err
 }
@@ -55,12 +55,12 @@
 	if w := await(t, s.told); w[0] != "EXEC" {
 		t.Fatal(w)
 	}
-	out, err := topazpost(t, "results", "list", folder)
+	out, err := topazpost("results", "list", folder)
 	assert.Error(t, err)
 	assert.Contains(t, out, "is in use")
 	s.signal(syscall.SIGKILL)
-	await(t, s.ended)
-	out, err = topazpost(t, "results", "list", "--unknown", folder)
+	_ = await(t, s.ended) // the error of the kill
+	out, err = topazpost("results", "list", "--unknown", folder)
 	require.NoError(t, err)
 	assert.Contains(t, out, "open")
 	assert.NotContains(t, out, "done")
@@ -82,18 +82,18 @@
 	assert.Equal(t, "51 ", ask("done", "another body"))
 	assert.Empty(t, s.told, "nothing ran again")
 	s.signal(syscall.SIGKILL)
-	await(t, s.ended)
-	out, err = topazpost(t, "results", "settle", folder, "open", "--ending", "errored")
+	_ = await(t, s.ended) // the error of the kill
+	out, err = topazpost("results", "settle", folder, "open", "--ending", "errored")
 	require.NoError(t, err, out)
-	out, err = topazpost(t, "results", "show", folder, "open")
+	out, err = topazpost("results", "show", folder, "open")
 	require.NoError(t, err)
 	assert.Contains(t, out, "state errored")
-	out, err = topazpost(t, "results", "forget", folder, "done")
+	out, err = topazpost("results", "forget", folder, "done")
 	require.NoError(t, err, out)
-	out, err = topazpost(t, "store", "export", folder)
+	out, err = topazpost("store", "export", folder)
 	require.NoError(t, err)
 	assert.NotContains(t, out, "done")
-	out, err = topazpost(t, "store", "verify", folder)
+	out, err = topazpost("store", "verify", folder)
 	require.NoError(t, err)
 	assert.Contains(t, out, "sound, 1 records")
 }
@@ -107,16 +107,16 @@
 		d.answer()
 	}
 	s.signal(syscall.SIGKILL)
-	await(t, s.ended)
+	_ = await(t, s.ended) // the error of the kill
 	path := filepath.Join(folder, "0000000000000000.seg")
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 	data[100] ^= 1
 	require.NoError(t, os.WriteFile(path, data, 0o600))
-	out, err := topazpost(t, "store", "verify", folder)
+	out, err := topazpost("store", "verify", folder)
 	assert.Error(t, err)
 	assert.Contains(t, out, path+": store: broken at offset")
-	out, err = topazpost(t, append([]string{"serve"}, append(s.flags, s.path)...)...)
+	out, err = topazpost(append([]string{"serve"}, append(s.flags, s.path)...)...)
 	assert.Error(t, err)
 	assert.Contains(t, out, "0000000000000000.seg: store: broken at offset")
 	after, err := os.ReadFile(path)
@@ -181,6 +181,6 @@
 		d.conn.SetDeadline(at.Add(bound))
 		d.write(frame.AppendInvocation(nil, stream+1, fields, []byte("x")))
 		d.answer()
-		into.RecordValue(time.Since(at).Microseconds())
+		require.NoError(b, into.RecordValue(time.Since(at).Microseconds()))
 	}
 }
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -54,7 +54,7 @@
 				return
 			default:
 			}
-			conn.Write(next())
+			_, _ = conn.Write(next()) // nobody may be listening any more
 			if sent%50 == 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -82,11 +82,13 @@
 	liar, err := net.Dial("tcp", bind) // says that it will send more than any may
 	require.NoError(t, err)
 	defer liar.Close()
-	liar.Write([]byte{0xff, 0xff, 0xff, 0x7f, 1, 2, 3})
+	_, err = liar.Write([]byte{0xff, 0xff, 0xff, 0x7f, 1, 2, 3})
+	require.NoError(t, err)
 	slow, err := net.Dial("tcp", bind) // and another begins, and goes no further
 	require.NoError(t, err)
 	defer slow.Close()
-	slow.Write([]byte{100, 0, 0, 0, 1})
+	_, err = slow.Write([]byte{100, 0, 0, 0, 1})
+	require.NoError(t, err)
 	s.line("peer floods")
 	d := s.dial()
 	for stream := range uint32(100) {
@@ -183,7 +185,7 @@
 		d.conn.SetDeadline(at.Add(bound))
 		d.invoke(stream+1, "x")
 		d.answer()
-		into.RecordValue(time.Since(at).Microseconds())
+		require.NoError(b, into.RecordValue(time.Since(at).Microseconds()))
 	}
 	spent[kind] += time.Since(began)
 }
--- a/integration/ramp_test.go
+++ b/integration/ramp_test.go
@@ -112,7 +112,7 @@
 		s.signal(syscall.SIGKILL)
 	}
 	for _, s := range fleet {
-		await(t, s.ended)
+		_ = await(t, s.ended) // the error of the kill
 		s.renew("new")
 		s.run()
 	}
--- a/integration/repeats_test.go
+++ b/integration/repeats_test.go
@@ -68,7 +68,7 @@
 	grade := s.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
 	grade["give_up"], grade["aim"] = 800, 600 // a token is known for so much longer than its window
 	s.signal(syscall.SIGKILL)
-	await(t, s.ended)
+	_ = await(t, s.ended) // the error of the kill
 	s.run()
 	d := s.dial()
 	from := time.Now()
@@ -119,7 +119,7 @@
 	d.invokeToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
 	s.signal(syscall.SIGKILL)
-	await(t, s.ended)
+	_ = await(t, s.ended) // the error of the kill
 	s.renew("old")
 	s.run()
 	for range 2 {
@@ -139,7 +139,7 @@
 	grade := s.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
 	grade["effect"] = "once"
 	s.configure(false)
-	out, err := topazpost(t, "check", s.path)
+	out, err := topazpost("check", s.path)
 	assert.Error(t, err)
 	assert.Contains(t, out, `grades.0.effect: "once" is not known`)
 }
--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -122,7 +122,7 @@
 	go s.accept(catalogue, s.supply)
 	s.control = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var b bytes.Buffer
-		b.ReadFrom(r.Body)
+		_, _ = b.ReadFrom(r.Body) // a report cut short is seen by the test that reads it
 		s.reports <- r.Method + " " + r.URL.Path + " " + b.String()
 		w.WriteHeader(http.StatusNoContent)
 	})
@@ -326,10 +326,9 @@
 
 // dispatcher is a connection to the node.
 type dispatcher struct {
-	t     testing.TB
-	conn  net.Conn
-	p     frame.Parser
-	calls int
+	t    testing.TB
+	conn net.Conn
+	p    frame.Parser
 }
 
 func (s *site) dial() *dispatcher {
