--- a/integration/configuration_test.go
+++ b/integration/configuration_test.go
@@ -15,22 +15,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// within ends a command that hangs; no verdict rests on it.
-const within = "60s"
+// commandTimeout ends a command that hangs; no verdict rests on it.
+const commandTimeout = "60s"
 
-// tookPart is three seats that serve nothing and three daemons, all of which take their configuration in service. Each daemon
+// configFleet is three seats that serve nothing and three daemons, all of which take their configuration in service. Each daemon
 // is a zone of its own, so that each is of the first stage; n3 has no catalogue.
-type tookPart struct {
-	*seats
-	nodes []*site
+type configFleet struct {
+	*replicaProcesses
+	nodes []*testNode
 }
 
-func startTookPart(t *testing.T) *tookPart {
-	f := &tookPart{seats: &seats{t: t, folder: t.TempDir()}}
+func startConfigFleet(t *testing.T) *configFleet {
+	f := &configFleet{replicaProcesses: &replicaProcesses{t: t, folder: t.TempDir()}}
 	seated := []string{"s1", "s2", "s3"}
 	var binds []string
 	for range 6 {
-		_, bind := fleetWith(t, nil)
+		_, bind := fleetFileWithReplicas(t, nil)
 		binds = append(binds, bind)
 	}
 	f.binds = binds[:3]
@@ -46,10 +46,10 @@
 	for k, name := range seated {
 		f.paths = append(f.paths, file(name, "z0", binds[k]))
 	}
-	t.Cleanup(func() { f.end(syscall.SIGKILL) })
-	f.start()
+	t.Cleanup(func() { f.stop(syscall.SIGKILL) })
+	f.launch()
 	for k, name := range []string{"n1", "n2", "n3"} {
-		f.nodes = append(f.nodes, startWith(t, false, func(config map[string]any) {
+		f.nodes = append(f.nodes, startNodeWithFlags(t, false, func(config map[string]any) {
 			config["name"] = name
 			about := config["settings"].(map[string]any)["family_info"].(map[string]any)
 			delete(about, "class_calls")
@@ -61,8 +61,8 @@
 	return f
 }
 
-// config runs a command; it says what was printed as an object, and the exit code.
-func (f *tookPart) config(words ...string) (out struct {
+// runConfig runs a command; it says what was printed as an object, and the exit code.
+func (f *configFleet) runConfig(words ...string) (out struct {
 	Done    bool
 	Version uint64
 	Changes int
@@ -98,26 +98,26 @@
 	return out, command.ProcessState.ExitCode()
 }
 
-func (f *tookPart) file(text string) string {
+func (f *configFleet) writeChange(text string) string {
 	path := filepath.Join(f.folder, "change.jsonnet")
 	require.NoError(f.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// inForce waits until a node says that a version came into force, and from where.
-func (f *tookPart) inForce(node int, version uint64, source string) {
+// awaitInForce waits until a node says that a version came into force, and from where.
+func (f *configFleet) awaitInForce(node int, version uint64, source string) {
 	said := fmt.Sprintf(`"version":%d,`, version)
 	assert.Eventually(f.t, func() bool {
-		for _, line := range strings.Split(f.nodes[node].heard.String(), "\n") {
+		for _, line := range strings.Split(f.nodes[node].logText.String(), "\n") {
 			if strings.Contains(line, "configuration in force") && strings.Contains(line, said) && strings.Contains(line, `"source":"`+source+`"`) {
 				return true
 			}
 		}
 		return false
-	}, bound, 20*time.Millisecond, "n%d has version %d from the %s: %s", node+1, version, source, &f.nodes[node].heard)
+	}, testTimeout, 20*time.Millisecond, "n%d has version %d from the %s: %s", node+1, version, source, &f.nodes[node].logText)
 }
 
-func TestConfigCommandSaysWhatIsWrong(t *testing.T) {
+func TestConfigCommandReportsInvalidChanges(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "change.jsonnet")
 	for text, want := range map[string]string{
 		`{ routes: { a: {} } }`: "routes: no such part; write operations, tenants and limits",
@@ -137,45 +137,45 @@
 	assert.Equal(t, 80, command.ProcessState.ExitCode())
 }
 
-func TestVersionsAreOrderedSpreadTakenAndKept(t *testing.T) {
-	f := startTookPart(t)
-	put := func(words ...string) []string { return append([]string{"put", "--within", within}, words...) }
+func TestVersionsAreOrderedReplicatedAppliedAndPersisted(t *testing.T) {
+	f := startConfigFleet(t)
+	put := func(words ...string) []string { return append([]string{"put", "--within", commandTimeout}, words...) }
 	for k := range f.nodes {
-		f.inForce(k, 0, "file")
+		f.awaitInForce(k, 0, "file")
 	}
 
-	out, code := f.config(put("--wait", f.nodes[0].path)...)
+	out, code := f.runConfig(put("--wait", f.nodes[0].configPath)...)
 	require.Zero(t, code, out)
 	assert.Equal(t, uint64(1), out.Version)
 	for k := range f.nodes {
-		f.inForce(k, 1, "fleet")
+		f.awaitInForce(k, 1, "fleet")
 	}
 
-	change := f.file(`{ operations: { more: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent' } }, limits: { group_size: 4 } }`)
-	out, code = f.config(put("--request", "r1", change)...)
+	change := f.writeChange(`{ operations: { more: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent' } }, limits: { group_size: 4 } }`)
+	out, code = f.runConfig(put("--request", "r1", change)...)
 	require.Zero(t, code, out)
 	assert.Equal(t, uint64(2), out.Version)
-	again, code := f.config(put("--request", "r1", "--base", "1", change)...)
+	again, code := f.runConfig(put("--request", "r1", "--base", "1", change)...)
 	assert.Zero(t, code, "the same request counts once: %v", again)
 	assert.Equal(t, uint64(2), again.Version)
-	out, code = f.config(put("--base", "1", f.file(`{ tenants: { b: { quota_rps: 1 } } }`))...)
+	out, code = f.runConfig(put("--base", "1", f.writeChange(`{ tenants: { b: { quota_rps: 1 } } }`))...)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out.Refused, "made on version 1, the newest is 2")
 	assert.ElementsMatch(t, []string{"operations.more", "limits.group_size"}, out.Differ)
 	for k := range f.nodes {
-		f.inForce(k, 2, "fleet")
+		f.awaitInForce(k, 2, "fleet")
 	}
-	assert.Eventually(t, func() bool { out, _ := f.config("status"); return out.ForAll == 2 }, bound, 100*time.Millisecond)
+	assert.Eventually(t, func() bool { out, _ := f.runConfig("status"); return out.ForAll == 2 }, testTimeout, 100*time.Millisecond)
 
-	out, code = f.config(put("--wait",
-		f.file(`{ operations: { calls: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent', class_calls: true } } }`))...)
+	out, code = f.runConfig(put("--wait",
+		f.writeChange(`{ operations: { calls: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent', class_calls: true } } }`))...)
 	assert.Equal(t, 1, code, "n3 can't take it: %v", out)
 	assert.Contains(t, out.Stopped, "n3 can't take it")
 	assert.Contains(t, out.Stopped, "names no catalogue")
 	assert.Eventually(t, func() bool { // any seat may be asked, and one may know later than another
-		out, _ = f.config("status")
+		out, _ = f.runConfig("status")
 		return out.ForAll == 2 && out.By == "n3" && len(out.Refusals) > 0
-	}, bound, 100*time.Millisecond, "the seats know who can't take it")
+	}, testTimeout, 100*time.Millisecond, "the seats know who can't take it")
 	assert.Equal(t, []any{uint64(2), "n3"}, []any{out.ForAll, out.By})
 	require.Len(t, out.Refusals, 1)
 	assert.Equal(t, uint64(3), out.Refusals[0].Version)
@@ -186,32 +186,32 @@
 		}
 	}
 	assert.Eventually(t, func() bool {
-		return strings.Contains(f.nodes[2].heard.String(), "configuration 3 can't be taken, 2 stays in force")
-	}, bound, 20*time.Millisecond, "%s", &f.nodes[2].heard)
+		return strings.Contains(f.nodes[2].logText.String(), "configuration 3 can't be taken, 2 stays in force")
+	}, testTimeout, 20*time.Millisecond, "%s", &f.nodes[2].logText)
 
-	out, code = f.config("rollback", "2", "--wait", "--within", within)
+	out, code = f.runConfig("rollback", "2", "--wait", "--within", commandTimeout)
 	require.Zero(t, code, out)
 	require.Equal(t, uint64(4), out.Version)
 
-	f.end(syscall.SIGKILL) // all seats
+	f.stop(syscall.SIGKILL) // all seats
 	n1 := f.nodes[0]
 	require.NoError(t, n1.command.Process.Kill())
-	_ = <-n1.ended // the error of the kill
-	n1.renew("new")
-	n1.run()
-	f.inForce(0, 4, "disk")
+	_ = <-n1.exited // the error of the kill
+	n1.resetExecutor("new")
+	n1.launch()
+	f.awaitInForce(0, 4, "disk")
 	d := n1.dial()
 	d.write(invocationOf("more", "00000000000000ab", 1, "x"))
-	assert.Equal(t, "20 on 1 x", d.answer(), "it serves what came as a version; %s", &n1.heard)
-	f.start()
+	assert.Equal(t, "20 on 1 x", d.answer(), "it serves what came as a version; %s", &n1.logText)
+	f.launch()
 	assert.Eventually(t, func() bool {
 		text, err := exec.Command(program, "config", "status", "--fleet", "tests", "--json", "--at", f.binds[0]).Output()
 		return err == nil && strings.Contains(string(text), `"for_all":4`)
-	}, bound, 100*time.Millisecond, "seats know what was agreed on")
-	out, code = f.config(put("--wait", f.file(`{ tenants: { a: { quota_rps: 5 } }, limits: { group_size: null } }`))...)
+	}, testTimeout, 100*time.Millisecond, "seats know what was agreed on")
+	out, code = f.runConfig(put("--wait", f.writeChange(`{ tenants: { a: { quota_rps: 5 } }, limits: { group_size: null } }`))...)
 	require.Zero(t, code, out)
 	assert.Equal(t, uint64(5), out.Version)
-	out, _ = f.config("show")
+	out, _ = f.runConfig("show")
 	assert.Contains(t, out.Parts["operations"], "more")
 	assert.NotContains(t, out.Parts["operations"], "calls")
 	assert.Equal(t, `{"quota_rps":5}`, string(out.Parts["tenants"]["a"]))
--- a/integration/endings_test.go
+++ b/integration/endings_test.go
@@ -17,14 +17,14 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// rested reads what a dispatcher is owed up to the notice that no more may come.
-func (d *dispatcher) rested() {
+// awaitNoMore reads what a dispatcher is owed up to the notice that no more may come.
+func (d *dispatcher) awaitNoMore() {
 	for d.answer() != "no more" {
 	}
 }
 
-// ends says that nothing more comes but a clean end.
-func (d *dispatcher) ends() {
+// assertClosed says that nothing more comes but a clean end.
+func (d *dispatcher) assertClosed() {
 	d.t.Helper()
 	rest, err := io.ReadAll(d.conn)
 	assert.NoError(d.t, err, "a reset takes what is owed with it")
@@ -32,8 +32,8 @@
 }
 
 // An invocation that is sent in the moment in which the notice comes crosses it: it was read, and is owed an answer.
-func TestInvocationThatCrossesTheLastNoticeOfADrainIsAnswered(t *testing.T) {
-	s := start(t, false, nil)
+func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
+	s := startNode(t, false, nil)
 	var rest []*dispatcher
 	for n := range 8 {
 		d := s.dial()
@@ -43,38 +43,38 @@
 	}
 	s.signal(syscall.SIGTERM)
 	for _, d := range rest {
-		d.rested()
+		d.awaitNoMore()
 		d.invoke(2, "crosses")
 	}
 	for _, d := range rest {
 		assert.Equal(t, "50 on 2 ", d.answer())
-		d.ends()
+		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.ended))
-	for len(s.told) > 0 {
-		w := <-s.told
+	assert.NoError(t, await(t, s.exited))
+	for len(s.executorLines) > 0 {
+		w := <-s.executorLines
 		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake")
 	}
 }
 
 // The same where the node has no executor, and leaves at once.
-func TestInvocationThatCrossesTheEndOfANodeWithoutItsExecutorIsAnswered(t *testing.T) {
-	s := start(t, true, nil)
+func TestInvocationThatCrossesTheExitWithoutAnExecutorIsAnswered(t *testing.T) {
+	s := startNode(t, true, nil)
 	d := s.dial()
 	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 	d.next()
 	s.signal(syscall.SIGTERM)
-	d.rested()
+	d.awaitNoMore()
 	d.invoke(1, "crosses")
 	assert.Equal(t, "50 on 1 ", d.answer())
-	d.ends()
-	assert.NoError(t, await(t, s.ended))
+	d.assertClosed()
+	assert.NoError(t, await(t, s.exited))
 }
 
 // Connections that the system accepted while no place was free are taken on when intake ends, and their invocations
 // are answered.
-func TestConnectionsThatWaitForAPlaceWhenIntakeEndsAreAnswered(t *testing.T) {
-	s := start(t, false, func(c map[string]any) {
+func TestConnectionsInTheBacklogWhenIntakeStopsAreAnswered(t *testing.T) {
+	s := startNode(t, false, func(c map[string]any) {
 		c["stop_ms"] = 6_000
 		c["limits"].(map[string]any)["sockets"] = 32
 	})
@@ -103,14 +103,14 @@
 	for _, d := range waiting {
 		assert.Equal(t, "no more", d.answer())
 		assert.Equal(t, "50 on 1 ", d.answer())
-		d.ends()
+		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.ended))
+	assert.NoError(t, await(t, s.exited))
 }
 
 // Resting connections make room in the protocol's way: told, heard once more, closed without a reset.
-func TestARestingConnectionThatMakesRoomLosesNothing(t *testing.T) {
-	s := start(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
+	s := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	var rest []*dispatcher
 	for range 10 {
 		d := s.dial()
@@ -125,14 +125,14 @@
 	assert.Equal(t, "no more", d.answer())
 	d.invoke(2, "crosses")
 	assert.Equal(t, "20 on 2 crosses", d.answer())
-	d.ends()
+	d.assertClosed()
 }
 
 // Under load, killed and drained in turn, and started again before the last life has ended, nine in ten processes serve
 // within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
 	const restarts, soon = 20, 10 * time.Second
-	s := start(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
+	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
 	address := s.address
 	s.config["listen"] = address
 	var load sync.WaitGroup
@@ -167,17 +167,17 @@
 	}
 	var took []time.Duration
 	for n := range restarts {
-		last, ended := s.command, s.ended
+		last, ended := s.command, s.exited
 		if n%2 == 0 {
 			last.Process.Signal(syscall.SIGKILL)
 		} else {
 			last.Process.Signal(syscall.SIGTERM)
 		}
-		s.renew("old")
-		s.ended = make(chan error, 1)
+		s.resetExecutor("old")
+		s.exited = make(chan error, 1)
 		from := time.Now()
-		s.run()
-		for !serves(address) {
+		s.launch()
+		for !answersHealthCheck(address) {
 			require.Less(t, time.Since(from), 30*time.Second)
 			time.Sleep(time.Millisecond)
 		}
@@ -191,8 +191,8 @@
 	assert.LessOrEqual(t, took[len(took)*9/10-1], soon)
 }
 
-// serves says whether a node answers a health check well.
-func serves(address string) bool {
+// answersHealthCheck says whether a node answers a health check well.
+func answersHealthCheck(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -208,8 +208,8 @@
 }
 
 // The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
-func TestDescriptorsComeFreeOnceEverybodyHasLeft(t *testing.T) {
-	s := start(t, false, nil)
+func TestDescriptorsAreReleasedAfterDisconnects(t *testing.T) {
+	s := startNode(t, false, nil)
 	open := func() int {
 		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.command.Process.Pid))
 		require.NoError(t, err)
@@ -233,5 +233,5 @@
 		}
 		d.conn.Close()
 	}
-	require.Eventually(t, func() bool { return open() <= before }, bound, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return open() <= before }, testTimeout, 10*time.Millisecond)
 }
--- a/integration/integration_test.go
+++ b/integration/integration_test.go
@@ -32,8 +32,8 @@
 	assert.Contains(t, needed, "libc.so.6")
 }
 
-func TestServesFailsAndReports(t *testing.T) {
-	s := start(t, false, nil)
+func TestInvocationsSucceedFailAndAreReported(t *testing.T) {
+	s := startNode(t, false, nil)
 	d := s.dial()
 	d.invoke(1, "any\r\n\x00bytes")
 	assert.Equal(t, "20 on 1 any\r\n\x00bytes", d.answer())
@@ -47,7 +47,7 @@
 }
 
 func TestInvocationsSplitAndJoinedAnywhereAreAnsweredInAnyOrder(t *testing.T) {
-	s := start(t, false, nil)
+	s := startNode(t, false, nil)
 	d := s.dial()
 	for stream := range uint32(32) {
 		d.invoke(stream+1, fmt.Sprint("body ", stream+1))
@@ -67,102 +67,102 @@
 	assert.Equal(t, []byte{frame.Checked, frame.Good}, []byte{f.Type, f.Payload[0]})
 }
 
-func TestCallsEndAsTheirRepliesProve(t *testing.T) {
-	s := start(t, false, nil)
+func TestCallOutcomesFollowTheCatalogueReplies(t *testing.T) {
+	s := startNode(t, false, nil)
 	d := s.dial()
 	call := d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
-	assert.Equal(t, []string{"FETCH", call}, await(t, s.asked)[:2])
-	s.replyWith(func(call string) string { return call + " FAULT\r\n" })
+	assert.Equal(t, []string{"FETCH", call}, await(t, s.catalogueLines)[:2])
+	s.setCatalogueReply(func(call string) string { return call + " FAULT\r\n" })
 	d.invoke(2, "call")
 	assert.Equal(t, "51 on 2 ", d.answer())
-	s.replyWith(func(string) string { return "break" })
+	s.setCatalogueReply(func(string) string { return "break" })
 	d.invoke(3, "call")
 	assert.Equal(t, "51 on 3 ", d.answer(), "a break proves nothing, so an idempotent one's call is repeated, once")
 	for range 4 { // two of FAULT, two of the break
-		await(t, s.asked)
+		await(t, s.catalogueLines)
 	}
-	assert.Empty(t, s.asked)
-	s.replyWith(func(call string) string { return "no such words at all\r\n" })
+	assert.Empty(t, s.catalogueLines)
+	s.setCatalogueReply(func(call string) string { return "no such words at all\r\n" })
 	d.invoke(4, "call")
 	assert.Equal(t, "51 on 4 ", d.answer())
-	s.replyWith(func(call string) string { return call + " DATA 1\r\nx\r\n" })
+	s.setCatalogueReply(func(call string) string { return call + " DATA 1\r\nx\r\n" })
 	d.invoke(5, "call")
 	assert.Equal(t, "20 on 5 x", d.answer())
 }
 
-func TestCallsErrWhileTheCatalogueIsDownAndWorkAgainOnceItIsBack(t *testing.T) {
-	s := start(t, false, nil)
+func TestCallsFailWhileTheCatalogueIsDownAndRecover(t *testing.T) {
+	s := startNode(t, false, nil)
 	d := s.dial()
 	address := s.catalogue.Addr().String()
 	s.catalogue.Close()
 	d.invoke(1, "call")
 	assert.Equal(t, "51 on 1 ", d.answer())
-	assert.Empty(t, s.asked)
+	assert.Empty(t, s.catalogueLines)
 	back, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go s.accept(back, s.supply)
+	go s.acceptConnections(back, s.serveCatalogue)
 	d.invoke(2, "call")
 	assert.Equal(t, "20 on 2 reply", d.answer())
 }
 
-func TestCallerGoneWhileItsCallIsInHandQuitsTheCall(t *testing.T) {
-	s := start(t, false, nil)
-	s.replyWith(func(string) string { return "" })
+func TestAbandonedInvocationCancelsItsCallInFlight(t *testing.T) {
+	s := startNode(t, false, nil)
+	s.setCatalogueReply(func(string) string { return "" })
 	d := s.dial()
 	d.invoke(1, "call")
-	await(t, s.asked)
+	await(t, s.catalogueLines)
 	d.write(frame.Append(nil, frame.Gone, 1, nil))
-	assert.Equal(t, await(t, s.supplied), await(t, s.left))
+	assert.Equal(t, await(t, s.catalogueConns), await(t, s.catalogueClosed))
 }
 
-func TestExecutorMayComeLateAndItsLinkMayBeCut(t *testing.T) {
-	s := start(t, true, nil)
+func TestExecutorConnectsLateAndReconnects(t *testing.T) {
+	s := startNode(t, true, nil)
 	d := s.dial()
 	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 	f, _ := d.next()
 	assert.Equal(t, byte(frame.Bad), f.Payload[0], "no executor yet")
-	close(s.up)
-	link := await(t, s.links)
-	s.line("executor is up")
+	close(s.executorUp)
+	link := await(t, s.executorConns)
+	s.awaitLog("executor is up")
 	call := d.invoke(1, "hold")
-	await(t, s.told)
+	await(t, s.executorLines)
 	s.mu.Lock()
-	s.link = nil
+	s.executorConn = nil
 	s.mu.Unlock()
 	link.Close()
 	s.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	assert.Equal(t, "20 on 1 late", d.answer())
-	fmt.Fprint(await(t, s.links), "what is this\r\n")
-	await(t, s.links)
+	fmt.Fprint(await(t, s.executorConns), "what is this\r\n")
+	await(t, s.executorConns)
 	d.invoke(2, "again")
 	assert.Equal(t, "20 on 2 again", d.answer())
 }
 
-func TestExecutorThatRefusesConnectionsIsTriedAgain(t *testing.T) {
-	s := start(t, false, nil)
-	address, link := s.executor.Addr().String(), await(t, s.links)
+func TestExecutorConnectionIsRetriedAfterRefusal(t *testing.T) {
+	s := startNode(t, false, nil)
+	address, link := s.executor.Addr().String(), await(t, s.executorConns)
 	s.executor.Close()
 	link.Close()
-	s.line("connection refused")
+	s.awaitLog("connection refused")
 	back, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go s.accept(back, s.execute)
-	await(t, s.links)
+	go s.acceptConnections(back, s.serveExecutor)
+	await(t, s.executorConns)
 	d := s.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
-func TestMalformedInputOfDispatchers(t *testing.T) {
-	s := start(t, false, nil)
+func TestMalformedFramesOfDispatchers(t *testing.T) {
+	s := startNode(t, false, nil)
 	for what, bad := range map[string][]byte{"length": binary.LittleEndian.AppendUint32(nil, 300_000),
 		"type": frame.Append(nil, 99, 2, nil), "stream": frame.Append(nil, frame.Invocation, 1, []byte{0})} {
 		d := s.dial()
 		call := d.invoke(1, "hold")
-		await(t, s.told)
+		await(t, s.executorLines)
 		d.write(bad)
 		assert.Contains(t, d.answer(), "51 on 0 ", what)
 		assert.Equal(t, "no more", d.answer(), what)
@@ -182,41 +182,41 @@
 	assert.Equal(t, "20 on 4 fine", d.answer())
 }
 
-func TestDrainServesOnAnswersAllAndLeaves(t *testing.T) {
-	s := start(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
+func TestDrainCompletesRunsInFlightAndExits(t *testing.T) {
+	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
 	d := s.dial()
 	call := d.invoke(1, "hold")
-	await(t, s.told)
+	await(t, s.executorLines)
 	s.signal(syscall.SIGTERM)
-	s.line("drain notice")
+	s.awaitLog("drain notice")
 	d.invoke(2, "still open")
 	assert.Equal(t, "20 on 2 still open", d.answer(), "the delay keeps intake open")
 	assert.Equal(t, "no more", d.answer())
-	s.line("no connection more") // from then on nobody can connect
+	s.awaitLog("no connection more") // from then on nobody can connect
 	_, err := net.Dial("tcp", s.address)
 	assert.Error(t, err)
 	d.invoke(3, "too late")
 	assert.Equal(t, "50 on 3 ", d.answer())
 	s.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", d.answer())
-	s.line("drain: in flight at start 1, completed 3, abandoned 0")
-	assert.NoError(t, await(t, s.ended))
+	s.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
+	assert.NoError(t, await(t, s.exited))
 }
 
-func TestDrainAbortsWhatIsOpenAtItsDeadline(t *testing.T) {
-	s := start(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
+func TestDrainAbortsRunsInFlightAtItsDeadline(t *testing.T) {
+	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
 	d := s.dial()
 	d.invoke(1, "hold")
-	await(t, s.told)
+	await(t, s.executorLines)
 	s.signal(syscall.SIGTERM)
 	assert.Equal(t, "no more", d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
-	s.line("abandoned 1")
-	assert.NoError(t, await(t, s.ended))
+	s.awaitLog("abandoned 1")
+	assert.NoError(t, await(t, s.exited))
 }
 
-func TestAFullNodeThrottles(t *testing.T) {
-	s := start(t, false, func(c map[string]any) {
+func TestInvocationsAreRejectedWhenMemoryIsFull(t *testing.T) {
+	s := startNode(t, false, func(c map[string]any) {
 		c["settings"].(map[string]any)["family_info"].(map[string]any)["memory_kb"] = 150
 	})
 	d := s.dial()
@@ -226,8 +226,8 @@
 	assert.Regexp(t, `^50 on \d+ $`, d.answer())
 }
 
-func TestAFloodOfConnectionsLeavesRoomForWork(t *testing.T) {
-	s := start(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+func TestConnectionFloodLeavesCapacityForActiveClients(t *testing.T) {
+	s := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	for range 150 {
 		conn, err := net.Dial("tcp", s.address)
 		require.NoError(t, err)
@@ -238,8 +238,8 @@
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
-func TestAPeerThatDoesNotReadIsCutOffAndStopsNoOther(t *testing.T) {
-	s := start(t, false, nil)
+func TestDispatcherThatDoesNotReadIsDisconnected(t *testing.T) {
+	s := startNode(t, false, nil)
 	deaf := s.dial()
 	checks := []byte{}
 	for range 10_000 {
@@ -257,7 +257,7 @@
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
-func TestUnusableConfigurationIsNamedAndUsageIsAnotherCode(t *testing.T) {
+func TestInvalidConfigurationAndUsageErrorsHaveDifferentExitCodes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600))
 	out, err := exec.Command(program, "check", path).CombinedOutput()
@@ -274,33 +274,33 @@
 	assert.Contains(t, string(out), "topazpost")
 }
 
-func TestAProcessThatStoodStillLosesNothing(t *testing.T) {
-	s := start(t, false, nil)
-	s.replyWith(func(string) string { return "" })
+func TestSuspendedProcessLosesNoResult(t *testing.T) {
+	s := startNode(t, false, nil)
+	s.setCatalogueReply(func(string) string { return "" })
 	d := s.dial()
 	run, call := d.invoke(1, "hold"), d.invoke(2, "call")
-	await(t, s.told)
-	await(t, s.asked)
+	await(t, s.executorLines)
+	await(t, s.catalogueLines)
 	s.command.Process.Signal(syscall.SIGSTOP)
 	s.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
-	fmt.Fprint(await(t, s.supplied), call+" DATA 5\r\nreply\r\n")
+	fmt.Fprint(await(t, s.catalogueConns), call+" DATA 5\r\nreply\r\n")
 	d.invoke(3, "meanwhile")
 	s.command.Process.Signal(syscall.SIGCONT)
 	got := []string{d.answer(), d.answer(), d.answer()}
 	assert.ElementsMatch(t, []string{"20 on 1 still", "20 on 2 reply", "20 on 3 meanwhile"}, got)
 }
 
-func TestNewConfigurationMovesAllPeersWhileRunsGoOn(t *testing.T) {
-	s := start(t, false, nil)
+func TestReloadMovesAllPeersWhileRunsContinue(t *testing.T) {
+	s := startNode(t, false, nil)
 	d := s.dial()
 	call := d.invoke(1, "hold")
-	await(t, s.told)
-	await(t, s.links)
+	await(t, s.executorLines)
+	await(t, s.executorConns)
 	for range 3 {
-		s.move()
-		s.configure(false)
+		s.movePeers()
+		s.writeConfig(false)
 		s.signal(syscall.SIGHUP)
-		await(t, s.links)
+		await(t, s.executorConns)
 	}
 	for len(s.reports) > 0 {
 		<-s.reports
@@ -312,26 +312,26 @@
 	assert.Equal(t, "20 on 1 late", d.answer())
 }
 
-func TestUnusableNewConfigurationIsNamedAndReadAgain(t *testing.T) {
-	s := start(t, false, nil)
+func TestInvalidReloadIsReportedAndRetried(t *testing.T) {
+	s := startNode(t, false, nil)
 	d := s.dial()
-	await(t, s.links)
-	s.move()
-	s.configure(true)
+	await(t, s.executorConns)
+	s.movePeers()
+	s.writeConfig(true)
 	s.signal(syscall.SIGHUP)
-	assert.Contains(t, s.line("the one of before stays"), "configuration")
+	assert.Contains(t, s.awaitLog("the one of before stays"), "configuration")
 	d.invoke(1, "still served")
 	assert.Equal(t, "20 on 1 still served", d.answer())
 	s.config["stop_ms"] = 4_000
-	s.configure(false)
-	assert.Contains(t, s.line("takes a new start"), "stop_ms")
-	await(t, s.links)
+	s.writeConfig(false)
+	assert.Contains(t, s.awaitLog("takes a new start"), "stop_ms")
+	await(t, s.executorConns)
 	d.invoke(2, "there")
 	assert.Equal(t, "20 on 2 there", d.answer())
 }
 
-func TestHostileClientsAreRefusedOrClosedBesideASoundOne(t *testing.T) {
-	s := start(t, false, nil)
+func TestHostileDispatchersAreDisconnectedWhileAHealthyOneIsServed(t *testing.T) {
+	s := startNode(t, false, nil)
 	half := frame.Append(nil, frame.Invocation, 1, make([]byte, 500))[:300]
 	broken := frame.Append(nil, frame.Invocation, 1, []byte{9})
 	endless, many := []byte{}, []byte{}
@@ -363,37 +363,37 @@
 	}
 }
 
-const refusing = `{ name: 'p', levels: [{ name: 'none', refuse: ['catalogue'], enter: [{ memory: '0.1 %', 'for': '1 ms' }],
+const rejectingPlan = `{ name: 'p', levels: [{ name: 'none', refuse: ['catalogue'], enter: [{ memory: '0.1 %', 'for': '1 ms' }],
 	exit: { memory: '0.05 %', 'for': '1 s' } }], idle: { wait: '0 %' } }`
 
-func TestPlanIsCheckedServedAndReadAnewAndABrokenOneChangesNothing(t *testing.T) {
+func TestDegradationPlanIsAppliedAndReloadedAndAnInvalidOneIgnored(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.jsonnet")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
-	write(refusing)
+	write(rejectingPlan)
 	t.Setenv("TOPAZPOST_PLAN", path)
-	s := start(t, false, nil)
+	s := startNode(t, false, nil)
 	d := s.dial()
 	d.invoke(1, "hold") // it fills more of the memory than the plan allows
-	assert.Contains(t, s.line("level changed"), `"to":"none","cause":"entered","signal":"memory"`)
+	assert.Contains(t, s.awaitLog("level changed"), `"to":"none","cause":"entered","signal":"memory"`)
 	d.invoke(2, "refused")
 	assert.Equal(t, "50 on 2 ", d.answer())
 	write("{ levels: 3 }")
 	s.signal(syscall.SIGHUP)
-	assert.Contains(t, s.line("the one of before stays"), "plan.jsonnet:1: levels: is a number")
+	assert.Contains(t, s.awaitLog("the one of before stays"), "plan.jsonnet:1: levels: is a number")
 	d.invoke(3, "still refused")
 	assert.Equal(t, "50 on 3 ", d.answer())
-	write(strings.Replace(refusing, "0.1 %", "90 %", 1))
-	assert.Contains(t, s.line("level changed"), `"cause":"plan"`)
+	write(strings.Replace(rejectingPlan, "0.1 %", "90 %", 1))
+	assert.Contains(t, s.awaitLog("level changed"), `"cause":"plan"`)
 	s.signal(syscall.SIGHUP)
-	out, err := exec.Command(program, "check", "--plan", path, s.path).CombinedOutput()
+	out, err := exec.Command(program, "check", "--plan", path, s.configPath).CombinedOutput()
 	assert.NoError(t, err)
 	assert.Contains(t, string(out), "plan p: 1 levels above full service")
-	out, err = exec.Command(program, "plan", "show", path, s.path).CombinedOutput()
+	out, err = exec.Command(program, "plan", "show", path, s.configPath).CombinedOutput()
 	assert.NoError(t, err)
 	assert.Contains(t, string(out), "memory > 90 %")
 }
 
-func TestTemplateWithoutEndIsEnded(t *testing.T) {
+func TestTemplateWithoutBoundIsStopped(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte("std.foldl(function(a, b) a + a, std.range(1, 60), 'x')"), 0o600))
 	out, err := exec.Command(program, "plan", "render", path).CombinedOutput()
--- a/integration/kept_test.go
+++ b/integration/kept_test.go
@@ -19,58 +19,58 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// keeps starts a node whose one operation is tokened, with a store in a folder.
-func keeps(t *testing.T, folder string) *site {
+// startNodeWithStore starts a node whose one operation is tokened, with a store in a folder.
+func startNodeWithStore(t *testing.T, folder string) *testNode {
 	text, err := json.Marshal(map[string]string{"durability": "batched", "folder": folder, "segment": "64 KiB", "size": "1 MiB"})
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	return startWith(t, false, func(config map[string]any) {
+	return startNodeWithFlags(t, false, func(config map[string]any) {
 		grade := config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
 		grade["effect"], grade["window"] = "deduplicated", 60_000
 	}, "--keep", path)
 }
 
-func (d *dispatcher) invokeToken(stream uint32, token, body string) {
+func (d *dispatcher) invokeWithToken(stream uint32, token, body string) {
 	d.write(frame.AppendInvocation(nil, stream, []frame.Field{{Name: "op", Value: "catalogue"},
 		{Name: "call", Value: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, stream)},
 		{Name: "recv", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)}, {Name: "src", Value: "4"},
 		{Name: "heap", Value: "24.5"}, {Name: "dedupe", Value: token}}, []byte(body)))
 }
 
-func topazpost(args ...string) (string, error) {
+func runProgram(args ...string) (string, error) {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	return string(out), err
 }
 
-func TestWhatRanBeforeAKillIsAnsweredFromTheStoreOrToldAsUnknown(t *testing.T) {
+func TestResultsBeforeAKillAreAnsweredFromTheStoreOrReportedUnknown(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
-	s := keeps(t, folder)
+	s := startNodeWithStore(t, folder)
 	d := s.dial()
-	d.invokeToken(1, "done", "result")
+	d.invokeWithToken(1, "done", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
-	d.invokeToken(2, "open", "hold") // runs on
-	for await(t, s.told)[0] != "EXEC" {
+	d.invokeWithToken(2, "open", "hold") // runs on
+	for await(t, s.executorLines)[0] != "EXEC" {
 	}
-	if w := await(t, s.told); w[0] != "EXEC" {
+	if w := await(t, s.executorLines); w[0] != "EXEC" {
 		t.Fatal(w)
 	}
-	out, err := topazpost("results", "list", folder)
+	out, err := runProgram("results", "list", folder)
 	assert.Error(t, err)
 	assert.Contains(t, out, "is in use")
 	s.signal(syscall.SIGKILL)
-	_ = await(t, s.ended) // the error of the kill
-	out, err = topazpost("results", "list", "--unknown", folder)
+	_ = await(t, s.exited) // the error of the kill
+	out, err = runProgram("results", "list", "--unknown", folder)
 	require.NoError(t, err)
 	assert.Contains(t, out, "open")
 	assert.NotContains(t, out, "done")
-	s = keeps(t, folder)
+	s = startNodeWithStore(t, folder)
 	d = s.dial()
 	stream := uint32(0)
 	ask := func(token, body string) string { // until the store is read tokened work is throttled
 		for {
 			stream++
-			d.invokeToken(stream, token, body)
+			d.invokeWithToken(stream, token, body)
 			if a := d.answer(); !strings.HasPrefix(a, "50") {
 				return strings.Replace(a, fmt.Sprintf(" on %d ", stream), " ", 1)
 			}
@@ -80,43 +80,43 @@
 	assert.Equal(t, "20 result", ask("done", "result"))
 	assert.Equal(t, "51 ", ask("open", "hold"))
 	assert.Equal(t, "51 ", ask("done", "another body"))
-	assert.Empty(t, s.told, "nothing ran again")
+	assert.Empty(t, s.executorLines, "nothing ran again")
 	s.signal(syscall.SIGKILL)
-	_ = await(t, s.ended) // the error of the kill
-	out, err = topazpost("results", "settle", folder, "open", "--ending", "errored")
+	_ = await(t, s.exited) // the error of the kill
+	out, err = runProgram("results", "settle", folder, "open", "--ending", "errored")
 	require.NoError(t, err, out)
-	out, err = topazpost("results", "show", folder, "open")
+	out, err = runProgram("results", "show", folder, "open")
 	require.NoError(t, err)
 	assert.Contains(t, out, "state errored")
-	out, err = topazpost("results", "forget", folder, "done")
+	out, err = runProgram("results", "forget", folder, "done")
 	require.NoError(t, err, out)
-	out, err = topazpost("store", "export", folder)
+	out, err = runProgram("store", "export", folder)
 	require.NoError(t, err)
 	assert.NotContains(t, out, "done")
-	out, err = topazpost("store", "verify", folder)
+	out, err = runProgram("store", "verify", folder)
 	require.NoError(t, err)
 	assert.Contains(t, out, "sound, 1 records")
 }
 
-func TestSpoiltStoreIsNamedAndKeptAsItIs(t *testing.T) {
+func TestCorruptStoreIsReportedAndLeftUnchanged(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
-	s := keeps(t, folder)
+	s := startNodeWithStore(t, folder)
 	d := s.dial()
 	for stream := range uint32(20) {
-		d.invokeToken(stream+1, fmt.Sprint("t", stream), "result")
+		d.invokeWithToken(stream+1, fmt.Sprint("t", stream), "result")
 		d.answer()
 	}
 	s.signal(syscall.SIGKILL)
-	_ = await(t, s.ended) // the error of the kill
+	_ = await(t, s.exited) // the error of the kill
 	path := filepath.Join(folder, "0000000000000000.seg")
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
 	data[100] ^= 1
 	require.NoError(t, os.WriteFile(path, data, 0o600))
-	out, err := topazpost("store", "verify", folder)
+	out, err := runProgram("store", "verify", folder)
 	assert.Error(t, err)
 	assert.Contains(t, out, path+": store: broken at offset")
-	out, err = topazpost(append([]string{"serve"}, append(s.flags, s.path)...)...)
+	out, err = runProgram(append([]string{"serve"}, append(s.flags, s.configPath)...)...)
 	assert.Error(t, err)
 	assert.Contains(t, out, "0000000000000000.seg: store: broken at offset")
 	after, err := os.ReadFile(path)
@@ -135,7 +135,7 @@
 		}
 		for range 3 {
 			for _, mode := range modes {
-				kept(b, mode, all[mode])
+				measureWithStore(b, mode, all[mode])
 			}
 		}
 		for _, mode := range modes {
@@ -146,7 +146,7 @@
 	}
 }
 
-func kept(b *testing.B, mode string, into *hdrhistogram.Histogram) {
+func measureWithStore(b *testing.B, mode string, latencies *hdrhistogram.Histogram) {
 	durability := map[string]string{"none": "none", "each": "each"}[mode]
 	if durability == "" {
 		durability = "batched"
@@ -167,7 +167,7 @@
 	if mode != "idempotent" {
 		flags = []string{"--keep", path}
 	}
-	s := startWith(b, false, change, flags...)
+	s := startNodeWithFlags(b, false, change, flags...)
 	defer s.command.Process.Kill()
 	d := s.dial()
 	for stream := range uint32(600) {
@@ -178,9 +178,9 @@
 			fields = append(fields, frame.Field{Name: "dedupe", Value: fmt.Sprint("t", stream)})
 		}
 		at := time.Now()
-		d.conn.SetDeadline(at.Add(bound))
+		d.conn.SetDeadline(at.Add(testTimeout))
 		d.write(frame.AppendInvocation(nil, stream+1, fields, []byte("x")))
 		d.answer()
-		require.NoError(b, into.RecordValue(time.Since(at).Microseconds()))
+		require.NoError(b, latencies.RecordValue(time.Since(at).Microseconds()))
 	}
 }
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -19,18 +19,18 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// fleet is the file of a fleet whose only other member is whoever sends to bind.
-func fleet(t testing.TB) (path, bind string) { return fleetWith(t, nil) }
+// fleetFile is the file of a fleetFile whose only other member is whoever sends to bind.
+func fleetFile(t testing.TB) (path, bind string) { return fleetFileWithReplicas(t, nil) }
 
-// fleetWith is the same with a council, if there is one.
-func fleetWith(t testing.TB, seats []string) (path, bind string) {
+// fleetFileWithReplicas is the same with a council, if there is one.
+func fleetFileWithReplicas(t testing.TB, replicas []string) (path, bind string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	bind = l.Addr().String()
 	l.Close()
 	config := map[string]any{"fleet": "tests", "bind": bind, "seeds": []string{bind}}
-	if seats != nil {
-		config["council"] = map[string]any{"seats": seats}
+	if replicas != nil {
+		config["council"] = map[string]any{"seats": replicas}
 	}
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
@@ -39,8 +39,8 @@
 	return path, bind
 }
 
-// flood sends datagrams of a kind as fast as it may, until it is ended; it says how many.
-func flood(t testing.TB, to string, next func() []byte) (end func() int) {
+// floodDatagrams sends datagrams of a kind as fast as it may, until it is ended; it says how many.
+func floodDatagrams(t testing.TB, to string, next func() []byte) (end func() int) {
 	conn, err := net.Dial("udp", to)
 	require.NoError(t, err)
 	stop, done := make(chan struct{}), make(chan int)
@@ -63,11 +63,11 @@
 	return func() int { close(stop); return <-done }
 }
 
-func garbage() func() []byte {
-	chance := rand.New(rand.NewSource(1))
+func randomDatagrams() func() []byte {
+	random := rand.New(rand.NewSource(1))
 	return func() []byte {
-		b := make([]byte, chance.Intn(1_400))
-		chance.Read(b)
+		b := make([]byte, random.Intn(1_400))
+		random.Read(b)
 		if len(b) > 0 {
 			b[0] = envelope.Version
 		}
@@ -75,10 +75,10 @@
 	}
 }
 
-func TestPeerThatFloodsOrLiesHoldsUpNobody(t *testing.T) {
-	path, bind := fleet(t)
-	s := startWith(t, false, nil, "--fleet", path)
-	end := flood(t, bind, garbage())
+func TestFleetPeerThatFloodsOrSendsInvalidDataBlocksNobody(t *testing.T) {
+	path, bind := fleetFile(t)
+	s := startNodeWithFlags(t, false, nil, "--fleet", path)
+	end := floodDatagrams(t, bind, randomDatagrams())
 	liar, err := net.Dial("tcp", bind) // says that it will send more than any may
 	require.NoError(t, err)
 	defer liar.Close()
@@ -89,7 +89,7 @@
 	defer slow.Close()
 	_, err = slow.Write([]byte{100, 0, 0, 0, 1})
 	require.NoError(t, err)
-	s.line("peer floods")
+	s.awaitLog("peer floods")
 	d := s.dial()
 	for stream := range uint32(100) {
 		d.invoke(stream+1, "x")
@@ -109,8 +109,8 @@
 	assert.Contains(t, string(out), "is it a node of the fleet")
 }
 
-func TestWithoutAFleetThereIsNoSocketForPeers(t *testing.T) {
-	s := start(t, false, nil)
+func TestNoUDPSocketIsOpenWithoutAFleet(t *testing.T) {
+	s := startNode(t, false, nil)
 	sockets := 0
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/net", s.command.Process.Pid))
 	require.NoError(t, err)
@@ -129,11 +129,11 @@
 	assert.Zero(t, sockets)
 }
 
-func TestFleetFileThatCantBeUsedIsNamedWithItsMend(t *testing.T) {
+func TestInvalidFleetFileIsReportedWithItsLines(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte("{\n  fleet: 'x',\n  bind: '0.0.0.0:7946',\n  seeds: ['node-1:7946'],\n  silence: '1 s',\n}"), 0o600))
-	s := start(t, false, nil)
-	out, err := exec.Command(program, "check", "--fleet", path, s.path).CombinedOutput()
+	s := startNode(t, false, nil)
+	out, err := exec.Command(program, "check", "--fleet", path, s.configPath).CombinedOutput()
 	assert.Error(t, err)
 	for _, want := range []string{path + ":3: bind: is every address", path + ":4: seeds.0:", path + ":5: silence: holds fewer than 4 probes"} {
 		assert.Contains(t, string(out), want)
@@ -152,7 +152,7 @@
 		}
 		for range 3 {
 			for _, kind := range kinds {
-				measured(b, kind, all[kind], spent)
+				measureLatency(b, kind, all[kind], spent)
 			}
 		}
 		for _, kind := range kinds {
@@ -164,28 +164,28 @@
 	}
 }
 
-func measured(b *testing.B, kind string, into *hdrhistogram.Histogram, spent map[string]time.Duration) {
-	path, bind := fleet(b)
+func measureLatency(b *testing.B, kind string, latencies *hdrhistogram.Histogram, spent map[string]time.Duration) {
+	path, bind := fleetFile(b)
 	var flags []string
 	if kind != "off" {
 		flags = []string{"--fleet", path}
 	}
-	s := startWith(b, false, nil, flags...)
+	s := startNodeWithFlags(b, false, nil, flags...)
 	defer s.command.Process.Kill()
 	if kind == "flood" {
 		text, err := envelope.Seal(nil, envelope.FleetOf("tests"), &membership.Message{Kind: membership.MessagePing, From: 7})
 		require.NoError(b, err)
-		end := flood(b, bind, func() []byte { return text })
+		end := floodDatagrams(b, bind, func() []byte { return text })
 		defer end()
 	}
 	d := s.dial()
 	began := time.Now()
 	for stream := range uint32(800) {
 		at := time.Now()
-		d.conn.SetDeadline(at.Add(bound))
+		d.conn.SetDeadline(at.Add(testTimeout))
 		d.invoke(stream+1, "x")
 		d.answer()
-		require.NoError(b, into.RecordValue(time.Since(at).Microseconds()))
+		require.NoError(b, latencies.RecordValue(time.Since(at).Microseconds()))
 	}
 	spent[kind] += time.Since(began)
 }
--- a/integration/ramp_test.go
+++ b/integration/ramp_test.go
@@ -14,27 +14,27 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// dependency is one that all nodes of a fleet share. A call stays in its hands for a while, and so do those that are given up.
-type dependency struct {
+// sharedDependency is one that all nodes of a fleet share. A call stays in its hands for a while, and so do those that are given up.
+type sharedDependency struct {
 	listener net.Listener
 	mu       sync.Mutex
-	inHand   int
-	changes  []change
+	inFlight int
+	samples  []inFlightSample
 }
 
-type change struct {
-	at     time.Time
-	inHand int
+type inFlightSample struct {
+	at       time.Time
+	inFlight int
 }
 
-func (d *dependency) add(by int) {
+func (d *sharedDependency) add(by int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.inHand += by
-	d.changes = append(d.changes, change{time.Now(), d.inHand})
+	d.inFlight += by
+	d.samples = append(d.samples, inFlightSample{time.Now(), d.inFlight})
 }
 
-func (d *dependency) serve(conn net.Conn) {
+func (d *sharedDependency) serve(conn net.Conn) {
 	defer conn.Close()
 	for in := bufio.NewScanner(conn); in.Scan(); {
 		words := strings.Fields(in.Text())
@@ -48,31 +48,31 @@
 	}
 }
 
-// most is the highest mean of calls in hand over any span between two changes.
-func (d *dependency) most(span time.Duration) (most float64) {
+// maxMeanInFlight is the highest mean of calls in hand over any span between two changes.
+func (d *sharedDependency) maxMeanInFlight(span time.Duration) (maxMeanInFlight float64) {
 	area, from := 0.0, 0
 	at := func(k int) float64 {
-		return float64(d.changes[k].inHand) * d.changes[k+1].at.Sub(d.changes[k].at).Seconds()
+		return float64(d.samples[k].inFlight) * d.samples[k+1].at.Sub(d.samples[k].at).Seconds()
 	}
-	for k := range len(d.changes) - 1 {
+	for k := range len(d.samples) - 1 {
 		area += at(k)
-		for d.changes[k+1].at.Sub(d.changes[from].at) > span {
+		for d.samples[k+1].at.Sub(d.samples[from].at) > span {
 			area -= at(from)
 			from++
 		}
-		most = max(most, area/span.Seconds())
+		maxMeanInFlight = max(maxMeanInFlight, area/span.Seconds())
 	}
-	return most
+	return maxMeanInFlight
 }
 
 // Twenty processes that have more calls to make than they may, all killed and started again at once, keep to the budget of
 // what they share: beyond N calls in the mean only 2 times the root of N and 2 are chance.
-func TestCallsOfTwentyProcessesKeepToTheirBudgetThroughRestarts(t *testing.T) {
+func TestCallBudgetOfTwentyProcessesHoldsThroughRestarts(t *testing.T) {
 	const nodes, share, span = 20, 1.5, time.Second
-	shared := &dependency{listener: listen(t)}
-	var fleet []*site
+	shared := &sharedDependency{listener: listen(t)}
+	var fleet []*testNode
 	for range nodes {
-		s := start(t, false, func(c map[string]any) {
+		s := startNode(t, false, func(c map[string]any) {
 			c["catalog"] = shared.listener.Addr().String()
 			info := c["settings"].(map[string]any)["family_info"].(map[string]any)
 			info["calls_out"], info["calls_over"], info["memory_kb"], info["n_cores"] = share, span.Milliseconds(), 90_000, 8
@@ -80,7 +80,7 @@
 		s.config["listen"] = s.address
 		fleet = append(fleet, s)
 	}
-	go fleet[0].accept(shared.listener, shared.serve)
+	go fleet[0].acceptConnections(shared.listener, shared.serve)
 	over := make(chan struct{})
 	var load sync.WaitGroup
 	for _, s := range fleet {
@@ -91,7 +91,7 @@
 				case <-over:
 					return
 				default:
-					keepBusy(t, address, 16, time.Second, over)
+					offerLoad(t, address, 16, time.Second, over)
 					time.Sleep(5 * time.Millisecond)
 				}
 			}
@@ -100,10 +100,10 @@
 	calls := func() int {
 		shared.mu.Lock()
 		defer shared.mu.Unlock()
-		return len(shared.changes)
+		return len(shared.samples)
 	}
 	until := func(n int) { // a budget's worth of calls has been made
-		for end := time.Now().Add(bound); calls() < n && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); calls() < n && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -112,9 +112,9 @@
 		s.signal(syscall.SIGKILL)
 	}
 	for _, s := range fleet {
-		_ = await(t, s.ended) // the error of the kill
-		s.renew("new")
-		s.run()
+		_ = await(t, s.exited) // the error of the kill
+		s.resetExecutor("new")
+		s.launch()
 	}
 	until(calls() + 2*2*nodes*share*10)
 	close(over)
@@ -122,15 +122,15 @@
 	shared.mu.Lock()
 	defer shared.mu.Unlock()
 	budget := float64(nodes) * share
-	most := shared.most(span)
+	most := shared.maxMeanInFlight(span)
 	t.Logf("%.1f calls in the mean at the most, the budget is %g", most, budget)
 	assert.LessOrEqual(t, most, budget+2*math.Sqrt(budget)+2)
 	assert.Greater(t, most, budget/3, "the budget is used")
 }
 
-// keepBusy has so many invocations that make a call open at a node until the connection or the test ends, or no answer comes
+// offerLoad has so many invocations that make a call open at a node until the connection or the test ends, or no answer comes
 // for as long as it has patience.
-func keepBusy(t *testing.T, address string, open int, patience time.Duration, over chan struct{}) {
+func offerLoad(t *testing.T, address string, open int, answerTimeout time.Duration, stop chan struct{}) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return
@@ -140,7 +140,7 @@
 	defer close(ended)
 	go func() {
 		select {
-		case <-over:
+		case <-stop:
 			conn.Close()
 		case <-ended:
 		}
@@ -158,12 +158,12 @@
 		}
 	}
 	for {
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(answerTimeout))
 		if _, ok := d.next(); !ok || send() != nil {
 			return
 		}
 		select {
-		case <-over:
+		case <-stop:
 			return
 		default:
 		}
--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -27,8 +27,8 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-// bound ends a test that hangs; no verdict rests on it.
-const bound = 30 * time.Second
+// testTimeout ends a test that hangs; no verdict rests on it.
+const testTimeout = 30 * time.Second
 
 var program string
 
@@ -38,7 +38,7 @@
 		panic(err)
 	}
 	program = filepath.Join(folder, "topazpost")
-	build := exec.Command("sh", "-c", buildLine(folder))
+	build := exec.Command("sh", "-c", buildCommand(folder))
 	build.Dir = ".."
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(string(out))
@@ -48,8 +48,8 @@
 	os.Exit(code)
 }
 
-// buildLine is the build of the deploy file, into another folder, with assertions where this test has them.
-func buildLine(folder string) string {
+// buildCommand is the build of the deploy file, into another folder, with assertions where this test has them.
+func buildCommand(folder string) string {
 	build := ""
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -67,33 +67,33 @@
 	return line
 }
 
-// site is a node with its stand-ins.
-type site struct {
-	t        testing.TB
-	address  string
-	flags    []string // of serve
-	command  *exec.Cmd
-	log      chan string   // lines of the log
-	heard    heardLog      // all of them
-	ended    chan error    // of the process
-	reports  chan string   // bodies of reports
-	told     chan []string // commands that the executor read, but for those that ask for gauges
-	asked    chan []string // what the catalogue read
-	links    chan net.Conn // to the executor, each after its JOIN
-	supplied chan net.Conn // to the catalogue, each as it is opened
-	left     chan net.Conn // to the catalogue, each as it is closed
-	up       chan struct{} // closed once the executor is up
-	reply    func(call string) string
+// testNode is a node with its stand-ins.
+type testNode struct {
+	t               testing.TB
+	address         string
+	flags           []string // of serve
+	command         *exec.Cmd
+	logLines        chan string   // lines of the log
+	logText         logBuffer     // all of them
+	exited          chan error    // of the process
+	reports         chan string   // bodies of reports
+	executorLines   chan []string // commands that the executor read, but for those that ask for gauges
+	catalogueLines  chan []string // what the catalogue read
+	executorConns   chan net.Conn // to the executor, each after its JOIN
+	catalogueConns  chan net.Conn // to the catalogue, each as it is opened
+	catalogueClosed chan net.Conn // to the catalogue, each as it is closed
+	executorUp      chan struct{} // closed once the executor is up
+	catalogueReply  func(call string) string
 
 	executor, catalogue net.Listener
 	control             http.Handler
 	config              map[string]any
-	path                string // of the configuration
+	configPath          string // of the configuration
 
-	mu      sync.Mutex
-	link    net.Conn
-	notices []string
-	state   string // of the executor in its welcome
+	mu            sync.Mutex
+	executorConn  net.Conn
+	notices       []string
+	executorState string // of the executor in its welcome
 }
 
 func listen(t testing.TB) net.Listener {
@@ -103,23 +103,23 @@
 	return l
 }
 
-// start starts a node; change edits its configuration.
-func start(t testing.TB, late bool, change func(config map[string]any)) *site {
-	return startWith(t, late, change)
+// startNode starts a node; change edits its configuration.
+func startNode(t testing.TB, executorLate bool, change func(config map[string]any)) *testNode {
+	return startNodeWithFlags(t, executorLate, change)
 }
 
-// startWith does so with flags of serve.
-func startWith(t testing.TB, late bool, change func(config map[string]any), flags ...string) *site {
-	s := &site{t: t, flags: flags, log: make(chan string, 1_000), ended: make(chan error, 1), reports: make(chan string, 100),
-		told: make(chan []string, 1_000), asked: make(chan []string, 1_000), links: make(chan net.Conn, 100),
-		supplied: make(chan net.Conn, 100), left: make(chan net.Conn, 100), up: make(chan struct{}), state: "old", reply: func(call string) string { return call + " DATA 5\r\nreply\r\n" }}
-	if !late {
-		close(s.up)
+// startNodeWithFlags does so with flags of serve.
+func startNodeWithFlags(t testing.TB, executorLate bool, change func(config map[string]any), flags ...string) *testNode {
+	s := &testNode{t: t, flags: flags, logLines: make(chan string, 1_000), exited: make(chan error, 1), reports: make(chan string, 100),
+		executorLines: make(chan []string, 1_000), catalogueLines: make(chan []string, 1_000), executorConns: make(chan net.Conn, 100),
+		catalogueConns: make(chan net.Conn, 100), catalogueClosed: make(chan net.Conn, 100), executorUp: make(chan struct{}), executorState: "old", catalogueReply: func(call string) string { return call + " DATA 5\r\nreply\r\n" }}
+	if !executorLate {
+		close(s.executorUp)
 	}
 	executor, catalogue := listen(t), listen(t)
 	s.executor, s.catalogue = executor, catalogue
-	go s.accept(executor, s.execute)
-	go s.accept(catalogue, s.supply)
+	go s.acceptConnections(executor, s.serveExecutor)
+	go s.acceptConnections(catalogue, s.serveCatalogue)
 	s.control = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var b bytes.Buffer
 		_, _ = b.ReadFrom(r.Body) // a report cut short is seen by the test that reads it
@@ -142,27 +142,27 @@
 	if change != nil {
 		change(config)
 	}
-	s.config, s.path = config, filepath.Join(t.TempDir(), "config.json")
-	s.run()
+	s.config, s.configPath = config, filepath.Join(t.TempDir(), "config.json")
+	s.launch()
 	return s
 }
 
-// configure writes the configuration, whole or half of it.
-func (s *site) configure(half bool) {
+// writeConfig writes the configuration, whole or half of it.
+func (s *testNode) writeConfig(truncated bool) {
 	text, err := json.Marshal(s.config)
 	require.NoError(s.t, err)
-	if half {
+	if truncated {
 		text = text[:len(text)/2]
 	}
-	require.NoError(s.t, os.WriteFile(s.path, text, 0o600))
+	require.NoError(s.t, os.WriteFile(s.configPath, text, 0o600))
 }
 
-// move gives the node's peers new addresses; those of before accept nothing more.
-func (s *site) move() {
+// movePeers gives the node's peers new addresses; those of before accept nothing more.
+func (s *testNode) movePeers() {
 	old := []net.Listener{s.executor, s.catalogue}
 	s.executor, s.catalogue = listen(s.t), listen(s.t)
-	go s.accept(s.executor, s.execute)
-	go s.accept(s.catalogue, s.supply)
+	go s.acceptConnections(s.executor, s.serveExecutor)
+	go s.acceptConnections(s.catalogue, s.serveCatalogue)
 	control := httptest.NewServer(s.control)
 	s.t.Cleanup(control.Close)
 	s.config["executor"], s.config["catalog"] = s.executor.Addr().String(), s.catalogue.Addr().String()
@@ -172,43 +172,43 @@
 	}
 }
 
-func (s *site) run() {
-	s.configure(false)
+func (s *testNode) launch() {
+	s.writeConfig(false)
 	s.command = exec.Command(program, append([]string{"serve"}, s.flags...)...)
-	s.command.Env = append(os.Environ(), "GW_CONFIG="+s.path)
+	s.command.Env = append(os.Environ(), "GW_CONFIG="+s.configPath)
 	out, err := s.command.StderrPipe()
 	require.NoError(s.t, err)
 	require.NoError(s.t, s.command.Start())
 	s.t.Cleanup(func() { s.command.Process.Kill() })
-	command, ended := s.command, s.ended // a further life has its own
+	command, ended := s.command, s.exited // a further life has its own
 	go func() {
 		for in := bufio.NewScanner(out); in.Scan(); {
-			fmt.Fprintln(&s.heard, in.Text())
-			s.log <- in.Text()
+			fmt.Fprintln(&s.logText, in.Text())
+			s.logLines <- in.Text()
 		}
 		ended <- command.Wait()
 	}()
 	var first struct{ Listen string }
-	require.NoError(s.t, json.Unmarshal([]byte(s.line("listening")), &first))
+	require.NoError(s.t, json.Unmarshal([]byte(s.awaitLog("listening")), &first))
 	s.address = first.Listen
 	select {
-	case <-s.up:
-		s.line("executor is up")
+	case <-s.executorUp:
+		s.awaitLog("executor is up")
 	default:
 	}
 }
 
-// renew has the executor know nothing of the node's last life: it numbers anew for each start.
-func (s *site) renew(state string) {
+// resetExecutor has the executor know nothing of the node's last life: it numbers anew for each start.
+func (s *testNode) resetExecutor(state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link, s.notices, s.state = nil, nil, state
+	s.executorConn, s.notices, s.executorState = nil, nil, state
 }
 
-// line waits for a line of the log.
-func (s *site) line(text string) string {
+// awaitLog waits for a awaitLog of the log.
+func (s *testNode) awaitLog(text string) string {
 	for {
-		if l := await(s.t, s.log); strings.Contains(l, text) {
+		if l := await(s.t, s.logLines); strings.Contains(l, text) {
 			return l
 		}
 	}
@@ -218,13 +218,13 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(bound):
+	case <-time.After(testTimeout):
 		require.Fail(t, "nothing came")
 	}
 	return v
 }
 
-func (s *site) accept(l net.Listener, serve func(conn net.Conn)) {
+func (s *testNode) acceptConnections(l net.Listener, serve func(conn net.Conn)) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *site) read(conn net.Conn, counted string, take func(l lineprotocol.Line)) {
+func (s *testNode) readLines(conn net.Conn, counted string, take func(l lineprotocol.Line)) {
 	p := lineprotocol.Parser{Counted: func(words []string) bool { return strings.Contains(counted, words[0]) }}
 	for {
 		n, err := conn.Read(p.Space())
@@ -253,26 +253,26 @@
 	}
 }
 
-// execute does what the body of an invocation says: "bad" fails, "call" makes a call, "hold" runs on; else the
+// serveExecutor does what the body of an invocation says: "bad" fails, "call" makes a call, "hold" runs on; else the
 // run is good.
-func (s *site) execute(conn net.Conn) {
-	s.read(conn, "EXEC RETURN", func(l lineprotocol.Line) {
+func (s *testNode) serveExecutor(conn net.Conn) {
+	s.readLines(conn, "EXEC RETURN", func(l lineprotocol.Line) {
 		w := l.Words
 		switch w[0] {
 		case "JOIN":
-			<-s.up
+			<-s.executorUp
 			after, _ := strconv.Atoi(w[1])
 			s.mu.Lock()
-			s.link = conn
-			fmt.Fprint(conn, "WELCOME "+s.state+" 5\r\n", strings.Join(s.notices[after:], ""))
+			s.executorConn = conn
+			fmt.Fprint(conn, "WELCOME "+s.executorState+" 5\r\n", strings.Join(s.notices[after:], ""))
 			s.mu.Unlock()
-			s.links <- conn
+			s.executorConns <- conn
 			return
 		case "METER":
 			fmt.Fprintf(conn, "METERS %s 0.1 1\r\n", w[1])
 			return
 		}
-		s.told <- append(slices.Clone(w), string(l.Body)) // before what follows from it
+		s.executorLines <- append(slices.Clone(w), string(l.Body)) // before what follows from it
 		switch w[0] {
 		case "EXEC":
 			switch body := string(l.Body); body {
@@ -291,23 +291,23 @@
 }
 
 // notify numbers a notice, keeps it, and writes it to the link of the moment, if there is one.
-func (s *site) notify(form string) {
+func (s *testNode) notify(form string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notices = append(s.notices, fmt.Sprintf(form, len(s.notices)+1))
-	if s.link != nil {
-		fmt.Fprint(s.link, s.notices[len(s.notices)-1])
+	if s.executorConn != nil {
+		fmt.Fprint(s.executorConn, s.notices[len(s.notices)-1])
 	}
 }
 
-func (s *site) supply(conn net.Conn) {
-	s.supplied <- conn
-	defer func() { s.left <- conn }()
-	s.read(conn, "FETCH", func(l lineprotocol.Line) {
-		s.asked <- append(l.Words, string(l.Body))
+func (s *testNode) serveCatalogue(conn net.Conn) {
+	s.catalogueConns <- conn
+	defer func() { s.catalogueClosed <- conn }()
+	s.readLines(conn, "FETCH", func(l lineprotocol.Line) {
+		s.catalogueLines <- append(l.Words, string(l.Body))
 		if l.Words[0] == "FETCH" {
 			s.mu.Lock()
-			reply := s.reply(l.Words[1])
+			reply := s.catalogueReply(l.Words[1])
 			s.mu.Unlock()
 			if reply == "break" {
 				conn.Close()
@@ -318,24 +318,24 @@
 	})
 }
 
-func (s *site) replyWith(reply func(call string) string) {
+func (s *testNode) setCatalogueReply(reply func(call string) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reply = reply
+	s.catalogueReply = reply
 }
 
 // dispatcher is a connection to the node.
 type dispatcher struct {
-	t    testing.TB
-	conn net.Conn
-	p    frame.Parser
+	t      testing.TB
+	conn   net.Conn
+	parser frame.Parser
 }
 
-func (s *site) dial() *dispatcher {
+func (s *testNode) dial() *dispatcher {
 	conn, err := net.Dial("tcp", s.address)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(bound))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &dispatcher{t: s.t, conn: conn}
 }
 
@@ -365,17 +365,17 @@
 // next is the next frame; ok is false at the end of the connection.
 func (d *dispatcher) next() (f frame.Frame, ok bool) {
 	for {
-		f, ok, err := d.p.Next()
+		f, ok, err := d.parser.Next()
 		require.NoError(d.t, err)
 		if ok {
 			f.Payload = bytes.Clone(f.Payload)
 			return f, true
 		}
-		n, err := d.conn.Read(d.p.Space())
+		n, err := d.conn.Read(d.parser.Space())
 		if err != nil {
 			return f, false
 		}
-		d.p.Wrote(n)
+		d.parser.Wrote(n)
 	}
 }
 
@@ -391,7 +391,7 @@
 	return fmt.Sprintf("%d on %d %s", f.Payload[0], f.Stream, body)
 }
 
-func (s *site) signal(which os.Signal) { s.command.Process.Signal(which) }
+func (s *testNode) signal(which os.Signal) { s.command.Process.Signal(which) }
 
 // containsInode looks for a socket in a table of /proc/net.
 func containsInode(table string, inode int) bool {
