--- a/integration/callbudget_test.go
+++ b/integration/callbudget_test.go
@@ -72,19 +72,19 @@
 	shared := &sharedDependency{listener: listen(t)}
 	var fleet []*testNode
 	for range nodes {
-		s := startNode(t, false, func(c map[string]any) {
+		node := startNode(t, false, func(c map[string]any) {
 			c["catalog"] = shared.listener.Addr().String()
 			info := c["settings"].(map[string]any)["family_info"].(map[string]any)
 			info["calls_out"], info["calls_over"], info["memory_kb"], info["n_cores"] = share, span.Milliseconds(), 90_000, 8
 		})
-		s.config["listen"] = s.address
-		fleet = append(fleet, s)
+		node.config["listen"] = node.address
+		fleet = append(fleet, node)
 	}
 	go fleet[0].acceptConnections(shared.listener, shared.serve)
 	over := make(chan struct{})
 	var load sync.WaitGroup
-	for _, s := range fleet {
-		address := s.address
+	for _, node := range fleet {
+		address := node.address
 		load.Go(func() {
 			for {
 				select {
@@ -108,13 +108,13 @@
 		}
 	}
 	until(2 * 2 * nodes * share * 10)
-	for _, s := range fleet {
-		s.signal(syscall.SIGKILL)
+	for _, node := range fleet {
+		node.signal(syscall.SIGKILL)
 	}
-	for _, s := range fleet {
-		_ = await(t, s.exited) // the error of the kill
-		s.resetExecutor("new")
-		s.launch()
+	for _, node := range fleet {
+		_ = await(t, node.exited) // the error of the kill
+		node.resetExecutor("new")
+		node.launch()
 	}
 	until(calls() + 2*2*nodes*share*10)
 	close(over)
--- a/integration/configsync_test.go
+++ b/integration/configsync_test.go
@@ -138,42 +138,42 @@
 }
 
 func TestVersionsAreOrderedReplicatedAppliedAndPersisted(t *testing.T) {
-	f := startConfigFleet(t)
+	fleet := startConfigFleet(t)
 	put := func(words ...string) []string { return append([]string{"put", "--within", commandTimeout}, words...) }
-	for k := range f.nodes {
-		f.awaitInForce(k, 0, "file")
+	for k := range fleet.nodes {
+		fleet.awaitInForce(k, 0, "file")
 	}
 
-	out, code := f.runConfig(put("--wait", f.nodes[0].configPath)...)
+	out, code := fleet.runConfig(put("--wait", fleet.nodes[0].configPath)...)
 	require.Zero(t, code, out)
 	assert.Equal(t, uint64(1), out.Version)
-	for k := range f.nodes {
-		f.awaitInForce(k, 1, "fleet")
+	for k := range fleet.nodes {
+		fleet.awaitInForce(k, 1, "fleet")
 	}
 
-	change := f.writeChange(`{ operations: { more: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent' } }, limits: { group_size: 4 } }`)
-	out, code = f.runConfig(put("--request", "r1", change)...)
+	change := fleet.writeChange(`{ operations: { more: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent' } }, limits: { group_size: 4 } }`)
+	out, code = fleet.runConfig(put("--request", "r1", change)...)
 	require.Zero(t, code, out)
 	assert.Equal(t, uint64(2), out.Version)
-	again, code := f.runConfig(put("--request", "r1", "--base", "1", change)...)
+	again, code := fleet.runConfig(put("--request", "r1", "--base", "1", change)...)
 	assert.Zero(t, code, "the same request counts once: %v", again)
 	assert.Equal(t, uint64(2), again.Version)
-	out, code = f.runConfig(put("--base", "1", f.writeChange(`{ tenants: { b: { quota_rps: 1 } } }`))...)
+	out, code = fleet.runConfig(put("--base", "1", fleet.writeChange(`{ tenants: { b: { quota_rps: 1 } } }`))...)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out.Refused, "made on version 1, the newest is 2")
 	assert.ElementsMatch(t, []string{"operations.more", "limits.group_size"}, out.Differ)
-	for k := range f.nodes {
-		f.awaitInForce(k, 2, "fleet")
+	for k := range fleet.nodes {
+		fleet.awaitInForce(k, 2, "fleet")
 	}
-	assert.Eventually(t, func() bool { out, _ := f.runConfig("status"); return out.ForAll == 2 }, testTimeout, 100*time.Millisecond)
+	assert.Eventually(t, func() bool { out, _ := fleet.runConfig("status"); return out.ForAll == 2 }, testTimeout, 100*time.Millisecond)
 
-	out, code = f.runConfig(put("--wait",
-		f.writeChange(`{ operations: { calls: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent', class_calls: true } } }`))...)
+	out, code = fleet.runConfig(put("--wait",
+		fleet.writeChange(`{ operations: { calls: { aim: 1000, give_up: 4000, importance: 2, effect: 'idempotent', class_calls: true } } }`))...)
 	assert.Equal(t, 1, code, "n3 can't take it: %v", out)
 	assert.Contains(t, out.Stopped, "n3 can't take it")
 	assert.Contains(t, out.Stopped, "names no catalogue")
 	assert.Eventually(t, func() bool { // any seat may be asked, and one may know later than another
-		out, _ = f.runConfig("status")
+		out, _ = fleet.runConfig("status")
 		return out.ForAll == 2 && out.By == "n3" && len(out.Refusals) > 0
 	}, testTimeout, 100*time.Millisecond, "the seats know who can't take it")
 	assert.Equal(t, []any{uint64(2), "n3"}, []any{out.ForAll, out.By})
@@ -186,32 +186,32 @@
 		}
 	}
 	assert.Eventually(t, func() bool {
-		return strings.Contains(f.nodes[2].logText.String(), "configuration 3 can't be taken, 2 stays in force")
-	}, testTimeout, 20*time.Millisecond, "%s", &f.nodes[2].logText)
+		return strings.Contains(fleet.nodes[2].logText.String(), "configuration 3 can't be taken, 2 stays in force")
+	}, testTimeout, 20*time.Millisecond, "%s", &fleet.nodes[2].logText)
 
-	out, code = f.runConfig("rollback", "2", "--wait", "--within", commandTimeout)
+	out, code = fleet.runConfig("rollback", "2", "--wait", "--within", commandTimeout)
 	require.Zero(t, code, out)
 	require.Equal(t, uint64(4), out.Version)
 
-	f.stop(syscall.SIGKILL) // all seats
-	n1 := f.nodes[0]
+	fleet.stop(syscall.SIGKILL) // all seats
+	n1 := fleet.nodes[0]
 	require.NoError(t, n1.command.Process.Kill())
 	_ = <-n1.exited // the error of the kill
 	n1.resetExecutor("new")
 	n1.launch()
-	f.awaitInForce(0, 4, "disk")
+	fleet.awaitInForce(0, 4, "disk")
 	d := n1.dial()
 	d.write(invocationOf("more", "00000000000000ab", 1, "x"))
 	assert.Equal(t, "20 on 1 x", d.answer(), "it serves what came as a version; %s", &n1.logText)
-	f.launch()
+	fleet.launch()
 	assert.Eventually(t, func() bool {
-		text, err := exec.Command(program, "config", "status", "--fleet", "tests", "--json", "--at", f.binds[0]).Output()
+		text, err := exec.Command(program, "config", "status", "--fleet", "tests", "--json", "--at", fleet.binds[0]).Output()
 		return err == nil && strings.Contains(string(text), `"for_all":4`)
 	}, testTimeout, 100*time.Millisecond, "seats know what was agreed on")
-	out, code = f.runConfig(put("--wait", f.writeChange(`{ tenants: { a: { quota_rps: 5 } }, limits: { group_size: null } }`))...)
+	out, code = fleet.runConfig(put("--wait", fleet.writeChange(`{ tenants: { a: { quota_rps: 5 } }, limits: { group_size: null } }`))...)
 	require.Zero(t, code, out)
 	assert.Equal(t, uint64(5), out.Version)
-	out, _ = f.runConfig("show")
+	out, _ = fleet.runConfig("show")
 	assert.Contains(t, out.Parts["operations"], "more")
 	assert.NotContains(t, out.Parts["operations"], "calls")
 	assert.Equal(t, `{"quota_rps":5}`, string(out.Parts["tenants"]["a"]))
--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -83,7 +83,7 @@
 
 func TestStreamsThatFloodStallOrSendInvalidDataBlockNobody(t *testing.T) {
 	path, bind := singleReplicaFleetFile(t)
-	s := startNodeWithFlags(t, false, nil, "--fleet", path)
+	node := startNodeWithFlags(t, false, nil, "--fleet", path)
 	liar := dialPeer(t, bind)
 	_, err := liar.Write([]byte{0xff, 0xff, 0xff, 0x7f})
 	require.NoError(t, err)
@@ -109,7 +109,7 @@
 			}
 		}()
 	}
-	d := s.dial()
+	d := node.dial()
 	for stream := range uint32(100) {
 		d.invoke(stream+1, "x")
 		assert.Equal(t, fmt.Sprintf("20 on %d x", stream+1), d.answer())
@@ -130,10 +130,10 @@
 
 func TestConsensusGroupAndResultStoreExcludeEachOther(t *testing.T) {
 	path, _ := singleReplicaFleetFile(t)
-	s := startNode(t, false, nil)
+	node := startNode(t, false, nil)
 	kept := filepath.Join(t.TempDir(), "kept.jsonnet")
 	require.NoError(t, os.WriteFile(kept, []byte(`{durability: 'batched', folder: 'kept'}`), 0o600))
-	out, err := exec.Command(program, "serve", "--fleet", path, "--keep", kept, s.configPath).CombinedOutput()
+	out, err := exec.Command(program, "serve", "--fleet", path, "--keep", kept, node.configPath).CombinedOutput()
 	assert.Error(t, err)
 	assert.NotEmpty(t, out)
 }
--- a/integration/deduplication_test.go
+++ b/integration/deduplication_test.go
@@ -20,9 +20,9 @@
 }
 
 // startedBodies are the bodies of the runs that were started since the last look.
-func (s *testNode) startedBodies() (bodies []string) {
-	for len(s.executorLines) > 0 {
-		if w := <-s.executorLines; w[0] == "EXEC" {
+func (n *testNode) startedBodies() (bodies []string) {
+	for len(n.executorLines) > 0 {
+		if w := <-n.executorLines; w[0] == "EXEC" {
 			bodies = append(bodies, w[len(w)-1])
 		}
 	}
@@ -30,56 +30,56 @@
 }
 
 func TestDuplicateWaitsForTheRunInFlightOrGetsItsCachedResult(t *testing.T) {
-	s := startDeduplicatingNode(t, 60_000)
-	first, second := s.dial(), s.dial()
+	node := startDeduplicatingNode(t, 60_000)
+	first, second := node.dial(), node.dial()
 	first.invokeWithToken(1, "a", "hold")
-	run := await(t, s.executorLines)
+	run := await(t, node.executorLines)
 	second.invokeWithToken(1, "a", "hold") // on another connection, while it runs
 	second.invokeWithToken(2, "b", "other")
 	assert.Equal(t, "20 on 2 other", second.answer(), "the repeat before it was read")
-	s.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
+	node.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", first.answer())
 	assert.Equal(t, "20 on 1 ok", second.answer())
-	third := s.dial()
+	third := node.dial()
 	third.invokeWithToken(1, "a", "hold")
 	assert.Equal(t, "20 on 1 ok", third.answer())
 	first.invokeWithToken(2, "a", "another body")
 	assert.Equal(t, "51 on 2 ", first.answer(), "a token of another body")
-	assert.Equal(t, []string{"other"}, s.startedBodies(), "beside the first run")
+	assert.Equal(t, []string{"other"}, node.startedBodies(), "beside the first run")
 }
 
 func TestDuplicateGetsTheResultAfterTheFirstCallerDisconnected(t *testing.T) {
-	s := startDeduplicatingNode(t, 60_000)
-	first, second := s.dial(), s.dial()
+	node := startDeduplicatingNode(t, 60_000)
+	first, second := node.dial(), node.dial()
 	first.invokeWithToken(1, "a", "hold")
-	run := await(t, s.executorLines)
+	run := await(t, node.executorLines)
 	first.conn.Close()
 	second.invokeWithToken(1, "a", "hold")
 	second.invokeWithToken(2, "b", "other")
 	assert.Equal(t, "20 on 2 other", second.answer())
-	s.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
+	node.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", second.answer())
-	assert.Equal(t, []string{"other"}, s.startedBodies())
+	assert.Equal(t, []string{"other"}, node.startedBodies())
 }
 
 func TestDuplicateRunsAgainOnlyAfterItsWindow(t *testing.T) {
 	const window = 700 * time.Millisecond
-	s := startDeduplicatingNode(t, int(window/time.Millisecond))
-	grade := s.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
+	node := startDeduplicatingNode(t, int(window/time.Millisecond))
+	grade := node.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
 	grade["give_up"], grade["aim"] = 800, 600 // a token is known for so much longer than its window
-	s.signal(syscall.SIGKILL)
-	_ = await(t, s.exited) // the error of the kill
-	s.launch()
-	d := s.dial()
+	node.signal(syscall.SIGKILL)
+	_ = await(t, node.exited) // the error of the kill
+	node.launch()
+	d := node.dial()
 	from := time.Now()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
-	assert.Len(t, s.startedBodies(), 1)
+	assert.Len(t, node.startedBodies(), 1)
 	for stream := uint32(2); ; stream++ {
 		sent := time.Now()
 		d.invokeWithToken(stream, "a", "result")
 		assert.Equal(t, fmt.Sprintf("20 on %d result", stream), d.answer())
-		if len(s.startedBodies()) > 0 {
+		if len(node.startedBodies()) > 0 {
 			assert.GreaterOrEqual(t, time.Since(from), window)
 			return
 		}
@@ -90,14 +90,14 @@
 
 // In a drain, and after intake has ended, a repeat of one that ran is never told that it did not run.
 func TestDuplicateOfACompletedRunIsNeverRejectedInADrain(t *testing.T) {
-	s := startDeduplicatingNode(t, 60_000)
-	d, other := s.dial(), s.dial()
+	node := startDeduplicatingNode(t, 60_000)
+	d, other := node.dial(), node.dial()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
 	other.invokeWithToken(1, "c", "first")
 	assert.Equal(t, "20 on 1 first", other.answer())
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("drain notice")
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
 	d.invokeWithToken(2, "a", "result")
 	assert.Equal(t, "20 on 2 result", d.answer(), "intake is open still")
 	d.awaitNoMore()
@@ -108,38 +108,38 @@
 	assert.Equal(t, "50 on 2 ", other.answer())
 	d.assertClosed()
 	other.assertClosed()
-	assert.NoError(t, await(t, s.exited))
-	assert.Equal(t, []string{"result", "first"}, s.startedBodies())
+	assert.NoError(t, await(t, node.exited))
+	assert.Equal(t, []string{"result", "first"}, node.startedBodies())
 }
 
 // A new life knows nothing of the last one's tokens without a store: they run once in it too.
 func TestDuplicateAfterARestartRunsOncePerIncarnation(t *testing.T) {
-	s := startDeduplicatingNode(t, 60_000)
-	d := s.dial()
+	node := startDeduplicatingNode(t, 60_000)
+	d := node.dial()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
-	s.signal(syscall.SIGKILL)
-	_ = await(t, s.exited) // the error of the kill
-	s.resetExecutor("old")
-	s.launch()
+	node.signal(syscall.SIGKILL)
+	_ = await(t, node.exited) // the error of the kill
+	node.resetExecutor("old")
+	node.launch()
 	for range 2 {
-		d = s.dial()
+		d = node.dial()
 		d.invokeWithToken(1, "a", "result")
 		assert.Equal(t, "20 on 1 result", d.answer())
 	}
-	assert.Equal(t, []string{"result", "result"}, s.startedBodies(), "one run in each life")
+	assert.Equal(t, []string{"result", "result"}, node.startedBodies(), "one run in each life")
 }
 
 func TestUnknownEffectsAndMissingTokensAreReported(t *testing.T) {
-	s := startDeduplicatingNode(t, 60_000)
-	d := s.dial()
+	node := startDeduplicatingNode(t, 60_000)
+	d := node.dial()
 	d.invoke(1, "without a token")
 	assert.Equal(t, "51 on 1 ", d.answer())
-	assert.Contains(t, s.awaitLog("can't be used"), "field dedupe")
-	grade := s.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
+	assert.Contains(t, node.awaitLog("can't be used"), "field dedupe")
+	grade := node.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
 	grade["effect"] = "once"
-	s.writeConfig(false)
-	out, err := runProgram("check", s.configPath)
+	node.writeConfig(false)
+	out, err := runProgram("check", node.configPath)
 	assert.Error(t, err)
 	assert.Contains(t, out, `grades.0.effect: "once" is not known`)
 }
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -33,15 +33,15 @@
 
 // An invocation that is sent in the moment in which the notice comes crosses it: it was read, and is owed an answer.
 func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
-	s := startNode(t, false, nil)
+	node := startNode(t, false, nil)
 	var rest []*dispatcher
 	for n := range 8 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer(), n)
 		rest = append(rest, d)
 	}
-	s.signal(syscall.SIGTERM)
+	node.signal(syscall.SIGTERM)
 	for _, d := range rest {
 		d.awaitNoMore()
 		d.invoke(2, "crosses")
@@ -50,37 +50,37 @@
 		assert.Equal(t, "50 on 2 ", d.answer())
 		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.exited))
-	for len(s.executorLines) > 0 {
-		w := <-s.executorLines
+	assert.NoError(t, await(t, node.exited))
+	for len(node.executorLines) > 0 {
+		w := <-node.executorLines
 		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake")
 	}
 }
 
 // The same where the node has no executor, and leaves at once.
 func TestInvocationThatCrossesTheExitWithoutAnExecutorIsAnswered(t *testing.T) {
-	s := startNode(t, true, nil)
-	d := s.dial()
+	node := startNode(t, true, nil)
+	d := node.dial()
 	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 	d.next()
-	s.signal(syscall.SIGTERM)
+	node.signal(syscall.SIGTERM)
 	d.awaitNoMore()
 	d.invoke(1, "crosses")
 	assert.Equal(t, "50 on 1 ", d.answer())
 	d.assertClosed()
-	assert.NoError(t, await(t, s.exited))
+	assert.NoError(t, await(t, node.exited))
 }
 
 // Connections that the system accepted while no place was free are taken on when intake ends, and their invocations
 // are answered.
 func TestConnectionsInTheBacklogWhenIntakeStopsAreAnswered(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) {
+	node := startNode(t, false, func(c map[string]any) {
 		c["stop_ms"] = 6_000
 		c["limits"].(map[string]any)["sockets"] = 32
 	})
 	var first, waiting []*dispatcher
 	for n := range 14 { // as many as there are places, each with something open
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "hold")
 		d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 		f, _ := d.next()
@@ -88,11 +88,11 @@
 		first = append(first, d)
 	}
 	for range 3 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "waits")
 		waiting = append(waiting, d)
 	}
-	s.signal(syscall.SIGTERM)
+	node.signal(syscall.SIGTERM)
 	for _, d := range first { // each ends by itself once it is told and answered
 		got := []string{d.answer(), d.answer()}
 		slices.Sort(got)
@@ -105,20 +105,20 @@
 		assert.Equal(t, "50 on 1 ", d.answer())
 		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.exited))
+	assert.NoError(t, await(t, node.exited))
 }
 
 // Resting connections make room in the protocol's way: told, heard once more, closed without a reset.
 func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	var rest []*dispatcher
 	for range 10 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer())
 		rest = append(rest, d)
 	}
-	next := s.dial()
+	next := node.dial()
 	next.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", next.answer())
 	d := rest[0] // it rested longest
@@ -132,9 +132,9 @@
 // within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
 	const restarts, soon = 20, 10 * time.Second
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
-	address := s.address
-	s.config["listen"] = address
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
+	address := node.address
+	node.config["listen"] = address
 	var load sync.WaitGroup
 	over := make(chan struct{})
 	for range 8 {
@@ -167,16 +167,16 @@
 	}
 	var took []time.Duration
 	for n := range restarts {
-		last, ended := s.command, s.exited
+		last, ended := node.command, node.exited
 		if n%2 == 0 {
 			last.Process.Signal(syscall.SIGKILL)
 		} else {
 			last.Process.Signal(syscall.SIGTERM)
 		}
-		s.resetExecutor("old")
-		s.exited = make(chan error, 1)
+		node.resetExecutor("old")
+		node.exited = make(chan error, 1)
 		from := time.Now()
-		s.launch()
+		node.launch()
 		for !answersHealthCheck(address) {
 			require.Less(t, time.Since(from), 30*time.Second)
 			time.Sleep(time.Millisecond)
@@ -209,19 +209,19 @@
 
 // The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
 func TestDescriptorsAreReleasedAfterDisconnects(t *testing.T) {
-	s := startNode(t, false, nil)
+	node := startNode(t, false, nil)
 	open := func() int {
-		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.command.Process.Pid))
+		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.command.Process.Pid))
 		require.NoError(t, err)
 		return len(list)
 	}
-	d := s.dial()
+	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
 	d.conn.Close()
 	before := open()
 	for n := range 60 {
-		d := s.dial()
+		d := node.dial()
 		switch n % 4 {
 		case 0:
 			d.invoke(1, "call")
--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -17,17 +17,17 @@
 
 // A second notice aborts what is in hand, and still answers it.
 func TestSecondSignalAbortsAndAnswersRunsInFlight(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 120_000 })
-	d, rests := s.dial(), s.dial()
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 120_000 })
+	d, rests := node.dial(), node.dial()
 	rests.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", rests.answer())
-	await(t, s.executorLines)
+	await(t, node.executorLines)
 	d.invoke(1, "hold")
-	await(t, s.executorLines)
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("drain notice")
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("what is in hand is aborted")
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("what is in hand is aborted")
 	assert.Equal(t, "no more", d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	rests.awaitNoMore()
@@ -35,85 +35,85 @@
 	assert.Equal(t, "50 on 2 ", rests.answer())
 	d.assertClosed()
 	rests.assertClosed()
-	assert.NoError(t, await(t, s.exited))
+	assert.NoError(t, await(t, node.exited))
 }
 
 func TestDrainWhileTheExecutorIsDisconnectedAnswersAll(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_500 })
-	d := s.dial()
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_500 })
+	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, s.executorLines)
-	link := await(t, s.executorConns)
-	s.executor.Close()
+	await(t, node.executorLines)
+	link := await(t, node.executorConns)
+	node.executor.Close()
 	link.Close()
-	s.awaitLog("executor link ended")
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("drain notice")
+	node.awaitLog("executor link ended")
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
 	d.invoke(2, "never told to the executor")
 	got := []string{d.answer(), d.answer(), d.answer()}
 	assert.Contains(t, got, "no more")
 	assert.Contains(t, got, "51 on 1 ")
 	assert.Regexp(t, `5[01] on 2 `, strings.Join(got, ","))
 	d.assertClosed()
-	assert.NoError(t, await(t, s.exited))
+	assert.NoError(t, await(t, node.exited))
 }
 
 // A process that stood still past its time to leave aborts and leaves in one step: the answers must be out before it ends.
 func TestDrainWhoseDeadlinePassedDuringASuspensionAnswersAll(t *testing.T) {
 	const stop = 800 * time.Millisecond
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = stop.Milliseconds() })
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = stop.Milliseconds() })
 	var all []*dispatcher
 	for range 8 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "hold")
-		await(t, s.executorLines)
+		await(t, node.executorLines)
 		all = append(all, d)
 	}
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("drain notice")
-	s.signal(syscall.SIGSTOP)
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
+	node.signal(syscall.SIGSTOP)
 	time.Sleep(stop)
-	s.signal(syscall.SIGCONT)
+	node.signal(syscall.SIGCONT)
 	for _, d := range all {
 		assert.Equal(t, "no more", d.answer())
 		assert.Equal(t, "51 on 1 ", d.answer())
 		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.exited))
+	assert.NoError(t, await(t, node.exited))
 }
 
 func TestDrainDuringAReloadAnswersAll(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_500 })
-	d := s.dial()
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_500 })
+	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, s.executorLines)
-	s.movePeers()
-	s.writeConfig(true) // half written: it is read again and again
-	s.signal(syscall.SIGHUP)
-	s.awaitLog("the one of before stays")
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("drain notice")
-	s.writeConfig(false)
+	await(t, node.executorLines)
+	node.movePeers()
+	node.writeConfig(true) // half written: it is read again and again
+	node.signal(syscall.SIGHUP)
+	node.awaitLog("the one of before stays")
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
+	node.writeConfig(false)
 	assert.Equal(t, "no more", d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	d.assertClosed()
-	assert.NoError(t, await(t, s.exited))
+	assert.NoError(t, await(t, node.exited))
 }
 
 // Idle clients that fill the table while the control plane is down leave descriptors for what the node itself opens, and
 // room for those who work.
 func TestIdleConnectionsLeaveDescriptorsForReportsTheExecutorAndCalls(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	control, err := net.Listen("tcp", "127.0.0.1:0") // accepts and never answers
 	require.NoError(t, err)
 	t.Cleanup(func() { control.Close() })
-	s.config["control"] = control.Addr().String()
-	s.writeConfig(false)
-	s.signal(syscall.SIGHUP)
-	s.awaitLog("peers are now at")
-	link := await(t, s.executorConns)
+	node.config["control"] = control.Addr().String()
+	node.writeConfig(false)
+	node.signal(syscall.SIGHUP)
+	node.awaitLog("peers are now at")
+	link := await(t, node.executorConns)
 	for n := range 120 {
-		conn, err := net.Dial("tcp", s.address)
+		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		switch n % 3 {
@@ -124,19 +124,19 @@
 		}
 	}
 	link.Close()
-	await(t, s.executorConns)
-	d := s.dial()
+	await(t, node.executorConns)
+	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
 	back, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go func() { _ = http.Serve(back, s.control) }() // it ends with the listener
-	s.config["control"] = back.Addr().String()
-	s.writeConfig(false)
-	s.signal(syscall.SIGHUP)
-	await(t, s.reports)
-	limit, err := http.Dir("/proc").Open(fmt.Sprint(s.command.Process.Pid, "/fd"))
+	go func() { _ = http.Serve(back, node.control) }() // it ends with the listener
+	node.config["control"] = back.Addr().String()
+	node.writeConfig(false)
+	node.signal(syscall.SIGHUP)
+	await(t, node.reports)
+	limit, err := http.Dir("/proc").Open(fmt.Sprint(node.command.Process.Pid, "/fd"))
 	require.NoError(t, err)
 	list, err := limit.Readdir(-1)
 	require.NoError(t, err)
@@ -145,9 +145,9 @@
 
 // Slow senders in great number make room as well.
 func TestPartialFramesLeaveCapacityForActiveClients(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	for range 100 {
-		conn, err := net.Dial("tcp", s.address)
+		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		go func() {
@@ -159,7 +159,7 @@
 			}
 		}()
 	}
-	d := s.dial()
+	d := node.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
@@ -171,24 +171,24 @@
 		"a length below 0": "%s DATA -4\r\n", "a length without bound": "%s DATA 99999999999\r\n"} {
 		for _, breaks := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, breaks off %v", what, breaks), func(t *testing.T) {
-				s := startNode(t, false, func(c map[string]any) {
+				node := startNode(t, false, func(c map[string]any) {
 					grade := c["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
 					grade["effect"], grade["give_up"], grade["aim"] = "at_most_once", 900, 800
 				})
-				s.setCatalogueReply(func(call string) string {
+				node.setCatalogueReply(func(call string) string {
 					if breaks {
-						time.AfterFunc(20*time.Millisecond, func() { (<-s.catalogueConns).Close() })
+						time.AfterFunc(20*time.Millisecond, func() { (<-node.catalogueConns).Close() })
 					}
 					return strings.Replace(reply, "%s", call, 1)
 				})
-				d := s.dial()
+				d := node.dial()
 				d.invoke(1, "call")
 				assert.Equal(t, "51 on 1 ", d.answer())
 				d.invoke(2, "fine")
 				assert.Equal(t, "20 on 2 fine", d.answer())
-				await(t, s.catalogueLines)
-				for len(s.catalogueLines) > 0 {
-					assert.NotEqual(t, "FETCH", (<-s.catalogueLines)[0], "it may have run")
+				await(t, node.catalogueLines)
+				for len(node.catalogueLines) > 0 {
+					assert.NotEqual(t, "FETCH", (<-node.catalogueLines)[0], "it may have run")
 				}
 			})
 		}
@@ -197,21 +197,21 @@
 
 // An executor that says half a line and no more, or too much, costs a link and no run.
 func TestExecutorThatStallsWithinALineOrFloods(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
+	node := startNode(t, false, nil)
+	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, s.executorLines)
-	link := await(t, s.executorConns)
-	s.mu.Lock()
-	s.executorConn = nil // what it says from here on is heard on the next link
-	s.mu.Unlock()
+	await(t, node.executorLines)
+	link := await(t, node.executorConns)
+	node.mu.Lock()
+	node.executorConn = nil // what it says from here on is heard on the next link
+	node.mu.Unlock()
 	fmt.Fprint(link, "EXIT 1 "+call+" go")
-	s.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	fmt.Fprint(link, strings.Repeat("y", 1<<20)) // a line without end
-	await(t, s.executorConns)
+	await(t, node.executorConns)
 	assert.Equal(t, "20 on 1 late", d.answer())
 	for range 20_000 {
-		s.notify("LOG %d any words\r\n")
+		node.notify("LOG %d any words\r\n")
 	}
 	d.invoke(2, "fine")
 	assert.Equal(t, "20 on 2 fine", d.answer())
--- a/integration/integration_test.go
+++ b/integration/integration_test.go
@@ -33,22 +33,22 @@
 }
 
 func TestInvocationsSucceedFailAndAreReported(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
+	node := startNode(t, false, nil)
+	d := node.dial()
 	d.invoke(1, "any\r\n\x00bytes")
 	assert.Equal(t, "20 on 1 any\r\n\x00bytes", d.answer())
 	d.invoke(2, "bad")
 	assert.Equal(t, "51 on 2 ", d.answer())
-	report := await(t, s.reports)
+	report := await(t, node.reports)
 	assert.Contains(t, report, "PUT /v2/endpoints/n1 {\"condition\":")
 	for report != `PUT /v2/endpoints/n1 {"condition":"Ready"}` {
-		report = await(t, s.reports)
+		report = await(t, node.reports)
 	}
 }
 
 func TestInvocationsSplitAndJoinedAnywhereAreAnsweredInAnyOrder(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
+	node := startNode(t, false, nil)
+	d := node.dial()
 	for stream := range uint32(32) {
 		d.invoke(stream+1, fmt.Sprint("body ", stream+1))
 	}
@@ -68,110 +68,110 @@
 }
 
 func TestCallOutcomesFollowTheCatalogueReplies(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
+	node := startNode(t, false, nil)
+	d := node.dial()
 	call := d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
-	assert.Equal(t, []string{"FETCH", call}, await(t, s.catalogueLines)[:2])
-	s.setCatalogueReply(func(call string) string { return call + " FAULT\r\n" })
+	assert.Equal(t, []string{"FETCH", call}, await(t, node.catalogueLines)[:2])
+	node.setCatalogueReply(func(call string) string { return call + " FAULT\r\n" })
 	d.invoke(2, "call")
 	assert.Equal(t, "51 on 2 ", d.answer())
-	s.setCatalogueReply(func(string) string { return "break" })
+	node.setCatalogueReply(func(string) string { return "break" })
 	d.invoke(3, "call")
 	assert.Equal(t, "51 on 3 ", d.answer(), "a break proves nothing, so an idempotent one's call is repeated, once")
 	for range 4 { // two of FAULT, two of the break
-		await(t, s.catalogueLines)
+		await(t, node.catalogueLines)
 	}
-	assert.Empty(t, s.catalogueLines)
-	s.setCatalogueReply(func(call string) string { return "no such words at all\r\n" })
+	assert.Empty(t, node.catalogueLines)
+	node.setCatalogueReply(func(call string) string { return "no such words at all\r\n" })
 	d.invoke(4, "call")
 	assert.Equal(t, "51 on 4 ", d.answer())
-	s.setCatalogueReply(func(call string) string { return call + " DATA 1\r\nx\r\n" })
+	node.setCatalogueReply(func(call string) string { return call + " DATA 1\r\nx\r\n" })
 	d.invoke(5, "call")
 	assert.Equal(t, "20 on 5 x", d.answer())
 }
 
 func TestCallsFailWhileTheCatalogueIsDownAndRecover(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
-	address := s.catalogue.Addr().String()
-	s.catalogue.Close()
+	node := startNode(t, false, nil)
+	d := node.dial()
+	address := node.catalogue.Addr().String()
+	node.catalogue.Close()
 	d.invoke(1, "call")
 	assert.Equal(t, "51 on 1 ", d.answer())
-	assert.Empty(t, s.catalogueLines)
+	assert.Empty(t, node.catalogueLines)
 	back, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go s.acceptConnections(back, s.serveCatalogue)
+	go node.acceptConnections(back, node.serveCatalogue)
 	d.invoke(2, "call")
 	assert.Equal(t, "20 on 2 reply", d.answer())
 }
 
 func TestAbandonedInvocationCancelsItsCallInFlight(t *testing.T) {
-	s := startNode(t, false, nil)
-	s.setCatalogueReply(func(string) string { return "" })
-	d := s.dial()
+	node := startNode(t, false, nil)
+	node.setCatalogueReply(func(string) string { return "" })
+	d := node.dial()
 	d.invoke(1, "call")
-	await(t, s.catalogueLines)
+	await(t, node.catalogueLines)
 	d.write(frame.Append(nil, frame.Gone, 1, nil))
-	assert.Equal(t, await(t, s.catalogueConns), await(t, s.catalogueClosed))
+	assert.Equal(t, await(t, node.catalogueConns), await(t, node.catalogueClosed))
 }
 
 func TestExecutorConnectsLateAndReconnects(t *testing.T) {
-	s := startNode(t, true, nil)
-	d := s.dial()
+	node := startNode(t, true, nil)
+	d := node.dial()
 	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 	f, _ := d.next()
 	assert.Equal(t, byte(frame.Bad), f.Payload[0], "no executor yet")
-	close(s.executorUp)
-	link := await(t, s.executorConns)
-	s.awaitLog("executor is up")
+	close(node.executorUp)
+	link := await(t, node.executorConns)
+	node.awaitLog("executor is up")
 	call := d.invoke(1, "hold")
-	await(t, s.executorLines)
-	s.mu.Lock()
-	s.executorConn = nil
-	s.mu.Unlock()
+	await(t, node.executorLines)
+	node.mu.Lock()
+	node.executorConn = nil
+	node.mu.Unlock()
 	link.Close()
-	s.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	assert.Equal(t, "20 on 1 late", d.answer())
-	fmt.Fprint(await(t, s.executorConns), "what is this\r\n")
-	await(t, s.executorConns)
+	fmt.Fprint(await(t, node.executorConns), "what is this\r\n")
+	await(t, node.executorConns)
 	d.invoke(2, "again")
 	assert.Equal(t, "20 on 2 again", d.answer())
 }
 
 func TestExecutorConnectionIsRetriedAfterRefusal(t *testing.T) {
-	s := startNode(t, false, nil)
-	address, link := s.executor.Addr().String(), await(t, s.executorConns)
-	s.executor.Close()
+	node := startNode(t, false, nil)
+	address, link := node.executor.Addr().String(), await(t, node.executorConns)
+	node.executor.Close()
 	link.Close()
-	s.awaitLog("connection refused")
+	node.awaitLog("connection refused")
 	back, err := net.Listen("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go s.acceptConnections(back, s.serveExecutor)
-	await(t, s.executorConns)
-	d := s.dial()
+	go node.acceptConnections(back, node.serveExecutor)
+	await(t, node.executorConns)
+	d := node.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
 func TestMalformedFramesOfDispatchers(t *testing.T) {
-	s := startNode(t, false, nil)
+	node := startNode(t, false, nil)
 	for what, bad := range map[string][]byte{"length": binary.LittleEndian.AppendUint32(nil, 300_000),
 		"type": frame.Append(nil, 99, 2, nil), "stream": frame.Append(nil, frame.Invocation, 1, []byte{0})} {
-		d := s.dial()
+		d := node.dial()
 		call := d.invoke(1, "hold")
-		await(t, s.executorLines)
+		await(t, node.executorLines)
 		d.write(bad)
 		assert.Contains(t, d.answer(), "51 on 0 ", what)
 		assert.Equal(t, "no more", d.answer(), what)
-		s.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+		node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 		assert.Equal(t, "20 on 1 ok", d.answer(), what)
 		_, ok := d.next()
 		assert.False(t, ok, "closed once all is answered: "+what)
 	}
-	d := s.dial()
+	d := node.dial()
 	d.write(frame.Append(nil, frame.Invocation, 1, []byte{9}))
 	assert.Equal(t, "51 on 1 ", d.answer())
 	d.invoke(2, string(make([]byte, 3_000)))
@@ -183,43 +183,43 @@
 }
 
 func TestDrainCompletesRunsInFlightAndExits(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
-	d := s.dial()
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
+	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, s.executorLines)
-	s.signal(syscall.SIGTERM)
-	s.awaitLog("drain notice")
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
 	d.invoke(2, "still open")
 	assert.Equal(t, "20 on 2 still open", d.answer(), "the delay keeps intake open")
 	assert.Equal(t, "no more", d.answer())
-	s.awaitLog("no connection more") // from then on nobody can connect
-	_, err := net.Dial("tcp", s.address)
+	node.awaitLog("no connection more") // from then on nobody can connect
+	_, err := net.Dial("tcp", node.address)
 	assert.Error(t, err)
 	d.invoke(3, "too late")
 	assert.Equal(t, "50 on 3 ", d.answer())
-	s.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+	node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", d.answer())
-	s.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
-	assert.NoError(t, await(t, s.exited))
+	node.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
+	assert.NoError(t, await(t, node.exited))
 }
 
 func TestDrainAbortsRunsInFlightAtItsDeadline(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
-	d := s.dial()
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
+	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, s.executorLines)
-	s.signal(syscall.SIGTERM)
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
 	assert.Equal(t, "no more", d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
-	s.awaitLog("abandoned 1")
-	assert.NoError(t, await(t, s.exited))
+	node.awaitLog("abandoned 1")
+	assert.NoError(t, await(t, node.exited))
 }
 
 func TestInvocationsAreRejectedWhenMemoryIsFull(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) {
+	node := startNode(t, false, func(c map[string]any) {
 		c["settings"].(map[string]any)["family_info"].(map[string]any)["memory_kb"] = 150
 	})
-	d := s.dial()
+	d := node.dial()
 	for stream := range uint32(32) {
 		d.invoke(stream+1, "hold")
 	}
@@ -227,20 +227,20 @@
 }
 
 func TestConnectionFloodLeavesCapacityForActiveClients(t *testing.T) {
-	s := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	for range 150 {
-		conn, err := net.Dial("tcp", s.address)
+		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 	}
-	d := s.dial()
+	d := node.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
 func TestDispatcherThatDoesNotReadIsDisconnected(t *testing.T) {
-	s := startNode(t, false, nil)
-	deaf := s.dial()
+	node := startNode(t, false, nil)
+	deaf := node.dial()
 	checks := []byte{}
 	for range 10_000 {
 		checks = frame.Append(checks, frame.Check, 1, []byte{0})
@@ -252,7 +252,7 @@
 		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	}
 	assert.True(t, cut)
-	d := s.dial()
+	d := node.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
@@ -275,63 +275,63 @@
 }
 
 func TestSuspendedProcessLosesNoResult(t *testing.T) {
-	s := startNode(t, false, nil)
-	s.setCatalogueReply(func(string) string { return "" })
-	d := s.dial()
+	node := startNode(t, false, nil)
+	node.setCatalogueReply(func(string) string { return "" })
+	d := node.dial()
 	run, call := d.invoke(1, "hold"), d.invoke(2, "call")
-	await(t, s.executorLines)
-	await(t, s.catalogueLines)
-	s.command.Process.Signal(syscall.SIGSTOP)
-	s.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
-	fmt.Fprint(await(t, s.catalogueConns), call+" DATA 5\r\nreply\r\n")
+	await(t, node.executorLines)
+	await(t, node.catalogueLines)
+	node.command.Process.Signal(syscall.SIGSTOP)
+	node.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
+	fmt.Fprint(await(t, node.catalogueConns), call+" DATA 5\r\nreply\r\n")
 	d.invoke(3, "meanwhile")
-	s.command.Process.Signal(syscall.SIGCONT)
+	node.command.Process.Signal(syscall.SIGCONT)
 	got := []string{d.answer(), d.answer(), d.answer()}
 	assert.ElementsMatch(t, []string{"20 on 1 still", "20 on 2 reply", "20 on 3 meanwhile"}, got)
 }
 
 func TestReloadMovesAllPeersWhileRunsContinue(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
+	node := startNode(t, false, nil)
+	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, s.executorLines)
-	await(t, s.executorConns)
+	await(t, node.executorLines)
+	await(t, node.executorConns)
 	for range 3 {
-		s.movePeers()
-		s.writeConfig(false)
-		s.signal(syscall.SIGHUP)
-		await(t, s.executorConns)
+		node.movePeers()
+		node.writeConfig(false)
+		node.signal(syscall.SIGHUP)
+		await(t, node.executorConns)
 	}
-	for len(s.reports) > 0 {
-		<-s.reports
+	for len(node.reports) > 0 {
+		<-node.reports
 	}
-	await(t, s.reports)
+	await(t, node.reports)
 	d.invoke(2, "call")
 	assert.Equal(t, "20 on 2 reply", d.answer())
-	s.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	assert.Equal(t, "20 on 1 late", d.answer())
 }
 
 func TestInvalidReloadIsReportedAndRetried(t *testing.T) {
-	s := startNode(t, false, nil)
-	d := s.dial()
-	await(t, s.executorConns)
-	s.movePeers()
-	s.writeConfig(true)
-	s.signal(syscall.SIGHUP)
-	assert.Contains(t, s.awaitLog("the one of before stays"), "configuration")
+	node := startNode(t, false, nil)
+	d := node.dial()
+	await(t, node.executorConns)
+	node.movePeers()
+	node.writeConfig(true)
+	node.signal(syscall.SIGHUP)
+	assert.Contains(t, node.awaitLog("the one of before stays"), "configuration")
 	d.invoke(1, "still served")
 	assert.Equal(t, "20 on 1 still served", d.answer())
-	s.config["stop_ms"] = 4_000
-	s.writeConfig(false)
-	assert.Contains(t, s.awaitLog("takes a new start"), "stop_ms")
-	await(t, s.executorConns)
+	node.config["stop_ms"] = 4_000
+	node.writeConfig(false)
+	assert.Contains(t, node.awaitLog("takes a new start"), "stop_ms")
+	await(t, node.executorConns)
 	d.invoke(2, "there")
 	assert.Equal(t, "20 on 2 there", d.answer())
 }
 
 func TestHostileDispatchersAreDisconnectedWhileAHealthyOneIsServed(t *testing.T) {
-	s := startNode(t, false, nil)
+	node := startNode(t, false, nil)
 	half := frame.Append(nil, frame.Invocation, 1, make([]byte, 500))[:300]
 	broken := frame.Append(nil, frame.Invocation, 1, []byte{9})
 	endless, many := []byte{}, []byte{}
@@ -344,7 +344,7 @@
 		"twice": append(bytes.Clone(broken), broken...), "many": many}
 	ended := make(chan string, len(hostile))
 	for what, b := range hostile {
-		conn, err := net.Dial("tcp", s.address)
+		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		go func() { _, _ = conn.Write(b) }() // the node may close the connection first
@@ -353,7 +353,7 @@
 			ended <- what
 		}()
 	}
-	sound := s.dial()
+	sound := node.dial()
 	for stream := range uint32(50) {
 		sound.invoke(stream+1, "fine")
 		assert.Equal(t, fmt.Sprintf("20 on %d fine", stream+1), sound.answer())
@@ -371,24 +371,24 @@
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(rejectingPlan)
 	t.Setenv("TOPAZPOST_PLAN", path)
-	s := startNode(t, false, nil)
-	d := s.dial()
+	node := startNode(t, false, nil)
+	d := node.dial()
 	d.invoke(1, "hold") // it fills more of the memory than the plan allows
-	assert.Contains(t, s.awaitLog("level changed"), `"to":"none","cause":"entered","signal":"memory"`)
+	assert.Contains(t, node.awaitLog("level changed"), `"to":"none","cause":"entered","signal":"memory"`)
 	d.invoke(2, "refused")
 	assert.Equal(t, "50 on 2 ", d.answer())
 	write("{ levels: 3 }")
-	s.signal(syscall.SIGHUP)
-	assert.Contains(t, s.awaitLog("the one of before stays"), "plan.jsonnet:1: levels: is a number")
+	node.signal(syscall.SIGHUP)
+	assert.Contains(t, node.awaitLog("the one of before stays"), "plan.jsonnet:1: levels: is a number")
 	d.invoke(3, "still refused")
 	assert.Equal(t, "50 on 3 ", d.answer())
 	write(strings.Replace(rejectingPlan, "0.1 %", "90 %", 1))
-	assert.Contains(t, s.awaitLog("level changed"), `"cause":"plan"`)
-	s.signal(syscall.SIGHUP)
-	out, err := exec.Command(program, "check", "--plan", path, s.configPath).CombinedOutput()
+	assert.Contains(t, node.awaitLog("level changed"), `"cause":"plan"`)
+	node.signal(syscall.SIGHUP)
+	out, err := exec.Command(program, "check", "--plan", path, node.configPath).CombinedOutput()
 	assert.NoError(t, err)
 	assert.Contains(t, string(out), "plan p: 1 levels above full service")
-	out, err = exec.Command(program, "plan", "show", path, s.configPath).CombinedOutput()
+	out, err = exec.Command(program, "plan", "show", path, node.configPath).CombinedOutput()
 	assert.NoError(t, err)
 	assert.Contains(t, string(out), "memory > 90 %")
 }
--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -77,7 +77,7 @@
 
 func TestFleetPeerThatFloodsOrSendsInvalidDataBlocksNobody(t *testing.T) {
 	path, bind := fleetFile(t)
-	s := startNodeWithFlags(t, false, nil, "--fleet", path)
+	node := startNodeWithFlags(t, false, nil, "--fleet", path)
 	end := floodDatagrams(t, bind, randomDatagrams())
 	liar, err := net.Dial("tcp", bind) // says that it will send more than any may
 	require.NoError(t, err)
@@ -89,8 +89,8 @@
 	defer slow.Close()
 	_, err = slow.Write([]byte{100, 0, 0, 0, 1})
 	require.NoError(t, err)
-	s.awaitLog("peer floods")
-	d := s.dial()
+	node.awaitLog("peer floods")
+	d := node.dial()
 	for stream := range uint32(100) {
 		d.invoke(stream+1, "x")
 		assert.Equal(t, fmt.Sprintf("20 on %d x", stream+1), d.answer())
@@ -110,17 +110,17 @@
 }
 
 func TestNoUDPSocketIsOpenWithoutAFleet(t *testing.T) {
-	s := startNode(t, false, nil)
+	node := startNode(t, false, nil)
 	sockets := 0
-	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/net", s.command.Process.Pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/net", node.command.Process.Pid))
 	require.NoError(t, err)
 	require.NotEmpty(t, entries)
-	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.command.Process.Pid))
+	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.command.Process.Pid))
 	require.NoError(t, err)
 	udp, err := os.ReadFile("/proc/net/udp")
 	require.NoError(t, err)
 	for _, f := range files {
-		to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", s.command.Process.Pid, f.Name()))
+		to, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%s", node.command.Process.Pid, f.Name()))
 		var inode int
 		if n, _ := fmt.Sscanf(to, "socket:[%d]", &inode); n == 1 && containsInode(string(udp), inode) {
 			sockets++
@@ -132,8 +132,8 @@
 func TestInvalidFleetFileIsReportedWithItsLines(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte("{\n  fleet: 'x',\n  bind: '0.0.0.0:7946',\n  seeds: ['node-1:7946'],\n  silence: '1 s',\n}"), 0o600))
-	s := startNode(t, false, nil)
-	out, err := exec.Command(program, "check", "--fleet", path, s.configPath).CombinedOutput()
+	node := startNode(t, false, nil)
+	out, err := exec.Command(program, "check", "--fleet", path, node.configPath).CombinedOutput()
 	assert.Error(t, err)
 	for _, want := range []string{path + ":3: bind: is every address", path + ":4: seeds.0:", path + ":5: silence: holds fewer than 4 probes"} {
 		assert.Contains(t, string(out), want)
@@ -170,15 +170,15 @@
 	if kind != "off" {
 		flags = []string{"--fleet", path}
 	}
-	s := startNodeWithFlags(b, false, nil, flags...)
-	defer s.command.Process.Kill()
+	node := startNodeWithFlags(b, false, nil, flags...)
+	defer node.command.Process.Kill()
 	if kind == "flood" {
 		text, err := envelope.Seal(nil, envelope.FleetOf("tests"), &membership.Message{Kind: membership.MessagePing, From: 7})
 		require.NoError(b, err)
 		end := floodDatagrams(b, bind, func() []byte { return text })
 		defer end()
 	}
-	d := s.dial()
+	d := node.dial()
 	began := time.Now()
 	for stream := range uint32(800) {
 		at := time.Now()
--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -67,49 +67,49 @@
 	return s
 }
 
-func (s *replicaProcesses) launch() {
-	s.commands, s.logs = nil, nil
-	for i, path := range s.paths {
+func (r *replicaProcesses) launch() {
+	r.commands, r.logs = nil, nil
+	for i, path := range r.paths {
 		command, log := exec.Command(program, "seat", "--name", fmt.Sprint("s", i+1), path), new(logBuffer)
 		command.Stderr = log
-		require.NoError(s.t, command.Start())
-		s.commands, s.logs = append(s.commands, command), append(s.logs, log)
+		require.NoError(r.t, command.Start())
+		r.commands, r.logs = append(r.commands, command), append(r.logs, log)
 	}
-	for i, bind := range s.binds {
-		require.Eventually(s.t, func() bool {
+	for i, bind := range r.binds {
+		require.Eventually(r.t, func() bool {
 			conn, err := net.Dial("tcp", bind)
 			if err == nil {
 				conn.Close()
 			}
 			return err == nil
-		}, testTimeout, 10*time.Millisecond, "s%d hears peers; %s", i+1, s.logs[i])
+		}, testTimeout, 10*time.Millisecond, "s%d hears peers; %s", i+1, r.logs[i])
 	}
 }
 
 // stop signals all before it waits for any.
-func (s *replicaProcesses) stop(signal syscall.Signal) (errs []error) {
-	for _, run := range s.commands {
+func (r *replicaProcesses) stop(signal syscall.Signal) (errs []error) {
+	for _, run := range r.commands {
 		run.Process.Signal(signal)
 	}
-	for _, run := range s.commands {
+	for _, run := range r.commands {
 		errs = append(errs, run.Wait())
 	}
-	s.commands = nil
+	r.commands = nil
 	return errs
 }
 
 // recordResult has a token claimed and ended by a node that is a test, and says its result.
-func (s *replicaProcesses) recordResult(token, result string) {
+func (r *replicaProcesses) recordResult(token, result string) {
 	owner := claims.Owner{Name: "n9", Incarnation: 7}
 	key := claims.Key{Operation: "x", Token: token}
-	conn := dialPeer(s.t, s.binds[0])
+	conn := dialPeer(r.t, r.binds[0])
 	seq := uint64(0)
 	say := func(c claims.Command) claims.Verdict {
 		seq++
 		c.Sender, c.Seq, c.Key, c.BodyHash, c.Duration, c.Window = owner, seq, key, 1, 60_000_000_000, 600_000_000_000
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
-			sendMessage(s.t, conn, &consensus.Message{Kind: consensus.MessagePropose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
-			if got := receiveMessage(s.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.MessageVerdicts {
+			sendMessage(r.t, conn, &consensus.Message{Kind: consensus.MessagePropose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
+			if got := receiveMessage(r.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.MessageVerdicts {
 				for _, v := range got.Verdicts {
 					if v.Seq == c.Seq {
 						return v
@@ -117,35 +117,35 @@
 				}
 			} else if got == nil {
 				conn.Close()
-				conn = dialPeer(s.t, s.binds[0])
+				conn = dialPeer(r.t, r.binds[0])
 			}
 		}
-		s.t.Fatalf("no verdict; %s", s.logs[0])
+		r.t.Fatalf("no verdict; %s", r.logs[0])
 		return claims.Verdict{}
 	}
 	v := say(claims.Command{Kind: claims.CommandClaim})
-	require.Equal(s.t, claims.AnswerGranted, v.Answer)
+	require.Equal(r.t, claims.AnswerGranted, v.Answer)
 	v = say(claims.Command{Kind: claims.CommandStart, Fence: v.Fence})
 	v = say(claims.Command{Kind: claims.CommandEnd, Fence: v.Fence, Outcome: 1, Result: []byte(result)})
 	conn.Close()
 }
 
 // awaitEnded waits until each seat shows the token as ended.
-func (s *replicaProcesses) awaitEnded(token string) {
-	for i, bind := range s.binds {
-		assert.Eventually(s.t, func() bool {
+func (r *replicaProcesses) awaitEnded(token string) {
+	for i, bind := range r.binds {
+		assert.Eventually(r.t, func() bool {
 			out, err := exec.Command(program, "claims", "show", "--fleet", "tests", bind, token).CombinedOutput()
 			return err == nil && strings.Contains(string(out), claims.StateNames[claims.StateEnded])
-		}, testTimeout, 50*time.Millisecond, "s%d knows %s; %s", i+1, token, s.logs[i])
+		}, testTimeout, 50*time.Millisecond, "s%d knows %s; %s", i+1, token, r.logs[i])
 	}
 }
 
 func TestReplicasKilledTogetherLoseNoClaim(t *testing.T) {
-	s := newReplicaProcesses(t)
-	s.launch()
-	s.recordResult("t1", "one")
-	s.stop(syscall.SIGKILL)
-	logs, err := filepath.Glob(filepath.Join(s.folder, "s2", "log-*"))
+	replicas := newReplicaProcesses(t)
+	replicas.launch()
+	replicas.recordResult("t1", "one")
+	replicas.stop(syscall.SIGKILL)
+	logs, err := filepath.Glob(filepath.Join(replicas.folder, "s2", "log-*"))
 	require.NoError(t, err)
 	require.Len(t, logs, 1)
 	file, err := os.OpenFile(logs[0], os.O_APPEND|os.O_WRONLY, 0)
@@ -153,18 +153,18 @@
 	_, err = file.Write([]byte{200, 0, 0, 0, 1, 2, 3, 4, 5}) // half a record
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
-	s.launch()
-	s.awaitEnded("t1")
-	assert.Contains(t, s.logs[1].String(), "a crash left this unfinished")
-	assert.Contains(t, s.logs[0].String(), "back from the disk")
-	s.recordResult("t2", "two")
-	for i, err := range s.stop(syscall.SIGTERM) {
+	replicas.launch()
+	replicas.awaitEnded("t1")
+	assert.Contains(t, replicas.logs[1].String(), "a crash left this unfinished")
+	assert.Contains(t, replicas.logs[0].String(), "back from the disk")
+	replicas.recordResult("t2", "two")
+	for i, err := range replicas.stop(syscall.SIGTERM) {
 		assert.NoError(t, err, "s%d leaves cleanly", i+1)
 	}
-	require.NoError(t, os.RemoveAll(filepath.Join(s.folder, "s3"))) // a disk that is lost
-	s.launch()
-	s.awaitEnded("t1")
-	s.awaitEnded("t2")
+	require.NoError(t, os.RemoveAll(filepath.Join(replicas.folder, "s3"))) // a disk that is lost
+	replicas.launch()
+	replicas.awaitEnded("t1")
+	replicas.awaitEnded("t2")
 }
 
 func TestReplicaReportsAnInvalidFleetFile(t *testing.T) {
--- a/integration/resultstore_test.go
+++ b/integration/resultstore_test.go
@@ -45,27 +45,27 @@
 
 func TestResultsBeforeAKillAreAnsweredFromTheStoreOrReportedUnknown(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
-	s := startNodeWithStore(t, folder)
-	d := s.dial()
+	node := startNodeWithStore(t, folder)
+	d := node.dial()
 	d.invokeWithToken(1, "done", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
 	d.invokeWithToken(2, "open", "hold") // runs on
-	for await(t, s.executorLines)[0] != "EXEC" {
+	for await(t, node.executorLines)[0] != "EXEC" {
 	}
-	if w := await(t, s.executorLines); w[0] != "EXEC" {
+	if w := await(t, node.executorLines); w[0] != "EXEC" {
 		t.Fatal(w)
 	}
 	out, err := runProgram("results", "list", folder)
 	assert.Error(t, err)
 	assert.Contains(t, out, "is in use")
-	s.signal(syscall.SIGKILL)
-	_ = await(t, s.exited) // the error of the kill
+	node.signal(syscall.SIGKILL)
+	_ = await(t, node.exited) // the error of the kill
 	out, err = runProgram("results", "list", "--unknown", folder)
 	require.NoError(t, err)
 	assert.Contains(t, out, "open")
 	assert.NotContains(t, out, "done")
-	s = startNodeWithStore(t, folder)
-	d = s.dial()
+	node = startNodeWithStore(t, folder)
+	d = node.dial()
 	stream := uint32(0)
 	ask := func(token, body string) string { // until the store is read tokened work is throttled
 		for {
@@ -80,9 +80,9 @@
 	assert.Equal(t, "20 result", ask("done", "result"))
 	assert.Equal(t, "51 ", ask("open", "hold"))
 	assert.Equal(t, "51 ", ask("done", "another body"))
-	assert.Empty(t, s.executorLines, "nothing ran again")
-	s.signal(syscall.SIGKILL)
-	_ = await(t, s.exited) // the error of the kill
+	assert.Empty(t, node.executorLines, "nothing ran again")
+	node.signal(syscall.SIGKILL)
+	_ = await(t, node.exited) // the error of the kill
 	out, err = runProgram("results", "settle", folder, "open", "--ending", "errored")
 	require.NoError(t, err, out)
 	out, err = runProgram("results", "show", folder, "open")
@@ -100,14 +100,14 @@
 
 func TestCorruptStoreIsReportedAndLeftUnchanged(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
-	s := startNodeWithStore(t, folder)
-	d := s.dial()
+	node := startNodeWithStore(t, folder)
+	d := node.dial()
 	for stream := range uint32(20) {
 		d.invokeWithToken(stream+1, fmt.Sprint("t", stream), "result")
 		d.answer()
 	}
-	s.signal(syscall.SIGKILL)
-	_ = await(t, s.exited) // the error of the kill
+	node.signal(syscall.SIGKILL)
+	_ = await(t, node.exited) // the error of the kill
 	path := filepath.Join(folder, "0000000000000000.seg")
 	data, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -116,7 +116,7 @@
 	out, err := runProgram("store", "verify", folder)
 	assert.Error(t, err)
 	assert.Contains(t, out, path+": store: broken at offset")
-	out, err = runProgram(append([]string{"serve"}, append(s.flags, s.configPath)...)...)
+	out, err = runProgram(append([]string{"serve"}, append(node.flags, node.configPath)...)...)
 	assert.Error(t, err)
 	assert.Contains(t, out, "0000000000000000.seg: store: broken at offset")
 	after, err := os.ReadFile(path)
@@ -167,9 +167,9 @@
 	if mode != "idempotent" {
 		flags = []string{"--keep", path}
 	}
-	s := startNodeWithFlags(b, false, change, flags...)
-	defer s.command.Process.Kill()
-	d := s.dial()
+	node := startNodeWithFlags(b, false, change, flags...)
+	defer node.command.Process.Kill()
+	d := node.dial()
 	for stream := range uint32(600) {
 		fields := []frame.Field{{Name: "op", Value: "catalogue"}, {Name: "call", Value: fmt.Sprintf("%016x", stream+1)},
 			{Name: "recv", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)}, {Name: "src", Value: "4"}, {Name: "heap", Value: "1"}}
--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -110,23 +110,23 @@
 
 // startNodeWithFlags does so with flags of serve.
 func startNodeWithFlags(t testing.TB, executorLate bool, change func(config map[string]any), flags ...string) *testNode {
-	s := &testNode{t: t, flags: flags, logLines: make(chan string, 1_000), exited: make(chan error, 1), reports: make(chan string, 100),
+	n := &testNode{t: t, flags: flags, logLines: make(chan string, 1_000), exited: make(chan error, 1), reports: make(chan string, 100),
 		executorLines: make(chan []string, 1_000), catalogueLines: make(chan []string, 1_000), executorConns: make(chan net.Conn, 100),
 		catalogueConns: make(chan net.Conn, 100), catalogueClosed: make(chan net.Conn, 100), executorUp: make(chan struct{}), executorState: "old", catalogueReply: func(call string) string { return call + " DATA 5\r\nreply\r\n" }}
 	if !executorLate {
-		close(s.executorUp)
+		close(n.executorUp)
 	}
 	executor, catalogue := listen(t), listen(t)
-	s.executor, s.catalogue = executor, catalogue
-	go s.acceptConnections(executor, s.serveExecutor)
-	go s.acceptConnections(catalogue, s.serveCatalogue)
-	s.control = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	n.executor, n.catalogue = executor, catalogue
+	go n.acceptConnections(executor, n.serveExecutor)
+	go n.acceptConnections(catalogue, n.serveCatalogue)
+	n.control = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var b bytes.Buffer
 		_, _ = b.ReadFrom(r.Body) // a report cut short is seen by the test that reads it
-		s.reports <- r.Method + " " + r.URL.Path + " " + b.String()
+		n.reports <- r.Method + " " + r.URL.Path + " " + b.String()
 		w.WriteHeader(http.StatusNoContent)
 	})
-	control := httptest.NewServer(s.control)
+	control := httptest.NewServer(n.control)
 	t.Cleanup(control.Close)
 	config := map[string]any{"name": "n1", "listen": "127.0.0.1:0", "executor": executor.Addr().String(),
 		"control": control.Listener.Addr().String(), "catalog": catalogue.Addr().String(),
@@ -142,73 +142,73 @@
 	if change != nil {
 		change(config)
 	}
-	s.config, s.configPath = config, filepath.Join(t.TempDir(), "config.json")
-	s.launch()
-	return s
+	n.config, n.configPath = config, filepath.Join(t.TempDir(), "config.json")
+	n.launch()
+	return n
 }
 
 // writeConfig writes the configuration, whole or half of it.
-func (s *testNode) writeConfig(truncated bool) {
-	text, err := json.Marshal(s.config)
-	require.NoError(s.t, err)
+func (n *testNode) writeConfig(truncated bool) {
+	text, err := json.Marshal(n.config)
+	require.NoError(n.t, err)
 	if truncated {
 		text = text[:len(text)/2]
 	}
-	require.NoError(s.t, os.WriteFile(s.configPath, text, 0o600))
+	require.NoError(n.t, os.WriteFile(n.configPath, text, 0o600))
 }
 
 // movePeers gives the node's peers new addresses; those of before accept nothing more.
-func (s *testNode) movePeers() {
-	old := []net.Listener{s.executor, s.catalogue}
-	s.executor, s.catalogue = listen(s.t), listen(s.t)
-	go s.acceptConnections(s.executor, s.serveExecutor)
-	go s.acceptConnections(s.catalogue, s.serveCatalogue)
-	control := httptest.NewServer(s.control)
-	s.t.Cleanup(control.Close)
-	s.config["executor"], s.config["catalog"] = s.executor.Addr().String(), s.catalogue.Addr().String()
-	s.config["control"] = control.Listener.Addr().String()
+func (n *testNode) movePeers() {
+	old := []net.Listener{n.executor, n.catalogue}
+	n.executor, n.catalogue = listen(n.t), listen(n.t)
+	go n.acceptConnections(n.executor, n.serveExecutor)
+	go n.acceptConnections(n.catalogue, n.serveCatalogue)
+	control := httptest.NewServer(n.control)
+	n.t.Cleanup(control.Close)
+	n.config["executor"], n.config["catalog"] = n.executor.Addr().String(), n.catalogue.Addr().String()
+	n.config["control"] = control.Listener.Addr().String()
 	for _, l := range old {
 		l.Close()
 	}
 }
 
-func (s *testNode) launch() {
-	s.writeConfig(false)
-	s.command = exec.Command(program, append([]string{"serve"}, s.flags...)...)
-	s.command.Env = append(os.Environ(), "GW_CONFIG="+s.configPath)
-	out, err := s.command.StderrPipe()
-	require.NoError(s.t, err)
-	require.NoError(s.t, s.command.Start())
-	s.t.Cleanup(func() { s.command.Process.Kill() })
-	command, ended := s.command, s.exited // a further life has its own
+func (n *testNode) launch() {
+	n.writeConfig(false)
+	n.command = exec.Command(program, append([]string{"serve"}, n.flags...)...)
+	n.command.Env = append(os.Environ(), "GW_CONFIG="+n.configPath)
+	out, err := n.command.StderrPipe()
+	require.NoError(n.t, err)
+	require.NoError(n.t, n.command.Start())
+	n.t.Cleanup(func() { n.command.Process.Kill() })
+	command, ended := n.command, n.exited // a further life has its own
 	go func() {
 		for in := bufio.NewScanner(out); in.Scan(); {
-			fmt.Fprintln(&s.logText, in.Text())
-			s.logLines <- in.Text()
+			fmt.Fprintln(&n.logText, in.Text())
+			n.logLines <- in.Text()
 		}
 		ended <- command.Wait()
 	}()
 	var first struct{ Listen string }
-	require.NoError(s.t, json.Unmarshal([]byte(s.awaitLog("listening")), &first))
-	s.address = first.Listen
+	require.NoError(n.t, json.Unmarshal([]byte(n.awaitLog("listening")), &first))
+	n.address = first.Listen
 	select {
-	case <-s.executorUp:
-		s.awaitLog("executor is up")
+	case <-n.executorUp:
+		n.awaitLog("executor is up")
 	default:
 	}
 }
 
 // resetExecutor has the executor know nothing of the node's last life: it numbers anew for each start.
-func (s *testNode) resetExecutor(state string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.executorConn, s.notices, s.executorState = nil, nil, state
+func (n *testNode) resetExecutor(state string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.executorConn, n.notices, n.executorState = nil, nil, state
 }
 
 // awaitLog waits for a awaitLog of the log.
-func (s *testNode) awaitLog(text string) string {
+func (n *testNode) awaitLog(text string) string {
 	for {
-		if l := await(s.t, s.logLines); strings.Contains(l, text) {
+		if l := await(n.t, n.logLines); strings.Contains(l, text) {
 			return l
 		}
 	}
@@ -255,60 +255,60 @@
 
 // serveExecutor does what the body of an invocation says: "bad" fails, "call" makes a call, "hold" runs on; else the
 // run is good.
-func (s *testNode) serveExecutor(conn net.Conn) {
-	s.readLines(conn, "EXEC RETURN", func(l lineprotocol.Line) {
+func (n *testNode) serveExecutor(conn net.Conn) {
+	n.readLines(conn, "EXEC RETURN", func(l lineprotocol.Line) {
 		w := l.Words
 		switch w[0] {
 		case "JOIN":
-			<-s.executorUp
+			<-n.executorUp
 			after, _ := strconv.Atoi(w[1])
-			s.mu.Lock()
-			s.executorConn = conn
-			fmt.Fprint(conn, "WELCOME "+s.executorState+" 5\r\n", strings.Join(s.notices[after:], ""))
-			s.mu.Unlock()
-			s.executorConns <- conn
+			n.mu.Lock()
+			n.executorConn = conn
+			fmt.Fprint(conn, "WELCOME "+n.executorState+" 5\r\n", strings.Join(n.notices[after:], ""))
+			n.mu.Unlock()
+			n.executorConns <- conn
 			return
 		case "METER":
 			fmt.Fprintf(conn, "METERS %s 0.1 1\r\n", w[1])
 			return
 		}
-		s.executorLines <- append(slices.Clone(w), string(l.Body)) // before what follows from it
+		n.executorLines <- append(slices.Clone(w), string(l.Body)) // before what follows from it
 		switch w[0] {
 		case "EXEC":
 			switch body := string(l.Body); body {
 			case "bad":
-				s.notify("EXIT %d " + w[1] + " bad 3 0\r\n\r\n")
+				n.notify("EXIT %d " + w[1] + " bad 3 0\r\n\r\n")
 			case "call":
-				s.notify("CALLOUT %d " + w[1] + " 3\r\nask\r\n")
+				n.notify("CALLOUT %d " + w[1] + " 3\r\nask\r\n")
 			case "hold":
 			default:
-				s.notify("EXIT %d " + w[1] + " good 3 " + strconv.Itoa(len(body)) + "\r\n" + body + "\r\n")
+				n.notify("EXIT %d " + w[1] + " good 3 " + strconv.Itoa(len(body)) + "\r\n" + body + "\r\n")
 			}
 		case "RETURN":
-			s.notify("EXIT %d " + w[1] + " good 3 " + strconv.Itoa(len(l.Body)) + "\r\n" + string(l.Body) + "\r\n")
+			n.notify("EXIT %d " + w[1] + " good 3 " + strconv.Itoa(len(l.Body)) + "\r\n" + string(l.Body) + "\r\n")
 		}
 	})
 }
 
 // notify numbers a notice, keeps it, and writes it to the link of the moment, if there is one.
-func (s *testNode) notify(form string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.notices = append(s.notices, fmt.Sprintf(form, len(s.notices)+1))
-	if s.executorConn != nil {
-		fmt.Fprint(s.executorConn, s.notices[len(s.notices)-1])
+func (n *testNode) notify(form string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.notices = append(n.notices, fmt.Sprintf(form, len(n.notices)+1))
+	if n.executorConn != nil {
+		fmt.Fprint(n.executorConn, n.notices[len(n.notices)-1])
 	}
 }
 
-func (s *testNode) serveCatalogue(conn net.Conn) {
-	s.catalogueConns <- conn
-	defer func() { s.catalogueClosed <- conn }()
-	s.readLines(conn, "FETCH", func(l lineprotocol.Line) {
-		s.catalogueLines <- append(l.Words, string(l.Body))
+func (n *testNode) serveCatalogue(conn net.Conn) {
+	n.catalogueConns <- conn
+	defer func() { n.catalogueClosed <- conn }()
+	n.readLines(conn, "FETCH", func(l lineprotocol.Line) {
+		n.catalogueLines <- append(l.Words, string(l.Body))
 		if l.Words[0] == "FETCH" {
-			s.mu.Lock()
-			reply := s.catalogueReply(l.Words[1])
-			s.mu.Unlock()
+			n.mu.Lock()
+			reply := n.catalogueReply(l.Words[1])
+			n.mu.Unlock()
 			if reply == "break" {
 				conn.Close()
 			} else {
@@ -318,10 +318,10 @@
 	})
 }
 
-func (s *testNode) setCatalogueReply(reply func(call string) string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.catalogueReply = reply
+func (n *testNode) setCatalogueReply(reply func(call string) string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.catalogueReply = reply
 }
 
 // dispatcher is a connection to the node.
@@ -331,12 +331,12 @@
 	parser frame.Parser
 }
 
-func (s *testNode) dial() *dispatcher {
-	conn, err := net.Dial("tcp", s.address)
-	require.NoError(s.t, err)
-	s.t.Cleanup(func() { conn.Close() })
+func (n *testNode) dial() *dispatcher {
+	conn, err := net.Dial("tcp", n.address)
+	require.NoError(n.t, err)
+	n.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	return &dispatcher{t: s.t, conn: conn}
+	return &dispatcher{t: n.t, conn: conn}
 }
 
 // invoke sends an invocation; its id ends in the number of the stream.
