--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -31,6 +31,39 @@
 	assert.Empty(d.t, rest)
 }
 
+func TestDrainCompletesRunsInFlightAndExits(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
+	d := node.dial()
+	call := d.invoke(1, "hold")
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
+	d.invoke(2, "still open")
+	assert.Equal(t, "20 on 2 still open", d.answer(), "the delay keeps intake open")
+	assert.Equal(t, "no more", d.answer())
+	node.awaitLog("no connection more") // from then on nobody can connect
+	_, err := net.Dial("tcp", node.address)
+	assert.Error(t, err)
+	d.invoke(3, "too late")
+	assert.Equal(t, "50 on 3 ", d.answer())
+	node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+	assert.Equal(t, "20 on 1 ok", d.answer())
+	node.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
+	assert.NoError(t, await(t, node.exited))
+}
+
+func TestDrainAbortsRunsInFlightAtItsDeadline(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
+	d := node.dial()
+	d.invoke(1, "hold")
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
+	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, "51 on 1 ", d.answer())
+	node.awaitLog("abandoned 1")
+	assert.NoError(t, await(t, node.exited))
+}
+
 // An invocation that is sent in the moment in which the notice comes crosses it: it was read, and is owed an answer.
 func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
 	node := startNode(t, false, nil)
--- /dev/null
+++ b/integration/serving_test.go
@@ -0,0 +1,177 @@
+package integration
+
+import (
+	"debug/elf"
+	"fmt"
+	"net"
+	"slices"
+	"syscall"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"topazpost/internal/protocol/frame"
+)
+
+// The full-fleet days load a library into the node: that takes a build that the C library's loader starts.
+func TestDeployedBuildIsLinkedAgainstTheCLibrary(t *testing.T) {
+	f, err := elf.Open(program)
+	require.NoError(t, err)
+	defer f.Close()
+	assert.True(t, slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }), "no interpreter")
+	needed, err := f.ImportedLibraries()
+	require.NoError(t, err)
+	assert.Contains(t, needed, "libc.so.6")
+}
+
+func TestInvocationsSucceedFailAndAreReported(t *testing.T) {
+	node := startNode(t, false, nil)
+	d := node.dial()
+	d.invoke(1, "any\r\n\x00bytes")
+	assert.Equal(t, "20 on 1 any\r\n\x00bytes", d.answer())
+	d.invoke(2, "bad")
+	assert.Equal(t, "51 on 2 ", d.answer())
+	report := await(t, node.reports)
+	assert.Contains(t, report, "PUT /v2/endpoints/n1 {\"condition\":")
+	for report != `PUT /v2/endpoints/n1 {"condition":"Ready"}` {
+		report = await(t, node.reports)
+	}
+}
+
+func TestInvocationsSplitAndJoinedAnywhereAreAnsweredInAnyOrder(t *testing.T) {
+	node := startNode(t, false, nil)
+	d := node.dial()
+	for stream := range uint32(32) {
+		d.invoke(stream+1, fmt.Sprint("body ", stream+1))
+	}
+	got := map[string]bool{}
+	for range 32 {
+		got[d.answer()] = true
+	}
+	for stream := range 32 {
+		assert.Contains(t, got, fmt.Sprintf("20 on %d body %d", stream+1, stream+1))
+	}
+	check := frame.Append(nil, frame.Check, 1, []byte{0})
+	for i := range check {
+		d.write(check[i : i+1])
+	}
+	f, _ := d.next()
+	assert.Equal(t, []byte{frame.Checked, frame.Good}, []byte{f.Type, f.Payload[0]})
+}
+
+func TestCallOutcomesFollowTheCatalogueReplies(t *testing.T) {
+	node := startNode(t, false, nil)
+	d := node.dial()
+	call := d.invoke(1, "call")
+	assert.Equal(t, "20 on 1 reply", d.answer())
+	assert.Equal(t, []string{"FETCH", call}, await(t, node.catalogueLines)[:2])
+	node.setCatalogueReply(func(call string) string { return call + " FAULT\r\n" })
+	d.invoke(2, "call")
+	assert.Equal(t, "51 on 2 ", d.answer())
+	node.setCatalogueReply(func(string) string { return "break" })
+	d.invoke(3, "call")
+	assert.Equal(t, "51 on 3 ", d.answer(), "a break proves nothing, so an idempotent one's call is repeated, once")
+	for range 4 { // two of FAULT, two of the break
+		await(t, node.catalogueLines)
+	}
+	assert.Empty(t, node.catalogueLines)
+	node.setCatalogueReply(func(call string) string { return "no such words at all\r\n" })
+	d.invoke(4, "call")
+	assert.Equal(t, "51 on 4 ", d.answer())
+	node.setCatalogueReply(func(call string) string { return call + " DATA 1\r\nx\r\n" })
+	d.invoke(5, "call")
+	assert.Equal(t, "20 on 5 x", d.answer())
+}
+
+func TestCallsFailWhileTheCatalogueIsDownAndRecover(t *testing.T) {
+	node := startNode(t, false, nil)
+	d := node.dial()
+	address := node.catalogue.Addr().String()
+	node.catalogue.Close()
+	d.invoke(1, "call")
+	assert.Equal(t, "51 on 1 ", d.answer())
+	assert.Empty(t, node.catalogueLines)
+	back, err := net.Listen("tcp", address)
+	require.NoError(t, err)
+	t.Cleanup(func() { back.Close() })
+	go node.acceptConnections(back, node.serveCatalogue)
+	d.invoke(2, "call")
+	assert.Equal(t, "20 on 2 reply", d.answer())
+}
+
+func TestAbandonedInvocationCancelsItsCallInFlight(t *testing.T) {
+	node := startNode(t, false, nil)
+	node.setCatalogueReply(func(string) string { return "" })
+	d := node.dial()
+	d.invoke(1, "call")
+	await(t, node.catalogueLines)
+	d.write(frame.Append(nil, frame.Gone, 1, nil))
+	assert.Equal(t, await(t, node.catalogueConns), await(t, node.catalogueClosed))
+}
+
+func TestExecutorConnectsLateAndReconnects(t *testing.T) {
+	node := startNode(t, true, nil)
+	d := node.dial()
+	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	f, _ := d.next()
+	assert.Equal(t, byte(frame.Bad), f.Payload[0], "no executor yet")
+	close(node.executorUp)
+	link := await(t, node.executorConns)
+	node.awaitLog("executor is up")
+	call := d.invoke(1, "hold")
+	await(t, node.executorLines)
+	node.mu.Lock()
+	node.executorConn = nil
+	node.mu.Unlock()
+	link.Close()
+	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	assert.Equal(t, "20 on 1 late", d.answer())
+	fmt.Fprint(await(t, node.executorConns), "what is this\r\n")
+	await(t, node.executorConns)
+	d.invoke(2, "again")
+	assert.Equal(t, "20 on 2 again", d.answer())
+}
+
+func TestExecutorConnectionIsRetriedAfterRefusal(t *testing.T) {
+	node := startNode(t, false, nil)
+	address, link := node.executor.Addr().String(), await(t, node.executorConns)
+	node.executor.Close()
+	link.Close()
+	node.awaitLog("connection refused")
+	back, err := net.Listen("tcp", address)
+	require.NoError(t, err)
+	t.Cleanup(func() { back.Close() })
+	go node.acceptConnections(back, node.serveExecutor)
+	await(t, node.executorConns)
+	d := node.dial()
+	d.invoke(1, "fine")
+	assert.Equal(t, "20 on 1 fine", d.answer())
+}
+
+func TestInvocationsAreRejectedWhenMemoryIsFull(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) {
+		c["settings"].(map[string]any)["family_info"].(map[string]any)["memory_kb"] = 150
+	})
+	d := node.dial()
+	for stream := range uint32(32) {
+		d.invoke(stream+1, "hold")
+	}
+	assert.Regexp(t, `^50 on \d+ $`, d.answer())
+}
+
+func TestSuspendedProcessLosesNoResult(t *testing.T) {
+	node := startNode(t, false, nil)
+	node.setCatalogueReply(func(string) string { return "" })
+	d := node.dial()
+	run, call := d.invoke(1, "hold"), d.invoke(2, "call")
+	await(t, node.executorLines)
+	await(t, node.catalogueLines)
+	node.command.Process.Signal(syscall.SIGSTOP)
+	node.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
+	fmt.Fprint(await(t, node.catalogueConns), call+" DATA 5\r\nreply\r\n")
+	d.invoke(3, "meanwhile")
+	node.command.Process.Signal(syscall.SIGCONT)
+	got := []string{d.answer(), d.answer(), d.answer()}
+	assert.ElementsMatch(t, []string{"20 on 1 still", "20 on 2 reply", "20 on 3 meanwhile"}, got)
+}
