--- a/integration/endings_test.go
+++ b/integration/drain_test.go
@@ -17,70 +17,103 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// rested reads what a dispatcher is owed up to the notice that no more may come.
-func (d *dispatcher) rested() {
+// awaitNoMore reads what a dispatcher is owed up to the notice that no more may come.
+func (d *dispatcher) awaitNoMore() {
 	for d.answer() != "no more" {
 	}
 }
 
-// ends says that nothing more comes but a clean end.
-func (d *dispatcher) ends() {
+// assertClosed says that nothing more comes but a clean end.
+func (d *dispatcher) assertClosed() {
 	d.t.Helper()
 	rest, err := io.ReadAll(d.conn)
 	assert.NoError(d.t, err, "a reset takes what is owed with it")
 	assert.Empty(d.t, rest)
 }
 
+func TestDrainCompletesRunsInFlightAndExits(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
+	d := node.dial()
+	call := d.invoke(1, "hold")
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
+	node.awaitLog("drain notice")
+	d.invoke(2, "still open")
+	assert.Equal(t, "20 on 2 still open", d.answer(), "the delay keeps intake open")
+	assert.Equal(t, "no more", d.answer())
+	node.awaitLog("no connection more") // from then on nobody can connect
+	_, err := net.Dial("tcp", node.address)
+	assert.Error(t, err)
+	d.invoke(3, "too late")
+	assert.Equal(t, "50 on 3 ", d.answer())
+	node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+	assert.Equal(t, "20 on 1 ok", d.answer())
+	node.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
+	assert.NoError(t, await(t, node.exited))
+}
+
+func TestDrainAbortsRunsInFlightAtItsDeadline(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
+	d := node.dial()
+	d.invoke(1, "hold")
+	await(t, node.executorLines)
+	node.signal(syscall.SIGTERM)
+	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, "51 on 1 ", d.answer())
+	node.awaitLog("abandoned 1")
+	assert.NoError(t, await(t, node.exited))
+}
+
 // An invocation that is sent in the moment in which the notice comes crosses it: it was read, and is owed an answer.
-func TestInvocationThatCrossesTheLastNoticeOfADrainIsAnswered(t *testing.T) {
-	s := start(t, false, nil)
+func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
+	node := startNode(t, false, nil)
 	var rest []*dispatcher
 	for n := range 8 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer(), n)
 		rest = append(rest, d)
 	}
-	s.signal(syscall.SIGTERM)
+	node.signal(syscall.SIGTERM)
 	for _, d := range rest {
-		d.rested()
+		d.awaitNoMore()
 		d.invoke(2, "crosses")
 	}
 	for _, d := range rest {
 		assert.Equal(t, "50 on 2 ", d.answer())
-		d.ends()
+		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.ended))
-	for len(s.told) > 0 {
-		w := <-s.told
+	assert.NoError(t, await(t, node.exited))
+	for len(node.executorLines) > 0 {
+		w := <-node.executorLines
 		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake")
 	}
 }
 
 // The same where the node has no executor, and leaves at once.
-func TestInvocationThatCrossesTheEndOfANodeWithoutItsExecutorIsAnswered(t *testing.T) {
-	s := start(t, true, nil)
-	d := s.dial()
+func TestInvocationThatCrossesTheExitWithoutAnExecutorIsAnswered(t *testing.T) {
+	node := startNode(t, true, nil)
+	d := node.dial()
 	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 	d.next()
-	s.signal(syscall.SIGTERM)
-	d.rested()
+	node.signal(syscall.SIGTERM)
+	d.awaitNoMore()
 	d.invoke(1, "crosses")
 	assert.Equal(t, "50 on 1 ", d.answer())
-	d.ends()
-	assert.NoError(t, await(t, s.ended))
+	d.assertClosed()
+	assert.NoError(t, await(t, node.exited))
 }
 
 // Connections that the system accepted while no place was free are taken on when intake ends, and their invocations
 // are answered.
-func TestConnectionsThatWaitForAPlaceWhenIntakeEndsAreAnswered(t *testing.T) {
-	s := start(t, false, func(c map[string]any) {
+func TestConnectionsInTheBacklogWhenIntakeStopsAreAnswered(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) {
 		c["stop_ms"] = 6_000
 		c["limits"].(map[string]any)["sockets"] = 32
 	})
 	var first, waiting []*dispatcher
 	for n := range 14 { // as many as there are places, each with something open
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "hold")
 		d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
 		f, _ := d.next()
@@ -88,11 +121,11 @@
 		first = append(first, d)
 	}
 	for range 3 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "waits")
 		waiting = append(waiting, d)
 	}
-	s.signal(syscall.SIGTERM)
+	node.signal(syscall.SIGTERM)
 	for _, d := range first { // each ends by itself once it is told and answered
 		got := []string{d.answer(), d.answer()}
 		slices.Sort(got)
@@ -103,38 +136,38 @@
 	for _, d := range waiting {
 		assert.Equal(t, "no more", d.answer())
 		assert.Equal(t, "50 on 1 ", d.answer())
-		d.ends()
+		d.assertClosed()
 	}
-	assert.NoError(t, await(t, s.ended))
+	assert.NoError(t, await(t, node.exited))
 }
 
 // Resting connections make room in the protocol's way: told, heard once more, closed without a reset.
-func TestARestingConnectionThatMakesRoomLosesNothing(t *testing.T) {
-	s := start(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
+	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
 	var rest []*dispatcher
 	for range 10 {
-		d := s.dial()
+		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer())
 		rest = append(rest, d)
 	}
-	next := s.dial()
+	next := node.dial()
 	next.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", next.answer())
 	d := rest[0] // it rested longest
 	assert.Equal(t, "no more", d.answer())
 	d.invoke(2, "crosses")
 	assert.Equal(t, "20 on 2 crosses", d.answer())
-	d.ends()
+	d.assertClosed()
 }
 
 // Under load, killed and drained in turn, and started again before the last life has ended, nine in ten processes serve
 // within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
 	const restarts, soon = 20, 10 * time.Second
-	s := start(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
-	address := s.address
-	s.config["listen"] = address
+	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
+	address := node.address
+	node.config["listen"] = address
 	var load sync.WaitGroup
 	over := make(chan struct{})
 	for range 8 {
@@ -167,22 +200,22 @@
 	}
 	var took []time.Duration
 	for n := range restarts {
-		last, ended := s.command, s.ended
+		last, ended := node.command, node.exited
 		if n%2 == 0 {
 			last.Process.Signal(syscall.SIGKILL)
 		} else {
 			last.Process.Signal(syscall.SIGTERM)
 		}
-		s.renew("old")
-		s.ended = make(chan error, 1)
+		node.resetExecutor("old")
+		node.exited = make(chan error, 1)
 		from := time.Now()
-		s.run()
-		for !serves(address) {
+		node.launch()
+		for !answersHealthCheck(address) {
 			require.Less(t, time.Since(from), 30*time.Second)
 			time.Sleep(time.Millisecond)
 		}
 		took = append(took, time.Since(from))
-		await(t, ended)
+		_ = await(t, ended) // a killed process ends with an error, a drained one without
 	}
 	close(over)
 	load.Wait()
@@ -191,35 +224,37 @@
 	assert.LessOrEqual(t, took[len(took)*9/10-1], soon)
 }
 
-// serves says whether a node answers a health check well.
-func serves(address string) bool {
+// answersHealthCheck says whether a node answers a health check well.
+func answersHealthCheck(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
-	conn.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	if _, err := conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})); err != nil {
+		return false
+	}
 	b := make([]byte, 10)
 	_, err = io.ReadFull(conn, b)
 	return err == nil && b[4] == frame.Checked && b[9] == frame.Good
 }
 
 // The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
-func TestDescriptorsComeFreeOnceEverybodyHasLeft(t *testing.T) {
-	s := start(t, false, nil)
+func TestDescriptorsAreReleasedAfterDisconnects(t *testing.T) {
+	node := startNode(t, false, nil)
 	open := func() int {
-		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.command.Process.Pid))
+		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.command.Process.Pid))
 		require.NoError(t, err)
 		return len(list)
 	}
-	d := s.dial()
+	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
 	d.conn.Close()
 	before := open()
 	for n := range 60 {
-		d := s.dial()
+		d := node.dial()
 		switch n % 4 {
 		case 0:
 			d.invoke(1, "call")
@@ -231,5 +266,5 @@
 		}
 		d.conn.Close()
 	}
-	require.Eventually(t, func() bool { return open() <= before }, bound, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return open() <= before }, testTimeout, 10*time.Millisecond)
 }
