--- a/integration/deduplication_test.go
+++ b/integration/deduplication_test.go
@@ -9,35 +9,27 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// startDeduplicatingNode starts a node as deployed, with no file of its own, whose one operation has its repeats dropped.
-func startDeduplicatingNode(t *testing.T, window int) *testNode {
-	return startNode(t, false, func(config map[string]any) {
-		settings := config["settings"].(map[string]any)
-		grade := settings["grades"].([]any)[0].(map[string]any)
-		grade["effect"], grade["window"] = "deduplicated", window
-		settings["family_info"].(map[string]any)["entry_kb"] = 4_000 // of the executor's memory: a second one would find no room
+// startDeduplicatingNode starts a node without a store, whose one operation is deduplicated for a window. The cached entry
+// of one run takes so much of the executor's memory that a second run at a time would be rejected.
+func startDeduplicatingNode(t *testing.T, window time.Duration) *testNode {
+	t.Helper()
+	return startNode(t, false, func(config nodeConfig) {
+		operation := config.operation()
+		operation["effect"] = "deduplicated"
+		operation["window"] = window.Milliseconds()
+		config.familyInfo()["entry_kb"] = 4_000
 	})
 }
 
-// startedBodies are the bodies of the runs that were started since the last look.
-func (n *testNode) startedBodies() (bodies []string) {
-	for len(n.executorLines) > 0 {
-		if w := <-n.executorLines; w[0] == "EXEC" {
-			bodies = append(bodies, w[len(w)-1])
-		}
-	}
-	return bodies
-}
-
 func TestDuplicateWaitsForTheRunInFlightOrGetsItsCachedResult(t *testing.T) {
-	node := startDeduplicatingNode(t, 60_000)
+	node := startDeduplicatingNode(t, time.Minute)
 	first, second := node.dial(), node.dial()
 	first.invokeWithToken(1, "a", "hold")
-	run := await(t, node.executorLines)
+	run := await(t, node.executor.commands)
 	second.invokeWithToken(1, "a", "hold") // on another connection, while it runs
 	second.invokeWithToken(2, "b", "other")
 	assert.Equal(t, "20 on 2 other", second.answer(), "the repeat before it was read")
-	node.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
+	node.executor.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", first.answer())
 	assert.Equal(t, "20 on 1 ok", second.answer())
 	third := node.dial()
@@ -45,27 +37,27 @@
 	assert.Equal(t, "20 on 1 ok", third.answer())
 	first.invokeWithToken(2, "a", "another body")
 	assert.Equal(t, "51 on 2 ", first.answer(), "a token of another body")
-	assert.Equal(t, []string{"other"}, node.startedBodies(), "beside the first run")
+	assert.Equal(t, []string{"other"}, node.executor.startedBodies(), "beside the first run")
 }
 
 func TestDuplicateGetsTheResultAfterTheFirstCallerDisconnected(t *testing.T) {
-	node := startDeduplicatingNode(t, 60_000)
+	node := startDeduplicatingNode(t, time.Minute)
 	first, second := node.dial(), node.dial()
 	first.invokeWithToken(1, "a", "hold")
-	run := await(t, node.executorLines)
+	run := await(t, node.executor.commands)
 	first.conn.Close()
 	second.invokeWithToken(1, "a", "hold")
 	second.invokeWithToken(2, "b", "other")
 	assert.Equal(t, "20 on 2 other", second.answer())
-	node.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
+	node.executor.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", second.answer())
-	assert.Equal(t, []string{"other"}, node.startedBodies())
+	assert.Equal(t, []string{"other"}, node.executor.startedBodies())
 }
 
 func TestDuplicateRunsAgainOnlyAfterItsWindow(t *testing.T) {
 	const window = 700 * time.Millisecond
-	node := startDeduplicatingNode(t, int(window/time.Millisecond))
-	grade := node.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
+	node := startDeduplicatingNode(t, window)
+	grade := node.config.operation()
 	grade["give_up"], grade["aim"] = 800, 600 // a token is known for so much longer than its window
 	node.signal(syscall.SIGKILL)
 	_ = await(t, node.exited) // the error of the kill
@@ -74,12 +66,12 @@
 	from := time.Now()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
-	assert.Len(t, node.startedBodies(), 1)
+	assert.Len(t, node.executor.startedBodies(), 1)
 	for stream := uint32(2); ; stream++ {
 		sent := time.Now()
 		d.invokeWithToken(stream, "a", "result")
 		assert.Equal(t, fmt.Sprintf("20 on %d result", stream), d.answer())
-		if len(node.startedBodies()) > 0 {
+		if len(node.executor.startedBodies()) > 0 {
 			assert.GreaterOrEqual(t, time.Since(from), window)
 			return
 		}
@@ -90,7 +82,7 @@
 
 // In a drain, and after intake has ended, a repeat of one that ran is never told that it did not run.
 func TestDuplicateOfACompletedRunIsNeverRejectedInADrain(t *testing.T) {
-	node := startDeduplicatingNode(t, 60_000)
+	node := startDeduplicatingNode(t, time.Minute)
 	d, other := node.dial(), node.dial()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
@@ -109,34 +101,34 @@
 	d.assertClosed()
 	other.assertClosed()
 	assert.NoError(t, await(t, node.exited))
-	assert.Equal(t, []string{"result", "first"}, node.startedBodies())
+	assert.Equal(t, []string{"result", "first"}, node.executor.startedBodies())
 }
 
 // A new life knows nothing of the last one's tokens without a store: they run once in it too.
 func TestDuplicateAfterARestartRunsOncePerIncarnation(t *testing.T) {
-	node := startDeduplicatingNode(t, 60_000)
+	node := startDeduplicatingNode(t, time.Minute)
 	d := node.dial()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
 	node.signal(syscall.SIGKILL)
 	_ = await(t, node.exited) // the error of the kill
-	node.resetExecutor("old")
+	node.executor.reset("old")
 	node.launch()
 	for range 2 {
 		d = node.dial()
 		d.invokeWithToken(1, "a", "result")
 		assert.Equal(t, "20 on 1 result", d.answer())
 	}
-	assert.Equal(t, []string{"result", "result"}, node.startedBodies(), "one run in each life")
+	assert.Equal(t, []string{"result", "result"}, node.executor.startedBodies(), "one run in each life")
 }
 
 func TestUnknownEffectsAndMissingTokensAreReported(t *testing.T) {
-	node := startDeduplicatingNode(t, 60_000)
+	node := startDeduplicatingNode(t, time.Minute)
 	d := node.dial()
 	d.invoke(1, "without a token")
 	assert.Equal(t, "51 on 1 ", d.answer())
 	assert.Contains(t, node.awaitLog("can't be used"), "field dedupe")
-	grade := node.config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
+	grade := node.config.operation()
 	grade["effect"] = "once"
 	node.writeConfig(false)
 	out, err := runProgram("check", node.configPath)
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"slices"
@@ -17,48 +16,34 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// awaitNoMore reads what a dispatcher is owed up to the notice that no more may come.
-func (d *dispatcher) awaitNoMore() {
-	for d.answer() != "no more" {
-	}
-}
-
-// assertClosed says that nothing more comes but a clean end.
-func (d *dispatcher) assertClosed() {
-	d.t.Helper()
-	rest, err := io.ReadAll(d.conn)
-	assert.NoError(d.t, err, "a reset takes what is owed with it")
-	assert.Empty(d.t, rest)
-}
-
 func TestDrainCompletesRunsInFlightAndExits(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 20_000 })
 	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
 	d.invoke(2, "still open")
 	assert.Equal(t, "20 on 2 still open", d.answer(), "the delay keeps intake open")
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	node.awaitLog("no connection more") // from then on nobody can connect
 	_, err := net.Dial("tcp", node.address)
 	assert.Error(t, err)
 	d.invoke(3, "too late")
 	assert.Equal(t, "50 on 3 ", d.answer())
-	node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+	node.executor.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", d.answer())
 	node.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
 	assert.NoError(t, await(t, node.exited))
 }
 
 func TestDrainAbortsRunsInFlightAtItsDeadline(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 800 })
 	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	node.signal(syscall.SIGTERM)
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	node.awaitLog("abandoned 1")
 	assert.NoError(t, await(t, node.exited))
@@ -84,8 +69,8 @@
 		d.assertClosed()
 	}
 	assert.NoError(t, await(t, node.exited))
-	for len(node.executorLines) > 0 {
-		w := <-node.executorLines
+	for len(node.executor.commands) > 0 {
+		w := <-node.executor.commands
 		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake")
 	}
 }
@@ -94,7 +79,7 @@
 func TestInvocationThatCrossesTheExitWithoutAnExecutorIsAnswered(t *testing.T) {
 	node := startNode(t, true, nil)
 	d := node.dial()
-	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	d.write(healthCheck())
 	d.next()
 	node.signal(syscall.SIGTERM)
 	d.awaitNoMore()
@@ -107,15 +92,15 @@
 // Connections that the system accepted while no place was free are taken on when intake ends, and their invocations
 // are answered.
 func TestConnectionsInTheBacklogWhenIntakeStopsAreAnswered(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) {
-		c["stop_ms"] = 6_000
-		c["limits"].(map[string]any)["sockets"] = 32
+	node := startNode(t, false, func(config nodeConfig) {
+		config["stop_ms"] = 6_000
+		config.limits()["sockets"] = 32
 	})
 	var first, waiting []*dispatcher
 	for n := range 14 { // as many as there are places, each with something open
 		d := node.dial()
 		d.invoke(1, "hold")
-		d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+		d.write(healthCheck())
 		f, _ := d.next()
 		require.Equal(t, byte(frame.Checked), f.Type, "%d: the invocation before it was read", n)
 		first = append(first, d)
@@ -130,11 +115,11 @@
 		got := []string{d.answer(), d.answer()}
 		slices.Sort(got)
 		assert.Regexp(t, `^5[01] on 1 $`, got[0])
-		assert.Equal(t, "no more", got[1])
+		assert.Equal(t, noMore, got[1])
 		d.conn.Close()
 	}
 	for _, d := range waiting {
-		assert.Equal(t, "no more", d.answer())
+		assert.Equal(t, noMore, d.answer())
 		assert.Equal(t, "50 on 1 ", d.answer())
 		d.assertClosed()
 	}
@@ -143,7 +128,7 @@
 
 // Resting connections make room in the protocol's way: told, heard once more, closed without a reset.
 func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
 	var rest []*dispatcher
 	for range 10 {
 		d := node.dial()
@@ -155,7 +140,7 @@
 	next.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", next.answer())
 	d := rest[0] // it rested longest
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	d.invoke(2, "crosses")
 	assert.Equal(t, "20 on 2 crosses", d.answer())
 	d.assertClosed()
@@ -165,7 +150,7 @@
 // within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
 	const restarts, soon = 20, 10 * time.Second
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 1_000 })
 	address := node.address
 	node.config["listen"] = address
 	var load sync.WaitGroup
@@ -186,7 +171,7 @@
 				conn.SetDeadline(time.Now().Add(time.Second))
 				d := &dispatcher{t: t, conn: conn}
 				for range 20 {
-					if _, err := conn.Write(invocation(fmt.Sprintf("%016x", time.Now().UnixNano()), stream, "fine")); err != nil {
+					if _, err := conn.Write(invocation("catalogue", fmt.Sprintf("%016x", time.Now().UnixNano()), stream, "fine")); err != nil {
 						break
 					}
 					if _, ok := d.next(); !ok {
@@ -206,7 +191,7 @@
 		} else {
 			last.Process.Signal(syscall.SIGTERM)
 		}
-		node.resetExecutor("old")
+		node.executor.reset("old")
 		node.exited = make(chan error, 1)
 		from := time.Now()
 		node.launch()
@@ -224,22 +209,6 @@
 	assert.LessOrEqual(t, took[len(took)*9/10-1], soon)
 }
 
-// answersHealthCheck says whether a node answers a health check well.
-func answersHealthCheck(address string) bool {
-	conn, err := net.Dial("tcp", address)
-	if err != nil {
-		return false
-	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(time.Second))
-	if _, err := conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})); err != nil {
-		return false
-	}
-	b := make([]byte, 10)
-	_, err = io.ReadFull(conn, b)
-	return err == nil && b[4] == frame.Checked && b[9] == frame.Good
-}
-
 // The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
 func TestDescriptorsAreReleasedAfterDisconnects(t *testing.T) {
 	node := startNode(t, false, nil)
@@ -262,7 +231,7 @@
 		case 1:
 			d.write([]byte{9, 9, 9, 9, 9})
 		case 2:
-			d.write(frame.Append(nil, frame.Check, 1, []byte{0})[:7])
+			d.write(healthCheck()[:7])
 		}
 		d.conn.Close()
 	}
--- a/integration/faultydispatchers_test.go
+++ b/integration/faultydispatchers_test.go
@@ -21,11 +21,11 @@
 		"type": frame.Append(nil, 99, 2, nil), "stream": frame.Append(nil, frame.Invocation, 1, []byte{0})} {
 		d := node.dial()
 		call := d.invoke(1, "hold")
-		await(t, node.executorLines)
+		await(t, node.executor.commands)
 		d.write(bad)
 		assert.Contains(t, d.answer(), "51 on 0 ", what)
-		assert.Equal(t, "no more", d.answer(), what)
-		node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+		assert.Equal(t, noMore, d.answer(), what)
+		node.executor.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 		assert.Equal(t, "20 on 1 ok", d.answer(), what)
 		_, ok := d.next()
 		assert.False(t, ok, "closed once all is answered: "+what)
@@ -42,7 +42,7 @@
 }
 
 func TestConnectionFloodLeavesCapacityForActiveClients(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
 	for range 150 {
 		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -17,18 +17,18 @@
 
 // A second notice aborts what is in hand, and still answers it.
 func TestSecondSignalAbortsAndAnswersRunsInFlight(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 120_000 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 120_000 })
 	d, rests := node.dial(), node.dial()
 	rests.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", rests.answer())
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	d.invoke(1, "hold")
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("what is in hand is aborted")
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	rests.awaitNoMore()
 	rests.invoke(2, "crosses")
@@ -39,19 +39,19 @@
 }
 
 func TestDrainWhileTheExecutorIsDisconnectedAnswersAll(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_500 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 1_500 })
 	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, node.executorLines)
-	link := await(t, node.executorConns)
-	node.executor.Close()
+	await(t, node.executor.commands)
+	link := await(t, node.executor.connections)
+	node.executor.listener.Close()
 	link.Close()
 	node.awaitLog("executor link ended")
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
 	d.invoke(2, "never told to the executor")
 	got := []string{d.answer(), d.answer(), d.answer()}
-	assert.Contains(t, got, "no more")
+	assert.Contains(t, got, noMore)
 	assert.Contains(t, got, "51 on 1 ")
 	assert.Regexp(t, `5[01] on 2 `, strings.Join(got, ","))
 	d.assertClosed()
@@ -61,12 +61,12 @@
 // A process that stood still past its time to leave aborts and leaves in one step: the answers must be out before it ends.
 func TestDrainWhoseDeadlinePassedDuringASuspensionAnswersAll(t *testing.T) {
 	const stop = 800 * time.Millisecond
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = stop.Milliseconds() })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = stop.Milliseconds() })
 	var all []*dispatcher
 	for range 8 {
 		d := node.dial()
 		d.invoke(1, "hold")
-		await(t, node.executorLines)
+		await(t, node.executor.commands)
 		all = append(all, d)
 	}
 	node.signal(syscall.SIGTERM)
@@ -75,7 +75,7 @@
 	time.Sleep(stop)
 	node.signal(syscall.SIGCONT)
 	for _, d := range all {
-		assert.Equal(t, "no more", d.answer())
+		assert.Equal(t, noMore, d.answer())
 		assert.Equal(t, "51 on 1 ", d.answer())
 		d.assertClosed()
 	}
@@ -83,10 +83,10 @@
 }
 
 func TestDrainDuringAReloadAnswersAll(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_500 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 1_500 })
 	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	node.movePeers()
 	node.writeConfig(true) // half written: it is read again and again
 	node.signal(syscall.SIGHUP)
@@ -94,7 +94,7 @@
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
 	node.writeConfig(false)
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	d.assertClosed()
 	assert.NoError(t, await(t, node.exited))
@@ -103,7 +103,7 @@
 // Idle clients that fill the table while the control plane is down leave descriptors for what the node itself opens, and
 // room for those who work.
 func TestIdleConnectionsLeaveDescriptorsForReportsTheExecutorAndCalls(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
 	control, err := net.Listen("tcp", "127.0.0.1:0") // accepts and never answers
 	require.NoError(t, err)
 	t.Cleanup(func() { control.Close() })
@@ -111,31 +111,31 @@
 	node.writeConfig(false)
 	node.signal(syscall.SIGHUP)
 	node.awaitLog("peers are now at")
-	link := await(t, node.executorConns)
+	link := await(t, node.executor.connections)
 	for n := range 120 {
 		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		switch n % 3 {
 		case 0:
-			_, _ = conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})) // the node may have closed it
+			_, _ = conn.Write(healthCheck()) // the node may have closed it
 		case 1:
-			_, _ = conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})[:7]) // likewise
+			_, _ = conn.Write(healthCheck()[:7]) // likewise
 		}
 	}
 	link.Close()
-	await(t, node.executorConns)
+	await(t, node.executor.connections)
 	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
 	back, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { back.Close() })
-	go func() { _ = http.Serve(back, node.control) }() // it ends with the listener
+	go func() { _ = http.Serve(back, node.controlPlane) }() // it ends with the listener
 	node.config["control"] = back.Addr().String()
 	node.writeConfig(false)
 	node.signal(syscall.SIGHUP)
-	await(t, node.reports)
+	await(t, node.controlPlane.reports)
 	limit, err := http.Dir("/proc").Open(fmt.Sprint(node.command.Process.Pid, "/fd"))
 	require.NoError(t, err)
 	list, err := limit.Readdir(-1)
@@ -145,7 +145,7 @@
 
 // Slow senders in great number make room as well.
 func TestPartialFramesLeaveCapacityForActiveClients(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
+	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
 	for range 100 {
 		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
@@ -171,13 +171,13 @@
 		"a length below 0": "%s DATA -4\r\n", "a length without bound": "%s DATA 99999999999\r\n"} {
 		for _, breaks := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, breaks off %v", what, breaks), func(t *testing.T) {
-				node := startNode(t, false, func(c map[string]any) {
-					grade := c["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
+				node := startNode(t, false, func(config nodeConfig) {
+					grade := config.operation()
 					grade["effect"], grade["give_up"], grade["aim"] = "at_most_once", 900, 800
 				})
-				node.setCatalogueReply(func(call string) string {
+				node.catalogue.setReply(func(call string) string {
 					if breaks {
-						time.AfterFunc(20*time.Millisecond, func() { (<-node.catalogueConns).Close() })
+						time.AfterFunc(20*time.Millisecond, func() { (<-node.catalogue.opened).Close() })
 					}
 					return strings.Replace(reply, "%s", call, 1)
 				})
@@ -186,9 +186,9 @@
 				assert.Equal(t, "51 on 1 ", d.answer())
 				d.invoke(2, "fine")
 				assert.Equal(t, "20 on 2 fine", d.answer())
-				await(t, node.catalogueLines)
-				for len(node.catalogueLines) > 0 {
-					assert.NotEqual(t, "FETCH", (<-node.catalogueLines)[0], "it may have run")
+				await(t, node.catalogue.requests)
+				for len(node.catalogue.requests) > 0 {
+					assert.NotEqual(t, "FETCH", (<-node.catalogue.requests)[0], "it may have run")
 				}
 			})
 		}
@@ -200,18 +200,16 @@
 	node := startNode(t, false, nil)
 	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, node.executorLines)
-	link := await(t, node.executorConns)
-	node.mu.Lock()
-	node.executorConn = nil // what it says from here on is heard on the next link
-	node.mu.Unlock()
+	await(t, node.executor.commands)
+	link := await(t, node.executor.connections)
+	node.executor.detach() // what it says from here on is heard on the next link
 	fmt.Fprint(link, "EXIT 1 "+call+" go")
-	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	node.executor.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	fmt.Fprint(link, strings.Repeat("y", 1<<20)) // a line without end
-	await(t, node.executorConns)
+	await(t, node.executor.connections)
 	assert.Equal(t, "20 on 1 late", d.answer())
 	for range 20_000 {
-		node.notify("LOG %d any words\r\n")
+		node.executor.notify("LOG %d any words\r\n")
 	}
 	d.invoke(2, "fine")
 	assert.Equal(t, "20 on 2 fine", d.answer())
--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -8,6 +8,8 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
+	"strings"
 	"testing"
 	"time"
 
@@ -189,3 +191,13 @@
 	}
 	spent[kind] += time.Since(began)
 }
+
+// containsInode looks for a socket in a table of /proc/net.
+func containsInode(table string, inode int) bool {
+	for _, line := range strings.Split(table, "\n") {
+		if fields := strings.Fields(line); len(fields) > 9 && fields[9] == strconv.Itoa(inode) {
+			return true
+		}
+	}
+	return false
+}
--- a/integration/reload_test.go
+++ b/integration/reload_test.go
@@ -33,28 +33,28 @@
 	node := startNode(t, false, nil)
 	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, node.executorLines)
-	await(t, node.executorConns)
+	await(t, node.executor.commands)
+	await(t, node.executor.connections)
 	for range 3 {
 		node.movePeers()
 		node.writeConfig(false)
 		node.signal(syscall.SIGHUP)
-		await(t, node.executorConns)
+		await(t, node.executor.connections)
 	}
-	for len(node.reports) > 0 {
-		<-node.reports
+	for len(node.controlPlane.reports) > 0 {
+		<-node.controlPlane.reports
 	}
-	await(t, node.reports)
+	await(t, node.controlPlane.reports)
 	d.invoke(2, "call")
 	assert.Equal(t, "20 on 2 reply", d.answer())
-	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	node.executor.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	assert.Equal(t, "20 on 1 late", d.answer())
 }
 
 func TestInvalidReloadIsReportedAndRetried(t *testing.T) {
 	node := startNode(t, false, nil)
 	d := node.dial()
-	await(t, node.executorConns)
+	await(t, node.executor.connections)
 	node.movePeers()
 	node.writeConfig(true)
 	node.signal(syscall.SIGHUP)
@@ -64,7 +64,7 @@
 	node.config["stop_ms"] = 4_000
 	node.writeConfig(false)
 	assert.Contains(t, node.awaitLog("takes a new start"), "stop_ms")
-	await(t, node.executorConns)
+	await(t, node.executor.connections)
 	d.invoke(2, "there")
 	assert.Equal(t, "20 on 2 there", d.answer())
 }
--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -1,7 +1,6 @@
 package integration
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -9,7 +8,6 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -31,24 +29,6 @@
 	logs     []*logBuffer
 }
 
-// logBuffer is what a process says, read while it runs.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(b)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 func newReplicaProcesses(t *testing.T) *replicaProcesses {
 	s := &replicaProcesses{t: t, folder: t.TempDir()}
 	names := []string{"s1", "s2", "s3"}
--- a/integration/resultstore_test.go
+++ b/integration/resultstore_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -25,24 +24,12 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	return startNodeWithFlags(t, false, func(config map[string]any) {
-		grade := config["settings"].(map[string]any)["grades"].([]any)[0].(map[string]any)
+	return startNodeWithFlags(t, false, func(config nodeConfig) {
+		grade := config.operation()
 		grade["effect"], grade["window"] = "deduplicated", 60_000
 	}, "--keep", path)
 }
 
-func (d *dispatcher) invokeWithToken(stream uint32, token, body string) {
-	d.write(frame.AppendInvocation(nil, stream, []frame.Field{{Name: "op", Value: "catalogue"},
-		{Name: "call", Value: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, stream)},
-		{Name: "recv", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)}, {Name: "src", Value: "4"},
-		{Name: "heap", Value: "24.5"}, {Name: "dedupe", Value: token}}, []byte(body)))
-}
-
-func runProgram(args ...string) (string, error) {
-	out, err := exec.Command(program, args...).CombinedOutput()
-	return string(out), err
-}
-
 func TestResultsBeforeAKillAreAnsweredFromTheStoreOrReportedUnknown(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "kept")
 	node := startNodeWithStore(t, folder)
@@ -50,9 +37,9 @@
 	d.invokeWithToken(1, "done", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
 	d.invokeWithToken(2, "open", "hold") // runs on
-	for await(t, node.executorLines)[0] != "EXEC" {
+	for await(t, node.executor.commands)[0] != "EXEC" {
 	}
-	if w := await(t, node.executorLines); w[0] != "EXEC" {
+	if w := await(t, node.executor.commands); w[0] != "EXEC" {
 		t.Fatal(w)
 	}
 	out, err := runProgram("results", "list", folder)
@@ -80,7 +67,7 @@
 	assert.Equal(t, "20 result", ask("done", "result"))
 	assert.Equal(t, "51 ", ask("open", "hold"))
 	assert.Equal(t, "51 ", ask("done", "another body"))
-	assert.Empty(t, node.executorLines, "nothing ran again")
+	assert.Empty(t, node.executor.commands, "nothing ran again")
 	node.signal(syscall.SIGKILL)
 	_ = await(t, node.exited) // the error of the kill
 	out, err = runProgram("results", "settle", folder, "open", "--ending", "errored")
@@ -156,12 +143,12 @@
 	path := filepath.Join(b.TempDir(), "kept.jsonnet")
 	require.NoError(b, os.WriteFile(path, text, 0o600))
 	var flags []string
-	change := func(config map[string]any) {
-		settings := config["settings"].(map[string]any)
+	change := func(config nodeConfig) {
+		settings := config.settings()
 		first := settings["grades"].([]any)[0]
 		tokened := map[string]any{"name": "hold", "aim": 5_000, "give_up": 9_000, "importance": 1, "effect": "deduplicated", "window": 600_000}
 		settings["grades"] = []any{first, tokened}
-		info := settings["family_info"].(map[string]any)
+		info := config.familyInfo()
 		info["memory_kb"], info["entry_kb"], info["class_calls"] = 900_000, 1, []bool{true, false}
 	}
 	if mode != "idempotent" {
--- a/integration/serving_test.go
+++ b/integration/serving_test.go
@@ -3,7 +3,6 @@
 import (
 	"debug/elf"
 	"fmt"
-	"net"
 	"slices"
 	"syscall"
 	"testing"
@@ -32,10 +31,10 @@
 	assert.Equal(t, "20 on 1 any\r\n\x00bytes", d.answer())
 	d.invoke(2, "bad")
 	assert.Equal(t, "51 on 2 ", d.answer())
-	report := await(t, node.reports)
+	report := await(t, node.controlPlane.reports)
 	assert.Contains(t, report, "PUT /v2/endpoints/n1 {\"condition\":")
 	for report != `PUT /v2/endpoints/n1 {"condition":"Ready"}` {
-		report = await(t, node.reports)
+		report = await(t, node.controlPlane.reports)
 	}
 }
 
@@ -52,7 +51,7 @@
 	for stream := range 32 {
 		assert.Contains(t, got, fmt.Sprintf("20 on %d body %d", stream+1, stream+1))
 	}
-	check := frame.Append(nil, frame.Check, 1, []byte{0})
+	check := healthCheck()
 	for i := range check {
 		d.write(check[i : i+1])
 	}
@@ -65,21 +64,21 @@
 	d := node.dial()
 	call := d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
-	assert.Equal(t, []string{"FETCH", call}, await(t, node.catalogueLines)[:2])
-	node.setCatalogueReply(func(call string) string { return call + " FAULT\r\n" })
+	assert.Equal(t, []string{"FETCH", call}, await(t, node.catalogue.requests)[:2])
+	node.catalogue.setReply(func(call string) string { return call + " FAULT\r\n" })
 	d.invoke(2, "call")
 	assert.Equal(t, "51 on 2 ", d.answer())
-	node.setCatalogueReply(func(string) string { return "break" })
+	node.catalogue.setReply(func(string) string { return disconnectReply })
 	d.invoke(3, "call")
 	assert.Equal(t, "51 on 3 ", d.answer(), "a break proves nothing, so an idempotent one's call is repeated, once")
 	for range 4 { // two of FAULT, two of the break
-		await(t, node.catalogueLines)
+		await(t, node.catalogue.requests)
 	}
-	assert.Empty(t, node.catalogueLines)
-	node.setCatalogueReply(func(call string) string { return "no such words at all\r\n" })
+	assert.Empty(t, node.catalogue.requests)
+	node.catalogue.setReply(func(call string) string { return "no such words at all\r\n" })
 	d.invoke(4, "call")
 	assert.Equal(t, "51 on 4 ", d.answer())
-	node.setCatalogueReply(func(call string) string { return call + " DATA 1\r\nx\r\n" })
+	node.catalogue.setReply(func(call string) string { return call + " DATA 1\r\nx\r\n" })
 	d.invoke(5, "call")
 	assert.Equal(t, "20 on 5 x", d.answer())
 }
@@ -87,71 +86,63 @@
 func TestCallsFailWhileTheCatalogueIsDownAndRecover(t *testing.T) {
 	node := startNode(t, false, nil)
 	d := node.dial()
-	address := node.catalogue.Addr().String()
-	node.catalogue.Close()
+	address := node.catalogue.listener.Addr().String()
+	node.catalogue.listener.Close()
 	d.invoke(1, "call")
 	assert.Equal(t, "51 on 1 ", d.answer())
-	assert.Empty(t, node.catalogueLines)
-	back, err := net.Listen("tcp", address)
-	require.NoError(t, err)
-	t.Cleanup(func() { back.Close() })
-	go node.acceptConnections(back, node.serveCatalogue)
+	assert.Empty(t, node.catalogue.requests)
+	node.catalogue.listenAt(address)
 	d.invoke(2, "call")
 	assert.Equal(t, "20 on 2 reply", d.answer())
 }
 
 func TestAbandonedInvocationCancelsItsCallInFlight(t *testing.T) {
 	node := startNode(t, false, nil)
-	node.setCatalogueReply(func(string) string { return "" })
+	node.catalogue.setReply(func(string) string { return "" })
 	d := node.dial()
 	d.invoke(1, "call")
-	await(t, node.catalogueLines)
+	await(t, node.catalogue.requests)
 	d.write(frame.Append(nil, frame.Gone, 1, nil))
-	assert.Equal(t, await(t, node.catalogueConns), await(t, node.catalogueClosed))
+	assert.Equal(t, await(t, node.catalogue.opened), await(t, node.catalogue.closed))
 }
 
 func TestExecutorConnectsLateAndReconnects(t *testing.T) {
 	node := startNode(t, true, nil)
 	d := node.dial()
-	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	d.write(healthCheck())
 	f, _ := d.next()
 	assert.Equal(t, byte(frame.Bad), f.Payload[0], "no executor yet")
-	close(node.executorUp)
-	link := await(t, node.executorConns)
+	close(node.executor.up)
+	link := await(t, node.executor.connections)
 	node.awaitLog("executor is up")
 	call := d.invoke(1, "hold")
-	await(t, node.executorLines)
-	node.mu.Lock()
-	node.executorConn = nil
-	node.mu.Unlock()
+	await(t, node.executor.commands)
+	node.executor.detach()
 	link.Close()
-	node.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
+	node.executor.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	assert.Equal(t, "20 on 1 late", d.answer())
-	fmt.Fprint(await(t, node.executorConns), "what is this\r\n")
-	await(t, node.executorConns)
+	fmt.Fprint(await(t, node.executor.connections), "what is this\r\n")
+	await(t, node.executor.connections)
 	d.invoke(2, "again")
 	assert.Equal(t, "20 on 2 again", d.answer())
 }
 
 func TestExecutorConnectionIsRetriedAfterRefusal(t *testing.T) {
 	node := startNode(t, false, nil)
-	address, link := node.executor.Addr().String(), await(t, node.executorConns)
-	node.executor.Close()
+	address, link := node.executor.listener.Addr().String(), await(t, node.executor.connections)
+	node.executor.listener.Close()
 	link.Close()
 	node.awaitLog("connection refused")
-	back, err := net.Listen("tcp", address)
-	require.NoError(t, err)
-	t.Cleanup(func() { back.Close() })
-	go node.acceptConnections(back, node.serveExecutor)
-	await(t, node.executorConns)
+	node.executor.listenAt(address)
+	await(t, node.executor.connections)
 	d := node.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
 func TestInvocationsAreRejectedWhenMemoryIsFull(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) {
-		c["settings"].(map[string]any)["family_info"].(map[string]any)["memory_kb"] = 150
+	node := startNode(t, false, func(config nodeConfig) {
+		config.familyInfo()["memory_kb"] = 150
 	})
 	d := node.dial()
 	for stream := range uint32(32) {
@@ -162,14 +153,14 @@
 
 func TestSuspendedProcessLosesNoResult(t *testing.T) {
 	node := startNode(t, false, nil)
-	node.setCatalogueReply(func(string) string { return "" })
+	node.catalogue.setReply(func(string) string { return "" })
 	d := node.dial()
 	run, call := d.invoke(1, "hold"), d.invoke(2, "call")
-	await(t, node.executorLines)
-	await(t, node.catalogueLines)
+	await(t, node.executor.commands)
+	await(t, node.catalogue.requests)
 	node.command.Process.Signal(syscall.SIGSTOP)
-	node.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
-	fmt.Fprint(await(t, node.catalogueConns), call+" DATA 5\r\nreply\r\n")
+	node.executor.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
+	fmt.Fprint(await(t, node.catalogue.opened), call+" DATA 5\r\nreply\r\n")
 	d.invoke(3, "meanwhile")
 	node.command.Process.Signal(syscall.SIGCONT)
 	got := []string{d.answer(), d.answer(), d.answer()}
