--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -19,31 +19,45 @@
 	"topazpost/internal/fleet/envelope"
 )
 
-// singleReplicaFleetFile is the file of a fleet of one, which is its own council.
+// streamPreamble opens a stream of consensus messages on a connection to a node's address for peers.
+const streamPreamble = 0x72747374
+
+// singleReplicaFleetFile writes the fleet file of a node that is its own consensus group.
 func singleReplicaFleetFile(t testing.TB) (path, bind string) {
+	t.Helper()
 	return fleetFileWithReplicas(t, []string{"n1"})
 }
 
-// dialPeer opens one to a node, as a peer does.
-func dialPeer(t testing.TB, to string) net.Conn {
-	conn, err := net.Dial("tcp", to)
+// dialPeer opens a stream to a node as its peers do.
+func dialPeer(t testing.TB, address string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	_, err = conn.Write(binary.LittleEndian.AppendUint32(nil, 0x72747374))
+	_, err = conn.Write(binary.LittleEndian.AppendUint32(nil, streamPreamble))
 	require.NoError(t, err)
 	return conn
 }
 
-func sendMessage(t testing.TB, conn net.Conn, m *consensus.Message) {
-	text, err := envelope.Seal(nil, envelope.FleetOf("tests"), m)
+// sealMessage returns a message with its length, as it is on a stream.
+func sealMessage(message *consensus.Message) ([]byte, error) {
+	text, err := envelope.Seal(nil, envelope.FleetOf("tests"), message)
+	return append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...), err
+}
+
+// sendMessage sends a message on a stream.
+func sendMessage(t testing.TB, conn net.Conn, message *consensus.Message) {
+	t.Helper()
+	text, err := sealMessage(message)
 	require.NoError(t, err)
-	_, err = conn.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...))
+	_, err = conn.Write(text)
 	require.NoError(t, err)
 }
 
-// receiveMessage is the next message within a time, nil if there is none.
+// receiveMessage returns the next message on a stream, nil if none begins in time.
 func receiveMessage(t testing.TB, conn net.Conn, timeout time.Duration) *consensus.Message {
+	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(timeout))
 	var head [4]byte
 	if _, err := io.ReadFull(conn, head[:]); err != nil {
@@ -53,9 +67,9 @@
 	text := make([]byte, binary.LittleEndian.Uint32(head[:]))
 	_, err := io.ReadFull(conn, text)
 	require.NoError(t, err)
-	m := new(consensus.Message)
-	require.NoError(t, envelope.Open(text, envelope.FleetOf("tests"), m))
-	return m
+	message := new(consensus.Message)
+	require.NoError(t, envelope.Open(text, envelope.FleetOf("tests"), message))
+	return message
 }
 
 func TestSingleReplicaGroupGrantsAClaimOverAStream(t *testing.T) {
@@ -84,24 +98,24 @@
 func TestStreamsThatFloodStallOrSendInvalidDataBlockNobody(t *testing.T) {
 	path, bind := singleReplicaFleetFile(t)
 	node := startNodeWithFlags(t, false, nil, "--fleet", path)
-	liar := dialPeer(t, bind)
-	_, err := liar.Write([]byte{0xff, 0xff, 0xff, 0x7f})
+	oversized := dialPeer(t, bind)
+	_, err := oversized.Write([]byte{0xff, 0xff, 0xff, 0x7f})
 	require.NoError(t, err)
-	n, _ := liar.Read(make([]byte, 1))
-	assert.Zero(t, n, "it is hung up on")
-	spoilt := dialPeer(t, bind)
-	_, err = spoilt.Write(append(binary.LittleEndian.AppendUint32(nil, 40), make([]byte, 40)...))
+	n, _ := oversized.Read(make([]byte, 1))
+	assert.Zero(t, n, "the connection is closed")
+	corrupt := dialPeer(t, bind)
+	_, err = corrupt.Write(append(binary.LittleEndian.AppendUint32(nil, 40), make([]byte, 40)...))
 	require.NoError(t, err)
-	n, _ = spoilt.Read(make([]byte, 1))
-	assert.Zero(t, n, "so is one whose letters can't be read")
+	n, _ = corrupt.Read(make([]byte, 1))
+	assert.Zero(t, n, "so is one whose messages can't be decoded")
 	stalled := dialPeer(t, bind)
 	_, err = stalled.Write([]byte{100, 0, 0, 0, 1})
 	require.NoError(t, err)
+	text, err := sealMessage(&consensus.Message{Kind: consensus.MessageRaft, From: "n9", Raft: make([]byte, 1_000)})
+	require.NoError(t, err)
 	for range 4 {
 		flood := dialPeer(t, bind)
 		go func() {
-			text, _ := envelope.Seal(nil, envelope.FleetOf("tests"), &consensus.Message{Kind: consensus.MessageRaft, From: "n9", Raft: make([]byte, 1_000)})
-			text = append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...)
 			for range 200_000 {
 				if _, err := flood.Write(text); err != nil {
 					return
--- a/integration/deduplication_test.go
+++ b/integration/deduplication_test.go
@@ -28,7 +28,7 @@
 	run := await(t, node.executor.commands)
 	second.invokeWithToken(1, "a", "hold") // on another connection, while it runs
 	second.invokeWithToken(2, "b", "other")
-	assert.Equal(t, "20 on 2 other", second.answer(), "the repeat before it was read")
+	assert.Equal(t, "20 on 2 other", second.answer(), "the duplicate before it was read")
 	node.executor.notify("EXIT %d " + run[1] + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", first.answer())
 	assert.Equal(t, "20 on 1 ok", second.answer())
@@ -57,8 +57,8 @@
 func TestDuplicateRunsAgainOnlyAfterItsWindow(t *testing.T) {
 	const window = 700 * time.Millisecond
 	node := startDeduplicatingNode(t, window)
-	grade := node.config.operation()
-	grade["give_up"], grade["aim"] = 800, 600 // a token is known for so much longer than its window
+	operation := node.config.operation()
+	operation["give_up"], operation["aim"] = 800, 600 // a result may be cached for so much longer than its window
 	node.signal(syscall.SIGKILL)
 	_ = await(t, node.exited) // the error of the kill
 	node.launch()
@@ -75,12 +75,12 @@
 			assert.GreaterOrEqual(t, time.Since(from), window)
 			return
 		}
-		assert.Less(t, sent.Sub(from), 10*window, "it is forgotten some time")
+		assert.Less(t, sent.Sub(from), 10*window, "its result expires")
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// In a drain, and after intake has ended, a repeat of one that ran is never told that it did not run.
+// In a drain, and after intake has stopped, a duplicate of a completed run is never rejected as if it had not run.
 func TestDuplicateOfACompletedRunIsNeverRejectedInADrain(t *testing.T) {
 	node := startDeduplicatingNode(t, time.Minute)
 	d, other := node.dial(), node.dial()
@@ -104,7 +104,7 @@
 	assert.Equal(t, []string{"result", "first"}, node.executor.startedBodies())
 }
 
-// A new life knows nothing of the last one's tokens without a store: they run once in it too.
+// Without a store a new incarnation does not know the tokens of the last one: they run once in it too.
 func TestDuplicateAfterARestartRunsOncePerIncarnation(t *testing.T) {
 	node := startDeduplicatingNode(t, time.Minute)
 	d := node.dial()
@@ -119,7 +119,7 @@
 		d.invokeWithToken(1, "a", "result")
 		assert.Equal(t, "20 on 1 result", d.answer())
 	}
-	assert.Equal(t, []string{"result", "result"}, node.executor.startedBodies(), "one run in each life")
+	assert.Equal(t, []string{"result", "result"}, node.executor.startedBodies(), "one run in each incarnation")
 }
 
 func TestUnknownEffectsAndMissingTokensAreReported(t *testing.T) {
@@ -128,8 +128,8 @@
 	d.invoke(1, "without a token")
 	assert.Equal(t, "51 on 1 ", d.answer())
 	assert.Contains(t, node.awaitLog("can't be used"), "field dedupe")
-	grade := node.config.operation()
-	grade["effect"] = "once"
+	operation := node.config.operation()
+	operation["effect"] = "once"
 	node.writeConfig(false)
 	out, err := runProgram("check", node.configPath)
 	assert.Error(t, err)
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"syscall"
@@ -49,7 +48,7 @@
 	assert.NoError(t, await(t, node.exited))
 }
 
-// An invocation that is sent in the moment in which the notice comes crosses it: it was read, and is owed an answer.
+// An invocation that crosses the drain notice on the wire was read, and must be answered.
 func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
 	node := startNode(t, false, nil)
 	var rest []*dispatcher
@@ -71,11 +70,11 @@
 	assert.NoError(t, await(t, node.exited))
 	for len(node.executor.commands) > 0 {
 		w := <-node.executor.commands
-		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake")
+		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake had stopped")
 	}
 }
 
-// The same where the node has no executor, and leaves at once.
+// A node without an executor exits at once, and answers too.
 func TestInvocationThatCrossesTheExitWithoutAnExecutorIsAnswered(t *testing.T) {
 	node := startNode(t, true, nil)
 	d := node.dial()
@@ -89,15 +88,15 @@
 	assert.NoError(t, await(t, node.exited))
 }
 
-// Connections that the system accepted while no place was free are taken on when intake ends, and their invocations
-// are answered.
+// Connections in the system's backlog, for which the table had no place, are accepted when intake stops, and their
+// invocations are answered.
 func TestConnectionsInTheBacklogWhenIntakeStopsAreAnswered(t *testing.T) {
 	node := startNode(t, false, func(config nodeConfig) {
 		config["stop_ms"] = 6_000
 		config.limits()["sockets"] = 32
 	})
 	var first, waiting []*dispatcher
-	for n := range 14 { // as many as there are places, each with something open
+	for n := range 14 { // fills the table, each with an invocation in flight
 		d := node.dial()
 		d.invoke(1, "hold")
 		d.write(healthCheck())
@@ -111,7 +110,7 @@
 		waiting = append(waiting, d)
 	}
 	node.signal(syscall.SIGTERM)
-	for _, d := range first { // each ends by itself once it is told and answered
+	for _, d := range first { // each is closed once it is notified and answered
 		got := []string{d.answer(), d.answer()}
 		slices.Sort(got)
 		assert.Regexp(t, `^5[01] on 1 $`, got[0])
@@ -126,7 +125,7 @@
 	assert.NoError(t, await(t, node.exited))
 }
 
-// Resting connections make room in the protocol's way: told, heard once more, closed without a reset.
+// An idle connection is evicted as the protocol asks: notified, read once more, closed without a reset.
 func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
 	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
 	var rest []*dispatcher
@@ -139,49 +138,54 @@
 	next := node.dial()
 	next.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", next.answer())
-	d := rest[0] // it rested longest
+	d := rest[0] // idle for longest
 	assert.Equal(t, noMore, d.answer())
 	d.invoke(2, "crosses")
 	assert.Equal(t, "20 on 2 crosses", d.answer())
 	d.assertClosed()
 }
 
-// Under load, killed and drained in turn, and started again before the last life has ended, nine in ten processes serve
-// within ten seconds. The distribution is printed.
+// reconnectUntil offers up to twenty invocations on each of many connections in a row, with one stream number each.
+func reconnectUntil(t *testing.T, address string, stopped <-chan struct{}) {
+	const invocationsPerConnection = 20
+	for stream := uint32(1); ; stream++ {
+		select {
+		case <-stopped:
+			return
+		default:
+		}
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			time.Sleep(5 * time.Millisecond) // nobody listens
+			continue
+		}
+		conn.SetDeadline(time.Now().Add(time.Second))
+		d := &dispatcher{t: t, conn: conn}
+		for range invocationsPerConnection {
+			call := fmt.Sprintf("%016x", time.Now().UnixNano())
+			if _, err := conn.Write(invocation("catalogue", call, stream, "fine")); err != nil {
+				break
+			}
+			if _, ok := d.next(); !ok {
+				break
+			}
+			stream++
+		}
+		conn.Close()
+	}
+}
+
+// Under load, killed and drained in turn, and started again before the last incarnation has ended, nine in ten processes
+// serve within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
 	const restarts, soon = 20, 10 * time.Second
 	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 1_000 })
 	address := node.address
 	node.config["listen"] = address
 	var load sync.WaitGroup
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	for range 8 {
-		load.Go(func() {
-			for stream := uint32(1); ; stream++ {
-				select {
-				case <-over:
-					return
-				default:
-				}
-				conn, err := net.Dial("tcp", address)
-				if err != nil {
-					time.Sleep(5 * time.Millisecond) // nobody listens
-					continue
-				}
-				conn.SetDeadline(time.Now().Add(time.Second))
-				d := &dispatcher{t: t, conn: conn}
-				for range 20 {
-					if _, err := conn.Write(invocation("catalogue", fmt.Sprintf("%016x", time.Now().UnixNano()), stream, "fine")); err != nil {
-						break
-					}
-					if _, ok := d.next(); !ok {
-						break
-					}
-					stream++
-				}
-				conn.Close()
-			}
-		})
+		load.Go(func() { reconnectUntil(t, address, stopped) })
 	}
 	var took []time.Duration
 	for n := range restarts {
@@ -202,26 +206,21 @@
 		took = append(took, time.Since(from))
 		_ = await(t, ended) // a killed process ends with an error, a drained one without
 	}
-	close(over)
+	close(stopped)
 	load.Wait()
 	slices.Sort(took)
 	t.Logf("ready after: least %v, median %v, nine in ten %v, most %v", took[0], took[len(took)/2], took[len(took)*9/10-1], took[len(took)-1])
 	assert.LessOrEqual(t, took[len(took)*9/10-1], soon)
 }
 
-// The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
+// The node closes what it opens: it has no more descriptors than before once its peers have disconnected.
 func TestDescriptorsAreReleasedAfterDisconnects(t *testing.T) {
 	node := startNode(t, false, nil)
-	open := func() int {
-		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.command.Process.Pid))
-		require.NoError(t, err)
-		return len(list)
-	}
 	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
 	d.conn.Close()
-	before := open()
+	before := node.descriptors()
 	for n := range 60 {
 		d := node.dial()
 		switch n % 4 {
@@ -235,5 +234,5 @@
 		}
 		d.conn.Close()
 	}
-	require.Eventually(t, func() bool { return open() <= before }, testTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return node.descriptors() <= before }, testTimeout, 10*time.Millisecond)
 }
--- a/integration/faultydispatchers_test.go
+++ b/integration/faultydispatchers_test.go
@@ -17,18 +17,24 @@
 
 func TestMalformedFramesOfDispatchers(t *testing.T) {
 	node := startNode(t, false, nil)
-	for what, bad := range map[string][]byte{"length": binary.LittleEndian.AppendUint32(nil, 300_000),
-		"type": frame.Append(nil, 99, 2, nil), "stream": frame.Append(nil, frame.Invocation, 1, []byte{0})} {
-		d := node.dial()
-		call := d.invoke(1, "hold")
-		await(t, node.executor.commands)
-		d.write(bad)
-		assert.Contains(t, d.answer(), "51 on 0 ", what)
-		assert.Equal(t, noMore, d.answer(), what)
-		node.executor.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
-		assert.Equal(t, "20 on 1 ok", d.answer(), what)
-		_, ok := d.next()
-		assert.False(t, ok, "closed once all is answered: "+what)
+	for field, malformed := range map[string][]byte{
+		"length": binary.LittleEndian.AppendUint32(nil, 300_000),
+		"type":   frame.Append(nil, 99, 2, nil),
+		"stream": frame.Append(nil, frame.Invocation, 1, []byte{0}),
+	} {
+		t.Run(field, func(t *testing.T) {
+			d := node.dial()
+			d.t = t
+			call := d.invoke(1, "hold")
+			await(t, node.executor.commands)
+			d.write(malformed)
+			assert.Contains(t, d.answer(), "51 on 0 ")
+			assert.Equal(t, noMore, d.answer())
+			node.executor.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+			assert.Equal(t, "20 on 1 ok", d.answer())
+			_, ok := d.next()
+			assert.False(t, ok, "closed once all is answered")
+		})
 	}
 	d := node.dial()
 	d.write(frame.Append(nil, frame.Invocation, 1, []byte{9}))
@@ -55,18 +61,15 @@
 
 func TestDispatcherThatDoesNotReadIsDisconnected(t *testing.T) {
 	node := startNode(t, false, nil)
-	deaf := node.dial()
-	checks := []byte{}
-	for range 10_000 {
-		checks = frame.Append(checks, frame.Check, 1, []byte{0})
-	}
-	cut := false
-	for i := 0; i < 300 && !cut; i++ {
-		_, err := deaf.conn.Write(checks)
-		cut = err != nil
+	silent := node.dial()
+	checks := bytes.Repeat(healthCheck(), 10_000)
+	disconnected := false
+	for i := 0; i < 300 && !disconnected; i++ {
+		_, err := silent.conn.Write(checks)
+		disconnected = err != nil
 		assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	}
-	assert.True(t, cut)
+	assert.True(t, disconnected)
 	d := node.dial()
 	d.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", d.answer())
@@ -74,16 +77,22 @@
 
 func TestHostileDispatchersAreDisconnectedWhileAHealthyOneIsServed(t *testing.T) {
 	node := startNode(t, false, nil)
-	half := frame.Append(nil, frame.Invocation, 1, make([]byte, 500))[:300]
-	broken := frame.Append(nil, frame.Invocation, 1, []byte{9})
-	endless, many := []byte{}, []byte{}
+	invalid := frame.Append(nil, frame.Invocation, 1, []byte{9})
+	var large, truncated []byte
 	for stream := range uint32(100) {
-		endless = append(endless, frame.Append(nil, frame.Invocation, stream+1, make([]byte, 200_000))...)
-		many = append(many, frame.Append(nil, frame.Invocation, stream+1, []byte{200})...)
+		large = append(large, frame.Append(nil, frame.Invocation, stream+1, make([]byte, 200_000))...)
+		truncated = append(truncated, frame.Append(nil, frame.Invocation, stream+1, []byte{200})...)
+	}
+	hostile := map[string][]byte{
+		"silent":            nil,
+		"half a frame":      frame.Append(nil, frame.Invocation, 1, make([]byte, 500))[:300],
+		"another protocol":  []byte("GET / HTTP/1.1\r\n\r\n"),
+		"huge length":       binary.LittleEndian.AppendUint32(nil, 1<<31),
+		"negative length":   {255, 255, 255, 255, 16},
+		"large frames":      large,
+		"reused stream":     append(bytes.Clone(invalid), invalid...),
+		"truncated headers": truncated,
 	}
-	hostile := map[string][]byte{"silent": nil, "half": half, "noise": []byte("GET / HTTP/1.1\r\n\r\n"),
-		"huge": binary.LittleEndian.AppendUint32(nil, 1<<31), "negative": {255, 255, 255, 255, 16}, "endless": endless,
-		"twice": append(bytes.Clone(broken), broken...), "many": many}
 	ended := make(chan string, len(hostile))
 	for what, b := range hostile {
 		conn, err := net.Dial("tcp", node.address)
@@ -95,10 +104,10 @@
 			ended <- what
 		}()
 	}
-	sound := node.dial()
+	healthy := node.dial()
 	for stream := range uint32(50) {
-		sound.invoke(stream+1, "fine")
-		assert.Equal(t, fmt.Sprintf("20 on %d fine", stream+1), sound.answer())
+		healthy.invoke(stream+1, "fine")
+		assert.Equal(t, fmt.Sprintf("20 on %d fine", stream+1), healthy.answer())
 	}
 	for range hostile {
 		await(t, ended)
--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -15,7 +15,7 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// A second notice aborts what is in hand, and still answers it.
+// A second signal aborts the runs in flight, and still answers them.
 func TestSecondSignalAbortsAndAnswersRunsInFlight(t *testing.T) {
 	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 120_000 })
 	d, rests := node.dial(), node.dial()
@@ -49,7 +49,7 @@
 	node.awaitLog("executor link ended")
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
-	d.invoke(2, "never told to the executor")
+	d.invoke(2, "never sent to the executor")
 	got := []string{d.answer(), d.answer(), d.answer()}
 	assert.Contains(t, got, noMore)
 	assert.Contains(t, got, "51 on 1 ")
@@ -58,7 +58,7 @@
 	assert.NoError(t, await(t, node.exited))
 }
 
-// A process that stood still past its time to leave aborts and leaves in one step: the answers must be out before it ends.
+// A process that was suspended past its deadline aborts and exits in one step: it must flush the answers first.
 func TestDrainWhoseDeadlinePassedDuringASuspensionAnswersAll(t *testing.T) {
 	const stop = 800 * time.Millisecond
 	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = stop.Milliseconds() })
@@ -88,7 +88,7 @@
 	d.invoke(1, "hold")
 	await(t, node.executor.commands)
 	node.movePeers()
-	node.writeConfig(true) // half written: it is read again and again
+	node.writeConfig(true) // it is read again until it is valid
 	node.signal(syscall.SIGHUP)
 	node.awaitLog("the one of before stays")
 	node.signal(syscall.SIGTERM)
@@ -101,12 +101,11 @@
 }
 
 // Idle clients that fill the table while the control plane is down leave descriptors for what the node itself opens, and
-// room for those who work.
+// capacity for active clients.
 func TestIdleConnectionsLeaveDescriptorsForReportsTheExecutorAndCalls(t *testing.T) {
-	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
-	control, err := net.Listen("tcp", "127.0.0.1:0") // accepts and never answers
-	require.NoError(t, err)
-	t.Cleanup(func() { control.Close() })
+	const maxSockets = 32
+	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = maxSockets })
+	control := listen(t) // never accepts, so no report is answered
 	node.config["control"] = control.Addr().String()
 	node.writeConfig(false)
 	node.signal(syscall.SIGHUP)
@@ -128,22 +127,16 @@
 	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
-	back, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	t.Cleanup(func() { back.Close() })
+	back := listen(t)
 	go func() { _ = http.Serve(back, node.controlPlane) }() // it ends with the listener
 	node.config["control"] = back.Addr().String()
 	node.writeConfig(false)
 	node.signal(syscall.SIGHUP)
 	await(t, node.controlPlane.reports)
-	limit, err := http.Dir("/proc").Open(fmt.Sprint(node.command.Process.Pid, "/fd"))
-	require.NoError(t, err)
-	list, err := limit.Readdir(-1)
-	require.NoError(t, err)
-	assert.LessOrEqual(t, len(list), 32)
+	assert.LessOrEqual(t, node.descriptors(), maxSockets)
 }
 
-// Slow senders in great number make room as well.
+// Many slow senders are evicted as well.
 func TestPartialFramesLeaveCapacityForActiveClients(t *testing.T) {
 	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
 	for range 100 {
@@ -164,45 +157,60 @@
 	assert.Equal(t, "20 on 1 fine", d.answer())
 }
 
-// Whatever a catalogue does with one call ends as what it proves: that may have run, so it is not repeated.
+// Whatever a catalogue replies, a call that may have run is not retried unless it is idempotent.
 func TestCatalogueThatDisconnectsStallsOrFloods(t *testing.T) {
-	for what, reply := range map[string]string{"half a line": "DA", "half a body": "%s DATA 100\r\nhalf", "another's": "ffffffffffffffff DATA 2\r\nok\r\n",
-		"a line without end": strings.Repeat("x", 1<<20), "a flood": strings.Repeat("ffffffffffffffff LATER\r\n", 20_000), "no length": "%s DATA many\r\n",
-		"a length below 0": "%s DATA -4\r\n", "a length without bound": "%s DATA 99999999999\r\n"} {
-		for _, breaks := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, breaks off %v", what, breaks), func(t *testing.T) {
-				node := startNode(t, false, func(config nodeConfig) {
-					grade := config.operation()
-					grade["effect"], grade["give_up"], grade["aim"] = "at_most_once", 900, 800
-				})
-				node.catalogue.setReply(func(call string) string {
-					if breaks {
-						time.AfterFunc(20*time.Millisecond, func() { (<-node.catalogue.opened).Close() })
-					}
-					return strings.Replace(reply, "%s", call, 1)
-				})
-				d := node.dial()
-				d.invoke(1, "call")
-				assert.Equal(t, "51 on 1 ", d.answer())
-				d.invoke(2, "fine")
-				assert.Equal(t, "20 on 2 fine", d.answer())
-				await(t, node.catalogue.requests)
-				for len(node.catalogue.requests) > 0 {
-					assert.NotEqual(t, "FETCH", (<-node.catalogue.requests)[0], "it may have run")
-				}
+	for what, reply := range map[string]string{
+		"half a line":              "DA",
+		"half a body":              "%s DATA 100\r\nhalf",
+		"another call":             "ffffffffffffffff DATA 2\r\nok\r\n",
+		"a line without end":       strings.Repeat("x", 1<<20),
+		"a flood":                  strings.Repeat("ffffffffffffffff LATER\r\n", 20_000),
+		"no length":                "%s DATA many\r\n",
+		"a negative length":        "%s DATA -4\r\n",
+		"a length without a bound": "%s DATA 99999999999\r\n",
+	} {
+		for _, disconnects := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, disconnects %v", what, disconnects), func(t *testing.T) {
+				assertNotRetried(t, reply, disconnects)
 			})
 		}
 	}
 }
 
-// An executor that says half a line and no more, or too much, costs a link and no run.
+// assertNotRetried checks that a call with such a reply fails, is sent once and blocks no other invocation.
+func assertNotRetried(t *testing.T, reply string, disconnects bool) {
+	t.Helper()
+	node := startNode(t, false, func(config nodeConfig) {
+		operation := config.operation()
+		operation["effect"] = "at_most_once"
+		operation["give_up"] = 900
+		operation["aim"] = 800
+	})
+	node.catalogue.setReply(func(call string) string {
+		if disconnects {
+			time.AfterFunc(20*time.Millisecond, func() { (<-node.catalogue.opened).Close() })
+		}
+		return strings.Replace(reply, "%s", call, 1)
+	})
+	d := node.dial()
+	d.invoke(1, "call")
+	assert.Equal(t, "51 on 1 ", d.answer())
+	d.invoke(2, "fine")
+	assert.Equal(t, "20 on 2 fine", d.answer())
+	await(t, node.catalogue.requests)
+	for len(node.catalogue.requests) > 0 {
+		assert.NotEqual(t, "FETCH", (<-node.catalogue.requests)[0], "it may have run")
+	}
+}
+
+// An executor that stalls within a line or floods costs the node a connection and no run.
 func TestExecutorThatStallsWithinALineOrFloods(t *testing.T) {
 	node := startNode(t, false, nil)
 	d := node.dial()
 	call := d.invoke(1, "hold")
 	await(t, node.executor.commands)
 	link := await(t, node.executor.connections)
-	node.executor.detach() // what it says from here on is heard on the next link
+	node.executor.detach() // later notices are sent on the next connection
 	fmt.Fprint(link, "EXIT 1 "+call+" go")
 	node.executor.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
 	fmt.Fprint(link, strings.Repeat("y", 1<<20)) // a line without end
--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -21,15 +21,19 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// fleetFile is the file of a fleetFile whose only other member is whoever sends to bind.
-func fleetFile(t testing.TB) (path, bind string) { return fleetFileWithReplicas(t, nil) }
+// fleetFile writes the file of a fleet without a consensus group, whose only other member is whoever sends to bind.
+func fleetFile(t testing.TB) (path, bind string) {
+	t.Helper()
+	return fleetFileWithReplicas(t, nil)
+}
 
-// fleetFileWithReplicas is the same with a council, if there is one.
+// fleetFileWithReplicas writes the file of a fleet with a consensus group of these replicas, if there are any.
 func fleetFileWithReplicas(t testing.TB, replicas []string) (path, bind string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	bind = l.Addr().String()
-	l.Close()
+	bind = listener.Addr().String()
+	listener.Close()
 	config := map[string]any{"fleet": "tests", "bind": bind, "seeds": []string{bind}}
 	if replicas != nil {
 		config["council"] = map[string]any{"seats": replicas}
@@ -41,30 +45,36 @@
 	return path, bind
 }
 
-// floodDatagrams sends datagrams of a kind as fast as it may, until it is ended; it says how many.
-func floodDatagrams(t testing.TB, to string, next func() []byte) (end func() int) {
-	conn, err := net.Dial("udp", to)
+// floodDatagrams sends datagrams as fast as it can until stop is called, which returns how many were sent.
+func floodDatagrams(t testing.TB, address string, next func() []byte) (stop func() int) {
+	t.Helper()
+	const burst = 50 // datagrams between two pauses
+	conn, err := net.Dial("udp", address)
 	require.NoError(t, err)
-	stop, done := make(chan struct{}), make(chan int)
+	stopped := make(chan struct{})
+	count := make(chan int)
 	go func() {
-		sent := 0
-		for ; ; sent++ {
+		for sent := 0; ; sent++ {
 			select {
-			case <-stop:
+			case <-stopped:
 				conn.Close()
-				done <- sent
+				count <- sent
 				return
 			default:
 			}
 			_, _ = conn.Write(next()) // nobody may be listening any more
-			if sent%50 == 0 {
+			if sent%burst == 0 {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}()
-	return func() int { close(stop); return <-done }
+	return func() int {
+		close(stopped)
+		return <-count
+	}
 }
 
+// randomDatagrams returns a source of datagrams that are noise behind a valid version.
 func randomDatagrams() func() []byte {
 	random := rand.New(rand.NewSource(1))
 	return func() []byte {
@@ -80,13 +90,13 @@
 func TestFleetPeerThatFloodsOrSendsInvalidDataBlocksNobody(t *testing.T) {
 	path, bind := fleetFile(t)
 	node := startNodeWithFlags(t, false, nil, "--fleet", path)
-	end := floodDatagrams(t, bind, randomDatagrams())
-	liar, err := net.Dial("tcp", bind) // says that it will send more than any may
+	stopFlood := floodDatagrams(t, bind, randomDatagrams())
+	oversized, err := net.Dial("tcp", bind) // announces a longer message than is allowed
 	require.NoError(t, err)
-	defer liar.Close()
-	_, err = liar.Write([]byte{0xff, 0xff, 0xff, 0x7f, 1, 2, 3})
+	defer oversized.Close()
+	_, err = oversized.Write([]byte{0xff, 0xff, 0xff, 0x7f, 1, 2, 3})
 	require.NoError(t, err)
-	slow, err := net.Dial("tcp", bind) // and another begins, and goes no further
+	slow, err := net.Dial("tcp", bind) // begins a message and sends no more
 	require.NoError(t, err)
 	defer slow.Close()
 	_, err = slow.Write([]byte{100, 0, 0, 0, 1})
@@ -97,7 +107,7 @@
 		d.invoke(stream+1, "x")
 		assert.Equal(t, fmt.Sprintf("20 on %d x", stream+1), d.answer())
 	}
-	assert.Positive(t, end())
+	assert.Positive(t, stopFlood())
 	out, err := exec.Command(program, "members", "--fleet", "tests", "--json", bind).Output()
 	require.NoError(t, err)
 	var view struct {
@@ -166,6 +176,7 @@
 	}
 }
 
+// measureLatency records the latencies of invocations one after the other, and the time that all took.
 func measureLatency(b *testing.B, kind string, latencies *hdrhistogram.Histogram, spent map[string]time.Duration) {
 	path, bind := fleetFile(b)
 	var flags []string
@@ -177,8 +188,8 @@
 	if kind == "flood" {
 		text, err := envelope.Seal(nil, envelope.FleetOf("tests"), &membership.Message{Kind: membership.MessagePing, From: 7})
 		require.NoError(b, err)
-		end := floodDatagrams(b, bind, func() []byte { return text })
-		defer end()
+		stopFlood := floodDatagrams(b, bind, func() []byte { return text })
+		defer stopFlood()
 	}
 	d := node.dial()
 	began := time.Now()
@@ -192,7 +203,7 @@
 	spent[kind] += time.Since(began)
 }
 
-// containsInode looks for a socket in a table of /proc/net.
+// containsInode reports whether a table of /proc/net names a socket.
 func containsInode(table string, inode int) bool {
 	for _, line := range strings.Split(table, "\n") {
 		if fields := strings.Fields(line); len(fields) > 9 && fields[9] == strconv.Itoa(inode) {
--- a/integration/node_test.go
+++ b/integration/node_test.go
@@ -140,6 +140,14 @@
 	}
 }
 
+// descriptors returns how many file descriptors the process has open.
+func (n *testNode) descriptors() int {
+	n.t.Helper()
+	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.command.Process.Pid))
+	require.NoError(n.t, err)
+	return len(list)
+}
+
 // logBuffer is a log that is read while a process writes it.
 type logBuffer struct {
 	mu   sync.Mutex
--- a/integration/reload_test.go
+++ b/integration/reload_test.go
@@ -16,14 +16,14 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600))
 	out, err := exec.Command(program, "check", path).CombinedOutput()
-	var unusable *exec.ExitError
-	require.ErrorAs(t, err, &unusable)
+	var invalid *exec.ExitError
+	require.ErrorAs(t, err, &invalid)
 	assert.Contains(t, string(out), "configuration: listen")
 	assert.NotContains(t, string(out), "goroutine")
 	_, err = exec.Command(program, "--no-such-flag").CombinedOutput()
 	var usage *exec.ExitError
 	require.ErrorAs(t, err, &usage)
-	assert.NotEqual(t, unusable.ExitCode(), usage.ExitCode())
+	assert.NotEqual(t, invalid.ExitCode(), usage.ExitCode())
 	out, err = exec.Command(program, "version").CombinedOutput()
 	assert.NoError(t, err)
 	assert.Contains(t, string(out), "topazpost")
@@ -69,6 +69,7 @@
 	assert.Equal(t, "20 on 2 there", d.answer())
 }
 
+// rejectingPlan is a degradation plan that rejects the operation as soon as any memory is in use.
 const rejectingPlan = `{ name: 'p', levels: [{ name: 'none', refuse: ['catalogue'], enter: [{ memory: '0.1 %', 'for': '1 ms' }],
 	exit: { memory: '0.05 %', 'for': '1 s' } }], idle: { wait: '0 %' } }`
 
--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -19,41 +19,48 @@
 	"topazpost/internal/fleet/consensus"
 )
 
-// replicaProcesses are processes that serve nothing, three of them with a folder each.
+// replicaProcesses are the three replicas of a consensus group, processes that serve no dispatchers, with a folder each.
 type replicaProcesses struct {
 	t        *testing.T
 	folder   string
-	paths    []string
-	binds    []string
+	paths    []string // of the fleet files
+	binds    []string // addresses for peers
 	commands []*exec.Cmd
 	logs     []*logBuffer
 }
 
+// newReplicaProcesses writes the replicas' fleet files.
 func newReplicaProcesses(t *testing.T) *replicaProcesses {
-	s := &replicaProcesses{t: t, folder: t.TempDir()}
+	t.Helper()
+	r := &replicaProcesses{t: t, folder: t.TempDir()}
 	names := []string{"s1", "s2", "s3"}
 	for range names {
-		_, bind := fleetFileWithReplicas(t, nil)
-		s.binds = append(s.binds, bind)
+		_, bind := fleetFile(t)
+		r.binds = append(r.binds, bind)
 	}
 	for i, name := range names {
-		text, err := json.Marshal(map[string]any{"fleet": "tests", "bind": s.binds[i], "seeds": s.binds,
-			"council": map[string]any{"seats": names, "folder": filepath.Join(s.folder, "{name}")}})
+		text, err := json.Marshal(map[string]any{"fleet": "tests", "bind": r.binds[i], "seeds": r.binds,
+			"council": map[string]any{"seats": names, "folder": filepath.Join(r.folder, "{name}")}})
 		require.NoError(t, err)
-		s.paths = append(s.paths, filepath.Join(s.folder, name+".jsonnet"))
-		require.NoError(t, os.WriteFile(s.paths[i], text, 0o600))
+		r.paths = append(r.paths, filepath.Join(r.folder, name+".jsonnet"))
+		require.NoError(t, os.WriteFile(r.paths[i], text, 0o600))
 	}
-	t.Cleanup(func() { s.stop(syscall.SIGKILL) })
-	return s
+	t.Cleanup(func() { r.stop(syscall.SIGKILL) })
+	return r
 }
 
+// launch starts the replicas and waits until each accepts peers.
 func (r *replicaProcesses) launch() {
-	r.commands, r.logs = nil, nil
+	r.t.Helper()
+	r.commands = nil
+	r.logs = nil
 	for i, path := range r.paths {
-		command, log := exec.Command(program, "seat", "--name", fmt.Sprint("s", i+1), path), new(logBuffer)
+		command := exec.Command(program, "seat", "--name", fmt.Sprint("s", i+1), path)
+		log := new(logBuffer)
 		command.Stderr = log
 		require.NoError(r.t, command.Start())
-		r.commands, r.logs = append(r.commands, command), append(r.logs, log)
+		r.commands = append(r.commands, command)
+		r.logs = append(r.logs, log)
 	}
 	for i, bind := range r.binds {
 		require.Eventually(r.t, func() bool {
@@ -62,62 +69,89 @@
 				conn.Close()
 			}
 			return err == nil
-		}, testTimeout, 10*time.Millisecond, "s%d hears peers; %s", i+1, r.logs[i])
+		}, testTimeout, 10*time.Millisecond, "s%d accepts peers; %s", i+1, r.logs[i])
 	}
 }
 
-// stop signals all before it waits for any.
+// stop signals all replicas before it waits for any, and returns their results.
 func (r *replicaProcesses) stop(signal syscall.Signal) (errs []error) {
-	for _, run := range r.commands {
-		run.Process.Signal(signal)
+	for _, command := range r.commands {
+		command.Process.Signal(signal)
 	}
-	for _, run := range r.commands {
-		errs = append(errs, run.Wait())
+	for _, command := range r.commands {
+		errs = append(errs, command.Wait())
 	}
 	r.commands = nil
 	return errs
 }
 
-// recordResult has a token claimed and ended by a node that is a test, and says its result.
+// recordResult claims a token, starts its run and ends it with a result, as a node does.
 func (r *replicaProcesses) recordResult(token, result string) {
-	owner := claims.Owner{Name: "n9", Incarnation: 7}
-	key := claims.Key{Operation: "x", Token: token}
-	conn := dialPeer(r.t, r.binds[0])
-	seq := uint64(0)
-	say := func(c claims.Command) claims.Verdict {
-		seq++
-		c.Sender, c.Seq, c.Key, c.BodyHash, c.Duration, c.Window = owner, seq, key, 1, 60_000_000_000, 600_000_000_000
-		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
-			sendMessage(r.t, conn, &consensus.Message{Kind: consensus.MessagePropose, From: owner.Name, Owner: owner, Commands: []claims.Command{c}})
-			if got := receiveMessage(r.t, conn, 300*time.Millisecond); got != nil && got.Kind == consensus.MessageVerdicts {
-				for _, v := range got.Verdicts {
-					if v.Seq == c.Seq {
-						return v
-					}
-				}
-			} else if got == nil {
-				conn.Close()
-				conn = dialPeer(r.t, r.binds[0])
-			}
-		}
-		r.t.Fatalf("no verdict; %s", r.logs[0])
-		return claims.Verdict{}
+	r.t.Helper()
+	c := &claimant{
+		replicas: r,
+		conn:     dialPeer(r.t, r.binds[0]),
+		owner:    claims.Owner{Name: "n9", Incarnation: 7},
+		key:      claims.Key{Operation: "x", Token: token},
 	}
-	v := say(claims.Command{Kind: claims.CommandClaim})
-	require.Equal(r.t, claims.AnswerGranted, v.Answer)
-	v = say(claims.Command{Kind: claims.CommandStart, Fence: v.Fence})
-	v = say(claims.Command{Kind: claims.CommandEnd, Fence: v.Fence, Outcome: 1, Result: []byte(result)})
-	conn.Close()
+	defer func() { c.conn.Close() }()
+	verdict := c.propose(claims.Command{Kind: claims.CommandClaim})
+	require.Equal(r.t, claims.AnswerGranted, verdict.Answer)
+	verdict = c.propose(claims.Command{Kind: claims.CommandStart, Fence: verdict.Fence})
+	c.propose(claims.Command{Kind: claims.CommandEnd, Fence: verdict.Fence, Outcome: 1, Result: []byte(result)})
 }
 
-// awaitEnded waits until each seat shows the token as ended.
+// awaitEnded waits until each replica shows the token as ended.
 func (r *replicaProcesses) awaitEnded(token string) {
+	r.t.Helper()
 	for i, bind := range r.binds {
 		assert.Eventually(r.t, func() bool {
-			out, err := exec.Command(program, "claims", "show", "--fleet", "tests", bind, token).CombinedOutput()
-			return err == nil && strings.Contains(string(out), claims.StateNames[claims.StateEnded])
-		}, testTimeout, 50*time.Millisecond, "s%d knows %s; %s", i+1, token, r.logs[i])
+			out, err := runProgram("claims", "show", "--fleet", "tests", bind, token)
+			return err == nil && strings.Contains(out, claims.StateNames[claims.StateEnded])
+		}, testTimeout, 50*time.Millisecond, "s%d shows %s as ended; %s", i+1, token, r.logs[i])
+	}
+}
+
+// claimant is a stand-in for a node that proposes commands on one token to the first replica.
+type claimant struct {
+	replicas *replicaProcesses
+	conn     net.Conn
+	owner    claims.Owner
+	key      claims.Key
+	seq      uint64
+}
+
+// propose repeats a command until its verdict comes, and on a new stream after a time without any message.
+func (c *claimant) propose(command claims.Command) claims.Verdict {
+	t := c.replicas.t
+	t.Helper()
+	c.seq++
+	command.Sender = c.owner
+	command.Seq = c.seq
+	command.Key = c.key
+	command.BodyHash = 1
+	command.Duration = 60_000_000_000
+	command.Window = 600_000_000_000
+	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: c.owner.Name, Owner: c.owner, Commands: []claims.Command{command}}
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+		sendMessage(t, c.conn, proposal)
+		message := receiveMessage(t, c.conn, 300*time.Millisecond)
+		if message == nil {
+			c.conn.Close()
+			c.conn = dialPeer(t, c.replicas.binds[0])
+			continue
+		}
+		if message.Kind != consensus.MessageVerdicts {
+			continue
+		}
+		for _, verdict := range message.Verdicts {
+			if verdict.Seq == c.seq {
+				return verdict
+			}
+		}
 	}
+	t.Fatalf("no verdict; %s", c.replicas.logs[0])
+	return claims.Verdict{}
 }
 
 func TestReplicasKilledTogetherLoseNoClaim(t *testing.T) {
@@ -139,7 +173,7 @@
 	assert.Contains(t, replicas.logs[0].String(), "back from the disk")
 	replicas.recordResult("t2", "two")
 	for i, err := range replicas.stop(syscall.SIGTERM) {
-		assert.NoError(t, err, "s%d leaves cleanly", i+1)
+		assert.NoError(t, err, "s%d exits cleanly", i+1)
 	}
 	require.NoError(t, os.RemoveAll(filepath.Join(replicas.folder, "s3"))) // a disk that is lost
 	replicas.launch()
--- a/integration/resultstore_test.go
+++ b/integration/resultstore_test.go
@@ -18,16 +18,25 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// startNodeWithStore starts a node whose one operation is tokened, with a store in a folder.
+// startNodeWithStore starts a node whose one operation is deduplicated, with a result store in a folder.
 func startNodeWithStore(t *testing.T, folder string) *testNode {
-	text, err := json.Marshal(map[string]string{"durability": "batched", "folder": folder, "segment": "64 KiB", "size": "1 MiB"})
+	t.Helper()
+	path := writeStoreFile(t, map[string]string{"durability": "batched", "folder": folder, "segment": "64 KiB", "size": "1 MiB"})
+	return startNodeWithFlags(t, false, func(config nodeConfig) {
+		operation := config.operation()
+		operation["effect"] = "deduplicated"
+		operation["window"] = 60_000
+	}, "--keep", path)
+}
+
+// writeStoreFile writes the configuration of a result store and returns its path.
+func writeStoreFile(t testing.TB, config map[string]string) string {
+	t.Helper()
+	text, err := json.Marshal(config)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "kept.jsonnet")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	return startNodeWithFlags(t, false, func(config nodeConfig) {
-		grade := config.operation()
-		grade["effect"], grade["window"] = "deduplicated", 60_000
-	}, "--keep", path)
+	return path
 }
 
 func TestResultsBeforeAKillAreAnsweredFromTheStoreOrReportedUnknown(t *testing.T) {
@@ -111,63 +120,72 @@
 	assert.Equal(t, data, after)
 }
 
-// BenchmarkTokenedInvocations measures what keeping costs: an idempotent invocation without and with a store beside it,
-// a tokened one in each mode, in turns: go test -bench Tokened -benchtime 1x ./integration.
+// storeMode is a way to run an invocation beside a result store or without one.
+type storeMode struct {
+	name         string
+	store        bool
+	durability   string
+	deduplicated bool
+}
+
+// BenchmarkTokenedInvocations measures what storing results costs: an idempotent invocation without and with a store beside
+// it, and a deduplicated one in each mode, in turns: go test -bench Tokened -benchtime 1x ./integration.
 func BenchmarkTokenedInvocations(b *testing.B) {
-	modes := []string{"idempotent", "idempotent beside a store", "none", "batched", "each"}
+	const rounds = 3
+	modes := []storeMode{
+		{name: "idempotent", durability: "batched"},
+		{name: "idempotent_beside_a_store", store: true, durability: "batched"},
+		{name: "none", store: true, durability: "none", deduplicated: true},
+		{name: "batched", store: true, durability: "batched", deduplicated: true},
+		{name: "each", store: true, durability: "each", deduplicated: true},
+	}
 	for b.Loop() {
-		all := map[string]*hdrhistogram.Histogram{}
+		latencies := map[storeMode]*hdrhistogram.Histogram{}
 		for _, mode := range modes {
-			all[mode] = hdrhistogram.New(1, 10_000_000, 3)
+			latencies[mode] = hdrhistogram.New(1, 10_000_000, 3)
 		}
-		for range 3 {
+		for range rounds {
 			for _, mode := range modes {
-				measureWithStore(b, mode, all[mode])
+				measureWithStore(b, mode, latencies[mode])
 			}
 		}
 		for _, mode := range modes {
-			name := strings.ReplaceAll(mode, " ", "_")
-			b.ReportMetric(float64(all[mode].ValueAtQuantile(50)), name+"_p50_us")
-			b.ReportMetric(float64(all[mode].ValueAtQuantile(99)), name+"_p99_us")
+			b.ReportMetric(float64(latencies[mode].ValueAtQuantile(50)), mode.name+"_p50_us")
+			b.ReportMetric(float64(latencies[mode].ValueAtQuantile(99)), mode.name+"_p99_us")
 		}
 	}
 }
 
-func measureWithStore(b *testing.B, mode string, latencies *hdrhistogram.Histogram) {
-	durability := map[string]string{"none": "none", "each": "each"}[mode]
-	if durability == "" {
-		durability = "batched"
-	}
-	text, err := json.Marshal(map[string]string{"durability": durability, "folder": filepath.Join(b.TempDir(), "kept"), "segment": "1 MiB", "size": "64 MiB"})
-	require.NoError(b, err)
-	path := filepath.Join(b.TempDir(), "kept.jsonnet")
-	require.NoError(b, os.WriteFile(path, text, 0o600))
+// measureWithStore records the latencies of invocations one after the other.
+func measureWithStore(b *testing.B, mode storeMode, latencies *hdrhistogram.Histogram) {
+	const invocations = 600
+	path := writeStoreFile(b, map[string]string{"durability": mode.durability, "folder": filepath.Join(b.TempDir(), "kept"),
+		"segment": "1 MiB", "size": "64 MiB"})
 	var flags []string
-	change := func(config nodeConfig) {
-		settings := config.settings()
-		first := settings["grades"].([]any)[0]
-		tokened := map[string]any{"name": "hold", "aim": 5_000, "give_up": 9_000, "importance": 1, "effect": "deduplicated", "window": 600_000}
-		settings["grades"] = []any{first, tokened}
-		info := config.familyInfo()
-		info["memory_kb"], info["entry_kb"], info["class_calls"] = 900_000, 1, []bool{true, false}
-	}
-	if mode != "idempotent" {
+	if mode.store {
 		flags = []string{"--keep", path}
 	}
-	node := startNodeWithFlags(b, false, change, flags...)
+	node := startNodeWithFlags(b, false, func(config nodeConfig) {
+		deduplicated := map[string]any{"name": "hold", "aim": 5_000, "give_up": 9_000, "importance": 1, "effect": "deduplicated", "window": 600_000}
+		config.settings()["grades"] = []any{config.operation(), deduplicated}
+		info := config.familyInfo()
+		info["memory_kb"] = 900_000
+		info["entry_kb"] = 1
+		info["class_calls"] = []bool{true, false}
+	}, flags...)
 	defer node.command.Process.Kill()
 	d := node.dial()
-	for stream := range uint32(600) {
+	for stream := range uint32(invocations) {
 		fields := []frame.Field{{Name: "op", Value: "catalogue"}, {Name: "call", Value: fmt.Sprintf("%016x", stream+1)},
 			{Name: "recv", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)}, {Name: "src", Value: "4"}, {Name: "heap", Value: "1"}}
-		if !strings.HasPrefix(mode, "idempotent") {
+		if mode.deduplicated {
 			fields[0].Value = "hold"
 			fields = append(fields, frame.Field{Name: "dedupe", Value: fmt.Sprint("t", stream)})
 		}
-		at := time.Now()
-		d.conn.SetDeadline(at.Add(testTimeout))
+		sent := time.Now()
+		d.conn.SetDeadline(sent.Add(testTimeout))
 		d.write(frame.AppendInvocation(nil, stream+1, fields, []byte("x")))
 		d.answer()
-		require.NoError(b, latencies.RecordValue(time.Since(at).Microseconds()))
+		require.NoError(b, latencies.RecordValue(time.Since(sent).Microseconds()))
 	}
 }
--- a/integration/serving_test.go
+++ b/integration/serving_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// The full-fleet days load a library into the node: that takes a build that the C library's loader starts.
+// The fleet simulations preload a library into the node, which takes a build that the C library's loader starts.
 func TestDeployedBuildIsLinkedAgainstTheCLibrary(t *testing.T) {
 	f, err := elf.Open(program)
 	require.NoError(t, err)
@@ -70,8 +70,8 @@
 	assert.Equal(t, "51 on 2 ", d.answer())
 	node.catalogue.setReply(func(string) string { return disconnectReply })
 	d.invoke(3, "call")
-	assert.Equal(t, "51 on 3 ", d.answer(), "a break proves nothing, so an idempotent one's call is repeated, once")
-	for range 4 { // two of FAULT, two of the break
+	assert.Equal(t, "51 on 3 ", d.answer(), "after a disconnect an idempotent call is retried, once")
+	for range 4 { // two of FAULT, two of the disconnect
 		await(t, node.catalogue.requests)
 	}
 	assert.Empty(t, node.catalogue.requests)
