--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -145,9 +145,9 @@
 func TestConsensusGroupAndResultStoreExcludeEachOther(t *testing.T) {
 	path, _ := singleReplicaFleetFile(t)
 	node := startNode(t, false, nil)
-	kept := filepath.Join(t.TempDir(), "kept.jsonnet")
-	require.NoError(t, os.WriteFile(kept, []byte(`{durability: 'batched', folder: 'kept'}`), 0o600))
-	out, err := exec.Command(program, "serve", "--fleet", path, "--keep", kept, node.configPath).CombinedOutput()
+	storeFile := filepath.Join(t.TempDir(), "kept.jsonnet")
+	require.NoError(t, os.WriteFile(storeFile, []byte(`{durability: 'batched', folder: 'kept'}`), 0o600))
+	out, err := exec.Command(program, "serve", "--fleet", path, "--keep", storeFile, node.configPath).CombinedOutput()
 	assert.Error(t, err)
 	assert.NotEmpty(t, out)
 }
--- a/integration/deduplication_test.go
+++ b/integration/deduplication_test.go
@@ -63,7 +63,7 @@
 	_ = await(t, node.exited) // the error of the kill
 	node.launch()
 	d := node.dial()
-	from := time.Now()
+	firstSent := time.Now()
 	d.invokeWithToken(1, "a", "result")
 	assert.Equal(t, "20 on 1 result", d.answer())
 	assert.Len(t, node.executor.startedBodies(), 1)
@@ -72,10 +72,10 @@
 		d.invokeWithToken(stream, "a", "result")
 		assert.Equal(t, fmt.Sprintf("20 on %d result", stream), d.answer())
 		if len(node.executor.startedBodies()) > 0 {
-			assert.GreaterOrEqual(t, time.Since(from), window)
+			assert.GreaterOrEqual(t, time.Since(firstSent), window)
 			return
 		}
-		assert.Less(t, sent.Sub(from), 10*window, "its result expires")
+		assert.Less(t, sent.Sub(firstSent), 10*window, "its result expires")
 		time.Sleep(5 * time.Millisecond)
 	}
 }
--- a/integration/dispatcher_test.go
+++ b/integration/dispatcher_test.go
@@ -125,9 +125,9 @@
 // assertClosed checks that the node closes the connection without a reset and sends nothing more before.
 func (d *dispatcher) assertClosed() {
 	d.t.Helper()
-	rest, err := io.ReadAll(d.conn)
+	remaining, err := io.ReadAll(d.conn)
 	assert.NoError(d.t, err, "a reset loses answers on their way")
-	assert.Empty(d.t, rest)
+	assert.Empty(d.t, remaining)
 }
 
 // answersHealthCheck reports whether a node at the address answers a health check as healthy.
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -51,26 +51,26 @@
 // An invocation that crosses the drain notice on the wire was read, and must be answered.
 func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
 	node := startNode(t, false, nil)
-	var rest []*dispatcher
+	var idle []*dispatcher
 	for n := range 8 {
 		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer(), n)
-		rest = append(rest, d)
+		idle = append(idle, d)
 	}
 	node.signal(syscall.SIGTERM)
-	for _, d := range rest {
+	for _, d := range idle {
 		d.awaitNoMore()
 		d.invoke(2, "crosses")
 	}
-	for _, d := range rest {
+	for _, d := range idle {
 		assert.Equal(t, "50 on 2 ", d.answer())
 		d.assertClosed()
 	}
 	assert.NoError(t, await(t, node.exited))
 	for len(node.executor.commands) > 0 {
-		w := <-node.executor.commands
-		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake had stopped")
+		words := <-node.executor.commands
+		assert.NotEqual(t, "crosses", words[len(words)-1], "it came after intake had stopped")
 	}
 }
 
@@ -128,17 +128,17 @@
 // An idle connection is evicted as the protocol asks: notified, read once more, closed without a reset.
 func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
 	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
-	var rest []*dispatcher
+	var idle []*dispatcher
 	for range 10 {
 		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer())
-		rest = append(rest, d)
+		idle = append(idle, d)
 	}
 	next := node.dial()
 	next.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", next.answer())
-	d := rest[0] // idle for longest
+	d := idle[0] // idle for longest
 	assert.Equal(t, noMore, d.answer())
 	d.invoke(2, "crosses")
 	assert.Equal(t, "20 on 2 crosses", d.answer())
@@ -178,7 +178,7 @@
 // Under load, killed and drained in turn, and started again before the last incarnation has ended, nine in ten processes
 // serve within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
-	const restarts, soon = 20, 10 * time.Second
+	const restarts, maxReadyAfter = 20, 10 * time.Second
 	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 1_000 })
 	address := node.address
 	node.config["listen"] = address
@@ -187,30 +187,30 @@
 	for range 8 {
 		load.Go(func() { reconnectUntil(t, address, stopped) })
 	}
-	var took []time.Duration
+	var readyAfter []time.Duration
 	for n := range restarts {
-		last, ended := node.command, node.exited
+		previous, ended := node.command, node.exited
 		if n%2 == 0 {
-			last.Process.Signal(syscall.SIGKILL)
+			previous.Process.Signal(syscall.SIGKILL)
 		} else {
-			last.Process.Signal(syscall.SIGTERM)
+			previous.Process.Signal(syscall.SIGTERM)
 		}
 		node.executor.reset("old")
 		node.exited = make(chan error, 1)
-		from := time.Now()
+		launchedAt := time.Now()
 		node.launch()
 		for !answersHealthCheck(address) {
-			require.Less(t, time.Since(from), 30*time.Second)
+			require.Less(t, time.Since(launchedAt), 30*time.Second)
 			time.Sleep(time.Millisecond)
 		}
-		took = append(took, time.Since(from))
+		readyAfter = append(readyAfter, time.Since(launchedAt))
 		_ = await(t, ended) // a killed process ends with an error, a drained one without
 	}
 	close(stopped)
 	load.Wait()
-	slices.Sort(took)
-	t.Logf("ready after: least %v, median %v, nine in ten %v, most %v", took[0], took[len(took)/2], took[len(took)*9/10-1], took[len(took)-1])
-	assert.LessOrEqual(t, took[len(took)*9/10-1], soon)
+	slices.Sort(readyAfter)
+	t.Logf("ready after: least %v, median %v, nine in ten %v, most %v", readyAfter[0], readyAfter[len(readyAfter)/2], readyAfter[len(readyAfter)*9/10-1], readyAfter[len(readyAfter)-1])
+	assert.LessOrEqual(t, readyAfter[len(readyAfter)*9/10-1], maxReadyAfter)
 }
 
 // The node closes what it opens: it has no more descriptors than before once its peers have disconnected.
--- a/integration/faultydispatchers_test.go
+++ b/integration/faultydispatchers_test.go
@@ -94,14 +94,14 @@
 		"truncated headers": truncated,
 	}
 	ended := make(chan string, len(hostile))
-	for what, b := range hostile {
+	for name, payload := range hostile {
 		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
-		go func() { _, _ = conn.Write(b) }() // the node may close the connection first
+		go func() { _, _ = conn.Write(payload) }() // the node may close the connection first
 		go func() {
 			_, _ = io.Copy(io.Discard, conn) // a reset is an end as well
-			ended <- what
+			ended <- name
 		}()
 	}
 	healthy := node.dial()
--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -18,9 +18,9 @@
 // A second signal aborts the runs in flight, and still answers them.
 func TestSecondSignalAbortsAndAnswersRunsInFlight(t *testing.T) {
 	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 120_000 })
-	d, rests := node.dial(), node.dial()
-	rests.invoke(1, "fine")
-	assert.Equal(t, "20 on 1 fine", rests.answer())
+	d, idle := node.dial(), node.dial()
+	idle.invoke(1, "fine")
+	assert.Equal(t, "20 on 1 fine", idle.answer())
 	await(t, node.executor.commands)
 	d.invoke(1, "hold")
 	await(t, node.executor.commands)
@@ -30,11 +30,11 @@
 	node.awaitLog("what is in hand is aborted")
 	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
-	rests.awaitNoMore()
-	rests.invoke(2, "crosses")
-	assert.Equal(t, "50 on 2 ", rests.answer())
+	idle.awaitNoMore()
+	idle.invoke(2, "crosses")
+	assert.Equal(t, "50 on 2 ", idle.answer())
 	d.assertClosed()
-	rests.assertClosed()
+	idle.assertClosed()
 	assert.NoError(t, await(t, node.exited))
 }
 
@@ -43,9 +43,9 @@
 	d := node.dial()
 	d.invoke(1, "hold")
 	await(t, node.executor.commands)
-	link := await(t, node.executor.connections)
+	executorConn := await(t, node.executor.connections)
 	node.executor.listener.Close()
-	link.Close()
+	executorConn.Close()
 	node.awaitLog("executor link ended")
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
@@ -110,7 +110,7 @@
 	node.writeConfig(false)
 	node.signal(syscall.SIGHUP)
 	node.awaitLog("peers are now at")
-	link := await(t, node.executor.connections)
+	executorConn := await(t, node.executor.connections)
 	for n := range 120 {
 		conn, err := net.Dial("tcp", node.address)
 		require.NoError(t, err)
@@ -122,7 +122,7 @@
 			_, _ = conn.Write(healthCheck()[:7]) // likewise
 		}
 	}
-	link.Close()
+	executorConn.Close()
 	await(t, node.executor.connections)
 	d := node.dial()
 	d.invoke(1, "call")
@@ -209,11 +209,11 @@
 	d := node.dial()
 	call := d.invoke(1, "hold")
 	await(t, node.executor.commands)
-	link := await(t, node.executor.connections)
+	executorConn := await(t, node.executor.connections)
 	node.executor.detach() // later notices are sent on the next connection
-	fmt.Fprint(link, "EXIT 1 "+call+" go")
+	fmt.Fprint(executorConn, "EXIT 1 "+call+" go")
 	node.executor.notify("EXIT %d " + call + " good 3 4\r\nlate\r\n")
-	fmt.Fprint(link, strings.Repeat("y", 1<<20)) // a line without end
+	fmt.Fprint(executorConn, strings.Repeat("y", 1<<20)) // a line without end
 	await(t, node.executor.connections)
 	assert.Equal(t, "20 on 1 late", d.answer())
 	for range 20_000 {
--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -192,15 +192,15 @@
 		defer stopFlood()
 	}
 	d := node.dial()
-	began := time.Now()
+	startedAt := time.Now()
 	for stream := range uint32(800) {
-		at := time.Now()
-		d.conn.SetDeadline(at.Add(testTimeout))
+		sent := time.Now()
+		d.conn.SetDeadline(sent.Add(testTimeout))
 		d.invoke(stream+1, "x")
 		d.answer()
-		require.NoError(b, latencies.RecordValue(time.Since(at).Microseconds()))
+		require.NoError(b, latencies.RecordValue(time.Since(sent).Microseconds()))
 	}
-	spent[kind] += time.Since(began)
+	spent[kind] += time.Since(startedAt)
 }
 
 // containsInode reports whether a table of /proc/net names a socket.
--- a/integration/resultstore_test.go
+++ b/integration/resultstore_test.go
@@ -48,8 +48,8 @@
 	d.invokeWithToken(2, "open", "hold") // runs on
 	for await(t, node.executor.commands)[0] != "EXEC" {
 	}
-	if w := await(t, node.executor.commands); w[0] != "EXEC" {
-		t.Fatal(w)
+	if words := await(t, node.executor.commands); words[0] != "EXEC" {
+		t.Fatal(words)
 	}
 	out, err := runProgram("results", "list", folder)
 	assert.Error(t, err)
@@ -63,7 +63,7 @@
 	node = startNodeWithStore(t, folder)
 	d = node.dial()
 	stream := uint32(0)
-	ask := func(token, body string) string { // until the store is read tokened work is throttled
+	invokeUntilAdmitted := func(token, body string) string { // until the store is read tokened work is throttled
 		for {
 			stream++
 			d.invokeWithToken(stream, token, body)
@@ -73,9 +73,9 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	assert.Equal(t, "20 result", ask("done", "result"))
-	assert.Equal(t, "51 ", ask("open", "hold"))
-	assert.Equal(t, "51 ", ask("done", "another body"))
+	assert.Equal(t, "20 result", invokeUntilAdmitted("done", "result"))
+	assert.Equal(t, "51 ", invokeUntilAdmitted("open", "hold"))
+	assert.Equal(t, "51 ", invokeUntilAdmitted("done", "another body"))
 	assert.Empty(t, node.executor.commands, "nothing ran again")
 	node.signal(syscall.SIGKILL)
 	_ = await(t, node.exited) // the error of the kill
