--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"syscall"
@@ -17,84 +15,70 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// awaitNoMore reads what a dispatcher is owed up to the notice that no more may come.
-func (d *dispatcher) awaitNoMore() {
-	for d.answer() != "no more" {
-	}
-}
-
-// assertClosed says that nothing more comes but a clean end.
-func (d *dispatcher) assertClosed() {
-	d.t.Helper()
-	rest, err := io.ReadAll(d.conn)
-	assert.NoError(d.t, err, "a reset takes what is owed with it")
-	assert.Empty(d.t, rest)
-}
-
 func TestDrainCompletesRunsInFlightAndExits(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 20_000 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 20_000 })
 	d := node.dial()
 	call := d.invoke(1, "hold")
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
 	d.invoke(2, "still open")
 	assert.Equal(t, "20 on 2 still open", d.answer(), "the delay keeps intake open")
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	node.awaitLog("no connection more") // from then on nobody can connect
 	_, err := net.Dial("tcp", node.address)
 	assert.Error(t, err)
 	d.invoke(3, "too late")
 	assert.Equal(t, "50 on 3 ", d.answer())
-	node.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
+	node.executor.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", d.answer())
 	node.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
 	assert.NoError(t, await(t, node.exited))
 }
 
 func TestDrainAbortsRunsInFlightAtItsDeadline(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 800 })
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 800 })
 	d := node.dial()
 	d.invoke(1, "hold")
-	await(t, node.executorLines)
+	await(t, node.executor.commands)
 	node.signal(syscall.SIGTERM)
-	assert.Equal(t, "no more", d.answer())
+	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	node.awaitLog("abandoned 1")
 	assert.NoError(t, await(t, node.exited))
 }
 
-// An invocation that is sent in the moment in which the notice comes crosses it: it was read, and is owed an answer.
+// An invocation that crosses the drain notice on the wire was read, and must be answered.
 func TestInvocationThatCrossesTheDrainNoticeIsAnswered(t *testing.T) {
 	node := startNode(t, false, nil)
-	var rest []*dispatcher
+	var idle []*dispatcher
 	for n := range 8 {
 		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer(), n)
-		rest = append(rest, d)
+		idle = append(idle, d)
 	}
 	node.signal(syscall.SIGTERM)
-	for _, d := range rest {
+	for _, d := range idle {
 		d.awaitNoMore()
 		d.invoke(2, "crosses")
 	}
-	for _, d := range rest {
+	for _, d := range idle {
 		assert.Equal(t, "50 on 2 ", d.answer())
 		d.assertClosed()
 	}
 	assert.NoError(t, await(t, node.exited))
-	for len(node.executorLines) > 0 {
-		w := <-node.executorLines
-		assert.NotEqual(t, "crosses", w[len(w)-1], "it came after intake")
+	for len(node.executor.commands) > 0 {
+		words := <-node.executor.commands
+		assert.NotEqual(t, "crosses", words[len(words)-1], "it came after intake had stopped")
 	}
 }
 
-// The same where the node has no executor, and leaves at once.
+// A node without an executor exits at once, and answers too.
 func TestInvocationThatCrossesTheExitWithoutAnExecutorIsAnswered(t *testing.T) {
 	node := startNode(t, true, nil)
 	d := node.dial()
-	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	d.write(healthCheck())
 	d.next()
 	node.signal(syscall.SIGTERM)
 	d.awaitNoMore()
@@ -104,18 +88,18 @@
 	assert.NoError(t, await(t, node.exited))
 }
 
-// Connections that the system accepted while no place was free are taken on when intake ends, and their invocations
-// are answered.
+// Connections in the system's backlog, for which the table had no place, are accepted when intake stops, and their
+// invocations are answered.
 func TestConnectionsInTheBacklogWhenIntakeStopsAreAnswered(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) {
-		c["stop_ms"] = 6_000
-		c["limits"].(map[string]any)["sockets"] = 32
+	node := startNode(t, false, func(config nodeConfig) {
+		config["stop_ms"] = 6_000
+		config.limits()["sockets"] = 32
 	})
 	var first, waiting []*dispatcher
-	for n := range 14 { // as many as there are places, each with something open
+	for n := range 14 { // fills the table, each with an invocation in flight
 		d := node.dial()
 		d.invoke(1, "hold")
-		d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+		d.write(healthCheck())
 		f, _ := d.next()
 		require.Equal(t, byte(frame.Checked), f.Type, "%d: the invocation before it was read", n)
 		first = append(first, d)
@@ -126,133 +110,117 @@
 		waiting = append(waiting, d)
 	}
 	node.signal(syscall.SIGTERM)
-	for _, d := range first { // each ends by itself once it is told and answered
+	for _, d := range first { // each is closed once it is notified and answered
 		got := []string{d.answer(), d.answer()}
 		slices.Sort(got)
 		assert.Regexp(t, `^5[01] on 1 $`, got[0])
-		assert.Equal(t, "no more", got[1])
+		assert.Equal(t, noMore, got[1])
 		d.conn.Close()
 	}
 	for _, d := range waiting {
-		assert.Equal(t, "no more", d.answer())
+		assert.Equal(t, noMore, d.answer())
 		assert.Equal(t, "50 on 1 ", d.answer())
 		d.assertClosed()
 	}
 	assert.NoError(t, await(t, node.exited))
 }
 
-// Resting connections make room in the protocol's way: told, heard once more, closed without a reset.
+// An idle connection is evicted as the protocol asks: notified, read once more, closed without a reset.
 func TestIdleConnectionIsEvictedWithoutLoss(t *testing.T) {
-	node := startNode(t, false, func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = 32 })
-	var rest []*dispatcher
+	node := startNode(t, false, func(config nodeConfig) { config.limits()["sockets"] = 32 })
+	var idle []*dispatcher
 	for range 10 {
 		d := node.dial()
 		d.invoke(1, "fine")
 		assert.Equal(t, "20 on 1 fine", d.answer())
-		rest = append(rest, d)
+		idle = append(idle, d)
 	}
 	next := node.dial()
 	next.invoke(1, "fine")
 	assert.Equal(t, "20 on 1 fine", next.answer())
-	d := rest[0] // it rested longest
-	assert.Equal(t, "no more", d.answer())
+	d := idle[0] // idle for longest
+	assert.Equal(t, noMore, d.answer())
 	d.invoke(2, "crosses")
 	assert.Equal(t, "20 on 2 crosses", d.answer())
 	d.assertClosed()
 }
 
-// Under load, killed and drained in turn, and started again before the last life has ended, nine in ten processes serve
-// within ten seconds. The distribution is printed.
+// reconnectUntil offers up to twenty invocations on each of many connections in a row, with one stream number each.
+func reconnectUntil(t *testing.T, address string, stopped <-chan struct{}) {
+	const invocationsPerConnection = 20
+	for stream := uint32(1); ; stream++ {
+		select {
+		case <-stopped:
+			return
+		default:
+		}
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			time.Sleep(5 * time.Millisecond) // nobody listens
+			continue
+		}
+		conn.SetDeadline(time.Now().Add(time.Second))
+		d := &dispatcher{t: t, conn: conn}
+		for range invocationsPerConnection {
+			call := fmt.Sprintf("%016x", time.Now().UnixNano())
+			if _, err := conn.Write(invocation("catalogue", call, stream, "fine")); err != nil {
+				break
+			}
+			if _, ok := d.next(); !ok {
+				break
+			}
+			stream++
+		}
+		conn.Close()
+	}
+}
+
+// Under load, killed and drained in turn, and started again before the last incarnation has ended, nine in ten processes
+// serve within ten seconds. The distribution is printed.
 func TestRestartedProcessesAreReadySoon(t *testing.T) {
-	const restarts, soon = 20, 10 * time.Second
-	node := startNode(t, false, func(c map[string]any) { c["stop_ms"] = 1_000 })
+	const restarts, maxReadyAfter = 20, 10 * time.Second
+	node := startNode(t, false, func(config nodeConfig) { config["stop_ms"] = 1_000 })
 	address := node.address
 	node.config["listen"] = address
 	var load sync.WaitGroup
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	for range 8 {
-		load.Go(func() {
-			for stream := uint32(1); ; stream++ {
-				select {
-				case <-over:
-					return
-				default:
-				}
-				conn, err := net.Dial("tcp", address)
-				if err != nil {
-					time.Sleep(5 * time.Millisecond) // nobody listens
-					continue
-				}
-				conn.SetDeadline(time.Now().Add(time.Second))
-				d := &dispatcher{t: t, conn: conn}
-				for range 20 {
-					if _, err := conn.Write(invocation(fmt.Sprintf("%016x", time.Now().UnixNano()), stream, "fine")); err != nil {
-						break
-					}
-					if _, ok := d.next(); !ok {
-						break
-					}
-					stream++
-				}
-				conn.Close()
-			}
-		})
+		load.Go(func() { reconnectUntil(t, address, stopped) })
 	}
-	var took []time.Duration
+	var readyAfter []time.Duration
 	for n := range restarts {
-		last, ended := node.command, node.exited
+		previous, ended := node.command, node.exited
 		if n%2 == 0 {
-			last.Process.Signal(syscall.SIGKILL)
+			previous.Process.Signal(syscall.SIGKILL)
 		} else {
-			last.Process.Signal(syscall.SIGTERM)
+			previous.Process.Signal(syscall.SIGTERM)
 		}
-		node.resetExecutor("old")
+		node.executor.reset("old")
 		node.exited = make(chan error, 1)
-		from := time.Now()
+		launchedAt := time.Now()
 		node.launch()
 		for !answersHealthCheck(address) {
-			require.Less(t, time.Since(from), 30*time.Second)
+			require.Less(t, time.Since(launchedAt), 30*time.Second)
 			time.Sleep(time.Millisecond)
 		}
-		took = append(took, time.Since(from))
+		readyAfter = append(readyAfter, time.Since(launchedAt))
 		_ = await(t, ended) // a killed process ends with an error, a drained one without
 	}
-	close(over)
+	close(stopped)
 	load.Wait()
-	slices.Sort(took)
-	t.Logf("ready after: least %v, median %v, nine in ten %v, most %v", took[0], took[len(took)/2], took[len(took)*9/10-1], took[len(took)-1])
-	assert.LessOrEqual(t, took[len(took)*9/10-1], soon)
+	slices.Sort(readyAfter)
+	t.Logf("ready after: least %v, median %v, nine in ten %v, most %v", readyAfter[0], readyAfter[len(readyAfter)/2], readyAfter[len(readyAfter)*9/10-1], readyAfter[len(readyAfter)-1])
+	assert.LessOrEqual(t, readyAfter[len(readyAfter)*9/10-1], maxReadyAfter)
 }
 
-// answersHealthCheck says whether a node answers a health check well.
-func answersHealthCheck(address string) bool {
-	conn, err := net.Dial("tcp", address)
-	if err != nil {
-		return false
-	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(time.Second))
-	if _, err := conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})); err != nil {
-		return false
-	}
-	b := make([]byte, 10)
-	_, err = io.ReadFull(conn, b)
-	return err == nil && b[4] == frame.Checked && b[9] == frame.Good
-}
-
-// The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
+// The node closes what it opens: it has no more descriptors than before once its peers have disconnected.
 func TestDescriptorsAreReleasedAfterDisconnects(t *testing.T) {
 	node := startNode(t, false, nil)
-	open := func() int {
-		list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.command.Process.Pid))
-		require.NoError(t, err)
-		return len(list)
-	}
 	d := node.dial()
 	d.invoke(1, "call")
 	assert.Equal(t, "20 on 1 reply", d.answer())
 	d.conn.Close()
-	before := open()
+	before := node.descriptors()
 	for n := range 60 {
 		d := node.dial()
 		switch n % 4 {
@@ -262,9 +230,9 @@
 		case 1:
 			d.write([]byte{9, 9, 9, 9, 9})
 		case 2:
-			d.write(frame.Append(nil, frame.Check, 1, []byte{0})[:7])
+			d.write(healthCheck()[:7])
 		}
 		d.conn.Close()
 	}
-	require.Eventually(t, func() bool { return open() <= before }, testTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return node.descriptors() <= before }, testTimeout, 10*time.Millisecond)
 }
