--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -16,19 +16,19 @@
 
 // instance is one node: its module, its door, and its events of the batch in hand.
 type instance struct {
-	number int64
-	post   *admission.Controller
-	host   *simwire.Host
-	events []admission.Event
-	marked bool // it has an event in this batch
+	number     int64
+	controller *admission.Controller
+	codec      *simwire.InstanceCodec
+	events     []admission.Event
+	pending    bool // it has an event in this batch
 }
 
 // fleet holds the instances of this process; order is that of first mention in the batch.
 type fleet struct {
 	instances map[int64]*instance
-	order     []*instance
+	pending   []*instance
 	target    int64
-	aimed     bool
+	hasTarget bool
 	now       int64
 	reply     []byte
 }
@@ -56,7 +56,7 @@
 	reader := simwire.NewReader(in)
 	f := &fleet{instances: make(map[int64]*instance)}
 	for {
-		line, err := reader.Line()
+		line, err := reader.ReadLine()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -64,12 +64,12 @@
 			return err
 		}
 		if line[0] != "EOB" {
-			if err := f.take(line); err != nil {
+			if err := f.handleLine(line); err != nil {
 				return err
 			}
 			continue
 		}
-		f.answer()
+		f.decide()
 		if _, err := out.Write(f.reply); err != nil {
 			return err
 		}
@@ -79,72 +79,72 @@
 	}
 }
 
-// take reads one line of a batch.
-func (f *fleet) take(line []string) (err error) {
+// handleLine reads one line of a batch.
+func (f *fleet) handleLine(line []string) (err error) {
 	switch line[0] {
 	case "MARK":
-		f.aimed = false
-		f.now, err = simwire.Clock(line)
+		f.hasTarget = false
+		f.now, err = simwire.DecodeClock(line)
 		return err
 	case "TARGET_INSTANCE":
-		f.aimed = true
-		f.target, err = simwire.Instance(line)
+		f.hasTarget = true
+		f.target, err = simwire.DecodeInstance(line)
 		return err
 	}
-	if !f.aimed {
+	if !f.hasTarget {
 		return fmt.Errorf("ember: %q names no instance", line[0])
 	}
 	switch line[0] {
 	case "CRASH_NOW":
 		if i := f.instances[f.target]; i != nil {
-			i.post, i.events = nil, nil
+			i.controller, i.events = nil, nil
 			delete(f.instances, f.target)
 		}
 		return nil
 	case "PROVISION":
-		settings, err := simwire.Start(line)
+		settings, err := simwire.DecodeConfig(line)
 		if err != nil {
 			return err
 		}
 		if old := f.instances[f.target]; old != nil {
-			old.post = nil
+			old.controller = nil
 		}
-		i := &instance{number: f.target, host: simwire.NewHost(settings), marked: true}
-		i.post = admission.NewController(&settings.Node, f.now)
+		i := &instance{number: f.target, codec: simwire.NewInstanceCodec(settings), pending: true}
+		i.controller = admission.NewController(&settings.Node, f.now)
 		f.instances[f.target] = i
-		f.order = append(f.order, i)
+		f.pending = append(f.pending, i)
 		return nil
 	}
 	i := f.instances[f.target]
 	if i == nil {
 		return fmt.Errorf("ember: %s for instance %d, which is not running", line[0], f.target)
 	}
-	event, live, err := i.host.Event(line)
+	event, live, err := i.codec.DecodeEvent(line)
 	if err != nil || !live {
 		return err
 	}
 	i.events = append(i.events, event)
-	if !i.marked {
-		i.marked = true
-		f.order = append(f.order, i)
+	if !i.pending {
+		i.pending = true
+		f.pending = append(f.pending, i)
 	}
 	return nil
 }
 
-// answer has each instance that was told something decide, and writes the reply.
-func (f *fleet) answer() {
+// decide has each instance that was told something decide, and writes the reply.
+func (f *fleet) decide() {
 	f.reply = f.reply[:0]
-	for _, i := range f.order {
-		if i.post == nil {
+	for _, i := range f.pending {
+		if i.controller == nil {
 			continue
 		}
-		actions := i.post.Decide(f.now, i.events)
-		i.events, i.marked = i.events[:0], false
+		actions := i.controller.Decide(f.now, i.events)
+		i.events, i.pending = i.events[:0], false
 		if len(actions) > 0 {
 			f.reply = append(strconv.AppendInt(append(f.reply, "AT\t"...), i.number, 10), '\n')
 		}
-		f.reply = i.host.Append(f.reply, actions)
+		f.reply = i.codec.AppendActions(f.reply, actions)
 	}
-	f.order = f.order[:0]
+	f.pending = f.pending[:0]
 	f.reply = append(f.reply, "FINISHED\n"...)
 }
--- a/example/main.go
+++ b/example/main.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return
 	}
-	p := lineprotocol.Parser{Counted: func(words []string) bool { return words[0] == "EXEC" }}
+	p := lineprotocol.Parser{HasBody: func(words []string) bool { return words[0] == "EXEC" }}
 	for notices := 1; ; {
 		n, err := link.Read(p.Space())
 		if err != nil {
@@ -106,12 +106,12 @@
 	defer conn.Close()
 	var p frame.Parser
 	for good := false; !good; {
-		conn.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+		conn.Write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 		f, err := next(conn, &p)
 		if err != nil {
 			return err
 		}
-		good = f.Payload[0] == frame.Good
+		good = f.Payload[0] == frame.Healthy
 	}
 	for i, item := range strings.Fields("desk chair lamp") {
 		stream := uint32(i + 1)
--- a/integration/endings_test.go
+++ b/integration/endings_test.go
@@ -61,7 +61,7 @@
 func TestInvocationThatCrossesTheEndOfANodeWithoutItsExecutorIsAnswered(t *testing.T) {
 	s := start(t, true, nil)
 	d := s.dial()
-	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	d.write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 	d.next()
 	s.signal(syscall.SIGTERM)
 	d.rested()
@@ -82,9 +82,9 @@
 	for n := range 14 { // as many as there are places, each with something open
 		d := s.dial()
 		d.invoke(1, "hold")
-		d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+		d.write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 		f, _ := d.next()
-		require.Equal(t, byte(frame.Checked), f.Type, "%d: the invocation before it was read", n)
+		require.Equal(t, byte(frame.HealthStatus), f.Type, "%d: the invocation before it was read", n)
 		first = append(first, d)
 	}
 	for range 3 {
@@ -199,10 +199,10 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
-	conn.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	conn.Write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 	b := make([]byte, 10)
 	_, err = io.ReadFull(conn, b)
-	return err == nil && b[4] == frame.Checked && b[9] == frame.Good
+	return err == nil && b[4] == frame.HealthStatus && b[9] == frame.Healthy
 }
 
 // The daemon closes what it opens: its descriptors are back to those of before once its peers have ended.
@@ -227,7 +227,7 @@
 		case 1:
 			d.write([]byte{9, 9, 9, 9, 9})
 		case 2:
-			d.write(frame.Append(nil, frame.Check, 1, []byte{0})[:7])
+			d.write(frame.Append(nil, frame.HealthCheck, 1, []byte{0})[:7])
 		}
 		d.conn.Close()
 	}
--- a/integration/hostile_test.go
+++ b/integration/hostile_test.go
@@ -118,9 +118,9 @@
 		t.Cleanup(func() { conn.Close() })
 		switch n % 3 {
 		case 0:
-			conn.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+			conn.Write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 		case 1:
-			conn.Write(frame.Append(nil, frame.Check, 1, []byte{0})[:7])
+			conn.Write(frame.Append(nil, frame.HealthCheck, 1, []byte{0})[:7])
 		}
 	}
 	link.Close()
@@ -151,7 +151,7 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		go func() {
-			for _, b := range frame.Append(nil, frame.Check, 1, make([]byte, 200)) { // a byte at a time
+			for _, b := range frame.Append(nil, frame.HealthCheck, 1, make([]byte, 200)) { // a byte at a time
 				if _, err := conn.Write([]byte{b}); err != nil {
 					return
 				}
--- a/integration/integration_test.go
+++ b/integration/integration_test.go
@@ -59,12 +59,12 @@
 	for stream := range 32 {
 		assert.Contains(t, got, fmt.Sprintf("20 on %d body %d", stream+1, stream+1))
 	}
-	check := frame.Append(nil, frame.Check, 1, []byte{0})
+	check := frame.Append(nil, frame.HealthCheck, 1, []byte{0})
 	for i := range check {
 		d.write(check[i : i+1])
 	}
 	f, _ := d.next()
-	assert.Equal(t, []byte{frame.Checked, frame.Good}, []byte{f.Type, f.Payload[0]})
+	assert.Equal(t, []byte{frame.HealthStatus, frame.Healthy}, []byte{f.Type, f.Payload[0]})
 }
 
 func TestCallsEndAsTheirRepliesProve(t *testing.T) {
@@ -113,16 +113,16 @@
 	d := s.dial()
 	d.invoke(1, "call")
 	await(t, s.asked)
-	d.write(frame.Append(nil, frame.Gone, 1, nil))
+	d.write(frame.Append(nil, frame.Cancel, 1, nil))
 	assert.Equal(t, await(t, s.supplied), await(t, s.left))
 }
 
 func TestExecutorMayComeLateAndItsLinkMayBeCut(t *testing.T) {
 	s := start(t, true, nil)
 	d := s.dial()
-	d.write(frame.Append(nil, frame.Check, 1, []byte{0}))
+	d.write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 	f, _ := d.next()
-	assert.Equal(t, byte(frame.Bad), f.Payload[0], "no executor yet")
+	assert.Equal(t, byte(frame.Unhealthy), f.Payload[0], "no executor yet")
 	close(s.up)
 	link := await(t, s.links)
 	s.line("executor is up")
@@ -243,7 +243,7 @@
 	deaf := s.dial()
 	checks := []byte{}
 	for range 10_000 {
-		checks = frame.Append(checks, frame.Check, 1, []byte{0})
+		checks = frame.Append(checks, frame.HealthCheck, 1, []byte{0})
 	}
 	cut := false
 	for i := 0; i < 300 && !cut; i++ {
--- a/integration/standins_test.go
+++ b/integration/standins_test.go
@@ -235,7 +235,7 @@
 }
 
 func (s *site) read(conn net.Conn, counted string, take func(l lineprotocol.Line)) {
-	p := lineprotocol.Parser{Counted: func(words []string) bool { return strings.Contains(counted, words[0]) }}
+	p := lineprotocol.Parser{HasBody: func(words []string) bool { return strings.Contains(counted, words[0]) }}
 	for {
 		n, err := conn.Read(p.Space())
 		if err != nil {
@@ -384,7 +384,7 @@
 func (d *dispatcher) answer() string {
 	f, ok := d.next()
 	require.True(d.t, ok, "the connection ended")
-	if f.Type == frame.NoMore {
+	if f.Type == frame.GoAway {
 		return "no more"
 	}
 	_, body, err := frame.Fields(f.Payload[1:])
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -297,7 +297,7 @@
 	c.goAwaySent = true
 	c.goAwayAt = t.sm.now
 	t.scheduleCheck(c, t.sm.now+c.goAwayGrace())
-	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: frame.Append(nil, frame.NoMore, 0, nil)})
+	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: frame.Append(nil, frame.GoAway, 0, nil)})
 }
 
 // sendGoAwayToAll sends each connection its go-away.
@@ -352,7 +352,7 @@
 	c.broken = true
 	t.sm.Counters.BrokenConnections++
 	text := err.Error()
-	head := frame.Head(nil, frame.Answer, 0, frame.Errored, nil, len(text))
+	head := frame.AppendHeader(nil, frame.Answer, 0, frame.Errored, nil, len(text))
 	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: append(head, text...)})
 	t.sendGoAway(c)
 	t.sm.emit(Effect{Kind: DiscardInput, Link: c.link})
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -28,7 +28,7 @@
 
 // healthCheckOn is a shallow health check.
 func healthCheckOn(link int) Input {
-	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
+	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}}
 }
 
 // advance advances the clock and keeps the executor's link from being silent.
@@ -44,7 +44,7 @@
 	step(sm, Input{Kind: ConnectionOpened, Link: 9})
 	step(sm, Input{Kind: ConnectionOpened, Link: 10})
 	check := func(link int) Input {
-		return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}}
+		return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}}
 	}
 	step(sm, check(9))
 	step(sm, check(8))
@@ -72,7 +72,7 @@
 		if evicted {
 			for link := range 4 {
 				step(sm, Input{Kind: ConnectionOpened, Link: 8 + link})
-				step(sm, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})
+				step(sm, Input{Kind: FrameReceived, Link: 8 + link, Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}})
 			}
 			sm.now += evictionGrace
 		} else {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -46,7 +46,7 @@
 
 // decodeInvocation decodes an invocation's fields and body into v and its event.
 func (sm *StateMachine) decodeInvocation(f *frame.Frame, v *invocation, e *admission.Event) error {
-	if f.Past {
+	if f.Oversized {
 		return errBodyTooLarge
 	}
 	fields, body, err := frame.Fields(f.Payload)
--- a/internal/node/digestcallers_test.go
+++ b/internal/node/digestcallers_test.go
@@ -60,7 +60,7 @@
 	f, ok, err := p.Next()
 	require.True(n.t, ok && err == nil, "what is written to callers can be parsed")
 	switch f.Type {
-	case frame.NoMore:
+	case frame.GoAway:
 		c.goAwayReceived = true
 	case frame.Answer:
 		delete(c.open, f.Stream)
@@ -128,7 +128,7 @@
 	b := frame.AppendInvocation(nil, stream, fields, []byte(body))
 	c.open[stream] = id
 	n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[frameHeaderBytes:],
-		Past: n.misbehaving && n.oneIn(90)}})
+		Oversized: n.misbehaving && n.oneIn(90)}})
 }
 
 // invocationFields draws the fields of a valid invocation.
@@ -184,7 +184,7 @@
 		if len(open) > 0 {
 			stream := open[n.Chance.Intn(len(open))]
 			delete(c.open, stream)
-			read(frame.Frame{Type: frame.Gone, Stream: stream})
+			read(frame.Frame{Type: frame.Cancel, Stream: stream})
 		}
 	case kind < 6:
 		n.checkHealth(c, n.oneIn(2))
@@ -200,7 +200,7 @@
 			n.invoke(c)
 		}
 	case kind == 10:
-		read(frame.Frame{Type: frame.Check, Stream: 1, Payload: []byte{255, 1}})
+		read(frame.Frame{Type: frame.HealthCheck, Stream: 1, Payload: []byte{255, 1}})
 	default:
 		for range 3 {
 			n.openConn()
@@ -216,8 +216,8 @@
 	}
 	c.lastStream++
 	b := frame.AppendInvocation(nil, c.lastStream, fields, nil)
-	n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Check, Stream: c.lastStream, Payload: b[frameHeaderBytes:],
-		Past: n.oneIn(20)}})
+	n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.HealthCheck, Stream: c.lastStream, Payload: b[frameHeaderBytes:],
+		Oversized: n.oneIn(20)}})
 }
 
 // abandonConns has callers use none of their connections any more, so that those reach their idle timeout.
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -27,13 +27,13 @@
 	switch f.Type {
 	case frame.Invocation:
 		sm.invocationReceived(c, f)
-	case frame.Gone:
+	case frame.Cancel:
 		if i, open := c.openStreams[f.Stream]; open {
 			delete(c.openStreams, f.Stream)
 			sm.callerDisconnected(i)
 			sm.connections.released(c)
 		}
-	case frame.Check:
+	case frame.HealthCheck:
 		sm.health.received(c, f)
 	default:
 		sm.connections.markBroken(c, fmt.Errorf("%w: %d", errFrameType, f.Type))
@@ -121,7 +121,7 @@
 
 // sendFrame writes an answer with the current backpressure signal.
 func (sm *StateMachine) sendFrame(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
-	head := frame.Head(nil, frame.Answer, stream, code, sm.withBackpressure(fields), len(body))
+	head := frame.AppendHeader(nil, frame.Answer, stream, code, sm.withBackpressure(fields), len(body))
 	sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: append(head, body...)})
 }
 
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -25,7 +25,7 @@
 func TestDisconnectedCallerGetsNoAnswer(t *testing.T) {
 	sm := up(t)
 	step(sm, invoke(1))
-	step(sm, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	step(sm, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}})
 	assert.Empty(t, answers(t, told(sm, "EXIT 1 "+callID+" good 12 6|result")))
 	step(sm, invoke(2))
 	assert.Empty(t, step(sm, Input{Kind: ConnectionClosed, Link: 7}))
@@ -37,7 +37,7 @@
 	sm := up(t)
 	for i, broken := range []Input{invoke(1, "op", "other"), invoke(2, "call", "9B1F"), invoke(3, "recv", "-"),
 		invoke(4, "heap", "0"), invoke(5, "crit", "1"), invoke(6, "work", "NaN"), invoke(7, "src", "x"),
-		{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 8, Past: true}},
+		{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 8, Oversized: true}},
 		{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: 9, Payload: []byte{200}}},
 		invoke(10, "recv", "99999999999999"), invoke(11, "recv", "-1"), invoke(12, "work", "0x1p2"),
 		invoke(13, "heap", "1e2"), invoke(14, "src", "9999999999999"), invoke(15, "row", "7f3a"),
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -76,7 +76,7 @@
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	told(sm, "WELCOME new 3")
 	assert.Equal(t, []string{"check 20"}, answers(t, step(sm, Input{Kind: FrameReceived, Link: 7,
-		Frame: frame.Frame{Type: frame.Check, Payload: []byte{0}}})))
+		Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}})))
 }
 
 func TestSilentExecutorLinkIsReopened(t *testing.T) {
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -41,7 +41,7 @@
 // received answers a health check, or passes a deep one to the executor.
 func (h *healthChecks) received(c *connection, f *frame.Frame) {
 	fields, _, err := frame.Fields(f.Payload)
-	if err != nil || f.Past {
+	if err != nil || f.Oversized {
 		h.sm.log(Warn, "health check can't be read", "", err)
 	} else {
 		c.markUsed(h.sm.now)
@@ -71,11 +71,11 @@
 }
 
 func (h *healthChecks) answer(link int, stream uint32, healthy bool) {
-	code := byte(frame.Bad)
+	code := byte(frame.Unhealthy)
 	if healthy {
-		code = frame.Good
+		code = frame.Healthy
 	}
-	head := frame.Head(nil, frame.Checked, stream, code, h.sm.withBackpressure(nil), 0)
+	head := frame.AppendHeader(nil, frame.HealthStatus, stream, code, h.sm.withBackpressure(nil), 0)
 	h.sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: head})
 }
 
--- a/internal/node/healthchecks_test.go
+++ b/internal/node/healthchecks_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestHealthCheckIsAnsweredFromCacheOrByTheExecutor(t *testing.T) {
-	deep := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Check,
+	deep := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.HealthCheck,
 		Payload: append([]byte{1, 3}, "e2e\x01\x001"...)}}
 	sm := fresh(t)
 	assert.Equal(t, []string{"check 51"}, answers(t, step(sm, deep)), "no executor yet")
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -130,9 +130,9 @@
 // frameText is the code and the stream of an answer, or the kind of any other frame.
 func frameText(f frame.Frame) string {
 	switch f.Type {
-	case frame.NoMore:
+	case frame.GoAway:
 		return "no more"
-	case frame.Checked:
+	case frame.HealthStatus:
 		return fmt.Sprintf("check %d", f.Payload[0])
 	}
 	return fmt.Sprintf("%d on %d", f.Payload[0], f.Stream)
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -84,7 +84,7 @@
 func TestCallerThatLeavesDoesNotTakeTheRunFromThoseThatJoined(t *testing.T) {
 	r := keeping(t, resultcache.InMemory)
 	step(r, hold(1, "a"), hold(2, "a"))
-	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
+	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}}
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
@@ -100,7 +100,7 @@
 func TestCallerThatLeavesBeforeItsRunLeavesItToTheNext(t *testing.T) {
 	r := keeping(t, resultcache.OnDisk)
 	intent := step(r, hold(1, "a"), hold(2, "a"))
-	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}})
 	assert.Contains(t, text(written(r, intent), SendToExecutor), "EXEC "+id(2))
 }
 
@@ -169,7 +169,7 @@
 	open := r.owedAnswers
 	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
 	assert.Equal(t, open+1, r.owedAnswers)
-	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: v.stream}})
 	step(r)
 	assert.Equal(t, open, r.owedAnswers)
 	h := r.results.held[v.tokenKey]
--- a/internal/protocol/buffer/buffer.go
+++ b/internal/protocol/buffer/buffer.go
@@ -2,41 +2,41 @@
 package buffer
 
 const (
-	first = 4 << 10  // bytes at the start: an invocation with its body fits
-	keep  = 16 << 10 // bytes kept once empty; what grew past it for one message is given back
+	initialBytes = 4 << 10  // bytes at the start: an invocation with its body fits
+	maxIdleBytes = 16 << 10 // bytes kept once empty; what grew past it for one message is given back
 )
 
 // Buffer holds bytes that were read and not yet taken. The zero value is ready.
 type Buffer struct {
-	bytes    []byte
-	from, to int
+	data       []byte
+	start, end int
 }
 
 // Space is where to read to; it is never empty. It invalidates what Bytes gave.
 func (b *Buffer) Space() []byte {
-	if b.from == b.to {
-		b.from, b.to = 0, 0
-		if len(b.bytes) > keep {
-			b.bytes = nil
+	if b.start == b.end {
+		b.start, b.end = 0, 0
+		if len(b.data) > maxIdleBytes {
+			b.data = nil
 		}
 	}
-	if b.from > 0 && len(b.bytes)-b.to < len(b.bytes)/2 {
-		b.to = copy(b.bytes, b.bytes[b.from:b.to])
-		b.from = 0
+	if b.start > 0 && len(b.data)-b.end < len(b.data)/2 {
+		b.end = copy(b.data, b.data[b.start:b.end])
+		b.start = 0
 	}
-	if b.to == len(b.bytes) {
-		grown := make([]byte, max(first, 2*len(b.bytes)))
-		copy(grown, b.bytes[:b.to])
-		b.bytes = grown
+	if b.end == len(b.data) {
+		grown := make([]byte, max(initialBytes, 2*len(b.data)))
+		copy(grown, b.data[:b.end])
+		b.data = grown
 	}
-	return b.bytes[b.to:]
+	return b.data[b.end:]
 }
 
 // Wrote says how many bytes of Space were read to.
-func (b *Buffer) Wrote(n int) { b.to += n }
+func (b *Buffer) Wrote(n int) { b.end += n }
 
 // Bytes is what was read and not yet taken, valid until Space.
-func (b *Buffer) Bytes() []byte { return b.bytes[b.from:b.to] }
+func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Take drops the first bytes.
-func (b *Buffer) Take(n int) { b.from += n }
+// Discard drops the first bytes.
+func (b *Buffer) Discard(n int) { b.start += n }
--- a/internal/protocol/frame/frame.go
+++ b/internal/protocol/frame/frame.go
@@ -11,14 +11,14 @@
 
 // The types of frames.
 const (
-	Invocation = 16
-	Answer     = 17
-	Gone       = 18
-	Check      = 32
-	Checked    = 33
-	NoMore     = 48
-	lenBytes   = 4
-	headFrom   = lenBytes + 5
+	Invocation   = 16
+	Answer       = 17
+	Cancel       = 18
+	HealthCheck  = 32
+	HealthStatus = 33
+	GoAway       = 48
+	lengthBytes  = 4
+	headerBytes  = lengthBytes + 5
 )
 
 // The codes of answers.
@@ -26,16 +26,16 @@
 	Succeeded = 20
 	Throttled = 50
 	Errored   = 51
-	Good      = 20
-	Bad       = 51
+	Healthy   = 20
+	Unhealthy = 51
 )
 
 const (
 	minLength = 5
 	maxLength = 262_144
-	// maxKept is the payload that is kept in memory, a body of 2 KiB with its fields several times over; what
+	// maxPayload is the payload that is kept in memory, a body of 2 KiB with its fields several times over; what
 	// is longer is read past, so that many connections at once cannot fill the memory.
-	maxKept = 4 << 10
+	maxPayload = 4 << 10
 )
 
 // What makes a frame or its fields unreadable.
@@ -46,59 +46,59 @@
 
 // Frame is one frame; Payload is valid until the parser's Space. Past is set where it was too long to keep.
 type Frame struct {
-	Type    byte
-	Stream  uint32
-	Payload []byte
-	Past    bool
+	Type      byte
+	Stream    uint32
+	Payload   []byte
+	Oversized bool
 }
 
 // Parser takes the bytes of one connection. The zero value is ready.
 type Parser struct {
-	in   buffer.Buffer
-	skip int
+	input buffer.Buffer
+	skip  int
 }
 
 // Space is where to read to.
-func (p *Parser) Space() []byte { return p.in.Space() }
+func (p *Parser) Space() []byte { return p.input.Space() }
 
-// Half says whether a frame has begun that is not whole yet.
-func (p *Parser) Half() bool { return p.skip > 0 || len(p.in.Bytes()) > 0 }
+// Incomplete says whether a frame has begun that is not whole yet.
+func (p *Parser) Incomplete() bool { return p.skip > 0 || len(p.input.Bytes()) > 0 }
 
 // Wrote says how many bytes of Space were read to.
-func (p *Parser) Wrote(n int) { p.in.Wrote(n) }
+func (p *Parser) Wrote(n int) { p.input.Wrote(n) }
 
 // Next returns the next frame that is whole; an error is final for the connection.
 func (p *Parser) Next() (f Frame, ok bool, err error) {
 	if p.skip > 0 {
-		n := min(p.skip, len(p.in.Bytes()))
-		p.in.Take(n)
+		n := min(p.skip, len(p.input.Bytes()))
+		p.input.Discard(n)
 		if p.skip -= n; p.skip > 0 {
 			return f, false, nil
 		}
 	}
-	b := p.in.Bytes()
-	if len(b) < lenBytes {
+	b := p.input.Bytes()
+	if len(b) < lengthBytes {
 		return f, false, nil
 	}
 	length := binary.LittleEndian.Uint32(b)
 	if length < minLength || length > maxLength {
 		return f, false, ErrLength
 	}
-	if len(b) < headFrom {
+	if len(b) < headerBytes {
 		return f, false, nil
 	}
-	f.Type, f.Stream = b[lenBytes], binary.LittleEndian.Uint32(b[lenBytes+1:])
+	f.Type, f.Stream = b[lengthBytes], binary.LittleEndian.Uint32(b[lengthBytes+1:])
 	size := int(length) - minLength
-	if size > maxKept {
-		f.Past, p.skip = true, size
-		p.in.Take(headFrom)
+	if size > maxPayload {
+		f.Oversized, p.skip = true, size
+		p.input.Discard(headerBytes)
 		return f, true, nil
 	}
-	if len(b) < headFrom+size {
+	if len(b) < headerBytes+size {
 		return f, false, nil
 	}
-	f.Payload = b[headFrom : headFrom+size]
-	p.in.Take(headFrom + size)
+	f.Payload = b[headerBytes : headerBytes+size]
+	p.input.Discard(headerBytes + size)
 	return f, true, nil
 }
 
@@ -128,9 +128,9 @@
 	return fields, b, nil
 }
 
-// Head writes the head of a frame with a code, its fields and the length of the body that is to follow.
-func Head(b []byte, kind byte, stream uint32, code byte, fields []Field, body int) []byte {
-	size := minLength + 2 + body
+// AppendHeader writes the head of a frame with a code, its fields and the length of the body that is to follow.
+func AppendHeader(b []byte, kind byte, stream uint32, code byte, fields []Field, bodyBytes int) []byte {
+	size := minLength + 2 + bodyBytes
 	for _, f := range fields {
 		size += 3 + len(f.Name) + len(f.Value)
 	}
--- a/internal/protocol/frame/frame_test.go
+++ b/internal/protocol/frame/frame_test.go
@@ -10,7 +10,7 @@
 )
 
 // parse feeds pieces and returns copies of all frames, up to an error.
-func parse(pieces ...[]byte) (got []Frame, err error) {
+func parse(pieces ...[]byte) (frames []Frame, err error) {
 	var p Parser
 	for _, b := range pieces {
 		for len(b) > 0 {
@@ -20,40 +20,40 @@
 			for {
 				f, ok, err := p.Next()
 				if err != nil {
-					return got, err
+					return frames, err
 				}
 				if !ok {
 					break
 				}
 				f.Payload = bytes.Clone(f.Payload)
-				got = append(got, f)
+				frames = append(frames, f)
 			}
 		}
 	}
-	return got, nil
+	return frames, nil
 }
 
-func stream() []byte {
+func exampleStream() []byte {
 	b := AppendInvocation(nil, 1, []Field{{"op", "hold"}, {"call", "9b1f03aa5c7e2d41"}}, []byte{0, 13, 10, 255})
-	b = Append(b, Gone, 1, nil)
-	b = Append(b, Invocation, 2, make([]byte, maxKept+1))
-	return Append(b, Check, 3, []byte{0})
+	b = Append(b, Cancel, 1, nil)
+	b = Append(b, Invocation, 2, make([]byte, maxPayload+1))
+	return Append(b, HealthCheck, 3, []byte{0})
 }
 
-func TestFramesAreTheSameAtEverySplit(t *testing.T) {
-	whole, err := parse(stream())
+func TestParserReturnsSameFramesAtEverySplit(t *testing.T) {
+	whole, err := parse(exampleStream())
 	require.NoError(t, err)
 	require.Len(t, whole, 4)
-	assert.True(t, whole[2].Past)
-	for i := range stream() {
-		got, err := parse(stream()[:i], stream()[i:])
+	assert.True(t, whole[2].Oversized)
+	for i := range exampleStream() {
+		got, err := parse(exampleStream()[:i], exampleStream()[i:])
 		require.NoError(t, err)
 		require.Equal(t, whole, got, "split at %d", i)
 	}
 }
 
-func TestFieldsAndBodyAreSplit(t *testing.T) {
-	whole, _ := parse(stream())
+func TestFieldsReturnsFieldsAndBody(t *testing.T) {
+	whole, _ := parse(exampleStream())
 	fields, body, err := Fields(whole[0].Payload)
 	require.NoError(t, err)
 	assert.Equal(t, []Field{{"op", "hold"}, {"call", "9b1f03aa5c7e2d41"}}, fields)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLengthOutOfBoundsIsAnError(t *testing.T) {
+func TestLengthOutOfBoundsReturnsError(t *testing.T) {
 	for _, length := range []uint32{0, 4, maxLength + 1, 1 << 31} {
 		_, err := parse(binary.LittleEndian.AppendUint32(nil, length))
 		assert.ErrorIs(t, err, ErrLength)
@@ -73,13 +73,13 @@
 	assert.NoError(t, err)
 }
 
-func TestAnswerIsWritten(t *testing.T) {
-	b := append(Head(nil, Answer, 7, Throttled, []Field{{"pushback", "250"}}, 2), "ab"...)
+func TestAppendHeaderEncodesAnswer(t *testing.T) {
+	b := append(AppendHeader(nil, Answer, 7, Throttled, []Field{{"pushback", "250"}}, 2), "ab"...)
 	assert.Equal(t, "\x17\x00\x00\x00\x11\x07\x00\x00\x00\x32\x01\x08pushback\x03\x00250ab", string(b))
 }
 
 func FuzzFrames(f *testing.F) {
-	f.Add(stream(), 3)
+	f.Add(exampleStream(), 3)
 	f.Fuzz(func(t *testing.T, b []byte, at int) {
 		at = min(max(at, 0), len(b))
 		whole, err := parse(b)
--- a/internal/protocol/lineprotocol/lines.go
+++ b/internal/protocol/lineprotocol/lines.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxLine = 16 << 10  // bytes of words: a remark may be long
-	maxBody = 256 << 10 // bytes of a counted body, far above what results and replies hold
+	maxLineBytes = 16 << 10  // bytes of words: a remark may be long
+	maxBodyBytes = 256 << 10 // bytes of a counted body, far above what results and replies hold
 )
 
 // What makes a line unreadable.
@@ -31,54 +31,54 @@
 
 // Parser takes the bytes of one link. Counted says of which lines the last word is a body's length.
 type Parser struct {
-	Counted func(words []string) bool
-	in      buffer.Buffer
-	words   []string // of a line that waits for its body
-	waits   bool
-	length  int
+	HasBody      func(words []string) bool
+	input        buffer.Buffer
+	pendingWords []string // of a line that waits for its body
+	awaitingBody bool
+	bodyLength   int
 }
 
 // Space is where to read to.
-func (p *Parser) Space() []byte { return p.in.Space() }
+func (p *Parser) Space() []byte { return p.input.Space() }
 
 // Wrote says how many bytes of Space were read to.
-func (p *Parser) Wrote(n int) { p.in.Wrote(n) }
+func (p *Parser) Wrote(n int) { p.input.Wrote(n) }
 
 // Next returns the next line that is whole; an error is final for the link.
 func (p *Parser) Next() (l Line, ok bool, err error) {
-	if !p.waits {
-		b := p.in.Bytes()
+	if !p.awaitingBody {
+		b := p.input.Bytes()
 		end := bytes.IndexByte(b, '\n')
-		if end < 0 && len(b) <= maxLine {
+		if end < 0 && len(b) <= maxLineBytes {
 			return l, false, nil
 		}
-		if end < 1 || end > maxLine || b[end-1] != '\r' {
+		if end < 1 || end > maxLineBytes || b[end-1] != '\r' {
 			return l, false, ErrLine
 		}
 		words := strings.Fields(string(b[:end-1]))
-		p.in.Take(end + 1)
+		p.input.Discard(end + 1)
 		if len(words) == 0 {
 			return l, false, ErrLine
 		}
-		if p.Counted == nil || !p.Counted(words) {
+		if p.HasBody == nil || !p.HasBody(words) {
 			return Line{Words: words}, true, nil
 		}
 		n, err := strconv.ParseUint(words[len(words)-1], 10, 31)
-		if err != nil || n > maxBody {
+		if err != nil || n > maxBodyBytes {
 			return l, false, ErrLength
 		}
-		p.words, p.waits, p.length = words, true, int(n)
+		p.pendingWords, p.awaitingBody, p.bodyLength = words, true, int(n)
 	}
-	b := p.in.Bytes()
-	if len(b) < p.length+2 {
+	b := p.input.Bytes()
+	if len(b) < p.bodyLength+2 {
 		return l, false, nil
 	}
-	if b[p.length] != '\r' || b[p.length+1] != '\n' {
+	if b[p.bodyLength] != '\r' || b[p.bodyLength+1] != '\n' {
 		return l, false, ErrBody
 	}
-	p.in.Take(p.length + 2)
-	p.waits = false
-	return Line{Words: p.words, Body: b[:p.length:p.length]}, true, nil
+	p.input.Discard(p.bodyLength + 2)
+	p.awaitingBody = false
+	return Line{Words: p.pendingWords, Body: b[:p.bodyLength:p.bodyLength]}, true, nil
 }
 
 // Append writes a line of words.
--- a/internal/protocol/simwire/ember.go
+++ b/internal/protocol/simwire/ember.go
@@ -15,50 +15,50 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// Host is the door of one instance: it gives wire ids small indices and takes them back.
-type Host struct {
-	config  *nodeconfig.Config
-	indices map[uint64]int32
-	ids     []uint64
-	free    []int32
+// InstanceCodec is the door of one instance: it gives wire ids small indices and takes them back.
+type InstanceCodec struct {
+	config      *nodeconfig.Config
+	indices     map[uint64]int32
+	wireIDs     []uint64
+	freeIndices []int32
 }
 
-// NewHost opens the door of an instance that was started with the given config.
-func NewHost(settings *nodeconfig.Config) *Host {
-	return &Host{config: settings, indices: make(map[uint64]int32)}
+// NewInstanceCodec opens the door of an instance that was started with the given config.
+func NewInstanceCodec(config *nodeconfig.Config) *InstanceCodec {
+	return &InstanceCodec{config: config, indices: make(map[uint64]int32)}
 }
 
-func (h *Host) admit(id uint64) int32 {
-	if n := len(h.free); n > 0 {
-		index := h.free[n-1]
-		h.free = h.free[:n-1]
-		h.ids[index], h.indices[id] = id, index
+func (h *InstanceCodec) assignIndex(id uint64) int32 {
+	if n := len(h.freeIndices); n > 0 {
+		index := h.freeIndices[n-1]
+		h.freeIndices = h.freeIndices[:n-1]
+		h.wireIDs[index], h.indices[id] = id, index
 		return index
 	}
-	index := int32(len(h.ids))
-	h.ids = append(h.ids, id)
+	index := int32(len(h.wireIDs))
+	h.wireIDs = append(h.wireIDs, id)
 	h.indices[id] = index
 	return index
 }
 
-func (h *Host) release(index int32) {
-	delete(h.indices, h.ids[index])
-	h.free = append(h.free, index)
+func (h *InstanceCodec) releaseIndex(index int32) {
+	delete(h.indices, h.wireIDs[index])
+	h.freeIndices = append(h.freeIndices, index)
 }
 
 // Reader reads the lines of the wire.
 type Reader struct {
-	in *bufio.Reader
+	input *bufio.Reader
 }
 
 // NewReader reads batches from in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<20)}
+	return &Reader{input: bufio.NewReaderSize(in, 1<<20)}
 }
 
-// Line returns the next line split at its tabs; io.EOF ends the input.
-func (r *Reader) Line() ([]string, error) {
-	line, err := r.in.ReadString('\n')
+// ReadLine returns the next line split at its tabs; io.EOF ends the input.
+func (r *Reader) ReadLine() ([]string, error) {
+	line, err := r.input.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
 		return nil, io.ErrUnexpectedEOF
 	}
@@ -68,14 +68,14 @@
 	return strings.Split(strings.TrimRight(line, "\r\n"), "\t"), nil
 }
 
-// fields walks the values of one line and keeps the first error.
-type fields struct {
-	name   string
-	values []string
-	err    error
+// fieldReader walks the values of one line and keeps the first error.
+type fieldReader struct {
+	message string
+	values  []string
+	err     error
 }
 
-func (f *fields) next() string {
+func (f *fieldReader) next() string {
 	if len(f.values) == 0 {
 		return "-"
 	}
@@ -84,13 +84,13 @@
 	return v
 }
 
-func (f *fields) fail(v string) {
+func (f *fieldReader) fail(v string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("ember: %s: malformed value %q", f.name, v)
+		f.err = fmt.Errorf("ember: %s: malformed value %q", f.message, v)
 	}
 }
 
-func (f *fields) whole() uint64 {
+func (f *fieldReader) unsigned() uint64 {
 	v := f.next()
 	if v == "-" {
 		return 0
@@ -102,14 +102,14 @@
 	return n
 }
 
-func (f *fields) id() uint64 {
+func (f *fieldReader) id() uint64 {
 	if len(f.values) == 0 || f.values[0] == "-" {
 		f.fail("-")
 	}
-	return f.whole()
+	return f.unsigned()
 }
 
-func (f *fields) number() float64 {
+func (f *fieldReader) float() float64 {
 	v := f.next()
 	if v == "-" {
 		return 0
@@ -121,8 +121,8 @@
 	return n
 }
 
-// time reads milliseconds as whole nanoseconds; the wire counts in microseconds.
-func (f *fields) time() int64 { return int64(math.Round(f.number()*1e3)) * 1e3 }
+// nanoseconds reads milliseconds as whole nanoseconds; the wire counts in microseconds.
+func (f *fieldReader) nanoseconds() int64 { return int64(math.Round(f.float()*1e3)) * 1e3 }
 
 var outcomes = map[string]admission.Outcome{
 	"success": admission.Succeeded, "failure": admission.Errored, "overloaded": admission.Overloaded,
@@ -130,7 +130,7 @@
 	"withdrawn": admission.Stopped, "void": admission.NeverStarted,
 }
 
-func (f *fields) outcome() admission.Outcome {
+func (f *fieldReader) outcome() admission.Outcome {
 	v := f.next()
 	o, ok := outcomes[v]
 	if !ok {
@@ -139,25 +139,25 @@
 	return o
 }
 
-// Clock reads the moment of a MARK line.
-func Clock(line []string) (int64, error) {
-	f := fields{name: line[0], values: line[1:]}
+// DecodeClock reads the moment of a MARK line.
+func DecodeClock(line []string) (int64, error) {
+	f := fieldReader{message: line[0], values: line[1:]}
 	if len(f.values) == 0 {
 		f.fail("-")
 	}
-	return f.time(), f.err
+	return f.nanoseconds(), f.err
 }
 
-// Instance reads the number of a TARGET_INSTANCE line.
-func Instance(line []string) (int64, error) {
-	f := fields{name: line[0], values: line[1:]}
+// DecodeInstance reads the number of a TARGET_INSTANCE line.
+func DecodeInstance(line []string) (int64, error) {
+	f := fieldReader{message: line[0], values: line[1:]}
 	n := f.id()
 	return int64(n), f.err
 }
 
-// Start reads a PROVISION line.
-func Start(line []string) (*nodeconfig.Config, error) {
-	f := fields{name: line[0], values: line[1:]}
+// DecodeConfig reads a PROVISION line.
+func DecodeConfig(line []string) (*nodeconfig.Config, error) {
+	f := fieldReader{message: line[0], values: line[1:]}
 	seed := int64(f.id())
 	if f.err != nil {
 		return nil, f.err
@@ -165,23 +165,23 @@
 	return nodeconfig.FromPairs(seed, f.values)
 }
 
-// Event reads one event of this instance; live is false for one that names an id no longer live.
-func (h *Host) Event(line []string) (e admission.Event, live bool, err error) {
-	f := fields{name: line[0], values: line[1:]}
-	switch f.name {
+// DecodeEvent reads one event of this instance; live is false for one that names an id no longer live.
+func (h *InstanceCodec) DecodeEvent(line []string) (e admission.Event, live bool, err error) {
+	f := fieldReader{message: line[0], values: line[1:]}
+	switch f.message {
 	case "WORK_ITEM":
-		h.arrival(&f, &e)
+		h.decodeArrival(&f, &e)
 		return e, f.err == nil, f.err
 	case "TERMINATE_SOON":
 		if len(f.values) == 0 || f.values[0] == "-" {
 			f.fail("-")
 		}
-		e = admission.Event{Kind: admission.DrainRequested, KillAt: f.time()}
+		e = admission.Event{Kind: admission.DrainRequested, KillAt: f.nanoseconds()}
 		return e, f.err == nil, f.err
 	case "DUE":
 		f.id() // of the timer
 		e = admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
-		h.gauges(&f, &e)
+		h.decodeGauges(&f, &e)
 		return e, f.err == nil, f.err
 	case "CANCELLED_BY_CLIENT":
 		e.Kind = admission.CallerDisconnected
@@ -192,7 +192,7 @@
 	case "WORK_DONE":
 		e.Kind = admission.RunEnded
 	default:
-		return e, false, fmt.Errorf("ember: unknown event %q", f.name)
+		return e, false, fmt.Errorf("ember: unknown event %q", f.message)
 	}
 	index, ok := h.indices[f.id()]
 	e.Invocation = index
@@ -202,24 +202,24 @@
 	return e, ok && f.err == nil, f.err
 }
 
-func (h *Host) arrival(f *fields, e *admission.Event) {
+func (h *InstanceCodec) decodeArrival(f *fieldReader, e *admission.Event) {
 	id := f.id()
 	e.Kind = admission.Arrived
-	e.Deadline = f.time()
-	e.Age = f.time()
-	f.number() // the rank, which callers go by
-	e.Caller = int64(f.whole())
+	e.Deadline = f.nanoseconds()
+	e.Age = f.nanoseconds()
+	f.float() // the rank, which callers go by
+	e.Caller = int64(f.unsigned())
 	e.HasReadKey = len(f.values) > 0 && f.values[0] != "-"
 	f.next()
-	marks := f.whole()
+	marks := f.unsigned()
 	e.Retry, e.Write = marks&2 != 0, marks&4 != 0
-	repeats := f.whole()
+	repeats := f.unsigned()
 	operation := f.next()
 	tenant := f.next()
-	if hint := f.time(); marks&1 != 0 {
+	if hint := f.nanoseconds(); marks&1 != 0 {
 		e.ExpectedWork = hint
 	}
-	e.QueuedKB = f.number()
+	e.QueuedKB = f.float()
 	op, ok := h.config.Operations.Lookup(operation)
 	if !ok {
 		f.fail(operation)
@@ -237,10 +237,10 @@
 			e.Original = index
 		}
 	}
-	e.Invocation = h.admit(id)
+	e.Invocation = h.assignIndex(id)
 }
 
-func (h *Host) gauges(f *fields, e *admission.Event) {
+func (h *InstanceCodec) decodeGauges(f *fieldReader, e *admission.Event) {
 	row := f.next()
 	if row == "-" || row == "" {
 		return
@@ -263,43 +263,43 @@
 	}
 }
 
-// Append writes the actions of this instance to a reply and takes back the indices released.
-func (h *Host) Append(reply []byte, actions []admission.Action) []byte {
+// AppendActions writes the actions of this instance to a reply and takes back the indices released.
+func (h *InstanceCodec) AppendActions(reply []byte, actions []admission.Action) []byte {
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
 		case admission.Release:
-			h.release(a.Invocation)
+			h.releaseIndex(a.Invocation)
 			continue
 		case admission.StopAccepting: // the simulator takes its nodes off the lists itself
 			continue
 		case admission.Run:
-			reply = h.named(reply, "DISPATCH", a)
+			reply = h.appendWithID(reply, "DISPATCH", a)
 		case admission.Reject:
-			reply = h.named(reply, "SAY_NO", a)
-			reply = millis(append(reply, '\t'), a.Duration)
-			reply = flag(append(reply, '\t'), a.NoRetry)
+			reply = h.appendWithID(reply, "SAY_NO", a)
+			reply = appendMillis(append(reply, '\t'), a.Duration)
+			reply = appendFlag(append(reply, '\t'), a.NoRetry)
 		case admission.Fail:
-			reply = h.named(reply, "FINISH_ERROR", a)
+			reply = h.appendWithID(reply, "FINISH_ERROR", a)
 		case admission.Stop:
-			reply = h.named(reply, "YANK", a)
+			reply = h.appendWithID(reply, "YANK", a)
 		case admission.JoinOriginal:
-			reply = h.named(reply, "REUSE", a)
+			reply = h.appendWithID(reply, "REUSE", a)
 		case admission.RecordKey:
-			reply = h.named(reply, "RECORD_KEY", a)
-			reply = millis(append(reply, '\t'), a.Duration)
+			reply = h.appendWithID(reply, "RECORD_KEY", a)
+			reply = appendMillis(append(reply, '\t'), a.Duration)
 		case admission.StartCall:
-			reply = h.named(reply, "GO_CALL", a)
-			reply = millis(append(reply, '\t'), a.At)
+			reply = h.appendWithID(reply, "GO_CALL", a)
+			reply = appendMillis(append(reply, '\t'), a.At)
 		case admission.SkipCall:
-			reply = h.named(reply, "FALL_BACK", a)
+			reply = h.appendWithID(reply, "FALL_BACK", a)
 		case admission.ReportHealth:
-			reply = flag(append(reply, "FITNESS\t"...), a.Healthy)
-			reply = flag(append(reply, '\t'), a.Cached)
+			reply = appendFlag(append(reply, "FITNESS\t"...), a.Healthy)
+			reply = appendFlag(append(reply, '\t'), a.Cached)
 		case admission.SignalBackpressure:
 			reply = strconv.AppendFloat(append(reply, "SIGNAL\t"...), a.Value, 'f', -1, 64)
 		case admission.SetTimer:
-			reply = millis(append(reply, "REMIND\t"...), a.At)
+			reply = appendMillis(append(reply, "REMIND\t"...), a.At)
 			reply = append(reply, "\t0"...) // there is but one timer
 		case admission.Exit:
 			reply = append(append(reply, "TRACE\t"...), a.Report...)
@@ -309,16 +309,16 @@
 	return reply
 }
 
-func (h *Host) named(reply []byte, word string, a *admission.Action) []byte {
+func (h *InstanceCodec) appendWithID(reply []byte, word string, a *admission.Action) []byte {
 	reply = append(append(reply, word...), '\t')
-	return strconv.AppendUint(reply, h.ids[a.Invocation], 10)
+	return strconv.AppendUint(reply, h.wireIDs[a.Invocation], 10)
 }
 
-func millis(reply []byte, ns int64) []byte {
+func appendMillis(reply []byte, ns int64) []byte {
 	return strconv.AppendFloat(reply, float64(ns/1e3)/1e3, 'f', -1, 64)
 }
 
-func flag(reply []byte, set bool) []byte {
+func appendFlag(reply []byte, set bool) []byte {
 	if set {
 		return append(reply, '1')
 	}
--- a/internal/testbed/capacity/load.go
+++ b/internal/testbed/capacity/load.go
@@ -103,12 +103,12 @@
 	began, asked := k.open[f.Stream]
 	delete(k.open, f.Stream)
 	check := k.check
-	if f.Type == frame.NoMore {
+	if f.Type == frame.GoAway {
 		k.noMore = true
 	}
 	k.mu.Unlock()
 	switch {
-	case f.Type == frame.Checked && check != nil:
+	case f.Type == frame.HealthStatus && check != nil:
 		check <- true
 	case f.Type == frame.Answer && asked:
 		k.all.answered(time.Since(began), f)
@@ -189,7 +189,7 @@
 	}
 	k.check = check
 	k.last++
-	_, err := k.net.Write(frame.Append(nil, frame.Check, k.last, []byte{0}))
+	_, err := k.net.Write(frame.Append(nil, frame.HealthCheck, k.last, []byte{0}))
 	k.mu.Unlock()
 	if err != nil {
 		return err
--- a/internal/testbed/emulator/dispatcher.go
+++ b/internal/testbed/emulator/dispatcher.go
@@ -207,7 +207,7 @@
 			a.told = true
 			delete(c.open, a.stream)
 			delete(m.open, a.id)
-			m.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Gone, Stream: a.stream}})
+			m.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Cancel, Stream: a.stream}})
 			m.over(a)
 		}
 	})
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -429,7 +429,7 @@
 		m.total.breach("a frame that can't be read")
 		return
 	}
-	if f.Type == frame.NoMore {
+	if f.Type == frame.GoAway {
 		c.noMore = true
 		return
 	}
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -317,7 +317,7 @@
 			}
 		}
 		was := half
-		if half = parser.Half(); half {
+		if half = parser.Incomplete(); half {
 			now := time.Now()
 			if whole || !was { // past the longest client timeout nobody waits for it
 				latest = now.Add(time.Duration(c.slowest.Load()))
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func check(stream uint32) []byte { return frame.Append(nil, frame.Check, stream, []byte{0}) }
+func check(stream uint32) []byte { return frame.Append(nil, frame.HealthCheck, stream, []byte{0}) }
 
 // What lies unread when a connection is to end was sent in time: it is handed on, and its answer comes before the end.
 func TestWhatLiesUnreadAtAnEndIsAnsweredFirst(t *testing.T) {
--- a/server/link.go
+++ b/server/link.go
@@ -77,7 +77,7 @@
 }
 
 func (l *link) read() error {
-	parser := lineprotocol.Parser{Counted: l.kind.counted}
+	parser := lineprotocol.Parser{HasBody: l.kind.counted}
 	for {
 		n, err := l.net.Read(parser.Space())
 		if err != nil {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -47,7 +47,7 @@
 	s.conns.open[1] = k
 	go s.conns.frames(k)
 	for range turnsMost + 1 {
-		_, err = peer.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
+		_, err = peer.Write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
 		require.NoError(t, err)
 	}
 	var inputs []node.Input
