--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -150,9 +150,9 @@
 // tooShort names the tokened operations whose work can't be taken over in time.
 func tooShort(n *server.Config, fleet *fleetconfig.Fleet) {
 	for i, name := range n.Settings.Operations.All() {
-		if op := &n.Settings.Node.Operations[i]; op.Idempotency == admission.IdempotentWithKey && op.ClientTimeout <= fleet.Known() {
+		if op := &n.Settings.Node.Operations[i]; op.Idempotency == admission.IdempotentWithKey && op.ClientTimeout <= fleet.DetectionTime() {
 			fmt.Printf("note: %s has a client timeout of %g s, and a death is known after %g s: what a lost node held of it is not taken over in "+
-				"time; shorten silence, settle and probe\n", name, float64(op.ClientTimeout)/1e9, float64(fleet.Known())/1e9)
+				"time; shorten silence, settle and probe\n", name, float64(op.ClientTimeout)/1e9, float64(fleet.DetectionTime())/1e9)
 		}
 	}
 }
--- a/internal/configfile/settings.go
+++ b/internal/configfile/settings.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	fileMost    = 256 << 10       // bytes of one file: some thousand lines
-	importsMost = 32              // files that one may import, those of imports included
-	stackMost   = 200             // calls deep that a template may go
-	evaluated   = 2 * time.Second // that an evaluation may take
-	resultMost  = 1 << 20         // bytes of what a template may come to
-	problemsMax = 20              // that are told of one file; the rest is counted
+	maxFileBytes      = 256 << 10       // bytes of one file: some thousand lines
+	maxImports        = 32              // files that one may import, those of imports included
+	maxStackDepth     = 200             // calls deep that a template may go
+	evaluationTimeout = 2 * time.Second // that an evaluation may take
+	maxResultBytes    = 1 << 20         // bytes of what a template may come to
+	maxListedProblems = 20              // that are told of one file; the rest is counted
 )
 
-// Problem is one thing wrong with a file.
-type Problem struct {
+// ProblemError is one thing wrong with a file.
+type ProblemError struct {
 	File string
 	Line int    // 0 where a template made the value
 	Path string // to the value, empty for the file itself
@@ -40,7 +40,7 @@
 	Mend string
 }
 
-func (p *Problem) Error() string {
+func (p *ProblemError) Error() string {
 	s := p.File
 	if p.Line > 0 {
 		s += ":" + strconv.Itoa(p.Line)
@@ -55,13 +55,13 @@
 	return s
 }
 
-// Problems are all things wrong with a file, as one error.
-type Problems []*Problem
+// ProblemErrors are all things wrong with a file, as one error.
+type ProblemErrors []*ProblemError
 
-func (p Problems) Error() string {
+func (p ProblemErrors) Error() string {
 	all := make([]string, 0, len(p))
 	for i, problem := range p {
-		if i == problemsMax {
+		if i == maxListedProblems {
 			all = append(all, fmt.Sprintf("and %d more", len(p)-i))
 			break
 		}
@@ -72,10 +72,10 @@
 
 // File is one that was evaluated.
 type File struct {
-	Path string
-	JSON []byte
-	tree any
-	ast  ast.Node
+	Path       string
+	JSON       []byte
+	value      any
+	syntaxTree ast.Node
 }
 
 // Read evaluates a file. Imports stay below its folder; there is no environment and no network. An evaluation that
@@ -83,17 +83,17 @@
 func Read(path string) (*File, error) {
 	text, err := readBounded(path)
 	if err != nil {
-		return nil, &Problem{File: path, What: err.Error(), Mend: "name a readable file"}
+		return nil, &ProblemError{File: path, What: err.Error(), Mend: "name a readable file"}
 	}
 	root, err := filepath.Abs(filepath.Dir(path))
 	if err != nil {
-		return nil, &Problem{File: path, What: err.Error()}
+		return nil, &ProblemError{File: path, What: err.Error()}
 	}
 	vm := jsonnet.MakeVM()
-	vm.MaxStack = stackMost
+	vm.MaxStack = maxStackDepth
 	vm.SetTraceOut(io.Discard)
 	vm.ErrorFormatter.SetMaxStackTraceSize(4) // one at the least is needed to name the line
-	vm.Importer(&importer{root: root, first: path, files: map[string]jsonnet.Contents{}})
+	vm.Importer(&importer{root: root, mainFile: path, files: map[string]jsonnet.Contents{}})
 	type result struct {
 		json string
 		err  error
@@ -106,29 +106,29 @@
 	select {
 	case r := <-done:
 		if r.err != nil {
-			return nil, evaluation(path, r.err)
+			return nil, evaluationProblem(path, r.err)
 		}
 		return Rendered(path, []byte(r.json))
-	case <-time.After(evaluated):
-		return nil, &Problem{File: path, What: fmt.Sprintf("takes more than %s to evaluate", evaluated),
+	case <-time.After(evaluationTimeout):
+		return nil, &ProblemError{File: path, What: fmt.Sprintf("takes more than %s to evaluate", evaluationTimeout),
 			Mend: "look for a template that calls itself or builds a huge array"}
 	}
 }
 
 // Rendered takes what a file came to elsewhere; the file itself is read for the lines of its values only.
 func Rendered(path string, result []byte) (*File, error) {
-	if len(result) > resultMost {
-		return nil, &Problem{File: path, What: fmt.Sprintf("comes to %d bytes, %d at most", len(result), resultMost),
+	if len(result) > maxResultBytes {
+		return nil, &ProblemError{File: path, What: fmt.Sprintf("comes to %d bytes, %d at most", len(result), maxResultBytes),
 			Mend: "build less in templates"}
 	}
 	f := &File{Path: path, JSON: result}
 	tree, err := jsonschema.UnmarshalJSON(bytes.NewReader(result))
 	if err != nil {
-		return nil, &Problem{File: path, What: err.Error()}
+		return nil, &ProblemError{File: path, What: err.Error()}
 	}
-	f.tree = tree
+	f.value = tree
 	if text, err := readBounded(path); err == nil {
-		f.ast, _ = jsonnet.SnippetToAST(path, string(text))
+		f.syntaxTree, _ = jsonnet.SnippetToAST(path, string(text))
 	}
 	return f, nil
 }
@@ -139,23 +139,23 @@
 		return nil, errors.Unwrap(err)
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, fileMost+1))
-	if err == nil && len(text) > fileMost {
-		err = fmt.Errorf("has more than %d bytes", fileMost)
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
+		err = fmt.Errorf("has more than %d bytes", maxFileBytes)
 	}
 	return text, err
 }
 
 // importer opens files below a folder only, links out of it not followed.
 type importer struct {
-	root, first string
-	files       map[string]jsonnet.Contents
+	root, mainFile string
+	files          map[string]jsonnet.Contents
 }
 
 func (i *importer) Import(from, path string) (jsonnet.Contents, string, error) {
 	base := filepath.Dir(from)
 	if from == "" {
-		base = filepath.Dir(i.first)
+		base = filepath.Dir(i.mainFile)
 	}
 	full, err := filepath.Abs(filepath.Join(base, path))
 	if filepath.IsAbs(path) {
@@ -175,8 +175,8 @@
 	if !strings.HasPrefix(real, root+string(filepath.Separator)) {
 		return jsonnet.Contents{}, "", fmt.Errorf("%q lies outside the folder of the file", path)
 	}
-	if len(i.files) >= importsMost {
-		return jsonnet.Contents{}, "", fmt.Errorf("more than %d files are imported", importsMost)
+	if len(i.files) >= maxImports {
+		return jsonnet.Contents{}, "", fmt.Errorf("more than %d files are imported", maxImports)
 	}
 	text, err := readBounded(real)
 	if err != nil {
@@ -186,13 +186,13 @@
 	return i.files[full], full, nil
 }
 
-var position = regexp.MustCompile(`([^\s:()]+):\(?(\d+):[-\d:()]+ ?`)
+var errorPosition = regexp.MustCompile(`([^\s:()]+):\(?(\d+):[-\d:()]+ ?`)
 
-// evaluation turns what the language says into a problem.
-func evaluation(path string, err error) error {
+// evaluationProblem turns what the language says into a problem.
+func evaluationProblem(path string, err error) error {
 	text := strings.TrimSpace(err.Error())
-	p := &Problem{File: path, Mend: "mend the template"}
-	if at := position.FindStringSubmatch(text); at != nil {
+	p := &ProblemError{File: path, Mend: "mend the template"}
+	if at := errorPosition.FindStringSubmatch(text); at != nil {
 		p.File = at[1]
 		p.Line, _ = strconv.Atoi(at[2])
 		text = strings.TrimPrefix(text, at[0])
@@ -226,23 +226,23 @@
 
 // Check names all that a schema does not allow.
 func (f *File) Check(s *Schema) error {
-	err := s.compiled.Validate(f.tree)
+	err := s.compiled.Validate(f.value)
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
 		return err
 	}
-	var found Problems
+	var found ProblemErrors
 	f.collect(invalid, &found)
-	slices.SortStableFunc(found, func(a, b *Problem) int { return a.Line - b.Line })
+	slices.SortStableFunc(found, func(a, b *ProblemError) int { return a.Line - b.Line })
 	return found
 }
 
 // At makes a problem of the value at a path.
-func (f *File) At(path []string, what, mend string) *Problem {
-	return &Problem{File: f.Path, Line: f.line(path), Path: strings.Join(path, "."), What: what, Mend: mend}
+func (f *File) At(path []string, what, mend string) *ProblemError {
+	return &ProblemError{File: f.Path, Line: f.lineOf(path), Path: strings.Join(path, "."), What: what, Mend: mend}
 }
 
-func (f *File) collect(e *jsonschema.ValidationError, found *Problems) {
+func (f *File) collect(e *jsonschema.ValidationError, found *ProblemErrors) {
 	if len(e.Causes) > 0 {
 		for _, cause := range e.Causes {
 			f.collect(cause, found)
@@ -283,10 +283,10 @@
 	}
 }
 
-// line finds where the value at a path is written, or the nearest one around it that is written out; 0 where a
+// lineOf finds where the value at a path is written, or the nearest one around it that is written out; 0 where a
 // template made all of it.
-func (f *File) line(path []string) int {
-	at := f.ast
+func (f *File) lineOf(path []string) int {
+	at := f.syntaxTree
 	line := 0
 	for depth := 0; at != nil; {
 		switch n := at.(type) {
@@ -311,7 +311,7 @@
 			}
 			at = body
 		case *ast.Array:
-			k, err := strconv.Atoi(at2(path, depth))
+			k, err := strconv.Atoi(pathElement(path, depth))
 			if err != nil || k < 0 || k >= len(n.Elements) {
 				return line
 			}
@@ -330,7 +330,7 @@
 	return line
 }
 
-func at2(path []string, depth int) string {
+func pathElement(path []string, depth int) string {
 	if depth < len(path) {
 		return path[depth]
 	}
@@ -344,7 +344,7 @@
 		to = value
 	}
 	names := strings.Split(path, ".")
-	at := f.tree
+	at := f.value
 	for depth, name := range names {
 		last := depth == len(names)-1
 		switch of := at.(type) {
@@ -368,7 +368,7 @@
 			return f.At(names[:depth], "holds a plain value", "set a path that leads to one")
 		}
 	}
-	text, err := json.Marshal(f.tree)
+	text, err := json.Marshal(f.value)
 	f.JSON = text
 	return err
 }
@@ -378,7 +378,7 @@
 	d := json.NewDecoder(bytes.NewReader(f.JSON))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return &Problem{File: f.Path, What: err.Error(), Mend: "mend the value"}
+		return &ProblemError{File: f.Path, What: err.Error(), Mend: "mend the value"}
 	}
 	return nil
 }
--- a/internal/configfile/settings_test.go
+++ b/internal/configfile/settings_test.go
@@ -19,7 +19,7 @@
 	return f
 }
 
-func TestValuesNeedTheirUnits(t *testing.T) {
+func TestUnmarshalRequiresUnits(t *testing.T) {
 	var times struct{ A, B, C Time }
 	require.NoError(t, json.Unmarshal([]byte(`{"A": "250 ms", "B": "1.5s", "C": "2 min"}`), &times))
 	assert.Equal(t, []Time{250_000_000, 1_500_000_000, 120_000_000_000}, []Time{times.A, times.B, times.C})
@@ -34,21 +34,21 @@
 	}
 }
 
-func TestNearestName(t *testing.T) {
+func TestNearestSuggestsSimilarName(t *testing.T) {
 	known := []string{"catalogue", "delivery-quote", "hold"}
 	assert.Equal(t, "delivery-quote", Nearest("delivery-qoute", known))
 	assert.Equal(t, "hold", Nearest("hodl", known))
 	assert.Empty(t, Nearest("zzzzzz", known))
 }
 
-func TestFileTooLargeIsRefused(t *testing.T) {
+func TestReadRejectsOversizedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.jsonnet")
-	require.NoError(t, os.WriteFile(path, []byte(strings.Repeat(" ", fileMost+1)), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(strings.Repeat(" ", maxFileBytes+1)), 0o600))
 	_, err := Read(path)
 	assert.ErrorContains(t, err, "has more than 262144 bytes")
 }
 
-func TestLinkOutOfTheFolderIsNotFollowed(t *testing.T) {
+func TestReadRejectsSymlinkOutsideDirectory(t *testing.T) {
 	outside := filepath.Join(t.TempDir(), "secret.libsonnet")
 	require.NoError(t, os.WriteFile(outside, []byte("1"), 0o600))
 	folder := t.TempDir()
@@ -59,7 +59,7 @@
 	assert.ErrorContains(t, err, "lies outside the folder")
 }
 
-func TestImportsInACircleAreNamed(t *testing.T) {
+func TestReadReportsImportCycle(t *testing.T) {
 	folder := t.TempDir()
 	for name, text := range map[string]string{"a.jsonnet": "import 'b.libsonnet'", "b.libsonnet": "import 'a.jsonnet'"} {
 		require.NoError(t, os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600))
@@ -68,12 +68,12 @@
 	assert.ErrorContains(t, err, "calls itself")
 }
 
-func TestResultTooLargeIsRefused(t *testing.T) {
-	_, err := Rendered("a.jsonnet", make([]byte, resultMost+1))
+func TestRenderedRejectsOversizedResult(t *testing.T) {
+	_, err := Rendered("a.jsonnet", make([]byte, maxResultBytes+1))
 	assert.ErrorContains(t, err, "build less in templates")
 }
 
-func TestSetChangesOneValue(t *testing.T) {
+func TestSetReplacesOneValue(t *testing.T) {
 	f := file(t, `{ day: { nodes: 4, load: [{ high: '1 %' }] } }`)
 	require.NoError(t, f.Set("day.load.0.high", "30 %"))
 	require.NoError(t, f.Set("day.nodes", "8"))
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -142,7 +142,7 @@
 	if w.Idle != nil {
 		p.IdleCondition = w.Idle.bounds()
 	}
-	found := configfile.Problems{}
+	found := configfile.ProblemErrors{}
 	names := operations.All()
 	for k := range w.Levels {
 		found = append(found, addRung(p, file, &w, k, operations, names)...)
@@ -159,7 +159,7 @@
 }
 
 func addRung(p *node.DegradationPlan, file *configfile.File, w *written, k int, operations *nodeconfig.Names,
-	names []string) (found configfile.Problems) {
+	names []string) (found configfile.ProblemErrors) {
 	at := func(what ...string) []string { return append([]string{"levels", fmt.Sprint(k)}, what...) }
 	from := &w.Levels[k]
 	rung := degradation.Level{Name: from.Name, Services: make([]admission.Service, len(names)), Exit: from.Exit.bounds()}
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -36,8 +36,8 @@
 			line, _ := strconv.Atoi(want[1])
 			_, err = Read(path, operations)
 			require.Error(t, err)
-			first := &configfile.Problem{}
-			if all := (configfile.Problems{}); errors.As(err, &all) {
+			first := &configfile.ProblemError{}
+			if all := (configfile.ProblemErrors{}); errors.As(err, &all) {
 				first = all[0]
 			} else {
 				require.ErrorAs(t, err, &first)
--- a/internal/fleet/fleetconfig/configuration.go
+++ b/internal/fleet/fleetconfig/configuration.go
@@ -13,24 +13,24 @@
 	Folder string // where the node keeps the last version that was in force; empty in memory only
 }
 
-// configurationFrom reads it, for the node of a name.
-func configurationFrom(file *configfile.File, name, folder string, council bool) (c *Configuration, found configfile.Problems) {
+// newConfiguration reads it, for the node of a name.
+func newConfiguration(file *configfile.File, name, folder string, council bool) (c *Configuration, found configfile.ProblemErrors) {
 	if c = new(Configuration); !council {
 		found = append(found, file.At([]string{"configuration"}, "needs a council, whose seats agree on versions",
 			"name seats in council.seats, or leave it out"))
 	}
-	var wrong configfile.Problems
-	c.Folder, wrong = folderOf(file, name, folder, "configuration", "configuration", "folder")
+	var wrong configfile.ProblemErrors
+	c.Folder, wrong = nodeFolder(file, name, folder, "configuration", "configuration", "folder")
 	return c, append(found, wrong...)
 }
 
-// folderOf reads a folder, empty for none; what says what it is for.
-func folderOf(file *configfile.File, name, folder, what string, path ...string) (clean string, found configfile.Problems) {
+// nodeFolder reads a folder, empty for none; what says what it is for.
+func nodeFolder(file *configfile.File, name, folder, what string, path ...string) (clean string, found configfile.ProblemErrors) {
 	if folder == "" {
 		return "", nil
 	}
 	if strings.Contains(folder, "{name}") && (strings.ContainsAny(name, "/\\\x00") || name == ".." || name == ".") {
-		return "", configfile.Problems{file.At(path, fmt.Sprintf("takes in the node's name, and %q can't be part of a path", name),
+		return "", configfile.ProblemErrors{file.At(path, fmt.Sprintf("takes in the node's name, and %q can't be part of a path", name),
 			"name the node otherwise, or write the folder without {name}")}
 	}
 	if clean = filepath.Clean(strings.ReplaceAll(folder, "{name}", name)); !filepath.IsAbs(clean) {
--- a/internal/fleet/fleetconfig/configuration_test.go
+++ b/internal/fleet/fleetconfig/configuration_test.go
@@ -24,10 +24,10 @@
 		"council: { seats: ['a'] }, configuration: { folder: '/x/{name}' }": `"../n" can't be part of a path`,
 		"council: { seats: ['a'] }, configuration: { path: '/x' }":          "configuration",
 	} {
-		_, err := Read(write(t, "{\n fleet: 'x', bind: '127.0.0.1:7946',\n "+written+",\n}"), "../n")
+		_, err := Read(writeFleetFile(t, "{\n fleet: 'x', bind: '127.0.0.1:7946',\n "+written+",\n}"), "../n")
 		assert.ErrorContains(t, err, want, written)
 	}
-	f, err := Read(write(t, "{\n fleet: 'x', bind: '127.0.0.1:7946',\n council: { seats: ['a'] }, configuration: {},\n}"), "n")
+	f, err := Read(writeFleetFile(t, "{\n fleet: 'x', bind: '127.0.0.1:7946',\n council: { seats: ['a'] }, configuration: {},\n}"), "n")
 	require.NoError(t, err)
 	assert.Contains(t, f.Bounds(), "in memory only, so that a start is from the node's file")
 }
--- a/internal/fleet/fleetconfig/fleetconfig.go
+++ b/internal/fleet/fleetconfig/fleetconfig.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	probeUsual   = 500_000_000       // ns between pings on a link: seven in a silence
-	silenceUsual = 3_500_000_000     // ns without an answer past which a link is lost: a pause of 3 s is borne
-	settleUsual  = 400_000_000       // ns that a loss must last: news of another path takes less
-	forgetUsual  = 3_600_000_000_000 // ns after which the lost are no longer looked for: a night's repair is longer, a new start joins anew
-	membersUsual = 512               // members and lost ones in the table: 200 kB
-	membersMost  = 1_500             // whose table still fits one message of an exchange
-	tableUsual   = 4 << 20           // bytes of the council's table: some 10,000 claims
-	leaseUsual   = 4_000_000_000     // ns of a lease: longer than an election
-	tableLeast   = 64 << 10          // of it: fewer claims than that stop at once
-	tableMost    = 12 << 20          // of it: one letter of a stream holds it
-	probeLeast   = 50_000_000        // ns; shorter ones are a load
-	probesLeast  = 4                 // pings in a silence, so that a few that are lost end no link
+	defaultProbeInterval    = 500_000_000       // ns between pings on a link: seven in a silence
+	defaultLinkTimeout      = 3_500_000_000     // ns without an answer past which a link is lost: a pause of 3 s is borne
+	defaultSuspicionTimeout = 400_000_000       // ns that a loss must last: news of another path takes less
+	defaultForgetTimeout    = 3_600_000_000_000 // ns after which the lost are no longer looked for: a night's repair is longer, a new start joins anew
+	defaultMaxMembers       = 512               // members and lost ones in the table: 200 kB
+	maxMembers              = 1_500             // whose table still fits one message of an exchange
+	defaultTableBytes       = 4 << 20           // bytes of the council's table: some 10,000 claims
+	defaultLeaseTerm        = 4_000_000_000     // ns of a lease: longer than an election
+	minTableBytes           = 64 << 10          // of it: fewer claims than that stop at once
+	maxTableBytes           = 12 << 20          // of it: one letter of a stream holds it
+	minProbeInterval        = 50_000_000        // ns; shorter ones are a load
+	minProbesPerTimeout     = 4                 // pings in a silence, so that a few that are lost end no link
 )
 
 // Fleet is a fleet configuration with what the sockets need.
@@ -54,7 +54,7 @@
 
 var schema = sync.OnceValue(func() *configfile.Schema {
 	return configfile.Compile("fleet.json", strings.NewReplacer("TIME", configfile.TimePattern, "SIZE", configfile.SizePattern, "MEMBERS",
-		fmt.Sprint(membersMost)).Replace(`{
+		fmt.Sprint(maxMembers)).Replace(`{
  "$schema": "https://json-schema.org/draft/2020-12/schema", "type": "object", "additionalProperties": false,
  "required": ["fleet", "bind"],
  "$defs": {"time": {"type": "string", "pattern": "TIME"}},
@@ -79,7 +79,7 @@
   "clock_ahead": {"$ref": "#/$defs/time"}, "clock_behind": {"$ref": "#/$defs/time"}}}`))
 })
 
-type written struct {
+type fileContent struct {
 	Fleet, Bind, Advertise, Zone   string
 	AnyAddress                     bool `json:"any_address"`
 	Seeds                          []string
@@ -114,13 +114,13 @@
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
-	var w written
+	var w fileContent
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
 	f := &Fleet{Name: w.Fleet, Bind: w.Bind, Exposed: w.AnyAddress, WallAhead: int64(w.ClockAhead - w.ClockBehind),
 		Path: file.Path, Terms: membership.Config{Name: name, Address: w.Advertise, Zone: w.Zone, Seeds: w.Seeds,
-			ProbeInterval: probeUsual, LinkTimeout: silenceUsual, SuspicionTimeout: settleUsual, ForgetTimeout: forgetUsual, MaxMembers: membersUsual}}
+			ProbeInterval: defaultProbeInterval, LinkTimeout: defaultLinkTimeout, SuspicionTimeout: defaultSuspicionTimeout, ForgetTimeout: defaultForgetTimeout, MaxMembers: defaultMaxMembers}}
 	c := &f.Terms
 	if c.Address == "" {
 		c.Address = w.Bind
@@ -136,7 +136,7 @@
 	if w.Members != nil {
 		c.MaxMembers = *w.Members
 	}
-	found := configfile.Problems{}
+	found := configfile.ProblemErrors{}
 	address := func(value string, path ...string) {
 		a, err := netip.ParseAddrPort(value)
 		switch {
@@ -160,9 +160,9 @@
 		address(s, "seeds", fmt.Sprint(k))
 	}
 	if w.Council != nil {
-		f.Council = &Council{Seats: w.Council.Seats, Bytes: tableUsual}
-		var wrong configfile.Problems
-		f.Council.Folder, wrong = folderOf(file, name, w.Council.Folder, "seat", "council", "folder")
+		f.Council = &Council{Seats: w.Council.Seats, Bytes: defaultTableBytes}
+		var wrong configfile.ProblemErrors
+		f.Council.Folder, wrong = nodeFolder(file, name, w.Council.Folder, "seat", "council", "folder")
 		found = append(found, wrong...)
 		if w.Council.Table != nil {
 			f.Council.Bytes = int64(*w.Council.Table)
@@ -172,7 +172,7 @@
 			if calls.Version != nil {
 				f.Council.Version = *calls.Version
 			}
-			f.Council.Calls = &quota.HolderConfig{Name: "calls", Units: calls.Limit, Hold: int64(calls.Hold), Term: cmp.Or(int64(calls.Lease), leaseUsual)}
+			f.Council.Calls = &quota.HolderConfig{Name: "calls", Units: calls.Limit, Hold: int64(calls.Hold), Term: cmp.Or(int64(calls.Lease), defaultLeaseTerm)}
 			if wrong := f.Council.Calls.Problem(); wrong != "" {
 				found = append(found, file.At([]string{"council", "calls"}, wrong, "see docs/operate/quota.md for the bounds"))
 			}
@@ -183,21 +183,21 @@
 		if sorted := slices.Sorted(slices.Values(w.Council.Seats)); len(slices.Compact(sorted)) < len(w.Council.Seats) {
 			found = append(found, file.At([]string{"council", "seats"}, "name a node twice", "name each once"))
 		}
-		if b := f.Council.Bytes; b < tableLeast || b > tableMost {
+		if b := f.Council.Bytes; b < minTableBytes || b > maxTableBytes {
 			found = append(found, file.At([]string{"council", "table"}, fmt.Sprintf("is %d bytes", b), "choose 64 KiB to 12 MiB: a seat that comes back gets it in one piece"))
 		}
 	}
 	if w.Configuration != nil {
-		var wrong configfile.Problems
-		f.Configuration, wrong = configurationFrom(file, name, w.Configuration.Folder, w.Council != nil)
+		var wrong configfile.ProblemErrors
+		f.Configuration, wrong = newConfiguration(file, name, w.Configuration.Folder, w.Council != nil)
 		found = append(found, wrong...)
 	}
-	if c.ProbeInterval < probeLeast {
+	if c.ProbeInterval < minProbeInterval {
 		found = append(found, file.At([]string{"probe"}, "is shorter than 50 ms", "choose a longer one"))
 	}
-	if c.LinkTimeout < probesLeast*c.ProbeInterval {
+	if c.LinkTimeout < minProbesPerTimeout*c.ProbeInterval {
 		found = append(found, file.At([]string{"silence"}, fmt.Sprintf("holds fewer than %d probes, so that some lost ones end a link",
-			probesLeast), "make it longer, or probe shorter"))
+			minProbesPerTimeout), "make it longer, or probe shorter"))
 	}
 	if c.SuspicionTimeout > c.LinkTimeout {
 		found = append(found, file.At([]string{"settle"}, "is longer than silence", "make it shorter: it bridges a change of links"))
@@ -211,8 +211,8 @@
 	return f, nil
 }
 
-// Known is the time, in nanoseconds, by which a death is known to all where links are sound.
-func (f *Fleet) Known() int64 {
+// DetectionTime is the time, in nanoseconds, by which a death is known to all where links are sound.
+func (f *Fleet) DetectionTime() int64 {
 	return f.Terms.LinkTimeout + f.Terms.SuspicionTimeout + f.Terms.ProbeInterval
 }
 
@@ -220,7 +220,7 @@
 func (f *Fleet) Bounds() string {
 	c := &f.Terms
 	text := fmt.Sprintf("a pause of up to %s is borne; a death is known to all within about %s; a member outside the view is looked for for %s",
-		span(c.LinkTimeout-c.ProbeInterval), span(f.Known()), span(c.ForgetTimeout))
+		formatSeconds(c.LinkTimeout-c.ProbeInterval), formatSeconds(f.DetectionTime()), formatSeconds(c.ForgetTimeout))
 	if f.Council != nil {
 		where := "in memory only"
 		if f.Council.Folder != "" {
@@ -238,4 +238,4 @@
 	return text
 }
 
-func span(ns int64) string { return fmt.Sprintf("%g s", float64(ns)/1e9) }
+func formatSeconds(ns int64) string { return fmt.Sprintf("%g s", float64(ns)/1e9) }
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -11,48 +11,48 @@
 	"topazpost/internal/fleet/quota"
 )
 
-func write(t *testing.T, text string) string {
+func writeFleetFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "fleet.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func TestFleetIsReadWithWhatIsUsual(t *testing.T) {
-	f, err := Read(write(t, `{ fleet: 'x', bind: '127.0.0.1:7946', seeds: ['127.0.0.2:7946'], silence: '6 s', clock_behind: '10 s' }`), "n1")
+func TestReadAppliesDefaults(t *testing.T) {
+	f, err := Read(writeFleetFile(t, `{ fleet: 'x', bind: '127.0.0.1:7946', seeds: ['127.0.0.2:7946'], silence: '6 s', clock_behind: '10 s' }`), "n1")
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:7946", f.Terms.Address)
-	assert.Equal(t, []int64{6_000_000_000, probeUsual, settleUsual, -10_000_000_000}, []int64{f.Terms.LinkTimeout, f.Terms.ProbeInterval, f.Terms.SuspicionTimeout, f.WallAhead})
+	assert.Equal(t, []int64{6_000_000_000, defaultProbeInterval, defaultSuspicionTimeout, -10_000_000_000}, []int64{f.Terms.LinkTimeout, f.Terms.ProbeInterval, f.Terms.SuspicionTimeout, f.WallAhead})
 	assert.Contains(t, f.Bounds(), "a pause of up to 5.5 s is borne")
 }
 
-func TestAllThatIsWrongIsToldAtOnce(t *testing.T) {
-	_, err := Read(write(t, "{\n fleet: 'x',\n bind: 'here',\n probe: '10 ms',\n settle: '9 s',\n forget: '1 s',\n any_address: true,\n}"), "n1")
+func TestReadReportsAllProblems(t *testing.T) {
+	_, err := Read(writeFleetFile(t, "{\n fleet: 'x',\n bind: 'here',\n probe: '10 ms',\n settle: '9 s',\n forget: '1 s',\n any_address: true,\n}"), "n1")
 	require.Error(t, err)
 	for _, want := range []string{":3: bind: \"here\" is no address", ":4: probe: is shorter", ":5: settle: is longer", ":6: forget: is shorter", ":7: any_address: needs"} {
 		assert.Contains(t, err.Error(), want)
 	}
 }
 
-func TestDeployedFleetCanBeRead(t *testing.T) {
+func TestReadAcceptsDeployedFleet(t *testing.T) {
 	_, err := Read("../../../deploy/fleet.jsonnet", "n1")
 	assert.NoError(t, err)
 }
 
-func TestDeployedFleetWithACouncilCanBeRead(t *testing.T) {
+func TestReadAcceptsDeployedFleetWithConsensusGroup(t *testing.T) {
 	f, err := Read("../../../deploy/fleet-council.jsonnet", "n1")
 	require.NoError(t, err)
 	assert.Equal(t, &Council{Seats: []string{"n1", "n2", "n3"}, Bytes: 4 << 20, Version: 1,
 		Calls: &quota.HolderConfig{Name: "calls", Units: 90, Hold: 1_000_000_000, Term: 4_000_000_000}}, f.Council)
 	assert.Contains(t, f.Bounds(), "at most 90 calls in use fleet-wide")
-	assert.Equal(t, int64(1_300_000_000), f.Known())
+	assert.Equal(t, int64(1_300_000_000), f.DetectionTime())
 	assert.Contains(t, f.Bounds(), "which bears the loss of 1 at a time")
 }
 
-func TestCouncilsThatCantBeAreRefusedWithTheMend(t *testing.T) {
+func TestReadRejectsInvalidConsensusGroups(t *testing.T) {
 	for seats, want := range map[string]string{"['a', 'b']": "are 2; name 1, 3 or 5", "['a', 'b', 'a']": "name a node twice"} {
-		_, err := Read(write(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: "+seats+" },\n}"), "n1")
+		_, err := Read(writeFleetFile(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: "+seats+" },\n}"), "n1")
 		assert.ErrorContains(t, err, "council.seats: "+want)
 	}
-	_, err := Read(write(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: ['a'], table: '64 MiB' },\n}"), "n1")
+	_, err := Read(writeFleetFile(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: ['a'], table: '64 MiB' },\n}"), "n1")
 	assert.ErrorContains(t, err, "choose 64 KiB to 12 MiB")
 }
--- a/internal/fleet/fleetconfig/seat_test.go
+++ b/internal/fleet/fleetconfig/seat_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFolderOfTheCouncilIsTheNodesOwn(t *testing.T) {
+func TestConsensusFolderIsPerNode(t *testing.T) {
 	text := "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: ['n1'],\n  folder: '/var/lib/topazpost/seat-{name}' },\n}"
-	path := write(t, text)
+	path := writeFleetFile(t, text)
 	f, err := Read(path, "n1")
 	require.NoError(t, err)
 	assert.Equal(t, "/var/lib/topazpost/seat-n1", f.Council.Folder)
 	assert.Contains(t, f.Bounds(), "seats keep it in /var/lib/topazpost/seat-n1")
 	_, err = Read(path, "../n1")
 	assert.ErrorContains(t, err, path+":5: council.folder: takes in the node's name")
-	_, err = Read(write(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: ['n1'],\n  folder: 'seat' },\n}"), "n1")
+	_, err = Read(writeFleetFile(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: ['n1'],\n  folder: 'seat' },\n}"), "n1")
 	assert.ErrorContains(t, err, ":5: council.folder: \"seat\" is no absolute path")
 }
--- a/internal/node/amend.go
+++ b/internal/node/amend.go
@@ -193,7 +193,7 @@
 			return true, err
 		}
 	}
-	return true, sm.config.Check(v.of)
+	return true, sm.config.ValidateAmendment(v.of)
 }
 
 // validateChanges says which of some changes this node can't take, by what only its own files say.
@@ -224,7 +224,7 @@
 		}
 	}
 	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
-	t := sm.config.Take(&c)
+	t := sm.config.Apply(&c)
 	switch {
 	case !t.Changed:
 		return
--- a/internal/node/amend_test.go
+++ b/internal/node/amend_test.go
@@ -78,9 +78,9 @@
 
 func TestVersionThatCannotBeTakenChangesNothing(t *testing.T) {
 	r := up(t)
-	before := r.config.Own()
+	before := r.config.Clone()
 	assert.ErrorContains(t, amendedBy(t, r, tenant("x", 3), removed(nodeconfig.Operations, "catalogue"), removed(nodeconfig.Operations, "hold")), "none would be left")
-	assert.Equal(t, before, r.config.Own())
+	assert.Equal(t, before, r.config.Clone())
 	assert.Zero(t, r.ActiveVersion())
 	assert.Equal(t, 1, r.Counters.VersionsRefused)
 	r.versions.numbers = true
@@ -284,7 +284,7 @@
 		chance := rand.New(rand.NewSource(seed))
 		p, err := nodeconfig.FromJSON(1, []byte(settings))
 		require.NoError(t, err)
-		want := p.Own()
+		want := p.Clone()
 		r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 		step(r, Input{Kind: ConnectionOpened, Link: 7})
 		step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
@@ -307,7 +307,7 @@
 			}
 			change, err := nodeconfig.Parse([]nodeconfig.Item{it})
 			require.NoError(t, err)
-			want.Take(&change.Changes[0])
+			want.Apply(&change.Changes[0])
 			r.executor.lastLineAt = r.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
 			if r.connections.byLink[7] != nil && !r.connections.byLink[7].goAwaySent && !r.connections.byLink[7].broken && r.connections.byLink[7].isIdle() {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -90,7 +90,7 @@
 	began    int64
 	old, new *configsync.Content
 	diff     *configsync.Difference
-	checking *nodeconfig.Checking // nil in the second pass
+	checking *nodeconfig.ChangeValidator // nil in the second pass
 	version  version
 }
 
@@ -118,7 +118,7 @@
 	v := version{number: start.Mark.Version}
 	if !sm.hollow.on {
 		for _, take := range []bool{false, true} {
-			checking := sm.config.Checking()
+			checking := sm.config.NewChangeValidator()
 			for diff := configsync.Diff(file, start.Content); ; {
 				changes, err := sm.changesOf(diff.Next(amendedAStep))
 				if err != nil {
@@ -365,7 +365,7 @@
 		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &configMessage{Message: e.Message})
 	case configsync.Take, configsync.Check:
 		t := &taking{mark: e.Mark, first: e.First, only: e.Kind == configsync.Check, began: sm.now, old: e.Old, new: e.New, diff: configsync.Diff(e.Old, e.New),
-			checking: sm.config.Checking(), version: version{number: e.Mark.Version}}
+			checking: sm.config.NewChangeValidator(), version: version{number: e.Mark.Version}}
 		if sm.hollow.on { // it has no module that could not take it
 			sm.configApplied(t, nil)
 			return
--- a/internal/node/configuration_test.go
+++ b/internal/node/configuration_test.go
@@ -174,11 +174,11 @@
 	v, _ := put(t, r, "a", 0, allOf(r)...)
 	require.True(t, v.Done, v.Refused)
 	settle(t, r)
-	before := r.config.Own()
+	before := r.config.Clone()
 	v, effects := put(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
 	require.True(t, v.Done, "by itself it is sound: %s", v.Refused)
 	assert.Empty(t, kindsOf(effects, ReportVersionInForce))
-	assert.Equal(t, before, r.config.Own())
+	assert.Equal(t, before, r.config.Clone())
 	s := r.ConfigSyncState()
 	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.Refused})
 	assert.Contains(t, s.Why, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
@@ -232,7 +232,7 @@
 		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 		require.NoError(t, err)
 		servingNode(t, r)
-		before, content := r.config.Own(), r.configSync.holder.Content()
+		before, content := r.config.Clone(), r.configSync.holder.Content()
 		items := []configsync.Item{configsync.Item(c.item)}
 		for k := range 3 * amendedAStep {
 			items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
@@ -256,7 +256,7 @@
 		assert.Equal(t, c.refused, r.Counters.VersionsRefused, c.name)
 		assert.Len(t, kindsOf(all, ReportVersionInForce), map[bool]int{true: 1}[c.taken], c.name)
 		if !c.taken {
-			assert.Equal(t, before, r.config.Own(), c.name)
+			assert.Equal(t, before, r.config.Clone(), c.name)
 			assert.Zero(t, r.ActiveVersion(), c.name)
 		}
 	}
--- a/internal/nodeconfig/amend.go
+++ b/internal/nodeconfig/amend.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	operationsMost = 1 << 16 // indices, those included whose operation is gone and not forgotten yet
-	tenantsMost    = 1 << 21 // the same of tenants
-	itemNameMost   = 256     // bytes of a name
-	itemMost       = 4 << 10 // bytes of an item's value
+	maxOperations    = 1 << 16 // indices, those included whose operation is gone and not forgotten yet
+	maxTenants       = 1 << 21 // the same of tenants
+	maxItemNameBytes = 256     // bytes of a name
+	maxItemBytes     = 4 << 10 // bytes of an item's value
 )
 
 // Item is one of a configuration's: an operation, a tenant or a limit. Value is the canonical JSON object of an operation or
@@ -37,8 +37,8 @@
 	Value      []byte
 }
 
-// changing says of each setting that may change in service whether it is a flag; all others are numbers.
-func changing(path string) (flag, may bool) {
+// liveSetting says of each setting that may change in service whether it is a flag; all others are numbers.
+func liveSetting(path string) (flag, live bool) {
 	switch path {
 	case "limits.retry_after":
 		return true, true
@@ -48,8 +48,8 @@
 	return false, false
 }
 
-// InService lists the settings that may change while a node serves.
-func InService() []string {
+// LiveSettings lists the settings that may change while a node serves.
+func LiveSettings() []string {
 	return []string{"family_info.calls_out", "group_size", "guarantees.drain_grace", "limits.max_retry_after", "limits.retry_after",
 		"over_share_worth"}
 }
@@ -67,8 +67,8 @@
 type Amendment struct {
 	Changes []Change
 
-	operations []int32 // places of those of operations
-	tenants    []int32 // of those that set a tenant
+	operationChanges []int32 // places of those of operations
+	tenantChanges    []int32 // of those that set a tenant
 }
 
 // Parse reads items, each by itself, at the cost of the items. An error names the item and its field as a check does.
@@ -81,37 +81,37 @@
 			return nil, fmt.Errorf("nodeconfig: %s.%s: named twice; a change has each item once", key[0], key[1])
 		}
 		seen[key] = struct{}{}
-		c, err := items[i].read()
+		c, err := items[i].decode()
 		if err != nil {
 			return nil, err
 		}
 		switch a.Changes = append(a.Changes, c); {
 		case c.Part == Operations:
-			a.operations = append(a.operations, int32(i))
+			a.operationChanges = append(a.operationChanges, int32(i))
 		case c.Part == Tenants && !c.Removed:
-			a.tenants = append(a.tenants, int32(i))
+			a.tenantChanges = append(a.tenantChanges, int32(i))
 		}
 	}
 	return a, nil
 }
 
-func (it *Item) read() (Change, error) {
+func (it *Item) decode() (Change, error) {
 	c := Change{Part: it.Part, Name: it.Name, Removed: it.Value == nil}
 	at := it.Part + "." + it.Name
 	fault := func(what string) (Change, error) { return c, fmt.Errorf("nodeconfig: %s: %s", at, what) }
-	if _, may := changing(it.Name); it.Part == Limits && !may {
+	if _, may := liveSetting(it.Name); it.Part == Limits && !may {
 		return fault("takes a new start: set it in the nodes' own files and restart them; in service may change " +
-			strings.Join(InService(), ", "))
+			strings.Join(LiveSettings(), ", "))
 	}
 	switch {
 	case it.Part != Operations && it.Part != Tenants && it.Part != Limits:
 		return fault("no such part; there are operations, tenants and limits")
-	case it.Name == "" || len(it.Name) > itemNameMost:
-		return fault(fmt.Sprintf("a name has 1 to %d bytes", itemNameMost))
+	case it.Name == "" || len(it.Name) > maxItemNameBytes:
+		return fault(fmt.Sprintf("a name has 1 to %d bytes", maxItemNameBytes))
 	case c.Removed:
 		return c, nil
-	case len(it.Value) > itemMost:
-		return fault(fmt.Sprintf("takes %d bytes; %d at the most", len(it.Value), itemMost))
+	case len(it.Value) > maxItemBytes:
+		return fault(fmt.Sprintf("takes %d bytes; %d at the most", len(it.Value), maxItemBytes))
 	}
 	var tree any
 	d := json.NewDecoder(bytes.NewReader(it.Value))
@@ -127,10 +127,10 @@
 	if err != nil {
 		return fault(err.Error())
 	}
-	s := &settings{values: make(map[string]string), told: at + "."}
+	s := &settingsReader{values: make(map[string]string), errorPrefix: at + "."}
 	object, is := tree.(map[string]any)
 	if it.Part == Limits {
-		return it.readLimit(c, tree, fault)
+		return it.decodeLimit(c, tree, fault)
 	} else if !is {
 		return fault("an object is needed")
 	}
@@ -139,21 +139,21 @@
 	}
 	flatten(s.values, "", object)
 	if it.Part == Tenants {
-		c.Rate = s.number("quota_rps")
+		c.Rate = s.float("quota_rps")
 	} else {
 		c.Operation = s.operation()
-		c.Operation.CallsDependency, c.Operation.SkippedCallWeightShare = s.flag("class_calls"), s.number("class_skip_worth")
-		if what := unusable(it.Name, &c.Operation); s.err == nil && what != "" {
+		c.Operation.CallsDependency, c.Operation.SkippedCallWeightShare = s.flag("class_calls"), s.float("class_skip_worth")
+		if what := operationFault(it.Name, &c.Operation); s.err == nil && what != "" {
 			return fault(what)
 		}
 	}
 	return c, s.err
 }
 
-// readLimit reads the value of a limit, which is a flag or a number that is not negative.
-func (it *Item) readLimit(c Change, tree any, fault func(string) (Change, error)) (Change, error) {
+// decodeLimit reads the value of a limit, which is a flag or a number that is not negative.
+func (it *Item) decodeLimit(c Change, tree any, fault func(string) (Change, error)) (Change, error) {
 	c.Limit = fmt.Sprint(tree)
-	flag, _ := changing(it.Name)
+	flag, _ := liveSetting(it.Name)
 	if flag && c.Limit != "true" && c.Limit != "false" {
 		return fault(fmt.Sprintf("malformed value %q; it is true or false", c.Limit))
 	} else if n, err := strconv.ParseFloat(c.Limit, 64); !flag && (err != nil || !(n >= 0) || math.IsInf(n, 0)) {
@@ -162,11 +162,11 @@
 	return c, nil
 }
 
-// Check says why a config can't take an amendment as a whole, at the cost of the operations in it, and of the tenants only
+// ValidateAmendment says why a config can't take an amendment as a whole, at the cost of the operations in it, and of the tenants only
 // near their bound. Nothing is changed.
-func (p *Config) Check(a *Amendment) error {
-	left, operations, tenants := p.Operations.Len(), 0, len(a.tenants)
-	for _, i := range a.operations {
+func (p *Config) ValidateAmendment(a *Amendment) error {
+	left, operations, tenants := p.Operations.Len(), 0, len(a.tenantChanges)
+	for _, i := range a.operationChanges {
 		c := &a.Changes[i]
 		_, serves := p.Operations.Find(c.Name)
 		switch {
@@ -179,34 +179,34 @@
 			}
 		}
 	}
-	if p.Tenants.live+tenants > tenantsMost { // else there is room for all of them, known or not
+	if p.Tenants.count+tenants > maxTenants { // else there is room for all of them, known or not
 		tenants = 0
-		for _, i := range a.tenants {
+		for _, i := range a.tenantChanges {
 			if _, known := p.Tenants.Lookup(a.Changes[i].Name); !known {
 				tenants++
 			}
 		}
 	}
-	return (&Checking{config: p, left: left, operations: operations, tenants: tenants}).Err()
+	return (&ChangeValidator{config: p, remainingOperations: left, newOperations: operations, newTenants: tenants}).Err()
 }
 
-// Taken is what became of a change.
-type Taken struct {
+// ApplyResult is what became of a change.
+type ApplyResult struct {
 	Index          int32 // of the operation or tenant
 	Added, Removed bool  // it came into service, or went out of it
 	Changed        bool  // anything was changed at all
 }
 
-// Take takes a change that was checked, at its own cost. What goes out of service keeps its index, its name and its terms
+// Apply takes a change that was checked, at its own cost. What goes out of service keeps its index, its name and its terms
 // until Forget; what comes again before that has them again.
-func (p *Config) Take(c *Change) (t Taken) {
+func (p *Config) Apply(c *Change) (t ApplyResult) {
 	n := &p.Node
 	if c.Part == Limits {
 		was := *n
-		if delete(p.general, c.Name); !c.Removed {
-			p.general[c.Name] = c.Limit
+		if delete(p.nodeSettings, c.Name); !c.Removed {
+			p.nodeSettings[c.Name] = c.Limit
 		}
-		(&settings{values: p.general}).limitsInto(n)
+		(&settingsReader{values: p.nodeSettings}).readLimits(n)
 		t.Changed = was.OverQuotaWeightShare != n.OverQuotaWeightShare || was.Peers != n.Peers || was.CallQuota != n.CallQuota ||
 			was.DrainGrace != n.DrainGrace || was.MaxRetryAfter != n.MaxRetryAfter
 		return t
@@ -250,10 +250,10 @@
 	}
 }
 
-// Own is a copy that may be amended without the original's changing.
-func (p *Config) Own() *Config {
+// Clone is a copy that may be amended without the original's changing.
+func (p *Config) Clone() *Config {
 	own := *p
-	own.general = maps.Clone(p.general)
+	own.nodeSettings = maps.Clone(p.nodeSettings)
 	own.Operations, own.Tenants = p.Operations.clone(), p.Tenants.clone()
 	own.Node.Operations, own.Node.TenantRates = slices.Clone(p.Node.Operations), slices.Clone(p.Node.TenantRates)
 	return &own
@@ -262,16 +262,16 @@
 // Diff gives the items that make one config's configuration another's, in the order of parts and indices, and the paths of
 // settings that differ and take a new start. From nil it gives all of them.
 func Diff(from, to *Config) (items []Item, starts []string) {
-	starts = differences(from, to, func(i Item) { items = append(items, i) })
+	starts = diffItems(from, to, func(i Item) { items = append(items, i) })
 	return items, starts
 }
 
 // Items gives what the config holds of what may change in service, one item at a time.
-func (p *Config) Items(yield func(Item)) { differences(nil, p, yield) }
+func (p *Config) Items(yield func(Item)) { diffItems(nil, p, yield) }
 
-func differences(from, to *Config, yield func(Item)) (starts []string) {
+func diffItems(from, to *Config, yield func(Item)) (starts []string) {
 	if from == nil {
-		from = &Config{Operations: new(Names), Tenants: new(Names), general: to.startsOnly()}
+		from = &Config{Operations: new(Names), Tenants: new(Names), nodeSettings: to.restartOnlySettings()}
 	}
 	each := func(part string, was, is *Names, same func(i, j int32) bool, value func(j int32) []byte) {
 		for i := range int32(was.Slots()) {
@@ -294,19 +294,19 @@
 	each(Operations, from.Operations, to.Operations, func(i, j int32) bool { return from.Node.Operations[i] == to.Node.Operations[j] },
 		func(j int32) []byte { return operationJSON(&to.Node.Operations[j]) })
 	each(Tenants, from.Tenants, to.Tenants, func(i, j int32) bool { return from.Node.TenantRates[i] == to.Node.TenantRates[j] },
-		func(j int32) []byte { return object(field{"quota_rps", float(to.Node.TenantRates[j])}) })
+		func(j int32) []byte { return canonicalObject(field{"quota_rps", formatFloat(to.Node.TenantRates[j])}) })
 	paths := make(map[string]struct{})
 	for _, of := range []*Config{from, to} {
-		for path := range of.general {
+		for path := range of.nodeSettings {
 			paths[path] = struct{}{}
 		}
 	}
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		was, is := &settings{values: from.general}, &settings{values: to.general}
-		_, has := to.general[path]
-		flag, may := changing(path)
+		was, is := &settingsReader{values: from.nodeSettings}, &settingsReader{values: to.nodeSettings}
+		_, has := to.nodeSettings[path]
+		flag, may := liveSetting(path)
 		switch {
-		case was.text(path) == is.text(path), may && flag && was.flag(path) == is.flag(path), may && !flag && was.number(path) == is.number(path):
+		case was.text(path) == is.text(path), may && flag && was.flag(path) == is.flag(path), may && !flag && was.float(path) == is.float(path):
 		case !may && (path == "family_info.class_calls" || path == "family_info.class_skip_worth"): // the operations say it
 		case !may:
 			starts = append(starts, path)
@@ -315,17 +315,17 @@
 		case flag:
 			yield(Item{Part: Limits, Name: path, Value: strconv.AppendBool(nil, is.flag(path))})
 		default:
-			yield(Item{Part: Limits, Name: path, Value: []byte(float(is.number(path)))})
+			yield(Item{Part: Limits, Name: path, Value: []byte(formatFloat(is.float(path)))})
 		}
 	}
 	return starts
 }
 
-// startsOnly are the settings that take a new start.
-func (p *Config) startsOnly() map[string]string {
+// restartOnlySettings are the settings that take a new start.
+func (p *Config) restartOnlySettings() map[string]string {
 	only := make(map[string]string)
-	for path, value := range p.general {
-		if _, may := changing(path); !may {
+	for path, value := range p.nodeSettings {
+		if _, may := liveSetting(path); !may {
 			only[path] = value
 		}
 	}
@@ -334,8 +334,8 @@
 
 type field struct{ name, value string }
 
-// object is the canonical JSON of fields that are sorted by name; those without a value are left out.
-func object(fields ...field) []byte {
+// canonicalObject is the canonical JSON of fields that are sorted by name; those without a value are left out.
+func canonicalObject(fields ...field) []byte {
 	b := []byte{'{'}
 	for _, f := range fields {
 		if f.value == "" || f.value == "0" {
@@ -356,13 +356,13 @@
 		calls = "true"
 	}
 	effect := map[admission.Idempotency]string{admission.Idempotent: `"idempotent"`, admission.IdempotentWithKey: `"deduplicated"`, admission.NonIdempotent: `"at_most_once"`}[op.Idempotency]
-	return object(field{"aim", millis(op.LatencyObjective)}, field{"aim_stretch", float(op.ObjectivePerWork)}, field{"class_calls", calls},
-		field{"class_skip_worth", float(op.SkippedCallWeightShare)}, field{"effect", effect}, field{"give_up", millis(op.ClientTimeout)},
-		field{"importance", float(op.PriorityWeight)}, field{"late_share", float(op.LateWeightShare)}, field{"window", millis(op.DeduplicationWindow)})
+	return canonicalObject(field{"aim", formatMilliseconds(op.LatencyObjective)}, field{"aim_stretch", formatFloat(op.ObjectivePerWork)}, field{"class_calls", calls},
+		field{"class_skip_worth", formatFloat(op.SkippedCallWeightShare)}, field{"effect", effect}, field{"give_up", formatMilliseconds(op.ClientTimeout)},
+		field{"importance", formatFloat(op.PriorityWeight)}, field{"late_share", formatFloat(op.LateWeightShare)}, field{"window", formatMilliseconds(op.DeduplicationWindow)})
 }
 
-// float is the shortest JSON number that reads as n.
-func float(n float64) string {
+// formatFloat is the shortest JSON number that reads as n.
+func formatFloat(n float64) string {
 	b, err := json.Marshal(n)
 	if err != nil {
 		return "0"
@@ -370,8 +370,8 @@
 	return string(b)
 }
 
-// millis is the JSON number of milliseconds that reads as so many nanoseconds.
-func millis(ns int64) string {
+// formatMilliseconds is the JSON number of milliseconds that reads as so many nanoseconds.
+func formatMilliseconds(ns int64) string {
 	n := float64(ns) / 1e6
 	for range 4 { // the product below is cut, so one that is rounded down misses by one
 		if int64(n*1e6) >= ns {
@@ -379,5 +379,5 @@
 		}
 		n = math.Nextafter(n, math.Inf(1))
 	}
-	return float(n)
+	return formatFloat(n)
 }
--- a/internal/nodeconfig/amend_test.go
+++ b/internal/nodeconfig/amend_test.go
@@ -11,35 +11,35 @@
 	"topazpost/internal/admission"
 )
 
-const served = `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1},
+const exampleConfig = `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1},
 	{"name":"b","aim":300.5,"give_up":900,"window":5000,"effect":"deduplicated","late_share":0.25}],
 	"tenants":[{"name":"x","quota_rps":3},{"name":"y","quota_rps":0.5}],
 	"family_info":{"class_calls":[true,false],"class_skip_worth":[0.5],"memory_kb":900},"guarantees":{"tip_multiple":4},
 	"group_size":"30","limits":{"retry_after":true,"max_retry_after":500}}`
 
-func plateOf(t require.TestingT, text string) *Config {
+func decodeConfig(t require.TestingT, text string) *Config {
 	p, err := FromJSON(1, []byte(text))
 	require.NoError(t, err)
 	return p
 }
 
-// amend takes items on a config as a node does.
-func amend(p *Config, items ...Item) ([]Taken, error) {
+// applyItems takes items on a config as a node does.
+func applyItems(p *Config, items ...Item) ([]ApplyResult, error) {
 	a, err := Parse(items)
 	if err == nil {
-		err = p.Check(a)
+		err = p.ValidateAmendment(a)
 	}
 	if err != nil {
 		return nil, err
 	}
-	var all []Taken
+	var all []ApplyResult
 	for i := range a.Changes {
-		all = append(all, p.Take(&a.Changes[i]))
+		all = append(all, p.Apply(&a.Changes[i]))
 	}
 	return all, nil
 }
 
-func TestItemsThatCannotBeTakenAreNamedAndChangeNothing(t *testing.T) {
+func TestInvalidItemsAreRejectedWithoutChanges(t *testing.T) {
 	for _, c := range []struct {
 		it   Item
 		says string
@@ -62,28 +62,28 @@
 		{Item{Limits, "group_size", []byte(`-1`)}, "from 0 on"},
 		{Item{Limits, "group_size", []byte(`{"a":1}`)}, "from 0 on"},
 	} {
-		p := plateOf(t, served)
-		_, err := amend(p, Item{Tenants, "z", []byte(`{"quota_rps":1}`)}, c.it)
+		p := decodeConfig(t, exampleConfig)
+		_, err := applyItems(p, Item{Tenants, "z", []byte(`{"quota_rps":1}`)}, c.it)
 		if c.says == "" {
 			assert.NoError(t, err)
 			continue
 		}
 		assert.ErrorContains(t, err, c.says)
-		assert.Equal(t, plateOf(t, served), p)
+		assert.Equal(t, decodeConfig(t, exampleConfig), p)
 	}
-	p := plateOf(t, served)
-	_, err := amend(p, Item{Part: Operations, Name: "a"}, Item{Part: Operations, Name: "b"})
+	p := decodeConfig(t, exampleConfig)
+	_, err := applyItems(p, Item{Part: Operations, Name: "a"}, Item{Part: Operations, Name: "b"})
 	assert.ErrorContains(t, err, "none would be left")
-	_, err = amend(p, Item{Part: Tenants, Name: "x"}, Item{Tenants, "x", []byte(`{}`)})
+	_, err = applyItems(p, Item{Part: Tenants, Name: "x"}, Item{Tenants, "x", []byte(`{}`)})
 	assert.ErrorContains(t, err, "tenants.x: named twice")
 }
 
-func TestIndicesStayUntilTheyAreForgotten(t *testing.T) {
-	p := plateOf(t, served)
-	taken, err := amend(p, Item{Part: Operations, Name: "a"}, Item{Operations, "c", []byte(`{"aim":1,"give_up":2,"effect":"idempotent","class_calls":true}`)},
+func TestIndicesAreStableUntilForgotten(t *testing.T) {
+	p := decodeConfig(t, exampleConfig)
+	taken, err := applyItems(p, Item{Part: Operations, Name: "a"}, Item{Operations, "c", []byte(`{"aim":1,"give_up":2,"effect":"idempotent","class_calls":true}`)},
 		Item{Tenants, "x", []byte(`{"quota_rps":7}`)}, Item{Part: Tenants, Name: "none"}, Item{Limits, "limits.retry_after", []byte(`false`)})
 	require.NoError(t, err)
-	assert.Equal(t, []Taken{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, taken)
+	assert.Equal(t, []ApplyResult{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, taken)
 	assert.Equal(t, admission.Operation{LatencyObjective: 1e6, ClientTimeout: 2e6, CallsDependency: true}, p.Node.Operations[2])
 	assert.Equal(t, int64(200e6), p.Node.Operations[0].ClientTimeout, "what is in hand still goes by it")
 	assert.Equal(t, []float64{7, 0.5}, p.Node.TenantRates)
@@ -93,22 +93,22 @@
 	i, known := p.Operations.Lookup("a")
 	assert.True(t, known)
 	assert.Zero(t, i)
-	taken, err = amend(p, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
+	taken, err = applyItems(p, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
 	require.NoError(t, err)
-	assert.Equal(t, Taken{Added: true, Changed: true}, taken[0], "it has its index again")
+	assert.Equal(t, ApplyResult{Added: true, Changed: true}, taken[0], "it has its index again")
 	assert.Equal(t, int64(500e6), p.Node.MaxRetryAfter)
-	_, err = amend(p, Item{Part: Operations, Name: "b"})
+	_, err = applyItems(p, Item{Part: Operations, Name: "b"})
 	require.NoError(t, err)
 	p.Forget(Operations, 1)
 	assert.True(t, p.Node.Operations[1].Removed)
-	taken, err = amend(p, Item{Operations, "d", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)})
+	taken, err = applyItems(p, Item{Operations, "d", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)})
 	require.NoError(t, err)
 	assert.Equal(t, int32(1), taken[0].Index)
 	assert.Equal(t, []string{"a", "d", "c"}, p.Operations.All())
 }
 
 // From any config to any other: the difference, taken, leaves no difference, and is nothing where there is none.
-func TestDifferenceMakesOnePlateTheOther(t *testing.T) {
+func TestDiffTransformsOneConfigIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(which string) *Config {
 			text, sep := `{"grades":[`, ""
@@ -124,14 +124,14 @@
 				text += fmt.Sprintf(`%s{"name":%q,"quota_rps":%d}`, sep, name, rapid.IntRange(0, 2).Draw(t, "rate"))
 				sep = ","
 			}
-			return plateOf(t, fmt.Sprintf(`%s],"group_size":"%d","limits":{"retry_after":%t,"max_retry_after":5},"family_info":{"class_calls":[%t]}}`, text,
+			return decodeConfig(t, fmt.Sprintf(`%s],"group_size":"%d","limits":{"retry_after":%t,"max_retry_after":5},"family_info":{"class_calls":[%t]}}`, text,
 				rapid.IntRange(0, 2).Draw(t, "peers"), rapid.Bool().Draw(t, "back"), rapid.Bool().Draw(t, "calls")))
 		}
 		from, to := draw("from"), draw("to")
-		was := from.Own()
+		was := from.Clone()
 		items, starts := Diff(from, to)
 		assert.Empty(t, starts)
-		_, err := amend(from, items...)
+		_, err := applyItems(from, items...)
 		require.NoError(t, err)
 		for _, pair := range [][2]*Config{{from, to}, {to, from}, {to, to}} {
 			rest, starts := Diff(pair[0], pair[1])
@@ -139,7 +139,7 @@
 			assert.Empty(t, starts)
 		}
 		back, _ := Diff(from, was)
-		_, err = amend(from, back...)
+		_, err = applyItems(from, back...)
 		require.NoError(t, err)
 		rest, _ := Diff(was, from)
 		assert.Empty(t, rest)
@@ -150,9 +150,9 @@
 	})
 }
 
-func TestDifferenceNamesWhatTakesANewStart(t *testing.T) {
-	to := plateOf(t, `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1}],"family_info":{"memory_kb":901},"group_size":31}`)
-	items, starts := Diff(plateOf(t, served), to)
+func TestDiffListsSettingsThatNeedRestart(t *testing.T) {
+	to := decodeConfig(t, `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1}],"family_info":{"memory_kb":901},"group_size":31}`)
+	items, starts := Diff(decodeConfig(t, exampleConfig), to)
 	assert.Equal(t, []string{"family_info.memory_kb", "guarantees.tip_multiple"}, starts)
 	assert.Equal(t, []Item{{Part: Operations, Name: "b"}, {Operations, "a", []byte(`{"aim":100,"effect":"idempotent","give_up":200,"importance":1}`)},
 		{Part: Tenants, Name: "x"}, {Part: Tenants, Name: "y"}, {Limits, "group_size", []byte("31")}, {Part: Limits, Name: "limits.max_retry_after"},
--- a/internal/nodeconfig/names.go
+++ b/internal/nodeconfig/names.go
@@ -18,15 +18,15 @@
 // are split one at a time (linear hashing), so that one more name costs the same however many there are. Of two equal
 // names the one that was put last is found. The zero value is ready.
 type Names struct {
-	pages [][]byte         // names, each behind its length
-	at    []uint32         // by index: page and offset, 0 for an index without a name
-	next  []int32          // by index: the next in its bucket, -1 for none
-	heads []int32          // by bucket: the first index in it, -1 for none
-	rooms map[int][]uint32 // by length: where names were that are removed
-	live  int
+	pages       [][]byte         // names, each behind its length
+	offsets     []uint32         // by index: page and offset, 0 for an index without a name
+	next        []int32          // by index: the next in its bucket, -1 for none
+	bucketHeads []int32          // by bucket: the first index in it, -1 for none
+	freeSlots   map[int][]uint32 // by length: where names were that are removed
+	count       int
 
-	retired map[int32]struct{} // indices whose names are still known, but not in service
-	free    []int32            // indices without a name
+	retired     map[int32]struct{} // indices whose names are still known, but not in service
+	freeIndices []int32            // indices without a name
 }
 
 // NewNames is the index of some names in their order.
@@ -43,7 +43,7 @@
 	if n == nil {
 		return 0
 	}
-	return n.live - len(n.retired)
+	return n.count - len(n.retired)
 }
 
 // Slots is how many indices there are, those whose name was removed included.
@@ -51,15 +51,15 @@
 	if n == nil {
 		return 0
 	}
-	return len(n.at)
+	return len(n.offsets)
 }
 
 // Lookup is the index of a name.
 func (n *Names) Lookup(name string) (int32, bool) {
-	if n == nil || len(n.heads) == 0 {
+	if n == nil || len(n.bucketHeads) == 0 {
 		return 0, false
 	}
-	for i := n.heads[n.bucket(xxhash.Sum64String(name))]; i >= 0; i = n.next[i] {
+	for i := n.bucketHeads[n.bucket(xxhash.Sum64String(name))]; i >= 0; i = n.next[i] {
 		if string(n.text(i)) == name {
 			return i, true
 		}
@@ -97,9 +97,9 @@
 		delete(n.retired, i)
 		return i
 	}
-	i := int32(len(n.at))
-	if last := len(n.free) - 1; last >= 0 {
-		i, n.free = n.free[last], n.free[:last]
+	i := int32(len(n.offsets))
+	if last := len(n.freeIndices) - 1; last >= 0 {
+		i, n.freeIndices = n.freeIndices[last], n.freeIndices[:last]
 	}
 	n.Put(i, name)
 	return i
@@ -107,14 +107,14 @@
 
 // Name is the name of an index, empty where it has none.
 func (n *Names) Name(i int32) string {
-	if n == nil || int(i) >= len(n.at) || i < 0 || n.at[i] == 0 {
+	if n == nil || int(i) >= len(n.offsets) || i < 0 || n.offsets[i] == 0 {
 		return ""
 	}
 	return string(n.text(i))
 }
 
 // Has says whether an index has a name.
-func (n *Names) Has(i int32) bool { return i >= 0 && int(i) < len(n.at) && n.at[i] != 0 }
+func (n *Names) Has(i int32) bool { return i >= 0 && int(i) < len(n.offsets) && n.offsets[i] != 0 }
 
 // All lists the names by index, empty where an index has none.
 func (n *Names) All() []string {
@@ -127,11 +127,11 @@
 
 // Put names an index that has no name. It may be the next one after all there are.
 func (n *Names) Put(i int32, name string) {
-	for int(i) >= len(n.at) {
-		n.at, n.next = append(n.at, 0), append(n.next, -1)
+	for int(i) >= len(n.offsets) {
+		n.offsets, n.next = append(n.offsets, 0), append(n.next, -1)
 	}
-	n.at[i] = n.store(name)
-	if n.live++; n.live > len(n.heads) {
+	n.offsets[i] = n.store(name)
+	if n.count++; n.count > len(n.bucketHeads) {
 		n.split()
 	}
 	n.link(i)
@@ -140,34 +140,34 @@
 // Remove takes the name of an index away; Add may use it again.
 func (n *Names) Remove(i int32) {
 	text := n.text(i)
-	for at := &n.heads[n.bucket(xxhash.Sum64(text))]; *at >= 0; at = &n.next[*at] {
+	for at := &n.bucketHeads[n.bucket(xxhash.Sum64(text))]; *at >= 0; at = &n.next[*at] {
 		if *at == i {
 			*at = n.next[i]
 			break
 		}
 	}
-	if n.rooms == nil {
-		n.rooms = make(map[int][]uint32)
+	if n.freeSlots == nil {
+		n.freeSlots = make(map[int][]uint32)
 	}
-	n.rooms[len(text)] = append(n.rooms[len(text)], n.at[i])
-	n.at[i], n.next[i] = 0, -1
-	n.live--
+	n.freeSlots[len(text)] = append(n.freeSlots[len(text)], n.offsets[i])
+	n.offsets[i], n.next[i] = 0, -1
+	n.count--
 	delete(n.retired, i)
-	n.free = append(n.free, i)
+	n.freeIndices = append(n.freeIndices, i)
 }
 
 // text is a name as it lies in its page.
 func (n *Names) text(i int32) []byte {
-	page := n.pages[n.at[i]>>pageBits][n.at[i]&(pageSize-1):]
+	page := n.pages[n.offsets[i]>>pageBits][n.offsets[i]&(pageSize-1):]
 	length, k := binary.Uvarint(page)
 	return page[k : k+int(length)]
 }
 
 // store puts a name where one of its length was, or behind the last. Where it lies is never 0.
 func (n *Names) store(name string) uint32 {
-	if rooms := n.rooms[len(name)]; len(rooms) > 0 {
+	if rooms := n.freeSlots[len(name)]; len(rooms) > 0 {
 		at := rooms[len(rooms)-1]
-		n.rooms[len(name)] = rooms[:len(rooms)-1]
+		n.freeSlots[len(name)] = rooms[:len(rooms)-1]
 		page := n.pages[at>>pageBits][at&(pageSize-1):]
 		_, k := binary.Uvarint(page)
 		copy(page[k:], name)
@@ -176,7 +176,7 @@
 	need := binary.MaxVarintLen32 + len(name)
 	last := len(n.pages) - 1
 	if last < 0 || len(n.pages[last])+need > cap(n.pages[last]) {
-		size := min(pageSize, max(256, 2*n.room())) // small where names are few
+		size := min(pageSize, max(256, 2*n.capacity())) // small where names are few
 		n.pages = append(n.pages, make([]byte, 1, max(size, 1+need)))
 		last++
 	}
@@ -185,8 +185,8 @@
 	return at
 }
 
-// room is what the pages hold, as far as that is less than one page.
-func (n *Names) room() int {
+// capacity is what the pages hold, as far as that is less than one page.
+func (n *Names) capacity() int {
 	if len(n.pages) > 1 && cap(n.pages[len(n.pages)-1]) >= pageSize {
 		return pageSize
 	}
@@ -199,27 +199,27 @@
 
 // bucket is that of a hash: with b bits for all buckets, those not split yet have one bit less.
 func (n *Names) bucket(hash uint64) uint64 {
-	b := bits.Len(uint(len(n.heads) - 1))
+	b := bits.Len(uint(len(n.bucketHeads) - 1))
 	at := hash & (1<<b - 1)
-	if at >= uint64(len(n.heads)) {
+	if at >= uint64(len(n.bucketHeads)) {
 		at &= 1<<(b-1) - 1
 	}
 	return at
 }
 
 func (n *Names) link(i int32) {
-	head := &n.heads[n.bucket(xxhash.Sum64(n.text(i)))]
+	head := &n.bucketHeads[n.bucket(xxhash.Sum64(n.text(i)))]
 	n.next[i], *head = *head, i
 }
 
 // split adds a bucket and parts one other's chain between both.
 func (n *Names) split() {
-	n.heads = append(n.heads, -1)
-	last := len(n.heads) - 1
+	n.bucketHeads = append(n.bucketHeads, -1)
+	last := len(n.bucketHeads) - 1
 	if last == 0 {
 		return
 	}
-	from := &n.heads[last&^(1<<(bits.Len(uint(last))-1))]
+	from := &n.bucketHeads[last&^(1<<(bits.Len(uint(last))-1))]
 	var chain []int32
 	for i := *from; i >= 0; i = n.next[i] {
 		chain = append(chain, i)
@@ -232,15 +232,15 @@
 
 func (n *Names) clone() *Names {
 	c := *n
-	c.at, c.next, c.heads, c.free = slices.Clone(n.at), slices.Clone(n.next), slices.Clone(n.heads), slices.Clone(n.free)
+	c.offsets, c.next, c.bucketHeads, c.freeIndices = slices.Clone(n.offsets), slices.Clone(n.next), slices.Clone(n.bucketHeads), slices.Clone(n.freeIndices)
 	c.pages = slices.Clone(n.pages)
 	for i, page := range n.pages {
 		c.pages[i] = append(make([]byte, 0, cap(page)), page...)
 	}
 	c.retired = maps.Clone(n.retired)
-	c.rooms = maps.Clone(n.rooms)
-	for length, rooms := range n.rooms {
-		c.rooms[length] = slices.Clone(rooms)
+	c.freeSlots = maps.Clone(n.freeSlots)
+	for length, rooms := range n.freeSlots {
+		c.freeSlots[length] = slices.Clone(rooms)
 	}
 	return &c
 }
--- a/internal/nodeconfig/names_test.go
+++ b/internal/nodeconfig/names_test.go
@@ -10,7 +10,7 @@
 )
 
 // Names do what a map and a list do, whatever is put and removed in whatever order.
-func TestNamesAreAMapAndAList(t *testing.T) {
+func TestNamesMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var n Names
 		want, byIndex := map[string]int32{}, map[int32]string{}
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestNamesOfAnyLength(t *testing.T) {
+func TestNamesStoresNamesOfAnyLength(t *testing.T) {
 	list := []string{"", "a", strings.Repeat("long", 40_000), "b", strings.Repeat("page", pageSize/4-2)}
 	n := NewNames(list...)
 	assert.Equal(t, list, n.All())
@@ -57,7 +57,7 @@
 }
 
 // What a table of the wanted size takes: its names and a dozen bytes for each.
-func TestNamesTakeLittleMoreThanTheirText(t *testing.T) {
+func TestNamesMemoryOverhead(t *testing.T) {
 	var n Names
 	text := 0
 	for i := range int32(130_000) {
@@ -65,13 +65,13 @@
 		text += len(name)
 		n.Put(i, name)
 	}
-	held := 4 * (cap(n.at) + cap(n.next) + cap(n.heads))
+	held := 4 * (cap(n.offsets) + cap(n.next) + cap(n.bucketHeads))
 	for _, page := range n.pages {
 		held += cap(page)
 	}
 	assert.Less(t, held, text+20*n.Len())
 	longest := 0
-	for _, i := range n.heads {
+	for _, i := range n.bucketHeads {
 		long := 0
 		for ; i >= 0; i = n.next[i] {
 			long++
--- a/internal/nodeconfig/nodeconfig.go
+++ b/internal/nodeconfig/nodeconfig.go
@@ -21,7 +21,7 @@
 	Tenants    *Names
 	Gauges     []string
 
-	general map[string]string // settings by path, but for those of operations and tenants
+	nodeSettings map[string]string // settings by path, but for those of operations and tenants
 }
 
 // FromPairs decodes the path=value pairs of a start.
@@ -63,24 +63,24 @@
 	}
 }
 
-// settings are read by path; the first that is malformed is kept as the error.
-type settings struct {
-	values map[string]string
-	under  string // what stands before each path in values
-	told   string // and in errors
-	err    error
+// settingsReader are read by path; the first that is malformed is kept as the error.
+type settingsReader struct {
+	values      map[string]string
+	prefix      string // what stands before each path in values
+	errorPrefix string // and in errors
+	err         error
 }
 
-func (s *settings) fail(path string) {
+func (s *settingsReader) fail(path string) {
 	if s.err == nil {
-		s.err = fmt.Errorf("nodeconfig: %s: malformed value %q", s.told+path, s.text(path))
+		s.err = fmt.Errorf("nodeconfig: %s: malformed value %q", s.errorPrefix+path, s.text(path))
 	}
 }
 
-func (s *settings) text(path string) string { return s.values[s.under+path] }
+func (s *settingsReader) text(path string) string { return s.values[s.prefix+path] }
 
-func (s *settings) number(path string) float64 {
-	v, ok := s.values[s.under+path]
+func (s *settingsReader) float(path string) float64 {
+	v, ok := s.values[s.prefix+path]
 	if !ok || v == "" || v == "-" {
 		return 0
 	}
@@ -92,13 +92,13 @@
 	return n
 }
 
-func (s *settings) time(path string) int64 { return int64(s.number(path) * 1e6) }
+func (s *settingsReader) nanoseconds(path string) int64 { return int64(s.float(path) * 1e6) }
 
-func (s *settings) flag(path string) bool { return s.text(path) == "true" || s.text(path) == "1" }
+func (s *settingsReader) flag(path string) bool { return s.text(path) == "true" || s.text(path) == "1" }
 
 // count is the length of a list; a list announced longer than its items can be is malformed.
-func (s *settings) count(path string) int {
-	n := s.number(path + ".count")
+func (s *settingsReader) count(path string) int {
+	n := s.float(path + ".count")
 	if n < 0 || n > float64(len(s.values)) {
 		s.fail(path + ".count")
 		return 0
@@ -106,20 +106,20 @@
 	return int(n)
 }
 
-// word reads one of the words that a setting may be. Guards against a word of another edition of the settings, which
+// enumValue reads one of the words that a setting may be. Guards against a enumValue of another edition of the settings, which
 // would else be taken for the harmless one: an operation that may not run again for one that may.
-func word[T any](s *settings, path string, words map[string]T) (value T) {
+func enumValue[T any](s *settingsReader, path string, values map[string]T) (value T) {
 	text := s.text(path)
-	value, known := words[text]
+	value, known := values[text]
 	if !known && s.err == nil {
-		may := slices.Sorted(maps.Keys(words))
-		s.err = fmt.Errorf("nodeconfig: %s: %q is not known; it may be %s", s.told+path, text, strings.Join(slices.DeleteFunc(may,
+		allowed := slices.Sorted(maps.Keys(values))
+		s.err = fmt.Errorf("nodeconfig: %s: %q is not known; it may be %s", s.errorPrefix+path, text, strings.Join(slices.DeleteFunc(allowed,
 			func(w string) bool { return w == "" }), ", "))
 	}
 	return value
 }
 
-func (s *settings) list(path string) []string {
+func (s *settingsReader) list(path string) []string {
 	if s.text(path) == "" {
 		return nil
 	}
@@ -128,55 +128,55 @@
 
 // decode decodes settings of which all are in values.
 func decode(seed int64, values map[string]string) (*Config, error) {
-	s := &settings{values: values}
+	s := &settingsReader{values: values}
 	p := &Config{Operations: new(Names), Tenants: new(Names)}
-	p.read(s, seed)
+	p.readNode(s, seed)
 	for i := range s.count("grades") {
-		p.addOperation(s.item("grades." + strconv.Itoa(i) + "."))
-		s.item("")
+		p.addOperation(s.withPrefix("grades." + strconv.Itoa(i) + "."))
+		s.withPrefix("")
 	}
-	p.callsOf(s)
+	p.readDependencyCalls(s)
 	for i := range s.count("tenants") {
-		p.addTenant(s.item("tenants." + strconv.Itoa(i) + "."))
-		s.item("")
+		p.addTenant(s.withPrefix("tenants." + strconv.Itoa(i) + "."))
+		s.withPrefix("")
 	}
 	return p, s.err
 }
 
-// item has paths read under one of an item.
-func (s *settings) item(path string) *settings {
-	s.under, s.told = path, path
+// withPrefix has paths read under one of an withPrefix.
+func (s *settingsReader) withPrefix(path string) *settingsReader {
+	s.prefix, s.errorPrefix = path, path
 	return s
 }
 
 // addOperation adds the operation whose settings are read.
-func (p *Config) addOperation(s *settings) {
+func (p *Config) addOperation(s *settingsReader) {
 	p.Operations.Put(int32(len(p.Node.Operations)), s.text("name"))
 	p.Node.Operations = append(p.Node.Operations, s.operation())
 }
 
 // addTenant adds the tenant whose settings are read.
-func (p *Config) addTenant(s *settings) {
+func (p *Config) addTenant(s *settingsReader) {
 	p.Tenants.Put(int32(len(p.Node.TenantRates)), s.text("name"))
-	p.Node.TenantRates = append(p.Node.TenantRates, s.number("quota_rps"))
+	p.Node.TenantRates = append(p.Node.TenantRates, s.float("quota_rps"))
 }
 
 // operation reads one operation, but for its calls.
-func (s *settings) operation() admission.Operation {
+func (s *settingsReader) operation() admission.Operation {
 	return admission.Operation{
-		LatencyObjective:    s.time("aim"),
-		ObjectivePerWork:    s.number("aim_stretch"),
-		ClientTimeout:       s.time("give_up"),
-		DeduplicationWindow: s.time("window"),
-		PriorityWeight:      s.number("importance"),
-		LateWeightShare:     s.number("late_share"),
-		Idempotency: word(s, "effect", map[string]admission.Idempotency{"idempotent": admission.Idempotent,
+		LatencyObjective:    s.nanoseconds("aim"),
+		ObjectivePerWork:    s.float("aim_stretch"),
+		ClientTimeout:       s.nanoseconds("give_up"),
+		DeduplicationWindow: s.nanoseconds("window"),
+		PriorityWeight:      s.float("importance"),
+		LateWeightShare:     s.float("late_share"),
+		Idempotency: enumValue(s, "effect", map[string]admission.Idempotency{"idempotent": admission.Idempotent,
 			"deduplicated": admission.IdempotentWithKey, "at_most_once": admission.NonIdempotent}),
 	}
 }
 
-// callsOf reads what lists over all operations say: whether each calls, and what its reply is worth without the call.
-func (p *Config) callsOf(s *settings) {
+// readDependencyCalls reads what lists over all operations say: whether each calls, and what its reply is worth without the call.
+func (p *Config) readDependencyCalls(s *settingsReader) {
 	calls, skips := s.list("family_info.class_calls"), s.list("family_info.class_skip_worth")
 	for i := range p.Node.Operations {
 		op := &p.Node.Operations[i]
@@ -191,23 +191,23 @@
 	}
 }
 
-// limitsInto reads the settings that may change while a node serves.
-func (s *settings) limitsInto(n *admission.Config) {
-	n.OverQuotaWeightShare = s.number("over_share_worth")
-	n.Peers = int(s.number("group_size"))
-	n.CallQuota = s.number("family_info.calls_out")
-	n.DrainGrace = s.time("guarantees.drain_grace")
+// readLimits reads the settings that may change while a node serves.
+func (s *settingsReader) readLimits(n *admission.Config) {
+	n.OverQuotaWeightShare = s.float("over_share_worth")
+	n.Peers = int(s.float("group_size"))
+	n.CallQuota = s.float("family_info.calls_out")
+	n.DrainGrace = s.nanoseconds("guarantees.drain_grace")
 	if n.MaxRetryAfter = 0; s.flag("limits.retry_after") {
-		n.MaxRetryAfter = s.time("limits.max_retry_after")
+		n.MaxRetryAfter = s.nanoseconds("limits.max_retry_after")
 	}
 }
 
-// read reads what concerns all of a node.
-func (p *Config) read(s *settings, seed int64) {
-	p.general = make(map[string]string)
+// readNode reads what concerns all of a node.
+func (p *Config) readNode(s *settingsReader, seed int64) {
+	p.nodeSettings = make(map[string]string)
 	for path, value := range s.values {
 		if part, _, _ := strings.Cut(path, "."); part != "grades" && part != "tenants" {
-			p.general[path] = value
+			p.nodeSettings[path] = value
 		}
 	}
 	p.Gauges = s.list("family_info.gauges")
@@ -216,31 +216,31 @@
 		Operations: n.Operations, TenantRates: n.TenantRates,
 		Seed:                 seed,
 		WeightScalesWithWork: s.text("counted_by") == "work",
-		Cores:                max(1, int(s.number("family_info.n_cores"))),
-		MemoryKB:             s.number("family_info.memory_kb"),
-		RunningMemoryFactor:  max(1, s.number("family_info.blowup")),
-		DeduplicationEntryKB: s.number("family_info.entry_kb"),
-		CallQuotaWindow:      s.time("family_info.calls_over"),
-		AbandonedCallTime:    s.time("family_info.linger"),
-		ReadReuseWindow:      s.time("family_info.share_for"),
+		Cores:                max(1, int(s.float("family_info.n_cores"))),
+		MemoryKB:             s.float("family_info.memory_kb"),
+		RunningMemoryFactor:  max(1, s.float("family_info.blowup")),
+		DeduplicationEntryKB: s.float("family_info.entry_kb"),
+		CallQuotaWindow:      s.nanoseconds("family_info.calls_over"),
+		AbandonedCallTime:    s.nanoseconds("family_info.linger"),
+		ReadReuseWindow:      s.nanoseconds("family_info.share_for"),
 		DeepHealthChecks:     s.flag("family_info.full_checks"),
 		RetriesMarked:        s.flag("client_habits.marks_retry"),
 		ColdStart:            s.flag("family_info.just_started"),
-		ColdSpeedShare:       s.number("guarantees.cold_from"),
-		WarmUpTime:           s.time("guarantees.warm_after"),
-		OverloadMultiple:     s.number("guarantees.tip_multiple"),
-		StopSupport: word(s, "family_info.halt", map[string]admission.StopSupport{
+		ColdSpeedShare:       s.float("guarantees.cold_from"),
+		WarmUpTime:           s.nanoseconds("guarantees.warm_after"),
+		OverloadMultiple:     s.float("guarantees.tip_multiple"),
+		StopSupport: enumValue(s, "family_info.halt", map[string]admission.StopSupport{
 			"": admission.StopUnsupported, "off": admission.StopUnsupported, "drop": admission.StopDiscardsProgress, "pause": admission.StopKeepsProgress}),
-		Backpressure: word(s, "family_info.advert", map[string]admission.BackpressureKind{"": admission.NoBackpressure, "off": admission.NoBackpressure,
+		Backpressure: enumValue(s, "family_info.advert", map[string]admission.BackpressureKind{"": admission.NoBackpressure, "off": admission.NoBackpressure,
 			"min_rank": admission.BackpressureLevel, "tokens": admission.BackpressureCredits, "bias": admission.BackpressureWeight}),
-		Dependency: word(s, "family_info.below", map[string]admission.DependencyKind{"": admission.NoDependency, "off": admission.NoDependency,
+		Dependency: enumValue(s, "family_info.below", map[string]admission.DependencyKind{"": admission.NoDependency, "off": admission.NoDependency,
 			"common": admission.SharedDependency, "next_hop": admission.TieredDependency}),
 	}
-	s.limitsInto(n)
+	s.readLimits(n)
 }
 
-// Usable says whether a real node can start from the config, naming the first setting that it misses.
-func (p *Config) Usable() error {
+// Validate says whether a real node can start from the config, naming the first setting that it misses.
+func (p *Config) Validate() error {
 	if p.Operations.Len() == 0 {
 		return errors.New("nodeconfig: grades: no operation")
 	}
@@ -249,7 +249,7 @@
 		if last, _ := p.Operations.Lookup(name); int(last) != i {
 			continue // of two of one name the last holds
 		}
-		if fault := unusable(name, &p.Node.Operations[i]); fault != "" {
+		if fault := operationFault(name, &p.Node.Operations[i]); fault != "" {
 			return fmt.Errorf("nodeconfig: grades.%d: %s", i, fault)
 		}
 	}
@@ -262,8 +262,8 @@
 	return nil
 }
 
-// unusable says what a real node misses in an operation, empty where nothing.
-func unusable(name string, op *admission.Operation) string {
+// operationFault says what a real node misses in an operation, empty where nothing.
+func operationFault(name string, op *admission.Operation) string {
 	switch {
 	case name == "" || op.LatencyObjective <= 0 || op.ClientTimeout <= 0:
 		return "name, aim and give_up must be set"
--- a/internal/nodeconfig/nodeconfig_test.go
+++ b/internal/nodeconfig/nodeconfig_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPairsAndNestedJSONGiveTheSamePlate(t *testing.T) {
+func TestPairsAndJSONDecodeToSameConfig(t *testing.T) {
 	pairs, err := FromPairs(7, []string{"grades.count=2", "grades.0.name=catalogue", "grades.0.aim=1700.0",
 		"grades.0.give_up=4300", "grades.0.effect=at_most_once", "grades.1.effect=idempotent", "grades.1.name=hold", "grades.1.aim=1000", "grades.1.give_up=2600",
 		"family_info.gauges=cpu_busy,runnable", "family_info.class_calls=true,false", "family_info.memory_kb=900",
@@ -20,10 +20,10 @@
 	require.NoError(t, err)
 	assert.Equal(t, pairs, nested)
 	assert.True(t, nested.Node.Operations[0].CallsDependency)
-	assert.NoError(t, nested.Usable())
+	assert.NoError(t, nested.Validate())
 }
 
-func TestMalformedSettingsAreNamed(t *testing.T) {
+func TestMalformedSettingsAreReported(t *testing.T) {
 	for text, field := range map[string]string{`{"family_info":{"memory_kb":"x"}}`: "family_info.memory_kb",
 		`{"grades":{"count":99}}`: "grades.count", `[`: "nodeconfig",
 		`{"grades":[{"name":"a","effect":"idempotent"},{"name":"b","effect":"twice"}]}`: `grades.1.effect: "twice" is not known; it may be at_most_once, deduplicated, idempotent`,
@@ -36,8 +36,8 @@
 	}
 	p, err := FromJSON(1, []byte(`{}`))
 	require.NoError(t, err)
-	assert.ErrorContains(t, p.Usable(), "grades")
+	assert.ErrorContains(t, p.Validate(), "grades")
 	p, err = FromJSON(1, []byte(`{"grades":[{"name":"a","aim":1,"give_up":2,"effect":"deduplicated"}]}`))
 	require.NoError(t, err)
-	assert.ErrorContains(t, p.Usable(), "grades.0: window")
+	assert.ErrorContains(t, p.Validate(), "grades.0: window")
 }
--- a/internal/nodeconfig/stream.go
+++ b/internal/nodeconfig/stream.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const nestMost = 64 // objects and lists within one another: guards against a file that only nests
+const maxNesting = 64 // objects and lists within one another: guards against a file that only nests
 
 // FromJSON decodes the same settings as one nested object.
 func FromJSON(seed int64, object []byte) (*Config, error) {
@@ -27,106 +27,106 @@
 // one item of a list of operations or tenants at a time. The digest is that of what was read, however it was spaced and
 // in whatever order keys came.
 func Decode(seed int64, d *json.Decoder) (p *Config, digest uint64, err error) {
-	return (&stream{d: d}).decode(seed)
+	return (&streamDecoder{tokens: d}).decode(seed)
 }
 
-// DecodeLight decodes as Decode does, with the same errors and the same digest, and keeps no list of tenants: for one who only
+// DecodeWithoutTenants decodes as Decode does, with the same errors and the same digest, and keeps no list of tenants: for one who only
 // wants to know whether a file is usable and whether it differs, beside a config that is held already.
-func DecodeLight(seed int64, d *json.Decoder) (p *Config, digest uint64, err error) {
-	return (&stream{d: d, light: true}).decode(seed)
+func DecodeWithoutTenants(seed int64, d *json.Decoder) (p *Config, digest uint64, err error) {
+	return (&streamDecoder{tokens: d, skipTenants: true}).decode(seed)
 }
 
-func (w *stream) decode(seed int64) (p *Config, digest uint64, err error) {
+func (w *streamDecoder) decode(seed int64) (p *Config, digest uint64, err error) {
 	w.config, w.hash = &Config{Operations: new(Names), Tenants: new(Names)}, xxhash.New()
-	w.flat, w.rest = make(map[string]string), make(map[string]any)
-	if err := w.object(); err != nil {
+	w.itemValues, w.otherSettings = make(map[string]string), make(map[string]any)
+	if err := w.decodeObject(); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return nil, 0, fmt.Errorf("nodeconfig: byte %d: %w", w.d.InputOffset(), err)
+		return nil, 0, fmt.Errorf("nodeconfig: byte %d: %w", w.tokens.InputOffset(), err)
 	}
-	return w.end(seed)
+	return w.finish(seed)
 }
 
-// stream is the state of a decoding.
-type stream struct {
-	d                   *json.Decoder
-	light               bool // tenants are read and not kept
+// streamDecoder is the state of a decoding.
+type streamDecoder struct {
+	tokens              *json.Decoder
+	skipTenants         bool // tenants are read and not kept
 	config              *Config
 	hash                *xxhash.Digest
-	rest                map[string]any    // of the object, but for lists of operations and tenants
-	flat                map[string]string // of the item in hand
-	paths               []string          // room for its paths in order
-	operations, tenants list
+	otherSettings       map[string]any    // of the object, but for lists of operations and tenants
+	itemValues          map[string]string // of the item in hand
+	sortedPaths         []string          // room for its paths in order
+	operations, tenants listState
 }
 
-// list is what was read of operations or tenants.
-type list struct {
+// listState is what was read of operations or tenants.
+type listState struct {
 	seen   bool   // as a list, by which it is counted
 	digest uint64 // of its items
 	err    error  // the first in an item
 }
 
-func (w *stream) object() error {
-	tok, err := w.d.Token()
+func (w *streamDecoder) decodeObject() error {
+	tok, err := w.tokens.Token()
 	if err != nil || tok == nil {
 		return err
 	}
 	if tok != json.Delim('{') {
 		return fmt.Errorf("settings are an object, not %v", tok)
 	}
-	for w.d.More() {
-		tok, err := w.d.Token()
+	for w.tokens.More() {
+		tok, err := w.tokens.Token()
 		if err != nil {
 			return err
 		}
 		key := tok.(string)
-		if tok, err = w.d.Token(); err != nil {
+		if tok, err = w.tokens.Token(); err != nil {
 			return err
 		}
 		switch key { // of two of one key the last holds
 		case "grades":
-			w.operations, w.config.Operations, w.config.Node.Operations = list{}, new(Names), nil
+			w.operations, w.config.Operations, w.config.Node.Operations = listState{}, new(Names), nil
 		case "tenants":
-			w.tenants, w.config.Tenants, w.config.Node.TenantRates = list{}, new(Names), nil
+			w.tenants, w.config.Tenants, w.config.Node.TenantRates = listState{}, new(Names), nil
 		}
-		delete(w.rest, key)
+		delete(w.otherSettings, key)
 		switch {
 		case key == "grades" && tok == json.Delim('['):
-			err = w.list(key, &w.operations, w.config.addOperation)
+			err = w.decodeList(key, &w.operations, w.config.addOperation)
 		case key == "tenants" && tok == json.Delim('['):
 			add := w.config.addTenant
-			if w.light {
-				add = func(s *settings) { s.number("quota_rps") }
+			if w.skipTenants {
+				add = func(s *settingsReader) { s.float("quota_rps") }
 			}
-			err = w.list(key, &w.tenants, add)
+			err = w.decodeList(key, &w.tenants, add)
 		default:
-			w.rest[key], err = w.tree(tok, nestMost)
+			w.otherSettings[key], err = w.decodeTree(tok, maxNesting)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	_, err = w.d.Token()
+	_, err = w.tokens.Token()
 	return err
 }
 
-// list adds the items of a list; plain values before an object count as items without settings, those after the last
+// decodeList adds the items of a decodeList; plain values before an object count as items without settings, those after the last
 // object don't count.
-func (w *stream) list(key string, l *list, add func(*settings)) error {
+func (w *streamDecoder) decodeList(key string, l *listState, add func(*settingsReader)) error {
 	l.seen = true
 	plain, i := 0, 0
-	item := &settings{values: w.flat}
+	item := &settingsReader{values: w.itemValues}
 	next := func() {
-		item.told = key + "." + strconv.Itoa(i) + "."
+		item.errorPrefix = key + "." + strconv.Itoa(i) + "."
 		add(item)
-		l.digest = l.digest*31 + w.digestOf(w.flat)
-		clear(w.flat)
+		l.digest = l.digest*31 + w.digestOf(w.itemValues)
+		clear(w.itemValues)
 		i++
 	}
-	for w.d.More() {
+	for w.tokens.More() {
 		var tree any
-		if err := w.d.Decode(&tree); err != nil {
+		if err := w.tokens.Decode(&tree); err != nil {
 			return err
 		}
 		if _, object := tree.(map[string]any); !object {
@@ -136,73 +136,73 @@
 		for ; plain > 0; plain-- {
 			next()
 		}
-		flatten(w.flat, "", tree)
+		flatten(w.itemValues, "", tree)
 		next()
 	}
 	l.err = item.err
-	_, err := w.d.Token()
+	_, err := w.tokens.Token()
 	return err
 }
 
-// tree reads the value that a token begins.
-func (w *stream) tree(tok json.Token, deep int) (any, error) {
+// decodeTree reads the value that a token begins.
+func (w *streamDecoder) decodeTree(tok json.Token, deep int) (any, error) {
 	if deep == 0 {
-		return nil, fmt.Errorf("more than %d objects and lists within one another", nestMost)
+		return nil, fmt.Errorf("more than %d objects and lists within one another", maxNesting)
 	}
 	switch tok {
 	case json.Delim('{'):
 		object := make(map[string]any)
-		for w.d.More() {
-			key, err := w.d.Token()
+		for w.tokens.More() {
+			key, err := w.tokens.Token()
 			if err != nil {
 				return nil, err
 			}
-			if tok, err = w.d.Token(); err != nil {
+			if tok, err = w.tokens.Token(); err != nil {
 				return nil, err
 			}
-			if object[key.(string)], err = w.tree(tok, deep-1); err != nil {
+			if object[key.(string)], err = w.decodeTree(tok, deep-1); err != nil {
 				return nil, err
 			}
 		}
-		_, err := w.d.Token()
+		_, err := w.tokens.Token()
 		return object, err
 	case json.Delim('['):
 		var list []any
-		for w.d.More() {
-			tok, err := w.d.Token()
+		for w.tokens.More() {
+			tok, err := w.tokens.Token()
 			if err != nil {
 				return nil, err
 			}
-			sub, err := w.tree(tok, deep-1)
+			sub, err := w.decodeTree(tok, deep-1)
 			if err != nil {
 				return nil, err
 			}
 			list = append(list, sub)
 		}
-		_, err := w.d.Token()
+		_, err := w.tokens.Token()
 		return append([]any{}, list...), err
 	}
 	return tok, nil
 }
 
-// end decodes the rest, once all was read.
-func (w *stream) end(seed int64) (*Config, uint64, error) {
+// finish decodes the rest, once all was read.
+func (w *streamDecoder) finish(seed int64) (*Config, uint64, error) {
 	values := make(map[string]string)
-	flatten(values, "", w.rest)
-	p, s := w.config, &settings{values: values}
-	p.read(s, seed)
+	flatten(values, "", w.otherSettings)
+	p, s := w.config, &settingsReader{values: values}
+	p.readNode(s, seed)
 	errs := []error{s.err}
 	if !w.operations.seen { // they may be told by their paths, as pairs are
 		for i := range s.count("grades") {
-			p.addOperation(s.item("grades." + strconv.Itoa(i) + "."))
-			s.item("")
+			p.addOperation(s.withPrefix("grades." + strconv.Itoa(i) + "."))
+			s.withPrefix("")
 		}
 	}
-	p.callsOf(s)
+	p.readDependencyCalls(s)
 	if !w.tenants.seen {
 		for i := range s.count("tenants") {
-			p.addTenant(s.item("tenants." + strconv.Itoa(i) + "."))
-			s.item("")
+			p.addTenant(s.withPrefix("tenants." + strconv.Itoa(i) + "."))
+			s.withPrefix("")
 		}
 	}
 	for _, err := range append(errs, w.operations.err, w.tenants.err, s.err) {
@@ -214,11 +214,11 @@
 }
 
 // digestOf is the digest of settings by path.
-func (w *stream) digestOf(values map[string]string) uint64 {
+func (w *streamDecoder) digestOf(values map[string]string) uint64 {
 	w.hash.Reset()
-	w.paths = slices.AppendSeq(w.paths[:0], maps.Keys(values))
-	slices.Sort(w.paths)
-	for _, path := range w.paths {
+	w.sortedPaths = slices.AppendSeq(w.sortedPaths[:0], maps.Keys(values))
+	slices.Sort(w.sortedPaths)
+	for _, path := range w.sortedPaths {
 		w.hash.WriteString(path)
 		w.hash.WriteString("=")
 		w.hash.WriteString(values[path])
--- a/internal/nodeconfig/stream_test.go
+++ b/internal/nodeconfig/stream_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// whole decodes settings as it was done before they were read as a stream: all of them by their paths.
-func whole(seed int64, object []byte) (*Config, error) {
+// decodeFromPaths decodes settings as it was done before they were read as a stream: all of them by their paths.
+func decodeFromPaths(seed int64, object []byte) (*Config, error) {
 	var tree map[string]any
 	d := json.NewDecoder(strings.NewReader(string(object)))
 	d.UseNumber()
@@ -26,7 +26,7 @@
 }
 
 // A stream gives the config that paths give, in whatever shape the lists come, and refuses what they refuse.
-func TestStreamGivesWhatPathsGive(t *testing.T) {
+func TestStreamDecodeMatchesPathDecode(t *testing.T) {
 	plain := []string{`"x"`, `3`, `true`, `null`, `[]`, `[{"name":"deep"}]`}
 	effects := []string{"idempotent", "deduplicated", "at_most_once", "idempotent", "idempotent", "idempotent", "twice"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,9 +59,9 @@
 			}
 		}
 		text := []byte("{" + strings.Join(rapid.Permutation(parts).Draw(t, "order"), ",\n") + "}")
-		want, wrong := whole(3, text)
-		got, digest, err := Decode(3, numbers(text))
-		light, same, err2 := DecodeLight(3, numbers(text))
+		want, wrong := decodeFromPaths(3, text)
+		got, digest, err := Decode(3, newNumberDecoder(text))
+		light, same, err2 := DecodeWithoutTenants(3, newNumberDecoder(text))
 		if wrong != nil {
 			assert.Error(t, err, string(text))
 			assert.Equal(t, err, err2, "light or not, a fault is named alike")
@@ -78,13 +78,13 @@
 	})
 }
 
-func numbers(text []byte) *json.Decoder {
+func newNumberDecoder(text []byte) *json.Decoder {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	return d
 }
 
-func TestStreamNamesThePlaceOfAFault(t *testing.T) {
+func TestStreamDecodeReportsPosition(t *testing.T) {
 	for text, want := range map[string]string{`{"tenants":[{"name":"a"},{"name":"b","quota_rps":"x"}]}`: `tenants.1.quota_rps: malformed value "x"`,
 		`{"tenants":[{"name":"a"}`: "unexpected EOF", `{"tenants":[{"name":"a"},]}`: "byte 2", `[]`: "an object",
 		`{"a":` + strings.Repeat("[", 100): "within one another"} {
--- a/internal/resultcache/cacheconfig/cacheconfig.go
+++ b/internal/resultcache/cacheconfig/cacheconfig.go
@@ -58,7 +58,7 @@
 	}
 	config := defaultForFile(operations, memoryMB)
 	if config == nil {
-		return nil, configfile.Problems{file.At(nil, "keeps results where no operation is tokened",
+		return nil, configfile.ProblemErrors{file.At(nil, "keeps results where no operation is tokened",
 			"leave the file out, or give an operation the effect \"deduplicated\" and a window")}
 	}
 	content.applyTo(config, file.Path)
--- a/internal/resultcache/cacheconfig/problems.go
+++ b/internal/resultcache/cacheconfig/problems.go
@@ -16,7 +16,7 @@
 var invocationFields = []string{"op", "call", "recv", "src", "org", "ttl", "rep", "work", "heap", "crit", "row"}
 
 // problems are what is wrong with the configuration of a file.
-func (c *Config) problems(file *configfile.File, memoryMB int) (problems configfile.Problems) {
+func (c *Config) problems(file *configfile.File, memoryMB int) (problems configfile.ProblemErrors) {
 	report := func(field, what, mend string) {
 		problems = append(problems, file.At([]string{field}, what, mend))
 	}
--- a/server/config.go
+++ b/server/config.go
@@ -118,7 +118,9 @@
 
 // DecodeReload reads a configuration for Reload, with the errors of DecodeConfig. It keeps no list of tenants: a node that
 // serves holds its own, and a second one beside it would be a third of what the configuration takes.
-func DecodeReload(from io.Reader) (*Config, error) { return decodeConfig(from, nodeconfig.DecodeLight) }
+func DecodeReload(from io.Reader) (*Config, error) {
+	return decodeConfig(from, nodeconfig.DecodeWithoutTenants)
+}
 
 func decodeConfig(from io.Reader, settings func(int64, *json.Decoder) (*nodeconfig.Config, uint64, error)) (*Config, error) {
 	var f file
@@ -155,7 +157,7 @@
 		return nil, fmt.Errorf("configuration: settings: missing")
 	}
 	read.Node.Seed = int64(seed)
-	if err := read.Usable(); err != nil {
+	if err := read.Validate(); err != nil {
 		return nil, fmt.Errorf("configuration: settings: %w", err)
 	}
 	if f.Catalog == "" && read.Node.Dependency != admission.NoDependency {
