--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -11,37 +11,37 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// claimed are the commands about claims of tokens.
-type claimed struct {
+// claimsCommands are the commands about claims of tokens.
+type claimsCommands struct {
 	List claimsList `cmd:"" default:"withargs" help:"Print what a node knows of claims: counters, and the table where it has a seat in the council."`
 	Show claimsShow `cmd:"" help:"Print the claim of one token."`
 }
 
-type claimsAt struct {
+type claimsTarget struct {
 	Address string `arg:"" help:"Where the node hears its peers."`
 	Fleet   string `help:"Name of the fleet." required:"" env:"TOPAZPOST_FLEET_NAME"`
 }
 
 type claimsList struct {
-	claimsAt
+	claimsTarget
 	JSON bool `help:"Print all as one object."`
 }
 
 type claimsShow struct {
-	claimsAt
+	claimsTarget
 	Token string `arg:"" help:"The token."`
 }
 
-func (c *claimsAt) look() (*consensus.Summary, error) {
+func (c *claimsTarget) query() (*consensus.Summary, error) {
 	var p consensus.Summary
-	if err := lookInto(c.Fleet, c.Address, membership.LookClaims, &p); err != nil {
+	if err := queryInto(c.Fleet, c.Address, membership.LookClaims, &p); err != nil {
 		return nil, fmt.Errorf("%w; a node without a council shows no claims", err)
 	}
 	return &p, nil
 }
 
-// shownClaim is a claim as it is printed.
-type shownClaim struct {
+// claimRow is a claim as it is printed.
+type claimRow struct {
 	Operation string `json:"operation"`
 	Token     string `json:"token"`
 	State     string `json:"state"`
@@ -52,14 +52,14 @@
 	Call      string `json:"call"`
 }
 
-func shown(p *consensus.Summary) (list []shownClaim) {
+func claimRows(p *consensus.Summary) (list []claimRow) {
 	for _, e := range p.Claims {
-		list = append(list, shownClaim{e.Key.Operation, e.Key.Token, claims.StateNames[e.State], e.Owner.Name, e.Fence, (e.ExpiresAt - p.Time) / 1e6, e.Reassigned, e.InvocationID})
+		list = append(list, claimRow{e.Key.Operation, e.Key.Token, claims.StateNames[e.State], e.Owner.Name, e.Fence, (e.ExpiresAt - p.Time) / 1e6, e.Reassigned, e.InvocationID})
 	}
 	return list
 }
 
-func table(list []shownClaim) error {
+func printClaims(list []claimRow) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "operation\ttoken\tstate\towner\tfence\tleft s\ttaken over\tcall")
 	for _, c := range list {
@@ -70,15 +70,15 @@
 
 // Run prints what a node knows.
 func (c *claimsList) Run() error {
-	p, err := c.look()
+	p, err := c.query()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(struct {
 			*consensus.Summary
-			Claims []shownClaim `json:"table_of_claims"`
-		}{p, shown(p)})
+			Claims []claimRow `json:"table_of_claims"`
+		}{p, claimRows(p)})
 	}
 	if d := p.Client; d != nil {
 		fmt.Printf("%s: council in reach %t, %d claims in hand; claimed %d, joined elsewhere %d, kept %d, unknown %d, taken over %d, refused by fence %d\n",
@@ -94,17 +94,17 @@
 	}
 	fmt.Printf("seat in the council, led by %s: %d claims, %d kB; taken over %d, unknown %d, settled %d, refused by fence %d\n", leader, p.Entries,
 		p.Bytes>>10, p.Table.Reassigned, p.Table.Unknown, p.Table.Resolved, p.Table.Fenced)
-	return table(shown(p))
+	return printClaims(claimRows(p))
 }
 
 // Run prints one claim.
 func (c *claimsShow) Run() error {
-	p, err := c.look()
+	p, err := c.query()
 	if err != nil {
 		return err
 	}
-	var found []shownClaim
-	for _, s := range shown(p) {
+	var found []claimRow
+	for _, s := range claimRows(p) {
 		if s.Token == c.Token {
 			found = append(found, s)
 		}
@@ -112,5 +112,5 @@
 	if len(found) == 0 {
 		return fmt.Errorf("%s shows no claim of the token %q, of %d in its table; ask a node with a seat in the council", p.Node, c.Token, p.Entries)
 	}
-	return table(found)
+	return printClaims(found)
 }
--- a/cmd/topazpost/config.go
+++ b/cmd/topazpost/config.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	putPiece  = 48 << 10               // bytes of changes in one order: a seat checks it within some milliseconds
-	putItems  = 400                    // changes in one order
-	againIn   = 150 * time.Millisecond // to the next try at a seat
-	lookEvery = 250 * time.Millisecond // between looks at who has a version
-	shownOnce = 10                     // nodes or items that are named before the rest is counted
+	maxProposalBytes   = 48 << 10               // bytes of changes in one order: a seat checks it within some milliseconds
+	maxProposalItems   = 400                    // changes in one order
+	proposeBackoff     = 150 * time.Millisecond // to the next try at a seat
+	statusPollInterval = 250 * time.Millisecond // between looks at who has a version
+	maxListedNames     = 10                     // nodes or items that are named before the rest is counted
 )
 
-var errConfig = errors.New("not done")
+var errNotInForce = errors.New("not done")
 
-// configs are the commands about the configuration that a fleet takes in service.
-type configs struct {
+// configCommands are the commands about the configuration that a fleet takes in service.
+type configCommands struct {
 	Put      configPut      `cmd:"" help:"Put a whole file, or some changes, as a new version; wait until it is in force."`
 	Show     configShow     `cmd:"" help:"Print what is in force at a node, or at a seat what is agreed on."`
 	Diff     configDiff     `cmd:"" help:"Say where a file differs from what is agreed on."`
@@ -44,13 +44,13 @@
 	Rollback configRollback `cmd:"" help:"Make a new version of what an older one came to, in force for all at once."`
 }
 
-type configAt struct {
+type configTarget struct {
 	Addresses []string `help:"Where nodes or seats hear peers; more are tried in turn." name:"at" required:"" env:"TOPAZPOST_PEERS" placeholder:"ADDRESS"`
 	Fleet     string   `help:"Name of the fleet." required:"" env:"TOPAZPOST_FLEET_NAME"`
 	JSON      bool     `help:"Print one object."`
 }
 
-type configChange struct {
+type changeOptions struct {
 	Request string        `help:"Name of this change, with which the command may be repeated: the same one counts once. Drawn without it." placeholder:"NAME"`
 	Wait    bool          `help:"Wait until it is in force at every node in reach, or stopped."`
 	Within  time.Duration `help:"How long to try, and to wait." default:"60s"`
@@ -59,32 +59,32 @@
 type configPut struct {
 	File string  `arg:"" help:"A node's whole file, or {operations: {NAME: {...} or null}, tenants: {...}, limits: {...}}; JSON or Jsonnet." type:"path"`
 	Base *uint64 `help:"Version that it was made on; the newest that seats agreed on without it." placeholder:"VERSION"`
-	configAt
-	configChange
+	configTarget
+	changeOptions
 }
 
 type configShow struct {
 	Part   string `help:"Only operations, tenants or limits." enum:",operations,tenants,limits" default:""`
 	Name   string `help:"Only this item."`
 	Newest bool   `help:"What was agreed on last, in force or not; asks a seat."`
-	configAt
+	configTarget
 }
 
 type configDiff struct {
 	File string `arg:"" help:"As that of put." type:"path"`
-	configAt
+	configTarget
 }
 
-type configStatus struct{ configAt }
+type configStatus struct{ configTarget }
 
 type configRollback struct {
 	Version uint64 `arg:"" help:"Version whose content is to be in force again."`
-	configAt
-	configChange
+	configTarget
+	changeOptions
 }
 
-// question asks one node.
-func (c *configAt) question(address string, q *configsync.Query) (*configsync.Answer, error) {
+// query asks one node.
+func (c *configTarget) query(address string, q *configsync.Query) (*configsync.Answer, error) {
 	name := envelope.FleetOf(c.Fleet)
 	ask, err := envelope.Seal(nil, name, node.EncodeConfigQuery(q))
 	if err != nil {
@@ -104,11 +104,11 @@
 	return a, nil
 }
 
-// any asks the addresses in turn until one answers.
-func (c *configAt) any(q *configsync.Query) (a *configsync.Answer, err error) {
+// queryAny asks the addresses in turn until one answers.
+func (c *configTarget) queryAny(q *configsync.Query) (a *configsync.Answer, err error) {
 	for _, address := range c.Addresses {
 		var wrong error
-		if a, wrong = c.question(address, q); wrong == nil {
+		if a, wrong = c.query(address, q); wrong == nil {
 			return a, nil
 		}
 		err = errors.Join(err, wrong)
@@ -116,9 +116,9 @@
 	return nil, err
 }
 
-// seats are where seats hear, of any node that answers; without one the addresses that were given.
-func (c *configAt) seats() (addresses []string) {
-	if a, err := c.any(&configsync.Query{Kind: configsync.ShowStanding}); err == nil {
+// replicaAddresses are where replicaAddresses hear, of any node that answers; without one the addresses that were given.
+func (c *configTarget) replicaAddresses() (addresses []string) {
+	if a, err := c.queryAny(&configsync.Query{Kind: configsync.ShowStanding}); err == nil {
 		for _, s := range a.Seats {
 			if s.Address != "" {
 				addresses = append(addresses, s.Address)
@@ -131,15 +131,15 @@
 	return addresses
 }
 
-// agreed asks all seats, and gives what they know, the one that knows the newest first.
-func (c *configAt) agreed() (list []*configsync.Answer, at []string, err error) {
+// queryReplicas asks all seats, and gives what they know, the one that knows the newest first.
+func (c *configTarget) queryReplicas() (list []*configsync.Answer, at []string, err error) {
 	type known struct {
 		a       *configsync.Answer
 		address string
 	}
 	var all []known
-	for _, address := range c.seats() {
-		a, wrong := c.question(address, &configsync.Query{Kind: configsync.ShowStanding})
+	for _, address := range c.replicaAddresses() {
+		a, wrong := c.query(address, &configsync.Query{Kind: configsync.ShowStanding})
 		if wrong == nil && a.Seat != nil {
 			all = append(all, known{a, address})
 		} else {
@@ -156,12 +156,12 @@
 	return list, at, nil
 }
 
-// content reads a whole content of a node, again from the first where it changes meanwhile.
-func (c *configAt) content(address string, which int) (mark configsync.Revision, content *configsync.Content, err error) {
+// readContent reads a whole readContent of a node, again from the first where it changes meanwhile.
+func (c *configTarget) readContent(address string, which int) (mark configsync.Revision, readContent *configsync.Content, err error) {
 	for range 5 {
 		var blocks []configsync.Block
 		for from := 0; ; {
-			a, err := c.question(address, &configsync.Query{Kind: configsync.ReadBlocks, Which: which, From: from})
+			a, err := c.query(address, &configsync.Query{Kind: configsync.ReadBlocks, Which: which, From: from})
 			if err != nil {
 				return mark, nil, err
 			} else if a.Why != "" {
@@ -172,18 +172,18 @@
 			}
 			mark, blocks = a.Mark, append(blocks, a.Blocks...)
 			if from = a.Next; from == 0 {
-				if content = configsync.FromBlocks(blocks, mark.Digest); content == nil {
+				if readContent = configsync.FromBlocks(blocks, mark.Digest); readContent == nil {
 					return mark, nil, fmt.Errorf("%s: what it told doesn't come to its digest", address)
 				}
-				return mark, content, nil
+				return mark, readContent, nil
 			}
 		}
 	}
 	return mark, nil, fmt.Errorf("%s: versions change faster than they can be read", address)
 }
 
-// wanted reads a file: a whole one, or changes.
-func wanted(path string) (changes []configsync.Item, whole bool, err error) {
+// readChanges reads a file: a whole one, or changes.
+func readChanges(path string) (changes []configsync.Item, whole bool, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, false, err
@@ -269,23 +269,23 @@
 	}
 }
 
-// order has a command ordered, at one seat after the other until there is a verdict.
-func (c *configAt) order(at []string, command *configsync.Command, end time.Time) (*configsync.Verdict, error) {
+// propose has a command ordered, at one seat after the other until there is a verdict.
+func (c *configTarget) propose(at []string, command *configsync.Command, end time.Time) (*configsync.Verdict, error) {
 	err := errors.New("no time was given")
 	for k := 0; time.Now().Before(end); k++ {
 		var a *configsync.Answer
-		a, err = c.question(at[k%len(at)], &configsync.Query{Kind: configsync.Propose, Command: command})
+		a, err = c.query(at[k%len(at)], &configsync.Query{Kind: configsync.Propose, Command: command})
 		if err == nil && a.Verdict != nil {
 			return a.Verdict, nil
 		} else if err == nil {
 			err = fmt.Errorf("%s: %s", at[k%len(at)], a.Why)
 		}
-		time.Sleep(againIn)
+		time.Sleep(proposeBackoff)
 	}
 	return nil, fmt.Errorf("no verdict in time, so it isn't known whether it is agreed on; repeat the command with --request %s: %w", command.From, err)
 }
 
-func (c *configChange) request() string {
+func (c *changeOptions) requestID() string {
 	if c.Request == "" {
 		b := make([]byte, 8)
 		rand.Read(b)
@@ -294,8 +294,8 @@
 	return c.Request
 }
 
-// outcome is what put and rollback print.
-type outcome struct {
+// changeOutcome is what put and rollback print.
+type changeOutcome struct {
 	Done    bool     `json:"done"`
 	Version uint64   `json:"version"`
 	Changes int      `json:"changes"`
@@ -308,10 +308,10 @@
 	Request string   `json:"request"`
 }
 
-// end prints an outcome, and waits where that is asked for.
-func (c *configChange) end(at *configAt, o *outcome, end time.Time) error {
+// finish prints an outcome, and waits where that is asked for.
+func (c *changeOptions) finish(at *configTarget, o *changeOutcome, finish time.Time) error {
 	if o.Done && c.Wait {
-		at.await(o, end)
+		at.awaitInForce(o, finish)
 	}
 	failed := !o.Done || o.InForce != nil && !*o.InForce
 	if at.JSON {
@@ -322,12 +322,12 @@
 		o.print()
 	}
 	if failed {
-		return errConfig
+		return errNotInForce
 	}
 	return nil
 }
 
-func (o *outcome) print() {
+func (o *changeOutcome) print() {
 	switch {
 	case !o.Done:
 		fmt.Println("refused:", o.Refused)
@@ -350,24 +350,24 @@
 	case o.InForce != nil && *o.InForce:
 		fmt.Println("in force at every node in reach")
 	case o.InForce != nil:
-		fmt.Println("not yet in force, as far as seats know, at:", some(o.Missing))
+		fmt.Println("not yet in force, as far as seats know, at:", joinNames(o.Missing))
 	}
 }
 
-func some(names []string) string {
-	if len(names) > shownOnce {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:shownOnce], ", "), len(names)-shownOnce)
+func joinNames(names []string) string {
+	if len(names) > maxListedNames {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxListedNames], ", "), len(names)-maxListedNames)
 	}
 	return strings.Join(names, ", ")
 }
 
-// await waits until a version, or a later one, is in force at every member that a seat's view holds.
-func (c *configAt) await(o *outcome, end time.Time) {
-	for done := false; ; time.Sleep(lookEvery) {
+// awaitInForce waits until a version, or a later one, is in force at every member that a seat's view holds.
+func (c *configTarget) awaitInForce(o *changeOutcome, end time.Time) {
+	for done := false; ; time.Sleep(statusPollInterval) {
 		o.InForce = &done
-		if list, _, err := c.agreed(); err == nil {
+		if list, _, err := c.queryReplicas(); err == nil {
 			head := list[0].Seat.Head
-			has := newest(list)
+			has := latestStatuses(list)
 			o.Missing = nil
 			for _, name := range list[0].Seat.Alive {
 				if has[name].Mark.Version < o.Version {
@@ -388,8 +388,8 @@
 	}
 }
 
-// newest is what each node reported last, to whichever seat.
-func newest(list []*configsync.Answer) map[string]configsync.NodeStatus {
+// latestStatuses is what each node reported last, to whichever seat.
+func latestStatuses(list []*configsync.Answer) map[string]configsync.NodeStatus {
 	has := map[string]configsync.NodeStatus{}
 	for _, a := range list {
 		for _, s := range a.Seat.Nodes {
@@ -409,19 +409,19 @@
 // Run puts a file.
 func (c *configPut) Run() error {
 	end := time.Now().Add(c.Within)
-	items, whole, err := wanted(c.File)
+	items, whole, err := readChanges(c.File)
 	if err != nil {
 		return err
 	}
-	list, at, err := c.agreed()
+	list, at, err := c.queryReplicas()
 	for err != nil && time.Now().Before(end) {
-		time.Sleep(againIn)
-		list, at, err = c.agreed()
+		time.Sleep(proposeBackoff)
+		list, at, err = c.queryReplicas()
 	}
 	if err != nil {
 		return err
 	}
-	mark, content, err := c.content(at[0], configsync.Newest)
+	mark, content, err := c.readContent(at[0], configsync.Newest)
 	if err != nil {
 		return err
 	}
@@ -435,21 +435,21 @@
 			return err
 		}
 	}
-	o := &outcome{Done: true, Version: mark.Version, Changes: len(changes), Request: c.request()}
+	o := &changeOutcome{Done: true, Version: mark.Version, Changes: len(changes), Request: c.requestID()}
 	if mark.Version == 0 && !whole {
 		o.Done, o.Refused = false, "nothing was ever put, and changes need something to change: put a node's whole file first"
-		return c.end(&c.configAt, o, end)
+		return c.finish(&c.configTarget, o, end)
 	}
 	if len(changes) == 0 {
-		return c.end(&c.configAt, o, end)
+		return c.finish(&c.configTarget, o, end)
 	}
 	from := uint64(0) // a council that forgot goes on above what nodes have
-	for _, s := range newest(list) {
+	for _, s := range latestStatuses(list) {
 		from = max(from, s.Mark.Version)
 	}
-	for _, command := range pieces(changes) {
+	for _, command := range splitProposals(changes) {
 		command.Kind, command.From, command.Base, command.Version, command.Wall = configsync.Put, o.Request, base, from, time.Now().UnixNano()
-		v, err := c.order(at, &command, end)
+		v, err := c.propose(at, &command, end)
 		if err != nil {
 			return err
 		}
@@ -461,14 +461,14 @@
 			break
 		}
 	}
-	return c.end(&c.configAt, o, end)
+	return c.finish(&c.configTarget, o, end)
 }
 
-// pieces are the orders of a change.
-func pieces(changes []configsync.Item) (list []configsync.Command) {
+// splitProposals are the orders of a change.
+func splitProposals(changes []configsync.Item) (list []configsync.Command) {
 	for len(changes) > 0 {
 		n, size := 0, 0
-		for n < min(len(changes), putItems) && (n == 0 || size < putPiece) {
+		for n < min(len(changes), maxProposalItems) && (n == 0 || size < maxProposalBytes) {
 			size += len(changes[n].Name) + len(changes[n].Value) + 24
 			n++
 		}
@@ -481,16 +481,16 @@
 // Run makes an older content a new version.
 func (c *configRollback) Run() error {
 	end := time.Now().Add(c.Within)
-	_, at, err := c.agreed()
+	_, at, err := c.queryReplicas()
 	if err != nil {
 		return err
 	}
-	v, err := c.order(at, &configsync.Command{Kind: configsync.Rollback, From: c.request(), Seq: 1, Version: c.Version,
+	v, err := c.propose(at, &configsync.Command{Kind: configsync.Rollback, From: c.requestID(), Seq: 1, Version: c.Version,
 		Wall: time.Now().UnixNano()}, end)
 	if err != nil {
 		return err
 	}
-	return c.end(&c.configAt, &outcome{Done: v.Done, Version: v.Version, Changes: 1, Refused: v.Refused, Request: c.request()}, end)
+	return c.finish(&c.configTarget, &changeOutcome{Done: v.Done, Version: v.Version, Changes: 1, Refused: v.Refused, Request: c.requestID()}, end)
 }
 
 // Run prints a content.
@@ -499,14 +499,14 @@
 	var content *configsync.Content
 	var err error
 	if c.Newest {
-		_, at, wrong := c.agreed()
+		_, at, wrong := c.queryReplicas()
 		if wrong != nil {
 			return wrong
 		}
-		mark, content, err = c.content(at[0], configsync.Newest)
+		mark, content, err = c.readContent(at[0], configsync.Newest)
 	} else {
 		for _, address := range c.Addresses {
-			if mark, content, err = c.content(address, configsync.InForce); err == nil {
+			if mark, content, err = c.readContent(address, configsync.InForce); err == nil {
 				break
 			}
 		}
@@ -543,15 +543,15 @@
 
 // Run says what a put of the file would change.
 func (c *configDiff) Run() error {
-	items, whole, err := wanted(c.File)
+	items, whole, err := readChanges(c.File)
 	if err != nil {
 		return err
 	}
-	_, at, err := c.agreed()
+	_, at, err := c.queryReplicas()
 	if err != nil {
 		return err
 	}
-	mark, content, err := c.content(at[0], configsync.Newest)
+	mark, content, err := c.readContent(at[0], configsync.Newest)
 	if err != nil {
 		return err
 	}
@@ -586,8 +586,8 @@
 	return nil
 }
 
-// standing is what status says of a version, or of one that was refused.
-type standing struct {
+// versionStatus is what status says of a version, or of one that was refused.
+type versionStatus struct {
 	Version  uint64   `json:"version"`
 	Digest   string   `json:"digest"`
 	Nodes    int      `json:"nodes"`
@@ -604,23 +604,23 @@
 
 // Run asks all seats how the fleet stands.
 func (c *configStatus) Run() error {
-	list, _, err := c.agreed()
+	list, _, err := c.queryReplicas()
 	if err != nil {
-		if a, wrong := c.any(&configsync.Query{Kind: configsync.ShowStanding}); wrong == nil {
+		if a, wrong := c.queryAny(&configsync.Query{Kind: configsync.ShowStanding}); wrong == nil {
 			fmt.Fprintf(os.Stderr, "%s has version %d in force, since %s; it last heard a seat %s\n", a.Node, a.Status.Mark.Version,
-				ago(a.Status.TakenNS), ago(a.Status.HeardNS))
+				formatAgo(a.Status.TakenNS), formatAgo(a.Status.HeardNS))
 		}
 		return err
 	}
 	seat := list[0].Seat
-	by := map[configsync.Revision]*standing{}
+	by := map[configsync.Revision]*versionStatus{}
 	refusals, silent := []refusal{}, []string{}
-	has := newest(list)
+	has := latestStatuses(list)
 	for _, name := range slices.Sorted(maps.Keys(has)) {
 		s := has[name]
 		of := by[s.Mark]
 		if of == nil {
-			of = &standing{Version: s.Mark.Version, Digest: s.Mark.Digest.String()}
+			of = &versionStatus{Version: s.Mark.Version, Digest: s.Mark.Digest.String()}
 			by[s.Mark] = of
 		}
 		of.Nodes, of.Names = of.Nodes+1, append(of.Names, name)
@@ -634,26 +634,26 @@
 			silent = append(silent, name)
 		}
 	}
-	var versions []*standing
+	var versions []*versionStatus
 	for _, s := range by {
 		versions = append(versions, s)
 	}
-	slices.SortFunc(versions, func(x, y *standing) int {
+	slices.SortFunc(versions, func(x, y *versionStatus) int {
 		return cmp.Or(cmp.Compare(y.Version, x.Version), cmp.Compare(x.Digest, y.Digest))
 	})
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(struct {
-			ForAll   uint64      `json:"for_all"`
-			First    uint64      `json:"first_stage"`
-			Newest   uint64      `json:"newest"`
-			Stopped  bool        `json:"stopped"`
-			Who      string      `json:"stopped_by,omitempty"`
-			Why      string      `json:"why,omitempty"`
-			Good     []uint64    `json:"rollback_to"`
-			Versions []*standing `json:"versions"`
-			Refusals []refusal   `json:"refusals"`
-			Silent   []string    `json:"silent"`
-			Seats    int         `json:"seats"`
+			ForAll   uint64           `json:"for_all"`
+			First    uint64           `json:"first_stage"`
+			Newest   uint64           `json:"newest"`
+			Stopped  bool             `json:"stopped"`
+			Who      string           `json:"stopped_by,omitempty"`
+			Why      string           `json:"why,omitempty"`
+			Good     []uint64         `json:"rollback_to"`
+			Versions []*versionStatus `json:"versions"`
+			Refusals []refusal        `json:"refusals"`
+			Silent   []string         `json:"silent"`
+			Seats    int              `json:"seats"`
 		}{seat.Head.All.Version, seat.Head.First.Version, seat.Head.Newest, seat.Head.Stopped, seat.Head.Who, seat.Head.Why, append([]uint64{}, seat.Good...),
 			versions, refusals, silent, len(list)})
 	}
@@ -665,7 +665,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "version\tnodes\tin force since\toldest report\tdigest\twho")
 	for _, s := range versions {
-		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\n", s.Version, s.Nodes, ago(s.OldestNS), ago(s.ReportNS), s.Digest[:16], some(s.Names))
+		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\n", s.Version, s.Nodes, formatAgo(s.OldestNS), formatAgo(s.ReportNS), s.Digest[:16], joinNames(s.Names))
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -674,12 +674,12 @@
 		fmt.Printf("%s can't take version %d: %s\n", r.Node, r.Version, r.Why)
 	}
 	if len(silent) > 0 {
-		fmt.Printf("members that told no seat what they have: %s\n", some(silent))
+		fmt.Printf("members that told no seat what they have: %s\n", joinNames(silent))
 	}
 	return nil
 }
 
-func ago(ns int64) string {
+func formatAgo(ns int64) string {
 	if ns < 0 {
 		return "never"
 	}
--- a/cmd/topazpost/fixtures_test.go
+++ b/cmd/topazpost/fixtures_test.go
@@ -11,7 +11,7 @@
 )
 
 // What commands print as JSON, which scripts read.
-func TestFixturesOfWhatCommandsPrint(t *testing.T) {
+func TestPrintedJSONFixtures(t *testing.T) {
 	t.Run("claims", func(t *testing.T) {
 		p := &consensus.Summary{Time: -7e6}
 		for k := range claims.StateNames {
@@ -19,13 +19,13 @@
 			e.State = claims.State(k)
 			p.Claims = append(p.Claims, &e)
 		}
-		fixture.RoundTrip(t, "claims-v1.json", shown(p), json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "claims-v1.json", claimRows(p), json.Marshal, json.Unmarshal)
 	})
 	t.Run("outcome", func(t *testing.T) {
-		fixture.RoundTrip(t, "outcome-v1.json", fixture.Filled[outcome](1), json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "outcome-v1.json", fixture.Filled[changeOutcome](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("standing", func(t *testing.T) {
-		fixture.RoundTrip(t, "standing-v1.json", fixture.Filled[standing](1), json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "standing-v1.json", fixture.Filled[versionStatus](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("refusal", func(t *testing.T) {
 		fixture.RoundTrip(t, "refusal-v1.json", fixture.Filled[refusal](1), json.Marshal, json.Unmarshal)
--- a/cmd/topazpost/kept.go
+++ b/cmd/topazpost/kept.go
@@ -17,58 +17,58 @@
 	"topazpost/server"
 )
 
-// kept are the commands about what a node that is stopped has kept of tokened invocations.
-type kept struct {
-	List   keptList   `cmd:"" help:"List the tokens: operation, tenant, how the run ended or that it is unknown."`
-	Show   keptShow   `cmd:"" help:"Print what is kept of one token, its result included."`
-	Settle keptSettle `cmd:"" help:"Say how a run of unknown outcome ended, so that its token is answered so."`
-	Forget keptForget `cmd:"" help:"Forget a token: it may run again."`
+// resultsCommands are the commands about what a node that is stopped has resultsCommands of tokened invocations.
+type resultsCommands struct {
+	List   resultsList   `cmd:"" help:"List the tokens: operation, tenant, how the run ended or that it is unknown."`
+	Show   resultsShow   `cmd:"" help:"Print what is kept of one token, its result included."`
+	Settle resultsSettle `cmd:"" help:"Say how a run of unknown outcome ended, so that its token is answered so."`
+	Forget resultsForget `cmd:"" help:"Forget a token: it may run again."`
 }
 
-// storage are the commands about the files.
-type storage struct {
+// storeCommands are the commands about the files.
+type storeCommands struct {
 	Inspect storeInspect `cmd:"" help:"Print each segment: records, bytes, end of the last window."`
 	Verify  storeVerify  `cmd:"" help:"Read all segments; fails with file and offset where one is broken."`
 	Compact storeCompact `cmd:"" help:"Keep the last state of each token only."`
 	Export  storeExport  `cmd:"" help:"Print the last state of each token as a JSON object a line."`
 }
 
-type folder struct {
+type storeDirectory struct {
 	Folder string `arg:"" help:"Folder of the store; its node must be stopped." type:"existingdir"`
 }
 
-type token struct {
-	folder
+type tokenSelector struct {
+	storeDirectory
 	Token     string `arg:"" help:"The token."`
 	Operation int32  `help:"Number of its operation in the settings, where several have the token." default:"-1"`
 }
 
-type keptList struct {
-	folder
+type resultsList struct {
+	storeDirectory
 	Unknown bool `help:"Only those of unknown outcome."`
 }
 
-type keptShow struct{ token }
+type resultsShow struct{ tokenSelector }
 
-type keptSettle struct {
-	token
+type resultsSettle struct {
+	tokenSelector
 	Ending string `help:"How it ended: succeeded or errored." required:"" enum:"succeeded,errored"`
 	Result string `help:"File with the result of one that succeeded." type:"existingfile" placeholder:"FILE"`
 }
 
-type keptForget struct{ token }
+type resultsForget struct{ tokenSelector }
 
 type (
-	storeInspect struct{ folder }
-	storeVerify  struct{ folder }
-	storeCompact struct{ folder }
-	storeExport  struct{ folder }
+	storeInspect struct{ storeDirectory }
+	storeVerify  struct{ storeDirectory }
+	storeCompact struct{ storeDirectory }
+	storeExport  struct{ storeDirectory }
 )
 
 var errBrokenStore = errors.New("the store is broken; nothing was changed")
 
 // open locks a store and finds the size of its segments.
-func (f *folder) open() (segmentstore.Directory, segmentstore.Limits, func(), error) {
+func (f *storeDirectory) open() (segmentstore.Directory, segmentstore.Limits, func(), error) {
 	at := segmentstore.Directory(f.Folder)
 	unlock, err := server.LockStore(f.Folder)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return at, bounds, unlock, nil
 }
 
-func (f *folder) last() ([]segmentstore.Record, error) {
+func (f *storeDirectory) latestRecords() ([]segmentstore.Record, error) {
 	at, bounds, unlock, err := f.open()
 	if err != nil {
 		return nil, err
@@ -100,14 +100,14 @@
 	return segmentstore.LatestRecords(records), err
 }
 
-func state(r *segmentstore.Record) string {
+func stateName(r *segmentstore.Record) string {
 	if r.Kind != segmentstore.RunEnded {
 		return "unknown"
 	}
 	return map[resultcache.Outcome]string{resultcache.Succeeded: "succeeded", resultcache.Failed: "errored", resultcache.NeverStarted: "not run"}[resultcache.Outcome(r.Outcome)]
 }
 
-func when(until int64) string {
+func formatExpiry(until int64) string {
 	if until <= 0 || until >= math.MaxInt64/2 {
 		return "-"
 	}
@@ -115,8 +115,8 @@
 }
 
 // Run lists the tokens.
-func (c *keptList) Run() error {
-	last, err := c.last()
+func (c *resultsList) Run() error {
+	last, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
@@ -124,14 +124,14 @@
 	fmt.Fprintln(w, "token\toperation\ttenant\tstate\tresult bytes\twindow ends")
 	for i := range last {
 		if r := &last[i]; !c.Unknown || r.Kind != segmentstore.RunEnded {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, state(r), len(r.Result), when(r.ExpiresAt))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, stateName(r), len(r.Result), formatExpiry(r.ExpiresAt))
 		}
 	}
 	return w.Flush()
 }
 
 // find is the one record that a token names.
-func (t *token) find(last []segmentstore.Record) (*segmentstore.Record, error) {
+func (t *tokenSelector) find(last []segmentstore.Record) (*segmentstore.Record, error) {
 	var found []*segmentstore.Record
 	for i := range last {
 		if r := &last[i]; r.Token == t.Token && (t.Operation < 0 || r.Operation == t.Operation) {
@@ -148,8 +148,8 @@
 }
 
 // Run prints one.
-func (c *keptShow) Run() error {
-	last, err := c.last()
+func (c *resultsShow) Run() error {
+	last, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
@@ -157,12 +157,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("token %s\noperation %d\ntenant %d\nstate %s\nwindow ends %s\nresult %q\n", r.Token, r.Operation, r.Tenant, state(r), when(r.ExpiresAt), r.Result)
+	fmt.Printf("token %s\noperation %d\ntenant %d\nstate %s\nwindow ends %s\nresult %q\n", r.Token, r.Operation, r.Tenant, stateName(r), formatExpiry(r.ExpiresAt), r.Result)
 	return nil
 }
 
 // Run writes the end of a run behind what is there.
-func (c *keptSettle) Run() error {
+func (c *resultsSettle) Run() error {
 	at, bounds, unlock, err := c.open()
 	if err != nil {
 		return err
@@ -177,7 +177,7 @@
 		return err
 	}
 	if r.Kind == segmentstore.RunEnded {
-		return fmt.Errorf("the run of %q is known to have %s; only an unknown one is settled", c.Token, state(r))
+		return fmt.Errorf("the run of %q is known to have %s; only an unknown one is settled", c.Token, stateName(r))
 	}
 	r.Kind, r.Outcome = segmentstore.RunEnded, uint8(resultcache.Failed)
 	if c.Ending == "succeeded" {
@@ -196,8 +196,8 @@
 }
 
 // Run writes the store anew without a token.
-func (c *keptForget) Run() error {
-	last, err := c.last()
+func (c *resultsForget) Run() error {
+	last, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
@@ -219,8 +219,8 @@
 	return err
 }
 
-// segments reads each file on its own, so that one that is broken hides no other.
-func (f *folder) segments(tell func(name string, data []byte, s *segmentstore.ScanResult, err error)) error {
+// eachSegment reads each file on its own, so that one that is broken hides no other.
+func (f *storeDirectory) eachSegment(tell func(name string, data []byte, s *segmentstore.ScanResult, err error)) error {
 	at, _, unlock, err := f.open()
 	if err != nil {
 		return err
@@ -248,7 +248,7 @@
 func (c *storeInspect) Run() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
-	err := c.segments(func(name string, data []byte, s *segmentstore.ScanResult, err error) {
+	err := c.eachSegment(func(name string, data []byte, s *segmentstore.ScanResult, err error) {
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%v\n", name, err)
 			return
@@ -257,7 +257,7 @@
 		for _, r := range s.Records {
 			until = max(until, r.ExpiresAt)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", name, len(s.Records), s.End, len(data), s.Dropped, when(until))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", name, len(s.Records), s.End, len(data), s.Dropped, formatExpiry(until))
 	})
 	if err != nil {
 		return err
@@ -268,7 +268,7 @@
 // Run reads all.
 func (c *storeVerify) Run() error {
 	broken, records := 0, 0
-	err := c.segments(func(name string, _ []byte, s *segmentstore.ScanResult, err error) {
+	err := c.eachSegment(func(name string, _ []byte, s *segmentstore.ScanResult, err error) {
 		if err != nil {
 			broken++
 			fmt.Printf("%s: %v\n", filepath.Join(c.Folder, name), err)
@@ -301,7 +301,7 @@
 
 // Run exports.
 func (c *storeExport) Run() error {
-	last, err := c.last()
+	last, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
@@ -315,7 +315,7 @@
 			State     string `json:"state"`
 			Until     int64  `json:"until_unix_ns"`
 			Result    []byte `json:"result,omitempty"`
-		}{r.Token, r.Operation, r.Tenant, state(r), r.ExpiresAt, r.Result})
+		}{r.Token, r.Operation, r.Tenant, stateName(r), r.ExpiresAt, r.Result})
 		if err != nil {
 			return err
 		}
--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	readingGC = 40 // % that the heap may grow between collections while a configuration is read: most of it is soon garbage
-	besideGC  = 20 // the same beside a node of a fleet, whose heap is larger: twice as many collections, of some 2 ms
+	readGCPercent   = 40 // % that the heap may grow between collections while a configuration is read: most of it is soon garbage
+	reloadGCPercent = 20 // the same beside a node of a fleet, whose heap is larger: twice as many collections, of some 2 ms
 )
 
-// logging is the log of a process that serves or sits.
-type logging struct {
+// logOptions is the log of a process that serves or sits.
+type logOptions struct {
 	Level string `help:"Least level that is logged: debug, info, warn or error." default:"info" enum:"debug,info,warn,error"`
 	Form  string `help:"Form of the log: json, or console to read by eye." default:"json" enum:"json,console"`
 }
 
-func (l *logging) logger() (log zerolog.Logger, err error) {
+func (l *logOptions) logger() (log zerolog.Logger, err error) {
 	level, err := zerolog.ParseLevel(l.Level)
 	if err != nil {
 		return log, err
@@ -43,32 +43,32 @@
 	return log.Level(level).With().Timestamp().Logger(), nil
 }
 
-type serve struct {
-	logging
+type serveCommand struct {
+	logOptions
 	Plan  string `help:"Plan of levels of reduced service, a Jsonnet file; none without it." type:"path" env:"TOPAZPOST_PLAN" placeholder:"FILE"`
 	Keep  string `help:"What is kept of tokened invocations, a Jsonnet file; in memory only without it." type:"path" env:"TOPAZPOST_KEEP" placeholder:"FILE"`
 	Fleet string `help:"Fleet that the node is one of, a Jsonnet file; it shares nothing without it." type:"path" env:"TOPAZPOST_FLEET" placeholder:"FILE"`
-	where
+	configPath
 }
 
-type check struct {
+type checkCommand struct {
 	Keep  string `help:"What is kept of tokened invocations, to check beside the configuration." env:"TOPAZPOST_KEEP" type:"path" placeholder:"FILE"`
 	Fleet string `help:"Fleet to check beside the configuration." env:"TOPAZPOST_FLEET" type:"path" placeholder:"FILE"`
 	Plan  string `help:"Plan of levels to check beside the configuration." env:"TOPAZPOST_PLAN" type:"path" placeholder:"FILE"`
-	where
+	configPath
 }
 
-type version struct{}
+type versionCommand struct{}
 
-type where struct {
+type configPath struct {
 	Config string `arg:"" optional:"" env:"GW_CONFIG" help:"Path of the configuration." type:"path"`
 }
 
-func (w *where) read() (*server.Config, error) {
-	return w.decode(server.DecodeConfig, readingGC)
+func (w *configPath) read() (*server.Config, error) {
+	return w.decode(server.DecodeConfig, readGCPercent)
 }
 
-func (w *where) decode(as func(io.Reader) (*server.Config, error), percent int) (*server.Config, error) {
+func (w *configPath) decode(as func(io.Reader) (*server.Config, error), percent int) (*server.Config, error) {
 	if w.Config == "" {
 		return nil, fmt.Errorf("configuration: no path is given and GW_CONFIG is not set")
 	}
@@ -82,7 +82,7 @@
 }
 
 // Run serves until a signal to end has been heeded. The first one drains, a second one aborts what is in hand and answers it, a third one stops at once.
-func (c *serve) Run() error {
+func (c *serveCommand) Run() error {
 	config, err := c.read()
 	if err != nil {
 		return err
@@ -95,22 +95,22 @@
 		return err
 	}
 	config.Limit()
-	if err := c.readLevels(config); err != nil {
+	if err := c.readDegradationPlan(config); err != nil {
 		return err
 	}
-	if err := c.readKeep(config); err != nil {
+	if err := c.readResultCache(config); err != nil {
 		return err
 	}
 	node := server.New(config, log, server.SystemClock())
 	debug.FreeOSMemory() // what reading a large file took; nobody is served yet
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go c.heed(node, log, stop)
+	go c.handleSignals(node, log, stop)
 	return node.Run(ctx)
 }
 
 // Run says what a node would start with.
-func (c *check) Run() error {
+func (c *checkCommand) Run() error {
 	n, err := c.read()
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 		fmt.Printf("fleet %s: hears peers on %s, told to them as %s, %d seeds; %s\n", fleet.Name, fleet.Bind, fleet.Terms.Address,
 			len(fleet.Terms.Seeds), fleet.Bounds())
 		if fleet.Council != nil {
-			tooShort(n, fleet)
+			warnShortTimeouts(n, fleet)
 		}
 	}
 	if c.Keep != "" {
@@ -147,8 +147,8 @@
 	return err
 }
 
-// tooShort names the tokened operations whose work can't be taken over in time.
-func tooShort(n *server.Config, fleet *fleetconfig.Fleet) {
+// warnShortTimeouts names the tokened operations whose work can't be taken over in time.
+func warnShortTimeouts(n *server.Config, fleet *fleetconfig.Fleet) {
 	for i, name := range n.Settings.Operations.All() {
 		if op := &n.Settings.Node.Operations[i]; op.Idempotency == admission.IdempotentWithKey && op.ClientTimeout <= fleet.DetectionTime() {
 			fmt.Printf("note: %s has a client timeout of %g s, and a death is known after %g s: what a lost node held of it is not taken over in "+
@@ -158,7 +158,7 @@
 }
 
 // Run says what was built.
-func (version) Run() error {
+func (versionCommand) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return fmt.Errorf("this build has no information about itself")
@@ -181,21 +181,21 @@
 
 func main() {
 	var line struct {
-		Serve   serve   `cmd:"" help:"Serve as one node: SIGTERM drains, a second one aborts what is in hand, a third one stops, SIGHUP reads the configuration anew."`
-		Seat    seat    `cmd:"" help:"Serve nothing: be a member of a fleet with a seat in its council. SIGTERM leaves at once."`
-		Check   check   `cmd:"" help:"Read a configuration and say what is wrong with it, or what would start."`
-		Plan    plans   `cmd:"" help:"Look at plans of levels of reduced service."`
-		Levels  ladders `cmd:"" help:"Look at what levels nodes were at."`
-		Results kept    `cmd:"" help:"Look at results of tokened invocations that a stopped node has kept, and settle them."`
-		Store   storage `cmd:"" help:"Look at the files that results are kept in."`
-		Members members `cmd:"" help:"Look at whom nodes have in their view of the fleet."`
-		Claims  claimed `cmd:"" help:"Look at claims of tokens that a fleet's council agrees on."`
-		Config  configs `cmd:"" help:"Put, look at and take back versions of the configuration that a fleet takes in service."`
-		Quota   quotas  `cmd:"" help:"Look at limits that hold for the whole fleet."`
-		Version version `cmd:"" help:"Say what was built."`
-	}
-	signal.Notify(hups, syscall.SIGHUP) // before all else: it must never end the process
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
+		Serve   serveCommand    `cmd:"" help:"Serve as one node: SIGTERM drains, a second one aborts what is in hand, a third one stops, SIGHUP reads the configuration anew."`
+		Seat    replicaCommand  `cmd:"" help:"Serve nothing: be a member of a fleet with a seat in its council. SIGTERM leaves at once."`
+		Check   checkCommand    `cmd:"" help:"Read a configuration and say what is wrong with it, or what would start."`
+		Plan    planCommands    `cmd:"" help:"Look at plans of levels of reduced service."`
+		Levels  levelsCommands  `cmd:"" help:"Look at what levels nodes were at."`
+		Results resultsCommands `cmd:"" help:"Look at results of tokened invocations that a stopped node has kept, and settle them."`
+		Store   storeCommands   `cmd:"" help:"Look at the files that results are kept in."`
+		Members membersCommands `cmd:"" help:"Look at whom nodes have in their view of the fleet."`
+		Claims  claimsCommands  `cmd:"" help:"Look at claims of tokens that a fleet's council agrees on."`
+		Config  configCommands  `cmd:"" help:"Put, look at and take back versions of the configuration that a fleet takes in service."`
+		Quota   quotaCommands   `cmd:"" help:"Look at limits that hold for the whole fleet."`
+		Version versionCommand  `cmd:"" help:"Say what was built."`
+	}
+	signal.Notify(reloadSignals, syscall.SIGHUP) // before all else: it must never end the process
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
 	run := kong.Parse(&line, kong.Name("topazpost"),
 		kong.Description("Decides, inside one server of a fleet, what it takes, runs and turns away."))
 	run.FatalIfErrorf(run.Run())
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -16,8 +16,8 @@
 	"topazpost/server"
 )
 
-// members are the commands about views of the fleet.
-type members struct {
+// membersCommands are the commands about views of the fleet.
+type membersCommands struct {
 	Show    membersShow    `cmd:"" default:"withargs" help:"Print the view of one node as a table."`
 	Compare membersCompare `cmd:"" help:"Say where the views of nodes differ; fails where they do."`
 }
@@ -35,16 +35,16 @@
 	Fleet     string   `help:"Name of the fleet." required:"" env:"TOPAZPOST_FLEET_NAME"`
 }
 
-var errDiffer = errors.New("views differ")
+var errViewsDiffer = errors.New("views differ")
 
-// look asks a node for its view.
-func look(fleet, address string) (v membership.View, err error) {
-	err = lookInto(fleet, address, "", &v)
+// queryView asks a node for its view.
+func queryView(fleet, address string) (v membership.View, err error) {
+	err = queryInto(fleet, address, "", &v)
 	return v, err
 }
 
-// lookInto asks a node for what it shows of itself.
-func lookInto(fleet, address, what string, into any) error {
+// queryInto asks a node for what it shows of itself.
+func queryInto(fleet, address, what string, into any) error {
 	name := envelope.FleetOf(fleet)
 	ask, err := envelope.Seal(nil, name, membership.Message{Kind: membership.MessageViewRequest, Why: what})
 	if err != nil {
@@ -66,18 +66,18 @@
 // Run prints the view, once or again and again.
 func (c *membersShow) Run() error {
 	for {
-		v, err := look(c.Fleet, c.Address)
+		v, err := queryView(c.Fleet, c.Address)
 		if err != nil {
 			return err
 		}
-		if err := show(&v, c.JSON); err != nil || !c.Watch {
+		if err := printView(&v, c.JSON); err != nil || !c.Watch {
 			return err
 		}
 		time.Sleep(c.Every)
 	}
 }
 
-func show(v *membership.View, asJSON bool) error {
+func printView(v *membership.View, asJSON bool) error {
 	if asJSON {
 		type seen struct {
 			membership.MemberStatus
@@ -120,7 +120,7 @@
 	type key struct{ name, status string }
 	by, names := map[key][]string{}, map[string]bool{}
 	for _, address := range c.Addresses {
-		v, err := look(c.Fleet, address)
+		v, err := queryView(c.Fleet, address)
 		if err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 		}
 	}
 	if differ {
-		return errDiffer
+		return errViewsDiffer
 	}
 	fmt.Println("views are equal")
 	return nil
--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	renderWait  = 4 * time.Second       // for a plan to be evaluated: past what settings allows, and a start of the program
-	renderMost  = 1 << 20               // bytes that it may come to
-	heapMost    = 64 << 20              // bytes of memory past which an evaluation ends itself
-	versionMost = 12                    // letters of the version that peers are told
-	heapLook    = 10 * time.Millisecond // between looks at it
+	renderTimeout     = 4 * time.Second       // for a plan to be evaluated: past what settings allows, and a start of the program
+	maxRenderedBytes  = 1 << 20               // bytes that it may come to
+	maxHeapBytes      = 64 << 20              // bytes of memory past which an evaluation ends itself
+	maxVersionLength  = 12                    // letters of the version that peers are told
+	heapCheckInterval = 10 * time.Millisecond // between looks at it
 )
 
-// plans are the commands about files.
-type plans struct {
+// planCommands are the commands about files.
+type planCommands struct {
 	Show   planShow   `cmd:"" help:"Print the ladder of a plan as a table."`
 	Render planRender `cmd:"" help:"Evaluate a plan and print what it comes to, as JSON."`
 }
@@ -44,7 +44,7 @@
 
 // Run prints the ladder.
 func (c *planShow) Run() error {
-	w := where{c.Config}
+	w := configPath{c.Config}
 	config, err := w.read()
 	if err != nil {
 		return err
@@ -67,11 +67,11 @@
 	go func() {
 		for {
 			var m runtime.MemStats
-			if runtime.ReadMemStats(&m); m.HeapAlloc > heapMost {
-				fmt.Fprintf(os.Stderr, "%s: takes more than %d MB to evaluate; build less in templates\n", c.File, heapMost>>20)
+			if runtime.ReadMemStats(&m); m.HeapAlloc > maxHeapBytes {
+				fmt.Fprintf(os.Stderr, "%s: takes more than %d MB to evaluate; build less in templates\n", c.File, maxHeapBytes>>20)
 				os.Exit(1)
 			}
-			time.Sleep(heapLook)
+			time.Sleep(heapCheckInterval)
 		}
 	}()
 	file, err := configfile.Read(c.File)
@@ -82,8 +82,8 @@
 	return err
 }
 
-// readLevels reads the plan of levels, if there is one.
-func (c *serve) readLevels(into *server.Config) error {
+// readDegradationPlan reads the plan of levels, if there is one.
+func (c *serveCommand) readDegradationPlan(into *server.Config) error {
 	if c.Plan == "" {
 		return nil
 	}
@@ -96,7 +96,7 @@
 }
 
 // readFleet reads the fleet's file, if there is one.
-func (c *serve) readFleet(into *server.Config) error {
+func (c *serveCommand) readFleet(into *server.Config) error {
 	if c.Fleet == "" {
 		return nil
 	}
@@ -105,13 +105,13 @@
 		return err
 	}
 	if into.Fleet, err = fleetconfig.From(file, into.Name); err == nil {
-		into.Fleet.Terms.Version = revision()[:min(versionMost, len(revision()))]
+		into.Fleet.Terms.Version = revision()[:min(maxVersionLength, len(revision()))]
 	}
 	return err
 }
 
-// readKeep reads what is kept of tokened invocations, if there is a file.
-func (c *serve) readKeep(into *server.Config) error {
+// readResultCache reads what is kept of tokened invocations, if there is a file.
+func (c *serveCommand) readResultCache(into *server.Config) error {
 	if c.Keep == "" {
 		return nil
 	}
@@ -129,11 +129,11 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithTimeout(context.Background(), renderWait)
+	ctx, end := context.WithTimeout(context.Background(), renderTimeout)
 	defer end()
 	var told, failed bytes.Buffer
 	command := exec.CommandContext(ctx, program, "plan", "render", path)
-	command.Stdout, command.Stderr = &bounded{&told, renderMost}, &bounded{&failed, renderMost}
+	command.Stdout, command.Stderr = &limitedWriter{&told, maxRenderedBytes}, &limitedWriter{&failed, maxRenderedBytes}
 	if err := command.Run(); err != nil {
 		if text := bytes.TrimSpace(failed.Bytes()); len(text) > 0 {
 			return nil, errors.New(string(bytes.TrimPrefix(text, []byte("topazpost: error: "))))
@@ -143,21 +143,21 @@
 	return configfile.Rendered(path, told.Bytes())
 }
 
-// bounded keeps the first bytes of what is written.
-type bounded struct {
-	to   *bytes.Buffer
-	left int
+// limitedWriter keeps the first bytes of what is written.
+type limitedWriter struct {
+	buffer    *bytes.Buffer
+	remaining int
 }
 
-func (b *bounded) Write(p []byte) (int, error) {
-	n := min(len(p), b.left)
-	b.left -= n
-	b.to.Write(p[:n])
+func (b *limitedWriter) Write(p []byte) (int, error) {
+	n := min(len(p), b.remaining)
+	b.remaining -= n
+	b.buffer.Write(p[:n])
 	return len(p), nil
 }
 
-// ladders are the commands about logs.
-type ladders struct {
+// levelsCommands are the commands about logs.
+type levelsCommands struct {
 	History levelsHistory `cmd:"" help:"Rebuild from logs of nodes what level each was at, and when."`
 }
 
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -8,13 +8,13 @@
 	"topazpost/internal/fleet/fleetconfig"
 )
 
-// quotas are the commands about limits of a whole fleet.
-type quotas struct {
+// quotaCommands are the commands about limits of a whole fleet.
+type quotaCommands struct {
 	Show  quotaShow  `cmd:"" help:"Print who holds what of the fleet's limits, as a node with a seat in the council knows it."`
 	Bound quotaBound `cmd:"" help:"Say what holds of the limit in a fleet's file, computed from its settings."`
 }
 
-type quotaShow struct{ claimsAt }
+type quotaShow struct{ claimsTarget }
 
 type quotaBound struct {
 	File string `arg:"" help:"The fleet's file." type:"path"`
@@ -23,7 +23,7 @@
 
 // Run prints the leases of all limits, and what the node itself has.
 func (c *quotaShow) Run() error {
-	p, err := c.look()
+	p, err := c.query()
 	if err != nil {
 		return err
 	}
--- a/cmd/topazpost/seat.go
+++ b/cmd/topazpost/seat.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	seatSockets = 256 // descriptors that it may use: 96 streams, exchanges, its files, and room
-	seatStopMS  = 500 // for its last words to the fleet
+	replicaSockets = 256 // descriptors that it may use: 96 streams, exchanges, its files, and room
+	replicaStopMS  = 500 // for its last words to the fleet
 )
 
-type seat struct {
+type replicaCommand struct {
 	Name string `help:"Name of the node, one of those in council.seats." required:"" env:"TOPAZPOST_NAME"`
-	logging
+	logOptions
 	Fleet string `arg:"" env:"TOPAZPOST_FLEET" help:"Fleet that it is a member of, a Jsonnet file." type:"path" placeholder:"FILE"`
 }
 
 // Run is a seat until a signal to end: the first one says farewell to the fleet, a second one stops at once.
-func (c *seat) Run() error {
+func (c *replicaCommand) Run() error {
 	fleet, err := fleetconfig.Read(c.Fleet, c.Name)
 	if err != nil {
 		return err
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	n := &server.Config{Name: c.Name, StopMS: seatStopMS, Sockets: seatSockets, Fleet: fleet, Hollow: server.OnlySeat(),
+	n := &server.Config{Name: c.Name, StopMS: replicaStopMS, Sockets: replicaSockets, Fleet: fleet, Hollow: server.OnlySeat(),
 		Settings: &nodeconfig.Config{Operations: nodeconfig.NewNames(), Tenants: nodeconfig.NewNames()}}
 	n.Settings.Node.Seed = int64(os.Getpid())
 	log.Info().Str("name", c.Name).Strs("seats", fleet.Council.Seats).Str("folder", fleet.Council.Folder).Msg("a seat of the council, serving nothing")
@@ -45,9 +45,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		<-ends
+		<-stopSignals
 		node.Drain()
-		<-ends
+		<-stopSignals
 		stop()
 	}()
 	if err = node.Run(ctx); errors.Is(err, context.Canceled) {
