--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -13,7 +13,7 @@
 
 const arrival = "WORK_ITEM\t9\t-\t1\t0.5\t1\t-\t0\t-\tcatalogue\t-\t-\t24.5\n"
 
-func TestCrashAndRestartInOneBatchLeaveANewInstance(t *testing.T) {
+func TestCrashAndRestartInOneBatchStartsNewInstance(t *testing.T) {
 	var out bytes.Buffer
 	err := serve(strings.NewReader("MARK\t1000\nEOB\nMARK\t1000\nTARGET_INSTANCE\t3\n"+provision+arrival+
 		"EOB\nMARK\t1004\nTARGET_INSTANCE\t3\nCRASH_NOW\n"+provision+"WORK_DONE\t9\tsuccess\t4\nEOB\n"), &out)
@@ -25,7 +25,7 @@
 	assert.Contains(t, replies[2], "AT\t3\n")
 }
 
-func TestMalformedInputBailsOut(t *testing.T) {
+func TestMalformedInputReportsFatalError(t *testing.T) {
 	var out bytes.Buffer
 	err := serve(strings.NewReader("MARK\t1000\nTARGET_INSTANCE\t3\nWORK_DONE\t9\tsuccess\t4\nEOB\n"), &out)
 	assert.Error(t, err)
--- a/internal/protocol/frame/frame.go
+++ b/internal/protocol/frame/frame.go
@@ -1,50 +1,62 @@
-// Package frame is the dispatchers' binary codec. It is pure: bytes in at any split, frames out.
+// Package frame is the codec of the dispatchers' binary protocol. It does no I/O: it takes bytes at any split and
+// returns frames.
 package frame
 
 import (
 	"encoding/binary"
 	"errors"
 	"math"
-
-	"topazpost/internal/protocol/buffer"
 )
 
-// The types of frames.
+// Types of frames.
 const (
-	Invocation   = 16
-	Answer       = 17
-	Cancel       = 18
-	HealthCheck  = 32
-	HealthStatus = 33
-	GoAway       = 48
-	lengthBytes  = 4
-	headerBytes  = lengthBytes + 5
+	Invocation   = 16 // a dispatcher asks for a run
+	Answer       = 17 // the result of an invocation, or why there is none
+	Cancel       = 18 // the caller of an invocation no longer waits for it
+	HealthCheck  = 32 // a dispatcher asks for the node's health
+	HealthStatus = 33 // the answer to a health check
+	GoAway       = 48 // the node is draining and takes no further invocations on the connection
 )
 
-// The codes of answers.
+// Codes of Answer frames.
 const (
 	Succeeded = 20
 	Throttled = 50
 	Errored   = 51
+)
+
+// Codes of HealthStatus frames.
+const (
 	Healthy   = 20
 	Unhealthy = 51
 )
 
+// Layout of a frame: length (4 bytes, little-endian), type (1), stream (4), payload. The length counts what follows it.
 const (
-	minLength = 5
-	maxLength = 262_144
-	// maxPayload is the payload that is kept in memory, a body of 2 KiB with its fields several times over; what
-	// is longer is read past, so that many connections at once cannot fill the memory.
+	lengthBytes = 4
+	headerBytes = lengthBytes + minLength
+	minLength   = 5
+	maxLength   = 262_144
+	// maxPayload is the largest payload that is buffered: a body of 2 KiB with its fields several times over. Longer ones
+	// are discarded, so that many connections at once can't exhaust the memory.
 	maxPayload = 4 << 10
 )
 
-// What makes a frame or its fields unreadable.
+// Layout of a field: length of the name (1 byte), name, length of the value (2 bytes, little-endian), value.
+const (
+	nameLengthBytes  = 1
+	valueLengthBytes = 2
+	fieldOverhead    = nameLengthBytes + valueLengthBytes
+)
+
+// Errors of malformed input.
 var (
 	ErrLength = errors.New("frame: length out of bounds")
 	ErrFields = errors.New("frame: broken fields")
 )
 
-// Frame is one frame; Payload is valid until the parser's Space. Past is set where it was too long to keep.
+// Frame is one frame. Payload is valid until the parser's Space; it is empty in an oversized frame, whose payload is
+// discarded.
 type Frame struct {
 	Type      byte
 	Stream    uint32
@@ -52,57 +64,7 @@
 	Oversized bool
 }
 
-// Parser takes the bytes of one connection. The zero value is ready.
-type Parser struct {
-	input buffer.Buffer
-	skip  int
-}
-
-// Space is where to read to.
-func (p *Parser) Space() []byte { return p.input.Space() }
-
-// Incomplete says whether a frame has begun that is not whole yet.
-func (p *Parser) Incomplete() bool { return p.skip > 0 || len(p.input.Bytes()) > 0 }
-
-// Wrote says how many bytes of Space were read to.
-func (p *Parser) Wrote(n int) { p.input.Wrote(n) }
-
-// Next returns the next frame that is whole; an error is final for the connection.
-func (p *Parser) Next() (f Frame, ok bool, err error) {
-	if p.skip > 0 {
-		n := min(p.skip, len(p.input.Bytes()))
-		p.input.Discard(n)
-		if p.skip -= n; p.skip > 0 {
-			return f, false, nil
-		}
-	}
-	b := p.input.Bytes()
-	if len(b) < lengthBytes {
-		return f, false, nil
-	}
-	length := binary.LittleEndian.Uint32(b)
-	if length < minLength || length > maxLength {
-		return f, false, ErrLength
-	}
-	if len(b) < headerBytes {
-		return f, false, nil
-	}
-	f.Type, f.Stream = b[lengthBytes], binary.LittleEndian.Uint32(b[lengthBytes+1:])
-	size := int(length) - minLength
-	if size > maxPayload {
-		f.Oversized, p.skip = true, size
-		p.input.Discard(headerBytes)
-		return f, true, nil
-	}
-	if len(b) < headerBytes+size {
-		return f, false, nil
-	}
-	f.Payload = b[headerBytes : headerBytes+size]
-	p.input.Discard(headerBytes + size)
-	return f, true, nil
-}
-
-// Field is a name with its value.
+// Field is a named value of a payload.
 type Field struct{ Name, Value string }
 
 // Fields splits a payload into its fields and the body behind them, which shares the payload's memory.
@@ -110,16 +72,18 @@
 	if len(payload) == 0 {
 		return nil, nil, ErrFields
 	}
-	count, b := int(payload[0]), payload[1:]
+	count := int(payload[0])
+	b := payload[1:]
 	fields = make([]Field, 0, count)
 	for range count {
-		if len(b) < 1 || len(b) < 3+int(b[0]) {
+		if len(b) < nameLengthBytes || len(b) < fieldOverhead+int(b[0]) {
 			return nil, nil, ErrFields
 		}
-		name := string(b[1 : 1+b[0]])
-		b = b[1+len(name):]
+		name := string(b[nameLengthBytes : nameLengthBytes+int(b[0])])
+		b = b[nameLengthBytes+len(name):]
 		size := int(binary.LittleEndian.Uint16(b))
-		if b = b[2:]; len(b) < size {
+		b = b[valueLengthBytes:]
+		if len(b) < size {
 			return nil, nil, ErrFields
 		}
 		fields = append(fields, Field{name, string(b[:size])})
@@ -128,33 +92,38 @@
 	return fields, b, nil
 }
 
-// AppendHeader writes the head of a frame with a code, its fields and the length of the body that is to follow.
+// AppendHeader appends a frame with a code and fields, up to its body of bodyBytes, which the caller appends.
 func AppendHeader(b []byte, kind byte, stream uint32, code byte, fields []Field, bodyBytes int) []byte {
-	size := minLength + 2 + bodyBytes
+	size := minLength + 2 + bodyBytes // the code and the number of fields take a byte each
 	for _, f := range fields {
-		size += 3 + len(f.Name) + len(f.Value)
+		size += fieldOverhead + len(f.Name) + len(f.Value)
 	}
 	b = binary.LittleEndian.AppendUint32(b, uint32(size))
-	b = binary.LittleEndian.AppendUint32(append(b, kind), stream)
-	return appendFields(append(b, code), fields)
+	b = append(b, kind)
+	b = binary.LittleEndian.AppendUint32(b, stream)
+	b = append(b, code)
+	return appendFields(b, fields)
 }
 
-// AppendInvocation writes an invocation as dispatchers do.
+// AppendInvocation appends an Invocation frame, as dispatchers send it.
 func AppendInvocation(b []byte, stream uint32, fields []Field, body []byte) []byte {
-	return Append(b, Invocation, stream, append(appendFields(nil, fields), body...))
+	payload := appendFields(nil, fields)
+	return Append(b, Invocation, stream, append(payload, body...))
 }
 
-// Append writes a frame with a payload.
+// Append appends a frame with a payload.
 func Append(b []byte, kind byte, stream uint32, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(minLength+len(payload)))
-	b = binary.LittleEndian.AppendUint32(append(b, kind), stream)
+	b = append(b, kind)
+	b = binary.LittleEndian.AppendUint32(b, stream)
 	return append(b, payload...)
 }
 
 func appendFields(b []byte, fields []Field) []byte {
 	b = append(b, byte(len(fields)))
 	for _, f := range fields {
-		b = append(append(b, byte(min(len(f.Name), math.MaxUint8))), f.Name...)
+		b = append(b, byte(min(len(f.Name), math.MaxUint8)))
+		b = append(b, f.Name...)
 		b = binary.LittleEndian.AppendUint16(b, uint16(min(len(f.Value), math.MaxUint16)))
 		b = append(b, f.Value...)
 	}
--- a/internal/protocol/frame/frame_test.go
+++ b/internal/protocol/frame/frame_test.go
@@ -87,7 +87,7 @@
 		assert.Equal(t, whole, split)
 		assert.Equal(t, err, err2)
 		for _, frame := range whole {
-			Fields(frame.Payload)
+			_, _, _ = Fields(frame.Payload) // must not panic
 		}
 	})
 }
--- a/internal/protocol/simwire/ember_test.go
+++ b/internal/protocol/simwire/codec_test.go
@@ -13,10 +13,10 @@
 func split(line string) []string { return strings.Split(line, "\t") }
 
 func newTestCodec(t *testing.T) *InstanceCodec {
-	settings, err := DecodeConfig(split("PROVISION\t7\tgrades.count=1\tgrades.0.name=catalogue\tgrades.0.aim=1700.0\tgrades.0.effect=idempotent\t" +
+	config, err := DecodeConfig(split("PROVISION\t7\tgrades.count=1\tgrades.0.name=catalogue\tgrades.0.aim=1700.0\tgrades.0.effect=idempotent\t" +
 		"family_info.gauges=cpu_busy,runnable\ttenants=\tunknown.key=x"))
 	require.NoError(t, err)
-	return NewInstanceCodec(settings)
+	return NewInstanceCodec(config)
 }
 
 const arrivalLine = "WORK_ITEM\t9\t-\t1.85\t0.625\t17\t-\t3\t-\tcatalogue\t-\t12.0\t24.5"
