--- a/internal/nodeconfig/amend_test.go
+++ b/internal/nodeconfig/change_test.go
@@ -23,7 +23,7 @@
 	return p
 }
 
-// applyItems takes items on a config as a node does.
+// applyItems applies items to a config as a node does.
 func applyItems(p *Config, items ...Item) ([]ApplyResult, error) {
 	a, err := Parse(items)
 	if err == nil {
@@ -85,7 +85,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, []ApplyResult{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, taken)
 	assert.Equal(t, admission.Operation{LatencyObjective: 1e6, ClientTimeout: 2e6, CallsDependency: true}, p.Node.Operations[2])
-	assert.Equal(t, int64(200e6), p.Node.Operations[0].ClientTimeout, "what is in hand still goes by it")
+	assert.Equal(t, int64(200e6), p.Node.Operations[0].ClientTimeout, "a queued or running invocation still uses it")
 	assert.Equal(t, []float64{7, 0.5}, p.Node.TenantRates)
 	assert.Zero(t, p.Node.MaxRetryAfter)
 	_, known := p.Operations.Find("a")
@@ -95,7 +95,7 @@
 	assert.Zero(t, i)
 	taken, err = applyItems(p, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
 	require.NoError(t, err)
-	assert.Equal(t, ApplyResult{Added: true, Changed: true}, taken[0], "it has its index again")
+	assert.Equal(t, ApplyResult{Added: true, Changed: true}, taken[0], "it has the same index")
 	assert.Equal(t, int64(500e6), p.Node.MaxRetryAfter)
 	_, err = applyItems(p, Item{Part: Operations, Name: "b"})
 	require.NoError(t, err)
@@ -107,7 +107,7 @@
 	assert.Equal(t, []string{"a", "d", "c"}, p.Operations.All())
 }
 
-// From any config to any other: the difference, taken, leaves no difference, and is nothing where there is none.
+// From any config to any other: applying the difference leaves no difference, and equal configs have none.
 func TestDiffTransformsOneConfigIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(which string) *Config {
--- a/internal/nodeconfig/names_test.go
+++ b/internal/nodeconfig/names_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Names do what a map and a list do, whatever is put and removed in whatever order.
+// Names behaves as a map and a list, whatever is put and removed in whatever order.
 func TestNamesMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var n Names
@@ -51,12 +51,12 @@
 	}
 	twice := NewNames("a", "b", "a")
 	at, _ := twice.Lookup("a")
-	assert.Equal(t, int32(2), at, "the last of two, as a map has it")
+	assert.Equal(t, int32(2), at, "the last of two equal names")
 	at, known := (*Names)(nil).Lookup("a")
 	assert.False(t, known, at)
 }
 
-// What a table of the wanted size takes: its names and a dozen bytes for each.
+// The memory of a large table: the names and at most 20 bytes for each.
 func TestNamesMemoryOverhead(t *testing.T) {
 	var n Names
 	text := 0
--- a/internal/nodeconfig/stream_test.go
+++ b/internal/nodeconfig/streamdecoder_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// decodeFromPaths decodes settings as it was done before they were read as a stream: all of them by their paths.
+// decodeFromPaths decodes settings without a stream, all of them by their paths.
 func decodeFromPaths(seed int64, object []byte) (*Config, error) {
 	var tree map[string]any
 	d := json.NewDecoder(strings.NewReader(string(object)))
@@ -25,7 +25,7 @@
 	return decode(seed, values)
 }
 
-// A stream gives the config that paths give, in whatever shape the lists come, and refuses what they refuse.
+// A stream decodes to the config that paths give, in whatever shape the lists are, and rejects what paths reject.
 func TestStreamDecodeMatchesPathDecode(t *testing.T) {
 	plain := []string{`"x"`, `3`, `true`, `null`, `[]`, `[{"name":"deep"}]`}
 	effects := []string{"idempotent", "deduplicated", "at_most_once", "idempotent", "idempotent", "idempotent", "twice"}
