--- a/internal/configfile/settings.go
+++ b/internal/configfile/file.go
@@ -81,7 +81,7 @@
 // Read evaluates a file. Imports stay below its folder; there is no environment and no network. An evaluation that
 // takes too long is left behind, so a program that must not be slowed down has another process call this.
 func Read(path string) (*File, error) {
-	text, err := readBounded(path)
+	text, err := readFile(path)
 	if err != nil {
 		return nil, &ProblemError{File: path, What: err.Error(), Mend: "name a readable file"}
 	}
@@ -127,13 +127,13 @@
 		return nil, &ProblemError{File: path, What: err.Error()}
 	}
 	f.value = tree
-	if text, err := readBounded(path); err == nil {
+	if text, err := readFile(path); err == nil {
 		f.syntaxTree, _ = jsonnet.SnippetToAST(path, string(text))
 	}
 	return f, nil
 }
 
-func readBounded(path string) ([]byte, error) {
+func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Unwrap(err)
@@ -178,7 +178,7 @@
 	if len(i.files) >= maxImports {
 		return jsonnet.Contents{}, "", fmt.Errorf("more than %d files are imported", maxImports)
 	}
-	text, err := readBounded(real)
+	text, err := readFile(real)
 	if err != nil {
 		return jsonnet.Contents{}, "", fmt.Errorf("%q: %w", path, err)
 	}
--- a/internal/configfile/settings_test.go
+++ b/internal/configfile/file_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func file(t *testing.T, text string) *File {
+func readText(t *testing.T, text string) *File {
 	path := filepath.Join(t.TempDir(), "a.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	f, err := Read(path)
@@ -74,7 +74,7 @@
 }
 
 func TestSetReplacesOneValue(t *testing.T) {
-	f := file(t, `{ day: { nodes: 4, load: [{ high: '1 %' }] } }`)
+	f := readText(t, `{ day: { nodes: 4, load: [{ high: '1 %' }] } }`)
 	require.NoError(t, f.Set("day.load.0.high", "30 %"))
 	require.NoError(t, f.Set("day.nodes", "8"))
 	assert.JSONEq(t, `{"day": {"nodes": 8, "load": [{"high": "30 %"}]}}`, string(f.JSON))
--- a/internal/configfile/units.go
+++ b/internal/configfile/units.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	times = map[string]float64{"ns": 1, "us": 1e3, "ms": 1e6, "s": 1e9, "min": 60e9, "h": 3600e9}
-	sizes = map[string]float64{"B": 1, "kB": 1e3, "MB": 1e6, "GB": 1e9, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
-	parts = map[string]float64{"%": 0.01}
+	timeUnits     = map[string]float64{"ns": 1, "us": 1e3, "ms": 1e6, "s": 1e9, "min": 60e9, "h": 3600e9}
+	sizeUnits     = map[string]float64{"B": 1, "kB": 1e3, "MB": 1e6, "GB": 1e9, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
+	fractionUnits = map[string]float64{"%": 0.01}
 )
 
 // Time is a duration in whole nanoseconds, written as "250 ms".
@@ -32,26 +32,26 @@
 
 // UnmarshalJSON reads a number with a unit of time.
 func (t *Time) UnmarshalJSON(text []byte) error {
-	n, err := withUnit(text, times, math.MaxInt64/4)
+	n, err := parseWithUnit(text, timeUnits, math.MaxInt64/4)
 	*t = Time(math.Round(n))
 	return err
 }
 
 // UnmarshalJSON reads a percentage.
 func (p *Part) UnmarshalJSON(text []byte) error {
-	n, err := withUnit(text, parts, math.MaxFloat64)
+	n, err := parseWithUnit(text, fractionUnits, math.MaxFloat64)
 	*p = Part(n)
 	return err
 }
 
 // UnmarshalJSON reads a number with a unit of size.
 func (s *Size) UnmarshalJSON(text []byte) error {
-	n, err := withUnit(text, sizes, math.MaxInt64/4)
+	n, err := parseWithUnit(text, sizeUnits, math.MaxInt64/4)
 	*s = Size(math.Round(n))
 	return err
 }
 
-func withUnit(text []byte, units map[string]float64, most float64) (float64, error) {
+func parseWithUnit(text []byte, units map[string]float64, limit float64) (float64, error) {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
 		return 0, fmt.Errorf("%s has no unit", text)
@@ -59,7 +59,7 @@
 	number := strings.TrimRight(s, "%abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
 	factor, known := units[s[len(number):]]
 	n, err := strconv.ParseFloat(strings.TrimSuffix(number, " "), 64)
-	if err != nil || !known || n < 0 || n*factor > most {
+	if err != nil || !known || n < 0 || n*factor > limit {
 		return 0, fmt.Errorf("%q is not a number with a unit that is known here", s)
 	}
 	return n * factor, nil
@@ -69,30 +69,30 @@
 func Nearest(name string, known []string) (nearest string) {
 	least := 1 + len(name)/2
 	for _, k := range known {
-		if d := distance(name, k); d < least {
+		if d := editDistance(name, k); d < least {
 			least, nearest = d, k
 		}
 	}
 	return nearest
 }
 
-// distance is how many letters have to be put in, taken out or changed.
-func distance(a, b string) int {
-	row := make([]int, len(b)+1)
-	for j := range row {
-		row[j] = j
+// editDistance is how many letters have to be put in, taken out or changed.
+func editDistance(a, b string) int {
+	distances := make([]int, len(b)+1)
+	for j := range distances {
+		distances[j] = j
 	}
 	for i := range len(a) {
-		before := row[0]
-		row[0] = i + 1
+		before := distances[0]
+		distances[0] = i + 1
 		for j := range len(b) {
 			change := before
 			if a[i] != b[j] {
 				change++
 			}
-			before = row[j+1]
-			row[j+1] = min(change, row[j]+1, row[j+1]+1)
+			before = distances[j+1]
+			distances[j+1] = min(change, distances[j]+1, distances[j+1]+1)
 		}
 	}
-	return row[len(b)]
+	return distances[len(b)]
 }
