--- a/internal/configfile/file_test.go
+++ b/internal/configfile/file_test.go
@@ -1,7 +1,6 @@
 package configfile
 
 import (
-	"encoding/json"
 	"os"
 	"path/filepath"
 	"strings"
@@ -19,28 +18,6 @@
 	return f
 }
 
-func TestUnmarshalRequiresUnits(t *testing.T) {
-	var times struct{ A, B, C Time }
-	require.NoError(t, json.Unmarshal([]byte(`{"A": "250 ms", "B": "1.5s", "C": "2 min"}`), &times))
-	assert.Equal(t, []Time{250_000_000, 1_500_000_000, 120_000_000_000}, []Time{times.A, times.B, times.C})
-	var p Part
-	require.NoError(t, json.Unmarshal([]byte(`"12.5 %"`), &p))
-	assert.Equal(t, Part(0.125), p)
-	var s Size
-	require.NoError(t, json.Unmarshal([]byte(`"64 KiB"`), &s))
-	assert.Equal(t, Size(65536), s)
-	for _, bad := range []string{`250`, `"250"`, `"ms"`, `"1 fortnight"`, `"-1 s"`, `"1e400 s"`, `""`, `"9e30 h"`, `null2`} {
-		assert.Error(t, json.Unmarshal([]byte(bad), &times.A), bad)
-	}
-}
-
-func TestNearestSuggestsSimilarName(t *testing.T) {
-	known := []string{"catalogue", "delivery-quote", "hold"}
-	assert.Equal(t, "delivery-quote", Nearest("delivery-qoute", known))
-	assert.Equal(t, "hold", Nearest("hodl", known))
-	assert.Empty(t, Nearest("zzzzzz", known))
-}
-
 func TestReadRejectsOversizedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Repeat(" ", maxFileBytes+1)), 0o600))
@@ -80,13 +57,3 @@
 	assert.JSONEq(t, `{"day": {"nodes": 8, "load": [{"high": "30 %"}]}}`, string(f.JSON))
 	assert.ErrorContains(t, f.Set("day.load.3.high", "1"), "items are 0 to 0")
 }
-
-func FuzzRendered(f *testing.F) {
-	f.Add([]byte(`{"a": [1, {"b": null}]}`))
-	schema := Compile("fuzz.json", `{"type": "object", "properties": {"a": {"type": "string", "pattern": "`+TimePattern+`"}}}`)
-	f.Fuzz(func(t *testing.T, text []byte) {
-		if file, err := Rendered("none.jsonnet", text); err == nil {
-			_ = file.Check(schema)
-		}
-	})
-}
--- a/internal/configfile/units.go
+++ b/internal/configfile/units.go
@@ -51,6 +51,7 @@
 	return err
 }
 
+// parseWithUnit returns a number that is not negative in the base unit.
 func parseWithUnit(text []byte, units map[string]float64, limit float64) (float64, error) {
 	var s string
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -64,35 +65,3 @@
 	}
 	return n * factor, nil
 }
-
-// Nearest is the known name that is closest to one that is not known, empty where none is near.
-func Nearest(name string, known []string) (nearest string) {
-	least := 1 + len(name)/2
-	for _, k := range known {
-		if d := editDistance(name, k); d < least {
-			least, nearest = d, k
-		}
-	}
-	return nearest
-}
-
-// editDistance is how many letters have to be put in, taken out or changed.
-func editDistance(a, b string) int {
-	distances := make([]int, len(b)+1)
-	for j := range distances {
-		distances[j] = j
-	}
-	for i := range len(a) {
-		before := distances[0]
-		distances[0] = i + 1
-		for j := range len(b) {
-			change := before
-			if a[i] != b[j] {
-				change++
-			}
-			before = distances[j+1]
-			distances[j+1] = min(change, distances[j]+1, distances[j+1]+1)
-		}
-	}
-	return distances[len(b)]
-}
