--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -123,9 +123,9 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("fleet %s: hears peers on %s, told to them as %s, %d seeds; %s\n", fleet.Name, fleet.Bind, fleet.Terms.Address,
-			len(fleet.Terms.Seeds), fleet.Bounds())
-		if fleet.Council != nil {
+		fmt.Printf("fleet %s: hears peers on %s, told to them as %s, %d seeds; %s\n", fleet.Name, fleet.Bind, fleet.Membership.Address,
+			len(fleet.Membership.Seeds), fleet.Describe())
+		if fleet.ConsensusGroup != nil {
 			warnShortTimeouts(n, fleet)
 		}
 	}
--- a/cmd/topazpost/plans.go
+++ b/cmd/topazpost/plans.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	if into.Fleet, err = fleetconfig.From(file, into.Name); err == nil {
-		into.Fleet.Terms.Version = revision()[:min(maxVersionLength, len(revision()))]
+		into.Fleet.Membership.Version = revision()[:min(maxVersionLength, len(revision()))]
 	}
 	return err
 }
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -52,9 +52,9 @@
 	if err != nil {
 		return err
 	}
-	if f.Council == nil || f.Council.Calls == nil {
+	if f.ConsensusGroup == nil || f.ConsensusGroup.CallQuota == nil {
 		return fmt.Errorf("%s: has no limit; set council.calls", c.File)
 	}
-	fmt.Println(f.Council.Calls.DescribeBound())
+	fmt.Println(f.ConsensusGroup.CallQuota.DescribeBound())
 	return nil
 }
--- a/cmd/topazpost/seat.go
+++ b/cmd/topazpost/seat.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if fleet.Council == nil || !slices.Contains(fleet.Council.Seats, c.Name) {
+	if fleet.ConsensusGroup == nil || !slices.Contains(fleet.ConsensusGroup.Replicas, c.Name) {
 		return fmt.Errorf("%s: council.seats: %q is not one of them, and a process without a seat has nothing to do; name it there, or start it with the name of one",
 			c.Fleet, c.Name)
 	}
@@ -40,7 +40,7 @@
 	n := &server.Config{Name: c.Name, StopMS: replicaStopMS, Sockets: replicaSockets, Fleet: fleet, Hollow: server.OnlySeat(),
 		Settings: &nodeconfig.Config{Operations: nodeconfig.NewNames(), Tenants: nodeconfig.NewNames()}}
 	n.Settings.Node.Seed = int64(os.Getpid())
-	log.Info().Str("name", c.Name).Strs("seats", fleet.Council.Seats).Str("folder", fleet.Council.Folder).Msg("a seat of the council, serving nothing")
+	log.Info().Str("name", c.Name).Strs("seats", fleet.ConsensusGroup.Replicas).Str("folder", fleet.ConsensusGroup.Folder).Msg("a seat of the council, serving nothing")
 	node := server.New(n, log, server.SystemClock())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -44,11 +44,11 @@
 func Read(path string) (*File, error) {
 	text, err := readFile(path)
 	if err != nil {
-		return nil, &ProblemError{File: path, What: err.Error(), Mend: "name a readable file"}
+		return nil, &ProblemError{File: path, Message: err.Error(), Hint: "name a readable file"}
 	}
 	root, err := filepath.Abs(filepath.Dir(path))
 	if err != nil {
-		return nil, &ProblemError{File: path, What: err.Error()}
+		return nil, &ProblemError{File: path, Message: err.Error()}
 	}
 	type result struct {
 		json string
@@ -67,8 +67,8 @@
 		}
 		return Rendered(path, []byte(r.json))
 	case <-time.After(evaluationTimeout):
-		return nil, &ProblemError{File: path, What: fmt.Sprintf("takes more than %s to evaluate", evaluationTimeout),
-			Mend: "look for a template that calls itself or builds a huge array"}
+		return nil, &ProblemError{File: path, Message: fmt.Sprintf("takes more than %s to evaluate", evaluationTimeout),
+			Hint: "look for a template that calls itself or builds a huge array"}
 	}
 }
 
@@ -85,13 +85,13 @@
 // Rendered returns a file with the result of an evaluation elsewhere. The file is read for the lines of its values only.
 func Rendered(path string, result []byte) (*File, error) {
 	if len(result) > maxResultBytes {
-		return nil, &ProblemError{File: path, What: fmt.Sprintf("comes to %d bytes, %d at most", len(result), maxResultBytes),
-			Mend: "build less in templates"}
+		return nil, &ProblemError{File: path, Message: fmt.Sprintf("comes to %d bytes, %d at most", len(result), maxResultBytes),
+			Hint: "build less in templates"}
 	}
 	f := &File{Path: path, JSON: result}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(result))
 	if err != nil {
-		return nil, &ProblemError{File: path, What: err.Error()}
+		return nil, &ProblemError{File: path, Message: err.Error()}
 	}
 	f.value = value
 	if text, err := readFile(path); err == nil {
@@ -163,7 +163,7 @@
 	d := json.NewDecoder(bytes.NewReader(f.JSON))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return &ProblemError{File: f.Path, What: err.Error(), Mend: "mend the value"}
+		return &ProblemError{File: f.Path, Message: err.Error(), Hint: "mend the value"}
 	}
 	return nil
 }
--- a/internal/configfile/problem.go
+++ b/internal/configfile/problem.go
@@ -11,11 +11,11 @@
 
 // ProblemError is a problem with a file.
 type ProblemError struct {
-	File string
-	Line int    // 0 where a template computes the value
-	Path string // of the value, empty for the file itself
-	What string // is wrong
-	Mend string // what to do about it, empty where nothing is known
+	File    string
+	Line    int    // 0 where a template computes the value
+	Path    string // of the value, empty for the file itself
+	Message string // is wrong
+	Hint    string // what to do about it, empty where nothing is known
 }
 
 // Error returns the problem in one line.
@@ -27,9 +27,9 @@
 	if p.Path != "" {
 		s += ": " + p.Path
 	}
-	s += ": " + p.What
-	if p.Mend != "" {
-		s += "; " + p.Mend
+	s += ": " + p.Message
+	if p.Hint != "" {
+		s += "; " + p.Hint
 	}
 	return s
 }
@@ -56,19 +56,19 @@
 // evaluationProblem returns the problem that an error of the evaluator describes.
 func evaluationProblem(path string, err error) error {
 	text := strings.TrimSpace(err.Error())
-	p := &ProblemError{File: path, Mend: "mend the template"}
+	p := &ProblemError{File: path, Hint: "mend the template"}
 	if at := errorPosition.FindStringSubmatch(text); at != nil {
 		p.File = at[1]
 		p.Line, _ = strconv.Atoi(at[2]) // digits, or too many of them for a line
 		text = strings.TrimPrefix(text, at[0])
 	}
 	text, _, _ = strings.Cut(text, "\n")
-	p.What = strings.TrimPrefix(text, "RUNTIME ERROR: ")
+	p.Message = strings.TrimPrefix(text, "RUNTIME ERROR: ")
 	switch {
 	case strings.Contains(text, "max stack frames exceeded"):
-		p.Mend = "look for a template or an import that calls itself"
+		p.Hint = "look for a template or an import that calls itself"
 	case strings.Contains(text, "there is no file"), strings.Contains(text, "outside the folder"):
-		p.Mend = "import files below the folder of this one"
+		p.Hint = "import files below the folder of this one"
 	}
 	return p
 }
--- a/internal/configfile/schema.go
+++ b/internal/configfile/schema.go
@@ -40,8 +40,8 @@
 }
 
 // At returns a problem with the value at a path.
-func (f *File) At(path []string, what, mend string) *ProblemError {
-	return &ProblemError{File: f.Path, Line: f.lineOf(path), Path: strings.Join(path, "."), What: what, Mend: mend}
+func (f *File) At(path []string, message, hint string) *ProblemError {
+	return &ProblemError{File: f.Path, Line: f.lineOf(path), Path: strings.Join(path, "."), Message: message, Hint: hint}
 }
 
 // collect appends the problems of a validation error that has no further causes.
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -44,8 +44,8 @@
 			}
 			assert.Equal(t, filepath.Base(path), filepath.Base(first.File))
 			assert.Equal(t, line, first.Line, err)
-			assert.Contains(t, first.What, want[2])
-			assert.Contains(t, first.Mend, want[3])
+			assert.Contains(t, first.Message, want[2])
+			assert.Contains(t, first.Hint, want[3])
 		})
 	}
 }
--- a/internal/fleet/fleetconfig/configuration.go
+++ b/internal/fleet/fleetconfig/configuration.go
@@ -8,14 +8,14 @@
 	"topazpost/internal/configfile"
 )
 
-// Configuration is how a node takes part in the fleet's configuration in service.
-type Configuration struct {
+// ConfigSync is how a node takes part in the fleet's configuration in service.
+type ConfigSync struct {
 	Folder string // where the node keeps the last version that was in force; empty in memory only
 }
 
-// newConfiguration reads it, for the node of a name.
-func newConfiguration(file *configfile.File, name, folder string, council bool) (c *Configuration, found configfile.ProblemErrors) {
-	if c = new(Configuration); !council {
+// newConfigSync reads it, for the node of a name.
+func newConfigSync(file *configfile.File, name, folder string, council bool) (c *ConfigSync, found configfile.ProblemErrors) {
+	if c = new(ConfigSync); !council {
 		found = append(found, file.At([]string{"configuration"}, "needs a council, whose seats agree on versions",
 			"name seats in council.seats, or leave it out"))
 	}
@@ -40,8 +40,8 @@
 	return clean, found
 }
 
-// bounds says in words what holds of it.
-func (c *Configuration) bounds() string {
+// describe says in words what holds of it.
+func (c *ConfigSync) describe() string {
 	where := "in memory only, so that a start is from the node's file until a seat is heard"
 	if c.Folder != "" {
 		where = "and the last version is kept in " + c.Folder
--- a/internal/fleet/fleetconfig/configuration_test.go
+++ b/internal/fleet/fleetconfig/configuration_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDeployedFleetThatTakesItsConfigurationInServiceCanBeRead(t *testing.T) {
+func TestReadAcceptsDeployedFleetWithConfigSync(t *testing.T) {
 	f, err := Read("../../../deploy/fleet-configuration.jsonnet", "n1")
 	require.NoError(t, err)
-	assert.Equal(t, &Configuration{Folder: "/var/lib/topazpost/configuration-n1"}, f.Configuration)
-	assert.Equal(t, "/var/lib/topazpost/seat-n1", f.Council.Folder)
-	assert.Contains(t, f.Bounds(), "operations, tenants and limits are taken in service from versions that the council agrees on, "+
+	assert.Equal(t, &ConfigSync{Folder: "/var/lib/topazpost/configuration-n1"}, f.ConfigSync)
+	assert.Equal(t, "/var/lib/topazpost/seat-n1", f.ConsensusGroup.Folder)
+	assert.Contains(t, f.Describe(), "operations, tenants and limits are taken in service from versions that the council agrees on, "+
 		"and the last version is kept in /var/lib/topazpost/configuration-n1")
 }
 
-func TestConfigurationThatCantBeIsRefusedWithTheMend(t *testing.T) {
+func TestReadRejectsInvalidConfigSync(t *testing.T) {
 	for written, want := range map[string]string{
 		"configuration: {}": ":3: configuration: needs a council, whose seats agree on versions; name seats in council.seats, or leave it out",
 		"council: { seats: ['a'] }, configuration: { folder: 'here' }": `:3: configuration.folder: "here" is no absolute path; ` +
@@ -29,5 +29,5 @@
 	}
 	f, err := Read(writeFleetFile(t, "{\n fleet: 'x', bind: '127.0.0.1:7946',\n council: { seats: ['a'] }, configuration: {},\n}"), "n")
 	require.NoError(t, err)
-	assert.Contains(t, f.Bounds(), "in memory only, so that a start is from the node's file")
+	assert.Contains(t, f.Describe(), "in memory only, so that a start is from the node's file")
 }
--- a/internal/fleet/fleetconfig/fleetconfig.go
+++ b/internal/fleet/fleetconfig/fleetconfig.go
@@ -32,24 +32,24 @@
 
 // Fleet is a fleet configuration with what the sockets need.
 type Fleet struct {
-	Name          string
-	Bind          string // where peers' datagrams and exchanges are heard
-	Exposed       bool   // Bind may be an unspecified address
-	Terms         membership.Config
-	Kept          uint64         // incarnation that the last life left on a disk, 0 without one
-	Council       *Council       // nil without one
-	Configuration *Configuration // nil where it takes a new start
-	WallAhead     int64          // ns by which the wall clock is set off, for tests
-	Path          string
+	Name                string
+	Bind                string // where peers' datagrams and exchanges are heard
+	AllowAnyAddress     bool   // Bind may be an unspecified address
+	Membership          membership.Config
+	PreviousIncarnation uint64          // incarnation that the last life left on a disk, 0 without one
+	ConsensusGroup      *ConsensusGroup // nil without one
+	ConfigSync          *ConfigSync     // nil where it takes a new start
+	ClockOffset         int64           // ns by which the wall clock is set off, for tests
+	Path                string
 }
 
-// Council is who agrees on claims of tokens for all.
-type Council struct {
-	Seats   []string            // names of nodes
-	Folder  string              // where the node's seat keeps what it must not forget; empty in memory only
-	Bytes   int64               // of the table of claims
-	Calls   *quota.HolderConfig // of the limit on calls in hand, nil without one
-	Version uint64              // of that limit
+// ConsensusGroup is who agrees on claims of tokens for all.
+type ConsensusGroup struct {
+	Replicas         []string            // names of nodes
+	Folder           string              // where the node's seat keeps what it must not forget; empty in memory only
+	MaxTableBytes    int64               // of the table of claims
+	CallQuota        *quota.HolderConfig // of the limit on calls in hand, nil without one
+	CallQuotaVersion uint64              // of that limit
 }
 
 var schema = sync.OnceValue(func() *configfile.Schema {
@@ -118,10 +118,10 @@
 	if err := file.Into(&w); err != nil {
 		return nil, err
 	}
-	f := &Fleet{Name: w.Fleet, Bind: w.Bind, Exposed: w.AnyAddress, WallAhead: int64(w.ClockAhead - w.ClockBehind),
-		Path: file.Path, Terms: membership.Config{Name: name, Address: w.Advertise, Zone: w.Zone, Seeds: w.Seeds,
+	f := &Fleet{Name: w.Fleet, Bind: w.Bind, AllowAnyAddress: w.AnyAddress, ClockOffset: int64(w.ClockAhead - w.ClockBehind),
+		Path: file.Path, Membership: membership.Config{Name: name, Address: w.Advertise, Zone: w.Zone, Seeds: w.Seeds,
 			ProbeInterval: defaultProbeInterval, LinkTimeout: defaultLinkTimeout, SuspicionTimeout: defaultSuspicionTimeout, ForgetTimeout: defaultForgetTimeout, MaxMembers: defaultMaxMembers}}
-	c := &f.Terms
+	c := &f.Membership
 	if c.Address == "" {
 		c.Address = w.Bind
 	}
@@ -160,20 +160,20 @@
 		address(s, "seeds", fmt.Sprint(k))
 	}
 	if w.Council != nil {
-		f.Council = &Council{Seats: w.Council.Seats, Bytes: defaultTableBytes}
+		f.ConsensusGroup = &ConsensusGroup{Replicas: w.Council.Seats, MaxTableBytes: defaultTableBytes}
 		var wrong configfile.ProblemErrors
-		f.Council.Folder, wrong = nodeFolder(file, name, w.Council.Folder, "seat", "council", "folder")
+		f.ConsensusGroup.Folder, wrong = nodeFolder(file, name, w.Council.Folder, "seat", "council", "folder")
 		found = append(found, wrong...)
 		if w.Council.Table != nil {
-			f.Council.Bytes = int64(*w.Council.Table)
+			f.ConsensusGroup.MaxTableBytes = int64(*w.Council.Table)
 		}
 		if calls := w.Council.Calls; calls != nil {
-			f.Council.Version = 1
+			f.ConsensusGroup.CallQuotaVersion = 1
 			if calls.Version != nil {
-				f.Council.Version = *calls.Version
+				f.ConsensusGroup.CallQuotaVersion = *calls.Version
 			}
-			f.Council.Calls = &quota.HolderConfig{Name: "calls", Units: calls.Limit, Hold: int64(calls.Hold), Term: cmp.Or(int64(calls.Lease), defaultLeaseTerm)}
-			if wrong := f.Council.Calls.Problem(); wrong != "" {
+			f.ConsensusGroup.CallQuota = &quota.HolderConfig{Name: "calls", Units: calls.Limit, Hold: int64(calls.Hold), Term: cmp.Or(int64(calls.Lease), defaultLeaseTerm)}
+			if wrong := f.ConsensusGroup.CallQuota.Problem(); wrong != "" {
 				found = append(found, file.At([]string{"council", "calls"}, wrong, "see docs/operate/quota.md for the bounds"))
 			}
 		}
@@ -183,13 +183,13 @@
 		if sorted := slices.Sorted(slices.Values(w.Council.Seats)); len(slices.Compact(sorted)) < len(w.Council.Seats) {
 			found = append(found, file.At([]string{"council", "seats"}, "name a node twice", "name each once"))
 		}
-		if b := f.Council.Bytes; b < minTableBytes || b > maxTableBytes {
+		if b := f.ConsensusGroup.MaxTableBytes; b < minTableBytes || b > maxTableBytes {
 			found = append(found, file.At([]string{"council", "table"}, fmt.Sprintf("is %d bytes", b), "choose 64 KiB to 12 MiB: a seat that comes back gets it in one piece"))
 		}
 	}
 	if w.Configuration != nil {
 		var wrong configfile.ProblemErrors
-		f.Configuration, wrong = newConfiguration(file, name, w.Configuration.Folder, w.Council != nil)
+		f.ConfigSync, wrong = newConfigSync(file, name, w.Configuration.Folder, w.Council != nil)
 		found = append(found, wrong...)
 	}
 	if c.ProbeInterval < minProbeInterval {
@@ -213,27 +213,27 @@
 
 // DetectionTime is the time, in nanoseconds, by which a death is known to all where links are sound.
 func (f *Fleet) DetectionTime() int64 {
-	return f.Terms.LinkTimeout + f.Terms.SuspicionTimeout + f.Terms.ProbeInterval
+	return f.Membership.LinkTimeout + f.Membership.SuspicionTimeout + f.Membership.ProbeInterval
 }
 
-// Bounds says in words what the timing comes to: how long a pause is borne, and by when a death is known.
-func (f *Fleet) Bounds() string {
-	c := &f.Terms
+// Describe says in words what the timing comes to: how long a pause is borne, and by when a death is known.
+func (f *Fleet) Describe() string {
+	c := &f.Membership
 	text := fmt.Sprintf("a pause of up to %s is borne; a death is known to all within about %s; a member outside the view is looked for for %s",
 		formatSeconds(c.LinkTimeout-c.ProbeInterval), formatSeconds(f.DetectionTime()), formatSeconds(c.ForgetTimeout))
-	if f.Council != nil {
+	if f.ConsensusGroup != nil {
 		where := "in memory only"
-		if f.Council.Folder != "" {
-			where = "and seats keep it in " + f.Council.Folder
+		if f.ConsensusGroup.Folder != "" {
+			where = "and seats keep it in " + f.ConsensusGroup.Folder
 		}
 		text += fmt.Sprintf("; a council of %d, which bears the loss of %d at a time, agrees on claims of tokens, %d kB at the most, %s",
-			len(f.Council.Seats), len(f.Council.Seats)/2, f.Council.Bytes>>10, where)
-		if f.Council.Calls != nil {
-			text += "; " + f.Council.Calls.DescribeBound()
+			len(f.ConsensusGroup.Replicas), len(f.ConsensusGroup.Replicas)/2, f.ConsensusGroup.MaxTableBytes>>10, where)
+		if f.ConsensusGroup.CallQuota != nil {
+			text += "; " + f.ConsensusGroup.CallQuota.DescribeBound()
 		}
 	}
-	if f.Configuration != nil {
-		text += f.Configuration.bounds()
+	if f.ConfigSync != nil {
+		text += f.ConfigSync.describe()
 	}
 	return text
 }
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -20,9 +20,9 @@
 func TestReadAppliesDefaults(t *testing.T) {
 	f, err := Read(writeFleetFile(t, `{ fleet: 'x', bind: '127.0.0.1:7946', seeds: ['127.0.0.2:7946'], silence: '6 s', clock_behind: '10 s' }`), "n1")
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:7946", f.Terms.Address)
-	assert.Equal(t, []int64{6_000_000_000, defaultProbeInterval, defaultSuspicionTimeout, -10_000_000_000}, []int64{f.Terms.LinkTimeout, f.Terms.ProbeInterval, f.Terms.SuspicionTimeout, f.WallAhead})
-	assert.Contains(t, f.Bounds(), "a pause of up to 5.5 s is borne")
+	assert.Equal(t, "127.0.0.1:7946", f.Membership.Address)
+	assert.Equal(t, []int64{6_000_000_000, defaultProbeInterval, defaultSuspicionTimeout, -10_000_000_000}, []int64{f.Membership.LinkTimeout, f.Membership.ProbeInterval, f.Membership.SuspicionTimeout, f.ClockOffset})
+	assert.Contains(t, f.Describe(), "a pause of up to 5.5 s is borne")
 }
 
 func TestReadReportsAllProblems(t *testing.T) {
@@ -41,11 +41,11 @@
 func TestReadAcceptsDeployedFleetWithConsensusGroup(t *testing.T) {
 	f, err := Read("../../../deploy/fleet-council.jsonnet", "n1")
 	require.NoError(t, err)
-	assert.Equal(t, &Council{Seats: []string{"n1", "n2", "n3"}, Bytes: 4 << 20, Version: 1,
-		Calls: &quota.HolderConfig{Name: "calls", Units: 90, Hold: 1_000_000_000, Term: 4_000_000_000}}, f.Council)
-	assert.Contains(t, f.Bounds(), "at most 90 calls in use fleet-wide")
+	assert.Equal(t, &ConsensusGroup{Replicas: []string{"n1", "n2", "n3"}, MaxTableBytes: 4 << 20, CallQuotaVersion: 1,
+		CallQuota: &quota.HolderConfig{Name: "calls", Units: 90, Hold: 1_000_000_000, Term: 4_000_000_000}}, f.ConsensusGroup)
+	assert.Contains(t, f.Describe(), "at most 90 calls in use fleet-wide")
 	assert.Equal(t, int64(1_300_000_000), f.DetectionTime())
-	assert.Contains(t, f.Bounds(), "which bears the loss of 1 at a time")
+	assert.Contains(t, f.Describe(), "which bears the loss of 1 at a time")
 }
 
 func TestReadRejectsInvalidConsensusGroups(t *testing.T) {
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -244,9 +244,9 @@
 	if p.fleet, err = fleetconfig.From(file, anyNode); err != nil {
 		return err
 	}
-	p.fleet.Terms.Seeds = nil
+	p.fleet.Membership.Seeds = nil
 	for _, i := range s.Contacts {
-		p.fleet.Terms.Seeds = append(p.fleet.Terms.Seeds, p.heardAt(i))
+		p.fleet.Membership.Seeds = append(p.fleet.Membership.Seeds, p.heardAt(i))
 	}
 	for _, i := range s.Nodes {
 		n := &running{i: i}
@@ -291,9 +291,9 @@
 		return nil, err
 	}
 	own := *p.fleet
-	own.Bind, own.Terms.Name, own.Terms.Address, own.Terms.Zone = At(Bind(p.spec.Block, i)), n.Name, p.heardAt(i), p.spec.Layout.Name(i)
-	if c := own.Configuration; c != nil { // each has a folder of its own
-		own.Configuration = &fleetconfig.Configuration{Folder: strings.ReplaceAll(c.Folder, anyNode, n.Name)}
+	own.Bind, own.Membership.Name, own.Membership.Address, own.Membership.Zone = At(Bind(p.spec.Block, i)), n.Name, p.heardAt(i), p.spec.Layout.Name(i)
+	if c := own.ConfigSync; c != nil { // each has a folder of its own
+		own.ConfigSync = &fleetconfig.ConfigSync{Folder: strings.ReplaceAll(c.Folder, anyNode, n.Name)}
 	}
 	n.Fleet = &own
 	return n, nil
--- a/server/config_test.go
+++ b/server/config_test.go
@@ -132,7 +132,7 @@
 		n.Limit()
 		assert.Equal(t, 100, debug.SetGCPercent(100), "as the runtime has it")
 	}
-	(&Config{Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{Configuration: &fleetconfig.Configuration{}}}).Limit()
+	(&Config{Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{ConfigSync: &fleetconfig.ConfigSync{}}}).Limit()
 	assert.Equal(t, inServiceGC, debug.SetGCPercent(100))
 }
 
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -36,7 +36,7 @@
 // takeConfiguration has the node take its configuration in service, where the fleet's file says so: it begins with the last
 // version on its disk, else with its own file.
 func (s *Server) takeConfiguration() error {
-	if s.config.Fleet == nil || s.config.Fleet.Configuration == nil {
+	if s.config.Fleet == nil || s.config.Fleet.ConfigSync == nil {
 		return nil
 	}
 	file, err := contentOf(s.config.Settings)
@@ -44,7 +44,7 @@
 		return fmt.Errorf("configuration: the node's own file: %w", err)
 	}
 	ours := configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
-	start, folder := ours, s.config.Fleet.Configuration.Folder
+	start, folder := ours, s.config.Fleet.ConfigSync.Folder
 	if folder != "" {
 		d := &configurationDisk{s: s, folder: folder, in: make(chan *configsync.Effect, persistsWaiting)}
 		if err := os.MkdirAll(folder, 0o700); err != nil {
--- a/server/peers.go
+++ b/server/peers.go
@@ -83,9 +83,9 @@
 		swapped: make(chan node.Input, exchangesWait), out: make(chan letter, sendsWaiting),
 		served: make(map[int]chan []byte), opened: make(chan struct{}, openedMost)}
 	s.peers.streams = newStreams(s.peers, s.config.streamsMost())
-	s.clock = ahead{s.clock, fleet.WallAhead}
+	s.clock = ahead{s.clock, fleet.ClockOffset}
 	now, wall := s.clock.Now()
-	s.state.JoinFleet(fleet.Name, membership.New(fleet.Terms, now, wall, fleet.Kept, s.config.Settings.Node.Seed^fleetSeed))
+	s.state.JoinFleet(fleet.Name, membership.New(fleet.Membership, now, wall, fleet.PreviousIncarnation, s.config.Settings.Node.Seed^fleetSeed))
 }
 
 // ahead sets the wall clock off, for tests of clocks that disagree.
@@ -119,8 +119,8 @@
 		return fmt.Errorf("fleet: %w", err)
 	}
 	context.AfterFunc(s.ctx, func() { p.udp.Close(); p.tcp.Close() })
-	s.log.Info().Str("fleet", p.fleet.Name).Str("bind", p.fleet.Bind).Str("advertise", p.fleet.Terms.Address).
-		Strs("seeds", p.fleet.Terms.Seeds).Msg("peers are heard")
+	s.log.Info().Str("fleet", p.fleet.Name).Str("bind", p.fleet.Bind).Str("advertise", p.fleet.Membership.Address).
+		Strs("seeds", p.fleet.Membership.Seeds).Msg("peers are heard")
 	s.group.Go(func() error { p.read(); return nil })
 	s.group.Go(func() error { p.write(); return nil })
 	s.group.Go(func() error { p.serve(); return nil })
@@ -280,7 +280,7 @@
 	if err == nil && binary.LittleEndian.Uint32(head[:]) == streamMark {
 		conn.SetDeadline(time.Time{})
 		place()
-		if p.fleet.Council != nil {
+		if p.fleet.ConsensusGroup != nil {
 			p.streams.accept(conn)
 		}
 		return
--- a/server/peers_test.go
+++ b/server/peers_test.go
@@ -19,7 +19,7 @@
 func TestDatagramsNeverTakeTheRoomOfExchanges(t *testing.T) {
 	n, err := ReadConfig([]byte(config))
 	require.NoError(t, err)
-	n.Fleet = &fleetconfig.Fleet{Name: "f", Bind: "127.0.0.1:0", Terms: membership.Config{Name: "n1", Address: "127.0.0.1:1", MaxMembers: 8}}
+	n.Fleet = &fleetconfig.Fleet{Name: "f", Bind: "127.0.0.1:0", Membership: membership.Config{Name: "n1", Address: "127.0.0.1:1", MaxMembers: 8}}
 	s := New(n, zerolog.Nop(), SystemClock())
 	ctx, end := context.WithCancel(t.Context())
 	s.ctx, s.group = ctx, groupOf(t)
--- a/server/seat.go
+++ b/server/seat.go
@@ -333,10 +333,10 @@
 
 // takeSeat opens the folder of the node's seat, where it has both, and gives the seat what is there.
 func (s *Server) takeSeat() error {
-	if s.config.Fleet == nil || s.config.Fleet.Council == nil || s.config.Fleet.Council.Folder == "" || !s.state.HasReplica() {
+	if s.config.Fleet == nil || s.config.Fleet.ConsensusGroup == nil || s.config.Fleet.ConsensusGroup.Folder == "" || !s.state.HasReplica() {
 		return nil
 	}
-	d, there, err := openSeat(s, s.config.Fleet.Council.Folder)
+	d, there, err := openSeat(s, s.config.Fleet.ConsensusGroup.Folder)
 	if err != nil {
 		return err
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -99,7 +99,7 @@
 	if config.Keep == nil && config.Hollow == nil {
 		config.Keep = cacheconfig.Default(config.Settings.Node.Operations, config.MemoryMB)
 	}
-	convened := config.Fleet != nil && config.Fleet.Council != nil
+	convened := config.Fleet != nil && config.Fleet.ConsensusGroup != nil
 	if k := config.Keep; k != nil {
 		rules := k.Cache
 		if convened { // what the council agrees on takes the place of the disk
@@ -109,10 +109,10 @@
 	}
 	if convened {
 		now, _ := s.clock.Now()
-		c := config.Fleet.Council
-		s.state.EnableConsensus(c.Seats, c.Bytes, now, config.Settings.Node.Seed^councilSeed)
-		if c.Calls != nil {
-			s.state.EnableQuota(*c.Calls, c.Version)
+		c := config.Fleet.ConsensusGroup
+		s.state.EnableConsensus(c.Replicas, c.MaxTableBytes, now, config.Settings.Node.Seed^councilSeed)
+		if c.CallQuota != nil {
+			s.state.EnableQuota(*c.CallQuota, c.CallQuotaVersion)
 		}
 	}
 	return s
@@ -181,10 +181,10 @@
 // streamsMost is how many streams to peers the node may have.
 func (n *Config) streamsMost() int {
 	switch {
-	case n.Fleet == nil || n.Fleet.Council == nil:
+	case n.Fleet == nil || n.Fleet.ConsensusGroup == nil:
 		return 0
-	case slices.Contains(n.Fleet.Council.Seats, n.Name):
-		return min(streamsSeat, n.Fleet.Terms.MaxMembers, max(streamsOther, n.Sockets/4))
+	case slices.Contains(n.Fleet.ConsensusGroup.Replicas, n.Name):
+		return min(streamsSeat, n.Fleet.Membership.MaxMembers, max(streamsOther, n.Sockets/4))
 	}
 	return streamsOther
 }
@@ -195,7 +195,7 @@
 func (n *Config) Limit() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.Cores))))
 	debug.SetMemoryLimit(int64(memoryPart * float64(n.MemoryMB) * (1 << 20)))
-	if n.Fleet != nil && n.Fleet.Configuration != nil {
+	if n.Fleet != nil && n.Fleet.ConfigSync != nil {
 		debug.SetGCPercent(inServiceGC)
 	}
 }
@@ -238,7 +238,7 @@
 		}
 	}
 	if k := s.config.Keep; k != nil && k.Folder != "" {
-		if s.config.Fleet != nil && s.config.Fleet.Council != nil {
+		if s.config.Fleet != nil && s.config.Fleet.ConsensusGroup != nil {
 			s.listener.Close()
 			return errors.New("keep: a folder and the fleet's council can't both keep results; leave out durability and folder, or the council")
 		}
