--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"os"
-	"text/tabwriter"
 
 	"topazpost/internal/fleet/claims"
 	"topazpost/internal/fleet/consensus"
@@ -60,8 +59,7 @@
 }
 
 func printClaims(list []claimRow) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "operation\ttoken\tstate\towner\tfence\tleft s\ttaken over\tcall")
+	w := newTable("operation\ttoken\tstate\towner\tfence\tleft s\ttaken over\tcall")
 	for _, c := range list {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%t\t%s\n", c.Operation, c.Token, c.State, c.Owner, c.Fence, float64(c.LeftMS)/1e3, c.Taken, c.Call)
 	}
--- a/cmd/topazpost/main.go
+++ b/cmd/topazpost/main.go
@@ -12,7 +12,6 @@
 
 	"github.com/alecthomas/kong"
 	"github.com/rs/zerolog"
-
 	"topazpost/internal/admission"
 	"topazpost/internal/degradation/degradationplan"
 	"topazpost/internal/fleet/fleetconfig"
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"os"
-	"text/tabwriter"
 
 	"topazpost/internal/fleet/fleetconfig"
 )
@@ -35,8 +33,7 @@
 		fmt.Println("it has no seat in the council, and no book of leases")
 		return nil
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "limit\tversion\tunits\theld\tholder\tunits\twants\tleft s")
+	w := newTable("limit\tversion\tunits\theld\tholder\tunits\twants\tleft s")
 	for _, l := range p.Limits {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", l.Name, l.Version, l.Units, l.LeasedUnits())
 		for _, x := range l.Leases {
--- a/cmd/topazpost/kept.go
+++ b/cmd/topazpost/results.go
@@ -9,7 +9,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"topazpost/internal/resultcache"
@@ -120,8 +119,7 @@
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "token\toperation\ttenant\tstate\tresult bytes\twindow ends")
+	w := newTable("token\toperation\ttenant\tstate\tresult bytes\twindow ends")
 	for i := range last {
 		if r := &last[i]; !c.Unknown || r.Kind != segmentstore.RunEnded {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, stateName(r), len(r.Result), formatExpiry(r.ExpiresAt))
@@ -246,8 +244,7 @@
 
 // Run prints the segments.
 func (c *storeInspect) Run() error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
+	w := newTable("segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
 	err := c.eachSegment(func(name string, data []byte, s *segmentstore.ScanResult, err error) {
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%v\n", name, err)
--- a/cmd/topazpost/signals.go
+++ b/cmd/topazpost/signals.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/rs/zerolog"
-
 	"topazpost/server"
 )
 
