--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -37,13 +37,13 @@
 
 var errViewsDiffer = errors.New("views differ")
 
-// queryView asks a node for its view.
+// queryView returns the view of a node.
 func queryView(fleet, address string) (v membership.View, err error) {
 	err = queryInto(fleet, address, "", &v)
 	return v, err
 }
 
-// queryInto asks a node for what it shows of itself.
+// queryInto decodes what a node shows of itself into a value.
 func queryInto(fleet, address, what string, into any) error {
 	name := envelope.FleetOf(fleet)
 	ask, err := envelope.Seal(nil, name, membership.Message{Kind: membership.MessageViewRequest, Why: what})
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Run prints the view, once or again and again.
+// Run prints the view, once or repeatedly.
 func (c *membersShow) Run() error {
 	for {
 		v, err := queryView(c.Fleet, c.Address)
@@ -115,7 +115,7 @@
 	return w.Flush()
 }
 
-// Run asks all, and tells for each member that not all see alike who sees it how.
+// Run compares the views of all addresses, and prints each member on whose status they differ.
 func (c *membersCompare) Run() error {
 	type key struct{ name, status string }
 	by, names := map[key][]string{}, map[string]bool{}
--- a/cmd/topazpost/results.go
+++ b/cmd/topazpost/results.go
@@ -1,19 +1,11 @@
 package main
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
-	"math"
 	"os"
-	"path/filepath"
-	"slices"
-	"strings"
-	"time"
 
 	"topazpost/internal/resultcache"
 	"topazpost/internal/resultcache/segmentstore"
-	"topazpost/server"
 )
 
 // resultsCommands are the commands about what a node that is stopped has resultsCommands of tokened invocations.
@@ -24,18 +16,6 @@
 	Forget resultsForget `cmd:"" help:"Forget a token: it may run again."`
 }
 
-// storeCommands are the commands about the files.
-type storeCommands struct {
-	Inspect storeInspect `cmd:"" help:"Print each segment: records, bytes, end of the last window."`
-	Verify  storeVerify  `cmd:"" help:"Read all segments; fails with file and offset where one is broken."`
-	Compact storeCompact `cmd:"" help:"Keep the last state of each token only."`
-	Export  storeExport  `cmd:"" help:"Print the last state of each token as a JSON object a line."`
-}
-
-type storeDirectory struct {
-	Folder string `arg:"" help:"Folder of the store; its node must be stopped." type:"existingdir"`
-}
-
 type tokenSelector struct {
 	storeDirectory
 	Token     string `arg:"" help:"The token."`
@@ -57,63 +37,7 @@
 
 type resultsForget struct{ tokenSelector }
 
-type (
-	storeInspect struct{ storeDirectory }
-	storeVerify  struct{ storeDirectory }
-	storeCompact struct{ storeDirectory }
-	storeExport  struct{ storeDirectory }
-)
-
-var errBrokenStore = errors.New("the store is broken; nothing was changed")
-
-// open locks a store and finds the size of its segments.
-func (f *storeDirectory) open() (segmentstore.Directory, segmentstore.Limits, func(), error) {
-	at := segmentstore.Directory(f.Folder)
-	unlock, err := server.LockStore(f.Folder)
-	if err != nil {
-		return at, segmentstore.Limits{}, nil, err
-	}
-	names, err := at.Names()
-	if err != nil {
-		unlock()
-		return at, segmentstore.Limits{}, nil, err
-	}
-	bounds := segmentstore.Limits{SegmentBytes: 1 << 20, MaxBytes: math.MaxInt64}
-	for _, name := range names {
-		if strings.HasSuffix(name, ".seg") {
-			if info, err := os.Stat(filepath.Join(f.Folder, name)); err == nil {
-				bounds.SegmentBytes = info.Size()
-			}
-		}
-	}
-	return at, bounds, unlock, nil
-}
-
-func (f *storeDirectory) latestRecords() ([]segmentstore.Record, error) {
-	at, bounds, unlock, err := f.open()
-	if err != nil {
-		return nil, err
-	}
-	defer unlock()
-	_, records, _, err := segmentstore.Open(at, bounds)
-	return segmentstore.LatestRecords(records), err
-}
-
-func stateName(r *segmentstore.Record) string {
-	if r.Kind != segmentstore.RunEnded {
-		return "unknown"
-	}
-	return map[resultcache.Outcome]string{resultcache.Succeeded: "succeeded", resultcache.Failed: "errored", resultcache.NeverStarted: "not run"}[resultcache.Outcome(r.Outcome)]
-}
-
-func formatExpiry(until int64) string {
-	if until <= 0 || until >= math.MaxInt64/2 {
-		return "-"
-	}
-	return time.Unix(0, until).UTC().Format(time.RFC3339)
-}
-
-// Run lists the tokens.
+// Run lists the idempotency keys.
 func (c *resultsList) Run() error {
 	last, err := c.latestRecords()
 	if err != nil {
@@ -128,7 +52,7 @@
 	return w.Flush()
 }
 
-// find is the one record that a token names.
+// find returns the only record of the selected idempotency key.
 func (t *tokenSelector) find(last []segmentstore.Record) (*segmentstore.Record, error) {
 	var found []*segmentstore.Record
 	for i := range last {
@@ -145,7 +69,7 @@
 	return nil, fmt.Errorf("%d operations or tenants have the token %q; name one with --operation", len(found), t.Token)
 }
 
-// Run prints one.
+// Run prints one record.
 func (c *resultsShow) Run() error {
 	last, err := c.latestRecords()
 	if err != nil {
@@ -159,7 +83,7 @@
 	return nil
 }
 
-// Run writes the end of a run behind what is there.
+// Run appends the end of a run whose outcome is unknown.
 func (c *resultsSettle) Run() error {
 	at, bounds, unlock, err := c.open()
 	if err != nil {
@@ -193,13 +117,13 @@
 	return log.Close()
 }
 
-// Run writes the store anew without a token.
+// Run rewrites the store without an idempotency key.
 func (c *resultsForget) Run() error {
 	last, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
-	gone, err := c.find(last)
+	forgotten, err := c.find(last)
 	if err != nil {
 		return err
 	}
@@ -209,113 +133,10 @@
 	}
 	defer unlock()
 	_, _, err = segmentstore.Compact(at, bounds, func(r *segmentstore.Record) bool {
-		return r.Token != gone.Token || r.Operation != gone.Operation || r.Tenant != gone.Tenant
+		return r.Token != forgotten.Token || r.Operation != forgotten.Operation || r.Tenant != forgotten.Tenant
 	})
 	if err == nil {
 		fmt.Printf("%s is forgotten: it may run again\n", c.Token)
 	}
 	return err
 }
-
-// eachSegment reads each file on its own, so that one that is broken hides no other.
-func (f *storeDirectory) eachSegment(tell func(name string, data []byte, s *segmentstore.ScanResult, err error)) error {
-	at, _, unlock, err := f.open()
-	if err != nil {
-		return err
-	}
-	defer unlock()
-	names, err := at.Names()
-	if err != nil {
-		return err
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		if strings.HasSuffix(name, ".seg") {
-			data, err := at.Read(name)
-			if err != nil {
-				return err
-			}
-			s, err := segmentstore.Scan(data)
-			tell(name, data, s, err)
-		}
-	}
-	return nil
-}
-
-// Run prints the segments.
-func (c *storeInspect) Run() error {
-	w := newTable("segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
-	err := c.eachSegment(func(name string, data []byte, s *segmentstore.ScanResult, err error) {
-		if err != nil {
-			fmt.Fprintf(w, "%s\t%v\n", name, err)
-			return
-		}
-		until := int64(0)
-		for _, r := range s.Records {
-			until = max(until, r.ExpiresAt)
-		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", name, len(s.Records), s.End, len(data), s.Dropped, formatExpiry(until))
-	})
-	if err != nil {
-		return err
-	}
-	return w.Flush()
-}
-
-// Run reads all.
-func (c *storeVerify) Run() error {
-	broken, records := 0, 0
-	err := c.eachSegment(func(name string, _ []byte, s *segmentstore.ScanResult, err error) {
-		if err != nil {
-			broken++
-			fmt.Printf("%s: %v\n", filepath.Join(c.Folder, name), err)
-			return
-		}
-		records += len(s.Records)
-	})
-	if err == nil && broken > 0 {
-		err = errBrokenStore
-	}
-	if err == nil {
-		fmt.Printf("sound, %d records\n", records)
-	}
-	return err
-}
-
-// Run compacts.
-func (c *storeCompact) Run() error {
-	at, bounds, unlock, err := c.open()
-	if err != nil {
-		return err
-	}
-	defer unlock()
-	before, after, err := segmentstore.Compact(at, bounds, func(*segmentstore.Record) bool { return true })
-	if err == nil {
-		fmt.Printf("%d bytes before, %d after\n", before, after)
-	}
-	return err
-}
-
-// Run exports.
-func (c *storeExport) Run() error {
-	last, err := c.latestRecords()
-	if err != nil {
-		return err
-	}
-	out := json.NewEncoder(os.Stdout)
-	for i := range last {
-		r := &last[i]
-		err := out.Encode(struct {
-			Token     string `json:"token"`
-			Operation int32  `json:"operation"`
-			Tenant    int32  `json:"tenant"`
-			State     string `json:"state"`
-			Until     int64  `json:"until_unix_ns"`
-			Result    []byte `json:"result,omitempty"`
-		}{r.Token, r.Operation, r.Tenant, stateName(r), r.ExpiresAt, r.Result})
-		if err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- /dev/null
+++ b/cmd/topazpost/store.go
@@ -0,0 +1,188 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"topazpost/internal/resultcache"
+	"topazpost/internal/resultcache/segmentstore"
+	"topazpost/server"
+)
+
+// storeCommands are the commands about the files that results are stored in.
+type storeCommands struct {
+	Inspect storeInspect `cmd:"" help:"Print each segment: records, bytes, end of the last window."`
+	Verify  storeVerify  `cmd:"" help:"Read all segments; fails with file and offset where one is broken."`
+	Compact storeCompact `cmd:"" help:"Keep the last state of each token only."`
+	Export  storeExport  `cmd:"" help:"Print the last state of each token as a JSON object a line."`
+}
+
+type storeDirectory struct {
+	Folder string `arg:"" help:"Folder of the store; its node must be stopped." type:"existingdir"`
+}
+
+type (
+	storeInspect struct{ storeDirectory }
+	storeVerify  struct{ storeDirectory }
+	storeCompact struct{ storeDirectory }
+	storeExport  struct{ storeDirectory }
+)
+
+var errBrokenStore = errors.New("the store is broken; nothing was changed")
+
+// open locks a store and returns the size of its segments; the function unlocks it.
+func (f *storeDirectory) open() (segmentstore.Directory, segmentstore.Limits, func(), error) {
+	at := segmentstore.Directory(f.Folder)
+	unlock, err := server.LockStore(f.Folder)
+	if err != nil {
+		return at, segmentstore.Limits{}, nil, err
+	}
+	names, err := at.Names()
+	if err != nil {
+		unlock()
+		return at, segmentstore.Limits{}, nil, err
+	}
+	bounds := segmentstore.Limits{SegmentBytes: 1 << 20, MaxBytes: math.MaxInt64}
+	for _, name := range names {
+		if strings.HasSuffix(name, ".seg") {
+			if info, err := os.Stat(filepath.Join(f.Folder, name)); err == nil {
+				bounds.SegmentBytes = info.Size()
+			}
+		}
+	}
+	return at, bounds, unlock, nil
+}
+
+func (f *storeDirectory) latestRecords() ([]segmentstore.Record, error) {
+	at, bounds, unlock, err := f.open()
+	if err != nil {
+		return nil, err
+	}
+	defer unlock()
+	_, records, _, err := segmentstore.Open(at, bounds)
+	return segmentstore.LatestRecords(records), err
+}
+
+func stateName(r *segmentstore.Record) string {
+	if r.Kind != segmentstore.RunEnded {
+		return "unknown"
+	}
+	return map[resultcache.Outcome]string{resultcache.Succeeded: "succeeded", resultcache.Failed: "errored", resultcache.NeverStarted: "not run"}[resultcache.Outcome(r.Outcome)]
+}
+
+func formatExpiry(until int64) string {
+	if until <= 0 || until >= math.MaxInt64/2 {
+		return "-"
+	}
+	return time.Unix(0, until).UTC().Format(time.RFC3339)
+}
+
+// eachSegment calls visit for each file, whether it is valid or not.
+func (f *storeDirectory) eachSegment(visit func(name string, data []byte, s *segmentstore.ScanResult, err error)) error {
+	at, _, unlock, err := f.open()
+	if err != nil {
+		return err
+	}
+	defer unlock()
+	names, err := at.Names()
+	if err != nil {
+		return err
+	}
+	slices.Sort(names)
+	for _, name := range names {
+		if strings.HasSuffix(name, ".seg") {
+			data, err := at.Read(name)
+			if err != nil {
+				return err
+			}
+			s, err := segmentstore.Scan(data)
+			visit(name, data, s, err)
+		}
+	}
+	return nil
+}
+
+// Run prints the segments.
+func (c *storeInspect) Run() error {
+	w := newTable("segment\trecords\tbytes used\tof\tleft by a crash\tlast window ends")
+	err := c.eachSegment(func(name string, data []byte, s *segmentstore.ScanResult, err error) {
+		if err != nil {
+			fmt.Fprintf(w, "%s\t%v\n", name, err)
+			return
+		}
+		until := int64(0)
+		for _, r := range s.Records {
+			until = max(until, r.ExpiresAt)
+		}
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\n", name, len(s.Records), s.End, len(data), s.Dropped, formatExpiry(until))
+	})
+	if err != nil {
+		return err
+	}
+	return w.Flush()
+}
+
+// Run reads all segments.
+func (c *storeVerify) Run() error {
+	broken, records := 0, 0
+	err := c.eachSegment(func(name string, _ []byte, s *segmentstore.ScanResult, err error) {
+		if err != nil {
+			broken++
+			fmt.Printf("%s: %v\n", filepath.Join(c.Folder, name), err)
+			return
+		}
+		records += len(s.Records)
+	})
+	if err == nil && broken > 0 {
+		err = errBrokenStore
+	}
+	if err == nil {
+		fmt.Printf("sound, %d records\n", records)
+	}
+	return err
+}
+
+// Run compacts the store.
+func (c *storeCompact) Run() error {
+	at, bounds, unlock, err := c.open()
+	if err != nil {
+		return err
+	}
+	defer unlock()
+	before, after, err := segmentstore.Compact(at, bounds, func(*segmentstore.Record) bool { return true })
+	if err == nil {
+		fmt.Printf("%d bytes before, %d after\n", before, after)
+	}
+	return err
+}
+
+// Run prints the last record of each idempotency key.
+func (c *storeExport) Run() error {
+	last, err := c.latestRecords()
+	if err != nil {
+		return err
+	}
+	out := json.NewEncoder(os.Stdout)
+	for i := range last {
+		r := &last[i]
+		err := out.Encode(struct {
+			Token     string `json:"token"`
+			Operation int32  `json:"operation"`
+			Tenant    int32  `json:"tenant"`
+			State     string `json:"state"`
+			Until     int64  `json:"until_unix_ns"`
+			Result    []byte `json:"result,omitempty"`
+		}{r.Token, r.Operation, r.Tenant, stateName(r), r.ExpiresAt, r.Result})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
