--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -10,12 +10,13 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// claimsCommands are the commands about claims of tokens.
+// claimsCommands are the commands about claims of idempotency keys.
 type claimsCommands struct {
 	List claimsList `cmd:"" default:"withargs" help:"Print what a node knows of claims: counters, and the table where it has a seat in the council."`
 	Show claimsShow `cmd:"" help:"Print the claim of one token."`
 }
 
+// claimsTarget is the node that a command is about.
 type claimsTarget struct {
 	Address string `arg:"" help:"Where the node hears its peers."`
 	Fleet   string `help:"Name of the fleet." required:"" env:"TOPAZPOST_FLEET_NAME"`
@@ -31,6 +32,7 @@
 	Token string `arg:"" help:"The token."`
 }
 
+// query returns what the node knows of claims and quotas.
 func (c *claimsTarget) query() (*consensus.Summary, error) {
 	var p consensus.Summary
 	if err := queryInto(c.Fleet, c.Address, membership.LookClaims, &p); err != nil {
@@ -46,11 +48,12 @@
 	State     string `json:"state"`
 	Owner     string `json:"owner"`
 	Fence     uint64 `json:"fence"`
-	LeftMS    int64  `json:"left_ms"` // until its due time while claimed, of its window else
+	LeftMS    int64  `json:"left_ms"` // until the deadline of a claim that is held, of its window otherwise
 	Taken     bool   `json:"taken_over"`
 	Call      string `json:"call"`
 }
 
+// claimRows returns the table of claims, with the time left.
 func claimRows(p *consensus.Summary) (list []claimRow) {
 	for _, e := range p.Claims {
 		list = append(list, claimRow{e.Key.Operation, e.Key.Token, claims.StateNames[e.State], e.Owner.Name, e.Fence, (e.ExpiresAt - p.Time) / 1e6, e.Reassigned, e.InvocationID})
@@ -66,7 +69,7 @@
 	return w.Flush()
 }
 
-// Run prints what a node knows.
+// Run prints what a node knows of claims.
 func (c *claimsList) Run() error {
 	p, err := c.query()
 	if err != nil {
--- a/cmd/topazpost/config_client.go
+++ b/cmd/topazpost/config_client.go
@@ -2,17 +2,14 @@
 
 import (
 	"cmp"
-	"context"
 	"errors"
 	"fmt"
-	"io"
 	"slices"
 	"time"
 
 	"topazpost/internal/fleet/configsync"
 	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
-	"topazpost/server"
 )
 
 const (
@@ -43,19 +40,11 @@
 }
 
 func (c *configTarget) exchange(address string, q *configsync.Query) (*configsync.Answer, error) {
-	fleet := envelope.FleetOf(c.Fleet)
-	request, err := envelope.Seal(nil, fleet, node.EncodeConfigQuery(q))
+	answer, err := exchange(c.Fleet, address, node.EncodeConfigQuery(q), ", with configuration in its fleet file")
 	if err != nil {
 		return nil, err
 	}
-	response, err := server.Swap(context.Background(), "", address, request)
-	if errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("closed without an answer; is it a node of the fleet %q, with configuration in its fleet file?", c.Fleet)
-	}
-	if err != nil {
-		return nil, err
-	}
-	return node.DecodeConfigAnswer(response, fleet)
+	return node.DecodeConfigAnswer(answer, envelope.FleetOf(c.Fleet))
 }
 
 // queryAny queries the addresses in turn until one answers.
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -1,19 +1,15 @@
 package main
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
+	"maps"
 	"os"
 	"slices"
-	"text/tabwriter"
 	"time"
 
-	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/fleet/membership"
-	"topazpost/server"
 )
 
 // membersCommands are the commands about views of the fleet.
@@ -37,32 +33,6 @@
 
 var errViewsDiffer = errors.New("views differ")
 
-// queryView returns the view of a node.
-func queryView(fleet, address string) (v membership.View, err error) {
-	err = queryInto(fleet, address, "", &v)
-	return v, err
-}
-
-// queryInto decodes what a node shows of itself into a value.
-func queryInto(fleet, address, what string, into any) error {
-	name := envelope.FleetOf(fleet)
-	ask, err := envelope.Seal(nil, name, membership.Message{Kind: membership.MessageViewRequest, Why: what})
-	if err != nil {
-		return err
-	}
-	answer, err := server.Swap(context.Background(), "", address, ask)
-	if errors.Is(err, io.EOF) {
-		err = fmt.Errorf("closed without an answer; is it a node of the fleet %q?", fleet)
-	}
-	if err == nil {
-		err = envelope.Open(answer, name, into)
-	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", address, err)
-	}
-	return nil
-}
-
 // Run prints the view, once or repeatedly.
 func (c *membersShow) Run() error {
 	for {
@@ -79,70 +49,60 @@
 
 func printView(v *membership.View, asJSON bool) error {
 	if asJSON {
-		type seen struct {
-			membership.MemberStatus
-			Status string `json:"status"`
-			Reach  string `json:"reach"`
-		}
-		out := struct {
-			Number   uint64 `json:"number"`
-			View     string `json:"view"`
-			Alone    bool   `json:"alone"`
-			Majority bool   `json:"majority"`
-			Members  []seen `json:"members"`
-		}{Number: v.Number, View: fmt.Sprintf("%016x", v.Hash), Alone: v.Alone, Majority: v.Majority}
-		for _, m := range v.Members {
-			out.Members = append(out.Members, seen{m, membership.StatusNames[m.Status], membership.ReachNames[m.Reach]})
-		}
-		return json.NewEncoder(os.Stdout).Encode(out)
+		return printViewJSON(v)
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "view %d, %016x", v.Number, v.Hash)
+	title := fmt.Sprintf("view %d, %016x", v.Number, v.Hash)
 	if v.Alone {
-		fmt.Fprint(w, ", cut off: it hears nobody and keeps what it last saw")
+		title += ", cut off: it hears nobody and keeps what it last saw"
 	} else if !v.Majority {
-		fmt.Fprint(w, ", no majority of those it knows")
+		title += ", no majority of those it knows"
 	}
-	fmt.Fprintln(w, "\nname\taddress\tstatus\tsince s\treach\tlinks\tzone\tversion\tlevel\tbeat\tincarnation")
+	w := newTable(title + "\nname\taddress\tstatus\tsince s\treach\tlinks\tzone\tversion\tlevel\tbeat\tincarnation")
 	for _, m := range v.Members {
 		status := membership.StatusNames[m.Status]
 		if m.Facts.NoUse {
 			status += ", of no use"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", m.Name, m.Address, status, float64(m.Since)/1e9,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", m.Name, m.Address, status, seconds(m.Since),
 			membership.ReachNames[m.Reach], m.Links, m.Facts.Zone, m.Facts.Version, m.Facts.Level, m.Facts.Beat, m.Incarnation)
 	}
 	return w.Flush()
 }
 
+func printViewJSON(v *membership.View) error {
+	type member struct {
+		membership.MemberStatus
+		Status string `json:"status"`
+		Reach  string `json:"reach"`
+	}
+	out := struct {
+		Number   uint64   `json:"number"`
+		View     string   `json:"view"`
+		Alone    bool     `json:"alone"`
+		Majority bool     `json:"majority"`
+		Members  []member `json:"members"`
+	}{Number: v.Number, View: fmt.Sprintf("%016x", v.Hash), Alone: v.Alone, Majority: v.Majority}
+	for _, m := range v.Members {
+		out.Members = append(out.Members, member{m, membership.StatusNames[m.Status], membership.ReachNames[m.Reach]})
+	}
+	return json.NewEncoder(os.Stdout).Encode(out)
+}
+
 // Run compares the views of all addresses, and prints each member on whose status they differ.
 func (c *membersCompare) Run() error {
-	type key struct{ name, status string }
-	by, names := map[key][]string{}, map[string]bool{}
-	for _, address := range c.Addresses {
-		v, err := queryView(c.Fleet, address)
-		if err != nil {
-			return err
-		}
-		fmt.Printf("%s: view %d, %016x\n", address, v.Number, v.Hash)
-		for _, m := range v.Members {
-			if m.Status == membership.Dead || m.Status == membership.Left { // not in the view; later ones never heard of it
-				continue
-			}
-			names[m.Name] = true
-			k := key{m.Name, membership.StatusNames[m.Status]}
-			by[k] = append(by[k], address)
-		}
+	addresses, err := c.addressesByStatus()
+	if err != nil {
+		return err
 	}
-	differ := false
-	var list []string
-	for name := range names {
-		list = append(list, name)
+	names := make(map[string]struct{})
+	for member := range addresses {
+		names[member.name] = struct{}{}
 	}
-	slices.Sort(list)
-	for _, name := range list {
+	differ := false
+	for _, name := range slices.Sorted(maps.Keys(names)) {
 		for _, status := range membership.StatusNames {
-			if seen := by[key{name, status}]; len(seen) > 0 && len(seen) < len(c.Addresses) {
+			seen := addresses[memberStatus{name, status}]
+			if len(seen) > 0 && len(seen) < len(c.Addresses) {
 				fmt.Printf("%s is %s to %d of %d: %v\n", name, status, len(seen), len(c.Addresses), seen)
 				differ = true
 			}
@@ -154,3 +114,26 @@
 	fmt.Println("views are equal")
 	return nil
 }
+
+// memberStatus is a member's status in a view.
+type memberStatus struct{ name, status string }
+
+// addressesByStatus prints the views' hashes and returns which addresses have which status of a member.
+func (c *membersCompare) addressesByStatus() (map[memberStatus][]string, error) {
+	addresses := make(map[memberStatus][]string)
+	for _, address := range c.Addresses {
+		v, err := queryView(c.Fleet, address)
+		if err != nil {
+			return nil, err
+		}
+		fmt.Printf("%s: view %d, %016x\n", address, v.Number, v.Hash)
+		for _, m := range v.Members {
+			if m.Status == membership.Dead || m.Status == membership.Left { // not in the view, and unknown to later members
+				continue
+			}
+			member := memberStatus{m.Name, membership.StatusNames[m.Status]}
+			addresses[member] = append(addresses[member], address)
+		}
+	}
+	return addresses, nil
+}
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -19,7 +19,7 @@
 	Name string `help:"Name of a node." default:"n1"`
 }
 
-// Run prints the leases of all limits, and what the node itself has.
+// Run prints the leases of all quotas, and the node's own.
 func (c *quotaShow) Run() error {
 	p, err := c.query()
 	if err != nil {
@@ -37,13 +37,13 @@
 	for _, l := range p.Limits {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", l.Name, l.Version, l.Units, l.LeasedUnits())
 		for _, x := range l.Leases {
-			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", x.Who.Name, x.Units, x.Want, float64(x.Until-p.Time)/1e9)
+			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", x.Who.Name, x.Units, x.Want, seconds(x.Until-p.Time))
 		}
 	}
 	return w.Flush()
 }
 
-// Run says what holds.
+// Run prints the bound that the settings guarantee.
 func (c *quotaBound) Run() error {
 	f, err := fleetconfig.Read(c.File, c.Name)
 	if err != nil {
--- a/cmd/topazpost/replica.go
+++ b/cmd/topazpost/replica.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	replicaSockets = 256 // descriptors that it may use: 96 streams, exchanges, its files, and room
-	replicaStopMS  = 500 // for its last words to the fleet
+	replicaSockets = 256 // descriptors: 96 streams, exchanges, files, and some to spare
+	replicaStopMS  = 500 // to leave the fleet
 )
 
 type replicaCommand struct {
@@ -23,13 +23,14 @@
 	Fleet string `arg:"" env:"TOPAZPOST_FLEET" help:"Fleet that it is a member of, a Jsonnet file." type:"path" placeholder:"FILE"`
 }
 
-// Run is a seat until a signal to end: the first one says farewell to the fleet, a second one stops at once.
+// Run is a replica of the consensus group until a signal: the first one leaves the fleet, a second one stops at once.
 func (c *replicaCommand) Run() error {
 	fleet, err := fleetconfig.Read(c.Fleet, c.Name)
 	if err != nil {
 		return err
 	}
-	if fleet.ConsensusGroup == nil || !slices.Contains(fleet.ConsensusGroup.Replicas, c.Name) {
+	group := fleet.ConsensusGroup
+	if group == nil || !slices.Contains(group.Replicas, c.Name) {
 		return fmt.Errorf("%s: council.seats: %q is not one of them, and a process without a seat has nothing to do; name it there, or start it with the name of one",
 			c.Fleet, c.Name)
 	}
@@ -37,11 +38,13 @@
 	if err != nil {
 		return err
 	}
-	n := &server.Config{Name: c.Name, StopMS: replicaStopMS, Sockets: replicaSockets, Fleet: fleet, Hollow: server.OnlySeat(),
-		Settings: &nodeconfig.Config{Operations: nodeconfig.NewNames(), Tenants: nodeconfig.NewNames()}}
-	n.Settings.Node.Seed = int64(os.Getpid())
-	log.Info().Str("name", c.Name).Strs("seats", fleet.ConsensusGroup.Replicas).Str("folder", fleet.ConsensusGroup.Folder).Msg("a seat of the council, serving nothing")
-	node := server.New(n, log, server.SystemClock())
+	config := &server.Config{
+		Name: c.Name, StopMS: replicaStopMS, Sockets: replicaSockets, Fleet: fleet, Hollow: server.OnlySeat(),
+		Settings: &nodeconfig.Config{Operations: nodeconfig.NewNames(), Tenants: nodeconfig.NewNames()},
+	}
+	config.Settings.Node.Seed = int64(os.Getpid())
+	log.Info().Str("name", c.Name).Strs("seats", group.Replicas).Str("folder", group.Folder).Msg("a seat of the council, serving nothing")
+	node := server.New(config, log, server.SystemClock())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
@@ -50,7 +53,8 @@
 		<-stopSignals
 		stop()
 	}()
-	if err = node.Run(ctx); errors.Is(err, context.Canceled) {
+	err = node.Run(ctx)
+	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
--- a/cmd/topazpost/results.go
+++ b/cmd/topazpost/results.go
@@ -8,7 +8,7 @@
 	"topazpost/internal/resultcache/segmentstore"
 )
 
-// resultsCommands are the commands about what a node that is stopped has resultsCommands of tokened invocations.
+// resultsCommands are the commands about the results that a stopped node has stored by idempotency key.
 type resultsCommands struct {
 	List   resultsList   `cmd:"" help:"List the tokens: operation, tenant, how the run ended or that it is unknown."`
 	Show   resultsShow   `cmd:"" help:"Print what is kept of one token, its result included."`
@@ -16,6 +16,7 @@
 	Forget resultsForget `cmd:"" help:"Forget a token: it may run again."`
 }
 
+// tokenSelector selects the record of an idempotency key.
 type tokenSelector struct {
 	storeDirectory
 	Token     string `arg:"" help:"The token."`
@@ -101,7 +102,8 @@
 	if r.Kind == segmentstore.RunEnded {
 		return fmt.Errorf("the run of %q is known to have %s; only an unknown one is settled", c.Token, stateName(r))
 	}
-	r.Kind, r.Outcome = segmentstore.RunEnded, uint8(resultcache.Failed)
+	r.Kind = segmentstore.RunEnded
+	r.Outcome = uint8(resultcache.Failed)
 	if c.Ending == "succeeded" {
 		r.Outcome = uint8(resultcache.Succeeded)
 		if c.Result != "" {
--- a/cmd/topazpost/signals.go
+++ b/cmd/topazpost/signals.go
@@ -7,59 +7,84 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
 	"topazpost/server"
 )
 
 const (
-	minRereadBackoff = 50 * time.Millisecond // to the first new try at a configuration that is unusable: half written, perhaps
-	maxRereadBackoff = 2 * time.Second       // to any further try
-	freeMemoryDelay  = time.Second           // from a reload until the memory that reading took is given back: the node is done with it
-	maxRereads       = 12                    // tries; then the next SIGHUP is waited for
+	minRereadBackoff = 50 * time.Millisecond // a file that is being written is soon complete
+	maxRereadBackoff = 2 * time.Second
+	maxRereads       = 12          // until the next SIGHUP
+	freeMemoryDelay  = time.Second // longer than the node needs to apply a configuration
+	maxStopSignals   = 3
 )
 
 var (
 	reloadSignals = make(chan os.Signal, 1)
-	stopSignals   = make(chan os.Signal, 3)
+	stopSignals   = make(chan os.Signal, maxStopSignals)
 )
 
-// handleSignals maps signals to the node: SIGHUP to Reload with what the file says then, the first to end to Drain, the
-// second to Abort, the third to stop. A file that is unusable changes nothing; it is named in the log and read again a little later.
+// reloader reads the configuration of a running node again. One that is not valid changes nothing and is read again
+// after a backoff.
+type reloader struct {
+	command     *serveCommand
+	node        *server.Server
+	log         zerolog.Logger
+	backoff     time.Duration
+	rereadsLeft int
+	reread      <-chan time.Time // nil where no reread is due
+	freeMemory  <-chan time.Time // nil where no memory is to be freed
+}
+
+// handleSignals reloads the configuration at each SIGHUP. Of the signals to stop, the first one drains the node, the
+// second one aborts its invocations, the third one calls stop.
 func (c *serveCommand) handleSignals(node *server.Server, log zerolog.Logger, stop context.CancelFunc) {
-	var reread, freeMemory <-chan time.Time
-	ending := []func(){node.Drain, node.Abort, stop}
-	backoff, rereadsLeft := minRereadBackoff, 0
+	r := &reloader{command: c, node: node, log: log}
+	stopSteps := []func(){node.Drain, node.Abort, stop}
 	for {
 		select {
 		case <-stopSignals:
-			ending[0]()
-			ending = ending[min(1, len(ending)-1):]
-			continue
+			stopSteps[0]()
+			if len(stopSteps) > 1 {
+				stopSteps = stopSteps[1:]
+			}
 		case <-reloadSignals:
-			backoff, rereadsLeft = minRereadBackoff, maxRereads
-		case <-reread:
-		case <-freeMemory:
-			freeMemory = nil
-			debug.FreeOSMemory() // of a large file most was for the reading of it
-			continue
-		}
-		reread = nil
-		percent := readGCPercent
-		if c.Fleet != "" {
-			percent = reloadGCPercent
-		}
-		config, err := c.decode(server.DecodeReload, percent)
-		if err == nil {
-			err = c.readDegradationPlan(config)
-		}
-		if err == nil {
-			node.Reload(config)
-			freeMemory = time.After(freeMemoryDelay)
-			continue
-		}
-		log.Warn().Err(err).Int("tries_left", rereadsLeft).Msg("configuration can't be used, the one of before stays")
-		if rereadsLeft > 0 {
-			reread, rereadsLeft = time.After(backoff), rereadsLeft-1
-			backoff = min(2*backoff, maxRereadBackoff)
+			r.backoff = minRereadBackoff
+			r.rereadsLeft = maxRereads
+			r.reload()
+		case <-r.reread:
+			r.reload()
+		case <-r.freeMemory:
+			r.freeMemory = nil
+			debug.FreeOSMemory() // most of which reading a large file took
 		}
 	}
 }
+
+func (r *reloader) reload() {
+	r.reread = nil
+	config, err := r.read()
+	if err == nil {
+		r.node.Reload(config)
+		r.freeMemory = time.After(freeMemoryDelay)
+		return
+	}
+	r.log.Warn().Err(err).Int("tries_left", r.rereadsLeft).Msg("configuration can't be used, the one of before stays")
+	if r.rereadsLeft > 0 {
+		r.reread = time.After(r.backoff)
+		r.rereadsLeft--
+		r.backoff = min(2*r.backoff, maxRereadBackoff)
+	}
+}
+
+func (r *reloader) read() (*server.Config, error) {
+	gcPercent := readGCPercent
+	if r.command.Fleet != "" {
+		gcPercent = reloadGCPercent
+	}
+	config, err := r.command.decode(server.DecodeReload, gcPercent)
+	if err != nil {
+		return nil, err
+	}
+	return config, r.command.readDegradationPlan(config)
+}
--- a/cmd/topazpost/store.go
+++ b/cmd/topazpost/store.go
@@ -24,6 +24,7 @@
 	Export  storeExport  `cmd:"" help:"Print the last state of each token as a JSON object a line."`
 }
 
+// storeDirectory is the directory of a store.
 type storeDirectory struct {
 	Folder string `arg:"" help:"Folder of the store; its node must be stopped." type:"existingdir"`
 }
@@ -35,6 +36,11 @@
 	storeExport  struct{ storeDirectory }
 )
 
+const (
+	segmentSuffix       = ".seg"
+	defaultSegmentBytes = 1 << 20 // of a store without segments
+)
+
 var errBrokenStore = errors.New("the store is broken; nothing was changed")
 
 // open locks a store and returns the size of its segments; the function unlocks it.
@@ -49,9 +55,9 @@
 		unlock()
 		return at, segmentstore.Limits{}, nil, err
 	}
-	bounds := segmentstore.Limits{SegmentBytes: 1 << 20, MaxBytes: math.MaxInt64}
+	bounds := segmentstore.Limits{SegmentBytes: defaultSegmentBytes, MaxBytes: math.MaxInt64}
 	for _, name := range names {
-		if strings.HasSuffix(name, ".seg") {
+		if strings.HasSuffix(name, segmentSuffix) {
 			if info, err := os.Stat(filepath.Join(f.Folder, name)); err == nil {
 				bounds.SegmentBytes = info.Size()
 			}
@@ -60,6 +66,7 @@
 	return at, bounds, unlock, nil
 }
 
+// latestRecords returns the last record of each idempotency key.
 func (f *storeDirectory) latestRecords() ([]segmentstore.Record, error) {
 	at, bounds, unlock, err := f.open()
 	if err != nil {
@@ -70,13 +77,21 @@
 	return segmentstore.LatestRecords(records), err
 }
 
+var outcomeNames = map[resultcache.Outcome]string{
+	resultcache.Succeeded:    "succeeded",
+	resultcache.Failed:       "errored",
+	resultcache.NeverStarted: "not run",
+}
+
+// stateName returns how the run of a record ended.
 func stateName(r *segmentstore.Record) string {
 	if r.Kind != segmentstore.RunEnded {
 		return "unknown"
 	}
-	return map[resultcache.Outcome]string{resultcache.Succeeded: "succeeded", resultcache.Failed: "errored", resultcache.NeverStarted: "not run"}[resultcache.Outcome(r.Outcome)]
+	return outcomeNames[resultcache.Outcome(r.Outcome)]
 }
 
+// formatExpiry formats a time in nanoseconds since 1970.
 func formatExpiry(until int64) string {
 	if until <= 0 || until >= math.MaxInt64/2 {
 		return "-"
@@ -97,7 +112,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if strings.HasSuffix(name, ".seg") {
+		if strings.HasSuffix(name, segmentSuffix) {
 			data, err := at.Read(name)
 			if err != nil {
 				return err
@@ -131,7 +146,8 @@
 
 // Run reads all segments.
 func (c *storeVerify) Run() error {
-	broken, records := 0, 0
+	broken := 0
+	records := 0
 	err := c.eachSegment(func(name string, _ []byte, s *segmentstore.ScanResult, err error) {
 		if err != nil {
 			broken++
