--- a/example/main.go
+++ b/example/main.go
@@ -1,29 +1,30 @@
-// Command example embeds one node and plays all that it talks to, on loopback addresses: an executor whose runs
-// answer with the body in capitals, a control plane, and a dispatcher that sends three invocations. No
-// operation here makes calls, so the catalogue is an address that nobody listens on.
+// Command example embeds one node and plays its peers on loopback addresses: an executor whose runs answer with the
+// body in capitals, a control plane, and a dispatcher that sends three invocations. No operation here calls its
+// dependency, so nobody listens on the catalogue's address.
 package main
 
 import (
-	"bytes"
 	"context"
 	_ "embed"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
 	"os"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/rs/zerolog"
 
-	"topazpost/internal/protocol/frame"
-	"topazpost/internal/protocol/lineprotocol"
 	"topazpost/server"
 )
 
+const (
+	anyLoopbackPort   = "127.0.0.1:0"
+	readHeaderTimeout = 5 * time.Second
+)
+
 //go:embed config.json
-var config []byte
+var configJSON []byte
 
 func main() {
 	if err := run(); err != nil {
@@ -32,24 +33,26 @@
 	}
 }
 
+// run starts the node and its peers, dispatches the invocations and drains the node.
 func run() error {
-	config, err := server.ReadConfig(config)
+	config, err := server.ReadConfig(configJSON)
 	if err != nil {
 		return err
 	}
-	executor, err := net.Listen("tcp", "127.0.0.1:0")
+	executor, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return err
 	}
-	control, err := net.Listen("tcp", "127.0.0.1:0")
+	control, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return err
 	}
-	config.Executor, config.Control = executor.Addr().String(), control.Addr().String()
-	go execute(executor)
-	go http.Serve(control, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(http.StatusNoContent)
-	}))
+	config.Executor = executor.Addr().String()
+	config.Control = control.Addr().String()
+
+	peers := make(chan error, 2)
+	go func() { peers <- serveExecutor(executor) }()
+	go func() { peers <- serveControlPlane(control) }()
 
 	log := zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr}).Level(zerolog.InfoLevel)
 	node := server.New(config, log, server.SystemClock())
@@ -58,90 +61,29 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- node.Run(context.Background()) }()
+
 	if err := dispatch(node.Addr().String()); err != nil {
-		return err
+		return errors.Join(err, firstError(peers))
 	}
 	node.Drain()
 	return <-ended
 }
 
-// execute takes one link and ends every run as soon as it starts.
-func execute(l net.Listener) {
-	link, err := l.Accept()
-	if err != nil {
-		return
-	}
-	p := lineprotocol.Parser{HasBody: func(words []string) bool { return words[0] == "EXEC" }}
-	for notices := 1; ; {
-		n, err := link.Read(p.Space())
-		if err != nil {
-			return
-		}
-		p.Wrote(n)
-		for {
-			line, ok, err := p.Next()
-			if err != nil || !ok {
-				break
-			}
-			switch line.Words[0] {
-			case "JOIN":
-				link.Write(lineprotocol.Append(nil, "WELCOME", "old", "0"))
-			case "METER":
-				link.Write(lineprotocol.Append(nil, "METERS", line.Words[1], "0.1", "1"))
-			case "EXEC":
-				link.Write(lineprotocol.AppendBody(nil, bytes.ToUpper(line.Body), "EXIT", strconv.Itoa(notices),
-					line.Words[1], "good", "3"))
-				notices++
-			}
-		}
-	}
-}
-
-// dispatch waits until health is good, then sends each invocation on a stream of its own.
-func dispatch(address string) error {
-	conn, err := net.Dial("tcp", address)
-	if err != nil {
+// firstError returns an error that is in the channel already.
+func firstError(errs <-chan error) error {
+	select {
+	case err := <-errs:
 		return err
+	default:
+		return nil
 	}
-	defer conn.Close()
-	var p frame.Parser
-	for good := false; !good; {
-		conn.Write(frame.Append(nil, frame.HealthCheck, 1, []byte{0}))
-		f, err := next(conn, &p)
-		if err != nil {
-			return err
-		}
-		good = f.Payload[0] == frame.Healthy
-	}
-	for i, item := range strings.Fields("desk chair lamp") {
-		stream := uint32(i + 1)
-		conn.Write(frame.AppendInvocation(nil, stream, []frame.Field{{Name: "op", Value: "quote"},
-			{Name: "call", Value: fmt.Sprintf("%016x", stream)}, {Name: "src", Value: "1"},
-			{Name: "recv", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)},
-			{Name: "heap", Value: "10"}}, []byte(item)))
-		f, err := next(conn, &p)
-		if err != nil {
-			return err
-		}
-		_, body, err := frame.Fields(f.Payload[1:])
-		if err != nil {
-			return err
-		}
-		fmt.Printf("%s: code %d, %s\n", item, f.Payload[0], body)
-	}
-	return nil
 }
 
-func next(conn net.Conn, p *frame.Parser) (frame.Frame, error) {
-	for {
-		f, ok, err := p.Next()
-		if ok || err != nil {
-			return f, err
-		}
-		n, err := conn.Read(p.Space())
-		if err != nil {
-			return f, err
-		}
-		p.Wrote(n)
+// serveControlPlane answers all requests without content.
+func serveControlPlane(l net.Listener) error {
+	plane := http.Server{
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }),
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
+	return plane.Serve(l)
 }
