--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -34,11 +34,11 @@
 
 // query returns what the node knows of claims and quotas.
 func (c *claimsTarget) query() (*consensus.Summary, error) {
-	var p consensus.Summary
-	if err := queryInto(c.Fleet, c.Address, membership.LookClaims, &p); err != nil {
+	var summary consensus.Summary
+	if err := queryInto(c.Fleet, c.Address, membership.LookClaims, &summary); err != nil {
 		return nil, fmt.Errorf("%w; a node without a council shows no claims", err)
 	}
-	return &p, nil
+	return &summary, nil
 }
 
 // claimRow is a claim as it is printed.
@@ -54,24 +54,24 @@
 }
 
 // claimRows returns the table of claims, with the time left.
-func claimRows(p *consensus.Summary) (list []claimRow) {
-	for _, e := range p.Claims {
-		list = append(list, claimRow{e.Key.Operation, e.Key.Token, claims.StateNames[e.State], e.Owner.Name, e.Fence, (e.ExpiresAt - p.Time) / 1e6, e.Reassigned, e.InvocationID})
+func claimRows(summary *consensus.Summary) (rows []claimRow) {
+	for _, entry := range summary.Claims {
+		rows = append(rows, claimRow{entry.Key.Operation, entry.Key.Token, claims.StateNames[entry.State], entry.Owner.Name, entry.Fence, (entry.ExpiresAt - summary.Time) / 1e6, entry.Reassigned, entry.InvocationID})
 	}
-	return list
+	return rows
 }
 
-func printClaims(list []claimRow) error {
+func printClaims(rows []claimRow) error {
 	w := newTable("operation\ttoken\tstate\towner\tfence\tleft s\ttaken over\tcall")
-	for _, c := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%t\t%s\n", c.Operation, c.Token, c.State, c.Owner, c.Fence, float64(c.LeftMS)/1e3, c.Taken, c.Call)
+	for _, row := range rows {
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%t\t%s\n", row.Operation, row.Token, row.State, row.Owner, row.Fence, float64(row.LeftMS)/1e3, row.Taken, row.Call)
 	}
 	return w.Flush()
 }
 
 // Run prints what a node knows of claims.
 func (c *claimsList) Run() error {
-	p, err := c.query()
+	summary, err := c.query()
 	if err != nil {
 		return err
 	}
@@ -79,39 +79,39 @@
 		return json.NewEncoder(os.Stdout).Encode(struct {
 			*consensus.Summary
 			Claims []claimRow `json:"table_of_claims"`
-		}{p, claimRows(p)})
+		}{summary, claimRows(summary)})
 	}
-	if d := p.Client; d != nil {
+	if client := summary.Client; client != nil {
 		fmt.Printf("%s: council in reach %t, %d claims in hand; claimed %d, joined elsewhere %d, kept %d, unknown %d, taken over %d, refused by fence %d\n",
-			p.Node, p.GroupReachable, p.ClaimsInFlight, d.Claimed, d.Joined, d.ServedFromElsewhere, d.Unknown, d.Assigned, d.Fenced)
+			summary.Node, summary.GroupReachable, summary.ClaimsInFlight, client.Claimed, client.Joined, client.ServedFromElsewhere, client.Unknown, client.Assigned, client.Fenced)
 	}
-	if p.Replica == nil {
+	if summary.Replica == nil {
 		fmt.Println("it has no seat in the council, and no table")
 		return nil
 	}
-	leader := p.Leader
+	leader := summary.Leader
 	if leader == "" {
 		leader = "nobody it knows of"
 	}
-	fmt.Printf("seat in the council, led by %s: %d claims, %d kB; taken over %d, unknown %d, settled %d, refused by fence %d\n", leader, p.Entries,
-		p.Bytes>>10, p.Table.Reassigned, p.Table.Unknown, p.Table.Resolved, p.Table.Fenced)
-	return printClaims(claimRows(p))
+	fmt.Printf("seat in the council, led by %s: %d claims, %d kB; taken over %d, unknown %d, settled %d, refused by fence %d\n", leader, summary.Entries,
+		summary.Bytes>>10, summary.Table.Reassigned, summary.Table.Unknown, summary.Table.Resolved, summary.Table.Fenced)
+	return printClaims(claimRows(summary))
 }
 
 // Run prints one claim.
 func (c *claimsShow) Run() error {
-	p, err := c.query()
+	summary, err := c.query()
 	if err != nil {
 		return err
 	}
 	var found []claimRow
-	for _, s := range claimRows(p) {
+	for _, s := range claimRows(summary) {
 		if s.Token == c.Token {
 			found = append(found, s)
 		}
 	}
 	if len(found) == 0 {
-		return fmt.Errorf("%s shows no claim of the token %q, of %d in its table; ask a node with a seat in the council", p.Node, c.Token, p.Entries)
+		return fmt.Errorf("%s shows no claim of the token %q, of %d in its table; ask a node with a seat in the council", summary.Node, c.Token, summary.Entries)
 	}
 	return printClaims(found)
 }
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -21,23 +21,23 @@
 
 // Run prints the leases of all quotas, and the node's own.
 func (c *quotaShow) Run() error {
-	p, err := c.query()
+	summary, err := c.query()
 	if err != nil {
 		return err
 	}
-	if l := p.Lease; l != nil {
+	if lease := summary.Lease; lease != nil {
 		fmt.Printf("%s may use %d, uses %d, wants %d, its part is %d; asked for %d ms ago; asked %d times, given less than wanted %d, lapsed %d, worst over %d\n",
-			p.Node, l.Units, l.Used, l.Wanted, l.Target, l.AgeMS, l.Asked, l.Short, l.Lapsed, l.Worst)
+			summary.Node, lease.Units, lease.Used, lease.Wanted, lease.Target, lease.AgeMS, lease.Asked, lease.Short, lease.Lapsed, lease.Worst)
 	}
-	if p.Replica == nil {
+	if summary.Replica == nil {
 		fmt.Println("it has no seat in the council, and no book of leases")
 		return nil
 	}
 	w := newTable("limit\tversion\tunits\theld\tholder\tunits\twants\tleft s")
-	for _, l := range p.Limits {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", l.Name, l.Version, l.Units, l.LeasedUnits())
-		for _, x := range l.Leases {
-			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", x.Who.Name, x.Units, x.Want, seconds(x.Until-p.Time))
+	for _, limit := range summary.Limits {
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", limit.Name, limit.Version, limit.Units, limit.LeasedUnits())
+		for _, lease := range limit.Leases {
+			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", lease.Who.Name, lease.Units, lease.Want, seconds(lease.Until-summary.Time))
 		}
 	}
 	return w.Flush()
@@ -45,13 +45,13 @@
 
 // Run prints the bound that the settings guarantee.
 func (c *quotaBound) Run() error {
-	f, err := fleetconfig.Read(c.File, c.Name)
+	fleet, err := fleetconfig.Read(c.File, c.Name)
 	if err != nil {
 		return err
 	}
-	if f.ConsensusGroup == nil || f.ConsensusGroup.CallQuota == nil {
+	if fleet.ConsensusGroup == nil || fleet.ConsensusGroup.CallQuota == nil {
 		return fmt.Errorf("%s: has no limit; set council.calls", c.File)
 	}
-	fmt.Println(f.ConsensusGroup.CallQuota.DescribeBound())
+	fmt.Println(fleet.ConsensusGroup.CallQuota.DescribeBound())
 	return nil
 }
--- a/cmd/topazpost/results.go
+++ b/cmd/topazpost/results.go
@@ -40,13 +40,13 @@
 
 // Run lists the idempotency keys.
 func (c *resultsList) Run() error {
-	last, err := c.latestRecords()
+	records, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
 	w := newTable("token\toperation\ttenant\tstate\tresult bytes\twindow ends")
-	for i := range last {
-		if r := &last[i]; !c.Unknown || r.Kind != segmentstore.RunEnded {
+	for i := range records {
+		if r := &records[i]; !c.Unknown || r.Kind != segmentstore.RunEnded {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%d\t%s\n", r.Token, r.Operation, r.Tenant, stateName(r), len(r.Result), formatExpiry(r.ExpiresAt))
 		}
 	}
@@ -54,10 +54,10 @@
 }
 
 // find returns the only record of the selected idempotency key.
-func (t *tokenSelector) find(last []segmentstore.Record) (*segmentstore.Record, error) {
+func (t *tokenSelector) find(records []segmentstore.Record) (*segmentstore.Record, error) {
 	var found []*segmentstore.Record
-	for i := range last {
-		if r := &last[i]; r.Token == t.Token && (t.Operation < 0 || r.Operation == t.Operation) {
+	for i := range records {
+		if r := &records[i]; r.Token == t.Token && (t.Operation < 0 || r.Operation == t.Operation) {
 			found = append(found, r)
 		}
 	}
@@ -72,11 +72,11 @@
 
 // Run prints one record.
 func (c *resultsShow) Run() error {
-	last, err := c.latestRecords()
+	records, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
-	r, err := c.find(last)
+	r, err := c.find(records)
 	if err != nil {
 		return err
 	}
@@ -86,12 +86,12 @@
 
 // Run appends the end of a run whose outcome is unknown.
 func (c *resultsSettle) Run() error {
-	at, bounds, unlock, err := c.open()
+	directory, limits, unlock, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer unlock()
-	log, records, _, err := segmentstore.Open(at, bounds)
+	log, records, _, err := segmentstore.Open(directory, limits)
 	if err != nil {
 		return err
 	}
@@ -121,20 +121,20 @@
 
 // Run rewrites the store without an idempotency key.
 func (c *resultsForget) Run() error {
-	last, err := c.latestRecords()
+	records, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
-	forgotten, err := c.find(last)
+	forgotten, err := c.find(records)
 	if err != nil {
 		return err
 	}
-	at, bounds, unlock, err := c.open()
+	directory, limits, unlock, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer unlock()
-	_, _, err = segmentstore.Compact(at, bounds, func(r *segmentstore.Record) bool {
+	_, _, err = segmentstore.Compact(directory, limits, func(r *segmentstore.Record) bool {
 		return r.Token != forgotten.Token || r.Operation != forgotten.Operation || r.Tenant != forgotten.Tenant
 	})
 	if err == nil {
--- a/cmd/topazpost/store.go
+++ b/cmd/topazpost/store.go
@@ -45,35 +45,35 @@
 
 // open locks a store and returns the size of its segments; the function unlocks it.
 func (f *storeDirectory) open() (segmentstore.Directory, segmentstore.Limits, func(), error) {
-	at := segmentstore.Directory(f.Folder)
+	directory := segmentstore.Directory(f.Folder)
 	unlock, err := server.LockStore(f.Folder)
 	if err != nil {
-		return at, segmentstore.Limits{}, nil, err
+		return directory, segmentstore.Limits{}, nil, err
 	}
-	names, err := at.Names()
+	names, err := directory.Names()
 	if err != nil {
 		unlock()
-		return at, segmentstore.Limits{}, nil, err
+		return directory, segmentstore.Limits{}, nil, err
 	}
-	bounds := segmentstore.Limits{SegmentBytes: defaultSegmentBytes, MaxBytes: math.MaxInt64}
+	limits := segmentstore.Limits{SegmentBytes: defaultSegmentBytes, MaxBytes: math.MaxInt64}
 	for _, name := range names {
 		if strings.HasSuffix(name, segmentSuffix) {
 			if info, err := os.Stat(filepath.Join(f.Folder, name)); err == nil {
-				bounds.SegmentBytes = info.Size()
+				limits.SegmentBytes = info.Size()
 			}
 		}
 	}
-	return at, bounds, unlock, nil
+	return directory, limits, unlock, nil
 }
 
 // latestRecords returns the last record of each idempotency key.
 func (f *storeDirectory) latestRecords() ([]segmentstore.Record, error) {
-	at, bounds, unlock, err := f.open()
+	directory, limits, unlock, err := f.open()
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	_, records, _, err := segmentstore.Open(at, bounds)
+	_, records, _, err := segmentstore.Open(directory, limits)
 	return segmentstore.LatestRecords(records), err
 }
 
@@ -100,25 +100,25 @@
 }
 
 // eachSegment calls visit for each file, whether it is valid or not.
-func (f *storeDirectory) eachSegment(visit func(name string, data []byte, s *segmentstore.ScanResult, err error)) error {
-	at, _, unlock, err := f.open()
+func (f *storeDirectory) eachSegment(visit func(name string, data []byte, scan *segmentstore.ScanResult, err error)) error {
+	directory, _, unlock, err := f.open()
 	if err != nil {
 		return err
 	}
 	defer unlock()
-	names, err := at.Names()
+	names, err := directory.Names()
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
 	for _, name := range names {
 		if strings.HasSuffix(name, segmentSuffix) {
-			data, err := at.Read(name)
+			data, err := directory.Read(name)
 			if err != nil {
 				return err
 			}
-			s, err := segmentstore.Scan(data)
-			visit(name, data, s, err)
+			scan, err := segmentstore.Scan(data)
+			visit(name, data, scan, err)
 		}
 	}
 	return nil
@@ -167,12 +167,12 @@
 
 // Run compacts the store.
 func (c *storeCompact) Run() error {
-	at, bounds, unlock, err := c.open()
+	directory, limits, unlock, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer unlock()
-	before, after, err := segmentstore.Compact(at, bounds, func(*segmentstore.Record) bool { return true })
+	before, after, err := segmentstore.Compact(directory, limits, func(*segmentstore.Record) bool { return true })
 	if err == nil {
 		fmt.Printf("%d bytes before, %d after\n", before, after)
 	}
@@ -181,13 +181,13 @@
 
 // Run prints the last record of each idempotency key.
 func (c *storeExport) Run() error {
-	last, err := c.latestRecords()
+	records, err := c.latestRecords()
 	if err != nil {
 		return err
 	}
 	out := json.NewEncoder(os.Stdout)
-	for i := range last {
-		r := &last[i]
+	for i := range records {
+		r := &records[i]
 		err := out.Encode(struct {
 			Token     string `json:"token"`
 			Operation int32  `json:"operation"`
--- a/internal/nodeconfig/apply.go
+++ b/internal/nodeconfig/apply.go
@@ -16,56 +16,56 @@
 
 // Apply applies a change that was validated, at the cost of the change. An operation or tenant that is removed keeps its
 // index, its name and its terms until Forget; one that is added again before that has the same index.
-func (p *Config) Apply(c *Change) ApplyResult {
-	if c.Part == Limits {
-		return ApplyResult{Changed: p.applyLimit(c)}
+func (c *Config) Apply(change *Change) ApplyResult {
+	if change.Part == Limits {
+		return ApplyResult{Changed: c.applyLimit(change)}
 	}
-	names := p.Operations
-	if c.Part == Tenants {
-		names = p.Tenants
+	names := c.Operations
+	if change.Part == Tenants {
+		names = c.Tenants
 	}
-	if c.Removed {
-		return retireAll(names, c.Name)
+	if change.Removed {
+		return retireAll(names, change.Name)
 	}
-	index, known := names.Find(c.Name)
-	r := ApplyResult{Index: index}
+	index, known := names.Find(change.Name)
+	result := ApplyResult{Index: index}
 	if !known {
-		r.Index = names.Add(c.Name)
-		r.Added = true
+		result.Index = names.Add(change.Name)
+		result.Added = true
 	}
 	changed := false
-	if c.Part == Operations {
-		p.Node.Operations, changed = setAt(p.Node.Operations, r.Index, c.Operation)
+	if change.Part == Operations {
+		c.Node.Operations, changed = setAt(c.Node.Operations, result.Index, change.Operation)
 	} else {
-		p.Node.TenantRates, changed = setAt(p.Node.TenantRates, r.Index, c.Rate)
+		c.Node.TenantRates, changed = setAt(c.Node.TenantRates, result.Index, change.Rate)
 	}
-	r.Changed = r.Added || changed
-	return r
+	result.Changed = result.Added || changed
+	return result
 }
 
 // applyLimit reports whether the limits are different after the change.
-func (p *Config) applyLimit(c *Change) (changed bool) {
-	n := &p.Node
-	before := *n
-	delete(p.nodeSettings, c.Name)
-	if !c.Removed {
-		p.nodeSettings[c.Name] = c.Limit
+func (c *Config) applyLimit(change *Change) (changed bool) {
+	limits := &c.Node
+	before := *limits
+	delete(c.nodeSettings, change.Name)
+	if !change.Removed {
+		c.nodeSettings[change.Name] = change.Limit
 	}
-	s := &settingsReader{values: p.nodeSettings}
-	s.readLimits(n)
-	return before.OverQuotaWeightShare != n.OverQuotaWeightShare || before.Peers != n.Peers || before.CallQuota != n.CallQuota ||
-		before.DrainGrace != n.DrainGrace || before.MaxRetryAfter != n.MaxRetryAfter
+	s := &settingsReader{values: c.nodeSettings}
+	s.readLimits(limits)
+	return before.OverQuotaWeightShare != limits.OverQuotaWeightShare || before.Peers != limits.Peers || before.CallQuota != limits.CallQuota ||
+		before.DrainGrace != limits.DrainGrace || before.MaxRetryAfter != limits.MaxRetryAfter
 }
 
 // retireAll takes all indices of a name out of service: a file may have it twice.
 func retireAll(names *Names, name string) ApplyResult {
 	index, known := names.Find(name)
-	r := ApplyResult{Index: index, Removed: known, Changed: known}
+	result := ApplyResult{Index: index, Removed: known, Changed: known}
 	for known {
 		names.Retire(index)
 		index, known = names.Find(name)
 	}
-	return r
+	return result
 }
 
 // setAt sets an element of a list that grows as needed, and reports whether it was different.
@@ -78,23 +78,23 @@
 }
 
 // Forget makes the index of a retired operation or tenant available to another.
-func (p *Config) Forget(part string, i int32) {
+func (c *Config) Forget(part string, index int32) {
 	if part == Operations {
-		p.Operations.Remove(i)
-		p.Node.Operations[i] = admission.Operation{Removed: true}
+		c.Operations.Remove(index)
+		c.Node.Operations[index] = admission.Operation{Removed: true}
 		return
 	}
-	p.Tenants.Remove(i)
-	p.Node.TenantRates[i] = 0
+	c.Tenants.Remove(index)
+	c.Node.TenantRates[index] = 0
 }
 
 // Clone returns a copy that may be changed without changing the original.
-func (p *Config) Clone() *Config {
-	c := *p
-	c.nodeSettings = maps.Clone(p.nodeSettings)
-	c.Operations = p.Operations.clone()
-	c.Tenants = p.Tenants.clone()
-	c.Node.Operations = slices.Clone(p.Node.Operations)
-	c.Node.TenantRates = slices.Clone(p.Node.TenantRates)
-	return &c
+func (c *Config) Clone() *Config {
+	clone := *c
+	clone.nodeSettings = maps.Clone(c.nodeSettings)
+	clone.Operations = c.Operations.clone()
+	clone.Tenants = c.Tenants.clone()
+	clone.Node.Operations = slices.Clone(c.Node.Operations)
+	clone.Node.TenantRates = slices.Clone(c.Node.TenantRates)
+	return &clone
 }
--- a/internal/nodeconfig/change.go
+++ b/internal/nodeconfig/change.go
@@ -53,7 +53,7 @@
 
 // Parse decodes items, each by itself, at the cost of the items. An error names the item and its field.
 func Parse(items []Item) (*Amendment, error) {
-	a := &Amendment{Changes: make([]Change, 0, len(items))}
+	amendment := &Amendment{Changes: make([]Change, 0, len(items))}
 	seen := make(map[[2]string]struct{}, len(items))
 	for i := range items {
 		key := [2]string{items[i].Part, items[i].Name}
@@ -61,19 +61,19 @@
 			return nil, fmt.Errorf("nodeconfig: %s.%s: named twice; a change has each item once", key[0], key[1])
 		}
 		seen[key] = struct{}{}
-		c, err := items[i].decode()
+		change, err := items[i].decode()
 		if err != nil {
 			return nil, err
 		}
-		a.Changes = append(a.Changes, c)
+		amendment.Changes = append(amendment.Changes, change)
 		switch {
-		case c.Part == Operations:
-			a.operationChanges = append(a.operationChanges, int32(i))
-		case c.Part == Tenants && !c.Removed:
-			a.tenantChanges = append(a.tenantChanges, int32(i))
+		case change.Part == Operations:
+			amendment.operationChanges = append(amendment.operationChanges, int32(i))
+		case change.Part == Tenants && !change.Removed:
+			amendment.tenantChanges = append(amendment.tenantChanges, int32(i))
 		}
 	}
-	return a, nil
+	return amendment, nil
 }
 
 func (it *Item) path() string { return it.Part + "." + it.Name }
@@ -99,37 +99,37 @@
 	return nil
 }
 
-func (it *Item) decode() (c Change, err error) {
+func (it *Item) decode() (change Change, err error) {
 	if err := it.validate(); err != nil {
-		return c, err
+		return change, err
 	}
-	c = Change{Part: it.Part, Name: it.Name, Removed: it.Value == nil}
-	if c.Removed {
-		return c, nil
+	change = Change{Part: it.Part, Name: it.Name, Removed: it.Value == nil}
+	if change.Removed {
+		return change, nil
 	}
 	tree, err := decodeSingleValue(it.Value)
 	if err != nil {
-		return c, it.errorf("%w", err)
+		return change, it.errorf("%w", err)
 	}
 	if it.Part == Limits {
-		c.Limit, err = it.limitText(tree)
-		return c, err
+		change.Limit, err = it.limitText(tree)
+		return change, err
 	}
 	object, isObject := tree.(map[string]any)
 	if !isObject {
-		return c, it.errorf("an object is needed")
+		return change, it.errorf("an object is needed")
 	}
 	if _, named := object[namePath]; named {
-		return c, it.errorf("name: the item has it already; leave it out")
+		return change, it.errorf("name: the item has it already; leave it out")
 	}
 	s := &settingsReader{values: make(map[string]string), errorPrefix: it.path() + "."}
 	flatten(s.values, "", object)
 	if it.Part == Tenants {
-		c.Rate = s.float(tenantRatePath)
-		return c, s.err
+		change.Rate = s.float(tenantRatePath)
+		return change, s.err
 	}
-	c.Operation, err = it.operation(s)
-	return c, err
+	change.Operation, err = it.operation(s)
+	return change, err
 }
 
 // decodeSingleValue decodes JSON text that holds exactly one value.
--- a/internal/nodeconfig/change_test.go
+++ b/internal/nodeconfig/change_test.go
@@ -17,26 +17,26 @@
 	"family_info":{"class_calls":[true,false],"class_skip_worth":[0.5],"memory_kb":900},"guarantees":{"tip_multiple":4},
 	"group_size":"30","limits":{"retry_after":true,"max_retry_after":500}}`
 
-func decodeConfig(t require.TestingT, text string) *Config {
-	p, err := FromJSON(1, []byte(text))
+func decodeConfig(t require.TestingT, settings string) *Config {
+	config, err := FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	return p
+	return config
 }
 
 // applyItems applies items to a config as a node does.
-func applyItems(p *Config, items ...Item) ([]ApplyResult, error) {
-	a, err := Parse(items)
+func applyItems(config *Config, items ...Item) ([]ApplyResult, error) {
+	amendment, err := Parse(items)
 	if err == nil {
-		err = p.ValidateAmendment(a)
+		err = config.ValidateAmendment(amendment)
 	}
 	if err != nil {
 		return nil, err
 	}
-	var all []ApplyResult
-	for i := range a.Changes {
-		all = append(all, p.Apply(&a.Changes[i]))
+	var results []ApplyResult
+	for i := range amendment.Changes {
+		results = append(results, config.Apply(&amendment.Changes[i]))
 	}
-	return all, nil
+	return results, nil
 }
 
 func TestInvalidItemsAreRejectedWithoutChanges(t *testing.T) {
@@ -62,49 +62,49 @@
 		{Item{Limits, "group_size", []byte(`-1`)}, "from 0 on"},
 		{Item{Limits, "group_size", []byte(`{"a":1}`)}, "from 0 on"},
 	} {
-		p := decodeConfig(t, exampleConfig)
-		_, err := applyItems(p, Item{Tenants, "z", []byte(`{"quota_rps":1}`)}, c.it)
+		config := decodeConfig(t, exampleConfig)
+		_, err := applyItems(config, Item{Tenants, "z", []byte(`{"quota_rps":1}`)}, c.it)
 		if c.says == "" {
 			assert.NoError(t, err)
 			continue
 		}
 		assert.ErrorContains(t, err, c.says)
-		assert.Equal(t, decodeConfig(t, exampleConfig), p)
+		assert.Equal(t, decodeConfig(t, exampleConfig), config)
 	}
-	p := decodeConfig(t, exampleConfig)
-	_, err := applyItems(p, Item{Part: Operations, Name: "a"}, Item{Part: Operations, Name: "b"})
+	config := decodeConfig(t, exampleConfig)
+	_, err := applyItems(config, Item{Part: Operations, Name: "a"}, Item{Part: Operations, Name: "b"})
 	assert.ErrorContains(t, err, "none would be left")
-	_, err = applyItems(p, Item{Part: Tenants, Name: "x"}, Item{Tenants, "x", []byte(`{}`)})
+	_, err = applyItems(config, Item{Part: Tenants, Name: "x"}, Item{Tenants, "x", []byte(`{}`)})
 	assert.ErrorContains(t, err, "tenants.x: named twice")
 }
 
 func TestIndicesAreStableUntilForgotten(t *testing.T) {
-	p := decodeConfig(t, exampleConfig)
-	taken, err := applyItems(p, Item{Part: Operations, Name: "a"}, Item{Operations, "c", []byte(`{"aim":1,"give_up":2,"effect":"idempotent","class_calls":true}`)},
+	config := decodeConfig(t, exampleConfig)
+	results, err := applyItems(config, Item{Part: Operations, Name: "a"}, Item{Operations, "c", []byte(`{"aim":1,"give_up":2,"effect":"idempotent","class_calls":true}`)},
 		Item{Tenants, "x", []byte(`{"quota_rps":7}`)}, Item{Part: Tenants, Name: "none"}, Item{Limits, "limits.retry_after", []byte(`false`)})
 	require.NoError(t, err)
-	assert.Equal(t, []ApplyResult{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, taken)
-	assert.Equal(t, admission.Operation{LatencyObjective: 1e6, ClientTimeout: 2e6, CallsDependency: true}, p.Node.Operations[2])
-	assert.Equal(t, int64(200e6), p.Node.Operations[0].ClientTimeout, "a queued or running invocation still uses it")
-	assert.Equal(t, []float64{7, 0.5}, p.Node.TenantRates)
-	assert.Zero(t, p.Node.MaxRetryAfter)
-	_, known := p.Operations.Find("a")
+	assert.Equal(t, []ApplyResult{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, results)
+	assert.Equal(t, admission.Operation{LatencyObjective: 1e6, ClientTimeout: 2e6, CallsDependency: true}, config.Node.Operations[2])
+	assert.Equal(t, int64(200e6), config.Node.Operations[0].ClientTimeout, "a queued or running invocation still uses it")
+	assert.Equal(t, []float64{7, 0.5}, config.Node.TenantRates)
+	assert.Zero(t, config.Node.MaxRetryAfter)
+	_, known := config.Operations.Find("a")
 	assert.False(t, known)
-	i, known := p.Operations.Lookup("a")
+	i, known := config.Operations.Lookup("a")
 	assert.True(t, known)
 	assert.Zero(t, i)
-	taken, err = applyItems(p, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
+	results, err = applyItems(config, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
 	require.NoError(t, err)
-	assert.Equal(t, ApplyResult{Added: true, Changed: true}, taken[0], "it has the same index")
-	assert.Equal(t, int64(500e6), p.Node.MaxRetryAfter)
-	_, err = applyItems(p, Item{Part: Operations, Name: "b"})
+	assert.Equal(t, ApplyResult{Added: true, Changed: true}, results[0], "it has the same index")
+	assert.Equal(t, int64(500e6), config.Node.MaxRetryAfter)
+	_, err = applyItems(config, Item{Part: Operations, Name: "b"})
 	require.NoError(t, err)
-	p.Forget(Operations, 1)
-	assert.True(t, p.Node.Operations[1].Removed)
-	taken, err = applyItems(p, Item{Operations, "d", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)})
+	config.Forget(Operations, 1)
+	assert.True(t, config.Node.Operations[1].Removed)
+	results, err = applyItems(config, Item{Operations, "d", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)})
 	require.NoError(t, err)
-	assert.Equal(t, int32(1), taken[0].Index)
-	assert.Equal(t, []string{"a", "d", "c"}, p.Operations.All())
+	assert.Equal(t, int32(1), results[0].Index)
+	assert.Equal(t, []string{"a", "d", "c"}, config.Operations.All())
 }
 
 // From any config to any other: applying the difference leaves no difference, and equal configs have none.
@@ -128,20 +128,20 @@
 				rapid.IntRange(0, 2).Draw(t, "peers"), rapid.Bool().Draw(t, "back"), rapid.Bool().Draw(t, "calls")))
 		}
 		from, to := draw("from"), draw("to")
-		was := from.Clone()
-		items, starts := Diff(from, to)
-		assert.Empty(t, starts)
+		original := from.Clone()
+		items, needRestart := Diff(from, to)
+		assert.Empty(t, needRestart)
 		_, err := applyItems(from, items...)
 		require.NoError(t, err)
 		for _, pair := range [][2]*Config{{from, to}, {to, from}, {to, to}} {
-			rest, starts := Diff(pair[0], pair[1])
+			rest, needRestart := Diff(pair[0], pair[1])
 			assert.Empty(t, rest)
-			assert.Empty(t, starts)
+			assert.Empty(t, needRestart)
 		}
-		back, _ := Diff(from, was)
+		back, _ := Diff(from, original)
 		_, err = applyItems(from, back...)
 		require.NoError(t, err)
-		rest, _ := Diff(was, from)
+		rest, _ := Diff(original, from)
 		assert.Empty(t, rest)
 		all, _ := Diff(nil, to)
 		for i := range all[1:] {
@@ -152,8 +152,8 @@
 
 func TestDiffListsSettingsThatNeedRestart(t *testing.T) {
 	to := decodeConfig(t, `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1}],"family_info":{"memory_kb":901},"group_size":31}`)
-	items, starts := Diff(decodeConfig(t, exampleConfig), to)
-	assert.Equal(t, []string{"family_info.memory_kb", "guarantees.tip_multiple"}, starts)
+	items, needRestart := Diff(decodeConfig(t, exampleConfig), to)
+	assert.Equal(t, []string{"family_info.memory_kb", "guarantees.tip_multiple"}, needRestart)
 	assert.Equal(t, []Item{{Part: Operations, Name: "b"}, {Operations, "a", []byte(`{"aim":100,"effect":"idempotent","give_up":200,"importance":1}`)},
 		{Part: Tenants, Name: "x"}, {Part: Tenants, Name: "y"}, {Limits, "group_size", []byte("31")}, {Part: Limits, Name: "limits.max_retry_after"},
 		{Part: Limits, Name: "limits.retry_after"}}, items)
--- a/internal/nodeconfig/diff.go
+++ b/internal/nodeconfig/diff.go
@@ -14,7 +14,7 @@
 }
 
 // Items yields the items that may change while a node serves, one at a time.
-func (p *Config) Items(yield func(Item)) { diffItems(nil, p, yield) }
+func (c *Config) Items(yield func(Item)) { diffItems(nil, c, yield) }
 
 func diffItems(from, to *Config, yield func(Item)) (needRestart []string) {
 	if from == nil {
@@ -104,9 +104,9 @@
 }
 
 // restartOnlySettings returns the settings that can't change while a node serves.
-func (p *Config) restartOnlySettings() map[string]string {
+func (c *Config) restartOnlySettings() map[string]string {
 	only := make(map[string]string)
-	for path, value := range p.nodeSettings {
+	for path, value := range c.nodeSettings {
 		if _, live := liveSettings[path]; !live {
 			only[path] = value
 		}
--- a/internal/nodeconfig/nodeconfig.go
+++ b/internal/nodeconfig/nodeconfig.go
@@ -37,24 +37,24 @@
 // decode decodes the settings of a node by their paths.
 func decode(seed int64, values map[string]string) (*Config, error) {
 	s := &settingsReader{values: values}
-	p := &Config{Operations: new(Names), Tenants: new(Names)}
-	p.readNode(s, seed)
-	s.eachItem(operationsPath, p.addOperation)
-	p.readDependencyCalls(s)
-	s.eachItem(tenantsPath, p.addTenant)
-	return p, s.err
+	config := &Config{Operations: new(Names), Tenants: new(Names)}
+	config.readNode(s, seed)
+	s.eachItem(operationsPath, config.addOperation)
+	config.readDependencyCalls(s)
+	s.eachItem(tenantsPath, config.addTenant)
+	return config, s.err
 }
 
 // addOperation adds the operation that the reader is at.
-func (p *Config) addOperation(s *settingsReader) {
-	p.Operations.Put(int32(len(p.Node.Operations)), s.text(namePath))
-	p.Node.Operations = append(p.Node.Operations, s.operation())
+func (c *Config) addOperation(s *settingsReader) {
+	c.Operations.Put(int32(len(c.Node.Operations)), s.text(namePath))
+	c.Node.Operations = append(c.Node.Operations, s.operation())
 }
 
 // addTenant adds the tenant that the reader is at.
-func (p *Config) addTenant(s *settingsReader) {
-	p.Tenants.Put(int32(len(p.Node.TenantRates)), s.text(namePath))
-	p.Node.TenantRates = append(p.Node.TenantRates, s.float(tenantRatePath))
+func (c *Config) addTenant(s *settingsReader) {
+	c.Tenants.Put(int32(len(c.Node.TenantRates)), s.text(namePath))
+	c.Node.TenantRates = append(c.Node.TenantRates, s.float(tenantRatePath))
 }
 
 // operation reads one operation without its dependency calls.
@@ -71,11 +71,11 @@
 }
 
 // readDependencyCalls reads which operations call the dependency, and the weight of their replies without the call.
-func (p *Config) readDependencyCalls(s *settingsReader) {
+func (c *Config) readDependencyCalls(s *settingsReader) {
 	calls := s.list(dependencyCallsPath)
 	weights := s.list(skippedCallsPath)
-	for i := range p.Node.Operations {
-		op := &p.Node.Operations[i]
+	for i := range c.Node.Operations {
+		op := &c.Node.Operations[i]
 		op.CallsDependency = i < len(calls) && calls[i] == "true"
 		if i < len(weights) {
 			share, err := strconv.ParseFloat(weights[i], 64)
@@ -88,18 +88,18 @@
 }
 
 // readNode reads the settings that concern all of a node.
-func (p *Config) readNode(s *settingsReader, seed int64) {
-	p.nodeSettings = make(map[string]string)
+func (c *Config) readNode(s *settingsReader, seed int64) {
+	c.nodeSettings = make(map[string]string)
 	for path, value := range s.values {
 		if part, _, _ := strings.Cut(path, "."); part != operationsPath && part != tenantsPath {
-			p.nodeSettings[path] = value
+			c.nodeSettings[path] = value
 		}
 	}
-	p.Gauges = s.list("family_info.gauges")
-	n := &p.Node
-	*n = admission.Config{
-		Operations:           n.Operations,
-		TenantRates:          n.TenantRates,
+	c.Gauges = s.list("family_info.gauges")
+	node := &c.Node
+	*node = admission.Config{
+		Operations:           node.Operations,
+		TenantRates:          node.TenantRates,
 		Seed:                 seed,
 		WeightScalesWithWork: s.text("counted_by") == "work",
 		Cores:                max(1, int(s.float("family_info.n_cores"))),
@@ -119,39 +119,39 @@
 		Backpressure:         enumValue(s, "family_info.advert", backpressureValues),
 		Dependency:           enumValue(s, "family_info.below", dependencyValues),
 	}
-	s.readLimits(n)
+	s.readLimits(node)
 }
 
 // readLimits reads the settings that may change while a node serves.
-func (s *settingsReader) readLimits(n *admission.Config) {
-	n.OverQuotaWeightShare = s.float(overQuotaWeightPath)
-	n.Peers = int(s.float(peersPath))
-	n.CallQuota = s.float(callQuotaPath)
-	n.DrainGrace = s.nanoseconds(drainGracePath)
-	n.MaxRetryAfter = 0
+func (s *settingsReader) readLimits(node *admission.Config) {
+	node.OverQuotaWeightShare = s.float(overQuotaWeightPath)
+	node.Peers = int(s.float(peersPath))
+	node.CallQuota = s.float(callQuotaPath)
+	node.DrainGrace = s.nanoseconds(drainGracePath)
+	node.MaxRetryAfter = 0
 	if s.flag(retryAfterPath) {
-		n.MaxRetryAfter = s.nanoseconds(maxRetryAfterPath)
+		node.MaxRetryAfter = s.nanoseconds(maxRetryAfterPath)
 	}
 }
 
 // Validate returns an error that names the first setting that a node needs and that is missing.
-func (p *Config) Validate() error {
-	if p.Operations.Len() == 0 {
+func (c *Config) Validate() error {
+	if c.Operations.Len() == 0 {
 		return errors.New("nodeconfig: grades: no operation")
 	}
-	for i := range p.Node.Operations {
-		name := p.Operations.Name(int32(i))
-		if last, _ := p.Operations.Lookup(name); int(last) != i {
+	for i := range c.Node.Operations {
+		name := c.Operations.Name(int32(i))
+		if last, _ := c.Operations.Lookup(name); int(last) != i {
 			continue // the last of several operations of one name is used
 		}
-		if fault := operationFault(name, &p.Node.Operations[i]); fault != "" {
+		if fault := operationFault(name, &c.Node.Operations[i]); fault != "" {
 			return fmt.Errorf("nodeconfig: grades.%d: %s", i, fault)
 		}
 	}
-	if p.Node.MemoryKB <= 0 {
+	if c.Node.MemoryKB <= 0 {
 		return errors.New("nodeconfig: family_info.memory_kb must be above 0")
 	}
-	if p.Node.OverloadMultiple < 1 {
+	if c.Node.OverloadMultiple < 1 {
 		return errors.New("nodeconfig: guarantees.tip_multiple must be at least 1")
 	}
 	return nil
--- a/internal/nodeconfig/nodeconfig_test.go
+++ b/internal/nodeconfig/nodeconfig_test.go
@@ -34,10 +34,10 @@
 		_, err := FromJSON(1, []byte(text))
 		assert.ErrorContains(t, err, field)
 	}
-	p, err := FromJSON(1, []byte(`{}`))
+	config, err := FromJSON(1, []byte(`{}`))
 	require.NoError(t, err)
-	assert.ErrorContains(t, p.Validate(), "grades")
-	p, err = FromJSON(1, []byte(`{"grades":[{"name":"a","aim":1,"give_up":2,"effect":"deduplicated"}]}`))
+	assert.ErrorContains(t, config.Validate(), "grades")
+	config, err = FromJSON(1, []byte(`{"grades":[{"name":"a","aim":1,"give_up":2,"effect":"deduplicated"}]}`))
 	require.NoError(t, err)
-	assert.ErrorContains(t, p.Validate(), "grades.0: window")
+	assert.ErrorContains(t, config.Validate(), "grades.0: window")
 }
--- a/internal/nodeconfig/streamdecoder.go
+++ b/internal/nodeconfig/streamdecoder.go
@@ -22,21 +22,21 @@
 func FromJSON(seed int64, object []byte) (*Config, error) {
 	d := json.NewDecoder(bytes.NewReader(object))
 	d.UseNumber()
-	p, _, err := Decode(seed, d)
-	return p, err
+	config, _, err := Decode(seed, d)
+	return config, err
 }
 
 // Decode decodes settings from the nested object that is next in a decoder, which must use json.Number. It holds one
 // operation or tenant at a time. The digest covers all settings and depends neither on white space nor on the order of
 // keys.
-func Decode(seed int64, d *json.Decoder) (p *Config, digest uint64, err error) {
+func Decode(seed int64, d *json.Decoder) (config *Config, digest uint64, err error) {
 	w := newStreamDecoder(d)
 	return w.decode(seed)
 }
 
 // DecodeWithoutTenants decodes as Decode does, with the same errors and the same digest, but stores no tenants. It serves
 // to check a file and to compare it with the current config in little memory.
-func DecodeWithoutTenants(seed int64, d *json.Decoder) (p *Config, digest uint64, err error) {
+func DecodeWithoutTenants(seed int64, d *json.Decoder) (config *Config, digest uint64, err error) {
 	w := newStreamDecoder(d)
 	w.skipTenants = true
 	return w.decode(seed)
@@ -72,7 +72,7 @@
 	}
 }
 
-func (w *streamDecoder) decode(seed int64) (p *Config, digest uint64, err error) {
+func (w *streamDecoder) decode(seed int64) (config *Config, digest uint64, err error) {
 	if err := w.decodeSettings(); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
@@ -234,15 +234,15 @@
 	values := make(map[string]string)
 	flatten(values, "", w.otherSettings)
 	s := &settingsReader{values: values}
-	p := w.config
-	p.readNode(s, seed)
+	config := w.config
+	config.readNode(s, seed)
 	nodeErr := s.err
 	if !w.operations.isList {
-		s.eachItem(operationsPath, p.addOperation)
+		s.eachItem(operationsPath, config.addOperation)
 	}
-	p.readDependencyCalls(s)
+	config.readDependencyCalls(s)
 	if !w.tenants.isList {
-		s.eachItem(tenantsPath, p.addTenant)
+		s.eachItem(tenantsPath, config.addTenant)
 	}
 	for _, err := range []error{nodeErr, w.operations.err, w.tenants.err, s.err} {
 		if err != nil {
@@ -252,7 +252,7 @@
 	digest := w.digestOf(values)
 	digest = digest*digestMultiplier + w.operations.digest
 	digest = digest*digestMultiplier + w.tenants.digest
-	return p, digest, nil
+	return config, digest, nil
 }
 
 // digestOf returns the digest of settings by path.
--- a/internal/nodeconfig/streamdecoder_test.go
+++ b/internal/nodeconfig/streamdecoder_test.go
@@ -59,18 +59,18 @@
 			}
 		}
 		text := []byte("{" + strings.Join(rapid.Permutation(parts).Draw(t, "order"), ",\n") + "}")
-		want, wrong := decodeFromPaths(3, text)
+		want, wantErr := decodeFromPaths(3, text)
 		got, digest, err := Decode(3, newNumberDecoder(text))
-		light, same, err2 := DecodeWithoutTenants(3, newNumberDecoder(text))
-		if wrong != nil {
+		withoutTenants, withoutTenantsDigest, err2 := DecodeWithoutTenants(3, newNumberDecoder(text))
+		if wantErr != nil {
 			assert.Error(t, err, string(text))
 			assert.Equal(t, err, err2, "light or not, a fault is named alike")
 			return
 		}
 		require.NoError(t, err2)
-		assert.Equal(t, digest, same)
-		assert.Equal(t, want.Operations, light.Operations)
-		assert.Equal(t, want.Node.Operations, light.Node.Operations)
+		assert.Equal(t, digest, withoutTenantsDigest)
+		assert.Equal(t, want.Operations, withoutTenants.Operations)
+		assert.Equal(t, want.Node.Operations, withoutTenants.Node.Operations)
 		require.NoError(t, err, string(text))
 		if assert.Equal(t, want.Node, got.Node, string(text)) {
 			assert.Equal(t, want, got, string(text))
--- a/internal/nodeconfig/validator.go
+++ b/internal/nodeconfig/validator.go
@@ -21,8 +21,8 @@
 }
 
 // NewChangeValidator returns a validator without changes.
-func (p *Config) NewChangeValidator() *ChangeValidator {
-	return &ChangeValidator{config: p, remainingOperations: p.Operations.Len()}
+func (c *Config) NewChangeValidator() *ChangeValidator {
+	return &ChangeValidator{config: c, remainingOperations: c.Operations.Len()}
 }
 
 // Add adds changes; each item is in at most one of them.
@@ -77,15 +77,15 @@
 
 // ValidateAmendment returns why a config can't take all of an amendment, at the cost of the operations in it, and of the
 // tenants only near their bound. It changes nothing.
-func (p *Config) ValidateAmendment(a *Amendment) error {
-	v := p.NewChangeValidator()
-	for _, i := range a.operationChanges {
-		v.addOperation(&a.Changes[i])
+func (c *Config) ValidateAmendment(amendment *Amendment) error {
+	validator := c.NewChangeValidator()
+	for _, i := range amendment.operationChanges {
+		validator.addOperation(&amendment.Changes[i])
 	}
-	if p.Tenants.count+len(a.tenantChanges) > maxTenants {
-		for _, i := range a.tenantChanges {
-			v.addTenant(&a.Changes[i])
+	if c.Tenants.count+len(amendment.tenantChanges) > maxTenants {
+		for _, i := range amendment.tenantChanges {
+			validator.addTenant(&amendment.Changes[i])
 		}
 	}
-	return v.Err()
+	return validator.Err()
 }
