--- a/cmd/topazpost/seat.go
+++ b/cmd/topazpost/replica.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	seatSockets = 256 // descriptors that it may use: 96 streams, exchanges, its files, and room
-	seatStopMS  = 500 // for its last words to the fleet
+	replicaSockets = 256 // descriptors: 96 streams, exchanges, files, and some to spare
+	replicaStopMS  = 500 // to leave the fleet
 )
 
-type seat struct {
+type replicaCommand struct {
 	Name string `help:"Name of the node, one of those in council.seats." required:"" env:"TOPAZPOST_NAME"`
-	logging
+	logOptions
 	Fleet string `arg:"" env:"TOPAZPOST_FLEET" help:"Fleet that it is a member of, a Jsonnet file." type:"path" placeholder:"FILE"`
 }
 
-// Run is a seat until a signal to end: the first one says farewell to the fleet, a second one stops at once.
-func (c *seat) Run() error {
+// Run is a replica of the consensus group until a signal: the first one leaves the fleet, a second one stops at once.
+func (c *replicaCommand) Run() error {
 	fleet, err := fleetconfig.Read(c.Fleet, c.Name)
 	if err != nil {
 		return err
 	}
-	if fleet.Council == nil || !slices.Contains(fleet.Council.Seats, c.Name) {
+	group := fleet.ConsensusGroup
+	if group == nil || !slices.Contains(group.Replicas, c.Name) {
 		return fmt.Errorf("%s: council.seats: %q is not one of them, and a process without a seat has nothing to do; name it there, or start it with the name of one",
 			c.Fleet, c.Name)
 	}
@@ -37,20 +38,23 @@
 	if err != nil {
 		return err
 	}
-	n := &server.Config{Name: c.Name, StopMS: seatStopMS, Sockets: seatSockets, Fleet: fleet, Hollow: server.OnlySeat(),
-		Settings: &nodeconfig.Config{Operations: nodeconfig.NewNames(), Tenants: nodeconfig.NewNames()}}
-	n.Settings.Node.Seed = int64(os.Getpid())
-	log.Info().Str("name", c.Name).Strs("seats", fleet.Council.Seats).Str("folder", fleet.Council.Folder).Msg("a seat of the council, serving nothing")
-	node := server.New(n, log, server.SystemClock())
+	config := &server.Config{
+		Name: c.Name, StopMS: replicaStopMS, Sockets: replicaSockets, Fleet: fleet, Hollow: server.OnlySeat(),
+		Settings: &nodeconfig.Config{Operations: nodeconfig.NewNames(), Tenants: nodeconfig.NewNames()},
+	}
+	config.Settings.Node.Seed = int64(os.Getpid())
+	log.Info().Str("name", c.Name).Strs("seats", group.Replicas).Str("folder", group.Folder).Msg("a seat of the council, serving nothing")
+	node := server.New(config, log, server.SystemClock())
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		<-ends
+		<-stopSignals
 		node.Drain()
-		<-ends
+		<-stopSignals
 		stop()
 	}()
-	if err = node.Run(ctx); errors.Is(err, context.Canceled) {
+	err = node.Run(ctx)
+	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
--- a/cmd/topazpost/signals.go
+++ b/cmd/topazpost/signals.go
@@ -12,55 +12,79 @@
 )
 
 const (
-	rereadFirst = 50 * time.Millisecond // to the first new try at a configuration that is unusable: half written, perhaps
-	rereadMost  = 2 * time.Second       // to any further try
-	tidyAfter   = time.Second           // from a reload until the memory that reading took is given back: the node is done with it
-	rereadTimes = 12                    // tries; then the next SIGHUP is waited for
+	minRereadBackoff = 50 * time.Millisecond // a file that is being written is soon complete
+	maxRereadBackoff = 2 * time.Second
+	maxRereads       = 12          // until the next SIGHUP
+	freeMemoryDelay  = time.Second // longer than the node needs to apply a configuration
+	maxStopSignals   = 3
 )
 
 var (
-	hups = make(chan os.Signal, 1)
-	ends = make(chan os.Signal, 3)
+	reloadSignals = make(chan os.Signal, 1)
+	stopSignals   = make(chan os.Signal, maxStopSignals)
 )
 
-// heed maps signals to the node: SIGHUP to Reload with what the file says then, the first to end to Drain, the
-// second to Abort, the third to stop. A file that is unusable changes nothing; it is named in the log and read again a little later.
-func (c *serve) heed(node *server.Server, log zerolog.Logger, stop context.CancelFunc) {
-	var again, tidy <-chan time.Time
-	ending := []func(){node.Drain, node.Abort, stop}
-	wait, left := rereadFirst, 0
+// reloader reads the configuration of a running node again. One that is not valid changes nothing and is read again
+// after a backoff.
+type reloader struct {
+	command     *serveCommand
+	node        *server.Server
+	log         zerolog.Logger
+	backoff     time.Duration
+	rereadsLeft int
+	reread      <-chan time.Time // nil where no reread is due
+	freeMemory  <-chan time.Time // nil where no memory is to be freed
+}
+
+// handleSignals reloads the configuration at each SIGHUP. Of the signals to stop, the first one drains the node, the
+// second one aborts its invocations, the third one calls stop.
+func (c *serveCommand) handleSignals(node *server.Server, log zerolog.Logger, stop context.CancelFunc) {
+	r := &reloader{command: c, node: node, log: log}
+	stopSteps := []func(){node.Drain, node.Abort, stop}
 	for {
 		select {
-		case <-ends:
-			ending[0]()
-			ending = ending[min(1, len(ending)-1):]
-			continue
-		case <-hups:
-			wait, left = rereadFirst, rereadTimes
-		case <-again:
-		case <-tidy:
-			tidy = nil
-			debug.FreeOSMemory() // of a large file most was for the reading of it
-			continue
-		}
-		again = nil
-		percent := readingGC
-		if c.Fleet != "" {
-			percent = besideGC
-		}
-		config, err := c.decode(server.DecodeReload, percent)
-		if err == nil {
-			err = c.readLevels(config)
-		}
-		if err == nil {
-			node.Reload(config)
-			tidy = time.After(tidyAfter)
-			continue
-		}
-		log.Warn().Err(err).Int("tries_left", left).Msg("configuration can't be used, the one of before stays")
-		if left > 0 {
-			again, left = time.After(wait), left-1
-			wait = min(2*wait, rereadMost)
+		case <-stopSignals:
+			stopSteps[0]()
+			if len(stopSteps) > 1 {
+				stopSteps = stopSteps[1:]
+			}
+		case <-reloadSignals:
+			r.backoff = minRereadBackoff
+			r.rereadsLeft = maxRereads
+			r.reload()
+		case <-r.reread:
+			r.reload()
+		case <-r.freeMemory:
+			r.freeMemory = nil
+			debug.FreeOSMemory() // most of which reading a large file took
 		}
 	}
 }
+
+func (r *reloader) reload() {
+	r.reread = nil
+	config, err := r.read()
+	if err == nil {
+		r.node.Reload(config)
+		r.freeMemory = time.After(freeMemoryDelay)
+		return
+	}
+	r.log.Warn().Err(err).Int("tries_left", r.rereadsLeft).Msg("configuration can't be used, the one of before stays")
+	if r.rereadsLeft > 0 {
+		r.reread = time.After(r.backoff)
+		r.rereadsLeft--
+		r.backoff = min(2*r.backoff, maxRereadBackoff)
+	}
+}
+
+func (r *reloader) read() (*server.Config, error) {
+	gcPercent := readGCPercent
+	if r.command.Fleet != "" {
+		gcPercent = reloadGCPercent
+	}
+	config, err := r.command.decode(server.DecodeReload, gcPercent)
+	if err != nil {
+		return nil, err
+	}
+	return config, r.command.readDegradationPlan(config)
+}
--- a/integration/dispatcher_test.go
+++ b/integration/dispatcher_test.go
@@ -75,7 +75,7 @@
 }
 
 // healthCheck returns the frame of a health check.
-func healthCheck() []byte { return frame.Append(nil, frame.Check, 1, []byte{0}) }
+func healthCheck() []byte { return frame.Append(nil, frame.HealthCheck, 1, []byte{0}) }
 
 // write sends bytes.
 func (d *dispatcher) write(b []byte) {
@@ -107,7 +107,7 @@
 	d.t.Helper()
 	f, ok := d.next()
 	require.True(d.t, ok, "the connection ended")
-	if f.Type == frame.NoMore {
+	if f.Type == frame.GoAway {
 		return noMore
 	}
 	_, body, err := frame.Fields(f.Payload[1:])
@@ -143,5 +143,5 @@
 	}
 	answer := make([]byte, 10)
 	_, err = io.ReadFull(conn, answer)
-	return err == nil && answer[4] == frame.Checked && answer[9] == frame.Good
+	return err == nil && answer[4] == frame.HealthStatus && answer[9] == frame.Healthy
 }
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -101,7 +101,7 @@
 		d.invoke(1, "hold")
 		d.write(healthCheck())
 		f, _ := d.next()
-		require.Equal(t, byte(frame.Checked), f.Type, "%d: the invocation before it was read", n)
+		require.Equal(t, byte(frame.HealthStatus), f.Type, "%d: the invocation before it was read", n)
 		first = append(first, d)
 	}
 	for range 3 {
--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -144,7 +144,7 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		go func() {
-			for _, b := range frame.Append(nil, frame.Check, 1, make([]byte, 200)) { // a byte at a time
+			for _, b := range frame.Append(nil, frame.HealthCheck, 1, make([]byte, 200)) { // a byte at a time
 				if _, err := conn.Write([]byte{b}); err != nil {
 					return
 				}
--- a/integration/listener_test.go
+++ b/integration/listener_test.go
@@ -40,7 +40,7 @@
 // readLines hands each line of a connection to handle until the connection ends. A line of one of the commands in
 // withBody has a body.
 func readLines(conn net.Conn, withBody []string, handle func(line lineprotocol.Line)) {
-	parser := lineprotocol.Parser{Counted: func(words []string) bool { return slices.Contains(withBody, words[0]) }}
+	parser := lineprotocol.Parser{HasBody: func(words []string) bool { return slices.Contains(withBody, words[0]) }}
 	for {
 		n, err := conn.Read(parser.Space())
 		if err != nil {
--- a/integration/serving_test.go
+++ b/integration/serving_test.go
@@ -56,7 +56,7 @@
 		d.write(check[i : i+1])
 	}
 	f, _ := d.next()
-	assert.Equal(t, []byte{frame.Checked, frame.Good}, []byte{f.Type, f.Payload[0]})
+	assert.Equal(t, []byte{frame.HealthStatus, frame.Healthy}, []byte{f.Type, f.Payload[0]})
 }
 
 func TestCallOutcomesFollowTheCatalogueReplies(t *testing.T) {
@@ -102,7 +102,7 @@
 	d := node.dial()
 	d.invoke(1, "call")
 	await(t, node.catalogue.requests)
-	d.write(frame.Append(nil, frame.Gone, 1, nil))
+	d.write(frame.Append(nil, frame.Cancel, 1, nil))
 	assert.Equal(t, await(t, node.catalogue.opened), await(t, node.catalogue.closed))
 }
 
@@ -111,7 +111,7 @@
 	d := node.dial()
 	d.write(healthCheck())
 	f, _ := d.next()
-	assert.Equal(t, byte(frame.Bad), f.Payload[0], "no executor yet")
+	assert.Equal(t, byte(frame.Unhealthy), f.Payload[0], "no executor yet")
 	close(node.executor.up)
 	executorConn := await(t, node.executor.connections)
 	node.awaitLog("executor is up")
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -103,7 +103,7 @@
 	operations *nodeconfig.Names
 	names      []string // of the operations
 	plan       *node.DegradationPlan
-	problems   configfile.Problems
+	problems   configfile.ProblemErrors
 }
 
 func (r *reader) problem(path []string, description, suggestion string) {
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -35,16 +35,16 @@
 			line, _ := strconv.Atoi(want[1])
 			_, err = Read(path, operations)
 			require.Error(t, err)
-			first := &configfile.Problem{}
-			if all := (configfile.Problems{}); errors.As(err, &all) {
+			first := &configfile.ProblemError{}
+			if all := (configfile.ProblemErrors{}); errors.As(err, &all) {
 				first = all[0]
 			} else {
 				require.ErrorAs(t, err, &first)
 			}
 			assert.Equal(t, filepath.Base(path), filepath.Base(first.File))
 			assert.Equal(t, line, first.Line, err)
-			assert.Contains(t, first.What, want[2])
-			assert.Contains(t, first.Mend, want[3])
+			assert.Contains(t, first.Message, want[2])
+			assert.Contains(t, first.Hint, want[3])
 		})
 	}
 }
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -46,7 +46,7 @@
 	old        *configsync.Content
 	new        *configsync.Content
 	diff       *configsync.Difference
-	validation *nodeconfig.Checking // nil in the second pass
+	validation *nodeconfig.ChangeValidator // nil in the second pass
 	version    version
 }
 
@@ -94,7 +94,7 @@
 
 // validateInitialConfig checks that this node can apply what differs from its own file.
 func (sm *StateMachine) validateInitialConfig(initial configsync.InitialState, file *configsync.Content) error {
-	validation := sm.config.Checking()
+	validation := sm.config.NewChangeValidator()
 	if err := sm.forChanges(file, initial.Content, validation.Add); err != nil {
 		return err
 	}
@@ -160,7 +160,7 @@
 // startPending starts to validate a version, and to apply it unless it is only to be checked.
 func (sm *StateMachine) startPending(e *configsync.Effect) {
 	pending := &pendingConfig{mark: e.Mark, canary: e.First, checkOnly: e.Kind == configsync.Check, startedAt: sm.now, old: e.Old, new: e.New,
-		diff: configsync.Diff(e.Old, e.New), validation: sm.config.Checking(), version: version{number: e.Mark.Version}}
+		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), version: version{number: e.Mark.Version}}
 	if sm.hollow.enabled() { // it has no admission controller that could not apply it
 		sm.configApplied(pending, nil)
 		return
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -145,7 +145,7 @@
 		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
 		require.NoError(t, err)
 		servingNode(r)
-		before, content := r.config.Own(), r.configSync.replicator.Content()
+		before, content := r.config.Clone(), r.configSync.replicator.Content()
 		items := []configsync.Item{configsync.Item(c.item)}
 		for k := range 3 * maxChangesPerStep {
 			items = append(items, configsync.Item(tenant(fmt.Sprint("t", k), 1)))
@@ -169,7 +169,7 @@
 		assert.Equal(t, c.refused, r.Counters.VersionsRefused, c.name)
 		assert.Len(t, kindsOf(all, ReportVersionInForce), map[bool]int{true: 1}[c.taken], c.name)
 		if !c.taken {
-			assert.Equal(t, before, r.config.Own(), c.name)
+			assert.Equal(t, before, r.config.Clone(), c.name)
 			assert.Zero(t, r.ActiveVersion(), c.name)
 		}
 	}
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -76,7 +76,7 @@
 func TestRunGoesOnForJoinedDuplicatesAfterTheCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
-	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}}
+	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}}
 	step(r, gone)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
@@ -92,7 +92,7 @@
 func TestDuplicateRunsAfterTheFirstCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
 	intent := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
-	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: 1}})
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}})
 	assert.Contains(t, text(recordsWritten(r, intent), SendToExecutor), "EXEC "+id(2))
 }
 
@@ -110,7 +110,7 @@
 	open := r.owedAnswers
 	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
 	assert.Equal(t, open+1, r.owedAnswers)
-	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Gone, Stream: v.stream}})
+	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: v.stream}})
 	step(r)
 	assert.Equal(t, open, r.owedAnswers)
 	h := r.results.pending[v.tokenKey]
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -136,7 +136,7 @@
 			return true, err
 		}
 	}
-	return true, sm.config.Check(v.amendment)
+	return true, sm.config.ValidateAmendment(v.amendment)
 }
 
 // validateChanges checks changes against what only this node's own file says.
@@ -177,7 +177,7 @@
 func (sm *StateMachine) applyChange(v *version, c nodeconfig.Change) {
 	sm.initMaxLifetime()
 	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
-	t := sm.config.Take(&c)
+	t := sm.config.Apply(&c)
 	switch {
 	case !t.Changed:
 		return
--- a/internal/nodeconfig/amend_test.go
+++ b/internal/nodeconfig/change_test.go
@@ -11,35 +11,35 @@
 	"topazpost/internal/admission"
 )
 
-const served = `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1},
+const exampleConfig = `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1},
 	{"name":"b","aim":300.5,"give_up":900,"window":5000,"effect":"deduplicated","late_share":0.25}],
 	"tenants":[{"name":"x","quota_rps":3},{"name":"y","quota_rps":0.5}],
 	"family_info":{"class_calls":[true,false],"class_skip_worth":[0.5],"memory_kb":900},"guarantees":{"tip_multiple":4},
 	"group_size":"30","limits":{"retry_after":true,"max_retry_after":500}}`
 
-func plateOf(t require.TestingT, text string) *Config {
-	p, err := FromJSON(1, []byte(text))
+func decodeConfig(t require.TestingT, settings string) *Config {
+	config, err := FromJSON(1, []byte(settings))
 	require.NoError(t, err)
-	return p
+	return config
 }
 
-// amend takes items on a config as a node does.
-func amend(p *Config, items ...Item) ([]Taken, error) {
-	a, err := Parse(items)
+// applyItems applies items to a config as a node does.
+func applyItems(config *Config, items ...Item) ([]ApplyResult, error) {
+	amendment, err := Parse(items)
 	if err == nil {
-		err = p.Check(a)
+		err = config.ValidateAmendment(amendment)
 	}
 	if err != nil {
 		return nil, err
 	}
-	var all []Taken
-	for i := range a.Changes {
-		all = append(all, p.Take(&a.Changes[i]))
+	var results []ApplyResult
+	for i := range amendment.Changes {
+		results = append(results, config.Apply(&amendment.Changes[i]))
 	}
-	return all, nil
+	return results, nil
 }
 
-func TestItemsThatCannotBeTakenAreNamedAndChangeNothing(t *testing.T) {
+func TestInvalidItemsAreRejectedWithoutChanges(t *testing.T) {
 	for _, c := range []struct {
 		it   Item
 		says string
@@ -62,53 +62,53 @@
 		{Item{Limits, "group_size", []byte(`-1`)}, "from 0 on"},
 		{Item{Limits, "group_size", []byte(`{"a":1}`)}, "from 0 on"},
 	} {
-		p := plateOf(t, served)
-		_, err := amend(p, Item{Tenants, "z", []byte(`{"quota_rps":1}`)}, c.it)
+		config := decodeConfig(t, exampleConfig)
+		_, err := applyItems(config, Item{Tenants, "z", []byte(`{"quota_rps":1}`)}, c.it)
 		if c.says == "" {
 			assert.NoError(t, err)
 			continue
 		}
 		assert.ErrorContains(t, err, c.says)
-		assert.Equal(t, plateOf(t, served), p)
+		assert.Equal(t, decodeConfig(t, exampleConfig), config)
 	}
-	p := plateOf(t, served)
-	_, err := amend(p, Item{Part: Operations, Name: "a"}, Item{Part: Operations, Name: "b"})
+	config := decodeConfig(t, exampleConfig)
+	_, err := applyItems(config, Item{Part: Operations, Name: "a"}, Item{Part: Operations, Name: "b"})
 	assert.ErrorContains(t, err, "none would be left")
-	_, err = amend(p, Item{Part: Tenants, Name: "x"}, Item{Tenants, "x", []byte(`{}`)})
+	_, err = applyItems(config, Item{Part: Tenants, Name: "x"}, Item{Tenants, "x", []byte(`{}`)})
 	assert.ErrorContains(t, err, "tenants.x: named twice")
 }
 
-func TestIndicesStayUntilTheyAreForgotten(t *testing.T) {
-	p := plateOf(t, served)
-	taken, err := amend(p, Item{Part: Operations, Name: "a"}, Item{Operations, "c", []byte(`{"aim":1,"give_up":2,"effect":"idempotent","class_calls":true}`)},
+func TestIndicesAreStableUntilForgotten(t *testing.T) {
+	config := decodeConfig(t, exampleConfig)
+	results, err := applyItems(config, Item{Part: Operations, Name: "a"}, Item{Operations, "c", []byte(`{"aim":1,"give_up":2,"effect":"idempotent","class_calls":true}`)},
 		Item{Tenants, "x", []byte(`{"quota_rps":7}`)}, Item{Part: Tenants, Name: "none"}, Item{Limits, "limits.retry_after", []byte(`false`)})
 	require.NoError(t, err)
-	assert.Equal(t, []Taken{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, taken)
-	assert.Equal(t, admission.Operation{LatencyObjective: 1e6, ClientTimeout: 2e6, CallsDependency: true}, p.Node.Operations[2])
-	assert.Equal(t, int64(200e6), p.Node.Operations[0].ClientTimeout, "what is in hand still goes by it")
-	assert.Equal(t, []float64{7, 0.5}, p.Node.TenantRates)
-	assert.Zero(t, p.Node.MaxRetryAfter)
-	_, known := p.Operations.Find("a")
+	assert.Equal(t, []ApplyResult{{Removed: true, Changed: true}, {Index: 2, Added: true, Changed: true}, {Changed: true}, {}, {Changed: true}}, results)
+	assert.Equal(t, admission.Operation{LatencyObjective: 1e6, ClientTimeout: 2e6, CallsDependency: true}, config.Node.Operations[2])
+	assert.Equal(t, int64(200e6), config.Node.Operations[0].ClientTimeout, "a queued or running invocation still uses it")
+	assert.Equal(t, []float64{7, 0.5}, config.Node.TenantRates)
+	assert.Zero(t, config.Node.MaxRetryAfter)
+	_, known := config.Operations.Find("a")
 	assert.False(t, known)
-	i, known := p.Operations.Lookup("a")
+	i, known := config.Operations.Lookup("a")
 	assert.True(t, known)
 	assert.Zero(t, i)
-	taken, err = amend(p, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
+	results, err = applyItems(config, Item{Operations, "a", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}, Item{Limits, "limits.retry_after", []byte(`true`)})
 	require.NoError(t, err)
-	assert.Equal(t, Taken{Added: true, Changed: true}, taken[0], "it has its index again")
-	assert.Equal(t, int64(500e6), p.Node.MaxRetryAfter)
-	_, err = amend(p, Item{Part: Operations, Name: "b"})
+	assert.Equal(t, ApplyResult{Added: true, Changed: true}, results[0], "it has the same index")
+	assert.Equal(t, int64(500e6), config.Node.MaxRetryAfter)
+	_, err = applyItems(config, Item{Part: Operations, Name: "b"})
 	require.NoError(t, err)
-	p.Forget(Operations, 1)
-	assert.True(t, p.Node.Operations[1].Removed)
-	taken, err = amend(p, Item{Operations, "d", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)})
+	config.Forget(Operations, 1)
+	assert.True(t, config.Node.Operations[1].Removed)
+	results, err = applyItems(config, Item{Operations, "d", []byte(`{"aim":1,"give_up":2,"effect":"idempotent"}`)})
 	require.NoError(t, err)
-	assert.Equal(t, int32(1), taken[0].Index)
-	assert.Equal(t, []string{"a", "d", "c"}, p.Operations.All())
+	assert.Equal(t, int32(1), results[0].Index)
+	assert.Equal(t, []string{"a", "d", "c"}, config.Operations.All())
 }
 
-// From any config to any other: the difference, taken, leaves no difference, and is nothing where there is none.
-func TestDifferenceMakesOnePlateTheOther(t *testing.T) {
+// From any config to any other: applying the difference leaves no difference, and equal configs have none.
+func TestDiffTransformsOneConfigIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(which string) *Config {
 			text, sep := `{"grades":[`, ""
@@ -124,24 +124,24 @@
 				text += fmt.Sprintf(`%s{"name":%q,"quota_rps":%d}`, sep, name, rapid.IntRange(0, 2).Draw(t, "rate"))
 				sep = ","
 			}
-			return plateOf(t, fmt.Sprintf(`%s],"group_size":"%d","limits":{"retry_after":%t,"max_retry_after":5},"family_info":{"class_calls":[%t]}}`, text,
+			return decodeConfig(t, fmt.Sprintf(`%s],"group_size":"%d","limits":{"retry_after":%t,"max_retry_after":5},"family_info":{"class_calls":[%t]}}`, text,
 				rapid.IntRange(0, 2).Draw(t, "peers"), rapid.Bool().Draw(t, "back"), rapid.Bool().Draw(t, "calls")))
 		}
 		from, to := draw("from"), draw("to")
-		was := from.Own()
-		items, starts := Diff(from, to)
-		assert.Empty(t, starts)
-		_, err := amend(from, items...)
+		original := from.Clone()
+		items, needRestart := Diff(from, to)
+		assert.Empty(t, needRestart)
+		_, err := applyItems(from, items...)
 		require.NoError(t, err)
 		for _, pair := range [][2]*Config{{from, to}, {to, from}, {to, to}} {
-			rest, starts := Diff(pair[0], pair[1])
+			rest, needRestart := Diff(pair[0], pair[1])
 			assert.Empty(t, rest)
-			assert.Empty(t, starts)
+			assert.Empty(t, needRestart)
 		}
-		back, _ := Diff(from, was)
-		_, err = amend(from, back...)
+		back, _ := Diff(from, original)
+		_, err = applyItems(from, back...)
 		require.NoError(t, err)
-		rest, _ := Diff(was, from)
+		rest, _ := Diff(original, from)
 		assert.Empty(t, rest)
 		all, _ := Diff(nil, to)
 		for i := range all[1:] {
@@ -150,10 +150,10 @@
 	})
 }
 
-func TestDifferenceNamesWhatTakesANewStart(t *testing.T) {
-	to := plateOf(t, `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1}],"family_info":{"memory_kb":901},"group_size":31}`)
-	items, starts := Diff(plateOf(t, served), to)
-	assert.Equal(t, []string{"family_info.memory_kb", "guarantees.tip_multiple"}, starts)
+func TestDiffListsSettingsThatNeedRestart(t *testing.T) {
+	to := decodeConfig(t, `{"grades":[{"name":"a","aim":100,"give_up":200,"effect":"idempotent","importance":1}],"family_info":{"memory_kb":901},"group_size":31}`)
+	items, needRestart := Diff(decodeConfig(t, exampleConfig), to)
+	assert.Equal(t, []string{"family_info.memory_kb", "guarantees.tip_multiple"}, needRestart)
 	assert.Equal(t, []Item{{Part: Operations, Name: "b"}, {Operations, "a", []byte(`{"aim":100,"effect":"idempotent","give_up":200,"importance":1}`)},
 		{Part: Tenants, Name: "x"}, {Part: Tenants, Name: "y"}, {Limits, "group_size", []byte("31")}, {Part: Limits, Name: "limits.max_retry_after"},
 		{Part: Limits, Name: "limits.retry_after"}}, items)
--- a/internal/nodeconfig/nodeconfig.go
+++ b/internal/nodeconfig/nodeconfig.go
@@ -1,30 +1,27 @@
-// Package nodeconfig decodes the settings that a node is started with, once, into its configuration. Wire pairs and
-// nested JSON go through the same decoder.
+// Package nodeconfig decodes the settings of a node into its configuration, and the changes that may be applied to it
+// while the node serves. Pairs of path and value, and nested JSON, go through the same decoder.
 package nodeconfig
 
 import (
 	"errors"
 	"fmt"
-	"maps"
-	"math"
-	"slices"
 	"strconv"
 	"strings"
 
 	"topazpost/internal/admission"
 )
 
-// Config is a configuration with the names that a door needs to read events.
+// Config is the configuration of the admission controller with the names that events are decoded by.
 type Config struct {
 	Node       admission.Config
 	Operations *Names
 	Tenants    *Names
 	Gauges     []string
 
-	general map[string]string // settings by path, but for those of operations and tenants
+	nodeSettings map[string]string // by path, without those of operations and tenants
 }
 
-// FromPairs decodes the path=value pairs of a start.
+// FromPairs decodes a list of path=value pairs.
 func FromPairs(seed int64, list []string) (*Config, error) {
 	values := make(map[string]string, len(list))
 	for _, pair := range list {
@@ -37,233 +34,131 @@
 	return decode(seed, values)
 }
 
-// flatten gives a tree the paths that pairs have: objects of a list are counted, plain values are joined.
-func flatten(values map[string]string, path string, tree any) {
-	switch t := tree.(type) {
-	case map[string]any:
-		for name, sub := range t {
-			flatten(values, strings.TrimPrefix(path+"."+name, "."), sub)
-		}
-	case []any:
-		var plain []string
-		for i, sub := range t {
-			if _, object := sub.(map[string]any); object {
-				flatten(values, path+"."+strconv.Itoa(i), sub)
-				values[path+".count"] = strconv.Itoa(i + 1)
-			} else {
-				plain = append(plain, fmt.Sprint(sub))
-			}
-		}
-		if _, objects := values[path+".count"]; !objects {
-			values[path] = strings.Join(plain, ",")
-		}
-	case nil:
-	default:
-		values[path] = fmt.Sprint(t)
-	}
-}
-
-// settings are read by path; the first that is malformed is kept as the error.
-type settings struct {
-	values map[string]string
-	under  string // what stands before each path in values
-	told   string // and in errors
-	err    error
-}
-
-func (s *settings) fail(path string) {
-	if s.err == nil {
-		s.err = fmt.Errorf("nodeconfig: %s: malformed value %q", s.told+path, s.text(path))
-	}
-}
-
-func (s *settings) text(path string) string { return s.values[s.under+path] }
-
-func (s *settings) number(path string) float64 {
-	v, ok := s.values[s.under+path]
-	if !ok || v == "" || v == "-" {
-		return 0
-	}
-	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-		s.fail(path)
-		return 0
-	}
-	return n
-}
-
-func (s *settings) time(path string) int64 { return int64(s.number(path) * 1e6) }
-
-func (s *settings) flag(path string) bool { return s.text(path) == "true" || s.text(path) == "1" }
-
-// count is the length of a list; a list announced longer than its items can be is malformed.
-func (s *settings) count(path string) int {
-	n := s.number(path + ".count")
-	if n < 0 || n > float64(len(s.values)) {
-		s.fail(path + ".count")
-		return 0
-	}
-	return int(n)
-}
-
-// word reads one of the words that a setting may be. Guards against a word of another edition of the settings, which
-// would else be taken for the harmless one: an operation that may not run again for one that may.
-func word[T any](s *settings, path string, words map[string]T) (value T) {
-	text := s.text(path)
-	value, known := words[text]
-	if !known && s.err == nil {
-		may := slices.Sorted(maps.Keys(words))
-		s.err = fmt.Errorf("nodeconfig: %s: %q is not known; it may be %s", s.told+path, text, strings.Join(slices.DeleteFunc(may,
-			func(w string) bool { return w == "" }), ", "))
-	}
-	return value
-}
-
-func (s *settings) list(path string) []string {
-	if s.text(path) == "" {
-		return nil
-	}
-	return strings.Split(s.text(path), ",")
-}
-
-// decode decodes settings of which all are in values.
+// decode decodes the settings of a node by their paths.
 func decode(seed int64, values map[string]string) (*Config, error) {
-	s := &settings{values: values}
-	p := &Config{Operations: new(Names), Tenants: new(Names)}
-	p.read(s, seed)
-	for i := range s.count("grades") {
-		p.addOperation(s.item("grades." + strconv.Itoa(i) + "."))
-		s.item("")
-	}
-	p.callsOf(s)
-	for i := range s.count("tenants") {
-		p.addTenant(s.item("tenants." + strconv.Itoa(i) + "."))
-		s.item("")
-	}
-	return p, s.err
-}
-
-// item has paths read under one of an item.
-func (s *settings) item(path string) *settings {
-	s.under, s.told = path, path
-	return s
+	s := &settingsReader{values: values}
+	config := &Config{Operations: new(Names), Tenants: new(Names)}
+	config.readNode(s, seed)
+	s.eachItem(operationsPath, config.addOperation)
+	config.readDependencyCalls(s)
+	s.eachItem(tenantsPath, config.addTenant)
+	return config, s.err
 }
 
-// addOperation adds the operation whose settings are read.
-func (p *Config) addOperation(s *settings) {
-	p.Operations.Put(int32(len(p.Node.Operations)), s.text("name"))
-	p.Node.Operations = append(p.Node.Operations, s.operation())
+// addOperation adds the operation that the reader is at.
+func (c *Config) addOperation(s *settingsReader) {
+	c.Operations.Put(int32(len(c.Node.Operations)), s.text(namePath))
+	c.Node.Operations = append(c.Node.Operations, s.operation())
 }
 
-// addTenant adds the tenant whose settings are read.
-func (p *Config) addTenant(s *settings) {
-	p.Tenants.Put(int32(len(p.Node.TenantRates)), s.text("name"))
-	p.Node.TenantRates = append(p.Node.TenantRates, s.number("quota_rps"))
+// addTenant adds the tenant that the reader is at.
+func (c *Config) addTenant(s *settingsReader) {
+	c.Tenants.Put(int32(len(c.Node.TenantRates)), s.text(namePath))
+	c.Node.TenantRates = append(c.Node.TenantRates, s.float(tenantRatePath))
 }
 
-// operation reads one operation, but for its calls.
-func (s *settings) operation() admission.Operation {
+// operation reads one operation without its dependency calls.
+func (s *settingsReader) operation() admission.Operation {
 	return admission.Operation{
-		LatencyObjective:    s.time("aim"),
-		ObjectivePerWork:    s.number("aim_stretch"),
-		ClientTimeout:       s.time("give_up"),
-		DeduplicationWindow: s.time("window"),
-		PriorityWeight:      s.number("importance"),
-		LateWeightShare:     s.number("late_share"),
-		Idempotency: word(s, "effect", map[string]admission.Idempotency{"idempotent": admission.Idempotent,
-			"deduplicated": admission.IdempotentWithKey, "at_most_once": admission.NonIdempotent}),
-	}
-}
-
-// callsOf reads what lists over all operations say: whether each calls, and what its reply is worth without the call.
-func (p *Config) callsOf(s *settings) {
-	calls, skips := s.list("family_info.class_calls"), s.list("family_info.class_skip_worth")
-	for i := range p.Node.Operations {
-		op := &p.Node.Operations[i]
+		LatencyObjective:    s.nanoseconds(latencyObjectivePath),
+		ObjectivePerWork:    s.float(objectivePerWorkPath),
+		ClientTimeout:       s.nanoseconds(clientTimeoutPath),
+		DeduplicationWindow: s.nanoseconds(deduplicationWindowPath),
+		PriorityWeight:      s.float(priorityWeightPath),
+		LateWeightShare:     s.float(lateWeightSharePath),
+		Idempotency:         enumValue(s, idempotencyPath, idempotencyValues),
+	}
+}
+
+// readDependencyCalls reads which operations call the dependency, and the weight of their replies without the call.
+func (c *Config) readDependencyCalls(s *settingsReader) {
+	calls := s.list(dependencyCallsPath)
+	weights := s.list(skippedCallsPath)
+	for i := range c.Node.Operations {
+		op := &c.Node.Operations[i]
 		op.CallsDependency = i < len(calls) && calls[i] == "true"
-		if i < len(skips) {
-			share, err := strconv.ParseFloat(skips[i], 64)
+		if i < len(weights) {
+			share, err := strconv.ParseFloat(weights[i], 64)
 			if err != nil {
-				s.fail("family_info.class_skip_worth")
+				s.fail(skippedCallsPath)
 			}
 			op.SkippedCallWeightShare = share
 		}
 	}
 }
 
-// limitsInto reads the settings that may change while a node serves.
-func (s *settings) limitsInto(n *admission.Config) {
-	n.OverQuotaWeightShare = s.number("over_share_worth")
-	n.Peers = int(s.number("group_size"))
-	n.CallQuota = s.number("family_info.calls_out")
-	n.DrainGrace = s.time("guarantees.drain_grace")
-	if n.MaxRetryAfter = 0; s.flag("limits.retry_after") {
-		n.MaxRetryAfter = s.time("limits.max_retry_after")
-	}
-}
-
-// read reads what concerns all of a node.
-func (p *Config) read(s *settings, seed int64) {
-	p.general = make(map[string]string)
+// readNode reads the settings that concern all of a node.
+func (c *Config) readNode(s *settingsReader, seed int64) {
+	c.nodeSettings = make(map[string]string)
 	for path, value := range s.values {
-		if part, _, _ := strings.Cut(path, "."); part != "grades" && part != "tenants" {
-			p.general[path] = value
+		if part, _, _ := strings.Cut(path, "."); part != operationsPath && part != tenantsPath {
+			c.nodeSettings[path] = value
 		}
 	}
-	p.Gauges = s.list("family_info.gauges")
-	n := &p.Node
-	*n = admission.Config{
-		Operations: n.Operations, TenantRates: n.TenantRates,
+	c.Gauges = s.list("family_info.gauges")
+	node := &c.Node
+	*node = admission.Config{
+		Operations:           node.Operations,
+		TenantRates:          node.TenantRates,
 		Seed:                 seed,
 		WeightScalesWithWork: s.text("counted_by") == "work",
-		Cores:                max(1, int(s.number("family_info.n_cores"))),
-		MemoryKB:             s.number("family_info.memory_kb"),
-		RunningMemoryFactor:  max(1, s.number("family_info.blowup")),
-		DeduplicationEntryKB: s.number("family_info.entry_kb"),
-		CallQuotaWindow:      s.time("family_info.calls_over"),
-		AbandonedCallTime:    s.time("family_info.linger"),
-		ReadReuseWindow:      s.time("family_info.share_for"),
+		Cores:                max(1, int(s.float("family_info.n_cores"))),
+		MemoryKB:             s.float("family_info.memory_kb"),
+		RunningMemoryFactor:  max(1, s.float("family_info.blowup")),
+		DeduplicationEntryKB: s.float("family_info.entry_kb"),
+		CallQuotaWindow:      s.nanoseconds("family_info.calls_over"),
+		AbandonedCallTime:    s.nanoseconds("family_info.linger"),
+		ReadReuseWindow:      s.nanoseconds("family_info.share_for"),
 		DeepHealthChecks:     s.flag("family_info.full_checks"),
 		RetriesMarked:        s.flag("client_habits.marks_retry"),
 		ColdStart:            s.flag("family_info.just_started"),
-		ColdSpeedShare:       s.number("guarantees.cold_from"),
-		WarmUpTime:           s.time("guarantees.warm_after"),
-		OverloadMultiple:     s.number("guarantees.tip_multiple"),
-		StopSupport: word(s, "family_info.halt", map[string]admission.StopSupport{
-			"": admission.StopUnsupported, "off": admission.StopUnsupported, "drop": admission.StopDiscardsProgress, "pause": admission.StopKeepsProgress}),
-		Backpressure: word(s, "family_info.advert", map[string]admission.BackpressureKind{"": admission.NoBackpressure, "off": admission.NoBackpressure,
-			"min_rank": admission.BackpressureLevel, "tokens": admission.BackpressureCredits, "bias": admission.BackpressureWeight}),
-		Dependency: word(s, "family_info.below", map[string]admission.DependencyKind{"": admission.NoDependency, "off": admission.NoDependency,
-			"common": admission.SharedDependency, "next_hop": admission.TieredDependency}),
+		ColdSpeedShare:       s.float("guarantees.cold_from"),
+		WarmUpTime:           s.nanoseconds("guarantees.warm_after"),
+		OverloadMultiple:     s.float("guarantees.tip_multiple"),
+		StopSupport:          enumValue(s, "family_info.halt", stopSupportValues),
+		Backpressure:         enumValue(s, "family_info.advert", backpressureValues),
+		Dependency:           enumValue(s, "family_info.below", dependencyValues),
+	}
+	s.readLimits(node)
+}
+
+// readLimits reads the settings that may change while a node serves.
+func (s *settingsReader) readLimits(node *admission.Config) {
+	node.OverQuotaWeightShare = s.float(overQuotaWeightPath)
+	node.Peers = int(s.float(peersPath))
+	node.CallQuota = s.float(callQuotaPath)
+	node.DrainGrace = s.nanoseconds(drainGracePath)
+	node.MaxRetryAfter = 0
+	if s.flag(retryAfterPath) {
+		node.MaxRetryAfter = s.nanoseconds(maxRetryAfterPath)
 	}
-	s.limitsInto(n)
 }
 
-// Usable says whether a real node can start from the config, naming the first setting that it misses.
-func (p *Config) Usable() error {
-	if p.Operations.Len() == 0 {
+// Validate returns an error that names the first setting that a node needs and that is missing.
+func (c *Config) Validate() error {
+	if c.Operations.Len() == 0 {
 		return errors.New("nodeconfig: grades: no operation")
 	}
-	for i := range p.Node.Operations {
-		name := p.Operations.Name(int32(i))
-		if last, _ := p.Operations.Lookup(name); int(last) != i {
-			continue // of two of one name the last holds
+	for i := range c.Node.Operations {
+		name := c.Operations.Name(int32(i))
+		if last, _ := c.Operations.Lookup(name); int(last) != i {
+			continue // the last of several operations of one name is used
 		}
-		if fault := unusable(name, &p.Node.Operations[i]); fault != "" {
+		if fault := operationFault(name, &c.Node.Operations[i]); fault != "" {
 			return fmt.Errorf("nodeconfig: grades.%d: %s", i, fault)
 		}
 	}
-	if p.Node.MemoryKB <= 0 {
+	if c.Node.MemoryKB <= 0 {
 		return errors.New("nodeconfig: family_info.memory_kb must be above 0")
 	}
-	if p.Node.OverloadMultiple < 1 {
+	if c.Node.OverloadMultiple < 1 {
 		return errors.New("nodeconfig: guarantees.tip_multiple must be at least 1")
 	}
 	return nil
 }
 
-// unusable says what a real node misses in an operation, empty where nothing.
-func unusable(name string, op *admission.Operation) string {
+// operationFault describes what a node needs of an operation and is missing, empty where nothing is.
+func operationFault(name string, op *admission.Operation) string {
 	switch {
 	case name == "" || op.LatencyObjective <= 0 || op.ClientTimeout <= 0:
 		return "name, aim and give_up must be set"
