--- a/server/config_test.go
+++ b/server/config_test.go
@@ -165,17 +165,17 @@
 }
 
 // asPairs are settings as the pairs of a wire.
-func asPairs(t *testing.T, path string, tree any) (list []string) {
+func asPairs(path string, tree any) (list []string) {
 	switch v := tree.(type) {
 	case map[string]any:
 		for key, sub := range v {
-			list = append(list, asPairs(t, strings.TrimPrefix(path+"."+key, "."), sub)...)
+			list = append(list, asPairs(strings.TrimPrefix(path+"."+key, "."), sub)...)
 		}
 	case []any:
 		var plain []string
 		for i, sub := range v {
 			if _, object := sub.(map[string]any); object {
-				list = append(list, asPairs(t, fmt.Sprint(path, ".", i), sub)...)
+				list = append(list, asPairs(fmt.Sprint(path, ".", i), sub)...)
 			} else {
 				plain = append(plain, fmt.Sprint(sub))
 			}
@@ -197,7 +197,7 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	require.NoError(t, d.Decode(&f))
-	pairs, err := nodeconfig.FromPairs(n.Settings.Node.Seed, asPairs(t, "", f.Settings))
+	pairs, err := nodeconfig.FromPairs(n.Settings.Node.Seed, asPairs("", f.Settings))
 	require.NoError(t, err)
 	assert.Equal(t, pairs, n.Settings)
 }
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -135,7 +135,7 @@
 			d.s.tell(node.Input{Kind: node.VersionPersisted, Err: d.write(e)})
 		case <-d.s.ctx.Done():
 			for len(d.in) > 0 {
-				d.write(<-d.in)
+				_ = d.write(<-d.in) // the state machine has ended; the next start reads what the file holds
 			}
 			return
 		}
--- a/server/control.go
+++ b/server/control.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	defer answer.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(answer.Body, 1<<10))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, 1<<10)) // only the status counts
 	if answer.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("status %d", answer.StatusCode)
 	}
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -110,7 +110,7 @@
 	}
 	k.ending = true
 	if !k.noLinger {
-		k.net.CloseWrite()
+		_ = k.net.CloseWrite() // a connection that failed is seen by its reader
 		k.net.SetReadDeadline(time.Now().Add(lingerWait))
 	}
 	return true
@@ -262,80 +262,6 @@
 	}
 }
 
-// frames hands on frames to the end, the first unreadable one, the first that does not come to its end in time, or
-// the last before this side was closed.
-func (c *connections) frames(k *connection) error {
-	var parser frame.Parser
-	var until, latest time.Time // when more of a frame that has begun must have come, and the rest of it
-	var lookedAt time.Time
-	half, late, looked := false, false, false
-	for {
-		n, err := k.net.Read(parser.Space())
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			switch now := time.Now(); {
-			case half && now.Before(until) && !k.evicting(): // woken for the end, which waits for the rest of a frame
-				k.due(until)
-			case half && !late, !half && (!looked || now.Sub(lookedAt) > stoodStill): // a deadline that passed while the process stood still does not prove that nothing lies there
-				late, looked, lookedAt = half, !half, now
-				k.due(now.Add(catchUp))
-			case half:
-				return errHalf
-			default:
-				if k.end() {
-					return errQuiet
-				}
-				looked = false
-			}
-			continue
-		}
-		if err != nil {
-			return err
-		}
-		looked = false
-		parser.Wrote(n)
-		whole := false
-		for {
-			f, ok, err := parser.Next()
-			if err != nil {
-				return err
-			}
-			if !ok {
-				break
-			}
-			whole = true
-			if k.ignored.Load() {
-				return errIgnored
-			}
-			f.Payload = append([]byte(nil), f.Payload...)
-			select {
-			case k.turns <- struct{}{}:
-			case <-c.s.ctx.Done():
-				return c.s.ctx.Err()
-			}
-			if !c.s.put(node.Input{Kind: node.FrameReceived, Link: k.link, Frame: f}) {
-				return c.s.ctx.Err()
-			}
-		}
-		was := half
-		if half = parser.Half(); half {
-			now := time.Now()
-			if whole || !was { // past the longest client timeout nobody waits for it
-				latest = now.Add(time.Duration(c.slowest.Load()))
-			}
-			late, until = false, now.Add(halfWait)
-			if until.After(latest) {
-				until = latest
-			}
-			if k.evicting() {
-				until = now
-			}
-			k.due(until)
-		} else if !half && was {
-			k.clearDeadline()
-		}
-	}
-}
-
 // taken gives a connection the turns back of its frames that the reducer took. Guards against one that floods and
 // keeps those of others waiting behind its own; does harm to none that keeps to its streams.
 func (c *connections) taken(inputs []node.Input) {
@@ -486,7 +412,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.open {
-		k.net.CloseWrite()
+		_ = k.net.CloseWrite() // a connection that failed is seen by its reader
 	}
 }
 
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -58,10 +58,10 @@
 	require.NoError(h.t, err)
 	require.Eventually(h.t, func() bool {
 		got := 0
-		raw.Control(func(fd uintptr) {
+		err := raw.Control(func(fd uintptr) {
 			got, _, _ = syscall.Recvfrom(int(fd), make([]byte, n), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
-		return got == n
+		return err == nil && got == n
 	}, generous, time.Millisecond)
 }
 
@@ -236,7 +236,8 @@
 	for range cap(s.conns.slots) - 1 {
 		s.conns.slots <- struct{}{}
 	}
-	go s.conns.accept()
+	accepted := make(chan error, 1)
+	go func() { accepted <- s.conns.accept() }()
 	var peers []net.Conn
 	for range 4 { // one takes the last place
 		peer, err := net.Dial("tcp", s.Addr().String())
@@ -263,6 +264,7 @@
 	}
 	<-s.conns.slots
 	assert.Equal(t, node.ListenerClosed, input().Kind)
+	require.NoError(t, <-accepted)
 	_, err := net.Dial("tcp", s.Addr().String())
 	assert.Error(t, err)
 	for link, peer := range peers {
@@ -298,14 +300,17 @@
 			peer, err := net.Dial("tcp", s.Addr().String())
 			require.NoError(t, err)
 			peers = append(peers, peer)
+			var sent []byte
 			switch n % 4 {
 			case 0:
-				peer.Write(check(1))
+				sent = check(1)
 			case 1:
-				peer.Write(check(1)[:5])
+				sent = check(1)[:5]
 			case 2:
-				peer.Write([]byte("no frame at all, " + strconv.Itoa(n)))
+				sent = []byte("no frame at all, " + strconv.Itoa(n))
 			}
+			_, err = peer.Write(sent)
+			require.NoError(t, err)
 		}
 		s.Drain()
 		assert.NoError(t, <-ended)
--- /dev/null
+++ b/server/framereader.go
@@ -0,0 +1,129 @@
+package server
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"topazpost/internal/node"
+	"topazpost/internal/protocol/frame"
+)
+
+// frameReader reads the frames of one connection. Its deadlines bound how long a frame that has begun may stay incomplete.
+type frameReader struct {
+	conns  *connections
+	conn   *connection
+	parser frame.Parser
+
+	partial  bool      // a frame has begun and is incomplete
+	nextBy   time.Time // when more of it must have arrived
+	frameBy  time.Time // when all of it must have arrived
+	overdue  bool      // a deadline of it has passed once
+	idle     bool      // a read has found nothing since idleAt
+	idleAt   time.Time
+	complete bool // the last read completed a frame
+}
+
+// frames passes frames on until the connection's end, the first malformed frame, the first that isn't completed in time, or
+// the last before this side was closed.
+func (c *connections) frames(k *connection) error {
+	r := frameReader{conns: c, conn: k}
+	for {
+		n, err := k.net.Read(r.parser.Space())
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			if err := r.deadlinePassed(time.Now()); err != nil {
+				return err
+			}
+			continue
+		}
+		if err != nil {
+			return err
+		}
+		r.idle = false
+		r.parser.Wrote(n)
+		if err := r.passOn(); err != nil {
+			return err
+		}
+		r.setDeadline()
+	}
+}
+
+// deadlinePassed decides whether reading goes on after a deadline. One that passed while the process did not run doesn't
+// prove that nothing lies unread, so a second read follows shortly.
+func (r *frameReader) deadlinePassed(now time.Time) error {
+	switch {
+	case r.partial && now.Before(r.nextBy) && !r.conn.evicting(): // woken for the close, which waits for the rest of the frame
+		r.conn.due(r.nextBy)
+	case r.partial && r.overdue:
+		return errHalf
+	case r.partial:
+		r.overdue = true
+		r.idle = false
+		r.idleAt = now
+		r.conn.due(now.Add(catchUp))
+	case !r.idle || now.Sub(r.idleAt) > stoodStill:
+		r.overdue = false
+		r.idle = true
+		r.idleAt = now
+		r.conn.due(now.Add(catchUp))
+	default:
+		if r.conn.end() {
+			return errQuiet
+		}
+		r.idle = false
+	}
+	return nil
+}
+
+// passOn hands the complete frames to the state machine, each once it has a place in the connection's queue.
+func (r *frameReader) passOn() error {
+	c := r.conns
+	r.complete = false
+	for {
+		f, ok, err := r.parser.Next()
+		if err != nil {
+			return err
+		}
+		if !ok {
+			return nil
+		}
+		r.complete = true
+		if r.conn.ignored.Load() {
+			return errIgnored
+		}
+		f.Payload = append([]byte(nil), f.Payload...)
+		select {
+		case r.conn.turns <- struct{}{}:
+		case <-c.s.ctx.Done():
+			return c.s.ctx.Err()
+		}
+		if !c.s.put(node.Input{Kind: node.FrameReceived, Link: r.conn.link, Frame: f}) {
+			return c.s.ctx.Err()
+		}
+	}
+}
+
+// setDeadline sets the deadline of the next read: for an incomplete frame, or none.
+func (r *frameReader) setDeadline() {
+	wasPartial := r.partial
+	r.partial = r.parser.Half()
+	if !r.partial {
+		if wasPartial {
+			r.conn.clearDeadline()
+		}
+		return
+	}
+	now := time.Now()
+	if r.complete || !wasPartial { // past the longest client timeout no caller waits for it
+		r.frameBy = now.Add(time.Duration(r.conns.slowest.Load()))
+	}
+	r.overdue = false
+	r.nextBy = now.Add(halfWait)
+	if r.nextBy.After(r.frameBy) {
+		r.nextBy = r.frameBy
+	}
+	if r.conn.evicting() {
+		r.nextBy = now
+	}
+	r.conn.due(r.nextBy)
+}
--- a/server/helpers_test.go
+++ b/server/helpers_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
 	"go.uber.org/goleak"
 	"golang.org/x/sync/errgroup"
 )
@@ -14,7 +15,7 @@
 // groupOf is a group whose goroutines end with the test.
 func groupOf(t *testing.T) *errgroup.Group {
 	group, _ := errgroup.WithContext(t.Context())
-	t.Cleanup(func() { group.Wait() })
+	t.Cleanup(func() { assert.NoError(t, group.Wait()) })
 	return group
 }
 
--- /dev/null
+++ b/server/loop.go
@@ -0,0 +1,156 @@
+package server
+
+import (
+	"math"
+	"time"
+
+	"topazpost/internal/node"
+)
+
+// eventLoop feeds the state machine; its goroutine is the only one in which the state changes.
+type eventLoop struct {
+	s      *Server
+	timer  *time.Timer
+	wakeAt int64         // when the state machine asked to be woken, by its clock
+	notice chan struct{} // nil once the drain was requested
+	inputs []node.Input
+
+	datagrams chan letter // nil without a fleet, as the next two
+	messages  chan letter
+	exchanges chan node.Input
+}
+
+// loop runs the event loop until the node is drained or its context ends.
+func (s *Server) loop() error {
+	l := eventLoop{s: s, timer: time.NewTimer(0), wakeAt: math.MaxInt64, notice: s.notice, inputs: make([]node.Input, 0, inputsAStep)}
+	defer l.timer.Stop()
+	if s.config.Levels != nil {
+		s.heard <- node.Input{Kind: node.PlanChanged, Plan: s.config.Levels}
+	}
+	if s.peers != nil {
+		l.datagrams = s.peers.in
+		l.messages = s.peers.streams.told
+		l.exchanges = s.peers.swapped
+	}
+	for {
+		l.inputs = l.inputs[:0]
+		if err := l.await(); err != nil {
+			return err
+		}
+		l.takeQueued()
+		if err := l.step(); err != nil {
+			return err
+		}
+	}
+}
+
+// await waits for the first input of a step, or for the time of the next one.
+func (l *eventLoop) await() error {
+	s := l.s
+	select {
+	case <-s.ctx.Done():
+		return s.ctx.Err()
+	case <-l.timer.C: // a reply that lies unread after a pause must not count as one that never came
+		if now, _ := s.clock.Now(); now-l.wakeAt > int64(stoodStill) {
+			time.Sleep(catchUp)
+		}
+	case in := <-s.heard:
+		l.inputs = append(l.inputs, in)
+	case in := <-s.inputs:
+		l.inputs = append(l.inputs, in)
+	case m := <-l.datagrams:
+		l.inputs = append(l.inputs, m.input())
+	case in := <-l.exchanges:
+		l.inputs = append(l.inputs, in)
+	case m := <-l.messages:
+		l.inputs = append(l.inputs, m.input())
+	case <-l.notice:
+		l.notice = nil
+		l.inputs = append(l.inputs, node.Input{Kind: node.DrainRequested})
+	case <-s.abort:
+		l.inputs = append(l.inputs, node.Input{Kind: node.AbortRequested})
+	case next := <-s.reload:
+		l.inputs = append(l.inputs, s.reloadInput(next))
+	}
+	return nil
+}
+
+// reloadInput is the input for another config; the fields that a running node doesn't take are logged.
+func (s *Server) reloadInput(next *Config) node.Input {
+	for _, field := range s.config.differs(next) {
+		s.log.Warn().Str("field", field).Msg("configuration: a new value here takes a new start")
+	}
+	return node.Input{Kind: node.ReloadRequested, Addresses: next.peers(), Plan: next.Levels}
+}
+
+// takeQueued adds the inputs that wait, up to a bound for each queue.
+func (l *eventLoop) takeQueued() {
+	l.inputs = takeAll(l.inputs, l.s.heard, inputsAStep)
+	l.inputs = takeAll(l.inputs, l.s.inputs, inputsAStep)
+	if l.s.peers != nil {
+		l.inputs = l.s.peers.take(l.inputs)
+	}
+}
+
+// step gives the inputs to the state machine and carries out its effects.
+func (l *eventLoop) step() error {
+	s := l.s
+	now, wall := s.clock.Now()
+	l.wakeAt = math.MaxInt64
+	effects := s.state.Step(now, wall, l.inputs)
+	if after, _ := s.clock.Now(); after-now > s.longest {
+		s.longest = after - now
+	}
+	for _, e := range effects {
+		switch e.Kind {
+		case node.SetWakeup:
+			l.wakeAt = e.At
+		case node.Exit:
+			s.leave()
+			return errLeft
+		default:
+			s.carry(&e)
+		}
+	}
+	s.forget(l.inputs)
+	s.conns.taken(l.inputs)
+	clear(l.inputs)
+	s.conns.flush()
+	l.timer.Reset(time.Duration(max(0, l.wakeAt-now)))
+	return nil
+}
+
+// leave logs the counters of a drained node and writes out what is still queued.
+func (s *Server) leave() {
+	s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.Levels()).
+		Interface("results", s.state.Results()).Interface("peers", s.peerCounts()).
+		Interface("claims", s.state.Claims()).Interface("configuration", s.state.ConfigSyncState()).
+		Interface("did_not_hold", s.state.Invariants.All()).Msg("drained, leaving")
+	s.conns.flushAll()
+	if s.peers != nil {
+		s.peers.flush()
+	}
+}
+
+// takeAll takes what waits, up to so many.
+func takeAll(inputs []node.Input, from chan node.Input, most int) []node.Input {
+	for range most {
+		select {
+		case in := <-from:
+			inputs = append(inputs, in)
+		default:
+			return inputs
+		}
+	}
+	return inputs
+}
+
+// forget drops the links that ended.
+func (s *Server) forget(inputs []node.Input) {
+	for i := range inputs {
+		switch inputs[i].Kind {
+		case node.ExecutorDisconnected, node.CatalogueDialFailed, node.CatalogueDisconnected:
+			delete(s.links, inputs[i].Link)
+		}
+	}
+}
--- a/server/peers.go
+++ b/server/peers.go
@@ -310,7 +310,7 @@
 	select {
 	case b := <-answer:
 		if len(b) > 0 {
-			writeLetter(conn, b)
+			_ = writeLetter(conn, b) // the peer sees that no response came
 		}
 	case <-time.After(exchangeWait):
 	case <-p.s.ctx.Done():
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net"
 	"strings"
 	"testing"
@@ -40,12 +41,12 @@
 	defer listener.Close()
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	defer peer.Close()
 	own, err := listener.Accept()
 	require.NoError(t, err)
 	k := &connection{link: 1, net: own.(*net.TCPConn), turns: make(chan struct{}, turnsMost)}
 	s.conns.open[1] = k
-	go s.conns.frames(k)
+	ended := make(chan error, 1)
+	go func() { ended <- s.conns.frames(k) }()
 	for range turnsMost + 1 {
 		_, err = peer.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
 		require.NoError(t, err)
@@ -58,6 +59,8 @@
 	assert.Empty(t, s.inputs)
 	s.conns.taken(inputs[:1])
 	assert.Equal(t, node.FrameReceived, (<-s.inputs).Kind)
+	require.NoError(t, peer.Close())
+	assert.ErrorIs(t, <-ended, io.EOF)
 }
 
 func TestEndOfTheContextStopsAtOnce(t *testing.T) {
