--- a/server/config.go
+++ b/server/config.go
@@ -19,7 +19,7 @@
 	"topazpost/internal/resultcache/cacheconfig"
 )
 
-const readAhead = 64 << 10 // bytes of a configuration that are read at a time
+const readBufferSize = 64 << 10 // bytes of a configuration that are read at a time
 
 // Config is what a node is started with.
 type Config struct {
@@ -33,18 +33,18 @@
 	Fleet                                    *fleetconfig.Fleet    // nil for a node that shares nothing; from a file of its own
 	Keep                                     *cacheconfig.Config   // what is kept of tokened invocations; nil for what is usual
 	Hollow                                   *Hollow               // nil for a whole node
-	digest                                   uint64                // of the settings as they were read
+	settingsDigest                           uint64                // of the settings as they were read
 }
 
-func (n *Config) peers() node.Addresses {
-	return node.Addresses{Executor: n.Executor, Catalogue: n.Catalog, Control: n.Control}
+func (c *Config) addresses() node.Addresses {
+	return node.Addresses{Executor: c.Executor, Catalogue: c.Catalog, Control: c.Control}
 }
 
-// differs names the fields of another config that a running node does not take.
-func (n *Config) differs(next *Config) (fields []string) {
-	for field, same := range map[string]bool{"name": n.Name == next.Name, "listen": n.Listen == next.Listen,
-		"stop_ms": n.StopMS == next.StopMS, "settings": n.digest == next.digest,
-		"limits": n.Cores == next.Cores && n.MemoryMB == next.MemoryMB && n.Sockets == next.Sockets} {
+// changedFields names the fields of another config that a running node does not take.
+func (c *Config) changedFields(next *Config) (fields []string) {
+	for field, same := range map[string]bool{"name": c.Name == next.Name, "listen": c.Listen == next.Listen,
+		"stop_ms": c.StopMS == next.StopMS, "settings": c.settingsDigest == next.settingsDigest,
+		"limits": c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets} {
 		if !same {
 			fields = append(fields, field)
 		}
@@ -53,8 +53,8 @@
 	return fields
 }
 
-// file is the form of the configuration.
-type file struct {
+// configFile is the form of the configuration.
+type configFile struct {
 	Name     string  `json:"name"`
 	Listen   string  `json:"listen"`
 	Executor string  `json:"executor"`
@@ -76,8 +76,8 @@
 
 // decode reads the fields as they come. Of the settings, by far the most of it, one item at a time is kept; the other
 // fields go the way of the JSON package, so that they are named in its errors.
-func (f *file) decode(from io.Reader, settings func(int64, *json.Decoder) (*nodeconfig.Config, uint64, error)) error {
-	d := json.NewDecoder(bufio.NewReaderSize(from, readAhead))
+func (f *configFile) decode(from io.Reader, settings func(int64, *json.Decoder) (*nodeconfig.Config, uint64, error)) error {
+	d := json.NewDecoder(bufio.NewReaderSize(from, readBufferSize))
 	d.UseNumber()
 	tok, err := d.Token()
 	if err == nil && tok != json.Delim('{') {
@@ -121,7 +121,7 @@
 func DecodeReload(from io.Reader) (*Config, error) { return decodeConfig(from, nodeconfig.DecodeLight) }
 
 func decodeConfig(from io.Reader, settings func(int64, *json.Decoder) (*nodeconfig.Config, uint64, error)) (*Config, error) {
-	var f file
+	var f configFile
 	if err := f.decode(from, settings); err != nil {
 		return nil, err
 	}
@@ -163,5 +163,5 @@
 	}
 	return &Config{Name: f.Name, Listen: f.Listen, Executor: f.Executor, Control: f.Control,
 		Catalog: f.Catalog, StopMS: f.StopMS, Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB),
-		Sockets: int(f.Limits.Sockets), Settings: read, digest: f.digest}, nil
+		Sockets: int(f.Limits.Sockets), Settings: read, settingsDigest: f.digest}, nil
 }
--- a/server/config_test.go
+++ b/server/config_test.go
@@ -21,8 +21,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// large is a configuration with so many operations and tenants.
-func large(operations, tenants int) []byte {
+// largeConfig is a configuration with so many operations and tenants.
+func largeConfig(operations, tenants int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"name":"n","listen":"127.0.0.1:0","executor":"127.0.0.1:1","control":"127.0.0.1:1","catalog":"127.0.0.1:1","seed":"1",
 "stop_ms":25000,"limits":{"cores":2,"memory_mb":512,"sockets":512},"settings":{"family_info":{"memory_kb":9000,"n_cores":2},
@@ -39,21 +39,21 @@
 	return []byte(b.String())
 }
 
-// watched is a reader that looks at the live heap now and then while it is read.
-type watched struct {
+// heapWatcher is a reader that looks at the live heap now and then while it is read.
+type heapWatcher struct {
 	io.Reader
-	left int
-	most uint64
+	countdown int
+	peak      uint64
 }
 
-func (w *watched) Read(b []byte) (int, error) {
-	if w.left--; w.left%16 == 0 {
-		w.most = max(w.most, live())
+func (w *heapWatcher) Read(b []byte) (int, error) {
+	if w.countdown--; w.countdown%16 == 0 {
+		w.peak = max(w.peak, liveHeap())
 	}
 	return w.Reader.Read(b)
 }
 
-func live() uint64 {
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -62,16 +62,16 @@
 
 // A large configuration is never held as a whole, neither while it is read nor after: 8 MB for 4,700 operations and 130,000
 // tenants, of which a map with its strings takes more alone.
-func TestLargeConfigurationIsReadAsAStreamIntoLittle(t *testing.T) {
-	text := large(4_700, 130_000)
-	before := live()
-	w := &watched{Reader: bytes.NewReader(text)}
+func TestDecodeConfigStreamsLargeConfigInBoundedMemory(t *testing.T) {
+	text := largeConfig(4_700, 130_000)
+	before := liveHeap()
+	w := &heapWatcher{Reader: bytes.NewReader(text)}
 	n, err := DecodeConfig(w)
 	require.NoError(t, err)
-	held := live() - before
+	held := liveHeap() - before
 	assert.Less(t, held, uint64(8<<20))
-	assert.Less(t, w.most-before, uint64(8<<20))
-	assert.Less(t, w.left, -50, "it was read in pieces")
+	assert.Less(t, w.peak-before, uint64(8<<20))
+	assert.Less(t, w.countdown, -50, "it was read in pieces")
 	i, known := n.Settings.Tenants.Lookup("tenant-129999")
 	assert.True(t, known)
 	assert.Equal(t, int32(129_999), i)
@@ -81,23 +81,23 @@
 
 // A file that is read for Reload is known by its digest, and nothing that grows with its tenants is held beside the node's own,
 // neither while it is read nor after.
-func TestReloadHoldsNoSecondTableOfTenants(t *testing.T) {
-	text := large(4_700, 130_000)
+func TestDecodeReloadKeepsNoTenantTable(t *testing.T) {
+	text := largeConfig(4_700, 130_000)
 	n, err := DecodeConfig(bytes.NewReader(text))
 	require.NoError(t, err)
-	before := live()
-	w := &watched{Reader: bytes.NewReader(text)}
+	before := liveHeap()
+	w := &heapWatcher{Reader: bytes.NewReader(text)}
 	next, err := DecodeReload(w)
 	require.NoError(t, err)
 	const most = 2 << 20 // bytes: 4,700 operations with their names, and what is read ahead; the tenants alone are more
-	assert.Less(t, w.most-before, uint64(most))
-	assert.Less(t, live()-before, uint64(most))
-	assert.Empty(t, n.differs(next))
+	assert.Less(t, w.peak-before, uint64(most))
+	assert.Less(t, liveHeap()-before, uint64(most))
+	assert.Empty(t, n.changedFields(next))
 	assert.Equal(t, 4_700, next.Settings.Operations.Len(), "a plan of levels is read by their names")
 	other := bytes.Replace(text, []byte(`"tenant-129999","quota_rps":`), []byte(`"tenant-129999","quota_rps":1`), 1)
 	next, err = DecodeReload(bytes.NewReader(other))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"settings"}, n.differs(next))
+	assert.Equal(t, []string{"settings"}, n.changedFields(next))
 	_, err = DecodeReload(bytes.NewReader(bytes.Replace(text, []byte(`"tenant-000077","quota_rps":6`), []byte(`"tenant-000077","quota_rps":"many"`), 1)))
 	assert.ErrorContains(t, err, "tenants.77.quota_rps")
 	runtime.KeepAlive(text)
@@ -106,22 +106,22 @@
 
 // A node holds what may change in service twice, decoded and in canonical form, and each in little: 100 bytes for a tenant whose
 // name and value have 40.
-func TestConfigurationInServiceIsHeldInLittleForEachTenant(t *testing.T) {
+func TestConfigContentUsesBoundedMemoryPerTenant(t *testing.T) {
 	const tenants = 130_000
-	text := large(4_700, tenants)
-	before := live()
+	text := largeConfig(4_700, tenants)
+	before := liveHeap()
 	n, err := DecodeConfig(bytes.NewReader(text))
 	require.NoError(t, err)
-	content, err := contentOf(n.Settings)
+	content, err := configContent(n.Settings)
 	require.NoError(t, err)
-	assert.Less(t, live()-before, uint64(100*tenants))
+	assert.Less(t, liveHeap()-before, uint64(100*tenants))
 	assert.Equal(t, tenants, content.Len(configsync.Tenants))
 	runtime.KeepAlive(text)
 	runtime.KeepAlive(n)
 }
 
 // What is garbage between two collections is a part of what is held, where most of that are tables that live on.
-func TestHeapGrowsLessWhereTheConfigurationIsTakenInService(t *testing.T) {
+func TestLimitLowersGCPercentWithConfigSync(t *testing.T) {
 	cores, percent, limit := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
 	defer func() {
 		runtime.GOMAXPROCS(cores)
@@ -133,49 +133,49 @@
 		assert.Equal(t, 100, debug.SetGCPercent(100), "as the runtime has it")
 	}
 	(&Config{Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{Configuration: &fleetconfig.Configuration{}}}).Limit()
-	assert.Equal(t, inServiceGC, debug.SetGCPercent(100))
+	assert.Equal(t, inServiceGCPercent, debug.SetGCPercent(100))
 }
 
 // Only other settings are another digest: order and space are none.
-func TestSettingsDifferByWhatTheySay(t *testing.T) {
+func TestChangedFieldsIgnoresOrderAndSpace(t *testing.T) {
 	read := func(from, to string) *Config {
-		text := strings.Replace(string(large(3, 3)), from, to, 1)
+		text := strings.Replace(string(largeConfig(3, 3)), from, to, 1)
 		n, err := ReadConfig([]byte(text))
 		require.NoError(t, err)
 		return n
 	}
 	n := read("", "")
-	assert.Empty(t, n.differs(read(`"aim":200,"give_up":1000`, `"give_up" : 1000, "aim":200`)))
+	assert.Empty(t, n.changedFields(read(`"aim":200,"give_up":1000`, `"give_up" : 1000, "aim":200`)))
 	for from, to := range map[string]string{`"quota_rps":2`: `"quota_rps":3`, `"aim":200`: `"aim":201`, `"n_cores":2`: `"n_cores":3`,
 		`"route-0002"`: `"route-2"`} {
-		assert.Equal(t, []string{"settings"}, n.differs(read(from, to)), to)
+		assert.Equal(t, []string{"settings"}, n.changedFields(read(from, to)), to)
 	}
 }
 
 // What is wrong in a large file is named with its place.
-func TestFaultsDeepInALargeFileAreNamed(t *testing.T) {
+func TestReadConfigErrorNamesNestedField(t *testing.T) {
 	for from, to := range map[string]string{`"tenant-000077","quota_rps":6`: `"tenant-000077","quota_rps":"many"`,
 		`"route-0031","aim":500`: `"route-0031","aim":-1`} {
-		_, err := ReadConfig(bytes.Replace(large(40, 100), []byte(from), []byte(to), 1))
+		_, err := ReadConfig(bytes.Replace(largeConfig(40, 100), []byte(from), []byte(to), 1))
 		assert.ErrorContains(t, err, map[string]string{`"many"`: "tenants.77.quota_rps", "-1": "grades.31"}[to[strings.LastIndex(to, ":")+1:]])
 	}
-	_, err := ReadConfig(large(40, 100)[:2_000])
+	_, err := ReadConfig(largeConfig(40, 100)[:2_000])
 	assert.ErrorContains(t, err, "byte")
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// asPairs are settings as the pairs of a wire.
-func asPairs(path string, tree any) (list []string) {
+// toPairs are settings as the pairs of a wire.
+func toPairs(path string, tree any) (list []string) {
 	switch v := tree.(type) {
 	case map[string]any:
 		for key, sub := range v {
-			list = append(list, asPairs(strings.TrimPrefix(path+"."+key, "."), sub)...)
+			list = append(list, toPairs(strings.TrimPrefix(path+"."+key, "."), sub)...)
 		}
 	case []any:
 		var plain []string
 		for i, sub := range v {
 			if _, object := sub.(map[string]any); object {
-				list = append(list, asPairs(fmt.Sprint(path, ".", i), sub)...)
+				list = append(list, toPairs(fmt.Sprint(path, ".", i), sub)...)
 			} else {
 				plain = append(plain, fmt.Sprint(sub))
 			}
@@ -191,20 +191,20 @@
 	return list
 }
 
-// sameConfig compares what a stream gives with what the same settings give as pairs.
-func sameConfig(t *testing.T, text []byte, n *Config) {
+// requireSameConfig compares what a stream gives with what the same settings give as pairs.
+func requireSameConfig(t *testing.T, text []byte, n *Config) {
 	var f struct{ Settings any }
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	require.NoError(t, d.Decode(&f))
-	pairs, err := nodeconfig.FromPairs(n.Settings.Node.Seed, asPairs("", f.Settings))
+	pairs, err := nodeconfig.FromPairs(n.Settings.Node.Seed, toPairs("", f.Settings))
 	require.NoError(t, err)
 	assert.Equal(t, pairs, n.Settings)
 }
 
 // A version comes into force in a node that runs, or is refused with the item named; either is told in the log.
-func TestVersionComesIntoForceInANodeThatRuns(t *testing.T) {
-	n, err := DecodeConfig(bytes.NewReader(large(3, 3)))
+func TestAmendAppliesVersionToRunningServer(t *testing.T) {
+	n, err := DecodeConfig(bytes.NewReader(largeConfig(3, 3)))
 	require.NoError(t, err)
 	told := make(lineWriter, 100)
 	s := New(n, zerolog.New(told), SystemClock())
@@ -231,7 +231,7 @@
 	assert.ErrorContains(t, s.Amend(1, []nodeconfig.Item{{Part: nodeconfig.Limits, Name: "family_info.memory_kb", Value: []byte("1")}}), "takes a new start")
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":90000,"effect":"idempotent"}`), {Part: nodeconfig.Tenants, Name: "tenant-000001"}}))
 	assert.Contains(t, awaited("in force"), `"version":1,"message":"configuration: the version is in force, 1 added, 0 changed, 1 removed"`)
-	assert.Equal(t, int64(90_000e6), s.conns.slowest.Load())
+	assert.Equal(t, int64(90_000e6), s.conns.maxClientTimeout.Load())
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}))
 	assert.Contains(t, awaited("can't be taken"), "as new")
 	s.Drain()
--- a/server/configuration_test.go
+++ b/server/configstorage_test.go
@@ -14,8 +14,8 @@
 	"topazpost/internal/fleet/configsync"
 )
 
-// versions are some in a row, each with an item more.
-func versions(t *testing.T, n int) (list []*configsync.Effect) {
+// versionEffects are some in a row, each with an item more.
+func versionEffects(t *testing.T, n int) (list []*configsync.Effect) {
 	content, mark := new(configsync.Content), configsync.Revision{}
 	for k := range n {
 		changes := []configsync.Item{{Part: configsync.Tenants, Name: fmt.Sprint("t", k), Value: []byte(`{"quota_rps":1}`)}}
@@ -28,37 +28,37 @@
 	return list
 }
 
-func openDisk(folder string) (*configurationDisk, *bytes.Buffer) {
+func newTestConfigStorage(folder string) (*configStorage, *bytes.Buffer) {
 	log := new(bytes.Buffer)
-	return &configurationDisk{s: &Server{log: zerolog.New(log)}, folder: folder, unlock: func() {}}, log
+	return &configStorage{server: &Server{log: zerolog.New(log)}, folder: folder, unlock: func() {}}, log
 }
 
-func TestLastGoodIsReadBackUpToTheFirstFault(t *testing.T) {
+func TestConfigStorageReadsUpToFirstCorruption(t *testing.T) {
 	folder := t.TempDir()
-	d, _ := openDisk(folder)
+	d, _ := newTestConfigStorage(folder)
 	_, there := d.read()
 	assert.False(t, there)
-	list := versions(t, 4)
-	require.Error(t, d.write(list[0]), "records follow on what is there")
+	list := versionEffects(t, 4)
+	require.Error(t, d.writeVersion(list[0]), "records follow on what is there")
 	list[0].Full = true
 	for _, e := range list[:3] {
-		require.NoError(t, d.write(e))
+		require.NoError(t, d.writeVersion(e))
 	}
 	d.close()
 
-	d, _ = openDisk(folder)
+	d, _ = newTestConfigStorage(folder)
 	start, there := d.read()
 	require.True(t, there)
 	assert.Equal(t, []any{list[2].Mark, "disk"}, []any{start.Mark, start.Source})
 	assert.Positive(t, start.Journal)
-	require.NoError(t, d.write(list[3]), "it goes on behind what was read")
+	require.NoError(t, d.writeVersion(list[3]), "it goes on behind what was read")
 	d.close()
 
-	path := filepath.Join(folder, lastGood)
+	path := filepath.Join(folder, lastGoodFileName)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, text[:len(text)-3], 0o600)) // half a record
-	d, log := openDisk(folder)
+	d, log := newTestConfigStorage(folder)
 	start, there = d.read()
 	require.True(t, there)
 	assert.Equal(t, list[2].Mark, start.Mark)
@@ -68,25 +68,25 @@
 
 	text[20] ^= 1
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	d, log = openDisk(folder)
+	d, log = newTestConfigStorage(folder)
 	_, there = d.read()
 	assert.False(t, there)
 	assert.Contains(t, log.String(), "put aside; the node starts from its own file")
-	aside, err := os.ReadFile(filepath.Join(folder, lastGoodSpoilt))
+	aside, err := os.ReadFile(filepath.Join(folder, corruptFileName))
 	require.NoError(t, err)
 	assert.Equal(t, text, aside, "nothing is lost")
 }
 
-func TestLastGoodThatCantBeReplacedStays(t *testing.T) {
+func TestConfigStorageKeepsFileWhenReplacementFails(t *testing.T) {
 	folder := t.TempDir()
-	d, _ := openDisk(folder)
-	list := versions(t, 2)
+	d, _ := newTestConfigStorage(folder)
+	list := versionEffects(t, 2)
 	list[0].Full, list[1].Full = true, true
-	require.NoError(t, d.write(list[0]))
-	require.NoError(t, os.Mkdir(filepath.Join(folder, lastGood+".new"), 0o700))
-	require.Error(t, d.write(list[1]))
+	require.NoError(t, d.writeVersion(list[0]))
+	require.NoError(t, os.Mkdir(filepath.Join(folder, lastGoodFileName+".new"), 0o700))
+	require.Error(t, d.writeVersion(list[1]))
 	d.close()
-	d, _ = openDisk(folder)
+	d, _ = newTestConfigStorage(folder)
 	start, there := d.read()
 	require.True(t, there)
 	assert.Equal(t, list[0].Mark, start.Mark)
--- a/server/effects.go
+++ b/server/effects.go
@@ -6,23 +6,23 @@
 	"topazpost/internal/node"
 )
 
-// carry carries out one effect of the state machine.
-func (s *Server) carry(e *node.Effect) {
+// apply carries out one effect of the state machine.
+func (s *Server) apply(e *node.Effect) {
 	switch {
-	case s.conns.carry(e):
-	case s.carryToLink(e):
-	case s.peers.carry(e):
-	case s.carryToDisk(e):
+	case s.conns.apply(e):
+	case s.applyToLink(e):
+	case s.fleet.apply(e):
+	case s.applyToStorage(e):
 	default:
-		s.carryToLog(e)
+		s.applyToLog(e)
 	}
 }
 
-// carry carries out effects on dispatchers' connections; false means that the effect is another.
-func (c *connections) carry(e *node.Effect) bool {
+// apply carries out effects on dispatchers' connections; false means that the effect is another.
+func (c *connections) apply(e *node.Effect) bool {
 	switch e.Kind {
 	case node.ReadConnection:
-		c.receive(e.Link)
+		c.startReader(e.Link)
 	case node.SendToConnection:
 		c.send(e.Link, e.Bytes)
 	case node.CloseAfterFlush:
@@ -32,83 +32,83 @@
 	case node.ResumeConnection:
 		c.resume(e.Link)
 	case node.DiscardInput:
-		c.ignore(e.Link)
+		c.discardInput(e.Link)
 	case node.StopAccepting:
 		c.stopAccepting()
 	case node.CallerTimeoutRaised:
-		c.slower(e.At)
+		c.raiseClientTimeout(e.At)
 	default:
 		return false
 	}
 	return true
 }
 
-// carryToLink carries out effects on the executor, the catalogue and the control plane.
-func (s *Server) carryToLink(e *node.Effect) bool {
+// applyToLink carries out effects on the executor, the catalogue and the control plane.
+func (s *Server) applyToLink(e *node.Effect) bool {
 	switch e.Kind {
 	case node.DialExecutor:
-		s.open(e.Link, e.Address, toExecutor)
+		s.openLink(e.Link, e.Address, executorLink)
 	case node.DialCatalogue:
-		s.open(e.Link, e.Address, toCatalogue)
+		s.openLink(e.Link, e.Address, catalogueLink)
 	case node.SendToExecutor, node.SendToCatalogue:
-		s.write(e.Link, e.Bytes, e.At)
+		s.writeToLink(e.Link, e.Bytes, e.At)
 	case node.CloseExecutor, node.CloseCatalogue:
-		s.disconnect(e.Link)
+		s.closeLink(e.Link)
 	case node.SendReport:
-		s.report(e)
+		s.sendReport(e)
 	default:
 		return false
 	}
 	return true
 }
 
-// carry carries out effects on the fleet's sockets.
-func (p *peering) carry(e *node.Effect) bool {
+// apply carries out effects on the fleet's sockets.
+func (p *fleetSockets) apply(e *node.Effect) bool {
 	switch e.Kind {
 	case node.SendDatagram:
-		p.send(e)
+		p.sendDatagram(e)
 	case node.OpenExchange:
-		p.open(e)
+		p.openExchange(e)
 	case node.ReplyToExchange:
 		p.reply(e)
 	case node.SendOnStream:
 		p.streams.send(e)
 	case node.CloseStream:
-		p.streams.disconnect(e.Link)
+		p.streams.close(e.Link)
 	default:
 		return false
 	}
 	return true
 }
 
-// carryToDisk carries out effects on the result store, the replica's storage and that of the configuration.
-func (s *Server) carryToDisk(e *node.Effect) bool {
+// applyToStorage carries out effects on the result store, the replica's storage and that of the configuration.
+func (s *Server) applyToStorage(e *node.Effect) bool {
 	switch e.Kind {
 	case node.WriteRecord:
-		s.kept.keep(e)
+		s.resultStore.enqueue(e)
 	case node.PersistReplicaWrite:
-		s.seat.keep(e.Write)
+		s.replica.enqueue(e.Write)
 	case node.PersistVersion:
-		s.keepConfiguration(e.Persisting)
+		s.persistVersion(e.Persisting)
 	default:
 		return false
 	}
 	return true
 }
 
-// carryToLog carries out effects that only write to the log.
-func (s *Server) carryToLog(e *node.Effect) {
+// applyToLog carries out effects that only write to the log.
+func (s *Server) applyToLog(e *node.Effect) {
 	switch e.Kind {
 	case node.SampleState:
 		s.log.Debug().Interface("state", e.State).Msg("state")
 	case node.LevelChanged:
-		s.turned(e.LevelChange)
+		s.logLevelChange(e.LevelChange)
 	case node.VersionApplied:
-		s.amended(e)
+		s.logVersionResult(e)
 	case node.ReportVersionInForce:
-		s.inForce(e.InForce)
+		s.logVersionInForce(e.InForce)
 	case node.ViewChanged:
-		s.viewChanged(e.Change)
+		s.logViewChange(e.Change)
 	case node.WriteLog:
 		s.writeLog(e)
 	}
@@ -117,7 +117,7 @@
 // writeLog writes a log entry of the state machine, at a bounded rate.
 func (s *Server) writeLog(e *node.Effect) {
 	level := [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}[e.LogLevel]
-	line := s.limited.WithLevel(level).Err(e.Err)
+	line := s.limitedLog.WithLevel(level).Err(e.Err)
 	if e.ID != "" {
 		line = line.Str("id", e.ID)
 	}
--- a/server/fixtures_test.go
+++ b/server/fixtures_test.go
@@ -12,7 +12,7 @@
 )
 
 // The files of a seat's folder are the bytes of fixtures, under the same names, and are read to what was written.
-func TestFixturesOfASeatsFolder(t *testing.T) {
+func TestReplicaStorageMatchesFixtures(t *testing.T) {
 	const generation = 0x0102030405060708
 	t.Run("base", func(t *testing.T) {
 		got, text, err := readBase(fixture.Equal(t, "seat-base-v1.bin", appendBase(generation, []byte("the text of a base"))))
@@ -27,17 +27,17 @@
 		assert.Equal(t, int64(len(content)), whole)
 	})
 	t.Run("names", func(t *testing.T) {
-		d := seatDisk{generation: generation}
-		fixture.Equal(t, "seat-names-v1.txt", []byte(seatBase+"\n"+d.logName()+"\n"+seatPart+"\n"+seatUnsettled+"\n"))
+		d := replicaStorage{generation: generation}
+		fixture.Equal(t, "seat-names-v1.txt", []byte(baseFileName+"\n"+d.logName()+"\n"+partFilePrefix+"\n"+temporarySuffix+"\n"))
 	})
 }
 
 // The mark by which a stream is told from an exchange.
-func TestFixtureOfTheMarkOfAStream(t *testing.T) {
-	fixture.Equal(t, "stream-mark-v1.bin", binary.LittleEndian.AppendUint32(nil, streamMark))
+func TestStreamMagicMatchesFixture(t *testing.T) {
+	fixture.Equal(t, "stream-mark-v1.bin", binary.LittleEndian.AppendUint32(nil, streamMagic))
 }
 
 // The numbers of endings, which stand in kept records and in claims.
-func TestFixtureOfTheNumbersOfEndings(t *testing.T) {
+func TestOutcomesMatchFixture(t *testing.T) {
 	fixture.Equal(t, "endings-v1.bin", []byte{byte(resultcache.Succeeded), byte(resultcache.Failed), byte(resultcache.NeverStarted), byte(resultcache.ResultNotCached)})
 }
--- a/server/peers_test.go
+++ b/server/fleet_test.go
@@ -16,35 +16,35 @@
 	"topazpost/internal/node"
 )
 
-func TestDatagramsNeverTakeTheRoomOfExchanges(t *testing.T) {
-	n, err := ReadConfig([]byte(config))
+func TestDatagramsDoNotStarveExchanges(t *testing.T) {
+	n, err := ReadConfig([]byte(testConfig))
 	require.NoError(t, err)
 	n.Fleet = &fleetconfig.Fleet{Name: "f", Bind: "127.0.0.1:0", Terms: membership.Config{Name: "n1", Address: "127.0.0.1:1", MaxMembers: 8}}
 	s := New(n, zerolog.Nop(), SystemClock())
 	ctx, end := context.WithCancel(t.Context())
-	s.ctx, s.group = ctx, groupOf(t)
+	s.ctx, s.group = ctx, newTestGroup(t)
 	defer end()
-	p := s.peers
-	for p.came("127.0.0.1:2", nil) {
+	p := s.fleet
+	for p.offerDatagram("127.0.0.1:2", nil) {
 	}
 	peer, own := net.Pipe()
 	defer peer.Close()
 	ended := make(chan struct{})
-	go func() { defer close(ended); defer own.Close(); p.exchange(own, func() {}) }()
-	require.NoError(t, writeLetter(peer, make([]byte, 64)))
+	go func() { defer close(ended); defer own.Close(); p.serveConn(own, func() {}) }()
+	require.NoError(t, writeMessage(peer, make([]byte, 64)))
 	var asked int
 	require.Eventually(t, func() bool {
-		inputs := p.take(nil)
+		inputs := p.appendQueued(nil)
 		k := slices.IndexFunc(inputs, func(in node.Input) bool { return in.Kind == node.PeerRequestReceived })
 		if k >= 0 {
 			asked = inputs[k].Link
 		}
-		for p.came("127.0.0.1:2", nil) { // they come all the time
+		for p.offerDatagram("127.0.0.1:2", nil) { // they come all the time
 		}
 		return k >= 0
 	}, 10*time.Second, time.Millisecond, "an exchange comes through beside datagrams that fill their queue")
 	p.reply(&node.Effect{Link: asked, Bytes: make([]byte, 32)})
-	answer, err := readLetter(peer)
+	answer, err := readMessage(peer)
 	require.NoError(t, err)
 	assert.Len(t, answer, 32)
 	<-ended
--- a/server/framereader.go
+++ b/server/framereader.go
@@ -11,9 +11,9 @@
 
 // frameReader reads the frames of one connection. Its deadlines bound how long a frame that has begun may stay incomplete.
 type frameReader struct {
-	conns  *connections
-	conn   *connection
-	parser frame.Parser
+	connections *connections
+	conn        *connection
+	parser      frame.Parser
 
 	partial  bool      // a frame has begun and is incomplete
 	nextBy   time.Time // when more of it must have arrived
@@ -24,12 +24,12 @@
 	complete bool // the last read completed a frame
 }
 
-// frames passes frames on until the connection's end, the first malformed frame, the first that isn't completed in time, or
+// readFrames passes readFrames on until the connection's end, the first malformed frame, the first that isn't completed in time, or
 // the last before this side was closed.
-func (c *connections) frames(k *connection) error {
-	r := frameReader{conns: c, conn: k}
+func (c *connections) readFrames(k *connection) error {
+	r := frameReader{connections: c, conn: k}
 	for {
-		n, err := k.net.Read(r.parser.Space())
+		n, err := k.conn.Read(r.parser.Space())
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			if err := r.deadlinePassed(time.Now()); err != nil {
 				return err
@@ -53,22 +53,22 @@
 func (r *frameReader) deadlinePassed(now time.Time) error {
 	switch {
 	case r.partial && now.Before(r.nextBy) && !r.conn.evicting(): // woken for the close, which waits for the rest of the frame
-		r.conn.due(r.nextBy)
+		r.conn.setReadDeadline(r.nextBy)
 	case r.partial && r.overdue:
-		return errHalf
+		return errPartialFrame
 	case r.partial:
 		r.overdue = true
 		r.idle = false
 		r.idleAt = now
-		r.conn.due(now.Add(catchUp))
-	case !r.idle || now.Sub(r.idleAt) > stoodStill:
+		r.conn.setReadDeadline(now.Add(pauseGracePeriod))
+	case !r.idle || now.Sub(r.idleAt) > pauseThreshold:
 		r.overdue = false
 		r.idle = true
 		r.idleAt = now
-		r.conn.due(now.Add(catchUp))
+		r.conn.setReadDeadline(now.Add(pauseGracePeriod))
 	default:
-		if r.conn.end() {
-			return errQuiet
+		if r.conn.tryCloseWrite() {
+			return errClosedLocally
 		}
 		r.idle = false
 	}
@@ -77,7 +77,7 @@
 
 // passOn hands the complete frames to the state machine, each once it has a place in the connection's queue.
 func (r *frameReader) passOn() error {
-	c := r.conns
+	c := r.connections
 	r.complete = false
 	for {
 		f, ok, err := r.parser.Next()
@@ -88,17 +88,17 @@
 			return nil
 		}
 		r.complete = true
-		if r.conn.ignored.Load() {
-			return errIgnored
+		if r.conn.discarding.Load() {
+			return errInputDiscarded
 		}
 		f.Payload = append([]byte(nil), f.Payload...)
 		select {
-		case r.conn.turns <- struct{}{}:
-		case <-c.s.ctx.Done():
-			return c.s.ctx.Err()
+		case r.conn.queuedFrames <- struct{}{}:
+		case <-c.server.ctx.Done():
+			return c.server.ctx.Err()
 		}
-		if !c.s.put(node.Input{Kind: node.FrameReceived, Link: r.conn.link, Frame: f}) {
-			return c.s.ctx.Err()
+		if !c.server.enqueueDispatcherInput(node.Input{Kind: node.FrameReceived, Link: r.conn.link, Frame: f}) {
+			return c.server.ctx.Err()
 		}
 	}
 }
@@ -109,21 +109,21 @@
 	r.partial = r.parser.Half()
 	if !r.partial {
 		if wasPartial {
-			r.conn.clearDeadline()
+			r.conn.clearReadDeadline()
 		}
 		return
 	}
 	now := time.Now()
 	if r.complete || !wasPartial { // past the longest client timeout no caller waits for it
-		r.frameBy = now.Add(time.Duration(r.conns.slowest.Load()))
+		r.frameBy = now.Add(time.Duration(r.connections.maxClientTimeout.Load()))
 	}
 	r.overdue = false
-	r.nextBy = now.Add(halfWait)
+	r.nextBy = now.Add(partialFrameTimeout)
 	if r.nextBy.After(r.frameBy) {
 		r.nextBy = r.frameBy
 	}
 	if r.conn.evicting() {
 		r.nextBy = now
 	}
-	r.conn.due(r.nextBy)
+	r.conn.setReadDeadline(r.nextBy)
 }
--- a/server/helpers_test.go
+++ b/server/helpers_test.go
@@ -12,11 +12,11 @@
 // No test of this package may leave a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// groupOf is a group whose goroutines end with the test.
-func groupOf(t *testing.T) *errgroup.Group {
+// newTestGroup is a group whose goroutines end with the test.
+func newTestGroup(t *testing.T) *errgroup.Group {
 	group, _ := errgroup.WithContext(t.Context())
 	t.Cleanup(func() { assert.NoError(t, group.Wait()) })
 	return group
 }
 
-var quiet = zerolog.Nop()
+var nopLogger = zerolog.Nop()
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -13,7 +13,7 @@
 )
 
 // StreamMark is what a stream begins with, in the place of the length that an exchange begins with, little-endian.
-const StreamMark = streamMark
+const StreamMark = streamMagic
 
 // Datagrams are the socket of a node for its peers' datagrams.
 type Datagrams interface {
@@ -41,19 +41,19 @@
 func (s *Server) runHollow(ctx context.Context) error {
 	s.group, s.ctx = errgroup.WithContext(ctx)
 	s.conns = newConnections(s)
-	if s.peers == nil {
+	if s.fleet == nil {
 		return errors.New("server: a hollow node without a fleet has nothing to do")
 	}
-	if err := s.takeDisks(); err != nil {
+	if err := s.openStorage(); err != nil {
 		return err
 	}
-	if err := s.peers.run(); err != nil {
-		s.closeDisks()
+	if err := s.fleet.start(); err != nil {
+		s.closeStorage()
 		return err
 	}
-	s.runDisks()
+	s.runStorage()
 	s.group.Go(func() error { return s.loop() })
-	if err := s.group.Wait(); !errors.Is(err, errLeft) {
+	if err := s.group.Wait(); !errors.Is(err, errDrained) {
 		return err
 	}
 	return nil
@@ -61,17 +61,17 @@
 
 // WantToken has a hollow node claim a token; what there is no room for is lost, and told so.
 func (s *Server) WantToken(token string) bool {
-	return s.want(node.Input{Kind: node.HollowClaimRequested, Bytes: []byte(token)})
+	return s.tryEnqueue(node.Input{Kind: node.HollowClaimRequested, Bytes: []byte(token)})
 }
 
 // WantCalls has a hollow node want so many calls at a time.
 func (s *Server) WantCalls(n int) bool {
-	return s.want(node.Input{Kind: node.HollowCallsRequested, Link: n})
+	return s.tryEnqueue(node.Input{Kind: node.HollowCallsRequested, Link: n})
 }
 
-func (s *Server) want(in node.Input) bool {
+func (s *Server) tryEnqueue(in node.Input) bool {
 	select {
-	case s.heard <- in:
+	case s.inputs <- in:
 		return true
 	default:
 		return false
@@ -80,14 +80,14 @@
 
 // Peered are the counts of the node's fleet sockets, nil outside a fleet.
 func (s *Server) Peered() *PeerCounters {
-	if s.peers == nil {
+	if s.fleet == nil {
 		return nil
 	}
-	return &s.peers.counters
+	return &s.fleet.counters
 }
 
-func (p *peering) wired(conn net.Conn, to string) net.Conn {
-	if h := p.s.config.Hollow; h != nil && h.Wire != nil {
+func (p *fleetSockets) wrapConn(conn net.Conn, to string) net.Conn {
+	if h := p.server.config.Hollow; h != nil && h.Wire != nil {
 		return h.Wire.Conn(conn, to)
 	}
 	return conn
--- a/server/link.go
+++ b/server/link.go
@@ -11,75 +11,75 @@
 )
 
 const (
-	dialWait     = time.Second // for a connection on the same machine or the next
-	linkPending  = 4 << 20     // bytes that may wait on a link; then it is opened anew
-	linkWriteEnd = 10 * time.Second
+	dialTimeout         = time.Second // for a connection on the same machine or the next
+	maxLinkPendingBytes = 4 << 20     // bytes that may wait on a link; then it is opened anew
+	linkWriteTimeout    = 10 * time.Second
 )
 
-// kind is how a link speaks: what its events are handed on as, and which of its lines have a body.
-type kind struct {
-	up, failed, line, end node.InputKind
-	counted               func(words []string) bool
+// linkKind is how a link speaks: what its events are handed on as, and which of its lines have a body.
+type linkKind struct {
+	connected, dialFailed, lineReceived, disconnected node.InputKind
+	hasBody                                           func(words []string) bool
 }
 
 var (
-	toExecutor = kind{node.ExecutorConnected, node.ExecutorDisconnected, node.ExecutorLineReceived, node.ExecutorDisconnected, func(words []string) bool {
+	executorLink = linkKind{node.ExecutorConnected, node.ExecutorDisconnected, node.ExecutorLineReceived, node.ExecutorDisconnected, func(words []string) bool {
 		return words[0] == "EXIT" && len(words) == 6 || words[0] == "CALLOUT" && len(words) == 4
 	}}
-	toCatalogue = kind{node.CatalogueConnected, node.CatalogueDialFailed, node.CatalogueLineReceived, node.CatalogueDisconnected,
+	catalogueLink = linkKind{node.CatalogueConnected, node.CatalogueDialFailed, node.CatalogueLineReceived, node.CatalogueDisconnected,
 		func(words []string) bool { return len(words) == 3 && words[1] == "DATA" }}
 )
 
 // link is a connection that this node opened, with lines on it: to the executor or to the catalogue.
 type link struct {
-	s       *Server
-	number  int
-	kind    kind
-	stop    context.CancelFunc // ends it, while it is being opened too
-	mu      sync.Mutex
-	pending []byte
-	writing bool
-	by      int64 // when what is pending is of no use any more, 0 for never
-	net     net.Conn
+	server    *Server
+	number    int
+	kind      linkKind
+	cancel    context.CancelFunc // ends it, while it is being opened too
+	mu        sync.Mutex
+	pending   []byte
+	writing   bool
+	expiresAt int64 // when what is pending is of no use any more, 0 for never
+	conn      net.Conn
 }
 
-// open dials and hands on what comes until the end. Only the loop opens, writes to and closes links.
-func (s *Server) open(number int, address string, kind kind) {
+// openLink dials and hands on what comes until the end. Only the loop opens, writes to and closes links.
+func (s *Server) openLink(number int, address string, kind linkKind) {
 	ctx, stop := context.WithCancel(s.ctx)
-	l := &link{s: s, number: number, kind: kind, stop: stop}
+	l := &link{server: s, number: number, kind: kind, cancel: stop}
 	s.links[number] = l
 	s.group.Go(func() error {
 		defer stop()
-		if kind.up == node.CatalogueConnected { // one that was left may not have given its descriptor back yet
+		if kind.connected == node.CatalogueConnected { // one that was left may not have given its descriptor back yet
 			select {
-			case s.calls <- struct{}{}:
-				defer func() { <-s.calls }()
+			case s.catalogueSlots <- struct{}{}:
+				defer func() { <-s.catalogueSlots }()
 			case <-ctx.Done():
-				s.tell(node.Input{Kind: kind.failed, Link: number, Err: ctx.Err()})
+				s.enqueueInput(node.Input{Kind: kind.dialFailed, Link: number, Err: ctx.Err()})
 				return nil
 			}
 		}
-		conn, err := (&net.Dialer{Timeout: dialWait}).DialContext(ctx, "tcp", address)
+		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 		if err != nil {
-			s.tell(node.Input{Kind: kind.failed, Link: number, Err: err})
+			s.enqueueInput(node.Input{Kind: kind.dialFailed, Link: number, Err: err})
 			return nil
 		}
 		defer context.AfterFunc(ctx, func() { conn.Close() })()
 		l.mu.Lock()
-		l.net = conn
+		l.conn = conn
 		l.mu.Unlock()
-		s.tell(node.Input{Kind: kind.up, Link: number})
+		s.enqueueInput(node.Input{Kind: kind.connected, Link: number})
 		err = l.read()
 		conn.Close()
-		s.tell(node.Input{Kind: kind.end, Link: number, Err: err})
+		s.enqueueInput(node.Input{Kind: kind.disconnected, Link: number, Err: err})
 		return nil
 	})
 }
 
 func (l *link) read() error {
-	parser := lineprotocol.Parser{Counted: l.kind.counted}
+	parser := lineprotocol.Parser{Counted: l.kind.hasBody}
 	for {
-		n, err := l.net.Read(parser.Space())
+		n, err := l.conn.Read(parser.Space())
 		if err != nil {
 			return err
 		}
@@ -87,43 +87,43 @@
 		for {
 			line, ok, err := parser.Next()
 			if err != nil {
-				l.s.limited.Warn().Err(err).Msg("link can't be parsed")
+				l.server.limitedLog.Warn().Err(err).Msg("link can't be parsed")
 				return err
 			}
 			if !ok {
 				break
 			}
 			line.Body = append([]byte{}, line.Body...)
-			if !l.s.tell(node.Input{Kind: l.kind.line, Link: l.number, Line: line}) {
-				return l.s.ctx.Err()
+			if !l.server.enqueueInput(node.Input{Kind: l.kind.lineReceived, Link: l.number, Line: line}) {
+				return l.server.ctx.Err()
 			}
 		}
 	}
 }
 
-// write leaves bytes to a writer that is started when there is something to write.
-// write hands bytes to a link's writer. With by, a moment of the node's clock, they are of no use after it: the link ends
+// writeToLink leaves bytes to a writer that is started when there is something to writeToLink.
+// writeToLink hands bytes to a link's writer. With by, a moment of the node's clock, they are of no use after it: the link ends
 // instead.
-func (s *Server) write(number int, b []byte, by int64) {
+func (s *Server) writeToLink(number int, b []byte, expiresAt int64) {
 	l := s.links[number]
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.pending)+len(b) > linkPending {
-		s.limited.Warn().Int("link", number).Msg("link takes nothing, opened anew")
-		l.stop()
+	if len(l.pending)+len(b) > maxLinkPendingBytes {
+		s.limitedLog.Warn().Int("link", number).Msg("link takes nothing, opened anew")
+		l.cancel()
 		return
 	}
-	l.pending, l.by = append(l.pending, b...), by
-	if !l.writing && l.net != nil {
+	l.pending, l.expiresAt = append(l.pending, b...), expiresAt
+	if !l.writing && l.conn != nil {
 		l.writing = true
-		s.group.Go(func() error { l.writeOut(); return nil })
+		s.group.Go(func() error { l.flush(); return nil })
 	}
 }
 
-func (l *link) writeOut() {
+func (l *link) flush() {
 	var spare []byte
 	for {
 		l.mu.Lock()
@@ -133,26 +133,26 @@
 			l.mu.Unlock()
 			return
 		}
-		by := l.by
+		expiresAt := l.expiresAt
 		l.mu.Unlock()
-		if by > 0 {
-			if now, _ := l.s.clock.Now(); now > by {
-				l.stop()
+		if expiresAt > 0 {
+			if now, _ := l.server.clock.Now(); now > expiresAt {
+				l.cancel()
 				return
 			}
 		}
-		l.net.SetWriteDeadline(time.Now().Add(linkWriteEnd))
-		if _, err := l.net.Write(b); err != nil {
-			l.net.Close()
+		l.conn.SetWriteDeadline(time.Now().Add(linkWriteTimeout))
+		if _, err := l.conn.Write(b); err != nil {
+			l.conn.Close()
 			return
 		}
 		spare = b
 	}
 }
 
-// disconnect closes a link, or gives up opening it.
-func (s *Server) disconnect(number int) {
+// closeLink closes a link, or gives up opening it.
+func (s *Server) closeLink(number int) {
 	if l := s.links[number]; l != nil {
-		l.stop()
+		l.cancel()
 	}
 }
--- a/server/loop.go
+++ b/server/loop.go
@@ -9,28 +9,28 @@
 
 // eventLoop feeds the state machine; its goroutine is the only one in which the state changes.
 type eventLoop struct {
-	s      *Server
-	timer  *time.Timer
-	wakeAt int64         // when the state machine asked to be woken, by its clock
-	notice chan struct{} // nil once the drain was requested
-	inputs []node.Input
+	server        *Server
+	timer         *time.Timer
+	wakeAt        int64         // when the state machine asked to be woken, by its clock
+	drainRequests chan struct{} // nil once the drain was requested
+	inputs        []node.Input
 
-	datagrams chan letter // nil without a fleet, as the next two
-	messages  chan letter
+	datagrams chan peerMessage // nil without a fleet, as the next two
+	messages  chan peerMessage
 	exchanges chan node.Input
 }
 
 // loop runs the event loop until the node is drained or its context ends.
 func (s *Server) loop() error {
-	l := eventLoop{s: s, timer: time.NewTimer(0), wakeAt: math.MaxInt64, notice: s.notice, inputs: make([]node.Input, 0, inputsAStep)}
+	l := eventLoop{server: s, timer: time.NewTimer(0), wakeAt: math.MaxInt64, drainRequests: s.drainRequests, inputs: make([]node.Input, 0, maxInputsPerStep)}
 	defer l.timer.Stop()
 	if s.config.Levels != nil {
-		s.heard <- node.Input{Kind: node.PlanChanged, Plan: s.config.Levels}
+		s.inputs <- node.Input{Kind: node.PlanChanged, Plan: s.config.Levels}
 	}
-	if s.peers != nil {
-		l.datagrams = s.peers.in
-		l.messages = s.peers.streams.told
-		l.exchanges = s.peers.swapped
+	if s.fleet != nil {
+		l.datagrams = s.fleet.datagrams
+		l.messages = s.fleet.streams.received
+		l.exchanges = s.fleet.exchangeInputs
 	}
 	for {
 		l.inputs = l.inputs[:0]
@@ -46,30 +46,30 @@
 
 // await waits for the first input of a step, or for the time of the next one.
 func (l *eventLoop) await() error {
-	s := l.s
+	s := l.server
 	select {
 	case <-s.ctx.Done():
 		return s.ctx.Err()
 	case <-l.timer.C: // a reply that lies unread after a pause must not count as one that never came
-		if now, _ := s.clock.Now(); now-l.wakeAt > int64(stoodStill) {
-			time.Sleep(catchUp)
+		if now, _ := s.clock.Now(); now-l.wakeAt > int64(pauseThreshold) {
+			time.Sleep(pauseGracePeriod)
 		}
-	case in := <-s.heard:
-		l.inputs = append(l.inputs, in)
 	case in := <-s.inputs:
 		l.inputs = append(l.inputs, in)
+	case in := <-s.dispatcherInputs:
+		l.inputs = append(l.inputs, in)
 	case m := <-l.datagrams:
 		l.inputs = append(l.inputs, m.input())
 	case in := <-l.exchanges:
 		l.inputs = append(l.inputs, in)
 	case m := <-l.messages:
 		l.inputs = append(l.inputs, m.input())
-	case <-l.notice:
-		l.notice = nil
+	case <-l.drainRequests:
+		l.drainRequests = nil
 		l.inputs = append(l.inputs, node.Input{Kind: node.DrainRequested})
-	case <-s.abort:
+	case <-s.abortRequests:
 		l.inputs = append(l.inputs, node.Input{Kind: node.AbortRequested})
-	case next := <-s.reload:
+	case next := <-s.reloadRequests:
 		l.inputs = append(l.inputs, s.reloadInput(next))
 	}
 	return nil
@@ -77,66 +77,66 @@
 
 // reloadInput is the input for another config; the fields that a running node doesn't take are logged.
 func (s *Server) reloadInput(next *Config) node.Input {
-	for _, field := range s.config.differs(next) {
+	for _, field := range s.config.changedFields(next) {
 		s.log.Warn().Str("field", field).Msg("configuration: a new value here takes a new start")
 	}
-	return node.Input{Kind: node.ReloadRequested, Addresses: next.peers(), Plan: next.Levels}
+	return node.Input{Kind: node.ReloadRequested, Addresses: next.addresses(), Plan: next.Levels}
 }
 
 // takeQueued adds the inputs that wait, up to a bound for each queue.
 func (l *eventLoop) takeQueued() {
-	l.inputs = takeAll(l.inputs, l.s.heard, inputsAStep)
-	l.inputs = takeAll(l.inputs, l.s.inputs, inputsAStep)
-	if l.s.peers != nil {
-		l.inputs = l.s.peers.take(l.inputs)
+	l.inputs = appendQueued(l.inputs, l.server.inputs, maxInputsPerStep)
+	l.inputs = appendQueued(l.inputs, l.server.dispatcherInputs, maxInputsPerStep)
+	if l.server.fleet != nil {
+		l.inputs = l.server.fleet.appendQueued(l.inputs)
 	}
 }
 
 // step gives the inputs to the state machine and carries out its effects.
 func (l *eventLoop) step() error {
-	s := l.s
+	s := l.server
 	now, wall := s.clock.Now()
 	l.wakeAt = math.MaxInt64
 	effects := s.state.Step(now, wall, l.inputs)
-	if after, _ := s.clock.Now(); after-now > s.longest {
-		s.longest = after - now
+	if after, _ := s.clock.Now(); after-now > s.longestStep {
+		s.longestStep = after - now
 	}
 	for _, e := range effects {
 		switch e.Kind {
 		case node.SetWakeup:
 			l.wakeAt = e.At
 		case node.Exit:
-			s.leave()
-			return errLeft
+			s.logAndFlush()
+			return errDrained
 		default:
-			s.carry(&e)
+			s.apply(&e)
 		}
 	}
-	s.forget(l.inputs)
-	s.conns.taken(l.inputs)
+	s.forgetEndedLinks(l.inputs)
+	s.conns.releaseFrames(l.inputs)
 	clear(l.inputs)
 	s.conns.flush()
 	l.timer.Reset(time.Duration(max(0, l.wakeAt-now)))
 	return nil
 }
 
-// leave logs the counters of a drained node and writes out what is still queued.
-func (s *Server) leave() {
+// logAndFlush logs the counters of a drained node and writes out what is still queued.
+func (s *Server) logAndFlush() {
 	s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.Levels()).
-		Interface("results", s.state.Results()).Interface("peers", s.peerCounts()).
+		Interface("results", s.state.Results()).Interface("peers", s.fleetCounters()).
 		Interface("claims", s.state.Claims()).Interface("configuration", s.state.ConfigSyncState()).
 		Interface("did_not_hold", s.state.Invariants.All()).Msg("drained, leaving")
 	s.conns.flushAll()
-	if s.peers != nil {
-		s.peers.flush()
+	if s.fleet != nil {
+		s.fleet.flush()
 	}
 }
 
-// takeAll takes what waits, up to so many.
-func takeAll(inputs []node.Input, from chan node.Input, most int) []node.Input {
-	for range most {
+// appendQueued takes what waits, up to so many.
+func appendQueued(inputs []node.Input, queue chan node.Input, limit int) []node.Input {
+	for range limit {
 		select {
-		case in := <-from:
+		case in := <-queue:
 			inputs = append(inputs, in)
 		default:
 			return inputs
@@ -145,8 +145,8 @@
 	return inputs
 }
 
-// forget drops the links that ended.
-func (s *Server) forget(inputs []node.Input) {
+// forgetEndedLinks drops the links that ended.
+func (s *Server) forgetEndedLinks(inputs []node.Input) {
 	for i := range inputs {
 		switch inputs[i].Kind {
 		case node.ExecutorDisconnected, node.CatalogueDialFailed, node.CatalogueDisconnected:
--- a/server/server.go
+++ b/server/server.go
@@ -25,92 +25,92 @@
 )
 
 const (
-	inputsWaiting = 512                   // inputs of dispatchers that may wait for the reducer; then their readers wait
-	heardWaiting  = 256                   // the same of the node's own peers
-	inputsAStep   = 256                   // inputs of each taken in one step, so that effects of the first are not held up
-	memoryPart    = 0.6                   // of the memory limit that the runtime aims at; the rest is for stacks and the kernel
-	inServiceGC   = 40                    // % that the heap may grow between collections, of some ms, where the configuration is taken in service
-	ownFiles      = 14                    // descriptors of the node itself: files, listening socket, executor link, two reports
-	linkPart      = 8                     // part of the descriptors for links to the catalogue: one for each call in hand
-	linkLeast     = 4                     // of them where the limit is low
-	closingPart   = 16                    // part of the descriptors for connections that wait for their peer's end
-	closingLeast  = 4                     // of them where the limit is low
-	listenFor     = 25 * time.Second      // for the last life of the node to give its address up: 30 s are given to be ready
-	listenAgain   = 50 * time.Millisecond // between tries at it
-	stoodStill    = 20 * time.Millisecond // past its time, a timer tells of a process that did not run
-	catchUp       = 2 * time.Millisecond  // for the readers to bring what came meanwhile, before time-outs count
-	councilSeed   = 0x636f756e63696c      // told apart from the node's other sources of chance
-	remarksOnce   = 100                   // lines logged in a second of what peers cause; more are dropped
+	maxQueuedDispatcherInputs = 512                   // inputs of dispatchers that may wait for the reducer; then their readers wait
+	maxQueuedInputs           = 256                   // the same of the node's own peers
+	maxInputsPerStep          = 256                   // inputs of each taken in one step, so that effects of the first are not held up
+	memoryLimitShare          = 0.6                   // of the memory limit that the runtime aims at; the rest is for stacks and the kernel
+	inServiceGCPercent        = 40                    // % that the heap may grow between collections, of some ms, where the configuration is taken in service
+	reservedDescriptors       = 14                    // descriptors of the node itself: files, listening socket, executor link, two reports
+	linkDescriptorDivisor     = 8                     // part of the descriptors for links to the catalogue: one for each call in hand
+	minLinkDescriptors        = 4                     // of them where the limit is low
+	closingDescriptorDivisor  = 16                    // part of the descriptors for connections that wait for their peer's end
+	minClosingDescriptors     = 4                     // of them where the limit is low
+	listenTimeout             = 25 * time.Second      // for the last life of the node to give its address up: 30 s are given to be ready
+	listenBackoff             = 50 * time.Millisecond // between tries at it
+	pauseThreshold            = 20 * time.Millisecond // past its time, a timer tells of a process that did not run
+	pauseGracePeriod          = 2 * time.Millisecond  // for the readers to bring what came meanwhile, before time-outs count
+	consensusSeed             = 0x636f756e63696c      // told apart from the node's other sources of chance
+	maxLogLinesPerSecond      = 100                   // lines logged in a second of what peers cause; more are dropped
 )
 
-// errLeft ends a node that is drained.
-var errLeft = errors.New("server: drained")
+// errDrained ends a node that is drained.
+var errDrained = errors.New("server: drained")
 
 // Server is one node.
 type Server struct {
-	config  *Config
-	log     zerolog.Logger
-	limited zerolog.Logger // for what peers can cause any number of times
-	clock   Clock
-	state   *node.StateMachine
-	inputs  chan node.Input // of dispatchers
-	heard   chan node.Input // of the node's own peers; they never wait behind dispatchers
-	notice  chan struct{}
-	abort   chan struct{}
-	reload  chan *Config
-	ctx     context.Context
-	group   *errgroup.Group
+	config           *Config
+	log              zerolog.Logger
+	limitedLog       zerolog.Logger // for what peers can cause any number of times
+	clock            Clock
+	state            *node.StateMachine
+	dispatcherInputs chan node.Input // of dispatchers
+	inputs           chan node.Input // of the node's own peers; they never wait behind dispatchers
+	drainRequests    chan struct{}
+	abortRequests    chan struct{}
+	reloadRequests   chan *Config
+	ctx              context.Context
+	group            *errgroup.Group
 
-	peers    *peering  // nil without a fleet
-	kept     *keeping  // nil without a store
-	seat     *seatDisk // nil without a seat that keeps what it knows
-	listener *net.TCPListener
+	fleet       *fleetSockets   // nil without a fleet
+	resultStore *resultStore    // nil without a store
+	replica     *replicaStorage // nil without a seat that keeps what it knows
+	listener    *net.TCPListener
 
-	configuration *configurationDisk // nil where no version is kept
-	longest       int64              // ns of the longest step of the reducer since a version came into force, by the clock
+	configStorage *configStorage // nil where no version is kept
+	longestStep   int64          // ns of the longest step of the reducer since a version came into force, by the clock
 
-	conns     *connections
-	links     map[int]*link // only the loop's
-	reporter  http.Client
-	calls     chan struct{} // one for each descriptor that a link to the catalogue may have
-	endReport context.CancelFunc
+	conns          *connections
+	links          map[int]*link // only the loop's
+	reportClient   http.Client
+	catalogueSlots chan struct{} // one for each descriptor that a link to the catalogue may have
+	cancelReport   context.CancelFunc
 }
 
 // New makes a node that Run starts. What a logger and a clock are handed in for is the embedder's to choose.
 func New(config *Config, log zerolog.Logger, clock Clock) *Server {
-	limited := log.Sample(&zerolog.BurstSampler{Burst: remarksOnce, Period: time.Second})
-	waiting := inputsWaiting
+	limited := log.Sample(&zerolog.BurstSampler{Burst: maxLogLinesPerSecond, Period: time.Second})
+	maxQueued := maxQueuedDispatcherInputs
 	if config.Hollow != nil { // it listens to no dispatcher
-		waiting = 0
+		maxQueued = 0
 	}
-	s := &Server{config: config, log: log, limited: limited, clock: clock, inputs: make(chan node.Input, waiting),
-		heard: make(chan node.Input, heardWaiting), notice: make(chan struct{}, 1), abort: make(chan struct{}, 1),
-		reload: make(chan *Config, 1), links: make(map[int]*link), endReport: func() {}, reporter: newReporter()}
-	connections, spare, links := config.shares()
-	s.calls = make(chan struct{}, links)
-	s.state = node.NewStateMachine(config.Settings, config.peers(), int64(config.StopMS*1e6), connections, links)
-	s.state.SpareConnections = spare - 1 // the last place is for the next one to be accepted
+	s := &Server{config: config, log: log, limitedLog: limited, clock: clock, dispatcherInputs: make(chan node.Input, maxQueued),
+		inputs: make(chan node.Input, maxQueuedInputs), drainRequests: make(chan struct{}, 1), abortRequests: make(chan struct{}, 1),
+		reloadRequests: make(chan *Config, 1), links: make(map[int]*link), cancelReport: func() {}, reportClient: newReportClient()}
+	connections, closing, links := config.descriptorShares()
+	s.catalogueSlots = make(chan struct{}, links)
+	s.state = node.NewStateMachine(config.Settings, config.addresses(), int64(config.StopMS*1e6), connections, links)
+	s.state.SpareConnections = closing - 1 // the last place is for the next one to be accepted
 	if h := config.Hollow; h != nil {
 		s.state.MakeHollow(h.Counters, h.OnlySeat)
 	}
 	if config.Fleet != nil {
-		s.join(config.Fleet)
+		s.joinFleet(config.Fleet)
 	}
 	if config.Keep == nil && config.Hollow == nil {
 		config.Keep = cacheconfig.Default(config.Settings.Node.Operations, config.MemoryMB)
 	}
-	convened := config.Fleet != nil && config.Fleet.Council != nil
+	hasConsensus := config.Fleet != nil && config.Fleet.Council != nil
 	if k := config.Keep; k != nil {
 		rules := k.Cache
-		if convened { // what the council agrees on takes the place of the disk
+		if hasConsensus { // what the council agrees on takes the place of the disk
 			rules.Durability, rules.OnStoreFailure = resultcache.OnDisk, resultcache.RejectOnStoreFailure
 		}
 		s.state.EnableResultCache(rules, k.Field, k.Folder != "")
 	}
-	if convened {
+	if hasConsensus {
 		now, _ := s.clock.Now()
 		c := config.Fleet.Council
-		s.state.EnableConsensus(c.Seats, c.Bytes, now, config.Settings.Node.Seed^councilSeed)
+		s.state.EnableConsensus(c.Seats, c.Bytes, now, config.Settings.Node.Seed^consensusSeed)
 		if c.Calls != nil {
 			s.state.EnableQuota(*c.Calls, c.Version)
 		}
@@ -121,7 +121,7 @@
 // Drain is the notice to drain: Run returns once the drain is over. Only this drains.
 func (s *Server) Drain() {
 	select {
-	case s.notice <- struct{}{}:
+	case s.drainRequests <- struct{}{}:
 	default:
 	}
 }
@@ -129,7 +129,7 @@
 // Abort ends a drain early, and starts one where none is: what is in hand is aborted and answered, then Run returns.
 func (s *Server) Abort() {
 	select {
-	case s.abort <- struct{}{}:
+	case s.abortRequests <- struct{}{}:
 	default:
 	}
 }
@@ -137,13 +137,13 @@
 // Reload goes on with the peers' addresses and the levels of another config, at any time of the node's life. All
 // else in it takes a new start; what differs there is logged.
 func (s *Server) Reload(next *Config) {
-	light := *next
-	light.Settings = nil // by far the most of it, and not taken
+	reduced := *next
+	reduced.Settings = nil // by far the most of it, and not taken
 	for {
 		select {
-		case s.reload <- &light:
+		case s.reloadRequests <- &reduced:
 			return
-		case <-s.reload: // an older one that was not taken yet
+		case <-s.reloadRequests: // an older one that was not taken yet
 		}
 	}
 }
@@ -152,14 +152,14 @@
 // the item that is unsound by itself, and nothing is changed.
 func (s *Server) Amend(version uint64, items []nodeconfig.Item) error {
 	change, err := nodeconfig.Parse(items)
-	if err == nil && !s.tell(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
-		err = errLeft
+	if err == nil && !s.enqueueInput(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
+		err = errDrained
 	}
 	return err
 }
 
-// amended tells of a version that is in force, or was refused.
-func (s *Server) amended(e *node.Effect) {
+// logVersionResult tells of a version that is in force, or was refused.
+func (s *Server) logVersionResult(e *node.Effect) {
 	if e.Err != nil {
 		s.log.Warn().Uint64("version", e.Version).Err(e.Err).Msg("configuration: the version can't be taken, the one of before stays")
 		return
@@ -167,36 +167,36 @@
 	s.log.Info().Uint64("version", e.Version).Msg("configuration: the version is in force, " + e.Text)
 }
 
-// shares says how the descriptors are parted: among dispatchers' connections, those of them that are about to
+// descriptorShares says how the descriptors are parted: among dispatchers' connections, those of them that are about to
 // close, and links to the catalogue.
-func (n *Config) shares() (connections, closing, links int) {
-	links, closing = max(linkLeast, n.Sockets/linkPart), max(closingLeast, n.Sockets/closingPart)
-	connections = n.Sockets - ownFiles - links - closing
-	if n.Fleet != nil {
-		connections -= peerFiles + n.streamsMost()
+func (c *Config) descriptorShares() (connections, closing, links int) {
+	links, closing = max(minLinkDescriptors, c.Sockets/linkDescriptorDivisor), max(minClosingDescriptors, c.Sockets/closingDescriptorDivisor)
+	connections = c.Sockets - reservedDescriptors - links - closing
+	if c.Fleet != nil {
+		connections -= fleetDescriptors + c.maxStreams()
 	}
 	return max(1, connections), closing, links
 }
 
-// streamsMost is how many streams to peers the node may have.
-func (n *Config) streamsMost() int {
+// maxStreams is how many streams to peers the node may have.
+func (c *Config) maxStreams() int {
 	switch {
-	case n.Fleet == nil || n.Fleet.Council == nil:
+	case c.Fleet == nil || c.Fleet.Council == nil:
 		return 0
-	case slices.Contains(n.Fleet.Council.Seats, n.Name):
-		return min(streamsSeat, n.Fleet.Terms.MaxMembers, max(streamsOther, n.Sockets/4))
+	case slices.Contains(c.Fleet.Council.Seats, c.Name):
+		return min(maxReplicaStreams, c.Fleet.Terms.MaxMembers, max(maxNodeStreams, c.Sockets/4))
 	}
-	return streamsOther
+	return maxNodeStreams
 }
 
 // Limit tells the runtime of the cores and memory that the config allows, for programs that are nothing
 // but this node. Where the configuration is taken in service, most of the heap are tables that live on: with the usual growth as
 // much again would be garbage.
-func (n *Config) Limit() {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.Cores))))
-	debug.SetMemoryLimit(int64(memoryPart * float64(n.MemoryMB) * (1 << 20)))
-	if n.Fleet != nil && n.Fleet.Configuration != nil {
-		debug.SetGCPercent(inServiceGC)
+func (c *Config) Limit() {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.MemoryMB) * (1 << 20)))
+	if c.Fleet != nil && c.Fleet.Configuration != nil {
+		debug.SetGCPercent(inServiceGCPercent)
 	}
 }
 
@@ -206,7 +206,7 @@
 
 // listen waits no longer than ctx and the notice to drain: a node that nobody could reach owes nothing.
 func (s *Server) listen(ctx context.Context) error {
-	for end := time.Now().Add(listenFor); ; {
+	for end := time.Now().Add(listenTimeout); ; {
 		listener, err := net.Listen("tcp", s.config.Listen)
 		if err == nil {
 			s.listener = listener.(*net.TCPListener)
@@ -216,9 +216,9 @@
 			return fmt.Errorf("server: %w", err)
 		}
 		select {
-		case <-time.After(listenAgain):
-		case <-s.notice:
-			return errLeft
+		case <-time.After(listenBackoff):
+		case <-s.drainRequests:
+			return errDrained
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -231,7 +231,7 @@
 		return s.runHollow(ctx)
 	}
 	if s.listener == nil {
-		if err := s.listen(ctx); errors.Is(err, errLeft) {
+		if err := s.listen(ctx); errors.Is(err, errDrained) {
 			return nil
 		} else if err != nil {
 			return err
@@ -243,34 +243,34 @@
 			return errors.New("keep: a folder and the fleet's council can't both keep results; leave out durability and folder, or the council")
 		}
 		var err error
-		if s.kept, err = openKept(s, k); err != nil {
+		if s.resultStore, err = openResultStore(s, k); err != nil {
 			s.listener.Close()
 			return err
 		}
 	}
-	if err := s.takeDisks(); err != nil {
+	if err := s.openStorage(); err != nil {
 		s.listener.Close()
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	s.group, s.ctx = group, ctx
 	s.conns = newConnections(s)
-	context.AfterFunc(ctx, s.close)
+	context.AfterFunc(ctx, s.closeSockets)
 	s.log.Info().Str("name", s.config.Name).Stringer("listen", s.Addr()).Msg("listening")
 	group.Go(func() error { return s.conns.accept() })
-	if s.peers != nil {
-		if err := s.peers.run(); err != nil {
+	if s.fleet != nil {
+		if err := s.fleet.start(); err != nil {
 			s.listener.Close()
-			s.closeDisks()
+			s.closeStorage()
 			return err
 		}
 	}
-	s.runDisks()
-	if s.kept != nil {
-		group.Go(func() error { s.kept.run(); return nil })
+	s.runStorage()
+	if s.resultStore != nil {
+		group.Go(func() error { s.resultStore.run(); return nil })
 	}
 	group.Go(func() error { return s.loop() })
-	if err := group.Wait(); !errors.Is(err, errLeft) {
+	if err := group.Wait(); !errors.Is(err, errDrained) {
 		return err
 	}
 	return nil
@@ -279,20 +279,20 @@
 // Addr is where dispatchers connect, once the node listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-func (s *Server) close() {
+func (s *Server) closeSockets() {
 	s.listener.Close()
 	s.conns.closeAll()
 }
 
-// put hands an input of a dispatcher to the reducer; false tells that the node has ended.
-func (s *Server) put(in node.Input) bool { return s.hand(s.inputs, in) }
+// enqueueDispatcherInput hands an input of a dispatcher to the reducer; false tells that the node has ended.
+func (s *Server) enqueueDispatcherInput(in node.Input) bool { return s.enqueue(s.dispatcherInputs, in) }
 
-// tell hands on one of the node's own peers.
-func (s *Server) tell(in node.Input) bool { return s.hand(s.heard, in) }
+// enqueueInput hands on one of the node's own peers.
+func (s *Server) enqueueInput(in node.Input) bool { return s.enqueue(s.inputs, in) }
 
-func (s *Server) hand(to chan node.Input, in node.Input) bool {
+func (s *Server) enqueue(queue chan node.Input, in node.Input) bool {
 	select {
-	case to <- in:
+	case queue <- in:
 		return true
 	case <-s.ctx.Done():
 		return false
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -47,27 +47,27 @@
 	}
 }
 
-// wire is what the settings call things at a site.
-type wire struct {
+// siteVocabulary is what the settings call things at a site.
+type siteVocabulary struct {
 	Init struct{ Rename, Words map[string]string }
 }
 
-func (w *wire) name(s string) string {
+func (w *siteVocabulary) name(s string) string {
 	if renamed, ok := w.Init.Rename[s]; ok {
 		return renamed
 	}
 	return s
 }
 
-func (w *wire) word(s string) string {
+func (w *siteVocabulary) word(s string) string {
 	if word, ok := w.Init.Words[s]; ok {
 		return word
 	}
 	return s
 }
 
-// configurationOf is that of a node of a site, in the site's own words.
-func configurationOf(t *testing.T, s *site, w *wire) []byte {
+// siteConfig is that of a node of a site, in the site's own words.
+func siteConfig(t *testing.T, s *site, w *siteVocabulary) []byte {
 	var classes, tenants []any
 	var calls []bool
 	for k, c := range s.Classes {
@@ -94,8 +94,8 @@
 }
 
 // The variants of other customers load through our own decoder: nothing of one deployment is known to the program.
-func TestSitesOfOtherCustomersLoad(t *testing.T) {
-	var w wire
+func TestSiteConfigsLoad(t *testing.T) {
+	var w siteVocabulary
 	text, err := os.ReadFile(filepath.Join(sites, "wire.json"))
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &w))
@@ -108,10 +108,10 @@
 		require.NoError(t, err)
 		var s site
 		require.NoError(t, toml.Unmarshal(text, &s), file)
-		text = configurationOf(t, &s, &w)
+		text = siteConfig(t, &s, &w)
 		n, err := ReadConfig(text)
 		require.NoError(t, err, file)
-		sameConfig(t, text, n)
+		requireSameConfig(t, text, n)
 		config := n.Settings
 		require.Equal(t, len(s.Classes), config.Operations.Len(), file)
 		assert.Equal(t, len(s.Tenants), config.Tenants.Len(), file)
@@ -127,14 +127,14 @@
 			assert.Equal(t, int32(k), i, c.Name)
 			effects[op.Idempotency]++
 		}
-		New(n, quiet, SystemClock())
+		New(n, nopLogger, SystemClock())
 	}
 	assert.Positive(t, effects[admission.IdempotentWithKey], "one has repeats that are dropped")
 	assert.Positive(t, effects[admission.NonIdempotent], "one has calls that may be repeated only if known not to have run")
 }
 
 // What dispatchers call the fields that are read is what the sites say.
-func TestFieldsAreNamedAsTheSitesSay(t *testing.T) {
+func TestFieldNamesMatchSites(t *testing.T) {
 	var real struct{ Serve struct{ F map[string]string } }
 	text, err := os.ReadFile(filepath.Join(sites, "real.json"))
 	require.NoError(t, err)
