--- a/server/effects.go
+++ b/server/effects.go
@@ -1,11 +1,25 @@
 package server
 
 import (
+	"fmt"
+
 	"github.com/rs/zerolog"
 
+	"topazpost/internal/fleet/membership"
 	"topazpost/internal/node"
 )
 
+// logVersionInForce tells of a version that came into force.
+func (s *Server) logVersionInForce(v *node.VersionInForce) {
+	line := s.log.Info().Uint64("version", v.Mark.Version).Stringer("digest", v.Mark.Digest).Str("source", v.Source)
+	if v.Source == "fleet" {
+		line = line.Uint64("after", v.After).Bool("first_stage", v.First).Float64("took_s", seconds(v.TookNS))
+	}
+	line = line.Float64("longest_step_ms", float64(s.longestStep)/1e6) // since the line before
+	s.longestStep = 0
+	line.Int("added", v.Added).Int("changed", v.Changed).Int("removed", v.Removed).Msg("configuration in force")
+}
+
 // apply carries out one effect of the state machine.
 func (s *Server) apply(e *node.Effect) {
 	switch {
@@ -123,3 +137,29 @@
 	}
 	line.Msg(e.Text)
 }
+
+// logViewChange logs a change of the view; membership bounds how often it can come.
+func (s *Server) logViewChange(c *membership.Change) {
+	if h := s.config.Hollow; h != nil && h.Changed != nil {
+		h.Changed(c)
+		return
+	}
+	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.CauseNames[c.Cause]).Str("who", c.Who).
+		Uint64("incarnation", c.Incarnation).Int("size", c.Size).Str("view", fmt.Sprintf("%016x", c.Hash))
+	if c.ReportedBy != "" && c.ReportedBy != c.Who {
+		line = line.Str("word", c.ReportedBy)
+	}
+	if c.After > 0 {
+		line = line.Float64("after_s", seconds(c.After))
+	}
+	line.Msg("view changed")
+}
+
+// logVersionResult tells of a version that is in force, or was refused.
+func (s *Server) logVersionResult(e *node.Effect) {
+	if e.Err != nil {
+		s.log.Warn().Uint64("version", e.Version).Err(e.Err).Msg("configuration: the version can't be taken, the one of before stays")
+		return
+	}
+	s.log.Info().Uint64("version", e.Version).Msg("configuration: the version is in force, " + e.Text)
+}
--- a/server/framereader.go
+++ b/server/framereader.go
@@ -9,6 +9,56 @@
 	"topazpost/internal/protocol/frame"
 )
 
+// Why a connection is read no further.
+var (
+	errPartialFrame   = errors.New("a frame was not brought to its end")
+	errInputDiscarded = errors.New("nothing on it can be used")
+	errClosedLocally  = errors.New("closed by this node")
+)
+
+// read gives the reducer all that comes, until it can't be parsed or is of no use; then it only looks for the end. A
+// close over bytes that lie unread would reset the connection, and take answers with it that are on their way.
+func (c *connections) read(k *connection) {
+	err := c.readFrames(k)
+	if unusable := errors.Is(err, frame.ErrLength) || errors.Is(err, errPartialFrame); unusable || errors.Is(err, errInputDiscarded) {
+		if unusable {
+			c.server.enqueueDispatcherInput(node.Input{Kind: node.FrameMalformed, Link: k.link, Err: err})
+		}
+		k.mu.Lock()
+		k.dead = true
+		k.mu.Unlock()
+		k.clearReadDeadline()
+		err = c.discard(k)
+	} else if errors.Is(err, errClosedLocally) {
+		err = c.discard(k)
+	}
+	c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionClosed, Link: k.link, Err: err})
+	c.release(k)
+}
+
+// discard reads slowly on to the peer's end, or to lingerWait after this side was closed. Nothing of it is run: it
+// could not be answered.
+func (c *connections) discard(k *connection) error {
+	space := make([]byte, discardReadSize)
+	for {
+		k.mu.Lock()
+		ended, noLinger := k.writeClosed, k.noLinger
+		k.mu.Unlock()
+		if ended && noLinger {
+			return errClosedLocally
+		}
+		_, err := k.conn.Read(space)
+		switch {
+		case err == nil:
+			time.Sleep(discardInterval)
+		case errors.Is(err, os.ErrDeadlineExceeded) && !ended:
+			k.tryCloseWrite()
+		default:
+			return err
+		}
+	}
+}
+
 // frameReader reads the frames of one connection. Its deadlines bound how long a frame that has begun may stay incomplete.
 type frameReader struct {
 	connections *connections
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"net"
-	"net/netip"
 
 	"golang.org/x/sync/errgroup"
 
@@ -15,13 +14,6 @@
 // StreamMark is what a stream begins with, in the place of the length that an exchange begins with, little-endian.
 const StreamMark = streamMagic
 
-// Datagrams are the socket of a node for its peers' datagrams.
-type Datagrams interface {
-	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
-	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
-	Close() error
-}
-
 // Wire stands between a hollow node and its sockets, for cuts, loss and counts of the laboratory.
 type Wire interface {
 	Datagrams(Datagrams) Datagrams
--- a/server/loop.go
+++ b/server/loop.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"errors"
 	"math"
 	"time"
 
@@ -154,3 +155,21 @@
 		}
 	}
 }
+
+// errDrained ends a node that is drained.
+var errDrained = errors.New("server: drained")
+
+// enqueueDispatcherInput hands an input of a dispatcher to the reducer; false tells that the node has ended.
+func (s *Server) enqueueDispatcherInput(in node.Input) bool { return s.enqueue(s.dispatcherInputs, in) }
+
+// enqueueInput hands on one of the node's own peers.
+func (s *Server) enqueueInput(in node.Input) bool { return s.enqueue(s.inputs, in) }
+
+func (s *Server) enqueue(queue chan node.Input, in node.Input) bool {
+	select {
+	case queue <- in:
+		return true
+	case <-s.ctx.Done():
+		return false
+	}
+}
--- a/server/resultstore.go
+++ b/server/resultstore.go
@@ -4,8 +4,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
-	"syscall"
 	"time"
 
 	"topazpost/internal/node"
@@ -35,19 +33,6 @@
 	recovered []segmentstore.Record
 }
 
-// LockStore keeps a folder from any other node, and from commands that write to it, until unlock.
-func LockStore(folder string) (unlock func(), err error) {
-	lock, err := os.OpenFile(filepath.Join(folder, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
-	}
-	if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
-		return nil, fmt.Errorf("store: %s is in use by a node, or by another command; stop that first", folder)
-	}
-	return func() { lock.Close() }, nil
-}
-
 // openResultStore opens the store of a node, locked against any other.
 func openResultStore(s *Server, config *cacheconfig.Config) (*resultStore, error) {
 	k := &resultStore{server: s, config: config, startedAt: time.Now(), queue: make(chan *resultcache.Record, maxQueuedRecords)}
--- a/server/server.go
+++ b/server/server.go
@@ -6,12 +6,8 @@
 	"context"
 	"errors"
 	"fmt"
-	"math"
 	"net"
 	"net/http"
-	"runtime"
-	"runtime/debug"
-	"slices"
 	"syscall"
 	"time"
 
@@ -43,9 +39,6 @@
 	maxLogLinesPerSecond      = 100                   // lines logged in a second of what peers cause; more are dropped
 )
 
-// errDrained ends a node that is drained.
-var errDrained = errors.New("server: drained")
-
 // Server is one node.
 type Server struct {
 	config           *Config
@@ -158,48 +151,6 @@
 	return err
 }
 
-// logVersionResult tells of a version that is in force, or was refused.
-func (s *Server) logVersionResult(e *node.Effect) {
-	if e.Err != nil {
-		s.log.Warn().Uint64("version", e.Version).Err(e.Err).Msg("configuration: the version can't be taken, the one of before stays")
-		return
-	}
-	s.log.Info().Uint64("version", e.Version).Msg("configuration: the version is in force, " + e.Text)
-}
-
-// descriptorShares says how the descriptors are parted: among dispatchers' connections, those of them that are about to
-// close, and links to the catalogue.
-func (c *Config) descriptorShares() (connections, closing, links int) {
-	links, closing = max(minLinkDescriptors, c.Sockets/linkDescriptorDivisor), max(minClosingDescriptors, c.Sockets/closingDescriptorDivisor)
-	connections = c.Sockets - reservedDescriptors - links - closing
-	if c.Fleet != nil {
-		connections -= fleetDescriptors + c.maxStreams()
-	}
-	return max(1, connections), closing, links
-}
-
-// maxStreams is how many streams to peers the node may have.
-func (c *Config) maxStreams() int {
-	switch {
-	case c.Fleet == nil || c.Fleet.Council == nil:
-		return 0
-	case slices.Contains(c.Fleet.Council.Seats, c.Name):
-		return min(maxReplicaStreams, c.Fleet.Terms.MaxMembers, max(maxNodeStreams, c.Sockets/4))
-	}
-	return maxNodeStreams
-}
-
-// Limit tells the runtime of the cores and memory that the config allows, for programs that are nothing
-// but this node. Where the configuration is taken in service, most of the heap are tables that live on: with the usual growth as
-// much again would be garbage.
-func (c *Config) Limit() {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.MemoryMB) * (1 << 20)))
-	if c.Fleet != nil && c.Fleet.Configuration != nil {
-		debug.SetGCPercent(inServiceGCPercent)
-	}
-}
-
 // Listen opens the listening socket, for programs that want to know its address before Run. An address that is
 // still in use is tried again for a while: the node's last life may not have ended to the full.
 func (s *Server) Listen() error { return s.listen(context.Background()) }
@@ -283,18 +234,3 @@
 	s.listener.Close()
 	s.conns.closeAll()
 }
-
-// enqueueDispatcherInput hands an input of a dispatcher to the reducer; false tells that the node has ended.
-func (s *Server) enqueueDispatcherInput(in node.Input) bool { return s.enqueue(s.dispatcherInputs, in) }
-
-// enqueueInput hands on one of the node's own peers.
-func (s *Server) enqueueInput(in node.Input) bool { return s.enqueue(s.inputs, in) }
-
-func (s *Server) enqueue(queue chan node.Input, in node.Input) bool {
-	select {
-	case queue <- in:
-		return true
-	case <-s.ctx.Done():
-		return false
-	}
-}
