--- a/server/loop.go
+++ b/server/loop.go
@@ -8,6 +8,16 @@
 	"topazpost/internal/node"
 )
 
+const (
+	maxInputsPerStep = 256 // of each queue, so that the effects of the first input aren't delayed
+
+	pauseThreshold   = 20 * time.Millisecond // a timer that fires later than this shows that the process did not run
+	pauseGracePeriod = 2 * time.Millisecond  // for readers to deliver what arrived during a pause, before timeouts count
+)
+
+// errDrained ends a node that is drained.
+var errDrained = errors.New("server: drained")
+
 // eventLoop feeds the state machine; its goroutine is the only one in which the state changes.
 type eventLoop struct {
 	server        *Server
@@ -133,7 +143,7 @@
 	}
 }
 
-// appendQueued takes what waits, up to so many.
+// appendQueued appends the inputs that are queued, up to the limit.
 func appendQueued(inputs []node.Input, queue chan node.Input, limit int) []node.Input {
 	for range limit {
 		select {
@@ -146,7 +156,7 @@
 	return inputs
 }
 
-// forgetEndedLinks drops the links that ended.
+// forgetEndedLinks removes the links that have ended.
 func (s *Server) forgetEndedLinks(inputs []node.Input) {
 	for i := range inputs {
 		switch inputs[i].Kind {
@@ -156,13 +166,10 @@
 	}
 }
 
-// errDrained ends a node that is drained.
-var errDrained = errors.New("server: drained")
-
-// enqueueDispatcherInput hands an input of a dispatcher to the reducer; false tells that the node has ended.
+// enqueueDispatcherInput queues an input from a dispatcher; false means that the node has ended.
 func (s *Server) enqueueDispatcherInput(in node.Input) bool { return s.enqueue(s.dispatcherInputs, in) }
 
-// enqueueInput hands on one of the node's own peers.
+// enqueueInput queues an input from the node's own peers or disks; false means that the node has ended.
 func (s *Server) enqueueInput(in node.Input) bool { return s.enqueue(s.inputs, in) }
 
 func (s *Server) enqueue(queue chan node.Input, in node.Input) bool {
--- a/server/resultstore.go
+++ b/server/resultstore.go
@@ -13,67 +13,70 @@
 )
 
 const (
-	maxQueuedRecords     = 4_096            // records that may wait for the disk; more count as not written
-	maxRecordsPerBatch   = 256              // records in one group
-	maxRecoveredPerInput = 1_024            // records of an earlier life handed on at once
-	expireInterval       = 10 * time.Second // between looks for segments that are past their windows
-	lockFileName         = "lock"
+	maxQueuedRecords     = 4_096 // more count as not written
+	maxRecordsPerBatch   = 256
+	maxRecoveredPerInput = 1_024
+	expireInterval       = 10 * time.Second
 )
 
-var errRecordQueueFull = errors.New("too many records wait for the disk")
+var errRecordQueueFull = errors.New("result store: too many records wait for the disk")
 
-// resultStore writes records to the store, away from the loop: a slow disk holds up only what waits for it.
+// resultStore writes records to disk in a goroutine of its own, so that a slow disk delays only the calls that wait for it.
 type resultStore struct {
 	server    *Server
 	config    *cacheconfig.Config
-	startedAt time.Time // its clock starts from there, so that one that is set moves no window
+	startedAt time.Time // now counts from here, so that setting the wall clock moves no deduplication window
 	queue     chan *resultcache.Record
 	unlock    func()
 	log       *segmentstore.Log
 	recovered []segmentstore.Record
 }
 
-// openResultStore opens the store of a node, locked against any other.
-func openResultStore(s *Server, config *cacheconfig.Config) (*resultStore, error) {
-	k := &resultStore{server: s, config: config, startedAt: time.Now(), queue: make(chan *resultcache.Record, maxQueuedRecords)}
+// openResultStore opens the node's result store, where the config names a folder for it.
+func (s *Server) openResultStore() error {
+	config := s.config.Keep
+	if config == nil || config.Folder == "" || s.config.Hollow != nil {
+		return nil
+	}
+	if s.config.hasConsensus() {
+		return errors.New("keep: a folder and the fleet's council can't both keep results; leave out durability and folder, or the council")
+	}
 	if err := os.MkdirAll(config.Folder, 0o700); err != nil {
-		return nil, fmt.Errorf("store: %w", err)
+		return fmt.Errorf("store: %w", err)
 	}
-	var err error
-	if k.unlock, err = LockStore(config.Folder); err != nil {
-		return nil, err
+	unlock, err := LockStore(config.Folder)
+	if err != nil {
+		return err
 	}
-	var truncated []segmentstore.TruncatedTail
-	k.log, k.recovered, truncated, err = segmentstore.Open(segmentstore.Directory(config.Folder), config.Limits)
+	log, recovered, truncated, err := segmentstore.Open(segmentstore.Directory(config.Folder), config.Limits)
 	if err != nil {
-		k.unlock()
-		return nil, err
+		unlock()
+		return err
+	}
+	for _, t := range truncated {
+		s.log.Warn().Str("segment", t.Name).Int64("bytes", t.Bytes).Msg("a crash left this unfinished; nothing of it was acknowledged")
 	}
-	for _, d := range truncated {
-		s.log.Warn().Str("segment", d.Name).Int64("bytes", d.Bytes).Msg("a crash left this unfinished; nothing of it was acknowledged")
+	s.resultStore = &resultStore{
+		server:    s,
+		config:    config,
+		startedAt: time.Now(),
+		queue:     make(chan *resultcache.Record, maxQueuedRecords),
+		unlock:    unlock,
+		log:       log,
+		recovered: recovered,
 	}
-	k.log.RetainUntil(k.now() + config.Cache.Window)
-	return k, nil
+	log.RetainUntil(s.resultStore.now() + config.Cache.Window)
+	return nil
 }
 
-// now is Unix time as it was at the start, and what has passed since.
+// now is Unix time in nanoseconds: that of the start plus the time that has passed since.
 func (k *resultStore) now() int64 { return k.startedAt.UnixNano() + int64(time.Since(k.startedAt)) }
 
-// run gives what an earlier life kept, then writes until the node ends.
+// run passes on the recovered records, then writes until the node ends.
 func (k *resultStore) run() {
-	defer k.unlock()
-	for len(k.recovered) > 0 {
-		n := min(maxRecoveredPerInput, len(k.recovered))
-		var batch []resultcache.Record
-		for i := range k.recovered[:n] {
-			r := &k.recovered[i]
-			batch = append(batch, resultcache.Record{Key: resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token}, BodyHash: r.BodyHash,
-				Completed: r.Kind == segmentstore.RunEnded, Outcome: resultcache.Outcome(r.Outcome), Result: r.Result})
-		}
-		k.recovered = k.recovered[n:]
-		if !k.server.enqueueInput(node.Input{Kind: node.RecordsRecovered, Records: batch}) {
-			return
-		}
+	defer k.close()
+	if !k.passRecovered() {
+		return
 	}
 	k.server.enqueueInput(node.Input{Kind: node.RecoveryCompleted})
 	expire := time.NewTicker(expireInterval)
@@ -90,13 +93,63 @@
 			for range len(k.queue) {
 				k.writeBatch([]*resultcache.Record{<-k.queue})
 			}
-			k.log.Close()
 			return
 		}
 	}
 }
 
-// collectBatch waits a moment for more, so that they share the syncs.
+// close closes the store and unlocks its folder.
+func (k *resultStore) close() {
+	k.log.Close()
+	k.unlock()
+}
+
+// passRecovered gives the state machine the records of an earlier process; false means that the node has ended.
+func (k *resultStore) passRecovered() bool {
+	for len(k.recovered) > 0 {
+		n := min(maxRecoveredPerInput, len(k.recovered))
+		batch := make([]resultcache.Record, n)
+		for i := range batch {
+			batch[i] = cacheRecord(&k.recovered[i])
+		}
+		k.recovered = k.recovered[n:]
+		if !k.server.enqueueInput(node.Input{Kind: node.RecordsRecovered, Records: batch}) {
+			return false
+		}
+	}
+	return true
+}
+
+// cacheRecord converts a record as it is stored.
+func cacheRecord(r *segmentstore.Record) resultcache.Record {
+	return resultcache.Record{
+		Key:       resultcache.Key{Operation: r.Operation, Tenant: r.Tenant, Token: r.Token},
+		BodyHash:  r.BodyHash,
+		Completed: r.Kind == segmentstore.RunEnded,
+		Outcome:   resultcache.Outcome(r.Outcome),
+		Result:    r.Result,
+	}
+}
+
+// storeRecord converts a record for storage; now is the store's time.
+func storeRecord(r *resultcache.Record, now int64) segmentstore.Record {
+	stored := segmentstore.Record{
+		Kind:      segmentstore.RunStarted,
+		Operation: r.Key.Operation,
+		Tenant:    r.Key.Tenant,
+		Token:     r.Key.Token,
+		BodyHash:  r.BodyHash,
+		ExpiresAt: now + r.Remaining,
+	}
+	if r.Completed {
+		stored.Kind = segmentstore.RunEnded
+		stored.Outcome = uint8(r.Outcome)
+		stored.Result = r.Result
+	}
+	return stored
+}
+
+// collectBatch waits up to the batch window for more records, so that they share a sync.
 func (k *resultStore) collectBatch(first *resultcache.Record) []*resultcache.Record {
 	batch := []*resultcache.Record{first}
 	if k.config.Durability == cacheconfig.SyncEach {
@@ -115,31 +168,29 @@
 	return batch
 }
 
+// writeBatch writes records and reports the result to the state machine. A full store is retried once after expiry.
 func (k *resultStore) writeBatch(batch []*resultcache.Record) {
-	records := make([]segmentstore.Record, len(batch))
-	in := node.Input{Kind: node.RecordWritten}
 	now := k.now()
-	for i, s := range batch {
-		records[i] = segmentstore.Record{Kind: segmentstore.RunStarted, Operation: s.Key.Operation, Tenant: s.Key.Tenant, Token: s.Key.Token, BodyHash: s.BodyHash,
-			ExpiresAt: now + s.Remaining}
-		if s.Completed {
-			records[i].Kind, records[i].Outcome, records[i].Result = segmentstore.RunEnded, uint8(s.Outcome), s.Result
-		}
-		in.Records = append(in.Records, *s)
+	stored := make([]segmentstore.Record, len(batch))
+	in := node.Input{Kind: node.RecordWritten}
+	for i, r := range batch {
+		stored[i] = storeRecord(r, now)
+		in.Records = append(in.Records, *r)
 	}
-	err := k.log.Write(records, true)
+	err := k.log.Write(stored, true)
 	if errors.Is(err, segmentstore.ErrFull) {
 		if err = k.log.Expire(now); err == nil {
-			err = k.log.Write(records, true)
+			err = k.log.Write(stored, true)
 		}
 	}
 	if err != nil {
-		in.Kind, in.Err = node.RecordWriteFailed, err
+		in.Kind = node.RecordWriteFailed
+		in.Err = err
 	}
 	k.server.enqueueInput(in)
 }
 
-// enqueue hands a record to the writer; where too many wait it counts as not written.
+// enqueue queues a record for the writer; one that finds the queue full counts as not written.
 func (k *resultStore) enqueue(e *node.Effect) {
 	select {
 	case k.queue <- e.Record:
--- a/server/server.go
+++ b/server/server.go
@@ -1,5 +1,7 @@
-// Package server carries out what the reducer asks for: it is all of a node that touches sockets and clocks.
-// Other programs embed it by Run; it handles no signals and never exits the process.
+// Package server runs a node: it feeds the state machine of package node with what sockets, disks and clocks deliver, and
+// carries out its effects. It is the only part of a node that does I/O.
+//
+// Programs embed it with New and Run. It handles no signals and never exits the process.
 package server
 
 import (
@@ -21,68 +23,79 @@
 )
 
 const (
-	maxQueuedDispatcherInputs = 512                   // inputs of dispatchers that may wait for the reducer; then their readers wait
-	maxQueuedInputs           = 256                   // the same of the node's own peers
-	maxInputsPerStep          = 256                   // inputs of each taken in one step, so that effects of the first are not held up
-	memoryLimitShare          = 0.6                   // of the memory limit that the runtime aims at; the rest is for stacks and the kernel
-	inServiceGCPercent        = 40                    // % that the heap may grow between collections, of some ms, where the configuration is taken in service
-	reservedDescriptors       = 14                    // descriptors of the node itself: files, listening socket, executor link, two reports
-	linkDescriptorDivisor     = 8                     // part of the descriptors for links to the catalogue: one for each call in hand
-	minLinkDescriptors        = 4                     // of them where the limit is low
-	closingDescriptorDivisor  = 16                    // part of the descriptors for connections that wait for their peer's end
-	minClosingDescriptors     = 4                     // of them where the limit is low
-	listenTimeout             = 25 * time.Second      // for the last life of the node to give its address up: 30 s are given to be ready
-	listenBackoff             = 50 * time.Millisecond // between tries at it
-	pauseThreshold            = 20 * time.Millisecond // past its time, a timer tells of a process that did not run
-	pauseGracePeriod          = 2 * time.Millisecond  // for the readers to bring what came meanwhile, before time-outs count
-	consensusSeed             = 0x636f756e63696c      // told apart from the node's other sources of chance
-	maxLogLinesPerSecond      = 100                   // lines logged in a second of what peers cause; more are dropped
+	maxQueuedDispatcherInputs = 512 // then the connections' readers wait
+	maxQueuedInputs           = 256 // of the node's own peers
+	maxLogLinesPerSecond      = 100 // of what peers cause; more are dropped
+
+	listenTimeout = 25 * time.Second // less than the 30 s in which a node must become ready
+	listenBackoff = 50 * time.Millisecond
+
+	consensusSeed = 0x636f756e63696c // keeps this random sequence apart from the node's others
 )
 
-// Server is one node.
+// Server is one node. New makes it, and Run serves until it is drained or stopped.
 type Server struct {
-	config           *Config
-	log              zerolog.Logger
-	limitedLog       zerolog.Logger // for what peers can cause any number of times
-	clock            Clock
-	state            *node.StateMachine
-	dispatcherInputs chan node.Input // of dispatchers
-	inputs           chan node.Input // of the node's own peers; they never wait behind dispatchers
+	config     *Config
+	log        zerolog.Logger
+	limitedLog zerolog.Logger // for events that peers can cause any number of times
+	clock      Clock
+	state      *node.StateMachine
+
+	dispatcherInputs chan node.Input // from dispatchers
+	inputs           chan node.Input // from the node's own peers and disks; these never wait behind dispatchers
 	drainRequests    chan struct{}
 	abortRequests    chan struct{}
 	reloadRequests   chan *Config
-	ctx              context.Context
-	group            *errgroup.Group
 
-	fleet       *fleetSockets   // nil without a fleet
-	resultStore *resultStore    // nil without a store
-	replica     *replicaStorage // nil without a seat that keeps what it knows
-	listener    *net.TCPListener
-
-	configStorage *configStorage // nil where no version is kept
-	longestStep   int64          // ns of the longest step of the reducer since a version came into force, by the clock
+	ctx   context.Context // ends when the node does
+	group *errgroup.Group // of all goroutines; Run waits for it
 
+	listener       *net.TCPListener
 	conns          *connections
-	links          map[int]*link // only the loop's
+	links          map[int]*link // used by the event loop only
+	catalogueSlots chan struct{} // one for each descriptor that a catalogue link may use
 	reportClient   http.Client
-	catalogueSlots chan struct{} // one for each descriptor that a link to the catalogue may have
 	cancelReport   context.CancelFunc
+	fleet          *fleetSockets // nil without a fleet
+
+	resultStore   *resultStore    // nil where results aren't stored on disk
+	replica       *replicaStorage // nil without a replica that has a folder
+	configStorage *configStorage  // nil where configuration versions aren't stored on disk
+
+	longestStep int64 // ns, of the state machine since the last configuration version came into force
 }
 
-// New makes a node that Run starts. What a logger and a clock are handed in for is the embedder's to choose.
+// New makes a node that Run starts. The embedder chooses the logger and the clock.
 func New(config *Config, log zerolog.Logger, clock Clock) *Server {
-	limited := log.Sample(&zerolog.BurstSampler{Burst: maxLogLinesPerSecond, Period: time.Second})
 	maxQueued := maxQueuedDispatcherInputs
 	if config.Hollow != nil { // it listens to no dispatcher
 		maxQueued = 0
 	}
-	s := &Server{config: config, log: log, limitedLog: limited, clock: clock, dispatcherInputs: make(chan node.Input, maxQueued),
-		inputs: make(chan node.Input, maxQueuedInputs), drainRequests: make(chan struct{}, 1), abortRequests: make(chan struct{}, 1),
-		reloadRequests: make(chan *Config, 1), links: make(map[int]*link), cancelReport: func() {}, reportClient: newReportClient()}
+	s := &Server{
+		config:           config,
+		log:              log,
+		limitedLog:       log.Sample(&zerolog.BurstSampler{Burst: maxLogLinesPerSecond, Period: time.Second}),
+		clock:            clock,
+		dispatcherInputs: make(chan node.Input, maxQueued),
+		inputs:           make(chan node.Input, maxQueuedInputs),
+		drainRequests:    make(chan struct{}, 1),
+		abortRequests:    make(chan struct{}, 1),
+		reloadRequests:   make(chan *Config, 1),
+		links:            make(map[int]*link),
+		reportClient:     newReportClient(),
+		cancelReport:     func() {},
+	}
+	s.initState()
+	return s
+}
+
+// initState makes the state machine with the subsystems that the config names.
+func (s *Server) initState() {
+	config := s.config
 	connections, closing, links := config.descriptorShares()
 	s.catalogueSlots = make(chan struct{}, links)
 	s.state = node.NewStateMachine(config.Settings, config.addresses(), int64(config.StopMS*1e6), connections, links)
-	s.state.SpareConnections = closing - 1 // the last place is for the next one to be accepted
+	s.state.SpareConnections = closing - 1 // one slot is for the next connection to be accepted
 	if h := config.Hollow; h != nil {
 		s.state.MakeHollow(h.Counters, h.OnlySeat)
 	}
@@ -92,15 +105,15 @@
 	if config.Keep == nil && config.Hollow == nil {
 		config.Keep = cacheconfig.Default(config.Settings.Node.Operations, config.MemoryMB)
 	}
-	hasConsensus := config.Fleet != nil && config.Fleet.Council != nil
 	if k := config.Keep; k != nil {
 		rules := k.Cache
-		if hasConsensus { // what the council agrees on takes the place of the disk
-			rules.Durability, rules.OnStoreFailure = resultcache.OnDisk, resultcache.RejectOnStoreFailure
+		if config.hasConsensus() { // the consensus group stores results in place of the disk
+			rules.Durability = resultcache.OnDisk
+			rules.OnStoreFailure = resultcache.RejectOnStoreFailure
 		}
 		s.state.EnableResultCache(rules, k.Field, k.Folder != "")
 	}
-	if hasConsensus {
+	if config.hasConsensus() {
 		now, _ := s.clock.Now()
 		c := config.Fleet.Council
 		s.state.EnableConsensus(c.Seats, c.Bytes, now, config.Settings.Node.Seed^consensusSeed)
@@ -108,10 +121,9 @@
 			s.state.EnableQuota(*c.Calls, c.Version)
 		}
 	}
-	return s
 }
 
-// Drain is the notice to drain: Run returns once the drain is over. Only this drains.
+// Drain starts a graceful shutdown: Run returns once it is complete. Nothing else starts one but Abort.
 func (s *Server) Drain() {
 	select {
 	case s.drainRequests <- struct{}{}:
@@ -119,7 +131,7 @@
 	}
 }
 
-// Abort ends a drain early, and starts one where none is: what is in hand is aborted and answered, then Run returns.
+// Abort cuts a drain short, and starts one where none is under way: calls in flight are aborted and answered, then Run returns.
 func (s *Server) Abort() {
 	select {
 	case s.abortRequests <- struct{}{}:
@@ -127,35 +139,38 @@
 	}
 }
 
-// Reload goes on with the peers' addresses and the levels of another config, at any time of the node's life. All
-// else in it takes a new start; what differs there is logged.
+// Reload takes the peers' addresses and the degradation plan of another config, at any time while the node runs. Everything
+// else in it needs a restart; fields that differ there are logged.
 func (s *Server) Reload(next *Config) {
 	reduced := *next
-	reduced.Settings = nil // by far the most of it, and not taken
+	reduced.Settings = nil // the largest part, and not taken
 	for {
 		select {
 		case s.reloadRequests <- &reduced:
 			return
-		case <-s.reloadRequests: // an older one that was not taken yet
+		case <-s.reloadRequests: // an older one that is still queued
 		}
 	}
 }
 
-// Amend brings a version of the configuration into force, between two steps; what comes of it is in the log. An error names
-// the item that is unsound by itself, and nothing is changed.
+// Amend applies a version of the configuration between two steps; the result is logged. An error names the item that is
+// invalid by itself, and then nothing is changed.
 func (s *Server) Amend(version uint64, items []nodeconfig.Item) error {
 	change, err := nodeconfig.Parse(items)
-	if err == nil && !s.enqueueInput(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
-		err = errDrained
+	if err != nil {
+		return err
 	}
-	return err
+	if !s.enqueueInput(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
+		return errDrained
+	}
+	return nil
 }
 
-// Listen opens the listening socket, for programs that want to know its address before Run. An address that is
-// still in use is tried again for a while: the node's last life may not have ended to the full.
+// Listen opens the listening socket, for programs that need its address before Run. An address that is still in use is
+// retried for a while, as the process before this one may not have exited yet.
 func (s *Server) Listen() error { return s.listen(context.Background()) }
 
-// listen waits no longer than ctx and the notice to drain: a node that nobody could reach owes nothing.
+// listen gives up when ctx ends or a drain is requested: a node that nobody could reach owes no answers.
 func (s *Server) listen(ctx context.Context) error {
 	for end := time.Now().Add(listenTimeout); ; {
 		listener, err := net.Listen("tcp", s.config.Listen)
@@ -176,26 +191,25 @@
 	}
 }
 
-// Run serves until the drain is over, which is no error, or until ctx ends, which stops at once.
+// Run serves until the drain is complete, which is no error, or until ctx ends, which stops the node at once.
 func (s *Server) Run(ctx context.Context) error {
 	if s.config.Hollow != nil {
 		return s.runHollow(ctx)
 	}
-	if s.listener == nil {
-		if err := s.listen(ctx); errors.Is(err, errDrained) {
-			return nil
-		} else if err != nil {
-			return err
-		}
+	err := s.open(ctx)
+	if err == nil {
+		err = s.serve(ctx)
 	}
-	if k := s.config.Keep; k != nil && k.Folder != "" {
-		if s.config.Fleet != nil && s.config.Fleet.Council != nil {
-			s.listener.Close()
-			return errors.New("keep: a folder and the fleet's council can't both keep results; leave out durability and folder, or the council")
-		}
-		var err error
-		if s.resultStore, err = openResultStore(s, k); err != nil {
-			s.listener.Close()
+	if errors.Is(err, errDrained) {
+		return nil
+	}
+	return err
+}
+
+// open opens the listening socket and the node's storage, or neither.
+func (s *Server) open(ctx context.Context) error {
+	if s.listener == nil {
+		if err := s.listen(ctx); err != nil {
 			return err
 		}
 	}
@@ -203,33 +217,33 @@
 		s.listener.Close()
 		return err
 	}
-	group, ctx := errgroup.WithContext(ctx)
-	s.group, s.ctx = group, ctx
+	return nil
+}
+
+// serve starts the node's goroutines and waits for all of them.
+func (s *Server) serve(ctx context.Context) error {
+	s.group, s.ctx = errgroup.WithContext(ctx)
 	s.conns = newConnections(s)
-	context.AfterFunc(ctx, s.closeSockets)
+	context.AfterFunc(s.ctx, s.closeSockets)
 	s.log.Info().Str("name", s.config.Name).Stringer("listen", s.Addr()).Msg("listening")
-	group.Go(func() error { return s.conns.accept() })
+	s.group.Go(s.conns.accept)
 	if s.fleet != nil {
 		if err := s.fleet.start(); err != nil {
-			s.listener.Close()
+			s.group.Go(func() error { return err }) // ends the context, and so the other goroutines
+			_ = s.group.Wait()                      // returns err
 			s.closeStorage()
 			return err
 		}
 	}
 	s.runStorage()
-	if s.resultStore != nil {
-		group.Go(func() error { s.resultStore.run(); return nil })
-	}
-	group.Go(func() error { return s.loop() })
-	if err := group.Wait(); !errors.Is(err, errDrained) {
-		return err
-	}
-	return nil
+	s.group.Go(s.loop)
+	return s.group.Wait()
 }
 
-// Addr is where dispatchers connect, once the node listens.
+// Addr is the address that dispatchers connect to, once the node listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
+// closeSockets closes the listening socket and all dispatchers' connections.
 func (s *Server) closeSockets() {
 	s.listener.Close()
 	s.conns.closeAll()
--- a/server/storage.go
+++ b/server/storage.go
@@ -7,20 +7,37 @@
 	"syscall"
 )
 
-// openStorage opens what the node keeps of its seat and of the configuration, locked against any other.
-func (s *Server) openStorage() error {
-	if err := s.recoverReplica(); err != nil {
-		return err
-	}
-	err := s.enableConfigSync()
+const lockFileName = "lock"
+
+// LockStore locks a folder against other nodes and against commands that write to it, until unlock is called.
+func LockStore(folder string) (unlock func(), err error) {
+	lock, err := os.OpenFile(filepath.Join(folder, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		s.closeStorage()
+		return nil, fmt.Errorf("store: %w", err)
+	}
+	if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lock.Close()
+		return nil, fmt.Errorf("store: %s is in use by a node, or by another command; stop that first", folder)
+	}
+	return func() { lock.Close() }, nil
+}
+
+// openStorage opens the folders that the node writes to, all of them or none.
+func (s *Server) openStorage() error {
+	for _, open := range []func() error{s.openResultStore, s.recoverReplica, s.enableConfigSync} {
+		if err := open(); err != nil {
+			s.closeStorage()
+			return err
+		}
 	}
-	return err
+	return nil
 }
 
-// runStorage writes to them until the node ends.
+// runStorage starts the writers, which close their folders when the node ends.
 func (s *Server) runStorage() {
+	if s.resultStore != nil {
+		s.group.Go(func() error { s.resultStore.run(); return nil })
+	}
 	if s.replica != nil {
 		s.group.Go(func() error { s.replica.run(); return nil })
 	}
@@ -29,8 +46,11 @@
 	}
 }
 
-// closeStorage gives them up where nothing writes to them yet.
+// closeStorage closes the folders where no writer was started.
 func (s *Server) closeStorage() {
+	if s.resultStore != nil {
+		s.resultStore.close()
+	}
 	if s.replica != nil {
 		s.replica.close()
 	}
@@ -38,16 +58,3 @@
 		s.configStorage.close()
 	}
 }
-
-// LockStore keeps a folder from any other node, and from commands that write to it, until unlock.
-func LockStore(folder string) (unlock func(), err error) {
-	lock, err := os.OpenFile(filepath.Join(folder, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("store: %w", err)
-	}
-	if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
-		return nil, fmt.Errorf("store: %s is in use by a node, or by another command; stop that first", folder)
-	}
-	return func() { lock.Close() }, nil
-}
