--- a/server/configstorage.go
+++ b/server/configstorage.go
@@ -15,63 +15,59 @@
 )
 
 const (
-	lastGoodFileName  = "last-good"        // the file of the last version that was in force, with records behind it
-	corruptFileName   = "last-good.spoilt" // one of which nothing could be read, put aside
-	maxQueuedVersions = 4                  // versions that may wait for the disk; more count as not kept, and the next is kept whole
-	configSyncSeed    = 0x636f6e6669677572 // told apart from the node's other sources of chance
+	lastGoodFileName  = "last-good"        // the last version in force, followed by the records of later ones
+	corruptFileName   = "last-good.spoilt" // one that couldn't be read, set aside
+	maxQueuedVersions = 4                  // more count as not persisted, and the next one is written in full
+	configSyncSeed    = 0x636f6e6669677572 // keeps this random sequence apart from the node's others
 )
 
-var errVersionQueueFull = errors.New("too many versions wait for the disk")
+var errVersionQueueFull = errors.New("configuration: too many versions wait for the disk")
 
-// configStorage keeps the last version that was in force at this node, away from the loop. One file: a content, and records
-// behind it; it is replaced by rename.
+// configStorage stores the last configuration version in force at this node. It is one file, a content with the records that
+// follow it, which is replaced by rename. A goroutine of its own writes to it.
 type configStorage struct {
 	server *Server
 	folder string
 	queue  chan *configsync.Effect
 	unlock func()
-	file   *os.File // at its end; nil before all was written once
+	file   *os.File // positioned at its end; nil until all has been written once
 }
 
-// enableConfigSync has the node take its configuration in service, where the fleet's file says so: it begins with the last
-// version on its disk, else with its own file.
+// enableConfigSync makes the node take its configuration from the fleet, where the fleet's file says so. It starts from the
+// last version on disk, else from the node's own file.
 func (s *Server) enableConfigSync() error {
 	if s.config.Fleet == nil || s.config.Fleet.Configuration == nil {
 		return nil
 	}
-	file, err := configContent(s.config.Settings)
+	content, err := configContent(s.config.Settings)
 	if err != nil {
 		return fmt.Errorf("configuration: the node's own file: %w", err)
 	}
-	fromFile := configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
-	start, folder := fromFile, s.config.Fleet.Configuration.Folder
-	if folder != "" {
-		d := &configStorage{server: s, folder: folder, queue: make(chan *configsync.Effect, maxQueuedVersions)}
-		if err := os.MkdirAll(folder, 0o700); err != nil {
-			return fmt.Errorf("configuration: %w", err)
-		}
-		if d.unlock, err = LockStore(folder); err != nil {
+	fromFile := configsync.InitialState{Mark: configsync.Revision{Digest: content.Digest()}, Content: content, Source: "file", Journal: -1}
+	start := fromFile
+	if folder := s.config.Fleet.Configuration.Folder; folder != "" {
+		s.configStorage, err = openConfigStorage(s, folder)
+		if err != nil {
 			return err
 		}
-		s.configStorage = d
-		if kept, there := d.read(); there {
-			start = kept
+		if stored, found := s.configStorage.read(); found {
+			start = stored
 		}
 	}
 	now, _ := s.clock.Now()
 	seed := s.config.Settings.Node.Seed ^ configSyncSeed
-	if err := s.state.EnableConfigSync(now, seed, start, file); err != nil {
+	if err := s.state.EnableConfigSync(now, seed, start, content); err != nil {
 		s.log.Warn().Uint64("version", start.Mark.Version).Err(err).
 			Msg("configuration: this node can't start from the last version on its disk, and starts from its own file")
-		if err := s.state.EnableConfigSync(now, seed, fromFile, file); err != nil {
+		if err := s.state.EnableConfigSync(now, seed, fromFile, content); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
 	}
-	debug.FreeOSMemory() // of what reading took; nobody is served yet
+	debug.FreeOSMemory() // what reading took; no calls are served yet
 	return nil
 }
 
-// configContent is what a node's own file holds of what may change in service.
+// configContent is the part of a node's own file that the fleet may change.
 func configContent(settings *nodeconfig.Config) (*configsync.Content, error) {
 	if settings.Operations == nil || settings.Operations.Len() == 0 { // a node that serves nothing
 		return new(configsync.Content), nil
@@ -81,9 +77,21 @@
 	})
 }
 
+// openConfigStorage opens and locks a folder for configuration versions.
+func openConfigStorage(s *Server, folder string) (*configStorage, error) {
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	unlock, err := LockStore(folder)
+	if err != nil {
+		return nil, err
+	}
+	return &configStorage{server: s, folder: folder, queue: make(chan *configsync.Effect, maxQueuedVersions), unlock: unlock}, nil
+}
+
 func (d *configStorage) path(name string) string { return filepath.Join(d.folder, name) }
 
-// read takes up what is there, and tells what was dropped of it.
+// read reads the last version in force and logs what could not be read of it.
 func (d *configStorage) read() (start configsync.InitialState, found bool) {
 	file, err := os.OpenFile(d.path(lastGoodFileName), os.O_RDWR, 0o600)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -103,7 +111,7 @@
 	if file != nil {
 		file.Close()
 	}
-	if start.Content != nil { // all is written anew with the next version
+	if start.Content != nil { // the next version is written in full
 		d.server.log.Warn().Str("file", d.path(lastGoodFileName)).Uint64("version", start.Mark.Version).Err(err).
 			Msg("configuration: a crash or the disk spoilt the end of what was kept; what is before it is taken")
 		return start, true
@@ -114,7 +122,7 @@
 	return start, false
 }
 
-// enqueue hands a version to the writer; where too many wait it counts as not kept.
+// enqueue queues a version for the writer; one that finds the queue full counts as not persisted.
 func (d *configStorage) enqueue(e *configsync.Effect) {
 	select {
 	case d.queue <- e:
@@ -126,7 +134,7 @@
 	}
 }
 
-// run writes until the node ends, and what waits then too.
+// run writes until the node ends, and then what is still queued.
 func (d *configStorage) run() {
 	defer d.close()
 	for {
@@ -142,50 +150,39 @@
 	}
 }
 
-// writeVersion keeps a version: what leads to it behind what is there, or all anew.
-func (d *configStorage) writeVersion(e *configsync.Effect) (err error) {
+// writeVersion writes a version: the records that lead to it, or its full content.
+func (d *configStorage) writeVersion(e *configsync.Effect) error {
 	if e.Full {
 		return d.replaceFile(e)
 	}
 	if d.file == nil {
-		return fmt.Errorf("%s isn't open", d.path(lastGoodFileName))
+		return fmt.Errorf("configuration: %s isn't open", d.path(lastGoodFileName))
 	}
 	var text []byte
 	for _, r := range e.Records {
 		text = configsync.AppendRecord(text, r)
 	}
-	if _, err = d.file.Write(text); err == nil {
-		err = d.file.Sync()
-	}
-	if err != nil { // where it ends is not known any more
+	err := writeAndSync(d.file, text)
+	if err != nil { // the end of the file is no longer known
 		d.closeFile()
 	}
 	return err
 }
 
+// replaceFile replaces the file by one with the full content of a version; after a failure the old one is still there.
 func (d *configStorage) replaceFile(e *configsync.Effect) error {
 	d.closeFile()
-	temporary := d.path(lastGoodFileName + ".new")
+	temporary := d.path(lastGoodFileName + temporarySuffix)
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	for text := range configsync.Encode(e.Mark, e.New) {
-		if _, err = file.Write(text); err != nil {
-			break
-		}
-	}
-	if err == nil {
-		err = file.Sync()
-	}
+	err = writeContent(file, e)
 	if err == nil {
 		err = os.Rename(temporary, d.path(lastGoodFileName))
 	}
 	if err == nil {
-		var folder *os.File
-		if folder, err = os.Open(d.folder); err == nil {
-			err = errors.Join(folder.Sync(), folder.Close())
-		}
+		err = syncFolder(d.folder)
 	}
 	if err != nil {
 		file.Close()
@@ -195,6 +192,16 @@
 	return nil
 }
 
+// writeContent writes the full content of a version and makes it durable.
+func writeContent(file *os.File, e *configsync.Effect) error {
+	for text := range configsync.Encode(e.Mark, e.New) {
+		if _, err := file.Write(text); err != nil {
+			return err
+		}
+	}
+	return file.Sync()
+}
+
 func (d *configStorage) closeFile() {
 	if d.file != nil {
 		d.file.Close()
@@ -207,7 +214,7 @@
 	d.unlock()
 }
 
-// persistVersion has a version kept; a node without a folder keeps it in memory only.
+// persistVersion stores a version; a node without a folder has it in memory only.
 func (s *Server) persistVersion(e *configsync.Effect) {
 	if s.configStorage != nil {
 		s.configStorage.enqueue(e)
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -84,3 +84,8 @@
 	}
 	return conn
 }
+
+// OnlySeat makes a node that serves nothing: a member of the fleet that runs a replica of the consensus group.
+func OnlySeat() *Hollow {
+	return &Hollow{Counters: new(node.HollowCounters), OnlySeat: true}
+}
--- a/server/replica.go
+++ b/server/replica.go
@@ -4,6 +4,7 @@
 	"crypto/sha256"
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -14,31 +15,46 @@
 )
 
 const (
-	baseMagic        = "TPSEAT1\n" // a base begins with it
-	baseHeaderSize   = 24          // bytes of a base before its text: mark 8, generation 8, length 4, CRC32C 4 of generation, length and text
-	recordHeaderSize = 8           // bytes of a record of the log before its text: length 4, CRC32C 4 of length and text
-	maxRecordSize    = 64 << 20    // bytes of one text: far above a table with its entries
-	maxQueuedWrites  = 256         // writes that may wait; a seat asks for a few at a time
-	baseFileName     = "base"
-	logFilePrefix    = "log-"
-	partFilePrefix   = "part-"
-	temporarySuffix  = ".new" // ending of a file that is not in its place yet
+	maxQueuedWrites = 256 // a replica has only a few writes pending
+	baseFileName    = "base"
+	logFilePrefix   = "log-"
+	partFilePrefix  = "part-"
+	temporarySuffix = ".new" // of a file that will be renamed into place
 )
 
-// replicaStorage is the folder of a seat of the council: a base that is replaced by rename, parts that it names, and a log of records behind
-// it. The base names its log by a generation, so that the two change at once. It writes away from the loop.
+// replicaStorage is the folder of a replica of the consensus group: a base that is replaced by rename, parts that it refers
+// to, and a log of the records that follow it. The base names its log by a generation, so that both change at once. A
+// goroutine of its own writes to it.
 type replicaStorage struct {
 	server     *Server
 	folder     string
 	queue      chan *consensus.Write
 	unlock     func()
-	log        *os.File // nil without a base: then nothing is worth keeping
+	log        *os.File // nil without a base: then nothing is stored
 	generation uint64
 	failed     error
 }
 
-// openReplicaStorage opens the folder of a seat, locked against any other, and gives what is whole in it. A torn end of the log was never
-// acknowledged; it is cut off and told.
+// recoverReplica opens the folder of the node's replica, where it has both, and gives the replica its contents.
+func (s *Server) recoverReplica() error {
+	if !s.config.hasConsensus() || s.config.Fleet.Council.Folder == "" || !s.state.HasReplica() {
+		return nil
+	}
+	d, contents, err := openReplicaStorage(s, s.config.Fleet.Council.Folder)
+	if err != nil {
+		return err
+	}
+	now, _ := s.clock.Now()
+	if err := s.state.RecoverReplica(now, contents); err != nil {
+		d.close()
+		return fmt.Errorf("seat: %s: %w", d.folder, err)
+	}
+	s.replica = d
+	return nil
+}
+
+// openReplicaStorage opens and locks the folder of a replica and reads what is intact in it. A torn end of the log was never
+// acknowledged; it is truncated and logged.
 func openReplicaStorage(s *Server, folder string) (d *replicaStorage, contents consensus.DiskContents, err error) {
 	d = &replicaStorage{server: s, folder: folder, queue: make(chan *consensus.Write, maxQueuedWrites)}
 	if err = os.MkdirAll(folder, 0o700); err != nil {
@@ -62,59 +78,79 @@
 
 func (d *replicaStorage) logName() string { return fmt.Sprintf("%s%016x", logFilePrefix, d.generation) }
 
-// read takes up what is there, and lets go of what no base names.
+// read reads the base, its parts and its log, and removes files that the base doesn't refer to.
 func (d *replicaStorage) read(contents *consensus.DiskContents) (truncated int64, err error) {
 	data, err := os.ReadFile(d.path(baseFileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, d.removeUnreferenced(nil)
-	} else if err != nil {
+	}
+	if err != nil {
 		return 0, err
 	}
-	if d.generation, contents.Base, err = readBase(data); err != nil {
+	d.generation, contents.Base, err = readBase(data)
+	if err != nil {
 		return 0, fmt.Errorf("%s: %w", d.path(baseFileName), err)
 	}
-	contents.Parts = map[string][]byte{}
-	names, err := d.fileNames()
+	contents.Parts, err = d.readParts()
 	if err != nil {
 		return 0, err
 	}
+	contents.Records, truncated, err = d.readLog()
+	if err != nil {
+		return 0, err
+	}
+	return truncated, d.removeUnreferenced(contents.Parts)
+}
+
+// readParts reads the parts by their digests.
+func (d *replicaStorage) readParts() (map[string][]byte, error) {
+	names, err := d.fileNames()
+	if err != nil {
+		return nil, err
+	}
+	parts := map[string][]byte{}
 	for _, name := range names {
-		digest, is := strings.CutPrefix(name, partFilePrefix)
-		if !is || strings.HasSuffix(name, temporarySuffix) {
+		digest, isPart := strings.CutPrefix(name, partFilePrefix)
+		if !isPart || strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
 		text, err := os.ReadFile(d.path(name))
 		if err != nil {
-			return 0, err
+			return nil, err
 		}
 		if fmt.Sprintf("%x", sha256.Sum256(text)) != digest {
-			return 0, fmt.Errorf("%s: spoilt: it does not hold what its name says", d.path(name))
+			return nil, fmt.Errorf("%s: spoilt: it does not hold what its name says", d.path(name))
 		}
-		contents.Parts[digest] = text
+		parts[digest] = text
 	}
-	if d.log, err = os.OpenFile(d.path(d.logName()), os.O_RDWR, 0o600); err != nil {
-		return 0, err
+	return parts, nil
+}
+
+// readLog opens the log, reads its records, truncates a torn end and goes to the end of the rest.
+func (d *replicaStorage) readLog() (records [][]byte, truncated int64, err error) {
+	d.log, err = os.OpenFile(d.path(d.logName()), os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, 0, err
 	}
-	if data, err = os.ReadFile(d.path(d.logName())); err != nil {
-		return 0, err
+	data, err := os.ReadFile(d.path(d.logName()))
+	if err != nil {
+		return nil, 0, err
 	}
 	records, intact := readRecords(data)
-	contents.Records = records
-	if truncated = int64(len(data)) - intact; truncated > 0 {
-		if err = d.log.Truncate(intact); err == nil {
-			err = d.log.Sync()
+	truncated = int64(len(data)) - intact
+	if truncated > 0 {
+		if err = d.log.Truncate(intact); err != nil {
+			return nil, 0, err
 		}
-		if err != nil {
-			return 0, err
+		if err = d.log.Sync(); err != nil {
+			return nil, 0, err
 		}
 	}
-	if _, err = d.log.Seek(intact, 0); err != nil {
-		return 0, err
-	}
-	return truncated, d.removeUnreferenced(contents.Parts)
+	_, err = d.log.Seek(intact, io.SeekStart)
+	return records, truncated, err
 }
 
-// enqueue hands a write to the writer. A seat asks for no more before it heard of the last ones.
+// enqueue queues a write. A replica asks for no more before the last ones are reported.
 func (d *replicaStorage) enqueue(w *consensus.Write) {
 	select {
 	case d.queue <- w:
@@ -122,7 +158,7 @@
 	}
 }
 
-// run writes until the node ends; what waits then counts as not written, as at a crash.
+// run writes until the node ends; writes still queued then count as lost, as in a crash.
 func (d *replicaStorage) run() {
 	defer d.close()
 	for {
@@ -135,49 +171,54 @@
 	}
 }
 
-// writeQueued carries out a write and those that wait behind it, records of several with one sync, and says so.
+// writeQueued performs a write and those queued behind it, with one sync for the records of several, and reports the last one.
 func (d *replicaStorage) writeQueued(w *consensus.Write) {
 	var records []byte
-	last := uint64(0)
 	for {
-		if w.DiscardEarlier || w.Base != nil { // what was to go before it counts no more
+		if w.DiscardEarlier || w.Base != nil { // it replaces all records before it
 			records = nil
-			d.failed = errors.Join(d.failed, d.replaceBase(w))
+			d.failed = errors.Join(d.failed, d.apply(w))
 		} else {
-			for _, text := range w.Records {
-				records = appendRecord(records, text)
-			}
+			records = appendRecords(records, w.Records)
 		}
-		last = w.Number
 		if len(d.queue) == 0 {
 			break
 		}
 		w = <-d.queue
 	}
 	if d.failed == nil && len(records) > 0 && d.log != nil {
-		if _, d.failed = d.log.Write(records); d.failed == nil {
-			d.failed = d.log.Sync()
-		}
+		d.failed = writeAndSync(d.log, records)
 	}
-	if d.failed != nil { // after a sync that failed nobody knows what the disk holds
+	if d.failed != nil { // after a failed sync the contents of the disk are unknown
 		d.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Err: d.failed})
 		return
 	}
-	d.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Number: last})
+	d.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Number: w.Number})
 }
 
-// replaceBase puts a base in the place of all.
-func (d *replicaStorage) replaceBase(w *consensus.Write) error {
-	if d.failed != nil {
+// apply discards what is stored, or replaces the base; after a failure it does nothing.
+func (d *replicaStorage) apply(w *consensus.Write) error {
+	switch {
+	case d.failed != nil:
 		return nil
+	case w.DiscardEarlier:
+		return d.discard()
+	default:
+		return d.replaceBase(w)
 	}
-	if w.DiscardEarlier {
-		if err := os.Remove(d.path(baseFileName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			return err
-		}
-		d.closeLog()
-		return errors.Join(d.syncFolder(), d.removeUnreferenced(nil))
+}
+
+// discard removes the base and all that belongs to it.
+func (d *replicaStorage) discard() error {
+	if err := os.Remove(d.path(baseFileName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
 	}
+	d.closeLog()
+	return errors.Join(syncFolder(d.folder), d.removeUnreferenced(nil))
+}
+
+// replaceBase writes new parts, a new log and then the base that refers to them.
+func (d *replicaStorage) replaceBase(w *consensus.Write) error {
 	for digest, text := range w.Parts {
 		if _, err := os.Stat(d.path(partFilePrefix + digest)); err == nil {
 			continue
@@ -186,57 +227,46 @@
 			return err
 		}
 	}
-	oldLog := d.log
 	d.generation++
 	log, err := os.OpenFile(d.path(d.logName()), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	var records []byte
-	for _, text := range w.Records {
-		records = appendRecord(records, text)
-	}
+	d.closeLog()
 	d.log = log
-	if oldLog != nil {
-		oldLog.Close()
-	}
-	if _, err = log.Write(records); err == nil {
-		err = log.Sync()
-	}
-	if err == nil {
-		err = d.replaceFile(baseFileName, appendBase(d.generation, w.Base))
+	if err := writeAndSync(log, appendRecords(nil, w.Records)); err != nil {
+		return err
 	}
-	if err != nil {
+	if err := d.replaceFile(baseFileName, appendBase(d.generation, w.Base)); err != nil {
 		return err
 	}
 	return d.removeUnreferenced(w.Parts)
 }
 
-// replaceFile puts a file in its replaceFile, whole, or leaves what was there.
+// replaceFile replaces a file by rename: after a failure or a crash the old content is still there.
 func (d *replicaStorage) replaceFile(name string, text []byte) error {
-	file, err := os.OpenFile(d.path(name+temporarySuffix), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	temporary := d.path(name + temporarySuffix)
+	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(text); err == nil {
-		err = file.Sync()
-	}
+	err = writeAndSync(file, text)
 	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	if err = os.Rename(d.path(name+temporarySuffix), d.path(name)); err != nil {
+	if err = os.Rename(temporary, d.path(name)); err != nil {
 		return err
 	}
-	return d.syncFolder()
+	return syncFolder(d.folder)
 }
 
-// removeUnreferenced removes what is neither the base's log nor one of its parts.
+// removeUnreferenced removes files that are neither the base's log nor one of its parts.
 func (d *replicaStorage) removeUnreferenced(parts map[string][]byte) error {
 	names, err := d.fileNames()
 	for _, name := range names {
-		digest, part := strings.CutPrefix(name, partFilePrefix)
+		digest, isPart := strings.CutPrefix(name, partFilePrefix)
 		unreferenced := strings.HasPrefix(name, logFilePrefix) && (d.log == nil || name != d.logName())
-		if part {
+		if isPart {
 			unreferenced = parts[digest] == nil
 		}
 		if unreferenced || strings.HasSuffix(name, temporarySuffix) {
@@ -246,20 +276,12 @@
 	return err
 }
 
-func (d *replicaStorage) fileNames() (fileNames []string, err error) {
+func (d *replicaStorage) fileNames() (names []string, err error) {
 	entries, err := os.ReadDir(d.folder)
 	for _, e := range entries {
-		fileNames = append(fileNames, e.Name())
+		names = append(names, e.Name())
 	}
-	return fileNames, err
-}
-
-func (d *replicaStorage) syncFolder() error {
-	folder, err := os.Open(d.folder)
-	if err != nil {
-		return err
-	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return names, err
 }
 
 func (d *replicaStorage) closeLog() {
@@ -273,26 +295,3 @@
 	d.closeLog()
 	d.unlock()
 }
-
-// recoverReplica opens the folder of the node's seat, where it has both, and gives the seat what is there.
-func (s *Server) recoverReplica() error {
-	if s.config.Fleet == nil || s.config.Fleet.Council == nil || s.config.Fleet.Council.Folder == "" || !s.state.HasReplica() {
-		return nil
-	}
-	d, contents, err := openReplicaStorage(s, s.config.Fleet.Council.Folder)
-	if err != nil {
-		return err
-	}
-	now, _ := s.clock.Now()
-	if err := s.state.RecoverReplica(now, contents); err != nil {
-		d.close()
-		return fmt.Errorf("seat: %s: %w", d.folder, err)
-	}
-	s.replica = d
-	return nil
-}
-
-// OnlySeat is a node that serves nothing: a member of the fleet with a seat in its council.
-func OnlySeat() *Hollow {
-	return &Hollow{Counters: new(node.HollowCounters), OnlySeat: true}
-}
--- a/server/storage.go
+++ b/server/storage.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -58,3 +59,20 @@
 		s.configStorage.close()
 	}
 }
+
+// syncFolder makes renames and removals in a folder durable.
+func syncFolder(path string) error {
+	folder, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
+
+// writeAndSync appends to a file and makes it durable.
+func writeAndSync(file *os.File, text []byte) error {
+	if _, err := file.Write(text); err != nil {
+		return err
+	}
+	return file.Sync()
+}
