--- a/server/acceptor.go
+++ b/server/acceptor.go
@@ -1,70 +1,121 @@
 package server
 
 import (
+	"context"
 	"errors"
 	"net"
 	"os"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"topazpost/internal/node"
 )
 
-// accept takes connections while descriptors last; without one it waits a little, and so never spins. After stopAccepting it
-// goes on until nothing waits to be accepted, for as long as that takes descriptors to come free.
+const (
+	acceptBackoff = 20 * time.Millisecond
+
+	// When the node stops accepting, connections that the kernel has accepted already are still taken. They are all taken
+	// after maxFinalTimeouts timeouts, or once that many were accepted in a row, without waiting for a slot, in so long a time.
+	finalAcceptTimeout = 5 * time.Millisecond
+	maxFinalTimeouts   = 2 // one may be due to a pause of the process
+	minFinalAccepts    = 64
+	minFinalAcceptTime = 50 * time.Millisecond
+)
+
+// acceptor accepts dispatchers' connections while there are slots for them.
+type acceptor struct {
+	ctx      context.Context
+	listener *net.TCPListener
+	log      zerolog.Logger
+	slots    chan struct{}
+
+	timeouts int       // since the node stopped accepting
+	accepted int       // in a row without waiting for a slot
+	since    time.Time // when that row began
+}
+
+// accept accepts connections until the listener is closed. After stopAccepting it goes on until no connection waits in the
+// kernel's queue, however long it takes for slots to become free.
 func (c *connections) accept() error {
-	timeouts := 0 // tries that found nothing since the end of intake
-	accepted, since := 0, time.Time{}
-	end := func() error {
-		c.server.listener.Close()
-		c.server.log.Info().Msg("no connection more is taken")
-		c.server.enqueueDispatcherInput(node.Input{Kind: node.ListenerClosed})
-		return nil
-	}
-	for next := 1; ; next++ {
-		select {
-		case c.slots <- struct{}{}:
-		default:
-			select {
-			case c.slots <- struct{}{}:
-			case <-c.server.ctx.Done():
-				return nil
-			}
-			accepted, since = 0, time.Now()
-		}
-		conn, err := c.server.listener.Accept()
-		for err != nil {
-			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded) && timeouts < maxFinalAcceptTimeouts:
-				if timeouts++; timeouts == 1 {
-					accepted, since = 0, time.Now()
-				}
-				c.server.listener.SetDeadline(time.Now().Add(finalAcceptTimeout))
-			case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
-				return end()
-			default:
-				c.server.limitedLog.Warn().Err(err).Msg("no connection could be accepted")
-				time.Sleep(acceptBackoff)
-			}
-			conn, err = c.server.listener.Accept()
+	s := c.server
+	a := acceptor{ctx: s.ctx, listener: s.listener, slots: c.slots, log: s.limitedLog}
+	for link := 1; ; link++ {
+		if !a.acquireSlot() {
+			return nil
 		}
-		if timeouts > 0 {
-			timeouts = 1
-			c.server.listener.SetDeadline(time.Now().Add(finalAcceptTimeout))
+		conn, ok := a.next()
+		if !ok {
+			break
 		}
-		k := &connection{link: next, conn: conn.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
-		c.mu.Lock()
-		c.open[next] = k
-		c.mu.Unlock()
-		if !c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionOpened, Link: next}) {
-			k.conn.Close()
+		if !c.add(link, conn) {
 			return nil
 		}
-		if accepted++; timeouts > 0 && accepted >= maxFinalAccepts && time.Since(since) >= finalAcceptWindow {
-			return end()
+		if a.queueEmptied() {
+			break
 		}
 	}
+	s.listener.Close()
+	s.log.Info().Msg("no connection more is taken")
+	s.enqueueDispatcherInput(node.Input{Kind: node.ListenerClosed})
+	return nil
+}
+
+// acquireSlot waits for a slot; false means that the node has ended.
+func (a *acceptor) acquireSlot() bool {
+	select {
+	case a.slots <- struct{}{}:
+		return true
+	default:
+	}
+	select {
+	case a.slots <- struct{}{}:
+		a.restartRow()
+		return true
+	case <-a.ctx.Done():
+		return false
+	}
+}
+
+// next accepts a connection; false means that the listener is closed, or that its queue is empty after stopAccepting.
+func (a *acceptor) next() (net.Conn, bool) {
+	for {
+		conn, err := a.listener.Accept()
+		if err == nil {
+			if a.timeouts > 0 {
+				a.timeouts = 1
+				a.listener.SetDeadline(time.Now().Add(finalAcceptTimeout))
+			}
+			return conn, true
+		}
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded) && a.timeouts < maxFinalTimeouts:
+			a.timeouts++
+			if a.timeouts == 1 {
+				a.restartRow()
+			}
+			a.listener.SetDeadline(time.Now().Add(finalAcceptTimeout))
+		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
+			return nil, false
+		default:
+			a.log.Warn().Err(err).Msg("no connection could be accepted")
+			time.Sleep(acceptBackoff)
+		}
+	}
+}
+
+func (a *acceptor) restartRow() {
+	a.accepted = 0
+	a.since = time.Now()
+}
+
+// queueEmptied counts an accepted connection, and reports whether all that waited at stopAccepting are accepted by now,
+// however many arrive after them.
+func (a *acceptor) queueEmptied() bool {
+	a.accepted++
+	return a.timeouts > 0 && a.accepted >= minFinalAccepts && time.Since(a.since) >= minFinalAcceptTime
 }
 
-// stopAccepting ends the listening socket once all that the system took is accepted: an invocation written to a connection
-// that waits there would be lost with it.
+// stopAccepting closes the listener once the connections in the kernel's queue are accepted: calls that were sent on one of
+// them would be lost with it.
 func (c *connections) stopAccepting() { c.server.listener.SetDeadline(expiredDeadline) }
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"net"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -9,40 +10,34 @@
 )
 
 const (
-	maxPendingBytes        = 256 << 10        // bytes that may wait for a peer; all answers to 32 streams are half of it
-	pendingMemoryDivisor   = 8                // part of the memory limit that may wait for all peers; past it each may have but a few answers
-	minPendingBytes        = 8 << 10          // bytes of a few answers
-	writeTimeout           = 20 * time.Second // a peer that takes nothing for so long is cut off: no pause lasts as long
-	acceptBackoff          = 20 * time.Millisecond
-	maxFinalAcceptTimeouts = 2                      // that find nothing
-	maxFinalAccepts        = 64                     // connections taken in a row without waiting for a place, and
-	finalAcceptWindow      = 50 * time.Millisecond  // in such a time, past which those of before the end of intake are all taken, however many come
-	finalAcceptTimeout     = 5 * time.Millisecond   // for what waits to be accepted when intake stops; tried twice, as the process may stand still
-	lingerTimeout          = 300 * time.Millisecond // for the peer's end after ours, so that no answer is lost to a reset
-	maxQueuedFrames        = 64                     // frames of one connection that may wait for the reducer: twice its streams
-	flushTimeout           = 60 * time.Millisecond  // for the last answers to be written where the node may wait no longer: inside the time before the kill
-	partialFrameTimeout    = 2 * time.Second        // without a byte more of a frame that has begun: it is written with one call
-	discardInterval        = 20 * time.Millisecond  // between reads of what is of no use: never at the peer's full speed
-	discardReadSize        = 4 << 10                // bytes of it taken with one read
+	maxPendingBytes      = 256 << 10             // for one connection: answers to 32 streams take half of it
+	minPendingBytes      = 8 << 10               // for one connection, where all together reach their limit: a few answers
+	pendingMemoryDivisor = 8                     // share of the memory limit that may be pending on all connections
+	flushTimeout         = 60 * time.Millisecond // for the last answers, within the time before the process is killed
 )
 
-// connections are all of the dispatchers'. Only the loop adds to and takes from open.
+// connections are those of all dispatchers. Only the event loop looks up and writes to them.
 type connections struct {
 	server           *Server
-	mu               sync.Mutex
-	open             map[int]*connection
-	dirty            []*connection // with something to write since the last flush
-	bytes            atomic.Int64  // pending on all
-	maxBytes         int64         // that may be
-	slots            chan struct{}
+	dirty            []*connection // with bytes to write since the last flush; used by the event loop only
+	bytes            atomic.Int64  // pending on all connections
+	maxBytes         int64
+	slots            chan struct{} // one for each connection that holds a descriptor
 	writers          sync.WaitGroup
-	maxClientTimeout atomic.Int64 // ns, the longest client timeout there was
+	maxClientTimeout atomic.Int64 // ns
+
+	mu   sync.Mutex
+	open map[int]*connection // by link
 }
 
 func newConnections(s *Server) *connections {
 	open, closing, _ := s.config.descriptorShares()
-	c := &connections{server: s, open: make(map[int]*connection), maxBytes: int64(s.config.MemoryMB) << 20 / pendingMemoryDivisor,
-		slots: make(chan struct{}, open+closing)}
+	c := &connections{
+		server:   s,
+		open:     make(map[int]*connection),
+		maxBytes: int64(s.config.MemoryMB) << 20 / pendingMemoryDivisor,
+		slots:    make(chan struct{}, open+closing),
+	}
 	c.raiseClientTimeout(int64(partialFrameTimeout))
 	for _, op := range s.config.Settings.Node.Operations {
 		c.raiseClientTimeout(op.ClientTimeout)
@@ -50,13 +45,26 @@
 	return c
 }
 
-// raiseClientTimeout takes note of a client timeout; what was in hand may go by a longer one, so it never shrinks.
+// raiseClientTimeout notes a client timeout. The maximum never shrinks, as calls in flight may have a longer one.
 func (c *connections) raiseClientTimeout(timeout int64) {
 	if timeout > c.maxClientTimeout.Load() {
 		c.maxClientTimeout.Store(timeout)
 	}
 }
 
+// add takes an accepted connection on; false means that the node has ended.
+func (c *connections) add(link int, conn net.Conn) bool {
+	k := &connection{link: link, conn: conn.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+	c.mu.Lock()
+	c.open[link] = k
+	c.mu.Unlock()
+	if !c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionOpened, Link: link}) {
+		k.conn.Close()
+		return false
+	}
+	return true
+}
+
 func (c *connections) get(link int) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,8 +77,8 @@
 	}
 }
 
-// releaseFrames gives a connection the turns back of its frames that the reducer took. Guards against one that floods and
-// keeps those of others waiting behind its own; does harm to none that keeps to its streams.
+// releaseFrames frees the queue places of frames that the state machine has taken. The bound for each connection keeps one
+// that floods from delaying the others; a connection that keeps to its streams never reaches it.
 func (c *connections) releaseFrames(inputs []node.Input) {
 	for i := range inputs {
 		if inputs[i].Kind != node.FrameReceived {
@@ -85,12 +93,13 @@
 	}
 }
 
-// release frees what a connection held.
+// release closes a connection and frees its slot.
 func (c *connections) release(k *connection) {
 	k.mu.Lock()
 	released := k.released
 	c.bytes.Add(-int64(len(k.pending)))
-	k.released, k.pending = true, nil
+	k.released = true
+	k.pending = nil
 	k.mu.Unlock()
 	if released {
 		return
@@ -102,6 +111,7 @@
 	<-c.slots
 }
 
+// send adds bytes to what is pending on a connection; flush starts the writer. A peer that reads too slowly is disconnected.
 func (c *connections) send(link int, b []byte) {
 	k := c.get(link)
 	if k == nil {
@@ -118,7 +128,7 @@
 	}
 	if len(k.pending)+len(b) > limit {
 		c.server.limitedLog.Warn().Int("connection", link).Msg("peer reads too slowly, cut off")
-		k.conn.Close() // the reader sees it and drops it
+		k.conn.Close() // the reader sees it and releases the connection
 		return
 	}
 	if len(k.pending) == 0 {
@@ -128,35 +138,29 @@
 	c.bytes.Add(int64(len(b)))
 }
 
-// closeAfterFlush closes a connection once all is written and nothing lies unread; with noLinger the peer gets no time for its own end.
+// closeAfterFlush closes a connection once all is written and nothing lies unread; with noLinger it doesn't wait for the peer
+// to close.
 func (c *connections) closeAfterFlush(link int, noLinger bool) {
 	if k := c.get(link); k != nil {
-		k.mu.Lock()
-		k.closing, k.noLinger = true, noLinger
-		if k.wakeReader(); noLinger && k.writeClosed {
-			k.conn.SetReadDeadline(expiredDeadline)
-		}
-		k.mu.Unlock()
+		k.closeAfterFlush(noLinger)
 	}
 }
 
-// resume takes that back. It comes with the frame that is the reason, whose turn keeps this side open until now.
+// resume takes closeAfterFlush back. It comes with the frame that is its reason, whose queue place has kept this side open.
 func (c *connections) resume(link int) {
 	if k := c.get(link); k != nil {
-		k.mu.Lock()
-		k.closing = false
-		k.mu.Unlock()
+		k.resume()
 	}
 }
 
-// discardInput hands nothing more on of what comes.
+// discardInput passes on no more frames of a connection.
 func (c *connections) discardInput(link int) {
 	if k := c.get(link); k != nil {
 		k.discarding.Store(true)
 	}
 }
 
-// flush starts a writer on each connection with something to write.
+// flush starts the writers of connections that have bytes pending.
 func (c *connections) flush() {
 	for _, k := range c.dirty {
 		k.mu.Lock()
@@ -170,8 +174,8 @@
 	c.dirty = c.dirty[:0]
 }
 
-// flushAll gets out what is owed before the node ends, whoever does not read. It closes this side of each connection,
-// so that one over unread bytes brings the peer its answers first.
+// flushAll writes the last answers before the node ends, for a bounded time. It then closes this side of each connection, so
+// that a close over unread bytes, which resets the connection, comes after the answers.
 func (c *connections) flushAll() {
 	c.flush()
 	written := make(chan struct{})
@@ -182,16 +186,17 @@
 	select {
 	case <-written:
 	case <-time.After(flushTimeout):
-		c.closeAll() // those who do not read; it ends their writers, and with them the wait
+		c.closeAll() // ends the writers to peers that don't read
 		<-written
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, k := range c.open {
-		_ = k.conn.CloseWrite() // a connection that failed is seen by its reader
+		_ = k.conn.CloseWrite() // the reader sees a failed connection
 	}
 }
 
+// closeAll closes the connections; their readers release them.
 func (c *connections) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/server/framereader.go
+++ b/server/framereader.go
@@ -9,49 +9,55 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// Why a connection is read no further.
+const (
+	partialFrameTimeout = 2 * time.Second       // without another byte; a dispatcher writes a frame with one call
+	discardInterval     = 20 * time.Millisecond // between reads of unusable input, so that the peer's speed doesn't matter
+	discardReadSize     = 4 << 10
+)
+
+// Reasons for which no more frames are read from a connection.
 var (
-	errPartialFrame   = errors.New("a frame was not brought to its end")
-	errInputDiscarded = errors.New("nothing on it can be used")
-	errClosedLocally  = errors.New("closed by this node")
+	errPartialFrame   = errors.New("connection: a frame was not completed in time")
+	errInputDiscarded = errors.New("connection: its input is discarded")
+	errClosedLocally  = errors.New("connection: closed by this node")
 )
 
-// read gives the reducer all that comes, until it can't be parsed or is of no use; then it only looks for the end. A
-// close over bytes that lie unread would reset the connection, and take answers with it that are on their way.
+// read is the connection's reader: it passes frames on while they can be used, then discards input until the connection ends.
+// A close over unread bytes would reset the connection and destroy answers that are on their way.
 func (c *connections) read(k *connection) {
 	err := c.readFrames(k)
-	if unusable := errors.Is(err, frame.ErrLength) || errors.Is(err, errPartialFrame); unusable || errors.Is(err, errInputDiscarded) {
-		if unusable {
-			c.server.enqueueDispatcherInput(node.Input{Kind: node.FrameMalformed, Link: k.link, Err: err})
-		}
-		k.mu.Lock()
-		k.dead = true
-		k.mu.Unlock()
+	switch {
+	case errors.Is(err, frame.ErrLength), errors.Is(err, errPartialFrame):
+		c.server.enqueueDispatcherInput(node.Input{Kind: node.FrameMalformed, Link: k.link, Err: err})
+		k.clearReadDeadline()
+		err = c.discard(k)
+	case errors.Is(err, errInputDiscarded):
 		k.clearReadDeadline()
 		err = c.discard(k)
-	} else if errors.Is(err, errClosedLocally) {
+	case errors.Is(err, errClosedLocally):
 		err = c.discard(k)
 	}
 	c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionClosed, Link: k.link, Err: err})
 	c.release(k)
 }
 
-// discard reads slowly on to the peer's end, or to lingerWait after this side was closed. Nothing of it is run: it
-// could not be answered.
+// discard reads slowly until the peer closes, or until lingerTimeout after this side was closed. Calls in what it reads are
+// not run, as they could not be answered.
 func (c *connections) discard(k *connection) error {
-	space := make([]byte, discardReadSize)
+	buffer := make([]byte, discardReadSize)
 	for {
 		k.mu.Lock()
-		ended, noLinger := k.writeClosed, k.noLinger
+		writeClosed := k.writeClosed
+		noLinger := k.noLinger
 		k.mu.Unlock()
-		if ended && noLinger {
+		if writeClosed && noLinger {
 			return errClosedLocally
 		}
-		_, err := k.conn.Read(space)
+		_, err := k.conn.Read(buffer)
 		switch {
 		case err == nil:
 			time.Sleep(discardInterval)
-		case errors.Is(err, os.ErrDeadlineExceeded) && !ended:
+		case errors.Is(err, os.ErrDeadlineExceeded) && !writeClosed:
 			k.tryCloseWrite()
 		default:
 			return err
@@ -74,7 +80,7 @@
 	complete bool // the last read completed a frame
 }
 
-// readFrames passes readFrames on until the connection's end, the first malformed frame, the first that isn't completed in time, or
+// readFrames passes frames on until the connection's end, the first malformed frame, the first that isn't completed in time, or
 // the last before this side was closed.
 func (c *connections) readFrames(k *connection) error {
 	r := frameReader{connections: c, conn: k}
