--- a/server/datagrams.go
+++ b/server/datagrams.go
@@ -12,19 +12,36 @@
 	"topazpost/internal/node"
 )
 
-// peerMessage is what waits of a datagram or a stream; an input or an effect is several times as large, and there is room for hundreds.
+const (
+	maxQueuedDatagrams    = 256 // more are dropped, as lost datagrams are
+	maxDatagramsPerStep   = 64
+	maxQueuedSends        = 512  // more are dropped
+	maxDatagramsPerSecond = 200  // of one sender: ten times what a neighbour sends
+	maxDatagramBurst      = 400  // of one sender
+	maxRateLimitedSenders = 4096 // with a limiter; past it all limiters are reset
+)
+
+// Datagrams is a node's socket for datagrams to and from its peers.
+type Datagrams interface {
+	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
+	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
+	Close() error
+}
+
+// peerMessage is a queued datagram or a message on a stream. It is several times smaller than a node.Input, and hundreds may
+// be queued.
 type peerMessage struct {
 	kind    node.InputKind
-	link    int    // of a stream
+	link    int    // number of the stream
 	address string // of the peer
 	payload []byte
 }
 
-func (l *peerMessage) input() node.Input {
-	return node.Input{Kind: l.kind, Link: l.link, From: l.address, Bytes: l.payload}
+func (m *peerMessage) input() node.Input {
+	return node.Input{Kind: m.kind, Link: m.link, From: m.address, Bytes: m.payload}
 }
 
-// offerDatagram does so with a datagram.
+// offerDatagram queues a received datagram, or drops it.
 func (p *fleetSockets) offerDatagram(from string, payload []byte) bool {
 	select {
 	case p.datagrams <- peerMessage{kind: node.PeerDatagramReceived, address: from, payload: payload}:
@@ -35,13 +52,13 @@
 	}
 }
 
-// readDatagrams takes datagrams, each sender at its pace. Guards against a peer that floods; does harm to senders behind one
-// address, which share a pace.
+// readDatagrams reads datagrams at a bounded rate for each sender, so that a peer that floods delays no others. Senders behind
+// one address share its rate.
 func (p *fleetSockets) readDatagrams() {
-	limiters := make(map[netip.Addr]*rate.Limiter)
-	space := make([]byte, envelope.DatagramMost+1)
+	limiters := senderLimiters{}
+	buffer := make([]byte, envelope.DatagramMost+1)
 	for {
-		n, from, err := p.udp.ReadFromUDPAddrPort(space)
+		n, from, err := p.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -50,27 +67,34 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		limiter := limiters[from.Addr()]
-		if limiter == nil {
-			if len(limiters) >= maxRateLimitedSenders {
-				clear(limiters)
-			}
-			limiter = rate.NewLimiter(maxDatagramsPerSecond, maxDatagramBurst)
-			limiters[from.Addr()] = limiter
-		}
-		if !limiter.Allow() {
+		if !limiters.allow(from.Addr()) {
 			p.counters.Flooded.Add(1)
 			p.server.limitedLog.Warn().Stringer("from", from).Msg("peer floods, its datagrams are dropped")
 			continue
 		}
 		if n > envelope.DatagramMost {
-			n = 0 // told as one that is too short
+			n = 0 // counted as one that is too short
+		}
+		p.offerDatagram(from.String(), append([]byte(nil), buffer[:n]...))
+	}
+}
+
+// senderLimiters bound the rate of datagrams by sender.
+type senderLimiters map[netip.Addr]*rate.Limiter
+
+func (l senderLimiters) allow(from netip.Addr) bool {
+	limiter := l[from]
+	if limiter == nil {
+		if len(l) >= maxRateLimitedSenders {
+			clear(l)
 		}
-		p.offerDatagram(from.String(), append([]byte(nil), space[:n]...))
+		limiter = rate.NewLimiter(maxDatagramsPerSecond, maxDatagramBurst)
+		l[from] = limiter
 	}
+	return limiter.Allow()
 }
 
-// sendDatagram takes a datagram that is to be sent, if there is room.
+// sendDatagram queues a datagram to send, or drops it.
 func (p *fleetSockets) sendDatagram(e *node.Effect) {
 	select {
 	case p.outgoing <- peerMessage{address: e.Address, payload: e.Bytes}:
@@ -79,42 +103,36 @@
 	}
 }
 
+// writeDatagrams sends queued datagrams until the node ends.
 func (p *fleetSockets) writeDatagrams() {
 	for {
 		select {
-		case l := <-p.outgoing:
-			p.writeDatagram(&l)
+		case m := <-p.outgoing:
+			p.writeDatagram(&m)
 		case <-p.server.ctx.Done():
 			return
 		}
 	}
 }
 
-func (p *fleetSockets) writeDatagram(l *peerMessage) {
-	to, err := netip.ParseAddrPort(l.address)
+func (p *fleetSockets) writeDatagram(m *peerMessage) {
+	to, err := netip.ParseAddrPort(m.address)
 	if err == nil {
-		_, err = p.udp.WriteToUDPAddrPort(l.payload, to)
+		_, err = p.udp.WriteToUDPAddrPort(m.payload, to)
 	}
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		p.server.limitedLog.Debug().Err(err).Msg("datagram could not be sent")
 	}
 }
 
-// flush sends what waits; the node ends after it.
+// flush sends the queued datagrams before the node ends.
 func (p *fleetSockets) flush() {
 	for {
 		select {
-		case l := <-p.outgoing:
-			p.writeDatagram(&l)
+		case m := <-p.outgoing:
+			p.writeDatagram(&m)
 		default:
 			return
 		}
 	}
 }
-
-// Datagrams are the socket of a node for its peers' datagrams.
-type Datagrams interface {
-	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
-	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
-	Close() error
-}
--- a/server/exchanges.go
+++ b/server/exchanges.go
@@ -15,10 +15,16 @@
 	"topazpost/internal/node"
 )
 
-// errTooManyExchanges says that an exchange was not opened.
-var errTooManyExchanges = errors.New("too many exchanges are under way")
+const (
+	maxQueuedExchangeInputs = 64 // more than there are exchanges in progress, in both directions
+	maxServedExchanges      = 16 // more are closed unread
+	maxOpenedExchanges      = 8
+	exchangeTimeout         = 2 * time.Second // for all of an exchange
+)
+
+var errTooManyExchanges = errors.New("exchange: too many are in progress")
 
-// offerExchangeInput hands a part of an exchange on if there is room; what peers send never waits, and so never holds up anybody.
+// offerExchangeInput queues an input from an exchange, or drops it: what peers send never waits, and so delays nothing.
 func (p *fleetSockets) offerExchangeInput(in node.Input) bool {
 	select {
 	case p.exchangeInputs <- in:
@@ -29,7 +35,7 @@
 	}
 }
 
-// acceptExchanges takes exchanges that peers open.
+// acceptExchanges accepts connections of peers, for exchanges and streams, until the listener is closed.
 func (p *fleetSockets) acceptExchanges() {
 	slots := make(chan struct{}, maxServedExchanges)
 	for {
@@ -45,9 +51,10 @@
 		select {
 		case slots <- struct{}{}:
 			p.server.group.Go(func() error {
-				free := sync.OnceFunc(func() { <-slots })
-				defer func() { conn.Close(); free() }()
-				p.serveConn(p.wrapConn(conn, ""), free)
+				releaseSlot := sync.OnceFunc(func() { <-slots })
+				defer releaseSlot()
+				defer conn.Close()
+				p.serveConn(p.wrapConn(conn, ""), releaseSlot)
 				return nil
 			})
 		default:
@@ -57,6 +64,7 @@
 	}
 }
 
+// serveConn serves an exchange, or a stream, which gives its slot back.
 func (p *fleetSockets) serveConn(conn net.Conn, releaseSlot func()) {
 	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	var header [4]byte
@@ -77,18 +85,14 @@
 		p.server.limitedLog.Debug().Err(err).Msg("exchange of a peer ended early")
 		return
 	}
-	response := make(chan []byte, 1)
-	p.mu.Lock()
-	p.lastExchange++
-	number := p.lastExchange
-	p.pendingResponses[number] = response
-	p.mu.Unlock()
-	defer func() {
-		p.mu.Lock()
-		delete(p.pendingResponses, number)
-		p.mu.Unlock()
-	}()
-	if !p.offerExchangeInput(node.Input{Kind: node.PeerRequestReceived, Link: number, From: conn.RemoteAddr().String(), Bytes: payload}) {
+	p.serveExchange(conn, payload)
+}
+
+// serveExchange passes a request on and writes the response to it, if one comes in time.
+func (p *fleetSockets) serveExchange(conn net.Conn, request []byte) {
+	number, response := p.addPendingResponse()
+	defer p.removePendingResponse(number)
+	if !p.offerExchangeInput(node.Input{Kind: node.PeerRequestReceived, Link: number, From: conn.RemoteAddr().String(), Bytes: request}) {
 		return
 	}
 	select {
@@ -101,6 +105,22 @@
 	}
 }
 
+func (p *fleetSockets) addPendingResponse() (number int, response <-chan []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastExchange++
+	pending := make(chan []byte, 1)
+	p.pendingResponses[p.lastExchange] = pending
+	return p.lastExchange, pending
+}
+
+func (p *fleetSockets) removePendingResponse(number int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pendingResponses, number)
+}
+
+// reply passes on the response to a peer's request.
 func (p *fleetSockets) reply(e *node.Effect) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,10 +130,12 @@
 	}
 }
 
-// openExchange carries an exchange of ours out. It is dialled from the address that peers know, so that they can tell who
-// asks.
+// openExchange sends a request to a peer and passes the response on. It dials from the address that peers know, so that they
+// can identify the sender.
 func (p *fleetSockets) openExchange(e *node.Effect) {
-	link, address, payload := e.Link, e.Address, e.Bytes
+	link := e.Link
+	address := e.Address
+	request := e.Bytes
 	select {
 	case p.exchangeSlots <- struct{}{}:
 	default:
@@ -122,7 +144,7 @@
 	}
 	p.server.group.Go(func() error {
 		defer func() { <-p.exchangeSlots }()
-		response, err := exchange(p.server.ctx, p.config.Bind, address, payload, p.wrapConn)
+		response, err := exchange(p.server.ctx, p.config.Bind, address, request, p.wrapConn)
 		if err != nil {
 			p.offerExchangeInput(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: err})
 		} else {
@@ -132,21 +154,16 @@
 	})
 }
 
-// Swap opens an exchange with a node: one letter there, one back. From is the local address it is dialled from, empty
-// for any.
+// Swap opens an exchange with a node: it sends one message and reads one. From is the local address to dial from, empty for
+// any.
 func Swap(ctx context.Context, from, to string, payload []byte) ([]byte, error) {
 	return exchange(ctx, from, to, payload, func(conn net.Conn, _ string) net.Conn { return conn })
 }
 
-func exchange(ctx context.Context, from, to string, payload []byte, wrapConn func(conn net.Conn, to string) net.Conn) ([]byte, error) {
+func exchange(ctx context.Context, from, to string, request []byte, wrapConn func(conn net.Conn, to string) net.Conn) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	dialer := net.Dialer{}
-	if host, _, err := net.SplitHostPort(from); err == nil {
-		if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
-			dialer.LocalAddr = &net.TCPAddr{IP: ip}
-		}
-	}
+	dialer := peerDialer(from)
 	conn, err := dialer.DialContext(ctx, "tcp", to)
 	if err != nil {
 		return nil, err
@@ -154,18 +171,32 @@
 	conn = wrapConn(conn, to)
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if err := writeMessage(conn, payload); err != nil {
+	if err := writeMessage(conn, request); err != nil {
 		return nil, err
 	}
 	return readMessage(conn)
 }
 
+// peerDialer dials from the IP of a local address, if that names one.
+func peerDialer(from string) net.Dialer {
+	host, _, err := net.SplitHostPort(from)
+	if err != nil {
+		return net.Dialer{}
+	}
+	ip := net.ParseIP(host)
+	if ip == nil || ip.IsUnspecified() {
+		return net.Dialer{}
+	}
+	return net.Dialer{LocalAddr: &net.TCPAddr{IP: ip}}
+}
+
 func writeMessage(to io.Writer, payload []byte) error {
-	_, err := to.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(payload))), payload...))
+	b := binary.LittleEndian.AppendUint32(nil, uint32(len(payload)))
+	_, err := to.Write(append(b, payload...))
 	return err
 }
 
-// readMessage reads a length and so many bytes; memory grows with what really comes, not with what is said.
+// readMessage reads a length and a message.
 func readMessage(from io.Reader) ([]byte, error) {
 	var header [4]byte
 	if _, err := io.ReadFull(from, header[:]); err != nil {
@@ -173,8 +204,13 @@
 	}
 	length := binary.LittleEndian.Uint32(header[:])
 	if length < envelope.Head || length > envelope.ExchangeMost {
-		return nil, fmt.Errorf("a length of %d, %d to %d may be", length, envelope.Head, envelope.ExchangeMost)
+		return nil, fmt.Errorf("exchange: a length of %d, %d to %d may be", length, envelope.Head, envelope.ExchangeMost)
 	}
+	return readPayload(from, length)
+}
+
+// readPayload reads so many bytes; its buffer grows with what arrives, whatever the length says.
+func readPayload(from io.Reader, length uint32) ([]byte, error) {
 	payload, err := io.ReadAll(io.LimitReader(from, int64(length)))
 	if err == nil && len(payload) < int(length) {
 		err = io.ErrUnexpectedEOF
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -6,7 +6,6 @@
 	"net"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"topazpost/internal/fleet/fleetconfig"
 	"topazpost/internal/fleet/membership"
@@ -14,58 +13,53 @@
 )
 
 const (
-	maxQueuedDatagrams      = 256             // inputs of peers that may wait for the reducer; more are dropped, as lost datagrams are
-	maxDatagramsPerStep     = 64              // of them taken in one step: they never hold up invocations
-	maxQueuedExchangeInputs = 64              // parts of exchanges that may wait beside them: more than are under way at once, both ways
-	maxQueuedSends          = 512             // datagrams that may wait to be sent; more are dropped
-	maxRateLimitedSenders   = 4096            // senders whose pace is kept; when there are more all start anew
-	maxDatagramsPerSecond   = 200             // datagrams a second of one sender: ten times what a neighbour sends
-	maxDatagramBurst        = 400             // of them at once: a herd's news
-	maxServedExchanges      = 16              // exchanges of peers served at once; more are closed unread
-	maxOpenedExchanges      = 8               // of ours under way at once
-	exchangeTimeout         = 2 * time.Second // for one exchange, from its start to its end
-	fleetDescriptors        = 2 + maxServedExchanges + maxOpenedExchanges
-	membershipSeed          = 0x666c656574 // told apart from the node's other sources of chance
+	fleetDescriptors = 2 + maxServedExchanges + maxOpenedExchanges
+	membershipSeed   = 0x666c656574 // keeps this random sequence apart from the node's others
 )
 
-// PeerCounters count what this side of the peers' sockets dropped.
+// PeerCounters count what the fleet's sockets dropped.
 type PeerCounters struct {
-	Dropped atomic.Int64 // datagrams that nobody had time for
-	Flooded atomic.Int64 // of senders past their pace
-	Refused atomic.Int64 // exchanges past those served at once
+	Dropped atomic.Int64 // inputs and messages for which a queue was full
+	Flooded atomic.Int64 // datagrams above their sender's rate
+	Refused atomic.Int64 // connections above the number served at once
 }
 
-// fleetSockets is the sockets of a fleet: one for datagrams, a listener for exchanges. A node without a fleet has none.
+// fleetSockets are a node's sockets for its fleet: one for datagrams, and a listener for exchanges and streams.
 type fleetSockets struct {
 	server         *Server
 	config         *fleetconfig.Fleet
 	udp            Datagrams
 	tcp            net.Listener
-	datagrams      chan peerMessage // datagrams
-	exchangeInputs chan node.Input  // parts of exchanges: bounded by those under way, so datagrams never take their place
-	outgoing       chan peerMessage
+	datagrams      chan peerMessage // received
+	outgoing       chan peerMessage // datagrams to send
+	exchangeInputs chan node.Input  // a queue of its own, so that datagrams can't fill it
+	exchangeSlots  chan struct{}    // one for each exchange that this node has opened
+	streams        *streams
 	counters       PeerCounters
 
 	mu               sync.Mutex
-	pendingResponses map[int]chan []byte // by number, where the answer is waited for
+	pendingResponses map[int]chan []byte // by the exchange's number
 	lastExchange     int
-	exchangeSlots    chan struct{}
-
-	streams *streams
 }
 
-// joinFleet makes the node one of its fleet; run opens the sockets.
+// joinFleet makes the node a member of its fleet; start opens the sockets.
 func (s *Server) joinFleet(fleet *fleetconfig.Fleet) {
-	s.fleet = &fleetSockets{server: s, config: fleet, datagrams: make(chan peerMessage, maxQueuedDatagrams),
-		exchangeInputs: make(chan node.Input, maxQueuedExchangeInputs), outgoing: make(chan peerMessage, maxQueuedSends),
-		pendingResponses: make(map[int]chan []byte), exchangeSlots: make(chan struct{}, maxOpenedExchanges)}
+	s.fleet = &fleetSockets{
+		server:           s,
+		config:           fleet,
+		datagrams:        make(chan peerMessage, maxQueuedDatagrams),
+		outgoing:         make(chan peerMessage, maxQueuedSends),
+		exchangeInputs:   make(chan node.Input, maxQueuedExchangeInputs),
+		exchangeSlots:    make(chan struct{}, maxOpenedExchanges),
+		pendingResponses: make(map[int]chan []byte),
+	}
 	s.fleet.streams = newStreams(s.fleet, s.config.maxStreams())
 	s.clock = offsetClock{s.clock, fleet.WallAhead}
 	now, wall := s.clock.Now()
 	s.state.JoinFleet(fleet.Name, membership.New(fleet.Terms, now, wall, fleet.Kept, s.config.Settings.Node.Seed^membershipSeed))
 }
 
-// start opens the fleet's sockets and starts what they need.
+// start opens the fleet's sockets and starts their goroutines.
 func (p *fleetSockets) start() error {
 	s := p.server
 	bind, err := net.ResolveUDPAddr("udp", p.config.Bind)
@@ -84,7 +78,7 @@
 		p.udp.Close()
 		return fmt.Errorf("fleet: %w", err)
 	}
-	context.AfterFunc(s.ctx, func() { p.udp.Close(); p.tcp.Close() })
+	context.AfterFunc(s.ctx, p.close)
 	s.log.Info().Str("fleet", p.config.Name).Str("bind", p.config.Bind).Str("advertise", p.config.Terms.Address).
 		Strs("seeds", p.config.Terms.Seeds).Msg("peers are heard")
 	s.group.Go(func() error { p.readDatagrams(); return nil })
@@ -93,18 +87,25 @@
 	return nil
 }
 
-// appendQueued takes what peers sent and waits for the next step.
+// close closes the sockets.
+func (p *fleetSockets) close() {
+	p.udp.Close()
+	p.tcp.Close()
+}
+
+// appendQueued appends the inputs from peers that are queued, up to a bound for each queue.
 func (p *fleetSockets) appendQueued(inputs []node.Input) []node.Input {
-	inputs = appendQueuedMessages(appendQueued(inputs, p.exchangeInputs, maxQueuedExchangeInputs), p.datagrams, maxDatagramsPerStep)
+	inputs = appendQueued(inputs, p.exchangeInputs, maxQueuedExchangeInputs)
+	inputs = appendQueuedMessages(inputs, p.datagrams, maxDatagramsPerStep)
 	return appendQueuedMessages(inputs, p.streams.received, maxReceivedMessagesPerStep)
 }
 
-// appendQueuedMessages takes what waits, up to so many.
+// appendQueuedMessages appends the messages that are queued, up to the limit.
 func appendQueuedMessages(inputs []node.Input, queue chan peerMessage, limit int) []node.Input {
 	for range limit {
 		select {
-		case l := <-queue:
-			inputs = append(inputs, l.input())
+		case m := <-queue:
+			inputs = append(inputs, m.input())
 		default:
 			return inputs
 		}
@@ -112,12 +113,17 @@
 	return inputs
 }
 
-// fleetCounters is what the last line of a node tells of its fleet, nil outside one.
+// fleetCounters are the fleet's counters in the last log line of a node, nil outside a fleet.
 func (s *Server) fleetCounters() map[string]any {
 	if s.fleet == nil {
 		return nil
 	}
 	c := &s.fleet.counters
-	return map[string]any{"members": s.state.Members().Counters, "letters": s.state.PeerMessageCounters(), "dropped": c.Dropped.Load(),
-		"flooded": c.Flooded.Load(), "refused": c.Refused.Load()}
+	return map[string]any{
+		"members": s.state.Members().Counters,
+		"letters": s.state.PeerMessageCounters(),
+		"dropped": c.Dropped.Load(),
+		"flooded": c.Flooded.Load(),
+		"refused": c.Refused.Load(),
+	}
 }
--- a/server/streams.go
+++ b/server/streams.go
@@ -3,43 +3,29 @@
 import (
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
-	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 )
 
 const (
-	streamMagic                = 0x72747374             // in the place of a length, at the start of a stream: larger than any exchange
-	maxReplicaStreams          = 1_500                  // streams of a node with a seat in the council at the most: all nodes may ask one seat
-	maxNodeStreams             = 12                     // of another node: the seats, and some that it talks to no more
-	maxQueuedStreamMessages    = 512                    // letters that may wait on a stream; more are dropped, and sent again
-	maxQueuedReceivedMessages  = 512                    // letters that may wait for the reducer; then their streams wait
-	maxReceivedMessagesPerStep = 128                    // of them taken in one step
-	streamIdleTimeout          = 60 * time.Second       // without a letter in either direction, then a stream is closed
-	streamWriteTimeout         = 2 * time.Second        // for one letter to be written
-	streamReadTimeout          = 2 * time.Second        // for the rest of a letter, once its length is read
-	streamTimePerByte          = 100 * time.Nanosecond  // for each byte of it beside that: 10 MB/s
-	streamDialTimeout          = time.Second            // for a stream to be opened
-	streamBackoff              = 100 * time.Millisecond // between tries at one address; doubled while streams to it end before a letter came
-	maxStreamBackoffFactor     = 32                     // times it at the most: a seat that has no room is not asked by a herd all the time
-	minEvictionIdleTime        = 250 * time.Millisecond // without a letter, past which an accepted stream makes room for another; seats speak more often
-	maxStreamMessagesPerSecond = 4_000                  // letters a second that are taken from one stream: a seat that is busy says as many; the rest waits
-	maxStreamMessageBurst      = 1_000                  // of them at once
-	maxStreamPendingBytes      = 8 << 20                // bytes that may wait on a stream
+	maxReplicaStreams          = 1_500 // of a node that runs a replica: every node may have one open to it
+	maxNodeStreams             = 12    // of another node: to the replicas, and some that are no longer used
+	maxQueuedReceivedMessages  = 512   // then the streams' readers wait
+	maxReceivedMessagesPerStep = 128
+
+	streamDialTimeout      = time.Second
+	streamBackoff          = 100 * time.Millisecond // doubled while streams to an address end before a message is received
+	maxStreamBackoffFactor = 32                     // bounds the load of many nodes on a replica without free streams
+	minEvictionIdleTime    = 250 * time.Millisecond // replicas send more often than that
+	failuresPerStream      = 4                      // failed addresses that are remembered, for each stream that may be open
 )
 
-var errInvalidStream = errors.New("the stream can't be read any further")
-
-// streams are connections on which peers send letters without being asked: those that this node opened and those that
-// it accepted, alike. Both directions of one are used.
+// streams are the connections on which peers send messages unasked, in both directions: those that this node opened and
+// those that it accepted.
 type streams struct {
 	fleet    *fleetSockets
 	received chan peerMessage
@@ -48,42 +34,75 @@
 	mu         sync.Mutex
 	lastNumber int
 	byNumber   map[int]*stream
-	byAddress  map[string]*stream
+	byAddress  map[string]*stream // those that this node opened
 	failures   map[string]dialFailure
 }
 
-// dialFailure is that of an address to which a stream could not be opened, or ended before a letter came.
+// dialFailure is the last failure of an address: a stream to it could not be opened, or ended before a message was received.
 type dialFailure struct {
 	at      time.Time
-	backoff time.Duration // until the next try
+	backoff time.Duration // until the next attempt
 }
 
-type stream struct {
-	number      int
-	address     string // where it was opened to, empty for one that was accepted
-	outgoing    chan []byte
-	stopped     chan struct{}
-	stopOnce    sync.Once
-	lastActive  atomic.Int64 // Unix ns of its last letter in either direction, of its start before one came
-	receivedAny atomic.Bool  // one came
+func newStreams(fleet *fleetSockets, maxOpen int) *streams {
+	return &streams{
+		fleet:     fleet,
+		received:  make(chan peerMessage, maxQueuedReceivedMessages),
+		maxOpen:   maxOpen,
+		byNumber:  map[int]*stream{},
+		byAddress: map[string]*stream{},
+		failures:  map[string]dialFailure{},
+	}
+}
 
-	mu          sync.Mutex
-	queuedBytes int // bytes
+// send queues a message on a stream, which is opened where there is none to its address. It never waits: the message is
+// dropped where there is no capacity.
+func (s *streams) send(e *node.Effect) {
+	x := s.streamFor(e.Link, e.Address)
+	if x == nil || !x.enqueue(e.Bytes) {
+		s.fleet.counters.Dropped.Add(1)
+	}
 }
 
-func newStreams(fleet *fleetSockets, maxOpen int) *streams {
-	return &streams{fleet: fleet, received: make(chan peerMessage, maxQueuedReceivedMessages), maxOpen: maxOpen, byNumber: map[int]*stream{}, byAddress: map[string]*stream{},
-		failures: map[string]dialFailure{}}
+// streamFor is the stream with a number, else the one to an address, else a new one; nil where none can be opened.
+func (s *streams) streamFor(number int, address string) *stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if x := s.byNumber[number]; x != nil || address == "" {
+		return x
+	}
+	if x := s.byAddress[address]; x != nil {
+		return x
+	}
+	failure := s.failures[address]
+	if time.Since(failure.at) < failure.backoff {
+		return nil
+	}
+	s.evictIdle()
+	x := s.add(address)
+	if x != nil {
+		s.fleet.server.group.Go(func() error { s.open(x); return nil })
+	}
+	return x
+}
+
+// close ends a stream.
+func (s *streams) close(number int) {
+	s.mu.Lock()
+	x := s.byNumber[number]
+	s.mu.Unlock()
+	if x != nil {
+		x.stop()
+	}
 }
 
-// add takes a stream on, if there is room.
+// add adds a stream, or gives nil where too many are open. The caller holds mu.
 func (s *streams) add(address string) *stream {
 	if len(s.byNumber) >= s.maxOpen {
 		return nil
 	}
 	s.lastNumber++
-	x := &stream{number: s.lastNumber, address: address, outgoing: make(chan []byte, maxQueuedStreamMessages), stopped: make(chan struct{})}
-	x.lastActive.Store(time.Now().UnixNano())
+	x := newStream(s.lastNumber, address)
 	s.byNumber[x.number] = x
 	if address != "" {
 		s.byAddress[address] = x
@@ -91,9 +110,9 @@
 	return x
 }
 
-// evictIdle ends the accepted stream that was silent longest, where none is left and that one is spare. Guards against many idle
-// nodes that hold all streams of a seat, so that other nodes, and other seats, find none; does harm to one that is idle: it
-// opens another when it has something to say. mu is held.
+// evictIdle ends the accepted stream that has been idle longest, where all are open and that one is idle enough. It keeps
+// many idle nodes from taking all streams of a replica; an evicted node opens another when it has a message to send. The
+// caller holds mu.
 func (s *streams) evictIdle() {
 	if len(s.byNumber) < s.maxOpen {
 		return
@@ -104,25 +123,27 @@
 			oldest = x
 		}
 	}
-	if oldest != nil && time.Now().UnixNano()-oldest.lastActive.Load() > int64(minEvictionIdleTime) {
-		delete(s.byNumber, oldest.number)
-		oldest.stop()
+	if oldest == nil || time.Now().UnixNano()-oldest.lastActive.Load() <= int64(minEvictionIdleTime) {
+		return
 	}
+	delete(s.byNumber, oldest.number)
+	oldest.stop()
 }
 
-// recordFailure notes that a stream to an address came to nothing. With refused it was opened, and ended before a letter came: then
-// the next tries are further and further apart. mu is held.
+// recordFailure notes a failed attempt at an address. With closedEarly the stream was opened, but ended before a message was
+// received; then the backoff grows. The caller holds mu.
 func (s *streams) recordFailure(address string, closedEarly bool) {
-	if len(s.failures) > 4*s.maxOpen {
+	if len(s.failures) > failuresPerStream*s.maxOpen {
 		clear(s.failures)
 	}
-	f := dialFailure{time.Now(), streamBackoff}
+	backoff := streamBackoff
 	if closedEarly {
-		f.backoff = min(max(streamBackoff, 2*s.failures[address].backoff), maxStreamBackoffFactor*streamBackoff)
+		backoff = min(max(streamBackoff, 2*s.failures[address].backoff), maxStreamBackoffFactor*streamBackoff)
 	}
-	s.failures[address] = f
+	s.failures[address] = dialFailure{at: time.Now(), backoff: backoff}
 }
 
+// remove removes a stream that has ended.
 func (s *streams) remove(x *stream) {
 	s.mu.Lock()
 	delete(s.byNumber, x.number)
@@ -134,73 +155,20 @@
 	s.deliver(peerMessage{kind: node.PeerStreamClosed, link: x.number})
 }
 
-func (x *stream) stop() { x.stopOnce.Do(func() { close(x.stopped) }) }
-
-func (s *streams) deliver(l peerMessage) bool {
+// deliver queues a message for the state machine; false means that the node has ended.
+func (s *streams) deliver(m peerMessage) bool {
 	select {
-	case s.received <- l:
+	case s.received <- m:
 		return true
 	case <-s.fleet.server.ctx.Done():
 		return false
 	}
 }
 
-// send carries out PeerStream: never waits, drops what there is no room for.
-func (s *streams) send(e *node.Effect) {
-	s.mu.Lock()
-	x := s.byNumber[e.Link]
-	if x == nil && e.Address != "" {
-		if x = s.byAddress[e.Address]; x == nil && time.Since(s.failures[e.Address].at) >= s.failures[e.Address].backoff {
-			s.evictIdle()
-			if x = s.add(e.Address); x != nil {
-				s.fleet.server.group.Go(func() error { s.open(x); return nil })
-			}
-		}
-	}
-	s.mu.Unlock()
-	if x == nil || !x.enqueue(e.Bytes) {
-		s.fleet.counters.Dropped.Add(1)
-	}
-}
-
-func (x *stream) enqueue(b []byte) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.queuedBytes+len(b) > maxStreamPendingBytes && x.queuedBytes > 0 {
-		return false
-	}
-	select {
-	case x.outgoing <- b:
-		x.queuedBytes += len(b)
-		return true
-	default:
-		return false
-	}
-}
-
-// close carries out PeerHangUp.
-func (s *streams) close(number int) {
-	s.mu.Lock()
-	x := s.byNumber[number]
-	s.mu.Unlock()
-	if x != nil {
-		x.stop()
-	}
-}
-
+// open dials a stream's address and runs the stream.
 func (s *streams) open(x *stream) {
 	defer s.remove(x)
-	dialer := net.Dialer{Timeout: streamDialTimeout}
-	if host, _, err := net.SplitHostPort(s.fleet.config.Bind); err == nil {
-		if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
-			dialer.LocalAddr = &net.TCPAddr{IP: ip} // so that peers can tell who it is
-		}
-	}
-	conn, err := dialer.DialContext(s.fleet.server.ctx, "tcp", x.address)
-	if err == nil {
-		conn = s.fleet.wrapConn(conn, x.address)
-		_, err = conn.Write(binary.LittleEndian.AppendUint32(nil, streamMagic))
-	}
+	conn, err := s.dial(x.address)
 	if err != nil {
 		s.mu.Lock()
 		s.recordFailure(x.address, false)
@@ -218,7 +186,23 @@
 	}
 }
 
-// accept goes on with a connection that a peer opened as a stream.
+// dial connects to a peer and announces a stream.
+func (s *streams) dial(address string) (net.Conn, error) {
+	dialer := peerDialer(s.fleet.config.Bind)
+	dialer.Timeout = streamDialTimeout
+	conn, err := dialer.DialContext(s.fleet.server.ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	conn = s.fleet.wrapConn(conn, address)
+	if _, err = conn.Write(binary.LittleEndian.AppendUint32(nil, streamMagic)); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return conn, nil
+}
+
+// accept runs a stream on a connection that a peer opened.
 func (s *streams) accept(conn net.Conn) {
 	s.mu.Lock()
 	s.evictIdle()
@@ -232,14 +216,14 @@
 	s.run(x, conn)
 }
 
-// run writes what waits and hands on what comes, until one of them ends.
+// run writes queued messages and delivers received ones until either direction ends; it waits for both.
 func (s *streams) run(x *stream, conn net.Conn) {
 	defer conn.Close()
 	done := make(chan struct{})
 	s.fleet.server.group.Go(func() error {
 		defer close(done)
 		defer conn.Close()
-		s.write(x, conn)
+		x.write(s.fleet.server.ctx, conn)
 		return nil
 	})
 	if err := s.read(x, conn); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
@@ -249,64 +233,22 @@
 	<-done
 }
 
-func (s *streams) write(x *stream, conn net.Conn) {
-	idle := time.NewTimer(streamIdleTimeout)
-	defer idle.Stop()
-	var buffer []byte
-	for {
-		select {
-		case b := <-x.outgoing:
-			x.mu.Lock()
-			x.queuedBytes -= len(b)
-			x.mu.Unlock()
-			idle.Reset(streamIdleTimeout)
-			x.lastActive.Store(time.Now().UnixNano())
-			conn.SetWriteDeadline(time.Now().Add(streamWriteTimeout + time.Duration(len(b))*streamTimePerByte))
-			buffer = append(binary.LittleEndian.AppendUint32(buffer[:0], uint32(len(b))), b...)
-			if _, err := conn.Write(buffer); err != nil {
-				return
-			}
-			if cap(buffer) > envelope.ExchangeMost {
-				buffer = nil
-			}
-		case <-idle.C:
-			return
-		case <-x.stopped:
-			return
-		case <-s.fleet.server.ctx.Done():
-			return
-		}
-	}
-}
-
-// read hands letters on, each stream at its pace. Guards against a peer that floods; does harm where a seat of a very busy
-// council is slowed by it.
+// read delivers messages, at a bounded rate for each stream so that a peer that floods is slowed down. A replica of a very
+// busy group may be slowed down by it as well.
 func (s *streams) read(x *stream, conn net.Conn) error {
-	var header [4]byte
-	limiter := rate.NewLimiter(maxStreamMessagesPerSecond, maxStreamMessageBurst)
+	limiter := newStreamLimiter()
+	from := conn.RemoteAddr().String()
 	for {
 		if err := limiter.Wait(s.fleet.server.ctx); err != nil {
 			return net.ErrClosed
 		}
-		conn.SetReadDeadline(time.Now().Add(2 * streamIdleTimeout))
-		if _, err := io.ReadFull(conn, header[:]); err != nil {
-			return err
-		}
-		length := binary.LittleEndian.Uint32(header[:])
-		if length < envelope.Head || length > envelope.StreamMost {
-			return fmt.Errorf("%w: a length of %d, %d to %d may be", errInvalidStream, length, envelope.Head, envelope.StreamMost)
-		}
-		conn.SetReadDeadline(time.Now().Add(streamReadTimeout + time.Duration(length)*streamTimePerByte))
-		payload, err := io.ReadAll(io.LimitReader(conn, int64(length))) // memory grows with what really comes
-		if err == nil && len(payload) < int(length) {
-			err = io.ErrUnexpectedEOF
-		}
+		payload, err := readStreamMessage(conn)
 		if err != nil {
 			return err
 		}
 		x.lastActive.Store(time.Now().UnixNano())
 		x.receivedAny.Store(true)
-		if !s.deliver(peerMessage{kind: node.PeerMessageReceived, link: x.number, address: conn.RemoteAddr().String(), payload: payload}) {
+		if !s.deliver(peerMessage{kind: node.PeerMessageReceived, link: x.number, address: from, payload: payload}) {
 			return net.ErrClosed
 		}
 	}
