--- a/server/controlplane.go
+++ b/server/controlplane.go
@@ -13,33 +13,43 @@
 	"topazpost/internal/node"
 )
 
-const reportTimeout = 800 * time.Millisecond // for one report, so that three fit before an entry lapses
+const (
+	reportTimeout       = 800 * time.Millisecond // three reports fit before an entry of the endpoint list expires
+	maxReportReplyBytes = 1 << 10
+)
+
+// readinessReport is the body of a report to the control plane.
+type readinessReport struct {
+	Condition string `json:"condition"`
+}
 
-// sendReport makes one sendReport, apart from all else; the one before it is given up.
+// sendReport sends a report in a goroutine of its own; the one before it is cancelled.
 func (s *Server) sendReport(e *node.Effect) {
 	s.cancelReport()
-	ctx, end := context.WithTimeout(s.ctx, reportTimeout)
-	s.cancelReport = end
+	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
+	s.cancelReport = cancel
 	address := url.URL{Scheme: "http", Host: e.Address, Path: "/v2/endpoints/" + s.config.Name}
-	number, ready := e.Link, e.Ready
+	number := e.Link
+	ready := e.Ready
 	s.group.Go(func() error {
-		defer end()
-		s.enqueueInput(node.Input{Kind: node.ReportFinished, Link: number, Err: putReport(ctx, &s.reportClient, address.String(), ready)})
+		defer cancel()
+		err := putReport(ctx, &s.reportClient, address.String(), ready)
+		s.enqueueInput(node.Input{Kind: node.ReportFinished, Link: number, Err: err})
 		return nil
 	})
 }
 
-// newReportClient opens a connection for each report: one that stood idle may have been forgotten at the other end.
+// newReportClient opens a connection for each report: the control plane may have dropped one that was idle.
 func newReportClient() http.Client {
 	return http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
 func putReport(ctx context.Context, client *http.Client, address string, ready bool) error {
-	condition := "NotReady"
+	report := readinessReport{Condition: "NotReady"}
 	if ready {
-		condition = "Ready"
+		report.Condition = "Ready"
 	}
-	body, err := json.Marshal(map[string]string{"condition": condition})
+	body, err := json.Marshal(report)
 	if err != nil {
 		return err
 	}
@@ -52,7 +62,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 1<<10)) // only the status counts
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReportReplyBytes)) // only the status counts
 	if response.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("status %d", response.StatusCode)
 	}
--- a/server/executor.go
+++ b/server/executor.go
@@ -1,13 +1,24 @@
 package server
 
-import (
-	"topazpost/internal/node"
-)
+import "topazpost/internal/node"
 
-var (
-	executorLink = linkKind{node.ExecutorConnected, node.ExecutorDisconnected, node.ExecutorLineReceived, node.ExecutorDisconnected, func(words []string) bool {
-		return words[0] == "EXIT" && len(words) == 6 || words[0] == "CALLOUT" && len(words) == 4
-	}}
-	catalogueLink = linkKind{node.CatalogueConnected, node.CatalogueDialFailed, node.CatalogueLineReceived, node.CatalogueDisconnected,
-		func(words []string) bool { return len(words) == 3 && words[1] == "DATA" }}
-)
+// executorLink is the kind of the link to the executor.
+var executorLink = linkKind{
+	connected:    node.ExecutorConnected,
+	dialFailed:   node.ExecutorDisconnected,
+	lineReceived: node.ExecutorLineReceived,
+	disconnected: node.ExecutorDisconnected,
+	hasBody:      executorLineHasBody,
+}
+
+// executorLineHasBody reports whether a body follows a line: the end of a run, or a call that a run makes.
+func executorLineHasBody(words []string) bool {
+	switch words[0] {
+	case "EXIT":
+		return len(words) == 6
+	case "CALLOUT":
+		return len(words) == 4
+	default:
+		return false
+	}
+}
