--- a/server/clock.go
+++ b/server/clock.go
@@ -1,17 +1,15 @@
 package server
 
-import (
-	"time"
-)
+import "time"
 
-// Clock tells the time twice: in nanoseconds that only advance, and as Unix time, which may jump.
+// Clock gives a monotonic time in nanoseconds, and Unix time in nanoseconds, which may jump.
 type Clock interface {
 	Now() (monotonic, unix int64)
 }
 
 type systemClock struct{ start time.Time }
 
-// SystemClock is the clock of the system.
+// SystemClock returns the system's clock. Its monotonic time starts at 1 with the call.
 func SystemClock() Clock { return systemClock{time.Now()} }
 
 func (c systemClock) Now() (monotonic, unix int64) {
@@ -19,13 +17,13 @@
 	return int64(now.Sub(c.start)) + 1, now.UnixNano()
 }
 
-// offsetClock sets the wall clock off, for tests of clocks that disagree.
+// offsetClock adds an offset to Unix time, for tests of nodes whose clocks disagree.
 type offsetClock struct {
 	Clock
 	offset int64
 }
 
-func (a offsetClock) Now() (monotonic, unix int64) {
-	monotonic, unix = a.Clock.Now()
-	return monotonic, unix + a.offset
+func (c offsetClock) Now() (monotonic, unix int64) {
+	monotonic, unix = c.Clock.Now()
+	return monotonic, unix + c.offset
 }
--- a/server/degradation.go
+++ b/server/degradation.go
@@ -6,8 +6,8 @@
 	"topazpost/internal/node"
 )
 
-// logLevelChange logs a change of level: from and to which, what called for it, and what was served in the stay that ends.
-// It is never dropped; the plan bounds how often it can come.
+// logLevelChange logs a change of the degradation level: its cause, and what was served at the level before. It is not rate
+// limited, as the plan bounds how often the level changes.
 func (s *Server) logLevelChange(t *node.LevelChange) {
 	line := s.log.Info().Str("plan", t.Plan).Str("from", t.FromName).Str("to", t.ToName).
 		Str("cause", degradation.CauseNames[t.Cause])
@@ -22,6 +22,12 @@
 func seconds(ns int64) float64 { return float64(ns) / 1e9 }
 
 func signalValues(m *admission.LoadMetrics) map[string]float64 {
-	return map[string]float64{"reading": m.IntakeShare, "wait": m.QueueWait, "lag": m.QueueingDelay, "calls": m.CallWait,
-		"throttled": m.RejectedShare, "memory": m.MemoryShare}
+	return map[string]float64{
+		"reading":   m.IntakeShare,
+		"wait":      m.QueueWait,
+		"lag":       m.QueueingDelay,
+		"calls":     m.CallWait,
+		"throttled": m.RejectedShare,
+		"memory":    m.MemoryShare,
+	}
 }
--- a/server/effects.go
+++ b/server/effects.go
@@ -9,17 +9,6 @@
 	"topazpost/internal/node"
 )
 
-// logVersionInForce tells of a version that came into force.
-func (s *Server) logVersionInForce(v *node.VersionInForce) {
-	line := s.log.Info().Uint64("version", v.Mark.Version).Stringer("digest", v.Mark.Digest).Str("source", v.Source)
-	if v.Source == "fleet" {
-		line = line.Uint64("after", v.After).Bool("first_stage", v.First).Float64("took_s", seconds(v.TookNS))
-	}
-	line = line.Float64("longest_step_ms", float64(s.longestStep)/1e6) // since the line before
-	s.longestStep = 0
-	line.Int("added", v.Added).Int("changed", v.Changed).Int("removed", v.Removed).Msg("configuration in force")
-}
-
 // apply carries out one effect of the state machine.
 func (s *Server) apply(e *node.Effect) {
 	switch {
@@ -32,7 +21,7 @@
 	}
 }
 
-// apply carries out effects on dispatchers' connections; false means that the effect is another.
+// apply carries out effects on dispatchers' connections; false means that the effect is none of them.
 func (c *connections) apply(e *node.Effect) bool {
 	switch e.Kind {
 	case node.ReadConnection:
@@ -128,17 +117,19 @@
 	}
 }
 
+// logLevels are the logger's levels by those of the state machine.
+var logLevels = [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}
+
 // writeLog writes a log entry of the state machine, at a bounded rate.
 func (s *Server) writeLog(e *node.Effect) {
-	level := [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}[e.LogLevel]
-	line := s.limitedLog.WithLevel(level).Err(e.Err)
+	line := s.limitedLog.WithLevel(logLevels[e.LogLevel]).Err(e.Err)
 	if e.ID != "" {
 		line = line.Str("id", e.ID)
 	}
 	line.Msg(e.Text)
 }
 
-// logViewChange logs a change of the view; membership bounds how often it can come.
+// logViewChange logs a change of the membership view. It is not rate limited, as membership bounds how often the view changes.
 func (s *Server) logViewChange(c *membership.Change) {
 	if h := s.config.Hollow; h != nil && h.Changed != nil {
 		h.Changed(c)
@@ -155,7 +146,7 @@
 	line.Msg("view changed")
 }
 
-// logVersionResult tells of a version that is in force, or was refused.
+// logVersionResult logs whether a version given to Amend was applied.
 func (s *Server) logVersionResult(e *node.Effect) {
 	if e.Err != nil {
 		s.log.Warn().Uint64("version", e.Version).Err(e.Err).Msg("configuration: the version can't be taken, the one of before stays")
@@ -163,3 +154,14 @@
 	}
 	s.log.Info().Uint64("version", e.Version).Msg("configuration: the version is in force, " + e.Text)
 }
+
+// logVersionInForce logs a configuration version that came into force.
+func (s *Server) logVersionInForce(v *node.VersionInForce) {
+	line := s.log.Info().Uint64("version", v.Mark.Version).Stringer("digest", v.Mark.Digest).Str("source", v.Source)
+	if v.Source == "fleet" {
+		line = line.Uint64("after", v.After).Bool("first_stage", v.First).Float64("took_s", seconds(v.TookNS))
+	}
+	line = line.Float64("longest_step_ms", float64(s.longestStep)/1e6) // since the last version
+	s.longestStep = 0
+	line.Int("added", v.Added).Int("changed", v.Changed).Int("removed", v.Removed).Msg("configuration in force")
+}
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -11,25 +11,25 @@
 	"topazpost/internal/node"
 )
 
-// StreamMark is what a stream begins with, in the place of the length that an exchange begins with, little-endian.
+// StreamMark begins a stream, little-endian, in the place of the length that begins an exchange.
 const StreamMark = streamMagic
 
-// Wire stands between a hollow node and its sockets, for cuts, loss and counts of the laboratory.
+// Wire stands between a hollow node and its sockets, so that a test bed can inject partitions and loss, and count traffic.
 type Wire interface {
 	Datagrams(Datagrams) Datagrams
-	Conn(conn net.Conn, to string) net.Conn // to is where it was dialled to, empty for one that was accepted
+	Conn(conn net.Conn, to string) net.Conn // to is the address dialled, empty for an accepted connection
 }
 
-// Hollow makes a node that is only what nodes do among themselves: fleet, claims, leases. It listens to no dispatcher, has no
-// executor and reports nothing; its load comes from WantToken and WantCalls.
+// Hollow makes a node that only takes part in its fleet: membership, claims and leases. It listens to no dispatcher, has no
+// executor and sends no reports; its load comes from WantToken and WantCalls.
 type Hollow struct {
 	Wire     Wire                     // nil for none
-	Changed  func(*membership.Change) // called at each change of its view, and must not wait
+	Changed  func(*membership.Change) // called at each change of the membership view; must not block
 	Counters *node.HollowCounters
-	OnlySeat bool // it has no load, inherits nothing and is of no use to callers: a seat in the council and nothing else
+	OnlySeat bool // it only runs a replica of the consensus group: it has no load and takes over no claims
 }
 
-// runHollow is Run of a hollow node.
+// runHollow is Run for a hollow node.
 func (s *Server) runHollow(ctx context.Context) error {
 	s.group, s.ctx = errgroup.WithContext(ctx)
 	s.conns = newConnections(s)
@@ -44,19 +44,20 @@
 		return err
 	}
 	s.runStorage()
-	s.group.Go(func() error { return s.loop() })
-	if err := s.group.Wait(); !errors.Is(err, errDrained) {
-		return err
+	s.group.Go(s.loop)
+	err := s.group.Wait()
+	if errors.Is(err, errDrained) {
+		return nil
 	}
-	return nil
+	return err
 }
 
-// WantToken has a hollow node claim a token; what there is no room for is lost, and told so.
+// WantToken makes a hollow node claim a token; false means that its queue is full and the request is dropped.
 func (s *Server) WantToken(token string) bool {
 	return s.tryEnqueue(node.Input{Kind: node.HollowClaimRequested, Bytes: []byte(token)})
 }
 
-// WantCalls has a hollow node want so many calls at a time.
+// WantCalls makes a hollow node want n concurrent calls; false means that its queue is full and the request is dropped.
 func (s *Server) WantCalls(n int) bool {
 	return s.tryEnqueue(node.Input{Kind: node.HollowCallsRequested, Link: n})
 }
@@ -70,7 +71,7 @@
 	}
 }
 
-// Peered are the counts of the node's fleet sockets, nil outside a fleet.
+// Peered returns the counters of the node's fleet sockets, nil outside a fleet.
 func (s *Server) Peered() *PeerCounters {
 	if s.fleet == nil {
 		return nil
@@ -78,6 +79,7 @@
 	return &s.fleet.counters
 }
 
+// wrapConn passes a connection through the test bed's Wire, where there is one.
 func (p *fleetSockets) wrapConn(conn net.Conn, to string) net.Conn {
 	if h := p.server.config.Hollow; h != nil && h.Wire != nil {
 		return h.Wire.Conn(conn, to)
@@ -85,7 +87,7 @@
 	return conn
 }
 
-// OnlySeat makes a node that serves nothing: a member of the fleet that runs a replica of the consensus group.
+// OnlySeat returns the Hollow of a node that serves nothing: a member of the fleet that runs a replica of the consensus group.
 func OnlySeat() *Hollow {
 	return &Hollow{Counters: new(node.HollowCounters), OnlySeat: true}
 }
