--- a/server/config_test.go
+++ b/server/config_test.go
@@ -66,16 +66,16 @@
 	text := largeConfig(4_700, 130_000)
 	before := liveHeap()
 	w := &heapWatcher{Reader: bytes.NewReader(text)}
-	n, err := DecodeConfig(w)
+	config, err := DecodeConfig(w)
 	require.NoError(t, err)
-	held := liveHeap() - before
-	assert.Less(t, held, uint64(8<<20))
+	growth := liveHeap() - before
+	assert.Less(t, growth, uint64(8<<20))
 	assert.Less(t, w.peak-before, uint64(8<<20))
 	assert.Less(t, w.countdown, -50, "it was read in pieces")
-	i, known := n.Settings.Tenants.Lookup("tenant-129999")
+	i, known := config.Settings.Tenants.Lookup("tenant-129999")
 	assert.True(t, known)
 	assert.Equal(t, int32(129_999), i)
-	assert.Equal(t, 1+129_999%9, int(n.Settings.Node.TenantRates[i]))
+	assert.Equal(t, 1+129_999%9, int(config.Settings.Node.TenantRates[i]))
 	runtime.KeepAlive(text)
 }
 
@@ -83,25 +83,25 @@
 // neither while it is read nor after.
 func TestDecodeReloadKeepsNoTenantTable(t *testing.T) {
 	text := largeConfig(4_700, 130_000)
-	n, err := DecodeConfig(bytes.NewReader(text))
+	config, err := DecodeConfig(bytes.NewReader(text))
 	require.NoError(t, err)
 	before := liveHeap()
 	w := &heapWatcher{Reader: bytes.NewReader(text)}
 	next, err := DecodeReload(w)
 	require.NoError(t, err)
-	const most = 2 << 20 // bytes: 4,700 operations with their names, and what is read ahead; the tenants alone are more
-	assert.Less(t, w.peak-before, uint64(most))
-	assert.Less(t, liveHeap()-before, uint64(most))
-	assert.Empty(t, n.changedFields(next))
+	const limit = 2 << 20 // bytes: 4,700 operations with their names, and what is read ahead; the tenants alone are more
+	assert.Less(t, w.peak-before, uint64(limit))
+	assert.Less(t, liveHeap()-before, uint64(limit))
+	assert.Empty(t, config.changedFields(next))
 	assert.Equal(t, 4_700, next.Settings.Operations.Len(), "a plan of levels is read by their names")
 	other := bytes.Replace(text, []byte(`"tenant-129999","quota_rps":`), []byte(`"tenant-129999","quota_rps":1`), 1)
 	next, err = DecodeReload(bytes.NewReader(other))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"settings"}, n.changedFields(next))
+	assert.Equal(t, []string{"settings"}, config.changedFields(next))
 	_, err = DecodeReload(bytes.NewReader(bytes.Replace(text, []byte(`"tenant-000077","quota_rps":6`), []byte(`"tenant-000077","quota_rps":"many"`), 1)))
 	assert.ErrorContains(t, err, "tenants.77.quota_rps")
 	runtime.KeepAlive(text)
-	runtime.KeepAlive(n)
+	runtime.KeepAlive(config)
 }
 
 // A node holds what may change in service twice, decoded and in canonical form, and each in little: 100 bytes for a tenant whose
@@ -110,14 +110,14 @@
 	const tenants = 130_000
 	text := largeConfig(4_700, tenants)
 	before := liveHeap()
-	n, err := DecodeConfig(bytes.NewReader(text))
+	config, err := DecodeConfig(bytes.NewReader(text))
 	require.NoError(t, err)
-	content, err := configContent(n.Settings)
+	content, err := configContent(config.Settings)
 	require.NoError(t, err)
 	assert.Less(t, liveHeap()-before, uint64(100*tenants))
 	assert.Equal(t, tenants, content.Len(configsync.Tenants))
 	runtime.KeepAlive(text)
-	runtime.KeepAlive(n)
+	runtime.KeepAlive(config)
 }
 
 // What is garbage between two collections is a part of what is held, where most of that are tables that live on.
@@ -128,8 +128,8 @@
 		debug.SetGCPercent(percent)
 		debug.SetMemoryLimit(limit)
 	}()
-	for _, n := range []*Config{{Cores: 1, MemoryMB: 1024}, {Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{}}} {
-		n.Limit()
+	for _, config := range []*Config{{Cores: 1, MemoryMB: 1024}, {Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{}}} {
+		config.Limit()
 		assert.Equal(t, 100, debug.SetGCPercent(100), "as the runtime has it")
 	}
 	(&Config{Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{Configuration: &fleetconfig.Configuration{}}}).Limit()
@@ -140,15 +140,15 @@
 func TestChangedFieldsIgnoresOrderAndSpace(t *testing.T) {
 	read := func(from, to string) *Config {
 		text := strings.Replace(string(largeConfig(3, 3)), from, to, 1)
-		n, err := ReadConfig([]byte(text))
+		config, err := ReadConfig([]byte(text))
 		require.NoError(t, err)
-		return n
+		return config
 	}
-	n := read("", "")
-	assert.Empty(t, n.changedFields(read(`"aim":200,"give_up":1000`, `"give_up" : 1000, "aim":200`)))
+	config := read("", "")
+	assert.Empty(t, config.changedFields(read(`"aim":200,"give_up":1000`, `"give_up" : 1000, "aim":200`)))
 	for from, to := range map[string]string{`"quota_rps":2`: `"quota_rps":3`, `"aim":200`: `"aim":201`, `"n_cores":2`: `"n_cores":3`,
 		`"route-0002"`: `"route-2"`} {
-		assert.Equal(t, []string{"settings"}, n.changedFields(read(from, to)), to)
+		assert.Equal(t, []string{"settings"}, config.changedFields(read(from, to)), to)
 	}
 }
 
@@ -192,48 +192,48 @@
 }
 
 // requireSameConfig compares what a stream gives with what the same settings give as pairs.
-func requireSameConfig(t *testing.T, text []byte, n *Config) {
+func requireSameConfig(t *testing.T, text []byte, config *Config) {
 	var f struct{ Settings any }
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	require.NoError(t, d.Decode(&f))
-	pairs, err := nodeconfig.FromPairs(n.Settings.Node.Seed, toPairs("", f.Settings))
+	pairs, err := nodeconfig.FromPairs(config.Settings.Node.Seed, toPairs("", f.Settings))
 	require.NoError(t, err)
-	assert.Equal(t, pairs, n.Settings)
+	assert.Equal(t, pairs, config.Settings)
 }
 
 // A version comes into force in a node that runs, or is refused with the item named; either is told in the log.
 func TestAmendAppliesVersionToRunningServer(t *testing.T) {
-	n, err := DecodeConfig(bytes.NewReader(largeConfig(3, 3)))
+	config, err := DecodeConfig(bytes.NewReader(largeConfig(3, 3)))
 	require.NoError(t, err)
-	told := make(lineWriter, 100)
-	s := New(n, zerolog.New(told), SystemClock())
+	lines := make(lineWriter, 100)
+	s := New(config, zerolog.New(lines), SystemClock())
 	require.NoError(t, s.Listen())
 	ended := make(chan error, 1)
 	ready := make(chan struct{})
 	go func() { close(ready); ended <- s.Run(context.Background()) }()
 	<-ready
-	awaited := func(text string) (line string) {
+	awaitLine := func(text string) (line string) {
 		for !strings.Contains(line, text) {
 			select {
-			case line = <-told:
+			case line = <-lines:
 			case <-time.After(20 * time.Second):
 				require.Fail(t, "never told", text)
 			}
 		}
 		return line
 	}
-	awaited("listening")
+	awaitLine("listening")
 	op := func(value string) nodeconfig.Item {
 		return nodeconfig.Item{Part: nodeconfig.Operations, Name: "new", Value: []byte(value)}
 	}
 	assert.ErrorContains(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":2,"effect":"twice"}`)}), `operations.new.effect: "twice" is not known`)
 	assert.ErrorContains(t, s.Amend(1, []nodeconfig.Item{{Part: nodeconfig.Limits, Name: "family_info.memory_kb", Value: []byte("1")}}), "takes a new start")
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":90000,"effect":"idempotent"}`), {Part: nodeconfig.Tenants, Name: "tenant-000001"}}))
-	assert.Contains(t, awaited("in force"), `"version":1,"message":"configuration: the version is in force, 1 added, 0 changed, 1 removed"`)
+	assert.Contains(t, awaitLine("in force"), `"version":1,"message":"configuration: the version is in force, 1 added, 0 changed, 1 removed"`)
 	assert.Equal(t, int64(90_000e6), s.conns.maxClientTimeout.Load())
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}))
-	assert.Contains(t, awaited("can't be taken"), "as new")
+	assert.Contains(t, awaitLine("can't be taken"), "as new")
 	s.Drain()
 	assert.NoError(t, <-ended)
 }
--- a/server/configstorage_test.go
+++ b/server/configstorage_test.go
@@ -36,8 +36,8 @@
 func TestConfigStorageReadsUpToFirstCorruption(t *testing.T) {
 	folder := t.TempDir()
 	d, _ := newTestConfigStorage(folder)
-	_, there := d.read()
-	assert.False(t, there)
+	_, found := d.read()
+	assert.False(t, found)
 	list := versionEffects(t, 4)
 	require.Error(t, d.writeVersion(list[0]), "records follow on what is there")
 	list[0].Full = true
@@ -47,8 +47,8 @@
 	d.close()
 
 	d, _ = newTestConfigStorage(folder)
-	start, there := d.read()
-	require.True(t, there)
+	start, found := d.read()
+	require.True(t, found)
 	assert.Equal(t, []any{list[2].Mark, "disk"}, []any{start.Mark, start.Source})
 	assert.Positive(t, start.Journal)
 	require.NoError(t, d.writeVersion(list[3]), "it goes on behind what was read")
@@ -59,8 +59,8 @@
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, text[:len(text)-3], 0o600)) // half a record
 	d, log := newTestConfigStorage(folder)
-	start, there = d.read()
-	require.True(t, there)
+	start, found = d.read()
+	require.True(t, found)
 	assert.Equal(t, list[2].Mark, start.Mark)
 	assert.Equal(t, -1, start.Journal, "so that all is written anew")
 	assert.Contains(t, log.String(), "spoilt the end of what was kept")
@@ -69,8 +69,8 @@
 	text[20] ^= 1
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	d, log = newTestConfigStorage(folder)
-	_, there = d.read()
-	assert.False(t, there)
+	_, found = d.read()
+	assert.False(t, found)
 	assert.Contains(t, log.String(), "put aside; the node starts from its own file")
 	aside, err := os.ReadFile(filepath.Join(folder, corruptFileName))
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 	require.Error(t, d.writeVersion(list[1]))
 	d.close()
 	d, _ = newTestConfigStorage(folder)
-	start, there := d.read()
-	require.True(t, there)
+	start, found := d.read()
+	require.True(t, found)
 	assert.Equal(t, list[0].Mark, start.Mark)
 }
--- a/server/dispatchers_test.go
+++ b/server/dispatchers_test.go
@@ -37,26 +37,26 @@
 	t.Cleanup(func() { listener.Close() })
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	own, err := listener.Accept()
+	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { peer.Close(); own.Close() })
+	t.Cleanup(func() { peer.Close(); accepted.Close() })
 	peer.SetDeadline(time.Now().Add(testTimeout))
-	k := &connection{link: 1, conn: own.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
-	s.conns.open[1] = k
+	conn := &connection{link: 1, conn: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+	s.conns.open[1] = conn
 	s.conns.slots <- struct{}{}
-	return &testConnection{t, s, k, peer.(*net.TCPConn)}
+	return &testConnection{t, s, conn, peer.(*net.TCPConn)}
 }
 
-func (h *testConnection) write(b []byte) {
-	_, err := h.peer.Write(b)
-	require.NoError(h.t, err)
+func (c *testConnection) write(b []byte) {
+	_, err := c.peer.Write(b)
+	require.NoError(c.t, err)
 }
 
 // awaitUnread waits until so many bytes lie unread at the node.
-func (h *testConnection) awaitUnread(n int) {
-	raw, err := h.conn.conn.(*net.TCPConn).SyscallConn()
-	require.NoError(h.t, err)
-	require.Eventually(h.t, func() bool {
+func (c *testConnection) awaitUnread(n int) {
+	raw, err := c.conn.conn.(*net.TCPConn).SyscallConn()
+	require.NoError(c.t, err)
+	require.Eventually(c.t, func() bool {
 		got := 0
 		err := raw.Control(func(fd uintptr) {
 			got, _, _ = syscall.Recvfrom(int(fd), make([]byte, n), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -65,39 +65,39 @@
 	}, testTimeout, time.Millisecond)
 }
 
-func (h *testConnection) input() node.Input {
+func (c *testConnection) input() node.Input {
 	select {
-	case in := <-h.server.dispatcherInputs:
+	case in := <-c.server.dispatcherInputs:
 		return in
 	case <-time.After(testTimeout):
-		require.Fail(h.t, "no input came")
+		require.Fail(c.t, "no input came")
 		return node.Input{}
 	}
 }
 
 // answer plays the reducer: it takes a frame and has it answer.
-func (h *testConnection) answer(in node.Input) {
-	require.Equal(h.t, node.FrameReceived, in.Kind)
-	h.server.conns.send(1, frame.Append(nil, frame.Answer, in.Frame.Stream, []byte{frame.Throttled, 0}))
-	h.server.conns.releaseFrames([]node.Input{in})
-	h.server.conns.flush()
+func (c *testConnection) answer(in node.Input) {
+	require.Equal(c.t, node.FrameReceived, in.Kind)
+	c.server.conns.send(1, frame.Append(nil, frame.Answer, in.Frame.Stream, []byte{frame.Throttled, 0}))
+	c.server.conns.releaseFrames([]node.Input{in})
+	c.server.conns.flush()
 }
 
 // nextStream is the stream of the nextStream frame that the peer reads; it fails on anything but a frame or a clean end.
-func (h *testConnection) nextStream() (stream uint32, ended bool) {
+func (c *testConnection) nextStream() (stream uint32, ended bool) {
 	var p frame.Parser
 	one := make([]byte, 1)
 	for {
 		f, ok, err := p.Next()
-		require.NoError(h.t, err)
+		require.NoError(c.t, err)
 		if ok {
 			return f.Stream, false
 		}
-		n, err := h.peer.Read(one)
+		n, err := c.peer.Read(one)
 		if errors.Is(err, io.EOF) {
 			return 0, true
 		}
-		require.NoError(h.t, err, "a reset takes what is owed with it")
+		require.NoError(c.t, err, "a reset takes what is owed with it")
 		p.Wrote(copy(p.Space(), one[:n]))
 	}
 }
@@ -106,124 +106,124 @@
 
 // What lies unread when a connection is to end was sent in time: it is handed on, and its answer comes before the end.
 func TestUnreadFrameIsAnsweredBeforeClose(t *testing.T) {
-	for what, brief := range map[string]bool{"finish": false, "evict": true} {
-		h := newTestConnection(t)
-		h.write(checkFrame(1))
-		h.awaitUnread(len(checkFrame(1)))
-		h.server.conns.closeAfterFlush(1, brief)
-		h.server.conns.flush()
-		h.server.conns.startReader(1)
-		h.answer(h.input())
-		stream, ended := h.nextStream()
-		assert.Equal(t, []any{uint32(1), false}, []any{stream, ended}, what)
-		_, ended = h.nextStream()
-		assert.True(t, ended, what)
-		h.peer.Close()
-		assert.Equal(t, node.ConnectionClosed, h.input().Kind, what)
+	for name, noLinger := range map[string]bool{"finish": false, "evict": true} {
+		c := newTestConnection(t)
+		c.write(checkFrame(1))
+		c.awaitUnread(len(checkFrame(1)))
+		c.server.conns.closeAfterFlush(1, noLinger)
+		c.server.conns.flush()
+		c.server.conns.startReader(1)
+		c.answer(c.input())
+		stream, ended := c.nextStream()
+		assert.Equal(t, []any{uint32(1), false}, []any{stream, ended}, name)
+		_, ended = c.nextStream()
+		assert.True(t, ended, name)
+		c.peer.Close()
+		assert.Equal(t, node.ConnectionClosed, c.input().Kind, name)
 	}
 }
 
 // A frame that was read and waits for the reducer keeps its connection open, however often the reader looks.
 func TestQueuedFrameDelaysClose(t *testing.T) {
-	h := newTestConnection(t)
-	h.server.conns.startReader(1)
-	h.write(checkFrame(1))
-	in := h.input()
-	h.server.conns.closeAfterFlush(1, false)
-	assert.False(t, h.conn.tryCloseWrite(), "its turn is not over")
-	h.server.conns.resume(1) // it opened a stream
-	h.server.conns.releaseFrames([]node.Input{in})
-	assert.False(t, h.conn.tryCloseWrite(), "and it is not answered")
-	h.write(checkFrame(2))
-	h.answer(h.input())
-	stream, ended := h.nextStream()
+	c := newTestConnection(t)
+	c.server.conns.startReader(1)
+	c.write(checkFrame(1))
+	in := c.input()
+	c.server.conns.closeAfterFlush(1, false)
+	assert.False(t, c.conn.tryCloseWrite(), "its turn is not over")
+	c.server.conns.resume(1) // it opened a stream
+	c.server.conns.releaseFrames([]node.Input{in})
+	assert.False(t, c.conn.tryCloseWrite(), "and it is not answered")
+	c.write(checkFrame(2))
+	c.answer(c.input())
+	stream, ended := c.nextStream()
 	assert.Equal(t, []any{uint32(2), false}, []any{stream, ended})
-	h.server.conns.closeAfterFlush(1, false)
-	_, ended = h.nextStream()
+	c.server.conns.closeAfterFlush(1, false)
+	_, ended = c.nextStream()
 	assert.True(t, ended)
 }
 
 // One that is being sent slowly when its connection is to end comes to its own end first.
 func TestPartialFrameDelaysClose(t *testing.T) {
-	h := newTestConnection(t)
-	h.server.conns.startReader(1)
-	h.write(append(checkFrame(1), checkFrame(2)[:6]...))
-	in := h.input()
+	c := newTestConnection(t)
+	c.server.conns.startReader(1)
+	c.write(append(checkFrame(1), checkFrame(2)[:6]...))
+	in := c.input()
 	require.Equal(t, uint32(1), in.Frame.Stream)
-	h.server.conns.releaseFrames([]node.Input{in})
-	h.server.conns.closeAfterFlush(1, false)
-	h.write(checkFrame(2)[6:])
-	h.answer(h.input())
-	stream, ended := h.nextStream()
+	c.server.conns.releaseFrames([]node.Input{in})
+	c.server.conns.closeAfterFlush(1, false)
+	c.write(checkFrame(2)[6:])
+	c.answer(c.input())
+	stream, ended := c.nextStream()
 	assert.Equal(t, []any{uint32(2), false}, []any{stream, ended})
-	_, ended = h.nextStream()
+	_, ended = c.nextStream()
 	assert.True(t, ended)
 }
 
 // A sender that is slow and goes on is heard to its end.
 func TestSlowFrameIsDelivered(t *testing.T) {
-	h := newTestConnection(t)
-	h.server.conns.maxClientTimeout.Store(int64(testTimeout))
-	h.server.conns.startReader(1)
+	c := newTestConnection(t)
+	c.server.conns.maxClientTimeout.Store(int64(testTimeout))
+	c.server.conns.startReader(1)
 	for piece := range 5 {
-		h.write(checkFrame(1)[2*piece : 2*piece+2])
+		c.write(checkFrame(1)[2*piece : 2*piece+2])
 		time.Sleep(partialFrameTimeout / 3)
 	}
-	h.answer(h.input())
-	stream, ended := h.nextStream()
+	c.answer(c.input())
+	stream, ended := c.nextStream()
 	assert.Equal(t, []any{uint32(1), false}, []any{stream, ended})
 }
 
 // Where its place is wanted the rest of a frame is not waited for.
 func TestPartialFrameDoesNotDelayEviction(t *testing.T) {
-	h := newTestConnection(t)
-	h.server.conns.startReader(1)
-	h.write(checkFrame(1)[:6])
-	h.server.conns.closeAfterFlush(1, false)
-	h.server.conns.closeAfterFlush(1, true)
-	assert.Equal(t, node.FrameMalformed, h.input().Kind)
-	assert.Equal(t, node.ConnectionClosed, h.input().Kind)
+	c := newTestConnection(t)
+	c.server.conns.startReader(1)
+	c.write(checkFrame(1)[:6])
+	c.server.conns.closeAfterFlush(1, false)
+	c.server.conns.closeAfterFlush(1, true)
+	assert.Equal(t, node.FrameMalformed, c.input().Kind)
+	assert.Equal(t, node.ConnectionClosed, c.input().Kind)
 }
 
 // Half a frame without a rest ends as what can't be understood, and its connection then.
 func TestPartialFrameTimesOut(t *testing.T) {
-	h := newTestConnection(t)
-	h.server.conns.startReader(1)
-	h.write(checkFrame(1)[:6])
-	h.server.conns.closeAfterFlush(1, false)
-	assert.Equal(t, node.FrameMalformed, h.input().Kind)
-	_, ended := h.nextStream()
+	c := newTestConnection(t)
+	c.server.conns.startReader(1)
+	c.write(checkFrame(1)[:6])
+	c.server.conns.closeAfterFlush(1, false)
+	assert.Equal(t, node.FrameMalformed, c.input().Kind)
+	_, ended := c.nextStream()
 	assert.True(t, ended)
 }
 
 // What is sent after this side was closed could not be answered: it must not be handed on.
 func TestFrameAfterCloseIsDiscarded(t *testing.T) {
-	h := newTestConnection(t)
-	h.server.conns.startReader(1)
-	h.server.conns.closeAfterFlush(1, false)
-	_, ended := h.nextStream()
+	c := newTestConnection(t)
+	c.server.conns.startReader(1)
+	c.server.conns.closeAfterFlush(1, false)
+	_, ended := c.nextStream()
 	require.True(t, ended)
-	h.write(checkFrame(1))
-	h.peer.CloseWrite()
-	assert.Equal(t, node.ConnectionClosed, h.input().Kind)
-	assert.Empty(t, h.server.dispatcherInputs)
+	c.write(checkFrame(1))
+	c.peer.CloseWrite()
+	assert.Equal(t, node.ConnectionClosed, c.input().Kind)
+	assert.Empty(t, c.server.dispatcherInputs)
 }
 
 // A peer that reads slowly has all that it is owed before the end.
 func TestSlowReaderReceivesAllResponses(t *testing.T) {
-	h := newTestConnection(t)
-	require.NoError(t, h.conn.conn.(*net.TCPConn).SetWriteBuffer(4<<10))
-	h.server.conns.startReader(1)
-	h.write(checkFrame(1))
-	in := h.input()
+	c := newTestConnection(t)
+	require.NoError(t, c.conn.conn.(*net.TCPConn).SetWriteBuffer(4<<10))
+	c.server.conns.startReader(1)
+	c.write(checkFrame(1))
+	in := c.input()
 	body := make([]byte, 200<<10)
-	h.server.conns.send(1, frame.Append(nil, frame.Answer, 1, body))
-	h.server.conns.releaseFrames([]node.Input{in})
-	h.server.conns.flush()
-	h.server.conns.closeAfterFlush(1, false)
-	h.write(checkFrame(2)) // and one that crosses
-	h.answer(h.input())
-	got, err := io.ReadAll(h.peer)
+	c.server.conns.send(1, frame.Append(nil, frame.Answer, 1, body))
+	c.server.conns.releaseFrames([]node.Input{in})
+	c.server.conns.flush()
+	c.server.conns.closeAfterFlush(1, false)
+	c.write(checkFrame(2)) // and one that crosses
+	c.answer(c.input())
+	got, err := io.ReadAll(c.peer)
 	require.NoError(t, err)
 	assert.Len(t, got, len(frame.Append(nil, frame.Answer, 1, body))+len(frame.Append(nil, frame.Answer, 2, []byte{frame.Throttled, 0})))
 }
--- a/server/fixtures_test.go
+++ b/server/fixtures_test.go
@@ -22,9 +22,9 @@
 	})
 	t.Run("log", func(t *testing.T) {
 		content := fixture.Equal(t, "seat-log-v1.bin", appendRecord(appendRecord(nil, []byte("one record")), []byte("another")))
-		records, whole := readRecords(content)
+		records, intact := readRecords(content)
 		assert.Equal(t, [][]byte{[]byte("one record"), []byte("another")}, records)
-		assert.Equal(t, int64(len(content)), whole)
+		assert.Equal(t, int64(len(content)), intact)
 	})
 	t.Run("names", func(t *testing.T) {
 		d := replicaStorage{generation: generation}
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -17,35 +17,35 @@
 )
 
 func TestDatagramsDoNotStarveExchanges(t *testing.T) {
-	n, err := ReadConfig([]byte(testConfig))
+	config, err := ReadConfig([]byte(testConfig))
 	require.NoError(t, err)
-	n.Fleet = &fleetconfig.Fleet{Name: "f", Bind: "127.0.0.1:0", Terms: membership.Config{Name: "n1", Address: "127.0.0.1:1", MaxMembers: 8}}
-	s := New(n, zerolog.Nop(), SystemClock())
-	ctx, end := context.WithCancel(t.Context())
+	config.Fleet = &fleetconfig.Fleet{Name: "f", Bind: "127.0.0.1:0", Terms: membership.Config{Name: "n1", Address: "127.0.0.1:1", MaxMembers: 8}}
+	s := New(config, zerolog.Nop(), SystemClock())
+	ctx, cancel := context.WithCancel(t.Context())
 	s.ctx, s.group = ctx, newTestGroup(t)
-	defer end()
-	p := s.fleet
-	for p.offerDatagram("127.0.0.1:2", nil) {
+	defer cancel()
+	fleet := s.fleet
+	for fleet.offerDatagram("127.0.0.1:2", nil) {
 	}
-	peer, own := net.Pipe()
+	peer, accepted := net.Pipe()
 	defer peer.Close()
 	ended := make(chan struct{})
-	go func() { defer close(ended); defer own.Close(); p.serveConn(own, func() {}) }()
+	go func() { defer close(ended); defer accepted.Close(); fleet.serveConn(accepted, func() {}) }()
 	require.NoError(t, writeMessage(peer, make([]byte, 64)))
-	var asked int
+	var number int
 	require.Eventually(t, func() bool {
-		inputs := p.appendQueued(nil)
+		inputs := fleet.appendQueued(nil)
 		k := slices.IndexFunc(inputs, func(in node.Input) bool { return in.Kind == node.PeerRequestReceived })
 		if k >= 0 {
-			asked = inputs[k].Link
+			number = inputs[k].Link
 		}
-		for p.offerDatagram("127.0.0.1:2", nil) { // they come all the time
+		for fleet.offerDatagram("127.0.0.1:2", nil) { // they come all the time
 		}
 		return k >= 0
 	}, 10*time.Second, time.Millisecond, "an exchange comes through beside datagrams that fill their queue")
-	p.reply(&node.Effect{Link: asked, Bytes: make([]byte, 32)})
-	answer, err := readMessage(peer)
+	fleet.reply(&node.Effect{Link: number, Bytes: make([]byte, 32)})
+	response, err := readMessage(peer)
 	require.NoError(t, err)
-	assert.Len(t, answer, 32)
+	assert.Len(t, response, 32)
 	<-ended
 }
--- a/server/replica_test.go
+++ b/server/replica_test.go
@@ -22,9 +22,9 @@
 }
 
 func openTestStorage(t *testing.T, folder string, s *Server) (*replicaStorage, consensus.DiskContents) {
-	d, there, err := openReplicaStorage(s, folder)
+	d, contents, err := openReplicaStorage(s, folder)
 	require.NoError(t, err)
-	return d, there
+	return d, contents
 }
 
 func namedPart(text string) (digest string, parts map[string][]byte) {
@@ -34,30 +34,30 @@
 
 func TestReplicaStorageRecoversWrites(t *testing.T) {
 	folder, s := newReplicaFolder(t)
-	d, there := openTestStorage(t, folder, s)
-	assert.Equal(t, consensus.DiskContents{}, there)
+	d, contents := openTestStorage(t, folder, s)
+	assert.Equal(t, consensus.DiskContents{}, contents)
 	_, parts := namedPart("large")
 	d.queue <- &consensus.Write{Number: 2, Records: [][]byte{[]byte("b")}}
 	d.queue <- &consensus.Write{Number: 3, Records: [][]byte{[]byte("c")}}
 	d.writeQueued(&consensus.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
 	assert.Equal(t, node.Input{Kind: node.ReplicaWritePersisted, Number: 3}, <-s.inputs, "those that wait share a sync, and are told at once")
 	d.close()
-	d, there = openTestStorage(t, folder, s)
-	assert.Equal(t, consensus.DiskContents{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, there)
+	d, contents = openTestStorage(t, folder, s)
+	assert.Equal(t, consensus.DiskContents{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, contents)
 	_, _, err := openReplicaStorage(s, folder)
 	assert.ErrorContains(t, err, "in use by a node")
 
 	d.writeQueued(&consensus.Write{Number: 4, Base: []byte("second"), Records: [][]byte{[]byte("d")}})
 	d.close()
-	d, there = openTestStorage(t, folder, s)
-	assert.Equal(t, consensus.DiskContents{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, there)
+	d, contents = openTestStorage(t, folder, s)
+	assert.Equal(t, consensus.DiskContents{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, contents)
 	names, err := d.fileNames()
 	require.NoError(t, err)
 	assert.Len(t, names, 3, "lock, base and log: what no base names is gone")
 	d.writeQueued(&consensus.Write{Number: 5, DiscardEarlier: true})
 	d.close()
-	_, there = openTestStorage(t, folder, s)
-	assert.Equal(t, consensus.DiskContents{}, there)
+	_, contents = openTestStorage(t, folder, s)
+	assert.Equal(t, consensus.DiskContents{}, contents)
 }
 
 func TestReplicaStorageWritesPartOnce(t *testing.T) {
@@ -79,15 +79,15 @@
 	d.writeQueued(&consensus.Write{Number: 1, Base: []byte("base"), Records: [][]byte{[]byte("first"), []byte("second")}})
 	path := d.path(d.logName())
 	d.close()
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
 	first := recordHeaderSize + len("first")
-	for cut := range whole {
+	for cut := range intact {
 		want := [][]byte(nil)
 		if cut >= first {
 			want = [][]byte{[]byte("first")}
 		}
-		require.NoError(t, os.WriteFile(path, whole[:cut], 0o600))
+		require.NoError(t, os.WriteFile(path, intact[:cut], 0o600))
 		d, there := openTestStorage(t, folder, s)
 		assert.Equal(t, want, there.Records, "cut at %d", cut)
 		d.writeQueued(&consensus.Write{Number: 2, Records: [][]byte{[]byte("next")}})
@@ -96,10 +96,10 @@
 		assert.Equal(t, append(want, []byte("next")), there.Records, "what follows stands behind what is whole")
 		d.close()
 	}
-	for at := range whole { // and a bit that is another
-		spoilt := append([]byte(nil), whole...)
-		spoilt[at] ^= 4
-		records, _ := readRecords(spoilt)
+	for at := range intact { // and a bit that is another
+		corrupt := append([]byte(nil), intact...)
+		corrupt[at] ^= 4
+		records, _ := readRecords(corrupt)
 		assert.Less(t, len(records), 2, "byte %d", at)
 	}
 }
@@ -115,16 +115,16 @@
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
 		for at := range text {
-			spoilt := append([]byte(nil), text...)
-			spoilt[at] ^= 4
-			require.NoError(t, os.WriteFile(path, spoilt, 0o600))
+			corrupt := append([]byte(nil), text...)
+			corrupt[at] ^= 4
+			require.NoError(t, os.WriteFile(path, corrupt, 0o600))
 			_, _, err = openReplicaStorage(s, folder)
 			assert.ErrorContains(t, err, path, "byte %d", at)
 		}
 		require.NoError(t, os.WriteFile(path, text, 0o600))
 	}
-	_, there := openTestStorage(t, folder, s)
-	assert.Len(t, there.Records, 1)
+	_, contents := openTestStorage(t, folder, s)
+	assert.Len(t, contents.Records, 1)
 }
 
 func TestReplicaStorageReportsWriteFailure(t *testing.T) {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -22,9 +22,9 @@
 	"guarantees":{"tip_multiple":8}}}`
 
 func newTestServer(t *testing.T) *Server {
-	n, err := ReadConfig([]byte(testConfig))
+	config, err := ReadConfig([]byte(testConfig))
 	require.NoError(t, err)
-	return New(n, zerolog.Nop(), SystemClock())
+	return New(config, zerolog.Nop(), SystemClock())
 }
 
 func TestRunWithoutPeersDrains(t *testing.T) {
@@ -41,12 +41,12 @@
 	defer listener.Close()
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	own, err := listener.Accept()
+	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	k := &connection{link: 1, conn: own.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
-	s.conns.open[1] = k
+	conn := &connection{link: 1, conn: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+	s.conns.open[1] = conn
 	ended := make(chan error, 1)
-	go func() { ended <- s.conns.readFrames(k) }()
+	go func() { ended <- s.conns.readFrames(conn) }()
 	for range maxQueuedFrames + 1 {
 		_, err = peer.Write(frame.Append(nil, frame.Check, 1, []byte{0}))
 		require.NoError(t, err)
@@ -55,7 +55,7 @@
 	for range maxQueuedFrames {
 		inputs = append(inputs, <-s.dispatcherInputs)
 	}
-	assert.Len(t, k.queuedFrames, maxQueuedFrames, "no turn is left for a further one")
+	assert.Len(t, conn.queuedFrames, maxQueuedFrames, "no turn is left for a further one")
 	assert.Empty(t, s.dispatcherInputs)
 	s.conns.releaseFrames(inputs[:1])
 	assert.Equal(t, node.FrameReceived, (<-s.dispatcherInputs).Kind)
@@ -70,30 +70,30 @@
 }
 
 func TestListenRetriesAddressInUse(t *testing.T) {
-	last, err := net.Listen("tcp", "127.0.0.1:0")
+	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := newTestServer(t)
-	s.config.Listen = last.Addr().String()
-	heard := make(chan error, 1)
-	go func() { heard <- s.Listen() }()
-	last.Close()
-	require.NoError(t, <-heard)
+	s.config.Listen = other.Addr().String()
+	listened := make(chan error, 1)
+	go func() { listened <- s.Listen() }()
+	other.Close()
+	require.NoError(t, <-listened)
 	s.listener.Close()
 }
 
 // A drain notice, or the end of the context, that comes while the address is still taken ends the node at once.
 func TestRunWaitingForAddressCanBeStopped(t *testing.T) {
-	last, err := net.Listen("tcp", "127.0.0.1:0")
+	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer last.Close()
+	defer other.Close()
 	s := newTestServer(t)
-	s.config.Listen = last.Addr().String()
+	s.config.Listen = other.Addr().String()
 	s.Drain()
 	assert.NoError(t, s.Run(context.Background()))
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	s = newTestServer(t)
-	s.config.Listen = last.Addr().String()
+	s.config.Listen = other.Addr().String()
 	assert.ErrorIs(t, s.Run(ctx), context.Canceled)
 }
 
@@ -109,12 +109,12 @@
 
 // A site with nothing below its nodes names no catalogue; one that has something must.
 func TestCatalogueIsRequiredOnlyWithDependency(t *testing.T) {
-	without := strings.Replace(testConfig, `"catalog":"127.0.0.1:1",`, "", 1)
-	n, err := ReadConfig([]byte(without))
+	text := strings.Replace(testConfig, `"catalog":"127.0.0.1:1",`, "", 1)
+	c, err := ReadConfig([]byte(text))
 	require.NoError(t, err)
-	s := New(n, zerolog.Nop(), SystemClock())
+	s := New(c, zerolog.Nop(), SystemClock())
 	s.Drain()
 	assert.NoError(t, s.Run(context.Background()))
-	_, err = ReadConfig([]byte(strings.Replace(without, `"memory_kb":9000`, `"memory_kb":9000,"below":"common"`, 1)))
+	_, err = ReadConfig([]byte(strings.Replace(text, `"memory_kb":9000`, `"memory_kb":9000,"below":"common"`, 1)))
 	assert.ErrorContains(t, err, "catalog")
 }
--- a/server/writedeadline_test.go
+++ b/server/writedeadline_test.go
@@ -25,7 +25,7 @@
 	return a.socket.SetWriteDeadline(at)
 }
 
-func (a *deadlineRecorder) last() (at time.Time, set int) {
+func (a *deadlineRecorder) last() (at time.Time, calls int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.deadline, a.calls
@@ -33,15 +33,15 @@
 
 // A deadline is a timer of the runtime, and it goes over all of them at each beat: a connection that rests has none.
 func TestIdleConnectionHasNoWriteDeadline(t *testing.T) {
-	h := newTestConnection(t)
-	a := &deadlineRecorder{socket: h.conn.conn}
-	h.conn.conn = a
+	c := newTestConnection(t)
+	recorder := &deadlineRecorder{socket: c.conn.conn}
+	c.conn.conn = recorder
 	for k := range 3 {
-		h.server.conns.send(1, []byte("answer"))
-		h.server.conns.flush()
-		h.server.conns.writers.Wait()
-		at, set := a.last()
-		require.Greater(t, set, k, "a peer that takes nothing is still cut off")
-		assert.Zero(t, at)
+		c.server.conns.send(1, []byte("answer"))
+		c.server.conns.flush()
+		c.server.conns.writers.Wait()
+		deadline, calls := recorder.last()
+		require.Greater(t, calls, k, "a peer that takes nothing is still cut off")
+		assert.Zero(t, deadline)
 	}
 }
