--- a/server/config_test.go
+++ b/server/config_test.go
@@ -21,7 +21,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// largeConfig is a configuration with so many operations and tenants.
+// largeConfig is a configuration with the given numbers of operations and tenants.
 func largeConfig(operations, tenants int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"name":"n","listen":"127.0.0.1:0","executor":"127.0.0.1:1","control":"127.0.0.1:1","catalog":"127.0.0.1:1","seed":"1",
@@ -39,7 +39,7 @@
 	return []byte(b.String())
 }
 
-// heapWatcher is a reader that looks at the live heap now and then while it is read.
+// heapWatcher is a reader that samples the live heap while it is read.
 type heapWatcher struct {
 	io.Reader
 	countdown int
@@ -60,8 +60,8 @@
 	return m.HeapAlloc
 }
 
-// A large configuration is never held as a whole, neither while it is read nor after: 8 MB for 4,700 operations and 130,000
-// tenants, of which a map with its strings takes more alone.
+// A large configuration is never in memory as a whole, neither while it is read nor after: 8 MB for 4,700 operations and
+// 130,000 tenants, for whose names alone a map takes more.
 func TestDecodeConfigStreamsLargeConfigInBoundedMemory(t *testing.T) {
 	text := largeConfig(4_700, 130_000)
 	before := liveHeap()
@@ -71,7 +71,7 @@
 	growth := liveHeap() - before
 	assert.Less(t, growth, uint64(8<<20))
 	assert.Less(t, w.peak-before, uint64(8<<20))
-	assert.Less(t, w.countdown, -50, "it was read in pieces")
+	assert.Less(t, w.countdown, -50, "read in pieces")
 	i, known := config.Settings.Tenants.Lookup("tenant-129999")
 	assert.True(t, known)
 	assert.Equal(t, int32(129_999), i)
@@ -79,8 +79,8 @@
 	runtime.KeepAlive(text)
 }
 
-// A file that is read for Reload is known by its digest, and nothing that grows with its tenants is held beside the node's own,
-// neither while it is read nor after.
+// A configuration for Reload is compared by its digest, and takes no memory that grows with its tenants, neither while it is
+// read nor after.
 func TestDecodeReloadKeepsNoTenantTable(t *testing.T) {
 	text := largeConfig(4_700, 130_000)
 	config, err := DecodeConfig(bytes.NewReader(text))
@@ -89,11 +89,11 @@
 	w := &heapWatcher{Reader: bytes.NewReader(text)}
 	next, err := DecodeReload(w)
 	require.NoError(t, err)
-	const limit = 2 << 20 // bytes: 4,700 operations with their names, and what is read ahead; the tenants alone are more
+	const limit = 2 << 20 // bytes: 4,700 operations with their names, and the read buffer; the tenants alone take more
 	assert.Less(t, w.peak-before, uint64(limit))
 	assert.Less(t, liveHeap()-before, uint64(limit))
 	assert.Empty(t, config.changedFields(next))
-	assert.Equal(t, 4_700, next.Settings.Operations.Len(), "a plan of levels is read by their names")
+	assert.Equal(t, 4_700, next.Settings.Operations.Len(), "a degradation plan refers to them by name")
 	other := bytes.Replace(text, []byte(`"tenant-129999","quota_rps":`), []byte(`"tenant-129999","quota_rps":1`), 1)
 	next, err = DecodeReload(bytes.NewReader(other))
 	require.NoError(t, err)
@@ -104,8 +104,8 @@
 	runtime.KeepAlive(config)
 }
 
-// A node holds what may change in service twice, decoded and in canonical form, and each in little: 100 bytes for a tenant whose
-// name and value have 40.
+// A node has the distributed configuration in memory twice, decoded and in canonical form: both together take at most 100
+// bytes for a tenant whose name and value have 40.
 func TestConfigContentUsesBoundedMemoryPerTenant(t *testing.T) {
 	const tenants = 130_000
 	text := largeConfig(4_700, tenants)
@@ -120,7 +120,7 @@
 	runtime.KeepAlive(config)
 }
 
-// What is garbage between two collections is a part of what is held, where most of that are tables that live on.
+// The heap may grow less between collections where most of it is long-lived tables.
 func TestLimitLowersGCPercentWithConfigSync(t *testing.T) {
 	cores, percent, limit := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
 	defer func() {
@@ -130,13 +130,13 @@
 	}()
 	for _, config := range []*Config{{Cores: 1, MemoryMB: 1024}, {Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{}}} {
 		config.Limit()
-		assert.Equal(t, 100, debug.SetGCPercent(100), "as the runtime has it")
+		assert.Equal(t, 100, debug.SetGCPercent(100), "the default of the runtime")
 	}
 	(&Config{Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{Configuration: &fleetconfig.Configuration{}}}).Limit()
 	assert.Equal(t, inServiceGCPercent, debug.SetGCPercent(100))
 }
 
-// Only other settings are another digest: order and space are none.
+// Settings that differ only in order and space have the same digest.
 func TestChangedFieldsIgnoresOrderAndSpace(t *testing.T) {
 	read := func(from, to string) *Config {
 		text := strings.Replace(string(largeConfig(3, 3)), from, to, 1)
@@ -152,7 +152,7 @@
 	}
 }
 
-// What is wrong in a large file is named with its place.
+// An error in a large file names the place of the invalid field.
 func TestReadConfigErrorNamesNestedField(t *testing.T) {
 	for from, to := range map[string]string{`"tenant-000077","quota_rps":6`: `"tenant-000077","quota_rps":"many"`,
 		`"route-0031","aim":500`: `"route-0031","aim":-1`} {
@@ -164,7 +164,7 @@
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// toPairs are settings as the pairs of a wire.
+// toPairs converts settings to the path=value pairs of the line protocol.
 func toPairs(path string, tree any) (list []string) {
 	switch v := tree.(type) {
 	case map[string]any:
@@ -191,7 +191,7 @@
 	return list
 }
 
-// requireSameConfig compares what a stream gives with what the same settings give as pairs.
+// requireSameConfig compares a config decoded from a stream with the one that the same settings give as pairs.
 func requireSameConfig(t *testing.T, text []byte, config *Config) {
 	var f struct{ Settings any }
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -202,7 +202,7 @@
 	assert.Equal(t, pairs, config.Settings)
 }
 
-// A version comes into force in a node that runs, or is refused with the item named; either is told in the log.
+// A version is applied to a running node, or rejected with the item named; the log shows either.
 func TestAmendAppliesVersionToRunningServer(t *testing.T) {
 	config, err := DecodeConfig(bytes.NewReader(largeConfig(3, 3)))
 	require.NoError(t, err)
@@ -218,7 +218,7 @@
 			select {
 			case line = <-lines:
 			case <-time.After(20 * time.Second):
-				require.Fail(t, "never told", text)
+				require.Fail(t, "not logged", text)
 			}
 		}
 		return line
@@ -238,7 +238,7 @@
 	assert.NoError(t, <-ended)
 }
 
-// lineWriter hands on what a logger writes, and drops it where nobody reads.
+// lineWriter passes on the lines of a logger, and drops them when its buffer is full.
 type lineWriter chan string
 
 func (w lineWriter) Write(b []byte) (int, error) {
--- a/server/configstorage_test.go
+++ b/server/configstorage_test.go
@@ -14,7 +14,7 @@
 	"topazpost/internal/fleet/configsync"
 )
 
-// versionEffects are some in a row, each with an item more.
+// versionEffects are the effects that persist n versions, each of which adds an item.
 func versionEffects(t *testing.T, n int) (list []*configsync.Effect) {
 	content, mark := new(configsync.Content), configsync.Revision{}
 	for k := range n {
@@ -39,7 +39,7 @@
 	_, found := d.read()
 	assert.False(t, found)
 	list := versionEffects(t, 4)
-	require.Error(t, d.writeVersion(list[0]), "records follow on what is there")
+	require.Error(t, d.writeVersion(list[0]), "records need a content before them")
 	list[0].Full = true
 	for _, e := range list[:3] {
 		require.NoError(t, d.writeVersion(e))
@@ -51,18 +51,18 @@
 	require.True(t, found)
 	assert.Equal(t, []any{list[2].Mark, "disk"}, []any{start.Mark, start.Source})
 	assert.Positive(t, start.Journal)
-	require.NoError(t, d.writeVersion(list[3]), "it goes on behind what was read")
+	require.NoError(t, d.writeVersion(list[3]), "records are appended to those that were read")
 	d.close()
 
 	path := filepath.Join(folder, lastGoodFileName)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(path, text[:len(text)-3], 0o600)) // half a record
+	require.NoError(t, os.WriteFile(path, text[:len(text)-3], 0o600)) // a torn record
 	d, log := newTestConfigStorage(folder)
 	start, found = d.read()
 	require.True(t, found)
 	assert.Equal(t, list[2].Mark, start.Mark)
-	assert.Equal(t, -1, start.Journal, "so that all is written anew")
+	assert.Equal(t, -1, start.Journal, "the next version is written in full")
 	assert.Contains(t, log.String(), "spoilt the end of what was kept")
 	d.close()
 
@@ -74,7 +74,7 @@
 	assert.Contains(t, log.String(), "put aside; the node starts from its own file")
 	aside, err := os.ReadFile(filepath.Join(folder, corruptFileName))
 	require.NoError(t, err)
-	assert.Equal(t, text, aside, "nothing is lost")
+	assert.Equal(t, text, aside, "the corrupt file is preserved")
 }
 
 func TestConfigStorageKeepsFileWhenReplacementFails(t *testing.T) {
--- a/server/dispatchers_test.go
+++ b/server/dispatchers_test.go
@@ -18,10 +18,10 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// testTimeout ends a test that hangs; no verdict rests on it.
+// testTimeout ends a test that hangs; no assertion depends on its length.
 const testTimeout = 10 * time.Second
 
-// testConnection is a connection whose two ends the test holds: what the node does comes about only as the test lets it.
+// testConnection is a connection of which the test controls both ends, and the event loop's part too.
 type testConnection struct {
 	t      *testing.T
 	server *Server
@@ -31,7 +31,7 @@
 
 func newTestConnection(t *testing.T) *testConnection {
 	s := newTestServer(t)
-	s.ctx, s.conns, s.group = t.Context(), newConnections(s), newTestGroup(t) // it is waited for after the connections are closed
+	s.ctx, s.conns, s.group = t.Context(), newConnections(s), newTestGroup(t) // its cleanup runs after the connections are closed
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -52,7 +52,7 @@
 	require.NoError(c.t, err)
 }
 
-// awaitUnread waits until so many bytes lie unread at the node.
+// awaitUnread waits until n bytes lie unread at the node.
 func (c *testConnection) awaitUnread(n int) {
 	raw, err := c.conn.conn.(*net.TCPConn).SyscallConn()
 	require.NoError(c.t, err)
@@ -70,12 +70,12 @@
 	case in := <-c.server.dispatcherInputs:
 		return in
 	case <-time.After(testTimeout):
-		require.Fail(c.t, "no input came")
+		require.Fail(c.t, "no input received")
 		return node.Input{}
 	}
 }
 
-// answer plays the reducer: it takes a frame and has it answer.
+// answer takes the place of the state machine: it takes a frame and answers it.
 func (c *testConnection) answer(in node.Input) {
 	require.Equal(c.t, node.FrameReceived, in.Kind)
 	c.server.conns.send(1, frame.Append(nil, frame.Answer, in.Frame.Stream, []byte{frame.Throttled, 0}))
@@ -83,7 +83,7 @@
 	c.server.conns.flush()
 }
 
-// nextStream is the stream of the nextStream frame that the peer reads; it fails on anything but a frame or a clean end.
+// nextStream is the stream id of the next frame that the peer reads. It fails the test on anything but a frame or a clean close.
 func (c *testConnection) nextStream() (stream uint32, ended bool) {
 	var p frame.Parser
 	one := make([]byte, 1)
@@ -97,16 +97,16 @@
 		if errors.Is(err, io.EOF) {
 			return 0, true
 		}
-		require.NoError(c.t, err, "a reset takes what is owed with it")
+		require.NoError(c.t, err, "the connection must not be reset")
 		p.Wrote(copy(p.Space(), one[:n]))
 	}
 }
 
 func checkFrame(stream uint32) []byte { return frame.Append(nil, frame.Check, stream, []byte{0}) }
 
-// What lies unread when a connection is to end was sent in time: it is handed on, and its answer comes before the end.
+// Bytes that lie unread when a connection is to be closed were sent in time: their frames are passed on and answered first.
 func TestUnreadFrameIsAnsweredBeforeClose(t *testing.T) {
-	for name, noLinger := range map[string]bool{"finish": false, "evict": true} {
+	for name, noLinger := range map[string]bool{"close": false, "evict": true} {
 		c := newTestConnection(t)
 		c.write(checkFrame(1))
 		c.awaitUnread(len(checkFrame(1)))
@@ -123,17 +123,17 @@
 	}
 }
 
-// A frame that was read and waits for the reducer keeps its connection open, however often the reader looks.
+// A frame that is queued for the state machine keeps its connection open.
 func TestQueuedFrameDelaysClose(t *testing.T) {
 	c := newTestConnection(t)
 	c.server.conns.startReader(1)
 	c.write(checkFrame(1))
 	in := c.input()
 	c.server.conns.closeAfterFlush(1, false)
-	assert.False(t, c.conn.tryCloseWrite(), "its turn is not over")
-	c.server.conns.resume(1) // it opened a stream
+	assert.False(t, c.conn.tryCloseWrite(), "the frame is still queued")
+	c.server.conns.resume(1) // the frame opened a stream
 	c.server.conns.releaseFrames([]node.Input{in})
-	assert.False(t, c.conn.tryCloseWrite(), "and it is not answered")
+	assert.False(t, c.conn.tryCloseWrite(), "the frame is not answered")
 	c.write(checkFrame(2))
 	c.answer(c.input())
 	stream, ended := c.nextStream()
@@ -143,7 +143,7 @@
 	assert.True(t, ended)
 }
 
-// One that is being sent slowly when its connection is to end comes to its own end first.
+// A frame that is partly received when its connection is to be closed is completed and answered first.
 func TestPartialFrameDelaysClose(t *testing.T) {
 	c := newTestConnection(t)
 	c.server.conns.startReader(1)
@@ -160,7 +160,7 @@
 	assert.True(t, ended)
 }
 
-// A sender that is slow and goes on is heard to its end.
+// A frame whose bytes keep arriving slowly is passed on.
 func TestSlowFrameIsDelivered(t *testing.T) {
 	c := newTestConnection(t)
 	c.server.conns.maxClientTimeout.Store(int64(testTimeout))
@@ -174,7 +174,7 @@
 	assert.Equal(t, []any{uint32(1), false}, []any{stream, ended})
 }
 
-// Where its place is wanted the rest of a frame is not waited for.
+// An eviction does not wait for the rest of a frame.
 func TestPartialFrameDoesNotDelayEviction(t *testing.T) {
 	c := newTestConnection(t)
 	c.server.conns.startReader(1)
@@ -185,7 +185,7 @@
 	assert.Equal(t, node.ConnectionClosed, c.input().Kind)
 }
 
-// Half a frame without a rest ends as what can't be understood, and its connection then.
+// A frame that is not completed is reported as malformed, and its connection is closed.
 func TestPartialFrameTimesOut(t *testing.T) {
 	c := newTestConnection(t)
 	c.server.conns.startReader(1)
@@ -196,7 +196,7 @@
 	assert.True(t, ended)
 }
 
-// What is sent after this side was closed could not be answered: it must not be handed on.
+// A frame that arrives after this side was closed could not be answered, and must not be passed on.
 func TestFrameAfterCloseIsDiscarded(t *testing.T) {
 	c := newTestConnection(t)
 	c.server.conns.startReader(1)
@@ -209,7 +209,7 @@
 	assert.Empty(t, c.server.dispatcherInputs)
 }
 
-// A peer that reads slowly has all that it is owed before the end.
+// A peer that reads slowly receives all responses before the close.
 func TestSlowReaderReceivesAllResponses(t *testing.T) {
 	c := newTestConnection(t)
 	require.NoError(t, c.conn.conn.(*net.TCPConn).SetWriteBuffer(4<<10))
@@ -221,14 +221,14 @@
 	c.server.conns.releaseFrames([]node.Input{in})
 	c.server.conns.flush()
 	c.server.conns.closeAfterFlush(1, false)
-	c.write(checkFrame(2)) // and one that crosses
+	c.write(checkFrame(2)) // a frame that crosses the close
 	c.answer(c.input())
 	got, err := io.ReadAll(c.peer)
 	require.NoError(t, err)
 	assert.Len(t, got, len(frame.Append(nil, frame.Answer, 1, body))+len(frame.Append(nil, frame.Answer, 2, []byte{frame.Throttled, 0})))
 }
 
-// What the system has accepted when intake ends is taken on, also where all places are taken at that moment.
+// Connections that the kernel has accepted by stopAccepting are still accepted, also when all slots are taken at that time.
 func TestStopAcceptingAcceptsBacklogFirst(t *testing.T) {
 	s := newTestServer(t)
 	require.NoError(t, s.Listen())
@@ -239,7 +239,7 @@
 	accepted := make(chan error, 1)
 	go func() { accepted <- s.conns.accept() }()
 	var peers []net.Conn
-	for range 4 { // one takes the last place
+	for range 4 { // one takes the last slot
 		peer, err := net.Dial("tcp", s.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { peer.Close() })
@@ -252,7 +252,7 @@
 		case in := <-s.dispatcherInputs:
 			return in
 		case <-time.After(testTimeout):
-			require.Fail(t, "no input came")
+			require.Fail(t, "no input received")
 			return node.Input{}
 		}
 	}
@@ -280,14 +280,14 @@
 	}
 }
 
-// countDescriptors are those of this process.
+// countDescriptors counts the open descriptors of this process.
 func countDescriptors(t *testing.T) int {
 	list, err := os.ReadDir("/proc/self/fd")
 	require.NoError(t, err)
 	return len(list)
 }
 
-// A node that has ended leaves no descriptor behind, whoever was connected.
+// A node that has ended leaves no descriptor open, whatever its peers have sent.
 func TestRunLeaksNoDescriptors(t *testing.T) {
 	before := countDescriptors(t)
 	for range 2 {
--- a/server/fixtures_test.go
+++ b/server/fixtures_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/resultcache"
 )
 
-// The files of a seat's folder are the bytes of fixtures, under the same names, and are read to what was written.
+// The files of a replica's folder have the bytes and names of the fixtures, and are read back as written.
 func TestReplicaStorageMatchesFixtures(t *testing.T) {
 	const generation = 0x0102030405060708
 	t.Run("base", func(t *testing.T) {
@@ -32,12 +32,12 @@
 	})
 }
 
-// The mark by which a stream is told from an exchange.
+// The magic number that distinguishes a stream from an exchange.
 func TestStreamMagicMatchesFixture(t *testing.T) {
 	fixture.Equal(t, "stream-mark-v1.bin", binary.LittleEndian.AppendUint32(nil, streamMagic))
 }
 
-// The numbers of endings, which stand in kept records and in claims.
+// The numbers of outcomes, which are stored in records and claims.
 func TestOutcomesMatchFixture(t *testing.T) {
 	fixture.Equal(t, "endings-v1.bin", []byte{byte(resultcache.Succeeded), byte(resultcache.Failed), byte(resultcache.NeverStarted), byte(resultcache.ResultNotCached)})
 }
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -39,10 +39,10 @@
 		if k >= 0 {
 			number = inputs[k].Link
 		}
-		for fleet.offerDatagram("127.0.0.1:2", nil) { // they come all the time
+		for fleet.offerDatagram("127.0.0.1:2", nil) { // their queue is always full
 		}
 		return k >= 0
-	}, 10*time.Second, time.Millisecond, "an exchange comes through beside datagrams that fill their queue")
+	}, 10*time.Second, time.Millisecond, "an exchange is served while datagrams fill their queue")
 	fleet.reply(&node.Effect{Link: number, Bytes: make([]byte, 32)})
 	response, err := readMessage(peer)
 	require.NoError(t, err)
--- a/server/helpers_test.go
+++ b/server/helpers_test.go
@@ -12,7 +12,7 @@
 // No test of this package may leave a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newTestGroup is a group whose goroutines end with the test.
+// newTestGroup is a group that is waited for when the test ends.
 func newTestGroup(t *testing.T) *errgroup.Group {
 	group, _ := errgroup.WithContext(t.Context())
 	t.Cleanup(func() { assert.NoError(t, group.Wait()) })
--- a/server/replica_test.go
+++ b/server/replica_test.go
@@ -16,7 +16,7 @@
 	"topazpost/internal/node"
 )
 
-// newReplicaFolder is the folder of a seat and a server that hears what is written.
+// newReplicaFolder is a replica's folder and a server whose inputs report the writes.
 func newReplicaFolder(t *testing.T) (folder string, s *Server) {
 	return t.TempDir(), &Server{log: zerolog.Nop(), inputs: make(chan node.Input, 4_096), ctx: context.Background()}
 }
@@ -40,7 +40,7 @@
 	d.queue <- &consensus.Write{Number: 2, Records: [][]byte{[]byte("b")}}
 	d.queue <- &consensus.Write{Number: 3, Records: [][]byte{[]byte("c")}}
 	d.writeQueued(&consensus.Write{Number: 1, Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a")}})
-	assert.Equal(t, node.Input{Kind: node.ReplicaWritePersisted, Number: 3}, <-s.inputs, "those that wait share a sync, and are told at once")
+	assert.Equal(t, node.Input{Kind: node.ReplicaWritePersisted, Number: 3}, <-s.inputs, "queued writes share a sync and a report")
 	d.close()
 	d, contents = openTestStorage(t, folder, s)
 	assert.Equal(t, consensus.DiskContents{Base: []byte("base"), Parts: parts, Records: [][]byte{[]byte("a"), []byte("b"), []byte("c")}}, contents)
@@ -53,7 +53,7 @@
 	assert.Equal(t, consensus.DiskContents{Base: []byte("second"), Parts: map[string][]byte{}, Records: [][]byte{[]byte("d")}}, contents)
 	names, err := d.fileNames()
 	require.NoError(t, err)
-	assert.Len(t, names, 3, "lock, base and log: what no base names is gone")
+	assert.Len(t, names, 3, "lock, base and log: unreferenced files are removed")
 	d.writeQueued(&consensus.Write{Number: 5, DiscardEarlier: true})
 	d.close()
 	_, contents = openTestStorage(t, folder, s)
@@ -93,10 +93,10 @@
 		d.writeQueued(&consensus.Write{Number: 2, Records: [][]byte{[]byte("next")}})
 		d.close()
 		d, there = openTestStorage(t, folder, s)
-		assert.Equal(t, append(want, []byte("next")), there.Records, "what follows stands behind what is whole")
+		assert.Equal(t, append(want, []byte("next")), there.Records, "later records follow the intact ones")
 		d.close()
 	}
-	for at := range intact { // and a bit that is another
+	for at := range intact { // a flipped bit
 		corrupt := append([]byte(nil), intact...)
 		corrupt[at] ^= 4
 		records, _ := readRecords(corrupt)
@@ -136,5 +136,5 @@
 	d.writeQueued(&consensus.Write{Number: 2, Records: [][]byte{[]byte("a")}})
 	assert.Error(t, (<-s.inputs).Err)
 	d.writeQueued(&consensus.Write{Number: 3, Records: [][]byte{[]byte("b")}})
-	assert.Error(t, (<-s.inputs).Err, "and of nothing that counts after it")
+	assert.Error(t, (<-s.inputs).Err, "writes after a failure fail")
 }
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -55,7 +55,7 @@
 	for range maxQueuedFrames {
 		inputs = append(inputs, <-s.dispatcherInputs)
 	}
-	assert.Len(t, conn.queuedFrames, maxQueuedFrames, "no turn is left for a further one")
+	assert.Len(t, conn.queuedFrames, maxQueuedFrames, "the connection's queue is full")
 	assert.Empty(t, s.dispatcherInputs)
 	s.conns.releaseFrames(inputs[:1])
 	assert.Equal(t, node.FrameReceived, (<-s.dispatcherInputs).Kind)
@@ -81,7 +81,7 @@
 	s.listener.Close()
 }
 
-// A drain notice, or the end of the context, that comes while the address is still taken ends the node at once.
+// A drain request, or the end of the context, ends a node that still waits for its address.
 func TestRunWaitingForAddressCanBeStopped(t *testing.T) {
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -107,7 +107,7 @@
 	}
 }
 
-// A site with nothing below its nodes names no catalogue; one that has something must.
+// A configuration without a dependency needs no catalogue; one with a dependency does.
 func TestCatalogueIsRequiredOnlyWithDependency(t *testing.T) {
 	text := strings.Replace(testConfig, `"catalog":"127.0.0.1:1",`, "", 1)
 	c, err := ReadConfig([]byte(text))
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -16,7 +16,7 @@
 
 const sites = "../deploy/sites"
 
-// site is what a site file says of what a node is told; ranges are of no matter here.
+// site is the part of a site file that a node's configuration is made from; ranges are not needed here.
 type site struct {
 	Name string
 	Load struct {
@@ -47,7 +47,7 @@
 	}
 }
 
-// siteVocabulary is what the settings call things at a site.
+// siteVocabulary maps names in site files to those of the settings.
 type siteVocabulary struct {
 	Init struct{ Rename, Words map[string]string }
 }
@@ -66,7 +66,7 @@
 	return s
 }
 
-// siteConfig is that of a node of a site, in the site's own words.
+// siteConfig is the configuration of a node of a site, in the site's vocabulary.
 func siteConfig(t *testing.T, s *site, w *siteVocabulary) []byte {
 	var classes, tenants []any
 	var calls []bool
@@ -93,7 +93,7 @@
 	return text
 }
 
-// The variants of other customers load through our own decoder: nothing of one deployment is known to the program.
+// The configurations of other sites decode as well: the program knows nothing of one deployment.
 func TestSiteConfigsLoad(t *testing.T) {
 	var w siteVocabulary
 	text, err := os.ReadFile(filepath.Join(sites, "wire.json"))
@@ -129,11 +129,11 @@
 		}
 		New(n, nopLogger, SystemClock())
 	}
-	assert.Positive(t, effects[admission.IdempotentWithKey], "one has repeats that are dropped")
-	assert.Positive(t, effects[admission.NonIdempotent], "one has calls that may be repeated only if known not to have run")
+	assert.Positive(t, effects[admission.IdempotentWithKey], "a site has operations with an idempotency key")
+	assert.Positive(t, effects[admission.NonIdempotent], "a site has operations that are not idempotent")
 }
 
-// What dispatchers call the fields that are read is what the sites say.
+// The names of the fields that dispatchers send are those of the sites.
 func TestFieldNamesMatchSites(t *testing.T) {
 	var real struct{ Serve struct{ F map[string]string } }
 	text, err := os.ReadFile(filepath.Join(sites, "real.json"))
--- a/server/writedeadline_test.go
+++ b/server/writedeadline_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deadlineRecorder is a socket that remembers its deadline for writes.
+// deadlineRecorder is a socket that records its write deadline.
 type deadlineRecorder struct {
 	socket
 	mu       sync.Mutex
@@ -31,7 +31,7 @@
 	return a.deadline, a.calls
 }
 
-// A deadline is a timer of the runtime, and it goes over all of them at each beat: a connection that rests has none.
+// A deadline is a runtime timer, and the runtime scans all of them at each tick: an idle connection has none.
 func TestIdleConnectionHasNoWriteDeadline(t *testing.T) {
 	c := newTestConnection(t)
 	recorder := &deadlineRecorder{socket: c.conn.conn}
@@ -41,7 +41,7 @@
 		c.server.conns.flush()
 		c.server.conns.writers.Wait()
 		deadline, calls := recorder.last()
-		require.Greater(t, calls, k, "a peer that takes nothing is still cut off")
+		require.Greater(t, calls, k, "a write has a deadline")
 		assert.Zero(t, deadline)
 	}
 }
