--- a/server/config_test.go
+++ b/server/config_test.go
@@ -47,7 +47,8 @@
 }
 
 func (w *heapWatcher) Read(b []byte) (int, error) {
-	if w.countdown--; w.countdown%16 == 0 {
+	w.countdown--
+	if w.countdown%16 == 0 {
 		w.peak = max(w.peak, liveHeap())
 	}
 	return w.Reader.Read(b)
--- a/server/configstorage.go
+++ b/server/configstorage.go
@@ -89,11 +89,11 @@
 	return &configStorage{server: s, folder: folder, queue: make(chan *configsync.Effect, maxQueuedVersions), unlock: unlock}, nil
 }
 
-func (d *configStorage) path(name string) string { return filepath.Join(d.folder, name) }
+func (c *configStorage) path(name string) string { return filepath.Join(c.folder, name) }
 
 // read reads the last version in force and logs what could not be read of it.
-func (d *configStorage) read() (start configsync.InitialState, found bool) {
-	file, err := os.OpenFile(d.path(lastGoodFileName), os.O_RDWR, 0o600)
+func (c *configStorage) read() (start configsync.InitialState, found bool) {
+	file, err := os.OpenFile(c.path(lastGoodFileName), os.O_RDWR, 0o600)
 	if errors.Is(err, fs.ErrNotExist) {
 		return start, false
 	}
@@ -105,45 +105,45 @@
 		start, err = loader.Start()
 	}
 	if err == nil {
-		d.file = file
+		c.file = file
 		return start, true
 	}
 	if file != nil {
 		file.Close()
 	}
 	if start.Content != nil { // the next version is written in full
-		d.server.log.Warn().Str("file", d.path(lastGoodFileName)).Uint64("version", start.Mark.Version).Err(err).
+		c.server.log.Warn().Str("file", c.path(lastGoodFileName)).Uint64("version", start.Mark.Version).Err(err).
 			Msg("configuration: a crash or the disk spoilt the end of what was kept; what is before it is taken")
 		return start, true
 	}
-	renameErr := os.Rename(d.path(lastGoodFileName), d.path(corruptFileName))
-	d.server.log.Warn().Str("file", d.path(corruptFileName)).Err(errors.Join(err, renameErr)).
+	renameErr := os.Rename(c.path(lastGoodFileName), c.path(corruptFileName))
+	c.server.log.Warn().Str("file", c.path(corruptFileName)).Err(errors.Join(err, renameErr)).
 		Msg("configuration: what was kept can't be read, and is put aside; the node starts from its own file")
 	return start, false
 }
 
 // enqueue queues a version for the writer; one that finds the queue full counts as not persisted.
-func (d *configStorage) enqueue(e *configsync.Effect) {
+func (c *configStorage) enqueue(e *configsync.Effect) {
 	select {
-	case d.queue <- e:
+	case c.queue <- e:
 	default:
-		d.server.group.Go(func() error {
-			d.server.enqueueInput(node.Input{Kind: node.VersionPersisted, Err: errVersionQueueFull})
+		c.server.group.Go(func() error {
+			c.server.enqueueInput(node.Input{Kind: node.VersionPersisted, Err: errVersionQueueFull})
 			return nil
 		})
 	}
 }
 
 // run writes until the node ends, and then what is still queued.
-func (d *configStorage) run() {
-	defer d.close()
+func (c *configStorage) run() {
+	defer c.close()
 	for {
 		select {
-		case e := <-d.queue:
-			d.server.enqueueInput(node.Input{Kind: node.VersionPersisted, Err: d.writeVersion(e)})
-		case <-d.server.ctx.Done():
-			for len(d.queue) > 0 {
-				_ = d.writeVersion(<-d.queue) // the state machine has ended; the next start reads what the file holds
+		case e := <-c.queue:
+			c.server.enqueueInput(node.Input{Kind: node.VersionPersisted, Err: c.writeVersion(e)})
+		case <-c.server.ctx.Done():
+			for len(c.queue) > 0 {
+				_ = c.writeVersion(<-c.queue) // the state machine has ended; the next start reads what the file holds
 			}
 			return
 		}
@@ -151,44 +151,44 @@
 }
 
 // writeVersion writes a version: the records that lead to it, or its full content.
-func (d *configStorage) writeVersion(e *configsync.Effect) error {
+func (c *configStorage) writeVersion(e *configsync.Effect) error {
 	if e.Full {
-		return d.replaceFile(e)
+		return c.replaceFile(e)
 	}
-	if d.file == nil {
-		return fmt.Errorf("configuration: %s isn't open", d.path(lastGoodFileName))
+	if c.file == nil {
+		return fmt.Errorf("configuration: %s isn't open", c.path(lastGoodFileName))
 	}
 	var text []byte
 	for _, r := range e.Records {
 		text = configsync.AppendRecord(text, r)
 	}
-	err := writeAndSync(d.file, text)
+	err := writeAndSync(c.file, text)
 	if err != nil { // the end of the file is no longer known
-		d.closeFile()
+		c.closeFile()
 	}
 	return err
 }
 
 // replaceFile replaces the file by one with the full content of a version; after a failure the old one is still there.
-func (d *configStorage) replaceFile(e *configsync.Effect) error {
-	d.closeFile()
-	temporary := d.path(lastGoodFileName + temporarySuffix)
+func (c *configStorage) replaceFile(e *configsync.Effect) error {
+	c.closeFile()
+	temporary := c.path(lastGoodFileName + temporarySuffix)
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
 	err = writeContent(file, e)
 	if err == nil {
-		err = os.Rename(temporary, d.path(lastGoodFileName))
+		err = os.Rename(temporary, c.path(lastGoodFileName))
 	}
 	if err == nil {
-		err = syncFolder(d.folder)
+		err = syncFolder(c.folder)
 	}
 	if err != nil {
 		file.Close()
 		return err
 	}
-	d.file = file
+	c.file = file
 	return nil
 }
 
@@ -202,16 +202,16 @@
 	return file.Sync()
 }
 
-func (d *configStorage) closeFile() {
-	if d.file != nil {
-		d.file.Close()
-		d.file = nil
+func (c *configStorage) closeFile() {
+	if c.file != nil {
+		c.file.Close()
+		c.file = nil
 	}
 }
 
-func (d *configStorage) close() {
-	d.closeFile()
-	d.unlock()
+func (c *configStorage) close() {
+	c.closeFile()
+	c.unlock()
 }
 
 // persistVersion stores a version; a node without a folder has it in memory only.
--- a/server/connection.go
+++ b/server/connection.go
@@ -26,7 +26,7 @@
 // and sends all that is pending with one call.
 type connection struct {
 	link         int
-	conn         socket
+	socket       socket
 	discarding   atomic.Bool   // frames are no longer passed on
 	queuedFrames chan struct{} // one for each frame that the state machine has not taken yet
 
@@ -41,120 +41,120 @@
 }
 
 // setReadDeadline bounds the next read.
-func (k *connection) setReadDeadline(at time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.conn.SetReadDeadline(at)
+func (c *connection) setReadDeadline(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.socket.SetReadDeadline(at)
 }
 
 // clearReadDeadline lets the reader wait without limit, unless the connection can be closed.
-func (k *connection) clearReadDeadline() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.conn.SetReadDeadline(time.Time{})
-	k.wakeReader()
+func (c *connection) clearReadDeadline() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.socket.SetReadDeadline(time.Time{})
+	c.wakeReader()
 }
 
 // closable reports whether this side can be closed, apart from bytes that may lie unread. Queued frames prevent it until the
 // state machine has taken them and its effects, ResumeConnection above all, are carried out. The caller holds mu.
-func (k *connection) closable() bool {
-	return k.closing && !k.writeClosed && !k.released && !k.writing && len(k.pending) == 0 && len(k.queuedFrames) == 0
+func (c *connection) closable() bool {
+	return c.closing && !c.writeClosed && !c.released && !c.writing && len(c.pending) == 0 && len(c.queuedFrames) == 0
 }
 
 // wakeReader makes the reader check for unread bytes once this side can be closed. The caller holds mu.
-func (k *connection) wakeReader() {
-	if k.closable() {
-		k.conn.SetReadDeadline(expiredDeadline)
+func (c *connection) wakeReader() {
+	if c.closable() {
+		c.socket.SetReadDeadline(expiredDeadline)
 	}
 }
 
 // evicting reports whether the connection's slot is needed more than the rest of a frame.
-func (k *connection) evicting() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.closing && k.noLinger
+func (c *connection) evicting() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closing && c.noLinger
 }
 
 // tryCloseWrite closes this side if it can still be closed. The reader calls it when it has found no unread bytes.
-func (k *connection) tryCloseWrite() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.closable() {
-		k.conn.SetReadDeadline(time.Time{})
+func (c *connection) tryCloseWrite() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.closable() {
+		c.socket.SetReadDeadline(time.Time{})
 		return false
 	}
-	k.writeClosed = true
-	if !k.noLinger {
-		_ = k.conn.CloseWrite() // the reader sees a failed connection
-		k.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	c.writeClosed = true
+	if !c.noLinger {
+		_ = c.socket.CloseWrite() // the reader sees a failed connection
+		c.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
 	return true
 }
 
 // closeAfterFlush marks the connection for closing.
-func (k *connection) closeAfterFlush(noLinger bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closing = true
-	k.noLinger = noLinger
-	k.wakeReader()
-	if noLinger && k.writeClosed {
-		k.conn.SetReadDeadline(expiredDeadline)
+func (c *connection) closeAfterFlush(noLinger bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closing = true
+	c.noLinger = noLinger
+	c.wakeReader()
+	if noLinger && c.writeClosed {
+		c.socket.SetReadDeadline(expiredDeadline)
 	}
 }
 
 // resume takes closeAfterFlush back.
-func (k *connection) resume() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closing = false
+func (c *connection) resume() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closing = false
 }
 
 // takePending gives the writer the pending bytes, or ends it where there are none.
-func (k *connection) takePending() (b []byte, ok bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	b = k.pending
-	if len(b) == 0 || k.released {
+func (c *connection) takePending() (b []byte, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b = c.pending
+	if len(b) == 0 || c.released {
 		// A deadline left set is a runtime timer for each connection, and the runtime scans all of them whenever one that
 		// was reset comes due, as that of the event loop does.
-		k.conn.SetWriteDeadline(time.Time{})
-		k.writing = false
-		k.wakeReader()
+		c.socket.SetWriteDeadline(time.Time{})
+		c.writing = false
+		c.wakeReader()
 		return nil, false
 	}
-	k.pending = k.spare[:0]
-	k.spare = nil
+	c.pending = c.spare[:0]
+	c.spare = nil
 	return b, true
 }
 
 // write is the connection's writer: it writes until nothing is pending.
-func (c *connections) write(k *connection) {
+func (c *connections) write(conn *connection) {
 	for {
-		b, ok := k.takePending()
+		b, ok := conn.takePending()
 		if !ok {
 			return
 		}
-		k.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, err := k.conn.Write(b)
-		if !c.wrote(k, b, err) {
+		conn.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := conn.socket.Write(b)
+		if !c.wrote(conn, b, err) {
 			return
 		}
 	}
 }
 
 // wrote accounts for a write; after a failed one it drops what is pending and closes the connection.
-func (c *connections) wrote(k *connection, b []byte, err error) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spare = b[:0]
+func (c *connections) wrote(conn *connection, b []byte, err error) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.spare = b[:0]
 	c.bytes.Add(-int64(len(b)))
 	if err == nil {
 		return true
 	}
-	c.bytes.Add(-int64(len(k.pending)))
-	k.pending = nil
-	k.writing = false
-	k.conn.Close()
+	c.bytes.Add(-int64(len(conn.pending)))
+	conn.pending = nil
+	conn.writing = false
+	conn.socket.Close()
 	return false
 }
--- a/server/datagrams.go
+++ b/server/datagrams.go
@@ -42,40 +42,40 @@
 }
 
 // offerDatagram queues a received datagram, or drops it.
-func (p *fleetSockets) offerDatagram(from string, payload []byte) bool {
+func (f *fleetSockets) offerDatagram(from string, payload []byte) bool {
 	select {
-	case p.datagrams <- peerMessage{kind: node.PeerDatagramReceived, address: from, payload: payload}:
+	case f.datagrams <- peerMessage{kind: node.PeerDatagramReceived, address: from, payload: payload}:
 		return true
 	default:
-		p.counters.Dropped.Add(1)
+		f.counters.Dropped.Add(1)
 		return false
 	}
 }
 
 // readDatagrams reads datagrams at a bounded rate for each sender, so that a peer that floods delays no others. Senders behind
 // one address share its rate.
-func (p *fleetSockets) readDatagrams() {
+func (f *fleetSockets) readDatagrams() {
 	limiters := senderLimiters{}
 	buffer := make([]byte, envelope.DatagramMost+1)
 	for {
-		n, from, err := p.udp.ReadFromUDPAddrPort(buffer)
+		n, from, err := f.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			p.server.limitedLog.Warn().Err(err).Msg("no datagram could be read")
+			f.server.limitedLog.Warn().Err(err).Msg("no datagram could be read")
 			time.Sleep(acceptBackoff)
 			continue
 		}
 		if !limiters.allow(from.Addr()) {
-			p.counters.Flooded.Add(1)
-			p.server.limitedLog.Warn().Stringer("from", from).Msg("peer floods, its datagrams are dropped")
+			f.counters.Flooded.Add(1)
+			f.server.limitedLog.Warn().Stringer("from", from).Msg("peer floods, its datagrams are dropped")
 			continue
 		}
 		if n > envelope.DatagramMost {
 			n = 0 // counted as one that is too short
 		}
-		p.offerDatagram(from.String(), append([]byte(nil), buffer[:n]...))
+		f.offerDatagram(from.String(), append([]byte(nil), buffer[:n]...))
 	}
 }
 
@@ -95,42 +95,42 @@
 }
 
 // sendDatagram queues a datagram to send, or drops it.
-func (p *fleetSockets) sendDatagram(e *node.Effect) {
+func (f *fleetSockets) sendDatagram(e *node.Effect) {
 	select {
-	case p.outgoing <- peerMessage{address: e.Address, payload: e.Bytes}:
+	case f.outgoing <- peerMessage{address: e.Address, payload: e.Bytes}:
 	default:
-		p.counters.Dropped.Add(1)
+		f.counters.Dropped.Add(1)
 	}
 }
 
 // writeDatagrams sends queued datagrams until the node ends.
-func (p *fleetSockets) writeDatagrams() {
+func (f *fleetSockets) writeDatagrams() {
 	for {
 		select {
-		case m := <-p.outgoing:
-			p.writeDatagram(&m)
-		case <-p.server.ctx.Done():
+		case m := <-f.outgoing:
+			f.writeDatagram(&m)
+		case <-f.server.ctx.Done():
 			return
 		}
 	}
 }
 
-func (p *fleetSockets) writeDatagram(m *peerMessage) {
+func (f *fleetSockets) writeDatagram(m *peerMessage) {
 	to, err := netip.ParseAddrPort(m.address)
 	if err == nil {
-		_, err = p.udp.WriteToUDPAddrPort(m.payload, to)
+		_, err = f.udp.WriteToUDPAddrPort(m.payload, to)
 	}
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		p.server.limitedLog.Debug().Err(err).Msg("datagram could not be sent")
+		f.server.limitedLog.Debug().Err(err).Msg("datagram could not be sent")
 	}
 }
 
 // flush sends the queued datagrams before the node ends.
-func (p *fleetSockets) flush() {
+func (f *fleetSockets) flush() {
 	for {
 		select {
-		case m := <-p.outgoing:
-			p.writeDatagram(&m)
+		case m := <-f.outgoing:
+			f.writeDatagram(&m)
 		default:
 			return
 		}
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -53,13 +53,13 @@
 }
 
 // add takes an accepted connection on; false means that the node has ended.
-func (c *connections) add(link int, conn net.Conn) bool {
-	k := &connection{link: link, conn: conn.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+func (c *connections) add(link int, accepted net.Conn) bool {
+	conn := &connection{link: link, socket: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
 	c.mu.Lock()
-	c.open[link] = k
+	c.open[link] = conn
 	c.mu.Unlock()
 	if !c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionOpened, Link: link}) {
-		k.conn.Close()
+		conn.socket.Close()
 		return false
 	}
 	return true
@@ -72,8 +72,8 @@
 }
 
 func (c *connections) startReader(link int) {
-	if k := c.get(link); k != nil {
-		c.server.group.Go(func() error { c.read(k); return nil })
+	if conn := c.get(link); conn != nil {
+		c.server.group.Go(func() error { c.read(conn); return nil })
 	}
 }
 
@@ -84,92 +84,92 @@
 		if inputs[i].Kind != node.FrameReceived {
 			continue
 		}
-		if k := c.get(inputs[i].Link); k != nil {
-			<-k.queuedFrames
-			k.mu.Lock()
-			k.wakeReader()
-			k.mu.Unlock()
+		if conn := c.get(inputs[i].Link); conn != nil {
+			<-conn.queuedFrames
+			conn.mu.Lock()
+			conn.wakeReader()
+			conn.mu.Unlock()
 		}
 	}
 }
 
 // release closes a connection and frees its slot.
-func (c *connections) release(k *connection) {
-	k.mu.Lock()
-	released := k.released
-	c.bytes.Add(-int64(len(k.pending)))
-	k.released = true
-	k.pending = nil
-	k.mu.Unlock()
+func (c *connections) release(conn *connection) {
+	conn.mu.Lock()
+	released := conn.released
+	c.bytes.Add(-int64(len(conn.pending)))
+	conn.released = true
+	conn.pending = nil
+	conn.mu.Unlock()
 	if released {
 		return
 	}
-	k.conn.Close()
+	conn.socket.Close()
 	c.mu.Lock()
-	delete(c.open, k.link)
+	delete(c.open, conn.link)
 	c.mu.Unlock()
 	<-c.slots
 }
 
 // send adds bytes to what is pending on a connection; flush starts the writer. A peer that reads too slowly is disconnected.
 func (c *connections) send(link int, b []byte) {
-	k := c.get(link)
-	if k == nil {
+	conn := c.get(link)
+	if conn == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.released {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.released {
 		return
 	}
 	limit := maxPendingBytes
 	if c.bytes.Load() > c.maxBytes {
 		limit = minPendingBytes
 	}
-	if len(k.pending)+len(b) > limit {
+	if len(conn.pending)+len(b) > limit {
 		c.server.limitedLog.Warn().Int("connection", link).Msg("peer reads too slowly, cut off")
-		k.conn.Close() // the reader sees it and releases the connection
+		conn.socket.Close() // the reader sees it and releases the connection
 		return
 	}
-	if len(k.pending) == 0 {
-		c.dirty = append(c.dirty, k)
+	if len(conn.pending) == 0 {
+		c.dirty = append(c.dirty, conn)
 	}
-	k.pending = append(k.pending, b...)
+	conn.pending = append(conn.pending, b...)
 	c.bytes.Add(int64(len(b)))
 }
 
 // closeAfterFlush closes a connection once all is written and nothing lies unread; with noLinger it doesn't wait for the peer
 // to close.
 func (c *connections) closeAfterFlush(link int, noLinger bool) {
-	if k := c.get(link); k != nil {
-		k.closeAfterFlush(noLinger)
+	if conn := c.get(link); conn != nil {
+		conn.closeAfterFlush(noLinger)
 	}
 }
 
 // resume takes closeAfterFlush back. It comes with the frame that is its reason, whose queue place has kept this side open.
 func (c *connections) resume(link int) {
-	if k := c.get(link); k != nil {
-		k.resume()
+	if conn := c.get(link); conn != nil {
+		conn.resume()
 	}
 }
 
 // discardInput passes on no more frames of a connection.
 func (c *connections) discardInput(link int) {
-	if k := c.get(link); k != nil {
-		k.discarding.Store(true)
+	if conn := c.get(link); conn != nil {
+		conn.discarding.Store(true)
 	}
 }
 
 // flush starts the writers of connections that have bytes pending.
 func (c *connections) flush() {
-	for _, k := range c.dirty {
-		k.mu.Lock()
-		if !k.writing && !k.released {
-			k.writing = true
+	for _, conn := range c.dirty {
+		conn.mu.Lock()
+		if !conn.writing && !conn.released {
+			conn.writing = true
 			c.writers.Add(1)
-			c.server.group.Go(func() error { defer c.writers.Done(); c.write(k); return nil })
+			c.server.group.Go(func() error { defer c.writers.Done(); c.write(conn); return nil })
 		}
-		k.mu.Unlock()
+		conn.mu.Unlock()
 	}
 	c.dirty = c.dirty[:0]
 }
@@ -191,8 +191,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.open {
-		_ = k.conn.CloseWrite() // the reader sees a failed connection
+	for _, conn := range c.open {
+		_ = conn.socket.CloseWrite() // the reader sees a failed connection
 	}
 }
 
@@ -200,7 +200,7 @@
 func (c *connections) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.open {
-		k.conn.Close()
+	for _, conn := range c.open {
+		conn.socket.Close()
 	}
 }
--- a/server/dispatchers_test.go
+++ b/server/dispatchers_test.go
@@ -31,7 +31,9 @@
 
 func newTestConnection(t *testing.T) *testConnection {
 	s := newTestServer(t)
-	s.ctx, s.conns, s.group = t.Context(), newConnections(s), newTestGroup(t) // its cleanup runs after the connections are closed
+	s.ctx = t.Context()
+	s.conns = newConnections(s)
+	s.group = newTestGroup(t) // its cleanup runs after the connections are closed
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -41,7 +43,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { peer.Close(); accepted.Close() })
 	peer.SetDeadline(time.Now().Add(testTimeout))
-	conn := &connection{link: 1, conn: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+	conn := &connection{link: 1, socket: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
 	s.conns.open[1] = conn
 	s.conns.slots <- struct{}{}
 	return &testConnection{t, s, conn, peer.(*net.TCPConn)}
@@ -54,7 +56,7 @@
 
 // awaitUnread waits until n bytes lie unread at the node.
 func (c *testConnection) awaitUnread(n int) {
-	raw, err := c.conn.conn.(*net.TCPConn).SyscallConn()
+	raw, err := c.conn.socket.(*net.TCPConn).SyscallConn()
 	require.NoError(c.t, err)
 	require.Eventually(c.t, func() bool {
 		got := 0
@@ -212,7 +214,7 @@
 // A peer that reads slowly receives all responses before the close.
 func TestSlowReaderReceivesAllResponses(t *testing.T) {
 	c := newTestConnection(t)
-	require.NoError(t, c.conn.conn.(*net.TCPConn).SetWriteBuffer(4<<10))
+	require.NoError(t, c.conn.socket.(*net.TCPConn).SetWriteBuffer(4<<10))
 	c.server.conns.startReader(1)
 	c.write(checkFrame(1))
 	in := c.input()
@@ -232,7 +234,9 @@
 func TestStopAcceptingAcceptsBacklogFirst(t *testing.T) {
 	s := newTestServer(t)
 	require.NoError(t, s.Listen())
-	s.ctx, s.conns, s.group = t.Context(), newConnections(s), newTestGroup(t)
+	s.ctx = t.Context()
+	s.conns = newConnections(s)
+	s.group = newTestGroup(t)
 	for range cap(s.conns.slots) - 1 {
 		s.conns.slots <- struct{}{}
 	}
--- a/server/effects.go
+++ b/server/effects.go
@@ -66,18 +66,18 @@
 }
 
 // apply carries out effects on the fleet's sockets.
-func (p *fleetSockets) apply(e *node.Effect) bool {
+func (f *fleetSockets) apply(e *node.Effect) bool {
 	switch e.Kind {
 	case node.SendDatagram:
-		p.sendDatagram(e)
+		f.sendDatagram(e)
 	case node.OpenExchange:
-		p.openExchange(e)
+		f.openExchange(e)
 	case node.ReplyToExchange:
-		p.reply(e)
+		f.reply(e)
 	case node.SendOnStream:
-		p.streams.send(e)
+		f.streams.send(e)
 	case node.CloseStream:
-		p.streams.close(e.Link)
+		f.streams.close(e.Link)
 	default:
 		return false
 	}
--- a/server/exchanges.go
+++ b/server/exchanges.go
@@ -25,55 +25,55 @@
 var errTooManyExchanges = errors.New("exchange: too many are in progress")
 
 // offerExchangeInput queues an input from an exchange, or drops it: what peers send never waits, and so delays nothing.
-func (p *fleetSockets) offerExchangeInput(in node.Input) bool {
+func (f *fleetSockets) offerExchangeInput(in node.Input) bool {
 	select {
-	case p.exchangeInputs <- in:
+	case f.exchangeInputs <- in:
 		return true
 	default:
-		p.counters.Dropped.Add(1)
+		f.counters.Dropped.Add(1)
 		return false
 	}
 }
 
 // acceptExchanges accepts connections of peers, for exchanges and streams, until the listener is closed.
-func (p *fleetSockets) acceptExchanges() {
+func (f *fleetSockets) acceptExchanges() {
 	slots := make(chan struct{}, maxServedExchanges)
 	for {
-		conn, err := p.tcp.Accept()
+		conn, err := f.tcp.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			p.server.limitedLog.Warn().Err(err).Msg("no exchange could be accepted")
+			f.server.limitedLog.Warn().Err(err).Msg("no exchange could be accepted")
 			time.Sleep(acceptBackoff)
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
-			p.server.group.Go(func() error {
+			f.server.group.Go(func() error {
 				releaseSlot := sync.OnceFunc(func() { <-slots })
 				defer releaseSlot()
 				defer conn.Close()
-				p.serveConn(p.wrapConn(conn, ""), releaseSlot)
+				f.serveConn(f.wrapConn(conn, ""), releaseSlot)
 				return nil
 			})
 		default:
-			p.counters.Refused.Add(1)
+			f.counters.Refused.Add(1)
 			conn.Close()
 		}
 	}
 }
 
 // serveConn serves an exchange, or a stream, which gives its slot back.
-func (p *fleetSockets) serveConn(conn net.Conn, releaseSlot func()) {
+func (f *fleetSockets) serveConn(conn net.Conn, releaseSlot func()) {
 	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	var header [4]byte
 	_, err := io.ReadFull(conn, header[:])
 	if err == nil && binary.LittleEndian.Uint32(header[:]) == streamMagic {
 		conn.SetDeadline(time.Time{})
 		releaseSlot()
-		if p.config.Council != nil {
-			p.streams.accept(conn)
+		if f.config.Council != nil {
+			f.streams.accept(conn)
 		}
 		return
 	}
@@ -82,17 +82,17 @@
 		payload, err = readMessage(io.MultiReader(bytes.NewReader(header[:]), conn))
 	}
 	if err != nil {
-		p.server.limitedLog.Debug().Err(err).Msg("exchange of a peer ended early")
+		f.server.limitedLog.Debug().Err(err).Msg("exchange of a peer ended early")
 		return
 	}
-	p.serveExchange(conn, payload)
+	f.serveExchange(conn, payload)
 }
 
 // serveExchange passes a request on and writes the response to it, if one comes in time.
-func (p *fleetSockets) serveExchange(conn net.Conn, request []byte) {
-	number, response := p.addPendingResponse()
-	defer p.removePendingResponse(number)
-	if !p.offerExchangeInput(node.Input{Kind: node.PeerRequestReceived, Link: number, From: conn.RemoteAddr().String(), Bytes: request}) {
+func (f *fleetSockets) serveExchange(conn net.Conn, request []byte) {
+	number, response := f.addPendingResponse()
+	defer f.removePendingResponse(number)
+	if !f.offerExchangeInput(node.Input{Kind: node.PeerRequestReceived, Link: number, From: conn.RemoteAddr().String(), Bytes: request}) {
 		return
 	}
 	select {
@@ -101,54 +101,54 @@
 			_ = writeMessage(conn, b) // the peer sees that no response came
 		}
 	case <-time.After(exchangeTimeout):
-	case <-p.server.ctx.Done():
+	case <-f.server.ctx.Done():
 	}
 }
 
-func (p *fleetSockets) addPendingResponse() (number int, response <-chan []byte) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.lastExchange++
+func (f *fleetSockets) addPendingResponse() (number int, response <-chan []byte) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastExchange++
 	pending := make(chan []byte, 1)
-	p.pendingResponses[p.lastExchange] = pending
-	return p.lastExchange, pending
+	f.pendingResponses[f.lastExchange] = pending
+	return f.lastExchange, pending
 }
 
-func (p *fleetSockets) removePendingResponse(number int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.pendingResponses, number)
+func (f *fleetSockets) removePendingResponse(number int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.pendingResponses, number)
 }
 
 // reply passes on the response to a peer's request.
-func (p *fleetSockets) reply(e *node.Effect) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if response := p.pendingResponses[e.Link]; response != nil {
-		delete(p.pendingResponses, e.Link)
+func (f *fleetSockets) reply(e *node.Effect) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if response := f.pendingResponses[e.Link]; response != nil {
+		delete(f.pendingResponses, e.Link)
 		response <- e.Bytes
 	}
 }
 
 // openExchange sends a request to a peer and passes the response on. It dials from the address that peers know, so that they
 // can identify the sender.
-func (p *fleetSockets) openExchange(e *node.Effect) {
+func (f *fleetSockets) openExchange(e *node.Effect) {
 	link := e.Link
 	address := e.Address
 	request := e.Bytes
 	select {
-	case p.exchangeSlots <- struct{}{}:
+	case f.exchangeSlots <- struct{}{}:
 	default:
-		p.offerExchangeInput(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: errTooManyExchanges})
+		f.offerExchangeInput(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: errTooManyExchanges})
 		return
 	}
-	p.server.group.Go(func() error {
-		defer func() { <-p.exchangeSlots }()
-		response, err := exchange(p.server.ctx, p.config.Bind, address, request, p.wrapConn)
+	f.server.group.Go(func() error {
+		defer func() { <-f.exchangeSlots }()
+		response, err := exchange(f.server.ctx, f.config.Bind, address, request, f.wrapConn)
 		if err != nil {
-			p.offerExchangeInput(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: err})
+			f.offerExchangeInput(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: err})
 		} else {
-			p.offerExchangeInput(node.Input{Kind: node.PeerResponseReceived, Link: link, From: address, Bytes: response})
+			f.offerExchangeInput(node.Input{Kind: node.PeerResponseReceived, Link: link, From: address, Bytes: response})
 		}
 		return nil
 	})
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -60,9 +60,9 @@
 }
 
 // start opens the fleet's sockets and starts their goroutines.
-func (p *fleetSockets) start() error {
-	s := p.server
-	bind, err := net.ResolveUDPAddr("udp", p.config.Bind)
+func (f *fleetSockets) start() error {
+	s := f.server
+	bind, err := net.ResolveUDPAddr("udp", f.config.Bind)
 	if err != nil {
 		return fmt.Errorf("fleet: bind: %w", err)
 	}
@@ -70,34 +70,34 @@
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	p.udp = udp
+	f.udp = udp
 	if h := s.config.Hollow; h != nil && h.Wire != nil {
-		p.udp = h.Wire.Datagrams(udp)
+		f.udp = h.Wire.Datagrams(udp)
 	}
-	if p.tcp, err = net.Listen("tcp", p.config.Bind); err != nil {
-		p.udp.Close()
+	if f.tcp, err = net.Listen("tcp", f.config.Bind); err != nil {
+		f.udp.Close()
 		return fmt.Errorf("fleet: %w", err)
 	}
-	context.AfterFunc(s.ctx, p.close)
-	s.log.Info().Str("fleet", p.config.Name).Str("bind", p.config.Bind).Str("advertise", p.config.Terms.Address).
-		Strs("seeds", p.config.Terms.Seeds).Msg("peers are heard")
-	s.group.Go(func() error { p.readDatagrams(); return nil })
-	s.group.Go(func() error { p.writeDatagrams(); return nil })
-	s.group.Go(func() error { p.acceptExchanges(); return nil })
+	context.AfterFunc(s.ctx, f.close)
+	s.log.Info().Str("fleet", f.config.Name).Str("bind", f.config.Bind).Str("advertise", f.config.Terms.Address).
+		Strs("seeds", f.config.Terms.Seeds).Msg("peers are heard")
+	s.group.Go(func() error { f.readDatagrams(); return nil })
+	s.group.Go(func() error { f.writeDatagrams(); return nil })
+	s.group.Go(func() error { f.acceptExchanges(); return nil })
 	return nil
 }
 
 // close closes the sockets.
-func (p *fleetSockets) close() {
-	p.udp.Close()
-	p.tcp.Close()
+func (f *fleetSockets) close() {
+	f.udp.Close()
+	f.tcp.Close()
 }
 
 // appendQueued appends the inputs from peers that are queued, up to a bound for each queue.
-func (p *fleetSockets) appendQueued(inputs []node.Input) []node.Input {
-	inputs = appendQueued(inputs, p.exchangeInputs, maxQueuedExchangeInputs)
-	inputs = appendQueuedMessages(inputs, p.datagrams, maxDatagramsPerStep)
-	return appendQueuedMessages(inputs, p.streams.received, maxReceivedMessagesPerStep)
+func (f *fleetSockets) appendQueued(inputs []node.Input) []node.Input {
+	inputs = appendQueued(inputs, f.exchangeInputs, maxQueuedExchangeInputs)
+	inputs = appendQueuedMessages(inputs, f.datagrams, maxDatagramsPerStep)
+	return appendQueuedMessages(inputs, f.streams.received, maxReceivedMessagesPerStep)
 }
 
 // appendQueuedMessages appends the messages that are queued, up to the limit.
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -22,7 +22,8 @@
 	config.Fleet = &fleetconfig.Fleet{Name: "f", Bind: "127.0.0.1:0", Terms: membership.Config{Name: "n1", Address: "127.0.0.1:1", MaxMembers: 8}}
 	s := New(config, zerolog.Nop(), SystemClock())
 	ctx, cancel := context.WithCancel(t.Context())
-	s.ctx, s.group = ctx, newTestGroup(t)
+	s.ctx = ctx
+	s.group = newTestGroup(t)
 	defer cancel()
 	fleet := s.fleet
 	for fleet.offerDatagram("127.0.0.1:2", nil) {
--- a/server/framereader.go
+++ b/server/framereader.go
@@ -24,41 +24,41 @@
 
 // read is the connection's reader: it passes frames on while they can be used, then discards input until the connection ends.
 // A close over unread bytes would reset the connection and destroy answers that are on their way.
-func (c *connections) read(k *connection) {
-	err := c.readFrames(k)
+func (c *connections) read(conn *connection) {
+	err := c.readFrames(conn)
 	switch {
 	case errors.Is(err, frame.ErrLength), errors.Is(err, errPartialFrame):
-		c.server.enqueueDispatcherInput(node.Input{Kind: node.FrameMalformed, Link: k.link, Err: err})
-		k.clearReadDeadline()
-		err = c.discard(k)
+		c.server.enqueueDispatcherInput(node.Input{Kind: node.FrameMalformed, Link: conn.link, Err: err})
+		conn.clearReadDeadline()
+		err = c.discard(conn)
 	case errors.Is(err, errInputDiscarded):
-		k.clearReadDeadline()
-		err = c.discard(k)
+		conn.clearReadDeadline()
+		err = c.discard(conn)
 	case errors.Is(err, errClosedLocally):
-		err = c.discard(k)
+		err = c.discard(conn)
 	}
-	c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionClosed, Link: k.link, Err: err})
-	c.release(k)
+	c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionClosed, Link: conn.link, Err: err})
+	c.release(conn)
 }
 
 // discard reads slowly until the peer closes, or until lingerTimeout after this side was closed. Calls in what it reads are
 // not run, as they could not be answered.
-func (c *connections) discard(k *connection) error {
+func (c *connections) discard(conn *connection) error {
 	buffer := make([]byte, discardReadSize)
 	for {
-		k.mu.Lock()
-		writeClosed := k.writeClosed
-		noLinger := k.noLinger
-		k.mu.Unlock()
+		conn.mu.Lock()
+		writeClosed := conn.writeClosed
+		noLinger := conn.noLinger
+		conn.mu.Unlock()
 		if writeClosed && noLinger {
 			return errClosedLocally
 		}
-		_, err := k.conn.Read(buffer)
+		_, err := conn.socket.Read(buffer)
 		switch {
 		case err == nil:
 			time.Sleep(discardInterval)
 		case errors.Is(err, os.ErrDeadlineExceeded) && !writeClosed:
-			k.tryCloseWrite()
+			conn.tryCloseWrite()
 		default:
 			return err
 		}
@@ -82,10 +82,10 @@
 
 // readFrames passes frames on until the connection's end, the first malformed frame, the first that isn't completed in time, or
 // the last before this side was closed.
-func (c *connections) readFrames(k *connection) error {
-	r := frameReader{connections: c, conn: k}
+func (c *connections) readFrames(conn *connection) error {
+	r := frameReader{connections: c, conn: conn}
 	for {
-		n, err := k.conn.Read(r.parser.Space())
+		n, err := conn.socket.Read(r.parser.Space())
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			if err := r.deadlinePassed(time.Now()); err != nil {
 				return err
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -80,8 +80,8 @@
 }
 
 // wrapConn passes a connection through the test bed's Wire, where there is one.
-func (p *fleetSockets) wrapConn(conn net.Conn, to string) net.Conn {
-	if h := p.server.config.Hollow; h != nil && h.Wire != nil {
+func (f *fleetSockets) wrapConn(conn net.Conn, to string) net.Conn {
+	if h := f.server.config.Hollow; h != nil && h.Wire != nil {
 		return h.Wire.Conn(conn, to)
 	}
 	return conn
--- a/server/replica.go
+++ b/server/replica.go
@@ -74,37 +74,37 @@
 	return d, contents, nil
 }
 
-func (d *replicaStorage) path(name string) string { return filepath.Join(d.folder, name) }
+func (r *replicaStorage) path(name string) string { return filepath.Join(r.folder, name) }
 
-func (d *replicaStorage) logName() string { return fmt.Sprintf("%s%016x", logFilePrefix, d.generation) }
+func (r *replicaStorage) logName() string { return fmt.Sprintf("%s%016x", logFilePrefix, r.generation) }
 
 // read reads the base, its parts and its log, and removes files that the base doesn't refer to.
-func (d *replicaStorage) read(contents *consensus.DiskContents) (truncated int64, err error) {
-	data, err := os.ReadFile(d.path(baseFileName))
+func (r *replicaStorage) read(contents *consensus.DiskContents) (truncated int64, err error) {
+	data, err := os.ReadFile(r.path(baseFileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return 0, d.removeUnreferenced(nil)
+		return 0, r.removeUnreferenced(nil)
 	}
 	if err != nil {
 		return 0, err
 	}
-	d.generation, contents.Base, err = readBase(data)
+	r.generation, contents.Base, err = readBase(data)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %w", d.path(baseFileName), err)
+		return 0, fmt.Errorf("%s: %w", r.path(baseFileName), err)
 	}
-	contents.Parts, err = d.readParts()
+	contents.Parts, err = r.readParts()
 	if err != nil {
 		return 0, err
 	}
-	contents.Records, truncated, err = d.readLog()
+	contents.Records, truncated, err = r.readLog()
 	if err != nil {
 		return 0, err
 	}
-	return truncated, d.removeUnreferenced(contents.Parts)
+	return truncated, r.removeUnreferenced(contents.Parts)
 }
 
 // readParts reads the parts by their digests.
-func (d *replicaStorage) readParts() (map[string][]byte, error) {
-	names, err := d.fileNames()
+func (r *replicaStorage) readParts() (map[string][]byte, error) {
+	names, err := r.fileNames()
 	if err != nil {
 		return nil, err
 	}
@@ -114,12 +114,12 @@
 		if !isPart || strings.HasSuffix(name, temporarySuffix) {
 			continue
 		}
-		text, err := os.ReadFile(d.path(name))
+		text, err := os.ReadFile(r.path(name))
 		if err != nil {
 			return nil, err
 		}
 		if fmt.Sprintf("%x", sha256.Sum256(text)) != digest {
-			return nil, fmt.Errorf("%s: spoilt: it does not hold what its name says", d.path(name))
+			return nil, fmt.Errorf("%s: spoilt: it does not hold what its name says", r.path(name))
 		}
 		parts[digest] = text
 	}
@@ -127,125 +127,125 @@
 }
 
 // readLog opens the log, reads its records, truncates a torn end and goes to the end of the rest.
-func (d *replicaStorage) readLog() (records [][]byte, truncated int64, err error) {
-	d.log, err = os.OpenFile(d.path(d.logName()), os.O_RDWR, 0o600)
+func (r *replicaStorage) readLog() (records [][]byte, truncated int64, err error) {
+	r.log, err = os.OpenFile(r.path(r.logName()), os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, 0, err
 	}
-	data, err := os.ReadFile(d.path(d.logName()))
+	data, err := os.ReadFile(r.path(r.logName()))
 	if err != nil {
 		return nil, 0, err
 	}
 	records, intact := readRecords(data)
 	truncated = int64(len(data)) - intact
 	if truncated > 0 {
-		if err = d.log.Truncate(intact); err != nil {
+		if err = r.log.Truncate(intact); err != nil {
 			return nil, 0, err
 		}
-		if err = d.log.Sync(); err != nil {
+		if err = r.log.Sync(); err != nil {
 			return nil, 0, err
 		}
 	}
-	_, err = d.log.Seek(intact, io.SeekStart)
+	_, err = r.log.Seek(intact, io.SeekStart)
 	return records, truncated, err
 }
 
 // enqueue queues a write. A replica asks for no more before the last ones are reported.
-func (d *replicaStorage) enqueue(w *consensus.Write) {
+func (r *replicaStorage) enqueue(w *consensus.Write) {
 	select {
-	case d.queue <- w:
-	case <-d.server.ctx.Done():
+	case r.queue <- w:
+	case <-r.server.ctx.Done():
 	}
 }
 
 // run writes until the node ends; writes still queued then count as lost, as in a crash.
-func (d *replicaStorage) run() {
-	defer d.close()
+func (r *replicaStorage) run() {
+	defer r.close()
 	for {
 		select {
-		case w := <-d.queue:
-			d.writeQueued(w)
-		case <-d.server.ctx.Done():
+		case w := <-r.queue:
+			r.writeQueued(w)
+		case <-r.server.ctx.Done():
 			return
 		}
 	}
 }
 
 // writeQueued performs a write and those queued behind it, with one sync for the records of several, and reports the last one.
-func (d *replicaStorage) writeQueued(w *consensus.Write) {
+func (r *replicaStorage) writeQueued(w *consensus.Write) {
 	var records []byte
 	for {
 		if w.DiscardEarlier || w.Base != nil { // it replaces all records before it
 			records = nil
-			d.failed = errors.Join(d.failed, d.apply(w))
+			r.failed = errors.Join(r.failed, r.apply(w))
 		} else {
 			records = appendRecords(records, w.Records)
 		}
-		if len(d.queue) == 0 {
+		if len(r.queue) == 0 {
 			break
 		}
-		w = <-d.queue
+		w = <-r.queue
 	}
-	if d.failed == nil && len(records) > 0 && d.log != nil {
-		d.failed = writeAndSync(d.log, records)
+	if r.failed == nil && len(records) > 0 && r.log != nil {
+		r.failed = writeAndSync(r.log, records)
 	}
-	if d.failed != nil { // after a failed sync the contents of the disk are unknown
-		d.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Err: d.failed})
+	if r.failed != nil { // after a failed sync the contents of the disk are unknown
+		r.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Err: r.failed})
 		return
 	}
-	d.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Number: w.Number})
+	r.server.enqueueInput(node.Input{Kind: node.ReplicaWritePersisted, Number: w.Number})
 }
 
 // apply discards what is stored, or replaces the base; after a failure it does nothing.
-func (d *replicaStorage) apply(w *consensus.Write) error {
+func (r *replicaStorage) apply(w *consensus.Write) error {
 	switch {
-	case d.failed != nil:
+	case r.failed != nil:
 		return nil
 	case w.DiscardEarlier:
-		return d.discard()
+		return r.discard()
 	default:
-		return d.replaceBase(w)
+		return r.replaceBase(w)
 	}
 }
 
 // discard removes the base and all that belongs to it.
-func (d *replicaStorage) discard() error {
-	if err := os.Remove(d.path(baseFileName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (r *replicaStorage) discard() error {
+	if err := os.Remove(r.path(baseFileName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	d.closeLog()
-	return errors.Join(syncFolder(d.folder), d.removeUnreferenced(nil))
+	r.closeLog()
+	return errors.Join(syncFolder(r.folder), r.removeUnreferenced(nil))
 }
 
 // replaceBase writes new parts, a new log and then the base that refers to them.
-func (d *replicaStorage) replaceBase(w *consensus.Write) error {
+func (r *replicaStorage) replaceBase(w *consensus.Write) error {
 	for digest, text := range w.Parts {
-		if _, err := os.Stat(d.path(partFilePrefix + digest)); err == nil {
+		if _, err := os.Stat(r.path(partFilePrefix + digest)); err == nil {
 			continue
 		}
-		if err := d.replaceFile(partFilePrefix+digest, text); err != nil {
+		if err := r.replaceFile(partFilePrefix+digest, text); err != nil {
 			return err
 		}
 	}
-	d.generation++
-	log, err := os.OpenFile(d.path(d.logName()), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
+	r.generation++
+	log, err := os.OpenFile(r.path(r.logName()), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	d.closeLog()
-	d.log = log
+	r.closeLog()
+	r.log = log
 	if err := writeAndSync(log, appendRecords(nil, w.Records)); err != nil {
 		return err
 	}
-	if err := d.replaceFile(baseFileName, appendBase(d.generation, w.Base)); err != nil {
+	if err := r.replaceFile(baseFileName, appendBase(r.generation, w.Base)); err != nil {
 		return err
 	}
-	return d.removeUnreferenced(w.Parts)
+	return r.removeUnreferenced(w.Parts)
 }
 
 // replaceFile replaces a file by rename: after a failure or a crash the old content is still there.
-func (d *replicaStorage) replaceFile(name string, text []byte) error {
-	temporary := d.path(name + temporarySuffix)
+func (r *replicaStorage) replaceFile(name string, text []byte) error {
+	temporary := r.path(name + temporarySuffix)
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -254,44 +254,44 @@
 	if err = errors.Join(err, file.Close()); err != nil {
 		return err
 	}
-	if err = os.Rename(temporary, d.path(name)); err != nil {
+	if err = os.Rename(temporary, r.path(name)); err != nil {
 		return err
 	}
-	return syncFolder(d.folder)
+	return syncFolder(r.folder)
 }
 
 // removeUnreferenced removes files that are neither the base's log nor one of its parts.
-func (d *replicaStorage) removeUnreferenced(parts map[string][]byte) error {
-	names, err := d.fileNames()
+func (r *replicaStorage) removeUnreferenced(parts map[string][]byte) error {
+	names, err := r.fileNames()
 	for _, name := range names {
 		digest, isPart := strings.CutPrefix(name, partFilePrefix)
-		unreferenced := strings.HasPrefix(name, logFilePrefix) && (d.log == nil || name != d.logName())
+		unreferenced := strings.HasPrefix(name, logFilePrefix) && (r.log == nil || name != r.logName())
 		if isPart {
 			unreferenced = parts[digest] == nil
 		}
 		if unreferenced || strings.HasSuffix(name, temporarySuffix) {
-			err = errors.Join(err, os.Remove(d.path(name)))
+			err = errors.Join(err, os.Remove(r.path(name)))
 		}
 	}
 	return err
 }
 
-func (d *replicaStorage) fileNames() (names []string, err error) {
-	entries, err := os.ReadDir(d.folder)
+func (r *replicaStorage) fileNames() (names []string, err error) {
+	entries, err := os.ReadDir(r.folder)
 	for _, e := range entries {
 		names = append(names, e.Name())
 	}
 	return names, err
 }
 
-func (d *replicaStorage) closeLog() {
-	if d.log != nil {
-		d.log.Close()
-		d.log = nil
+func (r *replicaStorage) closeLog() {
+	if r.log != nil {
+		r.log.Close()
+		r.log = nil
 	}
 }
 
-func (d *replicaStorage) close() {
-	d.closeLog()
-	d.unlock()
+func (r *replicaStorage) close() {
+	r.closeLog()
+	r.unlock()
 }
--- a/server/resultstore.go
+++ b/server/resultstore.go
@@ -70,28 +70,28 @@
 }
 
 // now is Unix time in nanoseconds: that of the start plus the time that has passed since.
-func (k *resultStore) now() int64 { return k.startedAt.UnixNano() + int64(time.Since(k.startedAt)) }
+func (r *resultStore) now() int64 { return r.startedAt.UnixNano() + int64(time.Since(r.startedAt)) }
 
 // run passes on the recovered records, then writes until the node ends.
-func (k *resultStore) run() {
-	defer k.close()
-	if !k.passRecovered() {
+func (r *resultStore) run() {
+	defer r.close()
+	if !r.passRecovered() {
 		return
 	}
-	k.server.enqueueInput(node.Input{Kind: node.RecoveryCompleted})
+	r.server.enqueueInput(node.Input{Kind: node.RecoveryCompleted})
 	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
-		case first := <-k.queue:
-			k.writeBatch(k.collectBatch(first))
+		case first := <-r.queue:
+			r.writeBatch(r.collectBatch(first))
 		case <-expire.C:
-			if err := k.log.Expire(k.now()); err != nil {
-				k.server.limitedLog.Warn().Err(err).Msg("segments can't be removed")
+			if err := r.log.Expire(r.now()); err != nil {
+				r.server.limitedLog.Warn().Err(err).Msg("segments can't be removed")
 			}
-		case <-k.server.ctx.Done():
-			for range len(k.queue) {
-				k.writeBatch([]*resultcache.Record{<-k.queue})
+		case <-r.server.ctx.Done():
+			for range len(r.queue) {
+				r.writeBatch([]*resultcache.Record{<-r.queue})
 			}
 			return
 		}
@@ -99,21 +99,21 @@
 }
 
 // close closes the store and unlocks its folder.
-func (k *resultStore) close() {
-	k.log.Close()
-	k.unlock()
+func (r *resultStore) close() {
+	r.log.Close()
+	r.unlock()
 }
 
 // passRecovered gives the state machine the records of an earlier process; false means that the node has ended.
-func (k *resultStore) passRecovered() bool {
-	for len(k.recovered) > 0 {
-		n := min(maxRecoveredPerInput, len(k.recovered))
+func (r *resultStore) passRecovered() bool {
+	for len(r.recovered) > 0 {
+		n := min(maxRecoveredPerInput, len(r.recovered))
 		batch := make([]resultcache.Record, n)
 		for i := range batch {
-			batch[i] = cacheRecord(&k.recovered[i])
+			batch[i] = cacheRecord(&r.recovered[i])
 		}
-		k.recovered = k.recovered[n:]
-		if !k.server.enqueueInput(node.Input{Kind: node.RecordsRecovered, Records: batch}) {
+		r.recovered = r.recovered[n:]
+		if !r.server.enqueueInput(node.Input{Kind: node.RecordsRecovered, Records: batch}) {
 			return false
 		}
 	}
@@ -150,16 +150,16 @@
 }
 
 // collectBatch waits up to the batch window for more records, so that they share a sync.
-func (k *resultStore) collectBatch(first *resultcache.Record) []*resultcache.Record {
+func (r *resultStore) collectBatch(first *resultcache.Record) []*resultcache.Record {
 	batch := []*resultcache.Record{first}
-	if k.config.Durability == cacheconfig.SyncEach {
+	if r.config.Durability == cacheconfig.SyncEach {
 		return batch
 	}
-	end := time.NewTimer(time.Duration(k.config.BatchWindow))
+	end := time.NewTimer(time.Duration(r.config.BatchWindow))
 	defer end.Stop()
 	for len(batch) < maxRecordsPerBatch {
 		select {
-		case next := <-k.queue:
+		case next := <-r.queue:
 			batch = append(batch, next)
 		case <-end.C:
 			return batch
@@ -169,35 +169,35 @@
 }
 
 // writeBatch writes records and reports the result to the state machine. A full store is retried once after expiry.
-func (k *resultStore) writeBatch(batch []*resultcache.Record) {
-	now := k.now()
+func (r *resultStore) writeBatch(batch []*resultcache.Record) {
+	now := r.now()
 	stored := make([]segmentstore.Record, len(batch))
 	in := node.Input{Kind: node.RecordWritten}
 	for i, r := range batch {
 		stored[i] = storeRecord(r, now)
 		in.Records = append(in.Records, *r)
 	}
-	err := k.log.Write(stored, true)
+	err := r.log.Write(stored, true)
 	if errors.Is(err, segmentstore.ErrFull) {
-		if err = k.log.Expire(now); err == nil {
-			err = k.log.Write(stored, true)
+		if err = r.log.Expire(now); err == nil {
+			err = r.log.Write(stored, true)
 		}
 	}
 	if err != nil {
 		in.Kind = node.RecordWriteFailed
 		in.Err = err
 	}
-	k.server.enqueueInput(in)
+	r.server.enqueueInput(in)
 }
 
 // enqueue queues a record for the writer; one that finds the queue full counts as not written.
-func (k *resultStore) enqueue(e *node.Effect) {
+func (r *resultStore) enqueue(e *node.Effect) {
 	select {
-	case k.queue <- e.Record:
+	case r.queue <- e.Record:
 	default:
 		rejected := []resultcache.Record{*e.Record}
-		k.server.group.Go(func() error {
-			k.server.enqueueInput(node.Input{Kind: node.RecordWriteFailed, Records: rejected, Err: errRecordQueueFull})
+		r.server.group.Go(func() error {
+			r.server.enqueueInput(node.Input{Kind: node.RecordWriteFailed, Records: rejected, Err: errRecordQueueFull})
 			return nil
 		})
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -105,13 +105,13 @@
 	if config.Keep == nil && config.Hollow == nil {
 		config.Keep = cacheconfig.Default(config.Settings.Node.Operations, config.MemoryMB)
 	}
-	if k := config.Keep; k != nil {
-		rules := k.Cache
+	if cache := config.Keep; cache != nil {
+		rules := cache.Cache
 		if config.hasConsensus() { // the consensus group stores results in place of the disk
 			rules.Durability = resultcache.OnDisk
 			rules.OnStoreFailure = resultcache.RejectOnStoreFailure
 		}
-		s.state.EnableResultCache(rules, k.Field, k.Folder != "")
+		s.state.EnableResultCache(rules, cache.Field, cache.Folder != "")
 	}
 	if config.hasConsensus() {
 		now, _ := s.clock.Now()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	conn := &connection{link: 1, conn: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+	conn := &connection{link: 1, socket: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
 	s.conns.open[1] = conn
 	ended := make(chan error, 1)
 	go func() { ended <- s.conns.readFrames(conn) }()
--- a/server/stream.go
+++ b/server/stream.go
@@ -48,29 +48,29 @@
 }
 
 func newStream(number int, address string) *stream {
-	x := &stream{
+	s := &stream{
 		number:   number,
 		address:  address,
 		outgoing: make(chan []byte, maxQueuedStreamMessages),
 		stopped:  make(chan struct{}),
 	}
-	x.lastActive.Store(time.Now().UnixNano())
-	return x
+	s.lastActive.Store(time.Now().UnixNano())
+	return s
 }
 
 // stop makes the writer end, which closes the connection.
-func (x *stream) stop() { x.stopOnce.Do(func() { close(x.stopped) }) }
+func (s *stream) stop() { s.stopOnce.Do(func() { close(s.stopped) }) }
 
 // enqueue queues a message; false means that there is no capacity for it.
-func (x *stream) enqueue(b []byte) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.queuedBytes > 0 && x.queuedBytes+len(b) > maxStreamPendingBytes {
+func (s *stream) enqueue(b []byte) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.queuedBytes > 0 && s.queuedBytes+len(b) > maxStreamPendingBytes {
 		return false
 	}
 	select {
-	case x.outgoing <- b:
-		x.queuedBytes += len(b)
+	case s.outgoing <- b:
+		s.queuedBytes += len(b)
 		return true
 	default:
 		return false
@@ -78,16 +78,16 @@
 }
 
 // write writes queued messages until the stream is stopped or idle.
-func (x *stream) write(ctx context.Context, conn net.Conn) {
+func (s *stream) write(ctx context.Context, conn net.Conn) {
 	idle := time.NewTimer(streamIdleTimeout)
 	defer idle.Stop()
 	var buffer []byte
 	for {
 		select {
-		case b := <-x.outgoing:
-			x.dequeued(len(b))
+		case b := <-s.outgoing:
+			s.dequeued(len(b))
 			idle.Reset(streamIdleTimeout)
-			x.lastActive.Store(time.Now().UnixNano())
+			s.lastActive.Store(time.Now().UnixNano())
 			buffer = binary.LittleEndian.AppendUint32(buffer[:0], uint32(len(b)))
 			buffer = append(buffer, b...)
 			conn.SetWriteDeadline(time.Now().Add(streamWriteTimeout + time.Duration(len(b))*streamTimePerByte))
@@ -99,7 +99,7 @@
 			}
 		case <-idle.C:
 			return
-		case <-x.stopped:
+		case <-s.stopped:
 			return
 		case <-ctx.Done():
 			return
@@ -107,10 +107,10 @@
 	}
 }
 
-func (x *stream) dequeued(bytes int) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.queuedBytes -= bytes
+func (s *stream) dequeued(bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queuedBytes -= bytes
 }
 
 // newStreamLimiter bounds the rate of messages received on a stream.
--- a/server/streams.go
+++ b/server/streams.go
@@ -58,8 +58,8 @@
 // send queues a message on a stream, which is opened where there is none to its address. It never waits: the message is
 // dropped where there is no capacity.
 func (s *streams) send(e *node.Effect) {
-	x := s.streamFor(e.Link, e.Address)
-	if x == nil || !x.enqueue(e.Bytes) {
+	st := s.streamFor(e.Link, e.Address)
+	if st == nil || !st.enqueue(e.Bytes) {
 		s.fleet.counters.Dropped.Add(1)
 	}
 }
@@ -68,31 +68,31 @@
 func (s *streams) streamFor(number int, address string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x := s.byNumber[number]; x != nil || address == "" {
-		return x
+	if st := s.byNumber[number]; st != nil || address == "" {
+		return st
 	}
-	if x := s.byAddress[address]; x != nil {
-		return x
+	if st := s.byAddress[address]; st != nil {
+		return st
 	}
 	failure := s.failures[address]
 	if time.Since(failure.at) < failure.backoff {
 		return nil
 	}
 	s.evictIdle()
-	x := s.add(address)
-	if x != nil {
-		s.fleet.server.group.Go(func() error { s.open(x); return nil })
+	st := s.add(address)
+	if st != nil {
+		s.fleet.server.group.Go(func() error { s.open(st); return nil })
 	}
-	return x
+	return st
 }
 
 // close ends a stream.
 func (s *streams) close(number int) {
 	s.mu.Lock()
-	x := s.byNumber[number]
+	st := s.byNumber[number]
 	s.mu.Unlock()
-	if x != nil {
-		x.stop()
+	if st != nil {
+		st.stop()
 	}
 }
 
@@ -102,12 +102,12 @@
 		return nil
 	}
 	s.lastNumber++
-	x := newStream(s.lastNumber, address)
-	s.byNumber[x.number] = x
+	st := newStream(s.lastNumber, address)
+	s.byNumber[st.number] = st
 	if address != "" {
-		s.byAddress[address] = x
+		s.byAddress[address] = st
 	}
-	return x
+	return st
 }
 
 // evictIdle ends the accepted stream that has been idle longest, where all are open and that one is idle enough. It keeps
@@ -118,9 +118,9 @@
 		return
 	}
 	var oldest *stream
-	for _, x := range s.byNumber {
-		if x.address == "" && (oldest == nil || x.lastActive.Load() < oldest.lastActive.Load()) {
-			oldest = x
+	for _, st := range s.byNumber {
+		if st.address == "" && (oldest == nil || st.lastActive.Load() < oldest.lastActive.Load()) {
+			oldest = st
 		}
 	}
 	if oldest == nil || time.Now().UnixNano()-oldest.lastActive.Load() <= int64(minEvictionIdleTime) {
@@ -144,15 +144,15 @@
 }
 
 // remove removes a stream that has ended.
-func (s *streams) remove(x *stream) {
+func (s *streams) remove(st *stream) {
 	s.mu.Lock()
-	delete(s.byNumber, x.number)
-	if s.byAddress[x.address] == x {
-		delete(s.byAddress, x.address)
+	delete(s.byNumber, st.number)
+	if s.byAddress[st.address] == st {
+		delete(s.byAddress, st.address)
 	}
 	s.mu.Unlock()
-	x.stop()
-	s.deliver(peerMessage{kind: node.PeerStreamClosed, link: x.number})
+	st.stop()
+	s.deliver(peerMessage{kind: node.PeerStreamClosed, link: st.number})
 }
 
 // deliver queues a message for the state machine; false means that the node has ended.
@@ -166,23 +166,23 @@
 }
 
 // open dials a stream's address and runs the stream.
-func (s *streams) open(x *stream) {
-	defer s.remove(x)
-	conn, err := s.dial(x.address)
+func (s *streams) open(st *stream) {
+	defer s.remove(st)
+	conn, err := s.dial(st.address)
 	if err != nil {
 		s.mu.Lock()
-		s.recordFailure(x.address, false)
+		s.recordFailure(st.address, false)
 		s.mu.Unlock()
-		s.fleet.server.limitedLog.Debug().Err(err).Str("to", x.address).Msg("stream to a peer could not be opened")
+		s.fleet.server.limitedLog.Debug().Err(err).Str("to", st.address).Msg("stream to a peer could not be opened")
 		return
 	}
-	s.run(x, conn)
+	s.run(st, conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x.receivedAny.Load() {
-		delete(s.failures, x.address)
+	if st.receivedAny.Load() {
+		delete(s.failures, st.address)
 	} else {
-		s.recordFailure(x.address, true)
+		s.recordFailure(st.address, true)
 	}
 }
 
@@ -206,36 +206,36 @@
 func (s *streams) accept(conn net.Conn) {
 	s.mu.Lock()
 	s.evictIdle()
-	x := s.add("")
+	st := s.add("")
 	s.mu.Unlock()
-	if x == nil {
+	if st == nil {
 		s.fleet.counters.Refused.Add(1)
 		return
 	}
-	defer s.remove(x)
-	s.run(x, conn)
+	defer s.remove(st)
+	s.run(st, conn)
 }
 
 // run writes queued messages and delivers received ones until either direction ends; it waits for both.
-func (s *streams) run(x *stream, conn net.Conn) {
+func (s *streams) run(st *stream, conn net.Conn) {
 	defer conn.Close()
 	done := make(chan struct{})
 	s.fleet.server.group.Go(func() error {
 		defer close(done)
 		defer conn.Close()
-		x.write(s.fleet.server.ctx, conn)
+		st.write(s.fleet.server.ctx, conn)
 		return nil
 	})
-	if err := s.read(x, conn); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+	if err := s.read(st, conn); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		s.fleet.server.limitedLog.Debug().Err(err).Stringer("peer", conn.RemoteAddr()).Msg("stream of a peer ended")
 	}
-	x.stop()
+	st.stop()
 	<-done
 }
 
 // read delivers messages, at a bounded rate for each stream so that a peer that floods is slowed down. A replica of a very
 // busy group may be slowed down by it as well.
-func (s *streams) read(x *stream, conn net.Conn) error {
+func (s *streams) read(st *stream, conn net.Conn) error {
 	limiter := newStreamLimiter()
 	from := conn.RemoteAddr().String()
 	for {
@@ -246,9 +246,9 @@
 		if err != nil {
 			return err
 		}
-		x.lastActive.Store(time.Now().UnixNano())
-		x.receivedAny.Store(true)
-		if !s.deliver(peerMessage{kind: node.PeerMessageReceived, link: x.number, address: from, payload: payload}) {
+		st.lastActive.Store(time.Now().UnixNano())
+		st.receivedAny.Store(true)
+		if !s.deliver(peerMessage{kind: node.PeerMessageReceived, link: st.number, address: from, payload: payload}) {
 			return net.ErrClosed
 		}
 	}
--- a/server/writedeadline_test.go
+++ b/server/writedeadline_test.go
@@ -34,8 +34,8 @@
 // A deadline is a runtime timer, and the runtime scans all of them at each tick: an idle connection has none.
 func TestIdleConnectionHasNoWriteDeadline(t *testing.T) {
 	c := newTestConnection(t)
-	recorder := &deadlineRecorder{socket: c.conn.conn}
-	c.conn.conn = recorder
+	recorder := &deadlineRecorder{socket: c.conn.socket}
+	c.conn.socket = recorder
 	for k := range 3 {
 		c.server.conns.send(1, []byte("answer"))
 		c.server.conns.flush()
