--- a/server/loop.go
+++ b/server/loop.go
@@ -27,16 +27,22 @@
 	inputs        []node.Input
 
 	datagrams chan peerMessage // nil without a fleet, as the next two
-	messages  chan peerMessage
+	messages  chan peerMessage // of streams
 	exchanges chan node.Input
 }
 
 // loop runs the event loop until the node is drained or its context ends.
 func (s *Server) loop() error {
-	l := eventLoop{server: s, timer: time.NewTimer(0), wakeAt: math.MaxInt64, drainRequests: s.drainRequests, inputs: make([]node.Input, 0, maxInputsPerStep)}
+	l := eventLoop{
+		server:        s,
+		timer:         time.NewTimer(0),
+		wakeAt:        math.MaxInt64,
+		drainRequests: s.drainRequests,
+		inputs:        make([]node.Input, 0, maxInputsPerStep),
+	}
 	defer l.timer.Stop()
 	if s.config.Levels != nil {
-		s.inputs <- node.Input{Kind: node.PlanChanged, Plan: s.config.Levels}
+		l.inputs = append(l.inputs, node.Input{Kind: node.PlanChanged, Plan: s.config.Levels})
 	}
 	if s.fleet != nil {
 		l.datagrams = s.fleet.datagrams
@@ -44,7 +50,6 @@
 		l.exchanges = s.fleet.exchangeInputs
 	}
 	for {
-		l.inputs = l.inputs[:0]
 		if err := l.await(); err != nil {
 			return err
 		}
@@ -126,6 +131,7 @@
 	s.forgetEndedLinks(l.inputs)
 	s.conns.releaseFrames(l.inputs)
 	clear(l.inputs)
+	l.inputs = l.inputs[:0]
 	s.conns.flush()
 	l.timer.Reset(time.Duration(max(0, l.wakeAt-now)))
 	return nil
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -35,7 +35,8 @@
 
 func TestConnectionCannotFillInputQueue(t *testing.T) {
 	s := newTestServer(t)
-	s.ctx, s.conns = context.Background(), newConnections(s)
+	s.ctx = context.Background()
+	s.conns = newConnections(s)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
