--- a/server/config_test.go
+++ b/server/config_test.go
@@ -21,8 +21,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// large is a configuration with so many operations and tenants.
-func large(operations, tenants int) []byte {
+// largeConfig is a configuration with the given numbers of operations and tenants.
+func largeConfig(operations, tenants int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"name":"n","listen":"127.0.0.1:0","executor":"127.0.0.1:1","control":"127.0.0.1:1","catalog":"127.0.0.1:1","seed":"1",
 "stop_ms":25000,"limits":{"cores":2,"memory_mb":512,"sockets":512},"settings":{"family_info":{"memory_kb":9000,"n_cores":2},
@@ -39,143 +39,146 @@
 	return []byte(b.String())
 }
 
-// watched is a reader that looks at the live heap now and then while it is read.
-type watched struct {
+// heapWatcher is a reader that samples the live heap while it is read.
+type heapWatcher struct {
 	io.Reader
-	left int
-	most uint64
+	countdown int
+	peak      uint64
 }
 
-func (w *watched) Read(b []byte) (int, error) {
-	if w.left--; w.left%16 == 0 {
-		w.most = max(w.most, live())
+func (w *heapWatcher) Read(b []byte) (int, error) {
+	w.countdown--
+	if w.countdown%16 == 0 {
+		w.peak = max(w.peak, liveHeap())
 	}
 	return w.Reader.Read(b)
 }
 
-func live() uint64 {
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// A large configuration is never held as a whole, neither while it is read nor after: 8 MB for 4,700 operations and 130,000
-// tenants, of which a map with its strings takes more alone.
-func TestLargeConfigurationIsReadAsAStreamIntoLittle(t *testing.T) {
-	text := large(4_700, 130_000)
-	before := live()
-	w := &watched{Reader: bytes.NewReader(text)}
-	n, err := DecodeConfig(w)
+// A large configuration is never in memory as a whole, neither while it is read nor after: 8 MB for 4,700 operations and
+// 130,000 tenants, for whose names alone a map takes more.
+func TestDecodeConfigStreamsLargeConfigInBoundedMemory(t *testing.T) {
+	text := largeConfig(4_700, 130_000)
+	before := liveHeap()
+	w := &heapWatcher{Reader: bytes.NewReader(text)}
+	config, err := DecodeConfig(w)
 	require.NoError(t, err)
-	held := live() - before
-	assert.Less(t, held, uint64(8<<20))
-	assert.Less(t, w.most-before, uint64(8<<20))
-	assert.Less(t, w.left, -50, "it was read in pieces")
-	i, known := n.Settings.Tenants.Lookup("tenant-129999")
+	growth := liveHeap() - before
+	assert.Less(t, growth, uint64(8<<20))
+	assert.Less(t, w.peak-before, uint64(8<<20))
+	assert.Less(t, w.countdown, -50, "read in pieces")
+	i, known := config.Settings.Tenants.Lookup("tenant-129999")
 	assert.True(t, known)
 	assert.Equal(t, int32(129_999), i)
-	assert.Equal(t, 1+129_999%9, int(n.Settings.Node.TenantRates[i]))
+	assert.Equal(t, 1+129_999%9, int(config.Settings.Node.TenantRates[i]))
 	runtime.KeepAlive(text)
 }
 
-// A file that is read for Reload is known by its digest, and nothing that grows with its tenants is held beside the node's own,
-// neither while it is read nor after.
-func TestReloadHoldsNoSecondTableOfTenants(t *testing.T) {
-	text := large(4_700, 130_000)
-	n, err := DecodeConfig(bytes.NewReader(text))
+// A configuration for Reload is compared by its digest, and takes no memory that grows with its tenants, neither while it is
+// read nor after.
+func TestDecodeReloadKeepsNoTenantTable(t *testing.T) {
+	text := largeConfig(4_700, 130_000)
+	config, err := DecodeConfig(bytes.NewReader(text))
 	require.NoError(t, err)
-	before := live()
-	w := &watched{Reader: bytes.NewReader(text)}
+	before := liveHeap()
+	w := &heapWatcher{Reader: bytes.NewReader(text)}
 	next, err := DecodeReload(w)
 	require.NoError(t, err)
-	const most = 2 << 20 // bytes: 4,700 operations with their names, and what is read ahead; the tenants alone are more
-	assert.Less(t, w.most-before, uint64(most))
-	assert.Less(t, live()-before, uint64(most))
-	assert.Empty(t, n.differs(next))
-	assert.Equal(t, 4_700, next.Settings.Operations.Len(), "a plan of levels is read by their names")
+	const limit = 2 << 20 // bytes: 4,700 operations with their names, and the read buffer; the tenants alone take more
+	assert.Less(t, w.peak-before, uint64(limit))
+	assert.Less(t, liveHeap()-before, uint64(limit))
+	assert.Empty(t, config.changedFields(next))
+	assert.Equal(t, 4_700, next.Settings.Operations.Len(), "a degradation plan refers to them by name")
 	other := bytes.Replace(text, []byte(`"tenant-129999","quota_rps":`), []byte(`"tenant-129999","quota_rps":1`), 1)
 	next, err = DecodeReload(bytes.NewReader(other))
 	require.NoError(t, err)
-	assert.Equal(t, []string{"settings"}, n.differs(next))
+	assert.Equal(t, []string{"settings"}, config.changedFields(next))
 	_, err = DecodeReload(bytes.NewReader(bytes.Replace(text, []byte(`"tenant-000077","quota_rps":6`), []byte(`"tenant-000077","quota_rps":"many"`), 1)))
 	assert.ErrorContains(t, err, "tenants.77.quota_rps")
 	runtime.KeepAlive(text)
-	runtime.KeepAlive(n)
+	runtime.KeepAlive(config)
 }
 
-// A node holds what may change in service twice, decoded and in canonical form, and each in little: 100 bytes for a tenant whose
-// name and value have 40.
-func TestConfigurationInServiceIsHeldInLittleForEachTenant(t *testing.T) {
+// A node has the distributed configuration in memory twice, decoded and in canonical form: both together take at most 100
+// bytes for a tenant whose name and value have 40.
+func TestConfigContentUsesBoundedMemoryPerTenant(t *testing.T) {
 	const tenants = 130_000
-	text := large(4_700, tenants)
-	before := live()
-	n, err := DecodeConfig(bytes.NewReader(text))
+	text := largeConfig(4_700, tenants)
+	before := liveHeap()
+	config, err := DecodeConfig(bytes.NewReader(text))
 	require.NoError(t, err)
-	content, err := contentOf(n.Settings)
+	content, err := configContent(config.Settings)
 	require.NoError(t, err)
-	assert.Less(t, live()-before, uint64(100*tenants))
+	assert.Less(t, liveHeap()-before, uint64(100*tenants))
 	assert.Equal(t, tenants, content.Len(configsync.Tenants))
 	runtime.KeepAlive(text)
-	runtime.KeepAlive(n)
+	runtime.KeepAlive(config)
 }
 
-// What is garbage between two collections is a part of what is held, where most of that are tables that live on.
-func TestHeapGrowsLessWhereTheConfigurationIsTakenInService(t *testing.T) {
+// The heap may grow less between collections where most of it is long-lived tables.
+func TestLimitLowersGCPercentWithConfigSync(t *testing.T) {
 	cores, percent, limit := runtime.GOMAXPROCS(0), debug.SetGCPercent(100), debug.SetMemoryLimit(-1)
 	defer func() {
 		runtime.GOMAXPROCS(cores)
 		debug.SetGCPercent(percent)
 		debug.SetMemoryLimit(limit)
 	}()
-	for _, n := range []*Config{{Cores: 1, MemoryMB: 1024}, {Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{}}} {
-		n.Limit()
-		assert.Equal(t, 100, debug.SetGCPercent(100), "as the runtime has it")
+	for _, config := range []*Config{{Cores: 1, MemoryMB: 1024}, {Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{}}} {
+		config.Limit()
+		assert.Equal(t, 100, debug.SetGCPercent(100), "the default of the runtime")
 	}
 	(&Config{Cores: 1, MemoryMB: 1024, Fleet: &fleetconfig.Fleet{ConfigSync: &fleetconfig.ConfigSync{}}}).Limit()
-	assert.Equal(t, inServiceGC, debug.SetGCPercent(100))
+	assert.Equal(t, inServiceGCPercent, debug.SetGCPercent(100))
 }
 
-// Only other settings are another digest: order and space are none.
-func TestSettingsDifferByWhatTheySay(t *testing.T) {
+// Settings that differ only in order and space have the same digest.
+func TestChangedFieldsIgnoresOrderAndSpace(t *testing.T) {
 	read := func(from, to string) *Config {
-		text := strings.Replace(string(large(3, 3)), from, to, 1)
-		n, err := ReadConfig([]byte(text))
+		text := strings.Replace(string(largeConfig(3, 3)), from, to, 1)
+		config, err := ReadConfig([]byte(text))
 		require.NoError(t, err)
-		return n
+		return config
 	}
-	n := read("", "")
-	assert.Empty(t, n.differs(read(`"aim":200,"give_up":1000`, `"give_up" : 1000, "aim":200`)))
+	config := read("", "")
+	assert.Empty(t, config.changedFields(read(`"aim":200,"give_up":1000`, `"give_up" : 1000, "aim":200`)))
 	for from, to := range map[string]string{`"quota_rps":2`: `"quota_rps":3`, `"aim":200`: `"aim":201`, `"n_cores":2`: `"n_cores":3`,
 		`"route-0002"`: `"route-2"`} {
-		assert.Equal(t, []string{"settings"}, n.differs(read(from, to)), to)
+		assert.Equal(t, []string{"settings"}, config.changedFields(read(from, to)), to)
 	}
 }
 
-// What is wrong in a large file is named with its place.
-func TestFaultsDeepInALargeFileAreNamed(t *testing.T) {
-	for from, to := range map[string]string{`"tenant-000077","quota_rps":6`: `"tenant-000077","quota_rps":"many"`,
-		`"route-0031","aim":500`: `"route-0031","aim":-1`} {
-		_, err := ReadConfig(bytes.Replace(large(40, 100), []byte(from), []byte(to), 1))
-		assert.ErrorContains(t, err, map[string]string{`"many"`: "tenants.77.quota_rps", "-1": "grades.31"}[to[strings.LastIndex(to, ":")+1:]])
+// An error in a large file names the place of the invalid field.
+func TestReadConfigErrorNamesNestedField(t *testing.T) {
+	for _, c := range []struct{ valid, invalid, field string }{
+		{`"tenant-000077","quota_rps":6`, `"tenant-000077","quota_rps":"many"`, "tenants.77.quota_rps"},
+		{`"route-0031","aim":500`, `"route-0031","aim":-1`, "grades.31"},
+	} {
+		_, err := ReadConfig(bytes.Replace(largeConfig(40, 100), []byte(c.valid), []byte(c.invalid), 1))
+		assert.ErrorContains(t, err, c.field)
 	}
-	_, err := ReadConfig(large(40, 100)[:2_000])
+	_, err := ReadConfig(largeConfig(40, 100)[:2_000])
 	assert.ErrorContains(t, err, "byte")
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// asPairs are settings as the pairs of a wire.
-func asPairs(t *testing.T, path string, tree any) (list []string) {
+// toPairs converts settings to the path=value pairs of the line protocol.
+func toPairs(path string, tree any) (list []string) {
 	switch v := tree.(type) {
 	case map[string]any:
 		for key, sub := range v {
-			list = append(list, asPairs(t, strings.TrimPrefix(path+"."+key, "."), sub)...)
+			list = append(list, toPairs(strings.TrimPrefix(path+"."+key, "."), sub)...)
 		}
 	case []any:
 		var plain []string
 		for i, sub := range v {
 			if _, object := sub.(map[string]any); object {
-				list = append(list, asPairs(t, fmt.Sprint(path, ".", i), sub)...)
+				list = append(list, toPairs(fmt.Sprint(path, ".", i), sub)...)
 			} else {
 				plain = append(plain, fmt.Sprint(sub))
 			}
@@ -191,54 +194,54 @@
 	return list
 }
 
-// sameConfig compares what a stream gives with what the same settings give as pairs.
-func sameConfig(t *testing.T, text []byte, n *Config) {
+// requireSameConfig compares a config decoded from a stream with the one that the same settings give as pairs.
+func requireSameConfig(t *testing.T, text []byte, config *Config) {
 	var f struct{ Settings any }
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	require.NoError(t, d.Decode(&f))
-	pairs, err := nodeconfig.FromPairs(n.Settings.Node.Seed, asPairs(t, "", f.Settings))
+	pairs, err := nodeconfig.FromPairs(config.Settings.Node.Seed, toPairs("", f.Settings))
 	require.NoError(t, err)
-	assert.Equal(t, pairs, n.Settings)
+	assert.Equal(t, pairs, config.Settings)
 }
 
-// A version comes into force in a node that runs, or is refused with the item named; either is told in the log.
-func TestVersionComesIntoForceInANodeThatRuns(t *testing.T) {
-	n, err := DecodeConfig(bytes.NewReader(large(3, 3)))
+// A version is applied to a running node, or rejected with the item named; the log shows either.
+func TestAmendAppliesVersionToRunningServer(t *testing.T) {
+	config, err := DecodeConfig(bytes.NewReader(largeConfig(3, 3)))
 	require.NoError(t, err)
-	told := make(lineWriter, 100)
-	s := New(n, zerolog.New(told), SystemClock())
+	lines := make(lineWriter, 100)
+	s := New(config, zerolog.New(lines), SystemClock())
 	require.NoError(t, s.Listen())
 	ended := make(chan error, 1)
 	ready := make(chan struct{})
 	go func() { close(ready); ended <- s.Run(context.Background()) }()
 	<-ready
-	awaited := func(text string) (line string) {
+	awaitLine := func(text string) (line string) {
 		for !strings.Contains(line, text) {
 			select {
-			case line = <-told:
+			case line = <-lines:
 			case <-time.After(20 * time.Second):
-				require.Fail(t, "never told", text)
+				require.Fail(t, "not logged", text)
 			}
 		}
 		return line
 	}
-	awaited("listening")
+	awaitLine("listening")
 	op := func(value string) nodeconfig.Item {
 		return nodeconfig.Item{Part: nodeconfig.Operations, Name: "new", Value: []byte(value)}
 	}
 	assert.ErrorContains(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":2,"effect":"twice"}`)}), `operations.new.effect: "twice" is not known`)
 	assert.ErrorContains(t, s.Amend(1, []nodeconfig.Item{{Part: nodeconfig.Limits, Name: "family_info.memory_kb", Value: []byte("1")}}), "takes a new start")
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":90000,"effect":"idempotent"}`), {Part: nodeconfig.Tenants, Name: "tenant-000001"}}))
-	assert.Contains(t, awaited("in force"), `"version":1,"message":"configuration: the version is in force, 1 added, 0 changed, 1 removed"`)
-	assert.Equal(t, int64(90_000e6), s.conns.slowest.Load())
+	assert.Contains(t, awaitLine("in force"), `"version":1,"message":"configuration: the version is in force, 1 added, 0 changed, 1 removed"`)
+	assert.Equal(t, int64(90_000e6), s.conns.maxClientTimeout.Load())
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}))
-	assert.Contains(t, awaited("can't be taken"), "as new")
+	assert.Contains(t, awaitLine("can't be taken"), "as new")
 	s.Drain()
 	assert.NoError(t, <-ended)
 }
 
-// lineWriter hands on what a logger writes, and drops it where nobody reads.
+// lineWriter passes on the lines of a logger, and drops them when its buffer is full.
 type lineWriter chan string
 
 func (w lineWriter) Write(b []byte) (int, error) {
--- a/server/dispatchers.go
+++ b/server/dispatchers.go
@@ -1,475 +1,181 @@
 package server
 
 import (
-	"errors"
 	"net"
-	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"topazpost/internal/node"
-	"topazpost/internal/protocol/frame"
 )
 
 const (
-	pendingMost = 256 << 10        // bytes that may wait for a peer; all answers to 32 streams are half of it
-	pendingPart = 8                // part of the memory limit that may wait for all peers; past it each may have but a few answers
-	pendingFew  = 8 << 10          // bytes of a few answers
-	writeWait   = 20 * time.Second // a peer that takes nothing for so long is cut off: no pause lasts as long
-	acceptAgain = 20 * time.Millisecond
-	acceptTries = 2                      // that find nothing
-	acceptFree  = 64                     // connections taken in a row without waiting for a place, and
-	acceptQueue = 50 * time.Millisecond  // in such a time, past which those of before the end of intake are all taken, however many come
-	acceptLast  = 5 * time.Millisecond   // for what waits to be accepted when intake stops; tried twice, as the process may stand still
-	lingerWait  = 300 * time.Millisecond // for the peer's end after ours, so that no answer is lost to a reset
-	turnsMost   = 64                     // frames of one connection that may wait for the reducer: twice its streams
-	flushWait   = 60 * time.Millisecond  // for the last answers to be written where the node may wait no longer: inside the time before the kill
-	halfWait    = 2 * time.Second        // without a byte more of a frame that has begun: it is written with one call
-	ignorePause = 20 * time.Millisecond  // between reads of what is of no use: never at the peer's full speed
-	ignoredOnce = 4 << 10                // bytes of it taken with one read
+	maxPendingBytes      = 256 << 10             // for one connection: answers to 32 streams take half of it
+	minPendingBytes      = 8 << 10               // for one connection, where all together reach their limit: a few answers
+	pendingMemoryDivisor = 8                     // share of the memory limit that may be pending on all connections
+	flushTimeout         = 60 * time.Millisecond // for the last answers, within the time before the process is killed
 )
 
-// Why a connection is read no further.
-var (
-	errHalf    = errors.New("a frame was not brought to its end")
-	errIgnored = errors.New("nothing on it can be used")
-	errQuiet   = errors.New("closed by this node")
-)
-
-// longAgo as a deadline wakes a reader at once.
-var longAgo = time.Unix(1, 0)
-
-// socket is what is used of a TCP connection.
-type socket interface {
-	net.Conn
-	CloseWrite() error
-}
-
-// connection is one from a dispatcher: a reader, and a writer that is started when there is something to
-// write and sends all that waits with one call.
-type connection struct {
-	link int
-	net  socket
-
-	mu       sync.Mutex
-	pending  []byte
-	spare    []byte // the buffer that was last written
-	writing  bool
-	finished bool // it is to end: once all is written, no frame waits and nothing lies unread
-	noLinger bool // without time for the peer's end
-	dead     bool // nothing that comes on it is handed on any more
-	ending   bool // this side of it is closed
-	over     bool
-	ignored  atomic.Bool
-	turns    chan struct{} // one for each of its frames that wait for the reducer
-}
-
-// due is when the next read is to end at the latest.
-func (k *connection) due(at time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.net.SetReadDeadline(at)
-}
-
-// clearDeadline lets the reader wait without end, but for a connection that can end.
-func (k *connection) clearDeadline() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.net.SetReadDeadline(time.Time{})
-	k.wake()
-}
-
-// closable says whether this side can be closed as far as what was read and written goes. Frames that wait for the reducer
-// count until it has taken them: what it wants to be done for them, Resume above all, is done by then. mu is held.
-func (k *connection) closable() bool {
-	return k.finished && !k.ending && !k.over && !k.writing && len(k.pending) == 0 && len(k.turns) == 0
-}
-
-// wake has the reader look whether something lies unread, once this side can be closed. mu is held.
-func (k *connection) wake() {
-	if k.closable() {
-		k.net.SetReadDeadline(longAgo)
-	}
-}
-
-// evicting says whether the place of a connection is wanted more than the rest of a frame.
-func (k *connection) evicting() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.finished && k.noLinger
-}
-
-// end closes this side, if it still can be closed; the reader, which has just found nothing unread, asks for it.
-func (k *connection) end() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.closable() {
-		k.net.SetReadDeadline(time.Time{})
-		return false
-	}
-	k.ending = true
-	if !k.noLinger {
-		k.net.CloseWrite()
-		k.net.SetReadDeadline(time.Now().Add(lingerWait))
-	}
-	return true
-}
-
-// connections are all of the dispatchers'. Only the loop adds to and takes from open.
+// connections are those of all dispatchers. Only the event loop looks up and writes to them.
 type connections struct {
-	s       *Server
-	mu      sync.Mutex
-	open    map[int]*connection
-	dirty   []*connection // with something to write since the last flush
-	bytes   atomic.Int64  // pending on all
-	most    int64         // that may be
-	slots   chan struct{}
-	writers sync.WaitGroup
-	slowest atomic.Int64 // ns, the longest client timeout there was
+	server           *Server
+	dirty            []*connection // with bytes to write since the last flush; used by the event loop only
+	bytes            atomic.Int64  // pending on all connections
+	maxBytes         int64
+	slots            chan struct{} // one for each connection that holds a descriptor
+	writers          sync.WaitGroup
+	maxClientTimeout atomic.Int64 // ns
+
+	mu   sync.Mutex
+	open map[int]*connection // by link
 }
 
 func newConnections(s *Server) *connections {
-	kept, closing, _ := s.config.shares()
-	c := &connections{s: s, open: make(map[int]*connection), most: int64(s.config.MemoryMB) << 20 / pendingPart,
-		slots: make(chan struct{}, kept+closing)}
-	c.slower(int64(halfWait))
+	open, closing, _ := s.config.descriptorShares()
+	c := &connections{
+		server:   s,
+		open:     make(map[int]*connection),
+		maxBytes: int64(s.config.MemoryMB) << 20 / pendingMemoryDivisor,
+		slots:    make(chan struct{}, open+closing),
+	}
+	c.raiseClientTimeout(int64(partialFrameTimeout))
 	for _, op := range s.config.Settings.Node.Operations {
-		c.slower(op.ClientTimeout)
+		c.raiseClientTimeout(op.ClientTimeout)
 	}
 	return c
 }
 
-// slower takes note of a client timeout; what was in hand may go by a longer one, so it never shrinks.
-func (c *connections) slower(timeout int64) {
-	if timeout > c.slowest.Load() {
-		c.slowest.Store(timeout)
+// raiseClientTimeout notes a client timeout. The maximum never shrinks, as calls in flight may have a longer one.
+func (c *connections) raiseClientTimeout(timeout int64) {
+	if timeout > c.maxClientTimeout.Load() {
+		c.maxClientTimeout.Store(timeout)
 	}
 }
 
-// accept takes connections while descriptors last; without one it waits a little, and so never spins. After stopAccepting it
-// goes on until nothing waits to be accepted, for as long as that takes descriptors to come free.
-func (c *connections) accept() error {
-	last := 0 // tries that found nothing since the end of intake
-	free, since := 0, time.Time{}
-	end := func() error {
-		c.s.listener.Close()
-		c.s.log.Info().Msg("no connection more is taken")
-		c.s.put(node.Input{Kind: node.ListenerClosed})
-		return nil
-	}
-	for next := 1; ; next++ {
-		select {
-		case c.slots <- struct{}{}:
-		default:
-			select {
-			case c.slots <- struct{}{}:
-			case <-c.s.ctx.Done():
-				return nil
-			}
-			free, since = 0, time.Now()
-		}
-		conn, err := c.s.listener.Accept()
-		for err != nil {
-			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded) && last < acceptTries:
-				if last++; last == 1 {
-					free, since = 0, time.Now()
-				}
-				c.s.listener.SetDeadline(time.Now().Add(acceptLast))
-			case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
-				return end()
-			default:
-				c.s.limited.Warn().Err(err).Msg("no connection could be accepted")
-				time.Sleep(acceptAgain)
-			}
-			conn, err = c.s.listener.Accept()
-		}
-		if last > 0 {
-			last = 1
-			c.s.listener.SetDeadline(time.Now().Add(acceptLast))
-		}
-		k := &connection{link: next, net: conn.(*net.TCPConn), turns: make(chan struct{}, turnsMost)}
-		c.mu.Lock()
-		c.open[next] = k
-		c.mu.Unlock()
-		if !c.s.put(node.Input{Kind: node.ConnectionOpened, Link: next}) {
-			k.net.Close()
-			return nil
-		}
-		if free++; last > 0 && free >= acceptFree && time.Since(since) >= acceptQueue {
-			return end()
-		}
+// add takes an accepted connection on; false means that the node has ended.
+func (c *connections) add(link int, accepted net.Conn) bool {
+	conn := &connection{link: link, socket: accepted.(*net.TCPConn), queuedFrames: make(chan struct{}, maxQueuedFrames)}
+	c.mu.Lock()
+	c.open[link] = conn
+	c.mu.Unlock()
+	if !c.server.enqueueDispatcherInput(node.Input{Kind: node.ConnectionOpened, Link: link}) {
+		conn.socket.Close()
+		return false
 	}
+	return true
 }
 
-// stopAccepting ends the listening socket once all that the system took is accepted: an invocation written to a connection
-// that waits there would be lost with it.
-func (c *connections) stopAccepting() { c.s.listener.SetDeadline(longAgo) }
-
 func (c *connections) get(link int) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open[link]
 }
 
-func (c *connections) receive(link int) {
-	if k := c.get(link); k != nil {
-		c.s.group.Go(func() error { c.read(k); return nil })
-	}
-}
-
-// read gives the reducer all that comes, until it can't be parsed or is of no use; then it only looks for the end. A
-// close over bytes that lie unread would reset the connection, and take answers with it that are on their way.
-func (c *connections) read(k *connection) {
-	err := c.frames(k)
-	if unusable := errors.Is(err, frame.ErrLength) || errors.Is(err, errHalf); unusable || errors.Is(err, errIgnored) {
-		if unusable {
-			c.s.put(node.Input{Kind: node.FrameMalformed, Link: k.link, Err: err})
-		}
-		k.mu.Lock()
-		k.dead = true
-		k.mu.Unlock()
-		k.clearDeadline()
-		err = c.discard(k)
-	} else if errors.Is(err, errQuiet) {
-		err = c.discard(k)
-	}
-	c.s.put(node.Input{Kind: node.ConnectionClosed, Link: k.link, Err: err})
-	c.drop(k)
-}
-
-// discard reads slowly on to the peer's end, or to lingerWait after this side was closed. Nothing of it is run: it
-// could not be answered.
-func (c *connections) discard(k *connection) error {
-	space := make([]byte, ignoredOnce)
-	for {
-		k.mu.Lock()
-		ended, noLinger := k.ending, k.noLinger
-		k.mu.Unlock()
-		if ended && noLinger {
-			return errQuiet
-		}
-		_, err := k.net.Read(space)
-		switch {
-		case err == nil:
-			time.Sleep(ignorePause)
-		case errors.Is(err, os.ErrDeadlineExceeded) && !ended:
-			k.end()
-		default:
-			return err
-		}
-	}
-}
-
-// frames hands on frames to the end, the first unreadable one, the first that does not come to its end in time, or
-// the last before this side was closed.
-func (c *connections) frames(k *connection) error {
-	var parser frame.Parser
-	var until, latest time.Time // when more of a frame that has begun must have come, and the rest of it
-	var lookedAt time.Time
-	half, late, looked := false, false, false
-	for {
-		n, err := k.net.Read(parser.Space())
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			switch now := time.Now(); {
-			case half && now.Before(until) && !k.evicting(): // woken for the end, which waits for the rest of a frame
-				k.due(until)
-			case half && !late, !half && (!looked || now.Sub(lookedAt) > stoodStill): // a deadline that passed while the process stood still does not prove that nothing lies there
-				late, looked, lookedAt = half, !half, now
-				k.due(now.Add(catchUp))
-			case half:
-				return errHalf
-			default:
-				if k.end() {
-					return errQuiet
-				}
-				looked = false
-			}
-			continue
-		}
-		if err != nil {
-			return err
-		}
-		looked = false
-		parser.Wrote(n)
-		whole := false
-		for {
-			f, ok, err := parser.Next()
-			if err != nil {
-				return err
-			}
-			if !ok {
-				break
-			}
-			whole = true
-			if k.ignored.Load() {
-				return errIgnored
-			}
-			f.Payload = append([]byte(nil), f.Payload...)
-			select {
-			case k.turns <- struct{}{}:
-			case <-c.s.ctx.Done():
-				return c.s.ctx.Err()
-			}
-			if !c.s.put(node.Input{Kind: node.FrameReceived, Link: k.link, Frame: f}) {
-				return c.s.ctx.Err()
-			}
-		}
-		was := half
-		if half = parser.Incomplete(); half {
-			now := time.Now()
-			if whole || !was { // past the longest client timeout nobody waits for it
-				latest = now.Add(time.Duration(c.slowest.Load()))
-			}
-			late, until = false, now.Add(halfWait)
-			if until.After(latest) {
-				until = latest
-			}
-			if k.evicting() {
-				until = now
-			}
-			k.due(until)
-		} else if !half && was {
-			k.clearDeadline()
-		}
+func (c *connections) startReader(link int) {
+	if conn := c.get(link); conn != nil {
+		c.server.group.Go(func() error { c.read(conn); return nil })
 	}
 }
 
-// taken gives a connection the turns back of its frames that the reducer took. Guards against one that floods and
-// keeps those of others waiting behind its own; does harm to none that keeps to its streams.
-func (c *connections) taken(inputs []node.Input) {
+// releaseFrames frees the queue places of frames that the state machine has taken. The bound for each connection keeps one
+// that floods from delaying the others; a connection that keeps to its streams never reaches it.
+func (c *connections) releaseFrames(inputs []node.Input) {
 	for i := range inputs {
 		if inputs[i].Kind != node.FrameReceived {
 			continue
 		}
-		if k := c.get(inputs[i].Link); k != nil {
-			<-k.turns
-			k.mu.Lock()
-			k.wake()
-			k.mu.Unlock()
+		if conn := c.get(inputs[i].Link); conn != nil {
+			<-conn.queuedFrames
+			conn.mu.Lock()
+			conn.wakeReader()
+			conn.mu.Unlock()
 		}
 	}
 }
 
-// drop frees what a connection held.
-func (c *connections) drop(k *connection) {
-	k.mu.Lock()
-	over := k.over
-	c.bytes.Add(-int64(len(k.pending)))
-	k.over, k.pending = true, nil
-	k.mu.Unlock()
-	if over {
+// release closes a connection and frees its slot.
+func (c *connections) release(conn *connection) {
+	conn.mu.Lock()
+	released := conn.released
+	c.bytes.Add(-int64(len(conn.pending)))
+	conn.released = true
+	conn.pending = nil
+	conn.mu.Unlock()
+	if released {
 		return
 	}
-	k.net.Close()
+	conn.socket.Close()
 	c.mu.Lock()
-	delete(c.open, k.link)
+	delete(c.open, conn.link)
 	c.mu.Unlock()
 	<-c.slots
 }
 
+// send adds bytes to what is pending on a connection; flush starts the writer. A peer that reads too slowly is disconnected.
 func (c *connections) send(link int, b []byte) {
-	k := c.get(link)
-	if k == nil {
+	conn := c.get(link)
+	if conn == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.over {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if conn.released {
 		return
 	}
-	most := pendingMost
-	if c.bytes.Load() > c.most {
-		most = pendingFew
+	limit := maxPendingBytes
+	if c.bytes.Load() > c.maxBytes {
+		limit = minPendingBytes
 	}
-	if len(k.pending)+len(b) > most {
-		c.s.limited.Warn().Int("connection", link).Msg("peer reads too slowly, cut off")
-		k.net.Close() // the reader sees it and drops it
+	if len(conn.pending)+len(b) > limit {
+		c.server.limitedLog.Warn().Int("connection", link).Msg("peer reads too slowly, cut off")
+		conn.socket.Close() // the reader sees it and releases the connection
 		return
 	}
-	if len(k.pending) == 0 {
-		c.dirty = append(c.dirty, k)
+	if len(conn.pending) == 0 {
+		c.dirty = append(c.dirty, conn)
 	}
-	k.pending = append(k.pending, b...)
+	conn.pending = append(conn.pending, b...)
 	c.bytes.Add(int64(len(b)))
 }
 
-// closeAfterFlush closes a connection once all is written and nothing lies unread; with noLinger the peer gets no time for its own end.
+// closeAfterFlush closes a connection once all is written and nothing lies unread; with noLinger it doesn't wait for the peer
+// to close.
 func (c *connections) closeAfterFlush(link int, noLinger bool) {
-	if k := c.get(link); k != nil {
-		k.mu.Lock()
-		k.finished, k.noLinger = true, noLinger
-		if k.wake(); noLinger && k.ending {
-			k.net.SetReadDeadline(longAgo)
-		}
-		k.mu.Unlock()
+	if conn := c.get(link); conn != nil {
+		conn.closeAfterFlush(noLinger)
 	}
 }
 
-// resume takes that back. It comes with the frame that is the reason, whose turn keeps this side open until now.
+// resume takes closeAfterFlush back. It comes with the frame that is its reason, whose queue place has kept this side open.
 func (c *connections) resume(link int) {
-	if k := c.get(link); k != nil {
-		k.mu.Lock()
-		k.finished = false
-		k.mu.Unlock()
+	if conn := c.get(link); conn != nil {
+		conn.resume()
 	}
 }
 
-// ignore hands nothing more on of what comes.
-func (c *connections) ignore(link int) {
-	if k := c.get(link); k != nil {
-		k.ignored.Store(true)
+// discardInput passes on no more frames of a connection.
+func (c *connections) discardInput(link int) {
+	if conn := c.get(link); conn != nil {
+		conn.discarding.Store(true)
 	}
 }
 
-// flush starts a writer on each connection with something to write.
+// flush starts the writers of connections that have bytes pending.
 func (c *connections) flush() {
-	for _, k := range c.dirty {
-		k.mu.Lock()
-		if !k.writing && !k.over {
-			k.writing = true
+	for _, conn := range c.dirty {
+		conn.mu.Lock()
+		if !conn.writing && !conn.released {
+			conn.writing = true
 			c.writers.Add(1)
-			c.s.group.Go(func() error { defer c.writers.Done(); c.write(k); return nil })
+			c.server.group.Go(func() error { defer c.writers.Done(); c.write(conn); return nil })
 		}
-		k.mu.Unlock()
+		conn.mu.Unlock()
 	}
 	c.dirty = c.dirty[:0]
 }
 
-func (c *connections) write(k *connection) {
-	for {
-		k.mu.Lock()
-		b := k.pending
-		if len(b) == 0 || k.over {
-			// a deadline that stays would be a timer of the runtime for each connection, and the runtime goes over all
-			// timers whenever one that was set anew comes due, as the loop's is
-			k.net.SetWriteDeadline(time.Time{})
-			k.writing = false
-			k.wake()
-			k.mu.Unlock()
-			return
-		}
-		k.pending, k.spare = k.spare[:0], nil
-		k.mu.Unlock()
-		k.net.SetWriteDeadline(time.Now().Add(writeWait))
-		_, err := k.net.Write(b)
-		k.mu.Lock()
-		k.spare = b[:0]
-		c.bytes.Add(-int64(len(b)))
-		if err != nil {
-			c.bytes.Add(-int64(len(k.pending)))
-			k.pending, k.writing = nil, false
-			k.mu.Unlock()
-			k.net.Close()
-			return
-		}
-		k.mu.Unlock()
-	}
-}
-
-// flushAll gets out what is owed before the node ends, whoever does not read. It closes this side of each connection,
-// so that one over unread bytes brings the peer its answers first.
+// flushAll writes the last answers before the node ends, for a bounded time. It then closes this side of each connection, so
+// that a close over unread bytes, which resets the connection, comes after the answers.
 func (c *connections) flushAll() {
 	c.flush()
 	written := make(chan struct{})
@@ -479,21 +185,22 @@
 	}()
 	select {
 	case <-written:
-	case <-time.After(flushWait):
-		c.closeAll() // those who do not read; it ends their writers, and with them the wait
+	case <-time.After(flushTimeout):
+		c.closeAll() // ends the writers to peers that don't read
 		<-written
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.open {
-		k.net.CloseWrite()
+	for _, conn := range c.open {
+		_ = conn.socket.CloseWrite() // the reader sees a failed connection
 	}
 }
 
+// closeAll closes the connections; their readers release them.
 func (c *connections) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.open {
-		k.net.Close()
+	for _, conn := range c.open {
+		conn.socket.Close()
 	}
 }
--- a/server/fixtures_test.go
+++ b/server/fixtures_test.go
@@ -11,8 +11,8 @@
 	"topazpost/internal/resultcache"
 )
 
-// The files of a seat's folder are the bytes of fixtures, under the same names, and are read to what was written.
-func TestFixturesOfASeatsFolder(t *testing.T) {
+// The files of a replica's folder have the bytes and names of the fixtures, and are read back as written.
+func TestReplicaStorageMatchesFixtures(t *testing.T) {
 	const generation = 0x0102030405060708
 	t.Run("base", func(t *testing.T) {
 		got, text, err := readBase(fixture.Equal(t, "seat-base-v1.bin", appendBase(generation, []byte("the text of a base"))))
@@ -22,22 +22,22 @@
 	})
 	t.Run("log", func(t *testing.T) {
 		content := fixture.Equal(t, "seat-log-v1.bin", appendRecord(appendRecord(nil, []byte("one record")), []byte("another")))
-		records, whole := readRecords(content)
+		records, intact := readRecords(content)
 		assert.Equal(t, [][]byte{[]byte("one record"), []byte("another")}, records)
-		assert.Equal(t, int64(len(content)), whole)
+		assert.Equal(t, int64(len(content)), intact)
 	})
 	t.Run("names", func(t *testing.T) {
-		d := seatDisk{generation: generation}
-		fixture.Equal(t, "seat-names-v1.txt", []byte(seatBase+"\n"+d.logName()+"\n"+seatPart+"\n"+seatUnsettled+"\n"))
+		d := replicaStorage{generation: generation}
+		fixture.Equal(t, "seat-names-v1.txt", []byte(baseFileName+"\n"+d.logName()+"\n"+partFilePrefix+"\n"+temporarySuffix+"\n"))
 	})
 }
 
-// The mark by which a stream is told from an exchange.
-func TestFixtureOfTheMarkOfAStream(t *testing.T) {
-	fixture.Equal(t, "stream-mark-v1.bin", binary.LittleEndian.AppendUint32(nil, streamMark))
+// The magic number that distinguishes a stream from an exchange.
+func TestStreamMagicMatchesFixture(t *testing.T) {
+	fixture.Equal(t, "stream-mark-v1.bin", binary.LittleEndian.AppendUint32(nil, streamMagic))
 }
 
-// The numbers of endings, which stand in kept records and in claims.
-func TestFixtureOfTheNumbersOfEndings(t *testing.T) {
+// The numbers of outcomes, which are stored in records and claims.
+func TestOutcomesMatchFixture(t *testing.T) {
 	fixture.Equal(t, "endings-v1.bin", []byte{byte(resultcache.Succeeded), byte(resultcache.Failed), byte(resultcache.NeverStarted), byte(resultcache.ResultNotCached)})
 }
--- a/server/helpers_test.go
+++ b/server/helpers_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
 	"go.uber.org/goleak"
 	"golang.org/x/sync/errgroup"
 )
@@ -11,11 +12,11 @@
 // No test of this package may leave a goroutine behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// groupOf is a group whose goroutines end with the test.
-func groupOf(t *testing.T) *errgroup.Group {
+// newTestGroup is a group that is waited for when the test ends.
+func newTestGroup(t *testing.T) *errgroup.Group {
 	group, _ := errgroup.WithContext(t.Context())
-	t.Cleanup(func() { group.Wait() })
+	t.Cleanup(func() { assert.NoError(t, group.Wait()) })
 	return group
 }
 
-var quiet = zerolog.Nop()
+var nopLogger = zerolog.Nop()
--- a/server/hollow.go
+++ b/server/hollow.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"net"
-	"net/netip"
 
 	"golang.org/x/sync/errgroup"
 
@@ -12,83 +11,83 @@
 	"topazpost/internal/node"
 )
 
-// StreamMark is what a stream begins with, in the place of the length that an exchange begins with, little-endian.
-const StreamMark = streamMark
+// StreamMark begins a stream, little-endian, in the place of the length that begins an exchange.
+const StreamMark = streamMagic
 
-// Datagrams are the socket of a node for its peers' datagrams.
-type Datagrams interface {
-	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
-	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
-	Close() error
-}
-
-// Wire stands between a hollow node and its sockets, for cuts, loss and counts of the laboratory.
+// Wire stands between a hollow node and its sockets, so that a test bed can inject partitions and loss, and count traffic.
 type Wire interface {
 	Datagrams(Datagrams) Datagrams
-	Conn(conn net.Conn, to string) net.Conn // to is where it was dialled to, empty for one that was accepted
+	Conn(conn net.Conn, to string) net.Conn // to is the address dialled, empty for an accepted connection
 }
 
-// Hollow makes a node that is only what nodes do among themselves: fleet, claims, leases. It listens to no dispatcher, has no
-// executor and reports nothing; its load comes from WantToken and WantCalls.
+// Hollow makes a node that only takes part in its fleet: membership, claims and leases. It listens to no dispatcher, has no
+// executor and sends no reports; its load comes from WantToken and WantCalls.
 type Hollow struct {
 	Wire     Wire                     // nil for none
-	Changed  func(*membership.Change) // called at each change of its view, and must not wait
+	Changed  func(*membership.Change) // called at each change of the membership view; must not block
 	Counters *node.HollowCounters
-	OnlySeat bool // it has no load, inherits nothing and is of no use to callers: a seat in the council and nothing else
+	OnlySeat bool // it only runs a replica of the consensus group: it has no load and takes over no claims
 }
 
-// runHollow is Run of a hollow node.
+// runHollow is Run for a hollow node.
 func (s *Server) runHollow(ctx context.Context) error {
 	s.group, s.ctx = errgroup.WithContext(ctx)
 	s.conns = newConnections(s)
-	if s.peers == nil {
+	if s.fleet == nil {
 		return errors.New("server: a hollow node without a fleet has nothing to do")
 	}
-	if err := s.takeDisks(); err != nil {
+	if err := s.openStorage(); err != nil {
 		return err
 	}
-	if err := s.peers.run(); err != nil {
-		s.closeDisks()
+	if err := s.fleet.start(); err != nil {
+		s.closeStorage()
 		return err
 	}
-	s.runDisks()
-	s.group.Go(func() error { return s.loop() })
-	if err := s.group.Wait(); !errors.Is(err, errLeft) {
-		return err
+	s.runStorage()
+	s.group.Go(s.loop)
+	err := s.group.Wait()
+	if errors.Is(err, errDrained) {
+		return nil
 	}
-	return nil
+	return err
 }
 
-// WantToken has a hollow node claim a token; what there is no room for is lost, and told so.
+// WantToken makes a hollow node claim a token; false means that its queue is full and the request is dropped.
 func (s *Server) WantToken(token string) bool {
-	return s.want(node.Input{Kind: node.HollowClaimRequested, Bytes: []byte(token)})
+	return s.tryEnqueue(node.Input{Kind: node.HollowClaimRequested, Bytes: []byte(token)})
 }
 
-// WantCalls has a hollow node want so many calls at a time.
+// WantCalls makes a hollow node want n concurrent calls; false means that its queue is full and the request is dropped.
 func (s *Server) WantCalls(n int) bool {
-	return s.want(node.Input{Kind: node.HollowCallsRequested, Link: n})
+	return s.tryEnqueue(node.Input{Kind: node.HollowCallsRequested, Link: n})
 }
 
-func (s *Server) want(in node.Input) bool {
+func (s *Server) tryEnqueue(in node.Input) bool {
 	select {
-	case s.heard <- in:
+	case s.inputs <- in:
 		return true
 	default:
 		return false
 	}
 }
 
-// Peered are the counts of the node's fleet sockets, nil outside a fleet.
+// Peered returns the counters of the node's fleet sockets, nil outside a fleet.
 func (s *Server) Peered() *PeerCounters {
-	if s.peers == nil {
+	if s.fleet == nil {
 		return nil
 	}
-	return &s.peers.counters
+	return &s.fleet.counters
 }
 
-func (p *peering) wired(conn net.Conn, to string) net.Conn {
-	if h := p.s.config.Hollow; h != nil && h.Wire != nil {
+// wrapConn passes a connection through the test bed's Wire, where there is one.
+func (f *fleetSockets) wrapConn(conn net.Conn, to string) net.Conn {
+	if h := f.server.config.Hollow; h != nil && h.Wire != nil {
 		return h.Wire.Conn(conn, to)
 	}
 	return conn
 }
+
+// OnlySeat returns the Hollow of a node that serves nothing: a member of the fleet that runs a replica of the consensus group.
+func OnlySeat() *Hollow {
+	return &Hollow{Counters: new(node.HollowCounters), OnlySeat: true}
+}
--- a/server/server.go
+++ b/server/server.go
@@ -1,17 +1,15 @@
-// Package server carries out what the reducer asks for: it is all of a node that touches sockets and clocks.
-// Other programs embed it by Run; it handles no signals and never exits the process.
+// Package server runs a node: it feeds the state machine of package node with what sockets, disks and clocks deliver, and
+// carries out its effects. It is the only part of a node that does I/O.
+//
+// Programs embed it with New and Run. It handles no signals and never exits the process.
 package server
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"math"
 	"net"
 	"net/http"
-	"runtime"
-	"runtime/debug"
-	"slices"
 	"syscall"
 	"time"
 
@@ -25,188 +23,156 @@
 )
 
 const (
-	inputsWaiting = 512                   // inputs of dispatchers that may wait for the reducer; then their readers wait
-	heardWaiting  = 256                   // the same of the node's own peers
-	inputsAStep   = 256                   // inputs of each taken in one step, so that effects of the first are not held up
-	memoryPart    = 0.6                   // of the memory limit that the runtime aims at; the rest is for stacks and the kernel
-	inServiceGC   = 40                    // % that the heap may grow between collections, of some ms, where the configuration is taken in service
-	ownFiles      = 14                    // descriptors of the node itself: files, listening socket, executor link, two reports
-	linkPart      = 8                     // part of the descriptors for links to the catalogue: one for each call in hand
-	linkLeast     = 4                     // of them where the limit is low
-	closingPart   = 16                    // part of the descriptors for connections that wait for their peer's end
-	closingLeast  = 4                     // of them where the limit is low
-	listenFor     = 25 * time.Second      // for the last life of the node to give its address up: 30 s are given to be ready
-	listenAgain   = 50 * time.Millisecond // between tries at it
-	stoodStill    = 20 * time.Millisecond // past its time, a timer tells of a process that did not run
-	catchUp       = 2 * time.Millisecond  // for the readers to bring what came meanwhile, before time-outs count
-	councilSeed   = 0x636f756e63696c      // told apart from the node's other sources of chance
-	remarksOnce   = 100                   // lines logged in a second of what peers cause; more are dropped
-)
+	maxQueuedDispatcherInputs = 512 // then the connections' readers wait
+	maxQueuedInputs           = 256 // of the node's own peers
+	maxLogLinesPerSecond      = 100 // of what peers cause; more are dropped
+
+	listenTimeout = 25 * time.Second // less than the 30 s in which a node must become ready
+	listenBackoff = 50 * time.Millisecond
 
-// errLeft ends a node that is drained.
-var errLeft = errors.New("server: drained")
+	consensusSeed = 0x636f756e63696c // keeps this random sequence apart from the node's others
+)
 
-// Server is one node.
+// Server is one node. New makes it, and Run serves until it is drained or stopped.
 type Server struct {
-	config  *Config
-	log     zerolog.Logger
-	limited zerolog.Logger // for what peers can cause any number of times
-	clock   Clock
-	state   *node.StateMachine
-	inputs  chan node.Input // of dispatchers
-	heard   chan node.Input // of the node's own peers; they never wait behind dispatchers
-	notice  chan struct{}
-	abort   chan struct{}
-	reload  chan *Config
-	ctx     context.Context
-	group   *errgroup.Group
+	config     *Config
+	log        zerolog.Logger
+	limitedLog zerolog.Logger // for events that peers can cause any number of times
+	clock      Clock
+	state      *node.StateMachine
+
+	dispatcherInputs chan node.Input // from dispatchers
+	inputs           chan node.Input // from the node's own peers and disks; these never wait behind dispatchers
+	drainRequests    chan struct{}
+	abortRequests    chan struct{}
+	reloadRequests   chan *Config
+
+	ctx   context.Context // ends when the node does
+	group *errgroup.Group // of all goroutines; Run waits for it
 
-	peers    *peering  // nil without a fleet
-	kept     *keeping  // nil without a store
-	seat     *seatDisk // nil without a seat that keeps what it knows
-	listener *net.TCPListener
+	listener       *net.TCPListener
+	conns          *connections
+	links          map[int]*link // used by the event loop only
+	catalogueSlots chan struct{} // one for each descriptor that a catalogue link may use
+	reportClient   http.Client
+	cancelReport   context.CancelFunc
+	fleet          *fleetSockets // nil without a fleet
 
-	configuration *configurationDisk // nil where no version is kept
-	longest       int64              // ns of the longest step of the reducer since a version came into force, by the clock
+	resultStore   *resultStore    // nil where results aren't stored on disk
+	replica       *replicaStorage // nil without a replica that has a folder
+	configStorage *configStorage  // nil where configuration versions aren't stored on disk
 
-	conns     *connections
-	links     map[int]*link // only the loop's
-	reporter  http.Client
-	calls     chan struct{} // one for each descriptor that a link to the catalogue may have
-	endReport context.CancelFunc
+	longestStep int64 // ns, of the state machine since the last configuration version came into force
 }
 
-// New makes a node that Run starts. What a logger and a clock are handed in for is the embedder's to choose.
+// New makes a node that Run starts. The embedder chooses the logger and the clock.
 func New(config *Config, log zerolog.Logger, clock Clock) *Server {
-	limited := log.Sample(&zerolog.BurstSampler{Burst: remarksOnce, Period: time.Second})
-	waiting := inputsWaiting
+	maxQueued := maxQueuedDispatcherInputs
 	if config.Hollow != nil { // it listens to no dispatcher
-		waiting = 0
-	}
-	s := &Server{config: config, log: log, limited: limited, clock: clock, inputs: make(chan node.Input, waiting),
-		heard: make(chan node.Input, heardWaiting), notice: make(chan struct{}, 1), abort: make(chan struct{}, 1),
-		reload: make(chan *Config, 1), links: make(map[int]*link), endReport: func() {}, reporter: newReporter()}
-	connections, spare, links := config.shares()
-	s.calls = make(chan struct{}, links)
-	s.state = node.NewStateMachine(config.Settings, config.peers(), int64(config.StopMS*1e6), connections, links)
-	s.state.SpareConnections = spare - 1 // the last place is for the next one to be accepted
+		maxQueued = 0
+	}
+	s := &Server{
+		config:           config,
+		log:              log,
+		limitedLog:       log.Sample(&zerolog.BurstSampler{Burst: maxLogLinesPerSecond, Period: time.Second}),
+		clock:            clock,
+		dispatcherInputs: make(chan node.Input, maxQueued),
+		inputs:           make(chan node.Input, maxQueuedInputs),
+		drainRequests:    make(chan struct{}, 1),
+		abortRequests:    make(chan struct{}, 1),
+		reloadRequests:   make(chan *Config, 1),
+		links:            make(map[int]*link),
+		reportClient:     newReportClient(),
+		cancelReport:     func() {},
+	}
+	s.initState()
+	return s
+}
+
+// initState makes the state machine with the subsystems that the config names.
+func (s *Server) initState() {
+	config := s.config
+	connections, closing, links := config.descriptorShares()
+	s.catalogueSlots = make(chan struct{}, links)
+	s.state = node.NewStateMachine(config.Settings, config.addresses(), int64(config.StopMS*1e6), connections, links)
+	s.state.SpareConnections = closing - 1 // one slot is for the next connection to be accepted
 	if h := config.Hollow; h != nil {
 		s.state.MakeHollow(h.Counters, h.OnlySeat)
 	}
 	if config.Fleet != nil {
-		s.join(config.Fleet)
+		s.joinFleet(config.Fleet)
 	}
 	if config.Keep == nil && config.Hollow == nil {
 		config.Keep = cacheconfig.Default(config.Settings.Node.Operations, config.MemoryMB)
 	}
-	convened := config.Fleet != nil && config.Fleet.ConsensusGroup != nil
-	if k := config.Keep; k != nil {
-		rules := k.Cache
-		if convened { // what the council agrees on takes the place of the disk
-			rules.Durability, rules.OnStoreFailure = resultcache.OnDisk, resultcache.RejectOnStoreFailure
+	if cache := config.Keep; cache != nil {
+		rules := cache.Cache
+		if config.hasConsensus() { // the consensus group stores results in place of the disk
+			rules.Durability = resultcache.OnDisk
+			rules.OnStoreFailure = resultcache.RejectOnStoreFailure
 		}
-		s.state.EnableResultCache(rules, k.Field, k.Folder != "")
+		s.state.EnableResultCache(rules, cache.Field, cache.Folder != "")
 	}
-	if convened {
+	if config.hasConsensus() {
 		now, _ := s.clock.Now()
 		c := config.Fleet.ConsensusGroup
-		s.state.EnableConsensus(c.Replicas, c.MaxTableBytes, now, config.Settings.Node.Seed^councilSeed)
+		s.state.EnableConsensus(c.Replicas, c.MaxTableBytes, now, config.Settings.Node.Seed^consensusSeed)
 		if c.CallQuota != nil {
 			s.state.EnableQuota(*c.CallQuota, c.CallQuotaVersion)
 		}
 	}
-	return s
 }
 
-// Drain is the notice to drain: Run returns once the drain is over. Only this drains.
+// Drain starts a graceful shutdown: Run returns once it is complete. Nothing else starts one but Abort.
 func (s *Server) Drain() {
 	select {
-	case s.notice <- struct{}{}:
+	case s.drainRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Abort ends a drain early, and starts one where none is: what is in hand is aborted and answered, then Run returns.
+// Abort cuts a drain short, and starts one where none is under way: calls in flight are aborted and answered, then Run returns.
 func (s *Server) Abort() {
 	select {
-	case s.abort <- struct{}{}:
+	case s.abortRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Reload goes on with the peers' addresses and the levels of another config, at any time of the node's life. All
-// else in it takes a new start; what differs there is logged.
+// Reload takes the peers' addresses and the degradation plan of another config, at any time while the node runs. Everything
+// else in it needs a restart; fields that differ there are logged.
 func (s *Server) Reload(next *Config) {
-	light := *next
-	light.Settings = nil // by far the most of it, and not taken
+	reduced := *next
+	reduced.Settings = nil // the largest part, and not taken
 	for {
 		select {
-		case s.reload <- &light:
+		case s.reloadRequests <- &reduced:
 			return
-		case <-s.reload: // an older one that was not taken yet
+		case <-s.reloadRequests: // an older one that is still queued
 		}
 	}
 }
 
-// Amend brings a version of the configuration into force, between two steps; what comes of it is in the log. An error names
-// the item that is unsound by itself, and nothing is changed.
+// Amend applies a version of the configuration between two steps; the result is logged. An error names the item that is
+// invalid by itself, and then nothing is changed.
 func (s *Server) Amend(version uint64, items []nodeconfig.Item) error {
 	change, err := nodeconfig.Parse(items)
-	if err == nil && !s.tell(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
-		err = errLeft
-	}
-	return err
-}
-
-// amended tells of a version that is in force, or was refused.
-func (s *Server) amended(e *node.Effect) {
-	if e.Err != nil {
-		s.log.Warn().Uint64("version", e.Version).Err(e.Err).Msg("configuration: the version can't be taken, the one of before stays")
-		return
-	}
-	s.log.Info().Uint64("version", e.Version).Msg("configuration: the version is in force, " + e.Text)
-}
-
-// shares says how the descriptors are parted: among dispatchers' connections, those of them that are about to
-// close, and links to the catalogue.
-func (n *Config) shares() (connections, closing, links int) {
-	links, closing = max(linkLeast, n.Sockets/linkPart), max(closingLeast, n.Sockets/closingPart)
-	connections = n.Sockets - ownFiles - links - closing
-	if n.Fleet != nil {
-		connections -= peerFiles + n.streamsMost()
-	}
-	return max(1, connections), closing, links
-}
-
-// streamsMost is how many streams to peers the node may have.
-func (n *Config) streamsMost() int {
-	switch {
-	case n.Fleet == nil || n.Fleet.ConsensusGroup == nil:
-		return 0
-	case slices.Contains(n.Fleet.ConsensusGroup.Replicas, n.Name):
-		return min(streamsSeat, n.Fleet.Membership.MaxMembers, max(streamsOther, n.Sockets/4))
+	if err != nil {
+		return err
 	}
-	return streamsOther
-}
-
-// Limit tells the runtime of the cores and memory that the config allows, for programs that are nothing
-// but this node. Where the configuration is taken in service, most of the heap are tables that live on: with the usual growth as
-// much again would be garbage.
-func (n *Config) Limit() {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.Cores))))
-	debug.SetMemoryLimit(int64(memoryPart * float64(n.MemoryMB) * (1 << 20)))
-	if n.Fleet != nil && n.Fleet.ConfigSync != nil {
-		debug.SetGCPercent(inServiceGC)
+	if !s.enqueueInput(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
+		return errDrained
 	}
+	return nil
 }
 
-// Listen opens the listening socket, for programs that want to know its address before Run. An address that is
-// still in use is tried again for a while: the node's last life may not have ended to the full.
+// Listen opens the listening socket, for programs that need its address before Run. An address that is still in use is
+// retried for a while, as the process before this one may not have exited yet.
 func (s *Server) Listen() error { return s.listen(context.Background()) }
 
-// listen waits no longer than ctx and the notice to drain: a node that nobody could reach owes nothing.
+// listen gives up when ctx ends or a drain is requested: a node that nobody could reach owes no answers.
 func (s *Server) listen(ctx context.Context) error {
-	for end := time.Now().Add(listenFor); ; {
+	for end := time.Now().Add(listenTimeout); ; {
 		listener, err := net.Listen("tcp", s.config.Listen)
 		if err == nil {
 			s.listener = listener.(*net.TCPListener)
@@ -216,253 +182,69 @@
 			return fmt.Errorf("server: %w", err)
 		}
 		select {
-		case <-time.After(listenAgain):
-		case <-s.notice:
-			return errLeft
+		case <-time.After(listenBackoff):
+		case <-s.drainRequests:
+			return errDrained
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// Run serves until the drain is over, which is no error, or until ctx ends, which stops at once.
+// Run serves until the drain is complete, which is no error, or until ctx ends, which stops the node at once.
 func (s *Server) Run(ctx context.Context) error {
 	if s.config.Hollow != nil {
 		return s.runHollow(ctx)
 	}
-	if s.listener == nil {
-		if err := s.listen(ctx); errors.Is(err, errLeft) {
-			return nil
-		} else if err != nil {
-			return err
-		}
+	err := s.open(ctx)
+	if err == nil {
+		err = s.serve(ctx)
 	}
-	if k := s.config.Keep; k != nil && k.Folder != "" {
-		if s.config.Fleet != nil && s.config.Fleet.ConsensusGroup != nil {
-			s.listener.Close()
-			return errors.New("keep: a folder and the fleet's council can't both keep results; leave out durability and folder, or the council")
-		}
-		var err error
-		if s.kept, err = openKept(s, k); err != nil {
-			s.listener.Close()
+	if errors.Is(err, errDrained) {
+		return nil
+	}
+	return err
+}
+
+// open opens the listening socket and the node's storage, or neither.
+func (s *Server) open(ctx context.Context) error {
+	if s.listener == nil {
+		if err := s.listen(ctx); err != nil {
 			return err
 		}
 	}
-	if err := s.takeDisks(); err != nil {
+	if err := s.openStorage(); err != nil {
 		s.listener.Close()
 		return err
 	}
-	group, ctx := errgroup.WithContext(ctx)
-	s.group, s.ctx = group, ctx
+	return nil
+}
+
+// serve starts the node's goroutines and waits for all of them.
+func (s *Server) serve(ctx context.Context) error {
+	s.group, s.ctx = errgroup.WithContext(ctx)
 	s.conns = newConnections(s)
-	context.AfterFunc(ctx, s.close)
+	context.AfterFunc(s.ctx, s.closeSockets)
 	s.log.Info().Str("name", s.config.Name).Stringer("listen", s.Addr()).Msg("listening")
-	group.Go(func() error { return s.conns.accept() })
-	if s.peers != nil {
-		if err := s.peers.run(); err != nil {
-			s.listener.Close()
-			s.closeDisks()
+	s.group.Go(s.conns.accept)
+	if s.fleet != nil {
+		if err := s.fleet.start(); err != nil {
+			s.group.Go(func() error { return err }) // ends the context, and so the other goroutines
+			_ = s.group.Wait()                      // returns err
+			s.closeStorage()
 			return err
 		}
 	}
-	s.runDisks()
-	if s.kept != nil {
-		group.Go(func() error { s.kept.run(); return nil })
-	}
-	group.Go(func() error { return s.loop() })
-	if err := group.Wait(); !errors.Is(err, errLeft) {
-		return err
-	}
-	return nil
+	s.runStorage()
+	s.group.Go(s.loop)
+	return s.group.Wait()
 }
 
-// Addr is where dispatchers connect, once the node listens.
+// Addr is the address that dispatchers connect to, once the node listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-func (s *Server) close() {
+// closeSockets closes the listening socket and all dispatchers' connections.
+func (s *Server) closeSockets() {
 	s.listener.Close()
 	s.conns.closeAll()
 }
-
-// put hands an input of a dispatcher to the reducer; false tells that the node has ended.
-func (s *Server) put(in node.Input) bool { return s.hand(s.inputs, in) }
-
-// tell hands on one of the node's own peers.
-func (s *Server) tell(in node.Input) bool { return s.hand(s.heard, in) }
-
-func (s *Server) hand(to chan node.Input, in node.Input) bool {
-	select {
-	case to <- in:
-		return true
-	case <-s.ctx.Done():
-		return false
-	}
-}
-
-// loop is the one place in which the state changes.
-func (s *Server) loop() error {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	inputs := make([]node.Input, 0, inputsAStep)
-	if s.config.Levels != nil {
-		s.heard <- node.Input{Kind: node.PlanChanged, Plan: s.config.Levels}
-	}
-	notice, wake := s.notice, int64(math.MaxInt64)
-	var peered, streamed chan letter
-	var swapped chan node.Input
-	if s.peers != nil {
-		peered, swapped, streamed = s.peers.in, s.peers.swapped, s.peers.streams.told
-	}
-	for {
-		inputs = inputs[:0]
-		select {
-		case <-s.ctx.Done():
-			return s.ctx.Err()
-		case <-timer.C: // a reply that lies unread after a pause must not count as one that never came
-			if now, _ := s.clock.Now(); now-wake > int64(stoodStill) {
-				time.Sleep(catchUp)
-			}
-		case in := <-s.heard:
-			inputs = append(inputs, in)
-		case in := <-s.inputs:
-			inputs = append(inputs, in)
-		case l := <-peered:
-			inputs = append(inputs, l.input())
-		case in := <-swapped:
-			inputs = append(inputs, in)
-		case l := <-streamed:
-			inputs = append(inputs, l.input())
-		case <-notice:
-			notice = nil
-			inputs = append(inputs, node.Input{Kind: node.DrainRequested})
-		case <-s.abort:
-			inputs = append(inputs, node.Input{Kind: node.AbortRequested})
-		case next := <-s.reload:
-			for _, field := range s.config.differs(next) {
-				s.log.Warn().Str("field", field).Msg("configuration: a new value here takes a new start")
-			}
-			inputs = append(inputs, node.Input{Kind: node.ReloadRequested, Addresses: next.peers(), Plan: next.Levels})
-		}
-		inputs = takeAll(inputs, s.heard, inputsAStep)
-		inputs = takeAll(inputs, s.inputs, inputsAStep)
-		if s.peers != nil {
-			inputs = s.peers.take(inputs)
-		}
-		now, wall := s.clock.Now()
-		wake = math.MaxInt64
-		effects := s.state.Step(now, wall, inputs)
-		if after, _ := s.clock.Now(); after-now > s.longest {
-			s.longest = after - now
-		}
-		for _, e := range effects {
-			switch {
-			case e.Kind == node.SetWakeup:
-				wake = e.At
-			case e.Kind == node.Exit:
-				s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.Levels()).
-					Interface("results", s.state.Results()).Interface("peers", s.peerCounts()).
-					Interface("claims", s.state.Claims()).Interface("configuration", s.state.ConfigSyncState()).
-					Interface("did_not_hold", s.state.Invariants.All()).Msg("drained, leaving")
-				s.conns.flushAll()
-				if s.peers != nil {
-					s.peers.flush()
-				}
-				return errLeft
-			default:
-				s.carry(&e)
-			}
-		}
-		s.forget(inputs)
-		s.conns.taken(inputs)
-		clear(inputs)
-		s.conns.flush()
-		timer.Reset(time.Duration(max(0, wake-now)))
-	}
-}
-
-// takeAll takes what waits, up to so many.
-func takeAll(inputs []node.Input, from chan node.Input, most int) []node.Input {
-	for range most {
-		select {
-		case in := <-from:
-			inputs = append(inputs, in)
-		default:
-			return inputs
-		}
-	}
-	return inputs
-}
-
-// forget drops the links that ended.
-func (s *Server) forget(inputs []node.Input) {
-	for i := range inputs {
-		switch inputs[i].Kind {
-		case node.ExecutorDisconnected, node.CatalogueDialFailed, node.CatalogueDisconnected:
-			delete(s.links, inputs[i].Link)
-		}
-	}
-}
-
-func (s *Server) carry(e *node.Effect) {
-	switch e.Kind {
-	case node.ReadConnection:
-		s.conns.receive(e.Link)
-	case node.SendToConnection:
-		s.conns.send(e.Link, e.Bytes)
-	case node.CloseAfterFlush:
-		s.conns.closeAfterFlush(e.Link, false)
-	case node.EvictConnection:
-		s.conns.closeAfterFlush(e.Link, true)
-	case node.ResumeConnection:
-		s.conns.resume(e.Link)
-	case node.DiscardInput:
-		s.conns.ignore(e.Link)
-	case node.DialExecutor:
-		s.open(e.Link, e.Address, toExecutor)
-	case node.DialCatalogue:
-		s.open(e.Link, e.Address, toCatalogue)
-	case node.SendToExecutor, node.SendToCatalogue:
-		s.write(e.Link, e.Bytes, e.At)
-	case node.CloseExecutor, node.CloseCatalogue:
-		s.disconnect(e.Link)
-	case node.SendReport:
-		s.report(e)
-	case node.StopAccepting:
-		s.conns.stopAccepting()
-	case node.SampleState:
-		s.log.Debug().Interface("state", e.State).Msg("state")
-	case node.LevelChanged:
-		s.turned(e.LevelChange)
-	case node.WriteRecord:
-		s.kept.keep(e)
-	case node.PersistReplicaWrite:
-		s.seat.keep(e.Write)
-	case node.SendDatagram:
-		s.peers.send(e)
-	case node.OpenExchange:
-		s.peers.open(e)
-	case node.ReplyToExchange:
-		s.peers.reply(e)
-	case node.SendOnStream:
-		s.peers.streams.send(e)
-	case node.CloseStream:
-		s.peers.streams.disconnect(e.Link)
-	case node.VersionApplied:
-		s.amended(e)
-	case node.PersistVersion:
-		s.keepConfiguration(e.Persisting)
-	case node.ReportVersionInForce:
-		s.inForce(e.InForce)
-	case node.CallerTimeoutRaised:
-		s.conns.slower(e.At)
-	case node.ViewChanged:
-		s.viewChanged(e.Change)
-	case node.WriteLog:
-		level := [...]zerolog.Level{zerolog.DebugLevel, zerolog.InfoLevel, zerolog.WarnLevel}[e.LogLevel]
-		line := s.limited.WithLevel(level).Err(e.Err)
-		if e.ID != "" {
-			line = line.Str("id", e.ID)
-		}
-		line.Msg(e.Text)
-	}
-}
--- a/server/streams.go
+++ b/server/streams.go
@@ -3,310 +3,252 @@
 import (
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"golang.org/x/time/rate"
-
-	"topazpost/internal/fleet/envelope"
 	"topazpost/internal/node"
 )
 
 const (
-	streamMark    = 0x72747374             // in the place of a length, at the start of a stream: larger than any exchange
-	streamsSeat   = 1_500                  // streams of a node with a seat in the council at the most: all nodes may ask one seat
-	streamsOther  = 12                     // of another node: the seats, and some that it talks to no more
-	lettersMost   = 512                    // letters that may wait on a stream; more are dropped, and sent again
-	toldWaiting   = 512                    // letters that may wait for the reducer; then their streams wait
-	toldAStep     = 128                    // of them taken in one step
-	streamIdle    = 60 * time.Second       // without a letter in either direction, then a stream is closed
-	streamWrite   = 2 * time.Second        // for one letter to be written
-	streamRest    = 2 * time.Second        // for the rest of a letter, once its length is read
-	streamPace    = 100 * time.Nanosecond  // for each byte of it beside that: 10 MB/s
-	streamDial    = time.Second            // for a stream to be opened
-	streamAgain   = 100 * time.Millisecond // between tries at one address; doubled while streams to it end before a letter came
-	streamAgainAt = 32                     // times it at the most: a seat that has no room is not asked by a herd all the time
-	streamSpare   = 250 * time.Millisecond // without a letter, past which an accepted stream makes room for another; seats speak more often
-	streamRate    = 4_000                  // letters a second that are taken from one stream: a seat that is busy says as many; the rest waits
-	streamBurst   = 1_000                  // of them at once
-	pendingLetter = 8 << 20                // bytes that may wait on a stream
+	maxReplicaStreams          = 1_500 // of a node that runs a replica: every node may have one open to it
+	maxNodeStreams             = 12    // of another node: to the replicas, and some that are no longer used
+	maxQueuedReceivedMessages  = 512   // then the streams' readers wait
+	maxReceivedMessagesPerStep = 128
+
+	streamDialTimeout      = time.Second
+	streamBackoff          = 100 * time.Millisecond // doubled while streams to an address end before a message is received
+	maxStreamBackoffFactor = 32                     // bounds the load of many nodes on a replica without free streams
+	minEvictionIdleTime    = 250 * time.Millisecond // replicas send more often than that
+	failuresPerStream      = 4                      // failed addresses that are remembered, for each stream that may be open
 )
 
-var errStream = errors.New("the stream can't be read any further")
-
-// streams are connections on which peers send letters without being asked: those that this node opened and those that
-// it accepted, alike. Both directions of one are used.
+// streams are the connections on which peers send messages unasked, in both directions: those that this node opened and
+// those that it accepted.
 type streams struct {
-	p    *peering
-	told chan letter
-	most int
+	fleet    *fleetSockets
+	received chan peerMessage
+	maxOpen  int
 
-	mu        sync.Mutex
-	last      int
-	byNumber  map[int]*stream
-	byAddress map[string]*stream
-	failed    map[string]failure
+	mu         sync.Mutex
+	lastNumber int
+	byNumber   map[int]*stream
+	byAddress  map[string]*stream // those that this node opened
+	failures   map[string]dialFailure
 }
 
-// failure is that of an address to which a stream could not be opened, or ended before a letter came.
-type failure struct {
-	at   time.Time
-	wait time.Duration // until the next try
+// dialFailure is the last failure of an address: a stream to it could not be opened, or ended before a message was received.
+type dialFailure struct {
+	at      time.Time
+	backoff time.Duration // until the next attempt
 }
 
-type stream struct {
-	number  int
-	address string // where it was opened to, empty for one that was accepted
-	out     chan []byte
-	stop    chan struct{}
-	once    sync.Once
-	heard   atomic.Int64 // Unix ns of its last letter in either direction, of its start before one came
-	letters atomic.Bool  // one came
+func newStreams(fleet *fleetSockets, maxOpen int) *streams {
+	return &streams{
+		fleet:     fleet,
+		received:  make(chan peerMessage, maxQueuedReceivedMessages),
+		maxOpen:   maxOpen,
+		byNumber:  map[int]*stream{},
+		byAddress: map[string]*stream{},
+		failures:  map[string]dialFailure{},
+	}
+}
 
-	mu      sync.Mutex
-	waiting int // bytes
+// send queues a message on a stream, which is opened where there is none to its address. It never waits: the message is
+// dropped where there is no capacity.
+func (s *streams) send(e *node.Effect) {
+	st := s.streamFor(e.Link, e.Address)
+	if st == nil || !st.enqueue(e.Bytes) {
+		s.fleet.counters.Dropped.Add(1)
+	}
 }
 
-func newStreams(p *peering, most int) *streams {
-	return &streams{p: p, told: make(chan letter, toldWaiting), most: most, byNumber: map[int]*stream{}, byAddress: map[string]*stream{},
-		failed: map[string]failure{}}
+// streamFor is the stream with a number, else the one to an address, else a new one; nil where none can be opened.
+func (s *streams) streamFor(number int, address string) *stream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if st := s.byNumber[number]; st != nil || address == "" {
+		return st
+	}
+	if st := s.byAddress[address]; st != nil {
+		return st
+	}
+	failure := s.failures[address]
+	if time.Since(failure.at) < failure.backoff {
+		return nil
+	}
+	s.evictIdle()
+	st := s.add(address)
+	if st != nil {
+		s.fleet.server.group.Go(func() error { s.open(st); return nil })
+	}
+	return st
 }
 
-// add takes a stream on, if there is room.
+// close ends a stream.
+func (s *streams) close(number int) {
+	s.mu.Lock()
+	st := s.byNumber[number]
+	s.mu.Unlock()
+	if st != nil {
+		st.stop()
+	}
+}
+
+// add adds a stream, or gives nil where too many are open. The caller holds mu.
 func (s *streams) add(address string) *stream {
-	if len(s.byNumber) >= s.most {
+	if len(s.byNumber) >= s.maxOpen {
 		return nil
 	}
-	s.last++
-	x := &stream{number: s.last, address: address, out: make(chan []byte, lettersMost), stop: make(chan struct{})}
-	x.heard.Store(time.Now().UnixNano())
-	s.byNumber[x.number] = x
+	s.lastNumber++
+	st := newStream(s.lastNumber, address)
+	s.byNumber[st.number] = st
 	if address != "" {
-		s.byAddress[address] = x
+		s.byAddress[address] = st
 	}
-	return x
+	return st
 }
 
-// makeRoom ends the accepted stream that was silent longest, where none is left and that one is spare. Guards against many idle
-// nodes that hold all streams of a seat, so that other nodes, and other seats, find none; does harm to one that is idle: it
-// opens another when it has something to say. mu is held.
-func (s *streams) makeRoom() {
-	if len(s.byNumber) < s.most {
+// evictIdle ends the accepted stream that has been idle longest, where all are open and that one is idle enough. It keeps
+// many idle nodes from taking all streams of a replica; an evicted node opens another when it has a message to send. The
+// caller holds mu.
+func (s *streams) evictIdle() {
+	if len(s.byNumber) < s.maxOpen {
 		return
 	}
 	var oldest *stream
-	for _, x := range s.byNumber {
-		if x.address == "" && (oldest == nil || x.heard.Load() < oldest.heard.Load()) {
-			oldest = x
+	for _, st := range s.byNumber {
+		if st.address == "" && (oldest == nil || st.lastActive.Load() < oldest.lastActive.Load()) {
+			oldest = st
 		}
 	}
-	if oldest != nil && time.Now().UnixNano()-oldest.heard.Load() > int64(streamSpare) {
-		delete(s.byNumber, oldest.number)
-		oldest.end()
-	}
-}
-
-// missed notes that a stream to an address came to nothing. With refused it was opened, and ended before a letter came: then
-// the next tries are further and further apart. mu is held.
-func (s *streams) missed(address string, refused bool) {
-	if len(s.failed) > 4*s.most {
-		clear(s.failed)
-	}
-	f := failure{time.Now(), streamAgain}
-	if refused {
-		f.wait = min(max(streamAgain, 2*s.failed[address].wait), streamAgainAt*streamAgain)
+	if oldest == nil || time.Now().UnixNano()-oldest.lastActive.Load() <= int64(minEvictionIdleTime) {
+		return
 	}
-	s.failed[address] = f
+	delete(s.byNumber, oldest.number)
+	oldest.stop()
 }
 
-func (s *streams) drop(x *stream) {
-	s.mu.Lock()
-	delete(s.byNumber, x.number)
-	if s.byAddress[x.address] == x {
-		delete(s.byAddress, x.address)
+// recordFailure notes a failed attempt at an address. With closedEarly the stream was opened, but ended before a message was
+// received; then the backoff grows. The caller holds mu.
+func (s *streams) recordFailure(address string, closedEarly bool) {
+	if len(s.failures) > failuresPerStream*s.maxOpen {
+		clear(s.failures)
 	}
-	s.mu.Unlock()
-	x.end()
-	s.hand(letter{kind: node.PeerStreamClosed, link: x.number})
-}
-
-func (x *stream) end() { x.once.Do(func() { close(x.stop) }) }
-
-func (s *streams) hand(l letter) bool {
-	select {
-	case s.told <- l:
-		return true
-	case <-s.p.s.ctx.Done():
-		return false
+	backoff := streamBackoff
+	if closedEarly {
+		backoff = min(max(streamBackoff, 2*s.failures[address].backoff), maxStreamBackoffFactor*streamBackoff)
 	}
+	s.failures[address] = dialFailure{at: time.Now(), backoff: backoff}
 }
 
-// send carries out PeerStream: never waits, drops what there is no room for.
-func (s *streams) send(e *node.Effect) {
+// remove removes a stream that has ended.
+func (s *streams) remove(st *stream) {
 	s.mu.Lock()
-	x := s.byNumber[e.Link]
-	if x == nil && e.Address != "" {
-		if x = s.byAddress[e.Address]; x == nil && time.Since(s.failed[e.Address].at) >= s.failed[e.Address].wait {
-			s.makeRoom()
-			if x = s.add(e.Address); x != nil {
-				s.p.s.group.Go(func() error { s.open(x); return nil })
-			}
-		}
+	delete(s.byNumber, st.number)
+	if s.byAddress[st.address] == st {
+		delete(s.byAddress, st.address)
 	}
 	s.mu.Unlock()
-	if x == nil || !x.take(e.Bytes) {
-		s.p.counters.Dropped.Add(1)
-	}
+	st.stop()
+	s.deliver(peerMessage{kind: node.PeerStreamClosed, link: st.number})
 }
 
-func (x *stream) take(b []byte) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.waiting+len(b) > pendingLetter && x.waiting > 0 {
-		return false
-	}
+// deliver queues a message for the state machine; false means that the node has ended.
+func (s *streams) deliver(m peerMessage) bool {
 	select {
-	case x.out <- b:
-		x.waiting += len(b)
+	case s.received <- m:
 		return true
-	default:
+	case <-s.fleet.server.ctx.Done():
 		return false
 	}
 }
 
-// disconnect carries out PeerHangUp.
-func (s *streams) disconnect(number int) {
-	s.mu.Lock()
-	x := s.byNumber[number]
-	s.mu.Unlock()
-	if x != nil {
-		x.end()
-	}
-}
-
-func (s *streams) open(x *stream) {
-	defer s.drop(x)
-	dialer := net.Dialer{Timeout: streamDial}
-	if host, _, err := net.SplitHostPort(s.p.fleet.Bind); err == nil {
-		if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
-			dialer.LocalAddr = &net.TCPAddr{IP: ip} // so that peers can tell who it is
-		}
-	}
-	conn, err := dialer.DialContext(s.p.s.ctx, "tcp", x.address)
-	if err == nil {
-		conn = s.p.wired(conn, x.address)
-		_, err = conn.Write(binary.LittleEndian.AppendUint32(nil, streamMark))
-	}
+// open dials a stream's address and runs the stream.
+func (s *streams) open(st *stream) {
+	defer s.remove(st)
+	conn, err := s.dial(st.address)
 	if err != nil {
 		s.mu.Lock()
-		s.missed(x.address, false)
+		s.recordFailure(st.address, false)
 		s.mu.Unlock()
-		s.p.s.limited.Debug().Err(err).Str("to", x.address).Msg("stream to a peer could not be opened")
+		s.fleet.server.limitedLog.Debug().Err(err).Str("to", st.address).Msg("stream to a peer could not be opened")
 		return
 	}
-	s.carry(x, conn)
+	s.run(st, conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x.letters.Load() {
-		delete(s.failed, x.address)
+	if st.receivedAny.Load() {
+		delete(s.failures, st.address)
 	} else {
-		s.missed(x.address, true)
+		s.recordFailure(st.address, true)
 	}
 }
 
-// accept goes on with a connection that a peer opened as a stream.
+// dial connects to a peer and announces a stream.
+func (s *streams) dial(address string) (net.Conn, error) {
+	dialer := peerDialer(s.fleet.config.Bind)
+	dialer.Timeout = streamDialTimeout
+	conn, err := dialer.DialContext(s.fleet.server.ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	conn = s.fleet.wrapConn(conn, address)
+	if _, err = conn.Write(binary.LittleEndian.AppendUint32(nil, streamMagic)); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return conn, nil
+}
+
+// accept runs a stream on a connection that a peer opened.
 func (s *streams) accept(conn net.Conn) {
 	s.mu.Lock()
-	s.makeRoom()
-	x := s.add("")
+	s.evictIdle()
+	st := s.add("")
 	s.mu.Unlock()
-	if x == nil {
-		s.p.counters.Refused.Add(1)
+	if st == nil {
+		s.fleet.counters.Refused.Add(1)
 		return
 	}
-	defer s.drop(x)
-	s.carry(x, conn)
+	defer s.remove(st)
+	s.run(st, conn)
 }
 
-// carry writes what waits and hands on what comes, until one of them ends.
-func (s *streams) carry(x *stream, conn net.Conn) {
+// run writes queued messages and delivers received ones until either direction ends; it waits for both.
+func (s *streams) run(st *stream, conn net.Conn) {
 	defer conn.Close()
 	done := make(chan struct{})
-	s.p.s.group.Go(func() error {
+	s.fleet.server.group.Go(func() error {
 		defer close(done)
 		defer conn.Close()
-		s.write(x, conn)
+		st.write(s.fleet.server.ctx, conn)
 		return nil
 	})
-	if err := s.read(x, conn); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		s.p.s.limited.Debug().Err(err).Stringer("peer", conn.RemoteAddr()).Msg("stream of a peer ended")
+	if err := s.read(st, conn); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+		s.fleet.server.limitedLog.Debug().Err(err).Stringer("peer", conn.RemoteAddr()).Msg("stream of a peer ended")
 	}
-	x.end()
+	st.stop()
 	<-done
 }
 
-func (s *streams) write(x *stream, conn net.Conn) {
-	idle := time.NewTimer(streamIdle)
-	defer idle.Stop()
-	var space []byte
-	for {
-		select {
-		case b := <-x.out:
-			x.mu.Lock()
-			x.waiting -= len(b)
-			x.mu.Unlock()
-			idle.Reset(streamIdle)
-			x.heard.Store(time.Now().UnixNano())
-			conn.SetWriteDeadline(time.Now().Add(streamWrite + time.Duration(len(b))*streamPace))
-			space = append(binary.LittleEndian.AppendUint32(space[:0], uint32(len(b))), b...)
-			if _, err := conn.Write(space); err != nil {
-				return
-			}
-			if cap(space) > envelope.ExchangeMost {
-				space = nil
-			}
-		case <-idle.C:
-			return
-		case <-x.stop:
-			return
-		case <-s.p.s.ctx.Done():
-			return
-		}
-	}
-}
-
-// read hands letters on, each stream at its pace. Guards against a peer that floods; does harm where a seat of a very busy
-// council is slowed by it.
-func (s *streams) read(x *stream, conn net.Conn) error {
-	var head [4]byte
-	pace := rate.NewLimiter(streamRate, streamBurst)
+// read delivers messages, at a bounded rate for each stream so that a peer that floods is slowed down. A replica of a very
+// busy group may be slowed down by it as well.
+func (s *streams) read(st *stream, conn net.Conn) error {
+	limiter := newStreamLimiter()
+	from := conn.RemoteAddr().String()
 	for {
-		if err := pace.Wait(s.p.s.ctx); err != nil {
+		if err := limiter.Wait(s.fleet.server.ctx); err != nil {
 			return net.ErrClosed
 		}
-		conn.SetReadDeadline(time.Now().Add(2 * streamIdle))
-		if _, err := io.ReadFull(conn, head[:]); err != nil {
-			return err
-		}
-		length := binary.LittleEndian.Uint32(head[:])
-		if length < envelope.Head || length > envelope.StreamMost {
-			return fmt.Errorf("%w: a length of %d, %d to %d may be", errStream, length, envelope.Head, envelope.StreamMost)
-		}
-		conn.SetReadDeadline(time.Now().Add(streamRest + time.Duration(length)*streamPace))
-		text, err := io.ReadAll(io.LimitReader(conn, int64(length))) // memory grows with what really comes
-		if err == nil && len(text) < int(length) {
-			err = io.ErrUnexpectedEOF
-		}
+		payload, err := readStreamMessage(conn)
 		if err != nil {
 			return err
 		}
-		x.heard.Store(time.Now().UnixNano())
-		x.letters.Store(true)
-		if !s.hand(letter{kind: node.PeerMessageReceived, link: x.number, address: conn.RemoteAddr().String(), bytes: text}) {
+		st.lastActive.Store(time.Now().UnixNano())
+		st.receivedAny.Store(true)
+		if !s.deliver(peerMessage{kind: node.PeerMessageReceived, link: st.number, address: from, payload: payload}) {
 			return net.ErrClosed
 		}
 	}
