--- a/internal/testbed/capacity/reach.go
+++ b/internal/testbed/capacity/reach.go
@@ -32,10 +32,13 @@
 }
 
 var bounds = []bound{
-	{"internal/fleet/fleetconfig/fleetconfig.go", "membersMost", membersMost}, {"internal/fleet/fleetconfig/fleetconfig.go", "membersUsual", membersUsual},
-	{"internal/fleet/fleetconfig/fleetconfig.go", "tableUsual", tableUsual}, {"internal/fleet/fleetconfig/fleetconfig.go", "tableMost", tableMost},
-	{"server/streams.go", "streamsSeat", streamsSeat}, {"server/peers.go", "sourceRate", sourceRate},
-	{"server/peers.go", "sourcesMost", sourcesMost},
+	{"internal/fleet/fleetconfig/membership.go", "maxMembers", membersMost},
+	{"internal/fleet/fleetconfig/membership.go", "defaultMaxMembers", membersUsual},
+	{"internal/fleet/fleetconfig/consensusgroup.go", "defaultTableBytes", tableUsual},
+	{"internal/fleet/fleetconfig/consensusgroup.go", "maxTableBytes", tableMost},
+	{"server/streams.go", "maxReplicaStreams", streamsSeat},
+	{"server/datagrams.go", "maxDatagramsPerSecond", sourceRate},
+	{"server/datagrams.go", "maxRateLimitedSenders", sourcesMost},
 	{"internal/node/connections.go", "idleTimeout", idleWaitS * 1e9},
 }
 
