--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -150,8 +150,8 @@
 
 // Status is a replicator's state as operators see it.
 type Status struct {
-	Mark     Revision
-	Source   string // of Mark: disk, file, fleet
+	Mark     Revision `cbor:"Mark" json:"Mark"`
+	Source   string   // of Mark: disk, file, fleet
 	Ready    Revision
 	Head     HeadRevision
 	TakenNS  int64 // since Mark is in force here
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -10,7 +10,7 @@
 // NodeStatus is what one node reported last.
 type NodeStatus struct {
 	Name    string
-	Mark    Revision
+	Mark    Revision `cbor:"Mark" json:"Mark"`
 	Refused Revision
 	Why     string
 	Age     int64 // ns since Mark was in force there, when it reported
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -16,9 +16,9 @@
 type Facts struct {
 	Version string `cbor:"1,keyasint,omitempty"`
 	Zone    string `cbor:"2,keyasint,omitempty"`
-	Level   uint8  `cbor:"3,keyasint,omitempty"` // degradation level
-	Beat    uint8  `cbor:"4,keyasint,omitempty"` // phase of the drain, 0 outside one
-	NoUse   bool   `cbor:"5,keyasint,omitempty"` // up, but without an executor
+	Level   uint8  `cbor:"3,keyasint,omitempty"`              // degradation level
+	Beat    uint8  `cbor:"4,keyasint,omitempty" json:"Beat"`  // phase of the drain, 0 outside one
+	NoUse   bool   `cbor:"5,keyasint,omitempty" json:"NoUse"` // up, but without an executor
 }
 
 // Record is a member's own description. Only the member writes it; of two records the one with the higher
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -21,10 +21,10 @@
 
 // Lease is what one holder has of a limit.
 type Lease struct {
-	Who   Owner  `cbor:"1,keyasint"`
+	Who   Owner  `cbor:"1,keyasint" json:"Who"`
 	Units int64  `cbor:"2,keyasint,omitempty"`
-	Want  int64  `cbor:"3,keyasint,omitempty"`
-	Until int64  `cbor:"4,keyasint"` // in the table's time
+	Want  int64  `cbor:"3,keyasint,omitempty" json:"Want"`
+	Until int64  `cbor:"4,keyasint" json:"Until"` // in the table's time
 	Seq   uint64 `cbor:"5,keyasint"`
 }
 
@@ -33,7 +33,7 @@
 	Name    string  `cbor:"1,keyasint"`
 	Units   int64   `cbor:"2,keyasint"`
 	Version uint64  `cbor:"3,keyasint"`
-	Wait    int64   `cbor:"4,keyasint,omitempty"`
+	Wait    int64   `cbor:"4,keyasint,omitempty" json:"Wait"`
 	Leases  []Lease `cbor:"5,keyasint,omitempty"`
 }
 
