--- a/cmd/topazlab/capacity.go
+++ b/cmd/topazlab/capacity.go
@@ -11,7 +11,7 @@
 	ladders "topazpost/internal/testbed/capacity"
 )
 
-type capacity struct {
+type capacityCommand struct {
 	Only    []string          `help:"Quantities to climb; all without it." placeholder:"QUANTITY"`
 	Short   bool              `help:"Short ladders, written nowhere: they show shapes."`
 	JSON    bool              `help:"Print each file as one line, too."`
@@ -23,7 +23,7 @@
 }
 
 // Run climbs, writes a file for each quantity, and makes the page's tables anew.
-func (c *capacity) Run() error {
+func (c *capacityCommand) Run() error {
 	quantities := ladders.Quantities()
 	for _, name := range c.Only {
 		if !slices.ContainsFunc(quantities, func(q *ladders.Quantity) bool { return q.Name == name }) {
--- a/cmd/topazlab/hollow.go
+++ b/cmd/topazlab/hollow.go
@@ -11,12 +11,12 @@
 	"topazpost/internal/testbed/hollow"
 )
 
-type hollowNodes struct {
+type hollowCommand struct {
 	Level string `help:"Least level that is logged on stderr: debug, info, warn or error." default:"error" enum:"debug,info,warn,error"`
 }
 
 // Run runs hollow nodes as the lines on stdin say, and tells figures on stdout.
-func (c *hollowNodes) Run() error {
+func (c *hollowCommand) Run() error {
 	level, err := zerolog.ParseLevel(c.Level)
 	if err != nil {
 		return err
--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -15,7 +15,7 @@
 	"topazpost/internal/testbed/processfleet"
 )
 
-type run struct {
+type runCommand struct {
 	File  string            `arg:"" help:"The experiment, a Jsonnet file." type:"path"`
 	Seed  int64             `help:"First seed." default:"1"`
 	Seeds int               `help:"How many seeds are played; those of the experiment without it."`
@@ -24,15 +24,15 @@
 	Out   string            `help:"Folder for the series as Parquet and for plots." type:"path" placeholder:"DIR"`
 }
 
-var errBroken = errors.New("a claim did not hold")
+var errClaimFailed = errors.New("a claim did not hold")
 
 // Run plays an experiment and fails where a claim does not hold.
-func (c *run) Run() error {
+func (c *runCommand) Run() error {
 	if night, is, err := processfleet.Read(c.File, c.Set); is || err != nil {
 		if err != nil {
 			return err
 		}
-		return c.night(night)
+		return c.runScenario(night)
 	}
 	x, err := experiment.Read(c.File, c.Set)
 	if err != nil {
@@ -55,11 +55,11 @@
 			return err
 		}
 	}
-	return c.tell(result)
+	return c.report(result)
 }
 
 // seeds are those to play; how many the experiment says, unless the command does.
-func (c *run) seeds(many *int) (seeds []int64) {
+func (c *runCommand) seeds(many *int) (seeds []int64) {
 	if c.Seeds > 0 {
 		*many = c.Seeds
 	}
@@ -69,8 +69,8 @@
 	return seeds
 }
 
-// tell prints what an experiment came to, and fails where a claim does not hold.
-func (c *run) tell(result interface {
+// report prints what an experiment came to, and fails where a claim does not hold.
+func (c *runCommand) report(result interface {
 	Print(to io.Writer) error
 	JSON(to io.Writer) error
 	Held() bool
@@ -84,13 +84,13 @@
 		}
 	}
 	if !result.Held() {
-		return errBroken
+		return errClaimFailed
 	}
 	return nil
 }
 
-// night plays an experiment on a fleet.
-func (c *run) night(n *processfleet.Night) error {
+// runScenario plays an experiment on a fleet.
+func (c *runCommand) runScenario(n *processfleet.Night) error {
 	seeds := c.seeds(&n.Seeds)
 	program, err := os.Executable()
 	if err != nil {
@@ -105,14 +105,14 @@
 	if err != nil {
 		return err
 	}
-	return c.tell(result)
+	return c.report(result)
 }
 
 func main() {
 	var line struct {
-		Run      run         `cmd:"" help:"Play the variants of an experiment side by side, and say of each claim whether it held."`
-		Capacity capacity    `cmd:"" help:"Climb a ladder of sizes for each quantity on built daemons, and make the tables of docs/CAPACITY.md."`
-		Hollow   hollowNodes `cmd:"" help:"Run hollow nodes of a fleet as lines on stdin say, and tell figures on stdout: experiments start it."`
+		Run      runCommand      `cmd:"" help:"Play the variants of an experiment side by side, and say of each claim whether it held."`
+		Capacity capacityCommand `cmd:"" help:"Climb a ladder of sizes for each quantity on built daemons, and make the tables of docs/CAPACITY.md."`
+		Hollow   hollowCommand   `cmd:"" help:"Run hollow nodes of a fleet as lines on stdin say, and tell figures on stdout: experiments start it."`
 	}
 	c := kong.Parse(&line, kong.Name("topazlab"), kong.Description("Plays fleets in virtual time. Its figures are simulated."))
 	c.FatalIfErrorf(c.Run())
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -21,7 +21,7 @@
 			n.lastID++
 			n.deliver(node.Input{Kind: node.HollowClaimRequested, Bytes: fmt.Append(nil, "h", n.lastID)})
 		})
-		n.repeat(1_000, func() { n.deliver(node.Input{Kind: node.HollowCallsRequested, Link: n.Chance.Intn(8)}) })
+		n.repeat(1_000, func() { n.deliver(node.Input{Kind: node.HollowCallsRequested, Link: n.Rand.Intn(8)}) })
 	} else {
 		n.repeat(max(1, 1_000/int64(n.rate)), func() {
 			for range max(1, n.rate/1_000) {
@@ -41,7 +41,7 @@
 	}
 	if n.levels && !n.isHollow() {
 		n.repeat(4_000, func() {
-			plan := n.plan(0.2+n.Chance.Float64(), n.oneIn(2))
+			plan := n.plan(0.2+n.Rand.Float64(), n.oneIn(2))
 			if n.oneIn(5) {
 				plan = nil
 			}
@@ -50,7 +50,7 @@
 	}
 	if n.reloads {
 		n.repeat(4_000, func() {
-			at := func(name string) string { return fmt.Sprintf("%s:%d", name, 1+n.Chance.Intn(2)) }
+			at := func(name string) string { return fmt.Sprintf("%s:%d", name, 1+n.Rand.Intn(2)) }
 			n.deliver(node.Input{Kind: node.ReloadRequested, Plan: n.plan(0.5, false),
 				Addresses: node.Addresses{Executor: at("executor"), Catalogue: at("catalogue"), Control: at("control")}})
 		})
@@ -83,16 +83,16 @@
 func (s *simulation) randomItems() (list []nodeconfig.Item) {
 	if s.oneIn(2) {
 		list = append(list, nodeconfig.Item{Part: nodeconfig.Operations, Name: "catalogue", Value: fmt.Appendf(nil,
-			`{"aim":%d,"class_calls":true,"effect":"idempotent","give_up":1500,"importance":%d}`, 500+s.Chance.Intn(200), 1+s.Chance.Intn(4))})
+			`{"aim":%d,"class_calls":true,"effect":"idempotent","give_up":1500,"importance":%d}`, 500+s.Rand.Intn(200), 1+s.Rand.Intn(4))})
 	}
 	if s.oneIn(3) {
-		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: []string{"x", "x", "y"}[s.Chance.Intn(3)],
-			Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+s.Chance.Intn(30))})
+		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: []string{"x", "x", "y"}[s.Rand.Intn(3)],
+			Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+s.Rand.Intn(30))})
 	} else if s.oneIn(20) {
-		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: []string{"x", "y"}[s.Chance.Intn(2)]})
+		list = append(list, nodeconfig.Item{Part: nodeconfig.Tenants, Name: []string{"x", "y"}[s.Rand.Intn(2)]})
 	}
 	if s.oneIn(3) {
-		list = append(list, nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after", Value: fmt.Appendf(nil, "%d", 50+s.Chance.Intn(900))})
+		list = append(list, nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after", Value: fmt.Appendf(nil, "%d", 50+s.Rand.Intn(900))})
 	}
 	if s.oneIn(3) {
 		i := nodeconfig.Item{Part: nodeconfig.Operations, Name: "extra"}
@@ -128,7 +128,7 @@
 
 // proposeConfig proposes changes of the configuration at a drawn node.
 func (s *simulation) proposeConfig() {
-	n := s.simNodes[s.Chance.Intn(len(s.simNodes))]
+	n := s.simNodes[s.Rand.Intn(len(s.simNodes))]
 	if n.machine == nil {
 		return
 	}
--- a/internal/node/digestcallers_test.go
+++ b/internal/node/digestcallers_test.go
@@ -94,7 +94,7 @@
 		}
 		return
 	}
-	n.invoke(usable[n.Chance.Intn(len(usable))])
+	n.invoke(usable[n.Rand.Intn(len(usable))])
 }
 
 // invoke sends an invocation on a connection.
@@ -109,7 +109,7 @@
 	fields := n.invocationFields(id)
 	body := "body of " + id
 	if n.caching {
-		token := fmt.Sprint("t", n.Chance.Intn(20)+n.lastID/20*10) // many are repeated
+		token := fmt.Sprint("t", n.Rand.Intn(20)+n.lastID/20*10) // many are repeated
 		fields = append(fields, frame.Field{Name: "dedupe", Value: token})
 		body = "body of " + token
 	}
@@ -133,20 +133,20 @@
 
 // invocationFields draws the fields of a valid invocation.
 func (n *simNode) invocationFields(id string) []frame.Field {
-	fields := []frame.Field{{Name: "op", Value: []string{"catalogue", "hold", "pay"}[n.Chance.Intn(3)]}, {Name: "call", Value: id},
-		{Name: "recv", Value: strconv.FormatInt((epoch+n.Now)/millisecond-n.Chance.Int63n(20), 10)}, {Name: "src", Value: strconv.Itoa(n.Chance.Intn(9))},
-		{Name: "heap", Value: strconv.Itoa(5 + n.Chance.Intn(40))}, {Name: "org", Value: []string{"x", "x", "x", "y"}[n.Chance.Intn(4)]}}
+	fields := []frame.Field{{Name: "op", Value: []string{"catalogue", "hold", "pay"}[n.Rand.Intn(3)]}, {Name: "call", Value: id},
+		{Name: "recv", Value: strconv.FormatInt((epoch+n.Now)/millisecond-n.Rand.Int63n(20), 10)}, {Name: "src", Value: strconv.Itoa(n.Rand.Intn(9))},
+		{Name: "heap", Value: strconv.Itoa(5 + n.Rand.Intn(40))}, {Name: "org", Value: []string{"x", "x", "x", "y"}[n.Rand.Intn(4)]}}
 	if n.oneIn(2) {
-		fields = append(fields, frame.Field{Name: "work", Value: fmt.Sprintf("%.2f", 5+60*n.Chance.Float64())})
+		fields = append(fields, frame.Field{Name: "work", Value: fmt.Sprintf("%.2f", 5+60*n.Rand.Float64())})
 	}
 	if n.oneIn(3) {
-		fields = append(fields, frame.Field{Name: "ttl", Value: strconv.Itoa(100 + n.Chance.Intn(2_000))})
+		fields = append(fields, frame.Field{Name: "ttl", Value: strconv.Itoa(100 + n.Rand.Intn(2_000))})
 	}
 	if n.oneIn(4) {
 		fields = append(fields, frame.Field{Name: "rep", Value: "1"})
 	}
 	if n.oneIn(3) {
-		fields = append(fields, frame.Field{Name: "row", Value: fmt.Sprintf("%016x", n.Chance.Intn(50))})
+		fields = append(fields, frame.Field{Name: "row", Value: fmt.Sprintf("%016x", n.Rand.Intn(50))})
 	}
 	return fields
 }
@@ -154,15 +154,15 @@
 // distortFields makes some invocations invalid: malformed or missing fields, and calls that are in use.
 func (n *simNode) distortFields(c *callerConn, fields []frame.Field) []frame.Field {
 	if n.oneIn(25) {
-		k := n.Chance.Intn(len(fields))
-		fields[k].Value = []string{"", "x", "-1", "99999999999999999999", "0x1"}[n.Chance.Intn(5)]
+		k := n.Rand.Intn(len(fields))
+		fields[k].Value = []string{"", "x", "-1", "99999999999999999999", "0x1"}[n.Rand.Intn(5)]
 	}
 	if n.oneIn(40) {
-		k := n.Chance.Intn(len(fields))
+		k := n.Rand.Intn(len(fields))
 		fields = slices.Delete(fields, k, k+1)
 	}
 	if n.oneIn(40) {
-		fields = append(fields, frame.Field{Name: "crit", Value: fmt.Sprintf("%.2f", 1.2*n.Chance.Float64())})
+		fields = append(fields, frame.Field{Name: "crit", Value: fmt.Sprintf("%.2f", 1.2*n.Rand.Float64())})
 	}
 	if n.oneIn(60) && len(c.open) > 0 {
 		inUse := c.open[slices.Sorted(maps.Keys(c.open))[0]]
@@ -176,13 +176,13 @@
 	if len(n.conns) == 0 || n.machine == nil {
 		return
 	}
-	c := n.conns[n.Chance.Intn(len(n.conns))]
+	c := n.conns[n.Rand.Intn(len(n.conns))]
 	read := func(f frame.Frame) { n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: f}) }
-	switch kind := n.Chance.Intn(12); {
+	switch kind := n.Rand.Intn(12); {
 	case kind < 3:
 		open := slices.Sorted(maps.Keys(c.open))
 		if len(open) > 0 {
-			stream := open[n.Chance.Intn(len(open))]
+			stream := open[n.Rand.Intn(len(open))]
 			delete(c.open, stream)
 			read(frame.Frame{Type: frame.Gone, Stream: stream})
 		}
--- a/internal/node/digestexecutor_test.go
+++ b/internal/node/digestexecutor_test.go
@@ -77,7 +77,7 @@
 	case "METER":
 		n.sendGauges(words[1])
 	case "DIAG":
-		text := "DIAGNOSED " + words[1] + " " + []string{"good", "bad"}[n.Chance.Intn(2)]
+		text := "DIAGNOSED " + words[1] + " " + []string{"good", "bad"}[n.Rand.Intn(2)]
 		if !n.oneIn(4) {
 			n.schedule(n.randomDuration(1_000, 60_000), func() { n.sendLine(text) })
 		}
@@ -116,7 +116,7 @@
 		n.sendLine("BAD EXEC " + id)
 		return
 	}
-	r := &executorRun{id: id, body: string(body), calls: n.Chance.Intn(3)}
+	r := &executorRun{id: id, body: string(body), calls: n.Rand.Intn(3)}
 	if class == "pay" {
 		r.calls = 0
 	}
@@ -162,7 +162,7 @@
 		}
 		end := "good"
 		if n.oneIn(10) {
-			end = []string{"bad", "cut", "gone"}[n.Chance.Intn(3)]
+			end = []string{"bad", "cut", "gone"}[n.Rand.Intn(3)]
 		}
 		n.endRun(r, end)
 	})
@@ -192,11 +192,11 @@
 	if n.machine == nil || n.executorLink == 0 {
 		return
 	}
-	switch n.Chance.Intn(5) {
+	switch n.Rand.Intn(5) {
 	case 0:
 		n.executorSilent = true
 	case 1:
-		n.sendLine([]string{"WHAT is this", "EXIT 999999 x good 1 0", "METERS m1 x x x x", "BAD", "EXIT -1 a good 1 0", "DIAGNOSED d999 good"}[n.Chance.Intn(6)])
+		n.sendLine([]string{"WHAT is this", "EXIT 999999 x good 1 0", "METERS m1 x x x x", "BAD", "EXIT -1 a good 1 0", "DIAGNOSED d999 good"}[n.Rand.Intn(6)])
 	default:
 		link := n.executorLink
 		n.executorLink = 0
@@ -237,10 +237,10 @@
 		n.catalogueCalls[link] = words[1]
 		reply := lineprotocol.Line{Words: []string{words[1], "DATA", strconv.Itoa(len(body))}, Body: body}
 		if n.oneIn(8) {
-			reply = lineprotocol.Line{Words: []string{words[1], []string{"LATER", "NOUSE", "FAULT", "TOOSLOW"}[n.Chance.Intn(4)]}}
+			reply = lineprotocol.Line{Words: []string{words[1], []string{"LATER", "NOUSE", "FAULT", "TOOSLOW"}[n.Rand.Intn(4)]}}
 		}
 		if n.linkFault(15) {
-			reply = lineprotocol.Line{Words: [][]string{{"what"}, {words[1], "WHAT"}, {"ffffffffffffffff", "LATER"}}[n.Chance.Intn(3)]}
+			reply = lineprotocol.Line{Words: [][]string{{"what"}, {words[1], "WHAT"}, {"ffffffffffffffff", "LATER"}}[n.Rand.Intn(3)]}
 		}
 		takes, twice, breaks := n.randomDuration(2_000, 80_000), n.linkFault(10), n.linkFault(15)
 		if n.linkFault(12) {
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -26,7 +26,7 @@
 // peerEffect carries out an effect on other nodes.
 func (n *simNode) peerEffect(e *node.Effect) {
 	text, link, incarnation := bytes.Clone(e.Bytes), e.Link, n.incarnation
-	lost := n.loss > 0 && n.Chance.Float64() < n.loss
+	lost := n.loss > 0 && n.Rand.Float64() < n.loss
 	switch e.Kind {
 	case node.SendDatagram:
 		if to := n.reachable(e.Address, lost); to != nil {
@@ -90,7 +90,7 @@
 		n.streams[n.lastLink], to.streams[to.lastLink] = there, peerStream{n, n.incarnation, n.lastLink}
 		link = n.lastLink
 	}
-	if n.loss > 0 && n.Chance.Float64() < n.loss {
+	if n.loss > 0 && n.Rand.Float64() < n.loss {
 		n.closeStream(link)
 		return
 	}
@@ -122,27 +122,27 @@
 	if n.oneIn(8) {
 		of = "another"
 	}
-	kind := []node.InputKind{node.PeerDatagramReceived, node.PeerRequestReceived, node.PeerRequestReceived, node.PeerRequestReceived}[n.Chance.Intn(4)]
+	kind := []node.InputKind{node.PeerDatagramReceived, node.PeerRequestReceived, node.PeerRequestReceived, node.PeerRequestReceived}[n.Rand.Intn(4)]
 	var body any
-	switch n.Chance.Intn(6) {
+	switch n.Rand.Intn(6) {
 	case 0:
 		body = &membership.Message{Kind: membership.MessageViewRequest}
 	case 1:
 		body = &membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}
 	case 2:
-		body = &membership.Message{Kind: []membership.MessageKind{membership.MessageSyncRequest, membership.MessageGossip, 0}[n.Chance.Intn(3)]}
+		body = &membership.Message{Kind: []membership.MessageKind{membership.MessageSyncRequest, membership.MessageGossip, 0}[n.Rand.Intn(3)]}
 	case 3:
 		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.ShowStanding})
 	case 4:
 		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.ReadBlocks,
-			Which: n.Chance.Intn(3)})
+			Which: n.Rand.Intn(3)})
 	default:
 		body = node.EncodeConfigQuery(&configsync.Query{Kind: 77})
 	}
 	text, err := envelope.Seal(nil, envelope.FleetOf(of), body)
 	require.NoError(n.t, err)
 	if n.oneIn(8) {
-		text[n.Chance.Intn(len(text))]++
+		text[n.Rand.Intn(len(text))]++
 	}
 	n.lastExchange++
 	n.deliver(node.Input{Kind: kind, Link: n.lastExchange, From: "10.0.9.9:9", Bytes: text})
--- a/internal/node/digestsimulation_test.go
+++ b/internal/node/digestsimulation_test.go
@@ -36,7 +36,7 @@
 
 // simulation is nodes and their peers in virtual time, drawn from one seed.
 type simulation struct {
-	*virtualtime.World
+	*virtualtime.Simulator
 	simulationOptions
 	t            testing.TB
 	simNodes     []*simNode
@@ -55,7 +55,7 @@
 // newSimulation is a simulation in which no node is started.
 func newSimulation(t testing.TB, seed int64, options simulationOptions) *simulation {
 	t.Helper()
-	s := &simulation{World: virtualtime.New(seed, 0), simulationOptions: options, t: t, digest: newDigest()}
+	s := &simulation{Simulator: virtualtime.New(seed, 0), simulationOptions: options, t: t, digest: newDigest()}
 	effect := "idempotent"
 	if s.caching {
 		effect = "deduplicated"
@@ -68,7 +68,7 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"],"full_checks":true},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`, effect, s.cores, 2*s.cores)
 	for k := range s.nodes {
-		n := &simNode{simulation: s, index: k, name: fmt.Sprint("n", k), address: fmt.Sprintf("10.0.0.%d:9", k+1), seed: s.Chance.Int63()}
+		n := &simNode{simulation: s, index: k, name: fmt.Sprint("n", k), address: fmt.Sprintf("10.0.0.%d:9", k+1), seed: s.Rand.Int63()}
 		s.simNodes = append(s.simNodes, n)
 	}
 	return s
@@ -76,11 +76,11 @@
 
 // randomDuration is a duration between two bounds, in microseconds.
 func (s *simulation) randomDuration(least, most int64) int64 {
-	return (least + s.Chance.Int63n(most-least+1)) * 1_000
+	return (least + s.Rand.Int63n(most-least+1)) * 1_000
 }
 
 // oneIn is true once in so many times, on average.
-func (s *simulation) oneIn(times int) bool { return s.Chance.Intn(times) == 0 }
+func (s *simulation) oneIn(times int) bool { return s.Rand.Intn(times) == 0 }
 
 // repeat calls a function after random times of about so many milliseconds each.
 func (s *simulation) repeat(about int64, do func()) {
--- a/internal/testbed/emulator/cold.go
+++ b/internal/testbed/emulator/cold.go
@@ -36,7 +36,7 @@
 
 // giveUpCall ends a call that nobody waits for any more; it stays in the ledger's hands for a while, without a slot.
 func (m *machine) giveUpCall(a *attempt) {
-	if m.ledger.Drop(a.call) {
+	if m.ledger.Cancel(a.call) {
 		m.After(linger, func() { m.calls.count(m.Now, -1) })
 	}
 }
--- a/internal/testbed/emulator/day.go
+++ b/internal/testbed/emulator/day.go
@@ -100,7 +100,7 @@
 
 // fleet is a day being played.
 type fleet struct {
-	*virtualtime.World
+	*virtualtime.Simulator
 	day      *Day
 	start    int64
 	machines []*machine
@@ -119,7 +119,7 @@
 
 // Play plays a day.
 func Play(day *Day) (*Outcome, error) {
-	f := &fleet{World: virtualtime.New(day.Seed, epoch), day: day, start: epoch, total: newOutcome(day),
+	f := &fleet{Simulator: virtualtime.New(day.Seed, epoch), day: day, start: epoch, total: newOutcome(day),
 		arrivals: rand.New(rand.NewSource(day.Seed ^ 0x61727269))}
 	f.settings = f.config()
 	cores, power := 0, 0.0
@@ -144,7 +144,7 @@
 	f.slots = max(1, day.Slots*float64(cores))
 	f.total.CallBudget, f.calls.at = f.share()*float64(day.Nodes), f.Now
 	f.calls.looks = make([]float64, f.callSpan()/sampled)
-	f.ledger = virtualtime.NewResource(f.World, func(n int) float64 {
+	f.ledger = virtualtime.NewResource(f.Simulator, func(n int) float64 {
 		return min(1, f.slots/float64(max(1, n))) / (1 + 0.3*max(0, float64(n)/f.slots-1))
 	})
 	for k := range day.Dispatchers {
@@ -256,7 +256,7 @@
 // plan has a fault strike at its time.
 func (f *fleet) plan(x *Fault) {
 	struck := max(1, int(math.Round(x.Part*float64(len(f.machines)))))
-	first := f.Chance.Intn(len(f.machines))
+	first := f.Rand.Intn(len(f.machines))
 	each := func(do func(k int, m *machine)) func() {
 		return func() {
 			for k := range struck {
@@ -276,14 +276,14 @@
 			f.After(x.For*int64(k)/int64(struck), m.restart)
 		}))
 	case "slow":
-		f.At(f.start+x.At, each(func(_ int, m *machine) { m.cores.Slow(1 / x.By) }))
-		f.At(f.start+x.At+x.For, each(func(_ int, m *machine) { m.cores.Slow(1) }))
+		f.At(f.start+x.At, each(func(_ int, m *machine) { m.cores.SetFactor(1 / x.By) }))
+		f.At(f.start+x.At+x.For, each(func(_ int, m *machine) { m.cores.SetFactor(1) }))
 	case "pause":
-		f.At(f.start+x.At, each(func(_ int, m *machine) { m.cores.Slow(0) }))
-		f.At(f.start+x.At+x.For, each(func(_ int, m *machine) { m.cores.Slow(1) }))
+		f.At(f.start+x.At, each(func(_ int, m *machine) { m.cores.SetFactor(0) }))
+		f.At(f.start+x.At+x.For, each(func(_ int, m *machine) { m.cores.SetFactor(1) }))
 	case "ledger":
-		f.At(f.start+x.At, func() { f.ledger.Slow(1 / x.By) })
-		f.At(f.start+x.At+x.For, func() { f.ledger.Slow(1) })
+		f.At(f.start+x.At, func() { f.ledger.SetFactor(1 / x.By) })
+		f.At(f.start+x.At+x.For, func() { f.ledger.SetFactor(1) })
 	case "adopt":
 		f.At(f.start+x.At, each(func(_ int, m *machine) {
 			m.put(node.Input{Kind: node.PlanChanged, Plan: f.day.Next})
--- a/internal/testbed/emulator/dispatcher.go
+++ b/internal/testbed/emulator/dispatcher.go
@@ -179,7 +179,7 @@
 	v := a.inv
 	fields := []frame.Field{{Name: "op", Value: v.op.Name}, {Name: "call", Value: a.id},
 		{Name: "recv", Value: strconv.FormatInt(a.arrived/ms, 10)}, {Name: "src", Value: strconv.Itoa(d.index)},
-		{Name: "work", Value: fmt.Sprintf("%.2f", v.op.Work*skewed(m.Chance)/1e6)}, {Name: "heap", Value: "24"},
+		{Name: "work", Value: fmt.Sprintf("%.2f", v.op.Work*skewed(m.Rand)/1e6)}, {Name: "heap", Value: "24"},
 		{Name: "crit", Value: fmt.Sprintf("%.4f", v.rank*0.9999)}, {Name: "row", Value: fmt.Sprintf("%016x", v.subject)}}
 	if v.tries > 1 {
 		fields = append(fields, frame.Field{Name: "rep", Value: "1"})
@@ -199,7 +199,7 @@
 			m.total.breach("an invocation that was read had no answer in time")
 		}
 	})
-	if m.Chance.Float64() > toldPart {
+	if m.Rand.Float64() > toldPart {
 		return
 	}
 	m.At(v.asked+v.op.Timeout, func() { // the client leaves
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -47,7 +47,7 @@
 
 // boot starts the node with its executor, which is new or has been up for long.
 func (m *machine) boot(state string) error {
-	brain, err := m.fleet.brain(m.Chance.Int63())
+	brain, err := m.fleet.brain(m.Rand.Int63())
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	m.open = map[string]*attempt{}
 	m.conns, m.inbox, m.woken, m.crowd, m.level = map[int]*conn{}, nil, false, nil, ""
 	m.sent = nil
-	m.cores = virtualtime.NewResource(m.World, m.pace)
+	m.cores = virtualtime.NewResource(m.Simulator, m.pace)
 	if m.day.Plan != nil {
 		m.put(node.Input{Kind: node.PlanChanged, Plan: m.day.Plan})
 	} else {
@@ -73,7 +73,7 @@
 	life := m.life
 	m.After(250*ms, func() {
 		if life == m.life && m.Now-m.born < m.model.WarmAfter+second {
-			m.cores.Touch()
+			m.cores.Update()
 			m.warm()
 		}
 	})
@@ -376,7 +376,7 @@
 	m.ledgers[link] = a
 	m.total.Calls++
 	m.calls.count(m.Now, 1)
-	a.call = m.ledger.Add(a.inv.op.Call*skewed(m.Chance), func() {
+	a.call = m.ledger.Add(a.inv.op.Call*skewed(m.Rand), func() {
 		m.calls.count(m.Now, -1)
 		if m.ledgers[link] != a {
 			return
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -151,19 +151,19 @@
 	return x, nil
 }
 
-// shape is the load over time.
-func (l *Load) shape(folder string, length int64) (func(int64) float64, error) {
+// function is the load over time.
+func (l *Load) function(folder string, length int64) (func(int64) float64, error) {
 	if l.Shape == "recorded" {
-		return recorded(filepath.Join(folder, l.File))
+		return readRecordedLoad(filepath.Join(folder, l.File))
 	}
-	of := l.drawn(length)
+	of := l.formula(length)
 	if of == nil {
 		return nil, fmt.Errorf("no load has the shape %q: choose constant, step, drop, ramp, swing or recorded", l.Shape)
 	}
 	return of, nil
 }
 
-func (l *Load) drawn(length int64) func(int64) float64 {
+func (l *Load) formula(length int64) func(int64) float64 {
 	low, high, at := float64(l.Low), float64(l.High), int64(l.At)
 	switch l.Shape {
 	case "swing":
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// recorded reads a load from a file, straight lines between its points and the last one to the end.
-func recorded(path string) (func(int64) float64, error) {
+// readRecordedLoad reads a load from a file, straight lines between its points and the last one to the end.
+func readRecordedLoad(path string) (func(int64) float64, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -222,7 +222,7 @@
 	}, nil
 }
 
-func (x *Experiment) day(seed int64, v Variant) (*emulator.Day, error) {
+func (x *Experiment) emulatorDay(seed int64, v Variant) (*emulator.Day, error) {
 	d := &x.Day
 	day := &emulator.Day{Seed: seed, Nodes: d.Nodes, Length: int64(d.Length), Reading: float64(d.Reading), Rate: d.Rate,
 		Slots: d.Slots, Subjects: d.Subjects}
@@ -260,7 +260,7 @@
 		return degradationplan.Read(filepath.Join(x.folder, name), index)
 	}
 	var err error
-	if day.Load, err = d.Load.shape(x.folder, int64(d.Length)); err != nil {
+	if day.Load, err = d.Load.function(x.folder, int64(d.Length)); err != nil {
 		return nil, err
 	}
 	if day.Plan, err = read(v.Plan); err != nil {
@@ -303,12 +303,12 @@
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	began := time.Now()
 	told := make(chan struct{}, len(seeds)*len(x.Variants))
-	for _, name := range x.names() {
+	for _, name := range x.variantNames() {
 		outcomes := make([]*emulator.Outcome, len(seeds))
 		r.Outcomes[name] = outcomes
 		for k, seed := range seeds {
 			group.Go(func() error {
-				day, err := x.day(seed, x.Variants[name])
+				day, err := x.emulatorDay(seed, x.Variants[name])
 				if err == nil {
 					outcomes[k], err = emulator.Play(day)
 				}
@@ -334,12 +334,12 @@
 	}
 	r.Pace = float64(len(seeds)*len(x.Variants)) * float64(x.Day.Length) / float64(max(1, time.Since(began)))
 	for i := range x.Claims {
-		r.Verdicts = append(r.Verdicts, r.judge(&x.Claims[i]))
+		r.Verdicts = append(r.Verdicts, r.evaluate(&x.Claims[i]))
 	}
 	return r, nil
 }
 
-func (x *Experiment) names() (list []string) {
+func (x *Experiment) variantNames() (list []string) {
 	for name := range x.Variants {
 		list = append(list, name)
 	}
@@ -347,8 +347,8 @@
 	return list
 }
 
-// judge holds a claim against the outcomes. Rules that were broken break every claim of their variant.
-func (r *Result) judge(c *Claim) Verdict {
+// evaluate holds a claim against the outcomes. Rules that were broken break every claim of their variant.
+func (r *Result) evaluate(c *Claim) Verdict {
 	v := Verdict{Name: c.Name, Held: true}
 	values := make([]float64, len(r.Seeds))
 	sum := 0.0
@@ -384,10 +384,10 @@
 	"value_reduced": func(_ *Experiment, _ *Claim, o *emulator.Outcome) float64 { return o.ByReduced },
 	"broken":        func(_ *Experiment, _ *Claim, o *emulator.Outcome) float64 { return float64(o.Broken()) },
 	"changes": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 {
-		return float64(changes(x, o))
+		return float64(maxLevelChanges(x, o))
 	},
 	"changes_per_swing": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 {
-		return float64(changes(x, o)) / (float64(x.Day.Length) / float64(max(1, x.Day.Load.Period)))
+		return float64(maxLevelChanges(x, o)) / (float64(x.Day.Length) / float64(max(1, x.Day.Load.Period)))
 	},
 	"in_objective": func(_ *Experiment, c *Claim, o *emulator.Outcome) float64 {
 		for _, op := range o.Operations {
@@ -398,10 +398,10 @@
 		return math.NaN()
 	},
 	"reached_s": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 { // from At until every node has left full service
-		return x.first(o, func(level int) bool { return level > 0 })
+		return x.settlingSeconds(o, func(level int) bool { return level > 0 })
 	},
 	"full_s": func(x *Experiment, _ *Claim, o *emulator.Outcome) float64 { // from At until every node is back at full service
-		return x.first(o, func(level int) bool { return level == 0 })
+		return x.settlingSeconds(o, func(level int) bool { return level == 0 })
 	},
 	"top": func(_ *Experiment, _ *Claim, o *emulator.Outcome) (top float64) { // highest level of any node
 		for _, t := range o.Turns {
@@ -419,7 +419,7 @@
 	},
 }
 
-func changes(x *Experiment, o *emulator.Outcome) (most int) {
+func maxLevelChanges(x *Experiment, o *emulator.Outcome) (most int) {
 	by := make([]int, x.Day.Nodes)
 	for _, t := range o.Turns {
 		if t.At >= 0.05 && t.At <= float64(x.Day.Length)/1e9 { // a plan taken at the start is none, nor is the end of the day
@@ -430,8 +430,8 @@
 	return most
 }
 
-// first is how many seconds after At the last node comes to be, and is, at levels of a kind at the end of the second.
-func (x *Experiment) first(o *emulator.Outcome, of func(level int) bool) float64 {
+// settlingSeconds is how many seconds after At the last node comes to be, and is, at levels of a kind at the end of the second.
+func (x *Experiment) settlingSeconds(o *emulator.Outcome, of func(level int) bool) float64 {
 	at := float64(x.Day.Load.At) / 1e9
 	worst := math.Inf(-1)
 	for n := range x.Day.Nodes {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestEveryExperimentCanBeReadWithItsPlans(t *testing.T) {
-	files, err := filepath.Glob("../../../experiments/levels-*.jsonnet") // nights on fleets are read by package rig
+	files, err := filepath.Glob("../../../experiments/levels-*.jsonnet") // fault scenarios on fleets are read by package processfleet
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, path := range files {
@@ -22,13 +22,13 @@
 		require.NoError(t, err, path)
 		assert.NotEmpty(t, x.Claims, path)
 		for name, v := range x.Variants {
-			_, err := x.day(1, v)
+			_, err := x.emulatorDay(1, v)
 			assert.NoError(t, err, "%s, %s", path, name)
 		}
 	}
 }
 
-func short(t *testing.T, changed map[string]string) *Result {
+func runShortExperiment(t *testing.T, changed map[string]string) *Result {
 	changed["day.length"] = "6 s"
 	x, err := Read("../../../experiments/levels-constant.jsonnet", changed)
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 }
 
 func TestClaimsAreJudgedOnEachSeedAndAgainstOtherVariants(t *testing.T) {
-	r := short(t, map[string]string{"claims": `[
+	r := runShortExperiment(t, map[string]string{"claims": `[
 		{"name": "a", "variant": "module", "measure": "value", "least": 0.2},
 		{"name": "b", "variant": "module", "measure": "value", "most": 0.2},
 		{"name": "c", "variant": "module", "over": "module", "measure": "value", "least": 0, "most": 0},
@@ -53,7 +53,7 @@
 }
 
 func TestReportIsOneObjectOnItsLastLine(t *testing.T) {
-	r := short(t, map[string]string{})
+	r := runShortExperiment(t, map[string]string{})
 	var b bytes.Buffer
 	require.NoError(t, r.Print(&b))
 	require.NoError(t, r.JSON(&b))
@@ -72,7 +72,7 @@
 }
 
 func TestSeriesAreSavedAsParquetAndPlots(t *testing.T) {
-	r := short(t, map[string]string{})
+	r := runShortExperiment(t, map[string]string{})
 	folder := t.TempDir()
 	require.NoError(t, r.Save(folder))
 	rows, err := parquet.ReadFile[row](filepath.Join(folder, "levels-constant.parquet"))
@@ -84,7 +84,7 @@
 	assert.Len(t, plots, len(r.Experiment.Variants))
 }
 
-func TestUnknownNamesAreTold(t *testing.T) {
+func TestUnknownNamesAreReported(t *testing.T) {
 	for path, text := range map[string]string{"claims.0.variant": "no variant is named", "claims.0.measure": "no measure is named"} {
 		_, err := Read("../../../experiments/levels-constant.jsonnet", map[string]string{path: "zz"})
 		assert.ErrorContains(t, err, text)
@@ -96,7 +96,7 @@
 	for text, mistake := range map[string]string{"at_s,load\n0,0.5\n10,1.5\n": "", "at_s,load\n0,x\n": "a.csv:2", "at_s,load\n": "has no load",
 		"at_s,load\n5,1\n5,1\n": "a.csv:3: 5 s does not come after 5 s", "at_s\n1\n": "write seconds and load"} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		load, err := recorded(path)
+		load, err := readRecordedLoad(path)
 		if mistake != "" {
 			assert.ErrorContains(t, err, mistake)
 			continue
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -28,7 +28,7 @@
 		fmt.Fprintf(w, "\t%s: whole\treduced\tlate\tthrottled\tp50 ms\tp99 ms", op.Name)
 	}
 	fmt.Fprintln(w)
-	for _, name := range r.Experiment.names() {
+	for _, name := range r.Experiment.variantNames() {
 		all := r.Outcomes[name]
 		mean := func(of func(o *emulator.Outcome) float64) (sum float64) {
 			for _, o := range all {
@@ -39,7 +39,7 @@
 		least, most, turns, crowd, calls, broken := math.Inf(1), 0.0, 0, 0.0, 0.0, []string{}
 		for _, o := range all {
 			least, most = min(least, o.Value), max(most, o.Value)
-			turns, crowd, calls = max(turns, changes(r.Experiment, o)), max(crowd, o.MostCrowd), max(calls, o.MostCalls)
+			turns, crowd, calls = max(turns, maxLevelChanges(r.Experiment, o)), max(crowd, o.MostCrowd), max(calls, o.MostCalls)
 			broken = append(broken, o.Breach()...)
 		}
 		fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t%.2f\t%.2f\t%s", name,
@@ -84,7 +84,7 @@
 		v := variant{}
 		for _, o := range all {
 			v.Value, v.Reduced = v.Value+o.Value/float64(len(all)), v.Reduced+o.ByReduced/float64(len(all))
-			v.Changes, v.Broken = max(v.Changes, changes(r.Experiment, o)), v.Broken+o.Broken()
+			v.Changes, v.Broken = max(v.Changes, maxLevelChanges(r.Experiment, o)), v.Broken+o.Broken()
 		}
 		out.Variants[name] = v
 	}
@@ -129,7 +129,7 @@
 		return err
 	}
 	var rows []row
-	for _, name := range r.Experiment.names() {
+	for _, name := range r.Experiment.variantNames() {
 		for k, o := range r.Outcomes[name] {
 			for _, s := range o.Seconds {
 				x := row{Variant: name, Seed: r.Seeds[k], At: s.At, Load: s.Load, Asked: s.Asked, Served: s.Served,
@@ -141,15 +141,15 @@
 				rows = append(rows, x)
 			}
 		}
-		if err := r.draw(filepath.Join(folder, name+".svg"), name); err != nil {
+		if err := r.savePlot(filepath.Join(folder, name+".svg"), name); err != nil {
 			return err
 		}
 	}
 	return parquet.WriteFile(filepath.Join(folder, r.Experiment.Name+".parquet"), rows)
 }
 
-// draw plots what was asked for and served in each second, with the mean level of the nodes below it.
-func (r *Result) draw(path, name string) error {
+// savePlot plots what was asked for and served in each second, with the mean level of the nodes below it.
+func (r *Result) savePlot(path, name string) error {
 	p := plot.New()
 	p.Title.Text = r.Experiment.Name + ", " + name + ", seed " + fmt.Sprint(r.Seeds[0]) + " (simulated)"
 	p.X.Label.Text, p.Y.Label.Text = "s", "billed value a second; level as bands"
@@ -174,9 +174,9 @@
 		if err != nil {
 			return err
 		}
-		line.Color = colours[i]
+		line.Color = lineColors[i]
 		if i == 2 {
-			line.FillColor = band
+			line.FillColor = levelFillColor
 		}
 		p.Add(line)
 		p.Legend.Add([]string{"asked for", "served", "mean level"}[i], line)
@@ -185,6 +185,6 @@
 }
 
 var (
-	colours = []color.Color{color.RGBA{120, 120, 120, 255}, color.RGBA{20, 90, 160, 255}, color.RGBA{200, 120, 20, 255}}
-	band    = color.RGBA{200, 120, 20, 60}
+	lineColors     = []color.Color{color.RGBA{120, 120, 120, 255}, color.RGBA{20, 90, 160, 255}, color.RGBA{200, 120, 20, 255}}
+	levelFillColor = color.RGBA{200, 120, 20, 60}
 )
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -290,7 +290,7 @@
 	f := &polled{versions: newVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
 		has: make([]configsync.Revision, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
 		ask: make(chan struct{}, asksMost)}
-	f.World = virtualtime.New(seed, 0)
+	f.Simulator = virtualtime.New(seed, 0)
 	for i, m := range f.members {
 		m.seat = i < n.Versions.Seats
 	}
--- a/internal/testbed/virtualfleet/mesh.go
+++ b/internal/testbed/virtualfleet/mesh.go
@@ -60,7 +60,7 @@
 
 // Mesh is a fleet.
 type Mesh struct {
-	*virtualtime.World
+	*virtualtime.Simulator
 	Nodes  []*Node
 	Loss   float64               // part of datagrams that are lost
 	Double float64               // that come twice
@@ -86,7 +86,7 @@
 
 // New makes a fleet in which nobody is up yet; the first nodes are seeds.
 func New(seed int64, nodes, seeds int) *Mesh {
-	m := &Mesh{World: virtualtime.New(seed, 1), Small: map[[2]int]int{}, Membership: Usual, byAddress: map[string]*Node{},
+	m := &Mesh{Simulator: virtualtime.New(seed, 1), Small: map[[2]int]int{}, Membership: Usual, byAddress: map[string]*Node{},
 		cuts: make([]uint64, (nodes*nodes+63)/64)}
 	for i := range nodes {
 		n := &Node{Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("10.0.%d.%d:9", i/250, i%250+1), m: m, index: i}
@@ -115,7 +115,7 @@
 		n.stand()
 		return
 	}
-	n.Members = membership.New(c, n.m.Now, n.wall(), 0, n.m.Chance.Int63())
+	n.Members = membership.New(c, n.m.Now, n.wall(), 0, n.m.Rand.Int63())
 	n.looked = len(n.Changes)
 	if n.m.Begin != nil {
 		n.payload = n.m.Begin(n)
@@ -208,7 +208,7 @@
 			arrive := func() { to.give(membership.Input{Kind: membership.DatagramReceived, Message: &msg}) }
 			far := m.far(n, to)
 			m.After(far+m.travels(), arrive)
-			if m.Double > 0 && m.Chance.Float64() < m.Double {
+			if m.Double > 0 && m.Rand.Float64() < m.Double {
 				m.After(far+m.travels(), arrive)
 			}
 		}
@@ -262,7 +262,7 @@
 			return false
 		}
 	}
-	return !datagram || m.Loss == 0 || m.Chance.Float64() >= m.Loss
+	return !datagram || m.Loss == 0 || m.Rand.Float64() >= m.Loss
 }
 
 // Cut has the link from one node to another carry nothing.
--- a/internal/testbed/virtualfleet/mesh_test.go
+++ b/internal/testbed/virtualfleet/mesh_test.go
@@ -91,7 +91,7 @@
 			for b.Loop() {
 				if busy {
 					for range 10 {
-						n := m.Nodes[m.Chance.Intn(300)]
+						n := m.Nodes[m.Rand.Intn(300)]
 						n.Kill()
 						m.After(5*s, func() {
 							if !n.Up {
--- a/internal/testbed/virtualfleet/pause_test.go
+++ b/internal/testbed/virtualfleet/pause_test.go
@@ -25,8 +25,8 @@
 		for i, n := range m.Nodes {
 			seen[i] = len(n.Changes)
 		}
-		m.Run(m.Now + m.Chance.Int63n(s))
-		m.Nodes[m.Chance.Intn(nodes)].Pause(m.Membership.LinkTimeout - m.Membership.ProbeInterval)
+		m.Run(m.Now + m.Rand.Int63n(s))
+		m.Nodes[m.Rand.Intn(nodes)].Pause(m.Membership.LinkTimeout - m.Membership.ProbeInterval)
 		m.Run(m.Now + 7*s)
 		fell := false
 		for i, n := range m.Nodes {
--- a/internal/testbed/virtualfleet/payload.go
+++ b/internal/testbed/virtualfleet/payload.go
@@ -82,16 +82,16 @@
 func (m *Mesh) deliver(from, to *Node, do func()) {
 	arrive, far := func() { to.running(do)() }, m.far(from, to)
 	m.After(far+m.travels(), arrive)
-	if m.Double > 0 && m.Chance.Float64() < m.Double {
+	if m.Double > 0 && m.Rand.Float64() < m.Double {
 		m.After(far+m.travels(), arrive)
 	}
 }
 
 // travels draws how long a datagram takes.
 func (m *Mesh) travels() int64 {
-	ns := travel + m.Chance.Int63n(spread)
-	if m.Late > 0 && m.Chance.Float64() < m.Late {
-		ns += m.Chance.Int63n(m.LateMost + 1)
+	ns := travel + m.Rand.Int63n(spread)
+	if m.Late > 0 && m.Rand.Float64() < m.Late {
+		ns += m.Rand.Int63n(m.LateMost + 1)
 	}
 	return ns
 }
--- a/internal/testbed/virtualfleet/schedule.go
+++ b/internal/testbed/virtualfleet/schedule.go
@@ -12,7 +12,7 @@
 	m := New(seed, nodes, min(3, nodes))
 	m.Membership.ForgetTimeout = 1_000_000 * ms
 	for _, n := range m.Nodes {
-		m.After(m.Chance.Int63n(2_000*ms), func() {
+		m.After(m.Rand.Int63n(2_000*ms), func() {
 			if !n.Up {
 				n.Start()
 			}
@@ -25,7 +25,7 @@
 			return
 		}
 		m.fault()
-		m.After(200*ms+m.Chance.Int63n(8_000*ms), draw)
+		m.After(200*ms+m.Rand.Int63n(8_000*ms), draw)
 	}
 	m.After(3_000*ms, draw)
 	highest := map[string]uint64{}
@@ -49,9 +49,9 @@
 
 // some draws nodes: one, a third, or half of them.
 func (m *Mesh) some() []*Node {
-	k := [...]int{1, 1, 1, len(m.Nodes) / 3, len(m.Nodes) / 2}[m.Chance.Intn(5)]
+	k := [...]int{1, 1, 1, len(m.Nodes) / 3, len(m.Nodes) / 2}[m.Rand.Intn(5)]
 	var list []*Node
-	for _, i := range m.Chance.Perm(len(m.Nodes))[:max(1, k)] {
+	for _, i := range m.Rand.Perm(len(m.Nodes))[:max(1, k)] {
 		list = append(list, m.Nodes[i])
 	}
 	return list
@@ -73,8 +73,8 @@
 // fault draws one trouble and when it ends.
 func (m *Mesh) fault() {
 	some := m.some()
-	lasting := [...]int64{200, 500, 3_000, 5_000, 10_000, 30_000}[m.Chance.Intn(6)] * ms
-	switch m.Chance.Intn(9) {
+	lasting := [...]int64{200, 500, 3_000, 5_000, 10_000, 30_000}[m.Rand.Intn(6)] * ms
+	switch m.Rand.Intn(9) {
 	case 0, 1:
 		for _, n := range some {
 			if n.Up {
@@ -91,20 +91,20 @@
 			n.Pause(lasting)
 		}
 	case 4:
-		m.CutBetween(some, m.others(some), m.Chance.Intn(2) == 0)
+		m.CutBetween(some, m.others(some), m.Rand.Intn(2) == 0)
 		m.After(lasting, m.Mend)
 	case 5:
 		m.CutBetween(m.others(some), some, false)
 		m.After(lasting, m.Mend)
 	case 6:
-		m.Loss = [...]float64{0.05, 0.2, 0.4}[m.Chance.Intn(3)]
+		m.Loss = [...]float64{0.05, 0.2, 0.4}[m.Rand.Intn(3)]
 		m.After(lasting, func() { m.Loss = 0 })
 	case 7:
 		for _, n := range some { // a clock that jumps counts at the next start
-			n.Skew([...]int64{-10, 10, -3_600}[m.Chance.Intn(3)] * 1_000 * ms)
+			n.Skew([...]int64{-10, 10, -3_600}[m.Rand.Intn(3)] * 1_000 * ms)
 		}
 	case 8:
-		a, b := m.Nodes[m.Chance.Intn(len(m.Nodes))], m.Nodes[m.Chance.Intn(len(m.Nodes))]
+		a, b := m.Nodes[m.Rand.Intn(len(m.Nodes))], m.Nodes[m.Rand.Intn(len(m.Nodes))]
 		m.Small[[2]int{a.index, b.index}] = 200
 	}
 }
--- a/internal/testbed/virtualfleet/standing.go
+++ b/internal/testbed/virtualfleet/standing.go
@@ -38,7 +38,7 @@
 		s.in[i] = true
 	}
 	for r := range s.rings {
-		s.rings[r], s.at[r] = m.Chance.Perm(n), make([]int, n)
+		s.rings[r], s.at[r] = m.Rand.Perm(n), make([]int, n)
 		for k, i := range s.rings[r] {
 			s.at[r][i] = k
 		}
