--- a/cmd/topazlab/capacity.go
+++ b/cmd/topazlab/capacity.go
@@ -24,11 +24,9 @@
 
 // Run climbs, writes a file for each quantity, and makes the page's tables anew.
 func (c *capacityCommand) Run() error {
-	quantities := ladders.Quantities()
-	for _, name := range c.Only {
-		if !slices.ContainsFunc(quantities, func(q *ladders.Quantity) bool { return q.Name == name }) {
-			return fmt.Errorf("no quantity is named %q", name)
-		}
+	quantities, err := c.quantities()
+	if err != nil {
+		return err
 	}
 	if c.Page {
 		return ladders.WritePage(c.Docs)
@@ -37,18 +35,9 @@
 	if err != nil {
 		return err
 	}
-	programs := map[string]string{"": filepath.Join(filepath.Dir(own), "topazpost")}
-	names := []string{""}
-	for name, path := range c.Program {
-		programs[name] = path
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	var ended error
+	names, programs := c.programs(own)
+	var incomplete error // ladders that ended before their last size
 	for _, q := range quantities {
-		if len(c.Only) > 0 && !slices.Contains(c.Only, q.Name) || c.Short && q.Short == nil {
-			continue
-		}
 		for _, name := range names {
 			if name != "" && !q.Configured {
 				continue
@@ -56,23 +45,15 @@
 			if name != "" {
 				fmt.Printf("%s, ", name)
 			}
-			b := &ladders.Bench{Program: programs[name], Lab: own, Seed: c.Seed, Brief: c.Short, Most: c.Most, Log: os.Stdout}
-			doc, err := b.Climb(q)
+			bench := &ladders.Bench{Program: programs[name], Lab: own, Seed: c.Seed, Brief: c.Short, Most: c.Most, Log: os.Stdout}
+			doc, err := bench.Climb(q)
 			if err != nil {
 				return err
 			}
 			if doc.Ended != "" && c.Most == 0 {
-				ended = errors.Join(ended, fmt.Errorf("%s ended at %s", q.Name, doc.Ended))
-			}
-			if c.JSON {
-				if err := json.NewEncoder(os.Stdout).Encode(doc); err != nil {
-					return err
-				}
-			}
-			if c.Short {
-				continue
+				incomplete = errors.Join(incomplete, fmt.Errorf("%s ended at %s", q.Name, doc.Ended))
 			}
-			if err := doc.Write(c.Docs, name); err != nil {
+			if err := c.write(doc, name); err != nil {
 				return err
 			}
 		}
@@ -80,5 +61,47 @@
 	if c.Short {
 		return nil
 	}
-	return errors.Join(ended, ladders.WritePage(c.Docs))
+	return errors.Join(incomplete, ladders.WritePage(c.Docs))
+}
+
+// quantities returns those to climb.
+func (c *capacityCommand) quantities() (list []*ladders.Quantity, err error) {
+	all := ladders.Quantities()
+	for _, name := range c.Only {
+		if !slices.ContainsFunc(all, func(q *ladders.Quantity) bool { return q.Name == name }) {
+			return nil, fmt.Errorf("no quantity is named %q", name)
+		}
+	}
+	for _, q := range all {
+		if len(c.Only) > 0 && !slices.Contains(c.Only, q.Name) || c.Short && q.Short == nil {
+			continue
+		}
+		list = append(list, q)
+	}
+	return list, nil
+}
+
+// programs returns the daemons to measure by name, and the names in order; the one beside this command has none.
+func (c *capacityCommand) programs(own string) (names []string, programs map[string]string) {
+	programs = map[string]string{"": filepath.Join(filepath.Dir(own), "topazpost")}
+	names = []string{""}
+	for name, path := range c.Program {
+		programs[name] = path
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names, programs
+}
+
+// write prints a ladder as asked for and writes its file, unless it is a short one.
+func (c *capacityCommand) write(doc *ladders.Document, name string) error {
+	if c.JSON {
+		if err := json.NewEncoder(os.Stdout).Encode(doc); err != nil {
+			return err
+		}
+	}
+	if c.Short {
+		return nil
+	}
+	return doc.Write(c.Docs, name)
 }
--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -26,13 +26,14 @@
 
 var errClaimFailed = errors.New("a claim did not hold")
 
-// Run plays an experiment and fails where a claim does not hold.
+// Run plays an experiment, or a fault scenario, and fails where a claim does not hold.
 func (c *runCommand) Run() error {
-	if night, is, err := processfleet.Read(c.File, c.Set); is || err != nil {
-		if err != nil {
-			return err
-		}
-		return c.runScenario(night)
+	scenario, isScenario, err := processfleet.Read(c.File, c.Set)
+	if err != nil {
+		return err
+	}
+	if isScenario {
+		return c.runScenario(scenario)
 	}
 	x, err := experiment.Read(c.File, c.Set)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// runScenario plays an experiment on a fleet.
+// runScenario plays a fault scenario on a fleet of processes.
 func (c *runCommand) runScenario(n *processfleet.Night) error {
 	seeds := c.seeds(&n.Seeds)
 	program, err := os.Executable()
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -37,7 +37,7 @@
 	return r
 }
 
-func TestClaimsAreJudgedOnEachSeedAndAgainstOtherVariants(t *testing.T) {
+func TestClaimsAreEvaluatedOnEachSeedAndAgainstOtherVariants(t *testing.T) {
 	r := runShortExperiment(t, map[string]string{"claims": `[
 		{"name": "a", "variant": "module", "measure": "value", "least": 0.2},
 		{"name": "b", "variant": "module", "measure": "value", "most": 0.2},
