--- a/internal/testbed/capacity/virtual.go
+++ b/internal/testbed/capacity/virtual.go
@@ -79,7 +79,7 @@
 }
 
 type virtualPlay struct {
-	m       *virtualfleet.Mesh
+	m       *virtualfleet.Fleet
 	sent    int
 	figures map[string]float64
 	apart   bool
@@ -95,7 +95,7 @@
 func (p *virtualPlay) cutOff(from int) {
 	p.m.CutBetween(p.m.Nodes[:from], p.m.Nodes[from:], true)
 	p.figures["cut_bytes"], _ = p.seconds(cutSeconds)
-	p.event("healed", "healed", eventSeconds, func() { p.m.Mend() })
+	p.event("healed", "healed", eventSeconds, func() { p.m.RemoveCuts() })
 }
 
 // seconds plays some, and gives the bytes of a node in the worst one and in the mean.
--- a/internal/testbed/processfleet/starved_test.go
+++ b/internal/testbed/processfleet/starved_test.go
@@ -16,7 +16,7 @@
 // A loss is the machine's only where a member stood still for as long as no fleet bears, all together; the bound is that
 // of nodes as they are.
 func TestLossesAreWrongUnlessTheMachineStoppedForLonger(t *testing.T) {
-	assert.Equal(t, []int64{virtualfleet.Usual.LinkTimeout, virtualfleet.Usual.ProbeInterval, virtualfleet.Usual.SuspicionTimeout}, []int64{silence, probe, settle})
+	assert.Equal(t, []int64{virtualfleet.DefaultConfig.LinkTimeout, virtualfleet.DefaultConfig.ProbeInterval, virtualfleet.DefaultConfig.SuspicionTimeout}, []int64{silence, probe, settle})
 	n := &Night{Nodes: 3}
 	pause := &span{kind: "pause", from: 10 * second, to: 13 * second, nodes: []int{1}, concerned: map[string]bool{"n1": true}, back: true}
 	events := []Event{{At: 12_950 * ms, Node: 0, Who: "n1", Cause: membership.Lost}, {At: 13_010 * ms, Node: 0, Who: "n1", Cause: membership.Returned}}
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -101,7 +101,7 @@
 
 // versions is a fleet of holders and seats in virtual time.
 type versions struct {
-	*virtualfleet.Mesh
+	*virtualfleet.Fleet
 	night    *Night
 	terms    *Versions
 	members  []*member
@@ -131,18 +131,18 @@
 
 func newVersions(n *Night, seed int64) *versions {
 	t := n.Versions
-	f := &versions{Mesh: virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), night: n, terms: t, byName: map[string]*member{},
+	f := &versions{Fleet: virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), night: n, terms: t, byName: map[string]*member{},
 		chance: rand.New(rand.NewSource(seed)), agreedAt: map[uint64]int64{}, digests: map[uint64]configsync.Digest{},
 		records: map[uint64]*configsync.Record{}, apart: map[*member]bool{}, last: &configsync.Agreed{}}
 	f.digests[0] = configsync.Digest{}
-	f.Spread(t.Regions, t.Zones)
+	f.AssignZones(t.Regions, t.Zones)
 	var seats []int
 	for k := range t.Seats {
 		seats = append(seats, k*t.Zones/t.Seats)
 	}
-	f.Far = int64(t.Far)
+	f.RegionLatency = int64(t.Far)
 	if !t.Membership {
-		f.Stand()
+		f.UseStaticMembership()
 	}
 	for i, n := range f.Nodes {
 		m := &member{Node: n, index: i, seat: slices.Contains(seats, i)}
@@ -153,7 +153,7 @@
 			f.seats = append(f.seats, n.Name)
 		}
 	}
-	f.Begin = f.begin
+	f.NewPayload = f.begin
 	for k := range max(1, t.Callers) {
 		f.callers = append(f.callers, &putter{name: fmt.Sprint("caller-", k)})
 	}
@@ -210,7 +210,7 @@
 
 func (l *life) view() configsync.Input {
 	v := &configsync.View{}
-	v.Neighbours, v.Zone = l.m.Around()
+	v.Neighbours, v.Zone = l.m.NeighboursAndZone()
 	for _, s := range l.f.seats {
 		if s != l.m.Name {
 			v.Seats = append(v.Seats, s)
@@ -226,8 +226,8 @@
 	}
 }
 
-// Viewed looks at what is around, in a step of its own.
-func (l *life) Viewed(membership.Change) { l.m.Later(0, func() { l.give(l.view()) }) }
+// ViewChanged looks at what is around, in a step of its own.
+func (l *life) ViewChanged(membership.Change) { l.m.Later(0, func() { l.give(l.view()) }) }
 
 func (m *member) spend(now int64, bytes int) {
 	s := int(now / second)
@@ -237,8 +237,8 @@
 	m.spent[s] += bytes
 }
 
-// Came takes a message of another node's holder or seat.
-func (l *life) Came(from *virtualfleet.Node, body any) {
+// DatagramReceived takes a message of another node's holder or seat.
+func (l *life) DatagramReceived(from *virtualfleet.Node, body any) {
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	switch msg := p.body.(type) {
@@ -255,8 +255,8 @@
 	}
 }
 
-// Asked takes an exchange.
-func (l *life) Asked(from *virtualfleet.Node, body any, reply func(body any, size int)) {
+// ExchangeOpened takes an exchange.
+func (l *life) ExchangeOpened(from *virtualfleet.Node, body any, reply func(body any, size int)) {
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	l.links++
@@ -316,12 +316,12 @@
 		if to := f.byName[e.To]; to != nil {
 			size := sized(e.Message)
 			m.spend(f.Now, size)
-			m.Tell(to.Node, parcel{e.Message, size}, size)
+			m.SendDatagram(to.Node, parcel{e.Message, size}, size)
 		}
 	case configsync.Exchange:
 		to, link, size := f.byName[e.To], e.Link, sized(e.Message)
 		m.spend(f.Now, size)
-		m.Ask(to.Node, parcel{e.Message, size}, size, func(body any, ok bool) {
+		m.OpenExchange(to.Node, parcel{e.Message, size}, size, func(body any, ok bool) {
 			if !ok {
 				l.give(configsync.Input{Kind: configsync.Missed, Link: link})
 				return
@@ -450,7 +450,7 @@
 	if to := f.byName[e.To]; to != nil {
 		size := len(text) + envelope.Head
 		m.spend(f.Now, size)
-		m.Tell(to.Node, parcel{text, size}, size)
+		m.SendDatagram(to.Node, parcel{text, size}, size)
 	}
 }
 
--- a/internal/testbed/processfleet/versions_play.go
+++ b/internal/testbed/processfleet/versions_play.go
@@ -166,12 +166,12 @@
 		file.command = &configsync.Command{Kind: configsync.Put, From: file.name, Seq: file.seq, Piece: k / pieceMost,
 			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
 		f.ask(file)
-		if f.Until(loadFor, func() bool { return file.command == nil }) < 0 {
+		if f.RunUntil(loadFor, func() bool { return file.command == nil }) < 0 {
 			return fmt.Errorf("the seats did not agree on the first content")
 		}
 	}
 	f.callers = f.callers[:len(f.callers)-1]
-	if f.Until(loadFor, func() bool { return f.last.Head.All.Version == 1 && f.settled() == "" }) < 0 {
+	if f.RunUntil(loadFor, func() bool { return f.last.Head.All.Version == 1 && f.settled() == "" }) < 0 {
 		return fmt.Errorf("the first content was not in force at the seats: %s", f.settled())
 	}
 	for _, m := range f.members {
@@ -293,16 +293,16 @@
 		}
 		f.say("FAULT region %s is cut off: %d nodes, %d seats, for %.0f s", region, len(within), seats, seconds(back-f.Now))
 		f.At(back, func() {
-			f.Mend()
+			f.RemoveCuts()
 			clear(f.apart)
 		})
 	case "loss":
-		f.Loss, f.Double, f.Late, f.LateMost = float64(fault.Part), float64(fault.Part)/5, float64(fault.Part)/50, 30*second
+		f.LossRate, f.DuplicateRate, f.LateRate, f.MaxLate = float64(fault.Part), float64(fault.Part)/5, float64(fault.Part)/50, 30*second
 		f.At(back, f.sound)
 	}
 }
 
-func (f *versions) sound() { f.Loss, f.Double, f.Late = 0, 0, 0 }
+func (f *versions) sound() { f.LossRate, f.DuplicateRate, f.LateRate = 0, 0, 0 }
 
 // noteReach notes who is in reach from now on: up, with a majority of all seats up on its side of a cut, and not still recovering
 // from a lost disk. Both kinds of play measure by it.
@@ -350,7 +350,7 @@
 		}
 	}
 	joined := func() bool { return !f.terms.Membership || f.Agreed() }
-	if o.Measures["joined_s"] = seconds(f.Until(joinFor, joined)); o.Measures["joined_s"] < 0 {
+	if o.Measures["joined_s"] = seconds(f.RunUntil(joinFor, joined)); o.Measures["joined_s"] < 0 {
 		o.Failed = "the fleet did not come to one view"
 		return o
 	}
@@ -361,7 +361,7 @@
 	f.lay(end)
 	f.reach()
 	f.Run(end)
-	f.Mend()
+	f.RemoveCuts()
 	f.sound()
 	for _, m := range f.members {
 		if !m.Up {
@@ -370,7 +370,7 @@
 	}
 	clear(f.apart)
 	healed, last := f.Now, f.last.Head.Newest
-	o.Measures["healed_s"] = seconds(f.Until(int64(n.Calm*1e9), func() bool {
+	o.Measures["healed_s"] = seconds(f.RunUntil(int64(n.Calm*1e9), func() bool {
 		return !slices.ContainsFunc(f.members, func(m *member) bool { return m.life.holder.Revision().Version < last })
 	}))
 	if o.Measures["healed_s"] < 0 {
--- a/internal/testbed/processfleet/virtual.go
+++ b/internal/testbed/processfleet/virtual.go
@@ -10,7 +10,7 @@
 )
 
 // virtual is a fleet in virtual time.
-type virtual struct{ *virtualfleet.Mesh }
+type virtual struct{ *virtualfleet.Fleet }
 
 func newVirtual(n *Night, seed int64) (*virtual, error) {
 	m := virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes))
@@ -50,8 +50,8 @@
 }
 
 func (v *virtual) cut(from, to int)  { v.Cut(from, to) }
-func (v *virtual) heal()             { v.Mend() }
-func (v *virtual) lose(part float64) { v.Loss = part }
+func (v *virtual) heal()             { v.RemoveCuts() }
+func (v *virtual) lose(part float64) { v.LossRate = part }
 
 func (v *virtual) sent() (sum int64) {
 	for _, n := range v.Nodes {
--- a/internal/testbed/virtualfleet/mesh.go
+++ b/internal/testbed/virtualfleet/mesh.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	ms        = int64(1_000_000)
-	travel    = ms / 2 // ns that a message takes at the least
-	spread    = ms     // ns more that it may take
-	exchanged = 2_000 * ms
+	ms              = int64(1_000_000)
+	minLatency      = ms / 2 // ns that a message takes at the least
+	latencySpread   = ms     // ns more that it may take
+	exchangeTimeout = 2_000 * ms
 
-	waitingMost = 256 // things that wait for the end of a pause; more are lost, as in a socket's buffer
+	maxWaiting = 256 // things that wait for the end of a pause; more are lost, as in a socket's buffer
 )
 
 // Node is one member with its process.
@@ -31,25 +31,25 @@
 
 	PayloadSent, PayloadBytes int
 
-	m       *Mesh
-	index   int
-	lives   int
-	region  int
-	version int // of its wake
-	payload Payload
-	waiting []func() // for the end of a pause
-	queue   []membership.Input
-	links   map[int]ask
-	skew    int64
-	well    int64 // since when it hears and is heard by most
-	resumed int64
-	looked  int // of its changes, by sound
+	fleet          *Fleet
+	index          int
+	incarnations   int
+	region         int
+	wakeVersion    int // of its wake
+	payload        Payload
+	waiting        []func() // for the end of a pause
+	queue          []membership.Input
+	exchanges      map[int]pendingExchange
+	skew           int64
+	healthySince   int64 // since when it hears and is heard by most
+	resumedAt      int64
+	checkedChanges int // of its changes, by sound
 }
 
-type ask struct {
-	from *Node
-	link int
-	life int64
+type pendingExchange struct {
+	from      *Node
+	link      int
+	startedAt int64
 }
 
 // Change is one of a node's view, with its time.
@@ -58,38 +58,38 @@
 	membership.Change
 }
 
-// Mesh is a fleet.
-type Mesh struct {
+// Fleet is a fleet.
+type Fleet struct {
 	*virtualtime.Simulator
-	Nodes  []*Node
-	Loss   float64               // part of datagrams that are lost
-	Double float64               // that come twice
-	Late   float64               // that come up to LateMost ns later
-	Begin  func(n *Node) Payload // makes what a node carries beside its membership at each start; may be nil
-
-	LateMost   int64
-	Far        int64          // ns that a message takes more between regions
-	Small      map[[2]int]int // ordered pairs that carry datagrams up to a size
-	Membership membership.Config
-	Seeds      []string
-
-	byAddress map[string]*Node
-	cuts      []uint64 // a bit for each ordered pair that carries nothing
-	cutAny    bool
-	answers   int
-	quiet     int64 // since when no more than a fifth is lost
-	standing  *standing
+	Nodes         []*Node
+	LossRate      float64               // part of datagrams that are lost
+	DuplicateRate float64               // that come twice
+	LateRate      float64               // that come up to LateMost ns later
+	NewPayload    func(n *Node) Payload // makes what a node carries beside its membership at each start; may be nil
+
+	MaxLate       int64
+	RegionLatency int64          // ns that a message takes more between regions
+	MaxDatagram   map[[2]int]int // ordered pairs that carry datagrams up to a size
+	Membership    membership.Config
+	Seeds         []string
+
+	byAddress  map[string]*Node
+	cuts       []uint64 // a bit for each ordered pair that carries nothing
+	cutAny     bool
+	answers    int
+	lossySince int64 // since when no more than a fifth is lost
+	static     *staticView
 }
 
-// Usual is a configuration as nodes have it.
-var Usual = membership.Config{ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 600_000 * ms, MaxMembers: 1_500} // as settings allow at the most
+// DefaultConfig is a configuration as nodes have it.
+var DefaultConfig = membership.Config{ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 600_000 * ms, MaxMembers: 1_500} // as settings allow at the most
 
 // New makes a fleet in which nobody is up yet; the first nodes are seeds.
-func New(seed int64, nodes, seeds int) *Mesh {
-	m := &Mesh{Simulator: virtualtime.New(seed, 1), Small: map[[2]int]int{}, Membership: Usual, byAddress: map[string]*Node{},
+func New(seed int64, nodes, seeds int) *Fleet {
+	m := &Fleet{Simulator: virtualtime.New(seed, 1), MaxDatagram: map[[2]int]int{}, Membership: DefaultConfig, byAddress: map[string]*Node{},
 		cuts: make([]uint64, (nodes*nodes+63)/64)}
 	for i := range nodes {
-		n := &Node{Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("10.0.%d.%d:9", i/250, i%250+1), m: m, index: i}
+		n := &Node{Name: fmt.Sprintf("n%d", i), Address: fmt.Sprintf("10.0.%d.%d:9", i/250, i%250+1), fleet: m, index: i}
 		m.Nodes = append(m.Nodes, n)
 		m.byAddress[n.Address] = n
 		if i < seeds {
@@ -99,36 +99,36 @@
 	return m
 }
 
-func (n *Node) wall() int64 { return 1_764_576_000_000*ms + n.m.Now + n.skew }
+func (n *Node) wall() int64 { return 1_764_576_000_000*ms + n.fleet.Now + n.skew }
 
 // Start gives a node a new life.
 func (n *Node) Start() {
-	c := n.m.Membership
-	c.Name, c.Address, c.Seeds = n.Name, n.Address, n.m.Seeds
+	c := n.fleet.Membership
+	c.Name, c.Address, c.Seeds = n.Name, n.Address, n.fleet.Seeds
 	if n.Zone != "" {
 		c.Zone = n.Zone
 	}
-	n.Up, n.Paused, n.Started = true, false, n.m.Now
-	n.links, n.queue, n.waiting, n.payload = map[int]ask{}, nil, nil, nil
-	n.lives++
-	if n.m.standing != nil {
-		n.stand()
+	n.Up, n.Paused, n.Started = true, false, n.fleet.Now
+	n.exchanges, n.queue, n.waiting, n.payload = map[int]pendingExchange{}, nil, nil, nil
+	n.incarnations++
+	if n.fleet.static != nil {
+		n.startStatic()
 		return
 	}
-	n.Members = membership.New(c, n.m.Now, n.wall(), 0, n.m.Rand.Int63())
-	n.looked = len(n.Changes)
-	if n.m.Begin != nil {
-		n.payload = n.m.Begin(n)
+	n.Members = membership.New(c, n.fleet.Now, n.wall(), 0, n.fleet.Rand.Int63())
+	n.checkedChanges = len(n.Changes)
+	if n.fleet.NewPayload != nil {
+		n.payload = n.fleet.NewPayload(n)
 	}
 	n.step(nil)
 }
 
 // Kill ends a node's life.
 func (n *Node) Kill() {
-	n.Up, n.Paused, n.Stopped = false, false, n.m.Now
-	n.version++
-	if n.m.standing != nil {
-		n.fall()
+	n.Up, n.Paused, n.Stopped = false, false, n.fleet.Now
+	n.wakeVersion++
+	if n.fleet.static != nil {
+		n.killStatic()
 	}
 }
 
@@ -137,9 +137,9 @@
 	if !n.Up || n.Paused {
 		return
 	}
-	n.Paused, n.Stopped = true, n.m.Now
+	n.Paused, n.Stopped = true, n.fleet.Now
 	life := n.Started
-	n.m.After(ns, func() {
+	n.fleet.After(ns, func() {
 		if n.Started == life {
 			n.Resume()
 		}
@@ -149,12 +149,12 @@
 // Resume ends a pause.
 func (n *Node) Resume() {
 	if n.Up && n.Paused {
-		n.Paused, n.resumed = false, n.m.Now
+		n.Paused, n.resumedAt = false, n.fleet.Now
 		queue, waiting := n.queue, n.waiting
 		n.queue, n.waiting = nil, nil
 		n.step(queue)
 		for _, do := range waiting {
-			n.running(do)()
+			n.whenRunning(do)()
 		}
 	}
 }
@@ -170,11 +170,11 @@
 // Skew sets a node's wall clock off.
 func (n *Node) Skew(ns int64) { n.skew = ns }
 
-func (n *Node) give(in membership.Input) {
+func (n *Node) deliver(in membership.Input) {
 	switch {
 	case !n.Up:
 	case n.Paused:
-		if len(n.queue) < waitingMost {
+		if len(n.queue) < maxWaiting {
 			n.queue = append(n.queue, in)
 		}
 	default:
@@ -183,111 +183,111 @@
 }
 
 func (n *Node) step(inputs []membership.Input) {
-	effects, wake := n.Step(n.m.Now, n.wall(), inputs)
+	effects, wake := n.Step(n.fleet.Now, n.wall(), inputs)
 	for k := range effects {
-		n.carry(&effects[k])
+		n.apply(&effects[k])
 	}
-	n.version++
-	version := n.version
-	n.m.At(wake, func() {
-		if n.Up && !n.Paused && n.version == version {
+	n.wakeVersion++
+	version := n.wakeVersion
+	n.fleet.At(wake, func() {
+		if n.Up && !n.Paused && n.wakeVersion == version {
 			n.step(nil)
 		}
 	})
 }
 
-func (n *Node) carry(e *membership.Effect) {
-	m := n.m
+func (n *Node) apply(e *membership.Effect) {
+	m := n.fleet
 	switch e.Kind {
 	case membership.Send:
 		msg := e.Message // the effects are another step's by then
-		size := sizeOf(&msg)
+		size := messageSize(&msg)
 		n.Sent++
 		n.Bytes += size
-		if to := m.byAddress[e.To]; to != nil && m.passes(n, to, size, true) {
-			arrive := func() { to.give(membership.Input{Kind: membership.DatagramReceived, Message: &msg}) }
-			far := m.far(n, to)
-			m.After(far+m.travels(), arrive)
-			if m.Double > 0 && m.Rand.Float64() < m.Double {
-				m.After(far+m.travels(), arrive)
+		if to := m.byAddress[e.To]; to != nil && m.delivers(n, to, size, true) {
+			arrive := func() { to.deliver(membership.Input{Kind: membership.DatagramReceived, Message: &msg}) }
+			far := m.regionLatency(n, to)
+			m.After(far+m.drawLatency(), arrive)
+			if m.DuplicateRate > 0 && m.Rand.Float64() < m.DuplicateRate {
+				m.After(far+m.drawLatency(), arrive)
 			}
 		}
 	case membership.Exchange:
 		msg := e.Message
-		n.Bytes += sizeOf(&msg)
+		n.Bytes += messageSize(&msg)
 		to, life, link := m.byAddress[e.To], n.Started, e.Link
-		if to == nil || !to.Up || !m.passes(n, to, 0, false) || !m.passes(to, n, 0, false) {
-			m.After(exchanged, func() {
+		if to == nil || !to.Up || !m.delivers(n, to, 0, false) || !m.delivers(to, n, 0, false) {
+			m.After(exchangeTimeout, func() {
 				if n.Started == life {
-					n.give(membership.Input{Kind: membership.ExchangeFailed, Link: link})
+					n.deliver(membership.Input{Kind: membership.ExchangeFailed, Link: link})
 				}
 			})
 			return
 		}
 		m.answers++
 		answer := m.answers
-		m.After(3*(travel+m.far(n, to)), func() {
+		m.After(3*(minLatency+m.regionLatency(n, to)), func() {
 			if to.Up {
-				to.links[answer] = ask{n, link, life}
+				to.exchanges[answer] = pendingExchange{n, link, life}
 			}
-			to.give(membership.Input{Kind: membership.ExchangeOpened, Link: answer, Message: &msg})
+			to.deliver(membership.Input{Kind: membership.ExchangeOpened, Link: answer, Message: &msg})
 		})
 	case membership.Reply:
 		msg := e.Message
-		a, known := n.links[e.Link]
-		delete(n.links, e.Link)
-		n.Bytes += sizeOf(&msg)
-		if known && m.passes(n, a.from, 0, false) {
-			m.After(travel+m.far(n, a.from), func() {
-				if a.from.Started == a.life {
-					a.from.give(membership.Input{Kind: membership.ExchangeAnswered, Link: a.link, Message: &msg})
+		a, known := n.exchanges[e.Link]
+		delete(n.exchanges, e.Link)
+		n.Bytes += messageSize(&msg)
+		if known && m.delivers(n, a.from, 0, false) {
+			m.After(minLatency+m.regionLatency(n, a.from), func() {
+				if a.from.Started == a.startedAt {
+					a.from.deliver(membership.Input{Kind: membership.ExchangeAnswered, Link: a.link, Message: &msg})
 				}
 			})
 		}
 	case membership.ViewChanged:
 		n.Changes = append(n.Changes, Change{m.Now, e.Change})
 		if n.payload != nil {
-			n.payload.Viewed(e.Change)
+			n.payload.ViewChanged(e.Change)
 		}
 	}
 }
 
-// passes says whether a message gets from one to the other.
-func (m *Mesh) passes(from, to *Node, size int, datagram bool) bool {
+// delivers says whether a message gets from one to the other.
+func (m *Fleet) delivers(from, to *Node, size int, datagram bool) bool {
 	if m.IsCut(from.index, to.index) {
 		return false
 	}
-	if datagram && len(m.Small) > 0 {
-		if most := m.Small[[2]int{from.index, to.index}]; most > 0 && size > most {
+	if datagram && len(m.MaxDatagram) > 0 {
+		if most := m.MaxDatagram[[2]int{from.index, to.index}]; most > 0 && size > most {
 			return false
 		}
 	}
-	return !datagram || m.Loss == 0 || m.Rand.Float64() >= m.Loss
+	return !datagram || m.LossRate == 0 || m.Rand.Float64() >= m.LossRate
 }
 
 // Cut has the link from one node to another carry nothing.
-func (m *Mesh) Cut(from, to int) {
+func (m *Fleet) Cut(from, to int) {
 	at := from*len(m.Nodes) + to
 	m.cuts[at/64] |= 1 << (at % 64)
 	m.cutAny = true
 }
 
 // IsCut says whether it carries nothing.
-func (m *Mesh) IsCut(from, to int) bool {
+func (m *Fleet) IsCut(from, to int) bool {
 	at := from*len(m.Nodes) + to
 	return m.cutAny && m.cuts[at/64]>>(at%64)&1 == 1
 }
 
-// Mend takes all cuts away.
-func (m *Mesh) Mend() {
+// RemoveCuts takes all cuts away.
+func (m *Fleet) RemoveCuts() {
 	clear(m.cuts)
-	if m.cutAny = false; m.standing != nil {
-		m.parted(nil)
+	if m.cutAny = false; m.static != nil {
+		m.partitionStatic(nil)
 	}
 }
 
 // CutBetween cuts the links from each of some nodes to each of others; and back with both.
-func (m *Mesh) CutBetween(from, to []*Node, both bool) {
+func (m *Fleet) CutBetween(from, to []*Node, both bool) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
@@ -301,10 +301,14 @@
 }
 
 // Heal takes all cuts, losses, delays and doubles away.
-func (m *Mesh) Heal() { m.Mend(); clear(m.Small); m.Loss, m.Double, m.Late = 0, 0, 0 }
+func (m *Fleet) Heal() {
+	m.RemoveCuts()
+	clear(m.MaxDatagram)
+	m.LossRate, m.DuplicateRate, m.LateRate = 0, 0, 0
+}
 
 // Agreed says whether all that are up and run hold one view that names exactly them.
-func (m *Mesh) Agreed() bool {
+func (m *Fleet) Agreed() bool {
 	first, up := uint64(0), 0
 	for _, n := range m.Nodes {
 		if n.Up && !n.Paused {
@@ -324,8 +328,8 @@
 	return true
 }
 
-// Until runs on until something holds, at the most for so long; it says after how long it did, -1 if it never did.
-func (m *Mesh) Until(most int64, holds func() bool) int64 {
+// RunUntil runs on until something holds, at the most for so long; it says after how long it did, -1 if it never did.
+func (m *Fleet) RunUntil(most int64, holds func() bool) int64 {
 	for start := m.Now; m.Now-start < most; {
 		if holds() {
 			return m.Now - start
--- a/internal/testbed/virtualfleet/mesh_test.go
+++ b/internal/testbed/virtualfleet/mesh_test.go
@@ -13,12 +13,12 @@
 
 const s = 1_000 * ms
 
-func fleet(t *testing.T, seed int64, nodes int) *Mesh {
+func fleet(t *testing.T, seed int64, nodes int) *Fleet {
 	m := New(seed, nodes, 3)
 	for _, n := range m.Nodes {
 		n.Start()
 	}
-	took := m.Until(60*s, m.Agreed)
+	took := m.RunUntil(60*s, m.Agreed)
 	require.GreaterOrEqual(t, took, int64(0), "joined")
 	t.Logf("%d nodes joined in %.2f s", nodes, float64(took)/1e9)
 	return m
@@ -50,7 +50,7 @@
 			before[n] = len(n.Changes)
 		}
 		m.Nodes[1].Kill()
-		took := m.Until(5*s, m.Agreed)
+		took := m.RunUntil(5*s, m.Agreed)
 		require.GreaterOrEqual(t, took, int64(0), "known within 5 s")
 		t.Logf("%d nodes: known to all after %.2f s", nodes, float64(took)/1e9)
 		m.Run(m.Now + 20*s)
--- a/internal/testbed/virtualfleet/pause_test.go
+++ b/internal/testbed/virtualfleet/pause_test.go
@@ -17,8 +17,8 @@
 	for _, n := range m.Nodes {
 		n.Start()
 	}
-	m.Until(60*s, m.Agreed)
-	m.Loss = 0.2
+	m.RunUntil(60*s, m.Agreed)
+	m.LossRate = 0.2
 	m.Run(m.Now + 4*s)
 	seen := make([]int, nodes)
 	for range times {
--- a/internal/testbed/virtualfleet/payload_test.go
+++ b/internal/testbed/virtualfleet/payload_test.go
@@ -16,17 +16,17 @@
 	viewed int
 }
 
-func (p *probe) Came(_ *Node, body any) { p.came = append(p.came, body) }
-func (p *probe) Asked(_ *Node, body any, reply func(any, int)) {
+func (p *probe) DatagramReceived(_ *Node, body any) { p.came = append(p.came, body) }
+func (p *probe) ExchangeOpened(_ *Node, body any, reply func(any, int)) {
 	if body != "say nothing" {
 		reply(p.node.Name, 10)
 	}
 }
-func (p *probe) Viewed(membership.Change) { p.viewed++ }
+func (p *probe) ViewChanged(membership.Change) { p.viewed++ }
 
-func probes(nodes int) (*Mesh, []*probe) {
+func probes(nodes int) (*Fleet, []*probe) {
 	m, all := New(1, nodes, 1), make([]*probe, nodes)
-	m.Begin = func(n *Node) Payload {
+	m.NewPayload = func(n *Node) Payload {
 		all[n.index] = &probe{node: n}
 		return all[n.index]
 	}
@@ -39,24 +39,24 @@
 func TestPayloadGoesOverTheSameLinks(t *testing.T) {
 	m, p := probes(3)
 	a, b, c := m.Nodes[0], m.Nodes[1], m.Nodes[2]
-	require.GreaterOrEqual(t, m.Until(10*s, m.Agreed), int64(0))
+	require.GreaterOrEqual(t, m.RunUntil(10*s, m.Agreed), int64(0))
 	assert.Equal(t, 2, p[0].viewed)
 	m.Cut(0, 1)
-	a.Tell(b, "over a cut", 100)
-	a.Tell(c, "whole", 100)
+	a.SendDatagram(b, "over a cut", 100)
+	a.SendDatagram(c, "whole", 100)
 	m.Run(m.Now + s)
 	assert.Empty(t, p[1].came)
 	assert.Equal(t, []any{"whole"}, p[2].came)
 	assert.Equal(t, []int{2, 200}, []int{a.PayloadSent, a.PayloadBytes}, "counted where it is sent, whatever becomes of it")
 	m.Heal()
-	m.Loss = 1
-	a.Tell(b, "lost", 1)
+	m.LossRate = 1
+	a.SendDatagram(b, "lost", 1)
 	m.Heal()
-	m.Double = 1
-	a.Tell(b, "twice", 1)
+	m.DuplicateRate = 1
+	a.SendDatagram(b, "twice", 1)
 	m.Heal()
-	m.Late, m.LateMost = 1, 30*s
-	a.Tell(b, "late", 1)
+	m.LateRate, m.MaxLate = 1, 30*s
+	a.SendDatagram(b, "late", 1)
 	m.Run(m.Now + s)
 	assert.Equal(t, []any{"twice", "twice"}, p[1].came)
 	m.Run(m.Now + 30*s)
@@ -67,7 +67,7 @@
 	m, p := probes(2)
 	a, b := m.Nodes[0], m.Nodes[1]
 	b.Pause(s)
-	a.Tell(b, "waits", 1)
+	a.SendDatagram(b, "waits", 1)
 	m.Run(m.Now + s/2)
 	assert.Empty(t, p[1].came)
 	m.Run(m.Now + s)
@@ -75,11 +75,11 @@
 	old := p[1]
 	b.Later(s, func() { t.Error("of an ended life") })
 	b.Pause(s)
-	a.Tell(b, "before the kill", 1)
+	a.SendDatagram(b, "before the kill", 1)
 	m.Run(m.Now + 10*ms)
 	b.Kill()
 	b.Start()
-	a.Tell(b, "new", 1)
+	a.SendDatagram(b, "new", 1)
 	m.Run(m.Now + 3*s)
 	assert.Equal(t, []any{"waits"}, old.came)
 	assert.Equal(t, []any{"new"}, p[1].came)
@@ -90,22 +90,22 @@
 	a, b := m.Nodes[0], m.Nodes[1]
 	var got []any
 	done := func(body any, ok bool) { got = append(got, body, ok) }
-	a.Ask(b, "who", 5, done)
+	a.OpenExchange(b, "who", 5, done)
 	m.Run(m.Now + 3*s)
 	assert.Equal(t, []any{"n1", true}, got)
 	assert.Equal(t, []int{5, 10}, []int{a.PayloadBytes, b.PayloadBytes})
 	got = nil
-	a.Ask(b, "say nothing", 5, done)
-	m.Run(m.Now + exchanged - s)
+	a.OpenExchange(b, "say nothing", 5, done)
+	m.Run(m.Now + exchangeTimeout - s)
 	assert.Empty(t, got)
 	m.Run(m.Now + 2*s)
 	assert.Equal(t, []any{nil, false}, got)
 	got = nil
 	b.Kill()
-	a.Ask(b, "who", 5, done)
+	a.OpenExchange(b, "who", 5, done)
 	m.Run(m.Now + 3*s)
 	assert.Equal(t, []any{nil, false}, got)
-	a.Ask(b, "who", 5, func(any, bool) { t.Error("told to an ended life") })
+	a.OpenExchange(b, "who", 5, func(any, bool) { t.Error("told to an ended life") })
 	a.Kill()
 	a.Start()
 	m.Run(m.Now + 3*s)
@@ -113,11 +113,11 @@
 
 func TestZonesAreFactsAndPlacesOfFaults(t *testing.T) {
 	m := New(1, 60, 3)
-	m.Spread(7, 15)
+	m.AssignZones(7, 15)
 	for _, n := range m.Nodes {
 		n.Start()
 	}
-	require.GreaterOrEqual(t, m.Until(20*s, m.Agreed), int64(0))
+	require.GreaterOrEqual(t, m.RunUntil(20*s, m.Agreed), int64(0))
 	m.Run(m.Now + s)
 	regions := map[string]bool{}
 	for _, seen := range m.Nodes[0].View().Members {
@@ -138,13 +138,13 @@
 		}
 		assert.Equal(t, want, size, n.Name)
 	}
-	m.Mend()
-	require.GreaterOrEqual(t, m.Until(20*s, m.Agreed), int64(0))
-	lost := m.Lose("r1/z4")
+	m.RemoveCuts()
+	require.GreaterOrEqual(t, m.RunUntil(20*s, m.Agreed), int64(0))
+	lost := m.KillWithin("r1/z4")
 	assert.Len(t, lost, 4)
-	require.GreaterOrEqual(t, m.Until(6*s, m.Agreed), int64(0))
+	require.GreaterOrEqual(t, m.RunUntil(6*s, m.Agreed), int64(0))
 	for _, n := range lost {
 		n.Start()
 	}
-	require.GreaterOrEqual(t, m.Until(10*s, m.Agreed), int64(0))
+	require.GreaterOrEqual(t, m.RunUntil(10*s, m.Agreed), int64(0))
 }
--- a/internal/testbed/virtualfleet/scale_test.go
+++ b/internal/testbed/virtualfleet/scale_test.go
@@ -11,7 +11,7 @@
 )
 
 // bytes is what a node sent in the mean.
-func (m *Mesh) bytes() float64 {
+func (m *Fleet) bytes() float64 {
 	sum := 0
 	for _, n := range m.Nodes {
 		sum += n.Bytes
@@ -41,7 +41,7 @@
 			s.worst, before, at = max(s.worst, m.bytes()-before), m.bytes(), m.Now
 		}
 	}
-	took := m.Until(20*second, func() bool { look(); return m.Agreed() })
+	took := m.RunUntil(20*second, func() bool { look(); return m.Agreed() })
 	require.GreaterOrEqual(t, took, int64(0), "a herd of %d is one view within 20 s", nodes)
 	s.joined, s.herd = float64(took)/1e9, m.bytes()
 	for end := m.Now + 10*second; m.Now < end; look() {
@@ -55,9 +55,9 @@
 	for k := range deaths {
 		n := m.Nodes[(k*nodes/deaths+7)%nodes]
 		n.Kill()
-		require.GreaterOrEqual(t, m.Until(6*second, m.Agreed), int64(0), "a death is known to all")
+		require.GreaterOrEqual(t, m.RunUntil(6*second, m.Agreed), int64(0), "a death is known to all")
 		n.Start()
-		require.GreaterOrEqual(t, m.Until(10*second, m.Agreed), int64(0), "and a return")
+		require.GreaterOrEqual(t, m.RunUntil(10*second, m.Agreed), int64(0), "and a return")
 	}
 	m.Run(m.Now + 5*second)
 	s.killed = (m.bytes() - start - s.still*float64(m.Now-at)/1e9) / deaths
@@ -87,13 +87,13 @@
 		for _, n := range m.Nodes {
 			n.Start()
 		}
-		joined := m.Until(20*second, m.Agreed)
+		joined := m.RunUntil(20*second, m.Agreed)
 		require.GreaterOrEqual(b, joined, int64(0), "one view within 20 s")
 		m.Run(25 * second)
 		for k := 0; k < nodes; k += 3 {
 			m.Nodes[k].Kill()
 		}
-		known := m.Until(10*second, m.Agreed)
+		known := m.RunUntil(10*second, m.Agreed)
 		require.GreaterOrEqual(b, known, int64(0), "deaths known within 10 s")
 		m.Run(35 * second)
 		for _, n := range m.Nodes {
@@ -101,7 +101,7 @@
 				n.Start()
 			}
 		}
-		back := m.Until(10*second, m.Agreed)
+		back := m.RunUntil(10*second, m.Agreed)
 		require.GreaterOrEqual(b, back, int64(0), "back within 10 s")
 		m.Run(45 * second)
 		var mem runtime.MemStats
--- a/internal/testbed/virtualfleet/schedule.go
+++ b/internal/testbed/virtualfleet/schedule.go
@@ -24,14 +24,14 @@
 		if m.Now >= end {
 			return
 		}
-		m.fault()
+		m.drawFault()
 		m.After(200*ms+m.Rand.Int63n(8_000*ms), draw)
 	}
 	m.After(3_000*ms, draw)
 	highest := map[string]uint64{}
 	for m.Now < end {
 		m.Run(m.Now + 500*ms)
-		if err := m.sound(highest); err != nil {
+		if err := m.checkInvariants(highest); err != nil {
 			return fmt.Errorf("seed %d at %.1f s: %w", seed, float64(m.Now)/1e9, err)
 		}
 	}
@@ -41,14 +41,14 @@
 			n.Start()
 		}
 	}
-	if m.Until(settle, m.Agreed) < 0 {
+	if m.RunUntil(settle, m.Agreed) < 0 {
 		return fmt.Errorf("seed %d: views differ %.0f s after the last healing", seed, float64(settle)/1e9)
 	}
-	return m.sound(highest)
+	return m.checkInvariants(highest)
 }
 
-// some draws nodes: one, a third, or half of them.
-func (m *Mesh) some() []*Node {
+// drawNodes draws nodes: one, a third, or half of them.
+func (m *Fleet) drawNodes() []*Node {
 	k := [...]int{1, 1, 1, len(m.Nodes) / 3, len(m.Nodes) / 2}[m.Rand.Intn(5)]
 	var list []*Node
 	for _, i := range m.Rand.Perm(len(m.Nodes))[:max(1, k)] {
@@ -57,7 +57,7 @@
 	return list
 }
 
-func (m *Mesh) others(than []*Node) (list []*Node) {
+func (m *Fleet) except(than []*Node) (list []*Node) {
 	for _, n := range m.Nodes {
 		found := false
 		for _, t := range than {
@@ -70,9 +70,9 @@
 	return list
 }
 
-// fault draws one trouble and when it ends.
-func (m *Mesh) fault() {
-	some := m.some()
+// drawFault draws one trouble and when it ends.
+func (m *Fleet) drawFault() {
+	some := m.drawNodes()
 	lasting := [...]int64{200, 500, 3_000, 5_000, 10_000, 30_000}[m.Rand.Intn(6)] * ms
 	switch m.Rand.Intn(9) {
 	case 0, 1:
@@ -91,32 +91,32 @@
 			n.Pause(lasting)
 		}
 	case 4:
-		m.CutBetween(some, m.others(some), m.Rand.Intn(2) == 0)
-		m.After(lasting, m.Mend)
+		m.CutBetween(some, m.except(some), m.Rand.Intn(2) == 0)
+		m.After(lasting, m.RemoveCuts)
 	case 5:
-		m.CutBetween(m.others(some), some, false)
-		m.After(lasting, m.Mend)
+		m.CutBetween(m.except(some), some, false)
+		m.After(lasting, m.RemoveCuts)
 	case 6:
-		m.Loss = [...]float64{0.05, 0.2, 0.4}[m.Rand.Intn(3)]
-		m.After(lasting, func() { m.Loss = 0 })
+		m.LossRate = [...]float64{0.05, 0.2, 0.4}[m.Rand.Intn(3)]
+		m.After(lasting, func() { m.LossRate = 0 })
 	case 7:
 		for _, n := range some { // a clock that jumps counts at the next start
 			n.Skew([...]int64{-10, 10, -3_600}[m.Rand.Intn(3)] * 1_000 * ms)
 		}
 	case 8:
 		a, b := m.Nodes[m.Rand.Intn(len(m.Nodes))], m.Nodes[m.Rand.Intn(len(m.Nodes))]
-		m.Small[[2]int{a.index, b.index}] = 200
+		m.MaxDatagram[[2]int{a.index, b.index}] = 200
 	}
 }
 
-// sound checks what holds at any moment: incarnations never go back, and nobody who hears and is heard by most is
+// checkInvariants checks what holds at any moment: incarnations never go back, and nobody who hears and is heard by most is
 // out of the view of another such one.
-func (m *Mesh) sound(highest map[string]uint64) error {
+func (m *Fleet) checkInvariants(highest map[string]uint64) error {
 	for _, n := range m.Nodes {
 		if !n.Up {
 			continue
 		}
-		for _, c := range n.Changes[n.looked:] {
+		for _, c := range n.Changes[n.checkedChanges:] {
 			if key := fmt.Sprint(n.Name, " born ", n.Started, " of ", c.Who); c.Cause != membership.Isolated && c.Cause != membership.Reconnected {
 				if c.Incarnation < highest[key] {
 					return fmt.Errorf("%s: incarnation of %s went back from %d to %d", n.Name, c.Who, highest[key], c.Incarnation)
@@ -124,17 +124,17 @@
 				highest[key] = c.Incarnation
 			}
 		}
-		n.looked = len(n.Changes)
+		n.checkedChanges = len(n.Changes)
 	}
-	return m.heard()
+	return m.checkHealthyMembersAreInViews()
 }
 
-// heard looks for members that have been well for some time and are out of a view: up, not paused, with links that
+// checkHealthyMembersAreInViews looks for members that have been well for some time and are out of a view: up, not paused, with links that
 // carry both ways to more than half of those that are up, all of them that long.
-func (m *Mesh) heard() error {
+func (m *Fleet) checkHealthyMembersAreInViews() error {
 	const long = 20_000 * ms
-	if m.Loss > 0.2 {
-		m.quiet = m.Now
+	if m.LossRate > 0.2 {
+		m.lossySince = m.Now
 	}
 	up := 0
 	for _, n := range m.Nodes {
@@ -151,8 +151,8 @@
 			}
 		}
 		if !n.Up || n.Paused || 2*good <= len(m.Nodes) {
-			n.well = m.Now
-		} else if m.Now-max(n.well, m.quiet, n.Started, n.resumed) > long {
+			n.healthySince = m.Now
+		} else if m.Now-max(n.healthySince, m.lossySince, n.Started, n.resumedAt) > long {
 			well = append(well, n)
 		}
 	}
--- a/internal/testbed/virtualfleet/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -35,6 +35,6 @@
 		}
 		b, err := envelope.Seal(nil, 1, &msg)
 		require.NoError(t, err)
-		require.Equal(t, len(b), sizeOf(&msg))
+		require.Equal(t, len(b), messageSize(&msg))
 	})
 }
