--- a/internal/testbed/virtualfleet/mesh_test.go
+++ b/internal/testbed/virtualfleet/fleet_test.go
@@ -24,7 +24,7 @@
 	return m
 }
 
-func TestHerdsJoin(t *testing.T) {
+func TestManyNodesJoinAtOnce(t *testing.T) {
 	for _, nodes := range []int{2, 3, 5, 8, 24, 60} {
 		m := fleet(t, 1, nodes)
 		m.Run(m.Now + 20*s)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestKilledIsLostOnceAndNobodyElse(t *testing.T) {
+func TestKilledNodeIsLostOnceAndNoOther(t *testing.T) {
 	for _, nodes := range []int{3, 5, 24, 60} {
 		m := fleet(t, 2, nodes)
 		m.Run(m.Now + 10*s)
--- a/internal/testbed/virtualfleet/pause_test.go
+++ b/internal/testbed/virtualfleet/pause_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 	"golang.org/x/sync/errgroup"
 
 	"topazpost/internal/fleet/membership"
@@ -42,7 +43,7 @@
 }
 
 // Where each ping was sent but once a probe, 330, 57 and 26 of 10,000 such pauses at 3, 4 and 6 nodes had a loss.
-func TestPausesAreBorneWhileAFifthIsLost(t *testing.T) {
+func TestPausedNodesAreNotLostWhileAFifthOfDatagramsIs(t *testing.T) {
 	const seeds, times = 50, 10
 	for _, nodes := range []int{3, 4, 6} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -56,7 +57,7 @@
 					return nil
 				})
 			}
-			group.Wait()
+			require.NoError(t, group.Wait())
 			for k, times := range lost {
 				assert.Zero(t, times, "seed %d", k+1)
 			}
--- a/internal/testbed/virtualfleet/payload.go
+++ b/internal/testbed/virtualfleet/payload.go
@@ -3,14 +3,14 @@
 import "topazpost/internal/fleet/membership"
 
 // Payload is a further state machine of a node, carried over the same links as its membership: with the same loss,
-// cuts and delays. It belongs to one life of the node, and is called only while that runs: what comes in a pause
-// waits, as datagrams do.
+// cuts and delays. It belongs to one incarnation of the node, and is called only while that runs: what arrives in a
+// pause waits, as datagrams do.
 type Payload interface {
-	// Came takes a datagram.
+	// DatagramReceived takes a datagram.
 	DatagramReceived(from *Node, body any)
-	// Asked takes the question of an exchange, and answers it once or never.
+	// ExchangeOpened takes the request of an exchange, and replies once or never.
 	ExchangeOpened(from *Node, body any, reply func(body any, size int))
-	// Viewed is told of a change of the node's view, within the step that made it.
+	// ViewChanged takes a change of the node's view, within the step that made it.
 	ViewChanged(c membership.Change)
 }
 
@@ -20,78 +20,64 @@
 	n.PayloadSent++
 	n.PayloadBytes += size
 	if n.fleet.delivers(n, to, size, true) {
-		n.fleet.sendDatagram(n, to, func() { to.payload.DatagramReceived(n, body) })
+		n.fleet.scheduleDatagram(n, to, func() {
+			to.whenRunning(func() { to.payload.DatagramReceived(n, body) })()
+		})
 	}
 }
 
-// OpenExchange opens an exchange of the payload. Done is told of its answer, or of none within the time that an exchange may
-// take; of neither once this life has ended.
+// OpenExchange opens an exchange of the payload. Done is called with its reply, or with ok false where none came within the time
+// that an exchange may take; it is not called once this incarnation has ended.
 func (n *Node) OpenExchange(to *Node, body any, size int, done func(body any, ok bool)) {
 	n.PayloadSent++
 	n.PayloadBytes += size
-	m, ended := n.fleet, false
-	end := n.inThisLife(func(body any, ok bool) {
+	f := n.fleet
+	ended := false
+	end := n.inThisIncarnation(func(body any, ok bool) {
 		if !ended {
 			ended = true
 			done(body, ok)
 		}
 	})
-	m.After(exchangeTimeout, func() { end(nil, false) })
-	if !to.Up || !m.delivers(n, to, 0, false) || !m.delivers(to, n, 0, false) {
+	f.After(exchangeTimeout, func() { end(nil, false) })
+	if !to.Up || !f.delivers(n, to, 0, false) || !f.delivers(to, n, 0, false) {
 		return
 	}
-	m.After(3*(minLatency+m.regionLatency(n, to)), to.whenRunning(func() {
+	f.After(3*(minLatency+f.regionLatency(n, to)), to.whenRunning(func() {
 		to.payload.ExchangeOpened(n, body, func(body any, size int) {
 			to.PayloadSent++
 			to.PayloadBytes += size
-			if m.delivers(to, n, 0, false) {
-				m.After(minLatency+m.regionLatency(to, n), func() { end(body, true) })
+			if f.delivers(to, n, 0, false) {
+				f.After(minLatency+f.regionLatency(to, n), func() { end(body, true) })
 			}
 		})
 	}))
 }
 
-// Later has something done by a node in this life; once a pause that lasts then is over.
-func (n *Node) Later(ns int64, do func()) { n.fleet.After(ns, n.whenRunning(do)) }
+// Later runs an action on a node in this incarnation, after a pause that lasts then.
+func (n *Node) Later(ns int64, action func()) { n.fleet.After(ns, n.whenRunning(action)) }
 
-// whenRunning is what a node does if it is still in the life that it has now, after a pause if it stands in one. A node
-// without a payload does nothing.
-func (n *Node) whenRunning(do func()) func() {
-	life := n.incarnations
+// whenRunning returns an action that runs only if the node is still in its present incarnation, after a pause if it is in
+// one. A node without a payload does nothing.
+func (n *Node) whenRunning(action func()) func() {
+	incarnation := n.incarnations
 	return func() {
 		switch {
-		case !n.Up || n.incarnations != life || n.payload == nil:
+		case !n.Up || n.incarnations != incarnation || n.payload == nil:
 		case !n.Paused:
-			do()
+			action()
 		case len(n.waiting) < maxWaiting:
-			n.waiting = append(n.waiting, do)
+			n.waiting = append(n.waiting, action)
 		}
 	}
 }
 
-func (n *Node) inThisLife(end func(body any, ok bool)) func(body any, ok bool) {
-	life := n.incarnations
+// inThisIncarnation returns a callback that is dropped once the node's present incarnation has ended.
+func (n *Node) inThisIncarnation(end func(body any, ok bool)) func(body any, ok bool) {
+	incarnation := n.incarnations
 	return func(body any, ok bool) {
-		if n.incarnations == life {
+		if n.incarnations == incarnation {
 			n.whenRunning(func() { end(body, ok) })()
 		}
 	}
 }
-
-// sendDatagram brings a datagram to whatever life a node is in then: late or twice, where the mesh has such links.
-func (m *Fleet) sendDatagram(from, to *Node, do func()) {
-	arrive, far := func() { to.whenRunning(do)() }, m.regionLatency(from, to)
-	m.After(far+m.drawLatency(), arrive)
-	if m.DuplicateRate > 0 && m.Rand.Float64() < m.DuplicateRate {
-		m.After(far+m.drawLatency(), arrive)
-	}
-}
-
-// drawLatency draws how long a datagram takes.
-func (m *Fleet) drawLatency() int64 {
-	ns := minLatency + m.Rand.Int63n(latencySpread)
-	if m.LateRate > 0 && m.Rand.Float64() < m.LateRate {
-		ns += m.Rand.Int63n(m.MaxLate + 1)
-	}
-	return ns
-}
--- a/internal/testbed/virtualfleet/size.go
+++ b/internal/testbed/virtualfleet/size.go
@@ -5,8 +5,8 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// messageSize is the bytes of a letter that holds a message, without making it: a herd's records would be encoded by the
-// million. It is held against the letter itself by a test.
+// messageSize returns the bytes of an envelope that holds a message without making it: records would be encoded by the
+// million. A test compares it with the envelope itself.
 func messageSize(msg *membership.Message) int {
 	size := envelope.Head + 1 + keyedInteger(uint64(msg.Kind)) + optionalInteger(uint64(msg.From)) + optionalInteger(uint64(msg.Seq)) +
 		optionalInteger(msg.Digest) + optionalText(msg.Why)
--- a/internal/testbed/virtualfleet/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -10,7 +10,7 @@
 	"topazpost/internal/fleet/membership"
 )
 
-func TestSizeIsThatOfTheLetter(t *testing.T) {
+func TestMessageSizeIsThatOfTheEnvelope(t *testing.T) {
 	number := rapid.OneOf(rapid.SampledFrom([]uint64{0, 1, 23, 24, 255, 256, 65_535, 65_536, 1<<32 - 1, 1 << 32, 1<<64 - 1}), rapid.Uint64())
 	word := rapid.StringN(0, 40, 64)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/testbed/virtualfleet/standing.go
+++ b/internal/testbed/virtualfleet/staticview.go
@@ -7,106 +7,115 @@
 )
 
 const (
-	numRings        = 4       // orders of the fleet, as membership's: a node has links to both sides in each
-	viewUpdateDelay = 20 * ms // ns over which what changed in views is taken together
+	numRings        = 4       // as in membership: a node has links to both sides in each
+	viewUpdateDelay = 20 * ms // ns over which changes of views are batched
 )
 
-// staticView takes membership's place where that isn't what is tested: links as membership's rings have them, and a view given by
-// the faults, each seen by all after silence and settle. A herd of joins and its traffic aren't played.
+// staticView replaces membership where that isn't what is tested: links as membership's rings have them, and a view given by
+// the faults, each seen by all after the detection delay. The traffic of membership isn't simulated.
 type staticView struct {
 	rings           [numRings][]int
 	position        [numRings][]int // of each node in a ring
-	present         []bool          // nodes that views hold to be there
+	present         []bool          // nodes that views contain
 	isolated        []bool          // nodes on the other side of a cut, in truth
-	isolatedInViews []bool          // and in views
-	partition       int             // of cut
+	isolatedInViews []bool          // the same in views
+	partition       int             // version of isolated
 	links           [][]string
 	zones           map[viewKey][]string
 	updateScheduled bool
 }
 
+// viewKey names the members that nodes of a zone see, on one side of a cut.
 type viewKey struct {
 	zone     string
 	isolated bool
 }
 
-// UseStaticMembership has the fleet begin joined, without membership: before the first start.
-func (m *Fleet) UseStaticMembership() {
-	n := len(m.Nodes)
+// UseStaticMembership has the fleet begin joined, without membership. It must be called before the first start.
+func (f *Fleet) UseStaticMembership() {
+	n := len(f.Nodes)
 	s := &staticView{present: make([]bool, n), isolated: make([]bool, n), isolatedInViews: make([]bool, n), links: make([][]string, n)}
 	for i := range s.present {
 		s.present[i] = true
 	}
 	for r := range s.rings {
-		s.rings[r], s.position[r] = m.Rand.Perm(n), make([]int, n)
+		s.rings[r] = f.Rand.Perm(n)
+		s.position[r] = make([]int, n)
 		for k, i := range s.rings[r] {
 			s.position[r][i] = k
 		}
 	}
-	m.static = s
-	m.updateViews()
+	f.static = s
+	f.updateViews()
 }
 
-// detectionDelay is when views hold what has changed.
-func (m *Fleet) detectionDelay() int64 {
-	return m.Membership.LinkTimeout + m.Membership.SuspicionTimeout
+// detectionDelay is the time from a fault until views show it.
+func (f *Fleet) detectionDelay() int64 {
+	return f.Membership.LinkTimeout + f.Membership.SuspicionTimeout
 }
 
 func (n *Node) startStatic() {
-	m, s, life := n.fleet, n.fleet.static, n.incarnations
-	if n.Members = nil; m.NewPayload != nil {
-		n.payload = m.NewPayload(n)
+	f := n.fleet
+	s := f.static
+	incarnation := n.incarnations
+	n.Members = nil
+	if f.NewPayload != nil {
+		n.payload = f.NewPayload(n)
 	}
 	if !s.present[n.index] {
-		m.After(m.detectionDelay(), func() {
-			if n.Up && n.incarnations == life {
+		f.After(f.detectionDelay(), func() {
+			if n.Up && n.incarnations == incarnation {
 				s.present[n.index] = true
-				m.scheduleViewUpdate()
+				f.scheduleViewUpdate()
 			}
 		})
 	}
 }
 
 func (n *Node) killStatic() {
-	m, s, life := n.fleet, n.fleet.static, n.incarnations
-	m.After(m.detectionDelay(), func() {
-		if !n.Up && n.incarnations == life {
+	f := n.fleet
+	s := f.static
+	incarnation := n.incarnations
+	f.After(f.detectionDelay(), func() {
+		if !n.Up && n.incarnations == incarnation {
 			s.present[n.index] = false
-			m.scheduleViewUpdate()
+			f.scheduleViewUpdate()
 		}
 	})
 }
 
 // partitionStatic notes who is on the other side of a cut.
-func (m *Fleet) partitionStatic(in []*Node) {
-	s := m.static
+func (f *Fleet) partitionStatic(in []*Node) {
+	s := f.static
 	clear(s.isolated)
 	for _, n := range in {
 		s.isolated[n.index] = true
 	}
 	s.partition++
 	turn := s.partition
-	m.After(m.detectionDelay(), func() {
+	f.After(f.detectionDelay(), func() {
 		if s.partition == turn {
 			copy(s.isolatedInViews, s.isolated)
-			m.scheduleViewUpdate()
+			f.scheduleViewUpdate()
 		}
 	})
 }
 
-func (m *Fleet) scheduleViewUpdate() {
-	if s := m.static; !s.updateScheduled {
+func (f *Fleet) scheduleViewUpdate() {
+	if s := f.static; !s.updateScheduled {
 		s.updateScheduled = true
-		m.After(viewUpdateDelay, m.updateViews)
+		f.After(viewUpdateDelay, f.updateViews)
 	}
 }
 
-// updateViews makes all views anew, and tells those whose changed.
-func (m *Fleet) updateViews() {
-	s := m.static
-	before, changed := s.zones, map[viewKey]bool{}
-	s.updateScheduled, s.zones = false, map[viewKey][]string{}
-	for i, n := range m.Nodes {
+// updateViews makes all views anew, and notifies nodes whose view changed.
+func (f *Fleet) updateViews() {
+	s := f.static
+	before := s.zones
+	changed := map[viewKey]bool{}
+	s.updateScheduled = false
+	s.zones = map[viewKey][]string{}
+	for i, n := range f.Nodes {
 		if s.present[i] {
 			z := viewKey{n.Zone, s.isolatedInViews[i]}
 			s.zones[z] = append(s.zones[z], n.Name)
@@ -115,17 +124,18 @@
 	for z, names := range s.zones {
 		changed[z] = !slices.Equal(names, before[z])
 	}
-	for i, n := range m.Nodes {
+	for i, n := range f.Nodes {
 		var links []string
 		for r := range s.rings {
-			for _, way := range [...]int{1, len(m.Nodes) - 1} {
-				if k := s.nextInRing(r, i, way); k >= 0 && !slices.Contains(links, m.Nodes[k].Name) {
-					links = append(links, m.Nodes[k].Name)
+			for _, way := range [...]int{1, len(f.Nodes) - 1} {
+				if k := s.nextInRing(r, i, way); k >= 0 && !slices.Contains(links, f.Nodes[k].Name) {
+					links = append(links, f.Nodes[k].Name)
 				}
 			}
 		}
 		if !slices.Equal(links, s.links[i]) || changed[viewKey{n.Zone, s.isolatedInViews[i]}] {
-			if s.links[i] = links; n.Up && n.payload != nil {
+			s.links[i] = links
+			if n.Up && n.payload != nil {
 				n.whenRunning(func() { n.payload.ViewChanged(membership.Change{}) })()
 			}
 		}
@@ -154,5 +164,5 @@
 		}
 		return s.links[n.index], s.zones[viewKey{n.Zone, s.isolatedInViews[n.index]}]
 	}
-	return n.Members.Neighbours(), n.Members.InZone()
+	return n.Neighbours(), n.InZone()
 }
--- a/internal/testbed/virtualfleet/standing_test.go
+++ b/internal/testbed/virtualfleet/staticview_test.go
@@ -10,7 +10,7 @@
 
 // A fleet that stands has links to both sides in each ring, among those that views hold; what a fault changes is seen after
 // silence and settle, and no sooner.
-func TestAStandingFleetSeesFaultsLate(t *testing.T) {
+func TestStaticViewsShowFaultsAfterTheDetectionDelay(t *testing.T) {
 	m := New(1, 60, 3)
 	m.AssignZones(7, 15)
 	m.UseStaticMembership()
