--- a/internal/testbed/emulator/cold.go
+++ b/internal/testbed/emulator/cold.go
@@ -17,7 +17,7 @@
 	inHand int
 	at     int64
 	area   float64   // calls times ns since the start
-	looks  []float64 // areas at the looks of the last span
+	areas  []float64 // areas at the looks of the last span
 	next   int
 }
 
@@ -28,51 +28,51 @@
 
 func (c *callMeter) mean(now int64) float64 {
 	c.count(now, 0)
-	k := c.next % len(c.looks)
-	mean := (c.area - c.looks[k]) / float64(int64(len(c.looks))*sampled)
-	c.looks[k], c.next = c.area, c.next+1
+	k := c.next % len(c.areas)
+	mean := (c.area - c.areas[k]) / float64(int64(len(c.areas))*sampleInterval)
+	c.areas[k], c.next = c.area, c.next+1
 	return mean
 }
 
-// giveUpCall ends a call that nobody waits for any more; it stays in the ledger's hands for a while, without a slot.
-func (m *machine) giveUpCall(a *attempt) {
-	if m.ledger.Cancel(a.call) {
-		m.After(linger, func() { m.calls.count(m.Now, -1) })
+// abandonCall ends a call that nobody waits for any more; it stays in the ledger's hands for a while, without a slot.
+func (m *machine) abandonCall(a *attempt) {
+	if m.ledger.Cancel(a.ledgerCall) {
+		m.After(callLinger, func() { m.calls.count(m.Now, -1) })
 	}
 }
 
-// warmth is the part of its full speed that the machine has now.
-func (m *machine) warmth() float64 {
+// warmupFraction is the part of its full speed that the machine has now.
+func (m *machine) warmupFraction() float64 {
 	if !m.cold {
 		return 1
 	}
-	return min(1, m.model.ColdFrom+(1-m.model.ColdFrom)*float64(m.Now-m.born)/float64(max(1, m.model.WarmAfter)))
+	return min(1, m.model.ColdFrom+(1-m.model.ColdFrom)*float64(m.Now-m.startedAt)/float64(max(1, m.model.WarmAfter)))
 }
 
-// sending is a try that came to a cold machine.
-type sending struct {
-	at   int64
-	told bool // its dispatcher heeds what nodes say and bears in mind what this one said in this life
+// coldArrival is a try that came to a cold machine.
+type coldArrival struct {
+	at        int64
+	signalled bool // its dispatcher heeds what nodes say and bears in mind what this one said in this life
 }
 
-// notePressure sums what all dispatchers sent to a cold machine within the time of a mean. What it may get then is the
+// recordColdArrival sums what all dispatchers sent to a cold machine within the time of a mean. What it may get then is the
 // requests of mean work that it can do at its present warmth, and chance.
-func (m *machine) notePressure(a *attempt) {
-	if !m.cold || m.warmth() >= 1 {
+func (m *machine) recordColdArrival(a *attempt) {
+	if !m.cold || m.warmupFraction() >= 1 {
 		return
 	}
-	h := &a.by.heard[m.index]
-	m.sent = append(m.sent, sending{m.Now, a.by.habit.Heeds && h.life == m.life && m.Now-h.said < heeded})
-	m.sent = slices.DeleteFunc(m.sent, func(s sending) bool { return m.Now-s.at > crowdOf*sampled })
+	h := &a.dispatcher.signals[m.index]
+	m.coldArrivals = append(m.coldArrivals, coldArrival{m.Now, a.dispatcher.habit.Heeds && h.incarnation == m.incarnation && m.Now-h.receivedAt < signalLifetime})
+	m.coldArrivals = slices.DeleteFunc(m.coldArrivals, func(s coldArrival) bool { return m.Now-s.at > crowdSamples*sampleInterval })
 	told := 0.0
-	for _, s := range m.sent {
-		if s.told {
+	for _, s := range m.coldArrivals {
+		if s.signalled {
 			told++
 		}
 	}
-	may := m.warmth() * m.model.Speed * float64(m.model.Cores) * float64(crowdOf*sampled) / (m.mean * (1 + m.day.Reading))
+	may := m.warmupFraction() * m.model.Speed * float64(m.model.Cores) * float64(crowdSamples*sampleInterval) / (m.meanWork * (1 + m.day.Reading))
 	may += Chance(may)
-	sent := float64(len(m.sent))
+	sent := float64(len(m.coldArrivals))
 	m.total.MostSent = max(m.total.MostSent, sent/may)
 	if told > sent*2/3 {
 		m.total.MostTold = max(m.total.MostTold, sent/may)
--- a/internal/testbed/emulator/cold_test.go
+++ b/internal/testbed/emulator/cold_test.go
@@ -10,9 +10,9 @@
 	"topazpost/internal/node"
 )
 
-// ramp is a day of n small nodes and as many dispatchers, some of whom heed nothing. All of these begin their round with the
+// restartDay is a day of n small nodes and as many dispatchers, some of whom heed nothing. All of these begin their round with the
 // same machine, so that what they send comes in crowds, and they send again at once what breaks.
-func ramp(n int, rate, work, call float64, faults ...Fault) *Day {
+func restartDay(n int, rate, work, call float64, faults ...Fault) *Day {
 	d := &Day{Seed: int64(n), Nodes: n, Length: 4200 * ms, Reading: 0.1, Subjects: 1_000, CallSpan: 2 * second,
 		Settle: second, Faults: faults, Rate: rate * float64(n), Slots: 5, Load: func(int64) float64 { return 1 },
 		Models: []Model{{Cores: 2, Speed: 1, ColdFrom: 0.15, WarmAfter: 20 * second, CrowdFrom: 3, Crowding: 0.1, By: 8}},
@@ -57,7 +57,7 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			atSizes(t, c.sizes, func(n int) *Day {
-				d := ramp(n, 15, 20e6, 3e9, c.faults...) // calls that end by being given up, of which many more are wanted
+				d := restartDay(n, 15, 20e6, 3e9, c.faults...) // calls that end by being given up, of which many more are wanted
 				d.Slots, d.Length, d.Settle = 0.2, c.length, 1600*ms
 				for k := range d.Operations {
 					d.Operations[k].Timeout, d.Operations[k].Objective = 1500*ms, 1300*ms
@@ -75,7 +75,7 @@
 // together send them many times what they can do.
 func TestColdNodesSurviveWhatAllDispatchersSend(t *testing.T) {
 	atSizes(t, []int{20, 30, 300}, func(n int) *Day {
-		return ramp(n, 5, 150e6, 50e6, Fault{Kind: "ledger", At: second / 2, For: 3 * second, By: 100},
+		return restartDay(n, 5, 150e6, 50e6, Fault{Kind: "ledger", At: second / 2, For: 3 * second, By: 100},
 			Fault{Kind: "restart", At: second, Part: 1})
 	}, func(t *testing.T, o *Outcome) {
 		assert.Greater(t, o.MostSent, 1.0, "they send more than cold nodes can do")
@@ -83,9 +83,9 @@
 	})
 }
 
-// told is a day on which three nodes in ten return cold among warm ones, and one dispatcher for ten nodes heeds what they say.
-func told(n int) *Day {
-	d := ramp(n, 14, 100e6, 10e6, Fault{Kind: "restart", At: second / 2, Part: 0.3})
+// coldNodesDay is a day on which three nodes in ten return cold among warm ones, and one dispatcher for ten nodes heeds what they say.
+func coldNodesDay(n int) *Day {
+	d := restartDay(n, 14, 100e6, 10e6, Fault{Kind: "restart", At: second / 2, Part: 0.3})
 	d.Length, d.Dispatchers = 3*second, d.Dispatchers[:max(3, n/10)]
 	for k := range d.Dispatchers {
 		d.Dispatchers[k].Heeds, d.Dispatchers[k].Stubborn = true, false
@@ -95,7 +95,7 @@
 
 // A cold node says so: where it gets more than it may and chance, most of that is from dispatchers that had not heard it.
 func TestDispatchersThatHeardAColdNodeDoNotFloodIt(t *testing.T) {
-	atSizes(t, []int{20, 30, 300}, told, func(t *testing.T, o *Outcome) {
+	atSizes(t, []int{20, 30, 300}, coldNodesDay, func(t *testing.T, o *Outcome) {
 		assert.Positive(t, o.MostSent)
 		assert.LessOrEqual(t, o.MostTold, 1.0)
 	})
@@ -104,16 +104,18 @@
 // Without what nodes say, the same days show floods: the measure sees them.
 func TestFloodsOfColdNodesThatSayNothingAreSeen(t *testing.T) {
 	for _, n := range []int{20, 30} {
-		d := told(n)
-		d.Make = func(p *admission.Config, now int64) node.Decider { return silent{admission.NewController(p, now)} }
+		d := coldNodesDay(n)
+		d.Make = func(p *admission.Config, now int64) node.Decider {
+			return withoutSignals{admission.NewController(p, now)}
+		}
 		assert.Greater(t, play(t, d).MostTold, 1.0)
 	}
 }
 
-// silent takes what a node tells its dispatchers out of its decisions.
-type silent struct{ node.Decider }
+// withoutSignals takes what a node tells its dispatchers out of its decisions.
+type withoutSignals struct{ node.Decider }
 
-func (s silent) Decide(now int64, events []admission.Event) []admission.Action {
+func (s withoutSignals) Decide(now int64, events []admission.Event) []admission.Action {
 	actions := s.Decider.Decide(now, events)
 	for k := range actions {
 		switch a := &actions[k]; a.Kind {
--- a/internal/testbed/emulator/day.go
+++ b/internal/testbed/emulator/day.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	ms       = int64(1_000_000)
-	second   = 1_000 * ms
-	hop      = 300_000 // ns from one machine to another
-	meter    = 100_000 // ns in which the executor answers for its gauges
-	epoch    = 1_000_000_000_000 * ms
-	slack    = 80 * ms     // ns past its due time at which an unanswered invocation counts as lost
-	sampled  = 100 * ms    // ns between looks at the crowd on the cores
-	crowdOf  = 20          // looks over which the crowd is taken as a mean
-	listed   = 2 * second  // ns until dispatchers hear of a node that comes or goes
-	heeded   = 1 * second  // ns for which a dispatcher bears in mind what a node said
-	streams  = 32          // invocations open on one connection
-	stopAt   = 5 * second  // ns from the notice to the kill
-	grace    = 2 * second  // ns after the notice past which nothing that arrives may run
-	toldPart = 0.5         // of clients that leave, of which the node is told
-	unread   = 256         // invocations that a machine keeps unread; more are turned away by its system
-	linger   = 100 * ms    // ns for which a call that was given up stays in the hands of the ledger
-	callSpan = 5 * second  // ns over which calls in its hands are taken as a mean, where the day does not say
-	settle   = 15 * second // ns past its length in which what is open ends, where the day does not say
-	shareOf  = 4           // times the slots of its cores that the settings allow a node of calls in hand
+	ms              = int64(1_000_000)
+	second          = 1_000 * ms
+	networkDelay    = 300_000 // ns from one machine to another
+	gaugeDelay      = 100_000 // ns in which the executor answers for its gauges
+	epoch           = 1_000_000_000_000 * ms
+	answerSlack     = 80 * ms     // ns past its due time at which an unanswered invocation counts as lost
+	sampleInterval  = 100 * ms    // ns between looks at the crowd on the cores
+	crowdSamples    = 20          // looks over which the crowd is taken as a mean
+	listingDelay    = 2 * second  // ns until dispatchers hear of a node that comes or goes
+	signalLifetime  = 1 * second  // ns for which a dispatcher bears in mind what a node said
+	maxStreams      = 32          // invocations open on one connection
+	drainTimeout    = 5 * second  // ns from the notice to the kill
+	drainGrace      = 2 * second  // ns after the notice past which nothing that arrives may run
+	cancelRate      = 0.5         // of clients that leave, of which the node is told
+	maxBacklog      = 256         // invocations that a machine keeps unread; more are turned away by its system
+	callLinger      = 100 * ms    // ns for which a call that was given up stays in the hands of the ledger
+	defaultCallSpan = 5 * second  // ns over which calls in its hands are taken as a mean, where the day does not say
+	defaultSettle   = 15 * second // ns past its length in which what is open ends, where the day does not say
+	callLimitFactor = 4           // times the slots of its cores that the settings allow a node of calls in hand
 )
 
 // Operation is one kind of invocation. Times are nanoseconds on a core of speed 1.
@@ -101,20 +101,20 @@
 // fleet is a day being played.
 type fleet struct {
 	*virtualtime.Simulator
-	day      *Day
-	start    int64
-	machines []*machine
-	callers  []*dispatcher
-	ledger   *virtualtime.Resource
-	calls    callMeter
-	settings string
-	mean     float64 // ns of work of a mean invocation
-	rate     float64 // invocations a ns at load 1
-	total    *Outcome
-	second   Second
-	ids      uint64
-	slots    float64
-	arrivals *rand.Rand // of its own, so that all variants of a day meet the same arrivals
+	day           *Day
+	start         int64
+	machines      []*machine
+	callers       []*dispatcher
+	ledger        *virtualtime.Resource
+	calls         callMeter
+	settings      string
+	meanWork      float64 // ns of work of a mean invocation
+	arrivalRate   float64 // invocations a ns at load 1
+	total         *Outcome
+	second        Second
+	lastAttemptID uint64
+	slots         float64
+	arrivals      *rand.Rand // of its own, so that all variants of a day meet the same arrivals
 }
 
 // Play plays a day.
@@ -131,36 +131,36 @@
 		if err := m.boot("old"); err != nil {
 			return nil, err
 		}
-		m.known = true
+		m.listed = true
 	}
 	shares := 0.0
 	for _, op := range day.Operations {
-		f.mean, shares = f.mean+op.Share*op.Work, shares+op.Share
+		f.meanWork, shares = f.meanWork+op.Share*op.Work, shares+op.Share
 	}
-	f.mean /= shares
-	if f.rate = power / (f.mean * (1 + day.Reading)); day.Rate > 0 {
-		f.rate = day.Rate / 1e9
+	f.meanWork /= shares
+	if f.arrivalRate = power / (f.meanWork * (1 + day.Reading)); day.Rate > 0 {
+		f.arrivalRate = day.Rate / 1e9
 	}
 	f.slots = max(1, day.Slots*float64(cores))
-	f.total.CallBudget, f.calls.at = f.share()*float64(day.Nodes), f.Now
-	f.calls.looks = make([]float64, f.callSpan()/sampled)
+	f.total.CallBudget, f.calls.at = f.callLimit()*float64(day.Nodes), f.Now
+	f.calls.areas = make([]float64, f.callSpan()/sampleInterval)
 	f.ledger = virtualtime.NewResource(f.Simulator, func(n int) float64 {
 		return min(1, f.slots/float64(max(1, n))) / (1 + 0.3*max(0, float64(n)/f.slots-1))
 	})
 	for k := range day.Dispatchers {
-		d := &dispatcher{fleet: f, index: k, habit: day.Dispatchers[k], heard: make([]heard, day.Nodes),
+		d := &dispatcher{fleet: f, index: k, habit: day.Dispatchers[k], signals: make([]nodeSignals, day.Nodes),
 			conns: make([][]*conn, day.Nodes)}
 		f.callers = append(f.callers, d)
 	}
 	for k := range day.Faults {
-		f.plan(&day.Faults[k])
+		f.scheduleFault(&day.Faults[k])
 	}
-	f.After(f.gap(), f.arrive)
-	f.every(sampled, f.sample)
-	f.every(second, f.tick)
+	f.After(f.drawInterarrival(), f.startInvocation)
+	f.every(sampleInterval, f.sample)
+	f.every(second, f.closeSecond)
 	f.Run(f.start + day.Length)
-	f.Run(f.Now + cmp.Or(day.Settle, settle)) // what is open ends; nothing new arrives
-	f.total.finish(f)
+	f.Run(f.Now + cmp.Or(day.Settle, defaultSettle)) // what is open ends; nothing new arrives
+	f.total.summarize(f)
 	return f.total, nil
 }
 
@@ -171,20 +171,20 @@
 	})
 }
 
-// gap is the time to the next invocation, by thinning a stream of the highest load.
-func (f *fleet) gap() int64 {
-	return int64(f.arrivals.ExpFloat64()/(f.rate*loadMost)) + 1
+// drawInterarrival is the time to the next invocation, by thinning a stream of the highest load.
+func (f *fleet) drawInterarrival() int64 {
+	return int64(f.arrivals.ExpFloat64()/(f.arrivalRate*maxLoad)) + 1
 }
 
-const loadMost = 2.5 // of the capacity, that a load shape may ask for
+const maxLoad = 2.5 // of the capacity, that a load shape may ask for
 
-func (f *fleet) arrive() {
+func (f *fleet) startInvocation() {
 	at := f.Now - f.start
 	if at >= f.day.Length {
 		return
 	}
-	f.After(f.gap(), f.arrive)
-	if f.arrivals.Float64()*loadMost > f.day.Load(at) {
+	f.After(f.drawInterarrival(), f.startInvocation)
+	if f.arrivals.Float64()*maxLoad > f.day.Load(at) {
 		return
 	}
 	shares := make([]float64, len(f.day.Operations))
@@ -201,8 +201,8 @@
 		pick -= shares[k]
 	}
 	op := &f.day.Operations[k]
-	v := &invocation{op: op, kind: k, asked: f.Now, rank: (float64(k) + f.arrivals.Float64()) / float64(len(shares)),
-		work: op.Work * skewed(f.arrivals), subject: f.arrivals.Intn(max(1, f.day.Subjects))}
+	v := &invocation{operation: op, operationIndex: k, startedAt: f.Now, rank: (float64(k) + f.arrivals.Float64()) / float64(len(shares)),
+		work: op.Work * lognormalFactor(f.arrivals), subject: f.arrivals.Intn(max(1, f.day.Subjects))}
 	for calls := op.Calls; calls > 0; calls-- {
 		if f.arrivals.Float64() < calls {
 			v.calls++
@@ -213,8 +213,8 @@
 	f.callers[f.arrivals.Intn(len(f.callers))].send(v, nil)
 }
 
-// skewed is a lognormal factor of mean 1 and a spread of three tenths.
-func skewed(chance *rand.Rand) float64 {
+// lognormalFactor is a lognormal factor of mean 1 and a spread of three tenths.
+func lognormalFactor(chance *rand.Rand) float64 {
 	const sigma = 0.3
 	return math.Exp(sigma*chance.NormFloat64() - sigma*sigma/2)
 }
@@ -233,28 +233,30 @@
 		`"gauges":["cpu_busy","runnable","mem_used","sockets"],"said_for":1000},"guarantees":{"tip_multiple":%g,"fall":%d,`+
 		`"drain_grace":%g,"cold_from":%g,"warm_after":%g},"limits":{"retry_after":true,"max_retry_after":1000},`+
 		`"client_habits":{"marks_retry":true},"group_size":%d}`, strings.Join(ops, ","), m.Cores, strings.Join(calls, ","),
-		f.share(), f.callSpan()/ms, linger/ms, m.By, crowdOf*sampled/ms, float64(grace)/1e6, m.ColdFrom, float64(m.WarmAfter)/1e6, f.day.Nodes)
+		f.callLimit(), f.callSpan()/ms, callLinger/ms, m.By, crowdSamples*sampleInterval/ms, float64(drainGrace)/1e6, m.ColdFrom, float64(m.WarmAfter)/1e6, f.day.Nodes)
 }
 
-// share is the mean of calls in hand that the settings allow each node.
-func (f *fleet) share() float64 { return f.day.Slots * float64(f.day.Models[0].Cores) * shareOf }
+// callLimit is the mean of calls in hand that the settings allow each node.
+func (f *fleet) callLimit() float64 {
+	return f.day.Slots * float64(f.day.Models[0].Cores) * callLimitFactor
+}
 
-func (f *fleet) callSpan() int64 { return cmp.Or(f.day.CallSpan, callSpan) }
+func (f *fleet) callSpan() int64 { return cmp.Or(f.day.CallSpan, defaultCallSpan) }
 
-func (f *fleet) brain(seed int64) (*node.StateMachine, error) {
+func (f *fleet) newStateMachine(seed int64) (*node.StateMachine, error) {
 	p, err := nodeconfig.FromJSON(seed, []byte(f.settings))
 	if err != nil {
 		return nil, err
 	}
-	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "ledger:1", Control: "control:1"}, stopAt, 4000, 400)
+	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "ledger:1", Control: "control:1"}, drainTimeout, 4000, 400)
 	if f.day.Make != nil {
 		r.Decisions = f.day.Make
 	}
 	return r, nil
 }
 
-// plan has a fault strike at its time.
-func (f *fleet) plan(x *Fault) {
+// scheduleFault has a fault strike at its time.
+func (f *fleet) scheduleFault(x *Fault) {
 	struck := max(1, int(math.Round(x.Part*float64(len(f.machines)))))
 	first := f.Rand.Intn(len(f.machines))
 	each := func(do func(k int, m *machine)) func() {
@@ -286,7 +288,7 @@
 		f.At(f.start+x.At+x.For, func() { f.ledger.SetFactor(1) })
 	case "adopt":
 		f.At(f.start+x.At, each(func(_ int, m *machine) {
-			m.put(node.Input{Kind: node.PlanChanged, Plan: f.day.Next})
+			m.deliver(node.Input{Kind: node.PlanChanged, Plan: f.day.Next})
 		}))
 	case "release":
 		f.At(f.start+x.At, each(func(k int, m *machine) {
--- a/internal/testbed/emulator/dispatcher.go
+++ b/internal/testbed/emulator/dispatcher.go
@@ -13,97 +13,97 @@
 
 // invocation is what a client asks for, over all tries.
 type invocation struct {
-	op      *Operation
-	kind    int
-	asked   int64
-	rank    float64
-	work    float64
-	calls   int
-	subject int
-	tries   int
-	over    bool
+	operation      *Operation
+	operationIndex int
+	startedAt      int64
+	rank           float64
+	work           float64
+	calls          int
+	subject        int
+	tries          int
+	ended          bool
 }
 
 // attempt is one try of it at one machine.
 type attempt struct {
-	inv      *invocation
-	by       *dispatcher
-	to       *machine
-	conn     *conn
-	id       string
-	stream   uint32
-	arrived  int64 // at the machine
-	answered bool
-	told     bool // the node was told that nobody waits
-	lost     bool // with its machine
+	invocation *invocation
+	dispatcher *dispatcher
+	machine    *machine
+	conn       *conn
+	id         string
+	stream     uint32
+	arrived    int64 // at the machine
+	answered   bool
+	cancelled  bool // the node was told that nobody waits
+	lost       bool // with its machine
 
-	ran, segments int
-	started       int64
-	left          float64
-	waiting       bool
-	reduced       bool
-	call          *virtualtime.Job // at the ledger
+	timesRun, segments int
+	started            int64
+	segmentWork        float64
+	waitingForLedger   bool
+	reduced            bool
+	ledgerCall         *virtualtime.Job // at the ledger
 }
 
 // conn is a connection of a dispatcher to a node's present life.
 type conn struct {
-	to     *machine
-	link   int
-	born   int64
-	open   map[uint32]*attempt
-	last   uint32
-	noMore bool
+	machine    *machine
+	link       int
+	openedAt   int64
+	open       map[uint32]*attempt
+	lastStream uint32
+	noMore     bool
 }
 
-// heard is what a dispatcher bears in mind of a node.
-type heard struct {
-	level      float64
-	levelUntil int64
-	awayUntil  int64
-	failing    int64 // until when it is passed by after a failed connection
-	life       int   // of the node, in which it last answered
-	said       int64 // when it did
+// nodeSignals is what a dispatcher bears in mind of a node.
+type nodeSignals struct {
+	level        float64
+	levelUntil   int64
+	retryAfter   int64
+	failingUntil int64 // until when it is passed by after a failed connection
+	incarnation  int   // of the node, in which it last answered
+	receivedAt   int64 // when it did
 }
 
 type dispatcher struct {
 	*fleet
-	index int
-	habit Dispatcher
-	heard []heard
-	conns [][]*conn
-	turn  int
+	index       int
+	habit       Dispatcher
+	signals     []nodeSignals
+	conns       [][]*conn
+	nextMachine int
 }
 
 // send tries an invocation at a node that was not tried yet, if any is willing.
 func (d *dispatcher) send(v *invocation, not []*machine) {
-	if v.over {
+	if v.ended {
 		return
 	}
 	m := d.choose(v, not)
 	if m == nil {
 		d.fleet.second.Declined++
-		d.end(v, outcomeThrottled, false)
+		d.endInvocation(v, outcomeThrottled, false)
 		return
 	}
 	v.tries++
 	d.total.Attempts++
-	d.ids++
-	a := &attempt{inv: v, by: d, to: m, id: fmt.Sprintf("%016x", d.ids)}
-	life := m.life
-	d.After(hop, func() {
-		if life != m.life || m.brain == nil || m.shut {
+	d.lastAttemptID++
+	a := &attempt{invocation: v, dispatcher: d, machine: m, id: fmt.Sprintf("%016x", d.lastAttemptID)}
+	life := m.incarnation
+	d.After(networkDelay, func() {
+		if life != m.incarnation || m.stateMachine == nil || m.closed {
 			if !d.habit.Stubborn {
-				d.heard[m.index].failing = d.Now + second
+				d.signals[m.index].failingUntil = d.Now + second
 			}
-			d.again(a, not)
+			d.retry(a, not)
 			return
 		}
-		m.arrived(a)
+		m.receive(a)
 	})
 	if v.tries == 1 {
-		d.At(v.asked+v.op.Timeout, func() {
-			if !v.over {
-				d.end(v, outcomeUnanswered, false)
+		d.At(v.startedAt+v.operation.Timeout, func() {
+			if !v.ended {
+				d.endInvocation(v, outcomeUnanswered, false)
 			}
 		})
 	}
@@ -112,19 +112,19 @@
 // choose is round among those known and willing, or by subject with the next ones as its substitutes.
 func (d *dispatcher) choose(v *invocation, not []*machine) *machine {
 	n := len(d.machines)
-	from := d.turn
+	from := d.nextMachine
 	if d.habit.BySubject {
 		from = v.subject * 7919
 	} else {
-		d.turn++
+		d.nextMachine++
 	}
 	for k := range n {
 		m := d.machines[(from+k)%n]
-		h := &d.heard[m.index]
-		if !m.known || d.Now < h.failing || slices.Contains(not, m) {
+		h := &d.signals[m.index]
+		if !m.listed || d.Now < h.failingUntil || slices.Contains(not, m) {
 			continue
 		}
-		if d.habit.Heeds && (d.Now < h.awayUntil || d.Now < h.levelUntil && v.rank < h.level) {
+		if d.habit.Heeds && (d.Now < h.retryAfter || d.Now < h.levelUntil && v.rank < h.level) {
 			continue
 		}
 		return m
@@ -132,54 +132,54 @@
 	return nil
 }
 
-// again tries once more elsewhere where the habit has it, else the invocation ends turned away.
-func (d *dispatcher) again(a *attempt, not []*machine) {
-	v := a.inv
-	if v.over {
+// retry tries once more elsewhere where the habit has it, else the invocation ends turned away.
+func (d *dispatcher) retry(a *attempt, not []*machine) {
+	v := a.invocation
+	if v.ended {
 		return
 	}
-	if v.tries >= d.habit.Tries || d.Now+d.habit.Backoff >= v.asked+v.op.Timeout {
-		d.end(v, outcomeThrottled, false)
+	if v.tries >= d.habit.Tries || d.Now+d.habit.Backoff >= v.startedAt+v.operation.Timeout {
+		d.endInvocation(v, outcomeThrottled, false)
 		return
 	}
-	not = append(slices.Clone(not), a.to)
+	not = append(slices.Clone(not), a.machine)
 	d.After(d.habit.Backoff, func() { d.send(v, not) })
 }
 
 // deliver brings what was read to the node, on a connection with room.
 func (a *attempt) deliver() {
-	d, m := a.by, a.to
-	if a.inv.over {
+	d, m := a.dispatcher, a.machine
+	if a.invocation.ended {
 		return // its client left while it lay unread; the bytes were read all the same
 	}
-	if m.shut {
-		a.refusedBySystem()
+	if m.closed {
+		a.connectionRefused()
 		return
 	}
 	var c *conn
 	for _, have := range d.conns[m.index] {
-		if m.conns[have.link] == have && !have.noMore && len(have.open) < streams {
+		if m.conns[have.link] == have && !have.noMore && len(have.open) < maxStreams {
 			c = have
 			break
 		}
 	}
 	if c == nil {
-		m.lastID++
-		c = &conn{to: m, link: m.lastID, born: m.Now, open: map[uint32]*attempt{}}
+		m.lastLink++
+		c = &conn{machine: m, link: m.lastLink, openedAt: m.Now, open: map[uint32]*attempt{}}
 		m.conns[c.link] = c
 		d.conns[m.index] = append(slices.DeleteFunc(d.conns[m.index], func(old *conn) bool {
 			return m.conns[old.link] != old
 		}), c)
-		m.put(node.Input{Kind: node.ConnectionOpened, Link: c.link})
+		m.deliver(node.Input{Kind: node.ConnectionOpened, Link: c.link})
 	}
-	c.last++
-	a.conn, a.stream = c, c.last
+	c.lastStream++
+	a.conn, a.stream = c, c.lastStream
 	c.open[a.stream] = a
-	m.open[a.id] = a
-	v := a.inv
-	fields := []frame.Field{{Name: "op", Value: v.op.Name}, {Name: "call", Value: a.id},
+	m.openAttempts[a.id] = a
+	v := a.invocation
+	fields := []frame.Field{{Name: "op", Value: v.operation.Name}, {Name: "call", Value: a.id},
 		{Name: "recv", Value: strconv.FormatInt(a.arrived/ms, 10)}, {Name: "src", Value: strconv.Itoa(d.index)},
-		{Name: "work", Value: fmt.Sprintf("%.2f", v.op.Work*skewed(m.Rand)/1e6)}, {Name: "heap", Value: "24"},
+		{Name: "work", Value: fmt.Sprintf("%.2f", v.operation.Work*lognormalFactor(m.Rand)/1e6)}, {Name: "heap", Value: "24"},
 		{Name: "crit", Value: fmt.Sprintf("%.4f", v.rank*0.9999)}, {Name: "row", Value: fmt.Sprintf("%016x", v.subject)}}
 	if v.tries > 1 {
 		fields = append(fields, frame.Field{Name: "rep", Value: "1"})
@@ -188,27 +188,27 @@
 	b := frame.AppendInvocation(nil, a.stream, fields, []byte(a.id))
 	in := node.Input{Kind: node.FrameReceived, Link: c.link,
 		Frame: frame.Frame{Type: frame.Invocation, Stream: a.stream, Payload: b[head:]}}
-	if c.born == m.Now { // nothing is read from a connection before the node has taken it on
-		m.later(0, func() { m.put(in) })
+	if c.openedAt == m.Now { // nothing is read from a connection before the node has taken it on
+		m.afterInIncarnation(0, func() { m.deliver(in) })
 	} else {
-		m.put(in)
+		m.deliver(in)
 	}
 	m.fleet.second.Read++
-	m.At(a.arrived+v.op.Timeout+slack, func() {
-		if !a.answered && !a.told && !a.lost {
+	m.At(a.arrived+v.operation.Timeout+answerSlack, func() {
+		if !a.answered && !a.cancelled && !a.lost {
 			m.total.breach("an invocation that was read had no answer in time")
 		}
 	})
-	if m.Rand.Float64() > toldPart {
+	if m.Rand.Float64() > cancelRate {
 		return
 	}
-	m.At(v.asked+v.op.Timeout, func() { // the client leaves
+	m.At(v.startedAt+v.operation.Timeout, func() { // the client leaves
 		if !a.answered && !a.lost && m.conns[c.link] == c {
-			a.told = true
+			a.cancelled = true
 			delete(c.open, a.stream)
-			delete(m.open, a.id)
-			m.put(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Gone, Stream: a.stream}})
-			m.over(a)
+			delete(m.openAttempts, a.id)
+			m.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: frame.Frame{Type: frame.Gone, Stream: a.stream}})
+			m.endWaitingRun(a)
 		}
 	})
 }
@@ -216,69 +216,69 @@
 // answer takes the node's answer, and bears in mind what it says.
 func (a *attempt) answer(code byte, fields []frame.Field) {
 	if a.answered {
-		a.to.total.breach("two answers to one invocation")
+		a.machine.total.breach("two answers to one invocation")
 		return
 	}
 	a.answered = true
 	delete(a.conn.open, a.stream)
-	delete(a.to.open, a.id)
-	a.to.over(a)
-	d, now := a.by, a.to.Now
+	delete(a.machine.openAttempts, a.id)
+	a.machine.endWaitingRun(a)
+	d, now := a.dispatcher, a.machine.Now
 	stop, level := false, ""
-	h := &d.heard[a.to.index]
+	h := &d.signals[a.machine.index]
 	for _, field := range fields {
 		n, _ := strconv.ParseFloat(field.Value, 64)
 		switch field.Name {
 		case "load":
-			h.level, h.levelUntil = n, now+heeded
+			h.level, h.levelUntil = n, now+signalLifetime
 		case "pushback":
-			h.awayUntil = now + int64(n)*ms
+			h.retryAfter = now + int64(n)*ms
 		case "stop":
 			stop = true
 		case "level":
 			level = field.Value
 		}
 	}
-	h.life, h.said = a.to.life, now
+	h.incarnation, h.receivedAt = a.machine.incarnation, now
 	if (level != "") != a.reduced && code == frame.Succeeded {
-		a.to.total.breach("a reduced answer and its mark do not agree")
+		a.machine.total.breach("a reduced answer and its mark do not agree")
 	}
-	d.After(hop, func() {
+	d.After(networkDelay, func() {
 		switch {
-		case a.inv.over:
+		case a.invocation.ended:
 		case code == frame.Succeeded:
-			d.end(a.inv, outcomeServed, a.reduced)
-		case code == frame.Throttled && a.ran > 0:
+			d.endInvocation(a.invocation, outcomeServed, a.reduced)
+		case code == frame.Throttled && a.timesRun > 0:
 			d.total.breach("throttled though it has run")
 		case code == frame.Throttled && !(stop && d.habit.Heeds):
-			d.again(a, nil)
+			d.retry(a, nil)
 		case code == frame.Throttled:
-			d.end(a.inv, outcomeThrottled, false)
+			d.endInvocation(a.invocation, outcomeThrottled, false)
 		default:
-			d.end(a.inv, outcomeErrored, false)
+			d.endInvocation(a.invocation, outcomeErrored, false)
 		}
 	})
 }
 
-// refusedBySystem is a connection that could not be had: nothing was read.
-func (a *attempt) refusedBySystem() {
-	if !a.by.habit.Stubborn {
-		a.by.heard[a.to.index].failing = a.by.Now + second
+// connectionRefused is a connection that could not be had: nothing was read.
+func (a *attempt) connectionRefused() {
+	if !a.dispatcher.habit.Stubborn {
+		a.dispatcher.signals[a.machine.index].failingUntil = a.dispatcher.Now + second
 	}
-	a.by.again(a, nil)
+	a.dispatcher.retry(a, nil)
 }
 
-// lostWith ends a try whose machine died before it was read.
-func (a *attempt) lostWith() {
+// lose ends a try whose machine died before it was read.
+func (a *attempt) lose() {
 	a.lost = true
-	a.refusedBySystem()
+	a.connectionRefused()
 }
 
-// reset ends a connection with its node.
-func (c *conn) reset() {
+// breakOff ends a connection with its node.
+func (c *conn) breakOff() {
 	for _, stream := range slices.Sorted(maps.Keys(c.open)) {
-		if a := c.open[stream]; !a.answered && !a.told {
-			a.lostWith()
+		if a := c.open[stream]; !a.answered && !a.cancelled {
+			a.lose()
 		}
 	}
 	c.noMore = true
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -17,134 +17,134 @@
 // machine is one node with the executor that owns its cores.
 type machine struct {
 	*fleet
-	index  int
-	model  Model
-	brain  *node.StateMachine
-	cores  *virtualtime.Resource
-	life   int // counts starts; what was planned in an earlier one is void
-	born   int64
-	cold   bool
-	known  bool // to dispatchers
-	shut   bool
-	noted  int64 // when it was told to drain, 0 before
-	wake   int64 // when the node asked to be stepped
-	inbox  []node.Input
-	woken  bool
-	notice int
-	link   int
+	index            int
+	model            Model
+	stateMachine     *node.StateMachine
+	cores            *virtualtime.Resource
+	incarnation      int // counts starts; what was planned in an earlier one is void
+	startedAt        int64
+	cold             bool
+	listed           bool // to dispatchers
+	closed           bool
+	drainRequestedAt int64 // when it was told to drain, 0 before
+	wakeAt           int64 // when the node asked to be stepped
+	inbox            []node.Input
+	stepScheduled    bool
+	lastNotice       int
+	executorLink     int
 
-	unread  []*attempt
-	reading int
-	open    map[string]*attempt // delivered, their answer not seen yet
-	runs    map[string]*attempt
-	ledgers map[int]*attempt
-	crowd   []int
-	sent    []sending // to it while it is cold
-	conns   map[int]*conn
-	lastID  int
-	level   string
+	backlog         []*attempt
+	reading         int
+	openAttempts    map[string]*attempt // delivered, their answer not seen yet
+	runningAttempts map[string]*attempt
+	ledgerCalls     map[int]*attempt
+	runsPerLook     []int
+	coldArrivals    []coldArrival // to it while it is cold
+	conns           map[int]*conn
+	lastLink        int
+	level           string
 }
 
 // boot starts the node with its executor, which is new or has been up for long.
 func (m *machine) boot(state string) error {
-	brain, err := m.fleet.brain(m.Rand.Int63())
+	brain, err := m.fleet.newStateMachine(m.Rand.Int63())
 	if err != nil {
 		return err
 	}
-	m.life++
-	m.brain, m.born, m.cold, m.shut, m.noted, m.notice = brain, m.Now, state == "new", false, 0, 0
-	m.unread, m.reading, m.runs, m.ledgers = nil, 0, map[string]*attempt{}, map[int]*attempt{}
-	m.open = map[string]*attempt{}
-	m.conns, m.inbox, m.woken, m.crowd, m.level = map[int]*conn{}, nil, false, nil, ""
-	m.sent = nil
-	m.cores = virtualtime.NewResource(m.Simulator, m.pace)
+	m.incarnation++
+	m.stateMachine, m.startedAt, m.cold, m.closed, m.drainRequestedAt, m.lastNotice = brain, m.Now, state == "new", false, 0, 0
+	m.backlog, m.reading, m.runningAttempts, m.ledgerCalls = nil, 0, map[string]*attempt{}, map[int]*attempt{}
+	m.openAttempts = map[string]*attempt{}
+	m.conns, m.inbox, m.stepScheduled, m.runsPerLook, m.level = map[int]*conn{}, nil, false, nil, ""
+	m.coldArrivals = nil
+	m.cores = virtualtime.NewResource(m.Simulator, m.rate)
 	if m.day.Plan != nil {
-		m.put(node.Input{Kind: node.PlanChanged, Plan: m.day.Plan})
+		m.deliver(node.Input{Kind: node.PlanChanged, Plan: m.day.Plan})
 	} else {
-		m.put()
+		m.deliver()
 	}
 	if m.cold {
-		m.warm()
+		m.updateRateWhileWarming()
 	}
 	return nil
 }
 
-func (m *machine) warm() {
-	life := m.life
+func (m *machine) updateRateWhileWarming() {
+	life := m.incarnation
 	m.After(250*ms, func() {
-		if life == m.life && m.Now-m.born < m.model.WarmAfter+second {
+		if life == m.incarnation && m.Now-m.startedAt < m.model.WarmAfter+second {
 			m.cores.Update()
-			m.warm()
+			m.updateRateWhileWarming()
 		}
 	})
 }
 
-// pace is what each of so many jobs gets of the cores.
-func (m *machine) pace(jobs int) float64 {
+// rate is what each of so many jobs gets of the cores.
+func (m *machine) rate(jobs int) float64 {
 	if jobs == 0 {
 		return 0
 	}
-	speed := m.model.Speed * m.warmth()
+	speed := m.model.Speed * m.warmupFraction()
 	each := float64(jobs) / float64(m.model.Cores)
 	return speed * min(1, 1/each) / (1 + m.model.Crowding*max(0, each-m.model.CrowdFrom))
 }
 
 func (m *machine) kill() {
-	if m.brain == nil {
+	if m.stateMachine == nil {
 		return
 	}
-	m.brain, m.known = nil, false
-	m.life++
+	m.stateMachine, m.listed = nil, false
+	m.incarnation++
 	m.cores.Clear()
-	for _, link := range slices.Sorted(maps.Keys(m.ledgers)) {
-		m.giveUpCall(m.ledgers[link])
+	for _, link := range slices.Sorted(maps.Keys(m.ledgerCalls)) {
+		m.abandonCall(m.ledgerCalls[link])
 	}
 	for _, link := range slices.Sorted(maps.Keys(m.conns)) {
-		m.conns[link].reset()
+		m.conns[link].breakOff()
 	}
-	for _, a := range m.unread {
-		a.lostWith()
+	for _, a := range m.backlog {
+		a.lose()
 	}
 }
 
 func (m *machine) reboot() {
-	if m.brain != nil {
+	if m.stateMachine != nil {
 		return
 	}
 	if err := m.boot("new"); err != nil {
 		m.total.breach("a node could not start: " + err.Error())
 	}
-	life := m.life
-	m.After(listed, func() {
-		if life == m.life {
-			m.known = true
+	life := m.incarnation
+	m.After(listingDelay, func() {
+		if life == m.incarnation {
+			m.listed = true
 		}
 	})
 }
 
 // restart kills the machine and has it back at once, cold.
 func (m *machine) restart() {
-	if known := m.known; m.brain != nil {
+	if known := m.listed; m.stateMachine != nil {
 		m.kill()
 		m.reboot()
-		m.known = known
+		m.listed = known
 	}
 }
 
 // release drains the node, kills it when its time is over and starts the next one cold.
 func (m *machine) release() {
-	if m.brain == nil {
+	if m.stateMachine == nil {
 		return
 	}
-	m.noted = m.Now
-	life := m.life
-	m.put(node.Input{Kind: node.DrainRequested})
-	m.After(listed, func() { m.known = m.known && life != m.life })
-	m.After(stopAt, func() {
-		if life == m.life {
+	m.drainRequestedAt = m.Now
+	life := m.incarnation
+	m.deliver(node.Input{Kind: node.DrainRequested})
+	m.After(listingDelay, func() { m.listed = m.listed && life != m.incarnation })
+	m.After(drainTimeout, func() {
+		if life == m.incarnation {
 			for _, c := range m.conns {
 				for _, a := range c.open {
-					if !a.answered && !a.told {
+					if !a.answered && !a.cancelled {
 						m.total.breach("unanswered at the kill of a drain")
 					}
 				}
@@ -155,33 +155,33 @@
 	})
 }
 
-// put hands inputs to the node; those of one moment go in one step.
-func (m *machine) put(in ...node.Input) {
-	if m.brain == nil {
+// deliver hands inputs to the node; those of one moment go in one step.
+func (m *machine) deliver(in ...node.Input) {
+	if m.stateMachine == nil {
 		return
 	}
 	m.inbox = append(m.inbox, in...)
-	if !m.woken {
-		m.woken = true
-		m.stepAt(m.Now)
+	if !m.stepScheduled {
+		m.stepScheduled = true
+		m.scheduleStep(m.Now)
 	}
 }
 
-func (m *machine) stepAt(at int64) {
-	life := m.life
+func (m *machine) scheduleStep(at int64) {
+	life := m.incarnation
 	m.At(at, func() {
-		if life == m.life {
+		if life == m.incarnation {
 			m.step()
 		}
 	})
 }
 
 func (m *machine) step() {
-	m.woken = false
+	m.stepScheduled = false
 	in := m.inbox
 	m.inbox = nil
 	wake := int64(0)
-	effects := m.brain.Step(m.Now, m.Now, in)
+	effects := m.stateMachine.Step(m.Now, m.Now, in)
 	left := false
 	for i := range effects {
 		switch e := &effects[i]; e.Kind {
@@ -190,7 +190,7 @@
 		case node.Exit:
 			left = true
 		default:
-			m.carry(e)
+			m.apply(e)
 		}
 	}
 	if left {
@@ -198,71 +198,71 @@
 		m.After(second, m.reboot)
 		return
 	}
-	if m.wake = wake; wake < 1<<62 {
-		life := m.life
+	if m.wakeAt = wake; wake < 1<<62 {
+		life := m.incarnation
 		m.At(wake, func() {
-			if life == m.life && m.wake == wake && !m.woken {
+			if life == m.incarnation && m.wakeAt == wake && !m.stepScheduled {
 				m.step()
 			}
 		})
 	}
 }
 
-// later has something done unless the machine is killed before.
-func (m *machine) later(ns int64, do func()) {
-	life := m.life
+// afterInIncarnation has something done unless the machine is killed before.
+func (m *machine) afterInIncarnation(ns int64, do func()) {
+	life := m.incarnation
 	m.After(ns, func() {
-		if life == m.life {
+		if life == m.incarnation {
 			do()
 		}
 	})
 }
 
-func (m *machine) carry(e *node.Effect) {
+func (m *machine) apply(e *node.Effect) {
 	switch e.Kind {
 	case node.SendToConnection:
-		m.send(e)
+		m.receiveFrame(e)
 	case node.CloseAfterFlush, node.EvictConnection:
 		link := e.Link
 		if c := m.conns[link]; c != nil {
 			c.noMore = true
 			delete(m.conns, link)
 		}
-		m.later(hop, func() { m.put(node.Input{Kind: node.ConnectionClosed, Link: link}) })
+		m.afterInIncarnation(networkDelay, func() { m.deliver(node.Input{Kind: node.ConnectionClosed, Link: link}) })
 	case node.DialExecutor:
 		link := e.Link
-		m.later(hop, func() {
-			m.link = link
-			m.put(node.Input{Kind: node.ExecutorConnected, Link: link})
+		m.afterInIncarnation(networkDelay, func() {
+			m.executorLink = link
+			m.deliver(node.Input{Kind: node.ExecutorConnected, Link: link})
 		})
 	case node.SendToExecutor:
-		words, body := split(e.Bytes)
-		m.told(words, body)
+		words, body := splitLine(e.Bytes)
+		m.executorReceived(words, body)
 	case node.DialCatalogue:
 		link := e.Link
-		m.later(hop, func() { m.put(node.Input{Kind: node.CatalogueConnected, Link: link}) })
+		m.afterInIncarnation(networkDelay, func() { m.deliver(node.Input{Kind: node.CatalogueConnected, Link: link}) })
 	case node.SendToCatalogue:
-		words, body := split(e.Bytes)
-		m.ask(e.Link, words, body)
+		words, body := splitLine(e.Bytes)
+		m.ledgerReceived(e.Link, words, body)
 	case node.CloseCatalogue:
-		if a := m.ledgers[e.Link]; a != nil {
-			delete(m.ledgers, e.Link)
-			m.giveUpCall(a)
+		if a := m.ledgerCalls[e.Link]; a != nil {
+			delete(m.ledgerCalls, e.Link)
+			m.abandonCall(a)
 		}
 	case node.SendReport:
 		link := e.Link
-		m.later(hop, func() { m.put(node.Input{Kind: node.ReportFinished, Link: link}) })
+		m.afterInIncarnation(networkDelay, func() { m.deliver(node.Input{Kind: node.ReportFinished, Link: link}) })
 	case node.StopAccepting:
-		m.shut = true
-		m.later(hop, func() { m.put(node.Input{Kind: node.ListenerClosed}) })
+		m.closed = true
+		m.afterInIncarnation(networkDelay, func() { m.deliver(node.Input{Kind: node.ListenerClosed}) })
 	case node.LevelChanged:
 		m.level = e.LevelChange.ToName
-		m.total.turned(m, e.LevelChange)
+		m.total.levelChanged(m, e.LevelChange)
 	}
 }
 
-// split takes a line of words and the body behind it apart.
-func split(b []byte) (words []string, body []byte) {
+// splitLine takes a line of words and the body behind it apart.
+func splitLine(b []byte) (words []string, body []byte) {
 	end := bytes.Index(b, []byte("\r\n"))
 	words = strings.Fields(string(b[:end]))
 	if rest := b[end+2:]; len(rest) >= 2 {
@@ -271,153 +271,153 @@
 	return words, body
 }
 
-func (m *machine) tell(text string, body []byte) {
-	link := m.link
+func (m *machine) sendFromExecutor(text string, body []byte) {
+	link := m.executorLink
 	line := lineprotocol.Line{Words: strings.Fields(text), Body: body}
-	m.later(meter, func() { m.put(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: line}) })
+	m.afterInIncarnation(gaugeDelay, func() { m.deliver(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: line}) })
 }
 
-// told is the executor.
-func (m *machine) told(words []string, body []byte) {
+// executorReceived is the executor.
+func (m *machine) executorReceived(words []string, body []byte) {
 	switch words[0] {
 	case "JOIN":
 		state := "old"
 		if m.cold {
 			state = "new"
 		}
-		m.tell("WELCOME "+state+" "+strconv.FormatInt((m.Now-m.born)/ms, 10), nil)
+		m.sendFromExecutor("WELCOME "+state+" "+strconv.FormatInt((m.Now-m.startedAt)/ms, 10), nil)
 	case "METER":
-		wants := m.reading + m.onCores()
+		wants := m.reading + m.runsOnCores()
 		busy := min(1, float64(wants)/float64(m.model.Cores))
-		m.tell(fmt.Sprintf("METERS %s %.3f %d 0.1 %d", words[1], busy, wants, len(m.conns)), nil)
+		m.sendFromExecutor(fmt.Sprintf("METERS %s %.3f %d 0.1 %d", words[1], busy, wants, len(m.conns)), nil)
 	case "EXEC":
-		m.exec(words[1], words[2], body)
+		m.startRun(words[1], words[2], body)
 	case "RETURN":
-		if a := m.runs[words[1]]; a != nil && a.waiting {
-			a.waiting = false
-			m.segment(a)
+		if a := m.runningAttempts[words[1]]; a != nil && a.waitingForLedger {
+			a.waitingForLedger = false
+			m.runSegment(a)
 		}
 	}
 }
 
-func (m *machine) onCores() int { return m.cores.Jobs() - m.reading }
+func (m *machine) runsOnCores() int { return m.cores.Jobs() - m.reading }
 
-func (m *machine) exec(id, class string, body []byte) {
-	a := m.open[id]
+func (m *machine) startRun(id, class string, body []byte) {
+	a := m.openAttempts[id]
 	if a == nil {
-		m.tell("BAD EXEC "+id, nil)
+		m.sendFromExecutor("BAD EXEC "+id, nil)
 		return
 	}
-	a.ran++
-	if a.ran > 1 {
+	a.timesRun++
+	if a.timesRun > 1 {
 		m.total.breach("one try was run twice")
 	}
-	if m.noted > 0 && a.arrived > m.noted+grace {
+	if m.drainRequestedAt > 0 && a.arrived > m.drainRequestedAt+drainGrace {
 		m.total.breach("run though it arrived after the grace")
 	}
 	if string(body) != a.id {
 		m.total.breach("a body was changed on its way")
 	}
-	m.runs[id] = a
-	a.started, a.left = m.Now, a.inv.work
-	if class != a.inv.op.Name {
-		if class != a.inv.op.Reduced {
+	m.runningAttempts[id] = a
+	a.started, a.segmentWork = m.Now, a.invocation.work
+	if class != a.invocation.operation.Name {
+		if class != a.invocation.operation.Reduced {
 			m.total.breach("a form that the executor does not know: " + class)
 		}
-		a.reduced, a.left = true, a.left*a.inv.op.ReducedWork
+		a.reduced, a.segmentWork = true, a.segmentWork*a.invocation.operation.ReducedWork
 	}
-	a.segments = a.inv.calls + 1
-	a.left /= float64(a.segments)
-	m.segment(a)
+	a.segments = a.invocation.calls + 1
+	a.segmentWork /= float64(a.segments)
+	m.runSegment(a)
 }
 
-// segment is the work up to the next call or the end.
-func (m *machine) segment(a *attempt) {
-	life := m.life
-	m.cores.Add(a.left, func() {
-		if life != m.life {
+// runSegment is the work up to the next call or the end.
+func (m *machine) runSegment(a *attempt) {
+	life := m.incarnation
+	m.cores.Add(a.segmentWork, func() {
+		if life != m.incarnation {
 			return
 		}
-		m.notice++
-		if a.segments--; a.segments > 0 && !a.told && !a.answered {
-			a.waiting = true
-			m.tell(fmt.Sprintf("CALLOUT %d %s %d", m.notice, a.id, len(a.id)), []byte(a.id))
+		m.lastNotice++
+		if a.segments--; a.segments > 0 && !a.cancelled && !a.answered {
+			a.waitingForLedger = true
+			m.sendFromExecutor(fmt.Sprintf("CALLOUT %d %s %d", m.lastNotice, a.id, len(a.id)), []byte(a.id))
 			return
 		}
-		delete(m.runs, a.id)
+		delete(m.runningAttempts, a.id)
 		end := "good"
 		if a.segments > 0 {
 			end = "cut"
 		}
-		m.tell(fmt.Sprintf("EXIT %d %s %s %d %d", m.notice, a.id, end, (m.Now-a.started)/ms, len(a.id)), []byte(a.id))
+		m.sendFromExecutor(fmt.Sprintf("EXIT %d %s %s %d %d", m.lastNotice, a.id, end, (m.Now-a.started)/ms, len(a.id)), []byte(a.id))
 	})
 }
 
-// over ends a run that waits at a call for an invocation that nobody waits for any more.
-func (m *machine) over(a *attempt) {
-	if !a.waiting {
+// endWaitingRun ends a run that waits at a call for an invocation that nobody waits for any more.
+func (m *machine) endWaitingRun(a *attempt) {
+	if !a.waitingForLedger {
 		return
 	}
-	a.waiting = false
-	delete(m.runs, a.id)
-	m.notice++
-	m.tell(fmt.Sprintf("EXIT %d %s cut %d 0", m.notice, a.id, (m.Now-a.started)/ms), nil)
+	a.waitingForLedger = false
+	delete(m.runningAttempts, a.id)
+	m.lastNotice++
+	m.sendFromExecutor(fmt.Sprintf("EXIT %d %s cut %d 0", m.lastNotice, a.id, (m.Now-a.started)/ms), nil)
 }
 
-// ask is the ledger.
-func (m *machine) ask(link int, words []string, body []byte) {
+// ledgerReceived is the ledger.
+func (m *machine) ledgerReceived(link int, words []string, body []byte) {
 	if words[0] != "FETCH" {
 		return
 	}
-	a := m.runs[words[1]]
+	a := m.runningAttempts[words[1]]
 	if a == nil {
 		return
 	}
-	m.ledgers[link] = a
+	m.ledgerCalls[link] = a
 	m.total.Calls++
 	m.calls.count(m.Now, 1)
-	a.call = m.ledger.Add(a.inv.op.Call*skewed(m.Rand), func() {
+	a.ledgerCall = m.ledger.Add(a.invocation.operation.Call*lognormalFactor(m.Rand), func() {
 		m.calls.count(m.Now, -1)
-		if m.ledgers[link] != a {
+		if m.ledgerCalls[link] != a {
 			return
 		}
-		delete(m.ledgers, link)
-		m.put(node.Input{Kind: node.CatalogueLineReceived, Link: link,
+		delete(m.ledgerCalls, link)
+		m.deliver(node.Input{Kind: node.CatalogueLineReceived, Link: link,
 			Line: lineprotocol.Line{Words: []string{a.id, "DATA", strconv.Itoa(len(body))}, Body: body}})
 	})
 	m.total.MostCalls = max(m.total.MostCalls, float64(m.ledger.Jobs())/m.slots)
 }
 
-// arrived takes an invocation that came to the machine: it lies unread until a core has read it.
-func (m *machine) arrived(a *attempt) {
-	if len(m.unread) >= unread {
-		a.refusedBySystem()
+// receive takes an invocation that came to the machine: it lies unread until a core has read it.
+func (m *machine) receive(a *attempt) {
+	if len(m.backlog) >= maxBacklog {
+		a.connectionRefused()
 		return
 	}
 	a.arrived = m.Now
-	m.notePressure(a)
-	m.unread = append(m.unread, a)
-	m.read()
+	m.recordColdArrival(a)
+	m.backlog = append(m.backlog, a)
+	m.readBacklog()
 }
 
-func (m *machine) read() {
-	for m.reading < m.model.Cores && len(m.unread) > 0 {
-		a := m.unread[0]
-		m.unread = m.unread[1:]
+func (m *machine) readBacklog() {
+	for m.reading < m.model.Cores && len(m.backlog) > 0 {
+		a := m.backlog[0]
+		m.backlog = m.backlog[1:]
 		m.reading++
-		life := m.life
-		m.cores.Add(m.day.Reading*m.mean, func() {
-			if life == m.life {
+		life := m.incarnation
+		m.cores.Add(m.day.Reading*m.meanWork, func() {
+			if life == m.incarnation {
 				m.reading--
 				a.deliver()
-				m.read()
+				m.readBacklog()
 			}
 		})
 	}
 }
 
-// send brings what the node writes to its dispatcher.
-func (m *machine) send(e *node.Effect) {
+// receiveFrame brings what the node writes to its dispatcher.
+func (m *machine) receiveFrame(e *node.Effect) {
 	c := m.conns[e.Link]
 	if c == nil {
 		return
--- a/internal/testbed/emulator/outcome.go
+++ b/internal/testbed/emulator/outcome.go
@@ -11,10 +11,10 @@
 	"topazpost/internal/node"
 )
 
-type ending uint8
+type invocationOutcome uint8
 
 const (
-	outcomeServed ending = iota
+	outcomeServed invocationOutcome = iota
 	outcomeThrottled
 	outcomeErrored
 	outcomeUnanswered
@@ -26,7 +26,7 @@
 	Asked, Whole, Reduced, Late       int
 	Throttled, Errored, Unanswered    int
 	Value, Served, ByWhole, ByReduced float64
-	inTime                            *hdrhistogram.Histogram // microseconds of answers
+	latencies                         *hdrhistogram.Histogram // microseconds of answers
 	P50, P99                          float64                 // ms
 	InObjective                       float64                 // of the answers
 }
@@ -74,7 +74,7 @@
 func newOutcome(day *Day) *Outcome {
 	o := &Outcome{Breaches: map[string]int{}, levels: map[int]int{}, start: epoch}
 	for _, op := range day.Operations {
-		o.Operations = append(o.Operations, Tally{Name: op.Name, inTime: hdrhistogram.New(1, 120_000_000, 3)})
+		o.Operations = append(o.Operations, Tally{Name: op.Name, latencies: hdrhistogram.New(1, 120_000_000, 3)})
 	}
 	return o
 }
@@ -99,31 +99,31 @@
 }
 
 func (o *Outcome) asked(v *invocation) {
-	t := &o.Operations[v.kind]
+	t := &o.Operations[v.operationIndex]
 	t.Asked++
-	t.Value += v.op.Value
+	t.Value += v.operation.Value
 }
 
-// end is the end of an invocation for its client.
-func (f *fleet) end(v *invocation, how ending, reduced bool) {
-	if v.over {
+// endInvocation is the endInvocation of an invocation for its client.
+func (f *fleet) endInvocation(v *invocation, how invocationOutcome, reduced bool) {
+	if v.ended {
 		return
 	}
-	v.over = true
-	t, s := &f.total.Operations[v.kind], &f.second
-	took := f.Now - v.asked
+	v.ended = true
+	t, s := &f.total.Operations[v.operationIndex], &f.second
+	took := f.Now - v.startedAt
 	switch how {
 	case outcomeServed:
-		value := v.op.Value
+		value := v.operation.Value
 		if reduced {
 			t.Reduced++
-			value *= v.op.Reduce
+			value *= v.operation.Reduce
 		} else {
 			t.Whole++
 		}
-		if took > v.op.Objective {
+		if took > v.operation.Objective {
 			t.Late++
-			value *= v.op.LateShare
+			value *= v.operation.LateShare
 		}
 		if t.Served += value; reduced {
 			t.ByReduced += value
@@ -132,7 +132,7 @@
 			t.ByWhole += value
 		}
 		s.Served += value
-		t.inTime.RecordValue(took / 1_000)
+		t.latencies.RecordValue(took / 1_000)
 	case outcomeThrottled:
 		t.Throttled++
 		s.Throttled++
@@ -144,7 +144,7 @@
 	}
 }
 
-func (o *Outcome) turned(m *machine, t *node.LevelChange) {
+func (o *Outcome) levelChanged(m *machine, t *node.LevelChange) {
 	if t.From != t.To {
 		o.Turns = append(o.Turns, Turn{float64(m.Now-o.start) / 1e9, m.index, t.From, t.To, t.String()})
 	}
@@ -155,18 +155,18 @@
 func (f *fleet) sample() {
 	f.total.MostMean = max(f.total.MostMean, f.calls.mean(f.Now))
 	for _, m := range f.machines {
-		if m.brain == nil {
+		if m.stateMachine == nil {
 			continue
 		}
-		m.crowd = append(m.crowd, m.onCores())
-		if len(m.crowd) > crowdOf {
-			m.crowd = m.crowd[1:]
+		m.runsPerLook = append(m.runsPerLook, m.runsOnCores())
+		if len(m.runsPerLook) > crowdSamples {
+			m.runsPerLook = m.runsPerLook[1:]
 		}
 		sum := 0
-		for _, n := range m.crowd {
+		for _, n := range m.runsPerLook {
 			sum += n
 		}
-		crowd, survived := float64(sum)/crowdOf/float64(m.model.Cores), 1+(m.model.By-1)*m.warmth()
+		crowd, survived := float64(sum)/crowdSamples/float64(m.model.Cores), 1+(m.model.By-1)*m.warmupFraction()
 		f.total.MostCrowd = max(f.total.MostCrowd, crowd)
 		if m.cold {
 			f.total.ColdCrowd = max(f.total.ColdCrowd, crowd/survived)
@@ -177,8 +177,8 @@
 	}
 }
 
-// tick closes a second.
-func (f *fleet) tick() {
+// closeSecond closes a second.
+func (f *fleet) closeSecond() {
 	at := f.Now - f.start
 	if at > f.day.Length {
 		return
@@ -187,11 +187,11 @@
 	s.At, s.Load = float64(at)/1e9, f.day.Load(at-second/2)
 	for _, m := range f.machines {
 		level := -1
-		if m.brain != nil {
+		if m.stateMachine != nil {
 			level = f.total.levels[m.index]
-			s.OnCores += m.onCores()
-			s.InHand += len(m.ledgers)
-			s.Held += len(m.open) - len(m.runs)
+			s.OnCores += m.runsOnCores()
+			s.InHand += len(m.ledgerCalls)
+			s.Held += len(m.openAttempts) - len(m.runningAttempts)
 		}
 		s.Levels = append(s.Levels, level)
 	}
@@ -202,22 +202,22 @@
 	f.second = Second{}
 }
 
-func (o *Outcome) finish(f *fleet) {
+func (o *Outcome) summarize(f *fleet) {
 	asked := 0.0
 	for k := range o.Operations {
 		t := &o.Operations[k]
 		asked += t.Value
 		o.Value += t.Served
 		o.ByReduced += t.ByReduced
-		t.P50, t.P99 = float64(t.inTime.ValueAtQuantile(50))/1e3, float64(t.inTime.ValueAtQuantile(99))/1e3
+		t.P50, t.P99 = float64(t.latencies.ValueAtQuantile(50))/1e3, float64(t.latencies.ValueAtQuantile(99))/1e3
 		if answers := t.Whole + t.Reduced; answers > 0 {
 			t.InObjective = 1 - float64(t.Late)/float64(answers)
 		}
 	}
 	o.Value, o.ByReduced = o.Value/math.Max(1, asked), o.ByReduced/math.Max(1, asked)
 	for _, m := range f.machines {
-		if m.brain != nil {
-			for what, times := range m.brain.Invariants.All() {
+		if m.stateMachine != nil {
+			for what, times := range m.stateMachine.Invariants.All() {
 				o.Breaches["did not hold: "+what] += times
 			}
 		}
