--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -269,7 +269,7 @@
 // usualItems are those of hollow nodes' own files.
 func usualItems() (list []configsync.Item, err error) {
 	var fields map[string]any
-	if err := json.Unmarshal(hollow.UsualConfig(), &fields); err != nil {
+	if err := json.Unmarshal(hollow.DefaultConfig(), &fields); err != nil {
 		return nil, err
 	}
 	fields["name"] = "n0"
--- a/internal/testbed/capacity/peers.go
+++ b/internal/testbed/capacity/peers.go
@@ -123,7 +123,7 @@
 			sent += t.Bytes
 		}
 		least, most = min(least, float64(sent)), max(most, float64(sent))
-		if t := x.Sent[hollow.Kinds[hollow.Datagram]]; t.Bytes > calmBytes*t.Messages {
+		if t := x.Sent[hollow.KindNames[hollow.Datagram]]; t.Bytes > calmBytes*t.Messages {
 			return false
 		}
 	}
--- a/internal/testbed/capacity/peers_test.go
+++ b/internal/testbed/capacity/peers_test.go
@@ -10,7 +10,7 @@
 
 func TestAFleetIsAtRestOnceItsTrafficIsLevelAndNoNews(t *testing.T) {
 	second := func(bytes, messages int64) hollow.Second {
-		return hollow.Second{Sent: map[string]hollow.Traffic{hollow.Kinds[hollow.Datagram]: {Bytes: bytes, Messages: messages}}}
+		return hollow.Second{Sent: map[string]hollow.Traffic{hollow.KindNames[hollow.Datagram]: {Bytes: bytes, Messages: messages}}}
 	}
 	level := func(s hollow.Second) []hollow.Second { return []hollow.Second{s, s, s, s} }
 	idle, news := second(1_268, 32), second(36_300, 73) // of a node at 1,300 nodes, on a machine that can carry no more of a herd's news
--- a/internal/testbed/hollow/filter.go
+++ b/internal/testbed/hollow/filter.go
@@ -13,32 +13,32 @@
 	"topazpost/server"
 )
 
-// errCut ends a connection of which a cut swallowed a part: what follows could not be understood.
-var errCut = errors.New("hollow: a cut swallowed a part of this connection")
+// errPartialStream ends a connection of which a cut swallowed a part: what follows could not be understood.
+var errPartialStream = errors.New("hollow: a cut swallowed a part of this connection")
 
 // Kind tells traffic apart.
 type Kind uint8
 
-// The kinds.
+// The numKinds.
 const (
 	Datagram Kind = iota
 	Exchange
 	Stream
-	kinds
+	numKinds
 )
 
-// Kinds name them.
-var Kinds = [kinds]string{"datagrams", "exchanges", "streams"}
+// KindNames name them.
+var KindNames = [numKinds]string{"datagrams", "exchanges", "streams"}
 
 const (
-	toPeer = iota
-	fromPeer
-	ways
+	sentToPeer = iota
+	receivedFromPeer
+	numDirections
 )
 
-// counts are a node's traffic since it was made.
-type counts struct {
-	bytes, messages [ways][kinds]atomic.Int64
+// trafficCounters are a node's traffic since it was made.
+type trafficCounters struct {
+	bytes, messages [numDirections][numKinds]atomic.Int64
 	fromWhole       atomic.Int64 // bytes that came from whole daemons: they don't count those themselves
 	lost            atomic.Int64 // datagrams and pieces that the filter dropped
 }
@@ -65,7 +65,7 @@
 	if b[0] != 127 || int(b[1]) != f.block {
 		return 0, false
 	}
-	i = (int(b[2])-1)*column + (int(b[3])-1)/perNode
+	i = (int(b[2])-1)*nodesPerColumn + (int(b[3])-1)/addressesPerNode
 	return i, b[2] > 0 && b[3] > 0 && i < f.all
 }
 
@@ -82,15 +82,15 @@
 type filter struct {
 	all    *filters
 	self   int
-	counts *counts
-	chance *rand.Rand // only of the goroutine that sends datagrams, or receives them
+	counts *trafficCounters
+	random *rand.Rand // only of the goroutine that sends datagrams, or receives them
 	mu     sync.Mutex
 	conns  map[*conn]bool
 	ended  bool
 }
 
-func newFilter(all *filters, self int, c *counts, seed int64) *filter {
-	return &filter{all: all, self: self, counts: c, chance: rand.New(rand.NewSource(seed)), conns: map[*conn]bool{}}
+func newFilter(all *filters, self int, c *trafficCounters, seed int64) *filter {
+	return &filter{all: all, self: self, counts: c, random: rand.New(rand.NewSource(seed)), conns: map[*conn]bool{}}
 }
 
 // close ends all connections of a life that was killed.
@@ -103,19 +103,19 @@
 	}
 }
 
-func (f *filter) lost(loss float64) bool {
+func (f *filter) drawLoss(loss float64) bool {
 	if loss <= 0 {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.chance.Float64() < loss
+	return f.random.Float64() < loss
 }
 
-func (f *filter) delay(most time.Duration) time.Duration {
+func (f *filter) drawDelay(most time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(f.chance.Int63n(int64(most)))
+	return time.Duration(f.random.Int63n(int64(most)))
 }
 
 // Datagrams is of server.Wire.
@@ -135,12 +135,12 @@
 		f := d.f
 		r := f.all.rules.Load()
 		i, known := f.all.node(from.Addr())
-		if known && (r.cut(i, f.self) || f.all.whole[i] && f.lost(r.loss)) {
+		if known && (r.cut(i, f.self) || f.all.whole[i] && f.drawLoss(r.loss)) {
 			f.counts.lost.Add(1)
 			continue
 		}
-		f.counts.bytes[fromPeer][Datagram].Add(int64(n))
-		f.counts.messages[fromPeer][Datagram].Add(1)
+		f.counts.bytes[receivedFromPeer][Datagram].Add(int64(n))
+		f.counts.messages[receivedFromPeer][Datagram].Add(1)
 		if known && f.all.whole[i] {
 			f.counts.fromWhole.Add(int64(n))
 		}
@@ -151,17 +151,17 @@
 func (d *datagrams) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	f := d.f
 	r := f.all.rules.Load()
-	f.counts.bytes[toPeer][Datagram].Add(int64(len(b)))
-	f.counts.messages[toPeer][Datagram].Add(1)
+	f.counts.bytes[sentToPeer][Datagram].Add(int64(len(b)))
+	f.counts.messages[sentToPeer][Datagram].Add(1)
 	i, known := f.all.node(to.Addr())
 	if known && !f.all.whole[i] {
-		if r.cut(f.self, i) || f.lost(r.loss) {
+		if r.cut(f.self, i) || f.drawLoss(r.loss) {
 			f.counts.lost.Add(1)
 			return len(b), nil
 		}
 		if r.delay > 0 {
 			late := append([]byte(nil), b...)
-			time.AfterFunc(f.delay(r.delay), func() { d.Datagrams.WriteToUDPAddrPort(late, to) })
+			time.AfterFunc(f.drawDelay(r.delay), func() { d.Datagrams.WriteToUDPAddrPort(late, to) })
 			return len(b), nil
 		}
 	}
@@ -171,7 +171,7 @@
 // Conn is of server.Wire.
 func (f *filter) Conn(inner net.Conn, to string) net.Conn {
 	c := &conn{Conn: inner, f: f, peer: -1}
-	c.out.way, c.in.way = toPeer, fromPeer
+	c.out.direction, c.in.direction = sentToPeer, receivedFromPeer
 	if to == "" {
 		to = inner.RemoteAddr().String()
 	}
@@ -223,7 +223,7 @@
 		}
 		if n > 0 && c.swallowed.Load() {
 			c.Conn.Close()
-			return 0, errCut
+			return 0, errPartialStream
 		}
 		if n > 0 && c.peer >= 0 && c.f.all.whole[c.peer] && !c.dialled {
 			c.f.counts.fromWhole.Add(int64(n)) // a relay counts what it carries of connections to whole ones
@@ -242,37 +242,37 @@
 	}
 	if c.swallowed.Load() {
 		c.Conn.Close()
-		return 0, errCut
+		return 0, errPartialStream
 	}
 	return c.Conn.Write(b)
 }
 
 // framing follows letters in one direction of a connection: a length, then so many bytes; a stream begins with its mark.
 type framing struct {
-	way  int
-	head [4]byte
-	have int
-	rest uint32
+	direction int
+	head      [4]byte
+	headBytes int
+	remaining uint32
 }
 
 func (x *framing) count(c *conn, b []byte) {
 	messages := int64(0)
 	size := len(b)
 	for len(b) > 0 {
-		if x.rest > 0 {
-			n := min(uint32(len(b)), x.rest)
-			b, x.rest = b[n:], x.rest-n
+		if x.remaining > 0 {
+			n := min(uint32(len(b)), x.remaining)
+			b, x.remaining = b[n:], x.remaining-n
 			continue
 		}
-		n := copy(x.head[x.have:], b)
-		if b, x.have = b[n:], x.have+n; x.have < len(x.head) {
+		n := copy(x.head[x.headBytes:], b)
+		if b, x.headBytes = b[n:], x.headBytes+n; x.headBytes < len(x.head) {
 			break
 		}
-		x.have = 0
+		x.headBytes = 0
 		if length := binary.LittleEndian.Uint32(x.head[:]); length == server.StreamMark {
 			c.stream.Store(true)
 		} else {
-			x.rest = length
+			x.remaining = length
 			messages++
 		}
 	}
@@ -280,6 +280,6 @@
 	if c.stream.Load() {
 		kind = Stream
 	}
-	c.f.counts.bytes[x.way][kind].Add(int64(size))
-	c.f.counts.messages[x.way][kind].Add(messages)
+	c.f.counts.bytes[x.direction][kind].Add(int64(size))
+	c.f.counts.messages[x.direction][kind].Add(messages)
 }
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	nodesEach     = 110             // nodes in one process where nothing else is said: a core carries some hundreds that are idle
-	processesMost = 200             // a few hundred are allowed beside whole daemons
-	contactsUsual = 3               // seeds
-	socketsUsual  = 6_144           // of a node: a quarter is for streams of a seat, one to each node of the largest fleet
-	leaveTime     = 5 * time.Second // for a process to end once its commands end; then it is killed
-	look          = 20 * time.Millisecond
-	keptSeconds   = 7_200 // figures of so many seconds are kept
-	blockFirst    = 64    // 127.64 to 127.191: blocks that a fleet may have
-	blocks        = 128   // of them
+	nodesPerProcess = 110             // nodes in one process where nothing else is said: a core carries some hundreds that are idle
+	maxProcesses    = 200             // a few hundred are allowed beside whole daemons
+	defaultContacts = 3               // seeds
+	defaultSockets  = 6_144           // of a node: a quarter is for streams of a seat, one to each node of the largest fleet
+	stopTimeout     = 5 * time.Second // for a process to end once its commands end; then it is killed
+	pollInterval    = 20 * time.Millisecond
+	retainedSeconds = 7_200 // figures of so many seconds are kept
+	firstBlock      = 64    // 127.64 to 127.191: blocks that a fleet may have
+	numBlocks       = 128   // of them
 )
 
 // Options are what a fleet is started with. Only Nodes is needed.
@@ -54,41 +54,41 @@
 
 // Fleet is hollow nodes in processes of a program that has the command "hollow": cmd/topazlab.
 type Fleet struct {
-	Block   int
-	options Options
-	total   int
-	members []*member
-
-	mu      sync.Mutex
-	up      []bool
-	last    []Event // of each node
-	seconds map[int64][]*Second
-	failed  error
-	sent    int64
-	held    io.Closer // of the block, nil where the caller has it
+	Block     int
+	options   Options
+	total     int
+	processes []*childProcess
+
+	mu          sync.Mutex
+	up          []bool
+	last        []Event // of each node
+	seconds     map[int64][]*Second
+	err         error
+	sent        int64
+	reservation io.Closer // of the block, nil where the caller has it
 }
 
-// member is one process.
-type member struct {
+// childProcess is one process.
+type childProcess struct {
 	nodes   []int
 	command *exec.Cmd
 	mu      sync.Mutex
-	in      io.WriteCloser
+	stdin   io.WriteCloser
 	ended   chan struct{}
 }
 
 // Start runs a fleet. Program is the built topazlab; its processes end with ctx or Close.
 func Start(ctx context.Context, program string, o Options) (*Fleet, error) {
-	if o.Nodes < 1 || o.Nodes+len(o.Whole) > Most {
-		return nil, fmt.Errorf("hollow: %d nodes: choose 1 to %d, whole ones included", o.Nodes, Most)
+	if o.Nodes < 1 || o.Nodes+len(o.Whole) > MaxNodes {
+		return nil, fmt.Errorf("hollow: %d nodes: choose 1 to %d, whole ones included", o.Nodes, MaxNodes)
 	}
 	if o.Processes <= 0 {
-		o.Processes = (o.Nodes + nodesEach - 1) / nodesEach
+		o.Processes = (o.Nodes + nodesPerProcess - 1) / nodesPerProcess
 	}
-	o.Processes = min(o.Processes, o.Nodes, processesMost)
+	o.Processes = min(o.Processes, o.Nodes, maxProcesses)
 	f := &Fleet{Block: o.Block, options: o, total: o.Nodes + len(o.Whole), seconds: map[int64][]*Second{}}
 	f.up, f.last = make([]bool, f.total), make([]Event, f.total)
-	whole := set(f.total, o.Whole)
+	whole := nodeSet(f.total, o.Whole)
 	var hollow []int
 	for i := range f.total {
 		if !whole[i] {
@@ -97,12 +97,12 @@
 	}
 	if f.Block == 0 {
 		var err error
-		if f.Block, f.held, err = Reserve(); err != nil {
+		if f.Block, f.reservation, err = Reserve(); err != nil {
 			return nil, err
 		}
 	}
 	if o.Contacts == nil {
-		for i := range min(contactsUsual, f.total) {
+		for i := range min(defaultContacts, f.total) {
 			o.Contacts = append(o.Contacts, i)
 		}
 	}
@@ -111,17 +111,17 @@
 		return nil, err
 	}
 	if o.Config == nil {
-		o.Config = UsualConfig()
+		o.Config = DefaultConfig()
 	}
 	for k := range o.Processes {
 		nodes := hollow[k*len(hollow)/o.Processes : (k+1)*len(hollow)/o.Processes]
-		m, err := f.begin(ctx, program, k, &spec{Block: f.Block, All: f.total, Nodes: nodes, Whole: o.Whole, Contacts: o.Contacts, Layout: o.Layout,
-			Fleet: fleet, Config: o.Config, Seed: o.Seed*processesMost + int64(k)})
+		m, err := f.startProcess(ctx, program, k, &spec{Block: f.Block, All: f.total, Nodes: nodes, Whole: o.Whole, Contacts: o.Contacts, Layout: o.Layout,
+			Fleet: fleet, Config: o.Config, Seed: o.Seed*maxProcesses + int64(k)})
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.members = append(f.members, m)
+		f.processes = append(f.processes, m)
 	}
 	if !o.Idle {
 		f.StartOver(o.JoinOver, hollow...)
@@ -152,10 +152,10 @@
 	return fields
 }
 
-// UsualConfig is the configuration of a node with one operation and no tenant.
-func UsualConfig() []byte {
+// DefaultConfig is the configuration of a node with one operation and no tenant.
+func DefaultConfig() []byte {
 	text, err := json.Marshal(map[string]any{"listen": "127.0.0.1:0", "executor": "127.0.0.1:1", "control": "127.0.0.1:1", "catalog": "127.0.0.1:1",
-		"seed": "8c1f30d27a5be964", "stop_ms": 3_000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": socketsUsual},
+		"seed": "8c1f30d27a5be964", "stop_ms": 3_000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": defaultSockets},
 		"settings": map[string]any{"grades": []any{map[string]any{"name": "hold", "aim": 2_000, "give_up": 5_000, "importance": 1,
 			"effect": "deduplicated", "window": 10_000}},
 			"family_info": map[string]any{"n_cores": 8, "memory_kb": 400_000, "blowup": 4, "entry_kb": 1, "class_calls": []bool{false},
@@ -171,9 +171,9 @@
 // Reserve takes a block of loopback addresses that nobody has, until held is closed. Two fleets at once must not choose alike,
 // so the chance is not from a seed.
 func Reserve() (block int, held io.Closer, err error) {
-	first := rand.Intn(blocks)
-	for k := range blocks {
-		block = blockFirst + (first+k)%blocks
+	first := rand.Intn(numBlocks)
+	for k := range numBlocks {
+		block = firstBlock + (first+k)%numBlocks
 		if held, err = net.Listen("tcp", At(netip.AddrFrom4([4]byte{127, byte(block), 0, 1}))); err == nil {
 			return block, held, nil
 		}
@@ -181,8 +181,8 @@
 	return 0, nil, fmt.Errorf("hollow: no block of loopback addresses is free: %w", err)
 }
 
-func (f *Fleet) begin(ctx context.Context, program string, k int, s *spec) (*member, error) {
-	m := &member{nodes: s.Nodes, command: exec.CommandContext(ctx, program, "hollow"), ended: make(chan struct{})}
+func (f *Fleet) startProcess(ctx context.Context, program string, k int, s *spec) (*childProcess, error) {
+	m := &childProcess{nodes: s.Nodes, command: exec.CommandContext(ctx, program, "hollow"), ended: make(chan struct{})}
 	m.command.Stderr = f.options.Log
 	if f.options.Log == nil {
 		m.command.Stderr = os.Stderr
@@ -191,7 +191,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if m.in, err = m.command.StdinPipe(); err != nil {
+	if m.stdin, err = m.command.StdinPipe(); err != nil {
 		return nil, err
 	}
 	if err := m.command.Start(); err != nil {
@@ -200,41 +200,41 @@
 	go func() {
 		defer close(m.ended)
 		lines := bufio.NewScanner(out)
-		lines.Buffer(make([]byte, 64<<10), lineMost)
+		lines.Buffer(make([]byte, 64<<10), maxLineBytes)
 		for lines.Scan() {
-			var l line
+			var l report
 			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 				f.fail(fmt.Errorf("hollow: process %d said what can't be read: %w", k, err))
 				continue
 			}
-			f.heard(k, &l)
+			f.receive(k, &l)
 		}
 		io.Copy(io.Discard, out)
 		m.command.Wait()
 	}()
-	return m, m.say(s)
+	return m, m.send(s)
 }
 
 func (f *Fleet) fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failed = errors.Join(f.failed, err)
+	f.err = errors.Join(f.err, err)
 }
 
-func (f *Fleet) heard(k int, l *line) {
+func (f *Fleet) receive(k int, l *report) {
 	if l.Failed != "" {
 		f.fail(errors.New(l.Failed))
 	}
 	f.mu.Lock()
 	if l.Second != nil {
-		for _, s := range l.Second.spread() {
+		for _, s := range l.Second.splitSeconds() {
 			f.seconds[s.Unix] = append(f.seconds[s.Unix], s)
 		}
 		for _, t := range l.Second.Sent {
 			f.sent += t.Bytes
 		}
 		f.sent += l.Second.FromWhole
-		delete(f.seconds, l.Second.Unix-keptSeconds)
+		delete(f.seconds, l.Second.Unix-retainedSeconds)
 	}
 	for _, e := range l.Events {
 		if i := int(e[EventNode]); i < len(f.last) {
@@ -247,21 +247,21 @@
 	}
 }
 
-func (m *member) say(what any) error {
+func (m *childProcess) send(what any) error {
 	text, err := json.Marshal(what)
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, err = m.in.Write(append(text, '\n'))
+	_, err = m.stdin.Write(append(text, '\n'))
 	return err
 }
 
-// all says the same to all processes.
-func (f *Fleet) all(c *command) {
-	for k, m := range f.members {
-		if err := m.say(c); err != nil {
+// broadcast says the same to broadcast processes.
+func (f *Fleet) broadcast(c *command) {
+	for k, m := range f.processes {
+		if err := m.send(c); err != nil {
 			f.fail(fmt.Errorf("hollow: process %d hears no command: %w", k, err))
 		}
 	}
@@ -271,10 +271,10 @@
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failed
+	return f.err
 }
 
-func (f *Fleet) mark(up bool, nodes []int) {
+func (f *Fleet) setUp(up bool, nodes []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, i := range nodes {
@@ -288,48 +288,48 @@
 
 // StartOver does so one by one over a time.
 func (f *Fleet) StartOver(over time.Duration, nodes ...int) {
-	f.mark(true, nodes)
-	f.all(&command{Start: nodes, Over: over.Seconds()})
+	f.setUp(true, nodes)
+	f.broadcast(&command{Start: nodes, Over: over.Seconds()})
 }
 
 // Kill ends lives of nodes at once, without a word to anybody.
 func (f *Fleet) Kill(nodes ...int) {
-	f.mark(false, nodes)
-	f.all(&command{Kill: nodes})
+	f.setUp(false, nodes)
+	f.broadcast(&command{Kill: nodes})
 }
 
 // Leave ends lives of nodes as a drain does.
 func (f *Fleet) Leave(nodes ...int) {
-	f.mark(false, nodes)
-	f.all(&command{Leave: nodes})
+	f.setUp(false, nodes)
+	f.broadcast(&command{Leave: nodes})
 }
 
 // Restart drains nodes and starts each again as soon as it ended.
 func (f *Fleet) Restart(nodes ...int) {
-	f.mark(true, nodes)
-	f.all(&command{Restart: nodes})
+	f.setUp(true, nodes)
+	f.broadcast(&command{Restart: nodes})
 }
 
 // Cut has nothing of some nodes come to others, until Heal.
-func (f *Fleet) Cut(from, to []int) { f.all(&command{Cut: &cutting{from, to}}) }
+func (f *Fleet) Cut(from, to []int) { f.broadcast(&command{Cut: &cutCommand{from, to}}) }
 
 // Heal ends all cuts.
-func (f *Fleet) Heal() { f.all(&command{Heal: true}) }
+func (f *Fleet) Heal() { f.broadcast(&command{Heal: true}) }
 
 // Lose drops a part of the datagrams.
-func (f *Fleet) Lose(part float64) { f.all(&command{Loss: &part}) }
+func (f *Fleet) Lose(part float64) { f.broadcast(&command{Loss: &part}) }
 
 // Delay holds each datagram up by a drawn time.
 func (f *Fleet) Delay(most time.Duration) {
 	ms := float64(most) / 1e6
-	f.all(&command{Delay: &ms})
+	f.broadcast(&command{Delay: &ms})
 }
 
 // Tokens has nodes claim so many tokens a second, all together.
 func (f *Fleet) Tokens(rate float64) {
-	for k, m := range f.members {
+	for k, m := range f.processes {
 		part := rate * float64(len(m.nodes)) / float64(f.options.Nodes)
-		if err := m.say(&command{Tokens: &part}); err != nil {
+		if err := m.send(&command{Tokens: &part}); err != nil {
 			f.fail(fmt.Errorf("hollow: process %d hears no command: %w", k, err))
 		}
 	}
@@ -338,18 +338,18 @@
 // Calls has nodes want so many calls at a time, all together.
 func (f *Fleet) Calls(n int) {
 	done := 0
-	for k, m := range f.members {
+	for k, m := range f.processes {
 		done += len(m.nodes)
 		before := n * (done - len(m.nodes)) / f.options.Nodes
 		part := n*done/f.options.Nodes - before
-		if err := m.say(&command{Calls: &part}); err != nil {
+		if err := m.send(&command{Calls: &part}); err != nil {
 			f.fail(fmt.Errorf("hollow: process %d hears no command: %w", k, err))
 		}
 	}
 }
 
-// Tell says whether each change of a view is told to Options.Events, or but the last of each node in a tenth of a second.
-func (f *Fleet) Tell(each bool) { f.all(&command{Events: &each}) }
+// ReportAllEvents says whether each change of a view is told to Options.Events, or but the last of each node in a tenth of a second.
+func (f *Fleet) ReportAllEvents(each bool) { f.broadcast(&command{Events: &each}) }
 
 // Last is the last change that each node's view is known to have had in its life now.
 func (f *Fleet) Last() []Event {
@@ -361,7 +361,7 @@
 // Agreed waits until all nodes that are up hold one view of just them and of others who are up elsewhere. It says when the last
 // of them came to it, and false where that took too long.
 func (f *Fleet) Agreed(timeout time.Duration, others int) (at time.Time, agreed bool) {
-	for end := time.Now().Add(timeout); ; time.Sleep(look) {
+	for end := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		if at, agreed = f.agreed(others); agreed || time.Now().After(end) {
 			return at, agreed
 		}
@@ -396,15 +396,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, unix := range slices.Sorted(maps.Keys(f.seconds)) {
-		if parts := f.seconds[unix]; len(parts) == len(f.members) {
-			list = append(list, together(parts))
+		if parts := f.seconds[unix]; len(parts) == len(f.processes) {
+			list = append(list, sumSeconds(parts))
 		}
 	}
 	return list
 }
 
-// spread deals figures of several seconds out to each of them, in equal parts: nobody knows when in them it was.
-func (s *Second) spread() (list []*Second) {
+// splitSeconds deals figures of several seconds out to each of them, in equal parts: nobody knows when in them it was.
+func (s *Second) splitSeconds() (list []*Second) {
 	span := max(1, s.Span)
 	for k := range span {
 		part := func(n int64) int64 { return n*(k+1)/span - n*k/span }
@@ -428,7 +428,7 @@
 	return list
 }
 
-func together(parts []*Second) Second {
+func sumSeconds(parts []*Second) Second {
 	s := Second{Unix: parts[0].Unix, Span: 1, Sent: map[string]Traffic{}, Received: map[string]Traffic{}, Views: map[string]int{}, WorstNode: -1}
 	begun := 0.0
 	add := func(to, from map[string]Traffic) {
@@ -478,16 +478,16 @@
 
 // Close ends all processes.
 func (f *Fleet) Close() {
-	for _, m := range f.members {
+	for _, m := range f.processes {
 		m.mu.Lock()
-		m.in.Close()
+		m.stdin.Close()
 		m.mu.Unlock()
 	}
-	if f.held != nil {
-		defer f.held.Close()
+	if f.reservation != nil {
+		defer f.reservation.Close()
 	}
-	late := time.After(leaveTime)
-	for _, m := range f.members {
+	late := time.After(stopTimeout)
+	for _, m := range f.processes {
 		select {
 		case <-m.ended:
 		case <-late:
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 		return false
-	}, generous, look, what)
+	}, generous, pollInterval, what)
 }
 
 func TestHollowNodesAreOneFleetThroughDeathsCutsAndRestarts(t *testing.T) {
@@ -103,7 +103,7 @@
 
 func TestMoreNodesThanASeatHasStreamsReachTheCouncil(t *testing.T) {
 	var config map[string]any
-	require.NoError(t, json.Unmarshal(UsualConfig(), &config))
+	require.NoError(t, json.Unmarshal(DefaultConfig(), &config))
 	config["limits"].(map[string]any)["sockets"] = 48 // a quarter of which are a seat's streams
 	text, err := json.Marshal(config)
 	require.NoError(t, err)
@@ -116,13 +116,13 @@
 			t.Wanted, t.TurnedAway, t.Kept = t.Wanted+s.Tokens.Wanted, t.TurnedAway+s.Tokens.TurnedAway, t.Kept+s.Tokens.Kept
 		}
 		return t.Wanted > 60 && t.TurnedAway == 0 && t.Kept > 48
-	}, generous, look, "no node is turned away for want of the council")
+	}, generous, pollInterval, "no node is turned away for want of the council")
 }
 
 func TestFiguresOfAProcessThatLackedTimeAreDealtOutToItsSeconds(t *testing.T) {
 	s := &Second{Unix: 100, Span: 3, Nodes: 7, CPU: 1.5, Changes: 8, Sent: map[string]Traffic{"datagrams": {Bytes: 10, Messages: 3}}, Tokens: Tokens{Kept: 4, BeginMS: 2}}
-	sum, unix := together(s.spread()), []int64{}
-	for _, one := range s.spread() {
+	sum, unix := sumSeconds(s.splitSeconds()), []int64{}
+	for _, one := range s.splitSeconds() {
 		unix = append(unix, one.Unix)
 		assert.Equal(t, 7, one.Nodes, "what is now is not dealt out")
 	}
--- a/internal/testbed/hollow/layout.go
+++ b/internal/testbed/hollow/layout.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	Port    = 7946 // of peers, on loopback addresses of the laboratory's own
-	column  = 100  // nodes under one third byte of an address
-	Most    = column * 250
-	perNode = 2 // addresses: where a node hears its peers, and where a relay stands before a whole one
+	Port             = 7946 // of peers, on loopback addresses of the laboratory's own
+	nodesPerColumn   = 100  // nodes under one third byte of an address
+	MaxNodes         = nodesPerColumn * 250
+	addressesPerNode = 2 // addresses: where a node hears its peers, and where a relay stands before a whole one
 )
 
 // Layout places nodes round robin: node i in zone i mod Zones, a zone in region zone mod Regions, and racks within zones.
@@ -49,7 +49,7 @@
 func Relayed(block, i int) netip.Addr { return address(block, i, 1) }
 
 func address(block, i, k int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(block), byte(1 + i/column), byte(1 + perNode*(i%column) + k)})
+	return netip.AddrFrom4([4]byte{127, byte(block), byte(1 + i/nodesPerColumn), byte(1 + addressesPerNode*(i%nodesPerColumn) + k)})
 }
 
 // At is an address with the port of peers.
--- a/internal/testbed/hollow/process.go
+++ b/internal/testbed/hollow/process.go
@@ -25,12 +25,12 @@
 )
 
 const (
-	anyNode   = "{name}"               // stands for a node's name in the fleet's file
-	lineMost  = 8 << 20                // bytes of a command or of a line of figures
-	tick      = 100 * time.Millisecond // between lines of events
-	loadTick  = 10 * time.Millisecond  // between tokens that are asked for
-	bindAgain = 50 * time.Millisecond  // between tries at an address that the last life still has
-	bindTries = 40
+	anyNode         = "{name}"               // stands for a node's name in the fleet's file
+	maxLineBytes    = 8 << 20                // bytes of a command or of a line of figures
+	eventInterval   = 100 * time.Millisecond // between lines of events
+	loadInterval    = 10 * time.Millisecond  // between tokens that are asked for
+	bindBackoff     = 50 * time.Millisecond  // between tries at an address that the last life still has
+	maxBindAttempts = 40
 )
 
 // spec is the first line that a process reads: what it is to run.
@@ -47,21 +47,21 @@
 
 // command is a line that a process reads later; only the fields that are set count.
 type command struct {
-	Start   []int    `json:"start,omitempty"`
-	Over    float64  `json:"over,omitempty"` // seconds over which the starts are spread
-	Kill    []int    `json:"kill,omitempty"`
-	Leave   []int    `json:"leave,omitempty"`
-	Restart []int    `json:"restart,omitempty"` // leave, and start once that is over
-	Cut     *cutting `json:"cut,omitempty"`
-	Heal    bool     `json:"heal,omitempty"`
-	Loss    *float64 `json:"loss,omitempty"`
-	Delay   *float64 `json:"delay_ms,omitempty"`
-	Tokens  *float64 `json:"tokens,omitempty"` // a second, of all nodes of this process
-	Calls   *int     `json:"calls,omitempty"`  // wanted at a time, of all nodes of this process
-	Events  *bool    `json:"events,omitempty"` // tell each change of a view, else only the last of each node
+	Start   []int       `json:"start,omitempty"`
+	Over    float64     `json:"over,omitempty"` // seconds over which the starts are spread
+	Kill    []int       `json:"kill,omitempty"`
+	Leave   []int       `json:"leave,omitempty"`
+	Restart []int       `json:"restart,omitempty"` // leave, and start once that is over
+	Cut     *cutCommand `json:"cut,omitempty"`
+	Heal    bool        `json:"heal,omitempty"`
+	Loss    *float64    `json:"loss,omitempty"`
+	Delay   *float64    `json:"delay_ms,omitempty"`
+	Tokens  *float64    `json:"tokens,omitempty"` // a second, of all nodes of this process
+	Calls   *int        `json:"calls,omitempty"`  // wanted at a time, of all nodes of this process
+	Events  *bool       `json:"events,omitempty"` // tell each change of a view, else only the last of each node
 }
 
-type cutting struct {
+type cutCommand struct {
 	From []int `json:"from"`
 	To   []int `json:"to"`
 }
@@ -79,8 +79,8 @@
 	EventHash
 )
 
-// line is what a process tells: its figures of a second, or events.
-type line struct {
+// report is what a process tells: its figures of a second, or events.
+type report struct {
 	Second *Second `json:"second,omitempty"`
 	Events []Event `json:"events,omitempty"`
 	Failed string  `json:"failed,omitempty"`
@@ -141,43 +141,43 @@
 	InHand  int64 `json:"in_hand"`
 }
 
-// running is a node of this process, with its life now.
-type running struct {
-	i      int
-	counts counts
-	load   node.HollowCounters
-
-	mu      sync.Mutex
-	up      bool
-	life    int
-	server  *server.Server
-	filter  *filter
-	end     context.CancelFunc
-	ended   chan struct{}
-	size    int
-	hash    uint64
-	changes int64
-	last    Event
-	told    bool     // last was told
-	earlier [3]int64 // dropped, flooded and refused in earlier lives
+// hollowNode is a node of this process, with its life now.
+type hollowNode struct {
+	index  int
+	counts trafficCounters
+	claims node.HollowCounters
+
+	mu           sync.Mutex
+	up           bool
+	incarnation  int
+	server       *server.Server
+	filter       *filter
+	cancel       context.CancelFunc
+	ended        chan struct{}
+	size         int
+	hash         uint64
+	changes      int64
+	last         Event
+	lastReported bool     // last was told
+	earlierDrops [3]int64 // dropped, flooded and refused in earlier lives
 }
 
 type process struct {
 	spec    spec
 	fleet   *fleetconfig.Fleet
 	filters *filters
-	nodes   []*running
-	byIndex map[int]*running
+	nodes   []*hollowNode
+	byIndex map[int]*hollowNode
 	log     zerolog.Logger
 
-	mu     sync.Mutex
-	events []Event
-	all    bool
-	out    *json.Encoder
-	tokens float64
-	calls  int
-	next   int64 // number of the next token
-	turn   int
+	mu        sync.Mutex
+	events    []Event
+	allEvents bool
+	out       *json.Encoder
+	tokens    float64
+	calls     int
+	lastToken int64 // number of the next token
+	nextNode  int
 }
 
 // Serve runs nodes as the first line of in says, obeys those that follow, and tells figures on out, until in ends.
@@ -185,28 +185,28 @@
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 64<<10), lineMost)
+	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
 	if !lines.Scan() {
 		return errors.New("hollow: no first line that says what to run")
 	}
-	p := &process{log: log, out: json.NewEncoder(out), byIndex: map[int]*running{}}
+	p := &process{log: log, out: json.NewEncoder(out), byIndex: map[int]*hollowNode{}}
 	if err := json.Unmarshal(lines.Bytes(), &p.spec); err != nil {
 		return fmt.Errorf("hollow: first line: %w", err)
 	}
 	if err := p.prepare(); err != nil {
-		p.tell(&line{Failed: err.Error()})
+		p.report(&report{Failed: err.Error()})
 		return err
 	}
 	var group sync.WaitGroup
-	group.Go(func() { p.figures(ctx) })
-	group.Go(func() { p.tellEvents(ctx) })
-	group.Go(func() { p.load(ctx) })
+	group.Go(func() { p.reportSeconds(ctx) })
+	group.Go(func() { p.reportEvents(ctx) })
+	group.Go(func() { p.generateLoad(ctx) })
 	for lines.Scan() {
 		var c command
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
 			return fmt.Errorf("hollow: command: %w", err)
 		}
-		p.obey(ctx, &c)
+		p.execute(ctx, &c)
 	}
 	for _, n := range p.nodes {
 		p.kill(n)
@@ -216,7 +216,7 @@
 	return lines.Err()
 }
 
-func (p *process) tell(l *line) {
+func (p *process) report(l *report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.out.Encode(l)
@@ -224,7 +224,7 @@
 
 func (p *process) prepare() error {
 	s := &p.spec
-	p.filters = &filters{block: s.Block, all: s.All, whole: set(s.All, s.Whole)}
+	p.filters = &filters{block: s.Block, all: s.All, whole: nodeSet(s.All, s.Whole)}
 	p.filters.rules.Store(&rules{})
 	fields := map[string]any{}
 	if len(s.Fleet) > 0 {
@@ -246,18 +246,18 @@
 	}
 	p.fleet.Terms.Seeds = nil
 	for _, i := range s.Contacts {
-		p.fleet.Terms.Seeds = append(p.fleet.Terms.Seeds, p.heardAt(i))
+		p.fleet.Terms.Seeds = append(p.fleet.Terms.Seeds, p.peerAddress(i))
 	}
 	for _, i := range s.Nodes {
-		n := &running{i: i}
+		n := &hollowNode{index: i}
 		p.nodes = append(p.nodes, n)
 		p.byIndex[i] = n
 	}
-	_, err = p.config(0) // so that a mistake in it is told at once
+	_, err = p.nodeConfig(0) // so that a mistake in it is told at once
 	return err
 }
 
-func set(all int, list []int) []bool {
+func nodeSet(all int, list []int) []bool {
 	in := make([]bool, all)
 	for _, i := range list {
 		if i >= 0 && i < all {
@@ -267,16 +267,16 @@
 	return in
 }
 
-// heardAt is the address that peers are told of a node.
-func (p *process) heardAt(i int) string {
+// peerAddress is the address that peers are told of a node.
+func (p *process) peerAddress(i int) string {
 	if p.filters.whole[i] {
 		return At(Relayed(p.spec.Block, i))
 	}
 	return At(Bind(p.spec.Block, i))
 }
 
-// config is that of a life of a node.
-func (p *process) config(i int) (*server.Config, error) {
+// nodeConfig is that of a life of a node.
+func (p *process) nodeConfig(i int) (*server.Config, error) {
 	fields := map[string]any{}
 	if err := json.Unmarshal(p.spec.Config, &fields); err != nil {
 		return nil, fmt.Errorf("hollow: configuration: %w", err)
@@ -291,7 +291,7 @@
 		return nil, err
 	}
 	own := *p.fleet
-	own.Bind, own.Terms.Name, own.Terms.Address, own.Terms.Zone = At(Bind(p.spec.Block, i)), n.Name, p.heardAt(i), p.spec.Layout.Name(i)
+	own.Bind, own.Terms.Name, own.Terms.Address, own.Terms.Zone = At(Bind(p.spec.Block, i)), n.Name, p.peerAddress(i), p.spec.Layout.Name(i)
 	if c := own.Configuration; c != nil { // each has a folder of its own
 		own.Configuration = &fleetconfig.Configuration{Folder: strings.ReplaceAll(c.Folder, anyNode, n.Name)}
 	}
@@ -299,10 +299,10 @@
 	return n, nil
 }
 
-func (p *process) obey(ctx context.Context, c *command) {
+func (p *process) execute(ctx context.Context, c *command) {
 	r := *p.filters.rules.Load()
 	if c.Cut != nil {
-		r.cuts = append(r.cuts[:len(r.cuts):len(r.cuts)], cut{set(p.spec.All, c.Cut.From), set(p.spec.All, c.Cut.To)})
+		r.cuts = append(r.cuts[:len(r.cuts):len(r.cuts)], cut{nodeSet(p.spec.All, c.Cut.From), nodeSet(p.spec.All, c.Cut.To)})
 	}
 	if c.Heal {
 		r.cuts = nil
@@ -316,7 +316,7 @@
 	p.filters.rules.Store(&r)
 	p.mu.Lock()
 	if c.Events != nil {
-		p.all = *c.Events
+		p.allEvents = *c.Events
 	}
 	if c.Tokens != nil {
 		p.tokens = *c.Tokens
@@ -325,21 +325,21 @@
 		p.calls = *c.Calls
 	}
 	p.mu.Unlock()
-	each := func(list []int, do func(n *running)) {
+	each := func(list []int, do func(n *hollowNode)) {
 		for _, i := range list {
 			if n := p.byIndex[i]; n != nil {
 				do(n)
 			}
 		}
 	}
-	together := func(list []int, do func(n *running)) {
+	together := func(list []int, do func(n *hollowNode)) {
 		var group sync.WaitGroup
-		each(list, func(n *running) { group.Go(func() { do(n) }) })
+		each(list, func(n *hollowNode) { group.Go(func() { do(n) }) })
 		group.Wait()
 	}
 	together(c.Kill, p.kill)
 	together(c.Leave, p.leave)
-	each(c.Restart, func(n *running) {
+	each(c.Restart, func(n *hollowNode) {
 		go func() {
 			p.leave(n)
 			p.start(ctx, n)
@@ -357,14 +357,14 @@
 		}()
 		return
 	}
-	each(c.Start, func(n *running) { p.start(ctx, n) })
+	each(c.Start, func(n *hollowNode) { p.start(ctx, n) })
 }
 
 // start begins a life of a node, if none goes on.
-func (p *process) start(ctx context.Context, n *running) {
-	config, err := p.config(n.i)
+func (p *process) start(ctx context.Context, n *hollowNode) {
+	config, err := p.nodeConfig(n.index)
 	if err != nil {
-		p.tell(&line{Failed: err.Error()})
+		p.report(&report{Failed: err.Error()})
 		return
 	}
 	n.mu.Lock()
@@ -372,32 +372,32 @@
 	if n.up || ctx.Err() != nil {
 		return
 	}
-	n.life++
+	n.incarnation++
 	if n.server != nil {
 		c := n.server.Peered()
-		n.earlier[0], n.earlier[1], n.earlier[2] = n.earlier[0]+c.Dropped.Load(), n.earlier[1]+c.Flooded.Load(), n.earlier[2]+c.Refused.Load()
+		n.earlierDrops[0], n.earlierDrops[1], n.earlierDrops[2] = n.earlierDrops[0]+c.Dropped.Load(), n.earlierDrops[1]+c.Flooded.Load(), n.earlierDrops[2]+c.Refused.Load()
 	}
-	seed := p.spec.Seed<<24 ^ int64(n.i)<<8 ^ int64(n.life)
+	seed := p.spec.Seed<<24 ^ int64(n.index)<<8 ^ int64(n.incarnation)
 	config.Settings.Node.Seed = seed
-	f := newFilter(p.filters, n.i, &n.counts, seed)
-	config.Hollow = &server.Hollow{Wire: f, Counters: &n.load, Changed: func(c *membership.Change) { p.changed(n, c) }}
+	f := newFilter(p.filters, n.index, &n.counts, seed)
+	config.Hollow = &server.Hollow{Wire: f, Counters: &n.claims, Changed: func(c *membership.Change) { p.viewChanged(n, c) }}
 	ctx, end := context.WithCancel(ctx)
-	n.up, n.size, n.hash, n.filter, n.end, n.ended = true, 1, 0, f, end, make(chan struct{})
+	n.up, n.size, n.hash, n.filter, n.cancel, n.ended = true, 1, 0, f, end, make(chan struct{})
 	n.server = server.New(config, p.log.With().Str("node", config.Name).Logger(), server.SystemClock())
-	s, ended, life := n.server, n.ended, n.life
+	s, ended, life := n.server, n.ended, n.incarnation
 	go func() {
 		defer close(ended)
 		err := s.Run(ctx)
-		for try := 0; err != nil && errors.Is(err, syscall.EADDRINUSE) && try < bindTries && ctx.Err() == nil; try++ {
-			time.Sleep(bindAgain)
+		for try := 0; err != nil && errors.Is(err, syscall.EADDRINUSE) && try < maxBindAttempts && ctx.Err() == nil; try++ {
+			time.Sleep(bindBackoff)
 			err = s.Run(ctx)
 		}
 		if err != nil && ctx.Err() == nil {
-			p.tell(&line{Failed: fmt.Sprintf("%s: %s", NodeName(n.i), err)})
+			p.report(&report{Failed: fmt.Sprintf("%s: %s", NodeName(n.index), err)})
 		}
 		f.close()
 		n.mu.Lock()
-		if n.life == life {
+		if n.incarnation == life {
 			n.up = false
 		}
 		n.mu.Unlock()
@@ -406,14 +406,14 @@
 	calls := p.calls
 	p.mu.Unlock()
 	if calls > 0 {
-		s.WantCalls(p.share(n, calls))
+		s.WantCalls(p.callsOf(n, calls))
 	}
 }
 
 // kill ends a life at once, without a word to anybody.
-func (p *process) kill(n *running) {
+func (p *process) kill(n *hollowNode) {
 	n.mu.Lock()
-	up, end, ended, f := n.up, n.end, n.ended, n.filter
+	up, end, ended, f := n.up, n.cancel, n.ended, n.filter
 	n.mu.Unlock()
 	if !up {
 		return
@@ -424,7 +424,7 @@
 }
 
 // leave ends a life as a drain does, and waits for that.
-func (p *process) leave(n *running) {
+func (p *process) leave(n *hollowNode) {
 	n.mu.Lock()
 	up, s, ended := n.up, n.server, n.ended
 	n.mu.Unlock()
@@ -435,24 +435,24 @@
 	<-ended
 }
 
-// changed takes a change of a node's view.
-func (p *process) changed(n *running, c *membership.Change) {
+// viewChanged takes a change of a node's view.
+func (p *process) viewChanged(n *hollowNode, c *membership.Change) {
 	who, _ := strconv.Atoi(strings.TrimPrefix(c.Who, "n"))
-	e := Event{uint64(time.Now().UnixMilli()), uint64(n.i), uint64(c.Cause), uint64(who), uint64(c.Size), c.Hash}
+	e := Event{uint64(time.Now().UnixMilli()), uint64(n.index), uint64(c.Cause), uint64(who), uint64(c.Size), c.Hash}
 	n.mu.Lock()
-	n.size, n.hash, n.last, n.told = c.Size, c.Hash, e, false
+	n.size, n.hash, n.last, n.lastReported = c.Size, c.Hash, e, false
 	n.changes++
 	n.mu.Unlock()
 	p.mu.Lock()
-	if p.all {
+	if p.allEvents {
 		p.events = append(p.events, e)
 	}
 	p.mu.Unlock()
 }
 
-// tellEvents tells changes of views in bundles.
-func (p *process) tellEvents(ctx context.Context) {
-	for beat := time.NewTicker(tick); ; {
+// reportEvents tells changes of views in bundles.
+func (p *process) reportEvents(ctx context.Context) {
+	for beat := time.NewTicker(eventInterval); ; {
 		select {
 		case <-ctx.Done():
 			beat.Stop()
@@ -460,26 +460,26 @@
 		case <-beat.C:
 		}
 		p.mu.Lock()
-		events, all := p.events, p.all
+		events, all := p.events, p.allEvents
 		p.events = nil
 		p.mu.Unlock()
 		for _, n := range p.nodes {
 			n.mu.Lock()
-			if !all && !n.told && n.last[EventAt] > 0 {
+			if !all && !n.lastReported && n.last[EventAt] > 0 {
 				events = append(events, n.last)
 			}
-			n.told = true
+			n.lastReported = true
 			n.mu.Unlock()
 		}
 		if len(events) > 0 {
-			p.tell(&line{Events: events})
+			p.report(&report{Events: events})
 		}
 	}
 }
 
-// load has nodes claim tokens, in turn.
-func (p *process) load(ctx context.Context) {
-	beat := time.NewTicker(loadTick)
+// generateLoad has nodes claim tokens, in turn.
+func (p *process) generateLoad(ctx context.Context) {
+	beat := time.NewTicker(loadInterval)
 	defer beat.Stop()
 	owed, last, wanted := 0.0, time.Now(), 0
 	for {
@@ -500,7 +500,7 @@
 		if calls != wanted {
 			wanted = calls
 			for _, n := range p.nodes {
-				p.want(n, calls)
+				p.setCalls(n, calls)
 			}
 		}
 	}
@@ -508,39 +508,39 @@
 
 func (p *process) wantToken() {
 	for range p.nodes {
-		n := p.nodes[p.turn%len(p.nodes)]
-		p.turn++
+		n := p.nodes[p.nextNode%len(p.nodes)]
+		p.nextNode++
 		n.mu.Lock()
 		up, s := n.up, n.server
 		n.mu.Unlock()
 		if up {
-			p.next++
-			if !s.WantToken(fmt.Sprintf("%x-%x-%x", p.spec.Seed, p.spec.Nodes[0], p.next)) {
-				n.load.TurnedAway.Add(1)
+			p.lastToken++
+			if !s.WantToken(fmt.Sprintf("%x-%x-%x", p.spec.Seed, p.spec.Nodes[0], p.lastToken)) {
+				n.claims.TurnedAway.Add(1)
 			}
 			return
 		}
 	}
 }
 
-// want parts the calls that are wanted of this process among its nodes.
-func (p *process) want(n *running, calls int) {
+// setCalls parts the calls that are wanted of this process among its nodes.
+func (p *process) setCalls(n *hollowNode, calls int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.up {
-		n.server.WantCalls(p.share(n, calls))
+		n.server.WantCalls(p.callsOf(n, calls))
 	}
 }
 
-// share is a node's part of the calls of this process.
-func (p *process) share(n *running, calls int) int {
+// callsOf is a node's part of the calls of this process.
+func (p *process) callsOf(n *hollowNode, calls int) int {
 	k := slices.Index(p.nodes, n)
 	return calls*(k+1)/len(p.nodes) - calls*k/len(p.nodes)
 }
 
-// figures tells one line a second, at its turn.
-func (p *process) figures(ctx context.Context) {
-	before, told := p.sums(), time.Now().Unix()
+// reportSeconds tells one line a second, at its turn.
+func (p *process) reportSeconds(ctx context.Context) {
+	before, told := p.totals(), time.Now().Unix()
 	for {
 		now := time.Now()
 		next := now.Truncate(time.Second).Add(time.Second)
@@ -549,21 +549,21 @@
 			return
 		case <-time.After(next.Sub(now)):
 		}
-		after := p.sums()
+		after := p.totals()
 		s := p.second(next, before, after)
 		s.Span = max(1, s.Unix-told)
-		p.tell(&line{Second: s})
+		p.report(&report{Second: s})
 		before, told = after, s.Unix
 	}
 }
 
-// sums are all that is counted since the start.
-type sums struct {
-	traffic                             [ways][kinds]Traffic
+// totals are all that is counted since the start.
+type totals struct {
+	traffic                             [numDirections][numKinds]Traffic
 	fromWhole, cut                      int64
 	dropped, flooded, refused           int64
 	changes                             int64
-	wanted, away, begun, kept           int64
+	wanted, rejected, begun, kept       int64
 	late, taken, beginSum, beginMost    int64
 	sent, received                      []int64 // by node
 	nodes                               int
@@ -573,23 +573,23 @@
 	cpu                                 float64
 }
 
-func (p *process) sums() *sums {
-	s := &sums{views: map[string]int{}}
+func (p *process) totals() *totals {
+	s := &totals{views: map[string]int{}}
 	for _, n := range p.nodes {
-		var of [ways]int64
-		for way := range ways {
-			for kind := range kinds {
+		var of [numDirections]int64
+		for way := range numDirections {
+			for kind := range numKinds {
 				t := Traffic{n.counts.bytes[way][kind].Load(), n.counts.messages[way][kind].Load()}
 				s.traffic[way][kind].Bytes += t.Bytes
 				s.traffic[way][kind].Messages += t.Messages
 				of[way] += t.Bytes
 			}
 		}
-		s.sent, s.received = append(s.sent, of[toPeer]), append(s.received, of[fromPeer])
+		s.sent, s.received = append(s.sent, of[sentToPeer]), append(s.received, of[receivedFromPeer])
 		s.fromWhole += n.counts.fromWhole.Load()
 		s.cut += n.counts.lost.Load()
-		l := &n.load
-		s.wanted, s.away, s.begun, s.kept = s.wanted+l.Wanted.Load(), s.away+l.TurnedAway.Load(), s.begun+l.Begun.Load(), s.kept+l.Kept.Load()
+		l := &n.claims
+		s.wanted, s.rejected, s.begun, s.kept = s.wanted+l.Wanted.Load(), s.rejected+l.TurnedAway.Load(), s.begun+l.Begun.Load(), s.kept+l.Kept.Load()
 		s.late, s.taken, s.beginSum = s.late+l.Late.Load(), s.taken+l.Taken.Load(), s.beginSum+l.BeginSum.Load()
 		s.beginMost = max(s.beginMost, l.BeginMost.Swap(0))
 		n.mu.Lock()
@@ -598,7 +598,7 @@
 		if n.server != nil {
 			c := n.server.Peered()
 			own := [3]int64{c.Dropped.Load(), c.Flooded.Load(), c.Refused.Load()}
-			s.dropped, s.flooded, s.refused = s.dropped+n.earlier[0]+own[0], s.flooded+n.earlier[1]+own[1], s.refused+n.earlier[2]+own[2]
+			s.dropped, s.flooded, s.refused = s.dropped+n.earlierDrops[0]+own[0], s.flooded+n.earlierDrops[1]+own[1], s.refused+n.earlierDrops[2]+own[2]
 		}
 		if n.up {
 			s.nodes++
@@ -618,35 +618,35 @@
 // ViewName tells views apart.
 func ViewName(size int, hash uint64) string { return fmt.Sprintf("%d %016x", size, hash) }
 
-func (p *process) second(at time.Time, a, b *sums) *Second {
+func (p *process) second(at time.Time, a, b *totals) *Second {
 	s := &Second{Unix: at.Unix(), Nodes: b.nodes, Sent: map[string]Traffic{}, Received: map[string]Traffic{}, FromWhole: b.fromWhole - a.fromWhole,
 		Cut: b.cut - a.cut, Dropped: b.dropped - a.dropped, Flooded: b.flooded - a.flooded, Refused: b.refused - a.refused,
 		CPU: b.cpu - a.cpu, Changes: b.changes - a.changes, LastChange: b.lastChange, Views: b.views, Late: time.Since(at).Seconds(),
 		Calls: Calls{b.callsWanted, b.callsAllowed, b.callsNow}, WorstNode: -1}
 	for way, to := range []map[string]Traffic{s.Sent, s.Received} {
-		for kind := range kinds {
+		for kind := range numKinds {
 			x, y := a.traffic[way][kind], b.traffic[way][kind]
-			to[Kinds[kind]] = Traffic{y.Bytes - x.Bytes, y.Messages - x.Messages}
+			to[KindNames[kind]] = Traffic{y.Bytes - x.Bytes, y.Messages - x.Messages}
 		}
 	}
 	for k, n := range p.nodes {
 		if sent := b.sent[k] - a.sent[k]; s.WorstNode < 0 || sent > s.WorstSent {
-			s.WorstNode, s.WorstSent = n.i, sent
+			s.WorstNode, s.WorstSent = n.index, sent
 		}
 		s.WorstMost = max(s.WorstMost, b.received[k]-a.received[k])
 	}
 	t := &s.Tokens
-	*t = Tokens{Wanted: b.wanted - a.wanted, TurnedAway: b.away - a.away, Begun: b.begun - a.begun, Kept: b.kept - a.kept, Late: b.late - a.late,
+	*t = Tokens{Wanted: b.wanted - a.wanted, TurnedAway: b.rejected - a.rejected, Begun: b.begun - a.begun, Kept: b.kept - a.kept, Late: b.late - a.late,
 		Taken: b.taken - a.taken, BeginMost: float64(b.beginMost) / 1e6}
 	if t.Begun > 0 {
 		t.BeginMS = float64(b.beginSum-a.beginSum) / float64(t.Begun) / 1e6
 	}
-	s.RSS, s.Peak = resident()
+	s.RSS, s.Peak = residentMemory()
 	return s
 }
 
-// resident is the memory of this process, now and at the most.
-func resident() (now, most int64) {
+// residentMemory is the memory of this process, now and at the most.
+func residentMemory() (now, most int64) {
 	text, err := os.ReadFile("/proc/self/status")
 	if err != nil {
 		return 0, 0
--- a/internal/testbed/processfleet/hollow.go
+++ b/internal/testbed/processfleet/hollow.go
@@ -33,7 +33,7 @@
 // misfit says what can't be played together with hollow nodes, or nothing.
 func (n *Night) misfit() string {
 	switch {
-	case n.Hollow < 0 || n.Hollow > n.Nodes || n.Nodes > hollow.Most:
+	case n.Hollow < 0 || n.Hollow > n.Nodes || n.Nodes > hollow.MaxNodes:
 		return fmt.Sprintf("%d of %d nodes can't be hollow", n.Hollow, n.Nodes)
 	case n.Hollow > 0 && !n.Processes:
 		return "hollow nodes have real sockets: set processes: true"
@@ -190,7 +190,7 @@
 	if p.fleet == nil {
 		return
 	}
-	p.fleet.Tell(true)
+	p.fleet.ReportAllEvents(true)
 	p.fleet.Tokens(p.night.Tokens)
 	p.fleet.Calls(p.night.Wanted)
 }
