--- a/internal/testbed/hollow/layout.go
+++ b/internal/testbed/hollow/layout.go
@@ -7,11 +7,15 @@
 	"net/netip"
 )
 
+// Port is the port of peers, on loopback addresses that only the test bed uses.
+const Port = 7946
+
+// MaxNodes is the most nodes of a fleet that one block of addresses holds.
+const MaxNodes = nodesPerColumn * 250
+
 const (
-	Port             = 7946 // of peers, on loopback addresses of the laboratory's own
-	nodesPerColumn   = 100  // nodes under one third byte of an address
-	MaxNodes         = nodesPerColumn * 250
-	addressesPerNode = 2 // addresses: where a node hears its peers, and where a relay stands before a whole one
+	nodesPerColumn   = 100 // nodes under one third byte of an address
+	addressesPerNode = 2   // one where a node listens for peers, one where a relay stands before a whole daemon
 )
 
 // Layout places nodes round robin: node i in zone i mod Zones, a zone in region zone mod Regions, and racks within zones.
@@ -21,7 +25,7 @@
 	Racks   int `json:"racks,omitempty"` // of all zones together
 }
 
-// Zone is the number of a node's zone, Region that of its region, Rack that of its rack.
+// Zone is the number of a node's zone.
 func (l *Layout) Zone(i int) int { return i % max(1, l.Zones) }
 
 // Region is the number of a node's region.
@@ -34,7 +38,7 @@
 	return l.Zone(i)*each + i/zones%each
 }
 
-// Name is what nodes tell each other as their zone.
+// Name is the zone that a node announces to its peers.
 func (l *Layout) Name(i int) string {
 	if l.Regions > 1 {
 		return fmt.Sprintf("g%dz%d", l.Region(i), l.Zone(i))
@@ -42,7 +46,7 @@
 	return fmt.Sprint("z", l.Zone(i))
 }
 
-// Bind is the address on which node i of a block of loopback addresses hears its peers, Relayed where a relay stands before it.
+// Bind is the address on which node i of a block of loopback addresses listens for peers, Relayed where a relay stands before it.
 func Bind(block, i int) netip.Addr { return address(block, i, 0) }
 
 // Relayed is the address at which a relay stands before node i.
