--- a/internal/testbed/capacity/capacity.go
+++ b/internal/testbed/capacity/capacity.go
@@ -115,60 +115,70 @@
 	}
 	doc := &Document{Quantity: q.Name, Date: time.Now().UTC().Format("2006-01-02 15:04"), Cores: runtime.NumCPU(), Go: runtime.Version(),
 		Build: strings.TrimSpace(string(out)), Seed: b.Seed, Load: loads(), Fits: map[string]Fit{}}
+	if err := b.climbLadder(q, doc); err != nil {
+		return nil, err
+	}
+	doc.Load += ", " + loads()
+	for _, m := range q.Measures {
+		if !m.Fitted {
+			continue
+		}
+		x, y := doc.Series(m.Key)
+		f, err := Line(x, y)
+		if errors.Is(err, errFew) {
+			continue
+		}
+		doc.Fits[m.Key] = f
+	}
+	return doc, nil
+}
+
+// climbLadder measures each size of a ladder. Where one fails after others were measured, the document says so and ends there.
+func (b *Bench) climbLadder(q *Quantity, doc *Document) error {
 	ladder := q.Ladder
+	climb := func(_ int, size float64) (map[string]float64, error) { return q.climb(b, size) }
 	if b.Brief {
 		ladder = q.Short
 	}
-	var together []played
-	atOnce := b.Brief && !q.Alone
-	if atOnce {
-		if together, err = b.atOnce(q, ladder); err != nil {
-			return nil, err
+	if b.Brief && !q.Alone {
+		together, err := b.atOnce(q, ladder)
+		if err != nil {
+			return err
 		}
+		climb = func(k int, _ float64) (map[string]float64, error) { return together[k].measures, together[k].err }
 	}
 	for k, size := range ladder {
 		if b.Most > 0 && size > b.Most {
 			doc.Ended = fmt.Sprintf("%g: not tried", size)
 			break
 		}
-		var m map[string]float64
-		if atOnce {
-			m, err = together[k].measures, together[k].err
-		} else {
-			m, err = q.climb(b, size)
+		m, err := climb(k, size)
+		if err != nil && (len(doc.Rungs) == 0 || b.Brief) {
+			return fmt.Errorf("%s %g: %w", q.Name, size, err)
 		}
 		if err != nil {
-			if len(doc.Rungs) == 0 || b.Brief {
-				return nil, fmt.Errorf("%s %g: %w", q.Name, size, err)
-			}
-			doc.Ended = fmt.Sprintf("%g: %s", size, err) // what was played before counts all the same
+			doc.Ended = fmt.Sprintf("%g: %s", size, err) // what was measured before counts all the same
 			break
 		}
 		if played, other := m[q.Played]; other {
 			size = played
 		}
 		doc.Rungs = append(doc.Rungs, Rung{size, m})
-		if b.Log != nil {
-			fmt.Fprintf(b.Log, "%s %g:", q.Name, size)
-			for _, k := range slices.Sorted(maps.Keys(m)) {
-				fmt.Fprintf(b.Log, " %s %.4g", k, m[k])
-			}
-			fmt.Fprintln(b.Log)
-		}
+		b.logRung(q.Name, size, m)
 	}
-	doc.Load += ", " + loads()
-	for _, m := range q.Measures {
-		if !m.Fitted {
-			continue
-		}
-		x, y := doc.Series(m.Key)
-		f, err := Line(x, y)
-		if errors.Is(err, errFew) {
-			continue
-		}
-		doc.Fits[m.Key] = f
+	return nil
+}
+
+// logRung writes the measures of a size as a line.
+func (b *Bench) logRung(name string, size float64, measures map[string]float64) {
+	if b.Log == nil {
+		return
 	}
-	return doc, nil
+	fmt.Fprintf(b.Log, "%s %g:", name, size)
+	for _, k := range slices.Sorted(maps.Keys(measures)) {
+		fmt.Fprintf(b.Log, " %s %.4g", k, measures[k])
+	}
+	fmt.Fprintln(b.Log)
 }
 
 // played is what a size came to.
--- a/internal/testbed/capacity/daemon.go
+++ b/internal/testbed/capacity/daemon.go
@@ -38,7 +38,8 @@
 	fleet                    string // path of its fleet file, empty outside a fleet
 }
 
-func routeName(k int) string  { return fmt.Sprintf("orders.v1/Route%04d", k) }
+func routeName(k int) string { return fmt.Sprintf("orders.v1/Route%04d", k) }
+
 func tenantName(k int) string { return fmt.Sprintf("tenant-%06d", k) }
 
 // write makes a configuration file, and says how many bytes it has.
@@ -148,7 +149,7 @@
 		for in.Scan() {
 			d.heard(in.Bytes())
 		}
-		d.command.Wait()
+		_ = d.command.Wait() // daemons are killed in the end
 		close(d.ended)
 	}()
 	return nil
@@ -162,7 +163,7 @@
 
 func (d *daemon) heard(line []byte) {
 	var l logLine
-	json.Unmarshal(line, &l)
+	_ = json.Unmarshal(line, &l) // lines that aren't JSON are kept as the last line only
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.last = string(line)
@@ -262,7 +263,7 @@
 
 // lowerPeak has the kernel count the peak of resident memory from now on.
 func (d *daemon) lowerPeak() {
-	os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", d.command.Process.Pid), []byte("5"), 0)
+	_ = os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", d.command.Process.Pid), []byte("5"), 0)
 }
 
 // reload sends SIGHUP and waits until the node is at rest again, and says what that took of the processor.
--- a/internal/testbed/capacity/load.go
+++ b/internal/testbed/capacity/load.go
@@ -14,7 +14,6 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
-
 	"topazpost/internal/protocol/frame"
 )
 
@@ -128,7 +127,7 @@
 		c.errored++
 	default:
 		c.succeeded++
-		c.added.RecordValue(max(1, (took - time.Duration(run)).Microseconds()))
+		_ = c.added.RecordValue(max(1, (took - time.Duration(run)).Microseconds()))
 	}
 }
 
@@ -292,7 +291,7 @@
 			}
 			call, _ := strconv.ParseInt(w[2], 16, 64)
 			run, _ := strconv.ParseInt(strings.TrimSpace(body), 10, 64)
-			added.RecordValue(max(1, (time.Now().UnixNano()-sent[call].Load()-run)/1e3))
+			_ = added.RecordValue(max(1, (time.Now().UnixNano()-sent[call].Load()-run)/1e3))
 			done++
 		}
 		failed <- nil
--- a/internal/testbed/capacity/page.go
+++ b/internal/testbed/capacity/page.go
@@ -20,10 +20,7 @@
 	endMark   = "<!-- end -->"
 )
 
-var (
-	errMarks = errors.New("the page's marks are broken")
-	errNone  = errors.New("was not measured")
-)
+var errMarks = errors.New("the page's marks are broken")
 
 func path(docs, name, quantity string) string {
 	if name != "" {
--- a/internal/testbed/capacity/quantities.go
+++ b/internal/testbed/capacity/quantities.go
@@ -12,38 +12,19 @@
 
 // Quantities are all that ladders are climbed of, each in the order of its ladder.
 func Quantities() []*Quantity {
-	configured := []Measure{
-		{"file_kb", "file, kB", true},
-		{"rss_mb", "resident, MB", true},
-		{"start_peak_mb", "peak at start, MB", true},
-		{"reload_mb", "resident after SIGHUP, MB", true},
-		{"reload_peak_mb", "peak at SIGHUP, MB", true},
-		{"idle_cpu", "idle, ms of processor a second", true},
-		{"start_cpu_ms", "start, ms of processor", true},
-		{"ready_ms", "start until it serves, ms", false},
-		{"check_cpu_ms", "`check`, ms of processor", true},
-		{"reload_cpu_ms", "SIGHUP, ms of processor", true},
-		{"added_p50_ms", "added p50, ms", false},
-		{"added_p99_ms", "added p99, ms", false},
-		{"straight_p99_ms", "p99 without a node, ms", false},
-		{"reload_worst_ms", "longest added at SIGHUP, ms", false},
-		{"straight_worst_ms", "longest without a node then, ms", false},
-	}
-	atPeak := []Measure{
-		{"open", "open in the end", false},
-		{"rss_mb", "resident, MB", false},
-		{"peak_mb", "peak, MB", false},
-		{"cpu", "ms of processor a second", false},
-		{"waited", "ms a second that it waited for a core", false},
-		{"succeeded", "succeeded", false},
-		{"refused", "throttled or errored", false},
-		{"added_p50_ms", "added p50, ms", false},
-		{"added_p99_ms", "added p99, median of three plays, ms", false},
-		{"added_p99_least_ms", "least", false},
-		{"added_p99_most_ms", "most", false},
-		{"straight_p99_ms", "p99 without a node, median, ms", false},
-	}
-	return append(append(append(peered(), virtual()), []*Quantity{
+	var list []*Quantity
+	list = append(list, peered()...)
+	list = append(list, virtual())
+	list = append(list, configurations()...)
+	list = append(list, loaded()...)
+	list = append(list, tokens())
+	return append(list, changes()...)
+}
+
+// configurations are quantities of the size of a node's configuration.
+func configurations() []*Quantity {
+	configured := configuredMeasures()
+	return []*Quantity{
 		{Name: "routes", Title: "Routes, no tenants", Unit: "routes", Wanted: WantedRoutes, Ladder: []float64{1, 1_200, 2_400, 4_700},
 			Short: []float64{1, 1_200, 2_400}, Measures: configured, Configured: true,
 			climb: func(b *Bench, x float64) (map[string]float64, error) { return b.configured(shape{routes: int(x)}) }},
@@ -57,6 +38,13 @@
 			climb: func(b *Bench, x float64) (map[string]float64, error) {
 				return b.configured(shape{routes: max(1, int(WantedRoutes*x/portion)), tenants: int(WantedTenants * x / portion)})
 			}},
+	}
+}
+
+// loaded are quantities of the load on one node.
+func loaded() []*Quantity {
+	atPeak := atPeakMeasures()
+	return []*Quantity{
 		{Name: "callers", Title: "Callers, a connection each", Unit: "connections open at one node", Wanted: WantedCallers,
 			Ladder: []float64{500, 2_000, 4_000, 8_000, 14_000}, Short: []float64{250, 500, 1_000}, Measures: []Measure{
 				{"open", "open in the end", false},
@@ -88,8 +76,46 @@
 		{Name: "shifted", Title: "The same with a lost region's load on the others", Unit: "% of 4,700 routes, 130,000 tenants and 14,000 connections",
 			Wanted: portion, Ladder: []float64{100}, Measures: atPeak, Configured: true,
 			climb: func(b *Bench, x float64) (map[string]float64, error) { return b.peak(x, RequestsEach*RegionLost) }},
-		tokens(),
-	}...), changes()...)
+	}
+}
+
+// configuredMeasures are those of a node with a configuration under its part of the load.
+func configuredMeasures() []Measure {
+	return []Measure{
+		{"file_kb", "file, kB", true},
+		{"rss_mb", "resident, MB", true},
+		{"start_peak_mb", "peak at start, MB", true},
+		{"reload_mb", "resident after SIGHUP, MB", true},
+		{"reload_peak_mb", "peak at SIGHUP, MB", true},
+		{"idle_cpu", "idle, ms of processor a second", true},
+		{"start_cpu_ms", "start, ms of processor", true},
+		{"ready_ms", "start until it serves, ms", false},
+		{"check_cpu_ms", "`check`, ms of processor", true},
+		{"reload_cpu_ms", "SIGHUP, ms of processor", true},
+		{"added_p50_ms", "added p50, ms", false},
+		{"added_p99_ms", "added p99, ms", false},
+		{"straight_p99_ms", "p99 without a node, ms", false},
+		{"reload_worst_ms", "longest added at SIGHUP, ms", false},
+		{"straight_worst_ms", "longest without a node then, ms", false},
+	}
+}
+
+// atPeakMeasures are those of a node at the peak.
+func atPeakMeasures() []Measure {
+	return []Measure{
+		{"open", "open in the end", false},
+		{"rss_mb", "resident, MB", false},
+		{"peak_mb", "peak, MB", false},
+		{"cpu", "ms of processor a second", false},
+		{"waited", "ms a second that it waited for a core", false},
+		{"succeeded", "succeeded", false},
+		{"refused", "throttled or errored", false},
+		{"added_p50_ms", "added p50, ms", false},
+		{"added_p99_ms", "added p99, median of three plays, ms", false},
+		{"added_p99_least_ms", "least", false},
+		{"added_p99_most_ms", "most", false},
+		{"straight_p99_ms", "p99 without a node, median, ms", false},
+	}
 }
 
 // configured starts a node on a configuration, lets it rest, loads it with its part of the peak, has it read the file anew
--- a/internal/testbed/capacity/standins.go
+++ b/internal/testbed/capacity/standins.go
@@ -79,6 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusNoContent) }))
+	answer := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
+	go func() { _ = http.Serve(l, http.HandlerFunc(answer)) }() // until the listener is closed
 	return l, nil
 }
