--- a/cmd/topazlab/main.go
+++ b/cmd/topazlab/main.go
@@ -91,7 +91,7 @@
 }
 
 // runScenario plays a fault scenario on a fleet of processes.
-func (c *runCommand) runScenario(n *processfleet.Night) error {
+func (c *runCommand) runScenario(n *processfleet.Scenario) error {
 	seeds := c.seeds(&n.Seeds)
 	program, err := os.Executable()
 	if err != nil {
--- a/internal/testbed/capacity/tokens.go
+++ b/internal/testbed/capacity/tokens.go
@@ -39,7 +39,7 @@
 }
 
 func (b *Bench) agreed(aSecond float64) (m map[string]float64, err error) {
-	n := &processfleet.Night{Storm: true, Nodes: seats + others, Council: seats, Contacts: seats, Longest: configfile.Time(time.Millisecond),
+	n := &processfleet.Scenario{Storm: true, Nodes: seats + others, Council: seats, Contacts: seats, Longest: configfile.Time(time.Millisecond),
 		Timeout: configfile.Time(tokenTimeout)}
 	f, err := processfleet.NewFleet(n, b.Seed, b.Program, b.folder)
 	if err != nil {
--- a/internal/testbed/processfleet/cost_test.go
+++ b/internal/testbed/processfleet/cost_test.go
@@ -22,7 +22,7 @@
 func BenchmarkTokenedOnAFleet(b *testing.B) {
 	for b.Loop() {
 		for _, seats := range []int{0, 1, 3, 5} {
-			n := &Night{Storm: true, Nodes: 6, Council: seats, Contacts: 3, Longest: 1_000_000, Timeout: 20_000_000_000}
+			n := &Scenario{Storm: true, Nodes: 6, Council: seats, Contacts: 3, Longest: 1_000_000, Timeout: 20_000_000_000}
 			p, err := newProcesses(n, 1, program, b.TempDir())
 			require.NoError(b, err)
 			for i := range n.Nodes {
--- a/internal/testbed/processfleet/fleet.go
+++ b/internal/testbed/processfleet/fleet.go
@@ -14,7 +14,7 @@
 type Fleet struct{ p *processes }
 
 // NewFleet starts all nodes of a night; program is the built daemon, and files are left in folder.
-func NewFleet(n *Night, seed int64, program, folder string) (*Fleet, error) {
+func NewFleet(n *Scenario, seed int64, program, folder string) (*Fleet, error) {
 	p, err := newProcesses(n, seed, program, folder)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/processfleet/hollow.go
+++ b/internal/testbed/processfleet/hollow.go
@@ -22,16 +22,16 @@
 	fewShown   = 12         // names in one line of a timeline
 )
 
-// few shortens a list of names.
-func few(who []string) []string {
+// abbreviate shortens a list of names.
+func abbreviate(who []string) []string {
 	if len(who) > fewShown {
 		return append(slices.Clone(who[:fewShown]), fmt.Sprintf("and %d more", len(who)-fewShown))
 	}
 	return who
 }
 
-// misfit says what can't be played together with hollow nodes, or nothing.
-func (n *Night) misfit() string {
+// checkHollow says what can't be played together with hollow nodes, or nothing.
+func (n *Scenario) checkHollow() string {
 	switch {
 	case n.Hollow < 0 || n.Hollow > n.Nodes || n.Nodes > hollow.MaxNodes:
 		return fmt.Sprintf("%d of %d nodes can't be hollow", n.Hollow, n.Nodes)
@@ -47,15 +47,15 @@
 	return ""
 }
 
-// hollow says whether a node is; the first ones are whole.
-func (n *Night) hollow(i int) bool { return i >= n.Nodes-n.Hollow }
+// isHollow says whether a node is; the first ones are whole.
+func (n *Scenario) isHollow(i int) bool { return i >= n.Nodes-n.Hollow }
 
-func (n *Night) layout() hollow.Layout {
+func (n *Scenario) layout() hollow.Layout {
 	return hollow.Layout{Regions: n.Regions, Zones: cmp.Or(n.Zones, zonesUsual), Racks: n.Racks}
 }
 
-// place draws a rack, zone or region, and keeps its nodes of a list.
-func (n *Night) place(kind string, chance *rand.Rand, list []int) []int {
+// nodesOfPlace draws a rack, zone or region, and keeps its nodes of a list.
+func (n *Scenario) nodesOfPlace(kind string, chance *rand.Rand, list []int) []int {
 	l := n.layout()
 	of := map[string]func(i int) int{"rack": l.Rack, "zone": l.Zone, "region": l.Region}[kind]
 	if len(list) == 0 {
@@ -65,17 +65,17 @@
 	return slices.DeleteFunc(list, func(i int) bool { return of(i) != drawn })
 }
 
-// roll drains and starts each of some nodes once, some at a time.
-func (n *Night) roll(d driver, f *Fault, at, end int64, chance *rand.Rand, up []bool) (spans []*span, actions []action) {
+// rollingRestart drains and starts each of some nodes once, some at a time.
+func (n *Scenario) rollingRestart(d fleetDriver, f *Fault, at, end int64, chance *rand.Rand, up []bool) (spans []*faultSpan, actions []scheduledAction) {
 	var list []int
 	if f.Who == "" {
 		list = chance.Perm(n.Nodes)
 	} else {
-		list = n.who(f.Who, chance, func(int) bool { return true })
+		list = n.selectNodes(f.Who, chance, func(int) bool { return true })
 	}
 	step := int64(f.For) / int64(f.Steps)
 	for k := range f.Steps {
-		s := &span{kind: "leave", from: at + int64(k)*step, concerned: map[string]bool{}, back: true,
+		s := &faultSpan{kind: "leave", from: at + int64(k)*step, concerned: map[string]bool{}, back: true,
 			nodes: list[k*len(list)/f.Steps : (k+1)*len(list)/f.Steps]}
 		s.to = s.from + min(rollGap, step/2)
 		if s.to >= end || len(s.nodes) == 0 {
@@ -85,16 +85,16 @@
 			s.concerned[name(i)] = true
 		}
 		spans = append(spans, s)
-		actions = append(actions, n.begin(d, s, *f, chance, up)...)
+		actions = append(actions, n.beginFault(d, s, *f, chance, up)...)
 	}
 	return spans, actions
 }
 
 // startAll starts nodes, hollow ones with one command.
-func startAll(d driver, nodes []int, over configfile.Time) error {
+func startAll(d fleetDriver, nodes []int, over configfile.Time) error {
 	if p, is := d.(*processes); is && p.fleet != nil {
 		var some []int
-		nodes, some = p.parted(nodes)
+		nodes, some = p.partition(nodes)
 		if len(some) > 0 {
 			p.fleet.StartOver(time.Duration(over), some...)
 		}
@@ -108,13 +108,13 @@
 }
 
 // endAll kills nodes, or has them drain.
-func endAll(d driver, nodes []int, drain bool, up []bool) {
+func endAll(d fleetDriver, nodes []int, drain bool, up []bool) {
 	for _, i := range nodes {
 		up[i] = false
 	}
 	if p, is := d.(*processes); is && p.fleet != nil {
 		var some []int
-		if nodes, some = p.parted(nodes); len(some) > 0 && drain {
+		if nodes, some = p.partition(nodes); len(some) > 0 && drain {
 			p.fleet.Leave(some...)
 		} else if len(some) > 0 {
 			p.fleet.Kill(some...)
@@ -130,7 +130,7 @@
 }
 
 // cutAll has nothing of some nodes come to others.
-func cutAll(d driver, from, to []int) {
+func cutAll(d fleetDriver, from, to []int) {
 	if p, is := d.(*processes); is {
 		p.wire.cutAll(p.night.Nodes, from, to)
 		if p.fleet != nil {
@@ -145,10 +145,10 @@
 	}
 }
 
-// parted parts nodes in whole and hollow ones.
-func (p *processes) parted(nodes []int) (whole, some []int) {
+// partition parts nodes in whole and hollow ones.
+func (p *processes) partition(nodes []int) (whole, some []int) {
 	for _, i := range nodes {
-		if p.night.hollow(i) {
+		if p.night.isHollow(i) {
 			some = append(some, i)
 		} else {
 			whole = append(whole, i)
--- a/internal/testbed/processfleet/hollow_test.go
+++ b/internal/testbed/processfleet/hollow_test.go
@@ -17,7 +17,7 @@
 }
 
 // read reads a night of a test.
-func read(t *testing.T, text string) (*Night, error) {
+func read(t *testing.T, text string) (*Scenario, error) {
 	path := filepath.Join(t.TempDir(), "night.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	n, is, err := Read(path, nil)
@@ -52,11 +52,11 @@
 			out = append(out, i)
 		}
 	}
-	whole, hollow := p.parted(rack)
+	whole, hollow := p.partition(rack)
 	assert.Len(t, whole, 1, "a rack with both kinds of nodes")
 	assert.Len(t, hollow, 3)
-	agree := func(d driver, what string) {
-		require.GreaterOrEqual(t, n.until(d, generous, up), int64(0), "%s: %v", what, d.last())
+	agree := func(d fleetDriver, what string) {
+		require.GreaterOrEqual(t, n.runUntilAgreed(d, generous, up), int64(0), "%s: %v", what, d.lastEvents())
 	}
 	require.NoError(t, startAll(p, all, 0))
 	agree(p, "all join")
@@ -75,9 +75,9 @@
 		for _, i := range side {
 			here[i] = true
 		}
-		return n.until(p, generous, here) >= 0
+		return n.runUntilAgreed(p, generous, here) >= 0
 	}
-	assert.True(t, apart(in, out), "a cut region has a view of its own: %v", p.last())
+	assert.True(t, apart(in, out), "a cut region has a view of its own: %v", p.lastEvents())
 	assert.True(t, apart(out, in), "and so have the others")
 	p.heal()
 	agree(p, "both come together")
@@ -100,7 +100,7 @@
 		{ kind: 'cut', shape: 'halves', who: 'region', at: '38 s', 'for': '8 s' },
 		{ kind: 'roll', steps: 8, at: '60 s', 'for': '16 s' } ] }`)
 	require.NoError(t, err)
-	o, err := n.one(1, "", "")
+	o, err := n.runSeed(1, "", "")
 	require.NoError(t, err)
 	require.Empty(t, o.Failed)
 	m := o.Measures
--- a/internal/testbed/processfleet/night.go
+++ b/internal/testbed/processfleet/night.go
@@ -34,8 +34,8 @@
 	pardon    = 60 * second
 )
 
-// Night is an experiment on a fleet, as it is written.
-type Night struct {
+// Scenario is an experiment on a fleet, as it is written.
+type Scenario struct {
 	Name, About string
 	Processes   bool
 	Storm       bool              // of repeats of tokens, by callers that go to any node
@@ -92,8 +92,8 @@
 	Size  int
 }
 
-// driver is a fleet that faults can be done to.
-type driver interface {
+// fleetDriver is a fleet that faults can be done to.
+type fleetDriver interface {
 	now() int64
 	run(until int64)
 	start(i int) error
@@ -104,13 +104,13 @@
 	heal()
 	lose(part float64)
 	sent() int64 // bytes, of all
-	seen() []Event
-	last() []Event // the last one of each node
+	viewEvents() []Event
+	lastEvents() []Event // the last one of each node
 	close()
 }
 
 // Read reads a night with some of its values changed. It says no where the file is no night but another experiment.
-func Read(path string, changed map[string]string) (n *Night, is bool, err error) {
+func Read(path string, changed map[string]string) (n *Scenario, is bool, err error) {
 	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, false, err
@@ -124,7 +124,7 @@
 			return nil, true, err
 		}
 	}
-	n = &Night{Contacts: 3, Seeds: 1, Calm: 15, Seconds: 60, Join: 60}
+	n = &Scenario{Contacts: 3, Seeds: 1, Calm: 15, Seconds: 60, Join: 60}
 	if err := file.Into(n); err != nil {
 		return nil, true, err
 	}
@@ -136,14 +136,14 @@
 			return nil, true, file.At([]string{"faults", fmt.Sprint(k), "steps"}, "a roll without them has no pace", "say in how many steps and, by for, over how long all are restarted")
 		}
 	}
-	if wrong := n.misfit(); wrong != "" {
+	if wrong := n.checkHollow(); wrong != "" {
 		return nil, true, file.At([]string{"hollow"}, wrong, "see docs/operate/rig.md")
 	}
 	return n, true, nil
 }
 
-// span is one fault as it was done.
-type span struct {
+// faultSpan is one fault as it was done.
+type faultSpan struct {
 	kind, shape string
 	nodes       []int
 	concerned   map[string]bool // by name
@@ -161,13 +161,13 @@
 	Failed   string // why it could not be played to its end
 }
 
-type action struct {
+type scheduledAction struct {
 	at int64
 	do func() error
 }
 
-// play does all faults to a fleet and measures what its views told.
-func (n *Night) play(d driver, seed int64) *Outcome {
+// playSeed does all faults to a fleet and measures what its views told.
+func (n *Scenario) playSeed(d fleetDriver, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
 	began := time.Now()
 	all, up := make([]int, n.Nodes), make([]bool, n.Nodes)
@@ -182,7 +182,7 @@
 		o.Failed = err.Error()
 		return o
 	}
-	o.Measures["joined_s"] = seconds(n.until(d, int64(n.Join*1e9), up))
+	o.Measures["joined_s"] = seconds(n.runUntilAgreed(d, int64(n.Join*1e9), up))
 	if o.Measures["joined_s"] < 0 {
 		o.Failed = "the fleet did not come to one view"
 		return o
@@ -191,16 +191,16 @@
 		p.loadHollow()
 	}
 	if storming = storming && n.Storm; storming {
-		p.storm.begin(p)
+		p.retryStorm.begin(p)
 	}
-	var still *standstills
+	var still *stallRecorder
 	if p != nil && slices.ContainsFunc(n.Faults, func(f Fault) bool { return f.Kind == "pause" }) {
 		still = p.still
 		go still.watch(p)
 	}
 	start := d.now()
 	idle, idleAt := d.sent(), start
-	spans, actions := n.draw(d, start, rand.New(rand.NewSource(seed)), up)
+	spans, actions := n.drawFaults(d, start, rand.New(rand.NewSource(seed)), up)
 	worst, last, lastAt := 0.0, d.sent(), d.now()
 	for k, a := range actions {
 		for d.now() < a.at {
@@ -223,17 +223,17 @@
 	d.lose(0)
 	d.heal()
 	if storming {
-		p.storm.awaitKept(n)
-		defer p.storm.measure(o, p, spans, start)
+		p.retryStorm.awaitResults(n)
+		defer p.retryStorm.measure(o, p, spans, start)
 	}
 	o.Measures["worst_bytes"] = worst
-	o.Measures["agree_s"] = seconds(n.until(d, int64(n.Calm*1e9), up))
+	o.Measures["agree_s"] = seconds(n.runUntilAgreed(d, int64(n.Calm*1e9), up))
 	d.run(healed + int64(n.Calm*1e9))
 	if o.Measures["agree_s"] < 0 {
 		o.Measures["agree_s"] = math.Inf(1)
 	}
 	o.Measures["pace"] = float64(d.now()) / float64(max(1, time.Since(began)))
-	n.measure(o, d.seen(), spans, start, still)
+	n.measureViews(o, d.viewEvents(), spans, start, still)
 	return o
 }
 
@@ -244,10 +244,10 @@
 	return float64(ns) / 1e9
 }
 
-// until runs on until all that are up hold one view of just them.
-func (n *Night) until(d driver, most int64, up []bool) int64 {
+// runUntilAgreed runs on runUntilAgreed all that are up hold one view of just them.
+func (n *Scenario) runUntilAgreed(d fleetDriver, most int64, up []bool) int64 {
 	for start := d.now(); d.now()-start < most; d.run(d.now() + look) {
-		if agreed(d.last(), up) {
+		if agreed(d.lastEvents(), up) {
 			return d.now() - start
 		}
 	}
@@ -273,26 +273,26 @@
 	return true
 }
 
-// draw lays the faults out in time, each with those whom it concerns.
-func (n *Night) draw(d driver, start int64, chance *rand.Rand, up []bool) (spans []*span, actions []action) {
+// drawFaults lays the faults out in time, each with those whom it concerns.
+func (n *Scenario) drawFaults(d fleetDriver, start int64, chance *rand.Rand, up []bool) (spans []*faultSpan, actions []scheduledAction) {
 	end := start + int64(n.Seconds*1e9)
 	for k := range n.Kills {
 		at := start + int64(n.Seconds*1e9*(float64(k)+0.2+0.6*chance.Float64())/float64(n.Kills))
-		i, s := k%n.Nodes, &span{kind: "kill", from: at, to: at + ms, back: true, concerned: map[string]bool{name(k % n.Nodes): true}}
+		i, s := k%n.Nodes, &faultSpan{kind: "kill", from: at, to: at + ms, back: true, concerned: map[string]bool{name(k % n.Nodes): true}}
 		spans = append(spans, s)
-		actions = append(actions, action{at, func() error { d.kill(i); return d.start(i) }})
+		actions = append(actions, scheduledAction{at, func() error { d.kill(i); return d.start(i) }})
 	}
 	for _, f := range n.Faults {
 		for at := start + int64(f.At); at < end; at += int64(f.Every) {
 			if f.Kind == "roll" {
-				more, steps := n.roll(d, &f, at, end, chance, up)
+				more, steps := n.rollingRestart(d, &f, at, end, chance, up)
 				spans, actions = append(spans, more...), append(actions, steps...)
 				if f.Every <= 0 {
 					break
 				}
 				continue
 			}
-			s := &span{kind: f.Kind, shape: f.Shape, from: at, to: at + int64(f.For), concerned: map[string]bool{}}
+			s := &faultSpan{kind: f.Kind, shape: f.Shape, from: at, to: at + int64(f.For), concerned: map[string]bool{}}
 			if f.Kind == "pause" { // nobody is left standing still
 				s.to = min(s.to, end-ms)
 			}
@@ -300,25 +300,25 @@
 			if !s.back {
 				s.to = end
 			}
-			s.nodes = n.who(f.Who, chance, func(i int) bool {
-				return f.Kind == "cut" || f.Kind == "loss" || (f.Kind != "pause" || !n.hollow(i)) && standing(spans, i, s.from, s.to)
+			s.nodes = n.selectNodes(f.Who, chance, func(i int) bool {
+				return f.Kind == "cut" || f.Kind == "loss" || (f.Kind != "pause" || !n.isHollow(i)) && isUndisturbed(spans, i, s.from, s.to)
 			})
 			for _, i := range s.nodes {
 				s.concerned[name(i)] = true
 			}
 			spans = append(spans, s)
-			actions = append(actions, n.begin(d, s, f, chance, up)...)
+			actions = append(actions, n.beginFault(d, s, f, chance, up)...)
 			if f.Every <= 0 {
 				break
 			}
 		}
 	}
 	sort.SliceStable(actions, func(a, b int) bool { return actions[a].at < actions[b].at })
-	return spans, append(actions, action{end, func() error { return nil }})
+	return spans, append(actions, scheduledAction{end, func() error { return nil }})
 }
 
-// who draws nodes, those that may be taken: one that another fault has in hand is left to it.
-func (n *Night) who(text string, chance *rand.Rand, may func(i int) bool) (list []int) {
+// selectNodes draws nodes, those that may be taken: one that another fault has in hand is left to it.
+func (n *Scenario) selectNodes(text string, chance *rand.Rand, may func(i int) bool) (list []int) {
 	for _, i := range chance.Perm(n.Nodes) {
 		if may(i) {
 			list = append(list, i)
@@ -336,13 +336,13 @@
 	case "half":
 		return list[:min(n.Nodes/2, len(list))]
 	case "rack", "zone", "region":
-		return n.place(text, chance, list)
+		return n.nodesOfPlace(text, chance, list)
 	}
 	return slices.DeleteFunc(list, func(i int) bool { return !slices.Contains(strings.Split(text, " "), name(i)) })
 }
 
-// begin is what a fault does, and what ends it.
-func (n *Night) begin(d driver, s *span, f Fault, chance *rand.Rand, up []bool) []action {
+// beginFault is what a fault does, and what ends it.
+func (n *Scenario) beginFault(d fleetDriver, s *faultSpan, f Fault, chance *rand.Rand, up []bool) []scheduledAction {
 	each := func(do func(i int)) func() error {
 		return func() error {
 			for _, i := range s.nodes {
@@ -372,29 +372,29 @@
 		end = func() error { d.lose(0); return nil }
 	case "cut":
 		begin = func() error {
-			n.cut(d, s, chance)
+			n.drawCut(d, s, chance)
 			return nil
 		}
 		end = func() error {
 			if d.heal(); n.Storm { // other faults go on meanwhile, and none may last longer for it
 				return nil
 			}
-			s.healed = n.until(d, int64(n.Calm*1e9), up)
+			s.healed = n.runUntilAgreed(d, int64(n.Calm*1e9), up)
 			if s.healed < 0 {
 				s.healed = 1_000 * second
 			}
 			return nil
 		}
 	}
-	list := []action{{s.from, begin}}
+	list := []scheduledAction{{s.from, begin}}
 	if s.back {
-		list = append(list, action{s.to, end})
+		list = append(list, scheduledAction{s.to, end})
 	}
 	return list
 }
 
-// cut cuts links in a shape, and tells whom that concerns.
-func (n *Night) cut(d driver, s *span, chance *rand.Rand) {
+// drawCut cuts links in a shape, and tells whom that concerns.
+func (n *Scenario) drawCut(d fleetDriver, s *faultSpan, chance *rand.Rand) {
 	within := map[int]bool{}
 	for _, i := range s.nodes {
 		within[i] = true
@@ -425,9 +425,9 @@
 	}
 }
 
-// measure holds what views told against the faults. A loss of one that a fault and the machine together kept standing still
+// measureViews holds what views told against the faults. A loss of one that a fault and the machine together kept standing still
 // for longer than a fleet bears is counted apart, with its return; still is nil where no machine has a part in it.
-func (n *Night) measure(o *Outcome, events []Event, spans []*span, start int64, still *standstills) {
+func (n *Scenario) measureViews(o *Outcome, events []Event, spans []*faultSpan, start int64, still *stallRecorder) {
 	bound := 3_000 * ms // a pause up to it must be borne
 	var known, back []float64
 	missed, wrong, others, most, losses, returns := 0, 0, 0, 0, 0, 0
@@ -445,7 +445,7 @@
 	type about struct {
 		node int
 		who  string
-		span *span
+		span *faultSpan
 	}
 	type concern struct {
 		node int
@@ -500,7 +500,7 @@
 		}
 		for _, victim := range s.nodes {
 			for i := range n.Nodes {
-				if s.concerned[name(i)] || !standing(spans, i, s.from, s.to) {
+				if s.concerned[name(i)] || !isUndisturbed(spans, i, s.from, s.to) {
 					continue
 				}
 				gone, returned := int64(-1), int64(-1)
@@ -532,7 +532,7 @@
 					if returned < 0 {
 						returned = 1_000 * second
 					} else {
-						returned -= hindered(values(told), spans, s, i, name(victim), s.to, s.to+returned)
+						returned -= blockedTime(values(told), spans, s, i, name(victim), s.to, s.to+returned)
 					}
 					back = append(back, seconds(returned))
 				}
@@ -553,8 +553,8 @@
 	o.Timeline = timeline(events, spans, start)
 }
 
-// standing says whether a node was up and ran all through a time, and some before.
-func standing(spans []*span, i int, from, to int64) bool {
+// isUndisturbed says whether a node was up and ran all through a time, and some before.
+func isUndisturbed(spans []*faultSpan, i int, from, to int64) bool {
 	for _, s := range spans {
 		if (s.kind == "kill" || s.kind == "leave" || s.kind == "pause" || s.kind == "cut") && s.concerned[name(i)] &&
 			s.from < to+after && s.to+after > from {
@@ -571,9 +571,9 @@
 	return list
 }
 
-// hindered is how much of a time a node could not be back at another: other faults than s concerned one of the two, or it had
+// blockedTime is how much of a time a node could not be back at another: other faults than s concerned one of the two, or it had
 // fallen out there again and again, and is let in after 1, 2, 4, 8 s then (docs/design/membership.md).
-func hindered(events []Event, spans []*span, s *span, by int, who string, from, to int64) (sum int64) {
+func blockedTime(events []Event, spans []*faultSpan, s *faultSpan, by int, who string, from, to int64) (sum int64) {
 	falls, fell := 0, int64(0)
 	for k := range events {
 		switch e := &events[k]; {
@@ -623,7 +623,7 @@
 	return values[min(len(values)-1, int(math.Ceil(part*float64(len(values))))-1)]
 }
 
-func timeline(events []Event, spans []*span, start int64) (lines []string) {
+func timeline(events []Event, spans []*faultSpan, start int64) (lines []string) {
 	type line struct {
 		at   int64
 		text string
@@ -631,7 +631,7 @@
 	var all []line
 	for _, s := range spans {
 		who := slices.Sorted(maps.Keys(s.concerned))
-		all = append(all, line{s.from, fmt.Sprintf("FAULT %s %s %v for %.1f s", s.kind, s.shape, few(who), seconds(s.to-s.from))})
+		all = append(all, line{s.from, fmt.Sprintf("FAULT %s %s %v for %.1f s", s.kind, s.shape, abbreviate(who), seconds(s.to-s.from))})
 	}
 	if len(events) > toldMost { // of a large fleet: how many there were in each second
 		type in struct {
@@ -671,7 +671,7 @@
 
 // Result is a night on all its seeds.
 type Result struct {
-	Night    *Night     `json:"-"`
+	Scenario *Scenario  `json:"-"`
 	Name     string     `json:"experiment"`
 	Outcomes []*Outcome `json:"-"`
 	Verdicts []Verdict  `json:"claims"`
@@ -680,10 +680,10 @@
 
 // Run plays a night on seeds, one after the other. Program is the built daemon, for nights on processes; their logs
 // and timelines are left in folder, if it is not empty.
-func (n *Night) Run(seeds []int64, program, folder string) (*Result, error) {
-	r := &Result{Night: n, Name: n.Name}
+func (n *Scenario) Run(seeds []int64, program, folder string) (*Result, error) {
+	r := &Result{Scenario: n, Name: n.Name}
 	for _, seed := range seeds {
-		o, err := n.one(seed, program, folder)
+		o, err := n.runSeed(seed, program, folder)
 		if err != nil {
 			return nil, err
 		}
@@ -729,17 +729,17 @@
 	return r, nil
 }
 
-// one plays a night on one seed. The files of processes are left in a folder, if there is one.
-func (n *Night) one(seed int64, program, folder string) (*Outcome, error) {
+// runSeed plays a night on runSeed seed. The files of processes are left in a folder, if there is runSeed.
+func (n *Scenario) runSeed(seed int64, program, folder string) (*Outcome, error) {
 	if n.Versions != nil && !n.Processes {
-		return n.playVersions(seed), nil
+		return n.playVersionsInVirtualTime(seed), nil
 	}
 	if !n.Processes {
 		d, err := newVirtual(n, seed)
 		if err != nil {
 			return nil, err
 		}
-		return n.play(d, seed), nil
+		return n.playSeed(d, seed), nil
 	}
 	if v := n.Versions; v != nil { // its seats are the first nodes, each a process that serves nothing
 		n.Council, n.Regions, n.Zones = v.Seats, v.Regions, v.Zones
@@ -767,7 +767,7 @@
 	if n.Versions != nil {
 		return n.playVersionsOnProcesses(d, seed), nil
 	}
-	return n.play(d, seed), nil
+	return n.playSeed(d, seed), nil
 }
 
 // Held says whether every claim did.
@@ -778,13 +778,13 @@
 // Print writes the measures of each seed and the verdicts; the start of the timeline where a claim broke.
 func (r *Result) Print(to io.Writer) error {
 	how := "in virtual time"
-	if r.Night.Processes {
+	if r.Scenario.Processes {
 		how = "on processes"
 	}
-	if r.Night.Hollow > 0 {
-		how = fmt.Sprintf("on processes, %d of them hollow", r.Night.Hollow)
+	if r.Scenario.Hollow > 0 {
+		how = fmt.Sprintf("on processes, %d of them hollow", r.Scenario.Hollow)
 	}
-	fmt.Fprintf(to, "%s, %d nodes %s, %g s, simulated faults\n", r.Name, r.Night.Nodes, how, r.Night.Seconds)
+	fmt.Fprintf(to, "%s, %d nodes %s, %g s, simulated faults\n", r.Name, r.Scenario.Nodes, how, r.Scenario.Seconds)
 	for _, o := range r.Outcomes {
 		fmt.Fprintf(to, "seed %d:", o.Seed)
 		for _, k := range slices.Sorted(maps.Keys(o.Measures)) {
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -35,21 +35,21 @@
 // processes is a fleet of built daemons on loopback addresses.
 type processes struct {
 	program, folder string
-	night           *Night
-	wire            *wire
+	night           *Scenario
+	wire            *links
 	relays          []*relay
 	bind, told      []string
-	benches         []*bench // executors, one a node
+	executors       []*executorStandIn // executors, one a node
 	control         net.Listener
-	supply          *supply
+	supply          *dependency
 	seed            int64
 	block           int
 	held            io.Closer     // of the block
 	fleet           *hollow.Fleet // of the hollow nodes, nil without any
 	hollowLog       *os.File
 	joined          int64 // Unix s
-	storm           *storm
-	still           *standstills
+	retryStorm      *retryStorm
+	still           *stallRecorder
 	began           time.Time
 
 	mu      sync.Mutex
@@ -70,26 +70,26 @@
 }
 
 // newProcesses takes a block of addresses that nobody uses, and stands the relays on it.
-func newProcesses(n *Night, seed int64, program, folder string) (*processes, error) {
+func newProcesses(n *Scenario, seed int64, program, folder string) (*processes, error) {
 	p := &processes{program: program, folder: folder, night: n, seed: seed, began: time.Now(), daemons: make([]*daemon, n.Nodes),
-		latest: make([]Event, n.Nodes), still: &standstills{from: map[int]int64{}, over: make(chan struct{})}}
+		latest: make([]Event, n.Nodes), still: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})}}
 	chance := rand.New(rand.NewSource(seed))
 	var err error
-	p.storm = newStorm(seed, n)
-	if p.supply, err = newSupply(seed, n.Calls); err != nil {
+	p.retryStorm = newRetryStorm(seed, n)
+	if p.supply, err = newDependency(seed, n.Calls); err != nil {
 		return nil, err
 	}
 	for range n.Nodes - n.Hollow {
-		var calls *supply
+		var calls *dependency
 		if n.Calls > 0 {
 			calls = p.supply
 		}
-		b, err := newBench(p.storm, calls)
+		b, err := newExecutorStandIn(p.retryStorm, calls)
 		if err != nil {
 			return nil, err
 		}
-		b.name = name(len(p.benches))
-		p.benches = append(p.benches, b)
+		b.name = name(len(p.executors))
+		p.executors = append(p.executors, b)
 	}
 	if p.control, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 		if block, p.held, err = hollow.Reserve(); err != nil {
 			return nil, err
 		}
-		if err = p.stand(block, chance); err == nil {
+		if err = p.listen(block, chance); err == nil {
 			return p, nil
 		}
 		p.closeRelays()
@@ -109,13 +109,13 @@
 	return nil, fmt.Errorf("no block of loopback addresses is free: %w", err)
 }
 
-func (p *processes) stand(block int, chance *rand.Rand) error {
+func (p *processes) listen(block int, chance *rand.Rand) error {
 	sender := map[netip.Addr]int{}
-	p.wire = &wire{chance: chance, cut: map[pair]bool{}, bytes: make([]int64, p.night.Nodes), flight: make(chan struct{}, delayedMost)}
+	p.wire = &links{chance: chance, cut: map[pair]bool{}, bytes: make([]int64, p.night.Nodes), flight: make(chan struct{}, delayedMost)}
 	p.bind, p.told, p.relays, p.block = nil, nil, nil, block
 	for i := range p.night.Nodes {
 		bind, told := hollow.Bind(block, i), hollow.Relayed(block, i)
-		if p.night.hollow(i) {
+		if p.night.isHollow(i) {
 			told = bind
 		}
 		sender[bind] = i
@@ -200,7 +200,7 @@
 func (p *processes) config(i int) map[string]any {
 	operation := map[string]any{"name": "hold", "aim": 1_000, "give_up": 2_500, "importance": 1, "effect": "idempotent"}
 	if p.night.Storm || p.night.Tokens > 0 {
-		operation = map[string]any{"name": "hold", "aim": 2_000, "give_up": int64(p.storm.timeout) / ms,
+		operation = map[string]any{"name": "hold", "aim": 2_000, "give_up": int64(p.retryStorm.timeout) / ms,
 			"importance": 1, "effect": "deduplicated", "window": stormWindow}
 	}
 	below, share := "off", 0.0
@@ -209,7 +209,7 @@
 	}
 	executor := "127.0.0.1:1" // a hollow node opens no link to one
 	if i >= 0 {
-		executor = p.benches[i].listener.Addr().String()
+		executor = p.executors[i].listener.Addr().String()
 	}
 	config := map[string]any{"name": name(i), "listen": "127.0.0.1:0",
 		"executor": executor, "control": p.control.Addr().String(), "catalog": p.supply.listener.Addr().String(),
@@ -224,7 +224,7 @@
 }
 
 func (p *processes) start(i int) error {
-	if p.night.hollow(i) {
+	if p.night.isHollow(i) {
 		p.fleet.Start(i)
 		return nil
 	}
@@ -263,7 +263,7 @@
 		in.Buffer(nil, linesMost)
 		for in.Scan() {
 			fmt.Fprintln(d.log, in.Text())
-			p.heard(i, d, in.Bytes())
+			p.logLineReceived(i, d, in.Bytes())
 		}
 		d.command.Wait()
 		d.log.Close()
@@ -280,8 +280,8 @@
 	return all
 }()
 
-// heard takes a line of a node's log.
-func (p *processes) heard(i int, d *daemon, line []byte) {
+// logLineReceived takes a line of a node's log.
+func (p *processes) logLineReceived(i int, d *daemon, line []byte) {
 	var l struct {
 		Message, Cause, Who, View, Listen string
 		Size                              int
@@ -318,7 +318,7 @@
 }
 
 func (p *processes) kill(i int) {
-	if p.night.hollow(i) {
+	if p.night.isHollow(i) {
 		p.fleet.Kill(i)
 		return
 	}
@@ -352,7 +352,7 @@
 }
 
 func (p *processes) leave(i int) {
-	if p.night.hollow(i) {
+	if p.night.isHollow(i) {
 		p.fleet.Leave(i)
 		return
 	}
@@ -402,7 +402,7 @@
 	p.wire.mu.Lock()
 	defer p.wire.mu.Unlock()
 	for i, b := range p.wire.bytes { // what hollow nodes sent through relays they count themselves
-		if !p.night.hollow(i) {
+		if !p.night.isHollow(i) {
 			sum += b
 		}
 	}
@@ -412,13 +412,13 @@
 	return sum
 }
 
-func (p *processes) seen() []Event {
+func (p *processes) viewEvents() []Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Event(nil), p.events...)
 }
 
-func (p *processes) last() []Event {
+func (p *processes) lastEvents() []Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]Event(nil), p.latest...)
@@ -439,7 +439,7 @@
 	}
 	p.closeRelays()
 	p.held.Close()
-	for _, b := range p.benches {
+	for _, b := range p.executors {
 		b.listener.Close()
 	}
 	p.control.Close()
--- a/internal/testbed/processfleet/relay.go
+++ b/internal/testbed/processfleet/relay.go
@@ -16,18 +16,18 @@
 	delayedMost = 1_024   // datagrams on their way at once; more are lost
 )
 
-// side is all links in one direction between some nodes and others.
-type side struct{ from, to []bool }
+// cutLinks is all links in one direction between some nodes and others.
+type cutLinks struct{ from, to []bool }
 
 // pair is a link in one direction.
 type pair struct{ from, to int }
 
-// wire is what all relays go by: which ordered pairs carry what.
-type wire struct {
+// links is what all relays go by: which ordered pairs carry what.
+type links struct {
 	mu      sync.Mutex
 	chance  *rand.Rand
 	cut     map[pair]bool
-	sides   []side
+	sides   []cutLinks
 	loss    float64
 	delay   time.Duration // at the most, drawn for each datagram, which reorders them
 	doubled float64       // share of datagrams that come twice
@@ -35,8 +35,8 @@
 	flight  chan struct{}
 }
 
-// severed says whether a link is cut. mu is held.
-func (w *wire) severed(p pair) bool {
+// isCut says whether a link is cut. mu is held.
+func (w *links) isCut(p pair) bool {
 	for k := range w.sides {
 		if w.sides[k].from[p.from] && w.sides[k].to[p.to] {
 			return true
@@ -45,8 +45,8 @@
 	return w.cut[p]
 }
 
-func (w *wire) cutAll(nodes int, from, to []int) {
-	s := side{make([]bool, nodes), make([]bool, nodes)}
+func (w *links) cutAll(nodes int, from, to []int) {
+	s := cutLinks{make([]bool, nodes), make([]bool, nodes)}
 	for _, i := range from {
 		s.from[i] = true
 	}
@@ -59,11 +59,11 @@
 }
 
 // passes draws what becomes of a datagram, or of a step of an exchange.
-func (w *wire) passes(p pair, size int, datagram bool) (pass bool, copies int, delay time.Duration) {
+func (w *links) passes(p pair, size int, datagram bool) (pass bool, copies int, delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bytes[p.from] += int64(size)
-	if w.severed(p) || datagram && w.chance.Float64() < w.loss {
+	if w.isCut(p) || datagram && w.chance.Float64() < w.loss {
 		return false, 0, 0
 	}
 	copies = 1
@@ -78,7 +78,7 @@
 
 // relay stands at a node's advertised address. It tells the sender by its source address.
 type relay struct {
-	wire   *wire
+	wire   *links
 	to     int
 	bind   string
 	sender map[netip.Addr]int
@@ -96,7 +96,7 @@
 	used int64
 }
 
-func newRelay(w *wire, to int, at, bind string, sender map[netip.Addr]int) (*relay, error) {
+func newRelay(w *links, to int, at, bind string, sender map[netip.Addr]int) (*relay, error) {
 	address, err := net.ResolveUDPAddr("udp", at)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/processfleet/relay_test.go
+++ b/internal/testbed/processfleet/relay_test.go
@@ -26,7 +26,7 @@
 	daemon, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(bind)))
 	require.NoError(t, err)
 	defer daemon.Close()
-	w := &wire{chance: rand.New(rand.NewSource(1)), cut: map[pair]bool{}, bytes: make([]int64, senders+1), flight: make(chan struct{}, delayedMost)}
+	w := &links{chance: rand.New(rand.NewSource(1)), cut: map[pair]bool{}, bytes: make([]int64, senders+1), flight: make(chan struct{}, delayedMost)}
 	r, err := newRelay(w, 0, told, bind, addresses)
 	require.NoError(t, err)
 	defer r.close()
--- a/internal/testbed/processfleet/rig_test.go
+++ b/internal/testbed/processfleet/rig_test.go
@@ -137,20 +137,20 @@
 // A return counts but for the time in which other faults or a member's own falls keep it out, and one that is slow is seen.
 func TestReturnCountsWhereNothingKeepsAMemberOut(t *testing.T) {
 	who := map[string]bool{"n1": true}
-	kill := &span{kind: "kill", from: 10 * second, to: 11 * second, concerned: who}
-	cut := &span{kind: "cut", from: 9 * second, to: 15 * second, concerned: who}
-	assert.Zero(t, hindered(nil, []*span{kill}, kill, 0, "n1", 11*second, 17*second))
-	assert.Equal(t, 4*second, hindered(nil, []*span{kill, cut}, kill, 0, "n1", 11*second, 17*second), "up to the healing")
-	assert.Equal(t, 4*second, hindered(nil, []*span{kill, cut, {kind: "loss", from: 0, to: 99 * second, concerned: who}}, kill, 0, "n1", 11*second, 17*second))
+	kill := &faultSpan{kind: "kill", from: 10 * second, to: 11 * second, concerned: who}
+	cut := &faultSpan{kind: "cut", from: 9 * second, to: 15 * second, concerned: who}
+	assert.Zero(t, blockedTime(nil, []*faultSpan{kill}, kill, 0, "n1", 11*second, 17*second))
+	assert.Equal(t, 4*second, blockedTime(nil, []*faultSpan{kill, cut}, kill, 0, "n1", 11*second, 17*second), "up to the healing")
+	assert.Equal(t, 4*second, blockedTime(nil, []*faultSpan{kill, cut, {kind: "loss", from: 0, to: 99 * second, concerned: who}}, kill, 0, "n1", 11*second, 17*second))
 	var events []Event
 	for _, at := range []int64{2, 6, 10} {
 		events = append(events, Event{At: at * second, Node: 0, Who: "n1", Cause: membership.Lost})
 	}
-	assert.Zero(t, hindered(events[2:], []*span{kill}, kill, 0, "n1", 11*second, 17*second), "fell once")
-	assert.Equal(t, second, hindered(events, []*span{kill}, kill, 0, "n1", 11*second, 17*second), "the third time it is let in after 2 s")
-	assert.Zero(t, hindered(events, []*span{kill}, kill, 2, "n1", 11*second, 17*second), "another node saw none of it")
+	assert.Zero(t, blockedTime(events[2:], []*faultSpan{kill}, kill, 0, "n1", 11*second, 17*second), "fell once")
+	assert.Equal(t, second, blockedTime(events, []*faultSpan{kill}, kill, 0, "n1", 11*second, 17*second), "the third time it is let in after 2 s")
+	assert.Zero(t, blockedTime(events, []*faultSpan{kill}, kill, 2, "n1", 11*second, 17*second), "another node saw none of it")
 	events = append(events[:2], Event{At: 7 * second, Node: 0, Who: "n1", Cause: membership.Joined}, events[2])
-	assert.Zero(t, hindered(events, []*span{kill}, kill, 0, "n1", 11*second, 17*second), "another life of the one that looks")
+	assert.Zero(t, blockedTime(events, []*faultSpan{kill}, kill, 0, "n1", 11*second, 17*second), "another life of the one that looks")
 }
 
 func TestReturnsThroughOverlappingFaultsAreSeenInTime(t *testing.T) {
--- a/internal/testbed/processfleet/starved.go
+++ b/internal/testbed/processfleet/starved.go
@@ -21,30 +21,30 @@
 	borne   = silence + settle - probe
 )
 
-// standstill is a time in which a node could tell nobody anything.
-type standstill struct {
+// processStall is a time in which a node could tell nobody anything.
+type processStall struct {
 	node   int // -1 for all of them: the relays stood still
 	at, ns int64
 }
 
-// standstills are the times in which nodes stood still and it was not their own doing: stopped by a fault, as long as that
+// stallRecorder are the times in which nodes stood still and it was not their own doing: stopped by a fault, as long as that
 // really took, or kept waiting for a processor, by the kernel's account. Nothing else counts: a node that has a processor
 // and says nothing has a fault.
-type standstills struct {
+type stallRecorder struct {
 	mu   sync.Mutex
-	list []standstill
+	list []processStall
 	from map[int]int64 // when those that are stopped were
 	over chan struct{}
 }
 
-func (s *standstills) add(node int, at, ns int64) {
+func (s *stallRecorder) add(node int, at, ns int64) {
 	if ns > 0 && len(s.list) < starvedMost {
-		s.list = append(s.list, standstill{node, at, ns})
+		s.list = append(s.list, processStall{node, at, ns})
 	}
 }
 
 // stopped notes that a fault stops a node, or lets it go on.
-func (s *standstills) stopped(node int, now int64, stop bool) {
+func (s *stallRecorder) stopped(node int, now int64, stop bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if from, was := s.from[node]; was && !stop {
@@ -56,7 +56,7 @@
 }
 
 // of is for how long a node stood still between two moments.
-func (s *standstills) of(node int, from, to int64) (sum int64) {
+func (s *stallRecorder) of(node int, from, to int64) (sum int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.list {
@@ -85,7 +85,7 @@
 
 // watch notes until the end who stands still: all for as long as this process, with the relays, comes late to its looks;
 // a node for as long as its threads waited in a look's time in which it sent nothing.
-func (s *standstills) watch(p *processes) {
+func (s *stallRecorder) watch(p *processes) {
 	type seen struct{ pid, waited, sent int64 }
 	last, lastAt := make([]seen, len(p.daemons)), p.now()
 	for {
--- a/internal/testbed/processfleet/starved_test.go
+++ b/internal/testbed/processfleet/starved_test.go
@@ -17,30 +17,30 @@
 // of nodes as they are.
 func TestLossesAreWrongUnlessTheMachineStoppedForLonger(t *testing.T) {
 	assert.Equal(t, []int64{virtualfleet.DefaultConfig.LinkTimeout, virtualfleet.DefaultConfig.ProbeInterval, virtualfleet.DefaultConfig.SuspicionTimeout}, []int64{silence, probe, settle})
-	n := &Night{Nodes: 3}
-	pause := &span{kind: "pause", from: 10 * second, to: 13 * second, nodes: []int{1}, concerned: map[string]bool{"n1": true}, back: true}
+	n := &Scenario{Nodes: 3}
+	pause := &faultSpan{kind: "pause", from: 10 * second, to: 13 * second, nodes: []int{1}, concerned: map[string]bool{"n1": true}, back: true}
 	events := []Event{{At: 12_950 * ms, Node: 0, Who: "n1", Cause: membership.Lost}, {At: 13_010 * ms, Node: 0, Who: "n1", Cause: membership.Returned}}
-	verdict := func(still *standstills) []float64 {
+	verdict := func(still *stallRecorder) []float64 {
 		o := &Outcome{Measures: map[string]float64{}}
-		n.measure(o, events, []*span{pause}, 0, still)
+		n.measureViews(o, events, []*faultSpan{pause}, 0, still)
 		return []float64{o.Measures["wrong"], o.Measures["others"], o.Measures["starved"]}
 	}
-	still := func(list ...standstill) *standstills {
-		return &standstills{from: map[int]int64{1: 10 * second}, list: list}
+	still := func(list ...processStall) *stallRecorder {
+		return &stallRecorder{from: map[int]int64{1: 10 * second}, list: list}
 	}
 	assert.Equal(t, []float64{1, 2, 0}, verdict(nil), "in virtual time")
 	assert.Equal(t, []float64{1, 2, 0}, verdict(still()))
-	assert.Equal(t, []float64{1, 2, 0}, verdict(still(standstill{1, 9_600 * ms, 400 * ms})), "all together it stood for less than is borne")
-	assert.Equal(t, []float64{1, 2, 0}, verdict(still(standstill{2, 9_500 * ms, 500 * ms})), "another stood still")
-	assert.Equal(t, []float64{1, 2, 0}, verdict(still(standstill{-1, 7 * second, 1_500 * ms})), "long before")
-	assert.Equal(t, []float64{0, 0, 2}, verdict(still(standstill{1, 9_500 * ms, 500 * ms})))
-	assert.Equal(t, []float64{0, 0, 2}, verdict(still(standstill{-1, 9_500 * ms, 500 * ms})), "the relays stood still")
+	assert.Equal(t, []float64{1, 2, 0}, verdict(still(processStall{1, 9_600 * ms, 400 * ms})), "all together it stood for less than is borne")
+	assert.Equal(t, []float64{1, 2, 0}, verdict(still(processStall{2, 9_500 * ms, 500 * ms})), "another stood still")
+	assert.Equal(t, []float64{1, 2, 0}, verdict(still(processStall{-1, 7 * second, 1_500 * ms})), "long before")
+	assert.Equal(t, []float64{0, 0, 2}, verdict(still(processStall{1, 9_500 * ms, 500 * ms})))
+	assert.Equal(t, []float64{0, 0, 2}, verdict(still(processStall{-1, 9_500 * ms, 500 * ms})), "the relays stood still")
 	events = append(events, Event{At: 13_500 * ms, Node: 0, Who: "n1", Cause: membership.Returned})
-	assert.Equal(t, []float64{0, 1, 2}, verdict(still(standstill{1, 9_500 * ms, 500 * ms})), "a second return has no excuse")
+	assert.Equal(t, []float64{0, 1, 2}, verdict(still(processStall{1, 9_500 * ms, 500 * ms})), "a second return has no excuse")
 }
 
 func TestPausesCountAsLongAsTheyReallyWere(t *testing.T) {
-	s := &standstills{from: map[int]int64{}}
+	s := &stallRecorder{from: map[int]int64{}}
 	s.stopped(1, 2*second, true)
 	assert.Equal(t, second, s.of(1, 0, 3*second), "it is stopped still")
 	s.stopped(1, 6*second, false)
@@ -55,8 +55,8 @@
 	sleeper := exec.Command("sleep", "60")
 	require.NoError(t, sleeper.Start())
 	defer func() { sleeper.Process.Kill(); sleeper.Wait() }()
-	p := &processes{began: time.Now(), daemons: []*daemon{{command: sleeper, up: true}}, still: &standstills{from: map[int]int64{}, over: make(chan struct{})},
-		wire: &wire{chance: rand.New(rand.NewSource(1)), bytes: make([]int64, 1)}}
+	p := &processes{began: time.Now(), daemons: []*daemon{{command: sleeper, up: true}}, still: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})},
+		wire: &links{chance: rand.New(rand.NewSource(1)), bytes: make([]int64, 1)}}
 	before := waited(sleeper.Process.Pid) // for its start
 	go p.still.watch(p)
 	time.Sleep(time.Second)
--- a/internal/testbed/processfleet/storm.go
+++ b/internal/testbed/processfleet/storm.go
@@ -42,8 +42,8 @@
 	stormTimeout = configfile.Time(5_000 * ms)
 )
 
-// storm is callers that repeat tokens at any node, and the ledger of all that the executors did.
-type storm struct {
+// retryStorm is callers that repeat tokens at any node, and the ledger of all that the executors did.
+type retryStorm struct {
 	stop  chan struct{}
 	group sync.WaitGroup
 	mu    sync.Mutex
@@ -65,8 +65,8 @@
 	fresh   int           // of so many invocations one opens a new token
 	back    time.Duration // that a caller waits at the most where it is told to come back
 	began   time.Time
-	turns   int64             // ns after which callers go to other nodes, 0 in a storm without calls
-	runners map[string]*bench // where each call runs, until its request is over
+	turns   int64                       // ns after which callers go to other nodes, 0 in a storm without calls
+	runners map[string]*executorStandIn // where each call runs, until its request is over
 	history []Told
 }
 
@@ -83,10 +83,10 @@
 	at          time.Time
 }
 
-func newStorm(seed int64, n *Night) *storm {
-	s := &storm{stop: make(chan struct{}), chance: rand.New(rand.NewSource(seed)), counts: map[string]int{}, runs: map[string]int{},
+func newRetryStorm(seed int64, n *Scenario) *retryStorm {
+	s := &retryStorm{stop: make(chan struct{}), chance: rand.New(rand.NewSource(seed)), counts: map[string]int{}, runs: map[string]int{},
 		broke: map[string]bool{}, after: map[string]bool{}, runMost: runUsual, where: map[string][]string{},
-		runners: map[string]*bench{}, timeout: time.Duration(cmp.Or(n.Timeout, stormTimeout)), callers: callers, fresh: freshEvery, back: answerMost}
+		runners: map[string]*executorStandIn{}, timeout: time.Duration(cmp.Or(n.Timeout, stormTimeout)), callers: callers, fresh: freshEvery, back: answerMost}
 	if n.Longest > 0 {
 		s.runMost = int(n.Longest / configfile.Time(ms))
 	}
@@ -96,22 +96,22 @@
 	return s
 }
 
-// bench is a node's executor, which outlives the node: what a node that was killed began goes on, and the next life hears
+// executorStandIn is a node's executor, which outlives the node: what a node that was killed began goes on, and the next life hears
 // of its end. A link gets all notices after the last one read; to one that read none, the last ones are told anew.
-type bench struct {
-	storm    *storm
+type executorStandIn struct {
+	storm    *retryStorm
 	name     string
 	listener net.Listener
 	mu       sync.Mutex
 	conn     net.Conn
 	notices  []string          // forms that lack their number
 	ran      map[string]bool   // calls: one that is ordered again, as its order may not have been read, runs once
-	supply   *supply           // that each run makes a call of, or nil
+	supply   *dependency       // that each run makes a call of, or nil
 	standing map[string]string // results of runs that wait for their call
 }
 
-func newBench(s *storm, calls *supply) (*bench, error) {
-	b := &bench{storm: s, supply: calls, standing: map[string]string{}, ran: map[string]bool{}}
+func newExecutorStandIn(s *retryStorm, calls *dependency) (*executorStandIn, error) {
+	b := &executorStandIn{storm: s, supply: calls, standing: map[string]string{}, ran: map[string]bool{}}
 	var err error
 	b.listener, err = Accept(b.serve)
 	return b, err
@@ -135,8 +135,8 @@
 	return l, nil
 }
 
-func (b *bench) serve(conn net.Conn) {
-	defer b.gone(conn)
+func (b *executorStandIn) serve(conn net.Conn) {
+	defer b.disconnected(conn)
 	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
@@ -173,11 +173,11 @@
 			if _, err := io.CopyN(io.Discard, in, int64(size)+2); err != nil {
 				return
 			}
-			b.supply.returned(w[1])
+			b.supply.callReturned(w[1])
 			b.mu.Lock()
 			if result, stands := b.standing[w[1]]; stands {
 				delete(b.standing, w[1])
-				b.tell(fmt.Sprintf("EXIT %%d %s good 5 %d\r\n%s\r\n", w[1], len(result), result))
+				b.notify(fmt.Sprintf("EXIT %%d %s good 5 %d\r\n%s\r\n", w[1], len(result), result))
 			}
 			b.mu.Unlock()
 		}
@@ -185,7 +185,7 @@
 }
 
 // run has its effect at once and its end later.
-func (b *bench) run(call, token string) {
+func (b *executorStandIn) run(call, token string) {
 	s := b.storm
 	b.mu.Lock()
 	again := b.ran[call]
@@ -203,7 +203,7 @@
 	result := fmt.Sprintf("%s run %d", token, s.runs[token])
 	s.mu.Unlock()
 	if b.supply != nil {
-		time.AfterFunc(s.timeout, func() { s.over(call) })
+		time.AfterFunc(s.timeout, func() { s.callEnded(call) })
 	}
 	time.AfterFunc(after, func() {
 		b.mu.Lock()
@@ -214,33 +214,33 @@
 				return
 			}
 			if b.conn != nil {
-				b.supply.wants(call, b)
+				b.supply.callWanted(call, b)
 			}
-			b.tell(fmt.Sprintf("CALLOUT %%d %s 3\r\nask\r\n", call))
+			b.notify(fmt.Sprintf("CALLOUT %%d %s 3\r\nask\r\n", call))
 			return
 		}
-		b.tell(fmt.Sprintf("EXIT %%d %s good 5 %d\r\n%s\r\n", call, len(result), result))
+		b.notify(fmt.Sprintf("EXIT %%d %s good 5 %d\r\n%s\r\n", call, len(result), result))
 	})
 }
 
 // cut ends a run that stands at a call for a request that is over, as executors do: left to stand it would hold a place at
 // its node for good.
-func (b *bench) cut(call string) {
+func (b *executorStandIn) cut(call string) {
 	if _, stands := b.standing[call]; stands {
 		delete(b.standing, call)
-		b.supply.returned(call)
-		b.tell(fmt.Sprintf("EXIT %%d %s cut 5 0\r\n\r\n", call))
+		b.supply.callReturned(call)
+		b.notify(fmt.Sprintf("EXIT %%d %s cut 5 0\r\n\r\n", call))
 	}
 }
 
-func (s *storm) running(call string) bool {
+func (s *retryStorm) running(call string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runners[call] != nil
 }
 
-// over is the end of a request: it was answered, or its client timeout has passed.
-func (s *storm) over(call string) {
+// callEnded is the end of a request: it was answered, or its client timeout has passed.
+func (s *retryStorm) callEnded(call string) {
 	s.mu.Lock()
 	b := s.runners[call]
 	delete(s.runners, call)
@@ -252,28 +252,28 @@
 	}
 }
 
-// tell writes the next notice; what is not read is told on the next link.
-func (b *bench) tell(notice string) {
+// notify writes the next notice; what is not read is told on the next link.
+func (b *executorStandIn) notify(notice string) {
 	b.notices = append(b.notices, notice)
 	if b.conn != nil {
 		fmt.Fprintf(b.conn, notice, len(b.notices))
 	}
 }
 
-// gone is the end of a link: a node that was killed hears no more on it.
-func (b *bench) gone(conn net.Conn) {
+// disconnected is the end of a link: a node that was killed hears no more on it.
+func (b *executorStandIn) disconnected(conn net.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.conn == conn {
 		if b.conn = nil; b.supply != nil {
-			b.supply.gone(b)
+			b.supply.executorDisconnected(b)
 		}
 	}
 	conn.Close()
 }
 
 // begin sends the callers out.
-func (s *storm) begin(p *processes) {
+func (s *retryStorm) begin(p *processes) {
 	s.began = time.Now()
 	p.supply.started = s.began
 	for k := range s.callers {
@@ -281,9 +281,9 @@
 	}
 }
 
-// awaitKept has a storm whose claim is that repeats get what was kept go on until one did: after its faults, and on a slow
+// awaitResults has a storm whose claim is that repeats get what was kept go on until one did: after its faults, and on a slow
 // machine longer than the storm was to last.
-func (s *storm) awaitKept(n *Night) {
+func (s *retryStorm) awaitResults(n *Scenario) {
 	if !slices.ContainsFunc(n.Claims, func(c Claim) bool { return c.Measure == "kept" && c.Least != nil && *c.Least >= 1 }) {
 		return
 	}
@@ -298,7 +298,7 @@
 }
 
 // measure ends the storm and holds what callers were told against the ledger.
-func (s *storm) measure(o *Outcome, p *processes, spans []*span, start int64) {
+func (s *retryStorm) measure(o *Outcome, p *processes, spans []*faultSpan, start int64) {
 	close(s.stop)
 	s.group.Wait()
 	s.mu.Lock()
@@ -334,8 +334,8 @@
 	}
 }
 
-// picture is what a node shows of claims.
-type picture struct {
+// claimsView is what a node shows of claims.
+type claimsView struct {
 	Table *struct {
 		Unknown, Settled, Taken int
 		TakenEnded              int `json:"taken_ended"`
@@ -343,7 +343,7 @@
 }
 
 // claims asks a node by the command that operators have.
-func (p *processes) claims(i int) (*picture, error) {
+func (p *processes) claims(i int) (*claimsView, error) {
 	if p.night.Council == 0 {
 		return nil, errors.New("no council")
 	}
@@ -351,7 +351,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pic := new(picture)
+	pic := new(claimsView)
 	return pic, json.Unmarshal(out, pic)
 }
 
@@ -366,7 +366,7 @@
 }
 
 // draw is the next invocation's token: an older one, most of the time.
-func (s *storm) draw() (token, call string) {
+func (s *retryStorm) draw() (token, call string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked++
@@ -380,7 +380,7 @@
 	return s.tokens[s.chance.Intn(len(s.tokens))], fmt.Sprintf("%016x", s.asked)
 }
 
-func (s *storm) count(what string, wrong string) {
+func (s *retryStorm) count(what string, wrong string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[what]++
@@ -389,7 +389,7 @@
 	}
 }
 
-func (s *storm) ending() bool {
+func (s *retryStorm) isEnding() bool {
 	select {
 	case <-s.stop:
 		return true
@@ -398,8 +398,8 @@
 	}
 }
 
-// turn counts the spans in which callers go to the same nodes.
-func (s *storm) turn() int64 {
+// nextTurn counts the spans in which callers go to the same nodes.
+func (s *retryStorm) nextTurn() int64 {
 	if s.turns == 0 {
 		return 0
 	}
@@ -407,9 +407,9 @@
 }
 
 // call is one caller: some invocations open at a time on a connection to a node, then on one to another.
-func (s *storm) call(p *processes, caller int, chance *rand.Rand) {
-	for !s.ending() {
-		turn := s.turn()
+func (s *retryStorm) call(p *processes, caller int, chance *rand.Rand) {
+	for !s.isEnding() {
+		turn := s.nextTurn()
 		_, addresses := p.serving()
 		if n := int64(len(addresses)); s.turns > 0 && n > 0 { // in one turn alike to all nodes, in the next to some
 			to := turn + int64(caller)
@@ -427,17 +427,17 @@
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		s.converse(conn, caller, chance, turn)
+		s.serveConnection(conn, caller, chance, turn)
 		conn.Close()
 	}
 }
 
-func (s *storm) converse(conn net.Conn, caller int, chance *rand.Rand, turn int64) {
+func (s *retryStorm) serveConnection(conn net.Conn, caller int, chance *rand.Rand, turn int64) {
 	open := map[uint32]sent{}
-	defer func() { s.broken(open, caller) }()
+	defer func() { s.connectionBroken(open, caller) }()
 	var parser frame.Parser
 	for stream := uint32(1); ; {
-		ending := s.ending() || stream > changeEvery || s.turn() != turn
+		ending := s.isEnding() || stream > changeEvery || s.nextTurn() != turn
 		for !ending && len(open) < openEach {
 			token, call := s.draw()
 			open[stream] = sent{token, call, time.Now()}
@@ -486,24 +486,24 @@
 		{Name: "heap", Value: "1"}, {Name: "dedupe", Value: token}}, []byte(token))
 }
 
-func (s *storm) broken(open map[uint32]sent, caller int) {
+func (s *retryStorm) connectionBroken(open map[uint32]sent, caller int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range open {
 		s.counts["broken"]++
 		s.broke[o.token] = true
-		s.remember(o, "", caller)
+		s.record(o, "", caller)
 	}
 }
 
-func (s *storm) remember(o sent, outcome string, caller int) {
+func (s *retryStorm) record(o sent, outcome string, caller int) {
 	if len(s.history) < historyMost {
 		s.history = append(s.history, Told{o.token, outcome, o.at.UnixNano(), time.Now().UnixNano(), caller})
 	}
 }
 
 // answered takes an answer, and says when the caller may ask again.
-func (s *storm) answered(open map[uint32]sent, f *frame.Frame, caller int) (back time.Duration) {
+func (s *retryStorm) answered(open map[uint32]sent, f *frame.Frame, caller int) (back time.Duration) {
 	o, asked := open[f.Stream]
 	token := o.token
 	if !asked {
@@ -511,7 +511,7 @@
 		return
 	}
 	delete(open, f.Stream)
-	s.over(o.call)
+	s.callEnded(o.call)
 	fields, body, err := frame.Fields(f.Payload[1:])
 	if err != nil {
 		s.count("wrong", err.Error())
@@ -549,6 +549,6 @@
 			s.after[token] = true
 		}
 	}
-	s.remember(o, outcome, caller)
+	s.record(o, outcome, caller)
 	return back
 }
--- a/internal/testbed/processfleet/supply.go
+++ b/internal/testbed/processfleet/supply.go
@@ -28,15 +28,15 @@
 	traceMost = 4_000_000      // changes that are remembered
 )
 
-// supply is what lies below all nodes, and counts the calls that it works on by itself.
-type supply struct {
+// dependency is what lies below all nodes, and counts the calls that it works on by itself.
+type dependency struct {
 	listener net.Listener
 	limit    int
 	mu       sync.Mutex
-	stands   map[string]*wish // calls that runs stand at
+	stands   map[string]*waitingCall // calls that runs stand at
 	wanted   int
 	used     int
-	trace    []use
+	trace    []usageSample
 	works    map[*work]bool // calls in hand
 	overs    []string
 
@@ -56,10 +56,10 @@
 	started  time.Time // of the storm
 }
 
-// wish is a call that a run stands at, from the word of its executor to its result there. Its unit is in use from its
+// waitingCall is a call that a run stands at, from the word of its executor to its result there. Its unit is in use from its
 // arrival below to that result, for the longest use of a unit at the most.
-type wish struct {
-	bench *bench
+type waitingCall struct {
+	bench *executorStandIn
 	used  bool
 }
 
@@ -70,14 +70,14 @@
 	from, until time.Time
 }
 
-// use is how many calls were wanted and how many units were in use from a moment on.
-type use struct {
+// usageSample is how many calls were wanted and how many units were in usageSample from a moment on.
+type usageSample struct {
 	at           time.Time
 	wanted, used int
 }
 
-func newSupply(seed int64, limit int) (*supply, error) {
-	s := &supply{limit: limit, chance: rand.New(rand.NewSource(seed + 2)), stands: map[string]*wish{}, works: map[*work]bool{}, ticked: time.Now(),
+func newDependency(seed int64, limit int) (*dependency, error) {
+	s := &dependency{limit: limit, chance: rand.New(rand.NewSource(seed + 2)), stands: map[string]*waitingCall{}, works: map[*work]bool{}, ticked: time.Now(),
 		closed: make(chan struct{})}
 	go s.watch()
 	var err error
@@ -85,7 +85,7 @@
 	return s, err
 }
 
-func (s *supply) change(by int) {
+func (s *dependency) change(by int) {
 	now := time.Now()
 	if s.began.IsZero() {
 		s.began, s.since = now, now
@@ -95,7 +95,7 @@
 	s.inHand += by
 }
 
-func (s *supply) serve(conn net.Conn) {
+func (s *dependency) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -129,10 +129,10 @@
 			} else {
 				s.over++
 			}
-			s.tellOver()
+			s.notifyEnded()
 		}
 		s.most = max(s.most, s.inHand)
-		s.uses(w[1])
+		s.callStarted(w[1])
 		s.mu.Unlock()
 		time.AfterFunc(after, func() {
 			s.mu.Lock()
@@ -146,7 +146,7 @@
 // watch has the ledger know when it stood still itself. The limit holds while the dependency is done with a call within
 // half of its longest use after it was given up. One that reads a call only after that does not keep to it, and what it counts
 // says nothing of the nodes until those calls are over.
-func (s *supply) watch() {
+func (s *dependency) watch() {
 	for {
 		select {
 		case <-s.closed:
@@ -159,7 +159,7 @@
 	}
 }
 
-func (s *supply) tick(now time.Time) {
+func (s *dependency) tick(now time.Time) {
 	if now.Sub(s.ticked) > time.Duration(stallMost) {
 		from := s.ticked
 		if s.blindTo.After(from) {
@@ -171,20 +171,20 @@
 	s.ticked = now
 }
 
-func (s *supply) close() {
+func (s *dependency) close() {
 	close(s.closed)
 	s.listener.Close()
 }
 
-func (s *supply) done(x *work) {
+func (s *dependency) done(x *work) {
 	if s.works[x] {
 		delete(s.works, x)
 		s.change(-1)
 	}
 }
 
-// tellOver says who has what in hand when there is one too many.
-func (s *supply) tellOver() {
+// notifyEnded says who has what in hand when there is one too many.
+func (s *dependency) notifyEnded() {
 	if len(s.overs) >= shown {
 		return
 	}
@@ -203,77 +203,77 @@
 	s.overs = append(s.overs, fmt.Sprintf("%9.3f calls: %d in hand%s", now.Sub(s.started).Seconds(), s.inHand, text))
 }
 
-// note remembers how things stand.
-func (s *supply) note() {
+// recordUse remembers how things stand.
+func (s *dependency) recordUse() {
 	if len(s.trace) < traceMost {
-		s.trace = append(s.trace, use{time.Now(), s.wanted, s.used})
+		s.trace = append(s.trace, usageSample{time.Now(), s.wanted, s.used})
 	}
 }
 
-// wants is a run that stands at a call.
-func (s *supply) wants(call string, b *bench) {
+// callWanted is a run that stands at a call.
+func (s *dependency) callWanted(call string, b *executorStandIn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stands[call] == nil {
-		s.stands[call] = &wish{bench: b}
+		s.stands[call] = &waitingCall{bench: b}
 		s.wanted++
-		s.note()
+		s.recordUse()
 	}
 }
 
-// uses is a call that came, under the lock.
-func (s *supply) uses(call string) {
+// callStarted is a call that came, under the lock.
+func (s *dependency) callStarted(call string) {
 	x := s.stands[call]
 	if x == nil || x.used {
 		return
 	}
 	x.used = true
 	s.used++
-	s.note()
+	s.recordUse()
 	time.AfterFunc(time.Duration(callHold), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.frees(x)
+		s.release(x)
 	})
 }
 
-func (s *supply) frees(x *wish) {
+func (s *dependency) release(x *waitingCall) {
 	if x.used {
 		x.used = false
 		s.used--
-		s.note()
+		s.recordUse()
 	}
 }
 
-// returned is a call's result at the executor; none of a link that is gone comes any more.
-func (s *supply) returned(call string) {
+// callReturned is a call's result at the executor; none of a link that is gone comes any more.
+func (s *dependency) callReturned(call string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends(call)
+	s.callEnded(call)
 }
 
-func (s *supply) ends(call string) {
+func (s *dependency) callEnded(call string) {
 	if x := s.stands[call]; x != nil {
 		delete(s.stands, call)
-		s.frees(x)
+		s.release(x)
 		s.wanted--
-		s.note()
+		s.recordUse()
 	}
 }
 
-func (s *supply) gone(b *bench) {
+func (s *dependency) executorDisconnected(b *executorStandIn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for call, x := range s.stands {
 		if x.bench == b {
-			s.ends(call)
+			s.callEnded(call)
 		}
 	}
 }
 
 // part is how much of a limit was in use while all of it was wanted: of turns in which all nodes want, of those in which
 // some do, and over both, with the seconds that were judged. Out holds spans that are left out, in ns since the start.
-func part(trace []use, limit int, start, end time.Time, out [][2]int64) (of [2]float64, whole, judged float64, lines []string) {
+func part(trace []usageSample, limit int, start, end time.Time, out [][2]int64) (of [2]float64, whole, judged float64, lines []string) {
 	area, length := map[int64]float64{}, map[int64]float64{}
 	for k, u := range trace {
 		until := end
@@ -314,7 +314,7 @@
 
 // left are the spans in which bounds of the design leave units unused: before the first grants, after a fault, and as load
 // moves. Times are ns since the start, first that of the first call.
-func left(spans []*span, start, first, end int64) (out [][2]int64) {
+func left(spans []*faultSpan, start, first, end int64) (out [][2]int64) {
 	lost := callLease + callLease/50 + bookLag
 	out = append(out, [2]int64{0, max(lost, first) + moveMost})
 	for _, s := range spans {
@@ -329,7 +329,7 @@
 }
 
 // measure tells how many calls were in hand at the most and in the mean, and how often there were too many.
-func (s *supply) measure(m map[string]float64, p *processes, spans []*span) []string {
+func (s *dependency) measure(m map[string]float64, p *processes, spans []*faultSpan) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.change(0)
@@ -339,7 +339,7 @@
 	if s.limit == 0 {
 		return nil
 	}
-	began, end := p.storm.began, time.Now()
+	began, end := p.retryStorm.began, time.Now()
 	first, start := int64(s.began.Sub(began)), int64(began.Sub(p.began))
 	of, _, judged, lines := part(s.trace, s.limit, began, end, left(spans, start, first, int64(end.Sub(began))))
 	m["used_spread"], m["used_moved"], m["wanted_s"] = of[0], of[1], judged
--- a/internal/testbed/processfleet/takeover_test.go
+++ b/internal/testbed/processfleet/takeover_test.go
@@ -192,7 +192,7 @@
 		require.NoError(t, p.start(i))
 	}
 	p.council(t)
-	p.benches[4].mu.Lock() // its executor answers nothing from here on: what it began never ends
+	p.executors[4].mu.Lock() // its executor answers nothing from here on: what it began never ends
 	c = p.dial(t, 4)
 	for k := range sentMost {
 		c.send(fmt.Sprint("t", k))
@@ -214,7 +214,7 @@
 	time.Sleep(300 * time.Millisecond)
 	states := p.states(t, 0)
 	p.kill(4)
-	p.benches[4].mu.Unlock()
+	p.executors[4].mu.Unlock()
 	other := p.dial(t, 3)
 	unknown := 0
 	for token := range states { // others were turned away
@@ -229,9 +229,9 @@
 	}
 	assert.Positive(t, unknown)
 	assert.Less(t, unknown, len(states))
-	p.storm.mu.Lock()
-	defer p.storm.mu.Unlock()
-	for token, runs := range p.storm.runs {
+	p.retryStorm.mu.Lock()
+	defer p.retryStorm.mu.Unlock()
+	for token, runs := range p.retryStorm.runs {
 		assert.Equal(t, 1, runs, token)
 	}
 	for token := range states {
@@ -244,7 +244,7 @@
 func TestOwnerThatWasStoppedFindsItsWorkTaken(t *testing.T) {
 	p, c, _ := held(t)
 	p.pause(4, true)
-	p.benches[4].mu.Unlock()
+	p.executors[4].mu.Unlock()
 	require.Eventually(t, func() bool { // the others hold it lost, and run what it held
 		ended := 0
 		for _, s := range p.states(t, 0) {
@@ -262,10 +262,10 @@
 		answer := c.answer()
 		assert.True(t, answer == "unknown" || answer == "throttled" || strings.HasSuffix(answer, " run 1"), answer)
 	}
-	p.storm.mu.Lock()
-	defer p.storm.mu.Unlock()
-	assert.NotEmpty(t, p.storm.runs)
-	for token, runs := range p.storm.runs {
+	p.retryStorm.mu.Lock()
+	defer p.retryStorm.mu.Unlock()
+	assert.NotEmpty(t, p.retryStorm.runs)
+	for token, runs := range p.retryStorm.runs {
 		assert.Equal(t, 1, runs, token)
 	}
 }
@@ -291,7 +291,7 @@
 func TestPartOfTheLimitInUseCountsWhereAllOfItIsWanted(t *testing.T) {
 	start := time.Unix(100, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * 1e9)) }
-	trace := []use{{at(-1), 9, 9}, {at(1), 10, 5}, {at(2), 9, 0}, {at(3), 12, 12}, {at(4), 12, 0}, {at(6), 10, 10}}
+	trace := []usageSample{{at(-1), 9, 9}, {at(1), 10, 5}, {at(2), 9, 0}, {at(3), 12, 12}, {at(4), 12, 0}, {at(6), 10, 10}}
 	of, whole, judged, lines := part(trace, 10, start, at(8), [][2]int64{{int64(4.5e9), int64(5.5e9)}})
 	assert.InDelta(t, 1.5/2.5, of[0], 1e-9, "what is in use over the limit counts once, and what is left out not")
 	assert.InDelta(t, 2.0/2.5, of[1], 1e-9)
@@ -303,7 +303,7 @@
 }
 
 func TestLedgerTellsWhatItCouldNotJudge(t *testing.T) {
-	s, err := newSupply(1, 1)
+	s, err := newDependency(1, 1)
 	require.NoError(t, err)
 	t.Cleanup(s.close)
 	s.mu.Lock()
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -55,10 +55,10 @@
 	old   bool
 	disk  kept
 	wrote consensus.DiskContents // the seat's
-	life  *life
+	life  *nodeProcess
 	held  []taken
-	out   []stretch // when it was out of reach
-	spent []int     // bytes in each second, both ways
+	out   []interval // when it was out of reach
+	spent []int      // bytes in each second, both ways
 }
 
 // kept is a node's file: as sound as its digest.
@@ -73,20 +73,20 @@
 	version uint64
 }
 
-type stretch struct{ from, to int64 }
+type interval struct{ from, to int64 }
 
-// life is one life of a member: its holder, and its seat where it has one.
-type life struct {
-	f       *versions
+// nodeProcess is one nodeProcess of a member: its holder, and its seat where it has one.
+type nodeProcess struct {
+	f       *virtualVersions
 	m       *member
 	holder  *configsync.Replicator
 	inbox   []configsync.Input
-	woken   alarm // of the holder
+	woken   timer // of the holder
 	asked   map[int]func(body any, size int)
 	links   int
 	council *consensus.Group
 	toSeat  []consensus.Input
-	seated  alarm // of the seat
+	seated  timer // of the seat
 	current bool  // as the holder knows of its seat
 	writes  []*consensus.Write
 	free    int64 // when the seat's disk has nothing to do
@@ -99,10 +99,10 @@
 	size int
 }
 
-// versions is a fleet of holders and seats in virtual time.
-type versions struct {
+// virtualVersions is a fleet of holders and seats in virtual time.
+type virtualVersions struct {
 	*virtualfleet.Fleet
-	night    *Night
+	scenario *Scenario
 	terms    *Versions
 	members  []*member
 	byName   map[string]*member
@@ -129,9 +129,9 @@
 	lines    []string
 }
 
-func newVersions(n *Night, seed int64) *versions {
+func newVirtualVersions(n *Scenario, seed int64) *virtualVersions {
 	t := n.Versions
-	f := &versions{Fleet: virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), night: n, terms: t, byName: map[string]*member{},
+	f := &virtualVersions{Fleet: virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes)), scenario: n, terms: t, byName: map[string]*member{},
 		chance: rand.New(rand.NewSource(seed)), agreedAt: map[uint64]int64{}, digests: map[uint64]configsync.Digest{},
 		records: map[uint64]*configsync.Record{}, apart: map[*member]bool{}, last: &configsync.Agreed{}}
 	f.digests[0] = configsync.Digest{}
@@ -160,19 +160,19 @@
 	return f
 }
 
-func (f *versions) say(form string, args ...any) {
+func (f *virtualVersions) logf(form string, args ...any) {
 	f.lines = append(f.lines, fmt.Sprintf("%9.3f ", float64(f.Now-f.start)/1e9)+fmt.Sprintf(form, args...))
 }
 
 // begin is a new life of a node: from its disk, or from a file without anything.
-func (f *versions) begin(n *virtualfleet.Node) virtualfleet.Payload {
+func (f *virtualVersions) begin(n *virtualfleet.Node) virtualfleet.Payload {
 	m := f.byName[n.Name]
 	start := configsync.InitialState{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
-	l := &life{f: f, m: m, asked: map[int]func(any, int){}, fresh: m.disk.content == nil}
+	l := &nodeProcess{f: f, m: m, asked: map[int]func(any, int){}, fresh: m.disk.content == nil}
 	if l.fresh {
 		start = configsync.InitialState{Content: &configsync.Content{}, Source: "file"}
 	}
-	l.woken.step, l.seated.step = l.step, l.stepSeat
+	l.woken.step, l.seated.step = l.step, l.stepReplica
 	m.life = l
 	l.holder = configsync.NewReplicator(f.Now, configsync.ReplicatorConfig{Name: n.Name, Seed: f.chance.Int63()}, start)
 	if s := l.holder.Status(f.Now); s.Mark != m.disk.mark || s.Source != start.Source {
@@ -185,15 +185,15 @@
 		if err := l.council.Recover(f.Now, m.wrote); err != nil {
 			f.wrong = append(f.wrong, fmt.Sprintf("%s can't take its disk up: %v", n.Name, err))
 		}
-		l.wakeSeat(f.Now)
+		l.wakeReplica(f.Now)
 	}
 	l.wake(f.Now)
-	n.Later(lookAgain, l.look)
+	n.Later(lookAgain, l.viewMayHaveChanged)
 	return l
 }
 
 // stop ends a life: a seat's disk has a part of what was on its way, and one that forgets has none.
-func (f *versions) stop(m *member, forgets bool) {
+func (f *virtualVersions) stop(m *member, forgets bool) {
 	if !m.Up {
 		return
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (l *life) view() configsync.Input {
+func (l *nodeProcess) view() configsync.Input {
 	v := &configsync.View{}
 	v.Neighbours, v.Zone = l.m.NeighboursAndZone()
 	for _, s := range l.f.seats {
@@ -219,15 +219,15 @@
 	return configsync.Input{Kind: configsync.Viewed, View: v}
 }
 
-func (l *life) look() {
+func (l *nodeProcess) viewMayHaveChanged() {
 	if l.f.terms.Membership {
-		l.give(l.view())
-		l.m.Later(lookAgain, l.look)
+		l.deliver(l.view())
+		l.m.Later(lookAgain, l.viewMayHaveChanged)
 	}
 }
 
 // ViewChanged looks at what is around, in a step of its own.
-func (l *life) ViewChanged(membership.Change) { l.m.Later(0, func() { l.give(l.view()) }) }
+func (l *nodeProcess) ViewChanged(membership.Change) { l.m.Later(0, func() { l.deliver(l.view()) }) }
 
 func (m *member) spend(now int64, bytes int) {
 	s := int(now / second)
@@ -238,45 +238,45 @@
 }
 
 // DatagramReceived takes a message of another node's holder or seat.
-func (l *life) DatagramReceived(from *virtualfleet.Node, body any) {
+func (l *nodeProcess) DatagramReceived(from *virtualfleet.Node, body any) {
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	switch msg := p.body.(type) {
 	case *configsync.Message:
 		again := *msg
-		l.give(configsync.Input{Kind: configsync.Came, From: from.Name, Message: &again})
+		l.deliver(configsync.Input{Kind: configsync.Came, From: from.Name, Message: &again})
 	case []byte:
 		got := new(consensus.Message)
 		if err := cbor.Unmarshal(msg, got); err != nil {
 			l.f.wrong = append(l.f.wrong, fmt.Sprintf("a message between seats can't be read: %v", err))
 		} else if l.council != nil {
-			l.seatGets(consensus.Input{Message: got})
+			l.deliverToReplica(consensus.Input{Message: got})
 		}
 	}
 }
 
 // ExchangeOpened takes an exchange.
-func (l *life) ExchangeOpened(from *virtualfleet.Node, body any, reply func(body any, size int)) {
+func (l *nodeProcess) ExchangeOpened(from *virtualfleet.Node, body any, reply func(body any, size int)) {
 	p := body.(parcel)
 	l.m.spend(l.f.Now, p.size)
 	l.links++
 	l.asked[l.links] = reply
 	again := *p.body.(*configsync.Message)
-	l.give(configsync.Input{Kind: configsync.Asked, From: from.Name, Link: l.links, Message: &again})
+	l.deliver(configsync.Input{Kind: configsync.Asked, From: from.Name, Link: l.links, Message: &again})
 }
 
-func (l *life) give(in configsync.Input) {
+func (l *nodeProcess) deliver(in configsync.Input) {
 	l.inbox = append(l.inbox, in)
 	l.wake(l.f.Now)
 }
 
-// alarm steps a part of a life at the earliest time for which it was set.
-type alarm struct {
+// timer steps a part of a life at the earliest time for which it was set.
+type timer struct {
 	at   int64 // 0 while it isn't set
 	step func()
 }
 
-func (l *life) set(a *alarm, at int64) {
+func (l *nodeProcess) schedule(a *timer, at int64) {
 	if at = max(at, l.f.Now); a.at > 0 && a.at <= at {
 		return
 	}
@@ -289,14 +289,14 @@
 	})
 }
 
-func (l *life) wake(at int64) { l.set(&l.woken, at) }
+func (l *nodeProcess) wake(at int64) { l.schedule(&l.woken, at) }
 
-func (l *life) step() {
+func (l *nodeProcess) step() {
 	in := l.inbox
 	l.inbox = nil
 	effects, next := l.holder.Step(l.f.Now, in)
 	for k := range effects {
-		l.carry(&effects[k])
+		l.apply(&effects[k])
 	}
 	l.wake(next)
 }
@@ -309,7 +309,7 @@
 	return len(b)
 }
 
-func (l *life) carry(e *configsync.Effect) {
+func (l *nodeProcess) apply(e *configsync.Effect) {
 	f, m := l.f, l.m
 	switch e.Kind {
 	case configsync.Send:
@@ -323,13 +323,13 @@
 		m.spend(f.Now, size)
 		m.OpenExchange(to.Node, parcel{e.Message, size}, size, func(body any, ok bool) {
 			if !ok {
-				l.give(configsync.Input{Kind: configsync.Missed, Link: link})
+				l.deliver(configsync.Input{Kind: configsync.Missed, Link: link})
 				return
 			}
 			p := body.(parcel)
 			m.spend(f.Now, p.size)
 			again := *p.body.(*configsync.Message)
-			l.give(configsync.Input{Kind: configsync.Answered, Link: link, Message: &again})
+			l.deliver(configsync.Input{Kind: configsync.Answered, Link: link, Message: &again})
 		})
 	case configsync.Reply:
 		if reply := l.asked[e.Link]; reply != nil {
@@ -339,22 +339,22 @@
 			reply(parcel{e.Message, size}, size)
 		}
 	case configsync.Take, configsync.Check:
-		l.take(e)
+		l.adopt(e)
 	case configsync.Persist:
 		next := kept{e.Mark, e.New}
 		m.Later(f.chance.Int63n(writeMost), func() {
 			m.disk = next
-			l.give(configsync.Input{Kind: configsync.Saved})
+			l.deliver(configsync.Input{Kind: configsync.Saved})
 		})
 	case configsync.Order:
 		if l.council != nil {
-			l.seatGets(consensus.Input{Proposed: []configsync.Command{*e.Command}})
+			l.deliverToReplica(consensus.Input{Proposed: []configsync.Command{*e.Command}})
 		}
 	}
 }
 
-// take has a version in force at a node, or only checks it, or refuses it.
-func (l *life) take(e *configsync.Effect) {
+// adopt has a version in force at a node, or only checks it, or refuses it.
+func (l *nodeProcess) adopt(e *configsync.Effect) {
 	f, m, mark := l.f, l.m, e.Mark
 	if want, agreed := f.digests[mark.Version]; !agreed || want != mark.Digest || e.New.Digest() != mark.Digest {
 		f.wrong = append(f.wrong, fmt.Sprintf("%s takes %s as version %d, which is %s", m.Name, e.New.Digest(), mark.Version, want))
@@ -366,12 +366,12 @@
 	m.Later(f.chance.Int63n(takeMost), func() {
 		if why != "" {
 			if f.refused++; f.refused <= lateNamed {
-				f.say("%s refuses version %d, first stage %t", m.Name, mark.Version, e.First)
+				f.logf("%s refuses version %d, first stage %t", m.Name, mark.Version, e.First)
 			}
 		} else if e.Kind == configsync.Take {
 			if k := len(m.held); k > 0 && mark.Version <= m.held[k-1].version {
 				f.back++
-				f.say("%s goes from version %d to %d", m.Name, m.held[k-1].version, mark.Version)
+				f.logf("%s goes from version %d to %d", m.Name, m.held[k-1].version, mark.Version)
 			}
 			m.held = append(m.held, taken{f.Now, mark.Version})
 			if l.fresh {
@@ -383,18 +383,18 @@
 		if e.Kind == configsync.Check {
 			answer.Kind = configsync.Checked
 		}
-		l.give(answer)
+		l.deliver(answer)
 	})
 }
 
-func (l *life) seatGets(in consensus.Input) {
+func (l *nodeProcess) deliverToReplica(in consensus.Input) {
 	l.toSeat = append(l.toSeat, in)
-	l.wakeSeat(l.f.Now)
+	l.wakeReplica(l.f.Now)
 }
 
-func (l *life) wakeSeat(at int64) { l.set(&l.seated, at) }
+func (l *nodeProcess) wakeReplica(at int64) { l.schedule(&l.seated, at) }
 
-func (l *life) stepSeat() {
+func (l *nodeProcess) stepReplica() {
 	f, m := l.f, l.m
 	in := l.toSeat
 	l.toSeat = nil
@@ -402,27 +402,27 @@
 	for k := range effects {
 		switch e := &effects[k]; e.Kind {
 		case consensus.Send:
-			l.sendSeat(e)
+			l.sendFromReplica(e)
 		case consensus.Persist:
 			l.persist(e.Write)
 		case consensus.WriteLog:
-			f.say("%s: %s", m.Name, e.Text)
+			f.logf("%s: %s", m.Name, e.Text)
 		}
 	}
 	if agreed, changed := l.council.AgreedConfig(); changed {
 		if agreed != nil {
-			f.note(agreed)
+			f.recordAgreed(agreed)
 		}
-		l.give(configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
+		l.deliver(configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
 	}
 	if current := l.council.IsCurrent(); current != l.current {
 		l.current = current
-		l.give(configsync.Input{Kind: configsync.Stood, Current: current})
+		l.deliver(configsync.Input{Kind: configsync.Stood, Current: current})
 	}
-	l.wakeSeat(next)
+	l.wakeReplica(next)
 }
 
-func (l *life) sendSeat(e *consensus.Effect) {
+func (l *nodeProcess) sendFromReplica(e *consensus.Effect) {
 	f, m := l.f, l.m
 	if e.Message.Kind == consensus.MessageVerdicts && len(e.Message.Decided) > 0 {
 		list := slices.Clone(e.Message.Decided)
@@ -442,7 +442,7 @@
 		m.Later(0, func() {
 			got := new(consensus.Message)
 			if cbor.Unmarshal(text, got) == nil {
-				l.seatGets(consensus.Input{Message: got})
+				l.deliverToReplica(consensus.Input{Message: got})
 			}
 		})
 		return
@@ -455,14 +455,14 @@
 }
 
 // persist has writes reach the seat's disk in their order.
-func (l *life) persist(w *consensus.Write) {
+func (l *nodeProcess) persist(w *consensus.Write) {
 	f, m := l.f, l.m
 	l.free = max(l.free, f.Now) + ms/10 + f.chance.Int63n(syncMost)
 	l.writes = append(l.writes, w)
 	m.Later(l.free-f.Now, func() {
 		m.write(l.writes[0])
 		l.writes = l.writes[1:]
-		l.seatGets(consensus.Input{Persisted: w.Number})
+		l.deliverToReplica(consensus.Input{Persisted: w.Number})
 	})
 }
 
@@ -482,8 +482,8 @@
 	d.Records = append(d.Records[:len(d.Records):len(d.Records)], w.Records...)
 }
 
-// note follows what seats agreed on: one version has one content.
-func (f *versions) note(a *configsync.Agreed) {
+// recordAgreed follows what seats agreed on: one version has one content.
+func (f *virtualVersions) recordAgreed(a *configsync.Agreed) {
 	for k := len(a.Log) - 1; k >= 0; k-- {
 		r := a.Log[k]
 		if d, known := f.digests[r.Version]; !known {
@@ -491,7 +491,7 @@
 		} else {
 			if d != r.Digest {
 				f.forked++
-				f.say("version %d has two contents", r.Version)
+				f.logf("version %d has two contents", r.Version)
 			}
 			break
 		}
@@ -503,7 +503,7 @@
 	if cmp.Or(cmp.Compare(x.All.Version, y.All.Version), cmp.Compare(x.First.Version, y.First.Version), cmp.Compare(x.Newest, y.Newest)) > 0 ||
 		x.First == y.First && x.Stopped && !y.Stopped {
 		if x.All != y.All || x.First != y.First {
-			f.say("version %d is in force for all, %d for the first stage, %d agreed on", x.All.Version, x.First.Version, x.Newest)
+			f.logf("version %d is in force for all, %d for the first stage, %d agreed on", x.All.Version, x.First.Version, x.Newest)
 		}
 		f.last = a
 	}
--- a/internal/testbed/processfleet/versions_play.go
+++ b/internal/testbed/processfleet/versions_play.go
@@ -47,15 +47,15 @@
 	begun   int64
 }
 
-// ask has a command taken to a seat that is up, and again to another while it isn't answered.
-func (f *versions) ask(c *putter) {
+// propose has a command taken to a seat that is up, and again to another while it isn't answered.
+func (f *virtualVersions) propose(c *putter) {
 	command := c.command
 	c.sent = f.Now
 	if m := f.byName[f.seats[f.chance.Intn(len(f.seats))]]; m.Up {
 		in := consensus.Input{Proposed: []configsync.Command{*command}, Owner: claims.Owner{Name: c.name, Incarnation: 1}}
 		f.After(ms, func() {
 			if m.Up && m.life != nil {
-				m.life.seatGets(in)
+				m.life.deliverToReplica(in)
 			}
 		})
 	} else {
@@ -63,13 +63,13 @@
 	}
 	f.At(c.sent+putAgain, func() {
 		if c.command == command && f.Now >= c.sent+putAgain {
-			f.ask(c)
+			f.propose(c)
 		}
 	})
 }
 
 // next has a caller put what it has gathered.
-func (f *versions) next(c *putter) {
+func (f *virtualVersions) next(c *putter) {
 	if c.command != nil || len(c.waiting) == 0 || f.holding && !c.waiting[0].isNew {
 		return
 	}
@@ -84,11 +84,11 @@
 	for _, x := range c.inHand {
 		c.command.Changes = append(c.command.Changes, x.item)
 	}
-	f.ask(c)
+	f.propose(c)
 }
 
 // decided is what a caller is told.
-func (f *versions) decided(c *putter, list []configsync.Verdict) {
+func (f *virtualVersions) decided(c *putter, list []configsync.Verdict) {
 	for i := range list {
 		v := &list[i]
 		if c.command == nil || v.Seq != c.command.Seq {
@@ -96,25 +96,25 @@
 		}
 		if !v.Done { // made anew on the newest
 			if !v.Stale {
-				f.say("%s is refused: %s", c.name, v.Refused)
+				f.logf("%s is refused: %s", c.name, v.Refused)
 			}
 			again := *c.command
 			c.seq++
 			again.Seq, again.Base, c.base = c.seq, v.Version, v.Version
 			c.command = &again
-			f.ask(c)
+			f.propose(c)
 			continue
 		}
 		c.base = v.Version
 		for _, x := range c.inHand {
 			if x.version = v.Version; x.isNew {
 				f.bad = v.Version
-				f.say("version %d is of a later build", v.Version)
+				f.logf("version %d is of a later build", v.Version)
 			}
 		}
 		if c.command.Kind == configsync.Rollback {
 			f.holding = false
-			f.say("version %d takes it back", v.Version)
+			f.logf("version %d takes it back", v.Version)
 		} else if len(c.inHand) > 0 {
 			f.puts = append(f.puts, seconds(f.Now-c.begun))
 		}
@@ -126,20 +126,20 @@
 }
 
 // stopped has an operator take back what was stopped, or what came through though some can't take it.
-func (f *versions) stopped(h *configsync.HeadRevision) {
+func (f *virtualVersions) stopped(h *configsync.HeadRevision) {
 	if f.bad == 0 || !(h.Stopped && h.First.Version >= f.bad || h.All.Version >= f.bad) {
 		return
 	}
 	if h.Stopped {
 		f.stops++
-		f.say("version %d is stopped by %s: %s", h.First.Version, h.Who, h.Why)
+		f.logf("version %d is stopped by %s: %s", h.First.Version, h.Who, h.Why)
 	}
 	to := f.good
 	f.bad = 0
 	f.After(noticed, func() { f.rollBack(to) })
 }
 
-func (f *versions) rollBack(to uint64) {
+func (f *virtualVersions) rollBack(to uint64) {
 	c := f.callers[0]
 	if c.command != nil {
 		f.After(reachStep, func() { f.rollBack(to) })
@@ -147,11 +147,11 @@
 	}
 	c.seq++
 	c.command = &configsync.Command{Kind: configsync.Rollback, From: c.name, Seq: c.seq, Version: to}
-	f.ask(c)
+	f.propose(c)
 }
 
 // load has the seats agree on the first content, which all other disks hold then.
-func (f *versions) load() error {
+func (f *virtualVersions) load() error {
 	for _, name := range f.seats {
 		f.byName[name].Start()
 	}
@@ -165,7 +165,7 @@
 		file.seq++
 		file.command = &configsync.Command{Kind: configsync.Put, From: file.name, Seq: file.seq, Piece: k / pieceMost,
 			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
-		f.ask(file)
+		f.propose(file)
 		if f.RunUntil(loadFor, func() bool { return file.command == nil }) < 0 {
 			return fmt.Errorf("the seats did not agree on the first content")
 		}
@@ -185,13 +185,13 @@
 	return nil
 }
 
-func (f *versions) tenant(k, count int) configsync.Item {
+func (f *virtualVersions) tenant(k, count int) configsync.Item {
 	return configsync.Item{Part: configsync.Tenants, Name: fmt.Sprintf("tenant-%05d", k),
 		Value: fmt.Appendf(nil, itemText, f.chance.Uint32(), count)}
 }
 
 // settled says what isn't as it must be in the end.
-func (f *versions) settled() string {
+func (f *virtualVersions) settled() string {
 	h := &f.last.Head
 	if h.First != h.All || h.Newest != h.All.Version {
 		return fmt.Sprintf("version %d of %d is in force for all", h.All.Version, h.Newest)
@@ -204,8 +204,8 @@
 	return ""
 }
 
-// lay lays changes and faults out in time.
-func (f *versions) lay(end int64) {
+// scheduleChanges lays changes and faults out in time.
+func (f *virtualVersions) scheduleChanges(end int64) {
 	count := 0
 	for _, c := range f.terms.Changes {
 		last := min(end, f.start+int64(c.At)+int64(c.For)+1)
@@ -223,9 +223,9 @@
 			}
 		}
 	}
-	for _, fault := range f.night.Faults {
+	for _, fault := range f.scenario.Faults {
 		for at := f.start + int64(fault.At); at < end; at += int64(fault.Every) {
-			f.At(at, func() { f.trouble(&fault, end) })
+			f.At(at, func() { f.beginFault(&fault, end) })
 			if fault.Every <= 0 {
 				break
 			}
@@ -234,7 +234,7 @@
 }
 
 // want has a caller put a change; what is of a new build alone, with all others waiting.
-func (f *versions) want(by *putter, x *change) {
+func (f *virtualVersions) want(by *putter, x *change) {
 	if x.isNew {
 		f.holding = true
 		by.waiting = slices.Insert(slices.Clone(by.waiting), 0, x)
@@ -244,8 +244,8 @@
 	f.next(by)
 }
 
-// drawn is whom a fault concerns: one node or seat that is up, all seats, or those of a zone.
-func (f *versions) drawn(who string) (list []*member) {
+// drawMembers is whom a fault concerns: one node or seat that is up, all seats, or those of a zone.
+func (f *virtualVersions) drawMembers(who string) (list []*member) {
 	if who == "seats" {
 		return slices.DeleteFunc(slices.Clone(f.members), func(m *member) bool { return !m.seat || !m.Up })
 	}
@@ -264,12 +264,12 @@
 	return list
 }
 
-// trouble begins a fault and has it end.
-func (f *versions) trouble(fault *Fault, end int64) {
+// beginFault begins a fault and has it end.
+func (f *virtualVersions) beginFault(fault *Fault, end int64) {
 	back := min(f.Now+int64(fault.For), end)
 	switch fault.Kind {
 	case "kill":
-		list := f.drawn(fault.Who)
+		list := f.drawMembers(fault.Who)
 		for _, m := range list {
 			f.stop(m, fault.Shape == "forgets")
 			f.At(back, func() {
@@ -279,7 +279,7 @@
 			})
 		}
 		if len(list) > 0 {
-			f.say("FAULT %d killed: %s of %s, for %.0f s %s", len(list), list[0].Name, list[0].Zone, seconds(back-f.Now), fault.Shape)
+			f.logf("FAULT %d killed: %s of %s, for %.0f s %s", len(list), list[0].Name, list[0].Zone, seconds(back-f.Now), fault.Shape)
 		}
 	case "cut":
 		region, seats := fmt.Sprint("r", f.chance.Intn(f.terms.Regions)), 0
@@ -291,22 +291,22 @@
 				seats++
 			}
 		}
-		f.say("FAULT region %s is cut off: %d nodes, %d seats, for %.0f s", region, len(within), seats, seconds(back-f.Now))
+		f.logf("FAULT region %s is cut off: %d nodes, %d seats, for %.0f s", region, len(within), seats, seconds(back-f.Now))
 		f.At(back, func() {
 			f.RemoveCuts()
 			clear(f.apart)
 		})
 	case "loss":
 		f.LossRate, f.DuplicateRate, f.LateRate, f.MaxLate = float64(fault.Part), float64(fault.Part)/5, float64(fault.Part)/50, 30*second
-		f.At(back, f.sound)
+		f.At(back, f.removeLinkFaults)
 	}
 }
 
-func (f *versions) sound() { f.LossRate, f.DuplicateRate, f.LateRate = 0, 0, 0 }
+func (f *virtualVersions) removeLinkFaults() { f.LossRate, f.DuplicateRate, f.LateRate = 0, 0, 0 }
 
-// noteReach notes who is in reach from now on: up, with a majority of all seats up on its side of a cut, and not still recovering
+// recordReachability notes who is in reach from now on: up, with a majority of all seats up on its side of a cut, and not still recovering
 // from a lost disk. Both kinds of play measure by it.
-func (f *versions) noteReach(now int64, up, recovering func(*member) bool) {
+func (f *virtualVersions) recordReachability(now int64, up, recovering func(*member) bool) {
 	seats := map[bool]int{} // that are up, by side
 	all := 0
 	for _, m := range f.members {
@@ -321,24 +321,24 @@
 		in := up(m) && 2*seats[f.apart[m]] > all && !recovering(m)
 		switch k := len(m.out); {
 		case !in && (k == 0 || m.out[k-1].to != lasting):
-			m.out = append(m.out, stretch{now, lasting})
+			m.out = append(m.out, interval{now, lasting})
 		case in && k > 0 && m.out[k-1].to == lasting:
 			m.out[k-1].to = now
 		}
 	}
 }
 
-// reach looks again and again at who is in reach.
-func (f *versions) reach() {
-	f.noteReach(f.Now, func(m *member) bool { return m.Up }, func(m *member) bool { return m.life.fresh })
-	f.After(reachStep, f.reach)
+// updateReachability looks again and again at who is in updateReachability.
+func (f *virtualVersions) updateReachability() {
+	f.recordReachability(f.Now, func(m *member) bool { return m.Up }, func(m *member) bool { return m.life.fresh })
+	f.After(reachStep, f.updateReachability)
 }
 
-// playVersions plays changes and faults, heals all, and measures.
-func (n *Night) playVersions(seed int64) *Outcome {
+// playVersionsInVirtualTime plays changes and faults, heals all, and measures.
+func (n *Scenario) playVersionsInVirtualTime(seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
 	began := time.Now()
-	f := newVersions(n, seed)
+	f := newVirtualVersions(n, seed)
 	defer func() { o.Timeline = f.lines }()
 	if err := f.load(); err != nil {
 		o.Failed = err.Error()
@@ -358,11 +358,11 @@
 	f.start, f.recovers = f.Now, nil
 	o.Measures["idle_bytes"] = f.mean(f.start-quietFor, f.start)
 	end := f.start + int64(n.Seconds*1e9)
-	f.lay(end)
-	f.reach()
+	f.scheduleChanges(end)
+	f.updateReachability()
 	f.Run(end)
 	f.RemoveCuts()
-	f.sound()
+	f.removeLinkFaults()
 	for _, m := range f.members {
 		if !m.Up {
 			m.Start()
@@ -378,7 +378,7 @@
 	}
 	f.Run(healed + int64(n.Calm*1e9))
 	if why := f.settled(); why != "" {
-		f.say("in the end: %s", why)
+		f.logf("in the end: %s", why)
 	}
 	o.Measures["pace"] = float64(f.Now) / float64(max(1, time.Since(began)))
 	f.measure(o.Measures)
@@ -389,7 +389,7 @@
 }
 
 // mean is what a node that is no seat spent in a second of a time, both ways.
-func (f *versions) mean(from, to int64) float64 {
+func (f *virtualVersions) mean(from, to int64) float64 {
 	sum := 0
 	for _, m := range f.members {
 		for s := from / second; s < to/second && int(s) < len(m.spent) && !m.seat; s++ {
@@ -399,7 +399,7 @@
 	return float64(sum) / float64(len(f.members)-len(f.seats)) / seconds(to-from)
 }
 
-func (f *versions) measure(x map[string]float64) {
+func (f *virtualVersions) measure(x map[string]float64) {
 	f.measureInForce(x)
 	f.measureBytes(x)
 	x["gone_back"], x["two_contents"], x["stops"], x["refusals"] = float64(f.back), float64(f.forked), float64(f.stops), float64(f.refused)
@@ -441,7 +441,7 @@
 }
 
 // measureInForce says of each change whether it was in force in time at all that were in reach meanwhile.
-func (f *versions) measureInForce(x map[string]float64) {
+func (f *virtualVersions) measureInForce(x map[string]float64) {
 	by := map[uint64]int{}
 	for _, c := range f.changes {
 		if c.version > 0 && !c.isNew {
@@ -474,7 +474,7 @@
 		if all, late = all+by[version], late+missed; missed == 0 {
 			good += by[version]
 		} else {
-			f.say("version %d, agreed on at %.3f s, was not in time at %d nodes: %s", version, seconds(at-f.start), missed, strings.Join(who, ", "))
+			f.logf("version %d, agreed on at %.3f s, was not in time at %d nodes: %s", version, seconds(at-f.start), missed, strings.Join(who, ", "))
 		}
 	}
 	x["in_force"], x["in_force_nodes"], x["pairs"] = float64(good)/float64(max(1, all)), 1-float64(late)/float64(max(1, pairs)), float64(pairs)
@@ -482,7 +482,7 @@
 }
 
 // measureBytes are those of letters of the configuration and, at seats, of the council; both ways.
-func (f *versions) measureBytes(x map[string]float64) {
+func (f *virtualVersions) measureBytes(x map[string]float64) {
 	from := int(f.start / second)
 	for s := from; s < int(f.Now/second); s++ {
 		x["worst_bytes"] = max(x["worst_bytes"], f.mean(int64(s)*second, int64(s+1)*second))
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -29,10 +29,10 @@
 	newItem   = `{"aim":1000,"class_calls":true,"effect":"idempotent","give_up":4000,"importance":2}`
 )
 
-// polled is a fleet of processes that is asked what it has. It shares changes, callers' bookkeeping and measures with the fleet in
+// processVersions is a fleet of processes that is asked what it has. It shares changes, callers' bookkeeping and measures with the fleet in
 // virtual time; its clock is the rig's.
-type polled struct {
-	*versions
+type processVersions struct {
+	*virtualVersions
 	p     *processes
 	fleet envelope.Fleet
 
@@ -77,7 +77,7 @@
 }
 
 // question asks a node.
-func (f *polled) question(i int, q *configsync.Query) (*configsync.Answer, error) {
+func (f *processVersions) question(i int, q *configsync.Query) (*configsync.Answer, error) {
 	text, err := envelope.Seal(nil, f.fleet, node.EncodeConfigQuery(q))
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 }
 
 // watch asks a node what it has, until the play ends.
-func (f *polled) watch(ctx context.Context, i int) {
+func (f *processVersions) watch(ctx context.Context, i int) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		up, life := f.up[i], f.lives[i]
@@ -100,7 +100,7 @@
 			now := f.p.now()
 			<-f.ask
 			if err == nil && a.Status != nil {
-				f.told(i, life, now, a)
+				f.recordAnswer(i, life, now, a)
 			}
 		}
 		select {
@@ -110,8 +110,8 @@
 	}
 }
 
-// told notes what a node has: since when, and whether that went back.
-func (f *polled) told(i, life int, now int64, a *configsync.Answer) {
+// recordAnswer notes what a node has: since when, and whether that went back.
+func (f *processVersions) recordAnswer(i, life int, now int64, a *configsync.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.lives[i] != life || !f.up[i] {
@@ -121,7 +121,7 @@
 	if last := f.has[i]; mark != last {
 		if mark.Version < last.Version {
 			f.back++
-			f.sayNow("n%d goes from version %d to %d", i, last.Version, mark.Version)
+			f.logNowf("n%d goes from version %d to %d", i, last.Version, mark.Version)
 		}
 		f.has[i] = mark
 		at := max(now-a.Status.TakenNS, f.began[i])
@@ -129,7 +129,7 @@
 		if f.empty[i] && mark.Version > 0 {
 			f.empty[i] = false
 			f.recovers = append(f.recovers, seconds(at-f.began[i]))
-			f.lookAround(at)
+			f.updateReachable(at)
 		}
 	}
 	if d, known := f.marks[mark.Version]; mark.Version > 0 && known && d != mark.Digest {
@@ -141,7 +141,7 @@
 	f.bytes[i] = append(f.bytes[i], sample{now, c.BytesSent + c.BytesReceived, c.InvalidResponses, life})
 	if s := a.Seat; s != nil && (s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped) {
 		if s.Head.Stopped && !f.agreed.Head.Stopped {
-			f.sayNow("version %d is stopped by %s: %s", s.Head.First.Version, s.Head.Who, s.Head.Why)
+			f.logNowf("version %d is stopped by %s: %s", s.Head.First.Version, s.Head.Who, s.Head.Why)
 		}
 		f.agreed = *s
 	} else if s != nil && s.Head.First.Version >= f.agreed.Head.First.Version {
@@ -149,13 +149,13 @@
 	}
 }
 
-// lookAround notes who is in reach from a time on; under the lock.
-func (f *polled) lookAround(now int64) {
-	f.noteReach(now, func(m *member) bool { return f.up[m.index] }, func(m *member) bool { return f.empty[m.index] })
+// updateReachable notes who is in reach from a time on; under the lock.
+func (f *processVersions) updateReachable(now int64) {
+	f.recordReachability(now, func(m *member) bool { return f.up[m.index] }, func(m *member) bool { return f.empty[m.index] })
 }
 
 // put has one command ordered, at one seat after the other until there is a verdict.
-func (f *polled) put(ctx context.Context, c *configsync.Command, chance *rand.Rand) *configsync.Verdict {
+func (f *processVersions) put(ctx context.Context, c *configsync.Command, chance *rand.Rand) *configsync.Verdict {
 	for ctx.Err() == nil {
 		i := chance.Intn(f.terms.Seats)
 		f.mu.Lock()
@@ -172,7 +172,7 @@
 }
 
 // putAll puts what callers want at its time, one command at a time.
-func (f *polled) putAll(ctx context.Context, list []timed, base uint64) {
+func (f *processVersions) putAll(ctx context.Context, list []timedChange, base uint64) {
 	chance, seq := rand.New(rand.NewSource(f.p.seed)), uint64(0)
 	for len(list) > 0 && ctx.Err() == nil {
 		n, named := 0, map[string]bool{} // a put has each item once, and what is new alone
@@ -201,13 +201,13 @@
 		f.puts = append(f.puts, seconds(f.p.now()-began))
 		f.mu.Unlock()
 		if some[0].isNew {
-			f.takeBack(ctx, v.Version, &seq, &base, chance)
+			f.rollBackTo(ctx, v.Version, &seq, &base, chance)
 		}
 	}
 }
 
 // until puts a command anew on the newest version until it is done.
-func (f *polled) until(ctx context.Context, command *configsync.Command, seq, base *uint64, chance *rand.Rand) *configsync.Verdict {
+func (f *processVersions) until(ctx context.Context, command *configsync.Command, seq, base *uint64, chance *rand.Rand) *configsync.Verdict {
 	for ctx.Err() == nil {
 		again := *command
 		*seq++
@@ -220,15 +220,15 @@
 			return v
 		}
 		f.mu.Lock()
-		f.sayNow("a change is refused: %s", v.Refused)
+		f.logNowf("a change is refused: %s", v.Refused)
 		f.mu.Unlock()
 		time.Sleep(putPause)
 	}
 	return nil
 }
 
-// takeBack waits until what an older build can't take is stopped, and goes back.
-func (f *polled) takeBack(ctx context.Context, version uint64, seq, base *uint64, chance *rand.Rand) {
+// rollBackTo waits until what an older build can't take is stopped, and goes back.
+func (f *processVersions) rollBackTo(ctx context.Context, version uint64, seq, base *uint64, chance *rand.Rand) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		h := f.agreed.Head
@@ -248,21 +248,21 @@
 		if v != nil {
 			f.mu.Lock()
 			f.undone = append(f.undone, [2]uint64{to, v.Version})
-			f.sayNow("version %d takes version %d back to %d", v.Version, version, to)
+			f.logNowf("version %d takes version %d back to %d", v.Version, version, to)
 			f.mu.Unlock()
 		}
 		return
 	}
 }
 
-// timed is a change that is wanted at a time.
-type timed struct {
+// timedChange is a change that is wanted at a time.
+type timedChange struct {
 	*change
 	at int64
 }
 
 // wantedAt draws the changes of a play.
-func (f *polled) wantedAt(start, end int64) (list []timed) {
+func (f *processVersions) wantedAt(start, end int64) (list []timedChange) {
 	for _, c := range f.terms.Changes {
 		last := min(end, start+int64(c.At)+int64(c.For)+1)
 		for at := start + int64(c.At); at < last; at += int64(c.Every) {
@@ -270,13 +270,13 @@
 			if c.New {
 				x.item = configsync.Item{Part: configsync.Operations, Name: "new", Value: []byte(newItem)}
 			}
-			f.changes, list = append(f.changes, x), append(list, timed{x, at})
+			f.changes, list = append(f.changes, x), append(list, timedChange{x, at})
 			if c.Every <= 0 {
 				break
 			}
 		}
 	}
-	slices.SortStableFunc(list, func(a, b timed) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(list, func(a, b timedChange) int { return cmp.Compare(a.at, b.at) })
 	return list
 }
 
@@ -285,9 +285,9 @@
 }
 
 // playVersionsOnProcesses plays the same on built daemons, hollow nodes and processes that are seats.
-func (n *Night) playVersionsOnProcesses(p *processes, seed int64) *Outcome {
+func (n *Scenario) playVersionsOnProcesses(p *processes, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
-	f := &polled{versions: newVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
+	f := &processVersions{virtualVersions: newVirtualVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
 		has: make([]configsync.Revision, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
 		ask: make(chan struct{}, asksMost)}
 	f.Simulator = virtualtime.New(seed, 0)
@@ -305,7 +305,7 @@
 		o.Failed = err.Error()
 		return o
 	}
-	if o.Measures["joined_s"] = seconds(n.until(p, int64(n.Join*1e9), f.up)); o.Measures["joined_s"] < 0 {
+	if o.Measures["joined_s"] = seconds(n.runUntilAgreed(p, int64(n.Join*1e9), f.up)); o.Measures["joined_s"] < 0 {
 		o.Failed = "the fleet did not come to one view"
 		return o
 	}
@@ -326,7 +326,7 @@
 	done := make(chan struct{})
 	list := f.wantedAt(start, end)
 	go func() { f.putAll(ctx, list, base); close(done) }()
-	if err := f.troubles(start, end); err != nil {
+	if err := f.playFaults(start, end); err != nil {
 		o.Failed = err.Error()
 		return o
 	}
@@ -354,7 +354,7 @@
 }
 
 // loadFile puts the operations and limits of a whole node's file and the first tenants, and waits until all have them.
-func (f *polled) loadFile(ctx context.Context) (uint64, error) {
+func (f *processVersions) loadFile(ctx context.Context) (uint64, error) {
 	text, err := json.Marshal(f.p.config(0))
 	if err != nil {
 		return 0, err
@@ -396,7 +396,7 @@
 }
 
 // allAt says whether all nodes have the newest version that was acknowledged in force.
-func (f *polled) allAt() bool {
+func (f *processVersions) allAt() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	newest := uint64(0)
@@ -407,24 +407,24 @@
 }
 
 // trouble is a fault with when it begins, or ends.
-type begun struct {
+type activeFault struct {
 	at int64
 	do func() error
 }
 
-// troubles does all faults, and heals all.
-func (f *polled) troubles(start, end int64) error {
-	var list []begun
-	for _, fault := range f.night.Faults {
+// playFaults does all faults, and heals all.
+func (f *processVersions) playFaults(start, end int64) error {
+	var list []activeFault
+	for _, fault := range f.scenario.Faults {
 		for at := start + int64(fault.At); at < end; at += int64(fault.Every) {
-			list = append(list, begun{at, func() error { return f.begin(&fault, &list, end) }})
+			list = append(list, activeFault{at, func() error { return f.begin(&fault, &list, end) }})
 			if fault.Every <= 0 {
 				break
 			}
 		}
 	}
 	for f.p.now() < end {
-		slices.SortStableFunc(list, func(a, b begun) int { return cmp.Compare(a.at, b.at) })
+		slices.SortStableFunc(list, func(a, b activeFault) int { return cmp.Compare(a.at, b.at) })
 		if len(list) == 0 || list[0].at >= end {
 			break
 		}
@@ -446,11 +446,11 @@
 			down = append(down, i)
 		}
 	}
-	f.apartPolled(nil)
+	f.isolate(nil)
 	return f.startSome(down)
 }
 
-func (f *polled) startSome(list []int) error {
+func (f *processVersions) startSome(list []int) error {
 	if err := startAll(f.p, list, 0); err != nil {
 		return err
 	}
@@ -462,25 +462,25 @@
 		f.lives[i]++
 		f.has[i], f.began[i] = configsync.Revision{}, now
 	}
-	f.lookAround(now)
+	f.updateReachable(now)
 	return nil
 }
 
-// apartPolled notes who is cut off from all others, nobody where it is healed. There is one cut at a time.
-func (f *polled) apartPolled(nodes []int) {
+// isolate notes who is cut off from all others, nobody where it is healed. There is one cut at a time.
+func (f *processVersions) isolate(nodes []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.apart)
 	for _, i := range nodes {
 		f.apart[f.members[i]] = true
 	}
-	f.lookAround(f.p.now())
+	f.updateReachable(f.p.now())
 }
 
 // begin does a fault, and lays its end.
-func (f *polled) begin(fault *Fault, list *[]begun, end int64) error {
+func (f *processVersions) begin(fault *Fault, list *[]activeFault, end int64) error {
 	var nodes []int
-	n, p := f.night, f.p
+	n, p := f.scenario, f.p
 	f.mu.Lock()
 	perm := f.chance.Perm(n.Nodes)
 	for _, i := range perm {
@@ -496,7 +496,7 @@
 			nodes = nodes[:min(1, len(nodes))]
 		}
 	case "zone", "region":
-		nodes = n.place(fault.Who, f.chance, nodes)
+		nodes = n.nodesOfPlace(fault.Who, f.chance, nodes)
 	default:
 		nodes = slices.DeleteFunc(nodes, seat)
 		nodes = nodes[:min(1, len(nodes))]
@@ -505,7 +505,7 @@
 	switch fault.Kind {
 	case "loss":
 		p.lose(float64(fault.Part))
-		*list = append(*list, begun{back, func() error { p.lose(0); return nil }})
+		*list = append(*list, activeFault{back, func() error { p.lose(0); return nil }})
 	case "cut":
 		var out []int
 		for _, i := range perm {
@@ -515,9 +515,9 @@
 		}
 		cutAll(p, nodes, out)
 		cutAll(p, out, nodes)
-		f.apartPolled(nodes)
-		f.noted("FAULT %d nodes of %s cut off", len(nodes), layout.Name(nodes[0]))
-		*list = append(*list, begun{back, func() error { p.heal(); f.apartPolled(nil); return nil }})
+		f.isolate(nodes)
+		f.logLockedf("FAULT %d nodes of %s cut off", len(nodes), layout.Name(nodes[0]))
+		*list = append(*list, activeFault{back, func() error { p.heal(); f.isolate(nil); return nil }})
 	case "kill":
 		f.mu.Lock()
 		for _, i := range nodes {
@@ -525,7 +525,7 @@
 			f.lives[i]++
 			f.empty[i] = f.empty[i] || fault.Shape == "forgets"
 		}
-		f.lookAround(p.now())
+		f.updateReachable(p.now())
 		f.mu.Unlock()
 		endAll(p, nodes, false, make([]bool, n.Nodes))
 		for _, i := range nodes {
@@ -534,27 +534,27 @@
 			}
 		}
 		if len(nodes) > 0 {
-			f.noted("FAULT %d killed: %s %s", len(nodes), name(nodes[0]), fault.Shape)
+			f.logLockedf("FAULT %d killed: %s %s", len(nodes), name(nodes[0]), fault.Shape)
 		}
-		*list = append(*list, begun{back, func() error { return f.startSome(nodes) }})
+		*list = append(*list, activeFault{back, func() error { return f.startSome(nodes) }})
 	}
 	return nil
 }
 
-// noted is a line of the timeline, sayNow one under the lock.
-func (f *polled) noted(form string, args ...any) {
+// logLockedf is a line of the timeline, sayNow one under the lock.
+func (f *processVersions) logLockedf(form string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sayNow(form, args...)
+	f.logNowf(form, args...)
 }
 
-func (f *polled) sayNow(form string, args ...any) {
+func (f *processVersions) logNowf(form string, args ...any) {
 	f.Now = f.p.now()
-	f.say(form, args...)
+	f.logf(form, args...)
 }
 
 // measurePolled measures what was asked for. Bytes are those that holders count, as they estimate them.
-func (f *polled) measurePolled(x map[string]float64, start int64) {
+func (f *processVersions) measurePolled(x map[string]float64, start int64) {
 	f.measureInForce(x)
 	x["gone_back"], x["two_contents"], x["stops"] = float64(f.back), float64(f.forked), float64(f.stops)
 	x["put_s"], x["changes"], x["versions"] = quantile(f.puts, 0.99), float64(len(f.changes)), float64(f.agreed.Newest.Version)
@@ -612,7 +612,7 @@
 
 // missing counts items whose last acknowledged value isn't in the final content of a seat, though nobody took it back: a rollback
 // takes back all that was agreed on since the version that it names.
-func (f *polled) missing() (count int) {
+func (f *processVersions) missing() (count int) {
 	last := map[string]*change{}
 	for _, c := range f.changes {
 		back := slices.ContainsFunc(f.undone, func(u [2]uint64) bool { return c.version > u[0] && c.version < u[1] })
--- a/internal/testbed/processfleet/versions_test.go
+++ b/internal/testbed/processfleet/versions_test.go
@@ -73,7 +73,7 @@
 		"it recovers":                      {empty: []int{4}, late: 4},
 		"a seat is late and others aren't": {down: []int{4}, late: 1, found: true},
 	} {
-		f := &versions{Fleet: virtualfleet.New(1, 5, 2), apart: map[*member]bool{}, agreedAt: map[uint64]int64{1: second}, changes: []*change{{version: 1}}}
+		f := &virtualVersions{Fleet: virtualfleet.New(1, 5, 2), apart: map[*member]bool{}, agreedAt: map[uint64]int64{1: second}, changes: []*change{{version: 1}}}
 		for k := range 5 {
 			m := &member{Node: &virtualfleet.Node{Name: fmt.Sprint("n", k)}, index: k, seat: k < 3, held: []taken{{0, 0}, {3 * second, 1}}}
 			if k == x.late {
@@ -85,7 +85,7 @@
 			for _, k := range x.apart {
 				f.apart[f.members[k]] = on
 			}
-			f.noteReach(now, func(m *member) bool { return !on || !slices.Contains(x.down, m.index) },
+			f.recordReachability(now, func(m *member) bool { return !on || !slices.Contains(x.down, m.index) },
 				func(m *member) bool { return on && slices.Contains(x.empty, m.index) })
 		}
 		for at := int64(0); at < 20*second; at += second {
@@ -107,7 +107,7 @@
 		"faults":           `[{"kind":"kill","who":"seats","shape":"forgets","at":"10 s","for":"1 s"}]`,
 		"versions.changes": `[{"at":"1 s","for":"15 s","every":"1 s"}]`})
 	require.NoError(t, err)
-	o := n.playVersions(1)
+	o := n.playVersionsInVirtualTime(1)
 	assert.Positive(t, o.Measures["lost"])
 	assert.Greater(t, o.Measures["digests"], 1.0)
 }
--- a/internal/testbed/processfleet/virtual.go
+++ b/internal/testbed/processfleet/virtual.go
@@ -12,7 +12,7 @@
 // virtual is a fleet in virtual time.
 type virtual struct{ *virtualfleet.Fleet }
 
-func newVirtual(n *Night, seed int64) (*virtual, error) {
+func newVirtual(n *Scenario, seed int64) (*virtual, error) {
 	m := virtualfleet.New(seed, n.Nodes, min(n.Contacts, n.Nodes))
 	for field, to := range map[string]*int64{"probe": &m.Membership.ProbeInterval, "silence": &m.Membership.LinkTimeout, "settle": &m.Membership.SuspicionTimeout,
 		"forget": &m.Membership.ForgetTimeout} {
@@ -60,7 +60,7 @@
 	return sum
 }
 
-func (v *virtual) seen() (list []Event) {
+func (v *virtual) viewEvents() (list []Event) {
 	for i, n := range v.Nodes {
 		for _, c := range n.Changes {
 			list = append(list, Event{At: c.At, Node: i, Cause: c.Cause, Who: c.Who, Hash: c.Hash, Size: c.Size})
@@ -69,7 +69,7 @@
 	return list
 }
 
-func (v *virtual) last() []Event {
+func (v *virtual) lastEvents() []Event {
 	list := make([]Event, len(v.Nodes))
 	for i, n := range v.Nodes {
 		if k := len(n.Changes); k > 0 {
