--- /dev/null
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -0,0 +1,100 @@
+package processfleet
+
+import (
+	"bytes"
+	"slices"
+
+	"topazpost/internal/fleet/configsync"
+)
+
+// measurePolled measures what was asked for. Bytes are those that holders count, as they estimate them.
+func (f *processVersions) measurePolled(x map[string]float64, start int64) {
+	f.measureInForce(x)
+	x["gone_back"], x["two_contents"], x["stops"] = float64(f.back), float64(f.forked), float64(f.stops)
+	x["put_s"], x["changes"], x["versions"] = quantile(f.puts, 0.99), float64(len(f.changes)), float64(f.agreed.Newest.Version)
+	x["recovered_s"], x["recoveries"] = quantile(f.recovers, 1), float64(len(f.recovers))
+	x["lies"] = 0
+	idle, nodes := 0.0, 0
+	for i, list := range f.bytes {
+		var first, last *sample
+		for k := range list {
+			if s := &list[k]; s.at <= start && s.at > start-int64(quietFor) && s.life == 0 {
+				if first == nil {
+					first = s
+				}
+				last = s
+			}
+		}
+		if !f.members[i].seat && first != nil && last.at > first.at {
+			idle, nodes = idle+float64(last.bytes-first.bytes)/seconds(last.at-first.at), nodes+1
+		}
+		for k := range list {
+			if k+1 == len(list) || list[k+1].life != list[k].life {
+				x["lies"] += float64(list[k].lies)
+			}
+			for j := k + 1; j < len(list) && list[j].life == list[k].life; j++ {
+				span := list[j].at - list[k].at
+				if span < window*second || list[k].at < start {
+					continue
+				}
+				if per := float64(list[j].bytes-list[k].bytes) / seconds(span); !f.members[i].seat {
+					x["window_bytes"] = max(x["window_bytes"], per)
+				} else {
+					x["seat_window_bytes"] = max(x["seat_window_bytes"], per)
+				}
+				break
+			}
+		}
+	}
+	x["idle_bytes"] = idle / float64(max(1, nodes))
+	unanswered, lost := 0, 0
+	for _, c := range f.changes {
+		if c.version == 0 {
+			unanswered++
+		} else if c.version > f.agreed.Newest.Version {
+			lost++
+		}
+	}
+	x["unanswered"] = float64(unanswered)
+	digests := map[configsync.Revision]bool{}
+	for _, m := range f.has {
+		digests[m] = true
+	}
+	x["digests"] = float64(len(digests))
+	x["lost"] = float64(lost + f.missing())
+}
+
+// missing counts items whose last acknowledged value isn't in the final content of a seat, though nobody took it back: a rollback
+// takes back all that was agreed on since the version that it names.
+func (f *processVersions) missing() (count int) {
+	last := map[string]*change{}
+	for _, c := range f.changes {
+		back := slices.ContainsFunc(f.undone, func(u [2]uint64) bool { return c.version > u[0] && c.version < u[1] })
+		if o := last[c.item.Name]; !back && c.version > 0 && !c.isNew && (o == nil || c.version >= o.version) {
+			last[c.item.Name] = c
+		}
+	}
+	for i := range f.terms.Seats {
+		var blocks []configsync.Block
+		var mark configsync.Revision
+		for from, more := 0, true; more; {
+			a, err := f.question(i, &configsync.Query{Kind: configsync.ReadBlocks, Which: configsync.Newest, From: from})
+			if err != nil || a.Why != "" {
+				blocks = nil
+				break
+			}
+			blocks, mark, from, more = append(blocks, a.Blocks...), a.Mark, a.Next, a.Next > 0
+		}
+		content := configsync.FromBlocks(blocks, mark.Digest)
+		if content == nil || len(blocks) == 0 {
+			continue
+		}
+		for part, c := range last {
+			if got := content.Get(configsync.Tenants, part); !bytes.Equal(got, c.item.Value) {
+				count++
+			}
+		}
+		return count
+	}
+	return len(last) // no seat can say
+}
--- a/internal/testbed/processfleet/virtual.go
+++ b/internal/testbed/processfleet/virtual.go
@@ -27,7 +27,8 @@
 	return &virtual{m}, nil
 }
 
-func (v *virtual) now() int64      { return v.Now }
+func (v *virtual) now() int64 { return v.Now }
+
 func (v *virtual) run(until int64) { v.Run(until) }
 
 func (v *virtual) start(i int) error {
@@ -49,8 +50,10 @@
 	}
 }
 
-func (v *virtual) cut(from, to int)  { v.Cut(from, to) }
-func (v *virtual) heal()             { v.RemoveCuts() }
+func (v *virtual) cut(from, to int) { v.Cut(from, to) }
+
+func (v *virtual) heal() { v.RemoveCuts() }
+
 func (v *virtual) lose(part float64) { v.LossRate = part }
 
 func (v *virtual) sent() (sum int64) {
