--- a/internal/testbed/processfleet/cost_test.go
+++ b/internal/testbed/processfleet/cost_test.go
@@ -38,7 +38,7 @@
 					began := time.Now()
 					c.send(fmt.Sprintf("%d-%d-%d", seats, at, k))
 					require.Contains(b, c.answer(), "run 1")
-					h.RecordValue(time.Since(began).Microseconds())
+					require.NoError(b, h.RecordValue(time.Since(began).Microseconds()))
 				}
 				name := fmt.Sprintf("%d_seats_at_n%d_", seats, at)
 				idempotent := hdrhistogram.New(1, 10_000_000, 3)
@@ -46,7 +46,7 @@
 					began := time.Now()
 					c.invoke("look", "x")
 					c.answer()
-					idempotent.RecordValue(time.Since(began).Microseconds())
+					require.NoError(b, idempotent.RecordValue(time.Since(began).Microseconds()))
 				}
 				b.ReportMetric(float64(idempotent.ValueAtQuantile(50)), name+"idempotent_p50_us")
 				b.ReportMetric(float64(idempotent.ValueAtQuantile(99)), name+"idempotent_p99_us")
--- a/internal/testbed/processfleet/hollow_test.go
+++ b/internal/testbed/processfleet/hollow_test.go
@@ -70,15 +70,15 @@
 	agree(p, "it is back")
 	cutAll(p, in, out)
 	cutAll(p, out, in)
-	apart := func(side, other []int) bool {
+	apart := func(side []int) bool {
 		here := make([]bool, n.Nodes)
 		for _, i := range side {
 			here[i] = true
 		}
 		return n.runUntilAgreed(p, generous, here) >= 0
 	}
-	assert.True(t, apart(in, out), "a cut region has a view of its own: %v", p.lastEvents())
-	assert.True(t, apart(out, in), "and so have the others")
+	assert.True(t, apart(in), "a cut region has a view of its own: %v", p.lastEvents())
+	assert.True(t, apart(out), "and so have the others")
 	p.heal()
 	agree(p, "both come together")
 	o := &Outcome{Measures: map[string]float64{}}
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -94,7 +94,8 @@
 	if p.control, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	go http.Serve(p.control, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusNoContent) }))
+	answer := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
+	go func() { _ = http.Serve(p.control, http.HandlerFunc(answer)) }() // until the listener is closed
 	for range standTries {
 		var block int
 		if block, p.held, err = hollow.Reserve(); err != nil {
@@ -265,7 +266,7 @@
 			fmt.Fprintln(d.log, in.Text())
 			p.logLineReceived(i, d, in.Bytes())
 		}
-		d.command.Wait()
+		_ = d.command.Wait() // daemons are killed by faults and in the end
 		d.log.Close()
 		close(d.ended)
 	}()
--- a/internal/testbed/processfleet/relay.go
+++ b/internal/testbed/processfleet/relay.go
@@ -1,6 +1,7 @@
 package processfleet
 
 import (
+	"errors"
 	"io"
 	"math/rand"
 	"net"
@@ -173,7 +174,7 @@
 		out := r.source(from, source.Addr().Unmap())
 		if delay == 0 {
 			for range copies {
-				out.WriteToUDPAddrPort(space[:n], to)
+				_, _ = out.WriteToUDPAddrPort(space[:n], to) // a datagram that can't be sent is lost
 			}
 			continue
 		}
@@ -182,7 +183,7 @@
 			b := append([]byte(nil), space[:n]...)
 			time.AfterFunc(delay, func() {
 				for range copies {
-					out.WriteToUDPAddrPort(b, to)
+					_, _ = out.WriteToUDPAddrPort(b, to)
 				}
 				<-r.wire.flight
 			})
@@ -222,7 +223,7 @@
 		for {
 			n, err := of.Read(space)
 			if err != nil {
-				if err == io.EOF {
+				if errors.Is(err, io.EOF) {
 					to.(*net.TCPConn).CloseWrite()
 				}
 				return
--- a/internal/testbed/processfleet/result.go
+++ b/internal/testbed/processfleet/result.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Verdict says whether a claim held on all seeds.
+// Verdict is whether a claim held on all seeds.
 type Verdict struct {
 	Name  string  `json:"name"`
 	Held  bool    `json:"held"`
@@ -20,7 +20,14 @@
 	Bound float64 `json:"bound"`
 }
 
-// Result is a night on all its seeds.
+func (v *Verdict) status() string {
+	if v.Held {
+		return "held  "
+	}
+	return "BROKEN"
+}
+
+// Result is a fault scenario on all its seeds.
 type Result struct {
 	Scenario *Scenario  `json:"-"`
 	Name     string     `json:"experiment"`
@@ -29,7 +36,7 @@
 	Measures []map[string]float64
 }
 
-// Run plays a night on seeds, one after the other. Program is the built daemon, for nights on processes; their logs
+// Run plays a scenario on seeds, one after the other. Program is the built daemon, for scenarios on processes; their logs
 // and timelines are left in folder, if it is not empty.
 func (n *Scenario) Run(seeds []int64, program, folder string) (*Result, error) {
 	r := &Result{Scenario: n, Name: n.Name}
@@ -55,31 +62,42 @@
 			}
 		}
 	}
-	for _, c := range n.Claims {
-		v := Verdict{Name: c.Name, Held: true}
-		for k, o := range r.Outcomes {
-			value, known := o.Measures[c.Measure]
-			if !known {
-				return nil, fmt.Errorf("%s: claim %q: no measure is named %q", n.Name, c.Name, c.Measure)
-			}
-			if c.Most != nil {
-				if v.Bound = *c.Most; k == 0 || value > v.Value {
-					v.Value = value
-				}
-				v.Held = v.Held && value <= v.Bound
-			}
-			if c.Least != nil {
-				if v.Bound = *c.Least; k == 0 || value < v.Value {
-					v.Value = value
-				}
-				v.Held = v.Held && value >= v.Bound
-			}
+	for i := range n.Claims {
+		v, err := r.evaluate(&n.Claims[i])
+		if err != nil {
+			return nil, err
 		}
 		r.Verdicts = append(r.Verdicts, v)
 	}
 	return r, nil
 }
 
+// evaluate holds a claim against the measures of all seeds; the value is the one nearest to breaking it.
+func (r *Result) evaluate(c *Claim) (Verdict, error) {
+	v := Verdict{Name: c.Name, Held: true}
+	for k, o := range r.Outcomes {
+		value, known := o.Measures[c.Measure]
+		if !known {
+			return v, fmt.Errorf("%s: claim %q: no measure is named %q", r.Name, c.Name, c.Measure)
+		}
+		if c.Most != nil {
+			v.Bound = *c.Most
+			if k == 0 || value > v.Value {
+				v.Value = value
+			}
+			v.Held = v.Held && value <= v.Bound
+		}
+		if c.Least != nil {
+			v.Bound = *c.Least
+			if k == 0 || value < v.Value {
+				v.Value = value
+			}
+			v.Held = v.Held && value >= v.Bound
+		}
+	}
+	return v, nil
+}
+
 // runSeed plays a night on runSeed seed. The files of processes are left in a folder, if there is runSeed.
 func (n *Scenario) runSeed(seed int64, program, folder string) (*Outcome, error) {
 	if n.Versions != nil && !n.Processes {
@@ -121,7 +139,7 @@
 	return n.playSeed(d, seed), nil
 }
 
-// Held says whether every claim did.
+// Held returns whether every claim held.
 func (r *Result) Held() bool {
 	return !slices.ContainsFunc(r.Verdicts, func(v Verdict) bool { return !v.Held })
 }
@@ -144,7 +162,7 @@
 		fmt.Fprintln(to)
 	}
 	for _, v := range r.Verdicts {
-		fmt.Fprintf(to, "%s  %s: %.4g, bound %.4g\n", map[bool]string{true: "held  ", false: "BROKEN"}[v.Held], v.Name, v.Value, v.Bound)
+		fmt.Fprintf(to, "%s  %s: %.4g, bound %.4g\n", v.status(), v.Name, v.Value, v.Bound)
 	}
 	if !r.Held() {
 		for _, o := range r.Outcomes {
--- a/internal/testbed/processfleet/scenario.go
+++ b/internal/testbed/processfleet/scenario.go
@@ -90,7 +90,8 @@
 		return nil, false, err
 	}
 	var kind struct{ Nodes int }
-	if json.Unmarshal(file.JSON, &kind); kind.Nodes == 0 {
+	_ = json.Unmarshal(file.JSON, &kind) // a file of another shape is no scenario
+	if kind.Nodes == 0 {
 		return nil, false, nil
 	}
 	for _, at := range slices.Sorted(maps.Keys(changed)) {
--- a/internal/testbed/processfleet/stalls_test.go
+++ b/internal/testbed/processfleet/stalls_test.go
@@ -54,7 +54,7 @@
 func TestSilenceIsNoExcuse(t *testing.T) {
 	sleeper := exec.Command("sleep", "60")
 	require.NoError(t, sleeper.Start())
-	defer func() { sleeper.Process.Kill(); sleeper.Wait() }()
+	defer func() { sleeper.Process.Kill(); _ = sleeper.Wait() }() // it was killed
 	p := &processes{began: time.Now(), daemons: []*daemon{{command: sleeper, up: true}}, still: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})},
 		wire: &links{chance: rand.New(rand.NewSource(1)), bytes: make([]int64, 1)}}
 	before := waited(sleeper.Process.Pid) // for its start
--- a/internal/testbed/processfleet/takeover_test.go
+++ b/internal/testbed/processfleet/takeover_test.go
@@ -181,7 +181,8 @@
 
 // held is a fleet of five in which the last node, of one core, has begun some of its tokens and holds others, with
 // executors that take long.
-func held(t *testing.T) (p *processes, c *caller, states map[string]string) {
+func held(t *testing.T) (p *processes, c *caller) {
+	var states map[string]string
 	t.Parallel()
 	n, _, err := Read("../../../experiments/takeover-held.jsonnet", map[string]string{"nodes": "5", "timeout": "50 s", "longest": "1 s"})
 	require.NoError(t, err)
@@ -205,11 +206,11 @@
 		}
 		return count["started"] > 0 && count["claimed"] >= 2
 	}, patience, 100*time.Millisecond)
-	return p, c, states
+	return p, c
 }
 
 func TestHeldWorkOfAKilledNodeIsRunByAnotherAndWhatItBeganIsToldAsUnknown(t *testing.T) {
-	p, _, _ := held(t)
+	p, _ := held(t)
 	p.pause(4, true) // what it said is agreed on by the time that it is dead
 	time.Sleep(300 * time.Millisecond)
 	states := p.states(t, 0)
@@ -219,8 +220,8 @@
 	unknown := 0
 	for token := range states { // others were turned away
 		other.send(token)
-		switch answer := other.answer(); {
-		case answer == "unknown":
+		switch answer := other.answer(); answer {
+		case "unknown":
 			unknown++
 			assert.NotEqual(t, "claimed", states[token], "what did not begin is run")
 		default:
@@ -242,7 +243,7 @@
 }
 
 func TestOwnerThatWasStoppedFindsItsWorkTaken(t *testing.T) {
-	p, c, _ := held(t)
+	p, c := held(t)
 	p.pause(4, true)
 	p.executors[4].mu.Unlock()
 	require.Eventually(t, func() bool { // the others hold it lost, and run what it held
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -175,7 +175,7 @@
 	chance, seq := rand.New(rand.NewSource(f.p.seed)), uint64(0)
 	for len(list) > 0 && ctx.Err() == nil {
 		n, named := 0, map[string]bool{} // a put has each item once, and what is new alone
-		for now := f.p.now(); n < len(list) && n < putMost && list[n].at <= now && !(n > 0 && (list[n].isNew || list[0].isNew)) && !named[list[n].item.Name]; n++ {
+		for now := f.p.now(); n < len(list) && n < putMost && list[n].at <= now && (n == 0 || !list[n].isNew && !list[0].isNew) && !named[list[n].item.Name]; n++ {
 			named[list[n].item.Name] = true
 		}
 		if n == 0 {
--- a/internal/testbed/processfleet/versions_processes_faults.go
+++ b/internal/testbed/processfleet/versions_processes_faults.go
@@ -20,7 +20,7 @@
 	var list []activeFault
 	for _, fault := range f.scenario.Faults {
 		for at := start + int64(fault.At); at < end; at += int64(fault.Every) {
-			list = append(list, activeFault{at, func() error { return f.begin(&fault, &list, end) }})
+			list = append(list, activeFault{at, func() error { return f.begin(&fault, &list) }})
 			if fault.Every <= 0 {
 				break
 			}
@@ -81,7 +81,7 @@
 }
 
 // begin does a fault, and lays its end.
-func (f *processVersions) begin(fault *Fault, list *[]activeFault, end int64) error {
+func (f *processVersions) begin(fault *Fault, list *[]activeFault) error {
 	var nodes []int
 	n, p := f.scenario, f.p
 	f.mu.Lock()
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -124,7 +124,7 @@
 
 // stopped has an operator take back what was stopped, or what came through though some can't take it.
 func (f *virtualVersions) stopped(h *configsync.HeadRevision) {
-	if f.bad == 0 || !(h.Stopped && h.First.Version >= f.bad || h.All.Version >= f.bad) {
+	if f.bad == 0 || (!h.Stopped || h.First.Version < f.bad) && h.All.Version < f.bad {
 		return
 	}
 	if h.Stopped {
