--- a/integration/resultstore_test.go
+++ b/integration/resultstore_test.go
@@ -63,7 +63,7 @@
 	node = startNodeWithStore(t, folder)
 	d = node.dial()
 	stream := uint32(0)
-	invokeUntilAdmitted := func(token, body string) string { // until the store is read tokened work is throttled
+	invokeUntilAdmitted := func(token, body string) string { // invocations with a token are rejected until the store is read
 		for {
 			stream++
 			d.invokeWithToken(stream, token, body)
--- a/integration/serving_test.go
+++ b/integration/serving_test.go
@@ -129,7 +129,8 @@
 
 func TestExecutorConnectionIsRetriedAfterRefusal(t *testing.T) {
 	node := startNode(t, nil)
-	address, executorConn := node.executor.listener.Addr().String(), await(t, node.executor.connections)
+	address := node.executor.listener.Addr().String()
+	executorConn := await(t, node.executor.connections)
 	node.executor.listener.Close()
 	executorConn.Close()
 	node.awaitLog("connection refused")
@@ -155,14 +156,15 @@
 	node := startNode(t, nil)
 	node.catalogue.setReply(func(string) string { return "" })
 	d := node.dial()
-	run, call := d.invoke(1, "hold"), d.invoke(2, "call")
+	run := d.invoke(1, "hold")
+	call := d.invoke(2, "call")
 	await(t, node.executor.commands)
 	await(t, node.catalogue.requests)
-	node.command.Process.Signal(syscall.SIGSTOP)
+	node.signal(syscall.SIGSTOP)
 	node.executor.notify("EXIT %d " + run + " good 3 5\r\nstill\r\n")
 	fmt.Fprint(await(t, node.catalogue.opened), call+" DATA 5\r\nreply\r\n")
 	d.invoke(3, "meanwhile")
-	node.command.Process.Signal(syscall.SIGCONT)
+	node.signal(syscall.SIGCONT)
 	got := []string{d.answer(), d.answer(), d.answer()}
 	assert.ElementsMatch(t, []string{"20 on 1 still", "20 on 2 reply", "20 on 3 meanwhile"}, got)
 }
