--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -35,7 +35,7 @@
 // query returns what the node knows of claims and quotas.
 func (c *claimsTarget) query() (*consensus.Summary, error) {
 	var summary consensus.Summary
-	if err := queryInto(c.Fleet, c.Address, membership.LookClaims, &summary); err != nil {
+	if err := queryInto(c.Fleet, c.Address, membership.ViewRequestClaims, &summary); err != nil {
 		return nil, fmt.Errorf("%w; a node without a council shows no claims", err)
 	}
 	return &summary, nil
--- a/cmd/topazpost/config_change.go
+++ b/cmd/topazpost/config_change.go
@@ -88,17 +88,17 @@
 	if err != nil {
 		return false
 	}
-	seat := answers[0].Seat
+	seat := answers[0].ReplicaStatus
 	head := seat.Head
 	statuses := latestStatuses(answers)
 	o.Missing = nil
 	for _, name := range seat.Alive {
-		if statuses[name].Mark.Version < o.Version {
+		if statuses[name].Revision.Version < o.Version {
 			o.Missing = append(o.Missing, name)
 		}
 	}
-	if head.Stopped && head.First.Version >= o.Version && head.All.Version < o.Version {
-		o.Stopped = fmt.Sprintf("version %d goes no further: %s can't take it: %s", head.First.Version, head.Who, head.Why)
+	if head.Stopped && head.Canary.Version >= o.Version && head.All.Version < o.Version {
+		o.Stopped = fmt.Sprintf("version %d goes no further: %s can't take it: %s", head.Canary.Version, head.Who, head.Why)
 		return false
 	}
 	return head.All.Version >= o.Version && len(o.Missing) == 0
--- a/cmd/topazpost/config_client.go
+++ b/cmd/topazpost/config_client.go
@@ -62,12 +62,12 @@
 
 // replicaAddresses returns the replicas' addresses that any node knows, or the given addresses where no node answers.
 func (c *configTarget) replicaAddresses() []string {
-	answer, err := c.queryAny(&configsync.Query{Kind: configsync.ShowStanding})
+	answer, err := c.queryAny(&configsync.Query{Kind: configsync.QueryStatus})
 	if err != nil {
 		return c.Addresses
 	}
 	var addresses []string
-	for _, replica := range answer.Seats {
+	for _, replica := range answer.Replicas {
 		if replica.Address != "" {
 			addresses = append(addresses, replica.Address)
 		}
@@ -83,10 +83,10 @@
 	var answers []replicaAnswer
 	var errs []error
 	for _, address := range c.replicaAddresses() {
-		answer, err := c.query(address, &configsync.Query{Kind: configsync.ShowStanding})
+		answer, err := c.query(address, &configsync.Query{Kind: configsync.QueryStatus})
 		if err != nil {
 			errs = append(errs, err)
-		} else if answer.Seat != nil {
+		} else if answer.ReplicaStatus != nil {
 			answers = append(answers, replicaAnswer{answer, address})
 		}
 	}
@@ -94,7 +94,7 @@
 		return nil, errors.Join(errors.New("no seat of the council answers that knows what is agreed on"), errors.Join(errs...))
 	}
 	slices.SortStableFunc(answers, func(x, y replicaAnswer) int {
-		return cmp.Compare(y.Seat.Newest.Version, x.Seat.Newest.Version)
+		return cmp.Compare(y.ReplicaStatus.Newest.Version, x.ReplicaStatus.Newest.Version)
 	})
 	return answers, nil
 }
@@ -103,7 +103,7 @@
 func latestStatuses(answers []replicaAnswer) map[string]configsync.NodeStatus {
 	statuses := make(map[string]configsync.NodeStatus)
 	for _, a := range answers {
-		for _, s := range a.Seat.Nodes {
+		for _, s := range a.ReplicaStatus.Nodes {
 			if known, ok := statuses[s.Name]; !ok || s.At < known.At {
 				statuses[s.Name] = s
 			}
@@ -111,7 +111,7 @@
 	}
 	for _, a := range answers { // a replica's own status is newer than any report
 		if s := a.Status; s != nil {
-			statuses[a.Node] = configsync.NodeStatus{Name: a.Node, Mark: s.Mark, Refused: s.Refused, Why: s.Why, Age: s.TakenNS}
+			statuses[a.Node] = configsync.NodeStatus{Name: a.Node, Revision: s.Revision, Refused: s.Refused, Why: s.Why, Age: s.TakenNS}
 		}
 	}
 	return statuses
@@ -123,7 +123,7 @@
 	if err != nil {
 		return configsync.Revision{}, nil, err
 	}
-	return c.readContent(answers[0].address, configsync.Newest)
+	return c.readContent(answers[0].address, configsync.ContentNewest)
 }
 
 // readContent reads a content of a node, and starts over where it changes meanwhile.
@@ -148,17 +148,17 @@
 // readBlocks reads all blocks of a content; changed is set where the revision changed before the last one.
 func (c *configTarget) readBlocks(address string, which int) (revision configsync.Revision, blocks []configsync.Block, changed bool, err error) {
 	for from := 0; ; {
-		answer, err := c.query(address, &configsync.Query{Kind: configsync.ReadBlocks, Which: which, From: from})
+		answer, err := c.query(address, &configsync.Query{Kind: configsync.QueryBlocks, Which: which, From: from})
 		if err != nil {
 			return revision, nil, false, err
 		}
 		if answer.Why != "" {
 			return revision, nil, false, fmt.Errorf("%s: %s", address, answer.Why)
 		}
-		if from > 0 && answer.Mark != revision {
+		if from > 0 && answer.Revision != revision {
 			return revision, nil, true, nil
 		}
-		revision = answer.Mark
+		revision = answer.Revision
 		blocks = append(blocks, answer.Blocks...)
 		from = answer.Next
 		if from == 0 {
@@ -173,7 +173,7 @@
 	for attempt := 0; time.Now().Before(deadline); attempt++ {
 		address := replicas[attempt%len(replicas)].address
 		var answer *configsync.Answer
-		answer, err = c.query(address, &configsync.Query{Kind: configsync.Propose, Command: command})
+		answer, err = c.query(address, &configsync.Query{Kind: configsync.QueryPropose, Command: command})
 		if err == nil && answer.Verdict != nil {
 			return answer.Verdict, nil
 		}
--- a/cmd/topazpost/config_put.go
+++ b/cmd/topazpost/config_put.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	newest, content, err := c.readContent(replicas[0].address, configsync.Newest)
+	newest, content, err := c.readContent(replicas[0].address, configsync.ContentNewest)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 	}
 	highest := highestVersion(replicas)
 	for _, command := range splitCommands(changes) {
-		command.Kind = configsync.Put
+		command.Kind = configsync.CommandPut
 		command.From = request
 		command.Base = base
 		command.Version = highest
@@ -91,7 +91,7 @@
 	o.Version = verdict.Version
 	o.Refused = verdict.Refused
 	o.More = verdict.More
-	for _, item := range verdict.Differ {
+	for _, item := range verdict.Differing {
 		o.Differ = append(o.Differ, item.Part+"."+item.Name)
 	}
 }
@@ -100,7 +100,7 @@
 func highestVersion(replicas []replicaAnswer) uint64 {
 	highest := uint64(0)
 	for _, status := range latestStatuses(replicas) {
-		highest = max(highest, status.Mark.Version)
+		highest = max(highest, status.Revision.Version)
 	}
 	return highest
 }
--- a/cmd/topazpost/config_show.go
+++ b/cmd/topazpost/config_show.go
@@ -55,7 +55,7 @@
 	for _, address := range c.Addresses {
 		var revision configsync.Revision
 		var content *configsync.Content
-		revision, content, err = c.readContent(address, configsync.InForce)
+		revision, content, err = c.readContent(address, configsync.ContentInForce)
 		if err == nil {
 			return revision, content, nil
 		}
--- a/cmd/topazpost/config_status.go
+++ b/cmd/topazpost/config_status.go
@@ -47,7 +47,7 @@
 		c.printNodeStatus()
 		return err
 	}
-	seat := answers[0].Seat
+	seat := answers[0].ReplicaStatus
 	status := newFleetStatus(latestStatuses(answers), seat.Alive)
 	if c.JSON {
 		return status.printJSON(seat, len(answers))
@@ -57,11 +57,11 @@
 
 // printNodeStatus prints what a node knows where no replica answers.
 func (c *configStatus) printNodeStatus() {
-	a, err := c.queryAny(&configsync.Query{Kind: configsync.ShowStanding})
+	a, err := c.queryAny(&configsync.Query{Kind: configsync.QueryStatus})
 	if err != nil {
 		return // the caller reports that no replica answers
 	}
-	fmt.Fprintf(os.Stderr, "%s has version %d in force, since %s; it last heard a seat %s\n", a.Node, a.Status.Mark.Version,
+	fmt.Fprintf(os.Stderr, "%s has version %d in force, since %s; it last heard a seat %s\n", a.Node, a.Status.Revision.Version,
 		formatAgo(a.Status.TakenNS), formatAgo(a.Status.HeardNS))
 }
 
@@ -70,10 +70,10 @@
 	byRevision := make(map[configsync.Revision]*versionStatus)
 	for _, name := range slices.Sorted(maps.Keys(statuses)) {
 		s := statuses[name]
-		v := byRevision[s.Mark]
+		v := byRevision[s.Revision]
 		if v == nil {
-			v = &versionStatus{Version: s.Mark.Version, Digest: s.Mark.Digest.String()}
-			byRevision[s.Mark] = v
+			v = &versionStatus{Version: s.Revision.Version, Digest: s.Revision.Digest.String()}
+			byRevision[s.Revision] = v
 		}
 		v.Nodes++
 		v.Names = append(v.Names, name)
@@ -94,7 +94,7 @@
 	return f
 }
 
-func (f *fleetStatus) printJSON(seat *configsync.AtSeat, replicas int) error {
+func (f *fleetStatus) printJSON(seat *configsync.ReplicaStatus, replicas int) error {
 	return json.NewEncoder(os.Stdout).Encode(struct {
 		ForAll   uint64           `json:"for_all"`
 		First    uint64           `json:"first_stage"`
@@ -108,17 +108,17 @@
 		Silent   []string         `json:"silent"`
 		Seats    int              `json:"seats"`
 	}{
-		ForAll: seat.Head.All.Version, First: seat.Head.First.Version, Newest: seat.Head.Newest,
-		Stopped: seat.Head.Stopped, Who: seat.Head.Who, Why: seat.Head.Why, Good: append([]uint64{}, seat.Good...),
+		ForAll: seat.Head.All.Version, First: seat.Head.Canary.Version, Newest: seat.Head.Newest,
+		Stopped: seat.Head.Stopped, Who: seat.Head.Who, Why: seat.Head.Why, Good: append([]uint64{}, seat.RollbackVersions...),
 		Versions: f.versions, Refusals: f.refusals, Silent: f.silent, Seats: replicas,
 	})
 }
 
 func (f *fleetStatus) print(head *configsync.HeadRevision, replicas int) error {
-	fmt.Printf("in force for all: %d; first stage: %d; newest: %d; %d seats asked\n", head.All.Version, head.First.Version,
+	fmt.Printf("in force for all: %d; first stage: %d; newest: %d; %d seats asked\n", head.All.Version, head.Canary.Version,
 		head.Newest, replicas)
 	if head.Stopped {
-		fmt.Printf("stopped: %s can't take version %d: %s\n", head.Who, head.First.Version, head.Why)
+		fmt.Printf("stopped: %s can't take version %d: %s\n", head.Who, head.Canary.Version, head.Why)
 	}
 	w := newTable("version\tnodes\tin force since\toldest report\tdigest\twho")
 	for _, v := range f.versions {
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -60,11 +60,11 @@
 	w := newTable(title + "\nname\taddress\tstatus\tsince s\treach\tlinks\tzone\tversion\tlevel\tbeat\tincarnation")
 	for _, m := range v.Members {
 		status := membership.StatusNames[m.Status]
-		if m.Facts.NoUse {
+		if m.Facts.NoExecutor {
 			status += ", of no use"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", m.Name, m.Address, status, seconds(m.Since),
-			membership.ReachNames[m.Reach], m.Links, m.Facts.Zone, m.Facts.Version, m.Facts.Level, m.Facts.Beat, m.Incarnation)
+			membership.ReachNames[m.Reach], m.Links, m.Facts.Zone, m.Facts.Version, m.Facts.Level, m.Facts.DrainPhase, m.Incarnation)
 	}
 	return w.Flush()
 }
--- a/cmd/topazpost/quota.go
+++ b/cmd/topazpost/quota.go
@@ -27,7 +27,7 @@
 	}
 	if lease := summary.Lease; lease != nil {
 		fmt.Printf("%s may use %d, uses %d, wants %d, its part is %d; asked for %d ms ago; asked %d times, given less than wanted %d, lapsed %d, worst over %d\n",
-			summary.Node, lease.Units, lease.Used, lease.Wanted, lease.Target, lease.AgeMS, lease.Asked, lease.Short, lease.Lapsed, lease.Worst)
+			summary.Node, lease.Units, lease.Used, lease.Wanted, lease.FairShare, lease.AgeMS, lease.Requests, lease.ShortGrants, lease.Lapsed, lease.MaxOveruse)
 	}
 	if summary.Replica == nil {
 		fmt.Println("it has no seat in the council, and no book of leases")
@@ -37,7 +37,7 @@
 	for _, limit := range summary.Limits {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t\t\t\t\n", limit.Name, limit.Version, limit.Units, limit.LeasedUnits())
 		for _, lease := range limit.Leases {
-			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", lease.Who.Name, lease.Units, lease.Want, seconds(lease.Until-summary.Time))
+			fmt.Fprintf(w, "\t\t\t\t%s\t%d\t%d\t%.1f\n", lease.Owner.Name, lease.Units, lease.WantedUnits, seconds(lease.ExpiresAt-summary.Time))
 		}
 	}
 	return w.Flush()
--- a/internal/fleet/configsync/apply.go
+++ b/internal/fleet/configsync/apply.go
@@ -15,8 +15,8 @@
 	case r.head.All.Version > r.ready.Version:
 		return r.head.All, true
 	case r.ready == r.head.All && r.applied.Version < r.ready.Version && r.ready != r.refused: // it is applied first
-	case r.head.First.Version > r.ready.Version && !r.head.Stopped:
-		return r.head.First, true
+	case r.head.Canary.Version > r.ready.Version && !r.head.Stopped:
+		return r.head.Canary, true
 	}
 	return Revision{}, false
 }
@@ -59,7 +59,7 @@
 	if !ok || r.agreed == nil {
 		return
 	}
-	for _, content := range [...]*Content{r.agreed.All, r.agreed.First} {
+	for _, content := range [...]*Content{r.agreed.All, r.agreed.Canary} {
 		if content.Digest() == goal.Digest {
 			r.setReady(goal, content, nil)
 			return
@@ -104,7 +104,7 @@
 	if r.applying.Version > 0 || r.ready.Version <= r.applied.Version || r.ready == r.refused {
 		return effects
 	}
-	canary := r.ready == r.head.First && r.ready.Version > r.head.All.Version
+	canary := r.ready == r.head.Canary && r.ready.Version > r.head.All.Version
 	if canary && r.head.Stopped || !canary && r.ready != r.head.All {
 		return effects
 	}
@@ -113,7 +113,7 @@
 	}
 	r.applying = r.ready
 	r.applyingContent = r.readyContent
-	return append(effects, Effect{Kind: Take, Mark: r.ready, First: canary, Old: r.appliedContent, New: r.readyContent})
+	return append(effects, Effect{Kind: ApplyVersion, Revision: r.ready, Canary: canary, Old: r.appliedContent, New: r.readyContent})
 }
 
 func (r *Replicator) checkReady(effects []Effect) []Effect {
@@ -121,30 +121,30 @@
 		return effects
 	}
 	r.validating = r.ready
-	return append(effects, Effect{Kind: Check, Mark: r.ready, First: true, Old: r.appliedContent, New: r.readyContent})
+	return append(effects, Effect{Kind: CheckVersion, Revision: r.ready, Canary: true, Old: r.appliedContent, New: r.readyContent})
 }
 
 // handleChecked takes the result of a check.
 func (r *Replicator) handleChecked(now int64, in *Input, effects []Effect) []Effect {
-	if in.Why == "" || in.Mark != r.validating || in.Mark == r.refused || in.Mark == r.applying || in.Mark == r.applied {
+	if in.Why == "" || in.Revision != r.validating || in.Revision == r.refused || in.Revision == r.applying || in.Revision == r.applied {
 		return effects
 	}
-	return r.refuse(now, in.Mark, in.Why, effects)
+	return r.refuse(now, in.Revision, in.Why, effects)
 }
 
 // handleApplied takes the result of applying a version.
 func (r *Replicator) handleApplied(now int64, in *Input, effects []Effect) []Effect {
-	if in.Mark != r.applying || r.applying.Version == 0 {
+	if in.Revision != r.applying || r.applying.Version == 0 {
 		return effects
 	}
 	content := r.applyingContent
 	r.applying = Revision{}
 	r.applyingContent = nil
 	if in.Why != "" {
-		return r.refuse(now, in.Mark, in.Why, effects)
+		return r.refuse(now, in.Revision, in.Why, effects)
 	}
 	r.Counters.Applied++
-	r.applied = in.Mark
+	r.applied = in.Revision
 	r.appliedContent = content
 	r.appliedAt = now
 	r.source = "fleet"
--- a/internal/fleet/configsync/blockassembly.go
+++ b/internal/fleet/configsync/blockassembly.go
@@ -128,8 +128,8 @@
 
 // storeWholeBlock puts a block that came as a whole in its place, false for an invalid one.
 func (r *Replicator) storeWholeBlock(block *Block) bool {
-	n := int(block.N)
-	want, requested := r.fetch.requested(block.N)
+	n := int(block.Number)
+	want, requested := r.fetch.requested(block.Number)
 	if !requested {
 		return false
 	}
@@ -159,8 +159,8 @@
 		if len(block.Changes) == 0 {
 			continue
 		}
-		n := int(block.N)
-		if _, requested := r.fetch.requested(block.N); !requested || merged[n] != nil || !block.validChanges() {
+		n := int(block.Number)
+		if _, requested := r.fetch.requested(block.Number); !requested || merged[n] != nil || !block.validChanges() {
 			return false
 		}
 		text, before := r.readyContent.Block(n)
@@ -193,7 +193,7 @@
 func (b *Block) validChanges() bool {
 	for k := range b.Changes {
 		item := &b.Changes[k]
-		if item.validate() != nil || item.block() != int(b.N) {
+		if item.validate() != nil || item.block() != int(b.Number) {
 			return false
 		}
 	}
--- a/internal/fleet/configsync/blockassembly_test.go
+++ b/internal/fleet/configsync/blockassembly_test.go
@@ -84,7 +84,7 @@
 		"an item less":     func(list []Block) { list[len(list)-1].Changes = list[len(list)-1].Changes[1:] },
 		"nothing":          func(list []Block) { list[0].Changes = nil },
 		"another block":    func(list []Block) { list[0].Changes[0] = list[1].Changes[0] },
-		"no such block":    func(list []Block) { list[0].N = Blocks },
+		"no such block":    func(list []Block) { list[0].Number = Blocks },
 		"the same again":   func(list []Block) { list[1] = list[0] },
 		"no such part":     func(list []Block) { list[0].Changes[0].Part = "x" },
 		"a name too long":  func(list []Block) { list[0].Changes[0].Name = string(make([]byte, maxNameBytes+1)) },
@@ -101,7 +101,7 @@
 				again := *m
 				list := make([]Block, len(m.Blocks))
 				for k, b := range m.Blocks {
-					list[k] = Block{N: b.N, Text: b.Text, Changes: append([]Item(nil), b.Changes...)}
+					list[k] = Block{Number: b.Number, Text: b.Text, Changes: append([]Item(nil), b.Changes...)}
 				}
 				spoil(list)
 				again.Blocks = list
@@ -166,27 +166,27 @@
 	again := g.fetcher()
 	r.assembly.index = g.newest.index()
 	r.assembly.revision = two
-	fetch := &Message{Kind: Fetch, Has: g.first, Want: two}
-	answer := &Message{Kind: Piece}
+	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: two}
+	answer := &Message{Kind: MessageContent}
 	r.requestMissing(fetch)
 	g.nodes["a"].serveBlocks(fetch, answer)
 	fetched := 100
 	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks[:fetched])
 
-	fetch = &Message{Kind: Fetch, Has: g.first, Want: two, Sums: g.base.pageSums()}
-	answer = &Message{Kind: Piece}
+	fetch = &Message{Kind: MessageFetch, Has: g.first, Want: two, Sums: g.base.pageSums()}
+	answer = &Message{Kind: MessageContent}
 	r.serveFetch(2, "again", fetch, answer)
 	again.fetch.want = two
 	again.fetch.base = again.assemblyBase()
 	require.True(t, again.applyIndex(answer))
 
-	fetch = &Message{Kind: Fetch, Has: g.first, Want: two}
-	answer = &Message{Kind: Piece}
+	fetch = &Message{Kind: MessageFetch, Has: g.first, Want: two}
+	answer = &Message{Kind: MessageContent}
 	again.requestMissing(fetch)
 	r.serveBlocks(fetch, answer)
 	require.Len(t, answer.Blocks, fetched, "all of them")
 	other := *fetch
-	none := &Message{Kind: Piece}
+	none := &Message{Kind: MessageContent}
 	other.Has = Revision{1, Digest{A: 1}}
 	r.serveDeltas(&other, none)
 	require.Empty(t, none.Blocks, "it doesn't know the changes since another content")
@@ -197,8 +197,8 @@
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
 	r.assembly.index = g.newest.index() // the fetched changes of one block are of the version before
 	r.assembly.revision = three
-	fetch = &Message{Kind: Fetch, Has: g.first, Want: three}
-	answer = &Message{Kind: Piece}
+	fetch = &Message{Kind: MessageFetch, Has: g.first, Want: three}
+	answer = &Message{Kind: MessageContent}
 	again.assembly.index = r.assembly.index
 	again.assembly.content = nil
 	again.requestMissing(fetch)
@@ -212,14 +212,14 @@
 	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
 	r.assembly.index = g.newest.index()
-	fetch := &Message{Kind: Fetch, Has: g.first, Want: two}
+	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: two}
 	r.requestMissing(fetch)
 	require.Len(t, fetch.Wanted, maxWantedBlocks)
-	answer := &Message{Kind: Piece}
+	answer := &Message{Kind: MessageContent}
 	g.nodes["a"].serveBlocks(fetch, answer)
 	require.NotEmpty(t, answer.Blocks[0].Changes)
 	fetch.Missing = nil
-	answer = &Message{Kind: Piece}
+	answer = &Message{Kind: MessageContent}
 	g.nodes["a"].serveBlocks(fetch, answer)
 	require.NotEmpty(t, answer.Blocks)
 	for _, b := range answer.Blocks {
@@ -254,7 +254,7 @@
 		for _, b := range m.Blocks {
 			if len(b.Changes) > 0 {
 				parted++
-				text, _ := g.newest.Block(int(b.N))
+				text, _ := g.newest.Block(int(b.Number))
 				require.Less(t, sizeOf(b.Changes), len(text))
 			} else {
 				whole++
@@ -292,8 +292,8 @@
 	fill := func(index *Content, revision Revision, whole bool) {
 		r.assembly.index = index.index()
 		r.assembly.revision = revision
-		fetch := &Message{Kind: Fetch, Has: g.first, Want: revision}
-		answer := &Message{Kind: Piece}
+		fetch := &Message{Kind: MessageFetch, Has: g.first, Want: revision}
+		answer := &Message{Kind: MessageContent}
 		r.requestMissing(fetch)
 		if whole {
 			fetch.Missing = nil
@@ -311,8 +311,8 @@
 	three := g.put(t, back...)
 	fill(g.newest, three, true)
 	require.Zero(t, r.Counters.InvalidResponses)
-	fetch := &Message{Kind: Fetch, Has: g.first, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}
-	answer := &Message{Kind: Piece}
+	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: three, Missing: bytes.Repeat([]byte{255}, Blocks/8), Wanted: []uint16{0}}
+	answer := &Message{Kind: MessageContent}
 	r.serveDeltas(fetch, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
 	taken := 0
@@ -331,8 +331,8 @@
 	r := g.fetcher()
 	r.assembly.index = g.newest.index()
 	r.assembly.revision = two
-	fetch := &Message{Kind: Fetch, Has: g.first, Want: two}
-	answer := &Message{Kind: Piece}
+	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: two}
+	answer := &Message{Kind: MessageContent}
 	r.requestMissing(fetch)
 	g.nodes["a"].serveBlocks(fetch, answer)
 	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks)
@@ -350,7 +350,7 @@
 	r.assembly.index = next.index()
 	r.assembly.revision = Revision{3, next.Digest()}
 	r.requestMissing(&Message{})
-	require.True(t, r.mergeDeltas([]Block{{N: uint16(n), Changes: only}}))
+	require.True(t, r.mergeDeltas([]Block{{Number: uint16(n), Changes: only}}))
 	require.True(t, len(r.assembly.deltas.blocks[n]) == 1)
 }
 
@@ -361,7 +361,7 @@
 	r := g.nodes["a"]
 	now := 1_000 * ms
 	names := []string{"n0", "n1", "n2", "n3"}
-	r.Step(now, []Input{{Kind: Viewed, View: &View{Neighbours: names}}})
+	r.Step(now, []Input{{Kind: ViewChanged, View: &View{Neighbours: names}}})
 	for _, most := range []int64{maxFetchBackoff, maxNonNeighbourWait} {
 		r.tokens = 0
 		r.refilledAt = now
@@ -372,7 +372,7 @@
 			if most == maxFetchBackoff {
 				from = names[k%len(names)]
 			}
-			r.serveFetch(now, from, &Message{Kind: Fetch, Has: g.first, Want: two}, answer)
+			r.serveFetch(now, from, &Message{Kind: MessageFetch, Has: g.first, Want: two}, answer)
 			busy = append(busy, answer.Busy)
 		}
 		require.Positive(t, busy[0])
@@ -390,6 +390,6 @@
 	g.put(t, scattered(g.base)...)
 	r := g.fetcher()
 	item := g.log[0].Changes[0]
-	r.storeBlocks(1, r.peerFor(1, "a"), []Block{{N: uint16(item.block()), Changes: []Item{item}}})
+	r.storeBlocks(1, r.peerFor(1, "a"), []Block{{Number: uint16(item.block()), Changes: []Item{item}}})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 }
--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -53,44 +53,44 @@
 
 // The kinds of commands. Times are the table's, in ns.
 const (
-	Put      CommandKind = iota + 1 // Changes, made on version Base
-	Advance                         // Version has been at the canary stage for long enough
-	Stop                            // node Who can't apply Version
-	Rollback                        // the content of version Version, as a new version for all
+	CommandPut      CommandKind = iota + 1 // Changes, made on version Base
+	CommandAdvance                         // Version has been at the canary stage for long enough
+	CommandStop                            // node Who can't apply Version
+	CommandRollback                        // the content of version Version, as a new version for all
 )
 
 // Command is one change of the table.
 type Command struct {
-	Kind    CommandKind `cbor:"1,keyasint"`
-	From    string      `cbor:"2,keyasint,omitempty"` // the caller of Put and Rollback, a name of its own for each caller
-	Seq     uint64      `cbor:"3,keyasint,omitempty"` // of From, above any before; a repeated one has the same verdict
-	Base    uint64      `cbor:"4,keyasint,omitempty"`
-	Changes []Item      `cbor:"5,keyasint,omitempty"`
-	Piece   int         `cbor:"6,keyasint,omitempty"` // number of this piece of a long change, from 0
-	More    bool        `cbor:"7,keyasint,omitempty"` // further pieces follow: nothing changes before the last one
-	Version uint64      `cbor:"8,keyasint,omitempty"`
-	Who     string      `cbor:"9,keyasint,omitempty"`
-	Why     string      `cbor:"10,keyasint,omitempty"`
-	Wall    int64       `cbor:"11,keyasint,omitempty"`
-	Stood   int64       `cbor:"12,keyasint,omitempty"` // Advance: ns that Version was at the canary stage by the proposing replica's clock
+	Kind       CommandKind `cbor:"1,keyasint"`
+	From       string      `cbor:"2,keyasint,omitempty"` // the caller of Put and Rollback, a name of its own for each caller
+	Seq        uint64      `cbor:"3,keyasint,omitempty"` // of From, above any before; a repeated one has the same verdict
+	Base       uint64      `cbor:"4,keyasint,omitempty"`
+	Changes    []Item      `cbor:"5,keyasint,omitempty"`
+	Piece      int         `cbor:"6,keyasint,omitempty"` // number of this piece of a long change, from 0
+	More       bool        `cbor:"7,keyasint,omitempty"` // further pieces follow: nothing changes before the last one
+	Version    uint64      `cbor:"8,keyasint,omitempty"`
+	Who        string      `cbor:"9,keyasint,omitempty"`
+	Why        string      `cbor:"10,keyasint,omitempty"`
+	Wall       int64       `cbor:"11,keyasint,omitempty"`
+	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // Advance: ns that Version was at the canary stage by the proposing replica's clock
 }
 
 // Verdict answers a command.
 type Verdict struct {
-	From    string `cbor:"1,keyasint,omitempty"`
-	Seq     uint64 `cbor:"2,keyasint,omitempty"`
-	Done    bool   `cbor:"3,keyasint,omitempty"`
-	Version uint64 `cbor:"4,keyasint,omitempty"` // that has the change where it was done, else the newest
-	Refused string `cbor:"5,keyasint,omitempty"` // why it was not done, and what to do
-	Stale   bool   `cbor:"6,keyasint,omitempty"`
-	Differ  []Item `cbor:"7,keyasint,omitempty"` // Stale: names of items that changed since Base, without values
-	More    int    `cbor:"8,keyasint,omitempty"` // Stale: items that changed and aren't in Differ; -1 where the log no longer reaches
+	From      string `cbor:"1,keyasint,omitempty"`
+	Seq       uint64 `cbor:"2,keyasint,omitempty"`
+	Done      bool   `cbor:"3,keyasint,omitempty"`
+	Version   uint64 `cbor:"4,keyasint,omitempty"` // that has the change where it was done, else the newest
+	Refused   string `cbor:"5,keyasint,omitempty"` // why it was not done, and what to do
+	Stale     bool   `cbor:"6,keyasint,omitempty"`
+	Differing []Item `cbor:"7,keyasint,omitempty"` // Stale: names of items that changed since Base, without values
+	More      int    `cbor:"8,keyasint,omitempty"` // Stale: items that changed and aren't in Differ; -1 where the log no longer reaches
 }
 
 // HeadRevision is what a replica confirms: which versions are in force.
 type HeadRevision struct {
 	All     Revision `cbor:"1,keyasint"`           // in force for all
-	First   Revision `cbor:"2,keyasint"`           // at the canary stage; All where there is none
+	Canary  Revision `cbor:"2,keyasint"`           // at the canary stage; All where there is none
 	Newest  uint64   `cbor:"3,keyasint"`           // agreed; those past First wait for the stage to end
 	Stopped bool     `cbor:"4,keyasint,omitempty"` // First goes no further
 	Who     string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't apply it
@@ -102,8 +102,8 @@
 	switch {
 	case h.All.Version != than.All.Version:
 		return h.All.Version > than.All.Version
-	case h.First.Version != than.First.Version:
-		return h.First.Version > than.First.Version
+	case h.Canary.Version != than.Canary.Version:
+		return h.Canary.Version > than.Canary.Version
 	case h.Stopped != than.Stopped:
 		return h.Stopped
 	}
--- a/internal/fleet/configsync/diskfile.go
+++ b/internal/fleet/configsync/diskfile.go
@@ -52,7 +52,7 @@
 		for n := range Blocks {
 			text, _ := c.Block(n)
 			if len(text) > 0 {
-				next.Blocks = append(next.Blocks, Block{N: uint16(n), Text: text})
+				next.Blocks = append(next.Blocks, Block{Number: uint16(n), Text: text})
 				size += len(text)
 			}
 			if size > maxPieceBytes || n == Blocks-1 && size > 0 {
@@ -133,7 +133,7 @@
 func (l *DiskLoader) addBlocks(blocks []Block) error {
 	for _, block := range blocks {
 		if !l.content.setChecked(block, &l.owned) {
-			return fmt.Errorf("block %d is malformed", block.N)
+			return fmt.Errorf("block %d is malformed", block.Number)
 		}
 	}
 	l.checkComplete()
--- a/internal/fleet/configsync/events.go
+++ b/internal/fleet/configsync/events.go
@@ -3,15 +3,15 @@
 // View is whom a node can reach, by name, without itself.
 type View struct {
 	Neighbours []string // along membership's links
-	Seats      []string // the replicas
+	Replicas   []string // the replicas
 	Zone       []string // live members of its own zone, or of none where it knows none
 }
 
 // Agreed is the state of a replica's table, for the replicator of its node.
 type Agreed struct {
-	Head               HeadRevision
-	All, First, Newest *Content
-	Log                []*Record
+	Head                HeadRevision
+	All, Canary, Newest *Content
+	Log                 []*Record
 }
 
 // Agreed returns the table's state, which the replicator gets after each change.
@@ -22,29 +22,29 @@
 
 // The kinds of inputs.
 const (
-	Viewed   InputKind = iota // the view changed
-	Came                      // a datagram of From
-	Asked                     // From opened an exchange on Link
-	Answered                  // the answer to an exchange of this node on Link
-	Missed                    // an exchange of this node on Link failed
-	Took                      // Mark is in force at this node, or can't be: Why
-	Checked                   // Mark could be applied, or can't be: Why
-	Saved                     // the last Persist was carried out, or wasn't: Why
-	Ordered                   // the table of this node's replica changed
-	Stood                     // this node's replica is in contact with the group, or not any more: Current
+	ViewChanged           InputKind = iota // the view changed
+	DatagramReceived                       // a datagram of From
+	ExchangeOpened                         // From opened an exchange on Link
+	ExchangeAnswered                       // the answer to an exchange of this node on Link
+	ExchangeFailed                         // an exchange of this node on Link failed
+	VersionApplied                         // Mark is in force at this node, or can't be: Why
+	VersionChecked                         // Mark could be applied, or can't be: Why
+	VersionPersisted                       // the last Persist was carried out, or wasn't: Why
+	AgreementChanged                       // the table of this node's replica changed
+	ReplicaContactChanged                  // this node's replica is in contact with the group, or not any more: Current
 )
 
 // Input is one event. The replicator owns what it points to.
 type Input struct {
-	Kind    InputKind
-	From    string
-	Link    int
-	Message *Message
-	View    *View
-	Agreed  *Agreed
-	Current bool
-	Mark    Revision
-	Why     string
+	Kind           InputKind
+	From           string
+	Link           int
+	Message        *Message
+	View           *View
+	Agreed         *Agreed
+	ReplicaCurrent bool
+	Revision       Revision
+	Why            string
 }
 
 // EffectKind names what is to be done.
@@ -52,14 +52,14 @@
 
 // The kinds of effects.
 const (
-	Send     EffectKind = iota // a datagram to To
-	Exchange                   // open Link to To, write Message, wait for the answer
-	Reply                      // answer the exchange on Link
-	Take                       // apply Mark: Diff(Old, New) are the changes; answered by Took. It replaces a pending Check
-	Check                      // check whether Mark could be applied, and change nothing; answered by Checked
-	Persist                    // write Mark to the disk: Records after what was written before, or all of New where Full; answered by Saved
-	Order                      // have the replica propose Command
-	Remark                     // log Text
+	Send           EffectKind = iota // a datagram to To
+	Exchange                         // open Link to To, write Message, wait for the answer
+	Reply                            // answer the exchange on Link
+	ApplyVersion                     // apply Mark: Diff(Old, New) are the changes; answered by Took. It replaces a pending Check
+	CheckVersion                     // check whether Mark could be applied, and change nothing; answered by Checked
+	PersistVersion                   // write Mark to the disk: Records after what was written before, or all of New where Full; answered by Saved
+	ProposeCommand                   // have the replica propose Command
+	WriteLog                         // log Text
 )
 
 // Effect is one thing to do. What it points to must not be changed.
@@ -68,8 +68,8 @@
 	To       string
 	Link     int
 	Message  *Message
-	Mark     Revision
-	First    bool // Take, Check: for the canary stage
+	Revision Revision
+	Canary   bool // Take, Check: for the canary stage
 	Old, New *Content
 	Records  []*Record
 	Full     bool
--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -69,7 +69,7 @@
 	r.fetch.base = r.assemblyBase()
 	r.fetch.index = nil
 	r.fetch.missing = nil
-	m := &Message{Kind: Fetch, Has: r.ready, Want: goal}
+	m := &Message{Kind: MessageFetch, Has: r.ready, Want: goal}
 	if r.run.content != nil {
 		m.Has = r.run.revision
 	}
@@ -158,7 +158,7 @@
 	}
 	for _, name := range r.view.Neighbours {
 		p := r.peers[name]
-		if p == nil || p.backoffUntil > now || p.ready.Version > at || p.head.All != goal && p.head.First != goal {
+		if p == nil || p.backoffUntil > now || p.ready.Version > at || p.head.All != goal && p.head.Canary != goal {
 			continue
 		}
 		all++
@@ -194,7 +194,7 @@
 		r.fetch.progressAt = now
 	}
 	switch {
-	case m == nil || m.Kind != Piece || p.backoffUntil > now:
+	case m == nil || m.Kind != MessageContent || p.backoffUntil > now:
 		r.backOff(now)
 	case m.Busy > 0:
 		p.retryAt = now + min(m.Busy, p.maxBusyWait()) + r.randomUpTo(minFetchBackoff)
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -18,7 +18,7 @@
 func TestFixturesOfConfiguration(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
-		for _, kind := range []CommandKind{Put, Advance, Stop, Rollback} {
+		for _, kind := range []CommandKind{CommandPut, CommandAdvance, CommandStop, CommandRollback} {
 			c := fixture.Filled[Command](uint32(len(list)))
 			c.Kind = kind
 			list = append(list, c)
@@ -30,7 +30,7 @@
 	})
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
-		for _, kind := range []MessageKind{Tell, Report, Vouch, Fetch, Piece} {
+		for _, kind := range []MessageKind{MessageAnnounce, MessageReport, MessageConfirm, MessageFetch, MessageContent} {
 			m := fixture.Filled[Message](uint32(len(list)))
 			m.Kind = kind
 			list = append(list, m)
@@ -39,9 +39,9 @@
 	})
 	t.Run("questions", func(t *testing.T) {
 		var list []Query
-		for k, kind := range []QueryKind{ShowStanding, ReadBlocks, Propose} {
+		for k, kind := range []QueryKind{QueryStatus, QueryBlocks, QueryPropose} {
 			q := fixture.Filled[Query](uint32(k))
-			q.Kind, q.Which = kind, []int{InForce, ForAll, Newest}[k]
+			q.Kind, q.Which = kind, []int{ContentInForce, ContentForAll, ContentNewest}[k]
 			list = append(list, q)
 		}
 		fixture.RoundTrip(t, "questions-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
@@ -50,7 +50,7 @@
 		fixture.RoundTrip(t, "answer-v1.cbor", fixture.Filled[Answer](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("place for people", func(t *testing.T) {
-		fixture.RoundTrip(t, "place-v1.json", fixture.Filled[Place](1), json.Marshal, json.Unmarshal)
+		fixture.RoundTrip(t, "place-v1.json", fixture.Filled[ReplicaAddress](1), json.Marshal, json.Unmarshal)
 	})
 	t.Run("counters for people", func(t *testing.T) {
 		fixture.RoundTrip(t, "counters-v1.json", fixture.Filled[Counters](1), json.Marshal, json.Unmarshal)
@@ -79,16 +79,16 @@
 	table := NewTable()
 	value := func(n int) []byte { return fmt.Appendf(nil, `{"quota_rps":%d}`, n) }
 	for k, c := range []Command{
-		{Kind: Put, From: "caller-1", Seq: 1, Wall: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
-		{Kind: Advance, Version: 1, Stood: canaryDuration},
-		{Kind: Put, From: "caller-1", Seq: 2, Base: 1, Wall: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
-		{Kind: Advance, Version: 2, Stood: canaryDuration},
-		{Kind: Rollback, From: "caller-2", Seq: 3, Version: 1, Wall: 103},
-		{Kind: Put, From: "caller-1", Seq: 4, Base: 3, Wall: 104, Changes: []Item{{Operations, "crop", value(5)}}},
-		{Kind: Put, From: "caller-1", Seq: 5, Base: 4, Wall: 105, Changes: []Item{{Operations, "turn", value(6)}}},
-		{Kind: Stop, Version: 4, Who: "node-7", Why: "it has no room"},
-		{Kind: Put, From: "caller-3", Seq: 6, Base: 4, Wall: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: made on another version
-		{Kind: Put, From: "caller-4", Seq: 7, Base: 5, Wall: 107, More: true, Changes: []Item{{Tenants, "long", value(8)}}},
+		{Kind: CommandPut, From: "caller-1", Seq: 1, Wall: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
+		{Kind: CommandAdvance, Version: 1, CanaryTime: canaryDuration},
+		{Kind: CommandPut, From: "caller-1", Seq: 2, Base: 1, Wall: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
+		{Kind: CommandAdvance, Version: 2, CanaryTime: canaryDuration},
+		{Kind: CommandRollback, From: "caller-2", Seq: 3, Version: 1, Wall: 103},
+		{Kind: CommandPut, From: "caller-1", Seq: 4, Base: 3, Wall: 104, Changes: []Item{{Operations, "crop", value(5)}}},
+		{Kind: CommandPut, From: "caller-1", Seq: 5, Base: 4, Wall: 105, Changes: []Item{{Operations, "turn", value(6)}}},
+		{Kind: CommandStop, Version: 4, Who: "node-7", Why: "it has no room"},
+		{Kind: CommandPut, From: "caller-3", Seq: 6, Base: 4, Wall: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: made on another version
+		{Kind: CommandPut, From: "caller-4", Seq: 7, Base: 5, Wall: 107, More: true, Changes: []Item{{Tenants, "long", value(8)}}},
 	} {
 		v := table.Apply(int64(k+1)*1_000*ms, &c)
 		require.Equal(t, c.From != "caller-3", v.Done, "command %d: %s", k, v.Refused)
--- a/internal/fleet/configsync/gossip.go
+++ b/internal/fleet/configsync/gossip.go
@@ -14,7 +14,7 @@
 	if view == nil {
 		return
 	}
-	if r.reports.answerDeadline == 0 && !slices.Equal(r.view.Seats, view.Seats) {
+	if r.reports.answerDeadline == 0 && !slices.Equal(r.view.Replicas, view.Replicas) {
 		r.reports.dueAt = min(r.reports.dueAt, now+r.randomUpTo(appliedReportSpread))
 	}
 	r.view = *view
@@ -40,7 +40,7 @@
 	if p.backoffUntil > now {
 		return
 	}
-	if r.contradictsConfirmed(m.Head.All, m.Head.First, m.Has) {
+	if r.contradictsConfirmed(m.Head.All, m.Head.Canary, m.Has) {
 		r.penalize(now, p)
 		return
 	}
@@ -72,7 +72,7 @@
 
 // announced is a head without what only replicas send.
 func (h HeadRevision) announced() HeadRevision {
-	return HeadRevision{All: h.All, First: h.First, Stopped: h.Stopped}
+	return HeadRevision{All: h.All, Canary: h.Canary, Stopped: h.Stopped}
 }
 
 // announce announces to neighbours what is new, to each at its time.
@@ -82,7 +82,7 @@
 		if p == nil || !r.mustAnnounce(now, p) {
 			continue
 		}
-		m := &Message{Kind: Tell, Head: r.announcedHead(), Has: r.ready}
+		m := &Message{Kind: MessageAnnounce, Head: r.announcedHead(), Has: r.ready}
 		if r.tokens > burstBytes/2 {
 			m.Records = wireRecords(recordsBetween(r.availableRecords(), p.ready, r.ready.Version), maxEagerBytes, true)
 		}
--- a/internal/fleet/configsync/message.go
+++ b/internal/fleet/configsync/message.go
@@ -3,13 +3,13 @@
 // MessageKind names what a message is for.
 type MessageKind uint8
 
-// The kinds of messages. Tell, Report and Vouch are datagrams; Fetch opens an exchange, Piece answers it.
+// The kinds of messages. Tell, Report and Vouch are datagrams; Fetch opens an exchange, MessageContent answers it.
 const (
-	Tell   MessageKind = iota + 1 // announces to a neighbour what was confirmed to the sender, and what it has of it
-	Report                        // tells a replica what the sender has, and asks it to confirm the head
-	Vouch                         // a replica's confirmation of the head
-	Fetch                         // requests records after Has, or blocks
-	Piece                         // records, the index, blocks, or nothing
+	MessageAnnounce MessageKind = iota + 1 // announces to a neighbour what was confirmed to the sender, and what it has of it
+	MessageReport                          // tells a replica what the sender has, and asks it to confirm the head
+	MessageConfirm                         // a replica's confirmation of the head
+	MessageFetch                           // requests records after Has, or blocks
+	MessageContent                         // records, the index, blocks, or nothing
 )
 
 // Message is what replicators send each other.
@@ -35,7 +35,7 @@
 
 // Block is one block of a content, or what changes in it.
 type Block struct {
-	N       uint16 `cbor:"1,keyasint"`
+	Number  uint16 `cbor:"1,keyasint"`
 	Text    []byte `cbor:"2,keyasint,omitempty"`
 	Changes []Item `cbor:"3,keyasint,omitempty"` // in place of Text, only where the Fetch has Missing
 }
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -13,24 +13,24 @@
 // TestMessagesFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
 func TestMessagesFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
-	head := HeadRevision{All: most, First: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", maxCallerNameBytes), Why: strings.Repeat("y", maxReasonBytes)}
+	head := HeadRevision{All: most, Canary: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", maxCallerNameBytes), Why: strings.Repeat("y", maxReasonBytes)}
 	table := NewTable()
 	for k := range 200 {
 		table.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
 	}
 	c := fullContent(t, 300, 10_000)
-	piece := &Message{Kind: Piece, Has: most, Records: wireRecords(table.log, maxPieceBytes, false)}
-	index := &Message{Kind: Piece, Has: most}
+	piece := &Message{Kind: MessageContent, Has: most, Records: wireRecords(table.log, maxPieceBytes, false)}
+	index := &Message{Kind: MessageContent, Has: most}
 	appendDifferingPages(c.index(), nil, index)
 	r := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
 	r.assembly.index = (&Content{}).index()
-	fetch := &Message{Kind: Fetch, Has: most, Want: most}
+	fetch := &Message{Kind: MessageFetch, Has: most, Want: most}
 	r.requestMissing(fetch)
-	blocks := &Message{Kind: Piece, Has: most}
+	blocks := &Message{Kind: MessageContent, Has: most}
 	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
 	r = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
 	r.assembly.index = c.index()
-	wanted := &Message{Kind: Fetch, Has: most, Want: most}
+	wanted := &Message{Kind: MessageFetch, Has: most, Want: most}
 	r.requestMissing(wanted)
 	answerFrom.serveBlocks(wanted, blocks)
 	require.Len(t, wanted.Wanted, maxWantedBlocks)
@@ -39,8 +39,8 @@
 	two := g.put(t, scattered(g.base)...)
 	r = g.fetcher()
 	r.assembly.index = g.newest.index()
-	parts := &Message{Kind: Fetch, Has: g.first, Want: two}
-	parted := &Message{Kind: Piece, Has: most}
+	parts := &Message{Kind: MessageFetch, Has: g.first, Want: two}
+	parted := &Message{Kind: MessageContent, Has: most}
 	r.requestMissing(parts)
 	g.nodes["a"].serveBlocks(parts, parted)
 	require.NotEmpty(t, parted.Blocks[0].Changes)
@@ -48,9 +48,9 @@
 		*Message
 		most int
 	}{
-		{&Message{Kind: Tell, Head: head.announced(), Has: most, Records: wireRecords(table.log, maxEagerBytes, false)}, envelope.DatagramMost},
-		{&Message{Kind: Report, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", maxReasonBytes), Age: 1 << 60}, envelope.DatagramMost},
-		{&Message{Kind: Vouch, Seq: 1 << 31, Head: head}, envelope.DatagramMost},
+		{&Message{Kind: MessageAnnounce, Head: head.announced(), Has: most, Records: wireRecords(table.log, maxEagerBytes, false)}, envelope.MaxDatagramBytes},
+		{&Message{Kind: MessageReport, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", maxReasonBytes), Age: 1 << 60}, envelope.MaxDatagramBytes},
+		{&Message{Kind: MessageConfirm, Seq: 1 << 31, Head: head}, envelope.MaxDatagramBytes},
 		{fetch, 64 << 10}, {wanted, 64 << 10}, {piece, 64 << 10}, {index, 64 << 10}, {blocks, 64 << 10},
 		{parts, 64 << 10}, {parted, 64 << 10},
 	} {
@@ -73,34 +73,34 @@
 	valid := &Content{}
 	valid, err := valid.Apply([]Item{tenant(1, "1")})
 	require.NoError(t, err)
-	head := HeadRevision{All: Revision{1, valid.Digest()}, First: Revision{1, valid.Digest()}, Newest: 1}
+	head := HeadRevision{All: Revision{1, valid.Digest()}, Canary: Revision{1, valid.Digest()}, Newest: 1}
 	reports := 0
 	replicas := 0
-	inputs := []Input{{Kind: Viewed, View: &View{Neighbours: []string{"faulty", "b"}, Seats: []string{"s", "t"}}}}
+	inputs := []Input{{Kind: ViewChanged, View: &View{Neighbours: []string{"faulty", "b"}, Replicas: []string{"s", "t"}}}}
 	for now := int64(1); now < 20_000*ms; now += 10 * ms {
 		effects, _ := r.Step(now, inputs)
 		inputs = nil
 		for _, e := range effects {
 			switch {
-			case e.Kind == Send && e.Message.Kind == Report:
+			case e.Kind == Send && e.Message.Kind == MessageReport:
 				reports++
-				inputs = append(inputs, Input{Kind: Came, From: e.To, Message: &Message{Kind: Vouch, Seq: e.Message.Seq, Head: head}})
+				inputs = append(inputs, Input{Kind: DatagramReceived, From: e.To, Message: &Message{Kind: MessageConfirm, Seq: e.Message.Seq, Head: head}})
 			case e.Kind == Exchange && e.To == "faulty":
-				inputs = append(inputs, Input{Kind: Answered, Link: e.Link, Message: &Message{Kind: Piece, Records: []Record{
+				inputs = append(inputs, Input{Kind: ExchangeAnswered, Link: e.Link, Message: &Message{Kind: MessageContent, Records: []Record{
 					{Version: 1, Digest: head.All.Digest, Changes: []Item{tenant(2, "1")}}}}})
 			case e.Kind == Exchange:
 				replicas++
-				inputs = append(inputs, Input{Kind: Answered, Link: e.Link, Message: &Message{Kind: Piece, Records: []Record{
+				inputs = append(inputs, Input{Kind: ExchangeAnswered, Link: e.Link, Message: &Message{Kind: MessageContent, Records: []Record{
 					{Version: 1, Digest: head.All.Digest, Changes: []Item{tenant(1, "1")}}}}})
-			case e.Kind == Take:
+			case e.Kind == ApplyVersion:
 				require.Equal(t, valid.Digest(), e.New.Digest())
-				inputs = append(inputs, Input{Kind: Took, Mark: e.Mark})
+				inputs = append(inputs, Input{Kind: VersionApplied, Revision: e.Revision})
 			}
 		}
 		for range 20 {
 			invalid := Revision{uint64(2 + now/(10*ms)), Digest{A: uint64(now)}}
-			inputs = append(inputs, Input{Kind: Came, From: "faulty", Message: &Message{Kind: Tell, Head: HeadRevision{All: invalid, First: invalid}, Has: invalid}},
-				Input{Kind: Came, From: "faulty", Message: &Message{Kind: Vouch, Head: HeadRevision{All: invalid, First: invalid}}})
+			inputs = append(inputs, Input{Kind: DatagramReceived, From: "faulty", Message: &Message{Kind: MessageAnnounce, Head: HeadRevision{All: invalid, Canary: invalid}, Has: invalid}},
+				Input{Kind: DatagramReceived, From: "faulty", Message: &Message{Kind: MessageConfirm, Head: HeadRevision{All: invalid, Canary: invalid}}})
 		}
 	}
 	require.Equal(t, head.All, r.Revision())
--- a/internal/fleet/configsync/pacing.go
+++ b/internal/fleet/configsync/pacing.go
@@ -32,7 +32,7 @@
 // countSent counts a message. Answers without content aren't paced: a thundering herd must not keep this node from giving to those
 // from which others can fetch.
 func (r *Replicator) countSent(m *Message) {
-	if m.Kind != Vouch && (m.Kind != Piece || m.hasContent()) {
+	if m.Kind != MessageConfirm && (m.Kind != MessageContent || m.hasContent()) {
 		r.tokens -= int64(m.size())
 	}
 	r.Counters.BytesSent += int64(m.size())
@@ -45,7 +45,7 @@
 		return
 	}
 	r.Counters.BytesReceived += int64(in.Message.size())
-	if in.Kind == Answered && in.Message.hasContent() {
+	if in.Kind == ExchangeAnswered && in.Message.hasContent() {
 		r.tokens -= int64(in.Message.size())
 	}
 }
--- a/internal/fleet/configsync/peers.go
+++ b/internal/fleet/configsync/peers.go
@@ -85,7 +85,7 @@
 func (r *Replicator) contradictsConfirmed(announced ...Revision) bool {
 	for _, a := range announced {
 		differs := func(b Revision) bool { return a.Version == b.Version && a.Version > 0 && a.Digest != b.Digest }
-		if differs(r.ready) || differs(r.head.All) || differs(r.head.First) || slices.ContainsFunc(r.confirmed, differs) {
+		if differs(r.ready) || differs(r.head.All) || differs(r.head.Canary) || slices.ContainsFunc(r.confirmed, differs) {
 			return true
 		}
 	}
--- a/internal/fleet/configsync/query.go
+++ b/internal/fleet/configsync/query.go
@@ -5,16 +5,16 @@
 
 // The kinds of queries.
 const (
-	ShowStanding QueryKind = iota + 1 // the node's status; at a replica also those of the nodes that reported to it
-	ReadBlocks                        // blocks of a content
-	Propose                           // a Put or a Rollback
+	QueryStatus  QueryKind = iota + 1 // the node's status; at a replica also those of the nodes that reported to it
+	QueryBlocks                       // blocks of a content
+	QueryPropose                      // a Put or a Rollback
 )
 
 // The contents that a ReadBlocks can be of.
 const (
-	InForce = iota // at the node
-	ForAll         // at a replica: in force for all
-	Newest         // at a replica: the newest that was agreed on
+	ContentInForce = iota // at the node
+	ContentForAll         // at a replica: in force for all
+	ContentNewest         // at a replica: the newest that was agreed on
 )
 
 // Query is what an operator's command asks a node.
@@ -27,30 +27,30 @@
 
 // Answer is a node's answer to a query.
 type Answer struct {
-	Node    string   `cbor:"1,keyasint"`
-	Seats   []Place  `cbor:"2,keyasint,omitempty"`
-	Status  *Status  `cbor:"3,keyasint,omitempty"`
-	Seat    *AtSeat  `cbor:"4,keyasint,omitempty"` // of a node with a replica that knows what was agreed on
-	Mark    Revision `cbor:"5,keyasint"`           // ReadBlocks: of the content
-	Blocks  []Block  `cbor:"6,keyasint,omitempty"`
-	Next    int      `cbor:"7,keyasint,omitempty"` // the first block that follows, 0 for none
-	Verdict *Verdict `cbor:"8,keyasint,omitempty"` // Propose; nil where no answer came in time: the same query may be repeated
-	Why     string   `cbor:"9,keyasint,omitempty"` // why there is no answer
+	Node          string           `cbor:"1,keyasint"`
+	Replicas      []ReplicaAddress `cbor:"2,keyasint,omitempty"`
+	Status        *Status          `cbor:"3,keyasint,omitempty"`
+	ReplicaStatus *ReplicaStatus   `cbor:"4,keyasint,omitempty"` // of a node with a replica that knows what was agreed on
+	Revision      Revision         `cbor:"5,keyasint"`           // ReadBlocks: of the content
+	Blocks        []Block          `cbor:"6,keyasint,omitempty"`
+	Next          int              `cbor:"7,keyasint,omitempty"` // the first block that follows, 0 for none
+	Verdict       *Verdict         `cbor:"8,keyasint,omitempty"` // Propose; nil where no answer came in time: the same query may be repeated
+	Why           string           `cbor:"9,keyasint,omitempty"` // why there is no answer
 }
 
-// Place is a replica's address for its peers; an empty one isn't known.
-type Place struct {
+// ReplicaAddress is a replica's address for its peers; an empty one isn't known.
+type ReplicaAddress struct {
 	Name    string `cbor:"1,keyasint" json:"name"`
 	Address string `cbor:"2,keyasint,omitempty" json:"address,omitempty"`
 }
 
-// AtSeat is what a node with a replica knows beside its status.
-type AtSeat struct {
-	Head   HeadRevision `cbor:"1,keyasint"`
-	Newest Revision     `cbor:"2,keyasint"`
-	Good   []uint64     `cbor:"3,keyasint,omitempty"` // versions that can be rolled back to
-	Nodes  []NodeStatus `cbor:"4,keyasint,omitempty"` // At is ns since the report
-	Alive  []string     `cbor:"5,keyasint,omitempty"` // members in this node's view
+// ReplicaStatus is what a node with a replica knows beside its status.
+type ReplicaStatus struct {
+	Head             HeadRevision `cbor:"1,keyasint"`
+	Newest           Revision     `cbor:"2,keyasint"`
+	RollbackVersions []uint64     `cbor:"3,keyasint,omitempty"` // versions that can be rolled back to
+	Nodes            []NodeStatus `cbor:"4,keyasint,omitempty"` // At is ns since the report
+	Alive            []string     `cbor:"5,keyasint,omitempty"` // members in this node's view
 }
 
 // Blocks returns the blocks of a content from one on, as many as fit the bytes and at least one, and the first that follows, 0 for
@@ -65,7 +65,7 @@
 		if bytes < 0 && len(list) > 0 {
 			return list, n
 		}
-		list = append(list, Block{N: uint16(n), Text: text})
+		list = append(list, Block{Number: uint16(n), Text: text})
 	}
 	return list, 0
 }
@@ -87,7 +87,7 @@
 
 // setChecked puts a block in its place, false where it is malformed.
 func (c *Content) setChecked(block Block, owned *[fanout]bool) bool {
-	n := int(block.N)
+	n := int(block.Number)
 	if _, ok := checkBlock(n, block.Text); !ok || n >= Blocks {
 		return false
 	}
--- a/internal/fleet/configsync/records.go
+++ b/internal/fleet/configsync/records.go
@@ -7,7 +7,7 @@
 
 // persist has the disk follow what is in force.
 func (r *Replicator) persist(effects []Effect) []Effect {
-	effect := Effect{Kind: Persist, Mark: r.applied, New: r.appliedContent}
+	effect := Effect{Kind: PersistVersion, Revision: r.applied, New: r.appliedContent}
 	effect.Records = recordsBetween(r.availableRecords(), r.disk.revision, r.applied.Version)
 	size := 0
 	for _, record := range effect.Records {
--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -150,7 +150,7 @@
 
 // Status is a replicator's state as operators see it.
 type Status struct {
-	Mark     Revision `cbor:"Mark" json:"Mark"`
+	Revision Revision `cbor:"Mark" json:"Mark"`
 	Source   string   // of Mark: disk, file, fleet
 	Ready    Revision
 	Head     HeadRevision
@@ -166,7 +166,7 @@
 // Status returns this node's status.
 func (r *Replicator) Status(now int64) Status {
 	status := Status{
-		Mark:     r.applied,
+		Revision: r.applied,
 		Source:   r.source,
 		Ready:    r.ready,
 		Head:     r.head,
@@ -202,33 +202,33 @@
 func (r *Replicator) handleInput(now int64, in *Input, effects []Effect) []Effect {
 	r.countReceived(in)
 	switch in.Kind {
-	case Viewed:
+	case ViewChanged:
 		r.handleView(now, in.View)
-	case Ordered:
+	case AgreementChanged:
 		r.agreed = in.Agreed
 		if r.agreed != nil {
 			effects = r.confirm(now, r.agreed.Head, effects)
 		}
-	case Stood:
-		r.groupCurrent = in.Current
-	case Came:
+	case ReplicaContactChanged:
+		r.groupCurrent = in.ReplicaCurrent
+	case DatagramReceived:
 		effects = r.handleDatagram(now, in, effects)
-	case Asked:
+	case ExchangeOpened:
 		effects = r.replyToFetch(now, in, effects)
-	case Answered:
+	case ExchangeAnswered:
 		if r.fetch.awaits(in.Link) {
 			r.fetch.deadline = 0
 			r.handleFetchAnswer(now, in.Message)
 		}
-	case Missed:
+	case ExchangeFailed:
 		if r.fetch.awaits(in.Link) {
 			r.handleFetchFailure(now)
 		}
-	case Took:
+	case VersionApplied:
 		effects = r.handleApplied(now, in, effects)
-	case Checked:
+	case VersionChecked:
 		effects = r.handleChecked(now, in, effects)
-	case Saved:
+	case VersionPersisted:
 		effects = r.handleSaved(in, effects)
 	}
 	return effects
@@ -240,12 +240,12 @@
 		return effects
 	}
 	switch in.Message.Kind {
-	case Tell:
+	case MessageAnnounce:
 		r.handleAnnouncement(now, p, in.Message)
-	case Report:
+	case MessageReport:
 		return r.handleReport(now, in.From, in.Message, effects)
-	case Vouch:
-		if !slices.Contains(r.view.Seats, in.From) { // only replicas confirm
+	case MessageConfirm:
+		if !slices.Contains(r.view.Replicas, in.From) { // only replicas confirm
 			r.penalize(now, p)
 			return effects
 		}
@@ -255,7 +255,7 @@
 }
 
 func warning(format string, args ...any) Effect {
-	return Effect{Kind: Remark, Warn: true, Text: fmt.Sprintf(format, args...)}
+	return Effect{Kind: WriteLog, Warn: true, Text: fmt.Sprintf(format, args...)}
 }
 
 // nextDeadline is when the next timer expires.
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -22,21 +22,21 @@
 
 // confirmation is a replica's answer, as an input.
 func confirmation(all, first Revision) Input {
-	return Input{Kind: Came, From: "s", Message: &Message{Kind: Vouch, Head: HeadRevision{All: all, First: first, Newest: first.Version}}}
+	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: HeadRevision{All: all, Canary: first, Newest: first.Version}}}
 }
 
 func announcement(from string, head HeadRevision, has Revision, records ...Record) Input {
-	return Input{Kind: Came, From: from, Message: &Message{Kind: Tell, Head: head, Has: has, Records: records}}
+	return Input{Kind: DatagramReceived, From: from, Message: &Message{Kind: MessageAnnounce, Head: head, Has: has, Records: records}}
 }
 
 // newTestReplicator is a replicator with two neighbours and two replicas, which is at no canary stage.
 func newTestReplicator() *Replicator {
 	r := NewReplicator(0, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{})
-	v := &View{Neighbours: []string{"a", "b"}, Seats: []string{"s", "t"}}
+	v := &View{Neighbours: []string{"a", "b"}, Replicas: []string{"s", "t"}}
 	for k := range 50 {
 		v.Zone = append(v.Zone, fmt.Sprint("z", k))
 	}
-	r.Step(1, []Input{{Kind: Viewed, View: v}})
+	r.Step(1, []Input{{Kind: ViewChanged, View: v}})
 	return r
 }
 
@@ -57,11 +57,11 @@
 	r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.Equal(t, one, r.ready)
 	effects, _ := r.Step(2*ms, []Input{announcement("a", HeadRevision{}, two, table.log[1].wire()), confirmation(one, two)})
-	require.Len(t, effectsOf(effects, Take), 1)
-	require.Equal(t, one, effectsOf(effects, Take)[0].Mark)
-	effects, _ = r.Step(3*ms, []Input{{Kind: Took, Mark: one}})
+	require.Len(t, effectsOf(effects, ApplyVersion), 1)
+	require.Equal(t, one, effectsOf(effects, ApplyVersion)[0].Revision)
+	effects, _ = r.Step(3*ms, []Input{{Kind: VersionApplied, Revision: one}})
 	require.Equal(t, one, r.Revision())
-	require.Empty(t, effectsOf(effects, Take), "the next one is at the canary stage only")
+	require.Empty(t, effectsOf(effects, ApplyVersion), "the next one is at the canary stage only")
 	require.Equal(t, two, r.ready)
 }
 
@@ -74,7 +74,7 @@
 	r.Step(2*ms, []Input{confirmation(one, two), confirmation(one, one)})
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 	effects, _ := r.Step(3*ms, []Input{confirmation(Revision{2, Digest{A: 1}}, Revision{2, Digest{A: 1}})})
-	require.Len(t, effectsOf(effects, Remark), 1, "a version has one digest")
+	require.Len(t, effectsOf(effects, WriteLog), 1, "a version has one digest")
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 }
 
@@ -88,8 +88,8 @@
 	fetch := effectsOf(effects, Exchange)
 	require.Len(t, fetch, 1)
 	require.Equal(t, "a", fetch[0].To)
-	piece := &Message{Kind: Piece, Has: two, Records: wireRecords(table.log[:2], maxPieceBytes, false)}
-	r.Step(501*ms, []Input{{Kind: Answered, Link: fetch[0].Link, Message: piece}})
+	piece := &Message{Kind: MessageContent, Has: two, Records: wireRecords(table.log[:2], maxPieceBytes, false)}
+	r.Step(501*ms, []Input{{Kind: ExchangeAnswered, Link: fetch[0].Link, Message: piece}})
 	require.Equal(t, two, r.ready)
 }
 
@@ -101,15 +101,15 @@
 	r.canary.version = 0
 	one := revisionOf(table, 1)
 	effects, _ := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
-	require.True(t, effectsOf(effects, Take)[0].First)
+	require.True(t, effectsOf(effects, ApplyVersion)[0].Canary)
 	var wake int64
-	in := []Input{{Kind: Took, Mark: one, Why: "no such effect"}}
+	in := []Input{{Kind: VersionApplied, Revision: one, Why: "no such effect"}}
 	replicas := map[string]int{}
 	for now := 2 * ms; now < 3_000*ms; now = min(wake, now+50*ms) {
 		effects, wake = r.Step(now, in)
 		in = nil
 		for _, e := range effectsOf(effects, Send) {
-			if e.Message.Kind == Report && e.Message.Refused == one {
+			if e.Message.Kind == MessageReport && e.Message.Refused == one {
 				replicas[e.To]++
 				answer := confirmation(Revision{}, one)
 				answer.From = e.To
@@ -128,20 +128,20 @@
 	r := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{})
 	c := fullContent(t, 100, 3_000)
 	revision := Revision{1, c.Digest()}
-	r.Step(1, []Input{{Kind: Viewed, View: &View{Neighbours: []string{"near"}}},
-		{Kind: Ordered, Agreed: &Agreed{Head: HeadRevision{All: revision, First: revision, Newest: 1}, All: c, First: c, Newest: c}}})
+	r.Step(1, []Input{{Kind: ViewChanged, View: &View{Neighbours: []string{"near"}}},
+		{Kind: AgreementChanged, Agreed: &Agreed{Head: HeadRevision{All: revision, Canary: revision, Newest: 1}, All: c, Canary: c, Newest: c}}})
 	near := 0
 	all := 0
 	const seconds = 20
-	wanted := &Message{Kind: Fetch, Want: revision, Sums: (&Content{}).pageSums()}
+	wanted := &Message{Kind: MessageFetch, Want: revision, Sums: (&Content{}).pageSums()}
 	for now := 20 * ms; now < seconds*1_000*ms; now += 20 * ms {
 		var in []Input
 		for k := range 10 {
 			from := fmt.Sprint("far", (int(now/(20*ms))*10+k)%500)
-			in = append(in, Input{Kind: Came, From: from, Message: &Message{Kind: Report}}, Input{Kind: Asked, From: from, Link: k + 2, Message: wanted})
+			in = append(in, Input{Kind: DatagramReceived, From: from, Message: &Message{Kind: MessageReport}}, Input{Kind: ExchangeOpened, From: from, Link: k + 2, Message: wanted})
 		}
 		if now%(1_000*ms) == 500*ms {
-			in = append(in, Input{Kind: Asked, From: "near", Link: 1, Message: wanted})
+			in = append(in, Input{Kind: ExchangeOpened, From: "near", Link: 1, Message: wanted})
 		}
 		effects, _ := r.Step(now, in)
 		for _, e := range effectsOf(effects, Reply) {
@@ -158,7 +158,7 @@
 	require.LessOrEqual(t, all, seconds*bytesPerSecond+burstBytes+maxBlockBytes)
 	one := 0
 	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that fetches all the time, alone
-		effects, _ := r.Step(now, []Input{{Kind: Asked, From: "greedy", Link: 1, Message: wanted}})
+		effects, _ := r.Step(now, []Input{{Kind: ExchangeOpened, From: "greedy", Link: 1, Message: wanted}})
 		if e := effectsOf(effects, Reply); e[0].Message.hasContent() {
 			one += e[0].Message.size()
 		}
@@ -172,16 +172,16 @@
 	var in []Input
 	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
 		if now%(500*ms) == ms {
-			in = append(in, announcement("a", unconfirmed, unconfirmed.First), announcement("b", unconfirmed, unconfirmed.First))
+			in = append(in, announcement("a", unconfirmed, unconfirmed.Canary), announcement("b", unconfirmed, unconfirmed.Canary))
 		}
 		effects, _ := r.Step(now, in)
 		in = nil
 		for _, e := range effectsOf(effects, Send) {
-			if e.Message.Kind == Report {
+			if e.Message.Kind == MessageReport {
 				reports++
-				answer := Input{Kind: Came, From: e.To, Message: &Message{Kind: Vouch, Seq: e.Message.Seq, Head: head, Current: current}}
+				answer := Input{Kind: DatagramReceived, From: e.To, Message: &Message{Kind: MessageConfirm, Seq: e.Message.Seq, Head: head, Current: current}}
 				twice := *answer.Message
-				in = append(in, answer, Input{Kind: Came, From: e.To, Message: &twice})
+				in = append(in, answer, Input{Kind: DatagramReceived, From: e.To, Message: &twice})
 			}
 		}
 	}
@@ -195,13 +195,13 @@
 	one := revisionOf(table, 1)
 	three := revisionOf(table, 3)
 	r.Step(0, []Input{confirmation(one, one), announcement("a", HeadRevision{}, one, table.log[0].wire())})
-	r.Step(1, []Input{{Kind: Took, Mark: one}})
+	r.Step(1, []Input{{Kind: VersionApplied, Revision: one}})
 	require.Equal(t, one, r.Revision())
-	reports := announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: three}, 60, false)
+	reports := announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: three}, 60, false)
 	require.Zero(t, r.Counters.InvalidResponses)
 	require.Less(t, reports, 60, "the backoff between reports grows")
-	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", HeadRevision{All: one, First: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
-	require.Empty(t, effectsOf(effects, Take))
+	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", HeadRevision{All: one, Canary: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
+	require.Empty(t, effectsOf(effects, ApplyVersion))
 	require.Equal(t, three, r.ready, "announced records are used as soon as a replica confirms")
 }
 
@@ -211,7 +211,7 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: two}, unconfirmedGracePeriod/(1_000*ms), true)
+	announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: two}, unconfirmedGracePeriod/(1_000*ms), true)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
@@ -221,12 +221,12 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	announceUnconfirmed(r, HeadRevision{All: one, First: one}, HeadRevision{All: one, First: Revision{9, Digest{A: 9}}}, 20, true)
+	announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: Revision{9, Digest{A: 9}}}, 20, true)
 	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours announced it")
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 	require.Equal(t, 1, r.peers["b"].invalidResponses)
 	r = newTestReplicator()
-	r.Step(ms, []Input{confirmation(one, one), announcement("a", HeadRevision{All: one, First: Revision{2, Digest{A: 9}}}, one), announcement("b", HeadRevision{All: one, First: two}, two)})
+	r.Step(ms, []Input{confirmation(one, one), announcement("a", HeadRevision{All: one, Canary: Revision{2, Digest{A: 9}}}, one), announcement("b", HeadRevision{All: one, Canary: two}, two)})
 	require.Zero(t, r.Counters.InvalidResponses, "no replica confirmed it yet")
 	r.Step(2*ms, []Input{confirmation(one, two)})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
@@ -255,19 +255,19 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	three := revisionOf(table, 3)
-	head := HeadRevision{All: three, First: three}
+	head := HeadRevision{All: three, Canary: three}
 	fetch := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
 	from := fetch.To
 	other := "a"
 	if from == "a" {
 		other = "b"
 	}
-	fetch = fetchOf(t, r, 501*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[:1], maxPieceBytes, false)}})
+	fetch = fetchOf(t, r, 501*ms, Input{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Has: three, Records: wireRecords(table.log[:1], maxPieceBytes, false)}})
 	for fetch.To == other { // it is busy
-		fetch = fetchOf(t, r, 502*ms, Input{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: ms}})
+		fetch = fetchOf(t, r, 502*ms, Input{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Busy: ms}})
 	}
 	require.Equal(t, from, fetch.To)
-	effects, _ := r.Step(503*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Busy: 30_000 * ms}}})
+	effects, _ := r.Step(503*ms, []Input{{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Busy: 30_000 * ms}}})
 	for now := 504 * ms; len(effectsOf(effects, Exchange)) == 0; now += 10 * ms {
 		require.Less(t, now, 800*ms, "the other peer is asked soon")
 		effects, _ = r.Step(now, nil)
@@ -275,7 +275,7 @@
 	fetch = effectsOf(effects, Exchange)[0]
 	require.Equal(t, other, fetch.To)
 	require.Equal(t, one, fetch.Message.Has, "from where the first peer ended")
-	r.Step(801*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
+	r.Step(801*ms, []Input{{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
 	require.Equal(t, three, r.ready)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
@@ -285,23 +285,23 @@
 	table := tableWithVersions(2)
 	r := newTestReplicator()
 	two := revisionOf(table, 2)
-	head := HeadRevision{All: two, First: two}
+	head := HeadRevision{All: two, Canary: two}
 	invalid, err := (&Content{}).Apply([]Item{tenant(7, "7")})
 	require.NoError(t, err)
 	fetch := fetchOf(t, r, 500*ms, confirmation(two, two), announcement("a", head, two))
-	r.Step(501*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: &Message{Kind: Piece, Has: two,
+	r.Step(501*ms, []Input{{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Has: two,
 		Records: []Record{{Version: 1, Digest: invalid.Digest(), Changes: []Item{tenant(7, "7")}}}}}, announcement("b", head, two)})
 	for now := 510 * ms; r.ready != two; now += 10 * ms {
 		require.Less(t, now, 30_000*ms)
 		var in []Input
 		if r.fetch.deadline > 0 {
-			m := &Message{Kind: Piece, Busy: 4_000 * ms} // the faulty peer is busy
+			m := &Message{Kind: MessageContent, Busy: 4_000 * ms} // the faulty peer is busy
 			if r.fetch.peer == "b" {
 				m.Busy = 0
 				m.Has = two
 				m.Records = wireRecords(recordsBetween(table.log, r.fetch.from, 2), maxPieceBytes, false)
 			}
-			in = append(in, Input{Kind: Answered, Link: r.fetch.link, Message: m})
+			in = append(in, Input{Kind: ExchangeAnswered, Link: r.fetch.link, Message: m})
 		}
 		r.Step(now, append(in, announcement("b", head, two)))
 	}
@@ -323,7 +323,7 @@
 		n.appliedContent = c
 		n.ready = revision
 		var fetch Effect
-		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, First: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
+		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, Canary: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
 			if list := effectsOf(effects, Exchange); len(list) > 0 {
 				fetch = list[0]
 				break
@@ -333,7 +333,7 @@
 		next, err := c.Apply([]Item{tenant(rounds, fmt.Sprint(rounds))})
 		require.NoError(t, err)
 		after := Revision{revision.Version + 1, next.Digest()}
-		answer := &Message{Kind: Piece, Has: revision}
+		answer := &Message{Kind: MessageContent, Has: revision}
 		if len(fetch.Message.Wanted) > 0 {
 			n.serveBlocks(fetch.Message, answer)
 		} else {
@@ -341,7 +341,7 @@
 			indices++
 		}
 		r.Step(now+ms, []Input{confirmation(after, after)})
-		r.Step(now+2*ms, []Input{{Kind: Answered, Link: fetch.Link, Message: answer}})
+		r.Step(now+2*ms, []Input{{Kind: ExchangeAnswered, Link: fetch.Link, Message: answer}})
 		now = now + 2_000*ms
 		c = next
 		if r.assemblyBase().Digest() == r.assembly.revision.Digest {
--- a/internal/fleet/configsync/reports.go
+++ b/internal/fleet/configsync/reports.go
@@ -63,7 +63,7 @@
 		return effects
 	}
 	r.reports.seq++
-	m := &Message{Kind: Report, Seq: r.reports.seq, Has: r.applied, Refused: r.refused, Why: r.refusedReason, Age: now - r.appliedAt}
+	m := &Message{Kind: MessageReport, Seq: r.reports.seq, Has: r.applied, Refused: r.refused, Why: r.refusedReason, Age: now - r.appliedAt}
 	r.reports.sentAt = now
 	r.reports.answerDeadline = now + r.answerTimeout()
 	r.countSent(m)
@@ -72,16 +72,16 @@
 
 // answerTimeout is how long a replica's answer is waited for: longer once all were asked.
 func (r *Replicator) answerTimeout() int64 {
-	rounds := r.reports.attempts / max(1, len(r.view.Seats))
+	rounds := r.reports.attempts / max(1, len(r.view.Replicas))
 	return min(minAnswerTimeout<<min(rounds, 5), maxAnswerTimeout)
 }
 
 // reportTarget is the replica to ask at an attempt, empty where none is known: each node has its own order of them.
 func (r *Replicator) reportTarget(attempt int) string {
-	if len(r.view.Seats) == 0 {
+	if len(r.view.Replicas) == 0 {
 		return ""
 	}
-	replicas := slices.Clone(r.view.Seats)
+	replicas := slices.Clone(r.view.Replicas)
 	slices.SortFunc(replicas, func(a, b string) int {
 		return cmp.Compare(xxhash.Sum64String(r.config.Name+"\x00"+a), xxhash.Sum64String(r.config.Name+"\x00"+b))
 	})
@@ -103,7 +103,7 @@
 		return effects
 	}
 	r.Statuses.Report(now, from, m.Has, m.Refused, m.Why, m.Age)
-	answer := &Message{Kind: Vouch, Seq: m.Seq, Head: r.agreed.Head, Current: r.groupCurrent}
+	answer := &Message{Kind: MessageConfirm, Seq: m.Seq, Head: r.agreed.Head, Current: r.groupCurrent}
 	r.countSent(answer)
 	return append(effects, Effect{Kind: Send, To: from, Message: answer})
 }
@@ -141,8 +141,8 @@
 func (r *Replicator) handleAgreement(now int64) {
 	r.reports.attempts = 0
 	r.reports.unconfirmedAnswers = 0
-	if r.refused.Version > 0 && r.refused == r.head.First && !r.head.Stopped && r.head.First != r.head.All {
-		r.reports.attempts = 1 + int(r.reports.seq)%max(1, len(r.view.Seats))
+	if r.refused.Version > 0 && r.refused == r.head.Canary && !r.head.Stopped && r.head.Canary != r.head.All {
+		r.reports.attempts = 1 + int(r.reports.seq)%max(1, len(r.view.Replicas))
 		r.reports.dueAt = now + r.jitter(minAnswerTimeout)
 	}
 }
@@ -168,10 +168,10 @@
 	}
 	r.head = head
 	r.rememberConfirmed(head.All)
-	r.rememberConfirmed(head.First)
+	r.rememberConfirmed(head.Canary)
 	r.confirmed = r.confirmed[max(0, len(r.confirmed)-maxConfirmedRevisions):]
 	for _, p := range r.peers {
-		if p.backoffUntil <= now && r.contradictsConfirmed(p.unconfirmed.All, p.unconfirmed.First, p.head.All, p.head.First, p.ready) {
+		if p.backoffUntil <= now && r.contradictsConfirmed(p.unconfirmed.All, p.unconfirmed.Canary, p.head.All, p.head.Canary, p.ready) {
 			r.penalize(now, p)
 		}
 	}
@@ -180,8 +180,8 @@
 
 // conflictOf returns two revisions of one version with different digests, where two heads have such.
 func conflictOf(a, b *HeadRevision) (before, after Revision, conflict bool) {
-	for _, after := range [...]Revision{b.All, b.First} {
-		for _, before := range [...]Revision{a.All, a.First} {
+	for _, after := range [...]Revision{b.All, b.Canary} {
+		for _, before := range [...]Revision{a.All, a.Canary} {
 			if after.Version == before.Version && after.Digest != before.Digest {
 				return before, after, true
 			}
@@ -211,7 +211,7 @@
 		return effects
 	}
 	r.stopOrderedAt = now
-	return append(effects, Effect{Kind: Order, Command: &Command{Kind: Stop, Version: r.head.First.Version, Who: who, Why: why}})
+	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, Who: who, Why: why}})
 }
 
 func (r *Replicator) stopDeadline() int64 {
@@ -223,8 +223,8 @@
 
 // canaryRefusal is a node that refused the version at the canary stage, where that is not stopped yet.
 func (r *Replicator) canaryRefusal() (who, why string, refused bool) {
-	if r.agreed == nil || r.head.Stopped || r.head.First.Version <= r.head.All.Version {
+	if r.agreed == nil || r.head.Stopped || r.head.Canary.Version <= r.head.All.Version {
 		return "", "", false
 	}
-	return r.Statuses.refusal(r.head.First)
+	return r.Statuses.refusal(r.head.Canary)
 }
--- a/internal/fleet/configsync/restore.go
+++ b/internal/fleet/configsync/restore.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, errUnreadableSnapshot(err)
 	}
-	if all.Digest() != saved.Head.All.Digest || canary.Digest() != saved.Head.First.Digest {
+	if all.Digest() != saved.Head.All.Digest || canary.Digest() != saved.Head.Canary.Digest {
 		return nil, fmt.Errorf("configuration: a snapshot comes to %s and %s, not to the digests that it names", all.Digest(), canary.Digest())
 	}
 	t := &Table{
--- a/internal/fleet/configsync/serve.go
+++ b/internal/fleet/configsync/serve.go
@@ -8,8 +8,8 @@
 
 // replyToFetch answers a fetch of another node.
 func (r *Replicator) replyToFetch(now int64, in *Input, effects []Effect) []Effect {
-	answer := &Message{Kind: Piece, Has: r.ready}
-	if in.Message != nil && in.Message.Kind == Fetch {
+	answer := &Message{Kind: MessageContent, Has: r.ready}
+	if in.Message != nil && in.Message.Kind == MessageFetch {
 		r.serveFetch(now, in.From, in.Message, answer)
 	}
 	r.countSent(answer)
@@ -98,7 +98,7 @@
 func (r *Replicator) contents() []*Content {
 	list := []*Content{r.readyContent, r.appliedContent}
 	if r.agreed != nil {
-		list = append(list, r.agreed.All, r.agreed.First, r.agreed.Newest)
+		list = append(list, r.agreed.All, r.agreed.Canary, r.agreed.Newest)
 	}
 	return list
 }
@@ -132,7 +132,7 @@
 		if room < 0 && len(answer.Blocks) > 0 {
 			return
 		}
-		answer.Blocks = append(answer.Blocks, Block{N: n, Text: text})
+		answer.Blocks = append(answer.Blocks, Block{Number: n, Text: text})
 	}
 }
 
@@ -161,7 +161,7 @@
 		if len(changes[n]) == 0 || !bitSet(m.Missing, n) {
 			continue
 		}
-		block := Block{N: uint16(n), Changes: changes[n]}
+		block := Block{Number: uint16(n), Changes: changes[n]}
 		if whole != nil {
 			if text, _ := whole.Block(n); len(text) <= sizeOf(block.Changes) {
 				block.Text = text
--- a/internal/fleet/configsync/simchecks_test.go
+++ b/internal/fleet/configsync/simchecks_test.go
@@ -11,7 +11,7 @@
 	if head.Newest == 0 {
 		return "" // each has the version of its file
 	}
-	if head.First != head.All || head.Newest != head.All.Version {
+	if head.Canary != head.All || head.Newest != head.All.Version {
 		return fmt.Sprintf("the group is still at a canary stage: %+v", head)
 	}
 	for _, n := range s.nodes {
--- a/internal/fleet/configsync/simeffects_test.go
+++ b/internal/fleet/configsync/simeffects_test.go
@@ -14,11 +14,11 @@
 		s.openExchange(i, e)
 	case Reply:
 		s.replyToExchange(i, e)
-	case Take, Check:
+	case ApplyVersion, CheckVersion:
 		s.applyVersion(i, e)
-	case Persist:
+	case PersistVersion:
 		s.persist(i, e)
-	case Order:
+	case ProposeCommand:
 		s.propose(i, e.Command, nil)
 	}
 }
@@ -31,7 +31,7 @@
 		if to.up {
 			to.countBytes(s.now, &m)
 			received := m
-			s.deliver(to.index, Input{Kind: Came, From: n.name, Message: &received})
+			s.deliver(to.index, Input{Kind: DatagramReceived, From: n.name, Message: &received})
 		}
 	})
 }
@@ -39,7 +39,7 @@
 // outgoing is a message as its sender sends it, and counts its bytes.
 func (s *simulation) outgoing(n *simNode, message *Message) Message {
 	m := *message
-	if n.faulty && m.Kind != Fetch {
+	if n.faulty && m.Kind != MessageFetch {
 		s.corrupt(&m)
 	}
 	n.countBytes(s.now, &m)
@@ -59,11 +59,11 @@
 		}
 		opened = true
 		to.countBytes(s.now, &m)
-		s.deliver(to.index, Input{Kind: Asked, From: n.name, Link: s.linkOf(i, incarnation, link), Message: &m})
+		s.deliver(to.index, Input{Kind: ExchangeOpened, From: n.name, Link: s.linkOf(i, incarnation, link), Message: &m})
 	})
 	s.at(s.now+4_000*ms, func() {
 		if n.incarnation == incarnation {
-			s.deliver(i, Input{Kind: Missed, Link: link})
+			s.deliver(i, Input{Kind: ExchangeFailed, Link: link})
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	s.transmit(n, to, func() {
 		if to.incarnation&0xffff == incarnation && to.up {
 			to.countBytes(s.now, &m)
-			s.deliver(asker, Input{Kind: Answered, Link: link, Message: &m})
+			s.deliver(asker, Input{Kind: ExchangeAnswered, Link: link, Message: &m})
 		}
 	})
 }
@@ -95,7 +95,7 @@
 func (s *simulation) persist(i int, e *Effect) {
 	n := s.nodes[i]
 	n.olderDisk = n.disk
-	n.disk = simDisk{e.Mark, e.New}
+	n.disk = simDisk{e.Revision, e.New}
 	if !e.Full {
 		content := n.olderDisk.content
 		for _, record := range e.Records {
@@ -108,8 +108,8 @@
 		}
 		n.disk.content = content
 	}
-	if got := n.disk.content.Digest(); got != e.Mark.Digest {
-		s.fail("%s keeps %s as version %d, which is %s", n.name, got, e.Mark.Version, e.Mark.Digest)
+	if got := n.disk.content.Digest(); got != e.Revision.Digest {
+		s.fail("%s keeps %s as version %d, which is %s", n.name, got, e.Revision.Version, e.Revision.Digest)
 	}
 }
 
@@ -117,7 +117,7 @@
 func (s *simulation) applyVersion(i int, e *Effect) {
 	n := s.nodes[i]
 	incarnation := n.incarnation
-	revision := e.Mark
+	revision := e.Revision
 	why := n.refusal(e.New)
 	s.checkStages(n, e)
 	s.checkChanges(n, e)
@@ -125,15 +125,15 @@
 		if n.incarnation != incarnation || !n.up {
 			return
 		}
-		if e.Kind == Check {
-			s.deliver(i, Input{Kind: Checked, Mark: revision, Why: why})
+		if e.Kind == CheckVersion {
+			s.deliver(i, Input{Kind: VersionChecked, Revision: revision, Why: why})
 			return
 		}
 		if why == "" {
 			n.maxVersion = revision.Version
 			n.appliedAt[revision.Version] = s.now
 		}
-		s.deliver(i, Input{Kind: Took, Mark: revision, Why: why})
+		s.deliver(i, Input{Kind: VersionApplied, Revision: revision, Why: why})
 	})
 }
 
@@ -149,11 +149,11 @@
 
 // checkStages requires that a version was agreed on, and is at the stage at which it is applied.
 func (s *simulation) checkStages(n *simNode, e *Effect) {
-	version := e.Mark.Version
+	version := e.Revision.Version
 	if _, agreed := s.digests[version]; !agreed {
 		s.fail("%s applies version %d, which nobody agreed on", n.name, version)
 	}
-	if s.allAt[version] == 0 && !e.First {
+	if s.allAt[version] == 0 && !e.Canary {
 		s.fail("%s applies version %d for all, which isn't in force for all", n.name, version)
 	}
 	if s.canaryAt[version] == 0 {
@@ -166,12 +166,12 @@
 
 // checkChanges requires that the content of a version is what was agreed on, and that its changes lead to it.
 func (s *simulation) checkChanges(n *simNode, e *Effect) {
-	version := e.Mark.Version
+	version := e.Revision.Version
 	sum := Digest{}
 	for item := range e.New.All { // computed from scratch
 		sum = sum.plus(hashItem(appendEntry(nil, byte(slices.Index(partNames[:], item.Part)), item.Name, item.Value)))
 	}
-	if sum != s.digests[version] || sum != e.Mark.Digest {
+	if sum != s.digests[version] || sum != e.Revision.Digest {
 		s.fail("%s applies %s as version %d, which is %s", n.name, sum, version, s.digests[version])
 	}
 	content := e.Old
@@ -212,11 +212,11 @@
 	case 1:
 		m.Has = Revision{m.Has.Version + uint64(s.random.Intn(5)), digest}
 	case 2:
-		m.Head.First = Revision{m.Head.First.Version + 1, digest}
-		m.Has = m.Head.First
+		m.Head.Canary = Revision{m.Head.Canary.Version + 1, digest}
+		m.Has = m.Head.Canary
 	case 3:
-		if m.Kind == Tell {
-			m.Kind = Vouch
+		if m.Kind == MessageAnnounce {
+			m.Kind = MessageConfirm
 			m.Head.All = Revision{m.Head.All.Version + 1, digest}
 		}
 	}
--- a/internal/fleet/configsync/simevents_test.go
+++ b/internal/fleet/configsync/simevents_test.go
@@ -114,11 +114,11 @@
 			continue
 		}
 		for range 50 {
-			invalid := Message{Kind: Tell, Head: s.agreed.Head()}
+			invalid := Message{Kind: MessageAnnounce, Head: s.agreed.Head()}
 			invalid.Head.All.Version += uint64(s.random.Intn(1 << 20))
 			invalid.Head.All.Digest.A = s.random.Uint64()
 			invalid.Has = invalid.Head.All
-			s.deliver(i, Input{Kind: Came, From: n.name, Message: &invalid})
+			s.deliver(i, Input{Kind: DatagramReceived, From: n.name, Message: &invalid})
 		}
 	}
 }
--- a/internal/fleet/configsync/simlog_test.go
+++ b/internal/fleet/configsync/simlog_test.go
@@ -82,7 +82,7 @@
 	v := s.agreed.Apply(e.at, e.command)
 	head := s.agreed.Head()
 	monotonic := head.Newest >= before.Newest && head.All.Version >= before.All.Version
-	ordered := head.First.Version >= head.All.Version && head.Newest >= head.First.Version
+	ordered := head.Canary.Version >= head.All.Version && head.Newest >= head.Canary.Version
 	if !monotonic || !ordered {
 		s.fail("the head goes from %+v to %+v", before, head)
 	}
@@ -91,7 +91,7 @@
 		s.agreedAt[head.Newest] = s.now
 	}
 	if head.Stopped && !before.Stopped {
-		s.stopped[head.First.Version] = true
+		s.stopped[head.Canary.Version] = true
 	}
 	if head.All != before.All {
 		s.allAt[head.All.Version] = s.now
@@ -102,8 +102,8 @@
 			s.canaryAt[head.All.Version] = s.now
 		}
 	}
-	if head.First != before.First && s.canaryAt[head.First.Version] == 0 {
-		s.canaryAt[head.First.Version] = s.now
+	if head.Canary != before.Canary && s.canaryAt[head.Canary.Version] == 0 {
+		s.canaryAt[head.Canary.Version] = s.now
 	}
 	if v.Done && e.command.From != "" && !e.command.More {
 		s.versionOf[fmt.Sprint(e.command.From, e.command.Seq)] = v.Version
@@ -126,7 +126,7 @@
 		}
 	}
 	if moved {
-		s.deliver(i, Input{Kind: Ordered, Agreed: n.table.Agreed()})
+		s.deliver(i, Input{Kind: AgreementChanged, Agreed: n.table.Agreed()})
 	}
 	return v
 }
@@ -136,7 +136,7 @@
 	for i, n := range s.nodes[:s.replicas] {
 		current := s.inMajority(i) && n.appliedEntries == len(s.log)
 		if n.up && current != n.replicator.groupCurrent {
-			s.deliver(i, Input{Kind: Stood, Current: current})
+			s.deliver(i, Input{Kind: ReplicaContactChanged, ReplicaCurrent: current})
 		}
 		if !s.inMajority(i) {
 			continue
@@ -205,7 +205,7 @@
 // put gives a caller a change to put, if it has no command.
 func (s *simulation) put(c *caller, changes ...Item) {
 	if c.command == nil {
-		c.start(Command{Kind: Put, Base: c.base, Changes: changes})
+		c.start(Command{Kind: CommandPut, Base: c.base, Changes: changes})
 	}
 }
 
@@ -219,7 +219,7 @@
 }
 
 func (s *simulation) rollback(c *caller, version uint64) {
-	c.start(Command{Kind: Rollback, Version: version})
+	c.start(Command{Kind: CommandRollback, Version: version})
 }
 
 // putWhole has a whole content committed, in pieces, and returns its revision.
@@ -231,11 +231,11 @@
 	seq := uint64(0)
 	for len(list) > 0 {
 		n := min(len(list), 600)
-		s.commit(logEntry{s.now, &Command{Kind: Put, From: "file", Seq: seq + 1, Piece: int(seq), More: n < len(list), Changes: list[:n]}})
+		s.commit(logEntry{s.now, &Command{Kind: CommandPut, From: "file", Seq: seq + 1, Piece: int(seq), More: n < len(list), Changes: list[:n]}})
 		list = list[n:]
 		seq++
 	}
-	revision := s.agreed.Head().First
+	revision := s.agreed.Head().Canary
 	require.Equal(t, c.Digest(), revision.Digest)
 	return revision
 }
--- a/internal/fleet/configsync/simulation_test.go
+++ b/internal/fleet/configsync/simulation_test.go
@@ -165,7 +165,7 @@
 	}
 	for k, m := range s.nodes {
 		if k != i && m.isReplica {
-			v.Seats = append(v.Seats, m.name)
+			v.Replicas = append(v.Replicas, m.name)
 		}
 		if k != i && k%zones == i%zones {
 			v.Zone = append(v.Zone, m.name)
@@ -188,9 +188,9 @@
 	}
 	n.replicator = NewReplicator(s.now, ReplicatorConfig{Name: n.name, Seed: s.random.Int63()}, start)
 	n.replicator.skipDigests = s.skipDigests
-	n.inbox = append(n.inbox, Input{Kind: Viewed, View: s.view(i, zones)})
+	n.inbox = append(n.inbox, Input{Kind: ViewChanged, View: s.view(i, zones)})
 	if n.isReplica {
-		n.inbox = append(n.inbox, Input{Kind: Ordered, Agreed: n.table.Agreed()})
+		n.inbox = append(n.inbox, Input{Kind: AgreementChanged, Agreed: n.table.Agreed()})
 	}
 	s.wake(i, s.now)
 }
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -107,7 +107,7 @@
 		(len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxHeadBytes
 	for k := range t.lastVerdicts {
 		v := &t.lastVerdicts[k]
-		size += len(v.From) + len(v.Refused) + sizeOf(v.Differ)
+		size += len(v.From) + len(v.Refused) + sizeOf(v.Differing)
 	}
 	return size
 }
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -18,7 +18,7 @@
 		for k := from; k < to; k++ {
 			changes = append(changes, Item{Tenants, fmt.Sprintf("tenant-%06d", k), fmt.Appendf(nil, `{"quota_rps":%d}`, rate)})
 		}
-		v := table.Apply(int64(seq), &Command{Kind: Put, From: "a", Seq: seq, Base: base, Piece: piece, More: more, Changes: changes})
+		v := table.Apply(int64(seq), &Command{Kind: CommandPut, From: "a", Seq: seq, Base: base, Piece: piece, More: more, Changes: changes})
 		require.True(t, v.Done, v.Refused)
 	}
 	seq := uint64(0)
@@ -28,7 +28,7 @@
 		put(seq, 0, k/piece, k+piece < tenants, k, k+piece, 1)
 	}
 	require.Equal(t, uint64(1), table.Head().Newest)
-	require.True(t, table.Apply(1<<40, &Command{Kind: Advance, Version: 1}).Done)
+	require.True(t, table.Apply(1<<40, &Command{Kind: CommandAdvance, Version: 1}).Done)
 	for k := range 20 {
 		seq++
 		put(seq, uint64(k+1), 0, false, k, k+1, 2)
@@ -54,8 +54,8 @@
 		assert.LessOrEqual(t, len(w.Text())-last, once+maxBlockBytes)
 		last = len(w.Text())
 		seq++
-		table.Apply(1<<41, &Command{Kind: Put, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
-		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: Advance, Version: table.Head().First.Version})
+		table.Apply(1<<41, &Command{Kind: CommandPut, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
+		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
 	}
 	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
 	assert.Equal(t, before, w.Text())
@@ -74,14 +74,14 @@
 		at := int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
 			at += rapid.SampledFrom([]int64{0, canaryDuration}).Draw(t, "later")
-			c := Command{Kind: Put, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
+			c := Command{Kind: CommandPut, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
-				c = Command{Kind: Advance, Version: table.Head().First.Version}
+				c = Command{Kind: CommandAdvance, Version: table.Head().Canary.Version}
 			case 1:
-				c = Command{Kind: Stop, Version: table.Head().First.Version, Who: "n", Why: "no"}
+				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, Who: "n", Why: "no"}
 			case 2:
-				c = Command{Kind: Rollback, From: "c", Seq: seq + 1, Version: table.Head().All.Version}
+				c = Command{Kind: CommandRollback, From: "c", Seq: seq + 1, Version: table.Head().All.Version}
 			case 3:
 				c.Piece = table.draft.Pieces
 				c.More = rapid.Bool().Draw(t, "more")
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -154,7 +154,7 @@
 	}
 	for _, n := range sim.nodes[20:] {
 		s := n.replicator.Status(sim.now)
-		require.EqualValues(t, 1, s.Mark.Version)
+		require.EqualValues(t, 1, s.Revision.Version)
 		require.Greater(t, s.HeardNS, 55_000*ms, "its status says how long it had no confirmation")
 	}
 	sim.heal()
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -9,12 +9,12 @@
 
 // NodeStatus is what one node reported last.
 type NodeStatus struct {
-	Name    string
-	Mark    Revision `cbor:"Mark" json:"Mark"`
-	Refused Revision
-	Why     string
-	Age     int64 // ns since Mark was in force there, when it reported
-	At      int64 // when it reported
+	Name     string
+	Revision Revision `cbor:"Mark" json:"Mark"`
+	Refused  Revision
+	Why      string
+	Age      int64 // ns since Mark was in force there, when it reported
+	At       int64 // when it reported
 }
 
 // StatusTable is what nodes reported to one replica. It isn't replicated: the tables of all replicas together show the whole fleet. The
@@ -30,7 +30,7 @@
 	if status == nil {
 		status = t.add(name)
 	}
-	status.Mark = has
+	status.Revision = has
 	status.Refused = refused
 	status.Why = truncate(why, maxReasonBytes)
 	status.Age = age
--- a/internal/fleet/configsync/suppliers_test.go
+++ b/internal/fleet/configsync/suppliers_test.go
@@ -42,7 +42,7 @@
 	g.newest = c
 	g.all = c
 	g.canary = c
-	g.head = HeadRevision{All: g.first, First: g.first, Newest: 1}
+	g.head = HeadRevision{All: g.first, Canary: g.first, Newest: 1}
 	for _, name := range []string{"a", "b"} {
 		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{Mark: g.first, Content: c})
 	}
@@ -81,14 +81,14 @@
 		p.tokens = burstBytes
 	}
 	fetch := *e.Message
-	effects, _ := n.Step(now, []Input{{Kind: Asked, From: "n", Link: 1, Message: &fetch}})
+	effects, _ := n.Step(now, []Input{{Kind: ExchangeOpened, From: "n", Link: 1, Message: &fetch}})
 	return effectsOf(effects, Reply)[0].Message
 }
 
 // fetch has a node fetch until a version is ready; change can alter, drop and duplicate each answer. It returns the answers by peer and the bytes.
 func (g *suppliers) fetch(t *testing.T, r *Replicator, goal Revision, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
 	from = map[string]int{}
-	in := []Input{confirmation(goal, goal), announcement("a", HeadRevision{All: goal, First: goal}, goal), announcement("b", HeadRevision{All: goal, First: goal}, goal)}
+	in := []Input{confirmation(goal, goal), announcement("a", HeadRevision{All: goal, Canary: goal}, goal), announcement("b", HeadRevision{All: goal, Canary: goal}, goal)}
 	k := 0
 	most := g.head.Newest
 	for now := r.refilledAt + 500*ms; r.ready != goal && g.head.Newest == most; now += 10 * ms {
@@ -97,20 +97,20 @@
 		in = nil
 		for _, e := range effectsOf(effects, Exchange) {
 			if g.nodes[e.To] == nil {
-				in = append(in, Input{Kind: Missed, Link: e.Link})
+				in = append(in, Input{Kind: ExchangeFailed, Link: e.Link})
 				continue
 			}
 			for _, m := range change(k, e.To, g.answer(now, e)) {
 				if m != nil {
 					from[e.To]++
 					bytes += m.size()
-					in = append(in, Input{Kind: Answered, Link: e.Link, Message: m})
+					in = append(in, Input{Kind: ExchangeAnswered, Link: e.Link, Message: m})
 				}
 			}
 			k++
 		}
 		if r.Counters.InvalidResponses > 0 { // a penalized peer announces again
-			in = append(in, announcement("a", HeadRevision{All: goal, First: goal}, goal), announcement("b", HeadRevision{All: goal, First: goal}, goal))
+			in = append(in, announcement("a", HeadRevision{All: goal, Canary: goal}, goal), announcement("b", HeadRevision{All: goal, Canary: goal}, goal))
 		}
 	}
 	return from, bytes
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -54,7 +54,7 @@
 func (t *Table) RollbackVersions() []uint64 { return t.rollbackVersions }
 
 // atCanary reports whether a version is at the canary stage and may go on.
-func (t *Table) atCanary() bool { return t.head.First != t.head.All && !t.head.Stopped }
+func (t *Table) atCanary() bool { return t.head.Canary != t.head.All && !t.head.Stopped }
 
 // Due is the command that has the version at the canary stage in force for all, nil while it isn't time. Any replica may propose it:
 // the second one changes nothing.
@@ -62,7 +62,7 @@
 	if !t.atCanary() || at < t.canarySince+canaryDuration {
 		return nil
 	}
-	return &Command{Kind: Advance, Version: t.head.First.Version}
+	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version}
 }
 
 // DueAfter is as Due, where the version has been at the canary stage for so many ns by the caller's own clock. The table's time is slower
@@ -71,7 +71,7 @@
 	if !t.atCanary() || stood < canaryDuration {
 		return nil
 	}
-	return &Command{Kind: Advance, Version: t.head.First.Version, Stood: stood}
+	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version, CanaryTime: stood}
 }
 
 // DueAt is when Due will return a command, 0 for never.
@@ -86,10 +86,10 @@
 func (t *Table) Apply(at int64, c *Command) Verdict {
 	v := Verdict{From: c.From, Seq: c.Seq, Version: t.head.Newest}
 	switch c.Kind {
-	case Put, Rollback:
+	case CommandPut, CommandRollback:
 		return t.applyOnce(at, c, v)
-	case Advance:
-		due := cmp.Or(t.Due(at), t.DueAfter(c.Stood))
+	case CommandAdvance:
+		due := cmp.Or(t.Due(at), t.DueAfter(c.CanaryTime))
 		if due == nil || due.Version != c.Version {
 			v.Refused = "not the version at the first stage, or too early for it"
 			return v
@@ -97,7 +97,7 @@
 		t.snapshot = nil
 		v.Done = true
 		t.promote(at)
-	case Stop:
+	case CommandStop:
 		t.applyStop(c, &v)
 	default: // of a later build: all replicas ignore it alike
 		v.Refused = "unknown command"
@@ -120,7 +120,7 @@
 		return v
 	}
 	t.snapshot = nil
-	if c.Kind == Put {
+	if c.Kind == CommandPut {
 		t.applyPut(at, c, &v)
 	} else {
 		t.applyRollback(at, c, &v)
@@ -136,7 +136,7 @@
 
 // applyStop stops the version at the canary stage.
 func (t *Table) applyStop(c *Command, v *Verdict) {
-	if c.Version != t.head.First.Version || t.head.First == t.head.All {
+	if c.Version != t.head.Canary.Version || t.head.Canary == t.head.All {
 		v.Refused = "not at the first stage"
 		return
 	}
--- a/internal/fleet/configsync/versions.go
+++ b/internal/fleet/configsync/versions.go
@@ -7,12 +7,12 @@
 
 // commit makes a content the newest version. One that equals the newest makes none, unless a rollback brings it in force for all.
 func (t *Table) commit(at int64, c *Command, next *Content, v *Verdict) {
-	rollback := c.Kind == Rollback
+	rollback := c.Kind == CommandRollback
 	v.Done = true
 	if next.Digest() == t.newest.Digest() && (!rollback || t.head.Newest == t.head.All.Version) {
 		return
 	}
-	if t.head.Newest == 0 && c.Kind == Put {
+	if t.head.Newest == 0 && c.Kind == CommandPut {
 		t.head.Newest = min(c.Version, maxStartVersion)
 	}
 	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Rollback: rollback}
@@ -23,7 +23,7 @@
 	t.appendLog(record, fits)
 	switch {
 	case rollback: // it was in force for all before
-		t.head.First = Revision{record.Version, record.Digest}
+		t.head.Canary = Revision{record.Version, record.Digest}
 		t.canary = next
 		t.promote(at)
 	case !t.atCanary():
@@ -67,7 +67,7 @@
 
 // startCanary begins the canary stage of the newest version, with all that it is made on.
 func (t *Table) startCanary(at int64) {
-	t.head.First = Revision{t.head.Newest, t.newest.Digest()}
+	t.head.Canary = Revision{t.head.Newest, t.newest.Digest()}
 	t.head.Stopped = false
 	t.head.Who = ""
 	t.head.Why = ""
@@ -81,7 +81,7 @@
 	if len(t.rollbackVersions) > maxLogRecords {
 		t.rollbackVersions = slices.Delete(t.rollbackVersions, 0, 1)
 	}
-	t.head.All = t.head.First
+	t.head.All = t.head.Canary
 	t.all = t.canary
 	first := t.head.Newest + 1
 	if len(t.log) > 0 {
@@ -111,8 +111,8 @@
 				continue
 			}
 			seen[name] = true
-			if len(v.Differ) < maxNamedItems {
-				v.Differ = append(v.Differ, Item{Part: item.Part, Name: item.Name})
+			if len(v.Differing) < maxNamedItems {
+				v.Differing = append(v.Differing, Item{Part: item.Part, Name: item.Name})
 			} else {
 				v.More++
 			}
--- a/internal/fleet/consensus/configtable.go
+++ b/internal/fleet/consensus/configtable.go
@@ -55,7 +55,7 @@
 
 // trackCanary takes note of a change of the revision at the canary stage.
 func (t *configTable) trackCanary() {
-	canary := t.table.Head().First
+	canary := t.table.Head().Canary
 	if canary != t.canary {
 		t.canary = canary
 		t.canarySince = t.replica.now
@@ -90,12 +90,12 @@
 
 // ofCaller reports whether a command is of a kind that callers give.
 func ofCaller(c *configsync.Command) bool {
-	return c.Kind == configsync.Put || c.Kind == configsync.Rollback
+	return c.Kind == configsync.CommandPut || c.Kind == configsync.CommandRollback
 }
 
 // invalid is why a command is invalid by itself, empty where it isn't.
 func (t *configTable) invalid(c *configsync.Command) string {
-	if c.Kind != configsync.Put || t.validate == nil {
+	if c.Kind != configsync.CommandPut || t.validate == nil {
 		return ""
 	}
 	return t.validate(c)
@@ -162,7 +162,7 @@
 }
 
 func (t *configTable) applyCommand(at int64, c *configsync.Command) {
-	if c.Kind < configsync.Put || c.Kind > configsync.Rollback {
+	if c.Kind < configsync.CommandPut || c.Kind > configsync.CommandRollback {
 		panic(errNewerCommand)
 	}
 	t.replica.Counters.Committed++
--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -41,34 +41,34 @@
 		assert.Empty(t, text, "a group without a configuration has nothing of it in its snapshots")
 		assert.False(t, node.replica.configs.storedSeparately())
 	}
-	put := configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}}
+	put := configsync.Command{Kind: configsync.CommandPut, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}}
 	v := sim.propose(t, 0, put)
 	assert.Equal(t, configsync.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
 	assert.Equal(t, v, sim.propose(t, 1, put), "the same command at another replica has the same verdict")
-	v = sim.propose(t, 2, configsync.Command{Kind: configsync.Put, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y")}})
+	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandPut, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y")}})
 	assert.True(t, v.Stale)
-	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differ)
+	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differing)
 
 	sim.run(sim.now + 4_000*ms)
 	for _, h := range sim.heads() {
 		assert.Equal(t, uint64(1), h.All.Version, "the leader rolls it out to all after the canary stage")
 	}
 	for k := range 3 { // a change in several commands
-		v = sim.propose(t, k, configsync.Command{Kind: configsync.Put, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
+		v = sim.propose(t, k, configsync.Command{Kind: configsync.CommandPut, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
 			Changes: []configsync.Item{tenantItem(fmt.Sprint("z", k))}})
 		assert.True(t, v.Done, v.Refused)
 	}
 	assert.Equal(t, uint64(2), v.Version)
 	sim.nodes[3].configVerdicts = nil
 	sim.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
-		Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n3"}}})
+		Proposed: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n3"}}})
 	sim.run(sim.now + 500*ms)
 	assert.False(t, sim.heads()[0].Stopped, "only a replica may stop a version")
-	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.Stop, Version: 2, Who: "n7", Why: "no"}}})
+	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n7", Why: "no"}}})
 	sim.wakeNow(1)
 	sim.run(sim.now + 6_000*ms)
 	want := sim.heads()[0]
-	assert.Equal(t, []any{uint64(1), uint64(2), true, "n7"}, []any{want.All.Version, want.First.Version, want.Stopped, want.Who})
+	assert.Equal(t, []any{uint64(1), uint64(2), true, "n7"}, []any{want.All.Version, want.Canary.Version, want.Stopped, want.Who})
 
 	for i := range 3 {
 		sim.kill(i)
@@ -88,7 +88,7 @@
 		_, changed = sim.nodes[i].replica.AgreedConfig()
 		assert.False(t, changed, "it is reported once")
 	}
-	v = sim.propose(t, 2, configsync.Command{Kind: configsync.Rollback, From: "d", Seq: 1, Version: 1})
+	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandRollback, From: "d", Seq: 1, Version: 1})
 	assert.Equal(t, configsync.Verdict{From: "d", Seq: 1, Done: true, Version: 3}, v)
 	assert.Equal(t, uint64(3), sim.heads()[0].All.Version)
 }
@@ -98,7 +98,7 @@
 	for _, node := range sim.nodes[:3] {
 		node.replica.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
 	}
-	v := sim.propose(t, 0, configsync.Command{Kind: configsync.Put, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}})
+	v := sim.propose(t, 0, configsync.Command{Kind: configsync.CommandPut, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}})
 	assert.Equal(t, "unsound: x", v.Refused)
 	assert.Zero(t, sim.heads()[0].Newest)
 	assert.False(t, sim.nodes[0].replica.configs.inUse)
--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -16,10 +16,10 @@
 
 // Bounds of messages, in bytes.
 const (
-	Head         = 13        // of the header: version 1, fleet 4, checksum 8, all little-endian
-	DatagramMost = 1_200     // of a datagram that any path carries whole
-	ExchangeMost = 512 << 10 // of one message of an exchange: a table of the most members that settings allow
-	StreamMost   = 16 << 20  // of one message of a stream: a snapshot of the largest table that settings allow
+	Head             = 13        // of the header: version 1, fleet 4, checksum 8, all little-endian
+	MaxDatagramBytes = 1_200     // of a datagram that any path carries whole
+	MaxExchangeBytes = 512 << 10 // of one message of an exchange: a table of the most members that settings allow
+	MaxStreamBytes   = 16 << 20  // of one message of a stream: a snapshot of the largest table that settings allow
 )
 
 // Offsets of the header's fields.
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -173,7 +173,7 @@
 			s.step(n)
 		})
 	case 4:
-		s.step(n, Input{Kind: FactsChanged, Facts: Facts{Level: uint8(s.random.Intn(3)), NoUse: s.random.Intn(2) == 0}})
+		s.step(n, Input{Kind: FactsChanged, Facts: Facts{Level: uint8(s.random.Intn(3)), NoExecutor: s.random.Intn(2) == 0}})
 	case 5:
 		for other := range nodes / 2 {
 			address := fmt.Sprintf("10.0.0.%d:9", 1+other)
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -72,7 +72,7 @@
 	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"c left"}, soon(m))
 	r = record("b", 101) // in beat 1, then silent
-	r.StartedAt, r.Facts.Beat = 100, 1
+	r.StartedAt, r.Facts.DrainPhase = 100, 1
 	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"b left"}, soon(m))
 }
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -15,8 +15,8 @@
 	MessageViewRequest                        // request of a command; answered by a View instead of a message
 )
 
-// LookClaims in the Why of a MessageViewRequest asks for the claims instead of the view.
-const LookClaims = "claims"
+// ViewRequestClaims in the Why of a MessageViewRequest asks for the claims instead of the view.
+const ViewRequestClaims = "claims"
 
 // Message is what members send one another.
 type Message struct {
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -14,11 +14,11 @@
 
 // Facts are small properties that a member publishes of itself; the newest version counts.
 type Facts struct {
-	Version string `cbor:"1,keyasint,omitempty"`
-	Zone    string `cbor:"2,keyasint,omitempty"`
-	Level   uint8  `cbor:"3,keyasint,omitempty"`              // degradation level
-	Beat    uint8  `cbor:"4,keyasint,omitempty" json:"Beat"`  // phase of the drain, 0 outside one
-	NoUse   bool   `cbor:"5,keyasint,omitempty" json:"NoUse"` // up, but without an executor
+	Version    string `cbor:"1,keyasint,omitempty"`
+	Zone       string `cbor:"2,keyasint,omitempty"`
+	Level      uint8  `cbor:"3,keyasint,omitempty"`              // degradation level
+	DrainPhase uint8  `cbor:"4,keyasint,omitempty" json:"Beat"`  // phase of the drain, 0 outside one
+	NoExecutor bool   `cbor:"5,keyasint,omitempty" json:"NoUse"` // up, but without an executor
 }
 
 // Record is a member's own description. Only the member writes it; of two records the one with the higher
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -65,9 +65,9 @@
 		peer.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
 		peer.statusSince = m.ownTime
 		cause, changed = Replaced, true
-	case peer.inView && r.Facts.NoUse && !peer.record.Facts.NoUse:
+	case peer.inView && r.Facts.NoExecutor && !peer.record.Facts.NoExecutor:
 		cause, changed = ExecutorLost, true
-	case peer.inView && !r.Facts.NoUse && peer.record.Facts.NoUse:
+	case peer.inView && !r.Facts.NoExecutor && peer.record.Facts.NoExecutor:
 		cause, changed = ExecutorRestored, true
 	}
 	if peer.inDigest {
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -57,7 +57,7 @@
 	case m.isolated:
 		peer.unreachableSince = m.ownTime // the suspicion timeout starts once this node has links again
 		m.setStatus(peer, Suspect)
-	case peer.record.Facts.Beat > 0:
+	case peer.record.Facts.DrainPhase > 0:
 		m.leaveView(peer, Departed)
 	case m.ownTime >= lossEndsAt:
 		peer.flaps = min(peer.flaps+1, maxFlaps)
--- a/internal/fleet/quota/fair_share.go
+++ b/internal/fleet/quota/fair_share.go
@@ -20,7 +20,7 @@
 	remaining := l.Units
 	unsatisfied := make([]int, 0, len(shares)) // indices of the leases whose holders want more
 	for i := range l.Leases {
-		if l.Leases[i].Want > 0 {
+		if l.Leases[i].WantedUnits > 0 {
 			unsatisfied = append(unsatisfied, i)
 		}
 	}
@@ -28,10 +28,10 @@
 		each := remaining / int64(len(unsatisfied))
 		still := unsatisfied[:0]
 		for _, i := range unsatisfied {
-			more := min(each, l.Leases[i].Want-shares[i])
+			more := min(each, l.Leases[i].WantedUnits-shares[i])
 			shares[i] += more
 			remaining -= more
-			if shares[i] < l.Leases[i].Want {
+			if shares[i] < l.Leases[i].WantedUnits {
 				still = append(still, i)
 			}
 		}
@@ -58,7 +58,7 @@
 	turns := make([]turn, len(leases))
 	shift := int(time / rotationInterval * rotationBits)
 	for k, i := range leases {
-		turns[k] = turn{key: bits.RotateLeft64(xxhash.Sum64String(l.Leases[i].Who.Name), shift), lease: i}
+		turns[k] = turn{key: bits.RotateLeft64(xxhash.Sum64String(l.Leases[i].Owner.Name), shift), lease: i}
 	}
 	slices.SortFunc(turns, func(a, b turn) int { return cmp.Compare(a.key, b.key) })
 	return turns
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -10,15 +10,15 @@
 
 // Counters are what operators see of a holder.
 type Counters struct {
-	Asked  int   `json:"asked"`
-	Lapsed int   `json:"lapsed"`     // times that a lease ended before it was renewed
-	Short  int   `json:"short"`      // verdicts that gave less than was wanted
-	Worst  int64 `json:"worst_over"` // most units in use over those allowed that this node saw of itself
-	Units  int64 `json:"units"`
-	Wanted int64 `json:"wanted"`
-	Used   int64 `json:"used"`
-	Target int64 `json:"target"`
-	AgeMS  int64 `json:"age_ms"` // since the lease was requested
+	Requests    int   `json:"asked"`
+	Lapsed      int   `json:"lapsed"`     // times that a lease ended before it was renewed
+	ShortGrants int   `json:"short"`      // verdicts that gave less than was wanted
+	MaxOveruse  int64 `json:"worst_over"` // most units in use over those allowed that this node saw of itself
+	Units       int64 `json:"units"`
+	Wanted      int64 `json:"wanted"`
+	Used        int64 `json:"used"`
+	FairShare   int64 `json:"target"`
+	AgeMS       int64 `json:"age_ms"` // since the lease was requested
 }
 
 // LeaseHolder says how much of one limit its node may use. A lease counts from when it was requested, by the node's own monotonic
@@ -102,12 +102,12 @@
 		Limit:         h.config.Name,
 		UnitsInUse:    max(h.units, used), // of a lease that lapsed, units may still be in use
 		WantedUnits:   want,
-		LeaseDuration: h.config.Term,
+		LeaseDuration: h.config.LeaseTerm,
 	}
 	h.requestedAt = now
 	h.lastSentAt = now
 	h.nextRequestAt = now + renewalInterval
-	h.Counters.Asked++
+	h.Counters.Requests++
 }
 
 func (h *LeaseHolder) updateCounters(now, used, want int64) {
@@ -115,14 +115,14 @@
 	h.Counters.Units = allowed
 	h.Counters.Wanted = want
 	h.Counters.Used = used
-	h.Counters.Target = h.fairShare
+	h.Counters.FairShare = h.fairShare
 	h.Counters.AgeMS = (now - h.leasedAt) / ms
-	h.Counters.Worst = max(h.Counters.Worst, used-allowed-h.lingeringUnits(now, used))
+	h.Counters.MaxOveruse = max(h.Counters.MaxOveruse, used-allowed-h.lingeringUnits(now, used))
 }
 
 // lingeringUnits are those in use of a lease that lapsed, whose use began before its end.
 func (h *LeaseHolder) lingeringUnits(now, used int64) int64 {
-	if now >= h.usableUntil && now < h.usableUntil+h.config.Hold {
+	if now >= h.usableUntil && now < h.usableUntil+h.config.MaxUseTime {
 		return used
 	}
 	return 0
@@ -134,11 +134,11 @@
 	}
 	if verdict.LimitDefined {
 		h.units = verdict.Units
-		h.usableUntil = h.requestedAt + h.config.Term - h.config.driftMargin() - h.config.Hold
+		h.usableUntil = h.requestedAt + h.config.LeaseTerm - h.config.driftMargin() - h.config.MaxUseTime
 		h.fairShare = verdict.FairShare
 		h.leasedAt = h.requestedAt
 		if verdict.Units < h.request.WantedUnits {
-			h.Counters.Short++
+			h.Counters.ShortGrants++
 		}
 	}
 	h.requestedAt = 0
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -21,20 +21,20 @@
 
 // Lease is what one holder has of a limit.
 type Lease struct {
-	Who   Owner  `cbor:"1,keyasint" json:"Who"`
-	Units int64  `cbor:"2,keyasint,omitempty"`
-	Want  int64  `cbor:"3,keyasint,omitempty" json:"Want"`
-	Until int64  `cbor:"4,keyasint" json:"Until"` // in the table's time
-	Seq   uint64 `cbor:"5,keyasint"`
+	Owner       Owner  `cbor:"1,keyasint" json:"Who"`
+	Units       int64  `cbor:"2,keyasint,omitempty"`
+	WantedUnits int64  `cbor:"3,keyasint,omitempty" json:"Want"`
+	ExpiresAt   int64  `cbor:"4,keyasint" json:"Until"` // in the table's time
+	Seq         uint64 `cbor:"5,keyasint"`
 }
 
 // Limit is one limit with its leases, in the order of their holders.
 type Limit struct {
-	Name    string  `cbor:"1,keyasint"`
-	Units   int64   `cbor:"2,keyasint"`
-	Version uint64  `cbor:"3,keyasint"`
-	Wait    int64   `cbor:"4,keyasint,omitempty" json:"Wait"`
-	Leases  []Lease `cbor:"5,keyasint,omitempty"`
+	Name       string  `cbor:"1,keyasint"`
+	Units      int64   `cbor:"2,keyasint"`
+	Version    uint64  `cbor:"3,keyasint"`
+	StartDelay int64   `cbor:"4,keyasint,omitempty" json:"Wait"`
+	Leases     []Lease `cbor:"5,keyasint,omitempty"`
 }
 
 // LeasedUnits is the sum of all leases.
@@ -72,7 +72,7 @@
 	switch {
 	case command.Units < 0 || command.Units > maxUnits:
 	case limit == nil && len(t.limits) < maxLimits:
-		t.limits[command.Limit] = &Limit{Name: command.Limit, Units: command.Units, Version: command.Version, Wait: command.StartDelay}
+		t.limits[command.Limit] = &Limit{Name: command.Limit, Units: command.Units, Version: command.Version, StartDelay: command.StartDelay}
 	case limit != nil && command.Version > limit.Version:
 		limit.Units = command.Units
 		limit.Version = command.Version
@@ -81,12 +81,12 @@
 
 // request renews a holder's lease, taking what it gives back and granting up to its fair share.
 func (l *Limit) request(time int64, command *Command, verdict *Verdict) {
-	i, found := slices.BinarySearchFunc(l.Leases, command.Sender, func(lease Lease, holder Owner) int { return CompareOwners(lease.Who, holder) })
+	i, found := slices.BinarySearchFunc(l.Leases, command.Sender, func(lease Lease, holder Owner) int { return CompareOwners(lease.Owner, holder) })
 	if !found {
 		if command.WantedUnits <= 0 || len(l.Leases) >= maxHolders {
 			return
 		}
-		l.Leases = slices.Insert(l.Leases, i, Lease{Who: command.Sender})
+		l.Leases = slices.Insert(l.Leases, i, Lease{Owner: command.Sender})
 	}
 	lease := &l.Leases[i]
 	if command.Seq < lease.Seq { // late: a newer request was answered since
@@ -94,22 +94,22 @@
 	}
 	if command.Seq > lease.Seq {
 		lease.Units = min(lease.Units, max(0, command.UnitsInUse))
-		lease.Want = min(max(0, command.WantedUnits), maxUnits)
+		lease.WantedUnits = min(max(0, command.WantedUnits), maxUnits)
 		lease.Seq = command.Seq
 	}
-	lease.Until = max(lease.Until, time+max(0, command.LeaseDuration)+MaxTimeStep)
+	lease.ExpiresAt = max(lease.ExpiresAt, time+max(0, command.LeaseDuration)+MaxTimeStep)
 	verdict.FairShare = l.fairShares(time)[i]
-	if free := l.Units - l.LeasedUnits(); time >= l.Wait+MaxTimeStep && free > 0 {
+	if free := l.Units - l.LeasedUnits(); time >= l.StartDelay+MaxTimeStep && free > 0 {
 		lease.Units += min(free, max(0, verdict.FairShare-lease.Units))
 	}
 	verdict.Units = lease.Units
-	if lease.Units == 0 && lease.Want == 0 {
+	if lease.Units == 0 && lease.WantedUnits == 0 {
 		l.Leases = slices.Delete(l.Leases, i, i+1)
 	}
 }
 
 func (l *Limit) expireLeases(time int64) {
-	l.Leases = slices.DeleteFunc(l.Leases, func(lease Lease) bool { return lease.Until <= time })
+	l.Leases = slices.DeleteFunc(l.Leases, func(lease Lease) bool { return lease.ExpiresAt <= time })
 }
 
 // Limits are all limits, by name; they must not be changed.
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -67,7 +67,7 @@
 func newSimulation(seed int64, nodes int, limit int64) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), now: 1, table: NewLeaseTable(), maxDelay: 2 * ms, config: testConfig}
 	sim.config.Units = limit
-	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.Term})
+	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.LeaseTerm})
 	sim.partitioned = make([]bool, nodes)
 	for i := range nodes {
 		sim.nodes = append(sim.nodes, &simulatedNode{})
@@ -138,7 +138,7 @@
 		allowed = sim.fixedShare
 	}
 	for int64(sim.unitsInUse(node)) < allowed && sim.unitsInUse(node) < node.demand {
-		node.useEnds = append(node.useEnds, sim.now+sim.rng.Int63n(int64(0.98*float64(sim.config.Hold))))
+		node.useEnds = append(node.useEnds, sim.now+sim.rng.Int63n(int64(0.98*float64(sim.config.MaxUseTime))))
 	}
 	send, next := node.holder.Step(local, int64(sim.unitsInUse(node)), int64(max(0, node.demand-sim.unitsInUse(node))), node.verdicts)
 	node.verdicts = node.verdicts[:0]
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -127,7 +127,7 @@
 		return nil
 	}
 	s := replicator.Status(sm.now)
-	return &ConfigSyncState{Version: s.Mark.Version, Digest: s.Mark.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
+	return &ConfigSyncState{Version: s.Revision.Version, Digest: s.Revision.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
 		Behind: s.Behind, BehindNS: s.BehindNS, Refused: s.Refused.Version, Why: s.Why, Counters: s.Counters}
 }
 
@@ -150,7 +150,7 @@
 
 // configPersisted applies the end of a write to the disk.
 func (sm *StateMachine) configPersisted(in *Input) {
-	next := configsync.Input{Kind: configsync.Saved}
+	next := configsync.Input{Kind: configsync.VersionPersisted}
 	if in.Err != nil {
 		next.Why = in.Err.Error()
 	}
@@ -159,8 +159,8 @@
 
 // startPending starts to validate a version, and to apply it unless it is only to be checked.
 func (sm *StateMachine) startPending(e *configsync.Effect) {
-	pending := &pendingConfig{mark: e.Mark, canary: e.First, checkOnly: e.Kind == configsync.Check, startedAt: sm.now, old: e.Old, new: e.New,
-		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), version: version{number: e.Mark.Version}}
+	pending := &pendingConfig{mark: e.Revision, canary: e.Canary, checkOnly: e.Kind == configsync.CheckVersion, startedAt: sm.now, old: e.Old, new: e.New,
+		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), version: version{number: e.Revision.Version}}
 	if sm.hollow.enabled() { // it has no admission controller that could not apply it
 		sm.configApplied(pending, nil)
 		return
@@ -211,9 +211,9 @@
 func (sm *StateMachine) configApplied(p *pendingConfig, err error) {
 	cs := &sm.configSync
 	cs.pending = nil
-	next := configsync.Input{Kind: configsync.Took, Mark: p.mark}
+	next := configsync.Input{Kind: configsync.VersionApplied, Revision: p.mark}
 	if p.checkOnly {
-		next.Kind = configsync.Checked
+		next.Kind = configsync.VersionChecked
 	}
 	if err != nil {
 		sm.Counters.VersionsRefused++
@@ -254,11 +254,11 @@
 	cs := &sm.configSync
 	if agreed, changed := sm.claiming.agreedConfig(); changed {
 		cs.agreed = agreed
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.AgreementChanged, Agreed: agreed})
 	}
 	if current, has := sm.claiming.replicaIsCurrent(); has && current != cs.replicaCurrent {
 		cs.replicaCurrent = current
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Stood, Current: current})
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ReplicaContactChanged, ReplicaCurrent: current})
 	}
 }
 
@@ -279,9 +279,9 @@
 	cs.viewRefreshAt = sm.now + viewRefreshInterval
 	self := sm.fleet.selfName()
 	others := slices.DeleteFunc(slices.Clone(sm.claiming.replicaNames()), func(name string) bool { return name == self })
-	cs.view = configsync.View{Neighbours: neighbours, Zone: members.InZone(), Seats: others}
+	cs.view = configsync.View{Neighbours: neighbours, Zone: members.InZone(), Replicas: others}
 	view := cs.view
-	cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Viewed, View: &view})
+	cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ViewChanged, View: &view})
 }
 
 // executeConfigEffect carries out an effect of the replicator.
@@ -293,14 +293,14 @@
 		sm.openConfigExchange(e)
 	case configsync.Reply:
 		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &configMessage{Message: e.Message})
-	case configsync.Take, configsync.Check:
+	case configsync.ApplyVersion, configsync.CheckVersion:
 		sm.startPending(e)
-	case configsync.Persist:
+	case configsync.PersistVersion:
 		persisting := *e
 		sm.emit(Effect{Kind: PersistVersion, Persisting: &persisting})
-	case configsync.Order:
+	case configsync.ProposeCommand:
 		sm.claiming.proposeConfig(e.Command)
-	case configsync.Remark:
+	case configsync.WriteLog:
 		sm.logComponent(e.Warn, e.Text)
 	}
 }
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -56,10 +56,10 @@
 		}
 	case request && received.Question != nil:
 		sm.applyOperatorQuery(in.Link, received.Question)
-	case request && m != nil && m.Kind == configsync.Fetch:
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Asked, From: received.From, Link: in.Link, Message: m})
-	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.Tell && m.Kind <= configsync.Vouch:
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Came, From: received.From, Message: m})
+	case request && m != nil && m.Kind == configsync.MessageFetch:
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ExchangeOpened, From: received.From, Link: in.Link, Message: m})
+	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.DatagramReceived, From: received.From, Message: m})
 	default:
 		sm.countUnusable(in, fmt.Errorf("%w: a configuration message that does not belong there", envelope.ErrSpoilt))
 	}
@@ -71,10 +71,10 @@
 	if cs.replicator == nil {
 		return
 	}
-	next := configsync.Input{Kind: configsync.Missed, Link: in.Link - configLinkOffset}
+	next := configsync.Input{Kind: configsync.ExchangeFailed, Link: in.Link - configLinkOffset}
 	if in.Kind == PeerResponseReceived {
 		if response := sm.decodeConfigResponse(in); response != nil {
-			next.Kind = configsync.Answered
+			next.Kind = configsync.ExchangeAnswered
 			next.From = response.From
 			next.Message = response.Message
 		}
@@ -90,7 +90,7 @@
 		return nil
 	}
 	response := body.Configuration
-	if response == nil || response.Message == nil || response.Message.Kind != configsync.Piece {
+	if response == nil || response.Message == nil || response.Message.Kind != configsync.MessageContent {
 		return nil
 	}
 	return response
@@ -110,13 +110,13 @@
 	}
 	out := &configMessage{From: sm.fleet.selfName(), Message: m}
 	text, err := sm.fleet.seal(configMessageBody{out})
-	if err == nil && len(text) > envelope.DatagramMost && len(m.Records) > 0 {
+	if err == nil && len(text) > envelope.MaxDatagramBytes && len(m.Records) > 0 {
 		short := *m
 		short.Records = nil
 		out.Message = &short
 		text, err = sm.fleet.seal(configMessageBody{out})
 	}
-	if sm.Invariants.Check(err == nil && len(text) <= envelope.DatagramMost, "a configuration message can be encoded, and fits any path") {
+	if sm.Invariants.Check(err == nil && len(text) <= envelope.MaxDatagramBytes, "a configuration message can be encoded, and fits any path") {
 		sm.emit(Effect{Kind: SendDatagram, Address: address, Bytes: text})
 	}
 }
@@ -126,7 +126,7 @@
 	address, known := sm.fleet.addressOf(e.To)
 	if !known {
 		cs := &sm.configSync
-		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.Missed, Link: e.Link})
+		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ExchangeFailed, Link: e.Link})
 		return
 	}
 	sm.sendConfigEnvelope(Effect{Kind: OpenExchange, Link: configLinkOffset + e.Link, Address: address}, &configMessage{Message: e.Message})
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -27,9 +27,9 @@
 func (sm *StateMachine) applyOperatorQuery(link int, q *configsync.Query) {
 	var a *configsync.Answer
 	switch {
-	case q.Kind == configsync.ShowStanding:
+	case q.Kind == configsync.QueryStatus:
 		a = sm.configStatus()
-	case q.Kind == configsync.ReadBlocks:
+	case q.Kind == configsync.QueryBlocks:
 		a = sm.configSync.blocks(q)
 	case isProposal(q):
 		if sm.addProposal(link, q.Command) {
@@ -45,28 +45,28 @@
 
 // isProposal says whether a query proposes a change that can be ordered.
 func isProposal(q *configsync.Query) bool {
-	if q.Kind != configsync.Propose || q.Command == nil || q.Command.From == "" {
+	if q.Kind != configsync.QueryPropose || q.Command == nil || q.Command.From == "" {
 		return false
 	}
-	return q.Command.Kind == configsync.Put || q.Command.Kind == configsync.Rollback
+	return q.Command.Kind == configsync.CommandPut || q.Command.Kind == configsync.CommandRollback
 }
 
 // blocks are some of the blocks of a version's content.
 func (cs *configSyncState) blocks(q *configsync.Query) *configsync.Answer {
-	a := &configsync.Answer{Mark: cs.replicator.Revision()}
+	a := &configsync.Answer{Revision: cs.replicator.Revision()}
 	content := cs.replicator.Content()
-	if q.Which != configsync.InForce {
+	if q.Which != configsync.ContentInForce {
 		if cs.agreed == nil {
 			a.Why = "it has no seat in the council, or its seat knows nothing yet"
 			return a
 		}
 		switch q.Which {
-		case configsync.ForAll:
+		case configsync.ContentForAll:
 			content = cs.agreed.All
-			a.Mark = cs.agreed.Head.All
-		case configsync.Newest:
+			a.Revision = cs.agreed.Head.All
+		case configsync.ContentNewest:
 			content = cs.agreed.Newest
-			a.Mark = newestRevision(cs.agreed)
+			a.Revision = newestRevision(cs.agreed)
 		}
 	}
 	a.Blocks, a.Next = content.Blocks(q.From, maxAnswerBytes)
@@ -82,10 +82,10 @@
 func (sm *StateMachine) configStatus() *configsync.Answer {
 	cs := &sm.configSync
 	status := cs.replicator.Status(sm.now)
-	a := &configsync.Answer{Status: &status, Mark: status.Mark}
+	a := &configsync.Answer{Status: &status, Revision: status.Revision}
 	for _, name := range sm.claiming.replicaNames() {
 		address, _ := sm.fleet.addressOf(name)
-		a.Seats = append(a.Seats, configsync.Place{Name: name, Address: address})
+		a.Replicas = append(a.Replicas, configsync.ReplicaAddress{Name: name, Address: address})
 	}
 	if cs.agreed == nil {
 		return a
@@ -94,7 +94,7 @@
 	for k := range nodes {
 		nodes[k].At = sm.now - nodes[k].At
 	}
-	a.Seat = &configsync.AtSeat{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), Good: sm.claiming.rollbackVersions(), Nodes: nodes,
+	a.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.claiming.rollbackVersions(), Nodes: nodes,
 		Alive: sm.Members().InView()}
 	return a
 }
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -35,7 +35,7 @@
 
 // put proposes changes of a version, and steps until the new version is in force or refused.
 func put(t *testing.T, r *StateMachine, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
-	c := &configsync.Command{Kind: configsync.Put, From: from, Seq: 1, Base: base}
+	c := &configsync.Command{Kind: configsync.CommandPut, From: from, Seq: 1, Base: base}
 	for _, i := range items {
 		if len(i.Value) > 0 {
 			var err error
@@ -44,7 +44,7 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	a, all := query(t, r, &configsync.Query{Kind: configsync.Propose, Command: c})
+	a, all := query(t, r, &configsync.Query{Kind: configsync.QueryPropose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
 		if !a.Verdict.Done || r.ConfigSyncState().Version >= a.Verdict.Version || r.ConfigSyncState().Refused >= a.Verdict.Version {
@@ -92,7 +92,7 @@
 	for range 10 {
 		step(r)
 	}
-	a, _ := query(t, r, &configsync.Query{Kind: configsync.ShowStanding})
-	assert.True(t, a.Seat.Head.Stopped, "the rollout stops")
-	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.Seat.Head.Who, a.Seat.Head.All.Version})
+	a, _ := query(t, r, &configsync.Query{Kind: configsync.QueryStatus})
+	assert.True(t, a.ReplicaStatus.Head.Stopped, "the rollout stops")
+	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.ReplicaStatus.Head.Who, a.ReplicaStatus.Head.All.Version})
 }
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -91,14 +91,14 @@
 		TookNS: in[0].InForce.TookNS}, *in[0].InForce)
 	kept := kindsOf(effects, PersistVersion)
 	require.Len(t, kept, 1)
-	assert.Equal(t, uint64(2), kept[0].Persisting.Mark.Version)
+	assert.Equal(t, uint64(2), kept[0].Persisting.Revision.Version)
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
 	assert.Equal(t, 1, runsOf(step(r, arrival(r, 3, "op", "new"))))
 	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(r, 1)), "work in flight ends under the old version")
 
 	v, _ = put(t, r, "c", 1, tenant("x", 3))
 	assert.True(t, v.Stale)
-	assert.ElementsMatch(t, []configsync.Item{{Part: nodeconfig.Operations, Name: "hold"}, {Part: nodeconfig.Operations, Name: "new"}}, v.Differ)
+	assert.ElementsMatch(t, []configsync.Item{{Part: nodeconfig.Operations, Name: "hold"}, {Part: nodeconfig.Operations, Name: "new"}}, v.Differing)
 	again, _ := put(t, r, "b", 7, operation("other", ""))
 	assert.Equal(t, uint64(2), again.Version, "the same request has the same verdict")
 }
@@ -115,7 +115,7 @@
 	next, err := content.Apply(items)
 	require.NoError(t, err)
 	mark := configsync.Revision{Version: 9, Digest: next.Digest()}
-	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Mark: mark, Old: content, New: next})
+	r.executeConfigEffect(&configsync.Effect{Kind: configsync.ApplyVersion, Revision: mark, Old: content, New: next})
 	steps := 0
 	for ; r.configSync.pending != nil; steps++ {
 		was := r.config.Tenants.Slots()
@@ -152,13 +152,13 @@
 		}
 		next, err := content.Apply(items)
 		require.NoError(t, err)
-		e := &configsync.Effect{Kind: configsync.Check, Mark: configsync.Revision{Version: 9, Digest: next.Digest()}, First: true, Old: content, New: next}
+		e := &configsync.Effect{Kind: configsync.CheckVersion, Revision: configsync.Revision{Version: 9, Digest: next.Digest()}, Canary: true, Old: content, New: next}
 		r.executeConfigEffect(e)
 		require.NotNil(t, r.configSync.pending)
 		if c.taken {
 			step(r)
 			again := *e
-			again.Kind = configsync.Take
+			again.Kind = configsync.ApplyVersion
 			r.executeConfigEffect(&again)
 		}
 		var all []Effect
@@ -224,7 +224,7 @@
 	})
 	require.NoError(t, err)
 	servingNode(r)
-	r.executeConfigEffect(&configsync.Effect{Kind: configsync.Take, Old: own, New: next, Mark: configsync.Revision{Version: 2, Digest: next.Digest()}})
+	r.executeConfigEffect(&configsync.Effect{Kind: configsync.ApplyVersion, Old: own, New: next, Revision: configsync.Revision{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
 	for ; r.configSync.pending != nil; steps++ {
 		taking := r.configSync.pending
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -204,8 +204,8 @@
 func (d digest) persisting(e *configsync.Effect) {
 	d.integers(int64(e.Kind), int64(e.Link), int64(len(e.Records)))
 	d.texts(e.To)
-	d.revision(e.Mark)
-	d.bools(e.First, e.Full, e.Warn, e.Message != nil, e.Command != nil, e.Old != nil, e.New != nil)
+	d.revision(e.Revision)
+	d.bools(e.Canary, e.Full, e.Warn, e.Message != nil, e.Command != nil, e.Old != nil, e.New != nil)
 	for _, c := range []*configsync.Content{e.Old, e.New} {
 		if c != nil {
 			d.revision(configsync.Revision{Digest: c.Digest()})
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -133,7 +133,7 @@
 		return
 	}
 	s.lastOrder++
-	c := &configsync.Command{Kind: configsync.Put, From: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncState().Version}
+	c := &configsync.Command{Kind: configsync.CommandPut, From: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncState().Version}
 	for _, i := range s.randomItems() {
 		if len(i.Value) > 0 {
 			var err error
@@ -142,7 +142,7 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.EncodeConfigQuery(&configsync.Query{Kind: configsync.Propose, Command: c}))
+	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryPropose, Command: c}))
 	require.NoError(s.t, err)
 	s.lastExchange++
 	n.deliver(node.Input{Kind: node.PeerRequestReceived, Link: s.lastExchange, From: "10.0.9.9:9", Bytes: text})
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -128,13 +128,13 @@
 	case 0:
 		body = &membership.Message{Kind: membership.MessageViewRequest}
 	case 1:
-		body = &membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}
+		body = &membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}
 	case 2:
 		body = &membership.Message{Kind: []membership.MessageKind{membership.MessageSyncRequest, membership.MessageGossip, 0}[n.Rand.Intn(3)]}
 	case 3:
-		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.ShowStanding})
+		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryStatus})
 	case 4:
-		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.ReadBlocks,
+		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryBlocks,
 			Which: n.Rand.Intn(3)})
 	default:
 		body = node.EncodeConfigQuery(&configsync.Query{Kind: 77})
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -42,7 +42,7 @@
 		})
 	}
 	t.Run("the ask for claims", func(t *testing.T) {
-		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.LookClaims}, sealMessage, openMessage)
+		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}, sealMessage, openMessage)
 	})
 	t.Run("view", func(t *testing.T) {
 		want := fixture.Filled[membership.View](1)
@@ -69,7 +69,7 @@
 
 // Configuration messages between replicators, and of commands and their answers.
 func TestFixturesOfConfigurationMessages(t *testing.T) {
-	for k, kind := range []configsync.MessageKind{configsync.Tell, configsync.Report, configsync.Vouch, configsync.Fetch, configsync.Piece} {
+	for k, kind := range []configsync.MessageKind{configsync.MessageAnnounce, configsync.MessageReport, configsync.MessageConfirm, configsync.MessageFetch, configsync.MessageContent} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configMessage](uint32(k))
 			want.Message.Kind, want.Question, want.Answer = kind, nil, nil
@@ -80,7 +80,7 @@
 			assert.Equal(t, peerMessage{Configuration: &want}, got)
 		})
 	}
-	for k, kind := range []configsync.QueryKind{configsync.ShowStanding, configsync.ReadBlocks, configsync.Propose} {
+	for k, kind := range []configsync.QueryKind{configsync.QueryStatus, configsync.QueryBlocks, configsync.QueryPropose} {
 		t.Run(fmt.Sprintf("question %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configsync.Query](uint32(k))
 			want.Kind = kind
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -21,7 +21,7 @@
 	r.MakeHollow(c, false)
 	r.JoinFleet("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
 	r.EnableConsensus([]string{config.Name}, 4<<20, 0, 1)
-	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 5, Hold: 500 * ms, Term: 3_000 * ms}, 1)
+	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 5, MaxUseTime: 500 * ms, LeaseTerm: 3_000 * ms}, 1)
 	return r, c
 }
 
@@ -59,7 +59,7 @@
 	}
 	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{c.Wanted.Load(), c.Begun.Load(), c.Kept.Load(), c.TurnedAway.Load(), c.Late.Load()})
 	assert.Equal(t, []int64{8, 5, 5}, []int64{c.Calls.Load(), c.Allowed.Load(), c.InHand.Load()}, "the whole limit, and no more")
-	assert.False(t, r.facts().NoUse, "it accepts claims of lost nodes")
+	assert.False(t, r.facts().NoExecutor, "it accepts claims of lost nodes")
 }
 
 func TestHollowNodeExitsAtOnceWhenDrained(t *testing.T) {
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -27,7 +27,7 @@
 		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.claiming.owner())), config: config, announcedUnits: -1}
 	}
 	sm.claiming.setLimits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: config.Name, Units: config.Units, Version: version,
-		StartDelay: config.Term}})
+		StartDelay: config.LeaseTerm}})
 }
 
 // enabled says whether calls are bounded by leases.
@@ -64,7 +64,7 @@
 }
 
 // maxCallTime is for how long the admission controller may wait for a call.
-func (ls *leaseState) maxCallTime() int64 { return ls.config.Hold / 2 }
+func (ls *leaseState) maxCallTime() int64 { return ls.config.MaxUseTime / 2 }
 
 // limitEvent announces a number of units to the admission controller.
 func (ls *leaseState) limitEvent(units int) admission.Event {
@@ -79,7 +79,7 @@
 	if ls.holder == nil || !s.up || s.invocation < 0 {
 		return
 	}
-	ls.abandonedUntil = append(ls.abandonedUntil, sm.now+ls.config.Hold/2)
+	ls.abandonedUntil = append(ls.abandonedUntil, sm.now+ls.config.MaxUseTime/2)
 	ls.requestStep(sm.now)
 }
 
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -15,7 +15,7 @@
 // leasingNode is a node without a replica whose calls are bounded by leases, with a run that waits for a call.
 func leasingNode(t *testing.T) *StateMachine {
 	r := claimingNode(t)
-	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, Term: 4_000 * ms, Hold: 1_000 * ms}, 1)
+	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, LeaseTerm: 4_000 * ms, MaxUseTime: 1_000 * ms}, 1)
 	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claimsOfInvocation(t, r)[0], 1)))
 	require.Len(t, start, 1)
 	receiveFromReplica(t, r, verdictOn(start[0], 1))
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -136,7 +136,7 @@
 
 // answerViewRequest answers a command that asks for the view, or for the summary of the claims.
 func (sm *StateMachine) answerViewRequest(link int, msg *membership.Message) {
-	if msg.Why != membership.LookClaims {
+	if msg.Why != membership.ViewRequestClaims {
 		view := sm.fleet.members.View()
 		sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &view)
 		return
@@ -219,12 +219,12 @@
 		fs.executorLostAt = sm.now
 	}
 	executorLost := fs.executorLostAt >= 0 && sm.now-fs.executorLostAt >= executorLossTimeout
-	f.NoUse = sm.hollow.isReplicaOnly() || !sm.hollow.enabled() && executorLost
+	f.NoExecutor = sm.hollow.isReplicaOnly() || !sm.hollow.enabled() && executorLost
 	switch {
 	case sm.drain.isAcceptStopped():
-		f.Beat = drainStageStopped
+		f.DrainPhase = drainStageStopped
 	case sm.drain.isRequested():
-		f.Beat = drainStageRequested
+		f.DrainPhase = drainStageRequested
 	}
 	f.Level = uint8(sm.degradation.level())
 	return f
@@ -249,7 +249,7 @@
 	if !sm.Invariants.Check(err == nil, "a message to a peer can be encoded") {
 		return
 	}
-	if sm.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.DatagramMost, "a datagram fits any path") {
+	if sm.Invariants.Check(e.Kind != SendDatagram || len(e.Bytes) <= envelope.MaxDatagramBytes, "a datagram fits any path") {
 		sm.emit(e)
 	}
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -95,9 +95,9 @@
 	r := fleetNode(t)
 	r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing,
 		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{other(0, false)}})}})
-	assert.False(t, r.Members().Self().Facts.NoUse)
+	assert.False(t, r.Members().Self().Facts.NoExecutor)
 	r.Step(executorLossTimeout+ms, 1, nil)
-	assert.True(t, r.Members().Self().Facts.NoUse)
+	assert.True(t, r.Members().Self().Facts.NoExecutor)
 	effects := r.Step(executorLossTimeout+2*ms, 1, []Input{{Kind: DrainRequested}, {Kind: ListenerClosed}}) // it never had an executor, and leaves at once
 	last := 0
 	for _, e := range kindsOf(effects, SendDatagram) {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -76,7 +76,7 @@
 			Zone:        m.Facts.Zone,
 			Level:       int(m.Facts.Level),
 			Alive:       alive || m.Status == membership.Suspect,
-			AcceptsWork: alive && m.Facts.Beat == 0 && !m.Facts.NoUse,
+			AcceptsWork: alive && m.Facts.DrainPhase == 0 && !m.Facts.NoExecutor,
 		})
 	}
 	return list
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -132,11 +132,11 @@
 // put has changes agreed on, made on the newest version.
 func (o *operator) put(items []configsync.Item) error {
 	o.puts++
-	c := &configsync.Command{Kind: configsync.Put, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
+	c := &configsync.Command{Kind: configsync.CommandPut, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
 		Wall: time.Now().UnixNano()}
 	end := time.Now().Add(verdictMost)
 	for k := 0; ; k++ {
-		a, err := question(o.seats[k%len(o.seats)], &configsync.Query{Kind: configsync.Propose, Command: c})
+		a, err := question(o.seats[k%len(o.seats)], &configsync.Query{Kind: configsync.QueryPropose, Command: c})
 		switch {
 		case err == nil && a.Verdict != nil && a.Verdict.Done:
 			o.version = a.Verdict.Version
@@ -163,10 +163,10 @@
 			group.Go(func() {
 				defer func() { <-places }()
 				began := time.Now()
-				a, err := question(address, &configsync.Query{Kind: configsync.ShowStanding})
+				a, err := question(address, &configsync.Query{Kind: configsync.QueryStatus})
 				mu.Lock()
 				defer mu.Unlock()
-				if err != nil || a.Status == nil || a.Status.Mark.Version < version {
+				if err != nil || a.Status == nil || a.Status.Revision.Version < version {
 					missing = append(missing, address)
 				} else if at := began.Add(-time.Duration(a.Status.TakenNS)); at.After(last) {
 					last = at
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -154,8 +154,8 @@
 	l.woken.step, l.seated.step = l.step, l.stepReplica
 	m.life = l
 	l.holder = configsync.NewReplicator(f.Now, configsync.ReplicatorConfig{Name: n.Name, Seed: f.chance.Int63()}, start)
-	if s := l.holder.Status(f.Now); s.Mark != m.disk.mark || s.Source != start.Source {
-		f.wrong = append(f.wrong, fmt.Sprintf("%s starts from its %s with version %d, and kept %d", n.Name, s.Source, s.Mark.Version, m.disk.mark.Version))
+	if s := l.holder.Status(f.Now); s.Revision != m.disk.mark || s.Source != start.Source {
+		f.wrong = append(f.wrong, fmt.Sprintf("%s starts from its %s with version %d, and kept %d", n.Name, s.Source, s.Revision.Version, m.disk.mark.Version))
 	}
 	m.held = append(m.held, taken{f.Now, m.disk.mark.Version})
 	l.inbox = append(l.inbox, l.view())
@@ -229,10 +229,10 @@
 	if f.bad == 0 || x.All.Version < f.bad {
 		f.good = max(f.good, x.All.Version)
 	}
-	if cmp.Or(cmp.Compare(x.All.Version, y.All.Version), cmp.Compare(x.First.Version, y.First.Version), cmp.Compare(x.Newest, y.Newest)) > 0 ||
-		x.First == y.First && x.Stopped && !y.Stopped {
-		if x.All != y.All || x.First != y.First {
-			f.logf("version %d is in force for all, %d for the first stage, %d agreed on", x.All.Version, x.First.Version, x.Newest)
+	if cmp.Or(cmp.Compare(x.All.Version, y.All.Version), cmp.Compare(x.Canary.Version, y.Canary.Version), cmp.Compare(x.Newest, y.Newest)) > 0 ||
+		x.Canary == y.Canary && x.Stopped && !y.Stopped {
+		if x.All != y.All || x.Canary != y.Canary {
+			f.logf("version %d is in force for all, %d for the first stage, %d agreed on", x.All.Version, x.Canary.Version, x.Newest)
 		}
 		f.last = a
 	}
--- a/internal/testbed/processfleet/versions_node.go
+++ b/internal/testbed/processfleet/versions_node.go
@@ -35,10 +35,10 @@
 	v.Neighbours, v.Zone = l.m.NeighboursAndZone()
 	for _, s := range l.f.seats {
 		if s != l.m.Name {
-			v.Seats = append(v.Seats, s)
+			v.Replicas = append(v.Replicas, s)
 		}
 	}
-	return configsync.Input{Kind: configsync.Viewed, View: v}
+	return configsync.Input{Kind: configsync.ViewChanged, View: v}
 }
 
 func (l *nodeProcess) viewMayHaveChanged() {
@@ -58,7 +58,7 @@
 	switch msg := p.body.(type) {
 	case *configsync.Message:
 		again := *msg
-		l.deliver(configsync.Input{Kind: configsync.Came, From: from.Name, Message: &again})
+		l.deliver(configsync.Input{Kind: configsync.DatagramReceived, From: from.Name, Message: &again})
 	case []byte:
 		got := new(consensus.Message)
 		if err := cbor.Unmarshal(msg, got); err != nil {
@@ -76,7 +76,7 @@
 	l.links++
 	l.asked[l.links] = reply
 	again := *p.body.(*configsync.Message)
-	l.deliver(configsync.Input{Kind: configsync.Asked, From: from.Name, Link: l.links, Message: &again})
+	l.deliver(configsync.Input{Kind: configsync.ExchangeOpened, From: from.Name, Link: l.links, Message: &again})
 }
 
 func (l *nodeProcess) deliver(in configsync.Input) {
@@ -137,13 +137,13 @@
 		m.spend(f.Now, size)
 		m.OpenExchange(to.Node, parcel{e.Message, size}, size, func(body any, ok bool) {
 			if !ok {
-				l.deliver(configsync.Input{Kind: configsync.Missed, Link: link})
+				l.deliver(configsync.Input{Kind: configsync.ExchangeFailed, Link: link})
 				return
 			}
 			p := body.(parcel)
 			m.spend(f.Now, p.size)
 			again := *p.body.(*configsync.Message)
-			l.deliver(configsync.Input{Kind: configsync.Answered, Link: link, Message: &again})
+			l.deliver(configsync.Input{Kind: configsync.ExchangeAnswered, Link: link, Message: &again})
 		})
 	case configsync.Reply:
 		if reply := l.asked[e.Link]; reply != nil {
@@ -152,15 +152,15 @@
 			m.spend(f.Now, size)
 			reply(parcel{e.Message, size}, size)
 		}
-	case configsync.Take, configsync.Check:
+	case configsync.ApplyVersion, configsync.CheckVersion:
 		l.adopt(e)
-	case configsync.Persist:
-		next := kept{e.Mark, e.New}
+	case configsync.PersistVersion:
+		next := kept{e.Revision, e.New}
 		m.Later(f.chance.Int63n(writeMost), func() {
 			m.disk = next
-			l.deliver(configsync.Input{Kind: configsync.Saved})
+			l.deliver(configsync.Input{Kind: configsync.VersionPersisted})
 		})
-	case configsync.Order:
+	case configsync.ProposeCommand:
 		if l.council != nil {
 			l.deliverToReplica(consensus.Input{Proposed: []configsync.Command{*e.Command}})
 		}
@@ -169,7 +169,7 @@
 
 // adopt has a version in force at a node, or only checks it, or refuses it.
 func (l *nodeProcess) adopt(e *configsync.Effect) {
-	f, m, mark := l.f, l.m, e.Mark
+	f, m, mark := l.f, l.m, e.Revision
 	if want, agreed := f.digests[mark.Version]; !agreed || want != mark.Digest || e.New.Digest() != mark.Digest {
 		f.wrong = append(f.wrong, fmt.Sprintf("%s takes %s as version %d, which is %s", m.Name, e.New.Digest(), mark.Version, want))
 	}
@@ -180,9 +180,9 @@
 	m.Later(f.chance.Int63n(takeMost), func() {
 		if why != "" {
 			if f.refused++; f.refused <= lateNamed {
-				f.logf("%s refuses version %d, first stage %t", m.Name, mark.Version, e.First)
+				f.logf("%s refuses version %d, first stage %t", m.Name, mark.Version, e.Canary)
 			}
-		} else if e.Kind == configsync.Take {
+		} else if e.Kind == configsync.ApplyVersion {
 			if k := len(m.held); k > 0 && mark.Version <= m.held[k-1].version {
 				f.back++
 				f.logf("%s goes from version %d to %d", m.Name, m.held[k-1].version, mark.Version)
@@ -193,9 +193,9 @@
 				f.recovers = append(f.recovers, seconds(f.Now-m.Started))
 			}
 		}
-		answer := configsync.Input{Kind: configsync.Took, Mark: mark, Why: why}
-		if e.Kind == configsync.Check {
-			answer.Kind = configsync.Checked
+		answer := configsync.Input{Kind: configsync.VersionApplied, Revision: mark, Why: why}
+		if e.Kind == configsync.CheckVersion {
+			answer.Kind = configsync.VersionChecked
 		}
 		l.deliver(answer)
 	})
@@ -227,11 +227,11 @@
 		if agreed != nil {
 			f.recordAgreed(agreed)
 		}
-		l.deliver(configsync.Input{Kind: configsync.Ordered, Agreed: agreed})
+		l.deliver(configsync.Input{Kind: configsync.AgreementChanged, Agreed: agreed})
 	}
 	if current := l.council.IsCurrent(); current != l.current {
 		l.current = current
-		l.deliver(configsync.Input{Kind: configsync.Stood, Current: current})
+		l.deliver(configsync.Input{Kind: configsync.ReplicaContactChanged, ReplicaCurrent: current})
 	}
 	l.wakeReplica(next)
 }
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -43,7 +43,7 @@
 	began  []int64    // of each node's life
 	empty  []bool     // without a disk, and nothing was in force since
 	bytes  [][]sample // of each node, since its last start
-	agreed configsync.AtSeat
+	agreed configsync.ReplicaStatus
 	undone [][2]uint64 // versions between these two were taken back by the second
 	ask    chan struct{}
 }
@@ -95,7 +95,7 @@
 		f.mu.Unlock()
 		if up {
 			f.ask <- struct{}{}
-			a, err := f.question(i, &configsync.Query{Kind: configsync.ShowStanding})
+			a, err := f.question(i, &configsync.Query{Kind: configsync.QueryStatus})
 			now := f.p.now()
 			<-f.ask
 			if err == nil && a.Status != nil {
@@ -116,7 +116,7 @@
 	if f.lives[i] != life || !f.up[i] {
 		return
 	}
-	m, mark := f.members[i], a.Status.Mark
+	m, mark := f.members[i], a.Status.Revision
 	if last := f.has[i]; mark != last {
 		if mark.Version < last.Version {
 			f.back++
@@ -138,12 +138,12 @@
 	}
 	c := &a.Status.Counters
 	f.bytes[i] = append(f.bytes[i], sample{now, c.BytesSent + c.BytesReceived, c.InvalidResponses, life})
-	if s := a.Seat; s != nil && (s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped) {
+	if s := a.ReplicaStatus; s != nil && (s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped) {
 		if s.Head.Stopped && !f.agreed.Head.Stopped {
-			f.logNowf("version %d is stopped by %s: %s", s.Head.First.Version, s.Head.Who, s.Head.Why)
+			f.logNowf("version %d is stopped by %s: %s", s.Head.Canary.Version, s.Head.Who, s.Head.Why)
 		}
 		f.agreed = *s
-	} else if s != nil && s.Head.First.Version >= f.agreed.Head.First.Version {
+	} else if s != nil && s.Head.Canary.Version >= f.agreed.Head.Canary.Version {
 		f.agreed = *s
 	}
 }
@@ -161,7 +161,7 @@
 		up := f.up[i]
 		f.mu.Unlock()
 		if up {
-			if a, err := f.question(i, &configsync.Query{Kind: configsync.Propose, Command: c}); err == nil && a.Verdict != nil {
+			if a, err := f.question(i, &configsync.Query{Kind: configsync.QueryPropose, Command: c}); err == nil && a.Verdict != nil {
 				return a.Verdict
 			}
 		}
@@ -184,7 +184,7 @@
 		}
 		some, began := list[:n], f.p.now()
 		list = list[n:]
-		command := &configsync.Command{Kind: configsync.Put, From: "rig"}
+		command := &configsync.Command{Kind: configsync.CommandPut, From: "rig"}
 		for _, x := range some {
 			command.Changes = append(command.Changes, x.item)
 		}
@@ -231,11 +231,11 @@
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		h := f.agreed.Head
-		good := f.agreed.Good
+		good := f.agreed.RollbackVersions
 		f.mu.Unlock()
 		to := h.All.Version
 		switch {
-		case h.Stopped && h.First.Version >= version:
+		case h.Stopped && h.Canary.Version >= version:
 			f.stops++
 		case to >= version && len(good) > 0:
 			to = good[len(good)-1]
@@ -243,7 +243,7 @@
 			time.Sleep(putPause)
 			continue
 		}
-		v := f.until(ctx, &configsync.Command{Kind: configsync.Rollback, From: "rig", Version: to}, seq, base, chance)
+		v := f.until(ctx, &configsync.Command{Kind: configsync.CommandRollback, From: "rig", Version: to}, seq, base, chance)
 		if v != nil {
 			f.mu.Lock()
 			f.undone = append(f.undone, [2]uint64{to, v.Version})
@@ -374,7 +374,7 @@
 	defer stop()
 	chance, version := rand.New(rand.NewSource(f.p.seed)), uint64(0)
 	for k := 0; k < len(items); k += pieceMost {
-		c := &configsync.Command{Kind: configsync.Put, From: "file", Seq: uint64(k/pieceMost) + 1, Piece: k / pieceMost,
+		c := &configsync.Command{Kind: configsync.CommandPut, From: "file", Seq: uint64(k/pieceMost) + 1, Piece: k / pieceMost,
 			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
 		v := f.put(ctx, c, chance)
 		if v == nil || !v.Done {
--- a/internal/testbed/processfleet/versions_processes_measure.go
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -78,12 +78,12 @@
 		var blocks []configsync.Block
 		var mark configsync.Revision
 		for from, more := 0, true; more; {
-			a, err := f.question(i, &configsync.Query{Kind: configsync.ReadBlocks, Which: configsync.Newest, From: from})
+			a, err := f.question(i, &configsync.Query{Kind: configsync.QueryBlocks, Which: configsync.ContentNewest, From: from})
 			if err != nil || a.Why != "" {
 				blocks = nil
 				break
 			}
-			blocks, mark, from, more = append(blocks, a.Blocks...), a.Mark, a.Next, a.Next > 0
+			blocks, mark, from, more = append(blocks, a.Blocks...), a.Revision, a.Next, a.Next > 0
 		}
 		content := configsync.FromBlocks(blocks, mark.Digest)
 		if content == nil || len(blocks) == 0 {
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -77,7 +77,7 @@
 	c.inHand, c.waiting = c.waiting[:n], c.waiting[n:]
 	c.begun = f.Now
 	c.seq++
-	c.command = &configsync.Command{Kind: configsync.Put, From: c.name, Seq: c.seq, Base: c.base}
+	c.command = &configsync.Command{Kind: configsync.CommandPut, From: c.name, Seq: c.seq, Base: c.base}
 	for _, x := range c.inHand {
 		c.command.Changes = append(c.command.Changes, x.item)
 	}
@@ -109,7 +109,7 @@
 				f.logf("version %d is of a later build", v.Version)
 			}
 		}
-		if c.command.Kind == configsync.Rollback {
+		if c.command.Kind == configsync.CommandRollback {
 			f.holding = false
 			f.logf("version %d takes it back", v.Version)
 		} else if len(c.inHand) > 0 {
@@ -124,12 +124,12 @@
 
 // stopped has an operator take back what was stopped, or what came through though some can't take it.
 func (f *virtualVersions) stopped(h *configsync.HeadRevision) {
-	if f.bad == 0 || (!h.Stopped || h.First.Version < f.bad) && h.All.Version < f.bad {
+	if f.bad == 0 || (!h.Stopped || h.Canary.Version < f.bad) && h.All.Version < f.bad {
 		return
 	}
 	if h.Stopped {
 		f.stops++
-		f.logf("version %d is stopped by %s: %s", h.First.Version, h.Who, h.Why)
+		f.logf("version %d is stopped by %s: %s", h.Canary.Version, h.Who, h.Why)
 	}
 	to := f.good
 	f.bad = 0
@@ -143,7 +143,7 @@
 		return
 	}
 	c.seq++
-	c.command = &configsync.Command{Kind: configsync.Rollback, From: c.name, Seq: c.seq, Version: to}
+	c.command = &configsync.Command{Kind: configsync.CommandRollback, From: c.name, Seq: c.seq, Version: to}
 	f.propose(c)
 }
 
@@ -160,7 +160,7 @@
 	f.callers = append(f.callers, file)
 	for k := 0; k < len(items); k += pieceMost {
 		file.seq++
-		file.command = &configsync.Command{Kind: configsync.Put, From: file.name, Seq: file.seq, Piece: k / pieceMost,
+		file.command = &configsync.Command{Kind: configsync.CommandPut, From: file.name, Seq: file.seq, Piece: k / pieceMost,
 			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
 		f.propose(file)
 		if f.RunUntil(loadFor, func() bool { return file.command == nil }) < 0 {
@@ -190,7 +190,7 @@
 // settled says what isn't as it must be in the end.
 func (f *virtualVersions) settled() string {
 	h := &f.last.Head
-	if h.First != h.All || h.Newest != h.All.Version {
+	if h.Canary != h.All || h.Newest != h.All.Version {
 		return fmt.Sprintf("version %d of %d is in force for all", h.All.Version, h.Newest)
 	}
 	for _, m := range f.members {
--- a/internal/testbed/virtualfleet/size.go
+++ b/internal/testbed/virtualfleet/size.go
@@ -40,8 +40,8 @@
 		size += 2
 	}
 	if f := r.Facts; f != (membership.Facts{}) {
-		size += 2 + optionalText(f.Version) + optionalText(f.Zone) + optionalInteger(uint64(f.Level)) + optionalInteger(uint64(f.Beat))
-		if f.NoUse {
+		size += 2 + optionalText(f.Version) + optionalText(f.Zone) + optionalInteger(uint64(f.Level)) + optionalInteger(uint64(f.DrainPhase))
+		if f.NoExecutor {
 			size += 2
 		}
 	}
--- a/internal/testbed/virtualfleet/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -27,7 +27,7 @@
 			r := membership.Record{Name: word.Draw(t, "name"), Address: word.Draw(t, "address"), StartedAt: int64(number.Draw(t, "born")),
 				Incarnation: number.Draw(t, "inc"), RecordVersion: uint32(number.Draw(t, "ver")), Left: rapid.Bool().Draw(t, "left"), Links: ids(32)}
 			r.Facts = membership.Facts{Version: word.Draw(t, "version"), Zone: word.Draw(t, "zone"), Level: uint8(number.Draw(t, "level")),
-				Beat: uint8(number.Draw(t, "beat")), NoUse: rapid.Bool().Draw(t, "use")}
+				DrainPhase: uint8(number.Draw(t, "beat")), NoExecutor: rapid.Bool().Draw(t, "use")}
 			msg.Records = append(msg.Records, r)
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "heads") {
--- a/server/configstorage.go
+++ b/server/configstorage.go
@@ -194,7 +194,7 @@
 
 // writeContent writes the full content of a version and makes it durable.
 func writeContent(file *os.File, e *configsync.Effect) error {
-	for text := range configsync.Encode(e.Mark, e.New) {
+	for text := range configsync.Encode(e.Revision, e.New) {
 		if _, err := file.Write(text); err != nil {
 			return err
 		}
--- a/server/configstorage_test.go
+++ b/server/configstorage_test.go
@@ -23,7 +23,7 @@
 		require.NoError(t, err)
 		r := &configsync.Record{Version: mark.Version + 1, Base: content.Digest(), Digest: next.Digest(), Changes: changes}
 		content, mark = next, configsync.Revision{Version: r.Version, Digest: r.Digest}
-		list = append(list, &configsync.Effect{Mark: mark, New: next, Records: []*configsync.Record{r}})
+		list = append(list, &configsync.Effect{Revision: mark, New: next, Records: []*configsync.Record{r}})
 	}
 	return list
 }
@@ -49,7 +49,7 @@
 	d, _ = newTestConfigStorage(folder)
 	start, found := d.read()
 	require.True(t, found)
-	assert.Equal(t, []any{list[2].Mark, "disk"}, []any{start.Mark, start.Source})
+	assert.Equal(t, []any{list[2].Revision, "disk"}, []any{start.Mark, start.Source})
 	assert.Positive(t, start.Journal)
 	require.NoError(t, d.writeVersion(list[3]), "records are appended to those that were read")
 	d.close()
@@ -61,7 +61,7 @@
 	d, log := newTestConfigStorage(folder)
 	start, found = d.read()
 	require.True(t, found)
-	assert.Equal(t, list[2].Mark, start.Mark)
+	assert.Equal(t, list[2].Revision, start.Mark)
 	assert.Equal(t, -1, start.Journal, "the next version is written in full")
 	assert.Contains(t, log.String(), "spoilt the end of what was kept")
 	d.close()
@@ -89,5 +89,5 @@
 	d, _ = newTestConfigStorage(folder)
 	start, found := d.read()
 	require.True(t, found)
-	assert.Equal(t, list[0].Mark, start.Mark)
+	assert.Equal(t, list[0].Revision, start.Mark)
 }
--- a/server/datagrams.go
+++ b/server/datagrams.go
@@ -56,7 +56,7 @@
 // one address share its rate.
 func (f *fleetSockets) readDatagrams() {
 	limiters := senderLimiters{}
-	buffer := make([]byte, envelope.DatagramMost+1)
+	buffer := make([]byte, envelope.MaxDatagramBytes+1)
 	for {
 		n, from, err := f.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -72,7 +72,7 @@
 			f.server.limitedLog.Warn().Stringer("from", from).Msg("peer floods, its datagrams are dropped")
 			continue
 		}
-		if n > envelope.DatagramMost {
+		if n > envelope.MaxDatagramBytes {
 			n = 0 // counted as one that is too short
 		}
 		f.offerDatagram(from.String(), append([]byte(nil), buffer[:n]...))
--- a/server/stream.go
+++ b/server/stream.go
@@ -94,7 +94,7 @@
 			if _, err := conn.Write(buffer); err != nil {
 				return
 			}
-			if cap(buffer) > envelope.ExchangeMost {
+			if cap(buffer) > envelope.MaxExchangeBytes {
 				buffer = nil
 			}
 		case <-idle.C:
@@ -126,8 +126,8 @@
 		return nil, err
 	}
 	length := binary.LittleEndian.Uint32(header[:])
-	if length < envelope.Head || length > envelope.StreamMost {
-		return nil, fmt.Errorf("%w: a length of %d, %d to %d may be", errInvalidStream, length, envelope.Head, envelope.StreamMost)
+	if length < envelope.Head || length > envelope.MaxStreamBytes {
+		return nil, fmt.Errorf("%w: a length of %d, %d to %d may be", errInvalidStream, length, envelope.Head, envelope.MaxStreamBytes)
 	}
 	conn.SetReadDeadline(time.Now().Add(streamReadTimeout + time.Duration(length)*streamTimePerByte))
 	return readPayload(conn, length)
