--- a/internal/fleet/configsync/message.go
+++ b/internal/fleet/configsync/message.go
@@ -3,7 +3,7 @@
 // MessageKind names what a message is for.
 type MessageKind uint8
 
-// The kinds of messages. Tell, Report and Vouch are datagrams; Fetch opens an exchange, MessageContent answers it.
+// The kinds of messages. Announce, Report and Confirm are datagrams; Fetch opens an exchange, MessageContent answers it.
 const (
 	MessageAnnounce MessageKind = iota + 1 // announces to a neighbour what was confirmed to the sender, and what it has of it
 	MessageReport                          // tells a replica what the sender has, and asks it to confirm the head
@@ -15,21 +15,21 @@
 // Message is what replicators send each other.
 type Message struct {
 	Kind    MessageKind  `cbor:"1,keyasint"`
-	Seq     uint32       `cbor:"2,keyasint,omitempty"`  // Report, and the Vouch that answers it
-	Head    HeadRevision `cbor:"3,keyasint"`            // Tell, Vouch
-	Has     Revision     `cbor:"4,keyasint"`            // Tell, Fetch, Piece: ready at the sender; Report: in force there
+	Seq     uint32       `cbor:"2,keyasint,omitempty"`  // Report, and the Confirm that answers it
+	Head    HeadRevision `cbor:"3,keyasint"`            // Announce, Confirm
+	Has     Revision     `cbor:"4,keyasint"`            // Announce, Fetch, Content: ready at the sender; Report: in force there
 	Refused Revision     `cbor:"5,keyasint"`            // Report: the newest that the sender can't apply
 	Why     string       `cbor:"6,keyasint,omitempty"`  // Report
 	Age     int64        `cbor:"7,keyasint,omitempty"`  // Report: ns since Has is in force
 	Want    Revision     `cbor:"8,keyasint"`            // Fetch
 	Wanted  []uint16     `cbor:"9,keyasint,omitempty"`  // Fetch: blocks
 	Sums    []byte       `cbor:"10,keyasint,omitempty"` // Fetch: their digests in a row; without Wanted those of all pages of the sender
-	Records []Record     `cbor:"11,keyasint,omitempty"` // Piece; Tell, where they are small
-	Pages   []uint8      `cbor:"15,keyasint,omitempty"` // Piece: pages of Want that differ from Sums
-	Index   []byte       `cbor:"12,keyasint,omitempty"` // Piece: the digests of their blocks in a row
-	Blocks  []Block      `cbor:"13,keyasint,omitempty"` // Piece
-	Busy    int64        `cbor:"14,keyasint,omitempty"` // Piece: ns after which to ask again
-	Current bool         `cbor:"16,keyasint,omitempty"` // Vouch: the replica is in contact with the group, so it knows all but what is on its way
+	Records []Record     `cbor:"11,keyasint,omitempty"` // Content; Announce, where they are small
+	Pages   []uint8      `cbor:"15,keyasint,omitempty"` // Content: pages of Want that differ from Sums
+	Index   []byte       `cbor:"12,keyasint,omitempty"` // Content: the digests of their blocks in a row
+	Blocks  []Block      `cbor:"13,keyasint,omitempty"` // Content
+	Busy    int64        `cbor:"14,keyasint,omitempty"` // Content: ns after which to ask again
+	Current bool         `cbor:"16,keyasint,omitempty"` // Confirm: the replica is in contact with the group, so it knows all but what is on its way
 	Missing []byte       `cbor:"17,keyasint,omitempty"` // Fetch, with Wanted: a bit for each missing block, which may be answered with its changes from Has to Want; older builds ignore it
 }
 
