--- a/internal/testbed/processfleet/measure.go
+++ b/internal/testbed/processfleet/measure.go
@@ -36,135 +36,191 @@
 	do func() error
 }
 
-// measureViews holds what views told against the faults. A loss of one that a fault and the machine together kept standing still
-// for longer than a fleet bears is counted apart, with its return; still is nil where no machine has a part in it.
-func (n *Scenario) measureViews(o *Outcome, events []Event, spans []*faultSpan, start int64, still *stallRecorder) {
-	bound := 3_000 * ms // a pause up to it must be borne
-	var known, back []float64
-	missed, wrong, others, most, losses, returns := 0, 0, 0, 0, 0, 0
-	excused := func(e *Event) bool { // the change is about one that a fault concerned, or by one that it cut off
-		for _, s := range spans {
-			if e.At < s.from || e.At > s.to+after || s.kind == "loss" || s.kind == "pause" && s.to-s.from <= bound {
-				continue
-			}
-			if s.concerned[e.Who] || s.concerned[name(e.Node)] {
-				return true
-			}
+// measureViews compares the changes of views with the faults. A loss of a node that a fault and the machine together stalled
+// for longer than a fleet bears is counted apart, with its return; stalls is nil where no machine has a part in it.
+func (n *Scenario) measureViews(o *Outcome, events []Event, spans []*faultSpan, start int64, stalls *stallRecorder) {
+	v := &viewMeasurement{scenario: n, spans: spans, stalls: stalls, starving: map[observation]bool{},
+		cutChanges: map[cutObservation]int{}, events: map[observation][]*Event{}}
+	for k := range events {
+		v.add(&events[k], start)
+	}
+	for _, s := range spans {
+		if s.kind == "kill" || s.kind == "pause" || s.kind == "leave" {
+			v.addFault(s)
 		}
-		return false
 	}
-	type about struct {
-		node int
-		who  string
-		span *faultSpan
+	v.write(o.Measures)
+	for _, s := range spans {
+		o.Measures["healed_s"] = max(o.Measures["healed_s"], seconds(s.healed))
 	}
-	type concern struct {
-		node int
-		who  string
+	o.Measures["changes"] = float64(len(events))
+	o.Timeline = timeline(events, spans, start)
+}
+
+// maxBornePause is the longest pause that must not lead to a loss, in ns.
+const maxBornePause = 3_000 * ms
+
+// observation is a node and a member of its view.
+type observation struct {
+	node int
+	who  string
+}
+
+// cutObservation is an observation during a cut.
+type cutObservation struct {
+	observation
+	span *faultSpan
+}
+
+// viewMeasurement collects what changes of views show of faults.
+type viewMeasurement struct {
+	scenario   *Scenario
+	spans      []*faultSpan
+	stalls     *stallRecorder
+	starving   map[observation]bool // lost by a stall and not back yet
+	cutChanges map[cutObservation]int
+	events     map[observation][]*Event
+
+	detected, returned             []float64 // seconds from a fault to its loss in a view, and from its end to the return
+	losses, returns                int
+	missed, wrong, others, starved int
+	maxCutChanges                  int
+}
+
+// add takes a change of a view; those before start are only remembered.
+func (v *viewMeasurement) add(e *Event, start int64) {
+	o := observation{e.Node, e.Who}
+	v.events[o] = append(v.events[o], e)
+	if e.At < start || e.Cause == membership.Isolated || e.Cause == membership.Reconnected {
+		return
 	}
-	starving, starved := map[concern]bool{}, 0
-	starves := func(e *Event) bool {
-		c := concern{e.Node, e.Who}
-		switch e.Cause {
-		case membership.Lost:
-			i, err := strconv.Atoi(strings.TrimPrefix(e.Who, "n"))
-			starving[c] = still != nil && err == nil && still.of(i, e.At-silence-settle-probe, e.At) >= borne
-			return starving[c]
-		case membership.Returned:
-			defer delete(starving, c)
-			return starving[c]
+	switch e.Cause {
+	case membership.Lost, membership.Departed:
+		v.losses++
+	case membership.Returned, membership.Replaced, membership.Joined:
+		v.returns++
+	}
+	starved := v.isStarved(e)
+	switch {
+	case v.isExplained(e):
+	case starved:
+		v.starved++
+	default:
+		v.others++
+		if e.Cause == membership.Lost {
+			v.wrong++
 		}
-		return false
 	}
-	changes, of := map[about]int{}, map[concern][]*Event{}
-	for k := range events {
-		e := &events[k]
-		of[concern{e.Node, e.Who}] = append(of[concern{e.Node, e.Who}], e)
-		if e.At < start || e.Cause == membership.Isolated || e.Cause == membership.Reconnected {
+	for _, s := range v.spans {
+		if s.kind == "cut" && e.At >= s.from && e.At < s.to {
+			key := cutObservation{o, s}
+			v.cutChanges[key]++
+			v.maxCutChanges = max(v.maxCutChanges, v.cutChanges[key])
+		}
+	}
+}
+
+// isExplained returns whether a change is about a node that a fault concerned, or by one that it cut off.
+func (v *viewMeasurement) isExplained(e *Event) bool {
+	for _, s := range v.spans {
+		if e.At < s.from || e.At > s.to+after || s.kind == "loss" || s.kind == "pause" && s.to-s.from <= maxBornePause {
 			continue
 		}
-		switch e.Cause {
-		case membership.Lost, membership.Departed:
-			losses++
-		case membership.Returned, membership.Replaced, membership.Joined:
-			returns++
+		if s.concerned[e.Who] || s.concerned[name(e.Node)] {
+			return true
 		}
-		if starves(e) && !excused(e) {
-			starved++
-		} else if !excused(e) {
-			others++
-			if e.Cause == membership.Lost {
-				wrong++
+	}
+	return false
+}
+
+// isStarved returns whether a change is the loss of a node that stalled for too long, or its return.
+func (v *viewMeasurement) isStarved(e *Event) bool {
+	o := observation{e.Node, e.Who}
+	switch e.Cause {
+	case membership.Lost:
+		i, err := strconv.Atoi(strings.TrimPrefix(e.Who, "n"))
+		v.starving[o] = v.stalls != nil && err == nil && v.stalls.of(i, e.At-silence-settle-probe, e.At) >= borne
+		return v.starving[o]
+	case membership.Returned:
+		starving := v.starving[o]
+		delete(v.starving, o)
+		return starving
+	}
+	return false
+}
+
+// addFault takes a fault that ended processes or paused them, as all undisturbed nodes saw it.
+func (v *viewMeasurement) addFault(s *faultSpan) {
+	for _, victim := range s.nodes {
+		for i := range v.scenario.Nodes {
+			if !s.concerned[name(i)] && isUndisturbed(v.spans, i, s.from, s.to) {
+				v.addVictim(s, victim, i)
 			}
 		}
-		for _, s := range spans {
-			if s.kind == "cut" && e.At >= s.from && e.At < s.to {
-				key := about{e.Node, e.Who, s}
-				changes[key]++
-				most = max(most, changes[key])
-			}
+	}
+}
+
+// addVictim takes a fault of a victim as a node saw it.
+func (v *viewMeasurement) addVictim(s *faultSpan, victim, node int) {
+	events := v.events[observation{node, name(victim)}] // not all events: a large fleet has a million
+	gone, returned := lossAndReturn(s, events)
+	if s.kind != "pause" && s.to-s.from >= 5*second {
+		if gone < 0 {
+			v.missed++
+		} else {
+			v.detected = append(v.detected, seconds(gone))
 		}
 	}
-	for _, s := range spans {
-		if s.kind != "kill" && s.kind != "pause" && s.kind != "leave" {
+	if gone < 0 || !s.back {
+		return
+	}
+	if returned < 0 {
+		returned = 1_000 * second
+	} else {
+		returned -= blockedTime(values(events), v.spans, s, node, name(victim), s.to, s.to+returned)
+	}
+	v.returned = append(v.returned, seconds(returned))
+}
+
+// lossAndReturn returns the time from the start of a fault to its loss in a view, and from its end to the return; -1 for none.
+func lossAndReturn(s *faultSpan, events []*Event) (gone, returned int64) {
+	gone = -1
+	returned = -1
+	for _, e := range events {
+		if e.At < s.from || e.At > s.to+2*after {
 			continue
 		}
-		for _, victim := range s.nodes {
-			for i := range n.Nodes {
-				if s.concerned[name(i)] || !isUndisturbed(spans, i, s.from, s.to) {
-					continue
-				}
-				gone, returned := int64(-1), int64(-1)
-				told := of[concern{i, name(victim)}] // not all events: a large fleet has a million
-				for _, e := range told {
-					if e.At < s.from || e.At > s.to+2*after {
-						continue
-					}
-					switch e.Cause {
-					case membership.Lost, membership.Departed:
-						if gone < 0 && e.At < s.to+after/2 {
-							gone = e.At - s.from
-						}
-					case membership.Returned, membership.Replaced, membership.Joined:
-						if e.At >= s.to && returned < 0 {
-							returned = e.At - s.to
-						}
-					}
-				}
-				long := s.to-s.from >= 5*second
-				if s.kind != "pause" && long {
-					if gone < 0 {
-						missed++
-					} else {
-						known = append(known, seconds(gone))
-					}
-				}
-				if gone >= 0 && s.back {
-					if returned < 0 {
-						returned = 1_000 * second
-					} else {
-						returned -= blockedTime(values(told), spans, s, i, name(victim), s.to, s.to+returned)
-					}
-					back = append(back, seconds(returned))
-				}
+		switch e.Cause {
+		case membership.Lost, membership.Departed:
+			if gone < 0 && e.At < s.to+after/2 {
+				gone = e.At - s.from
+			}
+		case membership.Returned, membership.Replaced, membership.Joined:
+			if e.At >= s.to && returned < 0 {
+				returned = e.At - s.to
 			}
 		}
 	}
-	m := o.Measures
-	m["known_s"], m["known_worst_s"], m["back_s"] = quantile(known, 0.99), quantile(known, 1), quantile(back, 1)
-	if still != nil {
-		m["starved"] = float64(starved)
-	}
-	m["losses"], m["returns"] = float64(losses), float64(returns)
-	m["missed"], m["wrong"], m["others"], m["cut_changes"] = float64(missed), float64(wrong), float64(others), float64(most)
-	for _, s := range spans {
-		m["healed_s"] = max(m["healed_s"], seconds(s.healed))
+	return gone, returned
+}
+
+// write writes the measures.
+func (v *viewMeasurement) write(m map[string]float64) {
+	m["known_s"] = quantile(v.detected, 0.99)
+	m["known_worst_s"] = quantile(v.detected, 1)
+	m["back_s"] = quantile(v.returned, 1)
+	if v.stalls != nil {
+		m["starved"] = float64(v.starved)
 	}
-	m["changes"] = float64(len(events))
-	o.Timeline = timeline(events, spans, start)
+	m["losses"] = float64(v.losses)
+	m["returns"] = float64(v.returns)
+	m["missed"] = float64(v.missed)
+	m["wrong"] = float64(v.wrong)
+	m["others"] = float64(v.others)
+	m["cut_changes"] = float64(v.maxCutChanges)
 }
 
-// isUndisturbed says whether a node was up and ran all through a time, and some before.
+// isUndisturbed returns whether a node was up and ran all through a time, and some before.
 func isUndisturbed(spans []*faultSpan, i int, from, to int64) bool {
 	for _, s := range spans {
 		if (s.kind == "kill" || s.kind == "leave" || s.kind == "pause" || s.kind == "cut") && s.concerned[name(i)] &&
@@ -182,30 +238,16 @@
 	return list
 }
 
-// blockedTime is how much of a time a node could not be back at another: other faults than s concerned one of the two, or it had
-// fallen out there again and again, and is let in after 1, 2, 4, 8 s then (docs/design/membership.md).
+// blockedTime is how much of a time a node could not be back at another: other faults than s concerned one of the two, or flap
+// damping kept it out there for 1, 2, 4 or 8 s (docs/design/membership.md).
 func blockedTime(events []Event, spans []*faultSpan, s *faultSpan, by int, who string, from, to int64) (sum int64) {
-	falls, fell := 0, int64(0)
-	for k := range events {
-		switch e := &events[k]; {
-		case e.Node != by || e.Who != who || e.At >= to:
-		case e.Cause == membership.Joined: // another life of the node that looks
-			falls = 0
-		case e.Cause == membership.Lost:
-			if e.At-fell > pardon {
-				falls = 0
-			}
-			falls, fell = min(falls+1, fallsMost), e.At
-		}
-	}
-	heldTo := int64(0)
-	if falls > 1 {
-		heldTo = fell + second<<(falls-2)
-	}
+	dampedUntil := dampingEnd(events, by, who, to)
 	for at := from; at < to; {
-		until, held := to, false
-		if at < heldTo {
-			until, held = min(until, heldTo), true
+		until := to
+		blocked := false
+		if at < dampedUntil {
+			until = min(until, dampedUntil)
+			blocked = true
 		}
 		for _, o := range spans {
 			if o == s || o.kind == "loss" || !o.concerned[who] && !o.concerned[name(by)] {
@@ -214,10 +256,11 @@
 			if at < o.from {
 				until = min(until, o.from)
 			} else if at < o.to {
-				until, held = min(until, o.to), true
+				until = min(until, o.to)
+				blocked = true
 			}
 		}
-		if held {
+		if blocked {
 			sum += until - at
 		}
 		at = until
@@ -225,6 +268,29 @@
 	return sum
 }
 
+// dampingEnd returns until when a node keeps out another that it lost repeatedly before a time, 0 where it doesn't.
+func dampingEnd(events []Event, by int, who string, before int64) int64 {
+	flaps := 0
+	lostAt := int64(0)
+	for k := range events {
+		switch e := &events[k]; {
+		case e.Node != by || e.Who != who || e.At >= before:
+		case e.Cause == membership.Joined: // another incarnation of the node that observes
+			flaps = 0
+		case e.Cause == membership.Lost:
+			if e.At-lostAt > pardon {
+				flaps = 0
+			}
+			flaps = min(flaps+1, fallsMost)
+			lostAt = e.At
+		}
+	}
+	if flaps <= 1 {
+		return 0
+	}
+	return lostAt + second<<(flaps-2)
+}
+
 // quantile of no values is 0: nothing was to be known.
 func quantile(values []float64, part float64) float64 {
 	if len(values) == 0 {
--- a/internal/testbed/processfleet/play.go
+++ b/internal/testbed/processfleet/play.go
@@ -57,26 +57,21 @@
 		go still.watch(p)
 	}
 	start := d.now()
-	idle, idleAt := d.sent(), start
+	traffic := newTrafficMeter(n, d, start)
 	spans, actions := n.drawFaults(d, start, rand.New(rand.NewSource(seed)), up)
-	worst, last, lastAt := 0.0, d.sent(), d.now()
+	traffic.startWorst()
 	for k, a := range actions {
 		for d.now() < a.at {
 			d.run(min(a.at, d.now()+second))
-			if k == 0 && d.now() > a.at-idleFor {
-				o.Measures["idle_bytes"] = float64(d.sent()-idle) / float64(n.Nodes) / (float64(d.now()-idleAt) / 1e9)
-			} else if k == 0 {
-				idle, idleAt = d.sent(), d.now()
-			}
-			if now := d.now(); now-lastAt >= second {
-				worst, last, lastAt = max(worst, float64(d.sent()-last)/float64(n.Nodes)/(float64(now-lastAt)/1e9)), d.sent(), now
-			}
+			traffic.sample(k == 0, a.at)
 		}
 		if err := a.do(); err != nil {
 			o.Failed = err.Error()
+			traffic.writeIdle(o.Measures)
 			return o
 		}
 	}
+	traffic.writeIdle(o.Measures)
 	healed := d.now()
 	d.lose(0)
 	d.heal()
@@ -84,7 +79,7 @@
 		p.retryStorm.awaitResults(n)
 		defer p.retryStorm.measure(o, p, spans, start)
 	}
-	o.Measures["worst_bytes"] = worst
+	o.Measures["worst_bytes"] = traffic.worst
 	o.Measures["agree_s"] = seconds(n.runUntilAgreed(d, int64(n.Calm*1e9), up))
 	d.run(healed + int64(n.Calm*1e9))
 	if o.Measures["agree_s"] < 0 {
@@ -95,6 +90,57 @@
 	return o
 }
 
+// trafficMeter measures the bytes that a node sends in a second, in the mean of the fleet.
+type trafficMeter struct {
+	nodes  int
+	driver fleetDriver
+
+	idleSent int64 // by all up to idleAt, before the last seconds ahead of the first fault
+	idleAt   int64
+	idle     float64
+	idleSeen bool // idle was measured
+
+	sent  int64 // by all up to at
+	at    int64
+	worst float64
+}
+
+func newTrafficMeter(n *Scenario, d fleetDriver, start int64) *trafficMeter {
+	return &trafficMeter{nodes: n.Nodes, driver: d, idleSent: d.sent(), idleAt: start}
+}
+
+// startWorst starts the search for the worst second.
+func (t *trafficMeter) startWorst() {
+	t.sent = t.driver.sent()
+	t.at = t.driver.now()
+}
+
+// sample takes the traffic up to now; firstAt is when the first fault begins, where none has begun yet.
+func (t *trafficMeter) sample(beforeFirst bool, firstAt int64) {
+	d := t.driver
+	if beforeFirst && d.now() > firstAt-idleFor {
+		t.idle = float64(d.sent()-t.idleSent) / float64(t.nodes) / (float64(d.now()-t.idleAt) / 1e9)
+		t.idleSeen = true
+	} else if beforeFirst {
+		t.idleSent = d.sent()
+		t.idleAt = d.now()
+	}
+	now := d.now()
+	if now-t.at < second {
+		return
+	}
+	t.worst = max(t.worst, float64(d.sent()-t.sent)/float64(t.nodes)/(float64(now-t.at)/1e9))
+	t.sent = d.sent()
+	t.at = now
+}
+
+// writeIdle writes the traffic ahead of the first fault, where it was measured.
+func (t *trafficMeter) writeIdle(m map[string]float64) {
+	if t.idleSeen {
+		m["idle_bytes"] = t.idle
+	}
+}
+
 func seconds(ns int64) float64 {
 	if ns < 0 {
 		return -1
@@ -102,7 +148,7 @@
 	return float64(ns) / 1e9
 }
 
-// runUntilAgreed runs on runUntilAgreed all that are up hold one view of just them.
+// runUntilAgreed runs on until all that are up hold one view of just them.
 func (n *Scenario) runUntilAgreed(d fleetDriver, most int64, up []bool) int64 {
 	for start := d.now(); d.now()-start < most; d.run(d.now() + look) {
 		if agreed(d.lastEvents(), up) {
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -138,12 +138,20 @@
 	}
 	c := &a.Status.Counters
 	f.bytes[i] = append(f.bytes[i], sample{now, c.BytesSent + c.BytesReceived, c.InvalidResponses, life})
-	if s := a.Seat; s != nil && (s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped) {
+	f.recordReplica(a.Seat)
+}
+
+// recordReplica notes what the newest answer of a replica has agreed on, nil for the answer of a node; under the lock.
+func (f *processVersions) recordReplica(s *configsync.AtSeat) {
+	if s == nil {
+		return
+	}
+	if s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped {
 		if s.Head.Stopped && !f.agreed.Head.Stopped {
 			f.logNowf("version %d is stopped by %s: %s", s.Head.First.Version, s.Head.Who, s.Head.Why)
 		}
 		f.agreed = *s
-	} else if s != nil && s.Head.First.Version >= f.agreed.Head.First.Version {
+	} else if s.Head.First.Version >= f.agreed.Head.First.Version {
 		f.agreed = *s
 	}
 }
--- a/internal/testbed/processfleet/versions_processes_measure.go
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -28,23 +28,7 @@
 		if !f.members[i].seat && first != nil && last.at > first.at {
 			idle, nodes = idle+float64(last.bytes-first.bytes)/seconds(last.at-first.at), nodes+1
 		}
-		for k := range list {
-			if k+1 == len(list) || list[k+1].life != list[k].life {
-				x["lies"] += float64(list[k].lies)
-			}
-			for j := k + 1; j < len(list) && list[j].life == list[k].life; j++ {
-				span := list[j].at - list[k].at
-				if span < window*second || list[k].at < start {
-					continue
-				}
-				if per := float64(list[j].bytes-list[k].bytes) / seconds(span); !f.members[i].seat {
-					x["window_bytes"] = max(x["window_bytes"], per)
-				} else {
-					x["seat_window_bytes"] = max(x["seat_window_bytes"], per)
-				}
-				break
-			}
-		}
+		f.measureWindows(x, list, f.members[i].seat, start)
 	}
 	x["idle_bytes"] = idle / float64(max(1, nodes))
 	unanswered, lost := 0, 0
@@ -64,6 +48,27 @@
 	x["lost"] = float64(lost + f.missing())
 }
 
+// measureWindows measures the invalid responses that a node counted in each of its incarnations, and its worst window of traffic.
+func (f *processVersions) measureWindows(x map[string]float64, list []sample, seat bool, start int64) {
+	measure := "window_bytes"
+	if seat {
+		measure = "seat_window_bytes"
+	}
+	for k := range list {
+		if k+1 == len(list) || list[k+1].life != list[k].life {
+			x["lies"] += float64(list[k].lies)
+		}
+		for j := k + 1; j < len(list) && list[j].life == list[k].life; j++ {
+			length := list[j].at - list[k].at
+			if length < window*second || list[k].at < start {
+				continue
+			}
+			x[measure] = max(x[measure], float64(list[j].bytes-list[k].bytes)/seconds(length))
+			break
+		}
+	}
+}
+
 // missing counts items whose last acknowledged value isn't in the final content of a seat, though nobody took it back: a rollback
 // takes back all that was agreed on since the version that it names.
 func (f *processVersions) missing() (count int) {
