--- a/internal/testbed/capacity/capacity.go
+++ b/internal/testbed/capacity/capacity.go
@@ -19,29 +19,29 @@
 // Wanted are the operators' sizes of two years from now, as docs/CAPACITY.md states them; only RequestsEach, TokensPart
 // and CheckEvery are reckoned or assumed here.
 const (
-	WantedNodes     = 1_300
-	WantedCallers   = 14_000
-	WantedRoutes    = 4_700
-	WantedTenants   = 130_000
-	WantedRequests  = 220_000.0                    // a second, of the fleet at its peak
-	WantedChanges   = 900                          // a day
-	WantedRestarts  = 3_000                        // a day
-	WantedAdded     = 2.7                          // ms at p99
-	BudgetCPU       = 14.0                         // ms of processor time a second for control: 1.4 % of a core
-	BudgetMB        = 32.0                         // for control
-	BudgetBytes     = 21_000.0                     // a second for control
-	RequestsEach    = WantedRequests / WantedNodes // a second and node
-	RegionLost      = 7.0 / 6                      // times that, with the load of one region of seven on the others
-	TokensPart      = 0.25                         // of requests that bring a token, assumed: the shares of poterie-lannion's keyed classes
-	WantedTokens    = WantedRequests * TokensPart
-	CheckEvery      = 10.0 // s between health checks of one caller, assumed: callers that rest longer than 15 s lose their connection
-	DaySeconds      = 86_400.0
-	oneCore         = 1_000.0 // ms of processor time a second
-	portion         = 100.0   // x of the quantity configuration is in percent of the wanted size
-	loadFor         = 6 * time.Second
-	loadForShort    = 2 * time.Second
-	warmFor         = time.Second
-	connectionsUsed = 64
+	WantedNodes       = 1_300
+	WantedCallers     = 14_000
+	WantedRoutes      = 4_700
+	WantedTenants     = 130_000
+	WantedRequests    = 220_000.0                    // a second, of the fleet at its peak
+	WantedChanges     = 900                          // a day
+	WantedRestarts    = 3_000                        // a day
+	WantedAdded       = 2.7                          // ms at p99
+	BudgetCPU         = 14.0                         // ms of processor time a second for control: 1.4 % of a core
+	BudgetMB          = 32.0                         // for control
+	BudgetBytes       = 21_000.0                     // a second for control
+	RequestsEach      = WantedRequests / WantedNodes // a second and node
+	RegionLost        = 7.0 / 6                      // times that, with the load of one region of seven on the others
+	TokensPart        = 0.25                         // of requests that bring a token, assumed: the shares of poterie-lannion's keyed classes
+	WantedTokens      = WantedRequests * TokensPart
+	CheckEvery        = 10.0 // s between health checks of one caller, assumed: callers that rest longer than 15 s lose their connection
+	DaySeconds        = 86_400.0
+	oneCore           = 1_000.0 // ms of processor time a second
+	portion           = 100.0   // x of the quantity configuration is in percent of the wanted size
+	loadDuration      = 6 * time.Second
+	shortLoadDuration = 2 * time.Second
+	warmupDuration    = time.Second
+	connectionsUsed   = 64
 )
 
 // Rung is what one size came to. Measures are by key; a key that a rung lacks was not measured there.
@@ -96,9 +96,9 @@
 
 func (b *Bench) length() time.Duration {
 	if b.Brief {
-		return loadForShort
+		return shortLoadDuration
 	}
-	return loadFor
+	return loadDuration
 }
 
 // Climb measures a quantity on its ladder and fits what is to be fitted.
@@ -125,7 +125,7 @@
 		}
 		x, y := doc.Series(m.Key)
 		f, err := Line(x, y)
-		if errors.Is(err, errFew) {
+		if errors.Is(err, errTooFewPoints) {
 			continue
 		}
 		doc.Fits[m.Key] = f
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -21,12 +21,12 @@
 	fleetName      = "rig"
 	changedNodes   = 80               // of the fleet whose changes a day are climbed
 	changesNodes   = 20 * 60 * 24     // a day, of the fleets whose nodes are climbed: 20 a minute
-	putFor         = 12 * time.Second // of changes
+	putDuration    = 12 * time.Second // of changes
 	putShort       = 3 * time.Second
-	spreadFor      = 8 * time.Second // past the last change, in which traffic is still of it: two stages of 3 s, and room
+	spreadDuration = 8 * time.Second // past the last change, in which traffic is still of it: two stages of 3 s, and room
 	spreadShort    = 5 * time.Second
-	forceMost      = 60 * time.Second // for a version to be in force everywhere
-	verdictMost    = 20 * time.Second
+	inForceTimeout = 60 * time.Second // for a version to be in force everywhere
+	verdictTimeout = 20 * time.Second
 	askAgain       = 200 * time.Millisecond
 	asksAtOnce     = 8
 	changedTenants = 50  // which are changed in turn
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	defer d.close()
-	u, err := d.look()
+	u, err := d.usage()
 	_, ready := d.serves()
 	return map[string]float64{"cpu_ms": u.cpu.Seconds() * 1e3, "known_ms": ready.Seconds() * 1e3, "peak_mb": u.peakMB,
 		"restarts": WantedNodes}, err
@@ -134,7 +134,7 @@
 	o.puts++
 	c := &configsync.Command{Kind: configsync.Put, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
 		Wall: time.Now().UnixNano()}
-	end := time.Now().Add(verdictMost)
+	end := time.Now().Add(verdictTimeout)
 	for k := 0; ; k++ {
 		a, err := question(o.seats[k%len(o.seats)], &configsync.Query{Kind: configsync.Propose, Command: c})
 		switch {
@@ -153,7 +153,7 @@
 // inForce waits until all nodes have a version or a later one, and says when the last one took it.
 func inForce(addresses []string, version uint64) (last time.Time, err error) {
 	left := addresses
-	for end := time.Now().Add(forceMost); ; time.Sleep(askAgain) {
+	for end := time.Now().Add(inForceTimeout); ; time.Sleep(askAgain) {
 		var mu sync.Mutex
 		var missing []string
 		var group sync.WaitGroup
@@ -198,7 +198,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	if _, agreed := f.Agreed(joinMost, 0); !agreed {
+	if _, agreed := f.Agreed(joinTimeout, 0); !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
 	var all []string
@@ -219,7 +219,7 @@
 	if _, err := inForce(all, o.version); err != nil {
 		return nil, err
 	}
-	rest, length, after := restFor/2, putFor, spreadFor
+	rest, length, after := restDuration/2, putDuration, spreadDuration
 	if b.Brief {
 		rest, length, after = restShort/2, putShort, spreadShort
 	}
--- a/internal/testbed/capacity/daemon.go
+++ b/internal/testbed/capacity/daemon.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	startMost   = 60 * time.Second // for a node to serve, on a machine that is busy
-	endMost     = 10 * time.Second // for a process that was ended to be gone
-	settleFor   = 1500 * time.Millisecond
-	lookEvery   = 100 * time.Millisecond
-	idleFor     = 2 * time.Second  // in which an idle node's processor time is taken
-	reloadMost  = 20 * time.Second // for a SIGHUP to be worked off
-	quietPart   = 0.1              // of a core, under which a node is at rest
-	quietLooks  = 3                // in a row
-	runTime     = 5 * time.Millisecond
-	memoryMB    = 1_024 // of the generated nodes: far above what is measured, as the runtime collects harder near its limit
-	socketsMost = 18_500
-	linesMost   = 1 << 20 // bytes of a log's line
+	startTimeout   = 60 * time.Second // for a node to serve, on a machine that is busy
+	endTimeout     = 10 * time.Second // for a process that was ended to be gone
+	settleDuration = 1500 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
+	idleDuration   = 2 * time.Second  // in which an idle node's processor time is taken
+	reloadTimeout  = 20 * time.Second // for a SIGHUP to be worked off
+	quietPart      = 0.1              // of a core, under which a node is at rest
+	quietLooks     = 3                // in a row
+	runTime        = 5 * time.Millisecond
+	memoryMB       = 1_024 // of the generated nodes: far above what is measured, as the runtime collects harder near its limit
+	maxSockets     = 18_500
+	maxLineBytes   = 1 << 20 // bytes of a log's line
 )
 
 // shape is what a generated configuration has.
@@ -89,10 +89,10 @@
 	ended    chan struct{}
 
 	mu      sync.Mutex
-	listens string
+	address string
 	serving time.Time
 	last    string    // line of its log
-	forces  []logLine // versions that came into force
+	inForce []logLine // versions that came into force
 }
 
 // start writes a configuration and starts a node on it; it returns once the node serves.
@@ -118,7 +118,7 @@
 	if err := d.run(); err != nil {
 		return nil, 0, err
 	}
-	for time.Since(d.began) < startMost {
+	for time.Since(d.began) < startTimeout {
 		if at, _ := d.serves(); at != "" {
 			return d, size, nil
 		}
@@ -130,7 +130,7 @@
 		}
 	}
 	d.close()
-	return nil, 0, fmt.Errorf("%s does not serve after %s: %s", b.Program, startMost, d.last)
+	return nil, 0, fmt.Errorf("%s does not serve after %s: %s", b.Program, startTimeout, d.last)
 }
 
 // run starts the command, and reads its log until it ends.
@@ -145,9 +145,9 @@
 	}
 	go func() {
 		in := bufio.NewScanner(out)
-		in.Buffer(nil, linesMost)
+		in.Buffer(nil, maxLineBytes)
 		for in.Scan() {
-			d.heard(in.Bytes())
+			d.logLineReceived(in.Bytes())
 		}
 		_ = d.command.Wait() // daemons are killed in the end
 		close(d.ended)
@@ -161,7 +161,7 @@
 	Longest         float64 `json:"longest_step_ms"` // where a version came into force: of the reducer's steps since the one before
 }
 
-func (d *daemon) heard(line []byte) {
+func (d *daemon) logLineReceived(line []byte) {
 	var l logLine
 	_ = json.Unmarshal(line, &l) // lines that aren't JSON are kept as the last line only
 	d.mu.Lock()
@@ -169,11 +169,11 @@
 	d.last = string(line)
 	switch {
 	case l.Message == "listening":
-		d.listens = l.Listen
+		d.address = l.Listen
 	case strings.HasPrefix(l.Message, "executor is up") && d.serving.IsZero():
 		d.serving = time.Now()
 	case l.Message == "configuration in force":
-		d.forces = append(d.forces, l)
+		d.inForce = append(d.inForce, l)
 	}
 }
 
@@ -182,10 +182,10 @@
 func (d *daemon) longest(since int) (ms float64, versions int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, f := range d.forces[since:] {
+	for _, f := range d.inForce[since:] {
 		ms = max(ms, f.Longest)
 	}
-	return ms, len(d.forces)
+	return ms, len(d.inForce)
 }
 
 // serves says where, once the node does, and how long that took.
@@ -195,14 +195,14 @@
 	if d.serving.IsZero() {
 		return "", 0
 	}
-	return d.listens, d.serving.Sub(d.began)
+	return d.address, d.serving.Sub(d.began)
 }
 
 func (d *daemon) close() {
 	d.command.Process.Kill()
 	select {
 	case <-d.ended:
-	case <-time.After(endMost):
+	case <-time.After(endTimeout):
 	}
 	d.executor.listener.Close()
 	d.control.Close()
@@ -219,8 +219,8 @@
 
 var errGone = errors.New("the process is gone")
 
-// look reads what a process used. Processor time is that of its threads, in ns; Go's runtime ends next to none.
-func look(pid int) (u usage, err error) {
+// processUsage reads what a process used. Processor time is that of its threads, in ns; Go's runtime ends next to none.
+func processUsage(pid int) (u usage, err error) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, task := range tasks {
 		text, err := os.ReadFile(task)
@@ -254,7 +254,7 @@
 	return u, nil
 }
 
-func (d *daemon) look() (usage, error) { return look(d.command.Process.Pid) }
+func (d *daemon) usage() (usage, error) { return processUsage(d.command.Process.Pid) }
 
 // since is the processor time for each second of wall time, in ms.
 func (u *usage) since(before *usage) float64 {
@@ -268,15 +268,15 @@
 
 // reload sends SIGHUP and waits until the node is at rest again, and says what that took of the processor.
 func (d *daemon) reload() (cpu time.Duration, after usage, err error) {
-	before, err := d.look()
+	before, err := d.usage()
 	if err != nil {
 		return 0, after, err
 	}
 	d.command.Process.Signal(syscall.SIGHUP)
 	quiet, last := 0, before
-	for began := time.Now(); quiet < quietLooks && time.Since(began) < reloadMost; {
-		time.Sleep(lookEvery)
-		if after, err = d.look(); err != nil {
+	for began := time.Now(); quiet < quietLooks && time.Since(began) < reloadTimeout; {
+		time.Sleep(pollInterval)
+		if after, err = d.usage(); err != nil {
 			return 0, after, err
 		}
 		if after.since(&last) < quietPart*1e3 && after.cpu > before.cpu {
@@ -292,7 +292,7 @@
 // check runs the command that operators check a file with. Its peak of memory is not told: the kernel counts in it what the
 // laboratory's own process had when it forked.
 func (b *Bench) check(config string) (cpu time.Duration, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), startMost)
+	ctx, stop := context.WithTimeout(context.Background(), startTimeout)
 	defer stop()
 	c := exec.CommandContext(ctx, b.Program, "check", config)
 	if out, err := c.CombinedOutput(); err != nil {
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -20,13 +20,13 @@
 	Rungs    int     `json:"rungs"`
 }
 
-var errFew = errors.New("a line and its error take three sizes that differ")
+var errTooFewPoints = errors.New("a line and its error take three sizes that differ")
 
 // Line fits a line; it takes three points with at least two different x, as two points leave no error to tell.
 func Line(x, y []float64) (f Fit, err error) {
 	n := float64(len(x))
 	if len(x) < 3 || len(x) != len(y) {
-		return f, errFew
+		return f, errTooFewPoints
 	}
 	var meanX, meanY, xx, xy, left float64
 	for k := range x {
@@ -39,7 +39,7 @@
 		xy += (x[k] - meanX) * (y[k] - meanY)
 	}
 	if xx == 0 {
-		return f, errFew
+		return f, errTooFewPoints
 	}
 	f.Rungs, f.Slope = len(x), xy/xx
 	f.Base = meanY - f.Slope*meanX
--- a/internal/testbed/capacity/ladder_test.go
+++ b/internal/testbed/capacity/ladder_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	waitedMost   = 100.0 // ms a second that a node may have waited for a core: a tenth of the time, past which it is starved
+	maxWaitedMS  = 100.0 // ms a second that a node may have waited for a core: a tenth of the time, past which it is starved
 	starvedAgain = 3     // times that a ladder is climbed anew for it
 )
 
@@ -82,7 +82,7 @@
 func TestRequestsAreAllServedAndCostNoMoreEachWhenThereAreMore(t *testing.T) {
 	t.Parallel()
 	d := climb(t, "requests")
-	starved := func(r Rung) bool { return r.Measures["waited"] > waitedMost }
+	starved := func(r Rung) bool { return r.Measures["waited"] > maxWaitedMS }
 	for range starvedAgain { // of a node without its core nothing can be told: the ladder is climbed anew
 		if !slices.ContainsFunc(d.Rungs, starved) {
 			break
@@ -90,7 +90,7 @@
 		d = climb(t, "requests")
 	}
 	for _, r := range d.Rungs {
-		assert.Equal(t, r.Size*loadForShort.Seconds(), r.Measures["succeeded"]+r.Measures["refused"], "each has one answer")
+		assert.Equal(t, r.Size*shortLoadDuration.Seconds(), r.Measures["succeeded"]+r.Measures["refused"], "each has one answer")
 		if starved(r) { // it may turn some away then, as it is made to; it still answers all, and none costs more
 			t.Logf("at %g a second the node waited for a core for %.0f ms of each second: what it refused is the machine's", r.Size, r.Measures["waited"])
 			continue
--- a/internal/testbed/capacity/load.go
+++ b/internal/testbed/capacity/load.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	answerMost = 5 * time.Second // for an answer, past the client timeout of generated operations
-	sourceEach = 1_000           // connections from one source address: of some 28,000 ports, each is taken for a minute after its connection ended
-	tracked    = 60_000_000      // us that the histogram holds at the most
-	openAtOnce = 32              // connections that are opened at a time
+	answerTimeout        = 5 * time.Second // for an answer, past the client timeout of generated operations
+	connectionsPerSource = 1_000           // connections from one source address: of some 28,000 ports, each is taken for a minute after its connection ended
+	tracked              = 60_000_000      // us that the histogram holds at the most
+	maxOpening           = 32              // connections that are opened at a time
 )
 
 // callers are connections of dispatchers to one node.
@@ -60,7 +60,7 @@
 
 // connect opens a connection and starts its reader. mu is held.
 func (k *callerConn) connect() error {
-	d := net.Dialer{Timeout: answerMost, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 200, 0, byte(1+k.number/sourceEach))}}
+	d := net.Dialer{Timeout: answerTimeout, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 200, 0, byte(1+k.number/connectionsPerSource))}}
 	conn, err := d.Dial("tcp", k.all.address)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 // openAll opens all connections; each brings one health check, as one that brings nothing is closed by the node.
 func (c *callers) openAll() error {
 	failed := make(chan error, len(c.conns))
-	places := make(chan struct{}, openAtOnce)
+	places := make(chan struct{}, maxOpening)
 	var group sync.WaitGroup
 	for _, k := range c.conns {
 		places <- struct{}{}
@@ -196,7 +196,7 @@
 	select {
 	case <-check:
 		return nil
-	case <-time.After(answerMost):
+	case <-time.After(answerTimeout):
 		return errUnchecked
 	}
 }
@@ -240,7 +240,7 @@
 			return err
 		}
 	}
-	for end := time.Now().Add(answerMost); c.waiting.Load() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(answerTimeout); c.waiting.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
@@ -307,7 +307,7 @@
 	select {
 	case err := <-failed:
 		return added, err
-	case <-time.After(answerMost):
+	case <-time.After(answerTimeout):
 		return nil, errors.New("the executor did not answer")
 	}
 }
--- a/internal/testbed/capacity/peers.go
+++ b/internal/testbed/capacity/peers.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	joinMost    = 240 * time.Second // for all to be in one view
-	herdMost    = 600               // nodes that join at once; more are started over joinOver, as one machine can't carry the square
-	joinOver    = 60 * time.Second
-	agreeMost   = 90 * time.Second // for all to know of one change
-	quietFor    = 6 * time.Second  // between what is measured
-	afterFor    = 4 * time.Second  // past the last that knew, in which traffic is still of the change
-	restFor     = 12 * time.Second // of an idle fleet
-	restShort   = 4 * time.Second
-	rollNodes   = 300               // of the fleet whose restarts a day are climbed
-	rollFor     = 30 * time.Second  // of them
-	calmMost    = 120 * time.Second // for the traffic to come to rest
-	calmSeconds = 4                 // in a row that differ by no more than calmPart
-	calmPart    = 1.3
-	calmBytes   = 64 // of a datagram in the mean, at the most: a ping or an ack has some 40, one with a record 130 and more
+	joinTimeout       = 240 * time.Second // for all to be in one view
+	maxJoiningAtOnce  = 600               // nodes that join at once; more are started over joinOver, as one machine can't carry the square
+	joinOver          = 60 * time.Second
+	agreeTimeout      = 90 * time.Second // for all to know of one change
+	quietDuration     = 6 * time.Second  // between what is measured
+	aftermathDuration = 4 * time.Second  // past the last that knew, in which traffic is still of the change
+	restDuration      = 12 * time.Second // of an idle fleet
+	restShort         = 4 * time.Second
+	rollNodes         = 300               // of the fleet whose restarts a day are climbed
+	rollDuration      = 30 * time.Second  // of them
+	calmTimeout       = 120 * time.Second // for the traffic to come to rest
+	calmSeconds       = 4                 // in a row that differ by no more than calmPart
+	calmPart          = 1.3
+	calmBytes         = 64 // of a datagram in the mean, at the most: a ping or an ack has some 40, one with a record 130 and more
 )
 
 var errApart = errors.New("the nodes did not come to one view in time")
@@ -93,7 +93,7 @@
 
 func (b *Bench) fleet(ctx context.Context, nodes int) (*hollow.Fleet, error) {
 	o := hollow.Options{Nodes: nodes, Seed: b.Seed, Fleet: map[string]any{"members": 1_500}, Log: io.Discard}
-	if nodes > herdMost {
+	if nodes > maxJoiningAtOnce {
 		o.JoinOver = joinOver
 	}
 	return hollow.Start(ctx, b.Lab, o)
@@ -102,7 +102,7 @@
 // calm waits until a fleet is at rest, and says 1. Where it gets too little of the machine, links are lost and found again
 // without end: then 0.
 func calm(f *hollow.Fleet) float64 {
-	for end := time.Now().Add(calmMost); time.Now().Before(end); time.Sleep(time.Second) {
+	for end := time.Now().Add(calmTimeout); time.Now().Before(end); time.Sleep(time.Second) {
 		if atRest(f.Sample()) {
 			return 1
 		}
@@ -140,13 +140,13 @@
 		return nil, err
 	}
 	defer f.Close()
-	at, agreed := f.Agreed(joinMost, 0)
+	at, agreed := f.Agreed(joinTimeout, 0)
 	if !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
 	m := map[string]float64{}
 	joined := time.Now()
-	rest, quiet, after := restFor, quietFor, afterFor
+	rest, quiet, after := restDuration, quietDuration, aftermathDuration
 	if b.Brief {
 		rest, quiet, after = restShort, restShort/2, restShort/2
 	}
@@ -159,7 +159,7 @@
 	idleTo := time.Now()
 	victim := nodes / 2
 	f.Kill(victim)
-	lost, agreed := f.Agreed(agreeMost, 0)
+	lost, agreed := f.Agreed(agreeTimeout, 0)
 	if !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
@@ -167,14 +167,14 @@
 	time.Sleep(after)
 	killedTo := time.Now()
 	f.Start(victim)
-	if _, agreed = f.Agreed(agreeMost, 0); !agreed {
+	if _, agreed = f.Agreed(agreeTimeout, 0); !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
 	time.Sleep(quiet)
 	again := time.Now()
 	f.Restart(victim + 1)
 	time.Sleep(time.Second) // its drain, before which all still agree
-	back, agreed := f.Agreed(agreeMost, 0)
+	back, agreed := f.Agreed(agreeTimeout, 0)
 	if !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
@@ -183,7 +183,7 @@
 	end := time.Now()
 	list := f.Sample()
 	idle, killed, restarted := spanOf(list, idleFrom, idleTo), spanOf(list, idleTo, killedTo), spanOf(list, again, end)
-	if nodes <= herdMost {
+	if nodes <= maxJoiningAtOnce {
 		m["joined_s"], m["herd_bytes"] = at.Sub(began).Seconds(), spanOf(list, began, joined.Add(time.Second)).worst
 	}
 	m["idle_bytes"], m["idle_messages"], m["idle_cpu"], m["rss_mb"], m["peak_mb"] = idle.bytes, idle.messages, idle.cpu, idle.rss, idle.peak
@@ -202,19 +202,19 @@
 		return nil, err
 	}
 	defer f.Close()
-	if _, agreed := f.Agreed(joinMost, 0); !agreed {
+	if _, agreed := f.Agreed(joinTimeout, 0); !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
-	time.Sleep(quietFor)
+	time.Sleep(quietDuration)
 	from := time.Now()
-	count := int(aDay / DaySeconds * rollFor.Seconds())
+	count := int(aDay / DaySeconds * rollDuration.Seconds())
 	for n := range count {
-		time.Sleep(time.Until(from.Add(time.Duration(n) * rollFor / time.Duration(count))))
+		time.Sleep(time.Until(from.Add(time.Duration(n) * rollDuration / time.Duration(count))))
 		f.Restart((n*37 + 5) % rollNodes) // neighbours by hash are drawn anew anyway
 	}
-	time.Sleep(time.Until(from.Add(rollFor)))
+	time.Sleep(time.Until(from.Add(rollDuration)))
 	to := time.Now()
-	at, agreed := f.Agreed(agreeMost, 0)
+	at, agreed := f.Agreed(agreeTimeout, 0)
 	if !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
--- a/internal/testbed/capacity/quantities.go
+++ b/internal/testbed/capacity/quantities.go
@@ -128,7 +128,7 @@
 	defer d.close()
 	_, ready := d.serves()
 	m = map[string]float64{"file_kb": float64(size) / 1_024, "ready_ms": ready.Seconds() * 1e3}
-	started, err := d.look()
+	started, err := d.usage()
 	if err != nil {
 		return nil, err
 	}
@@ -137,9 +137,9 @@
 		return nil, err
 	}
 	chance := rand.New(rand.NewSource(b.Seed))
-	c := newCallers(d.listens, connectionsUsed)
+	c := newCallers(d.address, connectionsUsed)
 	defer c.closeAll()
-	if err := c.send(s, RequestsEach, warmFor, chance); err != nil {
+	if err := c.send(s, RequestsEach, warmupDuration, chance); err != nil {
 		return nil, err
 	}
 	without, err := c.beside(d, s, RequestsEach, b.length(), chance)
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	m["added_p50_ms"], m["added_p99_ms"], m["straight_p99_ms"] = c.latency(0.5), c.latency(0.99), inMS(without, 0.99)
-	loaded, err := d.look()
+	loaded, err := d.usage()
 	if err != nil {
 		return nil, err
 	}
@@ -182,42 +182,42 @@
 
 // rest takes an idle node's processor time.
 func (b *Bench) rest(d *daemon, m map[string]float64) error {
-	time.Sleep(settleFor)
-	before, err := d.look()
+	time.Sleep(settleDuration)
+	before, err := d.usage()
 	if err != nil {
 		return err
 	}
-	time.Sleep(idleFor)
-	after, err := d.look()
+	time.Sleep(idleDuration)
+	after, err := d.usage()
 	m["idle_cpu"] = after.since(&before)
 	return err
 }
 
 // connected opens connections to a node, checks each once more, loads some, and ends all.
 func (b *Bench) connected(count int) (m map[string]float64, err error) {
-	s := shape{routes: 1, sockets: socketsMost}
+	s := shape{routes: 1, sockets: maxSockets}
 	d, _, err := b.start(s)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	before, err := d.look()
+	before, err := d.usage()
 	if err != nil {
 		return nil, err
 	}
-	c := newCallers(d.listens, count)
+	c := newCallers(d.address, count)
 	defer c.closeAll()
 	if err := c.openAll(); err != nil {
 		return nil, err
 	}
-	opened, err := d.look()
+	opened, err := d.usage()
 	if err != nil {
 		return nil, err
 	}
 	if err := c.openAll(); err != nil {
 		return nil, err
 	}
-	checked, err := d.look()
+	checked, err := d.usage()
 	if err != nil {
 		return nil, err
 	}
@@ -229,15 +229,15 @@
 	if err := b.loaded(c, s); err != nil {
 		return nil, err
 	}
-	full, err := d.look()
+	full, err := d.usage()
 	if err != nil {
 		return nil, err
 	}
 	m["open"], m["rss_mb"], m["peak_mb"] = float64(c.opened()), full.rssMB, full.peakMB
 	m["added_p50_ms"], m["added_p99_ms"] = c.latency(0.5), c.latency(0.99)
 	c.closeAll()
-	time.Sleep(settleFor)
-	after, err := d.look()
+	time.Sleep(settleDuration)
+	after, err := d.usage()
 	m["after_mb"] = after.rssMB
 	return m, err
 }
@@ -245,7 +245,7 @@
 // peak is a node with a part of all that is wanted of it, at a rate.
 func (b *Bench) peak(part, aSecond float64) (map[string]float64, error) {
 	of := func(wanted float64) int { return max(1, int(wanted*part/portion)) }
-	return b.requested(shape{routes: of(WantedRoutes), tenants: of(WantedTenants), sockets: socketsMost}, of(WantedCallers), aSecond, peakPlays)
+	return b.requested(shape{routes: of(WantedRoutes), tenants: of(WantedTenants), sockets: maxSockets}, of(WantedCallers), aSecond, peakPlays)
 }
 
 // requested loads a node of a shape over connections that are all open, some times over.
@@ -277,17 +277,17 @@
 
 // play opens all connections and loads a node over them while they stay open: a node ends those that rest for 15 s.
 func (b *Bench) play(d *daemon, s shape, connections int, aSecond float64, m map[string]float64) error {
-	c := newCallers(d.listens, connections)
+	c := newCallers(d.address, connections)
 	defer c.closeAll()
 	if err := c.openAll(); err != nil {
 		return err
 	}
 	chance := rand.New(rand.NewSource(b.Seed))
-	if err := c.send(s, aSecond, warmFor, chance); err != nil {
+	if err := c.send(s, aSecond, warmupDuration, chance); err != nil {
 		return err
 	}
 	good, bad := c.counts()
-	before, err := d.look()
+	before, err := d.usage()
 	if err != nil {
 		return err
 	}
@@ -295,7 +295,7 @@
 	if err != nil {
 		return err
 	}
-	after, err := d.look()
+	after, err := d.usage()
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/capacity/served.go
+++ b/internal/testbed/capacity/served.go
@@ -24,12 +24,12 @@
 		return 0, err
 	}
 	defer d.close()
-	c := newCallers(d.listens, connectionsUsed)
+	c := newCallers(d.address, connectionsUsed)
 	defer c.closeAll()
 	if err := b.loaded(c, shape{routes: 1}); err != nil {
 		return 0, err
 	}
-	u, err := d.look()
+	u, err := d.usage()
 	b.bareMB = u.rssMB
 	return b.bareMB, err
 }
@@ -67,7 +67,7 @@
 	if err := p.putAll(); err != nil {
 		return nil, err
 	}
-	c := newCallers(p.node.listens, connectionsUsed)
+	c := newCallers(p.node.address, connectionsUsed)
 	defer c.closeAll()
 	if err := b.loaded(c, p.shape); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 		}
 	}
 	p.measures["seat_step_ms"], _ = seat.longest(0)
-	u, err := look(seat.command.Process.Pid)
+	u, err := processUsage(seat.command.Process.Pid)
 	p.measures["seat_mb"] = u.rssMB
 	p.measures["seat_peak_mb"] = u.peakMB
 	return p.measures, err
@@ -122,7 +122,7 @@
 
 // putAll puts the whole file, and lets the node rest on it.
 func (p *servedPlay) putAll() error {
-	time.Sleep(settleFor) // until the seat knows the node
+	time.Sleep(settleDuration) // until the seat knows the node
 	_, begun := p.node.longest(0)
 	var err error
 	p.measures["put_s"], err = p.bench.config(p.node.config, p.address(0))
@@ -130,7 +130,7 @@
 		return err
 	}
 	p.measures["put_step_ms"], _ = p.node.longest(begun)
-	put, err := p.node.look()
+	put, err := p.node.usage()
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 // changeOne puts a change of one item.
 func (p *servedPlay) changeOne() error {
 	m := p.measures
-	steady, err := p.node.look()
+	steady, err := p.node.usage()
 	if err != nil {
 		return err
 	}
@@ -153,8 +153,8 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(settleFor)
-	changed, err := p.node.look()
+	time.Sleep(settleDuration)
+	changed, err := p.node.usage()
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	large, err := p.node.look()
+	large, err := p.node.usage()
 	if err != nil {
 		return err
 	}
@@ -224,11 +224,11 @@
 
 // config puts a file and waits until it is in force, and says how many seconds that took.
 func (b *Bench) config(file string, seat netip.Addr) (seconds float64, err error) {
-	ctx, stop := context.WithTimeout(context.Background(), 2*forceMost)
+	ctx, stop := context.WithTimeout(context.Background(), 2*inForceTimeout)
 	defer stop()
 	began := time.Now()
 	out, err := exec.CommandContext(ctx, b.Program, "config", "put", "--fleet", fleetName, "--at", hollow.At(seat), "--wait",
-		"--within", forceMost.String(), file).CombinedOutput()
+		"--within", inForceTimeout.String(), file).CombinedOutput()
 	if err != nil {
 		return 0, fmt.Errorf("config put: %w: %s", err, strings.TrimSpace(string(out)))
 	}
--- a/internal/testbed/capacity/tokens.go
+++ b/internal/testbed/capacity/tokens.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	seats       = 3
-	others      = 3 // nodes without a seat, which take all invocations: what seats use is the council's alone
-	councilMost = 60 * time.Second
-	tokensMost  = 8_000 // of one play: below what the table of claims holds, so that none is refused for room
-	tokensFor   = 5 * time.Second
-	asking      = 48 // callers
+	seats          = 3
+	others         = 3 // nodes without a seat, which take all invocations: what seats use is the council's alone
+	quorumTimeout  = 60 * time.Second
+	maxTokens      = 8_000 // of one play: below what the table of claims holds, so that none is refused for room
+	tokensDuration = 5 * time.Second
+	asking         = 48 // callers
 
 	tokenTimeout = 20 * time.Second // client timeout of an invocation
 )
@@ -46,17 +46,17 @@
 		return nil, err
 	}
 	defer f.Close()
-	if err := f.Council(councilMost); err != nil {
+	if err := f.Council(quorumTimeout); err != nil {
 		return nil, err
 	}
-	length := tokensFor
+	length := tokensDuration
 	if b.Brief {
-		length = loadForShort
+		length = shortLoadDuration
 	}
 	before := make([]usage, n.Nodes)
 	bytes := make([]int64, n.Nodes)
 	for i := range n.Nodes {
-		if before[i], err = look(f.Pid(i)); err != nil {
+		if before[i], err = processUsage(f.Pid(i)); err != nil {
 			return nil, err
 		}
 		bytes[i] = f.Sent(i)
@@ -75,7 +75,7 @@
 		m["claim_bytes"] = float64(bytes) / float64(held)
 	}
 	for i := range n.Nodes {
-		after, err := look(f.Pid(i))
+		after, err := processUsage(f.Pid(i))
 		if err != nil {
 			return nil, err
 		}
@@ -115,7 +115,7 @@
 			var parser frame.Parser
 			for stream := uint32(1); ; stream++ {
 				due := first + time.Duration(stream-1)*each
-				if due >= length || time.Since(began) >= length || asked.Add(1) > tokensMost {
+				if due >= length || time.Since(began) >= length || asked.Add(1) > maxTokens {
 					return
 				}
 				time.Sleep(time.Until(began.Add(due)))
@@ -157,7 +157,7 @@
 			}
 			continue
 		}
-		conn.SetReadDeadline(time.Now().Add(tokenTimeout + answerMost))
+		conn.SetReadDeadline(time.Now().Add(tokenTimeout + answerTimeout))
 		n, err := conn.Read(parser.Space())
 		if err != nil {
 			return 0, err
--- a/internal/testbed/processfleet/dependency.go
+++ b/internal/testbed/processfleet/dependency.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	serveMost = 120            // ms that a call takes at the most; one that is given up goes on to its end
-	callHold  = 500 * ms       // longest use of a unit
-	callLease = 3_000 * ms     // of calls in hand
-	bookLag   = 500 * ms       // that the book's leases are longer by
-	moveMost  = 1_310 * ms     // a need of before is looked back on for 1 s at the most, an ask comes within 0.25 s, the other's within 0.06 s
-	electMost = 2 * 1_200 * ms // until a council whose leader is gone has another: the longest wait of two seats that stood at once
-	turnFor   = 5 * second     // that callers keep to the same nodes in a storm of calls: all of them, then some, and so on
-	turnNodes = 2              // they go to so many in every other turn
-	tickEvery = 10 * ms        // between looks of the ledger at itself
-	stallMost = 100 * ms       // past the last one it stood still: calls may have lain unread
-	traceMost = 4_000_000      // changes that are remembered
+	maxServeMS     = 120            // ms that a call takes at the most; one that is given up goes on to its end
+	callHold       = 500 * ms       // longest use of a unit
+	callLease      = 3_000 * ms     // of calls in hand
+	bookLag        = 500 * ms       // that the book's leases are longer by
+	maxLeaseMove   = 1_310 * ms     // a need of before is looked back on for 1 s at the most, an ask comes within 0.25 s, the other's within 0.06 s
+	maxElection    = 2 * 1_200 * ms // until a council whose leader is gone has another: the longest wait of two seats that stood at once
+	callerTurn     = 5 * second     // that callers keep to the same nodes in a storm of calls: all of them, then some, and so on
+	turnNodes      = 2              // they go to so many in every other turn
+	dependencyTick = 10 * ms        // between looks of the ledger at itself
+	maxStall       = 100 * ms       // past the last one it stood still: calls may have lain unread
+	maxTrace       = 4_000_000      // changes that are remembered
 )
 
 // dependency is what lies below all nodes, and counts the calls that it works on by itself.
@@ -113,7 +113,7 @@
 		}
 		s.mu.Lock()
 		s.calls++
-		after := time.Duration(s.chance.Intn(serveMost)) * time.Millisecond
+		after := time.Duration(s.chance.Intn(maxServeMS)) * time.Millisecond
 		now := time.Now()
 		x := &work{w[1], now, now.Add(after)}
 		for other := range s.works {
@@ -151,7 +151,7 @@
 		select {
 		case <-s.closed:
 			return
-		case <-time.After(time.Duration(tickEvery)):
+		case <-time.After(time.Duration(dependencyTick)):
 			s.mu.Lock()
 			s.tick(time.Now())
 			s.mu.Unlock()
@@ -160,7 +160,7 @@
 }
 
 func (s *dependency) tick(now time.Time) {
-	if now.Sub(s.ticked) > time.Duration(stallMost) {
+	if now.Sub(s.ticked) > time.Duration(maxStall) {
 		from := s.ticked
 		if s.blindTo.After(from) {
 			from = s.blindTo
@@ -185,7 +185,7 @@
 
 // notifyEnded says who has what in hand when there is one too many.
 func (s *dependency) notifyEnded() {
-	if len(s.overs) >= shown {
+	if len(s.overs) >= shownLines {
 		return
 	}
 	now, of := time.Now(), map[string][]int64{}
@@ -205,7 +205,7 @@
 
 // recordUse remembers how things stand.
 func (s *dependency) recordUse() {
-	if len(s.trace) < traceMost {
+	if len(s.trace) < maxTrace {
 		s.trace = append(s.trace, usageSample{time.Now(), s.wanted, s.used})
 	}
 }
@@ -285,7 +285,7 @@
 		}
 		to := int64(until.Sub(start))
 		for at := max(0, int64(u.at.Sub(start))); at < to; {
-			next, free := min(to, (at/turnFor+1)*turnFor), true
+			next, free := min(to, (at/callerTurn+1)*callerTurn), true
 			for _, o := range out {
 				if at < o[0] {
 					next = min(next, o[0])
@@ -294,15 +294,15 @@
 				}
 			}
 			if free {
-				area[at/turnFor] += float64(min(u.used, limit)) / float64(limit) * float64(next-at)
-				length[at/turnFor] += float64(next - at)
+				area[at/callerTurn] += float64(min(u.used, limit)) / float64(limit) * float64(next-at)
+				length[at/callerTurn] += float64(next - at)
 			}
 			at = next
 		}
 	}
 	var areas, lengths [2]float64
 	for _, k := range slices.Sorted(maps.Keys(length)) {
-		lines = append(lines, fmt.Sprintf("%9.3f calls: %.3f of the limit in use in %.3f s in which it was wanted", float64(k*turnFor)/1e9, area[k]/length[k], length[k]/1e9))
+		lines = append(lines, fmt.Sprintf("%9.3f calls: %.3f of the limit in use in %.3f s in which it was wanted", float64(k*callerTurn)/1e9, area[k]/length[k], length[k]/1e9))
 		areas[k%2], lengths[k%2] = areas[k%2]+area[k], lengths[k%2]+length[k]
 	}
 	for k := range of {
@@ -316,14 +316,14 @@
 // moves. Times are ns since the start, first that of the first call.
 func left(spans []*faultSpan, start, first, end int64) (out [][2]int64) {
 	lost := callLease + callLease/50 + bookLag
-	out = append(out, [2]int64{0, max(lost, first) + moveMost})
+	out = append(out, [2]int64{0, max(lost, first) + maxLeaseMove})
 	for _, s := range spans {
 		if s.kind != "loss" {
-			out = append(out, [2]int64{s.from - start, max(s.from+lost, s.to) - start + electMost + moveMost})
+			out = append(out, [2]int64{s.from - start, max(s.from+lost, s.to) - start + maxElection + maxLeaseMove})
 		}
 	}
-	for at := int64(0); at < end; at += turnFor {
-		out = append(out, [2]int64{at, at + moveMost})
+	for at := int64(0); at < end; at += callerTurn {
+		out = append(out, [2]int64{at, at + maxLeaseMove})
 	}
 	return out
 }
--- a/internal/testbed/processfleet/fleet.go
+++ b/internal/testbed/processfleet/fleet.go
@@ -10,10 +10,10 @@
 // ErrNoCouncil says that a fleet's seats did not come to a leader in time.
 var ErrNoCouncil = errors.New("the fleet's council did not come about")
 
-// Fleet is a night's fleet of built daemons for those who measure it by themselves.
+// Fleet is a scenario's fleet of built daemons for callers that measure it themselves.
 type Fleet struct{ p *processes }
 
-// NewFleet starts all nodes of a night; program is the built daemon, and files are left in folder.
+// NewFleet starts all nodes of a scenario; program is the built daemon, and files are left in folder.
 func NewFleet(n *Scenario, seed int64, program, folder string) (*Fleet, error) {
 	p, err := newProcesses(n, seed, program, folder)
 	if err != nil {
@@ -71,9 +71,9 @@
 
 // Sent is how many bytes a node has sent to its peers.
 func (f *Fleet) Sent(i int) int64 {
-	f.p.wire.mu.Lock()
-	defer f.p.wire.mu.Unlock()
-	return f.p.wire.bytes[i]
+	f.p.links.mu.Lock()
+	defer f.p.links.mu.Unlock()
+	return f.p.links.bytes[i]
 }
 
 // Claims are how many the council's table has, and their bytes, as a seat tells.
@@ -92,7 +92,7 @@
 // Close ends all nodes.
 func (f *Fleet) Close() { f.p.close() }
 
-// Invocation is one of the operation `hold` of a night's nodes, on a stream and with a token.
+// Invocation is one of the operation `hold` of a scenario's nodes, on a stream and with a token.
 func Invocation(stream uint32, call, token string) []byte {
 	return invocation("hold", stream, call, token)
 }
--- a/internal/testbed/processfleet/hollow.go
+++ b/internal/testbed/processfleet/hollow.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	zonesUsual = 3          // zones where a night names none
-	rollGap    = 1 * second // between the notice to drain and the new start in a roll; shorter where steps are
-	fewShown   = 12         // names in one line of a timeline
+	defaultZones = 3          // zones where a scenario names none
+	rollGap      = 1 * second // between the notice to drain and the new start in a roll; shorter where steps are
+	fewShown     = 12         // names in one line of a timeline
 )
 
 // abbreviate shortens a list of names.
@@ -51,7 +51,7 @@
 func (n *Scenario) isHollow(i int) bool { return i >= n.Nodes-n.Hollow }
 
 func (n *Scenario) layout() hollow.Layout {
-	return hollow.Layout{Regions: n.Regions, Zones: cmp.Or(n.Zones, zonesUsual), Racks: n.Racks}
+	return hollow.Layout{Regions: n.Regions, Zones: cmp.Or(n.Zones, defaultZones), Racks: n.Racks}
 }
 
 // nodesOfPlace draws a rack, zone or region, and keeps its nodes of a list.
@@ -132,7 +132,7 @@
 // cutAll has nothing of some nodes come to others.
 func cutAll(d fleetDriver, from, to []int) {
 	if p, is := d.(*processes); is {
-		p.wire.cutAll(p.night.Nodes, from, to)
+		p.links.cutAll(p.scenario.Nodes, from, to)
 		if p.fleet != nil {
 			p.fleet.Cut(from, to)
 		}
@@ -148,7 +148,7 @@
 // partition parts nodes in whole and hollow ones.
 func (p *processes) partition(nodes []int) (whole, some []int) {
 	for _, i := range nodes {
-		if p.night.isHollow(i) {
+		if p.scenario.isHollow(i) {
 			some = append(some, i)
 		} else {
 			whole = append(whole, i)
@@ -159,7 +159,7 @@
 
 // beginHollow starts the processes of hollow nodes, none of which is up yet. The built topazlab stands beside the daemon.
 func (p *processes) beginHollow() error {
-	n := p.night
+	n := p.scenario
 	if n.Hollow == 0 {
 		return nil
 	}
@@ -191,8 +191,8 @@
 		return
 	}
 	p.fleet.ReportAllEvents(true)
-	p.fleet.Tokens(p.night.Tokens)
-	p.fleet.Calls(p.night.Wanted)
+	p.fleet.Tokens(p.scenario.Tokens)
+	p.fleet.Calls(p.scenario.Wanted)
 }
 
 // fromHollow takes changes of views of hollow nodes.
@@ -202,12 +202,12 @@
 	began := p.began.UnixNano()
 	for _, x := range events {
 		i := int(x[hollow.EventNode])
-		if i >= len(p.latest) {
+		if i >= len(p.lastOfNode) {
 			continue
 		}
 		e := Event{At: int64(x[hollow.EventAt])*ms - began, Node: i, Cause: membership.Cause(x[hollow.EventCause]), Who: name(int(x[hollow.EventWho])),
 			Size: int(x[hollow.EventSize]), Hash: x[hollow.EventHash]}
-		p.events, p.latest[i] = append(p.events, e), e
+		p.events, p.lastOfNode[i] = append(p.events, e), e
 	}
 }
 
--- a/internal/testbed/processfleet/hollow_test.go
+++ b/internal/testbed/processfleet/hollow_test.go
@@ -16,9 +16,9 @@
 	require.NoError(t, err, string(out))
 }
 
-// read reads a night of a test.
+// read reads a scenario of a test.
 func read(t *testing.T, text string) (*Scenario, error) {
-	path := filepath.Join(t.TempDir(), "night.jsonnet")
+	path := filepath.Join(t.TempDir(), "scenario.jsonnet")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	n, is, err := Read(path, nil)
 	require.True(t, is)
@@ -82,7 +82,7 @@
 	p.heal()
 	agree(p, "both come together")
 	o := &Outcome{Measures: map[string]float64{}}
-	for end := p.now() + generous; p.now() < end && (o.Measures["tokens_kept"] == 0 || o.Measures["hollow_calls_most"] == 0); p.run(p.now() + 10*look) {
+	for end := p.now() + generous; p.now() < end && (o.Measures["tokens_kept"] == 0 || o.Measures["hollow_calls_most"] == 0); p.run(p.now() + 10*pollInterval) {
 		o.Measures = map[string]float64{}
 		p.measureHollow(o)
 	}
@@ -109,7 +109,7 @@
 	assert.Less(t, m["agree_s"], 20.0)
 }
 
-func TestNightsThatCantBePlayedAreRefused(t *testing.T) {
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		`{ name: 'x', nodes: 3, hollow: 2 }`:                                            "set processes: true",
 		`{ name: 'x', nodes: 3, hollow: 4, processes: true }`:                           "4 of 3 nodes can't be hollow",
--- a/internal/testbed/processfleet/measure.go
+++ b/internal/testbed/processfleet/measure.go
@@ -17,12 +17,12 @@
 	kind, shape string
 	nodes       []int
 	concerned   map[string]bool // by name
-	from, to    int64           // to is the night's end where it never ended
+	from, to    int64           // to is the scenario's end where it never ended
 	back        bool
 	healed      int64 // ns from the healing of a cut to one view of all
 }
 
-// Outcome is what a night came to on one seed.
+// Outcome is the outcome of a scenario on one seed.
 type Outcome struct {
 	Seed     int64
 	Measures map[string]float64
@@ -123,7 +123,7 @@
 // isExplained returns whether a change is about a node that a fault concerned, or by one that it cut off.
 func (v *viewMeasurement) isExplained(e *Event) bool {
 	for _, s := range v.spans {
-		if e.At < s.from || e.At > s.to+after || s.kind == "loss" || s.kind == "pause" && s.to-s.from <= maxBornePause {
+		if e.At < s.from || e.At > s.to+faultAftermath || s.kind == "loss" || s.kind == "pause" && s.to-s.from <= maxBornePause {
 			continue
 		}
 		if s.concerned[e.Who] || s.concerned[name(e.Node)] {
@@ -187,12 +187,12 @@
 	gone = -1
 	returned = -1
 	for _, e := range events {
-		if e.At < s.from || e.At > s.to+2*after {
+		if e.At < s.from || e.At > s.to+2*faultAftermath {
 			continue
 		}
 		switch e.Cause {
 		case membership.Lost, membership.Departed:
-			if gone < 0 && e.At < s.to+after/2 {
+			if gone < 0 && e.At < s.to+faultAftermath/2 {
 				gone = e.At - s.from
 			}
 		case membership.Returned, membership.Replaced, membership.Joined:
@@ -224,7 +224,7 @@
 func isUndisturbed(spans []*faultSpan, i int, from, to int64) bool {
 	for _, s := range spans {
 		if (s.kind == "kill" || s.kind == "leave" || s.kind == "pause" || s.kind == "cut") && s.concerned[name(i)] &&
-			s.from < to+after && s.to+after > from {
+			s.from < to+faultAftermath && s.to+faultAftermath > from {
 			return false
 		}
 	}
@@ -278,10 +278,10 @@
 		case e.Cause == membership.Joined: // another incarnation of the node that observes
 			flaps = 0
 		case e.Cause == membership.Lost:
-			if e.At-lostAt > pardon {
+			if e.At-lostAt > flapDecay {
 				flaps = 0
 			}
-			flaps = min(flaps+1, fallsMost)
+			flaps = min(flaps+1, maxFlaps)
 			lostAt = e.At
 		}
 	}
@@ -310,7 +310,7 @@
 		who := slices.Sorted(maps.Keys(s.concerned))
 		all = append(all, line{s.from, fmt.Sprintf("FAULT %s %s %v for %.1f s", s.kind, s.shape, abbreviate(who), seconds(s.to-s.from))})
 	}
-	if len(events) > toldMost { // of a large fleet: how many there were in each second
+	if len(events) > maxTimelineChanges { // of a large fleet: how many there were in each second
 		type in struct {
 			second int64
 			cause  membership.Cause
--- a/internal/testbed/processfleet/play.go
+++ b/internal/testbed/processfleet/play.go
@@ -53,7 +53,7 @@
 	}
 	var still *stallRecorder
 	if p != nil && slices.ContainsFunc(n.Faults, func(f Fault) bool { return f.Kind == "pause" }) {
-		still = p.still
+		still = p.stalls
 		go still.watch(p)
 	}
 	start := d.now()
@@ -118,7 +118,7 @@
 // sample takes the traffic up to now; firstAt is when the first fault begins, where none has begun yet.
 func (t *trafficMeter) sample(beforeFirst bool, firstAt int64) {
 	d := t.driver
-	if beforeFirst && d.now() > firstAt-idleFor {
+	if beforeFirst && d.now() > firstAt-idlePeriod {
 		t.idle = float64(d.sent()-t.idleSent) / float64(t.nodes) / (float64(d.now()-t.idleAt) / 1e9)
 		t.idleSeen = true
 	} else if beforeFirst {
@@ -150,7 +150,7 @@
 
 // runUntilAgreed runs on until all that are up hold one view of just them.
 func (n *Scenario) runUntilAgreed(d fleetDriver, most int64, up []bool) int64 {
-	for start := d.now(); d.now()-start < most; d.run(d.now() + look) {
+	for start := d.now(); d.now()-start < most; d.run(d.now() + pollInterval) {
 		if agreed(d.lastEvents(), up) {
 			return d.now() - start
 		}
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -25,37 +25,37 @@
 )
 
 const (
-	port         = hollow.Port
-	standTries   = 8       // blocks of loopback addresses on which something else may stand
-	linesMost    = 1 << 20 // bytes of one line of a log
-	socketsLeast = 256     // of a daemon
-	socketsEach  = 5       // of it for each node of the fleet: a quarter is for streams of a seat, and all may ask one
+	port              = hollow.Port
+	maxListenAttempts = 8       // blocks of loopback addresses on which something else may stand
+	maxLineBytes      = 1 << 20 // bytes of one line of a log
+	minSockets        = 256     // of a daemon
+	socketsPerNode    = 5       // of it for each node of the fleet: a quarter is for streams of a seat, and all may ask one
 )
 
 // processes is a fleet of built daemons on loopback addresses.
 type processes struct {
-	program, folder string
-	night           *Scenario
-	wire            *links
-	relays          []*relay
-	bind, told      []string
-	executors       []*executorStandIn // executors, one a node
-	control         net.Listener
-	supply          *dependency
-	seed            int64
-	block           int
-	held            io.Closer     // of the block
-	fleet           *hollow.Fleet // of the hollow nodes, nil without any
-	hollowLog       *os.File
-	joined          int64 // Unix s
-	retryStorm      *retryStorm
-	still           *stallRecorder
-	began           time.Time
+	program, folder     string
+	scenario            *Scenario
+	links               *links
+	relays              []*relay
+	bind, peerAddresses []string
+	executors           []*executorStandIn // executors, one a node
+	control             net.Listener
+	dependency          *dependency
+	seed                int64
+	block               int
+	reservation         io.Closer     // of the block
+	fleet               *hollow.Fleet // of the hollow nodes, nil without any
+	hollowLog           *os.File
+	joined              int64 // Unix s
+	retryStorm          *retryStorm
+	stalls              *stallRecorder
+	began               time.Time
 
-	mu      sync.Mutex
-	daemons []*daemon
-	events  []Event
-	latest  []Event
+	mu         sync.Mutex
+	daemons    []*daemon
+	events     []Event
+	lastOfNode []Event
 }
 
 type daemon struct {
@@ -71,18 +71,18 @@
 
 // newProcesses takes a block of addresses that nobody uses, and stands the relays on it.
 func newProcesses(n *Scenario, seed int64, program, folder string) (*processes, error) {
-	p := &processes{program: program, folder: folder, night: n, seed: seed, began: time.Now(), daemons: make([]*daemon, n.Nodes),
-		latest: make([]Event, n.Nodes), still: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})}}
+	p := &processes{program: program, folder: folder, scenario: n, seed: seed, began: time.Now(), daemons: make([]*daemon, n.Nodes),
+		lastOfNode: make([]Event, n.Nodes), stalls: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})}}
 	chance := rand.New(rand.NewSource(seed))
 	var err error
 	p.retryStorm = newRetryStorm(seed, n)
-	if p.supply, err = newDependency(seed, n.Calls); err != nil {
+	if p.dependency, err = newDependency(seed, n.Calls); err != nil {
 		return nil, err
 	}
 	for range n.Nodes - n.Hollow {
 		var calls *dependency
 		if n.Calls > 0 {
-			calls = p.supply
+			calls = p.dependency
 		}
 		b, err := newExecutorStandIn(p.retryStorm, calls)
 		if err != nil {
@@ -96,34 +96,34 @@
 	}
 	answer := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
 	go func() { _ = http.Serve(p.control, http.HandlerFunc(answer)) }() // until the listener is closed
-	for range standTries {
+	for range maxListenAttempts {
 		var block int
-		if block, p.held, err = hollow.Reserve(); err != nil {
+		if block, p.reservation, err = hollow.Reserve(); err != nil {
 			return nil, err
 		}
 		if err = p.listen(block, chance); err == nil {
 			return p, nil
 		}
 		p.closeRelays()
-		p.held.Close()
+		p.reservation.Close()
 	}
 	return nil, fmt.Errorf("no block of loopback addresses is free: %w", err)
 }
 
 func (p *processes) listen(block int, chance *rand.Rand) error {
 	sender := map[netip.Addr]int{}
-	p.wire = &links{chance: chance, cut: map[pair]bool{}, bytes: make([]int64, p.night.Nodes), flight: make(chan struct{}, delayedMost)}
-	p.bind, p.told, p.relays, p.block = nil, nil, nil, block
-	for i := range p.night.Nodes {
+	p.links = &links{chance: chance, cut: map[pair]bool{}, bytes: make([]int64, p.scenario.Nodes), flight: make(chan struct{}, maxDelayed)}
+	p.bind, p.peerAddresses, p.relays, p.block = nil, nil, nil, block
+	for i := range p.scenario.Nodes {
 		bind, told := hollow.Bind(block, i), hollow.Relayed(block, i)
-		if p.night.isHollow(i) {
+		if p.scenario.isHollow(i) {
 			told = bind
 		}
 		sender[bind] = i
-		p.bind, p.told = append(p.bind, hollow.At(bind)), append(p.told, hollow.At(told))
+		p.bind, p.peerAddresses = append(p.bind, hollow.At(bind)), append(p.peerAddresses, hollow.At(told))
 	}
-	for i := range p.night.Nodes - p.night.Hollow {
-		r, err := newRelay(p.wire, i, p.told[i], p.bind[i], sender)
+	for i := range p.scenario.Nodes - p.scenario.Hollow {
+		r, err := newRelay(p.links, i, p.peerAddresses[i], p.bind[i], sender)
 		if err != nil {
 			return err
 		}
@@ -159,20 +159,20 @@
 	}
 	config := file(".json", p.config(i))
 	flags = []string{"serve"}
-	if p.night.Keep != nil {
+	if p.scenario.Keep != nil {
 		kept := map[string]string{"durability": "batched", "folder": filepath.Join(p.folder, name(i)+".kept"), "segment": "1 MiB", "size": "64 MiB"}
-		maps.Copy(kept, p.night.Keep)
+		maps.Copy(kept, p.scenario.Keep)
 		flags = append(flags, "--keep", file(".kept.jsonnet", kept))
 	}
-	if p.night.Nodes > 1 || p.night.Council > 0 {
+	if p.scenario.Nodes > 1 || p.scenario.Council > 0 {
 		var seeds []string
-		for s := range min(p.night.Contacts, p.night.Nodes) {
-			seeds = append(seeds, p.told[s])
+		for s := range min(p.scenario.Contacts, p.scenario.Nodes) {
+			seeds = append(seeds, p.peerAddresses[s])
 		}
-		layout := p.night.layout()
-		config := map[string]any{"bind": p.bind[i], "advertise": p.told[i], "seeds": seeds, "zone": layout.Name(i)}
+		layout := p.scenario.layout()
+		config := map[string]any{"bind": p.bind[i], "advertise": p.peerAddresses[i], "seeds": seeds, "zone": layout.Name(i)}
 		maps.Copy(config, p.fleetFile())
-		if v := p.night.Versions; v != nil && i < v.Seats {
+		if v := p.scenario.Versions; v != nil && i < v.Seats {
 			return p.seatFlags(i, file(".fleet.jsonnet", config)), err
 		}
 		flags = append(flags, "--fleet", file(".fleet.jsonnet", config))
@@ -182,7 +182,7 @@
 
 // fleetFile are the fields of the fleet's file that all nodes share.
 func (p *processes) fleetFile() map[string]any {
-	n := p.night
+	n := p.scenario
 	o := hollow.Options{Seats: n.Council, Fleet: map[string]any{}}
 	if n.Calls > 0 && !n.Share {
 		o.Limit = n.Calls
@@ -200,23 +200,23 @@
 // config is the configuration of a node, that of all hollow ones without a name for -1.
 func (p *processes) config(i int) map[string]any {
 	operation := map[string]any{"name": "hold", "aim": 1_000, "give_up": 2_500, "importance": 1, "effect": "idempotent"}
-	if p.night.Storm || p.night.Tokens > 0 {
+	if p.scenario.Storm || p.scenario.Tokens > 0 {
 		operation = map[string]any{"name": "hold", "aim": 2_000, "give_up": int64(p.retryStorm.timeout) / ms,
 			"importance": 1, "effect": "deduplicated", "window": stormWindow}
 	}
 	below, share := "off", 0.0
-	if p.night.Calls > 0 {
-		below, share = "common", float64(p.night.Calls)/float64(p.night.Nodes)
+	if p.scenario.Calls > 0 {
+		below, share = "common", float64(p.scenario.Calls)/float64(p.scenario.Nodes)
 	}
 	executor := "127.0.0.1:1" // a hollow node opens no link to one
 	if i >= 0 {
 		executor = p.executors[i].listener.Addr().String()
 	}
 	config := map[string]any{"name": name(i), "listen": "127.0.0.1:0",
-		"executor": executor, "control": p.control.Addr().String(), "catalog": p.supply.listener.Addr().String(),
-		"seed": "8c1f30d27a5be964", "stop_ms": 3_000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": max(socketsLeast, socketsEach*p.night.Nodes)},
+		"executor": executor, "control": p.control.Addr().String(), "catalog": p.dependency.listener.Addr().String(),
+		"seed": "8c1f30d27a5be964", "stop_ms": 3_000, "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": max(minSockets, socketsPerNode*p.scenario.Nodes)},
 		"settings": map[string]any{"grades": []any{operation, map[string]any{"name": "look", "aim": 1_000, "give_up": 2_500, "importance": 1, "effect": "idempotent"}},
-			"family_info": map[string]any{"n_cores": cmp.Or(p.night.Cores, 8), "memory_kb": 400_000, "blowup": 4, "entry_kb": 1, "class_calls": []bool{p.night.Calls > 0, false},
+			"family_info": map[string]any{"n_cores": cmp.Or(p.scenario.Cores, 8), "memory_kb": 400_000, "blowup": 4, "entry_kb": 1, "class_calls": []bool{p.scenario.Calls > 0, false},
 				"below": below, "calls_out": share, "calls_over": 1_000, "linger": 0, "advert": "off", "gauges": []string{"cpu_busy", "runnable"}},
 			"guarantees": map[string]any{"tip_multiple": 8, "drain_grace": 500},
 			"limits":     map[string]any{"retry_after": true, "max_retry_after": 1_000}}}
@@ -225,7 +225,7 @@
 }
 
 func (p *processes) start(i int) error {
-	if p.night.isHollow(i) {
+	if p.scenario.isHollow(i) {
 		p.fleet.Start(i)
 		return nil
 	}
@@ -261,7 +261,7 @@
 	p.daemons[i] = d
 	go func() {
 		in := bufio.NewScanner(out)
-		in.Buffer(nil, linesMost)
+		in.Buffer(nil, maxLineBytes)
 		for in.Scan() {
 			fmt.Fprintln(d.log, in.Text())
 			p.logLineReceived(i, d, in.Bytes())
@@ -307,7 +307,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := Event{At: p.now(), Node: i, Cause: causes[l.Cause], Who: l.Who, Hash: hash, Size: l.Size}
-	p.events, p.latest[i] = append(p.events, e), e
+	p.events, p.lastOfNode[i] = append(p.events, e), e
 }
 
 func (p *processes) signal(i int, s os.Signal) {
@@ -319,7 +319,7 @@
 }
 
 func (p *processes) kill(i int) {
-	if p.night.isHollow(i) {
+	if p.scenario.isHollow(i) {
 		p.fleet.Kill(i)
 		return
 	}
@@ -353,7 +353,7 @@
 }
 
 func (p *processes) leave(i int) {
-	if p.night.isHollow(i) {
+	if p.scenario.isHollow(i) {
 		p.fleet.Leave(i)
 		return
 	}
@@ -368,23 +368,23 @@
 
 func (p *processes) pause(i int, stop bool) {
 	p.signal(i, map[bool]os.Signal{true: syscall.SIGSTOP, false: syscall.SIGCONT}[stop])
-	p.still.stopped(i, p.now(), stop)
+	p.stalls.stopped(i, p.now(), stop)
 }
 
 func (p *processes) cut(from, to int) {
-	p.wire.mu.Lock()
-	defer p.wire.mu.Unlock()
-	p.wire.cut[pair{from, to}] = true
+	p.links.mu.Lock()
+	defer p.links.mu.Unlock()
+	p.links.cut[pair{from, to}] = true
 	if p.fleet != nil {
 		p.fleet.Cut([]int{from}, []int{to})
 	}
 }
 
 func (p *processes) heal() {
-	p.wire.mu.Lock()
-	defer p.wire.mu.Unlock()
-	clear(p.wire.cut)
-	p.wire.sides = nil
+	p.links.mu.Lock()
+	defer p.links.mu.Unlock()
+	clear(p.links.cut)
+	p.links.sides = nil
 	if p.fleet != nil {
 		p.fleet.Heal()
 	}
@@ -394,16 +394,16 @@
 	if p.fleet != nil {
 		p.fleet.Lose(part)
 	}
-	p.wire.mu.Lock()
-	defer p.wire.mu.Unlock()
-	p.wire.loss = part
+	p.links.mu.Lock()
+	defer p.links.mu.Unlock()
+	p.links.loss = part
 }
 
 func (p *processes) sent() (sum int64) {
-	p.wire.mu.Lock()
-	defer p.wire.mu.Unlock()
-	for i, b := range p.wire.bytes { // what hollow nodes sent through relays they count themselves
-		if !p.night.isHollow(i) {
+	p.links.mu.Lock()
+	defer p.links.mu.Unlock()
+	for i, b := range p.links.bytes { // what hollow nodes sent through relays they count themselves
+		if !p.scenario.isHollow(i) {
 			sum += b
 		}
 	}
@@ -422,11 +422,11 @@
 func (p *processes) lastEvents() []Event {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Event(nil), p.latest...)
+	return append([]Event(nil), p.lastOfNode...)
 }
 
 func (p *processes) close() {
-	close(p.still.over)
+	close(p.stalls.over)
 	if p.fleet != nil {
 		p.fleet.Close()
 	}
@@ -439,10 +439,10 @@
 		p.ended(i)
 	}
 	p.closeRelays()
-	p.held.Close()
+	p.reservation.Close()
 	for _, b := range p.executors {
 		b.listener.Close()
 	}
 	p.control.Close()
-	p.supply.close()
+	p.dependency.close()
 }
--- a/internal/testbed/processfleet/relay.go
+++ b/internal/testbed/processfleet/relay.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	dialWait    = time.Second
-	sourcesMost = 256     // senders in whose name a relay sends at a time: those heard last, many more than a node has links
+	dialTimeout = time.Second
+	maxSources  = 256     // senders in whose name a relay sends at a time: those heard last, many more than a node has links
 	largest     = 2 << 10 // bytes of a datagram, more than any peer sends
-	delayedMost = 1_024   // datagrams on their way at once; more are lost
+	maxDelayed  = 1_024   // datagrams on their way at once; more are lost
 )
 
 // cutLinks is all links in one direction between some nodes and others.
@@ -134,7 +134,7 @@
 	r.turn++
 	s := r.sources[from]
 	if s == nil {
-		if len(r.sources) >= sourcesMost {
+		if len(r.sources) >= maxSources {
 			oldest := -1
 			for i, o := range r.sources {
 				if oldest < 0 || o.used < r.sources[oldest].used {
@@ -213,7 +213,7 @@
 	if !known {
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.bind, dialWait)
+	far, err := net.DialTimeout("tcp", r.bind, dialTimeout)
 	if err != nil {
 		return
 	}
--- a/internal/testbed/processfleet/relay_test.go
+++ b/internal/testbed/processfleet/relay_test.go
@@ -14,7 +14,7 @@
 
 func TestRelaySendsInTheNameOfEachOfManySenders(t *testing.T) {
 	t.Parallel()
-	const senders = sourcesMost + 44
+	const senders = maxSources + 44
 	block, held, err := hollow.Reserve()
 	require.NoError(t, err)
 	defer held.Close()
@@ -26,7 +26,7 @@
 	daemon, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(bind)))
 	require.NoError(t, err)
 	defer daemon.Close()
-	w := &links{chance: rand.New(rand.NewSource(1)), cut: map[pair]bool{}, bytes: make([]int64, senders+1), flight: make(chan struct{}, delayedMost)}
+	w := &links{chance: rand.New(rand.NewSource(1)), cut: map[pair]bool{}, bytes: make([]int64, senders+1), flight: make(chan struct{}, maxDelayed)}
 	r, err := newRelay(w, 0, told, bind, addresses)
 	require.NoError(t, err)
 	defer r.close()
@@ -44,5 +44,5 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	assert.LessOrEqual(t, len(r.sources), sourcesMost)
+	assert.LessOrEqual(t, len(r.sources), maxSources)
 }
--- a/internal/testbed/processfleet/result.go
+++ b/internal/testbed/processfleet/result.go
@@ -98,7 +98,7 @@
 	return v, nil
 }
 
-// runSeed plays a night on runSeed seed. The files of processes are left in a folder, if there is runSeed.
+// runSeed plays a scenario on one seed. The files of processes are left in a folder, if there is one.
 func (n *Scenario) runSeed(seed int64, program, folder string) (*Outcome, error) {
 	if n.Versions != nil && !n.Processes {
 		return n.playVersionsInVirtualTime(seed), nil
@@ -166,7 +166,7 @@
 	}
 	if !r.Held() {
 		for _, o := range r.Outcomes {
-			fmt.Fprintln(to, strings.Join(o.Timeline[:min(shown, len(o.Timeline))], "\n"))
+			fmt.Fprintln(to, strings.Join(o.Timeline[:min(shownLines, len(o.Timeline))], "\n"))
 		}
 	}
 	return nil
--- a/internal/testbed/processfleet/retrystorm.go
+++ b/internal/testbed/processfleet/retrystorm.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	callers     = 8                     // connections of a storm, each with some invocations open
-	openEach    = 4                     // of them
-	tokensOpen  = 40                    // tokens of which invocations are drawn at a time: each comes again and again
-	freshEvery  = 8                     // of so many invocations one opens a new token and retires the oldest
-	freshCalls  = 2                     // the same in a storm of calls, in which more are wanted than may be
-	callersMore = 2                     // times as many callers in it
-	backMost    = 50 * time.Millisecond // that they wait where they are told to come back: their need is to go on
-	runUsual    = 30                    // ms of a run at the most
-	retold      = 64                    // notices that a node hears anew which read none
-	historyMost = 2_000_000             // invocations that are remembered whole
-	answerMost  = 12 * time.Second      // past the client timeout, then an invocation counts as lost
-	keptMost    = 60 * time.Second      // for a repeat that gets what was kept; a storm without one ends then, and its claim breaks
-	changeEvery = 40                    // invocations after which a caller goes to another node
-	pace        = 2                     // ms that a caller waits between answers at the most
-	stormWindow = 600_000               // ms: no token's window ends in a storm
+	callers            = 8                     // connections of a storm, each with some invocations open
+	openPerCaller      = 4                     // of them
+	tokensOpen         = 40                    // tokens of which invocations are drawn at a time: each comes again and again
+	freshTokenInterval = 8                     // of so many invocations one opens a new token and retires the oldest
+	freshCalls         = 2                     // the same in a storm of calls, in which more are wanted than may be
+	callersMore        = 2                     // times as many callers in it
+	maxRetryAfter      = 50 * time.Millisecond // that they wait where they are told to come back: their need is to go on
+	defaultRunMS       = 30                    // ms of a run at the most
+	retold             = 64                    // notices that a node hears anew which read none
+	maxHistory         = 2_000_000             // invocations that are remembered whole
+	answerTimeout      = 12 * time.Second      // past the client timeout, then an invocation counts as lost
+	resultTimeout      = 60 * time.Second      // for a repeat that gets what was kept; a storm without one ends then, and its claim breaks
+	nodeChangeInterval = 40                    // invocations after which a caller goes to another node
+	pace               = 2                     // ms that a caller waits between answers at the most
+	stormWindow        = 600_000               // ms: no token's window ends in a storm
 	// client timeout in a storm, where none is given
 	stormTimeout = configfile.Time(5_000 * ms)
 )
@@ -79,13 +79,13 @@
 
 func newRetryStorm(seed int64, n *Scenario) *retryStorm {
 	s := &retryStorm{stop: make(chan struct{}), chance: rand.New(rand.NewSource(seed)), counts: map[string]int{}, runs: map[string]int{},
-		broke: map[string]bool{}, after: map[string]bool{}, runMost: runUsual, where: map[string][]string{},
-		runners: map[string]*executorStandIn{}, timeout: time.Duration(cmp.Or(n.Timeout, stormTimeout)), callers: callers, fresh: freshEvery, back: answerMost}
+		broke: map[string]bool{}, after: map[string]bool{}, runMost: defaultRunMS, where: map[string][]string{},
+		runners: map[string]*executorStandIn{}, timeout: time.Duration(cmp.Or(n.Timeout, stormTimeout)), callers: callers, fresh: freshTokenInterval, back: answerTimeout}
 	if n.Longest > 0 {
 		s.runMost = int(n.Longest / configfile.Time(ms))
 	}
 	if n.Calls > 0 {
-		s.callers, s.fresh, s.back, s.turns = callers*callersMore, freshCalls, backMost, turnFor
+		s.callers, s.fresh, s.back, s.turns = callers*callersMore, freshCalls, maxRetryAfter, callerTurn
 	}
 	return s
 }
@@ -112,7 +112,7 @@
 // begin sends the callers out.
 func (s *retryStorm) begin(p *processes) {
 	s.began = time.Now()
-	p.supply.started = s.began
+	p.dependency.started = s.began
 	for k := range s.callers {
 		s.group.Go(func() { s.call(p, k, rand.New(rand.NewSource(int64(k)))) })
 	}
@@ -124,7 +124,7 @@
 	if !slices.ContainsFunc(n.Claims, func(c Claim) bool { return c.Measure == "kept" && c.Least != nil && *c.Least >= 1 }) {
 		return
 	}
-	for end := time.Now().Add(keptMost); time.Now().Before(end); time.Sleep(time.Duration(look)) {
+	for end := time.Now().Add(resultTimeout); time.Now().Before(end); time.Sleep(time.Duration(pollInterval)) {
 		s.mu.Lock()
 		kept := s.counts["kept"]
 		s.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 	m["store_bytes"], m["per_s"] = float64(p.stored()), float64(s.asked)/(float64(p.now()-start)/1e9)
 	m["broken_tokens"], m["answered_later"] = float64(len(s.broke)), float64(len(s.after))
-	o.Timeline = append(o.Timeline, p.supply.measure(m, p, spans)...)
+	o.Timeline = append(o.Timeline, p.dependency.measure(m, p, spans)...)
 	m["taken"], m["unknown_claims"], m["settled"], m["taken_ended"] = 0, 0, 0, 1
 	for i := range p.daemons {
 		pic, err := p.claims(i)
@@ -181,7 +181,7 @@
 
 // claims asks a node by the command that operators have.
 func (p *processes) claims(i int) (*claimsView, error) {
-	if p.night.Council == 0 {
+	if p.scenario.Council == 0 {
 		return nil, errors.New("no council")
 	}
 	out, err := exec.Command(p.program, "claims", "--fleet", "rig", "--json", p.bind[i]).Output()
--- a/internal/testbed/processfleet/retrystorm_caller.go
+++ b/internal/testbed/processfleet/retrystorm_caller.go
@@ -30,7 +30,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[what]++
-	if wrong != "" && len(s.wrong) < shown {
+	if wrong != "" && len(s.wrong) < shownLines {
 		s.wrong = append(s.wrong, wrong)
 	}
 }
@@ -83,8 +83,8 @@
 	defer func() { s.connectionBroken(open, caller) }()
 	var parser frame.Parser
 	for stream := uint32(1); ; {
-		ending := s.isEnding() || stream > changeEvery || s.nextTurn() != turn
-		for !ending && len(open) < openEach {
+		ending := s.isEnding() || stream > nodeChangeInterval || s.nextTurn() != turn
+		for !ending && len(open) < openPerCaller {
 			token, call := s.draw()
 			open[stream] = sent{token, call, time.Now()}
 			if _, err := conn.Write(invocation("hold", stream, call, token)); err != nil {
@@ -95,13 +95,13 @@
 		if len(open) == 0 {
 			return
 		}
-		conn.SetReadDeadline(time.Now().Add(answerMost))
+		conn.SetReadDeadline(time.Now().Add(answerTimeout))
 		n, err := conn.Read(parser.Space())
 		if err != nil {
 			var late net.Error
 			if errors.As(err, &late) && late.Timeout() {
 				for range open {
-					s.count("lost", fmt.Sprintf("no answer within %s", answerMost))
+					s.count("lost", fmt.Sprintf("no answer within %s", answerTimeout))
 				}
 				return
 			}
@@ -143,7 +143,7 @@
 }
 
 func (s *retryStorm) record(o sent, outcome string, caller int) {
-	if len(s.history) < historyMost {
+	if len(s.history) < maxHistory {
 		s.history = append(s.history, Told{o.token, outcome, o.at.UnixNano(), time.Now().UnixNano(), caller})
 	}
 }
--- a/internal/testbed/processfleet/scenario.go
+++ b/internal/testbed/processfleet/scenario.go
@@ -1,4 +1,4 @@
-// Package processfleet plays a night of faults on a fleet: in virtual time, or on built daemons whose links run through
+// Package processfleet plays fault scenarios on a fleet: in virtual time, or on built daemons whose links run through
 // relays on loopback. Both are judged by the same measures of the views that nodes told.
 package processfleet
 
@@ -13,16 +13,16 @@
 )
 
 const (
-	ms       = int64(1_000_000)
-	second   = 1_000 * ms
-	look     = 20 * ms    // between looks at what is waited for
-	after    = 6 * second // past a fault's end in which a change may still be of it
-	idleFor  = 5 * second // before the first fault in which traffic is that of an idle fleet
-	shown    = 40         // lines of the timeline that are printed
-	toldMost = 20_000     // changes of views that a timeline has one by one
+	ms                 = int64(1_000_000)
+	second             = 1_000 * ms
+	pollInterval       = 20 * ms    // between looks at what is waited for
+	faultAftermath     = 6 * second // past a fault's end in which a change may still be of it
+	idlePeriod         = 5 * second // before the first fault in which traffic is that of an idle fleet
+	shownLines         = 40         // lines of the timeline that are printed
+	maxTimelineChanges = 20_000     // changes of views that a timeline has one by one
 	// of what a node that falls out again and again is held back by: as in package membership
-	fallsMost = 5
-	pardon    = 60 * second
+	maxFlaps  = 5
+	flapDecay = 60 * second
 )
 
 // Scenario is an experiment on a fleet, as it is written.
@@ -83,8 +83,8 @@
 	Size  int
 }
 
-// Read reads a night with some of its values changed. It says no where the file is no night but another experiment.
-func Read(path string, changed map[string]string) (n *Scenario, is bool, err error) {
+// Read reads a scenario with some of its values changed; isScenario is false where the file is another kind of experiment.
+func Read(path string, changed map[string]string) (n *Scenario, isScenario bool, err error) {
 	file, err := configfile.Read(path)
 	if err != nil {
 		return nil, false, err
--- a/internal/testbed/processfleet/scenario_test.go
+++ b/internal/testbed/processfleet/scenario_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRepeatsOnADaemonThatIsKilled(t *testing.T) {
+func TestRetriesOnADaemonThatIsKilled(t *testing.T) {
 	for _, durability := range []string{"batched", "each"} {
 		t.Run(durability, func(t *testing.T) {
 			r := play(t, "kept-storm", map[string]string{"seconds": "12", "kills": "6", "keep.durability": durability})
@@ -80,7 +80,7 @@
 }
 
 // A storm that can't fail shows nothing: without a store, a daemon that is killed runs tokens again.
-func TestStormFindsRunsThatWereForgotten(t *testing.T) {
+func TestRetryStormFindsRunsWithoutAResult(t *testing.T) {
 	t.Parallel()
 	n, _, err := Read("../../../experiments/kept-storm.jsonnet", map[string]string{"seconds": "8", "kills": "4", "keep.durability": "none"})
 	require.NoError(t, err)
@@ -89,7 +89,7 @@
 	assert.Positive(t, r.Measures[0]["twice"])
 }
 
-func TestNightsInVirtualTime(t *testing.T) {
+func TestScenariosInVirtualTime(t *testing.T) {
 	for name, changed := range map[string]map[string]string{
 		"members-kill": {}, "members-pause": {"seconds": "120"}, "members-cuts": {}, "members-scale": {"nodes": "40"},
 	} {
@@ -103,7 +103,7 @@
 // What the play on processes claims must not rest on which datagrams are lost: of the first 320 seeds, 116, 188
 // and 317 failed where each ping was sent but once a probe, and 166, 257 and 317 where only that was mended and a link
 // that was back was still told of too late.
-func TestPausesAreBorneWhicheverFifthIsLost(t *testing.T) {
+func TestPausedNodesAreNotLostWhicheverFifthOfDatagramsIs(t *testing.T) {
 	t.Parallel()
 	n, _, err := Read("../../../experiments/members-pause.jsonnet", map[string]string{"processes": "false", "nodes": "6", "seconds": "24", "calm": "10"})
 	require.NoError(t, err)
@@ -124,7 +124,7 @@
 	assert.False(t, r.Held())
 }
 
-func TestFileThatIsNoNightIsLeftToOthers(t *testing.T) {
+func TestOtherExperimentsAreNoScenario(t *testing.T) {
 	_, is, err := Read("../../../experiments/levels-step.jsonnet", nil)
 	require.NoError(t, err)
 	assert.False(t, is)
--- a/internal/testbed/processfleet/stalls.go
+++ b/internal/testbed/processfleet/stalls.go
@@ -12,7 +12,7 @@
 
 const (
 	starvedLook = 100 * ms // between looks at who got no processor
-	starvedMost = 1 << 16  // standstills that are kept; more excuse nothing
+	maxStalls   = 1 << 16  // standstills that are kept; more excuse nothing
 
 	// What a pause may come to before a member may be lost: as in package membership, without its chance of loss.
 	silence = 3_500 * ms
@@ -38,7 +38,7 @@
 }
 
 func (s *stallRecorder) add(node int, at, ns int64) {
-	if ns > 0 && len(s.list) < starvedMost {
+	if ns > 0 && len(s.list) < maxStalls {
 		s.list = append(s.list, processStall{node, at, ns})
 	}
 }
@@ -107,9 +107,9 @@
 				last[i] = seen{}
 				continue
 			}
-			p.wire.mu.Lock()
-			sent := p.wire.bytes[i]
-			p.wire.mu.Unlock()
+			p.links.mu.Lock()
+			sent := p.links.bytes[i]
+			p.links.mu.Unlock()
 			x := seen{int64(d.command.Process.Pid), waited(d.command.Process.Pid), sent}
 			s.mu.Lock()
 			if _, stopped := s.from[i]; !stopped && x.pid == last[i].pid && x.sent == last[i].sent {
--- a/internal/testbed/processfleet/stalls_test.go
+++ b/internal/testbed/processfleet/stalls_test.go
@@ -51,20 +51,20 @@
 }
 
 // A process that doesn't want a processor and says nothing stands still by its own doing, however busy the machine is.
-func TestSilenceIsNoExcuse(t *testing.T) {
+func TestSilenceIsNoStall(t *testing.T) {
 	sleeper := exec.Command("sleep", "60")
 	require.NoError(t, sleeper.Start())
 	defer func() { sleeper.Process.Kill(); _ = sleeper.Wait() }() // it was killed
-	p := &processes{began: time.Now(), daemons: []*daemon{{command: sleeper, up: true}}, still: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})},
-		wire: &links{chance: rand.New(rand.NewSource(1)), bytes: make([]int64, 1)}}
+	p := &processes{began: time.Now(), daemons: []*daemon{{command: sleeper, up: true}}, stalls: &stallRecorder{from: map[int]int64{}, over: make(chan struct{})},
+		links: &links{chance: rand.New(rand.NewSource(1)), bytes: make([]int64, 1)}}
 	before := waited(sleeper.Process.Pid) // for its start
-	go p.still.watch(p)
+	go p.stalls.watch(p)
 	time.Sleep(time.Second)
-	close(p.still.over)
-	p.still.mu.Lock()
-	defer p.still.mu.Unlock()
+	close(p.stalls.over)
+	p.stalls.mu.Lock()
+	defer p.stalls.mu.Unlock()
 	sum := int64(0)
-	for _, x := range p.still.list {
+	for _, x := range p.stalls.list {
 		if x.node == 0 {
 			sum += x.ns
 		}
--- a/internal/testbed/processfleet/takeover_test.go
+++ b/internal/testbed/processfleet/takeover_test.go
@@ -74,11 +74,11 @@
 	return o.Measures
 }
 
-func TestStormOnAFleetWhoseNodesAreKilled(t *testing.T) {
+func TestRetryStormOnAFleetWhoseNodesAreKilled(t *testing.T) {
 	storms(t, "takeover-kill", map[string]string{"nodes": "5", "seconds": "14", "faults": `[{"kind":"kill","at":"2 s","every":"5 s","for":"1 s"}]`})
 }
 
-func TestStormOnAFleetThatIsPausedAndCut(t *testing.T) {
+func TestRetryStormOnAFleetThatIsPausedAndCut(t *testing.T) {
 	storms(t, "takeover-pause", map[string]string{"nodes": "5", "seconds": "20", "faults": `[{"kind":"loss","at":"0 s","part":"20 %"},
 		{"kind":"pause","at":"2 s","every":"8 s","for":"2 s"},{"kind":"cut","shape":"from","at":"5 s","for":"3 s"},
 		{"kind":"cut","shape":"halves","who":"n0 n3","at":"13 s","for":"3 s"}]`})
@@ -209,7 +209,7 @@
 	return p, c
 }
 
-func TestHeldWorkOfAKilledNodeIsRunByAnotherAndWhatItBeganIsToldAsUnknown(t *testing.T) {
+func TestQueuedWorkOfAKilledNodeIsRunByAnotherAndStartedWorkIsReportedAsUnknown(t *testing.T) {
 	p, _ := held(t)
 	p.pause(4, true) // what it said is agreed on by the time that it is dead
 	time.Sleep(300 * time.Millisecond)
@@ -303,7 +303,7 @@
 	assert.Zero(t, judged+of[0]+of[1], "nothing was wanted")
 }
 
-func TestLedgerTellsWhatItCouldNotJudge(t *testing.T) {
+func TestDependencyReportsWhatItCouldNotJudge(t *testing.T) {
 	s, err := newDependency(1, 1)
 	require.NoError(t, err)
 	t.Cleanup(s.close)
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	putAgain  = 1_500 * ms // ns without an answer after which a caller asks another seat
-	putMost   = 100        // changes in one put: those that gathered since the last one
-	pieceMost = 600        // items in one piece of the content that a fleet begins with
-	takeMost  = 20 * ms    // ns until a node has a version in force, at the most
-	writeMost = 10 * ms    // ns until it is on a node's disk
-	syncMost  = 4 * ms     // ns until a seat's write is
-	lookAgain = second     // ns between looks at links, which change without the view
-	sealed    = envelope.Fleet(1)
-	newBuild  = `"of a later build"` // a value that nodes of the build before can't take
+	putAgain      = 1_500 * ms // ns without an answer after which a caller asks another seat
+	maxPutChanges = 100        // changes in one put: those that gathered since the last one
+	maxPieceItems = 600        // items in one piece of the content that a fleet begins with
+	maxAdoptTime  = 20 * ms    // ns until a node has a version in force, at the most
+	maxWriteTime  = 10 * ms    // ns until it is on a node's disk
+	maxSyncTime   = 4 * ms     // ns until a seat's write is
+	lookAgain     = second     // ns between looks at links, which change without the view
+	sealed        = envelope.Fleet(1)
+	newBuild      = `"of a later build"` // a value that nodes of the build before can't take
 )
 
-// Versions has a night play versions of the configuration, over seats that agree on their order.
+// Versions has a scenario play versions of the configuration, over seats that agree on their order.
 type Versions struct {
 	Seats      int             // of the nodes, spread over the zones
 	Regions    int             // that zones are dealt to, in turn
@@ -50,30 +50,30 @@
 	index int
 	seat  bool
 	old   bool
-	disk  kept
+	disk  storedContent
 	wrote consensus.DiskContents // the seat's
 	life  *nodeProcess
-	held  []taken
+	held  []revisionTime
 	out   []interval // when it was out of reach
 	spent []int      // bytes in each second, both ways
 }
 
-// kept is a node's file: as sound as its digest.
-type kept struct {
+// storedContent is a node's file: as sound as its digest.
+type storedContent struct {
 	mark    configsync.Revision
 	content *configsync.Content
 }
 
-// taken says since when a node has a version in force.
-type taken struct {
+// revisionTime says since when a node has a version in force.
+type revisionTime struct {
 	at      int64
 	version uint64
 }
 
 type interval struct{ from, to int64 }
 
-// parcel is a message with its bytes.
-type parcel struct {
+// messageInFlight is a message with its bytes.
+type messageInFlight struct {
 	body any
 	size int
 }
@@ -87,8 +87,8 @@
 	byName   map[string]*member
 	seats    []string
 	chance   *rand.Rand
-	callers  []*putter
-	changes  []*change
+	callers  []*proposer
+	changes  []*wantedChange
 	agreedAt map[uint64]int64
 	digests  map[uint64]configsync.Digest
 	records  map[uint64]*configsync.Record
@@ -134,7 +134,7 @@
 	}
 	f.NewPayload = f.begin
 	for k := range max(1, t.Callers) {
-		f.callers = append(f.callers, &putter{name: fmt.Sprint("caller-", k)})
+		f.callers = append(f.callers, &proposer{name: fmt.Sprint("caller-", k)})
 	}
 	return f
 }
@@ -157,7 +157,7 @@
 	if s := l.holder.Status(f.Now); s.Mark != m.disk.mark || s.Source != start.Source {
 		f.wrong = append(f.wrong, fmt.Sprintf("%s starts from its %s with version %d, and kept %d", n.Name, s.Source, s.Mark.Version, m.disk.mark.Version))
 	}
-	m.held = append(m.held, taken{f.Now, m.disk.mark.Version})
+	m.held = append(m.held, revisionTime{f.Now, m.disk.mark.Version})
 	l.inbox = append(l.inbox, l.view())
 	if m.seat {
 		l.council = consensus.NewGroup(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
@@ -183,7 +183,7 @@
 	m.Kill()
 	m.life = nil
 	if forgets {
-		m.disk, m.wrote = kept{}, consensus.DiskContents{}
+		m.disk, m.wrote = storedContent{}, consensus.DiskContents{}
 	}
 }
 
--- a/internal/testbed/processfleet/versions_node.go
+++ b/internal/testbed/processfleet/versions_node.go
@@ -53,7 +53,7 @@
 
 // DatagramReceived takes a message of another node's holder or seat.
 func (l *nodeProcess) DatagramReceived(from *virtualfleet.Node, body any) {
-	p := body.(parcel)
+	p := body.(messageInFlight)
 	l.m.spend(l.f.Now, p.size)
 	switch msg := p.body.(type) {
 	case *configsync.Message:
@@ -71,7 +71,7 @@
 
 // ExchangeOpened takes an exchange.
 func (l *nodeProcess) ExchangeOpened(from *virtualfleet.Node, body any, reply func(body any, size int)) {
-	p := body.(parcel)
+	p := body.(messageInFlight)
 	l.m.spend(l.f.Now, p.size)
 	l.links++
 	l.asked[l.links] = reply
@@ -130,17 +130,17 @@
 		if to := f.byName[e.To]; to != nil {
 			size := sized(e.Message)
 			m.spend(f.Now, size)
-			m.SendDatagram(to.Node, parcel{e.Message, size}, size)
+			m.SendDatagram(to.Node, messageInFlight{e.Message, size}, size)
 		}
 	case configsync.Exchange:
 		to, link, size := f.byName[e.To], e.Link, sized(e.Message)
 		m.spend(f.Now, size)
-		m.OpenExchange(to.Node, parcel{e.Message, size}, size, func(body any, ok bool) {
+		m.OpenExchange(to.Node, messageInFlight{e.Message, size}, size, func(body any, ok bool) {
 			if !ok {
 				l.deliver(configsync.Input{Kind: configsync.Missed, Link: link})
 				return
 			}
-			p := body.(parcel)
+			p := body.(messageInFlight)
 			m.spend(f.Now, p.size)
 			again := *p.body.(*configsync.Message)
 			l.deliver(configsync.Input{Kind: configsync.Answered, Link: link, Message: &again})
@@ -150,13 +150,13 @@
 			delete(l.asked, e.Link)
 			size := sized(e.Message)
 			m.spend(f.Now, size)
-			reply(parcel{e.Message, size}, size)
+			reply(messageInFlight{e.Message, size}, size)
 		}
 	case configsync.Take, configsync.Check:
 		l.adopt(e)
 	case configsync.Persist:
-		next := kept{e.Mark, e.New}
-		m.Later(f.chance.Int63n(writeMost), func() {
+		next := storedContent{e.Mark, e.New}
+		m.Later(f.chance.Int63n(maxWriteTime), func() {
 			m.disk = next
 			l.deliver(configsync.Input{Kind: configsync.Saved})
 		})
@@ -177,7 +177,7 @@
 	if m.old && string(e.New.Get(configsync.Operations, "new")) == newBuild {
 		why = "operations new is of a later build"
 	}
-	m.Later(f.chance.Int63n(takeMost), func() {
+	m.Later(f.chance.Int63n(maxAdoptTime), func() {
 		if why != "" {
 			if f.refused++; f.refused <= lateNamed {
 				f.logf("%s refuses version %d, first stage %t", m.Name, mark.Version, e.First)
@@ -187,7 +187,7 @@
 				f.back++
 				f.logf("%s goes from version %d to %d", m.Name, m.held[k-1].version, mark.Version)
 			}
-			m.held = append(m.held, taken{f.Now, mark.Version})
+			m.held = append(m.held, revisionTime{f.Now, mark.Version})
 			if l.fresh {
 				l.fresh = false
 				f.recovers = append(f.recovers, seconds(f.Now-m.Started))
@@ -264,14 +264,14 @@
 	if to := f.byName[e.To]; to != nil {
 		size := len(text) + envelope.Head
 		m.spend(f.Now, size)
-		m.SendDatagram(to.Node, parcel{text, size}, size)
+		m.SendDatagram(to.Node, messageInFlight{text, size}, size)
 	}
 }
 
 // persist has writes reach the seat's disk in their order.
 func (l *nodeProcess) persist(w *consensus.Write) {
 	f, m := l.f, l.m
-	l.free = max(l.free, f.Now) + ms/10 + f.chance.Int63n(syncMost)
+	l.free = max(l.free, f.Now) + ms/10 + f.chance.Int63n(maxSyncTime)
 	l.writes = append(l.writes, w)
 	m.Later(l.free-f.Now, func() {
 		m.write(l.writes[0])
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	pollEvery = 400 * time.Millisecond // between questions to a node
-	asksMost  = 64                     // at once
-	putPause  = 50 * time.Millisecond  // between looks for something to put, and tries at seats
-	putFor    = 60 * second            // that the first content and what is not answered yet are waited for
-	newItem   = `{"aim":1000,"class_calls":true,"effect":"idempotent","give_up":4000,"importance":2}`
+	queryInterval = 400 * time.Millisecond // between questions to a node
+	maxQueries    = 64                     // at once
+	putBackoff    = 50 * time.Millisecond  // between looks for something to put, and tries at seats
+	putTimeout    = 60 * second            // that the first content and what is not answered yet are waited for
+	newItem       = `{"aim":1000,"class_calls":true,"effect":"idempotent","give_up":4000,"importance":2}`
 )
 
 // processVersions is a fleet of processes that is asked what it has. It shares changes, callers' bookkeeping and measures with the fleet in
@@ -40,16 +40,16 @@
 	has    []configsync.Revision
 	up     []bool
 	lives  []int
-	began  []int64    // of each node's life
-	empty  []bool     // without a disk, and nothing was in force since
-	bytes  [][]sample // of each node, since its last start
+	began  []int64           // of each node's life
+	empty  []bool            // without a disk, and nothing was in force since
+	bytes  [][]trafficSample // of each node, since its last start
 	agreed configsync.AtSeat
 	undone [][2]uint64 // versions between these two were taken back by the second
 	ask    chan struct{}
 }
 
-// sample is what a holder had sent and received, and how often it had set a peer aside.
-type sample struct {
+// trafficSample is what a holder had sent and received, and how often it had set a peer aside.
+type trafficSample struct {
 	at    int64
 	bytes int64
 	lies  int
@@ -58,7 +58,7 @@
 
 // versionsFiles has the files of a fleet's nodes say that they take versions.
 func (p *processes) versionsFiles(config, fleet map[string]any, i int) {
-	if p.night.Versions == nil {
+	if p.scenario.Versions == nil {
 		return
 	}
 	if fleet != nil {
@@ -104,7 +104,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pollEvery):
+		case <-time.After(queryInterval):
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		}
 		f.has[i] = mark
 		at := max(now-a.Status.TakenNS, f.began[i])
-		m.held = append(m.held, taken{at, mark.Version})
+		m.held = append(m.held, revisionTime{at, mark.Version})
 		if f.empty[i] && mark.Version > 0 {
 			f.empty[i] = false
 			f.recovers = append(f.recovers, seconds(at-f.began[i]))
@@ -137,7 +137,7 @@
 		f.marks[mark.Version] = mark.Digest
 	}
 	c := &a.Status.Counters
-	f.bytes[i] = append(f.bytes[i], sample{now, c.BytesSent + c.BytesReceived, c.InvalidResponses, life})
+	f.bytes[i] = append(f.bytes[i], trafficSample{now, c.BytesSent + c.BytesReceived, c.InvalidResponses, life})
 	f.recordReplica(a.Seat)
 }
 
@@ -173,7 +173,7 @@
 				return a.Verdict
 			}
 		}
-		time.Sleep(putPause)
+		time.Sleep(putBackoff)
 	}
 	return nil
 }
@@ -183,11 +183,11 @@
 	chance, seq := rand.New(rand.NewSource(f.p.seed)), uint64(0)
 	for len(list) > 0 && ctx.Err() == nil {
 		n, named := 0, map[string]bool{} // a put has each item once, and what is new alone
-		for now := f.p.now(); n < len(list) && n < putMost && list[n].at <= now && (n == 0 || !list[n].isNew && !list[0].isNew) && !named[list[n].item.Name]; n++ {
+		for now := f.p.now(); n < len(list) && n < maxPutChanges && list[n].at <= now && (n == 0 || !list[n].isNew && !list[0].isNew) && !named[list[n].item.Name]; n++ {
 			named[list[n].item.Name] = true
 		}
 		if n == 0 {
-			time.Sleep(putPause)
+			time.Sleep(putBackoff)
 			continue
 		}
 		some, began := list[:n], f.p.now()
@@ -229,7 +229,7 @@
 		f.mu.Lock()
 		f.logNowf("a change is refused: %s", v.Refused)
 		f.mu.Unlock()
-		time.Sleep(putPause)
+		time.Sleep(putBackoff)
 	}
 	return nil
 }
@@ -248,7 +248,7 @@
 		case to >= version && len(good) > 0:
 			to = good[len(good)-1]
 		default:
-			time.Sleep(putPause)
+			time.Sleep(putBackoff)
 			continue
 		}
 		v := f.until(ctx, &configsync.Command{Kind: configsync.Rollback, From: "rig", Version: to}, seq, base, chance)
@@ -264,7 +264,7 @@
 
 // timedChange is a change that is wanted at a time.
 type timedChange struct {
-	*change
+	*wantedChange
 	at int64
 }
 
@@ -273,7 +273,7 @@
 	for _, c := range f.terms.Changes {
 		last := min(end, start+int64(c.At)+int64(c.For)+1)
 		for at := start + int64(c.At); at < last; at += int64(c.Every) {
-			x := &change{isNew: c.New, item: tenantOf(f.chance.Intn(f.terms.Tenants), len(list)+1)}
+			x := &wantedChange{isNew: c.New, item: tenantOf(f.chance.Intn(f.terms.Tenants), len(list)+1)}
 			if c.New {
 				x.item = configsync.Item{Part: configsync.Operations, Name: "new", Value: []byte(newItem)}
 			}
@@ -295,8 +295,8 @@
 func (n *Scenario) playVersionsOnProcesses(p *processes, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
 	f := &processVersions{virtualVersions: newVirtualVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
-		has: make([]configsync.Revision, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]sample, n.Nodes),
-		ask: make(chan struct{}, asksMost)}
+		has: make([]configsync.Revision, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]trafficSample, n.Nodes),
+		ask: make(chan struct{}, maxQueries)}
 	f.Simulator = virtualtime.New(seed, 0)
 	for i, m := range f.members {
 		m.seat = i < n.Versions.Seats
@@ -326,7 +326,7 @@
 		o.Failed = err.Error()
 		return o
 	}
-	p.run(p.now() + 2*quietFor)
+	p.run(p.now() + 2*quietPeriod)
 	start := p.now()
 	f.start = start
 	end := start + int64(n.Seconds*1e9)
@@ -340,7 +340,7 @@
 	healed := p.now()
 	select {
 	case <-done:
-	case <-time.After(time.Duration(putFor)):
+	case <-time.After(time.Duration(putTimeout)):
 	}
 	o.Measures["healed_s"] = 1e9
 	for p.now() < healed+int64(n.Calm*1e9) {
@@ -348,9 +348,9 @@
 			o.Measures["healed_s"] = seconds(p.now() - healed)
 			break
 		}
-		time.Sleep(putPause)
+		time.Sleep(putBackoff)
 	}
-	time.Sleep(pollEvery + time.Second)
+	time.Sleep(queryInterval + time.Second)
 	stop()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -378,12 +378,12 @@
 	for k := range f.terms.Tenants {
 		items = append(items, tenantOf(k, 0))
 	}
-	ctx, stop := context.WithTimeout(ctx, time.Duration(putFor))
+	ctx, stop := context.WithTimeout(ctx, time.Duration(putTimeout))
 	defer stop()
 	chance, version := rand.New(rand.NewSource(f.p.seed)), uint64(0)
-	for k := 0; k < len(items); k += pieceMost {
-		c := &configsync.Command{Kind: configsync.Put, From: "file", Seq: uint64(k/pieceMost) + 1, Piece: k / pieceMost,
-			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
+	for k := 0; k < len(items); k += maxPieceItems {
+		c := &configsync.Command{Kind: configsync.Put, From: "file", Seq: uint64(k/maxPieceItems) + 1, Piece: k / maxPieceItems,
+			More: k+maxPieceItems < len(items), Changes: items[k:min(len(items), k+maxPieceItems)]}
 		v := f.put(ctx, c, chance)
 		if v == nil || !v.Done {
 			return 0, fmt.Errorf("the first content was not put: %+v", v)
@@ -397,9 +397,9 @@
 		if behind < 0 {
 			return version, nil
 		}
-		time.Sleep(putPause)
+		time.Sleep(putBackoff)
 	}
-	return 0, fmt.Errorf("the first content was not in force everywhere within %.0f s", seconds(putFor))
+	return 0, fmt.Errorf("the first content was not in force everywhere within %.0f s", seconds(putTimeout))
 }
 
 // allAt says whether all nodes have the newest version that was acknowledged in force.
--- a/internal/testbed/processfleet/versions_processes_measure.go
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -16,9 +16,9 @@
 	x["lies"] = 0
 	idle, nodes := 0.0, 0
 	for i, list := range f.bytes {
-		var first, last *sample
+		var first, last *trafficSample
 		for k := range list {
-			if s := &list[k]; s.at <= start && s.at > start-int64(quietFor) && s.life == 0 {
+			if s := &list[k]; s.at <= start && s.at > start-int64(quietPeriod) && s.life == 0 {
 				if first == nil {
 					first = s
 				}
@@ -49,7 +49,7 @@
 }
 
 // measureWindows measures the invalid responses that a node counted in each of its incarnations, and its worst window of traffic.
-func (f *processVersions) measureWindows(x map[string]float64, list []sample, seat bool, start int64) {
+func (f *processVersions) measureWindows(x map[string]float64, list []trafficSample, seat bool, start int64) {
 	measure := "window_bytes"
 	if seat {
 		measure = "seat_window_bytes"
@@ -72,7 +72,7 @@
 // missing counts items whose last acknowledged value isn't in the final content of a seat, though nobody took it back: a rollback
 // takes back all that was agreed on since the version that it names.
 func (f *processVersions) missing() (count int) {
-	last := map[string]*change{}
+	last := map[string]*wantedChange{}
 	for _, c := range f.changes {
 		back := slices.ContainsFunc(f.undone, func(u [2]uint64) bool { return c.version > u[0] && c.version < u[1] })
 		if o := last[c.item.Name]; !back && c.version > 0 && !c.isNew && (o == nil || c.version >= o.version) {
--- a/internal/testbed/processfleet/versions_test.go
+++ b/internal/testbed/processfleet/versions_test.go
@@ -73,9 +73,9 @@
 		"it recovers":                      {empty: []int{4}, late: 4},
 		"a seat is late and others aren't": {down: []int{4}, late: 1, found: true},
 	} {
-		f := &virtualVersions{Fleet: virtualfleet.New(1, 5, 2), apart: map[*member]bool{}, agreedAt: map[uint64]int64{1: second}, changes: []*change{{version: 1}}}
+		f := &virtualVersions{Fleet: virtualfleet.New(1, 5, 2), apart: map[*member]bool{}, agreedAt: map[uint64]int64{1: second}, changes: []*wantedChange{{version: 1}}}
 		for k := range 5 {
-			m := &member{Node: &virtualfleet.Node{Name: fmt.Sprint("n", k)}, index: k, seat: k < 3, held: []taken{{0, 0}, {3 * second, 1}}}
+			m := &member{Node: &virtualfleet.Node{Name: fmt.Sprint("n", k)}, index: k, seat: k < 3, held: []revisionTime{{0, 0}, {3 * second, 1}}}
 			if k == x.late {
 				m.held[1].at = 13 * second
 			}
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	inForce   = 10 * second                           // in which a change is to be in force
-	reachStep = 100 * ms                              // between looks at who is in reach
-	lasting   = math.MaxInt64                         // the end of a stretch that goes on
-	noticed   = 500 * ms                              // until an operator takes back what was stopped
-	loadFor   = 60 * second                           // for the first content to be agreed on
-	joinFor   = 60 * second                           // for one view, where membership is played
-	quietFor  = 10 * second                           // at the start in which traffic is that of an idle fleet; after it has been quiet as long
-	window    = 15                                    // seconds over which a node's bytes are bounded
-	rebuilt   = 20                                    // nodes whose content is digested anew in the end
-	lateNamed = 6                                     // nodes that a line of the timeline names
-	itemText  = `{"burst":40,"key":"%08x","rate":%d}` // with its name some 55 bytes, as 6 MB for 130,000 tenants have
+	inForce     = 10 * second                           // in which a change is to be in force
+	reachStep   = 100 * ms                              // between looks at who is in reach
+	lasting     = math.MaxInt64                         // the end of a stretch that goes on
+	noticed     = 500 * ms                              // until an operator takes back what was stopped
+	loadTimeout = 60 * second                           // for the first content to be agreed on
+	joinTimeout = 60 * second                           // for one view, where membership is played
+	quietPeriod = 10 * second                           // at the start in which traffic is that of an idle fleet; after it has been quiet as long
+	window      = 15                                    // seconds over which a node's bytes are bounded
+	rebuilt     = 20                                    // nodes whose content is digested anew in the end
+	lateNamed   = 6                                     // nodes that a line of the timeline names
+	itemText    = `{"burst":40,"key":"%08x","rate":%d}` // with its name some 55 bytes, as 6 MB for 130,000 tenants have
 )
 
-// change is one that a caller wants.
-type change struct {
+// wantedChange is one that a caller wants.
+type wantedChange struct {
 	item    configsync.Item
 	version uint64 // 0 until it is acknowledged
 	isNew   bool
 }
 
-// putter is a caller that puts what gathered, one command at a time, at any seat.
-type putter struct {
+// proposer is a caller that puts what gathered, one command at a time, at any seat.
+type proposer struct {
 	name    string
 	seq     uint64
 	base    uint64
-	waiting []*change
-	inHand  []*change
+	waiting []*wantedChange
+	inHand  []*wantedChange
 	command *configsync.Command
 	sent    int64
 	begun   int64
 }
 
 // propose has a command taken to a seat that is up, and again to another while it isn't answered.
-func (f *virtualVersions) propose(c *putter) {
+func (f *virtualVersions) propose(c *proposer) {
 	command := c.command
 	c.sent = f.Now
 	if m := f.byName[f.seats[f.chance.Intn(len(f.seats))]]; m.Up {
@@ -66,11 +66,11 @@
 }
 
 // next has a caller put what it has gathered.
-func (f *virtualVersions) next(c *putter) {
+func (f *virtualVersions) next(c *proposer) {
 	if c.command != nil || len(c.waiting) == 0 || f.holding && !c.waiting[0].isNew {
 		return
 	}
-	n := min(len(c.waiting), putMost)
+	n := min(len(c.waiting), maxPutChanges)
 	if c.waiting[0].isNew { // by itself
 		n = 1
 	}
@@ -85,7 +85,7 @@
 }
 
 // decided is what a caller is told.
-func (f *virtualVersions) decided(c *putter, list []configsync.Verdict) {
+func (f *virtualVersions) decided(c *proposer, list []configsync.Verdict) {
 	for i := range list {
 		v := &list[i]
 		if c.command == nil || v.Seq != c.command.Seq {
@@ -156,24 +156,24 @@
 	for k := range max(1, f.terms.Tenants) {
 		items = append(items, f.tenant(k, 0))
 	}
-	file := &putter{name: "file"}
+	file := &proposer{name: "file"}
 	f.callers = append(f.callers, file)
-	for k := 0; k < len(items); k += pieceMost {
+	for k := 0; k < len(items); k += maxPieceItems {
 		file.seq++
-		file.command = &configsync.Command{Kind: configsync.Put, From: file.name, Seq: file.seq, Piece: k / pieceMost,
-			More: k+pieceMost < len(items), Changes: items[k:min(len(items), k+pieceMost)]}
+		file.command = &configsync.Command{Kind: configsync.Put, From: file.name, Seq: file.seq, Piece: k / maxPieceItems,
+			More: k+maxPieceItems < len(items), Changes: items[k:min(len(items), k+maxPieceItems)]}
 		f.propose(file)
-		if f.RunUntil(loadFor, func() bool { return file.command == nil }) < 0 {
+		if f.RunUntil(loadTimeout, func() bool { return file.command == nil }) < 0 {
 			return fmt.Errorf("the seats did not agree on the first content")
 		}
 	}
 	f.callers = f.callers[:len(f.callers)-1]
-	if f.RunUntil(loadFor, func() bool { return f.last.Head.All.Version == 1 && f.settled() == "" }) < 0 {
+	if f.RunUntil(loadTimeout, func() bool { return f.last.Head.All.Version == 1 && f.settled() == "" }) < 0 {
 		return fmt.Errorf("the first content was not in force at the seats: %s", f.settled())
 	}
 	for _, m := range f.members {
 		if !m.seat {
-			m.disk = kept{f.last.Head.All, f.last.All}
+			m.disk = storedContent{f.last.Head.All, f.last.All}
 		}
 	}
 	for _, c := range f.callers {
@@ -208,7 +208,7 @@
 		last := min(end, f.start+int64(c.At)+int64(c.For)+1)
 		for at := f.start + int64(c.At); at < last; at += int64(c.Every) {
 			count++
-			x := &change{isNew: c.New, item: f.tenant(f.chance.Intn(f.terms.Tenants), count)}
+			x := &wantedChange{isNew: c.New, item: f.tenant(f.chance.Intn(f.terms.Tenants), count)}
 			if c.New {
 				x.item = configsync.Item{Part: configsync.Operations, Name: "new", Value: []byte(newBuild)}
 			}
@@ -231,7 +231,7 @@
 }
 
 // want has a caller put a change; what is of a new build alone, with all others waiting.
-func (f *virtualVersions) want(by *putter, x *change) {
+func (f *virtualVersions) want(by *proposer, x *wantedChange) {
 	if x.isNew {
 		f.holding = true
 		by.waiting = slices.Insert(slices.Clone(by.waiting), 0, x)
@@ -347,13 +347,13 @@
 		}
 	}
 	joined := func() bool { return !f.terms.Membership || f.Agreed() }
-	if o.Measures["joined_s"] = seconds(f.RunUntil(joinFor, joined)); o.Measures["joined_s"] < 0 {
+	if o.Measures["joined_s"] = seconds(f.RunUntil(joinTimeout, joined)); o.Measures["joined_s"] < 0 {
 		o.Failed = "the fleet did not come to one view"
 		return o
 	}
-	f.Run((f.Now/second + 1 + 2*quietFor/second) * second) // words that a start brings are over
+	f.Run((f.Now/second + 1 + 2*quietPeriod/second) * second) // words that a start brings are over
 	f.start, f.recovers = f.Now, nil
-	o.Measures["idle_bytes"] = f.mean(f.start-quietFor, f.start)
+	o.Measures["idle_bytes"] = f.mean(f.start-quietPeriod, f.start)
 	end := f.start + int64(n.Seconds*1e9)
 	f.scheduleChanges(end)
 	f.updateReachability()
