--- a/internal/testbed/capacity/capacity.go
+++ b/internal/testbed/capacity/capacity.go
@@ -211,7 +211,8 @@
 func (d *Document) Series(key string) (x, y []float64) {
 	for _, r := range d.Rungs {
 		if v, measured := r.Measures[key]; measured {
-			x, y = append(x, r.Size), append(y, v)
+			x = append(x, r.Size)
+			y = append(y, v)
 		}
 	}
 	return x, y
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -188,6 +188,40 @@
 	return []configsync.Item{{Part: configsync.Tenants, Name: tenantName(n % changedTenants), Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+n)}}
 }
 
+// putFirst puts the items that a fleet begins with, and waits until they are in force at all addresses.
+func (o *operator) putFirst(all []string) error {
+	first, err := usualItems()
+	if err != nil {
+		return err
+	}
+	for n := range changedTenants {
+		first = append(first, tenantChange(n)...)
+	}
+	if err := o.put(first); err != nil {
+		return err
+	}
+	_, err = inForce(all, o.version)
+	return err
+}
+
+// writeTraffic writes the traffic of a fleet at rest and that of so many changes.
+func writeTraffic(m map[string]float64, idle, busy span, changes int) {
+	m["idle_cpu"] = idle.cpu
+	m["cpu"] = busy.cpu
+	m["idle_bytes"] = idle.bytes
+	m["bytes"] = busy.bytes
+	m["idle_messages"] = idle.messages
+	m["messages"] = busy.messages
+	m["worst_bytes"] = busy.worst
+	if changes == 0 {
+		return
+	}
+	each := float64(busy.seconds) / float64(changes)
+	m["change_bytes"] = (busy.bytes - idle.bytes) * each
+	m["change_messages"] = (busy.messages - idle.messages) * each
+	m["change_cpu"] = (busy.cpu - idle.cpu) * each
+}
+
 // inService has a fleet of hollow nodes take changes at a rate.
 func (b *Bench) inService(nodes int, aDay float64) (map[string]float64, error) {
 	ctx, stop := context.WithCancel(context.Background())
@@ -206,22 +240,14 @@
 		all = append(all, hollow.At(hollow.Bind(f.Block, i)))
 	}
 	o := &operator{seats: all[:seats]}
-	first, err := usualItems()
-	if err != nil {
-		return nil, err
-	}
-	for n := range changedTenants {
-		first = append(first, tenantChange(n)...)
-	}
-	if err := o.put(first); err != nil {
-		return nil, err
-	}
-	if _, err := inForce(all, o.version); err != nil {
+	if err := o.putFirst(all); err != nil {
 		return nil, err
 	}
 	rest, length, after := restDuration/2, putDuration, spreadDuration
 	if b.Brief {
-		rest, length, after = restShort/2, putShort, spreadShort
+		rest = restShort / 2
+		length = putShort
+		after = spreadShort
 	}
 	time.Sleep(rest)
 	from := time.Now()
@@ -250,14 +276,7 @@
 		m["force_s"], m["agreed_ms"] = last.Sub(acknowledged).Seconds(), waited.Seconds()*1e3/float64(count)
 	}
 	time.Sleep(time.Second + time.Second/2) // for the last second's figures
-	idle, busy := spanOf(f.Sample(), from, to), spanOf(f.Sample(), to, end)
-	m["idle_cpu"], m["cpu"], m["idle_bytes"], m["bytes"] = idle.cpu, busy.cpu, idle.bytes, busy.bytes
-	m["idle_messages"], m["messages"], m["worst_bytes"] = idle.messages, busy.messages, busy.worst
-	if count > 0 {
-		each := float64(busy.seconds) / float64(count)
-		m["change_bytes"], m["change_messages"] = (busy.bytes-idle.bytes)*each, (busy.messages-idle.messages)*each
-		m["change_cpu"] = (busy.cpu - idle.cpu) * each
-	}
+	writeTraffic(m, spanOf(f.Sample(), from, to), spanOf(f.Sample(), to, end), count)
 	return m, f.Err()
 }
 
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -41,7 +41,8 @@
 	if xx == 0 {
 		return f, errTooFewPoints
 	}
-	f.Rungs, f.Slope = len(x), xy/xx
+	f.Rungs = len(x)
+	f.Slope = xy / xx
 	f.Base = meanY - f.Slope*meanX
 	for k := range x {
 		d := y[k] - f.At(x[k])
--- a/internal/testbed/capacity/load.go
+++ b/internal/testbed/capacity/load.go
@@ -65,7 +65,10 @@
 	if err != nil {
 		return err
 	}
-	k.net, k.last, k.open, k.noMore = conn, 0, map[uint32]time.Time{}, false
+	k.net = conn
+	k.last = 0
+	k.open = map[uint32]time.Time{}
+	k.noMore = false
 	go k.read(conn)
 	return nil
 }
--- a/internal/testbed/capacity/peers.go
+++ b/internal/testbed/capacity/peers.go
@@ -76,17 +76,21 @@
 		n := float64(x.Nodes)
 		var sent, messages int64
 		for _, t := range x.Sent {
-			sent, messages = sent+t.Bytes, messages+t.Messages
+			sent += t.Bytes
+			messages += t.Messages
 		}
 		s.bytes += float64(sent) / n
 		s.worst = max(s.worst, float64(sent)/n)
 		s.messages += float64(messages) / n
 		s.cpu += x.CPU * 1e3 / n
-		s.rss, s.peak = float64(x.RSS)/n/(1<<20), max(s.peak, float64(x.Peak)/n/(1<<20))
+		s.rss = float64(x.RSS) / n / (1 << 20)
+		s.peak = max(s.peak, float64(x.Peak)/n/(1<<20))
 		s.late = max(s.late, x.Late)
 	}
 	if s.seconds > 0 {
-		s.bytes, s.messages, s.cpu = s.bytes/float64(s.seconds), s.messages/float64(s.seconds), s.cpu/float64(s.seconds)
+		s.bytes = s.bytes / float64(s.seconds)
+		s.messages = s.messages / float64(s.seconds)
+		s.cpu = s.cpu / float64(s.seconds)
 	}
 	return s
 }
@@ -122,7 +126,8 @@
 		for _, t := range x.Sent {
 			sent += t.Bytes
 		}
-		least, most = min(least, float64(sent)), max(most, float64(sent))
+		least = min(least, float64(sent))
+		most = max(most, float64(sent))
 		if t := x.Sent[hollow.KindNames[hollow.Datagram]]; t.Bytes > calmBytes*t.Messages {
 			return false
 		}
@@ -148,7 +153,9 @@
 	joined := time.Now()
 	rest, quiet, after := restDuration, quietDuration, aftermathDuration
 	if b.Brief {
-		rest, quiet, after = restShort, restShort/2, restShort/2
+		rest = restShort
+		quiet = restShort / 2
+		after = restShort / 2
 	}
 	time.Sleep(quiet)
 	if !b.Brief { // else nothing is asserted of how much it sends at rest
@@ -186,8 +193,13 @@
 	if nodes <= maxJoiningAtOnce {
 		m["joined_s"], m["herd_bytes"] = at.Sub(began).Seconds(), spanOf(list, began, joined.Add(time.Second)).worst
 	}
-	m["idle_bytes"], m["idle_messages"], m["idle_cpu"], m["rss_mb"], m["peak_mb"] = idle.bytes, idle.messages, idle.cpu, idle.rss, idle.peak
-	m["killed_bytes"], m["restarted_worst_bytes"] = killed.worst, restarted.worst
+	m["idle_bytes"] = idle.bytes
+	m["idle_messages"] = idle.messages
+	m["idle_cpu"] = idle.cpu
+	m["rss_mb"] = idle.rss
+	m["peak_mb"] = idle.peak
+	m["killed_bytes"] = killed.worst
+	m["restarted_worst_bytes"] = restarted.worst
 	m["restarted_bytes"] = max(0, (restarted.bytes-idle.bytes)*float64(restarted.seconds))
 	m["late_s"] = spanOf(list, began, end).late
 	return m, f.Err()
--- a/internal/testbed/capacity/quantities.go
+++ b/internal/testbed/capacity/quantities.go
@@ -151,7 +151,8 @@
 	if err != nil {
 		return nil, err
 	}
-	m["rss_mb"], m["start_peak_mb"] = loaded.rssMB, loaded.peakMB
+	m["rss_mb"] = loaded.rssMB
+	m["start_peak_mb"] = loaded.peakMB
 	d.lowerPeak()
 	cpu, after, err := d.reload() // at rest, so that its processor time is its own
 	if err != nil {
@@ -261,7 +262,9 @@
 		if err := b.play(d, s, connections, aSecond, m); err != nil {
 			return nil, err
 		}
-		p50, p99, without = append(p50, m["added_p50_ms"]), append(p99, m["added_p99_ms"]), append(without, m["straight_p99_ms"])
+		p50 = append(p50, m["added_p50_ms"])
+		p99 = append(p99, m["added_p99_ms"])
+		without = append(without, m["straight_p99_ms"])
 	}
 	if plays > 1 {
 		m["added_p99_least_ms"], m["added_p99_most_ms"] = slices.Min(p99), slices.Max(p99)
@@ -300,11 +303,13 @@
 		return err
 	}
 	goodAfter, badAfter := c.counts()
-	good, bad = goodAfter-good, badAfter-bad
+	good = goodAfter - good
+	bad = badAfter - bad
 	m["open"], m["rss_mb"], m["peak_mb"], m["cpu"] = float64(c.opened()), after.rssMB, after.peakMB, after.since(&before)
 	m["waited"] = (after.waited - before.waited).Seconds() * 1e3 / after.at.Sub(before.at).Seconds()
 	m["cpu_us"] = (after.cpu - before.cpu).Seconds() * 1e6 / float64(max(1, good+bad))
-	m["succeeded"], m["refused"] = float64(good), float64(bad)
+	m["succeeded"] = float64(good)
+	m["refused"] = float64(bad)
 	m["added_p50_ms"], m["added_p99_ms"], m["straight_p99_ms"] = c.latency(0.5), c.latency(0.99), inMS(without, 0.99)
 	return nil
 }
--- a/internal/testbed/capacity/tokens.go
+++ b/internal/testbed/capacity/tokens.go
@@ -82,7 +82,8 @@
 		cpu, sent := after.since(&before[i]), float64(f.Sent(i)-bytes[i])/took
 		if i < seats {
 			if cpu >= m["leader_cpu"] {
-				m["leader_cpu"], m["leader_mb"] = cpu, after.rssMB
+				m["leader_cpu"] = cpu
+				m["leader_mb"] = after.rssMB
 			}
 			m["leader_bytes"] = max(m["leader_bytes"], sent)
 			continue
--- a/internal/testbed/capacity/virtual.go
+++ b/internal/testbed/capacity/virtual.go
@@ -108,7 +108,8 @@
 		}
 		a := float64(sum-p.sent) / float64(len(p.m.Nodes))
 		p.sent = sum
-		worst, mean = max(worst, a), mean+a/float64(count)
+		worst = max(worst, a)
+		mean += a / float64(count)
 	}
 	return worst, mean
 }
@@ -133,7 +134,9 @@
 		if size != 0 && (c.Hash != hash || c.Size != size) || c.Size != up {
 			p.apart = true
 		}
-		hash, size, last = c.Hash, c.Size, max(last, c.At)
+		hash = c.Hash
+		size = c.Size
+		last = max(last, c.At)
 	}
 	if known != "" {
 		p.figures[known+"_s"] = math.Max(0, float64(last-from)/1e9)
--- a/internal/testbed/processfleet/dependency.go
+++ b/internal/testbed/processfleet/dependency.go
@@ -88,7 +88,8 @@
 func (s *dependency) change(by int) {
 	now := time.Now()
 	if s.began.IsZero() {
-		s.began, s.since = now, now
+		s.began = now
+		s.since = now
 	}
 	s.area += float64(s.inHand) * now.Sub(s.since).Seconds()
 	s.since = now
@@ -290,7 +291,8 @@
 				if at < o[0] {
 					next = min(next, o[0])
 				} else if at < o[1] {
-					next, free = min(next, o[1]), false
+					next = min(next, o[1])
+					free = false
 				}
 			}
 			if free {
@@ -333,7 +335,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.change(0)
-	m["calls"], m["calls_most"], m["calls_over"] = float64(s.calls), float64(s.most), float64(s.over)
+	m["calls"] = float64(s.calls)
+	m["calls_most"] = float64(s.most)
+	m["calls_over"] = float64(s.over)
 	m["calls_unjudged"], m["blind_s"] = float64(s.unjudged), s.blind.Seconds()
 	m["calls_mean"] = s.area / max(1, time.Since(s.began).Seconds())
 	if s.limit == 0 {
@@ -342,7 +346,9 @@
 	began, end := p.retryStorm.began, time.Now()
 	first, start := int64(s.began.Sub(began)), int64(began.Sub(p.began))
 	of, _, judged, lines := part(s.trace, s.limit, began, end, left(spans, start, first, int64(end.Sub(began))))
-	m["used_spread"], m["used_moved"], m["wanted_s"] = of[0], of[1], judged
+	m["used_spread"] = of[0]
+	m["used_moved"] = of[1]
+	m["wanted_s"] = judged
 	_, m["used_whole"], _, _ = part(s.trace, s.limit, began, end, nil)
 	return append(s.overs, lines...)
 }
--- a/internal/testbed/processfleet/faults.go
+++ b/internal/testbed/processfleet/faults.go
@@ -20,7 +20,8 @@
 		for at := start + int64(f.At); at < end; at += int64(f.Every) {
 			if f.Kind == "roll" {
 				more, steps := n.rollingRestart(d, &f, at, end, chance, up)
-				spans, actions = append(spans, more...), append(actions, steps...)
+				spans = append(spans, more...)
+				actions = append(actions, steps...)
 				if f.Every <= 0 {
 					break
 				}
--- a/internal/testbed/processfleet/hollow.go
+++ b/internal/testbed/processfleet/hollow.go
@@ -207,7 +207,8 @@
 		}
 		e := Event{At: int64(x[hollow.EventAt])*ms - began, Node: i, Cause: membership.Cause(x[hollow.EventCause]), Who: name(int(x[hollow.EventWho])),
 			Size: int(x[hollow.EventSize]), Hash: x[hollow.EventHash]}
-		p.events, p.lastOfNode[i] = append(p.events, e), e
+		p.events = append(p.events, e)
+		p.lastOfNode[i] = e
 	}
 }
 
--- a/internal/testbed/processfleet/play.go
+++ b/internal/testbed/processfleet/play.go
@@ -30,7 +30,8 @@
 	began := time.Now()
 	all, up := make([]int, n.Nodes), make([]bool, n.Nodes)
 	for i := range up {
-		all[i], up[i] = i, true
+		all[i] = i
+		up[i] = true
 	}
 	p, storming := d.(*processes)
 	if p != nil {
@@ -172,7 +173,8 @@
 		if last[i].Size != count && count > 1 || !first && last[i].Hash != hash {
 			return false
 		}
-		hash, first = last[i].Hash, false
+		hash = last[i].Hash
+		first = false
 	}
 	return true
 }
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -113,7 +113,10 @@
 func (p *processes) listen(block int, chance *rand.Rand) error {
 	sender := map[netip.Addr]int{}
 	p.links = &links{chance: chance, cut: map[pair]bool{}, bytes: make([]int64, p.scenario.Nodes), flight: make(chan struct{}, maxDelayed)}
-	p.bind, p.peerAddresses, p.relays, p.block = nil, nil, nil, block
+	p.bind = nil
+	p.peerAddresses = nil
+	p.relays = nil
+	p.block = block
 	for i := range p.scenario.Nodes {
 		bind, told := hollow.Bind(block, i), hollow.Relayed(block, i)
 		if p.scenario.isHollow(i) {
@@ -206,7 +209,8 @@
 	}
 	below, share := "off", 0.0
 	if p.scenario.Calls > 0 {
-		below, share = "common", float64(p.scenario.Calls)/float64(p.scenario.Nodes)
+		below = "common"
+		share = float64(p.scenario.Calls) / float64(p.scenario.Nodes)
 	}
 	executor := "127.0.0.1:1" // a hollow node opens no link to one
 	if i >= 0 {
@@ -307,7 +311,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := Event{At: p.now(), Node: i, Cause: causes[l.Cause], Who: l.Who, Hash: hash, Size: l.Size}
-	p.events, p.lastOfNode[i] = append(p.events, e), e
+	p.events = append(p.events, e)
+	p.lastOfNode[i] = e
 }
 
 func (p *processes) signal(i int, s os.Signal) {
@@ -336,7 +341,8 @@
 	}
 	<-d.ended
 	p.mu.Lock()
-	d.up, d.serving = false, false
+	d.up = false
+	d.serving = false
 	p.mu.Unlock()
 }
 
@@ -346,7 +352,8 @@
 	defer p.mu.Unlock()
 	for i, d := range p.daemons {
 		if d != nil && d.up && d.serving {
-			nodes, addresses = append(nodes, i), append(addresses, d.listens)
+			nodes = append(nodes, i)
+			addresses = append(addresses, d.listens)
 		}
 	}
 	return nodes, addresses
--- a/internal/testbed/processfleet/result.go
+++ b/internal/testbed/processfleet/result.go
@@ -111,7 +111,9 @@
 		return n.playSeed(d, seed), nil
 	}
 	if v := n.Versions; v != nil { // its seats are the first nodes, each a process that serves nothing
-		n.Council, n.Regions, n.Zones = v.Seats, v.Regions, v.Zones
+		n.Council = v.Seats
+		n.Regions = v.Regions
+		n.Zones = v.Zones
 	}
 	if folder == "" {
 		temporary, err := os.MkdirTemp("", "rig")
--- a/internal/testbed/processfleet/retrystorm.go
+++ b/internal/testbed/processfleet/retrystorm.go
@@ -85,7 +85,10 @@
 		s.runMost = int(n.Longest / configfile.Time(ms))
 	}
 	if n.Calls > 0 {
-		s.callers, s.fresh, s.back, s.turns = callers*callersMore, freshCalls, maxRetryAfter, callerTurn
+		s.callers = callers * callersMore
+		s.fresh = freshCalls
+		s.back = maxRetryAfter
+		s.turns = callerTurn
 	}
 	return s
 }
@@ -150,20 +153,28 @@
 	}
 	o.Timeline = append(o.Timeline, s.wrong...)
 	o.History = s.history
-	m["twice"], m["tokens_run"], m["invocations"], m["wrong_answers"] = float64(twice), float64(len(s.runs)), float64(s.asked), float64(len(s.wrong))
+	m["twice"] = float64(twice)
+	m["tokens_run"] = float64(len(s.runs))
+	m["invocations"] = float64(s.asked)
+	m["wrong_answers"] = float64(len(s.wrong))
 	for _, what := range []string{"succeeded", "kept", "throttled", "unknown", "errored", "broken", "lost", "ordered_again"} {
 		m[what] = float64(s.counts[what])
 	}
 	m["store_bytes"], m["per_s"] = float64(p.stored()), float64(s.asked)/(float64(p.now()-start)/1e9)
-	m["broken_tokens"], m["answered_later"] = float64(len(s.broke)), float64(len(s.after))
+	m["broken_tokens"] = float64(len(s.broke))
+	m["answered_later"] = float64(len(s.after))
 	o.Timeline = append(o.Timeline, p.dependency.measure(m, p, spans)...)
-	m["taken"], m["unknown_claims"], m["settled"], m["taken_ended"] = 0, 0, 0, 1
+	m["taken"] = 0
+	m["unknown_claims"] = 0
+	m["settled"] = 0
+	m["taken_ended"] = 1
 	for i := range p.daemons {
 		pic, err := p.claims(i)
 		if err != nil || pic.Table == nil {
 			continue
 		}
-		m["taken"], m["unknown_claims"] = max(m["taken"], float64(pic.Table.Taken)), max(m["unknown_claims"], float64(pic.Table.Unknown))
+		m["taken"] = max(m["taken"], float64(pic.Table.Taken))
+		m["unknown_claims"] = max(m["unknown_claims"], float64(pic.Table.Unknown))
 		m["settled"] = max(m["settled"], float64(pic.Table.Settled))
 		if pic.Table.Taken > 0 {
 			m["taken_ended"] = min(m["taken_ended"], float64(pic.Table.TakenEnded)/float64(pic.Table.Taken))
--- a/internal/testbed/processfleet/retrystorm_caller.go
+++ b/internal/testbed/processfleet/retrystorm_caller.go
@@ -179,7 +179,8 @@
 			wrong = fmt.Sprintf("token %s was answered %q", token, body)
 		}
 	case frame.Throttled:
-		told, outcome = "throttled", "throttled"
+		told = "throttled"
+		outcome = "throttled"
 		ms, _ := strconv.Atoi(noted["pushback"])
 		back = time.Duration(ms) * time.Millisecond
 	default:
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -151,7 +151,8 @@
 	if l.fresh {
 		start = configsync.InitialState{Content: &configsync.Content{}, Source: "file"}
 	}
-	l.woken.step, l.seated.step = l.step, l.stepReplica
+	l.woken.step = l.step
+	l.seated.step = l.stepReplica
 	m.life = l
 	l.holder = configsync.NewReplicator(f.Now, configsync.ReplicatorConfig{Name: n.Name, Seed: f.chance.Int63()}, start)
 	if s := l.holder.Status(f.Now); s.Mark != m.disk.mark || s.Source != start.Source {
@@ -183,7 +184,8 @@
 	m.Kill()
 	m.life = nil
 	if forgets {
-		m.disk, m.wrote = storedContent{}, consensus.DiskContents{}
+		m.disk = storedContent{}
+		m.wrote = consensus.DiskContents{}
 	}
 }
 
@@ -216,7 +218,9 @@
 	for k := len(a.Log) - 1; k >= 0; k-- {
 		r := a.Log[k]
 		if d, known := f.digests[r.Version]; !known {
-			f.digests[r.Version], f.agreedAt[r.Version], f.records[r.Version] = r.Digest, f.Now, r
+			f.digests[r.Version] = r.Digest
+			f.agreedAt[r.Version] = f.Now
+			f.records[r.Version] = r
 		} else {
 			if d != r.Digest {
 				f.forked++
--- a/internal/testbed/processfleet/versions_measure.go
+++ b/internal/testbed/processfleet/versions_measure.go
@@ -25,9 +25,13 @@
 func (f *virtualVersions) measure(x map[string]float64) {
 	f.measureInForce(x)
 	f.measureBytes(x)
-	x["gone_back"], x["two_contents"], x["stops"], x["refusals"] = float64(f.back), float64(f.forked), float64(f.stops), float64(f.refused)
+	x["gone_back"] = float64(f.back)
+	x["two_contents"] = float64(f.forked)
+	x["stops"] = float64(f.stops)
+	x["refusals"] = float64(f.refused)
 	x["put_s"], x["recovered_s"], x["recoveries"] = quantile(f.puts, 0.99), quantile(f.recovers, 1), float64(len(f.recovers))
-	x["changes"], x["versions"] = float64(len(f.changes)), float64(f.last.Head.Newest)
+	x["changes"] = float64(len(f.changes))
+	x["versions"] = float64(f.last.Head.Newest)
 	unanswered, lost, lies, digests := 0, 0, 0, map[configsync.Revision]int{}
 	for _, c := range f.changes {
 		switch r := f.records[c.version]; {
@@ -57,7 +61,10 @@
 		}
 		lies += m.life.holder.Counters.InvalidResponses
 	}
-	x["unanswered"], x["lost"], x["lies"], x["digests"] = float64(unanswered), float64(lost), float64(lies), float64(len(digests))
+	x["unanswered"] = float64(unanswered)
+	x["lost"] = float64(lost)
+	x["lies"] = float64(lies)
+	x["digests"] = float64(len(digests))
 	if f.settled() != "" {
 		x["digests"]++
 	}
@@ -100,7 +107,9 @@
 			f.logf("version %d, agreed on at %.3f s, was not in time at %d nodes: %s", version, seconds(at-f.start), missed, strings.Join(who, ", "))
 		}
 	}
-	x["in_force"], x["in_force_nodes"], x["pairs"] = float64(good)/float64(max(1, all)), 1-float64(late)/float64(max(1, pairs)), float64(pairs)
+	x["in_force"] = float64(good) / float64(max(1, all))
+	x["in_force_nodes"] = 1 - float64(late)/float64(max(1, pairs))
+	x["pairs"] = float64(pairs)
 	x["in_force_half_s"], x["in_force_s"], x["in_force_worst_s"] = quantile(times, 0.5), quantile(times, 0.99), quantile(times, 1)
 }
 
@@ -119,7 +128,8 @@
 			if per := float64(sum) / window; m.seat {
 				x["seat_window_bytes"] = max(x["seat_window_bytes"], per)
 			} else {
-				x["window_bytes"], x["worst_node_bytes"] = max(x["window_bytes"], per), max(x["worst_node_bytes"], float64(m.spent[s]))
+				x["window_bytes"] = max(x["window_bytes"], per)
+				x["worst_node_bytes"] = max(x["worst_node_bytes"], float64(m.spent[s]))
 			}
 		}
 	}
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -68,9 +68,11 @@
 	if config != nil {
 		family := config["settings"].(map[string]any)["family_info"].(map[string]any)
 		if delete(family, "class_calls"); i >= 0 { // whole nodes are those that can't take it: they have no catalogue
-			config["catalog"], family["below"] = "", "off"
+			config["catalog"] = ""
+			family["below"] = "off"
 		} else {
-			family["below"], family["calls_out"] = "common", 1.0
+			family["below"] = "common"
+			family["calls_out"] = 1.0
 		}
 	}
 }
@@ -218,7 +220,8 @@
 	for ctx.Err() == nil {
 		again := *command
 		*seq++
-		again.Seq, again.Base = *seq, *base
+		again.Seq = *seq
+		again.Base = *base
 		v := f.put(ctx, &again, chance)
 		if v == nil {
 			return nil
@@ -277,7 +280,8 @@
 			if c.New {
 				x.item = configsync.Item{Part: configsync.Operations, Name: "new", Value: []byte(newItem)}
 			}
-			f.changes, list = append(f.changes, x), append(list, timedChange{x, at})
+			f.changes = append(f.changes, x)
+			list = append(list, timedChange{x, at})
 			if c.Every <= 0 {
 				break
 			}
--- a/internal/testbed/processfleet/versions_processes_faults.go
+++ b/internal/testbed/processfleet/versions_processes_faults.go
@@ -63,7 +63,8 @@
 	for _, i := range list {
 		f.up[i] = true
 		f.lives[i]++
-		f.has[i], f.began[i] = configsync.Revision{}, now
+		f.has[i] = configsync.Revision{}
+		f.began[i] = now
 	}
 	f.updateReachable(now)
 	return nil
--- a/internal/testbed/processfleet/versions_processes_measure.go
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -10,7 +10,9 @@
 // measurePolled measures what was asked for. Bytes are those that holders count, as they estimate them.
 func (f *processVersions) measurePolled(x map[string]float64, start int64) {
 	f.measureInForce(x)
-	x["gone_back"], x["two_contents"], x["stops"] = float64(f.back), float64(f.forked), float64(f.stops)
+	x["gone_back"] = float64(f.back)
+	x["two_contents"] = float64(f.forked)
+	x["stops"] = float64(f.stops)
 	x["put_s"], x["changes"], x["versions"] = quantile(f.puts, 0.99), float64(len(f.changes)), float64(f.agreed.Newest.Version)
 	x["recovered_s"], x["recoveries"] = quantile(f.recovers, 1), float64(len(f.recovers))
 	x["lies"] = 0
@@ -26,7 +28,8 @@
 			}
 		}
 		if !f.members[i].seat && first != nil && last.at > first.at {
-			idle, nodes = idle+float64(last.bytes-first.bytes)/seconds(last.at-first.at), nodes+1
+			idle += float64(last.bytes-first.bytes) / seconds(last.at-first.at)
+			nodes++
 		}
 		f.measureWindows(x, list, f.members[i].seat, start)
 	}
@@ -88,7 +91,10 @@
 				blocks = nil
 				break
 			}
-			blocks, mark, from, more = append(blocks, a.Blocks...), a.Mark, a.Next, a.Next > 0
+			blocks = append(blocks, a.Blocks...)
+			mark = a.Mark
+			from = a.Next
+			more = a.Next > 0
 		}
 		content := configsync.FromBlocks(blocks, mark.Digest)
 		if content == nil || len(blocks) == 0 {
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -74,7 +74,8 @@
 	if c.waiting[0].isNew { // by itself
 		n = 1
 	}
-	c.inHand, c.waiting = c.waiting[:n], c.waiting[n:]
+	c.inHand = c.waiting[:n]
+	c.waiting = c.waiting[n:]
 	c.begun = f.Now
 	c.seq++
 	c.command = &configsync.Command{Kind: configsync.Put, From: c.name, Seq: c.seq, Base: c.base}
@@ -97,7 +98,9 @@
 			}
 			again := *c.command
 			c.seq++
-			again.Seq, again.Base, c.base = c.seq, v.Version, v.Version
+			again.Seq = c.seq
+			again.Base = v.Version
+			c.base = v.Version
 			c.command = &again
 			f.propose(c)
 			continue
@@ -115,7 +118,8 @@
 		} else if len(c.inHand) > 0 {
 			f.puts = append(f.puts, seconds(f.Now-c.begun))
 		}
-		c.inHand, c.command = nil, nil
+		c.inHand = nil
+		c.command = nil
 		for _, other := range f.callers {
 			f.next(other)
 		}
@@ -294,7 +298,10 @@
 			clear(f.apart)
 		})
 	case "loss":
-		f.LossRate, f.DuplicateRate, f.LateRate, f.MaxLate = float64(fault.Part), float64(fault.Part)/5, float64(fault.Part)/50, 30*second
+		f.LossRate = float64(fault.Part)
+		f.DuplicateRate = float64(fault.Part) / 5
+		f.LateRate = float64(fault.Part) / 50
+		f.MaxLate = 30 * second
 		f.At(back, f.removeLinkFaults)
 	}
 }
@@ -352,7 +359,8 @@
 		return o
 	}
 	f.Run((f.Now/second + 1 + 2*quietPeriod/second) * second) // words that a start brings are over
-	f.start, f.recovers = f.Now, nil
+	f.start = f.Now
+	f.recovers = nil
 	o.Measures["idle_bytes"] = f.mean(f.start-quietPeriod, f.start)
 	end := f.start + int64(n.Seconds*1e9)
 	f.scheduleChanges(end)
