--- a/internal/testbed/capacity/daemon.go
+++ b/internal/testbed/capacity/daemon.go
@@ -289,7 +289,7 @@
 	return after.cpu - before.cpu, after, nil
 }
 
-// check runs the command that operators check a file with. Its peak of memory is not told: the kernel counts in it what the
+// check runs the command that operators check a file with. Its peak of memory is not reported: the kernel counts in it what the
 // laboratory's own process had when it forked.
 func (b *Bench) check(config string) (cpu time.Duration, err error) {
 	ctx, stop := context.WithTimeout(context.Background(), startTimeout)
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -59,7 +59,7 @@
 // Far says whether a size is past what a fit is carried to without saying so.
 func (f *Fit) Far(x float64) bool { return x > FarMost*f.Played }
 
-// Flat says whether the slope can't be told from none: within two standard errors.
+// Flat says whether the slope can't be distinguished from none: within two standard errors.
 func (f *Fit) Flat() bool { return math.Abs(f.Slope) <= 2*f.Error }
 
 // Reach is the size at which the line comes to a budget, and the sizes at a slope one standard error steeper and
--- a/internal/testbed/capacity/quantities.go
+++ b/internal/testbed/capacity/quantities.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const peakPlays = 3 // of each size at the peak: other work on the machine only adds to a latency, so the spread is told
+const peakPlays = 3 // of each size at the peak: other work on the machine only adds to a latency, so the spread is reported
 
 // Quantities are all that ladders are climbed of, each in the order of its ladder.
 func Quantities() []*Quantity {
--- a/internal/testbed/capacity/virtual.go
+++ b/internal/testbed/capacity/virtual.go
@@ -10,7 +10,7 @@
 
 const (
 	second       = int64(time.Second)
-	virtualSeeds = 3  // nodes that the others are told of
+	virtualSeeds = 3  // nodes whose addresses the others have
 	joinSeconds  = 60 // simulated, for a herd to come to rest in one view
 	eventSeconds = 15 // simulated, in which the worst second of a change falls
 	cutSeconds   = 60 // simulated
--- a/internal/testbed/emulator/cold.go
+++ b/internal/testbed/emulator/cold.go
@@ -66,17 +66,17 @@
 	h := &a.dispatcher.signals[m.index]
 	m.coldArrivals = append(m.coldArrivals, coldArrival{m.Now, a.dispatcher.habit.Heeds && h.incarnation == m.incarnation && m.Now-h.receivedAt < signalLifetime})
 	m.coldArrivals = slices.DeleteFunc(m.coldArrivals, func(s coldArrival) bool { return m.Now-s.at > crowdSamples*sampleInterval })
-	told := 0.0
+	signalled := 0.0
 	for _, s := range m.coldArrivals {
 		if s.signalled {
-			told++
+			signalled++
 		}
 	}
 	may := m.warmupFraction() * m.model.Speed * float64(m.model.Cores) * float64(crowdSamples*sampleInterval) / (m.meanWork * (1 + m.day.Reading))
 	may += Chance(may)
 	sent := float64(len(m.coldArrivals))
 	m.total.MostSent = max(m.total.MostSent, sent/may)
-	if told > sent*2/3 {
+	if signalled > sent*2/3 {
 		m.total.MostTold = max(m.total.MostTold, sent/may)
 	}
 }
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -61,7 +61,7 @@
 	return words, body
 }
 
-// receive takes an invocation that came to the machine: it lies unread until a core has read it.
+// receive takes an invocation that came to the machine: it waits in the backlog until a core has read it.
 func (m *machine) receive(a *attempt) {
 	if len(m.backlog) >= maxBacklog {
 		a.connectionRefused()
--- a/internal/testbed/emulator/machine.go
+++ b/internal/testbed/emulator/machine.go
@@ -20,7 +20,7 @@
 	cold             bool
 	listed           bool // to dispatchers
 	closed           bool
-	drainRequestedAt int64 // when it was told to drain, 0 before
+	drainRequestedAt int64 // when its drain was requested, 0 before
 	wakeAt           int64 // when the node asked to be stepped
 	inbox            []node.Input
 	stepScheduled    bool
--- a/internal/testbed/hollow/commands.go
+++ b/internal/testbed/hollow/commands.go
@@ -79,5 +79,5 @@
 	}
 }
 
-// ReportAllEvents says whether each change of a view is told to Options.Events, or but the last of each node in a tenth of a second.
+// ReportAllEvents says whether each change of a view is passed to Options.Events, or only the last of each node in a tenth of a second.
 func (f *Fleet) ReportAllEvents(each bool) { f.broadcast(&command{Events: &each}) }
--- a/internal/testbed/hollow/figures.go
+++ b/internal/testbed/hollow/figures.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Sample are the figures of each second that all processes told, oldest first, of all nodes together.
+// Sample are the figures of each second that all processes reported, oldest first, of all nodes together.
 func (f *Fleet) Sample() (list []Second) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +112,7 @@
 }
 
 // Sent is how many bytes were sent since the start by hollow nodes, and to them by whole ones without a relay, up to the last
-// second that was told.
+// second that was reported.
 func (f *Fleet) Sent() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/hollow/messages.go
+++ b/internal/testbed/hollow/messages.go
@@ -38,7 +38,7 @@
 	To   []int `json:"to"`
 }
 
-// Event is a change of one node's view. Fields are in the order in which they are told: times are Unix milliseconds.
+// Event is a change of one node's view. Fields are in the order in which they are encoded: times are Unix milliseconds.
 type Event [6]uint64
 
 // The fields of an event: who is a number of a node.
--- a/internal/testbed/hollow/node.go
+++ b/internal/testbed/hollow/node.go
@@ -34,11 +34,11 @@
 	hash         uint64
 	changes      int64
 	last         Event
-	lastReported bool     // last was told
+	lastReported bool     // last was reported
 	earlierDrops [3]int64 // dropped, flooded and refused in earlier lives
 }
 
-// peerAddress is the address that peers are told of a node.
+// peerAddress is the address of a node that is announced to peers.
 func (p *process) peerAddress(i int) string {
 	if p.filters.whole[i] {
 		return At(Relayed(p.spec.Block, i))
--- a/internal/testbed/hollow/options.go
+++ b/internal/testbed/hollow/options.go
@@ -24,7 +24,7 @@
 	Layout          Layout
 	JoinOver        time.Duration // over which the starts are spread; 0 for a herd
 	Seed            int64
-	Events          func(process int, events []Event) // told of changes of views; must not wait
+	Events          func(process int, events []Event) // called with changes of views; must not block
 	Log             io.Writer                         // stderr of the processes, nil for this one's
 
 	Whole    []int // nodes that the caller runs itself behind relays; the others of 0 to Nodes+len(Whole)-1 are hollow
--- a/internal/testbed/hollow/totals.go
+++ b/internal/testbed/hollow/totals.go
@@ -11,7 +11,7 @@
 
 // reportSeconds tells one line a second, at its turn.
 func (p *process) reportSeconds(ctx context.Context) {
-	before, told := p.totals(), time.Now().Unix()
+	before, reportedAt := p.totals(), time.Now().Unix()
 	for {
 		now := time.Now()
 		next := now.Truncate(time.Second).Add(time.Second)
@@ -22,9 +22,9 @@
 		}
 		after := p.totals()
 		s := p.second(next, before, after)
-		s.Span = max(1, s.Unix-told)
+		s.Span = max(1, s.Unix-reportedAt)
 		p.report(&report{Second: s})
-		before, told = after, s.Unix
+		before, reportedAt = after, s.Unix
 	}
 }
 
--- a/internal/testbed/processfleet/executor.go
+++ b/internal/testbed/processfleet/executor.go
@@ -12,7 +12,7 @@
 )
 
 // executorStandIn is a node's executor, which outlives the node: what a node that was killed began goes on, and the next life hears
-// of its end. A link gets all notices after the last one read; to one that read none, the last ones are told anew.
+// of its end. A link gets all notices after the last one read; to one that read none, the last ones are sent anew.
 type executorStandIn struct {
 	storm    *retryStorm
 	name     string
@@ -148,7 +148,7 @@
 	}
 }
 
-// notify writes the next notice; what is not read is told on the next link.
+// notify writes the next notice; what is not read is sent on the next link.
 func (b *executorStandIn) notify(notice string) {
 	b.notices = append(b.notices, notice)
 	if b.conn != nil {
--- a/internal/testbed/processfleet/hollow.go
+++ b/internal/testbed/processfleet/hollow.go
@@ -184,7 +184,7 @@
 	return err
 }
 
-// loadHollow begins the load of hollow nodes once the fleet stands, and has each change of a view told.
+// loadHollow begins the load of hollow nodes once the fleet has formed, and has each change of a view reported.
 func (p *processes) loadHollow() {
 	p.joined = time.Now().Unix()
 	if p.fleet == nil {
--- a/internal/testbed/processfleet/play.go
+++ b/internal/testbed/processfleet/play.go
@@ -24,7 +24,7 @@
 	close()
 }
 
-// playSeed does all faults to a fleet and measures what its views told.
+// playSeed does all faults to a fleet and measures the changes of its views.
 func (n *Scenario) playSeed(d fleetDriver, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
 	began := time.Now()
--- a/internal/testbed/processfleet/processes.go
+++ b/internal/testbed/processfleet/processes.go
@@ -100,12 +100,12 @@
 	p.relays = nil
 	p.block = block
 	for i := range p.scenario.Nodes {
-		bind, told := hollow.Bind(block, i), hollow.Relayed(block, i)
+		bind, announced := hollow.Bind(block, i), hollow.Relayed(block, i)
 		if p.scenario.isHollow(i) {
-			told = bind
+			announced = bind
 		}
 		sender[bind] = i
-		p.bind, p.peerAddresses = append(p.bind, hollow.At(bind)), append(p.peerAddresses, hollow.At(told))
+		p.bind, p.peerAddresses = append(p.bind, hollow.At(bind)), append(p.peerAddresses, hollow.At(announced))
 	}
 	for i := range p.scenario.Nodes - p.scenario.Hollow {
 		r, err := newRelay(p.links, i, p.peerAddresses[i], p.bind[i], sender)
--- a/internal/testbed/processfleet/relay.go
+++ b/internal/testbed/processfleet/relay.go
@@ -12,7 +12,7 @@
 
 const (
 	dialTimeout = time.Second
-	maxSources  = 256     // senders in whose name a relay sends at a time: those heard last, many more than a node has links
+	maxSources  = 256     // senders in whose name a relay sends at a time: those used last, many more than a node has links
 	largest     = 2 << 10 // bytes of a datagram, more than any peer sends
 	maxDelayed  = 1_024   // datagrams on their way at once; more are lost
 )
--- a/internal/testbed/processfleet/retrystorm.go
+++ b/internal/testbed/processfleet/retrystorm.go
@@ -23,7 +23,7 @@
 	freshTokenInterval = 8                     // of so many invocations one opens a new token and retires the oldest
 	freshCalls         = 2                     // the same in a storm of calls, in which more are wanted than may be
 	callersMore        = 2                     // times as many callers in it
-	maxRetryAfter      = 50 * time.Millisecond // that they wait where they are told to come back: their need is to go on
+	maxRetryAfter      = 50 * time.Millisecond // that they wait at a Retry-After: their need is to go on
 	defaultRunMS       = 30                    // ms of a run at the most
 	retold             = 64                    // notices that a node hears anew which read none
 	maxHistory         = 2_000_000             // invocations that are remembered whole
@@ -57,7 +57,7 @@
 	timeout time.Duration       // client timeout
 	callers int
 	fresh   int           // of so many invocations one opens a new token
-	back    time.Duration // that a caller waits at the most where it is told to come back
+	back    time.Duration // that a caller waits at the most at a Retry-After
 	began   time.Time
 	turns   int64                       // ns after which callers go to other nodes, 0 in a storm without calls
 	runners map[string]*executorStandIn // where each call runs, until its request is over
@@ -137,7 +137,7 @@
 	}
 }
 
-// measure ends the storm and holds what callers were told against the ledger.
+// measure ends the storm and compares the answers of callers with the ledger.
 func (s *retryStorm) measure(o *Outcome, p *processes, spans []*faultSpan, start int64) {
 	close(s.stop)
 	s.group.Wait()
--- a/internal/testbed/processfleet/retrystorm_caller.go
+++ b/internal/testbed/processfleet/retrystorm_caller.go
@@ -167,31 +167,31 @@
 	for _, x := range fields {
 		noted[x.Name] = x.Value
 	}
-	told, wrong := "errored", ""
+	answer, wrong := "errored", ""
 	outcome := "unknown"
 	switch f.Payload[0] {
 	case frame.Succeeded:
-		told, outcome = "succeeded", string(body)
+		answer, outcome = "succeeded", string(body)
 		if noted["kept"] != "" {
-			told = "kept"
+			answer = "kept"
 		}
 		if outcome != token+" run 1" {
 			wrong = fmt.Sprintf("token %s was answered %q", token, body)
 		}
 	case frame.Throttled:
-		told = "throttled"
+		answer = "throttled"
 		outcome = "throttled"
 		ms, _ := strconv.Atoi(noted["pushback"])
 		back = time.Duration(ms) * time.Millisecond
 	default:
 		if noted["outcome"] == "unknown" {
-			told = "unknown"
+			answer = "unknown"
 		}
 	}
-	s.count(told, wrong)
+	s.count(answer, wrong)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if told == "succeeded" || told == "kept" {
+	if answer == "succeeded" || answer == "kept" {
 		if s.broke[token] {
 			s.after[token] = true
 		}
--- a/internal/testbed/processfleet/scenario.go
+++ b/internal/testbed/processfleet/scenario.go
@@ -1,5 +1,5 @@
 // Package processfleet plays fault scenarios on a fleet: in virtual time, or on built daemons whose links run through
-// relays on loopback. Both are judged by the same measures of the views that nodes told.
+// relays on loopback. Both are judged by the same measures of the views that nodes reported.
 package processfleet
 
 import (
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -92,7 +92,7 @@
 	agreedAt map[uint64]int64
 	digests  map[uint64]configsync.Digest
 	records  map[uint64]*configsync.Record
-	last     *configsync.Agreed // the newest that a seat told
+	last     *configsync.Agreed // the newest that a replica reported
 	apart    map[*member]bool   // in the region that is cut off
 	wrong    []string
 	back     int // versions that went back
--- a/internal/testbed/processfleet/versions_measure.go
+++ b/internal/testbed/processfleet/versions_measure.go
@@ -32,7 +32,7 @@
 	x["put_s"], x["recovered_s"], x["recoveries"] = quantile(f.puts, 0.99), quantile(f.recovers, 1), float64(len(f.recovers))
 	x["changes"] = float64(len(f.changes))
 	x["versions"] = float64(f.last.Head.Newest)
-	unanswered, lost, lies, digests := 0, 0, 0, map[configsync.Revision]int{}
+	unanswered, lost, invalidResponses, digests := 0, 0, 0, map[configsync.Revision]int{}
 	for _, c := range f.changes {
 		switch r := f.records[c.version]; {
 		case c.version == 0:
@@ -59,11 +59,11 @@
 				digests[configsync.Revision{}]++
 			}
 		}
-		lies += m.life.holder.Counters.InvalidResponses
+		invalidResponses += m.life.holder.Counters.InvalidResponses
 	}
 	x["unanswered"] = float64(unanswered)
 	x["lost"] = float64(lost)
-	x["lies"] = float64(lies)
+	x["lies"] = float64(invalidResponses)
 	x["digests"] = float64(len(digests))
 	if f.settled() != "" {
 		x["digests"]++
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -22,7 +22,7 @@
 )
 
 // processVersions is a fleet of processes that is asked what it has. It shares changes, callers' bookkeeping and measures with the fleet in
-// virtual time; its clock is the rig's.
+// virtual time; its clock is wall time.
 type processVersions struct {
 	*virtualVersions
 	p     *processes
@@ -43,10 +43,10 @@
 
 // trafficSample is what a holder had sent and received, and how often it had set a peer aside.
 type trafficSample struct {
-	at    int64
-	bytes int64
-	lies  int
-	life  int
+	at               int64
+	bytes            int64
+	invalidResponses int
+	incarnation      int
 }
 
 // question asks a node.
--- a/internal/testbed/processfleet/versions_processes_measure.go
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -20,7 +20,7 @@
 	for i, list := range f.bytes {
 		var first, last *trafficSample
 		for k := range list {
-			if s := &list[k]; s.at <= start && s.at > start-int64(quietPeriod) && s.life == 0 {
+			if s := &list[k]; s.at <= start && s.at > start-int64(quietPeriod) && s.incarnation == 0 {
 				if first == nil {
 					first = s
 				}
@@ -58,10 +58,10 @@
 		measure = "seat_window_bytes"
 	}
 	for k := range list {
-		if k+1 == len(list) || list[k+1].life != list[k].life {
-			x["lies"] += float64(list[k].lies)
+		if k+1 == len(list) || list[k+1].incarnation != list[k].incarnation {
+			x["lies"] += float64(list[k].invalidResponses)
 		}
-		for j := k + 1; j < len(list) && list[j].life == list[k].life; j++ {
+		for j := k + 1; j < len(list) && list[j].incarnation == list[k].incarnation; j++ {
 			length := list[j].at - list[k].at
 			if length < window*second || list[k].at < start {
 				continue
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -85,7 +85,7 @@
 	f.propose(c)
 }
 
-// decided is what a caller is told.
+// decided takes the verdicts on what a proposer put.
 func (f *virtualVersions) decided(c *proposer, list []configsync.Verdict) {
 	for i := range list {
 		v := &list[i]
--- a/internal/testbed/virtualfleet/invariants.go
+++ b/internal/testbed/virtualfleet/invariants.go
@@ -6,7 +6,7 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// checkInvariants checks what holds at any moment: incarnations never go back, and nobody who hears and is heard by most is
+// checkInvariants checks what holds at any moment: incarnations never go back, and nobody with links both ways to most is
 // out of the view of another such one.
 func (f *Fleet) checkInvariants(highest map[string]uint64) error {
 	for _, n := range f.Nodes {
--- a/internal/testbed/virtualfleet/zones.go
+++ b/internal/testbed/virtualfleet/zones.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// AssignZones gives each node a zone, in turn: so many zones in so many regions, as evenly as they go. It is told to peers
+// AssignZones gives each node a zone, in turn: so many zones in so many regions, as evenly as possible. It is announced to peers
 // as a fact from each node's next start on.
 func (f *Fleet) AssignZones(regions, zones int) {
 	for i, n := range f.Nodes {
