--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -21,12 +21,12 @@
 	fleetName      = "rig"
 	changedNodes   = 80               // of the fleet whose changes a day are climbed
 	changesNodes   = 20 * 60 * 24     // a day, of the fleets whose nodes are climbed: 20 a minute
-	putFor         = 12 * time.Second // of changes
+	putDuration    = 12 * time.Second // of changes
 	putShort       = 3 * time.Second
-	spreadFor      = 8 * time.Second // past the last change, in which traffic is still of it: two stages of 3 s, and room
+	spreadDuration = 8 * time.Second // past the last change, in which traffic is still of it: two stages of 3 s, and room
 	spreadShort    = 5 * time.Second
-	forceMost      = 60 * time.Second // for a version to be in force everywhere
-	verdictMost    = 20 * time.Second
+	inForceTimeout = 60 * time.Second // for a version to be in force everywhere
+	verdictTimeout = 20 * time.Second
 	askAgain       = 200 * time.Millisecond
 	asksAtOnce     = 8
 	changedTenants = 50  // which are changed in turn
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	defer d.close()
-	u, err := d.look()
+	u, err := d.usage()
 	_, ready := d.serves()
 	return map[string]float64{"cpu_ms": u.cpu.Seconds() * 1e3, "known_ms": ready.Seconds() * 1e3, "peak_mb": u.peakMB,
 		"restarts": WantedNodes}, err
@@ -134,7 +134,7 @@
 	o.puts++
 	c := &configsync.Command{Kind: configsync.CommandPut, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
 		Wall: time.Now().UnixNano()}
-	end := time.Now().Add(verdictMost)
+	end := time.Now().Add(verdictTimeout)
 	for k := 0; ; k++ {
 		a, err := question(o.seats[k%len(o.seats)], &configsync.Query{Kind: configsync.QueryPropose, Command: c})
 		switch {
@@ -153,7 +153,7 @@
 // inForce waits until all nodes have a version or a later one, and says when the last one took it.
 func inForce(addresses []string, version uint64) (last time.Time, err error) {
 	left := addresses
-	for end := time.Now().Add(forceMost); ; time.Sleep(askAgain) {
+	for end := time.Now().Add(inForceTimeout); ; time.Sleep(askAgain) {
 		var mu sync.Mutex
 		var missing []string
 		var group sync.WaitGroup
@@ -188,6 +188,40 @@
 	return []configsync.Item{{Part: configsync.Tenants, Name: tenantName(n % changedTenants), Value: fmt.Appendf(nil, `{"quota_rps":%d}`, 1+n)}}
 }
 
+// putFirst puts the items that a fleet begins with, and waits until they are in force at all addresses.
+func (o *operator) putFirst(all []string) error {
+	first, err := usualItems()
+	if err != nil {
+		return err
+	}
+	for n := range changedTenants {
+		first = append(first, tenantChange(n)...)
+	}
+	if err := o.put(first); err != nil {
+		return err
+	}
+	_, err = inForce(all, o.version)
+	return err
+}
+
+// writeTraffic writes the traffic of a fleet at rest and that of so many changes.
+func writeTraffic(m map[string]float64, idle, busy span, changes int) {
+	m["idle_cpu"] = idle.cpu
+	m["cpu"] = busy.cpu
+	m["idle_bytes"] = idle.bytes
+	m["bytes"] = busy.bytes
+	m["idle_messages"] = idle.messages
+	m["messages"] = busy.messages
+	m["worst_bytes"] = busy.worst
+	if changes == 0 {
+		return
+	}
+	each := float64(busy.seconds) / float64(changes)
+	m["change_bytes"] = (busy.bytes - idle.bytes) * each
+	m["change_messages"] = (busy.messages - idle.messages) * each
+	m["change_cpu"] = (busy.cpu - idle.cpu) * each
+}
+
 // inService has a fleet of hollow nodes take changes at a rate.
 func (b *Bench) inService(nodes int, aDay float64) (map[string]float64, error) {
 	ctx, stop := context.WithCancel(context.Background())
@@ -198,7 +232,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	if _, agreed := f.Agreed(joinMost, 0); !agreed {
+	if _, agreed := f.Agreed(joinTimeout, 0); !agreed {
 		return nil, errors.Join(errApart, f.Err())
 	}
 	var all []string
@@ -206,22 +240,14 @@
 		all = append(all, hollow.At(hollow.Bind(f.Block, i)))
 	}
 	o := &operator{seats: all[:seats]}
-	first, err := usualItems()
-	if err != nil {
-		return nil, err
-	}
-	for n := range changedTenants {
-		first = append(first, tenantChange(n)...)
-	}
-	if err := o.put(first); err != nil {
-		return nil, err
-	}
-	if _, err := inForce(all, o.version); err != nil {
+	if err := o.putFirst(all); err != nil {
 		return nil, err
 	}
-	rest, length, after := restFor/2, putFor, spreadFor
+	rest, length, after := restDuration/2, putDuration, spreadDuration
 	if b.Brief {
-		rest, length, after = restShort/2, putShort, spreadShort
+		rest = restShort / 2
+		length = putShort
+		after = spreadShort
 	}
 	time.Sleep(rest)
 	from := time.Now()
@@ -250,14 +276,7 @@
 		m["force_s"], m["agreed_ms"] = last.Sub(acknowledged).Seconds(), waited.Seconds()*1e3/float64(count)
 	}
 	time.Sleep(time.Second + time.Second/2) // for the last second's figures
-	idle, busy := spanOf(f.Sample(), from, to), spanOf(f.Sample(), to, end)
-	m["idle_cpu"], m["cpu"], m["idle_bytes"], m["bytes"] = idle.cpu, busy.cpu, idle.bytes, busy.bytes
-	m["idle_messages"], m["messages"], m["worst_bytes"] = idle.messages, busy.messages, busy.worst
-	if count > 0 {
-		each := float64(busy.seconds) / float64(count)
-		m["change_bytes"], m["change_messages"] = (busy.bytes-idle.bytes)*each, (busy.messages-idle.messages)*each
-		m["change_cpu"] = (busy.cpu - idle.cpu) * each
-	}
+	writeTraffic(m, spanOf(f.Sample(), from, to), spanOf(f.Sample(), to, end), count)
 	return m, f.Err()
 }
 
--- a/internal/testbed/capacity/fit.go
+++ b/internal/testbed/capacity/fit.go
@@ -20,13 +20,13 @@
 	Rungs    int     `json:"rungs"`
 }
 
-var errFew = errors.New("a line and its error take three sizes that differ")
+var errTooFewPoints = errors.New("a line and its error take three sizes that differ")
 
 // Line fits a line; it takes three points with at least two different x, as two points leave no error to tell.
 func Line(x, y []float64) (f Fit, err error) {
 	n := float64(len(x))
 	if len(x) < 3 || len(x) != len(y) {
-		return f, errFew
+		return f, errTooFewPoints
 	}
 	var meanX, meanY, xx, xy, left float64
 	for k := range x {
@@ -39,9 +39,10 @@
 		xy += (x[k] - meanX) * (y[k] - meanY)
 	}
 	if xx == 0 {
-		return f, errFew
+		return f, errTooFewPoints
 	}
-	f.Rungs, f.Slope = len(x), xy/xx
+	f.Rungs = len(x)
+	f.Slope = xy / xx
 	f.Base = meanY - f.Slope*meanX
 	for k := range x {
 		d := y[k] - f.At(x[k])
@@ -58,7 +59,7 @@
 // Far says whether a size is past what a fit is carried to without saying so.
 func (f *Fit) Far(x float64) bool { return x > FarMost*f.Played }
 
-// Flat says whether the slope can't be told from none: within two standard errors.
+// Flat says whether the slope can't be distinguished from none: within two standard errors.
 func (f *Fit) Flat() bool { return math.Abs(f.Slope) <= 2*f.Error }
 
 // Reach is the size at which the line comes to a budget, and the sizes at a slope one standard error steeper and
--- a/internal/testbed/processfleet/result.go
+++ b/internal/testbed/processfleet/result.go
@@ -98,7 +98,7 @@
 	return v, nil
 }
 
-// runSeed plays a night on runSeed seed. The files of processes are left in a folder, if there is runSeed.
+// runSeed plays a scenario on one seed. The files of processes are left in a folder, if there is one.
 func (n *Scenario) runSeed(seed int64, program, folder string) (*Outcome, error) {
 	if n.Versions != nil && !n.Processes {
 		return n.playVersionsInVirtualTime(seed), nil
@@ -111,7 +111,9 @@
 		return n.playSeed(d, seed), nil
 	}
 	if v := n.Versions; v != nil { // its seats are the first nodes, each a process that serves nothing
-		n.Council, n.Regions, n.Zones = v.Seats, v.Regions, v.Zones
+		n.Council = v.Seats
+		n.Regions = v.Regions
+		n.Zones = v.Zones
 	}
 	if folder == "" {
 		temporary, err := os.MkdirTemp("", "rig")
@@ -166,7 +168,7 @@
 	}
 	if !r.Held() {
 		for _, o := range r.Outcomes {
-			fmt.Fprintln(to, strings.Join(o.Timeline[:min(shown, len(o.Timeline))], "\n"))
+			fmt.Fprintln(to, strings.Join(o.Timeline[:min(shownLines, len(o.Timeline))], "\n"))
 		}
 	}
 	return nil
--- a/internal/testbed/processfleet/versions_processes_measure.go
+++ b/internal/testbed/processfleet/versions_processes_measure.go
@@ -10,15 +10,17 @@
 // measurePolled measures what was asked for. Bytes are those that holders count, as they estimate them.
 func (f *processVersions) measurePolled(x map[string]float64, start int64) {
 	f.measureInForce(x)
-	x["gone_back"], x["two_contents"], x["stops"] = float64(f.back), float64(f.forked), float64(f.stops)
+	x["gone_back"] = float64(f.back)
+	x["two_contents"] = float64(f.forked)
+	x["stops"] = float64(f.stops)
 	x["put_s"], x["changes"], x["versions"] = quantile(f.puts, 0.99), float64(len(f.changes)), float64(f.agreed.Newest.Version)
 	x["recovered_s"], x["recoveries"] = quantile(f.recovers, 1), float64(len(f.recovers))
 	x["lies"] = 0
 	idle, nodes := 0.0, 0
 	for i, list := range f.bytes {
-		var first, last *sample
+		var first, last *trafficSample
 		for k := range list {
-			if s := &list[k]; s.at <= start && s.at > start-int64(quietFor) && s.life == 0 {
+			if s := &list[k]; s.at <= start && s.at > start-int64(quietPeriod) && s.incarnation == 0 {
 				if first == nil {
 					first = s
 				}
@@ -26,25 +28,10 @@
 			}
 		}
 		if !f.members[i].seat && first != nil && last.at > first.at {
-			idle, nodes = idle+float64(last.bytes-first.bytes)/seconds(last.at-first.at), nodes+1
-		}
-		for k := range list {
-			if k+1 == len(list) || list[k+1].life != list[k].life {
-				x["lies"] += float64(list[k].lies)
-			}
-			for j := k + 1; j < len(list) && list[j].life == list[k].life; j++ {
-				span := list[j].at - list[k].at
-				if span < window*second || list[k].at < start {
-					continue
-				}
-				if per := float64(list[j].bytes-list[k].bytes) / seconds(span); !f.members[i].seat {
-					x["window_bytes"] = max(x["window_bytes"], per)
-				} else {
-					x["seat_window_bytes"] = max(x["seat_window_bytes"], per)
-				}
-				break
-			}
+			idle += float64(last.bytes-first.bytes) / seconds(last.at-first.at)
+			nodes++
 		}
+		f.measureWindows(x, list, f.members[i].seat, start)
 	}
 	x["idle_bytes"] = idle / float64(max(1, nodes))
 	unanswered, lost := 0, 0
@@ -64,10 +51,31 @@
 	x["lost"] = float64(lost + f.missing())
 }
 
+// measureWindows measures the invalid responses that a node counted in each of its incarnations, and its worst window of traffic.
+func (f *processVersions) measureWindows(x map[string]float64, list []trafficSample, seat bool, start int64) {
+	measure := "window_bytes"
+	if seat {
+		measure = "seat_window_bytes"
+	}
+	for k := range list {
+		if k+1 == len(list) || list[k+1].incarnation != list[k].incarnation {
+			x["lies"] += float64(list[k].invalidResponses)
+		}
+		for j := k + 1; j < len(list) && list[j].incarnation == list[k].incarnation; j++ {
+			length := list[j].at - list[k].at
+			if length < window*second || list[k].at < start {
+				continue
+			}
+			x[measure] = max(x[measure], float64(list[j].bytes-list[k].bytes)/seconds(length))
+			break
+		}
+	}
+}
+
 // missing counts items whose last acknowledged value isn't in the final content of a seat, though nobody took it back: a rollback
 // takes back all that was agreed on since the version that it names.
 func (f *processVersions) missing() (count int) {
-	last := map[string]*change{}
+	last := map[string]*wantedChange{}
 	for _, c := range f.changes {
 		back := slices.ContainsFunc(f.undone, func(u [2]uint64) bool { return c.version > u[0] && c.version < u[1] })
 		if o := last[c.item.Name]; !back && c.version > 0 && !c.isNew && (o == nil || c.version >= o.version) {
@@ -83,7 +91,10 @@
 				blocks = nil
 				break
 			}
-			blocks, mark, from, more = append(blocks, a.Blocks...), a.Revision, a.Next, a.Next > 0
+			blocks = append(blocks, a.Blocks...)
+			mark = a.Revision
+			from = a.Next
+			more = a.Next > 0
 		}
 		content := configsync.FromBlocks(blocks, mark.Digest)
 		if content == nil || len(blocks) == 0 {
