--- a/internal/fleet/configsync/restore.go
+++ b/internal/fleet/configsync/restore.go
@@ -5,18 +5,14 @@
 	"errors"
 	"fmt"
 
-	"github.com/fxamacker/cbor/v2"
+	"topazpost/internal/cborcodec"
 )
 
 var errLogGaps = errors.New("configuration: the log of a snapshot has gaps")
 
-var cborDecoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 21, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
-	if err != nil {
-		panic(err) // the options are constant
-	}
-	return mode
-}()
+const maxArrayElements = 1 << 21 // items of one list in a snapshot
+
+var cborDecoding = cborcodec.SnapshotDecMode(maxArrayElements)
 
 // Restore decodes a table from a snapshot.
 func Restore(text []byte) (*Table, error) {
--- a/internal/fleet/consensus/replica.go
+++ b/internal/fleet/consensus/replica.go
@@ -10,6 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
+
+	"topazpost/internal/cborcodec"
 )
 
 const (
@@ -262,11 +264,7 @@
 	}
 }
 
-var cborDecoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode()
-	mustSucceed(err)
-	return mode
-}()
+var cborDecoding = cborcodec.MustDecMode(cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden})
 
 var cborEncoding = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -8,6 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
+
+	"topazpost/internal/cborcodec"
 )
 
 // Version is that of the envelope. Bodies grow by keys that older nodes skip; this number changes only where older nodes must not
@@ -46,16 +48,13 @@
 	ErrBody    = errors.New("envelope: the body can't be read")
 )
 
-var decodeMode = newDecodeMode()
-
-func newDecodeMode() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayItems, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNesting,
-		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
-	if err != nil {
-		panic(err) // only constants decide on it
-	}
-	return mode
-}
+var decodeMode = cborcodec.MustDecMode(cbor.DecOptions{
+	MaxArrayElements: maxArrayItems,
+	MaxMapPairs:      maxMapPairs,
+	MaxNestedLevels:  maxNesting,
+	IndefLength:      cbor.IndefLengthForbidden,
+	TagsMd:           cbor.TagsForbidden,
+})
 
 // Fleet is a hash of a fleet's name.
 type Fleet uint32
