--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -62,7 +62,7 @@
 // Command is one change of the table.
 type Command struct {
 	Kind       CommandKind `cbor:"1,keyasint"`
-	From       string      `cbor:"2,keyasint,omitempty"` // the caller of Put and Rollback, a name of its own for each caller
+	From       string      `cbor:"2,keyasint,omitempty"` // the caller of CommandPut and CommandRollback, a name of its own for each caller
 	Seq        uint64      `cbor:"3,keyasint,omitempty"` // of From, above any before; a repeated one has the same verdict
 	Base       uint64      `cbor:"4,keyasint,omitempty"`
 	Changes    []Item      `cbor:"5,keyasint,omitempty"`
@@ -72,7 +72,7 @@
 	Who        string      `cbor:"9,keyasint,omitempty"`
 	Why        string      `cbor:"10,keyasint,omitempty"`
 	Wall       int64       `cbor:"11,keyasint,omitempty"`
-	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // Advance: ns that Version was at the canary stage by the proposing replica's clock
+	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // CommandAdvance: ns that Version was at the canary stage by the proposing replica's clock
 }
 
 // Verdict answers a command.
@@ -91,8 +91,8 @@
 type HeadRevision struct {
 	All     Revision `cbor:"1,keyasint"`           // in force for all
 	Canary  Revision `cbor:"2,keyasint"`           // at the canary stage; All where there is none
-	Newest  uint64   `cbor:"3,keyasint"`           // agreed; those past First wait for the stage to end
-	Stopped bool     `cbor:"4,keyasint,omitempty"` // First goes no further
+	Newest  uint64   `cbor:"3,keyasint"`           // agreed; those past Canary wait for the stage to end
+	Stopped bool     `cbor:"4,keyasint,omitempty"` // Canary goes no further
 	Who     string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't apply it
 	Why     string   `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/fleet/configsync/events.go
+++ b/internal/fleet/configsync/events.go
@@ -27,11 +27,11 @@
 	ExchangeOpened                         // From opened an exchange on Link
 	ExchangeAnswered                       // the answer to an exchange of this node on Link
 	ExchangeFailed                         // an exchange of this node on Link failed
-	VersionApplied                         // Mark is in force at this node, or can't be: Why
-	VersionChecked                         // Mark could be applied, or can't be: Why
-	VersionPersisted                       // the last Persist was carried out, or wasn't: Why
+	VersionApplied                         // Revision is in force at this node, or can't be: Why
+	VersionChecked                         // Revision could be applied, or can't be: Why
+	VersionPersisted                       // the last PersistVersion was carried out, or wasn't: Why
 	AgreementChanged                       // the table of this node's replica changed
-	ReplicaContactChanged                  // this node's replica is in contact with the group, or not any more: Current
+	ReplicaContactChanged                  // this node's replica is in contact with the group, or not any more: ReplicaCurrent
 )
 
 // Input is one event. The replicator owns what it points to.
@@ -55,9 +55,9 @@
 	Send           EffectKind = iota // a datagram to To
 	Exchange                         // open Link to To, write Message, wait for the answer
 	Reply                            // answer the exchange on Link
-	ApplyVersion                     // apply Mark: Diff(Old, New) are the changes; answered by Took. It replaces a pending Check
-	CheckVersion                     // check whether Mark could be applied, and change nothing; answered by Checked
-	PersistVersion                   // write Mark to the disk: Records after what was written before, or all of New where Full; answered by Saved
+	ApplyVersion                     // apply Revision: Diff(Old, New) are the changes; answered by VersionApplied. It replaces a pending CheckVersion
+	CheckVersion                     // check whether Revision could be applied, and change nothing; answered by VersionChecked
+	PersistVersion                   // write Revision to the disk: Records after what was written before, or all of New where Full; answered by VersionPersisted
 	ProposeCommand                   // have the replica propose Command
 	WriteLog                         // log Text
 )
@@ -69,7 +69,7 @@
 	Link     int
 	Message  *Message
 	Revision Revision
-	Canary   bool // Take, Check: for the canary stage
+	Canary   bool // ApplyVersion, CheckVersion: for the canary stage
 	Old, New *Content
 	Records  []*Record
 	Full     bool
--- a/internal/fleet/configsync/query.go
+++ b/internal/fleet/configsync/query.go
@@ -7,10 +7,10 @@
 const (
 	QueryStatus  QueryKind = iota + 1 // the node's status; at a replica also those of the nodes that reported to it
 	QueryBlocks                       // blocks of a content
-	QueryPropose                      // a Put or a Rollback
+	QueryPropose                      // a CommandPut or a CommandRollback
 )
 
-// The contents that a ReadBlocks can be of.
+// The contents that a QueryBlocks can be of.
 const (
 	ContentInForce = iota // at the node
 	ContentForAll         // at a replica: in force for all
@@ -20,9 +20,9 @@
 // Query is what an operator's command asks a node.
 type Query struct {
 	Kind    QueryKind `cbor:"1,keyasint"`
-	Which   int       `cbor:"2,keyasint,omitempty"` // ReadBlocks
-	From    int       `cbor:"3,keyasint,omitempty"` // ReadBlocks: the first block
-	Command *Command  `cbor:"4,keyasint,omitempty"` // Propose
+	Which   int       `cbor:"2,keyasint,omitempty"` // QueryBlocks
+	From    int       `cbor:"3,keyasint,omitempty"` // QueryBlocks: the first block
+	Command *Command  `cbor:"4,keyasint,omitempty"` // QueryPropose
 }
 
 // Answer is a node's answer to a query.
@@ -31,10 +31,10 @@
 	Replicas      []ReplicaAddress `cbor:"2,keyasint,omitempty"`
 	Status        *Status          `cbor:"3,keyasint,omitempty"`
 	ReplicaStatus *ReplicaStatus   `cbor:"4,keyasint,omitempty"` // of a node with a replica that knows what was agreed on
-	Revision      Revision         `cbor:"5,keyasint"`           // ReadBlocks: of the content
+	Revision      Revision         `cbor:"5,keyasint"`           // QueryBlocks: of the content
 	Blocks        []Block          `cbor:"6,keyasint,omitempty"`
 	Next          int              `cbor:"7,keyasint,omitempty"` // the first block that follows, 0 for none
-	Verdict       *Verdict         `cbor:"8,keyasint,omitempty"` // Propose; nil where no answer came in time: the same query may be repeated
+	Verdict       *Verdict         `cbor:"8,keyasint,omitempty"` // QueryPropose; nil where no answer came in time: the same query may be repeated
 	Why           string           `cbor:"9,keyasint,omitempty"` // why there is no answer
 }
 
--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -151,10 +151,10 @@
 // Status is a replicator's state as operators see it.
 type Status struct {
 	Revision Revision `cbor:"Mark" json:"Mark"`
-	Source   string   // of Mark: disk, file, fleet
+	Source   string   // of Revision: disk, file, fleet
 	Ready    Revision
 	Head     HeadRevision
-	TakenNS  int64 // since Mark is in force here
+	TakenNS  int64 // since Revision is in force here
 	HeardNS  int64 // since the last confirmation; -1 for never
 	Behind   bool  // something newer is in force for all, as far as known
 	BehindNS int64
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -13,7 +13,7 @@
 	Revision Revision `cbor:"Mark" json:"Mark"`
 	Refused  Revision
 	Why      string
-	Age      int64 // ns since Mark was in force there, when it reported
+	Age      int64 // ns since Revision was in force there, when it reported
 	At       int64 // when it reported
 }
 
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -8,7 +8,7 @@
 
 // adjacency is what following links needs of a member, in little room: all of them are gone over at each change.
 type adjacency struct {
-	neighbours [maxLinks]uint16 // those with whom it has a link of which both ends tell
+	neighbours [maxLinks]uint16 // members with which it has a link that both ends publish
 	count      uint8
 	left       bool
 }
@@ -54,7 +54,7 @@
 	return n.neighbours[:n.count]
 }
 
-// updateAdjacency has the links that both ends tell of follow a member's record, whose links were others before, and notes
+// updateAdjacency has the links that both ends publish follow a member's record, whose links were others before, and notes
 // whose word a loss rests on: of those that a member had a link to and has no more.
 func (m *Members) updateAdjacency(i int32, before, after []ID) {
 	self := m.members[i].id
