--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -8,7 +8,7 @@
 
 func TestCallThatMayHaveRunIsRetriedOnceAndOnlyIfIdempotent(t *testing.T) {
 	for outcome, notExecuted := range map[Outcome]bool{Overloaded: true, Unreachable: true,
-		TimedOut: false, Broken: false, Errored: false} {
+		TimedOut: false, ConnectionBroken: false, Errored: false} {
 		for op, wantRetries := range []int{1, 0} { // the idempotent operation, the one with a key
 			c := newTestController()
 			inv := insertInvocation(c, op, stateCalling)
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -58,7 +58,7 @@
 		age := float64(c.now-c.startedAt) / float64(max(1, c.config.WarmUpTime))
 		warmth = min(1, c.config.ColdSpeedShare+(1-c.config.ColdSpeedShare)*age)
 	}
-	return safeOverloadShare * c.cores.count * (1 + (c.config.OverloadMultiple-1)*warmth)
+	return safeOverloadShare * c.cores.count * (1 + (c.config.SurvivableRunsPerCore-1)*warmth)
 }
 
 // startRuns starts queued invocations in order, up to the limits. Other threads count towards the limit of runs on the
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -81,7 +81,7 @@
 	RetriesMarked           bool  // callers mark their retries
 	ColdSpeedShare          float64
 	WarmUpTime              int64
-	OverloadMultiple        float64 // runs per core that a warm node survives
+	SurvivableRunsPerCore   float64 // runs per core that a warm node survives
 	DrainGrace              int64
 	MaxRetryAfter           int64 // 0 where callers can't be given a time
 }
--- a/internal/admission/digest_test.go
+++ b/internal/admission/digest_test.go
@@ -90,7 +90,7 @@
 func (d decisionDigest) addLoadMetrics(m *admission.LoadMetrics) {
 	d.addInteger(int64(len(m.DemandByOperation)))
 	d.addFloats(m.DemandByOperation...)
-	d.addFloats(m.IntakeShare, m.QueueWait, m.QueueingDelay, m.CallWait, m.RejectedShare, m.MemoryShare)
+	d.addFloats(m.OverheadShare, m.QueueWait, m.QueueingDelay, m.CallWait, m.RejectedShare, m.MemoryShare)
 }
 
 // digestRuns are the simulations whose actions are recorded: a digest changes with any action, its order and its fields.
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -30,7 +30,7 @@
 	Overloaded
 	TimedOut
 	Unreachable
-	Broken // the connection broke before the reply was complete
+	ConnectionBroken // the connection broke before the reply was complete
 	Stopped
 	NeverStarted
 )
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -62,7 +62,7 @@
 	if inv.operation.service.Form == Shed {
 		return ReasonDegraded
 	}
-	return ReasonUnlikelyInTime
+	return ReasonExpectedLate
 }
 
 // updateRank sets the rank within the queue: the expected weight that a unit of core time yields.
--- a/internal/admission/reasons.go
+++ b/internal/admission/reasons.go
@@ -7,7 +7,7 @@
 const (
 	ReasonNone           Reason = iota // the run or the call failed by itself
 	ReasonDraining                     // it arrived after the end of intake, or was in flight at the end of the drain
-	ReasonUnlikelyInTime               // it is unlikely to end in time to be of value
+	ReasonExpectedLate                 // it is unlikely to end in time to be of value
 	ReasonNoCallCapacity               // the call that it awaits can't start, or won't end in time
 	ReasonDeadline                     // its deadline is near, or its run can't be of value any more
 	ReasonMemory                       // memory or the deduplication table is full
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -18,8 +18,8 @@
 	WeightShare float64
 }
 
-// RemainingWork is the share of the work that a service leaves.
-func (s Service) RemainingWork() float64 {
+// ServedWorkShare is the share of the work that a service leaves.
+func (s Service) ServedWorkShare() float64 {
 	switch s.Form {
 	case Reduced:
 		return s.WorkShare
--- a/internal/admission/simulatedhost_test.go
+++ b/internal/admission/simulatedhost_test.go
@@ -188,7 +188,7 @@
 // endCall adds the end of a call, which may have failed.
 func (h *simulatedHost) endCall(i int32) {
 	failures := []admission.Outcome{admission.Errored, admission.Overloaded, admission.TimedOut, admission.Unreachable,
-		admission.Broken, admission.NeverStarted}
+		admission.ConnectionBroken, admission.NeverStarted}
 	outcome := admission.Succeeded
 	if h.random.Float64() < 0.12*h.slowdown {
 		outcome = failures[h.random.Intn(len(failures))]
@@ -288,7 +288,7 @@
 		},
 		TenantRates: []float64{0, 3, 8, 20}, OverQuotaWeightShare: 0.1, Cores: 4, MemoryKB: 20_000, RunningMemoryFactor: 4, DeduplicationEntryKB: 2, Peers: 3,
 		Dependency: admission.SharedDependency, CallQuota: 3, CallQuotaWindow: 4_000 * millisecond, AbandonedCallTime: 80 * millisecond, ReadReuseWindow: 500 * millisecond,
-		ColdSpeedShare: 0.2, WarmUpTime: 8_000 * millisecond, OverloadMultiple: 4, DrainGrace: 2_000 * millisecond,
+		ColdSpeedShare: 0.2, WarmUpTime: 8_000 * millisecond, SurvivableRunsPerCore: 4, DrainGrace: 2_000 * millisecond,
 		MaxRetryAfter: 1_000 * millisecond, StopSupport: admission.StopKeepsProgress, Backpressure: admission.BackpressureLevel,
 	}
 	for _, c := range change {
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -69,7 +69,7 @@
 // LoadMetrics are measures of the present load, on which degradation is based.
 type LoadMetrics struct {
 	DemandByOperation []float64 // by index: share of the cores that recent first attempts need, if served completely
-	IntakeShare       float64   // of the cores, for reading and health checks
+	OverheadShare     float64   // of the cores, for reading and health checks
 	QueueWait         float64   // over the shortest latency objective
 	QueueingDelay     float64   // over the shortest latency objective
 	CallWait          float64   // over the shortest latency objective: until a call requested now would start
@@ -83,7 +83,7 @@
 	for _, op := range c.operations.list {
 		m.DemandByOperation = append(m.DemandByOperation, op.demandShare(c.now, c.cores.count))
 	}
-	m.IntakeShare = c.cores.intakeShare(c.counts.running)
+	m.OverheadShare = c.cores.intakeShare(c.counts.running)
 	m.QueueWait = c.queueWait() / c.operations.shortestObjective
 	m.QueueingDelay = c.callers.queueingDelay / c.operations.shortestObjective
 	m.CallWait = c.callWait() / c.operations.shortestObjective
--- a/internal/degradation/signals.go
+++ b/internal/degradation/signals.go
@@ -23,10 +23,10 @@
 // measureLoads computes the load at each level.
 func (c *Controller) measureLoads(m *admission.LoadMetrics) {
 	for level := range c.loads {
-		sum := m.IntakeShare
+		sum := m.OverheadShare
 		for op, demand := range m.DemandByOperation {
 			if level > 0 {
-				demand *= c.plan.Levels[level-1].Services[op].RemainingWork()
+				demand *= c.plan.Levels[level-1].Services[op].ServedWorkShare()
 			}
 			sum += demand
 		}
--- a/internal/degradation/signals_test.go
+++ b/internal/degradation/signals_test.go
@@ -11,7 +11,7 @@
 func TestSignalValuesAreThoseOfTheMetrics(t *testing.T) {
 	c := newController()
 	metrics := demand(2)
-	metrics.IntakeShare = 0.25
+	metrics.OverheadShare = 0.25
 	metrics.QueueWait, metrics.QueueingDelay, metrics.CallWait, metrics.RejectedShare, metrics.MemoryShare = 1, 2, 3, 4, 5
 	c.measureLoads(metrics)
 	for signal, want := range map[Signal]float64{QueueWait: 1, QueueingDelay: 2, CallWait: 3, Rejected: 4, Memory: 5} {
@@ -23,7 +23,7 @@
 func TestLoadIsThatOfTheLevelBefore(t *testing.T) {
 	c := newController()
 	metrics := demand(2)
-	metrics.IntakeShare = 0.25
+	metrics.OverheadShare = 0.25
 	c.measureLoads(metrics)
 	assert.InDeltaSlice(t, []float64{2.25, 1.75, 1.25, 0.45}, c.LoadByLevel(), 1e-9)
 	assert.InDelta(t, 2.25, c.signalValue(Load, 1, metrics), 1e-9)
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -179,7 +179,7 @@
 	case CatalogueDialFailed: // a call that was never written has not run
 		c.disconnected(k, admission.Unreachable, in.Err)
 	case CatalogueDisconnected:
-		c.disconnected(k, admission.Broken, in.Err)
+		c.disconnected(k, admission.ConnectionBroken, in.Err)
 	case CatalogueLineReceived:
 		c.replyReceived(k, in.Line)
 	}
@@ -215,7 +215,7 @@
 		c.sm.log(Warn, "catalogue can't be understood", line.Words[0], nil)
 		c.closeLink(k)
 		if i != noInvocation {
-			c.callEnded(i, admission.Broken)
+			c.callEnded(i, admission.ConnectionBroken)
 		}
 		return
 	}
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -151,7 +151,7 @@
 	d.texts(t.Plan, t.FromName, t.ToName)
 	d.integers(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
 	d.floats(t.Signals.DemandByOperation...)
-	d.floats(t.Signals.IntakeShare, t.Signals.QueueWait, t.Signals.QueueingDelay, t.Signals.CallWait, t.Signals.RejectedShare, t.Signals.MemoryShare)
+	d.floats(t.Signals.OverheadShare, t.Signals.QueueWait, t.Signals.QueueingDelay, t.Signals.CallWait, t.Signals.RejectedShare, t.Signals.MemoryShare)
 	d.floats(t.Loads...)
 	b := &t.Before
 	d.texts(b.Level)
--- a/internal/nodeconfig/nodeconfig.go
+++ b/internal/nodeconfig/nodeconfig.go
@@ -98,26 +98,26 @@
 	c.Gauges = s.list("family_info.gauges")
 	node := &c.Node
 	*node = admission.Config{
-		Operations:           node.Operations,
-		TenantRates:          node.TenantRates,
-		Seed:                 seed,
-		WeightScalesWithWork: s.text("counted_by") == "work",
-		Cores:                max(1, int(s.float("family_info.n_cores"))),
-		MemoryKB:             s.float("family_info.memory_kb"),
-		RunningMemoryFactor:  max(1, s.float("family_info.blowup")),
-		DeduplicationEntryKB: s.float("family_info.entry_kb"),
-		CallQuotaWindow:      s.nanoseconds("family_info.calls_over"),
-		AbandonedCallTime:    s.nanoseconds("family_info.linger"),
-		ReadReuseWindow:      s.nanoseconds("family_info.share_for"),
-		DeepHealthChecks:     s.flag("family_info.full_checks"),
-		RetriesMarked:        s.flag("client_habits.marks_retry"),
-		ColdStart:            s.flag("family_info.just_started"),
-		ColdSpeedShare:       s.float("guarantees.cold_from"),
-		WarmUpTime:           s.nanoseconds("guarantees.warm_after"),
-		OverloadMultiple:     s.float("guarantees.tip_multiple"),
-		StopSupport:          enumValue(s, "family_info.halt", stopSupportValues),
-		Backpressure:         enumValue(s, "family_info.advert", backpressureValues),
-		Dependency:           enumValue(s, "family_info.below", dependencyValues),
+		Operations:            node.Operations,
+		TenantRates:           node.TenantRates,
+		Seed:                  seed,
+		WeightScalesWithWork:  s.text("counted_by") == "work",
+		Cores:                 max(1, int(s.float("family_info.n_cores"))),
+		MemoryKB:              s.float("family_info.memory_kb"),
+		RunningMemoryFactor:   max(1, s.float("family_info.blowup")),
+		DeduplicationEntryKB:  s.float("family_info.entry_kb"),
+		CallQuotaWindow:       s.nanoseconds("family_info.calls_over"),
+		AbandonedCallTime:     s.nanoseconds("family_info.linger"),
+		ReadReuseWindow:       s.nanoseconds("family_info.share_for"),
+		DeepHealthChecks:      s.flag("family_info.full_checks"),
+		RetriesMarked:         s.flag("client_habits.marks_retry"),
+		ColdStart:             s.flag("family_info.just_started"),
+		ColdSpeedShare:        s.float("guarantees.cold_from"),
+		WarmUpTime:            s.nanoseconds("guarantees.warm_after"),
+		SurvivableRunsPerCore: s.float("guarantees.tip_multiple"),
+		StopSupport:           enumValue(s, "family_info.halt", stopSupportValues),
+		Backpressure:          enumValue(s, "family_info.advert", backpressureValues),
+		Dependency:            enumValue(s, "family_info.below", dependencyValues),
 	}
 	s.readLimits(node)
 }
@@ -151,7 +151,7 @@
 	if c.Node.MemoryKB <= 0 {
 		return errors.New("nodeconfig: family_info.memory_kb must be above 0")
 	}
-	if c.Node.OverloadMultiple < 1 {
+	if c.Node.SurvivableRunsPerCore < 1 {
 		return errors.New("nodeconfig: guarantees.tip_multiple must be at least 1")
 	}
 	return nil
--- a/internal/protocol/simwire/messages.go
+++ b/internal/protocol/simwire/messages.go
@@ -66,7 +66,7 @@
 	"overloaded":  admission.Overloaded,
 	"timed_out":   admission.TimedOut,
 	"unreachable": admission.Unreachable,
-	"broken":      admission.Broken,
+	"broken":      admission.ConnectionBroken,
 	"withdrawn":   admission.Stopped,
 	"void":        admission.NeverStarted,
 }
--- a/server/degradation.go
+++ b/server/degradation.go
@@ -23,7 +23,7 @@
 
 func signalValues(m *admission.LoadMetrics) map[string]float64 {
 	return map[string]float64{
-		"reading":   m.IntakeShare,
+		"reading":   m.OverheadShare,
 		"wait":      m.QueueWait,
 		"lag":       m.QueueingDelay,
 		"calls":     m.CallWait,
--- a/server/sites_test.go
+++ b/server/sites_test.go
@@ -117,7 +117,7 @@
 		assert.Equal(t, len(s.Tenants), config.Tenants.Len(), file)
 		assert.Equal(t, admission.SharedDependency, config.Node.Dependency, file)
 		assert.Equal(t, map[string]admission.BackpressureKind{"level": admission.BackpressureLevel, "credit": admission.BackpressureCredits}[s.Fam.Say], config.Node.Backpressure, file)
-		assert.Equal(t, s.Rules.Fall, config.Node.OverloadMultiple, file)
+		assert.Equal(t, s.Rules.Fall, config.Node.SurvivableRunsPerCore, file)
 		for k, c := range s.Classes {
 			i, known := config.Operations.Lookup(c.Name)
 			require.True(t, known, c.Name)
