--- a/cmd/topazpost/levels.go
+++ b/cmd/topazpost/levels.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			return err
 		}
-		err = all.Read(path, file)
+		err = all.AddLog(path, file)
 		_ = file.Close() // it was only read
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
--- a/cmd/topazpost/servefiles.go
+++ b/cmd/topazpost/servefiles.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	config.Levels, err = degradationplan.From(file, config.Settings.Operations)
+	config.Levels, err = degradationplan.Parse(file, config.Settings.Operations)
 	return err
 }
 
--- a/internal/degradation/controller.go
+++ b/internal/degradation/controller.go
@@ -11,14 +11,14 @@
 
 // Change describes a change of level.
 type Change struct {
-	From, To      int
-	Signal        Signal  // that caused it
-	Value         float64 // of the signal
-	Limit         float64 // that it passed
-	ConditionTime int64   // how long it had
-	PreviousTime  int64   // in the level before
-	Cause         Cause
-	HoldTime      int64 // how long the new level stays in force after it was last needed
+	From, To              int
+	Signal                Signal  // that caused it
+	Value                 float64 // of the signal
+	Limit                 float64 // that it passed
+	ConditionDuration     int64   // how long it had
+	PreviousLevelDuration int64   // in the level before
+	Cause                 Cause
+	HoldTime              int64 // how long the new level stays in force after it was last needed
 }
 
 // Cause is why a level changed.
@@ -117,7 +117,7 @@
 		return Change{}, false
 	}
 	return c.move(now, 0, Change{Cause: WentIdle, Signal: Load, Value: c.loads[0], Limit: c.plan.IdleCondition.Limits[Load],
-		ConditionTime: now - c.idleSince}), true
+		ConditionDuration: now - c.idleSince}), true
 }
 
 // leaveRecovered returns to the level before once the condition of exit held for its time, and the hold time is over.
@@ -130,7 +130,7 @@
 	}
 	signal := exit.firstSignal()
 	return c.move(now, c.level-1, Change{Cause: Recovered, Signal: signal, Value: c.signalValue(signal, c.level, m), Limit: exit.Limits[signal],
-		ConditionTime: now - s.exitSince}), true
+		ConditionDuration: now - s.exitSince}), true
 }
 
 // updateConditions tracks the conditions of every level and returns the highest one that is needed.
@@ -208,7 +208,7 @@
 		if s.enterSince[i] != never && now-s.enterSince[i] >= condition.Duration {
 			change.Signal = condition.firstSignal()
 			change.Limit = condition.Limits[change.Signal]
-			change.ConditionTime = now - s.enterSince[i]
+			change.ConditionDuration = now - s.enterSince[i]
 			c.proven = condition.isOnLoad()
 			break
 		}
@@ -221,7 +221,7 @@
 
 // proveRelief leaves a level that was entered for pressure other than load, and failed to relieve it in its time.
 func (c *Controller) proveRelief(now int64, m *admission.LoadMetrics) (change Change, ineffective bool) {
-	if c.proven || now-c.levelSince < c.plan.ProofTime {
+	if c.proven || now-c.levelSince < c.plan.TrialPeriod {
 		return Change{}, false
 	}
 	c.proven = true
@@ -233,15 +233,15 @@
 		return Change{}, false
 	}
 	s.ineffective = min(s.ineffective+1, maxIneffective)
-	s.barredUntil = now + int64(barFactor<<(s.ineffective-1))*c.plan.ProofTime
-	return c.move(now, c.level-1, Change{Cause: Ineffective, Signal: c.enteredFor, Value: value, Limit: limit, ConditionTime: now - c.levelSince}), true
+	s.barredUntil = now + int64(barFactor<<(s.ineffective-1))*c.plan.TrialPeriod
+	return c.move(now, c.level-1, Change{Cause: Ineffective, Signal: c.enteredFor, Value: value, Limit: limit, ConditionDuration: now - c.levelSince}), true
 }
 
 // move puts a level into force and completes the change.
 func (c *Controller) move(now int64, level int, change Change) Change {
 	change.From = c.level
 	change.To = level
-	change.PreviousTime = now - c.levelSince
+	change.PreviousLevelDuration = now - c.levelSince
 	for k := level; k < c.level; k++ {
 		s := &c.states[k]
 		s.leftAt = s.neededAt
@@ -270,5 +270,5 @@
 	if next.level > 0 {
 		next.states[next.level-1].neededAt = now
 	}
-	return next, Change{From: c.level, To: next.level, PreviousTime: now - c.levelSince, Cause: PlanReplaced, HoldTime: next.HoldTime(now)}
+	return next, Change{From: c.level, To: next.level, PreviousLevelDuration: now - c.levelSince, Cause: PlanReplaced, HoldTime: next.HoldTime(now)}
 }
--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -17,8 +17,8 @@
 		if level > 0 {
 			assert.Len(t, changes, 1)
 			assert.Equal(t, second/2, at[0])
-			assert.Equal(t, Change{From: 0, To: level, Signal: Load, Value: changes[0].Value, Limit: 1, ConditionTime: second / 2,
-				PreviousTime: second / 2, HoldTime: 10 * second}, changes[0])
+			assert.Equal(t, Change{From: 0, To: level, Signal: Load, Value: changes[0].Value, Limit: 1, ConditionDuration: second / 2,
+				PreviousLevelDuration: second / 2, HoldTime: 10 * second}, changes[0])
 			assert.Greater(t, changes[0].Value, 1.0)
 		}
 	}
--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -28,24 +28,24 @@
 	At   time.Time `json:"-"`
 	Line int       `json:"-"`
 
-	Plan             string  `json:"plan"`
-	From             string  `json:"from"`
-	To               string  `json:"to"`
-	Cause            string  `json:"cause"`
-	Signal           string  `json:"signal"`
-	Value            float64 `json:"value"`
-	Limit            float64 `json:"threshold"`
-	ConditionSeconds float64 `json:"for_s"`
-	PreviousSeconds  float64 `json:"lasted_s"`
-	Before           Answers `json:"before"`
+	Plan                 string  `json:"plan"`
+	From                 string  `json:"from"`
+	To                   string  `json:"to"`
+	Cause                string  `json:"cause"`
+	Signal               string  `json:"signal"`
+	Value                float64 `json:"value"`
+	Limit                float64 `json:"threshold"`
+	ConditionSeconds     float64 `json:"for_s"`
+	PreviousLevelSeconds float64 `json:"lasted_s"`
+	Before               Answers `json:"before"`
 }
 
 // Answers counts what was answered at the level before.
 type Answers struct {
-	Whole     int `json:"whole"`
-	Reduced   int `json:"reduced"`
-	Levelled  int `json:"levelled"` // throttled by the level
-	Throttled int `json:"throttled"`
+	Whole            int `json:"whole"`
+	Reduced          int `json:"reduced"`
+	ThrottledByLevel int `json:"levelled"` // throttled by the level
+	Throttled        int `json:"throttled"`
 }
 
 // NodeLog summarizes one node's log.
@@ -71,8 +71,8 @@
 	Name    string    `json:"name"`
 }
 
-// Read adds a log. A line that is no JSON counts as unreadable, but for text before its first brace.
-func (t *Timeline) Read(path string, from io.Reader) error {
+// AddLog adds a log. A line that is no JSON counts as unreadable, but for text before its first brace.
+func (t *Timeline) AddLog(path string, from io.Reader) error {
 	log := NodeLog{Node: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), Level: degradation.FullService}
 	in := bufio.NewReaderSize(from, maxLineBytes)
 	first := len(t.Changes)
--- a/internal/degradation/degradationlog/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -16,7 +16,7 @@
 
 func TestTimelineIsRebuiltFromATruncatedLog(t *testing.T) {
 	var all Timeline
-	require.NoError(t, all.Read("logs/x.log", strings.NewReader(log)))
+	require.NoError(t, all.AddLog("logs/x.log", strings.NewReader(log)))
 	assert.Equal(t, NodeLog{Node: "n7", Changes: 2, Unreadable: 2, LastAt: all.Logs[0].LastAt, Level: "full", Gaps: 1}, all.Logs[0])
 	assert.Equal(t, "a", all.Changes[0].To)
 	assert.Equal(t, 40, all.Changes[0].Before.Whole)
@@ -26,7 +26,7 @@
 func TestLogTruncatedAtAnyByteIsRead(t *testing.T) {
 	for n := range len(log) {
 		var all Timeline
-		require.NoError(t, all.Read("n.log", strings.NewReader(log[:n])))
+		require.NoError(t, all.AddLog("n.log", strings.NewReader(log[:n])))
 		assert.Equal(t, strings.Count(log[:n], "level changed\"}"), len(all.Changes))
 	}
 }
@@ -35,7 +35,7 @@
 func TestLineThatIsTooLongIsPassedOver(t *testing.T) {
 	var all Timeline
 	text := `{"message":"listening","name":"` + strings.Repeat("x", 3*maxLineBytes) + "\"}\n" + log
-	require.NoError(t, all.Read("n.log", strings.NewReader(text)))
+	require.NoError(t, all.AddLog("n.log", strings.NewReader(text)))
 	assert.Equal(t, "n7", all.Logs[0].Node)
 	assert.Equal(t, 3, all.Logs[0].Unreadable)
 	assert.Len(t, all.Changes, 2)
--- a/internal/degradation/degradationlog/print.go
+++ b/internal/degradation/degradationlog/print.go
@@ -17,8 +17,8 @@
 	b.WriteString("time\tnode\tfrom\tto\twhy\tafter\twhole\treduced\tby the level\tthrottled\n")
 	for i := range changes {
 		c := &changes[i]
-		fmt.Fprintf(&b, "%s\t%s\t%s\t%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\n", timestamp(c.At), c.Node, c.From, c.To, c.reason(), c.PreviousSeconds,
-			c.Before.Whole, c.Before.Reduced, c.Before.Levelled, c.Before.Throttled)
+		fmt.Fprintf(&b, "%s\t%s\t%s\t%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\n", timestamp(c.At), c.Node, c.From, c.To, c.reason(), c.PreviousLevelSeconds,
+			c.Before.Whole, c.Before.Reduced, c.Before.ThrottledByLevel, c.Before.Throttled)
 	}
 	for i := range t.Logs {
 		log := &t.Logs[i]
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -32,11 +32,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return From(file, operations)
+	return Parse(file, operations)
 }
 
-// From reads a plan from a file that was evaluated. The error names all that is wrong with it.
-func From(file *configfile.File, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
+// Parse reads a plan from a file that was evaluated. The error names all that is wrong with it.
+func Parse(file *configfile.File, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 		MaxHold:          timeOr(f.HoldMost, defaultMaxHold),
 		HoldGapFactor:    defaultHoldGapFactor,
 		GapHalfLife:      timeOr(f.Forget, defaultGapHalfLife),
-		ProofTime:        timeOr(f.Proof, defaultProofTime),
+		TrialPeriod:      timeOr(f.Proof, defaultProofTime),
 		Jitter:           defaultJitter,
 	}
 	p.IdleCondition.Limits[degradation.Load] = defaultIdleLoad
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -77,7 +77,7 @@
 
 // Where capacity is spare, what a level sheds is served in the form of the level before.
 func TestShedOperationKeepsTheFormOfTheLevelBefore(t *testing.T) {
-	p, err := From(rendered(t, reducedPlan), operations)
+	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
 	assert.Equal(t, admission.Service{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, p.Levels[0].Services[0])
 	assert.Equal(t, admission.Service{Form: admission.Shed, WorkShare: 0.5, WeightShare: 0.8}, p.Levels[1].Services[0])
@@ -86,9 +86,9 @@
 }
 
 func TestSettingsThatAreLeftOutHaveDefaults(t *testing.T) {
-	p, err := From(rendered(t, reducedPlan), operations)
+	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
-	assert.Equal(t, []int64{defaultMinHold, defaultMaxHold, defaultGapHalfLife, defaultProofTime}, []int64{p.MinHold, p.MaxHold, p.GapHalfLife, p.ProofTime})
+	assert.Equal(t, []int64{defaultMinHold, defaultMaxHold, defaultGapHalfLife, defaultProofTime}, []int64{p.MinHold, p.MaxHold, p.GapHalfLife, p.TrialPeriod})
 	assert.Equal(t, []float64{defaultHoldGapFactor, defaultJitter}, []float64{p.HoldGapFactor, p.Jitter})
 	assert.Equal(t, defaultIdleLoad, p.IdleCondition.Limits[degradation.Load])
 	assert.Equal(t, int64(defaultIdleTime), p.IdleCondition.Duration)
--- a/internal/degradation/degradationplan/show_test.go
+++ b/internal/degradation/degradationplan/show_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestShowNamesReducedForms(t *testing.T) {
-	p, err := From(rendered(t, reducedPlan), operations)
+	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
 	config := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
 		{PriorityWeight: 1}, {PriorityWeight: 1}, {PriorityWeight: 1}}}}
--- a/internal/degradation/helpers_test.go
+++ b/internal/degradation/helpers_test.go
@@ -18,7 +18,7 @@
 // plan has three operations, which demand 50, 40 and 10 % of the work: the first is halved, then shed, then the second is shed too.
 func plan(change ...func(*Plan)) *Plan {
 	complete, shed := admission.Service{}, admission.Service{Form: admission.Shed}
-	p := &Plan{MinHold: 10 * second, MaxHold: 120 * second, HoldGapFactor: 1.25, GapHalfLife: 900 * second, ProofTime: 3 * second,
+	p := &Plan{MinHold: 10 * second, MaxHold: 120 * second, HoldGapFactor: 1.25, GapHalfLife: 900 * second, TrialPeriod: 3 * second,
 		IdleCondition: condition(Load, 0.3, second)}
 	for _, s := range [][]admission.Service{{{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, complete, complete},
 		{shed, complete, complete}, {shed, shed, complete}} {
--- a/internal/degradation/plan.go
+++ b/internal/degradation/plan.go
@@ -23,7 +23,7 @@
 	MaxHold          int64   // that it stays in force at the most
 	HoldGapFactor    float64 // times the gap between two needs of a level that it stays in force after the second
 	GapHalfLife      int64   // in which what was learnt of gaps is halved
-	ProofTime        int64   // in which a level must relieve what it was entered for, where that is not the load of the cores
+	TrialPeriod      int64   // in which a level must relieve what it was entered for, where that is not the load of the cores
 	Jitter           float64 // part by which a node's own times differ from others', so that a fleet does not step as one
 }
 
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -157,7 +157,7 @@
 	change := degradation.Change{Cause: degradation.PlanReplaced}
 	if plan == nil {
 		change.From = ds.level()
-		change.PreviousTime = now - ds.enteredAt
+		change.PreviousLevelDuration = now - ds.enteredAt
 		return nil, change
 	}
 	if ds.controller == nil {
@@ -196,7 +196,7 @@
 		return
 	}
 	before := ds.current
-	before.Seconds = change.PreviousTime / nsPerSecond
+	before.Seconds = change.PreviousLevelDuration / nsPerSecond
 	ds.closePeriod(sm.now, change.From)
 	ds.startPeriod(sm.now)
 	sm.applyLevel(&LevelChange{Change: change, Plan: ds.plan.Name, FromName: ds.plan.LevelName(change.From),
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -146,7 +146,7 @@
 
 // levelChange adds a change of level.
 func (d digest) levelChange(t *node.LevelChange) {
-	d.integers(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionTime, t.PreviousTime, int64(t.Cause), t.HoldTime)
+	d.integers(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionDuration, t.PreviousLevelDuration, int64(t.Cause), t.HoldTime)
 	d.floats(t.Value, t.Limit)
 	d.texts(t.Plan, t.FromName, t.ToName)
 	d.integers(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
