--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -22,7 +22,7 @@
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
 	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "without a replicator the exchange is closed")
 	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
-	assert.Zero(t, r.fleet.counters.Spoilt)
+	assert.Zero(t, r.fleet.counters.Malformed)
 	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
 		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
 	var body peerMessage
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -22,27 +22,27 @@
 	maxHollowTokens     = 4_096 // in flight at one node; more are rejected
 )
 
-// HollowCounters count what a hollow node was asked to do; they are read while it runs. Times are nanoseconds.
+// HollowCounters counts the load of a hollow node and what became of it. The counters are read while the node runs. Times are nanoseconds.
 type HollowCounters struct {
-	Wanted     atomic.Int64 // tokens requested
-	TurnedAway atomic.Int64 // tokens rejected at once
-	Begun      atomic.Int64 // runs started
-	Kept       atomic.Int64 // tokens whose end was recorded
-	Late       atomic.Int64 // tokens abandoned
-	Taken      atomic.Int64 // tokens of lost nodes
-	BeginSum   atomic.Int64 // from the request to the agreed start
-	BeginMost  atomic.Int64 // the longest of these
-	Calls      atomic.Int64 // calls wanted
-	Allowed    atomic.Int64 // calls allowed by the lease
-	InHand     atomic.Int64 // calls in flight
+	TokensRequested atomic.Int64 // tokens that the load asked for
+	TokensRejected  atomic.Int64 // tokens rejected at once: the consensus group is unreachable, or the node is full
+	RunsStarted     atomic.Int64 // runs whose start the consensus group committed
+	EndsRecorded    atomic.Int64 // tokens whose end the consensus group committed
+	TokensAbandoned atomic.Int64 // tokens given up: expired before their run, rejected by the consensus group, or ended elsewhere
+	TokensTakenOver atomic.Int64 // tokens of lost nodes that were assigned to this node
+	StartDelaySum   atomic.Int64 // total time from the requests of tokens to the starts of their runs
+	MaxStartDelay   atomic.Int64 // longest time from a request to the start of its run
+	CallsWanted     atomic.Int64 // concurrent calls that the load asks for
+	CallsAllowed    atomic.Int64 // concurrent calls that the lease allows
+	CallsInFlight   atomic.Int64 // calls in flight
 }
 
 // started counts the start of a run.
 func (c *HollowCounters) started(took int64) {
-	c.Begun.Add(1)
-	c.BeginSum.Add(took)
-	if took > c.BeginMost.Load() {
-		c.BeginMost.Store(took)
+	c.RunsStarted.Add(1)
+	c.StartDelaySum.Add(took)
+	if took > c.MaxStartDelay.Load() {
+		c.MaxStartDelay.Store(took)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	if in.Kind == HollowCallsRequested {
 		sm.hollow.wantedCalls = in.Link
-		sm.hollow.counters.Calls.Store(int64(in.Link))
+		sm.hollow.counters.CallsWanted.Store(int64(in.Link))
 		sm.leases.requestStep(sm.now)
 		return
 	}
@@ -97,9 +97,9 @@
 // requestHollowClaim claims a token, and requests its start.
 func (sm *StateMachine) requestHollowClaim(token []byte) {
 	hs := &sm.hollow
-	hs.counters.Wanted.Add(1)
+	hs.counters.TokensRequested.Add(1)
 	if !sm.claiming.canClaim() || len(hs.tokens) >= maxHollowTokens {
-		hs.counters.TurnedAway.Add(1)
+		hs.counters.TokensRejected.Add(1)
 		return
 	}
 	key := claims.Key{Operation: sm.hollowOperation(), Token: string(token)}
@@ -141,11 +141,11 @@
 		hs.counters.started(sm.now - t.requestedAt)
 	case claims.EndRecorded:
 		if t != nil {
-			hs.counters.Kept.Add(1)
+			hs.counters.EndsRecorded.Add(1)
 			delete(hs.tokens, a.Key)
 		}
 	case claims.TakeOver:
-		hs.counters.Taken.Add(1)
+		hs.counters.TokensTakenOver.Add(1)
 		if t == nil {
 			hs.tokens[a.Key] = &hollowToken{requestedAt: sm.now, deadline: sm.now + a.Duration}
 			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Window: hollowTokenLifetime,
@@ -153,7 +153,7 @@
 		}
 	default: // it ended elsewhere, or there is no capacity for it
 		if t != nil {
-			hs.counters.Late.Add(1)
+			hs.counters.TokensAbandoned.Add(1)
 			delete(hs.tokens, a.Key)
 		}
 	}
@@ -168,7 +168,7 @@
 			t.ended = true
 			sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: key, Outcome: uint8(resultcache.Succeeded), Result: make([]byte, hollowResultBytes)})
 		case !t.running && sm.now >= t.deadline-answerMargin:
-			hs.counters.Late.Add(1)
+			hs.counters.TokensAbandoned.Add(1)
 			delete(hs.tokens, key)
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: key})
 		}
@@ -178,8 +178,8 @@
 // callDemand is how many of the wanted calls are in flight where the lease allows so many, and how many wait.
 func (hs *hollowState) callDemand(allowed int64) (inFlight, waiting int) {
 	inFlight = int(min(int64(hs.wantedCalls), allowed))
-	hs.counters.Allowed.Store(allowed)
-	hs.counters.InHand.Store(int64(inFlight))
+	hs.counters.CallsAllowed.Store(allowed)
+	hs.counters.CallsInFlight.Store(int64(inFlight))
 	return inFlight, hs.wantedCalls - inFlight
 }
 
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -57,8 +57,8 @@
 	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, SampleState} {
 		assert.Zero(t, came[kind], "effect %d is not of a hollow node", kind)
 	}
-	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{c.Wanted.Load(), c.Begun.Load(), c.Kept.Load(), c.TurnedAway.Load(), c.Late.Load()})
-	assert.Equal(t, []int64{8, 5, 5}, []int64{c.Calls.Load(), c.Allowed.Load(), c.InHand.Load()}, "the whole limit, and no more")
+	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{c.TokensRequested.Load(), c.RunsStarted.Load(), c.EndsRecorded.Load(), c.TokensRejected.Load(), c.TokensAbandoned.Load()})
+	assert.Equal(t, []int64{8, 5, 5}, []int64{c.CallsWanted.Load(), c.CallsAllowed.Load(), c.CallsInFlight.Load()}, "the whole limit, and no more")
 	assert.False(t, r.facts().NoExecutor, "it accepts claims of lost nodes")
 }
 
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -32,20 +32,20 @@
 
 // PeerMessageCounters counts messages of peers that could not be used.
 type PeerMessageCounters struct {
-	Spoilt  int `json:"spoilt"`
-	Version int `json:"another_version"`
-	Fleet   int `json:"another_fleet"`
+	Malformed    int `json:"spoilt"`
+	OtherVersion int `json:"another_version"`
+	OtherFleet   int `json:"another_fleet"`
 }
 
 // add counts a message by what is wrong with it.
 func (c *PeerMessageCounters) add(err error) {
 	switch {
 	case errors.Is(err, envelope.ErrFleet):
-		c.Fleet++
+		c.OtherFleet++
 	case errors.Is(err, envelope.ErrVersion):
-		c.Version++
+		c.OtherVersion++
 	default:
-		c.Spoilt++
+		c.Malformed++
 	}
 }
 
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -71,7 +71,7 @@
 		{Kind: PeerDatagramReceived, Bytes: sealed(t, "another", membership.Message{Kind: membership.MessageGossip})},
 		{Kind: PeerDatagramReceived, Bytes: version}, {Kind: PeerDatagramReceived, Bytes: corrupted}, {Kind: PeerDatagramReceived, Bytes: good[:5]},
 		{Kind: PeerDatagramReceived, Bytes: request}, {Kind: PeerRequestReceived, Link: 3, Bytes: corrupted}})
-	assert.Equal(t, PeerMessageCounters{Spoilt: 4, Version: 1, Fleet: 1}, r.PeerMessageCounters())
+	assert.Equal(t, PeerMessageCounters{Malformed: 4, OtherVersion: 1, OtherFleet: 1}, r.PeerMessageCounters())
 	assert.Len(t, kindsOf(effects, ReplyToExchange), 1, "the exchange is closed")
 	assert.Len(t, r.Members().View().Members, 1)
 	r = fleetNode(t) // without a fleet nothing is read
@@ -132,5 +132,5 @@
 	for _, err := range []error{envelope.ErrFleet, envelope.ErrVersion, envelope.ErrShort, envelope.ErrSpoilt, fmt.Errorf("wrapped: %w", envelope.ErrFleet)} {
 		counters.add(err)
 	}
-	assert.Equal(t, PeerMessageCounters{Spoilt: 2, Version: 1, Fleet: 2}, counters)
+	assert.Equal(t, PeerMessageCounters{Malformed: 2, OtherVersion: 1, OtherFleet: 2}, counters)
 }
--- a/internal/testbed/hollow/load.go
+++ b/internal/testbed/hollow/load.go
@@ -46,7 +46,7 @@
 		if up {
 			p.lastToken++
 			if !s.WantToken(fmt.Sprintf("%x-%x-%x", p.spec.Seed, p.spec.Nodes[0], p.lastToken)) {
-				n.claims.TurnedAway.Add(1)
+				n.claims.TokensRejected.Add(1)
 			}
 			return
 		}
--- a/internal/testbed/hollow/totals.go
+++ b/internal/testbed/hollow/totals.go
@@ -61,14 +61,14 @@
 		s.fromWhole += n.counts.fromWhole.Load()
 		s.cut += n.counts.lost.Load()
 		l := &n.claims
-		s.wanted += l.Wanted.Load()
-		s.rejected += l.TurnedAway.Load()
-		s.begun += l.Begun.Load()
-		s.kept += l.Kept.Load()
-		s.late += l.Late.Load()
-		s.taken += l.Taken.Load()
-		s.beginSum += l.BeginSum.Load()
-		s.beginMost = max(s.beginMost, l.BeginMost.Swap(0))
+		s.wanted += l.TokensRequested.Load()
+		s.rejected += l.TokensRejected.Load()
+		s.begun += l.RunsStarted.Load()
+		s.kept += l.EndsRecorded.Load()
+		s.late += l.TokensAbandoned.Load()
+		s.taken += l.TokensTakenOver.Load()
+		s.beginSum += l.StartDelaySum.Load()
+		s.beginMost = max(s.beginMost, l.MaxStartDelay.Swap(0))
 		n.mu.Lock()
 		s.changes += n.changes
 		s.lastChange = max(s.lastChange, int64(n.last[EventAt]))
@@ -82,9 +82,9 @@
 		if n.up {
 			s.nodes++
 			s.views[ViewName(n.size, n.hash)]++
-			s.callsWanted += l.Calls.Load()
-			s.callsAllowed += l.Allowed.Load()
-			s.callsNow += l.InHand.Load()
+			s.callsWanted += l.CallsWanted.Load()
+			s.callsAllowed += l.CallsAllowed.Load()
+			s.callsNow += l.CallsInFlight.Load()
 		}
 		n.mu.Unlock()
 	}
