--- a/cmd/topazpost/config_client.go
+++ b/cmd/topazpost/config_client.go
@@ -40,7 +40,7 @@
 }
 
 func (c *configTarget) exchange(address string, q *configsync.Query) (*configsync.Answer, error) {
-	answer, err := exchange(c.Fleet, address, node.EncodeConfigQuery(q), ", with configuration in its fleet file")
+	answer, err := exchange(c.Fleet, address, node.ConfigQueryBody(q), ", with configuration in its fleet file")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	r := &reader{file: file, source: &source, operations: operations, names: operations.All()}
-	r.plan = &node.DegradationPlan{Text: string(file.JSON), Operations: r.names, Plan: source.settings()}
+	r.plan = &node.DegradationPlan{SourceText: string(file.JSON), Operations: r.names, Plan: source.settings()}
 	if r.plan.Name == "" {
 		r.plan.Name = file.Path
 	}
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -15,26 +15,26 @@
 
 // VersionInForce is a version that came into force at this node.
 type VersionInForce struct {
-	Mark                    configsync.Revision
-	After                   uint64 // the version before it
+	Revision                configsync.Revision
+	PreviousVersion         uint64 // the version before it
 	Source                  string // fleet; at a start disk or file
-	First                   bool   // as one of the canary stage
+	Canary                  bool   // as one of the canary stage
 	Added, Changed, Removed int
 	TookNS                  int64
 }
 
-// ConfigSyncState is the status of the configuration for operators.
-type ConfigSyncState struct {
-	Version  uint64              `json:"version"`
-	Digest   string              `json:"digest"`
-	Source   string              `json:"source"`
-	AgeNS    int64               `json:"age_ns"`
-	HeardNS  int64               `json:"seat_heard_ns"` // since the last message of a replica, -1 before the first
-	Behind   bool                `json:"behind,omitempty"`
-	BehindNS int64               `json:"behind_ns,omitempty"`
-	Refused  uint64              `json:"refused,omitempty"`
-	Why      string              `json:"why,omitempty"`
-	Counters configsync.Counters `json:"counters"`
+// ConfigSyncStatus is the state of configuration replication that a node shows to operators.
+type ConfigSyncStatus struct {
+	Version             uint64              `json:"version"`
+	Digest              string              `json:"digest"`
+	Source              string              `json:"source"`
+	AgeNS               int64               `json:"age_ns"`
+	ReplicaContactAgeNS int64               `json:"seat_heard_ns"` // since the last message of a replica, -1 before the first
+	Behind              bool                `json:"behind,omitempty"`
+	BehindNS            int64               `json:"behind_ns,omitempty"`
+	RefusedVersion      uint64              `json:"refused,omitempty"`
+	RefusalReason       string              `json:"why,omitempty"`
+	Counters            configsync.Counters `json:"counters"`
 }
 
 // pendingConfig is a version on its way into force: all of it is validated in a first pass, and applied in a second.
@@ -86,7 +86,7 @@
 	cs := &sm.configSync
 	cs.replicator = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.selfName(), Seed: seed}, initial)
 	sm.claiming.setConfigValidator(sm.validateConfigCommand)
-	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: cs.replicator.Revision(), Source: initial.Source,
+	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: cs.replicator.Revision(), Source: initial.Source,
 		Added: v.counts.added, Changed: v.counts.changed, Removed: v.counts.removed}})
 	cs.startupEffects = slices.Clone(sm.effects)
 	return nil
@@ -120,15 +120,15 @@
 	}
 }
 
-// ConfigSyncState is the status of the configuration, nil where it isn't taken in service.
-func (sm *StateMachine) ConfigSyncState() *ConfigSyncState {
+// ConfigSyncStatus returns the status of configuration replication, nil where it is not enabled.
+func (sm *StateMachine) ConfigSyncStatus() *ConfigSyncStatus {
 	replicator := sm.configSync.replicator
 	if replicator == nil {
 		return nil
 	}
 	s := replicator.Status(sm.now)
-	return &ConfigSyncState{Version: s.Revision.Version, Digest: s.Revision.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
-		Behind: s.Behind, BehindNS: s.BehindNS, Refused: s.Refused.Version, Why: s.Why, Counters: s.Counters}
+	return &ConfigSyncStatus{Version: s.Revision.Version, Digest: s.Revision.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, ReplicaContactAgeNS: s.HeardNS,
+		Behind: s.Behind, BehindNS: s.BehindNS, RefusedVersion: s.Refused.Version, RefusalReason: s.Why, Counters: s.Counters}
 }
 
 // changesOf reads items as changes, with an error where this node can't apply one.
@@ -221,8 +221,8 @@
 	} else if !p.checkOnly {
 		sm.versionApplied(&p.version)
 		counts := &p.version.counts
-		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Mark: p.mark, After: cs.replicator.Revision().Version, Source: "fleet",
-			First: p.canary, Added: counts.added, Changed: counts.changed, Removed: counts.removed, TookNS: sm.now - p.startedAt}})
+		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: p.mark, PreviousVersion: cs.replicator.Revision().Version, Source: "fleet",
+			Canary: p.canary, Added: counts.added, Changed: counts.changed, Removed: counts.removed, TookNS: sm.now - p.startedAt}})
 	}
 	cs.inputs = append(cs.inputs, next)
 }
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -22,12 +22,12 @@
 	Configuration *configMessage `cbor:"10,keyasint"`
 }
 
-// EncodeConfigQuery is the body of the message by which a command asks; DecodeConfigAnswer reads the answer.
-func EncodeConfigQuery(q *configsync.Query) any {
+// ConfigQueryBody returns the message body by which an operator's command sends a query; DecodeConfigAnswer decodes the answer.
+func ConfigQueryBody(q *configsync.Query) any {
 	return configMessageBody{&configMessage{Question: q}}
 }
 
-// DecodeConfigAnswer reads the answer to a command.
+// DecodeConfigAnswer decodes a node's answer to a query of an operator's command.
 func DecodeConfigAnswer(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
 	var body configMessageBody
 	if err := envelope.Open(text, fleet, &body); err != nil {
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -13,7 +13,7 @@
 
 func TestConfigurationMessagesAreDistinctFromMembership(t *testing.T) {
 	fleet := envelope.FleetOf("mobilier")
-	text, err := envelope.Seal(nil, fleet, EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryStatus}))
+	text, err := envelope.Seal(nil, fleet, ConfigQueryBody(&configsync.Query{Kind: configsync.QueryStatus}))
 	require.NoError(t, err)
 	var older membership.Message
 	require.NoError(t, envelope.Open(text, fleet, &older))
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -13,7 +13,7 @@
 
 // query is a node's answer to an operator's query, with all effects up to it.
 func query(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
-	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), EncodeConfigQuery(q))
+	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), ConfigQueryBody(q))
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
 	for range 3_000 {
@@ -47,7 +47,7 @@
 	a, all := query(t, r, &configsync.Query{Kind: configsync.QueryPropose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
-		if !a.Verdict.Done || r.ConfigSyncState().Version >= a.Verdict.Version || r.ConfigSyncState().Refused >= a.Verdict.Version {
+		if !a.Verdict.Done || r.ConfigSyncStatus().Version >= a.Verdict.Version || r.ConfigSyncStatus().RefusedVersion >= a.Verdict.Version {
 			break
 		}
 		all = append(all, step(r)...)
@@ -86,9 +86,9 @@
 	require.True(t, v.Done, "by itself it is valid: %s", v.Refused)
 	assert.Empty(t, kindsOf(effects, ReportVersionInForce))
 	assert.Equal(t, before, r.config.Clone())
-	s := r.ConfigSyncState()
-	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.Refused})
-	assert.Contains(t, s.Why, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
+	s := r.ConfigSyncStatus()
+	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.RefusedVersion})
+	assert.Contains(t, s.RefusalReason, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
 	for range 10 {
 		step(r)
 	}
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -87,7 +87,7 @@
 	require.True(t, v.Done, v.Refused)
 	in := kindsOf(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
-	assert.Equal(t, VersionInForce{Mark: r.configSync.replicator.Revision(), After: 1, Source: "fleet", First: true, Added: 1, Removed: 1,
+	assert.Equal(t, VersionInForce{Revision: r.configSync.replicator.Revision(), PreviousVersion: 1, Source: "fleet", Canary: true, Added: 1, Removed: 1,
 		TookNS: in[0].InForce.TookNS}, *in[0].InForce)
 	kept := kindsOf(effects, PersistVersion)
 	require.Len(t, kept, 1)
@@ -191,13 +191,13 @@
 	require.NoError(t, err)
 	in := kindsOf(servingNode(r), ReportVersionInForce)
 	require.Len(t, in, 1)
-	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Mark.Version, in[0].InForce.Added, in[0].InForce.Removed})
+	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Revision.Version, in[0].InForce.Added, in[0].InForce.Removed})
 	assert.Equal(t, 1, runsOf(step(r, arrival(r, 1, "op", "new"))))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
 
 	r, err = configuredNode(t, Addresses{"executor:1", "", "control:1"}, kept(operation("new", `,"class_calls":true`)))
 	assert.ErrorContains(t, err, "names no catalogue")
-	assert.Nil(t, r.ConfigSyncState())
+	assert.Nil(t, r.ConfigSyncStatus())
 	_, known := r.config.Operations.Find("new")
 	assert.False(t, known, "nothing is changed")
 }
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -18,40 +18,40 @@
 // DegradationPlan is a plan of degradation levels with the names of the reduced forms of operations.
 type DegradationPlan struct {
 	degradation.Plan
-	Forms [][]string // by level above full service and operation: the reduced form as the executor knows it
-	Text  string     // what it was read from; a plan of the same text is the same plan
+	Forms      [][]string // by level above full service and operation: the reduced form as the executor knows it
+	SourceText string     // what it was read from; a plan of the same text is the same plan
 
 	Operations []string // by the index that Level.Services and Forms go by; nil where that is the node's own
 }
 
 // ServiceCounts counts the answers given at one level of service.
 type ServiceCounts struct {
-	Level     string `json:"level"`
-	Seconds   int64  `json:"seconds"` // spent in it, whole
-	Whole     int    `json:"whole"`
-	Reduced   int    `json:"reduced"`
-	Levelled  int    `json:"levelled"`  // throttled by the level
-	Throttled int    `json:"throttled"` // throttled for any other reason
-	Entered   int    `json:"entered"`
+	Level            string `json:"level"`
+	Seconds          int64  `json:"seconds"` // spent in it, whole
+	Full             int    `json:"whole"`
+	Reduced          int    `json:"reduced"`
+	ThrottledByLevel int    `json:"levelled"`  // throttled by the level
+	ThrottledOther   int    `json:"throttled"` // throttled for any other reason
+	Entered          int    `json:"entered"`
 }
 
 // add adds the answers of a period to those of its level.
 func (c *ServiceCounts) add(period *ServiceCounts) {
-	c.Whole += period.Whole
+	c.Full += period.Full
 	c.Reduced += period.Reduced
-	c.Levelled += period.Levelled
-	c.Throttled += period.Throttled
+	c.ThrottledByLevel += period.ThrottledByLevel
+	c.ThrottledOther += period.ThrottledOther
 }
 
 // LevelChange describes a change of level, or of the plan.
 type LevelChange struct {
 	degradation.Change
-	Plan     string
-	FromName string
-	ToName   string
-	Signals  admission.LoadMetrics
-	Loads    []float64     // at each level, full service first
-	Before   ServiceCounts // of the period that ends
+	Plan           string
+	FromName       string
+	ToName         string
+	Metrics        admission.LoadMetrics
+	LoadByLevel    []float64     // at each level, full service first
+	PreviousCounts ServiceCounts // of the period that ends
 }
 
 // String is a one-line summary.
@@ -98,7 +98,7 @@
 // applyPlan adopts a plan in place of the present one; nil ends degradation. An invalid plan changes nothing.
 func (sm *StateMachine) applyPlan(plan *DegradationPlan) {
 	ds := &sm.degradation
-	if plan != nil && ds.plan != nil && plan.Text != "" && plan.Text == ds.plan.Text {
+	if plan != nil && ds.plan != nil && plan.SourceText != "" && plan.SourceText == ds.plan.SourceText {
 		return // the controller keeps what it learnt
 	}
 	if plan == nil {
@@ -126,7 +126,7 @@
 	if plan == nil && ds.plan == nil {
 		return
 	}
-	event := &LevelChange{FromName: ds.levelName(), Before: ds.current}
+	event := &LevelChange{FromName: ds.levelName(), PreviousCounts: ds.current}
 	controller, change := ds.replaceController(plan, sm.now)
 	event.Change = change
 	if ds.plan != nil {
@@ -200,7 +200,7 @@
 	ds.closePeriod(sm.now, change.From)
 	ds.startPeriod(sm.now)
 	sm.applyLevel(&LevelChange{Change: change, Plan: ds.plan.Name, FromName: ds.plan.LevelName(change.From),
-		ToName: ds.plan.LevelName(change.To), Signals: ds.metrics, Loads: ds.controller.LoadByLevel(), Before: before})
+		ToName: ds.plan.LevelName(change.To), Metrics: ds.metrics, LoadByLevel: ds.controller.LoadByLevel(), PreviousCounts: before})
 }
 
 // applyLevel has the admission controller apply the level in force, and reports the change.
@@ -242,16 +242,16 @@
 	case succeeded && reduced:
 		ds.current.Reduced++
 	case succeeded:
-		ds.current.Whole++
+		ds.current.Full++
 	case reason == admission.ReasonDegraded:
-		ds.current.Levelled++
+		ds.current.ThrottledByLevel++
 	default:
-		ds.current.Throttled++
+		ds.current.ThrottledOther++
 	}
 }
 
-// Levels is what was served at each level since the plan was adopted, nil without a plan.
-func (sm *StateMachine) Levels() []ServiceCounts {
+// ServiceCountsByLevel returns the counts of answers at each level since the plan was adopted, nil without a plan.
+func (sm *StateMachine) ServiceCountsByLevel() []ServiceCounts {
 	if sm.degradation.plan == nil {
 		return nil
 	}
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -39,7 +39,7 @@
 	r := nodeAtLevel(t, 2)
 	step(r, Input{Kind: PlanChanged})
 	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue 4")
-	assert.Nil(t, r.Levels())
+	assert.Nil(t, r.ServiceCountsByLevel())
 }
 
 func TestPlanAdoptedBeforeTheExecutorConnectsAppliesOnceItDoes(t *testing.T) {
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -43,16 +43,16 @@
 	effects := step(r, invoke(1, "op", "hold"))
 	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
 	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
-	assert.Equal(t, 1, r.degradation.current.Whole)
+	assert.Equal(t, 1, r.degradation.current.Full)
 }
 
 func TestRejectionsByTheLevelAreCountedApart(t *testing.T) {
 	r := nodeAtLevel(t, 2)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
-	assert.Equal(t, ServiceCounts{Level: "none", Levelled: 1}, r.degradation.current)
-	all := r.Levels()
-	assert.Equal(t, 1, all[2].Levelled)
-	assert.Equal(t, 0, r.degradation.totals[2].Levelled, "a read changes nothing")
+	assert.Equal(t, ServiceCounts{Level: "none", ThrottledByLevel: 1}, r.degradation.current)
+	all := r.ServiceCountsByLevel()
+	assert.Equal(t, 1, all[2].ThrottledByLevel)
+	assert.Equal(t, 0, r.degradation.totals[2].ThrottledByLevel, "a read changes nothing")
 }
 
 func TestLevelChangeIsReportedWithItsCause(t *testing.T) {
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -108,10 +108,10 @@
 		d.persisting(e.Persisting)
 	}
 	if f := e.InForce; f != nil {
-		d.revision(f.Mark)
-		d.integers(int64(f.After), int64(f.Added), int64(f.Changed), int64(f.Removed), f.TookNS)
+		d.revision(f.Revision)
+		d.integers(int64(f.PreviousVersion), int64(f.Added), int64(f.Changed), int64(f.Removed), f.TookNS)
 		d.texts(f.Source)
-		d.bools(f.First)
+		d.bools(f.Canary)
 	}
 }
 
@@ -136,9 +136,9 @@
 	}
 	d.bools(s.Synced, s.Configuration != nil)
 	if c := s.Configuration; c != nil {
-		d.integers(int64(c.Version), c.AgeNS, c.HeardNS, c.BehindNS, int64(c.Refused))
+		d.integers(int64(c.Version), c.AgeNS, c.ReplicaContactAgeNS, c.BehindNS, int64(c.RefusedVersion))
 		d.texts(c.Digest, c.Source)
-		d.bools(c.Behind, c.Why != "")
+		d.bools(c.Behind, c.RefusalReason != "")
 		n := &c.Counters
 		d.integers(int64(n.Applied), int64(n.Refused), int64(n.InvalidResponses), int64(n.Busy), int64(n.Missed), int64(n.Dropped), n.BytesSent, n.BytesReceived)
 	}
@@ -149,13 +149,13 @@
 	d.integers(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionDuration, t.PreviousLevelDuration, int64(t.Cause), t.HoldTime)
 	d.floats(t.Value, t.Limit)
 	d.texts(t.Plan, t.FromName, t.ToName)
-	d.integers(int64(len(t.Signals.DemandByOperation)), int64(len(t.Loads)))
-	d.floats(t.Signals.DemandByOperation...)
-	d.floats(t.Signals.OverheadShare, t.Signals.QueueWait, t.Signals.QueueingDelay, t.Signals.CallWait, t.Signals.RejectedShare, t.Signals.MemoryShare)
-	d.floats(t.Loads...)
-	b := &t.Before
+	d.integers(int64(len(t.Metrics.DemandByOperation)), int64(len(t.LoadByLevel)))
+	d.floats(t.Metrics.DemandByOperation...)
+	d.floats(t.Metrics.OverheadShare, t.Metrics.QueueWait, t.Metrics.QueueingDelay, t.Metrics.CallWait, t.Metrics.RejectedShare, t.Metrics.MemoryShare)
+	d.floats(t.LoadByLevel...)
+	b := &t.PreviousCounts
 	d.texts(b.Level)
-	d.integers(b.Seconds, int64(b.Whole), int64(b.Reduced), int64(b.Levelled), int64(b.Throttled), int64(b.Entered))
+	d.integers(b.Seconds, int64(b.Full), int64(b.Reduced), int64(b.ThrottledByLevel), int64(b.ThrottledOther), int64(b.Entered))
 }
 
 // change adds a change of the view of the fleet.
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -66,7 +66,7 @@
 // plan is a degradation plan of two levels that starts at a load.
 func (n *simNode) plan(load float64, spare bool) *node.DegradationPlan {
 	p := &node.DegradationPlan{Forms: [][]string{{"catalogue-plain", "", ""}, {"catalogue-plain", "", "pay-plain"}}, Operations: []string{"catalogue", "hold", "pay"},
-		Text: fmt.Sprint(load, spare)}
+		SourceText: fmt.Sprint(load, spare)}
 	p.Name, p.MinHold, p.MaxHold, p.UseSpareCapacity = "test", 300*millisecond, 5_000*millisecond, spare
 	p.IdleCondition = degradation.Condition{Limits: degradation.NoLimits()}
 	p.IdleCondition.Limits[degradation.Load] = load / 4
@@ -133,7 +133,7 @@
 		return
 	}
 	s.lastOrder++
-	c := &configsync.Command{Kind: configsync.CommandPut, From: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncState().Version}
+	c := &configsync.Command{Kind: configsync.CommandPut, From: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncStatus().Version}
 	for _, i := range s.randomItems() {
 		if len(i.Value) > 0 {
 			var err error
@@ -142,7 +142,7 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryPropose, Command: c}))
+	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.ConfigQueryBody(&configsync.Query{Kind: configsync.QueryPropose, Command: c}))
 	require.NoError(s.t, err)
 	s.lastExchange++
 	n.deliver(node.Input{Kind: node.PeerRequestReceived, Link: s.lastExchange, From: "10.0.9.9:9", Bytes: text})
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -132,12 +132,12 @@
 	case 2:
 		body = &membership.Message{Kind: []membership.MessageKind{membership.MessageSyncRequest, membership.MessageGossip, 0}[n.Rand.Intn(3)]}
 	case 3:
-		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryStatus})
+		body = node.ConfigQueryBody(&configsync.Query{Kind: configsync.QueryStatus})
 	case 4:
-		body = node.EncodeConfigQuery(&configsync.Query{Kind: configsync.QueryBlocks,
+		body = node.ConfigQueryBody(&configsync.Query{Kind: configsync.QueryBlocks,
 			Which: n.Rand.Intn(3)})
 	default:
-		body = node.EncodeConfigQuery(&configsync.Query{Kind: 77})
+		body = node.ConfigQueryBody(&configsync.Query{Kind: 77})
 	}
 	text, err := envelope.Seal(nil, envelope.FleetOf(of), body)
 	require.NoError(n.t, err)
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -84,7 +84,7 @@
 		t.Run(fmt.Sprintf("question %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configsync.Query](uint32(k))
 			want.Kind = kind
-			text, err := sealMessage(EncodeConfigQuery(&want))
+			text, err := sealMessage(ConfigQueryBody(&want))
 			require.NoError(t, err)
 			var got peerMessage
 			require.NoError(t, openMessage(fixture.Equal(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -23,7 +23,7 @@
 	GaugeAge    int64          `json:"gauge_age_ns"` // -1 before the first
 	Synced      bool           `json:"synced"`       // the executor's link carries commands
 
-	Configuration *ConfigSyncState `json:"configuration,omitempty"` // nil where it isn't distributed
+	Configuration *ConfigSyncStatus `json:"configuration,omitempty"` // nil where it isn't distributed
 }
 
 // stateSampler samples the state at an interval while there is a controller, whose ticks keep the node awake for it.
@@ -66,7 +66,7 @@
 		Unread:          sm.executor.unreadCommands(),
 		GaugeAge:        sm.executor.gaugesAge(),
 		Synced:          sm.executor.isSynced(),
-		Configuration:   sm.ConfigSyncState(),
+		Configuration:   sm.ConfigSyncStatus(),
 	}
 	if sm.degradation.enabled() {
 		state.Level = sm.degradation.levelName()
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -118,7 +118,7 @@
 
 func question(address string, q *configsync.Query) (*configsync.Answer, error) {
 	name := envelope.FleetOf(fleetName)
-	ask, err := envelope.Seal(nil, name, node.EncodeConfigQuery(q))
+	ask, err := envelope.Seal(nil, name, node.ConfigQueryBody(q))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -51,7 +51,7 @@
 
 // question asks a node.
 func (f *processVersions) question(i int, q *configsync.Query) (*configsync.Answer, error) {
-	text, err := envelope.Seal(nil, f.fleet, node.EncodeConfigQuery(q))
+	text, err := envelope.Seal(nil, f.fleet, node.ConfigQueryBody(q))
 	if err != nil {
 		return nil, err
 	}
--- a/server/effects.go
+++ b/server/effects.go
@@ -157,9 +157,9 @@
 
 // logVersionInForce logs a configuration version that came into force.
 func (s *Server) logVersionInForce(v *node.VersionInForce) {
-	line := s.log.Info().Uint64("version", v.Mark.Version).Stringer("digest", v.Mark.Digest).Str("source", v.Source)
+	line := s.log.Info().Uint64("version", v.Revision.Version).Stringer("digest", v.Revision.Digest).Str("source", v.Source)
 	if v.Source == "fleet" {
-		line = line.Uint64("after", v.After).Bool("first_stage", v.First).Float64("took_s", seconds(v.TookNS))
+		line = line.Uint64("after", v.PreviousVersion).Bool("first_stage", v.Canary).Float64("took_s", seconds(v.TookNS))
 	}
 	line = line.Float64("longest_step_ms", float64(s.longestStep)/1e6) // since the last version
 	s.longestStep = 0
