--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -17,17 +17,17 @@
 // catalogueLink is a link to the catalogue. It carries one call at a time: a malformed or missing reply fails that call
 // only, and the link is closed with it.
 type catalogueLink struct {
-	id         int
-	address    string
-	up         bool
-	invocation int32 // whose call it carries, or noInvocation
-	unmatched  bool  // it brought a reply that was not asked for
-	idleSince  int64
+	id                int
+	address           string
+	connected         bool
+	invocation        int32 // whose call it carries, or noInvocation
+	gotUnmatchedReply bool  // it brought a reply that was not asked for
+	idleSince         int64
 }
 
 func (l *catalogueLink) isBusy() bool { return l.invocation != noInvocation }
 
-func (l *catalogueLink) isIdle() bool { return l.up && !l.isBusy() }
+func (l *catalogueLink) isIdle() bool { return l.connected && !l.isBusy() }
 
 // catalogueState is the links to the catalogue and the calls that wait for one.
 type catalogueState struct {
@@ -41,11 +41,11 @@
 func (c *catalogueState) startCall(i int32, deadline int64) {
 	sm := c.sm
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.calling && v.callRequest != nil, "a call is made where a run stands at one") {
+	if !sm.Invariants.Check(v.live && !v.callInFlight && v.callRequest != nil, "a call is made where a run stands at one") {
 		return
 	}
 	sm.Invariants.Check(sm.leases.allowsCall(sm.now), "a call is made while a lease goes on")
-	v.calling = true
+	v.callInFlight = true
 	v.callDeadline = deadline
 	c.waiting = append(c.waiting, i)
 	c.sendWaiting()
@@ -58,7 +58,7 @@
 		i := c.waiting[0]
 		idle := c.newestIdleLink()
 		switch {
-		case idle >= 0 && !c.sm.invocations[i].called:
+		case idle >= 0 && !c.sm.invocations[i].callWritten:
 			c.links[idle].invocation = i
 			c.sendCall(&c.links[idle])
 		case len(c.links) < c.maxLinks:
@@ -98,13 +98,13 @@
 func (c *catalogueState) sendCall(l *catalogueLink) {
 	sm := c.sm
 	v := &sm.invocations[l.invocation]
-	v.called = true
+	v.callWritten = true
 	timeout := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
 	writeBy := int64(0)
 	if sm.leases.enabled() { // a call written late, after a pause, would exceed the lease
 		writeBy = v.callDeadline
 	}
-	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.call, timeout)})
+	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.invocationID, timeout)})
 }
 
 // closeLink closes a link, which abandons the call on it.
@@ -120,7 +120,7 @@
 	l := &c.links[k]
 	l.invocation = noInvocation
 	l.idleSince = c.sm.now
-	if l.unmatched || l.address != c.sm.addresses.Catalogue || idle >= maxIdleCatalogueLinks {
+	if l.gotUnmatchedReply || l.address != c.sm.addresses.Catalogue || idle >= maxIdleCatalogueLinks {
 		c.closeLink(k)
 	}
 }
@@ -144,10 +144,10 @@
 // cancelCall abandons the call of an invocation, if it has one in flight.
 func (c *catalogueState) cancelCall(i int32) {
 	v := &c.sm.invocations[i]
-	if !v.calling {
+	if !v.callInFlight {
 		return
 	}
-	v.calling = false
+	v.callInFlight = false
 	if k := slices.Index(c.waiting, i); k >= 0 {
 		c.waiting = slices.Delete(c.waiting, k, k+1)
 		return
@@ -160,7 +160,7 @@
 
 // callEnded reports the outcome of a call that is on no link any more.
 func (c *catalogueState) callEnded(i int32, outcome admission.Outcome) {
-	c.sm.invocations[i].calling = false
+	c.sm.invocations[i].callInFlight = false
 	c.sm.events = append(c.sm.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 }
 
@@ -188,7 +188,7 @@
 
 func (c *catalogueState) connected(l *catalogueLink) {
 	c.sm.Counters.CatalogueLinks++
-	l.up = true
+	l.connected = true
 	l.idleSince = c.sm.now
 	if l.isBusy() {
 		c.sendCall(l)
@@ -220,9 +220,9 @@
 		return
 	}
 	l := &c.links[k]
-	if !l.isBusy() || c.sm.invocations[l.invocation].call != line.Words[0] {
+	if !l.isBusy() || c.sm.invocations[l.invocation].invocationID != line.Words[0] {
 		c.sm.Counters.UnmatchedReplies++
-		l.unmatched = true
+		l.gotUnmatchedReply = true
 		if !l.isBusy() {
 			c.closeLink(k)
 		}
@@ -232,7 +232,7 @@
 	if outcome == admission.Succeeded {
 		v := &c.sm.invocations[i]
 		v.callRequest = nil
-		c.sm.sendCommand(i, lineprotocol.AppendBody(nil, line.Body, "RETURN", v.call))
+		c.sm.sendCommand(i, lineprotocol.AppendBody(nil, line.Body, "RETURN", v.invocationID))
 	}
 	c.releaseLink(k)
 	c.callEnded(i, outcome)
@@ -281,7 +281,7 @@
 func (c *catalogueState) callTimedOut(k int) {
 	i := c.links[k].invocation
 	outcome := admission.Unreachable
-	if c.links[k].up {
+	if c.links[k].connected {
 		outcome = admission.TimedOut
 	}
 	c.closeLink(k)
@@ -296,7 +296,7 @@
 		switch {
 		case l.isBusy():
 			at = min(at, c.sm.invocations[l.invocation].callDeadline)
-		case l.up:
+		case l.connected:
 			at = min(at, l.idleSince+catalogueIdleTimeout)
 		}
 	}
@@ -310,7 +310,7 @@
 func (c *catalogueState) addressChanged() {
 	for k := len(c.links) - 1; k >= 0; k-- {
 		l := &c.links[k]
-		if l.up && l.isBusy() {
+		if l.connected && l.isBusy() {
 			continue
 		}
 		if l.isBusy() {
--- a/internal/node/catalogue_test.go
+++ b/internal/node/catalogue_test.go
@@ -49,7 +49,7 @@
 
 func TestCatalogueLinkClosesAfterItsIdleTimeout(t *testing.T) {
 	sm := up(t)
-	sm.catalogue.links = []catalogueLink{{id: 5, address: sm.addresses.Catalogue, up: true, invocation: -1, idleSince: sm.now - catalogueIdleTimeout}}
+	sm.catalogue.links = []catalogueLink{{id: 5, address: sm.addresses.Catalogue, connected: true, invocation: -1, idleSince: sm.now - catalogueIdleTimeout}}
 	got := step(sm)
 	assert.Equal(t, CloseCatalogue, got[0].Kind)
 	assert.Empty(t, sm.catalogue.links)
@@ -68,7 +68,7 @@
 	got := step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "1"},
 		Body: []byte("x")}})
 	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, SendToExecutor))
-	assert.True(t, sm.catalogue.links[0].up && sm.catalogue.links[0].invocation < 0, "pooled for the first call of another run")
+	assert.True(t, sm.catalogue.links[0].connected && sm.catalogue.links[0].invocation < 0, "pooled for the first call of another run")
 	told(sm, "CALLOUT 3 "+other+" 3|ask")
 	assert.Len(t, sm.catalogue.links, 2, "a duplicate of the first reply can't be taken for the second")
 	got = step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -123,7 +123,7 @@
 		return
 	}
 	sm.addClaimInput(claims.Input{Kind: claims.RequestClaim, Key: sm.claimKey(v.tokenKey), BodyHash: v.bodyHash, Remaining: v.deadline - sm.now,
-		InvocationID: v.call, Work: text, Window: v.terms.tokenLifetime})
+		InvocationID: v.invocationID, Work: text, Window: v.terms.tokenLifetime})
 }
 
 // stepClaims steps the claims client and the replica, as long as one has something for the other.
@@ -218,8 +218,8 @@
 		sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: k})
 		return
 	}
-	waiters, unrun := sm.results.waiters(key)
-	if unrun && len(waiters) == 0 {
+	waiters, notStarted := sm.results.waiters(key)
+	if notStarted && len(waiters) == 0 {
 		sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: -1, Key: key})
 	}
 	for _, i := range waiters {
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -17,7 +17,7 @@
 
 // claimingNode is a node that serves, whose claims are decided by a consensus group with a single replica at n0.
 func claimingNode(t *testing.T) *StateMachine {
-	p, err := nodeconfig.FromJSON(1, []byte(tokened))
+	p, err := nodeconfig.FromJSON(1, []byte(tokenSettings))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	config := membership.Config{Name: "n1", Address: "127.0.0.1:1", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 1 << 50, MaxMembers: 8}
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -7,10 +7,10 @@
 
 // command is one that the executor may not have read.
 type command struct {
-	sequence   int
-	invocation int32
-	call       string
-	bytes      []byte
+	sequence     int
+	invocation   int32
+	invocationID string
+	bytes        []byte
 }
 
 // commandLog is the commands that the executor is not known to have read, in order. They are sent again on a new link.
@@ -27,7 +27,7 @@
 
 // acknowledgeCall drops the commands of a call, of which a notice proves that they were read.
 func (l *commandLog) acknowledgeCall(call string) {
-	l.acknowledge(func(c *command) bool { return c.call == call })
+	l.acknowledge(func(c *command) bool { return c.invocationID == call })
 }
 
 // acknowledgeUpTo drops the commands that were sent before a request for gauges that was answered.
@@ -49,7 +49,7 @@
 
 // sendCommand sends a command that must be read; it is logged until the executor is known to have read it.
 func (x *executorState) sendCommand(i int32, bytes []byte) {
-	x.commands.add(i, x.sm.invocations[i].call, bytes)
+	x.commands.add(i, x.sm.invocations[i].invocationID, bytes)
 	x.sm.Invariants.Check(len(x.commands.unread) <= maxUnreadCommands, "commands not known to be read are bounded")
 	if x.synced {
 		x.sm.emit(Effect{Kind: SendToExecutor, Link: x.link, Bytes: bytes})
@@ -68,7 +68,7 @@
 // isWanted reports whether the invocation of a command still needs it.
 func (x *executorState) isWanted(c *command) bool {
 	v := &x.sm.invocations[c.invocation]
-	return v.live && (!v.answered || v.abandoned) && v.call == c.call
+	return v.live && (!v.answered || v.abandoned) && v.invocationID == c.invocationID
 }
 
 // unreadCommands is how many commands are not acknowledged.
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -82,7 +82,7 @@
 	require.True(t, v.Done, v.Refused)
 
 	awaitRollout(t, r)
-	assert.Equal(t, 1, runsOf(step(r, arrival(r, 1, "op", "hold"))))
+	assert.Equal(t, 1, countRuns(step(r, arrival(r, 1, "op", "hold"))))
 	v, effects := put(t, r, "b", 1, removal(nodeconfig.Operations, "hold"), operation("new", ""))
 	require.True(t, v.Done, v.Refused)
 	in := kindsOf(effects, ReportVersionInForce)
@@ -93,7 +93,7 @@
 	require.Len(t, kept, 1)
 	assert.Equal(t, uint64(2), kept[0].Persisting.Revision.Version)
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
-	assert.Equal(t, 1, runsOf(step(r, arrival(r, 3, "op", "new"))))
+	assert.Equal(t, 1, countRuns(step(r, arrival(r, 3, "op", "new"))))
 	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(r, 1)), "work in flight ends under the old version")
 
 	v, _ = put(t, r, "c", 1, tenant("x", 3))
@@ -192,7 +192,7 @@
 	in := kindsOf(servingNode(r), ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Revision.Version, in[0].InForce.Added, in[0].InForce.Removed})
-	assert.Equal(t, 1, runsOf(step(r, arrival(r, 1, "op", "new"))))
+	assert.Equal(t, 1, countRuns(step(r, arrival(r, 1, "op", "new"))))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
 
 	r, err = configuredNode(t, Addresses{"executor:1", "", "control:1"}, kept(operation("new", `,"class_calls":true`)))
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -83,7 +83,7 @@
 		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), what)
 		got := step(sm, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((sm.now+ms)/ms+1_000_000)))
 		assert.Equal(t, Effect{Kind: ResumeConnection, Link: 7}, got[0], what)
-		assert.Equal(t, 1, runsOf(got), what)
+		assert.Equal(t, 1, countRuns(got), what)
 		got = told(sm, "EXIT 2 00000000000000aa good 12 6|result")
 		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
 		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -56,7 +56,7 @@
 	d := fieldDecoder{sm: sm, invocation: v, event: e, ttlMS: -1}
 	for _, field := range fields {
 		if !d.decode(field.Name, field.Value) {
-			return fmt.Errorf("field %s: %w", field.Name, errField)
+			return fmt.Errorf("field %s: %w", field.Name, errInvalidField)
 		}
 	}
 	if err := d.validate(); err != nil {
@@ -76,11 +76,11 @@
 	switch name {
 	case "op":
 		d.present |= fieldOp
-		v.op = value
+		v.operationName = value
 		e.OperationIndex, valid = d.sm.config.Operations.Lookup(value)
 	case "call":
 		d.present |= fieldCall
-		v.call = value
+		v.invocationID = value
 		valid = isHex16(value)
 	case "recv":
 		d.present |= fieldRecv
@@ -139,20 +139,20 @@
 	v := d.invocation
 	e := d.event
 	if d.present&requiredFields != requiredFields {
-		return fmt.Errorf("op, call, recv, src or heap: %w", errField)
+		return fmt.Errorf("op, call, recv, src or heap: %w", errInvalidField)
 	}
 	if e.Tenant < 0 && sm.config.Tenants.Len() > 0 {
-		return fmt.Errorf("field org: %w: the settings name tenants", errField)
+		return fmt.Errorf("field org: %w: the settings name tenants", errInvalidField)
 	}
 	needsToken := sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey
 	if sm.results.enabled() && v.tokenKey.Token == "" && needsToken {
-		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.tokenFieldName(), errField, v.op)
+		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.tokenFieldName(), errInvalidField, v.operationName)
 	}
 	if d.ttlMS >= 0 {
 		e.Deadline = max(1, sm.now-e.Age+d.ttlMS*ms) // 0 stands for an unknown one
 	}
-	if _, known := sm.indexByCall[v.call]; known {
-		return fmt.Errorf("field call: %w: in use", errField)
+	if _, known := sm.indexByID[v.invocationID]; known {
+		return fmt.Errorf("field call: %w: in use", errInvalidField)
 	}
 	return nil
 }
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -81,9 +81,9 @@
 // A token of one tenant must not find the result of another's.
 func TestTokensAreScopedToTheirTenant(t *testing.T) {
 	sm, _ := serving(t)
-	assert.Equal(t, 1, runsOf(step(sm, invoke(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
+	assert.Equal(t, 1, countRuns(step(sm, invoke(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
 	told(sm, "EXIT 1 "+id(1)+" good 12 6|result")
-	assert.Equal(t, 1, runsOf(step(sm, invoke(2, "op", "hold", "org", "south", "dedupe", "a", "call", id(2)))))
+	assert.Equal(t, 1, countRuns(step(sm, invoke(2, "op", "hold", "org", "south", "dedupe", "a", "call", id(2)))))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, step(sm, invoke(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
 }
 
--- a/internal/node/digestexecutor_test.go
+++ b/internal/node/digestexecutor_test.go
@@ -242,21 +242,21 @@
 		if n.linkFault(15) {
 			reply = lineprotocol.Line{Words: [][]string{{"what"}, {words[1], "WHAT"}, {"ffffffffffffffff", "LATER"}}[n.Rand.Intn(3)]}
 		}
-		takes, twice, breaks := n.randomDuration(2_000, 80_000), n.linkFault(10), n.linkFault(15)
+		delay, duplicate, disconnect := n.randomDuration(2_000, 80_000), n.linkFault(10), n.linkFault(15)
 		if n.linkFault(12) {
-			takes = 4_000 * millisecond
+			delay = 4_000 * millisecond
 		}
-		n.schedule(takes, func() {
+		n.schedule(delay, func() {
 			if n.catalogueCalls[link] != words[1] {
 				return
 			}
-			if breaks {
+			if disconnect {
 				delete(n.catalogueCalls, link)
 				n.deliver(node.Input{Kind: node.CatalogueDisconnected, Link: link, Err: errSimulated})
 				return
 			}
 			n.deliver(node.Input{Kind: node.CatalogueLineReceived, Link: link, Line: reply})
-			if twice {
+			if duplicate {
 				n.deliver(node.Input{Kind: node.CatalogueLineReceived, Link: link, Line: lineprotocol.Line{Words: slices.Clone(reply.Words), Body: slices.Clone(reply.Body)}})
 			}
 		})
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -14,12 +14,12 @@
 
 // Reasons why a frame or an invocation can't be used.
 var (
-	errField          = errors.New("missing or malformed")
-	errBodyTooLarge   = errors.New("the body is too large")
-	errStreamOrder    = errors.New("stream out of order")
-	errFrameType      = errors.New("unknown type of frame")
-	errTooManyFaults  = errors.New("too many invocations that can't be used")
-	errTooManyStreams = errors.New("too many streams are open")
+	errInvalidField     = errors.New("missing or malformed")
+	errBodyTooLarge     = errors.New("the body is too large")
+	errStreamOrder      = errors.New("stream out of order")
+	errUnknownFrameType = errors.New("unknown type of frame")
+	errTooManyFaults    = errors.New("too many invocations that can't be used")
+	errTooManyStreams   = errors.New("too many streams are open")
 )
 
 // frameReceived handles a frame on a dispatcher's connection.
@@ -36,7 +36,7 @@
 	case frame.HealthCheck:
 		sm.health.received(c, f)
 	default:
-		sm.connections.markBroken(c, fmt.Errorf("%w: %d", errFrameType, f.Type))
+		sm.connections.markBroken(c, fmt.Errorf("%w: %d", errUnknownFrameType, f.Type))
 	}
 }
 
@@ -52,7 +52,7 @@
 	}
 	c.lastStream = f.Stream
 	sm.Counters.Invocations++
-	v := invocation{live: true, connection: c.link, stream: f.Stream}
+	v := invocation{live: true, connectionLink: c.link, stream: f.Stream}
 	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Original: admission.NoOriginal}
 	if err := sm.validateInvocation(c, f, &v, &e); err != nil {
 		sm.failMalformed(c, &v, err)
@@ -64,15 +64,15 @@
 		return
 	}
 	sm.connections.resume(c)
-	v.operation = e.OperationIndex
+	v.operationIndex = e.OperationIndex
 	v.tenant = e.Tenant
 	e.Invocation = sm.addInvocation(v)
 	if v.tokenKey.Token != "" {
 		added := &sm.invocations[e.Invocation]
-		added.arrival = e
+		added.arrivalEvent = e
 		added.arrivedAt = sm.now
 		added.deadline = cmp.Or(e.Deadline, sm.now-e.Age+sm.config.Node.Operations[e.OperationIndex].ClientTimeout)
-		sm.deferInvocation(e.Invocation, e.Original)
+		sm.addOriginal(e.Invocation, e.Original)
 	}
 	c.openStreams[f.Stream] = e.Invocation
 	sm.events = append(sm.events, e)
@@ -100,7 +100,7 @@
 func (sm *StateMachine) failMalformed(c *connection, v *invocation, err error) {
 	sm.Counters.BrokenInvocations++
 	sm.Counters.Errored++
-	sm.log(Warn, "invocation can't be used", v.call, err)
+	sm.log(Warn, "invocation can't be used", v.invocationID, err)
 	sm.sendFrame(c.link, v.stream, frame.Errored, nil, nil)
 	if !errors.Is(err, errRetired) {
 		sm.connections.countFault(c)
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -19,7 +19,7 @@
 	assert.Contains(t, text(sent, SendToConnection), "result")
 	assert.Empty(t, answers(t, told(sm, "EXIT 1 "+callID+" good 12 6|result")), "a notice is applied once")
 	assert.Zero(t, sm.owedAnswers)
-	assert.Empty(t, sm.indexByCall)
+	assert.Empty(t, sm.indexByID)
 }
 
 func TestDisconnectedCallerGetsNoAnswer(t *testing.T) {
@@ -30,7 +30,7 @@
 	step(sm, invoke(2))
 	assert.Empty(t, step(sm, Input{Kind: ConnectionClosed, Link: 7}))
 	assert.Empty(t, answers(t, told(sm, "EXIT 2 "+callID+" good 12 6|result")))
-	assert.Empty(t, sm.indexByCall)
+	assert.Empty(t, sm.indexByID)
 }
 
 func TestMalformedInvocationFailsAndItsConnectionStaysOpen(t *testing.T) {
@@ -66,7 +66,7 @@
 	sm := up(t)
 	got := step(sm, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}, invoke(1))
 	assert.Equal(t, []string{"51 on 0", "no more", "51 on 1"}, answers(t, got))
-	assert.Zero(t, runsOf(got))
+	assert.Zero(t, countRuns(got))
 }
 
 func TestThrottleCarriesPushbackStopAndBackpressure(t *testing.T) {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -39,7 +39,7 @@
 	told(sm, "METERS j1 0.1 1 0.1 3")
 	got = step(sm, invoke(1))
 	assert.Equal(t, []string{"50 on 1"}, answers(t, got), "one that crosses the go-away is answered")
-	assert.Zero(t, runsOf(got), "though the executor is up by now")
+	assert.Zero(t, countRuns(got), "though the executor is up by now")
 	assert.Empty(t, step(sm, Input{Kind: ListenerClosed}))
 	assert.Equal(t, []Effect{{Kind: Exit}}, step(sm, Input{Kind: ConnectionClosed, Link: 7}))
 	sm = fresh(t)
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -241,20 +241,20 @@
 }
 
 // runExited answers an invocation with the outcome of its run, unless it was answered before.
-func (x *executorState) runExited(call, word string, body []byte) error {
+func (x *executorState) runExited(invocationID, word string, body []byte) error {
 	outcome, known := outcomeByWord[word]
 	if !known {
 		return fmt.Errorf("end %q", word)
 	}
 	sm := x.sm
-	i, v := sm.findInvocation(call)
+	i, v := sm.findInvocation(invocationID)
 	if v == nil { // released before it ended, or started by an earlier incarnation of this node
 		if outcome <= admission.Errored {
-			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: call, Outcome: uint8(outcome), Result: body})
+			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: invocationID, Outcome: uint8(outcome), Result: body})
 		}
 		return nil
 	}
-	x.commands.acknowledgeCall(v.call)
+	x.commands.acknowledgeCall(v.invocationID)
 	if v.inCache {
 		sm.tokenRunEnded(i, outcome, body)
 		return nil
@@ -271,13 +271,13 @@
 }
 
 // callRequested passes on that a run waits for a call to the dependency.
-func (x *executorState) callRequested(call string, body []byte) {
+func (x *executorState) callRequested(invocationID string, body []byte) {
 	sm := x.sm
-	i, v := sm.findInvocation(call)
+	i, v := sm.findInvocation(invocationID)
 	if v == nil {
 		return
 	}
-	x.commands.acknowledgeCall(v.call)
+	x.commands.acknowledgeCall(v.invocationID)
 	v.callRequest = body
 	sm.leases.requestStep(sm.now) // the demand for leases has grown
 	sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
@@ -285,10 +285,10 @@
 
 // commandRefused ends a run that could not start: nothing ran, and the connection that brought it is at fault. A refused
 // reply to a call is a duplicate of one that the executor had read before.
-func (x *executorState) commandRefused(name, call string) {
+func (x *executorState) commandRefused(name, invocationID string) {
 	sm := x.sm
-	sm.log(Warn, "executor did not carry out a command", call, nil)
-	i, v := sm.findInvocation(call)
+	sm.log(Warn, "executor did not carry out a command", invocationID, nil)
+	i, v := sm.findInvocation(invocationID)
 	if v == nil || name != "EXEC" {
 		return
 	}
@@ -297,7 +297,7 @@
 		return
 	}
 	if !v.answered {
-		link := v.connection
+		link := v.connectionLink
 		sm.fail(i)
 		if c := sm.connections.get(link); c != nil {
 			sm.connections.countFault(c)
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -112,5 +112,5 @@
 	step(sm, invoke(1))
 	assert.Equal(t, []string{"51 on 1"}, answers(t, told(sm, "BAD EXEC "+callID)))
 	assert.Equal(t, 1, sm.connections.byLink[7].faults)
-	assert.Empty(t, sm.indexByCall)
+	assert.Empty(t, sm.indexByID)
 }
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -22,11 +22,11 @@
 
 // healthChecks answers the dispatchers' health checks.
 type healthChecks struct {
-	sm      *StateMachine
-	healthy bool                 // as the controller last reported
-	cached  bool                 // deep checks are answered by that as well
-	deep    map[string]deepCheck // by tag
-	started int                  // deep checks so far
+	sm            *StateMachine
+	healthy       bool                 // as the controller last reported
+	cached        bool                 // deep checks are answered by that as well
+	deepChecks    map[string]deepCheck // by tag
+	lastTagNumber int                  // deep checks so far
 }
 
 // setHealth sets what the controller reports.
@@ -58,13 +58,13 @@
 }
 
 func (h *healthChecks) canStartDeepCheck() bool {
-	return h.healthy && !h.cached && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deep) < maxDeepChecks
+	return h.healthy && !h.cached && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deepChecks) < maxDeepChecks
 }
 
 func (h *healthChecks) startDeepCheck(c *connection, stream uint32) {
-	h.started++
-	tag := "d" + strconv.Itoa(h.started)
-	h.deep[tag] = deepCheck{link: c.link, stream: stream, deadline: h.sm.now + deepCheckTimeout}
+	h.lastTagNumber++
+	tag := "d" + strconv.Itoa(h.lastTagNumber)
+	h.deepChecks[tag] = deepCheck{link: c.link, stream: stream, deadline: h.sm.now + deepCheckTimeout}
 	c.pendingChecks++
 	h.sm.connections.resume(c)
 	h.sm.executor.send("DIAG", tag)
@@ -81,11 +81,11 @@
 
 // deepCheckFinished answers a deep check, if it has not timed out.
 func (h *healthChecks) deepCheckFinished(tag string, passed bool) {
-	d, ok := h.deep[tag]
+	d, ok := h.deepChecks[tag]
 	if !ok {
 		return
 	}
-	delete(h.deep, tag)
+	delete(h.deepChecks, tag)
 	if c := h.sm.connections.get(d.link); c != nil {
 		c.pendingChecks--
 		h.answer(d.link, d.stream, passed && h.healthy)
@@ -95,15 +95,15 @@
 
 // failDeepChecks fails all deep checks when the executor's link is lost.
 func (h *healthChecks) failDeepChecks() {
-	for _, tag := range slices.Sorted(maps.Keys(h.deep)) {
+	for _, tag := range slices.Sorted(maps.Keys(h.deepChecks)) {
 		h.deepCheckFinished(tag, false)
 	}
 }
 
 // expire fails the deep checks that have timed out.
 func (h *healthChecks) expire() {
-	for _, tag := range slices.Sorted(maps.Keys(h.deep)) {
-		if h.sm.now >= h.deep[tag].deadline {
+	for _, tag := range slices.Sorted(maps.Keys(h.deepChecks)) {
+		if h.sm.now >= h.deepChecks[tag].deadline {
 			h.deepCheckFinished(tag, false)
 		}
 	}
@@ -112,7 +112,7 @@
 // dueAt is when the next deep check times out.
 func (h *healthChecks) dueAt() int64 {
 	at := int64(never)
-	for _, d := range h.deep {
+	for _, d := range h.deepChecks {
 		at = min(at, d.deadline)
 	}
 	return at
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -15,7 +15,7 @@
 
 // hollowNode has the only replica of its consensus group.
 func hollowNode(t *testing.T) (*StateMachine, *HollowCounters) {
-	p, err := nodeconfig.FromJSON(1, []byte(tokened))
+	p, err := nodeconfig.FromJSON(1, []byte(tokenSettings))
 	require.NoError(t, err)
 	r, c := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new(HollowCounters)
 	r.MakeHollow(c, false)
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -11,47 +11,47 @@
 
 // invocation is a dispatcher's invocation, from its arrival until the controller releases its index.
 type invocation struct {
-	live           bool
-	answered       bool
-	connection     int // link of its connection
-	stream         uint32
-	call           string // the dispatcher's id of it
-	op             string // name of its operation
-	body           []byte
-	callRequest    []byte // body of the dependency call that its run waits for
-	calling        bool   // that call is in flight
-	called         bool   // a call of it was written to the catalogue, this one or an earlier one
-	callDeadline   int64
-	tokenKey       resultcache.Key // its Token is empty without an idempotency key
-	bodyHash       uint64
-	tokenExpiresAt int64 // when its token is forgotten
-	arrival        admission.Event
-	arrivedAt      int64
-	deadline       int64 // when its client timeout ends
-	atExecutor     bool  // its run for its token is at the executor
-	inCache        bool  // the result cache knows it
-	exited         bool  // its run has ended, and its answer waits for the disk
-	outcome        admission.Outcome
-	abandoned      bool // its caller left, and others wait for its run
-	runForm        admission.Form
-	form           string // name of the level whose reduced form runs, empty for the full operation
-	operation      int32
-	tenant         int32 // -1 without one
-	terms          *terms
+	live             bool
+	answered         bool
+	connectionLink   int // link of its connection
+	stream           uint32
+	invocationID     string // the dispatcher's id of it
+	operationName    string // name of its operation
+	body             []byte
+	callRequest      []byte // body of the dependency call that its run waits for
+	callInFlight     bool   // that call is in flight
+	callWritten      bool   // a call of it was written to the catalogue, this one or an earlier one
+	callDeadline     int64
+	tokenKey         resultcache.Key // its Token is empty without an idempotency key
+	bodyHash         uint64
+	tokenExpiresAt   int64 // when its token is forgotten
+	arrivalEvent     admission.Event
+	arrivedAt        int64
+	deadline         int64 // when its client timeout ends
+	atExecutor       bool  // its run for its token is at the executor
+	inCache          bool  // the result cache knows it
+	runEndUnreported bool  // its run has ended, and its answer waits for the disk
+	runOutcome       admission.Outcome
+	abandoned        bool // its caller left, and others wait for its run
+	runForm          admission.Form
+	levelName        string // name of the level whose reduced form runs, empty for the full operation
+	operationIndex   int32
+	tenant           int32 // -1 without one
+	terms            *terms
 }
 
 // addInvocation gives an invocation an index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
-	sm.versions.acquire(&v, sm.currentTerms(v.operation))
-	index := sm.nextIndex()
+	sm.versions.acquire(&v, sm.currentTerms(v.operationIndex))
+	index := sm.allocateIndex()
 	sm.invocations[index] = v
-	sm.indexByCall[v.call] = index
+	sm.indexByID[v.invocationID] = index
 	sm.owedAnswers++
 	return index
 }
 
-// nextIndex is a free index of invocations.
-func (sm *StateMachine) nextIndex() int32 {
+// allocateIndex is a free index of invocations.
+func (sm *StateMachine) allocateIndex() int32 {
 	last := len(sm.freeIndices) - 1
 	if last < 0 {
 		sm.invocations = append(sm.invocations, invocation{})
@@ -63,8 +63,8 @@
 }
 
 // findInvocation is the live invocation of a call, or nil.
-func (sm *StateMachine) findInvocation(call string) (int32, *invocation) {
-	if i, ok := sm.indexByCall[call]; ok {
+func (sm *StateMachine) findInvocation(invocationID string) (int32, *invocation) {
+	if i, ok := sm.indexByID[invocationID]; ok {
 		return i, &sm.invocations[i]
 	}
 	return -1, nil
@@ -80,8 +80,8 @@
 		sm.fail(i)
 	}
 	sm.catalogue.cancelCall(i)
-	if sm.indexByCall[v.call] == i {
-		delete(sm.indexByCall, v.call)
+	if sm.indexByID[v.invocationID] == i {
+		delete(sm.indexByID, v.invocationID)
 	}
 	sm.versions.release(v)
 	*v = invocation{}
@@ -99,9 +99,9 @@
 		sm.startTokenRun(i)
 		return
 	}
-	class, level := sm.formFor(v.op, form)
-	v.form = level
-	sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.call, class))
+	class, level := sm.formFor(v.operationName, form)
+	v.levelName = level
+	sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.invocationID, class))
 	v.body = nil
 }
 
@@ -114,12 +114,12 @@
 	sm.Counters.CallersGone++
 	v.answered = true
 	sm.owedAnswers--
-	if sm.abandonToken(i) {
+	if sm.removeTokenWaiter(i) {
 		return
 	}
 	sm.catalogue.cancelCall(i)
 	sm.events = append(sm.events, admission.Event{Kind: admission.CallerDisconnected, Invocation: i})
-	sm.runFinished(i)
+	sm.reportRunEnd(i)
 }
 
 // reject answers with a throttle, which promises that the invocation has never run.
@@ -136,10 +136,10 @@
 
 // succeed answers with a result. That of a reduced form names its level.
 func (sm *StateMachine) succeed(i int32, result []byte, fields ...frame.Field) {
-	if level := sm.invocations[i].form; level != "" {
+	if level := sm.invocations[i].levelName; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
 	}
-	sm.degradation.countAnswer(true, sm.invocations[i].form != "", admission.ReasonNone)
+	sm.degradation.countAnswer(true, sm.invocations[i].levelName != "", admission.ReasonNone)
 	sm.answer(i, frame.Succeeded, fields, result)
 }
 
@@ -159,24 +159,24 @@
 	v.answered = true
 	sm.owedAnswers--
 	sm.catalogue.cancelCall(i)
-	sm.abandonToken(i)
-	sm.runFinished(i)
-	if v.connection == noConnection {
-		sm.takenOverAnswered(v, code)
+	sm.removeTokenWaiter(i)
+	sm.reportRunEnd(i)
+	if v.connectionLink == noConnection {
+		sm.endTakenOver(v, code)
 		return
 	}
 	sm.Counters.countAnswer(code)
-	sm.sendFrame(v.connection, v.stream, code, fields, body)
-	if c := sm.connections.get(v.connection); c != nil {
+	sm.sendFrame(v.connectionLink, v.stream, code, fields, body)
+	if c := sm.connections.get(v.connectionLink); c != nil {
 		sm.connections.streamClosed(c, v.stream)
 	}
 }
 
-// takenOverAnswered ends an invocation that was taken over from a lost node: there is no caller to answer.
-func (sm *StateMachine) takenOverAnswered(v *invocation, code byte) {
+// endTakenOver ends an invocation that was taken over from a lost node: there is no caller to answer.
+func (sm *StateMachine) endTakenOver(v *invocation, code byte) {
 	if code != frame.Succeeded {
 		sm.Counters.InheritedGivenUp++
-		sm.log(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.call, nil)
+		sm.log(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.invocationID, nil)
 	}
 }
 
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -76,7 +76,7 @@
 // against one call more at the dependency than units, for each that is abandoned there.
 func (sm *StateMachine) countAbandonedCall(s *catalogueLink) {
 	ls := &sm.leases
-	if ls.holder == nil || !s.up || s.invocation < 0 {
+	if ls.holder == nil || !s.connected || s.invocation < 0 {
 		return
 	}
 	ls.abandonedUntil = append(ls.abandonedUntil, sm.now+ls.config.MaxUseTime/2)
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -61,7 +61,7 @@
 	// The invocations, by an index that the controller knows them by.
 	invocations []invocation
 	freeIndices []int32
-	indexByCall map[string]int32
+	indexByID   map[string]int32
 	owedAnswers int
 
 	executor    executorState
@@ -86,16 +86,16 @@
 // killDelay is the time from a drain notice to the kill, in nanoseconds.
 func NewStateMachine(config *nodeconfig.Config, addresses Addresses, killDelay int64, maxConnections, maxCatalogueLinks int) *StateMachine {
 	sm := &StateMachine{
-		config:      withoutUnsupported(config),
-		addresses:   addresses,
-		timerAt:     never,
-		indexByCall: map[string]int32{},
-		Decisions:   func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) },
+		config:    withoutUnsupported(config),
+		addresses: addresses,
+		timerAt:   never,
+		indexByID: map[string]int32{},
+		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) },
 	}
 	sm.executor = newExecutorState(sm)
 	sm.catalogue = catalogueState{sm: sm, maxLinks: maxCatalogueLinks}
 	sm.connections = newConnectionTable(sm, maxConnections)
-	sm.health = healthChecks{sm: sm, deep: map[string]deepCheck{}}
+	sm.health = healthChecks{sm: sm, deepChecks: map[string]deepCheck{}}
 	sm.reports = reporter{sm: sm}
 	sm.drain = drainState{sm: sm, killDelay: killDelay}
 	sm.sampler = stateSampler{sm: sm}
@@ -143,7 +143,7 @@
 	sm.applyVersions()
 	sm.applyPendingConfig()
 	sm.decide()
-	sm.expireResults()
+	sm.expireTokens()
 	sm.stepLeases()
 	sm.stepClaims()
 	sm.executor.requestAcknowledgement()
--- a/internal/node/reports_test.go
+++ b/internal/node/reports_test.go
@@ -9,7 +9,7 @@
 func TestReportsAreSentOneAtATimeAndRetriedAfterAnError(t *testing.T) {
 	sm := up(t)
 	assert.NotZero(t, sm.reports.link)
-	sm.reports.finished(sm.reports.link, errField)
+	sm.reports.finished(sm.reports.link, errInvalidField)
 	assert.Equal(t, sm.now+reportRetryBackoff, sm.reports.nextAt)
 	sm.reports.finished(sm.reports.link, nil)
 	assert.Equal(t, sm.now+reportInterval, sm.reports.nextAt)
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -16,17 +16,17 @@
 
 // resultState has the result cache of tokened invocations; without a cache tokens mean nothing.
 type resultState struct {
-	cache      *resultcache.Cache
-	tokenField string // name of the field that carries it
-	pending    map[resultcache.Key]*pendingRun
-	recovering bool // the store of an earlier incarnation is not read yet
-	inputs     []resultcache.Input
-	stepping   bool
-	recovered  int // records that the store held at the start
+	cache            *resultcache.Cache
+	tokenField       string // name of the field that carries it
+	pending          map[resultcache.Key]*pendingToken
+	recovering       bool // the store of an earlier incarnation is not read yet
+	inputs           []resultcache.Input
+	stepping         bool
+	recoveredRecords int // records that the store held at the start
 }
 
-// pendingRun is a token whose first invocation the admission controller has not run yet; duplicates wait for it.
-type pendingRun struct {
+// pendingToken is a token whose first invocation the admission controller has not run yet; duplicates wait for it.
+type pendingToken struct {
 	original   int32
 	bodyHash   uint64
 	duplicates []int32
@@ -37,11 +37,11 @@
 func (sm *StateMachine) EnableResultCache(config resultcache.Config, field string, recovering bool) {
 	sm.config.Node.MaxDeduplicationEntries = config.MaxTokens()
 	sm.versions.pinIndices(recovering)
-	sm.results = resultState{cache: resultcache.New(config), tokenField: field, pending: make(map[resultcache.Key]*pendingRun), recovering: recovering}
+	sm.results = resultState{cache: resultcache.New(config), tokenField: field, pending: make(map[resultcache.Key]*pendingToken), recovering: recovering}
 }
 
-// Results counts what the result cache did, nil without one.
-func (sm *StateMachine) Results() *resultcache.Counters {
+// ResultCacheCounters counts what the result cache did, nil without one.
+func (sm *StateMachine) ResultCacheCounters() *resultcache.Counters {
 	if sm.results.cache == nil {
 		return nil
 	}
@@ -73,11 +73,11 @@
 
 // addPending has duplicates of a token wait for its first invocation.
 func (rs *resultState) addPending(key resultcache.Key, original int32, bodyHash uint64) {
-	rs.pending[key] = &pendingRun{original: original, bodyHash: bodyHash}
+	rs.pending[key] = &pendingToken{original: original, bodyHash: bodyHash}
 }
 
 // waiters are the invocations that wait for a token's run, and whether that has not started.
-func (rs *resultState) waiters(key resultcache.Key) (list []int32, unrun bool) {
+func (rs *resultState) waiters(key resultcache.Key) (list []int32, notStarted bool) {
 	return rs.cache.Waiters(key)
 }
 
@@ -115,10 +115,10 @@
 	return nil
 }
 
-// deferInvocation records a token's first invocation, which the admission controller may queue, run or reject.
-func (sm *StateMachine) deferInvocation(i, repeats int32) {
+// addOriginal records a token's first invocation, which the admission controller may queue, run or reject.
+func (sm *StateMachine) addOriginal(i, original int32) {
 	v := &sm.invocations[i]
-	if v.tokenKey.Token == "" || repeats != admission.NoOriginal {
+	if v.tokenKey.Token == "" || original != admission.NoOriginal {
 		return
 	}
 	sm.results.addPending(v.tokenKey, i, v.bodyHash)
@@ -139,7 +139,7 @@
 		sm.resubmitInvocation(i)
 		return
 	}
-	sm.queryCache(i)
+	sm.submitToCache(i)
 }
 
 // startTokenRun hands a token's first invocation to the cache for its run, and the duplicates that waited for it.
@@ -149,18 +149,18 @@
 	if sm.Invariants.Check(p != nil && p.original == i, "a token's first invocation runs") {
 		delete(sm.results.pending, v.tokenKey)
 	} else {
-		p = &pendingRun{}
+		p = &pendingToken{}
 	}
-	sm.queryCache(i)
+	sm.submitToCache(i)
 	for _, j := range p.duplicates {
-		sm.queryCache(j)
+		sm.submitToCache(j)
 	}
 }
 
 // resubmitInvocation submits a repeat anew, as its token's first: what it repeated was rejected unrun, or its caller left.
 func (sm *StateMachine) resubmitInvocation(i int32) {
 	v := sm.invocations[i]
-	c := sm.connections.get(v.connection)
+	c := sm.connections.get(v.connectionLink)
 	if c == nil { // its connection ends in this step, and it with it
 		return
 	}
@@ -170,7 +170,7 @@
 	sm.invocations[i].answered = true
 	sm.owedAnswers--
 	sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
-	e := v.arrival
+	e := v.arrivalEvent
 	v.inCache = false
 	v.tokenExpiresAt = 0
 	j := sm.addInvocation(v)
@@ -178,39 +178,39 @@
 	e.Invocation = j
 	e.Age = sm.now - v.arrivedAt + e.Age
 	e.Original = admission.NoOriginal
-	if v.terms != sm.currentTerms(v.operation) {
+	if v.terms != sm.currentTerms(v.operationIndex) {
 		e.Deadline = v.deadline // its client timeout is that of its terms
 	}
 	if p := sm.results.pending[v.tokenKey]; p != nil {
 		e.Original = p.original
 	}
-	sm.invocations[j].arrival = e
+	sm.invocations[j].arrivalEvent = e
 	sm.invocations[j].arrivedAt = sm.now
-	sm.deferInvocation(j, e.Original)
+	sm.addOriginal(j, e.Original)
 	sm.notifyController(e)
 }
 
-// abandonToken removes an invocation that is answered, or whose caller left, from those that wait for its token. It says whether
+// removeTokenWaiter removes an invocation that is answered, or whose caller left, from those that wait for its token. It says whether
 // its run must go on all the same, as others wait for it.
-func (sm *StateMachine) abandonToken(i int32) (keepRunning bool) {
+func (sm *StateMachine) removeTokenWaiter(i int32) (keepRunning bool) {
 	v := &sm.invocations[i]
 	if v.tokenKey.Token == "" {
 		return false
 	}
 	if !v.inCache {
 		if p := sm.results.pending[v.tokenKey]; p != nil {
-			sm.abandonPending(p, i)
+			sm.removePendingWaiter(p, i)
 		}
 		return false
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected, Invocation: i, Key: v.tokenKey})
 	v = &sm.invocations[i] // the step may have moved the invocations
-	v.abandoned = v.atExecutor && !v.exited && sm.results.cache.JoinedCount(v.tokenKey) > 0
+	v.abandoned = v.atExecutor && !v.runEndUnreported && sm.results.cache.JoinedCount(v.tokenKey) > 0
 	return v.abandoned
 }
 
-// abandonPending removes an invocation whose token was not run yet; where it was the first, its duplicates are submitted anew.
-func (sm *StateMachine) abandonPending(p *pendingRun, i int32) {
+// removePendingWaiter removes an invocation whose token was not run yet; where it was the first, its duplicates are submitted anew.
+func (sm *StateMachine) removePendingWaiter(p *pendingToken, i int32) {
 	if p.original != i {
 		p.duplicates = slices.DeleteFunc(p.duplicates, func(j int32) bool { return j == i })
 		return
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -10,8 +10,8 @@
 	"topazpost/internal/resultcache"
 )
 
-// queryCache hands an invocation to the cache, which decides whether it runs, joins or is answered.
-func (sm *StateMachine) queryCache(i int32) {
+// submitToCache hands an invocation to the cache, which decides whether it runs, joins or is answered.
+func (sm *StateMachine) submitToCache(i int32) {
 	v := &sm.invocations[i]
 	v.inCache = true
 	until := v.tokenExpiresAt
@@ -24,8 +24,8 @@
 // tokenRunEnded reports to the cache how a run ended. The answer follows once that is written.
 func (sm *StateMachine) tokenRunEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &sm.invocations[i]
-	v.exited = true
-	v.outcome = outcome
+	v.runEndUnreported = true
+	v.runOutcome = outcome
 	v.atExecutor = false
 	ending := resultcache.Failed
 	switch outcome {
@@ -36,16 +36,16 @@
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.RunEnded, Key: v.tokenKey, Outcome: ending, Result: body})
 	if sm.invocations[i].answered { // by the step, which may have moved the invocations
-		sm.runFinished(i)
+		sm.reportRunEnd(i)
 	}
 }
 
-// runFinished reports to the admission controller a run that is over and whose answer waited for the disk.
-func (sm *StateMachine) runFinished(i int32) {
+// reportRunEnd reports to the admission controller a run that is over and whose answer waited for the disk.
+func (sm *StateMachine) reportRunEnd(i int32) {
 	v := &sm.invocations[i]
-	if v.exited {
-		v.exited = false
-		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.outcome})
+	if v.runEndUnreported {
+		v.runEndUnreported = false
+		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: v.runOutcome})
 	}
 }
 
@@ -58,7 +58,7 @@
 	switch in.Kind {
 	case RecordsRecovered:
 		for _, r := range in.Records {
-			rs.recovered++
+			rs.recoveredRecords++
 			rs.inputs = append(rs.inputs, resultcache.Input{Kind: resultcache.RecordRecovered, Key: r.Key, BodyHash: r.BodyHash, Completed: r.Completed,
 				Outcome: r.Outcome, Result: r.Result})
 		}
@@ -67,16 +67,16 @@
 		rs.recovering = false
 		sm.stepCache(resultcache.Input{Kind: resultcache.RecoveryCompleted})
 		counters := &rs.cache.Counters
-		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", rs.recovered, counters.Entries, counters.Unknown), "", nil)
+		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", rs.recoveredRecords, counters.Entries, counters.Unknown), "", nil)
 	case RecordWritten:
-		sm.recordsWritten(in, resultcache.WriteSucceeded)
+		sm.writesFinished(in, resultcache.WriteSucceeded)
 	case RecordWriteFailed:
-		sm.recordsWritten(in, resultcache.WriteFailed)
+		sm.writesFinished(in, resultcache.WriteFailed)
 	}
 }
 
-// recordsWritten applies the end of writes, and logs where the store begins or ceases to fail.
-func (sm *StateMachine) recordsWritten(in *Input, kind resultcache.InputKind) {
+// writesFinished applies the end of writes, and logs where the store begins or ceases to fail.
+func (sm *StateMachine) writesFinished(in *Input, kind resultcache.InputKind) {
 	rs := &sm.results
 	before := rs.cache.StoreFailing()
 	for _, r := range in.Records {
@@ -118,9 +118,9 @@
 			sm.startRun(a.Invocation, v.runForm)
 		}
 	case resultcache.WriteStart:
-		sm.writeStart(a)
+		sm.recordRunStart(a)
 	case resultcache.WriteEnd:
-		sm.writeEnd(a)
+		sm.recordRunEnd(a)
 	case resultcache.RemoveRecord:
 		if sm.claiming.enabled() {
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: sm.claimKey(a.Key)})
@@ -131,8 +131,8 @@
 	}
 }
 
-// writeStart records that a run starts: at the consensus group, else in the store.
-func (sm *StateMachine) writeStart(a *resultcache.Action) {
+// recordRunStart records that a run starts: at the consensus group, else in the store.
+func (sm *StateMachine) recordRunStart(a *resultcache.Action) {
 	remaining := a.Until - sm.now
 	if sm.claiming.enabled() {
 		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Window: remaining})
@@ -141,8 +141,8 @@
 	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: remaining}})
 }
 
-// writeEnd records how a run ended.
-func (sm *StateMachine) writeEnd(a *resultcache.Action) {
+// recordRunEnd records how a run ended.
+func (sm *StateMachine) recordRunEnd(a *resultcache.Action) {
 	if sm.claiming.enabled() {
 		sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
 		return
@@ -158,7 +158,7 @@
 	if !sm.Invariants.Check(v.live && !v.answered, "the result cache answers only invocations that wait") {
 		return
 	}
-	ownRun := v.exited // a run of its own is over with its answer
+	ownRun := v.runEndUnreported // a run of its own is over with its answer
 	var fields []frame.Field
 	if a.FromCache {
 		fields = append(fields, frame.Field{Name: "kept", Value: "1"})
@@ -199,8 +199,8 @@
 	}
 }
 
-// expireResults has tokens expire that are due.
-func (sm *StateMachine) expireResults() {
+// expireTokens has tokens expire that are due.
+func (sm *StateMachine) expireTokens() {
 	rs := &sm.results
 	if rs.cache != nil && sm.now >= rs.cache.NextExpiry() {
 		sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected})
--- a/internal/node/results_answers_test.go
+++ b/internal/node/results_answers_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/resultcache"
 )
 
-func recordsWritten(r *StateMachine, effects []Effect) []Effect {
+func completeWrites(r *StateMachine, effects []Effect) []Effect {
 	in := Input{Kind: RecordWritten}
 	for _, e := range kindsOf(effects, WriteRecord) {
 		in.Records = append(in.Records, *e.Record)
@@ -20,24 +20,24 @@
 func TestStartIsWrittenBeforeTheRunAndTheResultBeforeTheAnswer(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
 	intent := step(r, tokenInvocation(1, "a"))
-	assert.Zero(t, runsOf(intent))
+	assert.Zero(t, countRuns(intent))
 	require.Len(t, kindsOf(intent, WriteRecord), 1)
-	assert.Equal(t, 1, runsOf(recordsWritten(r, intent)))
+	assert.Equal(t, 1, countRuns(completeWrites(r, intent)))
 	ended := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.Empty(t, answers(t, ended))
 	require.Len(t, kindsOf(ended, WriteRecord), 1)
 	assert.True(t, kindsOf(ended, WriteRecord)[0].Record.Completed)
-	assert.Equal(t, []string{"20 on 1"}, answers(t, recordsWritten(r, ended)))
+	assert.Equal(t, []string{"20 on 1"}, answers(t, completeWrites(r, ended)))
 	step(r)
-	assert.Empty(t, r.indexByCall)
+	assert.Empty(t, r.indexByID)
 }
 
 func TestStoreFailureRejectsWithoutARun(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
-	in := Input{Kind: RecordWriteFailed, Err: errField, Records: []resultcache.Record{*kindsOf(step(r, tokenInvocation(1, "a")), WriteRecord)[0].Record}}
+	in := Input{Kind: RecordWriteFailed, Err: errInvalidField, Records: []resultcache.Record{*kindsOf(step(r, tokenInvocation(1, "a")), WriteRecord)[0].Record}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
-	assert.Empty(t, r.indexByCall)
+	assert.Empty(t, r.indexByID)
 }
 
 func TestRunThatNeverStartedIsThrottledAndTheNextRuns(t *testing.T) {
@@ -63,7 +63,7 @@
 	sent = step(r, tokenInvocation(3, "b"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "kept")
-	assert.Zero(t, runsOf(sent))
+	assert.Zero(t, countRuns(sent))
 	step(r)
 	assert.Zero(t, r.owedAnswers)
 }
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -14,14 +14,14 @@
 	"topazpost/internal/resultcache"
 )
 
-const tokened = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000}],
+const tokenSettings = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000}],
 	"family_info":{"n_cores":2,"memory_kb":9000,"blowup":4,"entry_kb":1,"class_calls":[true],"below":"common","calls_out":9,
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
 // cachingNode is a node that caches results, in memory or with a store that the test plays.
 func cachingNode(t *testing.T, durability resultcache.Durability) *StateMachine {
-	p, err := nodeconfig.FromJSON(1, []byte(tokened))
+	p, err := nodeconfig.FromJSON(1, []byte(tokenSettings))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
@@ -41,27 +41,27 @@
 	return invoke(uint32(stream), "op", "hold", "call", id(stream), "dedupe", token)
 }
 
-// runsOf counts the runs that effects start.
-func runsOf(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
+// countRuns counts the runs that effects start.
+func countRuns(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
 
 func TestDuplicateJoinsTheRunOrGetsTheCachedResult(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
-	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(1, "a"))))
-	assert.Zero(t, runsOf(step(r, tokenInvocation(2, "a"))))
+	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(1, "a"))))
+	assert.Zero(t, countRuns(step(r, tokenInvocation(2, "a"))))
 	sent := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 2"}, answers(t, sent))
 	sent = step(r, tokenInvocation(3, "a"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "kept")
-	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(4, "b"))), "another token runs")
+	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(4, "b"))), "another token runs")
 	step(r)
 	assert.Equal(t, 1, r.owedAnswers)
-	assert.Len(t, r.indexByCall, 1)
+	assert.Len(t, r.indexByID, 1)
 }
 
 func TestDuplicatesOfOneStepShareOneRun(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
-	assert.Equal(t, 1, runsOf(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"), tokenInvocation(3, "a"))))
+	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"), tokenInvocation(3, "a"))))
 	assert.Len(t, answers(t, told(r, "EXIT 1 "+id(1)+" good 12 6|result")), 3)
 }
 
@@ -86,14 +86,14 @@
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
 	step(r)
 	assert.Zero(t, r.owedAnswers)
-	assert.Empty(t, r.indexByCall)
+	assert.Empty(t, r.indexByID)
 }
 
 func TestDuplicateRunsAfterTheFirstCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
 	intent := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}})
-	assert.Contains(t, text(recordsWritten(r, intent), SendToExecutor), "EXEC "+id(2))
+	assert.Contains(t, text(completeWrites(r, intent), SendToExecutor), "EXEC "+id(2))
 }
 
 func TestDuplicatesOfARejectedInvocationAreSubmittedAnew(t *testing.T) {
@@ -115,26 +115,26 @@
 	assert.Equal(t, open, r.owedAnswers)
 	h := r.results.pending[v.tokenKey]
 	require.NotNil(t, h)
-	assert.Equal(t, id(100), r.invocations[h.original].call, "the duplicate is its token's original now")
+	assert.Equal(t, id(100), r.invocations[h.original].invocationID, "the duplicate is its token's original now")
 }
 
 func TestTokensAreIgnoredWithoutAResultCache(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	r.results = resultState{}
-	assert.Equal(t, 2, runsOf(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))))
-	assert.Nil(t, r.Results())
+	assert.Equal(t, 2, countRuns(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))))
+	assert.Nil(t, r.ResultCacheCounters())
 }
 
 // A duplicate that came within the window and was read past its end gets the result: it must not run again.
 func TestDuplicateReadPastItsWindowDoesNotRun(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	first := tokenInvocation(1, "a")
-	assert.Equal(t, 1, runsOf(step(r, first)))
+	assert.Equal(t, 1, countRuns(step(r, first)))
 	came := r.now
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	r.now, r.executor.lastLineAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
 	stamp := fmt.Sprint((came+19_900*ms)/ms + 1_000_000)
 	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
-	assert.Zero(t, runsOf(got))
+	assert.Zero(t, countRuns(got))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, got))
 }
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -34,7 +34,7 @@
 // refused without harm to the connection. Once nothing refers to it the index is free for another.
 func TestRetiredOperationKeepsInFlightWorkAndCachedTokens(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
-	assert.Equal(t, 1, runsOf(step(r, tokenArrival(r, 1, "a"))))
+	assert.Equal(t, 1, countRuns(step(r, tokenArrival(r, 1, "a"))))
 	require.NoError(t, applyVersion(t, r, operation("other", ""), removal(nodeconfig.Operations, "hold")))
 	for stream := range maxFaults + 2 {
 		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(r, tokenArrival(r, stream+2, "b"))))
@@ -54,7 +54,7 @@
 	require.NoError(t, applyVersion(t, r, operation("last", "")))
 	i, _ = r.config.Operations.Find("last")
 	assert.Zero(t, i, "it is free")
-	assert.Equal(t, 1, runsOf(step(r, arrival(r, 99, "op", "last"))))
+	assert.Equal(t, 1, countRuns(step(r, arrival(r, 99, "op", "last"))))
 	assert.Empty(t, r.Invariants.All())
 }
 
@@ -66,7 +66,7 @@
 	back := nodeconfig.Item{Part: nodeconfig.Operations, Name: "hold", Value: []byte(`{"aim":1000,"effect":"deduplicated","give_up":3000,"window":20000}`)}
 	require.NoError(t, applyVersion(t, r, back))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, step(r, tokenArrival(r, 2, "a"))))
-	assert.Equal(t, 1, runsOf(step(r, tokenArrival(r, 3, "b"))))
+	assert.Equal(t, 1, countRuns(step(r, tokenArrival(r, 3, "b"))))
 	endRun(r, 3)
 	passTime(r, 200_000*ms)
 	i, known := r.config.Operations.Find("hold")
@@ -76,17 +76,17 @@
 // A shorter window is that of later tokens: those accepted before are known for as long as was promised.
 func TestShorterWindowAppliesToNewTokens(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
-	recordsWritten(r, step(r, tokenArrival(r, 1, "a")))
+	completeWrites(r, step(r, tokenArrival(r, 1, "a")))
 	short := nodeconfig.Item{Part: nodeconfig.Operations, Name: "hold", Value: []byte(`{"aim":1000,"effect":"deduplicated","give_up":3000,"window":1000}`)}
 	require.NoError(t, applyVersion(t, r, short))
-	recordsWritten(r, step(r, tokenArrival(r, 2, "b")))
+	completeWrites(r, step(r, tokenArrival(r, 2, "b")))
 	kept := map[string]int64{}
 	for k, token := range []string{"a", "b"} {
 		effects := endRun(r, k+1)
 		for _, e := range kindsOf(effects, WriteRecord) {
 			kept[e.Record.Key.Token] = e.Record.Remaining
 		}
-		recordsWritten(r, effects)
+		completeWrites(r, effects)
 		_ = token
 	}
 	assert.Equal(t, 23_001*ms, kept["a"])
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -27,7 +27,7 @@
 }
 
 func workOf(v *invocation) takeoverWork {
-	return takeoverWork{Call: v.call, Body: v.body, QueuedKB: v.arrival.QueuedKB, ExpectedWork: v.arrival.ExpectedWork, Caller: v.arrival.Caller}
+	return takeoverWork{Call: v.invocationID, Body: v.body, QueuedKB: v.arrivalEvent.QueuedKB, ExpectedWork: v.arrivalEvent.ExpectedWork, Caller: v.arrivalEvent.Caller}
 }
 
 // valid says whether its fields are within the bounds of an invocation.
@@ -45,20 +45,20 @@
 	if err := cbor.Unmarshal(a.Work, &work); err != nil {
 		return fmt.Errorf("node: the work for a takeover can't be decoded: %w", err)
 	}
-	if _, used := sm.indexByCall[work.Call]; used || !work.valid() {
+	if _, used := sm.indexByID[work.Call]; used || !work.valid() {
 		return fmt.Errorf("node: call %q is in use, or not valid", work.Call)
 	}
 	if sm.results.isKnown(key) {
 		return nil // a caller is here already, and its invocation goes on under this claim
 	}
-	v := invocation{live: true, connection: noConnection, call: work.Call, op: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
-		bodyHash: a.BodyHash, operation: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
-	v.arrival = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
+	v := invocation{live: true, connectionLink: noConnection, invocationID: work.Call, operationName: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
+		bodyHash: a.BodyHash, operationIndex: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
+	v.arrivalEvent = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
 		Deadline: sm.now + a.Duration, QueuedKB: work.QueuedKB, ExpectedWork: work.ExpectedWork, Caller: work.Caller}
 	i := sm.addInvocation(v)
-	sm.invocations[i].arrival.Invocation = i
+	sm.invocations[i].arrivalEvent.Invocation = i
 	sm.results.addPending(key, i, v.bodyHash)
-	sm.notifyController(sm.invocations[i].arrival)
+	sm.notifyController(sm.invocations[i].arrivalEvent)
 	sm.Counters.Inherited++
 	return nil
 }
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -35,7 +35,7 @@
 	assert.Empty(t, localEffects(effects), "nobody is answered")
 	step(r2)
 	assert.Zero(t, r2.owedAnswers)
-	assert.Empty(t, r2.indexByCall, "and it is released")
+	assert.Empty(t, r2.indexByID, "and it is released")
 }
 
 func TestDrainingNodeReleasesReassignedClaim(t *testing.T) {
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -67,7 +67,7 @@
 		Value: []byte("70")}))
 	assert.Equal(t, uint64(1), r.ActiveVersion())
 	assert.Equal(t, 70*ms, r.config.Node.MaxRetryAfter)
-	assert.Equal(t, 1, runsOf(step(r, arrival(r, 2, "op", "new", "org", "x"))))
+	assert.Equal(t, 1, countRuns(step(r, arrival(r, 2, "op", "new", "org", "x"))))
 	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, arrival(r, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, endRun(r, 2)))
 	got := kindsOf(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
--- a/server/loop.go
+++ b/server/loop.go
@@ -140,7 +140,7 @@
 // logAndFlush logs the counters of a drained node and writes out what is still queued.
 func (s *Server) logAndFlush() {
 	s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.ServiceCountsByLevel()).
-		Interface("results", s.state.Results()).Interface("peers", s.fleetCounters()).
+		Interface("results", s.state.ResultCacheCounters()).Interface("peers", s.fleetCounters()).
 		Interface("claims", s.state.Claims()).Interface("configuration", s.state.ConfigSyncStatus()).
 		Interface("did_not_hold", s.state.Invariants.All()).Msg("drained, leaving")
 	s.conns.flushAll()
