--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -109,7 +109,7 @@
 
 // closeLink closes a link, which abandons the call on it.
 func (c *catalogueState) closeLink(k int) {
-	c.sm.countAbandonedCall(&c.links[k])
+	c.sm.reserveAbandonedUnit(&c.links[k])
 	c.sm.emit(Effect{Kind: CloseCatalogue, Link: c.links[k].id})
 	c.links = slices.Delete(c.links, k, k+1)
 }
@@ -199,7 +199,7 @@
 func (c *catalogueState) disconnected(k int, outcome admission.Outcome, err error) {
 	i := c.links[k].invocation
 	c.sm.log(Debug, "catalogue link ended", "", err)
-	c.sm.countAbandonedCall(&c.links[k])
+	c.sm.reserveAbandonedUnit(&c.links[k])
 	c.links = slices.Delete(c.links, k, k+1)
 	if i != noInvocation {
 		c.callEnded(i, outcome)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -23,16 +23,16 @@
 	self         claims.Owner
 	client       *claims.Client
 	clientInputs []claims.Input
-	clientAt     int64 // when the client is to step
+	clientStepAt int64 // when the client is to step
 	sweepAt      int64
 
 	replica         *consensus.Group
 	replicas        []string // names of the nodes with a replica
 	replicaInputs   []consensus.Input
-	replicaAt       int64 // when the replica is to step
-	viewAt          int64
+	replicaStepAt   int64 // when the replica is to step
+	nextViewAt      int64
 	streams         map[string]int // that nodes last sent on
-	contact         int            // replica that commands go to
+	targetReplica   int            // replica that commands go to
 	unansweredSince int64          // when it was first sent a command since its last answer, 0 where it owes none
 }
 
@@ -87,16 +87,16 @@
 	return resultcache.Key{Operation: operation, Tenant: tenant, Token: k.Token}, known && named == (k.Tenant != "")
 }
 
-// isUnclaimed says whether a token's first invocation must be rejected, since nothing new can be claimed now.
-func (sm *StateMachine) isUnclaimed(v *invocation) bool {
+// mustRejectToken says whether a token's first invocation must be rejected, since nothing new can be claimed now.
+func (sm *StateMachine) mustRejectToken(v *invocation) bool {
 	if !sm.claiming.enabled() || v.tokenKey.Token == "" || sm.claiming.canClaim() {
 		return false
 	}
 	return !sm.results.isKnown(v.tokenKey)
 }
 
-// rejectUnread throttles a token's first invocation while the consensus group is out of reach.
-func (sm *StateMachine) rejectUnread(link int, stream uint32) {
+// throttleOnArrival throttles a token's first invocation while the consensus group is out of reach.
+func (sm *StateMachine) throttleOnArrival(link int, stream uint32) {
 	var fields []frame.Field
 	if retryAfter := min(replicaTimeout, sm.config.Node.MaxRetryAfter); retryAfter > 0 {
 		fields = append(fields, frame.Field{Name: "pushback", Value: fmt.Sprint((retryAfter + ms - 1) / ms)})
@@ -133,11 +133,11 @@
 		return
 	}
 	if cs.client != nil && sm.now >= cs.sweepAt {
-		sm.expireWaiting()
+		sm.sweepClaims()
 	}
 	for range maxRoundsPerStep {
-		stepReplica := cs.replica != nil && (len(cs.replicaInputs) > 0 || sm.now >= cs.replicaAt)
-		stepClient := cs.client != nil && (len(cs.clientInputs) > 0 || sm.now >= cs.clientAt)
+		stepReplica := cs.replica != nil && (len(cs.replicaInputs) > 0 || sm.now >= cs.replicaStepAt)
+		stepClient := cs.client != nil && (len(cs.clientInputs) > 0 || sm.now >= cs.clientStepAt)
 		if !stepReplica && !stepClient {
 			return
 		}
@@ -155,7 +155,7 @@
 	inputs := cs.clientInputs
 	cs.clientInputs = nil
 	var actions []claims.Action
-	actions, cs.clientAt = cs.client.Step(sm.now, inputs)
+	actions, cs.clientStepAt = cs.client.Step(sm.now, inputs)
 	for k := range actions {
 		sm.executeClaimAction(&actions[k])
 	}
@@ -195,21 +195,21 @@
 	}
 }
 
-// expireWaiting abandons claims that nothing here waits for, and answers invocations whose client timeout comes near.
-func (sm *StateMachine) expireWaiting() {
+// sweepClaims abandons claims that nothing here waits for, and answers invocations whose client timeout comes near.
+func (sm *StateMachine) sweepClaims() {
 	cs := &sm.claiming
 	cs.sweepAt = sm.now + claimSweepInterval
 	if sm.hollow.enabled() {
-		sm.expireHollowTokens()
+		sm.sweepHollowTokens()
 		return
 	}
 	for _, k := range cs.client.NotStarted() {
-		sm.expireClaim(k)
+		sm.sweepClaim(k)
 	}
 }
 
-// expireClaim does so for one claim whose run has not started.
-func (sm *StateMachine) expireClaim(k claims.Key) {
+// sweepClaim does so for one claim whose run has not started.
+func (sm *StateMachine) sweepClaim(k claims.Key) {
 	key, _ := sm.resultKey(k)
 	if sm.results.isPending(key) {
 		return // the admission controller decides on it
@@ -234,10 +234,10 @@
 	cs := &sm.claiming
 	at := int64(never)
 	if cs.replica != nil {
-		at = min(at, cs.replicaAt)
+		at = min(at, cs.replicaStepAt)
 	}
 	if cs.client != nil {
-		at = min(at, cs.clientAt)
+		at = min(at, cs.clientStepAt)
 		if cs.client.Size() > 0 {
 			at = min(at, cs.sweepAt)
 		}
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -62,7 +62,7 @@
 	return &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{v}}
 }
 
-func localEffects(effects []Effect) (list []EffectKind) {
+func localEffectKinds(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
 		if e.Kind != SendDatagram && e.Kind != SendOnStream {
 			list = append(list, e.Kind)
@@ -71,29 +71,29 @@
 	return list
 }
 
-// claimsOfInvocation are the commands that follow the arrival of a tokened invocation.
-func claimsOfInvocation(t *testing.T, r *StateMachine) []claims.Command {
+// commandsForInvocation are the commands that follow the arrival of a tokened invocation.
+func commandsForInvocation(t *testing.T, r *StateMachine) []claims.Command {
 	return claimCommands(t, r, step(r, tokenInvocation(1, "a1")))
 }
 
 func TestRunStartsOnceItsClaimIsGranted(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r)
+	claim := commandsForInvocation(t, r)
 	require.Len(t, claim, 1)
 	assert.Equal(t, claims.CommandClaim, claim[0].Kind)
 	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerGranted)))
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
 	effects := receiveFromReplica(t, r, verdictOn(start[0], claims.AnswerGranted))
-	require.Equal(t, []EffectKind{SendToExecutor}, localEffects(effects))
+	require.Equal(t, []EffectKind{SendToExecutor}, localEffectKinds(effects))
 	assert.Contains(t, string(effects[0].Bytes), "EXEC "+id(1))
 	effects = told(r, "EXIT 1 "+id(1)+" good 12 2|ok")
 	end := claimCommands(t, r, effects)
 	require.Len(t, end, 1)
 	assert.Equal(t, claims.CommandEnd, end[0].Kind)
 	assert.Equal(t, "ok", string(end[0].Result))
-	assert.Empty(t, localEffects(effects), "the answer waits for the end to be committed")
-	assert.Equal(t, []EffectKind{SendToConnection}, localEffects(receiveFromReplica(t, r, verdictOn(end[0], claims.AnswerDone))))
+	assert.Empty(t, localEffectKinds(effects), "the answer waits for the end to be committed")
+	assert.Equal(t, []EffectKind{SendToConnection}, localEffectKinds(receiveFromReplica(t, r, verdictOn(end[0], claims.AnswerDone))))
 	step(r)
 	assert.Zero(t, r.claiming.client.Size())
 	assert.Equal(t, 1, r.Counters.Succeeded)
@@ -101,9 +101,9 @@
 
 func TestTokenCompletedElsewhereIsAnsweredWithoutARun(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r)
+	claim := commandsForInvocation(t, r)
 	effects := receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerCompleted, func(v *claims.Verdict) { v.Result = []byte("kept") }))
-	require.Equal(t, []EffectKind{SendToConnection}, localEffects(effects))
+	require.Equal(t, []EffectKind{SendToConnection}, localEffectKinds(effects))
 	for _, e := range effects {
 		if e.Kind == SendToConnection {
 			assert.Contains(t, string(e.Bytes), "kept")
@@ -113,21 +113,21 @@
 
 func TestUnknownOutcomeElsewhereIsAnsweredAsUnknown(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r)
+	claim := commandsForInvocation(t, r)
 	effects := receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerOutcomeUnknown))
-	require.Equal(t, []EffectKind{SendToConnection}, localEffects(effects))
+	require.Equal(t, []EffectKind{SendToConnection}, localEffectKinds(effects))
 	assert.Equal(t, 1, r.Counters.Errored)
 	assert.True(t, strings.Contains(string(effects[0].Bytes), "unknown"))
 }
 
 func TestTokenOwnedElsewhereIsAnsweredBeforeItsClientTimeout(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r)
+	claim := commandsForInvocation(t, r)
 	receiveFromReplica(t, r, verdictOn(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answered := int64(0)
 	for from := r.now; r.now < from+3_000*ms && answered == 0; {
 		effects := append(step(r), receiveFromReplica(t, r, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})...)
-		if len(kindsOf(effects, SendToConnection)) > 0 {
+		if len(effectsOfKind(effects, SendToConnection)) > 0 {
 			answered = r.now - from
 		}
 	}
@@ -138,7 +138,7 @@
 
 func TestClaimIsReleasedWhenTheCallerLeavesBeforeTheRun(t *testing.T) {
 	r := claimingNode(t)
-	claim := claimsOfInvocation(t, r)
+	claim := commandsForInvocation(t, r)
 	step(r, Input{Kind: ConnectionClosed, Link: 7})
 	for range 40 {
 		step(r)
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -61,7 +61,7 @@
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.DatagramReceived, From: received.From, Message: m})
 	default:
-		sm.countUnusable(in, fmt.Errorf("%w: a configuration message that does not belong there", envelope.ErrSpoilt))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: a configuration message that does not belong there", envelope.ErrSpoilt))
 	}
 }
 
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -20,12 +20,12 @@
 	assert.Equal(t, membership.Message{}, older, "a build without the component finds a message of no kind, which it rejects")
 	r := fleetNode(t)
 	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 4, Bytes: text}})
-	require.Len(t, kindsOf(effects, ReplyToExchange), 1, "without a replicator the exchange is closed")
-	assert.Empty(t, kindsOf(effects, ReplyToExchange)[0].Bytes)
+	require.Len(t, effectsOfKind(effects, ReplyToExchange), 1, "without a replicator the exchange is closed")
+	assert.Empty(t, effectsOfKind(effects, ReplyToExchange)[0].Bytes)
 	assert.Zero(t, r.fleet.counters.Malformed)
-	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{other(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
+	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{peerRecord(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
 		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
 	var body peerMessage
-	require.NoError(t, envelope.Open(sealed(t, "mobilier", msg), fleet, &body))
+	require.NoError(t, envelope.Open(sealedMessage(t, "mobilier", msg), fleet, &body))
 	assert.Equal(t, peerMessage{Message: msg}, body)
 }
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -84,7 +84,7 @@
 	before := r.config.Clone()
 	v, effects := put(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
 	require.True(t, v.Done, "by itself it is valid: %s", v.Refused)
-	assert.Empty(t, kindsOf(effects, ReportVersionInForce))
+	assert.Empty(t, effectsOfKind(effects, ReportVersionInForce))
 	assert.Equal(t, before, r.config.Clone())
 	s := r.ConfigSyncStatus()
 	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.RefusedVersion})
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -30,7 +30,7 @@
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
 	r := NewStateMachine(p, to, 5_000*ms, 4, 3)
-	r.JoinFleet("mobilier", membership.New(config, 0, 1, 0, 1))
+	r.JoinFleet("mobilier", membership.New(membershipConfig, 0, 1, 0, 1))
 	r.EnableConsensus([]string{"n1"}, 1<<20, 0, 1)
 	file := contentOf(t, p)
 	err = r.EnableConfigSync(0, 1, start(file), file)
@@ -75,7 +75,7 @@
 func TestVersionComesIntoForceWithWorkInFlight(t *testing.T) {
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
 	require.NoError(t, err)
-	first := kindsOf(servingNode(r), ReportVersionInForce)
+	first := effectsOfKind(servingNode(r), ReportVersionInForce)
 	require.Len(t, first, 1, "the initial version is reported")
 	assert.Equal(t, "file", first[0].InForce.Source)
 	v, _ := put(t, r, "a", 0, contentItems(r)...)
@@ -85,11 +85,11 @@
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 1, "op", "hold"))))
 	v, effects := put(t, r, "b", 1, removal(nodeconfig.Operations, "hold"), operation("new", ""))
 	require.True(t, v.Done, v.Refused)
-	in := kindsOf(effects, ReportVersionInForce)
+	in := effectsOfKind(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, VersionInForce{Revision: r.configSync.replicator.Revision(), PreviousVersion: 1, Source: "fleet", Canary: true, Added: 1, Removed: 1,
 		TookNS: in[0].InForce.TookNS}, *in[0].InForce)
-	kept := kindsOf(effects, PersistVersion)
+	kept := effectsOfKind(effects, PersistVersion)
 	require.Len(t, kept, 1)
 	assert.Equal(t, uint64(2), kept[0].Persisting.Revision.Version)
 	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, arrival(r, 2, "op", "hold"))))
@@ -167,7 +167,7 @@
 			require.Less(t, steps, 20, c.name)
 		}
 		assert.Equal(t, c.refused, r.Counters.VersionsRefused, c.name)
-		assert.Len(t, kindsOf(all, ReportVersionInForce), map[bool]int{true: 1}[c.taken], c.name)
+		assert.Len(t, effectsOfKind(all, ReportVersionInForce), map[bool]int{true: 1}[c.taken], c.name)
 		if !c.taken {
 			assert.Equal(t, before, r.config.Clone(), c.name)
 			assert.Zero(t, r.ActiveVersion(), c.name)
@@ -189,7 +189,7 @@
 	}
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removal(nodeconfig.Operations, "hold")))
 	require.NoError(t, err)
-	in := kindsOf(servingNode(r), ReportVersionInForce)
+	in := effectsOfKind(servingNode(r), ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Revision.Version, in[0].InForce.Added, in[0].InForce.Removed})
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 1, "op", "new"))))
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -25,9 +25,9 @@
 	if sm.results.enabled() || sm.hollow.takesClaims() {
 		cs.client = claims.NewClient(cs.self)
 	}
-	cs.contact = slices.Index(cs.replicas, self.Name)
-	if cs.contact < 0 {
-		cs.contact = int(uint64(seed) % uint64(len(cs.replicas)))
+	cs.targetReplica = slices.Index(cs.replicas, self.Name)
+	if cs.targetReplica < 0 {
+		cs.targetReplica = int(uint64(seed) % uint64(len(cs.replicas)))
 		return
 	}
 	cs.replica = consensus.NewGroup(cs.replicas, self.Name, cs.self.Incarnation, now, seed)
@@ -90,8 +90,8 @@
 	cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Persisted: number, Err: err})
 }
 
-// streamClosed forgets a stream.
-func (cs *claimState) streamClosed(link int) {
+// forgetStream forgets a stream.
+func (cs *claimState) forgetStream(link int) {
 	for name, stream := range cs.streams {
 		if stream == link {
 			delete(cs.streams, name)
@@ -99,21 +99,21 @@
 	}
 }
 
-// answeredBy records that commands were answered, and goes on sending them to the leader.
-func (cs *claimState) answeredBy(leader string) {
+// recordAnswer records that commands were answered, and goes on sending them to the leader.
+func (cs *claimState) recordAnswer(leader string) {
 	cs.unansweredSince = 0
 	if at := slices.Index(cs.replicas, leader); at >= 0 && cs.replica == nil {
-		cs.contact = at
+		cs.targetReplica = at
 	}
 }
 
-// rotateContact sends commands to the next replica once the present one owes an answer for too long.
-func (cs *claimState) rotateContact(now int64) {
+// rotateTargetReplica sends commands to the next replica once the present one owes an answer for too long.
+func (cs *claimState) rotateTargetReplica(now int64) {
 	switch {
 	case cs.unansweredSince == 0:
 		cs.unansweredSince = now
 	case now-cs.unansweredSince >= replicaTimeout:
-		cs.contact = (cs.contact + 1) % len(cs.replicas)
+		cs.targetReplica = (cs.targetReplica + 1) % len(cs.replicas)
 		cs.unansweredSince = now
 	}
 }
@@ -122,12 +122,12 @@
 func (sm *StateMachine) applyStreamMessage(in *Input) {
 	cs := &sm.claiming
 	if in.Kind == PeerStreamClosed {
-		cs.streamClosed(in.Link)
+		cs.forgetStream(in.Link)
 		return
 	}
 	m := new(consensus.Message)
 	if err := sm.fleet.open(in.Bytes, m); err != nil {
-		sm.countUnusable(in, err)
+		sm.rejectPeerMessage(in, err)
 		sm.emit(Effect{Kind: CloseStream, Link: in.Link}) // where its messages begin is not known any more
 		return
 	}
@@ -156,9 +156,9 @@
 // applyVerdicts applies what the group decided for this node.
 func (sm *StateMachine) applyVerdicts(m *consensus.Message) {
 	if m.Kind == consensus.MessageVerdicts {
-		sm.claiming.answeredBy(m.Leader)
+		sm.claiming.recordAnswer(m.Leader)
 	}
-	sm.leases.addGrants(m.Grants)
+	sm.leases.addVerdicts(m.Grants)
 	sm.configSync.addVerdicts(m.Decided)
 	for k := range m.Verdicts {
 		sm.addClaimInput(claims.Input{Kind: claims.VerdictReceived, Verdict: m.Verdicts[k]})
@@ -174,14 +174,14 @@
 
 func (sm *StateMachine) stepReplica() {
 	cs := &sm.claiming
-	if sm.now >= cs.viewAt {
-		cs.viewAt = sm.now + groupViewInterval
+	if sm.now >= cs.nextViewAt {
+		cs.nextViewAt = sm.now + groupViewInterval
 		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{View: sm.takeoverMembers()})
 	}
 	inputs := cs.replicaInputs
 	cs.replicaInputs = nil
 	var effects []consensus.Effect
-	effects, cs.replicaAt = cs.replica.Step(sm.now, inputs)
+	effects, cs.replicaStepAt = cs.replica.Step(sm.now, inputs)
 	for k := range effects {
 		e := &effects[k]
 		switch e.Kind {
@@ -214,12 +214,12 @@
 // answered last, and another one where that is silent.
 func (sm *StateMachine) proposeToGroup(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
 	cs := &sm.claiming
-	cs.rotateContact(sm.now)
+	cs.rotateTargetReplica(sm.now)
 	if cs.replica != nil && cs.replica.Leader() != "" {
 		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: cs.self})
 		return
 	}
-	if to := cs.replicas[cs.contact]; to != cs.self.Name {
+	if to := cs.replicas[cs.targetReplica]; to != cs.self.Name {
 		sm.sendGroupMessage(to, &consensus.Message{Kind: consensus.MessagePropose, From: cs.self.Name, Owner: cs.self, Commands: commands, Leases: leases,
 			Proposed: proposed})
 	}
--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -21,7 +21,7 @@
 	late := tokenInvocation(1, "a1")
 	late.Link = 8
 	effects := step(r, late)
-	assert.Contains(t, localEffects(effects), SendToConnection)
+	assert.Contains(t, localEffectKinds(effects), SendToConnection)
 	for _, c := range claimCommands(t, r, effects) {
 		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
@@ -32,7 +32,7 @@
 func TestMalformedStreamIsClosed(t *testing.T) {
 	r := claimingNode(t)
 	effects := step(r, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("no letter at all, of any kind")})
-	assert.Contains(t, localEffects(effects), CloseStream)
+	assert.Contains(t, localEffectKinds(effects), CloseStream)
 	step(r, Input{Kind: PeerStreamClosed, Link: 3})
 	assert.Empty(t, r.claiming.streams)
 }
@@ -46,24 +46,24 @@
 }
 
 func TestContactRotatesAmongReplicasThatAreSilent(t *testing.T) {
-	cs := &claimState{replicas: []string{"a", "b", "c"}, contact: 2}
-	cs.rotateContact(10 * ms)
-	assert.Equal(t, 2, cs.contact, "the first command only starts the wait")
-	cs.rotateContact(10*ms + replicaTimeout - 1)
-	assert.Equal(t, 2, cs.contact)
-	cs.rotateContact(10*ms + replicaTimeout)
-	assert.Equal(t, 0, cs.contact, "it wraps around")
-	cs.rotateContact(10*ms + 2*replicaTimeout - 1)
-	assert.Equal(t, 0, cs.contact, "the next replica has its time too")
+	cs := &claimState{replicas: []string{"a", "b", "c"}, targetReplica: 2}
+	cs.rotateTargetReplica(10 * ms)
+	assert.Equal(t, 2, cs.targetReplica, "the first command only starts the wait")
+	cs.rotateTargetReplica(10*ms + replicaTimeout - 1)
+	assert.Equal(t, 2, cs.targetReplica)
+	cs.rotateTargetReplica(10*ms + replicaTimeout)
+	assert.Equal(t, 0, cs.targetReplica, "it wraps around")
+	cs.rotateTargetReplica(10*ms + 2*replicaTimeout - 1)
+	assert.Equal(t, 0, cs.targetReplica, "the next replica has its time too")
 }
 
 func TestContactFollowsTheLeader(t *testing.T) {
 	cs := &claimState{replicas: []string{"a", "b", "c"}, unansweredSince: 5}
-	cs.answeredBy("c")
-	assert.Equal(t, 2, cs.contact)
+	cs.recordAnswer("c")
+	assert.Equal(t, 2, cs.targetReplica)
 	assert.Zero(t, cs.unansweredSince)
-	cs.answeredBy("unknown")
-	assert.Equal(t, 2, cs.contact)
+	cs.recordAnswer("unknown")
+	assert.Equal(t, 2, cs.targetReplica)
 }
 
 func TestWithoutAConsensusGroupNothingIsClaimed(t *testing.T) {
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -59,8 +59,8 @@
 		return
 	}
 	c.markUsed(sm.now)
-	if sm.isUnclaimed(&v) || sm.controller == nil || sm.awaitingRecovery(&v) {
-		sm.rejectUnread(c.link, f.Stream)
+	if sm.mustRejectToken(&v) || sm.controller == nil || sm.awaitingRecovery(&v) {
+		sm.throttleOnArrival(c.link, f.Stream)
 		return
 	}
 	sm.connections.resume(c)
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -37,8 +37,8 @@
 	CallsInFlight   atomic.Int64 // calls in flight
 }
 
-// started counts the start of a run.
-func (c *HollowCounters) started(took int64) {
+// recordStart counts the start of a run.
+func (c *HollowCounters) recordStart(took int64) {
 	c.RunsStarted.Add(1)
 	c.StartDelaySum.Add(took)
 	if took > c.MaxStartDelay.Load() {
@@ -138,7 +138,7 @@
 		}
 		t.running = true
 		t.endsAt = sm.now + hollowRunTime
-		hs.counters.started(sm.now - t.requestedAt)
+		hs.counters.recordStart(sm.now - t.requestedAt)
 	case claims.EndRecorded:
 		if t != nil {
 			hs.counters.EndsRecorded.Add(1)
@@ -159,8 +159,8 @@
 	}
 }
 
-// expireHollowTokens ends runs, and abandons tokens that waited too long for the fleet.
-func (sm *StateMachine) expireHollowTokens() {
+// sweepHollowTokens ends runs, and abandons tokens that waited too long for the fleet.
+func (sm *StateMachine) sweepHollowTokens() {
 	hs := &sm.hollow
 	for key, t := range hs.tokens {
 		switch {
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -19,8 +19,8 @@
 	require.NoError(t, err)
 	r, c := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new(HollowCounters)
 	r.MakeHollow(c, false)
-	r.JoinFleet("tests", membership.New(config, 0, 1_000_000*ms, 0, 1))
-	r.EnableConsensus([]string{config.Name}, 4<<20, 0, 1)
+	r.JoinFleet("tests", membership.New(membershipConfig, 0, 1_000_000*ms, 0, 1))
+	r.EnableConsensus([]string{membershipConfig.Name}, 4<<20, 0, 1)
 	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 5, MaxUseTime: 500 * ms, LeaseTerm: 3_000 * ms}, 1)
 	return r, c
 }
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -11,7 +11,7 @@
 type leaseState struct {
 	holder         *quota.LeaseHolder
 	config         quota.HolderConfig
-	grants         []quota.Verdict
+	verdicts       []quota.Verdict
 	stepAt         int64 // when the holder is to step
 	announcedUnits int   // last sent to the admission controller
 
@@ -46,17 +46,19 @@
 	return &ls.holder.Counters
 }
 
-// addGrants queues verdicts on requests for leases.
-func (ls *leaseState) addGrants(grants []quota.Verdict) { ls.grants = append(ls.grants, grants...) }
+// addVerdicts queues verdicts on requests for leases.
+func (ls *leaseState) addVerdicts(grants []quota.Verdict) {
+	ls.verdicts = append(ls.verdicts, grants...)
+}
 
 // requestStep has the holder step in this step: the demand changed.
 func (ls *leaseState) requestStep(now int64) { ls.stepAt = now }
 
-// allowed is how many units the lease allows, those of abandoned calls included.
-func (ls *leaseState) allowed(now int64) int64 { return ls.holder.Allowed(now) }
+// allowedUnits is how many units the lease allows, those of abandoned calls included.
+func (ls *leaseState) allowedUnits(now int64) int64 { return ls.holder.Allowed(now) }
 
-// units are those that calls in flight may take.
-func (ls *leaseState) units(now int64) int {
+// availableUnits are those that calls in flight may take.
+func (ls *leaseState) availableUnits(now int64) int {
 	for len(ls.abandonedUntil) > 0 && ls.abandonedUntil[0] <= now {
 		ls.abandonedUntil = ls.abandonedUntil[1:]
 	}
@@ -66,15 +68,15 @@
 // maxCallTime is for how long the admission controller may wait for a call.
 func (ls *leaseState) maxCallTime() int64 { return ls.config.MaxUseTime / 2 }
 
-// limitEvent announces a number of units to the admission controller.
-func (ls *leaseState) limitEvent(units int) admission.Event {
+// callLimitEvent announces a number of units to the admission controller.
+func (ls *leaseState) callLimitEvent(units int) admission.Event {
 	ls.announcedUnits = units
 	return admission.Event{Kind: admission.CallLimitSet, CallLimit: units, MaxCallTime: ls.maxCallTime()}
 }
 
-// countAbandonedCall reserves the unit of a call that was written and abandoned: the dependency may work on it still. It guards
+// reserveAbandonedUnit reserves the unit of a call that was written and abandoned: the dependency may work on it still. It guards
 // against one call more at the dependency than units, for each that is abandoned there.
-func (sm *StateMachine) countAbandonedCall(s *catalogueLink) {
+func (sm *StateMachine) reserveAbandonedUnit(s *catalogueLink) {
 	ls := &sm.leases
 	if ls.holder == nil || !s.connected || s.invocation < 0 {
 		return
@@ -86,7 +88,7 @@
 // stepLeases steps the holder and announces the call limit before anybody else learns what the node returned.
 func (sm *StateMachine) stepLeases() {
 	ls := &sm.leases
-	if ls.holder == nil || sm.now < ls.stepAt && len(ls.grants) == 0 {
+	if ls.holder == nil || sm.now < ls.stepAt && len(ls.verdicts) == 0 {
 		return
 	}
 	inFlight, waiting, known := sm.callDemand()
@@ -96,12 +98,12 @@
 	if sm.drain.isAcceptStopped() {
 		waiting = 0 // a drain makes its calls with the units it has
 	}
-	ls.units(sm.now)
-	requests, wake := ls.holder.Step(sm.now, int64(inFlight+len(ls.abandonedUntil)), int64(waiting), ls.grants)
-	ls.grants = ls.grants[:0]
+	ls.availableUnits(sm.now)
+	requests, wake := ls.holder.Step(sm.now, int64(inFlight+len(ls.abandonedUntil)), int64(waiting), ls.verdicts)
+	ls.verdicts = ls.verdicts[:0]
 	ls.stepAt = ls.nextStep(sm.now, wake, inFlight+waiting)
-	if units := ls.units(sm.now); units != ls.announcedUnits {
-		sm.notifyController(ls.limitEvent(units))
+	if units := ls.availableUnits(sm.now); units != ls.announcedUnits {
+		sm.notifyController(ls.callLimitEvent(units))
 	}
 	if len(requests) > 0 {
 		sm.proposeToGroup(nil, requests)
@@ -126,15 +128,15 @@
 	if ls.holder == nil || ls.announcedUnits <= 0 {
 		return
 	}
-	if units := ls.units(sm.now); units < ls.announcedUnits {
-		sm.events = append(sm.events, ls.limitEvent(units))
+	if units := ls.availableUnits(sm.now); units < ls.announcedUnits {
+		sm.events = append(sm.events, ls.callLimitEvent(units))
 	}
 }
 
 // callDemand is how many calls are in flight and how many wait beside them, unknown before there is an admission controller.
 func (sm *StateMachine) callDemand() (inFlight, waiting int, known bool) {
 	if sm.hollow.enabled() {
-		inFlight, waiting = sm.hollow.callDemand(sm.leases.allowed(sm.now))
+		inFlight, waiting = sm.hollow.callDemand(sm.leases.allowedUnits(sm.now))
 		return inFlight, waiting, true
 	}
 	if sm.controller == nil {
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -16,7 +16,7 @@
 func leasingNode(t *testing.T) *StateMachine {
 	r := claimingNode(t)
 	r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, LeaseTerm: 4_000 * ms, MaxUseTime: 1_000 * ms}, 1)
-	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(claimsOfInvocation(t, r)[0], 1)))
+	start := claimCommands(t, r, receiveFromReplica(t, r, verdictOn(commandsForInvocation(t, r)[0], 1)))
 	require.Len(t, start, 1)
 	receiveFromReplica(t, r, verdictOn(start[0], 1))
 	return r
@@ -24,7 +24,7 @@
 
 // leaseRequests are the requests for leases that effects send.
 func leaseRequests(t *testing.T, r *StateMachine, effects []Effect) (list []quota.Command) {
-	for _, e := range kindsOf(effects, SendOnStream) {
+	for _, e := range effectsOfKind(effects, SendOnStream) {
 		m := new(consensus.Message)
 		require.NoError(t, envelope.Open(e.Bytes, r.fleet.id, m))
 		list = append(list, m.Leases...)
@@ -40,14 +40,14 @@
 		asks = append(asks, leaseRequests(t, r, step(r))...)
 	}
 	require.NotEmpty(t, asks)
-	assert.Empty(t, kindsOf(effects, DialCatalogue), "none is made without a lease")
+	assert.Empty(t, effectsOfKind(effects, DialCatalogue), "none is made without a lease")
 	last := asks[len(asks)-1]
 	grant := &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
 	receiveFromReplica(t, r, grant)
 	effects = step(r)
-	require.Len(t, kindsOf(effects, DialCatalogue), 1, "the controller learns of it in the next step")
+	require.Len(t, effectsOfKind(effects, DialCatalogue), 1, "the controller learns of it in the next step")
 	effects = step(r, Input{Kind: CatalogueConnected, Link: r.catalogue.links[0].id})
-	fetch := kindsOf(effects, SendToCatalogue)
+	fetch := effectsOfKind(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
 	assert.LessOrEqual(t, fetch[0].At, r.now+500*ms, "of no use once its part of the lease is over")
 	assert.Equal(t, int64(2), r.Claims().Lease.Units)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -15,8 +15,8 @@
 
 // Stages of a drain as the fleet is told of them.
 const (
-	drainStageRequested = 1
-	drainStageStopped   = 3
+	drainPhaseRequested     = 1
+	drainPhaseAcceptStopped = 3
 )
 
 // fleetState is the node's membership of a fleet; outside one members is nil, and there is no timer and no cost.
@@ -26,7 +26,7 @@
 	inputs         []membership.Input
 	wakeAt         int64
 	executorLostAt int64 // -1 while there is an executor
-	announced      membership.Facts
+	announcedFacts membership.Facts
 	counters       PeerMessageCounters
 }
 
@@ -99,7 +99,7 @@
 	}
 	body := new(peerMessage)
 	if err := fs.open(in.Bytes, body); err != nil {
-		sm.countUnusable(in, err)
+		sm.rejectPeerMessage(in, err)
 		return
 	}
 	if body.Configuration != nil {
@@ -113,7 +113,7 @@
 func (sm *StateMachine) applyMembershipMessage(in *Input, msg *membership.Message) {
 	datagram := msg.Kind <= membership.MessageGossip
 	if datagram != (in.Kind == PeerDatagramReceived) || msg.Kind == 0 {
-		sm.countUnusable(in, fmt.Errorf("%w: kind %d does not belong there", envelope.ErrSpoilt, msg.Kind))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: kind %d does not belong there", envelope.ErrSpoilt, msg.Kind))
 		return
 	}
 	if msg.Kind == membership.MessageViewRequest {
@@ -149,8 +149,8 @@
 	sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: link}, summary)
 }
 
-// countUnusable counts and logs a message that can't be used; an exchange of this node's that brought it has failed.
-func (sm *StateMachine) countUnusable(in *Input, err error) {
+// rejectPeerMessage counts and logs a message that can't be used; an exchange of this node's that brought it has failed.
+func (sm *StateMachine) rejectPeerMessage(in *Input, err error) {
 	fs := &sm.fleet
 	fs.counters.add(err)
 	sm.log(Warn, "peer can't be understood", in.From, err)
@@ -168,8 +168,8 @@
 	if fs.members == nil {
 		return
 	}
-	if facts := sm.facts(); facts != fs.announced {
-		fs.announced = facts
+	if facts := sm.facts(); facts != fs.announcedFacts {
+		fs.announcedFacts = facts
 		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.FactsChanged, Facts: facts})
 	}
 	if sm.now < fs.wakeAt && len(fs.inputs) == 0 {
@@ -222,9 +222,9 @@
 	f.NoExecutor = sm.hollow.isReplicaOnly() || !sm.hollow.enabled() && executorLost
 	switch {
 	case sm.drain.isAcceptStopped():
-		f.DrainPhase = drainStageStopped
+		f.DrainPhase = drainPhaseAcceptStopped
 	case sm.drain.isRequested():
-		f.DrainPhase = drainStageRequested
+		f.DrainPhase = drainPhaseRequested
 	}
 	f.Level = uint8(sm.degradation.level())
 	return f
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -14,7 +14,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-var config = membership.Config{Name: "n1", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms,
+var membershipConfig = membership.Config{Name: "n1", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms,
 	ForgetTimeout: 60_000 * ms, MaxMembers: 100}
 
 // fleetNode is a node of a fleet that has not stepped yet.
@@ -22,17 +22,17 @@
 	p, err := nodeconfig.FromJSON(1, []byte(settings))
 	require.NoError(t, err)
 	r := NewStateMachine(p, Addresses{}, 3_000*ms, 10, 10)
-	r.JoinFleet("mobilier", membership.New(config, 0, 1, 0, 1))
+	r.JoinFleet("mobilier", membership.New(membershipConfig, 0, 1, 0, 1))
 	return r
 }
 
-func sealed(t *testing.T, fleet string, msg membership.Message) []byte {
+func sealedMessage(t *testing.T, fleet string, msg membership.Message) []byte {
 	b, err := envelope.Seal(nil, envelope.FleetOf(fleet), &msg)
 	require.NoError(t, err)
 	return b
 }
 
-func kindsOf(effects []Effect, kind EffectKind) (list []Effect) {
+func effectsOfKind(effects []Effect, kind EffectKind) (list []Effect) {
 	for _, e := range effects {
 		if e.Kind == kind {
 			list = append(list, e)
@@ -41,17 +41,17 @@
 	return list
 }
 
-func other(ver uint32, left bool) membership.Record {
+func peerRecord(ver uint32, left bool) membership.Record {
 	return membership.Record{Name: "n2", Address: "10.0.0.2:9", StartedAt: 7, Incarnation: 7, RecordVersion: ver, Left: left, Links: []membership.ID{membership.IDOf("n1")}}
 }
 
 func TestPingIsAcknowledgedAndReturned(t *testing.T) {
 	r := fleetNode(t)
-	ping := sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing, From: membership.IDOf("n2"), Seq: 5, Neighbour: true,
-		Records: []membership.Record{other(0, false)}})
+	ping := sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessagePing, From: membership.IDOf("n2"), Seq: 5, Neighbour: true,
+		Records: []membership.Record{peerRecord(0, false)}})
 	effects := r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, From: "10.0.0.2:9", Bytes: ping}})
 	var kinds []membership.MessageKind
-	for _, e := range kindsOf(effects, SendDatagram) {
+	for _, e := range effectsOfKind(effects, SendDatagram) {
 		assert.Equal(t, "10.0.0.2:9", e.Address)
 		var msg membership.Message
 		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetOf("mobilier"), &msg))
@@ -62,29 +62,29 @@
 
 func TestUnusablePeerMessagesAreCountedAndChangeNothing(t *testing.T) {
 	r := fleetNode(t)
-	good := sealed(t, "mobilier", membership.Message{Kind: membership.MessageGossip, Records: []membership.Record{other(0, false)}})
+	good := sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessageGossip, Records: []membership.Record{peerRecord(0, false)}})
 	version, corrupted := append([]byte(nil), good...), append([]byte(nil), good...)
 	version[0]++
 	corrupted[len(corrupted)-1]++
-	request := sealed(t, "mobilier", membership.Message{Kind: membership.MessageSyncRequest})
+	request := sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessageSyncRequest})
 	effects := r.Step(ms, 1, []Input{
-		{Kind: PeerDatagramReceived, Bytes: sealed(t, "another", membership.Message{Kind: membership.MessageGossip})},
+		{Kind: PeerDatagramReceived, Bytes: sealedMessage(t, "another", membership.Message{Kind: membership.MessageGossip})},
 		{Kind: PeerDatagramReceived, Bytes: version}, {Kind: PeerDatagramReceived, Bytes: corrupted}, {Kind: PeerDatagramReceived, Bytes: good[:5]},
 		{Kind: PeerDatagramReceived, Bytes: request}, {Kind: PeerRequestReceived, Link: 3, Bytes: corrupted}})
 	assert.Equal(t, PeerMessageCounters{Malformed: 4, OtherVersion: 1, OtherFleet: 1}, r.PeerMessageCounters())
-	assert.Len(t, kindsOf(effects, ReplyToExchange), 1, "the exchange is closed")
+	assert.Len(t, effectsOfKind(effects, ReplyToExchange), 1, "the exchange is closed")
 	assert.Len(t, r.Members().View().Members, 1)
 	r = fleetNode(t) // without a fleet nothing is read
 	r.fleet = fleetState{}
 	effects = r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: good}})
-	assert.Empty(t, kindsOf(effects, SendDatagram))
+	assert.Empty(t, effectsOfKind(effects, SendDatagram))
 	assert.Equal(t, int64(never), r.membershipDue())
 }
 
 func TestViewRequestIsAnsweredWithTheView(t *testing.T) {
 	r := fleetNode(t)
-	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 3, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessageViewRequest})}})
-	replies := kindsOf(effects, ReplyToExchange)
+	effects := r.Step(ms, 1, []Input{{Kind: PeerRequestReceived, Link: 3, Bytes: sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessageViewRequest})}})
+	replies := effectsOfKind(effects, ReplyToExchange)
 	require.Len(t, replies, 1)
 	var v membership.View
 	require.NoError(t, envelope.Open(replies[0].Bytes, envelope.FleetOf("mobilier"), &v))
@@ -93,14 +93,14 @@
 
 func TestNodeAnnouncesExecutorLossAndLeaving(t *testing.T) {
 	r := fleetNode(t)
-	r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealed(t, "mobilier", membership.Message{Kind: membership.MessagePing,
-		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{other(0, false)}})}})
+	r.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessagePing,
+		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{peerRecord(0, false)}})}})
 	assert.False(t, r.Members().Self().Facts.NoExecutor)
 	r.Step(executorLossTimeout+ms, 1, nil)
 	assert.True(t, r.Members().Self().Facts.NoExecutor)
 	effects := r.Step(executorLossTimeout+2*ms, 1, []Input{{Kind: DrainRequested}, {Kind: ListenerClosed}}) // it never had an executor, and leaves at once
 	last := 0
-	for _, e := range kindsOf(effects, SendDatagram) {
+	for _, e := range effectsOfKind(effects, SendDatagram) {
 		var msg membership.Message
 		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetOf("mobilier"), &msg))
 		for _, rec := range msg.Records {
@@ -113,7 +113,7 @@
 }
 
 func FuzzPeers(f *testing.F) {
-	b, _ := envelope.Seal(nil, envelope.FleetOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{other(0, false)},
+	b, _ := envelope.Seal(nil, envelope.FleetOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{peerRecord(0, false)},
 		Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
 	f.Add(b[envelope.Head:], uint8(0))
 	f.Fuzz(func(t *testing.T, body []byte, kind uint8) {
--- a/internal/node/results_answers_test.go
+++ b/internal/node/results_answers_test.go
@@ -11,7 +11,7 @@
 
 func completeWrites(r *StateMachine, effects []Effect) []Effect {
 	in := Input{Kind: RecordWritten}
-	for _, e := range kindsOf(effects, WriteRecord) {
+	for _, e := range effectsOfKind(effects, WriteRecord) {
 		in.Records = append(in.Records, *e.Record)
 	}
 	return step(r, in)
@@ -21,12 +21,12 @@
 	r := cachingNode(t, resultcache.OnDisk)
 	intent := step(r, tokenInvocation(1, "a"))
 	assert.Zero(t, countRuns(intent))
-	require.Len(t, kindsOf(intent, WriteRecord), 1)
+	require.Len(t, effectsOfKind(intent, WriteRecord), 1)
 	assert.Equal(t, 1, countRuns(completeWrites(r, intent)))
 	ended := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.Empty(t, answers(t, ended))
-	require.Len(t, kindsOf(ended, WriteRecord), 1)
-	assert.True(t, kindsOf(ended, WriteRecord)[0].Record.Completed)
+	require.Len(t, effectsOfKind(ended, WriteRecord), 1)
+	assert.True(t, effectsOfKind(ended, WriteRecord)[0].Record.Completed)
 	assert.Equal(t, []string{"20 on 1"}, answers(t, completeWrites(r, ended)))
 	step(r)
 	assert.Empty(t, r.indexByID)
@@ -34,7 +34,7 @@
 
 func TestStoreFailureRejectsWithoutARun(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
-	in := Input{Kind: RecordWriteFailed, Err: errInvalidField, Records: []resultcache.Record{*kindsOf(step(r, tokenInvocation(1, "a")), WriteRecord)[0].Record}}
+	in := Input{Kind: RecordWriteFailed, Err: errInvalidField, Records: []resultcache.Record{*effectsOfKind(step(r, tokenInvocation(1, "a")), WriteRecord)[0].Record}}
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, in)))
 	step(r)
 	assert.Empty(t, r.indexByID)
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -83,7 +83,7 @@
 	kept := map[string]int64{}
 	for k, token := range []string{"a", "b"} {
 		effects := endRun(r, k+1)
-		for _, e := range kindsOf(effects, WriteRecord) {
+		for _, e := range effectsOfKind(effects, WriteRecord) {
 			kept[e.Record.Key.Token] = e.Record.Remaining
 		}
 		completeWrites(r, effects)
@@ -93,7 +93,7 @@
 	assert.Equal(t, 4_001*ms, kept["b"])
 	passTime(r, 10_000*ms)
 	assert.Equal(t, []string{"20 on 3"}, answers(t, step(r, tokenArrival(r, 3, "a"))))
-	assert.Equal(t, 1, len(kindsOf(step(r, tokenArrival(r, 4, "b")), WriteRecord)), "its window is over: it runs anew")
+	assert.Equal(t, 1, len(effectsOfKind(step(r, tokenArrival(r, 4, "b")), WriteRecord)), "its window is over: it runs anew")
 }
 
 func TestReinstatedTenantKeepsItsCounts(t *testing.T) {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -19,7 +19,7 @@
 
 // takeoverWork is what a new owner needs of an invocation.
 type takeoverWork struct {
-	Call         string  `cbor:"1,keyasint"`
+	InvocationID string  `cbor:"1,keyasint"`
 	Body         []byte  `cbor:"2,keyasint"`
 	QueuedKB     float64 `cbor:"3,keyasint"`
 	ExpectedWork int64   `cbor:"4,keyasint,omitempty"`
@@ -27,12 +27,12 @@
 }
 
 func workOf(v *invocation) takeoverWork {
-	return takeoverWork{Call: v.invocationID, Body: v.body, QueuedKB: v.arrivalEvent.QueuedKB, ExpectedWork: v.arrivalEvent.ExpectedWork, Caller: v.arrivalEvent.Caller}
+	return takeoverWork{InvocationID: v.invocationID, Body: v.body, QueuedKB: v.arrivalEvent.QueuedKB, ExpectedWork: v.arrivalEvent.ExpectedWork, Caller: v.arrivalEvent.Caller}
 }
 
 // valid says whether its fields are within the bounds of an invocation.
 func (w *takeoverWork) valid() bool {
-	return isHex16(w.Call) && len(w.Body) <= maxBodyBytes && w.QueuedKB > 0 && w.QueuedKB < maxHeapKB
+	return isHex16(w.InvocationID) && len(w.Body) <= maxBodyBytes && w.QueuedKB > 0 && w.QueuedKB < maxHeapKB
 }
 
 // takeOverInvocation submits what a lost node had claimed, as an invocation whose caller is not here. Its deadline stays; its latency
@@ -45,13 +45,13 @@
 	if err := cbor.Unmarshal(a.Work, &work); err != nil {
 		return fmt.Errorf("node: the work for a takeover can't be decoded: %w", err)
 	}
-	if _, used := sm.indexByID[work.Call]; used || !work.valid() {
-		return fmt.Errorf("node: call %q is in use, or not valid", work.Call)
+	if _, used := sm.indexByID[work.InvocationID]; used || !work.valid() {
+		return fmt.Errorf("node: call %q is in use, or not valid", work.InvocationID)
 	}
 	if sm.results.isKnown(key) {
 		return nil // a caller is here already, and its invocation goes on under this claim
 	}
-	v := invocation{live: true, connectionLink: noConnection, invocationID: work.Call, operationName: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
+	v := invocation{live: true, connectionLink: noConnection, invocationID: work.InvocationID, operationName: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
 		bodyHash: a.BodyHash, operationIndex: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
 	v.arrivalEvent = admission.Event{Kind: admission.Arrived, OperationIndex: key.Operation, Tenant: key.Tenant, Original: admission.NoOriginal, Retry: true,
 		Deadline: sm.now + a.Duration, QueuedKB: work.QueuedKB, ExpectedWork: work.ExpectedWork, Caller: work.Caller}
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -14,7 +14,7 @@
 
 func TestTakenOverWorkRunsAndItsEndIsReported(t *testing.T) {
 	r := claimingNode(t)
-	work := claimsOfInvocation(t, r)[0].Work
+	work := commandsForInvocation(t, r)[0].Work
 	r2 := claimingNode(t)
 	reassignment := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
@@ -27,12 +27,12 @@
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
 	effects := receiveFromReplica(t, r2, verdictOn(start[0], claims.AnswerGranted))
-	require.Equal(t, []EffectKind{SendToExecutor}, localEffects(effects))
+	require.Equal(t, []EffectKind{SendToExecutor}, localEffectKinds(effects))
 	assert.Contains(t, string(effects[0].Bytes), "body")
 	end := claimCommands(t, r2, told(r2, "EXIT 1 "+id(1)+" good 12 2|ok"))
 	require.Len(t, end, 1)
 	effects = receiveFromReplica(t, r2, verdictOn(end[0], claims.AnswerDone))
-	assert.Empty(t, localEffects(effects), "nobody is answered")
+	assert.Empty(t, localEffectKinds(effects), "nobody is answered")
 	step(r2)
 	assert.Zero(t, r2.owedAnswers)
 	assert.Empty(t, r2.indexByID, "and it is released")
@@ -40,7 +40,7 @@
 
 func TestDrainingNodeReleasesReassignedClaim(t *testing.T) {
 	r := claimingNode(t)
-	work := claimsOfInvocation(t, r)[0].Work
+	work := commandsForInvocation(t, r)[0].Work
 	r2 := claimingNode(t)
 	step(r2, Input{Kind: DrainRequested})
 	release := claimCommands(t, r2, receiveFromReplica(t, r2, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
@@ -54,7 +54,7 @@
 func TestTakeoverOfWorkOutOfBoundsIsRefused(t *testing.T) {
 	for _, queuedKB := range []float64{math.NaN(), 0, -1, maxHeapKB, math.Inf(1)} {
 		r := claimingNode(t)
-		work, err := cbor.Marshal(takeoverWork{Call: id(1), Body: []byte("body"), QueuedKB: queuedKB})
+		work, err := cbor.Marshal(takeoverWork{InvocationID: id(1), Body: []byte("body"), QueuedKB: queuedKB})
 		require.NoError(t, err)
 		release := claimCommands(t, r, receiveFromReplica(t, r, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
 			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}))
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -31,7 +31,7 @@
 
 // applyVersion brings items into force as the next version, or returns why that can't be.
 func applyVersion(t *testing.T, r *StateMachine, items ...nodeconfig.Item) error {
-	got := kindsOf(step(r, versionOf(t, r.ActiveVersion()+1, items...)), VersionApplied)
+	got := effectsOfKind(step(r, versionOf(t, r.ActiveVersion()+1, items...)), VersionApplied)
 	require.Len(t, got, 1)
 	return got[0].Err
 }
@@ -70,7 +70,7 @@
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 2, "op", "new", "org", "x"))))
 	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, arrival(r, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, endRun(r, 2)))
-	got := kindsOf(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
+	got := effectsOfKind(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
 	assert.ErrorIs(t, got[0].Err, errStaleVersion)
 	assert.Equal(t, []float64{3}, r.config.Node.TenantRates)
 }
@@ -138,7 +138,7 @@
 	for k := range maxPendingVersions {
 		in = append(in, versionOf(t, uint64(4+k), tenant("u", k)))
 	}
-	refused := kindsOf(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), VersionApplied)
+	refused := effectsOfKind(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), VersionApplied)
 	require.Len(t, refused, 1, "pending versions are bounded")
 	assert.ErrorIs(t, refused[0].Err, errTooManyVersions)
 }
@@ -211,9 +211,9 @@
 				inputs = append(inputs, arrival(r, int(stream), "org", "a"))
 			}
 			r.now += 59 * ms
-			answered += len(kindsOf(step(r, inputs...), SendToConnection))
+			answered += len(effectsOfKind(step(r, inputs...), SendToConnection))
 			if i, v := r.findInvocation(id(int(stream))); i >= 0 && !v.answered {
-				answered += len(kindsOf(endRun(r, int(stream)), SendToConnection))
+				answered += len(effectsOfKind(endRun(r, int(stream)), SendToConnection))
 			}
 			if r.connections.byLink[7] != nil {
 				r.connections.byLink[7].faults = 0
@@ -243,7 +243,7 @@
 	refused = append(refused, operation("new", ""))
 	assert.Empty(t, step(r, versionOf(t, 1, refused...)))
 	assert.Empty(t, step(r))
-	got := kindsOf(step(r), VersionApplied)
+	got := effectsOfKind(step(r), VersionApplied)
 	require.Len(t, got, 1)
 	assert.ErrorContains(t, got[0].Err, "operations.new")
 	assert.Equal(t, 1.0, r.config.Node.Operations[0].PriorityWeight)
