--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// maxUnreadCommands bounds the commands not acknowledged: two for each invocation that the connections can hold.
-const maxUnreadCommands = 65_536
+// maxUnacknowledgedCommands bounds the commands not acknowledged: two for each invocation that the connections can hold.
+const maxUnacknowledgedCommands = 65_536
 
 // command is one that the executor may not have read.
 type command struct {
@@ -15,14 +15,14 @@
 
 // commandLog is the commands that the executor is not known to have read, in order. They are sent again on a new link.
 type commandLog struct {
-	unread         []command
-	sequence       int // of the last command
-	gaugesSequence int // of the last command that was followed by a request for gauges on this link
+	unacknowledged        []command
+	sequence              int // of the last command
+	gaugesRequestSequence int // of the last command that was followed by a request for gauges on this link
 }
 
 func (l *commandLog) add(invocation int32, call string, bytes []byte) {
 	l.sequence++
-	l.unread = append(l.unread, command{l.sequence, invocation, call, bytes})
+	l.unacknowledged = append(l.unacknowledged, command{l.sequence, invocation, call, bytes})
 }
 
 // acknowledgeCall drops the commands of a call, of which a notice proves that they were read.
@@ -37,20 +37,20 @@
 
 // acknowledge drops the commands that were read.
 func (l *commandLog) acknowledge(isRead func(c *command) bool) {
-	kept := l.unread[:0]
-	for i := range l.unread {
-		if !isRead(&l.unread[i]) {
-			kept = append(kept, l.unread[i])
+	kept := l.unacknowledged[:0]
+	for i := range l.unacknowledged {
+		if !isRead(&l.unacknowledged[i]) {
+			kept = append(kept, l.unacknowledged[i])
 		}
 	}
-	clear(l.unread[len(kept):])
-	l.unread = kept
+	clear(l.unacknowledged[len(kept):])
+	l.unacknowledged = kept
 }
 
 // sendCommand sends a command that must be read; it is logged until the executor is known to have read it.
 func (x *executorState) sendCommand(i int32, bytes []byte) {
 	x.commands.add(i, x.sm.invocations[i].invocationID, bytes)
-	x.sm.Invariants.Check(len(x.commands.unread) <= maxUnreadCommands, "commands not known to be read are bounded")
+	x.sm.Invariants.Check(len(x.commands.unacknowledged) <= maxUnacknowledgedCommands, "commands not known to be read are bounded")
 	if x.synced {
 		x.sm.emit(Effect{Kind: SendToExecutor, Link: x.link, Bytes: bytes})
 	}
@@ -58,21 +58,21 @@
 
 // resendCommands sends the logged commands that are still wanted on a link that has just synced.
 func (x *executorState) resendCommands() {
-	for i := range x.commands.unread {
-		if c := &x.commands.unread[i]; x.isWanted(c) {
+	for i := range x.commands.unacknowledged {
+		if c := &x.commands.unacknowledged[i]; x.isNeeded(c) {
 			x.sm.emit(Effect{Kind: SendToExecutor, Link: x.link, Bytes: c.bytes})
 		}
 	}
 }
 
-// isWanted reports whether the invocation of a command still needs it.
-func (x *executorState) isWanted(c *command) bool {
+// isNeeded reports whether the invocation of a command still needs it.
+func (x *executorState) isNeeded(c *command) bool {
 	v := &x.sm.invocations[c.invocation]
 	return v.live && (!v.answered || v.abandoned) && v.invocationID == c.invocationID
 }
 
-// unreadCommands is how many commands are not acknowledged.
-func (x *executorState) unreadCommands() int { return len(x.commands.unread) }
+// unacknowledgedCommands is how many commands are not acknowledged.
+func (x *executorState) unacknowledgedCommands() int { return len(x.commands.unacknowledged) }
 
 // syncTag marks the request for gauges that follows the welcome of the current link.
 func (x *executorState) syncTag() string { return "j" + strconv.Itoa(x.link) }
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCommandsAreResentOnceTheNoticesOfANewLinkAreReceived(t *testing.T) {
+func TestCommandsAreResentAfterTheNoticesOfANewLink(t *testing.T) {
 	sm := up(t)
 	const other = "00000000000000aa"
 	step(sm, invoke(1), invoke(2, "call", other))
@@ -15,5 +15,5 @@
 	assert.Equal(t, []string{"20 on 1"}, answers(t, told(sm, "EXIT 1 "+callID+" good 12 1|r")))
 	assert.Equal(t, "EXEC "+other+" catalogue 4\r\nbody\r\n", text(told(sm, "METERS "+sm.executor.syncTag()+" 0 0 0 0"), SendToExecutor))
 	told(sm, fmt.Sprintf("METERS m%d 0 0 0 0", sm.executor.commands.sequence))
-	assert.Empty(t, sm.executor.commands.unread, "the gauges acknowledge all commands before them")
+	assert.Empty(t, sm.executor.commands.unacknowledged, "the gauges acknowledge all commands before them")
 }
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -39,15 +39,15 @@
 
 // pendingConfig is a version on its way into force: all of it is validated in a first pass, and applied in a second.
 type pendingConfig struct {
-	mark       configsync.Revision
+	revision   configsync.Revision
 	canary     bool
 	checkOnly  bool // it is validated, and not applied
 	startedAt  int64
-	old        *configsync.Content
-	new        *configsync.Content
+	oldContent *configsync.Content
+	newContent *configsync.Content
 	diff       *configsync.Difference
 	validation *nodeconfig.ChangeValidator // nil in the second pass
-	version    version
+	progress   pendingVersion
 }
 
 // configSyncState replicates the fleet's configuration to this node in service. Without a replicator there is no timer and no cost.
@@ -71,12 +71,12 @@
 // EnableConsensus. It begins with the initial state; where that is not what the node's own file holds, it comes into force at once. On
 // an error nothing is changed.
 func (sm *StateMachine) EnableConfigSync(now, seed int64, initial configsync.InitialState, file *configsync.Content) error {
-	v := version{number: initial.Mark.Version}
+	v := pendingVersion{number: initial.Mark.Version}
 	if !sm.hollow.enabled() {
 		if err := sm.validateInitialConfig(initial, file); err != nil {
 			return err
 		}
-		if err := sm.forChanges(file, initial.Content, func(changes []nodeconfig.Change) { sm.applyChanges(&v, changes) }); err != nil {
+		if err := sm.forEachChangeBatch(file, initial.Content, func(changes []nodeconfig.Change) { sm.applyChanges(&v, changes) }); err != nil {
 			return err
 		}
 		if initial.Mark.Version > 0 {
@@ -95,7 +95,7 @@
 // validateInitialConfig checks that this node can apply what differs from its own file.
 func (sm *StateMachine) validateInitialConfig(initial configsync.InitialState, file *configsync.Content) error {
 	validation := sm.config.NewChangeValidator()
-	if err := sm.forChanges(file, initial.Content, validation.Add); err != nil {
+	if err := sm.forEachChangeBatch(file, initial.Content, validation.Add); err != nil {
 		return err
 	}
 	if initial.Content == file {
@@ -104,12 +104,12 @@
 	return validation.Err()
 }
 
-// forChanges calls a function with the changes from one content to another, a part at a time, until one can't be read or applied by
+// forEachChangeBatch calls a function with the changes from one content to another, a part at a time, until one can't be read or applied by
 // this node.
-func (sm *StateMachine) forChanges(from, to *configsync.Content, do func([]nodeconfig.Change)) error {
+func (sm *StateMachine) forEachChangeBatch(from, to *configsync.Content, do func([]nodeconfig.Change)) error {
 	diff := configsync.Diff(from, to)
 	for {
-		changes, err := sm.changesOf(diff.Next(maxChangesPerStep))
+		changes, err := sm.parseChanges(diff.Next(maxChangesPerStep))
 		if err != nil {
 			return err
 		}
@@ -131,8 +131,8 @@
 		Behind: s.Behind, BehindNS: s.BehindNS, RefusedVersion: s.Refused.Version, RefusalReason: s.Why, Counters: s.Counters}
 }
 
-// changesOf reads items as changes, with an error where this node can't apply one.
-func (sm *StateMachine) changesOf(items []configsync.Item) ([]nodeconfig.Change, error) {
+// parseChanges reads items as changes, with an error where this node can't apply one.
+func (sm *StateMachine) parseChanges(items []configsync.Item) ([]nodeconfig.Change, error) {
 	amendment, err := nodeconfig.Parse(nodeconfigItems(items))
 	if err != nil {
 		return nil, err
@@ -157,12 +157,12 @@
 	sm.configSync.inputs = append(sm.configSync.inputs, next)
 }
 
-// startPending starts to validate a version, and to apply it unless it is only to be checked.
-func (sm *StateMachine) startPending(e *configsync.Effect) {
-	pending := &pendingConfig{mark: e.Revision, canary: e.Canary, checkOnly: e.Kind == configsync.CheckVersion, startedAt: sm.now, old: e.Old, new: e.New,
-		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), version: version{number: e.Revision.Version}}
+// startPendingConfig starts to validate a version, and to apply it unless it is only to be checked.
+func (sm *StateMachine) startPendingConfig(e *configsync.Effect) {
+	pending := &pendingConfig{revision: e.Revision, canary: e.Canary, checkOnly: e.Kind == configsync.CheckVersion, startedAt: sm.now, oldContent: e.Old, newContent: e.New,
+		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), progress: pendingVersion{number: e.Revision.Version}}
 	if sm.hollow.enabled() { // it has no admission controller that could not apply it
-		sm.configApplied(pending, nil)
+		sm.finishPendingConfig(pending, nil)
 		return
 	}
 	sm.configSync.pending = pending
@@ -175,7 +175,7 @@
 		p := cs.pending
 		items := p.diff.Next(budget)
 		budget -= max(len(items), maxChangesPerStep/maxSearchesPerStep) // where they lie apart, the search for them is what costs
-		changes, err := sm.changesOf(items)
+		changes, err := sm.parseChanges(items)
 		switch {
 		case p.validation == nil:
 			sm.applyPendingChanges(p, changes, err)
@@ -188,7 +188,7 @@
 			}
 		}
 		if err != nil || len(items) == 0 {
-			sm.configApplied(p, err)
+			sm.finishPendingConfig(p, err)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 // startApplying begins the second pass.
 func (p *pendingConfig) startApplying() {
 	p.validation = nil
-	p.diff = configsync.Diff(p.old, p.new)
+	p.diff = configsync.Diff(p.oldContent, p.newContent)
 }
 
 // applyPendingChanges applies some changes of the second pass.
@@ -204,14 +204,14 @@
 	if !sm.Invariants.Check(err == nil, "a version that was validated can be applied") {
 		return
 	}
-	sm.applyChanges(&p.version, changes)
+	sm.applyChanges(&p.progress, changes)
 }
 
-// configApplied reports to the replicator a version that is in force as a whole, or can't be.
-func (sm *StateMachine) configApplied(p *pendingConfig, err error) {
+// finishPendingConfig reports to the replicator a version that is in force as a whole, or can't be.
+func (sm *StateMachine) finishPendingConfig(p *pendingConfig, err error) {
 	cs := &sm.configSync
 	cs.pending = nil
-	next := configsync.Input{Kind: configsync.VersionApplied, Revision: p.mark}
+	next := configsync.Input{Kind: configsync.VersionApplied, Revision: p.revision}
 	if p.checkOnly {
 		next.Kind = configsync.VersionChecked
 	}
@@ -219,9 +219,9 @@
 		sm.Counters.VersionsRefused++
 		next.Why = err.Error()
 	} else if !p.checkOnly {
-		sm.versionApplied(&p.version)
-		counts := &p.version.counts
-		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: p.mark, PreviousVersion: cs.replicator.Revision().Version, Source: "fleet",
+		sm.versionApplied(&p.progress)
+		counts := &p.progress.counts
+		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: p.revision, PreviousVersion: cs.replicator.Revision().Version, Source: "fleet",
 			Canary: p.canary, Added: counts.added, Changed: counts.changed, Removed: counts.removed, TookNS: sm.now - p.startedAt}})
 	}
 	cs.inputs = append(cs.inputs, next)
@@ -294,7 +294,7 @@
 	case configsync.Reply:
 		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &configMessage{Message: e.Message})
 	case configsync.ApplyVersion, configsync.CheckVersion:
-		sm.startPending(e)
+		sm.startPendingConfig(e)
 	case configsync.PersistVersion:
 		persisting := *e
 		sm.emit(Effect{Kind: PersistVersion, Persisting: &persisting})
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -11,10 +11,10 @@
 
 // configMessage is what nodes, and operators' commands, send each other on the configuration.
 type configMessage struct {
-	From     string              `cbor:"1,keyasint,omitempty"`
-	Message  *configsync.Message `cbor:"2,keyasint,omitempty"` // between replicators
-	Question *configsync.Query   `cbor:"3,keyasint,omitempty"` // of a command
-	Answer   *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to it
+	From    string              `cbor:"1,keyasint,omitempty"`
+	Message *configsync.Message `cbor:"2,keyasint,omitempty"` // between replicators
+	Query   *configsync.Query   `cbor:"3,keyasint,omitempty"` // of a command
+	Answer  *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to it
 }
 
 // configMessageBody is the body of a message on the configuration, without the fields of membership's.
@@ -24,7 +24,7 @@
 
 // ConfigQueryBody returns the message body by which an operator's command sends a query; DecodeConfigAnswer decodes the answer.
 func ConfigQueryBody(q *configsync.Query) any {
-	return configMessageBody{&configMessage{Question: q}}
+	return configMessageBody{&configMessage{Query: q}}
 }
 
 // DecodeConfigAnswer decodes a node's answer to a query of an operator's command.
@@ -54,8 +54,8 @@
 		if request {
 			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
 		}
-	case request && received.Question != nil:
-		sm.applyOperatorQuery(in.Link, received.Question)
+	case request && received.Query != nil:
+		sm.applyOperatorQuery(in.Link, received.Query)
 	case request && m != nil && m.Kind == configsync.MessageFetch:
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ExchangeOpened, From: received.From, Link: in.Link, Message: m})
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -28,9 +28,9 @@
 	var a *configsync.Answer
 	switch {
 	case q.Kind == configsync.QueryStatus:
-		a = sm.configStatus()
+		a = sm.statusAnswer()
 	case q.Kind == configsync.QueryBlocks:
-		a = sm.configSync.blocks(q)
+		a = sm.configSync.blocksAnswer(q)
 	case isProposal(q):
 		if sm.addProposal(link, q.Command) {
 			return
@@ -51,8 +51,8 @@
 	return q.Command.Kind == configsync.CommandPut || q.Command.Kind == configsync.CommandRollback
 }
 
-// blocks are some of the blocks of a version's content.
-func (cs *configSyncState) blocks(q *configsync.Query) *configsync.Answer {
+// blocksAnswer are some of the blocksAnswer of a version's content.
+func (cs *configSyncState) blocksAnswer(q *configsync.Query) *configsync.Answer {
 	a := &configsync.Answer{Revision: cs.replicator.Revision()}
 	content := cs.replicator.Content()
 	if q.Which != configsync.ContentInForce {
@@ -78,8 +78,8 @@
 	return configsync.Revision{Version: agreed.Head.Newest, Digest: agreed.Newest.Digest()}
 }
 
-// configStatus is the status of this node, and where it has a replica what that knows of others.
-func (sm *StateMachine) configStatus() *configsync.Answer {
+// statusAnswer is the status of this node, and where it has a replica what that knows of others.
+func (sm *StateMachine) statusAnswer() *configsync.Answer {
 	cs := &sm.configSync
 	status := cs.replicator.Status(sm.now)
 	a := &configsync.Answer{Status: &status, Revision: status.Revision}
@@ -109,14 +109,14 @@
 	if agreed == nil || command.More || command.Piece > 0 || command.Base != agreed.Head.Newest {
 		return ""
 	}
-	if operationsAfter(agreed.Newest, command.Changes) < 1 {
+	if operationCountAfter(agreed.Newest, command.Changes) < 1 {
 		return "no operation would be left; put a whole file first, or add one before the last is removed"
 	}
 	return ""
 }
 
-// operationsAfter is how many operations a content has after changes.
-func operationsAfter(content *configsync.Content, changes []configsync.Item) int {
+// operationCountAfter is how many operations a content has after changes.
+func operationCountAfter(content *configsync.Content, changes []configsync.Item) int {
 	count := content.Len(configsync.Operations)
 	for _, c := range changes {
 		if c.Part != configsync.Operations {
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -11,8 +11,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// query is a node's answer to an operator's query, with all effects up to it.
-func query(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
+// queryNode is a node's answer to an operator's queryNode, with all effects up to it.
+func queryNode(t *testing.T, r *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
 	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), ConfigQueryBody(q))
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
@@ -33,8 +33,8 @@
 	return nil, nil
 }
 
-// put proposes changes of a version, and steps until the new version is in force or refused.
-func put(t *testing.T, r *StateMachine, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
+// proposePut proposes changes of a version, and steps until the new version is in force or refused.
+func proposePut(t *testing.T, r *StateMachine, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
 	c := &configsync.Command{Kind: configsync.CommandPut, From: from, Seq: 1, Base: base}
 	for _, i := range items {
 		if len(i.Value) > 0 {
@@ -44,7 +44,7 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	a, all := query(t, r, &configsync.Query{Kind: configsync.QueryPropose, Command: c})
+	a, all := queryNode(t, r, &configsync.Query{Kind: configsync.QueryPropose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
 		if !a.Verdict.Done || r.ConfigSyncStatus().Version >= a.Verdict.Version || r.ConfigSyncStatus().RefusedVersion >= a.Verdict.Version {
@@ -55,10 +55,10 @@
 	return a.Verdict, append(all, step(r)...)
 }
 
-func TestPutIsValidatedBeforeItIsOrdered(t *testing.T) {
-	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
+func TestPutIsValidatedBeforeItIsProposed(t *testing.T) {
+	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
-	servingNode(r)
+	startServing(r)
 	for _, c := range []struct {
 		item nodeconfig.Item
 		want string
@@ -68,21 +68,21 @@
 		{nodeconfig.Item{Part: "levels", Name: "x", Value: []byte("4")}, "no such part"},
 		{tenant("x", 3), "no operation would be left"},
 	} {
-		v, _ := put(t, r, c.item.Part+c.item.Name, 0, c.item)
+		v, _ := proposePut(t, r, c.item.Part+c.item.Name, 0, c.item)
 		assert.False(t, v.Done)
 		assert.Contains(t, v.Refused, c.want)
 	}
 }
 
 func TestNodeReportsAVersionItCannotApply(t *testing.T) {
-	r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
+	r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
-	servingNode(r)
-	v, _ := put(t, r, "a", 0, contentItems(r)...)
+	startServing(r)
+	v, _ := proposePut(t, r, "a", 0, activeItems(r)...)
 	require.True(t, v.Done, v.Refused)
 	awaitRollout(t, r)
 	before := r.config.Clone()
-	v, effects := put(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
+	v, effects := proposePut(t, r, "b", 1, operation("new", `,"class_calls":true`), tenant("x", 3))
 	require.True(t, v.Done, "by itself it is valid: %s", v.Refused)
 	assert.Empty(t, effectsOfKind(effects, ReportVersionInForce))
 	assert.Equal(t, before, r.config.Clone())
@@ -92,7 +92,7 @@
 	for range 10 {
 		step(r)
 	}
-	a, _ := query(t, r, &configsync.Query{Kind: configsync.QueryStatus})
+	a, _ := queryNode(t, r, &configsync.Query{Kind: configsync.QueryStatus})
 	assert.True(t, a.ReplicaStatus.Head.Stopped, "the rollout stops")
 	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.ReplicaStatus.Head.Who, a.ReplicaStatus.Head.All.Version})
 }
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -37,8 +37,8 @@
 	return r, err
 }
 
-// servingNode brings a configured node up, and returns the effects of its first step.
-func servingNode(r *StateMachine) (effects []Effect) {
+// startServing brings a configured node up, and returns the effects of its first step.
+func startServing(r *StateMachine) (effects []Effect) {
 	effects = step(r, Input{Kind: ConnectionOpened, Link: 7})
 	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
 	told(r, "WELCOME old 0")
@@ -49,7 +49,7 @@
 	return effects
 }
 
-func fromFile(file *configsync.Content) configsync.InitialState {
+func initialStateFromFile(file *configsync.Content) configsync.InitialState {
 	return configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
 
@@ -64,8 +64,8 @@
 	t.Fatal("a version stays at the canary stage")
 }
 
-// contentItems is the content in force as items.
-func contentItems(r *StateMachine) (items []nodeconfig.Item) {
+// activeItems is the content in force as items.
+func activeItems(r *StateMachine) (items []nodeconfig.Item) {
 	for i := range r.configSync.replicator.Content().All {
 		items = append(items, nodeconfig.Item(i))
 	}
@@ -73,17 +73,17 @@
 }
 
 func TestVersionComesIntoForceWithWorkInFlight(t *testing.T) {
-	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
+	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
-	first := effectsOfKind(servingNode(r), ReportVersionInForce)
+	first := effectsOfKind(startServing(r), ReportVersionInForce)
 	require.Len(t, first, 1, "the initial version is reported")
 	assert.Equal(t, "file", first[0].InForce.Source)
-	v, _ := put(t, r, "a", 0, contentItems(r)...)
+	v, _ := proposePut(t, r, "a", 0, activeItems(r)...)
 	require.True(t, v.Done, v.Refused)
 
 	awaitRollout(t, r)
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 1, "op", "hold"))))
-	v, effects := put(t, r, "b", 1, removal(nodeconfig.Operations, "hold"), operation("new", ""))
+	v, effects := proposePut(t, r, "b", 1, removal(nodeconfig.Operations, "hold"), operation("new", ""))
 	require.True(t, v.Done, v.Refused)
 	in := effectsOfKind(effects, ReportVersionInForce)
 	require.Len(t, in, 1)
@@ -96,17 +96,17 @@
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 3, "op", "new"))))
 	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(r, 1)), "work in flight ends under the old version")
 
-	v, _ = put(t, r, "c", 1, tenant("x", 3))
+	v, _ = proposePut(t, r, "c", 1, tenant("x", 3))
 	assert.True(t, v.Stale)
 	assert.ElementsMatch(t, []configsync.Item{{Part: nodeconfig.Operations, Name: "hold"}, {Part: nodeconfig.Operations, Name: "new"}}, v.Differing)
-	again, _ := put(t, r, "b", 7, operation("other", ""))
+	again, _ := proposePut(t, r, "b", 7, operation("other", ""))
 	assert.Equal(t, uint64(2), again.Version, "the same request has the same verdict")
 }
 
 func TestLargeReplicatedVersionIsAppliedInBoundedSteps(t *testing.T) {
-	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, fromFile)
+	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
-	servingNode(r)
+	startServing(r)
 	content := r.configSync.replicator.Content()
 	var items []configsync.Item
 	for k := range 10 * maxChangesPerStep {
@@ -131,7 +131,7 @@
 }
 
 // A version at the canary stage is validated at the other nodes, and nothing of it is in force there.
-func TestVersionThatIsOnlyValidatedChangesNothing(t *testing.T) {
+func TestCheckedVersionChangesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		item    nodeconfig.Item
@@ -142,9 +142,9 @@
 		{"one that this node can't take", operation("new", `,"class_calls":true`), 1, false},
 		{"sound, and its turn comes", tenant("x", 3), 0, true},
 	} {
-		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, fromFile)
+		r, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, initialStateFromFile)
 		require.NoError(t, err)
-		servingNode(r)
+		startServing(r)
 		before, content := r.config.Clone(), r.configSync.replicator.Content()
 		items := []configsync.Item{configsync.Item(c.item)}
 		for k := range 3 * maxChangesPerStep {
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestStartIsFromTheDiskWhereItIsValid(t *testing.T) {
+func TestNodeStartsFromValidVersionOnDisk(t *testing.T) {
 	kept := func(items ...nodeconfig.Item) func(file *configsync.Content) configsync.InitialState {
 		return func(file *configsync.Content) configsync.InitialState {
 			var list []configsync.Item
@@ -189,7 +189,7 @@
 	}
 	r, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, kept(operation("new", ""), removal(nodeconfig.Operations, "hold")))
 	require.NoError(t, err)
-	in := effectsOfKind(servingNode(r), ReportVersionInForce)
+	in := effectsOfKind(startServing(r), ReportVersionInForce)
 	require.Len(t, in, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{in[0].InForce.Source, in[0].InForce.Revision.Version, in[0].InForce.Added, in[0].InForce.Removed})
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 1, "op", "new"))))
@@ -223,14 +223,14 @@
 		return configsync.InitialState{Mark: configsync.Revision{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
 	})
 	require.NoError(t, err)
-	servingNode(r)
+	startServing(r)
 	r.executeConfigEffect(&configsync.Effect{Kind: configsync.ApplyVersion, Old: own, New: next, Revision: configsync.Revision{Version: 2, Digest: next.Digest()}})
 	steps, last := 0, 0
 	for ; r.configSync.pending != nil; steps++ {
 		taking := r.configSync.pending
 		require.Less(t, steps, 1_000)
 		r.applyPendingConfig()
-		if taken := taking.version.counts.changed; taking.validation == nil {
+		if taken := taking.progress.counts.changed; taking.validation == nil {
 			assert.LessOrEqual(t, taken-last, most)
 			last = taken
 		}
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -61,16 +61,16 @@
 
 // degradationState runs the degradation controller and counts what was served at each level; the zero value has no plan.
 type degradationState struct {
-	plan        *DegradationPlan  // by this node's operation indices
-	given       *DegradationPlan  // by the indices it was written for
-	givenNames  *nodeconfig.Names // of those
-	controller  *degradation.Controller
-	random      *rand.Rand
-	metrics     admission.LoadMetrics
-	totals      []ServiceCounts // by level, since the plan was adopted
-	current     ServiceCounts   // since the last change
-	timeByLevel []int64         // ns
-	enteredAt   int64
+	plan          *DegradationPlan  // by this node's operation indices
+	originalPlan  *DegradationPlan  // by the indices it was written for
+	originalNames *nodeconfig.Names // of those
+	controller    *degradation.Controller
+	random        *rand.Rand
+	metrics       admission.LoadMetrics
+	countsByLevel []ServiceCounts // by level, since the plan was adopted
+	currentCounts ServiceCounts   // since the last change
+	timeByLevel   []int64         // ns
+	enteredAt     int64
 }
 
 // enabled says whether there is a plan.
@@ -114,7 +114,7 @@
 			fmt.Errorf("%v: %s", problems[0].Path, problems[0].Description))
 		return
 	}
-	sm.adoptPlan(fitPlan(plan, names, sm.config.Operations), plan, names)
+	sm.adoptPlan(remapPlan(plan, names, sm.config.Operations), plan, names)
 }
 
 // adoptPlan puts a plan into force that was fitted to this node's operations.
@@ -126,24 +126,24 @@
 	if plan == nil && ds.plan == nil {
 		return
 	}
-	event := &LevelChange{FromName: ds.levelName(), PreviousCounts: ds.current}
+	event := &LevelChange{FromName: ds.levelName(), PreviousCounts: ds.currentCounts}
 	controller, change := ds.replaceController(plan, sm.now)
 	event.Change = change
 	if ds.plan != nil {
 		ds.closePeriod(sm.now, ds.level())
 	}
-	ds.given = given
-	ds.givenNames = givenNames
+	ds.originalPlan = given
+	ds.originalNames = givenNames
 	ds.plan = plan
 	ds.controller = controller
-	ds.totals = nil
+	ds.countsByLevel = nil
 	ds.timeByLevel = nil
 	ds.enteredAt = sm.now
 	if plan != nil {
-		ds.totals = make([]ServiceCounts, len(plan.Levels)+1)
+		ds.countsByLevel = make([]ServiceCounts, len(plan.Levels)+1)
 		ds.timeByLevel = make([]int64, len(plan.Levels)+1)
-		for level := range ds.totals {
-			ds.totals[level].Level = plan.LevelName(level)
+		for level := range ds.countsByLevel {
+			ds.countsByLevel[level].Level = plan.LevelName(level)
 		}
 		event.Plan = plan.Name
 		event.ToName = plan.LevelName(change.To)
@@ -168,19 +168,19 @@
 
 // closePeriod adds the period that ends to the totals of its level.
 func (ds *degradationState) closePeriod(now int64, level int) {
-	total := &ds.totals[level]
-	total.add(&ds.current)
+	total := &ds.countsByLevel[level]
+	total.add(&ds.currentCounts)
 	ds.timeByLevel[level] += now - ds.enteredAt
 	total.Seconds = ds.timeByLevel[level] / nsPerSecond
 }
 
 // startPeriod starts counting at the level in force.
 func (ds *degradationState) startPeriod(now int64) {
-	ds.current = ServiceCounts{}
+	ds.currentCounts = ServiceCounts{}
 	ds.enteredAt = now
 	if ds.plan != nil {
-		ds.totals[ds.level()].Entered++
-		ds.current.Level = ds.levelName()
+		ds.countsByLevel[ds.level()].Entered++
+		ds.currentCounts.Level = ds.levelName()
 	}
 }
 
@@ -195,7 +195,7 @@
 	if !changed {
 		return
 	}
-	before := ds.current
+	before := ds.currentCounts
 	before.Seconds = change.PreviousLevelDuration / nsPerSecond
 	ds.closePeriod(sm.now, change.From)
 	ds.startPeriod(sm.now)
@@ -206,13 +206,13 @@
 // applyLevel has the admission controller apply the level in force, and reports the change.
 func (sm *StateMachine) applyLevel(change *LevelChange) {
 	if sm.controller != nil {
-		sm.events = append(sm.events, sm.degradation.levelEvent())
+		sm.events = append(sm.events, sm.degradation.levelSetEvent())
 	}
 	sm.emit(Effect{Kind: LevelChanged, LevelChange: change})
 }
 
-// levelEvent is the event for the admission controller of what the level in force leaves of each operation.
-func (ds *degradationState) levelEvent() admission.Event {
+// levelSetEvent is the event for the admission controller of what the level in force leaves of each operation.
+func (ds *degradationState) levelSetEvent() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if ds.plan != nil {
 		e.Services = ds.plan.Services(ds.level())
@@ -221,8 +221,8 @@
 	return e
 }
 
-// formFor is the name that an operation's run has at the executor, and the level's name where that is a reduced form.
-func (sm *StateMachine) formFor(op string, form admission.Form) (class, level string) {
+// executorOperation is the name that an operation's run has at the executor, and the level's name where that is a reduced form.
+func (sm *StateMachine) executorOperation(op string, form admission.Form) (class, level string) {
 	ds := &sm.degradation
 	if form != admission.Reduced || ds.level() == 0 {
 		return op, ""
@@ -240,13 +240,13 @@
 	switch {
 	case ds.plan == nil:
 	case succeeded && reduced:
-		ds.current.Reduced++
+		ds.currentCounts.Reduced++
 	case succeeded:
-		ds.current.Full++
+		ds.currentCounts.Full++
 	case reason == admission.ReasonDegraded:
-		ds.current.ThrottledByLevel++
+		ds.currentCounts.ThrottledByLevel++
 	default:
-		ds.current.ThrottledOther++
+		ds.currentCounts.ThrottledOther++
 	}
 }
 
@@ -256,8 +256,8 @@
 		return nil
 	}
 	ds := sm.degradation // a copy, in which the current period is closed
-	ds.totals = slices.Clone(ds.totals)
+	ds.countsByLevel = slices.Clone(ds.countsByLevel)
 	ds.timeByLevel = slices.Clone(ds.timeByLevel)
 	ds.closePeriod(sm.now, ds.level())
-	return ds.totals
+	return ds.countsByLevel
 }
--- a/internal/node/degradation_plan.go
+++ b/internal/node/degradation_plan.go
@@ -7,9 +7,9 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// fitPlan is a plan by the operation indices of the node that adopts it: those change in service, and need not be those of a file.
+// remapPlan is a plan by the operation indices of the node that adopts it: those change in service, and need not be those of a file.
 // What it says of operations that the node doesn't have is left out.
-func fitPlan(plan *DegradationPlan, names, own *nodeconfig.Names) *DegradationPlan {
+func remapPlan(plan *DegradationPlan, names, own *nodeconfig.Names) *DegradationPlan {
 	fitted := *plan
 	fitted.Levels = slices.Clone(plan.Levels)
 	fitted.Forms = make([][]string, len(plan.Levels))
@@ -19,14 +19,14 @@
 	}
 	for i := range int32(own.Slots()) {
 		if own.Has(i) {
-			fitted.setOperation(i, own.Name(i), plan, names)
+			fitted.remapOperation(i, own.Name(i), plan, names)
 		}
 	}
 	return &fitted
 }
 
-// setOperation gives an index what a plan says of the operation of a name.
-func (p *DegradationPlan) setOperation(index int32, name string, given *DegradationPlan, givenNames *nodeconfig.Names) {
+// remapOperation gives an index what a plan says of the operation of a name.
+func (p *DegradationPlan) remapOperation(index int32, name string, given *DegradationPlan, givenNames *nodeconfig.Names) {
 	i, known := givenNames.Lookup(name)
 	for k := range p.Levels {
 		level := &p.Levels[k]
@@ -44,10 +44,10 @@
 	}
 }
 
-// setOperation does so in the plan in force; an empty name clears the index.
-func (ds *degradationState) setOperation(index int32, name string) {
+// remapOperation does so in the plan in force; an empty name clears the index.
+func (ds *degradationState) remapOperation(index int32, name string) {
 	if ds.plan != nil {
-		ds.plan.setOperation(index, name, ds.given, ds.givenNames)
+		ds.plan.remapOperation(index, name, ds.originalPlan, ds.originalNames)
 	}
 }
 
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -42,7 +42,7 @@
 	assert.Nil(t, r.ServiceCountsByLevel())
 }
 
-func TestPlanAdoptedBeforeTheExecutorConnectsAppliesOnceItDoes(t *testing.T) {
+func TestPlanAdoptedBeforeExecutorConnectsAppliesAfterwards(t *testing.T) {
 	r := fresh(t)
 	step(r, Input{Kind: PlanChanged, Plan: testPlan(-1)})
 	told(r, "WELCOME old 0")
@@ -54,10 +54,10 @@
 }
 
 // A plan that was written for other operations is fitted by their names; what it says of unknown ones is left out.
-func TestPlanIsFittedByTheNamesOfOperations(t *testing.T) {
+func TestPlanIsRemappedByOperationNames(t *testing.T) {
 	plan := testPlan(1)
 	own := nodeconfig.NewNames("hold", "new", "catalogue")
-	fitted := fitPlan(plan, nodeconfig.NewNames("catalogue", "gone"), own)
+	fitted := remapPlan(plan, nodeconfig.NewNames("catalogue", "gone"), own)
 	assert.Equal(t, []admission.Service{{}, {}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}}, fitted.Levels[0].Services)
 	assert.Equal(t, []string{"", "", "catalogue-plain"}, fitted.Forms[0])
 	assert.Equal(t, admission.Shed, fitted.Levels[1].Services[2].Form)
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -24,7 +24,7 @@
 	return r
 }
 
-func TestReducedRunNamesItsFormAndItsAnswerTheLevel(t *testing.T) {
+func TestReducedRunSendsFormToExecutorAndLevelToCaller(t *testing.T) {
 	r := nodeAtLevel(t, 1)
 	assert.Contains(t, text(step(r, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue-plain 4")
 	effects := told(r, "EXIT 1 "+callID+" good 5 2|ok")
@@ -35,24 +35,24 @@
 	require.NoError(t, err)
 	assert.Equal(t, "ok", string(body))
 	assert.Contains(t, fields, frame.Field{Name: "level", Value: "plain"})
-	assert.Equal(t, 1, r.degradation.current.Reduced)
+	assert.Equal(t, 1, r.degradation.currentCounts.Reduced)
 }
 
-func TestWholeAnswerNamesNoLevel(t *testing.T) {
+func TestFullServiceAnswerNamesNoLevel(t *testing.T) {
 	r := nodeAtLevel(t, 1)
 	effects := step(r, invoke(1, "op", "hold"))
 	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
 	assert.NotContains(t, text(told(r, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
-	assert.Equal(t, 1, r.degradation.current.Full)
+	assert.Equal(t, 1, r.degradation.currentCounts.Full)
 }
 
-func TestRejectionsByTheLevelAreCountedApart(t *testing.T) {
+func TestRejectionsByLevelAreCountedSeparately(t *testing.T) {
 	r := nodeAtLevel(t, 2)
 	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, invoke(1))))
-	assert.Equal(t, ServiceCounts{Level: "none", ThrottledByLevel: 1}, r.degradation.current)
+	assert.Equal(t, ServiceCounts{Level: "none", ThrottledByLevel: 1}, r.degradation.currentCounts)
 	all := r.ServiceCountsByLevel()
 	assert.Equal(t, 1, all[2].ThrottledByLevel)
-	assert.Equal(t, 0, r.degradation.totals[2].ThrottledByLevel, "a read changes nothing")
+	assert.Equal(t, 0, r.degradation.countsByLevel[2].ThrottledByLevel, "a read changes nothing")
 }
 
 func TestLevelChangeIsReportedWithItsCause(t *testing.T) {
@@ -85,7 +85,7 @@
 }
 
 // A link to the executor that takes long to open must not keep the node awake.
-func TestWakeLiesAheadWhileTheExecutorIsDialled(t *testing.T) {
+func TestNextWakeupIsInTheFutureWhileDialingExecutor(t *testing.T) {
 	r := up(t)
 	step(r, Input{Kind: ExecutorDisconnected, Link: r.executor.link})
 	r.now = r.executor.redialAt
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -78,7 +78,7 @@
 	tag := x.syncTag()
 	if x.synced {
 		tag = "m" + strconv.Itoa(x.commands.sequence)
-		x.commands.gaugesSequence = x.commands.sequence
+		x.commands.gaugesRequestSequence = x.commands.sequence
 	}
 	x.send("METER", tag)
 }
@@ -86,7 +86,7 @@
 // requestAcknowledgement requests gauges after new commands, so that only those of the last round trip are in doubt when
 // a link breaks. A reply to a call that is sent twice would otherwise be taken for the reply to the run's next call.
 func (x *executorState) requestAcknowledgement() {
-	if x.synced && x.commands.sequence > x.commands.gaugesSequence {
+	if x.synced && x.commands.sequence > x.commands.gaugesRequestSequence {
 		x.requestGauges()
 	}
 }
@@ -104,7 +104,7 @@
 	}
 	if tag == x.syncTag() && !x.synced {
 		x.synced = true
-		x.commands.gaugesSequence = 0
+		x.commands.gaugesRequestSequence = 0
 		x.resendCommands()
 		return nil
 	}
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -42,7 +42,7 @@
 
 // addInvocation gives an invocation an index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
-	sm.versions.acquire(&v, sm.currentTerms(v.operationIndex))
+	sm.versions.acquireReferences(&v, sm.currentTerms(v.operationIndex))
 	index := sm.allocateIndex()
 	sm.invocations[index] = v
 	sm.indexByID[v.invocationID] = index
@@ -83,7 +83,7 @@
 	if sm.indexByID[v.invocationID] == i {
 		delete(sm.indexByID, v.invocationID)
 	}
-	sm.versions.release(v)
+	sm.versions.releaseReferences(v)
 	*v = invocation{}
 	sm.freeIndices = append(sm.freeIndices, i)
 }
@@ -99,7 +99,7 @@
 		sm.startTokenRun(i)
 		return
 	}
-	class, level := sm.formFor(v.operationName, form)
+	class, level := sm.executorOperation(v.operationName, form)
 	v.levelName = level
 	sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.invocationID, class))
 	v.body = nil
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -318,6 +318,6 @@
 	sm.health.setHealth(true, false)
 	sm.timerAt = sm.now
 	if sm.degradation.enabled() {
-		sm.events = append(sm.events, sm.degradation.levelEvent())
+		sm.events = append(sm.events, sm.degradation.levelSetEvent())
 	}
 }
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -16,7 +16,7 @@
 type terms struct {
 	tokenLifetime int64 // ns that a token is known, from the arrival of its first invocation
 	lateAllowance int64 // ns of these past the deduplication window
-	inHand        int   // invocations in flight under these terms
+	inFlight      int   // invocations in flight under these terms
 }
 
 // indexKey names an operation or a tenant by its index.
@@ -60,7 +60,7 @@
 	if int(index) >= len(vs.termsByOperation) || len(vs.termsByOperation[index]) == 0 {
 		return // currentTerms makes them when they are needed
 	}
-	referenced := slices.DeleteFunc(vs.termsByOperation[index], func(t *terms) bool { return t.inHand == 0 })
+	referenced := slices.DeleteFunc(vs.termsByOperation[index], func(t *terms) bool { return t.inFlight == 0 })
 	vs.termsByOperation[index] = append(referenced, t)
 }
 
@@ -79,37 +79,37 @@
 func (sm *StateMachine) maxTokenLifetime(op int32) int64 {
 	lifetime := sm.currentTerms(op).tokenLifetime
 	for _, t := range sm.versions.termsByOperation[op] {
-		if t.inHand > 0 {
+		if t.inFlight > 0 {
 			lifetime = max(lifetime, t.tokenLifetime)
 		}
 	}
 	return lifetime
 }
 
-// acquire counts an invocation's references; one that is submitted anew keeps its terms.
-func (vs *versionState) acquire(v *invocation, current *terms) {
+// acquireReferences counts an invocation's references; one that is submitted anew keeps its terms.
+func (vs *versionState) acquireReferences(v *invocation, current *terms) {
 	if v.terms == nil {
 		v.terms = current
 	}
-	v.terms.inHand++
+	v.terms.inFlight++
 	if v.tenant < 0 {
 		return
 	}
-	if vs.inHandByTenant == nil {
-		vs.inHandByTenant = make(map[int32]int)
+	if vs.inFlightByTenant == nil {
+		vs.inFlightByTenant = make(map[int32]int)
 	}
-	vs.inHandByTenant[v.tenant]++
+	vs.inFlightByTenant[v.tenant]++
 }
 
-// release drops an invocation's references.
-func (vs *versionState) release(v *invocation) {
-	v.terms.inHand--
+// releaseReferences drops an invocation's references.
+func (vs *versionState) releaseReferences(v *invocation) {
+	v.terms.inFlight--
 	if v.tenant < 0 {
 		return
 	}
-	vs.inHandByTenant[v.tenant]--
-	if vs.inHandByTenant[v.tenant] == 0 {
-		delete(vs.inHandByTenant, v.tenant)
+	vs.inFlightByTenant[v.tenant]--
+	if vs.inFlightByTenant[v.tenant] == 0 {
+		delete(vs.inFlightByTenant, v.tenant)
 	}
 }
 
@@ -137,18 +137,18 @@
 		vs.retiredAt = make(map[indexKey]int64)
 	}
 	vs.retiredAt[key] = sm.now
-	vs.retired = append(vs.retired, retiredIndex{indexKey: key, retiredAt: sm.now, checkAt: sm.now + vs.retention(key.part), idle: vs.references(key) == 0})
+	vs.retiredIndices = append(vs.retiredIndices, retiredIndex{indexKey: key, retiredAt: sm.now, checkAt: sm.now + vs.retention(key.part), idle: vs.references(key) == 0})
 }
 
 // references counts the invocations in flight of an operation or a tenant.
 func (vs *versionState) references(key indexKey) int {
 	if key.part == nodeconfig.Tenants {
-		return vs.inHandByTenant[key.index]
+		return vs.inFlightByTenant[key.index]
 	}
 	n := 0
 	if int(key.index) < len(vs.termsByOperation) {
 		for _, t := range vs.termsByOperation[key.index] {
-			n += t.inHand
+			n += t.inFlight
 		}
 	}
 	return n
@@ -157,12 +157,12 @@
 // releaseRetired releases indices whose last invocation ended so long ago that nothing of it is left.
 func (sm *StateMachine) releaseRetired() {
 	vs := &sm.versions
-	for range min(maxReleasesPerStep, len(vs.retired)) {
-		r := vs.retired[0]
+	for range min(maxReleasesPerStep, len(vs.retiredIndices)) {
+		r := vs.retiredIndices[0]
 		if r.checkAt > sm.now {
 			return
 		}
-		vs.retired = vs.retired[1:]
+		vs.retiredIndices = vs.retiredIndices[1:]
 		retiredAt, retired := vs.retiredAt[r.indexKey]
 		if !retired || retiredAt != r.retiredAt {
 			continue // it came back; where it was retired again a later entry stands for it
@@ -171,7 +171,7 @@
 		if references > 0 || !r.idle {
 			r.idle = references == 0
 			r.checkAt = sm.now + vs.retention(r.part)
-			vs.retired = append(vs.retired, r)
+			vs.retiredIndices = append(vs.retiredIndices, r)
 			continue
 		}
 		sm.releaseIndex(r.indexKey)
@@ -189,7 +189,7 @@
 	if int(key.index) < len(vs.termsByOperation) {
 		vs.termsByOperation[key.index] = nil
 	}
-	sm.degradation.setOperation(key.index, "")
+	sm.degradation.remapOperation(key.index, "")
 	if sm.controller != nil {
 		sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: key.index})
 	}
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -49,7 +49,7 @@
 	i, _ := r.config.Operations.Find("next")
 	assert.Equal(t, int32(2), i, "the index is reserved while tokens refer to it")
 	passTime(r, 40_000*ms)
-	assert.Empty(t, r.versions.retired)
+	assert.Empty(t, r.versions.retiredIndices)
 	assert.True(t, r.config.Node.Operations[0].Removed)
 	require.NoError(t, applyVersion(t, r, operation("last", "")))
 	i, _ = r.config.Operations.Find("last")
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -63,7 +63,7 @@
 		Links:           sm.catalogue.openLinks(),
 		Idle:            sm.catalogue.idleLinks(),
 		Waiting:         sm.catalogue.waitingCalls(),
-		Unread:          sm.executor.unreadCommands(),
+		Unread:          sm.executor.unacknowledgedCommands(),
 		GaugeAge:        sm.executor.gaugesAge(),
 		Synced:          sm.executor.isSynced(),
 		Configuration:   sm.ConfigSyncStatus(),
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -31,8 +31,8 @@
 	removed int
 }
 
-// version is a version of the configuration on its way into force.
-type version struct {
+// pendingVersion is a pendingVersion of the configuration on its way into force.
+type pendingVersion struct {
 	number    uint64
 	amendment *nodeconfig.Amendment
 	changes   []nodeconfig.Change // those of the amendment not applied yet
@@ -44,18 +44,18 @@
 // versionState brings versions of the configuration into force between two steps, in parts of bounded cost, and tracks which
 // operations and tenants are referenced by invocations in flight. Without versions it only counts references.
 type versionState struct {
-	active           uint64 // last version in force
-	pending          []version
+	activeVersion    uint64 // last version in force
+	pending          []pendingVersion
 	termsByOperation [][]*terms // by operation index, the current terms last; empty before the first invocation
-	inHandByTenant   map[int32]int
-	retired          []retiredIndex // by checkAt
+	inFlightByTenant map[int32]int
+	retiredIndices   []retiredIndex // by checkAt
 	retiredAt        map[indexKey]int64
 	maxLifetime      int64 // ns, the longest token lifetime of any operation so far; 0 before the first change
 	indicesPinned    bool  // stored results refer to indices of operations and tenants
 }
 
 // ActiveVersion is the last version of the configuration that is in force as a whole, 0 before the first.
-func (sm *StateMachine) ActiveVersion() uint64 { return sm.versions.active }
+func (sm *StateMachine) ActiveVersion() uint64 { return sm.versions.activeVersion }
 
 // pinIndices has versions rejected that add or remove operations or tenants.
 func (vs *versionState) pinIndices(pinned bool) { vs.indicesPinned = pinned }
@@ -65,7 +65,7 @@
 	if n := len(vs.pending); n > 0 {
 		return vs.pending[n-1].number
 	}
-	return vs.active
+	return vs.activeVersion
 }
 
 // dropFirst removes the first pending version.
@@ -80,7 +80,7 @@
 	case len(vs.pending) >= maxPendingVersions:
 		sm.refuseVersion(in.Version, errTooManyVersions)
 	default:
-		vs.pending = append(vs.pending, version{number: in.Version, amendment: in.Change, changes: in.Change.Changes})
+		vs.pending = append(vs.pending, pendingVersion{number: in.Version, amendment: in.Change, changes: in.Change.Changes})
 	}
 }
 
@@ -121,13 +121,13 @@
 }
 
 // versionApplied records that a version is in force as a whole.
-func (sm *StateMachine) versionApplied(v *version) {
-	sm.versions.active = max(sm.versions.active, v.number)
+func (sm *StateMachine) versionApplied(v *pendingVersion) {
+	sm.versions.activeVersion = max(sm.versions.activeVersion, v.number)
 	sm.Counters.Versions++
 }
 
 // validateVersion gives the reason why a version can't be applied, once all of it was examined. It changes nothing in force.
-func (sm *StateMachine) validateVersion(v *version) (complete bool, err error) {
+func (sm *StateMachine) validateVersion(v *pendingVersion) (complete bool, err error) {
 	for end := v.lookedUp + maxLookupsPerStep; v.lookedUp < len(v.changes); v.lookedUp++ {
 		if v.lookedUp == end {
 			return false, nil
@@ -168,13 +168,13 @@
 }
 
 // applyChanges brings changes of a version into force.
-func (sm *StateMachine) applyChanges(v *version, changes []nodeconfig.Change) {
+func (sm *StateMachine) applyChanges(v *pendingVersion, changes []nodeconfig.Change) {
 	for i := range changes {
 		sm.applyChange(v, changes[i])
 	}
 }
 
-func (sm *StateMachine) applyChange(v *version, c nodeconfig.Change) {
+func (sm *StateMachine) applyChange(v *pendingVersion, c nodeconfig.Change) {
 	sm.initMaxLifetime()
 	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
 	t := sm.config.Apply(&c)
@@ -197,7 +197,7 @@
 	op := c.Operation
 	sm.versions.replaceTerms(t.Index, &op)
 	if t.Added {
-		sm.degradation.setOperation(t.Index, c.Name)
+		sm.degradation.remapOperation(t.Index, c.Name)
 	}
 	sm.emit(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
 	if sm.controller != nil {
--- a/internal/node/versions_bench_test.go
+++ b/internal/node/versions_bench_test.go
@@ -23,7 +23,7 @@
 			for k := range size[1] {
 				items = append(items, tenant(fmt.Sprint("t", k), 1))
 			}
-			step(r, versionOf(b, 1, items...))
+			step(r, versionInput(b, 1, items...))
 			for len(r.versions.pending) > 0 {
 				step(r)
 			}
@@ -35,7 +35,7 @@
 				for k := range maxChangesPerStep / 2 {
 					items = append(items, operation(fmt.Sprint("o", k%size[0]+k/size[0]*10_000), fmt.Sprintf(`,"importance":%d`, number)), tenant(fmt.Sprint("t", k), int(number)))
 				}
-				in := versionOf(b, number, items...)
+				in := versionInput(b, number, items...)
 				b.StartTimer()
 				step(r, in)
 			}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -22,8 +22,8 @@
 	return nodeconfig.Item{Part: nodeconfig.Tenants, Name: name, Value: fmt.Appendf(nil, `{"quota_rps":%d}`, rate)}
 }
 
-// versionOf is the input of a version.
-func versionOf(t require.TestingT, number uint64, items ...nodeconfig.Item) Input {
+// versionInput is the input of a version.
+func versionInput(t require.TestingT, number uint64, items ...nodeconfig.Item) Input {
 	change, err := nodeconfig.Parse(items)
 	require.NoError(t, err)
 	return Input{Kind: VersionReceived, Version: number, Change: change}
@@ -31,7 +31,7 @@
 
 // applyVersion brings items into force as the next version, or returns why that can't be.
 func applyVersion(t *testing.T, r *StateMachine, items ...nodeconfig.Item) error {
-	got := effectsOfKind(step(r, versionOf(t, r.ActiveVersion()+1, items...)), VersionApplied)
+	got := effectsOfKind(step(r, versionInput(t, r.ActiveVersion()+1, items...)), VersionApplied)
 	require.Len(t, got, 1)
 	return got[0].Err
 }
@@ -70,7 +70,7 @@
 	assert.Equal(t, 1, countRuns(step(r, arrival(r, 2, "op", "new", "org", "x"))))
 	assert.Equal(t, []string{"51 on 3"}, answers(t, step(r, arrival(r, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, endRun(r, 2)))
-	got := effectsOfKind(step(r, versionOf(t, 1, tenant("x", 4))), VersionApplied)
+	got := effectsOfKind(step(r, versionInput(t, 1, tenant("x", 4))), VersionApplied)
 	assert.ErrorIs(t, got[0].Err, errStaleVersion)
 	assert.Equal(t, []float64{3}, r.config.Node.TenantRates)
 }
@@ -121,7 +121,7 @@
 	for k := range 10*maxChangesPerStep + 1 {
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
 	}
-	in := []Input{versionOf(t, 1, items...), versionOf(t, 2, removal(nodeconfig.Tenants, "t0"))}
+	in := []Input{versionInput(t, 1, items...), versionInput(t, 2, removal(nodeconfig.Tenants, "t0"))}
 	for steps := 1; ; steps++ {
 		was := r.config.Tenants.Slots()
 		effects := r.Step(r.now+ms, r.now+ms+1_000_000*ms, in)
@@ -134,9 +134,9 @@
 		assert.Equal(t, r.now+1, effects[len(effects)-1].At)
 	}
 	assert.Equal(t, uint64(2), r.ActiveVersion())
-	in = []Input{versionOf(t, 3, items...)}
+	in = []Input{versionInput(t, 3, items...)}
 	for k := range maxPendingVersions {
-		in = append(in, versionOf(t, uint64(4+k), tenant("u", k)))
+		in = append(in, versionInput(t, uint64(4+k), tenant("u", k)))
 	}
 	refused := effectsOfKind(r.Step(r.now+ms, r.now+ms+1_000_000*ms, in), VersionApplied)
 	require.Len(t, refused, 1, "pending versions are bounded")
@@ -153,16 +153,16 @@
 	for k := range tenants {
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
 	}
-	step(r, versionOf(t, 1, items...))
+	step(r, versionInput(t, 1, items...))
 	for len(r.versions.pending) > 0 {
 		step(r)
 	}
 	number := uint64(1)
 	return testing.AllocsPerRun(200, func() {
 		number++
-		step(r, versionOf(t, number, operation("o7", fmt.Sprintf(`,"importance":%d`, number)), tenant("t7", int(number)), removal(nodeconfig.Tenants, "t8")))
+		step(r, versionInput(t, number, operation("o7", fmt.Sprintf(`,"importance":%d`, number)), tenant("t7", int(number)), removal(nodeconfig.Tenants, "t8")))
 		number++
-		step(r, versionOf(t, number, tenant("t8", 1)))
+		step(r, versionInput(t, number, tenant("t8", 1)))
 	})
 }
 
@@ -241,7 +241,7 @@
 	}
 	refused := items[: len(items)-1 : len(items)-1]
 	refused = append(refused, operation("new", ""))
-	assert.Empty(t, step(r, versionOf(t, 1, refused...)))
+	assert.Empty(t, step(r, versionInput(t, 1, refused...)))
 	assert.Empty(t, step(r))
 	got := effectsOfKind(step(r), VersionApplied)
 	require.Len(t, got, 1)
