--- a/internal/degradation/conditions.go
+++ b/internal/degradation/conditions.go
@@ -6,10 +6,10 @@
 	"topazpost/internal/admission"
 )
 
-// Limits are thresholds of signals; one that is NaN is not set.
+// Limits holds a threshold for each signal. NaN marks a threshold that is not set.
 type Limits [SignalCount]float64
 
-// NoLimits are limits of which none is set.
+// NoLimits returns limits of which none is set.
 func NoLimits() Limits {
 	var l Limits
 	for signal := range l {
@@ -18,7 +18,7 @@
 	return l
 }
 
-// isEmpty says whether no limit is set.
+// isEmpty reports whether no limit is set.
 func (l *Limits) isEmpty() bool {
 	for _, limit := range l {
 		if !math.IsNaN(limit) {
@@ -28,7 +28,7 @@
 	return true
 }
 
-// firstSignal is the first signal with a limit, the one that is logged.
+// firstSignal returns the first signal with a limit, which represents the condition in logs. It returns Load if no limit is set.
 func (l *Limits) firstSignal() Signal {
 	for signal, limit := range l {
 		if !math.IsNaN(limit) {
@@ -38,16 +38,16 @@
 	return Load
 }
 
-// Condition is a set of limits that signals have to pass together, for a time in nanoseconds.
+// Condition holds when signals are beyond all of its limits at the same time, for Duration nanoseconds without a break.
 type Condition struct {
 	Limits
 	Duration int64
 }
 
-// isOnLoad says whether a condition names the load of the cores, which any level that saves work relieves.
-func (c *Condition) isOnLoad() bool { return !math.IsNaN(c.Limits[Load]) }
+// hasLoadLimit reports whether a condition limits the load. Any level that saves work relieves the load, so that it needs no trial.
+func (c *Condition) hasLoadLimit() bool { return !math.IsNaN(c.Limits[Load]) }
 
-// allAbove says whether the signals of all limits are above them, as a level sees them.
+// allAbove reports whether each signal with a limit is above it. The level selects the load that is compared.
 func (c *Controller) allAbove(limits *Limits, level int, m *admission.LoadMetrics) bool {
 	for signal, limit := range limits {
 		if !math.IsNaN(limit) && !(c.signalValue(Signal(signal), level, m) > limit) {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// allBelow says whether the signals of all limits are below them, as a level sees them.
+// allBelow reports whether each signal with a limit is below it. The level selects the load that is compared.
 func (c *Controller) allBelow(limits *Limits, level int, m *admission.LoadMetrics) bool {
 	for signal, limit := range limits {
 		if !math.IsNaN(limit) && !(c.signalValue(Signal(signal), level, m) < limit) {
--- a/internal/degradation/conditions_test.go
+++ b/internal/degradation/conditions_test.go
@@ -17,14 +17,14 @@
 	assert.Equal(t, CallWait, limits.firstSignal())
 }
 
-func TestConditionOnLoad(t *testing.T) {
+func TestHasLoadLimit(t *testing.T) {
 	onLoad, onMemory := condition(Load, 1, second), condition(Memory, 1, second)
-	assert.True(t, onLoad.isOnLoad())
-	assert.False(t, onMemory.isOnLoad())
+	assert.True(t, onLoad.hasLoadLimit())
+	assert.False(t, onMemory.hasLoadLimit())
 }
 
-// All limits have to be passed together; a value at a limit is on neither side.
-func TestLimitsHoldTogether(t *testing.T) {
+// A condition must not hold unless the signals are beyond all of its limits. A value equal to a limit is neither above nor below it.
+func TestAllLimitsMustBePassed(t *testing.T) {
 	c := newController()
 	metrics := demand(1)
 	metrics.CallWait, metrics.MemoryShare = 0.5, 0.25
--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -9,11 +9,11 @@
 	"topazpost/internal/admission"
 )
 
-func TestControllerEntersTheLevelThatTheLoadNeedsAtOnce(t *testing.T) {
+func TestControllerEntersTheNeededLevelInOneStep(t *testing.T) {
 	for load, level := range map[float64]int{0.9: 0, 1.2: 1, 1.6: 2, 2.2: 3, 9: 3} {
-		l := newController()
-		changes, at := run(l, 0, 3*second, steady(demand(load)))
-		assert.Equal(t, level, l.Level(), "load %g", load)
+		controller := newController()
+		changes, at := run(controller, 0, 3*second, steady(demand(load)))
+		assert.Equal(t, level, controller.Level(), "load %g", load)
 		if level > 0 {
 			assert.Len(t, changes, 1)
 			assert.Equal(t, second/2, at[0])
@@ -24,19 +24,19 @@
 	}
 }
 
-// The relief that a level brings must not end it: the load that counts for leaving is that of the level before.
-func TestLevelStaysWhileTheLoadExceedsTheCoresWithoutIt(t *testing.T) {
-	l := newController()
-	_, at := run(l, 0, 600*second, steady(demand(1.1)))
+// A level must not end because its own effect lowers the load. The exit condition compares the load at the previous level.
+func TestLevelStaysWhileLoadWithoutItExceedsTheCores(t *testing.T) {
+	controller := newController()
+	_, at := run(controller, 0, 600*second, steady(demand(1.1)))
 	assert.Len(t, at, 1)
-	assert.Equal(t, 1, l.Level())
-	assert.Less(t, l.LoadByLevel()[1], 0.85)
+	assert.Equal(t, 1, controller.Level())
+	assert.Less(t, controller.LoadByLevel()[1], 0.85)
 }
 
 func TestControllerReturnsOneLevelAtATime(t *testing.T) {
-	l := newController()
-	run(l, 0, 2*second, steady(demand(3)))
-	changes, _ := run(l, 2*second, 60*second, steady(demand(0.5)))
+	controller := newController()
+	run(controller, 0, 2*second, steady(demand(3)))
+	changes, _ := run(controller, 2*second, 60*second, steady(demand(0.5)))
 	var to []int
 	for _, c := range changes {
 		assert.Equal(t, Recovered, c.Cause)
@@ -45,26 +45,26 @@
 	assert.Equal(t, []int{2, 1, 0}, to)
 }
 
-func TestIdleEndsAnyLevelWhateverTheHoldTime(t *testing.T) {
-	l := newController(func(p *Plan) { p.MinHold = 100 * second })
-	run(l, 0, 2*second, steady(demand(3)))
-	changes, at := run(l, 2*second, 10*second, steady(demand(0.1)))
+func TestIdleNodeReturnsToFullServiceBeforeTheHoldTimeIsOver(t *testing.T) {
+	controller := newController(func(p *Plan) { p.MinHold = 100 * second })
+	run(controller, 0, 2*second, steady(demand(3)))
+	changes, at := run(controller, 2*second, 10*second, steady(demand(0.1)))
 	assert.Len(t, changes, 1)
 	assert.Equal(t, WentIdle, changes[0].Cause)
 	assert.Equal(t, 3*second, at[0])
-	assert.Equal(t, 0, l.Level())
+	assert.Equal(t, 0, controller.Level())
 }
 
-// Pressure that no level relieves, as that of a slow dependency, must not lead to the last level.
-func TestIneffectiveLevelIsLeftAndBarredForLongerEachTime(t *testing.T) {
-	l := newController(func(p *Plan) {
+// Pressure that no level relieves, such as that of a slow dependency, must not drive the node to its most restrictive level.
+func TestIneffectiveLevelIsLeftAndRetriedAfterGrowingDelays(t *testing.T) {
+	controller := newController(func(p *Plan) {
 		for k := range p.Levels {
 			p.Levels[k].Enter = append(p.Levels[k].Enter, condition(CallWait, 0.2, second))
 		}
 	})
 	slow := demand(0.5)
 	slow.CallWait = 0.6
-	changes, at := run(l, 0, 120*second, steady(slow))
+	changes, at := run(controller, 0, 120*second, steady(slow))
 	for _, c := range changes {
 		assert.LessOrEqual(t, c.To, 1)
 	}
@@ -75,11 +75,11 @@
 }
 
 func TestEffectiveLevelStays(t *testing.T) {
-	l := newController(func(p *Plan) { p.Levels[0].Enter = append(p.Levels[0].Enter, condition(CallWait, 0.2, second)) })
-	changes, _ := run(l, 0, 60*second, func(int64) *admission.LoadMetrics {
+	controller := newController(func(p *Plan) { p.Levels[0].Enter = append(p.Levels[0].Enter, condition(CallWait, 0.2, second)) })
+	changes, _ := run(controller, 0, 60*second, func(int64) *admission.LoadMetrics {
 		m := demand(0.9)
 		m.CallWait = 0.6
-		if l.Level() > 0 {
+		if controller.Level() > 0 {
 			m.CallWait = 0.3
 		}
 		return m
@@ -87,43 +87,43 @@
 	assert.Len(t, changes, 1)
 }
 
-func TestReplacedPlanStartsAtALevelThatIsNoMoreRestrictive(t *testing.T) {
+func TestReplacedPlanStartsAtNoMoreRestrictiveLevel(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	l := newController()
-	run(l, 0, 2*second, steady(demand(1.6)))
-	assert.Equal(t, 2, l.Level())
+	controller := newController()
+	run(controller, 0, 2*second, steady(demand(1.6)))
+	assert.Equal(t, 2, controller.Level())
 	milder := plan(func(p *Plan) { p.Levels = p.Levels[:1] })
-	next, c := l.ReplacePlan(milder, 3*second, random)
+	next, c := controller.ReplacePlan(milder, 3*second, random)
 	assert.Equal(t, 1, next.Level())
 	assert.Equal(t, PlanReplaced, c.Cause)
-	harsher := plan(func(p *Plan) { p.Levels = p.Levels[2:] })
-	next, _ = l.ReplacePlan(harsher, 3*second, random)
-	assert.Equal(t, 0, next.Level(), "its only level takes more away than the present one")
+	stricter := plan(func(p *Plan) { p.Levels = p.Levels[2:] })
+	next, _ = controller.ReplacePlan(stricter, 3*second, random)
+	assert.Equal(t, 0, next.Level(), "the only level of the plan is more restrictive than the present one")
 }
 
-func TestNodesHaveTimesOfTheirOwn(t *testing.T) {
+func TestJitterSpreadsHoldTimesOfNodes(t *testing.T) {
 	seen := map[int64]bool{}
 	for seed := range int64(50) {
-		l := NewController(plan(func(p *Plan) { p.Jitter = 0.4 }), 0, rand.New(rand.NewSource(seed)))
-		run(l, 0, 2*second, steady(demand(1.2)))
-		_, at := run(l, 2*second, 40*second, steady(demand(0.5)))
+		controller := NewController(plan(func(p *Plan) { p.Jitter = 0.4 }), 0, rand.New(rand.NewSource(seed)))
+		run(controller, 0, 2*second, steady(demand(1.2)))
+		_, at := run(controller, 2*second, 40*second, steady(demand(0.5)))
 		seen[at[0]/(second/20)] = true
 	}
 	assert.Greater(t, len(seen), 20)
 }
 
 func TestStepAllocatesNothing(t *testing.T) {
-	l, m, now := newController(), demand(1.2), int64(0)
+	controller, m, now := newController(), demand(1.2), int64(0)
 	assert.Zero(t, testing.AllocsPerRun(1000, func() {
 		now += second / 20
-		l.Step(now, m)
+		controller.Step(now, m)
 	}))
 }
 
 func BenchmarkStep(b *testing.B) {
-	l, m := newController(), demand(1.1)
+	controller, m := newController(), demand(1.1)
 	b.ReportAllocs()
 	for i := range b.N {
-		l.Step(int64(i)*second/20, m)
+		controller.Step(int64(i)*second/20, m)
 	}
 }
--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -82,7 +82,7 @@
 			return err
 		}
 		if len(text) > 0 {
-			if change, changed := log.apply(text, tooLong); changed {
+			if change, changed := log.addLine(text, tooLong); changed {
 				change.Line = number
 				t.Changes = append(t.Changes, change)
 			}
@@ -109,8 +109,8 @@
 	return text, tooLong, err
 }
 
-// apply adds a line to the summary, and returns the change of level that it records, if any.
-func (log *NodeLog) apply(text string, tooLong bool) (change LevelChange, changed bool) {
+// addLine adds a line to the summary, and returns the change of level that it records, if any.
+func (log *NodeLog) addLine(text string, tooLong bool) (change LevelChange, changed bool) {
 	start := strings.IndexByte(text, '{')
 	var line logLine
 	if tooLong || start < 0 || json.Unmarshal([]byte(text[start:]), &line) != nil {
@@ -133,14 +133,14 @@
 			log.Unreadable++
 			return LevelChange{}, false
 		}
-		log.applyChange(&change)
+		log.addChange(&change)
 		return change, true
 	}
 	return LevelChange{}, false
 }
 
-// applyChange follows a change of level.
-func (log *NodeLog) applyChange(change *LevelChange) {
+// addChange follows a change of level.
+func (log *NodeLog) addChange(change *LevelChange) {
 	if change.From != "" && change.From != log.Level {
 		log.Gaps++
 	}
--- a/internal/degradation/degradationlog/print_test.go
+++ b/internal/degradation/degradationlog/print_test.go
@@ -10,8 +10,8 @@
 
 func TestChangesOfSeveralNodesArePrintedInOrderOfTime(t *testing.T) {
 	var all Timeline
-	require.NoError(t, all.AddLog("late.log", strings.NewReader(log)))
-	early := strings.ReplaceAll(strings.ReplaceAll(log, "10:00:09", "09:59:59"), `"n7"`, `"n8"`)
+	require.NoError(t, all.AddLog("late.log", strings.NewReader(sampleLog)))
+	early := strings.ReplaceAll(strings.ReplaceAll(sampleLog, "10:00:09", "09:59:59"), `"n7"`, `"n8"`)
 	require.NoError(t, all.AddLog("early.log", strings.NewReader(early+"\n{\"time\":\"2026-12-01T11:00:00Z\",\"message\":\"drained, leaving\"}")))
 	var b strings.Builder
 	require.NoError(t, all.Print(&b))
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -88,7 +88,7 @@
 func TestSettingsThatAreLeftOutHaveDefaults(t *testing.T) {
 	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
-	assert.Equal(t, []int64{defaultMinHold, defaultMaxHold, defaultGapHalfLife, defaultProofTime}, []int64{p.MinHold, p.MaxHold, p.GapHalfLife, p.TrialPeriod})
+	assert.Equal(t, []int64{defaultMinHold, defaultMaxHold, defaultGapHalfLife, defaultTrialPeriod}, []int64{p.MinHold, p.MaxHold, p.GapHalfLife, p.TrialPeriod})
 	assert.Equal(t, []float64{defaultHoldGapFactor, defaultJitter}, []float64{p.HoldGapFactor, p.Jitter})
 	assert.Equal(t, defaultIdleLoad, p.IdleCondition.Limits[degradation.Load])
 	assert.Equal(t, int64(defaultIdleTime), p.IdleCondition.Duration)
--- a/internal/degradation/helpers_test.go
+++ b/internal/degradation/helpers_test.go
@@ -8,14 +8,15 @@
 
 const second = int64(1_000_000_000)
 
-// condition is a condition on one signal.
+// condition returns a condition that limits one signal.
 func condition(signal Signal, limit float64, ns int64) Condition {
 	c := Condition{Limits: NoLimits(), Duration: ns}
 	c.Limits[signal] = limit
 	return c
 }
 
-// plan has three operations, which demand 50, 40 and 10 % of the work: the first is halved, then shed, then the second is shed too.
+// plan returns a plan of three levels for the three operations of demand. Level a halves the work of the first operation, level b sheds
+// it, and level c sheds the second operation too.
 func plan(change ...func(*Plan)) *Plan {
 	complete, shed := admission.Service{}, admission.Service{Form: admission.Shed}
 	p := &Plan{MinHold: 10 * second, MaxHold: 120 * second, HoldGapFactor: 1.25, GapHalfLife: 900 * second, TrialPeriod: 3 * second,
@@ -35,12 +36,12 @@
 	return NewController(plan(change...), 0, rand.New(rand.NewSource(1)))
 }
 
-// demand is the metrics of a load.
+// demand returns the metrics of a load, to which the three operations contribute 50, 40 and 10 %.
 func demand(load float64) *admission.LoadMetrics {
 	return &admission.LoadMetrics{DemandByOperation: []float64{0.5 * load, 0.4 * load, 0.1 * load}}
 }
 
-// run steps on every tick and returns the changes with their times.
+// run steps the controller each 50 ms and returns the changes of level with their times.
 func run(c *Controller, from, to int64, metrics func(at int64) *admission.LoadMetrics) (changes []Change, at []int64) {
 	for now := from; now < to; now += second / 20 {
 		if change, changed := c.Step(now, metrics(now)); changed {
--- a/internal/degradation/plan.go
+++ b/internal/degradation/plan.go
@@ -2,32 +2,32 @@
 
 import "topazpost/internal/admission"
 
-// FullService is the name of full service.
+// FullService is the name of level 0, at which the node restricts no operation.
 const FullService = "full"
 
-// Level is one level above full service.
+// Level describes one level of degraded service.
 type Level struct {
 	Name     string
-	Services []admission.Service // by index of the operation
-	Enter    []Condition         // signals above their limits, any one of the conditions
-	Exit     Condition           // signals below their limits
+	Services []admission.Service // by operation index
+	Enter    []Condition         // the level is needed while signals are above the limits of any of these conditions
+	Exit     Condition           // the level may end while signals are below these limits
 }
 
-// Plan is a sequence of levels as operators write it. Times are nanoseconds.
+// Plan describes the levels that operators defined for a node, and when to change between them. Durations are in nanoseconds.
 type Plan struct {
 	Name             string
-	Levels           []Level // mildest first
-	UseSpareCapacity bool    // operations that a level sheds are served last, and those it reduces whole, while the queue is all but empty
-	IdleCondition    Condition
-	MinHold          int64   // that a level stays in force at the least after it was last needed
-	MaxHold          int64   // that it stays in force at the most
-	HoldGapFactor    float64 // times the gap between two needs of a level that it stays in force after the second
-	GapHalfLife      int64   // in which what was learnt of gaps is halved
-	TrialPeriod      int64   // in which a level must relieve what it was entered for, where that is not the load of the cores
-	Jitter           float64 // part by which a node's own times differ from others', so that a fleet does not step as one
+	Levels           []Level   // least restrictive first
+	UseSpareCapacity bool      // while the queue is almost empty, serve shed operations last, and reduced ones completely
+	IdleCondition    Condition // the node returns to full service while signals are below these limits
+	MinHold          int64     // minimum time that a level stays in force after it was entered, and after it was last needed
+	MaxHold          int64     // maximum time that a level stays in force after it was last needed
+	HoldGapFactor    float64   // hold time as a multiple of the recorded gap between two times at which a level was needed
+	GapHalfLife      int64     // time in which a recorded gap decays to half its value
+	TrialPeriod      int64     // time in which a level that was entered by a condition without a load limit must improve the signal it was entered for
+	Jitter           float64   // width of the range around 1 of the random factor for a node's hold times, so that nodes do not change levels in step
 }
 
-// LevelName is the name of a level, 0 for full service.
+// LevelName returns the name of a level; level 0 is full service.
 func (p *Plan) LevelName(level int) string {
 	if level == 0 {
 		return FullService
@@ -35,7 +35,7 @@
 	return p.Levels[level-1].Name
 }
 
-// Services is what a level leaves of each operation, nil for full service.
+// Services returns how a level serves each operation, or nil for full service.
 func (p *Plan) Services(level int) []admission.Service {
 	if level == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return p.Levels[level-1].Services
 }
 
-// AtMostAsRestrictive says whether services take nothing away that others leave.
+// AtMostAsRestrictive reports whether services restrict no operation more than others do.
 func AtMostAsRestrictive(services, others []admission.Service) bool {
 	for op := range services {
 		a := &services[op]
--- a/internal/degradation/signals.go
+++ b/internal/degradation/signals.go
@@ -2,25 +2,25 @@
 
 import "topazpost/internal/admission"
 
-// Signal names something that a node measures of itself.
+// Signal identifies a load metric of the node that conditions of a plan can limit.
 type Signal uint8
 
-// The signals. Load is core time demanded over what the cores have, were the level before in force: it does not fall because a level
-// is in force, so that the relief that a level brings never ends it.
+// The signals. A level sees the load that the node would have at the previous, milder level. This load does not fall when the level
+// reduces work, so that a level does not end merely because it is effective.
 const (
-	Load          Signal = iota // at the level before, as a part of all cores
-	QueueWait                   // until the queue would be empty, over the shortest latency objective
-	QueueingDelay               // of recent arrivals before they were read, over the same
-	CallWait                    // that a run waits for its call to be made, over the same
-	Rejected                    // part of recent arrivals that were rejected under pressure, those of a level apart
-	Memory                      // part of the memory that is in use by queue and runs
+	Load          Signal = iota // core time demanded at the previous level, as a share of all cores
+	QueueWait                   // time until the queue would be empty, divided by the shortest latency objective
+	QueueingDelay               // delay of recent arrivals before they were read, divided by the shortest latency objective
+	CallWait                    // time that a run waits until its call starts, divided by the shortest latency objective
+	Rejected                    // share of recent arrivals that were rejected under pressure, without those that a level sheds
+	Memory                      // share of the memory that queue and runs use
 	SignalCount                 // number of signals
 )
 
-// SignalNames are the names of the signals in plans and logs.
+// SignalNames holds the name of each signal in plans and logs.
 var SignalNames = [SignalCount]string{"load", "wait", "lag", "calls", "throttled", "memory"}
 
-// measureLoads computes the load at each level.
+// measureLoads computes the load that the node would have at each level.
 func (c *Controller) measureLoads(m *admission.LoadMetrics) {
 	for level := range c.loads {
 		sum := m.OverheadShare
@@ -34,7 +34,7 @@
 	}
 }
 
-// signalValue is a signal as a level from 1 on sees it.
+// signalValue returns the value of a signal for a level above full service. Only the load depends on the level.
 func (c *Controller) signalValue(signal Signal, level int, m *admission.LoadMetrics) float64 {
 	switch signal {
 	case QueueWait:
--- a/internal/degradation/signals_test.go
+++ b/internal/degradation/signals_test.go
@@ -8,7 +8,7 @@
 	"topazpost/internal/admission"
 )
 
-func TestSignalValuesAreThoseOfTheMetrics(t *testing.T) {
+func TestSignalValuesComeFromTheMetrics(t *testing.T) {
 	c := newController()
 	metrics := demand(2)
 	metrics.OverheadShare = 0.25
@@ -19,8 +19,8 @@
 	}
 }
 
-// The load that a level sees is that of the level before; intake can't be reduced.
-func TestLoadIsThatOfTheLevelBefore(t *testing.T) {
+// A level sees the load at the previous level. No level reduces the load of intake.
+func TestLevelSeesTheLoadAtThePreviousLevel(t *testing.T) {
 	c := newController()
 	metrics := demand(2)
 	metrics.OverheadShare = 0.25
