--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -1,4 +1,4 @@
-// Package degradationlog rebuilds from the logs of nodes which level of service each was at. Logs may be cut anywhere.
+// Package degradationlog reads the changes of degradation level of nodes from their logs. It accepts logs that are cut off or miss lines.
 package degradationlog
 
 import (
@@ -13,16 +13,16 @@
 	"topazpost/internal/degradation"
 )
 
-const maxLineBytes = 1 << 20 // a longer line is passed over
+const maxLineBytes = 1 << 20 // longer lines are skipped
 
-// Messages of log lines that a timeline is built from.
+// Messages of the log lines that a timeline is built from. The server package writes them.
 const (
 	messageListening    = "listening"
 	messageDrained      = "drained, leaving"
 	messageLevelChanged = "level changed"
 )
 
-// LevelChange is one change of level in a log.
+// LevelChange is a change of level that a log records.
 type LevelChange struct {
 	Node string    `json:"-"`
 	At   time.Time `json:"-"`
@@ -40,41 +40,43 @@
 	Before               Answers `json:"before"`
 }
 
-// Answers counts what was answered at the level before.
+// Answers counts the answers that the node gave at the previous level.
 type Answers struct {
 	Whole            int `json:"whole"`
 	Reduced          int `json:"reduced"`
-	ThrottledByLevel int `json:"levelled"` // throttled by the level
-	Throttled        int `json:"throttled"`
+	ThrottledByLevel int `json:"levelled"`  // throttled because the level sheds the operation
+	Throttled        int `json:"throttled"` // throttled for other reasons
 }
 
 // NodeLog summarizes one node's log.
 type NodeLog struct {
 	Node       string
 	Changes    int
-	Unreadable int  // lines
-	Drained    bool // its last line is that of a drained node; else it was killed, or runs still
+	Unreadable int  // lines that are too long or not valid JSON
+	Drained    bool // the last valid line reports a completed drain; otherwise the node was killed, still runs, or the log is cut off
 	LastAt     time.Time
-	Level      string
-	Gaps       int // changes that do not follow from the level before: lines between are missing
+	Level      string // after the last change
+	Gaps       int    // changes that do not start from the level known before, because lines are missing
 }
 
-// Timeline is all that was read. The zero value is empty.
+// Timeline holds the changes of level and a summary of each log that was added. The zero value is empty.
 type Timeline struct {
 	Changes []LevelChange
 	Logs    []NodeLog
 }
 
+// logLine holds the fields that log lines of all kinds share.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"message"`
 	Name    string    `json:"name"`
 }
 
-// AddLog adds a log. A line that is no JSON counts as unreadable, but for text before its first brace.
-func (t *Timeline) AddLog(path string, from io.Reader) error {
+// AddLog reads the log of one node and adds it. It skips text before the first brace of a line, and counts lines without valid JSON as
+// unreadable. The path names the node until the log does.
+func (t *Timeline) AddLog(path string, r io.Reader) error {
 	log := NodeLog{Node: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), Level: degradation.FullService}
-	in := bufio.NewReaderSize(from, maxLineBytes)
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	first := len(t.Changes)
 	for number := 1; ; number++ {
 		text, tooLong, err := readLine(in)
@@ -98,10 +100,10 @@
 	return nil
 }
 
-// readLine reads a line; of one that is too long the beginning is returned, and the rest is passed over.
+// readLine reads a line. Of a line that is too long it returns the beginning and skips the rest.
 func readLine(in *bufio.Reader) (text string, tooLong bool, err error) {
 	line, err := in.ReadSlice('\n')
-	text = string(line) // ReadSlice overwrites it
+	text = string(line) // copied, as the next ReadSlice overwrites the line
 	for errors.Is(err, bufio.ErrBufferFull) {
 		tooLong = true
 		_, err = in.ReadSlice('\n')
@@ -109,7 +111,7 @@
 	return text, tooLong, err
 }
 
-// addLine adds a line to the summary, and returns the change of level that it records, if any.
+// addLine adds a line to the summary and returns the change of level that it records, if any.
 func (log *NodeLog) addLine(text string, tooLong bool) (change LevelChange, changed bool) {
 	start := strings.IndexByte(text, '{')
 	var line logLine
@@ -139,7 +141,7 @@
 	return LevelChange{}, false
 }
 
-// addChange follows a change of level.
+// addChange adds a change of level to the summary.
 func (log *NodeLog) addChange(change *LevelChange) {
 	if change.From != "" && change.From != log.Level {
 		log.Gaps++
--- a/internal/degradation/degradationlog/print.go
+++ b/internal/degradation/degradationlog/print.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Print writes the changes of all nodes, earliest first, and how each log ended.
+// Print writes a table of the changes of all nodes, earliest first, and a row for the end of each log.
 func (t *Timeline) Print(to io.Writer) error {
 	changes := slices.Clone(t.Changes)
 	slices.SortStableFunc(changes, func(a, b LevelChange) int { return a.At.Compare(b.At) })
 	var b strings.Builder
-	b.WriteString("time\tnode\tfrom\tto\twhy\tafter\twhole\treduced\tby the level\tthrottled\n")
+	b.WriteString("time\tnode\tfrom\tto\twhy\tafter\twhole\treduced\tthrottled by level\tthrottled otherwise\n")
 	for i := range changes {
 		c := &changes[i]
 		fmt.Fprintf(&b, "%s\t%s\t%s\t%s\t%s\t%.1f s\t%d\t%d\t%d\t%d\n", timestamp(c.At), c.Node, c.From, c.To, c.reason(), c.PreviousLevelSeconds,
@@ -22,7 +22,7 @@
 	}
 	for i := range t.Logs {
 		log := &t.Logs[i]
-		fmt.Fprintf(&b, "%s\t%s\t\t%s\t%d changes, %d lines cut, %d gaps; %s\n", timestamp(log.LastAt), log.Node, log.Level, log.Changes,
+		fmt.Fprintf(&b, "%s\t%s\t\t%s\t%d changes, %d unreadable lines, %d gaps; %s\n", timestamp(log.LastAt), log.Node, log.Level, log.Changes,
 			log.Unreadable, log.Gaps, log.end())
 	}
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
@@ -32,7 +32,7 @@
 	return w.Flush()
 }
 
-// reason says why a level changed.
+// reason describes why the level changed.
 func (c *LevelChange) reason() string {
 	if c.Signal == "" {
 		return c.Cause
@@ -40,12 +40,12 @@
 	return fmt.Sprintf("%s: %s %.0f %% past %.0f %% for %.1f s", c.Cause, c.Signal, 100*c.Value, 100*c.Limit, c.ConditionSeconds)
 }
 
-// end says how a log ended.
+// end describes how the log ended.
 func (log *NodeLog) end() string {
 	if log.Drained {
 		return "drained"
 	}
-	return "no end of a drain: killed, or it runs still"
+	return "no completed drain: killed or still running"
 }
 
 func timestamp(at time.Time) string { return at.UTC().Format(time.DateTime) }
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -1,4 +1,5 @@
-// Package degradationplan reads the plan of degradation levels that operators write, and shows it. It decides nothing.
+// Package degradationplan reads the file in which operators define the degradation levels of a node, and prints it as a table. Package
+// degradation decides which of the levels is in force.
 package degradationplan
 
 import (
@@ -14,7 +15,7 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// Defaults of what a plan leaves out. Times are nanoseconds.
+// Defaults of settings that a plan file may leave out. Durations are in nanoseconds.
 const (
 	defaultMinHold       = 10_000_000_000
 	defaultMaxHold       = 120_000_000_000
@@ -22,11 +23,11 @@
 	defaultGapHalfLife   = 900_000_000_000
 	defaultTrialPeriod   = 3_000_000_000
 	defaultJitter        = 0.4
-	defaultIdleLoad      = 0.3 // of the cores
+	defaultIdleLoad      = 0.3 // share of the cores
 	defaultIdleTime      = 1_000_000_000
 )
 
-// Read reads a plan for the operations of a config, evaluating the file in this process.
+// Read evaluates a plan file in this process and returns its plan for the given operations.
 func Read(path string, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	file, err := configfile.Read(path)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return Parse(file, operations)
 }
 
-// Parse reads a plan from a file that was evaluated. The error names all that is wrong with it.
+// Parse returns the plan of an evaluated file for the given operations. The error lists all problems of the file.
 func Parse(file *configfile.File, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
@@ -52,7 +53,7 @@
 	for k := range source.Levels {
 		b.addLevel(k)
 	}
-	if len(b.problems) == 0 { // else problems that follow from those would be reported too
+	if len(b.problems) == 0 { // with problems found already, this would report others that only follow from them
 		for _, p := range b.plan.Validate(operations.Slots()) {
 			b.problems = append(b.problems, file.At(p.Path, p.Description, p.Suggestion))
 		}
@@ -63,7 +64,7 @@
 	return b.plan, nil
 }
 
-// settings is the plan without its levels.
+// settings returns the plan without its levels.
 func (f *planFile) settings() degradation.Plan {
 	p := degradation.Plan{
 		Name:             f.Name,
@@ -96,12 +97,12 @@
 	return int64(*t)
 }
 
-// planBuilder builds a plan and collects what is wrong with its file.
+// planBuilder builds a plan from its file and collects the problems of the file.
 type planBuilder struct {
 	file       *configfile.File
 	source     *planFile
 	operations *nodeconfig.Names
-	names      []string // of the operations
+	names      []string // names of the operations
 	plan       *node.DegradationPlan
 	problems   configfile.ProblemErrors
 }
@@ -110,7 +111,7 @@
 	b.problems = append(b.problems, b.file.At(path, description, suggestion))
 }
 
-// operationIndex is the index of an operationIndex that a plan names at a path.
+// operationIndex returns the index of an operation that the file names at a path. It adds a problem if there is no such operation.
 func (b *planBuilder) operationIndex(name string, path []string) (index int32, known bool) {
 	index, known = b.operations.Lookup(name)
 	if known {
@@ -124,12 +125,12 @@
 	return index, false
 }
 
-// levelPath is the path of a part of a level.
+// levelPath returns the path of a value within a level.
 func levelPath(k int, path ...string) []string {
 	return append([]string{"levels", fmt.Sprint(k)}, path...)
 }
 
-// addLevel adds the next level to the plan.
+// addLevel appends level k of the file to the plan.
 func (b *planBuilder) addLevel(k int) {
 	entry := &b.source.Levels[k]
 	level := degradation.Level{Name: entry.Name, Services: make([]admission.Service, len(b.names)), Exit: entry.Exit.condition()}
@@ -155,31 +156,32 @@
 	b.plan.Forms = append(b.plan.Forms, forms)
 }
 
-// shedService is the service of an operation that a level sheds. With spare capacity it is served in the form of the level before.
+// shedService returns the service of an operation that level k sheds. Where the plan uses spare capacity, the operation keeps the form
+// of the previous level, in which it is served while there is spare capacity.
 func (b *planBuilder) shedService(k int, operation int32) (service admission.Service, form string) {
 	service.Form = admission.Shed
 	if k == 0 || !b.source.Spare {
 		return service, ""
 	}
-	before := &b.plan.Levels[k-1].Services[operation]
-	service.WorkShare = before.WorkShare
-	service.WeightShare = before.WeightShare
+	previous := &b.plan.Levels[k-1].Services[operation]
+	service.WorkShare = previous.WorkShare
+	service.WeightShare = previous.WeightShare
 	return service, b.plan.Forms[k-1][operation]
 }
 
-// validateReduced checks the reduced form of an operation.
+// validateReduced reports whether the reduced form of an operation is valid. It adds a problem if it is not.
 func (b *planBuilder) validateReduced(name string, path []string, service *admission.Service, form reducedEntry) bool {
 	switch {
 	case service.Form == admission.Shed:
-		b.addProblem(path, "is refused by the same level", "take it out of refuse or out of reduce")
+		b.addProblem(path, "is listed under refuse too", "remove it from refuse or from reduce")
 	case !b.source.FormsKnown:
-		b.addProblem(path, "needs an executor that knows reduced forms, and callers that know the field \"level\" of answers",
-			"set forms_known: true if this installation does, else refuse instead")
+		b.addProblem(path, "requires an executor that supports reduced forms, and callers that support the field \"level\" of answers",
+			"set forms_known: true if they do, otherwise list the operation under refuse")
 	case form.Work <= 0 || form.Work >= 1 || form.Value <= 0 || form.Value > 1:
 		b.addProblem(path, fmt.Sprintf("leaves %g %% of the work and %g %% of the value", 100*form.Work, 100*form.Value),
-			"work must lie between 0 % and 100 %, value above 0 % and at 100 % at the most")
+			"work must be above 0 % and below 100 %, value above 0 % and at most 100 %")
 	case form.Form == name:
-		b.addProblem(path, "names the whole operation as its reduced form", "name the form as the executor knows it")
+		b.addProblem(path, "has the complete operation as its reduced form", "use the name that the executor has for the reduced form")
 	default:
 		return true
 	}
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -19,10 +19,11 @@
 
 var operations = nodeconfig.NewNames("catalogue", "delivery-quote", "hold")
 
+// header matches the first line of an invalid plan: line, description and suggestion of the expected problem.
 var header = regexp.MustCompile(`^// line (\d+) \| (.*) \| (.*)\n`)
 
-// Each file of the corpus says in its first line where it is invalid, with which description and which suggestion.
-func TestInvalidPlansAreReportedAtTheirLineWithASuggestion(t *testing.T) {
+// Operators rely on the reported line, description and suggestion to correct a plan. The first line of each file states what is expected.
+func TestInvalidPlanIsReportedWithLineAndSuggestion(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.jsonnet")
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(files), 30)
@@ -69,14 +70,15 @@
 		"enter": [{"load": "100 %", "for": "1 s"}], "exit": {"load": "85 %", "for": "5 s"}},
 	{"name": "none", "refuse": ["catalogue"], "enter": [{"load": "120 %", "for": "1 s"}], "exit": {"load": "85 %", "for": "5 s"}}]}`
 
+// rendered returns a plan file that is JSON already.
 func rendered(t *testing.T, text string) *configfile.File {
 	file, err := configfile.Rendered("plan.json", []byte(text))
 	require.NoError(t, err)
 	return file
 }
 
-// Where capacity is spare, what a level sheds is served in the form of the level before.
-func TestShedOperationKeepsTheFormOfTheLevelBefore(t *testing.T) {
+// While there is spare capacity, a shed operation is served in the form that the previous level gives it.
+func TestShedOperationKeepsTheFormOfThePreviousLevel(t *testing.T) {
 	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
 	assert.Equal(t, admission.Service{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, p.Levels[0].Services[0])
@@ -85,7 +87,7 @@
 	assert.True(t, p.UseSpareCapacity)
 }
 
-func TestSettingsThatAreLeftOutHaveDefaults(t *testing.T) {
+func TestOmittedSettingsHaveDefaults(t *testing.T) {
 	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
 	assert.Equal(t, []int64{defaultMinHold, defaultMaxHold, defaultGapHalfLife, defaultTrialPeriod}, []int64{p.MinHold, p.MaxHold, p.GapHalfLife, p.TrialPeriod})
--- a/internal/degradation/degradationplan/schema.go
+++ b/internal/degradation/degradationplan/schema.go
@@ -9,9 +9,9 @@
 	"topazpost/internal/degradation"
 )
 
-const maxLevels = 8 // above full service; more than operators can tell apart
+const maxLevels = 8 // above full service; operators could not keep more levels apart
 
-// schema is compiled when a plan is first read: most nodes have none.
+// schema returns the schema of plan files. It is compiled when the first plan is read, as most nodes have no plan.
 var schema = sync.OnceValue(func() *configfile.Schema {
 	return configfile.Compile("plan.json", strings.NewReplacer("TIME", configfile.TimePattern, "PART",
 		configfile.PartPattern, "RUNGS", fmt.Sprint(maxLevels)).Replace(schemaTemplate))
@@ -44,7 +44,7 @@
    "enter": {"type": "array", "minItems": 1, "maxItems": 8, "items": {"$ref": "#/$defs/condition"}},
    "exit": {"$ref": "#/$defs/condition"}}}}}}`
 
-// planFile is a plan as operators write it.
+// planFile holds a plan file as operators write it.
 type planFile struct {
 	Name       string           `json:"name"`
 	FormsKnown bool             `json:"forms_known"`
@@ -59,6 +59,7 @@
 	Levels     []levelEntry     `json:"levels"`
 }
 
+// levelEntry holds a level of a plan file.
 type levelEntry struct {
 	Name   string                  `json:"name"`
 	Refuse []string                `json:"refuse"`
@@ -67,12 +68,14 @@
 	Exit   conditionEntry          `json:"exit"`
 }
 
+// reducedEntry holds the reduced form of an operation in a plan file.
 type reducedEntry struct {
 	Form  string          `json:"form"`
 	Work  configfile.Part `json:"work"`
 	Value configfile.Part `json:"value"`
 }
 
+// conditionEntry holds a condition of a plan file: limits of signals and the time that they have to be passed.
 type conditionEntry struct {
 	Load      *configfile.Part `json:"load"`
 	Wait      *configfile.Part `json:"wait"`
@@ -83,7 +86,7 @@
 	For       configfile.Time  `json:"for"`
 }
 
-// condition is the condition that an entry describes.
+// condition returns the condition that an entry describes.
 func (e *conditionEntry) condition() degradation.Condition {
 	c := degradation.Condition{Limits: degradation.NoLimits(), Duration: int64(e.For)}
 	limits := [degradation.SignalCount]*configfile.Part{
--- a/internal/degradation/degradationplan/show.go
+++ b/internal/degradation/degradationplan/show.go
@@ -13,15 +13,15 @@
 	"topazpost/internal/nodeconfig"
 )
 
-const minTotal = 1e-9 // keeps the parts of an empty mix finite
+const minTotal = 1e-9 // lower bound of totals, so that the shares of an empty mix are finite
 
-// savings sums up what a level saves of the work, and gives up of the billed value.
+// savings sums up the work that a level saves and the billed value that it gives up.
 type savings struct {
 	work, totalWork   float64
 	value, totalValue float64
 }
 
-// add adds an operation with its shares of the work and the value.
+// add adds an operation, given its work and value at full service, and how the level serves it.
 func (s *savings) add(work, value float64, service *admission.Service) {
 	s.totalWork += work
 	s.totalValue += value
@@ -35,20 +35,20 @@
 	}
 }
 
-// workPercent is the part of the work that is saved.
+// workPercent returns the percentage of the work that is saved.
 func (s *savings) workPercent() float64 { return 100 * s.work / max(s.totalWork, minTotal) }
 
-// valuePercent is the part of the value that is given up.
+// valuePercent returns the percentage of the value that is given up.
 func (s *savings) valuePercent() float64 { return 100 * s.value / max(s.totalValue, minTotal) }
 
-// Show prints a plan as a table: what each level leaves, what it saves of the work and gives up of the billed value, and its conditions.
-// The mix is the share of each operation in the work; one that it lacks has none.
+// Show prints a plan as a table. A row states how the level serves each operation, the work that the level saves, the billed value that
+// it gives up, and its conditions. The mix gives the share of each operation in the work; an operation that is not in it has no work.
 func Show(w io.Writer, p *node.DegradationPlan, config *nodeconfig.Config, mix map[string]float64) error {
 	names := config.Operations.All()
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	var b strings.Builder
 	fmt.Fprintf(&b, "plan %s\n", p.Name)
-	fmt.Fprintf(&b, "level\t%s\tsaves of the work\tgives up of the value\tenter\texit\n", strings.Join(names, "\t"))
+	fmt.Fprintf(&b, "level\t%s\twork saved\tvalue given up\tenter\texit\n", strings.Join(names, "\t"))
 	fmt.Fprintf(&b, "full%s\t0 %%\t0 %%\t\t\n", strings.Repeat("\twhole", len(names)))
 	for k := range p.Levels {
 		level := &p.Levels[k]
@@ -62,14 +62,14 @@
 		}
 		fmt.Fprintf(&b, "\t%.0f %%\t%.0f %%\t%s\t%s\n", total.workPercent(), total.valuePercent(), enterText(level.Enter), conditionText(&level.Exit, "<"))
 	}
-	fmt.Fprintf(&b, "held for %s after the last need, %s at the most\n", seconds(p.MinHold), seconds(p.MaxHold))
+	fmt.Fprintf(&b, "a level is held for at least %s after it was last needed, %s at most\n", seconds(p.MinHold), seconds(p.MaxHold))
 	if _, err := io.WriteString(t, b.String()); err != nil {
 		return err
 	}
 	return t.Flush()
 }
 
-// serviceText says what a level leaves of an operation.
+// serviceText describes how a level serves an operation.
 func serviceText(s *admission.Service, form string) string {
 	switch s.Form {
 	case admission.Shed:
@@ -81,7 +81,7 @@
 	}
 }
 
-// enterText says when a level is entered.
+// enterText describes when a level is entered.
 func enterText(conditions []degradation.Condition) string {
 	list := make([]string, len(conditions))
 	for i := range conditions {
@@ -90,7 +90,7 @@
 	return strings.Join(list, " or ")
 }
 
-// conditionText says when a condition holds, with the sign between signals and limits.
+// conditionText describes a condition. The sign, < or >, stands between each signal and its limit.
 func conditionText(c *degradation.Condition, sign string) string {
 	var list []string
 	for signal, limit := range c.Limits {
--- a/internal/degradation/degradationplan/show_test.go
+++ b/internal/degradation/degradationplan/show_test.go
@@ -11,18 +11,18 @@
 	"topazpost/internal/nodeconfig"
 )
 
-func TestShowNamesTheSavingsOfEachLevel(t *testing.T) {
+func TestShowPrintsTheSavingsOfEachLevel(t *testing.T) {
 	p, err := Read("testdata/sound/plain.jsonnet", operations)
 	require.NoError(t, err)
-	of := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
+	config := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
 		{PriorityWeight: 1}, {PriorityWeight: 2}, {PriorityWeight: 5}}}}
 	var b strings.Builder
-	require.NoError(t, Show(&b, p, of, map[string]float64{"catalogue": 50, "delivery-quote": 40, "hold": 10}))
+	require.NoError(t, Show(&b, p, config, map[string]float64{"catalogue": 50, "delivery-quote": 40, "hold": 10}))
 	assert.Regexp(t, `hold-only +refused +refused +whole +90 % +72 % +load > 100 % for 1 s or wait > 80 % for 0.5 s +load < 85 % for 5 s`,
 		b.String())
 }
 
-func TestShowNamesReducedForms(t *testing.T) {
+func TestShowPrintsReducedForms(t *testing.T) {
 	p, err := Parse(rendered(t, reducedPlan), operations)
 	require.NoError(t, err)
 	config := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
@@ -30,7 +30,7 @@
 	var b strings.Builder
 	require.NoError(t, Show(&b, p, config, map[string]float64{"catalogue": 1}))
 	assert.Regexp(t, `plain +short \(work 50 %, value 80 %\) +whole +whole +50 % +20 % +load > 100 % for 1 s +load < 85 % for 5 s`, b.String())
-	assert.Contains(t, b.String(), "held for 10 s after the last need, 120 s at the most")
+	assert.Contains(t, b.String(), "a level is held for at least 10 s after it was last needed, 120 s at most")
 	b.Reset()
 	require.NoError(t, Show(&b, p, config, nil))
 	assert.Regexp(t, `plain .* 0 % +0 % `, b.String(), "an empty mix has no savings")
--- a/internal/degradation/degradationplan/testdata/broken/does-the-same.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/does-the-same.jsonnet
@@ -1,4 +1,4 @@
-// line 11 | does the same as levels.0 (no-photos) | drop one
+// line 11 | has the same restrictions as levels.0 (no-photos) | remove one
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/form-and-refused.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/form-and-refused.jsonnet
@@ -1,4 +1,4 @@
-// line 7 | is refused by the same level | take it out of refuse or out of reduce
+// line 7 | is listed under refuse too | remove it from refuse or from reduce
 {
   forms_known: true,
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/form-is-the-whole.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/form-is-the-whole.jsonnet
@@ -1,4 +1,4 @@
-// line 7 | names the whole operation as its reduced form | name the form as the executor
+// line 7 | has the complete operation as its reduced form | use the name that the executor has
 {
   forms_known: true,
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/form-not-known.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/form-not-known.jsonnet
@@ -1,4 +1,4 @@
-// line 7 | needs an executor that knows reduced forms | set forms_known: true
+// line 7 | requires an executor that supports reduced forms | set forms_known: true
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/form-saves-nothing.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/form-saves-nothing.jsonnet
@@ -1,4 +1,4 @@
-// line 7 | leaves 100 % of the work | work must lie between 0 % and 100 %
+// line 7 | leaves 100 % of the work | work must be above 0 % and below 100 %
 {
   forms_known: true,
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/gives-back.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/gives-back.jsonnet
@@ -1,4 +1,4 @@
-// line 11 | gives back what levels.0 (no-photos) takes away | repeat here
+// line 11 | lifts a restriction of levels.0 (no-photos) | refuse or reduce at least
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/hold-past-most.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/hold-past-most.jsonnet
@@ -1,4 +1,4 @@
-// line 4 | is shorter than hold | make it as long
+// line 4 | is shorter than hold | make it at least as long
 {
   hold: '30 s',
   hold_most: '20 s',
--- a/internal/degradation/degradationplan/testdata/broken/named-full.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/named-full.jsonnet
@@ -1,4 +1,4 @@
-// line 6 | "full" is the name of full service | choose another
+// line 6 | "full" is reserved for full service | choose another name
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/out-of-order.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/out-of-order.jsonnet
@@ -1,4 +1,4 @@
-// line 11 | takes away less than levels.0 | order levels from the mildest up
+// line 11 | is less restrictive than levels.0 | order levels from the least to the most restrictive
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/same-name.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/same-name.jsonnet
@@ -1,4 +1,4 @@
-// line 12 | "no-photos" is the name of levels.0 too | name each level once
+// line 12 | "no-photos" is also the name of levels.0 | give each level its own name
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/degradationplan/testdata/broken/takes-nothing.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/takes-nothing.jsonnet
@@ -1,4 +1,4 @@
-// line 5 | takes nothing away | name an operation under refuse or reduce
+// line 5 | restricts no operation | name an operation under refuse or reduce
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/validation.go
+++ b/internal/degradation/validation.go
@@ -9,14 +9,15 @@
 	"topazpost/internal/admission"
 )
 
-// Problem is one thing wrong with a plan: where in it, as it is written, what, and how to mend it.
+// Problem describes an error in a plan. Path names the faulty value by the keys and indices of the plan file, from the outermost in.
+// Description is worded to follow the path.
 type Problem struct {
 	Path        []string
 	Description string
 	Suggestion  string
 }
 
-// levelProblems collects the problems of one level.
+// levelProblems collects the problems of one level. Paths are relative to it.
 type levelProblems struct {
 	level int
 	found []Problem
@@ -27,14 +28,14 @@
 	p.found = append(p.found, Problem{Path: at, Description: description, Suggestion: suggestion})
 }
 
-// Validate finds all that is wrong with a plan for so many operations; nothing for a valid one.
+// Validate returns all problems of a plan for a node with the given number of operations, or nil if the plan is valid.
 func (p *Plan) Validate(operations int) []Problem {
 	if len(p.Levels) == 0 {
 		return []Problem{{Path: []string{"levels"}, Description: "has no level", Suggestion: "add one"}}
 	}
 	var found []Problem
 	if p.MaxHold < p.MinHold {
-		found = append(found, Problem{Path: []string{"hold_most"}, Description: "is shorter than hold", Suggestion: "make it as long at the least"})
+		found = append(found, Problem{Path: []string{"hold_most"}, Description: "is shorter than hold", Suggestion: "make it at least as long"})
 	}
 	for k := range p.Levels {
 		problems := &levelProblems{level: k}
@@ -44,17 +45,17 @@
 	return found
 }
 
-// validateLevel checks a level by itself, and against those before it.
+// validateLevel checks a level by itself and against the levels before it.
 func (p *Plan) validateLevel(k, operations int, problems *levelProblems) {
 	level := &p.Levels[k]
 	if len(level.Services) != operations {
-		problems.add(fmt.Sprintf("speaks of %d operations where there are %d", len(level.Services), operations), "name the others too")
+		problems.add(fmt.Sprintf("covers %d operations, expected %d", len(level.Services), operations), "cover every operation")
 		return
 	}
 	level.validate(problems)
 	for j := range k {
 		if p.Levels[j].Name == level.Name {
-			problems.add(fmt.Sprintf("%q is the name of levels.%d too", level.Name, j), "name each level once", "name")
+			problems.add(fmt.Sprintf("%q is also the name of levels.%d", level.Name, j), "give each level its own name", "name")
 		}
 	}
 	if k > 0 && len(p.Levels[k-1].Services) == operations {
@@ -64,10 +65,10 @@
 
 func (l *Level) validate(problems *levelProblems) {
 	if l.Name == FullService {
-		problems.add(fmt.Sprintf("%q is the name of full service", FullService), "choose another", "name")
+		problems.add(fmt.Sprintf("%q is reserved for full service", FullService), "choose another name", "name")
 	}
 	if !slices.ContainsFunc(l.Services, func(s admission.Service) bool { return s.Form != admission.Complete }) {
-		problems.add("takes nothing away", "name an operation under refuse or reduce")
+		problems.add("restricts no operation", "name an operation under refuse or reduce")
 	}
 	if len(l.Enter) == 0 {
 		problems.add("has no condition: the level could never be entered", "add one", "enter")
@@ -79,35 +80,35 @@
 		}
 	}
 	if l.Exit.isEmpty() {
-		problems.add("names no signal: the level would end as soon as it may", nameOne, "exit")
+		problems.add("names no signal: the level would end as soon as its hold time is over", nameOne, "exit")
 	}
 	l.validateExit(problems)
 }
 
-// validateExit checks that no condition of entry holds where that of exit does.
+// validateExit checks that the exit limit of each signal is below all enter limits of the signal.
 func (l *Level) validateExit(problems *levelProblems) {
 	for signal, exit := range l.Exit.Limits {
 		for c := range l.Enter {
 			enter := l.Enter[c].Limits[signal]
 			if exit >= enter {
-				problems.add(fmt.Sprintf("%g %% is not below the %g %% of enter.%d: the level would end as it begins", 100*exit, 100*enter, c),
+				problems.add(fmt.Sprintf("%g %% is not below the %g %% of enter.%d: the level could end as soon as it is entered", 100*exit, 100*enter, c),
 					"lower it", "exit", SignalNames[signal])
 			}
 		}
 	}
 }
 
-// validateOrder checks a level against the one before it, which has to be milder.
-func (l *Level) validateOrder(before *Level, index int, problems *levelProblems) {
-	stricter := AtMostAsRestrictive(before.Services, l.Services)
-	milder := AtMostAsRestrictive(l.Services, before.Services)
+// validateOrder checks that a level is more restrictive than the previous one, which has the given index.
+func (l *Level) validateOrder(previous *Level, previousIndex int, problems *levelProblems) {
+	atLeastAsRestrictive := AtMostAsRestrictive(previous.Services, l.Services)
+	atMostAsRestrictive := AtMostAsRestrictive(l.Services, previous.Services)
 	switch {
-	case stricter && milder:
-		problems.add(fmt.Sprintf("does the same as levels.%d (%s)", index, before.Name), "drop one of them")
-	case milder:
-		problems.add(fmt.Sprintf("takes away less than levels.%d (%s)", index, before.Name), "order levels from the mildest up")
-	case !stricter:
-		problems.add(fmt.Sprintf("gives back what levels.%d (%s) takes away", index, before.Name),
-			"repeat here what the level before refuses and reduces")
+	case atLeastAsRestrictive && atMostAsRestrictive:
+		problems.add(fmt.Sprintf("has the same restrictions as levels.%d (%s)", previousIndex, previous.Name), "remove one of them")
+	case atMostAsRestrictive:
+		problems.add(fmt.Sprintf("is less restrictive than levels.%d (%s)", previousIndex, previous.Name), "order levels from the least to the most restrictive")
+	case !atLeastAsRestrictive:
+		problems.add(fmt.Sprintf("lifts a restriction of levels.%d (%s)", previousIndex, previous.Name),
+			"refuse or reduce at least what the previous level does")
 	}
 }
--- a/internal/degradation/validation_test.go
+++ b/internal/degradation/validation_test.go
@@ -9,22 +9,22 @@
 	"topazpost/internal/admission"
 )
 
-func TestValidateNamesEachProblem(t *testing.T) {
+func TestValidateReportsEachProblem(t *testing.T) {
 	assert.Empty(t, plan().Validate(3))
-	for what, change := range map[string]func(*Plan){
-		"has no level": func(p *Plan) { p.Levels = nil },
-		"speaks of 2 operations where there are 3":               func(p *Plan) { p.Levels[0].Services = p.Levels[0].Services[:2] },
-		"takes nothing away":                                     func(p *Plan) { p.Levels[0].Services = make([]admission.Service, 3) },
-		"has no condition: the level could never be entered":     func(p *Plan) { p.Levels[1].Enter = nil },
-		"names no signal: the level would end as soon as it may": func(p *Plan) { p.Levels[1].Exit.Limits = NoLimits() },
-		"120 % is not below the 100 % of enter.0":                func(p *Plan) { p.Levels[0].Exit.Limits[Load] = 1.2 },
-		"does the same as levels.0 (a)":                          func(p *Plan) { p.Levels[1].Services = p.Levels[0].Services },
-		"takes away less than levels.1 (b)":                      func(p *Plan) { p.Levels[2].Services = p.Levels[0].Services },
-		"gives back what levels.1 (b) takes away":                func(p *Plan) { p.Levels[2].Services = []admission.Service{{}, {Form: admission.Shed}, {}} },
-		`"full" is the name of full service`:                     func(p *Plan) { p.Levels[0].Name = FullService },
-		`"a" is the name of levels.0 too`:                        func(p *Plan) { p.Levels[2].Name = "a" },
-		"is shorter than hold":                                   func(p *Plan) { p.MaxHold = second },
+	for want, change := range map[string]func(*Plan){
+		"has no level":                                       func(p *Plan) { p.Levels = nil },
+		"covers 2 operations, expected 3":                    func(p *Plan) { p.Levels[0].Services = p.Levels[0].Services[:2] },
+		"restricts no operation":                             func(p *Plan) { p.Levels[0].Services = make([]admission.Service, 3) },
+		"has no condition: the level could never be entered": func(p *Plan) { p.Levels[1].Enter = nil },
+		"names no signal: the level would end as soon as its hold time is over": func(p *Plan) { p.Levels[1].Exit.Limits = NoLimits() },
+		"120 % is not below the 100 % of enter.0":                               func(p *Plan) { p.Levels[0].Exit.Limits[Load] = 1.2 },
+		"has the same restrictions as levels.0 (a)":                             func(p *Plan) { p.Levels[1].Services = p.Levels[0].Services },
+		"is less restrictive than levels.1 (b)":                                 func(p *Plan) { p.Levels[2].Services = p.Levels[0].Services },
+		"lifts a restriction of levels.1 (b)":                                   func(p *Plan) { p.Levels[2].Services = []admission.Service{{}, {Form: admission.Shed}, {}} },
+		`"full" is reserved for full service`:                                   func(p *Plan) { p.Levels[0].Name = FullService },
+		`"a" is also the name of levels.0`:                                      func(p *Plan) { p.Levels[2].Name = "a" },
+		"is shorter than hold":                                                  func(p *Plan) { p.MaxHold = second },
 	} {
-		assert.Contains(t, fmt.Sprint(plan(change).Validate(3)), what)
+		assert.Contains(t, fmt.Sprint(plan(change).Validate(3)), want)
 	}
 }
