--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	answerMargin       = 50 * ms // ns before its client timeout at which an invocation that waits for the fleet is answered: a way back, and a sweep
-	claimSweepInterval = 20 * ms // ns between looks at what waits for the fleet
-	maxRoundsPerStep   = 8       // rounds between claims client and replica in one step; what is left waits for the next
+	answerMargin       = 50 * ms // ns before its client timeout at which an invocation that waits for the fleet is answered: time for a sweep, and for the answer's way back
+	claimSweepInterval = 20 * ms // ns between sweeps of the claims whose runs have not started
+	maxRoundsPerStep   = 8       // times that claims client and replica are stepped in turn within one step of the node; the rest waits for the next step
 )
 
-// claimState has what the fleet agrees on about tokens: the node's claims client, and its replica of the consensus group where it has
-// one. Without a consensus group both are nil, and there is no timer and no cost.
+// claimState holds the claims client, which claims tokens from the consensus group, and this node's replica of that group if it has one.
+// Without a consensus group both are nil and take no timer and no time.
 type claimState struct {
 	self         claims.Owner
 	client       *claims.Client
 	clientInputs []claims.Input
-	clientStepAt int64 // when the client is to step
+	clientStepAt int64 // when the client must step again
 	sweepAt      int64
 
 	replica         *consensus.Group
-	replicas        []string // names of the nodes with a replica
+	replicas        []string // names of the nodes with a replica, sorted
 	replicaInputs   []consensus.Input
-	replicaStepAt   int64 // when the replica is to step
-	nextViewAt      int64
-	streams         map[string]int // that nodes last sent on
-	targetReplica   int            // replica that commands go to
-	unansweredSince int64          // when it was first sent a command since its last answer, 0 where it owes none
+	replicaStepAt   int64          // when the replica must step again
+	nextViewAt      int64          // when the replica is to be given the view of the fleet again
+	streams         map[string]int // number of the stream that each node last sent on, by its name
+	targetReplica   int            // index in replicas of the one that commands are sent to
+	unansweredSince int64          // when the target replica was first sent a command that it has not answered, 0 if there is none
 }
 
-// owner is this node as an owner of claims and leases.
+// owner returns this node's identity as an owner of claims and leases.
 func (cs *claimState) owner() claims.Owner { return cs.self }
 
-// enabled says whether tokens are claimed from the consensus group.
+// enabled reports whether tokens are claimed from the consensus group.
 func (cs *claimState) enabled() bool { return cs.client != nil }
 
-// canClaim says whether new tokens can be claimed now.
+// canClaim reports whether new tokens can be claimed now: the consensus group answers, and the client has room.
 func (cs *claimState) canClaim() bool {
 	return cs.client != nil && cs.client.Connected() && cs.client.HasCapacity()
 }
 
-// requestSweep has the next sweep come no later than an interval from now.
+// requestSweep makes the next sweep of claims due within one interval from now.
 func (cs *claimState) requestSweep(now int64) { cs.sweepAt = min(cs.sweepAt, now+claimSweepInterval) }
 
-// Claims summarizes claims, leases and the consensus group for operators, nil without a group.
+// Claims returns a summary of claims, leases and the consensus group for operators, nil if this node takes no part in a group.
 func (sm *StateMachine) Claims() *consensus.Summary {
 	cs := &sm.claiming
 	if cs.client == nil && cs.replica == nil {
@@ -68,7 +68,7 @@
 	return summary
 }
 
-// claimKey is a result's key by names, which nodes have in common.
+// claimKey converts a key of the result cache, with this node's indices, to a claim's key, with the names that all nodes share.
 func (sm *StateMachine) claimKey(k resultcache.Key) claims.Key {
 	key := claims.Key{Operation: sm.config.Operations.Name(k.Operation), Token: k.Token}
 	if k.Tenant >= 0 {
@@ -77,7 +77,7 @@
 	return key
 }
 
-// resultKey is a claim's key by this node's indices, unknown where it lacks the operation or the tenant.
+// resultKey converts a claim's key to a key of the result cache; known is false if this node lacks the operation or the tenant.
 func (sm *StateMachine) resultKey(k claims.Key) (key resultcache.Key, known bool) {
 	operation, known := sm.config.Operations.Lookup(k.Operation)
 	tenant, named := sm.config.Tenants.Lookup(k.Tenant)
@@ -87,7 +87,7 @@
 	return resultcache.Key{Operation: operation, Tenant: tenant, Token: k.Token}, known && named == (k.Tenant != "")
 }
 
-// mustRejectToken says whether a token's first invocation must be rejected, since nothing new can be claimed now.
+// mustRejectToken reports whether an invocation must be rejected because its token is new to this node and can't be claimed now.
 func (sm *StateMachine) mustRejectToken(v *invocation) bool {
 	if !sm.claiming.enabled() || v.tokenKey.Token == "" || sm.claiming.canClaim() {
 		return false
@@ -95,7 +95,7 @@
 	return !sm.results.isKnown(v.tokenKey)
 }
 
-// throttleOnArrival throttles a token's first invocation while the consensus group is out of reach.
+// throttleOnArrival answers an invocation with a throttle as soon as it is read, before it is stored: the node can't admit it yet.
 func (sm *StateMachine) throttleOnArrival(link int, stream uint32) {
 	var fields []frame.Field
 	if retryAfter := min(replicaTimeout, sm.config.Node.MaxRetryAfter); retryAfter > 0 {
@@ -112,21 +112,22 @@
 	}
 }
 
-// claimToken claims the token of its first invocation for this node, with all that a new owner needs.
+// claimToken claims the token of an invocation for this node. The claim carries all that another node needs to take the invocation
+// over.
 func (sm *StateMachine) claimToken(i int32) {
 	if !sm.claiming.enabled() {
 		return
 	}
 	v := &sm.invocations[i]
-	text, err := cbor.Marshal(workOf(v))
-	if !sm.Invariants.Check(err == nil, "the work for a takeover can be encoded") {
+	text, err := cbor.Marshal(takeoverWorkOf(v))
+	if !sm.Invariants.Check(err == nil, "an invocation can be encoded for a takeover") {
 		return
 	}
 	sm.addClaimInput(claims.Input{Kind: claims.RequestClaim, Key: sm.claimKey(v.tokenKey), BodyHash: v.bodyHash, Remaining: v.deadline - sm.now,
 		InvocationID: v.invocationID, Work: text, Window: v.terms.tokenLifetime})
 }
 
-// stepClaims steps the claims client and the replica, as long as one has something for the other.
+// stepClaims steps the claims client and the replica in turn until neither has an input or is due, at most maxRoundsPerStep times.
 func (sm *StateMachine) stepClaims() {
 	cs := &sm.claiming
 	if cs.client == nil && cs.replica == nil {
@@ -161,7 +162,7 @@
 	}
 }
 
-// executeClaimAction carries out an action of the claims client.
+// executeClaimAction carries out an action of the claims client, mostly as an input of the result cache.
 func (sm *StateMachine) executeClaimAction(a *claims.Action) {
 	if a.Kind == claims.SendCommands {
 		sm.proposeToGroup(a.Commands, nil)
@@ -189,13 +190,13 @@
 		sm.stepCache(resultcache.Input{Kind: resultcache.RejectedElsewhere, Key: key, Remaining: a.Duration})
 	case claims.TakeOver:
 		if err := sm.takeOverInvocation(key, a); err != nil {
-			sm.log(Warn, "work of a lost node can't be taken over", a.Key.String(), err)
+			sm.log(Warn, "invocation of a lost node can't be taken over; its claim is abandoned", a.Key.String(), err)
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: a.Key})
 		}
 	}
 }
 
-// sweepClaims abandons claims that nothing here waits for, and answers invocations whose client timeout comes near.
+// sweepClaims abandons claims that no invocation of this node waits for, and answers invocations that are close to their client timeout.
 func (sm *StateMachine) sweepClaims() {
 	cs := &sm.claiming
 	cs.sweepAt = sm.now + claimSweepInterval
@@ -208,11 +209,11 @@
 	}
 }
 
-// sweepClaim does so for one claim whose run has not started.
+// sweepClaim checks one claim whose run has not started, or has ended without the end being committed.
 func (sm *StateMachine) sweepClaim(k claims.Key) {
 	key, _ := sm.resultKey(k)
 	if sm.results.isPending(key) {
-		return // the admission controller decides on it
+		return // the admission controller has yet to decide on its invocation
 	}
 	if !sm.results.isKnown(key) {
 		sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: k})
@@ -229,7 +230,7 @@
 	}
 }
 
-// claimsDue is when the claims client or the replica is to step again.
+// claimsDue returns when the claims client or the replica must step again at the latest.
 func (sm *StateMachine) claimsDue() int64 {
 	cs := &sm.claiming
 	at := int64(never)
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	groupViewInterval = 100 * ms // ns between looks at the view for the replica
-	replicaTimeout    = 200 * ms // ns without an answer after which commands go to another replica
-	maxClaimsShown    = 500      // claims in one summary
+	groupViewInterval = 100 * ms // ns between views of the fleet that the replica is given
+	replicaTimeout    = 200 * ms // ns without an answer after which commands are sent to the next replica
+	maxClaimsShown    = 500      // claims listed in one summary
 )
 
-// EnableConsensus has tokens claimed from a consensus group, before the first step and after JoinFleet and EnableResultCache; replicas
-// are the names of the nodes that have one. With maxTableBytes the group's table is bounded so.
+// EnableConsensus makes the node claim tokens from a consensus group. It must be called before the first step, and after JoinFleet and
+// EnableResultCache. replicas names the nodes that have a replica of the group. maxTableBytes bounds the table of claims while this
+// node's replica leads, 0 for the default.
 func (sm *StateMachine) EnableConsensus(replicas []string, maxTableBytes, now, seed int64) {
 	self := sm.Members().Self()
 	cs := &sm.claiming
@@ -34,32 +35,33 @@
 	cs.replica.SetMaxTableBytes(maxTableBytes)
 }
 
-// HasReplica says whether this node has a replica of the consensus group.
+// HasReplica reports whether this node has a replica of the consensus group.
 func (sm *StateMachine) HasReplica() bool { return sm.claiming.replica != nil }
 
-// RecoverReplica has the replica go on from what a disk holds, and persist there what it must not forget, before the first step.
+// RecoverReplica restores the replica from the contents of its disk, and makes it persist its state there from now on. It must be
+// called before the first step.
 func (sm *StateMachine) RecoverReplica(now int64, contents consensus.DiskContents) error {
 	return sm.claiming.replica.Recover(now, contents)
 }
 
-// setLimits has the replica, where there is one, define limits while it leads.
+// setLimits makes this node's replica, if it has one, define limits while the replica leads.
 func (cs *claimState) setLimits(limits []quota.Command) {
 	if cs.replica != nil {
 		cs.replica.SetLimits(limits)
 	}
 }
 
-// setConfigValidator has the replica, where there is one, validate commands for the configuration.
+// setConfigValidator makes this node's replica, if it has one, validate commands that change the configuration.
 func (cs *claimState) setConfigValidator(validate func(*configsync.Command) string) {
 	if cs.replica != nil {
 		cs.replica.SetConfigValidator(validate)
 	}
 }
 
-// replicaNames are the nodes that have a replica.
+// replicaNames returns the names of the nodes that have a replica.
 func (cs *claimState) replicaNames() []string { return cs.replicas }
 
-// replicaIsCurrent says whether this node has a replica, and whether that is up to date.
+// replicaIsCurrent reports whether this node has a replica, and whether that replica is up to date.
 func (cs *claimState) replicaIsCurrent() (current, has bool) {
 	if cs.replica == nil {
 		return false, false
@@ -67,10 +69,11 @@
 	return cs.replica.IsCurrent(), true
 }
 
-// rollbackVersions are the versions of the configuration that the replica can go back to.
+// rollbackVersions returns the versions of the configuration that the replica can roll back to.
 func (cs *claimState) rollbackVersions() []uint64 { return cs.replica.RollbackVersions() }
 
-// agreedConfig is what the replica knows to be agreed on of the configuration, where that changed since the last call.
+// agreedConfig returns the state of the configuration that the replica knows to be committed, and whether it has changed since the last
+// call.
 func (cs *claimState) agreedConfig() (agreed *configsync.Agreed, changed bool) {
 	if cs.replica == nil {
 		return nil, false
@@ -78,19 +81,19 @@
 	return cs.replica.AgreedConfig()
 }
 
-// proposeConfig has the replica, where there is one, order what this node itself wants ordered.
+// proposeConfig proposes a command of this node to the consensus group through this node's replica, if it has one.
 func (cs *claimState) proposeConfig(command *configsync.Command) {
 	if cs.replica != nil {
 		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Proposed: []configsync.Command{*command}})
 	}
 }
 
-// replicaWritePersisted reports to the replica that its writes up to a number are on disk, or that the disk failed.
+// replicaWritePersisted tells the replica that its writes up to a number are on disk, or that the disk failed.
 func (cs *claimState) replicaWritePersisted(number uint64, err error) {
 	cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Persisted: number, Err: err})
 }
 
-// forgetStream forgets a stream.
+// forgetStream forgets a stream that has closed, so that nothing more is sent on it.
 func (cs *claimState) forgetStream(link int) {
 	for name, stream := range cs.streams {
 		if stream == link {
@@ -99,7 +102,7 @@
 	}
 }
 
-// recordAnswer records that commands were answered, and goes on sending them to the leader.
+// recordAnswer records that the group answered commands. A node without a replica sends its next commands to the leader.
 func (cs *claimState) recordAnswer(leader string) {
 	cs.unansweredSince = 0
 	if at := slices.Index(cs.replicas, leader); at >= 0 && cs.replica == nil {
@@ -107,7 +110,8 @@
 	}
 }
 
-// rotateTargetReplica sends commands to the next replica once the present one owes an answer for too long.
+// rotateTargetReplica is called before commands are sent. It makes the next replica their target if the current one has not answered
+// for replicaTimeout.
 func (cs *claimState) rotateTargetReplica(now int64) {
 	switch {
 	case cs.unansweredSince == 0:
@@ -118,7 +122,7 @@
 	}
 }
 
-// applyStreamMessage applies a message that came on a stream, or the stream's end.
+// applyStreamMessage handles a message that came on a stream, or the end of the stream.
 func (sm *StateMachine) applyStreamMessage(in *Input) {
 	cs := &sm.claiming
 	if in.Kind == PeerStreamClosed {
@@ -128,7 +132,7 @@
 	m := new(consensus.Message)
 	if err := sm.fleet.open(in.Bytes, m); err != nil {
 		sm.rejectPeerMessage(in, err)
-		sm.emit(Effect{Kind: CloseStream, Link: in.Link}) // where its messages begin is not known any more
+		sm.emit(Effect{Kind: CloseStream, Link: in.Link}) // its message boundaries are no longer known
 		return
 	}
 	if cs.self.Name == "" {
@@ -138,12 +142,12 @@
 	sm.applyGroupMessage(m)
 }
 
-// applyGroupMessage applies a message of a replica or a node, this one's own included.
+// applyGroupMessage handles a message of the consensus group's protocol, which this node may have sent to itself.
 func (sm *StateMachine) applyGroupMessage(m *consensus.Message) {
 	cs := &sm.claiming
 	switch m.Kind {
 	case consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment:
-		if m.Owner == cs.self { // else it is for an earlier incarnation
+		if m.Owner == cs.self { // otherwise it is for an earlier incarnation of this node
 			sm.applyVerdicts(m)
 		}
 	default:
@@ -153,7 +157,7 @@
 	}
 }
 
-// applyVerdicts applies what the group decided for this node.
+// applyVerdicts passes what the group decided for this node to the claims client, the lease holder and the configuration.
 func (sm *StateMachine) applyVerdicts(m *consensus.Message) {
 	if m.Kind == consensus.MessageVerdicts {
 		sm.claiming.recordAnswer(m.Leader)
@@ -172,6 +176,7 @@
 	}
 }
 
+// stepReplica steps this node's replica, and emits its effects.
 func (sm *StateMachine) stepReplica() {
 	cs := &sm.claiming
 	if sm.now >= cs.nextViewAt {
@@ -195,7 +200,7 @@
 	}
 }
 
-// sendGroupMessage sends a message on the stream that a node last sent on, else to its address.
+// sendGroupMessage sends a message to a node: on the stream that the node last sent on, or if there is none, to its address.
 func (sm *StateMachine) sendGroupMessage(to string, m *consensus.Message) {
 	cs := &sm.claiming
 	if to == cs.self.Name {
@@ -210,8 +215,8 @@
 	}
 }
 
-// proposeToGroup sends commands and requests for leases to a replica: this node's own while it knows a leader, else the one that
-// answered last, and another one where that is silent.
+// proposeToGroup sends commands and requests for leases to a replica: to this node's own while that knows a leader, otherwise to the
+// target replica, which is the last leader that answered or, if it does not answer, the next replica.
 func (sm *StateMachine) proposeToGroup(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
 	cs := &sm.claiming
 	cs.rotateTargetReplica(sm.now)
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	hollowClaimTimeout  = 5_000 * ms  // ns that a token may wait for the fleet: a usual client timeout
-	hollowTokenLifetime = 10_000 * ms // ns that a token is known once it ended
-	hollowRunTime       = 40 * ms     // ns of a run
-	hollowWorkBytes     = 256         // of what a new owner would need
+	hollowClaimTimeout  = 5_000 * ms  // ns that a token may wait for its claim: a usual client timeout
+	hollowTokenLifetime = 10_000 * ms // ns for which a token stays known after its end
+	hollowRunTime       = 40 * ms     // ns that a run takes
+	hollowWorkBytes     = 256         // of the data that a claim carries for a takeover
 	hollowResultBytes   = 64
 	maxHollowTokens     = 4_096 // in flight at one node; more are rejected
 )
@@ -37,7 +37,7 @@
 	CallsInFlight   atomic.Int64 // calls in flight
 }
 
-// recordStart counts the start of a run.
+// recordStart counts the start of a run, and its delay since the token was requested.
 func (c *HollowCounters) recordStart(took int64) {
 	c.RunsStarted.Add(1)
 	c.StartDelaySum.Add(took)
@@ -46,43 +46,44 @@
 	}
 }
 
-// hollowState replaces dispatchers, executor, reports and the admission controller at a node that tests a fleet: inputs request
-// tokens and calls, and runs take their time and nothing else.
+// hollowState takes the place of dispatchers, executor, reports and the admission controller in a hollow node, which tests a fleet.
+// Inputs request tokens and calls, and a run takes a fixed time and no resources.
 type hollowState struct {
 	on          bool
-	replicaOnly bool // it has no load, takes nothing over and accepts no work
+	replicaOnly bool // the node only serves its replica: it has no load and takes over no claims
 	counters    *HollowCounters
 	tokens      map[claims.Key]*hollowToken
-	wantedCalls int // at a time
+	wantedCalls int // concurrent calls that the load asks for
 }
 
+// hollowToken is a token that a hollow node has claimed.
 type hollowToken struct {
 	requestedAt int64
 	deadline    int64
-	endsAt      int64 // set while it runs
+	endsAt      int64 // when its run ends, 0 before it starts
 	running     bool
-	ended       bool // its end is being recorded by the consensus group
+	ended       bool // its end was reported, and the consensus group has yet to commit it
 }
 
-// MakeHollow has the node do only what nodes do among themselves, before JoinFleet, EnableConsensus and EnableQuota.
-// HollowClaimRequested and HollowCallsRequested are its load; with replicaOnly it has none.
+// MakeHollow makes the node a hollow one, which only takes part in its fleet. It must be called before JoinFleet, EnableConsensus and
+// EnableQuota. The node's load comes as inputs HollowClaimRequested and HollowCallsRequested; with replicaOnly it has no load.
 func (sm *StateMachine) MakeHollow(counters *HollowCounters, replicaOnly bool) {
 	sm.hollow = hollowState{on: true, replicaOnly: replicaOnly, counters: counters, tokens: map[claims.Key]*hollowToken{}}
-	sm.drain.setListenerClosed() // there is none
+	sm.drain.setListenerClosed() // a hollow node has no listener, so a drain need not wait for its end
 }
 
-// enabled says whether the node is hollow.
+// enabled reports whether the node is hollow.
 func (hs *hollowState) enabled() bool { return hs.on }
 
-// isReplicaOnly says whether the node has no load and only serves the consensus group.
+// isReplicaOnly reports whether the node has no load and only serves the consensus group.
 func (hs *hollowState) isReplicaOnly() bool { return hs.replicaOnly }
 
-// takesClaims says whether the node is hollow and has tokens of its own.
+// takesClaims reports whether the node is hollow and claims tokens.
 func (hs *hollowState) takesClaims() bool { return hs.on && !hs.replicaOnly }
 
-// applyLoadRequest applies a request for load of a hollow node.
+// applyLoadRequest handles an input that gives a hollow node load.
 func (sm *StateMachine) applyLoadRequest(in *Input) {
-	if !sm.Invariants.Check(sm.hollow.on, "only a hollow node has its load from inputs") {
+	if !sm.Invariants.Check(sm.hollow.on, "only a hollow node receives load as inputs") {
 		return
 	}
 	if in.Kind == HollowCallsRequested {
@@ -94,7 +95,7 @@
 	sm.requestHollowClaim(in.Bytes)
 }
 
-// requestHollowClaim claims a token, and requests its start.
+// requestHollowClaim claims a token and requests the start of its run, unless the node must reject the token.
 func (sm *StateMachine) requestHollowClaim(token []byte) {
 	hs := &sm.hollow
 	hs.counters.TokensRequested.Add(1)
@@ -116,7 +117,7 @@
 	sm.claiming.requestSweep(sm.now)
 }
 
-// hollowOperation is the first operation that is deduplicated.
+// hollowOperation returns the name of the first operation that uses idempotency tokens, under which a hollow node claims all its tokens.
 func (sm *StateMachine) hollowOperation() string {
 	for i := range sm.config.Node.Operations {
 		if sm.config.Node.Operations[i].Idempotency == admission.IdempotentWithKey {
@@ -126,7 +127,7 @@
 	return "hollow"
 }
 
-// executeHollowAction carries out an action of the claims client at a hollow node.
+// executeHollowAction carries out an action of the claims client in a hollow node.
 func (sm *StateMachine) executeHollowAction(a *claims.Action) {
 	hs := &sm.hollow
 	t := hs.tokens[a.Key]
@@ -151,7 +152,7 @@
 			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Window: hollowTokenLifetime,
 				Work: a.Work})
 		}
-	default: // it ended elsewhere, or there is no capacity for it
+	default: // the token has ended elsewhere, or the consensus group rejected its claim
 		if t != nil {
 			hs.counters.TokensAbandoned.Add(1)
 			delete(hs.tokens, a.Key)
@@ -159,7 +160,7 @@
 	}
 }
 
-// sweepHollowTokens ends runs, and abandons tokens that waited too long for the fleet.
+// sweepHollowTokens reports the ends of runs whose time is over, and abandons tokens whose deadline is close before they run.
 func (sm *StateMachine) sweepHollowTokens() {
 	hs := &sm.hollow
 	for key, t := range hs.tokens {
@@ -175,7 +176,7 @@
 	}
 }
 
-// callDemand is how many of the wanted calls are in flight where the lease allows so many, and how many wait.
+// callDemand returns how many of the wanted calls the lease allows, which count as in flight, and how many wait.
 func (hs *hollowState) callDemand(allowed int64) (inFlight, waiting int) {
 	inFlight = int(min(int64(hs.wantedCalls), allowed))
 	hs.counters.CallsAllowed.Store(allowed)
@@ -183,7 +184,7 @@
 	return inFlight, hs.wantedCalls - inFlight
 }
 
-// hollowDue is when a hollow node is to step again.
+// hollowDue returns when a hollow node must step again at the latest.
 func (sm *StateMachine) hollowDue() int64 {
 	at := min(sm.membershipDue(), sm.claimsDue(), sm.leaseDue(), sm.configSyncDue())
 	if at == math.MaxInt64 {
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -5,23 +5,24 @@
 	"topazpost/internal/fleet/quota"
 )
 
-const demandInterval = 25 * ms // ns between looks at the demand for calls: short beside a call's own time
+const demandInterval = 25 * ms // ns between samples of the demand for calls: short compared with a call
 
-// leaseState bounds the calls in flight by leases of a limit of the whole fleet; without a holder the node has its fixed share.
+// leaseState bounds the calls in flight by a lease: this node's part of a limit that holds for the whole fleet. Without a lease holder
+// the node may use a fixed share of the limit.
 type leaseState struct {
 	holder         *quota.LeaseHolder
 	config         quota.HolderConfig
-	verdicts       []quota.Verdict
-	stepAt         int64 // when the holder is to step
-	announcedUnits int   // last sent to the admission controller
+	verdicts       []quota.Verdict // of the consensus group on this node's requests, for the holder's next step
+	stepAt         int64           // when the holder must step again
+	announcedUnits int             // call limit last sent to the admission controller, -1 before the first
 
-	// When the units of abandoned calls are free again, earliest first. The admission controller waits for half of the longest
-	// use at the most; the other half is for what goes on at the dependency once a call is abandoned.
+	// When the units of abandoned calls become free, earliest first. The admission controller waits for a call at most half of
+	// MaxUseTime; the other half covers the work that the dependency still does for an abandoned call.
 	abandonedUntil []int64
 }
 
-// EnableQuota has the node's calls in flight bounded by leases of a limit of the whole fleet, after EnableConsensus. A node with a
-// replica of the consensus group defines the limit, of a version, while it leads.
+// EnableQuota bounds the node's calls in flight by leases of a limit of the whole fleet. It must be called after EnableConsensus. A
+// node with a replica of the consensus group defines the limit, under the given version, while its replica leads.
 func (sm *StateMachine) EnableQuota(config quota.HolderConfig, version uint64) {
 	if !sm.hollow.isReplicaOnly() {
 		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.claiming.owner())), config: config, announcedUnits: -1}
@@ -30,15 +31,15 @@
 		StartDelay: config.LeaseTerm}})
 }
 
-// enabled says whether calls are bounded by leases.
+// enabled reports whether calls are bounded by leases.
 func (ls *leaseState) enabled() bool { return ls.holder != nil }
 
-// allowsCall says whether a call may be made now.
+// allowsCall reports whether a call may be made now: calls are not bounded by a lease, or the lease still holds.
 func (ls *leaseState) allowsCall(now int64) bool {
 	return ls.holder == nil || ls.holder.Allowed(now) > 0
 }
 
-// counters are those of the holder, nil without one.
+// counters returns the holder's counters, nil without a holder.
 func (ls *leaseState) counters() *quota.Counters {
 	if ls.holder == nil {
 		return nil
@@ -46,18 +47,19 @@
 	return &ls.holder.Counters
 }
 
-// addVerdicts queues verdicts on requests for leases.
+// addVerdicts queues verdicts on this node's requests for leases.
 func (ls *leaseState) addVerdicts(grants []quota.Verdict) {
 	ls.verdicts = append(ls.verdicts, grants...)
 }
 
-// requestStep has the holder step in this step: the demand changed.
+// requestStep makes the holder step in this step, because the demand has changed.
 func (ls *leaseState) requestStep(now int64) { ls.stepAt = now }
 
-// allowedUnits is how many units the lease allows, those of abandoned calls included.
+// allowedUnits returns how many units the lease allows, including those of abandoned calls.
 func (ls *leaseState) allowedUnits(now int64) int64 { return ls.holder.Allowed(now) }
 
-// availableUnits are those that calls in flight may take.
+// availableUnits returns how many calls may be in flight: the units of the lease without those reserved for abandoned calls. It first
+// frees the reserved units whose time is over.
 func (ls *leaseState) availableUnits(now int64) int {
 	for len(ls.abandonedUntil) > 0 && ls.abandonedUntil[0] <= now {
 		ls.abandonedUntil = ls.abandonedUntil[1:]
@@ -65,17 +67,17 @@
 	return max(0, int(ls.holder.Allowed(now))-len(ls.abandonedUntil))
 }
 
-// maxCallTime is for how long the admission controller may wait for a call.
+// maxCallTime returns how long the admission controller may wait for a call, in nanoseconds.
 func (ls *leaseState) maxCallTime() int64 { return ls.config.MaxUseTime / 2 }
 
-// callLimitEvent announces a number of units to the admission controller.
+// callLimitEvent returns the event that sets the admission controller's call limit, and records that limit as announced.
 func (ls *leaseState) callLimitEvent(units int) admission.Event {
 	ls.announcedUnits = units
 	return admission.Event{Kind: admission.CallLimitSet, CallLimit: units, MaxCallTime: ls.maxCallTime()}
 }
 
-// reserveAbandonedUnit reserves the unit of a call that was written and abandoned: the dependency may work on it still. It guards
-// against one call more at the dependency than units, for each that is abandoned there.
+// reserveAbandonedUnit reserves the unit of a call that was sent and then abandoned, since the dependency may still be working on it.
+// Without it, each abandoned call would allow the dependency one more concurrent call than the lease has units.
 func (sm *StateMachine) reserveAbandonedUnit(s *catalogueLink) {
 	ls := &sm.leases
 	if ls.holder == nil || !s.connected || s.invocation < 0 {
@@ -85,7 +87,8 @@
 	ls.requestStep(sm.now)
 }
 
-// stepLeases steps the holder and announces the call limit before anybody else learns what the node returned.
+// stepLeases steps the holder if it is due or has verdicts. It tells the controller a changed call limit before it sends the holder's
+// requests, because units that a request returns may be granted to another node.
 func (sm *StateMachine) stepLeases() {
 	ls := &sm.leases
 	if ls.holder == nil || sm.now < ls.stepAt && len(ls.verdicts) == 0 {
@@ -96,9 +99,9 @@
 		return
 	}
 	if sm.drain.isAcceptStopped() {
-		waiting = 0 // a drain makes its calls with the units it has
+		waiting = 0 // a draining node requests no units beyond those it has
 	}
-	ls.availableUnits(sm.now)
+	ls.availableUnits(sm.now) // frees reserved units whose time is over, which are counted below
 	requests, wake := ls.holder.Step(sm.now, int64(inFlight+len(ls.abandonedUntil)), int64(waiting), ls.verdicts)
 	ls.verdicts = ls.verdicts[:0]
 	ls.stepAt = ls.nextStep(sm.now, wake, inFlight+waiting)
@@ -110,7 +113,7 @@
 	}
 }
 
-// nextStep is when the holder is to step, given its own wish and the demand.
+// nextStep returns when the holder must step again, given the wake-up that it asked for and the number of calls in flight or waiting.
 func (ls *leaseState) nextStep(now, wake int64, demand int) int64 {
 	at := min(wake, now+demandInterval)
 	if demand == 0 {
@@ -122,7 +125,8 @@
 	return at
 }
 
-// expireLease announces a lease that ended, and units of abandoned calls, before the controller decides on anything else.
+// expireLease lowers the call limit if the lease has ended or units were reserved for abandoned calls, before the controller decides
+// on anything in this step.
 func (sm *StateMachine) expireLease() {
 	ls := &sm.leases
 	if ls.holder == nil || ls.announcedUnits <= 0 {
@@ -133,7 +137,7 @@
 	}
 }
 
-// callDemand is how many calls are in flight and how many wait beside them, unknown before there is an admission controller.
+// callDemand returns how many calls are in flight and how many wait to be made. Both are unknown before there is an admission controller.
 func (sm *StateMachine) callDemand() (inFlight, waiting int, known bool) {
 	if sm.hollow.enabled() {
 		inFlight, waiting = sm.hollow.callDemand(sm.leases.allowedUnits(sm.now))
@@ -146,7 +150,7 @@
 	return state.CallsInFlight, state.AwaitingCall, true
 }
 
-// leaseDue is when the holder is to step again.
+// leaseDue returns when the holder must step again at the latest.
 func (sm *StateMachine) leaseDue() int64 {
 	ls := &sm.leases
 	if ls.holder == nil || sm.controller == nil && !sm.hollow.enabled() {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	executorLossTimeout = 2_000 * ms // ns without an executor past which the node announces that it accepts no work
-	leaveAnnouncements  = 3          // times that a leaving node announces it
+	executorLossTimeout = 2_000 * ms // ns without an executor after which the node announces that it accepts no work
+	leaveAnnouncements  = 3          // times that a leaving node announces that it leaves
 )
 
-// Stages of a drain as the fleet is told of them.
+// Phases of a drain as a node announces them to its fleet.
 const (
 	drainPhaseRequested     = 1
 	drainPhaseAcceptStopped = 3
 )
 
-// fleetState is the node's membership of a fleet; outside one members is nil, and there is no timer and no cost.
+// fleetState holds the node's membership of a fleet. Outside a fleet, members is nil and membership takes no timer and no time.
 type fleetState struct {
 	members        *membership.Members
 	id             envelope.Fleet
 	inputs         []membership.Input
 	wakeAt         int64
-	executorLostAt int64 // -1 while there is an executor
+	executorLostAt int64 // when the node was first seen without an executor, -1 while it has one
 	announcedFacts membership.Facts
 	counters       PeerMessageCounters
 }
 
-// PeerMessageCounters counts messages of peers that could not be used.
+// PeerMessageCounters counts the messages from peers that this node rejected, by reason.
 type PeerMessageCounters struct {
 	Malformed    int `json:"spoilt"`
 	OtherVersion int `json:"another_version"`
 	OtherFleet   int `json:"another_fleet"`
 }
 
-// add counts a message by what is wrong with it.
+// add counts a rejected message under the reason that err gives.
 func (c *PeerMessageCounters) add(err error) {
 	switch {
 	case errors.Is(err, envelope.ErrFleet):
@@ -49,40 +49,40 @@
 	}
 }
 
-// peerMessage is the body of a datagram or of a message of an exchange: membership's, or under a key of its own another
-// component's. A build that lacks the component finds a message of no kind, and rejects it.
+// peerMessage is the body of a datagram or of a message of an exchange. It is a message of the membership, or, under its own key, a
+// message of another component. A build without that component decodes a membership message of kind 0 and rejects it.
 type peerMessage struct {
 	membership.Message
 	Configuration *configMessage `cbor:"10,keyasint,omitempty"`
 }
 
-// JoinFleet makes the node one of a fleet, before its first step.
+// JoinFleet makes the node a member of a fleet. It must be called before the first step.
 func (sm *StateMachine) JoinFleet(fleet string, members *membership.Members) {
 	sm.fleet = fleetState{members: members, id: envelope.FleetOf(fleet), executorLostAt: -1}
 	sm.Invariants.Check(sm.now == 0, "a node joins its fleet before its first step")
 }
 
-// Members is what the node knows of its fleet, nil outside one.
+// Members returns what the node knows of its fleet, nil outside a fleet.
 func (sm *StateMachine) Members() *membership.Members { return sm.fleet.members }
 
-// PeerMessageCounters counts messages of peers that could not be used.
+// PeerMessageCounters returns the counts of rejected messages from peers.
 func (sm *StateMachine) PeerMessageCounters() PeerMessageCounters { return sm.fleet.counters }
 
-// open decodes a message of this fleet.
+// open checks that an encoded message is of this fleet, and decodes its body.
 func (fs *fleetState) open(text []byte, body any) error { return envelope.Open(text, fs.id, body) }
 
-// seal encodes a message of this fleet.
+// seal encodes a body as a message of this fleet.
 func (fs *fleetState) seal(body any) ([]byte, error) { return envelope.Seal(nil, fs.id, body) }
 
-// addressOf is the address of a member.
+// addressOf returns the address of the member with a name.
 func (fs *fleetState) addressOf(name string) (address string, known bool) {
 	return fs.members.AddressOf(name)
 }
 
-// selfName is this node's name in its fleet.
+// selfName returns this node's name in its fleet.
 func (fs *fleetState) selfName() string { return fs.members.Self().Name }
 
-// applyPeerInput applies a datagram or a part of an exchange.
+// applyPeerInput handles a datagram, or a request, response or failure of an exchange.
 func (sm *StateMachine) applyPeerInput(in *Input) {
 	fs := &sm.fleet
 	if fs.members == nil {
@@ -93,7 +93,7 @@
 		return
 	}
 	if in.Kind == PeerExchangeFailed {
-		sm.log(Debug, "exchange with a peer came to nothing", "", in.Err)
+		sm.log(Debug, "exchange with a peer failed", "", in.Err)
 		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
 		return
 	}
@@ -109,11 +109,11 @@
 	sm.applyMembershipMessage(in, &body.Message)
 }
 
-// applyMembershipMessage applies a message of another node's membership, or answers a command's request for the view.
+// applyMembershipMessage queues a message for the membership, or answers a command's request for the view or the claims.
 func (sm *StateMachine) applyMembershipMessage(in *Input, msg *membership.Message) {
 	datagram := msg.Kind <= membership.MessageGossip
 	if datagram != (in.Kind == PeerDatagramReceived) || msg.Kind == 0 {
-		sm.rejectPeerMessage(in, fmt.Errorf("%w: kind %d does not belong there", envelope.ErrSpoilt, msg.Kind))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: unexpected membership message of kind %d", envelope.ErrSpoilt, msg.Kind))
 		return
 	}
 	if msg.Kind == membership.MessageViewRequest {
@@ -134,7 +134,7 @@
 	sm.fleet.inputs = append(sm.fleet.inputs, next)
 }
 
-// answerViewRequest answers a command that asks for the view, or for the summary of the claims.
+// answerViewRequest answers a command that requests the view of the fleet, or the summary of claims.
 func (sm *StateMachine) answerViewRequest(link int, msg *membership.Message) {
 	if msg.Why != membership.ViewRequestClaims {
 		view := sm.fleet.members.View()
@@ -143,26 +143,27 @@
 	}
 	summary := sm.Claims()
 	if summary == nil {
-		sm.emit(Effect{Kind: ReplyToExchange, Link: link}) // without bytes: it is closed
+		sm.emit(Effect{Kind: ReplyToExchange, Link: link}) // no bytes: the host closes the exchange
 		return
 	}
 	sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: link}, summary)
 }
 
-// rejectPeerMessage counts and logs a message that can't be used; an exchange of this node's that brought it has failed.
+// rejectPeerMessage counts and logs a message that can't be decoded or is out of place. If it was the response in an exchange of this
+// node, that exchange fails; if it was the request of another node's, that exchange is closed.
 func (sm *StateMachine) rejectPeerMessage(in *Input, err error) {
 	fs := &sm.fleet
 	fs.counters.add(err)
-	sm.log(Warn, "peer can't be understood", in.From, err)
+	sm.log(Warn, "message from a peer rejected", in.From, err)
 	switch in.Kind {
 	case PeerResponseReceived:
 		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
 	case PeerRequestReceived:
-		sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
+		sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // no bytes: the host closes the exchange
 	}
 }
 
-// stepMembership steps the membership when something came or is due.
+// stepMembership steps the membership if it has inputs, if its timer is due or if this node's facts have changed.
 func (sm *StateMachine) stepMembership() {
 	fs := &sm.fleet
 	if fs.members == nil {
@@ -201,7 +202,7 @@
 	}
 }
 
-// logComponent logs what a component of the fleet reports.
+// logComponent writes a log entry of a component that works without a log of its own, such as the membership.
 func (sm *StateMachine) logComponent(warn bool, text string) {
 	level := Info
 	if warn {
@@ -210,7 +211,7 @@
 	sm.log(level, text, "", nil)
 }
 
-// facts are what this node announces of itself.
+// facts returns what this node announces to its fleet about itself.
 func (sm *StateMachine) facts() (f membership.Facts) {
 	fs := &sm.fleet
 	if sm.controller != nil && sm.executor.isConnected() {
@@ -230,7 +231,7 @@
 	return f
 }
 
-// announceLeaving announces that the node leaves now, some times over: nobody answers for a datagram that is lost.
+// announceLeaving announces several times that the node leaves now: datagrams may be lost, and nobody acknowledges these.
 func (sm *StateMachine) announceLeaving() {
 	fs := &sm.fleet
 	if fs.members == nil {
@@ -242,7 +243,7 @@
 	}
 }
 
-// sendEnvelope emits an effect with a body sealed for this fleet.
+// sendEnvelope emits an effect whose bytes are a body encoded as a message of this fleet.
 func (sm *StateMachine) sendEnvelope(e Effect, body any) {
 	var err error
 	e.Bytes, err = sm.fleet.seal(body)
@@ -254,7 +255,7 @@
 	}
 }
 
-// membershipDue is when the membership is to step again.
+// membershipDue returns when the membership must step again at the latest.
 func (sm *StateMachine) membershipDue() int64 {
 	fs := &sm.fleet
 	if fs.members == nil {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -13,11 +13,11 @@
 	"topazpost/internal/resultcache"
 )
 
-const noConnection = -1 // connection of an invocation that was taken over: nobody is answered
+const noConnection = -1 // in place of a connection's link: the invocation was taken over, and has no caller to answer
 
-var errNotAccepting = errors.New("node: it accepts no work")
+var errNotAccepting = errors.New("node: draining, or no executor has connected yet; no invocations are taken over")
 
-// takeoverWork is what a new owner needs of an invocation.
+// takeoverWork is the part of an invocation that is stored with its claim, so that another node can take it over.
 type takeoverWork struct {
 	InvocationID string  `cbor:"1,keyasint"`
 	Body         []byte  `cbor:"2,keyasint"`
@@ -26,30 +26,31 @@
 	Caller       int64   `cbor:"5,keyasint,omitempty"`
 }
 
-func workOf(v *invocation) takeoverWork {
+// takeoverWorkOf returns what another node needs to take over an invocation.
+func takeoverWorkOf(v *invocation) takeoverWork {
 	return takeoverWork{InvocationID: v.invocationID, Body: v.body, QueuedKB: v.arrivalEvent.QueuedKB, ExpectedWork: v.arrivalEvent.ExpectedWork, Caller: v.arrivalEvent.Caller}
 }
 
-// valid says whether its fields are within the bounds of an invocation.
+// valid reports whether all fields are within the bounds of an invocation.
 func (w *takeoverWork) valid() bool {
 	return isHex16(w.InvocationID) && len(w.Body) <= maxBodyBytes && w.QueuedKB > 0 && w.QueuedKB < maxHeapKB
 }
 
-// takeOverInvocation submits what a lost node had claimed, as an invocation whose caller is not here. Its deadline stays; its latency
-// objective counts from now on, or the controller would give up as hopeless what was lost with its node.
+// takeOverInvocation submits the invocation of a claim that a lost node owned. It has no caller at this node. Its deadline stays, but
+// its latency objective counts from now: counted from its arrival at the lost node, the controller would give it up as hopeless.
 func (sm *StateMachine) takeOverInvocation(key resultcache.Key, a *claims.Action) error {
 	if sm.controller == nil || sm.drain.isRequested() {
 		return errNotAccepting
 	}
 	var work takeoverWork
 	if err := cbor.Unmarshal(a.Work, &work); err != nil {
-		return fmt.Errorf("node: the work for a takeover can't be decoded: %w", err)
+		return fmt.Errorf("node: the invocation to take over can't be decoded: %w", err)
 	}
 	if _, used := sm.indexByID[work.InvocationID]; used || !work.valid() {
-		return fmt.Errorf("node: call %q is in use, or not valid", work.InvocationID)
+		return fmt.Errorf("node: the invocation to take over has an ID that is in use, or invalid fields: %q", work.InvocationID)
 	}
 	if sm.results.isKnown(key) {
-		return nil // a caller is here already, and its invocation goes on under this claim
+		return nil // a caller has sent this token here too, and its invocation uses the claim
 	}
 	v := invocation{live: true, connectionLink: noConnection, invocationID: work.InvocationID, operationName: sm.config.Operations.Name(key.Operation), body: work.Body, tokenKey: key,
 		bodyHash: a.BodyHash, operationIndex: key.Operation, tenant: key.Tenant, arrivedAt: sm.now, deadline: sm.now + a.Duration}
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// takeoverMembers is the view as the consensus group needs it. A node without any link keeps all in its view, so it takes nobody for
-// lost.
+// takeoverMembers returns the view of the fleet as the consensus group needs it to reassign the claims of lost nodes. A node that is cut
+// off from all peers keeps every member in its view, so it takes none of them for lost.
 func (sm *StateMachine) takeoverMembers() []takeover.Member {
 	var list []takeover.Member
 	view := sm.Members().View()
