--- a/internal/degradation/controller.go
+++ b/internal/degradation/controller.go
@@ -177,9 +177,10 @@
 	return needed
 }
 
-// mayEnterOnTrial reports whether a level may be entered by a condition without a load limit. Such pressure may be beyond the help of any
-// level, for example if a dependency is slow, and must not lead to the most restrictive level. Levels are therefore tried one at a time,
-// each only after the trial of the one before it has ended. The cost is that levels whose single effect is too small to measure are left again.
+// mayEnterOnTrial reports whether a level may be entered by a condition without a load limit. No level may be able to relieve such
+// pressure, for example if a dependency is slow, and the node must not end up at its most restrictive level then. Levels are therefore
+// tried one at a time, each only after the trial of the previous one has ended. The cost is that a level is left again if its effect
+// alone is too small to measure.
 func (c *Controller) mayEnterOnTrial(now int64, level int) bool {
 	return c.trialOver && now >= c.states[level-1].retryAt && level <= c.level+1
 }
--- a/internal/degradation/degradationlog/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -15,6 +15,7 @@
 {"level":"info","plan":"p","from":"b","to":"full","cause":"idle","time":"2026-12-01T10:00:20Z","message":"level changed"}
 {"level":"info","plan":"p","from":"full","to":"a","cau`
 
+// Invalid lines must be counted and must not hide the changes around them.
 func TestAddLogAcceptsATruncatedLog(t *testing.T) {
 	var timeline Timeline
 	require.NoError(t, timeline.AddLog("logs/x.log", strings.NewReader(sampleLog)))
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -90,9 +90,10 @@
 	return p
 }
 
-func timeOrDefault(t *configfile.Time, byDefault int64) int64 {
+// timeOrDefault returns a time of the file in nanoseconds, or the default if the file leaves it out.
+func timeOrDefault(t *configfile.Time, defaultTime int64) int64 {
 	if t == nil {
-		return byDefault
+		return defaultTime
 	}
 	return int64(*t)
 }
