--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -5,23 +5,23 @@
 
 // The kinds of action.
 const (
-	Run ActionKind = iota
-	Reject
-	Fail
-	Stop
-	JoinOriginal
-	RecordKey
-	StartCall
-	SkipCall
-	ReportHealth
-	SignalBackpressure
-	SetTimer
-	StopAccepting // repeated until the drain has finished
-	Exit          // the drain has finished
-	Release       // the index of the invocation may be used again
+	Run                ActionKind = iota // start the run of an invocation, or resume a paused run
+	Reject                               // answer with a rejection: the invocation never started
+	Fail                                 // answer with a failure: the invocation may have started
+	Stop                                 // stop the run of an invocation
+	JoinOriginal                         // answer with the result of the invocation that this one repeats
+	RecordKey                            // retain the key of an invocation, so that repetitions are recognized
+	StartCall                            // start the dependency call that a run awaits
+	SkipCall                             // continue a run without the dependency call that it awaits
+	ReportHealth                         // answer health checks with the given result from now on
+	SignalBackpressure                   // send callers a new backpressure value
+	SetTimer                             // send TimerFired at the given time
+	StopAccepting                        // emitted by each Decide after the end of intake, until the drain has finished
+	Exit                                 // the drain has finished
+	Release                              // the invocation has ended, and its index may be used again
 )
 
-// Action is something that the host is to do. Only the fields of its kind are set. Times and durations are in
+// Action is an instruction to the host. Only the fields that belong to its kind are set. Times and durations are in
 // nanoseconds.
 type Action struct {
 	Kind       ActionKind
@@ -30,26 +30,24 @@
 	Duration   int64   // Reject: Retry-After; RecordKey: retention
 	Value      float64 // SignalBackpressure
 	Healthy    bool    // ReportHealth
-	Cached     bool    // ReportHealth: checks are answered from the cached report
+	Cached     bool    // ReportHealth: health checks are answered with this report, without a new check
 	NoRetry    bool    // Reject: the caller is asked not to retry elsewhere
 	Reason     Reason  // Reject, Fail
 	Form       Form    // Run: Complete or Reduced
 	Report     string  // Exit
 }
 
-// emit appends an action to the result of Decide.
+// emit appends an action to those that Decide returns.
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
 func run(invocation int32, form Form) Action {
 	return Action{Kind: Run, Invocation: invocation, Form: form}
 }
 
-// reject answers an invocation that never started.
 func reject(invocation int32, retryAfter int64, noRetry bool, reason Reason) Action {
 	return Action{Kind: Reject, Invocation: invocation, Duration: retryAfter, NoRetry: noRetry, Reason: reason}
 }
 
-// fail answers an invocation that may have started.
 func fail(invocation int32, reason Reason) Action {
 	return Action{Kind: Fail, Invocation: invocation, Reason: reason}
 }
@@ -74,7 +72,8 @@
 	return Action{Kind: SkipCall, Invocation: invocation}
 }
 
-// reportHealth has health checks answered from the report, since a deep check costs work.
+// reportHealth makes the host answer health checks with this result, because a deep check at each request would cost
+// work.
 func reportHealth(healthy bool) Action {
 	return Action{Kind: ReportHealth, Healthy: healthy, Cached: true}
 }
--- a/internal/admission/arrival.go
+++ b/internal/admission/arrival.go
@@ -3,12 +3,12 @@
 import "cmp"
 
 const (
-	// unitsPerObjective is the ratio of an operation's latency objective to its unit of work, which stands in for an
-	// unknown expected work.
-	unitsPerObjective = 8
+	// objectivePerDefaultWork is the ratio of an operation's latency objective to its default work, which is assumed for
+	// invocations whose expected work is unknown.
+	objectivePerDefaultWork = 8
 )
 
-// handleArrival queues an invocation, joins it to the one that it repeats, or rejects it.
+// handleArrival queues an invocation, joins it to the invocation that it repeats, or rejects it.
 func (c *Controller) handleArrival(e *Event) {
 	i := e.Invocation
 	inv := c.addInvocation(e)
@@ -17,12 +17,12 @@
 	op := inv.operation
 	switch {
 	case c.drain.intakeEnded(c.now):
-		c.drop(i, ReasonDraining)
+		c.rejectOrFail(i, ReasonDraining)
 	case e.Original != NoOriginal:
 		c.emit(joinOriginal(i))
 		c.setState(inv, stateJoined)
 	case op.service.Form == Shed && !c.useSpareCapacity:
-		c.drop(i, ReasonDegraded)
+		c.rejectOrFail(i, ReasonDegraded)
 	case op.Idempotency == IdempotentWithKey:
 		c.recordKeyUntil(i, inv.arrivedAt+op.DeduplicationWindow)
 	case c.isReusableRead(inv, e):
@@ -30,7 +30,7 @@
 	}
 }
 
-// addInvocation adds a queued invocation. The result is valid until the next call.
+// addInvocation adds a queued invocation. The pointer is valid until the next call, which may reallocate the slice.
 func (c *Controller) addInvocation(e *Event) *invocation {
 	missing := max(0, int(e.Invocation)+1-len(c.invocations))
 	c.invocations = append(c.invocations, make([]invocation, missing)...)
@@ -44,7 +44,7 @@
 		arrivedAt:   arrivedAt,
 		deadline:    cmp.Or(e.Deadline, arrivedAt+op.ClientTimeout),
 		queuedKB:    e.QueuedKB,
-		baseWork:    float64(cmp.Or(e.ExpectedWork, op.LatencyObjective/unitsPerObjective)),
+		baseWork:    float64(cmp.Or(e.ExpectedWork, op.LatencyObjective/objectivePerDefaultWork)),
 		workShare:   1,
 		weightShare: 1,
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// originalStarted says whether the invocation that another one repeats has run.
+// originalStarted reports whether a repeated invocation has started to run. The argument is a value of Event.Original.
 func (c *Controller) originalStarted(original int32) bool {
 	if original < 0 {
 		return original == OriginalEnded
@@ -70,7 +70,7 @@
 	return c.invocations[original].started
 }
 
-// isReusableRead says whether the result of an invocation may answer equal reads that come later.
+// isReusableRead reports whether the result of an invocation may answer later reads with the same key.
 func (c *Controller) isReusableRead(inv *invocation, e *Event) bool {
 	return inv.operation.Idempotency == Idempotent && c.config.ReadReuseWindow > 0 && e.HasReadKey && !e.Write
 }
--- a/internal/admission/arrival_test.go
+++ b/internal/admission/arrival_test.go
@@ -21,7 +21,8 @@
 	assert.Equal(t, []ActionKind{JoinOriginal}, actionKinds(c))
 }
 
-func TestRetryOfAStartedInvocationFailsRatherThanRejectedAfterIntakeEnd(t *testing.T) {
+// A rejection would tell the caller that nothing was executed.
+func TestRetryOfAStartedInvocationFailsAfterIntakeEnd(t *testing.T) {
 	c := newTestController()
 	c.drain.requestedAt = c.now - millisecond
 	c.drain.intakeEnd = c.now
--- a/internal/admission/backpressure.go
+++ b/internal/admission/backpressure.go
@@ -3,59 +3,61 @@
 import "math"
 
 const (
-	noSignal = -1.0 // LastSignal before the first one
+	noSignal = -1.0 // lastSignal before the first backpressure value
 
-	highPressure          = 0.5   // of the shortest objective: for a longer queue wait, callers are asked for less load
-	lowPressure           = 0.25  // of the shortest objective: for a shorter queue wait, for more
-	capacityIncrease      = 0.02  // of the maximum, at each tick of low pressure
-	capacityDecrease      = 0.05  // of the present one, at each tick of high pressure
-	minAdvertisedCapacity = 0.025 // of the maximum: some load must show when the pressure ends
+	highQueueWait         = 0.5   // of the shortest latency objective; above it, the advertised capacity falls
+	lowQueueWait          = 0.25  // of the shortest latency objective; below it, the advertised capacity rises
+	capacityIncrease      = 0.02  // of the maximum, added at each tick with a low queue wait
+	capacityDecrease      = 0.05  // of the current value, subtracted at each tick with a high queue wait
+	minAdvertisedCapacity = 0.025 // of the maximum; above 0, because some load must arrive to show that the overload has ended
 
 	maxCreditsPerCore    = 4.0   // for all callers together
-	maxBackpressureLevel = 0.5   // outside a drain: above it, callers starve operations of low priority
-	signalsPerUnit       = 100.0 // resolution of the signal
+	maxBackpressureLevel = 0.5   // outside a drain; at higher levels, callers would hardly send operations of low priority
+	signalStepsPerUnit   = 100.0 // resolution of signalled values
 
-	overloadRetryShare    = 0.3  // of arrivals that are retries, above which other nodes reject work as well
-	overloadRejectedShare = 0.15 // of arrivals that are rejected, up to which that has ended
+	overloadRetryShare    = 0.3  // share of retries among arrivals above which the fleet counts as overloaded
+	overloadRejectedShare = 0.15 // share of rejected arrivals up to which the fleet no longer counts as overloaded
 )
 
-// backpressureState is what callers are asked for.
+// backpressureState is the load that the node asks callers for.
 type backpressureState struct {
-	advertisedCapacity float64 // share of the load that could be asked for
-	lastSignal         float64
-	fleetOverloaded    bool // other nodes seem to reject work as well
+	advertisedCapacity float64 // share of the maximum load, 0 to 1
+	lastSignal         float64 // last backpressure value, noSignal before the first
+	fleetOverloaded    bool    // other nodes seem to reject work as well
 }
 
-// signalled says whether there was a signal.
-func (b *backpressureState) signalled() bool { return b.lastSignal >= 0 }
+// hasValue reports whether a first backpressure value has been computed.
+func (b *backpressureState) hasValue() bool { return b.lastSignal >= 0 }
 
-// updateBackpressure asks callers for less load while the queue wait is long and for more while it is short.
+// updateBackpressure asks callers for less load while the queue wait is long, and for more load while it is short.
 func (c *Controller) updateBackpressure() {
 	effectiveCallers := c.callers.effectiveCallers()
 	c.callers.decay()
 	c.backpressure.detectFleetOverload(&c.callers)
 	c.backpressure.adjustCapacity(c.queueWait(), c.operations.shortestObjective)
-	c.signal(c.backpressureValue(effectiveCallers))
+	c.signalIfChanged(c.backpressureValue(effectiveCallers))
 }
 
-// detectFleetOverload infers from retries that other nodes reject work as well, so that retries are of no use. They end
-// once callers are asked for none, so that only few rejections are evidence of the opposite.
+// detectFleetOverload infers from a high share of retries that other nodes reject work as well, so that retrying
+// elsewhere is of no use. Retries cease when callers are asked not to retry, so that a low share of retries does not
+// prove the end of the overload: it ends when few arrivals are rejected.
 func (b *backpressureState) detectFleetOverload(callers *callerStatistics) {
 	manyRetries := callers.retries > overloadRetryShare*callers.arrivals
 	manyRejected := callers.rejected > overloadRejectedShare*callers.arrivals
 	b.fleetOverloaded = manyRejected && (b.fleetOverloaded || manyRetries)
 }
 
-// adjustCapacity adjusts the advertised capacity to the queue wait.
+// adjustCapacity raises or lowers the advertised capacity, depending on the queue wait. Both durations are in
+// nanoseconds.
 func (b *backpressureState) adjustCapacity(queueWait, shortestObjective float64) {
-	if queueWait > highPressure*shortestObjective {
+	if queueWait > highQueueWait*shortestObjective {
 		b.advertisedCapacity = max(minAdvertisedCapacity, b.advertisedCapacity*(1-capacityDecrease))
-	} else if queueWait < lowPressure*shortestObjective {
+	} else if queueWait < lowQueueWait*shortestObjective {
 		b.advertisedCapacity = min(1, b.advertisedCapacity+capacityIncrease)
 	}
 }
 
-// backpressureValue is the value that callers are to have. Capacity that is not 0 is never rounded to it.
+// backpressureValue returns the value to signal. It is rounded up, so that a small capacity does not become 0.
 func (c *Controller) backpressureValue(effectiveCallers float64) float64 {
 	value := 0.0
 	switch c.config.Backpressure {
@@ -66,27 +68,27 @@
 	default:
 		value = c.availableCapacity()
 	}
-	return math.Ceil(value*signalsPerUnit) / signalsPerUnit
+	return math.Ceil(value*signalStepsPerUnit) / signalStepsPerUnit
 }
 
-// availableCapacity is the advertised capacity, 0 while callers are redirected.
+// availableCapacity returns the advertised capacity, or 0 while callers are redirected.
 func (c *Controller) availableCapacity() float64 {
-	if c.drain.redirects(c.now) {
+	if c.drain.redirectsCallers(c.now) {
 		return 0
 	}
 	return c.backpressure.advertisedCapacity
 }
 
-// backpressureLevel is the level for callers, 1 while they are redirected.
+// backpressureLevel returns the level to signal to callers, 1 while they are redirected.
 func (c *Controller) backpressureLevel() float64 {
-	if c.drain.redirects(c.now) {
+	if c.drain.redirectsCallers(c.now) {
 		return 1
 	}
 	return maxBackpressureLevel * (1 - c.backpressure.advertisedCapacity)
 }
 
-// signal signals a value where it has changed.
-func (c *Controller) signal(value float64) {
+// signalIfChanged signals the value to callers if it differs from the last one and backpressure is supported.
+func (c *Controller) signalIfChanged(value float64) {
 	if value != c.backpressure.lastSignal && c.config.Backpressure != NoBackpressure {
 		c.emit(signalBackpressure(value))
 	}
--- a/internal/admission/backpressure_test.go
+++ b/internal/admission/backpressure_test.go
@@ -23,7 +23,7 @@
 		c.drain.requestedAt = c.now
 		c.drain.intakeEnd = c.now + 2*redirectLeadTime
 		c.updateBackpressure()
-		assert.NotEqual(t, want, c.backpressure.lastSignal, "it still serves: other nodes may be full")
+		assert.NotEqual(t, want, c.backpressure.lastSignal, "callers are not redirected earlier, because other nodes may be full")
 		c.now = c.now + redirectLeadTime
 		c.actions = nil
 		c.updateBackpressure()
@@ -31,7 +31,7 @@
 	}
 }
 
-// A node that warms up must not be flooded before its first answers.
+// A cold node must not receive full load before it has answered anything.
 func TestColdStartAdvertisesLessCapacity(t *testing.T) {
 	c := newTestController(func(n *Config) {
 		n.ColdStart = true
@@ -40,7 +40,8 @@
 	assert.Equal(t, 0.25, c.backpressure.advertisedCapacity)
 }
 
-// Without arrivals the last queueing delay must not count any more.
+// Guards against a node that stays at low capacity because the last queueing delay still counts when no more requests are
+// read.
 func TestIdleNodeRaisesItsAdvertisedCapacity(t *testing.T) {
 	c := newTestController()
 	c.callers.queueingDelay = float64(900 * millisecond)
@@ -63,7 +64,7 @@
 	assert.Equal(t, 0.01, c.actions[0].Value)
 }
 
-// What every node rejects would otherwise be read at one node after the other.
+// Without this state, callers would retry at one node after another while every node rejects.
 func TestRetryStormMarksTheFleetOverloadedUntilFewAreRejected(t *testing.T) {
 	c := newTestController(func(n *Config) { n.RetriesMarked = true })
 	c.callers.arrivals = 10
@@ -73,7 +74,7 @@
 	assert.True(t, c.backpressure.fleetOverloaded)
 	c.callers.retries = 0
 	c.updateBackpressure()
-	assert.True(t, c.backpressure.fleetOverloaded, "retries end because callers were asked for none")
+	assert.True(t, c.backpressure.fleetOverloaded, "few retries prove nothing: callers were asked not to retry")
 	c.callers.rejected = 1
 	c.updateBackpressure()
 	assert.False(t, c.backpressure.fleetOverloaded)
--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	counterDecay    = 0.98    // of recent counts at each tick: some seconds
-	minCallerCount  = 0.05    // below which a caller is forgotten: the signal that it has is out of date
-	minTenantCount  = 0x1p-53 // below which a tenant is forgotten: one arrival more makes no difference
-	minSquaredCount = 1e-9    // against a division by zero
+	counterDecay    = 0.98    // factor of recent counts at each tick: a time constant of 2.5 s
+	minCallerCount  = 0.05    // a caller below this count is removed: the signal that it received is out of date
+	minTenantCount  = 0x1p-53 // a tenant below this count is removed: added to one arrival, it is lost in rounding
+	minSquaredCount = 1e-9    // prevents a division by zero
 
-	queueingDelaySamples = 8.0 // arrivals over which the delay is smoothed
+	queueingDelaySamples = 8.0 // arrivals over which the queueing delay is smoothed
 
-	waitTimeBins      = 24   // of the client timeout
-	maxWaitSamples    = 96.0 // some ten seconds of a small node
-	minCallersWaiting = 0.67 // share of the callers that must still wait for a run to be worth its cost
+	waitTimeBins          = 24   // equal parts of the client timeout
+	maxWaitSamples        = 96.0 // about ten seconds of arrivals at a small node
+	minWaitingCallerShare = 0.67 // share of callers that must still be waiting for a run to be worth its cost
 )
 
-// callerStatistics are statistics of recent arrivals and of those who sent them.
+// callerStatistics are statistics of recent arrivals, by caller and by tenant, and of how long callers wait. The counts
+// decay at each tick.
 type callerStatistics struct {
-	arrivals      float64 // recent ones
-	retries       float64 // among the recent arrivals
-	rejected      float64 // recently
-	degraded      float64 // rejected by the degradation level, recently
+	arrivals      float64
+	retries       float64 // among the arrivals
+	rejected      float64
+	degraded      float64 // among the rejected: those that the degradation level sheds
 	byCaller      stats.DecayingCounter
 	byTenant      stats.DecayingCounter
 	queueingDelay float64 // ns, smoothed: age of arrivals when they were read
 	waitTimes     stats.SurvivalCurve
-	waitShare     float64 // of the client timeout, for which most callers wait
+	waitShare     float64 // share of the client timeout until which minWaitingCallerShare of the callers wait
 }
 
 func newCallerStatistics() callerStatistics {
@@ -39,7 +40,7 @@
 	}
 }
 
-// countArrival counts an arrival.
+// countArrival adds an arrival to the counts and its age to the queueing delay.
 func (s *callerStatistics) countArrival(e *Event) {
 	s.queueingDelay += (float64(e.Age) - s.queueingDelay) / queueingDelaySamples
 	s.arrivals++
@@ -50,7 +51,8 @@
 	s.byTenant.Add(int64(e.Tenant))
 }
 
-// countRejection counts a rejection. Where callers don't mark their retries, it stands for the retry to come.
+// countRejection counts a rejection. If callers don't mark their retries, it also counts as the retry that it is expected
+// to cause.
 func (s *callerStatistics) countRejection(reason Reason, retriesMarked bool) {
 	s.rejected++
 	if reason == ReasonDegraded {
@@ -61,12 +63,12 @@
 	}
 }
 
-// rejectedShare is the share of recent arrivals that were rejected for other reasons than degradation.
+// rejectedShare returns the share of recent arrivals that were rejected for reasons other than degradation.
 func (s *callerStatistics) rejectedShare() float64 {
 	return (s.rejected - s.degraded) / max(1, s.arrivals)
 }
 
-// decay reduces the weight of what was counted, at each tick.
+// decay reduces the weight of earlier counts. It is called at each tick.
 func (s *callerStatistics) decay() {
 	s.arrivals *= counterDecay
 	s.retries *= counterDecay
@@ -76,8 +78,8 @@
 	s.byTenant.Decay(counterDecay, minTenantCount)
 }
 
-// effectiveCallers is the number of equally active callers that would spread arrivals as widely as the present
-// ones do, at least 1.
+// effectiveCallers returns the effective number of callers, at least 1: the squared sum of their counts over the sum of
+// the squared counts. It equals the number of callers if all are equally active.
 func (s *callerStatistics) effectiveCallers() float64 {
 	sum := 0.0
 	squares := minSquaredCount
@@ -89,12 +91,13 @@
 	return max(1, sum*sum/squares)
 }
 
-// updateWaitShare updates how long most callers wait.
+// updateWaitShare recomputes for how long most callers wait.
 func (s *callerStatistics) updateWaitShare() {
-	s.waitShare = s.waitTimes.TimeAtSurvival(minCallersWaiting)
+	s.waitShare = s.waitTimes.TimeAtSurvival(minWaitingCallerShare)
 }
 
-// observeWait records how long a caller has waited, and whether it abandoned the invocation.
+// observeWait records how long a caller has waited, and whether it abandoned the invocation. It ignores invocations that
+// were answered before.
 func (c *Controller) observeWait(inv *invocation, abandoned bool) {
 	if inv.answered {
 		return
--- a/internal/admission/callers_test.go
+++ b/internal/admission/callers_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The cost of a tick is that of recent tenants, not of all that are configured.
+// The cost of a tick must depend on the number of recent tenants, not on the number of configured ones.
 func TestTickVisitsOnlyRecentTenants(t *testing.T) {
 	for _, tenants := range []int{0, 1_000, 130_000} {
 		c := newTestController(func(n *Config) { n.TenantRates = make([]float64, tenants) })
@@ -17,6 +17,6 @@
 		for range 2_100 { // ticks without arrivals
 			c.updateBackpressure()
 		}
-		assert.Empty(t, c.callers.byTenant.Counts(), "removed once they make no difference")
+		assert.Empty(t, c.callers.byTenant.Counts(), "tenants are removed when their counts are negligible")
 	}
 }
--- a/internal/admission/callquota_test.go
+++ b/internal/admission/callquota_test.go
@@ -17,12 +17,12 @@
 	maxAwaitingCalls  = 4 // of each node
 )
 
-// dependencyFleet is a fleet of nodes with as many runs that await calls as they like, over a dependency on which every
-// call takes as long as the node allows.
+// dependencyFleet is a fleet of nodes that call a shared dependency. At each node, runs that await a call never run out,
+// and each call takes as long as the node allows.
 type dependencyFleet struct {
 	controllers    []*Controller
-	callEnds       []map[int32]int64 // of calls in flight, by node and invocation
-	lingeringCalls []int64           // ends of calls whose node is gone
+	callEnds       []map[int32]int64 // when calls in flight end, by node and invocation
+	lingeringCalls []int64           // when calls of nodes that were restarted end
 	callQuota      float64           // of each node
 	now            int64
 }
@@ -40,7 +40,8 @@
 	return f
 }
 
-// restart starts a node anew, on cores of some age. The calls of the former process occupy the dependency for a while.
+// restart replaces the process of a node, on cores that started coreAge (ns) before. The calls of the previous process
+// occupy the dependency for a while.
 func (f *dependencyFleet) restart(node int, coldStart bool, coreAge int64) {
 	config := newTestController(func(n *Config) {
 		n.CallQuota = f.callQuota
@@ -97,15 +98,15 @@
 	}
 }
 
-// restartCase is a restart of a share of all nodes.
+// restartCase describes a restart of a share of the nodes.
 type restartCase struct {
 	share     float64
 	coldStart bool
 	coreAge   int64
 }
 
-// maxMeanCalls is the maximum of the mean over a quota window of the calls that occupy the dependency, over three windows
-// with a restart in the second one.
+// maxMeanCalls runs the fleet for three quota windows, with a restart shortly before the end of the second one. It returns
+// the maximum of the mean number of calls that occupy the dependency over a sliding quota window.
 func (f *dependencyFleet) maxMeanCalls(restart restartCase) float64 {
 	window := make([]float64, fleetQuotaWindow/fleetStep)
 	sum := 0.0
@@ -124,9 +125,10 @@
 	return maxMean
 }
 
-// The quota of a shared dependency limits the sum of all nodes, also if all of them are killed and started again within
-// its window: beyond N calls in the mean, only 2 times the root of N and 2 are left to chance. A restarted node has cores
-// that start with it, or is a process on cores that started some time before.
+// The calls of all nodes together must stay within the quota of the shared dependency, even if all nodes are killed and
+// restarted within its window: calls of the killed processes still occupy the dependency, and a new process doesn't know
+// how much of the quota its predecessor used. For a total quota of N calls, the bound is N + 2 sqrt(N) + 2. A restarted
+// process runs on cores that start with it, or on cores that started earlier.
 func TestFleetCallsStayWithinTheQuotaThroughRestarts(t *testing.T) {
 	restarts := []restartCase{
 		{},
@@ -141,8 +143,8 @@
 				calls := newDependencyFleet(nodes, callQuota).maxMeanCalls(restart)
 				scenario := fmt.Sprintf("%d nodes, a quota of %g each, restart %+v", nodes, callQuota, restart)
 				assert.LessOrEqual(t, calls, total+2*math.Sqrt(total)+2, scenario)
-				assert.Greater(t, calls, 0.3*total, scenario+": the quota is used")
-				t.Logf("%s: %.1f of %.1f in the mean", scenario, calls, total)
+				assert.Greater(t, calls, 0.3*total, scenario+": the quota must be used")
+				t.Logf("%s: maximum of the mean %.1f calls, quota %.1f", scenario, calls, total)
 			}
 		}
 	}
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	maxCallSamples    = 8.0                      // a second of a small node
-	meanBlockedWindow = float64(second)          // some runs
-	unlimitedDuration = int64(math.MaxInt64 / 4) // ns; a sum with any time doesn't overflow
-
-	maxCallAttempts        = 4   // one that may have been executed counts for two
-	retryableCallTimeRatio = 6.0 // to the usual duration, after which a call times out that may be retried
-
-	usableCallQuotaShare    = 0.9 // the remainder covers ticks and pauses
-	callQuotaSlices         = 10  // of the quota's window
-	callQuotaParts          = 3.0 // of what is left of the quota; a call may take one of them
-	smallQuotaCallTimeRatio = 8.0 // to the usual duration: what a call may take even of a small quota
-	minCallTimeRatio        = 2.0 // to the usual duration: a call that may take less does not start
+	maxCallSamples    = 8.0                      // about a second of calls at a small node
+	meanBlockedWindow = float64(second)          // ns, the duration of several runs
+	unlimitedDuration = int64(math.MaxInt64 / 4) // ns; added to any time, it doesn't overflow
+
+	maxCallAttempts        = 4   // an attempt that may have been executed counts as two or more, see extraAttempts
+	retryableCallTimeRatio = 6.0 // timeout of a call that may be retried, over the usual duration
+
+	usableCallQuotaShare    = 0.9 // the rest of the quota covers delays by ticks and pauses
+	callQuotaSlices         = 10  // slices of the quota's sliding window
+	callQuotaDivisor        = 3.0 // a call may take the unused quota divided by this number
+	smallQuotaCallTimeRatio = 8.0 // over the usual duration: what a call may take even if the unused quota is small
+	minCallTimeRatio        = 2.0 // over the usual duration: a call that may take less than this does not start
 )
 
-// dependencyCalls is the state of the node's calls of its dependency.
+// dependencyCalls is the state of the calls that the node's runs make to the dependency.
 type dependencyCalls struct {
-	limit        int   // of calls in flight, from a lease; math.MaxInt without one
-	maxDuration  int64 // ns, for each call under a lease
-	meanBlocked  float64
-	quotaUsed    stats.SlidingSum // ns of calls in flight
-	failures     stats.RatioHistogram
+	limit        int                  // maximum of calls in flight, from a lease; math.MaxInt where no leases are used
+	maxDuration  int64                // ns, of each call under a lease
+	meanBlocked  float64              // smoothed number of runs that are blocked on calls
+	quotaUsed    stats.SlidingSum     // ns, duration of calls within the quota's window
+	failures     stats.RatioHistogram // 1 for a failed call, 0 for a successful one
 	durations    stats.RatioHistogram // over durationUnit
 	durationUnit float64              // ns
 }
@@ -43,7 +43,8 @@
 	}
 }
 
-// assumeQuotaUsed counts the quota before the start of the process as used, since a former process may have used it.
+// assumeQuotaUsed counts the quota of the window before the start of the process as used, because a previous process may
+// have used it.
 func (d *dependencyCalls) assumeQuotaUsed(config *Config, processStart int64) {
 	perSlice := usableCallQuotaShare * config.CallQuota * float64(config.CallQuotaWindow) / callQuotaSlices
 	for slice := int64(callQuotaSlices); slice > 0; slice-- {
@@ -57,18 +58,18 @@
 	d.maxDuration = maxDuration
 }
 
-// advanceTime counts the calls in flight towards the quota, up to now.
+// advanceTime counts the time elapsed in calls towards the quota and updates the mean number of blocked runs.
 func (d *dependencyCalls) advanceTime(now int64, elapsed float64, counts *invocationCounts) {
 	d.meanBlocked += (float64(counts.blocked()) - d.meanBlocked) * min(1, elapsed/meanBlockedWindow)
 	d.quotaUsed.Add(now, elapsed*float64(counts.calling))
 }
 
-// abandoned counts a call towards the quota that may still occupy the dependency after its end here.
-func (d *dependencyCalls) abandoned(now int64, config *Config) {
+// countAbandoned counts towards the quota the time for which an abandoned call may still occupy the dependency.
+func (d *dependencyCalls) countAbandoned(now int64, config *Config) {
 	d.quotaUsed.Add(now, float64(config.AbandonedCallTime))
 }
 
-// observe learns from a call that ended.
+// observe records the duration (ns) and the outcome of a call.
 func (d *dependencyCalls) observe(duration float64, outcome Outcome) {
 	d.durations.Add(duration / d.durationUnit)
 	if outcome == Succeeded {
@@ -78,10 +79,10 @@
 	}
 }
 
-// usualDuration is the usual duration of a call (ns), 0 before the first one.
+// usualDuration returns the mean duration of recent calls (ns), 0 before the first one.
 func (d *dependencyCalls) usualDuration() float64 { return d.durations.Mean(0) * d.durationUnit }
 
-// startCalls starts the calls that runs await, those of the highest weight first, then the oldest.
+// startCalls starts the calls that runs await, by descending weight, and by age among equal weights.
 func (c *Controller) startCalls() {
 	c.callOrder = c.callOrder[:0]
 	for _, i := range c.live {
@@ -97,28 +98,29 @@
 	}
 }
 
-// decideCall starts or skips a call, drops the run that awaits it, or lets it wait.
+// decideCall starts or skips the call that an invocation awaits, fails the invocation, or leaves it waiting.
 func (c *Controller) decideCall(i int32) {
 	inv := &c.invocations[i]
-	latestEnd := int64(c.objectiveEnd(inv) - c.remainingWork(inv))
+	latestEnd := int64(c.objectiveEnd(inv) - c.remainingWork(inv)) // of the call, for the run to meet its objective
 	switch {
 	case c.shouldSkipCall(inv, latestEnd):
 		c.emit(skipCall(i))
 		c.setState(inv, stateRunning)
 	case c.isCallFutile(inv):
-		c.drop(i, ReasonNoCallCapacity)
+		c.rejectOrFail(i, ReasonNoCallCapacity)
 	default:
 		c.startCallWithinLimits(i, latestEnd)
 	}
 }
 
-// canSkipCall says whether an invocation is of value without its call.
+// canSkipCall reports whether an invocation is of value without its call.
 func (inv *invocation) canSkipCall() bool { return inv.operation.SkippedCallWeightShare > 0 }
 
-// callAttemptsExhausted says whether the call has failed too often.
+// callAttemptsExhausted reports whether the call has failed too often to be retried.
 func (inv *invocation) callAttemptsExhausted() bool { return inv.callAttempts >= maxCallAttempts }
 
-// shouldSkipCall says whether to skip a call that has failed, comes too late or, at random, is likely to fail.
+// shouldSkipCall reports whether to skip a call: because it has failed too often, because it is too late for the run to
+// meet its objective, or at random, with the share of recent calls that failed as the probability.
 func (c *Controller) shouldSkipCall(inv *invocation, latestEnd int64) bool {
 	if !inv.canSkipCall() {
 		return false
@@ -126,8 +128,8 @@
 	return inv.callAttemptsExhausted() || latestEnd <= c.now || c.random.Float64() < c.calls.failures.Mean(0)
 }
 
-// isCallFutile says whether the call has failed for good, or ends too late for the run to be of value. While no call is
-// in flight none is too late: otherwise nothing would show that calls are fast again.
+// isCallFutile reports whether a call has failed too often, or is expected to end too late for the run to be of value.
+// While no call is in flight, no call counts as too late: otherwise no call would show that the dependency is fast again.
 func (c *Controller) isCallFutile(inv *invocation) bool {
 	if inv.callAttemptsExhausted() {
 		return true
@@ -138,6 +140,7 @@
 	return float64(c.now)+c.calls.usualDuration() > c.objectiveEnd(inv)
 }
 
+// startCallWithinLimits starts a call unless the quota, the lease or the time left forbids it.
 func (c *Controller) startCallWithinLimits(i int32, latestEnd int64) {
 	inv := &c.invocations[i]
 	maxDuration := c.maxNextCallTime()
@@ -152,7 +155,8 @@
 	c.setState(inv, stateCalling)
 }
 
-// callDeadline is when a call that starts now times out: early where it may be skipped or retried then.
+// callDeadline returns when a call that starts now times out. A call that may be skipped or retried times out early, to
+// leave time for that.
 func (c *Controller) callDeadline(inv *invocation, maxDuration, latestEnd int64) int64 {
 	deadline := min(inv.deadline-answerMargin, c.now+min(maxDuration, c.calls.maxDuration))
 	if inv.canSkipCall() {
@@ -165,39 +169,41 @@
 	return deadline
 }
 
-// maxNextCallTime is how long the quota lets one more call take, if all calls in flight last to their deadlines; 0 if
-// none may start. It takes a part of what is left, so that a call that hangs doesn't use up the quota, but some times
-// the usual duration where that is more. A lease limits the number of calls instead of their time.
+// maxNextCallTime returns how long the quota allows one more call to take, assuming that all calls in flight last to
+// their deadlines; 0 if no call may start. A call may take a fraction of the unused quota, so that one hanging call
+// doesn't use it up, or a multiple of the usual duration where that is longer. With a lease the quota does not apply: the
+// lease limits the number of calls.
 func (c *Controller) maxNextCallTime() int64 {
 	if c.config.Dependency != SharedDependency || c.calls.limit < math.MaxInt {
 		return unlimitedDuration
 	}
-	afterAbandoning := float64(c.config.AbandonedCallTime)
-	left := c.callQuotaLeft(afterAbandoning)
+	abandonedTime := float64(c.config.AbandonedCallTime)
+	quotaLeft := c.callQuotaLeft(abandonedTime)
 	usual := c.calls.usualDuration()
-	maxDuration := max(left/callQuotaParts-afterAbandoning, min(left-afterAbandoning, smallQuotaCallTimeRatio*usual))
+	maxDuration := max(quotaLeft/callQuotaDivisor-abandonedTime, min(quotaLeft-abandonedTime, smallQuotaCallTimeRatio*usual))
 	if maxDuration < minCallTimeRatio*usual {
 		return 0
 	}
 	return int64(maxDuration)
 }
 
-// callQuotaLeft is what the calls in flight leave of the quota, if all of them are abandoned at their deadlines.
-func (c *Controller) callQuotaLeft(afterAbandoning float64) float64 {
+// callQuotaLeft returns the unused quota (ns), assuming that all calls in flight are abandoned at their deadlines and
+// then occupy the dependency for abandonedTime (ns).
+func (c *Controller) callQuotaLeft(abandonedTime float64) float64 {
 	quota := usableCallQuotaShare * c.config.CallQuota * float64(c.config.CallQuotaWindow)
 	left := quota - c.calls.quotaUsed.Sum()
 	for _, i := range c.live {
 		inv := &c.invocations[i]
 		if inv.state == stateCalling {
-			left -= float64(max(0, inv.callDeadline-c.now)) + afterAbandoning
+			left -= float64(max(0, inv.callDeadline-c.now)) + abandonedTime
 		}
 	}
 	return left
 }
 
-// callEnded learns from a call. One that failed is retried if it was not executed or, once, if it is idempotent. Such
-// retries make up for lost replies, and add load where a dependency fails because of its load.
-func (c *Controller) callEnded(inv *invocation, outcome Outcome) {
+// handleCallEnded records the end of a call. A failed call is retried if it was certainly not executed, or once if its
+// operation is idempotent. Retries make up for lost replies, but add load to a dependency that fails under load.
+func (c *Controller) handleCallEnded(inv *invocation, outcome Outcome) {
 	duration := float64(c.now - inv.callStartedAt)
 	c.calls.observe(duration, outcome)
 	if outcome == Succeeded {
@@ -208,14 +214,14 @@
 	}
 	c.setState(inv, stateAwaitingCall)
 	if outcome != Overloaded && outcome != Unreachable {
-		inv.callAttempts += unprovenAttempts(inv.operation.Idempotency)
-		c.calls.abandoned(c.now, c.config)
+		inv.callAttempts += extraAttempts(inv.operation.Idempotency)
+		c.calls.countAbandoned(c.now, c.config)
 	}
 }
 
-// unprovenAttempts is how many attempts more a call counts for that may have been executed: all, unless the operation
-// is idempotent.
-func unprovenAttempts(idempotency Idempotency) int {
+// extraAttempts returns how many attempts a failed call that may have been executed counts as, in addition to its own.
+// The number rules out a retry unless the operation is idempotent.
+func extraAttempts(idempotency Idempotency) int {
 	if idempotency == Idempotent {
 		return 1
 	}
--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -15,7 +15,7 @@
 			inv.callStartedAt = c.now
 			inv.callAttempts = 1
 			retries := 0
-			for c.callEnded(inv, outcome); ; c.callEnded(inv, outcome) {
+			for c.handleCallEnded(inv, outcome); ; c.handleCallEnded(inv, outcome) {
 				c.startCalls()
 				if c.actions[len(c.actions)-1].Kind == Fail {
 					break
@@ -60,7 +60,7 @@
 	assert.Equal(t, []int32{1, 0}, []int32{c.actions[0].Invocation, c.actions[1].Invocation})
 }
 
-// A quota below one call in flight must not serialize calls.
+// With a quota below one call in flight, calls must still run concurrently: the quota limits the mean.
 func TestCallsInFlightStayWithinTheMeanQuota(t *testing.T) {
 	c := newTestController(func(n *Config) {
 		n.CallQuota = 0.35
@@ -78,7 +78,7 @@
 	assert.Len(t, c.actions, 4, "calls are concurrent")
 	assert.LessOrEqual(t, reserved, 0.35*5e9)
 	c.advanceTime(c.now + 700*millisecond)
-	assert.Zero(t, c.maxNextCallTime(), "those calls have used the quota up")
+	assert.Zero(t, c.maxNextCallTime(), "these calls have used up the quota")
 	for range 11 {
 		c.counts.calling = 0
 		c.advanceTime(c.now + 500*millisecond)
@@ -87,7 +87,7 @@
 	assert.Positive(t, c.maxNextCallTime(), "the quota is available again after its window")
 }
 
-// Calls for invocations that are too late already would use up a slow dependency.
+// Calls for invocations that are already too late would take up the capacity of a slow dependency.
 func TestSlowDependencyLimitsStarts(t *testing.T) {
 	c := newTestController()
 	for range 6 {
@@ -104,7 +104,7 @@
 	assert.Equal(t, Fail, c.actions[0].Kind)
 }
 
-// Without any call nothing would show that the dependency is fast again.
+// Without any call, no measurement would show that the dependency is fast again.
 func TestOneCallIsAlwaysStartedHoweverSlowTheDependency(t *testing.T) {
 	c := newTestController()
 	for range 12 {
@@ -135,11 +135,11 @@
 	}
 	c.Decide(testStart, []Event{{Kind: CallLimitSet, CallLimit: 1, MaxCallTime: 100 * millisecond}})
 	assert.Equal(t, 1, c.counts.calling)
-	assert.Equal(t, testStart+100*millisecond, c.invocations[0].callDeadline, "and the maximum duration of a call")
+	assert.Equal(t, testStart+100*millisecond, c.invocations[0].callDeadline, "the lease limits the duration of a call")
 	assert.Zero(t, started())
 	c.calls.limit = 2
-	assert.Equal(t, 1, started(), "one call more")
+	assert.Equal(t, 1, started(), "a higher limit allows one more call")
 	c.calls.limit = 0
 	c.setState(&c.invocations[0], stateAwaitingCall)
-	assert.Zero(t, started(), "none without a lease")
+	assert.Zero(t, started(), "no call starts without a lease, which the host reports as a limit of 0")
 }
--- a/internal/admission/concurrency_test.go
+++ b/internal/admission/concurrency_test.go
@@ -12,9 +12,9 @@
 		n.ColdSpeedShare = 0.2
 		n.WarmUpTime = 10_000 * millisecond
 	})
-	assert.InDelta(t, safeOverloadShare*2*(1+3*0.2), c.maxSafeConcurrency(), 1e-9)
+	assert.InDelta(t, safeConcurrencyShare*2*(1+3*0.2), c.maxSafeConcurrency(), 1e-9)
 	c.now += 20_000 * millisecond
-	assert.InDelta(t, safeOverloadShare*2*4, c.maxSafeConcurrency(), 1e-9)
+	assert.InDelta(t, safeConcurrencyShare*2*4, c.maxSafeConcurrency(), 1e-9)
 }
 
 func TestRunsBlockedOnCallsCountTowardsSafeConcurrency(t *testing.T) {
@@ -47,7 +47,7 @@
 	assert.Equal(t, 2.0, c.concurrency.limit, "never below the number of cores")
 }
 
-// Reading and runs together must not overload the cores.
+// Threads that read requests and runs together must not overload the cores.
 func TestOtherRunnableThreadsCountTowardsTheLimit(t *testing.T) {
 	c := newTestController()
 	insertInvocation(c, 0, stateQueued)
@@ -58,7 +58,7 @@
 	assert.Equal(t, []ActionKind{Run}, actionKinds(c))
 }
 
-// Returns from calls must not overload a node whose starts respect the limit.
+// Runs that return from calls all at once must not overload a node that starts new runs only up to the limit.
 func TestReturnsFromCallsCannotOverloadFewCores(t *testing.T) {
 	c := newTestController()
 	insertInvocation(c, 0, stateQueued)
@@ -73,7 +73,7 @@
 	assert.Equal(t, []ActionKind{Run}, actionKinds(c))
 }
 
-// On few cores a short objective would be missed behind one long run of low weight.
+// On few cores, an invocation with a short objective would miss it while it waits behind one long run of low weight.
 func TestHighRankPreemptsALongRunThatStillEndsInTime(t *testing.T) {
 	for late, want := range map[int64][]ActionKind{0: {Stop}, 900 * millisecond: {}} {
 		c := newTestController()
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -1,16 +1,16 @@
 package admission
 
-// Idempotency says whether an operation may be executed more than once.
+// Idempotency specifies whether an operation may be executed more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota
-	IdempotentWithKey             // repeated executions are prevented by means of an idempotency key
+	IdempotentWithKey             // the node prevents repeated executions by an idempotency key
 	NonIdempotent
 )
 
-// StopSupport says how a run can be stopped and what becomes of its progress.
+// StopSupport specifies whether a run can be stopped, and whether it can be resumed from where it stopped.
 type StopSupport uint8
 
 // The kinds of stop support.
@@ -27,61 +27,61 @@
 const (
 	NoBackpressure      BackpressureKind = iota
 	BackpressureLevel                    // 0 for full load to 1 for none
-	BackpressureCredits                  // outstanding invocations for each caller
+	BackpressureCredits                  // invocations that each caller may have outstanding
 	BackpressureWeight                   // weight of this node among its peers, 0 to 1
 )
 
-// DependencyKind says what invocations call while they run.
+// DependencyKind specifies which kind of service runs call.
 type DependencyKind uint8
 
 // The kinds of dependency.
 const (
-	NoDependency DependencyKind = iota
-	SharedDependency
-	TieredDependency
+	NoDependency     DependencyKind = iota
+	SharedDependency                // shared by all nodes, each of which has a quota of calls
+	TieredDependency                // the next hop, to which no quota applies
 )
 
 // Operation is the configuration of one kind of invocation. Times are in nanoseconds.
 type Operation struct {
 	Idempotency            Idempotency
 	LatencyObjective       int64
-	ObjectivePerWork       float64 // added to the objective for each unit of expected work
+	ObjectivePerWork       float64 // added to the objective for each nanosecond of expected work
 	ClientTimeout          int64
 	DeduplicationWindow    int64
 	PriorityWeight         float64 // value of an invocation that ends within its objective
-	LateWeightShare        float64 // of the weight, for one that ends later
-	SkippedCallWeightShare float64 // of the weight, for one whose call was skipped; 0 where none may be
+	LateWeightShare        float64 // of the weight, for an invocation that ends later
+	SkippedCallWeightShare float64 // of the weight, for an invocation whose call was skipped; 0 if calls can't be skipped
 	CallsDependency        bool
-	Removed                bool // the index belongs to no operation at present
+	Removed                bool // no operation has this index at present
 }
 
-// Config is the configuration of a node's decisions. Times are in nanoseconds, memory is in kilobytes.
+// Config is the configuration of a Controller. Times are in nanoseconds, memory is in kilobytes.
 type Config struct {
 	Seed                    int64
 	Operations              []Operation
-	TenantRates             []float64 // quota of each tenant over all peers, per second; 0 for none
+	TenantRates             []float64 // quota of each tenant at all peers together, in arrivals per second; 0 for none
 	OverQuotaWeightShare    float64   // of the weight, for invocations beyond the quota
-	WeightScalesWithWork    bool
+	WeightScalesWithWork    bool      // the value of an invocation is its weight times its work
 	Cores                   int
 	MemoryKB                float64
 	RunningMemoryFactor     float64 // memory of a running invocation over that of a queued one
 	DeduplicationEntryKB    float64
-	MaxDeduplicationEntries int // 0 where only memory limits them
+	MaxDeduplicationEntries int // 0 if only memory limits them
 	StopSupport             StopSupport
 	Backpressure            BackpressureKind
 	Peers                   int
 	Dependency              DependencyKind
 	CallQuota               float64 // calls in flight that the node may have, as a mean over the window
 	CallQuotaWindow         int64
-	AbandonedCallTime       int64 // for which an abandoned call still occupies the dependency
-	ReadReuseWindow         int64
+	AbandonedCallTime       int64 // how long an abandoned call still occupies the dependency
+	ReadReuseWindow         int64 // after the deadline, in which the result of a read answers equal reads; 0 for none
 	DeepHealthChecks        bool
-	ColdStart               bool
-	ProcessStart            int64 // 0 where the process started with the cores
-	RetriesMarked           bool  // callers mark their retries
-	ColdSpeedShare          float64
-	WarmUpTime              int64
-	SurvivableRunsPerCore   float64 // runs per core that a warm node survives
-	DrainGrace              int64
-	MaxRetryAfter           int64 // 0 where callers can't be given a time
+	ColdStart               bool    // the cores are cold at the start of the controller
+	ProcessStart            int64   // 0 if the process started together with the cores
+	RetriesMarked           bool    // callers mark their retries
+	ColdSpeedShare          float64 // speed of cold cores over that of warm ones
+	WarmUpTime              int64   // guaranteed maximum
+	SurvivableRunsPerCore   float64 // runs, on the cores or blocked, that a warm node survives for each core
+	DrainGrace              int64   // maximum time from the request of a drain to the end of intake
+	MaxRetryAfter           int64   // 0 if callers can't be told when to retry
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -9,26 +9,26 @@
 	millisecond = int64(1_000_000) // ns
 	second      = 1_000 * millisecond
 
-	tickInterval = 50 * millisecond // short beside any client timeout
+	tickInterval = 50 * millisecond // short compared with any client timeout
 	answerMargin = 60 * millisecond // before the deadline, for the final answer: a tick and the delay of a timer
 )
 
-// Controller makes the decisions of one node.
+// Controller decides about the load of one node.
 type Controller struct {
 	config    *Config
 	random    *rand.Rand
 	startedAt int64
 	now       int64
 	nextTick  int64
-	actions   []Action // the result of Decide
+	actions   []Action // to be returned by Decide
 
 	invocations []invocation // by index
-	live        []int32      // those that have not ended, in order of arrival
-	queueOrder  []int32      // those that wait for a core, in the order in which they are to run
-	callOrder   []int32      // those that wait for a call, in the order in which these are to start
+	live        []int32      // indices of invocations that have not been released, in order of arrival
+	queueOrder  []int32      // indices of invocations that wait for a core, in the order in which they are to run
+	callOrder   []int32      // indices of invocations that wait for a call, in the order in which calls are to start
 
 	operations       operationTable
-	useSpareCapacity bool // of the degradation level
+	useSpareCapacity bool // at the present degradation level, see Event.UseSpareCapacity
 
 	counts       invocationCounts
 	memory       memoryUsage
@@ -41,7 +41,7 @@
 	drain        drainState
 }
 
-// NewController returns the controller of a node whose cores started at now.
+// NewController returns the controller of a node whose cores started at the given time.
 func NewController(config *Config, now int64) *Controller {
 	cores := float64(config.Cores)
 	c := &Controller{
@@ -85,7 +85,7 @@
 	return c.actions
 }
 
-// advanceTime integrates what is measured over time up to now.
+// advanceTime updates measurements that are integrated over time, up to now.
 func (c *Controller) advanceTime(now int64) {
 	elapsed := float64(now - c.now)
 	c.calls.advanceTime(now, elapsed, &c.counts)
@@ -93,7 +93,7 @@
 	c.now = now
 }
 
-// apply records an event.
+// apply updates the state of the controller with an event.
 func (c *Controller) apply(e *Event) {
 	switch e.Kind {
 	case Arrived:
@@ -113,7 +113,8 @@
 	}
 }
 
-// applyToInvocation records an event of an invocation that has arrived. Once it has ended, the event came too late.
+// applyToInvocation applies an event to an invocation that arrived earlier. It ignores events of ended invocations, which
+// the host sent before it learned of the end.
 func (c *Controller) applyToInvocation(e *Event) {
 	inv := &c.invocations[e.Invocation]
 	if inv.state == stateEnded {
@@ -127,13 +128,13 @@
 	case CallRequested:
 		c.setState(inv, stateAwaitingCall)
 	case CallEnded:
-		c.callEnded(inv, e.Outcome)
+		c.handleCallEnded(inv, e.Outcome)
 	case RunEnded:
-		c.runEnded(e.Invocation, e.Outcome)
+		c.handleRunEnded(e.Invocation, e.Outcome)
 	}
 }
 
-// tick does what is due at regular intervals.
+// tick does the periodic work.
 func (c *Controller) tick() {
 	c.nextTick = c.now + tickInterval
 	c.emit(setTimer(c.nextTick))
@@ -144,7 +145,7 @@
 	c.updateBackpressure()
 }
 
-// releaseEnded gives the indices of ended invocations back to the host.
+// releaseEnded lets the host reuse the indices of ended invocations.
 func (c *Controller) releaseEnded() {
 	c.live = slices.DeleteFunc(c.live, func(i int32) bool {
 		ended := c.invocations[i].state == stateEnded
--- a/internal/admission/cores.go
+++ b/internal/admission/cores.go
@@ -1,20 +1,20 @@
 package admission
 
 const (
-	maxIdleBusyShare = 0.9 // of the cores, under which one counts as idle
+	maxIdleBusyShare = 0.9 // share of busy cores below which a core counts as idle
 
-	gaugeWindow     = 0.2 // of the shortest latency objective, over which gauges are smoothed: short beside a run
-	meanGaugeWindow = 2.0 // of the shortest latency objective, over which bursts even out
+	gaugeWindow     = 0.2 // smoothing window over the shortest latency objective: short compared with a run
+	meanGaugeWindow = 2.0 // smoothing window over the shortest latency objective: averages bursts
 )
 
-// coreUsage is the use of a node's cores. Threads other than runs read requests or answer health checks.
+// coreUsage measures the use of a node's cores. Threads other than runs read requests or answer health checks.
 type coreUsage struct {
 	count             float64
-	clock             float64 // ns of a whole core that each run on the cores has had since the start
-	otherRunnable     float64 // threads, smoothed a little
-	meanOtherRunnable float64 // threads, smoothed over bursts
-	gaugedAt          int64
-	idle              bool // a core was idle at the last gauges
+	clock             float64 // core time (ns) that a run on the cores since the start would have had
+	otherRunnable     float64 // runnable threads other than runs, smoothed over gaugeWindow
+	meanOtherRunnable float64 // the same, smoothed over meanGaugeWindow
+	gaugedAt          int64   // time of the last gauge of runnable threads
+	idle              bool    // a core was idle at the last gauges
 }
 
 // advanceTime advances the core clock. Runs and other threads share the cores equally.
@@ -22,7 +22,8 @@
 	u.clock += elapsed * min(1, u.count/max(1, float64(running)+u.otherRunnable))
 }
 
-// observeGauges records the gauges of a TimerFired event.
+// observeGauges records the gauges of a TimerFired event. The number of runnable threads takes precedence over the share
+// of busy time, which lags behind.
 func (u *coreUsage) observeGauges(e *Event, now int64, running int, shortestObjective float64) {
 	u.idle = e.BusyShare >= 0 && e.BusyShare < maxIdleBusyShare
 	if e.RunnableThreads < 0 {
@@ -36,10 +37,10 @@
 	u.gaugedAt = now
 }
 
-// available is the number of cores that other threads leave to runs, at least half of all.
+// available returns the number of cores that other threads leave to runs, at least half of all cores.
 func (u *coreUsage) available() float64 { return max(u.count/2, u.count-u.meanOtherRunnable) }
 
-// intakeShare is the share of the cores that other threads take.
-func (u *coreUsage) intakeShare(running int) float64 {
+// overheadShare returns the share of the cores that threads other than runs use.
+func (u *coreUsage) overheadShare(running int) float64 {
 	return min(u.meanOtherRunnable, u.count) / max(u.count, float64(running)+u.meanOtherRunnable)
 }
--- a/internal/admission/cores_test.go
+++ b/internal/admission/cores_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The share of busy time is a mean and lags behind: with it alone the limit would overshoot.
+// The busy share is a mean that lags behind: if it took precedence over the runnable threads, the limit would overshoot.
 func TestCoresAreIdleWhenFewerThreadsAreRunnable(t *testing.T) {
 	c := newTestController()
 	c.apply(&Event{Kind: TimerFired, BusyShare: 0.2, RunnableThreads: 2})
@@ -17,7 +17,7 @@
 	assert.False(t, c.cores.idle)
 }
 
-// A burst of reading must not make the node reject what it has capacity for.
+// While threads read a burst of requests, the node must not reject invocations for which it has capacity.
 func TestBurstOfOtherThreadsBarelyLowersAvailableCores(t *testing.T) {
 	c := newTestController(func(n *Config) { n.Cores = 8 })
 	for range 20 { // a second of light load, then a burst
@@ -27,7 +27,7 @@
 	c.now += 50 * millisecond
 	c.apply(&Event{Kind: TimerFired, BusyShare: 1, RunnableThreads: 9})
 	assert.InDelta(t, 6.8, c.cores.available(), 0.05)
-	assert.InDelta(t, 3, c.cores.otherRunnable, 0.1, "the limit follows the gauge at once")
+	assert.InDelta(t, 3, c.cores.otherRunnable, 0.1, "the value that limits runs follows the gauge quickly")
 	now := c.now
 	c.now += 10 * millisecond
 	c.apply(&Event{Kind: TimerFired, BusyShare: 1, RunnableThreads: 9})
--- a/internal/admission/degradation.go
+++ b/internal/admission/degradation.go
@@ -1,11 +1,11 @@
 package admission
 
 const (
-	maxSpareQueueWait = 0.15 // of the shortest latency objective
+	maxSpareQueueWait = 0.15 // of the shortest latency objective; with a longer queue wait, no capacity is spare
 )
 
-// setDegradationLevel applies a degradation level. Queued invocations that it sheds are rejected at once, unless
-// spare capacity is to serve them.
+// setDegradationLevel applies a degradation level. Queued invocations of operations that it sheds are rejected at once,
+// unless spare capacity may serve them.
 func (c *Controller) setDegradationLevel(services []Service, useSpareCapacity bool) {
 	c.useSpareCapacity = useSpareCapacity
 	c.operations.setServices(services)
@@ -16,12 +16,12 @@
 		}
 		inv.serveCompletely()
 		if inv.operation.service.Form == Shed && !c.useSpareCapacity {
-			c.drop(i, ReasonDegraded)
+			c.rejectOrFail(i, ReasonDegraded)
 		}
 	}
 }
 
-// applyService gives an invocation that waits for its start the shares of its operation's present service.
+// applyService gives an invocation that has not started the work and weight shares of its operation's current service.
 func (inv *invocation) applyService() {
 	service := &inv.operation.service
 	if !inv.started && service.WorkShare > 0 {
@@ -30,7 +30,8 @@
 	}
 }
 
-// formToRun is the form in which an invocation starts. Spare capacity serves it completely.
+// formToRun returns the form in which an invocation starts or resumes. An invocation of a reduced operation starts in its
+// complete form if there is spare capacity.
 func (c *Controller) formToRun(inv *invocation) Form {
 	if inv.operation.service.Form == Reduced && !inv.started && c.hasSpareCapacity() {
 		inv.serveCompletely()
@@ -42,7 +43,8 @@
 	return Complete
 }
 
-// hasSpareCapacity says whether operations need not be reduced: the level allows that and the queue is short.
+// hasSpareCapacity reports whether reduced operations may be served completely: the level allows it and the queue is
+// short.
 func (c *Controller) hasSpareCapacity() bool {
 	return c.useSpareCapacity &&
 		c.pendingWork(stateQueued) < maxSpareQueueWait*c.operations.shortestObjective*c.cores.available()
--- a/internal/admission/degradation_test.go
+++ b/internal/admission/degradation_test.go
@@ -28,8 +28,9 @@
 	assert.Len(t, c.actions, 1)
 }
 
-// An invocation with a key that has started is not shed because the level changes between its attempts.
-func TestLevelDoesNotShedWhatHasStarted(t *testing.T) {
+// An invocation with a key may have started before a level sheds its operation. Its retry, and the invocation itself when
+// it is paused, must then not be shed.
+func TestLevelDoesNotShedStartedInvocations(t *testing.T) {
 	c := newTestController()
 	applyLevel(c, false, Service{}, shedService)
 	e := arrivalEvent(1)
@@ -102,7 +103,7 @@
 	c.orderQueue()
 	assert.Equal(t, []int32{1, 0}, c.queueOrder)
 	c.startRuns()
-	assert.Equal(t, Reduced, c.actions[len(c.actions)-1].Form, "the form that the previous level leaves")
+	assert.Equal(t, Reduced, c.actions[len(c.actions)-1].Form, "spare capacity serves the form of the shed operation's service")
 }
 
 func TestShedInvocationsAreNotCountedAsPressure(t *testing.T) {
@@ -127,5 +128,5 @@
 	assert.InDelta(t, float64(125*millisecond)/float64(demandWindow)/c.cores.count, load.DemandByOperation[0], 1e-9)
 	c.now += 2 * demandWindow
 	c.MeasureLoad(&load)
-	assert.Zero(t, load.DemandByOperation[0], "a drop shows within the window")
+	assert.Zero(t, load.DemandByOperation[0], "demand that ended is gone after two windows")
 }
--- a/internal/admission/digest_test.go
+++ b/internal/admission/digest_test.go
@@ -14,13 +14,14 @@
 	"topazpost/internal/admission"
 )
 
-// decisionDigest is a digest of what a controller returns. It names each field itself, so that names and order of the
-// fields have no part in it. The recorded digests are those of amd64: other architectures may round otherwise.
+// decisionDigest is a digest of the results of a controller. It adds each field explicitly, so that the digest doesn't
+// depend on the names and the order of fields. The digests were recorded on amd64; other architectures may round
+// differently.
 type decisionDigest struct{ hash.Hash }
 
 func newDecisionDigest() decisionDigest { return decisionDigest{sha256.New()} }
 
-// sum is the digest so far, in hexadecimal digits.
+// sum returns the digest so far, in hexadecimal digits.
 func (d decisionDigest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
 
 func (d decisionDigest) addInteger(n int64) {
@@ -46,7 +47,7 @@
 	}
 }
 
-// addNumbersOf adds the decimal numbers of a text, whose wording may change.
+// addNumbersOf adds the decimal numbers in a text. It leaves out the words, so that the wording may change.
 func (d decisionDigest) addNumbersOf(text string) {
 	isNoDigit := func(r rune) bool { return r < '0' || r > '9' }
 	for _, digits := range strings.FieldsFunc(text, isNoDigit) {
@@ -58,7 +59,7 @@
 	}
 }
 
-// addAction adds all fields of an action; of the report of a drain only its numbers.
+// addAction adds all fields of an action, but only the numbers of a drain's report.
 func (d decisionDigest) addAction(a *admission.Action) {
 	d.addInteger(int64(a.Kind))
 	d.addInteger(int64(a.Invocation))
@@ -93,7 +94,8 @@
 	d.addFloats(m.OverheadShare, m.QueueWait, m.QueueingDelay, m.CallWait, m.RejectedShare, m.MemoryShare)
 }
 
-// digestRuns are the simulations whose actions are recorded: a digest changes with any action, its order and its fields.
+// digestRuns are the simulations with recorded digests. A digest changes with any action, any of its fields, and the order
+// of actions.
 var digestRuns = []struct {
 	name   string
 	seed   int64
@@ -159,7 +161,7 @@
 	}, "dcdecef136d0041a9316b155d6aeb912eecacc9c4f301357f79f3212f23881e2"},
 }
 
-// What Decide returns over simulations stays the same, bit for bit.
+// The actions that Decide returns in the simulations must stay the same, bit for bit.
 func TestDigestsOfDecisions(t *testing.T) {
 	for _, run := range digestRuns {
 		t.Run(run.name, func(t *testing.T) {
@@ -174,7 +176,7 @@
 	}
 }
 
-// BenchmarkDecide replays a recorded simulation of steady load with some dozens of invocations in flight.
+// BenchmarkDecide replays the events of a simulation of steady load with several dozen invocations in flight.
 func BenchmarkDecide(b *testing.B) {
 	type batch struct {
 		now    int64
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -9,17 +9,18 @@
 	preDrainDelay    = 5 * second        // from the request to the end of intake
 	drainTimeout     = 20 * second       // from the end of intake to the deadline
 	killMargin       = 300 * millisecond // between the deadline and the kill, for a pause of the process
-	redirectLeadTime = 1 * second        // before the end of intake, for callers to be redirected
+	redirectLeadTime = 1 * second        // from the redirection of callers to the end of intake
 )
 
-// drainState is the progress of a graceful shutdown: health turns bad at the request, intake ends after a delay that
-// lets callers notice, and the node exits once nothing is in flight, at the deadline at the latest.
+// drainState is the progress of a graceful shutdown. At the request, the node reports itself unhealthy; after a delay in
+// which callers notice, intake ends and arrivals are rejected; and the node exits when nothing is in flight, but no later
+// than the deadline.
 type drainState struct {
-	requestedAt     int64 // 0 before
-	intakeEnd       int64
+	requestedAt     int64 // 0 if no drain was requested
+	intakeEnd       int64 // when arrivals start to be rejected
 	deadline        int64
-	inFlightAtStart int
-	endedBefore     int // the request
+	inFlightAtStart int // invocations at the request
+	endedBefore     int // invocations that had ended at the request
 	finished        bool
 }
 
@@ -27,14 +28,14 @@
 
 func (d *drainState) intakeEnded(now int64) bool { return d.requested() && now >= d.intakeEnd }
 
-// redirects says whether callers are to go to other nodes.
-func (d *drainState) redirects(now int64) bool {
+// redirectsCallers reports whether callers are asked to use other nodes.
+func (d *drainState) redirectsCallers(now int64) bool {
 	return d.requested() && now >= d.intakeEnd-redirectLeadTime
 }
 
-// schedule sets the end of intake and the deadline, which a later request may advance but not defer. Both phases shrink
-// in proportion to fit before the kill, the first one only as far as the longest objective needs, so that callers
-// notice in time wherever possible.
+// schedule sets the end of intake and the deadline, which a later request may bring forward but not postpone. Where time
+// until the kill is short, both phases shrink in proportion, but the first one no further than is needed to leave the
+// longest latency objective after it, so that callers notice in time wherever possible.
 func (d *drainState) schedule(killAt, longestObjective, grace int64) {
 	available := max(0, killAt-killMargin-d.requestedAt)
 	scale := min(1, float64(available)/float64(preDrainDelay+drainTimeout))
@@ -44,7 +45,7 @@
 	d.deadline = min(d.deadline, d.requestedAt+available, d.intakeEnd+timeout)
 }
 
-// startDrain starts a drain, or advances one to an earlier kill.
+// startDrain starts a drain, or brings one forward where the kill now comes earlier.
 func (c *Controller) startDrain(killAt int64) {
 	if !c.drain.requested() {
 		c.drain = drainState{
@@ -61,7 +62,8 @@
 	c.drain.schedule(killAt, c.operations.longestObjective, c.config.DrainGrace)
 }
 
-// advanceDrain stops intake, and finishes the drain once nothing is in flight. At the deadline the remainder fails.
+// advanceDrain stops intake when it is due, and finishes the drain when nothing is in flight. At the deadline, it rejects
+// or fails the remaining invocations.
 func (c *Controller) advanceDrain() {
 	if !c.drain.intakeEnded(c.now) || c.drain.finished {
 		return
@@ -78,7 +80,7 @@
 			return
 		}
 		abandoned++
-		c.drop(i, ReasonDraining)
+		c.rejectOrFail(i, ReasonDraining)
 	}
 	c.drain.finished = true
 	c.emit(exit(c.drain.report(completed, abandoned)))
--- a/internal/admission/drain_test.go
+++ b/internal/admission/drain_test.go
@@ -13,7 +13,7 @@
 	assert.Equal(t, []ActionKind{ReportHealth}, actionKinds(c))
 	assert.False(t, c.actions[0].Healthy)
 	assert.Equal(t, 1, c.drain.inFlightAtStart)
-	assert.Equal(t, c.now+2_000*millisecond, c.drain.intakeEnd, "the grace, if the longest objective still fits")
+	assert.Equal(t, c.now+2_000*millisecond, c.drain.intakeEnd, "the delay is the grace if the longest objective still fits")
 	assert.Equal(t, c.now+5_000*millisecond, c.drain.deadline)
 	for available, delay := range map[int64]int64{2_500 * millisecond: 1_500 * millisecond, 1_000 * millisecond: 200 * millisecond, 0: 0} {
 		c = newTestController()
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -15,12 +15,12 @@
 	DegradationLevelSet
 	CallLimitSet
 
-	// OperationConfigured adds, changes or removes an operation. Invocations that arrived before retain the terms under
-	// which they did. Limits in the configuration may change as well: they are read whenever they are needed.
+	// OperationConfigured adds, changes or removes an operation. Invocations that arrived earlier retain the configuration
+	// that applied at their arrival. The host may also change the limits in Config, which are read at each use.
 	OperationConfigured
 )
 
-// Outcome is how a run or a call ended.
+// Outcome is the result of a run or a call.
 type Outcome uint8
 
 // The outcomes. Overloaded, Unreachable and NeverStarted prove that nothing was executed.
@@ -41,42 +41,42 @@
 	OriginalEnded = -2 // the repeated invocation was executed and has ended
 )
 
-// Event is something that happened to the node. Only the fields of its kind are set. Times and durations are in
-// nanoseconds.
+// Event reports to the controller what happened at the node. Only the fields that belong to its kind are set. Times and
+// durations are in nanoseconds.
 type Event struct {
 	Kind       EventKind
 	Invocation int32
 	Outcome    Outcome // CallEnded, RunEnded
 
 	// Arrived
-	Deadline       int64 // as the caller states it; 0 where it states none
-	Age            int64 // since arrival at the machine
-	Caller         int64
+	Deadline       int64 // stated by the caller; 0 for none
+	Age            int64 // time since the request reached the machine
+	Caller         int64 // identifies the caller
 	OperationIndex int32 // also OperationConfigured
 	Tenant         int32 // -1 for none
-	Original       int32 // the invocation that this one repeats, NoOriginal or OriginalEnded
-	HasReadKey     bool
+	Original       int32 // index of the invocation that this one repeats, NoOriginal or OriginalEnded
+	HasReadKey     bool  // equal reads can be recognized by a key
 	Retry          bool
 	Write          bool
-	ExpectedWork   int64 // 0 where unknown
-	QueuedKB       float64
+	ExpectedWork   int64   // 0 if unknown
+	QueuedKB       float64 // memory of the invocation while it is queued
 
 	// DrainRequested
 	KillAt int64
 
 	// DegradationLevelSet. With UseSpareCapacity, shed operations are served last, and reduced ones completely while
-	// the queue is short. OperationConfigured: Services has the service of that operation, or nothing.
+	// the queue is short. In OperationConfigured, Services is empty or has the service of that operation only.
 	Services         []Service // by index of operation, nil for complete service; owned by the sender
 	UseSpareCapacity bool
 
 	// OperationConfigured
-	Operation *Operation // owned by the receiver; nil once nothing refers to the index any more
+	Operation *Operation // owned by the receiver; nil removes the operation
 
 	// CallLimitSet
 	CallLimit   int   // calls that may be in flight
 	MaxCallTime int64 // for a single call
 
-	// TimerFired; a gauge that the host lacks is negative
-	BusyShare       float64 // of the cores
-	RunnableThreads float64
+	// TimerFired; a gauge that the host can't read is negative
+	BusyShare       float64 // share of the cores' time spent busy
+	RunnableThreads float64 // running or waiting for a core
 }
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -36,7 +36,7 @@
 	assert.False(t, c.health.unhealthy)
 }
 
-// An unhealthy node gets no work, so that idling must make it healthy.
+// An unhealthy node gets no work, so that no run would show its recovery: idling must make it healthy.
 func TestIdleNodeBecomesHealthyAgain(t *testing.T) {
 	c := newTestController()
 	for range 8 {
--- a/internal/admission/helpers_test.go
+++ b/internal/admission/helpers_test.go
@@ -2,8 +2,8 @@
 
 const testStart = 1_000 * second
 
-// newTestController is the controller of a healthy, warm node of two cores with an idempotent operation and one with an
-// idempotency key.
+// newTestController returns the controller of a healthy, warm node with two cores and two operations: 0 is idempotent, 1 is
+// idempotent with a key and has a higher weight.
 func newTestController(change ...func(*Config)) *Controller {
 	config := &Config{
 		Operations: []Operation{
@@ -63,7 +63,7 @@
 	return inv
 }
 
-// actionKinds lists the kinds of the actions decided so far.
+// actionKinds returns the kinds of the actions emitted so far.
 func actionKinds(c *Controller) []ActionKind {
 	kinds := []ActionKind{}
 	for _, a := range c.actions {
@@ -78,12 +78,11 @@
 	reducedService = Service{Form: Reduced, WorkShare: 0.4, WeightShare: 0.7}
 )
 
-// applyLevel applies a degradation level.
 func applyLevel(c *Controller, useSpareCapacity bool, services ...Service) {
 	c.setDegradationLevel(services, useSpareCapacity)
 }
 
-// arrivalEvent is the arrival of invocation 0 of an operation.
+// arrivalEvent returns the arrival of invocation 0 of an operation.
 func arrivalEvent(operation int32) *Event {
 	return &Event{Kind: Arrived, OperationIndex: operation, Tenant: -1, Original: NoOriginal, QueuedKB: 10}
 }
--- a/internal/admission/invocation.go
+++ b/internal/admission/invocation.go
@@ -1,6 +1,6 @@
 package admission
 
-// invocationState is where an invocation is. States from stateRunning on take up the memory of a run.
+// invocationState is the stage that an invocation has reached. From stateRunning on, it takes up the memory of a run.
 type invocationState uint8
 
 const (
@@ -10,56 +10,56 @@
 	stateRunning      // on the cores
 	stateAwaitingCall // waits for the start of a dependency call
 	stateCalling      // blocked on a dependency call
-	statePaused
+	statePaused       // stopped for another run; waits in the queue to be resumed
 )
 
 // invocation is one invocation from its arrival to its end. Times are in nanoseconds.
 type invocation struct {
 	operation     *operation
 	state         invocationState
-	answered      bool // a final answer was given, or is not needed any more
-	started       bool // it, or the invocation that it repeats, has run
+	answered      bool // the final answer was given, or is not needed any more
+	started       bool // this invocation, or the one that it repeats, has started to run
 	retry         bool
 	tenant        int32 // -1 for none
-	callAttempts  int   // for the dependency call that it needs at present
+	callAttempts  int   // of the current dependency call, see extraAttempts
 	arrivedAt     int64
 	deadline      int64
 	callStartedAt int64
 	callDeadline  int64
 	queuedKB      float64
-	rank          float64 // within the queue, or among those that wait for a call; the highest is first
-	baseWork      float64 // as the caller expects it, else the unit of the operation
-	workShare     float64 // below 1 for a reduced form
-	weightShare   float64 // below 1 for a reduced form
-	coreTime      float64 // on the core clock, as of the last change of state
-	runningSince  float64 // on the core clock
+	rank          float64 // in the queue, or among the invocations that wait for a call; the highest is first
+	baseWork      float64 // work expected by the caller, or the default work of the operation
+	workShare     float64 // of the complete form; below 1 for a reduced form
+	weightShare   float64 // of the complete form; below 1 for a reduced form
+	coreTime      float64 // core time used until the last change of state
+	runningSince  float64 // reading of coreUsage.clock at the last change of state
 }
 
-// usualCoreTime is the core time that such an invocation takes as a rule, on a node at its usual speed.
+// usualCoreTime returns the core time (ns) that the invocation is expected to take in all on a node at its usual speed.
 func (inv *invocation) usualCoreTime() float64 {
 	return inv.baseWork * inv.workShare * inv.operation.serviceTimes.Mean(1)
 }
 
-// serveCompletely takes back a reduction.
+// serveCompletely changes the invocation to the complete form.
 func (inv *invocation) serveCompletely() {
 	inv.workShare = 1
 	inv.weightShare = 1
 }
 
-// invocationCounts are the numbers of invocations by state.
+// invocationCounts counts invocations by state.
 type invocationCounts struct {
 	queued       int
 	running      int
 	awaitingCall int
 	calling      int
-	arrived      int // since the start
-	ended        int // since the start
+	arrived      int // since the controller started
+	ended        int // since the controller started
 }
 
-// blocked is the number of runs that are off the cores because of a dependency call.
+// blocked returns the number of runs that are off the cores because they wait for a dependency call or its reply.
 func (n *invocationCounts) blocked() int { return n.awaitingCall + n.calling }
 
-// inFlight is the number of invocations that have not ended.
+// inFlight returns the number of invocations that have not ended.
 func (n *invocationCounts) inFlight() int { return n.arrived - n.ended }
 
 func (n *invocationCounts) add(state invocationState, delta int) {
@@ -86,7 +86,7 @@
 	c.account(inv, 1)
 }
 
-// account adds an invocation to the counts and the memory of its state, or removes it.
+// account adds an invocation to the counts and the memory of its state (delta 1), or removes it (delta -1).
 func (c *Controller) account(inv *invocation, delta int) {
 	if inv.state == stateEnded {
 		return
@@ -100,8 +100,9 @@
 	c.counts.ended++
 }
 
-// drop gives the final answer to an invocation that won't be served: a rejection if it never started.
-func (c *Controller) drop(i int32, reason Reason) {
+// rejectOrFail gives the final answer to an invocation that won't be served: a rejection if it never started, otherwise a
+// failure. An invocation that was answered before is left alone.
+func (c *Controller) rejectOrFail(i int32, reason Reason) {
 	inv := &c.invocations[i]
 	if inv.answered {
 		return
@@ -118,8 +119,8 @@
 	c.discard(i)
 }
 
-// discard ends an invocation that needs no answer any more. A run is stopped where that is supported; one that is
-// blocked on a call ends by itself.
+// discard ends an invocation that needs no answer any more. If it is running, its run is stopped where that is supported.
+// If it is blocked on a call, the host ends it.
 func (c *Controller) discard(i int32) {
 	switch c.invocations[i].state {
 	case stateQueued, stateJoined, statePaused:
@@ -131,15 +132,15 @@
 	}
 }
 
-// runEnded records the end of a run and what it cost.
-func (c *Controller) runEnded(i int32, outcome Outcome) {
+// handleRunEnded records the end of a run and its core time, or puts a stopped run back into the queue.
+func (c *Controller) handleRunEnded(i int32, outcome Outcome) {
 	inv := &c.invocations[i]
 	if outcome == Stopped && !inv.answered && c.config.StopSupport != StopUnsupported {
-		c.runPaused(inv)
+		c.requeuePaused(inv)
 		return
 	}
 	if inv.state == stateCalling {
-		c.calls.abandoned(c.now, c.config)
+		c.calls.countAbandoned(c.now, c.config)
 	}
 	c.observeWait(inv, false)
 	joined := inv.state == stateJoined
@@ -149,8 +150,8 @@
 	}
 }
 
-// runPaused puts a run that was stopped to make room for another one back into the queue.
-func (c *Controller) runPaused(inv *invocation) {
+// requeuePaused puts an invocation back into the queue whose run was stopped in favour of another one.
+func (c *Controller) requeuePaused(inv *invocation) {
 	if c.config.StopSupport == StopKeepsProgress {
 		c.setState(inv, statePaused)
 		return
--- a/internal/admission/invocation_test.go
+++ b/internal/admission/invocation_test.go
@@ -22,7 +22,7 @@
 func TestPausedRunKeepsItsMemoryAndResumes(t *testing.T) {
 	c := newTestController()
 	inv := insertInvocation(c, 0, stateRunning)
-	c.runEnded(0, Stopped)
+	c.handleRunEnded(0, Stopped)
 	assert.Equal(t, statePaused, inv.state)
 	assert.Equal(t, 40.0, c.memory.invocationsKB)
 }
--- a/internal/admission/operations.go
+++ b/internal/admission/operations.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxOperationSamples = 96.0 // some ten seconds of a small node
+	maxOperationSamples = 96.0 // about ten seconds of runs at a small node
 	demandWindow        = 2_000 * millisecond
 	demandSlices        = 8
 )
 
-// operation is the configuration of an operation, and what is known of it under any configuration.
+// operation is one configuration of an operation. Its measurements are shared with the operation's later configurations.
 type operation struct {
 	Operation
 	*operationMeasurements
@@ -22,7 +22,7 @@
 type operationMeasurements struct {
 	serviceTimes stats.RatioHistogram // core time of runs over their base work
 	blockedTimes stats.RatioHistogram // duration of calls over the latency objective
-	demand       stats.SlidingSum     // core time (ns) of first attempts, were all served completely
+	demand       stats.SlidingSum     // core time (ns) that first attempts would need if all were served completely
 	service      Service
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// demandShare is the share of the cores that recent first attempts need. It is 0 for a nil operation.
+// demandShare returns the share of the cores that recent first attempts need. It is 0 for a nil operation.
 func (op *operation) demandShare(now int64, cores float64) float64 {
 	if op == nil {
 		return 0
@@ -45,7 +45,7 @@
 
 // operationTable is the set of operations of a node.
 type operationTable struct {
-	list              []*operation // by index, nil where the index belongs to none
+	list              []*operation // by index, nil where no operation has the index
 	objectives        stats.MinMax // latency objectives
 	shortestObjective float64      // ns
 	longestObjective  int64        // ns
@@ -64,19 +64,19 @@
 	return t
 }
 
-// configure adds an operation, changes its terms, or removes it where terms is nil. Measurements outlast a change of
-// terms, not a removal. Invocations that arrived before refer to the former terms.
-func (t *operationTable) configure(i int32, terms *Operation, services []Service) {
+// configure adds or changes an operation, or removes it if config is nil. Its measurements are kept when it changes and
+// lost when it is removed. Invocations that arrived earlier refer to the previous configuration.
+func (t *operationTable) configure(i int32, config *Operation, services []Service) {
 	missing := max(0, int(i)+1-len(t.list))
 	t.list = append(t.list, make([]*operation, missing)...)
-	former := t.list[i]
-	if former != nil {
-		t.objectives.Remove(former.LatencyObjective)
+	previous := t.list[i]
+	if previous != nil {
+		t.objectives.Remove(previous.LatencyObjective)
 	}
 	t.list[i] = nil
-	if terms != nil {
-		t.list[i] = newOperation(terms, former, services)
-		t.objectives.Add(terms.LatencyObjective)
+	if config != nil {
+		t.list[i] = newOperation(config, previous, services)
+		t.objectives.Add(config.LatencyObjective)
 	}
 	if t.objectives.Len() > 0 {
 		t.shortestObjective = float64(t.objectives.Min())
@@ -84,10 +84,10 @@
 	}
 }
 
-func newOperation(terms *Operation, former *operation, services []Service) *operation {
-	op := &operation{Operation: *terms}
-	if former != nil {
-		op.operationMeasurements = former.operationMeasurements
+func newOperation(config *Operation, previous *operation, services []Service) *operation {
+	op := &operation{Operation: *config}
+	if previous != nil {
+		op.operationMeasurements = previous.operationMeasurements
 	} else {
 		op.operationMeasurements = newOperationMeasurements()
 	}
@@ -97,7 +97,8 @@
 	return op
 }
 
-// setServices sets the service of each operation: by index, complete beyond the end of the list.
+// setServices sets the service of each operation by its index. Operations beyond the end of the list are served
+// completely.
 func (t *operationTable) setServices(services []Service) {
 	for i, op := range t.list {
 		if op == nil {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	spareCapacityRankFactor = 1e-3 // of the rank, for shed operations that spare capacity serves: last
+	spareCapacityRankFactor = 1e-3 // of the rank: shed operations that are served by spare capacity come last
 )
 
-// orderQueue ranks the invocations that wait for a core and drops those that are unlikely to end in time.
+// orderQueue sorts the invocations that wait for a core by rank, and rejects or fails those that are expected to be late.
 func (c *Controller) orderQueue() {
 	c.queueOrder = c.queueOrder[:0]
 	for _, i := range c.live {
@@ -23,12 +23,12 @@
 		c.queueOrder = append(c.queueOrder, i)
 	}
 	c.sortByRank(c.queueOrder)
-	c.dropUnlikelyInTime()
+	c.dropExpectedLate()
 }
 
-// dropUnlikelyInTime drops the invocations of the queue that are unlikely to end in time to be of value. It saves the
-// work that late answers would waste, and drops too much while a few large invocations raise the estimates.
-func (c *Controller) dropUnlikelyInTime() {
+// dropExpectedLate rejects or fails the queued invocations that are unlikely to end in time to be of value. This saves
+// the work that late answers would waste, but it drops too much while a few large invocations raise the estimates.
+func (c *Controller) dropExpectedLate() {
 	ahead := c.pendingWork(stateRunning)
 	remaining := c.queueOrder[:0]
 	for k, i := range c.queueOrder {
@@ -39,8 +39,8 @@
 		if !startsNow {
 			end += ahead / c.cores.available()
 		}
-		if c.isUnlikelyInTime(inv, end, work) {
-			c.drop(i, unlikelyInTimeReason(inv))
+		if c.isExpectedLate(inv, end, work) {
+			c.rejectOrFail(i, expectedLateReason(inv))
 			continue
 		}
 		ahead += work
@@ -49,23 +49,24 @@
 	c.queueOrder = remaining
 }
 
-// isUnlikelyInTime says whether an invocation with the given expected end and work is unlikely to be of value.
-func (c *Controller) isUnlikelyInTime(inv *invocation, end, work float64) bool {
-	typicalEnd := end - minRemainingShare*work
-	if typicalEnd <= c.objectiveEnd(inv) {
+// isExpectedLate reports whether an invocation with the given expected end and remaining work is unlikely to end in time
+// to be of value. Half of all runs end by the median, which is earlier than the expected end.
+func (c *Controller) isExpectedLate(inv *invocation, end, work float64) bool {
+	medianEnd := end - minRemainingShare*work
+	if medianEnd <= c.objectiveEnd(inv) {
 		return false
 	}
 	return inv.operation.LateWeightShare == 0 || end > c.abandonmentTime(inv)
 }
 
-func unlikelyInTimeReason(inv *invocation) Reason {
+func expectedLateReason(inv *invocation) Reason {
 	if inv.operation.service.Form == Shed {
 		return ReasonDegraded
 	}
 	return ReasonExpectedLate
 }
 
-// updateRank sets the rank within the queue: the expected weight that a unit of core time yields.
+// updateRank sets the rank of an invocation in the queue: its expected weight for each unit of core time.
 func (c *Controller) updateRank(inv *invocation) {
 	op := inv.operation
 	work := c.remainingWork(inv)
@@ -76,51 +77,54 @@
 	if op.service.Form == Shed && !inv.started {
 		rank *= spareCapacityRankFactor
 	}
-	inv.rank = rank * c.inTimeShare(inv, work)
+	inv.rank = rank * c.expectedWeightShare(inv, work)
 }
 
-// inTimeShare is the expected share of the weight, by the chance to end within the objective with the given work left.
-func (c *Controller) inTimeShare(inv *invocation, work float64) float64 {
-	need := c.expectedEnd(inv, work) - float64(c.now)
+// expectedWeightShare returns the expected share of its weight that an invocation yields, by the probability that it ends
+// within its objective with the given remaining work.
+func (c *Controller) expectedWeightShare(inv *invocation, work float64) float64 {
+	timeNeeded := c.expectedEnd(inv, work) - float64(c.now)
 	slack := c.objectiveEnd(inv) - float64(c.now)
-	if need > slack {
+	if timeNeeded > slack {
 		return inv.operation.LateWeightShare
 	}
-	return 1 - math.Exp(-slack/need)
+	return 1 - math.Exp(-slack/timeNeeded)
 }
 
-// tenantWeightShare is the expected share of the weight for a tenant, which may exceed its quota over all peers.
+// tenantWeightShare returns the mean share of their weight that invocations of a tenant have. It is below 1 while the
+// tenant exceeds the node's part of its quota.
 func (c *Controller) tenantWeightShare(tenant int32) float64 {
 	if tenant < 0 || c.config.TenantRates[tenant] <= 0 {
 		return 1
 	}
-	// The count that arrivals at the node's part of the rate converge to.
-	quota := c.config.TenantRates[tenant] / float64(max(1, c.config.Peers)) * float64(tickInterval) / float64(second) / (1 - counterDecay)
-	within := quota / max(quota, c.callers.byTenant.Count(int64(tenant)))
-	return within + (1-within)*c.config.OverQuotaWeightShare
+	// The count to which arrivals at the node's part of the tenant's rate converge.
+	countAtQuota := c.config.TenantRates[tenant] / float64(max(1, c.config.Peers)) * float64(tickInterval) / float64(second) / (1 - counterDecay)
+	withinQuota := countAtQuota / max(countAtQuota, c.callers.byTenant.Count(int64(tenant)))
+	return withinQuota + (1-withinQuota)*c.config.OverQuotaWeightShare
 }
 
-// sortByRank sorts indices of invocations by descending rank. Equal ranks retain their order.
+// sortByRank sorts indices of invocations by descending rank. Invocations of equal rank retain their order.
 func (c *Controller) sortByRank(order []int32) { slices.SortStableFunc(order, c.compareRanks) }
 
 func (c *Controller) compareRanks(a, b int32) int {
 	return cmp.Compare(c.invocations[b].rank, c.invocations[a].rank)
 }
 
-// enforceDeadlines answers invocations whose deadline is near and stops runs that can't be of value any more.
+// enforceDeadlines rejects or fails invocations whose deadline is near, and runs that can't be of value any more.
 func (c *Controller) enforceDeadlines() {
 	for _, i := range c.live {
 		inv := &c.invocations[i]
 		if inv.state != stateEnded && (c.isTooLate(inv) || c.now >= inv.deadline-answerMargin) {
-			c.drop(i, ReasonDeadline)
+			c.rejectOrFail(i, ReasonDeadline)
 		}
 		if inv.state == stateRunning && inv.answered {
-			c.discard(i) // repeated: a stop has no effect while the cores are paused
+			c.discard(i) // repeated at each tick, because a stop has no effect while the cores are paused
 		}
 	}
 }
 
-// isTooLate says whether a run that can be stopped has missed its objective and is worth nothing after that.
+// isTooLate reports whether an invocation is a run that can be stopped, has missed its objective and is worth nothing
+// after that.
 func (c *Controller) isTooLate(inv *invocation) bool {
 	if inv.state != stateRunning || c.config.StopSupport == StopUnsupported || inv.operation.LateWeightShare != 0 {
 		return false
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -23,7 +23,7 @@
 	assert.Empty(t, c.actions)
 }
 
-func TestUnlikelyInTimeIsRejectedAtOnceWithRetryAfter(t *testing.T) {
+func TestInvocationExpectedLateIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	c := newTestController()
 	c.callers.queueingDelay = float64(300 * millisecond)
 	inv := insertInvocation(c, 0, stateQueued)
@@ -61,7 +61,7 @@
 	assert.Equal(t, 1.0, c.tenantWeightShare(1))
 }
 
-// Invocations read late must not displace those that still have time.
+// Invocations that were read late must not displace invocations that still have time.
 func TestLittleSlackLowersTheRank(t *testing.T) {
 	c := newTestController()
 	fresh := insertInvocation(c, 0, stateQueued)
@@ -77,8 +77,8 @@
 	assert.Zero(t, late.rank)
 }
 
-// The mean of skewed service times would drop what mostly ends within the objective.
-func TestQueueRetainsWhatTypicallyEndsInTime(t *testing.T) {
+// Service times are skewed: a decision by their mean would drop invocations that mostly end within their objective.
+func TestQueueRetainsInvocationsThatTypicallyEndInTime(t *testing.T) {
 	c := newTestController()
 	inv := insertInvocation(c, 0, stateQueued)
 	inv.arrivedAt -= 930 * millisecond // 70 ms are left, 100 are expected
@@ -89,7 +89,7 @@
 	assert.Equal(t, []ActionKind{Reject}, actionKinds(c))
 }
 
-// Most callers here abandon well before the client timeout.
+// When most callers abandon well before the client timeout, invocations must not wait in the queue for longer than that.
 func TestQueueAccountsForEarlyAbandonment(t *testing.T) {
 	c := newTestController()
 	for range 20 {
@@ -97,7 +97,7 @@
 		inv.arrivedAt -= 300 * millisecond
 		c.apply(&Event{Kind: CallerDisconnected, Invocation: int32(len(c.invocations) - 1)})
 	}
-	c.callers.waitShare = c.callers.waitTimes.TimeAtSurvival(minCallersWaiting)
+	c.callers.waitShare = c.callers.waitTimes.TimeAtSurvival(minWaitingCallerShare)
 	assert.InDelta(t, 0.1, c.callers.waitShare, 1.0/waitTimeBins)
 	inv := insertInvocation(c, 0, stateQueued)
 	inv.arrivedAt -= 200 * millisecond
--- a/internal/admission/randomevents_test.go
+++ b/internal/admission/randomevents_test.go
@@ -19,8 +19,8 @@
 	outcome    Outcome
 }
 
-// randomEvents drives a controller with events drawn from a seed, with tenants of which some are silent for minutes, and
-// callers that come and go. It digests the actions, the state and the ranks after each step.
+// randomEvents drives a controller with events drawn from a seed, with a growing number of tenants and callers that may
+// be silent for minutes. It adds the actions, the state and the ranks after each step to a digest.
 type randomEvents struct {
 	random      *rand.Rand
 	controller  *Controller
@@ -51,7 +51,7 @@
 	}
 }
 
-// digestOfDecisions is the digest over a number of steps.
+// digestOfDecisions returns the digest over a number of steps.
 func digestOfDecisions(seed int64, steps int) uint64 {
 	r := newRandomEvents(seed)
 	for step := range steps {
@@ -63,7 +63,7 @@
 func (r *randomEvents) step(step int) {
 	r.now += int64(1+r.random.Intn(30)) * millisecond
 	if r.random.Intn(150) == 0 {
-		r.now += 200_000 * millisecond // silence of all callers
+		r.now += 200_000 * millisecond // a period without arrivals
 	}
 	events := r.endRuns(nil)
 	for range r.random.Intn(4) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// endRuns appends the ends of runs that are due.
+// endRuns appends the RunEnded events of runs that are due.
 func (r *randomEvents) endRuns(events []Event) []Event {
 	r.runs = slices.DeleteFunc(r.runs, func(run scheduledRun) bool {
 		if run.endsAt > r.now {
@@ -95,7 +95,7 @@
 	return events
 }
 
-// arrival is an arrival of one of the tenants and callers, of which there are more and more.
+// arrival returns an arrival from a random tenant and a random caller, whose numbers grow with the step.
 func (r *randomEvents) arrival(step int) Event {
 	return Event{
 		Kind:           Arrived,
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -1,24 +1,24 @@
 package admission
 
-// Form is the form in which an operation is served.
+// Form is the degree to which an operation is served.
 type Form uint8
 
 // The forms, from the most to the least complete.
 const (
 	Complete Form = iota
-	Reduced
-	Shed
+	Reduced       // with less work and less value
+	Shed          // rejected, or served only by spare capacity
 )
 
-// Service is what a degradation level leaves of one operation. The shares are those of the reduced form; for a
-// shed operation, of the form in which spare capacity serves it, 0 for the complete one.
+// Service specifies how a degradation level serves one operation. The shares are those of the reduced form. For a shed
+// operation, they are those of the form in which spare capacity serves it; WorkShare is 0 if that is the complete form.
 type Service struct {
 	Form        Form
-	WorkShare   float64
-	WeightShare float64
+	WorkShare   float64 // of the work of the complete form
+	WeightShare float64 // of the weight of the complete form
 }
 
-// ServedWorkShare is the share of the work that a service leaves.
+// ServedWorkShare returns the share of an operation's work that is still done under the service.
 func (s Service) ServedWorkShare() float64 {
 	switch s.Form {
 	case Reduced:
--- a/internal/admission/simulatedevents_test.go
+++ b/internal/admission/simulatedevents_test.go
@@ -6,7 +6,7 @@
 	"topazpost/internal/admission"
 )
 
-// addArrivals adds arrivals, at a rate that comes in waves.
+// addArrivals adds arrivals, at a rate that varies as a sine wave.
 func (h *simulatedHost) addArrivals() {
 	wave := 1 + 0.9*math.Sin(float64(h.steps)/150)
 	for n := h.meanArrivals * wave * 2 * h.random.Float64(); n > 0; n-- {
@@ -69,7 +69,7 @@
 	return i
 }
 
-// randomOriginal is a random job that another one may repeat, or OriginalEnded.
+// randomOriginal returns a random job that job i may repeat, or OriginalEnded.
 func (h *simulatedHost) randomOriginal(i int32) int32 {
 	original := int32(h.random.Intn(len(h.jobs)))
 	j := &h.jobs[original]
@@ -79,7 +79,8 @@
 	return original
 }
 
-// addExternalEvents adds what callers, operators and the fleet do.
+// addExternalEvents adds disconnections, degradation levels, call limits, changes of operations and, if drain is true,
+// requests of a drain. It also varies the slowdown of runs and calls.
 func (h *simulatedHost) addExternalEvents(drain bool) {
 	h.addDisconnections()
 	h.addLateEvent()
@@ -111,7 +112,7 @@
 	}
 }
 
-// addLateEvent may add an event of an invocation that has ended.
+// addLateEvent adds, in some steps, an event of an invocation that has ended.
 func (h *simulatedHost) addLateEvent() {
 	if len(h.freeIndices) == 0 || !h.oneIn(40) {
 		return
@@ -153,14 +154,14 @@
 	h.enqueue(e)
 }
 
-// reconfigureOperation changes the terms of an operation, removes one that no job refers to, or adds one.
+// reconfigureOperation changes an operation, removes one that no job refers to, or adds one that was removed.
 func (h *simulatedHost) reconfigureOperation() {
 	op := int32(h.random.Intn(len(h.presentOperations)))
-	terms := h.config.Operations[op]
-	terms.LatencyObjective += h.randomDuration(0, 100)
-	terms.PriorityWeight *= 0.5 + h.random.Float64()
-	terms.Removed = false
-	e := admission.Event{Kind: admission.OperationConfigured, OperationIndex: op, Operation: &terms}
+	config := h.config.Operations[op]
+	config.LatencyObjective += h.randomDuration(0, 100)
+	config.PriorityWeight *= 0.5 + h.random.Float64()
+	config.Removed = false
+	e := admission.Event{Kind: admission.OperationConfigured, OperationIndex: op, Operation: &config}
 	if h.oneIn(3) {
 		e.Services = []admission.Service{{Form: admission.Reduced, WorkShare: 0.6, WeightShare: 0.9}}
 	}
--- a/internal/admission/simulatedhost_test.go
+++ b/internal/admission/simulatedhost_test.go
@@ -9,20 +9,20 @@
 
 const (
 	millisecond      = int64(1_000_000)            // ns
-	hostStart        = 1_000_000_000 * millisecond // when simulated hosts start
+	hostStart        = 1_000_000_000 * millisecond // start time of simulated hosts
 	snapshotInterval = 16                          // steps between snapshots of the state and the load metrics
 	unlimitedCalls   = math.MaxInt
 	unlimitedTime    = int64(math.MaxInt64 / 4) // ns
 	never            = int64(math.MaxInt64)
 )
 
-// jobPhase is where an invocation is on a simulated host.
+// jobPhase is the stage of an invocation on a simulated host.
 type jobPhase uint8
 
 const (
 	phaseUnused jobPhase = iota
 	phaseWaiting
-	phaseJoined // waits for the end of another one
+	phaseJoined // waits for the end of the job that it repeats
 	phaseRunning
 	phaseAwaitingCall
 	phaseCalling
@@ -32,14 +32,14 @@
 type simulatedJob struct {
 	phase          jobPhase
 	operationIndex int32
-	original       int32 // the one that it repeats, -1 for none
+	original       int32 // index of the job that it repeats, negative for none
 	remainingCalls int
 	endsAt         int64 // of the present phase
 	stopping       bool
 	answered       bool
 }
 
-// simulatedHost is a host of a controller whose events are drawn from a seed.
+// simulatedHost is a host that drives a controller with events drawn from a seed, and performs its actions.
 type simulatedHost struct {
 	random            *rand.Rand
 	config            *admission.Config
@@ -49,8 +49,8 @@
 	jobs              []simulatedJob
 	freeIndices       []int32
 	events            []admission.Event
-	meanArrivals      float64 // in a step
-	slowdown          float64 // of runs and calls
+	meanArrivals      float64 // in each step
+	slowdown          float64 // factor of the durations of runs and calls
 	presentOperations []bool
 	killAt            int64
 	steps             int
@@ -58,7 +58,7 @@
 	record            func(now int64, events []admission.Event) // nil for none
 }
 
-// newSimulatedHost is a host that has just started.
+// newSimulatedHost returns a host that has just started.
 func newSimulatedHost(config *admission.Config, seed int64, meanArrivals float64) *simulatedHost {
 	h := &simulatedHost{
 		random:            rand.New(rand.NewSource(seed)),
@@ -76,12 +76,12 @@
 	return h
 }
 
-// randomDuration is a random duration between two bounds, which are in milliseconds.
+// randomDuration returns a random duration (ns) between two bounds in milliseconds.
 func (h *simulatedHost) randomDuration(least, most int) int64 {
 	return int64(least)*millisecond + h.random.Int63n(int64(most-least+1)*millisecond)
 }
 
-// oneIn is true in one of so many cases.
+// oneIn returns true at random, on average once in the given number of cases.
 func (h *simulatedHost) oneIn(cases int) bool { return h.random.Intn(cases) == 0 }
 
 func (h *simulatedHost) enqueue(e admission.Event) { h.events = append(h.events, e) }
@@ -92,7 +92,7 @@
 	h.events = h.events[:0]
 	h.now += h.randomDuration(1, 14)
 	if h.oneIn(700) {
-		h.now += h.randomDuration(1_000, 20_000) // a long silence
+		h.now += h.randomDuration(1_000, 20_000) // a long period without events
 	}
 	h.addEnds()
 	h.addArrivals()
@@ -121,7 +121,7 @@
 	h.digest.addLoadMetrics(&load)
 }
 
-// addTimer adds the timer's event if it is due, with gauges that may be missing.
+// addTimer adds a TimerFired event if the timer is due. Its gauges may be missing.
 func (h *simulatedHost) addTimer() {
 	if h.now < h.timerAt {
 		return
@@ -164,7 +164,7 @@
 			h.endRun(i, outcome)
 		case j.phase == phaseCalling && !j.answered:
 			h.endCall(i)
-		case j.phase == phaseJoined: // what it repeats ended before
+		case j.phase == phaseJoined: // the job that it repeats ended before
 			h.endRun(i, admission.Succeeded)
 		default: // its caller needs no answer any more
 			h.endRun(i, admission.Stopped)
@@ -172,7 +172,7 @@
 	}
 }
 
-// endRun adds the end of a run and of those that joined it.
+// endRun adds the end of a run and of the jobs that joined it.
 func (h *simulatedHost) endRun(i int32, outcome admission.Outcome) {
 	h.enqueue(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 	h.jobs[i].phase = phaseWaiting
@@ -214,7 +214,7 @@
 	j.endsAt = h.now + int64(h.slowdown*float64(h.randomDuration(5, 120)))
 }
 
-// answer is the end of an invocation for its caller. One that is blocked on a call ends soon after, without it.
+// answer marks a job as answered. If it is blocked on a call, its run ends soon after, without the call.
 func (h *simulatedHost) answer(j *simulatedJob) {
 	j.answered = true
 	if j.phase == phaseAwaitingCall || j.phase == phaseCalling {
@@ -222,7 +222,6 @@
 	}
 }
 
-// perform performs an action.
 func (h *simulatedHost) perform(a *admission.Action) {
 	switch a.Kind {
 	case admission.SetTimer:
@@ -239,7 +238,7 @@
 		j.endsAt = min(a.At, h.now+int64(h.slowdown*float64(h.randomDuration(2, 150))))
 	case admission.Stop:
 		if h.oneIn(6) {
-			return // without effect
+			return // the stop has no effect
 		}
 		j := &h.jobs[a.Invocation]
 		j.stopping = true
@@ -253,7 +252,7 @@
 	}
 }
 
-// join makes a job wait for the one that it repeats, for a moment if that has ended.
+// join makes a job wait for the end of the job that it repeats, or for a short time if that has ended.
 func (h *simulatedHost) join(j *simulatedJob) {
 	j.phase = phaseJoined
 	j.endsAt = never
@@ -262,7 +261,7 @@
 	}
 }
 
-// release frees an index. Jobs that joined an invocation which never ran end soon after it.
+// release frees an index. Jobs that joined the released job without an end of its run end soon after it.
 func (h *simulatedHost) release(i int32) {
 	h.jobs[i] = simulatedJob{}
 	h.freeIndices = append(h.freeIndices, i)
@@ -275,7 +274,7 @@
 	}
 }
 
-// warmConfig is the configuration of a warm node of four cores with operations of each idempotency.
+// warmConfig returns the configuration of a warm node of four cores with operations of each kind of idempotency.
 func warmConfig(change ...func(*admission.Config)) *admission.Config {
 	config := &admission.Config{
 		Operations: []admission.Operation{
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -1,38 +1,39 @@
 package admission
 
-// ControllerState is a snapshot of what decisions are based on, for logs and tests. Times are in nanoseconds.
+// ControllerState is a snapshot of the quantities on which decisions are based, for logs and tests. Times are in
+// nanoseconds; Arrivals, Retries and Rejected are counts that decay at each tick.
 type ControllerState struct {
 	Limit              float64 `json:"limit"`        // maximum of concurrent runs on the cores
 	OnCores            int     `json:"on_cores"`     // runs on the cores
-	Queued             int     `json:"held"`         // invocations that have not started
-	AwaitingCall       int     `json:"standing"`     // runs whose dependency call has not started
+	Queued             int     `json:"held"`         // invocations in the queue, without paused ones
+	AwaitingCall       int     `json:"standing"`     // runs that wait for the start of a dependency call
 	CallsInFlight      int     `json:"in_hand"`      // runs blocked on a dependency call
-	MeanBlocked        float64 `json:"away"`         // mean of the sum of these two
-	QueueWait          float64 `json:"wait_ns"`      // until the queue would be empty
-	CallWait           float64 `json:"call_wait_ns"` // part of it: until a call requested now would start
+	MeanBlocked        float64 `json:"away"`         // smoothed sum of AwaitingCall and CallsInFlight
+	QueueWait          float64 `json:"wait_ns"`      // expected wait of an invocation that arrives now, with CallWait
+	CallWait           float64 `json:"call_wait_ns"` // expected wait of a call that is requested now
 	QueueingDelay      float64 `json:"lag_ns"`       // mean age of recent arrivals when they were read
-	OtherRunnable      float64 `json:"reading"`      // runnable threads that are not runs
-	MeanOtherRunnable  float64 `json:"mean_reading"` // their mean
+	OtherRunnable      float64 `json:"reading"`      // runnable threads other than runs, smoothed over gaugeWindow
+	MeanOtherRunnable  float64 `json:"mean_reading"` // the same, smoothed over meanGaugeWindow
 	ServiceTimeRatio   float64 `json:"pace"`         // service times of recent runs over the usual ones
-	StallRatio         float64 `json:"stall"`        // core time over the usual that all present runs have exceeded
-	CallerWaitShare    float64 `json:"patient"`      // share of the client timeout for which most callers wait
+	StallRatio         float64 `json:"stall"`        // least ratio of spent to usual core time among present runs
+	CallerWaitShare    float64 `json:"patient"`      // share of the client timeout until which most callers wait
 	CallTime           float64 `json:"call_time_ns"` // usual duration of a call
 	CallFailureShare   float64 `json:"call_fails"`   // share of recent calls that failed
-	MaxCallTime        float64 `json:"call_room_ns"` // for the next call; 0 where none may start
-	CallQuotaUsed      float64 `json:"call_used"`    // share of the quota of calls in flight
-	AdvertisedCapacity float64 `json:"open"`         // share of the load that could be asked for
-	LastSignal         float64 `json:"said"`         // last backpressure value
-	Arrivals           float64 `json:"arrivals"`     // recent ones
-	Retries            float64 `json:"echoes"`       // among the recent arrivals
-	Rejected           float64 `json:"throttled"`    // recently
-	Callers            int     `json:"callers"`      // recent ones
-	Memory             float64 `json:"memory_kb"`    // of all invocations
+	MaxCallTime        float64 `json:"call_room_ns"` // of the next call; 0 if no call may start
+	CallQuotaUsed      float64 `json:"call_used"`    // share of the quota of calls
+	AdvertisedCapacity float64 `json:"open"`         // share of the maximum load that callers are asked for
+	LastSignal         float64 `json:"said"`         // last backpressure value, -1 before the first
+	Arrivals           float64 `json:"arrivals"`     // recent arrivals
+	Retries            float64 `json:"echoes"`       // retries among the recent arrivals
+	Rejected           float64 `json:"throttled"`    // recent rejections
+	Callers            int     `json:"callers"`      // number of recent callers
+	Memory             float64 `json:"memory_kb"`    // memory of all invocations, without the deduplication table
 	FleetOverloaded    bool    `json:"all_full"`     // other nodes seem to reject work as well
 	Unhealthy          bool    `json:"unhealthy"`
-	CoreIdle           bool    `json:"free"` // according to the last gauges
+	CoreIdle           bool    `json:"free"` // a core was idle at the last gauges
 }
 
-// State returns a snapshot of what decisions are based on.
+// State returns a snapshot of the quantities on which decisions are based.
 func (c *Controller) State() ControllerState {
 	return ControllerState{
 		Limit:              c.concurrency.limit,
@@ -66,15 +67,15 @@
 	}
 }
 
-// LoadMetrics are measures of the present load, on which degradation is based.
+// LoadMetrics are the metrics of the present load by which degradation levels are chosen.
 type LoadMetrics struct {
 	DemandByOperation []float64 // by index: share of the cores that recent first attempts need, if served completely
-	OverheadShare     float64   // of the cores, for reading and health checks
-	QueueWait         float64   // over the shortest latency objective
-	QueueingDelay     float64   // over the shortest latency objective
-	CallWait          float64   // over the shortest latency objective: until a call requested now would start
-	RejectedShare     float64   // of recent arrivals, without those that a degradation level sheds
-	MemoryShare       float64   // of the memory
+	OverheadShare     float64   // share of the cores used for reading requests and health checks
+	QueueWait         float64   // expected wait of an arrival over the shortest latency objective
+	QueueingDelay     float64   // mean age of recent arrivals when they were read over the shortest latency objective
+	CallWait          float64   // expected wait for the start of a call over the shortest latency objective
+	RejectedShare     float64   // share of recent arrivals that were rejected, except by a degradation level
+	MemoryShare       float64   // share of the memory that invocations use
 }
 
 // MeasureLoad sets m to the present load. It reuses the memory of m.
@@ -83,7 +84,7 @@
 	for _, op := range c.operations.list {
 		m.DemandByOperation = append(m.DemandByOperation, op.demandShare(c.now, c.cores.count))
 	}
-	m.OverheadShare = c.cores.intakeShare(c.counts.running)
+	m.OverheadShare = c.cores.overheadShare(c.counts.running)
 	m.QueueWait = c.queueWait() / c.operations.shortestObjective
 	m.QueueingDelay = c.callers.queueingDelay / c.operations.shortestObjective
 	m.CallWait = c.callWait() / c.operations.shortestObjective
