--- a/internal/stats/decayingcounter.go
+++ b/internal/stats/decayingcounter.go
@@ -1,9 +1,9 @@
 package stats
 
-// DecayingCounter counts recent occurrences by key. Its cost is proportional to the number of recent keys,
-// however many there may be in all. The zero value is an empty counter.
+// DecayingCounter counts recent occurrences by key. Its cost in time and memory depends on the number of recent keys, not
+// on the number of possible keys. The zero value is an empty counter.
 type DecayingCounter struct {
-	positions map[int64]int32 // of each key in keys and counts
+	positions map[int64]int32 // index of each key in keys and counts
 	keys      []int64
 	counts    []float64
 }
@@ -38,14 +38,14 @@
 	return c.counts[i]
 }
 
-// Counts returns the counts of all recent keys, in no particular order. It is valid until the next change.
+// Counts returns the counts of all recent keys, in no particular order. The slice is valid until the next change.
 func (c *DecayingCounter) Counts() []float64 { return c.counts }
 
-// Decay multiplies each count by a factor and removes the keys whose count was below minCount.
+// Decay removes the keys whose count is below minCount, and multiplies all other counts by factor.
 func (c *DecayingCounter) Decay(factor, minCount float64) {
 	for i := 0; i < len(c.keys); {
 		if c.counts[i] < minCount {
-			c.removeAt(int32(i)) // another key takes its position
+			c.removeAt(int32(i)) // the last key takes its position
 			continue
 		}
 		c.counts[i] *= factor
@@ -63,7 +63,7 @@
 func (c *DecayingCounter) removeAt(i int32) {
 	last := len(c.keys) - 1
 	if last == 0 {
-		*c = DecayingCounter{} // releases the memory of a map that was large once
+		*c = DecayingCounter{} // a map never shrinks: releases the memory of one that was large
 		return
 	}
 	delete(c.positions, c.keys[i])
--- a/internal/stats/minmax.go
+++ b/internal/stats/minmax.go
@@ -6,7 +6,7 @@
 // change. The zero value is empty.
 type MinMax struct {
 	min lazyHeap
-	max lazyHeap // of the negated numbers
+	max lazyHeap // holds the negated numbers
 }
 
 // Add adds a number, which may be present already.
@@ -22,30 +22,30 @@
 }
 
 // Len returns how many numbers are present.
-func (m *MinMax) Len() int { return len(m.min.present) - len(m.min.removed) }
+func (m *MinMax) Len() int { return len(m.min.entries) - len(m.min.removed) }
 
 // Min returns the minimum; m must not be empty.
-func (m *MinMax) Min() int64 { return m.min.present[0] }
+func (m *MinMax) Min() int64 { return m.min.entries[0] }
 
 // Max returns the maximum; m must not be empty.
-func (m *MinMax) Max() int64 { return -m.max.present[0] }
+func (m *MinMax) Max() int64 { return -m.max.entries[0] }
 
-// lazyHeap is a minimum heap with lazy deletion: a removed number leaves once it reaches the top, so that the
-// top is always present.
+// lazyHeap is a minimum heap with lazy deletion: a removed number leaves entries when it reaches the top, so that the top
+// of entries is never a removed number.
 type lazyHeap struct {
-	present int64Heap
-	removed int64Heap
+	entries int64Heap // with the removed numbers
+	removed int64Heap // numbers that are still in entries
 }
 
-func (h *lazyHeap) add(n int64) { heap.Push(&h.present, n) }
+func (h *lazyHeap) add(n int64) { heap.Push(&h.entries, n) }
 
 func (h *lazyHeap) remove(n int64) {
 	heap.Push(&h.removed, n)
-	for len(h.removed) > 0 && h.removed[0] == h.present[0] {
+	for len(h.removed) > 0 && h.removed[0] == h.entries[0] {
 		heap.Pop(&h.removed)
-		heap.Pop(&h.present)
+		heap.Pop(&h.entries)
 	}
-	if 2*len(h.removed) > len(h.present) { // bounds the memory that removed numbers take
+	if 2*len(h.removed) > len(h.entries) { // bounds the memory of removed numbers
 		h.compact()
 	}
 }
@@ -53,15 +53,15 @@
 // compact rebuilds the heap from the numbers that were not removed.
 func (h *lazyHeap) compact() {
 	var remaining int64Heap
-	for len(h.present) > 0 {
-		n := heap.Pop(&h.present).(int64)
+	for len(h.entries) > 0 {
+		n := heap.Pop(&h.entries).(int64)
 		if len(h.removed) > 0 && h.removed[0] == n {
 			heap.Pop(&h.removed)
 			continue
 		}
 		remaining = append(remaining, n)
 	}
-	h.present = remaining // sorted, and so a heap
+	h.entries = remaining // sorted, and so a heap
 	h.removed = nil
 }
 
--- a/internal/stats/minmax_test.go
+++ b/internal/stats/minmax_test.go
@@ -23,7 +23,7 @@
 				present = append(present, n)
 			}
 			assert.Equal(t, len(present), extremes.Len())
-			assert.LessOrEqual(t, len(extremes.min.present)+len(extremes.min.removed), max(2, 3*len(present)))
+			assert.LessOrEqual(t, len(extremes.min.entries)+len(extremes.min.removed), max(2, 3*len(present)))
 			if len(present) > 0 {
 				assert.Equal(t, []int64{slices.Min(present), slices.Max(present)}, []int64{extremes.Min(), extremes.Max()})
 			}
--- a/internal/stats/slidingsum.go
+++ b/internal/stats/slidingsum.go
@@ -1,14 +1,14 @@
 package stats
 
-// SlidingSum is the sum of the amounts added within a sliding window of time, in slices of equal length. The
-// present slice counts in addition to the whole slices of the window.
+// SlidingSum is the sum of the amounts added within a sliding time window, which is divided into slices of equal length.
+// The sum covers the current slice and as many slices before it as make up the window.
 type SlidingSum struct {
-	slices      []float64 // a ring
-	sliceLength int64     // in units of time
-	index       int64     // of the present slice since time 0
+	slices       []float64 // a ring buffer
+	sliceLength  int64     // in units of time
+	currentSlice int64     // number of the current slice, counted from time 0
 }
 
-// NewSlidingSum returns an empty sum over a window of time in the given number of slices.
+// NewSlidingSum returns an empty sum over a time window that is divided into the given number of slices.
 func NewSlidingSum(window int64, slices int) SlidingSum {
 	return SlidingSum{
 		slices:      make([]float64, slices+1),
@@ -16,23 +16,24 @@
 	}
 }
 
-// Add advances the window to now and adds an amount there. Time that is before the present slice counts as in it.
+// Add advances the window to now and adds an amount to the current slice. A time before the current slice leaves the
+// window as it is.
 func (s *SlidingSum) Add(now int64, amount float64) {
 	s.advance(now / s.sliceLength)
-	s.slices[s.index%int64(len(s.slices))] += amount
+	s.slices[s.currentSlice%int64(len(s.slices))] += amount
 }
 
-// advance moves the present slice on to the given one and clears those that have left the window.
+// advance makes index the current slice, unless that is earlier, and clears the slices that leave the window.
 func (s *SlidingSum) advance(index int64) {
 	length := int64(len(s.slices))
-	s.index = max(s.index, index-length)
-	for s.index < index {
-		s.index++
-		s.slices[s.index%length] = 0
+	s.currentSlice = max(s.currentSlice, index-length)
+	for s.currentSlice < index {
+		s.currentSlice++
+		s.slices[s.currentSlice%length] = 0
 	}
 }
 
-// Sum returns the sum over the window as of the last call of Add.
+// Sum returns the sum over the window that ends at the last call of Add.
 func (s *SlidingSum) Sum() float64 {
 	sum := 0.0
 	for _, amount := range s.slices {
--- a/internal/stats/survivalcurve.go
+++ b/internal/stats/survivalcurve.go
@@ -1,28 +1,27 @@
 package stats
 
-// SurvivalCurve estimates what share of a population is still present after a part of some whole, for instance
-// of callers that still wait after a part of their timeout. It is a product-limit (Kaplan-Meier) estimate, to
-// which samples contribute whose departure was not observed.
+// SurvivalCurve is a Kaplan-Meier estimate of the share of a population that is still present at a given time, for
+// instance of the callers that still wait. Times are shares of a fixed maximum, such as the caller's timeout. Samples whose
+// departure was not observed (censored samples) contribute as well.
 type SurvivalCurve struct {
-	atRisk     []float64 // by part: samples that were observed at least that far
-	departed   []float64 // by part: samples that departed there
+	atRisk     []float64 // by time bin: samples that were observed until then or longer
+	departed   []float64 // by time bin: samples that departed in it
 	maxSamples float64
 }
 
-// NewSurvivalCurve returns an empty curve over the given number of equal parts that remembers about maxSamples
-// samples.
-func NewSurvivalCurve(parts int, maxSamples float64) SurvivalCurve {
+// NewSurvivalCurve returns an empty curve with the given number of equal time bins that retains about maxSamples samples.
+func NewSurvivalCurve(bins int, maxSamples float64) SurvivalCurve {
 	return SurvivalCurve{
-		atRisk:     make([]float64, parts),
-		departed:   make([]float64, parts),
+		atRisk:     make([]float64, bins),
+		departed:   make([]float64, bins),
 		maxSamples: maxSamples,
 	}
 }
 
-// Add records one sample that was present for a share of the whole and then departed or, where departed is
-// false, was no longer observed.
-func (s *SurvivalCurve) Add(share float64, departed bool) {
-	last := min(max(int(share*float64(len(s.departed))), 0), len(s.departed)-1)
+// Add records a sample that was present until the given time and then departed or, if departed is false, was no longer
+// observed.
+func (s *SurvivalCurve) Add(time float64, departed bool) {
+	last := min(max(int(time*float64(len(s.departed))), 0), len(s.departed)-1)
 	for i := range last + 1 {
 		s.atRisk[i]++
 	}
@@ -35,8 +34,8 @@
 	}
 }
 
-// TimeAtSurvival returns the share of the whole after which fewer than the given share survive; 1 if more do to
-// the end.
+// TimeAtSurvival returns the time from which less than the given share of the population is present; 1 if there is no such
+// time.
 func (s *SurvivalCurve) TimeAtSurvival(share float64) float64 {
 	surviving := 1.0
 	for i, departed := range s.departed {
