--- a/internal/admission/backpressure.go
+++ b/internal/admission/backpressure.go
@@ -19,7 +19,7 @@
 	overloadRejectedShare = 0.15 // share of rejected arrivals up to which the fleet no longer counts as overloaded
 )
 
-// backpressureState is the load that the node asks callers for.
+// backpressureState is the state of the backpressure that the node applies to its callers.
 type backpressureState struct {
 	advertisedCapacity float64 // share of the maximum load, 0 to 1
 	lastSignal         float64 // last backpressure value, noSignal before the first
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -191,14 +191,14 @@
 // then occupy the dependency for abandonedTime (ns).
 func (c *Controller) callQuotaLeft(abandonedTime float64) float64 {
 	quota := usableCallQuotaShare * c.config.CallQuota * float64(c.config.CallQuotaWindow)
-	left := quota - c.calls.quotaUsed.Sum()
+	quotaLeft := quota - c.calls.quotaUsed.Sum()
 	for _, i := range c.live {
 		inv := &c.invocations[i]
 		if inv.state == stateCalling {
-			left -= float64(max(0, inv.callDeadline-c.now)) + abandonedTime
+			quotaLeft -= float64(max(0, inv.callDeadline-c.now)) + abandonedTime
 		}
 	}
-	return left
+	return quotaLeft
 }
 
 // handleCallEnded records the end of a call. A failed call is retried if it was certainly not executed, or once if its
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -74,9 +74,9 @@
 	CallQuota               float64 // calls in flight that the node may have, as a mean over the window
 	CallQuotaWindow         int64
 	AbandonedCallTime       int64 // how long an abandoned call still occupies the dependency
-	ReadReuseWindow         int64 // after the deadline, in which the result of a read answers equal reads; 0 for none
+	ReadReuseWindow         int64 // how long after its deadline the result of a read may answer equal reads; 0 for no reuse
 	DeepHealthChecks        bool
-	ColdStart               bool    // the cores are cold at the start of the controller
+	ColdStart               bool    // the cores are cold when they start, at the time given to NewController
 	ProcessStart            int64   // 0 if the process started together with the cores
 	RetriesMarked           bool    // callers mark their retries
 	ColdSpeedShare          float64 // speed of cold cores over that of warm ones
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// applyToInvocation applies an event to an invocation that arrived earlier. It ignores events of ended invocations, which
-// the host sent before it learned of the end.
+// applyToInvocation applies an event to an invocation that arrived earlier. An event of an invocation that has ended comes
+// too late and is ignored.
 func (c *Controller) applyToInvocation(e *Event) {
 	inv := &c.invocations[e.Invocation]
 	if inv.state == stateEnded {
--- a/internal/admission/cores.go
+++ b/internal/admission/cores.go
@@ -10,7 +10,7 @@
 // coreUsage measures the use of a node's cores. Threads other than runs read requests or answer health checks.
 type coreUsage struct {
 	count             float64
-	clock             float64 // core time (ns) that a run on the cores since the start would have had
+	clock             float64 // core time (ns) that a run would have had if it had been on the cores since the start
 	otherRunnable     float64 // runnable threads other than runs, smoothed over gaugeWindow
 	meanOtherRunnable float64 // the same, smoothed over meanGaugeWindow
 	gaugedAt          int64   // time of the last gauge of runnable threads
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -33,7 +33,7 @@
 	return d.requested() && now >= d.intakeEnd-redirectLeadTime
 }
 
-// schedule sets the end of intake and the deadline, which a later request may bring forward but not postpone. Where time
+// schedule sets the end of intake and the deadline, which a later request may bring forward but not postpone. If the time
 // until the kill is short, both phases shrink in proportion, but the first one no further than is needed to leave the
 // longest latency objective after it, so that callers notice in time wherever possible.
 func (d *drainState) schedule(killAt, longestObjective, grace int64) {
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -6,8 +6,9 @@
 	ratioBins          = 28  // from 1/128 to about 90
 	ratioBinsPerOctave = 2.0 // rounds a ratio by less than a fifth
 
-	// minRemainingShare is the share of its expected core time that a run still needs even when it has used up that time.
-	// By the same share, half of all runs need less than the expected core time, which is a mean of skewed values.
+	// minRemainingShare is a share of the expected core time of a run. A run that has used up its expected core time is
+	// assumed to need this much more. Service times are skewed, so that half of all runs need less than the expected core
+	// time by this share.
 	minRemainingShare = 0.4
 )
 
@@ -43,8 +44,8 @@
 	return sum
 }
 
-// queueWait returns how long a new arrival is expected to wait (ns): until the queue is clear, until its request is read
-// while other threads occupy the cores, and for the start of its dependency call.
+// queueWait returns how long a new arrival is expected to wait (ns). It is the sum of the time to clear the queue, the
+// time to read the request while other threads occupy the cores, and the wait for the start of the dependency call.
 func (c *Controller) queueWait() float64 {
 	return c.pendingWork(stateQueued)/c.cores.available() +
 		c.callers.queueingDelay*min(1, c.cores.otherRunnable) +
@@ -72,14 +73,16 @@
 	return min(objective, c.abandonmentTime(inv))
 }
 
-// abandonmentTime returns the time until which most callers wait for an invocation, no later than its deadline.
+// abandonmentTime returns the time until which most callers wait for an invocation, or the time of the final answer before
+// its deadline if that is earlier.
 func (c *Controller) abandonmentTime(inv *invocation) float64 {
 	abandonment := float64(inv.arrivedAt) + c.callers.waitShare*float64(inv.operation.ClientTimeout)
 	return min(float64(inv.deadline-answerMargin), abandonment)
 }
 
-// retryAfter returns how long a rejected caller should wait (ns): until the queue is clear or, in a drain, for the maximum,
-// until the node is replaced. The wait is randomized, so that rejected callers don't return all at once.
+// retryAfter returns how long a rejected caller should wait (ns). In a drain it is the maximum, because callers should wait
+// until the node is replaced. Otherwise it is the time to clear the queue, randomized so that rejected callers don't return
+// all at once.
 func (c *Controller) retryAfter() int64 {
 	if c.drain.requested() {
 		return c.config.MaxRetryAfter
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -70,7 +70,7 @@
 	UseSpareCapacity bool
 
 	// OperationConfigured
-	Operation *Operation // owned by the receiver; nil removes the operation
+	Operation *Operation // owned by the receiver; nil when nothing refers to the index any more, to remove the operation
 
 	// CallLimitSet
 	CallLimit   int   // calls that may be in flight
--- a/internal/admission/invocation.go
+++ b/internal/admission/invocation.go
@@ -120,7 +120,7 @@
 }
 
 // discard ends an invocation that needs no answer any more. If it is running, its run is stopped where that is supported.
-// If it is blocked on a call, the host ends it.
+// If it can't be stopped or is blocked on a call, it remains until the host reports the end of its run.
 func (c *Controller) discard(i int32) {
 	switch c.invocations[i].state {
 	case stateQueued, stateJoined, statePaused:
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -29,7 +29,7 @@
 // dropExpectedLate rejects or fails the queued invocations that are unlikely to end in time to be of value. This saves
 // the work that late answers would waste, but it drops too much while a few large invocations raise the estimates.
 func (c *Controller) dropExpectedLate() {
-	ahead := c.pendingWork(stateRunning)
+	workAhead := c.pendingWork(stateRunning)
 	remaining := c.queueOrder[:0]
 	for k, i := range c.queueOrder {
 		inv := &c.invocations[i]
@@ -37,13 +37,13 @@
 		end := c.expectedEnd(inv, work)
 		startsNow := k == 0 && float64(c.counts.running) < c.cores.count
 		if !startsNow {
-			end += ahead / c.cores.available()
+			end += workAhead / c.cores.available()
 		}
 		if c.isExpectedLate(inv, end, work) {
 			c.rejectOrFail(i, expectedLateReason(inv))
 			continue
 		}
-		ahead += work
+		workAhead += work
 		remaining = append(remaining, i)
 	}
 	c.queueOrder = remaining
