--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// maxUnacknowledgedCommands bounds the commands not acknowledged: two for each invocation that the connections can hold.
+// maxUnacknowledgedCommands bounds the command log: two commands for each invocation that the connections can hold.
 const maxUnacknowledgedCommands = 65_536
 
-// command is one that the executor may not have read.
+// command is a command that the executor may not have read.
 type command struct {
 	sequence     int
 	invocation   int32
@@ -13,29 +13,32 @@
 	bytes        []byte
 }
 
-// commandLog is the commands that the executor is not known to have read, in order. They are sent again on a new link.
+// commandLog holds the commands that the executor has not acknowledged, in the order in which they were sent. They are sent again on a new
+// link.
 type commandLog struct {
 	unacknowledged        []command
 	sequence              int // of the last command
-	gaugesRequestSequence int // of the last command that was followed by a request for gauges on this link
+	gaugesRequestSequence int // of the last command before the last request for gauges on this link
 }
 
-func (l *commandLog) add(invocation int32, call string, bytes []byte) {
+// add appends a command under the next sequence number.
+func (l *commandLog) add(invocation int32, invocationID string, bytes []byte) {
 	l.sequence++
-	l.unacknowledged = append(l.unacknowledged, command{l.sequence, invocation, call, bytes})
+	l.unacknowledged = append(l.unacknowledged, command{l.sequence, invocation, invocationID, bytes})
 }
 
-// acknowledgeCall drops the commands of a call, of which a notice proves that they were read.
-func (l *commandLog) acknowledgeCall(call string) {
-	l.acknowledge(func(c *command) bool { return c.invocationID == call })
+// acknowledgeInvocation drops the commands of an invocation after a notice of the executor about it, which proves that they were read.
+func (l *commandLog) acknowledgeInvocation(invocationID string) {
+	l.acknowledge(func(c *command) bool { return c.invocationID == invocationID })
 }
 
-// acknowledgeUpTo drops the commands that were sent before a request for gauges that was answered.
+// acknowledgeUpTo drops the commands up to a sequence number. The answer to a request for gauges that followed them proves that they were
+// read.
 func (l *commandLog) acknowledgeUpTo(sequence int) {
 	l.acknowledge(func(c *command) bool { return c.sequence <= sequence })
 }
 
-// acknowledge drops the commands that were read.
+// acknowledge drops the commands for which isRead returns true.
 func (l *commandLog) acknowledge(isRead func(c *command) bool) {
 	kept := l.unacknowledged[:0]
 	for i := range l.unacknowledged {
@@ -47,16 +50,17 @@
 	l.unacknowledged = kept
 }
 
-// sendCommand sends a command that must be read; it is logged until the executor is known to have read it.
+// sendCommand sends a command to the executor, and logs it until the executor acknowledges it. Before the link is synced the command is
+// only logged.
 func (x *executorState) sendCommand(i int32, bytes []byte) {
 	x.commands.add(i, x.sm.invocations[i].invocationID, bytes)
-	x.sm.Invariants.Check(len(x.commands.unacknowledged) <= maxUnacknowledgedCommands, "commands not known to be read are bounded")
+	x.sm.Invariants.Check(len(x.commands.unacknowledged) <= maxUnacknowledgedCommands, "unacknowledged commands are bounded")
 	if x.synced {
 		x.sm.emit(Effect{Kind: SendToExecutor, Link: x.link, Bytes: bytes})
 	}
 }
 
-// resendCommands sends the logged commands that are still wanted on a link that has just synced.
+// resendCommands sends the logged commands that are still needed, on a link that has just synced.
 func (x *executorState) resendCommands() {
 	for i := range x.commands.unacknowledged {
 		if c := &x.commands.unacknowledged[i]; x.isNeeded(c) {
@@ -71,8 +75,8 @@
 	return v.live && (!v.answered || v.abandoned) && v.invocationID == c.invocationID
 }
 
-// unacknowledgedCommands is how many commands are not acknowledged.
+// unacknowledgedCommands returns the number of commands that are not acknowledged.
 func (x *executorState) unacknowledgedCommands() int { return len(x.commands.unacknowledged) }
 
-// syncTag marks the request for gauges that follows the welcome of the current link.
+// syncTag returns the tag of the request for gauges that follows the executor's welcome on the current link. Its answer syncs the link.
 func (x *executorState) syncTag() string { return "j" + strconv.Itoa(x.link) }
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxSearchesPerStep  = 8           // searches for changes in one step, each through 128 kB: a millisecond in all
-	viewCheckInterval   = 100 * ms    // ns between looks at the view
-	viewRefreshInterval = 10_000 * ms // ns after which the replicator gets the view whether or not it seems to have changed
+	maxSearchesPerStep  = 8           // searches for changes in one step; each scans up to 128 kB of content, which together takes about 1 ms
+	viewCheckInterval   = 100 * ms    // ns between checks whether the view of the fleet has changed
+	viewRefreshInterval = 10_000 * ms // ns after which the replicator gets the view even if no change was seen
 )
 
-// VersionInForce is a version that came into force at this node.
+// VersionInForce describes a configuration version that came into force at this node.
 type VersionInForce struct {
 	Revision                configsync.Revision
-	PreviousVersion         uint64 // the version before it
-	Source                  string // fleet; at a start disk or file
-	Canary                  bool   // as one of the canary stage
+	PreviousVersion         uint64
+	Source                  string // "fleet", or at startup "disk" or "file"
+	Canary                  bool   // this node belongs to the version's canary stage
 	Added, Changed, Removed int
 	TookNS                  int64
 }
@@ -29,7 +29,7 @@
 	Digest              string              `json:"digest"`
 	Source              string              `json:"source"`
 	AgeNS               int64               `json:"age_ns"`
-	ReplicaContactAgeNS int64               `json:"seat_heard_ns"` // since the last message of a replica, -1 before the first
+	ReplicaContactAgeNS int64               `json:"seat_heard_ns"` // since a replica last confirmed what is in force, -1 before the first
 	Behind              bool                `json:"behind,omitempty"`
 	BehindNS            int64               `json:"behind_ns,omitempty"`
 	RefusedVersion      uint64              `json:"refused,omitempty"`
@@ -37,20 +37,22 @@
 	Counters            configsync.Counters `json:"counters"`
 }
 
-// pendingConfig is a version on its way into force: all of it is validated in a first pass, and applied in a second.
+// pendingConfig is a replicated version that is being brought into force. A first pass validates all of its changes, a second one
+// applies them.
 type pendingConfig struct {
 	revision   configsync.Revision
 	canary     bool
-	checkOnly  bool // it is validated, and not applied
+	checkOnly  bool // validate the version without applying it
 	startedAt  int64
 	oldContent *configsync.Content
 	newContent *configsync.Content
 	diff       *configsync.Difference
-	validation *nodeconfig.ChangeValidator // nil in the second pass
+	validation *nodeconfig.ChangeValidator // of the first pass, nil in the second
 	progress   pendingVersion
 }
 
-// configSyncState replicates the fleet's configuration to this node in service. Without a replicator there is no timer and no cost.
+// configSyncState replicates the fleet's configuration to this node while it serves. Without a replicator it needs no timer and does
+// no work.
 type configSyncState struct {
 	replicator     *configsync.Replicator
 	inputs         []configsync.Input
@@ -59,16 +61,16 @@
 	viewHash       uint64
 	viewCheckAt    int64
 	viewRefreshAt  int64
-	startupEffects []Effect // from before the first step
+	startupEffects []Effect // effects emitted before the first step, which returns them
 	pending        *pendingConfig
-	agreed         *configsync.Agreed // as of this node's replica of the consensus group
-	replicaCurrent bool               // as the replicator knows of that replica
-	proposals      []*configProposal  // by arrival
+	agreed         *configsync.Agreed // state of this node's replica of the consensus group, nil without one
+	replicaCurrent bool               // last value that was reported to the replicator
+	proposals      []*configProposal  // in order of arrival
 	verdicts       []configsync.Verdict
 }
 
-// EnableConfigSync has operations, tenants and limits taken in service from what the fleet agrees on, before the first step and after
-// EnableConsensus. It begins with the initial state; where that is not what the node's own file holds, it comes into force at once. On
+// EnableConfigSync makes the node take operations, tenants and limits from the configuration that the fleet agrees on. It must be called
+// after EnableConsensus and before the first step. An initial state that differs from the node's own file comes into force at once. On
 // an error nothing is changed.
 func (sm *StateMachine) EnableConfigSync(now, seed int64, initial configsync.InitialState, file *configsync.Content) error {
 	v := pendingVersion{number: initial.Mark.Version}
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// validateInitialConfig checks that this node can apply what differs from its own file.
+// validateInitialConfig checks that this node can apply the differences between the initial state and its own file.
 func (sm *StateMachine) validateInitialConfig(initial configsync.InitialState, file *configsync.Content) error {
 	validation := sm.config.NewChangeValidator()
 	if err := sm.forEachChangeBatch(file, initial.Content, validation.Add); err != nil {
@@ -104,8 +106,8 @@
 	return validation.Err()
 }
 
-// forEachChangeBatch calls a function with the changes from one content to another, a part at a time, until one can't be read or applied by
-// this node.
+// forEachChangeBatch calls do with the changes from one content to another, in batches. It stops with an error at the first change that
+// can't be parsed, or that this node can't apply.
 func (sm *StateMachine) forEachChangeBatch(from, to *configsync.Content, do func([]nodeconfig.Change)) error {
 	diff := configsync.Diff(from, to)
 	for {
@@ -131,7 +133,7 @@
 		Behind: s.Behind, BehindNS: s.BehindNS, RefusedVersion: s.Refused.Version, RefusalReason: s.Why, Counters: s.Counters}
 }
 
-// parseChanges reads items as changes, with an error where this node can't apply one.
+// parseChanges parses items as changes. It returns an error if this node can't apply one of them.
 func (sm *StateMachine) parseChanges(items []configsync.Item) ([]nodeconfig.Change, error) {
 	amendment, err := nodeconfig.Parse(nodeconfigItems(items))
 	if err != nil {
@@ -148,7 +150,7 @@
 	return list
 }
 
-// configPersisted applies the end of a write to the disk.
+// configPersisted tells the replicator that its write to disk has finished or failed.
 func (sm *StateMachine) configPersisted(in *Input) {
 	next := configsync.Input{Kind: configsync.VersionPersisted}
 	if in.Err != nil {
@@ -157,24 +159,24 @@
 	sm.configSync.inputs = append(sm.configSync.inputs, next)
 }
 
-// startPendingConfig starts to validate a version, and to apply it unless it is only to be checked.
+// startPendingConfig begins to validate the version of an effect, and then to apply it if the effect is ApplyVersion.
 func (sm *StateMachine) startPendingConfig(e *configsync.Effect) {
 	pending := &pendingConfig{revision: e.Revision, canary: e.Canary, checkOnly: e.Kind == configsync.CheckVersion, startedAt: sm.now, oldContent: e.Old, newContent: e.New,
 		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), progress: pendingVersion{number: e.Revision.Version}}
-	if sm.hollow.enabled() { // it has no admission controller that could not apply it
+	if sm.hollow.enabled() { // a hollow node has no admission controller, so any version can be applied
 		sm.finishPendingConfig(pending, nil)
 		return
 	}
 	sm.configSync.pending = pending
 }
 
-// applyPendingConfig applies a bounded part of a version, before the controller decides.
+// applyPendingConfig validates or applies a bounded part of the pending version. It runs before the admission controller decides.
 func (sm *StateMachine) applyPendingConfig() {
 	cs := &sm.configSync
 	for budget := maxChangesPerStep; cs.pending != nil && budget > 0; {
 		p := cs.pending
 		items := p.diff.Next(budget)
-		budget -= max(len(items), maxChangesPerStep/maxSearchesPerStep) // where they lie apart, the search for them is what costs
+		budget -= max(len(items), maxChangesPerStep/maxSearchesPerStep) // scattered changes come in small batches, each of which costs a search
 		changes, err := sm.parseChanges(items)
 		switch {
 		case p.validation == nil:
@@ -193,13 +195,13 @@
 	}
 }
 
-// startApplying begins the second pass.
+// startApplying starts the second pass.
 func (p *pendingConfig) startApplying() {
 	p.validation = nil
 	p.diff = configsync.Diff(p.oldContent, p.newContent)
 }
 
-// applyPendingChanges applies some changes of the second pass.
+// applyPendingChanges applies one batch of changes in the second pass.
 func (sm *StateMachine) applyPendingChanges(p *pendingConfig, changes []nodeconfig.Change, err error) {
 	if !sm.Invariants.Check(err == nil, "a version that was validated can be applied") {
 		return
@@ -207,7 +209,8 @@
 	sm.applyChanges(&p.progress, changes)
 }
 
-// finishPendingConfig reports to the replicator a version that is in force as a whole, or can't be.
+// finishPendingConfig reports to the replicator that the pending version is checked or in force, or with an error that this node can't
+// apply it.
 func (sm *StateMachine) finishPendingConfig(p *pendingConfig, err error) {
 	cs := &sm.configSync
 	cs.pending = nil
@@ -227,7 +230,7 @@
 	cs.inputs = append(cs.inputs, next)
 }
 
-// stepConfigSync steps the replicator when something came or is due.
+// stepConfigSync steps the replicator if it has inputs or its timer is due, then the proposals of operators.
 func (sm *StateMachine) stepConfigSync() {
 	cs := &sm.configSync
 	if cs.replicator == nil {
@@ -249,7 +252,7 @@
 	sm.stepProposals()
 }
 
-// observeReplica reports to the replicator what changed at this node's replica of the consensus group.
+// observeReplica reports changes at this node's replica of the consensus group to the replicator.
 func (sm *StateMachine) observeReplica() {
 	cs := &sm.configSync
 	if agreed, changed := sm.claiming.agreedConfig(); changed {
@@ -262,7 +265,7 @@
 	}
 }
 
-// observeFleet reports to the replicator whom this node can reach, where that changed.
+// observeFleet reports the members that this node can reach to the replicator, if they changed or viewRefreshInterval has passed.
 func (sm *StateMachine) observeFleet() {
 	cs := &sm.configSync
 	if sm.now < cs.viewCheckAt {
@@ -284,7 +287,7 @@
 	cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ViewChanged, View: &view})
 }
 
-// executeConfigEffect carries out an effect of the replicator.
+// executeConfigEffect executes an effect of the replicator.
 func (sm *StateMachine) executeConfigEffect(e *configsync.Effect) {
 	switch e.Kind {
 	case configsync.Send:
@@ -305,7 +308,7 @@
 	}
 }
 
-// configSyncDue is when the replicator is to step again.
+// configSyncDue returns the time of the next step that the replicator or a proposal needs.
 func (sm *StateMachine) configSyncDue() int64 {
 	cs := &sm.configSync
 	if cs.replicator == nil {
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -7,17 +7,18 @@
 	"topazpost/internal/fleet/envelope"
 )
 
-const configLinkOffset = 1 << 32 // added to the numbers of exchanges of the replicator, to tell them from those of membership
+const configLinkOffset = 1 << 32 // added to the replicator's exchange numbers to keep them distinct from those of membership
 
-// configMessage is what nodes, and operators' commands, send each other on the configuration.
+// configMessage is a message about the configuration, between two nodes or between an operator's command and a node.
 type configMessage struct {
 	From    string              `cbor:"1,keyasint,omitempty"`
-	Message *configsync.Message `cbor:"2,keyasint,omitempty"` // between replicators
-	Query   *configsync.Query   `cbor:"3,keyasint,omitempty"` // of a command
-	Answer  *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to it
+	Message *configsync.Message `cbor:"2,keyasint,omitempty"` // between the replicators of two nodes
+	Query   *configsync.Query   `cbor:"3,keyasint,omitempty"` // from an operator's command
+	Answer  *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to the query
 }
 
-// configMessageBody is the body of a message on the configuration, without the fields of membership's.
+// configMessageBody is the body of an envelope that carries a configuration message. No field of a membership message has its key, so
+// a build without configuration replication decodes a membership message of no kind, which it rejects.
 type configMessageBody struct {
 	Configuration *configMessage `cbor:"10,keyasint"`
 }
@@ -39,12 +40,12 @@
 	return body.Configuration.Answer, nil
 }
 
-// isConfigExchange says whether an input ends an exchange of the replicator's.
+// isConfigExchange reports whether an input is the end of an exchange that the replicator opened.
 func isConfigExchange(in *Input) bool {
 	return in.Link >= configLinkOffset && (in.Kind == PeerExchangeFailed || in.Kind == PeerResponseReceived)
 }
 
-// applyConfigMessage applies a message of another node or of a command.
+// applyConfigMessage handles a configuration message from another node or from an operator's command.
 func (sm *StateMachine) applyConfigMessage(in *Input, received *configMessage) {
 	cs := &sm.configSync
 	m := received.Message
@@ -52,7 +53,7 @@
 	switch {
 	case cs.replicator == nil:
 		if request {
-			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes: it is closed
+			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes, so the exchange is closed
 		}
 	case request && received.Query != nil:
 		sm.applyOperatorQuery(in.Link, received.Query)
@@ -61,11 +62,11 @@
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.DatagramReceived, From: received.From, Message: m})
 	default:
-		sm.rejectPeerMessage(in, fmt.Errorf("%w: a configuration message that does not belong there", envelope.ErrSpoilt))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: configuration message of a kind that is not expected here", envelope.ErrSpoilt))
 	}
 }
 
-// applyConfigResponse applies the end of an exchange of the replicator's.
+// applyConfigResponse passes the response to an exchange of the replicator, or its failure, on to the replicator.
 func (sm *StateMachine) applyConfigResponse(in *Input) {
 	cs := &sm.configSync
 	if cs.replicator == nil {
@@ -82,11 +83,11 @@
 	cs.inputs = append(cs.inputs, next)
 }
 
-// decodeConfigResponse reads a response that carries a piece of the configuration, nil where it is none.
+// decodeConfigResponse decodes a response with a part of the configuration. It returns nil for any other response.
 func (sm *StateMachine) decodeConfigResponse(in *Input) *configMessage {
 	var body configMessageBody
 	if err := sm.fleet.open(in.Bytes, &body); err != nil {
-		sm.log(Warn, "answer of a peer on the configuration can't be understood", in.From, err)
+		sm.log(Warn, "configuration response of a peer can't be decoded; treating the exchange as failed", in.From, err)
 		return nil
 	}
 	response := body.Configuration
@@ -96,13 +97,14 @@
 	return response
 }
 
-// sendConfigEnvelope emits an effect with a message on the configuration.
+// sendConfigEnvelope emits an effect that carries a configuration message of this node.
 func (sm *StateMachine) sendConfigEnvelope(e Effect, m *configMessage) {
 	m.From = sm.fleet.selfName()
 	sm.sendEnvelope(e, configMessageBody{m})
 }
 
-// sendConfigMessage sends a datagram; records that make it too long are left out, and will be fetched.
+// sendConfigMessage sends a message to a node as a datagram. If its records make it too long it is sent without them, and the receiver
+// fetches them.
 func (sm *StateMachine) sendConfigMessage(to string, m *configsync.Message) {
 	address, known := sm.fleet.addressOf(to)
 	if !known {
@@ -116,12 +118,12 @@
 		out.Message = &short
 		text, err = sm.fleet.seal(configMessageBody{out})
 	}
-	if sm.Invariants.Check(err == nil && len(text) <= envelope.MaxDatagramBytes, "a configuration message can be encoded, and fits any path") {
+	if sm.Invariants.Check(err == nil && len(text) <= envelope.MaxDatagramBytes, "a configuration message can be encoded and fits in a datagram") {
 		sm.emit(Effect{Kind: SendDatagram, Address: address, Bytes: text})
 	}
 }
 
-// openConfigExchange opens an exchange of the replicator's; to a node without a known address it fails at once.
+// openConfigExchange opens an exchange for the replicator. It fails at once if the other node's address is not known.
 func (sm *StateMachine) openConfigExchange(e *configsync.Effect) {
 	address, known := sm.fleet.addressOf(e.To)
 	if !known {
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	maxPendingProposals   = 8          // proposals of operators that wait for the consensus group, of up to 512 kB each
-	proposalTimeout       = 1_600 * ms // ns that a proposal waits: its exchange ends after 2 s, and then the command asks again
-	proposalRetryInterval = 400 * ms   // ns between attempts to have it ordered
-	maxAnswerBytes        = 384 << 10  // bytes of blocks in one answer to an operator: an exchange carries 512 kB
+	maxPendingProposals   = 8          // operators' proposals that wait for a verdict of the consensus group, each of up to 512 kB
+	proposalTimeout       = 1_600 * ms // ns that a proposal waits for a verdict; its exchange ends after 2 s, and then the command retries
+	proposalRetryInterval = 400 * ms   // ns between attempts to propose it to the consensus group
+	maxAnswerBytes        = 384 << 10  // bytes of blocks in one answer to an operator; an exchange carries up to 512 kB
 )
 
-// configProposal is a change of the configuration that an operator proposed here.
+// configProposal is a configuration change that an operator proposed at this node and that waits for a verdict.
 type configProposal struct {
 	command   configsync.Command
-	exchanges []int // links that wait for its verdict
+	exchanges []int // links of the exchanges that wait for the verdict
 	expiresAt int64
 	retryAt   int64
 }
 
-// applyOperatorQuery answers a command, or has its proposal wait for a verdict.
+// applyOperatorQuery answers an operator's query at once, except that a proposal waits for its verdict.
 func (sm *StateMachine) applyOperatorQuery(link int, q *configsync.Query) {
-	var a *configsync.Answer
+	var answer *configsync.Answer
 	switch {
 	case q.Kind == configsync.QueryStatus:
-		a = sm.statusAnswer()
+		answer = sm.statusAnswer()
 	case q.Kind == configsync.QueryBlocks:
-		a = sm.configSync.blocksAnswer(q)
+		answer = sm.configSync.blocksAnswer(q)
 	case isProposal(q):
 		if sm.addProposal(link, q.Command) {
 			return
 		}
-		a = &configsync.Answer{Why: "too many orders wait here"}
+		answer = &configsync.Answer{Why: "too many orders wait here"}
 	default:
-		a = &configsync.Answer{Why: "it doesn't know this question; it may be of an older build"}
+		answer = &configsync.Answer{Why: "it doesn't know this question; it may be of an older build"}
 	}
-	a.Node = sm.fleet.selfName()
-	sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: a})
+	answer.Node = sm.fleet.selfName()
+	sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: answer})
 }
 
-// isProposal says whether a query proposes a change that can be ordered.
+// isProposal reports whether a query proposes a change of a kind that operators may propose.
 func isProposal(q *configsync.Query) bool {
 	if q.Kind != configsync.QueryPropose || q.Command == nil || q.Command.From == "" {
 		return false
@@ -51,56 +51,57 @@
 	return q.Command.Kind == configsync.CommandPut || q.Command.Kind == configsync.CommandRollback
 }
 
-// blocksAnswer are some of the blocksAnswer of a version's content.
+// blocksAnswer returns an answer with a bounded number of blocks of the content that a query asks for.
 func (cs *configSyncState) blocksAnswer(q *configsync.Query) *configsync.Answer {
-	a := &configsync.Answer{Revision: cs.replicator.Revision()}
+	answer := &configsync.Answer{Revision: cs.replicator.Revision()}
 	content := cs.replicator.Content()
 	if q.Which != configsync.ContentInForce {
 		if cs.agreed == nil {
-			a.Why = "it has no seat in the council, or its seat knows nothing yet"
-			return a
+			answer.Why = "it has no seat in the council, or its seat knows nothing yet"
+			return answer
 		}
 		switch q.Which {
 		case configsync.ContentForAll:
 			content = cs.agreed.All
-			a.Revision = cs.agreed.Head.All
+			answer.Revision = cs.agreed.Head.All
 		case configsync.ContentNewest:
 			content = cs.agreed.Newest
-			a.Revision = newestRevision(cs.agreed)
+			answer.Revision = newestRevision(cs.agreed)
 		}
 	}
-	a.Blocks, a.Next = content.Blocks(q.From, maxAnswerBytes)
-	return a
+	answer.Blocks, answer.Next = content.Blocks(q.From, maxAnswerBytes)
+	return answer
 }
 
-// newestRevision is that of the newest version that was agreed on.
+// newestRevision returns the revision of the newest version that was agreed on.
 func newestRevision(agreed *configsync.Agreed) configsync.Revision {
 	return configsync.Revision{Version: agreed.Head.Newest, Digest: agreed.Newest.Digest()}
 }
 
-// statusAnswer is the status of this node, and where it has a replica what that knows of others.
+// statusAnswer returns an answer with the status of this node. If the node has a replica, the answer includes the statuses of other
+// nodes that the replica knows.
 func (sm *StateMachine) statusAnswer() *configsync.Answer {
 	cs := &sm.configSync
 	status := cs.replicator.Status(sm.now)
-	a := &configsync.Answer{Status: &status, Revision: status.Revision}
+	answer := &configsync.Answer{Status: &status, Revision: status.Revision}
 	for _, name := range sm.claiming.replicaNames() {
 		address, _ := sm.fleet.addressOf(name)
-		a.Replicas = append(a.Replicas, configsync.ReplicaAddress{Name: name, Address: address})
+		answer.Replicas = append(answer.Replicas, configsync.ReplicaAddress{Name: name, Address: address})
 	}
 	if cs.agreed == nil {
-		return a
+		return answer
 	}
 	nodes := cs.replicator.Statuses.Statuses()
 	for k := range nodes {
 		nodes[k].At = sm.now - nodes[k].At
 	}
-	a.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.claiming.rollbackVersions(), Nodes: nodes,
+	answer.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.claiming.rollbackVersions(), Nodes: nodes,
 		Alive: sm.Members().InView()}
-	return a
+	return answer
 }
 
-// validateConfigCommand gives the reason why a change must not be ordered, as a check of a file would; empty where it may. What only
-// some nodes can't apply they refuse themselves, at the first stage.
+// validateConfigCommand returns the reason why a change must not be proposed, empty if it may. It makes the checks that are the same for
+// every node. A node that can't apply a valid change refuses it in the canary stage.
 func (sm *StateMachine) validateConfigCommand(command *configsync.Command) string {
 	if _, err := nodeconfig.Parse(nodeconfigItems(command.Changes)); err != nil {
 		return err.Error()
@@ -115,7 +116,7 @@
 	return ""
 }
 
-// operationCountAfter is how many operations a content has after changes.
+// operationCountAfter returns the number of operations that a content has after changes.
 func operationCountAfter(content *configsync.Content, changes []configsync.Item) int {
 	count := content.Len(configsync.Operations)
 	for _, c := range changes {
@@ -134,7 +135,7 @@
 	return count
 }
 
-// findProposal finds one that waits, nil where there is none.
+// findProposal returns the pending proposal with a sender and a sequence number, nil if there is none.
 func (cs *configSyncState) findProposal(from string, seq uint64) *configProposal {
 	for _, p := range cs.proposals {
 		if p.command.From == from && p.command.Seq == seq {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// addProposal has a proposal wait for its verdict, false where too many do.
+// addProposal makes a proposal wait for its verdict. It returns false if too many proposals are pending.
 func (sm *StateMachine) addProposal(link int, command *configsync.Command) bool {
 	cs := &sm.configSync
 	p := cs.findProposal(command.From, command.Seq)
@@ -160,14 +161,14 @@
 	return true
 }
 
-// addVerdicts queues verdicts of the consensus group.
+// addVerdicts queues verdicts of the consensus group for the next step.
 func (cs *configSyncState) addVerdicts(list []configsync.Verdict) {
 	if cs.replicator != nil {
 		cs.verdicts = append(cs.verdicts, list...)
 	}
 }
 
-// stepProposals answers proposals that have a verdict or waited for too long, and proposes others again.
+// stepProposals answers proposals that have a verdict or have timed out, and proposes the others again.
 func (sm *StateMachine) stepProposals() {
 	cs := &sm.configSync
 	for k := range cs.verdicts {
@@ -188,16 +189,17 @@
 	}
 }
 
-func (sm *StateMachine) answerProposal(p *configProposal, a *configsync.Answer) {
-	a.Node = sm.fleet.selfName()
+// answerProposal answers all exchanges that wait for a proposal, and drops the proposal.
+func (sm *StateMachine) answerProposal(p *configProposal, answer *configsync.Answer) {
+	answer.Node = sm.fleet.selfName()
 	for _, link := range p.exchanges {
-		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: a})
+		sm.sendConfigEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &configMessage{Answer: answer})
 	}
 	cs := &sm.configSync
 	cs.proposals = slices.DeleteFunc(cs.proposals, func(other *configProposal) bool { return other == p })
 }
 
-// proposalsDue is when a proposal is to be answered or proposed again.
+// proposalsDue returns the time at which the next proposal times out or is proposed again.
 func (cs *configSyncState) proposalsDue() int64 {
 	at := int64(math.MaxInt64)
 	for _, p := range cs.proposals {
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	degradationSeedSalt = 0x6c6576656c73 // keeps the draws for degradation apart from others of the same seed
+	degradationSeedSalt = 0x6c6576656c73 // makes the random numbers of degradation independent of others from the node's seed
 	nsPerSecond         = 1_000 * ms
 )
 
-// DegradationPlan is a plan of degradation levels with the names of the reduced forms of operations.
+// DegradationPlan is a plan of degradation levels, with the names by which the executor knows the reduced forms of operations.
 type DegradationPlan struct {
 	degradation.Plan
-	Forms      [][]string // by level above full service and operation: the reduced form as the executor knows it
-	SourceText string     // what it was read from; a plan of the same text is the same plan
+	Forms      [][]string // executor's name of the reduced form, by level above full service and by operation
+	SourceText string     // text that the plan was read from; a plan with the same non-empty text is the same plan
 
-	Operations []string // by the index that Level.Services and Forms go by; nil where that is the node's own
+	Operations []string // names of operations by their index in Level.Services and Forms; nil for the node's own indices
 }
 
-// ServiceCounts counts the answers given at one level of service.
+// ServiceCounts counts the answers at one degradation level.
 type ServiceCounts struct {
 	Level            string `json:"level"`
-	Seconds          int64  `json:"seconds"` // spent in it, whole
+	Seconds          int64  `json:"seconds"` // time in the level, rounded down
 	Full             int    `json:"whole"`
 	Reduced          int    `json:"reduced"`
-	ThrottledByLevel int    `json:"levelled"`  // throttled by the level
+	ThrottledByLevel int    `json:"levelled"`  // throttled because the level sheds the operation
 	ThrottledOther   int    `json:"throttled"` // throttled for any other reason
-	Entered          int    `json:"entered"`
+	Entered          int    `json:"entered"`   // how often the level was entered
 }
 
-// add adds the answers of a period to those of its level.
+// add adds the answers of a period to the totals of its level.
 func (c *ServiceCounts) add(period *ServiceCounts) {
 	c.Full += period.Full
 	c.Reduced += period.Reduced
@@ -43,40 +43,40 @@
 	c.ThrottledOther += period.ThrottledOther
 }
 
-// LevelChange describes a change of level, or of the plan.
+// LevelChange describes a change of the level or of the plan.
 type LevelChange struct {
 	degradation.Change
 	Plan           string
 	FromName       string
 	ToName         string
 	Metrics        admission.LoadMetrics
-	LoadByLevel    []float64     // at each level, full service first
-	PreviousCounts ServiceCounts // of the period that ends
+	LoadByLevel    []float64     // estimated load at each level, full service first
+	PreviousCounts ServiceCounts // answers since the previous change
 }
 
-// String is a one-line summary.
+// String returns a summary in one line.
 func (c *LevelChange) String() string {
 	return fmt.Sprintf("level %s to %s: %s", c.FromName, c.ToName, degradation.CauseNames[c.Cause])
 }
 
-// degradationState runs the degradation controller and counts what was served at each level; the zero value has no plan.
+// degradationState runs the degradation controller and counts the answers at each level. The zero value has no plan.
 type degradationState struct {
-	plan          *DegradationPlan  // by this node's operation indices
-	originalPlan  *DegradationPlan  // by the indices it was written for
-	originalNames *nodeconfig.Names // of those
+	plan          *DegradationPlan  // plan in force, by this node's operation indices
+	originalPlan  *DegradationPlan  // the same plan, by the indices of originalNames
+	originalNames *nodeconfig.Names // operation names by index in originalPlan
 	controller    *degradation.Controller
 	random        *rand.Rand
 	metrics       admission.LoadMetrics
-	countsByLevel []ServiceCounts // by level, since the plan was adopted
-	currentCounts ServiceCounts   // since the last change
-	timeByLevel   []int64         // ns
+	countsByLevel []ServiceCounts // by level since the plan was adopted, without currentCounts
+	currentCounts ServiceCounts   // since the last change of level
+	timeByLevel   []int64         // ns, without the time since enteredAt
 	enteredAt     int64
 }
 
-// enabled says whether there is a plan.
+// enabled reports whether there is a plan.
 func (ds *degradationState) enabled() bool { return ds.plan != nil }
 
-// level is the level in force, 0 for full service.
+// level returns the level in force, 0 for full service.
 func (ds *degradationState) level() int {
 	if ds.controller == nil {
 		return 0
@@ -84,7 +84,7 @@
 	return ds.controller.Level()
 }
 
-// levelName is the name of the level in force, empty without a plan.
+// levelName returns the name of the level in force, empty without a plan.
 func (ds *degradationState) levelName() string {
 	if ds.plan == nil {
 		return ""
@@ -92,14 +92,14 @@
 	return ds.plan.LevelName(ds.level())
 }
 
-// loadByLevel is the load at each level, full service first. There must be a plan.
+// loadByLevel returns the estimated load at each level, full service first. There must be a plan.
 func (ds *degradationState) loadByLevel() []float64 { return ds.controller.LoadByLevel() }
 
-// applyPlan adopts a plan in place of the present one; nil ends degradation. An invalid plan changes nothing.
+// applyPlan replaces the plan in force. A nil plan ends degradation, an invalid one changes nothing.
 func (sm *StateMachine) applyPlan(plan *DegradationPlan) {
 	ds := &sm.degradation
 	if plan != nil && ds.plan != nil && plan.SourceText != "" && plan.SourceText == ds.plan.SourceText {
-		return // the controller keeps what it learnt
+		return // unchanged, so the controller keeps its state
 	}
 	if plan == nil {
 		sm.adoptPlan(nil, nil, nil)
@@ -110,15 +110,15 @@
 		names = nodeconfig.NewNames(sm.config.Operations.All()...)
 	}
 	if problems := plan.Validate(names.Slots()); len(problems) > 0 {
-		sm.log(Warn, "plan of levels can't be used, the one of before stays", "",
+		sm.log(Warn, "degradation plan is invalid; keeping the previous one", "",
 			fmt.Errorf("%v: %s", problems[0].Path, problems[0].Description))
 		return
 	}
 	sm.adoptPlan(remapPlan(plan, names, sm.config.Operations), plan, names)
 }
 
-// adoptPlan puts a plan into force that was fitted to this node's operations.
-func (sm *StateMachine) adoptPlan(plan, given *DegradationPlan, givenNames *nodeconfig.Names) {
+// adoptPlan puts a plan into force: plan is by this node's operation indices, originalPlan is the same plan by those of originalNames.
+func (sm *StateMachine) adoptPlan(plan, originalPlan *DegradationPlan, originalNames *nodeconfig.Names) {
 	ds := &sm.degradation
 	if ds.random == nil {
 		ds.random = rand.New(rand.NewSource(sm.config.Node.Seed ^ degradationSeedSalt))
@@ -132,8 +132,8 @@
 	if ds.plan != nil {
 		ds.closePeriod(sm.now, ds.level())
 	}
-	ds.originalPlan = given
-	ds.originalNames = givenNames
+	ds.originalPlan = originalPlan
+	ds.originalNames = originalNames
 	ds.plan = plan
 	ds.controller = controller
 	ds.countsByLevel = nil
@@ -152,7 +152,7 @@
 	sm.applyLevel(event)
 }
 
-// replaceController is the controller of another plan, nil for none, and the change of level that it comes with.
+// replaceController returns the controller for a new plan, nil for none, and the change of level that replacing the plan causes.
 func (ds *degradationState) replaceController(plan *DegradationPlan, now int64) (*degradation.Controller, degradation.Change) {
 	change := degradation.Change{Cause: degradation.PlanReplaced}
 	if plan == nil {
@@ -166,7 +166,7 @@
 	return ds.controller.ReplacePlan(&plan.Plan, now, ds.random)
 }
 
-// closePeriod adds the period that ends to the totals of its level.
+// closePeriod adds the counts and the time since the last change to the totals of the level that ends.
 func (ds *degradationState) closePeriod(now int64, level int) {
 	total := &ds.countsByLevel[level]
 	total.add(&ds.currentCounts)
@@ -174,7 +174,7 @@
 	total.Seconds = ds.timeByLevel[level] / nsPerSecond
 }
 
-// startPeriod starts counting at the level in force.
+// startPeriod resets the counts for the level in force.
 func (ds *degradationState) startPeriod(now int64) {
 	ds.currentCounts = ServiceCounts{}
 	ds.enteredAt = now
@@ -184,10 +184,10 @@
 	}
 }
 
-// stepDegradation steps the degradation controller on each tick, and applies a change of level.
+// stepDegradation steps the degradation controller and applies a change of level.
 func (sm *StateMachine) stepDegradation() {
 	ds := &sm.degradation
-	if ds.controller == nil || sm.controller == nil || sm.drain.isRequested() { // a drain stays at its level: intake ends soon
+	if ds.controller == nil || sm.controller == nil || sm.drain.isRequested() { // a draining node keeps its level: it will soon stop accepting work
 		return
 	}
 	sm.controller.MeasureLoad(&ds.metrics)
@@ -203,7 +203,7 @@
 		ToName: ds.plan.LevelName(change.To), Metrics: ds.metrics, LoadByLevel: ds.controller.LoadByLevel(), PreviousCounts: before})
 }
 
-// applyLevel has the admission controller apply the level in force, and reports the change.
+// applyLevel passes the level in force to the admission controller and reports the change.
 func (sm *StateMachine) applyLevel(change *LevelChange) {
 	if sm.controller != nil {
 		sm.events = append(sm.events, sm.degradation.levelSetEvent())
@@ -211,7 +211,7 @@
 	sm.emit(Effect{Kind: LevelChanged, LevelChange: change})
 }
 
-// levelSetEvent is the event for the admission controller of what the level in force leaves of each operation.
+// levelSetEvent returns the event that tells the admission controller how the level in force serves each operation.
 func (ds *degradationState) levelSetEvent() admission.Event {
 	e := admission.Event{Kind: admission.DegradationLevelSet}
 	if ds.plan != nil {
@@ -221,15 +221,16 @@
 	return e
 }
 
-// executorOperation is the name that an operation's run has at the executor, and the level's name where that is a reduced form.
+// executorOperation returns the name by which the executor knows an operation in a form. For a reduced form it also returns the name of
+// the level.
 func (sm *StateMachine) executorOperation(op string, form admission.Form) (class, level string) {
 	ds := &sm.degradation
 	if form != admission.Reduced || ds.level() == 0 {
 		return op, ""
 	}
-	i, _ := sm.config.Operations.Lookup(op) // one that is out of service is known while it runs
+	i, _ := sm.config.Operations.Lookup(op) // finds operations out of service too, which may still have runs
 	class = ds.plan.Forms[ds.level()-1][i]
-	if !sm.Invariants.Check(class != "", "a reduced run has a form that the executor knows") {
+	if !sm.Invariants.Check(class != "", "the plan has an executor's name for each reduced run") {
 		return op, ""
 	}
 	return class, ds.levelName()
@@ -250,12 +251,13 @@
 	}
 }
 
-// ServiceCountsByLevel returns the counts of answers at each level since the plan was adopted, nil without a plan.
+// ServiceCountsByLevel returns the counts of answers at each level since the plan was adopted, nil without a plan. They include the
+// current period.
 func (sm *StateMachine) ServiceCountsByLevel() []ServiceCounts {
 	if sm.degradation.plan == nil {
 		return nil
 	}
-	ds := sm.degradation // a copy, in which the current period is closed
+	ds := sm.degradation // a copy, so that closing the period doesn't change the state
 	ds.countsByLevel = slices.Clone(ds.countsByLevel)
 	ds.timeByLevel = slices.Clone(ds.timeByLevel)
 	ds.closePeriod(sm.now, ds.level())
--- a/internal/node/degradation_plan.go
+++ b/internal/node/degradation_plan.go
@@ -7,27 +7,29 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// remapPlan is a plan by the operation indices of the node that adopts it: those change in service, and need not be those of a file.
-// What it says of operations that the node doesn't have is left out.
-func remapPlan(plan *DegradationPlan, names, own *nodeconfig.Names) *DegradationPlan {
+// remapPlan returns a copy of a plan in which operations have this node's indices, those of ownNames, in place of the indices that the
+// plan was written for, those of originalNames. The two can differ because versions add and remove operations in service. Entries for
+// operations that the node doesn't have are left out.
+func remapPlan(plan *DegradationPlan, originalNames, ownNames *nodeconfig.Names) *DegradationPlan {
 	fitted := *plan
 	fitted.Levels = slices.Clone(plan.Levels)
 	fitted.Forms = make([][]string, len(plan.Levels))
 	for k := range fitted.Levels {
-		fitted.Levels[k].Services = make([]admission.Service, own.Slots())
-		fitted.Forms[k] = make([]string, own.Slots())
+		fitted.Levels[k].Services = make([]admission.Service, ownNames.Slots())
+		fitted.Forms[k] = make([]string, ownNames.Slots())
 	}
-	for i := range int32(own.Slots()) {
-		if own.Has(i) {
-			fitted.remapOperation(i, own.Name(i), plan, names)
+	for i := range int32(ownNames.Slots()) {
+		if ownNames.Has(i) {
+			fitted.remapOperation(i, ownNames.Name(i), plan, originalNames)
 		}
 	}
 	return &fitted
 }
 
-// remapOperation gives an index what a plan says of the operation of a name.
-func (p *DegradationPlan) remapOperation(index int32, name string, given *DegradationPlan, givenNames *nodeconfig.Names) {
-	i, known := givenNames.Lookup(name)
+// remapOperation sets the entries at an index to those that the original plan has for the operation with a name. They are cleared if it
+// has none.
+func (p *DegradationPlan) remapOperation(index int32, name string, original *DegradationPlan, originalNames *nodeconfig.Names) {
+	i, known := originalNames.Lookup(name)
 	for k := range p.Levels {
 		level := &p.Levels[k]
 		missing := max(0, int(index)+1-len(level.Services))
@@ -35,23 +37,23 @@
 		p.Forms[k] = append(p.Forms[k], make([]string, missing)...)
 		level.Services[index] = admission.Service{}
 		p.Forms[k][index] = ""
-		if known && int(i) < len(given.Levels[k].Services) {
-			level.Services[index] = given.Levels[k].Services[i]
+		if known && int(i) < len(original.Levels[k].Services) {
+			level.Services[index] = original.Levels[k].Services[i]
 		}
-		if known && k < len(given.Forms) && int(i) < len(given.Forms[k]) {
-			p.Forms[k][index] = given.Forms[k][i]
+		if known && k < len(original.Forms) && int(i) < len(original.Forms[k]) {
+			p.Forms[k][index] = original.Forms[k][i]
 		}
 	}
 }
 
-// remapOperation does so in the plan in force; an empty name clears the index.
+// remapOperation sets the entries at an index of the plan in force to those of the operation with a name. An empty name clears them.
 func (ds *degradationState) remapOperation(index int32, name string) {
 	if ds.plan != nil {
 		ds.plan.remapOperation(index, name, ds.originalPlan, ds.originalNames)
 	}
 }
 
-// servicesOf is what the level in force leaves of an operation, nil for all of it.
+// servicesOf returns a slice with the service that the level in force gives an operation, nil for full service.
 func (ds *degradationState) servicesOf(index int32) []admission.Service {
 	if ds.plan == nil {
 		return nil
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -254,7 +254,7 @@
 		}
 		return nil
 	}
-	x.commands.acknowledgeCall(v.invocationID)
+	x.commands.acknowledgeInvocation(v.invocationID)
 	if v.inCache {
 		sm.tokenRunEnded(i, outcome, body)
 		return nil
@@ -277,7 +277,7 @@
 	if v == nil {
 		return
 	}
-	x.commands.acknowledgeCall(v.invocationID)
+	x.commands.acknowledgeInvocation(v.invocationID)
 	v.callRequest = body
 	sm.leases.requestStep(sm.now) // the demand for leases has grown
 	sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	maxReleasesPerStep    = 16           // retired indices examined in one step
-	tenantCountsRetention = 120_000 * ms // ns past which nothing is left of a tenant's counts in the admission controller
+	maxReleasesPerStep    = 16           // retired indices that one step examines for release
+	tenantCountsRetention = 120_000 * ms // ns after its last invocation in which a tenant's counts in the admission controller decay to nothing
 )
 
-// terms are the terms of an operation that invocations were accepted under.
+// terms are the time limits of an operation under which invocations were accepted. An invocation keeps its terms when a version changes
+// the operation.
 type terms struct {
-	tokenLifetime int64 // ns that a token is known, from the arrival of its first invocation
-	lateAllowance int64 // ns of these past the deduplication window
+	tokenLifetime int64 // ns that a token is remembered after the arrival of its first invocation
+	lateAllowance int64 // part of tokenLifetime after the end of the deduplication window, in ns
 	inFlight      int   // invocations in flight under these terms
 }
 
-// indexKey names an operation or a tenant by its index.
+// indexKey identifies an operation or a tenant by its index.
 type indexKey struct {
-	part  string
+	part  string // nodeconfig.Operations or nodeconfig.Tenants
 	index int32
 }
 
-// retiredIndex is an index out of service that is to be released for reuse.
+// retiredIndex is an index out of service that waits to be released for reuse.
 type retiredIndex struct {
 	indexKey
-	retiredAt int64 // differs from that of versionState where it came back since
+	retiredAt int64 // differs from versionState.retiredAt if the index was reinstated since
 	checkAt   int64
-	idle      bool // nothing referred to it at the last check
+	idle      bool // had no references at the last check
 }
 
-// termsOf are an operation's terms. A token is known for longer than its window, by the client timeout: a repeat that came
-// within the window may lie unread past its end, and until its caller has gone it could be run again. Stamps are whole
-// milliseconds, so one more.
+// termsOf returns an operation's terms. A token is remembered for the client timeout beyond its deduplication window: a retry that
+// arrived within the window may still be unread when the window ends, and would run again if its token were forgotten before its caller
+// gives up. Timestamps have whole milliseconds, which adds one.
 func termsOf(op *admission.Operation) *terms {
 	late := op.ClientTimeout + ms
 	return &terms{tokenLifetime: op.DeduplicationWindow + late, lateAllowance: late}
 }
 
-// currentTerms are the terms that an operation's next invocation is accepted under.
+// currentTerms returns the terms under which an operation's next invocation is accepted.
 func (sm *StateMachine) currentTerms(op int32) *terms {
 	vs := &sm.versions
 	vs.termsByOperation = append(vs.termsByOperation, make([][]*terms, max(0, int(op)+1-len(vs.termsByOperation)))...)
@@ -53,18 +54,19 @@
 	return t
 }
 
-// replaceTerms makes those of a changed operation the current ones; older ones stay while invocations refer to them.
+// replaceTerms makes the terms of a changed operation the current ones. Older terms stay while invocations refer to them.
 func (vs *versionState) replaceTerms(index int32, op *admission.Operation) {
 	t := termsOf(op)
 	vs.maxLifetime = max(vs.maxLifetime, t.tokenLifetime)
 	if int(index) >= len(vs.termsByOperation) || len(vs.termsByOperation[index]) == 0 {
-		return // currentTerms makes them when they are needed
+		return // currentTerms creates them with the first invocation
 	}
 	referenced := slices.DeleteFunc(vs.termsByOperation[index], func(t *terms) bool { return t.inFlight == 0 })
 	vs.termsByOperation[index] = append(referenced, t)
 }
 
-// initMaxLifetime takes the longest token lifetime of the configuration before its first change.
+// initMaxLifetime sets maxLifetime to the longest token lifetime in the configuration. It must be called before each change, and acts
+// only before the first.
 func (sm *StateMachine) initMaxLifetime() {
 	vs := &sm.versions
 	if vs.maxLifetime != 0 {
@@ -75,7 +77,7 @@
 	}
 }
 
-// maxTokenLifetime is how long a token may be known by the current terms and by any that an invocation in flight refers to.
+// maxTokenLifetime returns the longest token lifetime of an operation, among its current terms and those of invocations in flight.
 func (sm *StateMachine) maxTokenLifetime(op int32) int64 {
 	lifetime := sm.currentTerms(op).tokenLifetime
 	for _, t := range sm.versions.termsByOperation[op] {
@@ -86,7 +88,7 @@
 	return lifetime
 }
 
-// acquireReferences counts an invocation's references; one that is submitted anew keeps its terms.
+// acquireReferences counts an invocation's references to its terms and its tenant. A resubmitted invocation keeps its terms.
 func (vs *versionState) acquireReferences(v *invocation, current *terms) {
 	if v.terms == nil {
 		v.terms = current
@@ -101,7 +103,7 @@
 	vs.inFlightByTenant[v.tenant]++
 }
 
-// releaseReferences drops an invocation's references.
+// releaseReferences undoes acquireReferences.
 func (vs *versionState) releaseReferences(v *invocation) {
 	v.terms.inFlight--
 	if v.tenant < 0 {
@@ -113,7 +115,8 @@
 	}
 }
 
-// isRetired says whether an invocation is of an operation or a tenant out of service, and repeats none that is known.
+// isRetired reports whether an invocation is to be refused because its operation or tenant is out of service. A duplicate of a known
+// invocation is not refused.
 func (sm *StateMachine) isRetired(e *admission.Event) bool {
 	if e.Original != admission.NoOriginal {
 		return false
@@ -121,8 +124,8 @@
 	return sm.config.Operations.Retired(e.OperationIndex) || e.Tenant >= 0 && sm.config.Tenants.Retired(e.Tenant)
 }
 
-// retention is how long an index out of service is reserved after its last invocation: while a token of it may be known, and a
-// tenant counts for something in the admission controller.
+// retention returns how long a retired index stays reserved after its last invocation: as long as one of its tokens may be remembered,
+// and for a tenant also until its counts in the admission controller have decayed.
 func (vs *versionState) retention(part string) int64 {
 	if part == nodeconfig.Tenants {
 		return max(vs.maxLifetime, tenantCountsRetention)
@@ -130,7 +133,7 @@
 	return vs.maxLifetime
 }
 
-// retireIndex takes an index out of service.
+// retireIndex records that an index is out of service, so that it is released after its retention.
 func (sm *StateMachine) retireIndex(key indexKey) {
 	vs := &sm.versions
 	if vs.retiredAt == nil {
@@ -140,7 +143,7 @@
 	vs.retiredIndices = append(vs.retiredIndices, retiredIndex{indexKey: key, retiredAt: sm.now, checkAt: sm.now + vs.retention(key.part), idle: vs.references(key) == 0})
 }
 
-// references counts the invocations in flight of an operation or a tenant.
+// references returns the number of invocations in flight of an operation or a tenant.
 func (vs *versionState) references(key indexKey) int {
 	if key.part == nodeconfig.Tenants {
 		return vs.inFlightByTenant[key.index]
@@ -154,7 +157,7 @@
 	return n
 }
 
-// releaseRetired releases indices whose last invocation ended so long ago that nothing of it is left.
+// releaseRetired releases retired indices that had no references at two checks in a row, a retention apart.
 func (sm *StateMachine) releaseRetired() {
 	vs := &sm.versions
 	for range min(maxReleasesPerStep, len(vs.retiredIndices)) {
@@ -165,7 +168,7 @@
 		vs.retiredIndices = vs.retiredIndices[1:]
 		retiredAt, retired := vs.retiredAt[r.indexKey]
 		if !retired || retiredAt != r.retiredAt {
-			continue // it came back; where it was retired again a later entry stands for it
+			continue // it was reinstated; if it was retired again, it has a later entry
 		}
 		references := vs.references(r.indexKey)
 		if references > 0 || !r.idle {
@@ -178,7 +181,7 @@
 	}
 }
 
-// releaseIndex frees an index for another operation or tenant.
+// releaseIndex frees an index for reuse by another operation or tenant.
 func (sm *StateMachine) releaseIndex(key indexKey) {
 	vs := &sm.versions
 	delete(vs.retiredAt, key)
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	maxChangesPerStep  = 256   // changes applied in one step: some hundreds of microseconds
-	maxLookupsPerStep  = 4_096 // changes whose names are looked up in one step: as long
-	maxPendingVersions = 64    // versions queued behind a large one
+	maxChangesPerStep  = 256   // changes applied in one step, which take some hundreds of microseconds
+	maxLookupsPerStep  = 4_096 // changes validated in one step, which take some hundreds of microseconds
+	maxPendingVersions = 64    // versions queued while a large one is applied
 )
 
 var (
-	errRetired         = errors.New("node: the operation or tenant is not in service any more")
-	errStaleVersion    = errors.New("it comes after one that is as new")
+	errRetired         = errors.New("node: operation or tenant is no longer in service")
+	errStaleVersion    = errors.New("node: version is not newer than the last one queued or in force")
 	errTooManyVersions = errors.New("node: too many versions are pending; try again")
 	errNoCatalogue     = errors.New("class_calls: it makes calls, and this node's own file names no catalogue; set catalog there and restart the node, or leave it out")
 	errIndicesPinned   = errors.New("results are kept in a folder by the numbers of operation and tenant, so adding or removing one takes a new start; " +
 		"keep them in the fleet's council, or restart with a new file")
 )
 
-// changeCounts are the changes of a version that had an effect, by what they did.
+// changeCounts counts the changes of a version that had an effect.
 type changeCounts struct {
 	added   int
 	changed int
 	removed int
 }
 
-// pendingVersion is a pendingVersion of the configuration on its way into force.
+// pendingVersion is a configuration version that is being brought into force.
 type pendingVersion struct {
 	number    uint64
 	amendment *nodeconfig.Amendment
-	changes   []nodeconfig.Change // those of the amendment not applied yet
-	lookedUp  int                 // changes validated by name so far
+	changes   []nodeconfig.Change // changes of the amendment that are not applied yet
+	lookedUp  int                 // number of changes validated so far
 	validated bool
 	counts    changeCounts
 }
 
-// versionState brings versions of the configuration into force between two steps, in parts of bounded cost, and tracks which
-// operations and tenants are referenced by invocations in flight. Without versions it only counts references.
+// versionState brings configuration versions into force between the decisions of the admission controller, a bounded part in each
+// step. It counts the references that invocations in flight hold to operations and tenants, so that indices are reused only after the
+// last reference is gone.
 type versionState struct {
-	activeVersion    uint64 // last version in force
+	activeVersion    uint64 // last version that is wholly in force
 	pending          []pendingVersion
-	termsByOperation [][]*terms // by operation index, the current terms last; empty before the first invocation
+	termsByOperation [][]*terms // by operation index; the current terms are last; empty before the first invocation
 	inFlightByTenant map[int32]int
-	retiredIndices   []retiredIndex // by checkAt
+	retiredIndices   []retiredIndex // ordered by checkAt
 	retiredAt        map[indexKey]int64
-	maxLifetime      int64 // ns, the longest token lifetime of any operation so far; 0 before the first change
-	indicesPinned    bool  // stored results refer to indices of operations and tenants
+	maxLifetime      int64 // ns, longest token lifetime that any operation has had; 0 before the first change
+	indicesPinned    bool  // stored results refer to indices, so versions must not add or remove operations or tenants
 }
 
-// ActiveVersion is the last version of the configuration that is in force as a whole, 0 before the first.
+// ActiveVersion returns the number of the last configuration version that is wholly in force, 0 before the first.
 func (sm *StateMachine) ActiveVersion() uint64 { return sm.versions.activeVersion }
 
-// pinIndices has versions rejected that add or remove operations or tenants.
+// pinIndices sets whether versions that add or remove operations or tenants are refused.
 func (vs *versionState) pinIndices(pinned bool) { vs.indicesPinned = pinned }
 
-// lastQueued is the newest version that is in force or pending.
+// lastQueued returns the number of the newest version that is in force or pending.
 func (vs *versionState) lastQueued() uint64 {
 	if n := len(vs.pending); n > 0 {
 		return vs.pending[n-1].number
@@ -71,7 +72,7 @@
 // dropFirst removes the first pending version.
 func (vs *versionState) dropFirst() { vs.pending = slices.Delete(vs.pending, 0, 1) }
 
-// queueVersion queues a version; it is validated and applied once those before it are.
+// queueVersion queues a version, which is validated and applied after those before it.
 func (sm *StateMachine) queueVersion(in *Input) {
 	vs := &sm.versions
 	switch {
@@ -84,12 +85,13 @@
 	}
 }
 
+// refuseVersion reports that a version was refused, and why.
 func (sm *StateMachine) refuseVersion(number uint64, err error) {
 	sm.Counters.VersionsRefused++
 	sm.emit(Effect{Kind: VersionApplied, Version: number, Err: err})
 }
 
-// applyVersions applies a bounded part of the pending versions, and releases indices that nothing refers to any more.
+// applyVersions validates and applies a bounded part of the pending versions, then releases retired indices without references.
 func (sm *StateMachine) applyVersions() {
 	vs := &sm.versions
 	for budget := maxChangesPerStep; budget > 0 && len(vs.pending) > 0; {
@@ -120,13 +122,14 @@
 	sm.releaseRetired()
 }
 
-// versionApplied records that a version is in force as a whole.
+// versionApplied records that a version is wholly in force.
 func (sm *StateMachine) versionApplied(v *pendingVersion) {
 	sm.versions.activeVersion = max(sm.versions.activeVersion, v.number)
 	sm.Counters.Versions++
 }
 
-// validateVersion gives the reason why a version can't be applied, once all of it was examined. It changes nothing in force.
+// validateVersion validates up to maxLookupsPerStep changes of a version. When all are examined it returns complete, with an error if the
+// version can't be applied. It changes nothing in force.
 func (sm *StateMachine) validateVersion(v *pendingVersion) (complete bool, err error) {
 	for end := v.lookedUp + maxLookupsPerStep; v.lookedUp < len(v.changes); v.lookedUp++ {
 		if v.lookedUp == end {
@@ -139,7 +142,7 @@
 	return true, sm.config.ValidateAmendment(v.amendment)
 }
 
-// validateChanges checks changes against what only this node's own file says.
+// validateChanges checks changes against the settings that only this node's own file has.
 func (sm *StateMachine) validateChanges(changes []nodeconfig.Change) error {
 	for i := range changes {
 		c := &changes[i]
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// changesIndices says whether a change adds or removes an operation or a tenant.
+// changesIndices reports whether a change adds or removes an operation or a tenant.
 func (sm *StateMachine) changesIndices(c *nodeconfig.Change) bool {
 	switch c.Part {
 	case nodeconfig.Operations:
@@ -167,7 +170,7 @@
 	}
 }
 
-// applyChanges brings changes of a version into force.
+// applyChanges brings changes of a version into force and counts them.
 func (sm *StateMachine) applyChanges(v *pendingVersion, changes []nodeconfig.Change) {
 	for i := range changes {
 		sm.applyChange(v, changes[i])
@@ -176,7 +179,7 @@
 
 func (sm *StateMachine) applyChange(v *pendingVersion, c nodeconfig.Change) {
 	sm.initMaxLifetime()
-	c.Operation.SkippedCallWeightShare = 0 // as in all settings on sockets
+	c.Operation.SkippedCallWeightShare = 0 // the protocol on sockets can't express that a run goes on without its call; see withoutUnsupported
 	t := sm.config.Apply(&c)
 	switch {
 	case !t.Changed:
@@ -206,7 +209,7 @@
 	}
 }
 
-// versionsDue is when the next step is needed: at once while versions are pending. Releasing indices waits for any step.
+// versionsDue returns the time of the next step that pending versions need, which is at once. Releasing indices needs no step of its own.
 func (sm *StateMachine) versionsDue() int64 {
 	if len(sm.versions.pending) > 0 {
 		return sm.now + 1
