--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -162,7 +162,7 @@
 	if m.Kind == consensus.MessageVerdicts {
 		sm.claiming.recordAnswer(m.Leader)
 	}
-	sm.leases.addVerdicts(m.Grants)
+	sm.leases.addLeaseVerdicts(m.Grants)
 	sm.configSync.addVerdicts(m.Decided)
 	for k := range m.Verdicts {
 		sm.addClaimInput(claims.Input{Kind: claims.VerdictReceived, Verdict: m.Verdicts[k]})
--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -11,53 +11,53 @@
 )
 
 func TestTokensAreRejectedWhileTheConsensusGroupIsUnreachable(t *testing.T) {
-	r := claimingNode(t)
+	sm := claimingNode(t)
 	for range 4_000 {
-		step(r)
+		step(sm)
 	}
-	require.False(t, r.claiming.client.Connected())
-	before := r.Counters.Throttled
-	step(r, Input{Kind: ConnectionOpened, Link: 8})
-	late := tokenInvocation(1, "a1")
-	late.Link = 8
-	effects := step(r, late)
+	require.False(t, sm.claiming.client.Connected())
+	before := sm.Counters.Throttled
+	step(sm, Input{Kind: ConnectionOpened, Link: 8})
+	invocation := tokenInvocation(1, "a1")
+	invocation.Link = 8
+	effects := step(sm, invocation)
 	assert.Contains(t, localEffectKinds(effects), SendToConnection)
-	for _, c := range claimCommands(t, r, effects) {
+	for _, c := range claimCommands(t, sm, effects) {
 		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
-	assert.Equal(t, before+1, r.Counters.Throttled)
-	assert.Zero(t, r.claiming.client.Size())
+	assert.Equal(t, before+1, sm.Counters.Throttled)
+	assert.Zero(t, sm.claiming.client.Size())
 }
 
 func TestMalformedStreamIsClosed(t *testing.T) {
-	r := claimingNode(t)
-	effects := step(r, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("no letter at all, of any kind")})
+	sm := claimingNode(t)
+	effects := step(sm, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("not a valid message of a fleet")})
 	assert.Contains(t, localEffectKinds(effects), CloseStream)
-	step(r, Input{Kind: PeerStreamClosed, Link: 3})
-	assert.Empty(t, r.claiming.streams)
+	step(sm, Input{Kind: PeerStreamClosed, Link: 3})
+	assert.Empty(t, sm.claiming.streams)
 }
 
 func TestEndOfARunOfAnEarlierIncarnationIsReported(t *testing.T) {
-	r := claimingNode(t)
-	resolve := claimCommands(t, r, told(r, "EXIT 1 00000000000000ff good 5 2|ok"))
+	sm := claimingNode(t)
+	resolve := claimCommands(t, sm, told(sm, "EXIT 1 00000000000000ff good 5 2|ok"))
 	require.Len(t, resolve, 1)
 	assert.Equal(t, claims.CommandResolve, resolve[0].Kind)
 	assert.Equal(t, "00000000000000ff", resolve[0].InvocationID)
 }
 
-func TestContactRotatesAmongReplicasThatAreSilent(t *testing.T) {
+func TestCommandsGoToTheNextReplicaAfterATimeout(t *testing.T) {
 	cs := &claimState{replicas: []string{"a", "b", "c"}, targetReplica: 2}
 	cs.rotateTargetReplica(10 * ms)
-	assert.Equal(t, 2, cs.targetReplica, "the first command only starts the wait")
+	assert.Equal(t, 2, cs.targetReplica, "the first command only starts the timeout")
 	cs.rotateTargetReplica(10*ms + replicaTimeout - 1)
 	assert.Equal(t, 2, cs.targetReplica)
 	cs.rotateTargetReplica(10*ms + replicaTimeout)
-	assert.Equal(t, 0, cs.targetReplica, "it wraps around")
+	assert.Equal(t, 0, cs.targetReplica, "the first replica follows the last")
 	cs.rotateTargetReplica(10*ms + 2*replicaTimeout - 1)
-	assert.Equal(t, 0, cs.targetReplica, "the next replica has its time too")
+	assert.Equal(t, 0, cs.targetReplica, "the timeout starts anew for the next replica")
 }
 
-func TestContactFollowsTheLeader(t *testing.T) {
+func TestCommandsGoToTheLeaderThatAnswered(t *testing.T) {
 	cs := &claimState{replicas: []string{"a", "b", "c"}, unansweredSince: 5}
 	cs.recordAnswer("c")
 	assert.Equal(t, 2, cs.targetReplica)
@@ -67,14 +67,14 @@
 }
 
 func TestWithoutAConsensusGroupNothingIsClaimed(t *testing.T) {
-	r := cachingNode(t, resultcache.InMemory)
-	assert.False(t, r.claiming.enabled())
-	assert.False(t, r.claiming.canClaim())
-	assert.Nil(t, r.Claims())
-	current, has := r.claiming.replicaIsCurrent()
+	sm := cachingNode(t, resultcache.InMemory)
+	assert.False(t, sm.claiming.enabled())
+	assert.False(t, sm.claiming.canClaim())
+	assert.Nil(t, sm.Claims())
+	current, has := sm.claiming.replicaIsCurrent()
 	assert.False(t, current || has)
-	agreed, changed := r.claiming.agreedConfig()
+	agreed, changed := sm.claiming.agreedConfig()
 	assert.Nil(t, agreed)
 	assert.False(t, changed)
-	assert.Equal(t, int64(never), r.claimsDue())
+	assert.Equal(t, int64(never), sm.claimsDue())
 }
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/node"
 )
 
-// reachable is the node at an address, nil if it is down or the message is lost.
+// reachable returns the node at an address, nil if it is down or the message is lost.
 func (n *simNode) reachable(address string, lost bool) *simNode {
 	for _, to := range n.simNodes {
 		if to.address == address && to.machine != nil && !lost {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// peerEffect carries out an effect on other nodes.
+// peerEffect carries out an effect that sends something to other nodes, or does nothing if the effect is of another kind.
 func (n *simNode) peerEffect(e *node.Effect) {
 	text, link, incarnation := bytes.Clone(e.Bytes), e.Link, n.incarnation
 	lost := n.loss > 0 && n.Rand.Float64() < n.loss
@@ -34,9 +34,9 @@
 		}
 	case node.OpenExchange:
 		to := n.reachable(e.Address, lost)
-		missed := func() { n.deliver(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: errSimulated}) }
+		failExchange := func() { n.deliver(node.Input{Kind: node.PeerExchangeFailed, Link: link, Err: errSimulated}) }
 		if to == nil {
-			n.schedule(500*millisecond, missed)
+			n.schedule(500*millisecond, failExchange)
 			return
 		}
 		n.lastExchange++
@@ -46,22 +46,22 @@
 			to.deliver(node.Input{Kind: node.PeerRequestReceived, Link: number, From: n.address, Bytes: text})
 		})
 		n.schedule(2_000*millisecond, func() {
-			if q, open := to.exchanges[number]; open && q.from == n {
+			if pending, open := to.exchanges[number]; open && pending.from == n {
 				delete(to.exchanges, number)
-				missed()
+				failExchange()
 			}
 		})
 	case node.ReplyToExchange:
-		q, known := n.exchanges[link]
+		pending, known := n.exchanges[link]
 		delete(n.exchanges, link)
-		if !known || q.from == nil || q.from.incarnation != q.incarnation {
+		if !known || pending.from == nil || pending.from.incarnation != pending.incarnation {
 			return
 		}
-		in := node.Input{Kind: node.PeerResponseReceived, Link: q.link, From: n.address, Bytes: text}
+		in := node.Input{Kind: node.PeerResponseReceived, Link: pending.link, From: n.address, Bytes: text}
 		if len(text) == 0 {
-			in = node.Input{Kind: node.PeerExchangeFailed, Link: q.link, Err: errSimulated}
+			in = node.Input{Kind: node.PeerExchangeFailed, Link: pending.link, Err: errSimulated}
 		}
-		q.from.schedule(n.randomDuration(300, 1_500), func() { q.from.deliver(in) })
+		pending.from.schedule(n.randomDuration(300, 1_500), func() { pending.from.deliver(in) })
 	case node.SendOnStream:
 		n.sendMessage(e.Address, link, text)
 	case node.CloseStream:
@@ -69,58 +69,58 @@
 	}
 }
 
-// sendMessage writes to a stream, or to a new one if that is closed.
+// sendMessage writes a message to the stream with a number. If that stream is closed, it uses an open one to the address, or opens one.
 func (n *simNode) sendMessage(address string, link int, text []byte) {
-	there, known := n.streams[link]
-	if !known || there.to.incarnation != there.incarnation {
-		for _, number := range slices.Sorted(maps.Keys(n.streams)) { // the one that is open to that address
+	farEnd, known := n.streams[link]
+	if !known || farEnd.to.incarnation != farEnd.incarnation {
+		for _, number := range slices.Sorted(maps.Keys(n.streams)) { // use the open stream to that address with the highest number
 			if s := n.streams[number]; s.to.address == address && s.to.incarnation == s.incarnation {
-				there, known, link = s, true, number
+				farEnd, known, link = s, true, number
 			}
 		}
 	}
-	if !known || there.to.incarnation != there.incarnation {
+	if !known || farEnd.to.incarnation != farEnd.incarnation {
 		to := n.reachable(address, false)
 		if to == nil || to == n {
 			return
 		}
 		n.lastLink++
 		to.lastLink++
-		there = peerStream{to, to.incarnation, to.lastLink}
-		n.streams[n.lastLink], to.streams[to.lastLink] = there, peerStream{n, n.incarnation, n.lastLink}
+		farEnd = peerStream{to, to.incarnation, to.lastLink}
+		n.streams[n.lastLink], to.streams[to.lastLink] = farEnd, peerStream{n, n.incarnation, n.lastLink}
 		link = n.lastLink
 	}
 	if n.loss > 0 && n.Rand.Float64() < n.loss {
 		n.closeStream(link)
 		return
 	}
-	to, at := there.to, there.link
-	to.schedule(800_000, func() { // all take the same time, so that they keep their order
-		if _, open := to.streams[at]; open {
-			to.deliver(node.Input{Kind: node.PeerMessageReceived, Link: at, From: n.address, Bytes: text})
+	to, farLink := farEnd.to, farEnd.link
+	to.schedule(800_000, func() { // the same delay for all messages, so that they keep their order
+		if _, open := to.streams[farLink]; open {
+			to.deliver(node.Input{Kind: node.PeerMessageReceived, Link: farLink, From: n.address, Bytes: text})
 		}
 	})
 }
 
 // closeStream closes a stream at both ends.
 func (n *simNode) closeStream(link int) {
-	there, known := n.streams[link]
+	farEnd, known := n.streams[link]
 	delete(n.streams, link)
-	if known && there.to.incarnation == there.incarnation {
-		delete(there.to.streams, there.link)
-		there.to.schedule(800_000, func() { there.to.deliver(node.Input{Kind: node.PeerStreamClosed, Link: there.link}) })
+	if known && farEnd.to.incarnation == farEnd.incarnation {
+		delete(farEnd.to.streams, farEnd.link)
+		farEnd.to.schedule(800_000, func() { farEnd.to.deliver(node.Input{Kind: node.PeerStreamClosed, Link: farEnd.link}) })
 	}
 	n.schedule(0, func() { n.deliver(node.Input{Kind: node.PeerStreamClosed, Link: link}) })
 }
 
-// outsideMessage delivers a message from outside the fleet: an operator's, or an invalid one.
+// outsideMessage delivers a random message that no node sent: an operator's request, or an invalid message.
 func (n *simNode) outsideMessage() {
 	if n.machine == nil {
 		return
 	}
-	of := fleetName
+	fleet := fleetName
 	if n.oneIn(8) {
-		of = "another"
+		fleet = "another"
 	}
 	kind := []node.InputKind{node.PeerDatagramReceived, node.PeerRequestReceived, node.PeerRequestReceived, node.PeerRequestReceived}[n.Rand.Intn(4)]
 	var body any
@@ -139,7 +139,7 @@
 	default:
 		body = node.ConfigQueryBody(&configsync.Query{Kind: 77})
 	}
-	text, err := envelope.Seal(nil, envelope.FleetOf(of), body)
+	text, err := envelope.Seal(nil, envelope.FleetOf(fleet), body)
 	require.NoError(n.t, err)
 	if n.oneIn(8) {
 		text[n.Rand.Intn(len(text))]++
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -17,17 +17,18 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// sealMessage seals a message of the fleet of the fixtures.
+// sealMessage encodes a message of the fleet whose name the fixtures were recorded with.
 func sealMessage(body any) ([]byte, error) {
 	return envelope.Seal(nil, envelope.FleetOf("mobilier"), body)
 }
 
-// openMessage opens a message of that fleet.
+// openMessage decodes a message of that fleet.
 func openMessage(text []byte, body any) error {
 	return envelope.Open(text, envelope.FleetOf("mobilier"), body)
 }
 
-// Membership messages, one of each kind, as they are sealed when sent and opened when received, and what a command is shown.
+// Guards the encoding of membership messages, one of each kind, and of the view that commands receive: nodes of different builds
+// exchange them.
 func TestFixturesOfMembershipMessages(t *testing.T) {
 	for k, kind := range []membership.MessageKind{membership.MessagePing, membership.MessageAck, membership.MessageGossip, membership.MessageSyncRequest, membership.MessageSyncAnswer,
 		membership.MessageSyncPush, membership.MessageReject, membership.MessageViewRequest} {
@@ -41,22 +42,22 @@
 			assert.Equal(t, peerMessage{Message: want}, got)
 		})
 	}
-	t.Run("the ask for claims", func(t *testing.T) {
+	t.Run("request for the summary of claims", func(t *testing.T) {
 		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}, sealMessage, openMessage)
 	})
 	t.Run("view", func(t *testing.T) {
 		want := fixture.Filled[membership.View](1)
 		fixture.RoundTrip(t, "view-v1.bin", want, sealMessage, openMessage)
 		seen := want.Members[0]
-		seen.Status, seen.Reach = 0, 0 // a command shows their names
+		seen.Status, seen.Reach = 0, 0 // not part of the JSON encoding
 		fixture.RoundTrip(t, "seen-v1.json", seen, json.Marshal, json.Unmarshal)
 		fixture.RoundTrip(t, "member-counters-v1.json", fixture.Filled[membership.Counters](2), json.Marshal, json.Unmarshal)
 	})
-	t.Run("names in short", func(t *testing.T) {
+	t.Run("hashes of names", func(t *testing.T) {
 		text := fmt.Sprintf("%016x %016x %08x\n", uint64(membership.IDOf("node-1")), uint64(membership.IDOf("")), uint32(envelope.FleetOf("mobilier")))
 		fixture.Equal(t, "names-v1.txt", []byte(text))
 	})
-	t.Run("statuses and ways", func(t *testing.T) {
+	t.Run("status and reach", func(t *testing.T) {
 		var list []membership.MemberStatus
 		for _, s := range []membership.Status{membership.Alive, membership.Suspect, membership.Dead, membership.Left} {
 			for _, r := range []membership.Reach{membership.Direct, membership.Indirect, membership.Unreachable} {
@@ -67,7 +68,7 @@
 	})
 }
 
-// Configuration messages between replicators, and of commands and their answers.
+// Guards the encoding of configuration messages between replicators, and of the queries of commands and their answers.
 func TestFixturesOfConfigurationMessages(t *testing.T) {
 	for k, kind := range []configsync.MessageKind{configsync.MessageAnnounce, configsync.MessageReport, configsync.MessageConfirm, configsync.MessageFetch, configsync.MessageContent} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
@@ -81,7 +82,7 @@
 		})
 	}
 	for k, kind := range []configsync.QueryKind{configsync.QueryStatus, configsync.QueryBlocks, configsync.QueryPropose} {
-		t.Run(fmt.Sprintf("question %d", k+1), func(t *testing.T) {
+		t.Run(fmt.Sprintf("query %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configsync.Query](uint32(k))
 			want.Kind = kind
 			text, err := sealMessage(ConfigQueryBody(&want))
@@ -99,13 +100,14 @@
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
-	t.Run("the whole message", func(t *testing.T) {
+	t.Run("message body", func(t *testing.T) {
 		fixture.RoundTrip(t, "letter-v1.bin", fixture.Filled[peerMessage](1), sealMessage, openMessage)
 		fixture.RoundTrip(t, "body-v1.bin", fixture.Filled[configMessageBody](1), sealMessage, openMessage)
 	})
 }
 
-// Messages of the consensus group, one of each kind, with claims, leases and versions in them, and the summary for operators.
+// Guards the encoding of the consensus group's messages, one of each kind and with claims, leases and versions, of the summary for
+// operators, and of the invocation that a claim carries for a takeover.
 func TestFixturesOfConsensusMessages(t *testing.T) {
 	for k, kind := range []consensus.MessageKind{consensus.MessageRaft, consensus.MessageDiscovery, consensus.MessagePropose, consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment, consensus.MessageRejoin,
 		consensus.MessageRejoinAnswer, consensus.MessagePartRequest, consensus.MessagePart} {
@@ -115,10 +117,10 @@
 			fixture.RoundTrip(t, fmt.Sprintf("council-message-%d-v1.bin", k+1), want, sealMessage, openMessage)
 		})
 	}
-	t.Run("picture", func(t *testing.T) {
+	t.Run("summary for operators", func(t *testing.T) {
 		fixture.RoundTrip(t, "picture-v1.bin", fixture.Filled[consensus.Summary](1), sealMessage, openMessage)
 	})
-	t.Run("the work for a takeover", func(t *testing.T) {
+	t.Run("invocation for a takeover", func(t *testing.T) {
 		fixture.RoundTrip(t, "work-v1.cbor", fixture.Filled[takeoverWork](1), cbor.Marshal, cbor.Unmarshal)
 	})
 }
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -47,8 +47,8 @@
 	return &ls.holder.Counters
 }
 
-// addVerdicts queues verdicts on this node's requests for leases.
-func (ls *leaseState) addVerdicts(grants []quota.Verdict) {
+// addLeaseVerdicts queues verdicts on this node's requests for leases.
+func (ls *leaseState) addLeaseVerdicts(grants []quota.Verdict) {
 	ls.verdicts = append(ls.verdicts, grants...)
 }
 
