--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -50,13 +50,13 @@
 
 // NodeLog summarizes one node's log.
 type NodeLog struct {
-	Node       string
-	Changes    int
-	Unreadable int  // lines that are too long or not valid JSON
-	Drained    bool // the last valid line reports a completed drain; otherwise the node was killed, still runs, or the log is cut off
-	LastAt     time.Time
-	Level      string // after the last change
-	Gaps       int    // changes that do not start from the level known before, because lines are missing
+	Node           string
+	Changes        int
+	Unreadable     int  // lines that are too long or not valid JSON
+	Drained        bool // the last valid line reports a completed drain; otherwise the node was killed, still runs, or the log is cut off
+	LastAt         time.Time
+	Level          string // after the last change
+	MissingChanges int    // changes that do not start from the level known before, because lines are missing
 }
 
 // Timeline holds the changes of level and a summary of each log that was added. The zero value is empty.
@@ -144,7 +144,7 @@
 // addChange adds a change of level to the summary.
 func (log *NodeLog) addChange(change *LevelChange) {
 	if change.From != "" && change.From != log.Level {
-		log.Gaps++
+		log.MissingChanges++
 	}
 	log.Level = change.To
 	if log.Level == "" {
--- a/internal/degradation/degradationlog/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -19,7 +19,7 @@
 func TestAddLogAcceptsATruncatedLog(t *testing.T) {
 	var timeline Timeline
 	require.NoError(t, timeline.AddLog("logs/x.log", strings.NewReader(sampleLog)))
-	assert.Equal(t, NodeLog{Node: "n7", Changes: 2, Unreadable: 2, LastAt: timeline.Logs[0].LastAt, Level: "full", Gaps: 1}, timeline.Logs[0])
+	assert.Equal(t, NodeLog{Node: "n7", Changes: 2, Unreadable: 2, LastAt: timeline.Logs[0].LastAt, Level: "full", MissingChanges: 1}, timeline.Logs[0])
 	assert.Equal(t, "a", timeline.Changes[0].To)
 	assert.Equal(t, 40, timeline.Changes[0].Before.Whole)
 }
--- a/internal/degradation/degradationlog/print.go
+++ b/internal/degradation/degradationlog/print.go
@@ -23,7 +23,7 @@
 	for i := range t.Logs {
 		log := &t.Logs[i]
 		fmt.Fprintf(&b, "%s\t%s\t\t%s\t%d changes, %d unreadable lines, %d gaps; %s\n", timestamp(log.LastAt), log.Node, log.Level, log.Changes,
-			log.Unreadable, log.Gaps, log.end())
+			log.Unreadable, log.MissingChanges, log.end())
 	}
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	if _, err := io.WriteString(w, b.String()); err != nil {
