--- a/internal/degradation/conditions.go
+++ b/internal/degradation/conditions.go
@@ -38,16 +38,18 @@
 	return Load
 }
 
-// Condition holds when signals are beyond all of its limits at the same time, for Duration nanoseconds without a break.
+// Condition holds when signals are above (enter) or below (exit, idle) all of its limits at the same time, for Duration nanoseconds
+// without a break.
 type Condition struct {
 	Limits
 	Duration int64
 }
 
-// hasLoadLimit reports whether a condition limits the load. Any level that saves work relieves the load, so that it needs no trial.
+// hasLoadLimit reports whether a condition limits the load. A level entered by such a condition needs no trial, as any level that saves
+// work lowers the load.
 func (c *Condition) hasLoadLimit() bool { return !math.IsNaN(c.Limits[Load]) }
 
-// allAbove reports whether each signal with a limit is above it. The level selects the load that is compared.
+// allAbove reports whether each signal with a limit is above it, with the values of signalValue for the level. It returns true without limits.
 func (c *Controller) allAbove(limits *Limits, level int, m *admission.LoadMetrics) bool {
 	for signal, limit := range limits {
 		if !math.IsNaN(limit) && !(c.signalValue(Signal(signal), level, m) > limit) {
@@ -57,7 +59,7 @@
 	return true
 }
 
-// allBelow reports whether each signal with a limit is below it. The level selects the load that is compared.
+// allBelow reports whether each signal with a limit is below it, with the values of signalValue for the level. It returns true without limits.
 func (c *Controller) allBelow(limits *Limits, level int, m *admission.LoadMetrics) bool {
 	for signal, limit := range limits {
 		if !math.IsNaN(limit) && !(c.signalValue(Signal(signal), level, m) < limit) {
--- a/internal/degradation/conditions_test.go
+++ b/internal/degradation/conditions_test.go
@@ -26,9 +26,9 @@
 // A condition must not hold unless the signals are beyond all of its limits. A value equal to a limit is neither above nor below it.
 func TestAllLimitsMustBePassed(t *testing.T) {
 	c := newController()
-	metrics := demand(1)
+	metrics := metricsOfLoad(1)
 	metrics.CallWait, metrics.MemoryShare = 0.5, 0.25
-	c.measureLoads(metrics)
+	c.computeLoads(metrics)
 	limits := NoLimits()
 	limits[CallWait], limits[Memory] = 0.4, 0.2
 	assert.True(t, c.allAbove(&limits, 1, metrics))
--- a/internal/degradation/controller.go
+++ b/internal/degradation/controller.go
@@ -1,6 +1,9 @@
 // Package degradation decides at which level of degraded service a node runs, according to a plan that operators write. Each level sheds
 // operations or serves them in a reduced form. The controller compares load metrics of the whole node with the conditions of the plan.
-// It does not see single invocations, and callers pass in the time.
+// It does not see single invocations, and takes the time as a parameter.
+//
+// A level is on trial after it was entered by a condition without a load limit. It is left again if the signal of that condition has not
+// fallen enough by the end of the trial period.
 package degradation
 
 import (
@@ -13,11 +16,11 @@
 // Change describes a change of level.
 type Change struct {
 	From, To              int
-	Signal                Signal  // signal that caused the change
+	Signal                Signal  // first signal of the condition that caused the change; Load for WentIdle and PlanReplaced
 	Value                 float64 // value of the signal
-	Limit                 float64 // limit that the signal passed
-	ConditionDuration     int64   // how long the signal was beyond the limit
-	PreviousLevelDuration int64   // time spent at the previous level
+	Limit                 float64 // limit that the signal passed; for Ineffective, the value below which it should have fallen
+	ConditionDuration     int64   // how long the condition held; for Ineffective, how long the trial lasted
+	PreviousLevelDuration int64   // time spent at the level before the change
 	Cause                 Cause
 	HoldTime              int64 // how long the new level stays in force after it is last needed
 }
@@ -27,18 +30,18 @@
 
 // The causes of a change of level.
 const (
-	Entered      Cause = iota // a condition for entering the level held
-	Recovered                 // the exit condition held, and the hold time is over
-	WentIdle                  // the idle condition held
-	Ineffective               // the level did not improve the signal it was entered for
-	PlanReplaced              // another plan was put into force
+	Entered      Cause = iota // in logs "entered": an enter condition of the level held
+	Recovered                 // in logs "eased": the exit condition held, and the hold time is over
+	WentIdle                  // in logs "idle": the idle condition held
+	Ineffective               // in logs "futile": the trial of the level failed
+	PlanReplaced              // in logs "plan": another plan was put into force
 )
 
 // CauseNames holds the name of each cause in logs.
 var CauseNames = [...]string{"entered", "eased", "idle", "futile", "plan"}
 
 const (
-	reliefFactor       = 0.9               // a level is effective if its signal falls below this multiple of the value at entry
+	reliefFactor       = 0.9               // a trial succeeds if the signal falls below this multiple of its value at entry
 	retryDelayFactor   = 4                 // delay before the next trial of an ineffective level, in trial periods; doubled with each further failed trial
 	maxCountedFailures = 4                 // failed trials in a row after which the delay grows no further
 	maxGapFactor       = 2                 // the longest gap that is recorded when a level is entered again, as a multiple of MaxHold
@@ -47,21 +50,21 @@
 
 // levelState tracks the conditions of one level, and how the level fared in the past. Times are in nanoseconds.
 type levelState struct {
-	enterSince    []int64 // for each enter condition: when its signals went beyond its limits, or never if they are not
-	exitSince     int64   // when the signals went beyond the limits of the exit condition, or never if they are not
-	neededAt      int64   // when the signals were last beyond the limits of an enter condition
-	needEndedAt   int64   // when the level was last needed before it was left; the time it was left, if it was never needed
-	gap           float64 // time between two moments at which the level was needed, as of gapRecordedAt
-	gapRecordedAt int64
-	retryAt       int64 // earliest time at which the level may be entered on trial
-	failedTrials  int   // in a row, at most maxCountedFailures
+	enterSince          []int64 // for each enter condition: when its signals rose above its limits, or never if they are not above
+	exitSince           int64   // when the signals fell below the limits of the exit condition, or never if they are not below
+	neededAt            int64   // when the signals were last above the limits of an enter condition
+	neededBeforeLeaving int64   // neededAt at the time the level was last left; that time itself if the level was never needed
+	gap                 float64 // time between two moments at which the level was needed, as of gapRecordedAt
+	gapRecordedAt       int64
+	retryAt             int64 // earliest time at which the level may be entered on trial
+	failedTrials        int   // in a row, at most maxCountedFailures
 }
 
 // Controller decides on the level of one node. Level 0 is full service.
 type Controller struct {
 	plan         *Plan
-	states       []levelState
-	loads        []float64 // load that the node would have at each level, full service first
+	states       []levelState // of level 1 and up: the state of level n has index n-1
+	loads        []float64    // load that the node would have at each level, full service first
 	level        int
 	levelSince   int64
 	idleSince    int64 // when the signals fell below the limits of the idle condition, or never if they are not
@@ -69,7 +72,7 @@
 
 	entrySignal Signal  // signal for which the present level was entered
 	entryValue  float64 // value of that signal at entry
-	trialOver   bool    // false while the present level still has to show that it improves entrySignal
+	trialOver   bool    // false from the start of a trial to its evaluation
 }
 
 // NewController returns a controller at full service. It draws one number from random, for the jitter of this node's hold times.
@@ -81,7 +84,7 @@
 		for i := range enterSince {
 			enterSince[i] = never
 		}
-		c.states[k] = levelState{enterSince: enterSince, exitSince: never, neededAt: never, needEndedAt: never, gapRecordedAt: now, retryAt: never}
+		c.states[k] = levelState{enterSince: enterSince, exitSince: never, neededAt: never, neededBeforeLeaving: never, gapRecordedAt: now, retryAt: never}
 	}
 	return c
 }
@@ -93,16 +96,17 @@
 // overwrites the slice.
 func (c *Controller) LoadByLevel() []float64 { return c.loads }
 
-// Step applies the metrics measured at a time and returns the resulting change of level, if any. It enters the most restrictive level
-// that is needed in one step, and goes back one level at a time, or to full service if the node is idle.
+// Step applies the metrics measured at a time and returns the resulting change of level, if any. If the node is idle, it changes to full
+// service and enters no level. Otherwise it changes at once to the most restrictive level with an enter condition that calls for it, or
+// back by one level.
 func (c *Controller) Step(now int64, m *admission.LoadMetrics) (Change, bool) {
-	c.measureLoads(m)
-	needed := c.updateConditions(now, m)
+	c.computeLoads(m)
+	due := c.updateConditions(now, m)
 	if c.isIdle(now, m) {
 		return c.leaveWhenIdle(now)
 	}
-	if needed > c.level {
-		return c.enter(now, needed, m), true
+	if due > c.level {
+		return c.enter(now, due, m), true
 	}
 	if c.level == 0 {
 		return Change{}, false
@@ -122,7 +126,7 @@
 		ConditionDuration: now - c.idleSince}), true
 }
 
-// leaveIfRecovered changes to the previous level if the exit condition has held for its duration, and both the hold time since the level
+// leaveIfRecovered changes to the next milder level if the exit condition has held for its duration, and both the hold time since the level
 // was last needed and the minimum hold time since it was entered are over.
 func (c *Controller) leaveIfRecovered(now int64, m *admission.LoadMetrics) (Change, bool) {
 	s := &c.states[c.level-1]
@@ -136,11 +140,12 @@
 		ConditionDuration: now - s.exitSince}), true
 }
 
-// updateConditions updates the condition times of all levels and returns the most restrictive level that is needed, or 0.
-func (c *Controller) updateConditions(now int64, m *admission.LoadMetrics) (needed int) {
+// updateConditions updates the condition times of all levels and returns the most restrictive level that is
+// due, or 0.
+func (c *Controller) updateConditions(now int64, m *admission.LoadMetrics) (due int) {
 	for k := range c.states {
 		if c.updateEnterConditions(now, k+1, m) {
-			needed = k + 1
+			due = k + 1
 		}
 		s := &c.states[k]
 		if !c.allBelow(&c.plan.Levels[k].Exit.Limits, k+1, m) {
@@ -149,11 +154,12 @@
 			s.exitSince = now
 		}
 	}
-	return needed
+	return due
 }
 
-// updateEnterConditions updates the times of a level's enter conditions and reports whether one of them calls for the level.
-func (c *Controller) updateEnterConditions(now int64, level int, m *admission.LoadMetrics) (needed bool) {
+// updateEnterConditions updates the times of a level's enter conditions and reports whether the level is due: one of
+// the conditions has held for its duration and may enter the level.
+func (c *Controller) updateEnterConditions(now int64, level int, m *admission.LoadMetrics) (due bool) {
 	s := &c.states[level-1]
 	conditions := c.plan.Levels[level-1].Enter
 	for i := range conditions {
@@ -171,16 +177,16 @@
 			s.enterSince[i] = now
 		}
 		if now-s.enterSince[i] >= condition.Duration && (condition.hasLoadLimit() || c.mayEnterOnTrial(now, level)) {
-			needed = true
+			due = true
 		}
 	}
-	return needed
+	return due
 }
 
-// mayEnterOnTrial reports whether a level may be entered by a condition without a load limit. No level may be able to relieve such
-// pressure, for example if a dependency is slow, and the node must not end up at its most restrictive level then. Levels are therefore
-// tried one at a time, each only after the trial of the previous one has ended. The cost is that a level is left again if its effect
-// alone is too small to measure.
+// mayEnterOnTrial reports whether a level may be entered by a condition without a load limit. It can happen that no level lowers the
+// signals of such a condition, for example if a dependency is slow. The node must then not end up at its most restrictive level. Levels are therefore
+// tried one at a time, each only after the trial of the previous one has ended. The cost is that a level which lowers
+// the signal too little by itself is left again, even if several levels together would lower it enough.
 func (c *Controller) mayEnterOnTrial(now int64, level int) bool {
 	return c.trialOver && now >= c.states[level-1].retryAt && level <= c.level+1
 }
@@ -197,13 +203,13 @@
 	return now-c.idleSince >= c.plan.IdleCondition.Duration
 }
 
-// enter changes to a more restrictive level. For each level that comes into force again soon after it was left, it records the time since
-// the level was last needed, so that the level is held longer next time.
+// enter changes to a more restrictive level. For each level that comes into force less than maxGapFactor times MaxHold after it was
+// last needed, it records that time as a gap, so that the level is held longer next time.
 func (c *Controller) enter(now int64, level int, m *admission.LoadMetrics) Change {
 	for k := c.level; k < level; k++ {
-		needEndedAt := c.states[k].needEndedAt
-		if needEndedAt != never && now-needEndedAt < maxGapFactor*c.plan.MaxHold {
-			c.recordGap(now, k+1, now-needEndedAt)
+		neededBeforeLeaving := c.states[k].neededBeforeLeaving
+		if neededBeforeLeaving != never && now-neededBeforeLeaving < maxGapFactor*c.plan.MaxHold {
+			c.recordGap(now, k+1, now-neededBeforeLeaving)
 		}
 	}
 	s := &c.states[level-1]
@@ -225,8 +231,8 @@
 	return c.changeLevel(now, level, change)
 }
 
-// evaluateTrial ends the trial of a level that was entered by a condition without a load limit, after the trial period. If the level did
-// not improve its signal, it changes to the previous level and delays the next trial.
+// evaluateTrial ends the trial of a level that was entered by a condition without a load limit, after the trial period. If the
+// signal did not fall enough, evaluateTrial changes to the next milder level and delays the next trial.
 func (c *Controller) evaluateTrial(now int64, m *admission.LoadMetrics) (change Change, ineffective bool) {
 	if c.trialOver || now-c.levelSince < c.plan.TrialPeriod {
 		return Change{}, false
@@ -244,16 +250,17 @@
 	return c.changeLevel(now, c.level-1, Change{Cause: Ineffective, Signal: c.entrySignal, Value: value, Limit: limit, ConditionDuration: now - c.levelSince}), true
 }
 
-// changeLevel puts a level into force and fills in the remaining fields of the change.
+// changeLevel puts a level into force and fills in the remaining fields of the change. For each level that is left, it stores when the
+// level was last needed.
 func (c *Controller) changeLevel(now int64, level int, change Change) Change {
 	change.From = c.level
 	change.To = level
 	change.PreviousLevelDuration = now - c.levelSince
 	for k := level; k < c.level; k++ {
 		s := &c.states[k]
-		s.needEndedAt = s.neededAt
+		s.neededBeforeLeaving = s.neededAt
 		if s.neededAt == never {
-			s.needEndedAt = now
+			s.neededBeforeLeaving = now
 		}
 	}
 	c.level = level
--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -12,7 +12,7 @@
 func TestControllerEntersTheNeededLevelInOneStep(t *testing.T) {
 	for load, level := range map[float64]int{0.9: 0, 1.2: 1, 1.6: 2, 2.2: 3, 9: 3} {
 		controller := newController()
-		changes, at := run(controller, 0, 3*second, steady(demand(load)))
+		changes, at := stepEvery50ms(controller, 0, 3*second, steady(metricsOfLoad(load)))
 		assert.Equal(t, level, controller.Level(), "load %g", load)
 		if level > 0 {
 			assert.Len(t, changes, 1)
@@ -25,9 +25,9 @@
 }
 
 // A level must not end because its own effect lowers the load. The exit condition compares the load at the previous level.
-func TestLevelStaysWhileLoadWithoutItExceedsTheCores(t *testing.T) {
+func TestLevelStaysWhileLoadAtFullServiceExceedsTheCores(t *testing.T) {
 	controller := newController()
-	_, at := run(controller, 0, 600*second, steady(demand(1.1)))
+	_, at := stepEvery50ms(controller, 0, 600*second, steady(metricsOfLoad(1.1)))
 	assert.Len(t, at, 1)
 	assert.Equal(t, 1, controller.Level())
 	assert.Less(t, controller.LoadByLevel()[1], 0.85)
@@ -35,8 +35,8 @@
 
 func TestControllerReturnsOneLevelAtATime(t *testing.T) {
 	controller := newController()
-	run(controller, 0, 2*second, steady(demand(3)))
-	changes, _ := run(controller, 2*second, 60*second, steady(demand(0.5)))
+	stepEvery50ms(controller, 0, 2*second, steady(metricsOfLoad(3)))
+	changes, _ := stepEvery50ms(controller, 2*second, 60*second, steady(metricsOfLoad(0.5)))
 	var to []int
 	for _, c := range changes {
 		assert.Equal(t, Recovered, c.Cause)
@@ -47,8 +47,8 @@
 
 func TestIdleNodeReturnsToFullServiceBeforeTheHoldTimeIsOver(t *testing.T) {
 	controller := newController(func(p *Plan) { p.MinHold = 100 * second })
-	run(controller, 0, 2*second, steady(demand(3)))
-	changes, at := run(controller, 2*second, 10*second, steady(demand(0.1)))
+	stepEvery50ms(controller, 0, 2*second, steady(metricsOfLoad(3)))
+	changes, at := stepEvery50ms(controller, 2*second, 10*second, steady(metricsOfLoad(0.1)))
 	assert.Len(t, changes, 1)
 	assert.Equal(t, WentIdle, changes[0].Cause)
 	assert.Equal(t, 3*second, at[0])
@@ -62,9 +62,9 @@
 			p.Levels[k].Enter = append(p.Levels[k].Enter, condition(CallWait, 0.2, second))
 		}
 	})
-	slow := demand(0.5)
+	slow := metricsOfLoad(0.5)
 	slow.CallWait = 0.6
-	changes, at := run(controller, 0, 120*second, steady(slow))
+	changes, at := stepEvery50ms(controller, 0, 120*second, steady(slow))
 	for _, c := range changes {
 		assert.LessOrEqual(t, c.To, 1)
 	}
@@ -76,8 +76,8 @@
 
 func TestEffectiveLevelStays(t *testing.T) {
 	controller := newController(func(p *Plan) { p.Levels[0].Enter = append(p.Levels[0].Enter, condition(CallWait, 0.2, second)) })
-	changes, _ := run(controller, 0, 60*second, func(int64) *admission.LoadMetrics {
-		m := demand(0.9)
+	changes, _ := stepEvery50ms(controller, 0, 60*second, func(int64) *admission.LoadMetrics {
+		m := metricsOfLoad(0.9)
 		m.CallWait = 0.6
 		if controller.Level() > 0 {
 			m.CallWait = 0.3
@@ -90,7 +90,7 @@
 func TestReplacedPlanStartsAtNoMoreRestrictiveLevel(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	controller := newController()
-	run(controller, 0, 2*second, steady(demand(1.6)))
+	stepEvery50ms(controller, 0, 2*second, steady(metricsOfLoad(1.6)))
 	assert.Equal(t, 2, controller.Level())
 	milder := plan(func(p *Plan) { p.Levels = p.Levels[:1] })
 	next, c := controller.ReplacePlan(milder, 3*second, random)
@@ -105,15 +105,15 @@
 	seen := map[int64]bool{}
 	for seed := range int64(50) {
 		controller := NewController(plan(func(p *Plan) { p.Jitter = 0.4 }), 0, rand.New(rand.NewSource(seed)))
-		run(controller, 0, 2*second, steady(demand(1.2)))
-		_, at := run(controller, 2*second, 40*second, steady(demand(0.5)))
+		stepEvery50ms(controller, 0, 2*second, steady(metricsOfLoad(1.2)))
+		_, at := stepEvery50ms(controller, 2*second, 40*second, steady(metricsOfLoad(0.5)))
 		seen[at[0]/(second/20)] = true
 	}
 	assert.Greater(t, len(seen), 20)
 }
 
 func TestStepAllocatesNothing(t *testing.T) {
-	controller, m, now := newController(), demand(1.2), int64(0)
+	controller, m, now := newController(), metricsOfLoad(1.2), int64(0)
 	assert.Zero(t, testing.AllocsPerRun(1000, func() {
 		now += second / 20
 		controller.Step(now, m)
@@ -121,7 +121,7 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	controller, m := newController(), demand(1.1)
+	controller, m := newController(), metricsOfLoad(1.1)
 	b.ReportAllocs()
 	for i := range b.N {
 		controller.Step(int64(i)*second/20, m)
--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -40,7 +40,7 @@
 	Before               Answers `json:"before"`
 }
 
-// Answers counts the answers that the node gave at the previous level.
+// Answers counts the answers that the node gave at the level before the change.
 type Answers struct {
 	Whole            int `json:"whole"`
 	Reduced          int `json:"reduced"`
@@ -52,11 +52,11 @@
 type NodeLog struct {
 	Node           string
 	Changes        int
-	Unreadable     int  // lines that are too long or not valid JSON
-	Drained        bool // the last valid line reports a completed drain; otherwise the node was killed, still runs, or the log is cut off
-	LastAt         time.Time
-	Level          string // after the last change
-	MissingChanges int    // changes that do not start from the level known before, because lines are missing
+	Unreadable     int       // lines that are too long, not valid JSON, or have fields of other types than expected
+	Drained        bool      // the last valid line reports a completed drain; otherwise the node was killed, still runs, or the log is cut off
+	LastAt         time.Time // time of the last valid line
+	Level          string    // after the last change
+	MissingChanges int       // changes that do not start from the level known before, which means that lines are missing
 }
 
 // Timeline holds the changes of level and a summary of each log that was added. The zero value is empty.
@@ -73,7 +73,8 @@
 }
 
 // AddLog reads the log of one node and adds it. It skips text before the first brace of a line, and counts lines without valid JSON as
-// unreadable. The path names the node until the log does.
+// unreadable. The node has the name in the last
+// "listening" line, or the name of the file if there is none.
 func (t *Timeline) AddLog(path string, r io.Reader) error {
 	log := NodeLog{Node: strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)), Level: degradation.FullService}
 	in := bufio.NewReaderSize(r, maxLineBytes)
--- a/internal/degradation/degradationlog/print.go
+++ b/internal/degradation/degradationlog/print.go
@@ -22,7 +22,7 @@
 	}
 	for i := range t.Logs {
 		log := &t.Logs[i]
-		fmt.Fprintf(&b, "%s\t%s\t\t%s\t%d changes, %d unreadable lines, %d gaps; %s\n", timestamp(log.LastAt), log.Node, log.Level, log.Changes,
+		fmt.Fprintf(&b, "%s\t%s\t\t%s\t%d changes, %d unreadable lines, %d missing changes; %s\n", timestamp(log.LastAt), log.Node, log.Level, log.Changes,
 			log.Unreadable, log.MissingChanges, log.end())
 	}
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
@@ -37,7 +37,7 @@
 	if c.Signal == "" {
 		return c.Cause
 	}
-	return fmt.Sprintf("%s: %s %.0f %% past %.0f %% for %.1f s", c.Cause, c.Signal, 100*c.Value, 100*c.Limit, c.ConditionSeconds)
+	return fmt.Sprintf("%s: %s %.0f %%, limit %.0f %%, for %.1f s", c.Cause, c.Signal, 100*c.Value, 100*c.Limit, c.ConditionSeconds)
 }
 
 // end describes how the log ended.
@@ -45,7 +45,7 @@
 	if log.Drained {
 		return "drained"
 	}
-	return "no completed drain: killed or still running"
+	return "no completed drain: killed, still running, or log cut off"
 }
 
 func timestamp(at time.Time) string { return at.UTC().Format(time.DateTime) }
--- a/internal/degradation/degradationlog/print_test.go
+++ b/internal/degradation/degradationlog/print_test.go
@@ -17,7 +17,7 @@
 	require.NoError(t, timeline.Print(&b))
 	rows := strings.Split(b.String(), "\n")
 	assert.Contains(t, rows[1], "n8")
-	assert.Contains(t, rows[1], "entered: load 120 % past 100 % for 0.5 s")
+	assert.Contains(t, rows[1], "entered: load 120 %, limit 100 %, for 0.5 s")
 	assert.Contains(t, rows[2], "n7")
 	assert.Contains(t, b.String(), "drained")
 }
--- a/internal/degradation/degradationplan/plan.go
+++ b/internal/degradation/degradationplan/plan.go
@@ -27,7 +27,7 @@
 	defaultIdleTime      = 1_000_000_000
 )
 
-// Read evaluates a plan file in this process and returns its plan for the given operations.
+// Read evaluates a Jsonnet or JSON file in this process and returns its plan for the given operations.
 func Read(path string, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	file, err := configfile.Read(path)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return Parse(file, operations)
 }
 
-// Parse returns the plan of an evaluated file for the given operations. The error lists all problems of the file.
+// Parse returns the plan of an evaluated file for the given operations. The error lists the problems of
+// the first check that fails: schema, operations and forms, or levels.
 func Parse(file *configfile.File, operations *nodeconfig.Names) (*node.DegradationPlan, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
@@ -135,10 +136,10 @@
 func (b *planBuilder) addLevel(k int) {
 	entry := &b.source.Levels[k]
 	level := degradation.Level{Name: entry.Name, Services: make([]admission.Service, len(b.names)), Exit: entry.Exit.condition()}
-	forms := make([]string, len(b.names))
+	formNames := make([]string, len(b.names))
 	for j, name := range entry.Refuse {
 		if i, known := b.operationIndex(name, levelPath(k, "refuse", fmt.Sprint(j))); known {
-			level.Services[i], forms[i] = b.shedService(k, i)
+			level.Services[i], formNames[i] = b.shedService(k, i)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(entry.Reduce)) {
@@ -147,19 +148,19 @@
 		if known && b.validateReduced(name, path, &level.Services[i], entry.Reduce[name]) {
 			form := entry.Reduce[name]
 			level.Services[i] = admission.Service{Form: admission.Reduced, WorkShare: float64(form.Work), WeightShare: float64(form.Value)}
-			forms[i] = form.Form
+			formNames[i] = form.Form
 		}
 	}
 	for j := range entry.Enter {
 		level.Enter = append(level.Enter, entry.Enter[j].condition())
 	}
 	b.plan.Levels = append(b.plan.Levels, level)
-	b.plan.Forms = append(b.plan.Forms, forms)
+	b.plan.Forms = append(b.plan.Forms, formNames)
 }
 
 // shedService returns the service of an operation that level k sheds. Where the plan uses spare capacity, the operation keeps the form
-// of the previous level, in which it is served while there is spare capacity.
-func (b *planBuilder) shedService(k int, operation int32) (service admission.Service, form string) {
+// of the next milder level, in which it is served while there is spare capacity.
+func (b *planBuilder) shedService(k int, operation int32) (service admission.Service, formName string) {
 	service.Form = admission.Shed
 	if k == 0 || !b.source.Spare {
 		return service, ""
--- a/internal/degradation/degradationplan/plan_test.go
+++ b/internal/degradation/degradationplan/plan_test.go
@@ -65,13 +65,13 @@
 	assert.Equal(t, int64(1e9), p.Levels[0].Enter[0].Duration)
 }
 
-const reducedPlan = `{"name": "p", "forms_known": true, "spare": true, "levels": [
+const planWithReducedForm = `{"name": "p", "forms_known": true, "spare": true, "levels": [
 	{"name": "plain", "reduce": {"catalogue": {"form": "short", "work": "50 %", "value": "80 %"}},
 		"enter": [{"load": "100 %", "for": "1 s"}], "exit": {"load": "85 %", "for": "5 s"}},
 	{"name": "none", "refuse": ["catalogue"], "enter": [{"load": "120 %", "for": "1 s"}], "exit": {"load": "85 %", "for": "5 s"}}]}`
 
-// rendered returns a plan file that is JSON already.
-func rendered(t *testing.T, text string) *configfile.File {
+// parseJSON returns a plan file with the given JSON.
+func parseJSON(t *testing.T, text string) *configfile.File {
 	file, err := configfile.Rendered("plan.json", []byte(text))
 	require.NoError(t, err)
 	return file
@@ -79,7 +79,7 @@
 
 // While there is spare capacity, a shed operation is served in the form that the previous level gives it.
 func TestShedOperationKeepsTheFormOfThePreviousLevel(t *testing.T) {
-	p, err := Parse(rendered(t, reducedPlan), operations)
+	p, err := Parse(parseJSON(t, planWithReducedForm), operations)
 	require.NoError(t, err)
 	assert.Equal(t, admission.Service{Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}, p.Levels[0].Services[0])
 	assert.Equal(t, admission.Service{Form: admission.Shed, WorkShare: 0.5, WeightShare: 0.8}, p.Levels[1].Services[0])
@@ -88,7 +88,7 @@
 }
 
 func TestOmittedSettingsHaveDefaults(t *testing.T) {
-	p, err := Parse(rendered(t, reducedPlan), operations)
+	p, err := Parse(parseJSON(t, planWithReducedForm), operations)
 	require.NoError(t, err)
 	assert.Equal(t, []int64{defaultMinHold, defaultMaxHold, defaultGapHalfLife, defaultTrialPeriod}, []int64{p.MinHold, p.MaxHold, p.GapHalfLife, p.TrialPeriod})
 	assert.Equal(t, []float64{defaultHoldGapFactor, defaultJitter}, []float64{p.HoldGapFactor, p.Jitter})
--- a/internal/degradation/degradationplan/schema.go
+++ b/internal/degradation/degradationplan/schema.go
@@ -44,7 +44,7 @@
    "enter": {"type": "array", "minItems": 1, "maxItems": 8, "items": {"$ref": "#/$defs/condition"}},
    "exit": {"$ref": "#/$defs/condition"}}}}}}`
 
-// planFile holds a plan file as operators write it.
+// planFile holds a plan file as operators write it. Method settings maps its fields to those of degradation.Plan.
 type planFile struct {
 	Name       string           `json:"name"`
 	FormsKnown bool             `json:"forms_known"`
@@ -75,7 +75,7 @@
 	Value configfile.Part `json:"value"`
 }
 
-// conditionEntry holds a condition of a plan file: limits of signals and the time that they have to be passed.
+// conditionEntry holds a condition of a plan file: limits of signals, and for how long signals must be beyond them.
 type conditionEntry struct {
 	Load      *configfile.Part `json:"load"`
 	Wait      *configfile.Part `json:"wait"`
--- a/internal/degradation/degradationplan/show.go
+++ b/internal/degradation/degradationplan/show.go
@@ -15,7 +15,8 @@
 
 const minTotal = 1e-9 // lower bound of totals, so that the shares of an empty mix are finite
 
-// savings sums up the work that a level saves and the billed value that it gives up.
+// savings sums up the work that a level saves and the value that it gives up. The value of an operation is its work times its priority
+// weight.
 type savings struct {
 	work, totalWork   float64
 	value, totalValue float64
@@ -41,8 +42,8 @@
 // valuePercent returns the percentage of the value that is given up.
 func (s *savings) valuePercent() float64 { return 100 * s.value / max(s.totalValue, minTotal) }
 
-// Show prints a plan as a table. A row states how the level serves each operation, the work that the level saves, the billed value that
-// it gives up, and its conditions. The mix gives the share of each operation in the work; an operation that is not in it has no work.
+// Show prints a plan as a table. A row states how the level serves each operation, the work that the level saves, the value that it
+// gives up, and its conditions. The mix gives the share of each operation in the work; an operation that is not in it has no work.
 func Show(w io.Writer, p *node.DegradationPlan, config *nodeconfig.Config, mix map[string]float64) error {
 	names := config.Operations.All()
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
@@ -62,7 +63,7 @@
 		}
 		fmt.Fprintf(&b, "\t%.0f %%\t%.0f %%\t%s\t%s\n", total.workPercent(), total.valuePercent(), enterText(level.Enter), conditionText(&level.Exit, "<"))
 	}
-	fmt.Fprintf(&b, "a level is held for at least %s after it was last needed, %s at most\n", seconds(p.MinHold), seconds(p.MaxHold))
+	fmt.Fprintf(&b, "a level is held for %s to %s after it was last needed, before jitter\n", seconds(p.MinHold), seconds(p.MaxHold))
 	if _, err := io.WriteString(t, b.String()); err != nil {
 		return err
 	}
--- a/internal/degradation/degradationplan/show_test.go
+++ b/internal/degradation/degradationplan/show_test.go
@@ -23,14 +23,14 @@
 }
 
 func TestShowPrintsReducedForms(t *testing.T) {
-	p, err := Parse(rendered(t, reducedPlan), operations)
+	p, err := Parse(parseJSON(t, planWithReducedForm), operations)
 	require.NoError(t, err)
 	config := &nodeconfig.Config{Operations: operations, Node: admission.Config{Operations: []admission.Operation{
 		{PriorityWeight: 1}, {PriorityWeight: 1}, {PriorityWeight: 1}}}}
 	var b strings.Builder
 	require.NoError(t, Show(&b, p, config, map[string]float64{"catalogue": 1}))
 	assert.Regexp(t, `plain +short \(work 50 %, value 80 %\) +whole +whole +50 % +20 % +load > 100 % for 1 s +load < 85 % for 5 s`, b.String())
-	assert.Contains(t, b.String(), "a level is held for at least 10 s after it was last needed, 120 s at most")
+	assert.Contains(t, b.String(), "a level is held for 10 s to 120 s after it was last needed, before jitter")
 	b.Reset()
 	require.NoError(t, Show(&b, p, config, nil))
 	assert.Regexp(t, `plain .* 0 % +0 % `, b.String(), "an empty mix has no savings")
--- a/internal/degradation/degradationplan/testdata/broken/does-the-same.jsonnet
+++ b/internal/degradation/degradationplan/testdata/broken/does-the-same.jsonnet
@@ -1,4 +1,4 @@
-// line 11 | has the same restrictions as levels.0 (no-photos) | remove one
+// line 11 | gives each operation the same form and value as levels.0 (no-photos) | remove one
 {
   name: 'sound',
   levels: [
--- a/internal/degradation/helpers_test.go
+++ b/internal/degradation/helpers_test.go
@@ -15,7 +15,7 @@
 	return c
 }
 
-// plan returns a plan of three levels for the three operations of demand. Level a halves the work of the first operation, level b sheds
+// plan returns a plan of three levels for the three operations of metricsOfLoad. Level a halves the work of the first operation, level b sheds
 // it, and level c sheds the second operation too.
 func plan(change ...func(*Plan)) *Plan {
 	complete, shed := admission.Service{}, admission.Service{Form: admission.Shed}
@@ -36,13 +36,13 @@
 	return NewController(plan(change...), 0, rand.New(rand.NewSource(1)))
 }
 
-// demand returns the metrics of a load, to which the three operations contribute 50, 40 and 10 %.
-func demand(load float64) *admission.LoadMetrics {
+// metricsOfLoad returns the metrics of a load, to which the three operations contribute 50, 40 and 10 %.
+func metricsOfLoad(load float64) *admission.LoadMetrics {
 	return &admission.LoadMetrics{DemandByOperation: []float64{0.5 * load, 0.4 * load, 0.1 * load}}
 }
 
-// run steps the controller each 50 ms and returns the changes of level with their times.
-func run(c *Controller, from, to int64, metrics func(at int64) *admission.LoadMetrics) (changes []Change, at []int64) {
+// stepEvery50ms steps the controller each 50 ms and returns the changes of level with their times.
+func stepEvery50ms(c *Controller, from, to int64, metrics func(at int64) *admission.LoadMetrics) (changes []Change, at []int64) {
 	for now := from; now < to; now += second / 20 {
 		if change, changed := c.Step(now, metrics(now)); changed {
 			changes = append(changes, change)
--- a/internal/degradation/holdtime.go
+++ b/internal/degradation/holdtime.go
@@ -3,9 +3,9 @@
 import "math"
 
 // HoldTime returns how long the present level stays in force after it was last needed. It is HoldGapFactor times the recorded gap between
-// two moments at which the level was needed, but at least MinHold and at most MaxHold, and then jittered. The level thus stays in force
-// between the peaks of a periodic load, of any period, instead of changing back and forth. When the load has fallen for good, the level
-// ends late, by at most MaxHold.
+// two moments at which the level was needed, but at least MinHold and at most MaxHold, before jitter. After a gap was recorded, the
+// level stays in force between the peaks of a periodic load whose gaps are shorter than MaxHold, instead of changing back and forth. When
+// the load has fallen for good, the level ends late, by at most the hold time.
 func (c *Controller) HoldTime(now int64) int64 {
 	if c.level == 0 {
 		return 0
--- a/internal/degradation/signals.go
+++ b/internal/degradation/signals.go
@@ -5,10 +5,10 @@
 // Signal identifies a load metric of the node that conditions of a plan can limit.
 type Signal uint8
 
-// The signals. A level sees the load that the node would have at the previous, milder level. This load does not fall when the level
-// reduces work, so that a level does not end merely because it is effective.
+// The signals. The conditions of a level compare the load that the node would have without it, at the next milder level. This load does
+// not fall when the level reduces work, so that a level does not end merely because it is effective.
 const (
-	Load          Signal = iota // core time demanded at the previous level, as a share of all cores
+	Load          Signal = iota // core time demanded at the next milder level, as a share of all cores
 	QueueWait                   // time until the queue would be empty, divided by the shortest latency objective
 	QueueingDelay               // delay of recent arrivals before they were read, divided by the shortest latency objective
 	CallWait                    // time that a run waits until its call starts, divided by the shortest latency objective
@@ -20,8 +20,8 @@
 // SignalNames holds the name of each signal in plans and logs.
 var SignalNames = [SignalCount]string{"load", "wait", "lag", "calls", "throttled", "memory"}
 
-// measureLoads computes the load that the node would have at each level.
-func (c *Controller) measureLoads(m *admission.LoadMetrics) {
+// computeLoads computes the load that the node would have at each level, from the demand of each operation at full service.
+func (c *Controller) computeLoads(m *admission.LoadMetrics) {
 	for level := range c.loads {
 		sum := m.OverheadShare
 		for op, demand := range m.DemandByOperation {
@@ -34,7 +34,8 @@
 	}
 }
 
-// signalValue returns the value of a signal for a level above full service. Only the load depends on the level.
+// signalValue returns the value of a signal for a level above full service. Only the load depends on the level:
+// it is the load at the next milder level.
 func (c *Controller) signalValue(signal Signal, level int, m *admission.LoadMetrics) float64 {
 	switch signal {
 	case QueueWait:
--- a/internal/degradation/validation.go
+++ b/internal/degradation/validation.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/admission"
 )
 
-// Problem describes an error in a plan. Path names the faulty value by the keys and indices of the plan file, from the outermost in.
+// Problem describes an error in a plan. Path names the faulty value by the keys and indices of the plan file, outermost first.
 // Description is worded to follow the path.
 type Problem struct {
 	Path        []string
@@ -17,7 +17,7 @@
 	Suggestion  string
 }
 
-// levelProblems collects the problems of one level. Paths are relative to it.
+// levelProblems collects the problems of one level. Its method add takes paths relative to the level.
 type levelProblems struct {
 	level int
 	found []Problem
@@ -28,7 +28,8 @@
 	p.found = append(p.found, Problem{Path: at, Description: description, Suggestion: suggestion})
 }
 
-// Validate returns all problems of a plan for a node with the given number of operations, or nil if the plan is valid.
+// Validate returns the problems of a plan for a node with the given number of operations, or nil if there are none. It does not check
+// the idle condition.
 func (p *Plan) Validate(operations int) []Problem {
 	if len(p.Levels) == 0 {
 		return []Problem{{Path: []string{"levels"}, Description: "has no level", Suggestion: "add one"}}
@@ -91,7 +92,7 @@
 		for c := range l.Enter {
 			enter := l.Enter[c].Limits[signal]
 			if exit >= enter {
-				problems.add(fmt.Sprintf("%g %% is not below the %g %% of enter.%d: the level could end as soon as it is entered", 100*exit, 100*enter, c),
+				problems.add(fmt.Sprintf("%g %% is not below the %g %% of enter.%d: the level could end as soon as its hold time is over", 100*exit, 100*enter, c),
 					"lower it", "exit", SignalNames[signal])
 			}
 		}
@@ -104,7 +105,7 @@
 	atMostAsRestrictive := AtMostAsRestrictive(l.Services, previous.Services)
 	switch {
 	case atLeastAsRestrictive && atMostAsRestrictive:
-		problems.add(fmt.Sprintf("has the same restrictions as levels.%d (%s)", previousIndex, previous.Name), "remove one of them")
+		problems.add(fmt.Sprintf("gives each operation the same form and value as levels.%d (%s)", previousIndex, previous.Name), "remove one of them")
 	case atMostAsRestrictive:
 		problems.add(fmt.Sprintf("is less restrictive than levels.%d (%s)", previousIndex, previous.Name), "order levels from the least to the most restrictive")
 	case !atLeastAsRestrictive:
--- a/internal/degradation/validation_test.go
+++ b/internal/degradation/validation_test.go
@@ -18,7 +18,7 @@
 		"has no condition: the level could never be entered": func(p *Plan) { p.Levels[1].Enter = nil },
 		"names no signal: the level would end as soon as its hold time is over": func(p *Plan) { p.Levels[1].Exit.Limits = NoLimits() },
 		"120 % is not below the 100 % of enter.0":                               func(p *Plan) { p.Levels[0].Exit.Limits[Load] = 1.2 },
-		"has the same restrictions as levels.0 (a)":                             func(p *Plan) { p.Levels[1].Services = p.Levels[0].Services },
+		"gives each operation the same form and value as levels.0 (a)":          func(p *Plan) { p.Levels[1].Services = p.Levels[0].Services },
 		"is less restrictive than levels.1 (b)":                                 func(p *Plan) { p.Levels[2].Services = p.Levels[0].Services },
 		"lifts a restriction of levels.1 (b)":                                   func(p *Plan) { p.Levels[2].Services = []admission.Service{{}, {Form: admission.Shed}, {}} },
 		`"full" is reserved for full service`:                                   func(p *Plan) { p.Levels[0].Name = FullService },
