--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -30,7 +30,7 @@
 	_, at := stepEvery50ms(controller, 0, 600*second, steady(metricsOfLoad(1.1)))
 	assert.Len(t, at, 1)
 	assert.Equal(t, 1, controller.Level())
-	assert.Less(t, controller.LoadByLevel()[1], 0.85)
+	assert.Less(t, controller.LoadByLevel()[1], 0.85, "the load at the level must be below the exit limit")
 }
 
 func TestControllerReturnsOneLevelAtATime(t *testing.T) {
@@ -71,9 +71,10 @@
 	assert.Equal(t, []Cause{Entered, Ineffective, Entered, Ineffective, Entered, Ineffective},
 		[]Cause{changes[0].Cause, changes[1].Cause, changes[2].Cause, changes[3].Cause, changes[4].Cause, changes[5].Cause})
 	assert.Equal(t, 3*second, at[1]-at[0])
-	assert.Greater(t, at[4]-at[3], 3*(at[2]-at[1])/2)
+	assert.Greater(t, at[4]-at[3], 3*(at[2]-at[1])/2, "the second retry must come after a longer delay than the first")
 }
 
+// A level that passed its trial must not be left while its signal is still above the enter limit.
 func TestEffectiveLevelStays(t *testing.T) {
 	controller := newController(func(p *Plan) { p.Levels[0].Enter = append(p.Levels[0].Enter, condition(CallWait, 0.2, second)) })
 	changes, _ := stepEvery50ms(controller, 0, 60*second, func(int64) *admission.LoadMetrics {
@@ -101,6 +102,7 @@
 	assert.Equal(t, 0, next.Level(), "the only level of the plan is more restrictive than the present one")
 }
 
+// Nodes of a fleet must not leave a level at the same tick.
 func TestJitterSpreadsHoldTimesOfNodes(t *testing.T) {
 	seen := map[int64]bool{}
 	for seed := range int64(50) {
@@ -109,7 +111,7 @@
 		_, at := stepEvery50ms(controller, 2*second, 40*second, steady(metricsOfLoad(0.5)))
 		seen[at[0]/(second/20)] = true
 	}
-	assert.Greater(t, len(seen), 20)
+	assert.Greater(t, len(seen), 20, "ticks at which 50 nodes leave the level")
 }
 
 func TestStepAllocatesNothing(t *testing.T) {
--- a/internal/degradation/degradationlog/history.go
+++ b/internal/degradation/degradationlog/history.go
@@ -29,8 +29,8 @@
 	Line int       `json:"-"`
 
 	Plan                 string  `json:"plan"`
-	From                 string  `json:"from"`
-	To                   string  `json:"to"`
+	From                 string  `json:"from"` // empty if there was no plan before
+	To                   string  `json:"to"`   // empty if the plan was removed
 	Cause                string  `json:"cause"`
 	Signal               string  `json:"signal"`
 	Value                float64 `json:"value"`
