--- a/internal/degradation/controller_test.go
+++ b/internal/degradation/controller_test.go
@@ -30,7 +30,7 @@
 	_, at := stepEvery50ms(controller, 0, 600*second, steady(metricsOfLoad(1.1)))
 	assert.Len(t, at, 1)
 	assert.Equal(t, 1, controller.Level())
-	assert.Less(t, controller.LoadByLevel()[1], 0.85, "the load at the level must be below the exit limit")
+	assert.Less(t, controller.LoadByLevel()[1], 0.85) // the load at the level must be below the exit limit
 }
 
 func TestControllerReturnsOneLevelAtATime(t *testing.T) {
@@ -71,7 +71,7 @@
 	assert.Equal(t, []Cause{Entered, Ineffective, Entered, Ineffective, Entered, Ineffective},
 		[]Cause{changes[0].Cause, changes[1].Cause, changes[2].Cause, changes[3].Cause, changes[4].Cause, changes[5].Cause})
 	assert.Equal(t, 3*second, at[1]-at[0])
-	assert.Greater(t, at[4]-at[3], 3*(at[2]-at[1])/2, "the second retry must come after a longer delay than the first")
+	assert.Greater(t, at[4]-at[3], 3*(at[2]-at[1])/2) // the second retry must come after a longer delay than the first
 }
 
 // A level that passed its trial must not be left while its signal is still above the enter limit.
@@ -111,7 +111,7 @@
 		_, at := stepEvery50ms(controller, 2*second, 40*second, steady(metricsOfLoad(0.5)))
 		seen[at[0]/(second/20)] = true
 	}
-	assert.Greater(t, len(seen), 20, "ticks at which 50 nodes leave the level")
+	assert.Greater(t, len(seen), 20) // ticks at which 50 nodes leave the level
 }
 
 func TestStepAllocatesNothing(t *testing.T) {
--- a/internal/degradation/degradationlog/history_test.go
+++ b/internal/degradation/degradationlog/history_test.go
@@ -29,7 +29,7 @@
 	for n := range len(sampleLog) {
 		var timeline Timeline
 		require.NoError(t, timeline.AddLog("n.log", strings.NewReader(sampleLog[:n])))
-		assert.Equal(t, strings.Count(sampleLog[:n], "level changed\"}"), len(timeline.Changes), "cut at byte %d", n)
+		assert.Equal(t, strings.Count(sampleLog[:n], "level changed\"}"), len(timeline.Changes))
 	}
 }
 
--- a/internal/degradation/holdtime_test.go
+++ b/internal/degradation/holdtime_test.go
@@ -31,7 +31,7 @@
 	controller.level = 1
 	controller.states[0].gap, controller.states[0].gapRecordedAt = float64(500*second), 0
 	assert.Equal(t, 120*second, controller.HoldTime(0))
-	assert.InDelta(t, 1.25*500/16, float64(controller.HoldTime(3600*second))/1e9, 0.1, "four half-lives")
+	assert.InDelta(t, 1.25*500/16, float64(controller.HoldTime(3600*second))/1e9, 0.1) // four half-lives
 	assert.Equal(t, 10*second, controller.HoldTime(36_000*second))
 }
 
