--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	answerMargin       = 50 * ms // ns before its client timeout at which an invocation that waits for the fleet is answered: time for a sweep, and for the answer's way back
+	answerMargin       = 50 * ms // ns before its client timeout at which an invocation is answered while its claim is open: covers a sweep and the answer's way back
 	claimSweepInterval = 20 * ms // ns between sweeps of the claims whose runs have not started
-	maxRoundsPerStep   = 8       // times that claims client and replica are stepped in turn within one step of the node; the rest waits for the next step
+	maxRoundsPerStep   = 8       // times that claims client and replica are stepped within one step of the node; further inputs wait for the next step
 )
 
 // claimState holds the claims client, which claims tokens from the consensus group, and this node's replica of that group if it has one.
@@ -24,7 +24,7 @@
 	client       *claims.Client
 	clientInputs []claims.Input
 	clientStepAt int64 // when the client must step again
-	sweepAt      int64
+	sweepAt      int64 // when sweepClaims is due
 
 	replica         *consensus.Group
 	replicas        []string // names of the nodes with a replica, sorted
@@ -95,7 +95,8 @@
 	return !sm.results.isKnown(v.tokenKey)
 }
 
-// throttleOnArrival answers an invocation with a throttle as soon as it is read, before it is stored: the node can't admit it yet.
+// throttleOnArrival answers an invocation that the node can't store now with a throttle: no executor has connected yet, the results of
+// an earlier incarnation are still being recovered, or the invocation's token can't be claimed.
 func (sm *StateMachine) throttleOnArrival(link int, stream uint32) {
 	var fields []frame.Field
 	if retryAfter := min(replicaTimeout, sm.config.Node.MaxRetryAfter); retryAfter > 0 {
@@ -105,7 +106,7 @@
 	sm.sendFrame(link, stream, frame.Throttled, fields, nil)
 }
 
-// addClaimInput queues an input of the claims client, where there is one.
+// addClaimInput queues an input for the claims client, if this node has one.
 func (sm *StateMachine) addClaimInput(in claims.Input) {
 	if sm.claiming.client != nil {
 		sm.claiming.clientInputs = append(sm.claiming.clientInputs, in)
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -54,11 +54,11 @@
 	return list
 }
 
-// verdictOn returns the message with which the consensus group answers a command.
-func verdictOn(c claims.Command, answer claims.Answer, more ...func(*claims.Verdict)) *consensus.Message {
+// verdictOn returns the message with which the consensus group answers a command; each function in changes amends the verdict.
+func verdictOn(c claims.Command, answer claims.Answer, changes ...func(*claims.Verdict)) *consensus.Message {
 	v := claims.Verdict{Seq: c.Seq, Answer: answer, Fence: 5}
-	for _, f := range more {
-		f(&v)
+	for _, change := range changes {
+		change(&v)
 	}
 	return &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{v}}
 }
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -135,7 +135,7 @@
 		sm.emit(Effect{Kind: CloseStream, Link: in.Link}) // its message boundaries are no longer known
 		return
 	}
-	if cs.self.Name == "" {
+	if cs.self.Name == "" { // this node takes no part in a consensus group
 		return
 	}
 	cs.streams[m.From] = in.Link
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -17,9 +17,9 @@
 	hollowClaimTimeout  = 5_000 * ms  // ns that a token may wait for its claim: a usual client timeout
 	hollowTokenLifetime = 10_000 * ms // ns for which a token stays known after its end
 	hollowRunTime       = 40 * ms     // ns that a run takes
-	hollowWorkBytes     = 256         // of the data that a claim carries for a takeover
+	hollowWorkBytes     = 256         // size of the takeover data that a claim carries
 	hollowResultBytes   = 64
-	maxHollowTokens     = 4_096 // in flight at one node; more are rejected
+	maxHollowTokens     = 4_096 // tokens in flight at one node; more are rejected
 )
 
 // HollowCounters counts the load of a hollow node and what became of it. The counters are read while the node runs. Times are nanoseconds.
@@ -38,11 +38,11 @@
 }
 
 // recordStart counts the start of a run, and its delay since the token was requested.
-func (c *HollowCounters) recordStart(took int64) {
+func (c *HollowCounters) recordStart(delay int64) {
 	c.RunsStarted.Add(1)
-	c.StartDelaySum.Add(took)
-	if took > c.MaxStartDelay.Load() {
-		c.MaxStartDelay.Store(took)
+	c.StartDelaySum.Add(delay)
+	if delay > c.MaxStartDelay.Load() {
+		c.MaxStartDelay.Store(delay)
 	}
 }
 
@@ -117,7 +117,7 @@
 	sm.claiming.requestSweep(sm.now)
 }
 
-// hollowOperation returns the name of the first operation that uses idempotency tokens, under which a hollow node claims all its tokens.
+// hollowOperation returns the operation that a hollow node claims all its tokens for: the first one with idempotency tokens.
 func (sm *StateMachine) hollowOperation() string {
 	for i := range sm.config.Node.Operations {
 		if sm.config.Node.Operations[i].Idempotency == admission.IdempotentWithKey {
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -48,8 +48,8 @@
 }
 
 // addLeaseVerdicts queues verdicts on this node's requests for leases.
-func (ls *leaseState) addLeaseVerdicts(grants []quota.Verdict) {
-	ls.verdicts = append(ls.verdicts, grants...)
+func (ls *leaseState) addLeaseVerdicts(verdicts []quota.Verdict) {
+	ls.verdicts = append(ls.verdicts, verdicts...)
 }
 
 // requestStep makes the holder step in this step, because the demand has changed.
@@ -78,9 +78,9 @@
 
 // reserveAbandonedUnit reserves the unit of a call that was sent and then abandoned, since the dependency may still be working on it.
 // Without it, each abandoned call would allow the dependency one more concurrent call than the lease has units.
-func (sm *StateMachine) reserveAbandonedUnit(s *catalogueLink) {
+func (sm *StateMachine) reserveAbandonedUnit(link *catalogueLink) {
 	ls := &sm.leases
-	if ls.holder == nil || !s.connected || s.invocation < 0 {
+	if ls.holder == nil || !link.connected || link.invocation < 0 {
 		return
 	}
 	ls.abandonedUntil = append(ls.abandonedUntil, sm.now+ls.config.MaxUseTime/2)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -24,7 +24,7 @@
 	members        *membership.Members
 	id             envelope.Fleet
 	inputs         []membership.Input
-	wakeAt         int64
+	wakeAt         int64 // when the membership must step again
 	executorLostAt int64 // when the node was first seen without an executor, -1 while it has one
 	announcedFacts membership.Facts
 	counters       PeerMessageCounters
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/fleet/consensus"
 )
 
-func TestTakenOverWorkRunsAndItsEndIsReported(t *testing.T) {
+func TestTakenOverInvocationRunsAndItsEndIsReported(t *testing.T) {
 	lostOwner := claimingNode(t)
 	work := commandsForInvocation(t, lostOwner)[0].Work
 	newOwner := claimingNode(t)
