--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -9,17 +9,18 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// maxOpenStreams is how many streams without an answer a connection may have.
+// maxOpenStreams limits the unanswered streams of a connection.
 const maxOpenStreams = 32
 
-// Reasons why a frame or an invocation can't be used.
+// Errors of frames and invocations that can't be used. Those of a broken connection are sent to the dispatcher, so their
+// texts are part of the protocol.
 var (
 	errInvalidField     = errors.New("missing or malformed")
-	errBodyTooLarge     = errors.New("the body is too large")
-	errStreamOrder      = errors.New("stream out of order")
-	errUnknownFrameType = errors.New("unknown type of frame")
-	errTooManyFaults    = errors.New("too many invocations that can't be used")
-	errTooManyStreams   = errors.New("too many streams are open")
+	errBodyTooLarge     = errors.New("body too large")
+	errStreamOrder      = errors.New("stream out of order")                     // sent
+	errUnknownFrameType = errors.New("unknown type of frame")                   // sent
+	errTooManyFaults    = errors.New("too many invocations that can't be used") // sent
+	errTooManyStreams   = errors.New("too many open streams on one connection")
 )
 
 // frameReceived handles a frame on a dispatcher's connection.
@@ -40,7 +41,8 @@
 	}
 }
 
-// invocationReceived admits an invocation for the controller's decision, or answers one that can't be used.
+// invocationReceived submits an invocation to the admission controller, or answers it at once where it can't be used or the
+// node can't take it now.
 func (sm *StateMachine) invocationReceived(c *connection, f *frame.Frame) {
 	if c.broken {
 		sm.failOnBrokenConnection(c, f)
@@ -78,7 +80,7 @@
 	sm.events = append(sm.events, e)
 }
 
-// validateInvocation decodes an invocation and checks that the node may take it.
+// validateInvocation decodes an invocation into v and e, and checks that it can be accepted.
 func (sm *StateMachine) validateInvocation(c *connection, f *frame.Frame, v *invocation, e *admission.Event) error {
 	if err := sm.decodeInvocation(f, v, e); err != nil {
 		return err
@@ -95,20 +97,20 @@
 	return nil
 }
 
-// failMalformed answers an invocation that can't be used. One of an operation or a tenant that was retired is no fault of
-// the connection: callers learn of a change late.
+// failMalformed answers an invocation that can't be used with an error, and counts a fault of its connection. A retired
+// operation or tenant is no fault: callers learn of configuration changes late.
 func (sm *StateMachine) failMalformed(c *connection, v *invocation, err error) {
 	sm.Counters.BrokenInvocations++
 	sm.Counters.Errored++
-	sm.log(Warn, "invocation can't be used", v.invocationID, err)
+	sm.log(Warn, "invocation can't be used; answered with an error", v.invocationID, err)
 	sm.sendFrame(c.link, v.stream, frame.Errored, nil, nil)
 	if !errors.Is(err, errRetired) {
 		sm.connections.countFault(c)
 	}
 }
 
-// failOnBrokenConnection answers what follows a malformed frame with an error: it may be no invocation at all, and a
-// throttle would promise that it has never run.
+// failOnBrokenConnection answers an invocation that follows a malformed frame with an error. The bytes may not be an
+// invocation at all, so the node can't answer with a throttle, which promises that the invocation has never run.
 func (sm *StateMachine) failOnBrokenConnection(c *connection, f *frame.Frame) {
 	if f.Stream <= c.lastStream {
 		return
@@ -119,13 +121,13 @@
 	sm.sendFrame(c.link, f.Stream, frame.Errored, nil, nil)
 }
 
-// sendFrame writes an answer with the current backpressure signal.
+// sendFrame sends an answer with the current backpressure signal.
 func (sm *StateMachine) sendFrame(link int, stream uint32, code byte, fields []frame.Field, body []byte) {
 	head := frame.AppendHeader(nil, frame.Answer, stream, code, sm.withBackpressure(fields), len(body))
 	sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: append(head, body...)})
 }
 
-// withBackpressure adds the backpressure signal to an answer's fields.
+// withBackpressure returns the fields with the backpressure signal appended, where there is one.
 func (sm *StateMachine) withBackpressure(fields []frame.Field) []frame.Field {
 	if sm.backpressure != "" {
 		fields = append(fields, frame.Field{Name: "load", Value: sm.backpressure})
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -17,7 +17,7 @@
 	sent := told(sm, "EXIT 1 "+callID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "result")
-	assert.Empty(t, answers(t, told(sm, "EXIT 1 "+callID+" good 12 6|result")), "a notice is applied once")
+	assert.Empty(t, answers(t, told(sm, "EXIT 1 "+callID+" good 12 6|result")), "a repeated notice is ignored")
 	assert.Zero(t, sm.owedAnswers)
 	assert.Empty(t, sm.indexByID)
 }
@@ -46,19 +46,19 @@
 		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, answers(t, step(sm, broken)))
 	}
 	assert.NotEmpty(t, text(step(sm, invoke(20)), SendToExecutor))
-	assert.Equal(t, []string{"51 on 21"}, answers(t, step(sm, invoke(21))), "its call is in use")
+	assert.Equal(t, []string{"51 on 21"}, answers(t, step(sm, invoke(21))), "an unanswered invocation has the same call id")
 }
 
-func TestBrokenConnectionClosesOnceItsStreamsAreAnswered(t *testing.T) {
-	for what, bad := range map[string]Input{"length": {Kind: FrameMalformed, Link: 7, Err: frame.ErrLength},
+func TestBrokenConnectionClosesAfterItsStreamsAreAnswered(t *testing.T) {
+	for fault, malformed := range map[string]Input{"length": {Kind: FrameMalformed, Link: 7, Err: frame.ErrLength},
 		"order": invoke(1), "type": {Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: 99}}} {
 		sm := up(t)
 		step(sm, invoke(1))
-		assert.Equal(t, []string{"51 on 0", "no more"}, answers(t, step(sm, bad)), what)
-		assert.Equal(t, []string{"51 on 2"}, answers(t, step(sm, invoke(2, "call", "0000000000000000"))), "without a run: "+what)
+		assert.Equal(t, []string{"51 on 0", "no more"}, answers(t, step(sm, malformed)), fault)
+		assert.Equal(t, []string{"51 on 2"}, answers(t, step(sm, invoke(2, "call", "0000000000000000"))), "answered without a run after: "+fault)
 		end := told(sm, "EXIT 1 "+callID+" good 12 6|result")
-		assert.Equal(t, []string{"20 on 1"}, answers(t, end), what)
-		assert.Equal(t, CloseAfterFlush, end[len(end)-1].Kind, what)
+		assert.Equal(t, []string{"20 on 1"}, answers(t, end), fault)
+		assert.Equal(t, CloseAfterFlush, end[len(end)-1].Kind, fault)
 	}
 }
 
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -9,24 +9,25 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-// Timing of the executor's link, in nanoseconds.
+// Timeouts of the executor's link, in nanoseconds.
 const (
 	minRedialBackoff       = 2 * ms
 	maxRedialBackoff       = 500 * ms
-	executorSilenceTimeout = 2_000 * ms // without a line, though gauges are requested at each tick
+	executorSilenceTimeout = 2_000 * ms // without a line; each tick requests gauges, which the executor answers
 )
 
-// executorState is the connection to the executor. A link is dialed, joined, welcomed, and synced once all notices that
-// earlier links missed were received. Commands are sent on a synced link only.
+// executorState manages the links to the executor, of which at most one is current. The node dials a link and sends JOIN with
+// the number of the last notice that it applied. The executor answers WELCOME and repeats the later notices. The link is
+// synced when all of them have been received; commands are sent on a synced link only.
 type executorState struct {
 	sm *StateMachine
 
-	link          int // the open link, 0 without one
-	dialingLink   int // the link being dialed, 0 without one
+	link          int // the open link, 0 if there is none
+	dialingLink   int // the link being dialed, 0 if there is none
 	welcomedLink  int // the last link that the executor welcomed
 	synced        bool
 	lastNotice    int   // number of the last notice applied
-	lastLineAt    int64 // when the link was opened or last brought a line
+	lastLineAt    int64 // when the link was opened or last received a line
 	redialAt      int64
 	redialBackoff int64
 	commands      commandLog
@@ -42,12 +43,12 @@
 
 func (x *executorState) isWelcomed() bool { return x.isConnected() && x.welcomedLink == x.link }
 
-// isSynced reports whether the link carries commands.
+// isSynced reports whether commands can be sent on the link.
 func (x *executorState) isSynced() bool { return x.synced }
 
 func (x *executorState) isDisconnected() bool { return x.link == 0 && x.dialingLink == 0 }
 
-// apply handles an input of one of the executor's links; those of abandoned links are ignored.
+// apply handles an input of one of the executor's links. Inputs of links that are no longer current are ignored.
 func (x *executorState) apply(in *Input) {
 	switch in.Kind {
 	case ExecutorConnected:
@@ -63,10 +64,10 @@
 	}
 }
 
-// connected joins on a new link. Nothing else is sent before the welcome: an executor that is still starting carries out
+// connected sends JOIN on a new link, and nothing else before the welcome: an executor that is still starting carries out
 // no command, not even a request for gauges.
 func (x *executorState) connected(link int) {
-	if link != x.dialingLink { // to an earlier address
+	if link != x.dialingLink { // dialed to an earlier address
 		x.sm.emit(Effect{Kind: CloseExecutor, Link: link})
 		return
 	}
@@ -81,13 +82,13 @@
 
 // disconnected schedules the next dial after a link ended or could not be opened.
 func (x *executorState) disconnected(err error) {
-	x.sm.log(Info, "executor link ended", "", err)
+	x.sm.log(Info, "executor link ended; dialing again after a backoff", "", err)
 	x.reset()
 	x.redialAt = x.sm.now + x.redialBackoff
 	x.redialBackoff = min(2*x.redialBackoff, maxRedialBackoff)
 }
 
-// reset drops the current link, open or being dialed, and fails what depends on it.
+// reset drops the current link, open or being dialed, and fails the deep health checks in progress.
 func (x *executorState) reset() {
 	x.link = 0
 	x.dialingLink = 0
@@ -95,7 +96,8 @@
 	x.sm.health.failDeepChecks()
 }
 
-// addressChanged leaves the link for the new address at once. The next join asks for all notices missed on it.
+// addressChanged closes the link and dials the new address at once. The notices that the old link did not deliver follow
+// the next JOIN.
 func (x *executorState) addressChanged() {
 	x.sm.emit(Effect{Kind: CloseExecutor, Link: max(x.link, x.dialingLink)})
 	x.reset()
@@ -110,23 +112,24 @@
 	}
 }
 
-// closeIfSilent reopens a link without lines. One that was never welcomed may be half open, or the executor late: a new
-// link costs little, and waiting on a dead one would keep the node from serving.
+// closeIfSilent closes a link that has received no line for executorSilenceTimeout, to be dialed again. A link that was never
+// welcomed may be half open, or the executor may be slow. Dialing again costs little, while waiting on a dead link would keep
+// the node from serving.
 func (x *executorState) closeIfSilent() {
 	if !x.isConnected() || x.sm.now-x.lastLineAt < executorSilenceTimeout {
 		return
 	}
 	if x.isWelcomed() {
-		x.sm.log(Warn, "executor link is silent, opened anew", "", nil)
+		x.sm.log(Warn, "executor link is silent; closing it and dialing again", "", nil)
 	} else {
-		x.sm.log(Info, "executor has not welcomed the link, opened anew", "", nil)
+		x.sm.log(Info, "executor has not welcomed the link; closing it and dialing again", "", nil)
 	}
 	x.sm.emit(Effect{Kind: CloseExecutor, Link: x.link})
 	x.reset()
 	x.redialAt = x.sm.now + x.redialBackoff
 }
 
-// dueAt is when the next of the link's timers is due.
+// dueAt returns when the link's next timer is due.
 func (x *executorState) dueAt() int64 {
 	switch {
 	case x.isDisconnected():
@@ -139,7 +142,7 @@
 	return x.lastLineAt + executorSilenceTimeout
 }
 
-// send writes a command that is of no use on a later link.
+// send writes a command that is not repeated on a later link.
 func (x *executorState) send(words ...string) {
 	x.sm.emit(Effect{Kind: SendToExecutor, Link: x.link, Bytes: lineprotocol.Append(nil, words...)})
 }
@@ -147,7 +150,7 @@
 func (x *executorState) lineReceived(line lineprotocol.Line) {
 	x.lastLineAt = x.sm.now
 	if err := x.applyLine(line.Words, line.Body); err != nil {
-		x.sm.log(Warn, "executor can't be understood", "", err)
+		x.sm.log(Warn, "executor sent a malformed line; closing its link", "", err)
 		x.sm.emit(Effect{Kind: CloseExecutor, Link: x.link})
 	}
 }
@@ -185,15 +188,16 @@
 	case "LOG":
 		return x.noticeReceived(words, body)
 	}
-	return fmt.Errorf("line %q", words)
+	return fmt.Errorf("node: unknown or malformed line of the executor: %q", words)
 }
 
-// welcomed starts the controller at the executor's first welcome: its state and age are those of the cores. The notices
-// after the last one applied follow the welcome; the gauges requested here prove that all of them were received.
+// welcomed starts the controller at the executor's first welcome, with the executor's state and age in milliseconds. The
+// executor sends the missed notices after the welcome and before it answers the request for gauges sent here, so that the
+// answer proves that all of them were received.
 func (x *executorState) welcomed(state, age string) {
 	x.welcomedLink = x.link
 	x.send("METER", x.syncTag())
-	if x.sm.controller != nil || x.sm.drain.isExitPending() { // the latter: too late for a node that is exiting
+	if x.sm.controller != nil || x.sm.drain.isExitPending() { // a node about to exit starts no controller
 		return
 	}
 	ageMS, err := strconv.ParseFloat(age, 64)
@@ -204,11 +208,11 @@
 	x.sm.log(Info, "executor is up, serving", state, nil)
 }
 
-// noticeReceived applies a numbered notice once. On a synced link none may be missing.
+// noticeReceived applies a numbered notice unless it was applied before. A gap in the numbers is an error on a synced link.
 func (x *executorState) noticeReceived(words []string, body []byte) error {
 	number := noticeNumber(words)
-	if number <= 0 || number > x.lastNotice+1 && x.synced { // the next link brings those between
-		return fmt.Errorf("notice %d after %d", number, x.lastNotice)
+	if number <= 0 || number > x.lastNotice+1 && x.synced { // the caller closes the link; the next one brings the missing notices
+		return fmt.Errorf("node: notice %d of the executor follows notice %d", number, x.lastNotice)
 	}
 	if number <= x.lastNotice {
 		return nil
@@ -223,7 +227,7 @@
 	return nil
 }
 
-// noticeNumber is a notice's number, or -1 without a valid one.
+// noticeNumber returns the number of a notice, or -1 where it is missing or malformed.
 func noticeNumber(words []string) int {
 	if len(words) < 2 {
 		return -1
@@ -235,20 +239,20 @@
 	return number
 }
 
-// outcomeByWord maps the executor's words for the end of a run.
+// outcomeByWord maps the words by which the executor reports the end of a run.
 var outcomeByWord = map[string]admission.Outcome{
 	"good": admission.Succeeded, "bad": admission.Errored, "cut": admission.Stopped, "gone": admission.NeverStarted,
 }
 
-// runExited answers an invocation with the outcome of its run, unless it was answered before.
+// runExited answers an invocation with the outcome of its run, unless it was answered before, and notifies the controller.
 func (x *executorState) runExited(invocationID, word string, body []byte) error {
 	outcome, known := outcomeByWord[word]
 	if !known {
-		return fmt.Errorf("end %q", word)
+		return fmt.Errorf("node: unknown outcome of a run of the executor: %q", word)
 	}
 	sm := x.sm
 	i, v := sm.findInvocation(invocationID)
-	if v == nil { // released before it ended, or started by an earlier incarnation of this node
+	if v == nil { // it was released before its run ended, or started by an earlier incarnation of this node
 		if outcome <= admission.Errored {
 			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: invocationID, Outcome: uint8(outcome), Result: body})
 		}
@@ -270,7 +274,7 @@
 	return nil
 }
 
-// callRequested passes on that a run waits for a call to the dependency.
+// callRequested notifies the controller that a run waits for a call to the catalogue.
 func (x *executorState) callRequested(invocationID string, body []byte) {
 	sm := x.sm
 	i, v := sm.findInvocation(invocationID)
@@ -279,15 +283,15 @@
 	}
 	x.commands.acknowledgeInvocation(v.invocationID)
 	v.callRequest = body
-	sm.leases.requestStep(sm.now) // the demand for leases has grown
+	sm.leases.requestStep(sm.now) // the demand for calls has grown
 	sm.events = append(sm.events, admission.Event{Kind: admission.CallRequested, Invocation: i})
 }
 
-// commandRefused ends a run that could not start: nothing ran, and the connection that brought it is at fault. A refused
-// reply to a call is a duplicate of one that the executor had read before.
+// commandRefused handles a command that the executor refused. A refused EXEC means that nothing ran; it counts as a fault of
+// the invocation's connection. A refused RETURN needs no action: the executor had already read the reply from an earlier link.
 func (x *executorState) commandRefused(name, invocationID string) {
 	sm := x.sm
-	sm.log(Warn, "executor did not carry out a command", invocationID, nil)
+	sm.log(Warn, "executor refused a command", invocationID, nil)
 	i, v := sm.findInvocation(invocationID)
 	if v == nil || name != "EXEC" {
 		return
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -20,40 +20,41 @@
 	assert.Equal(t, "EXEC "+callID+" catalogue 4\r\nbody\r\n", text(told(sm, "METERS j9 0 0 0 0"), SendToExecutor))
 }
 
-// A process that starts while its executor runs on has to count what its earlier incarnation may still have in flight:
-// its controller gets the start of the cores and that of the process.
+// A process that starts while its executor keeps running must allow for runs that its earlier incarnation still has in
+// flight. The controller therefore gets both start times, that of the executor's cores and that of the process.
 func TestControllerGetsTheProcessStart(t *testing.T) {
 	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
 	require.NoError(t, err)
 	sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
-	var heard *admission.Config
-	var cores int64
+	var given *admission.Config
+	var coresStartedAt int64
 	decisions := sm.Decisions
-	sm.Decisions = func(n *admission.Config, born int64) Decider {
-		heard, cores = n, born
-		return decisions(n, born)
+	sm.Decisions = func(config *admission.Config, born int64) Decider {
+		given, coresStartedAt = config, born
+		return decisions(config, born)
 	}
 	step(sm)
-	began := sm.now
-	sm.now += 3_000 * ms // the executor is out of reach for a while
+	processStartedAt := sm.now
+	sm.now += 3_000 * ms // the executor is unreachable for 3 s
 	step(sm)
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	told(sm, "WELCOME old 60000")
-	require.NotNil(t, heard)
-	assert.False(t, heard.ColdStart)
-	assert.Equal(t, began, heard.ProcessStart)
-	assert.Equal(t, sm.now-60_000*ms, cores)
+	require.NotNil(t, given)
+	assert.False(t, given.ColdStart)
+	assert.Equal(t, processStartedAt, given.ProcessStart)
+	assert.Equal(t, sm.now-60_000*ms, coresStartedAt)
 }
 
 func TestExecutorLinkIsRedialedAfterADialFailure(t *testing.T) {
 	sm := up(t)
-	for range 3 { // the first ends, the others are refused
+	for range 3 { // the first link ends, the later dials fail
 		assert.Empty(t, step(sm, Input{Kind: ExecutorDisconnected, Link: max(sm.executor.link, sm.executor.dialingLink)}))
 		sm.now = sm.executor.redialAt
 		assert.Equal(t, []Effect{{Kind: DialExecutor, Link: sm.lastLink, Address: "executor:1"}}, step(sm))
 	}
 }
 
+// Gauges are not requested before the welcome, so their timer must not wake the node in a loop.
 func TestUnwelcomedLinkDoesNotKeepTheNodeAwake(t *testing.T) {
 	sm := up(t)
 	step(sm, Input{Kind: ExecutorDisconnected, Link: sm.executor.link})
@@ -65,7 +66,7 @@
 	assert.Greater(t, sm.nextWakeup(), sm.now)
 }
 
-// A link may be half open: one that is never welcomed must not keep a node from serving.
+// A link may be half open. A link that is never welcomed must not keep the node from serving.
 func TestUnwelcomedExecutorLinkIsReopened(t *testing.T) {
 	sm := fresh(t)
 	link := sm.executor.link
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -9,38 +9,39 @@
 	"topazpost/internal/resultcache"
 )
 
-// invocation is a dispatcher's invocation, from its arrival until the controller releases its index.
+// invocation is the state of a dispatcher's invocation, from its arrival until the controller releases its index. Times are
+// nanoseconds of the machine's clock.
 type invocation struct {
 	live             bool
 	answered         bool
-	connectionLink   int // link of its connection
+	connectionLink   int // link of the dispatcher's connection, noConnection if taken over from a lost node
 	stream           uint32
-	invocationID     string // the dispatcher's id of it
-	operationName    string // name of its operation
+	invocationID     string // given by the dispatcher
+	operationName    string
 	body             []byte
-	callRequest      []byte // body of the dependency call that its run waits for
-	callInFlight     bool   // that call is in flight
-	callWritten      bool   // a call of it was written to the catalogue, this one or an earlier one
+	callRequest      []byte // body of the call to the catalogue that the run waits for
+	callInFlight     bool   // the call of callRequest is in flight
+	callWritten      bool   // at least one call of the run was written to the catalogue
 	callDeadline     int64
-	tokenKey         resultcache.Key // its Token is empty without an idempotency key
+	tokenKey         resultcache.Key // its Token is empty where the invocation has none
 	bodyHash         uint64
-	tokenExpiresAt   int64 // when its token is forgotten
+	tokenExpiresAt   int64 // when the token expires
 	arrivalEvent     admission.Event
 	arrivedAt        int64
-	deadline         int64 // when its client timeout ends
-	atExecutor       bool  // its run for its token is at the executor
-	inCache          bool  // the result cache knows it
-	runEndUnreported bool  // its run has ended, and its answer waits for the disk
+	deadline         int64 // when the client timeout ends
+	atExecutor       bool  // the executor was sent the run of the token
+	inCache          bool  // it was submitted to the result cache
+	runEndUnreported bool  // its run has ended; the controller learns of it when the result is recorded and the answer sent
 	runOutcome       admission.Outcome
-	abandoned        bool // its caller left, and others wait for its run
-	runForm          admission.Form
-	levelName        string // name of the level whose reduced form runs, empty for the full operation
+	abandoned        bool           // its caller disconnected, but other invocations wait for its run
+	runForm          admission.Form // chosen by the controller, kept until the run's start is recorded
+	levelName        string         // of the reduced form that runs, empty for the full operation
 	operationIndex   int32
 	tenant           int32 // -1 without one
 	terms            *terms
 }
 
-// addInvocation gives an invocation an index.
+// addInvocation stores an invocation and returns its index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
 	sm.versions.acquireReferences(&v, sm.currentTerms(v.operationIndex))
 	index := sm.allocateIndex()
@@ -50,7 +51,7 @@
 	return index
 }
 
-// allocateIndex is a free index of invocations.
+// allocateIndex returns a free index of the table of invocations.
 func (sm *StateMachine) allocateIndex() int32 {
 	last := len(sm.freeIndices) - 1
 	if last < 0 {
@@ -62,7 +63,7 @@
 	return index
 }
 
-// findInvocation is the live invocation of a call, or nil.
+// findInvocation returns the live invocation with an id and its index, or nil and -1.
 func (sm *StateMachine) findInvocation(invocationID string) (int32, *invocation) {
 	if i, ok := sm.indexByID[invocationID]; ok {
 		return i, &sm.invocations[i]
@@ -70,13 +71,14 @@
 	return -1, nil
 }
 
-// releaseInvocation frees an index. Should the controller release an invocation without an answer, it is failed.
+// releaseInvocation frees the index of an invocation. An invocation that the controller releases unanswered is answered
+// with an error.
 func (sm *StateMachine) releaseInvocation(i int32) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live, "an index released is live") {
+	if !sm.Invariants.Check(v.live, "a released invocation index is in use") {
 		return
 	}
-	if !sm.Invariants.Check(v.answered, "what is released was answered") {
+	if !sm.Invariants.Check(v.answered, "a released invocation was answered") {
 		sm.fail(i)
 	}
 	sm.catalogue.cancelCall(i)
@@ -88,10 +90,10 @@
 	sm.freeIndices = append(sm.freeIndices, i)
 }
 
-// startRun sends an invocation to the executor, by way of its token where it has one.
+// startRun sends an invocation to the executor. One with a token goes to the result cache first, which records the start.
 func (sm *StateMachine) startRun(i int32, form admission.Form) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.answered, "no run after an answer") {
+	if !sm.Invariants.Check(v.live && !v.answered, "a run starts only for an unanswered invocation") {
 		return
 	}
 	if v.tokenKey.Token != "" && !v.inCache {
@@ -105,10 +107,10 @@
 	v.body = nil
 }
 
-// callerDisconnected ends an invocation whose caller left, unless others wait for its run.
+// callerDisconnected ends an invocation whose caller disconnected, unless other invocations wait for its run.
 func (sm *StateMachine) callerDisconnected(i int32) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.answered, "an open stream is owed an answer") {
+	if !sm.Invariants.Check(v.live && !v.answered, "the invocation of an open stream is unanswered") {
 		return
 	}
 	sm.Counters.CallersGone++
@@ -122,7 +124,7 @@
 	sm.reportRunEnd(i)
 }
 
-// reject answers with a throttle, which promises that the invocation has never run.
+// reject answers an invocation with a throttle, which promises that it has never run.
 func (sm *StateMachine) reject(a *admission.Action) {
 	var fields []frame.Field
 	if a.Duration > 0 {
@@ -134,7 +136,7 @@
 	sm.answer(a.Invocation, frame.Throttled, fields, nil)
 }
 
-// succeed answers with a result. That of a reduced form names its level.
+// succeed answers an invocation with a result, and names the level if a reduced form ran.
 func (sm *StateMachine) succeed(i int32, result []byte, fields ...frame.Field) {
 	if level := sm.invocations[i].levelName; level != "" {
 		fields = append(fields, frame.Field{Name: "level", Value: level})
@@ -143,17 +145,17 @@
 	sm.answer(i, frame.Succeeded, fields, result)
 }
 
-// fail answers with an error.
+// fail answers an invocation with an error.
 func (sm *StateMachine) fail(i int32) { sm.answer(i, frame.Errored, nil, nil) }
 
-// answer gives the one answer of an invocation.
+// answer sends the only answer of an invocation.
 func (sm *StateMachine) answer(i int32, code byte, fields []frame.Field, body []byte) {
 	v := &sm.invocations[i]
 	if v.abandoned {
 		sm.catalogue.cancelCall(i)
 		return
 	}
-	if !sm.Invariants.Check(v.live && !v.answered, "one answer an invocation") {
+	if !sm.Invariants.Check(v.live && !v.answered, "an invocation is answered once") {
 		return
 	}
 	v.answered = true
@@ -172,13 +174,13 @@
 	}
 }
 
-// endTakenOver ends an invocation that was taken over from a lost node: there is no caller to answer.
+// endTakenOver records the end of an invocation that was taken over from a lost node. It has no caller to answer.
 func (sm *StateMachine) endTakenOver(v *invocation, code byte) {
 	if code != frame.Succeeded {
 		sm.Counters.InheritedGivenUp++
-		sm.log(Info, "work taken over from a lost node is given up here; who asks for it again may run it", v.invocationID, nil)
+		sm.log(Info, "invocation taken over from a lost node ended without a result; a repeat of it may run", v.invocationID, nil)
 	}
 }
 
-// sendCommand sends the executor a command of an invocation.
+// sendCommand sends the executor a command for an invocation.
 func (sm *StateMachine) sendCommand(i int32, bytes []byte) { sm.executor.sendCommand(i, bytes) }
--- a/internal/node/machine_test.go
+++ b/internal/node/machine_test.go
@@ -43,6 +43,6 @@
 		return
 	}
 	again()
-	assert.Equal(t, 1, sm.Invariants.Broken("one answer an invocation"))
+	assert.Equal(t, 1, sm.Invariants.Broken("an invocation is answered once"))
 	assert.Equal(t, 1, sm.Counters.Errored)
 }
