--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -10,37 +10,38 @@
 	"topazpost/internal/resultcache"
 )
 
-const maxTokenBytes = 128 // bytes of a token
+const maxTokenBytes = 128
 
-var errTokenReused = errors.New("node: the token came with another body before")
+var errTokenReused = errors.New("node: the token was used before with another body")
 
-// resultState has the result cache of tokened invocations; without a cache tokens mean nothing.
+// resultState holds the result cache of invocations with a token. Without a cache, tokens are ignored.
 type resultState struct {
 	cache            *resultcache.Cache
-	tokenField       string // name of the field that carries it
+	tokenField       string // name of the field that carries the token
 	pending          map[resultcache.Key]*pendingToken
-	recovering       bool // the store of an earlier incarnation is not read yet
+	recovering       bool // the records that an earlier incarnation stored are not read yet
 	inputs           []resultcache.Input
-	stepping         bool
-	recoveredRecords int // records that the store held at the start
+	stepping         bool // stepCache is running
+	recoveredRecords int  // records read from the store at the start
 }
 
-// pendingToken is a token whose first invocation the admission controller has not run yet; duplicates wait for it.
+// pendingToken is a token whose first invocation, its original, the admission controller has not started yet. Later invocations
+// with the token are its duplicates and wait for the original.
 type pendingToken struct {
 	original   int32
 	bodyHash   uint64
 	duplicates []int32
 }
 
-// EnableResultCache has the node cache results of tokened invocations, whose token comes in a field. With recovering, tokened work is
-// rejected until RecoveryCompleted says that the store was read.
+// EnableResultCache makes the node cache results of invocations that carry a token in the named field. With recovering set, these
+// are rejected until the input RecoveryCompleted reports that the store has been read.
 func (sm *StateMachine) EnableResultCache(config resultcache.Config, field string, recovering bool) {
 	sm.config.Node.MaxDeduplicationEntries = config.MaxTokens()
 	sm.versions.pinIndices(recovering)
 	sm.results = resultState{cache: resultcache.New(config), tokenField: field, pending: make(map[resultcache.Key]*pendingToken), recovering: recovering}
 }
 
-// ResultCacheCounters counts what the result cache did, nil without one.
+// ResultCacheCounters returns the counters of the result cache, nil without one.
 func (sm *StateMachine) ResultCacheCounters() *resultcache.Counters {
 	if sm.results.cache == nil {
 		return nil
@@ -48,21 +49,21 @@
 	return &sm.results.cache.Counters
 }
 
-// enabled says whether results are cached.
+// enabled reports whether results are cached.
 func (rs *resultState) enabled() bool { return rs.cache != nil }
 
-// tokenFieldName is the name of the field that carries a token, empty without a cache.
+// tokenFieldName returns the name of the field that carries a token, empty without a cache.
 func (rs *resultState) tokenFieldName() string { return rs.tokenField }
 
-// isValidToken says whether a token can be used; without a cache any is ignored.
+// isValidToken reports whether a token can be used. Without a cache any token is valid and ignored.
 func (rs *resultState) isValidToken(token string) bool {
 	return rs.cache == nil || len(token) <= maxTokenBytes
 }
 
-// isPending says whether a token's first invocation was not run yet.
+// isPending reports whether the original of a token is known but not started yet.
 func (rs *resultState) isPending(key resultcache.Key) bool { return rs.pending[key] != nil }
 
-// isKnown says whether a token came before, within its window.
+// isKnown reports whether a token is pending or in the cache.
 func (rs *resultState) isKnown(key resultcache.Key) bool {
 	if rs.isPending(key) {
 		return true
@@ -71,22 +72,24 @@
 	return cached
 }
 
-// addPending has duplicates of a token wait for its first invocation.
+// addPending records the original of a token, for which duplicates wait from now on.
 func (rs *resultState) addPending(key resultcache.Key, original int32, bodyHash uint64) {
 	rs.pending[key] = &pendingToken{original: original, bodyHash: bodyHash}
 }
 
-// waiters are the invocations that wait for a token's run, and whether that has not started.
+// waiters returns the invocations that wait for the run of a token, and whether the run has not started yet.
 func (rs *resultState) waiters(key resultcache.Key) (list []int32, notStarted bool) {
 	return rs.cache.Waiters(key)
 }
 
-// awaitingRecovery says whether a tokened invocation must be rejected: what ran in an earlier incarnation is not known yet.
+// awaitingRecovery reports whether an invocation must be rejected because it has a token that an earlier incarnation may have
+// run, and the stored records are not read yet.
 func (sm *StateMachine) awaitingRecovery(v *invocation) bool {
 	return sm.results.recovering && v.tokenKey.Token != ""
 }
 
-// findOriginal finds the invocation that one repeats, and completes its arrival event for the admission controller.
+// findOriginal completes the token key of an invocation and sets Original of its arrival event if the invocation is a duplicate.
+// It drops the token if there is no cache or the operation takes no token. A token with another body than before is an error.
 func (sm *StateMachine) findOriginal(v *invocation, e *admission.Event) error {
 	rs := &sm.results
 	if v.tokenKey.Token == "" {
@@ -115,7 +118,8 @@
 	return nil
 }
 
-// addOriginal records a token's first invocation, which the admission controller may queue, run or reject.
+// addOriginal records and claims a token with its first invocation, which the admission controller may queue, run or reject.
+// Invocations without a token and duplicates are left out.
 func (sm *StateMachine) addOriginal(i, original int32) {
 	v := &sm.invocations[i]
 	if v.tokenKey.Token == "" || original != admission.NoOriginal {
@@ -125,28 +129,28 @@
 	sm.claimToken(i)
 }
 
-// joinOriginal has a repeat wait for the run of its token, or gets it the cached result.
+// joinOriginal makes a duplicate wait for the original of its token. A token that is not pending is answered by the result cache.
 func (sm *StateMachine) joinOriginal(i int32) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.answered && v.tokenKey.Token != "", "only a repeat of a token is reused") {
+	if !sm.Invariants.Check(v.live && !v.answered && v.tokenKey.Token != "", "only an unanswered invocation with a token joins an original") {
 		return
 	}
 	if p := sm.results.pending[v.tokenKey]; p != nil {
 		p.duplicates = append(p.duplicates, i)
 		return
 	}
-	if !sm.results.isKnown(v.tokenKey) { // its original was rejected unrun in the same step
+	if !sm.results.isKnown(v.tokenKey) { // its original was rejected without a run in the same step
 		sm.resubmitInvocation(i)
 		return
 	}
 	sm.submitToCache(i)
 }
 
-// startTokenRun hands a token's first invocation to the cache for its run, and the duplicates that waited for it.
+// startTokenRun submits the original of a token and then its waiting duplicates to the result cache, which starts the run.
 func (sm *StateMachine) startTokenRun(i int32) {
 	v := &sm.invocations[i]
 	p := sm.results.pending[v.tokenKey]
-	if sm.Invariants.Check(p != nil && p.original == i, "a token's first invocation runs") {
+	if sm.Invariants.Check(p != nil && p.original == i, "a run starts for the original of a pending token") {
 		delete(sm.results.pending, v.tokenKey)
 	} else {
 		p = &pendingToken{}
@@ -157,14 +161,15 @@
 	}
 }
 
-// resubmitInvocation submits a repeat anew, as its token's first: what it repeated was rejected unrun, or its caller left.
+// resubmitInvocation replaces a duplicate by a new invocation of the same stream, when its original was rejected without a run
+// or the original's caller disconnected. The first duplicate that is resubmitted becomes the new original.
 func (sm *StateMachine) resubmitInvocation(i int32) {
 	v := sm.invocations[i]
 	c := sm.connections.get(v.connectionLink)
-	if c == nil { // its connection ends in this step, and it with it
+	if c == nil { // the connection ends in this step and the invocation with it
 		return
 	}
-	if !sm.Invariants.Check(v.live && !v.answered, "an invocation submitted anew still waits") {
+	if !sm.Invariants.Check(v.live && !v.answered, "a resubmitted invocation is unanswered") {
 		return
 	}
 	sm.invocations[i].answered = true
@@ -179,7 +184,7 @@
 	e.Age = sm.now - v.arrivedAt + e.Age
 	e.Original = admission.NoOriginal
 	if v.terms != sm.currentTerms(v.operationIndex) {
-		e.Deadline = v.deadline // its client timeout is that of its terms
+		e.Deadline = v.deadline // the operation's client timeout may have changed since the arrival
 	}
 	if p := sm.results.pending[v.tokenKey]; p != nil {
 		e.Original = p.original
@@ -190,8 +195,8 @@
 	sm.notifyController(e)
 }
 
-// removeTokenWaiter removes an invocation that is answered, or whose caller left, from those that wait for its token. It says whether
-// its run must go on all the same, as others wait for it.
+// removeTokenWaiter removes an invocation that was answered, or whose caller disconnected, from the waiters of its token. It
+// reports whether the run of the invocation must go on because others wait for it.
 func (sm *StateMachine) removeTokenWaiter(i int32) (keepRunning bool) {
 	v := &sm.invocations[i]
 	if v.tokenKey.Token == "" {
@@ -204,12 +209,12 @@
 		return false
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.CallerDisconnected, Invocation: i, Key: v.tokenKey})
-	v = &sm.invocations[i] // the step may have moved the invocations
+	v = &sm.invocations[i] // the step may have reallocated the table
 	v.abandoned = v.atExecutor && !v.runEndUnreported && sm.results.cache.JoinedCount(v.tokenKey) > 0
 	return v.abandoned
 }
 
-// removePendingWaiter removes an invocation whose token was not run yet; where it was the first, its duplicates are submitted anew.
+// removePendingWaiter removes an invocation from a pending token. If it was the original, its duplicates are resubmitted.
 func (sm *StateMachine) removePendingWaiter(p *pendingToken, i int32) {
 	if p.original != i {
 		p.duplicates = slices.DeleteFunc(p.duplicates, func(j int32) bool { return j == i })
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -10,7 +10,7 @@
 	"topazpost/internal/resultcache"
 )
 
-// submitToCache hands an invocation to the cache, which decides whether it runs, joins or is answered.
+// submitToCache submits an invocation to the result cache, which runs it, joins it to the run of its token, or answers it.
 func (sm *StateMachine) submitToCache(i int32) {
 	v := &sm.invocations[i]
 	v.inCache = true
@@ -21,7 +21,7 @@
 	sm.stepCache(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.tokenKey, BodyHash: v.bodyHash, Remaining: until - sm.now})
 }
 
-// tokenRunEnded reports to the cache how a run ended. The answer follows once that is written.
+// tokenRunEnded reports the outcome of a run to the result cache, which answers when the outcome is recorded.
 func (sm *StateMachine) tokenRunEnded(i int32, outcome admission.Outcome, body []byte) {
 	v := &sm.invocations[i]
 	v.runEndUnreported = true
@@ -35,12 +35,13 @@
 		ending = resultcache.NeverStarted
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.RunEnded, Key: v.tokenKey, Outcome: ending, Result: body})
-	if sm.invocations[i].answered { // by the step, which may have moved the invocations
+	if sm.invocations[i].answered { // in stepCache, which may have reallocated the table
 		sm.reportRunEnd(i)
 	}
 }
 
-// reportRunEnd reports to the admission controller a run that is over and whose answer waited for the disk.
+// reportRunEnd notifies the admission controller of the end of a run, where it was not notified when the run ended because the
+// answer waited for the record.
 func (sm *StateMachine) reportRunEnd(i int32) {
 	v := &sm.invocations[i]
 	if v.runEndUnreported {
@@ -49,7 +50,7 @@
 	}
 }
 
-// applyStoreInput applies what the store reports.
+// applyStoreInput handles an input of the store. Without a result cache it is ignored.
 func (sm *StateMachine) applyStoreInput(in *Input) {
 	rs := &sm.results
 	if rs.cache == nil {
@@ -67,7 +68,7 @@
 		rs.recovering = false
 		sm.stepCache(resultcache.Input{Kind: resultcache.RecoveryCompleted})
 		counters := &rs.cache.Counters
-		sm.log(Info, fmt.Sprintf("kept results are read: %d records, %d tokens, %d of unknown outcome", rs.recoveredRecords, counters.Entries, counters.Unknown), "", nil)
+		sm.log(Info, fmt.Sprintf("result store read: %d records, %d tokens, %d of unknown outcome", rs.recoveredRecords, counters.Entries, counters.Unknown), "", nil)
 	case RecordWritten:
 		sm.writesFinished(in, resultcache.WriteSucceeded)
 	case RecordWriteFailed:
@@ -75,7 +76,7 @@
 	}
 }
 
-// writesFinished applies the end of writes, and logs where the store begins or ceases to fail.
+// writesFinished passes the end of writes to the result cache, and logs when the store starts or stops failing.
 func (sm *StateMachine) writesFinished(in *Input, kind resultcache.InputKind) {
 	rs := &sm.results
 	before := rs.cache.StoreFailing()
@@ -85,13 +86,14 @@
 	sm.stepCache()
 	after := rs.cache.StoreFailing()
 	if after && !before {
-		sm.log(Warn, "results can't be kept", "", in.Err)
+		sm.log(Warn, "writing results to the store failed", "", in.Err)
 	} else if before && !after {
-		sm.log(Info, "results are kept again", "", nil)
+		sm.log(Info, "results are written to the store again", "", nil)
 	}
 }
 
-// stepCache steps the cache with inputs; what follows from its actions is stepped after them, never within.
+// stepCache steps the result cache with inputs and executes its actions. Inputs that the actions cause are queued for a next step
+// of the loop, as steps must not nest.
 func (sm *StateMachine) stepCache(inputs ...resultcache.Input) {
 	rs := &sm.results
 	rs.inputs = append(rs.inputs, inputs...)
@@ -131,7 +133,7 @@
 	}
 }
 
-// recordRunStart records that a run starts: at the consensus group, else in the store.
+// recordRunStart records that a run starts: in the consensus group where there is one, otherwise in the store.
 func (sm *StateMachine) recordRunStart(a *resultcache.Action) {
 	remaining := a.Until - sm.now
 	if sm.claiming.enabled() {
@@ -141,7 +143,7 @@
 	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: remaining}})
 }
 
-// recordRunEnd records how a run ended.
+// recordRunEnd records the outcome of a run in the consensus group or the store.
 func (sm *StateMachine) recordRunEnd(a *resultcache.Action) {
 	if sm.claiming.enabled() {
 		sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
@@ -151,14 +153,14 @@
 		Remaining: sm.maxTokenLifetime(a.Key.Operation)}})
 }
 
-// answerFromCache answers an invocation with what the cache has for it, and reports to the admission controller that it is over.
+// answerFromCache answers an invocation as the result cache decided, and notifies the admission controller of its end.
 func (sm *StateMachine) answerFromCache(a *resultcache.Action) {
 	i := a.Invocation
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.answered, "the result cache answers only invocations that wait") {
+	if !sm.Invariants.Check(v.live && !v.answered, "the result cache answers only unanswered invocations") {
 		return
 	}
-	ownRun := v.runEndUnreported // a run of its own is over with its answer
+	reportedByAnswer := v.runEndUnreported
 	var fields []frame.Field
 	if a.FromCache {
 		fields = append(fields, frame.Field{Name: "kept", Value: "1"})
@@ -180,12 +182,13 @@
 		}
 		sm.answer(i, frame.Errored, fields, nil)
 	}
-	if !ownRun {
+	if !reportedByAnswer {
 		sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: outcome})
 	}
 }
 
-// outcomeText says to the caller what is known of a run that can't be answered with its result, empty where that is nothing more.
+// outcomeText returns what the caller is told of a run whose result can't be sent, empty if nothing more than the error is
+// known. The texts are part of the protocol.
 func outcomeText(a *resultcache.Action) string {
 	switch {
 	case a.Kind == resultcache.OutcomeUnknown:
@@ -199,7 +202,7 @@
 	}
 }
 
-// expireTokens has tokens expire that are due.
+// expireTokens expires the tokens that are due. Any step of the cache does so; the input itself has no effect.
 func (sm *StateMachine) expireTokens() {
 	rs := &sm.results
 	if rs.cache != nil && sm.now >= rs.cache.NextExpiry() {
@@ -207,7 +210,7 @@
 	}
 }
 
-// resultsDue is when the next token expires.
+// resultsDue returns when the next token expires.
 func (sm *StateMachine) resultsDue() int64 {
 	if sm.results.cache == nil {
 		return never
--- a/internal/node/results_answers_test.go
+++ b/internal/node/results_answers_test.go
@@ -9,6 +9,7 @@
 	"topazpost/internal/resultcache"
 )
 
+// completeWrites reports the records among the effects as written.
 func completeWrites(r *StateMachine, effects []Effect) []Effect {
 	in := Input{Kind: RecordWritten}
 	for _, e := range effectsOfKind(effects, WriteRecord) {
@@ -19,10 +20,10 @@
 
 func TestStartIsWrittenBeforeTheRunAndTheResultBeforeTheAnswer(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
-	intent := step(r, tokenInvocation(1, "a"))
-	assert.Zero(t, countRuns(intent))
-	require.Len(t, effectsOfKind(intent, WriteRecord), 1)
-	assert.Equal(t, 1, countRuns(completeWrites(r, intent)))
+	arrived := step(r, tokenInvocation(1, "a"))
+	assert.Zero(t, countRuns(arrived))
+	require.Len(t, effectsOfKind(arrived, WriteRecord), 1)
+	assert.Equal(t, 1, countRuns(completeWrites(r, arrived)))
 	ended := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	assert.Empty(t, answers(t, ended))
 	require.Len(t, effectsOfKind(ended, WriteRecord), 1)
@@ -51,12 +52,12 @@
 func TestRunOfAnEarlierIncarnationIsNotRepeated(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
 	r.results.recovering = true
-	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, tokenInvocation(1, "a"))), "not known yet")
-	begun := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "a"}, BodyHash: bodyHash}
-	done := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
-	ended := done
+	assert.Equal(t, []string{"50 on 1"}, answers(t, step(r, tokenInvocation(1, "a"))), "the stored records are not read yet")
+	started := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "a"}, BodyHash: bodyHash}
+	startOfEnded := resultcache.Record{Key: resultcache.Key{Tenant: -1, Token: "b"}, BodyHash: bodyHash}
+	ended := startOfEnded
 	ended.Completed, ended.Result = true, []byte("kept")
-	step(r, Input{Kind: RecordsRecovered, Records: []resultcache.Record{begun, done, ended}}, Input{Kind: RecoveryCompleted})
+	step(r, Input{Kind: RecordsRecovered, Records: []resultcache.Record{started, startOfEnded, ended}}, Input{Kind: RecoveryCompleted})
 	sent := step(r, tokenInvocation(2, "a"))
 	assert.Equal(t, []string{"51 on 2"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "unknown")
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -19,7 +19,7 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// cachingNode is a node that caches results, in memory or with a store that the test plays.
+// cachingNode returns a serving node that caches results, in memory or with a store that the test simulates.
 func cachingNode(t *testing.T, durability resultcache.Durability) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(tokenSettings))
 	require.NoError(t, err)
@@ -36,12 +36,12 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// tokenInvocation is an invocation of a token on a stream.
+// tokenInvocation returns the input of an invocation with a token on a stream.
 func tokenInvocation(stream int, token string) Input {
 	return invoke(uint32(stream), "op", "hold", "call", id(stream), "dedupe", token)
 }
 
-// countRuns counts the runs that effects start.
+// countRuns returns the number of runs that the effects start.
 func countRuns(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
 
 func TestDuplicateJoinsTheRunOrGetsTheCachedResult(t *testing.T) {
@@ -53,7 +53,7 @@
 	sent = step(r, tokenInvocation(3, "a"))
 	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
 	assert.Contains(t, text(sent, SendToConnection), "kept")
-	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(4, "b"))), "another token runs")
+	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(4, "b"))), "an invocation with another token runs")
 	step(r)
 	assert.Equal(t, 1, r.owedAnswers)
 	assert.Len(t, r.indexByID, 1)
@@ -76,11 +76,11 @@
 func TestRunGoesOnForJoinedDuplicatesAfterTheCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
-	gone := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}}
-	step(r, gone)
+	cancel := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}}
+	step(r, cancel)
 	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
-	require.NotEmpty(t, r.catalogue.links, "its call is made nevertheless")
+	require.NotEmpty(t, r.catalogue.links, "the call of the abandoned run is made")
 	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
 	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
@@ -91,31 +91,33 @@
 
 func TestDuplicateRunsAfterTheFirstCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
-	intent := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
+	arrived := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}})
-	assert.Contains(t, text(completeWrites(r, intent), SendToExecutor), "EXEC "+id(2))
+	assert.Contains(t, text(completeWrites(r, arrived), SendToExecutor), "EXEC "+id(2))
 }
 
-func TestDuplicatesOfARejectedInvocationAreSubmittedAnew(t *testing.T) {
+// While the original of a token waits in the queue, its caller may disconnect. A duplicate must take its place, or it would wait
+// for a run that never comes.
+func TestDuplicateOfAQueuedInvocationReplacesItWhenItsCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
-	for n := range 24 { // more than run at once
+	for n := range 24 { // more than the node runs at once
 		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
 	var first int32 = -1
-	for _, h := range r.results.pending {
-		first = max(first, h.original)
+	for _, p := range r.results.pending {
+		first = max(first, p.original)
 	}
-	require.GreaterOrEqual(t, first, int32(0), "some are pending")
+	require.GreaterOrEqual(t, first, int32(0), "at least one token is pending")
 	v := r.invocations[first]
-	open := r.owedAnswers
+	owed := r.owedAnswers
 	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
-	assert.Equal(t, open+1, r.owedAnswers)
+	assert.Equal(t, owed+1, r.owedAnswers)
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: v.stream}})
 	step(r)
-	assert.Equal(t, open, r.owedAnswers)
-	h := r.results.pending[v.tokenKey]
-	require.NotNil(t, h)
-	assert.Equal(t, id(100), r.invocations[h.original].invocationID, "the duplicate is its token's original now")
+	assert.Equal(t, owed, r.owedAnswers)
+	p := r.results.pending[v.tokenKey]
+	require.NotNil(t, p)
+	assert.Equal(t, id(100), r.invocations[p.original].invocationID, "the duplicate is now the original of the token")
 }
 
 func TestTokensAreIgnoredWithoutAResultCache(t *testing.T) {
@@ -125,15 +127,16 @@
 	assert.Nil(t, r.ResultCacheCounters())
 }
 
-// A duplicate that came within the window and was read past its end gets the result: it must not run again.
+// A duplicate that arrived within the deduplication window may be read after its end, for example after a pause of the node. It
+// must get the cached result and not run again.
 func TestDuplicateReadPastItsWindowDoesNotRun(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	first := tokenInvocation(1, "a")
 	assert.Equal(t, 1, countRuns(step(r, first)))
-	came := r.now
+	arrivedAt := r.now
 	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
-	r.now, r.executor.lastLineAt = came+20_000*ms+1_500*ms, came+20_000*ms+1_500*ms
-	stamp := fmt.Sprint((came+19_900*ms)/ms + 1_000_000)
+	r.now, r.executor.lastLineAt = arrivedAt+20_000*ms+1_500*ms, arrivedAt+20_000*ms+1_500*ms
+	stamp := fmt.Sprint((arrivedAt+19_900*ms)/ms + 1_000_000)
 	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
 	assert.Zero(t, countRuns(got))
 	assert.Equal(t, []string{"20 on 2"}, answers(t, got))
