--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -27,7 +27,7 @@
 	node.signal(syscall.SIGTERM)
 	node.awaitLog("drain notice")
 	node.signal(syscall.SIGTERM)
-	node.awaitLog("what is in hand is aborted")
+	node.awaitLog("aborting all pending invocations")
 	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
 	idle.awaitNoMore()
--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	catalogueIdleTimeout  = 100 * ms // ns after which the catalogue may have forgotten an idle link
-	maxIdleCatalogueLinks = 8        // those of a burst are not pooled
+	catalogueIdleTimeout  = 100 * ms // ns; later the catalogue may have dropped an idle link
+	maxIdleCatalogueLinks = 8        // pooled; further links, opened for a burst, are closed after use
 	noInvocation          = int32(-1)
 )
 
-// catalogueLink is a link to the catalogue. It carries one call at a time: a malformed or missing reply fails that call
-// only, and the link is closed with it.
+// catalogueLink is a link to the catalogue. It carries one call at a time, so that a malformed or missing reply fails only that
+// call; the link is then closed.
 type catalogueLink struct {
 	id                int
 	address           string
 	connected         bool
-	invocation        int32 // whose call it carries, or noInvocation
-	gotUnmatchedReply bool  // it brought a reply that was not asked for
+	invocation        int32 // the invocation whose call it carries, or noInvocation
+	gotUnmatchedReply bool  // it received a reply that no call in flight asked for
 	idleSince         int64
 }
 
@@ -29,7 +29,7 @@
 
 func (l *catalogueLink) isIdle() bool { return l.connected && !l.isBusy() }
 
-// catalogueState is the links to the catalogue and the calls that wait for one.
+// catalogueState manages the links to the catalogue and the calls that wait for one.
 type catalogueState struct {
 	sm       *StateMachine
 	links    []catalogueLink
@@ -37,22 +37,23 @@
 	maxLinks int
 }
 
-// startCall makes the call that a run waits for.
+// startCall queues the call that a run waits for, and sends it if a link is available.
 func (c *catalogueState) startCall(i int32, deadline int64) {
 	sm := c.sm
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.callInFlight && v.callRequest != nil, "a call is made where a run stands at one") {
+	if !sm.Invariants.Check(v.live && !v.callInFlight && v.callRequest != nil, "a call starts only for a run that requested one") {
 		return
 	}
-	sm.Invariants.Check(sm.leases.allowsCall(sm.now), "a call is made while a lease goes on")
+	sm.Invariants.Check(sm.leases.allowsCall(sm.now), "a call starts only under a valid lease")
 	v.callInFlight = true
 	v.callDeadline = deadline
 	c.waiting = append(c.waiting, i)
 	c.sendWaiting()
 }
 
-// sendWaiting gives each waiting call a link, as far as the limit on links allows. The first call of a run takes the link
-// that became idle last; a later one a new link, on which no duplicate of an earlier reply can arrive.
+// sendWaiting assigns links to waiting calls in order, up to the limit on links. The first call of a run takes the link that
+// became idle last. Replies carry only the id of the invocation, so a later call takes a new link, on which no duplicate of an
+// earlier reply can arrive; at the limit an idle link is closed to make room for it.
 func (c *catalogueState) sendWaiting() {
 	for len(c.waiting) > 0 {
 		i := c.waiting[0]
@@ -73,7 +74,7 @@
 	}
 }
 
-// newestIdleLink is the index of the link that became idle last and has not timed out, or -1.
+// newestIdleLink returns the index of the link that became idle last, or -1 if all idle links have timed out.
 func (c *catalogueState) newestIdleLink() int {
 	newest := -1
 	for k := range c.links {
@@ -101,22 +102,23 @@
 	v.callWritten = true
 	timeout := strconv.FormatInt(max(1, (v.callDeadline-sm.now)/ms), 10)
 	writeBy := int64(0)
-	if sm.leases.enabled() { // a call written late, after a pause, would exceed the lease
+	if sm.leases.enabled() { // a call that the host writes late, after a pause, would outlive the lease
 		writeBy = v.callDeadline
 	}
 	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.invocationID, timeout)})
 }
 
-// closeLink closes a link, which abandons the call on it.
+// closeLink closes a link and counts the call on it, if any, as abandoned.
 func (c *catalogueState) closeLink(k int) {
 	c.sm.reserveAbandonedUnit(&c.links[k])
 	c.sm.emit(Effect{Kind: CloseCatalogue, Link: c.links[k].id})
 	c.links = slices.Delete(c.links, k, k+1)
 }
 
-// releaseLink pools a link for a next call, or closes one that is unsound, outdated or not needed.
+// releaseLink pools a link for a next call. It closes the link instead if that received an unmatched reply or leads to an earlier
+// address, or if enough links are idle.
 func (c *catalogueState) releaseLink(k int) {
-	idle := c.idleLinks()
+	idle := c.idleLinkCount()
 	l := &c.links[k]
 	l.invocation = noInvocation
 	l.idleSince = c.sm.now
@@ -125,14 +127,14 @@
 	}
 }
 
-// openLinks is how many links are open or being dialed.
-func (c *catalogueState) openLinks() int { return len(c.links) }
+// linkCount returns the number of links that are open or being dialed.
+func (c *catalogueState) linkCount() int { return len(c.links) }
 
-// waitingCalls is how many calls have no link.
-func (c *catalogueState) waitingCalls() int { return len(c.waiting) }
+// waitingCallCount returns the number of calls without a link.
+func (c *catalogueState) waitingCallCount() int { return len(c.waiting) }
 
-// idleLinks is how many links carry no call.
-func (c *catalogueState) idleLinks() (count int) {
+// idleLinkCount returns the number of open links without a call.
+func (c *catalogueState) idleLinkCount() (count int) {
 	for k := range c.links {
 		if c.links[k].isIdle() {
 			count++
@@ -141,7 +143,7 @@
 	return count
 }
 
-// cancelCall abandons the call of an invocation, if it has one in flight.
+// cancelCall cancels the call of an invocation, if it has one in flight.
 func (c *catalogueState) cancelCall(i int32) {
 	v := &c.sm.invocations[i]
 	if !v.callInFlight {
@@ -153,22 +155,22 @@
 		return
 	}
 	k := slices.IndexFunc(c.links, func(l catalogueLink) bool { return l.invocation == i })
-	if c.sm.Invariants.Check(k >= 0, "a call in hand has a link or waits for one") {
+	if c.sm.Invariants.Check(k >= 0, "a call in flight has a link or waits for one") {
 		c.closeLink(k)
 	}
 }
 
-// callEnded reports the outcome of a call that is on no link any more.
+// callEnded notifies the controller of the outcome of a call that no link carries any more.
 func (c *catalogueState) callEnded(i int32, outcome admission.Outcome) {
 	c.sm.invocations[i].callInFlight = false
 	c.sm.events = append(c.sm.events, admission.Event{Kind: admission.CallEnded, Invocation: i, Outcome: outcome})
 }
 
-// apply handles an input of one of the catalogue's links; those of closed links are ignored.
+// apply handles an input of one of the catalogue's links. Inputs of links that this node has closed are ignored.
 func (c *catalogueState) apply(in *Input) {
 	k := slices.IndexFunc(c.links, func(l catalogueLink) bool { return l.id == in.Link })
 	if k < 0 {
-		if in.Kind == CatalogueConnected { // closed while it was being dialed
+		if in.Kind == CatalogueConnected { // closeLink was called during the dial
 			c.sm.emit(Effect{Kind: CloseCatalogue, Link: in.Link})
 		}
 		return
@@ -176,7 +178,7 @@
 	switch in.Kind {
 	case CatalogueConnected:
 		c.connected(&c.links[k])
-	case CatalogueDialFailed: // a call that was never written has not run
+	case CatalogueDialFailed: // the call was never written, so it has not run
 		c.disconnected(k, admission.Unreachable, in.Err)
 	case CatalogueDisconnected:
 		c.disconnected(k, admission.ConnectionBroken, in.Err)
@@ -195,7 +197,7 @@
 	}
 }
 
-// disconnected drops a link that ended, with an outcome for the call on it.
+// disconnected drops a link that ended, and ends the call on it with an outcome.
 func (c *catalogueState) disconnected(k int, outcome admission.Outcome, err error) {
 	i := c.links[k].invocation
 	c.sm.log(Debug, "catalogue link ended", "", err)
@@ -206,13 +208,13 @@
 	}
 }
 
-// replyReceived ends a call with the outcome that its reply proves. A reply that was not asked for is ignored; after a
-// malformed one the link is closed.
+// replyReceived ends a call with the outcome that its reply states. A reply to no call in flight is ignored; a malformed reply
+// closes the link and fails the call on it.
 func (c *catalogueState) replyReceived(k int, line lineprotocol.Line) {
 	outcome, valid := replyOutcome(line.Words)
 	if !valid {
 		i := c.links[k].invocation
-		c.sm.log(Warn, "catalogue can't be understood", line.Words[0], nil)
+		c.sm.log(Warn, "catalogue sent a malformed reply; closing its link", line.Words[0], nil)
 		c.closeLink(k)
 		if i != noInvocation {
 			c.callEnded(i, admission.ConnectionBroken)
@@ -238,12 +240,12 @@
 	c.callEnded(i, outcome)
 }
 
-// outcomeByReply maps the catalogue's replies without data.
+// outcomeByReply maps the catalogue's replies without data to the outcomes of calls.
 var outcomeByReply = map[string]admission.Outcome{
 	"LATER": admission.Overloaded, "NOUSE": admission.Unreachable, "FAULT": admission.Errored, "TOOSLOW": admission.TimedOut,
 }
 
-// replyOutcome is the outcome that a reply proves, false for a malformed one.
+// replyOutcome returns the outcome that a reply states, and whether the reply is well-formed.
 func replyOutcome(words []string) (outcome admission.Outcome, valid bool) {
 	if len(words) == 3 && words[1] == "DATA" {
 		return admission.Succeeded, true
@@ -255,7 +257,7 @@
 	return outcome, valid
 }
 
-// expire ends calls at their deadlines and closes links after their idle timeout.
+// expire ends calls that have reached their deadlines and closes links that have reached the idle timeout.
 func (c *catalogueState) expire() {
 	now := c.sm.now
 	for k := len(c.links) - 1; k >= 0; k-- {
@@ -277,7 +279,8 @@
 	c.sendWaiting()
 }
 
-// callTimedOut ends the call on a link; one that was never written has not run.
+// callTimedOut ends the call on a link. A call whose link was still being dialed was never written: it is unreachable, not timed
+// out.
 func (c *catalogueState) callTimedOut(k int) {
 	i := c.links[k].invocation
 	outcome := admission.Unreachable
@@ -288,7 +291,7 @@
 	c.callEnded(i, outcome)
 }
 
-// dueAt is when the next call or idle link expires.
+// dueAt returns when the next call or idle link expires.
 func (c *catalogueState) dueAt() int64 {
 	at := int64(never)
 	for k := range c.links {
@@ -306,7 +309,8 @@
 	return at
 }
 
-// addressChanged closes the links to the earlier address, but for those with a call in flight.
+// addressChanged closes the links to the earlier address, except open links with a call in flight. Calls of links that were
+// still being dialed wait for a new link.
 func (c *catalogueState) addressChanged() {
 	for k := len(c.links) - 1; k >= 0; k-- {
 		l := &c.links[k]
--- a/internal/node/catalogue_test.go
+++ b/internal/node/catalogue_test.go
@@ -17,7 +17,7 @@
 		told(sm, "CALLOUT 1 "+callID+" 3|ask")
 		assert.Regexp(t, "^FETCH "+callID+` \d+ 3\r\nask\r\n$`, text(reached(sm), SendToCatalogue))
 		got := replied(sm, callID+" "+reply)
-		if want == "FETCH" { // again, over a new link
+		if want == "FETCH" { // retried over a new link
 			got = reached(sm)
 		}
 		assert.Contains(t, text(got, SendToExecutor)+text(got, SendToCatalogue)+fmt.Sprint(answers(t, got)), want, reply)
@@ -28,8 +28,8 @@
 	sm := up(t)
 	step(sm, invoke(1))
 	told(sm, "CALLOUT 1 "+callID+" 3|ask")
-	again := step(sm, Input{Kind: CatalogueDialFailed, Link: sm.catalogue.links[0].id})
-	assert.Equal(t, DialCatalogue, again[0].Kind)
+	retried := step(sm, Input{Kind: CatalogueDialFailed, Link: sm.catalogue.links[0].id})
+	assert.Equal(t, DialCatalogue, retried[0].Kind)
 	reached(sm)
 	assert.Equal(t, []string{"51 on 1"}, answers(t, step(sm, Input{Kind: CatalogueDisconnected, Link: sm.catalogue.links[0].id})))
 }
@@ -70,9 +70,9 @@
 	assert.Equal(t, "RETURN "+other+" 1\r\nx\r\n", text(got, SendToExecutor))
 	assert.True(t, sm.catalogue.links[0].connected && sm.catalogue.links[0].invocation < 0, "pooled for the first call of another run")
 	told(sm, "CALLOUT 3 "+other+" 3|ask")
-	assert.Len(t, sm.catalogue.links, 2, "a duplicate of the first reply can't be taken for the second")
+	assert.Len(t, sm.catalogue.links, 2, "the run's second call has a new link, so a duplicate of its first reply can't be taken for the second")
 	got = step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id, Line: lineprotocol.Line{Words: []string{other, "DATA", "0"}}})
-	assert.Equal(t, CloseCatalogue, got[0].Kind, "it brought an unmatched reply")
+	assert.Equal(t, CloseCatalogue, got[0].Kind, "closed after an unmatched reply")
 }
 
 func TestCallsWaitAtTheLinkLimit(t *testing.T) {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,37 +6,38 @@
 	"topazpost/internal/admission"
 )
 
-// Timing of the end of a drain, in nanoseconds.
+// Times at the end of a drain, in nanoseconds.
 const (
-	abortTimeout = 1_000 * ms // from an abort to the kill: for connections to close
-	exitMargin   = 100 * ms   // before the kill at which the process exits, whatever its peers have not read
+	abortTimeout = 1_000 * ms // from an abort to the kill, for connections to close
+	exitMargin   = 100 * ms   // before the kill, at which the process exits even if peers have not read all answers
 )
 
-// drainState is the progress of a graceful shutdown: the notice, the end of accepting, and the exit once nothing is
+// drainState tracks a graceful shutdown: the drain notice, the end of accepting, and the exit, which follows when nothing is
 // pending or shortly before the process is killed.
 type drainState struct {
 	sm             *StateMachine
 	killDelay      int64 // ns from the notice to the kill
-	killAt         int64 // when the process is killed, after the notice
+	killAt         int64 // when the process is killed, set by the notice
 	requested      bool
 	acceptStopped  bool
 	listenerClosed bool
-	exitPending    bool // the controller has finished, and the node exits once all is answered and closed
+	exitPending    bool // the controller has finished; the node exits when all invocations are answered and all connections closed
 }
 
-// isRequested reports whether the drain notice has come.
+// isRequested reports whether the drain notice was received.
 func (d *drainState) isRequested() bool { return d.requested }
 
-// isAcceptStopped reports whether the node accepts no more connections and invocations.
+// isAcceptStopped reports whether the node has stopped accepting connections and invocations.
 func (d *drainState) isAcceptStopped() bool { return d.acceptStopped }
 
 // isExitPending reports whether the node is about to exit.
 func (d *drainState) isExitPending() bool { return d.exitPending }
 
-// setListenerClosed records that no more connections can be opened.
+// setListenerClosed records that the listener is closed, so that no more connections can be opened.
 func (d *drainState) setListenerClosed() { d.listenerClosed = true }
 
-// start passes the drain notice on to the controller. Without one there is nothing to drain.
+// start handles a drain notice: the controller drains the node. A node without a controller has nothing to drain and exits when
+// its connections are closed. Further notices are ignored.
 func (d *drainState) start() {
 	if d.requested {
 		return
@@ -53,19 +54,19 @@
 	sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: d.killAt})
 }
 
-// abort starts the drain if need be and brings the kill forward: all that is pending is answered in this step, and the
-// node exits once its connections are closed.
+// abort starts the drain if it has not started, and brings the kill forward. The controller answers all pending invocations in
+// this step, and the node exits when its connections are closed.
 func (d *drainState) abort() {
 	d.start()
 	sm := d.sm
-	sm.log(Info, "drain notice again: what is in hand is aborted", "", nil)
+	sm.log(Info, "drain notice again; aborting all pending invocations", "", nil)
 	d.killAt = min(d.killAt, sm.now+abortTimeout)
 	if sm.controller != nil {
 		sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now})
 	}
 }
 
-// stopAccepting closes the listener and asks all dispatchers to send no more.
+// stopAccepting closes the listener and sends a go-away on every connection.
 func (d *drainState) stopAccepting() {
 	if d.acceptStopped {
 		return
@@ -77,14 +78,14 @@
 	d.sm.connections.sendGoAwayToAll()
 }
 
-// setExitPending has the node exit as soon as nothing is pending.
+// setExitPending makes the node exit as soon as nothing is pending, and logs the controller's report of the drain.
 func (d *drainState) setExitPending(report string) {
 	d.exitPending = true
 	d.sm.log(Info, report, "", nil)
 }
 
-// finish exits once all is answered and every connection is closed, so that what crosses a go-away is answered too, or
-// shortly before the kill.
+// finish exits when all invocations are answered and every connection is closed, so that invocations that cross a go-away are
+// answered too. Shortly before the kill it exits with connections open.
 func (d *drainState) finish() {
 	if !d.exitPending || d.sm.owedAnswers > 0 {
 		return
@@ -95,7 +96,7 @@
 	}
 	d.exitPending = false
 	if open > 0 {
-		d.sm.log(Warn, fmt.Sprintf("leaving with %d connections that have not ended", open), "", nil)
+		d.sm.log(Warn, fmt.Sprintf("exiting with %d connections still open", open), "", nil)
 	}
 	d.sm.announceLeaving()
 	d.sm.emit(Effect{Kind: Exit})
@@ -103,7 +104,7 @@
 
 func (d *drainState) exitDeadline() int64 { return d.killAt - exitMargin }
 
-// dueAt is when the node exits at the latest.
+// dueAt returns when the node exits at the latest, if only connections hold up the exit.
 func (d *drainState) dueAt() int64 {
 	if d.exitPending && d.sm.owedAnswers == 0 {
 		return d.exitDeadline()
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	deepCheckTimeout = 900 * ms // ns; dispatchers wait little longer
+	deepCheckTimeout = 900 * ms // ns; dispatchers wait only a little longer
 	maxDeepChecks    = 32       // in progress at a time
 )
 
-// deepCheck is a health check that the executor works on.
+// deepCheck is a health check that the executor carries out.
 type deepCheck struct {
 	link     int
 	stream   uint32
 	deadline int64
 }
 
-// healthChecks answers the dispatchers' health checks.
+// healthChecks answers health checks of dispatchers: a shallow check from the health that the controller last reported, a deep
+// check after asking the executor.
 type healthChecks struct {
 	sm            *StateMachine
-	healthy       bool                 // as the controller last reported
-	cached        bool                 // deep checks are answered by that as well
-	deepChecks    map[string]deepCheck // by tag
-	lastTagNumber int                  // deep checks so far
+	healthy       bool                 // last reported by the controller
+	cachedOnly    bool                 // deep checks are answered like shallow ones
+	deepChecks    map[string]deepCheck // by the tag of the executor command
+	lastTagNumber int                  // number of the last tag given
 }
 
-// setHealth sets what the controller reports.
+// setHealth stores a health report of the controller.
 func (h *healthChecks) setHealth(healthy, cached bool) {
 	h.healthy = healthy
-	h.cached = cached
+	h.cachedOnly = cached
 }
 
-// isServing reports whether the node takes invocations and is healthy.
+// isServing reports whether the node has a controller and is healthy.
 func (h *healthChecks) isServing() bool { return h.sm.controller != nil && h.healthy }
 
-// received answers a health check, or passes a deep one to the executor.
+// received answers a health check, or starts a deep check if one was requested and can start.
 func (h *healthChecks) received(c *connection, f *frame.Frame) {
 	fields, _, err := frame.Fields(f.Payload)
 	if err != nil || f.Oversized {
-		h.sm.log(Warn, "health check can't be read", "", err)
+		h.sm.log(Warn, "malformed health check", "", err)
 	} else {
 		c.markUsed(h.sm.now)
 	}
@@ -58,7 +59,7 @@
 }
 
 func (h *healthChecks) canStartDeepCheck() bool {
-	return h.healthy && !h.cached && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deepChecks) < maxDeepChecks
+	return h.healthy && !h.cachedOnly && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deepChecks) < maxDeepChecks
 }
 
 func (h *healthChecks) startDeepCheck(c *connection, stream uint32) {
@@ -79,7 +80,7 @@
 	h.sm.emit(Effect{Kind: SendToConnection, Link: link, Bytes: head})
 }
 
-// deepCheckFinished answers a deep check, if it has not timed out.
+// deepCheckFinished answers a deep check, unless it was answered before, for example by a timeout.
 func (h *healthChecks) deepCheckFinished(tag string, passed bool) {
 	d, ok := h.deepChecks[tag]
 	if !ok {
@@ -93,14 +94,14 @@
 	}
 }
 
-// failDeepChecks fails all deep checks when the executor's link is lost.
+// failDeepChecks answers all deep checks as failed, when the executor's link is lost.
 func (h *healthChecks) failDeepChecks() {
 	for _, tag := range slices.Sorted(maps.Keys(h.deepChecks)) {
 		h.deepCheckFinished(tag, false)
 	}
 }
 
-// expire fails the deep checks that have timed out.
+// expire answers the deep checks that have timed out as failed.
 func (h *healthChecks) expire() {
 	for _, tag := range slices.Sorted(maps.Keys(h.deepChecks)) {
 		if h.sm.now >= h.deepChecks[tag].deadline {
@@ -109,7 +110,7 @@
 	}
 }
 
-// dueAt is when the next deep check times out.
+// dueAt returns when the next deep check times out.
 func (h *healthChecks) dueAt() int64 {
 	at := int64(never)
 	for _, d := range h.deepChecks {
