--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -20,7 +20,7 @@
 	Source                  string // "fleet", or at startup "disk" or "file"
 	Canary                  bool   // this node belongs to the version's canary stage
 	Added, Changed, Removed int
-	TookNS                  int64
+	TookNS                  int64 // from the start of validation until it was in force
 }
 
 // ConfigSyncStatus is the state of configuration replication that a node shows to operators.
@@ -28,9 +28,9 @@
 	Version             uint64              `json:"version"`
 	Digest              string              `json:"digest"`
 	Source              string              `json:"source"`
-	AgeNS               int64               `json:"age_ns"`
-	ReplicaContactAgeNS int64               `json:"seat_heard_ns"` // since a replica last confirmed what is in force, -1 before the first
-	Behind              bool                `json:"behind,omitempty"`
+	AgeNS               int64               `json:"age_ns"`           // since the version came into force here
+	ReplicaContactAgeNS int64               `json:"seat_heard_ns"`    // since a replica last confirmed what is in force, -1 before the first
+	Behind              bool                `json:"behind,omitempty"` // a newer version is in force for all nodes
 	BehindNS            int64               `json:"behind_ns,omitempty"`
 	RefusedVersion      uint64              `json:"refused,omitempty"`
 	RefusalReason       string              `json:"why,omitempty"`
@@ -142,6 +142,7 @@
 	return amendment.Changes, sm.validateChanges(amendment.Changes)
 }
 
+// nodeconfigItems converts items of configuration replication to those of nodeconfig.
 func nodeconfigItems(items []configsync.Item) []nodeconfig.Item {
 	list := make([]nodeconfig.Item, len(items))
 	for i := range items {
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -115,8 +115,8 @@
 	}
 	next, err := content.Apply(items)
 	require.NoError(t, err)
-	mark := configsync.Revision{Version: 9, Digest: next.Digest()}
-	sm.executeConfigEffect(&configsync.Effect{Kind: configsync.ApplyVersion, Revision: mark, Old: content, New: next})
+	revision := configsync.Revision{Version: 9, Digest: next.Digest()}
+	sm.executeConfigEffect(&configsync.Effect{Kind: configsync.ApplyVersion, Revision: revision, Old: content, New: next})
 	steps := 0
 	for ; sm.configSync.pending != nil; steps++ {
 		slotsBefore := sm.config.Tenants.Slots()
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -223,17 +223,17 @@
 
 // executorOperation returns the name by which the executor knows an operation in a form. For a reduced form it also returns the name of
 // the level.
-func (sm *StateMachine) executorOperation(op string, form admission.Form) (class, level string) {
+func (sm *StateMachine) executorOperation(operation string, form admission.Form) (name, levelName string) {
 	ds := &sm.degradation
 	if form != admission.Reduced || ds.level() == 0 {
-		return op, ""
+		return operation, ""
 	}
-	i, _ := sm.config.Operations.Lookup(op) // finds operations out of service too, which may still have runs
-	class = ds.plan.Forms[ds.level()-1][i]
-	if !sm.Invariants.Check(class != "", "the plan has an executor's name for each reduced run") {
-		return op, ""
+	i, _ := sm.config.Operations.Lookup(operation) // finds operations out of service too: their invocations can still start runs
+	name = ds.plan.Forms[ds.level()-1][i]
+	if !sm.Invariants.Check(name != "", "the plan has an executor's name for each reduced run") {
+		return operation, ""
 	}
-	return class, ds.levelName()
+	return name, ds.levelName()
 }
 
 // countAnswer counts an answer at the level in force.
--- a/internal/node/degradation_plan.go
+++ b/internal/node/degradation_plan.go
@@ -11,19 +11,19 @@
 // plan was written for, those of originalNames. The two can differ because versions add and remove operations in service. Entries for
 // operations that the node doesn't have are left out.
 func remapPlan(plan *DegradationPlan, originalNames, ownNames *nodeconfig.Names) *DegradationPlan {
-	fitted := *plan
-	fitted.Levels = slices.Clone(plan.Levels)
-	fitted.Forms = make([][]string, len(plan.Levels))
-	for k := range fitted.Levels {
-		fitted.Levels[k].Services = make([]admission.Service, ownNames.Slots())
-		fitted.Forms[k] = make([]string, ownNames.Slots())
+	remapped := *plan
+	remapped.Levels = slices.Clone(plan.Levels)
+	remapped.Forms = make([][]string, len(plan.Levels))
+	for k := range remapped.Levels {
+		remapped.Levels[k].Services = make([]admission.Service, ownNames.Slots())
+		remapped.Forms[k] = make([]string, ownNames.Slots())
 	}
 	for i := range int32(ownNames.Slots()) {
 		if ownNames.Has(i) {
-			fitted.remapOperation(i, ownNames.Name(i), plan, originalNames)
+			remapped.remapOperation(i, ownNames.Name(i), plan, originalNames)
 		}
 	}
-	return &fitted
+	return &remapped
 }
 
 // remapOperation sets the entries at an index to those that the original plan has for the operation with a name. They are cleared if it
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -10,7 +10,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// testPlan returns a plan that reduces the operation catalogue at its first level and sheds it at its second. Levels are entered above a load.
+// testPlan returns a plan that reduces the operation catalogue at its first level and sheds it at its second. A level is entered
+// when the load exceeds enter.
 func testPlan(enter float64) *DegradationPlan {
 	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
@@ -56,10 +57,10 @@
 // Guards against a plan whose entries apply to the wrong operations, when the node has other indices than the plan was written for.
 func TestPlanIsRemappedByOperationNames(t *testing.T) {
 	plan := testPlan(1)
-	own := nodeconfig.NewNames("hold", "new", "catalogue")
-	fitted := remapPlan(plan, nodeconfig.NewNames("catalogue", "gone"), own)
-	assert.Equal(t, []admission.Service{{}, {}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}}, fitted.Levels[0].Services)
-	assert.Equal(t, []string{"", "", "catalogue-plain"}, fitted.Forms[0])
-	assert.Equal(t, admission.Shed, fitted.Levels[1].Services[2].Form)
+	ownNames := nodeconfig.NewNames("hold", "new", "catalogue")
+	remapped := remapPlan(plan, nodeconfig.NewNames("catalogue", "gone"), ownNames)
+	assert.Equal(t, []admission.Service{{}, {}, {Form: admission.Reduced, WorkShare: 0.5, WeightShare: 0.8}}, remapped.Levels[0].Services)
+	assert.Equal(t, []string{"", "", "catalogue-plain"}, remapped.Forms[0])
+	assert.Equal(t, admission.Shed, remapped.Levels[1].Services[2].Form)
 	assert.Len(t, plan.Levels[0].Services, 2, "the original plan is unchanged")
 }
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -71,7 +71,7 @@
 	assert.Equal(t, -1.0, change.Limit)
 }
 
-func TestDrainKeepsItsLevel(t *testing.T) {
+func TestDrainKeepsDegradationLevel(t *testing.T) {
 	sm := nodeAtLevel(t, 2)
 	step(sm, Input{Kind: DrainRequested})
 	next := testPlan(1e9)
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -9,7 +9,7 @@
 
 const (
 	maxReleasesPerStep    = 16           // retired indices that one step examines for release
-	tenantCountsRetention = 120_000 * ms // ns after its last invocation in which a tenant's counts in the admission controller decay to nothing
+	tenantCountsRetention = 120_000 * ms // ns without invocations after which the admission controller has no counts of a tenant left
 )
 
 // terms are the time limits of an operation under which invocations were accepted. An invocation keeps its terms when a version changes
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxChangesPerStep  = 256   // changes applied in one step, which take some hundreds of microseconds
-	maxLookupsPerStep  = 4_096 // changes validated in one step, which take some hundreds of microseconds
-	maxPendingVersions = 64    // versions queued while a large one is applied
+	maxChangesPerStep     = 256   // changes applied in one step, which take some hundreds of microseconds
+	maxValidationsPerStep = 4_096 // changes validated in one step, which take some hundreds of microseconds
+	maxPendingVersions    = 64    // versions queued while a large one is applied
 )
 
 var (
@@ -33,26 +33,26 @@
 
 // pendingVersion is a configuration version that is being brought into force.
 type pendingVersion struct {
-	number    uint64
-	amendment *nodeconfig.Amendment
-	changes   []nodeconfig.Change // changes of the amendment that are not applied yet
-	lookedUp  int                 // number of changes validated so far
-	validated bool
-	counts    changeCounts
+	number           uint64
+	amendment        *nodeconfig.Amendment
+	changes          []nodeconfig.Change // changes of the amendment that are not applied yet
+	validatedChanges int                 // number of them validated so far
+	validated        bool
+	counts           changeCounts
 }
 
 // versionState brings configuration versions into force between the decisions of the admission controller, a bounded part in each
 // step. It counts the references that invocations in flight hold to operations and tenants, so that indices are reused only after the
 // last reference is gone.
 type versionState struct {
-	activeVersion    uint64 // last version that is wholly in force
+	activeVersion    uint64 // number of the last version that is wholly in force
 	pending          []pendingVersion
 	termsByOperation [][]*terms // by operation index; the current terms are last; empty before the first invocation
 	inFlightByTenant map[int32]int
-	retiredIndices   []retiredIndex // ordered by checkAt
-	retiredAt        map[indexKey]int64
-	maxLifetime      int64 // ns, longest token lifetime that any operation has had; 0 before the first change
-	indicesPinned    bool  // stored results refer to indices, so versions must not add or remove operations or tenants
+	retiredIndices   []retiredIndex     // in the order of retirement or last check
+	retiredAt        map[indexKey]int64 // when an index was last taken out of service
+	maxLifetime      int64              // ns, longest token lifetime that any operation has had; 0 before the first change
+	indicesPinned    bool               // stored results refer to indices, so versions must not add or remove operations or tenants
 }
 
 // ActiveVersion returns the number of the last configuration version that is wholly in force, 0 before the first.
@@ -128,14 +128,14 @@
 	sm.Counters.Versions++
 }
 
-// validateVersion validates up to maxLookupsPerStep changes of a version. When all are examined it returns complete, with an error if the
+// validateVersion validates up to maxValidationsPerStep changes of a version. When all are examined it returns complete, with an error if the
 // version can't be applied. It changes nothing in force.
 func (sm *StateMachine) validateVersion(v *pendingVersion) (complete bool, err error) {
-	for end := v.lookedUp + maxLookupsPerStep; v.lookedUp < len(v.changes); v.lookedUp++ {
-		if v.lookedUp == end {
+	for end := v.validatedChanges + maxValidationsPerStep; v.validatedChanges < len(v.changes); v.validatedChanges++ {
+		if v.validatedChanges == end {
 			return false, nil
 		}
-		if err := sm.validateChanges(v.changes[v.lookedUp : v.lookedUp+1]); err != nil {
+		if err := sm.validateChanges(v.changes[v.validatedChanges : v.validatedChanges+1]); err != nil {
 			return true, err
 		}
 	}
@@ -180,17 +180,17 @@
 func (sm *StateMachine) applyChange(v *pendingVersion, c nodeconfig.Change) {
 	sm.initMaxLifetime()
 	c.Operation.SkippedCallWeightShare = 0 // the protocol on sockets can't express that a run goes on without its call; see withoutUnsupported
-	t := sm.config.Apply(&c)
+	result := sm.config.Apply(&c)
 	switch {
-	case !t.Changed:
+	case !result.Changed:
 		return
-	case t.Removed:
+	case result.Removed:
 		v.counts.removed++
-		sm.retireIndex(indexKey{part: c.Part, index: t.Index})
+		sm.retireIndex(indexKey{part: c.Part, index: result.Index})
 		return
-	case t.Added:
+	case result.Added:
 		v.counts.added++
-		delete(sm.versions.retiredAt, indexKey{part: c.Part, index: t.Index})
+		delete(sm.versions.retiredAt, indexKey{part: c.Part, index: result.Index})
 	default:
 		v.counts.changed++
 	}
@@ -198,14 +198,14 @@
 		return
 	}
 	op := c.Operation
-	sm.versions.replaceTerms(t.Index, &op)
-	if t.Added {
-		sm.degradation.remapOperation(t.Index, c.Name)
+	sm.versions.replaceTerms(result.Index, &op)
+	if result.Added {
+		sm.degradation.remapOperation(result.Index, c.Name)
 	}
 	sm.emit(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
 	if sm.controller != nil {
-		sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: t.Index, Operation: &op,
-			Services: sm.degradation.servicesOf(t.Index)})
+		sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: result.Index, Operation: &op,
+			Services: sm.degradation.servicesOf(result.Index)})
 	}
 }
 
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -60,7 +60,7 @@
 	return told(sm, fmt.Sprintf("EXIT %d %s good 12 6|result", sm.executor.lastNotice+1, id(stream)))
 }
 
-func TestVersionIsAppliedBetweenTwoSteps(t *testing.T) {
+func TestSmallVersionIsAppliedInOneStep(t *testing.T) {
 	sm := up(t)
 	assert.Equal(t, []string{"51 on 1"}, answers(t, step(sm, arrival(sm, 1, "op", "new"))))
 	require.NoError(t, applyVersion(t, sm, operation("new", `,"class_calls":true`), tenant("x", 3), nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after",
@@ -114,7 +114,7 @@
 	assert.Empty(t, sm.Invariants.All())
 }
 
-// Guards against a step that applies an unbounded number of changes, and against a version that stalls until a timer of something else: while
+// Guards against a step that applies an unbounded number of changes, and against a version that waits for an unrelated timer: while
 // changes are left, the next step is due at once.
 func TestLargeVersionIsAppliedInBoundedSteps(t *testing.T) {
 	sm := up(t)
@@ -168,7 +168,7 @@
 }
 
 // Guards against a change whose cost grows with the configuration. Allocations are compared, as times are not reproducible.
-func TestCostOfAChangeIsIndependentOfTheTableSize(t *testing.T) {
+func TestCostOfAChangeIsIndependentOfConfigurationSize(t *testing.T) {
 	small, large := allocationsPerChange(t, 20, 20), allocationsPerChange(t, 2_000, 40_000)
 	assert.InDelta(t, small, large, 3)
 }
@@ -238,7 +238,7 @@
 	sm := up(t)
 	sm.versions.indicesPinned = true
 	items := []nodeconfig.Item{operation("catalogue", `,"importance":7`)}
-	for k := range 2 * maxLookupsPerStep {
+	for k := range 2 * maxValidationsPerStep {
 		items = append(items, removal(nodeconfig.Tenants, fmt.Sprint("t", k)))
 	}
 	refused := items[: len(items)-1 : len(items)-1]
