--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -107,7 +107,7 @@
 		c.emit(skipCall(i))
 		c.setState(inv, stateRunning)
 	case c.isCallFutile(inv):
-		c.rejectOrFail(i, ReasonNoCallCapacity)
+		c.rejectOrFail(i, ReasonCallFutile)
 	default:
 		c.startCallWithinLimits(i, latestEnd)
 	}
--- a/internal/admission/digest_test.go
+++ b/internal/admission/digest_test.go
@@ -81,7 +81,7 @@
 	d.addInteger(int64(s.CallsInFlight))
 	d.addFloats(s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay)
 	d.addFloats(s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare)
-	d.addFloats(s.CallTime, s.CallFailureShare, s.MaxCallTime, s.CallQuotaUsed)
+	d.addFloats(s.CallTime, s.CallFailureShare, s.MaxNextCallTime, s.CallQuotaUsed)
 	d.addFloats(s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
 	d.addInteger(int64(s.Callers))
 	d.addBooleans(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
--- a/internal/admission/randomevents_test.go
+++ b/internal/admission/randomevents_test.go
@@ -157,7 +157,7 @@
 	fmt.Fprintf(out, " Lag:%v Reading:%v MeanReading:%v Pace:%v", s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable,
 		s.ServiceTimeRatio)
 	fmt.Fprintf(out, " Stall:%v Patient:%v CallTime:%v CallFails:%v", s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare)
-	fmt.Fprintf(out, " CallRoom:%v CallUsed:%v Open:%v Said:%v", s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal)
+	fmt.Fprintf(out, " CallRoom:%v CallUsed:%v Open:%v Said:%v", s.MaxNextCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal)
 	fmt.Fprintf(out, " Arrivals:%v Echoes:%v Throttled:%v Callers:%v", s.Arrivals, s.Retries, s.Rejected, s.Callers)
 	fmt.Fprintf(out, " Memory:%v AllFull:%v Unhealthy:%v Free:%v}", s.Memory, s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -19,7 +19,7 @@
 	CallerWaitShare    float64 `json:"patient"`      // share of the client timeout until which most callers wait
 	CallTime           float64 `json:"call_time_ns"` // usual duration of a call
 	CallFailureShare   float64 `json:"call_fails"`   // share of recent calls that failed
-	MaxCallTime        float64 `json:"call_room_ns"` // of the next call; 0 if no call may start
+	MaxNextCallTime    float64 `json:"call_room_ns"` // of the next call; 0 if no call may start
 	CallQuotaUsed      float64 `json:"call_used"`    // share of the quota of calls
 	AdvertisedCapacity float64 `json:"open"`         // share of the maximum load that callers are asked for
 	LastSignal         float64 `json:"said"`         // last backpressure value, -1 before the first
@@ -52,7 +52,7 @@
 		CallerWaitShare:    c.callers.waitShare,
 		CallTime:           c.calls.usualDuration(),
 		CallFailureShare:   c.calls.failures.Mean(0),
-		MaxCallTime:        float64(c.maxNextCallTime()),
+		MaxNextCallTime:    float64(c.maxNextCallTime()),
 		CallQuotaUsed:      c.calls.quotaUsed.Sum() / max(1, c.config.CallQuota*float64(c.config.CallQuotaWindow)),
 		AdvertisedCapacity: c.backpressure.advertisedCapacity,
 		LastSignal:         c.backpressure.lastSignal,
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -118,7 +118,7 @@
 // controllerState adds the state that decisions are made by.
 func (d digest) controllerState(s *admission.ControllerState) {
 	d.floats(s.Limit, s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
-		s.MaxCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
+		s.MaxNextCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
 	d.integers(int64(s.OnCores), int64(s.Queued), int64(s.AwaitingCall), int64(s.CallsInFlight), int64(s.Callers))
 	d.bools(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
