--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, "50 on 3 ", d.answer())
 	node.executor.notify("EXIT %d " + call + " good 3 2\r\nok\r\n")
 	assert.Equal(t, "20 on 1 ok", d.answer())
-	node.awaitLog("drain: in flight at start 1, completed 3, abandoned 0")
+	node.awaitLog("drain: 1 in flight at the request, 3 ended since, 0 abandoned at the deadline")
 	assert.NoError(t, await(t, node.exited))
 }
 
--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -16,7 +16,7 @@
 	ReportHealth                         // answer health checks with the given result from now on
 	SignalBackpressure                   // send callers a new backpressure value
 	SetTimer                             // send TimerFired at the given time
-	StopAccepting                        // emitted by each Decide after the end of intake, until the drain has finished
+	StopAccepting                        // accept no more connections; emitted by each Decide from the end of intake until the drain has finished
 	Exit                                 // the drain has finished
 	Release                              // the invocation has ended, and its index may be used again
 )
@@ -30,7 +30,7 @@
 	Duration   int64   // Reject: Retry-After; RecordKey: retention
 	Value      float64 // SignalBackpressure
 	Healthy    bool    // ReportHealth
-	Cached     bool    // ReportHealth: health checks are answered with this report, without a new check
+	Cached     bool    // ReportHealth: deep health checks are answered with this report too, see Config.DeepHealthChecks; always set
 	NoRetry    bool    // Reject: the caller is asked not to retry elsewhere
 	Reason     Reason  // Reject, Fail
 	Form       Form    // Run: Complete or Reduced
@@ -72,8 +72,7 @@
 	return Action{Kind: SkipCall, Invocation: invocation}
 }
 
-// reportHealth makes the host answer health checks with this result, because a deep check at each request would cost
-// work.
+// reportHealth makes the host answer all health checks with this result, because a deep check costs the executor work.
 func reportHealth(healthy bool) Action {
 	return Action{Kind: ReportHealth, Healthy: healthy, Cached: true}
 }
--- a/internal/admission/arrival.go
+++ b/internal/admission/arrival.go
@@ -3,9 +3,9 @@
 import "cmp"
 
 const (
-	// objectivePerDefaultWork is the ratio of an operation's latency objective to its default work, which is assumed for
-	// invocations whose expected work is unknown.
-	objectivePerDefaultWork = 8
+	// defaultWorkDivisor yields the work that is assumed if the expected work is unknown: the latency objective divided
+	// by it. Measured core times correct the assumption.
+	defaultWorkDivisor = 8
 )
 
 // handleArrival queues an invocation, joins it to the invocation that it repeats, or rejects it.
@@ -44,7 +44,7 @@
 		arrivedAt:   arrivedAt,
 		deadline:    cmp.Or(e.Deadline, arrivedAt+op.ClientTimeout),
 		queuedKB:    e.QueuedKB,
-		baseWork:    float64(cmp.Or(e.ExpectedWork, op.LatencyObjective/objectivePerDefaultWork)),
+		baseWork:    float64(cmp.Or(e.ExpectedWork, op.LatencyObjective/defaultWorkDivisor)),
 		workShare:   1,
 		weightShare: 1,
 	}
--- a/internal/admission/backpressure.go
+++ b/internal/admission/backpressure.go
@@ -5,8 +5,8 @@
 const (
 	noSignal = -1.0 // lastSignal before the first backpressure value
 
-	highQueueWait         = 0.5   // of the shortest latency objective; above it, the advertised capacity falls
-	lowQueueWait          = 0.25  // of the shortest latency objective; below it, the advertised capacity rises
+	highQueueWaitRatio    = 0.5   // queue wait over the shortest latency objective, above which the advertised capacity falls
+	lowQueueWaitRatio     = 0.25  // queue wait over the shortest latency objective, below which the advertised capacity rises
 	capacityIncrease      = 0.02  // of the maximum, added at each tick with a low queue wait
 	capacityDecrease      = 0.05  // of the current value, subtracted at each tick with a high queue wait
 	minAdvertisedCapacity = 0.025 // of the maximum; above 0, because some load must arrive to show that the overload has ended
@@ -15,8 +15,8 @@
 	maxBackpressureLevel = 0.5   // outside a drain; at higher levels, callers would hardly send operations of low priority
 	signalStepsPerUnit   = 100.0 // resolution of signalled values
 
-	overloadRetryShare    = 0.3  // share of retries among arrivals above which the fleet counts as overloaded
-	overloadRejectedShare = 0.15 // share of rejected arrivals up to which the fleet no longer counts as overloaded
+	overloadRetryShare    = 0.3  // share of retries among arrivals, above which a node that rejects much takes the fleet for overloaded
+	overloadRejectedShare = 0.15 // share of rejected arrivals, up to which the fleet does not count as overloaded
 )
 
 // backpressureState is the state of the backpressure that the node applies to its callers.
@@ -38,9 +38,10 @@
 	c.signalIfChanged(c.backpressureValue(effectiveCallers))
 }
 
-// detectFleetOverload infers from a high share of retries that other nodes reject work as well, so that retrying
-// elsewhere is of no use. Retries cease when callers are asked not to retry, so that a low share of retries does not
-// prove the end of the overload: it ends when few arrivals are rejected.
+// detectFleetOverload infers an overload of the fleet when this node rejects much and many arrivals are retries: other
+// nodes then reject work as well, and retrying elsewhere is of no use. Retries cease when callers are asked not to retry,
+// so that few retries do not prove the end of the overload: it ends when few arrivals are rejected. If callers don't mark
+// their retries, each rejection counts as a retry, and rejections alone decide.
 func (b *backpressureState) detectFleetOverload(callers *callerStatistics) {
 	manyRetries := callers.retries > overloadRetryShare*callers.arrivals
 	manyRejected := callers.rejected > overloadRejectedShare*callers.arrivals
@@ -50,9 +51,9 @@
 // adjustCapacity raises or lowers the advertised capacity, depending on the queue wait. Both durations are in
 // nanoseconds.
 func (b *backpressureState) adjustCapacity(queueWait, shortestObjective float64) {
-	if queueWait > highQueueWait*shortestObjective {
+	if queueWait > highQueueWaitRatio*shortestObjective {
 		b.advertisedCapacity = max(minAdvertisedCapacity, b.advertisedCapacity*(1-capacityDecrease))
-	} else if queueWait < lowQueueWait*shortestObjective {
+	} else if queueWait < lowQueueWaitRatio*shortestObjective {
 		b.advertisedCapacity = min(1, b.advertisedCapacity+capacityIncrease)
 	}
 }
--- a/internal/admission/backpressure_test.go
+++ b/internal/admission/backpressure_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestFullQueueIsHealthyButSignalsBackpressure(t *testing.T) {
+// Load alone must not make a node unhealthy: callers are asked for less load instead.
+func TestFullQueueIsHealthyButLowersAdvertisedCapacity(t *testing.T) {
 	c := newTestController(func(n *Config) { n.Backpressure = BackpressureLevel })
 	for range 20 {
 		insertInvocation(c, 0, stateQueued)
--- a/internal/admission/callers.go
+++ b/internal/admission/callers.go
@@ -8,15 +8,15 @@
 
 const (
 	counterDecay    = 0.98    // factor of recent counts at each tick: a time constant of 2.5 s
-	minCallerCount  = 0.05    // a caller below this count is removed: the signal that it received is out of date
-	minTenantCount  = 0x1p-53 // a tenant below this count is removed: added to one arrival, it is lost in rounding
+	minCallerCount  = 0.05    // a caller below this count is removed: the backpressure signal that it received last is out of date
+	minTenantCount  = 0x1p-53 // a tenant below this count is removed, which changes no decision: 1 plus 2^-53 is 1 in floating point
 	minSquaredCount = 1e-9    // prevents a division by zero
 
 	queueingDelaySamples = 8.0 // arrivals over which the queueing delay is smoothed
 
 	waitTimeBins          = 24   // equal parts of the client timeout
 	maxWaitSamples        = 96.0 // about ten seconds of arrivals at a small node
-	minWaitingCallerShare = 0.67 // share of callers that must still be waiting for a run to be worth its cost
+	minWaitingCallerShare = 0.67 // a run is worth its cost while at least this share ("most") of the callers still wait
 )
 
 // callerStatistics are statistics of recent arrivals, by caller and by tenant, and of how long callers wait. The counts
@@ -79,7 +79,8 @@
 }
 
 // effectiveCallers returns the effective number of callers, at least 1: the squared sum of their counts over the sum of
-// the squared counts. It equals the number of callers if all are equally active.
+// the squared counts. It equals the number of callers if all are equally active. Callers whose count rounds to 0 are left
+// out.
 func (s *callerStatistics) effectiveCallers() float64 {
 	sum := 0.0
 	squares := minSquaredCount
--- a/internal/admission/callers_test.go
+++ b/internal/admission/callers_test.go
@@ -14,7 +14,7 @@
 			c.Decide(c.now, []Event{{Kind: Arrived, Invocation: k, Tenant: min(k, int32(tenants)) - 1, Original: NoOriginal, QueuedKB: 1}})
 		}
 		assert.Len(t, c.callers.byTenant.Counts(), min(40, tenants+1))
-		for range 2_100 { // ticks without arrivals
+		for range 2_100 { // ticks without arrivals, more than the decay from 40 arrivals to minTenantCount takes
 			c.updateBackpressure()
 		}
 		assert.Empty(t, c.callers.byTenant.Counts(), "tenants are removed when their counts are negligible")
--- a/internal/admission/callquota_test.go
+++ b/internal/admission/callquota_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// restartCase describes a restart of a share of the nodes.
+// restartCase describes a restart of a share of the nodes. With coldStart, a node assumes that its quota was used.
 type restartCase struct {
 	share     float64
 	coldStart bool
@@ -127,7 +127,8 @@
 
 // The calls of all nodes together must stay within the quota of the shared dependency, even if all nodes are killed and
 // restarted within its window: calls of the killed processes still occupy the dependency, and a new process doesn't know
-// how much of the quota its predecessor used. For a total quota of N calls, the bound is N + 2 sqrt(N) + 2. A restarted
+// how much of the quota its predecessor used. For a total quota of N calls, the bound is N + 2 sqrt(N) + 2, which allows
+// for random variation. At least 0.3 N shows that the quota is used. A restarted
 // process runs on cores that start with it, or on cores that started earlier.
 func TestFleetCallsStayWithinTheQuotaThroughRestarts(t *testing.T) {
 	restarts := []restartCase{
--- a/internal/admission/calls.go
+++ b/internal/admission/calls.go
@@ -11,10 +11,10 @@
 	meanBlockedWindow = float64(second)          // ns, the duration of several runs
 	unlimitedDuration = int64(math.MaxInt64 / 4) // ns; added to any time, it doesn't overflow
 
-	maxCallAttempts        = 4   // an attempt that may have been executed counts as two or more, see extraAttempts
+	maxCallAttempts        = 4   // limit of callAttemptsCharged
 	retryableCallTimeRatio = 6.0 // timeout of a call that may be retried, over the usual duration
 
-	usableCallQuotaShare    = 0.9 // the rest of the quota covers delays by ticks and pauses
+	usableCallQuotaShare    = 0.9 // the rest of the quota covers delays by ticks and execution pauses
 	callQuotaSlices         = 10  // slices of the quota's sliding window
 	callQuotaDivisor        = 3.0 // a call may take the unused quota divided by this number
 	smallQuotaCallTimeRatio = 8.0 // over the usual duration: what a call may take even if the unused quota is small
@@ -23,23 +23,23 @@
 
 // dependencyCalls is the state of the calls that the node's runs make to the dependency.
 type dependencyCalls struct {
-	limit        int                  // maximum of calls in flight, from a lease; math.MaxInt where no leases are used
-	maxDuration  int64                // ns, of each call under a lease
-	meanBlocked  float64              // smoothed number of runs that are blocked on calls
-	quotaUsed    stats.SlidingSum     // ns, duration of calls within the quota's window
-	failures     stats.RatioHistogram // 1 for a failed call, 0 for a successful one
-	durations    stats.RatioHistogram // over durationUnit
-	durationUnit float64              // ns
+	limit          int                  // maximum of calls in flight, from a lease; math.MaxInt where no leases are used
+	maxDuration    int64                // ns, of each call under a lease
+	meanBlocked    float64              // smoothed number of runs that are blocked on calls
+	quotaUsed      stats.SlidingSum     // ns, duration of calls within the quota's window
+	failures       stats.RatioHistogram // 1 for a failed call, 0 for a successful one, which counts as the lowest bin
+	durationRatios stats.RatioHistogram // over durationUnit
+	durationUnit   float64              // ns
 }
 
 func newDependencyCalls(config *Config, durationUnit float64) dependencyCalls {
 	return dependencyCalls{
-		limit:        math.MaxInt,
-		maxDuration:  unlimitedDuration,
-		quotaUsed:    stats.NewSlidingSum(config.CallQuotaWindow, callQuotaSlices),
-		failures:     newRatioHistogram(maxCallSamples),
-		durations:    newRatioHistogram(maxCallSamples),
-		durationUnit: durationUnit,
+		limit:          math.MaxInt,
+		maxDuration:    unlimitedDuration,
+		quotaUsed:      stats.NewSlidingSum(config.CallQuotaWindow, callQuotaSlices),
+		failures:       newRatioHistogram(maxCallSamples),
+		durationRatios: newRatioHistogram(maxCallSamples),
+		durationUnit:   durationUnit,
 	}
 }
 
@@ -71,7 +71,7 @@
 
 // observe records the duration (ns) and the outcome of a call.
 func (d *dependencyCalls) observe(duration float64, outcome Outcome) {
-	d.durations.Add(duration / d.durationUnit)
+	d.durationRatios.Add(duration / d.durationUnit)
 	if outcome == Succeeded {
 		d.failures.Add(0)
 	} else {
@@ -79,8 +79,8 @@
 	}
 }
 
-// usualDuration returns the mean duration of recent calls (ns), 0 before the first one.
-func (d *dependencyCalls) usualDuration() float64 { return d.durations.Mean(0) * d.durationUnit }
+// usualDuration returns the mean duration (ns) of recent calls and of one assumed call of duration 0.
+func (d *dependencyCalls) usualDuration() float64 { return d.durationRatios.Mean(0) * d.durationUnit }
 
 // startCalls starts the calls that runs await, by descending weight, and by age among equal weights.
 func (c *Controller) startCalls() {
@@ -117,7 +117,9 @@
 func (inv *invocation) canSkipCall() bool { return inv.operation.SkippedCallWeightShare > 0 }
 
 // callAttemptsExhausted reports whether the call has failed too often to be retried.
-func (inv *invocation) callAttemptsExhausted() bool { return inv.callAttempts >= maxCallAttempts }
+func (inv *invocation) callAttemptsExhausted() bool {
+	return inv.callAttemptsCharged >= maxCallAttempts
+}
 
 // shouldSkipCall reports whether to skip a call: because it has failed too often, because it is too late for the run to
 // meet its objective, or at random, with the share of recent calls that failed as the probability.
@@ -150,7 +152,7 @@
 	}
 	inv.callStartedAt = c.now
 	inv.callDeadline = deadline
-	inv.callAttempts++
+	inv.callAttemptsCharged++
 	c.emit(startCall(i, deadline))
 	c.setState(inv, stateCalling)
 }
@@ -162,8 +164,9 @@
 	if inv.canSkipCall() {
 		return min(deadline, latestEnd)
 	}
-	usualRatio := c.calls.durations.Mean(0)
-	if inv.operation.Idempotency == Idempotent && inv.callAttempts < maxCallAttempts/2 && usualRatio > 0 {
+	usualRatio := c.calls.durationRatios.Mean(0)
+	// Below half of the attempts, a timed-out attempt, which is charged twice, still leaves one for the retry.
+	if inv.operation.Idempotency == Idempotent && inv.callAttemptsCharged < maxCallAttempts/2 && usualRatio > 0 {
 		return min(deadline, c.now+int64(retryableCallTimeRatio*usualRatio*c.calls.durationUnit))
 	}
 	return deadline
@@ -202,25 +205,25 @@
 }
 
 // handleCallEnded records the end of a call. A failed call is retried if it was certainly not executed, or once if its
-// operation is idempotent. Retries make up for lost replies, but add load to a dependency that fails under load.
+// operation is Idempotent. Retries make up for lost replies, but add load to a dependency that fails under load.
 func (c *Controller) handleCallEnded(inv *invocation, outcome Outcome) {
 	duration := float64(c.now - inv.callStartedAt)
 	c.calls.observe(duration, outcome)
 	if outcome == Succeeded {
-		inv.operation.blockedTimes.Add(duration / float64(inv.operation.LatencyObjective))
-		inv.callAttempts = 0
+		inv.operation.blockedTimeRatios.Add(duration / float64(inv.operation.LatencyObjective))
+		inv.callAttemptsCharged = 0
 		c.setState(inv, stateRunning)
 		return
 	}
 	c.setState(inv, stateAwaitingCall)
 	if outcome != Overloaded && outcome != Unreachable {
-		inv.callAttempts += extraAttempts(inv.operation.Idempotency)
+		inv.callAttemptsCharged += extraAttempts(inv.operation.Idempotency)
 		c.calls.countAbandoned(c.now, c.config)
 	}
 }
 
-// extraAttempts returns how many attempts a failed call that may have been executed counts as, in addition to its own.
-// The number rules out a retry unless the operation is idempotent.
+// extraAttempts returns the attempts that are charged, besides its own, for a failed call that may have been executed.
+// They rule out a retry unless the operation is Idempotent.
 func extraAttempts(idempotency Idempotency) int {
 	if idempotency == Idempotent {
 		return 1
--- a/internal/admission/calls_test.go
+++ b/internal/admission/calls_test.go
@@ -6,14 +6,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCallThatMayHaveRunIsRetriedOnceAndOnlyIfIdempotent(t *testing.T) {
+// A call that was certainly not executed is retried until its attempts are exhausted.
+func TestFailedCallIsRetriedOnceIfItMayHaveRunAndOnlyIfIdempotent(t *testing.T) {
 	for outcome, notExecuted := range map[Outcome]bool{Overloaded: true, Unreachable: true,
 		TimedOut: false, ConnectionBroken: false, Errored: false} {
 		for op, wantRetries := range []int{1, 0} { // the idempotent operation, the one with a key
 			c := newTestController()
 			inv := insertInvocation(c, op, stateCalling)
 			inv.callStartedAt = c.now
-			inv.callAttempts = 1
+			inv.callAttemptsCharged = 1
 			retries := 0
 			for c.handleCallEnded(inv, outcome); ; c.handleCallEnded(inv, outcome) {
 				c.startCalls()
@@ -30,12 +31,14 @@
 	}
 }
 
+// The cases are the first call of the idempotent operation, the first call of the operation with a key, and a call of the
+// idempotent operation after two charged attempts. Only the first one may be retried.
 func TestSlowCallTimesOutEarlyWhereItMayBeRetried(t *testing.T) {
 	c := newTestController(func(n *Config) { n.CallQuota = 24 })
-	c.calls.durations.Add(0.0625) // of the shortest objective
+	c.calls.durationRatios.Add(0.0625) // of the shortest objective
 	for op, attempts := range []int{0, 0, 2} {
 		inv := insertInvocation(c, min(op, 2)%2, stateAwaitingCall)
-		inv.callAttempts = attempts
+		inv.callAttemptsCharged = attempts
 		c.actions = nil
 		c.startCalls()
 		assert.Equal(t, op == 0, c.actions[0].At < c.now+1_000*millisecond, "operation %d, attempts %d", op%2, attempts)
@@ -45,7 +48,7 @@
 func TestFailedCallIsSkippedWhereAllowed(t *testing.T) {
 	c := newTestController(func(n *Config) { n.Operations[0].SkippedCallWeightShare = 0.5 })
 	inv := insertInvocation(c, 0, stateAwaitingCall)
-	inv.callAttempts = maxCallAttempts
+	inv.callAttemptsCharged = maxCallAttempts
 	c.startCalls()
 	assert.Equal(t, []ActionKind{SkipCall}, actionKinds(c))
 	assert.Equal(t, stateRunning, inv.state)
@@ -67,7 +70,7 @@
 		n.AbandonedCallTime = 200 * millisecond
 	})
 	for range 8 {
-		c.calls.durations.Add(0.02)
+		c.calls.durationRatios.Add(0.02)
 		insertInvocation(c, 1, stateAwaitingCall)
 	}
 	c.startCalls()
@@ -88,10 +91,10 @@
 }
 
 // Calls for invocations that are already too late would take up the capacity of a slow dependency.
-func TestSlowDependencyLimitsStarts(t *testing.T) {
+func TestSlowDependencyRejectsQueuedAndFailsWaitingInvocations(t *testing.T) {
 	c := newTestController()
 	for range 6 {
-		c.calls.durations.Add(0.5)
+		c.calls.durationRatios.Add(0.5)
 		insertInvocation(c, 0, stateAwaitingCall)
 	}
 	insertInvocation(c, 0, stateQueued)
@@ -108,7 +111,7 @@
 func TestOneCallIsAlwaysStartedHoweverSlowTheDependency(t *testing.T) {
 	c := newTestController()
 	for range 12 {
-		c.calls.durations.Add(2) // of the shortest objective
+		c.calls.durationRatios.Add(2) // of the shortest objective
 	}
 	insertInvocation(c, 0, stateAwaitingCall)
 	insertInvocation(c, 0, stateAwaitingCall)
--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -1,13 +1,13 @@
 package admission
 
 const (
-	safeConcurrencyShare  = 0.75 // of the survivable concurrency; the rest covers returns from calls, and pauses
-	maxBlockedToMeanRatio = 2.0  // limit of blocked runs over their mean while no core is idle; calls come in bursts
+	safeConcurrencyShare  = 0.75 // of the survivable concurrency; the rest covers returns from calls and execution pauses
+	maxBlockedToMeanRatio = 2.0  // blocked runs allowed beyond the limit of runs, over their mean; calls come in bursts
 	preemptionRatio       = 1.5  // least ratio of a waiting invocation's rank to that of the run that it preempts
 
 	limitIncrease    = 0.25 // of the limit, added at each tick while cores are idle and work waits
 	limitDecrease    = 0.25 // runs, subtracted at each tick while no core is idle
-	limitBackoff     = 0.8  // of the best throughput; below it, the limit is multiplied by the same factor
+	limitBackoff     = 0.8  // threshold of throughput over the best, and factor of the limit below the threshold
 	throughputWindow = 20 * tickInterval
 )
 
@@ -38,8 +38,8 @@
 // countCompleted adds the usual core time of a completed run to the throughput window.
 func (l *concurrencyLimit) countCompleted(coreTime float64) { l.completedWork += coreTime }
 
-// compareThroughput ends a throughput window. It reduces the limit if throughput was clearly lower than the best at lower
-// limits.
+// compareThroughput ends a throughput window. It reduces the limit if throughput was clearly lower than the best one since
+// the limit was at its minimum.
 func (l *concurrencyLimit) compareThroughput(now int64, minLimit float64, atLimit bool) {
 	throughput := l.completedWork / float64(now-l.windowStart)
 	if l.limit > minLimit && atLimit && throughput < limitBackoff*l.bestThroughput {
@@ -51,12 +51,12 @@
 	l.windowStart = now
 }
 
-// maxSafeConcurrency returns the number of runs, on the cores or blocked, that the node safely survives at present.
-// During a warm-up it assumes the slowest one that is guaranteed.
+// maxSafeConcurrency returns the number of runs, on the cores or blocked, up to which the node safely does not collapse.
+// During a warm-up it assumes that the speed of the cores rises linearly over WarmUpTime.
 func (c *Controller) maxSafeConcurrency() float64 {
 	speedShare := 1.0
 	if c.config.ColdStart {
-		age := float64(c.now-c.startedAt) / float64(max(1, c.config.WarmUpTime))
+		age := float64(c.now-c.coresStartedAt) / float64(max(1, c.config.WarmUpTime))
 		speedShare = min(1, c.config.ColdSpeedShare+(1-c.config.ColdSpeedShare)*age)
 	}
 	return safeConcurrencyShare * c.cores.count * (1 + (c.config.SurvivableRunsPerCore-1)*speedShare)
@@ -135,6 +135,6 @@
 		return
 	}
 	c.health.observeServiceTime(inv.coreTime / usual)
-	inv.operation.serviceTimes.Add(inv.coreTime / (inv.baseWork * inv.workShare))
+	inv.operation.serviceTimeRatios.Add(inv.coreTime / (inv.baseWork * inv.workShare))
 	c.concurrency.countCompleted(usual)
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -15,12 +15,12 @@
 
 // Controller decides about the load of one node.
 type Controller struct {
-	config    *Config
-	random    *rand.Rand
-	startedAt int64
-	now       int64
-	nextTick  int64
-	actions   []Action // to be returned by Decide
+	config         *Config
+	random         *rand.Rand
+	coresStartedAt int64
+	now            int64
+	nextTick       int64
+	actions        []Action // to be returned by Decide
 
 	invocations []invocation // by index
 	live        []int32      // indices of invocations that have not been released, in order of arrival
@@ -41,26 +41,26 @@
 	drain        drainState
 }
 
-// NewController returns the controller of a node whose cores started at the given time.
-func NewController(config *Config, now int64) *Controller {
+// NewController returns the controller of a node. The start of its cores may be earlier than that of the process.
+func NewController(config *Config, coresStartedAt int64) *Controller {
 	cores := float64(config.Cores)
 	c := &Controller{
-		config:       config,
-		random:       rand.New(rand.NewSource(config.Seed)),
-		startedAt:    now,
-		now:          now,
-		nextTick:     now,
-		operations:   newOperationTable(config.Operations),
-		cores:        coreUsage{count: cores},
-		concurrency:  concurrencyLimit{limit: cores, windowStart: now},
-		callers:      newCallerStatistics(),
-		health:       newNodeHealth(),
-		backpressure: backpressureState{advertisedCapacity: 1, lastSignal: noSignal},
+		config:         config,
+		random:         rand.New(rand.NewSource(config.Seed)),
+		coresStartedAt: coresStartedAt,
+		now:            coresStartedAt,
+		nextTick:       coresStartedAt,
+		operations:     newOperationTable(config.Operations),
+		cores:          coreUsage{count: cores},
+		concurrency:    concurrencyLimit{limit: cores, windowStart: coresStartedAt},
+		callers:        newCallerStatistics(),
+		health:         newNodeHealth(),
+		backpressure:   backpressureState{advertisedCapacity: 1, lastSignal: noSignal},
 	}
 	c.calls = newDependencyCalls(config, c.operations.shortestObjective)
 	if config.ColdStart {
 		c.backpressure.advertisedCapacity = config.ColdSpeedShare
-		c.calls.assumeQuotaUsed(config, max(now, config.ProcessStart))
+		c.calls.assumeQuotaUsed(config, max(coresStartedAt, config.ProcessStart))
 	}
 	return c
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The digests were recorded with statistics of all tenants and callers: removing those not seen recently must not change
-// a decision.
+// Guards against a removal of silent tenants or callers from the statistics that changes a decision. TestDigestsOfDecisions
+// covers runs, calls, drains and degradation.
 func TestDecisionsOverRandomEventsAreUnchanged(t *testing.T) {
 	assert.Equal(t, uint64(0xc8decd4b70530307), digestOfDecisions(7, 1_200))
 	assert.Equal(t, uint64(0x27221d42ec36a438), digestOfDecisions(8, 1_200))
--- a/internal/admission/cores.go
+++ b/internal/admission/cores.go
@@ -1,18 +1,18 @@
 package admission
 
 const (
-	maxIdleBusyShare = 0.9 // share of busy cores below which a core counts as idle
+	coreIdleBelowBusyShare = 0.9 // busy share of all cores below which at least one core counts as idle
 
-	gaugeWindow     = 0.2 // smoothing window over the shortest latency objective: short compared with a run
-	meanGaugeWindow = 2.0 // smoothing window over the shortest latency objective: averages bursts
+	gaugeWindowRatio     = 0.2 // smoothing window as a multiple of the shortest latency objective; short beside a run
+	meanGaugeWindowRatio = 2.0 // smoothing window as a multiple of the shortest latency objective; averages bursts
 )
 
 // coreUsage measures the use of a node's cores. Threads other than runs read requests or answer health checks.
 type coreUsage struct {
 	count             float64
 	clock             float64 // core time (ns) that a run would have had if it had been on the cores since the start
-	otherRunnable     float64 // runnable threads other than runs, smoothed over gaugeWindow
-	meanOtherRunnable float64 // the same, smoothed over meanGaugeWindow
+	otherRunnable     float64 // runnable threads other than runs, smoothed over gaugeWindowRatio
+	meanOtherRunnable float64 // the same, smoothed over meanGaugeWindowRatio
 	gaugedAt          int64   // time of the last gauge of runnable threads
 	idle              bool    // a core was idle at the last gauges
 }
@@ -25,15 +25,15 @@
 // observeGauges records the gauges of a TimerFired event. The number of runnable threads takes precedence over the share
 // of busy time, which lags behind.
 func (u *coreUsage) observeGauges(e *Event, now int64, running int, shortestObjective float64) {
-	u.idle = e.BusyShare >= 0 && e.BusyShare < maxIdleBusyShare
+	u.idle = e.BusyShare >= 0 && e.BusyShare < coreIdleBelowBusyShare
 	if e.RunnableThreads < 0 {
 		return
 	}
 	u.idle = e.RunnableThreads < u.count
 	others := max(0, e.RunnableThreads-float64(running))
 	elapsed := float64(now-u.gaugedAt) / shortestObjective
-	u.otherRunnable += (others - u.otherRunnable) * min(1, elapsed/gaugeWindow)
-	u.meanOtherRunnable += (others - u.meanOtherRunnable) * min(1, elapsed/meanGaugeWindow)
+	u.otherRunnable += (others - u.otherRunnable) * min(1, elapsed/gaugeWindowRatio)
+	u.meanOtherRunnable += (others - u.meanOtherRunnable) * min(1, elapsed/meanGaugeWindowRatio)
 	u.gaugedAt = now
 }
 
--- a/internal/admission/degradation.go
+++ b/internal/admission/degradation.go
@@ -1,7 +1,7 @@
 package admission
 
 const (
-	maxSpareQueueWait = 0.15 // of the shortest latency objective; with a longer queue wait, no capacity is spare
+	maxSpareQueueTimeRatio = 0.15 // time to clear the queue over the shortest latency objective, from which no capacity is spare
 )
 
 // setDegradationLevel applies a degradation level. Queued invocations of operations that it sheds are rejected at once,
@@ -14,7 +14,7 @@
 		if inv.state != stateQueued || inv.started {
 			continue
 		}
-		inv.serveCompletely()
+		inv.serveCompletely() // applyService sets the shares of the new service
 		if inv.operation.service.Form == Shed && !c.useSpareCapacity {
 			c.rejectOrFail(i, ReasonDegraded)
 		}
@@ -47,5 +47,5 @@
 // short.
 func (c *Controller) hasSpareCapacity() bool {
 	return c.useSpareCapacity &&
-		c.pendingWork(stateQueued) < maxSpareQueueWait*c.operations.shortestObjective*c.cores.available()
+		c.pendingWork(stateQueued) < maxSpareQueueTimeRatio*c.operations.shortestObjective*c.cores.available()
 }
--- a/internal/admission/degradation_test.go
+++ b/internal/admission/degradation_test.go
@@ -106,7 +106,7 @@
 	assert.Equal(t, Reduced, c.actions[len(c.actions)-1].Form, "spare capacity serves the form of the shed operation's service")
 }
 
-func TestShedInvocationsAreNotCountedAsPressure(t *testing.T) {
+func TestShedInvocationsDoNotRaiseTheRejectedShare(t *testing.T) {
 	c := newTestController()
 	applyLevel(c, false, shedService, Service{})
 	c.handleArrival(arrivalEvent(0))
--- a/internal/admission/digest_test.go
+++ b/internal/admission/digest_test.go
@@ -99,7 +99,7 @@
 var digestRuns = []struct {
 	name   string
 	seed   int64
-	load   float64
+	load   float64 // mean arrivals in each step
 	steps  int
 	change func(*admission.Config)
 	digest string
@@ -161,7 +161,8 @@
 	}, "dcdecef136d0041a9316b155d6aeb912eecacc9c4f301357f79f3212f23881e2"},
 }
 
-// The actions that Decide returns in the simulations must stay the same, bit for bit.
+// The actions that Decide returns in the simulations must stay the same, bit for bit. TestDecisionsOverRandomEventsAreUnchanged
+// covers many tenants and callers with long silences.
 func TestDigestsOfDecisions(t *testing.T) {
 	for _, run := range digestRuns {
 		t.Run(run.name, func(t *testing.T) {
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -8,7 +8,7 @@
 const (
 	preDrainDelay    = 5 * second        // from the request to the end of intake
 	drainTimeout     = 20 * second       // from the end of intake to the deadline
-	killMargin       = 300 * millisecond // between the deadline and the kill, for a pause of the process
+	killMargin       = 300 * millisecond // between the deadline and the kill, for an execution pause
 	redirectLeadTime = 1 * second        // from the redirection of callers to the end of intake
 )
 
@@ -16,12 +16,12 @@
 // which callers notice, intake ends and arrivals are rejected; and the node exits when nothing is in flight, but no later
 // than the deadline.
 type drainState struct {
-	requestedAt     int64 // 0 if no drain was requested
-	intakeEnd       int64 // when arrivals start to be rejected
-	deadline        int64
-	inFlightAtStart int // invocations at the request
-	endedBefore     int // invocations that had ended at the request
-	finished        bool
+	requestedAt       int64 // 0 if no drain was requested
+	intakeEnd         int64 // when arrivals start to be rejected
+	deadline          int64
+	inFlightAtRequest int // invocations at the request
+	endedBefore       int // invocations that had ended at the request
+	finished          bool
 }
 
 func (d *drainState) requested() bool { return d.requestedAt != 0 }
@@ -33,9 +33,10 @@
 	return d.requested() && now >= d.intakeEnd-redirectLeadTime
 }
 
-// schedule sets the end of intake and the deadline, which a later request may bring forward but not postpone. If the time
-// until the kill is short, both phases shrink in proportion, but the first one no further than is needed to leave the
-// longest latency objective after it, so that callers notice in time wherever possible.
+// schedule sets the end of intake and the deadline, which a later request may bring forward but not postpone. The time of
+// the kill is killAt; longestObjective and grace are durations. If the time until the kill is too short for both phases,
+// both are scaled down by the same factor. The first phase, in which callers notice the drain, is scaled down less if the
+// longest latency objective still fits after it. It is never longer than grace.
 func (d *drainState) schedule(killAt, longestObjective, grace int64) {
 	available := max(0, killAt-killMargin-d.requestedAt)
 	scale := min(1, float64(available)/float64(preDrainDelay+drainTimeout))
@@ -49,11 +50,11 @@
 func (c *Controller) startDrain(killAt int64) {
 	if !c.drain.requested() {
 		c.drain = drainState{
-			requestedAt:     c.now,
-			intakeEnd:       math.MaxInt64,
-			deadline:        math.MaxInt64,
-			inFlightAtStart: c.counts.inFlight(),
-			endedBefore:     c.counts.ended,
+			requestedAt:       c.now,
+			intakeEnd:         math.MaxInt64,
+			deadline:          math.MaxInt64,
+			inFlightAtRequest: c.counts.inFlight(),
+			endedBefore:       c.counts.ended,
 		}
 		c.nextTick = c.now
 		c.health.unhealthy = true
@@ -69,7 +70,7 @@
 		return
 	}
 	c.emit(stopAccepting())
-	completed := c.counts.ended - c.drain.endedBefore
+	ended := c.counts.ended - c.drain.endedBefore
 	abandoned := 0
 	for _, i := range c.live {
 		inv := &c.invocations[i]
@@ -83,9 +84,9 @@
 		c.rejectOrFail(i, ReasonDraining)
 	}
 	c.drain.finished = true
-	c.emit(exit(c.drain.report(completed, abandoned)))
+	c.emit(exit(c.drain.report(ended, abandoned)))
 }
 
-func (d *drainState) report(completed, abandoned int) string {
-	return fmt.Sprintf("drain: in flight at start %d, completed %d, abandoned %d", d.inFlightAtStart, completed, abandoned)
+func (d *drainState) report(ended, abandoned int) string {
+	return fmt.Sprintf("drain: %d in flight at the request, %d ended since, %d abandoned at the deadline", d.inFlightAtRequest, ended, abandoned)
 }
--- a/internal/admission/drain_test.go
+++ b/internal/admission/drain_test.go
@@ -12,7 +12,7 @@
 	c.startDrain(c.now + killMargin + 5_000*millisecond)
 	assert.Equal(t, []ActionKind{ReportHealth}, actionKinds(c))
 	assert.False(t, c.actions[0].Healthy)
-	assert.Equal(t, 1, c.drain.inFlightAtStart)
+	assert.Equal(t, 1, c.drain.inFlightAtRequest)
 	assert.Equal(t, c.now+2_000*millisecond, c.drain.intakeEnd, "the delay is the grace if the longest objective still fits")
 	assert.Equal(t, c.now+5_000*millisecond, c.drain.deadline)
 	for available, delay := range map[int64]int64{2_500 * millisecond: 1_500 * millisecond, 1_000 * millisecond: 200 * millisecond, 0: 0} {
@@ -38,11 +38,11 @@
 	insertInvocation(c, 0, stateQueued)
 	c.drain.requestedAt = c.now - millisecond
 	c.drain.deadline = c.now
-	c.drain.inFlightAtStart = 3
+	c.drain.inFlightAtRequest = 3
 	c.counts.ended = 2
 	c.advanceDrain()
 	assert.Equal(t, []ActionKind{StopAccepting, Fail, Stop, Reject, Exit}, actionKinds(c))
-	assert.Equal(t, "drain: in flight at start 3, completed 2, abandoned 2", c.actions[4].Report)
+	assert.Equal(t, "drain: 3 in flight at the request, 2 ended since, 2 abandoned at the deadline", c.actions[4].Report)
 }
 
 func TestDrainFinishesOnceIntakeEndedAndNothingIsInFlight(t *testing.T) {
--- a/internal/admission/estimates.go
+++ b/internal/admission/estimates.go
@@ -26,7 +26,7 @@
 	expected := inv.usualCoreTime() * slowdown
 	spent := inv.coreTime
 	if inv.state == stateRunning {
-		spent += coreClock - inv.runningSince
+		spent += coreClock - inv.clockAtStateChange
 	}
 	return max(expected-spent, minRemainingShare*expected)
 }
@@ -45,7 +45,8 @@
 }
 
 // queueWait returns how long a new arrival is expected to wait (ns). It is the sum of the time to clear the queue, the
-// time to read the request while other threads occupy the cores, and the wait for the start of the dependency call.
+// queueing delay and the wait for the start of the dependency call. The queueing delay counts only while threads other
+// than runs are runnable, because its last value stays when no requests arrive.
 func (c *Controller) queueWait() float64 {
 	return c.pendingWork(stateQueued)/c.cores.available() +
 		c.callers.queueingDelay*min(1, c.cores.otherRunnable) +
@@ -54,15 +55,15 @@
 
 // callWait returns how long a run that requests a call now would wait for the start of the call (ns).
 func (c *Controller) callWait() float64 {
-	perCall := float64(c.counts.awaitingCall) / float64(max(1, c.counts.calling))
-	return perCall * c.calls.durations.Mean(0) * c.calls.durationUnit
+	waitingPerCall := float64(c.counts.awaitingCall) / float64(max(1, c.counts.calling))
+	return waitingPerCall * c.calls.durationRatios.Mean(0) * c.calls.durationUnit
 }
 
 // expectedEnd returns when an invocation with the given remaining work would end if it ran from now on.
 func (c *Controller) expectedEnd(inv *invocation, work float64) float64 {
 	end := float64(c.now) + work
 	if inv.operation.CallsDependency {
-		end += inv.operation.blockedTimes.Mean(0)*float64(inv.operation.LatencyObjective) + c.callWait()
+		end += inv.operation.blockedTimeRatios.Mean(0)*float64(inv.operation.LatencyObjective) + c.callWait()
 	}
 	return end
 }
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -11,8 +11,11 @@
 	CallRequested
 	CallEnded
 	TimerFired
-	RunEnded
+	RunEnded // also ends an invocation after JoinOriginal, when the run of the other invocation ends
 	DegradationLevelSet
+
+	// CallLimitSet sets the limits of a lease of calls. From then on the quota of calls no longer applies. A CallLimit of 0
+	// means that the node holds no lease.
 	CallLimitSet
 
 	// OperationConfigured adds, changes or removes an operation. Invocations that arrived earlier retain the configuration
@@ -23,7 +26,8 @@
 // Outcome is the result of a run or a call.
 type Outcome uint8
 
-// The outcomes. Overloaded, Unreachable and NeverStarted prove that nothing was executed.
+// The outcomes. Overloaded and Unreachable prove that a call was not executed, NeverStarted that a run was not. A call
+// that ends with NeverStarted counts as one that may have been executed.
 const (
 	Succeeded Outcome = iota
 	Errored
@@ -65,12 +69,13 @@
 	KillAt int64
 
 	// DegradationLevelSet. With UseSpareCapacity, shed operations are served last, and reduced ones completely while
-	// the queue is short. In OperationConfigured, Services is empty or has the service of that operation only.
-	Services         []Service // by index of operation, nil for complete service; owned by the sender
+	// the queue is short.
+	Services         []Service // by index of operation, nil for complete service; may be reused after Decide
 	UseSpareCapacity bool
 
-	// OperationConfigured
-	Operation *Operation // owned by the receiver; nil when nothing refers to the index any more, to remove the operation
+	// OperationConfigured. Here Services has the service of that operation only. It is empty to retain the present service,
+	// which is complete for a new operation. Operation.Removed is ignored.
+	Operation *Operation // nil removes the operation, which the host may do when nothing refers to its index any more
 
 	// CallLimitSet
 	CallLimit   int   // calls that may be in flight
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -36,6 +36,7 @@
 	c.health.stallRatio = c.minStallRatio()
 	wasUnhealthy := c.health.unhealthy
 	c.health.unhealthy = c.drain.requested() || c.health.isSlow()
+	// At the first tick there is no backpressure value yet: a tick updates backpressure after health.
 	if c.health.unhealthy != wasUnhealthy || !c.backpressure.hasValue() {
 		c.emit(reportHealth(!c.health.unhealthy))
 	}
@@ -63,7 +64,7 @@
 		if inv.state != stateRunning {
 			continue
 		}
-		coreTime := inv.coreTime + c.cores.clock - inv.runningSince
+		coreTime := inv.coreTime + c.cores.clock - inv.clockAtStateChange
 		ratio := coreTime / inv.usualCoreTime() / (1 + stallDiscountRuns/running)
 		if least == 0 || ratio < least {
 			least = ratio
--- a/internal/admission/invocation.go
+++ b/internal/admission/invocation.go
@@ -15,29 +15,29 @@
 
 // invocation is one invocation from its arrival to its end. Times are in nanoseconds.
 type invocation struct {
-	operation     *operation
-	state         invocationState
-	answered      bool // the final answer was given, or is not needed any more
-	started       bool // this invocation, or the one that it repeats, has started to run
-	retry         bool
-	tenant        int32 // -1 for none
-	callAttempts  int   // of the current dependency call, see extraAttempts
-	arrivedAt     int64
-	deadline      int64
-	callStartedAt int64
-	callDeadline  int64
-	queuedKB      float64
-	rank          float64 // in the queue, or among the invocations that wait for a call; the highest is first
-	baseWork      float64 // work expected by the caller, or the default work of the operation
-	workShare     float64 // of the complete form; below 1 for a reduced form
-	weightShare   float64 // of the complete form; below 1 for a reduced form
-	coreTime      float64 // core time used until the last change of state
-	runningSince  float64 // reading of coreUsage.clock at the last change of state
+	operation           *operation
+	state               invocationState
+	answered            bool // the final answer was given, or is not needed any more
+	started             bool // this invocation, or the one that it repeats, has started to run
+	retry               bool
+	tenant              int32 // -1 for none
+	callAttemptsCharged int   // for the current dependency call: attempts plus extraAttempts
+	arrivedAt           int64
+	deadline            int64
+	callStartedAt       int64
+	callDeadline        int64
+	queuedKB            float64
+	rank                float64 // in the queue, or among the invocations that wait for a call; the highest is first
+	baseWork            float64 // work expected by the caller, or the default work of the operation
+	workShare           float64 // of the complete form; below 1 for a reduced form
+	weightShare         float64 // of the complete form; below 1 for a reduced form
+	coreTime            float64 // core time used until the last change of state
+	clockAtStateChange  float64 // reading of coreUsage.clock at the last change of state
 }
 
 // usualCoreTime returns the core time (ns) that the invocation is expected to take in all on a node at its usual speed.
 func (inv *invocation) usualCoreTime() float64 {
-	return inv.baseWork * inv.workShare * inv.operation.serviceTimes.Mean(1)
+	return inv.baseWork * inv.workShare * inv.operation.serviceTimeRatios.Mean(1)
 }
 
 // serveCompletely changes the invocation to the complete form.
@@ -78,11 +78,11 @@
 // setState moves an invocation to another state and updates core time, counts and memory.
 func (c *Controller) setState(inv *invocation, state invocationState) {
 	if inv.state == stateRunning {
-		inv.coreTime += c.cores.clock - inv.runningSince
+		inv.coreTime += c.cores.clock - inv.clockAtStateChange
 	}
 	c.account(inv, -1)
 	inv.state = state
-	inv.runningSince = c.cores.clock
+	inv.clockAtStateChange = c.cores.clock
 	c.account(inv, 1)
 }
 
@@ -100,8 +100,9 @@
 	c.counts.ended++
 }
 
-// rejectOrFail gives the final answer to an invocation that won't be served: a rejection if it never started, otherwise a
-// failure. An invocation that was answered before is left alone.
+// rejectOrFail gives the final answer to an invocation that won't be served: a rejection if it is queued and never
+// started, otherwise a failure. An invocation that joined another one fails, because the other one may have started. An
+// invocation that was answered before is left alone.
 func (c *Controller) rejectOrFail(i int32, reason Reason) {
 	inv := &c.invocations[i]
 	if inv.answered {
@@ -132,11 +133,12 @@
 	}
 }
 
-// handleRunEnded records the end of a run and its core time, or puts a stopped run back into the queue.
+// handleRunEnded records the end of a run and its core time, or puts a stopped run back into the queue. For an invocation
+// that joined another one, it records the end of the other one's run.
 func (c *Controller) handleRunEnded(i int32, outcome Outcome) {
 	inv := &c.invocations[i]
 	if outcome == Stopped && !inv.answered && c.config.StopSupport != StopUnsupported {
-		c.requeuePaused(inv)
+		c.requeueStopped(inv)
 		return
 	}
 	if inv.state == stateCalling {
@@ -150,8 +152,9 @@
 	}
 }
 
-// requeuePaused puts an invocation back into the queue whose run was stopped in favour of another one.
-func (c *Controller) requeuePaused(inv *invocation) {
+// requeueStopped puts an invocation back into the queue whose run was stopped before it was answered: by a preemption or,
+// where stops discard progress, by the host itself.
+func (c *Controller) requeueStopped(inv *invocation) {
 	if c.config.StopSupport == StopKeepsProgress {
 		c.setState(inv, statePaused)
 		return
--- a/internal/admission/memory.go
+++ b/internal/admission/memory.go
@@ -44,7 +44,8 @@
 }
 
 // recordKeyUntil records the key of an invocation until its expiry, so that repetitions join the invocation. If there is
-// no room in the table, it rejects the invocation where only the record would prevent a second execution.
+// no room in the table or the expiry has passed, it rejects the invocation if only the record would prevent a second
+// execution.
 func (c *Controller) recordKeyUntil(i int32, expiry int64) {
 	if c.canRecordKey() && expiry > c.now {
 		c.emit(recordKey(i, expiry-c.now))
--- a/internal/admission/operations.go
+++ b/internal/admission/operations.go
@@ -12,25 +12,25 @@
 	demandSlices        = 8
 )
 
-// operation is one configuration of an operation. Its measurements are shared with the operation's later configurations.
+// operation is an operation as it was configured at some time. Its state is shared with its later configurations.
 type operation struct {
 	Operation
-	*operationMeasurements
+	*operationState
 }
 
-// operationMeasurements are the measurements of an operation, and its service at the present degradation level.
-type operationMeasurements struct {
-	serviceTimes stats.RatioHistogram // core time of runs over their base work
-	blockedTimes stats.RatioHistogram // duration of calls over the latency objective
-	demand       stats.SlidingSum     // core time (ns) that first attempts would need if all were served completely
-	service      Service
+// operationState has the measurements of an operation and its service at the present degradation level.
+type operationState struct {
+	serviceTimeRatios stats.RatioHistogram // core time of runs over the product of their base work and work share
+	blockedTimeRatios stats.RatioHistogram // duration of calls over the latency objective
+	demand            stats.SlidingSum     // core time (ns) that first attempts would need if all were served completely
+	service           Service
 }
 
-func newOperationMeasurements() *operationMeasurements {
-	return &operationMeasurements{
-		serviceTimes: newRatioHistogram(maxOperationSamples),
-		blockedTimes: newRatioHistogram(maxOperationSamples),
-		demand:       stats.NewSlidingSum(demandWindow, demandSlices),
+func newOperationState() *operationState {
+	return &operationState{
+		serviceTimeRatios: newRatioHistogram(maxOperationSamples),
+		blockedTimeRatios: newRatioHistogram(maxOperationSamples),
+		demand:            stats.NewSlidingSum(demandWindow, demandSlices),
 	}
 }
 
@@ -87,9 +87,9 @@
 func newOperation(config *Operation, previous *operation, services []Service) *operation {
 	op := &operation{Operation: *config}
 	if previous != nil {
-		op.operationMeasurements = previous.operationMeasurements
+		op.operationState = previous.operationState
 	} else {
-		op.operationMeasurements = newOperationMeasurements()
+		op.operationState = newOperationState()
 	}
 	if len(services) > 0 {
 		op.service = services[0]
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	spareCapacityRankFactor = 1e-3 // of the rank: shed operations that are served by spare capacity come last
+	spareCapacityRankFactor = 1e-3 // factor of the rank of shed operations that spare capacity serves, so that they come after practically all others
 )
 
 // orderQueue sorts the invocations that wait for a core by rank, and rejects or fails those that are expected to be late.
@@ -35,7 +35,7 @@
 		inv := &c.invocations[i]
 		work := c.remainingWork(inv)
 		end := c.expectedEnd(inv, work)
-		startsNow := k == 0 && float64(c.counts.running) < c.cores.count
+		startsNow := k == 0 && float64(c.counts.running) < c.cores.count // the highest rank finds a core free
 		if !startsNow {
 			end += workAhead / c.cores.available()
 		}
@@ -80,8 +80,9 @@
 	inv.rank = rank * c.expectedWeightShare(inv, work)
 }
 
-// expectedWeightShare returns the expected share of its weight that an invocation yields, by the probability that it ends
-// within its objective with the given remaining work.
+// expectedWeightShare returns the expected share of its weight that an invocation yields: the probability that it ends
+// within its objective, if the time needed for the given remaining work is exponentially distributed, or LateWeightShare
+// if it is expected to be late.
 func (c *Controller) expectedWeightShare(inv *invocation, work float64) float64 {
 	timeNeeded := c.expectedEnd(inv, work) - float64(c.now)
 	slack := c.objectiveEnd(inv) - float64(c.now)
@@ -99,8 +100,8 @@
 	}
 	// The count to which arrivals at the node's part of the tenant's rate converge.
 	countAtQuota := c.config.TenantRates[tenant] / float64(max(1, c.config.Peers)) * float64(tickInterval) / float64(second) / (1 - counterDecay)
-	withinQuota := countAtQuota / max(countAtQuota, c.callers.byTenant.Count(int64(tenant)))
-	return withinQuota + (1-withinQuota)*c.config.OverQuotaWeightShare
+	shareWithinQuota := countAtQuota / max(countAtQuota, c.callers.byTenant.Count(int64(tenant)))
+	return shareWithinQuota + (1-shareWithinQuota)*c.config.OverQuotaWeightShare
 }
 
 // sortByRank sorts indices of invocations by descending rank. Invocations of equal rank retain their order.
@@ -118,7 +119,7 @@
 			c.rejectOrFail(i, ReasonDeadline)
 		}
 		if inv.state == stateRunning && inv.answered {
-			c.discard(i) // repeated at each tick, because a stop has no effect while the cores are paused
+			c.discard(i) // repeated at each tick, because a stop has no effect during an execution pause
 		}
 	}
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -11,7 +11,7 @@
 	inv := insertInvocation(c, 0, stateRunning)
 	inv.deadline = c.now + answerMargin
 	c.enforceDeadlines()
-	assert.Equal(t, []ActionKind{Fail, Stop, Stop}, actionKinds(c))
+	assert.Equal(t, []ActionKind{Fail, Stop, Stop}, actionKinds(c)) // stopped with the answer, and again by the repetition
 	assert.True(t, inv.answered)
 }
 
--- a/internal/admission/reasons.go
+++ b/internal/admission/reasons.go
@@ -10,7 +10,7 @@
 	ReasonExpectedLate               // the invocation is unlikely to end in time to be of value
 	ReasonCallFutile                 // the call that the run awaits failed too often, or would end too late
 	ReasonDeadline                   // the deadline is near, or the run can't be of value any more
-	ReasonMemory                     // memory or the deduplication table is full
+	ReasonMemory                     // memory or the deduplication table is full, or a key to be recorded has expired
 	ReasonDegraded                   // the degradation level sheds the operation
 	ReasonCount                      // the number of reasons
 )
--- a/internal/admission/simulatedevents_test.go
+++ b/internal/admission/simulatedevents_test.go
@@ -6,7 +6,8 @@
 	"topazpost/internal/admission"
 )
 
-// addArrivals adds arrivals, at a rate that varies as a sine wave.
+// addArrivals adds arrivals, at a rate that varies as a sine wave. Where the number is not whole, its fraction is the
+// probability of one more arrival.
 func (h *simulatedHost) addArrivals() {
 	wave := 1 + 0.9*math.Sin(float64(h.steps)/150)
 	for n := h.meanArrivals * wave * 2 * h.random.Float64(); n > 0; n-- {
--- a/internal/admission/simulatedhost_test.go
+++ b/internal/admission/simulatedhost_test.go
@@ -20,9 +20,9 @@
 type jobPhase uint8
 
 const (
-	phaseUnused jobPhase = iota
-	phaseWaiting
-	phaseJoined // waits for the end of the job that it repeats
+	phaseUnused  jobPhase = iota
+	phaseWaiting          // queued or paused, or ended and not yet released
+	phaseJoined           // waits for the end of the job that it repeats
 	phaseRunning
 	phaseAwaitingCall
 	phaseCalling
@@ -261,7 +261,7 @@
 	}
 }
 
-// release frees an index. Jobs that joined the released job without an end of its run end soon after it.
+// release frees an index. Jobs that joined the released job, and whose end endRun did not report, end soon after.
 func (h *simulatedHost) release(i int32) {
 	h.jobs[i] = simulatedJob{}
 	h.freeIndices = append(h.freeIndices, i)
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -12,14 +12,14 @@
 	QueueWait          float64 `json:"wait_ns"`      // expected wait of an invocation that arrives now, with CallWait
 	CallWait           float64 `json:"call_wait_ns"` // expected wait of a call that is requested now
 	QueueingDelay      float64 `json:"lag_ns"`       // mean age of recent arrivals when they were read
-	OtherRunnable      float64 `json:"reading"`      // runnable threads other than runs, smoothed over gaugeWindow
-	MeanOtherRunnable  float64 `json:"mean_reading"` // the same, smoothed over meanGaugeWindow
+	OtherRunnable      float64 `json:"reading"`      // runnable threads other than runs, smoothed over gaugeWindowRatio
+	MeanOtherRunnable  float64 `json:"mean_reading"` // the same, smoothed over meanGaugeWindowRatio
 	ServiceTimeRatio   float64 `json:"pace"`         // service times of recent runs over the usual ones
 	StallRatio         float64 `json:"stall"`        // least ratio of spent to usual core time among present runs
 	CallerWaitShare    float64 `json:"patient"`      // share of the client timeout until which most callers wait
 	CallTime           float64 `json:"call_time_ns"` // usual duration of a call
 	CallFailureShare   float64 `json:"call_fails"`   // share of recent calls that failed
-	MaxNextCallTime    float64 `json:"call_room_ns"` // of the next call; 0 if no call may start
+	MaxNextCallTime    float64 `json:"call_room_ns"` // maximum duration of the next call; 0 if no call may start
 	CallQuotaUsed      float64 `json:"call_used"`    // share of the quota of calls
 	AdvertisedCapacity float64 `json:"open"`         // share of the maximum load that callers are asked for
 	LastSignal         float64 `json:"said"`         // last backpressure value, -1 before the first
@@ -27,7 +27,7 @@
 	Retries            float64 `json:"echoes"`       // retries among the recent arrivals
 	Rejected           float64 `json:"throttled"`    // recent rejections
 	Callers            int     `json:"callers"`      // number of recent callers
-	Memory             float64 `json:"memory_kb"`    // memory of all invocations, without the deduplication table
+	Memory             float64 `json:"memory_kb"`    // memory of all invocations in KB, without the deduplication table
 	FleetOverloaded    bool    `json:"all_full"`     // other nodes seem to reject work as well
 	Unhealthy          bool    `json:"unhealthy"`
 	CoreIdle           bool    `json:"free"` // a core was idle at the last gauges
@@ -71,9 +71,9 @@
 type LoadMetrics struct {
 	DemandByOperation []float64 // by index: share of the cores that recent first attempts need, if served completely
 	OverheadShare     float64   // share of the cores used for reading requests and health checks
-	QueueWait         float64   // expected wait of an arrival over the shortest latency objective
-	QueueingDelay     float64   // mean age of recent arrivals when they were read over the shortest latency objective
-	CallWait          float64   // expected wait for the start of a call over the shortest latency objective
+	QueueWait         float64   // expected wait of an arrival, as a multiple of the shortest latency objective
+	QueueingDelay     float64   // mean age of recent arrivals when they were read, as a multiple of the shortest latency objective
+	CallWait          float64   // expected wait for the start of a call, as a multiple of the shortest latency objective
 	RejectedShare     float64   // share of recent arrivals that were rejected, except by a degradation level
 	MemoryShare       float64   // share of the memory that invocations use
 }
--- a/internal/stats/decayingcounter.go
+++ b/internal/stats/decayingcounter.go
@@ -63,7 +63,7 @@
 func (c *DecayingCounter) removeAt(i int32) {
 	last := len(c.keys) - 1
 	if last == 0 {
-		*c = DecayingCounter{} // a map never shrinks: releases the memory of one that was large
+		*c = DecayingCounter{} // starts anew without keys, because a map does not shrink
 		return
 	}
 	delete(c.positions, c.keys[i])
--- a/internal/stats/slidingsum.go
+++ b/internal/stats/slidingsum.go
@@ -4,7 +4,7 @@
 // The sum covers the current slice and as many slices before it as make up the window.
 type SlidingSum struct {
 	slices       []float64 // a ring buffer
-	sliceLength  int64     // in units of time
+	sliceLength  int64     // in the unit of the times given to Add
 	currentSlice int64     // number of the current slice, counted from time 0
 }
 
@@ -23,7 +23,8 @@
 	s.slices[s.currentSlice%int64(len(s.slices))] += amount
 }
 
-// advance makes index the current slice, unless that is earlier, and clears the slices that leave the window.
+// advance makes index the current slice, unless index is earlier, and clears the slices that leave the window. It clears
+// each element of the ring buffer at most once, however far the time advances.
 func (s *SlidingSum) advance(index int64) {
 	length := int64(len(s.slices))
 	s.currentSlice = max(s.currentSlice, index-length)
--- a/internal/stats/survivalcurve.go
+++ b/internal/stats/survivalcurve.go
@@ -35,7 +35,8 @@
 }
 
 // TimeAtSurvival returns the time from which less than the given share of the population is present; 1 if there is no such
-// time.
+// time. One sample more than observed counts as at risk, which avoids a division by zero and favours survival while there
+// are few samples.
 func (s *SurvivalCurve) TimeAtSurvival(share float64) float64 {
 	surviving := 1.0
 	for i, departed := range s.departed {
--- a/internal/stats/survivalcurve_test.go
+++ b/internal/stats/survivalcurve_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSurvivalCurveFindsWhenMostHaveLeft(t *testing.T) {
+func TestSurvivalCurveFindsTheTimeAtAGivenSurvival(t *testing.T) {
 	curve := NewSurvivalCurve(20, 100)
 	for i := range 60 {
 		curve.Add(0.36, i%2 == 0)
