--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -50,7 +50,7 @@
 	DeduplicationWindow    int64
 	PriorityWeight         float64 // of an invocation that ends within its objective, see Config.WeightScalesWithWork
 	LateWeightShare        float64 // of the weight, for an invocation that ends later
-	SkippedCallWeightShare float64 // of the weight, for an invocation whose call was skipped; the controller only checks for 0: no skipping
+	SkippedCallWeightShare float64 // of the weight, for an invocation whose call was skipped; the controller only checks whether it is 0, which forbids that
 	CallsDependency        bool
 	Removed                bool // no operation has this index at present
 }
