--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -17,9 +17,9 @@
 	maxRoundsPerStep   = 8       // times that claims client and replica are stepped within one step of the node; further inputs wait for the next step
 )
 
-// claimState holds the claims client, which claims tokens from the consensus group, and this node's replica of that group if it has one.
+// groupState holds the claims client, which claims tokens from the consensus group, and this node's replica of that group if it has one.
 // Without a consensus group both are nil and take no timer and no time.
-type claimState struct {
+type groupState struct {
 	self         claims.Owner
 	client       *claims.Client
 	clientInputs []claims.Input
@@ -37,22 +37,22 @@
 }
 
 // owner returns this node's identity as an owner of claims and leases.
-func (cs *claimState) owner() claims.Owner { return cs.self }
+func (cs *groupState) owner() claims.Owner { return cs.self }
 
 // enabled reports whether tokens are claimed from the consensus group.
-func (cs *claimState) enabled() bool { return cs.client != nil }
+func (cs *groupState) enabled() bool { return cs.client != nil }
 
 // canClaim reports whether new tokens can be claimed now: the consensus group answers, and the client has room.
-func (cs *claimState) canClaim() bool {
+func (cs *groupState) canClaim() bool {
 	return cs.client != nil && cs.client.Connected() && cs.client.HasCapacity()
 }
 
 // requestSweep makes the next sweep of claims due within one interval from now.
-func (cs *claimState) requestSweep(now int64) { cs.sweepAt = min(cs.sweepAt, now+claimSweepInterval) }
+func (cs *groupState) requestSweep(now int64) { cs.sweepAt = min(cs.sweepAt, now+claimSweepInterval) }
 
-// Claims returns a summary of claims, leases and the consensus group for operators, nil if this node takes no part in a group.
-func (sm *StateMachine) Claims() *consensus.Summary {
-	cs := &sm.claiming
+// ConsensusSummary returns a summary of claims, leases and the consensus group for operators, nil if this node takes no part in a group.
+func (sm *StateMachine) ConsensusSummary() *consensus.Summary {
+	cs := &sm.group
 	if cs.client == nil && cs.replica == nil {
 		return nil
 	}
@@ -87,9 +87,9 @@
 	return resultcache.Key{Operation: operation, Tenant: tenant, Token: k.Token}, known && named == (k.Tenant != "")
 }
 
-// mustRejectToken reports whether an invocation must be rejected because its token is new to this node and can't be claimed now.
-func (sm *StateMachine) mustRejectToken(v *invocation) bool {
-	if !sm.claiming.enabled() || v.tokenKey.Token == "" || sm.claiming.canClaim() {
+// mustThrottleToken reports whether an invocation must be rejected because its token is new to this node and can't be claimed now.
+func (sm *StateMachine) mustThrottleToken(v *invocation) bool {
+	if !sm.group.enabled() || v.tokenKey.Token == "" || sm.group.canClaim() {
 		return false
 	}
 	return !sm.results.isKnown(v.tokenKey)
@@ -108,19 +108,19 @@
 
 // addClaimInput queues an input for the claims client, if this node has one.
 func (sm *StateMachine) addClaimInput(in claims.Input) {
-	if sm.claiming.client != nil {
-		sm.claiming.clientInputs = append(sm.claiming.clientInputs, in)
+	if sm.group.client != nil {
+		sm.group.clientInputs = append(sm.group.clientInputs, in)
 	}
 }
 
 // claimToken claims the token of an invocation for this node. The claim carries all that another node needs to take the invocation
 // over.
 func (sm *StateMachine) claimToken(i int32) {
-	if !sm.claiming.enabled() {
+	if !sm.group.enabled() {
 		return
 	}
 	v := &sm.invocations[i]
-	text, err := cbor.Marshal(takeoverWorkOf(v))
+	text, err := cbor.Marshal(takeoverDataOf(v))
 	if !sm.Invariants.Check(err == nil, "an invocation can be encoded for a takeover") {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // stepClaims steps the claims client and the replica in turn until neither has an input or is due, at most maxRoundsPerStep times.
 func (sm *StateMachine) stepClaims() {
-	cs := &sm.claiming
+	cs := &sm.group
 	if cs.client == nil && cs.replica == nil {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 func (sm *StateMachine) stepClaimsClient() {
-	cs := &sm.claiming
+	cs := &sm.group
 	inputs := cs.clientInputs
 	cs.clientInputs = nil
 	var actions []claims.Action
@@ -199,7 +199,7 @@
 
 // sweepClaims abandons claims that no invocation of this node waits for, and answers invocations that are close to their client timeout.
 func (sm *StateMachine) sweepClaims() {
-	cs := &sm.claiming
+	cs := &sm.group
 	cs.sweepAt = sm.now + claimSweepInterval
 	if sm.hollow.enabled() {
 		sm.sweepHollowTokens()
@@ -226,14 +226,14 @@
 	}
 	for _, i := range waiters {
 		if sm.now >= sm.invocations[i].deadline-answerMargin {
-			sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: sm.claiming.client.OwnedElsewhere(k)})
+			sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: i, Key: key, MayHaveRun: sm.group.client.OwnedElsewhere(k)})
 		}
 	}
 }
 
 // claimsDue returns when the claims client or the replica must step again at the latest.
 func (sm *StateMachine) claimsDue() int64 {
-	cs := &sm.claiming
+	cs := &sm.group
 	at := int64(never)
 	if cs.replica != nil {
 		at = min(at, cs.replicaStepAt)
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -28,15 +28,15 @@
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	told(sm, "WELCOME old 0")
 	told(sm, "METERS j1 0.1 1 0.1 3")
-	sm.claiming.streams["n0"] = 3
+	sm.group.streams["n0"] = 3
 	receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
-	require.True(t, sm.claiming.client.Connected())
+	require.True(t, sm.group.client.Connected())
 	return sm
 }
 
 // receiveFromReplica steps the node with a message from the replica at n0.
 func receiveFromReplica(t *testing.T, sm *StateMachine, m *consensus.Message) []Effect {
-	m.From, m.Owner = "n0", sm.claiming.self
+	m.From, m.Owner = "n0", sm.group.self
 	text, err := envelope.Seal(nil, sm.fleet.id, m)
 	require.NoError(t, err)
 	return step(sm, Input{Kind: PeerMessageReceived, Link: 3, Bytes: text})
@@ -97,7 +97,7 @@
 	assert.Empty(t, localEffectKinds(effects), "the answer waits for the end to be committed")
 	assert.Equal(t, []EffectKind{SendToConnection}, localEffectKinds(receiveFromReplica(t, sm, verdictOn(end[0], claims.AnswerDone))))
 	step(sm)
-	assert.Zero(t, sm.claiming.client.Size())
+	assert.Zero(t, sm.group.client.Size())
 	assert.Equal(t, 1, sm.Counters.Succeeded)
 }
 
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -87,7 +87,7 @@
 	}
 	cs := &sm.configSync
 	cs.replicator = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.selfName(), Seed: seed}, initial)
-	sm.claiming.setConfigValidator(sm.validateConfigCommand)
+	sm.group.setConfigValidator(sm.validateConfigCommand)
 	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: cs.replicator.Revision(), Source: initial.Source,
 		Added: v.counts.added, Changed: v.counts.changed, Removed: v.counts.removed}})
 	cs.startupEffects = slices.Clone(sm.effects)
@@ -256,11 +256,11 @@
 // observeReplica reports changes at this node's replica of the consensus group to the replicator.
 func (sm *StateMachine) observeReplica() {
 	cs := &sm.configSync
-	if agreed, changed := sm.claiming.agreedConfig(); changed {
+	if agreed, changed := sm.group.agreedConfig(); changed {
 		cs.agreed = agreed
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.AgreementChanged, Agreed: agreed})
 	}
-	if current, has := sm.claiming.replicaIsCurrent(); has && current != cs.replicaCurrent {
+	if current, has := sm.group.replicaIsCurrent(); has && current != cs.replicaCurrent {
 		cs.replicaCurrent = current
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ReplicaContactChanged, ReplicaCurrent: current})
 	}
@@ -282,7 +282,7 @@
 	cs.viewHash = hash
 	cs.viewRefreshAt = sm.now + viewRefreshInterval
 	self := sm.fleet.selfName()
-	others := slices.DeleteFunc(slices.Clone(sm.claiming.replicaNames()), func(name string) bool { return name == self })
+	others := slices.DeleteFunc(slices.Clone(sm.group.replicaNames()), func(name string) bool { return name == self })
 	cs.view = configsync.View{Neighbours: neighbours, Zone: members.InZone(), Replicas: others}
 	view := cs.view
 	cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ViewChanged, View: &view})
@@ -303,7 +303,7 @@
 		persisting := *e
 		sm.emit(Effect{Kind: PersistVersion, Persisting: &persisting})
 	case configsync.ProposeCommand:
-		sm.claiming.proposeConfig(e.Command)
+		sm.group.proposeConfig(e.Command)
 	case configsync.WriteLog:
 		sm.logComponent(e.Warn, e.Text)
 	}
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -84,7 +84,7 @@
 	cs := &sm.configSync
 	status := cs.replicator.Status(sm.now)
 	answer := &configsync.Answer{Status: &status, Revision: status.Revision}
-	for _, name := range sm.claiming.replicaNames() {
+	for _, name := range sm.group.replicaNames() {
 		address, _ := sm.fleet.addressOf(name)
 		answer.Replicas = append(answer.Replicas, configsync.ReplicaAddress{Name: name, Address: address})
 	}
@@ -95,7 +95,7 @@
 	for k := range nodes {
 		nodes[k].At = sm.now - nodes[k].At
 	}
-	answer.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.claiming.rollbackVersions(), Nodes: nodes,
+	answer.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.group.rollbackVersions(), Nodes: nodes,
 		Alive: sm.Members().InView()}
 	return answer
 }
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -44,7 +44,7 @@
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	told(sm, "WELCOME old 0")
 	told(sm, "METERS j1 0.1 1 0.1 3")
-	for sm.claiming.replica.Leader() == "" {
+	for sm.group.replica.Leader() == "" {
 		step(sm)
 	}
 	return effects
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -20,8 +20,8 @@
 // node's replica leads, 0 for the default.
 func (sm *StateMachine) EnableConsensus(replicas []string, maxTableBytes, now, seed int64) {
 	self := sm.Members().Self()
-	cs := &sm.claiming
-	*cs = claimState{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.StartedAt)}, replicas: slices.Sorted(slices.Values(replicas)),
+	cs := &sm.group
+	*cs = groupState{self: claims.Owner{Name: self.Name, Incarnation: uint64(self.StartedAt)}, replicas: slices.Sorted(slices.Values(replicas)),
 		streams: map[string]int{}}
 	if sm.results.enabled() || sm.hollow.takesClaims() {
 		cs.client = claims.NewClient(cs.self)
@@ -36,33 +36,33 @@
 }
 
 // HasReplica reports whether this node has a replica of the consensus group.
-func (sm *StateMachine) HasReplica() bool { return sm.claiming.replica != nil }
+func (sm *StateMachine) HasReplica() bool { return sm.group.replica != nil }
 
 // RecoverReplica restores the replica from the contents of its disk, and makes it persist its state there from now on. It must be
 // called before the first step.
 func (sm *StateMachine) RecoverReplica(now int64, contents consensus.DiskContents) error {
-	return sm.claiming.replica.Recover(now, contents)
+	return sm.group.replica.Recover(now, contents)
 }
 
 // setLimits makes this node's replica, if it has one, define limits while the replica leads.
-func (cs *claimState) setLimits(limits []quota.Command) {
+func (cs *groupState) setLimits(limits []quota.Command) {
 	if cs.replica != nil {
 		cs.replica.SetLimits(limits)
 	}
 }
 
 // setConfigValidator makes this node's replica, if it has one, validate commands that change the configuration.
-func (cs *claimState) setConfigValidator(validate func(*configsync.Command) string) {
+func (cs *groupState) setConfigValidator(validate func(*configsync.Command) string) {
 	if cs.replica != nil {
 		cs.replica.SetConfigValidator(validate)
 	}
 }
 
 // replicaNames returns the names of the nodes that have a replica.
-func (cs *claimState) replicaNames() []string { return cs.replicas }
+func (cs *groupState) replicaNames() []string { return cs.replicas }
 
 // replicaIsCurrent reports whether this node has a replica, and whether that replica is up to date.
-func (cs *claimState) replicaIsCurrent() (current, has bool) {
+func (cs *groupState) replicaIsCurrent() (current, has bool) {
 	if cs.replica == nil {
 		return false, false
 	}
@@ -70,11 +70,11 @@
 }
 
 // rollbackVersions returns the versions of the configuration that the replica can roll back to.
-func (cs *claimState) rollbackVersions() []uint64 { return cs.replica.RollbackVersions() }
+func (cs *groupState) rollbackVersions() []uint64 { return cs.replica.RollbackVersions() }
 
 // agreedConfig returns the state of the configuration that the replica knows to be committed, and whether it has changed since the last
 // call.
-func (cs *claimState) agreedConfig() (agreed *configsync.Agreed, changed bool) {
+func (cs *groupState) agreedConfig() (agreed *configsync.Agreed, changed bool) {
 	if cs.replica == nil {
 		return nil, false
 	}
@@ -82,19 +82,19 @@
 }
 
 // proposeConfig proposes a command of this node to the consensus group through this node's replica, if it has one.
-func (cs *claimState) proposeConfig(command *configsync.Command) {
+func (cs *groupState) proposeConfig(command *configsync.Command) {
 	if cs.replica != nil {
 		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Proposed: []configsync.Command{*command}})
 	}
 }
 
 // replicaWritePersisted tells the replica that its writes up to a number are on disk, or that the disk failed.
-func (cs *claimState) replicaWritePersisted(number uint64, err error) {
+func (cs *groupState) replicaWritePersisted(number uint64, err error) {
 	cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Persisted: number, Err: err})
 }
 
 // forgetStream forgets a stream that has closed, so that nothing more is sent on it.
-func (cs *claimState) forgetStream(link int) {
+func (cs *groupState) forgetStream(link int) {
 	for name, stream := range cs.streams {
 		if stream == link {
 			delete(cs.streams, name)
@@ -103,7 +103,7 @@
 }
 
 // recordAnswer records that the group answered commands. A node without a replica sends its next commands to the leader.
-func (cs *claimState) recordAnswer(leader string) {
+func (cs *groupState) recordAnswer(leader string) {
 	cs.unansweredSince = 0
 	if at := slices.Index(cs.replicas, leader); at >= 0 && cs.replica == nil {
 		cs.targetReplica = at
@@ -112,7 +112,7 @@
 
 // rotateTargetReplica is called before commands are sent. It makes the next replica their target if the current one has not answered
 // for replicaTimeout.
-func (cs *claimState) rotateTargetReplica(now int64) {
+func (cs *groupState) rotateTargetReplica(now int64) {
 	switch {
 	case cs.unansweredSince == 0:
 		cs.unansweredSince = now
@@ -124,7 +124,7 @@
 
 // applyStreamMessage handles a message that came on a stream, or the end of the stream.
 func (sm *StateMachine) applyStreamMessage(in *Input) {
-	cs := &sm.claiming
+	cs := &sm.group
 	if in.Kind == PeerStreamClosed {
 		cs.forgetStream(in.Link)
 		return
@@ -144,7 +144,7 @@
 
 // applyGroupMessage handles a message of the consensus group's protocol, which this node may have sent to itself.
 func (sm *StateMachine) applyGroupMessage(m *consensus.Message) {
-	cs := &sm.claiming
+	cs := &sm.group
 	switch m.Kind {
 	case consensus.MessageVerdicts, consensus.MessageClaimsEnded, consensus.MessageReassignment:
 		if m.Owner == cs.self { // otherwise it is for an earlier incarnation of this node
@@ -160,7 +160,7 @@
 // applyVerdicts passes what the group decided for this node to the claims client, the lease holder and the configuration.
 func (sm *StateMachine) applyVerdicts(m *consensus.Message) {
 	if m.Kind == consensus.MessageVerdicts {
-		sm.claiming.recordAnswer(m.Leader)
+		sm.group.recordAnswer(m.Leader)
 	}
 	sm.leases.addLeaseVerdicts(m.Grants)
 	sm.configSync.addVerdicts(m.Decided)
@@ -178,7 +178,7 @@
 
 // stepReplica steps this node's replica, and emits its effects.
 func (sm *StateMachine) stepReplica() {
-	cs := &sm.claiming
+	cs := &sm.group
 	if sm.now >= cs.nextViewAt {
 		cs.nextViewAt = sm.now + groupViewInterval
 		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{View: sm.takeoverMembers()})
@@ -202,7 +202,7 @@
 
 // sendGroupMessage sends a message to a node: on the stream that the node last sent on, or if there is none, to its address.
 func (sm *StateMachine) sendGroupMessage(to string, m *consensus.Message) {
-	cs := &sm.claiming
+	cs := &sm.group
 	if to == cs.self.Name {
 		own := *m
 		sm.applyGroupMessage(&own)
@@ -218,7 +218,7 @@
 // proposeToGroup sends commands and requests for leases to a replica: to this node's own while that knows a leader, otherwise to the
 // target replica, which is the last leader that answered or, if it does not answer, the next replica.
 func (sm *StateMachine) proposeToGroup(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
-	cs := &sm.claiming
+	cs := &sm.group
 	cs.rotateTargetReplica(sm.now)
 	if cs.replica != nil && cs.replica.Leader() != "" {
 		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: cs.self})
--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -10,12 +10,12 @@
 	"topazpost/internal/resultcache"
 )
 
-func TestTokensAreRejectedWhileTheConsensusGroupIsUnreachable(t *testing.T) {
+func TestTokensAreThrottledWhileTheConsensusGroupIsUnreachable(t *testing.T) {
 	sm := claimingNode(t)
 	for range 4_000 {
 		step(sm)
 	}
-	require.False(t, sm.claiming.client.Connected())
+	require.False(t, sm.group.client.Connected())
 	before := sm.Counters.Throttled
 	step(sm, Input{Kind: ConnectionOpened, Link: 8})
 	invocation := tokenInvocation(1, "a1")
@@ -26,7 +26,7 @@
 		assert.Equal(t, claims.CommandNoop, c.Kind)
 	}
 	assert.Equal(t, before+1, sm.Counters.Throttled)
-	assert.Zero(t, sm.claiming.client.Size())
+	assert.Zero(t, sm.group.client.Size())
 }
 
 func TestMalformedStreamIsClosed(t *testing.T) {
@@ -34,7 +34,7 @@
 	effects := step(sm, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("not a valid message of a fleet")})
 	assert.Contains(t, localEffectKinds(effects), CloseStream)
 	step(sm, Input{Kind: PeerStreamClosed, Link: 3})
-	assert.Empty(t, sm.claiming.streams)
+	assert.Empty(t, sm.group.streams)
 }
 
 func TestEndOfARunOfAnEarlierIncarnationIsReported(t *testing.T) {
@@ -46,7 +46,7 @@
 }
 
 func TestCommandsGoToTheNextReplicaAfterATimeout(t *testing.T) {
-	cs := &claimState{replicas: []string{"a", "b", "c"}, targetReplica: 2}
+	cs := &groupState{replicas: []string{"a", "b", "c"}, targetReplica: 2}
 	cs.rotateTargetReplica(10 * ms)
 	assert.Equal(t, 2, cs.targetReplica, "the first command only starts the timeout")
 	cs.rotateTargetReplica(10*ms + replicaTimeout - 1)
@@ -58,7 +58,7 @@
 }
 
 func TestCommandsGoToTheLeaderThatAnswered(t *testing.T) {
-	cs := &claimState{replicas: []string{"a", "b", "c"}, unansweredSince: 5}
+	cs := &groupState{replicas: []string{"a", "b", "c"}, unansweredSince: 5}
 	cs.recordAnswer("c")
 	assert.Equal(t, 2, cs.targetReplica)
 	assert.Zero(t, cs.unansweredSince)
@@ -68,12 +68,12 @@
 
 func TestWithoutAConsensusGroupNothingIsClaimed(t *testing.T) {
 	sm := cachingNode(t, resultcache.InMemory)
-	assert.False(t, sm.claiming.enabled())
-	assert.False(t, sm.claiming.canClaim())
-	assert.Nil(t, sm.Claims())
-	current, has := sm.claiming.replicaIsCurrent()
+	assert.False(t, sm.group.enabled())
+	assert.False(t, sm.group.canClaim())
+	assert.Nil(t, sm.ConsensusSummary())
+	current, has := sm.group.replicaIsCurrent()
 	assert.False(t, current || has)
-	agreed, changed := sm.claiming.agreedConfig()
+	agreed, changed := sm.group.agreedConfig()
 	assert.Nil(t, agreed)
 	assert.False(t, changed)
 	assert.Equal(t, int64(never), sm.claimsDue())
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -59,7 +59,7 @@
 		n.repeat(1_200, n.newVersion)
 	}
 	if n.nodes > 1 {
-		n.repeat(900, n.outsideMessage)
+		n.repeat(900, n.deliverOutsideMessage)
 	}
 }
 
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -275,7 +275,7 @@
 		}
 		n.schedule(n.randomDuration(500, 4_000), func() { n.deliver(node.Input{Kind: node.VersionPersisted, Err: err}) })
 	case node.SendDatagram, node.OpenExchange, node.ReplyToExchange, node.SendOnStream, node.CloseStream:
-		n.peerEffect(e)
+		n.executePeerEffect(e)
 	}
 }
 
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// peerEffect carries out an effect that sends something to other nodes, or does nothing if the effect is of another kind.
-func (n *simNode) peerEffect(e *node.Effect) {
+// executePeerEffect carries out an effect that sends something to other nodes, or does nothing if the effect is of another kind.
+func (n *simNode) executePeerEffect(e *node.Effect) {
 	text, link, incarnation := bytes.Clone(e.Bytes), e.Link, n.incarnation
 	lost := n.loss > 0 && n.Rand.Float64() < n.loss
 	switch e.Kind {
@@ -113,8 +113,8 @@
 	n.schedule(0, func() { n.deliver(node.Input{Kind: node.PeerStreamClosed, Link: link}) })
 }
 
-// outsideMessage delivers a random message that no node sent: an operator's request, or an invalid message.
-func (n *simNode) outsideMessage() {
+// deliverOutsideMessage delivers a random message that no node sent: an operator's request, or an invalid message.
+func (n *simNode) deliverOutsideMessage() {
 	if n.machine == nil {
 		return
 	}
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -61,7 +61,7 @@
 		return
 	}
 	c.markUsed(sm.now)
-	if sm.mustRejectToken(&v) || sm.controller == nil || sm.awaitingRecovery(&v) {
+	if sm.mustThrottleToken(&v) || sm.controller == nil || sm.awaitingRecovery(&v) {
 		sm.throttleOnArrival(c.link, f.Stream)
 		return
 	}
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -17,13 +17,13 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// sealMessage encodes a message of the fleet whose name the fixtures were recorded with.
-func sealMessage(body any) ([]byte, error) {
+// sealFixture encodes a message of the fleet whose name the fixtures were recorded with.
+func sealFixture(body any) ([]byte, error) {
 	return envelope.Seal(nil, envelope.FleetOf("mobilier"), body)
 }
 
-// openMessage decodes a message of that fleet.
-func openMessage(text []byte, body any) error {
+// openFixture decodes a message of that fleet.
+func openFixture(text []byte, body any) error {
 	return envelope.Open(text, envelope.FleetOf("mobilier"), body)
 }
 
@@ -35,19 +35,19 @@
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[membership.Message](uint32(k))
 			want.Kind = kind
-			text, err := sealMessage(&want)
+			text, err := sealFixture(&want)
 			require.NoError(t, err)
 			var got peerMessage
-			require.NoError(t, openMessage(fixture.Equal(t, fmt.Sprintf("member-message-%d-v1.bin", k+1), text), &got))
+			require.NoError(t, openFixture(fixture.Equal(t, fmt.Sprintf("member-message-%d-v1.bin", k+1), text), &got))
 			assert.Equal(t, peerMessage{Message: want}, got)
 		})
 	}
 	t.Run("request for the summary of claims", func(t *testing.T) {
-		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}, sealMessage, openMessage)
+		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}, sealFixture, openFixture)
 	})
 	t.Run("view", func(t *testing.T) {
 		want := fixture.Filled[membership.View](1)
-		fixture.RoundTrip(t, "view-v1.bin", want, sealMessage, openMessage)
+		fixture.RoundTrip(t, "view-v1.bin", want, sealFixture, openFixture)
 		seen := want.Members[0]
 		seen.Status, seen.Reach = 0, 0 // not part of the JSON encoding
 		fixture.RoundTrip(t, "seen-v1.json", seen, json.Marshal, json.Unmarshal)
@@ -74,10 +74,10 @@
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configMessage](uint32(k))
 			want.Message.Kind, want.Query, want.Answer = kind, nil, nil
-			text, err := sealMessage(configMessageBody{&want})
+			text, err := sealFixture(configMessageBody{&want})
 			require.NoError(t, err)
 			var got peerMessage
-			require.NoError(t, openMessage(fixture.Equal(t, fmt.Sprintf("configuration-message-%d-v1.bin", k+1), text), &got))
+			require.NoError(t, openFixture(fixture.Equal(t, fmt.Sprintf("configuration-message-%d-v1.bin", k+1), text), &got))
 			assert.Equal(t, peerMessage{Configuration: &want}, got)
 		})
 	}
@@ -85,24 +85,24 @@
 		t.Run(fmt.Sprintf("query %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configsync.Query](uint32(k))
 			want.Kind = kind
-			text, err := sealMessage(ConfigQueryBody(&want))
+			text, err := sealFixture(ConfigQueryBody(&want))
 			require.NoError(t, err)
 			var got peerMessage
-			require.NoError(t, openMessage(fixture.Equal(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
+			require.NoError(t, openFixture(fixture.Equal(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
 			assert.Equal(t, peerMessage{Configuration: &configMessage{Query: &want}}, got)
 		})
 	}
 	t.Run("answer", func(t *testing.T) {
 		want := fixture.Filled[configsync.Answer](1)
-		text, err := sealMessage(configMessageBody{&configMessage{From: "node-1", Answer: &want}})
+		text, err := sealFixture(configMessageBody{&configMessage{From: "node-1", Answer: &want}})
 		require.NoError(t, err)
 		got, err := DecodeConfigAnswer(fixture.Equal(t, "answer-v1.bin", text), envelope.FleetOf("mobilier"))
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
 	t.Run("message body", func(t *testing.T) {
-		fixture.RoundTrip(t, "letter-v1.bin", fixture.Filled[peerMessage](1), sealMessage, openMessage)
-		fixture.RoundTrip(t, "body-v1.bin", fixture.Filled[configMessageBody](1), sealMessage, openMessage)
+		fixture.RoundTrip(t, "letter-v1.bin", fixture.Filled[peerMessage](1), sealFixture, openFixture)
+		fixture.RoundTrip(t, "body-v1.bin", fixture.Filled[configMessageBody](1), sealFixture, openFixture)
 	})
 }
 
@@ -114,13 +114,13 @@
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[consensus.Message](uint32(k))
 			want.Kind = kind
-			fixture.RoundTrip(t, fmt.Sprintf("council-message-%d-v1.bin", k+1), want, sealMessage, openMessage)
+			fixture.RoundTrip(t, fmt.Sprintf("council-message-%d-v1.bin", k+1), want, sealFixture, openFixture)
 		})
 	}
 	t.Run("summary for operators", func(t *testing.T) {
-		fixture.RoundTrip(t, "picture-v1.bin", fixture.Filled[consensus.Summary](1), sealMessage, openMessage)
+		fixture.RoundTrip(t, "picture-v1.bin", fixture.Filled[consensus.Summary](1), sealFixture, openFixture)
 	})
 	t.Run("invocation for a takeover", func(t *testing.T) {
-		fixture.RoundTrip(t, "work-v1.cbor", fixture.Filled[takeoverWork](1), cbor.Marshal, cbor.Unmarshal)
+		fixture.RoundTrip(t, "work-v1.cbor", fixture.Filled[takeoverData](1), cbor.Marshal, cbor.Unmarshal)
 	})
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -99,7 +99,7 @@
 func (sm *StateMachine) requestHollowClaim(token []byte) {
 	hs := &sm.hollow
 	hs.counters.TokensRequested.Add(1)
-	if !sm.claiming.canClaim() || len(hs.tokens) >= maxHollowTokens {
+	if !sm.group.canClaim() || len(hs.tokens) >= maxHollowTokens {
 		hs.counters.TokensRejected.Add(1)
 		return
 	}
@@ -114,7 +114,7 @@
 	sm.addClaimInput(request)
 	request.Kind = claims.RequestStart
 	sm.addClaimInput(request)
-	sm.claiming.requestSweep(sm.now)
+	sm.group.requestSweep(sm.now)
 }
 
 // hollowOperation returns the operation that a hollow node claims all its tokens for: the first one with idempotency tokens.
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -47,7 +47,7 @@
 	sm, counters := hollowNode(t)
 	now := int64(0)
 	counts := runUntil(t, sm, &now, 4_000*ms)
-	require.True(t, sm.claiming.client.Connected())
+	require.True(t, sm.group.client.Connected())
 	var tokens []Input
 	for k := range 9 {
 		tokens = append(tokens, Input{Kind: HollowClaimRequested, Bytes: fmt.Append(nil, "t", k)})
@@ -60,7 +60,7 @@
 	}
 	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{counters.TokensRequested.Load(), counters.RunsStarted.Load(), counters.EndsRecorded.Load(), counters.TokensRejected.Load(), counters.TokensAbandoned.Load()})
 	assert.Equal(t, []int64{8, 5, 5}, []int64{counters.CallsWanted.Load(), counters.CallsAllowed.Load(), counters.CallsInFlight.Load()}, "the whole limit of 5 units is allowed and in use, and no more")
-	assert.False(t, sm.facts().NoExecutor, "a hollow node with load accepts claims of lost nodes")
+	assert.False(t, sm.updateFacts().NoExecutor, "a hollow node with load accepts claims of lost nodes")
 }
 
 func TestHollowNodeExitsAtOnceWhenDrained(t *testing.T) {
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -25,9 +25,9 @@
 // node with a replica of the consensus group defines the limit, under the given version, while its replica leads.
 func (sm *StateMachine) EnableQuota(config quota.HolderConfig, version uint64) {
 	if !sm.hollow.isReplicaOnly() {
-		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.claiming.owner())), config: config, announcedUnits: -1}
+		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.group.owner())), config: config, announcedUnits: -1}
 	}
-	sm.claiming.setLimits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: config.Name, Units: config.Units, Version: version,
+	sm.group.setLimits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: config.Name, Units: config.Units, Version: version,
 		StartDelay: config.LeaseTerm}})
 }
 
@@ -55,8 +55,8 @@
 // requestStep makes the holder step in this step, because the demand has changed.
 func (ls *leaseState) requestStep(now int64) { ls.stepAt = now }
 
-// allowedUnits returns how many units the lease allows, including those of abandoned calls.
-func (ls *leaseState) allowedUnits(now int64) int64 { return ls.holder.Allowed(now) }
+// leasedUnits returns how many units the lease allows, including those of abandoned calls.
+func (ls *leaseState) leasedUnits(now int64) int64 { return ls.holder.Allowed(now) }
 
 // availableUnits returns how many calls may be in flight: the units of the lease without those reserved for abandoned calls. It first
 // frees the reserved units whose time is over.
@@ -140,7 +140,7 @@
 // callDemand returns how many calls are in flight and how many wait to be made. Both are unknown before there is an admission controller.
 func (sm *StateMachine) callDemand() (inFlight, waiting int, known bool) {
 	if sm.hollow.enabled() {
-		inFlight, waiting = sm.hollow.callDemand(sm.leases.allowedUnits(sm.now))
+		inFlight, waiting = sm.hollow.callDemand(sm.leases.leasedUnits(sm.now))
 		return inFlight, waiting, true
 	}
 	if sm.controller == nil {
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -51,7 +51,7 @@
 	fetch := effectsOfKind(effects, SendToCatalogue)
 	require.Len(t, fetch, 1)
 	assert.LessOrEqual(t, fetch[0].At, sm.now+500*ms, "the call must be written within half of MaxUseTime, or not at all")
-	assert.Equal(t, int64(2), sm.Claims().Lease.Units)
+	assert.Equal(t, int64(2), sm.ConsensusSummary().Lease.Units)
 }
 
 // Guards against more concurrent calls at the dependency than the lease allows. The dependency may work on an abandoned call for up to
@@ -75,12 +75,12 @@
 	require.Equal(t, int64(1), sm.leases.holder.Allowed(sm.now), "the lease still holds")
 	for sm.now < abandonedAt+500*ms {
 		assert.Zero(t, sm.leases.announcedUnits, "%d ms after the call was abandoned", (sm.now-abandonedAt)/ms)
-		assert.Equal(t, int64(1), sm.Claims().Lease.Used)
+		assert.Equal(t, int64(1), sm.ConsensusSummary().Lease.Used)
 		step(sm)
 	}
 	step(sm)
 	assert.Equal(t, 1, sm.leases.announcedUnits)
-	assert.Zero(t, sm.Claims().Lease.Used)
+	assert.Zero(t, sm.ConsensusSummary().Lease.Used)
 }
 
 func TestExpiredLeaseIsAppliedBeforeAnyDecision(t *testing.T) {
@@ -101,7 +101,7 @@
 
 func TestWithoutALimitThereIsNoLeaseHolder(t *testing.T) {
 	sm := claimingNode(t)
-	assert.Nil(t, sm.Claims().Lease)
+	assert.Nil(t, sm.ConsensusSummary().Lease)
 	assert.Equal(t, int64(never), sm.leaseDue())
 }
 
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -75,7 +75,7 @@
 	degradation degradationState
 	fleet       fleetState
 	results     resultState
-	claiming    claimState
+	group       groupState
 	leases      leaseState
 	hollow      hollowState
 	versions    versionState
@@ -224,7 +224,7 @@
 	case VersionPersisted:
 		sm.configPersisted(in)
 	case ReplicaWritePersisted:
-		sm.claiming.replicaWritePersisted(in.Number, in.Err)
+		sm.group.replicaWritePersisted(in.Number, in.Err)
 	case HollowClaimRequested, HollowCallsRequested:
 		sm.applyLoadRequest(in)
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -141,7 +141,7 @@
 		sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &view)
 		return
 	}
-	summary := sm.Claims()
+	summary := sm.ConsensusSummary()
 	if summary == nil {
 		sm.emit(Effect{Kind: ReplyToExchange, Link: link}) // no bytes: the host closes the exchange
 		return
@@ -169,7 +169,7 @@
 	if fs.members == nil {
 		return
 	}
-	if facts := sm.facts(); facts != fs.announcedFacts {
+	if facts := sm.updateFacts(); facts != fs.announcedFacts {
 		fs.announcedFacts = facts
 		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.FactsChanged, Facts: facts})
 	}
@@ -211,8 +211,8 @@
 	sm.log(level, text, "", nil)
 }
 
-// facts returns what this node announces to its fleet about itself.
-func (sm *StateMachine) facts() (f membership.Facts) {
+// updateFacts returns what this node announces to its fleet about itself.
+func (sm *StateMachine) updateFacts() (f membership.Facts) {
 	fs := &sm.fleet
 	if sm.controller != nil && sm.executor.isConnected() {
 		fs.executorLostAt = -1
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -124,7 +124,7 @@
 	case resultcache.WriteEnd:
 		sm.recordRunEnd(a)
 	case resultcache.RemoveRecord:
-		if sm.claiming.enabled() {
+		if sm.group.enabled() {
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: sm.claimKey(a.Key)})
 		}
 	case resultcache.Join:
@@ -136,7 +136,7 @@
 // recordRunStart records that a run starts: in the consensus group where there is one, otherwise in the store.
 func (sm *StateMachine) recordRunStart(a *resultcache.Action) {
 	remaining := a.Until - sm.now
-	if sm.claiming.enabled() {
+	if sm.group.enabled() {
 		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Window: remaining})
 		return
 	}
@@ -145,7 +145,7 @@
 
 // recordRunEnd records the outcome of a run in the consensus group or the store.
 func (sm *StateMachine) recordRunEnd(a *resultcache.Action) {
-	if sm.claiming.enabled() {
+	if sm.group.enabled() {
 		sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
 		return
 	}
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -17,8 +17,8 @@
 
 var errNotAccepting = errors.New("node: draining, or no executor has connected yet; no invocations are taken over")
 
-// takeoverWork is the part of an invocation that is stored with its claim, so that another node can take it over.
-type takeoverWork struct {
+// takeoverData is the part of an invocation that is stored with its claim, so that another node can take it over.
+type takeoverData struct {
 	InvocationID string  `cbor:"1,keyasint"`
 	Body         []byte  `cbor:"2,keyasint"`
 	QueuedKB     float64 `cbor:"3,keyasint"`
@@ -26,13 +26,13 @@
 	Caller       int64   `cbor:"5,keyasint,omitempty"`
 }
 
-// takeoverWorkOf returns what another node needs to take over an invocation.
-func takeoverWorkOf(v *invocation) takeoverWork {
-	return takeoverWork{InvocationID: v.invocationID, Body: v.body, QueuedKB: v.arrivalEvent.QueuedKB, ExpectedWork: v.arrivalEvent.ExpectedWork, Caller: v.arrivalEvent.Caller}
+// takeoverDataOf returns what another node needs to take over an invocation.
+func takeoverDataOf(v *invocation) takeoverData {
+	return takeoverData{InvocationID: v.invocationID, Body: v.body, QueuedKB: v.arrivalEvent.QueuedKB, ExpectedWork: v.arrivalEvent.ExpectedWork, Caller: v.arrivalEvent.Caller}
 }
 
 // valid reports whether all fields are within the bounds of an invocation.
-func (w *takeoverWork) valid() bool {
+func (w *takeoverData) valid() bool {
 	return isHex16(w.InvocationID) && len(w.Body) <= maxBodyBytes && w.QueuedKB > 0 && w.QueuedKB < maxHeapKB
 }
 
@@ -42,7 +42,7 @@
 	if sm.controller == nil || sm.drain.isRequested() {
 		return errNotAccepting
 	}
-	var work takeoverWork
+	var work takeoverData
 	if err := cbor.Unmarshal(a.Work, &work); err != nil {
 		return fmt.Errorf("node: the invocation to take over can't be decoded: %w", err)
 	}
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -55,7 +55,7 @@
 func TestTakeoverOfInvalidInvocationIsRejected(t *testing.T) {
 	for _, queuedKB := range []float64{math.NaN(), 0, -1, maxHeapKB, math.Inf(1)} {
 		sm := claimingNode(t)
-		work, err := cbor.Marshal(takeoverWork{InvocationID: id(1), Body: []byte("body"), QueuedKB: queuedKB})
+		work, err := cbor.Marshal(takeoverData{InvocationID: id(1), Body: []byte("body"), QueuedKB: queuedKB})
 		require.NoError(t, err)
 		release := claimCommands(t, sm, receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
 			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}))
--- a/server/loop.go
+++ b/server/loop.go
@@ -141,7 +141,7 @@
 func (s *Server) logAndFlush() {
 	s.log.Info().Interface("counters", s.state.Counters).Interface("levels", s.state.ServiceCountsByLevel()).
 		Interface("results", s.state.ResultCacheCounters()).Interface("peers", s.fleetCounters()).
-		Interface("claims", s.state.Claims()).Interface("configuration", s.state.ConfigSyncStatus()).
+		Interface("claims", s.state.ConsensusSummary()).Interface("configuration", s.state.ConfigSyncStatus()).
 		Interface("did_not_hold", s.state.Invariants.All()).Msg("drained, leaving")
 	s.conns.flushAll()
 	if s.fleet != nil {
