--- a/internal/node/digestcallers_test.go
+++ b/internal/node/digestcallers_test.go
@@ -13,6 +13,7 @@
 	"topazpost/internal/protocol/frame"
 )
 
+// conn returns the open connection with a link number, or nil.
 func (n *simNode) conn(link int) *callerConn {
 	k := slices.IndexFunc(n.conns, func(c *callerConn) bool { return c.link == link })
 	if k < 0 {
@@ -21,35 +22,36 @@
 	return n.conns[k]
 }
 
-// closeConn closes a connection.
+// closeConn closes a connection and tells the node.
 func (n *simNode) closeConn(link int) {
 	n.conns = slices.DeleteFunc(n.conns, func(c *callerConn) bool { return c.link == link })
 	n.deliver(node.Input{Kind: node.ConnectionClosed, Link: link})
 }
 
-// closeConnSoon closes a connection soon; now and then an invocation crosses that.
+// closeConnSoon closes a connection after a short delay, unless the node cancels the close. Sometimes an invocation arrives
+// before the close takes place.
 func (n *simNode) closeConnSoon(link int) {
 	c := n.conn(link)
 	if c == nil {
 		return
 	}
 	c.closeCount++
-	at := c.closeCount
+	closeNumber := c.closeCount
 	if n.oneIn(4) {
 		n.schedule(n.randomDuration(50, 200), func() {
-			if c.closeCount == at && n.conn(link) == c {
+			if c.closeCount == closeNumber && n.conn(link) == c {
 				n.invoke(c)
 			}
 		})
 	}
 	n.schedule(n.randomDuration(250, 900), func() {
-		if c.closeCount == at {
+		if c.closeCount == closeNumber {
 			n.closeConn(link)
 		}
 	})
 }
 
-// writtenToCaller applies what the node writes to a caller.
+// writtenToCaller handles a frame that the node writes to a caller.
 func (n *simNode) writtenToCaller(e *node.Effect) {
 	c := n.conn(e.Link)
 	if c == nil {
@@ -58,7 +60,7 @@
 	var p frame.Parser
 	p.Wrote(copy(p.Space(), e.Bytes))
 	f, ok, err := p.Next()
-	require.True(n.t, ok && err == nil, "what is written to callers can be parsed")
+	require.True(n.t, ok && err == nil, "a frame written to a caller can be parsed")
 	switch f.Type {
 	case frame.GoAway:
 		c.goAwayReceived = true
@@ -67,7 +69,7 @@
 	}
 }
 
-// openConn opens a connection.
+// openConn opens a connection of a caller.
 func (n *simNode) openConn() *callerConn {
 	n.lastConn++
 	c := &callerConn{link: n.lastConn, open: map[uint32]string{}}
@@ -76,7 +78,7 @@
 	return c
 }
 
-// invokeOnAnyConn sends an invocation on a drawn connection, or a new one.
+// invokeOnAnyConn sends an invocation on a randomly chosen usable connection, or on a new one.
 func (n *simNode) invokeOnAnyConn() {
 	if n.machine == nil || n.isHollow() {
 		return
@@ -109,7 +111,7 @@
 	fields := n.invocationFields(id)
 	body := "body of " + id
 	if n.caching {
-		token := fmt.Sprint("t", n.Rand.Intn(20)+n.lastID/20*10) // many are repeated
+		token := fmt.Sprint("t", n.Rand.Intn(20)+n.lastID/20*10) // from a small range, so that many are repeated
 		fields = append(fields, frame.Field{Name: "dedupe", Value: token})
 		body = "body of " + token
 	}
@@ -131,7 +133,7 @@
 		Oversized: n.misbehaving && n.oneIn(90)}})
 }
 
-// invocationFields draws the fields of a valid invocation.
+// invocationFields returns random fields of a valid invocation.
 func (n *simNode) invocationFields(id string) []frame.Field {
 	fields := []frame.Field{{Name: "op", Value: []string{"catalogue", "hold", "pay"}[n.Rand.Intn(3)]}, {Name: "call", Value: id},
 		{Name: "recv", Value: strconv.FormatInt((epoch+n.Now)/millisecond-n.Rand.Int63n(20), 10)}, {Name: "src", Value: strconv.Itoa(n.Rand.Intn(9))},
@@ -151,7 +153,7 @@
 	return fields
 }
 
-// distortFields makes some invocations invalid: malformed or missing fields, and calls that are in use.
+// distortFields makes some invocations invalid: with malformed or missing fields, or with the id of an unanswered invocation.
 func (n *simNode) distortFields(c *callerConn, fields []frame.Field) []frame.Field {
 	if n.oneIn(25) {
 		k := n.Rand.Intn(len(fields))
@@ -171,20 +173,20 @@
 	return fields
 }
 
-// callerActivity draws what callers do beside invocations.
+// callerActivity has a random caller do something other than invoke: cancel, check health, disconnect or misbehave.
 func (n *simNode) callerActivity() {
 	if len(n.conns) == 0 || n.machine == nil {
 		return
 	}
 	c := n.conns[n.Rand.Intn(len(n.conns))]
-	read := func(f frame.Frame) { n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: f}) }
+	send := func(f frame.Frame) { n.deliver(node.Input{Kind: node.FrameReceived, Link: c.link, Frame: f}) }
 	switch kind := n.Rand.Intn(12); {
 	case kind < 3:
 		open := slices.Sorted(maps.Keys(c.open))
 		if len(open) > 0 {
 			stream := open[n.Rand.Intn(len(open))]
 			delete(c.open, stream)
-			read(frame.Frame{Type: frame.Cancel, Stream: stream})
+			send(frame.Frame{Type: frame.Cancel, Stream: stream})
 		}
 	case kind < 6:
 		n.checkHealth(c, n.oneIn(2))
@@ -194,13 +196,13 @@
 	case kind == 7:
 		n.deliver(node.Input{Kind: node.FrameMalformed, Link: c.link, Err: frame.ErrLength})
 	case kind == 8:
-		read(frame.Frame{Type: 99, Stream: 1})
+		send(frame.Frame{Type: 99, Stream: 1})
 	case kind == 9:
 		for range 40 {
 			n.invoke(c)
 		}
 	case kind == 10:
-		read(frame.Frame{Type: frame.HealthCheck, Stream: 1, Payload: []byte{255, 1}})
+		send(frame.Frame{Type: frame.HealthCheck, Stream: 1, Payload: []byte{255, 1}})
 	default:
 		for range 3 {
 			n.openConn()
@@ -208,7 +210,7 @@
 	}
 }
 
-// checkHealth sends a health check; a deep one needs the executor.
+// checkHealth sends a health check; the executor answers a deep one.
 func (n *simNode) checkHealth(c *callerConn, deep bool) {
 	var fields []frame.Field
 	if deep {
@@ -220,7 +222,7 @@
 		Oversized: n.oneIn(20)}})
 }
 
-// abandonConns has callers use none of their connections any more, so that those reach their idle timeout.
+// abandonConns makes callers stop using their connections, so that these reach their idle timeout.
 func (n *simNode) abandonConns() {
 	for _, c := range n.conns {
 		c.goAwayReceived = true
--- a/internal/node/digestexecutor_test.go
+++ b/internal/node/digestexecutor_test.go
@@ -13,10 +13,10 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-// deliverLine sends the node a line on the open link.
+// deliverLine sends the node a line on the executor's open link, unless the executor is silent.
 func (n *simNode) deliverLine(line lineprotocol.Line) {
 	if link := n.executorLink; link != 0 && !n.executorSilent {
-		n.schedule(150_000, func() { // all take the same time, so that they keep their order
+		n.schedule(150_000, func() { // the same delay for all lines, so that they stay in order
 			if link == n.executorLink {
 				n.deliver(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: line})
 			}
@@ -29,7 +29,7 @@
 	n.deliverLine(lineprotocol.Line{Words: strings.Fields(text), Body: []byte("")})
 }
 
-// sendNotice sends the node a numbered notice, which later links may repeat.
+// sendNotice sends the node a numbered notice and stores it, since a later link may have to repeat it.
 func (n *simNode) sendNotice(kind, rest, body string) {
 	line := lineprotocol.Line{Words: strings.Fields(fmt.Sprintf("%s %d %s", kind, len(n.notices)+1, rest)), Body: []byte(body)}
 	n.notices = append(n.notices, line)
@@ -63,17 +63,17 @@
 	}
 }
 
-// executorCommand has the executor carry out a command.
+// executorCommand carries out a command as the executor does.
 func (n *simNode) executorCommand(link int, words []string, body []byte) {
 	switch words[0] {
 	case "JOIN":
 		from, err := strconv.Atoi(words[1])
 		require.NoError(n.t, err)
-		wait := int64(0)
+		delay := int64(0)
 		if n.oneIn(2) {
-			wait = 300 * millisecond
+			delay = 300 * millisecond
 		}
-		n.schedule(wait, func() { n.welcome(link, from) })
+		n.schedule(delay, func() { n.welcome(link, from) })
 	case "METER":
 		n.sendGauges(words[1])
 	case "DIAG":
@@ -93,7 +93,8 @@
 	}
 }
 
-// sendGauges answers a request for gauges, behind the notices that a new link brings.
+// sendGauges answers a request for gauges. The delay is longer than that of the notices repeated after a welcome, so that the
+// answer follows them.
 func (n *simNode) sendGauges(tag string) {
 	running := 0
 	for _, r := range n.runs {
@@ -106,7 +107,7 @@
 	n.schedule(delay, func() { n.sendLine(text) })
 }
 
-// startRun starts a run once: a new link repeats the commands that may not have been read.
+// startRun starts a run unless it was started before: the node repeats unacknowledged commands on a new link.
 func (n *simNode) startRun(id, class string, body []byte) {
 	if n.executed[id] {
 		return
@@ -124,14 +125,14 @@
 	n.runSegment(r)
 }
 
-// welcome sends the welcome of a link, and the notices that the node has not applied.
+// welcome sends WELCOME on a link, and then the notices after the number that the node joined with.
 func (n *simNode) welcome(link, from int) {
 	if link != n.executorLink {
 		return
 	}
 	words := strings.Fields(fmt.Sprintf("WELCOME %s %d", []string{"new", "old"}[n.seed&1], (n.Now-n.executorStartedAt)/millisecond))
 	n.deliver(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: lineprotocol.Line{Words: words}})
-	for _, c := range n.conns { // a check in the step of the first welcome is a deep one
+	for _, c := range n.conns { // deep checks in the same step as the first welcome
 		if c.closeCount == 0 && n.oneIn(2) {
 			n.checkHealth(c, true)
 		}
@@ -145,7 +146,7 @@
 	})
 }
 
-// runSegment continues a run up to its next call or its end. It goes on when the node's process ends.
+// runSegment continues a run up to its next call or its end. Runs go on when the node's process ends.
 func (n *simNode) runSegment(r *executorRun) {
 	n.After(n.randomDuration(3_000, 90_000), func() {
 		if r.calls > 0 {
@@ -153,7 +154,7 @@
 			r.awaitingCall = true
 			n.sendNotice("CALLOUT", fmt.Sprintf("%s %d", r.id, len(r.id)), r.id)
 			n.After(3_000*millisecond, func() {
-				if r.awaitingCall { // nobody brings it its answer
+				if r.awaitingCall { // no reply has come
 					r.awaitingCall, r.calls = false, 0
 					n.endRun(r, "cut")
 				}
@@ -184,10 +185,10 @@
 	}
 }
 
-// linkFault is true once in so many times if links are faulty.
+// linkFault returns true once in the given number of times on average, if links are faulty.
 func (n *simNode) linkFault(times int) bool { return n.faultyLinks && n.oneIn(times) }
 
-// executorFault disturbs the executor's link.
+// executorFault causes a random fault of the executor's link: silence, a malformed line or a disconnect.
 func (n *simNode) executorFault() {
 	if n.machine == nil || n.executorLink == 0 {
 		return
@@ -204,7 +205,7 @@
 	}
 }
 
-// splitCommand splits a command into the words of its line and its body.
+// splitCommand splits a command into the words of its first line and its body.
 func splitCommand(b []byte) (words []string, body []byte) {
 	end := bytes.Index(b, []byte("\r\n"))
 	words = strings.Fields(string(b[:end]))
