--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -108,7 +108,7 @@
 	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.invocationID, timeout)})
 }
 
-// closeLink closes a link and counts the call on it, if any, as abandoned.
+// closeLink closes a link. If a call was sent on it, its unit of the lease stays reserved, as the catalogue may still work on the call.
 func (c *catalogueState) closeLink(k int) {
 	c.sm.reserveAbandonedUnit(&c.links[k])
 	c.sm.emit(Effect{Kind: CloseCatalogue, Link: c.links[k].id})
