--- a/internal/admission/concurrency.go
+++ b/internal/admission/concurrency.go
@@ -2,7 +2,7 @@
 
 const (
 	safeConcurrencyShare  = 0.75 // of the survivable concurrency; the rest covers returns from calls and execution pauses
-	maxBlockedToMeanRatio = 2.0  // blocked runs allowed beyond the limit of runs, over their mean; calls come in bursts
+	maxBlockedToMeanRatio = 2.0  // while no core is idle: blocked runs allowed beyond the limit of runs, over their mean; calls come in bursts
 	preemptionRatio       = 1.5  // least ratio of a waiting invocation's rank to that of the run that it preempts
 
 	limitIncrease    = 0.25 // of the limit, added at each tick while cores are idle and work waits
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -70,7 +70,7 @@
 	MaxDeduplicationEntries int // 0 if only memory limits them
 	StopSupport             StopSupport
 	Backpressure            BackpressureKind
-	Peers                   int // nodes of the group over which tenant quotas are divided, with this one
+	Peers                   int // number of nodes over which tenant quotas are divided
 	Dependency              DependencyKind
 	CallQuota               float64 // calls in flight that the node may have, as a mean over the window
 	CallQuotaWindow         int64
@@ -81,7 +81,7 @@
 	ProcessStart            int64   // 0 if the process started together with the cores
 	RetriesMarked           bool    // callers mark their retries
 	ColdSpeedShare          float64 // speed of cold cores over that of warm ones
-	WarmUpTime              int64   // longest time until cold cores reach full speed
+	WarmUpTime              int64   // guaranteed maximum of the time until cold cores reach full speed
 	SurvivableRunsPerCore   float64 // runs for each core, on it or blocked, up to which a warm node does not collapse
 	DrainGrace              int64   // maximum time from the request of a drain to the end of intake
 	MaxRetryAfter           int64   // 0 if callers can't be told when to retry
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -14,8 +14,8 @@
 	RunEnded // also ends an invocation after JoinOriginal, when the run of the other invocation ends
 	DegradationLevelSet
 
-	// CallLimitSet sets the limits of a lease of calls. From then on the quota of calls no longer applies. A CallLimit of 0
-	// means that the node holds no lease.
+	// CallLimitSet sets the limits of a lease of calls. A CallLimit of 0 means that the node holds no lease. While CallLimit
+	// is below math.MaxInt, the quota of calls does not apply.
 	CallLimitSet
 
 	// OperationConfigured adds, changes or removes an operation. Invocations that arrived earlier retain the configuration
--- a/internal/admission/invocation.go
+++ b/internal/admission/invocation.go
@@ -153,7 +153,7 @@
 }
 
 // requeueStopped puts an invocation back into the queue whose run was stopped before it was answered: by a preemption or,
-// where stops discard progress, by the host itself.
+// where stops discard progress, without a request of the controller.
 func (c *Controller) requeueStopped(inv *invocation) {
 	if c.config.StopSupport == StopKeepsProgress {
 		c.setState(inv, statePaused)
--- a/internal/admission/randomevents_test.go
+++ b/internal/admission/randomevents_test.go
@@ -63,7 +63,7 @@
 func (r *randomEvents) step(step int) {
 	r.now += int64(1+r.random.Intn(30)) * millisecond
 	if r.random.Intn(150) == 0 {
-		r.now += 200_000 * millisecond // long enough that silent tenants and callers are removed
+		r.now += 200_000 * millisecond // a period without arrivals
 	}
 	events := r.endRuns(nil)
 	for range r.random.Intn(4) {
