--- a/internal/fleet/claims/client.go
+++ b/internal/fleet/claims/client.go
@@ -8,24 +8,24 @@
 	never            = 1<<63 - 1 // ns
 )
 
-// RequestKind names what happened at a node.
-type RequestKind uint8
+// InputKind is the kind of an Input.
+type InputKind uint8
 
-// The kinds of requests.
+// The kinds of inputs: requests and reports of the node, and messages of the consensus group and the executor.
 const (
-	RequestClaim    RequestKind = iota // the first invocation of a token was read: claim it
-	RequestStart                       // its run is to start now
-	ReportEnd                          // its run ended, with Outcome and Result
-	AbandonClaim                       // nobody waits for it, and nothing runs or will run under the claim; may repeat for what is over
-	VerdictReceived                    // the group answered a command
-	EndNotified                        // the group notifies the node that a claim elsewhere is over
-	ClaimAssigned                      // the group gives this node the claim of a lost one
-	EarlierRunEnded                    // the executor reports how a run of an earlier incarnation ended
+	RequestClaim    InputKind = iota // the first invocation of a token was read: claim it
+	RequestStart                     // its run is to start now
+	ReportEnd                        // its run ended, with Outcome and Result
+	AbandonClaim                     // nobody waits for it, and nothing runs or will run under the claim; may repeat for what is over
+	VerdictReceived                  // the group answered a command
+	EndNotified                      // the group notifies the node that a claim elsewhere is over
+	ClaimAssigned                    // the group gives this node the claim of a lost one
+	EarlierRunEnded                  // the executor reports how a run of an earlier incarnation ended
 )
 
 // Input is one request; only the fields of its kind are set.
 type Input struct {
-	Kind         RequestKind
+	Kind         InputKind
 	Key          Key
 	BodyHash     uint64
 	Remaining    int64 // RequestClaim, RequestStart, ClaimAssigned: ns to its due time
@@ -126,9 +126,9 @@
 	return claim != nil && claim.phase == phaseElsewhere
 }
 
-// NotStarted are the claims under which nothing runs here and that are not being released, and those whose end is not committed
-// yet, in the order of their arrival.
-func (c *Client) NotStarted() (keys []Key) {
+// NotRunning returns the keys of the claims whose run has not started, or has ended without the end being committed, in the order
+// in which they were added. It leaves out claims that are being released.
+func (c *Client) NotRunning() (keys []Key) {
 	for _, claim := range c.order {
 		if !claim.removed && (claim.phase < phaseRunning || claim.phase == phaseEnding) {
 			keys = append(keys, claim.key)
--- a/internal/fleet/claims/command.go
+++ b/internal/fleet/claims/command.go
@@ -43,7 +43,7 @@
 	Outcome       uint8       `cbor:"11,keyasint,omitempty"` // End, Resolve
 	Result        []byte      `cbor:"12,keyasint,omitempty"` // End, Resolve
 	NewOwner      Owner       `cbor:"13,keyasint,omitempty"` // Reassign
-	At            int64       `cbor:"14,keyasint,omitempty"` // AdvanceTime: the table's time that Duration counts from
+	MeasuredFrom  int64       `cbor:"14,keyasint,omitempty"` // AdvanceTime: the table's time that Duration counts from
 	MaxTableBytes int64       `cbor:"15,keyasint,omitempty"` // AdvanceTime: size limit of the table from now on
 	Returned      bool        `cbor:"16,keyasint,omitempty"` // Release: by a new owner without capacity; another may have it
 }
--- a/internal/fleet/claims/expiry.go
+++ b/internal/fleet/claims/expiry.go
@@ -7,7 +7,7 @@
 // advanceTime advances the table's time by what one member of the group measured since the time that the command names. Two
 // members that measured the same span can't both be counted, so the table's time is never ahead of real time.
 func (t *Table) advanceTime(command *Command) {
-	if command.At != t.time || command.Duration <= 0 {
+	if command.MeasuredFrom != t.time || command.Duration <= 0 {
 		return
 	}
 	t.time += min(command.Duration, MaxTimeStep) // the rest, such as the seconds of an election, is lost
--- a/internal/fleet/claims/expiry_test.go
+++ b/internal/fleet/claims/expiry_test.go
@@ -11,10 +11,10 @@
 func TestTimeAdvancesOncePerMeasuredSpan(t *testing.T) {
 	table := NewTable()
 	table.Apply(claimCommand(nodeA, "t"))
-	table.Apply(&Command{Kind: CommandAdvanceTime, At: 0, Duration: 300 * ms})
-	table.Apply(&Command{Kind: CommandAdvanceTime, At: 0, Duration: 300 * ms})
+	table.Apply(&Command{Kind: CommandAdvanceTime, MeasuredFrom: 0, Duration: 300 * ms})
+	table.Apply(&Command{Kind: CommandAdvanceTime, MeasuredFrom: 0, Duration: 300 * ms})
 	assert.Equal(t, 300*ms, table.Time(), "the same span is not counted twice")
-	table.Apply(&Command{Kind: CommandAdvanceTime, At: 300 * ms, Duration: 3_000 * ms})
+	table.Apply(&Command{Kind: CommandAdvanceTime, MeasuredFrom: 300 * ms, Duration: 3_000 * ms})
 	assert.Equal(t, 300*ms+MaxTimeStep, table.Time(), "an election's seconds are lost")
 	require.NotNil(t, table.Find(testKey("t")))
 	advanceTime(table, 4_200*ms)
--- a/internal/fleet/claims/helpers_test.go
+++ b/internal/fleet/claims/helpers_test.go
@@ -30,7 +30,7 @@
 
 func advanceTime(table *Table, duration int64) {
 	for ; duration > 0; duration -= MaxTimeStep {
-		table.Apply(&Command{Kind: CommandAdvanceTime, At: table.Time(), Duration: min(duration, MaxTimeStep)})
+		table.Apply(&Command{Kind: CommandAdvanceTime, MeasuredFrom: table.Time(), Duration: min(duration, MaxTimeStep)})
 	}
 }
 
--- a/internal/fleet/claims/property_test.go
+++ b/internal/fleet/claims/property_test.go
@@ -45,7 +45,7 @@
 		Work:         []byte("w"),
 		Fence:        rapid.Uint64Range(0, 12).Draw(t, "fence"),
 		NewOwner:     nodeB,
-		At:           table.Time(),
+		MeasuredFrom: table.Time(),
 		Seq:          uint64(n),
 		InvocationID: "c",
 	}
--- a/internal/fleet/claims/table.go
+++ b/internal/fleet/claims/table.go
@@ -36,8 +36,8 @@
 // Table is the replicated state: it is the same on all replicas that apply the same commands in the same order.
 type Table struct {
 	Counters Counters
-	// EndedClaims are the claims that the last Apply ended and that others wait for. It is valid until the next Apply.
-	EndedClaims []EndedClaim
+	// EndNotifications lists the nodes to notify of claims that the last Apply ended. It is valid until the next Apply.
+	EndNotifications []EndNotification
 
 	entries    map[Key]*Entry
 	owned      ownerIndex
@@ -49,8 +49,8 @@
 	maxBytes   int64
 }
 
-// EndedClaim is a claim that others wait for, and that ended, became unknown, or was removed.
-type EndedClaim struct {
+// EndNotification names the nodes that wait for a claim that ended, was marked unknown or was removed.
+type EndNotification struct {
 	Key     Key
 	Waiters []Owner
 }
@@ -62,7 +62,7 @@
 
 // Apply carries out one command. Its result depends on nothing but the commands before.
 func (t *Table) Apply(command *Command) Verdict {
-	t.EndedClaims = t.EndedClaims[:0]
+	t.EndNotifications = t.EndNotifications[:0]
 	verdict := Verdict{Seq: command.Seq}
 	entry := t.entries[command.Key]
 	switch command.Kind {
@@ -265,7 +265,7 @@
 // notifyWaiters has those who wait for an entry notified that it is over.
 func (t *Table) notifyWaiters(entry *Entry) {
 	if len(entry.Waiters) > 0 {
-		t.EndedClaims = append(t.EndedClaims, EndedClaim{Key: entry.Key, Waiters: entry.Waiters})
+		t.EndNotifications = append(t.EndNotifications, EndNotification{Key: entry.Key, Waiters: entry.Waiters})
 		entry.Waiters = nil
 	}
 }
--- a/internal/fleet/claims/table_test.go
+++ b/internal/fleet/claims/table_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, AnswerStaleFence, table.Apply(&Command{Kind: CommandStart, Sender: nodeB, Key: testKey("t"), Fence: v.Fence}).Answer, "a fence is its owner's")
 	assert.Equal(t, AnswerGranted, table.Apply(&Command{Kind: CommandStart, Sender: nodeA, Key: testKey("t"), Fence: v.Fence}).Answer)
 	assert.Equal(t, AnswerDone, table.Apply(&Command{Kind: CommandEnd, Sender: nodeA, Key: testKey("t"), Fence: v.Fence, Result: []byte("r")}).Answer)
-	assert.Equal(t, []EndedClaim{{testKey("t"), []Owner{nodeB}}}, table.EndedClaims)
+	assert.Equal(t, []EndNotification{{testKey("t"), []Owner{nodeB}}}, table.EndNotifications)
 	known := table.Apply(claimCommand(nodeB, "t"))
 	assert.Equal(t, AnswerCompleted, known.Answer)
 	assert.Equal(t, "r", string(known.Result))
--- a/internal/fleet/consensus/claimtable.go
+++ b/internal/fleet/consensus/claimtable.go
@@ -67,7 +67,7 @@
 	now := t.replica.now
 	sinceAdvance := now - t.advancedAt
 	if sinceAdvance >= timeAdvanceInterval {
-		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, At: t.table.Time(), Duration: sinceAdvance,
+		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, MeasuredFrom: t.table.Time(), Duration: sinceAdvance,
 			MaxTableBytes: t.maxBytes})
 	}
 	commands, reassignments := t.planner.Step(now, t.view, t.table, sinceAdvance)
@@ -77,15 +77,15 @@
 	}
 }
 
-func (t *claimTable) sendReassignment(a *takeover.Reassignment) {
+func (t *claimTable) sendReassignment(a *takeover.Notification) {
 	if a.Remaining <= 0 {
 		return
 	}
 	if a.First {
-		t.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", a.Entry.Key, a.From.Name, a.To.Name,
+		t.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", a.Entry.Key, a.LostOwner.Name, a.NewOwner.Name,
 			a.Entry.Fence, a.Remaining/ms)
 	}
-	t.replica.send(a.To.Name, Message{Kind: MessageReassignment, Owner: a.To, Entry: a.Entry, Remaining: a.Remaining})
+	t.replica.send(a.NewOwner.Name, Message{Kind: MessageReassignment, Owner: a.NewOwner, Entry: a.Entry, Remaining: a.Remaining})
 }
 
 func (t *claimTable) storedSeparately() bool { return false }
@@ -142,7 +142,7 @@
 }
 
 func (t *claimTable) collectEnded() {
-	for _, ended := range t.table.EndedClaims {
+	for _, ended := range t.table.EndNotifications {
 		for _, owner := range ended.Waiters {
 			t.endedClaims[owner] = append(t.endedClaims[owner], ended.Key)
 		}
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -170,7 +170,7 @@
 	change, err := proto.Marshal(&raftpb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*raftpb.ConfChangeSingle{
 		{Type: &remove, NodeId: &before}, {Type: &add, NodeId: &now}}})
 	require.NoError(t, err)
-	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.CommandAdvanceTime, At: 250 * ms, Duration: 100 * ms}})
+	pass, err := cbor.Marshal([]claims.Command{{Kind: claims.CommandAdvanceTime, MeasuredFrom: 250 * ms, Duration: 100 * ms}})
 	require.NoError(t, err)
 	parts, err := cborEncoding.Marshal(map[uint8]cbor.RawMessage{1: pass})
 	require.NoError(t, err)
--- a/internal/fleet/quota/command.go
+++ b/internal/fleet/quota/command.go
@@ -22,7 +22,7 @@
 // The kinds of commands.
 const (
 	CommandDefineLimit  CommandKind = iota // sets a limit, if its Version is higher than the one that is known
-	CommandRequestLease                    // gives back what is over UnitsInUse, and asks for WantedUnits in all
+	CommandRequestLease                    // renews a lease: returns the units above RetainedUnits and requests WantedUnits in total
 	CommandKindCount                       // one past the last
 )
 
@@ -32,7 +32,7 @@
 	Sender        Owner       `cbor:"2,keyasint"`
 	Seq           uint64      `cbor:"3,keyasint,omitempty"` // of the holder's requests: an older one that comes late changes nothing
 	Limit         string      `cbor:"4,keyasint"`
-	UnitsInUse    int64       `cbor:"5,keyasint,omitempty"`  // RequestLease: units that the holder may still use
+	RetainedUnits int64       `cbor:"5,keyasint,omitempty"`  // RequestLease: units of its lease that the holder keeps, those in use included
 	WantedUnits   int64       `cbor:"6,keyasint,omitempty"`  // RequestLease
 	LeaseDuration int64       `cbor:"7,keyasint,omitempty"`  // RequestLease: in the table's time
 	Units         int64       `cbor:"8,keyasint,omitempty"`  // DefineLimit
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -55,8 +55,8 @@
 	return h.units
 }
 
-// Until is when what is allowed ends unless the lease is renewed.
-func (h *LeaseHolder) Until() int64 { return h.usableUntil }
+// UsableUntil returns when the units of the lease cease to be usable unless the lease is renewed.
+func (h *LeaseHolder) UsableUntil() int64 { return h.usableUntil }
 
 // Step takes how many units are in use and how many are wanted beside them, and the verdicts that came. It returns what to send,
 // and when to step again at the latest. What is allowed after it must be obeyed before the commands are sent.
@@ -100,9 +100,9 @@
 		Sender:        h.self,
 		Seq:           h.lastSeq,
 		Limit:         h.config.Name,
-		UnitsInUse:    max(h.units, used), // of a lease that lapsed, units may still be in use
+		RetainedUnits: max(h.units, used), // of a lease that lapsed, units may still be in use
 		WantedUnits:   want,
-		LeaseDuration: h.config.LeaseTerm,
+		LeaseDuration: h.config.LeaseDuration,
 	}
 	h.requestedAt = now
 	h.lastSentAt = now
@@ -134,7 +134,7 @@
 	}
 	if verdict.LimitDefined {
 		h.units = verdict.Units
-		h.usableUntil = h.requestedAt + h.config.LeaseTerm - h.config.driftMargin() - h.config.MaxUseTime
+		h.usableUntil = h.requestedAt + h.config.LeaseDuration - h.config.driftMargin() - h.config.MaxUseTime
 		h.fairShare = verdict.FairShare
 		h.leasedAt = h.requestedAt
 		if verdict.Units < h.request.WantedUnits {
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if command.Seq > lease.Seq {
-		lease.Units = min(lease.Units, max(0, command.UnitsInUse))
+		lease.Units = min(lease.Units, max(0, command.RetainedUnits))
 		lease.WantedUnits = min(max(0, command.WantedUnits), maxUnits)
 		lease.Seq = command.Seq
 	}
--- a/internal/fleet/takeover/planner.go
+++ b/internal/fleet/takeover/planner.go
@@ -51,10 +51,10 @@
 	lastAttemptAt int64 // when it was last proposed, or its new owner notified
 }
 
-// Reassignment is a claim that its new owner is to be notified of.
-type Reassignment struct {
-	To        claims.Owner
-	From      claims.Owner // the lost one
+// Notification tells a new owner that a claim was reassigned to it.
+type Notification struct {
+	NewOwner  claims.Owner
+	LostOwner claims.Owner // zero for a claim that was returned, or that an earlier leader reassigned
 	Entry     *claims.Entry
 	Remaining int64 // ns to its due time
 	First     bool
@@ -78,13 +78,13 @@
 	table         *claims.Table
 	unstarted     map[claims.Owner]int // reassigned claims by new owner
 	commands      []claims.Command
-	notifications []Reassignment
+	notifications []Notification
 }
 
 // Step returns what to propose for the claims of lost owners, and which new owners to notify. An owner is lost where the view has
 // a later incarnation under its name, or has it dead or gone, or never had it for long. Ahead is by how much the table's time may
 // lag.
-func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) ([]claims.Command, []Reassignment) {
+func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) ([]claims.Command, []Notification) {
 	s := step{
 		planner:   p,
 		now:       now,
@@ -171,9 +171,9 @@
 
 func (s *step) notify(pending *pendingReassignment, entry *claims.Entry, first bool) {
 	pending.lastAttemptAt = s.now
-	s.notifications = append(s.notifications, Reassignment{
-		To:        pending.newOwner,
-		From:      pending.lostOwner,
+	s.notifications = append(s.notifications, Notification{
+		NewOwner:  pending.newOwner,
+		LostOwner: pending.lostOwner,
 		Entry:     entry,
 		Remaining: entry.ExpiresAt - s.tableTime,
 		First:     first,
--- a/internal/fleet/takeover/planner_test.go
+++ b/internal/fleet/takeover/planner_test.go
@@ -20,8 +20,8 @@
 	assert.Empty(t, commands)
 	require.Len(t, notifications, 7)
 	for _, r := range notifications {
-		assert.Equal(t, r.To, r.Entry.Owner)
-		assert.Equal(t, lostNode, r.From)
+		assert.Equal(t, r.NewOwner, r.Entry.Owner)
+		assert.Equal(t, lostNode, r.LostOwner)
 		assert.Equal(t, 5_000*ms, r.Remaining)
 	}
 	assert.Equal(t, Counters{Reassigned: 7, MarkedUnknown: 3}, planner.Counters)
@@ -64,7 +64,7 @@
 	commands, notifications := planner.Step(2, testView(3), table, 0)
 	assert.Empty(t, commands)
 	for _, r := range notifications[:5] { // five start: there is capacity for five
-		table.Apply(&claims.Command{Kind: claims.CommandStart, Sender: r.To, Key: r.Entry.Key, Fence: r.Entry.Fence})
+		table.Apply(&claims.Command{Kind: claims.CommandStart, Sender: r.NewOwner, Key: r.Entry.Key, Fence: r.Entry.Fence})
 	}
 	commands, _ = planner.Step(3, testView(3), table, 0)
 	assert.Len(t, commands, 5)
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -205,7 +205,7 @@
 		sm.sweepHollowTokens()
 		return
 	}
-	for _, k := range cs.client.NotStarted() {
+	for _, k := range cs.client.NotRunning() {
 		sm.sweepClaim(k)
 	}
 }
