--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -28,7 +28,7 @@
 // configuredNode returns a node that replicates its configuration and has the only replica of its consensus group; start returns its
 // initial state.
 func configuredNode(t *testing.T, to Addresses, start func(file *configsync.Content) configsync.InitialState) (*StateMachine, error) {
-	p, err := nodeconfig.FromJSON(1, []byte(settings))
+	p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 	require.NoError(t, err)
 	sm := NewStateMachine(p, to, 5_000*ms, 4, 3)
 	sm.JoinFleet("mobilier", membership.New(membershipConfig, 0, 1, 0, 1))
@@ -42,8 +42,8 @@
 func startServing(sm *StateMachine) (effects []Effect) {
 	effects = step(sm, Input{Kind: ConnectionOpened, Link: 7})
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
-	told(sm, "WELCOME old 0")
-	told(sm, "METERS j1 0.1 1 0.1 3")
+	executorSends(sm, "WELCOME old 0")
+	executorSends(sm, "METERS j1 0.1 1 0.1 3")
 	for sm.group.replica.Leader() == "" {
 		step(sm)
 	}
@@ -93,9 +93,9 @@
 	persisted := effectsOfKind(effects, PersistVersion)
 	require.Len(t, persisted, 1)
 	assert.Equal(t, uint64(2), persisted[0].Persisting.Revision.Version)
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(sm, arrival(sm, 2, "op", "hold"))))
+	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(sm, arrival(sm, 2, "op", "hold"))))
 	assert.Equal(t, 1, countRuns(step(sm, arrival(sm, 3, "op", "new"))))
-	assert.Equal(t, []string{"20 on 1"}, answers(t, endRun(sm, 1)), "an invocation in flight completes after its operation is removed")
+	assert.Equal(t, []string{"20 on 1"}, framesSent(t, endRun(sm, 1)), "an invocation in flight completes after its operation is removed")
 
 	v, _ = proposePut(t, sm, "c", 1, tenant("x", 3))
 	assert.True(t, v.Stale)
@@ -195,7 +195,7 @@
 	require.Len(t, inForce, 1)
 	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{inForce[0].InForce.Source, inForce[0].InForce.Revision.Version, inForce[0].InForce.Added, inForce[0].InForce.Removed})
 	assert.Equal(t, 1, countRuns(step(sm, arrival(sm, 1, "op", "new"))))
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(sm, arrival(sm, 2, "op", "hold"))))
+	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(sm, arrival(sm, 2, "op", "hold"))))
 
 	sm, err = configuredNode(t, Addresses{"executor:1", "", "control:1"}, onDisk(operation("new", `,"class_calls":true`)))
 	assert.ErrorContains(t, err, "names no catalogue")
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -11,23 +11,23 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// withConnections is a node with some connections, all opened in one step and used once in the next.
-func withConnections(t *testing.T, count int) *StateMachine {
-	sm := up(t)
+// newNodeWithConnections is a node with some connections, all opened in one step and used once in the next.
+func newNodeWithConnections(t *testing.T, count int) *StateMachine {
+	sm := newServingNode(t)
 	sm.connections.max = count
 	step(sm, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
 		opened = append(opened, Input{Kind: ConnectionOpened, Link: 100 + k})
-		checked = append(checked, healthCheckOn(100+k))
+		checked = append(checked, shallowHealthCheck(100+k))
 	}
 	step(sm, opened...)
 	step(sm, checked...)
 	return sm
 }
 
-// healthCheckOn is a shallow health check.
-func healthCheckOn(link int) Input {
+// shallowHealthCheck is a shallow health check.
+func shallowHealthCheck(link int) Input {
 	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}}
 }
 
@@ -38,8 +38,8 @@
 }
 
 func TestFullConnectionTableEvictsTheLongestIdle(t *testing.T) {
-	sm := up(t)
-	step(sm, invoke(1))
+	sm := newServingNode(t)
+	step(sm, invocationInput(1))
 	step(sm, Input{Kind: ConnectionOpened, Link: 8})
 	step(sm, Input{Kind: ConnectionOpened, Link: 9})
 	step(sm, Input{Kind: ConnectionOpened, Link: 10})
@@ -65,10 +65,10 @@
 // An invocation on a connection that is being closed is answered, and the close waits for that.
 func TestInvocationThatCrossesACloseIsAnsweredBeforeIt(t *testing.T) {
 	for what, evicted := range map[string]bool{"idle": false, "evicted": true} {
-		sm := up(t)
+		sm := newServingNode(t)
 		sm.SpareConnections = 1
-		step(sm, invoke(1))
-		told(sm, "EXIT 1 "+callID+" good 12 6|result")
+		step(sm, invocationInput(1))
+		executorSends(sm, "EXIT 1 "+testInvocationID+" good 12 6|result")
 		if evicted {
 			for link := range 4 {
 				step(sm, Input{Kind: ConnectionOpened, Link: 8 + link})
@@ -77,15 +77,15 @@
 			sm.now += evictionGrace
 		} else {
 			sm.now, sm.executor.lastLineAt = sm.now+idleTimeout, sm.now+idleTimeout
-			assert.Equal(t, []string{"no more"}, answers(t, step(sm)), what)
+			assert.Equal(t, []string{"no more"}, framesSent(t, step(sm)), what)
 			sm.now += goAwayGrace
 		}
 		assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), what)
-		got := step(sm, invoke(2, "call", "00000000000000aa", "recv", fmt.Sprint((sm.now+ms)/ms+1_000_000)))
+		got := step(sm, invocationInput(2, "call", "00000000000000aa", "recv", fmt.Sprint((sm.now+ms)/ms+1_000_000)))
 		assert.Equal(t, Effect{Kind: ResumeConnection, Link: 7}, got[0], what)
 		assert.Equal(t, 1, countRuns(got), what)
-		got = told(sm, "EXIT 2 00000000000000aa good 12 6|result")
-		assert.Equal(t, []string{"20 on 2"}, answers(t, got), what)
+		got = executorSends(sm, "EXIT 2 00000000000000aa good 12 6|result")
+		assert.Equal(t, []string{"20 on 2"}, framesSent(t, got), what)
 		assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1], what)
 		assert.Contains(t, sm.connections.byLink, 7, what)
 		step(sm, Input{Kind: ConnectionClosed, Link: 7})
@@ -94,41 +94,41 @@
 }
 
 func TestUnusedAndIdleConnectionsAreClosed(t *testing.T) {
-	sm := up(t)
-	step(sm, invoke(1))
+	sm := newServingNode(t)
+	step(sm, invocationInput(1))
 	step(sm, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
 	sm.now, sm.executor.lastLineAt = sm.now+firstUseTimeout, sm.now+firstUseTimeout
-	assert.Equal(t, []string{"no more"}, answers(t, step(sm)))
+	assert.Equal(t, []string{"no more"}, framesSent(t, step(sm)))
 	sm.now += sweepInterval
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 8}}, step(sm))
 	step(sm, Input{Kind: ConnectionClosed, Link: 8})
-	told(sm, "EXIT 1 "+callID+" good 12 6|result")
+	executorSends(sm, "EXIT 1 "+testInvocationID+" good 12 6|result")
 	sm.now, sm.executor.lastLineAt = sm.now+idleTimeout, sm.now+idleTimeout
-	assert.Equal(t, []string{"no more"}, answers(t, step(sm)))
+	assert.Equal(t, []string{"no more"}, framesSent(t, step(sm)))
 	sm.now += sweepInterval
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), "nothing crossed")
 }
 
 func TestConnectionWithTooManyFaultsIsDiscarded(t *testing.T) {
-	sm := up(t)
-	step(sm, invoke(1))
+	sm := newServingNode(t)
+	step(sm, invocationInput(1))
 	var got []Effect
 	for stream := range uint32(maxFaults) {
-		got = step(sm, invoke(stream+2, "op", "other"))
+		got = step(sm, invocationInput(stream+2, "op", "other"))
 	}
-	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, answers(t, got))
+	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, framesSent(t, got))
 	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
 	sm.now, sm.executor.lastLineAt = sm.now+1_000*ms, sm.now+1_000*ms
-	assert.NotContains(t, kinds(step(sm)), CloseAfterFlush, "an open stream awaits its answer")
-	got = told(sm, "EXIT 1 "+callID+" good 12 6|result")
-	assert.Equal(t, []string{"20 on 1"}, answers(t, got))
+	assert.NotContains(t, effectKinds(step(sm)), CloseAfterFlush, "an open stream awaits its answer")
+	got = executorSends(sm, "EXIT 1 "+testInvocationID+" good 12 6|result")
+	assert.Equal(t, []string{"20 on 1"}, framesSent(t, got))
 	assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1])
 }
 
 // Idle connections cost nothing: each is checked when its timeout may have passed, not in every sweep.
 func TestIdleConnectionsAreCheckedOnlyWhenTheirTimeoutMayHavePassed(t *testing.T) {
 	const count = 14_000
-	sm := withConnections(t, count)
+	sm := newNodeWithConnections(t, count)
 	for sm.now < 3_000*ms {
 		advance(sm, 10*ms)
 	}
@@ -145,7 +145,7 @@
 // Connections that were opened together are due together: invocations must not wait behind all of them.
 func TestManyOverdueConnectionsAreClosedAFewPerStep(t *testing.T) {
 	const count = 14_000
-	sm := withConnections(t, count)
+	sm := newNodeWithConnections(t, count)
 	for sm.now < 14_900*ms {
 		advance(sm, 50*ms)
 	}
@@ -178,7 +178,7 @@
 // most a sweep after it if steps are on time.
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
-		sm := up(t)
+		sm := newServingNode(t)
 		sm.connections.max, sm.SpareConnections = 12, 2
 		newest, wake, stream := 100, sm.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
@@ -189,7 +189,7 @@
 				newest++
 				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: newest})
 			case 2, 3:
-				inputs = append(inputs, healthCheckOn(link))
+				inputs = append(inputs, shallowHealthCheck(link))
 			case 4:
 				inputs = append(inputs, Input{Kind: ConnectionClosed, Link: link})
 			case 5:
@@ -202,13 +202,13 @@
 			if len(inputs) > 0 {
 				at = rapid.Int64Range(sm.now+1, max(sm.now+1, wake)).Draw(draw, "at")
 			}
-			wake = stepInTime(draw, sm, at, inputs)
+			wake = stepCheckingTimeouts(draw, sm, at, inputs)
 		}
 	})
 }
 
-// stepInTime steps a node and checks that its connections get go-aways and are closed in time. It returns the next wakeup.
-func stepInTime(t require.TestingT, sm *StateMachine, at int64, inputs []Input) (wake int64) {
+// stepCheckingTimeouts steps a node and checks that its connections get go-aways and are closed in time. It returns the next wakeup.
+func stepCheckingTimeouts(t require.TestingT, sm *StateMachine, at int64, inputs []Input) (wake int64) {
 	before := map[int]connection{}
 	for link, c := range sm.connections.byLink {
 		before[link] = *c
--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -39,7 +39,7 @@
 
 func TestEndOfARunOfAnEarlierIncarnationIsReported(t *testing.T) {
 	sm := claimingNode(t)
-	resolve := claimCommands(t, sm, told(sm, "EXIT 1 00000000000000ff good 5 2|ok"))
+	resolve := claimCommands(t, sm, executorSends(sm, "EXIT 1 00000000000000ff good 5 2|ok"))
 	require.Len(t, resolve, 1)
 	assert.Equal(t, claims.CommandResolve, resolve[0].Kind)
 	assert.Equal(t, "00000000000000ff", resolve[0].InvocationID)
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/resultcache"
 )
 
-const tenantSettings = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000},
+const tenantTestSettings = `{"grades":[{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"deduplicated","window":20000},
 	{"name":"look","aim":1000,"give_up":3000,"importance":1,"effect":"idempotent"}],
 	"tenants":[{"name":"north","quota_rps":9},{"name":"south","quota_rps":4}],
 	"family_info":{"n_cores":2,"memory_kb":9000,"blowup":4,"entry_kb":800,"halt":"drop","class_skip_worth":[0.5,0.5],"share_for":900,
@@ -34,9 +34,9 @@
 	return s.Decider.Decide(now, events)
 }
 
-// serving is a node with tenants that serves; arrived is the arrivals that its controller gets.
-func serving(t *testing.T) (sm *StateMachine, arrived *[]admission.Event) {
-	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
+// newTenantNode is a node with tenants that serves; arrived is the arrivals that its controller gets.
+func newTenantNode(t *testing.T) (sm *StateMachine, arrived *[]admission.Event) {
+	p, err := nodeconfig.FromJSON(1, []byte(tenantTestSettings))
 	require.NoError(t, err)
 	sm, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
 	make := sm.Decisions
@@ -46,16 +46,16 @@
 	sm.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(sm, Input{Kind: ConnectionOpened, Link: 7})
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
-	told(sm, "WELCOME old 0")
-	told(sm, "METERS j1 0.1 1 0.1 3")
+	executorSends(sm, "WELCOME old 0")
+	executorSends(sm, "METERS j1 0.1 1 0.1 3")
 	return sm, arrived
 }
 
 func TestTenantAndDeadlineReachTheController(t *testing.T) {
-	sm, arrived := serving(t)
+	sm, arrived := newTenantNode(t)
 	now := sm.now + ms
-	step(sm, invoke(1, "op", "look", "org", "south", "ttl", "250"))
-	step(sm, invoke(2, "op", "look", "call", id(2), "org", "north"))
+	step(sm, invocationInput(1, "op", "look", "org", "south", "ttl", "250"))
+	step(sm, invocationInput(2, "op", "look", "call", id(2), "org", "north"))
 	require.Len(t, *arrived, 2)
 	first, second := (*arrived)[0], (*arrived)[1]
 	assert.Equal(t, []int32{1, 0}, []int32{first.Tenant, second.Tenant})
@@ -67,32 +67,32 @@
 	for what, fields := range map[string][]string{"no tenant": {"org", "-"}, "another tenant": {"org", "norths"},
 		"no token": {"op", "hold", "org", "north"}, "time in words": {"org", "north", "ttl", "soon"},
 		"time gone by": {"org", "north", "ttl", "-5"}, "a time without end": {"org", "north", "ttl", "9000000000000000000"}} {
-		sm, arrived := serving(t)
-		assert.Equal(t, []string{"51 on 1"}, answers(t, step(sm, invoke(1, append([]string{"op", "look"}, fields...)...))), what)
+		sm, arrived := newTenantNode(t)
+		assert.Equal(t, []string{"51 on 1"}, framesSent(t, step(sm, invocationInput(1, append([]string{"op", "look"}, fields...)...))), what)
 		assert.Empty(t, *arrived, what)
 	}
 }
 
 func TestExpiredTTLIsRejectedAtOnce(t *testing.T) {
-	sm, _ := serving(t)
-	assert.Equal(t, []string{"50 on 1"}, answers(t, step(sm, invoke(1, "op", "look", "org", "north", "ttl", "0"))))
+	sm, _ := newTenantNode(t)
+	assert.Equal(t, []string{"50 on 1"}, framesSent(t, step(sm, invocationInput(1, "op", "look", "org", "north", "ttl", "0"))))
 }
 
 // A token of one tenant must not find the result of another's.
 func TestTokensAreScopedToTheirTenant(t *testing.T) {
-	sm, _ := serving(t)
-	assert.Equal(t, 1, countRuns(step(sm, invoke(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
-	told(sm, "EXIT 1 "+id(1)+" good 12 6|result")
-	assert.Equal(t, 1, countRuns(step(sm, invoke(2, "op", "hold", "org", "south", "dedupe", "a", "call", id(2)))))
-	assert.Equal(t, []string{"20 on 3"}, answers(t, step(sm, invoke(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
+	sm, _ := newTenantNode(t)
+	assert.Equal(t, 1, countRuns(step(sm, invocationInput(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
+	executorSends(sm, "EXIT 1 "+id(1)+" good 12 6|result")
+	assert.Equal(t, 1, countRuns(step(sm, invocationInput(2, "op", "hold", "org", "south", "dedupe", "a", "call", id(2)))))
+	assert.Equal(t, []string{"20 on 3"}, framesSent(t, step(sm, invocationInput(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
 }
 
 // Results are cached in the node's own memory: entry_kb, of the executor's, would allow two of them.
 func TestResultCacheIsBoundedByTheNodesOwnMemory(t *testing.T) {
-	sm, arrived := serving(t)
+	sm, arrived := newTenantNode(t)
 	for n := range 8 {
-		step(sm, invoke(uint32(n+1), "op", "hold", "org", "north", "dedupe", id(n), "call", id(n+1)))
-		told(sm, "EXIT "+string(rune('1'+n))+" "+id(n+1)+" good 12 6|result")
+		step(sm, invocationInput(uint32(n+1), "op", "hold", "org", "north", "dedupe", id(n), "call", id(n+1)))
+		executorSends(sm, "EXIT "+string(rune('1'+n))+" "+id(n+1)+" good 12 6|result")
 	}
 	assert.Equal(t, 8, sm.Counters.Succeeded)
 	assert.Len(t, *arrived, 8)
@@ -102,7 +102,7 @@
 
 // Two nodes of one process with the same configuration share no state through it.
 func TestNodesOfOneProcessShareNoState(t *testing.T) {
-	p, err := nodeconfig.FromJSON(1, []byte(tenantSettings))
+	p, err := nodeconfig.FromJSON(1, []byte(tenantTestSettings))
 	require.NoError(t, err)
 	before := p.Node
 	first := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
@@ -110,7 +110,7 @@
 	first.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(first)
 	step(first, Input{Kind: ExecutorConnected, Link: first.executor.dialingLink})
-	told(first, "WELCOME new 0")
+	executorSends(first, "WELCOME new 0")
 	assert.True(t, first.config.Node.ColdStart)
 	assert.False(t, second.config.Node.ColdStart, "it has no executor")
 	assert.Zero(t, second.config.Node.MaxDeduplicationEntries)
@@ -118,7 +118,7 @@
 }
 
 func TestArrivalAgeIsMeasuredByTheLocalWallClock(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	sm.wall = 500_000 * ms
 	assert.Equal(t, 250*ms, sm.arrivalAge(499_750))
 	assert.Zero(t, sm.arrivalAge(500_001))
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -39,19 +39,19 @@
 func TestRemovedPlanRestoresFullService(t *testing.T) {
 	sm := nodeAtLevel(t, 2)
 	step(sm, Input{Kind: PlanChanged})
-	assert.Contains(t, text(step(sm, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue 4")
+	assert.Contains(t, bytesSent(step(sm, invocationInput(1)), SendToExecutor), "EXEC "+testInvocationID+" catalogue 4")
 	assert.Nil(t, sm.ServiceCountsByLevel())
 }
 
 func TestPlanAdoptedBeforeExecutorConnectsAppliesAfterwards(t *testing.T) {
-	sm := fresh(t)
+	sm := newConnectedNode(t)
 	step(sm, Input{Kind: PlanChanged, Plan: testPlan(-1)})
-	told(sm, "WELCOME old 0")
-	told(sm, "METERS j1 0.1 1 0.1 3")
+	executorSends(sm, "WELCOME old 0")
+	executorSends(sm, "METERS j1 0.1 1 0.1 3")
 	sm.now = sm.timerAt
 	step(sm)
 	assert.Equal(t, 2, sm.degradation.controller.Level())
-	assert.Equal(t, []string{"50 on 1"}, answers(t, step(sm, invoke(1))))
+	assert.Equal(t, []string{"50 on 1"}, framesSent(t, step(sm, invocationInput(1))))
 }
 
 // Guards against a plan whose entries apply to the wrong operations, when the node has other indices than the plan was written for.
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -12,7 +12,7 @@
 
 // nodeAtLevel returns a node at a level of the test plan.
 func nodeAtLevel(t *testing.T, level int) *StateMachine {
-	sm := up(t)
+	sm := newServingNode(t)
 	step(sm, Input{Kind: PlanChanged, Plan: testPlan(1e9)})
 	next := testPlan(-1)
 	next.Levels = next.Levels[:level]
@@ -26,10 +26,10 @@
 
 func TestReducedRunSendsFormToExecutorAndLevelToCaller(t *testing.T) {
 	sm := nodeAtLevel(t, 1)
-	assert.Contains(t, text(step(sm, invoke(1)), SendToExecutor), "EXEC "+callID+" catalogue-plain 4")
-	effects := told(sm, "EXIT 1 "+callID+" good 5 2|ok")
+	assert.Contains(t, bytesSent(step(sm, invocationInput(1)), SendToExecutor), "EXEC "+testInvocationID+" catalogue-plain 4")
+	effects := executorSends(sm, "EXIT 1 "+testInvocationID+" good 5 2|ok")
 	var p frame.Parser
-	p.Wrote(copy(p.Space(), text(effects, SendToConnection)))
+	p.Wrote(copy(p.Space(), bytesSent(effects, SendToConnection)))
 	f, _, _ := p.Next()
 	fields, body, err := frame.Fields(f.Payload[1:])
 	require.NoError(t, err)
@@ -40,15 +40,15 @@
 
 func TestFullServiceAnswerNamesNoLevel(t *testing.T) {
 	sm := nodeAtLevel(t, 1)
-	effects := step(sm, invoke(1, "op", "hold"))
-	assert.Contains(t, text(effects, SendToExecutor), "EXEC "+callID+" hold 4")
-	assert.NotContains(t, text(told(sm, "EXIT 1 "+callID+" good 5 2|ok"), SendToConnection), "level")
+	effects := step(sm, invocationInput(1, "op", "hold"))
+	assert.Contains(t, bytesSent(effects, SendToExecutor), "EXEC "+testInvocationID+" hold 4")
+	assert.NotContains(t, bytesSent(executorSends(sm, "EXIT 1 "+testInvocationID+" good 5 2|ok"), SendToConnection), "level")
 	assert.Equal(t, 1, sm.degradation.currentCounts.Full)
 }
 
 func TestRejectionsByLevelAreCountedSeparately(t *testing.T) {
 	sm := nodeAtLevel(t, 2)
-	assert.Equal(t, []string{"50 on 1"}, answers(t, step(sm, invoke(1))))
+	assert.Equal(t, []string{"50 on 1"}, framesSent(t, step(sm, invocationInput(1))))
 	assert.Equal(t, ServiceCounts{Level: "none", ThrottledByLevel: 1}, sm.degradation.currentCounts)
 	all := sm.ServiceCountsByLevel()
 	assert.Equal(t, 1, all[2].ThrottledByLevel)
@@ -56,7 +56,7 @@
 }
 
 func TestLevelChangeIsReportedWithItsCause(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	step(sm, Input{Kind: PlanChanged, Plan: testPlan(-1)})
 	sm.now = sm.timerAt
 	var change *LevelChange
@@ -86,7 +86,7 @@
 
 // Guards against a node that steps without pause while a link to the executor takes long to open.
 func TestNextWakeupIsInTheFutureWhileDialingExecutor(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	step(sm, Input{Kind: ExecutorDisconnected, Link: sm.executor.link})
 	sm.now = sm.executor.redialAt
 	step(sm)
@@ -97,8 +97,8 @@
 }
 
 func TestStateIsSampledOnceASecond(t *testing.T) {
-	sm := up(t)
-	step(sm, invoke(1))
+	sm := newServingNode(t)
+	step(sm, invocationInput(1))
 	samples := 0
 	for range 100 {
 		sm.now = sm.timerAt
@@ -114,9 +114,9 @@
 }
 
 func BenchmarkState(b *testing.B) {
-	sm := up(&testing.T{})
+	sm := newServingNode(&testing.T{})
 	for k := range 20 {
-		step(sm, invoke(uint32(k+1), "call", "9b1f03aa5c7e2d"+string(rune('a'+k/16))+"0123456789abcdef"[k%16:k%16+1]))
+		step(sm, invocationInput(uint32(k+1), "call", "9b1f03aa5c7e2d"+string(rune('a'+k/16))+"0123456789abcdef"[k%16:k%16+1]))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/node/healthchecks_test.go
+++ b/internal/node/healthchecks_test.go
@@ -11,14 +11,14 @@
 func TestHealthCheckIsAnsweredFromCacheOrByTheExecutor(t *testing.T) {
 	deep := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.HealthCheck,
 		Payload: append([]byte{1, 3}, "e2e\x01\x001"...)}}
-	sm := fresh(t)
-	assert.Equal(t, []string{"check 51"}, answers(t, step(sm, deep)), "no executor has welcomed the node")
-	sm = up(t)
-	assert.Equal(t, []string{"check 20"}, answers(t, step(sm, deep)))
+	sm := newConnectedNode(t)
+	assert.Equal(t, []string{"check 51"}, framesSent(t, step(sm, deep)), "no executor has welcomed the node")
+	sm = newServingNode(t)
+	assert.Equal(t, []string{"check 20"}, framesSent(t, step(sm, deep)))
 	sm.health.cachedOnly, sm.config.Node.DeepHealthChecks = false, true
-	assert.Equal(t, "DIAG d1\r\n", text(step(sm, deep), SendToExecutor))
-	assert.Equal(t, []string{"check 51"}, answers(t, told(sm, "DIAGNOSED d1 bad")))
+	assert.Equal(t, "DIAG d1\r\n", bytesSent(step(sm, deep), SendToExecutor))
+	assert.Equal(t, []string{"check 51"}, framesSent(t, executorSends(sm, "DIAGNOSED d1 bad")))
 	step(sm, deep)
 	sm.now += deepCheckTimeout
-	assert.Equal(t, []string{"check 51"}, answers(t, step(sm)))
+	assert.Equal(t, []string{"check 51"}, framesSent(t, step(sm)))
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -12,15 +12,15 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-const settings = `{"grades":[{"name":"catalogue","aim":1000,"give_up":3000,"importance":1,"effect":"at_most_once"},
+const testSettings = `{"grades":[{"name":"catalogue","aim":1000,"give_up":3000,"importance":1,"effect":"at_most_once"},
 	{"name":"hold","aim":1000,"give_up":3000,"importance":5,"effect":"idempotent"}],
 	"family_info":{"n_cores":2,"memory_kb":9000,"blowup":4,"class_calls":[true,false],"below":"common","calls_out":9,
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// fresh is a node whose executor has not welcomed it, with connection 7 open.
-func fresh(t *testing.T) *StateMachine {
-	p, err := nodeconfig.FromJSON(1, []byte(settings))
+// newConnectedNode is a node whose executor has not welcomed it, with connection 7 open.
+func newConnectedNode(t *testing.T) *StateMachine {
+	p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 	require.NoError(t, err)
 	sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	step(sm, Input{Kind: ConnectionOpened, Link: 7})
@@ -28,11 +28,11 @@
 	return sm
 }
 
-// up is a node that serves, with connection 7 open.
-func up(t *testing.T) *StateMachine {
-	sm := fresh(t)
-	told(sm, "WELCOME old 0")
-	told(sm, "METERS j1 0.1 1 0.1 3")
+// newServingNode is a node that serves, with connection 7 open.
+func newServingNode(t *testing.T) *StateMachine {
+	sm := newConnectedNode(t)
+	executorSends(sm, "WELCOME old 0")
+	executorSends(sm, "METERS j1 0.1 1 0.1 3")
 	return sm
 }
 
@@ -48,38 +48,38 @@
 	return got
 }
 
-// told delivers a line of the executor, with its body after a bar.
-func told(sm *StateMachine, line string) []Effect {
+// executorSends delivers a line of the executor, with its body after a bar.
+func executorSends(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(sm, Input{Kind: ExecutorLineReceived, Link: sm.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-// replied delivers a line of the catalogue on its first link, with its body after a bar.
-func replied(sm *StateMachine, line string) []Effect {
+// catalogueSends delivers a line of the catalogue on its first link, with its body after a bar.
+func catalogueSends(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-// reached opens the last link to the catalogue.
-func reached(sm *StateMachine) []Effect {
+// connectCatalogue opens the last link to the catalogue.
+func connectCatalogue(sm *StateMachine) []Effect {
 	return step(sm, Input{Kind: CatalogueConnected, Link: sm.catalogue.links[len(sm.catalogue.links)-1].id})
 }
 
-// rejoined breaks the executor's link and has a new one welcomed, but not synced.
-func rejoined(sm *StateMachine) {
+// reconnectExecutor breaks the executor's link and has a new one welcomed, but not synced.
+func reconnectExecutor(sm *StateMachine) {
 	step(sm, Input{Kind: ExecutorDisconnected, Link: sm.executor.link})
 	sm.now = sm.executor.redialAt
 	step(sm)
 	step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
-	told(sm, "WELCOME old 90")
+	executorSends(sm, "WELCOME old 90")
 }
 
-const callID = "9b1f03aa5c7e2d41"
+const testInvocationID = "9b1f03aa5c7e2d41"
 
-// invoke is an invocation on a stream of connection 7, with fields changed or left out where their value is "-".
-func invoke(stream uint32, changed ...string) Input {
-	values := map[string]string{"op": "catalogue", "call": callID, "recv": "1000000", "src": "4", "work": "12.50",
+// invocationInput is an invocation on a stream of connection 7, with fields changed or left out where their value is "-".
+func invocationInput(stream uint32, changed ...string) Input {
+	values := map[string]string{"op": "catalogue", "call": testInvocationID, "recv": "1000000", "src": "4", "work": "12.50",
 		"heap": "24.5", "crit": "0.6250"}
 	for i := 0; i < len(changed); i += 2 {
 		values[changed[i]] = changed[i+1]
@@ -94,8 +94,8 @@
 	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
 }
 
-// text is the bytes of all effects of a kind.
-func text(effects []Effect, kind EffectKind) (s string) {
+// bytesSent is the bytes of all effects of a kind.
+func bytesSent(effects []Effect, kind EffectKind) (s string) {
 	for _, e := range effects {
 		if e.Kind == kind {
 			s += string(e.Bytes)
@@ -104,8 +104,8 @@
 	return s
 }
 
-// answers is the frames among the effects.
-func answers(t *testing.T, effects []Effect) (got []string) {
+// framesSent is the frames among the effects.
+func framesSent(t *testing.T, effects []Effect) (got []string) {
 	for _, e := range effects {
 		if e.Kind != SendToConnection {
 			continue
@@ -119,8 +119,8 @@
 	return got
 }
 
-// kinds is the kinds of effects.
-func kinds(effects []Effect) (list []EffectKind) {
+// effectKinds is the effectKinds of effects.
+func effectKinds(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
 		list = append(list, e.Kind)
 	}
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -76,7 +76,7 @@
 }
 
 func TestLoadInputsAreOnlyForHollowNodes(t *testing.T) {
-	sm := fresh(t)
+	sm := newConnectedNode(t)
 	load := func() { step(sm, Input{Kind: HollowClaimRequested, Bytes: []byte("t")}) }
 	if invariant.Debug {
 		assert.Panics(t, load)
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -35,7 +35,7 @@
 
 func TestCallWaitsForALeaseAndEndsWithIt(t *testing.T) {
 	sm := leasingNode(t)
-	effects := told(sm, "CALLOUT 1 "+id(1)+" 3|ask")
+	effects := executorSends(sm, "CALLOUT 1 "+id(1)+" 3|ask")
 	requests := leaseRequests(t, sm, effects)
 	for from := sm.now; len(requests) == 0 && sm.now < from+300*ms; {
 		requests = append(requests, leaseRequests(t, sm, step(sm))...)
@@ -58,7 +58,7 @@
 // half of MaxUseTime, so the call's unit must allow no other call in that time.
 func TestUnitOfAnAbandonedCallStaysReserved(t *testing.T) {
 	sm := leasingNode(t)
-	requests := leaseRequests(t, sm, told(sm, "CALLOUT 1 "+id(1)+" 3|ask"))
+	requests := leaseRequests(t, sm, executorSends(sm, "CALLOUT 1 "+id(1)+" 3|ask"))
 	for from := sm.now; len(requests) == 0 && sm.now < from+300*ms; {
 		requests = append(requests, leaseRequests(t, sm, step(sm))...)
 	}
@@ -85,7 +85,7 @@
 
 func TestExpiredLeaseIsAppliedBeforeAnyDecision(t *testing.T) {
 	sm := leasingNode(t)
-	told(sm, "CALLOUT 1 "+id(1)+" 3|ask")
+	executorSends(sm, "CALLOUT 1 "+id(1)+" 3|ask")
 	sm.leases.announcedUnits = 2
 	sm.Step(sm.now+20_000*ms, 1, []Input{}) // after a pause in which the lease expired and its units may have been granted to another node
 	assert.Zero(t, sm.leases.announcedUnits)
--- a/internal/node/machine_test.go
+++ b/internal/node/machine_test.go
@@ -9,13 +9,13 @@
 )
 
 func TestReloadSwitchesToTheNewAddressesAtOnce(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	const other = "00000000000000aa"
-	step(sm, invoke(1), invoke(2, "call", other))
-	told(sm, "CALLOUT 1 "+callID+" 3|ask")
-	reached(sm)
+	step(sm, invocationInput(1), invocationInput(2, "call", other))
+	executorSends(sm, "CALLOUT 1 "+testInvocationID+" 3|ask")
+	connectCatalogue(sm)
 	old, reporting := sm.executor.link, sm.reports.link
-	told(sm, "CALLOUT 2 "+other+" 3|ask") // still being opened
+	executorSends(sm, "CALLOUT 2 "+other+" 3|ask") // still being opened
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
 	for _, e := range sm.Step(sm.now+ms, sm.wall, []Input{{Kind: ReloadRequested, Addresses: to}}) {
@@ -23,20 +23,20 @@
 	}
 	assert.Equal(t, map[EffectKind]string{CloseExecutor: "", DialExecutor: "executor:2", CloseCatalogue: "", DialCatalogue: "catalogue:2",
 		SendReport: "control:2", WriteLog: "", SetWakeup: ""}, dialed)
-	got := replied(sm, callID+" DATA 0")
+	got := catalogueSends(sm, testInvocationID+" DATA 0")
 	assert.Equal(t, CloseCatalogue, got[0].Kind, "closed once its call has ended")
 	step(sm, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
 	assert.Equal(t, []int{sm.lastLink - 1, 0}, []int{sm.executor.dialingLink, sm.executor.link}, "the end of the old link is ignored")
 	got = step(sm, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being dialed is closed")
-	assert.Equal(t, "JOIN 2\r\n", text(got, SendToExecutor))
+	assert.Equal(t, "JOIN 2\r\n", bytesSent(got, SendToExecutor))
 	assert.NotEqual(t, reporting, sm.reports.link)
 	assert.Empty(t, step(sm, Input{Kind: ReloadRequested, Addresses: to}), "the addresses are the same")
 }
 
 func TestASecondAnswerViolatesAnInvariant(t *testing.T) {
-	sm := up(t)
-	step(sm, invoke(1))
+	sm := newServingNode(t)
+	step(sm, invocationInput(1))
 	again := func() { sm.fail(0); sm.fail(0) }
 	if invariant.Debug {
 		assert.Panics(t, again)
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -19,7 +19,7 @@
 
 // fleetNode returns a node n1 that is alone in its fleet and has not stepped yet.
 func fleetNode(t *testing.T) *StateMachine {
-	p, err := nodeconfig.FromJSON(1, []byte(settings))
+	p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 	require.NoError(t, err)
 	sm := NewStateMachine(p, Addresses{}, 3_000*ms, 10, 10)
 	sm.JoinFleet("mobilier", membership.New(membershipConfig, 0, 1, 0, 1))
--- a/internal/node/reports_test.go
+++ b/internal/node/reports_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestReportsAreSentOneAtATimeAndRetriedAfterAnError(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	assert.NotZero(t, sm.reports.link)
 	sm.reports.finished(sm.reports.link, errInvalidField)
 	assert.Equal(t, sm.now+reportRetryBackoff, sm.reports.nextAt)
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -27,8 +27,8 @@
 	r.EnableResultCache(resultcache.Config{Durability: durability, MaxBytes: 100_000, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(r, Input{Kind: ConnectionOpened, Link: 7})
 	step(r, Input{Kind: ExecutorConnected, Link: r.executor.dialingLink})
-	told(r, "WELCOME old 0")
-	told(r, "METERS j1 0.1 1 0.1 3")
+	executorSends(r, "WELCOME old 0")
+	executorSends(r, "METERS j1 0.1 1 0.1 3")
 	return r
 }
 
@@ -38,21 +38,23 @@
 
 // tokenInvocation returns the input of an invocation with a token on a stream.
 func tokenInvocation(stream int, token string) Input {
-	return invoke(uint32(stream), "op", "hold", "call", id(stream), "dedupe", token)
+	return invocationInput(uint32(stream), "op", "hold", "call", id(stream), "dedupe", token)
 }
 
 // countRuns returns the number of runs that the effects start.
-func countRuns(effects []Effect) int { return strings.Count(text(effects, SendToExecutor), "EXEC ") }
+func countRuns(effects []Effect) int {
+	return strings.Count(bytesSent(effects, SendToExecutor), "EXEC ")
+}
 
 func TestDuplicateJoinsTheRunOrGetsTheCachedResult(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(1, "a"))))
 	assert.Zero(t, countRuns(step(r, tokenInvocation(2, "a"))))
-	sent := told(r, "EXIT 1 "+id(1)+" good 12 6|result")
-	assert.ElementsMatch(t, []string{"20 on 1", "20 on 2"}, answers(t, sent))
+	sent := executorSends(r, "EXIT 1 "+id(1)+" good 12 6|result")
+	assert.ElementsMatch(t, []string{"20 on 1", "20 on 2"}, framesSent(t, sent))
 	sent = step(r, tokenInvocation(3, "a"))
-	assert.Equal(t, []string{"20 on 3"}, answers(t, sent))
-	assert.Contains(t, text(sent, SendToConnection), "kept")
+	assert.Equal(t, []string{"20 on 3"}, framesSent(t, sent))
+	assert.Contains(t, bytesSent(sent, SendToConnection), "kept")
 	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(4, "b"))), "an invocation with another token runs")
 	step(r)
 	assert.Equal(t, 1, r.owedAnswers)
@@ -62,7 +64,7 @@
 func TestDuplicatesOfOneStepShareOneRun(t *testing.T) {
 	r := cachingNode(t, resultcache.InMemory)
 	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"), tokenInvocation(3, "a"))))
-	assert.Len(t, answers(t, told(r, "EXIT 1 "+id(1)+" good 12 6|result")), 3)
+	assert.Len(t, framesSent(t, executorSends(r, "EXIT 1 "+id(1)+" good 12 6|result")), 3)
 }
 
 func TestTokenWithAnotherBodyIsAnError(t *testing.T) {
@@ -70,7 +72,7 @@
 	step(r, tokenInvocation(1, "a"))
 	other := tokenInvocation(2, "a")
 	other.Frame.Payload = append(other.Frame.Payload, '!')
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(r, other)))
+	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(r, other)))
 }
 
 func TestRunGoesOnForJoinedDuplicatesAfterTheCallerLeaves(t *testing.T) {
@@ -78,12 +80,12 @@
 	step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	cancel := Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}}
 	step(r, cancel)
-	told(r, "CALLOUT 1 "+id(1)+" 3|ask")
+	executorSends(r, "CALLOUT 1 "+id(1)+" 3|ask")
 	step(r)
 	require.NotEmpty(t, r.catalogue.links, "the call of the abandoned run is made")
-	assert.Contains(t, text(reached(r), SendToCatalogue), "FETCH "+id(1))
-	assert.Contains(t, text(replied(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
-	assert.Equal(t, []string{"20 on 2"}, answers(t, told(r, "EXIT 2 "+id(1)+" good 12 6|result")))
+	assert.Contains(t, bytesSent(connectCatalogue(r), SendToCatalogue), "FETCH "+id(1))
+	assert.Contains(t, bytesSent(catalogueSends(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
+	assert.Equal(t, []string{"20 on 2"}, framesSent(t, executorSends(r, "EXIT 2 "+id(1)+" good 12 6|result")))
 	step(r)
 	assert.Zero(t, r.owedAnswers)
 	assert.Empty(t, r.indexByID)
@@ -93,7 +95,7 @@
 	r := cachingNode(t, resultcache.OnDisk)
 	arrived := step(r, tokenInvocation(1, "a"), tokenInvocation(2, "a"))
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: 1}})
-	assert.Contains(t, text(completeWrites(r, arrived), SendToExecutor), "EXEC "+id(2))
+	assert.Contains(t, bytesSent(completeWrites(r, arrived), SendToExecutor), "EXEC "+id(2))
 }
 
 // While the original of a token waits in the queue, its caller may disconnect. A duplicate must take its place, or it would wait
@@ -101,7 +103,7 @@
 func TestDuplicateOfAQueuedInvocationReplacesItWhenItsCallerLeaves(t *testing.T) {
 	r := cachingNode(t, resultcache.OnDisk)
 	for n := range 24 { // more than the node runs at once
-		step(r, invoke(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
+		step(r, invocationInput(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
 	var first int32 = -1
 	for _, p := range r.results.pending {
@@ -110,7 +112,7 @@
 	require.GreaterOrEqual(t, first, int32(0), "at least one token is pending")
 	v := r.invocations[first]
 	owed := r.owedAnswers
-	step(r, invoke(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
+	step(r, invocationInput(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
 	assert.Equal(t, owed+1, r.owedAnswers)
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: v.stream}})
 	step(r)
@@ -134,10 +136,10 @@
 	first := tokenInvocation(1, "a")
 	assert.Equal(t, 1, countRuns(step(r, first)))
 	arrivedAt := r.now
-	told(r, "EXIT 1 "+id(1)+" good 12 6|result")
+	executorSends(r, "EXIT 1 "+id(1)+" good 12 6|result")
 	r.now, r.executor.lastLineAt = arrivedAt+20_000*ms+1_500*ms, arrivedAt+20_000*ms+1_500*ms
 	stamp := fmt.Sprint((arrivedAt+19_900*ms)/ms + 1_000_000)
-	got := step(r, invoke(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
+	got := step(r, invocationInput(2, "op", "hold", "call", id(2), "dedupe", "a", "recv", stamp))
 	assert.Zero(t, countRuns(got))
-	assert.Equal(t, []string{"20 on 2"}, answers(t, got))
+	assert.Equal(t, []string{"20 on 2"}, framesSent(t, got))
 }
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a changed client timeout that applies to invocations accepted before.
 func TestChangedClientTimeoutAppliesToNewInvocations(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	from := sm.now
 	step(sm, arrival(sm, 1))
 	short := nodeconfig.Item{Part: nodeconfig.Operations, Name: "catalogue", Value: []byte(`{"aim":200,"effect":"at_most_once","give_up":400}`)}
@@ -22,7 +22,7 @@
 	ends := map[string]int64{}
 	for len(ends) < 2 && sm.now < from+5_000*ms {
 		sm.executor.lastLineAt = sm.now
-		for _, a := range answers(t, step(sm)) {
+		for _, a := range framesSent(t, step(sm)) {
 			ends[a] = (sm.now - from) / ms
 		}
 	}
@@ -37,14 +37,14 @@
 	assert.Equal(t, 1, countRuns(step(sm, tokenArrival(sm, 1, "a"))))
 	require.NoError(t, applyVersion(t, sm, operation("other", ""), removal(nodeconfig.Operations, "hold")))
 	for stream := range maxFaults + 2 {
-		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, answers(t, step(sm, tokenArrival(sm, stream+2, "b"))))
+		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, framesSent(t, step(sm, tokenArrival(sm, stream+2, "b"))))
 	}
 	assert.Zero(t, sm.connections.byLink[7].faults)
-	assert.Empty(t, answers(t, step(sm, tokenArrival(sm, 50, "a"))), "the duplicate joins the run")
+	assert.Empty(t, framesSent(t, step(sm, tokenArrival(sm, 50, "a"))), "the duplicate joins the run")
 	passTime(sm, 2_000*ms)
-	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, answers(t, endRun(sm, 1)))
+	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, framesSent(t, endRun(sm, 1)))
 	passTime(sm, 10_000*ms)
-	assert.Equal(t, []string{"20 on 60"}, answers(t, step(sm, tokenArrival(sm, 60, "a"))), "the result is cached for the deduplication window")
+	assert.Equal(t, []string{"20 on 60"}, framesSent(t, step(sm, tokenArrival(sm, 60, "a"))), "the result is cached for the deduplication window")
 	require.NoError(t, applyVersion(t, sm, operation("next", "")))
 	i, _ := sm.config.Operations.Find("next")
 	assert.Equal(t, int32(2), i, "the index is reserved while tokens refer to it")
@@ -65,7 +65,7 @@
 	require.NoError(t, applyVersion(t, sm, operation("other", ""), removal(nodeconfig.Operations, "hold")))
 	back := nodeconfig.Item{Part: nodeconfig.Operations, Name: "hold", Value: []byte(`{"aim":1000,"effect":"deduplicated","give_up":3000,"window":20000}`)}
 	require.NoError(t, applyVersion(t, sm, back))
-	assert.Equal(t, []string{"20 on 2"}, answers(t, step(sm, tokenArrival(sm, 2, "a"))))
+	assert.Equal(t, []string{"20 on 2"}, framesSent(t, step(sm, tokenArrival(sm, 2, "a"))))
 	assert.Equal(t, 1, countRuns(step(sm, tokenArrival(sm, 3, "b"))))
 	endRun(sm, 3)
 	passTime(sm, 200_000*ms)
@@ -92,17 +92,17 @@
 	assert.Equal(t, 23_001*ms, remaining["a"])
 	assert.Equal(t, 4_001*ms, remaining["b"])
 	passTime(sm, 10_000*ms)
-	assert.Equal(t, []string{"20 on 3"}, answers(t, step(sm, tokenArrival(sm, 3, "a"))))
+	assert.Equal(t, []string{"20 on 3"}, framesSent(t, step(sm, tokenArrival(sm, 3, "a"))))
 	assert.Equal(t, 1, len(effectsOfKind(step(sm, tokenArrival(sm, 4, "b")), WriteRecord)), "the shorter window has ended, so the token runs again")
 }
 
 func TestReinstatedTenantKeepsItsCounts(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	require.NoError(t, applyVersion(t, sm, tenant("x", 3), tenant("y", 1)))
 	step(sm, arrival(sm, 1, "op", "hold", "org", "y"))
 	endRun(sm, 1)
 	require.NoError(t, applyVersion(t, sm, removal(nodeconfig.Tenants, "y")))
-	assert.Equal(t, []string{"51 on 2"}, answers(t, step(sm, arrival(sm, 2, "org", "y"))))
+	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(sm, arrival(sm, 2, "org", "y"))))
 	assert.Zero(t, sm.connections.byLink[7].faults)
 	require.NoError(t, applyVersion(t, sm, tenant("z", 1), tenant("y", 5)))
 	i, _ := sm.config.Tenants.Find("y")
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -29,7 +29,7 @@
 	effects := receiveFromReplica(t, newOwner, verdictOn(start[0], claims.AnswerGranted))
 	require.Equal(t, []EffectKind{SendToExecutor}, localEffectKinds(effects))
 	assert.Contains(t, string(effects[0].Bytes), "body")
-	end := claimCommands(t, newOwner, told(newOwner, "EXIT 1 "+id(1)+" good 12 2|ok"))
+	end := claimCommands(t, newOwner, executorSends(newOwner, "EXIT 1 "+id(1)+" good 12 2|ok"))
 	require.Len(t, end, 1)
 	effects = receiveFromReplica(t, newOwner, verdictOn(end[0], claims.AnswerDone))
 	assert.Empty(t, localEffectKinds(effects), "an invocation that was taken over has no caller to answer")
--- a/internal/node/versions_bench_test.go
+++ b/internal/node/versions_bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkVersion(b *testing.B) {
 	for _, size := range [][2]int{{20, 300}, {4_700, 130_000}} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			p, err := nodeconfig.FromJSON(1, []byte(settings))
+			p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -47,7 +47,7 @@
 
 // arrival returns an invocation that arrives now, with its own ID.
 func arrival(sm *StateMachine, stream int, changed ...string) Input {
-	return invoke(uint32(stream), append([]string{"call", id(stream), "recv", fmt.Sprint(1_000_000 + sm.now/ms)}, changed...)...)
+	return invocationInput(uint32(stream), append([]string{"call", id(stream), "recv", fmt.Sprint(1_000_000 + sm.now/ms)}, changed...)...)
 }
 
 // tokenArrival returns an invocation with a token that arrives now.
@@ -57,26 +57,26 @@
 
 // endRun makes the run of an invocation succeed.
 func endRun(sm *StateMachine, stream int) []Effect {
-	return told(sm, fmt.Sprintf("EXIT %d %s good 12 6|result", sm.executor.lastNotice+1, id(stream)))
+	return executorSends(sm, fmt.Sprintf("EXIT %d %s good 12 6|result", sm.executor.lastNotice+1, id(stream)))
 }
 
 func TestSmallVersionIsAppliedInOneStep(t *testing.T) {
-	sm := up(t)
-	assert.Equal(t, []string{"51 on 1"}, answers(t, step(sm, arrival(sm, 1, "op", "new"))))
+	sm := newServingNode(t)
+	assert.Equal(t, []string{"51 on 1"}, framesSent(t, step(sm, arrival(sm, 1, "op", "new"))))
 	require.NoError(t, applyVersion(t, sm, operation("new", `,"class_calls":true`), tenant("x", 3), nodeconfig.Item{Part: nodeconfig.Limits, Name: "limits.max_retry_after",
 		Value: []byte("70")}))
 	assert.Equal(t, uint64(1), sm.ActiveVersion())
 	assert.Equal(t, 70*ms, sm.config.Node.MaxRetryAfter)
 	assert.Equal(t, 1, countRuns(step(sm, arrival(sm, 2, "op", "new", "org", "x"))))
-	assert.Equal(t, []string{"51 on 3"}, answers(t, step(sm, arrival(sm, 3, "op", "new", "org", "y"))))
-	assert.Equal(t, []string{"20 on 2"}, answers(t, endRun(sm, 2)))
+	assert.Equal(t, []string{"51 on 3"}, framesSent(t, step(sm, arrival(sm, 3, "op", "new", "org", "y"))))
+	assert.Equal(t, []string{"20 on 2"}, framesSent(t, endRun(sm, 2)))
 	got := effectsOfKind(step(sm, versionInput(t, 1, tenant("x", 4))), VersionApplied)
 	assert.ErrorIs(t, got[0].Err, errStaleVersion)
 	assert.Equal(t, []float64{3}, sm.config.Node.TenantRates)
 }
 
 func TestInvalidVersionChangesNothing(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	before := sm.config.Clone()
 	assert.ErrorContains(t, applyVersion(t, sm, tenant("x", 3), removal(nodeconfig.Operations, "catalogue"), removal(nodeconfig.Operations, "hold")), "none would be left")
 	assert.Equal(t, before, sm.config.Clone())
@@ -91,16 +91,16 @@
 func TestLevelsFollowOperationNamesAcrossVersions(t *testing.T) {
 	sm := nodeAtLevel(t, 1)
 	require.NoError(t, applyVersion(t, sm, operation("new", ""), removal(nodeconfig.Operations, "catalogue")))
-	assert.Equal(t, "51 on 1", answers(t, step(sm, arrival(sm, 1)))[0])
-	assert.Contains(t, text(step(sm, arrival(sm, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
+	assert.Equal(t, "51 on 1", framesSent(t, step(sm, arrival(sm, 1)))[0])
+	assert.Contains(t, bytesSent(step(sm, arrival(sm, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
 	endRun(sm, 2)
 	passTime(sm, 10_000*ms)
 	assert.True(t, sm.config.Node.Operations[0].Removed)
 	require.NoError(t, applyVersion(t, sm, operation("newer", "")))
-	assert.Contains(t, text(step(sm, arrival(sm, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "an index that is reused does not keep the reduced form of its former operation")
+	assert.Contains(t, bytesSent(step(sm, arrival(sm, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "an index that is reused does not keep the reduced form of its former operation")
 	endRun(sm, 3)
 	require.NoError(t, applyVersion(t, sm, operation("catalogue", "")))
-	assert.Contains(t, text(step(sm, arrival(sm, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan applies to the operation again")
+	assert.Contains(t, bytesSent(step(sm, arrival(sm, 4)), SendToExecutor), "EXEC "+id(4)+" catalogue-plain", "the plan applies to the operation again")
 	plan := testPlan(-1)
 	plan.Operations = []string{"gone", "newer"}
 	plan.Forms[0] = []string{"", "newer-plain"}
@@ -117,7 +117,7 @@
 // Guards against a step that applies an unbounded number of changes, and against a version that waits for an unrelated timer: while
 // changes are left, the next step is due at once.
 func TestLargeVersionIsAppliedInBoundedSteps(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	var items []nodeconfig.Item
 	for k := range 10*maxChangesPerStep + 1 {
 		items = append(items, tenant(fmt.Sprint("t", k), 1))
@@ -146,7 +146,7 @@
 
 // allocationsPerChange returns the allocations of a few changes to a configuration with this many operations and tenants.
 func allocationsPerChange(t *testing.T, operations, tenants int) float64 {
-	sm := up(t)
+	sm := newServingNode(t)
 	var items []nodeconfig.Item
 	for k := range operations {
 		items = append(items, operation(fmt.Sprint("o", k), ""))
@@ -178,14 +178,14 @@
 func TestThousandChangesInAMinute(t *testing.T) {
 	for seed := range int64(6) {
 		random := rand.New(rand.NewSource(seed))
-		p, err := nodeconfig.FromJSON(1, []byte(settings))
+		p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 		require.NoError(t, err)
 		want := p.Clone()
 		sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 		step(sm, Input{Kind: ConnectionOpened, Link: 7})
 		step(sm, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
-		told(sm, "WELCOME old 0")
-		told(sm, "METERS j1 0.1 1 0.1 3")
+		executorSends(sm, "WELCOME old 0")
+		executorSends(sm, "METERS j1 0.1 1 0.1 3")
 		names := []string{"catalogue", "hold", "a", "b", "c", "d"}
 		stream, sent, answered := uint32(0), 0, 0
 		for k := range 1_000 {
@@ -235,7 +235,7 @@
 // Guards against a version that is applied in part before its invalid change is found: with indices pinned, validation spans several steps and
 // the last change is invalid.
 func TestLargeVersionIsValidatedInBoundedSteps(t *testing.T) {
-	sm := up(t)
+	sm := newServingNode(t)
 	sm.versions.indicesPinned = true
 	items := []nodeconfig.Item{operation("catalogue", `,"importance":7`)}
 	for k := range 2 * maxValidationsPerStep {
