--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -32,8 +32,8 @@
 	replicaStepAt   int64          // when the replica must step again
 	nextViewAt      int64          // when the replica is to be given the view of the fleet again
 	streams         map[string]int // number of the stream that each node last sent on, by its name
-	targetReplica   int            // index in replicas of the one that commands are sent to
-	unansweredSince int64          // when the target replica was first sent a command that it has not answered, 0 if there is none
+	targetReplica   int            // index in replicas of the one that commands are sent to unless this node's own replica knows a leader
+	unansweredSince int64          // when the first command since the group's last answer, or since targetReplica changed, was sent; 0 if there is none
 }
 
 // owner returns this node's identity as an owner of claims and leases.
@@ -95,8 +95,9 @@
 	return !sm.results.isKnown(v.tokenKey)
 }
 
-// throttleOnArrival answers an invocation that the node can't store now with a throttle: no executor has connected yet, the results of
-// an earlier incarnation are still being recovered, or the invocation's token can't be claimed.
+// throttleOnArrival answers with a throttle an invocation that the node can't accept now: no executor has connected yet, the results of
+// an earlier incarnation are still being recovered, or the invocation's token can't be claimed. The hint when to retry is replicaTimeout,
+// after which the node tries another replica.
 func (sm *StateMachine) throttleOnArrival(link int, stream uint32) {
 	var fields []frame.Field
 	if retryAfter := min(replicaTimeout, sm.config.Node.MaxRetryAfter); retryAfter > 0 {
@@ -179,7 +180,7 @@
 		return
 	}
 	switch a.Kind {
-	case claims.StartRun, claims.EndRecorded:
+	case claims.StartRun, claims.EndRecorded: // the cache treats a commit by the group like a durable write of its own
 		sm.stepCache(resultcache.Input{Kind: resultcache.WriteSucceeded, Key: key})
 	case claims.CompletedElsewhere:
 		sm.stepCache(resultcache.Input{Kind: resultcache.CompletedElsewhere, Key: key, Outcome: resultcache.Outcome(a.Outcome), Result: a.Result})
@@ -197,7 +198,7 @@
 	}
 }
 
-// sweepClaims abandons claims that no invocation of this node waits for, and answers invocations that are close to their client timeout.
+// sweepClaims handles all claims whose run has not started, or has ended without the end being committed.
 func (sm *StateMachine) sweepClaims() {
 	cs := &sm.group
 	cs.sweepAt = sm.now + claimSweepInterval
@@ -210,7 +211,8 @@
 	}
 }
 
-// sweepClaim checks one claim whose run has not started, or has ended without the end being committed.
+// sweepClaim abandons a claim whose token the result cache does not know, and answers invocations that wait for the claim and are close
+// to their client timeout.
 func (sm *StateMachine) sweepClaim(k claims.Key) {
 	key, _ := sm.resultKey(k)
 	if sm.results.isPending(key) {
@@ -222,7 +224,7 @@
 	}
 	waiters, notStarted := sm.results.waiters(key)
 	if notStarted && len(waiters) == 0 {
-		sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: -1, Key: key})
+		sm.stepCache(resultcache.Input{Kind: resultcache.AnswerRequired, Invocation: -1, Key: key}) // no waiter is left: the cache removes the token
 	}
 	for _, i := range waiters {
 		if sm.now >= sm.invocations[i].deadline-answerMargin {
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// rotateTargetReplica is called before commands are sent. It makes the next replica their target if the current one has not answered
-// for replicaTimeout.
+// rotateTargetReplica is called before commands are sent. It makes the next replica the target if commands have gone unanswered for
+// replicaTimeout, whichever replica they were sent to.
 func (cs *groupState) rotateTargetReplica(now int64) {
 	switch {
 	case cs.unansweredSince == 0:
@@ -215,8 +215,9 @@
 	}
 }
 
-// proposeToGroup sends commands and requests for leases to a replica: to this node's own while that knows a leader, otherwise to the
-// target replica, which is the last leader that answered or, if it does not answer, the next replica.
+// proposeToGroup sends commands and requests for leases to the consensus group: to this node's own replica while that knows a leader,
+// otherwise to the target replica. If the target is this node itself, they are dropped. The claims client and the lease holder repeat
+// what is not answered.
 func (sm *StateMachine) proposeToGroup(commands []claims.Command, leases []quota.Command, proposed ...configsync.Command) {
 	cs := &sm.group
 	cs.rotateTargetReplica(sm.now)
--- a/internal/node/consensus_test.go
+++ b/internal/node/consensus_test.go
@@ -29,6 +29,7 @@
 	assert.Zero(t, sm.group.client.Size())
 }
 
+// A stream is closed when a malformed message comes on it, and a stream that has closed is forgotten.
 func TestMalformedStreamIsClosed(t *testing.T) {
 	sm := claimingNode(t)
 	effects := step(sm, Input{Kind: PeerMessageReceived, Link: 4, Bytes: []byte("not a valid message of a fleet")})
@@ -37,6 +38,7 @@
 	assert.Empty(t, sm.group.streams)
 }
 
+// The executor reports the end of a run that the node did not start: the group must resolve the claim of its earlier incarnation.
 func TestEndOfARunOfAnEarlierIncarnationIsReported(t *testing.T) {
 	sm := claimingNode(t)
 	resolve := claimCommands(t, sm, executorSends(sm, "EXIT 1 00000000000000ff good 5 2|ok"))
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -18,20 +18,20 @@
 	hollowTokenLifetime = 10_000 * ms // ns for which a token stays known after its end
 	hollowRunTime       = 40 * ms     // ns that a run takes
 	hollowWorkBytes     = 256         // size of the takeover data that a claim carries
-	hollowResultBytes   = 64
-	maxHollowTokens     = 4_096 // tokens in flight at one node; more are rejected
+	hollowResultBytes   = 64          // size of the result of a run
+	maxHollowTokens     = 4_096       // tokens in flight at one node; more are rejected
 )
 
 // HollowCounters counts the load of a hollow node and what became of it. The counters are read while the node runs. Times are nanoseconds.
 type HollowCounters struct {
-	TokensRequested atomic.Int64 // tokens that the load asked for
+	TokensRequested atomic.Int64 // tokens that the load asked for, including repeated ones
 	TokensRejected  atomic.Int64 // tokens rejected at once: the consensus group is unreachable, or the node is full
 	RunsStarted     atomic.Int64 // runs whose start the consensus group committed
 	EndsRecorded    atomic.Int64 // tokens whose end the consensus group committed
 	TokensAbandoned atomic.Int64 // tokens given up: expired before their run, rejected by the consensus group, or ended elsewhere
 	TokensTakenOver atomic.Int64 // tokens of lost nodes that were assigned to this node
-	StartDelaySum   atomic.Int64 // total time from the requests of tokens to the starts of their runs
-	MaxStartDelay   atomic.Int64 // longest time from a request to the start of its run
+	StartDelaySum   atomic.Int64 // total time from the requests of tokens, or their takeover, to the starts of their runs
+	MaxStartDelay   atomic.Int64 // longest time from a request or takeover to the start of its run
 	CallsWanted     atomic.Int64 // concurrent calls that the load asks for
 	CallsAllowed    atomic.Int64 // concurrent calls that the lease allows
 	CallsInFlight   atomic.Int64 // calls in flight
@@ -46,8 +46,8 @@
 	}
 }
 
-// hollowState takes the place of dispatchers, executor, reports and the admission controller in a hollow node, which tests a fleet.
-// Inputs request tokens and calls, and a run takes a fixed time and no resources.
+// hollowState takes the place of dispatchers, executor, reports and the admission controller in a hollow node, a simulated peer that
+// puts load on a fleet in tests. Inputs request tokens and concurrent calls; a run takes a fixed time and no resources.
 type hollowState struct {
 	on          bool
 	replicaOnly bool // the node only serves its replica: it has no load and takes over no claims
@@ -56,7 +56,7 @@
 	wantedCalls int // concurrent calls that the load asks for
 }
 
-// hollowToken is a token that a hollow node has claimed.
+// hollowToken is a token that a hollow node has requested or is taking over.
 type hollowToken struct {
 	requestedAt int64
 	deadline    int64
@@ -117,7 +117,8 @@
 	sm.group.requestSweep(sm.now)
 }
 
-// hollowOperation returns the operation that a hollow node claims all its tokens for: the first one with idempotency tokens.
+// hollowOperation returns the operation that a hollow node claims all its tokens for: the first one with idempotency tokens, or if
+// there is none, one that does not exist.
 func (sm *StateMachine) hollowOperation() string {
 	for i := range sm.config.Node.Operations {
 		if sm.config.Node.Operations[i].Idempotency == admission.IdempotentWithKey {
@@ -176,7 +177,8 @@
 	}
 }
 
-// callDemand returns how many of the wanted calls the lease allows, which count as in flight, and how many wait.
+// callDemand returns how many of the wanted calls the lease allows, which count as in flight, and how many wait. It updates the counters
+// of calls.
 func (hs *hollowState) callDemand(allowed int64) (inFlight, waiting int) {
 	inFlight = int(min(int64(hs.wantedCalls), allowed))
 	hs.counters.CallsAllowed.Store(allowed)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -26,7 +26,7 @@
 }
 
 // runUntil steps a node at each of its wake-ups until a time, the first with inputs, and returns the number of effects by kind. It
-// asserts that the node takes fewer steps than one a millisecond, and that no invariant is violated.
+// asserts that the node takes fewer steps than there are milliseconds from time 0 to that time, and that no invariant is violated.
 func runUntil(t *testing.T, sm *StateMachine, now *int64, until int64, inputs ...Input) map[EffectKind]int {
 	counts, steps := map[EffectKind]int{}, 0
 	for wake := *now + 1; wake < until; steps++ {
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -7,8 +7,8 @@
 
 const demandInterval = 25 * ms // ns between samples of the demand for calls: short compared with a call
 
-// leaseState bounds the calls in flight by a lease: this node's part of a limit that holds for the whole fleet. Without a lease holder
-// the node may use a fixed share of the limit.
+// leaseState bounds the calls in flight by a lease: this node's part of a limit that holds for the whole fleet. Without a lease holder,
+// only the call limit of the admission controller's own configuration applies.
 type leaseState struct {
 	holder         *quota.LeaseHolder
 	config         quota.HolderConfig
@@ -16,13 +16,15 @@
 	stepAt         int64           // when the holder must step again
 	announcedUnits int             // call limit last sent to the admission controller, -1 before the first
 
-	// When the units of abandoned calls become free, earliest first. The admission controller waits for a call at most half of
-	// MaxUseTime; the other half covers the work that the dependency still does for an abandoned call.
+	// When the units of abandoned calls become free, earliest first. MaxUseTime is the longest use of a unit: the admission controller
+	// waits for a call at most half of it (maxCallTime); the other half covers the work that the dependency still does for an abandoned
+	// call.
 	abandonedUntil []int64
 }
 
 // EnableQuota bounds the node's calls in flight by leases of a limit of the whole fleet. It must be called after EnableConsensus. A
-// node with a replica of the consensus group defines the limit, under the given version, while its replica leads.
+// node with a replica of the consensus group defines the limit, under the given version, while its replica leads. The group grants
+// nothing for one lease term after its table starts, by which time the leases of an earlier table have ended.
 func (sm *StateMachine) EnableQuota(config quota.HolderConfig, version uint64) {
 	if !sm.hollow.isReplicaOnly() {
 		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.group.owner())), config: config, announcedUnits: -1}
@@ -52,7 +54,7 @@
 	ls.verdicts = append(ls.verdicts, verdicts...)
 }
 
-// requestStep makes the holder step in this step, because the demand has changed.
+// requestStep makes the next stepLeases step the holder, because the calls in flight, waiting or abandoned have changed.
 func (ls *leaseState) requestStep(now int64) { ls.stepAt = now }
 
 // leasedUnits returns how many units the lease allows, including those of abandoned calls.
@@ -77,7 +79,7 @@
 }
 
 // reserveAbandonedUnit reserves the unit of a call that was sent and then abandoned, since the dependency may still be working on it.
-// Without it, each abandoned call would allow the dependency one more concurrent call than the lease has units.
+// Without this reservation, the dependency could have one more concurrent call than the lease has units, for each abandoned call.
 func (sm *StateMachine) reserveAbandonedUnit(link *catalogueLink) {
 	ls := &sm.leases
 	if ls.holder == nil || !link.connected || link.invocation < 0 {
@@ -87,8 +89,9 @@
 	ls.requestStep(sm.now)
 }
 
-// stepLeases steps the holder if it is due or has verdicts. It tells the controller a changed call limit before it sends the holder's
-// requests, because units that a request returns may be granted to another node.
+// stepLeases steps the holder if it is due or has verdicts. It queues a changed call limit for the controller before it sends the
+// holder's requests: a request may give back units, which other nodes may then use. The controller makes no decision before it has
+// the new limit, as its next decision is in the next step and takes that event too.
 func (sm *StateMachine) stepLeases() {
 	ls := &sm.leases
 	if ls.holder == nil || sm.now < ls.stepAt && len(ls.verdicts) == 0 {
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -33,7 +33,7 @@
 	return list
 }
 
-func TestCallWaitsForALeaseAndEndsWithIt(t *testing.T) {
+func TestCallWaitsForALeaseAndIsWrittenWithinIt(t *testing.T) {
 	sm := leasingNode(t)
 	effects := executorSends(sm, "CALLOUT 1 "+id(1)+" 3|ask")
 	requests := leaseRequests(t, sm, effects)
@@ -67,7 +67,7 @@
 	step(sm)
 	require.Len(t, sm.catalogue.links, 1)
 	step(sm, Input{Kind: CatalogueConnected, Link: sm.catalogue.links[0].id})
-	for len(sm.catalogue.links) > 0 {
+	for len(sm.catalogue.links) > 0 { // until the controller abandons the call
 		require.Less(t, sm.now, sm.leases.holder.UsableUntil())
 		step(sm)
 	}
@@ -83,11 +83,13 @@
 	assert.Zero(t, sm.ConsensusSummary().Lease.Used)
 }
 
+// Guards against calls that are started after a pause in which the lease expired. The call limit of 2 is set as if a lease had been
+// granted and announced before the pause.
 func TestExpiredLeaseIsAppliedBeforeAnyDecision(t *testing.T) {
 	sm := leasingNode(t)
 	executorSends(sm, "CALLOUT 1 "+id(1)+" 3|ask")
 	sm.leases.announcedUnits = 2
-	sm.Step(sm.now+20_000*ms, 1, []Input{}) // after a pause in which the lease expired and its units may have been granted to another node
+	sm.Step(sm.now+20_000*ms, 1, []Input{}) // a pause of 20 s, longer than a lease
 	assert.Zero(t, sm.leases.announcedUnits)
 	assert.Empty(t, sm.catalogue.links)
 	var units []int
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -13,7 +13,7 @@
 	leaveAnnouncements  = 3          // times that a leaving node announces that it leaves
 )
 
-// Phases of a drain as a node announces them to its fleet.
+// Phases of a drain as a node announces them to its fleet. The values are sent to other nodes; 2 is not in use.
 const (
 	drainPhaseRequested     = 1
 	drainPhaseAcceptStopped = 3
@@ -32,7 +32,7 @@
 
 // PeerMessageCounters counts the messages from peers that this node rejected, by reason.
 type PeerMessageCounters struct {
-	Malformed    int `json:"spoilt"`
+	Malformed    int `json:"spoilt"` // or valid, but not expected where it came
 	OtherVersion int `json:"another_version"`
 	OtherFleet   int `json:"another_fleet"`
 }
@@ -211,7 +211,7 @@
 	sm.log(level, text, "", nil)
 }
 
-// updateFacts returns what this node announces to its fleet about itself.
+// updateFacts records whether the node has an executor, and returns what the node announces to its fleet about itself.
 func (sm *StateMachine) updateFacts() (f membership.Facts) {
 	fs := &sm.fleet
 	if sm.controller != nil && sm.executor.isConnected() {
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -63,6 +63,8 @@
 	assert.Subset(t, kinds, []membership.MessageKind{membership.MessageAck, membership.MessagePing})
 }
 
+// A message of another fleet, one of another version, and four malformed ones: a corrupted and a truncated datagram, a request sent as
+// a datagram, and a corrupted request. Outside a fleet, even a valid message is ignored.
 func TestRejectedPeerMessagesAreCountedAndChangeNothing(t *testing.T) {
 	sm := fleetNode(t)
 	good := sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessageGossip, Records: []membership.Record{peerRecord(0, false)}})
@@ -115,7 +117,8 @@
 	assert.Equal(t, leaveAnnouncements, announcements)
 }
 
-// FuzzPeers sends arbitrary bodies, under a valid header, as messages of all kinds: no body may make the node panic.
+// FuzzPeers delivers arbitrary bodies under a valid header, each as a datagram, a request or a response: no body may make the node
+// panic.
 func FuzzPeers(f *testing.F) {
 	b, _ := envelope.Seal(nil, envelope.FleetOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{peerRecord(0, false)},
 		Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -64,8 +64,9 @@
 	return nil
 }
 
-// takeoverMembers returns the view of the fleet as the consensus group needs it to reassign the claims of lost nodes. A node that is cut
-// off from all peers keeps every member in its view, so it takes none of them for lost.
+// takeoverMembers returns the view of the fleet as the consensus group needs it to reassign the claims of lost nodes. Suspects still own
+// their claims. The membership keeps all members in its view, as suspects, while this node is cut off from all peers, so that it takes
+// none of them for lost. An owner's incarnation is the start time of its process.
 func (sm *StateMachine) takeoverMembers() []takeover.Member {
 	var list []takeover.Member
 	view := sm.Members().View()
