--- a/cmd/topazpost/client.go
+++ b/cmd/topazpost/client.go
@@ -14,7 +14,7 @@
 // exchange sends a message to a node of a fleet and returns its sealed answer. A node of another fleet closes the
 // connection; hint ends the question in that error.
 func exchange(fleet, address string, message any, hint string) ([]byte, error) {
-	request, err := envelope.Seal(nil, envelope.FleetOf(fleet), message)
+	request, err := envelope.Seal(nil, envelope.FleetIDOf(fleet), message)
 	if err != nil {
 		return nil, err
 	}
@@ -35,7 +35,7 @@
 func queryInto(fleet, address, part string, into any) error {
 	answer, err := exchange(fleet, address, membership.Message{Kind: membership.MessageViewRequest, Why: part}, "")
 	if err == nil {
-		err = envelope.Open(answer, envelope.FleetOf(fleet), into)
+		err = envelope.Open(answer, envelope.FleetIDOf(fleet), into)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", address, err)
--- a/cmd/topazpost/config_client.go
+++ b/cmd/topazpost/config_client.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return node.DecodeConfigAnswer(answer, envelope.FleetOf(c.Fleet))
+	return node.DecodeConfigAnswer(answer, envelope.FleetIDOf(c.Fleet))
 }
 
 // queryAny queries the addresses in turn until one answers.
--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -42,7 +42,7 @@
 
 // sealMessage returns a message with its length, as it is on a stream.
 func sealMessage(message *consensus.Message) ([]byte, error) {
-	text, err := envelope.Seal(nil, envelope.FleetOf("tests"), message)
+	text, err := envelope.Seal(nil, envelope.FleetIDOf("tests"), message)
 	return append(binary.LittleEndian.AppendUint32(nil, uint32(len(text))), text...), err
 }
 
@@ -68,7 +68,7 @@
 	_, err := io.ReadFull(conn, text)
 	require.NoError(t, err)
 	message := new(consensus.Message)
-	require.NoError(t, envelope.Open(text, envelope.FleetOf("tests"), message))
+	require.NoError(t, envelope.Open(text, envelope.FleetIDOf("tests"), message))
 	return message
 }
 
@@ -167,11 +167,11 @@
 	} {
 		text, err := envelope.Seal(nil, 1, m)
 		require.NoError(f, err)
-		f.Add(text[envelope.Head:])
+		f.Add(text[envelope.HeaderBytes:])
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		m := new(consensus.Message)
-		if envelope.Body(body, m) != nil {
+		if envelope.DecodeBody(body, m) != nil {
 			return
 		}
 		c := consensus.NewGroup([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -198,7 +198,7 @@
 	node := startNodeWithFlags(b, nil, flags...)
 	defer node.command.Process.Kill()
 	if kind == floodedFleet {
-		ping, err := envelope.Seal(nil, envelope.FleetOf("tests"), &membership.Message{Kind: membership.MessagePing, From: 7})
+		ping, err := envelope.Seal(nil, envelope.FleetIDOf("tests"), &membership.Message{Kind: membership.MessagePing, From: 7})
 		require.NoError(b, err)
 		stopFlood := floodDatagrams(b, bind, func() []byte { return ping })
 		defer stopFlood()
--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -18,7 +18,7 @@
 
 // Bounds of messages, in bytes.
 const (
-	Head             = 13        // of the header: version 1, fleet 4, checksum 8, all little-endian
+	HeaderBytes      = 13        // of the header: version 1, fleet 4, checksum 8, all little-endian
 	MaxDatagramBytes = 1_200     // of a datagram that any path carries whole
 	MaxExchangeBytes = 512 << 10 // of one message of an exchange: a table of the most members that settings allow
 	MaxStreamBytes   = 16 << 20  // of one message of a stream: a snapshot of the largest table that settings allow
@@ -41,11 +41,11 @@
 
 // Errors of messages that can't be used.
 var (
-	ErrShort   = errors.New("envelope: too short")
-	ErrVersion = errors.New("envelope: another version")
-	ErrFleet   = errors.New("envelope: of another fleet")
-	ErrSpoilt  = errors.New("envelope: checksum differs")
-	ErrBody    = errors.New("envelope: the body can't be read")
+	ErrShort    = errors.New("envelope: too short")
+	ErrVersion  = errors.New("envelope: another version")
+	ErrFleet    = errors.New("envelope: of another fleet")
+	ErrChecksum = errors.New("envelope: checksum differs")
+	ErrBody     = errors.New("envelope: the body can't be read")
 )
 
 var decodeMode = cborcodec.MustDecMode(cbor.DecOptions{
@@ -56,14 +56,14 @@
 	TagsMd:           cbor.TagsForbidden,
 })
 
-// Fleet is a hash of a fleet's name.
-type Fleet uint32
+// FleetID is a hash of a fleet's name.
+type FleetID uint32
 
-// FleetOf is the hash of a name.
-func FleetOf(name string) Fleet { return Fleet(xxhash.Sum64String(name) ^ fleetHashSeed) }
+// FleetIDOf is the hash of a name.
+func FleetIDOf(name string) FleetID { return FleetID(xxhash.Sum64String(name) ^ fleetHashSeed) }
 
 // Seal appends a message with a body.
-func Seal(dst []byte, fleet Fleet, body any) ([]byte, error) {
+func Seal(dst []byte, fleet FleetID, body any) ([]byte, error) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
 		return dst, err
@@ -75,24 +75,24 @@
 }
 
 // Open checks a message's header and decodes its body.
-func Open(message []byte, fleet Fleet, body any) error {
-	if len(message) < Head {
+func Open(message []byte, fleet FleetID, body any) error {
+	if len(message) < HeaderBytes {
 		return ErrShort
 	}
-	encoded := message[Head:]
+	encoded := message[HeaderBytes:]
 	switch {
 	case message[0] != Version:
 		return ErrVersion
-	case Fleet(binary.LittleEndian.Uint32(message[fleetOffset:])) != fleet:
+	case FleetID(binary.LittleEndian.Uint32(message[fleetOffset:])) != fleet:
 		return ErrFleet
 	case binary.LittleEndian.Uint64(message[checksumOffset:]) != xxhash.Sum64(encoded):
-		return ErrSpoilt
+		return ErrChecksum
 	}
-	return Body(encoded, body)
+	return DecodeBody(encoded, body)
 }
 
-// Body decodes what follows the header of a message.
-func Body(encoded []byte, body any) error {
+// DecodeBody decodes what follows the header of a message.
+func DecodeBody(encoded []byte, body any) error {
 	if err := decodeMode.Unmarshal(encoded, body); err != nil {
 		return errors.Join(ErrBody, err)
 	}
--- a/internal/fleet/envelope/envelope_test.go
+++ b/internal/fleet/envelope/envelope_test.go
@@ -15,43 +15,43 @@
 	type older struct {
 		A int `cbor:"1,keyasint"`
 	}
-	b, err := Seal(nil, FleetOf("x"), newer{7, "more"})
+	b, err := Seal(nil, FleetIDOf("x"), newer{7, "more"})
 	require.NoError(t, err)
 	var o older
-	require.NoError(t, Open(b, FleetOf("x"), &o), "unknown keys are skipped")
+	require.NoError(t, Open(b, FleetIDOf("x"), &o), "unknown keys are skipped")
 	assert.Equal(t, 7, o.A)
-	assert.ErrorIs(t, Open(b, FleetOf("y"), &o), ErrFleet)
+	assert.ErrorIs(t, Open(b, FleetIDOf("y"), &o), ErrFleet)
 	for at := range b {
 		corrupted := append([]byte(nil), b...)
 		corrupted[at] ^= 1
-		assert.Error(t, Open(corrupted, FleetOf("x"), &o), "byte %d", at)
-		assert.Error(t, Open(b[:at], FleetOf("x"), &o), "truncated at %d", at)
+		assert.Error(t, Open(corrupted, FleetIDOf("x"), &o), "byte %d", at)
+		assert.Error(t, Open(b[:at], FleetIDOf("x"), &o), "truncated at %d", at)
 	}
 	b[0]++
-	assert.ErrorIs(t, Open(b, FleetOf("x"), &o), ErrVersion)
+	assert.ErrorIs(t, Open(b, FleetIDOf("x"), &o), ErrVersion)
 }
 
 // What a peer sends is bounded before it is decoded, and errors say what is wrong.
 func TestBodyOutOfBoundsIsRefused(t *testing.T) {
 	var list []uint64
 	for name, body := range map[string]any{"long array": make([]uint64, maxArrayItems+1), "another type": "text"} {
-		message, err := Seal(nil, FleetOf("x"), body)
+		message, err := Seal(nil, FleetIDOf("x"), body)
 		require.NoError(t, err)
-		assert.ErrorIs(t, Open(message, FleetOf("x"), &list), ErrBody, name)
+		assert.ErrorIs(t, Open(message, FleetIDOf("x"), &list), ErrBody, name)
 	}
-	message, err := Seal(nil, FleetOf("x"), make([]uint64, maxArrayItems))
+	message, err := Seal(nil, FleetIDOf("x"), make([]uint64, maxArrayItems))
 	require.NoError(t, err)
-	assert.NoError(t, Open(message, FleetOf("x"), &list))
-	assert.ErrorIs(t, Body([]byte{0x9f, 0x01, 0xff}, &list), ErrBody, "an array of indefinite length")
-	assert.ErrorIs(t, Open(message[:Head-1], FleetOf("x"), &list), ErrShort)
+	assert.NoError(t, Open(message, FleetIDOf("x"), &list))
+	assert.ErrorIs(t, DecodeBody([]byte{0x9f, 0x01, 0xff}, &list), ErrBody, "an array of indefinite length")
+	assert.ErrorIs(t, Open(message[:HeaderBytes-1], FleetIDOf("x"), &list), ErrShort)
 	message[len(message)-1] ^= 1
-	assert.ErrorIs(t, Open(message, FleetOf("x"), &list), ErrSpoilt)
+	assert.ErrorIs(t, Open(message, FleetIDOf("x"), &list), ErrChecksum)
 }
 
 func TestSealAppends(t *testing.T) {
-	alone, err := Seal(nil, FleetOf("x"), 7)
+	alone, err := Seal(nil, FleetIDOf("x"), 7)
 	require.NoError(t, err)
-	appended, err := Seal([]byte("before"), FleetOf("x"), 7)
+	appended, err := Seal([]byte("before"), FleetIDOf("x"), 7)
 	require.NoError(t, err)
 	assert.Equal(t, append([]byte("before"), alone...), appended)
 }
--- a/internal/fleet/envelope/fixtures_test.go
+++ b/internal/fleet/envelope/fixtures_test.go
@@ -20,14 +20,14 @@
 	for name, fleet := range map[string]string{"letter-v1.bin": "mobilier", "letter-of-no-name-v1.bin": ""} {
 		t.Run(name, func(t *testing.T) {
 			want := body{-7, "text", []byte{1, 2, 3}, []uint64{1, 1 << 40}}
-			text, err := Seal(nil, FleetOf(fleet), want)
+			text, err := Seal(nil, FleetIDOf(fleet), want)
 			require.NoError(t, err)
 			content := fixture.Equal(t, name, text)
 			var got body
-			require.NoError(t, Open(content, FleetOf(fleet), &got))
+			require.NoError(t, Open(content, FleetIDOf(fleet), &got))
 			assert.Equal(t, want, got)
 			got = body{}
-			require.NoError(t, Body(content[Head:], &got))
+			require.NoError(t, DecodeBody(content[HeaderBytes:], &got))
 			assert.Equal(t, want, got)
 		})
 	}
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -29,7 +29,7 @@
 }
 
 // DecodeConfigAnswer decodes a node's answer to a query of an operator's command.
-func DecodeConfigAnswer(text []byte, fleet envelope.Fleet) (*configsync.Answer, error) {
+func DecodeConfigAnswer(text []byte, fleet envelope.FleetID) (*configsync.Answer, error) {
 	var body configMessageBody
 	if err := envelope.Open(text, fleet, &body); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.DatagramReceived, From: received.From, Message: m})
 	default:
-		sm.rejectPeerMessage(in, fmt.Errorf("%w: configuration message of a kind that is not expected here", envelope.ErrSpoilt))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: configuration message of a kind that is not expected here", envelope.ErrChecksum))
 	}
 }
 
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestConfigurationMessagesAreDistinctFromMembership(t *testing.T) {
-	fleet := envelope.FleetOf("mobilier")
+	fleet := envelope.FleetIDOf("mobilier")
 	text, err := envelope.Seal(nil, fleet, ConfigQueryBody(&configsync.Query{Kind: configsync.QueryStatus}))
 	require.NoError(t, err)
 	var older membership.Message
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -13,7 +13,7 @@
 
 // queryNode sends a node an operator's query and steps the node until it answers. It returns the answer and all effects so far.
 func queryNode(t *testing.T, sm *StateMachine, q *configsync.Query) (a *configsync.Answer, all []Effect) {
-	text, err := envelope.Seal(nil, envelope.FleetOf("mobilier"), ConfigQueryBody(q))
+	text, err := envelope.Seal(nil, envelope.FleetIDOf("mobilier"), ConfigQueryBody(q))
 	require.NoError(t, err)
 	in := []Input{{Kind: PeerRequestReceived, Link: 3, From: "10.0.0.9:9", Bytes: text}}
 	for range 3_000 {
@@ -23,7 +23,7 @@
 		all = append(all, effects...)
 		for _, e := range effects {
 			if e.Kind == ReplyToExchange && e.Link == 3 {
-				a, err = DecodeConfigAnswer(e.Bytes, envelope.FleetOf("mobilier"))
+				a, err = DecodeConfigAnswer(e.Bytes, envelope.FleetIDOf("mobilier"))
 				require.NoError(t, err)
 				return a, all
 			}
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -142,7 +142,7 @@
 		}
 		c.Changes = append(c.Changes, configsync.Item(i))
 	}
-	text, err := envelope.Seal(nil, envelope.FleetOf(fleetName), node.ConfigQueryBody(&configsync.Query{Kind: configsync.QueryPropose, Command: c}))
+	text, err := envelope.Seal(nil, envelope.FleetIDOf(fleetName), node.ConfigQueryBody(&configsync.Query{Kind: configsync.QueryPropose, Command: c}))
 	require.NoError(s.t, err)
 	s.lastExchange++
 	n.deliver(node.Input{Kind: node.PeerRequestReceived, Link: s.lastExchange, From: "10.0.9.9:9", Bytes: text})
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -139,7 +139,7 @@
 	default:
 		body = node.ConfigQueryBody(&configsync.Query{Kind: 77})
 	}
-	text, err := envelope.Seal(nil, envelope.FleetOf(fleet), body)
+	text, err := envelope.Seal(nil, envelope.FleetIDOf(fleet), body)
 	require.NoError(n.t, err)
 	if n.oneIn(8) {
 		text[n.Rand.Intn(len(text))]++
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -19,12 +19,12 @@
 
 // sealFixture encodes a message of the fleet whose name the fixtures were recorded with.
 func sealFixture(body any) ([]byte, error) {
-	return envelope.Seal(nil, envelope.FleetOf("mobilier"), body)
+	return envelope.Seal(nil, envelope.FleetIDOf("mobilier"), body)
 }
 
 // openFixture decodes a message of that fleet.
 func openFixture(text []byte, body any) error {
-	return envelope.Open(text, envelope.FleetOf("mobilier"), body)
+	return envelope.Open(text, envelope.FleetIDOf("mobilier"), body)
 }
 
 // Guards the encoding of membership messages, one of each kind, and of the view that commands receive: nodes of different builds
@@ -54,7 +54,7 @@
 		fixture.RoundTrip(t, "member-counters-v1.json", fixture.Filled[membership.Counters](2), json.Marshal, json.Unmarshal)
 	})
 	t.Run("hashes of names", func(t *testing.T) {
-		text := fmt.Sprintf("%016x %016x %08x\n", uint64(membership.IDOf("node-1")), uint64(membership.IDOf("")), uint32(envelope.FleetOf("mobilier")))
+		text := fmt.Sprintf("%016x %016x %08x\n", uint64(membership.IDOf("node-1")), uint64(membership.IDOf("")), uint32(envelope.FleetIDOf("mobilier")))
 		fixture.Equal(t, "names-v1.txt", []byte(text))
 	})
 	t.Run("status and reach", func(t *testing.T) {
@@ -96,7 +96,7 @@
 		want := fixture.Filled[configsync.Answer](1)
 		text, err := sealFixture(configMessageBody{&configMessage{From: "node-1", Answer: &want}})
 		require.NoError(t, err)
-		got, err := DecodeConfigAnswer(fixture.Equal(t, "answer-v1.bin", text), envelope.FleetOf("mobilier"))
+		got, err := DecodeConfigAnswer(fixture.Equal(t, "answer-v1.bin", text), envelope.FleetIDOf("mobilier"))
 		require.NoError(t, err)
 		assert.Equal(t, &want, got)
 	})
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -22,7 +22,7 @@
 // fleetState holds the node's membership of a fleet. Outside a fleet, members is nil and membership takes no timer and no time.
 type fleetState struct {
 	members        *membership.Members
-	id             envelope.Fleet
+	id             envelope.FleetID
 	inputs         []membership.Input
 	wakeAt         int64 // when the membership must step again
 	executorLostAt int64 // when the node was first seen without an executor, -1 while it has one
@@ -58,7 +58,7 @@
 
 // JoinFleet makes the node a member of a fleet. It must be called before the first step.
 func (sm *StateMachine) JoinFleet(fleet string, members *membership.Members) {
-	sm.fleet = fleetState{members: members, id: envelope.FleetOf(fleet), executorLostAt: -1}
+	sm.fleet = fleetState{members: members, id: envelope.FleetIDOf(fleet), executorLostAt: -1}
 	sm.Invariants.Check(sm.now == 0, "a node joins its fleet before its first step")
 }
 
@@ -113,7 +113,7 @@
 func (sm *StateMachine) applyMembershipMessage(in *Input, msg *membership.Message) {
 	datagram := msg.Kind <= membership.MessageGossip
 	if datagram != (in.Kind == PeerDatagramReceived) || msg.Kind == 0 {
-		sm.rejectPeerMessage(in, fmt.Errorf("%w: unexpected membership message of kind %d", envelope.ErrSpoilt, msg.Kind))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: unexpected membership message of kind %d", envelope.ErrChecksum, msg.Kind))
 		return
 	}
 	if msg.Kind == membership.MessageViewRequest {
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -28,7 +28,7 @@
 
 // sealedMessage encodes a membership message of a fleet.
 func sealedMessage(t *testing.T, fleet string, msg membership.Message) []byte {
-	b, err := envelope.Seal(nil, envelope.FleetOf(fleet), &msg)
+	b, err := envelope.Seal(nil, envelope.FleetIDOf(fleet), &msg)
 	require.NoError(t, err)
 	return b
 }
@@ -57,7 +57,7 @@
 	for _, e := range effectsOfKind(effects, SendDatagram) {
 		assert.Equal(t, "10.0.0.2:9", e.Address)
 		var msg membership.Message
-		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetOf("mobilier"), &msg))
+		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetIDOf("mobilier"), &msg))
 		kinds = append(kinds, msg.Kind)
 	}
 	assert.Subset(t, kinds, []membership.MessageKind{membership.MessageAck, membership.MessagePing})
@@ -92,7 +92,7 @@
 	replies := effectsOfKind(effects, ReplyToExchange)
 	require.Len(t, replies, 1)
 	var v membership.View
-	require.NoError(t, envelope.Open(replies[0].Bytes, envelope.FleetOf("mobilier"), &v))
+	require.NoError(t, envelope.Open(replies[0].Bytes, envelope.FleetIDOf("mobilier"), &v))
 	assert.Equal(t, "n1", v.Members[0].Name)
 }
 
@@ -107,7 +107,7 @@
 	announcements := 0
 	for _, e := range effectsOfKind(effects, SendDatagram) {
 		var msg membership.Message
-		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetOf("mobilier"), &msg))
+		require.NoError(t, envelope.Open(e.Bytes, envelope.FleetIDOf("mobilier"), &msg))
 		for _, rec := range msg.Records {
 			if rec.Name == "n1" && rec.Left {
 				announcements++
@@ -120,9 +120,9 @@
 // FuzzPeers delivers arbitrary bodies under a valid header, each as a datagram, a request or a response: no body may make the node
 // panic.
 func FuzzPeers(f *testing.F) {
-	b, _ := envelope.Seal(nil, envelope.FleetOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{peerRecord(0, false)},
+	b, _ := envelope.Seal(nil, envelope.FleetIDOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{peerRecord(0, false)},
 		Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
-	f.Add(b[envelope.Head:], uint8(0))
+	f.Add(b[envelope.HeaderBytes:], uint8(0))
 	f.Fuzz(func(t *testing.T, body []byte, kind uint8) {
 		sm := fleetNode(t)
 		text := append([]byte(nil), b[:5]...) // version and fleet of the valid message, so that the body is decoded
@@ -136,7 +136,7 @@
 
 func TestRejectedPeerMessagesAreCountedByReason(t *testing.T) {
 	var counters PeerMessageCounters
-	for _, err := range []error{envelope.ErrFleet, envelope.ErrVersion, envelope.ErrShort, envelope.ErrSpoilt, fmt.Errorf("wrapped: %w", envelope.ErrFleet)} {
+	for _, err := range []error{envelope.ErrFleet, envelope.ErrVersion, envelope.ErrShort, envelope.ErrChecksum, fmt.Errorf("wrapped: %w", envelope.ErrFleet)} {
 		counters.add(err)
 	}
 	assert.Equal(t, PeerMessageCounters{Malformed: 2, OtherVersion: 1, OtherFleet: 2}, counters)
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -117,7 +117,7 @@
 var errVerdict = errors.New("no verdict in time")
 
 func question(address string, q *configsync.Query) (*configsync.Answer, error) {
-	name := envelope.FleetOf(fleetName)
+	name := envelope.FleetIDOf(fleetName)
 	ask, err := envelope.Seal(nil, name, node.ConfigQueryBody(q))
 	if err != nil {
 		return nil, err
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -21,7 +21,7 @@
 	maxWriteTime  = 10 * ms    // ns until it is on a node's disk
 	maxSyncTime   = 4 * ms     // ns until a seat's write is
 	lookAgain     = second     // ns between looks at links, which change without the view
-	sealed        = envelope.Fleet(1)
+	sealed        = envelope.FleetID(1)
 	newBuild      = `"of a later build"` // a value that nodes of the build before can't take
 )
 
--- a/internal/testbed/processfleet/versions_node.go
+++ b/internal/testbed/processfleet/versions_node.go
@@ -262,7 +262,7 @@
 		return
 	}
 	if to := f.byName[e.To]; to != nil {
-		size := len(text) + envelope.Head
+		size := len(text) + envelope.HeaderBytes
 		m.spend(f.Now, size)
 		m.SendDatagram(to.Node, messageInFlight{text, size}, size)
 	}
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -26,7 +26,7 @@
 type processVersions struct {
 	*virtualVersions
 	p     *processes
-	fleet envelope.Fleet
+	fleet envelope.FleetID
 
 	mu     sync.Mutex
 	marks  map[uint64]configsync.Digest // as nodes had them in force
@@ -138,7 +138,7 @@
 // playVersionsOnProcesses plays the same on built daemons, hollow nodes and processes that are seats.
 func (n *Scenario) playVersionsOnProcesses(p *processes, seed int64) *Outcome {
 	o := &Outcome{Seed: seed, Measures: map[string]float64{}}
-	f := &processVersions{virtualVersions: newVirtualVersions(n, seed), p: p, fleet: envelope.FleetOf("rig"), marks: map[uint64]configsync.Digest{},
+	f := &processVersions{virtualVersions: newVirtualVersions(n, seed), p: p, fleet: envelope.FleetIDOf("rig"), marks: map[uint64]configsync.Digest{},
 		has: make([]configsync.Revision, n.Nodes), up: make([]bool, n.Nodes), lives: make([]int, n.Nodes), began: make([]int64, n.Nodes), empty: make([]bool, n.Nodes), bytes: make([][]trafficSample, n.Nodes),
 		ask: make(chan struct{}, maxQueries)}
 	f.Simulator = virtualtime.New(seed, 0)
--- a/internal/testbed/virtualfleet/size.go
+++ b/internal/testbed/virtualfleet/size.go
@@ -8,7 +8,7 @@
 // messageSize returns the bytes of an envelope that holds a message without making it: records would be encoded by the
 // million. A test compares it with the envelope itself.
 func messageSize(msg *membership.Message) int {
-	size := envelope.Head + 1 + keyedInteger(uint64(msg.Kind)) + optionalInteger(uint64(msg.From)) + optionalInteger(uint64(msg.Seq)) +
+	size := envelope.HeaderBytes + 1 + keyedInteger(uint64(msg.Kind)) + optionalInteger(uint64(msg.From)) + optionalInteger(uint64(msg.Seq)) +
 		optionalInteger(msg.Digest) + optionalText(msg.Why)
 	if msg.Neighbour {
 		size += 2
--- a/server/exchanges.go
+++ b/server/exchanges.go
@@ -203,8 +203,8 @@
 		return nil, err
 	}
 	length := binary.LittleEndian.Uint32(header[:])
-	if length < envelope.Head || length > envelope.MaxExchangeBytes {
-		return nil, fmt.Errorf("exchange: a length of %d, %d to %d may be", length, envelope.Head, envelope.MaxExchangeBytes)
+	if length < envelope.HeaderBytes || length > envelope.MaxExchangeBytes {
+		return nil, fmt.Errorf("exchange: a length of %d, %d to %d may be", length, envelope.HeaderBytes, envelope.MaxExchangeBytes)
 	}
 	return readPayload(from, length)
 }
--- a/server/stream.go
+++ b/server/stream.go
@@ -126,8 +126,8 @@
 		return nil, err
 	}
 	length := binary.LittleEndian.Uint32(header[:])
-	if length < envelope.Head || length > envelope.MaxStreamBytes {
-		return nil, fmt.Errorf("%w: a length of %d, %d to %d may be", errInvalidStream, length, envelope.Head, envelope.MaxStreamBytes)
+	if length < envelope.HeaderBytes || length > envelope.MaxStreamBytes {
+		return nil, fmt.Errorf("%w: a length of %d, %d to %d may be", errInvalidStream, length, envelope.HeaderBytes, envelope.MaxStreamBytes)
 	}
 	conn.SetReadDeadline(time.Now().Add(streamReadTimeout + time.Duration(length)*streamTimePerByte))
 	return readPayload(conn, length)
