--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -1,5 +1,5 @@
-// Package envelope encodes and decodes the messages that nodes send each other: a version, the fleet, a checksum, and a body in CBOR.
-// It does no I/O, and knows no body's meaning.
+// Package envelope seals and opens the messages that nodes send each other. A message is a header, of the envelope's version, the
+// fleet's ID and a checksum of the body, followed by the body in CBOR. The package does no I/O and does not interpret bodies.
 package envelope
 
 import (
@@ -12,40 +12,40 @@
 	"topazpost/internal/cborcodec"
 )
 
-// Version is that of the envelope. Bodies grow by keys that older nodes skip; this number changes only where older nodes must not
-// even try.
+// Version is the version of the envelope. A new field of a body is a key that older nodes skip and needs no new version; Version changes
+// only where older nodes must reject the message.
 const Version = 1
 
-// Bounds of messages, in bytes.
+// Sizes of messages, in bytes.
 const (
-	HeaderBytes      = 13        // of the header: version 1, fleet 4, checksum 8, all little-endian
-	MaxDatagramBytes = 1_200     // of a datagram that any path carries whole
-	MaxExchangeBytes = 512 << 10 // of one message of an exchange: a table of the most members that settings allow
-	MaxStreamBytes   = 16 << 20  // of one message of a stream: a snapshot of the largest table that settings allow
+	HeaderBytes      = 13        // length of the header: version 1, fleet ID 4, checksum 8, all little-endian
+	MaxDatagramBytes = 1_200     // of a datagram, small enough that no network path fragments it
+	MaxExchangeBytes = 512 << 10 // of one message of an exchange: fits a membership table of the most members that settings allow
+	MaxStreamBytes   = 16 << 20  // of one message of a stream: fits a snapshot of the largest table that settings allow
 )
 
-// Offsets of the header's fields.
+// Offsets of the header's fields, in bytes. The version is the first byte.
 const (
 	fleetOffset    = 1
 	checksumOffset = 5
 )
 
-// Bounds of what is decoded.
+// Limits on the bodies that are decoded, since a peer may send anything.
 const (
 	maxArrayItems = 1 << 14
-	maxMapPairs   = 64 // far above the fields of any message
+	maxMapPairs   = 64 // far above the number of fields of any message
 	maxNesting    = 8
 )
 
-const fleetHashSeed = 0x66_6c_74 // keeps the hash of a fleet's name apart from other hashes of names
+const fleetHashSeed = 0x66_6c_74 // makes a fleet's ID differ from other hashes of the same name
 
-// Errors of messages that can't be used.
+// The reasons for which Open and DecodeBody reject a message.
 var (
-	ErrShort    = errors.New("envelope: too short")
-	ErrVersion  = errors.New("envelope: another version")
-	ErrFleet    = errors.New("envelope: of another fleet")
-	ErrChecksum = errors.New("envelope: checksum differs")
-	ErrBody     = errors.New("envelope: the body can't be read")
+	ErrShort    = errors.New("envelope: message is shorter than the header")
+	ErrVersion  = errors.New("envelope: unsupported envelope version")
+	ErrFleet    = errors.New("envelope: message belongs to another fleet")
+	ErrChecksum = errors.New("envelope: checksum mismatch")
+	ErrBody     = errors.New("envelope: body can't be decoded")
 )
 
 var decodeMode = cborcodec.MustDecMode(cbor.DecOptions{
@@ -56,13 +56,13 @@
 	TagsMd:           cbor.TagsForbidden,
 })
 
-// FleetID is a hash of a fleet's name.
+// FleetID identifies a fleet by a hash of its name.
 type FleetID uint32
 
-// FleetIDOf is the hash of a name.
+// FleetIDOf returns the ID of the fleet with a name.
 func FleetIDOf(name string) FleetID { return FleetID(xxhash.Sum64String(name) ^ fleetHashSeed) }
 
-// Seal appends a message with a body.
+// Seal appends a message, of a header and the encoded body, to dst.
 func Seal(dst []byte, fleet FleetID, body any) ([]byte, error) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
@@ -74,7 +74,8 @@
 	return append(dst, encoded...), nil
 }
 
-// Open checks a message's header and decodes its body.
+// Open checks a message's header and decodes its body. It returns ErrShort, ErrVersion, ErrFleet, ErrChecksum or an error that wraps
+// ErrBody.
 func Open(message []byte, fleet FleetID, body any) error {
 	if len(message) < HeaderBytes {
 		return ErrShort
@@ -91,7 +92,7 @@
 	return DecodeBody(encoded, body)
 }
 
-// DecodeBody decodes what follows the header of a message.
+// DecodeBody decodes the bytes that follow the header of a message. Its errors wrap ErrBody.
 func DecodeBody(encoded []byte, body any) error {
 	if err := decodeMode.Unmarshal(encoded, body); err != nil {
 		return errors.Join(ErrBody, err)
--- a/internal/fleet/envelope/envelope_test.go
+++ b/internal/fleet/envelope/envelope_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMessageIsOpenedOnlyIntactByItsFleetAndVersion(t *testing.T) {
+func TestOpenAcceptsOnlyIntactMessagesOfSameFleetAndVersion(t *testing.T) {
 	type newer struct {
 		A int    `cbor:"1,keyasint"`
 		B string `cbor:"2,keyasint"`
@@ -31,8 +31,8 @@
 	assert.ErrorIs(t, Open(b, FleetIDOf("x"), &o), ErrVersion)
 }
 
-// What a peer sends is bounded before it is decoded, and errors say what is wrong.
-func TestBodyOutOfBoundsIsRefused(t *testing.T) {
+// A body that exceeds the limits is rejected before it is decoded into memory, and each kind of bad message has its own error.
+func TestInvalidBodyIsRejected(t *testing.T) {
 	var list []uint64
 	for name, body := range map[string]any{"long array": make([]uint64, maxArrayItems+1), "another type": "text"} {
 		message, err := Seal(nil, FleetIDOf("x"), body)
@@ -42,13 +42,13 @@
 	message, err := Seal(nil, FleetIDOf("x"), make([]uint64, maxArrayItems))
 	require.NoError(t, err)
 	assert.NoError(t, Open(message, FleetIDOf("x"), &list))
-	assert.ErrorIs(t, DecodeBody([]byte{0x9f, 0x01, 0xff}, &list), ErrBody, "an array of indefinite length")
+	assert.ErrorIs(t, DecodeBody([]byte{0x9f, 0x01, 0xff}, &list), ErrBody, "array of indefinite length")
 	assert.ErrorIs(t, Open(message[:HeaderBytes-1], FleetIDOf("x"), &list), ErrShort)
 	message[len(message)-1] ^= 1
 	assert.ErrorIs(t, Open(message, FleetIDOf("x"), &list), ErrChecksum)
 }
 
-func TestSealAppends(t *testing.T) {
+func TestSealAppendsToDst(t *testing.T) {
 	alone, err := Seal(nil, FleetIDOf("x"), 7)
 	require.NoError(t, err)
 	appended, err := Seal([]byte("before"), FleetIDOf("x"), 7)
