--- a/internal/fleet/claims/client.go
+++ b/internal/fleet/claims/client.go
@@ -3,9 +3,9 @@
 import "slices"
 
 const (
-	maxClaims        = 20_000    // in flight at one node: above what its memory for tokens holds
-	maxBatchCommands = 256       // in one message: at 3 kB each as much as a snapshot may be
-	never            = 1<<63 - 1 // ns
+	maxClaims        = 20_000    // tracked by one client: more than fit a node's memory for tokens
+	maxBatchCommands = 256       // in one SendCommands action: 256 commands of 3 kB are as large as a snapshot may be
+	never            = 1<<63 - 1 // ns; wake-up time when nothing is due
 )
 
 // InputKind is the kind of an Input.
@@ -13,23 +13,23 @@
 
 // The kinds of inputs: requests and reports of the node, and messages of the consensus group and the executor.
 const (
-	RequestClaim    InputKind = iota // the first invocation of a token was read: claim it
-	RequestStart                     // its run is to start now
-	ReportEnd                        // its run ended, with Outcome and Result
-	AbandonClaim                     // nobody waits for it, and nothing runs or will run under the claim; may repeat for what is over
+	RequestClaim    InputKind = iota // the node read the first invocation of a token: claim the token
+	RequestStart                     // the node wants to start the run now
+	ReportEnd                        // the run ended, with Outcome and Result
+	AbandonClaim                     // no caller waits for the claim, and nothing runs or will run under it
 	VerdictReceived                  // the group answered a command
-	EndNotified                      // the group notifies the node that a claim elsewhere is over
-	ClaimAssigned                    // the group gives this node the claim of a lost one
-	EarlierRunEnded                  // the executor reports how a run of an earlier incarnation ended
+	EndNotified                      // the group notifies the node that another owner's claim ended, became unknown or was removed
+	ClaimAssigned                    // the group reassigned the claim of a lost owner to this node
+	EarlierRunEnded                  // the executor reports the outcome of a run of an earlier incarnation
 )
 
-// Input is one request; only the fields of its kind are set.
+// Input is one input of the client; only the fields of its kind are set.
 type Input struct {
 	Kind         InputKind
 	Key          Key
 	BodyHash     uint64
-	Remaining    int64 // RequestClaim, RequestStart, ClaimAssigned: ns to its due time
-	Window       int64
+	Remaining    int64 // RequestClaim, RequestStart, ClaimAssigned: ns until the invocation is due
+	Window       int64 // ns that the table keeps the token after its start, and after its end
 	Work         []byte
 	InvocationID string
 	Outcome      uint8
@@ -38,72 +38,72 @@
 	Verdict      Verdict
 }
 
-// ActionKind names what a node is to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The kinds of actions. Each RequestStart is followed by one of StartRun, CompletedElsewhere, UnknownElsewhere, BodyMismatch or
-// RejectClaim, unless the claim is abandoned before.
+// The kinds of actions. The client answers each RequestStart with one of StartRun, CompletedElsewhere, UnknownElsewhere, BodyMismatch
+// and RejectClaim, unless the claim is abandoned first.
 const (
 	SendCommands       ActionKind = iota // send Commands to the group
 	StartRun                             // the start is committed: the executor may receive the invocation
-	CompletedElsewhere                   // it ended elsewhere, with Outcome and Result
-	UnknownElsewhere                     // it may have run elsewhere
-	BodyMismatch                         // the token came with another body elsewhere
-	RejectClaim                          // reject the invocation: there is no room for the claim
-	EndRecorded                          // the end of the run is committed
-	TakeOver                             // admit and run the invocation of a lost node, for whoever asks
+	CompletedElsewhere                   // the run ended at another node, with Outcome and Result
+	UnknownElsewhere                     // the invocation may have run at another node, with an unknown outcome
+	BodyMismatch                         // the token is claimed with another request body
+	RejectClaim                          // reject the invocation: the table is full or the group is unreachable
+	EndRecorded                          // the end of the run is committed, or refused for a stale fence
+	TakeOver                             // admit and run the invocation of a lost owner; callers may ask for its result later
 )
 
-// Action is one thing to do; only the fields of its kind are set.
+// Action is one action for the node; only the fields of its kind are set.
 type Action struct {
 	Kind     ActionKind
 	Key      Key
 	BodyHash uint64
-	Duration int64 // TakeOver: ns to its due time; RejectClaim: ns after which to retry
+	Duration int64 // TakeOver: ns until the invocation is due; RejectClaim: ns after which the caller may retry
 	Work     []byte
 	Outcome  uint8
 	Result   []byte
 	Commands []Command
 }
 
-// ClientCounters are what operators see.
+// ClientCounters are the counters of a Client that operators see.
 type ClientCounters struct {
 	Claimed             int `json:"claimed"`
-	Joined              int `json:"joined"` // waited for a run elsewhere
-	ServedFromElsewhere int `json:"kept"`   // had the result of a run elsewhere
-	Unknown             int `json:"unknown"`
-	Assigned            int `json:"taken"`   // given to this node
-	Fenced              int `json:"fenced"`  // started too late: another owner had it
-	UnknownReleased     int `json:"zombies"` // claims of this node that it did not know of, released
-	Sent                int `json:"sent"`    // commands, retries included
-	Unreachable         int `json:"out_of_reach"`
-	Resolved            int `json:"settled"`
+	Joined              int `json:"joined"`       // waited for a run at another node
+	ServedFromElsewhere int `json:"kept"`         // got the result of a run at another node
+	Unknown             int `json:"unknown"`      // got an unknown outcome
+	Assigned            int `json:"taken"`        // claims of lost owners reassigned to this node
+	Fenced              int `json:"fenced"`       // starts refused: another owner had the claim
+	UnknownReleased     int `json:"zombies"`      // claims of this incarnation that it no longer tracked, released
+	Sent                int `json:"sent"`         // commands sent, retries included
+	Unreachable         int `json:"out_of_reach"` // times that the group became unreachable
+	Resolved            int `json:"settled"`      // reports on earlier incarnations sent, retries included
 }
 
-// Client is a node's side of the replicated table: it sends commands, retries them until they are answered, and tracks each claim
-// until it is over.
+// Client claims tokens for a node: it sends commands to the consensus group, retries them until they are answered, and tracks each
+// claim until the node needs it no longer.
 type Client struct {
 	Counters ClientCounters
 
-	self         Owner
-	claims       map[Key]*trackedClaim
-	bySeq        map[uint64]*trackedClaim // those with a command in flight
-	order        []*trackedClaim          // in the order of their arrival, so that commands are sent in it
-	lastSeq      uint64
-	now          int64
-	actions      []Action
-	commands     []Command
-	lastAnswerAt int64 // when the group last answered
-	connected    bool
-	lastProbeAt  int64
-	probeSeq     uint64    // of the probe in flight, 0 for none
-	resolutions  []Command // reports of executors on earlier incarnations, until they are committed
-	resolveAt    int64     // when to send those again
-	nextScanAt   int64     // when to scan all claims
-	lastScanAt   int64
+	self             Owner
+	claims           map[Key]*trackedClaim
+	bySeq            map[uint64]*trackedClaim // claims with a command in flight, by its sequence number
+	order            []*trackedClaim          // claims in the order in which they were added, which is the order of retries
+	lastSeq          uint64
+	now              int64
+	actions          []Action  // of the current step
+	commands         []Command // of the current step, before they are batched
+	lastAnswerAt     int64     // when the group last answered
+	connected        bool
+	lastProbeAt      int64
+	probeSeq         uint64    // sequence number of the probe in flight, 0 for none
+	resolutions      []Command // CommandResolve for runs of earlier incarnations, until they are committed
+	nextResolutionAt int64     // when to send the resolutions
+	nextScanAt       int64     // when to scan the claims again
+	lastScanAt       int64
 }
 
-// NewClient returns the client of one incarnation of a node. Its group is unreachable until it answers.
+// NewClient returns the client of one incarnation of a node. It counts as disconnected until the group answers.
 func NewClient(self Owner) *Client {
 	return &Client{
 		self:        self,
@@ -114,20 +114,20 @@
 	}
 }
 
-// Connected says whether the group answers: without it nothing new may be claimed.
+// Connected reports whether the group answers. While it does not, the node must not claim new tokens.
 func (c *Client) Connected() bool { return c.connected }
 
-// HasCapacity says whether one more claim can be tracked.
+// HasCapacity reports whether the client can track one more claim.
 func (c *Client) HasCapacity() bool { return len(c.claims) < maxClaims }
 
-// OwnedElsewhere says whether another node owns the claim, so that it may run there or have run.
+// OwnedElsewhere reports whether another node owns the claim, so that the invocation may run there or have run there.
 func (c *Client) OwnedElsewhere(key Key) bool {
 	claim := c.claims[key]
-	return claim != nil && claim.phase == phaseElsewhere
+	return claim != nil && claim.phase == phaseOwnedElsewhere
 }
 
-// NotRunning returns the keys of the claims whose run has not started, or has ended without the end being committed, in the order
-// in which they were added. It leaves out claims that are being released.
+// NotRunning returns the keys of the claims whose run has not started at this node, or has ended without the end being
+// committed, in the order in which they were added. It leaves out claims that are being released.
 func (c *Client) NotRunning() (keys []Key) {
 	for _, claim := range c.order {
 		if !claim.removed && (claim.phase < phaseRunning || claim.phase == phaseEnding) {
@@ -137,11 +137,11 @@
 	return keys
 }
 
-// Size is the number of claims that are tracked.
+// Size returns the number of tracked claims.
 func (c *Client) Size() int { return len(c.claims) }
 
-// Step handles what happened up to now, by a monotonic clock. The actions are valid until the next step; wake is when to call Step
-// again at the latest.
+// Step handles the inputs that arrived up to now, a time of the node's monotonic clock, and runs the timers that are due. The actions
+// are valid until the next step; wake is when to call Step again at the latest.
 func (c *Client) Step(now int64, inputs []Input) (actions []Action, wake int64) {
 	c.now = now
 	c.actions = c.actions[:0]
@@ -176,7 +176,7 @@
 	case ClaimAssigned:
 		c.handleAssignment(input, claim)
 	case EarlierRunEnded:
-		c.reportEarlierRun(input)
+		c.queueResolution(input)
 	}
 }
 
--- a/internal/fleet/claims/client_claim.go
+++ b/internal/fleet/claims/client_claim.go
@@ -1,43 +1,43 @@
 package claims
 
-// phase is how far a claim has come at its client.
+// phase is the state of a claim at its client.
 type phase uint8
 
 const (
-	phaseClaiming  phase = iota // Claim is in flight
-	phaseGranted                // this node may start it
-	phaseElsewhere              // another node has it
-	phaseDecided                // the group's verdict waits for RequestStart
-	phaseStarting               // Start is in flight
-	phaseRunning
-	phaseEnding    // End is in flight
-	phaseReleasing // Release is in flight
-	phaseAbandoned // Claim is in flight, and what it grants is to be released
+	phaseClaiming       phase = iota // CommandClaim is in flight
+	phaseGranted                     // this node owns the claim and has not started it
+	phaseOwnedElsewhere              // another node owns the claim; it is claimed again from time to time
+	phaseFinalVerdict                // the claim is not granted; the verdict is reported when RequestStart comes
+	phaseStarting                    // CommandStart is in flight
+	phaseRunning                     // the start is committed
+	phaseEnding                      // CommandEnd is in flight
+	phaseReleasing                   // CommandRelease is in flight
+	phaseAbandoned                   // CommandClaim is in flight, and the claim is released if it is granted
 )
 
-// trackedClaim is a claim that is not over at this node.
+// trackedClaim is the client's record of a claim.
 type trackedClaim struct {
-	key          Key
-	phase        phase
-	startWanted  bool // RequestStart came
-	bodyHash     uint64
-	dueAt        int64
-	window       int64
-	work         []byte
-	invocationID string
-	fence        uint64
-	verdict      Verdict // in phaseDecided
-	outcome      uint8
-	result       []byte
+	key            Key
+	phase          phase
+	startRequested bool // RequestStart came: proceed as soon as the phase allows
+	bodyHash       uint64
+	dueAt          int64
+	window         int64
+	work           []byte
+	invocationID   string
+	fence          uint64
+	verdict        Verdict // in phaseFinalVerdict: the verdict to report
+	outcome        uint8
+	result         []byte
 
-	pendingSeq  uint64 // of the command in flight, 0 for none
+	pendingSeq  uint64 // sequence number of the command in flight, 0 for none
 	lastSentAt  int64
 	firstSentAt int64
-	backoff     int64
-	recheckAt   int64         // in phaseElsewhere: when to claim again
-	successor   *trackedClaim // in phaseReleasing: the token came again meanwhile
-	assigned    bool          // it was a lost node's, and nobody here waits for it
-	removed     bool
+	backoff     int64         // from lastSentAt to the next retry
+	recheckAt   int64         // in phaseOwnedElsewhere: when to claim again
+	successor   *trackedClaim // in phaseReleasing: the claim of a new invocation of the token, sent after the release
+	assigned    bool          // reassigned from a lost owner while no caller of this node waited for it
+	removed     bool          // no longer in Client.claims; the next scan drops it from Client.order
 }
 
 func (c *Client) newClaim(input *Input) *trackedClaim {
@@ -51,7 +51,7 @@
 	}
 }
 
-// pendingCommand is the kind of the command in flight.
+// pendingCommand returns the kind of the command in flight.
 func (claim *trackedClaim) pendingCommand() CommandKind {
 	switch claim.phase {
 	case phaseStarting:
--- a/internal/fleet/claims/client_requests.go
+++ b/internal/fleet/claims/client_requests.go
@@ -1,8 +1,8 @@
 package claims
 
-const maxResolutions = 1_024 // reports on runs of earlier incarnations: as many as one may have had running
+const maxResolutions = 1_024 // runs of earlier incarnations: as many as one incarnation may have running
 
-// requestClaim claims a token whose first invocation was read.
+// requestClaim claims the token of an invocation that the node read.
 func (c *Client) requestClaim(input *Input, claim *trackedClaim) {
 	switch {
 	case claim == nil:
@@ -15,44 +15,44 @@
 		claim.bodyHash = input.BodyHash
 		claim.work = input.Work
 		claim.invocationID = input.InvocationID
-	case claim.phase == phaseReleasing: // nothing may start under a fence whose release is in flight
+	case claim.phase == phaseReleasing: // a release in flight may remove the claim, so nothing may start under its fence
 		claim.successor = c.newClaim(input)
 	}
 }
 
-// requestStart starts the run of a claim as soon as that is committed.
+// requestStart starts the run of a claim once its grant and its start are committed.
 func (c *Client) requestStart(input *Input, claim *trackedClaim) {
 	if claim == nil {
 		claim = c.add(c.newClaim(input))
 		c.sendCommand(claim, CommandClaim)
 	}
 	if claim.phase == phaseReleasing && claim.successor != nil {
-		claim.successor.startWanted = true
+		claim.successor.startRequested = true
 		return
 	}
-	if !claim.startWanted {
-		claim.startWanted = true
+	if !claim.startRequested {
+		claim.startRequested = true
 		c.proceed(claim)
 	}
 }
 
-// proceed takes the next step of a claim whose start is wanted.
+// proceed advances a claim whose start was requested: it starts a granted claim, and reports a final verdict.
 func (c *Client) proceed(claim *trackedClaim) {
-	if !claim.startWanted {
+	if !claim.startRequested {
 		return
 	}
 	switch claim.phase {
 	case phaseGranted:
 		claim.phase = phaseStarting
 		c.sendCommand(claim, CommandStart)
-	case phaseDecided:
+	case phaseFinalVerdict:
 		c.remove(claim)
-		c.emit(c.decidedAction(claim))
+		c.emit(c.finalVerdictAction(claim))
 	}
 }
 
-// decidedAction is what the group's verdict means for a claim that doesn't run here.
-func (c *Client) decidedAction(claim *trackedClaim) Action {
+// finalVerdictAction returns the action for a verdict that excludes a run at this node.
+func (c *Client) finalVerdictAction(claim *trackedClaim) Action {
 	verdict := &claim.verdict
 	switch verdict.Answer {
 	case AnswerCompleted:
@@ -67,7 +67,7 @@
 	return Action{Kind: RejectClaim, Key: claim.key, Duration: verdict.RetryAfter}
 }
 
-// reportEnd has the end of a run committed.
+// reportEnd sends the end of a run to be committed.
 func (c *Client) reportEnd(input *Input, claim *trackedClaim) {
 	if claim == nil || claim.phase != phaseRunning {
 		return
@@ -78,7 +78,8 @@
 	c.sendCommand(claim, CommandEnd)
 }
 
-// abandon ends a claim under which nothing ran. One whose command is in flight may yet be granted, and is released then.
+// abandon gives up a claim under which nothing runs. If a CommandClaim is in flight the group may still grant it, so the claim is
+// tracked until the verdict comes, and released if granted.
 func (c *Client) abandon(claim *trackedClaim) {
 	if claim == nil {
 		return
@@ -89,18 +90,18 @@
 		c.sendCommand(claim, CommandRelease)
 	case phaseReleasing:
 		claim.successor = nil
-	case phaseClaiming, phaseElsewhere, phaseDecided:
+	case phaseClaiming, phaseOwnedElsewhere, phaseFinalVerdict:
 		if claim.pendingSeq == 0 {
 			c.remove(claim)
 			return
 		}
 		claim.phase = phaseAbandoned
-		claim.startWanted = false
+		claim.startRequested = false
 	}
 }
 
-// reportEarlierRun has the end of a run of an earlier incarnation committed.
-func (c *Client) reportEarlierRun(input *Input) {
+// queueResolution queues the report on a run of an earlier incarnation, and drops it if too many are queued.
+func (c *Client) queueResolution(input *Input) {
 	c.lastSeq++
 	if len(c.resolutions) >= maxResolutions {
 		return
@@ -113,5 +114,5 @@
 		Outcome:      input.Outcome,
 		Result:       input.Result,
 	})
-	c.resolveAt = c.now
+	c.nextResolutionAt = c.now
 }
--- a/internal/fleet/claims/client_requests_test.go
+++ b/internal/fleet/claims/client_requests_test.go
@@ -7,25 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRunWaitsForItsCommittedStart(t *testing.T) {
+func TestRunStartsOnlyAfterItsStartIsCommitted(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
 	require.Len(t, claim, 1)
 	assert.Equal(t, CommandClaim, claim[0].Kind)
-	assert.Empty(t, stepAfter(client, ms, Input{Kind: RequestStart, Key: testKey("t")}), "it is not granted yet")
+	assert.Empty(t, stepAfter(client, ms, Input{Kind: RequestStart, Key: testKey("t")}), "the claim is not granted yet")
 	start := sentCommands(stepAfter(client, ms, verdictInput(claim[0].Seq, AnswerGranted, 3)))
 	require.Len(t, start, 1)
 	assert.Equal(t, Command{Kind: CommandStart, Sender: nodeA, Seq: start[0].Seq, Key: testKey("t"), Fence: 3}, start[0])
 	assert.Equal(t, []ActionKind{StartRun}, actionKinds(stepAfter(client, ms, verdictInput(start[0].Seq, AnswerGranted, 3))))
-	assert.Empty(t, stepAfter(client, ms, verdictInput(start[0].Seq, AnswerGranted, 3)), "once")
+	assert.Empty(t, stepAfter(client, ms, verdictInput(start[0].Seq, AnswerGranted, 3)), "a repeated verdict does not start the run again")
 	end := sentCommands(stepAfter(client, ms, Input{Kind: ReportEnd, Key: testKey("t"), Result: []byte("r")}))
 	assert.Equal(t, CommandEnd, end[0].Kind)
 	assert.Equal(t, []ActionKind{EndRecorded}, actionKinds(stepAfter(client, ms, verdictInput(end[0].Seq, AnswerDone, 0))))
 	assert.Zero(t, client.Size())
 }
 
-// Guards against a late release that removes a started claim: nothing may start under a fence that is being released.
-func TestTokenClaimedAgainDuringItsReleaseGetsANewFence(t *testing.T) {
+// Guards against a late release that removes a started claim: a token that is claimed again while its release is in flight must
+// not start under the old fence.
+func TestTokenClaimedDuringItsReleaseGetsANewFence(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
 	stepAfter(client, ms, verdictInput(claim[0].Seq, AnswerGranted, 3))
--- a/internal/fleet/claims/client_retry.go
+++ b/internal/fleet/claims/client_retry.go
@@ -1,16 +1,16 @@
 package claims
 
 const (
-	firstRetryBackoff  = 250 * ms   // ns to the first retry of a command: a member of the group may be lost
-	maxRetryBackoff    = 1_000 * ms // ns
-	recheckInterval    = 500 * ms   // ns between claims of a token that is elsewhere: the notification of its end may be lost
-	unreachableTimeout = 700 * ms   // ns without an answer, past which the group is unreachable: an election takes as long
-	idleProbeInterval  = 2_000 * ms // ns without an answer after which an idle client probes the group
+	firstRetryBackoff  = 250 * ms   // ns to the first retry of a command: the member that got it may be lost
+	maxRetryBackoff    = 1_000 * ms // ns; longest time between retries
+	recheckInterval    = 500 * ms   // ns between claims of a token that another node owns: the notification of its end may be lost
+	unreachableTimeout = 700 * ms   // ns without an answer after which the group counts as unreachable: about as long as an election takes
+	idleProbeInterval  = 2_000 * ms // ns after the last answer when an idle client probes the group
 	probeInterval      = 200 * ms   // ns between probes of an unreachable group
-	scanInterval       = 20 * ms    // ns between scans of all claims
+	scanInterval       = 20 * ms    // ns at least between scans of all claims
 )
 
-// sendCommand sends the one command of a claim that is in flight from now on.
+// sendCommand sends a new command of a claim. It replaces the claim's command in flight, if any.
 func (c *Client) sendCommand(claim *trackedClaim, kind CommandKind) {
 	delete(c.bySeq, claim.pendingSeq)
 	c.lastSeq++
@@ -22,7 +22,7 @@
 	c.resend(claim, kind)
 }
 
-// resend sends the command in flight, for the first time or again, with what is left of its time.
+// resend sends the claim's command in flight, for the first time or as a retry, with the time that is left now.
 func (c *Client) resend(claim *trackedClaim, kind CommandKind) {
 	claim.lastSentAt = c.now
 	command := Command{Kind: kind, Sender: c.self, Seq: claim.pendingSeq, Key: claim.key, Fence: claim.fence}
@@ -43,7 +43,7 @@
 	c.commands = append(c.commands, command)
 }
 
-// runTimers sends what is due for a retry, a recheck or a probe, and returns when that is the case next.
+// runTimers sends the retries, rechecks and probes that are due, and returns when the next one is due.
 func (c *Client) runTimers() (wake int64) {
 	if c.now >= c.nextScanAt && c.now >= c.lastScanAt+scanInterval {
 		c.scan()
@@ -54,22 +54,23 @@
 	return max(wake, c.now+1)
 }
 
-// resendResolutions sends the reports on earlier incarnations that are due, and returns when they are due next.
+// resendResolutions sends all reports on earlier incarnations if they are due, and returns when they are due next.
 func (c *Client) resendResolutions() (wake int64) {
 	if len(c.resolutions) == 0 {
 		return never
 	}
-	if c.now >= c.resolveAt {
-		c.resolveAt = c.now + maxRetryBackoff
+	if c.now >= c.nextResolutionAt {
+		c.nextResolutionAt = c.now + maxRetryBackoff
 		c.Counters.Resolved += len(c.resolutions)
 		c.commands = append(c.commands, c.resolutions...)
 	}
-	return c.resolveAt
+	return c.nextResolutionAt
 }
 
-// probe asks the group for an answer after a silence, and returns when that is due next.
+// probe sends a CommandNoop if the group has not answered for long, and returns when to probe next. If a probe of a connected client
+// was not answered either, the group is unreachable.
 func (c *Client) probe() (wake int64) {
-	probeAt := c.nextProbeAt()
+	probeAt := c.nextProbeTime()
 	if c.now < probeAt {
 		return probeAt
 	}
@@ -83,7 +84,7 @@
 	return c.now + probeInterval
 }
 
-func (c *Client) nextProbeAt() int64 {
+func (c *Client) nextProbeTime() int64 {
 	switch {
 	case !c.connected:
 		return c.lastProbeAt + probeInterval
@@ -93,11 +94,11 @@
 	return max(c.lastAnswerAt, c.lastProbeAt) + idleProbeInterval
 }
 
-// scan retries and rechecks claims in the order of their arrival, and finds out whether the group is still reachable.
+// scan retries and rechecks the claims that are due, drops removed ones, and detects an unreachable group.
 func (c *Client) scan() {
 	c.lastScanAt = c.now
 	c.nextScanAt = never
-	oldest := int64(never) // when the oldest command in flight was first sent
+	oldestSentAt := int64(never) // when the oldest command in flight was first sent
 	remaining := c.order[:0]
 	for _, claim := range c.order {
 		if claim.removed {
@@ -105,23 +106,24 @@
 		}
 		remaining = append(remaining, claim)
 		if claim.pendingSeq != 0 {
-			oldest = min(oldest, claim.firstSentAt)
+			oldestSentAt = min(oldestSentAt, claim.firstSentAt)
 		}
 		c.scanClaim(claim)
 	}
 	clear(c.order[len(remaining):])
 	c.order = remaining
-	if oldest == never || !c.connected {
+	if oldestSentAt == never || !c.connected {
 		return
 	}
-	silentAt := max(oldest, c.lastAnswerAt) + unreachableTimeout
-	if c.now >= silentAt {
+	unreachableAt := max(oldestSentAt, c.lastAnswerAt) + unreachableTimeout
+	if c.now >= unreachableAt {
 		c.disconnect()
 		return
 	}
-	c.nextScanAt = min(c.nextScanAt, silentAt)
+	c.nextScanAt = min(c.nextScanAt, unreachableAt)
 }
 
+// scanClaim retries or rechecks one claim if it is due, and brings the next scan forward to when it is due next.
 func (c *Client) scanClaim(claim *trackedClaim) {
 	switch {
 	case claim.pendingSeq != 0:
@@ -130,7 +132,7 @@
 			c.resend(claim, claim.pendingCommand())
 		}
 		c.nextScanAt = min(c.nextScanAt, claim.lastSentAt+claim.backoff)
-	case claim.phase != phaseElsewhere:
+	case claim.phase != phaseOwnedElsewhere:
 	case c.now >= claim.recheckAt:
 		c.sendCommand(claim, CommandClaim)
 	default:
@@ -138,15 +140,15 @@
 	}
 }
 
-// disconnect records that the group is unreachable. Claims that are not granted and are to start now are rejected at once; granted
-// ones wait for their due time, since an election takes a second or two.
+// disconnect records that the group is unreachable. It rejects claims whose start was requested and that are not granted. Granted
+// claims wait up to their due time, since the group may answer again after an election of a second or two.
 func (c *Client) disconnect() {
 	c.connected = false
 	c.Counters.Unreachable++
 	for _, claim := range c.order {
-		if !claim.removed && claim.phase == phaseClaiming && claim.startWanted {
+		if !claim.removed && claim.phase == phaseClaiming && claim.startRequested {
 			claim.phase = phaseAbandoned
-			claim.startWanted = false
+			claim.startRequested = false
 			c.emit(Action{Kind: RejectClaim, Key: claim.key, Duration: unreachableTimeout})
 		}
 	}
--- a/internal/fleet/claims/client_retry_test.go
+++ b/internal/fleet/claims/client_retry_test.go
@@ -7,29 +7,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestClaimElsewhereIsRecheckedAndNotified(t *testing.T) {
+func TestClaimOfAnotherNodeIsCheckedAgainOnNotificationAndByTimer(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}))
 	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeB, Fence: 3}})
 	recheck := sentCommands(stepAfter(client, ms, Input{Kind: EndNotified, Key: testKey("t")}))
 	require.Len(t, recheck, 1)
 	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: recheck[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeB, Fence: 3}})
-	assert.Len(t, sentCommands(stepAfter(client, recheckInterval+scanInterval)), 1, "though the notification was lost")
+	assert.Len(t, sentCommands(stepAfter(client, recheckInterval+scanInterval)), 1, "the timer covers a lost notification")
 	assert.Equal(t, []ActionKind{UnknownElsewhere}, actionKinds(stepAfter(client, ms, verdictInput(client.lastSeq, AnswerOutcomeUnknown, 0))))
 }
 
-func TestUnansweredCommandIsRetriedUnderItsSequenceNumber(t *testing.T) {
+func TestRetryKeepsSequenceNumberAndSendsRemainingTime(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
 	again := sentCommands(stepAfter(client, firstRetryBackoff))
 	require.Len(t, again, 1)
 	assert.Equal(t, claim[0].Seq, again[0].Seq)
-	assert.Equal(t, claim[0].Duration-firstRetryBackoff, again[0].Duration, "with what is left of its time")
+	assert.Equal(t, claim[0].Duration-firstRetryBackoff, again[0].Duration, "a retry carries the remaining time")
 }
 
 func TestUnreachableGroupRejectsUngrantedClaims(t *testing.T) {
 	client := connectedClient()
-	stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}, claimRequest("waiting"))
+	stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}, claimRequest("not requested to start"))
 	assert.True(t, client.Connected())
 	stepAfter(client, firstRetryBackoff)
 	actions := stepAfter(client, unreachableTimeout)
@@ -42,7 +42,7 @@
 	release := sentCommands(stepAfter(client, ms, verdictInput(late, AnswerGranted, 5)))
 	assert.True(t, client.Connected())
 	require.Len(t, release, 1)
-	assert.Equal(t, CommandRelease, release[0].Kind, "a late grant is released")
+	assert.Equal(t, CommandRelease, release[0].Kind, "a grant after the rejection is released")
 }
 
 func TestIdleClientProbesTheGroup(t *testing.T) {
@@ -54,7 +54,7 @@
 	assert.False(t, client.Connected())
 }
 
-func TestEndOfAnEarlierIncarnationIsRetriedUntilCommitted(t *testing.T) {
+func TestReportOnAnEarlierIncarnationIsRetriedUntilAnswered(t *testing.T) {
 	client := connectedClient()
 	first := sentCommands(stepAfter(client, ms, Input{Kind: EarlierRunEnded, InvocationID: "c", Result: []byte("r")}))
 	require.Len(t, first, 1)
--- a/internal/fleet/claims/client_verdicts.go
+++ b/internal/fleet/claims/client_verdicts.go
@@ -7,7 +7,7 @@
 	c.lastAnswerAt = c.now
 	c.connected = true
 	c.probeSeq = 0
-	if c.resolved(verdict.Seq) {
+	if c.removeResolution(verdict.Seq) {
 		return
 	}
 	claim := c.bySeq[verdict.Seq]
@@ -17,7 +17,7 @@
 	delete(c.bySeq, verdict.Seq)
 	claim.pendingSeq = 0
 	switch claim.phase {
-	case phaseClaiming, phaseElsewhere:
+	case phaseClaiming, phaseOwnedElsewhere:
 		c.handleClaimVerdict(claim, verdict)
 	case phaseStarting:
 		c.handleStartVerdict(claim, verdict)
@@ -34,8 +34,8 @@
 	}
 }
 
-// resolved removes the report on an earlier incarnation that has the sequence number, if there is one.
-func (c *Client) resolved(seq uint64) bool {
+// removeResolution removes the report on an earlier incarnation that has the sequence number, and reports whether there was one.
+func (c *Client) removeResolution(seq uint64) bool {
 	before := len(c.resolutions)
 	if before == 0 {
 		return false
@@ -51,20 +51,20 @@
 		claim.fence = verdict.Fence
 		c.proceed(claim)
 	case verdict.Answer == AnswerOwnedElsewhere && verdict.Owner == c.self:
-		// A start of this incarnation that was given up before it was committed: nothing ran here under that fence, or
-		// the claim would still be tracked.
+		// This incarnation abandoned the claim while its start was in flight, and the start was committed later. Nothing
+		// ran here under that fence, or the client would still track the claim.
 		c.Counters.UnknownReleased++
 		c.commands = append(c.commands, Command{Kind: CommandRelease, Sender: c.self, Key: claim.key, Fence: verdict.Fence})
 		c.sendCommand(claim, CommandClaim)
 	case verdict.Answer == AnswerOwnedElsewhere:
-		if claim.phase != phaseElsewhere {
+		if claim.phase != phaseOwnedElsewhere {
 			c.Counters.Joined++
 		}
-		claim.phase = phaseElsewhere
+		claim.phase = phaseOwnedElsewhere
 		claim.recheckAt = c.now + recheckInterval
 		c.nextScanAt = min(c.nextScanAt, claim.recheckAt)
 	default:
-		claim.phase = phaseDecided
+		claim.phase = phaseFinalVerdict
 		claim.verdict = *verdict
 		c.proceed(claim)
 	}
@@ -77,11 +77,12 @@
 		return
 	}
 	c.Counters.Fenced++
-	claim.phase = phaseElsewhere
+	claim.phase = phaseOwnedElsewhere
 	claim.fence = 0
-	c.sendCommand(claim, CommandClaim) // the table knows who has it
+	c.sendCommand(claim, CommandClaim) // the verdict names the owner
 }
 
+// handleAbandonedVerdict releases an abandoned claim that was granted after all.
 func (c *Client) handleAbandonedVerdict(claim *trackedClaim, verdict *Verdict) {
 	if verdict.Answer != AnswerGranted {
 		c.remove(claim)
@@ -92,15 +93,15 @@
 	c.sendCommand(claim, CommandRelease)
 }
 
-// handleEndNotification claims a token again that another node had.
+// handleEndNotification claims the token again, to learn the outcome of another owner's claim or to become the owner.
 func (c *Client) handleEndNotification(claim *trackedClaim) {
-	if claim != nil && claim.phase == phaseElsewhere && claim.pendingSeq == 0 {
+	if claim != nil && claim.phase == phaseOwnedElsewhere && claim.pendingSeq == 0 {
 		c.sendCommand(claim, CommandClaim)
 	}
 }
 
-// handleAssignment takes over the claim of a lost node. Notifications repeat, also for a claim that is over here: its start is
-// refused then.
+// handleAssignment takes over the claim of a lost owner. The group repeats the notification, possibly after this node's run has
+// ended; the group then refuses the start of a claim that is tracked anew.
 func (c *Client) handleAssignment(input *Input, claim *trackedClaim) {
 	if claim == nil {
 		c.Counters.Assigned++
@@ -112,7 +113,7 @@
 		return
 	}
 	switch {
-	case claim.phase == phaseClaiming || claim.phase == phaseElsewhere:
+	case claim.phase == phaseClaiming || claim.phase == phaseOwnedElsewhere:
 		c.Counters.Assigned++
 	case claim.phase == phaseGranted && claim.fence < input.Fence:
 	default:
--- a/internal/fleet/claims/client_verdicts_test.go
+++ b/internal/fleet/claims/client_verdicts_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStaleFenceClaimsAgain(t *testing.T) {
+func TestStartWithAStaleFenceClaimsTheTokenAgain(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}))
 	start := sentCommands(stepAfter(client, ms, verdictInput(claim[0].Seq, AnswerGranted, 3)))
@@ -18,7 +18,7 @@
 	assert.Equal(t, []ActionKind{CompletedElsewhere}, actionKinds(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: again[0].Seq, Answer: AnswerCompleted, Result: []byte("r")}})))
 }
 
-func TestUnknownClaimOfThisIncarnationIsReleased(t *testing.T) {
+func TestUntrackedClaimOfThisIncarnationIsReleased(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
 	actions := sentCommands(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeA, Fence: 9}}))
@@ -32,12 +32,12 @@
 	client := connectedClient()
 	assignment := Input{Kind: ClaimAssigned, Key: testKey("t"), BodyHash: 7, Remaining: 1_000 * ms, Fence: 5, Work: []byte("work")}
 	assert.Equal(t, []ActionKind{TakeOver}, actionKinds(stepAfter(client, ms, assignment)))
-	assert.Empty(t, stepAfter(client, ms, assignment), "a repeated assignment")
+	assert.Empty(t, stepAfter(client, ms, assignment), "a repeated assignment does nothing")
 	start := sentCommands(stepAfter(client, ms, Input{Kind: RequestStart, Key: testKey("t")}))
 	assert.Equal(t, uint64(5), start[0].Fence)
 	stepAfter(client, ms, claimRequest("u"), Input{Kind: RequestStart, Key: testKey("u")})
 	assignment.Key = testKey("u")
 	joined := stepAfter(client, ms, assignment)
-	assert.Empty(t, actionKinds(joined), "a caller is here already: its invocation goes on")
+	assert.Empty(t, actionKinds(joined), "a caller's invocation is already here: it is started instead of a takeover")
 	assert.Equal(t, CommandStart, sentCommands(joined)[0].Kind)
 }
--- a/internal/fleet/claims/command.go
+++ b/internal/fleet/claims/command.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Key identifies a token fleet-wide. It holds names, since indices of operations and tenants differ from node to node.
+// Key identifies a token fleet-wide. It holds the names of operation and tenant, since their indices differ from node to node.
 type Key struct {
 	Operation string `cbor:"1,keyasint"`
 	Tenant    string `cbor:"2,keyasint,omitempty"`
@@ -11,59 +11,59 @@
 
 func (k Key) String() string { return fmt.Sprintf("%s/%s/%s", k.Operation, k.Tenant, k.Token) }
 
-// CommandKind names what a command does.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
-// The kinds of commands. Each is carried out or refused as a whole, at its place in the one order.
+// The kinds of commands. The table applies or refuses each command as a whole, in the order that the consensus group agreed on.
 const (
-	CommandNoop        CommandKind = iota // proves that the consensus group is reachable
-	CommandClaim                          // asks whether Sender may run the token
-	CommandStart                          // the executor is about to receive the invocation
-	CommandEnd                            // reports how its run ended
-	CommandRelease                        // nothing ran and nothing will run under this fence
-	CommandReassign                       // NewOwner owns it from now on, if it is only claimed
-	CommandMarkUnknown                    // its owner is lost after the start
-	CommandResolve                        // an executor that outlived its node reports how a run ended
-	CommandAdvanceTime                    // Duration has passed
+	CommandNoop        CommandKind = iota // changes nothing; its verdict shows that the consensus group is reachable
+	CommandClaim                          // claims the token for Sender
+	CommandStart                          // records that the owner's executor is about to receive the invocation
+	CommandEnd                            // records the outcome of the run
+	CommandRelease                        // gives up the claim: nothing ran and nothing will run under this fence
+	CommandReassign                       // makes NewOwner the owner, if the claim is not started
+	CommandMarkUnknown                    // records that the owner was lost after the start
+	CommandResolve                        // records the outcome of a run of an earlier incarnation, as reported by its executor
+	CommandAdvanceTime                    // advances the table's time by Duration
 	CommandKindCount                      // one past the last
 )
 
-// Command is one transition of the table. Times are nanoseconds.
+// Command is one state transition of the table. Times are in nanoseconds.
 type Command struct {
 	Kind          CommandKind `cbor:"1,keyasint"`
 	Sender        Owner       `cbor:"2,keyasint"`           // receives the verdict
-	Seq           uint64      `cbor:"3,keyasint,omitempty"` // of the verdict; a retry has the same
+	Seq           uint64      `cbor:"3,keyasint,omitempty"` // sequence number, repeated in the verdict; a retry has the same
 	Key           Key         `cbor:"4,keyasint,omitempty"`
-	Fence         uint64      `cbor:"5,keyasint,omitempty"`  // Start, End, Release, Reassign, MarkUnknown: the one that the sender knows
+	Fence         uint64      `cbor:"5,keyasint,omitempty"`  // Start, End, Release, Reassign, MarkUnknown: fence known to the sender
 	BodyHash      uint64      `cbor:"6,keyasint,omitempty"`  // Claim
-	Duration      int64       `cbor:"7,keyasint,omitempty"`  // Claim: until its due time; AdvanceTime: time that passed
-	Window        int64       `cbor:"8,keyasint,omitempty"`  // Claim: how long the token is known after its start, and after its end
-	Work          []byte      `cbor:"9,keyasint,omitempty"`  // Claim: what a new owner needs to run it
-	InvocationID  string      `cbor:"10,keyasint,omitempty"` // Claim, Resolve: the invocation's id at the owner's executor
+	Duration      int64       `cbor:"7,keyasint,omitempty"`  // Claim: time left until the invocation is due; AdvanceTime: time that passed
+	Window        int64       `cbor:"8,keyasint,omitempty"`  // Claim: how long the table keeps the token after its start, and after its end
+	Work          []byte      `cbor:"9,keyasint,omitempty"`  // Claim: the data that a new owner needs to run the invocation
+	InvocationID  string      `cbor:"10,keyasint,omitempty"` // Claim, Resolve: the invocation's ID at the owner's executor
 	Outcome       uint8       `cbor:"11,keyasint,omitempty"` // End, Resolve
 	Result        []byte      `cbor:"12,keyasint,omitempty"` // End, Resolve
 	NewOwner      Owner       `cbor:"13,keyasint,omitempty"` // Reassign
-	MeasuredFrom  int64       `cbor:"14,keyasint,omitempty"` // AdvanceTime: the table's time that Duration counts from
-	MaxTableBytes int64       `cbor:"15,keyasint,omitempty"` // AdvanceTime: size limit of the table from now on
-	Returned      bool        `cbor:"16,keyasint,omitempty"` // Release: by a new owner without capacity; another may have it
+	MeasuredFrom  int64       `cbor:"14,keyasint,omitempty"` // AdvanceTime: the table's time from which Duration counts
+	MaxTableBytes int64       `cbor:"15,keyasint,omitempty"` // AdvanceTime: new size limit of the table
+	Returned      bool        `cbor:"16,keyasint,omitempty"` // Release: the sender is a new owner without capacity: keep the claim for another
 }
 
-// Answer is the result of a command.
+// Answer tells the sender of a command its result.
 type Answer uint8
 
-// The answers.
+// The answers to commands.
 const (
-	AnswerDone           Answer = iota // carried out now or before
-	AnswerGranted                      // the claim, or its start, is the sender's
-	AnswerOwnedElsewhere               // another owner has it; the sender is notified of its end
-	AnswerCompleted                    // it ended, with Outcome and Result
-	AnswerOutcomeUnknown               // it may have run; how it ended is not known
-	AnswerBodyMismatch                 // the token came with another body
-	AnswerStaleFence                   // the fence is old, or the claim is gone
-	AnswerTableFull                    // the table is full; the first claim expires after RetryAfter
+	AnswerDone           Answer = iota // applied, now or by an earlier copy of the command
+	AnswerGranted                      // Claim: the sender owns the claim; Start: it may run; Reassign: NewOwner owns it
+	AnswerOwnedElsewhere               // another owner has the claim; the sender is notified of its end
+	AnswerCompleted                    // the run ended, with Outcome and Result
+	AnswerOutcomeUnknown               // the invocation may have run, and its owner was lost before it reported the outcome
+	AnswerBodyMismatch                 // the token is claimed with another request body
+	AnswerStaleFence                   // the claim has another fence, owner or state than required, or does not exist
+	AnswerTableFull                    // the table is full; its first claim expires after RetryAfter
 )
 
-// Verdict answers a command.
+// Verdict is the table's reply to a command.
 type Verdict struct {
 	Seq        uint64 `cbor:"1,keyasint"`
 	Answer     Answer `cbor:"2,keyasint,omitempty"`
--- a/internal/fleet/claims/expiry.go
+++ b/internal/fleet/claims/expiry.go
@@ -1,16 +1,17 @@
 package claims
 
-// MaxTimeStep is the most that the table's time advances at once, in ns. The first step after a command may count time from
-// before the command, so windows are longer by that much: none ends early.
+// MaxTimeStep is the most by which one command advances the table's time, in ns. The first advance after a command may include time
+// that passed before the command. Windows are longer by MaxTimeStep, so that none ends early.
 const MaxTimeStep = 500 * ms
 
-// advanceTime advances the table's time by what one member of the group measured since the time that the command names. Two
-// members that measured the same span can't both be counted, so the table's time is never ahead of real time.
+// advanceTime advances the table's time by the span that a member of the group measured since the table's time was MeasuredFrom,
+// and removes expired claims. If two members measured the same span, only the first is counted, so the table's time is never ahead
+// of real time.
 func (t *Table) advanceTime(command *Command) {
 	if command.MeasuredFrom != t.time || command.Duration <= 0 {
 		return
 	}
-	t.time += min(command.Duration, MaxTimeStep) // the rest, such as the seconds of an election, is lost
+	t.time += min(command.Duration, MaxTimeStep) // a longer span, such as an election, is cut off
 	if command.MaxTableBytes > 0 {
 		t.maxBytes = command.MaxTableBytes
 	}
@@ -20,13 +21,13 @@
 	}
 }
 
-// restartWindow keeps an entry for its window from now on, if it isn't kept for longer already.
+// restartWindow keeps an entry for at least its window from now on.
 func (t *Table) restartWindow(entry *Entry) {
 	entry.ExpiresAt = max(entry.ExpiresAt, t.time+entry.Window+MaxTimeStep)
 	t.expiry.Fix(entry)
 }
 
-// timeToFirstExpiry is how long the table takes to have room again.
+// timeToFirstExpiry returns how long it takes until the first claim expires, 0 without claims.
 func (t *Table) timeToFirstExpiry() int64 {
 	if t.expiry.Len() == 0 {
 		return 0
--- a/internal/fleet/claims/fixtures_test.go
+++ b/internal/fleet/claims/fixtures_test.go
@@ -12,7 +12,8 @@
 	"topazpost/internal/fixture"
 )
 
-// Commands and verdicts, one of each kind, counters, and a snapshot with an entry of each state.
+// Guards against changes of encodings on the wire and on disk: commands and verdicts of each kind, counters, and a snapshot with an
+// entry of each state.
 func TestClaimsFixtures(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -61,7 +62,7 @@
 			require.NotNil(t, got)
 			got.heapIndex, want.heapIndex = 0, 0
 			assert.Equal(t, want, got)
-			assert.Equal(t, want.State <= StateStarted, len(table.OwnedBy(want.Owner)) == 1, "only a claimed or started entry can be lost with its owner")
+			assert.Equal(t, want.State <= StateStarted, len(table.OwnedBy(want.Owner)) == 1, "only claimed and started entries are indexed by owner")
 		}
 		_, size := table.Size()
 		assert.Equal(t, bytes, size)
--- a/internal/fleet/claims/helpers_test.go
+++ b/internal/fleet/claims/helpers_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// startedTable is a table in which node a has started token t, and its fence.
+// startedTable returns a table in which node a has started token t, and the fence of that claim.
 func startedTable() (*Table, uint64) {
 	table := NewTable()
 	fence := table.Apply(claimCommand(nodeA, "t")).Fence
@@ -34,7 +34,7 @@
 	}
 }
 
-// connectedClient is a client whose group answered its first probe.
+// connectedClient returns a client whose group answered its first probe.
 func connectedClient() *Client {
 	const now = 1
 	client := NewClient(nodeA)
@@ -43,7 +43,7 @@
 	return client
 }
 
-// sentCommands are the commands among actions.
+// sentCommands returns the commands that the actions send.
 func sentCommands(actions []Action) (commands []Command) {
 	for _, action := range actions {
 		commands = append(commands, action.Commands...)
@@ -51,7 +51,7 @@
 	return commands
 }
 
-// actionKinds are the kinds of the actions that send no commands.
+// actionKinds returns the kinds of the actions other than SendCommands.
 func actionKinds(actions []Action) (kinds []ActionKind) {
 	for _, action := range actions {
 		if action.Kind != SendCommands {
@@ -65,7 +65,7 @@
 	return Input{Kind: RequestClaim, Key: testKey(token), BodyHash: 7, Remaining: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
 }
 
-// stepAfter steps a client after a duration.
+// stepAfter steps a client duration ns after its previous step.
 func stepAfter(client *Client, duration int64, inputs ...Input) []Action {
 	actions, _ := client.Step(client.now+duration, inputs)
 	return actions
--- a/internal/fleet/claims/owner.go
+++ b/internal/fleet/claims/owner.go
@@ -29,27 +29,27 @@
 	return strings.Compare(a.Tenant, b.Tenant)
 }
 
-// ownerIndex holds the claims that can be lost with their owners: those that are claimed or started.
+// ownerIndex holds the claimed and started entries by owner: those that the loss of the owner affects.
 type ownerIndex map[Owner]map[Key]*Entry
 
-func (x ownerIndex) add(entry *Entry) {
-	owned := x[entry.Owner]
+func (index ownerIndex) add(entry *Entry) {
+	owned := index[entry.Owner]
 	if owned == nil {
 		owned = map[Key]*Entry{}
-		x[entry.Owner] = owned
+		index[entry.Owner] = owned
 	}
 	owned[entry.Key] = entry
 }
 
-func (x ownerIndex) remove(entry *Entry) {
-	owned := x[entry.Owner]
+func (index ownerIndex) remove(entry *Entry) {
+	owned := index[entry.Owner]
 	delete(owned, entry.Key)
 	if len(owned) == 0 {
-		delete(x, entry.Owner)
+		delete(index, entry.Owner)
 	}
 }
 
-// addOwned indexes an entry by its owner.
+// addOwned adds an entry to the indices that depend on its owner and state.
 func (t *Table) addOwned(entry *Entry) {
 	t.owned.add(entry)
 	if entry.Reassigned && entry.State == StateClaimed && entry.Owner != (Owner{}) {
@@ -57,23 +57,23 @@
 	}
 }
 
-// removeOwned takes an entry out of the indices by owner, before its owner or state changes.
+// removeOwned removes an entry from those indices. It must be called before the entry's owner or state changes.
 func (t *Table) removeOwned(entry *Entry) {
 	delete(t.reassigned, entry.Key)
 	t.owned.remove(entry)
 }
 
-// Owners are those who have claims that are not over, by name and incarnation.
+// Owners returns the owners of claimed or started claims, by name and incarnation. The zero Owner stands for returned claims.
 func (t *Table) Owners() []Owner {
 	return slices.SortedFunc(maps.Keys(t.owned), CompareOwners)
 }
 
-// OwnedBy are an owner's claims that are not over, by key; they must not be changed.
+// OwnedBy returns an owner's claimed and started claims, by key. The caller must not change them.
 func (t *Table) OwnedBy(owner Owner) []*Entry {
 	return sortedEntries(t.owned[owner])
 }
 
-// Reassigned are the claims that new owners have and have not started, by key; they must not be changed.
+// Reassigned returns the claims that their new owners have not started, by key. The caller must not change them.
 func (t *Table) Reassigned() []*Entry {
 	return sortedEntries(t.reassigned)
 }
--- a/internal/fleet/claims/property_test.go
+++ b/internal/fleet/claims/property_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Any commands in any order: fences only grow, tables that apply the same commands are equal, a snapshot restores the table, and
-// its bytes are those of its claims.
-func TestTableIsAFunctionOfItsCommands(t *testing.T) {
+// Guards against replicas that diverge: whatever the commands and their order, replicas answer alike, a claim's fence never
+// decreases, a snapshot restores an equal table, and the table's size and index by owner match its claims.
+func TestReplicasOfATableStayEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		replica := NewTable()
@@ -18,11 +18,11 @@
 			command := drawCommand(t, table, n)
 			verdict := table.Apply(&command)
 			if other := replica.Apply(&command); fmt.Sprint(verdict) != fmt.Sprint(other) {
-				t.Fatalf("%v and %v of one command", verdict, other)
+				t.Fatalf("the table answers %v, its replica %v", verdict, other)
 			}
 			if entry := table.Find(command.Key); entry != nil {
 				if entry.Fence < fences[command.Key] {
-					t.Fatalf("fence %d after %d", entry.Fence, fences[command.Key])
+					t.Fatalf("fence %d of a claim that had fence %d", entry.Fence, fences[command.Key])
 				}
 				fences[command.Key] = entry.Fence
 			}
@@ -49,7 +49,7 @@
 		Seq:          uint64(n),
 		InvocationID: "c",
 	}
-	if entry := table.Find(command.Key); entry != nil && rapid.Bool().Draw(t, "fenced by its owner") {
+	if entry := table.Find(command.Key); entry != nil && rapid.Bool().Draw(t, "with the owner and fence of the claim") {
 		command.Fence = entry.Fence
 		command.Sender = entry.Owner
 	}
@@ -70,12 +70,12 @@
 		t.Fatal(err)
 	}
 	if string(again) != string(encoded) {
-		t.Fatal("a restored table has another snapshot")
+		t.Fatal("the snapshot of a restored table differs from the one it was restored from")
 	}
 	return restored
 }
 
-// checkIndices compares the size of a table and its index by owner with its claims.
+// checkIndices checks that a table's size and its index by owner match its claims.
 func checkIndices(t *rapid.T, table *Table) {
 	size := int64(0)
 	owned := 0
@@ -86,12 +86,12 @@
 		}
 	}
 	if _, bytes := table.Size(); size != bytes {
-		t.Fatalf("%d bytes of claims, %d counted", size, bytes)
+		t.Fatalf("claims of %d bytes, the table counts %d", size, bytes)
 	}
 	for _, owner := range table.Owners() {
 		owned -= len(table.OwnedBy(owner))
 	}
 	if owned != 0 {
-		t.Fatalf("%d claims have no owner to be lost with", owned)
+		t.Fatalf("%d claims are missing from the index by owner", owned)
 	}
 }
--- a/internal/fleet/claims/snapshot.go
+++ b/internal/fleet/claims/snapshot.go
@@ -9,10 +9,10 @@
 	"topazpost/internal/cborcodec"
 )
 
-const maxSnapshotElements = 1 << 17 // claims in one snapshot: far above what the table's bytes allow
+const maxSnapshotElements = 1 << 17 // claims in one snapshot: far more than fit the table's size limit
 
-// ErrInvalidSnapshot says that a snapshot was decoded but can't be that of a table.
-var ErrInvalidSnapshot = errors.New("claims: a snapshot holds a claim twice or an empty one")
+// ErrInvalidSnapshot reports a snapshot that decodes but does not describe a valid table.
+var ErrInvalidSnapshot = errors.New("claims: snapshot holds a null or duplicate claim")
 
 // snapshot is the encoded form of a table.
 type snapshot struct {
@@ -24,16 +24,16 @@
 
 var decodeMode = cborcodec.SnapshotDecMode(maxSnapshotElements)
 
-// Snapshot encodes the table; equal tables have equal snapshots.
+// Snapshot encodes the table. Equal tables have equal snapshots.
 func (t *Table) Snapshot() ([]byte, error) {
 	return cbor.Marshal(snapshot{Time: t.time, Fence: t.fence, MaxBytes: t.maxBytes, Entries: t.List(len(t.entries))})
 }
 
-// Restore decodes a table.
+// Restore returns the table that a snapshot encodes.
 func Restore(encoded []byte) (*Table, error) {
 	var s snapshot
 	if err := decodeMode.Unmarshal(encoded, &s); err != nil {
-		return nil, fmt.Errorf("claims: a snapshot can't be read: %w", err)
+		return nil, fmt.Errorf("claims: decode snapshot: %w", err)
 	}
 	t := NewTable()
 	t.time = s.Time
--- a/internal/fleet/claims/snapshot_test.go
+++ b/internal/fleet/claims/snapshot_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCorruptSnapshotIsRejected(t *testing.T) {
+func TestTruncatedSnapshotIsRejected(t *testing.T) {
 	table, _ := startedTable()
 	text, err := table.Snapshot()
 	require.NoError(t, err)
 	for cut := range text {
 		_, err := Restore(text[:cut])
-		assert.Error(t, err, "cut at %d", cut)
+		assert.Error(t, err, "truncated to %d bytes", cut)
 	}
 }
--- a/internal/fleet/claims/table.go
+++ b/internal/fleet/claims/table.go
@@ -1,6 +1,6 @@
-// Package claims decides who may run an invocation that carries an idempotency token. Table is the replicated state that a
-// consensus group agrees on, with a fencing token for each change of ownership; Client is a node's side, which asks the group. The
-// package does no I/O and reads no clock; how commands come to be in one order is not its concern.
+// Package claims decides which node may run an invocation that carries an idempotency token. Table is the replicated state of a
+// consensus group, with a fencing token, the fence, for each change of ownership; Client runs on each node and sends commands to
+// the group. The package does no I/O and reads no clock; the caller puts the commands into one order.
 package claims
 
 import (
@@ -13,24 +13,24 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	maxReturns        = 4       // by new owners without capacity, past which a claim is dropped: the fleet has no room
-	maxWaiters        = 16      // nodes that are notified of the end of one claim; further ones poll
-	defaultTableBytes = 4 << 20 // limit of a table until its group has set one
+	maxReturns        = 4       // of one claim by new owners without capacity; one more removes it, since the fleet has no capacity
+	maxWaiters        = 16      // nodes that are notified of the end of one claim; any others poll
+	defaultTableBytes = 4 << 20 // size limit of a table until a command sets another
 )
 
-// Counters are what became of commands on this table, since it was made or restored from a snapshot.
+// Counters count results of commands on this replica of the table, since it was created or restored from a snapshot.
 type Counters struct {
 	Claimed         int `json:"claimed"`
 	Started         int `json:"started"`
 	Ended           int `json:"ended"`
-	Joined          int `json:"joined"`
+	Joined          int `json:"joined"` // claims of a token that already has an owner
 	Reassigned      int `json:"taken"`
-	Unknown         int `json:"unknown"`
-	ReassignedEnded int `json:"taken_ended"` // by their new owners, with a result
-	Resolved        int `json:"settled"`
-	Fenced          int `json:"fenced"`
+	Unknown         int `json:"unknown"`     // started claims whose owner was lost
+	ReassignedEnded int `json:"taken_ended"` // runs that ended at a new owner
+	Resolved        int `json:"settled"`     // unknown outcomes that were reported later
+	Fenced          int `json:"fenced"`      // starts and reassignments answered with AnswerStaleFence
 	Expired         int `json:"expired"`
-	TableFull       int `json:"full"`
+	TableFull       int `json:"full"` // claims refused for lack of room
 }
 
 // Table is the replicated state: it is the same on all replicas that apply the same commands in the same order.
@@ -41,10 +41,10 @@
 
 	entries    map[Key]*Entry
 	owned      ownerIndex
-	reassigned map[Key]*Entry // those that a new owner has and has not started
+	reassigned map[Key]*Entry // claims that a new owner has not started
 	expiry     expiryheap.Heap[*Entry]
-	time       int64
-	fence      uint64 // the last that was given out
+	time       int64  // ns since the table was created
+	fence      uint64 // the last one given to a claim
 	bytes      int64
 	maxBytes   int64
 }
@@ -60,7 +60,7 @@
 	return &Table{entries: map[Key]*Entry{}, owned: ownerIndex{}, reassigned: map[Key]*Entry{}, maxBytes: defaultTableBytes}
 }
 
-// Apply carries out one command. Its result depends on nothing but the commands before.
+// Apply applies one command. The result depends only on the command and on those applied before it.
 func (t *Table) Apply(command *Command) Verdict {
 	t.EndNotifications = t.EndNotifications[:0]
 	verdict := Verdict{Seq: command.Seq}
@@ -86,7 +86,7 @@
 	return verdict
 }
 
-// claim grants a token that nobody has, and answers others with what became of it.
+// claim grants a token that has no claim, and otherwise answers with the state of its claim.
 func (t *Table) claim(command *Command, entry *Entry, verdict *Verdict) {
 	switch {
 	case entry == nil:
@@ -99,7 +99,7 @@
 		verdict.Result = entry.Result
 	case entry.State == StateUnknown:
 		verdict.Answer = AnswerOutcomeUnknown
-	case entry.Owner == command.Sender && entry.State == StateClaimed: // a retry, or it was reassigned to the sender meanwhile
+	case entry.Owner == command.Sender && entry.State == StateClaimed: // a retry, or the claim was reassigned to the sender meanwhile
 		verdict.Answer = AnswerGranted
 		verdict.Fence = entry.Fence
 	default:
@@ -131,7 +131,7 @@
 	verdict.Fence = entry.Fence
 }
 
-// join has the sender wait for a claim of another owner.
+// join answers who owns the claim. A sender that does not own it is notified of its end, as far as maxWaiters allows.
 func (t *Table) join(command *Command, entry *Entry, verdict *Verdict) {
 	t.Counters.Joined++
 	verdict.Answer = AnswerOwnedElsewhere
@@ -142,8 +142,8 @@
 	}
 }
 
-// start is committed before an executor receives the invocation. A retry is answered alike: a fence belongs to one incarnation of
-// one node, which runs the invocation at the first answer only.
+// start records the start of a run, before the executor receives the invocation. A retry gets the same answer: a fence belongs to
+// one incarnation of one node, whose client starts the run on the first answer only.
 func (t *Table) start(command *Command, entry *Entry, verdict *Verdict) {
 	if entry == nil || entry.Fence != command.Fence || entry.Owner != command.Sender || entry.isOver() {
 		t.Counters.Fenced++
@@ -163,7 +163,8 @@
 	t.restartWindow(entry)
 }
 
-// end accepts the report of whoever started under the fence, however late: that resolves an unknown outcome.
+// end accepts the report of the run that was started under the fence, however late it comes: a late report resolves an unknown
+// outcome.
 func (t *Table) end(command *Command, entry *Entry, verdict *Verdict) {
 	if entry != nil && entry.Fence == command.Fence && (entry.State == StateStarted || entry.State == StateUnknown) {
 		t.complete(entry, command)
@@ -192,7 +193,8 @@
 	t.notifyWaiters(entry)
 }
 
-// release removes a claim under which nothing ran. One that a new owner has no capacity for has no owner until it is reassigned.
+// release removes a claim under which nothing ran. A claim that a new owner returns for lack of capacity stays, without an owner,
+// until it is reassigned.
 func (t *Table) release(command *Command, entry *Entry) {
 	if entry == nil || entry.Fence != command.Fence || entry.Owner != command.Sender || entry.isOver() {
 		return
@@ -206,7 +208,7 @@
 	t.changeOwner(entry, Owner{})
 }
 
-// reassign gives the claim of a lost owner to a new one.
+// reassign gives the claim of a lost owner to a new owner, under a new fence.
 func (t *Table) reassign(command *Command, entry *Entry, verdict *Verdict) {
 	if entry == nil || entry.Fence != command.Fence || entry.State != StateClaimed {
 		t.Counters.Fenced++
@@ -220,7 +222,7 @@
 	verdict.Fence = entry.Fence
 }
 
-// markUnknown records that the owner of a started claim is lost.
+// markUnknown records that the owner of a started claim was lost, so that its outcome is unknown.
 func (t *Table) markUnknown(command *Command, entry *Entry) {
 	if entry == nil || entry.Fence != command.Fence || entry.State != StateStarted {
 		return
@@ -231,7 +233,7 @@
 	t.notifyWaiters(entry)
 }
 
-// resolve accepts the report of an executor that outlived its node, on an invocation of any earlier incarnation of that node.
+// resolve accepts the outcome of a run of an earlier incarnation of the sender, reported by an executor that outlived it.
 func (t *Table) resolve(command *Command) {
 	if command.InvocationID == "" {
 		return
@@ -248,13 +250,13 @@
 	}
 }
 
-// nextFence returns a fence above all that were given out.
+// nextFence returns a fence above all earlier ones.
 func (t *Table) nextFence() uint64 {
 	t.fence++
 	return t.fence
 }
 
-// changeOwner gives an entry to an owner under a new fence.
+// changeOwner gives an entry another owner and a new fence.
 func (t *Table) changeOwner(entry *Entry, owner Owner) {
 	t.removeOwned(entry)
 	entry.Owner = owner
@@ -262,7 +264,7 @@
 	t.addOwned(entry)
 }
 
-// notifyWaiters has those who wait for an entry notified that it is over.
+// notifyWaiters records in EndNotifications which nodes wait for the end of an entry.
 func (t *Table) notifyWaiters(entry *Entry) {
 	if len(entry.Waiters) > 0 {
 		t.EndNotifications = append(t.EndNotifications, EndNotification{Key: entry.Key, Waiters: entry.Waiters})
@@ -270,7 +272,7 @@
 	}
 }
 
-// insert adds an entry with its indices.
+// insert adds an entry to the table and its indices.
 func (t *Table) insert(entry *Entry) {
 	t.entries[entry.Key] = entry
 	t.bytes += entry.sizeBytes()
@@ -280,7 +282,7 @@
 	}
 }
 
-// remove takes an entry out of the table.
+// remove removes an entry from the table and its indices, and notifies its waiters.
 func (t *Table) remove(entry *Entry) {
 	t.notifyWaiters(entry)
 	t.removeOwned(entry)
@@ -289,16 +291,16 @@
 	t.bytes -= entry.sizeBytes()
 }
 
-// Time is the table's own clock: ns that passed since it was created, as far as its group agreed on them.
+// Time returns the table's own time: nanoseconds since its creation, as advanced by commands.
 func (t *Table) Time() int64 { return t.time }
 
-// Size is the number of claims, and about their bytes.
+// Size returns the number of claims and their approximate size in bytes.
 func (t *Table) Size() (entries int, bytes int64) { return len(t.entries), t.bytes }
 
-// Find returns the claim of a token, nil where there is none. It must not be changed.
+// Find returns the claim of a token, or nil if there is none. The caller must not change it.
 func (t *Table) Find(key Key) *Entry { return t.entries[key] }
 
-// List returns at most limit claims, by key.
+// List returns the first claims in the order of their keys, at most limit.
 func (t *Table) List(limit int) (list []*Entry) {
 	for _, key := range slices.SortedFunc(maps.Keys(t.entries), CompareKeys) {
 		if len(list) == limit {
