--- a/internal/fleet/fleetconfig/consensusgroup.go
+++ b/internal/fleet/fleetconfig/consensusgroup.go
@@ -50,10 +50,10 @@
 		group.CallQuotaVersion = *content.Version
 	}
 	group.CallQuota = &quota.HolderConfig{
-		Name:          callQuotaName,
-		Units:         content.Limit,
-		MaxUseTime:    int64(content.Hold),
-		LeaseDuration: cmp.Or(int64(content.Lease), defaultLeaseTerm),
+		Name:       callQuotaName,
+		Units:      content.Limit,
+		MaxUseTime: int64(content.Hold),
+		LeaseTerm:  cmp.Or(int64(content.Lease), defaultLeaseTerm),
 	}
 	if problem := group.CallQuota.Problem(); problem != "" {
 		r.fail(problem, "see docs/operate/quota.md for the bounds", "council", "calls")
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -42,7 +42,7 @@
 	f, err := Read("../../../deploy/fleet-council.jsonnet", "n1")
 	require.NoError(t, err)
 	assert.Equal(t, &ConsensusGroup{Replicas: []string{"n1", "n2", "n3"}, MaxTableBytes: 4 << 20, CallQuotaVersion: 1,
-		CallQuota: &quota.HolderConfig{Name: "calls", Units: 90, MaxUseTime: 1_000_000_000, LeaseDuration: 4_000_000_000}}, f.ConsensusGroup)
+		CallQuota: &quota.HolderConfig{Name: "calls", Units: 90, MaxUseTime: 1_000_000_000, LeaseTerm: 4_000_000_000}}, f.ConsensusGroup)
 	assert.Contains(t, f.Describe(), "at most 90 calls in use fleet-wide")
 	assert.Equal(t, int64(1_300_000_000), f.DetectionTime())
 	assert.Contains(t, f.Describe(), "which bears the loss of 1 at a time")
--- a/internal/fleet/quota/config.go
+++ b/internal/fleet/quota/config.go
@@ -11,23 +11,23 @@
 
 // HolderConfig configures the use of one limit. Times are nanoseconds.
 type HolderConfig struct {
-	Name          string
-	LeaseDuration int64 // of a lease
-	MaxUseTime    int64 // longest use of one unit, and how long it lingers after that
-	Units         int64 // of the limit, for checks
+	Name       string
+	LeaseTerm  int64 // of a lease
+	MaxUseTime int64 // longest use of one unit, and how long it lingers after that
+	Units      int64 // of the limit, for checks
 }
 
 // driftMargin is how much earlier than its term a lease ends for its holder, for clocks that drift.
-func (c *HolderConfig) driftMargin() int64 { return c.LeaseDuration / driftDivisor }
+func (c *HolderConfig) driftMargin() int64 { return c.LeaseTerm / driftDivisor }
 
 // Problem describes what is wrong with the configuration, or is empty.
 func (c *HolderConfig) Problem() string {
 	switch {
 	case c.Units < 1:
 		return "a limit of less than one unit"
-	case c.LeaseDuration < minLeaseDuration || c.LeaseDuration > maxLeaseDuration:
+	case c.LeaseTerm < minLeaseDuration || c.LeaseTerm > maxLeaseDuration:
 		return "leases are of 1 s to 60 s"
-	case c.MaxUseTime < 0 || minLeaseUses*c.MaxUseTime > c.LeaseDuration-c.driftMargin():
+	case c.MaxUseTime < 0 || minLeaseUses*c.MaxUseTime > c.LeaseTerm-c.driftMargin():
 		return "a use of one unit must end within half a lease"
 	}
 	return ""
@@ -35,8 +35,8 @@
 
 // DescribeBound describes what holds for the limit, computed from the configuration.
 func (c *HolderConfig) DescribeBound() string {
-	usable := seconds(c.LeaseDuration - c.driftMargin())
-	reclaimed := seconds(c.LeaseDuration + c.driftMargin() + MaxTimeStep)
+	usable := seconds(c.LeaseTerm - c.driftMargin())
+	reclaimed := seconds(c.LeaseTerm + c.driftMargin() + MaxTimeStep)
 	return fmt.Sprintf("at most %d %s in use fleet-wide at any cut, pause or restart, 0 over; a node uses none later than %g s after it asked for its "+
 		"last lease; units of a node that is lost are free again within %g s; a lower limit holds once all have asked again, within %g s at the most",
 		c.Units, c.Name, usable, reclaimed, reclaimed)
--- a/internal/fleet/quota/helpers_test.go
+++ b/internal/fleet/quota/helpers_test.go
@@ -3,7 +3,7 @@
 var (
 	nodeA      = Owner{"a", 1}
 	nodeB      = Owner{"b", 1}
-	testConfig = HolderConfig{Name: "calls", LeaseDuration: 4_000 * ms, MaxUseTime: 500 * ms, Units: 10}
+	testConfig = HolderConfig{Name: "calls", LeaseTerm: 4_000 * ms, MaxUseTime: 500 * ms, Units: 10}
 )
 
 // tableWithLimit is a table with one limit, whose first grants need not wait.
@@ -14,5 +14,5 @@
 }
 
 func leaseRequest(holder Owner, seq uint64, retainedUnits, wanted int64) *Command {
-	return &Command{Kind: CommandRequestLease, Sender: holder, Seq: seq, Limit: "calls", RetainedUnits: retainedUnits, WantedUnits: wanted, LeaseDuration: testConfig.LeaseDuration}
+	return &Command{Kind: CommandRequestLease, Sender: holder, Seq: seq, Limit: "calls", RetainedUnits: retainedUnits, WantedUnits: wanted, LeaseDuration: testConfig.LeaseTerm}
 }
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -102,7 +102,7 @@
 		Limit:         h.config.Name,
 		RetainedUnits: max(h.units, used), // of a lease that lapsed, units may still be in use
 		WantedUnits:   want,
-		LeaseDuration: h.config.LeaseDuration,
+		LeaseDuration: h.config.LeaseTerm,
 	}
 	h.requestedAt = now
 	h.lastSentAt = now
@@ -134,7 +134,7 @@
 	}
 	if verdict.LimitDefined {
 		h.units = verdict.Units
-		h.usableUntil = h.requestedAt + h.config.LeaseDuration - h.config.driftMargin() - h.config.MaxUseTime
+		h.usableUntil = h.requestedAt + h.config.LeaseTerm - h.config.driftMargin() - h.config.MaxUseTime
 		h.fairShare = verdict.FairShare
 		h.leasedAt = h.requestedAt
 		if verdict.Units < h.request.WantedUnits {
--- a/internal/fleet/quota/holder_test.go
+++ b/internal/fleet/quota/holder_test.go
@@ -15,7 +15,7 @@
 	assert.Zero(t, h.Allowed(1_000*ms))
 	h.Step(1_100*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, FairShare: 6, LimitDefined: true}})
 	assert.Equal(t, int64(6), h.Allowed(1_100*ms))
-	last := 1_000*ms + testConfig.LeaseDuration - testConfig.LeaseDuration/driftDivisor - testConfig.MaxUseTime // from when it was asked for
+	last := 1_000*ms + testConfig.LeaseTerm - testConfig.LeaseTerm/driftDivisor - testConfig.MaxUseTime // from when it was asked for
 	assert.Equal(t, int64(6), h.Allowed(last-1))
 	assert.Zero(t, h.Allowed(last))
 	send, _ = h.Step(1_260*ms, 1, 0, nil)
@@ -32,10 +32,10 @@
 	h := NewLeaseHolder(testConfig, nodeA)
 	h.Step(1_000*ms, 0, 4, nil)
 	h.Step(1_100*ms, 0, 4, []Verdict{{Limit: "calls", Seq: 1, Units: 6, FairShare: 6, LimitDefined: true}})
-	send, _ := h.Step(1_000*ms+testConfig.LeaseDuration-testConfig.MaxUseTime, 3, 0, nil)
+	send, _ := h.Step(1_000*ms+testConfig.LeaseTerm-testConfig.MaxUseTime, 3, 0, nil)
 	require.Len(t, send, 1)
 	assert.Equal(t, int64(3), send[0].RetainedUnits)
-	assert.Zero(t, h.Allowed(1_000*ms+testConfig.LeaseDuration-testConfig.MaxUseTime))
+	assert.Zero(t, h.Allowed(1_000*ms+testConfig.LeaseTerm-testConfig.MaxUseTime))
 }
 
 func TestLateVerdictGivesOnlyTheRestOfItsLease(t *testing.T) {
--- a/internal/fleet/quota/lease_table_test.go
+++ b/internal/fleet/quota/lease_table_test.go
@@ -34,15 +34,15 @@
 func TestLeaseOfALostHolderIsFreeAfterItExpires(t *testing.T) {
 	table := tableWithLimit(10)
 	table.Apply(1, leaseRequest(nodeA, 1, 0, 10))
-	assert.Zero(t, table.Apply(testConfig.LeaseDuration+MaxTimeStep, leaseRequest(nodeB, 1, 0, 10)).Units)
-	assert.Equal(t, int64(10), table.Apply(testConfig.LeaseDuration+MaxTimeStep+1, leaseRequest(nodeB, 1, 0, 10)).Units)
+	assert.Zero(t, table.Apply(testConfig.LeaseTerm+MaxTimeStep, leaseRequest(nodeB, 1, 0, 10)).Units)
+	assert.Equal(t, int64(10), table.Apply(testConfig.LeaseTerm+MaxTimeStep+1, leaseRequest(nodeB, 1, 0, 10)).Units)
 }
 
 func TestFirstLeasesWaitForLeasesOfAnEarlierTable(t *testing.T) {
 	table := NewLeaseTable()
-	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, StartDelay: testConfig.LeaseDuration})
-	assert.Zero(t, table.Apply(testConfig.LeaseDuration+MaxTimeStep-1, leaseRequest(nodeA, 1, 0, 10)).Units)
-	assert.Equal(t, int64(10), table.Apply(testConfig.LeaseDuration+MaxTimeStep, leaseRequest(nodeA, 1, 0, 10)).Units)
+	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, StartDelay: testConfig.LeaseTerm})
+	assert.Zero(t, table.Apply(testConfig.LeaseTerm+MaxTimeStep-1, leaseRequest(nodeA, 1, 0, 10)).Units)
+	assert.Equal(t, int64(10), table.Apply(testConfig.LeaseTerm+MaxTimeStep, leaseRequest(nodeA, 1, 0, 10)).Units)
 }
 
 func TestLimitIsLoweredAndRaisedByVersion(t *testing.T) {
@@ -78,7 +78,7 @@
 		table := tableWithLimit(rapid.Int64Range(0, 30).Draw(t, "limit"))
 		time := int64(0)
 		for n := range rapid.IntRange(1, 60).Draw(t, "requests") {
-			time += rapid.Int64Range(0, testConfig.LeaseDuration).Draw(t, "elapsed")
+			time += rapid.Int64Range(0, testConfig.LeaseTerm).Draw(t, "elapsed")
 			holder := Owner{rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "holder"), 1}
 			verdict := table.Apply(time, drawRequest(t, holder, n))
 			l := table.Find("calls")
--- a/internal/fleet/quota/schedules_test.go
+++ b/internal/fleet/quota/schedules_test.go
@@ -96,7 +96,7 @@
 func utilizationWhileDemanded(seed int64, change func(sim *simulation)) float64 {
 	sim := newSimulation(seed, 7, 12)
 	change(sim)
-	reclaimed := testConfig.LeaseDuration + testConfig.LeaseDuration/driftDivisor + MaxTimeStep
+	reclaimed := testConfig.LeaseTerm + testConfig.LeaseTerm/driftDivisor + MaxTimeStep
 	sim.run(reclaimed)
 	for turn := range 20 {
 		for i, node := range sim.nodes {
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -113,7 +113,7 @@
 		}
 	}
 	if n.leases {
-		r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, LeaseDuration: 4_000 * millisecond, MaxUseTime: 1_000 * millisecond}, 1)
+		r.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, LeaseTerm: 4_000 * millisecond, MaxUseTime: 1_000 * millisecond}, 1)
 	}
 	if n.configSync {
 		file, err := new(configsync.Content).Apply(itemsIn(p))
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -21,7 +21,7 @@
 	sm.MakeHollow(counters, false)
 	sm.JoinFleet("tests", membership.New(membershipConfig, 0, 1_000_000*ms, 0, 1))
 	sm.EnableConsensus([]string{membershipConfig.Name}, 4<<20, 0, 1)
-	sm.EnableQuota(quota.HolderConfig{Name: "calls", Units: 5, MaxUseTime: 500 * ms, LeaseDuration: 3_000 * ms}, 1)
+	sm.EnableQuota(quota.HolderConfig{Name: "calls", Units: 5, MaxUseTime: 500 * ms, LeaseTerm: 3_000 * ms}, 1)
 	return sm, counters
 }
 
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -16,7 +16,7 @@
 // sent one invocation, whose run can ask for calls.
 func leasingNode(t *testing.T) *StateMachine {
 	sm := claimingNode(t)
-	sm.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, LeaseDuration: 4_000 * ms, MaxUseTime: 1_000 * ms}, 1)
+	sm.EnableQuota(quota.HolderConfig{Name: "calls", Units: 9, LeaseTerm: 4_000 * ms, MaxUseTime: 1_000 * ms}, 1)
 	start := claimCommands(t, sm, receiveFromReplica(t, sm, verdictOn(commandsForInvocation(t, sm)[0], 1)))
 	require.Len(t, start, 1)
 	receiveFromReplica(t, sm, verdictOn(start[0], 1))
