--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -10,53 +10,54 @@
 
 // Timeouts of dispatchers' connections, in nanoseconds.
 const (
-	firstUseTimeout = 2_000 * ms  // for a new connection to bring something usable
-	idleTimeout     = 15_000 * ms // without an open stream; callers close sooner
-	goAwayGrace     = 200 * ms    // for invocations that cross a go-away
-	evictionGrace   = 60 * ms     // of an evicted connection: the 50 ms of the protocol and a round trip
+	firstUseTimeout = 2_000 * ms  // from the opening of a connection to its first valid request
+	idleTimeout     = 15_000 * ms // without an open stream; callers close their idle connections sooner
+	goAwayGrace     = 200 * ms    // from a go-away to the close, for invocations sent before it arrived
+	evictionGrace   = 60 * ms     // the same for an evicted connection: the protocol's 50 ms and a round trip
 	sweepInterval   = 250 * ms    // between checks for idle connections
 	overdueInterval = 2_500_000   // between batches of overdue connections
 )
 
-// Limits of one batch of checks, so that invocations wait some milliseconds at most.
+// Limits of one batch of checks, so that invocations wait for a few milliseconds at most.
 const (
 	maxChecksPerStep = 2_048
-	maxClosesPerStep = 32 // each takes system calls
+	maxClosesPerStep = 32 // each close or go-away costs system calls
 )
 
-// maxFaults is the unusable invocations after which a connection is not read any more.
+// maxFaults is the number of malformed invocations at which the rest of a connection's input is discarded.
 const maxFaults = 16
 
-// connection is a dispatcher's connection.
+// connection is the state of a dispatcher's connection.
 type connection struct {
-	link           int
+	link           int              // the host's number of the connection
 	lastStream     uint32           // highest stream seen
-	openStreams    map[uint32]int32 // the invocation of each stream without an answer
-	pendingChecks  int              // deep health checks without an answer
-	usable         bool             // it brought a usable invocation or check
-	faults         int              // unusable invocations on it
-	lastUsedAt     int64            // when it was opened, last brought something usable or had its last answer
-	goAwayAt       int64            // when the go-away was sent
+	openStreams    map[uint32]int32 // index of the invocation, by stream that is not answered
+	pendingChecks  int              // deep health checks that are not answered
+	usable         bool             // a valid invocation or health check was received
+	faults         int              // malformed invocations received
+	lastUsedAt     int64            // time of the opening, the last valid request or the last answer
+	goAwayAt       int64            // time of the go-away
 	goAwaySent     bool
-	evicted        bool             // its place is needed
-	closing        bool             // it closes once it is idle
+	evicted        bool             // chosen to make room for a new connection
+	closing        bool             // to be closed as soon as it is idle
 	closeRequested bool             // the host was asked to close it
-	evictRequested bool             // the host was asked to close it without a grace period
-	broken         bool             // its frames can't be parsed any more
-	checkTimer     timerwheel.Timer // in closingWheel after the go-away, before it in idleWheel
+	evictRequested bool             // the host was asked to close it without waiting for the peer
+	broken         bool             // its further input is discarded
+	checkTimer     timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
 }
 
+// isIdle reports whether every stream and health check is answered.
 func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingChecks == 0 }
 
 func (c *connection) isSound() bool { return c.usable && c.faults == 0 }
 
-// markUsed records that the connection brought something usable.
+// markUsed records that a valid request was received.
 func (c *connection) markUsed(now int64) {
 	c.usable = true
 	c.lastUsedAt = now
 }
 
-// idleTimeout is how long the connection may be idle before its go-away.
+// idleTimeout returns how long the connection may be idle before its go-away.
 func (c *connection) idleTimeout() int64 {
 	if c.usable {
 		return idleTimeout
@@ -64,7 +65,7 @@
 	return firstUseTimeout
 }
 
-// goAwayGrace is how long invocations may cross the connection's go-away.
+// goAwayGrace returns the time from the connection's go-away to its close.
 func (c *connection) goAwayGrace() int64 {
 	if c.evicted {
 		return evictionGrace
@@ -72,7 +73,8 @@
 	return goAwayGrace
 }
 
-// isEvictedBefore orders idle connections for eviction: unsound ones first, then the longest idle.
+// isEvictedBefore reports whether c is evicted before other: first come connections that were never used or had faults, then
+// those that have been idle longest.
 func (c *connection) isEvictedBefore(other *connection) bool {
 	if c.isSound() != other.isSound() {
 		return other.isSound()
@@ -83,7 +85,7 @@
 	return c.link < other.link
 }
 
-// isClosingLongerThan orders connections that are being closed by their go-away.
+// isClosingLongerThan reports whether the go-away of c was sent before that of other.
 func (c *connection) isClosingLongerThan(other *connection) bool {
 	if c.goAwayAt != other.goAwayAt {
 		return c.goAwayAt < other.goAwayAt
@@ -91,31 +93,31 @@
 	return c.link < other.link
 }
 
-// connectionTable is the dispatchers' connections with their timeouts.
+// connectionTable holds the dispatchers' connections and their timeouts.
 type connectionTable struct {
 	sm     *StateMachine
 	byLink map[int]*connection
-	max    int // connections kept, not counting those that are being closed, as far as SpareConnections goes
-
-	idleWheel    *timerwheel.Wheel // links by the millisecond of their next check, before the go-away
-	closingWheel *timerwheel.Wheel // the same after it
-	overdue      []int             // links to be checked that exceeded one batch
-	sweepAt      int64             // when idleWheel is advanced next
-	overdueAt    int64             // when the next batch of overdue is checked
-	checked      int               // checks so far
+	max    int // limit on connections; up to SpareConnections that are being closed do not count
+
+	idleWheel    *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
+	closingWheel *timerwheel.Wheel // the same, after the go-away
+	overdue      []int             // links to be checked that did not fit into earlier batches
+	sweepAt      int64             // time of the next advance of idleWheel
+	overdueAt    int64             // time of the next batch of overdue links
+	checked      int               // total of checks, for tests
 }
 
 func newConnectionTable(sm *StateMachine, limit int) connectionTable {
 	return connectionTable{sm: sm, byLink: map[int]*connection{}, max: limit}
 }
 
-// start sets the wheels to the time of the first step.
+// start sets the timer wheels to the time of the first step.
 func (t *connectionTable) start(now int64) {
 	t.idleWheel = timerwheel.New(now / ms)
 	t.closingWheel = timerwheel.New(now / ms)
 }
 
-// get is an open connection, or nil.
+// get returns an open connection, or nil.
 func (t *connectionTable) get(link int) *connection { return t.byLink[link] }
 
 func (t *connectionTable) count() int { return len(t.byLink) }
@@ -136,7 +138,7 @@
 	}
 }
 
-// opened accepts a connection. A full table makes room first.
+// opened adds a new connection. If the table is full, it makes room first.
 func (t *connectionTable) opened(link int) {
 	if len(t.byLink) >= t.max {
 		t.makeRoom()
@@ -158,8 +160,8 @@
 	}
 }
 
-// makeRoom evicts an idle connection. Where too many are being closed it also closes the slowest of those at once: its
-// peer may never finish a frame or close its side.
+// makeRoom evicts an idle connection if those that are not being closed fill the table. If SpareConnections or more are
+// being closed, it also closes the one whose go-away is oldest at once: its peer may never finish a frame or close its side.
 func (t *connectionTable) makeRoom() {
 	var victim, slowest *connection
 	closing := 0
@@ -184,9 +186,9 @@
 	}
 }
 
-// evict closes an idle connection after a grace period, or at once if it was never used or there is no spare place. The
-// latter keeps many new connections from being refused while old ones close; an invocation that crosses the close is
-// lost, and its dispatcher retries it.
+// evict closes an idle connection after a grace period, or at once if it was never used or the table has no spare place.
+// Without spare places, a grace period would have new connections refused. An invocation that is sent before the
+// dispatcher sees the close is lost, and the dispatcher retries it.
 func (t *connectionTable) evict(c *connection, hasSpare bool) {
 	t.sm.Counters.Evicted++
 	c.evicted = true
@@ -201,7 +203,7 @@
 	t.scheduleCheck(c, c.goAwayAt+evictionGrace)
 }
 
-// wheelOf is the wheel that holds the connection's timer.
+// wheelOf returns the wheel that holds the connection's timer.
 func (t *connectionTable) wheelOf(c *connection) *timerwheel.Wheel {
 	if c.goAwaySent {
 		return t.closingWheel
@@ -209,7 +211,7 @@
 	return t.idleWheel
 }
 
-// scheduleCheck has a connection checked at a time or soon after it.
+// scheduleCheck schedules the next check of a connection, which takes place at that time or in one of the next batches.
 func (t *connectionTable) scheduleCheck(c *connection, at int64) {
 	t.cancelCheck(c)
 	c.checkTimer = t.wheelOf(c).Add((at+ms-1)/ms, int64(c.link))
@@ -217,11 +219,11 @@
 
 func (t *connectionTable) cancelCheck(c *connection) {
 	t.wheelOf(c).Remove(c.checkTimer)
-	c.checkTimer = timerwheel.Timer{} // in the other wheel it may be another's
+	c.checkTimer = timerwheel.Timer{} // in the other wheel the same value may identify another timer
 }
 
-// checkDue checks the connections whose timeout may have passed, in batches: those that were opened together are due
-// together, and invocations would wait behind all of them.
+// checkDue checks the connections whose timeout may have passed. It works in batches: connections that were opened together
+// are due together, and checking all of them in one step would delay invocations.
 func (t *connectionTable) checkDue() {
 	now := t.sm.now
 	isDue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
@@ -249,7 +251,7 @@
 	t.overdueAt = now + overdueInterval
 }
 
-// dueAt is when connections are to be checked next.
+// dueAt returns when connections must be checked next.
 func (t *connectionTable) dueAt() int64 {
 	if len(t.byLink) == 0 {
 		return never
@@ -264,14 +266,14 @@
 	return at
 }
 
-// check sends a go-away to a connection whose timeout has passed, or closes it after its grace period, and reports
-// whether it did. Any other is scheduled for when that may be due.
+// check sends a go-away to a connection whose timeout has passed, or closes one whose grace period has ended, and reports
+// whether it did either. Otherwise it schedules the next check.
 func (t *connectionTable) check(c *connection) bool {
 	now := t.sm.now
 	switch {
 	case !c.isIdle() && c.goAwaySent:
 		t.scheduleCheck(c, now+sweepInterval)
-	case !c.isIdle(): // its timeout starts with its last answer
+	case !c.isIdle(): // the timeout starts with the last answer
 		t.scheduleCheck(c, now+c.idleTimeout())
 	case c.goAwaySent && now < c.goAwayAt+c.goAwayGrace():
 		t.scheduleCheck(c, c.goAwayAt+c.goAwayGrace())
@@ -288,7 +290,7 @@
 	return false
 }
 
-// sendGoAway asks the dispatcher to open no more streams on a connection.
+// sendGoAway tells the dispatcher to open no more streams on a connection.
 func (t *connectionTable) sendGoAway(c *connection) {
 	if c.goAwaySent {
 		return
@@ -300,20 +302,20 @@
 	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: frame.Append(nil, frame.GoAway, 0, nil)})
 }
 
-// sendGoAwayToAll sends each connection its go-away.
+// sendGoAwayToAll sends a go-away on each connection.
 func (t *connectionTable) sendGoAwayToAll() {
 	for _, link := range slices.Sorted(maps.Keys(t.byLink)) {
 		t.sendGoAway(t.byLink[link])
 	}
 }
 
-// streamClosed removes a stream that was answered or whose caller left.
+// streamClosed removes a stream that was answered.
 func (t *connectionTable) streamClosed(c *connection, stream uint32) {
 	delete(c.openStreams, stream)
 	t.released(c)
 }
 
-// released restarts the timeout of a connection that is idle now, and closes it if it was waiting for that.
+// released restarts the timeout of a connection if it has become idle, and closes it if a close was waiting for that.
 func (t *connectionTable) released(c *connection) {
 	if !c.isIdle() {
 		return
@@ -324,8 +326,8 @@
 	}
 }
 
-// close has the host close a connection once all is written. It stays in the table until it is closed: what was read on
-// it before is still answered.
+// close has the host close a connection once everything is written. The connection stays in the table until the host has
+// closed it: requests that were read before are still answered.
 func (t *connectionTable) close(c *connection) {
 	c.closing = true
 	if !c.closeRequested {
@@ -334,7 +336,7 @@
 	}
 }
 
-// resume takes back a requested close for an invocation or a check that crossed it.
+// resume cancels a requested close, for an invocation or a health check that the dispatcher sent before it saw the close.
 func (t *connectionTable) resume(c *connection) {
 	if c.closeRequested {
 		c.closeRequested = false
@@ -343,9 +345,10 @@
 	}
 }
 
-// markBroken closes a connection whose frames can't be parsed any more, once its open streams are answered.
+// markBroken discards the further input of a connection whose frames are malformed or out of order, or that brought too
+// many malformed invocations. The connection is closed once its open streams are answered.
 func (t *connectionTable) markBroken(c *connection, err error) {
-	t.sm.log(Warn, "connection can't be understood", "", err)
+	t.sm.log(Warn, "dispatcher violated the protocol; closing its connection once open streams are answered", "", err)
 	if c.broken {
 		return
 	}
@@ -360,7 +363,7 @@
 	t.released(c)
 }
 
-// countFault counts an unusable invocation against its connection, which bounds the useless work of a faulty peer.
+// countFault counts a malformed invocation of a connection. The limit on them bounds the work wasted on a faulty peer.
 func (t *connectionTable) countFault(c *connection) {
 	c.faults++
 	if c.faults >= maxFaults {
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -10,19 +10,19 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// Limits of an invocation's fields, far above what a sound dispatcher sends.
+// Limits on the fields of an invocation, far above the values that a correct dispatcher sends.
 const (
 	maxBodyBytes    = 2 << 10
 	maxHeapKB       = 2_000.0
 	maxArrivalAgeMS = 60_000
-	maxClockSkewMS  = 1_000 // that a stamp may lie ahead: the clock may be set back after it
+	maxClockSkewMS  = 1_000 // by which an arrival time may lie ahead: the clock may have been set back since
 	maxTTLMS        = 86_400_000
 	maxCallerNumber = 1 << 32
 	maxWorkMS       = 1e7
 	maxDecimalBytes = 32
 )
 
-// fieldSet is the fields that an invocation has.
+// fieldSet is a set of required fields.
 type fieldSet uint8
 
 const (
@@ -35,16 +35,16 @@
 	requiredFields = fieldOp | fieldCall | fieldRecv | fieldSrc | fieldHeap
 )
 
-// fieldDecoder collects the fields of one invocation.
+// fieldDecoder decodes the fields of one invocation.
 type fieldDecoder struct {
 	sm         *StateMachine
 	invocation *invocation
 	event      *admission.Event
-	present    fieldSet
-	ttlMS      int64 // that the caller waits from the arrival on, -1 where it isn't given
+	present    fieldSet // required fields decoded so far
+	ttlMS      int64    // how long the caller waits from the arrival on, -1 if not given
 }
 
-// decodeInvocation decodes an invocation's fields and body into v and its event.
+// decodeInvocation decodes the fields and the body of an invocation into v and e, its arrival event.
 func (sm *StateMachine) decodeInvocation(f *frame.Frame, v *invocation, e *admission.Event) error {
 	if f.Oversized {
 		return errBodyTooLarge
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// decode takes one field over, and reports whether its value is valid. Unknown fields are ignored.
+// decode decodes one field, and reports whether its value is valid. Unknown fields are ignored.
 func (d *fieldDecoder) decode(name, value string) (valid bool) {
 	v := d.invocation
 	e := d.event
@@ -118,13 +118,14 @@
 	return valid
 }
 
+// decodeArrival decodes the time at which the invocation arrived at the machine, in Unix milliseconds.
 func (d *fieldDecoder) decodeArrival(value string) (valid bool) {
-	stamp, ok := parseWhole(value, math.MaxInt64)
-	d.event.Age = d.sm.arrivalAge(stamp)
-	return ok && d.sm.isPlausibleStamp(stamp)
+	arrivalMS, ok := parseWhole(value, math.MaxInt64)
+	d.event.Age = d.sm.arrivalAge(arrivalMS)
+	return ok && d.sm.isPlausibleStamp(arrivalMS)
 }
 
-// decodeTenant is valid for any value where the configuration names no tenants.
+// decodeTenant decodes the tenant's name. Without tenants in the configuration it ignores the field.
 func (d *fieldDecoder) decodeTenant(value string) (valid bool) {
 	if d.sm.config.Tenants.Len() == 0 {
 		return true
@@ -133,39 +134,39 @@
 	return valid
 }
 
-// validate checks the fields together once all are decoded, and sets the deadline.
+// validate checks the decoded fields against each other and sets the deadline.
 func (d *fieldDecoder) validate() error {
 	sm := d.sm
 	v := d.invocation
 	e := d.event
 	if d.present&requiredFields != requiredFields {
-		return fmt.Errorf("op, call, recv, src or heap: %w", errInvalidField)
+		return fmt.Errorf("one of the fields op, call, recv, src and heap: %w", errInvalidField)
 	}
 	if e.Tenant < 0 && sm.config.Tenants.Len() > 0 {
-		return fmt.Errorf("field org: %w: the settings name tenants", errInvalidField)
+		return fmt.Errorf("field org: %w: the configuration names tenants", errInvalidField)
 	}
 	needsToken := sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey
 	if sm.results.enabled() && v.tokenKey.Token == "" && needsToken {
-		return fmt.Errorf("field %s: %w: repeats of %s are known by it", sm.results.tokenFieldName(), errInvalidField, v.operationName)
+		return fmt.Errorf("field %s: %w: operation %s requires an idempotency token", sm.results.tokenFieldName(), errInvalidField, v.operationName)
 	}
 	if d.ttlMS >= 0 {
-		e.Deadline = max(1, sm.now-e.Age+d.ttlMS*ms) // 0 stands for an unknown one
+		e.Deadline = max(1, sm.now-e.Age+d.ttlMS*ms) // 0 means that the deadline is unknown
 	}
 	if _, known := sm.indexByID[v.invocationID]; known {
-		return fmt.Errorf("field call: %w: in use", errInvalidField)
+		return fmt.Errorf("field call: %w: another invocation in flight has this id", errInvalidField)
 	}
 	return nil
 }
 
-// isPlausibleStamp reports whether a stamp, in Unix milliseconds of this machine's clock, can be that of an arrival.
-func (sm *StateMachine) isPlausibleStamp(stamp int64) bool {
-	return stamp-sm.wall/ms <= maxClockSkewMS && sm.wall/ms-stamp <= maxArrivalAgeMS
+// isPlausibleStamp reports whether a time, in Unix milliseconds of this machine's clock, can be that of an arrival.
+func (sm *StateMachine) isPlausibleStamp(arrivalMS int64) bool {
+	return arrivalMS-sm.wall/ms <= maxClockSkewMS && sm.wall/ms-arrivalMS <= maxArrivalAgeMS
 }
 
-// arrivalAge is how long ago an invocation arrived at the machine.
-func (sm *StateMachine) arrivalAge(stamp int64) int64 { return max(0, sm.wall-stamp*ms) }
+// arrivalAge returns how long ago an invocation arrived at the machine, in nanoseconds.
+func (sm *StateMachine) arrivalAge(arrivalMS int64) int64 { return max(0, sm.wall-arrivalMS*ms) }
 
-// parseDecimal parses digits with at most one point, and none of the other forms that strconv accepts.
+// parseDecimal parses digits with at most one decimal point. It rejects the signs, exponents and names that strconv accepts.
 func parseDecimal(s string) (float64, bool) {
 	if len(s) > maxDecimalBytes || strings.Trim(s, "0123456789.") != "" {
 		return 0, false
@@ -174,13 +175,14 @@
 	return n, err == nil
 }
 
-// parseWhole parses a decimal integer from 0 to a limit.
+// parseWhole parses a decimal integer from 0 to limit.
 func parseWhole(s string, limit int64) (int64, bool) {
 	n, err := strconv.ParseUint(s, 10, 63)
 	return int64(n), err == nil && int64(n) <= limit
 }
 
-// isHex16 reports whether a text is 16 lower-case hexadecimal digits.
+// isHex16 reports whether s is 16 lower-case hexadecimal digits.
 func isHex16(s string) bool { return len(s) == 16 && strings.Trim(s, "0123456789abcdef") == "" }
 
+// formatNumber formats a number without an exponent.
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -93,7 +93,7 @@
 	sm.now += 10_000 * ms
 	step(sm)
 	assert.NotZero(t, sm.executor.dialingLink)
-	assert.Zero(t, sm.Invariants.Broken("the next wake lies ahead"))
+	assert.Zero(t, sm.Invariants.Broken("the next wakeup is after now"))
 }
 
 func TestStateIsSampledOnceASecond(t *testing.T) {
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -7,42 +7,42 @@
 	"topazpost/internal/resultcache"
 )
 
-// EffectKind is what kind of effect an Effect is.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
-// The kinds of effects, with the inputs that follow them.
+// The kinds of effects. An input after "then" is the one that the host delivers when the effect is carried out.
 const (
-	ReadConnection       EffectKind = iota // read frames from a new connection
-	SendToConnection                       // write Bytes to a connection
-	CloseAfterFlush                        // close it once all is written and read, giving the peer time to read; then ConnectionClosed
+	ReadConnection       EffectKind = iota // start reading frames from the connection Link
+	SendToConnection                       // write Bytes to the connection Link
+	CloseAfterFlush                        // close it once everything is written and read, and give the peer time to read; then ConnectionClosed
 	EvictConnection                        // close it without that time, even within a frame; may follow CloseAfterFlush
-	ResumeConnection                       // cancel CloseAfterFlush: an invocation has crossed it
-	DiscardInput                           // read on slowly, only to see its end
-	DialExecutor                           // open a link to the executor; then ExecutorConnected or ExecutorDisconnected
-	SendToExecutor                         // write Bytes to it
-	CloseExecutor                          // close it; then ExecutorDisconnected
-	DialCatalogue                          // open a link to the catalogue; then CatalogueConnected or CatalogueDialFailed
-	SendToCatalogue                        // write Bytes to it, unless At is set and has passed
-	CloseCatalogue                         // close it; then CatalogueDisconnected
-	SendReport                             // report Ready to the control plane; then ReportFinished
+	ResumeConnection                       // cancel CloseAfterFlush: a request was received before the close
+	DiscardInput                           // discard all further input: read slowly, only to notice the end of the connection
+	DialExecutor                           // open the link Link to the executor at Address; then ExecutorConnected or ExecutorDisconnected
+	SendToExecutor                         // write Bytes to the executor's link
+	CloseExecutor                          // close the executor's link; then ExecutorDisconnected
+	DialCatalogue                          // open the link Link to the catalogue at Address; then CatalogueConnected or CatalogueDialFailed
+	SendToCatalogue                        // write Bytes to the catalogue's link, unless At is set and has passed
+	CloseCatalogue                         // close the catalogue's link; then CatalogueDisconnected
+	SendReport                             // report Ready to the control plane at Address; then ReportFinished
 	StopAccepting                          // close the listener once all waiting connections are accepted; then ListenerClosed
 	Exit                                   // end the process
-	SetWakeup                              // step again at At at the latest
-	WriteLog                               // write a log entry
-	SampleState                            // publish State
-	LevelChanged                           // the degradation level has changed
-	WriteRecord                            // write Record to the store; then RecordWritten or RecordWriteFailed
-	SendDatagram                           // send Bytes to another node
-	OpenExchange                           // send Bytes in an exchange; then PeerResponseReceived or PeerExchangeFailed
-	ReplyToExchange                        // answer the exchange that another node opened; without Bytes, close it
-	ViewChanged                            // the view of the fleet has changed
-	SendOnStream                           // write a message to the stream Link, or if that is gone or 0, to one to Address
-	CloseStream                            // close the stream
-	VersionApplied                         // Version is in force, or with Err it is refused and nothing has changed
-	PersistVersion                         // carry out Persisting on the disk; then VersionPersisted
-	ReportVersionInForce                   // publish that a version came into force
-	PersistReplicaWrite                    // carry out Write on the replica's disk, in order; then ReplicaWritePersisted
-	CallerTimeoutRaised                    // callers may wait for At nanoseconds from now on
+	SetWakeup                              // call Step again at the time At at the latest
+	WriteLog                               // write the log entry Text with LogLevel, ID and Err
+	SampleState                            // publish the sample State
+	LevelChanged                           // publish LevelChange: the degradation level or plan has changed
+	WriteRecord                            // write Record to the result store; then RecordWritten or RecordWriteFailed
+	SendDatagram                           // send Bytes to the node at Address as a datagram
+	OpenExchange                           // send Bytes to the node at Address as a request; then PeerResponseReceived or PeerExchangeFailed
+	ReplyToExchange                        // answer the request Link of another node with Bytes; without Bytes, close its exchange
+	ViewChanged                            // publish Change, a change of the membership view
+	SendOnStream                           // write Bytes to the stream Link, or to a stream to Address if Link is 0 or has ended
+	CloseStream                            // close the stream Link
+	VersionApplied                         // Version of the configuration is in force, or was rejected with Err and has changed nothing
+	PersistVersion                         // write the configuration in Persisting to disk; then VersionPersisted
+	ReportVersionInForce                   // publish InForce: a version of the configuration came into force
+	PersistReplicaWrite                    // carry out Write on the replica's disk, in the order of the effects; then ReplicaWritePersisted
+	CallerTimeoutRaised                    // callers may wait for up to At nanoseconds for an answer from now on
 )
 
 // LogLevel is the severity of a log entry.
@@ -55,17 +55,17 @@
 	Warn
 )
 
-// Effect is something that the host is to do; only the fields of its kind are set.
+// Effect is an action that the host carries out. Only the fields of its kind are set.
 type Effect struct {
 	Kind        EffectKind
-	Link        int
-	Address     string
-	At          int64
+	Link        int    // number of the connection, link, stream, exchange or report
+	Address     string // where to dial or to send
+	At          int64  // ns
 	Bytes       []byte
-	Ready       bool
+	Ready       bool // the node is ready for invocations
 	LogLevel    LogLevel
 	Text        string
-	ID          string // call that a log entry is about
+	ID          string // subject of a log entry
 	Err         error
 	State       *State
 	LevelChange *LevelChange
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	gaugesLeadTime = 5 * ms   // ns before a timer of the controller at which gauges are requested: a round trip
-	maxGaugesAge   = 500 * ms // ns; the span over which they are taken
+	gaugesLeadTime = 5 * ms   // ns from the request of gauges to the controller's tick that uses them: a round trip
+	maxGaugesAge   = 500 * ms // ns, the period over which the executor measures
 )
 
-// gauges is the last measurement of the cores that the executor sent.
+// gauges holds the executor's last measurement of its cores.
 type gauges struct {
-	requestAt       int64 // when the next are requested
-	receivedAt      int64 // negative before the first
+	requestAt       int64 // time of the next request
+	receivedAt      int64 // far in the past before the first measurement
 	busyShare       float64
 	runnableThreads float64
 }
 
 func newGauges() gauges { return gauges{requestAt: never, receivedAt: math.MinInt64 / 2} }
 
-// age is the time since the last measurement, or -1 before the first.
+// age returns the time since the last measurement, or -1 before the first.
 func (g *gauges) age(now int64) int64 {
 	if g.receivedAt < 0 {
 		return -1
@@ -32,7 +32,7 @@
 	return now - g.receivedAt
 }
 
-// event is a tick of the controller with the last measurement, unless that is too old.
+// event returns a tick for the controller with the last measurement, or with -1 for its values if that is too old.
 func (g *gauges) event(now int64) admission.Event {
 	if now-g.receivedAt > maxGaugesAge {
 		return admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
@@ -40,6 +40,7 @@
 	return admission.Event{Kind: admission.TimerFired, BusyShare: g.busyShare, RunnableThreads: g.runnableThreads}
 }
 
+// parse stores the gauges that the controller uses, out of all that the executor sent.
 func (g *gauges) parse(names, values []string) error {
 	for k, name := range names {
 		value, err := strconv.ParseFloat(values[k], 64)
@@ -56,13 +57,13 @@
 	return nil
 }
 
-// gaugesAge is the age of the last measurement, or -1 before the first.
+// gaugesAge returns the age of the last measurement, or -1 before the first.
 func (x *executorState) gaugesAge() int64 { return x.gauges.age(x.sm.now) }
 
-// tick is a tick of the controller with the last measurement.
+// tick returns a tick for the controller with the last measurement.
 func (x *executorState) tick() admission.Event { return x.gauges.event(x.sm.now) }
 
-// scheduleGauges has gauges requested so that they are fresh at a timer of the controller.
+// scheduleGauges schedules a request for gauges such that the answer arrives just before the controller's tick at timerAt.
 func (x *executorState) scheduleGauges(timerAt int64) { x.gauges.requestAt = timerAt - gaugesLeadTime }
 
 func (x *executorState) requestGaugesIfDue() {
@@ -72,8 +73,9 @@
 	}
 }
 
-// requestGauges requests gauges under the number of the last command: the answer proves that it was read. Until the
-// missed notices were all received it repeats the request for the sync: one that is refused would block all commands.
+// requestGauges requests gauges. On a synced link the tag is the number of the last command, so that the answer proves that
+// the executor has read it. On a link that isn't synced it repeats the request with the sync tag: if the executor had
+// refused the first one, no command would ever be sent.
 func (x *executorState) requestGauges() {
 	tag := x.syncTag()
 	if x.synced {
@@ -83,15 +85,16 @@
 	x.send("METER", tag)
 }
 
-// requestAcknowledgement requests gauges after new commands, so that only those of the last round trip are in doubt when
-// a link breaks. A reply to a call that is sent twice would otherwise be taken for the reply to the run's next call.
+// requestAcknowledgement requests gauges after new commands. When a link breaks, only the commands of the last round trip
+// are then unacknowledged and sent again. The executor could take a reply that is sent again for the reply to the run's
+// next call.
 func (x *executorState) requestAcknowledgement() {
 	if x.synced && x.commands.sequence > x.commands.gaugesRequestSequence {
 		x.requestGauges()
 	}
 }
 
-// gaugesReceived passes a measurement on to the controller. Its tag proves what the executor had read before, or that the
+// gaugesReceived passes a measurement to the controller. The tag tells which commands the executor has read, or that the
 // link is synced.
 func (x *executorState) gaugesReceived(tag string, values []string) error {
 	sm := x.sm
@@ -110,7 +113,7 @@
 	}
 	number, isSequence := strings.CutPrefix(tag, "m")
 	if sequence, err := strconv.Atoi(number); isSequence && err == nil {
-		x.redialBackoff = minRedialBackoff // the link has lived for some ticks
+		x.redialBackoff = minRedialBackoff // the link has carried commands, so that a redial may be quick
 		x.commands.acknowledgeUpTo(sequence)
 	}
 	return nil
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -7,61 +7,62 @@
 	"topazpost/internal/resultcache"
 )
 
-// InputKind is what kind of input an Input is.
+// InputKind is the kind of an Input.
 type InputKind uint8
 
-// The kinds of inputs. A dispatcher's connection is identified by a number of the host, any other link by that of the
-// effect that opened it. No number is used twice.
+// The kinds of inputs. The host numbers the connections of dispatchers; any other link has the number in the effect that
+// opened it. No number is used twice.
 const (
 	ConnectionOpened      InputKind = iota // a dispatcher's connection was accepted
-	FrameReceived                          // a frame was read from it
-	FrameMalformed                         // what it brought can't be parsed any further
-	ConnectionClosed                       // it is closed
-	ListenerClosed                         // the listener is closed, and all connections that it had accepted were passed on
+	FrameReceived                          // Frame was read from a dispatcher's connection
+	FrameMalformed                         // a dispatcher's connection can't be parsed any further, for Err
+	ConnectionClosed                       // a dispatcher's connection is closed
+	ListenerClosed                         // the listener is closed, after ConnectionOpened for all connections that it had accepted
 	ExecutorConnected                      // a link to the executor is open
-	ExecutorLineReceived                   // a line was read from it
-	ExecutorDisconnected                   // it ended, or could not be opened
+	ExecutorLineReceived                   // Line was read from the executor's link
+	ExecutorDisconnected                   // the executor's link ended, or could not be opened
 	CatalogueConnected                     // a link to the catalogue is open
-	CatalogueLineReceived                  // a line was read from it
-	CatalogueDialFailed                    // it could not be opened
-	CatalogueDisconnected                  // it ended
+	CatalogueLineReceived                  // Line was read from the catalogue's link
+	CatalogueDialFailed                    // the catalogue's link could not be opened
+	CatalogueDisconnected                  // the catalogue's link ended
 	ReportFinished                         // a report to the control plane succeeded, or failed with Err
-	DrainRequested                         // the node is to drain
-	AbortRequested                         // it is to abort what is pending and exit
+	DrainRequested                         // the node must drain
+	AbortRequested                         // the node must abort pending invocations and exit
 	ReloadRequested                        // Addresses and Plan may have changed
-	RecordsRecovered                       // Records that the store had from an earlier incarnation
-	RecoveryCompleted                      // all of them were read
-	RecordWritten                          // a record is durable
-	RecordWriteFailed                      // it could not be written
-	PeerDatagramReceived                   // a datagram of another node
-	PeerRequestReceived                    // another node opened an exchange, with its message
-	PeerResponseReceived                   // the response in an exchange of this node
+	RecordsRecovered                       // Records were read that an earlier incarnation of the node had stored
+	RecoveryCompleted                      // all stored records were read
+	RecordWritten                          // Records are durable
+	RecordWriteFailed                      // Records could not be written, for Err
+	PeerDatagramReceived                   // a datagram arrived from another node
+	PeerRequestReceived                    // another node opened an exchange with a request
+	PeerResponseReceived                   // a response arrived in an exchange of this node
 	PeerExchangeFailed                     // an exchange of this node failed
-	PeerMessageReceived                    // a message on a stream of another node
-	PeerStreamClosed                       // a stream ended
+	PeerMessageReceived                    // a message arrived on a stream from another node
+	PeerStreamClosed                       // a stream to or from another node ended
 	PlanChanged                            // Plan is the degradation plan from now on
-	VersionPersisted                       // the last PersistVersion was carried out, or failed with Err
+	VersionPersisted                       // the last PersistVersion effect was carried out, or failed with Err
 	ReplicaWritePersisted                  // the replica's writes up to Number are durable, or the disk failed with Err
-	HollowClaimRequested                   // a hollow node is to claim the token in Bytes
-	HollowCallsRequested                   // a hollow node is to have Link calls in flight
-	VersionReceived                        // Version of the configuration is to be applied, Change
+	HollowClaimRequested                   // a hollow node must claim the token in Bytes
+	HollowCallsRequested                   // a hollow node must keep as many calls in flight as Link says
+	VersionReceived                        // Version of the configuration must be applied, with the changes in Change
 )
 
-// Addresses is where a node reaches its peers.
+// Addresses are the addresses of a node's peers.
 type Addresses struct{ Executor, Catalogue, Control string }
 
-// Input is something that happened; only the fields of its kind are set. The state machine owns its payloads from then on.
+// Input is an event from outside the state machine. Only the fields of its kind are set. The state machine takes ownership
+// of the data that they refer to.
 type Input struct {
 	Kind      InputKind
-	Link      int // the connection or link
+	Link      int // number of the connection, link, stream, exchange or report
 	Frame     frame.Frame
 	Line      lineprotocol.Line
 	Err       error
 	Addresses Addresses
-	Plan      *DegradationPlan // nil for none
-	Bytes     []byte           // of other nodes
+	Plan      *DegradationPlan // nil for no plan
+	Bytes     []byte           // message of another node, or a token
 	Records   []resultcache.Record
-	Number    uint64
+	Number    uint64 // of the replica's last durable write
 	From      string // address of the other node
 
 	Version uint64
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -1,10 +1,10 @@
-// Package node is the state machine of one node. StateMachine.Step takes the inputs since the last step and returns the
-// effects that the host is to carry out, in order; it has no goroutine, no socket and no clock. What happens to an
-// invocation is decided by package admission.
+// Package node implements the state machine of one node. StateMachine.Step takes the inputs since the last step and returns
+// the effects that the host carries out, in order. The state machine has no goroutines, sockets or clock of its own.
 //
-// The state machine keeps the invocations and passes events to the controller and actions from it. Each kind of
-// connection and each subsystem is a component with its own fields: executorState, catalogueState, connectionTable (the
-// dispatchers), healthChecks, reporter (the control plane), drainState, and those of the fleet.
+// The state machine stores the invocations, passes events to the admission controller and carries out its actions; the
+// controller, of package admission, decides which invocations run. Each kind of connection and each subsystem is a
+// component with its own fields: executorState, catalogueState, connectionTable (the dispatchers), healthChecks, reporter
+// (the control plane), drainState, and the components of the fleet.
 package node
 
 import (
@@ -22,7 +22,8 @@
 	never = math.MaxInt64
 )
 
-// Decider decides about invocations: an admission.Controller, or a baseline of the test bed.
+// Decider decides which invocations run, wait or are rejected. Implementations are admission.Controller and the baselines
+// of the testbed.
 type Decider interface {
 	Decide(now int64, events []admission.Event) []admission.Action
 	State() admission.ControllerState
@@ -34,35 +35,35 @@
 type StateMachine struct {
 	Invariants invariant.Checker
 	Counters   Counters
-	// Decisions makes the controller once the executor is up; born is when its cores started.
-	Decisions func(config *admission.Config, born int64) Decider
-	// SpareConnections is how many connections that are being closed may exceed the limit on connections.
+	// Decisions returns a new controller. It is called at the executor's first welcome; coresStartedAt is the time at which
+	// the executor's cores started.
+	Decisions func(config *admission.Config, coresStartedAt int64) Decider
+	// SpareConnections is how many connections that are being closed the node keeps beyond the limit on connections.
 	SpareConnections int
 
 	config    *nodeconfig.Config
 	addresses Addresses
 
-	// The step.
+	// The current step.
 	started   bool
 	startedAt int64 // time of the first step
 	now       int64
-	wall      int64 // Unix nanoseconds at now
+	wall      int64 // wall-clock time at now, in Unix nanoseconds
 	effects   []Effect
 	lastLink  int // the highest number given to a link or a report
 
-	// The controller, nil before the executor's first welcome.
-	controller     Decider
-	timerAt        int64 // when it wants to be stepped next
+	controller     Decider // nil before the executor's first welcome
+	timerAt        int64   // time of the controller's next tick
 	events         []admission.Event
-	deferredEvents []admission.Event // of the next step: they occurred after the decisions of this one
-	decided        bool              // the controller has decided in this step, or had nothing to decide
-	backpressure   string            // the signal that answers carry, empty before the first
+	deferredEvents []admission.Event // events after the decisions of this step, for the next one
+	decided        bool              // the decisions of this step are made
+	backpressure   string            // backpressure signal in answers, empty before the controller's first
 
-	// The invocations, by an index that the controller knows them by.
+	// The invocations, by the index that identifies them to the controller.
 	invocations []invocation
 	freeIndices []int32
 	indexByID   map[string]int32
-	owedAnswers int
+	owedAnswers int // invocations that are not answered yet
 
 	executor    executorState
 	catalogue   catalogueState
@@ -82,15 +83,17 @@
 	configSync  configSyncState
 }
 
-// NewStateMachine is the state of a node that has just started. It copies the configuration and amends its copy.
-// killDelay is the time from a drain notice to the kill, in nanoseconds.
+// NewStateMachine returns the state machine of a node that has just started. It copies the configuration and changes only
+// its copy. killDelay is the time from a drain notice to the kill of the process, in nanoseconds.
 func NewStateMachine(config *nodeconfig.Config, addresses Addresses, killDelay int64, maxConnections, maxCatalogueLinks int) *StateMachine {
 	sm := &StateMachine{
 		config:    withoutUnsupported(config),
 		addresses: addresses,
 		timerAt:   never,
 		indexByID: map[string]int32{},
-		Decisions: func(config *admission.Config, born int64) Decider { return admission.NewController(config, born) },
+		Decisions: func(config *admission.Config, coresStartedAt int64) Decider {
+			return admission.NewController(config, coresStartedAt)
+		},
 	}
 	sm.executor = newExecutorState(sm)
 	sm.catalogue = catalogueState{sm: sm, maxLinks: maxCatalogueLinks}
@@ -99,15 +102,15 @@
 	sm.reports = reporter{sm: sm}
 	sm.drain = drainState{sm: sm, killDelay: killDelay}
 	sm.sampler = stateSampler{sm: sm}
-	sm.Invariants.OnViolation = func(what string, times int) {
-		sm.log(Warn, fmt.Sprintf("did not hold, %d times so far: %s", times, what), "", nil)
+	sm.Invariants.OnViolation = func(name string, count int) {
+		sm.log(Warn, fmt.Sprintf("invariant violated, %d times so far: %s", count, name), "", nil)
 	}
 	return sm
 }
 
-// withoutUnsupported copies a configuration without what the protocol on sockets can't express: to stop a run, to go on
-// without a call, and to share the answer of a read. Results of tokens are cached in the node's memory, not in the
-// executor's.
+// withoutUnsupported returns a copy of a configuration that turns off what the protocols on sockets can't express: stopping
+// a run, continuing a run without its call, and sharing the answer of a read. It also reserves no memory of the executor for
+// deduplication, since the results of idempotency tokens are cached in the node's own memory.
 func withoutUnsupported(config *nodeconfig.Config) *nodeconfig.Config {
 	own := *config
 	n := &own.Node
@@ -121,11 +124,11 @@
 	return &own
 }
 
-// Step applies the inputs up to now, by a clock that only advances, with wall its time in Unix nanoseconds. The effects
-// are valid until the next step.
+// Step applies inputs and all timers that are due, and returns the effects, which are valid until the next step. now is the
+// time on a clock that only advances, and wall is the wall-clock time in Unix nanoseconds.
 //
-// The order of a step: the inputs, the timers, changes of the configuration, the decisions, the subsystems that follow
-// from those, and last the exit and the next wakeup.
+// A step handles, in this order: inputs, timers, changes of the configuration, the controller's decisions, the subsystems
+// that depend on these, the exit, and the time of the next wakeup.
 func (sm *StateMachine) Step(now, wall int64, inputs []Input) []Effect {
 	sm.begin(now, wall)
 	for i := range inputs {
@@ -133,7 +136,7 @@
 			sm.apply(&inputs[i])
 		}
 	}
-	for i := range inputs { // last, so that none evicts a connection that just brought an invocation
+	for i := range inputs { // last, so that a new connection evicts none that has just brought an invocation
 		if inputs[i].Kind == ConnectionOpened {
 			sm.connections.opened(inputs[i].Link)
 		}
@@ -151,13 +154,13 @@
 	sm.stepConfigSync()
 	sm.stepMembership()
 	sm.drain.finish()
-	wake := sm.nextWakeup()
-	sm.Invariants.Check(wake > now, "the next wake lies ahead")
-	sm.emit(Effect{Kind: SetWakeup, At: wake})
+	wakeAt := sm.nextWakeup()
+	sm.Invariants.Check(wakeAt > now, "the next wakeup is after now")
+	sm.emit(Effect{Kind: SetWakeup, At: wakeAt})
 	return sm.effects
 }
 
-// begin sets the clock and takes over the events that the last step deferred.
+// begin starts a step at a time, with the events that the last step deferred.
 func (sm *StateMachine) begin(now, wall int64) {
 	if !sm.started {
 		sm.started = true
@@ -172,7 +175,7 @@
 	sm.decided = false
 }
 
-// decide has the controller decide on the events; those that occur from here on are of the next step.
+// decide has the controller decide on the events, and carries out its actions. Later events are deferred to the next step.
 func (sm *StateMachine) decide() {
 	sm.decided = true
 	if sm.controller == nil || len(sm.events) == 0 {
@@ -183,7 +186,7 @@
 	}
 }
 
-// apply passes an input to the component that it belongs to.
+// apply passes an input to the component that handles it.
 func (sm *StateMachine) apply(in *Input) {
 	switch in.Kind {
 	case FrameReceived, FrameMalformed, ConnectionClosed:
@@ -214,7 +217,8 @@
 	}
 }
 
-// applyFleetInput applies an input of the other nodes or of this node's replica.
+// applyFleetInput passes an input to the component of the fleet that handles it: messages of other nodes, finished disk
+// writes of the replica and of configuration versions, and the load of a hollow node.
 func (sm *StateMachine) applyFleetInput(in *Input) {
 	switch in.Kind {
 	case PeerDatagramReceived, PeerRequestReceived, PeerResponseReceived, PeerExchangeFailed:
@@ -263,14 +267,14 @@
 	case admission.Release:
 		sm.releaseInvocation(a.Invocation)
 	default:
-		sm.Invariants.Check(false, "an action that this site allows")
+		sm.Invariants.Check(false, "the controller takes only actions that the protocols support")
 	}
 }
 
-// notifyController passes an event to the controller, in the next step if it has decided in this one.
+// notifyController passes an event to the controller. After the decisions of this step, it defers the event to the next.
 func (sm *StateMachine) notifyController(e admission.Event) {
 	if sm.hollow.enabled() {
-		return // without a controller
+		return // a hollow node has no controller
 	}
 	if sm.decided {
 		sm.deferredEvents = append(sm.deferredEvents, e)
@@ -279,22 +283,22 @@
 	}
 }
 
-// emit adds an effect of this step.
+// emit adds an effect to those of this step.
 func (sm *StateMachine) emit(e Effect) { sm.effects = append(sm.effects, e) }
 
-// log emits a log entry; id is the call that it is about, if any.
+// log emits a log entry. id identifies its subject, such as an invocation, and may be empty.
 func (sm *StateMachine) log(level LogLevel, text, id string, err error) {
 	sm.emit(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
 }
 
-// nextLink numbers a new link or report; no number is used twice.
+// nextLink returns a number for a new link or report. No number is used twice.
 func (sm *StateMachine) nextLink() int {
 	sm.lastLink++
 	return sm.lastLink
 }
 
-// applyAddresses switches to the peers' new addresses at once. Calls in flight at an old address of the catalogue may end
-// there.
+// applyAddresses switches to the peers' new addresses at once. Calls in flight on links to the catalogue's old address may
+// finish there.
 func (sm *StateMachine) applyAddresses(to Addresses) {
 	from := sm.addresses
 	sm.addresses = to
@@ -307,10 +311,10 @@
 	if to.Control != from.Control {
 		sm.reports.addressChanged()
 	}
-	sm.log(Info, fmt.Sprintf("peers are now at %s, %s and %s", to.Executor, to.Catalogue, to.Control), "", nil)
+	sm.log(Info, fmt.Sprintf("peers are now at %s (executor), %s (catalogue) and %s (control plane)", to.Executor, to.Catalogue, to.Control), "", nil)
 }
 
-// startController starts the controller when the executor is up, cold if the executor has just started itself.
+// startController creates the controller after the executor's first welcome. cold is set if the executor has just started.
 func (sm *StateMachine) startController(cold bool, coresStartedAt int64) {
 	sm.config.Node.ColdStart = cold
 	sm.config.Node.ProcessStart = sm.startedAt
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -2,15 +2,15 @@
 
 // Timing of reports to the control plane, in nanoseconds.
 const (
-	reportInterval     = 1_000 * ms // a third of the time after which the node's entry expires
+	reportInterval     = 1_000 * ms // a third of the time after which the control plane drops a node's entry
 	reportRetryBackoff = 200 * ms
 )
 
-// reporter reports the node's readiness to the control plane, one report at a time. A draining node sends none, so that
-// its entry expires.
+// reporter reports the node's readiness to the control plane, one report at a time. A draining node sends no reports, so
+// that its entry at the control plane expires.
 type reporter struct {
 	sm     *StateMachine
-	link   int // of the report in flight, 0 without one
+	link   int // number of the report in flight, 0 if there is none
 	nextAt int64
 }
 
@@ -30,7 +30,7 @@
 	r.sm.emit(Effect{Kind: SendReport, Link: r.link, Address: r.sm.addresses.Control, Ready: r.sm.health.isServing()})
 }
 
-// finished schedules the next report; the ends of abandoned ones are ignored.
+// finished handles the end of a report and schedules the next one. It ignores abandoned reports.
 func (r *reporter) finished(link int, err error) {
 	if link != r.link {
 		return
@@ -39,14 +39,14 @@
 	if err != nil {
 		r.sm.Counters.ReportsFailed++
 		r.nextAt = r.sm.now + reportRetryBackoff
-		r.sm.log(Info, "report failed", "", err)
+		r.sm.log(Info, "report to the control plane failed; retrying", "", err)
 		return
 	}
 	r.sm.Counters.Reports++
 	r.nextAt = r.sm.now + reportInterval
 }
 
-// dueAt is when the next report is due.
+// dueAt returns when the next report is due.
 func (r *reporter) dueAt() int64 {
 	if r.isInFlight() || r.sm.drain.isRequested() {
 		return never
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -4,37 +4,38 @@
 
 const stateSampleInterval = 1_000 * ms // ns
 
-// State is a sample of the whole node: what its controller decides by, and what its connections hold. Counts of answers
-// are of the time since the last sample. Times are nanoseconds.
+// State is a sample of a node's state: the state of its controller, and counts of its answers, connections and links.
+// Answers are counted since the previous sample. Times are in nanoseconds.
 type State struct {
 	admission.ControllerState
-	Level       string         `json:"level,omitempty"` // of degraded service, where there is a plan
-	Loads       []float64      `json:"loads,omitempty"` // demand on the cores at each level, full service first
+	Level       string         `json:"level,omitempty"` // name of the degradation level, empty without a plan
+	Loads       []float64      `json:"loads,omitempty"` // demand on the cores by level, starting with full service; nil without a plan
 	Succeeded   int            `json:"succeeded"`
-	Refused     int            `json:"refused"` // answered by a throttle
+	Refused     int            `json:"refused"` // answered with a throttle
 	Errored     int            `json:"errored"`
-	Gone        int            `json:"gone"` // whose caller disconnected
-	GivenUp     map[string]int `json:"given_up,omitempty"`
-	Connections int            `json:"connections"`  // of dispatchers
-	Links       int            `json:"links"`        // to the catalogue, open or being dialed
-	Idle        int            `json:"idle"`         // of them
-	Waiting     int            `json:"waiting"`      // calls without a link
-	Unread      int            `json:"unread"`       // commands that the executor has not acknowledged
-	GaugeAge    int64          `json:"gauge_age_ns"` // -1 before the first
-	Synced      bool           `json:"synced"`       // the executor's link carries commands
+	Gone        int            `json:"gone"`               // not answered: the caller disconnected
+	GivenUp     map[string]int `json:"given_up,omitempty"` // rejected or failed by the controller, by reason
+	Connections int            `json:"connections"`        // open connections of dispatchers
+	Links       int            `json:"links"`              // links to the catalogue, open or being dialed
+	Idle        int            `json:"idle"`               // links to the catalogue without a call
+	Waiting     int            `json:"waiting"`            // calls that wait for a link
+	Unread      int            `json:"unread"`             // commands that the executor has not acknowledged
+	GaugeAge    int64          `json:"gauge_age_ns"`       // age of the last gauges of the executor, -1 before the first
+	Synced      bool           `json:"synced"`             // the executor's link is synced, so that it carries commands
 
-	Configuration *ConfigSyncStatus `json:"configuration,omitempty"` // nil where it isn't distributed
+	Configuration *ConfigSyncStatus `json:"configuration,omitempty"` // nil unless the fleet distributes its configuration
 }
 
-// stateSampler samples the state at an interval while there is a controller, whose ticks keep the node awake for it.
+// stateSampler publishes a sample of the state at an interval once there is a controller. It has no timer of its own: the
+// controller's ticks wake the node often enough.
 type stateSampler struct {
 	sm      *StateMachine
 	nextAt  int64
-	givenUp [admission.ReasonCount]int // invocations by reason since the last sample
-	last    Counters                   // at the last sample
+	givenUp [admission.ReasonCount]int // invocations rejected or failed since the last sample, by reason
+	last    Counters                   // the node's counters at the last sample
 }
 
-// countGivenUp counts an invocation that the controller rejected or failed.
+// countGivenUp counts an invocation that the controller has rejected or failed.
 func (s *stateSampler) countGivenUp(reason admission.Reason) { s.givenUp[reason]++ }
 
 func (s *stateSampler) sampleIfDue() {
@@ -49,7 +50,7 @@
 	sm.emit(Effect{Kind: SampleState, State: state})
 }
 
-// snapshot is the state now.
+// snapshot returns the current state.
 func (s *stateSampler) snapshot() *State {
 	sm := s.sm
 	state := &State{
@@ -75,7 +76,8 @@
 	return state
 }
 
-// givenUpByName is the reasons that were given since the last sample, nil without any.
+// givenUpByName returns the invocations rejected or failed since the last sample by the name of the reason, nil if there are
+// none.
 func (s *stateSampler) givenUpByName() (counts map[string]int) {
 	for reason, count := range s.givenUp {
 		if count == 0 {
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -1,6 +1,6 @@
 package node
 
-// runTimers does what is due.
+// runTimers runs the timers that are due.
 func (sm *StateMachine) runTimers() {
 	if sm.hollow.enabled() {
 		return
@@ -19,7 +19,7 @@
 	}
 }
 
-// nextWakeup is when the next step is needed at the latest.
+// nextWakeup returns the time by which the next step is needed.
 func (sm *StateMachine) nextWakeup() int64 {
 	if sm.hollow.enabled() {
 		return sm.hollowDue()
