--- a/server/config_test.go
+++ b/server/config_test.go
@@ -236,7 +236,7 @@
 	assert.Contains(t, awaitLine("in force"), `"version":1,"message":"configuration: the version is in force, 1 added, 0 changed, 1 removed"`)
 	assert.Equal(t, int64(90_000e6), s.conns.maxClientTimeout.Load())
 	require.NoError(t, s.Amend(1, []nodeconfig.Item{op(`{"aim":1,"give_up":2,"effect":"idempotent"}`)}))
-	assert.Contains(t, awaitLine("can't be taken"), "as new")
+	assert.Contains(t, awaitLine("can't be taken"), "version is not newer than the last one queued or in force")
 	s.Drain()
 	assert.NoError(t, <-ended)
 }
