--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -216,15 +216,15 @@
 	for _, piece := range []int{1, 7, len(file)} {
 		s, err := load(file, piece)
 		require.NoError(t, err)
-		require.Equal(t, Revision{4, table.newest.Digest()}, s.Mark)
-		require.Equal(t, s.Mark.Digest, s.Content.Digest())
+		require.Equal(t, Revision{4, table.newest.Digest()}, s.ContentRevision)
+		require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
 		require.Equal(t, len(file)-begin, s.Journal)
 	}
 	for end := range len(file) { // torn anywhere: never another content than that of the version it is called
 		s, err := load(file[:end], 64)
-		if s.Mark.Version > 0 {
-			require.Equal(t, s.Mark.Digest, s.Content.Digest())
-			require.Equal(t, s.Mark.Digest, table.log[s.Mark.Version-1].Digest)
+		if s.ContentRevision.Version > 0 {
+			require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
+			require.Equal(t, s.ContentRevision.Digest, table.log[s.ContentRevision.Version-1].Digest)
 		} else {
 			require.Error(t, err)
 		}
@@ -236,7 +236,7 @@
 		require.Error(t, err)
 		require.True(t, s.Journal < 0 || s.Content == nil)
 		if s.Content != nil {
-			require.Equal(t, s.Mark.Digest, s.Content.Digest())
+			require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
 		}
 	}
 }
--- a/internal/fleet/configsync/diskfile.go
+++ b/internal/fleet/configsync/diskfile.go
@@ -175,7 +175,7 @@
 		}
 		return InitialState{}, fmt.Errorf("configuration: nothing can be read back: %w", err)
 	}
-	state := InitialState{Mark: l.revision, Content: l.ready, Source: "disk", Journal: l.journalSize}
+	state := InitialState{ContentRevision: l.revision, Content: l.ready, Source: "disk", Journal: l.journalSize}
 	if err != nil {
 		state.Journal = -1
 		err = fmt.Errorf("configuration: read back to version %d only: %w", l.revision.Version, err)
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -147,7 +147,7 @@
 	require.NoError(t, err)
 	got, err := l.Start()
 	require.NoError(t, err)
-	assert.Equal(t, Revision{table.Head().Newest, newest.Digest()}, got.Mark)
+	assert.Equal(t, Revision{table.Head().Newest, newest.Digest()}, got.ContentRevision)
 	sameContent(t, newest, got.Content)
 	assert.Positive(t, got.Journal)
 }
--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -19,10 +19,10 @@
 
 // InitialState is what a node has at its start.
 type InitialState struct {
-	Mark    Revision // version 0 where it is the file's
-	Content *Content
-	Source  string // shown to operators: disk, file
-	Journal int    // bytes of records on disk behind the content that was read; -1 where all must be rewritten
+	ContentRevision Revision // version 0 where it is the file's
+	Content         *Content
+	Source          string // shown to operators: disk, file
+	Journal         int    // bytes of records on disk behind the content that was read; -1 where all must be rewritten
 }
 
 // Counters are a replicator's counters as operators see them. Bytes are estimates by message.
@@ -113,21 +113,21 @@
 		peers:          map[string]*peer{},
 		source:         start.Source,
 		startedAt:      now,
-		applied:        start.Mark,
+		applied:        start.ContentRevision,
 		appliedContent: start.Content,
 		appliedAt:      now,
-		ready:          start.Mark,
+		ready:          start.ContentRevision,
 		readyContent:   start.Content,
 		tokens:         burstBytes,
 		refilledAt:     now,
 		disk: diskState{
-			revision:    start.Mark,
+			revision:    start.ContentRevision,
 			journalSize: max(0, start.Journal),
-			rewrite:     start.Journal < 0 || start.Mark.Version == 0,
+			rewrite:     start.Journal < 0 || start.ContentRevision.Version == 0,
 		},
 	}
 	digest := start.Content.Digest()
-	if digest != start.Mark.Digest { // of no agreed version, whatever it is called
+	if digest != start.ContentRevision.Digest { // of no agreed version, whatever it is called
 		r.applied = Revision{Digest: digest}
 		r.ready = r.applied
 		r.disk.revision = r.applied
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -312,7 +312,7 @@
 func TestFetchedBlocksAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	r := newTestReplicator()
 	c := fullContent(t, 100, 3_000)
-	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, Mark: Revision{1, c.Digest()}}) // the peer
+	n := NewReplicator(0, ReplicatorConfig{Name: "a"}, InitialState{Content: c, ContentRevision: Revision{1, c.Digest()}}) // the peer
 	now := 500 * ms
 	rounds := 0
 	indices := 0
--- a/internal/fleet/configsync/simulation_test.go
+++ b/internal/fleet/configsync/simulation_test.go
@@ -181,7 +181,7 @@
 	n.up = true
 	n.wakeAt = 0
 	n.inbox = nil
-	start := InitialState{Mark: n.disk.revision, Content: n.disk.content, Source: "disk"}
+	start := InitialState{ContentRevision: n.disk.revision, Content: n.disk.content, Source: "disk"}
 	if n.disk.content == nil {
 		start = InitialState{Content: s.file, Source: "file"}
 		n.maxVersion = 0
--- a/internal/fleet/configsync/suppliers_test.go
+++ b/internal/fleet/configsync/suppliers_test.go
@@ -44,7 +44,7 @@
 	g.canary = c
 	g.head = HeadRevision{All: g.first, Canary: g.first, Newest: 1}
 	for _, name := range []string{"a", "b"} {
-		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{Mark: g.first, Content: c})
+		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{ContentRevision: g.first, Content: c})
 	}
 	return g
 }
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -15,7 +15,7 @@
 
 // VersionInForce describes a configuration version that came into force at this node.
 type VersionInForce struct {
-	Revision                configsync.Revision
+	ContentRevision         configsync.Revision
 	PreviousVersion         uint64
 	Source                  string // "fleet", or at startup "disk" or "file"
 	Canary                  bool   // this node belongs to the version's canary stage
@@ -25,30 +25,30 @@
 
 // ConfigSyncStatus is the state of configuration replication that a node shows to operators.
 type ConfigSyncStatus struct {
-	Version             uint64              `json:"version"`
-	Digest              string              `json:"digest"`
-	Source              string              `json:"source"`
-	AgeNS               int64               `json:"age_ns"`           // since the version came into force here
-	ReplicaContactAgeNS int64               `json:"seat_heard_ns"`    // since a replica last confirmed what is in force, -1 before the first
-	Behind              bool                `json:"behind,omitempty"` // a newer version is in force for all nodes
-	BehindNS            int64               `json:"behind_ns,omitempty"`
-	RefusedVersion      uint64              `json:"refused,omitempty"`
-	RefusalReason       string              `json:"why,omitempty"`
-	Counters            configsync.Counters `json:"counters"`
+	Version  uint64              `json:"version"`
+	Digest   string              `json:"digest"`
+	Source   string              `json:"source"`
+	AgeNS    int64               `json:"age_ns"`           // since the version came into force here
+	HeardNS  int64               `json:"seat_heard_ns"`    // since a replica last confirmed what is in force, -1 before the first
+	Behind   bool                `json:"behind,omitempty"` // a newer version is in force for all nodes
+	BehindNS int64               `json:"behind_ns,omitempty"`
+	Refused  uint64              `json:"refused,omitempty"` // newest version that this node could not apply, 0 for none
+	Why      string              `json:"why,omitempty"`     // reason for Refused
+	Counters configsync.Counters `json:"counters"`
 }
 
 // pendingConfig is a replicated version that is being brought into force. A first pass validates all of its changes, a second one
 // applies them.
 type pendingConfig struct {
-	revision   configsync.Revision
-	canary     bool
-	checkOnly  bool // validate the version without applying it
-	startedAt  int64
-	oldContent *configsync.Content
-	newContent *configsync.Content
-	diff       *configsync.Difference
-	validation *nodeconfig.ChangeValidator // of the first pass, nil in the second
-	progress   pendingVersion
+	revision        configsync.Revision
+	canary          bool
+	checkOnly       bool // validate the version without applying it
+	startedAt       int64
+	old             *configsync.Content
+	new             *configsync.Content
+	diff            *configsync.Difference
+	validation      *nodeconfig.ChangeValidator // of the first pass, nil in the second
+	versionProgress versionProgress
 }
 
 // configSyncState replicates the fleet's configuration to this node while it serves. Without a replicator it needs no timer and does
@@ -73,7 +73,7 @@
 // after EnableConsensus and before the first step. An initial state that differs from the node's own file comes into force at once. On
 // an error nothing is changed.
 func (sm *StateMachine) EnableConfigSync(now, seed int64, initial configsync.InitialState, file *configsync.Content) error {
-	v := pendingVersion{number: initial.Mark.Version}
+	v := versionProgress{number: initial.ContentRevision.Version}
 	if !sm.hollow.enabled() {
 		if err := sm.validateInitialConfig(initial, file); err != nil {
 			return err
@@ -81,14 +81,14 @@
 		if err := sm.forEachChangeBatch(file, initial.Content, func(changes []nodeconfig.Change) { sm.applyChanges(&v, changes) }); err != nil {
 			return err
 		}
-		if initial.Mark.Version > 0 {
+		if initial.ContentRevision.Version > 0 {
 			sm.versionApplied(&v)
 		}
 	}
 	cs := &sm.configSync
 	cs.replicator = configsync.NewReplicator(now, configsync.ReplicatorConfig{Name: sm.fleet.selfName(), Seed: seed}, initial)
 	sm.group.setConfigValidator(sm.validateConfigCommand)
-	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: cs.replicator.Revision(), Source: initial.Source,
+	sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{ContentRevision: cs.replicator.Revision(), Source: initial.Source,
 		Added: v.counts.added, Changed: v.counts.changed, Removed: v.counts.removed}})
 	cs.startupEffects = slices.Clone(sm.effects)
 	return nil
@@ -129,8 +129,8 @@
 		return nil
 	}
 	s := replicator.Status(sm.now)
-	return &ConfigSyncStatus{Version: s.Revision.Version, Digest: s.Revision.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, ReplicaContactAgeNS: s.HeardNS,
-		Behind: s.Behind, BehindNS: s.BehindNS, RefusedVersion: s.Refused.Version, RefusalReason: s.Why, Counters: s.Counters}
+	return &ConfigSyncStatus{Version: s.Revision.Version, Digest: s.Revision.Digest.String(), Source: s.Source, AgeNS: s.TakenNS, HeardNS: s.HeardNS,
+		Behind: s.Behind, BehindNS: s.BehindNS, Refused: s.Refused.Version, Why: s.Why, Counters: s.Counters}
 }
 
 // parseChanges parses items as changes. It returns an error if this node can't apply one of them.
@@ -162,8 +162,8 @@
 
 // startPendingConfig begins to validate the version of an effect, and then to apply it if the effect is ApplyVersion.
 func (sm *StateMachine) startPendingConfig(e *configsync.Effect) {
-	pending := &pendingConfig{revision: e.Revision, canary: e.Canary, checkOnly: e.Kind == configsync.CheckVersion, startedAt: sm.now, oldContent: e.Old, newContent: e.New,
-		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), progress: pendingVersion{number: e.Revision.Version}}
+	pending := &pendingConfig{revision: e.Revision, canary: e.Canary, checkOnly: e.Kind == configsync.CheckVersion, startedAt: sm.now, old: e.Old, new: e.New,
+		diff: configsync.Diff(e.Old, e.New), validation: sm.config.NewChangeValidator(), versionProgress: versionProgress{number: e.Revision.Version}}
 	if sm.hollow.enabled() { // a hollow node has no admission controller, so any version can be applied
 		sm.finishPendingConfig(pending, nil)
 		return
@@ -199,7 +199,7 @@
 // startApplying starts the second pass.
 func (p *pendingConfig) startApplying() {
 	p.validation = nil
-	p.diff = configsync.Diff(p.oldContent, p.newContent)
+	p.diff = configsync.Diff(p.old, p.new)
 }
 
 // applyPendingChanges applies one batch of changes in the second pass.
@@ -207,7 +207,7 @@
 	if !sm.Invariants.Check(err == nil, "a version that was validated can be applied") {
 		return
 	}
-	sm.applyChanges(&p.progress, changes)
+	sm.applyChanges(&p.versionProgress, changes)
 }
 
 // finishPendingConfig reports to the replicator that the pending version is checked or in force, or with an error that this node can't
@@ -223,9 +223,9 @@
 		sm.Counters.VersionsRefused++
 		next.Why = err.Error()
 	} else if !p.checkOnly {
-		sm.versionApplied(&p.progress)
-		counts := &p.progress.counts
-		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{Revision: p.revision, PreviousVersion: cs.replicator.Revision().Version, Source: "fleet",
+		sm.versionApplied(&p.versionProgress)
+		counts := &p.versionProgress.counts
+		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{ContentRevision: p.revision, PreviousVersion: cs.replicator.Revision().Version, Source: "fleet",
 			Canary: p.canary, Added: counts.added, Changed: counts.changed, Removed: counts.removed, TookNS: sm.now - p.startedAt}})
 	}
 	cs.inputs = append(cs.inputs, next)
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -11,10 +11,10 @@
 
 // configMessage is a message about the configuration, between two nodes or between an operator's command and a node.
 type configMessage struct {
-	From    string              `cbor:"1,keyasint,omitempty"`
-	Message *configsync.Message `cbor:"2,keyasint,omitempty"` // between the replicators of two nodes
-	Query   *configsync.Query   `cbor:"3,keyasint,omitempty"` // from an operator's command
-	Answer  *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to the query
+	From          string              `cbor:"1,keyasint,omitempty"`
+	Message       *configsync.Message `cbor:"2,keyasint,omitempty"` // between the replicators of two nodes
+	OperatorQuery *configsync.Query   `cbor:"3,keyasint,omitempty"` // from an operator's command
+	Answer        *configsync.Answer  `cbor:"4,keyasint,omitempty"` // to the query
 }
 
 // configMessageBody is the body of an envelope that carries a configuration message. No field of a membership message has its key, so
@@ -25,7 +25,7 @@
 
 // ConfigQueryBody returns the message body by which an operator's command sends a query; DecodeConfigAnswer decodes the answer.
 func ConfigQueryBody(q *configsync.Query) any {
-	return configMessageBody{&configMessage{Query: q}}
+	return configMessageBody{&configMessage{OperatorQuery: q}}
 }
 
 // DecodeConfigAnswer decodes a node's answer to a query of an operator's command.
@@ -55,8 +55,8 @@
 		if request {
 			sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // without bytes, so the exchange is closed
 		}
-	case request && received.Query != nil:
-		sm.applyOperatorQuery(in.Link, received.Query)
+	case request && received.OperatorQuery != nil:
+		sm.applyOperatorQuery(in.Link, received.OperatorQuery)
 	case request && m != nil && m.Kind == configsync.MessageFetch:
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.ExchangeOpened, From: received.From, Link: in.Link, Message: m})
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -48,7 +48,7 @@
 	a, all := queryNode(t, sm, &configsync.Query{Kind: configsync.QueryPropose, Command: c})
 	require.NotNil(t, a.Verdict, a.Why)
 	for range 50 {
-		if !a.Verdict.Done || sm.ConfigSyncStatus().Version >= a.Verdict.Version || sm.ConfigSyncStatus().RefusedVersion >= a.Verdict.Version {
+		if !a.Verdict.Done || sm.ConfigSyncStatus().Version >= a.Verdict.Version || sm.ConfigSyncStatus().Refused >= a.Verdict.Version {
 			break
 		}
 		all = append(all, step(sm)...)
@@ -88,8 +88,8 @@
 	assert.Empty(t, effectsOfKind(effects, ReportVersionInForce))
 	assert.Equal(t, before, sm.config.Clone())
 	s := sm.ConfigSyncStatus()
-	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.RefusedVersion})
-	assert.Contains(t, s.RefusalReason, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
+	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.Refused})
+	assert.Contains(t, s.Why, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
 	for range 10 {
 		step(sm)
 	}
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -51,7 +51,7 @@
 }
 
 func initialStateFromFile(file *configsync.Content) configsync.InitialState {
-	return configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
+	return configsync.InitialState{ContentRevision: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
 
 // awaitRollout lets time pass until the newest version is in force for all nodes.
@@ -88,7 +88,7 @@
 	require.True(t, v.Done, v.Refused)
 	inForce := effectsOfKind(effects, ReportVersionInForce)
 	require.Len(t, inForce, 1)
-	assert.Equal(t, VersionInForce{Revision: sm.configSync.replicator.Revision(), PreviousVersion: 1, Source: "fleet", Canary: true, Added: 1, Removed: 1,
+	assert.Equal(t, VersionInForce{ContentRevision: sm.configSync.replicator.Revision(), PreviousVersion: 1, Source: "fleet", Canary: true, Added: 1, Removed: 1,
 		TookNS: inForce[0].InForce.TookNS}, *inForce[0].InForce)
 	persisted := effectsOfKind(effects, PersistVersion)
 	require.Len(t, persisted, 1)
@@ -186,14 +186,14 @@
 			}
 			content, err := file.Apply(list)
 			require.NoError(t, err)
-			return configsync.InitialState{Mark: configsync.Revision{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
+			return configsync.InitialState{ContentRevision: configsync.Revision{Version: 8, Digest: content.Digest()}, Content: content, Source: "disk"}
 		}
 	}
 	sm, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, onDisk(operation("new", ""), removal(nodeconfig.Operations, "hold")))
 	require.NoError(t, err)
 	inForce := effectsOfKind(startServing(sm), ReportVersionInForce)
 	require.Len(t, inForce, 1)
-	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{inForce[0].InForce.Source, inForce[0].InForce.Revision.Version, inForce[0].InForce.Added, inForce[0].InForce.Removed})
+	assert.Equal(t, []any{"disk", uint64(8), 1, 1}, []any{inForce[0].InForce.Source, inForce[0].InForce.ContentRevision.Version, inForce[0].InForce.Added, inForce[0].InForce.Removed})
 	assert.Equal(t, 1, countRuns(step(sm, arrival(sm, 1, "op", "new"))))
 	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(sm, arrival(sm, 2, "op", "hold"))))
 
@@ -223,7 +223,7 @@
 		require.NoError(t, err)
 		next, err = own.Apply(changes)
 		require.NoError(t, err)
-		return configsync.InitialState{Mark: configsync.Revision{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
+		return configsync.InitialState{ContentRevision: configsync.Revision{Version: 1, Digest: own.Digest()}, Content: own, Source: "disk", Journal: -1}
 	})
 	require.NoError(t, err)
 	startServing(sm)
@@ -233,7 +233,7 @@
 		pending := sm.configSync.pending
 		require.Less(t, steps, 1_000)
 		sm.applyPendingConfig()
-		if applied := pending.progress.counts.changed; pending.validation == nil {
+		if applied := pending.versionProgress.counts.changed; pending.validation == nil {
 			assert.LessOrEqual(t, applied-lastApplied, maxPerStep)
 			lastApplied = applied
 		}
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -50,7 +50,7 @@
 	FromName       string
 	ToName         string
 	Metrics        admission.LoadMetrics
-	LoadByLevel    []float64     // estimated load at each level, full service first
+	LevelLoads     []float64     // estimated load at each level, full service first
 	PreviousCounts ServiceCounts // answers since the previous change
 }
 
@@ -200,7 +200,7 @@
 	ds.closePeriod(sm.now, change.From)
 	ds.startPeriod(sm.now)
 	sm.applyLevel(&LevelChange{Change: change, Plan: ds.plan.Name, FromName: ds.plan.LevelName(change.From),
-		ToName: ds.plan.LevelName(change.To), Metrics: ds.metrics, LoadByLevel: ds.controller.LoadByLevel(), PreviousCounts: before})
+		ToName: ds.plan.LevelName(change.To), Metrics: ds.metrics, LevelLoads: ds.controller.LoadByLevel(), PreviousCounts: before})
 }
 
 // applyLevel passes the level in force to the admission controller and reports the change.
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -108,7 +108,7 @@
 		d.persisting(e.Persisting)
 	}
 	if f := e.InForce; f != nil {
-		d.revision(f.Revision)
+		d.revision(f.ContentRevision)
 		d.integers(int64(f.PreviousVersion), int64(f.Added), int64(f.Changed), int64(f.Removed), f.TookNS)
 		d.texts(f.Source)
 		d.bools(f.Canary)
@@ -136,9 +136,9 @@
 	}
 	d.bools(s.Synced, s.Configuration != nil)
 	if c := s.Configuration; c != nil {
-		d.integers(int64(c.Version), c.AgeNS, c.ReplicaContactAgeNS, c.BehindNS, int64(c.RefusedVersion))
+		d.integers(int64(c.Version), c.AgeNS, c.HeardNS, c.BehindNS, int64(c.Refused))
 		d.texts(c.Digest, c.Source)
-		d.bools(c.Behind, c.RefusalReason != "")
+		d.bools(c.Behind, c.Why != "")
 		n := &c.Counters
 		d.integers(int64(n.Applied), int64(n.Refused), int64(n.InvalidResponses), int64(n.Busy), int64(n.Missed), int64(n.Dropped), n.BytesSent, n.BytesReceived)
 	}
@@ -149,10 +149,10 @@
 	d.integers(int64(t.From), int64(t.To), int64(t.Signal), t.ConditionDuration, t.PreviousLevelDuration, int64(t.Cause), t.HoldTime)
 	d.floats(t.Value, t.Limit)
 	d.texts(t.Plan, t.FromName, t.ToName)
-	d.integers(int64(len(t.Metrics.DemandByOperation)), int64(len(t.LoadByLevel)))
+	d.integers(int64(len(t.Metrics.DemandByOperation)), int64(len(t.LevelLoads)))
 	d.floats(t.Metrics.DemandByOperation...)
 	d.floats(t.Metrics.OverheadShare, t.Metrics.QueueWait, t.Metrics.QueueingDelay, t.Metrics.CallWait, t.Metrics.RejectedShare, t.Metrics.MemoryShare)
-	d.floats(t.LoadByLevel...)
+	d.floats(t.LevelLoads...)
 	b := &t.PreviousCounts
 	d.texts(b.Level)
 	d.integers(b.Seconds, int64(b.Full), int64(b.Reduced), int64(b.ThrottledByLevel), int64(b.ThrottledOther), int64(b.Entered))
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -118,7 +118,7 @@
 	if n.configSync {
 		file, err := new(configsync.Content).Apply(itemsIn(p))
 		require.NoError(n.t, err)
-		require.NoError(n.t, r.EnableConfigSync(n.Now, n.seed+int64(n.incarnation), configsync.InitialState{Mark: configsync.Revision{Digest: file.Digest()},
+		require.NoError(n.t, r.EnableConfigSync(n.Now, n.seed+int64(n.incarnation), configsync.InitialState{ContentRevision: configsync.Revision{Digest: file.Digest()},
 			Content: file, Source: "file", Journal: -1}, file))
 	}
 	return r
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -73,7 +73,7 @@
 	for k, kind := range []configsync.MessageKind{configsync.MessageAnnounce, configsync.MessageReport, configsync.MessageConfirm, configsync.MessageFetch, configsync.MessageContent} {
 		t.Run(fmt.Sprintf("message %d", k+1), func(t *testing.T) {
 			want := fixture.Filled[configMessage](uint32(k))
-			want.Message.Kind, want.Query, want.Answer = kind, nil, nil
+			want.Message.Kind, want.OperatorQuery, want.Answer = kind, nil, nil
 			text, err := sealFixture(configMessageBody{&want})
 			require.NoError(t, err)
 			var got peerMessage
@@ -89,7 +89,7 @@
 			require.NoError(t, err)
 			var got peerMessage
 			require.NoError(t, openFixture(fixture.Equal(t, fmt.Sprintf("question-%d-v1.bin", k+1), text), &got))
-			assert.Equal(t, peerMessage{Configuration: &configMessage{Query: &want}}, got)
+			assert.Equal(t, peerMessage{Configuration: &configMessage{OperatorQuery: &want}}, got)
 		})
 	}
 	t.Run("answer", func(t *testing.T) {
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -31,8 +31,8 @@
 	removed int
 }
 
-// pendingVersion is a configuration version that is being brought into force.
-type pendingVersion struct {
+// versionProgress tracks how far a configuration version has been validated and applied.
+type versionProgress struct {
 	number           uint64
 	amendment        *nodeconfig.Amendment
 	changes          []nodeconfig.Change // changes of the amendment that are not applied yet
@@ -46,7 +46,7 @@
 // last reference is gone.
 type versionState struct {
 	activeVersion    uint64 // number of the last version that is wholly in force
-	pending          []pendingVersion
+	pending          []versionProgress
 	termsByOperation [][]*terms // by operation index; the current terms are last; empty before the first invocation
 	inFlightByTenant map[int32]int
 	retiredIndices   []retiredIndex     // in the order of retirement or last check
@@ -81,7 +81,7 @@
 	case len(vs.pending) >= maxPendingVersions:
 		sm.refuseVersion(in.Version, errTooManyVersions)
 	default:
-		vs.pending = append(vs.pending, pendingVersion{number: in.Version, amendment: in.Change, changes: in.Change.Changes})
+		vs.pending = append(vs.pending, versionProgress{number: in.Version, amendment: in.Change, changes: in.Change.Changes})
 	}
 }
 
@@ -123,14 +123,14 @@
 }
 
 // versionApplied records that a version is wholly in force.
-func (sm *StateMachine) versionApplied(v *pendingVersion) {
+func (sm *StateMachine) versionApplied(v *versionProgress) {
 	sm.versions.activeVersion = max(sm.versions.activeVersion, v.number)
 	sm.Counters.Versions++
 }
 
 // validateVersion validates up to maxValidationsPerStep changes of a version. When all are examined it returns complete, with an error if the
 // version can't be applied. It changes nothing in force.
-func (sm *StateMachine) validateVersion(v *pendingVersion) (complete bool, err error) {
+func (sm *StateMachine) validateVersion(v *versionProgress) (complete bool, err error) {
 	for end := v.validatedChanges + maxValidationsPerStep; v.validatedChanges < len(v.changes); v.validatedChanges++ {
 		if v.validatedChanges == end {
 			return false, nil
@@ -171,13 +171,13 @@
 }
 
 // applyChanges brings changes of a version into force and counts them.
-func (sm *StateMachine) applyChanges(v *pendingVersion, changes []nodeconfig.Change) {
+func (sm *StateMachine) applyChanges(v *versionProgress, changes []nodeconfig.Change) {
 	for i := range changes {
 		sm.applyChange(v, changes[i])
 	}
 }
 
-func (sm *StateMachine) applyChange(v *pendingVersion, c nodeconfig.Change) {
+func (sm *StateMachine) applyChange(v *versionProgress, c nodeconfig.Change) {
 	sm.initMaxLifetime()
 	c.Operation.SkippedCallWeightShare = 0 // the protocol on sockets can't express that a run goes on without its call; see withoutUnsupported
 	result := sm.config.Apply(&c)
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -146,7 +146,7 @@
 // begin is a new life of a node: from its disk, or from a file without anything.
 func (f *virtualVersions) begin(n *virtualfleet.Node) virtualfleet.Payload {
 	m := f.byName[n.Name]
-	start := configsync.InitialState{Mark: m.disk.mark, Content: m.disk.content, Source: "disk"}
+	start := configsync.InitialState{ContentRevision: m.disk.mark, Content: m.disk.content, Source: "disk"}
 	l := &nodeProcess{f: f, m: m, asked: map[int]func(any, int){}, fresh: m.disk.content == nil}
 	if l.fresh {
 		start = configsync.InitialState{Content: &configsync.Content{}, Source: "file"}
--- a/server/configstorage.go
+++ b/server/configstorage.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return fmt.Errorf("configuration: the node's own file: %w", err)
 	}
-	fromFile := configsync.InitialState{Mark: configsync.Revision{Digest: content.Digest()}, Content: content, Source: "file", Journal: -1}
+	fromFile := configsync.InitialState{ContentRevision: configsync.Revision{Digest: content.Digest()}, Content: content, Source: "file", Journal: -1}
 	start := fromFile
 	if folder := s.config.Fleet.ConfigSync.Folder; folder != "" {
 		s.configStorage, err = openConfigStorage(s, folder)
@@ -57,7 +57,7 @@
 	now, _ := s.clock.Now()
 	seed := s.config.Settings.Node.Seed ^ configSyncSeed
 	if err := s.state.EnableConfigSync(now, seed, start, content); err != nil {
-		s.log.Warn().Uint64("version", start.Mark.Version).Err(err).
+		s.log.Warn().Uint64("version", start.ContentRevision.Version).Err(err).
 			Msg("configuration: this node can't start from the last version on its disk, and starts from its own file")
 		if err := s.state.EnableConfigSync(now, seed, fromFile, content); err != nil {
 			return fmt.Errorf("configuration: %w", err)
@@ -112,7 +112,7 @@
 		file.Close()
 	}
 	if start.Content != nil { // the next version is written in full
-		c.server.log.Warn().Str("file", c.path(lastGoodFileName)).Uint64("version", start.Mark.Version).Err(err).
+		c.server.log.Warn().Str("file", c.path(lastGoodFileName)).Uint64("version", start.ContentRevision.Version).Err(err).
 			Msg("configuration: a crash or the disk spoilt the end of what was kept; what is before it is taken")
 		return start, true
 	}
--- a/server/degradation.go
+++ b/server/degradation.go
@@ -13,7 +13,7 @@
 		Str("cause", degradation.CauseNames[t.Cause])
 	if t.Cause != degradation.PlanReplaced {
 		line = line.Str("signal", degradation.SignalNames[t.Signal]).Float64("value", t.Value).Float64("threshold", t.Limit).
-			Float64("for_s", seconds(t.ConditionDuration)).Interface("signals", signalValues(&t.Metrics)).Floats64("loads", t.LoadByLevel)
+			Float64("for_s", seconds(t.ConditionDuration)).Interface("signals", signalValues(&t.Metrics)).Floats64("loads", t.LevelLoads)
 	}
 	line.Float64("lasted_s", seconds(t.PreviousLevelDuration)).Float64("held_s", seconds(t.HoldTime)).Interface("before", t.PreviousCounts).
 		Msg("level changed")
--- a/server/effects.go
+++ b/server/effects.go
@@ -157,7 +157,7 @@
 
 // logVersionInForce logs a configuration version that came into force.
 func (s *Server) logVersionInForce(v *node.VersionInForce) {
-	line := s.log.Info().Uint64("version", v.Revision.Version).Stringer("digest", v.Revision.Digest).Str("source", v.Source)
+	line := s.log.Info().Uint64("version", v.ContentRevision.Version).Stringer("digest", v.ContentRevision.Digest).Str("source", v.Source)
 	if v.Source == "fleet" {
 		line = line.Uint64("after", v.PreviousVersion).Bool("first_stage", v.Canary).Float64("took_s", seconds(v.TookNS))
 	}
