--- a/internal/fleet/takeover/helpers_test.go
+++ b/internal/fleet/takeover/helpers_test.go
@@ -10,7 +10,7 @@
 
 func testKey(n int) claims.Key { return claims.Key{Operation: "hold", Token: fmt.Sprint("t", n)} }
 
-// claimedTable is a table in which one owner claimed tokens for five seconds, and started the first ones.
+// claimedTable returns a table in which owner claimed a number of tokens, due in five seconds, and started the first ones.
 func claimedTable(owner claims.Owner, started, tokens int) *claims.Table {
 	table := claims.NewTable()
 	for n := range tokens {
@@ -22,7 +22,7 @@
 	return table
 }
 
-// testView is a view of n members that are alive, and the lost one.
+// testView returns a view of n live members and the lost node.
 func testView(n int) (view []Member) {
 	for i := range n {
 		view = append(view, Member{Owner: claims.Owner{Name: fmt.Sprint("n", i), Incarnation: 1}, Alive: true, AcceptsWork: true})
--- a/internal/fleet/takeover/new_owner_test.go
+++ b/internal/fleet/takeover/new_owner_test.go
@@ -14,11 +14,11 @@
 		table.Apply(&claims.Command{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n2", Incarnation: 1}, Key: testKey(n)})
 	}
 	commands, _ := NewPlanner().Step(1, testView(4), table, 0)
-	to := map[string]int{}
+	claimsByOwner := map[string]int{}
 	for _, c := range commands {
-		to[c.NewOwner.Name]++
+		claimsByOwner[c.NewOwner.Name]++
 	}
-	assert.Equal(t, maxUnstartedPerOwner, to["n2"], "as far as it has capacity, then others do")
+	assert.Equal(t, maxUnstartedPerOwner, claimsByOwner["n2"], "the waiting member gets claims up to its capacity, others get the rest")
 }
 
 func TestNewOwnersAreChosenByWeight(t *testing.T) {
@@ -28,12 +28,12 @@
 	view[0].Zone = "west"
 	view[1].AcceptsWork = false
 	view[2].Level = 1
-	to := map[string]int{}
+	claimsByOwner := map[string]int{}
 	for _, e := range table.OwnedBy(lostNode) {
-		to[ChooseNewOwner(e, view, &view[4], func(claims.Owner) bool { return true }).Owner.Name]++
+		claimsByOwner[ChooseNewOwner(e, view, &view[4], func(claims.Owner) bool { return true }).Owner.Name]++
 	}
-	assert.Zero(t, to["n1"], "a member that accepts no work is never chosen")
-	assert.InDelta(t, 2_000*0.25/1.75, to["n0"], 80, "the zone of the lost node")
-	assert.InDelta(t, 2_000*0.5/1.75, to["n2"], 80, "a level of graceful degradation")
-	assert.InDelta(t, 2_000*1/1.75, to["n3"], 80)
+	assert.Zero(t, claimsByOwner["n1"], "a member that accepts no work is not chosen")
+	assert.InDelta(t, 2_000*0.25/1.75, claimsByOwner["n0"], 80, "a member in the zone of the lost node has a quarter of the weight")
+	assert.InDelta(t, 2_000*0.5/1.75, claimsByOwner["n2"], 80, "a member at the first level of degraded service has half the weight")
+	assert.InDelta(t, 2_000*1/1.75, claimsByOwner["n3"], 80)
 }
--- a/internal/fleet/takeover/planner.go
+++ b/internal/fleet/takeover/planner.go
@@ -1,5 +1,5 @@
-// Package takeover plans what becomes of the claims of a lost node: who is the new owner of each, and when it is notified. It does
-// no I/O, reads no clock, and gives out no fence: what it proposes is refused by the table of claims where it is late.
+// Package takeover plans the takeover of claims of lost nodes: it chooses a new owner for each claim and decides when to notify that
+// owner. It does no I/O, reads no clock and assigns no fences: the table of claims refuses proposals that come too late.
 package takeover
 
 import (
@@ -11,44 +11,44 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	maxUnstartedPerOwner = 8           // reassigned claims that one new owner has not started: a few times what it starts in a round trip
-	maxCommandsPerStep   = 256         // so that an entry of the log stays small
-	retryInterval        = 200 * ms    // ns after which a new owner that has not started is notified again
-	unseenTimeout        = 10_000 * ms // ns after which an owner that no view ever had is lost: views settle in a few seconds
-	minRemaining         = 20 * ms     // ns to the due time, below which a reassigned claim can't be run in time
+	maxUnstartedPerOwner = 8           // claims that a new owner has yet to start: a few times as many as it starts in a round trip
+	maxCommandsPerStep   = 256         // keeps the entries of the group's log small
+	retryInterval        = 200 * ms    // ns after which a proposal counts as lost, and between notifications of one new owner
+	unseenTimeout        = 10_000 * ms // ns after which an owner that is not in the view counts as lost: views converge in a few seconds
+	minRemaining         = 20 * ms     // ns to the due time; with less, a new owner can't run the invocation in time
 )
 
-// Member is a node that may become a new owner, or that is lost.
+// Member is a node as the membership view has it: a candidate for new owner, or lost.
 type Member struct {
 	Owner       claims.Owner
-	Alive       bool // in the view: neither dead nor gone
+	Alive       bool // neither dead nor gone in the view
 	AcceptsWork bool // neither draining nor without an executor
 	Zone        string
-	Level       int // of graceful degradation
+	Level       int // of degraded service
 }
 
-// Counters are what operators see.
+// Counters count a planner's decisions, for operators.
 type Counters struct {
-	Reassigned    int `json:"handed"`
-	MarkedUnknown int `json:"doubted"`
-	Waiting       int `json:"-"` // claims of lost nodes that no new owner has capacity for now
+	Reassigned    int `json:"handed"`  // reassignments proposed
+	MarkedUnknown int `json:"doubted"` // started claims of lost owners, proposed to be marked unknown
+	Waiting       int `json:"-"`       // claims of lost owners for which no member has capacity now
 }
 
-// Planner is what the leader of a consensus group knows of reassignments in progress. Each leader starts with a new one.
+// Planner tracks the reassignments in progress, on the leader of a consensus group. Each new leader starts with a new Planner.
 type Planner struct {
 	Counters Counters
 
 	reassignments map[claims.Key]*pendingReassignment
-	unseenSince   map[claims.Owner]int64 // of owners that no view ever had
+	unseenSince   map[claims.Owner]int64 // when an owner with claims was first not in the view
 	members       map[string]*Member     // of the last view, by name
 }
 
-// pendingReassignment is a claim that its new owner has not started.
+// pendingReassignment is a reassignment that was proposed, and whose new owner has not started the claim.
 type pendingReassignment struct {
-	fence         uint64 // under which the new owner has it, 0 until that is committed
+	fence         uint64 // the new owner's fence, 0 until the reassignment is committed
 	newOwner      claims.Owner
 	lostOwner     claims.Owner
-	lastAttemptAt int64 // when it was last proposed, or its new owner notified
+	lastAttemptAt int64 // when the reassignment was proposed, or its new owner last notified
 }
 
 // Notification tells a new owner that a claim was reassigned to it.
@@ -57,7 +57,7 @@
 	LostOwner claims.Owner // zero for a claim that was returned, or that an earlier leader reassigned
 	Entry     *claims.Entry
 	Remaining int64 // ns to its due time
-	First     bool
+	First     bool  // sent on commit, not a repetition; false for reassignments of an earlier leader
 }
 
 // NewPlanner returns a planner without reassignments in progress.
@@ -69,35 +69,35 @@
 	}
 }
 
-// step is the state of one Step.
+// step holds the inputs and results of one call of Planner.Step.
 type step struct {
 	planner       *Planner
 	now           int64
-	tableTime     int64 // with the time that the table may lag behind
+	tableTime     int64 // latest estimate of the table's time, which lags behind
 	view          []Member
 	table         *claims.Table
-	unstarted     map[claims.Owner]int // reassigned claims by new owner
+	unstarted     map[claims.Owner]int // number of claims that each new owner has not started
 	commands      []claims.Command
 	notifications []Notification
 }
 
-// Step returns what to propose for the claims of lost owners, and which new owners to notify. An owner is lost where the view has
-// a later incarnation under its name, or has it dead or gone, or never had it for long. Ahead is by how much the table's time may
-// lag.
-func (p *Planner) Step(now int64, view []Member, table *claims.Table, ahead int64) ([]claims.Command, []Notification) {
+// Step returns the commands to propose for claims of lost owners, and the notifications to send to new owners. An owner is lost if
+// the view has a later incarnation of its name, has it as dead or gone, or has not had it for unseenTimeout. The table's time may lag
+// by up to maxLag.
+func (p *Planner) Step(now int64, view []Member, table *claims.Table, maxLag int64) ([]claims.Command, []Notification) {
 	s := step{
 		planner:   p,
 		now:       now,
-		tableTime: table.Time() + ahead,
+		tableTime: table.Time() + maxLag,
 		view:      view,
 		table:     table,
 	}
 	p.setView(view)
-	p.adoptReassignments(now, table)
+	p.adoptEarlierReassignments(now, table)
 	for _, key := range p.sortedKeys() {
-		s.followUp(key)
+		s.updateReassignment(key)
 	}
-	p.forgetUnseen(table)
+	p.dropUnseenOwners(table)
 	p.Counters.Waiting = 0
 	s.planLostOwners()
 	return s.commands, s.notifications
@@ -110,8 +110,8 @@
 	}
 }
 
-// adoptReassignments takes over those of an earlier leader, whose new owners may not have been notified.
-func (p *Planner) adoptReassignments(now int64, table *claims.Table) {
+// adoptEarlierReassignments tracks the reassignments of an earlier leader, which may not have notified their new owners.
+func (p *Planner) adoptEarlierReassignments(now int64, table *claims.Table) {
 	for _, entry := range table.Reassigned() {
 		if p.reassignments[entry.Key] == nil {
 			p.reassignments[entry.Key] = &pendingReassignment{fence: entry.Fence, newOwner: entry.Owner, lastAttemptAt: now - retryInterval}
@@ -119,7 +119,7 @@
 	}
 }
 
-// sortedKeys are the keys of the reassignments in progress.
+// sortedKeys returns the keys of the reassignments in progress, in order.
 func (p *Planner) sortedKeys() []claims.Key {
 	keys := make([]claims.Key, 0, len(p.reassignments))
 	for key := range p.reassignments {
@@ -129,8 +129,8 @@
 	return keys
 }
 
-// forgetUnseen drops the owners that have no claims any more.
-func (p *Planner) forgetUnseen(table *claims.Table) {
+// dropUnseenOwners drops the entries of unseenSince whose owners have no claims left.
+func (p *Planner) dropUnseenOwners(table *claims.Table) {
 	for owner := range p.unseenSince {
 		if len(table.OwnedBy(owner)) == 0 {
 			delete(p.unseenSince, owner)
@@ -138,12 +138,12 @@
 	}
 }
 
-// followUp notifies the new owner of a claim once its reassignment is committed and until it is started, and drops a reassignment
-// that is over or whose proposal was lost.
-func (s *step) followUp(key claims.Key) {
+// updateReassignment notifies the new owner of a claim when the reassignment is committed, and again every retryInterval until the
+// claim is started. It drops a reassignment that is finished, or whose proposal was lost.
+func (s *step) updateReassignment(key claims.Key) {
 	pending := s.planner.reassignments[key]
 	entry := s.table.Find(key)
-	if pending.isOver(entry) {
+	if pending.isFinished(entry) {
 		delete(s.planner.reassignments, key)
 		return
 	}
@@ -152,7 +152,7 @@
 	case pending.fence == 0 && entry.Owner == pending.newOwner: // committed
 		pending.fence = entry.Fence
 		s.notify(pending, entry, true)
-	case pending.fence == 0 && retryDue:
+	case pending.fence == 0 && retryDue: // the proposal was lost
 		delete(s.planner.reassignments, key)
 		return
 	case pending.fence != 0 && retryDue:
@@ -161,8 +161,8 @@
 	s.addUnstarted(pending.newOwner)
 }
 
-// isOver says whether the claim was started, ended or given to another owner.
-func (r *pendingReassignment) isOver(entry *claims.Entry) bool {
+// isFinished reports whether the claim was started, removed or given to another owner.
+func (r *pendingReassignment) isFinished(entry *claims.Entry) bool {
 	if entry == nil || entry.State != claims.StateClaimed {
 		return true
 	}
@@ -180,7 +180,7 @@
 	})
 }
 
-// planLostOwners proposes what becomes of the claims of lost owners, as far as one step may.
+// planLostOwners plans the claims of lost owners, up to maxCommandsPerStep commands.
 func (s *step) planLostOwners() {
 	for _, owner := range s.table.Owners() {
 		if !s.planner.isLost(s.now, owner, s.planner.members[owner.Name]) {
@@ -195,9 +195,9 @@
 	}
 }
 
-// isLost says whether an owner is lost, by the member of its name in the view.
+// isLost reports whether an owner is lost. Member is the member of that name in the view, or nil.
 func (p *Planner) isLost(now int64, owner claims.Owner, member *Member) bool {
-	if owner == (claims.Owner{}) { // a new owner returned the claim
+	if owner == (claims.Owner{}) { // the owner of a returned claim
 		return true
 	}
 	if member != nil {
@@ -212,7 +212,7 @@
 	return now-since >= unseenTimeout
 }
 
-// planClaim proposes what becomes of one claim of a lost owner.
+// planClaim proposes to mark a started claim of a lost owner unknown, or to reassign one that is not started.
 func (s *step) planClaim(entry *claims.Entry, owner claims.Owner) {
 	if entry.State == claims.StateStarted {
 		s.planner.Counters.MarkedUnknown++
--- a/internal/fleet/takeover/planner_test.go
+++ b/internal/fleet/takeover/planner_test.go
@@ -28,10 +28,10 @@
 	_, notifications = planner.Step(3, testView(4), table, 0)
 	assert.Empty(t, notifications)
 	_, notifications = planner.Step(2+retryInterval, testView(4), table, 0)
-	assert.Len(t, notifications, 7, "again while the new owner has not started")
+	assert.Len(t, notifications, 7, "repeated while the new owner has not started the claim")
 }
 
-func TestSuspectAndLiveOwnersKeepTheirClaims(t *testing.T) {
+func TestLiveOwnerLosesItsClaimsOnlyToALaterIncarnation(t *testing.T) {
 	table := claimedTable(claims.Owner{Name: "n1", Incarnation: 1}, 0, 5)
 	planner := NewPlanner()
 	commands, _ := planner.Step(1, testView(4), table, 0)
@@ -39,13 +39,13 @@
 	view := testView(4)
 	view[1].Owner.Incarnation = 2
 	commands, _ = planner.Step(2, view, table, 0)
-	assert.Len(t, commands, 5, "a new incarnation knows nothing of the earlier one's claims")
+	assert.Len(t, commands, 5, "a later incarnation does not own the claims of an earlier one")
 	view[1].Owner.Incarnation = 0
 	commands, _ = NewPlanner().Step(2, view, table, 0)
-	assert.Empty(t, commands, "an older view takes nothing from a later incarnation")
+	assert.Empty(t, commands, "a view with an earlier incarnation takes no claims from a later one")
 }
 
-func TestOwnerThatNoViewHasIsLostAfterATimeout(t *testing.T) {
+func TestOwnerMissingFromTheViewIsLostAfterATimeout(t *testing.T) {
 	table := claimedTable(claims.Owner{Name: "unknown", Incarnation: 1}, 0, 1)
 	planner := NewPlanner()
 	commands, _ := planner.Step(1, testView(2), table, 0)
@@ -63,14 +63,14 @@
 	applyAll(table, commands)
 	commands, notifications := planner.Step(2, testView(3), table, 0)
 	assert.Empty(t, commands)
-	for _, r := range notifications[:5] { // five start: there is capacity for five
+	for _, r := range notifications[:5] { // five claims are started, which frees capacity for five
 		table.Apply(&claims.Command{Kind: claims.CommandStart, Sender: r.NewOwner, Key: r.Entry.Key, Fence: r.Entry.Fence})
 	}
 	commands, _ = planner.Step(3, testView(3), table, 0)
 	assert.Len(t, commands, 5)
 }
 
-func TestNewLeaderNotifiesOfEarlierReassignments(t *testing.T) {
+func TestNewLeaderNotifiesNewOwnersOfEarlierReassignments(t *testing.T) {
 	table := claimedTable(lostNode, 0, 2)
 	commands, _ := NewPlanner().Step(1, testView(3), table, 0)
 	applyAll(table, commands)
@@ -104,7 +104,7 @@
 	assert.Empty(t, commands)
 }
 
-func BenchmarkStepWithNothingLost(b *testing.B) {
+func BenchmarkStepWithoutLostOwners(b *testing.B) {
 	table := claimedTable(claims.Owner{Name: "n1", Incarnation: 1}, 5_000, 10_000)
 	planner := NewPlanner()
 	view := testView(300)
