--- a/internal/fleet/quota/config.go
+++ b/internal/fleet/quota/config.go
@@ -3,42 +3,42 @@
 import "fmt"
 
 const (
-	minLeaseDuration = 1_000 * ms  // ns; shorter leases would end in an election
-	maxLeaseDuration = 60_000 * ms // ns; longer leases leave the units of lost nodes unused for long
-	minLeaseUses     = 2           // longest uses of one unit that fit a lease, or nothing could be used
-	driftDivisor     = 50          // part of a lease that is left unused: clocks run 1 % fast or slow at the most
+	minLeaseDuration = 1_000 * ms  // ns; shorter leases would end during an election
+	maxLeaseDuration = 60_000 * ms // ns; longer leases would leave the units of lost nodes unused for too long
+	minLeaseUses     = 2           // uses of MaxUseTime that must fit in a lease, so that there is time to begin a use
+	driftDivisor     = 50          // 1/50 of a lease is left unused: clocks run at most 1 % fast or slow
 )
 
-// HolderConfig configures the use of one limit. Times are nanoseconds.
+// HolderConfig configures the leases of one limit. Times are in nanoseconds.
 type HolderConfig struct {
 	Name       string
-	LeaseTerm  int64 // of a lease
-	MaxUseTime int64 // longest use of one unit, and how long it lingers after that
-	Units      int64 // of the limit, for checks
+	LeaseTerm  int64 // duration of a lease
+	MaxUseTime int64 // longest use of one unit, including work that goes on after the user gave up
+	Units      int64 // of the limit; checked and described, not used by the holder
 }
 
-// driftMargin is how much earlier than its term a lease ends for its holder, for clocks that drift.
+// driftMargin returns by how much a lease ends earlier for its holder than for the table, to allow for clock drift.
 func (c *HolderConfig) driftMargin() int64 { return c.LeaseTerm / driftDivisor }
 
-// Problem describes what is wrong with the configuration, or is empty.
+// Problem returns what is wrong with the configuration, or an empty string.
 func (c *HolderConfig) Problem() string {
 	switch {
 	case c.Units < 1:
-		return "a limit of less than one unit"
+		return "allows less than one unit"
 	case c.LeaseTerm < minLeaseDuration || c.LeaseTerm > maxLeaseDuration:
-		return "leases are of 1 s to 60 s"
+		return "has a lease term outside 1 s to 60 s"
 	case c.MaxUseTime < 0 || minLeaseUses*c.MaxUseTime > c.LeaseTerm-c.driftMargin():
-		return "a use of one unit must end within half a lease"
+		return "has a longest use of one unit above half a lease term, less 1/50 for clock drift"
 	}
 	return ""
 }
 
-// DescribeBound describes what holds for the limit, computed from the configuration.
+// DescribeBound describes the bounds on the use of the limit, as computed from the configuration.
 func (c *HolderConfig) DescribeBound() string {
 	usable := seconds(c.LeaseTerm - c.driftMargin())
 	reclaimed := seconds(c.LeaseTerm + c.driftMargin() + MaxTimeStep)
-	return fmt.Sprintf("at most %d %s in use fleet-wide at any cut, pause or restart, 0 over; a node uses none later than %g s after it asked for its "+
-		"last lease; units of a node that is lost are free again within %g s; a lower limit holds once all have asked again, within %g s at the most",
+	return fmt.Sprintf("at most %d %s in use fleet-wide, during any partition, pause or restart; a node uses none later than %g s after requesting its "+
+		"last lease; units of a lost node are free again within %g s; a lowered limit holds after all nodes have renewed, within %g s",
 		c.Units, c.Name, usable, reclaimed, reclaimed)
 }
 
--- a/internal/fleet/quota/fair_share.go
+++ b/internal/fleet/quota/fair_share.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	rotationInterval = 5_000 * ms // ns after which units that can't be divided evenly go to other holders
-	rotationBits     = 11         // by which hashes of names are rotated in each interval; not a divisor of 64
+	rotationInterval = 5_000 * ms // ns after which the units left over from an even division go to other holders
+	rotationBits     = 11         // bits by which the hash of a holder's name is rotated per interval; not a divisor of 64
 )
 
-// fairShares are the shares of the limit's holders, in the order of the leases: none is more than its holder wants, and what some
-// don't want is divided evenly among the others. Units that can't be divided evenly rotate.
+// fairShares returns the fair share of each holder, in the order of the leases. No share exceeds what its holder wants, and units that
+// some holders don't want are divided evenly among the others. Units left over from an even division go to other holders in each
+// interval.
 func (l *Limit) fairShares(time int64) []int64 {
 	shares := make([]int64, len(l.Leases))
 	remaining := l.Units
@@ -25,41 +26,41 @@
 		}
 	}
 	for len(unsatisfied) > 0 && remaining >= int64(len(unsatisfied)) {
-		each := remaining / int64(len(unsatisfied))
-		still := unsatisfied[:0]
+		equalShare := remaining / int64(len(unsatisfied))
+		stillUnsatisfied := unsatisfied[:0]
 		for _, i := range unsatisfied {
-			more := min(each, l.Leases[i].WantedUnits-shares[i])
-			shares[i] += more
-			remaining -= more
+			increase := min(equalShare, l.Leases[i].WantedUnits-shares[i])
+			shares[i] += increase
+			remaining -= increase
 			if shares[i] < l.Leases[i].WantedUnits {
-				still = append(still, i)
+				stillUnsatisfied = append(stillUnsatisfied, i)
 			}
 		}
-		unsatisfied = still
+		unsatisfied = stillUnsatisfied
 	}
 	if remaining == 0 {
 		return shares
 	}
-	rotation := l.rotation(time, unsatisfied)
-	for _, turn := range rotation[:min(int64(len(rotation)), remaining)] {
-		shares[turn.lease]++
+	order := l.rotationOrder(time, unsatisfied)
+	for _, entry := range order[:min(int64(len(order)), remaining)] {
+		shares[entry.lease]++
 	}
 	return shares
 }
 
-// turn is the place of a lease among those that get one of the units that can't be divided evenly.
-type turn struct {
-	key   uint64
+// rotationEntry is a lease whose holder may get a unit that is left over from an even division.
+type rotationEntry struct {
+	hash  uint64
 	lease int
 }
 
-// rotation orders leases, differently in each interval.
-func (l *Limit) rotation(time int64, leases []int) []turn {
-	turns := make([]turn, len(leases))
+// rotationOrder returns the leases in an order that differs from interval to interval.
+func (l *Limit) rotationOrder(time int64, leases []int) []rotationEntry {
+	order := make([]rotationEntry, len(leases))
 	shift := int(time / rotationInterval * rotationBits)
 	for k, i := range leases {
-		turns[k] = turn{key: bits.RotateLeft64(xxhash.Sum64String(l.Leases[i].Owner.Name), shift), lease: i}
+		order[k] = rotationEntry{hash: bits.RotateLeft64(xxhash.Sum64String(l.Leases[i].Owner.Name), shift), lease: i}
 	}
-	slices.SortFunc(turns, func(a, b turn) int { return cmp.Compare(a.key, b.key) })
-	return turns
+	slices.SortFunc(order, func(a, b rotationEntry) int { return cmp.Compare(a.hash, b.hash) })
+	return order
 }
--- a/internal/fleet/quota/fixtures_test.go
+++ b/internal/fleet/quota/fixtures_test.go
@@ -12,7 +12,7 @@
 	"topazpost/internal/fixture"
 )
 
-// Commands, one of each kind, verdicts, counters, and a snapshot.
+// Guards against changes of encodings on the wire and on disk: commands of each kind, verdicts, counters, and a snapshot.
 func TestQuotaFixtures(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
--- a/internal/fleet/quota/helpers_test.go
+++ b/internal/fleet/quota/helpers_test.go
@@ -6,7 +6,7 @@
 	testConfig = HolderConfig{Name: "calls", LeaseTerm: 4_000 * ms, MaxUseTime: 500 * ms, Units: 10}
 )
 
-// tableWithLimit is a table with one limit, whose first grants need not wait.
+// tableWithLimit returns a table with one limit that grants leases at once.
 func tableWithLimit(units int64) *LeaseTable {
 	table := NewLeaseTable()
 	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: units, Version: 1, StartDelay: -MaxTimeStep})
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -1,53 +1,53 @@
 package quota
 
 const (
-	renewalInterval = 250 * ms // ns between requests of one lease: several in the shortest lease
-	retryBackoff    = 200 * ms // ns after which a request that is not answered is sent again
-	demandWindow    = 500 * ms // ns of each of the two windows whose peak demand is requested
-	spareDivisor    = 4        // part of the demand that is requested beside it, and one unit
-	never           = 1<<63 - 1
+	renewalInterval = 250 * ms  // ns between requests for one lease, so that several fit in the shortest lease
+	retryBackoff    = 200 * ms  // ns after which an unanswered request is sent again
+	demandWindow    = 500 * ms  // ns; the peak demand of two such windows is requested
+	reserveDivisor  = 4         // a request adds 1/4 of the demand, and one unit, as a reserve
+	never           = 1<<63 - 1 // ns; wake-up time when nothing is due
 )
 
-// Counters are what operators see of a holder.
+// Counters are the counters and gauges of a LeaseHolder that operators see.
 type Counters struct {
 	Requests    int   `json:"asked"`
-	Lapsed      int   `json:"lapsed"`     // times that a lease ended before it was renewed
-	ShortGrants int   `json:"short"`      // verdicts that gave less than was wanted
-	MaxOveruse  int64 `json:"worst_over"` // most units in use over those allowed that this node saw of itself
-	Units       int64 `json:"units"`
-	Wanted      int64 `json:"wanted"`
+	Lapsed      int   `json:"lapsed"`     // leases that ended before they were renewed
+	ShortGrants int   `json:"short"`      // verdicts that gave less than was requested
+	MaxOveruse  int64 `json:"worst_over"` // most units that this node had in use above those allowed
+	Units       int64 `json:"units"`      // allowed now
+	Wanted      int64 `json:"wanted"`     // to be requested, with the reserve
 	Used        int64 `json:"used"`
 	FairShare   int64 `json:"target"`
-	AgeMS       int64 `json:"age_ms"` // since the lease was requested
+	AgeMS       int64 `json:"age_ms"` // ms since the lease was requested
 }
 
-// LeaseHolder says how much of one limit its node may use. A lease counts from when it was requested, by the node's own monotonic
-// clock, and ends early by the drift of clocks and by the longest use of a unit: what is in use of a lease that can't be renewed
-// has ended before another node can have it.
+// LeaseHolder tracks how many units of one limit its node may use. It requests leases and renews them. A lease counts from when it was
+// requested, by the node's own monotonic clock. New uses must begin early enough, by the clock drift and the longest use of a unit,
+// that all uses under a lease that is not renewed have ended before another node can lease the units.
 type LeaseHolder struct {
 	Counters Counters
 
 	config        HolderConfig
 	self          Owner
 	lastSeq       uint64
-	units         int64 // that may be used
-	usableUntil   int64 // until when the use of a unit may begin
+	units         int64 // of the lease
+	usableUntil   int64 // when the use of a unit may begin no more
 	fairShare     int64
 	requestedAt   int64 // when the request in flight was first sent, 0 for none
 	lastSentAt    int64
-	request       Command // in flight
+	request       Command // the last request, repeated until it is answered
 	nextRequestAt int64
-	peakDemand    [2]int64 // in this window and the one before
-	leasedAt      int64    // when the lease was requested
+	peakDemand    [2]int64 // of the current window and the one before
+	leasedAt      int64    // when the current lease was requested
 	windowStart   int64
 }
 
-// NewLeaseHolder returns a holder without a lease.
+// NewLeaseHolder returns the holder of one incarnation of a node. It has no lease yet.
 func NewLeaseHolder(config HolderConfig, self Owner) *LeaseHolder {
 	return &LeaseHolder{config: config, self: self}
 }
 
-// Allowed is how many units may be in use now, those in use included; 0 without a lease.
+// Allowed returns how many units may be in use now, including those already in use, and 0 without a lease.
 func (h *LeaseHolder) Allowed(now int64) int64 {
 	if now >= h.usableUntil {
 		return 0
@@ -55,11 +55,12 @@
 	return h.units
 }
 
-// UsableUntil returns when the units of the lease cease to be usable unless the lease is renewed.
+// UsableUntil returns when Allowed falls to 0 unless the lease is renewed.
 func (h *LeaseHolder) UsableUntil() int64 { return h.usableUntil }
 
-// Step takes how many units are in use and how many are wanted beside them, and the verdicts that came. It returns what to send,
-// and when to step again at the latest. What is allowed after it must be obeyed before the commands are sent.
+// Step takes the number of units in use, the number wanted in addition, and the verdicts that arrived. It returns the commands to send,
+// and when to call Step again at the latest. The caller must reduce its use to what Allowed returns after Step before it sends the
+// commands.
 func (h *LeaseHolder) Step(now, used, wanted int64, verdicts []Verdict) (send []Command, wake int64) {
 	for i := range verdicts {
 		h.handleVerdict(now, &verdicts[i])
@@ -82,16 +83,16 @@
 	return send, h.nextWake(now)
 }
 
-// wantedUnits is the recent peak demand with some to spare.
+// wantedUnits returns the recent peak demand with a reserve.
 func (h *LeaseHolder) wantedUnits() int64 {
 	want := max(h.peakDemand[0], h.peakDemand[1])
 	if want > 0 {
-		want += want/spareDivisor + 1
+		want += want/reserveDivisor + 1
 	}
 	return want
 }
 
-// newRequest gives up what is over the fair share and not in use, and requests a lease.
+// newRequest gives up units above the fair share that are not in use, and creates a request for the lease.
 func (h *LeaseHolder) newRequest(now, used, want int64) {
 	h.units = min(h.units, max(used, min(want, h.fairShare)))
 	h.lastSeq++
@@ -100,7 +101,7 @@
 		Sender:        h.self,
 		Seq:           h.lastSeq,
 		Limit:         h.config.Name,
-		RetainedUnits: max(h.units, used), // of a lease that lapsed, units may still be in use
+		RetainedUnits: max(h.units, used), // units of a lapsed lease may still be in use
 		WantedUnits:   want,
 		LeaseDuration: h.config.LeaseTerm,
 	}
@@ -120,7 +121,7 @@
 	h.Counters.MaxOveruse = max(h.Counters.MaxOveruse, used-allowed-h.lingeringUnits(now, used))
 }
 
-// lingeringUnits are those in use of a lease that lapsed, whose use began before its end.
+// lingeringUnits returns the units in use whose use began before the lease lapsed, and may go on for MaxUseTime.
 func (h *LeaseHolder) lingeringUnits(now, used int64) int64 {
 	if now >= h.usableUntil && now < h.usableUntil+h.config.MaxUseTime {
 		return used
@@ -142,13 +143,14 @@
 		}
 	}
 	h.requestedAt = 0
-	// Soon again, where units are to be given back, or are to come as others give back.
+	// Request again soon if this holder has units to return, or will get units that others return.
 	if verdict.Units > verdict.FairShare || verdict.Units < min(verdict.FairShare, h.request.WantedUnits) {
 		h.nextRequestAt = min(h.nextRequestAt, now+renewalInterval/4)
 	}
 }
 
-// recordDemand keeps the peaks of this window and the one before. Demand over what the lease gives is requested at once.
+// recordDemand updates the peak demand of the current window and the one before. If a new peak exceeds the lease, it brings the next
+// request forward to now.
 func (h *LeaseHolder) recordDemand(now, used, wanted int64) {
 	if now-h.windowStart >= demandWindow {
 		h.peakDemand[1] = h.peakDemand[0]
@@ -168,7 +170,7 @@
 	}
 }
 
-// nextWake is when to step again at the latest.
+// nextWake returns when to step again at the latest.
 func (h *LeaseHolder) nextWake(now int64) int64 {
 	wake := int64(never)
 	if h.requestedAt != 0 {
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -1,5 +1,5 @@
-// Package quota shares limits that hold for a whole fleet. LeaseTable is the replicated table of leases that a consensus group
-// agrees on; LeaseHolder is a node's side, which says how much the node may use now. The package does no I/O and reads no clock.
+// Package quota divides fleet-wide limits among nodes by leases. LeaseTable is the replicated table of leases of a consensus group;
+// LeaseHolder runs on each node and tracks how many units the node may use now. The package does no I/O and reads no clock.
 package quota
 
 import (
@@ -15,11 +15,11 @@
 	maxUnits   = 1 << 30 // units of one limit
 )
 
-// MaxTimeStep is the most that the table's time advances at once, in ns. The first step after a grant may count time from before
-// the grant, later ones can't, so leases are longer by that much in the table than their holders use them.
+// MaxTimeStep is the most by which the table's time advances at once, in ns. The first advance after a grant may include time that
+// passed before the grant, later ones can't. Leases last longer by MaxTimeStep in the table than for their holders.
 const MaxTimeStep = 500 * ms
 
-// Lease is what one holder has of a limit.
+// Lease is a holder's lease of units of one limit.
 type Lease struct {
 	Owner       Owner  `cbor:"1,keyasint" json:"Who"`
 	Units       int64  `cbor:"2,keyasint,omitempty"`
@@ -28,7 +28,7 @@
 	Seq         uint64 `cbor:"5,keyasint"`
 }
 
-// Limit is one limit with its leases, in the order of their holders.
+// Limit is one limit with its leases, ordered by their owners.
 type Limit struct {
 	Name       string  `cbor:"1,keyasint"`
 	Units      int64   `cbor:"2,keyasint"`
@@ -37,7 +37,7 @@
 	Leases     []Lease `cbor:"5,keyasint,omitempty"`
 }
 
-// LeasedUnits is the sum of all leases.
+// LeasedUnits returns the sum of the units of all leases.
 func (l *Limit) LeasedUnits() (sum int64) {
 	for i := range l.Leases {
 		sum += l.Leases[i].Units
@@ -45,15 +45,15 @@
 	return sum
 }
 
-// LeaseTable is the replicated state: all limits and leases, the same on all replicas that apply the same commands in the same
-// order.
+// LeaseTable is the replicated state: all limits and leases. It is the same on all replicas that apply the same commands at the same
+// times in the same order.
 type LeaseTable struct{ limits map[string]*Limit }
 
 // NewLeaseTable returns a table without limits.
 func NewLeaseTable() *LeaseTable { return &LeaseTable{limits: map[string]*Limit{}} }
 
-// Apply carries out one command at a time of the table. The sum of a limit's leases only grows where it stays within the limit; it
-// may exceed the limit after that was lowered, until holders have given back.
+// Apply applies one command at the given table time. It grants units only while the sum of a limit's leases stays within the limit.
+// After a limit was lowered the sum may exceed it until holders have returned units.
 func (t *LeaseTable) Apply(time int64, command *Command) Verdict {
 	verdict := Verdict{Limit: command.Limit, Seq: command.Seq}
 	limit := t.limits[command.Limit]
@@ -79,7 +79,7 @@
 	}
 }
 
-// request renews a holder's lease, taking what it gives back and granting up to its fair share.
+// request renews a holder's lease: it takes back the units that the holder does not retain and grants free units up to its fair share.
 func (l *Limit) request(time int64, command *Command, verdict *Verdict) {
 	i, found := slices.BinarySearchFunc(l.Leases, command.Sender, func(lease Lease, holder Owner) int { return CompareOwners(lease.Owner, holder) })
 	if !found {
@@ -89,7 +89,7 @@
 		l.Leases = slices.Insert(l.Leases, i, Lease{Owner: command.Sender})
 	}
 	lease := &l.Leases[i]
-	if command.Seq < lease.Seq { // late: a newer request was answered since
+	if command.Seq < lease.Seq { // late: a newer request was applied before
 		return
 	}
 	if command.Seq > lease.Seq {
@@ -112,7 +112,7 @@
 	l.Leases = slices.DeleteFunc(l.Leases, func(lease Lease) bool { return lease.ExpiresAt <= time })
 }
 
-// Limits are all limits, by name; they must not be changed.
+// Limits returns all limits, by name. The caller must not change them.
 func (t *LeaseTable) Limits() (list []*Limit) {
 	for _, name := range slices.Sorted(maps.Keys(t.limits)) {
 		list = append(list, t.limits[name])
@@ -120,5 +120,5 @@
 	return list
 }
 
-// Find returns a limit by its name, nil where there is none.
+// Find returns the limit of that name, or nil if there is none.
 func (t *LeaseTable) Find(name string) *Limit { return t.limits[name] }
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -6,7 +6,7 @@
 	"math/rand"
 )
 
-// simulatedNode is a holder with a clock of its own rate, and the units that it uses.
+// simulatedNode is a node with a lease holder, a clock that drifts, and the units that it uses.
 type simulatedNode struct {
 	holder      *LeaseHolder
 	clockRate   float64
@@ -25,40 +25,41 @@
 
 type eventQueue []event
 
-func (x eventQueue) Len() int { return len(x) }
+func (queue eventQueue) Len() int { return len(queue) }
 
-func (x eventQueue) Less(i, j int) bool {
-	return x[i].at < x[j].at || x[i].at == x[j].at && x[i].seq < x[j].seq
+func (queue eventQueue) Less(i, j int) bool {
+	return queue[i].at < queue[j].at || queue[i].at == queue[j].at && queue[i].seq < queue[j].seq
 }
 
-func (x eventQueue) Swap(i, j int) { x[i], x[j] = x[j], x[i] }
+func (queue eventQueue) Swap(i, j int) { queue[i], queue[j] = queue[j], queue[i] }
 
-func (x *eventQueue) Push(e any) { *x = append(*x, e.(event)) }
+func (queue *eventQueue) Push(e any) { *queue = append(*queue, e.(event)) }
 
-func (x *eventQueue) Pop() any {
-	last := (*x)[len(*x)-1]
-	*x = (*x)[:len(*x)-1]
+func (queue *eventQueue) Pop() any {
+	last := (*queue)[len(*queue)-1]
+	*queue = (*queue)[:len(*queue)-1]
 	return last
 }
 
-// simulation runs holders over links that lose, delay and duplicate messages, and one lease table whose time lags behind the simulation's.
+// simulation connects nodes to one lease table by links that lose, delay and duplicate messages. The table's time lags behind the
+// simulation's.
 type simulation struct {
 	rng              *rand.Rand
 	now, lastSeq     int64
 	events           eventQueue
 	table            *LeaseTable
 	tableTime        int64
-	tableTimeAt      int64 // when it last advanced
+	tableTimeAt      int64 // the simulation's time when tableTime last advanced
 	nodes            []*simulatedNode
 	partitioned      []bool
 	lossRate         float64
-	maxDelay         int64 // ns that a message takes, if it is no duplicate
+	maxDelay         int64 // ns that a message takes at most; a duplicate may take longer
 	violation        string
-	useExpiredLeases bool  // mutation: leases are used past their end
-	neverGiveBack    bool  // mutation: holders give nothing back
-	fixedShare       int64 // that each node may use whatever its lease; 0 for leases
-	measuring        bool  // the limit is wanted, and nothing excuses unused units
-	utilizationTime  float64
+	useExpiredLeases bool  // injected fault: nodes use leases past their end
+	neverReturnUnits bool  // injected fault: holders return no units
+	fixedShare       int64 // units that each node may use instead of its lease; 0 to use leases
+	measuring        bool  // utilization is recorded: the whole limit is wanted, and no units may be unused by design
+	utilizedTime     float64
 	measuredTime     float64
 	peak             int
 	config           HolderConfig
@@ -86,7 +87,7 @@
 		e := heap.Pop(&sim.events).(event)
 		if sim.measuring {
 			sim.measuredTime += float64(e.at - sim.now)
-			sim.utilizationTime += float64(sim.totalInUse()) / float64(sim.config.Units) * float64(e.at-sim.now)
+			sim.utilizedTime += float64(sim.totalInUse()) / float64(sim.config.Units) * float64(e.at-sim.now)
 		}
 		sim.now = e.at
 		e.run()
@@ -94,7 +95,7 @@
 	sim.now = until
 }
 
-// restart begins a new incarnation of a node; its use of units goes on to its end at the dependency.
+// restart begins a new incarnation of a node. Uses by the earlier one go on until they end, as calls do at the dependency.
 func (sim *simulation) restart(i int) {
 	node := sim.nodes[i]
 	used := node.useEnds
@@ -143,7 +144,7 @@
 	send, next := node.holder.Step(local, int64(sim.unitsInUse(node)), int64(max(0, node.demand-sim.unitsInUse(node))), node.verdicts)
 	node.verdicts = node.verdicts[:0]
 	for k := range send {
-		if sim.neverGiveBack {
+		if sim.neverReturnUnits {
 			send[k].RetainedUnits = sim.config.Units
 		}
 		sim.request(i, send[k])
@@ -175,11 +176,11 @@
 	sum := sim.totalInUse()
 	sim.peak = max(sim.peak, sum)
 	if int64(sum) > sim.config.Units {
-		sim.violation = fmt.Sprintf("%d units of %d in use at %d ms", sum, sim.config.Units, sim.now/ms)
+		sim.violation = fmt.Sprintf("%d units in use of a limit of %d at %d ms", sum, sim.config.Units, sim.now/ms)
 	}
 }
 
-// request carries a command to the table and its verdict back.
+// request sends a command to the table and its verdict back to the node.
 func (sim *simulation) request(i int, command Command) {
 	incarnation := sim.nodes[i].incarnation
 	deliver := func(run func()) {
@@ -192,14 +193,14 @@
 		}
 	}
 	deliver(func() {
-		// The table's time lags behind, and runs slower than the simulation.
+		// The table's time advances at random, and more slowly than the simulation's.
 		if step := min(MaxTimeStep, int64(0.98*float64(sim.now-sim.tableTimeAt))); step > 0 && sim.rng.Intn(2) == 0 {
 			sim.tableTime += step
 			sim.tableTimeAt = sim.now
 		}
 		verdict := sim.table.Apply(sim.tableTime, &command)
-		if l := sim.table.Find("calls"); l.LeasedUnits() > l.Units {
-			sim.violation = fmt.Sprintf("leases of %d units of %d", l.LeasedUnits(), l.Units)
+		if limit := sim.table.Find("calls"); limit.LeasedUnits() > limit.Units {
+			sim.violation = fmt.Sprintf("%d units leased of a limit of %d", limit.LeasedUnits(), limit.Units)
 		}
 		deliver(func() {
 			if node := sim.nodes[i]; node.incarnation == incarnation {
--- a/internal/fleet/quota/snapshot.go
+++ b/internal/fleet/quota/snapshot.go
@@ -9,19 +9,19 @@
 	"topazpost/internal/cborcodec"
 )
 
-// ErrInvalidSnapshot says that a snapshot was decoded but can't be that of a table.
-var ErrInvalidSnapshot = errors.New("quota: a snapshot holds a limit twice or an empty one")
+// ErrInvalidSnapshot reports a snapshot that decodes but does not describe a valid table.
+var ErrInvalidSnapshot = errors.New("quota: snapshot holds a null or duplicate limit")
 
 var decodeMode = cborcodec.SnapshotDecMode(maxLimits * maxHolders)
 
-// Snapshot encodes the table; equal tables have equal snapshots.
+// Snapshot encodes the table. Equal tables have equal snapshots.
 func (t *LeaseTable) Snapshot() ([]byte, error) { return cbor.Marshal(t.Limits()) }
 
-// Restore decodes a table.
+// Restore returns the table that a snapshot encodes.
 func Restore(encoded []byte) (*LeaseTable, error) {
 	var limits []*Limit
 	if err := decodeMode.Unmarshal(encoded, &limits); err != nil {
-		return nil, fmt.Errorf("quota: a snapshot can't be read: %w", err)
+		return nil, fmt.Errorf("quota: decode snapshot: %w", err)
 	}
 	table := NewLeaseTable()
 	for _, limit := range limits {
