--- a/internal/node/catalogue.go
+++ b/internal/node/catalogue.go
@@ -108,7 +108,8 @@
 	sm.emit(Effect{Kind: SendToCatalogue, Link: l.id, At: writeBy, Bytes: lineprotocol.AppendBody(nil, v.callRequest, "FETCH", v.invocationID, timeout)})
 }
 
-// closeLink closes a link. If a call was sent on it, its unit of the lease stays reserved, as the catalogue may still work on the call.
+// closeLink closes a link. A call that was sent on it keeps counting against the node's lease for a while, as the catalogue may still
+// work on it; see reserveAbandonedUnit.
 func (c *catalogueState) closeLink(k int) {
 	c.sm.reserveAbandonedUnit(&c.links[k])
 	c.sm.emit(Effect{Kind: CloseCatalogue, Link: c.links[k].id})
--- a/internal/node/catalogue_test.go
+++ b/internal/node/catalogue_test.go
@@ -9,7 +9,9 @@
 	"topazpost/internal/protocol/lineprotocol"
 )
 
-func TestDataReplyIsReturnedUnchangedAndOtherRepliesEndTheCall(t *testing.T) {
+// A reply with data goes to the executor. LATER and NOUSE prove that the call did not run, so it is retried over a new link (a second
+// FETCH); FAULT and TOOSLOW fail the invocation (code 51).
+func TestDataReplyIsReturnedUnchangedAndOtherRepliesAreRetriedOrFail(t *testing.T) {
 	for reply, want := range map[string]string{"DATA 5|reply": "RETURN " + testInvocationID + " 5\r\nreply\r\n",
 		"LATER": "FETCH", "NOUSE": "FETCH", "FAULT": "51", "TOOSLOW": "51"} {
 		sm := newServingNode(t)
--- a/internal/node/digestcallers_test.go
+++ b/internal/node/digestcallers_test.go
@@ -1,5 +1,8 @@
 package node_test
 
+// Callers of a simNode in the digest tests, that is dispatchers with their connections. Times given to schedule are nanoseconds,
+// those given to randomDuration microseconds.
+
 import (
 	"fmt"
 	"maps"
@@ -35,17 +38,17 @@
 	if c == nil {
 		return
 	}
-	c.closeCount++
-	closeNumber := c.closeCount
+	c.closeGeneration++
+	closeNumber := c.closeGeneration
 	if n.oneIn(4) {
 		n.schedule(n.randomDuration(50, 200), func() {
-			if c.closeCount == closeNumber && n.conn(link) == c {
+			if c.closeGeneration == closeNumber && n.conn(link) == c {
 				n.invoke(c)
 			}
 		})
 	}
 	n.schedule(n.randomDuration(250, 900), func() {
-		if c.closeCount == closeNumber {
+		if c.closeGeneration == closeNumber {
 			n.closeConn(link)
 		}
 	})
@@ -63,7 +66,7 @@
 	require.True(n.t, ok && err == nil, "a frame written to a caller can be parsed")
 	switch f.Type {
 	case frame.GoAway:
-		c.goAwayReceived = true
+		c.noNewInvocations = true
 	case frame.Answer:
 		delete(c.open, f.Stream)
 	}
@@ -85,7 +88,7 @@
 	}
 	var usable []*callerConn
 	for _, c := range n.conns {
-		if !c.goAwayReceived && c.closeCount == 0 && len(c.open) < 32 {
+		if !c.noNewInvocations && c.closeGeneration == 0 && len(c.open) < 32 {
 			usable = append(usable, c)
 		}
 	}
@@ -173,7 +176,7 @@
 	return fields
 }
 
-// callerActivity has a random caller do something other than invoke: cancel, check health, disconnect or misbehave.
+// callerActivity has a random caller cancel, check health, disconnect or misbehave, for example with too many invocations at once.
 func (n *simNode) callerActivity() {
 	if len(n.conns) == 0 || n.machine == nil {
 		return
@@ -225,6 +228,6 @@
 // abandonConns makes callers stop using their connections, so that these reach their idle timeout.
 func (n *simNode) abandonConns() {
 	for _, c := range n.conns {
-		c.goAwayReceived = true
+		c.noNewInvocations = true
 	}
 }
--- a/internal/node/digestexecutor_test.go
+++ b/internal/node/digestexecutor_test.go
@@ -1,5 +1,8 @@
 package node_test
 
+// The executor and the catalogue of a simNode in the digest tests. Times given to schedule and After are nanoseconds, those given to
+// randomDuration microseconds. What schedule plans is dropped when the node's process ends; After outlives it.
+
 import (
 	"bytes"
 	"fmt"
@@ -41,7 +44,7 @@
 	link := e.Link
 	switch e.Kind {
 	case node.DialExecutor:
-		failed := n.linkFault(4)
+		failed := n.linkFaultOnceIn(4)
 		n.schedule(n.randomDuration(100, 500), func() {
 			if failed {
 				n.deliver(node.Input{Kind: node.ExecutorDisconnected, Link: link, Err: errSimulated})
@@ -87,7 +90,7 @@
 		if r := n.runs[words[1]]; r != nil && r.awaitingCall {
 			r.awaitingCall = false
 			n.runSegment(r)
-		} else if n.linkFault(2) {
+		} else if n.linkFaultOnceIn(2) {
 			n.sendLine("BAD RETURN " + words[1])
 		}
 	}
@@ -108,17 +111,17 @@
 }
 
 // startRun starts a run unless it was started before: the node repeats unacknowledged commands on a new link.
-func (n *simNode) startRun(id, class string, body []byte) {
+func (n *simNode) startRun(id, operation string, body []byte) {
 	if n.executed[id] {
 		return
 	}
 	n.executed[id] = true
-	if n.linkFault(20) {
+	if n.linkFaultOnceIn(20) {
 		n.sendLine("BAD EXEC " + id)
 		return
 	}
 	r := &executorRun{id: id, body: string(body), calls: n.Rand.Intn(3)}
-	if class == "pay" {
+	if operation == "pay" {
 		r.calls = 0
 	}
 	n.runs[r.id] = r
@@ -132,8 +135,8 @@
 	}
 	words := strings.Fields(fmt.Sprintf("WELCOME %s %d", []string{"new", "old"}[n.seed&1], (n.Now-n.executorStartedAt)/millisecond))
 	n.deliver(node.Input{Kind: node.ExecutorLineReceived, Link: link, Line: lineprotocol.Line{Words: words}})
-	for _, c := range n.conns { // deep checks in the same step as the first welcome
-		if c.closeCount == 0 && n.oneIn(2) {
+	for _, c := range n.conns { // deep checks in the same step as a welcome, the first one in particular
+		if c.closeGeneration == 0 && n.oneIn(2) {
 			n.checkHealth(c, true)
 		}
 	}
@@ -185,8 +188,9 @@
 	}
 }
 
-// linkFault returns true once in the given number of times on average, if links are faulty.
-func (n *simNode) linkFault(times int) bool { return n.faultyLinks && n.oneIn(times) }
+// linkFaultOnceIn returns true once in the given number of times on average, if links are faulty. It also decides on refused commands
+// and wrong replies.
+func (n *simNode) linkFaultOnceIn(times int) bool { return n.faultyLinks && n.oneIn(times) }
 
 // executorFault causes a random fault of the executor's link: silence, a malformed line or a disconnect.
 func (n *simNode) executorFault() {
@@ -221,7 +225,7 @@
 	switch e.Kind {
 	case node.DialCatalogue:
 		kind, err := node.CatalogueConnected, error(nil)
-		if n.linkFault(6) {
+		if n.linkFaultOnceIn(6) {
 			kind, err = node.CatalogueDialFailed, errSimulated
 		}
 		n.schedule(n.randomDuration(100, 2_000), func() {
@@ -240,11 +244,11 @@
 		if n.oneIn(8) {
 			reply = lineprotocol.Line{Words: []string{words[1], []string{"LATER", "NOUSE", "FAULT", "TOOSLOW"}[n.Rand.Intn(4)]}}
 		}
-		if n.linkFault(15) {
+		if n.linkFaultOnceIn(15) {
 			reply = lineprotocol.Line{Words: [][]string{{"what"}, {words[1], "WHAT"}, {"ffffffffffffffff", "LATER"}}[n.Rand.Intn(3)]}
 		}
-		delay, duplicate, disconnect := n.randomDuration(2_000, 80_000), n.linkFault(10), n.linkFault(15)
-		if n.linkFault(12) {
+		delay, duplicate, disconnect := n.randomDuration(2_000, 80_000), n.linkFaultOnceIn(10), n.linkFaultOnceIn(15)
+		if n.linkFaultOnceIn(12) {
 			delay = 4_000 * millisecond
 		}
 		n.schedule(delay, func() {
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -50,11 +50,11 @@
 
 // callerConn is a connection of a caller.
 type callerConn struct {
-	link           int
-	lastStream     uint32
-	open           map[uint32]string
-	goAwayReceived bool
-	closeCount     int // closes that were started or cancelled
+	link             int
+	lastStream       uint32
+	open             map[uint32]string
+	noNewInvocations bool
+	closeGeneration  int // closes that were started or cancelled
 }
 
 // executorRun is a run at the executor.
@@ -250,7 +250,7 @@
 		n.closeConnSoon(link)
 	case node.ResumeConnection:
 		if c := n.conn(link); c != nil {
-			c.closeCount++
+			c.closeGeneration++
 		}
 	case node.StopAccepting:
 		n.schedule(n.randomDuration(100, 400), func() { n.deliver(node.Input{Kind: node.ListenerClosed}) })
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -12,8 +12,9 @@
 // maxOpenStreams limits the unanswered streams of a connection.
 const maxOpenStreams = 32
 
-// Errors of frames and invocations that can't be used. Those of a broken connection are sent to the dispatcher, so their
-// texts are part of the protocol.
+// Errors of frames and invocations that can't be used. A connection is broken, and not read any further, after a frame that can't
+// be used or too many such invocations. The dispatcher is sent the error that broke its connection, so the texts marked "sent" are
+// part of the protocol.
 var (
 	errInvalidField     = errors.New("missing or malformed")
 	errBodyTooLarge     = errors.New("body too large")
@@ -57,7 +58,7 @@
 	v := invocation{live: true, connectionLink: c.link, stream: f.Stream}
 	e := admission.Event{Kind: admission.Arrived, Tenant: -1, Original: admission.NoOriginal}
 	if err := sm.validateInvocation(c, f, &v, &e); err != nil {
-		sm.failMalformed(c, &v, err)
+		sm.failUnusable(c, &v, err)
 		return
 	}
 	c.markUsed(sm.now)
@@ -97,9 +98,9 @@
 	return nil
 }
 
-// failMalformed answers an invocation that can't be used with an error, and counts a fault of its connection. A retired
+// failUnusable answers an invocation that is malformed or can't be accepted with an error, and counts a fault of its connection. A retired
 // operation or tenant is no fault: callers learn of configuration changes late.
-func (sm *StateMachine) failMalformed(c *connection, v *invocation, err error) {
+func (sm *StateMachine) failUnusable(c *connection, v *invocation, err error) {
 	sm.Counters.BrokenInvocations++
 	sm.Counters.Errored++
 	sm.log(Warn, "invocation can't be used; answered with an error", v.invocationID, err)
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -46,7 +46,7 @@
 		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, framesSent(t, step(sm, broken)))
 	}
 	assert.NotEmpty(t, bytesSent(step(sm, invocationInput(20)), SendToExecutor))
-	assert.Equal(t, []string{"51 on 21"}, framesSent(t, step(sm, invocationInput(21))), "an unanswered invocation has the same call id")
+	assert.Equal(t, []string{"51 on 21"}, framesSent(t, step(sm, invocationInput(21))), "an unanswered invocation has the same id")
 }
 
 func TestBrokenConnectionClosesAfterItsStreamsAreAnswered(t *testing.T) {
@@ -74,6 +74,7 @@
 	step(sm, invocationInput(1))
 	sm.backpressure, sm.effects = "0.25", nil
 	sm.reject(&admission.Action{Invocation: 0, Duration: 249*ms + 1, NoRetry: true})
+	// The fields follow the code byte, frame.Throttled.
 	_, payload, _ := strings.Cut(string(sm.effects[0].Bytes), "\x32")
 	fields, _, err := frame.Fields([]byte(payload))
 	assert.NoError(t, err)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,22 +9,22 @@
 // Times at the end of a drain, in nanoseconds.
 const (
 	abortTimeout = 1_000 * ms // from an abort to the kill, for connections to close
-	exitMargin   = 100 * ms   // before the kill, at which the process exits even if peers have not read all answers
+	exitMargin   = 100 * ms   // the process exits this long before the kill, even if peers have not read all answers
 )
 
-// drainState tracks a graceful shutdown: the drain notice, the end of accepting, and the exit, which follows when nothing is
+// drainState tracks a graceful shutdown: the drain request, the end of accepting, and the exit, which follows when nothing is
 // pending or shortly before the process is killed.
 type drainState struct {
 	sm             *StateMachine
-	killDelay      int64 // ns from the notice to the kill
-	killAt         int64 // when the process is killed, set by the notice
+	killDelay      int64 // ns from the drain request to the kill
+	killAt         int64 // when the process is killed, set by the drain request
 	requested      bool
 	acceptStopped  bool
 	listenerClosed bool
-	exitPending    bool // the controller has finished; the node exits when all invocations are answered and all connections closed
+	exitPending    bool // the controller has finished, or there is none; the node exits when all invocations are answered and all connections closed
 }
 
-// isRequested reports whether the drain notice was received.
+// isRequested reports whether a drain was requested.
 func (d *drainState) isRequested() bool { return d.requested }
 
 // isAcceptStopped reports whether the node has stopped accepting connections and invocations.
@@ -36,8 +36,8 @@
 // setListenerClosed records that the listener is closed, so that no more connections can be opened.
 func (d *drainState) setListenerClosed() { d.listenerClosed = true }
 
-// start handles a drain notice: the controller drains the node. A node without a controller has nothing to drain and exits when
-// its connections are closed. Further notices are ignored.
+// start handles a drain request: the controller drains the node. A node without a controller has nothing to drain and exits when
+// its connections are closed. Further requests are ignored.
 func (d *drainState) start() {
 	if d.requested {
 		return
@@ -59,7 +59,7 @@
 func (d *drainState) abort() {
 	d.start()
 	sm := d.sm
-	sm.log(Info, "drain notice again; aborting all pending invocations", "", nil)
+	sm.log(Info, "abort requested; aborting all pending invocations", "", nil)
 	d.killAt = min(d.killAt, sm.now+abortTimeout)
 	if sm.controller != nil {
 		sm.events = append(sm.events, admission.Event{Kind: admission.DrainRequested, KillAt: sm.now})
--- a/internal/node/executor.go
+++ b/internal/node/executor.go
@@ -17,8 +17,9 @@
 )
 
 // executorState manages the links to the executor, of which at most one is current. The node dials a link and sends JOIN with
-// the number of the last notice that it applied. The executor answers WELCOME and repeats the later notices. The link is
-// synced when all of them have been received; commands are sent on a synced link only.
+// the number of the last notice that it applied. Notices are the numbered lines EXIT, CALLOUT and LOG, which the executor keeps.
+// The executor answers WELCOME and repeats the later notices. The link is synced when all of them have been received. The commands
+// of invocations, EXEC and RETURN, are sent on a synced link only; requests for gauges are sent after the welcome.
 type executorState struct {
 	sm *StateMachine
 
@@ -43,7 +44,7 @@
 
 func (x *executorState) isWelcomed() bool { return x.isConnected() && x.welcomedLink == x.link }
 
-// isSynced reports whether commands can be sent on the link.
+// isSynced reports whether commands of invocations can be sent on the link.
 func (x *executorState) isSynced() bool { return x.synced }
 
 func (x *executorState) isDisconnected() bool { return x.link == 0 && x.dialingLink == 0 }
@@ -150,11 +151,22 @@
 func (x *executorState) lineReceived(line lineprotocol.Line) {
 	x.lastLineAt = x.sm.now
 	if err := x.applyLine(line.Words, line.Body); err != nil {
-		x.sm.log(Warn, "executor sent a malformed line; closing its link", "", err)
+		x.sm.log(Warn, "executor sent a line that can't be applied; closing its link", "", err)
 		x.sm.emit(Effect{Kind: CloseExecutor, Link: x.link})
 	}
 }
 
+// applyLine applies a line of the executor:
+//
+//	WELCOME new|old age-ms
+//	METERS tag gauge...
+//	DIAGNOSED tag good|bad
+//	BAD command [word...] invocation-id
+//	EXIT number invocation-id outcome unused body-length, with the result as its body
+//	CALLOUT number invocation-id body-length, with the body of the call
+//	LOG number word...
+//
+// Lines that can't be applied are errors.
 func (x *executorState) applyLine(words []string, body []byte) error {
 	count := len(words)
 	switch words[0] {
@@ -191,9 +203,10 @@
 	return fmt.Errorf("node: unknown or malformed line of the executor: %q", words)
 }
 
-// welcomed starts the controller at the executor's first welcome, with the executor's state and age in milliseconds. The
-// executor sends the missed notices after the welcome and before it answers the request for gauges sent here, so that the
-// answer proves that all of them were received.
+// welcomed starts the controller at the executor's first welcome. The state is "new" if the executor has just started, so that the
+// controller starts cold; the age is the time since the executor's start in milliseconds. The executor sends the missed notices
+// after the welcome and before it answers the request for gauges sent here, so that the answer proves that all of them were
+// received.
 func (x *executorState) welcomed(state, age string) {
 	x.welcomedLink = x.link
 	x.send("METER", x.syncTag())
@@ -205,14 +218,15 @@
 		ageMS = 0
 	}
 	x.sm.startController(state == "new", x.sm.now-int64(ageMS*float64(ms)))
-	x.sm.log(Info, "executor is up, serving", state, nil)
+	x.sm.log(Info, "executor is up; admitting invocations", state, nil)
 }
 
-// noticeReceived applies a numbered notice unless it was applied before. A gap in the numbers is an error on a synced link.
+// noticeReceived applies a numbered notice unless it was applied before. A missing or malformed number, taken as -1, is an error.
+// On a synced link a gap in the numbers is an error too.
 func (x *executorState) noticeReceived(words []string, body []byte) error {
 	number := noticeNumber(words)
-	if number <= 0 || number > x.lastNotice+1 && x.synced { // the caller closes the link; the next one brings the missing notices
-		return fmt.Errorf("node: notice %d of the executor follows notice %d", number, x.lastNotice)
+	if number <= 0 || number > x.lastNotice+1 && x.synced { // the caller closes the link; the executor repeats missing notices on the next one
+		return fmt.Errorf("node: executor sent notice %d after notice %d, expected the next number", number, x.lastNotice)
 	}
 	if number <= x.lastNotice {
 		return nil
@@ -248,18 +262,18 @@
 func (x *executorState) runExited(invocationID, word string, body []byte) error {
 	outcome, known := outcomeByWord[word]
 	if !known {
-		return fmt.Errorf("node: unknown outcome of a run of the executor: %q", word)
+		return fmt.Errorf("node: executor reported unknown outcome %q of a run, expected good, bad, cut or gone", word)
 	}
 	sm := x.sm
 	i, v := sm.findInvocation(invocationID)
 	if v == nil { // it was released before its run ended, or started by an earlier incarnation of this node
-		if outcome <= admission.Errored {
+		if outcome <= admission.Errored { // Succeeded or Errored: the run took place
 			sm.addClaimInput(claims.Input{Kind: claims.EarlierRunEnded, InvocationID: invocationID, Outcome: uint8(outcome), Result: body})
 		}
 		return nil
 	}
 	x.commands.acknowledgeInvocation(v.invocationID)
-	if v.inCache {
+	if v.submittedToCache {
 		sm.tokenRunEnded(i, outcome, body)
 		return nil
 	}
@@ -296,7 +310,7 @@
 	if v == nil || name != "EXEC" {
 		return
 	}
-	if v.inCache {
+	if v.submittedToCache {
 		sm.tokenRunEnded(i, admission.NeverStarted, nil)
 		return
 	}
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -28,10 +28,10 @@
 	sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	var given *admission.Config
 	var coresStartedAt int64
-	decisions := sm.Decisions
-	sm.Decisions = func(config *admission.Config, born int64) Decider {
-		given, coresStartedAt = config, born
-		return decisions(config, born)
+	newController := sm.Decisions
+	sm.Decisions = func(config *admission.Config, startedAt int64) Decider {
+		given, coresStartedAt = config, startedAt
+		return newController(config, startedAt)
 	}
 	step(sm)
 	processStartedAt := sm.now
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestMissedNoticesAreRequestedOnANewLinkAndDuplicatesIgnored(t *testing.T) {
+func TestMissedNoticesAreAppliedFromANewLinkAndDuplicatesIgnored(t *testing.T) {
 	sm := newServingNode(t)
 	step(sm, invocationInput(1))
 	assert.Equal(t, CloseExecutor, executorSends(sm, "EXIT 2 "+testInvocationID+" good 12 6|result")[0].Kind)
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -25,15 +25,15 @@
 type healthChecks struct {
 	sm            *StateMachine
 	healthy       bool                 // last reported by the controller
-	cachedOnly    bool                 // deep checks are answered like shallow ones
+	shallowOnly   bool                 // deep checks are answered like shallow ones
 	deepChecks    map[string]deepCheck // by the tag of the executor command
 	lastTagNumber int                  // number of the last tag given
 }
 
 // setHealth stores a health report of the controller.
-func (h *healthChecks) setHealth(healthy, cached bool) {
+func (h *healthChecks) setHealth(healthy, shallowOnly bool) {
 	h.healthy = healthy
-	h.cachedOnly = cached
+	h.shallowOnly = shallowOnly
 }
 
 // isServing reports whether the node has a controller and is healthy.
@@ -43,7 +43,7 @@
 func (h *healthChecks) received(c *connection, f *frame.Frame) {
 	fields, _, err := frame.Fields(f.Payload)
 	if err != nil || f.Oversized {
-		h.sm.log(Warn, "malformed health check", "", err)
+		h.sm.log(Warn, "malformed health check; answered all the same", "", err)
 	} else {
 		c.markUsed(h.sm.now)
 	}
@@ -59,7 +59,7 @@
 }
 
 func (h *healthChecks) canStartDeepCheck() bool {
-	return h.healthy && !h.cachedOnly && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deepChecks) < maxDeepChecks
+	return h.healthy && !h.shallowOnly && h.sm.config.Node.DeepHealthChecks && h.sm.executor.isConnected() && len(h.deepChecks) < maxDeepChecks
 }
 
 func (h *healthChecks) startDeepCheck(c *connection, stream uint32) {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -104,7 +104,8 @@
 	return s
 }
 
-// framesSent is the frames among the effects.
+// framesSent returns the frames among the effects as texts: "20 on 3" is a success on stream 3, 50 a throttle and 51 an error, with
+// stream 0 for the connection itself; "check 20" is healthy and "check 51" unhealthy; "no more" is a go-away.
 func framesSent(t *testing.T, effects []Effect) (got []string) {
 	for _, e := range effects {
 		if e.Kind != SendToConnection {
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -12,11 +12,11 @@
 // invocation is the state of a dispatcher's invocation, from its arrival until the controller releases its index. Times are
 // nanoseconds of the machine's clock.
 type invocation struct {
-	live             bool
-	answered         bool
-	connectionLink   int // link of the dispatcher's connection, noConnection if taken over from a lost node
+	live             bool // the index is in use
+	answered         bool // or it needs no answer any more: its caller disconnected, or it was resubmitted
+	connectionLink   int  // link of the dispatcher's connection, noConnection if taken over from a lost node
 	stream           uint32
-	invocationID     string // given by the dispatcher
+	invocationID     string // given by the dispatcher, in the field call
 	operationName    string
 	body             []byte
 	callRequest      []byte // body of the call to the catalogue that the run waits for
@@ -30,8 +30,8 @@
 	arrivedAt        int64
 	deadline         int64 // when the client timeout ends
 	atExecutor       bool  // the executor was sent the run of the token
-	inCache          bool  // it was submitted to the result cache
-	runEndUnreported bool  // its run has ended; the controller learns of it when the result is recorded and the answer sent
+	submittedToCache bool  // it was submitted to the result cache
+	runEndUnreported bool  // its run has ended, and reportRunEnd has not told the controller yet
 	runOutcome       admission.Outcome
 	abandoned        bool           // its caller disconnected, but other invocations wait for its run
 	runForm          admission.Form // chosen by the controller, kept until the run's start is recorded
@@ -75,10 +75,10 @@
 // with an error.
 func (sm *StateMachine) releaseInvocation(i int32) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live, "a released invocation index is in use") {
+	if !sm.Invariants.Check(v.live, "a released invocation index must be in use") {
 		return
 	}
-	if !sm.Invariants.Check(v.answered, "a released invocation was answered") {
+	if !sm.Invariants.Check(v.answered, "a released invocation must have been answered") {
 		sm.fail(i)
 	}
 	sm.catalogue.cancelCall(i)
@@ -96,21 +96,21 @@
 	if !sm.Invariants.Check(v.live && !v.answered, "a run starts only for an unanswered invocation") {
 		return
 	}
-	if v.tokenKey.Token != "" && !v.inCache {
+	if v.tokenKey.Token != "" && !v.submittedToCache {
 		v.runForm = form
 		sm.startTokenRun(i)
 		return
 	}
-	class, level := sm.executorOperation(v.operationName, form)
+	executorName, level := sm.executorOperation(v.operationName, form)
 	v.levelName = level
-	sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.invocationID, class))
+	sm.sendCommand(i, lineprotocol.AppendBody(nil, v.body, "EXEC", v.invocationID, executorName))
 	v.body = nil
 }
 
 // callerDisconnected ends an invocation whose caller disconnected, unless other invocations wait for its run.
 func (sm *StateMachine) callerDisconnected(i int32) {
 	v := &sm.invocations[i]
-	if !sm.Invariants.Check(v.live && !v.answered, "the invocation of an open stream is unanswered") {
+	if !sm.Invariants.Check(v.live && !v.answered, "the invocation of an open stream must be unanswered") {
 		return
 	}
 	sm.Counters.CallersGone++
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -25,8 +25,8 @@
 	recoveredRecords int  // records read from the store at the start
 }
 
-// pendingToken is a token whose first invocation, its original, the admission controller has not started yet. Later invocations
-// with the token are its duplicates and wait for the original.
+// pendingToken is a token whose run the admission controller has not started. The token's first invocation is called its original;
+// later ones are its duplicates and wait for the original.
 type pendingToken struct {
 	original   int32
 	bodyHash   uint64
@@ -68,8 +68,8 @@
 	if rs.isPending(key) {
 		return true
 	}
-	_, cached := rs.cache.BodyHash(key)
-	return cached
+	_, hasEntry := rs.cache.BodyHash(key)
+	return hasEntry
 }
 
 // addPending records the original of a token, for which duplicates wait from now on.
@@ -109,11 +109,11 @@
 		e.Original = p.original
 		return nil
 	}
-	if hash, cached := rs.cache.BodyHash(v.tokenKey); cached {
+	if hash, hasEntry := rs.cache.BodyHash(v.tokenKey); hasEntry {
 		if hash != v.bodyHash {
 			return errTokenReused
 		}
-		e.Original = admission.OriginalEnded
+		e.Original = admission.OriginalEnded // not pending any more; the run of the original may still be in flight
 	}
 	return nil
 }
@@ -129,7 +129,8 @@
 	sm.claimToken(i)
 }
 
-// joinOriginal makes a duplicate wait for the original of its token. A token that is not pending is answered by the result cache.
+// joinOriginal makes a duplicate wait for the original of its token while the token is pending. A token that has left that state is
+// in the result cache, which answers the duplicate or joins it to the run, or is unknown by now, and the duplicate is resubmitted.
 func (sm *StateMachine) joinOriginal(i int32) {
 	v := &sm.invocations[i]
 	if !sm.Invariants.Check(v.live && !v.answered && v.tokenKey.Token != "", "only an unanswered invocation with a token joins an original") {
@@ -169,14 +170,14 @@
 	if c == nil { // the connection ends in this step and the invocation with it
 		return
 	}
-	if !sm.Invariants.Check(v.live && !v.answered, "a resubmitted invocation is unanswered") {
+	if !sm.Invariants.Check(v.live && !v.answered, "a resubmitted invocation must be unanswered") {
 		return
 	}
 	sm.invocations[i].answered = true
 	sm.owedAnswers--
 	sm.notifyController(admission.Event{Kind: admission.RunEnded, Invocation: i, Outcome: admission.NeverStarted})
 	e := v.arrivalEvent
-	v.inCache = false
+	v.submittedToCache = false
 	v.tokenExpiresAt = 0
 	j := sm.addInvocation(v)
 	c.openStreams[v.stream] = j
@@ -202,7 +203,7 @@
 	if v.tokenKey.Token == "" {
 		return false
 	}
-	if !v.inCache {
+	if !v.submittedToCache {
 		if p := sm.results.pending[v.tokenKey]; p != nil {
 			sm.removePendingWaiter(p, i)
 		}
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -13,7 +13,7 @@
 // submitToCache submits an invocation to the result cache, which runs it, joins it to the run of its token, or answers it.
 func (sm *StateMachine) submitToCache(i int32) {
 	v := &sm.invocations[i]
-	v.inCache = true
+	v.submittedToCache = true
 	until := v.tokenExpiresAt
 	if until == 0 {
 		until = sm.now + v.terms.tokenLifetime
@@ -35,13 +35,13 @@
 		ending = resultcache.NeverStarted
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.RunEnded, Key: v.tokenKey, Outcome: ending, Result: body})
-	if sm.invocations[i].answered { // in stepCache, which may have reallocated the table
+	if sm.invocations[i].answered { // stepCache has answered it; v may be stale, as the table may have been reallocated
 		sm.reportRunEnd(i)
 	}
 }
 
-// reportRunEnd notifies the admission controller of the end of a run, where it was not notified when the run ended because the
-// answer waited for the record.
+// reportRunEnd notifies the admission controller that the run of an invocation with a token has ended, unless it was notified
+// before. tokenRunEnded leaves this to the time when the outcome is recorded and the answer sent.
 func (sm *StateMachine) reportRunEnd(i int32) {
 	v := &sm.invocations[i]
 	if v.runEndUnreported {
@@ -127,7 +127,7 @@
 		if sm.group.enabled() {
 			sm.addClaimInput(claims.Input{Kind: claims.AbandonClaim, Key: sm.claimKey(a.Key)})
 		}
-	case resultcache.Join:
+	case resultcache.Join: // the invocation waits
 	default:
 		sm.answerFromCache(a)
 	}
@@ -143,7 +143,8 @@
 	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: remaining}})
 }
 
-// recordRunEnd records the outcome of a run in the consensus group or the store.
+// recordRunEnd records the outcome of a run in the consensus group or the store. In the store it stays for the longest lifetime of
+// the operation's tokens, counted from the end of the run.
 func (sm *StateMachine) recordRunEnd(a *resultcache.Action) {
 	if sm.group.enabled() {
 		sm.addClaimInput(claims.Input{Kind: claims.ReportEnd, Key: sm.claimKey(a.Key), Outcome: uint8(a.Outcome), Result: a.Result})
@@ -160,7 +161,7 @@
 	if !sm.Invariants.Check(v.live && !v.answered, "the result cache answers only unanswered invocations") {
 		return
 	}
-	reportedByAnswer := v.runEndUnreported
+	reportedByAnswer := v.runEndUnreported // answer reports the end of the invocation's own run
 	var fields []frame.Field
 	if a.FromCache {
 		fields = append(fields, frame.Field{Name: "kept", Value: "1"})
@@ -202,7 +203,8 @@
 	}
 }
 
-// expireTokens expires the tokens that are due. Any step of the cache does so; the input itself has no effect.
+// expireTokens expires the tokens that are due. Any step of the cache does so, but stepCache needs an input: a disconnect with an
+// empty key is ignored.
 func (sm *StateMachine) expireTokens() {
 	rs := &sm.results
 	if rs.cache != nil && sm.now >= rs.cache.NextExpiry() {
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -105,12 +105,12 @@
 	for n := range 24 { // more than the node runs at once
 		step(r, invocationInput(uint32(n+1), "op", "hold", "call", id(n+1), "dedupe", fmt.Sprint("t", n)))
 	}
-	var first int32 = -1
+	var original int32 = -1
 	for _, p := range r.results.pending {
-		first = max(first, p.original)
+		original = max(original, p.original)
 	}
-	require.GreaterOrEqual(t, first, int32(0), "at least one token is pending")
-	v := r.invocations[first]
+	require.GreaterOrEqual(t, original, int32(0), "at least one token is pending")
+	v := r.invocations[original]
 	owed := r.owedAnswers
 	step(r, invocationInput(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
 	assert.Equal(t, owed+1, r.owedAnswers)
