--- a/internal/fleet/claims/client_retry.go
+++ b/internal/fleet/claims/client_retry.go
@@ -7,7 +7,7 @@
 	unreachableTimeout = 700 * ms   // ns without an answer after which the group counts as unreachable: about as long as an election takes
 	idleProbeInterval  = 2_000 * ms // ns after the last answer when an idle client probes the group
 	probeInterval      = 200 * ms   // ns between probes of an unreachable group
-	scanInterval       = 20 * ms    // ns at least between scans of all claims
+	scanInterval       = 20 * ms    // ns; shortest time between scans of all claims
 )
 
 // sendCommand sends a new command of a claim. It replaces the claim's command in flight, if any.
--- a/internal/fleet/claims/command.go
+++ b/internal/fleet/claims/command.go
@@ -53,7 +53,7 @@
 
 // The answers to commands.
 const (
-	AnswerDone           Answer = iota // applied, now or by an earlier copy of the command
+	AnswerDone           Answer = iota // applied, now or before; also if a Release, MarkUnknown, Resolve or AdvanceTime had no effect
 	AnswerGranted                      // Claim: the sender owns the claim; Start: it may run; Reassign: NewOwner owns it
 	AnswerOwnedElsewhere               // another owner has the claim; the sender is notified of its end
 	AnswerCompleted                    // the run ended, with Outcome and Result
--- a/internal/fleet/claims/table.go
+++ b/internal/fleet/claims/table.go
@@ -13,8 +13,8 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	maxReturns        = 4       // of one claim by new owners without capacity; one more removes it, since the fleet has no capacity
-	maxWaiters        = 16      // nodes that are notified of the end of one claim; any others poll
+	maxReturns        = 4       // returns of one claim by new owners without capacity; with the next return the fleet counts as full, and the claim is removed
+	maxWaiters        = 16      // nodes that are notified of the end of one claim; others learn of it when they claim again
 	defaultTableBytes = 4 << 20 // size limit of a table until a command sets another
 )
 
@@ -44,7 +44,7 @@
 	reassigned map[Key]*Entry // claims that a new owner has not started
 	expiry     expiryheap.Heap[*Entry]
 	time       int64  // ns since the table was created
-	fence      uint64 // the last one given to a claim
+	fence      uint64 // the last fence that was assigned
 	bytes      int64
 	maxBytes   int64
 }
--- a/internal/fleet/quota/config.go
+++ b/internal/fleet/quota/config.go
@@ -17,7 +17,7 @@
 	Units      int64 // of the limit; checked and described, not used by the holder
 }
 
-// driftMargin returns by how much a lease ends earlier for its holder than for the table, to allow for clock drift.
+// driftMargin returns how long before the end of its term a lease ends for its holder, to allow for clock drift.
 func (c *HolderConfig) driftMargin() int64 { return c.LeaseTerm / driftDivisor }
 
 // Problem returns what is wrong with the configuration, or an empty string.
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -31,7 +31,7 @@
 	self          Owner
 	lastSeq       uint64
 	units         int64 // of the lease
-	usableUntil   int64 // when the use of a unit may begin no more
+	usableUntil   int64 // no use of a unit may begin from then on
 	fairShare     int64
 	requestedAt   int64 // when the request in flight was first sent, 0 for none
 	lastSentAt    int64
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -16,7 +16,7 @@
 )
 
 // MaxTimeStep is the most by which the table's time advances at once, in ns. The first advance after a grant may include time that
-// passed before the grant, later ones can't. Leases last longer by MaxTimeStep in the table than for their holders.
+// passed before the grant, later ones can't. The table therefore keeps a lease MaxTimeStep longer than its term.
 const MaxTimeStep = 500 * ms
 
 // Lease is a holder's lease of units of one limit.
