--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -148,7 +148,7 @@
 	node := startNode(t, nil)
 	out, err := exec.Command(program, "check", "--fleet", path, node.configPath).CombinedOutput()
 	assert.Error(t, err)
-	for _, want := range []string{path + ":3: bind: is every address", path + ":4: seeds.0:", path + ":5: silence: holds fewer than 4 probes"} {
+	for _, want := range []string{path + ":3: bind: is the unspecified address", path + ":4: seeds.0:", path + ":5: silence: is shorter than 4 probe intervals"} {
 		assert.Contains(t, string(out), want)
 	}
 }
--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -187,7 +187,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	out, err := exec.Command(program, "seat", "--name", "s1", path).CombinedOutput()
 	assert.Error(t, err)
-	assert.Contains(t, string(out), path+":3: council.folder: \"here\" is no absolute path")
+	assert.Contains(t, string(out), path+":3: council.folder: \"here\" is not an absolute path")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(text, "'here'", "'/nowhere'", 1)), 0o600))
 	out, err = exec.Command(program, "seat", "--name", "s2", path).CombinedOutput()
 	assert.Error(t, err)
--- a/internal/fleet/fleetconfig/consensusgroup.go
+++ b/internal/fleet/fleetconfig/consensusgroup.go
@@ -12,15 +12,15 @@
 const (
 	defaultTableBytes = 4 << 20 // some 10,000 claims
 	minTableBytes     = 64 << 10
-	maxTableBytes     = 12 << 20      // one message of a stream holds it
-	defaultLeaseTerm  = 4_000_000_000 // ns; longer than an election
+	maxTableBytes     = 12 << 20      // the table must fit in one message of a stream
+	defaultLeaseTerm  = 4_000_000_000 // ns; lasts longer than an election
 	callQuotaName     = "calls"
 )
 
-// ConsensusGroup is the group of replicas that agrees on claims of idempotency keys for the fleet.
+// ConsensusGroup configures the replicas that agree on claims of idempotency tokens for the fleet.
 type ConsensusGroup struct {
 	Replicas         []string // names of nodes
-	Folder           string   // where the node stores its replica's state; empty in memory only
+	Folder           string   // where the node stores its replica's state; empty to hold it in memory only
 	MaxTableBytes    int64    // of the table of claims
 	CallQuota        *quota.HolderConfig
 	CallQuotaVersion uint64 // 0 without a quota
@@ -37,13 +37,13 @@
 	}
 	r.checkReplicas(group.Replicas)
 	if group.MaxTableBytes < minTableBytes || group.MaxTableBytes > maxTableBytes {
-		r.fail(fmt.Sprintf("is %d bytes", group.MaxTableBytes), "choose 64 KiB to 12 MiB: a seat that comes back gets it in one piece",
+		r.fail(fmt.Sprintf("is %d bytes", group.MaxTableBytes), "choose 64 KiB to 12 MiB: a replica that rejoins receives the table in one message",
 			"council", "table")
 	}
 	return group
 }
 
-// readCallQuota reads the quota of concurrent calls of the whole fleet.
+// readCallQuota reads the fleet-wide quota of concurrent calls.
 func (r *fileReader) readCallQuota(group *ConsensusGroup, content *callsContent) {
 	group.CallQuotaVersion = 1
 	if content.Version != nil {
@@ -62,11 +62,11 @@
 
 func (r *fileReader) checkReplicas(names []string) {
 	if n := len(names); n != 1 && n != 3 && n != 5 {
-		r.fail(fmt.Sprintf("are %d", n), "name 1, 3 or 5 nodes: a council of an even number bears no more losses than one of a seat less",
+		r.fail(fmt.Sprintf("lists %d nodes, expected 1, 3 or 5", n), "list an odd number: an even one tolerates no more failures than one node less",
 			"council", "seats")
 	}
 	sorted := slices.Sorted(slices.Values(names))
 	if len(slices.Compact(sorted)) < len(names) {
-		r.fail("name a node twice", "name each once", "council", "seats")
+		r.fail("lists a node twice", "list each node once", "council", "seats")
 	}
 }
--- a/internal/fleet/fleetconfig/describe.go
+++ b/internal/fleet/fleetconfig/describe.go
@@ -4,11 +4,11 @@
 
 const nanosecondsPerSecond = 1e9
 
-// Describe returns a text for operators on what the settings amount to: which pauses are tolerated, and when all nodes
-// know of a failure.
+// Describe returns a summary of the configuration for operators: the pauses that are tolerated, the time until all nodes
+// know of a failure, and what the consensus group does.
 func (f *Fleet) Describe() string {
 	c := &f.Membership
-	text := fmt.Sprintf("a pause of up to %s is borne; a death is known to all within about %s; a member outside the view is looked for for %s",
+	text := fmt.Sprintf("pauses of up to %s are tolerated; all nodes know of a failure within about %s; lost members are probed for %s",
 		formatSeconds(c.LinkTimeout-c.ProbeInterval), formatSeconds(f.DetectionTime()), formatSeconds(c.ForgetTimeout))
 	if f.ConsensusGroup != nil {
 		text += f.ConsensusGroup.describe()
@@ -22,9 +22,9 @@
 func (g *ConsensusGroup) describe() string {
 	location := "in memory only"
 	if g.Folder != "" {
-		location = "and seats keep it in " + g.Folder
+		location = "stored in " + g.Folder
 	}
-	text := fmt.Sprintf("; a council of %d, which bears the loss of %d at a time, agrees on claims of tokens, %d kB at the most, %s",
+	text := fmt.Sprintf("; a council of %d seats, which tolerates the loss of %d at a time, agrees on claims of idempotency tokens, at most %d kB, %s",
 		len(g.Replicas), len(g.Replicas)/2, g.MaxTableBytes>>10, location)
 	if g.CallQuota != nil {
 		text += "; " + g.CallQuota.DescribeBound()
@@ -33,11 +33,11 @@
 }
 
 func (c *ConfigSync) describe() string {
-	location := "in memory only, so that a start is from the node's file until a seat is heard"
+	location := "in memory only, so a restart uses the node's file until a seat answers"
 	if c.Folder != "" {
-		location = "and the last version is kept in " + c.Folder
+		location = "and the latest is stored in " + c.Folder
 	}
-	return "; operations, tenants and limits are taken in service from versions that the council agrees on, " + location
+	return "; operations, tenants and limits come from versions that the council agrees on, " + location
 }
 
 func formatSeconds(ns int64) string { return fmt.Sprintf("%g s", float64(ns)/nanosecondsPerSecond) }
--- a/internal/fleet/fleetconfig/fleetconfig.go
+++ b/internal/fleet/fleetconfig/fleetconfig.go
@@ -9,20 +9,20 @@
 	"topazpost/internal/fleet/membership"
 )
 
-// Fleet is the configuration of a fleet for one of its nodes.
+// Fleet is the configuration of a fleet as read for one of its nodes.
 type Fleet struct {
 	Name                string
 	Bind                string // address that peers connect to
-	AllowAnyAddress     bool   // Bind may be an unspecified address
+	AllowAnyAddress     bool   // Bind can be an unspecified address
 	Membership          membership.Config
-	PreviousIncarnation uint64          // as stored on disk, 0 without one
+	PreviousIncarnation uint64          // as stored on disk; 0 without a stored one
 	ConsensusGroup      *ConsensusGroup // nil without one
-	ConfigSync          *ConfigSync     // nil where configurations change by a restart only
-	ClockOffset         int64           // ns that the wall clock is set ahead, for tests
+	ConfigSync          *ConfigSync     // nil where the configuration changes only by a restart
+	ClockOffset         int64           // ns added to the wall clock, for tests
 	Path                string
 }
 
-// Read reads the fleet file at a path for the node of a name.
+// Read reads the fleet file at path for the node with the given name.
 func Read(path, name string) (*Fleet, error) {
 	file, err := configfile.Read(path)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return From(file, name)
 }
 
-// From reads the fleet for the node of a name from a file that was evaluated. The error covers all problems of the file.
+// From reads the fleet from an evaluated file for the node with the given name. The error lists all problems of the file.
 func From(file *configfile.File, name string) (*Fleet, error) {
 	if err := file.Check(schema()); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	return fleet, nil
 }
 
-// DetectionTime is the time, in nanoseconds, within which all nodes know of a failure where links are healthy.
+// DetectionTime returns the nanoseconds within which all nodes know of a failure, provided that the other links work.
 func (f *Fleet) DetectionTime() int64 {
 	return f.Membership.LinkTimeout + f.Membership.SuspicionTimeout + f.Membership.ProbeInterval
 }
@@ -70,12 +70,12 @@
 // fileReader reads a fleet file and collects its problems.
 type fileReader struct {
 	file     *configfile.File
-	node     string // name
+	node     string // name of the node
 	content  fileContent
 	problems configfile.ProblemErrors
 }
 
-// fail adds a problem with the value at a path.
+// fail records a problem with the value at a path of the file, and how to fix it.
 func (r *fileReader) fail(message, hint string, path ...string) {
 	r.problems = append(r.problems, r.file.At(path, message, hint))
 }
@@ -85,7 +85,7 @@
 	if r.content.Advertise != "" {
 		r.checkAddress(r.content.Advertise, "advertise")
 	} else if r.content.AnyAddress {
-		r.fail("needs an address that peers are told", "set advertise", "any_address")
+		r.fail("requires an address that peers can connect to", "set advertise", "any_address")
 	}
 	for i, seed := range r.content.Seeds {
 		r.checkAddress(seed, "seeds", strconv.Itoa(i))
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -22,13 +22,13 @@
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:7946", f.Membership.Address)
 	assert.Equal(t, []int64{6_000_000_000, defaultProbeInterval, defaultSuspicionTimeout, -10_000_000_000}, []int64{f.Membership.LinkTimeout, f.Membership.ProbeInterval, f.Membership.SuspicionTimeout, f.ClockOffset})
-	assert.Contains(t, f.Describe(), "a pause of up to 5.5 s is borne")
+	assert.Contains(t, f.Describe(), "pauses of up to 5.5 s are tolerated")
 }
 
 func TestReadReportsAllProblems(t *testing.T) {
 	_, err := Read(writeFleetFile(t, "{\n fleet: 'x',\n bind: 'here',\n probe: '10 ms',\n settle: '9 s',\n forget: '1 s',\n any_address: true,\n}"), "n1")
 	require.Error(t, err)
-	for _, want := range []string{":3: bind: \"here\" is no address", ":4: probe: is shorter", ":5: settle: is longer", ":6: forget: is shorter", ":7: any_address: needs"} {
+	for _, want := range []string{":3: bind: \"here\" is not an address", ":4: probe: is shorter", ":5: settle: is longer", ":6: forget: is shorter", ":7: any_address: requires"} {
 		assert.Contains(t, err.Error(), want)
 	}
 }
@@ -45,11 +45,11 @@
 		CallQuota: &quota.HolderConfig{Name: "calls", Units: 90, MaxUseTime: 1_000_000_000, LeaseTerm: 4_000_000_000}}, f.ConsensusGroup)
 	assert.Contains(t, f.Describe(), "at most 90 calls in use fleet-wide")
 	assert.Equal(t, int64(1_300_000_000), f.DetectionTime())
-	assert.Contains(t, f.Describe(), "which bears the loss of 1 at a time")
+	assert.Contains(t, f.Describe(), "which tolerates the loss of 1 at a time")
 }
 
 func TestReadRejectsInvalidConsensusGroups(t *testing.T) {
-	for seats, want := range map[string]string{"['a', 'b']": "are 2; name 1, 3 or 5", "['a', 'b', 'a']": "name a node twice"} {
+	for seats, want := range map[string]string{"['a', 'b']": "lists 2 nodes, expected 1, 3 or 5", "['a', 'b', 'a']": "lists a node twice"} {
 		_, err := Read(writeFleetFile(t, "{\n fleet: 'x',\n bind: '127.0.0.1:7946',\n council: { seats: "+seats+" },\n}"), "n1")
 		assert.ErrorContains(t, err, "council.seats: "+want)
 	}
--- a/internal/fleet/fleetconfig/membership.go
+++ b/internal/fleet/fleetconfig/membership.go
@@ -12,16 +12,16 @@
 const (
 	defaultProbeInterval    = 500_000_000
 	minProbeInterval        = 50_000_000
-	minProbesPerTimeout     = 4             // so that some lost probes don't end a link
-	defaultLinkTimeout      = 3_500_000_000 // longer than a pause of 3 s
-	defaultSuspicionTimeout = 400_000_000   // longer than gossip takes on another path
+	minProbesPerTimeout     = 4             // so that a few lost probes don't end a link
+	defaultLinkTimeout      = 3_500_000_000 // tolerates a pause of 3 s
+	defaultSuspicionTimeout = 400_000_000   // longer than gossip takes over another path
 	defaultForgetTimeout    = 3_600_000_000_000
 	minLinkTimeoutsToForget = 2
-	defaultMaxMembers       = 512   // live and failed ones: 200 kB
-	maxMembers              = 1_500 // whose table fits in one message
+	defaultMaxMembers       = 512   // including lost ones; such a table takes 200 kB
+	maxMembers              = 1_500 // a table of this size fits in one message
 )
 
-// membership returns the membership's configuration, with defaults for what the file doesn't set.
+// membership returns the membership configuration, with defaults for settings that the file omits.
 func (r *fileReader) membership() membership.Config {
 	c := membership.Config{
 		Name:             r.node,
@@ -43,7 +43,7 @@
 	return c
 }
 
-// timeOr returns a time in nanoseconds, or a default where it is not set.
+// timeOr returns t in nanoseconds, or defaultNS if t is nil.
 func timeOr(t *configfile.Time, defaultNS int64) int64 {
 	if t == nil {
 		return defaultNS
@@ -51,17 +51,17 @@
 	return int64(*t)
 }
 
-// checkAddress checks the address at a path, which peers connect to.
+// checkAddress checks that peers can connect to the address at a path of the file.
 func (r *fileReader) checkAddress(address string, path ...string) {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		r.fail(fmt.Sprintf("%q is no address with a port", address), `write it as "192.0.2.7:7946"; names are not looked up`, path...)
+		r.fail(fmt.Sprintf("%q is not an address with a port", address), `write it as "192.0.2.7:7946"; host names are not resolved`, path...)
 	case parsed.Port() == 0:
-		r.fail("has the port 0", "choose one that all nodes can be told of", path...)
+		r.fail("has port 0", "choose a fixed port", path...)
 	case parsed.Addr().IsUnspecified() && (path[0] != "bind" || !r.content.AnyAddress):
-		r.fail("is every address of the machine; there is no sign-in between peers",
-			"name the one on the trusted network, or set any_address: true for bind", path...)
+		r.fail("is the unspecified address, which is open to all networks; peers do not authenticate each other",
+			"choose an address on a trusted network, or set any_address: true for bind", path...)
 	}
 }
 
@@ -70,13 +70,13 @@
 		r.fail("is shorter than 50 ms", "choose a longer one", "probe")
 	}
 	if c.LinkTimeout < minProbesPerTimeout*c.ProbeInterval {
-		r.fail(fmt.Sprintf("holds fewer than %d probes, so that some lost ones end a link", minProbesPerTimeout),
-			"make it longer, or probe shorter", "silence")
+		r.fail(fmt.Sprintf("is shorter than %d probe intervals, so that a few lost probes end a link", minProbesPerTimeout),
+			"make it longer, or make probe shorter", "silence")
 	}
 	if c.SuspicionTimeout > c.LinkTimeout {
-		r.fail("is longer than silence", "make it shorter: it bridges a change of links", "settle")
+		r.fail("is longer than silence", "make it shorter: it only needs to cover a change of links", "settle")
 	}
 	if c.ForgetTimeout < minLinkTimeoutsToForget*c.LinkTimeout {
-		r.fail("is shorter than two silences", "make it longer: the lost are looked for until then", "forget")
+		r.fail("is shorter than twice silence", "make it longer: lost members are probed until then", "forget")
 	}
 }
--- a/internal/fleet/fleetconfig/schema.go
+++ b/internal/fleet/fleetconfig/schema.go
@@ -8,7 +8,7 @@
 	"topazpost/internal/configfile"
 )
 
-// schema is that of fleet files.
+// schema returns the JSON schema of fleet files.
 var schema = sync.OnceValue(func() *configfile.Schema {
 	placeholders := strings.NewReplacer("TIME", configfile.TimePattern, "SIZE", configfile.SizePattern, "MEMBERS", strconv.Itoa(maxMembers))
 	return configfile.Compile("fleet.json", placeholders.Replace(`{
@@ -36,7 +36,7 @@
   "clock_ahead": {"$ref": "#/$defs/time"}, "clock_behind": {"$ref": "#/$defs/time"}}}`))
 })
 
-// fileContent is the content of a fleet file, with the names that operators write.
+// fileContent is the decoded content of a fleet file. Its fields have the names of the keys that operators write.
 type fileContent struct {
 	Fleet, Bind, Advertise, Zone   string
 	AnyAddress                     bool `json:"any_address"`
