--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -301,7 +301,7 @@
 		sm.startPendingConfig(e)
 	case configsync.PersistVersion:
 		persisting := *e
-		sm.emit(Effect{Kind: PersistVersion, Persisting: &persisting})
+		sm.emit(Effect{Kind: PersistVersion, ConfigWrite: &persisting})
 	case configsync.ProposeCommand:
 		sm.group.proposeConfig(e.Command)
 	case configsync.WriteLog:
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -92,7 +92,7 @@
 		TookNS: inForce[0].InForce.TookNS}, *inForce[0].InForce)
 	persisted := effectsOfKind(effects, PersistVersion)
 	require.Len(t, persisted, 1)
-	assert.Equal(t, uint64(2), persisted[0].Persisting.Revision.Version)
+	assert.Equal(t, uint64(2), persisted[0].ConfigWrite.Revision.Version)
 	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(sm, arrival(sm, 2, "op", "hold"))))
 	assert.Equal(t, 1, countRuns(step(sm, arrival(sm, 3, "op", "new"))))
 	assert.Equal(t, []string{"20 on 1"}, framesSent(t, endRun(sm, 1)), "an invocation in flight completes after its operation is removed")
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -24,8 +24,8 @@
 	maxClosesPerStep = 32 // each close or go-away costs system calls
 )
 
-// maxFaults is the number of malformed invocations at which the rest of a connection's input is discarded.
-const maxFaults = 16
+// maxFaultsPerConnection is the number of malformed invocations at which the rest of a connection's input is discarded.
+const maxFaultsPerConnection = 16
 
 // connection is the state of a dispatcher's connection.
 type connection struct {
@@ -33,8 +33,8 @@
 	lastStream     uint32           // highest stream seen
 	openStreams    map[uint32]int32 // index of the invocation, by stream that is not answered
 	pendingChecks  int              // deep health checks that are not answered
-	usable         bool             // a valid invocation or health check was received
-	faults         int              // malformed invocations received
+	used           bool             // a valid invocation or health check was received
+	faultCount     int              // malformed invocations received
 	lastUsedAt     int64            // time of the opening, the last valid request or the last answer
 	goAwayAt       int64            // time of the go-away
 	goAwaySent     bool
@@ -49,17 +49,17 @@
 // isIdle reports whether every stream and health check is answered.
 func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingChecks == 0 }
 
-func (c *connection) isSound() bool { return c.usable && c.faults == 0 }
+func (c *connection) isHealthy() bool { return c.used && c.faultCount == 0 }
 
 // markUsed records that a valid request was received.
 func (c *connection) markUsed(now int64) {
-	c.usable = true
+	c.used = true
 	c.lastUsedAt = now
 }
 
 // idleTimeout returns how long the connection may be idle before its go-away.
 func (c *connection) idleTimeout() int64 {
-	if c.usable {
+	if c.used {
 		return idleTimeout
 	}
 	return firstUseTimeout
@@ -76,8 +76,8 @@
 // isEvictedBefore reports whether c is evicted before other: first come connections that were never used or had faults, then
 // those that have been idle longest.
 func (c *connection) isEvictedBefore(other *connection) bool {
-	if c.isSound() != other.isSound() {
-		return other.isSound()
+	if c.isHealthy() != other.isHealthy() {
+		return other.isHealthy()
 	}
 	if c.lastUsedAt != other.lastUsedAt {
 		return c.lastUsedAt < other.lastUsedAt
@@ -95,20 +95,20 @@
 
 // connectionTable holds the dispatchers' connections and their timeouts.
 type connectionTable struct {
-	sm     *StateMachine
-	byLink map[int]*connection
-	max    int // limit on connections; up to SpareConnections that are being closed do not count
+	sm             *StateMachine
+	byLink         map[int]*connection
+	maxConnections int // limit on connections; up to SpareConnections that are being closed do not count
 
 	idleWheel    *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
 	closingWheel *timerwheel.Wheel // the same, after the go-away
 	overdue      []int             // links to be checked that did not fit into earlier batches
 	sweepAt      int64             // time of the next advance of idleWheel
 	overdueAt    int64             // time of the next batch of overdue links
-	checked      int               // total of checks, for tests
+	checkCount   int               // total of checks, for tests
 }
 
 func newConnectionTable(sm *StateMachine, limit int) connectionTable {
-	return connectionTable{sm: sm, byLink: map[int]*connection{}, max: limit}
+	return connectionTable{sm: sm, byLink: map[int]*connection{}, maxConnections: limit}
 }
 
 // start sets the timer wheels to the time of the first step.
@@ -140,7 +140,7 @@
 
 // opened adds a new connection. If the table is full, it makes room first.
 func (t *connectionTable) opened(link int) {
-	if len(t.byLink) >= t.max {
+	if len(t.byLink) >= t.maxConnections {
 		t.makeRoom()
 	}
 	c := &connection{link: link, openStreams: make(map[uint32]int32), lastUsedAt: t.sm.now}
@@ -177,7 +177,7 @@
 		}
 	}
 	hasSpare := closing < t.sm.SpareConnections
-	if victim != nil && len(t.byLink)-closing >= t.max {
+	if victim != nil && len(t.byLink)-closing >= t.maxConnections {
 		t.evict(victim, hasSpare)
 	}
 	if !hasSpare && slowest != nil {
@@ -190,9 +190,9 @@
 // Without spare places, a grace period would have new connections refused. An invocation that is sent before the
 // dispatcher sees the close is lost, and the dispatcher retries it.
 func (t *connectionTable) evict(c *connection, hasSpare bool) {
-	t.sm.Counters.Evicted++
+	t.sm.Counters.ConnectionsEvicted++
 	c.evicted = true
-	if !c.usable || !hasSpare {
+	if !c.used || !hasSpare {
 		c.closing = true
 		c.closeRequested = true
 		c.evictRequested = true
@@ -246,7 +246,7 @@
 		}
 		checks++
 	}
-	t.checked += checks
+	t.checkCount += checks
 	t.overdue = slices.Delete(t.overdue, 0, checks)
 	t.overdueAt = now + overdueInterval
 }
@@ -278,7 +278,7 @@
 	case c.goAwaySent && now < c.goAwayAt+c.goAwayGrace():
 		t.scheduleCheck(c, c.goAwayAt+c.goAwayGrace())
 	case c.goAwaySent:
-		t.sm.Counters.Idle++
+		t.sm.Counters.ConnectionsClosedAfterGoAway++
 		t.close(c)
 		return true
 	case now < c.lastUsedAt+c.idleTimeout():
@@ -365,8 +365,8 @@
 
 // countFault counts a malformed invocation of a connection. The limit on them bounds the work wasted on a faulty peer.
 func (t *connectionTable) countFault(c *connection) {
-	c.faults++
-	if c.faults >= maxFaults {
+	c.faultCount++
+	if c.faultCount >= maxFaultsPerConnection {
 		t.markBroken(c, errTooManyFaults)
 	}
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -14,7 +14,7 @@
 // newNodeWithConnections is a node with some connections, all opened in one step and used once in the next.
 func newNodeWithConnections(t *testing.T, count int) *StateMachine {
 	sm := newServingNode(t)
-	sm.connections.max = count
+	sm.connections.maxConnections = count
 	step(sm, Input{Kind: ConnectionClosed, Link: 7})
 	var opened, checked []Input
 	for k := range count {
@@ -55,7 +55,7 @@
 	step(sm, Input{Kind: ConnectionOpened, Link: 12})
 	assert.True(t, sm.connections.byLink[9].goAwaySent, "8 was used later")
 	assert.False(t, sm.connections.byLink[8].goAwaySent)
-	assert.Equal(t, 2, sm.Counters.Evicted)
+	assert.Equal(t, 2, sm.Counters.ConnectionsEvicted)
 	step(sm, check(12))
 	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "there is no spare place")
 	sm.now += evictionGrace
@@ -113,7 +113,7 @@
 	sm := newServingNode(t)
 	step(sm, invocationInput(1))
 	var got []Effect
-	for stream := range uint32(maxFaults) {
+	for stream := range uint32(maxFaultsPerConnection) {
 		got = step(sm, invocationInput(stream+2, "op", "other"))
 	}
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, framesSent(t, got))
@@ -132,11 +132,11 @@
 	for sm.now < 3_000*ms {
 		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, sm.connections.checked, "once each, at the timeout of the first use")
+	assert.Equal(t, count, sm.connections.checkCount, "once each, at the timeout of the first use")
 	for sm.now < 14_000*ms {
 		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, sm.connections.checked)
+	assert.Equal(t, count, sm.connections.checkCount)
 	for _, c := range sm.connections.byLink {
 		assert.False(t, c.goAwaySent)
 	}
@@ -152,7 +152,7 @@
 	told, ended, began := 0, 0, sm.now
 	var closed []Input
 	for len(sm.connections.byLink) > 0 && sm.now-began < 5_000*ms {
-		before, beforeTold, beforeEnded := sm.connections.checked, told, ended
+		before, beforeTold, beforeEnded := sm.connections.checkCount, told, ended
 		effects := advance(sm, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
@@ -165,12 +165,12 @@
 			}
 		}
 		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, maxClosesPerStep)
-		assert.LessOrEqual(t, sm.connections.checked-before, maxChecksPerStep)
+		assert.LessOrEqual(t, sm.connections.checkCount-before, maxChecksPerStep)
 	}
 	assert.Equal(t, count, told)
 	assert.Equal(t, count, ended)
 	assert.Less(t, sm.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
-	assert.Equal(t, count, sm.Counters.Idle)
+	assert.Equal(t, count, sm.Counters.ConnectionsClosedAfterGoAway)
 	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.closingWheel.Len(), "no timer is left of closed connections")
 }
 
@@ -179,7 +179,7 @@
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		sm := newServingNode(t)
-		sm.connections.max, sm.SpareConnections = 12, 2
+		sm.connections.maxConnections, sm.SpareConnections = 12, 2
 		newest, wake, stream := 100, sm.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
@@ -229,13 +229,13 @@
 	for link, c := range sm.connections.byLink {
 		if c.goAwaySent && !before[link].goAwaySent && !c.evicted && !c.broken {
 			assert.GreaterOrEqual(t, at-c.lastUsedAt, firstUseTimeout)
-			assert.True(t, !c.usable || at-c.lastUsedAt >= idleTimeout)
+			assert.True(t, !c.used || at-c.lastUsedAt >= idleTimeout)
 		}
 		if !c.isIdle() || c.closing {
 			continue
 		}
 		timeout := firstUseTimeout
-		if c.usable {
+		if c.used {
 			timeout = idleTimeout
 		}
 		late := wake - c.lastUsedAt - timeout
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -193,7 +193,7 @@
 		case consensus.Send:
 			sm.sendGroupMessage(e.To, &e.Message)
 		case consensus.Persist:
-			sm.emit(Effect{Kind: PersistReplicaWrite, Write: e.Write})
+			sm.emit(Effect{Kind: PersistReplicaWrite, ReplicaWrite: e.Write})
 		case consensus.WriteLog:
 			sm.logComponent(e.Warn, e.Text)
 		}
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -4,24 +4,24 @@
 
 // Counters counts events since the start of a node, for operators.
 type Counters struct {
-	Invocations       int `json:"invocations"`
-	Succeeded         int `json:"succeeded"` // answers by code
-	Throttled         int `json:"throttled"`
-	Errored           int `json:"errored"`
-	CallersGone       int `json:"gone"`               // invocations whose caller disconnected
-	BrokenInvocations int `json:"broken_invocations"` // malformed or otherwise invalid invocations
-	BrokenConnections int `json:"broken_connections"` // connections closed for a violation of the protocol
-	ExecutorLinks     int `json:"executor_links"`     // links opened to the executor
-	CatalogueLinks    int `json:"catalogue_links"`    // links opened to the catalogue
-	UnmatchedReplies  int `json:"stray_replies"`      // replies of the catalogue to no call in flight
-	Evicted           int `json:"evicted"`            // connections closed to make room for new ones
-	Idle              int `json:"idle"`               // connections closed after a go-away
-	Reports           int `json:"reports"`            // successful reports to the control plane
-	ReportsFailed     int `json:"reports_failed"`
-	Inherited         int `json:"inherited"`          // invocations taken over from lost nodes
-	InheritedGivenUp  int `json:"inherited_given_up"` // of these, ended without a result
-	Versions          int `json:"versions"`           // versions of the configuration that came into force
-	VersionsRefused   int `json:"versions_refused"`
+	Invocations                  int `json:"invocations"`
+	Succeeded                    int `json:"succeeded"` // answers by code
+	Throttled                    int `json:"throttled"`
+	Errored                      int `json:"errored"`
+	CallersDisconnected          int `json:"gone"`               // invocations whose caller disconnected
+	InvalidInvocations           int `json:"broken_invocations"` // malformed or otherwise invalid invocations
+	BrokenConnections            int `json:"broken_connections"` // connections closed for a violation of the protocol
+	ExecutorLinks                int `json:"executor_links"`     // links opened to the executor
+	CatalogueLinks               int `json:"catalogue_links"`    // links opened to the catalogue
+	UnmatchedReplies             int `json:"stray_replies"`      // replies of the catalogue to no call in flight
+	ConnectionsEvicted           int `json:"evicted"`            // connections closed to make room for new ones
+	ConnectionsClosedAfterGoAway int `json:"idle"`               // connections closed after a go-away
+	Reports                      int `json:"reports"`            // successful reports to the control plane
+	ReportsFailed                int `json:"reports_failed"`
+	InvocationsTakenOver         int `json:"inherited"`          // invocations taken over from lost nodes
+	InvocationsTakenOverFailed   int `json:"inherited_given_up"` // of these, ended without a result
+	Versions                     int `json:"versions"`           // versions of the configuration that came into force
+	VersionsRefused              int `json:"versions_refused"`
 }
 
 // countAnswer counts an answer by its code.
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -87,11 +87,11 @@
 		valid = d.decodeArrival(value)
 	case "src":
 		d.present |= fieldSrc
-		e.Caller, valid = parseWhole(value, maxCallerNumber)
+		e.Caller, valid = parseInteger(value, maxCallerNumber)
 	case "org":
 		valid = d.decodeTenant(value)
 	case "ttl":
-		d.ttlMS, valid = parseWhole(value, maxTTLMS)
+		d.ttlMS, valid = parseInteger(value, maxTTLMS)
 	case "rep":
 		e.Retry = true
 		valid = value == "1"
@@ -120,9 +120,9 @@
 
 // decodeArrival decodes the time at which the invocation arrived at the machine, in Unix milliseconds.
 func (d *fieldDecoder) decodeArrival(value string) (valid bool) {
-	arrivalMS, ok := parseWhole(value, math.MaxInt64)
+	arrivalMS, ok := parseInteger(value, math.MaxInt64)
 	d.event.Age = d.sm.arrivalAge(arrivalMS)
-	return ok && d.sm.isPlausibleStamp(arrivalMS)
+	return ok && d.sm.isPlausibleArrival(arrivalMS)
 }
 
 // decodeTenant decodes the tenant's name. Without tenants in the configuration it ignores the field.
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// isPlausibleStamp reports whether a time, in Unix milliseconds of this machine's clock, can be that of an arrival.
-func (sm *StateMachine) isPlausibleStamp(arrivalMS int64) bool {
+// isPlausibleArrival reports whether a time, in Unix milliseconds of this machine's clock, can be that of an arrival.
+func (sm *StateMachine) isPlausibleArrival(arrivalMS int64) bool {
 	return arrivalMS-sm.wall/ms <= maxClockSkewMS && sm.wall/ms-arrivalMS <= maxArrivalAgeMS
 }
 
@@ -175,8 +175,8 @@
 	return n, err == nil
 }
 
-// parseWhole parses a decimal integer from 0 to limit.
-func parseWhole(s string, limit int64) (int64, bool) {
+// parseInteger parses a decimal integer from 0 to limit.
+func parseInteger(s string, limit int64) (int64, bool) {
 	n, err := strconv.ParseUint(s, 10, 63)
 	return int64(n), err == nil && int64(n) <= limit
 }
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -39,8 +39,8 @@
 	p, err := nodeconfig.FromJSON(1, []byte(tenantTestSettings))
 	require.NoError(t, err)
 	sm, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
-	make := sm.Decisions
-	sm.Decisions = func(config *admission.Config, born int64) Decider {
+	make := sm.NewDecider
+	sm.NewDecider = func(config *admission.Config, born int64) Decider {
 		return recordingDecider{make(config, born), arrived}
 	}
 	sm.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
@@ -123,6 +123,6 @@
 	assert.Equal(t, 250*ms, sm.arrivalAge(499_750))
 	assert.Zero(t, sm.arrivalAge(500_001))
 	for stamp, can := range map[int64]bool{0: false, 440_000: true, 500_900: true, 502_000: false, 1 << 62: false} {
-		assert.Equal(t, can, sm.isPlausibleStamp(stamp), stamp)
+		assert.Equal(t, can, sm.isPlausibleArrival(stamp), stamp)
 	}
 }
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -84,7 +84,7 @@
 	d.integers(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
 	d.texts(e.Address, e.ID)
 	d.bytes(e.Bytes)
-	d.bools(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.Change != nil, e.Record != nil, e.Write != nil, e.Persisting != nil,
+	d.bools(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.ViewChange != nil, e.Record != nil, e.ReplicaWrite != nil, e.ConfigWrite != nil,
 		e.InForce != nil)
 	if e.Kind == node.VersionApplied {
 		d.numbersIn(e.Text)
@@ -95,17 +95,17 @@
 	if e.LevelChange != nil {
 		d.levelChange(e.LevelChange)
 	}
-	if e.Change != nil {
-		d.change(e.Change)
+	if e.ViewChange != nil {
+		d.change(e.ViewChange)
 	}
 	if e.Record != nil {
 		d.record(e.Record)
 	}
-	if e.Write != nil {
-		d.write(e.Write)
+	if e.ReplicaWrite != nil {
+		d.write(e.ReplicaWrite)
 	}
-	if e.Persisting != nil {
-		d.persisting(e.Persisting)
+	if e.ConfigWrite != nil {
+		d.persisting(e.ConfigWrite)
 	}
 	if f := e.InForce; f != nil {
 		d.revision(f.ContentRevision)
@@ -127,14 +127,14 @@
 func (d digest) state(s *node.State) {
 	d.controllerState(&s.ControllerState)
 	d.texts(s.Level)
-	d.integers(int64(len(s.Loads)))
-	d.floats(s.Loads...)
-	d.integers(int64(s.Succeeded), int64(s.Refused), int64(s.Errored), int64(s.Gone), int64(s.Connections), int64(s.Links), int64(s.Idle),
-		int64(s.Waiting), int64(s.Unread), s.GaugeAge)
+	d.integers(int64(len(s.LoadByLevel)))
+	d.floats(s.LoadByLevel...)
+	d.integers(int64(s.Succeeded), int64(s.Throttled), int64(s.Errored), int64(s.CallersDisconnected), int64(s.Connections), int64(s.CatalogueLinks), int64(s.IdleCatalogueLinks),
+		int64(s.WaitingCalls), int64(s.UnacknowledgedCommands), s.GaugesAge)
 	for _, name := range admission.ReasonNames {
 		d.integers(int64(s.GivenUp[name]))
 	}
-	d.bools(s.Synced, s.Configuration != nil)
+	d.bools(s.ExecutorSynced, s.Configuration != nil)
 	if c := s.Configuration; c != nil {
 		d.integers(int64(c.Version), c.AgeNS, c.HeardNS, c.BehindNS, int64(c.Refused))
 		d.texts(c.Digest, c.Source)
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -118,11 +118,11 @@
 	if n.oneIn(6) {
 		number--
 	}
-	n.deliver(node.Input{Kind: node.VersionReceived, Version: number, Change: change})
+	n.deliver(node.Input{Kind: node.VersionReceived, Version: number, Amendment: change})
 	if n.oneIn(4) { // the next one before this one is applied
 		next, err := nodeconfig.Parse(n.randomItems())
 		require.NoError(n.t, err)
-		n.deliver(node.Input{Kind: node.VersionReceived, Version: number + 1, Change: next})
+		n.deliver(node.Input{Kind: node.VersionReceived, Version: number + 1, Amendment: next})
 	}
 }
 
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -267,7 +267,7 @@
 	case node.WriteRecord:
 		n.storeRecord(*e.Record)
 	case node.PersistReplicaWrite:
-		n.persistReplica(e.Write)
+		n.persistReplica(e.ReplicaWrite)
 	case node.PersistVersion:
 		var err error
 		if n.faultyDisks && n.oneIn(4) {
--- a/internal/node/dispatchers.go
+++ b/internal/node/dispatchers.go
@@ -101,7 +101,7 @@
 // failUnusable answers an invocation that is malformed or can't be accepted with an error, and counts a fault of its connection. A retired
 // operation or tenant is no fault: callers learn of configuration changes late.
 func (sm *StateMachine) failUnusable(c *connection, v *invocation, err error) {
-	sm.Counters.BrokenInvocations++
+	sm.Counters.InvalidInvocations++
 	sm.Counters.Errored++
 	sm.log(Warn, "invocation can't be used; answered with an error", v.invocationID, err)
 	sm.sendFrame(c.link, v.stream, frame.Errored, nil, nil)
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -42,7 +42,7 @@
 		invocationInput(10, "recv", "99999999999999"), invocationInput(11, "recv", "-1"), invocationInput(12, "work", "0x1p2"),
 		invocationInput(13, "heap", "1e2"), invocationInput(14, "src", "9999999999999"), invocationInput(15, "row", "7f3a"),
 		invocationInput(16, "rep", "2")} {
-		sm.connections.byLink[7].faults = 0
+		sm.connections.byLink[7].faultCount = 0
 		assert.Equal(t, []string{fmt.Sprintf("51 on %d", i+1)}, framesSent(t, step(sm, broken)))
 	}
 	assert.NotEmpty(t, bytesSent(step(sm, invocationInput(20)), SendToExecutor))
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -35,13 +35,13 @@
 	SendDatagram                           // send Bytes to the node at Address as a datagram
 	OpenExchange                           // send Bytes to the node at Address as a request; then PeerResponseReceived or PeerExchangeFailed
 	ReplyToExchange                        // answer the request Link of another node with Bytes; without Bytes, close its exchange
-	ViewChanged                            // publish Change, a change of the membership view
+	ViewChanged                            // publish ViewChange, a change of the membership view
 	SendOnStream                           // write Bytes to the stream Link, or to a stream to Address if Link is 0 or has ended
 	CloseStream                            // close the stream Link
 	VersionApplied                         // Version of the configuration is in force, or was rejected with Err and has changed nothing
-	PersistVersion                         // write the configuration in Persisting to disk; then VersionPersisted
+	PersistVersion                         // write the configuration in ConfigWrite to disk; then VersionPersisted
 	ReportVersionInForce                   // publish InForce: a version of the configuration came into force
-	PersistReplicaWrite                    // carry out Write on the replica's disk, in the order of the effects; then ReplicaWritePersisted
+	PersistReplicaWrite                    // carry out ReplicaWrite on the replica's disk, in the order of the effects; then ReplicaWritePersisted
 	CallerTimeoutRaised                    // callers may wait for up to At nanoseconds for an answer from now on
 )
 
@@ -69,11 +69,11 @@
 	Err         error
 	State       *State
 	LevelChange *LevelChange
-	Change      *membership.Change
+	ViewChange  *membership.Change
 	Record      *resultcache.Record
 	Version     uint64
 
-	Write      *consensus.Write
-	Persisting *configsync.Effect
-	InForce    *VersionInForce
+	ReplicaWrite *consensus.Write
+	ConfigWrite  *configsync.Effect
+	InForce      *VersionInForce
 }
--- a/internal/node/executor_test.go
+++ b/internal/node/executor_test.go
@@ -28,8 +28,8 @@
 	sm := NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3)
 	var given *admission.Config
 	var coresStartedAt int64
-	newController := sm.Decisions
-	sm.Decisions = func(config *admission.Config, startedAt int64) Decider {
+	newController := sm.NewDecider
+	sm.NewDecider = func(config *admission.Config, startedAt int64) Decider {
 		given, coresStartedAt = config, startedAt
 		return newController(config, startedAt)
 	}
@@ -112,6 +112,6 @@
 	sm := newServingNode(t)
 	step(sm, invocationInput(1))
 	assert.Equal(t, []string{"51 on 1"}, framesSent(t, executorSends(sm, "BAD EXEC "+testInvocationID)))
-	assert.Equal(t, 1, sm.connections.byLink[7].faults)
+	assert.Equal(t, 1, sm.connections.byLink[7].faultCount)
 	assert.Empty(t, sm.indexByID)
 }
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -44,7 +44,7 @@
 	ReplicaWritePersisted                  // the replica's writes up to Number are durable, or the disk failed with Err
 	HollowClaimRequested                   // a hollow node must claim the token in Bytes
 	HollowCallsRequested                   // a hollow node must keep as many calls in flight as Link says
-	VersionReceived                        // Version of the configuration must be applied, with the changes in Change
+	VersionReceived                        // Version of the configuration must be applied, with the changes in Amendment
 )
 
 // Addresses are the addresses of a node's peers.
@@ -65,6 +65,6 @@
 	Number    uint64 // of the replica's last durable write
 	From      string // address of the other node
 
-	Version uint64
-	Change  *nodeconfig.Amendment
+	Version   uint64
+	Amendment *nodeconfig.Amendment
 }
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -113,7 +113,7 @@
 	if !sm.Invariants.Check(v.live && !v.answered, "the invocation of an open stream must be unanswered") {
 		return
 	}
-	sm.Counters.CallersGone++
+	sm.Counters.CallersDisconnected++
 	v.answered = true
 	sm.owedAnswers--
 	if sm.removeTokenWaiter(i) {
@@ -177,7 +177,7 @@
 // endTakenOver records the end of an invocation that was taken over from a lost node. It has no caller to answer.
 func (sm *StateMachine) endTakenOver(v *invocation, code byte) {
 	if code != frame.Succeeded {
-		sm.Counters.InheritedGivenUp++
+		sm.Counters.InvocationsTakenOverFailed++
 		sm.log(Info, "invocation taken over from a lost node ended without a result; a repeat of it may run", v.invocationID, nil)
 	}
 }
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -35,9 +35,9 @@
 type StateMachine struct {
 	Invariants invariant.Checker
 	Counters   Counters
-	// Decisions returns a new controller. It is called at the executor's first welcome; coresStartedAt is the time at which
+	// NewDecider returns a new controller. It is called at the executor's first welcome; coresStartedAt is the time at which
 	// the executor's cores started.
-	Decisions func(config *admission.Config, coresStartedAt int64) Decider
+	NewDecider func(config *admission.Config, coresStartedAt int64) Decider
 	// SpareConnections is how many connections that are being closed the node keeps beyond the limit on connections.
 	SpareConnections int
 
@@ -91,7 +91,7 @@
 		addresses: addresses,
 		timerAt:   never,
 		indexByID: map[string]int32{},
-		Decisions: func(config *admission.Config, coresStartedAt int64) Decider {
+		NewDecider: func(config *admission.Config, coresStartedAt int64) Decider {
 			return admission.NewController(config, coresStartedAt)
 		},
 	}
@@ -318,7 +318,7 @@
 func (sm *StateMachine) startController(cold bool, coresStartedAt int64) {
 	sm.config.Node.ColdStart = cold
 	sm.config.Node.ProcessStart = sm.startedAt
-	sm.controller = sm.Decisions(&sm.config.Node, coresStartedAt)
+	sm.controller = sm.NewDecider(&sm.config.Node, coresStartedAt)
 	sm.health.setHealth(true, false)
 	sm.timerAt = sm.now
 	if sm.degradation.enabled() {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -195,7 +195,7 @@
 			sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &e.Message)
 		case membership.ViewChanged:
 			change := e.Change
-			sm.emit(Effect{Kind: ViewChanged, Change: &change})
+			sm.emit(Effect{Kind: ViewChanged, ViewChange: &change})
 		case membership.WriteLog:
 			sm.logComponent(e.Warn, e.Text)
 		}
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -36,10 +36,10 @@
 	sm := cachingNode(t, resultcache.InMemory)
 	assert.Equal(t, 1, countRuns(step(sm, tokenArrival(sm, 1, "a"))))
 	require.NoError(t, applyVersion(t, sm, operation("other", ""), removal(nodeconfig.Operations, "hold")))
-	for stream := range maxFaults + 2 {
+	for stream := range maxFaultsPerConnection + 2 {
 		assert.Equal(t, []string{fmt.Sprint("51 on ", stream+2)}, framesSent(t, step(sm, tokenArrival(sm, stream+2, "b"))))
 	}
-	assert.Zero(t, sm.connections.byLink[7].faults)
+	assert.Zero(t, sm.connections.byLink[7].faultCount)
 	assert.Empty(t, framesSent(t, step(sm, tokenArrival(sm, 50, "a"))), "the duplicate joins the run")
 	passTime(sm, 2_000*ms)
 	assert.ElementsMatch(t, []string{"20 on 1", "20 on 50"}, framesSent(t, endRun(sm, 1)))
@@ -103,7 +103,7 @@
 	endRun(sm, 1)
 	require.NoError(t, applyVersion(t, sm, removal(nodeconfig.Tenants, "y")))
 	assert.Equal(t, []string{"51 on 2"}, framesSent(t, step(sm, arrival(sm, 2, "org", "y"))))
-	assert.Zero(t, sm.connections.byLink[7].faults)
+	assert.Zero(t, sm.connections.byLink[7].faultCount)
 	require.NoError(t, applyVersion(t, sm, tenant("z", 1), tenant("y", 5)))
 	i, _ := sm.config.Tenants.Find("y")
 	assert.Equal(t, int32(1), i)
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -8,20 +8,20 @@
 // Answers are counted since the previous sample. Times are in nanoseconds.
 type State struct {
 	admission.ControllerState
-	Level       string         `json:"level,omitempty"` // name of the degradation level, empty without a plan
-	Loads       []float64      `json:"loads,omitempty"` // demand on the cores by level, starting with full service; nil without a plan
-	Succeeded   int            `json:"succeeded"`
-	Refused     int            `json:"refused"` // answered with a throttle
-	Errored     int            `json:"errored"`
-	Gone        int            `json:"gone"`               // not answered: the caller disconnected
-	GivenUp     map[string]int `json:"given_up,omitempty"` // rejected or failed by the controller, by reason
-	Connections int            `json:"connections"`        // open connections of dispatchers
-	Links       int            `json:"links"`              // links to the catalogue, open or being dialed
-	Idle        int            `json:"idle"`               // links to the catalogue without a call
-	Waiting     int            `json:"waiting"`            // calls that wait for a link
-	Unread      int            `json:"unread"`             // commands that the executor has not acknowledged
-	GaugeAge    int64          `json:"gauge_age_ns"`       // age of the last gauges of the executor, -1 before the first
-	Synced      bool           `json:"synced"`             // the executor's link is synced, so that it carries commands
+	Level                  string         `json:"level,omitempty"` // name of the degradation level, empty without a plan
+	LoadByLevel            []float64      `json:"loads,omitempty"` // demand on the cores by level, starting with full service; nil without a plan
+	Succeeded              int            `json:"succeeded"`
+	Throttled              int            `json:"refused"` // answered with a throttle
+	Errored                int            `json:"errored"`
+	CallersDisconnected    int            `json:"gone"`               // not answered: the caller disconnected
+	GivenUp                map[string]int `json:"given_up,omitempty"` // rejected or failed by the controller, by reason
+	Connections            int            `json:"connections"`        // open connections of dispatchers
+	CatalogueLinks         int            `json:"links"`              // links to the catalogue, open or being dialed
+	IdleCatalogueLinks     int            `json:"idle"`               // links to the catalogue without a call
+	WaitingCalls           int            `json:"waiting"`            // calls that wait for a link
+	UnacknowledgedCommands int            `json:"unread"`             // commands that the executor has not acknowledged
+	GaugesAge              int64          `json:"gauge_age_ns"`       // age of the last gauges of the executor, -1 before the first
+	ExecutorSynced         bool           `json:"synced"`             // the executor's link is synced, so that it carries commands
 
 	Configuration *ConfigSyncStatus `json:"configuration,omitempty"` // nil unless the fleet distributes its configuration
 }
@@ -29,10 +29,10 @@
 // stateSampler publishes a sample of the state at an interval once there is a controller. It has no timer of its own: the
 // controller's ticks wake the node often enough.
 type stateSampler struct {
-	sm      *StateMachine
-	nextAt  int64
-	givenUp [admission.ReasonCount]int // invocations rejected or failed since the last sample, by reason
-	last    Counters                   // the node's counters at the last sample
+	sm           *StateMachine
+	nextAt       int64
+	givenUp      [admission.ReasonCount]int // invocations rejected or failed since the last sample, by reason
+	lastCounters Counters                   // the node's counters at the last sample
 }
 
 // countGivenUp counts an invocation that the controller has rejected or failed.
@@ -45,7 +45,7 @@
 	}
 	state := s.snapshot()
 	s.nextAt = sm.now + stateSampleInterval
-	s.last = sm.Counters
+	s.lastCounters = sm.Counters
 	s.givenUp = [admission.ReasonCount]int{}
 	sm.emit(Effect{Kind: SampleState, State: state})
 }
@@ -54,24 +54,24 @@
 func (s *stateSampler) snapshot() *State {
 	sm := s.sm
 	state := &State{
-		ControllerState: sm.controller.State(),
-		Succeeded:       sm.Counters.Succeeded - s.last.Succeeded,
-		Refused:         sm.Counters.Throttled - s.last.Throttled,
-		Errored:         sm.Counters.Errored - s.last.Errored,
-		Gone:            sm.Counters.CallersGone - s.last.CallersGone,
-		GivenUp:         s.givenUpByName(),
-		Connections:     sm.connections.count(),
-		Links:           sm.catalogue.linkCount(),
-		Idle:            sm.catalogue.idleLinkCount(),
-		Waiting:         sm.catalogue.waitingCallCount(),
-		Unread:          sm.executor.unacknowledgedCommands(),
-		GaugeAge:        sm.executor.gaugesAge(),
-		Synced:          sm.executor.isSynced(),
-		Configuration:   sm.ConfigSyncStatus(),
+		ControllerState:        sm.controller.State(),
+		Succeeded:              sm.Counters.Succeeded - s.lastCounters.Succeeded,
+		Throttled:              sm.Counters.Throttled - s.lastCounters.Throttled,
+		Errored:                sm.Counters.Errored - s.lastCounters.Errored,
+		CallersDisconnected:    sm.Counters.CallersDisconnected - s.lastCounters.CallersDisconnected,
+		GivenUp:                s.givenUpByName(),
+		Connections:            sm.connections.count(),
+		CatalogueLinks:         sm.catalogue.linkCount(),
+		IdleCatalogueLinks:     sm.catalogue.idleLinkCount(),
+		WaitingCalls:           sm.catalogue.waitingCallCount(),
+		UnacknowledgedCommands: sm.executor.unacknowledgedCommands(),
+		GaugesAge:              sm.executor.gaugesAge(),
+		ExecutorSynced:         sm.executor.isSynced(),
+		Configuration:          sm.ConfigSyncStatus(),
 	}
 	if sm.degradation.enabled() {
 		state.Level = sm.degradation.levelName()
-		state.Loads = sm.degradation.loadByLevel()
+		state.LoadByLevel = sm.degradation.loadByLevel()
 	}
 	return state
 }
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -60,7 +60,7 @@
 	sm.invocations[i].arrivalEvent.Invocation = i
 	sm.results.addPending(key, i, v.bodyHash)
 	sm.notifyController(sm.invocations[i].arrivalEvent)
-	sm.Counters.Inherited++
+	sm.Counters.InvocationsTakenOver++
 	return nil
 }
 
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -23,7 +23,7 @@
 	for from := newOwner.now; newOwner.now < from+100*ms && len(start) == 0; {
 		start = claimCommands(t, newOwner, step(newOwner))
 	}
-	assert.Equal(t, 1, newOwner.Counters.Inherited)
+	assert.Equal(t, 1, newOwner.Counters.InvocationsTakenOver)
 	require.Len(t, start, 1)
 	assert.Equal(t, claims.CommandStart, start[0].Kind)
 	effects := receiveFromReplica(t, newOwner, verdictOn(start[0], claims.AnswerGranted))
@@ -47,7 +47,7 @@
 		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
 	require.Len(t, release, 1)
 	assert.Equal(t, claims.CommandRelease, release[0].Kind)
-	assert.Zero(t, newOwner.Counters.Inherited)
+	assert.Zero(t, newOwner.Counters.InvocationsTakenOver)
 }
 
 // Guards against a controller that computes with an invalid memory size: a takeover whose QueuedKB is NaN or out of bounds is rejected
@@ -61,6 +61,6 @@
 			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}))
 		require.Len(t, release, 1, queuedKB)
 		assert.Equal(t, claims.CommandRelease, release[0].Kind, queuedKB)
-		assert.Zero(t, sm.Counters.Inherited, queuedKB)
+		assert.Zero(t, sm.Counters.InvocationsTakenOver, queuedKB)
 	}
 }
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -81,7 +81,7 @@
 	case len(vs.pending) >= maxPendingVersions:
 		sm.refuseVersion(in.Version, errTooManyVersions)
 	default:
-		vs.pending = append(vs.pending, versionProgress{number: in.Version, amendment: in.Change, changes: in.Change.Changes})
+		vs.pending = append(vs.pending, versionProgress{number: in.Version, amendment: in.Amendment, changes: in.Amendment.Changes})
 	}
 }
 
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -26,7 +26,7 @@
 func versionInput(t require.TestingT, number uint64, items ...nodeconfig.Item) Input {
 	change, err := nodeconfig.Parse(items)
 	require.NoError(t, err)
-	return Input{Kind: VersionReceived, Version: number, Change: change}
+	return Input{Kind: VersionReceived, Version: number, Amendment: change}
 }
 
 // applyVersion applies items as the next version. It returns the error with which the version was refused.
@@ -205,7 +205,7 @@
 			require.NoError(t, err)
 			want.Apply(&change.Changes[0])
 			sm.executor.lastLineAt = sm.now
-			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Change: change}}
+			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Amendment: change}}
 			if sm.connections.byLink[7] != nil && !sm.connections.byLink[7].goAwaySent && !sm.connections.byLink[7].broken && sm.connections.byLink[7].isIdle() {
 				stream++
 				sent++
@@ -217,7 +217,7 @@
 				answered += len(effectsOfKind(endRun(sm, int(stream)), SendToConnection))
 			}
 			if sm.connections.byLink[7] != nil {
-				sm.connections.byLink[7].faults = 0
+				sm.connections.byLink[7].faultCount = 0
 			}
 		}
 		assert.Greater(t, sent, 200)
--- a/internal/testbed/emulator/fleet.go
+++ b/internal/testbed/emulator/fleet.go
@@ -187,7 +187,7 @@
 	}
 	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "ledger:1", Control: "control:1"}, drainTimeout, 4000, 400)
 	if f.day.Make != nil {
-		r.Decisions = f.day.Make
+		r.NewDecider = f.day.Make
 	}
 	return r, nil
 }
--- a/server/effects.go
+++ b/server/effects.go
@@ -90,9 +90,9 @@
 	case node.WriteRecord:
 		s.resultStore.enqueue(e)
 	case node.PersistReplicaWrite:
-		s.replica.enqueue(e.Write)
+		s.replica.enqueue(e.ReplicaWrite)
 	case node.PersistVersion:
-		s.persistVersion(e.Persisting)
+		s.persistVersion(e.ConfigWrite)
 	default:
 		return false
 	}
@@ -111,7 +111,7 @@
 	case node.ReportVersionInForce:
 		s.logVersionInForce(e.InForce)
 	case node.ViewChanged:
-		s.logViewChange(e.Change)
+		s.logViewChange(e.ViewChange)
 	case node.WriteLog:
 		s.writeLog(e)
 	}
--- a/server/server.go
+++ b/server/server.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	if !s.enqueueInput(node.Input{Kind: node.VersionReceived, Version: version, Change: change}) {
+	if !s.enqueueInput(node.Input{Kind: node.VersionReceived, Version: version, Amendment: change}) {
 		return errDrained
 	}
 	return nil
