--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -77,7 +77,7 @@
 	startNodeWithFlags(t, nil, "--fleet", path)
 	conn := dialPeer(t, bind)
 	other := claims.Owner{Name: "n2", Incarnation: 7}
-	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: "n2", Owner: other, Commands: []claims.Command{{
+	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: "n2", Owner: other, ClaimCommands: []claims.Command{{
 		Kind:     claims.CommandClaim,
 		Sender:   other,
 		Seq:      3,
@@ -91,8 +91,8 @@
 		sendMessage(t, conn, proposal)
 		got = receiveMessage(t, conn, 200*time.Millisecond)
 	}
-	require.Len(t, got.Verdicts, 1)
-	assert.Equal(t, claims.AnswerGranted, got.Verdicts[0].Answer)
+	require.Len(t, got.ClaimVerdicts, 1)
+	assert.Equal(t, claims.AnswerGranted, got.ClaimVerdicts[0].Answer)
 	out, err := exec.Command(program, "claims", "--fleet", "tests", bind).CombinedOutput()
 	require.NoError(t, err, string(out))
 	assert.Contains(t, string(out), "seat in the council, led by n1: 1 claims")
@@ -161,9 +161,9 @@
 
 func FuzzConsensusMessages(f *testing.F) {
 	for _, m := range []*consensus.Message{
-		{Kind: consensus.MessageDiscovery, From: "n2", ID: 7, Incarnation: 9, Unassigned: true},
+		{Kind: consensus.MessageDiscovery, From: "n2", RaftID: 7, Incarnation: 9, Unassigned: true},
 		{Kind: consensus.MessageRaft, From: "n2", Raft: []byte{8, 3}},
-		{Kind: consensus.MessagePropose, From: "n2", Commands: []claims.Command{{Kind: claims.CommandClaim}}},
+		{Kind: consensus.MessagePropose, From: "n2", ClaimCommands: []claims.Command{{Kind: claims.CommandClaim}}},
 	} {
 		text, err := envelope.Seal(nil, 1, m)
 		require.NoError(f, err)
@@ -174,7 +174,7 @@
 		if envelope.DecodeBody(body, m) != nil {
 			return
 		}
-		c := consensus.NewGroup([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
+		c := consensus.NewReplica([]string{"n1", "n2", "n3"}, "n1", 1, 1, 1)
 		c.Step(2, []consensus.Input{{Message: m}})
 		c.Step(700_000_000, []consensus.Input{{Message: m}})
 	})
--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -132,7 +132,7 @@
 	command.BodyHash = 1
 	command.Duration = 60_000_000_000
 	command.Window = 600_000_000_000
-	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: c.owner.Name, Owner: c.owner, Commands: []claims.Command{command}}
+	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: c.owner.Name, Owner: c.owner, ClaimCommands: []claims.Command{command}}
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		sendMessage(t, c.conn, proposal)
 		message := receiveMessage(t, c.conn, 300*time.Millisecond)
@@ -144,7 +144,7 @@
 		if message.Kind != consensus.MessageVerdicts {
 			continue
 		}
-		for _, verdict := range message.Verdicts {
+		for _, verdict := range message.ClaimVerdicts {
 			if verdict.Seq == c.seq {
 				return verdict
 			}
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -77,7 +77,7 @@
 	w := t.BeginSnapshot()
 	for !w.Next(bytesPerWholeStep) {
 	}
-	t.snapshot = w.Text()
+	t.snapshot = w.Encoded()
 	return t.snapshot, nil
 }
 
@@ -178,8 +178,8 @@
 	return len(w.steps) == 0
 }
 
-// Text is what is encoded so far. It must not be changed.
-func (w *SnapshotWriter) Text() []byte { return w.text }
+// Encoded is what is encoded so far. It must not be changed.
+func (w *SnapshotWriter) Encoded() []byte { return w.text }
 
 func (w *SnapshotWriter) addStep(step func() bool) { w.steps = append(w.steps, step) }
 
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -51,16 +51,16 @@
 	seq := uint64(1_000)
 	for whole := false; !whole; parts++ {
 		whole = w.Next(once)
-		assert.LessOrEqual(t, len(w.Text())-last, once+maxBlockBytes)
-		last = len(w.Text())
+		assert.LessOrEqual(t, len(w.Encoded())-last, once+maxBlockBytes)
+		last = len(w.Encoded())
 		seq++
 		table.Apply(1<<41, &Command{Kind: CommandPut, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
 		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
 	}
 	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
-	assert.Equal(t, before, w.Text())
-	assert.LessOrEqual(t, cap(w.Text()), len(before)*11/10, "its size is known before, so that it is never copied")
-	again, err := Restore(w.Text())
+	assert.Equal(t, before, w.Encoded())
+	assert.LessOrEqual(t, cap(w.Encoded()), len(before)*11/10, "its size is known before, so that it is never copied")
+	again, err := Restore(w.Encoded())
 	require.NoError(t, err)
 	text, err := again.Snapshot()
 	require.NoError(t, err)
@@ -113,9 +113,9 @@
 		}
 		var one, two savedTable
 		require.NoError(t, cbor.Unmarshal(whole, &one))
-		require.NoError(t, cbor.Unmarshal(w.Text(), &two))
+		require.NoError(t, cbor.Unmarshal(w.Encoded(), &two))
 		require.Equal(t, one, two)
-		require.Len(t, w.Text(), len(whole), "nothing is encoded twice")
+		require.Len(t, w.Encoded(), len(whole), "nothing is encoded twice")
 	})
 }
 
--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -6,7 +6,7 @@
 )
 
 // applyEntry applies a committed entry to the tables or to the membership.
-func (r *Replica) applyEntry(e *pb.Entry) {
+func (r *raftReplica) applyEntry(e *pb.Entry) {
 	r.raft.appliedIndex = e.GetIndex()
 	if len(e.GetData()) == 0 && e.GetType() == pb.EntryNormal {
 		return
@@ -20,12 +20,12 @@
 }
 
 // applyToTables applies the parts of an entry. One that can't be decoded is ignored, as it is by all replicas.
-func (r *Replica) applyToTables(data []byte) {
+func (r *raftReplica) applyToTables(data []byte) {
 	var parts map[uint8]cbor.RawMessage
 	if cborDecoding.Unmarshal(data, &parts) != nil {
 		return
 	}
-	r.Counters.Entries++
+	r.Counters.AppliedEntries++
 	for key := range parts {
 		if key == 0 || int(key) > len(r.tables) {
 			panic(errNewerTable)
--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -22,7 +22,7 @@
 )
 
 // tickBootstrap sends discovery messages, binds this incarnation, and starts the group once all are bound alike.
-func (r *Replica) tickBootstrap() {
+func (r *raftReplica) tickBootstrap() {
 	visible := r.visibleSet()
 	switch {
 	case r.bootstrap.boundSet == 0 && visible != 0:
@@ -43,13 +43,13 @@
 }
 
 // bootstrapTimedOut reports whether a group was started and neither had a leader nor committed anything for bootstrapTimeout.
-func (r *Replica) bootstrapTimedOut() bool {
+func (r *raftReplica) bootstrapTimedOut() bool {
 	last, err := r.raft.storage.LastIndex()
 	mustSucceed(err)
 	return last == 1 && r.raft.appliedIndex == 1 && r.leadership.leaderID == 0 && r.now-r.bootstrap.boundAt > bootstrapTimeout
 }
 
-func (r *Replica) broadcastDiscovery() {
+func (r *raftReplica) broadcastDiscovery() {
 	for _, name := range r.members {
 		if name != r.self {
 			r.sendDiscovery(name)
@@ -57,10 +57,10 @@
 	}
 }
 
-func (r *Replica) sendDiscovery(to string) {
+func (r *raftReplica) sendDiscovery(to string) {
 	r.send(to, Message{
 		Kind:        MessageDiscovery,
-		ID:          r.raft.id,
+		RaftID:      r.raft.id,
 		Incarnation: r.incarnation,
 		BoundTo:     r.bootstrap.boundSet,
 		Unassigned:  !r.bootstrap.done,
@@ -68,7 +68,7 @@
 }
 
 // visibleSet is the hash of all members' raft IDs, 0 where not all are known, or one belongs to a group.
-func (r *Replica) visibleSet() uint64 {
+func (r *raftReplica) visibleSet() uint64 {
 	hash := xxhash.New()
 	for _, name := range r.members {
 		id := r.raft.id
@@ -77,14 +77,14 @@
 			if !known || !m.Unassigned {
 				return 0
 			}
-			id = m.ID
+			id = m.RaftID
 		}
 		_, _ = fmt.Fprintf(hash, "%s %x\n", name, id) // a hash returns no error
 	}
 	return hash.Sum64() | 1
 }
 
-func (r *Replica) allBound() bool {
+func (r *raftReplica) allBound() bool {
 	for _, name := range r.members {
 		if name != r.self && r.bootstrap.discovered[name].BoundTo != r.bootstrap.boundSet {
 			return false
@@ -94,14 +94,14 @@
 }
 
 // startGroup starts the group from the same empty state at all replicas.
-func (r *Replica) startGroup() {
+func (r *raftReplica) startGroup() {
 	r.replicas[r.self] = replicaIncarnation{r.raft.id, r.incarnation}
 	voters := []uint64{r.raft.id}
 	for _, name := range r.members {
 		if name != r.self {
 			m := r.bootstrap.discovered[name]
-			r.replicas[name] = replicaIncarnation{m.ID, m.Incarnation}
-			voters = append(voters, m.ID)
+			r.replicas[name] = replicaIncarnation{m.RaftID, m.Incarnation}
+			voters = append(voters, m.RaftID)
 		}
 	}
 	slices.Sort(voters)
@@ -117,7 +117,7 @@
 }
 
 // storeInitialState stores a snapshot of the empty tables as the log's first entry.
-func (r *Replica) storeInitialState(conf *pb.ConfState) {
+func (r *raftReplica) storeInitialState(conf *pb.ConfState) {
 	one := uint64(1)
 	mustSucceed(r.raft.storage.ApplySnapshot(&pb.Snapshot{
 		Data:     r.encodeSnapshot(r.beginSnapshot()),
@@ -130,7 +130,7 @@
 	r.bootstrap.done = true
 }
 
-func (r *Replica) handleDiscovery(m *Message) {
+func (r *raftReplica) handleDiscovery(m *Message) {
 	if !slices.Contains(r.members, m.From) || m.From == r.self {
 		return
 	}
@@ -139,24 +139,24 @@
 		return // delayed message of an earlier incarnation
 	}
 	r.bootstrap.discovered[m.From] = *m
-	if m.Unassigned && (r.bootstrap.done || !known || before.ID != m.ID || before.BoundTo != m.BoundTo) {
+	if m.Unassigned && (r.bootstrap.done || !known || before.RaftID != m.RaftID || before.BoundTo != m.BoundTo) {
 		r.sendDiscovery(m.From)
 	}
 }
 
 // replaceRestarted proposes to replace a member's incarnation that lost its state by its next one, one member at a time.
-func (r *Replica) replaceRestarted() {
+func (r *raftReplica) replaceRestarted() {
 	for _, name := range r.members {
 		m, known := r.bootstrap.discovered[name]
 		before, isMember := r.replicas[name]
-		if known && m.Unassigned && isMember && m.ID != before.ID && m.Incarnation > before.Incarnation && name != r.self {
-			r.proposeReplacement(name, replicaIncarnation{m.ID, m.Incarnation}, before)
+		if known && m.Unassigned && isMember && m.RaftID != before.ID && m.Incarnation > before.Incarnation && name != r.self {
+			r.proposeReplacement(name, replicaIncarnation{m.RaftID, m.Incarnation}, before)
 			return
 		}
 	}
 }
 
-func (r *Replica) proposeReplacement(name string, now, before replicaIncarnation) {
+func (r *raftReplica) proposeReplacement(name string, now, before replicaIncarnation) {
 	context, err := cbor.Marshal(map[string]replicaIncarnation{name: now})
 	if err != nil {
 		return
@@ -172,7 +172,7 @@
 }
 
 // applyConfChange applies a membership change, and starts a snapshot: a new incarnation can't use one from before it was a member.
-func (r *Replica) applyConfChange(e *pb.Entry) {
+func (r *raftReplica) applyConfChange(e *pb.Entry) {
 	change, err := decodeConfChange(e)
 	if err != nil {
 		return
@@ -186,7 +186,7 @@
 	for name, replica := range replaced {
 		r.replicas[name] = replica
 		r.leadership.lastContact[replica.ID] = r.now
-		r.Counters.Reinitialized++
+		r.Counters.ReplacedMembers++
 		r.log(false, "%s sits in the council anew: what it knew before is lost with its last life", name)
 	}
 }
--- a/internal/fleet/consensus/claimtable.go
+++ b/internal/fleet/consensus/claimtable.go
@@ -20,7 +20,7 @@
 // claimTable is the replicated table of claims, with the callers that wait for a verdict of this replica. While this replica leads, it
 // also advances the table's time, plans takeovers, and collects the ended claims that nodes wait for.
 type claimTable struct {
-	replica      *Replica
+	replica      *raftReplica
 	maxBytes     int64 // of the table, 0 for the default
 	view         []takeover.Member
 	table        *claims.Table
@@ -123,7 +123,7 @@
 }
 
 func (t *claimTable) applyCommand(command *claims.Command) {
-	t.replica.Counters.Committed++
+	t.replica.Counters.CommittedCommands++
 	id := commandID{command.Sender, command.Seq}
 	if t.alterCommand != nil {
 		t.alterCommand(command, t.table)
--- a/internal/fleet/consensus/configtable.go
+++ b/internal/fleet/consensus/configtable.go
@@ -28,7 +28,7 @@
 // configTable is the replicated table of configuration versions, with the callers that wait for a verdict of this replica. While this
 // replica leads, it also proposes to go on from the canary stage once a version has been there for long enough.
 type configTable struct {
-	replica        *Replica
+	replica        *raftReplica
 	validate       func(*configsync.Command) string // says why a change is invalid by itself, empty where it isn't; nil for none
 	table          *configsync.Table
 	inUse          bool // something was committed: else snapshots hold nothing of it
@@ -165,7 +165,7 @@
 	if c.Kind < configsync.CommandPut || c.Kind > configsync.CommandRollback {
 		panic(errNewerCommand)
 	}
-	t.replica.Counters.Committed++
+	t.replica.Counters.CommittedCommands++
 	t.changed = true
 	verdict := t.table.Apply(at, c)
 	id := configCommandID{c.From, c.Seq}
@@ -202,22 +202,22 @@
 
 // SetConfigValidator has changes of the configuration validated before they are proposed; check says why a change is invalid by
 // itself, empty where it isn't.
-func (g *Group) SetConfigValidator(check func(*configsync.Command) string) {
-	g.configs.validate = check
+func (r *Replica) SetConfigValidator(check func(*configsync.Command) string) {
+	r.configs.validate = check
 }
 
 // AgreedConfig is the configuration's committed versions, where they changed since the last call. A replica that belongs to no group
 // yet, or again, knows nothing: nil.
-func (g *Group) AgreedConfig() (agreed *configsync.Agreed, changed bool) {
-	t := g.configs
-	changed = t.changed || t.reportedAgreed != g.bootstrap.done
-	if changed && g.bootstrap.done {
+func (r *Replica) AgreedConfig() (agreed *configsync.Agreed, changed bool) {
+	t := r.configs
+	changed = t.changed || t.reportedAgreed != r.bootstrap.done
+	if changed && r.bootstrap.done {
 		agreed = t.table.Agreed()
 	}
 	t.changed = false
-	t.reportedAgreed = g.bootstrap.done
+	t.reportedAgreed = r.bootstrap.done
 	return agreed, changed
 }
 
 // RollbackVersions are the versions that can be rolled back to.
-func (g *Group) RollbackVersions() []uint64 { return g.configs.table.RollbackVersions() }
+func (r *Replica) RollbackVersions() []uint64 { return r.configs.table.RollbackVersions() }
--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -19,7 +19,7 @@
 func (s *simulation) propose(t *testing.T, replica int, c configsync.Command) configsync.Verdict {
 	node := s.nodes[3]
 	node.configVerdicts = nil
-	s.send(3, s.nodes[replica].name, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), Proposed: []configsync.Command{c}})
+	s.send(3, s.nodes[replica].name, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), ConfigCommands: []configsync.Command{c}})
 	s.run(s.now + 500*ms)
 	require.Len(t, node.configVerdicts, 1, "one command, one verdict")
 	assert.Equal(t, []any{c.From, c.Seq}, []any{node.configVerdicts[0].From, node.configVerdicts[0].Seq})
@@ -61,10 +61,10 @@
 	assert.Equal(t, uint64(2), v.Version)
 	sim.nodes[3].configVerdicts = nil
 	sim.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
-		Proposed: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n3"}}})
+		ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n3"}}})
 	sim.run(sim.now + 500*ms)
 	assert.False(t, sim.heads()[0].Stopped, "only a replica may stop a version")
-	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{Proposed: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n7", Why: "no"}}})
+	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n7", Why: "no"}}})
 	sim.wakeNow(1)
 	sim.run(sim.now + 6_000*ms)
 	want := sim.heads()[0]
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -73,8 +73,8 @@
 }
 
 // fixtureGroup is a replica of a group of three that knows nothing yet.
-func fixtureGroup() *Group {
-	c := NewGroup([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
+func fixtureGroup() *Replica {
+	c := NewReplica([]string{"n1", "n2", "n3"}, "n1", 21, 0, 1)
 	c.earlyEffects, c.effects = nil, nil
 	return c
 }
@@ -95,7 +95,7 @@
 }
 
 // sameTables compares the tables of two replicas.
-func sameTables(t *testing.T, want, got *Group) {
+func sameTables(t *testing.T, want, got *Replica) {
 	t.Helper()
 	for i := range want.tables {
 		a, err := want.tables[i].Snapshot()
--- a/internal/fleet/consensus/leader.go
+++ b/internal/fleet/consensus/leader.go
@@ -14,18 +14,18 @@
 	snapshotRetryBackoff = 50 * ms    // ns until a snapshot is sent that is still being written
 )
 
-func (r *Replica) resetElectionTimer() {
+func (r *raftReplica) resetElectionTimer() {
 	r.leadership.electionAt = r.now + minElectionTimeout + r.random.Int63n(minElectionTimeout)
 }
 
-func (r *Replica) campaign() {
-	r.Counters.Elections++
+func (r *raftReplica) campaign() {
+	r.Counters.Campaigns++
 	_ = r.raft.node.Campaign() // refused where this replica is no voter: the next timeout tries again
 	r.followLeader()
 }
 
 // followLeader takes note of a change of leader.
-func (r *Replica) followLeader() {
+func (r *raftReplica) followLeader() {
 	leaderID := r.raft.node.BasicStatus().Lead
 	if leaderID == r.leadership.leaderID {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-func (r *Replica) becomeLeader() {
+func (r *raftReplica) becomeLeader() {
 	r.leadership.heartbeatAt = r.now
 	r.leadership.tickAt = r.now
 	for _, t := range r.tables {
@@ -55,7 +55,7 @@
 
 // steppedDown reports whether this replica leads and has not been in contact with a majority for leaderSilenceTimeout. It then sends
 // nothing, so that replicas which still receive its messages, but can't reach it, elect another.
-func (r *Replica) steppedDown() bool {
+func (r *raftReplica) steppedDown() bool {
 	if !r.IsLeader() {
 		return false
 	}
@@ -68,7 +68,7 @@
 	return 2*inContact <= len(r.replicas)
 }
 
-func (r *Replica) runLeaderTimers() {
+func (r *raftReplica) runLeaderTimers() {
 	if r.now >= r.leadership.heartbeatAt {
 		r.heartbeat()
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-func (r *Replica) heartbeat() {
+func (r *raftReplica) heartbeat() {
 	r.leadership.heartbeatAt = r.now + heartbeatInterval
 	r.raft.node.Tick()
 	if !r.steppedDown() {
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -17,7 +17,7 @@
 // leaseTable is the replicated table of limits and leases, with the callers that wait for a grant of this replica, and the limits that
 // it defines while it leads.
 type leaseTable struct {
-	replica       *Replica
+	replica       *raftReplica
 	limits        []quota.Command
 	leases        *quota.LeaseTable
 	queuedLeases  []quota.Command
@@ -85,7 +85,7 @@
 }
 
 func (t *leaseTable) applyCommand(at int64, command *quota.Command) {
-	t.replica.Counters.Committed++
+	t.replica.Counters.CommittedCommands++
 	verdict := t.leases.Apply(at, command)
 	id := leaseCommandID{claims.Owner(command.Sender), command.Limit, command.Seq}
 	if _, waits := t.pendingLeases[id]; waits && command.Kind == quota.CommandRequestLease {
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -26,42 +26,42 @@
 
 // Message is what replicas and nodes send each other. A field that is not for all kinds names its kinds.
 type Message struct {
-	Kind        MessageKind          `cbor:"1,keyasint"`
-	From        string               `cbor:"2,keyasint"`
-	Raft        []byte               `cbor:"3,keyasint,omitempty"`  // MessageRaft
-	ID          uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer: a raft ID
-	Incarnation uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer
-	BoundTo     uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery
-	Unassigned  bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group
-	Owner       claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; in answers the receiver
-	Commands    []claims.Command     `cbor:"9,keyasint,omitempty"`  // MessagePropose
-	Verdicts    []claims.Verdict     `cbor:"10,keyasint,omitempty"` // MessageVerdicts
-	Keys        []claims.Key         `cbor:"11,keyasint,omitempty"` // MessageClaimsEnded
-	Entry       *claims.Entry        `cbor:"12,keyasint,omitempty"` // MessageReassignment
-	Remaining   int64                `cbor:"13,keyasint,omitempty"` // MessageReassignment: ns to the claim's deadline
-	Leases      []quota.Command      `cbor:"15,keyasint,omitempty"` // MessagePropose
-	Grants      []quota.Verdict      `cbor:"16,keyasint,omitempty"` // MessageVerdicts
-	Number      uint64               `cbor:"17,keyasint,omitempty"` // MessageRaft: the sender's last persisted write; MessageRejoinAnswer: the receiver's last write that is known
-	Part        string               `cbor:"18,keyasint,omitempty"` // MessagePartRequest, MessagePart: digest of the part
-	Offset      int                  `cbor:"19,keyasint,omitempty"` // MessagePartRequest, MessagePart: bytes into the part
-	Size        int                  `cbor:"20,keyasint,omitempty"` // MessagePart: bytes of the part
-	Bytes       []byte               `cbor:"21,keyasint,omitempty"` // MessagePart
-	Proposed    []configsync.Command `cbor:"22,keyasint,omitempty"` // MessagePropose
-	Decided     []configsync.Verdict `cbor:"23,keyasint,omitempty"` // MessageVerdicts
-	Leader      string               `cbor:"14,keyasint,omitempty"` // MessageVerdicts: the group's leader, as far as the sender knows
+	Kind           MessageKind          `cbor:"1,keyasint"`
+	From           string               `cbor:"2,keyasint"`
+	Raft           []byte               `cbor:"3,keyasint,omitempty"`  // MessageRaft
+	RaftID         uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer: a raft ID
+	Incarnation    uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer
+	BoundTo        uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery
+	Unassigned     bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group
+	Owner          claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; in answers the receiver
+	ClaimCommands  []claims.Command     `cbor:"9,keyasint,omitempty"`  // MessagePropose
+	ClaimVerdicts  []claims.Verdict     `cbor:"10,keyasint,omitempty"` // MessageVerdicts
+	Keys           []claims.Key         `cbor:"11,keyasint,omitempty"` // MessageClaimsEnded
+	Entry          *claims.Entry        `cbor:"12,keyasint,omitempty"` // MessageReassignment
+	Remaining      int64                `cbor:"13,keyasint,omitempty"` // MessageReassignment: ns to the claim's deadline
+	LeaseCommands  []quota.Command      `cbor:"15,keyasint,omitempty"` // MessagePropose
+	LeaseVerdicts  []quota.Verdict      `cbor:"16,keyasint,omitempty"` // MessageVerdicts
+	WriteNumber    uint64               `cbor:"17,keyasint,omitempty"` // MessageRaft: the sender's last persisted write; MessageRejoinAnswer: the receiver's last write that is known
+	Part           string               `cbor:"18,keyasint,omitempty"` // MessagePartRequest, MessagePart: digest of the part
+	Offset         int                  `cbor:"19,keyasint,omitempty"` // MessagePartRequest, MessagePart: bytes into the part
+	Size           int                  `cbor:"20,keyasint,omitempty"` // MessagePart: bytes of the part
+	Chunk          []byte               `cbor:"21,keyasint,omitempty"` // MessagePart
+	ConfigCommands []configsync.Command `cbor:"22,keyasint,omitempty"` // MessagePropose
+	ConfigVerdicts []configsync.Verdict `cbor:"23,keyasint,omitempty"` // MessageVerdicts
+	Leader         string               `cbor:"14,keyasint,omitempty"` // MessageVerdicts: the group's leader, as far as the sender knows
 }
 
 // Input is one event: a message, commands of this node, another membership view, or the result of writes.
 type Input struct {
-	Message  *Message
-	Claims   []claims.Command     // of this node
-	Leases   []quota.Command      // of this node
-	View     []takeover.Member    // nil where it did not change
-	Proposed []configsync.Command // of the configuration
-	Owner    claims.Owner         // receives the verdicts on Proposed; zero where this replica proposes on its own behalf
+	Message        *Message
+	ClaimCommands  []claims.Command     // of this node
+	LeaseCommands  []quota.Command      // of this node
+	View           []takeover.Member    // nil where it did not change
+	ConfigCommands []configsync.Command // of the configuration
+	Owner          claims.Owner         // receives the verdicts on Proposed; zero where this replica proposes on its own behalf
 
 	Persisted uint64 // writes up to this number count
-	Err       error  // of the disk: that write and all later ones failed
+	DiskErr   error  // of the disk: that write and all later ones failed
 }
 
 // EffectKind names what is to be done.
--- a/internal/fleet/consensus/rejoin.go
+++ b/internal/fleet/consensus/rejoin.go
@@ -8,7 +8,7 @@
 )
 
 // trackPeerWrite notes the write that a peer's messages depend on, and answers a peer whose state is older than it was before.
-func (r *Replica) trackPeerWrite(id, number uint64, from string) {
+func (r *raftReplica) trackPeerWrite(id, number uint64, from string) {
 	if number == 0 {
 		return
 	}
@@ -25,7 +25,7 @@
 	}
 }
 
-func (r *Replica) startRejoin() {
+func (r *raftReplica) startRejoin() {
 	r.disk.rejoinAnswers = map[string]bool{}
 	r.disk.rejoinAt = r.now
 	r.disk.rejoinDeadline = r.now + rejoinTimeout
@@ -34,7 +34,7 @@
 // tickRejoin asks the others for this replica's last write that they know of, and goes on once they have answered: an old disk lacks
 // what was acknowledged, and votes. It guards against a volume that was set back; where no other answers, the group is back only
 // after rejoinTimeout.
-func (r *Replica) tickRejoin() {
+func (r *raftReplica) tickRejoin() {
 	d := &r.disk
 	known := len(d.rejoinAnswers) + 1
 	if known == len(r.members) || 2*known > len(r.members) && r.now >= d.rejoinDeadline {
@@ -48,27 +48,27 @@
 	d.rejoinAt = r.now + rejoinInterval
 	for _, name := range r.members {
 		if name != r.self && !d.rejoinAnswers[name] {
-			r.send(name, Message{Kind: MessageRejoin, ID: r.raft.id, Incarnation: r.incarnation})
+			r.send(name, Message{Kind: MessageRejoin, RaftID: r.raft.id, Incarnation: r.incarnation})
 		}
 	}
 }
 
 // answerRejoin sends a member the last write known of its raft ID, and the incarnation that is a member now.
-func (r *Replica) answerRejoin(to string, id uint64) {
+func (r *raftReplica) answerRejoin(to string, id uint64) {
 	if r.bootstrap.done {
-		r.send(to, Message{Kind: MessageRejoinAnswer, ID: id, Incarnation: r.replicas[to].Incarnation, Number: r.disk.peerWrites[id]})
+		r.send(to, Message{Kind: MessageRejoinAnswer, RaftID: id, Incarnation: r.replicas[to].Incarnation, WriteNumber: r.disk.peerWrites[id]})
 	}
 }
 
 // handleRejoinAnswer takes another member's answer, and restarts a replica whose disk is behind what it acknowledged.
-func (r *Replica) handleRejoinAnswer(m *Message) {
-	if m.ID != r.raft.id || !r.disk.enabled || !slices.Contains(r.members, m.From) || m.From == r.self {
+func (r *raftReplica) handleRejoinAnswer(m *Message) {
+	if m.RaftID != r.raft.id || !r.disk.enabled || !slices.Contains(r.members, m.From) || m.From == r.self {
 		return
 	}
 	switch {
-	case m.Number > r.disk.lastWrite:
+	case m.WriteNumber > r.disk.lastWrite:
 		r.log(true, "this seat's disk is behind what it had acknowledged: %s heard its write %d, and the last there was %d; it begins anew",
-			m.From, m.Number, r.disk.lastWrite)
+			m.From, m.WriteNumber, r.disk.lastWrite)
 		r.restart()
 	case m.Incarnation > r.incarnation:
 		r.log(true, "another life has this seat's place by what %s knows; it begins anew", m.From)
--- a/internal/fleet/consensus/replica.go
+++ b/internal/fleet/consensus/replica.go
@@ -1,289 +1,185 @@
+// Package consensus is a group of replicas that agree on one order of commands, by raft, and apply them to replicated tables: claims,
+// leases and versions of the configuration. It does no I/O and reads no clock: Replica.Step takes messages, the time and the membership
+// view, and returns effects.
 package consensus
 
 import (
-	"errors"
-	"fmt"
-	"math/rand"
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-	"github.com/fxamacker/cbor/v2"
-	"go.etcd.io/raft/v3"
-	pb "go.etcd.io/raft/v3/raftpb"
-
-	"topazpost/internal/cborcodec"
+	"topazpost/internal/fleet/claims"
+	"topazpost/internal/fleet/quota"
+	"topazpost/internal/fleet/takeover"
 )
 
 const (
-	ms    = int64(1_000_000) // ns in a millisecond
-	never = 1<<63 - 1        // ns
-
-	maxMessageBytes     = 256 << 10 // of entries in one message
-	maxUncommittedBytes = 4 << 20   // of entries that are not committed yet; raft drops proposals above it
-	maxInFlightMessages = 64        // append messages on their way to one replica
-	maxTrackedIDs       = 64        // raft IDs remembered per replica: several incarnations of five replicas
+	pendingTimeout     = 5_000 * ms // ns after which this replica no longer answers a command that was not committed
+	maxEntryCommands   = 512        // commands of a table in one entry
+	maxPendingCommands = 100_000    // commands that this replica has to answer; more are dropped, and the caller asks another replica
 )
 
-// Table is one replicated table of a group: its content depends only on the parts of the committed entries that were applied to it,
-// so it is the same at all replicas. A replica holds tables and does not look into them.
-type Table interface {
-	// Apply carries out the table's part of an entry, at the agreed time. It panics at what this build doesn't support, since the table
-	// would diverge from the others'. A part that can't be decoded is ignored, as it is by all replicas.
-	Apply(at int64, part []byte)
-	// Snapshot encodes the whole table. It is called only after a part was applied.
-	Snapshot() ([]byte, error)
-	// Restore replaces the table's content; empty text stands for an empty table. An error ends this incarnation of the replica.
-	Restore(text []byte) error
-}
-
-// replicatedTable is a table together with what its host does around it at this replica alone.
-type replicatedTable interface {
-	Table
-	reset()                 // a new incarnation of the replica begins: nothing is known and nobody waits
-	becomeLeader()          // this replica has become the leader
-	leaderTick()            // the leader queues the table's own proposals
-	storedSeparately() bool // it is large and changes seldom: snapshots refer to it by its digest
-	nextProposal() []byte   // the next part to propose, nil where there is none; each is returned once
-}
-
-var (
-	errMissingPart  = errors.New("a part that the snapshot names is not here")
-	errNewerTable   = errors.New("a table of a newer version: what the others know would not be known here")
-	errNewerCommand = errors.New("a command of a newer version: the others' tables would not be this one's any more")
-)
-
-// replicaIncarnation identifies one incarnation of a replica by its raft ID. A replica that restarts without its state gets another
-// ID, so that it can't vote or acknowledge in place of the incarnation whose state was lost.
-type replicaIncarnation struct {
-	ID          uint64 `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`
-}
-
-// Counters are a replica's counters as operators see them.
-type Counters struct {
-	Committed     int `json:"agreed"` // commands
-	Entries       int `json:"entries"`
-	Elections     int `json:"stood"`
-	Snapshots     int `json:"snapshots"`
-	Reinitialized int `json:"reseated"`
-	Broken        int `json:"broken"` // faults after which the replica restarted as a new incarnation
-}
-
-// raftState is raft's node with its storage, and how far the log is applied.
-type raftState struct {
-	id            uint64
-	storage       *raft.MemoryStorage
-	node          *raft.RawNode
-	appliedIndex  uint64
-	snapshotIndex uint64
-	confState     *pb.ConfState
-}
-
-// leadershipState is what a replica knows of the leader, and its timers of elections and of leadership.
-type leadershipState struct {
-	leaderID        uint64
-	leaderContactAt int64             // last message of the leader
-	lastContact     map[uint64]int64  // last message by raft ID
-	lastIDs         map[string]uint64 // the raft ID that a member last used
-	electionAt      int64
-	heartbeatAt     int64
-	tickAt          int64
-	announceAt      int64
-	announcing      bool // send this step's messages although stepped down
-}
-
-// bootstrapState is the state of forming a group.
-type bootstrapState struct {
-	done        bool
-	boundSet    uint64 // hash of the raft IDs that this incarnation is bound to, 0 for none
-	boundAt     int64
-	discovered  map[string]Message // last discovery message by member
-	discoveryAt int64
+// Replica is one replica of a group, with its tables.
+type Replica struct {
+	*raftReplica
+	*claimTable
+	*leaseTable
+	configs  *configTable
+	expireAt int64 // when pending commands are looked through next
+}
+
+// NewReplica returns a replica that knows nothing yet. Names are all members, this one among them; the incarnation distinguishes this start
+// of the process from others.
+func NewReplica(names []string, self string, incarnation uint64, now, seed int64) *Replica {
+	r := &Replica{raftReplica: newRaftReplica(names, self, incarnation, now, seed)}
+	r.claimTable = &claimTable{replica: r.raftReplica}
+	r.leaseTable = &leaseTable{replica: r.raftReplica}
+	r.configs = &configTable{replica: r.raftReplica}
+	r.tables = []replicatedTable{r.claimTable, r.leaseTable, r.configs}
+	r.agreedTime = func() int64 { return r.table.Time() }
+	r.initialize()
+	return r
 }
 
-// snapshotState is the snapshot being written or received, and the parts that snapshots refer to.
-type snapshotState struct {
-	sentAt          map[uint64]int64  // by raft ID of the receiver
-	cachedTexts     [][]byte          // encoded tables of the last snapshot, nil for those that changed since
-	cachedDigests   []string          // of cachedTexts, where they are known
-	parts           map[string][]byte // tables stored beside snapshots, by digest
-	previousDigests []string          // parts that the last snapshot but one refers to
-	fetch           *partFetch        // nil unless a received snapshot waits for parts
-	writer          *snapshotWriter   // nil unless one is being written
-}
+// SetMaxTableBytes sets the bytes that the table of claims may take while this replica leads, 0 for the default.
+func (r *Replica) SetMaxTableBytes(bytes int64) { r.maxBytes = bytes }
 
-// Replica is one member of a group: raft, bootstrap and membership, elections, and the dispatch of committed entries to tables.
-type Replica struct {
-	Counters Counters
+// SetLimits sets the limits that this replica defines while it leads.
+func (r *Replica) SetLimits(list []quota.Command) { r.limits = list }
 
-	self               string
-	members            []string // sorted
-	replicas           map[string]replicaIncarnation
-	incarnation        uint64
-	processIncarnation uint64
-	random             *rand.Rand
-	now                int64
-	wakeAt             int64
-	effects            []Effect
-	earlyEffects       []Effect          // emitted before the first step
-	tables             []replicatedTable // a table's key in an entry is its index and one
-	agreedTime         func() int64
+// LeaseTable is the table of limits and leases as far as this replica has applied it. It must not be changed.
+func (r *Replica) LeaseTable() *quota.LeaseTable { return r.leases }
 
-	raft       raftState
-	leadership leadershipState
-	bootstrap  bootstrapState
-	snapshots  snapshotState
-	disk       diskState
-}
+// Table is the table of claims as far as this replica has applied it. It must not be changed.
+func (r *Replica) Table() *claims.Table { return r.table }
 
-func newReplica(names []string, self string, incarnation uint64, now, seed int64) *Replica {
-	return &Replica{
-		self:               self,
-		members:            slices.Sorted(slices.Values(names)),
-		incarnation:        incarnation,
-		processIncarnation: incarnation,
-		random:             rand.New(rand.NewSource(seed ^ int64(incarnation))),
-		now:                now,
+// TakeoverCounters are the counters of takeovers since this replica last became the leader.
+func (r *Replica) TakeoverCounters() takeover.Counters {
+	if r.planner == nil {
+		return takeover.Counters{}
 	}
-}
-
-// initialize begins an incarnation that knows nothing.
-func (r *Replica) initialize() {
-	r.raft.id = xxhash.Sum64String(fmt.Sprintf("%s %d %d", r.self, r.incarnation, r.random.Uint64())) | 1
-	r.raft.storage = raft.NewMemoryStorage()
-	r.raft.appliedIndex = 0
-	r.raft.snapshotIndex = 0
-	r.raft.confState = nil
-	r.replicas = map[string]replicaIncarnation{}
-	r.bootstrap.done = false
-	r.bootstrap.boundSet = 0
-	r.bootstrap.discovered = map[string]Message{}
-	r.leadership.leaderID = 0
-	r.leadership.lastContact = map[uint64]int64{}
-	r.leadership.lastIDs = map[string]uint64{}
-	r.leadership.announcing = false
-	r.snapshots = snapshotState{
-		sentAt:        map[uint64]int64{},
-		cachedTexts:   make([][]byte, len(r.tables)),
-		cachedDigests: make([]string, len(r.tables)),
-		parts:         map[string][]byte{},
-	}
-	r.disk.peerWrites = map[uint64]uint64{}
-	r.disk.peerWritesChanged = false
-	r.disk.pendingReady = nil
-	r.disk.rejoinAnswers = nil
-	if r.disk.enabled && r.disk.nonEmpty {
-		r.emitWrite(Write{DiscardEarlier: true}, nil)
-	}
-	for _, t := range r.tables {
-		t.reset()
+	return r.planner.Counters
+}
+
+// Summarize fills in what this replica knows, with at most so many claims, without their work and results.
+func (r *Replica) Summarize(p *Summary, most int) {
+	takeovers := r.TakeoverCounters()
+	p.Replica = &r.Counters
+	p.Leader = r.Leader()
+	p.Table = &r.table.Counters
+	p.Takeover = &takeovers
+	p.Time = r.table.Time()
+	p.Entries, p.Bytes = r.table.Size()
+	p.Limits = r.leases.Limits()
+	for _, entry := range r.table.List(most) {
+		short := *entry
+		short.Work = nil
+		short.Waiters = nil
+		p.Claims = append(p.Claims, &short)
 	}
-	r.bootstrap.discoveryAt = r.now
-	r.leadership.tickAt = r.now
-	r.startRaft(0)
-	r.resetElectionTimer()
-}
-
-// restart begins another incarnation of this replica, under another raft ID, that knows nothing.
-func (r *Replica) restart() {
-	r.incarnation = max(r.incarnation, r.processIncarnation) + 1
-	r.initialize()
 }
 
-// startRaft makes raft's node over the storage. Elections are timed by this package, from its own source of randomness: raft's ticks
-// only send the leader's heartbeats.
-func (r *Replica) startRaft(applied uint64) {
-	node, err := raft.NewRawNode(&raft.Config{
-		ID:                        r.raft.id,
-		ElectionTick:              1 << 30,
-		HeartbeatTick:             1,
-		Storage:                   r.raft.storage,
-		Applied:                   applied,
-		MaxSizePerMsg:             maxMessageBytes,
-		MaxInflightMsgs:           maxInFlightMessages,
-		MaxUncommittedEntriesSize: maxUncommittedBytes,
-		MaxCommittedSizePerReady:  maxUncommittedBytes,
-		PreVote:                   true,
-		StepDownOnRemoval:         true,
-		Logger:                    raftLogger{},
+// Step takes what happened up to now, by a clock that only advances. The effects are valid until the next step; wake is the latest
+// time of that.
+func (r *Replica) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
+	r.step(now, func() {
+		for i := range inputs {
+			r.handleInput(&inputs[i])
+		}
+		if r.now >= r.expireAt {
+			r.expireAt = r.now + pendingTimeout
+			r.claimTable.expirePending()
+			r.leaseTable.expirePending()
+			r.configs.expirePending()
+		}
 	})
-	mustSucceed(err)
-	r.raft.node = node
+	r.flush()
+	r.wakeAt = max(now+1, r.nextDeadline())
+	return r.effects, r.wakeAt
 }
 
-// IsLeader reports whether this replica leads the group, as far as it knows.
-func (r *Replica) IsLeader() bool { return r.leadership.leaderID == r.raft.id }
-
-// IsCurrent reports whether this replica knows all that was committed but for what is on its way: it is in contact with a leader, or
-// leads and is in contact with a majority, and has applied an entry of that leader's term, and with it all before.
-func (r *Replica) IsCurrent() bool {
-	if !r.bootstrap.done || r.leadership.leaderID == 0 || r.now >= r.leadership.leaderContactAt+minElectionTimeout || r.steppedDown() {
-		return false
+func (r *Replica) handleInput(in *Input) {
+	if in.View != nil {
+		r.view = in.View
+	}
+	for i := range in.ClaimCommands {
+		r.enqueueClaim(in.ClaimCommands[i])
+	}
+	r.requestLeases(in.LeaseCommands)
+	r.configs.enqueue(in.Owner, in.ConfigCommands)
+	if in.Persisted > 0 || in.DiskErr != nil {
+		r.handlePersisted(in.Persisted, in.DiskErr)
+	}
+	if in.Message != nil {
+		r.handleMessage(in.Message)
 	}
-	term, err := r.raft.storage.Term(r.raft.appliedIndex)
-	return err == nil && term == r.raft.node.BasicStatus().GetTerm()
 }
 
-// Leader is the name of the replica that leads, as far as this one knows, empty where it knows none.
-func (r *Replica) Leader() string {
-	for name, replica := range r.replicas {
-		if replica.ID == r.leadership.leaderID {
-			return name
+func (r *Replica) handleMessage(m *Message) {
+	switch m.Kind {
+	case MessagePropose:
+		r.handlePropose(m)
+	case MessageDiscovery:
+		r.handleDiscovery(m)
+	case MessageRaft:
+		r.handleRaft(m)
+	case MessageRejoin:
+		if slices.Contains(r.members, m.From) {
+			r.answerRejoin(m.From, m.RaftID)
 		}
+	case MessageRejoinAnswer:
+		r.handleRejoinAnswer(m)
+	case MessagePartRequest:
+		r.handlePartRequest(m)
+	case MessagePart:
+		r.handlePart(m)
 	}
-	return ""
 }
 
-func (r *Replica) isMember(id uint64) bool {
-	for _, replica := range r.replicas {
-		if replica.ID == id {
-			return true
+// handlePropose queues the commands that a node may give on its own behalf.
+func (r *Replica) handlePropose(m *Message) {
+	for i := range m.ClaimCommands {
+		command := &m.ClaimCommands[i]
+		if command.Sender == m.Owner && command.Kind != claims.CommandAdvanceTime {
+			r.enqueueClaim(*command)
 		}
 	}
-	return false
+	r.requestLeases(slices.DeleteFunc(m.LeaseCommands, func(command quota.Command) bool {
+		return command.Kind != quota.CommandRequestLease || command.Sender != quota.Owner(m.Owner)
+	}))
+	if m.Owner.Name != "" {
+		r.configs.enqueue(m.Owner, m.ConfigCommands)
+	}
 }
 
-func (r *Replica) emit(e Effect) { r.effects = append(r.effects, e) }
-
-func (r *Replica) log(warn bool, format string, args ...any) {
-	r.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(format, args...)})
+// flush sends the answers of this step, one message of each kind for each node.
+func (r *Replica) flush() {
+	addReceivers(r.verdicts, r.grants)
+	addReceivers(r.verdicts, r.configs.verdicts)
+	for _, owner := range sortedOwners(r.verdicts) {
+		r.send(owner.Name, Message{Kind: MessageVerdicts, Owner: owner, ClaimVerdicts: r.verdicts[owner], LeaseVerdicts: r.grants[owner],
+			ConfigVerdicts: r.configs.verdicts[owner]})
+	}
+	clear(r.verdicts)
+	clear(r.grants)
+	clear(r.configs.verdicts)
+	for _, owner := range sortedOwners(r.endedClaims) {
+		r.send(owner.Name, Message{Kind: MessageClaimsEnded, Owner: owner, Keys: r.endedClaims[owner]})
+	}
+	clear(r.endedClaims)
 }
 
-func (r *Replica) send(to string, m Message) {
-	m.From = r.self
-	if m.Kind == MessageVerdicts {
-		m.Leader = r.Leader()
+// addReceivers adds who is only in from to verdicts, without any, so that one message brings both.
+func addReceivers[T any](verdicts map[claims.Owner][]claims.Verdict, from map[claims.Owner]T) {
+	for owner := range from {
+		if _, known := verdicts[owner]; !known {
+			verdicts[owner] = nil
+		}
 	}
-	r.emit(Effect{Kind: Send, To: to, Message: m})
 }
 
-// mustSucceed panics at an error that can't occur, so that this incarnation ends instead of going on from an unknown state.
-func mustSucceed(err error) {
-	if err != nil {
-		panic(err)
+func sortedOwners[T any](of map[claims.Owner]T) (list []claims.Owner) {
+	for owner := range of {
+		list = append(list, owner)
 	}
+	slices.SortFunc(list, claims.CompareOwners)
+	return list
 }
-
-var cborDecoding = cborcodec.MustDecMode(cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden})
-
-var cborEncoding = func() cbor.EncMode {
-	mode, err := cbor.CanonicalEncOptions().EncMode()
-	mustSucceed(err)
-	return mode
-}()
-
-// raftLogger drops raft's log: what matters is logged as effects. What raft holds to be fatal ends the incarnation.
-type raftLogger struct{}
-
-func (raftLogger) Debug(...any)                   {}
-func (raftLogger) Debugf(string, ...any)          {}
-func (raftLogger) Error(...any)                   {}
-func (raftLogger) Errorf(string, ...any)          {}
-func (raftLogger) Info(...any)                    {}
-func (raftLogger) Infof(string, ...any)           {}
-func (raftLogger) Warning(...any)                 {}
-func (raftLogger) Warningf(string, ...any)        {}
-func (raftLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (raftLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-func (raftLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
--- a/internal/fleet/consensus/group_test.go
+++ b/internal/fleet/consensus/replica_test.go
@@ -97,7 +97,7 @@
 	assert.Equal(t, before, replica.raft.id, "what can't be decoded is dropped")
 	replica.restartOnPanic(func() { panic("as raft would") })
 	assert.NotEqual(t, before, replica.raft.id)
-	assert.Equal(t, 1, replica.Counters.Broken)
+	assert.Equal(t, 1, replica.Counters.PanicRestarts)
 	sim.run(sim.now + 6_000*ms)
 	assert.NotNil(t, sim.leader())
 	assert.True(t, replica.bootstrap.done, "the group has replaced it")
@@ -106,11 +106,11 @@
 func TestNewerCommandRestartsReplica(t *testing.T) {
 	sim := newStableSimulation(t, 3, 3)
 	node := sim.leader()
-	node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandKindCount, Sender: node.owner(), Seq: 99}}})
+	node.replicaInputs = append(node.replicaInputs, Input{ClaimCommands: []claims.Command{{Kind: claims.CommandKindCount, Sender: node.owner(), Seq: 99}}})
 	sim.wakeNow(sim.indexOf(node))
 	sim.run(sim.now + 1_000*ms)
 	for _, x := range sim.nodes {
-		assert.Positive(t, x.replica.Counters.Broken, "a replica whose table would diverge restarts")
+		assert.Positive(t, x.replica.Counters.PanicRestarts, "a replica whose table would diverge restarts")
 	}
 }
 
--- a/internal/fleet/consensus/simcallers_test.go
+++ b/internal/fleet/consensus/simcallers_test.go
@@ -115,11 +115,11 @@
 	switch a.Kind {
 	case claims.SendCommands:
 		if node.replica != nil {
-			node.replicaInputs = append(node.replicaInputs, Input{Claims: a.Commands})
+			node.replicaInputs = append(node.replicaInputs, Input{ClaimCommands: a.Commands})
 			return
 		}
 		to := s.members[s.random.Intn(len(s.members))]
-		s.send(i, to, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), Commands: a.Commands})
+		s.send(i, to, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), ClaimCommands: a.Commands})
 	case claims.StartRun:
 		s.startRun(i, a.Key)
 	case claims.EndRecorded:
@@ -175,7 +175,7 @@
 }
 
 // check requires that no fence in a leader's table is lower than one seen before.
-func (s *simulation) check(group *Group) {
+func (s *simulation) check(group *Replica) {
 	if !group.IsLeader() || group.raft.appliedIndex == s.checkedIndex {
 		return
 	}
--- a/internal/fleet/consensus/simlinks_test.go
+++ b/internal/fleet/consensus/simlinks_test.go
@@ -61,10 +61,10 @@
 }
 
 func (n *simNode) receiveAnswer(msg *Message) {
-	for k := range msg.Verdicts {
-		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.VerdictReceived, Verdict: msg.Verdicts[k]})
+	for k := range msg.ClaimVerdicts {
+		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.VerdictReceived, Verdict: msg.ClaimVerdicts[k]})
 	}
-	n.configVerdicts = append(n.configVerdicts, msg.Decided...)
+	n.configVerdicts = append(n.configVerdicts, msg.ConfigVerdicts...)
 	for _, key := range msg.Keys {
 		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.EndNotified, Key: key})
 	}
--- a/internal/fleet/consensus/simulation_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -21,7 +21,7 @@
 	incarnation    uint64
 	up             bool
 	paused         bool
-	replica        *Group
+	replica        *Replica
 	client         *claims.Client
 	clientInputs   []claims.Input
 	replicaInputs  []Input
@@ -79,10 +79,10 @@
 	ignoreFences   bool // injected fault: fences are not compared
 	takeovers      int
 	checkedIndex   uint64
-	disks          bool                      // replicas have disks
-	configure      func(i int, group *Group) // called for each replica before its first step
-	resumed        int                       // replicas that recovered from their disks
-	maxExtraWrite  int64                     // ns that a write may take longer
+	disks          bool                        // replicas have disks
+	configure      func(i int, group *Replica) // called for each replica before its first step
+	resumed        int                         // replicas that recovered from their disks
+	maxExtraWrite  int64                       // ns that a write may take longer
 }
 
 func newSimulation(seed int64, nodes, replicas int) *simulation {
@@ -157,7 +157,7 @@
 
 func (s *simulation) startReplica(i int) {
 	node := s.nodes[i]
-	node.replica = NewGroup(s.members, node.name, node.incarnation, s.now, s.random.Int63())
+	node.replica = NewReplica(s.members, node.name, node.incarnation, s.now, s.random.Int63())
 	if s.configure != nil {
 		s.configure(i, node.replica)
 	}
--- a/internal/fleet/consensus/snapshotparts.go
+++ b/internal/fleet/consensus/snapshotparts.go
@@ -31,7 +31,7 @@
 }
 
 // awaitParts reports whether a snapshot must wait for parts, and requests them.
-func (r *Replica) awaitParts(m *pb.Message, from string) bool {
+func (r *raftReplica) awaitParts(m *pb.Message, from string) bool {
 	missing := slices.DeleteFunc(separateDigests(m.GetSnapshot()), func(digest string) bool { return r.snapshots.parts[digest] != nil })
 	if len(missing) == 0 {
 		r.snapshots.fetch = nil
@@ -49,7 +49,7 @@
 }
 
 // requestChunk requests the next chunk where that is due.
-func (r *Replica) requestChunk() {
+func (r *raftReplica) requestChunk() {
 	fetch := r.snapshots.fetch
 	switch {
 	case fetch == nil || r.now < fetch.requestAt:
@@ -62,23 +62,23 @@
 }
 
 // handlePartRequest answers a request for a chunk.
-func (r *Replica) handlePartRequest(m *Message) {
+func (r *raftReplica) handlePartRequest(m *Message) {
 	text := r.snapshots.parts[m.Part]
 	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(r.members, m.From) {
 		return
 	}
 	chunk := text[m.Offset:min(len(text), m.Offset+chunkBytes)]
-	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Bytes: chunk})
+	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Chunk: chunk})
 }
 
 // handlePart takes a chunk; one that does not follow on what is received answers a repeated request.
-func (r *Replica) handlePart(m *Message) {
+func (r *raftReplica) handlePart(m *Message) {
 	fetch := r.snapshots.fetch
 	if fetch == nil || m.From != fetch.from || m.Part != fetch.missing[0] || m.Offset != len(fetch.received) ||
-		m.Size > maxPartBytes || len(m.Bytes) == 0 {
+		m.Size > maxPartBytes || len(m.Chunk) == 0 {
 		return
 	}
-	fetch.received = append(fetch.received, m.Bytes...)
+	fetch.received = append(fetch.received, m.Chunk...)
 	fetch.requestAt = r.now
 	fetch.progressAt = r.now
 	if len(fetch.received) >= m.Size {
@@ -98,7 +98,7 @@
 }
 
 // decodePart is a table's text in a snapshot, empty where it has none, with its digest where it is stored separately.
-func (r *Replica) decodePart(part cbor.RawMessage) (text []byte, digest string, err error) {
+func (r *raftReplica) decodePart(part cbor.RawMessage) (text []byte, digest string, err error) {
 	if len(part) == 0 {
 		return nil, "", nil
 	}
@@ -119,7 +119,7 @@
 
 // dropUnusedParts drops parts that neither the last snapshot nor the one before refers to, nor the one that waits for parts. The one
 // before may still be on its way to another replica.
-func (r *Replica) dropUnusedParts() {
+func (r *raftReplica) dropUnusedParts() {
 	snap, err := r.raft.storage.Snapshot()
 	if err != nil {
 		return
--- a/internal/fleet/consensus/snapshotparts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -46,7 +46,7 @@
 	sim.stable = true
 	sim.disks = true
 	tables := make([]*largeTable, 3)
-	sim.configure = func(i int, group *Group) {
+	sim.configure = func(i int, group *Replica) {
 		tables[i] = &largeTable{}
 		group.tables = append(group.tables, tables[i])
 		group.initialize()
@@ -101,9 +101,9 @@
 }
 
 func (t *watchedSnapshot) Next(least int) bool {
-	before := len(t.Text())
+	before := len(t.Encoded())
 	whole := t.incrementalSnapshot.Next(least)
-	t.table.bytesByStep[t.table.nextCalls] += len(t.Text()) - before
+	t.table.bytesByStep[t.table.nextCalls] += len(t.Encoded()) - before
 	return whole
 }
 
@@ -114,7 +114,7 @@
 	sim.stable = true
 	sim.disks = true
 	var tables [3]*watchedTable
-	sim.configure = func(i int, group *Group) {
+	sim.configure = func(i int, group *Replica) {
 		tables[i] = &watchedTable{configTable: group.configs, bytesByStep: map[int]int{}}
 		group.tables[2] = tables[i]
 	}
@@ -143,7 +143,7 @@
 	node := sim.leader()
 	self := node.owner()
 	for n := range 2_500 { // more than maxLogEntries
-		node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
+		node.replicaInputs = append(node.replicaInputs, Input{ClaimCommands: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		sim.wakeNow(sim.indexOf(node))
 		sim.run(sim.now + 8*ms)
 	}
--- a/internal/fleet/consensus/snapshots.go
+++ b/internal/fleet/consensus/snapshots.go
@@ -34,8 +34,8 @@
 type incrementalSnapshot interface {
 	// Next encodes at least so many bytes more, and at most one block above them, and reports whether the encoding is complete.
 	Next(least int) (whole bool)
-	// Text is what is encoded so far.
-	Text() []byte
+	// Encoded is what is encoded so far.
+	Encoded() []byte
 }
 
 // snapshotWriter is a snapshot in progress. Its slices have an element for each table.
@@ -57,7 +57,7 @@
 }
 
 // compact starts a snapshot where the log is long, and truncates the log once the snapshot is complete.
-func (r *Replica) compact() {
+func (r *raftReplica) compact() {
 	switch {
 	case r.snapshots.writer != nil && r.snapshots.writer.complete():
 		r.finishSnapshot()
@@ -67,7 +67,7 @@
 }
 
 // startSnapshot starts a snapshot of the current state, in place of one that is in progress.
-func (r *Replica) startSnapshot() {
+func (r *raftReplica) startSnapshot() {
 	r.snapshots.writer = r.beginSnapshot()
 	r.continueSnapshot()
 	if r.snapshots.writer.complete() {
@@ -76,7 +76,7 @@
 }
 
 // finishSnapshot stores a complete snapshot and truncates the log before it.
-func (r *Replica) finishSnapshot() {
+func (r *raftReplica) finishSnapshot() {
 	w := r.snapshots.writer
 	r.snapshots.writer = nil
 	if _, err := r.raft.storage.CreateSnapshot(w.index, w.confState, r.encodeSnapshot(w)); err != nil {
@@ -93,7 +93,7 @@
 }
 
 // beginSnapshot begins a snapshot. Tables that did not change since the last one are not encoded again.
-func (r *Replica) beginSnapshot() *snapshotWriter {
+func (r *raftReplica) beginSnapshot() *snapshotWriter {
 	count := len(r.tables)
 	w := &snapshotWriter{
 		index:     r.raft.appliedIndex,
@@ -127,7 +127,7 @@
 }
 
 // continueSnapshot encodes one step's share of the snapshot in progress.
-func (r *Replica) continueSnapshot() {
+func (r *raftReplica) continueSnapshot() {
 	w := r.snapshots.writer
 	if w == nil {
 		return
@@ -142,7 +142,7 @@
 
 func (w *snapshotWriter) continueTable(i int, p incrementalSnapshot) {
 	complete := p.Next(snapshotBytesPerStep)
-	text := p.Text()
+	text := p.Encoded()
 	_, _ = w.hash.Write(text[w.hashed:]) // a hash returns no error
 	w.hashed = len(text)
 	if complete {
@@ -155,7 +155,7 @@
 }
 
 // encodeSnapshot is the text of a complete snapshot, which refers to separately stored tables by their digests.
-func (r *Replica) encodeSnapshot(w *snapshotWriter) []byte {
+func (r *raftReplica) encodeSnapshot(w *snapshotWriter) []byte {
 	content := map[uint8]any{snapshotKeyReplicas: w.replicas}
 	for i, text := range w.texts {
 		key := snapshotKeyReplicas + 1 + uint8(i)
@@ -179,7 +179,7 @@
 
 // restoreSnapshot replaces what is known here by a snapshot. It panics where the snapshot can't be restored, since this replica can't
 // go on from the others' state then.
-func (r *Replica) restoreSnapshot(snap *pb.Snapshot) {
+func (r *raftReplica) restoreSnapshot(snap *pb.Snapshot) {
 	var parts map[uint8]cbor.RawMessage
 	mustSucceed(cbor.Unmarshal(snap.GetData(), &parts))
 	var replicas map[string]replicaIncarnation
--- a/internal/fleet/consensus/step.go
+++ b/internal/fleet/consensus/step.go
@@ -12,7 +12,7 @@
 const minPause = 150 * ms // ns past a wake-up from which this process was paused, and not the others
 
 // step handles what happened, by handle, and then carries out what is due.
-func (r *Replica) step(now int64, handle func()) {
+func (r *raftReplica) step(now int64, handle func()) {
 	paused := r.wakeAt > 0 && now-r.wakeAt > minPause
 	r.now = now
 	r.effects = append(r.effects[:0], r.earlyEffects...)
@@ -31,10 +31,10 @@
 
 // restartOnPanic restarts this replica as a new incarnation where raft or a table can't go on. It guards against messages that no
 // correct replica sends. It also hides faults of this program, so each is counted and logged.
-func (r *Replica) restartOnPanic(do func()) {
+func (r *raftReplica) restartOnPanic(do func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			r.Counters.Broken++
+			r.Counters.PanicRestarts++
 			r.restart()
 			r.log(true, "the council's seat could not go on and begins anew: %v", cause)
 		}
@@ -42,7 +42,7 @@
 	do()
 }
 
-func (r *Replica) runTimers() {
+func (r *raftReplica) runTimers() {
 	switch {
 	case !r.bootstrap.done:
 		r.tickBootstrap()
@@ -66,7 +66,7 @@
 }
 
 // nextDeadline is when the next timer expires.
-func (r *Replica) nextDeadline() int64 {
+func (r *raftReplica) nextDeadline() int64 {
 	at := int64(never)
 	if !r.bootstrap.done {
 		at = min(at, r.bootstrap.discoveryAt)
@@ -87,7 +87,7 @@
 }
 
 // handleRaft passes a raft message of another replica on to raft.
-func (r *Replica) handleRaft(in *Message) {
+func (r *raftReplica) handleRaft(in *Message) {
 	m := new(pb.Message)
 	if proto.Unmarshal(in.Raft, m) != nil || m.GetTo() != r.raft.id || !slices.Contains(r.members, in.From) || r.disk.rejoinAnswers != nil {
 		return
@@ -97,7 +97,7 @@
 	}
 	r.leadership.lastContact[m.GetFrom()] = r.now
 	r.leadership.lastIDs[in.From] = m.GetFrom()
-	r.trackPeerWrite(m.GetFrom(), in.Number, in.From)
+	r.trackPeerWrite(m.GetFrom(), in.WriteNumber, in.From)
 	switch m.GetType() {
 	case pb.MsgPreVote, pb.MsgVote: // a replica that is in contact with a leader, or leads, does not help to replace it
 		if r.leadership.leaderID != 0 && r.now < r.leadership.leaderContactAt+minElectionTimeout && m.GetFrom() != r.leadership.leaderID {
@@ -117,7 +117,7 @@
 }
 
 // propose proposes what is queued at the tables.
-func (r *Replica) propose() {
+func (r *raftReplica) propose() {
 	for {
 		parts := map[uint8]cbor.RawMessage{}
 		for i, t := range r.tables {
@@ -135,7 +135,7 @@
 }
 
 // processReady carries out raft's Ready batches until there is none, or the disk is waited for.
-func (r *Replica) processReady() {
+func (r *raftReplica) processReady() {
 	for !r.disk.blocked() && r.raft.node.HasReady() {
 		rd := r.raft.node.Ready()
 		if r.disk.enabled && mustPersist(&rd) {
@@ -158,7 +158,7 @@
 }
 
 // applyReady carries a Ready batch out, once it is on the disk where there is one.
-func (r *Replica) applyReady(rd *raft.Ready) {
+func (r *raftReplica) applyReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		mustSucceed(r.raft.storage.ApplySnapshot(rd.Snapshot))
 		r.restoreSnapshot(rd.Snapshot)
@@ -176,7 +176,7 @@
 }
 
 // sendRaftMessages sends raft's messages, unless this replica is stepped down.
-func (r *Replica) sendRaftMessages(messages []*pb.Message) {
+func (r *raftReplica) sendRaftMessages(messages []*pb.Message) {
 	steppedDown := r.steppedDown()
 	for _, m := range messages {
 		if m.GetType() == pb.MsgSnap {
@@ -192,7 +192,7 @@
 	}
 }
 
-func (r *Replica) sendRaftMessage(m *pb.Message) {
+func (r *raftReplica) sendRaftMessage(m *pb.Message) {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return
@@ -200,7 +200,7 @@
 	for _, name := range r.members {
 		// A replica that lags may not know the receiver's incarnation as a member yet, but have had a message of it.
 		if r.replicas[name].ID == m.GetTo() || r.leadership.lastIDs[name] == m.GetTo() {
-			r.send(name, Message{Kind: MessageRaft, Raft: text, Number: r.disk.lastPersisted})
+			r.send(name, Message{Kind: MessageRaft, Raft: text, WriteNumber: r.disk.lastPersisted})
 			return
 		}
 	}
--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -68,7 +68,7 @@
 
 // Recover has the replica keep its state on a disk, before its first step, and restores what is there. Contents of another group, or
 // of a later build, are an error; nothing is lost by it.
-func (r *Replica) Recover(now int64, contents DiskContents) (err error) {
+func (r *raftReplica) Recover(now int64, contents DiskContents) (err error) {
 	r.disk.enabled = true
 	r.disk.nonEmpty = len(contents.Base)+len(contents.Records) > 0
 	r.now = now
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (r *Replica) recoverBase(base *diskBase, parts map[string][]byte) (*pb.Snapshot, error) {
+func (r *raftReplica) recoverBase(base *diskBase, parts map[string][]byte) (*pb.Snapshot, error) {
 	snap := new(pb.Snapshot)
 	if err := proto.Unmarshal(base.Snapshot, snap); err != nil {
 		return nil, fmt.Errorf("the base's snapshot can't be read: %w", err)
@@ -133,7 +133,7 @@
 	return snap, nil
 }
 
-func (r *Replica) recoverRecord(text []byte) error {
+func (r *raftReplica) recoverRecord(text []byte) error {
 	var rec diskRecord
 	if err := cborDecoding.Unmarshal(text, &rec); err != nil {
 		return fmt.Errorf("a record can't be read by this build: %w", err)
@@ -159,7 +159,7 @@
 }
 
 // resume goes on from the recovered state: alone at once, else after the others confirmed it.
-func (r *Replica) resume() {
+func (r *raftReplica) resume() {
 	r.startRaft(r.raft.appliedIndex)
 	r.bootstrap.boundAt = r.now
 	r.leadership.leaderContactAt = 0
@@ -175,16 +175,18 @@
 }
 
 // Resumed reports whether the replica holds what it knew before its process ended.
-func (r *Replica) Resumed() bool { return r.disk.enabled && r.bootstrap.done && r.disk.lastWrite > 0 }
+func (r *raftReplica) Resumed() bool {
+	return r.disk.enabled && r.bootstrap.done && r.disk.lastWrite > 0
+}
 
-func (r *Replica) storedHardState() *pb.HardState {
+func (r *raftReplica) storedHardState() *pb.HardState {
 	hard, _, err := r.raft.storage.InitialState()
 	mustSucceed(err)
 	return hard
 }
 
 // persistReady writes raft's hard state, entries or snapshot, and delays what depends on them.
-func (r *Replica) persistReady(rd *raft.Ready) {
+func (r *raftReplica) persistReady(rd *raft.Ready) {
 	if raft.IsEmptySnap(rd.Snapshot) {
 		rec := diskRecord{Entries: marshalEntries(rd.Entries)}
 		if !raft.IsEmptyHardState(rd.HardState) {
@@ -198,7 +200,7 @@
 	r.disk.pendingWrite = r.disk.lastWrite
 }
 
-func (r *Replica) persistSnapshot(rd *raft.Ready) {
+func (r *raftReplica) persistSnapshot(rd *raft.Ready) {
 	hard := rd.HardState
 	if raft.IsEmptyHardState(hard) {
 		hard = r.storedHardState()
@@ -211,7 +213,7 @@
 }
 
 // baseWrite is a write that replaces all that is on the disk.
-func (r *Replica) baseWrite(snap *pb.Snapshot, hard *pb.HardState) Write {
+func (r *raftReplica) baseWrite(snap *pb.Snapshot, hard *pb.HardState) Write {
 	text, err := cborEncoding.Marshal(diskBase{
 		ID:          r.raft.id,
 		Incarnation: r.incarnation,
@@ -230,7 +232,7 @@
 }
 
 // rewriteBase replaces what is on the disk by the last snapshot and the log after it, which bounds the disk's content.
-func (r *Replica) rewriteBase() {
+func (r *raftReplica) rewriteBase() {
 	if !r.disk.enabled {
 		return
 	}
@@ -250,7 +252,7 @@
 }
 
 // emitWrite numbers a write and emits it, with a record where there is one.
-func (r *Replica) emitWrite(w Write, rec *diskRecord) {
+func (r *raftReplica) emitWrite(w Write, rec *diskRecord) {
 	r.disk.lastWrite++
 	w.Number = r.disk.lastWrite
 	if rec != nil {
@@ -268,7 +270,7 @@
 }
 
 // handlePersisted takes the result of writes, and carries out what waited for them.
-func (r *Replica) handlePersisted(number uint64, err error) {
+func (r *raftReplica) handlePersisted(number uint64, err error) {
 	if err != nil {
 		r.disk.failed = true
 		r.log(true, "the council's seat stands still until this process is started anew: its disk failed: %v", err)
--- a/internal/fleet/consensus/storage_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -85,7 +85,7 @@
 	replica := node.replica
 	number := replica.disk.lastWrite
 	self := node.owner()
-	effects, _ := replica.Step(sim.now, []Input{{Persisted: number}, {Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
+	effects, _ := replica.Step(sim.now, []Input{{Persisted: number}, {ClaimCommands: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: 99, Key: key(1), Duration: ms}}}})
 	var write *Write
 	for _, e := range effects {
 		if e.Kind == Persist {
@@ -103,7 +103,7 @@
 	sim := newDiskSimulation(t, 4, 3)
 	i := sim.indexOf(sim.leader())
 	node := sim.nodes[i]
-	node.replicaInputs = append(node.replicaInputs, Input{Err: fmt.Errorf("no space left")})
+	node.replicaInputs = append(node.replicaInputs, Input{DiskErr: fmt.Errorf("no space left")})
 	sim.wakeNow(i)
 	sim.run(sim.now + 4_000*ms)
 	require.NotNil(t, sim.leader())
@@ -116,9 +116,9 @@
 
 func TestDiskOfAnotherGroupIsRefused(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
-	c := NewGroup([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
+	c := NewReplica([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
 	assert.ErrorContains(t, c.Recover(1, sim.nodes[0].disk.contents), "put the names back")
-	c = NewGroup(sim.members, "n0", 1, 1, 1)
+	c = NewReplica(sim.members, "n0", 1, 1, 1)
 	assert.ErrorContains(t, c.Recover(1, DiskContents{Base: []byte("no base")}), "can't be read by this build")
 }
 
@@ -128,7 +128,7 @@
 	node := sim.leader()
 	self := node.owner()
 	for n := range 2_500 { // more than maxLogEntries
-		node.replicaInputs = append(node.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
+		node.replicaInputs = append(node.replicaInputs, Input{ClaimCommands: []claims.Command{{Kind: claims.CommandClaim, Sender: self, Seq: uint64(1_000 + n), Key: key(1), Duration: ms}}})
 		sim.wakeNow(sim.indexOf(node))
 		sim.run(sim.now + 8*ms)
 	}
@@ -140,11 +140,11 @@
 
 // commitOnTwoReplicas has a leader and one follower, whose disk is stalled, commit a claim as far as they can, and both crash. The
 // follower returns with what its disk holds, and together with the third, which was cut off, is a majority.
-func commitOnTwoReplicas(t *testing.T, fault func(group *Group)) (agreed, known bool) {
+func commitOnTwoReplicas(t *testing.T, fault func(group *Replica)) (agreed, known bool) {
 	sim := newSimulation(1, 4, 3)
 	sim.stable = true
 	sim.disks = true
-	sim.configure = func(_ int, group *Group) { fault(group) }
+	sim.configure = func(_ int, group *Replica) { fault(group) }
 	sim.startAll()
 	sim.run(5_000 * ms)
 	leader := sim.leader()
@@ -156,7 +156,7 @@
 		sim.cutLinks[[2]int{third, k}], sim.cutLinks[[2]int{k, third}] = true, true
 	}
 	sim.nodes[follower].disk.freeAt = sim.now + 60_000*ms
-	leader.replicaInputs = append(leader.replicaInputs, Input{Claims: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
+	leader.replicaInputs = append(leader.replicaInputs, Input{ClaimCommands: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
 		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Window: window}}})
 	sim.wakeNow(i)
 	sim.run(sim.now + 400*ms)
@@ -172,8 +172,8 @@
 }
 
 func TestCommittedEntryIsOnAMajorityOfDisks(t *testing.T) {
-	agreed, _ := commitOnTwoReplicas(t, func(*Group) {})
+	agreed, _ := commitOnTwoReplicas(t, func(*Replica) {})
 	assert.False(t, agreed, "one disk is no majority")
-	agreed, known := commitOnTwoReplicas(t, func(group *Group) { group.disk.unsafeNoWait = true })
+	agreed, known := commitOnTwoReplicas(t, func(group *Replica) { group.disk.unsafeNoWait = true })
 	assert.True(t, agreed && !known, "a message sent before its state is persisted loses a committed entry")
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -26,7 +26,7 @@
 	clientStepAt int64 // when the client must step again
 	sweepAt      int64 // when sweepClaims is due
 
-	replica         *consensus.Group
+	replica         *consensus.Replica
 	replicas        []string // names of the nodes with a replica, sorted
 	replicaInputs   []consensus.Input
 	replicaStepAt   int64          // when the replica must step again
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -29,7 +29,7 @@
 	executorSends(sm, "WELCOME old 0")
 	executorSends(sm, "METERS j1 0.1 1 0.1 3")
 	sm.group.streams["n0"] = 3
-	receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})
+	receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, ClaimVerdicts: []claims.Verdict{{}}})
 	require.True(t, sm.group.client.Connected())
 	return sm
 }
@@ -48,7 +48,7 @@
 		if e.Kind == SendOnStream {
 			m := new(consensus.Message)
 			require.NoError(t, envelope.Open(e.Bytes, sm.fleet.id, m))
-			list = append(list, m.Commands...)
+			list = append(list, m.ClaimCommands...)
 		}
 	}
 	return list
@@ -60,7 +60,7 @@
 	for _, change := range changes {
 		change(&v)
 	}
-	return &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{v}}
+	return &consensus.Message{Kind: consensus.MessageVerdicts, ClaimVerdicts: []claims.Verdict{v}}
 }
 
 // localEffectKinds returns the kinds of effects that send nothing to other nodes.
@@ -128,7 +128,7 @@
 	receiveFromReplica(t, sm, verdictOn(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answeredAfter := int64(0)
 	for from := sm.now; sm.now < from+3_000*ms && answeredAfter == 0; {
-		effects := append(step(sm), receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, Verdicts: []claims.Verdict{{}}})...)
+		effects := append(step(sm), receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, ClaimVerdicts: []claims.Verdict{{}}})...)
 		if len(effectsOfKind(effects, SendToConnection)) > 0 {
 			answeredAfter = sm.now - from
 		}
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -31,7 +31,7 @@
 		cs.targetReplica = int(uint64(seed) % uint64(len(cs.replicas)))
 		return
 	}
-	cs.replica = consensus.NewGroup(cs.replicas, self.Name, cs.self.Incarnation, now, seed)
+	cs.replica = consensus.NewReplica(cs.replicas, self.Name, cs.self.Incarnation, now, seed)
 	cs.replica.SetMaxTableBytes(maxTableBytes)
 }
 
@@ -84,13 +84,13 @@
 // proposeConfig proposes a command of this node to the consensus group through this node's replica, if it has one.
 func (cs *groupState) proposeConfig(command *configsync.Command) {
 	if cs.replica != nil {
-		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Proposed: []configsync.Command{*command}})
+		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{ConfigCommands: []configsync.Command{*command}})
 	}
 }
 
 // replicaWritePersisted tells the replica that its writes up to a number are on disk, or that the disk failed.
 func (cs *groupState) replicaWritePersisted(number uint64, err error) {
-	cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Persisted: number, Err: err})
+	cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Persisted: number, DiskErr: err})
 }
 
 // forgetStream forgets a stream that has closed, so that nothing more is sent on it.
@@ -162,10 +162,10 @@
 	if m.Kind == consensus.MessageVerdicts {
 		sm.group.recordAnswer(m.Leader)
 	}
-	sm.leases.addLeaseVerdicts(m.Grants)
-	sm.configSync.addVerdicts(m.Decided)
-	for k := range m.Verdicts {
-		sm.addClaimInput(claims.Input{Kind: claims.VerdictReceived, Verdict: m.Verdicts[k]})
+	sm.leases.addLeaseVerdicts(m.LeaseVerdicts)
+	sm.configSync.addVerdicts(m.ConfigVerdicts)
+	for k := range m.ClaimVerdicts {
+		sm.addClaimInput(claims.Input{Kind: claims.VerdictReceived, Verdict: m.ClaimVerdicts[k]})
 	}
 	for _, key := range m.Keys {
 		sm.addClaimInput(claims.Input{Kind: claims.EndNotified, Key: key})
@@ -222,11 +222,11 @@
 	cs := &sm.group
 	cs.rotateTargetReplica(sm.now)
 	if cs.replica != nil && cs.replica.Leader() != "" {
-		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{Claims: slices.Clone(commands), Leases: leases, Proposed: proposed, Owner: cs.self})
+		cs.replicaInputs = append(cs.replicaInputs, consensus.Input{ClaimCommands: slices.Clone(commands), LeaseCommands: leases, ConfigCommands: proposed, Owner: cs.self})
 		return
 	}
 	if to := cs.replicas[cs.targetReplica]; to != cs.self.Name {
-		sm.sendGroupMessage(to, &consensus.Message{Kind: consensus.MessagePropose, From: cs.self.Name, Owner: cs.self, Commands: commands, Leases: leases,
-			Proposed: proposed})
+		sm.sendGroupMessage(to, &consensus.Message{Kind: consensus.MessagePropose, From: cs.self.Name, Owner: cs.self, ClaimCommands: commands, LeaseCommands: leases,
+			ConfigCommands: proposed})
 	}
 }
--- a/internal/node/leases_test.go
+++ b/internal/node/leases_test.go
@@ -28,7 +28,7 @@
 	for _, e := range effectsOfKind(effects, SendOnStream) {
 		m := new(consensus.Message)
 		require.NoError(t, envelope.Open(e.Bytes, sm.fleet.id, m))
-		list = append(list, m.Leases...)
+		list = append(list, m.LeaseCommands...)
 	}
 	return list
 }
@@ -43,7 +43,7 @@
 	require.NotEmpty(t, requests)
 	assert.Empty(t, effectsOfKind(effects, DialCatalogue), "no call is made without a lease")
 	last := requests[len(requests)-1]
-	grant := &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
+	grant := &consensus.Message{Kind: consensus.MessageVerdicts, LeaseVerdicts: []quota.Verdict{{Limit: "calls", Seq: last.Seq, Units: 2, FairShare: 2, LimitDefined: true}}}
 	receiveFromReplica(t, sm, grant)
 	effects = step(sm)
 	require.Len(t, effectsOfKind(effects, DialCatalogue), 1, "the controller receives the new call limit in the next step")
@@ -63,7 +63,7 @@
 		requests = append(requests, leaseRequests(t, sm, step(sm))...)
 	}
 	require.NotEmpty(t, requests)
-	receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, Grants: []quota.Verdict{{Limit: "calls", Seq: requests[len(requests)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
+	receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, LeaseVerdicts: []quota.Verdict{{Limit: "calls", Seq: requests[len(requests)-1].Seq, Units: 1, FairShare: 1, LimitDefined: true}}})
 	step(sm)
 	require.Len(t, sm.catalogue.links, 1)
 	step(sm, Input{Kind: CatalogueConnected, Link: sm.catalogue.links[0].id})
--- a/internal/testbed/processfleet/versions.go
+++ b/internal/testbed/processfleet/versions.go
@@ -161,7 +161,7 @@
 	m.held = append(m.held, revisionTime{f.Now, m.disk.mark.Version})
 	l.inbox = append(l.inbox, l.view())
 	if m.seat {
-		l.council = consensus.NewGroup(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
+		l.council = consensus.NewReplica(f.seats, n.Name, uint64(f.Now)<<8|uint64(m.index), f.Now, f.chance.Int63())
 		if err := l.council.Recover(f.Now, m.wrote); err != nil {
 			f.wrong = append(f.wrong, fmt.Sprintf("%s can't take its disk up: %v", n.Name, err))
 		}
--- a/internal/testbed/processfleet/versions_node.go
+++ b/internal/testbed/processfleet/versions_node.go
@@ -21,7 +21,7 @@
 	woken   timer // of the holder
 	asked   map[int]func(body any, size int)
 	links   int
-	council *consensus.Group
+	council *consensus.Replica
 	toSeat  []consensus.Input
 	seated  timer // of the seat
 	current bool  // as the holder knows of its seat
@@ -162,7 +162,7 @@
 		})
 	case configsync.ProposeCommand:
 		if l.council != nil {
-			l.deliverToReplica(consensus.Input{Proposed: []configsync.Command{*e.Command}})
+			l.deliverToReplica(consensus.Input{ConfigCommands: []configsync.Command{*e.Command}})
 		}
 	}
 }
@@ -238,8 +238,8 @@
 
 func (l *nodeProcess) sendFromReplica(e *consensus.Effect) {
 	f, m := l.f, l.m
-	if e.Message.Kind == consensus.MessageVerdicts && len(e.Message.Decided) > 0 {
-		list := slices.Clone(e.Message.Decided)
+	if e.Message.Kind == consensus.MessageVerdicts && len(e.Message.ConfigVerdicts) > 0 {
+		list := slices.Clone(e.Message.ConfigVerdicts)
 		for _, c := range f.callers {
 			if c.name == e.To {
 				f.After(ms, func() { f.decided(c, list) })
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -49,7 +49,7 @@
 	command := c.command
 	c.sent = f.Now
 	if m := f.byName[f.seats[f.chance.Intn(len(f.seats))]]; m.Up {
-		in := consensus.Input{Proposed: []configsync.Command{*command}, Owner: claims.Owner{Name: c.name, Incarnation: 1}}
+		in := consensus.Input{ConfigCommands: []configsync.Command{*command}, Owner: claims.Owner{Name: c.name, Incarnation: 1}}
 		f.After(ms, func() {
 			if m.Up && m.life != nil {
 				m.life.deliverToReplica(in)
