--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -44,7 +44,7 @@
 	node.signal(syscall.SIGTERM)
 	assert.Equal(t, noMore, d.answer())
 	assert.Equal(t, "51 on 1 ", d.answer())
-	node.awaitLog("abandoned 1")
+	node.awaitLog(", 1 abandoned at the deadline")
 	assert.NoError(t, await(t, node.exited))
 }
 
