--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -11,7 +11,7 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// newNodeWithConnections is a node with some connections, all opened in one step and used once in the next.
+// newNodeWithConnections returns a node with so many connections, all opened in one step and used once in the next.
 func newNodeWithConnections(t *testing.T, count int) *StateMachine {
 	sm := newServingNode(t)
 	sm.connections.maxConnections = count
@@ -26,12 +26,12 @@
 	return sm
 }
 
-// shallowHealthCheck is a shallow health check.
+// shallowHealthCheck returns a shallow health check on a connection.
 func shallowHealthCheck(link int) Input {
 	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}}
 }
 
-// advance advances the clock and keeps the executor's link from being silent.
+// advance steps the node after advancing the clock, without a timeout of the executor's silent link.
 func advance(sm *StateMachine, by int64, inputs ...Input) []Effect {
 	sm.now, sm.executor.lastLineAt = sm.now+by-ms, sm.now+by
 	return step(sm, inputs...)
@@ -49,20 +49,20 @@
 	step(sm, check(9))
 	step(sm, check(8))
 	sm.SpareConnections = 1
-	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "it was never used")
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "connection 10 was never used")
 	step(sm, Input{Kind: ConnectionClosed, Link: 10})
 	step(sm, check(11))
 	step(sm, Input{Kind: ConnectionOpened, Link: 12})
-	assert.True(t, sm.connections.byLink[9].goAwaySent, "8 was used later")
+	assert.True(t, sm.connections.byLink[9].goAwaySent, "connection 8 was used later")
 	assert.False(t, sm.connections.byLink[8].goAwaySent)
 	assert.Equal(t, 2, sm.Counters.ConnectionsEvicted)
 	step(sm, check(12))
-	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "there is no spare place")
+	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "without a spare place, an evicted connection is closed at once")
 	sm.now += evictionGrace
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(sm))
 }
 
-// An invocation on a connection that is being closed is answered, and the close waits for that.
+// An invocation sent before the dispatcher saw the close of its connection must be answered before the connection closes.
 func TestInvocationThatCrossesACloseIsAnsweredBeforeIt(t *testing.T) {
 	for what, evicted := range map[string]bool{"idle": false, "evicted": true} {
 		sm := newServingNode(t)
@@ -96,7 +96,7 @@
 func TestUnusedAndIdleConnectionsAreClosed(t *testing.T) {
 	sm := newServingNode(t)
 	step(sm, invocationInput(1))
-	step(sm, Input{Kind: ConnectionOpened, Link: 8}) // brings nothing
+	step(sm, Input{Kind: ConnectionOpened, Link: 8}) // sends nothing
 	sm.now, sm.executor.lastLineAt = sm.now+firstUseTimeout, sm.now+firstUseTimeout
 	assert.Equal(t, []string{"no more"}, framesSent(t, step(sm)))
 	sm.now += sweepInterval
@@ -106,7 +106,7 @@
 	sm.now, sm.executor.lastLineAt = sm.now+idleTimeout, sm.now+idleTimeout
 	assert.Equal(t, []string{"no more"}, framesSent(t, step(sm)))
 	sm.now += sweepInterval
-	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), "nothing crossed")
+	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 7}}, step(sm), "no invocation arrived after the go-away")
 }
 
 func TestConnectionWithTooManyFaultsIsDiscarded(t *testing.T) {
@@ -119,20 +119,20 @@
 	assert.Equal(t, []string{"51 on 17", "51 on 0", "no more"}, framesSent(t, got))
 	assert.Equal(t, Effect{Kind: DiscardInput, Link: 7}, got[3])
 	sm.now, sm.executor.lastLineAt = sm.now+1_000*ms, sm.now+1_000*ms
-	assert.NotContains(t, effectKinds(step(sm)), CloseAfterFlush, "an open stream awaits its answer")
+	assert.NotContains(t, effectKinds(step(sm)), CloseAfterFlush, "an open stream has no answer yet")
 	got = executorSends(sm, "EXIT 1 "+testInvocationID+" good 12 6|result")
 	assert.Equal(t, []string{"20 on 1"}, framesSent(t, got))
 	assert.Equal(t, Effect{Kind: CloseAfterFlush, Link: 7}, got[len(got)-1])
 }
 
-// Idle connections cost nothing: each is checked when its timeout may have passed, not in every sweep.
+// Idle connections must cost nothing: a connection is checked when its timeout may have passed, not in every sweep.
 func TestIdleConnectionsAreCheckedOnlyWhenTheirTimeoutMayHavePassed(t *testing.T) {
 	const count = 14_000
 	sm := newNodeWithConnections(t, count)
 	for sm.now < 3_000*ms {
 		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, sm.connections.checkCount, "once each, at the timeout of the first use")
+	assert.Equal(t, count, sm.connections.checkCount, "each is checked once, at the timeout of the first use")
 	for sm.now < 14_000*ms {
 		advance(sm, 10*ms)
 	}
@@ -142,52 +142,52 @@
 	}
 }
 
-// Connections that were opened together are due together: invocations must not wait behind all of them.
+// Connections that were opened together are due together. Checking and closing all of them in one step would delay invocations.
 func TestManyOverdueConnectionsAreClosedAFewPerStep(t *testing.T) {
 	const count = 14_000
 	sm := newNodeWithConnections(t, count)
 	for sm.now < 14_900*ms {
 		advance(sm, 50*ms)
 	}
-	told, ended, began := 0, 0, sm.now
+	goAways, closes, startedAt := 0, 0, sm.now
 	var closed []Input
-	for len(sm.connections.byLink) > 0 && sm.now-began < 5_000*ms {
-		before, beforeTold, beforeEnded := sm.connections.checkCount, told, ended
+	for len(sm.connections.byLink) > 0 && sm.now-startedAt < 5_000*ms {
+		checksBefore, goAwaysBefore, closesBefore := sm.connections.checkCount, goAways, closes
 		effects := advance(sm, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
 			switch e.Kind {
 			case SendToConnection:
-				told++
+				goAways++
 			case CloseAfterFlush:
-				ended++
+				closes++
 				closed = append(closed, Input{Kind: ConnectionClosed, Link: e.Link})
 			}
 		}
-		assert.LessOrEqual(t, told-beforeTold+ended-beforeEnded, maxClosesPerStep)
-		assert.LessOrEqual(t, sm.connections.checkCount-before, maxChecksPerStep)
+		assert.LessOrEqual(t, goAways-goAwaysBefore+closes-closesBefore, maxClosesPerStep)
+		assert.LessOrEqual(t, sm.connections.checkCount-checksBefore, maxChecksPerStep)
 	}
-	assert.Equal(t, count, told)
-	assert.Equal(t, count, ended)
-	assert.Less(t, sm.now-began, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
+	assert.Equal(t, count, goAways)
+	assert.Equal(t, count, closes)
+	assert.Less(t, sm.now-startedAt, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
 	assert.Equal(t, count, sm.Counters.ConnectionsClosedAfterGoAway)
-	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.closingWheel.Len(), "no timer is left of closed connections")
+	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.closingWheel.Len(), "closed connections have no timers left")
 }
 
-// Whatever connections bring, and however late steps are: none gets a go-away or is closed before its timeout, each at
-// most a sweep after it if steps are on time.
+// With random requests and steps, no connection gets a go-away or is closed before its timeout. If steps are on time, each
+// gets it at most a sweep and a batch after the timeout.
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		sm := newServingNode(t)
 		sm.connections.maxConnections, sm.SpareConnections = 12, 2
-		newest, wake, stream := 100, sm.now+ms, uint32(0)
+		newestLink, wakeAt, stream := 100, sm.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
-			link := rapid.IntRange(7, newest).Draw(draw, "link")
+			link := rapid.IntRange(7, newestLink).Draw(draw, "link")
 			switch rapid.IntRange(0, 9).Draw(draw, "what") {
 			case 0, 1:
-				newest++
-				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: newest})
+				newestLink++
+				inputs = append(inputs, Input{Kind: ConnectionOpened, Link: newestLink})
 			case 2, 3:
 				inputs = append(inputs, shallowHealthCheck(link))
 			case 4:
@@ -198,28 +198,29 @@
 				in.Link = link
 				inputs = append(inputs, in)
 			}
-			at := wake
+			at := wakeAt
 			if len(inputs) > 0 {
-				at = rapid.Int64Range(sm.now+1, max(sm.now+1, wake)).Draw(draw, "at")
+				at = rapid.Int64Range(sm.now+1, max(sm.now+1, wakeAt)).Draw(draw, "at")
 			}
-			wake = stepCheckingTimeouts(draw, sm, at, inputs)
+			wakeAt = stepCheckingTimeouts(draw, sm, at, inputs)
 		}
 	})
 }
 
-// stepCheckingTimeouts steps a node and checks that its connections get go-aways and are closed in time. It returns the next wakeup.
-func stepCheckingTimeouts(t require.TestingT, sm *StateMachine, at int64, inputs []Input) (wake int64) {
+// stepCheckingTimeouts steps a node, checks that no go-away or close is early and that none will be late if the next step is
+// on time, and returns the time of the next wakeup.
+func stepCheckingTimeouts(t require.TestingT, sm *StateMachine, at int64, inputs []Input) (wakeAt int64) {
 	before := map[int]connection{}
 	for link, c := range sm.connections.byLink {
 		before[link] = *c
 	}
 	sm.executor.lastLineAt = at
 	for _, e := range sm.Step(at, at+1_000_000*ms, inputs) {
-		c, was := sm.connections.byLink[e.Link], before[e.Link]
+		c, earlier := sm.connections.byLink[e.Link], before[e.Link]
 		switch {
 		case e.Kind == SetWakeup:
-			wake = e.At
-		case e.Kind == CloseAfterFlush && !was.closing && !c.broken:
+			wakeAt = e.At
+		case e.Kind == CloseAfterFlush && !earlier.closing && !c.broken:
 			assert.GreaterOrEqual(t, at-c.goAwayAt, evictionGrace)
 			if !c.evicted {
 				assert.GreaterOrEqual(t, at-c.goAwayAt, goAwayGrace)
@@ -238,11 +239,11 @@
 		if c.used {
 			timeout = idleTimeout
 		}
-		late := wake - c.lastUsedAt - timeout
+		lateness := wakeAt - c.lastUsedAt - timeout
 		if c.goAwaySent {
-			late = wake - max(c.goAwayAt+c.goAwayGrace(), c.lastUsedAt)
+			lateness = wakeAt - max(c.goAwayAt+c.goAwayGrace(), c.lastUsedAt)
 		}
-		assert.LessOrEqual(t, late, sweepInterval+overdueInterval, "link %d", link)
+		assert.LessOrEqual(t, lateness, sweepInterval+overdueInterval, "link %d", link)
 	}
-	return wake
+	return wakeAt
 }
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -19,7 +19,7 @@
 	"gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// recordingDecider records the arrivals that the controller gets.
+// recordingDecider passes events to a Decider and records the arrivals among them.
 type recordingDecider struct {
 	Decider
 	arrived *[]admission.Event
@@ -34,7 +34,7 @@
 	return s.Decider.Decide(now, events)
 }
 
-// newTenantNode is a node with tenants that serves; arrived is the arrivals that its controller gets.
+// newTenantNode returns a serving node with tenants; arrived collects the arrivals that its controller gets.
 func newTenantNode(t *testing.T) (sm *StateMachine, arrived *[]admission.Event) {
 	p, err := nodeconfig.FromJSON(1, []byte(tenantTestSettings))
 	require.NoError(t, err)
@@ -64,9 +64,9 @@
 }
 
 func TestInvocationWithMalformedTenantTokenOrTTLFails(t *testing.T) {
-	for what, fields := range map[string][]string{"no tenant": {"org", "-"}, "another tenant": {"org", "norths"},
-		"no token": {"op", "hold", "org", "north"}, "time in words": {"org", "north", "ttl", "soon"},
-		"time gone by": {"org", "north", "ttl", "-5"}, "a time without end": {"org", "north", "ttl", "9000000000000000000"}} {
+	for what, fields := range map[string][]string{"missing tenant": {"org", "-"}, "unknown tenant": {"org", "norths"},
+		"missing token": {"op", "hold", "org", "north"}, "TTL that is not a number": {"org", "north", "ttl", "soon"},
+		"negative TTL": {"org", "north", "ttl", "-5"}, "TTL over the limit": {"org", "north", "ttl", "9000000000000000000"}} {
 		sm, arrived := newTenantNode(t)
 		assert.Equal(t, []string{"51 on 1"}, framesSent(t, step(sm, invocationInput(1, append([]string{"op", "look"}, fields...)...))), what)
 		assert.Empty(t, *arrived, what)
@@ -78,7 +78,7 @@
 	assert.Equal(t, []string{"50 on 1"}, framesSent(t, step(sm, invocationInput(1, "op", "look", "org", "north", "ttl", "0"))))
 }
 
-// A token of one tenant must not find the result of another's.
+// A tenant that uses the same token as another must not get the other's result.
 func TestTokensAreScopedToTheirTenant(t *testing.T) {
 	sm, _ := newTenantNode(t)
 	assert.Equal(t, 1, countRuns(step(sm, invocationInput(1, "op", "hold", "org", "north", "dedupe", "a", "call", id(1)))))
@@ -87,7 +87,8 @@
 	assert.Equal(t, []string{"20 on 3"}, framesSent(t, step(sm, invocationInput(3, "op", "hold", "org", "north", "dedupe", "a", "call", id(3)))))
 }
 
-// Results are cached in the node's own memory: entry_kb, of the executor's, would allow two of them.
+// Results are cached in the node's own memory. If their number were bounded by entry_kb, which is a share of the executor's
+// memory, only two would fit.
 func TestResultCacheIsBoundedByTheNodesOwnMemory(t *testing.T) {
 	sm, arrived := newTenantNode(t)
 	for n := range 8 {
@@ -100,7 +101,7 @@
 	assert.Zero(t, sm.config.Node.Operations[0].SkippedCallWeightShare)
 }
 
-// Two nodes of one process with the same configuration share no state through it.
+// Nodes of one process are made from the same Config. A node that changed it instead of its copy would change the other.
 func TestNodesOfOneProcessShareNoState(t *testing.T) {
 	p, err := nodeconfig.FromJSON(1, []byte(tenantTestSettings))
 	require.NoError(t, err)
@@ -112,7 +113,7 @@
 	step(first, Input{Kind: ExecutorConnected, Link: first.executor.dialingLink})
 	executorSends(first, "WELCOME new 0")
 	assert.True(t, first.config.Node.ColdStart)
-	assert.False(t, second.config.Node.ColdStart, "it has no executor")
+	assert.False(t, second.config.Node.ColdStart, "the second node has no executor yet")
 	assert.Zero(t, second.config.Node.MaxDeduplicationEntries)
 	assert.Equal(t, before, p.Node)
 }
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -23,13 +23,14 @@
 	"topazpost/internal/resultcache"
 )
 
-// digest hashes what steps return. It is the only place that names the fields, so that it is all there is to edit when they
-// get other names or other types. Its values are those of amd64; other architectures may round differently.
+// digest hashes the effects of steps. No other code of the digest tests reads the fields of effects, so that only this file
+// changes with their names or types. Digests are those of amd64; other architectures may round floating-point numbers
+// differently.
 type digest struct{ hash.Hash }
 
 func newDigest() digest { return digest{sha256.New()} }
 
-// sum is the digest so far, in hexadecimal digits.
+// sum returns the digest so far in hexadecimal.
 func (d digest) sum() string { return hex.EncodeToString(d.Sum(nil)) }
 
 // integers adds integers.
@@ -50,9 +51,9 @@
 
 // bools adds booleans.
 func (d digest) bools(values ...bool) {
-	for _, is := range values {
+	for _, value := range values {
 		n := int64(0)
-		if is {
+		if value {
 			n = 1
 		}
 		d.integers(n)
@@ -65,21 +66,21 @@
 	d.Write(b)
 }
 
-// texts adds texts that other programs read; texts for logs are left out.
+// texts adds texts that other programs read. Texts of logs and errors are left out, as their wording may change.
 func (d digest) texts(values ...string) {
 	for _, s := range values {
 		d.bytes([]byte(s))
 	}
 }
 
-// numbersIn adds the decimal numbers in a text, whose wording may change.
+// numbersIn adds only the decimal numbers in a text, as its wording may change.
 func (d digest) numbersIn(text string) {
 	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r < '0' || r > '9' }) {
 		d.texts(word)
 	}
 }
 
-// effect adds all fields of an effect, but for the texts of logs and of errors.
+// effect adds all fields of an effect except texts of logs and errors.
 func (d digest) effect(e *node.Effect) {
 	d.integers(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
 	d.texts(e.Address, e.ID)
@@ -115,7 +116,7 @@
 	}
 }
 
-// controllerState adds the state that decisions are made by.
+// controllerState adds the state of the admission controller.
 func (d digest) controllerState(s *admission.ControllerState) {
 	d.floats(s.Limit, s.MeanBlocked, s.QueueWait, s.CallWait, s.QueueingDelay, s.OtherRunnable, s.MeanOtherRunnable, s.ServiceTimeRatio, s.StallRatio, s.CallerWaitShare, s.CallTime, s.CallFailureShare,
 		s.MaxNextCallTime, s.CallQuotaUsed, s.AdvertisedCapacity, s.LastSignal, s.Arrivals, s.Retries, s.Rejected, s.Memory)
@@ -123,7 +124,7 @@
 	d.bools(s.FleetOverloaded, s.Unhealthy, s.CoreIdle)
 }
 
-// state adds a sample of the whole node.
+// state adds a sample of a node's state.
 func (d digest) state(s *node.State) {
 	d.controllerState(&s.ControllerState)
 	d.texts(s.Level)
@@ -164,7 +165,7 @@
 	d.texts(c.Who, c.ReportedBy)
 }
 
-// record adds a record for the store.
+// record adds a record of the result store.
 func (d digest) record(s *resultcache.Record) {
 	d.integers(int64(s.Key.Operation), int64(s.Key.Tenant), int64(s.BodyHash), s.Remaining, int64(s.Outcome))
 	d.texts(s.Key.Token)
@@ -172,7 +173,7 @@
 	d.bytes(s.Result)
 }
 
-// write adds a write of the replica, its parts in the order of their names.
+// write adds a write of the replica, with its parts in the order of their names.
 func (d digest) write(w *consensus.Write) {
 	d.integers(int64(w.Number), int64(len(w.Parts)), int64(len(w.Records)))
 	d.bools(w.DiscardEarlier, w.Base != nil)
@@ -200,7 +201,7 @@
 	}
 }
 
-// persisting adds what is to be persisted of a configuration.
+// persisting adds a write of the configuration to disk.
 func (d digest) persisting(e *configsync.Effect) {
 	d.integers(int64(e.Kind), int64(e.Link), int64(len(e.Records)))
 	d.texts(e.To)
@@ -220,12 +221,13 @@
 	}
 }
 
-// digestCases are the simulations and the digests of their effects: one changes with any effect, its order and its numbers.
+// digestCases are simulations and the digests of their effects. A digest changes if any effect, the order of the effects or
+// a value in them changes.
 var digestCases = []struct {
-	name   string
-	seed   int64
-	site   simulationOptions
-	digest string
+	name    string
+	seed    int64
+	options simulationOptions
+	digest  string
 }{
 	{"one node with levels, versions and address changes", 1, simulationOptions{nodes: 1, seconds: 30, rate: 60, levels: true, versions: true, reloads: true, drains: true}, "50f74bb4bd307a333367a795068705773642facd89d7c994d42293ea54d9e168"},
 	{"overload and an aborted drain", 2, simulationOptions{nodes: 1, seconds: 20, rate: 200, levels: true, drains: true, aborts: true}, "2435b9a3f9c53faca21c2854454d511664e9bb94a5f06c400f4bce32fe515ff4"},
@@ -240,18 +242,19 @@
 	{"many cores and links", 11, simulationOptions{nodes: 1, seconds: 15, rate: 400, cores: 32, links: 60, levels: true, drains: true}, "b76ebf04e8831fb7faa07411207f769c6f637bea3fe136ceb6d4bbdd0cff9965"},
 }
 
-// TestDigestsOfSteps checks that Step returns the same effects in random simulations, bit for bit.
+// TestDigestsOfSteps guards against unintended changes of behaviour: in random simulations Step must return the same effects
+// as recorded, bit for bit.
 func TestDigestsOfSteps(t *testing.T) {
 	for _, run := range digestCases {
 		t.Run(run.name, func(t *testing.T) {
-			s := newSimulation(t, run.seed, run.site)
+			s := newSimulation(t, run.seed, run.options)
 			s.runAll()
 			for _, n := range s.simNodes {
 				if n.machine != nil {
 					n.end()
 				}
-				for _, what := range n.violations {
-					t.Errorf("%s: an invariant did not hold: %s", n.name, what)
+				for _, name := range n.violations {
+					t.Errorf("%s: invariant violated: %s", n.name, name)
 				}
 			}
 			t.Logf("%d steps, %d effects, by kind %v", s.steps, s.effects, s.kinds)
@@ -260,41 +263,41 @@
 	}
 }
 
-// BenchmarkStep repeats the steps of one node under steady load, with some dozens of invocations in flight.
+// BenchmarkStep replays the steps of one node under steady load, with dozens of invocations in flight.
 func BenchmarkStep(b *testing.B) {
 	s := newSimulation(b, 1, simulationOptions{nodes: 1, seconds: 10, rate: 150, cores: 24, levels: true})
-	type moment struct {
+	type recordedStep struct {
 		now, wall int64
 		inputs    []node.Input
 	}
-	var moments []moment
+	var recorded []recordedStep
 	s.record = func(now, wall int64, inputs []node.Input) {
-		moments = append(moments, moment{now, wall, slices.Clone(inputs)})
+		recorded = append(recorded, recordedStep{now, wall, slices.Clone(inputs)})
 	}
 	s.runAll()
-	again := newDigest()
-	for brain, k := s.simNodes[0].newMachine(), 0; k < len(moments); k++ { // the same inputs give the same effects
-		effects := brain.Step(moments[k].now, moments[k].wall, moments[k].inputs)
-		again.integers(0, 1, moments[k].now, int64(len(effects)))
+	replayDigest := newDigest()
+	for machine, k := s.simNodes[0].newMachine(), 0; k < len(recorded); k++ { // the replayed inputs give the same effects
+		effects := machine.Step(recorded[k].now, recorded[k].wall, recorded[k].inputs)
+		replayDigest.integers(0, 1, recorded[k].now, int64(len(effects)))
 		for j := range effects {
-			again.effect(&effects[j])
+			replayDigest.effect(&effects[j])
 		}
 	}
-	require.Equal(b, s.digest.sum(), again.sum())
+	require.Equal(b, s.digest.sum(), replayDigest.sum())
 	b.ReportAllocs()
 	b.ResetTimer()
-	var brain *node.StateMachine
+	var machine *node.StateMachine
 	for k := range b.N {
-		m := &moments[k%len(moments)]
-		if k%len(moments) == 0 {
-			brain = s.simNodes[0].newMachine()
+		r := &recorded[k%len(recorded)]
+		if k%len(recorded) == 0 {
+			machine = s.simNodes[0].newMachine()
 		}
-		brain.Step(m.now, m.wall, m.inputs)
+		machine.Step(r.now, r.wall, r.inputs)
 	}
 	b.ReportMetric(float64(s.inFlight)/float64(max(1, s.steps)), "in-flight")
 }
 
-// itemsIn is the items of a configuration that may be changed in service.
+// itemsIn returns the items of a configuration that versions may change while the node runs.
 func itemsIn(p *nodeconfig.Config) (list []configsync.Item) {
 	found, _ := nodeconfig.Diff(nil, p)
 	for k := range found {
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -13,10 +13,10 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// scheduleActivity schedules all that happens at a node by itself.
+// scheduleActivity schedules the node's load, faults and configuration changes.
 func (n *simNode) scheduleActivity() {
 	if n.isHollow() {
-		// Seldom: the runs of tokens that end in one step are reported in the order of a map, which has none.
+		// Claims are rare, so that no two runs end in one step: they would be reported in the random order of a map.
 		n.repeat(1_200, func() {
 			n.lastID++
 			n.deliver(node.Input{Kind: node.HollowClaimRequested, Bytes: fmt.Append(nil, "h", n.lastID)})
@@ -63,7 +63,7 @@
 	}
 }
 
-// plan is a degradation plan of two levels that starts at a load.
+// plan returns a degradation plan of two levels; the first is entered at the given load.
 func (n *simNode) plan(load float64, spare bool) *node.DegradationPlan {
 	p := &node.DegradationPlan{Forms: [][]string{{"catalogue-plain", "", ""}, {"catalogue-plain", "", "pay-plain"}}, Operations: []string{"catalogue", "hold", "pay"},
 		SourceText: fmt.Sprint(load, spare)}
@@ -79,7 +79,7 @@
 	return p
 }
 
-// randomItems draws changes of the configuration.
+// randomItems returns random changes of the configuration.
 func (s *simulation) randomItems() (list []nodeconfig.Item) {
 	if s.oneIn(2) {
 		list = append(list, nodeconfig.Item{Part: nodeconfig.Operations, Name: "catalogue", Value: fmt.Appendf(nil,
@@ -102,12 +102,12 @@
 		list = append(list, i)
 	}
 	if len(list) == 0 || s.oneIn(8) {
-		list = append(list, nodeconfig.Item{Part: nodeconfig.Operations, Name: "pay"}) // it is never added again
+		list = append(list, nodeconfig.Item{Part: nodeconfig.Operations, Name: "pay"}) // once removed, it is never added again
 	}
 	return list
 }
 
-// newVersion delivers a version of the configuration to one node.
+// newVersion delivers a random version of the configuration to the node, sometimes one that it must reject as stale.
 func (n *simNode) newVersion() {
 	if n.machine == nil {
 		return
@@ -119,14 +119,14 @@
 		number--
 	}
 	n.deliver(node.Input{Kind: node.VersionReceived, Version: number, Amendment: change})
-	if n.oneIn(4) { // the next one before this one is applied
+	if n.oneIn(4) { // a second version before the first one is applied
 		next, err := nodeconfig.Parse(n.randomItems())
 		require.NoError(n.t, err)
 		n.deliver(node.Input{Kind: node.VersionReceived, Version: number + 1, Amendment: next})
 	}
 }
 
-// proposeConfig proposes changes of the configuration at a drawn node.
+// proposeConfig proposes changes of the configuration at a random node.
 func (s *simulation) proposeConfig() {
 	n := s.simNodes[s.Rand.Intn(len(s.simNodes))]
 	if n.machine == nil {
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -18,7 +18,7 @@
 	"topazpost/internal/resultcache"
 )
 
-// simNode is one node with its peers. It outlives the node's process.
+// simNode simulates a node and its peers. It outlives the node's process: start makes a new incarnation.
 type simNode struct {
 	*simulation
 	index         int
@@ -30,58 +30,58 @@
 	inbox         []node.Input
 	stepScheduled bool
 	wakeAt        int64
-	violations    []string // invariants that did not hold
+	violations    []string // violated invariants, by all incarnations
 
-	conns             []*callerConn // of callers, open ones
+	conns             []*callerConn // open connections of callers
 	lastConn          int
-	executorLink      int // to the executor that is up
+	executorLink      int // link that the executor has open, 0 if none
 	executorSilent    bool
 	runs              map[string]*executorRun
-	executed          map[string]bool // calls whose run was started or refused
+	executed          map[string]bool // ids of invocations whose run was started or refused
 	notices           []lineprotocol.Line
 	executorStartedAt int64
-	catalogueCalls    map[int]string // links to the catalogue, and the call on each
+	catalogueCalls    map[int]string // invocation id of the call on each link to the catalogue
 	stored            []resultcache.Record
 	disk              consensus.DiskContents
-	exchanges         map[int]pendingExchange // of other nodes with this one
+	exchanges         map[int]pendingExchange // exchanges that other nodes opened with this one
 	streams           map[int]peerStream
 	lastLink          int
 }
 
-// callerConn is a connection of a caller.
+// callerConn is a caller's end of a connection.
 type callerConn struct {
 	link             int
 	lastStream       uint32
 	open             map[uint32]string
 	noNewInvocations bool
-	closeGeneration  int // closes that were started or cancelled
+	closeGeneration  int // closes that were requested or cancelled, to recognise an outdated one
 }
 
-// executorRun is a run at the executor.
+// executorRun is a run in the simulated executor.
 type executorRun struct {
 	id, body     string
 	calls        int
 	awaitingCall bool
 }
 
-// pendingExchange is the other end of an exchange that a node is to answer.
+// pendingExchange is the requesting end of an exchange that a node has yet to answer.
 type pendingExchange struct {
 	from        *simNode
 	incarnation int
 	link        int
 }
 
-// peerStream is the other end of a stream.
+// peerStream is the remote end of a stream.
 type peerStream struct {
 	to          *simNode
 	incarnation int
 	link        int
 }
 
-// isHollow reports whether a node has no callers and no executor.
+// isHollow reports whether the node is hollow, without callers and an executor.
 func (n *simNode) isHollow() bool { return n.index >= n.nodes-n.hollow }
 
-// newMachine is the state machine of a node that starts.
+// newMachine returns the state machine of a new incarnation.
 func (n *simNode) newMachine() *node.StateMachine {
 	p, err := nodeconfig.FromJSON(n.seed, []byte(n.settings))
 	require.NoError(n.t, err)
@@ -103,11 +103,11 @@
 			n.incarnation > 1 && n.durability == resultcache.OnDisk)
 	}
 	if n.replicas > 0 {
-		var seats []string
+		var replicaNames []string
 		for k := range n.replicas {
-			seats = append(seats, n.simNodes[k].name)
+			replicaNames = append(replicaNames, n.simNodes[k].name)
 		}
-		r.EnableConsensus(seats, 4<<20, n.Now, n.seed+int64(n.incarnation))
+		r.EnableConsensus(replicaNames, 4<<20, n.Now, n.seed+int64(n.incarnation))
 		if r.HasReplica() {
 			require.NoError(n.t, r.RecoverReplica(n.Now, n.disk))
 		}
@@ -146,16 +146,16 @@
 	n.deliver(in...)
 }
 
-// kill ends the process and restarts it later.
+// kill ends the node's process without a drain and restarts it later.
 func (n *simNode) kill() {
-	if n.machine == nil || n.Now > int64(n.seconds-10)*1_000*millisecond { // the last seconds are for drains
+	if n.machine == nil || n.Now > int64(n.seconds-10)*1_000*millisecond { // the last seconds are reserved for drains
 		return
 	}
 	n.end()
 	n.After(n.randomDuration(100_000, 8_000_000), n.start)
 }
 
-// drain has the node drain, once it is started.
+// drain requests a drain, after the node's restart if it is not running.
 func (n *simNode) drain() {
 	if n.machine == nil {
 		n.After(200*millisecond, n.drain)
@@ -164,22 +164,23 @@
 	n.deliver(node.Input{Kind: node.DrainRequested})
 }
 
-// end ends an incarnation and keeps the invariants that did not hold in it.
+// end ends the current incarnation and records the invariants that it violated.
 func (n *simNode) end() {
 	n.violations = append(n.violations, n.invariants()...)
 	n.machine = nil
 	n.incarnation++
 }
 
+// invariants returns the invariants that the current incarnation has violated.
 func (n *simNode) invariants() (list []string) {
-	for what := range n.machine.Invariants.All() {
-		list = append(list, fmt.Sprint(what))
+	for name := range n.machine.Invariants.All() {
+		list = append(list, fmt.Sprint(name))
 	}
 	slices.Sort(list)
 	return list
 }
 
-// deliver delivers inputs to the node; those of one moment go into one step.
+// deliver queues inputs for the node's next step. All inputs of one point in time go into one step.
 func (n *simNode) deliver(in ...node.Input) {
 	if n.machine == nil {
 		return
@@ -191,7 +192,7 @@
 	}
 }
 
-// schedule calls a function later, unless the node's process ends before.
+// schedule calls a function after a delay, unless the node's process has ended by then.
 func (n *simNode) schedule(ns int64, do func()) {
 	incarnation := n.incarnation
 	n.After(ns, func() {
@@ -235,7 +236,7 @@
 	}
 }
 
-// execute carries out an effect.
+// execute carries out an effect in the simulation.
 func (n *simNode) execute(e *node.Effect) {
 	link := e.Link
 	switch e.Kind {
@@ -279,32 +280,32 @@
 	}
 }
 
-// storeRecord writes a record to the store.
-func (n *simNode) storeRecord(kept resultcache.Record) {
+// storeRecord simulates the write of a record to the result store, which may fail.
+func (n *simNode) storeRecord(record resultcache.Record) {
 	if n.faultyDisks && n.oneIn(6) {
 		n.schedule(n.randomDuration(200, 9_000), func() {
-			n.deliver(node.Input{Kind: node.RecordWriteFailed, Err: errSimulated, Records: []resultcache.Record{kept}})
+			n.deliver(node.Input{Kind: node.RecordWriteFailed, Err: errSimulated, Records: []resultcache.Record{record}})
 		})
 		return
 	}
 	n.schedule(n.randomDuration(200, 9_000), func() {
-		n.stored = append(n.stored, kept)
-		n.deliver(node.Input{Kind: node.RecordWritten, Records: []resultcache.Record{kept}})
+		n.stored = append(n.stored, record)
+		n.deliver(node.Input{Kind: node.RecordWritten, Records: []resultcache.Record{record}})
 	})
 }
 
-// persistReplica carries out a replica's write, in order.
+// persistReplica simulates a write of the replica to disk. All take the same time, so that they stay in order.
 func (n *simNode) persistReplica(w *consensus.Write) {
-	number, base, records, forget := w.Number, bytes.Clone(w.Base), slices.Clone(w.Records), w.DiscardEarlier
+	number, base, records, discardEarlier := w.Number, bytes.Clone(w.Base), slices.Clone(w.Records), w.DiscardEarlier
 	parts := maps.Clone(w.Parts)
 	n.schedule(2*millisecond, func() {
-		if forget {
+		if discardEarlier {
 			n.disk = consensus.DiskContents{}
 		}
 		if base != nil {
-			have := n.disk.Parts
+			earlierParts := n.disk.Parts
 			n.disk = consensus.DiskContents{Base: base, Parts: map[string][]byte{}}
-			maps.Copy(n.disk.Parts, have)
+			maps.Copy(n.disk.Parts, earlierParts)
 			maps.Copy(n.disk.Parts, parts)
 		}
 		n.disk.Records = append(n.disk.Records, records...)
--- a/internal/node/digestsimulation_test.go
+++ b/internal/node/digestsimulation_test.go
@@ -15,26 +15,26 @@
 	millisecond      = int64(1_000_000)                // ns
 	epoch            = 1_764_576_000_000 * millisecond // wall time of a simulation's start
 	fleetName        = "tests"
-	frameHeaderBytes = 9 // of a frame before its payload
+	frameHeaderBytes = 9 // length of a frame's header, before its payload
 )
 
 var errSimulated = errors.New("simulated fault")
 
-// simulationOptions are the size of a simulation, its features and its faults.
+// simulationOptions set the size of a simulation, the features in use and the faults.
 type simulationOptions struct {
 	nodes, hollow, replicas, cores int
-	seconds, rate                  int // rate: invocations a second at each node that is not hollow
-	links                          int // to the catalogue that a node may have
-	callers                        int // connections of each node's callers
-	loss                           float64
+	seconds, rate                  int     // rate is in invocations per second at each node that is not hollow
+	links                          int     // limit on a node's links to the catalogue
+	callers                        int     // limit on the connections of each node's callers
+	loss                           float64 // share of messages between nodes that are lost
 	durability                     resultcache.Durability
 
 	caching, leases, configSync                      bool
 	levels, versions, reloads, drains, aborts, kills bool
-	misbehaving, faultyLinks, faultyDisks            bool // of callers; of executor and catalogue; of stores
+	misbehaving, faultyLinks, faultyDisks            bool // faults of callers; of executor and catalogue; of stores
 }
 
-// simulation is nodes and their peers in virtual time, drawn from one seed.
+// simulation runs nodes and their simulated peers in virtual time. One seed determines all random choices.
 type simulation struct {
 	*virtualtime.Simulator
 	simulationOptions
@@ -45,14 +45,14 @@
 	steps        int
 	effects      int
 	kinds        [64]int // effects by kind
-	inFlight     int     // summed over steps
+	inFlight     int     // invocations in flight, summed over the steps
 	lastID       int
 	lastExchange int
 	lastOrder    uint64
-	record       func(now, wall int64, inputs []node.Input) // of the first node; nil for none
+	record       func(now, wall int64, inputs []node.Input) // called before each step of the first node, unless nil
 }
 
-// newSimulation is a simulation in which no node is started.
+// newSimulation returns a simulation whose nodes are not started yet.
 func newSimulation(t testing.TB, seed int64, options simulationOptions) *simulation {
 	t.Helper()
 	s := &simulation{Simulator: virtualtime.New(seed, 0), simulationOptions: options, t: t, digest: newDigest()}
@@ -74,23 +74,23 @@
 	return s
 }
 
-// randomDuration is a duration between two bounds, in microseconds.
-func (s *simulation) randomDuration(least, most int64) int64 {
-	return (least + s.Rand.Int63n(most-least+1)) * 1_000
+// randomDuration returns a random duration in ns between two bounds in microseconds.
+func (s *simulation) randomDuration(minimum, maximum int64) int64 {
+	return (minimum + s.Rand.Int63n(maximum-minimum+1)) * 1_000
 }
 
-// oneIn is true once in so many times, on average.
+// oneIn returns true with a probability of 1 in times.
 func (s *simulation) oneIn(times int) bool { return s.Rand.Intn(times) == 0 }
 
-// repeat calls a function after random times of about so many milliseconds each.
-func (s *simulation) repeat(about int64, do func()) {
-	s.After(s.randomDuration(500*about, 1_500*about), func() {
+// repeat calls a function again and again, at random intervals of meanMS milliseconds on average.
+func (s *simulation) repeat(meanMS int64, do func()) {
+	s.After(s.randomDuration(500*meanMS, 1_500*meanMS), func() {
 		do()
-		s.repeat(about, do)
+		s.repeat(meanMS, do)
 	})
 }
 
-// runAll runs the whole simulation.
+// runAll starts the nodes and runs the simulation to its end.
 func (s *simulation) runAll() {
 	for _, n := range s.simNodes {
 		s.After(s.randomDuration(1, 200_000), n.start)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -18,7 +18,7 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// newConnectedNode is a node whose executor has not welcomed it, with connection 7 open.
+// newConnectedNode returns a node with connection 7 open, and a link to the executor that is not welcomed yet.
 func newConnectedNode(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 	return sm
 }
 
-// newServingNode is a node that serves, with connection 7 open.
+// newServingNode returns a node that serves, with connection 7 open and a synced link to the executor.
 func newServingNode(t *testing.T) *StateMachine {
 	sm := newConnectedNode(t)
 	executorSends(sm, "WELCOME old 0")
@@ -36,37 +36,37 @@
 	return sm
 }
 
-// step advances the clock by a millisecond and returns the effects, without wakeups, log entries, samples, reports and
-// requests for gauges.
+// step steps the node after advancing the clock by a millisecond. It returns the effects without wakeups, log entries,
+// samples, reports and requests for gauges on a synced link.
 func step(sm *StateMachine, inputs ...Input) (got []Effect) {
 	for _, e := range sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, inputs) {
-		proof := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
-		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != SampleState && !proof {
+		gaugesRequest := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
+		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != SampleState && !gaugesRequest {
 			got = append(got, e)
 		}
 	}
 	return got
 }
 
-// executorSends delivers a line of the executor, with its body after a bar.
+// executorSends steps the node with a line from the executor. The part after a bar is the line's body.
 func executorSends(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(sm, Input{Kind: ExecutorLineReceived, Link: sm.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-// catalogueSends delivers a line of the catalogue on its first link, with its body after a bar.
+// catalogueSends steps the node with a line from the catalogue on its first link. The part after a bar is the line's body.
 func catalogueSends(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(sm, Input{Kind: CatalogueLineReceived, Link: sm.catalogue.links[0].id,
 		Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
 }
 
-// connectCatalogue opens the last link to the catalogue.
+// connectCatalogue steps the node with the connection of the last link to the catalogue.
 func connectCatalogue(sm *StateMachine) []Effect {
 	return step(sm, Input{Kind: CatalogueConnected, Link: sm.catalogue.links[len(sm.catalogue.links)-1].id})
 }
 
-// reconnectExecutor breaks the executor's link and has a new one welcomed, but not synced.
+// reconnectExecutor breaks the executor's link and opens a new one, which is welcomed but not synced.
 func reconnectExecutor(sm *StateMachine) {
 	step(sm, Input{Kind: ExecutorDisconnected, Link: sm.executor.link})
 	sm.now = sm.executor.redialAt
@@ -77,7 +77,8 @@
 
 const testInvocationID = "9b1f03aa5c7e2d41"
 
-// invocationInput is an invocation on a stream of connection 7, with fields changed or left out where their value is "-".
+// invocationInput returns an invocation on a stream of connection 7. changed are pairs of a field's name and its value; a
+// field with the value "-" is left out.
 func invocationInput(stream uint32, changed ...string) Input {
 	values := map[string]string{"op": "catalogue", "call": testInvocationID, "recv": "1000000", "src": "4", "work": "12.50",
 		"heap": "24.5", "crit": "0.6250"}
@@ -94,7 +95,7 @@
 	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
 }
 
-// bytesSent is the bytes of all effects of a kind.
+// bytesSent returns the bytes of all effects of a kind.
 func bytesSent(effects []Effect, kind EffectKind) (s string) {
 	for _, e := range effects {
 		if e.Kind == kind {
@@ -120,7 +121,7 @@
 	return got
 }
 
-// effectKinds is the effectKinds of effects.
+// effectKinds returns the kind of each effect.
 func effectKinds(effects []Effect) (list []EffectKind) {
 	for _, e := range effects {
 		list = append(list, e.Kind)
@@ -128,7 +129,7 @@
 	return list
 }
 
-// frameText is the code and the stream of an answer, or the kind of any other frame.
+// frameText returns the text of a frame for framesSent.
 func frameText(f frame.Frame) string {
 	switch f.Type {
 	case frame.GoAway:
--- a/internal/node/machine_test.go
+++ b/internal/node/machine_test.go
@@ -14,8 +14,8 @@
 	step(sm, invocationInput(1), invocationInput(2, "call", other))
 	executorSends(sm, "CALLOUT 1 "+testInvocationID+" 3|ask")
 	connectCatalogue(sm)
-	old, reporting := sm.executor.link, sm.reports.link
-	executorSends(sm, "CALLOUT 2 "+other+" 3|ask") // still being opened
+	oldLink, reportLink := sm.executor.link, sm.reports.link
+	executorSends(sm, "CALLOUT 2 "+other+" 3|ask") // on a link that is not connected yet
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
 	for _, e := range sm.Step(sm.now+ms, sm.wall, []Input{{Kind: ReloadRequested, Addresses: to}}) {
@@ -24,13 +24,13 @@
 	assert.Equal(t, map[EffectKind]string{CloseExecutor: "", DialExecutor: "executor:2", CloseCatalogue: "", DialCatalogue: "catalogue:2",
 		SendReport: "control:2", WriteLog: "", SetWakeup: ""}, dialed)
 	got := catalogueSends(sm, testInvocationID+" DATA 0")
-	assert.Equal(t, CloseCatalogue, got[0].Kind, "closed once its call has ended")
-	step(sm, Input{Kind: ExecutorDisconnected, Link: old}, Input{Kind: ReportFinished, Link: reporting})
+	assert.Equal(t, CloseCatalogue, got[0].Kind, "the link to the old address is closed after its call has ended")
+	step(sm, Input{Kind: ExecutorDisconnected, Link: oldLink}, Input{Kind: ReportFinished, Link: reportLink})
 	assert.Equal(t, []int{sm.lastLink - 1, 0}, []int{sm.executor.dialingLink, sm.executor.link}, "the end of the old link is ignored")
-	got = step(sm, Input{Kind: ExecutorConnected, Link: old}, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
-	assert.Equal(t, Effect{Kind: CloseExecutor, Link: old}, got[0], "a link that was being dialed is closed")
+	got = step(sm, Input{Kind: ExecutorConnected, Link: oldLink}, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
+	assert.Equal(t, Effect{Kind: CloseExecutor, Link: oldLink}, got[0], "a link that is not expected any more is closed")
 	assert.Equal(t, "JOIN 2\r\n", bytesSent(got, SendToExecutor))
-	assert.NotEqual(t, reporting, sm.reports.link)
+	assert.NotEqual(t, reportLink, sm.reports.link)
 	assert.Empty(t, step(sm, Input{Kind: ReloadRequested, Addresses: to}), "the addresses are the same")
 }
 
