--- a/cmd/topazpost/config_change.go
+++ b/cmd/topazpost/config_change.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if head.Stopped && head.Canary.Version >= o.Version && head.All.Version < o.Version {
-		o.Stopped = fmt.Sprintf("version %d goes no further: %s can't take it: %s", head.Canary.Version, head.Who, head.Why)
+		o.Stopped = fmt.Sprintf("version %d goes no further: %s can't take it: %s", head.Canary.Version, head.StoppedBy, head.StopReason)
 		return false
 	}
 	return head.All.Version >= o.Version && len(o.Missing) == 0
--- a/cmd/topazpost/config_client.go
+++ b/cmd/topazpost/config_client.go
@@ -182,5 +182,5 @@
 		}
 		time.Sleep(proposeBackoff)
 	}
-	return nil, fmt.Errorf("no verdict in time, so it isn't known whether it is agreed on; repeat the command with --request %s: %w", command.From, err)
+	return nil, fmt.Errorf("no verdict in time, so it isn't known whether it is agreed on; repeat the command with --request %s: %w", command.Caller, err)
 }
--- a/cmd/topazpost/config_file_test.go
+++ b/cmd/topazpost/config_file_test.go
@@ -70,7 +70,7 @@
 	for i, command := range commands {
 		assert.Equal(t, i, command.Piece)
 		assert.Equal(t, uint64(i+1), command.Seq)
-		assert.Equal(t, i < len(commands)-1, command.More)
+		assert.Equal(t, i < len(commands)-1, command.MorePieces)
 		assert.LessOrEqual(t, len(command.Changes), maxCommandItems)
 		all = append(all, command.Changes...)
 	}
--- a/cmd/topazpost/config_put.go
+++ b/cmd/topazpost/config_put.go
@@ -59,10 +59,10 @@
 	highest := highestVersion(replicas)
 	for _, command := range splitCommands(changes) {
 		command.Kind = configsync.CommandPut
-		command.From = request
+		command.Caller = request
 		command.Base = base
 		command.Version = highest
-		command.Wall = time.Now().UnixNano()
+		command.WallTime = time.Now().UnixNano()
 		verdict, err := c.propose(replicas, &command, deadline)
 		if err != nil {
 			return err
@@ -90,7 +90,7 @@
 	o.Done = verdict.Done
 	o.Version = verdict.Version
 	o.Refused = verdict.Refused
-	o.More = verdict.More
+	o.More = verdict.UnlistedDiffering
 	for _, item := range verdict.Differing {
 		o.Differ = append(o.Differ, item.Part+"."+item.Name)
 	}
@@ -115,10 +115,10 @@
 			n++
 		}
 		commands = append(commands, configsync.Command{
-			Changes: changes[:n],
-			Piece:   len(commands),
-			Seq:     uint64(len(commands) + 1),
-			More:    n < len(changes),
+			Changes:    changes[:n],
+			Piece:      len(commands),
+			Seq:        uint64(len(commands) + 1),
+			MorePieces: n < len(changes),
 		})
 		changes = changes[n:]
 	}
--- a/cmd/topazpost/config_rollback.go
+++ b/cmd/topazpost/config_rollback.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	command := &configsync.Command{Kind: configsync.CommandRollback, From: request, Seq: 1, Version: c.Version, Wall: time.Now().UnixNano()}
+	command := &configsync.Command{Kind: configsync.CommandRollback, Caller: request, Seq: 1, Version: c.Version, WallTime: time.Now().UnixNano()}
 	verdict, err := c.propose(replicas, command, deadline)
 	if err != nil {
 		return err
--- a/cmd/topazpost/config_status.go
+++ b/cmd/topazpost/config_status.go
@@ -109,7 +109,7 @@
 		Seats    int              `json:"seats"`
 	}{
 		ForAll: seat.Head.All.Version, First: seat.Head.Canary.Version, Newest: seat.Head.Newest,
-		Stopped: seat.Head.Stopped, Who: seat.Head.Who, Why: seat.Head.Why, Good: append([]uint64{}, seat.RollbackVersions...),
+		Stopped: seat.Head.Stopped, Who: seat.Head.StoppedBy, Why: seat.Head.StopReason, Good: append([]uint64{}, seat.RollbackVersions...),
 		Versions: f.versions, Refusals: f.refusals, Silent: f.silent, Seats: replicas,
 	})
 }
@@ -118,7 +118,7 @@
 	fmt.Printf("in force for all: %d; first stage: %d; newest: %d; %d seats asked\n", head.All.Version, head.Canary.Version,
 		head.Newest, replicas)
 	if head.Stopped {
-		fmt.Printf("stopped: %s can't take version %d: %s\n", head.Who, head.Canary.Version, head.Why)
+		fmt.Printf("stopped: %s can't take version %d: %s\n", head.StoppedBy, head.Canary.Version, head.StopReason)
 	}
 	w := newTable("version\tnodes\tin force since\toldest report\tdigest\twho")
 	for _, v := range f.versions {
--- a/internal/fleet/configsync/apply.go
+++ b/internal/fleet/configsync/apply.go
@@ -83,7 +83,7 @@
 
 // useOffers takes records that came with a neighbour's announcement.
 func (r *Replicator) useOffers(now int64) {
-	if _, ok := r.goal(); !ok || r.run.content != nil {
+	if _, ok := r.goal(); !ok || r.chain.content != nil {
 		return
 	}
 	for _, name := range r.view.Neighbours {
@@ -93,7 +93,7 @@
 		}
 		records := p.offered
 		p.offered = nil
-		if r.extendRun(now, p, records) {
+		if r.extendChain(now, p, records) {
 			return
 		}
 	}
--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -16,8 +16,8 @@
 	Version  uint64 `cbor:"1,keyasint"`
 	Base     Digest `cbor:"2,keyasint"` // before it
 	Digest   Digest `cbor:"3,keyasint"` // after it
-	From     string `cbor:"4,keyasint,omitempty"`
-	Wall     int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the caller, for operators only
+	Caller   string `cbor:"4,keyasint,omitempty"`
+	WallTime int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the caller, for operators only
 	Changes  []Item `cbor:"6,keyasint,omitempty"`
 	Replaced []Item `cbor:"7,keyasint,omitempty"` // what the changes replaced, at the replicas only
 	Rollback bool   `cbor:"8,keyasint,omitempty"`
@@ -35,7 +35,7 @@
 // bytes is about the encoded bytes of a record.
 func (r *Record) bytes() int {
 	if r.size == 0 {
-		r.size = recordOverhead + len(r.From) + sizeOf(r.Changes) + sizeOf(r.Replaced)
+		r.size = recordOverhead + len(r.Caller) + sizeOf(r.Changes) + sizeOf(r.Replaced)
 	}
 	return r.size
 }
@@ -62,39 +62,39 @@
 // Command is one change of the table.
 type Command struct {
 	Kind       CommandKind `cbor:"1,keyasint"`
-	From       string      `cbor:"2,keyasint,omitempty"` // the caller of CommandPut and CommandRollback, a name of its own for each caller
+	Caller     string      `cbor:"2,keyasint,omitempty"` // the caller of CommandPut and CommandRollback, a name of its own for each caller
 	Seq        uint64      `cbor:"3,keyasint,omitempty"` // of From, above any before; a repeated one has the same verdict
 	Base       uint64      `cbor:"4,keyasint,omitempty"`
 	Changes    []Item      `cbor:"5,keyasint,omitempty"`
 	Piece      int         `cbor:"6,keyasint,omitempty"` // number of this piece of a long change, from 0
-	More       bool        `cbor:"7,keyasint,omitempty"` // further pieces follow: nothing changes before the last one
+	MorePieces bool        `cbor:"7,keyasint,omitempty"` // further pieces follow: nothing changes before the last one
 	Version    uint64      `cbor:"8,keyasint,omitempty"`
-	Who        string      `cbor:"9,keyasint,omitempty"`
-	Why        string      `cbor:"10,keyasint,omitempty"`
-	Wall       int64       `cbor:"11,keyasint,omitempty"`
+	Node       string      `cbor:"9,keyasint,omitempty"`
+	Reason     string      `cbor:"10,keyasint,omitempty"`
+	WallTime   int64       `cbor:"11,keyasint,omitempty"`
 	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // CommandAdvance: ns that Version was at the canary stage by the proposing replica's clock
 }
 
 // Verdict answers a command.
 type Verdict struct {
-	From      string `cbor:"1,keyasint,omitempty"`
-	Seq       uint64 `cbor:"2,keyasint,omitempty"`
-	Done      bool   `cbor:"3,keyasint,omitempty"`
-	Version   uint64 `cbor:"4,keyasint,omitempty"` // that has the change where it was done, else the newest
-	Refused   string `cbor:"5,keyasint,omitempty"` // why it was not done, and what to do
-	Stale     bool   `cbor:"6,keyasint,omitempty"`
-	Differing []Item `cbor:"7,keyasint,omitempty"` // Stale: names of items that changed since Base, without values
-	More      int    `cbor:"8,keyasint,omitempty"` // Stale: items that changed and aren't in Differ; -1 where the log no longer reaches
+	Caller            string `cbor:"1,keyasint,omitempty"`
+	Seq               uint64 `cbor:"2,keyasint,omitempty"`
+	Done              bool   `cbor:"3,keyasint,omitempty"`
+	Version           uint64 `cbor:"4,keyasint,omitempty"` // that has the change where it was done, else the newest
+	Refused           string `cbor:"5,keyasint,omitempty"` // why it was not done, and what to do
+	Stale             bool   `cbor:"6,keyasint,omitempty"`
+	Differing         []Item `cbor:"7,keyasint,omitempty"` // Stale: names of items that changed since Base, without values
+	UnlistedDiffering int    `cbor:"8,keyasint,omitempty"` // Stale: items that changed and aren't in Differ; -1 where the log no longer reaches
 }
 
 // HeadRevision is what a replica confirms: which versions are in force.
 type HeadRevision struct {
-	All     Revision `cbor:"1,keyasint"`           // in force for all
-	Canary  Revision `cbor:"2,keyasint"`           // at the canary stage; All where there is none
-	Newest  uint64   `cbor:"3,keyasint"`           // agreed; those past Canary wait for the stage to end
-	Stopped bool     `cbor:"4,keyasint,omitempty"` // Canary goes no further
-	Who     string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't apply it
-	Why     string   `cbor:"6,keyasint,omitempty"`
+	All        Revision `cbor:"1,keyasint"`           // in force for all
+	Canary     Revision `cbor:"2,keyasint"`           // at the canary stage; All where there is none
+	Newest     uint64   `cbor:"3,keyasint"`           // agreed; those past Canary wait for the stage to end
+	Stopped    bool     `cbor:"4,keyasint,omitempty"` // Canary goes no further
+	StoppedBy  string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't apply it
+	StopReason string   `cbor:"6,keyasint,omitempty"`
 }
 
 // newer reports whether a head was agreed on after another.
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -193,7 +193,7 @@
 // A file is read back in pieces of several sizes, complete, torn and corrupted.
 func TestDiskFileIsReadBack(t *testing.T) {
 	table := NewTable()
-	table.Apply(1, &Command{Kind: CommandPut, From: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
+	table.Apply(1, &Command{Kind: CommandPut, Caller: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
 	file := []byte{}
 	base := table.newest
 	for text := range Encode(Revision{1, base.Digest()}, base) {
@@ -201,7 +201,7 @@
 	}
 	begin := len(file)
 	for k := range 3 {
-		table.Apply(1, &Command{Kind: CommandPut, From: "a", Seq: uint64(k + 2), Base: uint64(k + 1), Changes: []Item{{Tenants, fmt.Sprint(k), []byte("1")}}})
+		table.Apply(1, &Command{Kind: CommandPut, Caller: "a", Seq: uint64(k + 2), Base: uint64(k + 1), Changes: []Item{{Tenants, fmt.Sprint(k), []byte("1")}}})
 		file = AppendRecord(file, table.log[k+1])
 	}
 	load := func(text []byte, piece int) (InitialState, error) {
--- a/internal/fleet/configsync/draft.go
+++ b/internal/fleet/configsync/draft.go
@@ -4,7 +4,7 @@
 
 // draft is a long change of which pieces are missing.
 type draft struct {
-	From    string `cbor:"1,keyasint,omitempty"`
+	Caller  string `cbor:"1,keyasint,omitempty"`
 	Base    uint64 `cbor:"2,keyasint,omitempty"`
 	Pieces  int    `cbor:"3,keyasint,omitempty"`
 	At      int64  `cbor:"4,keyasint,omitempty"`
@@ -16,14 +16,14 @@
 // applyPiece applies one piece of a long change, at the cost of that piece. With the last one it returns the content, else nil.
 func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
 	d := &t.draft
-	ofAnother := d.Pieces > 0 && d.From != c.From && at < d.At+draftTimeout
+	ofAnother := d.Pieces > 0 && d.Caller != c.Caller && at < d.At+draftTimeout
 	switch {
 	case c.Piece == 0 && ofAnother:
-		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.From, draftTimeout/second)
+		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.Caller, draftTimeout/second)
 		return nil
 	case c.Piece == 0:
-		*d = draft{From: c.From, Base: c.Base, content: t.newest}
-	case d.From != c.From || d.Pieces != c.Piece || d.Base != c.Base:
+		*d = draft{Caller: c.Caller, Base: c.Base, content: t.newest}
+	case d.Caller != c.Caller || d.Pieces != c.Piece || d.Base != c.Base:
 		v.Refused = fmt.Sprintf("piece %d doesn't follow; put all of them again from the first", c.Piece)
 		return nil
 	}
@@ -42,8 +42,8 @@
 	d.Pieces++
 	d.At = at
 	d.content = next
-	v.Done = c.More
-	if c.More {
+	v.Done = c.MorePieces
+	if c.MorePieces {
 		return nil
 	}
 	*d = draft{}
--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -70,8 +70,8 @@
 	r.fetch.index = nil
 	r.fetch.missing = nil
 	m := &Message{Kind: MessageFetch, Has: r.ready, Want: goal}
-	if r.run.content != nil {
-		m.Has = r.run.revision
+	if r.chain.content != nil {
+		m.Has = r.chain.revision
 	}
 	if r.assembly.index != nil {
 		r.requestMissing(m)
@@ -103,7 +103,7 @@
 // choosePeer is whom to ask for a version: a neighbour that has it, or a replica once none had it for a while.
 func (r *Replicator) choosePeer(now int64, goal Revision) *peer {
 	r.fetch.partial = false
-	at := max(r.ready.Version, r.run.revision.Version)
+	at := max(r.ready.Version, r.chain.revision.Version)
 	if ahead := r.neighboursAhead(now, goal, at); len(ahead) > 0 {
 		return ahead[r.random.Intn(len(ahead))]
 	}
@@ -153,7 +153,7 @@
 // neighboursFetching are the neighbours that fetch the goal too, and may have blocks of it: those that may be asked now, and how many
 // there are in all.
 func (r *Replicator) neighboursFetching(now int64, goal Revision, at uint64) (available []*peer, all int) {
-	if r.run.content != nil || r.assembly.index == nil && now < r.goalSince+replicaFallbackDelay {
+	if r.chain.content != nil || r.assembly.index == nil && now < r.goalSince+replicaFallbackDelay {
 		return nil, 0
 	}
 	for _, name := range r.view.Neighbours {
@@ -203,8 +203,8 @@
 		r.fetch.nextAt = now + r.jitter(partialFetchBackoff)
 	case len(m.Records) > 0:
 		r.handleRecords(now, p, m.Records)
-	case r.run.continuable(p):
-		r.run.misses++
+	case r.chain.continuable(p):
+		r.chain.misses++
 		p.retryAt = now + r.jitter(maxFetchBackoff)
 	case len(m.Index) > 0:
 		r.handleIndex(now, p, m)
@@ -218,11 +218,11 @@
 // handleRecords takes records, unless this node has moved on from where they begin.
 func (r *Replicator) handleRecords(now int64, p *peer, records []Record) {
 	at := r.ready
-	if r.run.content != nil {
-		at = r.run.revision
+	if r.chain.content != nil {
+		at = r.chain.revision
 	}
 	if r.fetch.from == at {
-		r.extendRun(now, p, records)
+		r.extendChain(now, p, records)
 	}
 }
 
@@ -231,7 +231,7 @@
 	if r.fetch.want.Version <= r.ready.Version {
 		return
 	}
-	r.run = recordRun{}
+	r.chain = recordChain{}
 	if r.fetch.base != r.assemblyBase() {
 		return
 	}
@@ -260,7 +260,7 @@
 	default: // it has nothing of it
 		p.ready = Revision{} // until its next announcement
 		p.retryAt = now + r.jitter(minFetchBackoff<<min(r.fetch.failures, 5))
-		r.run = recordRun{}
+		r.chain = recordChain{}
 		r.backOff(now)
 	}
 }
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -79,19 +79,19 @@
 	table := NewTable()
 	value := func(n int) []byte { return fmt.Appendf(nil, `{"quota_rps":%d}`, n) }
 	for k, c := range []Command{
-		{Kind: CommandPut, From: "caller-1", Seq: 1, Wall: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 1, WallTime: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
 		{Kind: CommandAdvance, Version: 1, CanaryTime: canaryDuration},
-		{Kind: CommandPut, From: "caller-1", Seq: 2, Base: 1, Wall: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 2, Base: 1, WallTime: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
 		{Kind: CommandAdvance, Version: 2, CanaryTime: canaryDuration},
-		{Kind: CommandRollback, From: "caller-2", Seq: 3, Version: 1, Wall: 103},
-		{Kind: CommandPut, From: "caller-1", Seq: 4, Base: 3, Wall: 104, Changes: []Item{{Operations, "crop", value(5)}}},
-		{Kind: CommandPut, From: "caller-1", Seq: 5, Base: 4, Wall: 105, Changes: []Item{{Operations, "turn", value(6)}}},
-		{Kind: CommandStop, Version: 4, Who: "node-7", Why: "it has no room"},
-		{Kind: CommandPut, From: "caller-3", Seq: 6, Base: 4, Wall: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: made on another version
-		{Kind: CommandPut, From: "caller-4", Seq: 7, Base: 5, Wall: 107, More: true, Changes: []Item{{Tenants, "long", value(8)}}},
+		{Kind: CommandRollback, Caller: "caller-2", Seq: 3, Version: 1, WallTime: 103},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 4, Base: 3, WallTime: 104, Changes: []Item{{Operations, "crop", value(5)}}},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 5, Base: 4, WallTime: 105, Changes: []Item{{Operations, "turn", value(6)}}},
+		{Kind: CommandStop, Version: 4, Node: "node-7", Reason: "it has no room"},
+		{Kind: CommandPut, Caller: "caller-3", Seq: 6, Base: 4, WallTime: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: made on another version
+		{Kind: CommandPut, Caller: "caller-4", Seq: 7, Base: 5, WallTime: 107, MorePieces: true, Changes: []Item{{Tenants, "long", value(8)}}},
 	} {
 		v := table.Apply(int64(k+1)*1_000*ms, &c)
-		require.Equal(t, c.From != "caller-3", v.Done, "command %d: %s", k, v.Refused)
+		require.Equal(t, c.Caller != "caller-3", v.Done, "command %d: %s", k, v.Refused)
 	}
 	return table
 }
--- a/internal/fleet/configsync/message.go
+++ b/internal/fleet/configsync/message.go
@@ -55,7 +55,7 @@
 
 // size is about the encoded bytes of a message, its envelope included.
 func (m *Message) size() int {
-	size := messageOverhead + len(m.Why) + len(m.Head.Who) + len(m.Head.Why) + blockNumber*len(m.Wanted) + len(m.Missing) +
+	size := messageOverhead + len(m.Why) + len(m.Head.StoppedBy) + len(m.Head.StopReason) + blockNumber*len(m.Wanted) + len(m.Missing) +
 		pageNumber*len(m.Pages) + len(m.Sums) + len(m.Index)
 	size += bytesOf(m.Records)
 	for k := range m.Blocks {
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -13,7 +13,7 @@
 // TestMessagesFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
 func TestMessagesFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
-	head := HeadRevision{All: most, Canary: most, Newest: 1 << 60, Stopped: true, Who: strings.Repeat("w", maxCallerNameBytes), Why: strings.Repeat("y", maxReasonBytes)}
+	head := HeadRevision{All: most, Canary: most, Newest: 1 << 60, Stopped: true, StoppedBy: strings.Repeat("w", maxCallerNameBytes), StopReason: strings.Repeat("y", maxReasonBytes)}
 	table := NewTable()
 	for k := range 200 {
 		table.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
--- a/internal/fleet/configsync/pieces_test.go
+++ b/internal/fleet/configsync/pieces_test.go
@@ -24,7 +24,7 @@
 	table := NewTable()
 	restored := 0
 	piece := func(k int) *Command {
-		return &Command{Kind: CommandPut, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes[k*each : (k+1)*each]}
+		return &Command{Kind: CommandPut, Caller: "a", Seq: uint64(k + 1), Piece: k, MorePieces: k < pieces-1, Changes: changes[k*each : (k+1)*each]}
 	}
 	for k := range pieces {
 		before := table.draft.content
@@ -55,9 +55,9 @@
 	_, _, newest := table.Contents()
 	assert.Equal(t, whole.Digest(), newest.Digest())
 	assert.Empty(t, table.Records(), "a record that the log can't hold is dropped")
-	v := table.Apply(100, &Command{Kind: CommandPut, From: "b", Seq: 1, Changes: changes[:1]})
-	assert.Equal(t, []any{true, -1}, []any{v.Stale, v.More})
-	v = table.Apply(101, &Command{Kind: CommandPut, From: "b", Seq: 2, Base: 1, Changes: []Item{{Tenants, "x", []byte(`{"quota_rps":5}`)}}})
+	v := table.Apply(100, &Command{Kind: CommandPut, Caller: "b", Seq: 1, Changes: changes[:1]})
+	assert.Equal(t, []any{true, -1}, []any{v.Stale, v.UnlistedDiffering})
+	v = table.Apply(101, &Command{Kind: CommandPut, Caller: "b", Seq: 2, Base: 1, Changes: []Item{{Tenants, "x", []byte(`{"quota_rps":5}`)}}})
 	assert.True(t, v.Done, v.Refused)
 	require.Len(t, table.Records(), 1)
 	assert.Equal(t, newest.Digest(), table.Records()[0].Base)
@@ -65,7 +65,7 @@
 
 func TestPieceNotInCanonicalFormIsRefused(t *testing.T) {
 	table := NewTable()
-	v := table.Apply(0, &Command{Kind: CommandPut, From: "a", Seq: 1, More: true, Changes: []Item{{Tenants, "x", []byte(`{ "quota_rps": 5 }`)}}})
+	v := table.Apply(0, &Command{Kind: CommandPut, Caller: "a", Seq: 1, MorePieces: true, Changes: []Item{{Tenants, "x", []byte(`{ "quota_rps": 5 }`)}}})
 	assert.Contains(t, v.Refused, "not in canonical form")
 }
 
--- a/internal/fleet/configsync/records.go
+++ b/internal/fleet/configsync/records.go
@@ -89,16 +89,16 @@
 	}
 	r.ready = revision
 	r.readyContent = content
-	r.run = recordRun{}
+	r.chain = recordChain{}
 	r.assembly = blockAssembly{revision: r.assembly.revision}
 	r.fetch.failures = 0
 	r.changes++
 }
 
-// recordRun is records that don't reach a confirmed version yet. Any peer may continue it. One does so only where its own log has the
+// recordChain is records that don't reach a confirmed version yet. Any peer may continue it. One does so only where its own log has the
 // revision that they come to, so what is false at their end is its own.
-type recordRun struct {
-	from     string // who gave the last of them
+type recordChain struct {
+	lastPeer string // who gave the last of them
 	misses   int    // peers that could not continue it
 	revision Revision
 	content  *Content
@@ -106,26 +106,26 @@
 	bytes    int
 }
 
-// maxRunMisses is how many peers may fail to continue the records of another before those are dropped: they may be false.
-const maxRunMisses = 3
+// maxChainMisses is how many peers may fail to continue the records of another before those are dropped: they may be false.
+const maxChainMisses = 3
 
 // continuable reports whether others may still continue records that a peer can't.
-func (run *recordRun) continuable(p *peer) bool {
-	return run.content != nil && run.from != p.name && run.misses < maxRunMisses
+func (run *recordChain) continuable(p *peer) bool {
+	return run.content != nil && run.lastPeer != p.name && run.misses < maxChainMisses
 }
 
-// extendRun applies records of a peer, and reports whether they were of use. They count once they come to a revision that a replica
+// extendChain applies records of a peer, and reports whether they were of use. They count once they come to a revision that a replica
 // confirmed.
-func (r *Replicator) extendRun(now int64, p *peer, records []Record) bool {
+func (r *Replicator) extendChain(now int64, p *peer, records []Record) bool {
 	goal, ok := r.goal()
 	if !ok {
 		return false
 	}
-	run := &r.run
+	run := &r.chain
 	if run.content == nil {
-		*run = recordRun{revision: r.ready, content: r.readyContent}
+		*run = recordChain{revision: r.ready, content: r.readyContent}
 	}
-	run.from = p.name
+	run.lastPeer = p.name
 	run.misses = 0
 	for k := range records {
 		record := records[k]
@@ -135,20 +135,20 @@
 			break
 		}
 		if !run.apply(&record, r.skipDigests) {
-			*run = recordRun{}
+			*run = recordChain{}
 			r.penalize(now, p)
 			return false
 		}
 		if run.revision != goal && r.isConfirmed(run.revision) { // valid so far, whoever continues it
 			r.setReady(run.revision, run.content, run.records)
-			*run = recordRun{from: p.name, revision: r.ready, content: r.readyContent}
+			*run = recordChain{lastPeer: p.name, revision: r.ready, content: r.readyContent}
 		}
 	}
-	return r.finishRun(now, p, goal)
+	return r.completeChain(now, p, goal)
 }
 
 // apply applies one record, false where it doesn't follow or doesn't come to its digest.
-func (run *recordRun) apply(record *Record, skipDigests bool) bool {
+func (run *recordChain) apply(record *Record, skipDigests bool) bool {
 	if record.Version != run.revision.Version+1 {
 		return false
 	}
@@ -166,21 +166,21 @@
 	return true
 }
 
-// finishRun takes the run where it came to the goal, and drops it where it can't.
-func (r *Replicator) finishRun(now int64, p *peer, goal Revision) bool {
-	run := &r.run
+// completeChain takes the run where it came to the goal, and drops it where it can't.
+func (r *Replicator) completeChain(now int64, p *peer, goal Revision) bool {
+	run := &r.chain
 	switch {
 	case run.revision == goal || r.skipDigests && run.revision.Version == goal.Version:
 		p.invalidResponses = 0
 		r.setReady(goal, run.content, run.records)
 	case run.revision.Version == goal.Version:
-		*run = recordRun{}
+		*run = recordChain{}
 		r.penalize(now, p)
 		return false
 	case run.revision == r.ready: // no further, or not begun
-		*run = recordRun{}
+		*run = recordChain{}
 	case run.bytes > 2*maxRetainedBytes:
-		*run = recordRun{}
+		*run = recordChain{}
 		return false
 	}
 	return true
--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -95,7 +95,7 @@
 	reports        reportState
 	goalSince      int64 // since when there is a goal, 0 for none
 	fetch          fetchState
-	run            recordRun
+	chain          recordChain
 	assembly       blockAssembly
 	admissionSlots [2]int64 // when the next neighbour, and the next other, that is put off may ask again
 	refilledAt     int64
--- a/internal/fleet/configsync/reports.go
+++ b/internal/fleet/configsync/reports.go
@@ -211,7 +211,7 @@
 		return effects
 	}
 	r.stopOrderedAt = now
-	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, Who: who, Why: why}})
+	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, Node: who, Reason: why}})
 }
 
 func (r *Replicator) stopDeadline() int64 {
--- a/internal/fleet/configsync/simlog_test.go
+++ b/internal/fleet/configsync/simlog_test.go
@@ -42,7 +42,7 @@
 	n := s.nodes[i]
 	incarnation := n.incarnation
 	if s.acknowledgeEarly && answer != nil && n.up {
-		answer(Verdict{From: c.From, Seq: c.Seq, Done: true, Version: n.table.head.Newest + 1})
+		answer(Verdict{Caller: c.Caller, Seq: c.Seq, Done: true, Version: n.table.head.Newest + 1})
 	}
 	s.at(s.now+s.random.Int63n(s.maxDelay)+ms, func() {
 		if n.incarnation != incarnation || !s.inMajority(i) {
@@ -105,8 +105,8 @@
 	if head.Canary != before.Canary && s.canaryAt[head.Canary.Version] == 0 {
 		s.canaryAt[head.Canary.Version] = s.now
 	}
-	if v.Done && e.command.From != "" && !e.command.More {
-		s.versionOf[fmt.Sprint(e.command.From, e.command.Seq)] = v.Version
+	if v.Done && e.command.Caller != "" && !e.command.MorePieces {
+		s.versionOf[fmt.Sprint(e.command.Caller, e.command.Seq)] = v.Version
 	}
 }
 
@@ -121,7 +121,7 @@
 		n.appliedEntries++
 	}
 	if !moved && index > 0 { // applied before: the same caller and number have the same verdict
-		if e := s.log[index-1]; e.command.From != "" {
+		if e := s.log[index-1]; e.command.Caller != "" {
 			v = n.table.Apply(e.at, e.command)
 		}
 	}
@@ -144,7 +144,7 @@
 		if n.appliedEntries < len(s.log) && s.random.Intn(3) > 0 {
 			s.applyLog(i, len(s.log))
 		}
-		if c := n.table.Due(s.now - s.tableLag); c != nil && s.random.Intn(2) == 0 {
+		if c := n.table.DueAdvance(s.now - s.tableLag); c != nil && s.random.Intn(2) == 0 {
 			s.propose(i, c, nil)
 		}
 	}
@@ -212,7 +212,7 @@
 // start begins a command of a caller.
 func (c *caller) start(command Command) {
 	c.seq++
-	command.From = c.name
+	command.Caller = c.name
 	command.Seq = c.seq
 	c.command = &command
 	c.sentAt = 0
@@ -231,7 +231,7 @@
 	seq := uint64(0)
 	for len(list) > 0 {
 		n := min(len(list), 600)
-		s.commit(logEntry{s.now, &Command{Kind: CommandPut, From: "file", Seq: seq + 1, Piece: int(seq), More: n < len(list), Changes: list[:n]}})
+		s.commit(logEntry{s.now, &Command{Kind: CommandPut, Caller: "file", Seq: seq + 1, Piece: int(seq), MorePieces: n < len(list), Changes: list[:n]}})
 		list = list[n:]
 		seq++
 	}
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -107,7 +107,7 @@
 		(len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxHeadBytes
 	for k := range t.lastVerdicts {
 		v := &t.lastVerdicts[k]
-		size += len(v.From) + len(v.Refused) + sizeOf(v.Differing)
+		size += len(v.Caller) + len(v.Refused) + sizeOf(v.Differing)
 	}
 	return size
 }
@@ -165,9 +165,9 @@
 
 // Next encodes at least so many bytes more, or what costs as much, and reports whether the snapshot is complete. It exceeds them by one
 // block, or one call of Difference.Next, at the most.
-func (w *SnapshotWriter) Next(least int) (whole bool) {
+func (w *SnapshotWriter) Next(minBytes int) (complete bool) {
 	w.cost = 0
-	for len(w.steps) > 0 && w.cost < least {
+	for len(w.steps) > 0 && w.cost < minBytes {
 		before := len(w.text)
 		if w.steps[0]() {
 			w.steps[0] = nil
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -18,7 +18,7 @@
 		for k := from; k < to; k++ {
 			changes = append(changes, Item{Tenants, fmt.Sprintf("tenant-%06d", k), fmt.Appendf(nil, `{"quota_rps":%d}`, rate)})
 		}
-		v := table.Apply(int64(seq), &Command{Kind: CommandPut, From: "a", Seq: seq, Base: base, Piece: piece, More: more, Changes: changes})
+		v := table.Apply(int64(seq), &Command{Kind: CommandPut, Caller: "a", Seq: seq, Base: base, Piece: piece, MorePieces: more, Changes: changes})
 		require.True(t, v.Done, v.Refused)
 	}
 	seq := uint64(0)
@@ -54,7 +54,7 @@
 		assert.LessOrEqual(t, len(w.Encoded())-last, once+maxBlockBytes)
 		last = len(w.Encoded())
 		seq++
-		table.Apply(1<<41, &Command{Kind: CommandPut, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
+		table.Apply(1<<41, &Command{Kind: CommandPut, Caller: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
 		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
 	}
 	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
@@ -74,17 +74,17 @@
 		at := int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
 			at += rapid.SampledFrom([]int64{0, canaryDuration}).Draw(t, "later")
-			c := Command{Kind: CommandPut, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
+			c := Command{Kind: CommandPut, Caller: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				c = Command{Kind: CommandAdvance, Version: table.Head().Canary.Version}
 			case 1:
-				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, Who: "n", Why: "no"}
+				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, Node: "n", Reason: "no"}
 			case 2:
-				c = Command{Kind: CommandRollback, From: "c", Seq: seq + 1, Version: table.Head().All.Version}
+				c = Command{Kind: CommandRollback, Caller: "c", Seq: seq + 1, Version: table.Head().All.Version}
 			case 3:
 				c.Piece = table.draft.Pieces
-				c.More = rapid.Bool().Draw(t, "more")
+				c.MorePieces = rapid.Bool().Draw(t, "more")
 				fallthrough
 			default:
 				for range rapid.IntRange(1, 40).Draw(t, "items") {
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -107,7 +107,7 @@
 	head := sim.agreed.Head()
 	require.True(t, head.Stopped)
 	require.EqualValues(t, 1, head.All.Version)
-	require.Contains(t, head.Why, "of a later build")
+	require.Contains(t, head.StopReason, "of a later build")
 	return sim
 }
 
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -56,26 +56,26 @@
 // atCanary reports whether a version is at the canary stage and may go on.
 func (t *Table) atCanary() bool { return t.head.Canary != t.head.All && !t.head.Stopped }
 
-// Due is the command that has the version at the canary stage in force for all, nil while it isn't time. Any replica may propose it:
+// DueAdvance is the command that has the version at the canary stage in force for all, nil while it isn't time. Any replica may propose it:
 // the second one changes nothing.
-func (t *Table) Due(at int64) *Command {
+func (t *Table) DueAdvance(at int64) *Command {
 	if !t.atCanary() || at < t.canarySince+canaryDuration {
 		return nil
 	}
 	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version}
 }
 
-// DueAfter is as Due, where the version has been at the canary stage for so many ns by the caller's own clock. The table's time is slower
+// DueAdvanceAfter is as Due, where the version has been at the canary stage for so many ns by the caller's own clock. The table's time is slower
 // than real time by a round trip between replicas in each of its steps.
-func (t *Table) DueAfter(stood int64) *Command {
+func (t *Table) DueAdvanceAfter(stood int64) *Command {
 	if !t.atCanary() || stood < canaryDuration {
 		return nil
 	}
 	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version, CanaryTime: stood}
 }
 
-// DueAt is when Due will return a command, 0 for never.
-func (t *Table) DueAt() int64 {
+// AdvanceDueAt is when Due will return a command, 0 for never.
+func (t *Table) AdvanceDueAt() int64 {
 	if !t.atCanary() {
 		return 0
 	}
@@ -84,12 +84,12 @@
 
 // Apply applies one command at a time of the table.
 func (t *Table) Apply(at int64, c *Command) Verdict {
-	v := Verdict{From: c.From, Seq: c.Seq, Version: t.head.Newest}
+	v := Verdict{Caller: c.Caller, Seq: c.Seq, Version: t.head.Newest}
 	switch c.Kind {
 	case CommandPut, CommandRollback:
 		return t.applyOnce(at, c, v)
 	case CommandAdvance:
-		due := cmp.Or(t.Due(at), t.DueAfter(c.CanaryTime))
+		due := cmp.Or(t.DueAdvance(at), t.DueAdvanceAfter(c.CanaryTime))
 		if due == nil || due.Version != c.Version {
 			v.Refused = "not the version at the first stage, or too early for it"
 			return v
@@ -107,11 +107,11 @@
 
 // applyOnce applies a caller's command, unless it was applied before.
 func (t *Table) applyOnce(at int64, c *Command, v Verdict) Verdict {
-	if len(c.From) > maxCallerNameBytes {
+	if len(c.Caller) > maxCallerNameBytes {
 		v.Refused = fmt.Sprintf("a caller's name of over %d bytes", maxCallerNameBytes)
 		return v
 	}
-	k := slices.IndexFunc(t.lastVerdicts, func(last Verdict) bool { return last.From == c.From })
+	k := slices.IndexFunc(t.lastVerdicts, func(last Verdict) bool { return last.Caller == c.Caller })
 	if k >= 0 && c.Seq == t.lastVerdicts[k].Seq {
 		return t.lastVerdicts[k]
 	}
@@ -146,8 +146,8 @@
 	}
 	t.snapshot = nil
 	t.head.Stopped = true
-	t.head.Who = truncate(c.Who, maxCallerNameBytes)
-	t.head.Why = truncate(c.Why, maxReasonBytes)
+	t.head.StoppedBy = truncate(c.Node, maxCallerNameBytes)
+	t.head.StopReason = truncate(c.Reason, maxReasonBytes)
 }
 
 // applyPut makes a version of a change.
@@ -164,7 +164,7 @@
 		v.Refused = fmt.Sprintf("%s %q is not in canonical form", item.Part, item.Name)
 		return
 	}
-	if c.More || c.Piece > 0 {
+	if c.MorePieces || c.Piece > 0 {
 		if next := t.applyPiece(at, c, v); next != nil {
 			t.commit(at, c, next, v)
 		}
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -9,7 +9,7 @@
 )
 
 func putOn(base, seq uint64, list ...Item) *Command {
-	return &Command{Kind: CommandPut, From: "a", Seq: seq, Base: base, Changes: list}
+	return &Command{Kind: CommandPut, Caller: "a", Seq: seq, Base: base, Changes: list}
 }
 
 func tenant(k int, value string) Item {
@@ -25,7 +25,7 @@
 	require.EqualValues(t, 1, table.Apply(1, putOn(0, 1, tenant(1, "1"), tenant(2, "1"))).Version)
 	require.EqualValues(t, 2, table.Apply(1, putOn(1, 2, tenant(1, "2"))).Version)
 	require.EqualValues(t, 3, table.Apply(1, putOn(2, 3, tenant(3, "1"), tenant(1, ""))).Version)
-	v := table.Apply(1, &Command{Kind: CommandPut, From: "b", Seq: 1, Base: 1, Changes: []Item{tenant(9, "1")}})
+	v := table.Apply(1, &Command{Kind: CommandPut, Caller: "b", Seq: 1, Base: 1, Changes: []Item{tenant(9, "1")}})
 	require.False(t, v.Done)
 	require.True(t, v.Stale)
 	require.EqualValues(t, 3, v.Version)
@@ -34,8 +34,8 @@
 	require.Nil(t, table.newest.Get(Tenants, "t9"))
 
 	again := table.Apply(9, putOn(1, 2, tenant(1, "2")))
-	require.EqualValues(t, Verdict{From: "a", Seq: 2, Version: 3, Refused: "late: the caller asked again since"}, again)
-	require.Equal(t, Verdict{From: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "a repeated command has the same verdict")
+	require.EqualValues(t, Verdict{Caller: "a", Seq: 2, Version: 3, Refused: "late: the caller asked again since"}, again)
+	require.Equal(t, Verdict{Caller: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "a repeated command has the same verdict")
 	require.EqualValues(t, 3, table.Head().Newest)
 
 	none := table.Apply(9, putOn(3, 4, tenant(3, "1")))
@@ -45,7 +45,7 @@
 		require.True(t, table.Apply(9, putOn(uint64(k+3), uint64(k+5), tenant(3, fmt.Sprint(k+2)))).Done)
 	}
 	require.Len(t, table.log, maxLogRecords)
-	require.Equal(t, -1, table.Apply(9, &Command{Kind: CommandPut, From: "b", Seq: 2, Base: 2}).More, "the log no longer reaches it")
+	require.Equal(t, -1, table.Apply(9, &Command{Kind: CommandPut, Caller: "b", Seq: 2, Base: 2}).UnlistedDiffering, "the log no longer reaches it")
 }
 
 func TestCanaryStageEndsByTimeOrRefusal(t *testing.T) {
@@ -53,43 +53,43 @@
 	table.Apply(100*ms, putOn(0, 1, tenant(1, "1")))
 	table.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the canary stage of the one before
 	require.EqualValues(t, 1, table.Head().Canary.Version)
-	require.Nil(t, table.Due(100*ms+canaryDuration-1))
+	require.Nil(t, table.DueAdvance(100*ms+canaryDuration-1))
 	require.False(t, table.Apply(100*ms+canaryDuration-1, &Command{Kind: CommandAdvance, Version: 1}).Done, "too early")
-	require.True(t, table.Apply(100*ms+canaryDuration, table.Due(100*ms+canaryDuration)).Done)
+	require.True(t, table.Apply(100*ms+canaryDuration, table.DueAdvance(100*ms+canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
 	require.EqualValues(t, 2, table.Head().Canary.Version, "the next canary stage begins")
-	stop := &Command{Kind: CommandStop, Version: 2, Who: "n7", Why: "no such effect"}
+	stop := &Command{Kind: CommandStop, Version: 2, Node: "n7", Reason: "no such effect"}
 	require.True(t, table.Apply(4_000*ms, stop).Done)
-	require.Nil(t, table.Due(100_000*ms))
+	require.Nil(t, table.DueAdvance(100_000*ms))
 	require.False(t, table.Apply(100_000*ms, &Command{Kind: CommandAdvance, Version: 2}).Done, "stopped")
-	require.Equal(t, "n7", table.Head().Who)
-	back := table.Apply(100_000*ms, &Command{Kind: CommandRollback, From: "a", Seq: 3, Version: 1})
+	require.Equal(t, "n7", table.Head().StoppedBy)
+	back := table.Apply(100_000*ms, &Command{Kind: CommandRollback, Caller: "a", Seq: 3, Version: 1})
 	require.EqualValues(t, 3, back.Version, "a rollback makes a new version")
 	require.EqualValues(t, Revision{3, table.log[0].Digest}, table.Head().All, "it was in force for all before")
 	require.False(t, table.Head().Stopped)
-	require.Contains(t, table.Apply(1, &Command{Kind: CommandRollback, From: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
+	require.Contains(t, table.Apply(1, &Command{Kind: CommandRollback, Caller: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
 
 }
 
 // The table's time may be slower than real time; a replica's own clock counts as well.
 func TestCanaryStageEndsByTheClockOfAReplica(t *testing.T) {
 	table := NewTable()
-	table.Apply(100*ms, &Command{Kind: CommandPut, From: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
-	require.Nil(t, table.DueAfter(canaryDuration-1))
+	table.Apply(100*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
+	require.Nil(t, table.DueAdvanceAfter(canaryDuration-1))
 	require.False(t, table.Apply(200*ms, &Command{Kind: CommandAdvance, Version: 1, CanaryTime: canaryDuration - 1}).Done)
 	require.False(t, table.Apply(200*ms, &Command{Kind: CommandAdvance, Version: 2, CanaryTime: canaryDuration}).Done)
-	require.True(t, table.Apply(200*ms, table.DueAfter(canaryDuration)).Done)
+	require.True(t, table.Apply(200*ms, table.DueAdvanceAfter(canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
-	require.Nil(t, table.DueAfter(canaryDuration), "nothing is at the canary stage")
-	table.Apply(300*ms, &Command{Kind: CommandPut, From: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
-	table.Apply(400*ms, &Command{Kind: CommandStop, Version: 2, Who: "b", Why: "can't"})
-	require.Nil(t, table.DueAfter(100*canaryDuration), "a stopped version goes no further")
+	require.Nil(t, table.DueAdvanceAfter(canaryDuration), "nothing is at the canary stage")
+	table.Apply(300*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
+	table.Apply(400*ms, &Command{Kind: CommandStop, Version: 2, Node: "b", Reason: "can't"})
+	require.Nil(t, table.DueAdvanceAfter(100*canaryDuration), "a stopped version goes no further")
 }
 
 func TestLongChangeComesInPieces(t *testing.T) {
 	table := NewTable()
 	piece := func(seq uint64, from string, n int, more bool, list ...Item) Verdict {
-		return table.Apply(int64(seq)*ms, &Command{Kind: CommandPut, From: from, Seq: seq, Piece: n, More: more, Changes: list})
+		return table.Apply(int64(seq)*ms, &Command{Kind: CommandPut, Caller: from, Seq: seq, Piece: n, MorePieces: more, Changes: list})
 	}
 	require.True(t, piece(1, "a", 0, true, tenant(1, "1")).Done)
 	require.Contains(t, piece(1, "b", 0, true, tenant(2, "1")).Refused, "a long change by a is coming in")
@@ -121,15 +121,15 @@
 		for k := range rapid.IntRange(1, 10).Draw(t, "commands") {
 			at += rapid.Int64Range(0, 2_000*ms).Draw(t, "later")
 			head := a.Head()
-			c := &Command{Kind: CommandKind(rapid.IntRange(0, 5).Draw(t, "kind")), From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "from"),
-				Seq: uint64(k/2 + 1), Base: head.Newest - uint64(rapid.IntRange(0, int(min(1, head.Newest))).Draw(t, "base")), Changes: drawItems(t), Why: "why"}
+			c := &Command{Kind: CommandKind(rapid.IntRange(0, 5).Draw(t, "kind")), Caller: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "from"),
+				Seq: uint64(k/2 + 1), Base: head.Newest - uint64(rapid.IntRange(0, int(min(1, head.Newest))).Draw(t, "base")), Changes: drawItems(t), Reason: "why"}
 			switch c.Kind {
 			case CommandAdvance, CommandStop:
 				c.Version = head.Canary.Version
 			case CommandRollback:
 				c.Version = uint64(rapid.IntRange(0, int(head.Newest)).Draw(t, "to"))
 			case CommandPut:
-				c.More = rapid.IntRange(0, 9).Draw(t, "more") == 0
+				c.MorePieces = rapid.IntRange(0, 9).Draw(t, "more") == 0
 			}
 			require.Equal(t, a.Apply(at, c), b.Apply(at, c))
 			require.GreaterOrEqual(t, a.Head().Newest, head.Newest)
--- a/internal/fleet/configsync/versions.go
+++ b/internal/fleet/configsync/versions.go
@@ -15,7 +15,7 @@
 	if t.head.Newest == 0 && c.Kind == CommandPut {
 		t.head.Newest = min(c.Version, maxStartVersion)
 	}
-	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Rollback: rollback}
+	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), Caller: c.Caller, WallTime: c.WallTime, Rollback: rollback}
 	fits := record.fill(t.newest, next)
 	t.newest = next
 	t.head.Newest = record.Version
@@ -69,8 +69,8 @@
 func (t *Table) startCanary(at int64) {
 	t.head.Canary = Revision{t.head.Newest, t.newest.Digest()}
 	t.head.Stopped = false
-	t.head.Who = ""
-	t.head.Why = ""
+	t.head.StoppedBy = ""
+	t.head.StopReason = ""
 	t.canary = t.newest
 	t.canarySince = at
 }
@@ -99,7 +99,7 @@
 		v.Refused = fmt.Sprintf("made on version %d, the newest is %d: it was made on what another council agreed on", base, t.head.Newest)
 	}
 	if len(t.log) == 0 || base+1 < t.log[0].Version || base > t.head.Newest {
-		v.More = -1
+		v.UnlistedDiffering = -1
 		return
 	}
 	type itemName struct{ part, name string }
@@ -114,7 +114,7 @@
 			if len(v.Differing) < maxNamedItems {
 				v.Differing = append(v.Differing, Item{Part: item.Part, Name: item.Name})
 			} else {
-				v.More++
+				v.UnlistedDiffering++
 			}
 		}
 	}
--- a/internal/fleet/consensus/configtable.go
+++ b/internal/fleet/consensus/configtable.go
@@ -74,7 +74,7 @@
 			continue // a replica's own commands, which it gives locally
 		}
 		if reason := t.invalid(c); reason != "" {
-			verdict := configsync.Verdict{From: c.From, Seq: c.Seq, Refused: reason, Version: t.table.Head().Newest}
+			verdict := configsync.Verdict{Caller: c.Caller, Seq: c.Seq, Refused: reason, Version: t.table.Head().Newest}
 			t.verdicts[owner] = append(t.verdicts[owner], verdict)
 			continue
 		}
@@ -82,7 +82,7 @@
 			return
 		}
 		if !local {
-			t.pending[configCommandID{c.From, c.Seq}] = pendingConfig{owner, t.replica.now}
+			t.pending[configCommandID{c.Caller, c.Seq}] = pendingConfig{owner, t.replica.now}
 		}
 		t.queued = append(t.queued, *c)
 	}
@@ -111,7 +111,7 @@
 
 // leaderTick queues what follows on a version that has been at the canary stage for long enough.
 func (t *configTable) leaderTick() {
-	due := t.table.DueAfter(t.replica.now - t.canarySince)
+	due := t.table.DueAdvanceAfter(t.replica.now - t.canarySince)
 	if due != nil && t.replica.now >= t.nextDueAt {
 		t.nextDueAt = t.replica.now + dueProposalInterval
 		t.queued = append(t.queued, *due)
@@ -168,7 +168,7 @@
 	t.replica.Counters.CommittedCommands++
 	t.changed = true
 	verdict := t.table.Apply(at, c)
-	id := configCommandID{c.From, c.Seq}
+	id := configCommandID{c.Caller, c.Seq}
 	if by, waits := t.pending[id]; waits && ofCaller(c) {
 		delete(t.pending, id)
 		t.verdicts[by.owner] = append(t.verdicts[by.owner], verdict)
--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -22,7 +22,7 @@
 	s.send(3, s.nodes[replica].name, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), ConfigCommands: []configsync.Command{c}})
 	s.run(s.now + 500*ms)
 	require.Len(t, node.configVerdicts, 1, "one command, one verdict")
-	assert.Equal(t, []any{c.From, c.Seq}, []any{node.configVerdicts[0].From, node.configVerdicts[0].Seq})
+	assert.Equal(t, []any{c.Caller, c.Seq}, []any{node.configVerdicts[0].Caller, node.configVerdicts[0].Seq})
 	return node.configVerdicts[0]
 }
 
@@ -41,11 +41,11 @@
 		assert.Empty(t, text, "a group without a configuration has nothing of it in its snapshots")
 		assert.False(t, node.replica.configs.storedSeparately())
 	}
-	put := configsync.Command{Kind: configsync.CommandPut, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}}
+	put := configsync.Command{Kind: configsync.CommandPut, Caller: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}}
 	v := sim.propose(t, 0, put)
-	assert.Equal(t, configsync.Verdict{From: "a", Seq: 1, Done: true, Version: 1}, v)
+	assert.Equal(t, configsync.Verdict{Caller: "a", Seq: 1, Done: true, Version: 1}, v)
 	assert.Equal(t, v, sim.propose(t, 1, put), "the same command at another replica has the same verdict")
-	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandPut, From: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y")}})
+	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandPut, Caller: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y")}})
 	assert.True(t, v.Stale)
 	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differing)
 
@@ -54,21 +54,21 @@
 		assert.Equal(t, uint64(1), h.All.Version, "the leader rolls it out to all after the canary stage")
 	}
 	for k := range 3 { // a change in several commands
-		v = sim.propose(t, k, configsync.Command{Kind: configsync.CommandPut, From: "c", Seq: uint64(k + 1), Base: 1, Piece: k, More: k < 2,
+		v = sim.propose(t, k, configsync.Command{Kind: configsync.CommandPut, Caller: "c", Seq: uint64(k + 1), Base: 1, Piece: k, MorePieces: k < 2,
 			Changes: []configsync.Item{tenantItem(fmt.Sprint("z", k))}})
 		assert.True(t, v.Done, v.Refused)
 	}
 	assert.Equal(t, uint64(2), v.Version)
 	sim.nodes[3].configVerdicts = nil
 	sim.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
-		ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n3"}}})
+		ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Node: "n3"}}})
 	sim.run(sim.now + 500*ms)
 	assert.False(t, sim.heads()[0].Stopped, "only a replica may stop a version")
-	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Who: "n7", Why: "no"}}})
+	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Node: "n7", Reason: "no"}}})
 	sim.wakeNow(1)
 	sim.run(sim.now + 6_000*ms)
 	want := sim.heads()[0]
-	assert.Equal(t, []any{uint64(1), uint64(2), true, "n7"}, []any{want.All.Version, want.Canary.Version, want.Stopped, want.Who})
+	assert.Equal(t, []any{uint64(1), uint64(2), true, "n7"}, []any{want.All.Version, want.Canary.Version, want.Stopped, want.StoppedBy})
 
 	for i := range 3 {
 		sim.kill(i)
@@ -88,8 +88,8 @@
 		_, changed = sim.nodes[i].replica.AgreedConfig()
 		assert.False(t, changed, "it is reported once")
 	}
-	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandRollback, From: "d", Seq: 1, Version: 1})
-	assert.Equal(t, configsync.Verdict{From: "d", Seq: 1, Done: true, Version: 3}, v)
+	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandRollback, Caller: "d", Seq: 1, Version: 1})
+	assert.Equal(t, configsync.Verdict{Caller: "d", Seq: 1, Done: true, Version: 3}, v)
 	assert.Equal(t, uint64(3), sim.heads()[0].All.Version)
 }
 
@@ -98,7 +98,7 @@
 	for _, node := range sim.nodes[:3] {
 		node.replica.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
 	}
-	v := sim.propose(t, 0, configsync.Command{Kind: configsync.CommandPut, From: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}})
+	v := sim.propose(t, 0, configsync.Command{Kind: configsync.CommandPut, Caller: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}})
 	assert.Equal(t, "unsound: x", v.Refused)
 	assert.Zero(t, sim.heads()[0].Newest)
 	assert.False(t, sim.nodes[0].replica.configs.inUse)
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -67,7 +67,7 @@
 		claims.Command{Kind: claims.CommandAdvanceTime, Duration: 250 * ms, MaxTableBytes: 1 << 20})
 	asks = []quota.Command{{Kind: quota.CommandDefineLimit, Limit: "wide", Units: 40, Version: 3, StartDelay: 500 * ms},
 		{Kind: quota.CommandRequestLease, Sender: quota.Owner{Name: "node-1", Incarnation: 11}, Seq: 1, Limit: "wide", WantedUnits: 7, LeaseDuration: 5_000 * ms}}
-	puts = []configsync.Command{{Kind: configsync.CommandPut, From: "caller-1", Seq: 1, Wall: 101,
+	puts = []configsync.Command{{Kind: configsync.CommandPut, Caller: "caller-1", Seq: 1, WallTime: 101,
 		Changes: []configsync.Item{{Part: configsync.Operations, Name: "resize", Value: []byte(`{"quota_rps":1}`)}}}}
 	return list, asks, puts
 }
--- a/internal/fleet/consensus/snapshotparts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -127,7 +127,7 @@
 		for n := range each {
 			changes = append(changes, tenantItem(fmt.Sprintf("tenant-%d-%d", k, n)))
 		}
-		v := sim.propose(t, 0, configsync.Command{Kind: configsync.CommandPut, From: "a", Seq: uint64(k + 1), Piece: k, More: k < pieces-1, Changes: changes})
+		v := sim.propose(t, 0, configsync.Command{Kind: configsync.CommandPut, Caller: "a", Seq: uint64(k + 1), Piece: k, MorePieces: k < pieces-1, Changes: changes})
 		require.True(t, v.Done, v.Refused)
 	}
 	sim.run(sim.now + 4_000*ms)
@@ -154,7 +154,7 @@
 	sim.kill(lost)
 	sim.nodes[lost].disk = nil
 	sim.start(lost)
-	sim.propose(t, sim.indexOf(node), configsync.Command{Kind: configsync.CommandPut, From: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantItem("x")}})
+	sim.propose(t, sim.indexOf(node), configsync.Command{Kind: configsync.CommandPut, Caller: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantItem("x")}})
 	sim.run(sim.now + 8_000*ms)
 	check(tables[sim.indexOf(node)], "a replaced replica")
 	assert.Equal(t, uint64(2), sim.nodes[lost].replica.configs.table.Head().All.Version)
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -45,7 +45,7 @@
 
 // isProposal reports whether a query proposes a change of a kind that operators may propose.
 func isProposal(q *configsync.Query) bool {
-	if q.Kind != configsync.QueryPropose || q.Command == nil || q.Command.From == "" {
+	if q.Kind != configsync.QueryPropose || q.Command == nil || q.Command.Caller == "" {
 		return false
 	}
 	return q.Command.Kind == configsync.CommandPut || q.Command.Kind == configsync.CommandRollback
@@ -107,7 +107,7 @@
 		return err.Error()
 	}
 	agreed := sm.configSync.agreed
-	if agreed == nil || command.More || command.Piece > 0 || command.Base != agreed.Head.Newest {
+	if agreed == nil || command.MorePieces || command.Piece > 0 || command.Base != agreed.Head.Newest {
 		return ""
 	}
 	if operationCountAfter(agreed.Newest, command.Changes) < 1 {
@@ -138,7 +138,7 @@
 // findProposal returns the pending proposal with a sender and a sequence number, nil if there is none.
 func (cs *configSyncState) findProposal(from string, seq uint64) *configProposal {
 	for _, p := range cs.proposals {
-		if p.command.From == from && p.command.Seq == seq {
+		if p.command.Caller == from && p.command.Seq == seq {
 			return p
 		}
 	}
@@ -148,7 +148,7 @@
 // addProposal makes a proposal wait for its verdict. It returns false if too many proposals are pending.
 func (sm *StateMachine) addProposal(link int, command *configsync.Command) bool {
 	cs := &sm.configSync
-	p := cs.findProposal(command.From, command.Seq)
+	p := cs.findProposal(command.Caller, command.Seq)
 	if p == nil {
 		if len(cs.proposals) >= maxPendingProposals {
 			return false
@@ -173,7 +173,7 @@
 	cs := &sm.configSync
 	for k := range cs.verdicts {
 		v := &cs.verdicts[k]
-		if p := cs.findProposal(v.From, v.Seq); p != nil {
+		if p := cs.findProposal(v.Caller, v.Seq); p != nil {
 			sm.answerProposal(p, &configsync.Answer{Verdict: v})
 		}
 	}
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -36,7 +36,7 @@
 // proposePut proposes changes to a base version, and steps until the node applied or refused the new version. It returns the verdict and
 // all effects.
 func proposePut(t *testing.T, sm *StateMachine, from string, base uint64, items ...nodeconfig.Item) (v *configsync.Verdict, all []Effect) {
-	c := &configsync.Command{Kind: configsync.CommandPut, From: from, Seq: 1, Base: base}
+	c := &configsync.Command{Kind: configsync.CommandPut, Caller: from, Seq: 1, Base: base}
 	for _, i := range items {
 		if len(i.Value) > 0 {
 			var err error
@@ -95,5 +95,5 @@
 	}
 	a, _ := queryNode(t, sm, &configsync.Query{Kind: configsync.QueryStatus})
 	assert.True(t, a.ReplicaStatus.Head.Stopped, "the rollout is stopped")
-	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.ReplicaStatus.Head.Who, a.ReplicaStatus.Head.All.Version})
+	assert.Equal(t, []any{"n1", uint64(1)}, []any{a.ReplicaStatus.Head.StoppedBy, a.ReplicaStatus.Head.All.Version})
 }
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -213,8 +213,8 @@
 		}
 	}
 	for _, r := range e.Records {
-		d.integers(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.Wall)
-		d.texts(r.From)
+		d.integers(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.WallTime)
+		d.texts(r.Caller)
 		d.items(r.Changes)
 		d.items(r.Replaced)
 		d.bools(r.Rollback)
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -133,7 +133,7 @@
 		return
 	}
 	s.lastOrder++
-	c := &configsync.Command{Kind: configsync.CommandPut, From: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncStatus().Version}
+	c := &configsync.Command{Kind: configsync.CommandPut, Caller: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncStatus().Version}
 	for _, i := range s.randomItems() {
 		if len(i.Value) > 0 {
 			var err error
--- a/internal/testbed/capacity/changes.go
+++ b/internal/testbed/capacity/changes.go
@@ -132,8 +132,8 @@
 // put has changes agreed on, made on the newest version.
 func (o *operator) put(items []configsync.Item) error {
 	o.puts++
-	c := &configsync.Command{Kind: configsync.CommandPut, From: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
-		Wall: time.Now().UnixNano()}
+	c := &configsync.Command{Kind: configsync.CommandPut, Caller: fmt.Sprint("put", o.puts), Seq: 1, Base: o.version, Changes: items,
+		WallTime: time.Now().UnixNano()}
 	end := time.Now().Add(verdictTimeout)
 	for k := 0; ; k++ {
 		a, err := question(o.seats[k%len(o.seats)], &configsync.Query{Kind: configsync.QueryPropose, Command: c})
--- a/internal/testbed/processfleet/versions_measure.go
+++ b/internal/testbed/processfleet/versions_measure.go
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, r := range f.last.Log { // where the final order differs from what was agreed on before
-		if before := f.records[r.Version]; before == nil || before.Digest != r.Digest || before.From != r.From {
+		if before := f.records[r.Version]; before == nil || before.Digest != r.Digest || before.Caller != r.Caller {
 			lost++
 		}
 	}
--- a/internal/testbed/processfleet/versions_processes.go
+++ b/internal/testbed/processfleet/versions_processes.go
@@ -122,7 +122,7 @@
 	}
 	if s.Head.All.Version > f.agreed.Head.All.Version || s.Newest.Version > f.agreed.Newest.Version || s.Head.Stopped {
 		if s.Head.Stopped && !f.agreed.Head.Stopped {
-			f.logNowf("version %d is stopped by %s: %s", s.Head.Canary.Version, s.Head.Who, s.Head.Why)
+			f.logNowf("version %d is stopped by %s: %s", s.Head.Canary.Version, s.Head.StoppedBy, s.Head.StopReason)
 		}
 		f.agreed = *s
 	} else if s.Head.Canary.Version >= f.agreed.Head.Canary.Version {
--- a/internal/testbed/processfleet/versions_processes_put.go
+++ b/internal/testbed/processfleet/versions_processes_put.go
@@ -46,7 +46,7 @@
 		}
 		some, began := list[:n], f.p.now()
 		list = list[n:]
-		command := &configsync.Command{Kind: configsync.CommandPut, From: "rig"}
+		command := &configsync.Command{Kind: configsync.CommandPut, Caller: "rig"}
 		for _, x := range some {
 			command.Changes = append(command.Changes, x.item)
 		}
@@ -106,7 +106,7 @@
 			time.Sleep(putBackoff)
 			continue
 		}
-		v := f.until(ctx, &configsync.Command{Kind: configsync.CommandRollback, From: "rig", Version: to}, seq, base, chance)
+		v := f.until(ctx, &configsync.Command{Kind: configsync.CommandRollback, Caller: "rig", Version: to}, seq, base, chance)
 		if v != nil {
 			f.mu.Lock()
 			f.undone = append(f.undone, [2]uint64{to, v.Version})
@@ -169,8 +169,8 @@
 	defer stop()
 	chance, version := rand.New(rand.NewSource(f.p.seed)), uint64(0)
 	for k := 0; k < len(items); k += maxPieceItems {
-		c := &configsync.Command{Kind: configsync.CommandPut, From: "file", Seq: uint64(k/maxPieceItems) + 1, Piece: k / maxPieceItems,
-			More: k+maxPieceItems < len(items), Changes: items[k:min(len(items), k+maxPieceItems)]}
+		c := &configsync.Command{Kind: configsync.CommandPut, Caller: "file", Seq: uint64(k/maxPieceItems) + 1, Piece: k / maxPieceItems,
+			MorePieces: k+maxPieceItems < len(items), Changes: items[k:min(len(items), k+maxPieceItems)]}
 		v := f.put(ctx, c, chance)
 		if v == nil || !v.Done {
 			return 0, fmt.Errorf("the first content was not put: %+v", v)
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -78,7 +78,7 @@
 	c.waiting = c.waiting[n:]
 	c.begun = f.Now
 	c.seq++
-	c.command = &configsync.Command{Kind: configsync.CommandPut, From: c.name, Seq: c.seq, Base: c.base}
+	c.command = &configsync.Command{Kind: configsync.CommandPut, Caller: c.name, Seq: c.seq, Base: c.base}
 	for _, x := range c.inHand {
 		c.command.Changes = append(c.command.Changes, x.item)
 	}
@@ -133,7 +133,7 @@
 	}
 	if h.Stopped {
 		f.stops++
-		f.logf("version %d is stopped by %s: %s", h.Canary.Version, h.Who, h.Why)
+		f.logf("version %d is stopped by %s: %s", h.Canary.Version, h.StoppedBy, h.StopReason)
 	}
 	to := f.good
 	f.bad = 0
@@ -147,7 +147,7 @@
 		return
 	}
 	c.seq++
-	c.command = &configsync.Command{Kind: configsync.CommandRollback, From: c.name, Seq: c.seq, Version: to}
+	c.command = &configsync.Command{Kind: configsync.CommandRollback, Caller: c.name, Seq: c.seq, Version: to}
 	f.propose(c)
 }
 
@@ -164,8 +164,8 @@
 	f.callers = append(f.callers, file)
 	for k := 0; k < len(items); k += maxPieceItems {
 		file.seq++
-		file.command = &configsync.Command{Kind: configsync.CommandPut, From: file.name, Seq: file.seq, Piece: k / maxPieceItems,
-			More: k+maxPieceItems < len(items), Changes: items[k:min(len(items), k+maxPieceItems)]}
+		file.command = &configsync.Command{Kind: configsync.CommandPut, Caller: file.name, Seq: file.seq, Piece: k / maxPieceItems,
+			MorePieces: k+maxPieceItems < len(items), Changes: items[k:min(len(items), k+maxPieceItems)]}
 		f.propose(file)
 		if f.RunUntil(loadTimeout, func() bool { return file.command == nil }) < 0 {
 			return fmt.Errorf("the seats did not agree on the first content")
