--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -24,7 +24,7 @@
 	maxClosesPerStep = 32 // each close or go-away costs system calls
 )
 
-// maxFaultsPerConnection is the number of malformed invocations at which the rest of a connection's input is discarded.
+// maxFaultsPerConnection is the number of invalid invocations at which the rest of a connection's input is discarded.
 const maxFaultsPerConnection = 16
 
 // connection is the state of a dispatcher's connection.
@@ -34,7 +34,7 @@
 	openStreams    map[uint32]int32 // index of the invocation, by stream that is not answered
 	pendingChecks  int              // deep health checks that are not answered
 	used           bool             // a valid invocation or health check was received
-	faultCount     int              // malformed invocations received
+	faultCount     int              // invalid invocations received
 	lastUsedAt     int64            // time of the opening, the last valid request or the last answer
 	goAwayAt       int64            // time of the go-away
 	goAwaySent     bool
@@ -49,6 +49,7 @@
 // isIdle reports whether every stream and health check is answered.
 func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingChecks == 0 }
 
+// isHealthy reports whether the connection has brought valid requests and no invalid invocation.
 func (c *connection) isHealthy() bool { return c.used && c.faultCount == 0 }
 
 // markUsed records that a valid request was received.
@@ -85,7 +86,7 @@
 	return c.link < other.link
 }
 
-// isClosingLongerThan reports whether the go-away of c was sent before that of other.
+// isClosingLongerThan reports whether c has been closing longer than other, by the times of their go-aways.
 func (c *connection) isClosingLongerThan(other *connection) bool {
 	if c.goAwayAt != other.goAwayAt {
 		return c.goAwayAt < other.goAwayAt
@@ -101,7 +102,7 @@
 
 	idleWheel    *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
 	closingWheel *timerwheel.Wheel // the same, after the go-away
-	overdue      []int             // links to be checked that did not fit into earlier batches
+	overdue      []int             // links whose check is due, in the order of the checks
 	sweepAt      int64             // time of the next advance of idleWheel
 	overdueAt    int64             // time of the next batch of overdue links
 	checkCount   int               // total of checks, for tests
@@ -226,14 +227,14 @@
 // are due together, and checking all of them in one step would delay invocations.
 func (t *connectionTable) checkDue() {
 	now := t.sm.now
-	isDue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
-	earlier := len(t.overdue)
-	t.closingWheel.Advance(now/ms, isDue)
+	addOverdue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
+	earlierCount := len(t.overdue)
+	t.closingWheel.Advance(now/ms, addOverdue)
 	if now >= t.sweepAt {
 		t.sweepAt = now + sweepInterval
-		t.idleWheel.Advance(now/ms, isDue)
+		t.idleWheel.Advance(now/ms, addOverdue)
 	}
-	slices.Sort(t.overdue[earlier:])
+	slices.Sort(t.overdue[earlierCount:])
 	if now < t.overdueAt || len(t.overdue) == 0 {
 		return
 	}
@@ -337,6 +338,7 @@
 }
 
 // resume cancels a requested close, for an invocation or a health check that the dispatcher sent before it saw the close.
+// The host is asked again once that is answered.
 func (t *connectionTable) resume(c *connection) {
 	if c.closeRequested {
 		c.closeRequested = false
@@ -346,7 +348,7 @@
 }
 
 // markBroken discards the further input of a connection whose frames are malformed or out of order, or that brought too
-// many malformed invocations. The connection is closed once its open streams are answered.
+// many invalid invocations. The connection is closed once its open streams are answered.
 func (t *connectionTable) markBroken(c *connection, err error) {
 	t.sm.log(Warn, "dispatcher violated the protocol; closing its connection once open streams are answered", "", err)
 	if c.broken {
@@ -363,7 +365,7 @@
 	t.released(c)
 }
 
-// countFault counts a malformed invocation of a connection. The limit on them bounds the work wasted on a faulty peer.
+// countFault counts an invalid invocation of a connection. The limit on these bounds the work wasted on a faulty peer.
 func (t *connectionTable) countFault(c *connection) {
 	c.faultCount++
 	if c.faultCount >= maxFaultsPerConnection {
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -5,9 +5,9 @@
 // Counters counts events since the start of a node, for operators.
 type Counters struct {
 	Invocations                  int `json:"invocations"`
-	Succeeded                    int `json:"succeeded"` // answers by code
-	Throttled                    int `json:"throttled"`
-	Errored                      int `json:"errored"`
+	Succeeded                    int `json:"succeeded"`          // answers with a result
+	Throttled                    int `json:"throttled"`          // answers with a throttle
+	Errored                      int `json:"errored"`            // answers with an error
 	CallersDisconnected          int `json:"gone"`               // invocations whose caller disconnected
 	InvalidInvocations           int `json:"broken_invocations"` // malformed or otherwise invalid invocations
 	BrokenConnections            int `json:"broken_connections"` // connections closed for a violation of the protocol
@@ -17,11 +17,11 @@
 	ConnectionsEvicted           int `json:"evicted"`            // connections closed to make room for new ones
 	ConnectionsClosedAfterGoAway int `json:"idle"`               // connections closed after a go-away
 	Reports                      int `json:"reports"`            // successful reports to the control plane
-	ReportsFailed                int `json:"reports_failed"`
+	ReportsFailed                int `json:"reports_failed"`     // failed reports to the control plane
 	InvocationsTakenOver         int `json:"inherited"`          // invocations taken over from lost nodes
 	InvocationsTakenOverFailed   int `json:"inherited_given_up"` // of these, ended without a result
 	Versions                     int `json:"versions"`           // versions of the configuration that came into force
-	VersionsRefused              int `json:"versions_refused"`
+	VersionsRefused              int `json:"versions_refused"`   // versions of the configuration that were rejected
 }
 
 // countAnswer counts an answer by its code.
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -15,14 +15,14 @@
 	maxBodyBytes    = 2 << 10
 	maxHeapKB       = 2_000.0
 	maxArrivalAgeMS = 60_000
-	maxClockSkewMS  = 1_000 // by which an arrival time may lie ahead: the clock may have been set back since
+	maxClockSkewMS  = 1_000 // how far an arrival time may lie ahead of the clock, which may have been set back since
 	maxTTLMS        = 86_400_000
 	maxCallerNumber = 1 << 32
 	maxWorkMS       = 1e7
 	maxDecimalBytes = 32
 )
 
-// fieldSet is a set of required fields.
+// fieldSet is a set of required fields, with a bit for each.
 type fieldSet uint8
 
 const (
@@ -103,7 +103,7 @@
 		d.present |= fieldHeap
 		e.QueuedKB, valid = parseDecimal(value)
 		valid = valid && e.QueuedKB > 0 && e.QueuedKB < maxHeapKB
-	case "crit":
+	case "crit": // validated, but not used
 		weight, ok := parseDecimal(value)
 		valid = ok && weight < 1
 	case d.sm.results.tokenFieldName():
--- a/internal/node/digestactivity_test.go
+++ b/internal/node/digestactivity_test.go
@@ -132,8 +132,8 @@
 	if n.machine == nil {
 		return
 	}
-	s.lastOrder++
-	c := &configsync.Command{Kind: configsync.CommandPut, Caller: "operator", Seq: s.lastOrder, Base: n.machine.ConfigSyncStatus().Version}
+	s.lastCommand++
+	c := &configsync.Command{Kind: configsync.CommandPut, Caller: "operator", Seq: s.lastCommand, Base: n.machine.ConfigSyncStatus().Version}
 	for _, i := range s.randomItems() {
 		if len(i.Value) > 0 {
 			var err error
--- a/internal/node/digestsimulation_test.go
+++ b/internal/node/digestsimulation_test.go
@@ -48,7 +48,7 @@
 	inFlight     int     // invocations in flight, summed over the steps
 	lastID       int
 	lastExchange int
-	lastOrder    uint64
+	lastCommand  uint64                                     // number of the last proposal of configuration changes
 	record       func(now, wall int64, inputs []node.Input) // called before each step of the first node, unless nil
 }
 
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -14,10 +14,10 @@
 const (
 	ReadConnection       EffectKind = iota // start reading frames from the connection Link
 	SendToConnection                       // write Bytes to the connection Link
-	CloseAfterFlush                        // close it once everything is written and read, and give the peer time to read; then ConnectionClosed
-	EvictConnection                        // close it without that time, even within a frame; may follow CloseAfterFlush
-	ResumeConnection                       // cancel CloseAfterFlush: a request was received before the close
-	DiscardInput                           // discard all further input: read slowly, only to notice the end of the connection
+	CloseAfterFlush                        // close the connection Link once everything is written and read, giving the peer time to read; then ConnectionClosed
+	EvictConnection                        // close the connection Link without that time, even within a frame; may follow CloseAfterFlush
+	ResumeConnection                       // cancel CloseAfterFlush for the connection Link, on which a request arrived before the close
+	DiscardInput                           // discard all further input of the connection Link: read slowly, only to notice its end
 	DialExecutor                           // open the link Link to the executor at Address; then ExecutorConnected or ExecutorDisconnected
 	SendToExecutor                         // write Bytes to the executor's link
 	CloseExecutor                          // close the executor's link; then ExecutorDisconnected
@@ -60,7 +60,7 @@
 	Kind        EffectKind
 	Link        int    // number of the connection, link, stream, exchange or report
 	Address     string // where to dial or to send
-	At          int64  // ns
+	At          int64  // ns, a time or, with CallerTimeoutRaised, a duration
 	Bytes       []byte
 	Ready       bool // the node is ready for invocations
 	LogLevel    LogLevel
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -43,7 +43,7 @@
 	VersionPersisted                       // the last PersistVersion effect was carried out, or failed with Err
 	ReplicaWritePersisted                  // the replica's writes up to Number are durable, or the disk failed with Err
 	HollowClaimRequested                   // a hollow node must claim the token in Bytes
-	HollowCallsRequested                   // a hollow node must keep as many calls in flight as Link says
+	HollowCallsRequested                   // a hollow node must keep Link calls in flight
 	VersionReceived                        // Version of the configuration must be applied, with the changes in Amendment
 )
 
@@ -54,7 +54,7 @@
 // of the data that they refer to.
 type Input struct {
 	Kind      InputKind
-	Link      int // number of the connection, link, stream, exchange or report
+	Link      int // number of the connection, link, stream, exchange or report; with HollowCallsRequested, of calls
 	Frame     frame.Frame
 	Line      lineprotocol.Line
 	Err       error
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -38,7 +38,7 @@
 	// NewDecider returns a new controller. It is called at the executor's first welcome; coresStartedAt is the time at which
 	// the executor's cores started.
 	NewDecider func(config *admission.Config, coresStartedAt int64) Decider
-	// SpareConnections is how many connections that are being closed the node keeps beyond the limit on connections.
+	// SpareConnections is the number of connections being closed that may exceed the limit on connections.
 	SpareConnections int
 
 	config    *nodeconfig.Config
