--- a/cmd/topazpost/client.go
+++ b/cmd/topazpost/client.go
@@ -33,7 +33,7 @@
 
 // queryInto decodes a part of a node's state into a value; an empty part is its view.
 func queryInto(fleet, address, part string, into any) error {
-	answer, err := exchange(fleet, address, membership.Message{Kind: membership.MessageViewRequest, Why: part}, "")
+	answer, err := exchange(fleet, address, membership.Message{Kind: membership.MessageViewRequest, Detail: part}, "")
 	if err == nil {
 		err = envelope.Open(answer, envelope.FleetIDOf(fleet), into)
 	}
--- a/cmd/topazpost/members.go
+++ b/cmd/topazpost/members.go
@@ -52,7 +52,7 @@
 		return printViewJSON(v)
 	}
 	title := fmt.Sprintf("view %d, %016x", v.Number, v.Hash)
-	if v.Alone {
+	if v.Isolated {
 		title += ", cut off: it hears nobody and keeps what it last saw"
 	} else if !v.Majority {
 		title += ", no majority of those it knows"
@@ -63,7 +63,7 @@
 		if m.Facts.NoExecutor {
 			status += ", of no use"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", m.Name, m.Address, status, seconds(m.Since),
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%s\t%d\t%s\t%s\t%d\t%d\t%d\n", m.Name, m.Address, status, seconds(m.StatusAge),
 			membership.ReachNames[m.Reach], m.Links, m.Facts.Zone, m.Facts.Version, m.Facts.Level, m.Facts.DrainPhase, m.Incarnation)
 	}
 	return w.Flush()
@@ -81,7 +81,7 @@
 		Alone    bool     `json:"alone"`
 		Majority bool     `json:"majority"`
 		Members  []member `json:"members"`
-	}{Number: v.Number, View: fmt.Sprintf("%016x", v.Hash), Alone: v.Alone, Majority: v.Majority}
+	}{Number: v.Number, View: fmt.Sprintf("%016x", v.Hash), Alone: v.Isolated, Majority: v.Majority}
 	for _, m := range v.Members {
 		out.Members = append(out.Members, member{m, membership.StatusNames[m.Status], membership.ReachNames[m.Reach]})
 	}
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -106,10 +106,10 @@
 	for k := range effects {
 		e := &effects[k]
 		message, text := clone(s.t, &e.Message)
-		write(int64(e.Kind), int64(e.Link), int64(e.Change.Number), int64(e.Change.Cause), int64(e.Change.Incarnation), e.Change.After,
+		write(int64(e.Kind), int64(e.ExchangeID), int64(e.Change.Number), int64(e.Change.Cause), int64(e.Change.Incarnation), e.Change.DetectionDelay,
 			int64(e.Change.Size), int64(e.Change.Hash))
-		_, _ = s.digest.Write(append(text, e.To+e.Change.Who+e.Change.ReportedBy...))
-		s.carry(n, e.Kind, e.To, e.Link, message)
+		_, _ = s.digest.Write(append(text, e.To+e.Change.Member+e.Change.ReportedBy...))
+		s.carry(n, e.Kind, e.To, e.ExchangeID, message)
 	}
 	n.wakeAt = max(s.now+1, wake)
 	s.after(n.wakeAt-s.now, func() {
@@ -135,15 +135,15 @@
 			}
 		}
 		if lost {
-			s.after(s.delay(), func() { answered(Input{Kind: ExchangeFailed, Link: link}) })
+			s.after(s.delay(), func() { answered(Input{Kind: ExchangeFailed, ExchangeID: link}) })
 			return
 		}
 		s.after(s.delay(), func() {
 			peer.links++
 			peer.asked[peer.links] = func(answer *Message) {
-				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, Link: link, Message: answer}) })
+				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, ExchangeID: link, Message: answer}) })
 			}
-			s.step(peer, Input{Kind: ExchangeOpened, Link: peer.links, Message: message})
+			s.step(peer, Input{Kind: ExchangeOpened, ExchangeID: peer.links, Message: message})
 		})
 	case Reply:
 		if reply := n.asked[link]; reply != nil {
--- a/internal/fleet/membership/helpers_test.go
+++ b/internal/fleet/membership/helpers_test.go
@@ -67,7 +67,7 @@
 func causes(effects []Effect) (list []string) {
 	for _, e := range effects {
 		if e.Kind == ViewChanged {
-			list = append(list, e.Change.Who+" "+CauseNames[e.Change.Cause])
+			list = append(list, e.Change.Member+" "+CauseNames[e.Change.Cause])
 		}
 	}
 	return list
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -149,14 +149,14 @@
 			m.applyDatagram(in.Message)
 		}
 	case ExchangeOpened:
-		m.answerSync(in.Link, in.Message)
+		m.answerSync(in.ExchangeID, in.Message)
 	case ExchangeAnswered:
-		if in.Link == m.syncLink {
+		if in.ExchangeID == m.syncLink {
 			m.syncLink = 0
 		}
 		m.applySyncAnswer(in.Message)
 	case ExchangeFailed:
-		if in.Link == m.syncLink {
+		if in.ExchangeID == m.syncLink {
 			m.syncLink = 0
 		}
 	case FactsChanged:
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -56,7 +56,7 @@
 	got := until(m, m.wakeAt, m.wakeAt+20*s, false)
 	assert.Equal(t, []string{"a cut off"}, got)
 	v := m.View()
-	assert.True(t, v.Alone)
+	assert.True(t, v.Isolated)
 	assert.False(t, v.Majority)
 	for _, seen := range v.Members[1:] {
 		assert.Equal(t, Suspect, seen.Status)
@@ -104,7 +104,7 @@
 	r.StartedAt = 50
 	later.applyRecord(&r, -1) // of one that started before it and still speaks
 	assert.Equal(t, 0, later.linksUp())
-	assert.Equal(t, 1, later.Counters.Refused)
+	assert.Equal(t, 1, later.Counters.NameConflicts)
 	assert.Equal(t, 1, later.viewSize)
 }
 
@@ -112,7 +112,7 @@
 	m := held("b", "c")
 	r := record("b", 300)
 	r.Address = "10.0.0.99:9"
-	asked := []Input{{Kind: ExchangeOpened, Link: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
+	asked := []Input{{Kind: ExchangeOpened, ExchangeID: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
 	effects, _ := m.Step(m.wakeAt, 100, asked)
 	require.NotEmpty(t, effects)
 	replies := func(effects []Effect) (kinds []MessageKind) {
@@ -144,7 +144,7 @@
 	}
 	r := record("x", 100)
 	m.applyRecord(&r, -1)
-	assert.Equal(t, 1, m.Counters.Unusable)
+	assert.Equal(t, 1, m.Counters.InvalidRecords)
 }
 
 func TestRecordsThatCantBeKeptAreCounted(t *testing.T) {
@@ -156,7 +156,7 @@
 	for _, r := range []Record{{}, {Name: "x"}, {Name: string(make([]byte, 65)), Address: "y"}, long, {Name: "x", Address: "y", Incarnation: 1 << 63}} {
 		m.applyRecord(&r, -1)
 	}
-	assert.Equal(t, 5, m.Counters.Unusable)
+	assert.Equal(t, 5, m.Counters.InvalidRecords)
 }
 
 func TestAcksOfOldPingsProveNothing(t *testing.T) {
@@ -245,7 +245,7 @@
 			m.traverse()
 			m.checkAdjacency()
 			m.checkQueues()
-			hash, size := m.Hash()
+			hash, size := m.ViewHash()
 			in := 0
 			for i := range m.members {
 				if m.members[i].inView {
@@ -368,7 +368,7 @@
 		asked += differs(now)
 	}
 	assert.Equal(t, 1, asked, "once they rest it is asked for")
-	m.Step(now, now, []Input{{Kind: ExchangeFailed, Link: m.syncLink}})
+	m.Step(now, now, []Input{{Kind: ExchangeFailed, ExchangeID: m.syncLink}})
 	asked = 0
 	for k := range 150 { // 15 s
 		now += 100 * ms
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -26,9 +26,9 @@
 	Digest    uint64          `cbor:"4,keyasint,omitempty"` // of the sender's table
 	Neighbour bool            `cbor:"5,keyasint,omitempty"` // the sender watches the receiver
 	Records   []Record        `cbor:"6,keyasint,omitempty"`
-	Heads     []RecordSummary `cbor:"7,keyasint,omitempty"`
+	Summaries []RecordSummary `cbor:"7,keyasint,omitempty"`
 	Wanted    []ID            `cbor:"8,keyasint,omitempty"`
-	Why       string          `cbor:"9,keyasint,omitempty"` // MessageReject: the reason; MessageViewRequest: what is asked for
+	Detail    string          `cbor:"9,keyasint,omitempty"` // MessageReject: the reason; MessageViewRequest: what is asked for
 }
 
 // InputKind names an event.
@@ -46,10 +46,10 @@
 
 // Input is one event.
 type Input struct {
-	Kind    InputKind
-	Link    int
-	Message *Message
-	Facts   Facts
+	Kind       InputKind
+	ExchangeID int
+	Message    *Message
+	Facts      Facts
 }
 
 // EffectKind names an action of the caller.
@@ -66,11 +66,11 @@
 
 // Effect is one action for the caller. Messages and their slices are valid until the next step.
 type Effect struct {
-	Kind    EffectKind
-	To      string
-	Link    int
-	Message Message
-	Change  Change
-	Text    string
-	Warn    bool
+	Kind       EffectKind
+	To         string
+	ExchangeID int
+	Message    Message
+	Change     Change
+	Text       string
+	Warn       bool
 }
--- a/internal/fleet/membership/query.go
+++ b/internal/fleet/membership/query.go
@@ -41,7 +41,7 @@
 
 // View is who is there now. It is made anew at each call.
 func (m *Members) View() View {
-	v := View{Number: m.viewNumber, Alone: m.isolated}
+	v := View{Number: m.viewNumber, Isolated: m.isolated}
 	known := 0
 	for i := range m.members {
 		peer := &m.members[i]
@@ -49,7 +49,7 @@
 			continue
 		}
 		s := MemberStatus{Name: peer.record.Name, Address: peer.record.Address, Status: peer.status, Reach: m.reachOf(int32(i)), Incarnation: peer.record.Incarnation,
-			Facts: peer.record.Facts, Links: len(peer.record.Links), Since: m.ownTime - peer.statusSince, StartedAt: peer.record.StartedAt}
+			Facts: peer.record.Facts, Links: len(peer.record.Links), StatusAge: m.ownTime - peer.statusSince, StartedAt: peer.record.StartedAt}
 		v.Members = append(v.Members, s)
 		if peer.inView {
 			v.Hash ^= peer.incarnationHash()
@@ -74,8 +74,8 @@
 	return Unreachable
 }
 
-// Hash tells views apart without making one: of names and lives.
-func (m *Members) Hash() (hash uint64, size int) { return m.viewHash, m.viewSize }
+// ViewHash tells views apart without making one: of names and lives.
+func (m *Members) ViewHash() (hash uint64, size int) { return m.viewHash, m.viewSize }
 
 // AddressOf is where a member hears its peers, false for one that is not known.
 func (m *Members) AddressOf(name string) (string, bool) {
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -15,7 +15,7 @@
 // applyRecord takes a record of a peer; from is the link that brought it, -1 for none.
 func (m *Members) applyRecord(r *Record, from int8) {
 	if !r.usable() {
-		m.Counters.Unusable++
+		m.Counters.InvalidRecords++
 		return
 	}
 	i, known := m.byID[IDOf(r.Name)]
@@ -25,7 +25,7 @@
 	}
 	if !known {
 		if i = m.addMember(r); i < 0 {
-			m.Counters.Unusable++
+			m.Counters.InvalidRecords++
 			return
 		}
 	}
@@ -108,7 +108,7 @@
 
 // yieldName drops all links and members, since another node has this node's name, until the next attempt to join.
 func (m *Members) yieldName(holder string) {
-	m.Counters.Refused++
+	m.Counters.NameConflicts++
 	m.log(true, "the name %s is held by a node at %s that started earlier: this one keeps away; give it another name",
 		m.config.Name, holder)
 	for k := range m.links {
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -48,14 +48,14 @@
 
 // Change is one change of the view.
 type Change struct {
-	Number      uint64
-	Cause       Cause
-	Who         string
-	Incarnation uint64
-	ReportedBy  string // the member whose link to it was the last to go down, or whose record says so
-	After       int64  // ns from the loss of the last path to the change
-	Size        int    // members of the view after the change
-	Hash        uint64 // hash of the view after the change, as in View
+	Number         uint64
+	Cause          Cause
+	Member         string
+	Incarnation    uint64
+	ReportedBy     string // the member whose link to it was the last to go down, or whose record says so
+	DetectionDelay int64  // ns from the loss of the last path to the change
+	Size           int    // members of the view after the change
+	Hash           uint64 // hash of the view after the change, as in View
 }
 
 // MemberStatus is one member in a view.
@@ -67,7 +67,7 @@
 	Incarnation uint64 `json:"incarnation" cbor:"5,keyasint"`
 	Facts       Facts  `json:"facts" cbor:"6,keyasint"`
 	Links       int    `json:"links" cbor:"7,keyasint,omitempty"`
-	Since       int64  `json:"since_ns" cbor:"8,keyasint,omitempty"` // ns in this status
+	StatusAge   int64  `json:"since_ns" cbor:"8,keyasint,omitempty"` // ns in this status
 	StartedAt   int64  `json:"born" cbor:"9,keyasint,omitempty"`     // Unix ns
 }
 
@@ -75,7 +75,7 @@
 type View struct {
 	Number   uint64         `cbor:"1,keyasint"`
 	Hash     uint64         `cbor:"2,keyasint"` // over names and starts; equal where views are equal
-	Alone    bool           `cbor:"3,keyasint,omitempty"`
+	Isolated bool           `cbor:"3,keyasint,omitempty"`
 	Majority bool           `cbor:"4,keyasint,omitempty"` // it holds more than half of all members that are known
 	Members  []MemberStatus `cbor:"5,keyasint"`           // by name; lost members that are not forgotten included
 }
@@ -86,8 +86,8 @@
 	Bytes             int `json:"-"`
 	Exchanges         int `json:"exchanges"`
 	UnmatchedMessages int `json:"strays"`   // from unknown members, or answers to no request
-	Unusable          int `json:"unusable"` // records that can't be kept
-	Refused           int `json:"refused"`
+	InvalidRecords    int `json:"unusable"` // records that can't be kept
+	NameConflicts     int `json:"refused"`
 	Pauses            int `json:"pauses"` // of this process
-	Views             int `json:"views"`
+	ViewChanges       int `json:"views"`
 }
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -98,8 +98,8 @@
 			heads = append(heads, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
 		}
 	}
-	m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
-		Records: m.ownRecord(), Heads: heads}})
+	m.emit(Effect{Kind: Exchange, ExchangeID: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
+		Records: m.ownRecord(), Summaries: heads}})
 }
 
 // answerSync answers an exchange that a peer opened.
@@ -108,13 +108,13 @@
 	switch msg.Kind {
 	case MessageSyncRequest:
 		if why := m.rejectReason(msg); why != "" {
-			m.Counters.Refused++
+			m.Counters.NameConflicts++
 			m.log(true, "%s", why)
-			m.emit(Effect{Kind: Reply, Link: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Why: why}})
+			m.emit(Effect{Kind: Reply, ExchangeID: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Detail: why}})
 			return
 		}
 		m.stamp++
-		for _, h := range msg.Heads {
+		for _, h := range msg.Summaries {
 			i, known := m.byID[h.ID]
 			if !known {
 				answer.Wanted = append(answer.Wanted, h.ID)
@@ -141,7 +141,7 @@
 			m.applyRecord(&msg.Records[k], -1)
 		}
 	}
-	m.emit(Effect{Kind: Reply, Link: link, Message: answer})
+	m.emit(Effect{Kind: Reply, ExchangeID: link, Message: answer})
 }
 
 // rejectReason returns why a node may not join, or nothing: a running node at another address has its name.
@@ -165,8 +165,8 @@
 func (m *Members) applySyncAnswer(msg *Message) {
 	switch msg.Kind {
 	case MessageReject:
-		m.Counters.Refused++
-		m.log(true, "refused: %s", msg.Why)
+		m.Counters.NameConflicts++
+		m.log(true, "refused: %s", msg.Detail)
 		m.joinBackoff = maxJoinBackoff
 		return
 	case MessageSyncAnswer:
@@ -188,6 +188,6 @@
 	}
 	if from, known := m.byID[msg.From]; known && len(push.Records) > 0 {
 		m.lastLink++
-		m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: m.members[from].record.Address, Message: push})
+		m.emit(Effect{Kind: Exchange, ExchangeID: m.lastLink, To: m.members[from].record.Address, Message: push})
 	}
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -144,10 +144,10 @@
 
 func (m *Members) emitChange(cause Cause, peer *member, inc uint64, word string, after int64) {
 	m.viewNumber++
-	m.Counters.Views++
+	m.Counters.ViewChanges++
 	if invariant.Debug {
 		m.Invariants.Check(m.viewHash == m.View().Hash, "the hash is that of the view")
 	}
-	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Who: peer.record.Name, Incarnation: inc, ReportedBy: word,
-		After: after, Size: m.viewSize, Hash: m.viewHash}})
+	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Member: peer.record.Name, Incarnation: inc, ReportedBy: word,
+		DetectionDelay: after, Size: m.viewSize, Hash: m.viewHash}})
 }
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -23,8 +23,8 @@
 	require.Len(t, effectsOfKind(effects, ReplyToExchange), 1, "without a replicator the exchange is closed")
 	assert.Empty(t, effectsOfKind(effects, ReplyToExchange)[0].Bytes)
 	assert.Zero(t, sm.fleet.counters.Malformed)
-	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{peerRecord(3, true)}, Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
-		Wanted: []membership.ID{4}, Why: "x", Digest: 8, Neighbour: true}
+	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{peerRecord(3, true)}, Summaries: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
+		Wanted: []membership.ID{4}, Detail: "x", Digest: 8, Neighbour: true}
 	var body peerMessage
 	require.NoError(t, envelope.Open(sealedMessage(t, "mobilier", msg), fleet, &body))
 	assert.Equal(t, peerMessage{Message: msg}, body)
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -161,8 +161,8 @@
 
 // change adds a change of the view of the fleet.
 func (d digest) change(c *membership.Change) {
-	d.integers(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.After, int64(c.Size), int64(c.Hash))
-	d.texts(c.Who, c.ReportedBy)
+	d.integers(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.DetectionDelay, int64(c.Size), int64(c.Hash))
+	d.texts(c.Member, c.ReportedBy)
 }
 
 // record adds a record of the result store.
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -128,7 +128,7 @@
 	case 0:
 		body = &membership.Message{Kind: membership.MessageViewRequest}
 	case 1:
-		body = &membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}
+		body = &membership.Message{Kind: membership.MessageViewRequest, Detail: membership.ViewRequestClaims}
 	case 2:
 		body = &membership.Message{Kind: []membership.MessageKind{membership.MessageSyncRequest, membership.MessageGossip, 0}[n.Rand.Intn(3)]}
 	case 3:
--- a/internal/node/fixtures_test.go
+++ b/internal/node/fixtures_test.go
@@ -43,7 +43,7 @@
 		})
 	}
 	t.Run("request for the summary of claims", func(t *testing.T) {
-		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Why: membership.ViewRequestClaims}, sealFixture, openFixture)
+		fixture.RoundTrip(t, "look-claims-v1.bin", membership.Message{Kind: membership.MessageViewRequest, Detail: membership.ViewRequestClaims}, sealFixture, openFixture)
 	})
 	t.Run("view", func(t *testing.T) {
 		want := fixture.Filled[membership.View](1)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -94,7 +94,7 @@
 	}
 	if in.Kind == PeerExchangeFailed {
 		sm.log(Debug, "exchange with a peer failed", "", in.Err)
-		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
+		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.ExchangeFailed, ExchangeID: in.Link})
 		return
 	}
 	body := new(peerMessage)
@@ -122,7 +122,7 @@
 		}
 		return
 	}
-	next := membership.Input{Link: in.Link, Message: msg}
+	next := membership.Input{ExchangeID: in.Link, Message: msg}
 	switch in.Kind {
 	case PeerDatagramReceived:
 		next.Kind = membership.DatagramReceived
@@ -136,7 +136,7 @@
 
 // answerViewRequest answers a command that requests the view of the fleet, or the summary of claims.
 func (sm *StateMachine) answerViewRequest(link int, msg *membership.Message) {
-	if msg.Why != membership.ViewRequestClaims {
+	if msg.Detail != membership.ViewRequestClaims {
 		view := sm.fleet.members.View()
 		sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: link}, &view)
 		return
@@ -157,7 +157,7 @@
 	sm.log(Warn, "message from a peer rejected", in.From, err)
 	switch in.Kind {
 	case PeerResponseReceived:
-		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.ExchangeFailed, Link: in.Link})
+		fs.inputs = append(fs.inputs, membership.Input{Kind: membership.ExchangeFailed, ExchangeID: in.Link})
 	case PeerRequestReceived:
 		sm.emit(Effect{Kind: ReplyToExchange, Link: in.Link}) // no bytes: the host closes the exchange
 	}
@@ -190,9 +190,9 @@
 		case membership.Send:
 			sm.sendEnvelope(Effect{Kind: SendDatagram, Address: e.To}, &e.Message)
 		case membership.Exchange:
-			sm.sendEnvelope(Effect{Kind: OpenExchange, Link: e.Link, Address: e.To}, &e.Message)
+			sm.sendEnvelope(Effect{Kind: OpenExchange, Link: e.ExchangeID, Address: e.To}, &e.Message)
 		case membership.Reply:
-			sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: e.Link}, &e.Message)
+			sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: e.ExchangeID}, &e.Message)
 		case membership.ViewChanged:
 			change := e.Change
 			sm.emit(Effect{Kind: ViewChanged, ViewChange: &change})
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -121,7 +121,7 @@
 // panic.
 func FuzzPeers(f *testing.F) {
 	b, _ := envelope.Seal(nil, envelope.FleetIDOf("mobilier"), &membership.Message{Kind: membership.MessagePing, From: 7, Records: []membership.Record{peerRecord(0, false)},
-		Heads: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
+		Summaries: []membership.RecordSummary{{ID: 1, Incarnation: 2}}, Wanted: []membership.ID{3}})
 	f.Add(b[envelope.HeaderBytes:], uint8(0))
 	f.Fuzz(func(t *testing.T, body []byte, kind uint8) {
 		sm := fleetNode(t)
--- a/internal/testbed/hollow/node.go
+++ b/internal/testbed/hollow/node.go
@@ -155,7 +155,7 @@
 
 // viewChanged takes a change of a node's view.
 func (p *process) viewChanged(n *hollowNode, c *membership.Change) {
-	who, _ := strconv.Atoi(strings.TrimPrefix(c.Who, "n"))
+	who, _ := strconv.Atoi(strings.TrimPrefix(c.Member, "n"))
 	e := Event{uint64(time.Now().UnixMilli()), uint64(n.index), uint64(c.Cause), uint64(who), uint64(c.Size), c.Hash}
 	n.mu.Lock()
 	n.size = c.Size
--- a/internal/testbed/processfleet/virtual.go
+++ b/internal/testbed/processfleet/virtual.go
@@ -66,7 +66,7 @@
 func (v *virtual) viewEvents() (list []Event) {
 	for i, n := range v.Nodes {
 		for _, c := range n.Changes {
-			list = append(list, Event{At: c.At, Node: i, Cause: c.Cause, Who: c.Who, Hash: c.Hash, Size: c.Size})
+			list = append(list, Event{At: c.At, Node: i, Cause: c.Cause, Who: c.Member, Hash: c.Hash, Size: c.Size})
 		}
 	}
 	return list
@@ -77,7 +77,7 @@
 	for i, n := range v.Nodes {
 		if k := len(n.Changes); k > 0 {
 			c := n.Changes[k-1]
-			list[i] = Event{At: c.At, Node: i, Cause: c.Cause, Who: c.Who, Hash: c.Hash, Size: c.Size}
+			list[i] = Event{At: c.At, Node: i, Cause: c.Cause, Who: c.Member, Hash: c.Hash, Size: c.Size}
 		}
 	}
 	return list
--- a/internal/testbed/virtualfleet/fleet.go
+++ b/internal/testbed/virtualfleet/fleet.go
@@ -78,7 +78,7 @@
 		if !n.Up || n.Paused {
 			continue
 		}
-		hash, size := n.Hash()
+		hash, size := n.ViewHash()
 		if size != up || first != 0 && hash != first {
 			return false
 		}
--- a/internal/testbed/virtualfleet/invariants.go
+++ b/internal/testbed/virtualfleet/invariants.go
@@ -17,9 +17,9 @@
 			if c.Cause == membership.Isolated || c.Cause == membership.Reconnected {
 				continue
 			}
-			key := fmt.Sprint(n.Name, " born ", n.Started, " of ", c.Who)
+			key := fmt.Sprint(n.Name, " born ", n.Started, " of ", c.Member)
 			if c.Incarnation < highest[key] {
-				return fmt.Errorf("%s: incarnation of %s went back from %d to %d", n.Name, c.Who, highest[key], c.Incarnation)
+				return fmt.Errorf("%s: incarnation of %s went back from %d to %d", n.Name, c.Member, highest[key], c.Incarnation)
 			}
 			highest[key] = c.Incarnation
 		}
--- a/internal/testbed/virtualfleet/node.go
+++ b/internal/testbed/virtualfleet/node.go
@@ -159,9 +159,9 @@
 	case membership.Send:
 		n.send(e.To, e.Message)
 	case membership.Exchange:
-		n.exchange(e.To, e.Link, e.Message)
+		n.exchange(e.To, e.ExchangeID, e.Message)
 	case membership.Reply:
-		n.reply(e.Link, e.Message)
+		n.reply(e.ExchangeID, e.Message)
 	case membership.ViewChanged:
 		n.Changes = append(n.Changes, Change{n.fleet.Now, e.Change})
 		if n.payload != nil {
@@ -194,7 +194,7 @@
 	if to == nil || !to.Up || !f.delivers(n, to, 0, false) || !f.delivers(to, n, 0, false) {
 		f.After(exchangeTimeout, func() {
 			if n.Started == startedAt {
-				n.deliver(membership.Input{Kind: membership.ExchangeFailed, Link: link})
+				n.deliver(membership.Input{Kind: membership.ExchangeFailed, ExchangeID: link})
 			}
 		})
 		return
@@ -205,7 +205,7 @@
 		if to.Up {
 			to.exchanges[id] = pendingExchange{n, link, startedAt}
 		}
-		to.deliver(membership.Input{Kind: membership.ExchangeOpened, Link: id, Message: &msg})
+		to.deliver(membership.Input{Kind: membership.ExchangeOpened, ExchangeID: id, Message: &msg})
 	})
 }
 
@@ -220,7 +220,7 @@
 	}
 	f.After(minLatency+f.regionLatency(n, pending.from), func() {
 		if pending.from.Started == pending.startedAt {
-			pending.from.deliver(membership.Input{Kind: membership.ExchangeAnswered, Link: pending.link, Message: &msg})
+			pending.from.deliver(membership.Input{Kind: membership.ExchangeAnswered, ExchangeID: pending.link, Message: &msg})
 		}
 	})
 }
--- a/internal/testbed/virtualfleet/payload_test.go
+++ b/internal/testbed/virtualfleet/payload_test.go
@@ -131,7 +131,7 @@
 	m.CutOff("r2")
 	m.Run(m.Now + 8*s)
 	for _, n := range m.Nodes {
-		_, size := n.Hash()
+		_, size := n.ViewHash()
 		want := len(m.Nodes) - len(in)
 		if n.Zone[:2] == "r2" {
 			want = len(in)
--- a/internal/testbed/virtualfleet/size.go
+++ b/internal/testbed/virtualfleet/size.go
@@ -9,7 +9,7 @@
 // million. A test compares it with the envelope itself.
 func messageSize(msg *membership.Message) int {
 	size := envelope.HeaderBytes + 1 + keyedInteger(uint64(msg.Kind)) + optionalInteger(uint64(msg.From)) + optionalInteger(uint64(msg.Seq)) +
-		optionalInteger(msg.Digest) + optionalText(msg.Why)
+		optionalInteger(msg.Digest) + optionalText(msg.Detail)
 	if msg.Neighbour {
 		size += 2
 	}
@@ -19,10 +19,10 @@
 			size += recordSize(&msg.Records[i])
 		}
 	}
-	if n := len(msg.Heads); n > 0 {
+	if n := len(msg.Summaries); n > 0 {
 		size += 1 + headerSize(uint64(n))
-		for i := range msg.Heads {
-			h := &msg.Heads[i]
+		for i := range msg.Summaries {
+			h := &msg.Summaries[i]
 			size += 1 + keyedInteger(uint64(h.ID)) + keyedInteger(h.Incarnation) + optionalInteger(uint64(h.RecordVersion))
 		}
 	}
--- a/internal/testbed/virtualfleet/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -22,7 +22,7 @@
 		}
 		msg := membership.Message{Kind: membership.MessageKind(rapid.IntRange(1, 8).Draw(t, "kind")), From: membership.ID(number.Draw(t, "from")),
 			Seq: uint32(number.Draw(t, "seq")), Digest: number.Draw(t, "digest"), Neighbour: rapid.Bool().Draw(t, "neighbour"),
-			Wanted: ids(30), Why: word.Draw(t, "why")}
+			Wanted: ids(30), Detail: word.Draw(t, "why")}
 		for range rapid.IntRange(0, 30).Draw(t, "records") {
 			r := membership.Record{Name: word.Draw(t, "name"), Address: word.Draw(t, "address"), StartedAt: int64(number.Draw(t, "born")),
 				Incarnation: number.Draw(t, "inc"), RecordVersion: uint32(number.Draw(t, "ver")), Left: rapid.Bool().Draw(t, "left"), Links: ids(32)}
@@ -31,7 +31,7 @@
 			msg.Records = append(msg.Records, r)
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "heads") {
-			msg.Heads = append(msg.Heads, membership.RecordSummary{ID: membership.ID(number.Draw(t, "id")), Incarnation: number.Draw(t, "inc"), RecordVersion: uint32(number.Draw(t, "ver"))})
+			msg.Summaries = append(msg.Summaries, membership.RecordSummary{ID: membership.ID(number.Draw(t, "id")), Incarnation: number.Draw(t, "inc"), RecordVersion: uint32(number.Draw(t, "ver"))})
 		}
 		b, err := envelope.Seal(nil, 1, &msg)
 		require.NoError(t, err)
--- a/server/effects.go
+++ b/server/effects.go
@@ -135,13 +135,13 @@
 		h.Changed(c)
 		return
 	}
-	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.CauseNames[c.Cause]).Str("who", c.Who).
+	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.CauseNames[c.Cause]).Str("who", c.Member).
 		Uint64("incarnation", c.Incarnation).Int("size", c.Size).Str("view", fmt.Sprintf("%016x", c.Hash))
-	if c.ReportedBy != "" && c.ReportedBy != c.Who {
+	if c.ReportedBy != "" && c.ReportedBy != c.Member {
 		line = line.Str("word", c.ReportedBy)
 	}
-	if c.After > 0 {
-		line = line.Float64("after_s", seconds(c.After))
+	if c.DetectionDelay > 0 {
+		line = line.Float64("after_s", seconds(c.DetectionDelay))
 	}
 	line.Msg("view changed")
 }
