--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -84,7 +84,7 @@
 		Key:      claims.Key{Operation: "x", Token: "t"},
 		BodyHash: 1,
 		Duration: 60_000_000_000,
-		Window:   60_000_000_000,
+		Retention:   60_000_000_000,
 	}}}
 	var got *consensus.Message
 	for got == nil { // a proposal that comes before there is a leader is dropped
--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -131,7 +131,7 @@
 	command.Key = c.key
 	command.BodyHash = 1
 	command.Duration = 60_000_000_000
-	command.Window = 600_000_000_000
+	command.Retention = 600_000_000_000
 	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: c.owner.Name, Owner: c.owner, ClaimCommands: []claims.Command{command}}
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		sendMessage(t, c.conn, proposal)
--- a/internal/fleet/claims/client.go
+++ b/internal/fleet/claims/client.go
@@ -29,7 +29,7 @@
 	Key          Key
 	BodyHash     uint64
 	Remaining    int64 // RequestClaim, RequestStart, ClaimAssigned: ns until the invocation is due
-	Window       int64 // ns that the table keeps the token after its start, and after its end
+	Retention    int64 // ns that the table keeps the token after its start, and after its end
 	Work         []byte
 	InvocationID string
 	Outcome      uint8
@@ -74,10 +74,10 @@
 	Unknown             int `json:"unknown"`      // got an unknown outcome
 	Assigned            int `json:"taken"`        // claims of lost owners reassigned to this node
 	Fenced              int `json:"fenced"`       // starts refused: another owner had the claim
-	UnknownReleased     int `json:"zombies"`      // claims of this incarnation that it no longer tracked, released
+	UntrackedReleased   int `json:"zombies"`      // claims of this incarnation that it no longer tracked, released
 	Sent                int `json:"sent"`         // commands sent, retries included
 	Unreachable         int `json:"out_of_reach"` // times that the group became unreachable
-	Resolved            int `json:"settled"`      // reports on earlier incarnations sent, retries included
+	ResolutionsSent     int `json:"settled"`      // reports on earlier incarnations sent, retries included
 }
 
 // Client claims tokens for a node: it sends commands to the consensus group, retries them until they are answered, and tracks each
@@ -130,7 +130,7 @@
 // committed, in the order in which they were added. It leaves out claims that are being released.
 func (c *Client) NotRunning() (keys []Key) {
 	for _, claim := range c.order {
-		if !claim.removed && (claim.phase < phaseRunning || claim.phase == phaseEnding) {
+		if !claim.removed && (claim.phase < phaseStarted || claim.phase == phaseEnding) {
 			keys = append(keys, claim.key)
 		}
 	}
--- a/internal/fleet/claims/client_claim.go
+++ b/internal/fleet/claims/client_claim.go
@@ -9,7 +9,7 @@
 	phaseOwnedElsewhere              // another node owns the claim; it is claimed again from time to time
 	phaseFinalVerdict                // the claim is not granted; the verdict is reported when RequestStart comes
 	phaseStarting                    // CommandStart is in flight
-	phaseRunning                     // the start is committed
+	phaseStarted                     // the start is committed
 	phaseEnding                      // CommandEnd is in flight
 	phaseReleasing                   // CommandRelease is in flight
 	phaseAbandoned                   // CommandClaim is in flight, and the claim is released if it is granted
@@ -22,7 +22,7 @@
 	startRequested bool // RequestStart came: proceed as soon as the phase allows
 	bodyHash       uint64
 	dueAt          int64
-	window         int64
+	retention      int64
 	work           []byte
 	invocationID   string
 	fence          uint64
@@ -45,7 +45,7 @@
 		key:          input.Key,
 		bodyHash:     input.BodyHash,
 		dueAt:        c.now + input.Remaining,
-		window:       input.Window,
+		retention:    input.Retention,
 		work:         input.Work,
 		invocationID: input.InvocationID,
 	}
--- a/internal/fleet/claims/client_requests.go
+++ b/internal/fleet/claims/client_requests.go
@@ -69,7 +69,7 @@
 
 // reportEnd sends the end of a run to be committed.
 func (c *Client) reportEnd(input *Input, claim *trackedClaim) {
-	if claim == nil || claim.phase != phaseRunning {
+	if claim == nil || claim.phase != phaseStarted {
 		return
 	}
 	claim.phase = phaseEnding
@@ -85,7 +85,7 @@
 		return
 	}
 	switch claim.phase {
-	case phaseGranted, phaseStarting, phaseRunning:
+	case phaseGranted, phaseStarting, phaseStarted:
 		claim.phase = phaseReleasing
 		c.sendCommand(claim, CommandRelease)
 	case phaseReleasing:
--- a/internal/fleet/claims/client_retry.go
+++ b/internal/fleet/claims/client_retry.go
@@ -31,7 +31,7 @@
 		command.Fence = 0
 		command.BodyHash = claim.bodyHash
 		command.Duration = max(0, claim.dueAt-c.now)
-		command.Window = claim.window
+		command.Retention = claim.retention
 		command.Work = claim.work
 		command.InvocationID = claim.invocationID
 	case CommandRelease:
@@ -61,7 +61,7 @@
 	}
 	if c.now >= c.nextResolutionAt {
 		c.nextResolutionAt = c.now + maxRetryBackoff
-		c.Counters.Resolved += len(c.resolutions)
+		c.Counters.ResolutionsSent += len(c.resolutions)
 		c.commands = append(c.commands, c.resolutions...)
 	}
 	return c.nextResolutionAt
--- a/internal/fleet/claims/client_retry_test.go
+++ b/internal/fleet/claims/client_retry_test.go
@@ -10,10 +10,10 @@
 func TestClaimOfAnotherNodeIsCheckedAgainOnNotificationAndByTimer(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t"), Input{Kind: RequestStart, Key: testKey("t")}))
-	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeB, Fence: 3}})
+	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwned, Owner: nodeB, Fence: 3}})
 	recheck := sentCommands(stepAfter(client, ms, Input{Kind: EndNotified, Key: testKey("t")}))
 	require.Len(t, recheck, 1)
-	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: recheck[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeB, Fence: 3}})
+	stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: recheck[0].Seq, Answer: AnswerOwned, Owner: nodeB, Fence: 3}})
 	assert.Len(t, sentCommands(stepAfter(client, recheckInterval+scanInterval)), 1, "the timer covers a lost notification")
 	assert.Equal(t, []ActionKind{UnknownElsewhere}, actionKinds(stepAfter(client, ms, verdictInput(client.lastSeq, AnswerOutcomeUnknown, 0))))
 }
--- a/internal/fleet/claims/client_verdicts.go
+++ b/internal/fleet/claims/client_verdicts.go
@@ -50,13 +50,13 @@
 		claim.phase = phaseGranted
 		claim.fence = verdict.Fence
 		c.proceed(claim)
-	case verdict.Answer == AnswerOwnedElsewhere && verdict.Owner == c.self:
+	case verdict.Answer == AnswerOwned && verdict.Owner == c.self:
 		// This incarnation abandoned the claim while its start was in flight, and the start was committed later. Nothing
 		// ran here under that fence, or the client would still track the claim.
-		c.Counters.UnknownReleased++
+		c.Counters.UntrackedReleased++
 		c.commands = append(c.commands, Command{Kind: CommandRelease, Sender: c.self, Key: claim.key, Fence: verdict.Fence})
 		c.sendCommand(claim, CommandClaim)
-	case verdict.Answer == AnswerOwnedElsewhere:
+	case verdict.Answer == AnswerOwned:
 		if claim.phase != phaseOwnedElsewhere {
 			c.Counters.Joined++
 		}
@@ -72,7 +72,7 @@
 
 func (c *Client) handleStartVerdict(claim *trackedClaim, verdict *Verdict) {
 	if verdict.Answer == AnswerGranted {
-		claim.phase = phaseRunning
+		claim.phase = phaseStarted
 		c.emit(Action{Kind: StartRun, Key: claim.key})
 		return
 	}
--- a/internal/fleet/claims/client_verdicts_test.go
+++ b/internal/fleet/claims/client_verdicts_test.go
@@ -21,7 +21,7 @@
 func TestUntrackedClaimOfThisIncarnationIsReleased(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
-	actions := sentCommands(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwnedElsewhere, Owner: nodeA, Fence: 9}}))
+	actions := sentCommands(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwned, Owner: nodeA, Fence: 9}}))
 	require.Len(t, actions, 2)
 	assert.Equal(t, CommandRelease, actions[0].Kind)
 	assert.Equal(t, uint64(9), actions[0].Fence)
--- a/internal/fleet/claims/command.go
+++ b/internal/fleet/claims/command.go
@@ -37,7 +37,7 @@
 	Fence         uint64      `cbor:"5,keyasint,omitempty"`  // Start, End, Release, Reassign, MarkUnknown: fence known to the sender
 	BodyHash      uint64      `cbor:"6,keyasint,omitempty"`  // Claim
 	Duration      int64       `cbor:"7,keyasint,omitempty"`  // Claim: time left until the invocation is due; AdvanceTime: time that passed
-	Window        int64       `cbor:"8,keyasint,omitempty"`  // Claim: how long the table keeps the token after its start, and after its end
+	Retention     int64       `cbor:"8,keyasint,omitempty"`  // Claim: how long the table keeps the token after its start, and after its end
 	Work          []byte      `cbor:"9,keyasint,omitempty"`  // Claim: the data that a new owner needs to run the invocation
 	InvocationID  string      `cbor:"10,keyasint,omitempty"` // Claim, Resolve: the invocation's ID at the owner's executor
 	Outcome       uint8       `cbor:"11,keyasint,omitempty"` // End, Resolve
@@ -55,7 +55,7 @@
 const (
 	AnswerDone           Answer = iota // applied, now or before; also if a Release, MarkUnknown, Resolve or AdvanceTime had no effect
 	AnswerGranted                      // Claim: the sender owns the claim; Start: it may run; Reassign: NewOwner owns it
-	AnswerOwnedElsewhere               // another owner has the claim; the sender is notified of its end
+	AnswerOwned                        // another owner has the claim; the sender is notified of its end
 	AnswerCompleted                    // the run ended, with Outcome and Result
 	AnswerOutcomeUnknown               // the invocation may have run, and its owner was lost before it reported the outcome
 	AnswerBodyMismatch                 // the token is claimed with another request body
--- a/internal/fleet/claims/entry.go
+++ b/internal/fleet/claims/entry.go
@@ -24,7 +24,7 @@
 	State          State   `cbor:"4,keyasint,omitempty"`
 	BodyHash       uint64  `cbor:"5,keyasint,omitempty"`
 	ExpiresAt      int64   `cbor:"6,keyasint"` // in the table's time: the due time while claimed, later the end of the window
-	Window         int64   `cbor:"7,keyasint"` // how long the claim is kept after its start, and after its end
+	Retention      int64   `cbor:"7,keyasint"` // how long the claim is kept after its start, and after its end
 	Work           []byte  `cbor:"8,keyasint,omitempty"`
 	InvocationID   string  `cbor:"9,keyasint,omitempty"`
 	Outcome        uint8   `cbor:"10,keyasint,omitempty"`
--- a/internal/fleet/claims/expiry.go
+++ b/internal/fleet/claims/expiry.go
@@ -23,7 +23,7 @@
 
 // restartWindow keeps an entry for at least its window from now on.
 func (t *Table) restartWindow(entry *Entry) {
-	entry.ExpiresAt = max(entry.ExpiresAt, t.time+entry.Window+MaxTimeStep)
+	entry.ExpiresAt = max(entry.ExpiresAt, t.time+entry.Retention+MaxTimeStep)
 	t.expiry.Fix(entry)
 }
 
--- a/internal/fleet/claims/fixtures_test.go
+++ b/internal/fleet/claims/fixtures_test.go
@@ -27,7 +27,7 @@
 	})
 	t.Run("verdicts", func(t *testing.T) {
 		var list []Verdict
-		for _, answer := range []Answer{AnswerDone, AnswerGranted, AnswerOwnedElsewhere, AnswerCompleted, AnswerOutcomeUnknown, AnswerBodyMismatch, AnswerStaleFence, AnswerTableFull} {
+		for _, answer := range []Answer{AnswerDone, AnswerGranted, AnswerOwned, AnswerCompleted, AnswerOutcomeUnknown, AnswerBodyMismatch, AnswerStaleFence, AnswerTableFull} {
 			v := fixture.Filled[Verdict](uint32(len(list)))
 			v.Answer = answer
 			list = append(list, v)
@@ -36,7 +36,7 @@
 	})
 	t.Run("counters", func(t *testing.T) {
 		fixture.RoundTrip(t, "counters-v1.cbor", fixture.Filled[Counters](1), cbor.Marshal, decodeMode.Unmarshal)
-		fixture.RoundTrip(t, "desk-counters-v1.cbor", fixture.Filled[ClientCounters](2), cbor.Marshal, decodeMode.Unmarshal)
+		fixture.RoundTrip(t, "client-counters-v1.cbor", fixture.Filled[ClientCounters](2), cbor.Marshal, decodeMode.Unmarshal)
 	})
 	t.Run("snapshot", func(t *testing.T) {
 		s := fixture.Filled[snapshot](1)
--- a/internal/fleet/claims/helpers_test.go
+++ b/internal/fleet/claims/helpers_test.go
@@ -14,7 +14,7 @@
 		Key:          testKey(token),
 		BodyHash:     7,
 		Duration:     5_000 * ms,
-		Window:       60_000 * ms,
+		Retention:    60_000 * ms,
 		Work:         []byte("work"),
 		InvocationID: "c-" + token,
 	}
@@ -62,7 +62,7 @@
 }
 
 func claimRequest(token string) Input {
-	return Input{Kind: RequestClaim, Key: testKey(token), BodyHash: 7, Remaining: 5_000 * ms, Window: 60_000 * ms, Work: []byte("work")}
+	return Input{Kind: RequestClaim, Key: testKey(token), BodyHash: 7, Remaining: 5_000 * ms, Retention: 60_000 * ms, Work: []byte("work")}
 }
 
 // stepAfter steps a client duration ns after its previous step.
--- a/internal/fleet/claims/property_test.go
+++ b/internal/fleet/claims/property_test.go
@@ -41,7 +41,7 @@
 		Key:          testKey(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "token"))),
 		BodyHash:     7,
 		Duration:     rapid.Int64Range(0, 9_000*ms).Draw(t, "duration"),
-		Window:       20_000 * ms,
+		Retention:    20_000 * ms,
 		Work:         []byte("w"),
 		Fence:        rapid.Uint64Range(0, 12).Draw(t, "fence"),
 		NewOwner:     nodeB,
--- a/internal/fleet/claims/table.go
+++ b/internal/fleet/claims/table.go
@@ -114,7 +114,7 @@
 		Owner:        command.Sender,
 		BodyHash:     command.BodyHash,
 		ExpiresAt:    t.time + max(0, command.Duration),
-		Window:       max(0, command.Window),
+		Retention:    max(0, command.Retention),
 		Work:         command.Work,
 		InvocationID: command.InvocationID,
 	}
@@ -134,7 +134,7 @@
 // join answers who owns the claim. A sender that does not own it is notified of its end, as far as maxWaiters allows.
 func (t *Table) join(command *Command, entry *Entry, verdict *Verdict) {
 	t.Counters.Joined++
-	verdict.Answer = AnswerOwnedElsewhere
+	verdict.Answer = AnswerOwned
 	verdict.Owner = entry.Owner
 	verdict.Fence = entry.Fence
 	if entry.Owner != command.Sender && len(entry.Waiters) < maxWaiters && !slices.Contains(entry.Waiters, command.Sender) {
--- a/internal/fleet/claims/table_test.go
+++ b/internal/fleet/claims/table_test.go
@@ -13,7 +13,7 @@
 	assert.Equal(t, AnswerGranted, v.Answer)
 	assert.Equal(t, v, table.Apply(claimCommand(nodeA, "t")), "a retry gets the same verdict")
 	other := table.Apply(claimCommand(nodeB, "t"))
-	assert.Equal(t, AnswerOwnedElsewhere, other.Answer)
+	assert.Equal(t, AnswerOwned, other.Answer)
 	assert.Equal(t, nodeA, other.Owner)
 	mismatch := claimCommand(nodeB, "t")
 	mismatch.BodyHash = 8
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -56,16 +56,16 @@
 	key := func(token string) claims.Key { return claims.Key{Operation: "resize", Tenant: "green", Token: token} }
 	for k, token := range []string{"waits", "runs", "ran", "lost"} {
 		list = append(list, claims.Command{Kind: claims.CommandClaim, Sender: one, Seq: uint64(k + 1), Key: key(token), BodyHash: uint64(1_000 + k), Duration: 60_000 * ms,
-			Window: 90_000 * ms, Work: []byte("work of " + token), InvocationID: fmt.Sprintf("call-%d", k)})
+			Retention: 90_000 * ms, Work: []byte("work of " + token), InvocationID: fmt.Sprintf("call-%d", k)})
 	}
 	list = append(list,
-		claims.Command{Kind: claims.CommandClaim, Sender: other, Seq: 5, Key: key("runs"), BodyHash: 1_001, Duration: 60_000 * ms, Window: 90_000 * ms},
+		claims.Command{Kind: claims.CommandClaim, Sender: other, Seq: 5, Key: key("runs"), BodyHash: 1_001, Duration: 60_000 * ms, Retention: 90_000 * ms},
 		claims.Command{Kind: claims.CommandStart, Sender: one, Seq: 6, Key: key("runs"), Fence: 2},
 		claims.Command{Kind: claims.CommandStart, Sender: one, Seq: 7, Key: key("ran"), Fence: 3},
 		claims.Command{Kind: claims.CommandEnd, Sender: one, Seq: 8, Key: key("ran"), Fence: 3, Outcome: 2, Result: []byte("a result")},
 		claims.Command{Kind: claims.CommandReassign, Key: key("lost"), Fence: 4, NewOwner: other},
 		claims.Command{Kind: claims.CommandAdvanceTime, Duration: 250 * ms, MaxTableBytes: 1 << 20})
-	asks = []quota.Command{{Kind: quota.CommandDefineLimit, Limit: "wide", Units: 40, Version: 3, StartDelay: 500 * ms},
+	asks = []quota.Command{{Kind: quota.CommandDefineLimit, Limit: "wide", Units: 40, Version: 3, EarlierLeasesEndAt: 500 * ms},
 		{Kind: quota.CommandRequestLease, Sender: quota.Owner{Name: "node-1", Incarnation: 11}, Seq: 1, Limit: "wide", WantedUnits: 7, LeaseDuration: 5_000 * ms}}
 	puts = []configsync.Command{{Kind: configsync.CommandPut, Caller: "caller-1", Seq: 1, WallTime: 101,
 		Changes: []configsync.Item{{Part: configsync.Operations, Name: "resize", Value: []byte(`{"quota_rps":1}`)}}}}
--- a/internal/fleet/consensus/simcallers_test.go
+++ b/internal/fleet/consensus/simcallers_test.go
@@ -43,7 +43,7 @@
 			}
 			node.pending[k] = true
 			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7,
-				Remaining: 4_000 * ms, Window: window, Work: []byte{1}, InvocationID: "c"})
+				Remaining: 4_000 * ms, Retention: window, Work: []byte{1}, InvocationID: "c"})
 			s.at(s.now+s.random.Int63n(40*ms), i, func() { s.begin(i, k) })
 		}
 		node.waiting[k] = append(node.waiting[k], a)
@@ -81,7 +81,7 @@
 	delete(node.pending, k)
 	node.starting[k] = true
 	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestStart, Key: k, BodyHash: 7, Remaining: 4_000 * ms,
-		Window: window, Work: []byte{1}, InvocationID: "c"})
+		Retention: window, Work: []byte{1}, InvocationID: "c"})
 	if s.runBeforeStart {
 		s.execute(i, k)
 	}
--- a/internal/fleet/consensus/simlinks_test.go
+++ b/internal/fleet/consensus/simlinks_test.go
@@ -70,7 +70,7 @@
 	}
 	if e := msg.Entry; e != nil {
 		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash,
-			Remaining: msg.Remaining, Window: e.Window, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
+			Remaining: msg.Remaining, Retention: e.Retention, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
 	}
 }
 
--- a/internal/fleet/consensus/storage_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -157,7 +157,7 @@
 	}
 	sim.nodes[follower].disk.freeAt = sim.now + 60_000*ms
 	leader.replicaInputs = append(leader.replicaInputs, Input{ClaimCommands: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
-		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Window: window}}})
+		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Retention: window}}})
 	sim.wakeNow(i)
 	sim.run(sim.now + 400*ms)
 	agreed = leader.replica.table.Find(key(1)) != nil
--- a/internal/fleet/consensus/takeover_test.go
+++ b/internal/fleet/consensus/takeover_test.go
@@ -23,7 +23,7 @@
 	sim := newStableSimulation(t, 5, 3)
 	node := sim.nodes[4]
 	node.pending[key(1)] = true // queued there, and not started
-	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Window: window, Work: []byte{1}})
+	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Retention: window, Work: []byte{1}})
 	sim.wakeNow(4)
 	sim.run(sim.now + 20*ms)
 	sim.kill(4)
@@ -88,7 +88,7 @@
 	for n := range 1_000 {
 		k := key(n)
 		node.pending[k] = true
-		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 30_000 * ms, Window: window, Work: []byte{1}})
+		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 30_000 * ms, Retention: window, Work: []byte{1}})
 	}
 	sim.wakeNow(7)
 	sim.run(sim.now + 200*ms)
--- a/internal/fleet/quota/helpers_test.go
+++ b/internal/fleet/quota/helpers_test.go
@@ -9,7 +9,7 @@
 // tableWithLimit returns a table with one limit that grants leases at once.
 func tableWithLimit(units int64) *LeaseTable {
 	table := NewLeaseTable()
-	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: units, Version: 1, StartDelay: -MaxTimeStep})
+	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: units, Version: 1, EarlierLeasesEndAt: -MaxTimeStep})
 	return table
 }
 
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -30,11 +30,11 @@
 
 // Limit is one limit with its leases, ordered by their owners.
 type Limit struct {
-	Name       string  `cbor:"1,keyasint"`
-	Units      int64   `cbor:"2,keyasint"`
-	Version    uint64  `cbor:"3,keyasint"`
-	StartDelay int64   `cbor:"4,keyasint,omitempty" json:"Wait"`
-	Leases     []Lease `cbor:"5,keyasint,omitempty"`
+	Name               string  `cbor:"1,keyasint"`
+	Units              int64   `cbor:"2,keyasint"`
+	Version            uint64  `cbor:"3,keyasint"`
+	EarlierLeasesEndAt int64   `cbor:"4,keyasint,omitempty" json:"Wait"`
+	Leases             []Lease `cbor:"5,keyasint,omitempty"`
 }
 
 // LeasedUnits returns the sum of the units of all leases.
@@ -72,7 +72,7 @@
 	switch {
 	case command.Units < 0 || command.Units > maxUnits:
 	case limit == nil && len(t.limits) < maxLimits:
-		t.limits[command.Limit] = &Limit{Name: command.Limit, Units: command.Units, Version: command.Version, StartDelay: command.StartDelay}
+		t.limits[command.Limit] = &Limit{Name: command.Limit, Units: command.Units, Version: command.Version, EarlierLeasesEndAt: command.EarlierLeasesEndAt}
 	case limit != nil && command.Version > limit.Version:
 		limit.Units = command.Units
 		limit.Version = command.Version
@@ -99,7 +99,7 @@
 	}
 	lease.ExpiresAt = max(lease.ExpiresAt, time+max(0, command.LeaseDuration)+MaxTimeStep)
 	verdict.FairShare = l.fairShares(time)[i]
-	if free := l.Units - l.LeasedUnits(); time >= l.StartDelay+MaxTimeStep && free > 0 {
+	if free := l.Units - l.LeasedUnits(); time >= l.EarlierLeasesEndAt+MaxTimeStep && free > 0 {
 		lease.Units += min(free, max(0, verdict.FairShare-lease.Units))
 	}
 	verdict.Units = lease.Units
--- a/internal/fleet/quota/lease_table_test.go
+++ b/internal/fleet/quota/lease_table_test.go
@@ -40,7 +40,7 @@
 
 func TestFirstLeasesWaitForLeasesOfAnEarlierTable(t *testing.T) {
 	table := NewLeaseTable()
-	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, StartDelay: testConfig.LeaseTerm})
+	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, EarlierLeasesEndAt: testConfig.LeaseTerm})
 	assert.Zero(t, table.Apply(testConfig.LeaseTerm+MaxTimeStep-1, leaseRequest(nodeA, 1, 0, 10)).Units)
 	assert.Equal(t, int64(10), table.Apply(testConfig.LeaseTerm+MaxTimeStep, leaseRequest(nodeA, 1, 0, 10)).Units)
 }
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -68,7 +68,7 @@
 func newSimulation(seed int64, nodes int, limit int64) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), now: 1, table: NewLeaseTable(), maxDelay: 2 * ms, config: testConfig}
 	sim.config.Units = limit
-	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.LeaseTerm})
+	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, EarlierLeasesEndAt: testConfig.LeaseTerm})
 	sim.partitioned = make([]bool, nodes)
 	for i := range nodes {
 		sim.nodes = append(sim.nodes, &simulatedNode{})
--- a/internal/fleet/takeover/helpers_test.go
+++ b/internal/fleet/takeover/helpers_test.go
@@ -14,7 +14,7 @@
 func claimedTable(owner claims.Owner, started, tokens int) *claims.Table {
 	table := claims.NewTable()
 	for n := range tokens {
-		verdict := table.Apply(&claims.Command{Kind: claims.CommandClaim, Sender: owner, Key: testKey(n), Duration: 5_000 * ms, Window: 60_000 * ms})
+		verdict := table.Apply(&claims.Command{Kind: claims.CommandClaim, Sender: owner, Key: testKey(n), Duration: 5_000 * ms, Retention: 60_000 * ms})
 		if n < started {
 			table.Apply(&claims.Command{Kind: claims.CommandStart, Sender: owner, Key: testKey(n), Fence: verdict.Fence})
 		}
--- a/internal/fleet/takeover/planner.go
+++ b/internal/fleet/takeover/planner.go
@@ -29,9 +29,9 @@
 
 // Counters count a planner's decisions, for operators.
 type Counters struct {
-	Reassigned    int `json:"handed"`  // reassignments proposed
-	MarkedUnknown int `json:"doubted"` // started claims of lost owners, proposed to be marked unknown
-	Waiting       int `json:"-"`       // claims of lost owners for which no member has capacity now
+	Reassigned      int `json:"handed"`  // reassignments proposed
+	MarkedUnknown   int `json:"doubted"` // started claims of lost owners, proposed to be marked unknown
+	WithoutNewOwner int `json:"-"`       // claims of lost owners for which no member has capacity now
 }
 
 // Planner tracks the reassignments in progress, on the leader of a consensus group. Each new leader starts with a new Planner.
@@ -98,7 +98,7 @@
 		s.updateReassignment(key)
 	}
 	p.dropUnseenOwners(table)
-	p.Counters.Waiting = 0
+	p.Counters.WithoutNewOwner = 0
 	s.planLostOwners()
 	return s.commands, s.notifications
 }
@@ -230,7 +230,7 @@
 	}
 	member := ChooseNewOwner(entry, s.view, s.planner.members[owner.Name], s.hasCapacity)
 	if member == nil {
-		s.planner.Counters.Waiting++
+		s.planner.Counters.WithoutNewOwner++
 		return
 	}
 	newOwner := member.Owner
--- a/internal/fleet/takeover/planner_test.go
+++ b/internal/fleet/takeover/planner_test.go
@@ -59,7 +59,7 @@
 	planner := NewPlanner()
 	commands, _ := planner.Step(1, testView(3), table, 0)
 	assert.Len(t, commands, 3*maxUnstartedPerOwner)
-	assert.Equal(t, 1_000-3*maxUnstartedPerOwner, planner.Counters.Waiting)
+	assert.Equal(t, 1_000-3*maxUnstartedPerOwner, planner.Counters.WithoutNewOwner)
 	applyAll(table, commands)
 	commands, notifications := planner.Step(2, testView(3), table, 0)
 	assert.Empty(t, commands)
--- a/internal/node/claims_test.go
+++ b/internal/node/claims_test.go
@@ -125,7 +125,7 @@
 func TestTokenOwnedElsewhereIsAnsweredBeforeItsClientTimeout(t *testing.T) {
 	sm := claimingNode(t)
 	claim := commandsForInvocation(t, sm)
-	receiveFromReplica(t, sm, verdictOn(claim[0], claims.AnswerOwnedElsewhere, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
+	receiveFromReplica(t, sm, verdictOn(claim[0], claims.AnswerOwned, func(v *claims.Verdict) { v.Owner = claims.Owner{Name: "n5", Incarnation: 1} }))
 	answeredAfter := int64(0)
 	for from := sm.now; sm.now < from+3_000*ms && answeredAfter == 0; {
 		effects := append(step(sm), receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageVerdicts, ClaimVerdicts: []claims.Verdict{{}}})...)
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -171,7 +171,7 @@
 		sm.addClaimInput(claims.Input{Kind: claims.EndNotified, Key: key})
 	}
 	if e := m.Entry; e != nil {
-		sm.addClaimInput(claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: m.Remaining, Window: e.Window, Work: e.Work,
+		sm.addClaimInput(claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: m.Remaining, Retention: e.Retention, Work: e.Work,
 			InvocationID: e.InvocationID, Fence: e.Fence})
 	}
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -109,7 +109,7 @@
 	}
 	hs.tokens[key] = &hollowToken{requestedAt: sm.now, deadline: sm.now + hollowClaimTimeout}
 	hash := xxhash.Sum64(token)
-	request := claims.Input{Kind: claims.RequestClaim, Key: key, BodyHash: hash, Remaining: hollowClaimTimeout, Window: hollowTokenLifetime,
+	request := claims.Input{Kind: claims.RequestClaim, Key: key, BodyHash: hash, Remaining: hollowClaimTimeout, Retention: hollowTokenLifetime,
 		InvocationID: fmt.Sprintf("%016x", hash), Work: binary.LittleEndian.AppendUint64(make([]byte, hollowWorkBytes-8), hash)}
 	sm.addClaimInput(request)
 	request.Kind = claims.RequestStart
@@ -150,7 +150,7 @@
 		hs.counters.TokensTakenOver.Add(1)
 		if t == nil {
 			hs.tokens[a.Key] = &hollowToken{requestedAt: sm.now, deadline: sm.now + a.Duration}
-			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Window: hollowTokenLifetime,
+			sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: a.Key, BodyHash: a.BodyHash, Remaining: a.Duration, Retention: hollowTokenLifetime,
 				Work: a.Work})
 		}
 	default: // the token has ended elsewhere, or the consensus group rejected its claim
--- a/internal/node/leases.go
+++ b/internal/node/leases.go
@@ -30,7 +30,7 @@
 		sm.leases = leaseState{holder: quota.NewLeaseHolder(config, quota.Owner(sm.group.owner())), config: config, announcedUnits: -1}
 	}
 	sm.group.setLimits([]quota.Command{{Kind: quota.CommandDefineLimit, Limit: config.Name, Units: config.Units, Version: version,
-		StartDelay: config.LeaseTerm}})
+		EarlierLeasesEndAt: config.LeaseTerm}})
 }
 
 // enabled reports whether calls are bounded by leases.
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -137,7 +137,7 @@
 func (sm *StateMachine) recordRunStart(a *resultcache.Action) {
 	remaining := a.Until - sm.now
 	if sm.group.enabled() {
-		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Window: remaining})
+		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Retention: remaining})
 		return
 	}
 	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: remaining}})
