--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -126,7 +126,7 @@
 		return
 	}
 	sm.addClaimInput(claims.Input{Kind: claims.RequestClaim, Key: sm.claimKey(v.tokenKey), BodyHash: v.bodyHash, Remaining: v.deadline - sm.now,
-		InvocationID: v.invocationID, Work: text, Retention: v.terms.tokenLifetime})
+		InvocationID: v.invocationID, Work: text, Retention: v.tokenLimits.tokenLifetime})
 }
 
 // stepClaims steps the claims client and the replica in turn until neither has an input or is due, at most maxRoundsPerStep times.
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -2,15 +2,16 @@
 
 import "strconv"
 
-// maxUnacknowledgedCommands bounds the command log: two commands for each invocation that the connections can hold.
+// maxUnacknowledgedCommands bounds the command log: two commands, EXEC and RETURN, for each invocation that 1,024 connections with
+// maxOpenStreams each can hold.
 const maxUnacknowledgedCommands = 65_536
 
-// command is a command that the executor may not have read.
+// command is an encoded EXEC or RETURN that the executor may not have read.
 type command struct {
-	sequence     int
-	invocation   int32
-	invocationID string
-	bytes        []byte
+	sequence        int
+	invocationIndex int32
+	invocationID    string
+	bytes           []byte
 }
 
 // commandLog holds the commands that the executor has not acknowledged, in the order in which they were sent. They are sent again on a new
@@ -18,7 +19,7 @@
 type commandLog struct {
 	unacknowledged        []command
 	sequence              int // of the last command
-	gaugesRequestSequence int // of the last command before the last request for gauges on this link
+	gaugesRequestSequence int // of the last command when gauges were last requested on this link
 }
 
 // add appends a command under the next sequence number.
@@ -69,14 +70,16 @@
 	}
 }
 
-// isNeeded reports whether the invocation of a command still needs it.
+// isNeeded reports whether the invocation of a command still needs it. The run of an abandoned invocation goes on for the duplicates that
+// wait for its result.
 func (x *executorState) isNeeded(c *command) bool {
-	v := &x.sm.invocations[c.invocation]
+	v := &x.sm.invocations[c.invocationIndex]
 	return v.live && (!v.answered || v.abandoned) && v.invocationID == c.invocationID
 }
 
 // unacknowledgedCommands returns the number of commands that are not acknowledged.
 func (x *executorState) unacknowledgedCommands() int { return len(x.commands.unacknowledged) }
 
-// syncTag returns the tag of the request for gauges that follows the executor's welcome on the current link. Its answer syncs the link.
+// syncTag returns the tag of the request for gauges that follows the executor's welcome on the current link. The answer shows that all
+// notices that were missed are received; only then the link is synced and carries commands.
 func (x *executorState) syncTag() string { return "j" + strconv.Itoa(x.link) }
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -7,6 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Guards against commands that are lost with a broken link, sent again although the invocation has ended, or kept after the executor has
+// acknowledged them.
 func TestCommandsAreResentAfterTheNoticesOfANewLink(t *testing.T) {
 	sm := newServingNode(t)
 	const other = "00000000000000aa"
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -10,7 +10,7 @@
 const (
 	maxSearchesPerStep  = 8           // searches for changes in one step; each scans up to 128 kB of content, which together takes about 1 ms
 	viewCheckInterval   = 100 * ms    // ns between checks whether the view of the fleet has changed
-	viewRefreshInterval = 10_000 * ms // ns after which the replicator gets the view even if no change was seen
+	viewRefreshInterval = 10_000 * ms // ns after which the replicator gets the view even if neither members nor neighbours changed
 )
 
 // VersionInForce describes a configuration version that came into force at this node.
@@ -37,8 +37,8 @@
 	Counters configsync.Counters `json:"counters"`
 }
 
-// pendingConfig is a replicated version that is being brought into force. A first pass validates all of its changes, a second one
-// applies them.
+// pendingConfig is a version from the replicator that is being checked or brought into force; versions from the host go through
+// versionState. A first pass over the changes validates them, a second one applies them.
 type pendingConfig struct {
 	revision        configsync.Revision
 	canary          bool
@@ -63,8 +63,8 @@
 	viewRefreshAt  int64
 	startupEffects []Effect // effects emitted before the first step, which returns them
 	pending        *pendingConfig
-	agreed         *configsync.Agreed // state of this node's replica of the consensus group, nil without one
-	replicaCurrent bool               // last value that was reported to the replicator
+	agreed         *configsync.Agreed // what this node's replica knows to be agreed: revisions in Head, contents beside it; nil without a replica
+	replicaCurrent bool               // whether this node's replica is in contact with the group and up to date, as last reported to the replicator
 	proposals      []*configProposal  // in order of arrival
 	verdicts       []configsync.Verdict
 }
@@ -82,7 +82,7 @@
 			return err
 		}
 		if initial.ContentRevision.Version > 0 {
-			sm.versionApplied(&v)
+			sm.recordActiveVersion(&v)
 		}
 	}
 	cs := &sm.configSync
@@ -100,7 +100,7 @@
 	if err := sm.forEachChangeBatch(file, initial.Content, validation.Add); err != nil {
 		return err
 	}
-	if initial.Content == file {
+	if initial.Content == file { // nothing changes
 		return nil
 	}
 	return validation.Err()
@@ -171,7 +171,8 @@
 	sm.configSync.pending = pending
 }
 
-// applyPendingConfig validates or applies a bounded part of the pending version. It runs before the admission controller decides.
+// applyPendingConfig validates or applies a bounded part of the pending version. It runs before the admission controller decides. A
+// pass ends when the diff has no further items.
 func (sm *StateMachine) applyPendingConfig() {
 	cs := &sm.configSync
 	for budget := maxChangesPerStep; cs.pending != nil && budget > 0; {
@@ -180,11 +181,11 @@
 		budget -= max(len(items), maxChangesPerStep/maxSearchesPerStep) // scattered changes come in small batches, each of which costs a search
 		changes, err := sm.parseChanges(items)
 		switch {
-		case p.validation == nil:
+		case p.validation == nil: // second pass
 			sm.applyPendingChanges(p, changes, err)
-		case err == nil && len(items) > 0:
+		case err == nil && len(items) > 0: // first pass
 			p.validation.Add(changes)
-		case err == nil:
+		case err == nil: // end of the first pass
 			if err = p.validation.Err(); err == nil && !p.checkOnly {
 				p.startApplying()
 				continue
@@ -202,7 +203,8 @@
 	p.diff = configsync.Diff(p.old, p.new)
 }
 
-// applyPendingChanges applies one batch of changes in the second pass.
+// applyPendingChanges applies one batch of changes in the second pass. An error violates an invariant, as the first pass found none; the
+// caller then reports the version as refused.
 func (sm *StateMachine) applyPendingChanges(p *pendingConfig, changes []nodeconfig.Change, err error) {
 	if !sm.Invariants.Check(err == nil, "a version that was validated can be applied") {
 		return
@@ -210,8 +212,8 @@
 	sm.applyChanges(&p.versionProgress, changes)
 }
 
-// finishPendingConfig reports to the replicator that the pending version is checked or in force, or with an error that this node can't
-// apply it.
+// finishPendingConfig reports to the replicator that the pending version is checked or in force. With an error it reports that this node
+// can't apply the version.
 func (sm *StateMachine) finishPendingConfig(p *pendingConfig, err error) {
 	cs := &sm.configSync
 	cs.pending = nil
@@ -223,7 +225,7 @@
 		sm.Counters.VersionsRefused++
 		next.Why = err.Error()
 	} else if !p.checkOnly {
-		sm.versionApplied(&p.versionProgress)
+		sm.recordActiveVersion(&p.versionProgress)
 		counts := &p.versionProgress.counts
 		sm.emit(Effect{Kind: ReportVersionInForce, InForce: &VersionInForce{ContentRevision: p.revision, PreviousVersion: cs.replicator.Revision().Version, Source: "fleet",
 			Canary: p.canary, Added: counts.added, Changed: counts.changed, Removed: counts.removed, TookNS: sm.now - p.startedAt}})
@@ -266,7 +268,8 @@
 	}
 }
 
-// observeFleet reports the members that this node can reach to the replicator, if they changed or viewRefreshInterval has passed.
+// observeFleet reports neighbours, members of the zone and other replicas to the replicator, if the members or the neighbours changed or
+// viewRefreshInterval has passed. A change of the replicas alone is reported with the next refresh.
 func (sm *StateMachine) observeFleet() {
 	cs := &sm.configSync
 	if sm.now < cs.viewCheckAt {
@@ -303,7 +306,7 @@
 		persisting := *e
 		sm.emit(Effect{Kind: PersistVersion, ConfigWrite: &persisting})
 	case configsync.ProposeCommand:
-		sm.group.proposeConfig(e.Command)
+		sm.group.proposeConfig(e.Command) // only a replica's own replicator proposes commands, so it needs no other replica
 	case configsync.WriteLog:
 		sm.logComponent(e.Warn, e.Text)
 	}
--- a/internal/node/configsync_messages.go
+++ b/internal/node/configsync_messages.go
@@ -62,7 +62,7 @@
 	case in.Kind == PeerDatagramReceived && m != nil && m.Kind >= configsync.MessageAnnounce && m.Kind <= configsync.MessageConfirm:
 		cs.inputs = append(cs.inputs, configsync.Input{Kind: configsync.DatagramReceived, From: received.From, Message: m})
 	default:
-		sm.rejectPeerMessage(in, fmt.Errorf("%w: configuration message of a kind that is not expected here", envelope.ErrChecksum))
+		sm.rejectPeerMessage(in, fmt.Errorf("%w: configuration message is neither a query, a fetch request nor a datagram of a replicator", envelope.ErrChecksum))
 	}
 }
 
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -23,7 +23,8 @@
 	retryAt   int64
 }
 
-// applyOperatorQuery answers an operator's query at once, except that a proposal waits for its verdict.
+// applyOperatorQuery answers an operator's query at once, except that a proposal waits for its verdict. In texts for operators the
+// consensus group is the council and a replica is a seat, as in the settings.
 func (sm *StateMachine) applyOperatorQuery(link int, q *configsync.Query) {
 	var answer *configsync.Answer
 	switch {
@@ -93,15 +94,16 @@
 	}
 	nodes := cs.replicator.Statuses.Statuses()
 	for k := range nodes {
-		nodes[k].At = sm.now - nodes[k].At
+		nodes[k].At = sm.now - nodes[k].At // as an age: the operator has another clock; nodes is a copy
 	}
 	answer.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.group.rollbackVersions(), Nodes: nodes,
 		Alive: sm.Members().InView()}
 	return answer
 }
 
-// validateConfigCommand returns the reason why a change must not be proposed, empty if it may. It makes the checks that are the same for
-// every node. A node that can't apply a valid change refuses it in the canary stage.
+// validateConfigCommand returns the reason why this node's replica must not propose a change, empty if it may. It makes the checks that are
+// the same for every node; a node that can't apply a valid change refuses it in the canary stage. Whether operations remain is checked only
+// for a whole change that is based on the newest version, since otherwise the resulting content is not known here.
 func (sm *StateMachine) validateConfigCommand(command *configsync.Command) string {
 	if _, err := nodeconfig.Parse(nodeconfigItems(command.Changes)); err != nil {
 		return err.Error()
@@ -184,7 +186,7 @@
 			sm.answerProposal(p, &configsync.Answer{Why: "no verdict of the council in time"})
 		case sm.now >= p.retryAt:
 			p.retryAt = sm.now + proposalRetryInterval
-			sm.proposeToGroup(nil, nil, p.command)
+			sm.proposeToGroup(nil, nil, p.command) // no claims or leases; through another replica if this node has none
 		}
 	}
 }
--- a/internal/node/configsync_operator_test.go
+++ b/internal/node/configsync_operator_test.go
@@ -56,6 +56,8 @@
 	return a.Verdict, append(all, step(sm)...)
 }
 
+// Guards against an invalid change that gets into the consensus group's log. Each case has a sender of its own, since a repeated sequence
+// number of a sender gets the earlier verdict.
 func TestPutIsValidatedBeforeItIsProposed(t *testing.T) {
 	sm, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
@@ -67,7 +69,7 @@
 		{operation("new", `,"effect":"whenever"`), "operations.new"},
 		{nodeconfig.Item{Part: nodeconfig.Limits, Name: "family_info.n_cores", Value: []byte("4")}, "takes a new start"},
 		{nodeconfig.Item{Part: "levels", Name: "x", Value: []byte("4")}, "no such part"},
-		{tenant("x", 3), "no operation would be left"},
+		{tenant("x", 3), "no operation would be left"}, // nothing is agreed on yet
 	} {
 		v, _ := proposePut(t, sm, c.item.Part+c.item.Name, 0, c.item)
 		assert.False(t, v.Done)
@@ -75,6 +77,7 @@
 	}
 }
 
+// Guards against a version that a node can't apply coming into force in part, or its rollout going on to other nodes.
 func TestNodeReportsAVersionItCannotApply(t *testing.T) {
 	sm, err := configuredNode(t, Addresses{"executor:1", "", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
@@ -89,7 +92,7 @@
 	assert.Equal(t, before, sm.config.Clone())
 	s := sm.ConfigSyncStatus()
 	assert.Equal(t, []uint64{1, 2}, []uint64{s.Version, s.Refused})
-	assert.Contains(t, s.Why, "operations.new: class_calls: it makes calls, and this node's own file names no catalogue")
+	assert.Contains(t, s.Why, "operations.new: class_calls: the operation makes calls, but this node's own file names no catalogue")
 	for range 10 {
 		step(sm)
 	}
--- a/internal/node/configsync_test.go
+++ b/internal/node/configsync_test.go
@@ -50,6 +50,7 @@
 	return effects
 }
 
+// initialStateFromFile returns the initial state of a node without a version on disk. Journal is -1 as all must be written anew.
 func initialStateFromFile(file *configsync.Content) configsync.InitialState {
 	return configsync.InitialState{ContentRevision: configsync.Revision{Digest: file.Digest()}, Content: file, Source: "file", Journal: -1}
 }
@@ -73,6 +74,8 @@
 	return items
 }
 
+// Guards against a replicated version that disturbs invocations in flight or is not reported or persisted. It also checks that a change on an
+// old base is refused as stale, and that a repeated command gets its first verdict.
 func TestVersionComesIntoForceWithWorkInFlight(t *testing.T) {
 	sm, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
@@ -101,9 +104,10 @@
 	assert.True(t, v.Stale)
 	assert.ElementsMatch(t, []configsync.Item{{Part: nodeconfig.Operations, Name: "hold"}, {Part: nodeconfig.Operations, Name: "new"}}, v.Differing)
 	again, _ := proposePut(t, sm, "b", 7, operation("other", ""))
-	assert.Equal(t, uint64(2), again.Version, "the same request has the same verdict")
+	assert.Equal(t, uint64(2), again.Version, "a command with the same sender and sequence number has the same verdict")
 }
 
+// Guards against a step that applies an unbounded number of changes of a replicated version. Each of the two passes needs ten steps.
 func TestLargeReplicatedVersionIsAppliedInBoundedSteps(t *testing.T) {
 	sm, err := configuredNode(t, Addresses{"executor:1", "catalogue:1", "control:1"}, initialStateFromFile)
 	require.NoError(t, err)
@@ -135,10 +139,10 @@
 // check a version that is in that stage.
 func TestCheckedVersionChangesNothing(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		item    nodeconfig.Item
-		refused int
-		applied bool // it comes into force for all nodes during the check
+		name         string
+		item         nodeconfig.Item
+		wantRefusals int
+		applied      bool // it comes into force for all nodes during the check
 	}{
 		{"valid", tenant("x", 3), 0, false},
 		{"this node can't apply it", operation("new", `,"class_calls":true`), 1, false},
@@ -168,7 +172,8 @@
 			all = append(all, step(sm)...)
 			require.Less(t, steps, 20, c.name)
 		}
-		assert.Equal(t, c.refused, sm.Counters.VersionsRefused, c.name)
+		assert.Equal(t, c.wantRefusals, sm.Counters.VersionsRefused, c.name)
+		// One report if the version was applied, else none.
 		assert.Len(t, effectsOfKind(all, ReportVersionInForce), map[bool]int{true: 1}[c.applied], c.name)
 		if !c.applied {
 			assert.Equal(t, before, sm.config.Clone(), c.name)
@@ -177,6 +182,7 @@
 	}
 }
 
+// Guards against a node that starts from its file although its disk has a version, or that applies part of one that it can't apply.
 func TestNodeStartsFromValidVersionOnDisk(t *testing.T) {
 	onDisk := func(items ...nodeconfig.Item) func(file *configsync.Content) configsync.InitialState {
 		return func(file *configsync.Content) configsync.InitialState {
@@ -207,7 +213,7 @@
 // Guards against a step that searches an unbounded part of a large content: a version with few changes, far apart, is applied completely in
 // steps that each find a bounded number of them.
 func TestScatteredChangesAreAppliedInBoundedSteps(t *testing.T) {
-	const tenants, changed, maxPerStep = 40_000, 600, 128 // maxPerStep: each change is in another block of 13 kB
+	const tenants, changed, maxPerStep = 40_000, 600, 128 // changes lie in blocks of 13 kB, and a step makes 8 searches of 128 kB
 	note := strings.Repeat("n", 280)
 	var own, next *configsync.Content
 	sm, err := configuredNode(t, Addresses{}, func(file *configsync.Content) configsync.InitialState {
@@ -243,6 +249,7 @@
 	for _, k := range []int{0, 60, 61, 60 * (changed - 1)} {
 		i, known := sm.config.Tenants.Find(fmt.Sprint("tenant-", k))
 		require.True(t, known)
+		// The quota is 2 for every 60th tenant, which changed, and 1 for others.
 		assert.Equal(t, float64(1+(60-k%60)/60), sm.config.Node.TenantRates[i], k)
 	}
 }
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	degradationSeedSalt = 0x6c6576656c73 // makes the random numbers of degradation independent of others from the node's seed
+	degradationSeedSalt = 0x6c6576656c73 // "levels" in ASCII; makes the random numbers of degradation independent of others from the node's seed
 	nsPerSecond         = 1_000 * ms
 )
 
@@ -51,7 +51,7 @@
 	ToName         string
 	Metrics        admission.LoadMetrics
 	LevelLoads     []float64     // estimated load at each level, full service first
-	PreviousCounts ServiceCounts // answers since the previous change
+	PreviousCounts ServiceCounts // answers since the previous change; Seconds is 0 if the plan was replaced
 }
 
 // String returns a summary in one line.
@@ -127,7 +127,7 @@
 		return
 	}
 	event := &LevelChange{FromName: ds.levelName(), PreviousCounts: ds.currentCounts}
-	controller, change := ds.replaceController(plan, sm.now)
+	controller, change := ds.controllerForPlan(plan, sm.now)
 	event.Change = change
 	if ds.plan != nil {
 		ds.closePeriod(sm.now, ds.level())
@@ -152,8 +152,9 @@
 	sm.applyLevel(event)
 }
 
-// replaceController returns the controller for a new plan, nil for none, and the change of level that replacing the plan causes.
-func (ds *degradationState) replaceController(plan *DegradationPlan, now int64) (*degradation.Controller, degradation.Change) {
+// controllerForPlan returns the controller for a plan, nil without a plan, and the change of level that adopting the plan causes. The
+// caller stores them.
+func (ds *degradationState) controllerForPlan(plan *DegradationPlan, now int64) (*degradation.Controller, degradation.Change) {
 	change := degradation.Change{Cause: degradation.PlanReplaced}
 	if plan == nil {
 		change.From = ds.level()
@@ -236,7 +237,7 @@
 	return name, ds.levelName()
 }
 
-// countAnswer counts an answer at the level in force.
+// countAnswer counts a success or a throttle at the level in force. Answers with an error are not counted.
 func (ds *degradationState) countAnswer(succeeded, reduced bool, reason admission.Reason) {
 	switch {
 	case ds.plan == nil:
--- a/internal/node/degradation_plan.go
+++ b/internal/node/degradation_plan.go
@@ -26,8 +26,8 @@
 	return &remapped
 }
 
-// remapOperation sets the entries at an index to those that the original plan has for the operation with a name. They are cleared if it
-// has none.
+// remapOperation copies the entries that the original plan has for the operation called name to an index. If it has none, it clears those
+// at the index.
 func (p *DegradationPlan) remapOperation(index int32, name string, original *DegradationPlan, originalNames *nodeconfig.Names) {
 	i, known := originalNames.Lookup(name)
 	for k := range p.Levels {
@@ -46,14 +46,15 @@
 	}
 }
 
-// remapOperation sets the entries at an index of the plan in force to those of the operation with a name. An empty name clears them.
+// remapOperation does the same for the plan in force, if there is one. An empty name clears the entries.
 func (ds *degradationState) remapOperation(index int32, name string) {
 	if ds.plan != nil {
 		ds.plan.remapOperation(index, name, ds.originalPlan, ds.originalNames)
 	}
 }
 
-// servicesOf returns a slice with the service that the level in force gives an operation, nil for full service.
+// servicesOf returns a slice with the service that the level in force gives an operation. It returns nil for full service without a plan,
+// at level 0, or if the plan has no entry for the operation.
 func (ds *degradationState) servicesOf(index int32) []admission.Service {
 	if ds.plan == nil {
 		return nil
--- a/internal/node/degradation_plan_test.go
+++ b/internal/node/degradation_plan_test.go
@@ -11,7 +11,7 @@
 )
 
 // testPlan returns a plan that reduces the operation catalogue at its first level and sheds it at its second. A level is entered
-// when the load exceeds enter.
+// when the load exceeds enter: always if that is -1, as loads are not negative, and never if it is 1e9.
 func testPlan(enter float64) *DegradationPlan {
 	p := &DegradationPlan{Forms: [][]string{{"catalogue-plain", ""}, {"", ""}}}
 	p.Name, p.MinHold, p.MaxHold, p.IdleCondition = "test", 10_000*ms, 60_000*ms, degradation.Condition{Limits: degradation.NoLimits()}
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -10,7 +10,8 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// nodeAtLevel returns a node at a level of the test plan.
+// nodeAtLevel returns a node at a level of the test plan. The first plan has no reachable level; the second has only the levels up to the
+// wanted one, and enters the last at once.
 func nodeAtLevel(t *testing.T, level int) *StateMachine {
 	sm := newServingNode(t)
 	step(sm, Input{Kind: PlanChanged, Plan: testPlan(1e9)})
@@ -110,7 +111,7 @@
 			}
 		}
 	}
-	assert.InDelta(t, 5, samples, 1)
+	assert.InDelta(t, 5, samples, 1) // 100 ticks of 50 ms are 5 s
 }
 
 func BenchmarkState(b *testing.B) {
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -38,12 +38,12 @@
 	levelName        string         // of the reduced form that runs, empty for the full operation
 	operationIndex   int32
 	tenant           int32 // -1 without one
-	terms            *terms
+	tokenLimits      *tokenLimits
 }
 
 // addInvocation stores an invocation and returns its index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
-	sm.versions.acquireReferences(&v, sm.currentTerms(v.operationIndex))
+	sm.versions.acquireReferences(&v, sm.currentTokenLimits(v.operationIndex))
 	index := sm.allocateIndex()
 	sm.invocations[index] = v
 	sm.indexByID[v.invocationID] = index
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -263,7 +263,7 @@
 		sm.joinOriginal(a.Invocation)
 	case admission.RecordKey:
 		v := &sm.invocations[a.Invocation]
-		v.tokenExpiresAt = sm.now + a.Duration + v.terms.lateAllowance
+		v.tokenExpiresAt = sm.now + a.Duration + v.tokenLimits.lateAllowance
 	case admission.Release:
 		sm.releaseInvocation(a.Invocation)
 	default:
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -184,7 +184,7 @@
 	e.Invocation = j
 	e.Age = sm.now - v.arrivedAt + e.Age
 	e.Original = admission.NoOriginal
-	if v.terms != sm.currentTerms(v.operationIndex) {
+	if v.tokenLimits != sm.currentTokenLimits(v.operationIndex) {
 		e.Deadline = v.deadline // the operation's client timeout may have changed since the arrival
 	}
 	if p := sm.results.pending[v.tokenKey]; p != nil {
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -16,7 +16,7 @@
 	v.submittedToCache = true
 	until := v.tokenExpiresAt
 	if until == 0 {
-		until = sm.now + v.terms.tokenLifetime
+		until = sm.now + v.tokenLimits.tokenLifetime
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.tokenKey, BodyHash: v.bodyHash, Remaining: until - sm.now})
 }
--- a/internal/node/retirement.go
+++ b/internal/node/retirement.go
@@ -9,15 +9,15 @@
 
 const (
 	maxReleasesPerStep    = 16           // retired indices that one step examines for release
-	tenantCountsRetention = 120_000 * ms // ns without invocations after which the admission controller has no counts of a tenant left
+	tenantCountsRetention = 120_000 * ms // ns after which the admission controller has forgotten a tenant: its counts decay within 2.5 s to 1/e
 )
 
-// terms are the time limits of an operation under which invocations were accepted. An invocation keeps its terms when a version changes
+// tokenLimits say for how long the idempotency tokens of an operation are remembered. An invocation keeps its limits when a version changes
 // the operation.
-type terms struct {
+type tokenLimits struct {
 	tokenLifetime int64 // ns that a token is remembered after the arrival of its first invocation
 	lateAllowance int64 // part of tokenLifetime after the end of the deduplication window, in ns
-	inFlight      int   // invocations in flight under these terms
+	inFlight      int   // invocations in flight under these limits
 }
 
 // indexKey identifies an operation or a tenant by its index.
@@ -26,43 +26,47 @@
 	index int32
 }
 
-// retiredIndex is an index out of service that waits to be released for reuse.
+// retiredIndex is an index that waits to be released. The index of an operation or a tenant goes through these states:
+//   - in service: it accepts invocations.
+//   - retired: a version removed it. New invocations are refused, duplicates of known ones are not, and the index stays reserved. If a version
+//     adds the name again, the index is reinstated and in service as before.
+//   - released: nothing refers to it any more, and another operation or tenant may get the index.
 type retiredIndex struct {
 	indexKey
-	retiredAt int64 // differs from versionState.retiredAt if the index was reinstated since
+	retiredAt int64 // versionState.retiredAt has another time or none if the index was reinstated since
 	checkAt   int64
-	idle      bool // had no references at the last check
+	idle      bool // had no references when it was retired or last checked
 }
 
-// termsOf returns an operation's terms. A token is remembered for the client timeout beyond its deduplication window: a retry that
+// tokenLimitsOf returns an operation's token limits. A token is remembered for the client timeout beyond its deduplication window: a retry that
 // arrived within the window may still be unread when the window ends, and would run again if its token were forgotten before its caller
-// gives up. Timestamps have whole milliseconds, which adds one.
-func termsOf(op *admission.Operation) *terms {
+// gives up. One millisecond is added since timestamps are rounded to whole ones.
+func tokenLimitsOf(op *admission.Operation) *tokenLimits {
 	late := op.ClientTimeout + ms
-	return &terms{tokenLifetime: op.DeduplicationWindow + late, lateAllowance: late}
+	return &tokenLimits{tokenLifetime: op.DeduplicationWindow + late, lateAllowance: late}
 }
 
-// currentTerms returns the terms under which an operation's next invocation is accepted.
-func (sm *StateMachine) currentTerms(op int32) *terms {
+// currentTokenLimits returns the token limits under which an operation's next invocation is accepted.
+func (sm *StateMachine) currentTokenLimits(op int32) *tokenLimits {
 	vs := &sm.versions
-	vs.termsByOperation = append(vs.termsByOperation, make([][]*terms, max(0, int(op)+1-len(vs.termsByOperation)))...)
-	if list := vs.termsByOperation[op]; len(list) > 0 {
+	vs.tokenLimitsByOperation = append(vs.tokenLimitsByOperation, make([][]*tokenLimits, max(0, int(op)+1-len(vs.tokenLimitsByOperation)))...)
+	if list := vs.tokenLimitsByOperation[op]; len(list) > 0 {
 		return list[len(list)-1]
 	}
-	t := termsOf(&sm.config.Node.Operations[op])
-	vs.termsByOperation[op] = append(vs.termsByOperation[op], t)
+	t := tokenLimitsOf(&sm.config.Node.Operations[op])
+	vs.tokenLimitsByOperation[op] = append(vs.tokenLimitsByOperation[op], t)
 	return t
 }
 
-// replaceTerms makes the terms of a changed operation the current ones. Older terms stay while invocations refer to them.
-func (vs *versionState) replaceTerms(index int32, op *admission.Operation) {
-	t := termsOf(op)
+// replaceTokenLimits makes the limits of a changed operation the current ones. Older limits stay while invocations refer to them.
+func (vs *versionState) replaceTokenLimits(index int32, op *admission.Operation) {
+	t := tokenLimitsOf(op)
 	vs.maxLifetime = max(vs.maxLifetime, t.tokenLifetime)
-	if int(index) >= len(vs.termsByOperation) || len(vs.termsByOperation[index]) == 0 {
+	if int(index) >= len(vs.tokenLimitsByOperation) || len(vs.tokenLimitsByOperation[index]) == 0 {
 		return // currentTerms creates them with the first invocation
 	}
-	referenced := slices.DeleteFunc(vs.termsByOperation[index], func(t *terms) bool { return t.inFlight == 0 })
-	vs.termsByOperation[index] = append(referenced, t)
+	referenced := slices.DeleteFunc(vs.tokenLimitsByOperation[index], func(t *tokenLimits) bool { return t.inFlight == 0 })
+	vs.tokenLimitsByOperation[index] = append(referenced, t)
 }
 
 // initMaxLifetime sets maxLifetime to the longest token lifetime in the configuration. It must be called before each change, and acts
@@ -73,14 +77,14 @@
 		return
 	}
 	for i := range sm.config.Node.Operations {
-		vs.maxLifetime = max(vs.maxLifetime, termsOf(&sm.config.Node.Operations[i]).tokenLifetime)
+		vs.maxLifetime = max(vs.maxLifetime, tokenLimitsOf(&sm.config.Node.Operations[i]).tokenLifetime)
 	}
 }
 
-// maxTokenLifetime returns the longest token lifetime of an operation, among its current terms and those of invocations in flight.
+// maxTokenLifetime returns the longest token lifetime of an operation, among its current limits and those of invocations in flight.
 func (sm *StateMachine) maxTokenLifetime(op int32) int64 {
-	lifetime := sm.currentTerms(op).tokenLifetime
-	for _, t := range sm.versions.termsByOperation[op] {
+	lifetime := sm.currentTokenLimits(op).tokenLifetime
+	for _, t := range sm.versions.tokenLimitsByOperation[op] {
 		if t.inFlight > 0 {
 			lifetime = max(lifetime, t.tokenLifetime)
 		}
@@ -88,12 +92,12 @@
 	return lifetime
 }
 
-// acquireReferences counts an invocation's references to its terms and its tenant. A resubmitted invocation keeps its terms.
-func (vs *versionState) acquireReferences(v *invocation, current *terms) {
-	if v.terms == nil {
-		v.terms = current
+// acquireReferences counts an invocation's references to its token limits and its tenant. A resubmitted invocation keeps its limits.
+func (vs *versionState) acquireReferences(v *invocation, current *tokenLimits) {
+	if v.tokenLimits == nil {
+		v.tokenLimits = current
 	}
-	v.terms.inFlight++
+	v.tokenLimits.inFlight++
 	if v.tenant < 0 {
 		return
 	}
@@ -105,7 +109,7 @@
 
 // releaseReferences undoes acquireReferences.
 func (vs *versionState) releaseReferences(v *invocation) {
-	v.terms.inFlight--
+	v.tokenLimits.inFlight--
 	if v.tenant < 0 {
 		return
 	}
@@ -115,7 +119,7 @@
 	}
 }
 
-// isRetired reports whether an invocation is to be refused because its operation or tenant is out of service. A duplicate of a known
+// isRetired reports whether an invocation is to be refused because its operation or tenant is retired. A duplicate of a known
 // invocation is not refused.
 func (sm *StateMachine) isRetired(e *admission.Event) bool {
 	if e.Original != admission.NoOriginal {
@@ -133,7 +137,7 @@
 	return vs.maxLifetime
 }
 
-// retireIndex records that an index is out of service, so that it is released after its retention.
+// retireIndex records that an index is retired, so that it is released after its retention.
 func (sm *StateMachine) retireIndex(key indexKey) {
 	vs := &sm.versions
 	if vs.retiredAt == nil {
@@ -149,15 +153,16 @@
 		return vs.inFlightByTenant[key.index]
 	}
 	n := 0
-	if int(key.index) < len(vs.termsByOperation) {
-		for _, t := range vs.termsByOperation[key.index] {
+	if int(key.index) < len(vs.tokenLimitsByOperation) {
+		for _, t := range vs.tokenLimitsByOperation[key.index] {
 			n += t.inFlight
 		}
 	}
 	return n
 }
 
-// releaseRetired releases retired indices that had no references at two checks in a row, a retention apart.
+// releaseRetired releases retired indices that had no references at two checks in a row, which are a retention apart. Retirement is the
+// first check.
 func (sm *StateMachine) releaseRetired() {
 	vs := &sm.versions
 	for range min(maxReleasesPerStep, len(vs.retiredIndices)) {
@@ -181,7 +186,7 @@
 	}
 }
 
-// releaseIndex frees an index for reuse by another operation or tenant.
+// releaseIndex makes an index available to another operation or tenant.
 func (sm *StateMachine) releaseIndex(key indexKey) {
 	vs := &sm.versions
 	delete(vs.retiredAt, key)
@@ -189,8 +194,8 @@
 	if key.part == nodeconfig.Tenants {
 		return
 	}
-	if int(key.index) < len(vs.termsByOperation) {
-		vs.termsByOperation[key.index] = nil
+	if int(key.index) < len(vs.tokenLimitsByOperation) {
+		vs.tokenLimitsByOperation[key.index] = nil
 	}
 	sm.degradation.remapOperation(key.index, "")
 	if sm.controller != nil {
--- a/internal/node/retirement_test.go
+++ b/internal/node/retirement_test.go
@@ -50,7 +50,7 @@
 	assert.Equal(t, int32(2), i, "the index is reserved while tokens refer to it")
 	passTime(sm, 40_000*ms)
 	assert.Empty(t, sm.versions.retiredIndices)
-	assert.True(t, sm.config.Node.Operations[0].Removed)
+	assert.True(t, sm.config.Node.Operations[0].Removed) // the index is released
 	require.NoError(t, applyVersion(t, sm, operation("last", "")))
 	i, _ = sm.config.Operations.Find("last")
 	assert.Zero(t, i, "the index is free")
@@ -58,6 +58,7 @@
 	assert.Empty(t, sm.Invariants.All())
 }
 
+// Guards against a reinstated operation that runs a token again, or whose index is released as if it were still retired.
 func TestReinstatedOperationKeepsItsTokens(t *testing.T) {
 	sm := cachingNode(t, resultcache.InMemory)
 	step(sm, tokenArrival(sm, 1, "a"))
@@ -89,6 +90,7 @@
 		completeWrites(sm, effects)
 		_ = token
 	}
+	// The window of 20 s, later of 1 s, the client timeout of 3 s, and 1 ms of rounding.
 	assert.Equal(t, 23_001*ms, remaining["a"])
 	assert.Equal(t, 4_001*ms, remaining["b"])
 	passTime(sm, 10_000*ms)
@@ -96,6 +98,7 @@
 	assert.Equal(t, 1, len(effectsOfKind(step(sm, tokenArrival(sm, 4, "b")), WriteRecord)), "the shorter window has ended, so the token runs again")
 }
 
+// Guards against a retired tenant whose index, and with it the counts in the admission controller, goes to another tenant too early or never.
 func TestReinstatedTenantKeepsItsCounts(t *testing.T) {
 	sm := newServingNode(t)
 	require.NoError(t, applyVersion(t, sm, tenant("x", 3), tenant("y", 1)))
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -11,7 +11,7 @@
 
 const (
 	maxChangesPerStep     = 256   // changes applied in one step, which take some hundreds of microseconds
-	maxValidationsPerStep = 4_096 // changes validated in one step, which take some hundreds of microseconds
+	maxValidationsPerStep = 4_096 // changes of a pending version validated in one step, which take some hundreds of microseconds
 	maxPendingVersions    = 64    // versions queued while a large one is applied
 )
 
@@ -19,9 +19,9 @@
 	errRetired         = errors.New("node: operation or tenant is no longer in service")
 	errStaleVersion    = errors.New("node: version is not newer than the last one queued or in force")
 	errTooManyVersions = errors.New("node: too many versions are pending; try again")
-	errNoCatalogue     = errors.New("class_calls: it makes calls, and this node's own file names no catalogue; set catalog there and restart the node, or leave it out")
-	errIndicesPinned   = errors.New("results are kept in a folder by the indices of operation and tenant, so adding or removing one requires a restart; " +
-		"keep them in the fleet's council, or restart with a new file")
+	errNoCatalogue     = errors.New("class_calls: the operation makes calls, but this node's own file names no catalogue; set catalog there and restart the node, or leave class_calls out")
+	errIndicesPinned   = errors.New("stored results refer to operations and tenants by index, so adding or removing one requires a restart; " +
+		"keep results in the fleet's council, or restart with a new file")
 )
 
 // changeCounts counts the changes of a version that had an effect.
@@ -41,18 +41,19 @@
 	counts           changeCounts
 }
 
-// versionState brings configuration versions into force between the decisions of the admission controller, a bounded part in each
-// step. It counts the references that invocations in flight hold to operations and tenants, so that indices are reused only after the
-// last reference is gone.
+// versionState brings the configuration versions that the host passes in (VersionReceived) into force, a bounded part in each step before
+// the admission controller decides. Versions that the fleet replicates go through pendingConfig instead; both record what they did in
+// activeVersion and use the state of indices below. Invocations in flight count as references to their operation and tenant, so that an
+// index is reused only after the last reference is gone.
 type versionState struct {
-	activeVersion    uint64 // number of the last version that is wholly in force
-	pending          []versionProgress
-	termsByOperation [][]*terms // by operation index; the current terms are last; empty before the first invocation
-	inFlightByTenant map[int32]int
-	retiredIndices   []retiredIndex     // in the order of retirement or last check
-	retiredAt        map[indexKey]int64 // when an index was last taken out of service
-	maxLifetime      int64              // ns, longest token lifetime that any operation has had; 0 before the first change
-	indicesPinned    bool               // stored results refer to indices, so versions must not add or remove operations or tenants
+	activeVersion          uint64 // number of the last version that is wholly in force
+	pending                []versionProgress
+	tokenLimitsByOperation [][]*tokenLimits // by operation index; the current limits are last; empty before the first invocation
+	inFlightByTenant       map[int32]int
+	retiredIndices         []retiredIndex     // in the order of retirement or last check
+	retiredAt              map[indexKey]int64 // when an index was last retired; an index in service has no entry
+	maxLifetime            int64              // ns, longest token lifetime that any operation has had; 0 before the first change
+	indicesPinned          bool               // stored results refer to indices, so versions must not add or remove operations or tenants
 }
 
 // ActiveVersion returns the number of the last configuration version that is wholly in force, 0 before the first.
@@ -91,7 +92,8 @@
 	sm.emit(Effect{Kind: VersionApplied, Version: number, Err: err})
 }
 
-// applyVersions validates and applies a bounded part of the pending versions, then releases retired indices without references.
+// applyVersions validates and applies a bounded part of the pending versions. Unless a validation is unfinished, it then releases retired
+// indices without references.
 func (sm *StateMachine) applyVersions() {
 	vs := &sm.versions
 	for budget := maxChangesPerStep; budget > 0 && len(vs.pending) > 0; {
@@ -113,7 +115,7 @@
 		v.changes = v.changes[n:]
 		budget -= n
 		if len(v.changes) == 0 {
-			sm.versionApplied(v)
+			sm.recordActiveVersion(v)
 			sm.emit(Effect{Kind: VersionApplied, Version: v.number,
 				Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts.added, v.counts.changed, v.counts.removed)})
 			vs.dropFirst()
@@ -122,14 +124,15 @@
 	sm.releaseRetired()
 }
 
-// versionApplied records that a version is wholly in force.
-func (sm *StateMachine) versionApplied(v *versionProgress) {
+// recordActiveVersion records and counts a version that is wholly in force.
+func (sm *StateMachine) recordActiveVersion(v *versionProgress) {
 	sm.versions.activeVersion = max(sm.versions.activeVersion, v.number)
 	sm.Counters.Versions++
 }
 
-// validateVersion validates up to maxValidationsPerStep changes of a version. When all are examined it returns complete, with an error if the
-// version can't be applied. It changes nothing in force.
+// validateVersion validates up to maxValidationsPerStep changes of a version. When all are examined it validates the
+// version as a whole, at a cost that grows with its operations, and returns complete, with an error if the version can't be applied. It
+// changes nothing in force.
 func (sm *StateMachine) validateVersion(v *versionProgress) (complete bool, err error) {
 	for end := v.validatedChanges + maxValidationsPerStep; v.validatedChanges < len(v.changes); v.validatedChanges++ {
 		if v.validatedChanges == end {
@@ -142,7 +145,8 @@
 	return true, sm.config.ValidateAmendment(v.amendment)
 }
 
-// validateChanges checks changes against the settings that only this node's own file has.
+// validateChanges checks changes against what differs between nodes: the catalogue in this node's own file, and whether its results refer
+// to indices.
 func (sm *StateMachine) validateChanges(changes []nodeconfig.Change) error {
 	for i := range changes {
 		c := &changes[i]
@@ -179,7 +183,7 @@
 
 func (sm *StateMachine) applyChange(v *versionProgress, c nodeconfig.Change) {
 	sm.initMaxLifetime()
-	c.Operation.SkippedCallWeightShare = 0 // the protocol on sockets can't express that a run goes on without its call; see withoutUnsupported
+	c.Operation.SkippedCallWeightShare = 0 // as in withoutUnsupported
 	result := sm.config.Apply(&c)
 	switch {
 	case !result.Changed:
@@ -198,7 +202,7 @@
 		return
 	}
 	op := c.Operation
-	sm.versions.replaceTerms(result.Index, &op)
+	sm.versions.replaceTokenLimits(result.Index, &op)
 	if result.Added {
 		sm.degradation.remapOperation(result.Index, c.Name)
 	}
--- a/internal/node/versions_bench_test.go
+++ b/internal/node/versions_bench_test.go
@@ -7,7 +7,8 @@
 	"topazpost/internal/nodeconfig"
 )
 
-// BenchmarkVersion measures a step that applies maxChangesPerStep changes, at a small and at a large configuration.
+// BenchmarkVersion measures a step that applies maxChangesPerStep changes, at a small and at a large configuration. At the small one a part of
+// the changes adds operations in the first round.
 func BenchmarkVersion(b *testing.B) {
 	for _, size := range [][2]int{{20, 300}, {4_700, 130_000}} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -83,11 +83,13 @@
 	assert.Zero(t, sm.ActiveVersion())
 	assert.Equal(t, 1, sm.Counters.VersionsRefused)
 	sm.versions.indicesPinned = true
-	assert.ErrorContains(t, applyVersion(t, sm, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: results are kept in a folder")
+	assert.ErrorContains(t, applyVersion(t, sm, operation("catalogue", `,"importance":7`), operation("new", "")), "operations.new: stored results refer to operations and tenants by index")
 	assert.ErrorContains(t, applyVersion(t, sm, removal(nodeconfig.Operations, "hold")), "operations.hold")
 	assert.NoError(t, applyVersion(t, sm, operation("catalogue", `,"importance":7`)))
 }
 
+// Guards against a degradation level that applies to the wrong operation, after versions have given its index to another one or a new index
+// to the operation.
 func TestLevelsFollowOperationNamesAcrossVersions(t *testing.T) {
 	sm := nodeAtLevel(t, 1)
 	require.NoError(t, applyVersion(t, sm, operation("new", ""), removal(nodeconfig.Operations, "catalogue")))
@@ -95,7 +97,7 @@
 	assert.Contains(t, bytesSent(step(sm, arrival(sm, 2, "op", "new")), SendToExecutor), "EXEC "+id(2)+" new")
 	endRun(sm, 2)
 	passTime(sm, 10_000*ms)
-	assert.True(t, sm.config.Node.Operations[0].Removed)
+	assert.True(t, sm.config.Node.Operations[0].Removed) // the index is released
 	require.NoError(t, applyVersion(t, sm, operation("newer", "")))
 	assert.Contains(t, bytesSent(step(sm, arrival(sm, 3, "op", "newer")), SendToExecutor), "EXEC "+id(3)+" newer", "an index that is reused does not keep the reduced form of its former operation")
 	endRun(sm, 3)
@@ -144,8 +146,8 @@
 	assert.ErrorIs(t, refused[0].Err, errTooManyVersions)
 }
 
-// allocationsPerChange returns the allocations of a few changes to a configuration with this many operations and tenants.
-func allocationsPerChange(t *testing.T, operations, tenants int) float64 {
+// allocationsPerRound returns the allocations of two versions with four changes, at a configuration with this many operations and tenants.
+func allocationsPerRound(t *testing.T, operations, tenants int) float64 {
 	sm := newServingNode(t)
 	var items []nodeconfig.Item
 	for k := range operations {
@@ -169,7 +171,7 @@
 
 // Guards against a change whose cost grows with the configuration. Allocations are compared, as times are not reproducible.
 func TestCostOfAChangeIsIndependentOfConfigurationSize(t *testing.T) {
-	small, large := allocationsPerChange(t, 20, 20), allocationsPerChange(t, 2_000, 40_000)
+	small, large := allocationsPerRound(t, 20, 20), allocationsPerRound(t, 2_000, 40_000)
 	assert.InDelta(t, small, large, 3)
 }
 
@@ -206,6 +208,7 @@
 			want.Apply(&change.Changes[0])
 			sm.executor.lastLineAt = sm.now
 			inputs := []Input{{Kind: VersionReceived, Version: uint64(k + 1), Amendment: change}}
+			// One invocation at a time, while the connection is open for new ones.
 			if sm.connections.byLink[7] != nil && !sm.connections.byLink[7].goAwaySent && !sm.connections.byLink[7].broken && sm.connections.byLink[7].isIdle() {
 				stream++
 				sent++
@@ -216,24 +219,25 @@
 			if i, v := sm.findInvocation(id(int(stream))); i >= 0 && !v.answered {
 				answered += len(effectsOfKind(endRun(sm, int(stream)), SendToConnection))
 			}
+			// Invocations of an unknown tenant count as faults, which would close the connection.
 			if sm.connections.byLink[7] != nil {
 				sm.connections.byLink[7].faultCount = 0
 			}
 		}
 		assert.Greater(t, sent, 200)
-		assert.GreaterOrEqual(t, answered, sent)
+		assert.GreaterOrEqual(t, answered, sent) // no answer is lost
 		assert.Equal(t, uint64(1_000), sm.ActiveVersion())
-		want.Node.Operations[0].SkippedCallWeightShare = 0
+		want.Node.Operations[0].SkippedCallWeightShare = 0 // as in withoutUnsupported
 		changes, restarts := nodeconfig.Diff(want, sm.config)
 		assert.Empty(t, changes)
 		assert.Empty(t, restarts)
-		assert.LessOrEqual(t, sm.config.Operations.Slots(), 20)
+		assert.LessOrEqual(t, sm.config.Operations.Slots(), 20) // indices are reused
 		assert.Empty(t, sm.Invariants.All())
 	}
 }
 
-// Guards against a version that is applied in part before its invalid change is found: with indices pinned, validation spans several steps and
-// the last change is invalid.
+// Guards against a version that is applied in part before its invalid change is found. The version has more changes than two steps validate,
+// and pinned indices make the last one invalid; the first would change a weight from 1 to 7.
 func TestLargeVersionIsValidatedInBoundedSteps(t *testing.T) {
 	sm := newServingNode(t)
 	sm.versions.indicesPinned = true
