--- a/internal/fleet/claims/client.go
+++ b/internal/fleet/claims/client.go
@@ -13,10 +13,10 @@
 
 // The kinds of inputs: requests and reports of the node, and messages of the consensus group and the executor.
 const (
-	RequestClaim    InputKind = iota // the node read the first invocation of a token: claim the token
+	RequestClaim    InputKind = iota // the node received the first invocation of a token: claim the token
 	RequestStart                     // the node wants to start the run now
 	ReportEnd                        // the run ended, with Outcome and Result
-	AbandonClaim                     // no caller waits for the claim, and nothing runs or will run under it
+	AbandonClaim                     // no caller waits for the claim, and the executor neither received nor will receive it
 	VerdictReceived                  // the group answered a command
 	EndNotified                      // the group notifies the node that another owner's claim ended, became unknown or was removed
 	ClaimAssigned                    // the group reassigned the claim of a lost owner to this node
@@ -28,9 +28,9 @@
 	Kind         InputKind
 	Key          Key
 	BodyHash     uint64
-	Remaining    int64 // RequestClaim, RequestStart, ClaimAssigned: ns until the invocation is due
-	Retention    int64 // ns that the table keeps the token after its start, and after its end
-	Work         []byte
+	Remaining    int64  // RequestClaim, RequestStart, ClaimAssigned: ns until the invocation is due
+	Retention    int64  // ns that the table keeps the token after its start, and after its end
+	Work         []byte // the data that a new owner needs to run the invocation
 	InvocationID string
 	Outcome      uint8
 	Result       []byte
@@ -46,8 +46,8 @@
 const (
 	SendCommands       ActionKind = iota // send Commands to the group
 	StartRun                             // the start is committed: the executor may receive the invocation
-	CompletedElsewhere                   // the run ended at another node, with Outcome and Result
-	UnknownElsewhere                     // the invocation may have run at another node, with an unknown outcome
+	CompletedElsewhere                   // the run ended, with Outcome and Result; it was at another owner, or is tracked no longer
+	UnknownElsewhere                     // the invocation may have run at another owner, with an unknown outcome
 	BodyMismatch                         // the token is claimed with another request body
 	RejectClaim                          // reject the invocation: the table is full or the group is unreachable
 	EndRecorded                          // the end of the run is committed, or refused for a stale fence
@@ -59,8 +59,8 @@
 	Kind     ActionKind
 	Key      Key
 	BodyHash uint64
-	Duration int64 // TakeOver: ns until the invocation is due; RejectClaim: ns after which the caller may retry
-	Work     []byte
+	Duration int64  // TakeOver: ns until the invocation is due; RejectClaim: ns after which the caller may retry
+	Work     []byte // the data that a new owner needs to run the invocation
 	Outcome  uint8
 	Result   []byte
 	Commands []Command
@@ -68,13 +68,13 @@
 
 // ClientCounters are the counters of a Client that operators see.
 type ClientCounters struct {
-	Claimed             int `json:"claimed"`
+	Claimed             int `json:"claimed"`      // RequestClaims of tokens that were not tracked
 	Joined              int `json:"joined"`       // waited for a run at another node
 	ServedFromElsewhere int `json:"kept"`         // got the result of a run at another node
 	Unknown             int `json:"unknown"`      // got an unknown outcome
 	Assigned            int `json:"taken"`        // claims of lost owners reassigned to this node
-	Fenced              int `json:"fenced"`       // starts refused: another owner had the claim
-	UntrackedReleased   int `json:"zombies"`      // claims of this incarnation that it no longer tracked, released
+	Fenced              int `json:"fenced"`       // starts refused: the claim had another owner or was gone
+	UntrackedReleased   int `json:"zombies"`      // claims of this incarnation that the client did not track, released
 	Sent                int `json:"sent"`         // commands sent, retries included
 	Unreachable         int `json:"out_of_reach"` // times that the group became unreachable
 	ResolutionsSent     int `json:"settled"`      // reports on earlier incarnations sent, retries included
@@ -90,7 +90,7 @@
 	bySeq            map[uint64]*trackedClaim // claims with a command in flight, by its sequence number
 	order            []*trackedClaim          // claims in the order in which they were added, which is the order of retries
 	lastSeq          uint64
-	now              int64
+	now              int64     // of the current step; all times are in ns of the node's monotonic clock
 	actions          []Action  // of the current step
 	commands         []Command // of the current step, before they are batched
 	lastAnswerAt     int64     // when the group last answered
@@ -99,7 +99,7 @@
 	probeSeq         uint64    // sequence number of the probe in flight, 0 for none
 	resolutions      []Command // CommandResolve for runs of earlier incarnations, until they are committed
 	nextResolutionAt int64     // when to send the resolutions
-	nextScanAt       int64     // when to scan the claims again
+	nextScanAt       int64     // when to scan the claims again; never if nothing is due
 	lastScanAt       int64
 }
 
@@ -120,14 +120,16 @@
 // HasCapacity reports whether the client can track one more claim.
 func (c *Client) HasCapacity() bool { return len(c.claims) < maxClaims }
 
-// OwnedElsewhere reports whether another node owns the claim, so that the invocation may run there or have run there.
+// OwnedElsewhere reports whether another owner has the claim, perhaps an earlier incarnation of this node, so that the invocation may
+// run or have run there. After a refused start it holds until the next verdict.
 func (c *Client) OwnedElsewhere(key Key) bool {
 	claim := c.claims[key]
 	return claim != nil && claim.phase == phaseOwnedElsewhere
 }
 
 // NotRunning returns the keys of the claims whose run has not started at this node, or has ended without the end being
-// committed, in the order in which they were added. It leaves out claims that are being released.
+// committed, in the order in which they were added. It leaves out claims that are being released or were
+// abandoned.
 func (c *Client) NotRunning() (keys []Key) {
 	for _, claim := range c.order {
 		if !claim.removed && (claim.phase < phaseStarted || claim.phase == phaseEnding) {
--- a/internal/fleet/claims/client_claim.go
+++ b/internal/fleet/claims/client_claim.go
@@ -1,12 +1,12 @@
 package claims
 
-// phase is the state of a claim at its client.
+// phase is the state of a claim at its client. Client.NotRunning depends on the order of the phases.
 type phase uint8
 
 const (
 	phaseClaiming       phase = iota // CommandClaim is in flight
 	phaseGranted                     // this node owns the claim and has not started it
-	phaseOwnedElsewhere              // another node owns the claim; it is claimed again from time to time
+	phaseOwnedElsewhere              // another owner has the claim, or had it; it is claimed again from time to time
 	phaseFinalVerdict                // the claim is not granted; the verdict is reported when RequestStart comes
 	phaseStarting                    // CommandStart is in flight
 	phaseStarted                     // the start is committed
--- a/internal/fleet/claims/client_requests.go
+++ b/internal/fleet/claims/client_requests.go
@@ -2,14 +2,14 @@
 
 const maxResolutions = 1_024 // runs of earlier incarnations: as many as one incarnation may have running
 
-// requestClaim claims the token of an invocation that the node read.
+// requestClaim claims the token of an invocation that the node received. If the claim is tracked already, the invocation joins it.
 func (c *Client) requestClaim(input *Input, claim *trackedClaim) {
 	switch {
 	case claim == nil:
 		claim = c.add(c.newClaim(input))
 		c.Counters.Claimed++
 		c.sendCommand(claim, CommandClaim)
-	case claim.phase == phaseAbandoned:
+	case claim.phase == phaseAbandoned: // the CommandClaim in flight counts for this invocation; a retry carries its data
 		claim.phase = phaseClaiming
 		claim.dueAt = c.now + input.Remaining
 		claim.bodyHash = input.BodyHash
@@ -78,7 +78,7 @@
 	c.sendCommand(claim, CommandEnd)
 }
 
-// abandon gives up a claim under which nothing runs. If a CommandClaim is in flight the group may still grant it, so the claim is
+// abandon gives up a claim that the executor did not receive, also after a committed start. If a CommandClaim is in flight the group may still grant it, so the claim is
 // tracked until the verdict comes, and released if granted.
 func (c *Client) abandon(claim *trackedClaim) {
 	if claim == nil {
--- a/internal/fleet/claims/client_retry.go
+++ b/internal/fleet/claims/client_retry.go
@@ -4,7 +4,7 @@
 	firstRetryBackoff  = 250 * ms   // ns to the first retry of a command: the member that got it may be lost
 	maxRetryBackoff    = 1_000 * ms // ns; longest time between retries
 	recheckInterval    = 500 * ms   // ns between claims of a token that another node owns: the notification of its end may be lost
-	unreachableTimeout = 700 * ms   // ns without an answer after which the group counts as unreachable: about as long as an election takes
+	unreachableTimeout = 700 * ms   // ns without an answer after which the group counts as unreachable: at least the shortest election
 	idleProbeInterval  = 2_000 * ms // ns after the last answer when an idle client probes the group
 	probeInterval      = 200 * ms   // ns between probes of an unreachable group
 	scanInterval       = 20 * ms    // ns; shortest time between scans of all claims
@@ -34,7 +34,7 @@
 		command.Retention = claim.retention
 		command.Work = claim.work
 		command.InvocationID = claim.invocationID
-	case CommandRelease:
+	case CommandRelease: // an assigned claim is released only if the node cannot run it
 		command.Returned = claim.assigned
 	case CommandEnd:
 		command.Outcome = claim.outcome
@@ -67,7 +67,7 @@
 	return c.nextResolutionAt
 }
 
-// probe sends a CommandNoop if the group has not answered for long, and returns when to probe next. If a probe of a connected client
+// probe sends a CommandNoop if the group has not answered for long, and returns when to call it again. If a probe of a connected client
 // was not answered either, the group is unreachable.
 func (c *Client) probe() (wake int64) {
 	probeAt := c.nextProbeTime()
@@ -140,8 +140,8 @@
 	}
 }
 
-// disconnect records that the group is unreachable. It rejects claims whose start was requested and that are not granted. Granted
-// claims wait up to their due time, since the group may answer again after an election of a second or two.
+// disconnect records that the group is unreachable. It rejects claims whose first CommandClaim is unanswered and whose start was
+// requested. The others stay until they are abandoned, since the group may answer again after an election of a second or two.
 func (c *Client) disconnect() {
 	c.connected = false
 	c.Counters.Unreachable++
--- a/internal/fleet/claims/client_verdicts.go
+++ b/internal/fleet/claims/client_verdicts.go
@@ -51,8 +51,8 @@
 		claim.fence = verdict.Fence
 		c.proceed(claim)
 	case verdict.Answer == AnswerOwned && verdict.Owner == c.self:
-		// This incarnation abandoned the claim while its start was in flight, and the start was committed later. Nothing
-		// ran here under that fence, or the client would still track the claim.
+		// A start of this incarnation was committed that the client no longer tracks: it was abandoned, and the tracked
+		// claim is a newer one. Nothing ran under the old fence, or the old claim would still be tracked.
 		c.Counters.UntrackedReleased++
 		c.commands = append(c.commands, Command{Kind: CommandRelease, Sender: c.self, Key: claim.key, Fence: verdict.Fence})
 		c.sendCommand(claim, CommandClaim)
@@ -79,7 +79,7 @@
 	c.Counters.Fenced++
 	claim.phase = phaseOwnedElsewhere
 	claim.fence = 0
-	c.sendCommand(claim, CommandClaim) // the verdict names the owner
+	c.sendCommand(claim, CommandClaim) // the verdict on this command will name the owner, if there is one
 }
 
 // handleAbandonedVerdict releases an abandoned claim that was granted after all.
--- a/internal/fleet/claims/client_verdicts_test.go
+++ b/internal/fleet/claims/client_verdicts_test.go
@@ -21,11 +21,11 @@
 func TestUntrackedClaimOfThisIncarnationIsReleased(t *testing.T) {
 	client := connectedClient()
 	claim := sentCommands(stepAfter(client, ms, claimRequest("t")))
-	actions := sentCommands(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwned, Owner: nodeA, Fence: 9}}))
-	require.Len(t, actions, 2)
-	assert.Equal(t, CommandRelease, actions[0].Kind)
-	assert.Equal(t, uint64(9), actions[0].Fence)
-	assert.Equal(t, CommandClaim, actions[1].Kind)
+	commands := sentCommands(stepAfter(client, ms, Input{Kind: VerdictReceived, Verdict: Verdict{Seq: claim[0].Seq, Answer: AnswerOwned, Owner: nodeA, Fence: 9}}))
+	require.Len(t, commands, 2)
+	assert.Equal(t, CommandRelease, commands[0].Kind)
+	assert.Equal(t, uint64(9), commands[0].Fence)
+	assert.Equal(t, CommandClaim, commands[1].Kind)
 }
 
 func TestAssignedClaimIsTakenOverOnce(t *testing.T) {
--- a/internal/fleet/claims/command.go
+++ b/internal/fleet/claims/command.go
@@ -24,7 +24,7 @@
 	CommandReassign                       // makes NewOwner the owner, if the claim is not started
 	CommandMarkUnknown                    // records that the owner was lost after the start
 	CommandResolve                        // records the outcome of a run of an earlier incarnation, as reported by its executor
-	CommandAdvanceTime                    // advances the table's time by Duration
+	CommandAdvanceTime                    // advances the table's time by Duration and sets MaxTableBytes if positive; no effect if the time is not MeasuredFrom
 	CommandKindCount                      // one past the last
 )
 
@@ -40,12 +40,12 @@
 	Retention     int64       `cbor:"8,keyasint,omitempty"`  // Claim: how long the table keeps the token after its start, and after its end
 	Work          []byte      `cbor:"9,keyasint,omitempty"`  // Claim: the data that a new owner needs to run the invocation
 	InvocationID  string      `cbor:"10,keyasint,omitempty"` // Claim, Resolve: the invocation's ID at the owner's executor
-	Outcome       uint8       `cbor:"11,keyasint,omitempty"` // End, Resolve
+	Outcome       uint8       `cbor:"11,keyasint,omitempty"` // End, Resolve: in the node's encoding, not interpreted here
 	Result        []byte      `cbor:"12,keyasint,omitempty"` // End, Resolve
 	NewOwner      Owner       `cbor:"13,keyasint,omitempty"` // Reassign
 	MeasuredFrom  int64       `cbor:"14,keyasint,omitempty"` // AdvanceTime: the table's time from which Duration counts
 	MaxTableBytes int64       `cbor:"15,keyasint,omitempty"` // AdvanceTime: new size limit of the table
-	Returned      bool        `cbor:"16,keyasint,omitempty"` // Release: the sender is a new owner without capacity: keep the claim for another
+	Returned      bool        `cbor:"16,keyasint,omitempty"` // Release: the claim was assigned to the sender, which cannot run it; keep it for another owner
 }
 
 // Answer tells the sender of a command its result.
@@ -53,9 +53,9 @@
 
 // The answers to commands.
 const (
-	AnswerDone           Answer = iota // applied, now or before; also if a Release, MarkUnknown, Resolve or AdvanceTime had no effect
+	AnswerDone           Answer = iota // applied, or without effect and none of the answers below; End: also if the claim has ended already
 	AnswerGranted                      // Claim: the sender owns the claim; Start: it may run; Reassign: NewOwner owns it
-	AnswerOwned                        // another owner has the claim; the sender is notified of its end
+	AnswerOwned                        // Owner has the claim, and has started it if that is the sender; up to maxWaiters other senders are notified of its end
 	AnswerCompleted                    // the run ended, with Outcome and Result
 	AnswerOutcomeUnknown               // the invocation may have run, and its owner was lost before it reported the outcome
 	AnswerBodyMismatch                 // the token is claimed with another request body
@@ -67,9 +67,9 @@
 type Verdict struct {
 	Seq        uint64 `cbor:"1,keyasint"`
 	Answer     Answer `cbor:"2,keyasint,omitempty"`
-	Fence      uint64 `cbor:"3,keyasint,omitempty"`
-	Owner      Owner  `cbor:"4,keyasint,omitempty"`
-	Outcome    uint8  `cbor:"5,keyasint,omitempty"`
-	Result     []byte `cbor:"6,keyasint,omitempty"`
-	RetryAfter int64  `cbor:"7,keyasint,omitempty"`
+	Fence      uint64 `cbor:"3,keyasint,omitempty"` // AnswerGranted, AnswerOwned
+	Owner      Owner  `cbor:"4,keyasint,omitempty"` // AnswerOwned
+	Outcome    uint8  `cbor:"5,keyasint,omitempty"` // AnswerCompleted
+	Result     []byte `cbor:"6,keyasint,omitempty"` // AnswerCompleted
+	RetryAfter int64  `cbor:"7,keyasint,omitempty"` // AnswerTableFull: ns
 }
--- a/internal/fleet/claims/entry.go
+++ b/internal/fleet/claims/entry.go
@@ -3,7 +3,7 @@
 // State is the state of a claim in the table.
 type State uint8
 
-// The states of a claim. A released claim has none: it is removed from the table.
+// The states of a claim, in order: isOver compares them. A released claim is removed from the table.
 const (
 	StateClaimed State = iota // its owner may start it; nothing has run
 	StateStarted              // the owner's executor may have received it
@@ -23,9 +23,9 @@
 	Fence          uint64  `cbor:"3,keyasint"`
 	State          State   `cbor:"4,keyasint,omitempty"`
 	BodyHash       uint64  `cbor:"5,keyasint,omitempty"`
-	ExpiresAt      int64   `cbor:"6,keyasint"` // in the table's time: the due time while claimed, later the end of the window
-	Retention      int64   `cbor:"7,keyasint"` // how long the claim is kept after its start, and after its end
-	Work           []byte  `cbor:"8,keyasint,omitempty"`
+	ExpiresAt      int64   `cbor:"6,keyasint"`           // in the table's time: the due time; after start and end, the end of the retention if that is later
+	Retention      int64   `cbor:"7,keyasint"`           // how long the claim is kept after its start, and after its end
+	Work           []byte  `cbor:"8,keyasint,omitempty"` // the data that a new owner needs to run the invocation; nil after the start
 	InvocationID   string  `cbor:"9,keyasint,omitempty"`
 	Outcome        uint8   `cbor:"10,keyasint,omitempty"`
 	Result         []byte  `cbor:"11,keyasint,omitempty"`
--- a/internal/fleet/claims/expiry.go
+++ b/internal/fleet/claims/expiry.go
@@ -1,11 +1,11 @@
 package claims
 
 // MaxTimeStep is the most by which one command advances the table's time, in ns. The first advance after a command may include time
-// that passed before the command. Windows are longer by MaxTimeStep, so that none ends early.
+// that passed before the command. Retentions are longer by MaxTimeStep, so that none ends early.
 const MaxTimeStep = 500 * ms
 
 // advanceTime advances the table's time by the span that a member of the group measured since the table's time was MeasuredFrom,
-// and removes expired claims. If two members measured the same span, only the first is counted, so the table's time is never ahead
+// removes expired claims and sets the size limit. If two members measured the same span, only the first is counted, so the table's time is never ahead
 // of real time.
 func (t *Table) advanceTime(command *Command) {
 	if command.MeasuredFrom != t.time || command.Duration <= 0 {
@@ -21,8 +21,8 @@
 	}
 }
 
-// restartWindow keeps an entry for at least its window from now on.
-func (t *Table) restartWindow(entry *Entry) {
+// restartRetention keeps an entry for at least its retention from now on.
+func (t *Table) restartRetention(entry *Entry) {
 	entry.ExpiresAt = max(entry.ExpiresAt, t.time+entry.Retention+MaxTimeStep)
 	t.expiry.Fix(entry)
 }
--- a/internal/fleet/claims/fixtures_test.go
+++ b/internal/fleet/claims/fixtures_test.go
@@ -66,8 +66,8 @@
 		}
 		_, size := table.Size()
 		assert.Equal(t, bytes, size)
-		text, err := table.Snapshot()
+		encoded, err := table.Snapshot()
 		require.NoError(t, err)
-		assert.Equal(t, content, text)
+		assert.Equal(t, content, encoded)
 	})
 }
--- a/internal/fleet/claims/snapshot_test.go
+++ b/internal/fleet/claims/snapshot_test.go
@@ -9,10 +9,10 @@
 
 func TestTruncatedSnapshotIsRejected(t *testing.T) {
 	table, _ := startedTable()
-	text, err := table.Snapshot()
+	encoded, err := table.Snapshot()
 	require.NoError(t, err)
-	for cut := range text {
-		_, err := Restore(text[:cut])
+	for cut := range encoded {
+		_, err := Restore(encoded[:cut])
 		assert.Error(t, err, "truncated to %d bytes", cut)
 	}
 }
--- a/internal/fleet/claims/table.go
+++ b/internal/fleet/claims/table.go
@@ -160,7 +160,7 @@
 	entry.State = StateStarted
 	entry.Work = nil
 	delete(t.reassigned, entry.Key)
-	t.restartWindow(entry)
+	t.restartRetention(entry)
 }
 
 // end accepts the report of the run that was started under the fence, however late it comes: a late report resolves an unknown
@@ -189,11 +189,12 @@
 	entry.Outcome = command.Outcome
 	entry.Result = command.Result
 	t.bytes += int64(len(command.Result))
-	t.restartWindow(entry)
+	t.restartRetention(entry)
 	t.notifyWaiters(entry)
 }
 
-// release removes a claim under which nothing ran. A claim that a new owner returns for lack of capacity stays, without an owner,
+// release removes a claim under which nothing ran, also one that is started: the sender vouches that its executor did not receive the
+// invocation. A claim that a new owner returns for lack of capacity stays, without an owner,
 // until it is reassigned.
 func (t *Table) release(command *Command, entry *Entry) {
 	if entry == nil || entry.Fence != command.Fence || entry.Owner != command.Sender || entry.isOver() {
--- a/internal/fleet/quota/command.go
+++ b/internal/fleet/quota/command.go
@@ -33,11 +33,11 @@
 	Seq                uint64      `cbor:"3,keyasint,omitempty"` // RequestLease: sequence number; a request older than the holder's last changes nothing
 	Limit              string      `cbor:"4,keyasint"`
 	RetainedUnits      int64       `cbor:"5,keyasint,omitempty"`  // RequestLease: units that the holder keeps of its lease
-	WantedUnits        int64       `cbor:"6,keyasint,omitempty"`  // RequestLease: units that the holder wants in total
+	WantedUnits        int64       `cbor:"6,keyasint,omitempty"`  // RequestLease: units that the holder wants in total, with those in use
 	LeaseDuration      int64       `cbor:"7,keyasint,omitempty"`  // RequestLease: in the table's time
 	Units              int64       `cbor:"8,keyasint,omitempty"`  // DefineLimit
 	Version            uint64      `cbor:"9,keyasint,omitempty"`  // DefineLimit
-	EarlierLeasesEndAt int64       `cbor:"10,keyasint,omitempty"` // DefineLimit: table time of the first grants, when leases of an earlier table have ended
+	EarlierLeasesEndAt int64       `cbor:"10,keyasint,omitempty"` // DefineLimit: see Limit.EarlierLeasesEndAt
 }
 
 // Verdict is the table's reply to a request for a lease.
--- a/internal/fleet/quota/config.go
+++ b/internal/fleet/quota/config.go
@@ -6,7 +6,7 @@
 	minLeaseDuration = 1_000 * ms  // ns; shorter leases would end during an election
 	maxLeaseDuration = 60_000 * ms // ns; longer leases would leave the units of lost nodes unused for too long
 	minLeaseUses     = 2           // uses of MaxUseTime that must fit in a lease, so that there is time to begin a use
-	driftDivisor     = 50          // 1/50 of a lease is left unused: clocks run at most 1 % fast or slow
+	driftDivisor     = 50          // 2 % of a lease is left unused: two clocks differ by at most that if each runs at most 1 % fast or slow
 )
 
 // HolderConfig configures the leases of one limit. Times are in nanoseconds.
@@ -37,8 +37,8 @@
 func (c *HolderConfig) DescribeBound() string {
 	usable := seconds(c.LeaseTerm - c.driftMargin())
 	reclaimed := seconds(c.LeaseTerm + c.driftMargin() + MaxTimeStep)
-	return fmt.Sprintf("at most %d %s in use fleet-wide, during any partition, pause or restart; a node uses none later than %g s after requesting its "+
-		"last lease; units of a lost node are free again within %g s; a lowered limit holds after all nodes have renewed, within %g s",
+	return fmt.Sprintf("at most %d %s in use fleet-wide, during any partition, pause or restart; units of a lease are used for at most %g s after it was "+
+		"requested; units of a lost node are free again within %g s; a lowered limit holds after all nodes have renewed, within %g s",
 		c.Units, c.Name, usable, reclaimed, reclaimed)
 }
 
--- a/internal/fleet/quota/fair_share.go
+++ b/internal/fleet/quota/fair_share.go
@@ -10,12 +10,12 @@
 
 const (
 	rotationInterval = 5_000 * ms // ns after which the units left over from an even division go to other holders
-	rotationBits     = 11         // bits by which the hash of a holder's name is rotated per interval; not a divisor of 64
+	rotationBits     = 11         // bits by which the hash of a holder's name is rotated per interval; odd, so that 64 intervals use all 64 rotations
 )
 
 // fairShares returns the fair share of each holder, in the order of the leases. No share exceeds what its holder wants, and units that
-// some holders don't want are divided evenly among the others. Units left over from an even division go to other holders in each
-// interval.
+// some holders don't want are divided evenly among the others. Units left over from an even division go to holders that change from
+// interval to interval.
 func (l *Limit) fairShares(time int64) []int64 {
 	shares := make([]int64, len(l.Leases))
 	remaining := l.Units
--- a/internal/fleet/quota/fixtures_test.go
+++ b/internal/fleet/quota/fixtures_test.go
@@ -38,8 +38,8 @@
 		table, err := Restore(content)
 		require.NoError(t, err)
 		assert.Equal(t, limits, table.Limits())
-		text, err := table.Snapshot()
+		encoded, err := table.Snapshot()
 		require.NoError(t, err)
-		assert.Equal(t, content, text)
+		assert.Equal(t, content, encoded)
 	})
 }
--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -13,9 +13,9 @@
 	Requests    int   `json:"asked"`
 	Lapsed      int   `json:"lapsed"`     // leases that ended before they were renewed
 	ShortGrants int   `json:"short"`      // verdicts that gave less than was requested
-	MaxOveruse  int64 `json:"worst_over"` // most units that this node had in use above those allowed
+	MaxOveruse  int64 `json:"worst_over"` // most units in use above those allowed, without uses that may go on after the lease lapsed
 	Units       int64 `json:"units"`      // allowed now
-	Wanted      int64 `json:"wanted"`     // to be requested, with the reserve
+	Wanted      int64 `json:"wanted"`     // total demand to be requested, with the reserve
 	Used        int64 `json:"used"`
 	FairShare   int64 `json:"target"`
 	AgeMS       int64 `json:"age_ms"` // ms since the lease was requested
@@ -35,8 +35,8 @@
 	fairShare     int64
 	requestedAt   int64 // when the request in flight was first sent, 0 for none
 	lastSentAt    int64
-	request       Command // the last request, repeated until it is answered
-	nextRequestAt int64
+	request       Command  // the last request, repeated until it is answered
+	nextRequestAt int64    // 0 before the first request
 	peakDemand    [2]int64 // of the current window and the one before
 	leasedAt      int64    // when the current lease was requested
 	windowStart   int64
@@ -47,7 +47,7 @@
 	return &LeaseHolder{config: config, self: self}
 }
 
-// Allowed returns how many units may be in use now, including those already in use, and 0 without a lease.
+// Allowed returns the units of the lease, 0 without a lease: a use may begin while fewer units are in use.
 func (h *LeaseHolder) Allowed(now int64) int64 {
 	if now >= h.usableUntil {
 		return 0
@@ -59,42 +59,42 @@
 func (h *LeaseHolder) UsableUntil() int64 { return h.usableUntil }
 
 // Step takes the number of units in use, the number wanted in addition, and the verdicts that arrived. It returns the commands to send,
-// and when to call Step again at the latest. The caller must reduce its use to what Allowed returns after Step before it sends the
-// commands.
-func (h *LeaseHolder) Step(now, used, wanted int64, verdicts []Verdict) (send []Command, wake int64) {
+// and when to call Step again at the latest. From then on the caller must begin no use above Allowed; the commands may only be sent
+// when that is ensured. All times are in ns of the node's monotonic clock.
+func (h *LeaseHolder) Step(now, used, additional int64, verdicts []Verdict) (send []Command, wake int64) {
 	for i := range verdicts {
 		h.handleVerdict(now, &verdicts[i])
 	}
-	h.recordDemand(now, used, wanted)
+	h.recordDemand(now, used, additional)
 	if h.units > 0 && now >= h.usableUntil {
 		h.units = 0
 		h.Counters.Lapsed++
 	}
-	want := h.wantedUnits()
+	requested := h.wantedUnits()
 	switch {
 	case h.requestedAt != 0 && now >= h.lastSentAt+retryBackoff:
 		h.lastSentAt = now
 		send = append(send, h.request)
-	case h.requestedAt == 0 && now >= h.nextRequestAt && (want > 0 || h.units > 0 || h.nextRequestAt == 0):
-		h.newRequest(now, used, want)
+	case h.requestedAt == 0 && now >= h.nextRequestAt && (requested > 0 || h.units > 0 || h.nextRequestAt == 0):
+		h.newRequest(now, used, requested)
 		send = append(send, h.request)
 	}
-	h.updateCounters(now, used, want)
+	h.updateCounters(now, used, requested)
 	return send, h.nextWake(now)
 }
 
 // wantedUnits returns the recent peak demand with a reserve.
 func (h *LeaseHolder) wantedUnits() int64 {
-	want := max(h.peakDemand[0], h.peakDemand[1])
-	if want > 0 {
-		want += want/reserveDivisor + 1
+	requested := max(h.peakDemand[0], h.peakDemand[1])
+	if requested > 0 {
+		requested += requested/reserveDivisor + 1
 	}
-	return want
+	return requested
 }
 
 // newRequest gives up units above the fair share that are not in use, and creates a request for the lease.
-func (h *LeaseHolder) newRequest(now, used, want int64) {
-	h.units = min(h.units, max(used, min(want, h.fairShare)))
+func (h *LeaseHolder) newRequest(now, used, requested int64) {
+	h.units = min(h.units, max(used, min(requested, h.fairShare)))
 	h.lastSeq++
 	h.request = Command{
 		Kind:          CommandRequestLease,
@@ -102,7 +102,7 @@
 		Seq:           h.lastSeq,
 		Limit:         h.config.Name,
 		RetainedUnits: max(h.units, used), // units of a lapsed lease may still be in use
-		WantedUnits:   want,
+		WantedUnits:   requested,
 		LeaseDuration: h.config.LeaseTerm,
 	}
 	h.requestedAt = now
@@ -111,10 +111,10 @@
 	h.Counters.Requests++
 }
 
-func (h *LeaseHolder) updateCounters(now, used, want int64) {
+func (h *LeaseHolder) updateCounters(now, used, requested int64) {
 	allowed := h.Allowed(now)
 	h.Counters.Units = allowed
-	h.Counters.Wanted = want
+	h.Counters.Wanted = requested
 	h.Counters.Used = used
 	h.Counters.FairShare = h.fairShare
 	h.Counters.AgeMS = (now - h.leasedAt) / ms
@@ -151,7 +151,7 @@
 
 // recordDemand updates the peak demand of the current window and the one before. If a new peak exceeds the lease, it brings the next
 // request forward to now.
-func (h *LeaseHolder) recordDemand(now, used, wanted int64) {
+func (h *LeaseHolder) recordDemand(now, used, additional int64) {
 	if now-h.windowStart >= demandWindow {
 		h.peakDemand[1] = h.peakDemand[0]
 		h.peakDemand[0] = 0
@@ -160,7 +160,7 @@
 		}
 		h.windowStart = now
 	}
-	demand := used + wanted
+	demand := used + additional
 	if demand <= h.peakDemand[0] {
 		return
 	}
--- a/internal/fleet/quota/lease_table.go
+++ b/internal/fleet/quota/lease_table.go
@@ -15,7 +15,7 @@
 	maxUnits   = 1 << 30 // units of one limit
 )
 
-// MaxTimeStep is the most by which the table's time advances at once, in ns. The first advance after a grant may include time that
+// MaxTimeStep is the most by which the table's time, which the caller passes to Apply, advances at once, in ns. The first advance after a grant may include time that
 // passed before the grant, later ones can't. The table therefore keeps a lease MaxTimeStep longer than its term.
 const MaxTimeStep = 500 * ms
 
@@ -33,7 +33,7 @@
 	Name               string  `cbor:"1,keyasint"`
 	Units              int64   `cbor:"2,keyasint"`
 	Version            uint64  `cbor:"3,keyasint"`
-	EarlierLeasesEndAt int64   `cbor:"4,keyasint,omitempty" json:"Wait"`
+	EarlierLeasesEndAt int64   `cbor:"4,keyasint,omitempty" json:"Wait"` // table time when leases of an earlier, lost table have ended; grants begin MaxTimeStep later
 	Leases             []Lease `cbor:"5,keyasint,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 // NewLeaseTable returns a table without limits.
 func NewLeaseTable() *LeaseTable { return &LeaseTable{limits: map[string]*Limit{}} }
 
-// Apply applies one command at the given table time. It grants units only while the sum of a limit's leases stays within the limit.
+// Apply applies one command at the given time of the table, in ns, which must not go back. It grants units only while the sum of a limit's leases stays within the limit.
 // After a limit was lowered the sum may exceed it until holders have returned units.
 func (t *LeaseTable) Apply(time int64, command *Command) Verdict {
 	verdict := Verdict{Limit: command.Limit, Seq: command.Seq}
--- a/internal/fleet/quota/lease_table_test.go
+++ b/internal/fleet/quota/lease_table_test.go
@@ -99,11 +99,11 @@
 			if verdict.Units < 0 {
 				t.Fatal("the verdict grants a negative number of units")
 			}
-			text, err := table.Snapshot()
+			encoded, err := table.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if table, err = Restore(text); err != nil {
+			if table, err = Restore(encoded); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/quota/schedules_test.go
+++ b/internal/fleet/quota/schedules_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	t.Logf("%d schedules, all units were in use at some time in %d", schedules, fullUses)
-	assert.True(t, schedules < 100 || fullUses > 0)
+	assert.True(t, schedules < 100 || fullUses > 0) // many schedules must use the whole limit at some time
 }
 
 // Guards against schedules that cannot detect a violation: a holder that uses expired leases must be found.
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -61,7 +61,7 @@
 	measuring        bool  // utilization is recorded: the whole limit is wanted, and no units may be unused by design
 	utilizedTime     float64
 	measuredTime     float64
-	peak             int
+	peak             int // most units in use at once
 	config           HolderConfig
 }
 
--- a/internal/fleet/takeover/planner.go
+++ b/internal/fleet/takeover/planner.go
@@ -21,7 +21,7 @@
 // Member is a node as the membership view has it: a candidate for new owner, or lost.
 type Member struct {
 	Owner       claims.Owner
-	Alive       bool // neither dead nor gone in the view
+	Alive       bool // neither dead nor departed in the view
 	AcceptsWork bool // neither draining nor without an executor
 	Zone        string
 	Level       int // of degraded service
@@ -29,9 +29,9 @@
 
 // Counters count a planner's decisions, for operators.
 type Counters struct {
-	Reassigned      int `json:"handed"`  // reassignments proposed
+	Reassigned      int `json:"handed"`  // reassignments proposed, committed or not
 	MarkedUnknown   int `json:"doubted"` // started claims of lost owners, proposed to be marked unknown
-	WithoutNewOwner int `json:"-"`       // claims of lost owners for which no member has capacity now
+	WithoutNewOwner int `json:"-"`       // gauge: claims of lost owners for which no member has capacity now
 }
 
 // Planner tracks the reassignments in progress, on the leader of a consensus group. Each new leader starts with a new Planner.
@@ -71,33 +71,33 @@
 
 // step holds the inputs and results of one call of Planner.Step.
 type step struct {
-	planner       *Planner
-	now           int64
-	tableTime     int64 // latest estimate of the table's time, which lags behind
-	view          []Member
-	table         *claims.Table
-	unstarted     map[claims.Owner]int // number of claims that each new owner has not started
-	commands      []claims.Command
-	notifications []Notification
+	planner         *Planner
+	now             int64
+	latestTableTime int64 // upper bound of the time to which the table's time will advance
+	view            []Member
+	table           *claims.Table
+	unstarted       map[claims.Owner]int // number of claims that each new owner has not started
+	commands        []claims.Command
+	notifications   []Notification
 }
 
 // Step returns the commands to propose for claims of lost owners, and the notifications to send to new owners. An owner is lost if
-// the view has a later incarnation of its name, has it as dead or gone, or has not had it for unseenTimeout. The table's time may lag
-// by up to maxLag.
+// the view has a later incarnation of its name, has it as dead or departed, or has not had it for unseenTimeout. The table's time may lag
+// behind real time by up to maxLag. All times are in ns.
 func (p *Planner) Step(now int64, view []Member, table *claims.Table, maxLag int64) ([]claims.Command, []Notification) {
 	s := step{
-		planner:   p,
-		now:       now,
-		tableTime: table.Time() + maxLag,
-		view:      view,
-		table:     table,
+		planner:         p,
+		now:             now,
+		latestTableTime: table.Time() + maxLag,
+		view:            view,
+		table:           table,
 	}
 	p.setView(view)
 	p.adoptEarlierReassignments(now, table)
 	for _, key := range p.sortedKeys() {
 		s.updateReassignment(key)
 	}
-	p.dropUnseenOwners(table)
+	p.dropOwnersWithoutClaims(table)
 	p.Counters.WithoutNewOwner = 0
 	s.planLostOwners()
 	return s.commands, s.notifications
@@ -129,8 +129,8 @@
 	return keys
 }
 
-// dropUnseenOwners drops the entries of unseenSince whose owners have no claims left.
-func (p *Planner) dropUnseenOwners(table *claims.Table) {
+// dropOwnersWithoutClaims drops the entries of unseenSince whose owners have no claims left.
+func (p *Planner) dropOwnersWithoutClaims(table *claims.Table) {
 	for owner := range p.unseenSince {
 		if len(table.OwnedBy(owner)) == 0 {
 			delete(p.unseenSince, owner)
@@ -175,7 +175,7 @@
 		NewOwner:  pending.newOwner,
 		LostOwner: pending.lostOwner,
 		Entry:     entry,
-		Remaining: entry.ExpiresAt - s.tableTime,
+		Remaining: entry.ExpiresAt - s.latestTableTime,
 		First:     first,
 	})
 }
@@ -195,7 +195,7 @@
 	}
 }
 
-// isLost reports whether an owner is lost. Member is the member of that name in the view, or nil.
+// isLost reports whether an owner is lost, and updates when it was first missing from the view. Member is the member of that name in the view, or nil.
 func (p *Planner) isLost(now int64, owner claims.Owner, member *Member) bool {
 	if owner == (claims.Owner{}) { // the owner of a returned claim
 		return true
@@ -225,7 +225,7 @@
 		}
 		delete(s.planner.reassignments, entry.Key) // the new owner is lost too
 	}
-	if entry.ExpiresAt-s.tableTime < minRemaining {
+	if entry.ExpiresAt-s.latestTableTime < minRemaining {
 		return
 	}
 	member := ChooseNewOwner(entry, s.view, s.planner.members[owner.Name], s.hasCapacity)
--- a/internal/fleet/takeover/planner_test.go
+++ b/internal/fleet/takeover/planner_test.go
@@ -88,13 +88,13 @@
 	for i := range view {
 		view[i].Alive = view[i].Alive && view[i].Owner != first
 	}
-	planner.Step(2, view, table, 0)
+	planner.Step(2, view, table, 0) // sees the commit, and that the new owner is lost
 	commands, _ = planner.Step(3, view, table, 0)
 	applyAll(table, commands)
 	commands, _ = planner.Step(3+retryInterval, view, table, 0)
 	applyAll(table, commands)
-	assert.NotEqual(t, first, table.Find(testKey(0)).Owner)
-	assert.NotEqual(t, lostNode, table.Find(testKey(0)).Owner)
+	assert.NotEqual(t, first, table.Find(testKey(0)).Owner) // not the lost new owner
+	assert.NotEqual(t, lostNode, table.Find(testKey(0)).Owner) // nor the first owner
 }
 
 func TestClaimThatIsAlmostDueIsNotReassigned(t *testing.T) {
@@ -126,6 +126,6 @@
 		commands, _ = planner.Step(now, testView(3), table, 0)
 		applyAll(table, commands)
 	}
-	assert.NotEqual(t, first, table.Find(testKey(0)).Owner)
-	assert.NotEqual(t, claims.Owner{}, table.Find(testKey(0)).Owner)
+	assert.NotEqual(t, first, table.Find(testKey(0)).Owner) // not the owner that returned it
+	assert.NotEqual(t, claims.Owner{}, table.Find(testKey(0)).Owner) // it has an owner again
 }
