--- a/internal/fleet/quota/holder.go
+++ b/internal/fleet/quota/holder.go
@@ -3,7 +3,7 @@
 const (
 	renewalInterval = 250 * ms  // ns between requests for one lease, so that several fit in the shortest lease
 	retryBackoff    = 200 * ms  // ns after which an unanswered request is sent again
-	demandWindow    = 500 * ms  // ns; the peak demand of two such windows is requested
+	demandWindow    = 500 * ms  // ns; requests are for the peak demand of the current and the previous window
 	reserveDivisor  = 4         // a request adds 1/4 of the demand, and one unit, as a reserve
 	never           = 1<<63 - 1 // ns; wake-up time when nothing is due
 )
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -104,6 +104,7 @@
 	sim.wakeNode(i, sim.now)
 }
 
+// clock returns the node's time, which has another origin and rate than the simulation's.
 func (node *simulatedNode) clock(now int64) int64 {
 	return int64(node.clockRate*float64(now)) + 1_000_000*ms
 }
--- a/internal/fleet/takeover/planner_test.go
+++ b/internal/fleet/takeover/planner_test.go
@@ -93,7 +93,7 @@
 	applyAll(table, commands)
 	commands, _ = planner.Step(3+retryInterval, view, table, 0)
 	applyAll(table, commands)
-	assert.NotEqual(t, first, table.Find(testKey(0)).Owner) // not the lost new owner
+	assert.NotEqual(t, first, table.Find(testKey(0)).Owner)    // not the lost new owner
 	assert.NotEqual(t, lostNode, table.Find(testKey(0)).Owner) // nor the first owner
 }
 
@@ -126,6 +126,6 @@
 		commands, _ = planner.Step(now, testView(3), table, 0)
 		applyAll(table, commands)
 	}
-	assert.NotEqual(t, first, table.Find(testKey(0)).Owner) // not the owner that returned it
+	assert.NotEqual(t, first, table.Find(testKey(0)).Owner)          // not the owner that returned it
 	assert.NotEqual(t, claims.Owner{}, table.Find(testKey(0)).Owner) // it has an owner again
 }
