--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -4,10 +4,10 @@
 
 // Topology of the links between nodes.
 const (
-	ringCount     = 4         // orders of the fleet; a node watches its neighbours on both sides of each
-	maxPassedOver = 4         // silent members skipped on one side of a ring
-	maxLinks      = 32        // links of a node, in both directions
-	maxTableSize  = 1<<16 - 1 // members: adjacency holds indices of two bytes
+	ringCount        = 4         // orders of the fleet; a node watches its neighbours on both sides of each
+	maxSkippedSilent = 4         // silent members skipped on one side of a ring
+	maxLinks         = 32        // links of a node, in both directions
+	maxTableSize     = 1<<16 - 1 // members: adjacency holds indices of two bytes
 )
 
 // Bounds of what one message or record holds.
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -37,25 +37,25 @@
 
 // simulation is a fleet of nodes that send each other datagrams and exchanges, some of which are lost.
 type simulation struct {
-	t      *testing.T
-	now    int64
-	order  int64
-	events eventQueue
-	random *rand.Rand
-	loss   float64
-	nodes  map[string]*simulatedNode // by address
-	cut    map[string]bool           // addresses that neither send nor hear
-	digest hash.Hash
+	t           *testing.T
+	now         int64
+	order       int64
+	events      eventQueue
+	random      *rand.Rand
+	loss        float64
+	nodes       map[string]*simulatedNode // by address
+	partitioned map[string]bool           // addresses that neither send nor hear
+	digest      hash.Hash
 }
 
 type simulatedNode struct {
-	address string
-	members *Members
-	wakeAt  int64
-	life    int
-	paused  bool
-	asked   map[int]func(*Message)
-	links   int
+	address          string
+	members          *Members
+	wakeAt           int64
+	incarnation      int
+	paused           bool
+	pendingExchanges map[int]func(*Message)
+	lastExchange     int
 }
 
 func (s *simulation) after(delay int64, run func()) {
@@ -73,15 +73,15 @@
 		n = &simulatedNode{address: address}
 		s.nodes[address] = n
 	}
-	n.life++
-	n.asked = map[int]func(*Message){}
+	n.incarnation++
+	n.pendingExchanges = map[int]func(*Message){}
 	config := Config{Name: fmt.Sprintf("n%d", k), Address: address, Zone: fmt.Sprintf("z%d", k%3), Version: "1", Seeds: seeds,
 		ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 20_000 * ms, MaxMembers: 64}
 	n.members = New(config, s.now, s.now+1, 0, s.random.Int63())
 	s.step(n)
 }
 
-func clone(t *testing.T, m *Message) (*Message, []byte) {
+func encodeAndDecode(t *testing.T, m *Message) (*Message, []byte) {
 	t.Helper()
 	text, err := cbor.Marshal(m)
 	require.NoError(t, err)
@@ -96,7 +96,7 @@
 		return
 	}
 	effects, wake := n.members.Step(s.now, s.now, inputs)
-	life := n.life
+	incarnation := n.incarnation
 	write := func(values ...int64) {
 		for _, v := range values {
 			_ = binary.Write(s.digest, binary.LittleEndian, v)
@@ -105,24 +105,24 @@
 	write(s.now, wake, int64(len(effects)))
 	for k := range effects {
 		e := &effects[k]
-		message, text := clone(s.t, &e.Message)
+		message, text := encodeAndDecode(s.t, &e.Message)
 		write(int64(e.Kind), int64(e.ExchangeID), int64(e.Change.Number), int64(e.Change.Cause), int64(e.Change.Incarnation), e.Change.DetectionDelay,
 			int64(e.Change.Size), int64(e.Change.Hash))
 		_, _ = s.digest.Write(append(text, e.To+e.Change.Member+e.Change.ReportedBy...))
-		s.carry(n, e.Kind, e.To, e.ExchangeID, message)
+		s.execute(n, e.Kind, e.To, e.ExchangeID, message)
 	}
 	n.wakeAt = max(s.now+1, wake)
 	s.after(n.wakeAt-s.now, func() {
-		if n.life == life && s.now >= n.wakeAt { // else a later step set another wake
+		if n.incarnation == incarnation && s.now >= n.wakeAt { // else a later step set another wake
 			s.step(n)
 		}
 	})
 }
 
-func (s *simulation) carry(n *simulatedNode, kind EffectKind, to string, link int, message *Message) {
-	life := n.life
+func (s *simulation) execute(n *simulatedNode, kind EffectKind, to string, link int, message *Message) {
+	incarnation := n.incarnation
 	peer := s.nodes[to]
-	lost := peer == nil || s.random.Float64() < s.loss || s.cut[to] != s.cut[n.address]
+	lost := peer == nil || s.random.Float64() < s.loss || s.partitioned[to] != s.partitioned[n.address]
 	switch kind {
 	case Send:
 		if !lost {
@@ -130,7 +130,7 @@
 		}
 	case Exchange:
 		answered := func(input Input) {
-			if n.life == life {
+			if n.incarnation == incarnation {
 				s.step(n, input)
 			}
 		}
@@ -139,22 +139,22 @@
 			return
 		}
 		s.after(s.delay(), func() {
-			peer.links++
-			peer.asked[peer.links] = func(answer *Message) {
+			peer.lastExchange++
+			peer.pendingExchanges[peer.lastExchange] = func(answer *Message) {
 				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, ExchangeID: link, Message: answer}) })
 			}
-			s.step(peer, Input{Kind: ExchangeOpened, ExchangeID: peer.links, Message: message})
+			s.step(peer, Input{Kind: ExchangeOpened, ExchangeID: peer.lastExchange, Message: message})
 		})
 	case Reply:
-		if reply := n.asked[link]; reply != nil {
-			delete(n.asked, link)
+		if reply := n.pendingExchanges[link]; reply != nil {
+			delete(n.pendingExchanges, link)
 			reply(message)
 		}
 	}
 }
 
 // fault draws one disturbance of the fleet.
-func (s *simulation) fault(nodes int, seeds []string) {
+func (s *simulation) injectFault(nodes int, seeds []string) {
 	k := 1 + s.random.Intn(nodes)
 	n := s.nodes[fmt.Sprintf("10.0.0.%d:9", k)]
 	switch s.random.Intn(6) {
@@ -164,8 +164,8 @@
 		s.step(n, Input{Kind: Leaving})
 		s.after(2_000*ms, func() { s.start(k, seeds) })
 	case 2:
-		s.cut[n.address] = true
-		s.after(6_000*ms, func() { delete(s.cut, n.address) })
+		s.partitioned[n.address] = true
+		s.after(6_000*ms, func() { delete(s.partitioned, n.address) })
 	case 3:
 		n.paused = true
 		s.after(3_000*ms, func() {
@@ -177,8 +177,8 @@
 	case 5:
 		for other := range nodes / 2 {
 			address := fmt.Sprintf("10.0.0.%d:9", 1+other)
-			s.cut[address] = true
-			s.after(8_000*ms, func() { delete(s.cut, address) })
+			s.partitioned[address] = true
+			s.after(8_000*ms, func() { delete(s.partitioned, address) })
 		}
 	}
 }
@@ -198,13 +198,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &simulation{t: t, now: 1_000_000 * ms, random: rand.New(rand.NewSource(c.seed)), loss: c.loss,
-				nodes: map[string]*simulatedNode{}, cut: map[string]bool{}, digest: sha256.New()}
+				nodes: map[string]*simulatedNode{}, partitioned: map[string]bool{}, digest: sha256.New()}
 			seeds := []string{"10.0.0.1:9", "10.0.0.2:9"}
 			for k := range c.nodes {
 				s.after(s.random.Int63n(1_000*ms), func() { s.start(1+k, seeds) })
 			}
 			for at := int64(8_000 * ms); at < 80_000*ms; at += 4_000 * ms {
-				s.after(at, func() { s.fault(c.nodes, seeds) })
+				s.after(at, func() { s.injectFault(c.nodes, seeds) })
 			}
 			for end := s.now + 100_000*ms; s.events[0].at < end; {
 				e := heap.Pop(&s.events).(event)
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -16,30 +16,30 @@
 // queueOnLink queues a record on one link, and to be sent twice in a small fleet.
 func (m *Members) queueOnLink(k int8, i int32) {
 	bit := uint32(1) << k
-	if m.owed[i]&bit == 0 {
-		m.owed[i] |= bit
-		m.links[k].owedRecords++
+	if m.queuedOn[i]&bit == 0 {
+		m.queuedOn[i] |= bit
+		m.links[k].queuedRecords++
 	}
-	if m.owedTwice[i] &^= bit; m.viewSize < 2*ringCount { // few links bring each record: twice on each
-		m.owedTwice[i] |= bit
+	if m.resendOn[i] &^= bit; m.viewSize < 2*ringCount { // few links bring each record: twice on each
+		m.resendOn[i] |= bit
 	}
 }
 
 // dequeueOnLink takes a record out of the queue of a link.
 func (m *Members) dequeueOnLink(k int8, i int32) {
-	if bit := uint32(1) << k; m.owed[i]&bit != 0 {
-		m.owed[i] &^= bit
-		m.owedTwice[i] &^= bit
-		m.links[k].owedRecords--
+	if bit := uint32(1) << k; m.queuedOn[i]&bit != 0 {
+		m.queuedOn[i] &^= bit
+		m.resendOn[i] &^= bit
+		m.links[k].queuedRecords--
 	}
 }
 
 // clearQueue empties the queue of a link.
 func (m *Members) clearQueue(k int8) {
-	m.links[k].owedRecords = 0
-	for i := range m.owed {
-		m.owed[i] &^= 1 << k
-		m.owedTwice[i] &^= 1 << k
+	m.links[k].queuedRecords = 0
+	for i := range m.queuedOn {
+		m.queuedOn[i] &^= 1 << k
+		m.resendOn[i] &^= 1 << k
 	}
 }
 
@@ -47,10 +47,10 @@
 func (m *Members) checkQueues() {
 	for k := range m.links {
 		n := 0
-		for _, bits := range m.owed {
+		for _, bits := range m.queuedOn {
 			n += int(bits >> k & 1)
 		}
-		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].owedRecords, "what is owed on a link is counted")
+		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].queuedRecords, "what is owed on a link is counted")
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	for k := range m.links {
 		l := &m.links[k]
-		if l.member < 0 || l.owedRecords == 0 || m.ownTime < l.nextGossipAt {
+		if l.member < 0 || l.queuedRecords == 0 || m.ownTime < l.nextGossipAt {
 			continue
 		}
 		if l.silence(m.ownTime) > m.config.LinkTimeout { // it is healed once it is back
@@ -74,7 +74,7 @@
 			m.clearQueue(int8(k))
 			continue
 		}
-		if l.owedRecords > maxRecordsPerDatagram {
+		if l.queuedRecords > maxRecordsPerDatagram {
 			l.nextGossipAt = m.ownTime + gossipInterval/4
 		}
 		m.send(m.members[l.member].record.Address, &Message{Kind: MessageGossip, Records: records})
@@ -85,7 +85,7 @@
 // member on at which the last datagram ended.
 func (m *Members) nextGossip(k int8) (records []Record) {
 	l, bit, size, found := &m.links[k], uint32(1)<<k, 0, 0
-	owing := l.owedRecords
+	queued := l.queuedRecords
 	take := func(i int) bool {
 		r := &m.members[i].record
 		if size += r.size(); len(records) > 0 && (size > maxGossipBytes || len(records) == maxRecordsPerDatagram) {
@@ -93,29 +93,29 @@
 		}
 		records = append(records, *r)
 		found++
-		if m.owedTwice[i]&bit != 0 {
-			m.owedTwice[i] &^= bit
+		if m.resendOn[i]&bit != 0 {
+			m.resendOn[i] &^= bit
 		} else {
-			m.owed[i] &^= bit
-			l.owedRecords--
+			m.queuedOn[i] &^= bit
+			l.queuedRecords--
 		}
 		return true
 	}
-	if m.owed[0]&bit != 0 {
+	if m.queuedOn[0]&bit != 0 {
 		take(0)
 	}
-	at := l.nextOwed
+	at := l.nextQueued
 	for range m.members {
-		if found == owing { // no more can follow: the turn stays where it is
+		if found == queued { // no more can follow: the turn stays where it is
 			return records
 		}
-		if at > 0 && m.owed[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
+		if at > 0 && m.queuedOn[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
 			break
 		}
 		if at++; at == len(m.members) {
 			at = 0
 		}
 	}
-	l.nextOwed = at
+	l.nextQueued = at
 	return records
 }
--- a/internal/fleet/membership/helpers_test.go
+++ b/internal/fleet/membership/helpers_test.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-const s = 1_000 * ms
+const second = 1_000 * ms
 
-var usual = Config{Name: "a", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60 * s, MaxMembers: 1_000}
+var testConfig = Config{Name: "a", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60 * second, MaxMembers: 1_000}
 
 // record is what a member of a name tells of itself.
 func record(name string, inc uint64, links ...string) Record {
@@ -20,42 +20,42 @@
 }
 
 // linked has all links that a node takes up at its first step work.
-func linked(m *Members) *Members {
-	m.Step(s, 100, nil)
+func bringLinksUp(m *Members) *Members {
+	m.Step(second, 100, nil)
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			l.up, l.lastProofAt = true, m.ownTime
+			l.up, l.confirmedAt = true, m.ownTime
 		}
 	}
 	m.linksDirty = true
-	m.Step(s+300*ms, 100, nil)
+	m.Step(second+300*ms, 100, nil)
 	return m
 }
 
 // held is a node a, started at 100, in one view with others that all have links with all.
-func held(others ...string) *Members {
-	m := New(usual, s, 100, 0, 1)
+func newLinkedMembers(others ...string) *Members {
+	m := New(testConfig, second, 100, 0, 1)
 	all := append([]string{"a"}, others...)
 	for _, name := range others {
 		r := record(name, 100, slices.DeleteFunc(slices.Clone(all), func(n string) bool { return n == name })...)
 		m.applyRecord(&r, -1)
 	}
-	return linked(m)
+	return bringLinksUp(m)
 }
 
 // many is a node among so many members, with links only to its neighbours; all others are linked in a ring.
-func many(n int) *Members {
-	m := New(usual, s, 100, 0, 1)
+func newLargeFleet(n int) *Members {
+	m := New(testConfig, second, 100, 0, 1)
 	name := func(i int) string { return fmt.Sprint("m", (i+n)%n) }
 	for i := range n {
 		r := record(name(i), 100, name(i-1), name(i+1), "a")
 		m.applyRecord(&r, -1)
 	}
-	return linked(m)
+	return bringLinksUp(m)
 }
 
 // answer has every link's last ping answered.
-func answer(m *Members) (inputs []Input) {
+func ackPings(m *Members) (inputs []Input) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
 			inputs = append(inputs, Input{Kind: DatagramReceived, Message: &Message{Kind: MessageAck, From: m.members[l.member].id, Seq: l.pingSeq, Digest: m.digest}})
@@ -64,7 +64,7 @@
 	return inputs
 }
 
-func causes(effects []Effect) (list []string) {
+func changeTexts(effects []Effect) (list []string) {
 	for _, e := range effects {
 		if e.Kind == ViewChanged {
 			list = append(list, e.Change.Member+" "+CauseNames[e.Change.Cause])
@@ -74,13 +74,13 @@
 }
 
 // until steps at each wake to a moment, and gathers the changes of the view; answered has pings answered at once.
-func until(m *Members, from, to int64, answered bool) (list []string) {
+func runUntil(m *Members, from, to int64, answered bool) (list []string) {
 	for now := from; now < to; {
 		effects, wake := m.Step(now, now, nil)
-		list = append(list, causes(effects)...)
+		list = append(list, changeTexts(effects)...)
 		if answered {
-			effects, wake = m.Step(now, now, answer(m))
-			list = append(list, causes(effects)...)
+			effects, wake = m.Step(now, now, ackPings(m))
+			list = append(list, changeTexts(effects)...)
 		}
 		now = max(wake, now+1)
 	}
@@ -88,4 +88,4 @@
 }
 
 // soon is what changes at once.
-func soon(m *Members) []string { return until(m, m.wakeAt, m.wakeAt+100*ms, true) }
+func runBriefly(m *Members) []string { return runUntil(m, m.wakeAt, m.wakeAt+100*ms, true) }
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		m.clearQueue(int8(k))
-		*l = link{member: i, openedAt: m.ownTime, lastProofAt: -m.config.LinkTimeout, watchedAt: -m.config.LinkTimeout, lastSyncAt: m.ownTime, nextPingAt: m.ownTime}
+		*l = link{member: i, openedAt: m.ownTime, confirmedAt: -m.config.LinkTimeout, watchedAt: -m.config.LinkTimeout, lastSyncAt: m.ownTime, nextPingAt: m.ownTime}
 		m.members[i].linkIndex = int8(k)
 		m.queueOnLink(int8(k), 0)
 		return l
@@ -35,10 +35,10 @@
 func (m *Members) closeLink(k int8) {
 	l := &m.links[k]
 	if l.up && !m.linksDirty { // published with other closings, and before the peer would notice the silence
-		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.ownTime+closedPublishInterval, l.lastProofAt+m.config.LinkTimeout))
+		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.ownTime+closedPublishInterval, l.confirmedAt+m.config.LinkTimeout))
 	}
 	m.members[l.member].linkIndex = -1
-	l.member, l.up, l.owedRecords = -1, false, 0
+	l.member, l.up, l.queuedRecords = -1, false, 0
 }
 
 // linksUp returns how many links work.
@@ -52,7 +52,7 @@
 }
 
 // silence returns for how long no ping was answered.
-func (l *link) silence(t int64) int64 { return t - max(l.lastProofAt, l.openedAt) }
+func (l *link) silence(t int64) int64 { return t - max(l.confirmedAt, l.openedAt) }
 
 // watch opens a link to a member, or marks the one there is as wanted.
 func (m *Members) watch(i int32) *link {
@@ -95,7 +95,7 @@
 
 // noticeSilence marks a link as down once no ping was answered for the link timeout.
 func (m *Members) noticeSilence(l *link) {
-	if !l.up || m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
+	if !l.up || m.ownTime-l.confirmedAt <= m.config.LinkTimeout {
 		return
 	}
 	l.up = false
@@ -182,14 +182,14 @@
 	lostBefore                     bool // it was up before
 	openedAt                       int64
 	keepUntil                      int64 // until which it is kept although not wanted
-	lastProofAt                    int64 // when the last ping that was answered was sent
+	confirmedAt                    int64 // when the last ping that was answered was sent
 	watchedAt                      int64 // when it last pinged as one that watches
 	nextPingAt, nextProbeAt        int64 // when the next ping is due at the earliest; when it is even if all were answered
 	roundTrip                      int64 // ns of a round trip, smoothed: no ping is sent again before its answer can be there
 	pingSeq                        uint32
 	pingsSent                      [pingHistory]int64
 	digestDiffersSince, lastSyncAt int64
-	owedRecords, nextOwed          int // records that are owed; the member after the one sent last
+	queuedRecords, nextQueued      int // records that are owed; the member after the one sent last
 	nextGossipAt                   int64
 }
 
@@ -197,7 +197,7 @@
 func (m *Members) applyAck(i int32, seq uint32) {
 	peer := &m.members[i]
 	if peer.linkIndex >= 0 && m.links[peer.linkIndex].expects(seq) {
-		m.linkProved(&m.links[peer.linkIndex], peer, seq)
+		m.confirmLink(&m.links[peer.linkIndex], peer, seq)
 		return
 	}
 	for k := range m.reconnects {
@@ -205,7 +205,7 @@
 			m.reconnects[k].id = 0
 			peer.watchUntil = m.ownTime + 2*m.config.LinkTimeout
 			m.ringsDirty = true
-			if m.syncLink == 0 {
+			if m.syncExchangeID == 0 {
 				m.startSync(peer.record.Address)
 			}
 			return
@@ -221,14 +221,14 @@
 }
 
 // linkProved notes that the ping with a sequence number was answered, and brings the link up if the proof is recent.
-func (m *Members) linkProved(l *link, peer *member, seq uint32) {
+func (m *Members) confirmLink(l *link, peer *member, seq uint32) {
 	sent := l.pingsSent[seq%pingHistory]
-	l.lastProofAt = max(l.lastProofAt, sent)
+	l.confirmedAt = max(l.confirmedAt, sent)
 	if seq == l.pingSeq { // the answer to an older ping may be late because of a pause, so it is no round trip
 		l.addRoundTrip(min(m.ownTime-sent, m.config.ProbeInterval))
 		l.nextPingAt = l.nextProbeAt
 	}
-	if l.up || m.ownTime-l.lastProofAt > m.config.LinkTimeout {
+	if l.up || m.ownTime-l.confirmedAt > m.config.LinkTimeout {
 		return
 	}
 	l.up = true
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -50,12 +50,12 @@
 		i, m.free = m.free[n-1], m.free[:n-1]
 	} else {
 		m.members = append(m.members, member{})
-		m.seenStamp = append(m.seenStamp, 0)
-		m.owed, m.owedTwice = append(m.owed, 0), append(m.owedTwice, 0)
+		m.lastSummarizedIn = append(m.lastSummarizedIn, 0)
+		m.queuedOn, m.resendOn = append(m.queuedOn, 0), append(m.resendOn, 0)
 		m.adjacency, m.lastTraversal = append(m.adjacency, adjacency{}), append(m.lastTraversal, 0)
-		m.settled, m.inRings = append(m.settled, false), append(m.inRings, false)
+		m.upToDate, m.inRings = append(m.upToDate, false), append(m.inRings, false)
 	}
-	m.adjacency[i].left, m.lastTraversal[i], m.settled[i] = r.Left, 0, false
+	m.adjacency[i].left, m.lastTraversal[i], m.upToDate[i] = r.Left, 0, false
 	peer := &m.members[i]
 	*peer = member{record: *r, id: IDOf(r.Name), linkIndex: -1, outOfViewSince: m.ownTime, watchUntil: m.ownTime + m.config.LinkTimeout, statusSince: m.ownTime}
 	m.byID[peer.id] = i
@@ -88,7 +88,7 @@
 	for _, j := range m.neighboursOf(i) {
 		m.removeAdjacency(int32(j), i)
 	}
-	m.adjacency[i], m.lastTraversal[i], m.settled[i] = adjacency{}, 0, false
+	m.adjacency[i], m.lastTraversal[i], m.upToDate[i] = adjacency{}, 0, false
 	m.ringsStale, m.inRings[i] = m.ringsStale || m.inRings[i], false
 	delete(m.byID, peer.id)
 	*peer = member{linkIndex: -1}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -14,44 +14,44 @@
 	Counters   Counters
 
 	config              Config
-	chance              *rand.Rand
+	random              *rand.Rand
 	ownTime, pausedTime int64
 	wakeAt              int64 // as last told, by the caller's clock
 	members             []member
 	free                []int32
 	byID                map[ID]int32
 	links               [maxLinks]link // member < 0 where free
-	owed                []uint32       // by member: a bit for each link on which its record is still to be sent
-	owedTwice           []uint32       // by member: on which it is to be sent once more after that
+	queuedOn            []uint32       // by member: a bit for each link on which its record is still to be sent
+	resendOn            []uint32       // by member: on which it is to be sent once more after that
 	adjacency           []adjacency    // by member
 	lastTraversal       []uint32       // by member: the follow, by its number, that led to it last
 	traversal           uint32
-	settled             []bool // by member: alive in the view or no member, and unchanged since it was looked at: nothing is due
+	upToDate            []bool // by member: alive in the view or no member, and unchanged since it was looked at: nothing is due
 	inRings             []bool // by member: in the orders of the rings
 	ringOrder           [ringCount][]int32
 	ringsStale          bool // one of the orders was forgotten
 	ringJoiners         []int32
 	effects             []Effect
-	seenStamp           []uint32 // by member, stamp of the last look
-	stamp               uint32
+	lastSummarizedIn    []uint32 // by member, stamp of the last look
+	syncRequestNumber   uint32
 	stack               []int32
 	digest              uint64
 	viewHash            uint64 // of the view: of the names and lives in it
 	viewNumber          uint64
 	viewSize            int
 	isolated            bool
-	refusedUntil        int64 // until which this node keeps away, for its name is held
-	lastLink            int
+	yieldUntil          int64 // until which this node keeps away, for its name is held
+	lastExchangeID      int
 
 	ringsDirty, viewDirty, linksDirty                    bool
 	linkRegained                                         bool // a link that was lost, or one to a member to which no path leads, is not told of yet
 	nextRingsAt, publishAt, publishedAt                  int64
 	nextTraversalAt, nextViewAt                          int64
 	nextReconnectAt, nextJoinAt, nextSeedAt, joinBackoff int64
-	syncLink                                             int // link of the exchange that is under way
+	syncExchangeID                                       int // link of the exchange that is under way
 	lastSyncStart                                        int64
-	lastNewsAt                                           int64 // when a record last was news
-	newsQuietAt                                          int64 // when news last rested, or a table was asked for in spite of them
+	lastNewRecordAt                                      int64 // when a record last was news
+	gossipQuietAt                                        int64 // when news last rested, or a table was asked for in spite of them
 	reconnects                                           [maxReconnects]struct {
 		id  ID
 		seq uint32
@@ -65,7 +65,7 @@
 // New returns the state of a node that starts at now. Wall is Unix time in nanoseconds, kept the last incarnation that is
 // on disk, 0 for none; seed is that of its random choices.
 func New(config Config, now, wall int64, kept uint64, seed int64) *Members {
-	m := &Members{config: config, chance: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, ownTime: now, joinBackoff: joinInterval, traversal: 1}
+	m := &Members{config: config, random: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, ownTime: now, joinBackoff: joinInterval, traversal: 1}
 	m.config.MaxMembers = min(config.MaxMembers, maxTableSize)
 	for k := range m.links {
 		m.links[k].member = -1
@@ -74,12 +74,12 @@
 		Facts: Facts{Version: config.Version, Zone: config.Zone}}
 	m.addMember(&self)
 	m.members[0].inView, m.members[0].everInView, m.viewSize, m.viewHash = true, true, 1, m.members[0].incarnationHash()
-	m.nextJoinAt, m.seedIndex = now+m.jitter(joinInterval/2), m.chance.Intn(len(config.Seeds)+1)
+	m.nextJoinAt, m.seedIndex = now+m.jitter(joinInterval/2), m.random.Intn(len(config.Seeds)+1)
 	m.nextReconnectAt, m.nextSeedAt = now+m.jitter(reconnectInterval), now+m.jitter(joinInterval)
 	return m
 }
 
-func (m *Members) jitter(ns int64) int64 { return ns/2 + m.chance.Int63n(max(1, ns)) }
+func (m *Members) jitter(ns int64) int64 { return ns/2 + m.random.Int63n(max(1, ns)) }
 
 func mixHash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 + b
@@ -109,15 +109,15 @@
 	if m.effects = m.effects[:0]; cap(m.effects) > retainedEffects {
 		m.effects = nil
 	}
-	stood := int64(0)
+	pausedFor := int64(0)
 	if m.wakeAt > 0 && now-m.wakeAt > minPause {
-		stood = now - m.wakeAt
-		m.pausedTime += stood
+		pausedFor = now - m.wakeAt
+		m.pausedTime += pausedFor
 		m.Counters.Pauses++
 	}
 	m.Invariants.Check(now-m.pausedTime >= m.ownTime, "its own time only advances")
 	m.ownTime = max(m.ownTime, now-m.pausedTime)
-	if stood > m.config.LinkTimeout/4 {
+	if pausedFor > m.config.LinkTimeout/4 {
 		m.probeAllLinks()
 	}
 	for i := range inputs {
@@ -145,19 +145,19 @@
 func (m *Members) apply(in *Input) {
 	switch in.Kind {
 	case DatagramReceived:
-		if in.Message.From != m.members[0].id && m.ownTime >= m.refusedUntil {
+		if in.Message.From != m.members[0].id && m.ownTime >= m.yieldUntil {
 			m.applyDatagram(in.Message)
 		}
 	case ExchangeOpened:
 		m.answerSync(in.ExchangeID, in.Message)
 	case ExchangeAnswered:
-		if in.ExchangeID == m.syncLink {
-			m.syncLink = 0
+		if in.ExchangeID == m.syncExchangeID {
+			m.syncExchangeID = 0
 		}
 		m.applySyncAnswer(in.Message)
 	case ExchangeFailed:
-		if in.ExchangeID == m.syncLink {
-			m.syncLink = 0
+		if in.ExchangeID == m.syncExchangeID {
+			m.syncExchangeID = 0
 		}
 	case FactsChanged:
 		if self := &m.members[0].record; self.Facts != in.Facts {
@@ -238,9 +238,9 @@
 		}
 		at = min(at, l.nextPingAt)
 		if l.up {
-			at = min(at, l.lastProofAt+m.config.LinkTimeout+1)
+			at = min(at, l.confirmedAt+m.config.LinkTimeout+1)
 		}
-		if l.owedRecords > 0 {
+		if l.queuedRecords > 0 {
 			at = min(at, l.nextGossipAt)
 		}
 	}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -10,35 +10,35 @@
 	"pgregory.net/rapid"
 )
 
-func TestViewIsWhomAPathOfLinksLeadsTo(t *testing.T) {
-	m := held("b", "c")
+func TestViewIncludesMembersReachableOverMutualLinks(t *testing.T) {
+	m := newLinkedMembers("b", "c")
 	r := record("d", 100, "c") // c does not tell of a link to it
 	m.applyRecord(&r, -1)
-	assert.Empty(t, soon(m))
+	assert.Empty(t, runBriefly(m))
 	r = record("c", 101, "a", "b", "d")
 	r.StartedAt = 100
 	m.applyRecord(&r, -1)
-	assert.Equal(t, []string{"d joined"}, soon(m))
+	assert.Equal(t, []string{"d joined"}, runBriefly(m))
 }
 
-func TestLossMustLastBeforeTheViewFollows(t *testing.T) {
-	m := held("b", "c", "d")
+func TestUnreachableMemberLeavesViewAfterSuspicionTimeout(t *testing.T) {
+	m := newLinkedMembers("b", "c", "d")
 	for _, name := range []string{"b", "c"} { // they have no link to d any more; a has one of its own that is silent
 		r := record(name, 101, "a", "b", "c")
 		r.StartedAt = 100
 		m.applyRecord(&r, -1)
 	}
-	m.links[m.members[m.byID[IDOf("d")]].linkIndex].lastProofAt = m.ownTime - 4*s
-	assert.Empty(t, until(m, m.wakeAt, m.wakeAt+usual.SuspicionTimeout-50*ms, false))
-	assert.Equal(t, []string{"d lost"}, until(m, m.wakeAt, m.wakeAt+500*ms, false))
+	m.links[m.members[m.byID[IDOf("d")]].linkIndex].confirmedAt = m.ownTime - 4*second
+	assert.Empty(t, runUntil(m, m.wakeAt, m.wakeAt+testConfig.SuspicionTimeout-50*ms, false))
+	assert.Equal(t, []string{"d lost"}, runUntil(m, m.wakeAt, m.wakeAt+500*ms, false))
 }
 
-func TestPauseOfThisProcessAccusesNobody(t *testing.T) {
-	m := held("b", "c", "d")
+func TestProcessPauseDoesNotMarkPeersLost(t *testing.T) {
+	m := newLinkedMembers("b", "c", "d")
 	last, pauses := m.wakeAt, m.Counters.Pauses
 	var got []string
-	effects, wake := m.Step(last+30*s, 100, nil) // it was stopped; the others answer once they are asked
-	got = append(got, causes(effects)...)
+	effects, wake := m.Step(last+30*second, 100, nil) // it was stopped; the others answer once they are asked
+	got = append(got, changeTexts(effects)...)
 	assert.Equal(t, pauses+1, m.Counters.Pauses)
 	pings := 0
 	for _, e := range effects {
@@ -47,13 +47,13 @@
 		}
 	}
 	assert.Equal(t, 3, pings, "all whom it watches are asked at once")
-	got = append(got, until(m, wake, wake+10*s, true)...)
+	got = append(got, runUntil(m, wake, wake+10*second, true)...)
 	assert.Empty(t, got)
 }
 
-func TestNodeThatHearsNobodyDoubtsItself(t *testing.T) {
-	m := held("b", "c", "d")
-	got := until(m, m.wakeAt, m.wakeAt+20*s, false)
+func TestNodeWithoutLinksKeepsView(t *testing.T) {
+	m := newLinkedMembers("b", "c", "d")
+	got := runUntil(m, m.wakeAt, m.wakeAt+20*second, false)
 	assert.Equal(t, []string{"a cut off"}, got)
 	v := m.View()
 	assert.True(t, v.Isolated)
@@ -62,31 +62,31 @@
 		assert.Equal(t, Suspect, seen.Status)
 		assert.Equal(t, Unreachable, seen.Reach)
 	}
-	assert.Equal(t, []string{"a restored"}, until(m, m.wakeAt, m.wakeAt+5*s, true))
+	assert.Equal(t, []string{"a restored"}, runUntil(m, m.wakeAt, m.wakeAt+5*second, true))
 }
 
-func TestLeaverIsNotSuspected(t *testing.T) {
-	m := held("b", "c")
+func TestDrainedMemberLeavesViewWithoutSuspicion(t *testing.T) {
+	m := newLinkedMembers("b", "c")
 	r := record("c", 101, "a", "b")
 	r.StartedAt, r.Left = 100, true
 	m.applyRecord(&r, -1)
-	assert.Equal(t, []string{"c left"}, soon(m))
+	assert.Equal(t, []string{"c left"}, runBriefly(m))
 	r = record("b", 101) // in beat 1, then silent
 	r.StartedAt, r.Facts.DrainPhase = 100, 1
 	m.applyRecord(&r, -1)
-	assert.Equal(t, []string{"b left"}, soon(m))
+	assert.Equal(t, []string{"b left"}, runBriefly(m))
 }
 
-func TestRestartUnderTheSameNameReplaces(t *testing.T) {
-	m := held("b", "c")
+func TestRestartedMemberIsReplacedInView(t *testing.T) {
+	m := newLinkedMembers("b", "c")
 	r := record("b", 200)
 	effects, _ := m.Step(m.wakeAt, 100, []Input{{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("c"), Records: []Record{r}}}})
-	assert.Equal(t, []string{"b replaced"}, causes(effects))
+	assert.Equal(t, []string{"b replaced"}, changeTexts(effects))
 	assert.Equal(t, 3, m.viewSize, "it has a silence's time to be reached")
 }
 
-func TestOwnRecordOfAnEarlierLifeIsOutdone(t *testing.T) {
-	m := held("b", "c")
+func TestOwnRecordOfEarlierIncarnationIsSuperseded(t *testing.T) {
+	m := newLinkedMembers("b", "c")
 	r := record("a", 500) // a clock that was ahead in the last life
 	r.Address = m.members[0].record.Address
 	m.applyRecord(&r, -1)
@@ -95,8 +95,8 @@
 	assert.Equal(t, uint64(501), m.Self().Incarnation)
 }
 
-func TestOfTwoNodesOfOneNameTheLaterKeepsAway(t *testing.T) {
-	earlier, later := held("b", "c"), held("b", "c")
+func TestLaterNodeYieldsSharedName(t *testing.T) {
+	earlier, later := newLinkedMembers("b", "c"), newLinkedMembers("b", "c")
 	r := record("a", 300)
 	r.Address = "10.0.0.99:9"
 	earlier.applyRecord(&r, -1) // of one that started later: outdone
@@ -108,8 +108,8 @@
 	assert.Equal(t, 1, later.viewSize)
 }
 
-func TestNameHeldAtAnotherAddressIsRefusedUntilItsHolderIsGone(t *testing.T) {
-	m := held("b", "c")
+func TestNameInUseIsRejectedUntilHolderIsUnreachable(t *testing.T) {
+	m := newLinkedMembers("b", "c")
 	r := record("b", 300)
 	r.Address = "10.0.0.99:9"
 	asked := []Input{{Kind: ExchangeOpened, ExchangeID: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
@@ -130,9 +130,9 @@
 }
 
 func TestTableIsBounded(t *testing.T) {
-	c := usual
+	c := testConfig
 	c.MaxMembers = 10
-	m := New(c, s, 100, 0, 1)
+	m := New(c, second, 100, 0, 1)
 	for i := range 100 {
 		r := record(fmt.Sprint(i), 100)
 		m.applyRecord(&r, -1)
@@ -147,8 +147,8 @@
 	assert.Equal(t, 1, m.Counters.InvalidRecords)
 }
 
-func TestRecordsThatCantBeKeptAreCounted(t *testing.T) {
-	m := held("b")
+func TestInvalidRecordsAreCounted(t *testing.T) {
+	m := newLinkedMembers("b")
 	long := record("c", 100)
 	for i := range maxLinks + 1 {
 		long.Links = append(long.Links, ID(i))
@@ -159,18 +159,18 @@
 	assert.Equal(t, 5, m.Counters.InvalidRecords)
 }
 
-func TestAcksOfOldPingsProveNothing(t *testing.T) {
-	m := held("b", "c")
+func TestUnexpectedAcksDoNotConfirmLink(t *testing.T) {
+	m := newLinkedMembers("b", "c")
 	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
-	l.pingSeq, l.lastProofAt = 100, m.ownTime-2*s
+	l.pingSeq, l.confirmedAt = 100, m.ownTime-2*second
 	for _, seq := range []uint32{100 - pingHistory, 101, 1 << 31} {
 		m.applyAck(m.byID[IDOf("b")], seq)
 	}
-	assert.Equal(t, m.ownTime-2*s, l.lastProofAt)
+	assert.Equal(t, m.ownTime-2*second, l.confirmedAt)
 	assert.Equal(t, 3, m.Counters.UnmatchedMessages)
 }
 
-func TestWhatIsLearntDoesNotDependOnItsOrder(t *testing.T) {
+func TestTableDoesNotDependOnOrderOfRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
 		for range rapid.IntRange(1, 20).Draw(t, "records") {
@@ -178,28 +178,28 @@
 			r.RecordVersion = uint32(rapid.IntRange(0, 3).Draw(t, "ver"))
 			all = append(all, r)
 		}
-		first, second := New(usual, s, 100, 0, 1), New(usual, s, 100, 0, 1)
+		ordered, shuffled := New(testConfig, second, 100, 0, 1), New(testConfig, second, 100, 0, 1)
 		for i := range all {
-			first.applyRecord(&all[i], -1)
+			ordered.applyRecord(&all[i], -1)
 		}
 		for _, i := range rapid.Permutation(all).Draw(t, "order") {
-			second.applyRecord(&i, -1)
-			second.applyRecord(&i, -1)
+			shuffled.applyRecord(&i, -1)
+			shuffled.applyRecord(&i, -1)
 		}
-		require.Equal(t, first.digest, second.digest)
-		for id, i := range first.byID {
-			require.Equal(t, first.members[i].record.RecordVersion, second.members[second.byID[id]].record.RecordVersion)
+		require.Equal(t, ordered.digest, shuffled.digest)
+		for id, i := range ordered.byID {
+			require.Equal(t, ordered.members[i].record.RecordVersion, shuffled.members[shuffled.byID[id]].record.RecordVersion)
 		}
 	})
 }
 
 func TestIdleStepAllocatesNothing(t *testing.T) {
-	m := many(300)
+	m := newLargeFleet(300)
 	now := m.wakeAt
 	for range 200 {
-		_, now = m.Step(now, now, answer(m))
+		_, now = m.Step(now, now, ackPings(m))
 	}
-	inputs := answer(m)
+	inputs := ackPings(m)
 	assert.Zero(t, testing.AllocsPerRun(200, func() {
 		_, now = m.Step(now, now, nil)
 		for k := range inputs {
@@ -213,9 +213,9 @@
 }
 
 func BenchmarkStep300(b *testing.B) {
-	m := many(300)
+	m := newLargeFleet(300)
 	now := m.wakeAt
-	inputs := answer(m)
+	inputs := ackPings(m)
 	b.ReportAllocs()
 	for b.Loop() {
 		_, now = m.Step(now, now, inputs)
@@ -223,13 +223,13 @@
 }
 
 // What is kept as records change is held against all records, whatever peers tell: also links in no order, or twice.
-func TestWhatIsKeptIsAsTheRecordsAre(t *testing.T) {
+func TestIncrementalStateMatchesRecords(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	rapid.Check(t, func(t *rapid.T) {
-		c := usual
+		c := testConfig
 		c.MaxMembers = 5
-		m := New(c, s, 100, 0, 1)
-		now := s
+		m := New(c, second, 100, 0, 1)
+		now := second
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			r := record(rapid.SampledFrom(names[1:]).Draw(t, "name"), uint64(rapid.IntRange(1, 9).Draw(t, "inc")))
 			r.RecordVersion, r.Left = uint32(rapid.IntRange(0, 9).Draw(t, "ver")), rapid.IntRange(0, 9).Draw(t, "left") == 0
@@ -239,8 +239,8 @@
 			if rapid.Bool().Draw(t, "sorted") {
 				slices.Sort(r.Links)
 			}
-			m.Step(now, 100, append(answer(m), Input{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("b"), Records: []Record{r}}}))
-			now += rapid.Int64Range(1, 5*s).Draw(t, "later")
+			m.Step(now, 100, append(ackPings(m), Input{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("b"), Records: []Record{r}}}))
+			now += rapid.Int64Range(1, 5*second).Draw(t, "later")
 			m.Step(now, 100, nil)
 			m.traverse()
 			m.checkAdjacency()
@@ -271,7 +271,7 @@
 }
 
 // pingsOn are when a link is pinged until a moment, in ms after the first of them.
-func pingsOn(m *Members, id ID, to int64, answered func(seq uint32) bool) (at []int64) {
+func pingTimes(m *Members, id ID, to int64, answered func(seq uint32) bool) (at []int64) {
 	first := int64(0)
 	for now := m.wakeAt; now < to; now = max(m.wakeAt, now+1) {
 		effects, _ := m.Step(now, now, nil)
@@ -280,7 +280,7 @@
 			if e.Kind != Send || e.Message.Kind != MessagePing {
 				continue
 			}
-			to := m.byAddress(e.To)
+			to := m.idByAddress(e.To)
 			if to == id {
 				if len(at) == 0 {
 					first = now
@@ -296,7 +296,7 @@
 	return at
 }
 
-func (m *Members) byAddress(address string) ID {
+func (m *Members) idByAddress(address string) ID {
 	for i := range m.members {
 		if m.members[i].record.Address == address {
 			return m.members[i].id
@@ -307,45 +307,45 @@
 
 // A ping without an answer is sent again within its probe, so that a proof is seldom older than one; answered ones
 // cost no more than before, and neither does a link that has long been silent.
-func TestPingsWithoutAnAnswerAreSentAgain(t *testing.T) {
+func TestUnansweredPingsAreResent(t *testing.T) {
 	b := IDOf("b")
-	m := held("b", "c")
-	assert.Equal(t, []int64{0, 500, 1_000, 1_500}, pingsOn(m, b, m.wakeAt+1_990*ms, func(uint32) bool { return true }))
-	m = held("b", "c")
-	got := pingsOn(m, b, m.wakeAt+1_990*ms, func(uint32) bool { return false })
+	m := newLinkedMembers("b", "c")
+	assert.Equal(t, []int64{0, 500, 1_000, 1_500}, pingTimes(m, b, m.wakeAt+1_990*ms, func(uint32) bool { return true }))
+	m = newLinkedMembers("b", "c")
+	got := pingTimes(m, b, m.wakeAt+1_990*ms, func(uint32) bool { return false })
 	require.Greater(t, len(got), 8)
 	assert.Equal(t, []int64{0, 125, 250, 375, 500, 625}, got[:6])
 	l := &m.links[m.members[m.byID[b]].linkIndex]
 	assert.True(t, l.up)
-	got = pingsOn(m, b, m.wakeAt+1_400*ms, func(uint32) bool { return false })
+	got = pingTimes(m, b, m.wakeAt+1_400*ms, func(uint32) bool { return false })
 	assert.LessOrEqual(t, len(got), 4, "a probe each once it is in doubt")
-	m = held("b", "c")
+	m = newLinkedMembers("b", "c")
 	m.links[m.members[m.byID[b]].linkIndex].roundTrip = 200 * ms
-	got = pingsOn(m, b, m.wakeAt+1_500*ms, func(uint32) bool { return false })
+	got = pingTimes(m, b, m.wakeAt+1_500*ms, func(uint32) bool { return false })
 	require.Greater(t, len(got), 4)
 	assert.Equal(t, []int64{0, 400, 500, 900}, got[:4], "none before an answer from afar can be there")
 }
 
 // The settling bridges a link that was lost for a moment only if it is told of within it once it is back.
-func TestLinksThatAreBackAreToldOfBeforeTheLossIsBelieved(t *testing.T) {
-	m := held("b", "c", "d", "e", "f")
+func TestRegainedLinkIsPublishedWithinSuspicionTimeout(t *testing.T) {
+	m := newLinkedMembers("b", "c", "d", "e", "f")
 	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
-	l.lastProofAt = m.ownTime - usual.LinkTimeout - ms
+	l.confirmedAt = m.ownTime - testConfig.LinkTimeout - ms
 	m.Step(m.wakeAt, m.wakeAt, nil)
-	until(m, m.wakeAt, m.wakeAt+250*ms, false)
+	runUntil(m, m.wakeAt, m.wakeAt+250*ms, false)
 	require.NotContains(t, m.Self().Links, IDOf("b"))
 	told := m.publishedAt
-	m.Step(m.wakeAt, m.wakeAt, answer(m))
-	until(m, m.wakeAt, told+regainedPublishInterval+20*ms, false)
+	m.Step(m.wakeAt, m.wakeAt, ackPings(m))
+	runUntil(m, m.wakeAt, told+regainedPublishInterval+20*ms, false)
 	assert.Contains(t, m.Self().Links, IDOf("b"))
-	assert.Less(t, regainedPublishInterval+gossipInterval+traversalInterval, usual.SuspicionTimeout)
+	assert.Less(t, regainedPublishInterval+gossipInterval+traversalInterval, testConfig.SuspicionTimeout)
 }
 
-func TestTablesAreAskedForOnceNewsRest(t *testing.T) {
-	m := held("b", "c", "d")
+func TestTableSyncWaitsForQuietGossip(t *testing.T) {
+	m := newLinkedMembers("b", "c", "d")
 	differs := func(at int64) (asked int) { // pings are answered by neighbours whose tables are others
 		effects, _ := m.Step(at, at, nil)
-		inputs := answer(m)
+		inputs := ackPings(m)
 		for k := range inputs {
 			inputs[k].Message.Digest++
 		}
@@ -368,7 +368,7 @@
 		asked += differs(now)
 	}
 	assert.Equal(t, 1, asked, "once they rest it is asked for")
-	m.Step(now, now, []Input{{Kind: ExchangeFailed, ExchangeID: m.syncLink}})
+	m.Step(now, now, []Input{{Kind: ExchangeFailed, ExchangeID: m.syncExchangeID}})
 	asked = 0
 	for k := range 150 { // 15 s
 		now += 100 * ms
@@ -379,18 +379,18 @@
 	assert.Equal(t, 1, asked, "news don't put it off for ever")
 }
 
-func TestLinksThatNobodyWantsAreToldAsEndedTogether(t *testing.T) {
-	m := held("b", "c", "d", "e", "f")
-	until(m, m.wakeAt, m.wakeAt+gainedPublishInterval, true)
+func TestClosedLinksArePublishedTogether(t *testing.T) {
+	m := newLinkedMembers("b", "c", "d", "e", "f")
+	runUntil(m, m.wakeAt, m.wakeAt+gainedPublishInterval, true)
 	var links []int8
 	for k := range m.links {
 		if m.links[k].member >= 0 {
 			links = append(links, int8(k))
 		}
 	}
-	ver, closed, proof := m.Self().RecordVersion, m.ownTime, m.links[links[1]].lastProofAt
+	ver, closed, proof := m.Self().RecordVersion, m.ownTime, m.links[links[1]].confirmedAt
 	m.closeLink(links[0])
-	until(m, m.wakeAt, closed+gainedPublishInterval, true)
+	runUntil(m, m.wakeAt, closed+gainedPublishInterval, true)
 	m.closeLink(links[1])
 	for m.wakeAt-m.pausedTime < closed+closedPublishInterval {
 		assert.Equal(t, ver, m.Self().RecordVersion, "no version for each")
@@ -400,10 +400,10 @@
 		m.Step(m.wakeAt, 100, nil)
 	}
 	assert.Equal(t, ver+1, m.Self().RecordVersion, "one for both")
-	assert.Less(t, closed+closedPublishInterval, proof+usual.LinkTimeout, "before silence would have told it")
+	assert.Less(t, closed+closedPublishInterval, proof+testConfig.LinkTimeout, "before silence would have told it")
 	m.closeLink(links[2])
 	l := &m.links[links[3]]
-	l.lastProofAt = m.ownTime - usual.LinkTimeout - 1
+	l.confirmedAt = m.ownTime - testConfig.LinkTimeout - 1
 	m.probeLinks()
 	assert.LessOrEqual(t, m.publishAt, m.ownTime+publishInterval, "a link that is lost is told at once, and those with it")
 }
--- a/internal/fleet/membership/neighbours_test.go
+++ b/internal/fleet/membership/neighbours_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestMembersOfOneZoneAndThoseWithoutOne(t *testing.T) {
+func TestInZoneInViewAndNeighbours(t *testing.T) {
 	for zone, want := range map[string][]string{"": {"c"}, "a": {"b"}} {
 		m := New(Config{Name: "n", Address: "10.0.0.1:9", Zone: zone, ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60_000 * ms,
 			MaxMembers: 9}, 0, 1, 0, 1)
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -28,7 +28,7 @@
 			}
 			if m.lastTraversal[j] != last {
 				peer := &m.members[j]
-				peer.reachable, peer.unreachableSince, m.settled[j] = true, 0, false
+				peer.reachable, peer.unreachableSince, m.upToDate[j] = true, 0, false
 			}
 			m.lastTraversal[j] = m.traversal
 			m.stack = append(m.stack, int32(j))
@@ -39,7 +39,7 @@
 			continue
 		}
 		peer := &m.members[i]
-		if peer.reachable, m.settled[i] = false, false; peer.inView && peer.unreachableSince == 0 {
+		if peer.reachable, m.upToDate[i] = false, false; peer.inView && peer.unreachableSince == 0 {
 			peer.unreachableSince = m.ownTime
 		}
 	}
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -42,7 +42,7 @@
 	}
 	peer := &m.members[i]
 	peer.inDigest = true
-	m.lastNewsAt = m.ownTime
+	m.lastNewRecordAt = m.ownTime
 	if !peer.inView {
 		peer.outOfViewSince = m.ownTime
 	}
@@ -81,7 +81,7 @@
 	}
 	peer.record = *r
 	m.adjacency[i].left = r.Left
-	m.settled[i] = false
+	m.upToDate[i] = false
 	if peer.inView {
 		m.viewHash ^= peer.incarnationHash()
 	}
@@ -122,8 +122,8 @@
 		}
 	}
 	m.members[0].record.Links = nil
-	m.refusedUntil = m.ownTime + maxJoinBackoff
-	m.nextJoinAt = m.refusedUntil
+	m.yieldUntil = m.ownTime + maxJoinBackoff
+	m.nextJoinAt = m.yieldUntil
 	m.isolated = false
 	m.ringsDirty = true
 	m.viewDirty = true
--- a/internal/fleet/membership/rings.go
+++ b/internal/fleet/membership/rings.go
@@ -17,7 +17,7 @@
 	for k := range m.links {
 		m.links[k].wanted = false
 	}
-	if m.members[0].record.Left || m.ownTime < m.refusedUntil {
+	if m.members[0].record.Left || m.ownTime < m.yieldUntil {
 		return
 	}
 	m.updateRingOrders()
@@ -25,7 +25,7 @@
 		at := slices.Index(order, 0)
 		for _, side := range [...]int{1, -1} {
 			passed := 0
-			for n := 1; n < len(order) && passed < maxPassedOver; n++ {
+			for n := 1; n < len(order) && passed < maxSkippedSilent; n++ {
 				i := order[((at+n*side)%len(order)+len(order))%len(order)]
 				l := m.watch(i)
 				if l == nil || l.silence(m.ownTime) <= m.config.LinkTimeout/2 {
@@ -47,7 +47,7 @@
 func (m *Members) updateRingOrders() {
 	m.ringJoiners = m.ringJoiners[:0]
 	for i := range m.members {
-		if m.settled[i] && m.inRings[i] {
+		if m.upToDate[i] && m.inRings[i] {
 			continue
 		}
 		watchable := m.isWatchable(i)
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -29,14 +29,14 @@
 
 // syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for a while, at a time without gossip.
 func (m *Members) syncWithNeighbour() {
-	if m.syncLink != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
-		m.syncLink = 0
+	if m.syncExchangeID != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
+		m.syncExchangeID = 0
 	}
-	if m.ownTime-m.lastNewsAt >= syncQuietTime {
-		m.newsQuietAt = m.ownTime
+	if m.ownTime-m.lastNewRecordAt >= syncQuietTime {
+		m.gossipQuietAt = m.ownTime
 	}
-	quiet := m.newsQuietAt == m.ownTime || m.ownTime-m.newsQuietAt >= maxSyncDeferral
-	if m.syncLink != 0 || m.ownTime < m.lastSyncStart || !quiet {
+	quiet := m.gossipQuietAt == m.ownTime || m.ownTime-m.gossipQuietAt >= maxSyncDeferral
+	if m.syncExchangeID != 0 || m.ownTime < m.lastSyncStart || !quiet {
 		return
 	}
 	for k := range m.links {
@@ -45,7 +45,7 @@
 		if l.member >= 0 && l.up && differs && m.ownTime-l.lastSyncAt >= syncInterval {
 			l.lastSyncAt = m.ownTime
 			l.digestDiffersSince = 0
-			m.newsQuietAt = m.ownTime
+			m.gossipQuietAt = m.ownTime
 			m.startSync(m.members[l.member].record.Address)
 			return
 		}
@@ -73,7 +73,7 @@
 func (m *Members) reconnect() {
 	for range m.members {
 		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
-		if m.settled[m.reconnectPosition] {
+		if m.upToDate[m.reconnectPosition] {
 			continue
 		}
 		peer := &m.members[m.reconnectPosition]
@@ -89,8 +89,8 @@
 
 // startSync opens a table exchange with an address.
 func (m *Members) startSync(to string) {
-	m.lastLink++
-	m.syncLink, m.lastSyncStart = m.lastLink, m.ownTime
+	m.lastExchangeID++
+	m.syncExchangeID, m.lastSyncStart = m.lastExchangeID, m.ownTime
 	m.Counters.Exchanges++
 	heads := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
@@ -98,7 +98,7 @@
 			heads = append(heads, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
 		}
 	}
-	m.emit(Effect{Kind: Exchange, ExchangeID: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
+	m.emit(Effect{Kind: Exchange, ExchangeID: m.lastExchangeID, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
 		Records: m.ownRecord(), Summaries: heads}})
 }
 
@@ -113,7 +113,7 @@
 			m.emit(Effect{Kind: Reply, ExchangeID: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Detail: why}})
 			return
 		}
-		m.stamp++
+		m.syncRequestNumber++
 		for _, h := range msg.Summaries {
 			i, known := m.byID[h.ID]
 			if !known {
@@ -121,7 +121,7 @@
 				continue
 			}
 			r := &m.members[i].record
-			m.seenStamp[i] = m.stamp
+			m.lastSummarizedIn[i] = m.syncRequestNumber
 			if theirs := (Record{Incarnation: h.Incarnation, RecordVersion: h.RecordVersion}); theirs.newer(r) {
 				answer.Wanted = append(answer.Wanted, h.ID)
 			} else if r.newer(&theirs) {
@@ -129,7 +129,7 @@
 			}
 		}
 		for i := range m.members {
-			if peer := &m.members[i]; peer.inDigest && m.seenStamp[i] != m.stamp {
+			if peer := &m.members[i]; peer.inDigest && m.lastSummarizedIn[i] != m.syncRequestNumber {
 				answer.Records = append(answer.Records, peer.record)
 			}
 		}
@@ -187,7 +187,7 @@
 		}
 	}
 	if from, known := m.byID[msg.From]; known && len(push.Records) > 0 {
-		m.lastLink++
-		m.emit(Effect{Kind: Exchange, ExchangeID: m.lastLink, To: m.members[from].record.Address, Message: push})
+		m.lastExchangeID++
+		m.emit(Effect{Kind: Exchange, ExchangeID: m.lastExchangeID, To: m.members[from].record.Address, Message: push})
 	}
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -26,13 +26,13 @@
 	}
 	m.nextViewAt = m.ownTime + viewInterval
 	for i := 1; i < len(m.members); i++ {
-		if m.settled[i] {
+		if m.upToDate[i] {
 			continue
 		}
 		peer := &m.members[i]
 		switch {
 		case peer.record.Name == "":
-			m.settled[i] = true
+			m.upToDate[i] = true
 		case peer.inView:
 			m.updateViewMember(int32(i))
 		default:
@@ -53,7 +53,7 @@
 			peer.flaps = 0
 		}
 		m.setStatus(peer, Alive)
-		m.settled[i] = peer.flaps == 0
+		m.upToDate[i] = peer.flaps == 0
 	case m.isolated:
 		peer.unreachableSince = m.ownTime // the suspicion timeout starts once this node has links again
 		m.setStatus(peer, Suspect)
