--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -4,7 +4,7 @@
 	"topazpost/internal/invariant"
 )
 
-// queueRecord queues a record on all links but the one that brought it.
+// queueRecord queues a member's record on all links except from, which delivered it (-1 for none), and the member's own.
 func (m *Members) queueRecord(i int32, from int8) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && int8(k) != from && l.member != i {
@@ -13,19 +13,19 @@
 	}
 }
 
-// queueOnLink queues a record on one link, and to be sent twice in a small fleet.
+// queueOnLink queues a record on one link. In a small fleet the record is sent twice.
 func (m *Members) queueOnLink(k int8, i int32) {
 	bit := uint32(1) << k
 	if m.queuedOn[i]&bit == 0 {
 		m.queuedOn[i] |= bit
 		m.links[k].queuedRecords++
 	}
-	if m.resendOn[i] &^= bit; m.viewSize < 2*ringCount { // few links bring each record: twice on each
+	if m.resendOn[i] &^= bit; m.viewSize < 2*ringCount { // few links deliver each record, so a lost datagram matters more
 		m.resendOn[i] |= bit
 	}
 }
 
-// dequeueOnLink takes a record out of the queue of a link.
+// dequeueOnLink removes a record from the queue of a link.
 func (m *Members) dequeueOnLink(k int8, i int32) {
 	if bit := uint32(1) << k; m.queuedOn[i]&bit != 0 {
 		m.queuedOn[i] &^= bit
@@ -50,7 +50,7 @@
 		for _, bits := range m.queuedOn {
 			n += int(bits >> k & 1)
 		}
-		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].queuedRecords, "what is owed on a link is counted")
+		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].queuedRecords, "the count of records queued on a link matches its queue")
 	}
 }
 
@@ -64,7 +64,7 @@
 		if l.member < 0 || l.queuedRecords == 0 || m.ownTime < l.nextGossipAt {
 			continue
 		}
-		if l.silence(m.ownTime) > m.config.LinkTimeout { // it is healed once it is back
+		if l.silence(m.ownTime) > m.config.LinkTimeout { // once the link is up again, differing digests lead to a table exchange
 			m.clearQueue(int8(k))
 			continue
 		}
@@ -81,8 +81,8 @@
 	}
 }
 
-// nextGossip takes what is to be sent next on a link: this node's own record first, then what is owed, in turn from the
-// member on at which the last datagram ended.
+// nextGossip removes the records of the next datagram from the queue of a link and returns them: this node's own record
+// first, then the others in turn, from where the last datagram ended.
 func (m *Members) nextGossip(k int8) (records []Record) {
 	l, bit, size, found := &m.links[k], uint32(1)<<k, 0, 0
 	queued := l.queuedRecords
@@ -106,7 +106,7 @@
 	}
 	at := l.nextQueued
 	for range m.members {
-		if found == queued { // no more can follow: the turn stays where it is
+		if found == queued { // all queued records are taken
 			return records
 		}
 		if at > 0 && m.queuedOn[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -4,7 +4,8 @@
 	"slices"
 )
 
-// openLink opens a link to a member. Where all places are taken, the link that has been unwanted for longest is closed.
+// openLink opens a link to a member. If there are maxLinks already, it closes the unwanted one whose keepUntil is earliest, or
+// returns nil if all are wanted.
 func (m *Members) openLink(i int32) *link {
 	oldest := -1
 	for k := range m.links {
@@ -32,16 +33,17 @@
 	return nil
 }
 
+// closeLink closes a link and schedules the publication of the remaining ones.
 func (m *Members) closeLink(k int8) {
 	l := &m.links[k]
-	if l.up && !m.linksDirty { // published with other closings, and before the peer would notice the silence
+	if l.up && !m.linksDirty { // published together with other closed links, but before the peer detects silence
 		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.ownTime+closedPublishInterval, l.confirmedAt+m.config.LinkTimeout))
 	}
 	m.members[l.member].linkIndex = -1
 	l.member, l.up, l.queuedRecords = -1, false, 0
 }
 
-// linksUp returns how many links work.
+// linksUp returns the number of links that are up.
 func (m *Members) linksUp() (n int) {
 	for k := range m.links {
 		if m.links[k].member >= 0 && m.links[k].up {
@@ -51,10 +53,10 @@
 	return n
 }
 
-// silence returns for how long no ping was answered.
+// silence returns the time since the last answered ping was sent, or since the link was opened.
 func (l *link) silence(t int64) int64 { return t - max(l.confirmedAt, l.openedAt) }
 
-// watch opens a link to a member, or marks the one there is as wanted.
+// watch marks the link to a member as wanted and opens it if necessary. It returns nil if there is no room for another link.
 func (m *Members) watch(i int32) *link {
 	var l *link
 	if k := m.members[i].linkIndex; k >= 0 {
@@ -68,7 +70,7 @@
 	return l
 }
 
-// probeLinks pings, notices silence, and closes links that neither end wants.
+// probeLinks sends the pings that are due, detects silent links, and closes links that neither end wants.
 func (m *Members) probeLinks() {
 	for k := range m.links {
 		l := &m.links[k]
@@ -93,7 +95,7 @@
 	}
 }
 
-// noticeSilence marks a link as down once no ping was answered for the link timeout.
+// noticeSilence marks a link as down if no ping was answered for the link timeout.
 func (m *Members) noticeSilence(l *link) {
 	if !l.up || m.ownTime-l.confirmedAt <= m.config.LinkTimeout {
 		return
@@ -111,7 +113,8 @@
 	return !l.wanted && m.ownTime > l.keepUntil && unwatched > m.config.LinkTimeout
 }
 
-// schedulePing sets when the next probe and the next ping of a link are due.
+// schedulePing sets when the next probe and the next ping of a link are due. An unanswered probe is sent again before the next
+// one, unless the link has been silent for long.
 func (m *Members) schedulePing(l *link, silence int64) {
 	interval := m.config.ProbeInterval
 	if silence > m.config.LinkTimeout {
@@ -129,6 +132,7 @@
 	}
 }
 
+// ping sends the next ping of a link.
 func (m *Members) ping(l *link) {
 	l.pingSeq = (l.pingSeq + 1) &^ reconnectSeqBit
 	l.pingsSent[l.pingSeq%pingHistory] = m.ownTime
@@ -139,8 +143,9 @@
 	m.send(m.members[l.member].record.Address, &ping)
 }
 
-// publishLinks tells of this node's links once they changed. What is lost goes at once, unless it changes all the time; what
-// was lost and is back has to be known to all before the view follows the loss.
+// publishLinks publishes this node's links in its record if they changed. Lost links are published first, at intervals of at
+// least publishInterval. A regained link is published sooner, since all nodes must learn of it before the suspicion timeout
+// ends. Added links can wait for gainedPublishInterval.
 func (m *Members) publishLinks() {
 	if !m.linksDirty || m.ownTime < m.publishAt || m.members[0].record.Left {
 		return
@@ -152,7 +157,7 @@
 		}
 	}
 	slices.Sort(ids)
-	if told := m.members[0].record.Links; !m.linkRegained && m.ownTime < m.publishedAt+gainedPublishInterval && len(told) >= ringCount && containsAll(ids, told) {
+	if published := m.members[0].record.Links; !m.linkRegained && m.ownTime < m.publishedAt+gainedPublishInterval && len(published) >= ringCount && containsAll(ids, published) {
 		m.publishAt = m.publishedAt + gainedPublishInterval
 		return
 	}
@@ -164,7 +169,7 @@
 	}
 }
 
-// containsAll says whether all of some ascending ids are among others.
+// containsAll reports whether ids, in ascending order, contains all of the others.
 func containsAll(ids, all []ID) bool {
 	for _, id := range all {
 		if _, found := slices.BinarySearch(ids, id); !found {
@@ -174,26 +179,26 @@
 	return true
 }
 
-// link is one to a member that this node watches, or that watches this node.
+// link is a link to a member that this node watches, or that watches this node.
 type link struct {
 	member                         int32
 	wanted, suspect                bool
-	up                             bool // an answer came within the config's Silence
-	lostBefore                     bool // it was up before
+	up                             bool // a ping sent within Config.LinkTimeout was answered
+	lostBefore                     bool // it went down and has not come up since
 	openedAt                       int64
-	keepUntil                      int64 // until which it is kept although not wanted
-	confirmedAt                    int64 // when the last ping that was answered was sent
-	watchedAt                      int64 // when it last pinged as one that watches
-	nextPingAt, nextProbeAt        int64 // when the next ping is due at the earliest; when it is even if all were answered
-	roundTrip                      int64 // ns of a round trip, smoothed: no ping is sent again before its answer can be there
+	keepUntil                      int64 // until then it stays open although unwanted
+	confirmedAt                    int64 // when the last answered ping was sent
+	watchedAt                      int64 // when the member last sent a ping with Neighbour set
+	nextPingAt, nextProbeAt        int64 // when the next ping is due; when the next one is due if the last is answered
+	roundTrip                      int64 // smoothed, in ns; a ping is resent only after twice this time
 	pingSeq                        uint32
 	pingsSent                      [pingHistory]int64
 	digestDiffersSince, lastSyncAt int64
-	queuedRecords, nextQueued      int // records that are owed; the member after the one sent last
+	queuedRecords, nextQueued      int // records queued; index of the member whose record is next in turn
 	nextGossipAt                   int64
 }
 
-// applyAck takes the answer to a ping, either of a link or of a reconnect attempt.
+// applyAck handles the answer to a ping of a link or to a ping to a lost member.
 func (m *Members) applyAck(i int32, seq uint32) {
 	peer := &m.members[i]
 	if peer.linkIndex >= 0 && m.links[peer.linkIndex].expects(seq) {
@@ -214,17 +219,17 @@
 	m.Counters.UnmatchedMessages++
 }
 
-// expects reports whether a sequence number is that of a recent ping on the link.
+// expects reports whether a sequence number belongs to one of the last pings of the link.
 func (l *link) expects(seq uint32) bool {
 	age := l.pingSeq - seq
 	return age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq&reconnectSeqBit == 0
 }
 
-// linkProved notes that the ping with a sequence number was answered, and brings the link up if the proof is recent.
+// confirmLink records that the ping with a sequence number was answered, and marks the link as up if that ping is recent.
 func (m *Members) confirmLink(l *link, peer *member, seq uint32) {
 	sent := l.pingsSent[seq%pingHistory]
 	l.confirmedAt = max(l.confirmedAt, sent)
-	if seq == l.pingSeq { // the answer to an older ping may be late because of a pause, so it is no round trip
+	if seq == l.pingSeq { // the answer to an older ping can be late because of a pause, so it is not used as a round trip
 		l.addRoundTrip(min(m.ownTime-sent, m.config.ProbeInterval))
 		l.nextPingAt = l.nextProbeAt
 	}
@@ -241,6 +246,7 @@
 	}
 }
 
+// addRoundTrip adds a sample, in ns, to the smoothed round trip.
 func (l *link) addRoundTrip(sample int64) {
 	if l.roundTrip == 0 {
 		l.roundTrip = sample
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -4,34 +4,35 @@
 type member struct {
 	record           Record
 	id               ID
-	linkIndex        int8 // its place in links, -1 without one
+	linkIndex        int8 // index in Members.links, -1 without a link
 	inView           bool
-	inDigest         bool // its record is part of the table's digest
-	reachable        bool // a path of links leads to it
+	inDigest         bool // the record is part of the table's digest
+	reachable        bool // over links that both ends publish
 	everInView       bool
-	lossReportedBy   ID // the member whose link to it went down last
+	lossReportedBy   ID // the last member that lost or removed its link to this one
 	unreachableSince int64
-	reachGraceUntil  int64 // until then a new incarnation need not be reachable
-	outOfViewSince   int64 // when it left the view or became known
-	watchUntil       int64 // until then it is probed although it is outside the view
+	reachGraceUntil  int64 // until then a new incarnation stays in the view while unreachable
+	outOfViewSince   int64 // when it left the view, or when its last new record came
+	watchUntil       int64 // until then it is on the rings although it is outside the view
 	flaps            int
 	lastFlapAt       int64
 	status           Status
 	statusSince      int64
 }
 
-// ringKey is a member's position on a ring.
+// ringKey returns the key by which members are ordered on a ring.
 func (m *member) ringKey(ring int) uint64 { return mixHash(uint64(m.id), uint64(ring)) }
 
-// incarnationHash is a member's part in the hash of the view.
+// incarnationHash returns the value that the member contributes to the hash of the view.
 func (m *member) incarnationHash() uint64 { return mixHash(uint64(m.id), uint64(m.record.StartedAt)) }
 
-// recordHash is a member's part in the digest of the table.
+// recordHash returns the value that the member's record contributes to the digest of the table.
 func (m *member) recordHash() uint64 {
 	return mixHash(mixHash(uint64(m.id), m.record.Incarnation), uint64(m.record.RecordVersion))
 }
 
-// addMember adds a member to the table and returns its index, or -1 where the table is full of members of the view.
+// addMember adds a member to the table and returns its index. If the table is full, it replaces the member that has been
+// out of the view for longest, or returns -1 if all are in the view.
 func (m *Members) addMember(r *Record) int32 {
 	if len(m.byID) >= m.config.MaxMembers && len(m.members) > 0 {
 		oldest := int32(-1)
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -7,8 +7,8 @@
 	"topazpost/internal/invariant"
 )
 
-// Members is the membership state of one node. Its own time stops while its process is paused, so that silence during a
-// pause marks no link as down.
+// Members is the membership state of one node. Its time does not advance while the process is paused, so that no link goes
+// down because of the pause.
 type Members struct {
 	Invariants invariant.Checker
 	Counters   Counters
@@ -16,61 +16,61 @@
 	config              Config
 	random              *rand.Rand
 	ownTime, pausedTime int64
-	wakeAt              int64 // as last told, by the caller's clock
+	wakeAt              int64 // the wake that Step last returned, by the caller's clock
 	members             []member
 	free                []int32
 	byID                map[ID]int32
-	links               [maxLinks]link // member < 0 where free
-	queuedOn            []uint32       // by member: a bit for each link on which its record is still to be sent
-	resendOn            []uint32       // by member: on which it is to be sent once more after that
+	links               [maxLinks]link // unused where link.member < 0
+	queuedOn            []uint32       // by member: bits of the links on which its record is queued
+	resendOn            []uint32       // by member: bits of the links on which the record is sent once more after that
 	adjacency           []adjacency    // by member
-	lastTraversal       []uint32       // by member: the follow, by its number, that led to it last
+	lastTraversal       []uint32       // by member: number of the last traversal that reached it
 	traversal           uint32
-	upToDate            []bool // by member: alive in the view or no member, and unchanged since it was looked at: nothing is due
-	inRings             []bool // by member: in the orders of the rings
+	upToDate            []bool // by member: the last update found it alive or the entry unused, and nothing changed since, so it is skipped
+	inRings             []bool // by member: listed in ringOrder
 	ringOrder           [ringCount][]int32
-	ringsStale          bool // one of the orders was forgotten
+	ringsStale          bool // ringOrder lists removed members
 	ringJoiners         []int32
 	effects             []Effect
-	lastSummarizedIn    []uint32 // by member, stamp of the last look
+	lastSummarizedIn    []uint32 // by member: number of the last sync request that listed it
 	syncRequestNumber   uint32
 	stack               []int32
 	digest              uint64
-	viewHash            uint64 // of the view: of the names and lives in it
+	viewHash            uint64 // hash over the names and start times of the members in the view
 	viewNumber          uint64
 	viewSize            int
 	isolated            bool
-	yieldUntil          int64 // until which this node keeps away, for its name is held
+	yieldUntil          int64 // until then this node stays outside the fleet, because another node uses its name
 	lastExchangeID      int
 
 	ringsDirty, viewDirty, linksDirty                    bool
-	linkRegained                                         bool // a link that was lost, or one to a member to which no path leads, is not told of yet
+	linkRegained                                         bool // a lost link, or one to an unreachable member of the view, came up and is not published yet
 	nextRingsAt, publishAt, publishedAt                  int64
 	nextTraversalAt, nextViewAt                          int64
 	nextReconnectAt, nextJoinAt, nextSeedAt, joinBackoff int64
-	syncExchangeID                                       int // link of the exchange that is under way
+	syncExchangeID                                       int // the table exchange in progress, 0 for none
 	lastSyncStart                                        int64
-	lastNewRecordAt                                      int64 // when a record last was news
-	gossipQuietAt                                        int64 // when news last rested, or a table was asked for in spite of them
+	lastNewRecordAt                                      int64 // when the last new record came
+	gossipQuietAt                                        int64 // when gossip was last quiet, or a table exchange last started
 	reconnects                                           [maxReconnects]struct {
 		id  ID
 		seq uint32
 	}
 	reconnectSeq      uint32
 	reconnectPosition int
-	seedIndex         int // the last that was asked, from a drawn one on
-	seedsTried        int // seeds asked in a row in vain
+	seedIndex         int // the seed contacted last; the first is drawn at random
+	seedsTried        int // attempts to join
 }
 
-// New returns the state of a node that starts at now. Wall is Unix time in nanoseconds, kept the last incarnation that is
-// on disk, 0 for none; seed is that of its random choices.
-func New(config Config, now, wall int64, kept uint64, seed int64) *Members {
+// New returns the state of a node that starts at now, in ns of a monotonic clock; wall is the Unix time in ns.
+// StoredIncarnation is the last incarnation stored on disk, 0 for none. The seed determines the random choices.
+func New(config Config, now, wall int64, storedIncarnation uint64, seed int64) *Members {
 	m := &Members{config: config, random: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, ownTime: now, joinBackoff: joinInterval, traversal: 1}
 	m.config.MaxMembers = min(config.MaxMembers, maxTableSize)
 	for k := range m.links {
 		m.links[k].member = -1
 	}
-	self := Record{Name: config.Name, Address: config.Address, StartedAt: wall, Incarnation: max(uint64(max(wall, 1)), kept+1),
+	self := Record{Name: config.Name, Address: config.Address, StartedAt: wall, Incarnation: max(uint64(max(wall, 1)), storedIncarnation+1),
 		Facts: Facts{Version: config.Version, Zone: config.Zone}}
 	m.addMember(&self)
 	m.members[0].inView, m.members[0].everInView, m.viewSize, m.viewHash = true, true, 1, m.members[0].incarnationHash()
@@ -79,8 +79,10 @@
 	return m
 }
 
+// jitter returns a random time between half of ns and one and a half of it.
 func (m *Members) jitter(ns int64) int64 { return ns/2 + m.random.Int63n(max(1, ns)) }
 
+// mixHash combines two hashes.
 func mixHash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 + b
 	x ^= x >> 30
@@ -102,10 +104,10 @@
 	m.emit(Effect{Kind: Send, To: to, Message: *msg})
 }
 
-// Step applies inputs at now, in ns of a monotonic clock, with wall its Unix time in ns. The effects are valid until the next
-// step; wake is when Step must be called again at the latest.
+// Step applies inputs at now, in ns of a monotonic clock; wall is the Unix time in ns. The effects are valid until the next
+// step. Step must be called again at wake at the latest.
 func (m *Members) Step(now, wall int64, inputs []Input) (effects []Effect, wake int64) {
-	clear(m.effects) // what the messages held
+	clear(m.effects) // releases the slices of the messages
 	if m.effects = m.effects[:0]; cap(m.effects) > retainedEffects {
 		m.effects = nil
 	}
@@ -115,7 +117,7 @@
 		m.pausedTime += pausedFor
 		m.Counters.Pauses++
 	}
-	m.Invariants.Check(now-m.pausedTime >= m.ownTime, "its own time only advances")
+	m.Invariants.Check(now-m.pausedTime >= m.ownTime, "the time without pauses does not go back")
 	m.ownTime = max(m.ownTime, now-m.pausedTime)
 	if pausedFor > m.config.LinkTimeout/4 {
 		m.probeAllLinks()
@@ -133,7 +135,7 @@
 	return m.effects, m.wakeAt
 }
 
-// probeAllLinks answers for a pause of this process: all whom it watches are asked at once, so that they hear of it.
+// probeAllLinks makes pings due on all links. After a pause of this process, they tell the peers early that it runs again.
 func (m *Members) probeAllLinks() {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
@@ -215,7 +217,7 @@
 	}
 }
 
-// nextDue is when the next thing is to be done, by this node's own time.
+// nextDue returns the time at which the next action is due, in the time of this node without pauses.
 func (m *Members) nextDue() int64 {
 	at := m.ownTime + reconnectInterval
 	if m.members[0].record.Left {
--- a/internal/fleet/membership/query.go
+++ b/internal/fleet/membership/query.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Neighbours are the members that a link of this node's works with, by name.
+// Neighbours returns the names of the members to which this node has a link that is up, sorted.
 func (m *Members) Neighbours() (names []string) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && l.up && m.members[l.member].record.Name != "" {
@@ -16,7 +16,7 @@
 	return names
 }
 
-// InZone are the other live members of this node's zone, by name; those without a zone are of one.
+// InZone returns the names of the other members of the view in this node's zone, sorted. Nodes without a zone share one.
 func (m *Members) InZone() (names []string) {
 	zone := m.members[0].record.Facts.Zone
 	for i := range m.members {
@@ -28,7 +28,7 @@
 	return names
 }
 
-// InView are the members of this node's view, itself among them, by name.
+// InView returns the names of the members of the view, this node included, sorted.
 func (m *Members) InView() (names []string) {
 	for i := range m.members {
 		if peer := &m.members[i]; peer.inView {
@@ -39,7 +39,7 @@
 	return names
 }
 
-// View is who is there now. It is made anew at each call.
+// View returns a new copy of the current view, with members that left it and are not forgotten.
 func (m *Members) View() View {
 	v := View{Number: m.viewNumber, Isolated: m.isolated}
 	known := 0
@@ -59,10 +59,11 @@
 		}
 	}
 	v.Majority = !m.isolated && 2*m.viewSize > known
-	slices.SortFunc(v.Members, func(a, peer MemberStatus) int { return cmp.Compare(a.Name, peer.Name) })
+	slices.SortFunc(v.Members, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return v
 }
 
+// reachOf returns how this node reaches a member.
 func (m *Members) reachOf(i int32) Reach {
 	peer := &m.members[i]
 	switch {
@@ -74,10 +75,10 @@
 	return Unreachable
 }
 
-// ViewHash tells views apart without making one: of names and lives.
+// ViewHash returns the hash of the view, as in View, and the number of members in it, without copying the view.
 func (m *Members) ViewHash() (hash uint64, size int) { return m.viewHash, m.viewSize }
 
-// AddressOf is where a member hears its peers, false for one that is not known.
+// AddressOf returns the address of a member, or false if the member is unknown.
 func (m *Members) AddressOf(name string) (string, bool) {
 	if i, known := m.byID[IDOf(name)]; known {
 		return m.members[i].record.Address, true
@@ -85,5 +86,5 @@
 	return "", false
 }
 
-// Self is this node's own record.
+// Self returns this node's own record.
 func (m *Members) Self() Record { return m.members[0].record }
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -6,9 +6,9 @@
 	"topazpost/internal/invariant"
 )
 
-// adjacency is what following links needs of a member, in little room: all of them are gone over at each change.
+// adjacency holds the links of a member in compact form, since each traversal reads those of all members.
 type adjacency struct {
-	neighbours [maxLinks]uint16 // members with which it has a link that both ends publish
+	neighbours [maxLinks]uint16 // indices of the members with which it has a link that both ends publish
 	count      uint8
 	left       bool
 }
@@ -54,8 +54,8 @@
 	return n.neighbours[:n.count]
 }
 
-// updateAdjacency has the links that both ends publish follow a member's record, whose links were others before, and notes
-// whose word a loss rests on: of those that a member had a link to and has no more.
+// updateAdjacency updates the adjacency lists after the links in a member's record changed. It records that this member
+// reported the loss of each link that its record no longer lists.
 func (m *Members) updateAdjacency(i int32, before, after []ID) {
 	self := m.members[i].id
 	for _, id := range before {
@@ -63,7 +63,7 @@
 			continue
 		}
 		if j, known := m.byID[id]; known {
-			if i > 0 { // its own are lost by its own word, said where that is noticed
+			if i > 0 { // for a lost link of this node, noticeSilence sets it
 				m.members[j].lossReportedBy = self
 			}
 			if m.removeAdjacency(i, j) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// add takes a member up among those that another is linked with: one for each id of its record at the most.
+// add adds a neighbour. There is room, because a record lists at most maxLinks members.
 func (n *adjacency) add(j int32) {
 	n.neighbours[n.count] = uint16(j)
 	n.count++
@@ -100,27 +100,27 @@
 	return true
 }
 
-// containsID reports whether an id is among the sorted links of a record.
+// containsID reports whether links, in ascending order, contains id.
 func containsID(links []ID, id ID) bool {
 	_, found := slices.BinarySearch(links, id)
 	return found
 }
 
-// checkAdjacency compares the adjacency lists with the links of the records.
+// checkAdjacency compares the adjacency lists and the last traversal with the records.
 func (m *Members) checkAdjacency() {
 	for i := range m.members {
-		b, n, kept := &m.members[i], 0, m.neighboursOf(int32(i))
-		m.Invariants.Check(i == 0 || m.adjacency[i].left == b.record.Left && b.reachable == (m.lastTraversal[i] == m.traversal), "what is followed is as the records are")
-		if b.record.Name == "" {
-			m.Invariants.Check(len(kept) == 0, "nobody is linked with the forgotten")
+		peer, mutual, neighbours := &m.members[i], 0, m.neighboursOf(int32(i))
+		m.Invariants.Check(i == 0 || m.adjacency[i].left == peer.record.Left && peer.reachable == (m.lastTraversal[i] == m.traversal), "a member's traversal state matches its record")
+		if peer.record.Name == "" {
+			m.Invariants.Check(len(neighbours) == 0, "an unused entry has no neighbours")
 			continue
 		}
 		for j := range m.members {
-			if o := &m.members[j]; i != j && o.record.Name != "" && containsID(b.record.Links, o.id) && containsID(o.record.Links, b.id) {
-				n++
-				m.Invariants.Check(slices.Contains(kept, uint16(j)), "a link that both ends tell of is kept")
+			if other := &m.members[j]; i != j && other.record.Name != "" && containsID(peer.record.Links, other.id) && containsID(other.record.Links, peer.id) {
+				mutual++
+				m.Invariants.Check(slices.Contains(neighbours, uint16(j)), "a link that both ends publish is in the adjacency list")
 			}
 		}
-		m.Invariants.Check(n == len(kept), "a link is kept only where both ends tell of it")
+		m.Invariants.Check(mutual == len(neighbours), "the adjacency list holds only links that both ends publish")
 	}
 }
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -12,28 +12,29 @@
 // IDOf returns the ID of a name.
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
-// Facts are small properties that a member publishes of itself; the newest version counts.
+// Facts are properties that a member publishes about itself in its record.
 type Facts struct {
 	Version    string `cbor:"1,keyasint,omitempty"`
 	Zone       string `cbor:"2,keyasint,omitempty"`
 	Level      uint8  `cbor:"3,keyasint,omitempty"`              // degradation level
-	DrainPhase uint8  `cbor:"4,keyasint,omitempty" json:"Beat"`  // phase of the drain, 0 outside one
-	NoExecutor bool   `cbor:"5,keyasint,omitempty" json:"NoUse"` // up, but without an executor
+	DrainPhase uint8  `cbor:"4,keyasint,omitempty" json:"Beat"`  // phase of the drain; 0 if not draining
+	NoExecutor bool   `cbor:"5,keyasint,omitempty" json:"NoUse"` // the node runs without an executor
 }
 
-// Record is a member's own description. Only the member writes it; of two records the one with the higher
-// incarnation, then the higher version, counts.
+// Record is a member's description of itself, which only that member writes. The record with the higher incarnation
+// supersedes another; within an incarnation, the one with the higher version does.
 type Record struct {
 	Name          string `cbor:"1,keyasint"`
 	Address       string `cbor:"2,keyasint"`
 	StartedAt     int64  `cbor:"3,keyasint"`           // Unix ns
-	Incarnation   uint64 `cbor:"4,keyasint"`           // StartedAt, or one above any seen under this name
+	Incarnation   uint64 `cbor:"4,keyasint"`           // StartedAt, or higher to supersede earlier records under the same name
 	RecordVersion uint32 `cbor:"5,keyasint,omitempty"` // within the incarnation
 	Left          bool   `cbor:"6,keyasint,omitempty"`
-	Links         []ID   `cbor:"7,keyasint,omitempty"` // members with which a round trip works, ascending
+	Links         []ID   `cbor:"7,keyasint,omitempty"` // members whose link with this one is up, ascending
 	Facts         Facts  `cbor:"8,keyasint,omitempty"`
 }
 
+// newer reports whether r supersedes another record of the same member.
 func (r *Record) newer(than *Record) bool {
 	if r.Incarnation != than.Incarnation {
 		return r.Incarnation > than.Incarnation
@@ -41,7 +42,7 @@
 	return r.RecordVersion > than.RecordVersion
 }
 
-// usable reports whether a record from a peer is within all bounds.
+// usable reports whether a record from a peer has a name and an address and is within all bounds.
 func (r *Record) usable() bool {
 	nameFits := r.Name != "" && len(r.Name) <= maxNameBytes
 	addressFits := r.Address != "" && len(r.Address) <= maxAddressBytes
@@ -49,7 +50,7 @@
 	return nameFits && addressFits && factsFit && len(r.Links) <= maxLinks && r.Incarnation < math.MaxUint64/2
 }
 
-// size estimates the bytes of a record in a message.
+// size estimates the encoded size of a record in bytes.
 func (r *Record) size() int { return 48 + len(r.Name) + len(r.Address) + 9*len(r.Links) }
 
 // RecordSummary identifies a version of a record without its content.
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -1,9 +1,9 @@
 package membership
 
-// ownRecord returns this node's record as the content of a message.
+// ownRecord returns this node's record in a slice, for Message.Records.
 func (m *Members) ownRecord() []Record { return []Record{m.members[0].record} }
 
-// bumpRecord gives this node's record a new version and queues it on all links.
+// bumpRecord increments the version of this node's record and queues the record on all links.
 func (m *Members) bumpRecord() {
 	m.digest ^= m.members[0].recordHash()
 	m.members[0].record.RecordVersion++
@@ -12,7 +12,8 @@
 	m.queueRecord(0, -1)
 }
 
-// applyRecord takes a record of a peer; from is the link that brought it, -1 for none.
+// applyRecord stores a record from a peer if it is newer than the known one, and queues it on the other links. From is the
+// index of the link that delivered it, -1 for none.
 func (m *Members) applyRecord(r *Record, from int8) {
 	if !r.usable() {
 		m.Counters.InvalidRecords++
@@ -32,7 +33,7 @@
 	cause, changed := Joined, false
 	if known {
 		peer := &m.members[i]
-		if from >= 0 && !peer.record.newer(r) { // the sender has this version already
+		if from >= 0 && !peer.record.newer(r) { // the sender has this version or a newer one
 			m.dequeueOnLink(from, i)
 		}
 		if !r.newer(&peer.record) {
@@ -55,8 +56,8 @@
 	m.queueRecord(i, from)
 }
 
-// replaceRecord gives a known member a newer record and takes the old one out of the digest. It reports whether the view
-// changes by that, and why.
+// replaceRecord stores a newer record of a known member and removes the old one from the digest. It reports whether this
+// changes the view, and the cause of the change.
 func (m *Members) replaceRecord(i int32, r *Record) (cause Cause, changed bool) {
 	peer := &m.members[i]
 	m.updateAdjacency(i, peer.record.Links, r.Links)
@@ -88,8 +89,9 @@
 	return cause, changed
 }
 
-// applyRecordOfSelf handles a record under this node's name that is newer than its own: of an earlier incarnation whose
-// clock was ahead, or of another node with the same name. Of two running nodes the one that started later yields.
+// applyRecordOfSelf handles a record under this node's name. A newer one stems from an earlier incarnation whose clock was
+// ahead, or from another node with the same name. If another node started earlier, this node yields the name; otherwise it
+// takes a higher incarnation.
 func (m *Members) applyRecordOfSelf(r *Record) {
 	self := &m.members[0].record
 	if !r.newer(self) {
@@ -106,11 +108,12 @@
 	m.queueRecord(0, -1)
 }
 
-// yieldName drops all links and members, since another node has this node's name, until the next attempt to join.
-func (m *Members) yieldName(holder string) {
+// yieldName closes all links and forgets all members, because another node uses this node's name. The node stays outside
+// the fleet until it tries to join again.
+func (m *Members) yieldName(holderAddress string) {
 	m.Counters.NameConflicts++
-	m.log(true, "the name %s is held by a node at %s that started earlier: this one keeps away; give it another name",
-		m.config.Name, holder)
+	m.log(true, "the name %s is used by a node at %s that started earlier: this node leaves the fleet and retries; give it a unique name",
+		m.config.Name, holderAddress)
 	for k := range m.links {
 		if m.links[k].member >= 0 {
 			m.closeLink(int8(k))
--- a/internal/fleet/membership/rings.go
+++ b/internal/fleet/membership/rings.go
@@ -7,8 +7,8 @@
 	"topazpost/internal/invariant"
 )
 
-// updateRings chooses the members to watch: on both sides of this node on each ring the next that answers, and the silent
-// ones that were skipped on the way, so that a link that works again is noticed.
+// updateRings chooses the members to watch: on both sides of this node on each ring, the nearest one that answers. The silent
+// members before it, up to maxSkippedSilent, stay watched, so that this node notices when their links work again.
 func (m *Members) updateRings() {
 	if !m.ringsDirty || m.ownTime < m.nextRingsAt {
 		return
@@ -24,14 +24,14 @@
 	for _, order := range m.ringOrder {
 		at := slices.Index(order, 0)
 		for _, side := range [...]int{1, -1} {
-			passed := 0
-			for n := 1; n < len(order) && passed < maxSkippedSilent; n++ {
+			skipped := 0
+			for n := 1; n < len(order) && skipped < maxSkippedSilent; n++ {
 				i := order[((at+n*side)%len(order)+len(order))%len(order)]
 				l := m.watch(i)
 				if l == nil || l.silence(m.ownTime) <= m.config.LinkTimeout/2 {
 					break
 				}
-				passed++
+				skipped++
 			}
 		}
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// updateRingOrders has each ring hold the members that may be watched, sorted. Members that are gone are taken out; new ones are
-// sorted among themselves and merged in, so that an update costs one pass and not a sort of all.
+// updateRingOrders updates the sorted members of each ring. It removes members that are no longer watchable and merges in new
+// ones, which costs one pass over a ring instead of a full sort.
 func (m *Members) updateRingOrders() {
 	m.ringJoiners = m.ringJoiners[:0]
 	for i := range m.members {
@@ -59,7 +59,7 @@
 		}
 	}
 	for r := range m.ringOrder {
-		if m.ringsStale { // an index that was freed and used again counts as new
+		if m.ringsStale { // inRings is false for a reused index, whose new member joins below
 			m.ringOrder[r] = slices.DeleteFunc(m.ringOrder[r], func(i int32) bool { return !m.inRings[i] })
 		}
 		m.ringOrder[r] = m.mergeIntoRing(r, m.ringOrder[r], m.ringJoiners)
@@ -73,12 +73,13 @@
 	}
 }
 
-// isWatchable reports whether a member belongs on the rings: it is this node, in the view, or may still come into it.
+// isWatchable reports whether a member belongs on the rings: this node, a member of the view, or one that can still enter it.
 func (m *Members) isWatchable(i int) bool {
 	peer := &m.members[i]
 	return i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
 }
 
+// checkRingOrders checks that each ring is sorted and has as many members as are watchable.
 func (m *Members) checkRingOrders() {
 	for r, order := range m.ringOrder {
 		n := 0
@@ -88,17 +89,17 @@
 			}
 		}
 		sorted := slices.IsSortedFunc(order, func(a, b int32) int { return m.compareInRing(r, a, b) })
-		m.Invariants.Check(n == len(order) && sorted, "an order is whole and sorted")
+		m.Invariants.Check(n == len(order) && sorted, "a ring holds all watchable members in order")
 	}
 }
 
-// compareInRing orders members on a ring.
+// compareInRing compares two members by their position on a ring.
 func (m *Members) compareInRing(r int, i, j int32) int {
-	a, peer := &m.members[i], &m.members[j]
-	return cmp.Or(cmp.Compare(a.ringKey(r), peer.ringKey(r)), cmp.Compare(a.id, peer.id))
+	a, b := &m.members[i], &m.members[j]
+	return cmp.Or(cmp.Compare(a.ringKey(r), b.ringKey(r)), cmp.Compare(a.id, b.id))
 }
 
-// mergeIntoRing merges more members into a sorted ring.
+// mergeIntoRing adds members to a sorted ring and returns it, still sorted.
 func (m *Members) mergeIntoRing(r int, order, more []int32) []int32 {
 	if len(more) == 0 {
 		return order
@@ -106,7 +107,7 @@
 	slices.SortFunc(more, func(a, b int32) int { return m.compareInRing(r, a, b) })
 	old := len(order)
 	order = append(order, more...)
-	for at, left, right := len(order)-1, old-1, len(more)-1; right >= 0; at-- { // from the end on
+	for at, left, right := len(order)-1, old-1, len(more)-1; right >= 0; at-- { // from the end, since order grows in place
 		if left >= 0 && m.compareInRing(r, order[left], more[right]) > 0 {
 			order[at] = order[left]
 			left--
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -1,14 +1,14 @@
 package membership
 
-// Status is the state of a member in the view.
+// Status is the state of a member as this node sees it.
 type Status uint8
 
-// The statuses.
+// The statuses of a member.
 const (
 	Alive   Status = iota
 	Suspect        // unreachable for less than the suspicion timeout, or this node is isolated
 	Dead
-	Left
+	Left // after a drain
 )
 
 // StatusNames holds the name of each status.
@@ -19,31 +19,31 @@
 
 // The kinds of reach.
 const (
-	Direct   Reach = iota // it answers this node's pings
-	Indirect              // a path of links leads to it
+	Direct   Reach = iota // over a link of this node
+	Indirect              // over links of other members
 	Unreachable
 )
 
 // ReachNames holds the name of each kind of reach.
 var ReachNames = [...]string{"direct", "through others", "none"}
 
-// Cause is why the view changed.
+// Cause is the cause of a change of the view.
 type Cause uint8
 
 // The causes.
 const (
 	Joined   Cause = iota
-	Returned       // after a loss, in the same incarnation or another
-	Replaced       // by another incarnation, with no loss seen between
+	Returned       // after it left the view, in the same or another incarnation
+	Replaced       // by another incarnation, without leaving the view
 	Lost
 	Departed // after a drain
 	ExecutorLost
 	ExecutorRestored
-	Isolated // this node has no link left; it keeps its view
+	Isolated // this node has no link that is up; it keeps its view
 	Reconnected
 )
 
-// CauseNames holds the name of each cause.
+// CauseNames holds the name of each cause, as in logs.
 var CauseNames = [...]string{"joined", "returned", "replaced", "lost", "left", "of no use", "of use again", "cut off", "restored"}
 
 // Change is one change of the view.
@@ -52,8 +52,8 @@
 	Cause          Cause
 	Member         string
 	Incarnation    uint64
-	ReportedBy     string // the member whose link to it was the last to go down, or whose record says so
-	DetectionDelay int64  // ns from the loss of the last path to the change
+	ReportedBy     string // name of the member that reported the change: for Lost, the last whose link to it went down
+	DetectionDelay int64  // ns from the loss of the last path of links to the change
 	Size           int    // members of the view after the change
 	Hash           uint64 // hash of the view after the change, as in View
 }
@@ -74,10 +74,10 @@
 // View is the set of members as this node sees it, itself included.
 type View struct {
 	Number   uint64         `cbor:"1,keyasint"`
-	Hash     uint64         `cbor:"2,keyasint"` // over names and starts; equal where views are equal
+	Hash     uint64         `cbor:"2,keyasint"` // over names and start times; equal for equal views
 	Isolated bool           `cbor:"3,keyasint,omitempty"`
-	Majority bool           `cbor:"4,keyasint,omitempty"` // it holds more than half of all members that are known
-	Members  []MemberStatus `cbor:"5,keyasint"`           // by name; lost members that are not forgotten included
+	Majority bool           `cbor:"4,keyasint,omitempty"` // the view holds more than half of the known members that have not left
+	Members  []MemberStatus `cbor:"5,keyasint"`           // sorted by name, with members that left the view and are not forgotten
 }
 
 // Counters count events for operators.
@@ -85,8 +85,8 @@
 	Sent              int `json:"sent"` // datagrams
 	Bytes             int `json:"-"`
 	Exchanges         int `json:"exchanges"`
-	UnmatchedMessages int `json:"strays"`   // from unknown members, or answers to no request
-	InvalidRecords    int `json:"unusable"` // records that can't be kept
+	UnmatchedMessages int `json:"strays"`   // messages from unknown members, or answers without a request
+	InvalidRecords    int `json:"unusable"` // records that are invalid or for which the table has no room
 	NameConflicts     int `json:"refused"`
 	Pauses            int `json:"pauses"` // of this process
 	ViewChanges       int `json:"views"`
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -1,6 +1,6 @@
 package membership
 
-// findPeers contacts members without a link: seeds and lost members, and neighbours whose table differs.
+// findPeers contacts seeds and lost members, and starts a table exchange with a neighbour whose table differs.
 func (m *Members) findPeers() {
 	if m.members[0].record.Left {
 		return
@@ -8,14 +8,14 @@
 	up := m.linksUp()
 	if up == 0 && m.ownTime >= m.nextJoinAt {
 		m.nextJoinAt = m.ownTime + m.jitter(m.joinBackoff)
-		if m.seedsTried++; m.seedsTried%max(1, len(m.config.Seeds)) == 0 { // all were asked in vain
+		if m.seedsTried++; m.seedsTried%max(1, len(m.config.Seeds)) == 0 { // every seed was contacted
 			m.joinBackoff = min(2*m.joinBackoff, maxJoinBackoff)
 		}
 		m.syncWithSeed(false)
 	} else if up > 0 {
 		m.joinBackoff = joinInterval
 		m.nextJoinAt = max(m.nextJoinAt, m.ownTime+joinInterval/2)
-		if m.ownTime >= m.nextSeedAt { // a part of the fleet that grew from another seed is found so
+		if m.ownTime >= m.nextSeedAt { // finds a part of the fleet that formed separately from another seed
 			m.nextSeedAt = m.ownTime + m.jitter(2*maxJoinBackoff)
 			m.syncWithSeed(true)
 		}
@@ -27,7 +27,8 @@
 	m.syncWithNeighbour()
 }
 
-// syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for a while, at a time without gossip.
+// syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for syncDelay. It waits until gossip is
+// quiet, since gossip can resolve the difference, but for maxSyncDeferral at most.
 func (m *Members) syncWithNeighbour() {
 	if m.syncExchangeID != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
 		m.syncExchangeID = 0
@@ -52,15 +53,16 @@
 	}
 }
 
-// syncWithSeed starts a table exchange with the next seed; with strange, only with one at an address outside the view.
-func (m *Members) syncWithSeed(strange bool) {
+// syncWithSeed starts a table exchange with the next seed; if outsideView is set, with the next one whose address no member of
+// the view has.
+func (m *Members) syncWithSeed(outsideView bool) {
 	seeds := m.config.Seeds
 	for range seeds {
 		m.seedIndex = (m.seedIndex + 1) % len(seeds)
 		address := seeds[m.seedIndex]
 		known := address == m.config.Address
 		for i := range m.members {
-			known = known || strange && m.members[i].inView && m.members[i].record.Address == address
+			known = known || outsideView && m.members[i].inView && m.members[i].record.Address == address
 		}
 		if !known {
 			m.startSync(address)
@@ -69,7 +71,7 @@
 	}
 }
 
-// reconnect pings one lost member.
+// reconnect pings the next lost member in turn.
 func (m *Members) reconnect() {
 	for range m.members {
 		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
@@ -87,19 +89,19 @@
 	}
 }
 
-// startSync opens a table exchange with an address.
+// startSync opens a table exchange with the node at an address.
 func (m *Members) startSync(to string) {
 	m.lastExchangeID++
 	m.syncExchangeID, m.lastSyncStart = m.lastExchangeID, m.ownTime
 	m.Counters.Exchanges++
-	heads := make([]RecordSummary, 0, len(m.byID))
+	summaries := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
 		if peer := &m.members[i]; peer.inDigest {
-			heads = append(heads, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
+			summaries = append(summaries, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
 		}
 	}
 	m.emit(Effect{Kind: Exchange, ExchangeID: m.lastExchangeID, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
-		Records: m.ownRecord(), Summaries: heads}})
+		Records: m.ownRecord(), Summaries: summaries}})
 }
 
 // answerSync answers an exchange that a peer opened.
@@ -114,16 +116,16 @@
 			return
 		}
 		m.syncRequestNumber++
-		for _, h := range msg.Summaries {
-			i, known := m.byID[h.ID]
+		for _, summary := range msg.Summaries {
+			i, known := m.byID[summary.ID]
 			if !known {
-				answer.Wanted = append(answer.Wanted, h.ID)
+				answer.Wanted = append(answer.Wanted, summary.ID)
 				continue
 			}
 			r := &m.members[i].record
 			m.lastSummarizedIn[i] = m.syncRequestNumber
-			if theirs := (Record{Incarnation: h.Incarnation, RecordVersion: h.RecordVersion}); theirs.newer(r) {
-				answer.Wanted = append(answer.Wanted, h.ID)
+			if theirs := (Record{Incarnation: summary.Incarnation, RecordVersion: summary.RecordVersion}); theirs.newer(r) {
+				answer.Wanted = append(answer.Wanted, summary.ID)
 			} else if r.newer(&theirs) {
 				answer.Records = append(answer.Records, *r)
 			}
@@ -144,7 +146,8 @@
 	m.emit(Effect{Kind: Reply, ExchangeID: link, Message: answer})
 }
 
-// rejectReason returns why a node may not join, or nothing: a running node at another address has its name.
+// rejectReason returns why the sender of a sync request is rejected, or "" if it is not. It is rejected if a reachable member
+// of the view has its name at another address and did not start after it.
 func (m *Members) rejectReason(msg *Message) string {
 	if len(msg.Records) == 0 || !msg.Records[0].usable() {
 		return ""
@@ -154,19 +157,19 @@
 	if !known {
 		return ""
 	}
-	held := &m.members[i]
-	if held.record.Address == r.Address || !held.inView || held.record.Left || !held.reachable && i != 0 || r.StartedAt < held.record.StartedAt {
+	holder := &m.members[i]
+	if holder.record.Address == r.Address || !holder.inView || holder.record.Left || !holder.reachable && i != 0 || r.StartedAt < holder.record.StartedAt {
 		return ""
 	}
-	return "the name " + r.Name + " is held by a node at " + held.record.Address + ", so the one at " + r.Address + " is refused"
+	return "the name " + r.Name + " is used by a node at " + holder.record.Address + ", so the node at " + r.Address + " is rejected"
 }
 
-// applySyncAnswer takes the answer to an exchange and pushes the records that the peer wants.
+// applySyncAnswer handles the answer to an exchange and pushes the records that the peer requested.
 func (m *Members) applySyncAnswer(msg *Message) {
 	switch msg.Kind {
 	case MessageReject:
 		m.Counters.NameConflicts++
-		m.log(true, "refused: %s", msg.Detail)
+		m.log(true, "sync request was rejected: %s", msg.Detail)
 		m.joinBackoff = maxJoinBackoff
 		return
 	case MessageSyncAnswer:
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,22 +4,22 @@
 	"topazpost/internal/invariant"
 )
 
-// updateView brings the view in line with reachability: new members at once, lost ones after the suspicion timeout. A node
-// without any link keeps its view, since it is more likely at fault than all others.
+// updateView updates the view from reachability: new members enter at once, lost ones leave after the suspicion timeout. A
+// node without any link keeps its view, since a fault of this node is more likely than one of all others.
 func (m *Members) updateView() {
-	alone := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
-	followed := m.viewDirty && m.ownTime >= m.nextTraversalAt
-	if !followed && alone == m.isolated && m.ownTime < m.nextViewAt {
+	isolated := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
+	traversed := m.viewDirty && m.ownTime >= m.nextTraversalAt
+	if !traversed && isolated == m.isolated && m.ownTime < m.nextViewAt {
 		return
 	}
-	if followed {
+	if traversed {
 		m.viewDirty, m.nextTraversalAt = false, m.ownTime+traversalInterval
 		m.traverse()
 	}
-	if alone != m.isolated {
-		m.isolated = alone
+	if isolated != m.isolated {
+		m.isolated = isolated
 		cause := Reconnected
-		if alone {
+		if isolated {
 			cause = Isolated
 		}
 		m.emitChange(cause, &m.members[0], m.members[0].record.Incarnation, m.config.Name, 0)
@@ -41,7 +41,7 @@
 	}
 }
 
-// updateViewMember sets the status of a member of the view, or takes it out of the view.
+// updateViewMember sets the status of a member of the view, or removes it from the view.
 func (m *Members) updateViewMember(i int32) {
 	peer := &m.members[i]
 	lossEndsAt := max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil)
@@ -69,7 +69,8 @@
 	}
 }
 
-// updateOutsider takes a member that is reachable again into the view, and forgets one that has been out of it for long.
+// updateOutsider adds a reachable member to the view once its flap damping ends, and forgets a member that has been outside
+// the view for the forget timeout.
 func (m *Members) updateOutsider(i int32) {
 	peer := &m.members[i]
 	outFor := m.ownTime - peer.outOfViewSince
@@ -86,8 +87,8 @@
 	}
 }
 
-// flapDampedUntil returns when a member that is reachable again may return to the view. It damps members that come and go;
-// one that restarts often is seen some seconds late.
+// flapDampedUntil returns the time from which a reachable member can return to the view. It damps members that come and go
+// repeatedly: each loss after the second doubles the delay.
 func (m *Members) flapDampedUntil(peer *member) int64 {
 	if peer.flaps <= 1 {
 		return 0
@@ -101,6 +102,7 @@
 	}
 }
 
+// enterView adds a member to the view.
 func (m *Members) enterView(peer *member) {
 	cause := Joined
 	if peer.everInView {
@@ -118,6 +120,7 @@
 	m.emitChange(cause, peer, peer.record.Incarnation, "", 0)
 }
 
+// leaveView removes a member from the view.
 func (m *Members) leaveView(peer *member, cause Cause) {
 	peer.inView, peer.outOfViewSince, peer.watchUntil = false, m.ownTime, 0
 	m.viewSize--
@@ -127,27 +130,28 @@
 		status = Left
 	}
 	m.setStatus(peer, status)
-	after := int64(0)
+	detectionDelay := int64(0)
 	if peer.unreachableSince > 0 {
-		after = m.ownTime - peer.unreachableSince + m.config.LinkTimeout
+		detectionDelay = m.ownTime - peer.unreachableSince + m.config.LinkTimeout
 	}
-	word := peer.record.Name
+	reportedBy := peer.record.Name
 	if cause == Lost {
-		word = ""
+		reportedBy = ""
 		if i, known := m.byID[peer.lossReportedBy]; known {
-			word = m.members[i].record.Name
+			reportedBy = m.members[i].record.Name
 		}
 	}
 	m.ringsDirty = true
-	m.emitChange(cause, peer, peer.record.Incarnation, word, after)
+	m.emitChange(cause, peer, peer.record.Incarnation, reportedBy, detectionDelay)
 }
 
-func (m *Members) emitChange(cause Cause, peer *member, inc uint64, word string, after int64) {
+// emitChange reports a change of the view. ReportedBy is the name of the member that reported it, "" for none.
+func (m *Members) emitChange(cause Cause, peer *member, incarnation uint64, reportedBy string, detectionDelay int64) {
 	m.viewNumber++
 	m.Counters.ViewChanges++
 	if invariant.Debug {
-		m.Invariants.Check(m.viewHash == m.View().Hash, "the hash is that of the view")
+		m.Invariants.Check(m.viewHash == m.View().Hash, "the incremental hash equals the hash of the view")
 	}
-	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Member: peer.record.Name, Incarnation: inc, ReportedBy: word,
-		DetectionDelay: after, Size: m.viewSize, Hash: m.viewHash}})
+	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Member: peer.record.Name, Incarnation: incarnation, ReportedBy: reportedBy,
+		DetectionDelay: detectionDelay, Size: m.viewSize, Hash: m.viewHash}})
 }
