--- a/integration/replicas_test.go
+++ b/integration/replicas_test.go
@@ -170,7 +170,7 @@
 	replicas.launch()
 	replicas.awaitEnded("t1")
 	assert.Contains(t, replicas.logs[1].String(), "a crash left this unfinished")
-	assert.Contains(t, replicas.logs[0].String(), "back from the disk")
+	assert.Contains(t, replicas.logs[0].String(), "recovered from disk")
 	replicas.recordResult("t2", "two")
 	for i, err := range replicas.stop(syscall.SIGTERM) {
 		assert.NoError(t, err, "s%d exits cleanly", i+1)
--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -5,7 +5,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// applyEntry applies a committed entry to the tables or to the membership.
+// applyEntry applies a committed entry to the tables or to the group's membership.
 func (r *raftReplica) applyEntry(e *pb.Entry) {
 	r.raft.appliedIndex = e.GetIndex()
 	if len(e.GetData()) == 0 && e.GetType() == pb.EntryNormal {
@@ -19,7 +19,8 @@
 	}
 }
 
-// applyToTables applies the parts of an entry. One that can't be decoded is ignored, as it is by all replicas.
+// applyToTables applies the parts of an entry to their tables. An entry that can't be decoded is ignored: all replicas decode the same
+// bytes, so all ignore it.
 func (r *raftReplica) applyToTables(data []byte) {
 	var parts map[uint8]cbor.RawMessage
 	if cborDecoding.Unmarshal(data, &parts) != nil {
@@ -36,7 +37,7 @@
 		if part == nil {
 			continue
 		}
-		r.snapshots.cachedTexts[i] = nil
+		r.snapshots.cachedEncodings[i] = nil
 		if r.snapshots.writer != nil {
 			r.snapshots.writer.changed[i] = true
 		}
--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -10,27 +10,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A replica that starts without its state can't know what it voted for, so it never takes part under the raft ID of an earlier
-// incarnation. A group is bootstrapped where all members are without one: each binds itself, for this incarnation, to the set of raft
-// IDs that it sees, and starts the group once all are bound to the same set. Where a group exists already, its leader replaces the
-// earlier incarnation by the new one.
+// A replica that starts without its state can't know what it voted for, so it takes a new raft ID instead of that of its earlier
+// incarnation. If no member belongs to a group, they bootstrap one: each replica binds its incarnation to the set of raft IDs that it has
+// discovered, and starts the group when all members are bound to the same set. If a group exists, its leader replaces the earlier
+// incarnation by the new one in the group's membership.
 
 const (
 	discoveryInterval = 100 * ms    // ns between discovery messages of a replica that belongs to no group
-	bindingTimeout    = 3_000 * ms  // ns that an incarnation stays bound to a bootstrap that does not complete
-	bootstrapTimeout  = 10_000 * ms // ns after which its members give up a group that never had a leader
+	bindingTimeout    = 3_000 * ms  // ns after which an incarnation gives up a bootstrap that does not complete
+	bootstrapTimeout  = 10_000 * ms // ns after which a replica gives up a new group that had no leader
 )
 
-// tickBootstrap sends discovery messages, binds this incarnation, and starts the group once all are bound alike.
+// tickBootstrap binds this incarnation to the discovered raft IDs, starts the group when all members are bound to the same set, and else
+// sends discovery messages.
 func (r *raftReplica) tickBootstrap() {
-	visible := r.visibleSet()
+	visible := r.visibleSetHash()
 	switch {
 	case r.bootstrap.boundSet == 0 && visible != 0:
 		r.bootstrap.boundSet = visible
 		r.bootstrap.boundAt = r.now
 		r.bootstrap.discoveryAt = r.now
 	case r.bootstrap.boundSet != 0 && r.now-r.bootstrap.boundAt > bindingTimeout:
-		r.restart() // nobody depends on this ID: it took part in nothing
+		r.restart() // this raft ID has not voted or acknowledged anything
 	}
 	if r.bootstrap.boundSet != 0 && r.allBound() {
 		r.startGroup()
@@ -42,7 +43,7 @@
 	}
 }
 
-// bootstrapTimedOut reports whether a group was started and neither had a leader nor committed anything for bootstrapTimeout.
+// bootstrapTimedOut reports whether this replica started a group which for bootstrapTimeout had no leader and committed nothing.
 func (r *raftReplica) bootstrapTimedOut() bool {
 	last, err := r.raft.storage.LastIndex()
 	mustSucceed(err)
@@ -67,8 +68,8 @@
 	})
 }
 
-// visibleSet is the hash of all members' raft IDs, 0 where not all are known, or one belongs to a group.
-func (r *raftReplica) visibleSet() uint64 {
+// visibleSetHash returns a hash of the raft IDs of all members, or 0 if one of them is unknown or belongs to a group already.
+func (r *raftReplica) visibleSetHash() uint64 {
 	hash := xxhash.New()
 	for _, name := range r.members {
 		id := r.raft.id
@@ -84,6 +85,7 @@
 	return hash.Sum64() | 1
 }
 
+// allBound reports whether all other members are bound to the same set as this replica.
 func (r *raftReplica) allBound() bool {
 	for _, name := range r.members {
 		if name != r.self && r.bootstrap.discovered[name].BoundTo != r.bootstrap.boundSet {
@@ -93,7 +95,7 @@
 	return true
 }
 
-// startGroup starts the group from the same empty state at all replicas.
+// startGroup starts the group of the discovered incarnations. All replicas start it from the same empty state.
 func (r *raftReplica) startGroup() {
 	r.replicas[r.self] = replicaIncarnation{r.raft.id, r.incarnation}
 	voters := []uint64{r.raft.id}
@@ -112,7 +114,7 @@
 	if len(r.members) == 1 {
 		r.leadership.electionAt = r.now
 	}
-	r.log(false, "a council of %d is founded, with no claims", len(r.members))
+	r.log(false, "consensus: bootstrapped a group of %d replicas with empty tables", len(r.members))
 	r.broadcastDiscovery()
 }
 
@@ -120,7 +122,7 @@
 func (r *raftReplica) storeInitialState(conf *pb.ConfState) {
 	one := uint64(1)
 	mustSucceed(r.raft.storage.ApplySnapshot(&pb.Snapshot{
-		Data:     r.encodeSnapshot(r.beginSnapshot()),
+		Data:     r.encodeSnapshot(r.newSnapshotWriter()),
 		Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: &one, Term: &one},
 	}))
 	mustSucceed(r.raft.storage.SetHardState(&pb.HardState{Term: &one, Commit: &one}))
@@ -144,12 +146,13 @@
 	}
 }
 
-// replaceRestarted proposes to replace a member's incarnation that lost its state by its next one, one member at a time.
-func (r *raftReplica) replaceRestarted() {
+// proposeReplacements proposes to replace an incarnation that lost its state by the next one of the same member. It proposes one
+// replacement at a time.
+func (r *raftReplica) proposeReplacements() {
 	for _, name := range r.members {
 		m, known := r.bootstrap.discovered[name]
 		before, isMember := r.replicas[name]
-		if known && m.Unassigned && isMember && m.RaftID != before.ID && m.Incarnation > before.Incarnation && name != r.self {
+		if known && m.Unassigned && isMember && m.RaftID != before.RaftID && m.Incarnation > before.Incarnation && name != r.self {
 			r.proposeReplacement(name, replicaIncarnation{m.RaftID, m.Incarnation}, before)
 			return
 		}
@@ -165,13 +168,14 @@
 	add := pb.ConfChangeAddNode
 	auto := pb.ConfChangeTransitionAuto
 	change := &pb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*pb.ConfChangeSingle{
-		{Type: &remove, NodeId: &before.ID},
-		{Type: &add, NodeId: &now.ID},
+		{Type: &remove, NodeId: &before.RaftID},
+		{Type: &add, NodeId: &now.RaftID},
 	}}
-	_ = r.raft.node.ProposeConfChange(change) // a dropped one is proposed again at the next tick
+	_ = r.raft.node.ProposeConfChange(change) // if it is dropped, the next tick proposes it again
 }
 
-// applyConfChange applies a membership change, and starts a snapshot: a new incarnation can't use one from before it was a member.
+// applyConfChange applies a change of the group's membership, and starts a snapshot, because a new incarnation can't use a snapshot from
+// before it was a member.
 func (r *raftReplica) applyConfChange(e *pb.Entry) {
 	change, err := decodeConfChange(e)
 	if err != nil {
@@ -185,9 +189,9 @@
 	}
 	for name, replica := range replaced {
 		r.replicas[name] = replica
-		r.leadership.lastContact[replica.ID] = r.now
+		r.leadership.lastContact[replica.RaftID] = r.now
 		r.Counters.ReplacedMembers++
-		r.log(false, "%s sits in the council anew: what it knew before is lost with its last life", name)
+		r.log(false, "consensus: %s is a member as a new incarnation, without the state of the previous one", name)
 	}
 }
 
--- a/internal/fleet/consensus/claimtable.go
+++ b/internal/fleet/consensus/claimtable.go
@@ -9,28 +9,28 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-const timeAdvanceInterval = 250 * ms // ns that the table's time may lag
+const timeAdvanceInterval = 250 * ms // ns after which the leader proposes to advance the table's time
 
-// commandID identifies a command of a node.
+// commandID identifies a node's command on claims.
 type commandID struct {
 	owner claims.Owner
 	seq   uint64
 }
 
-// claimTable is the replicated table of claims, with the callers that wait for a verdict of this replica. While this replica leads, it
-// also advances the table's time, plans takeovers, and collects the ended claims that nodes wait for.
+// claimTable is the replicated table of claims, with the commands that this replica has to answer. While this replica leads, it also
+// advances the table's time, plans takeovers, and collects the ended claims of which waiting nodes are notified.
 type claimTable struct {
 	replica      *raftReplica
-	maxBytes     int64 // of the table, 0 for the default
+	maxBytes     int64 // limit on the table, 0 for the default
 	view         []takeover.Member
 	table        *claims.Table
 	planner      *takeover.Planner
-	advancedAt   int64 // when this replica last applied an advance of time
+	advancedAt   int64 // when this replica last applied an advance of the table's time
 	queuedClaims []claims.Command
-	pending      map[commandID]int64 // when each came
+	pending      map[commandID]int64 // when each command was received
 	verdicts     map[claims.Owner][]claims.Verdict
 	endedClaims  map[claims.Owner][]claims.Key
-	alterCommand func(command *claims.Command, table *claims.Table) // fault injection of tests
+	alterCommand func(command *claims.Command, table *claims.Table) // injects faults in tests, nil otherwise
 }
 
 func (t *claimTable) reset() {
@@ -45,7 +45,8 @@
 
 func (t *claimTable) becomeLeader() { t.planner = takeover.NewPlanner() }
 
-// enqueueClaim takes a node's command to propose it. Without a leader it is dropped, and the node asks again.
+// enqueueClaim queues a node's command to be proposed. It drops the command if no leader is known or too many commands are pending; the
+// node then retries.
 func (t *claimTable) enqueueClaim(command claims.Command) {
 	if t.replica.leadership.leaderID == 0 || len(t.pending) >= maxPendingCommands {
 		return
@@ -62,7 +63,8 @@
 	}
 }
 
-// leaderTick queues the leader's own commands: the advance of time, and takeovers.
+// leaderTick queues the leader's own commands, which advance the table's time and reassign claims of lost nodes, and notifies the new
+// owners.
 func (t *claimTable) leaderTick() {
 	now := t.replica.now
 	sinceAdvance := now - t.advancedAt
@@ -82,7 +84,7 @@
 		return
 	}
 	if a.First {
-		t.replica.log(false, "claim %s of %s is taken over by %s: fence %d, %d ms to its due time", a.Entry.Key, a.LostOwner.Name, a.NewOwner.Name,
+		t.replica.log(false, "consensus: claim %s of %s is taken over by %s with fence %d, %d ms before its deadline", a.Entry.Key, a.LostOwner.Name, a.NewOwner.Name,
 			a.Entry.Fence, a.Remaining/ms)
 	}
 	t.replica.send(a.NewOwner.Name, Message{Kind: MessageReassignment, Owner: a.NewOwner, Entry: a.Entry, Remaining: a.Remaining})
@@ -95,7 +97,8 @@
 	return part
 }
 
-// encodeQueued encodes the first of what is queued, as many as an entry may have of a table.
+// encodeQueued encodes the first maxEntryCommands of the queued commands, and returns those that are left. If they can't be encoded, it
+// drops them all.
 func encodeQueued[T any](queued []T) (part []byte, rest []T) {
 	n := min(len(queued), maxEntryCommands)
 	if n == 0 {
@@ -103,12 +106,12 @@
 	}
 	part, err := cbor.Marshal(queued[:n])
 	if err != nil {
-		return nil, nil // the nodes ask again
+		return nil, nil // the nodes retry
 	}
 	return part, queued[n:]
 }
 
-// Apply applies the claims' part of an entry; the time is the table's own.
+// Apply applies the commands on claims of an entry. It ignores the agreed time, which is this table's own time.
 func (t *claimTable) Apply(_ int64, part []byte) {
 	var list []claims.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
@@ -153,11 +156,11 @@
 func (t *claimTable) Snapshot() ([]byte, error) { return t.table.Snapshot() }
 
 // Restore replaces the table of claims.
-func (t *claimTable) Restore(text []byte) (err error) {
+func (t *claimTable) Restore(encoded []byte) (err error) {
 	t.advancedAt = t.replica.now
 	t.table = claims.NewTable()
-	if len(text) > 0 {
-		t.table, err = claims.Restore(text)
+	if len(encoded) > 0 {
+		t.table, err = claims.Restore(encoded)
 	}
 	return err
 }
--- a/internal/fleet/consensus/configtable.go
+++ b/internal/fleet/consensus/configtable.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	maxConfigEntryBytes = 128 << 10 // of configuration in one entry, exceeded by at most one command
-	maxPendingConfigs   = 256       // commands that this replica has to answer
-	dueProposalInterval = 500 * ms  // ns until a due change is proposed again, since the entry may be lost
+	maxConfigEntryBytes = 128 << 10 // of changes in one entry, exceeded by at most one command
+	maxPendingConfigs   = 256       // commands that this replica has yet to answer; more are dropped, and the caller retries
+	dueProposalInterval = 500 * ms  // ns until the leader proposes a due command again, since its entry may be lost
 )
 
-// configCommandID identifies a command of a caller.
+// configCommandID identifies a caller's command on the configuration.
 type configCommandID struct {
 	caller string
 	seq    uint64
 }
 
-// pendingConfig is who waits for a verdict.
+// pendingConfig is the node that waits for the verdict on a command.
 type pendingConfig struct {
 	owner claims.Owner
-	at    int64 // when the command came
+	at    int64 // when the command was received
 }
 
-// configTable is the replicated table of configuration versions, with the callers that wait for a verdict of this replica. While this
-// replica leads, it also proposes to go on from the canary stage once a version has been there for long enough.
+// configTable is the replicated table of configuration versions, with the commands that this replica has to answer. While this replica
+// leads, it also proposes to roll a version out to all nodes when it has been at the canary stage for long enough.
 type configTable struct {
-	replica        *raftReplica
-	validate       func(*configsync.Command) string // says why a change is invalid by itself, empty where it isn't; nil for none
-	table          *configsync.Table
-	inUse          bool // something was committed: else snapshots hold nothing of it
-	changed        bool // since it was last reported
-	reportedAgreed bool // what was last reported: agreed versions, and not that nothing is known
-	queued         []configsync.Command
-	pending        map[configCommandID]pendingConfig
-	verdicts       map[claims.Owner][]configsync.Verdict
-	nextDueAt      int64 // when a due change may be proposed next
-	canary         configsync.Revision
-	canarySince    int64 // when canary came to the canary stage, by this replica's clock
+	replica         *raftReplica
+	validate        func(*configsync.Command) string // returns why a change is invalid regardless of other changes, empty if it is valid; nil for no validation
+	table           *configsync.Table
+	inUse           bool // a command was committed; before that, snapshots hold an empty part for this table
+	changed         bool // since AgreedConfig was last called
+	reportedInGroup bool // whether AgreedConfig last returned versions, rather than nil for a replica without a group
+	queued          []configsync.Command
+	pending         map[configCommandID]pendingConfig
+	verdicts        map[claims.Owner][]configsync.Verdict
+	nextDueAt       int64 // earliest time at which a due command is proposed again
+	canary          configsync.Revision
+	canarySince     int64 // when canary entered the canary stage, by this replica's clock
 }
 
 func (t *configTable) reset() {
@@ -53,7 +53,7 @@
 	t.trackCanary()
 }
 
-// trackCanary takes note of a change of the revision at the canary stage.
+// trackCanary records when the revision at the canary stage changes.
 func (t *configTable) trackCanary() {
 	canary := t.table.Head().Canary
 	if canary != t.canary {
@@ -64,16 +64,17 @@
 
 func (t *configTable) becomeLeader() { t.nextDueAt = 0 }
 
-// enqueue takes commands to propose them. An invalid change is rejected here; without a leader commands are dropped, and the caller
-// asks again. A repeated command replaces the one that is pending.
+// enqueue queues commands to be proposed. It rejects invalid changes, and drops commands if no leader is known or too many are pending;
+// the caller then retries. The verdict on a repeated command goes to the node that sent it last. The zero owner stands for this replica's
+// own commands, which get no verdict.
 func (t *configTable) enqueue(owner claims.Owner, list []configsync.Command) {
 	local := owner == claims.Owner{}
 	for i := range list {
 		c := &list[i]
-		if !local && !ofCaller(c) {
-			continue // a replica's own commands, which it gives locally
+		if !local && !isCallerCommand(c) {
+			continue // only replicas issue the other kinds, on their own behalf
 		}
-		if reason := t.invalid(c); reason != "" {
+		if reason := t.validationError(c); reason != "" {
 			verdict := configsync.Verdict{Caller: c.Caller, Seq: c.Seq, Refused: reason, Version: t.table.Head().Newest}
 			t.verdicts[owner] = append(t.verdicts[owner], verdict)
 			continue
@@ -88,13 +89,13 @@
 	}
 }
 
-// ofCaller reports whether a command is of a kind that callers give.
-func ofCaller(c *configsync.Command) bool {
+// isCallerCommand reports whether a command is of a kind that callers may send.
+func isCallerCommand(c *configsync.Command) bool {
 	return c.Kind == configsync.CommandPut || c.Kind == configsync.CommandRollback
 }
 
-// invalid is why a command is invalid by itself, empty where it isn't.
-func (t *configTable) invalid(c *configsync.Command) string {
+// validationError returns why a command is invalid regardless of other commands, empty if it is valid.
+func (t *configTable) validationError(c *configsync.Command) string {
 	if c.Kind != configsync.CommandPut || t.validate == nil {
 		return ""
 	}
@@ -109,7 +110,7 @@
 	}
 }
 
-// leaderTick queues what follows on a version that has been at the canary stage for long enough.
+// leaderTick queues the command that follows when a version has been at the canary stage for long enough.
 func (t *configTable) leaderTick() {
 	due := t.table.DueAdvanceAfter(t.replica.now - t.canarySince)
 	if due != nil && t.replica.now >= t.nextDueAt {
@@ -118,10 +119,10 @@
 	}
 }
 
-// storedSeparately is false while nothing was committed, so that a group without a configuration has nothing of it in its snapshots.
+// storedSeparately reports whether a command was committed: the snapshots of a group without a configuration refer to no part for it.
 func (t *configTable) storedSeparately() bool { return t.inUse }
 
-// nextProposal encodes as many commands as an entry may hold, by their number and bytes.
+// nextProposal encodes the first of the queued commands, as many as the limits on the commands and bytes of an entry allow.
 func (t *configTable) nextProposal() (part []byte) {
 	count := 0
 	size := 0
@@ -135,7 +136,7 @@
 	part, err := cbor.Marshal(t.queued[:count])
 	t.queued = t.queued[count:]
 	if err != nil {
-		return nil // the caller asks again
+		return nil // the caller retries
 	}
 	return part
 }
@@ -148,7 +149,7 @@
 	return size
 }
 
-// Apply applies the configuration's part of an entry.
+// Apply applies the commands on the configuration of an entry.
 func (t *configTable) Apply(at int64, part []byte) {
 	var list []configsync.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
@@ -169,13 +170,13 @@
 	t.changed = true
 	verdict := t.table.Apply(at, c)
 	id := configCommandID{c.Caller, c.Seq}
-	if by, waits := t.pending[id]; waits && ofCaller(c) {
+	if by, waits := t.pending[id]; waits && isCallerCommand(c) {
 		delete(t.pending, id)
 		t.verdicts[by.owner] = append(t.verdicts[by.owner], verdict)
 	}
 }
 
-// Snapshot encodes the table, as empty text while nothing was committed.
+// Snapshot encodes the table. The encoding is empty until a command is committed.
 func (t *configTable) Snapshot() ([]byte, error) {
 	if !t.inUse {
 		return []byte{}, nil
@@ -186,12 +187,12 @@
 func (t *configTable) beginSnapshot() incrementalSnapshot { return t.table.BeginSnapshot() }
 
 // Restore replaces the table.
-func (t *configTable) Restore(text []byte) (err error) {
+func (t *configTable) Restore(encoded []byte) (err error) {
 	t.changed = true
-	t.inUse = len(text) > 0
+	t.inUse = len(encoded) > 0
 	t.table = configsync.NewTable()
 	if t.inUse {
-		t.table, err = configsync.Restore(text)
+		t.table, err = configsync.Restore(encoded)
 		if err != nil {
 			return err
 		}
@@ -200,24 +201,24 @@
 	return nil
 }
 
-// SetConfigValidator has changes of the configuration validated before they are proposed; check says why a change is invalid by
-// itself, empty where it isn't.
+// SetConfigValidator sets the function that validates changes of the configuration before this replica proposes them. It returns why a
+// change is invalid regardless of other changes, empty if it is valid.
 func (r *Replica) SetConfigValidator(check func(*configsync.Command) string) {
 	r.configs.validate = check
 }
 
-// AgreedConfig is the configuration's committed versions, where they changed since the last call. A replica that belongs to no group
-// yet, or again, knows nothing: nil.
+// AgreedConfig returns the committed versions of the configuration, and reports whether they changed since the last call. Agreed is nil
+// if they did not change, or if the replica belongs to no group.
 func (r *Replica) AgreedConfig() (agreed *configsync.Agreed, changed bool) {
 	t := r.configs
-	changed = t.changed || t.reportedAgreed != r.bootstrap.done
+	changed = t.changed || t.reportedInGroup != r.bootstrap.done
 	if changed && r.bootstrap.done {
 		agreed = t.table.Agreed()
 	}
 	t.changed = false
-	t.reportedAgreed = r.bootstrap.done
+	t.reportedInGroup = r.bootstrap.done
 	return agreed, changed
 }
 
-// RollbackVersions are the versions that can be rolled back to.
+// RollbackVersions returns the versions that can be rolled back to.
 func (r *Replica) RollbackVersions() []uint64 { return r.configs.table.RollbackVersions() }
--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -15,13 +15,13 @@
 	return configsync.Item{Part: configsync.Tenants, Name: name, Value: []byte(`{"quota_rps":1}`)}
 }
 
-// propose sends a command from a node that is no replica to a replica, and returns its verdict.
+// propose sends a command from n3, a node without a replica, to a replica, and returns the verdict.
 func (s *simulation) propose(t *testing.T, replica int, c configsync.Command) configsync.Verdict {
 	node := s.nodes[3]
 	node.configVerdicts = nil
 	s.send(3, s.nodes[replica].name, Message{Kind: MessagePropose, From: node.name, Owner: node.owner(), ConfigCommands: []configsync.Command{c}})
 	s.run(s.now + 500*ms)
-	require.Len(t, node.configVerdicts, 1, "one command, one verdict")
+	require.Len(t, node.configVerdicts, 1, "one verdict on one command")
 	assert.Equal(t, []any{c.Caller, c.Seq}, []any{node.configVerdicts[0].Caller, node.configVerdicts[0].Seq})
 	return node.configVerdicts[0]
 }
@@ -33,27 +33,28 @@
 	return list
 }
 
+// Committed versions, the stopped canary and the verdicts are the same at all replicas, also after a restart at which one disk is lost.
 func TestConfigVersionsSurviveRestarts(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	for _, node := range sim.nodes[:3] {
-		text, err := node.replica.configs.Snapshot()
+		encoded, err := node.replica.configs.Snapshot()
 		require.NoError(t, err)
-		assert.Empty(t, text, "a group without a configuration has nothing of it in its snapshots")
+		assert.Empty(t, encoded, "the snapshots of a group without a configuration have an empty part for it")
 		assert.False(t, node.replica.configs.storedSeparately())
 	}
 	put := configsync.Command{Kind: configsync.CommandPut, Caller: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}}
 	v := sim.propose(t, 0, put)
 	assert.Equal(t, configsync.Verdict{Caller: "a", Seq: 1, Done: true, Version: 1}, v)
-	assert.Equal(t, v, sim.propose(t, 1, put), "the same command at another replica has the same verdict")
+	assert.Equal(t, v, sim.propose(t, 1, put), "a repeated command at another replica gets the same verdict")
 	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandPut, Caller: "b", Seq: 1, Changes: []configsync.Item{tenantItem("y")}})
 	assert.True(t, v.Stale)
 	assert.Equal(t, []configsync.Item{{Part: configsync.Tenants, Name: "x"}}, v.Differing)
 
 	sim.run(sim.now + 4_000*ms)
 	for _, h := range sim.heads() {
-		assert.Equal(t, uint64(1), h.All.Version, "the leader rolls it out to all after the canary stage")
+		assert.Equal(t, uint64(1), h.All.Version, "the leader rolls the version out to all after the canary stage")
 	}
-	for k := range 3 { // a change in several commands
+	for k := range 3 { // one change in several commands
 		v = sim.propose(t, k, configsync.Command{Kind: configsync.CommandPut, Caller: "c", Seq: uint64(k + 1), Base: 1, Piece: k, MorePieces: k < 2,
 			Changes: []configsync.Item{tenantItem(fmt.Sprint("z", k))}})
 		assert.True(t, v.Done, v.Refused)
@@ -86,7 +87,7 @@
 		require.NotNil(t, agreed)
 		assert.Equal(t, 4, agreed.Newest.Len(configsync.Tenants))
 		_, changed = sim.nodes[i].replica.AgreedConfig()
-		assert.False(t, changed, "it is reported once")
+		assert.False(t, changed, "a change is reported once")
 	}
 	v = sim.propose(t, 2, configsync.Command{Kind: configsync.CommandRollback, Caller: "d", Seq: 1, Version: 1})
 	assert.Equal(t, configsync.Verdict{Caller: "d", Seq: 1, Done: true, Version: 3}, v)
@@ -96,10 +97,10 @@
 func TestInvalidConfigChangeIsNotProposed(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	for _, node := range sim.nodes[:3] {
-		node.replica.SetConfigValidator(func(c *configsync.Command) string { return "unsound: " + c.Changes[0].Name })
+		node.replica.SetConfigValidator(func(c *configsync.Command) string { return "invalid: " + c.Changes[0].Name })
 	}
 	v := sim.propose(t, 0, configsync.Command{Kind: configsync.CommandPut, Caller: "a", Seq: 1, Changes: []configsync.Item{tenantItem("x")}})
-	assert.Equal(t, "unsound: x", v.Refused)
+	assert.Equal(t, "invalid: x", v.Refused)
 	assert.Zero(t, sim.heads()[0].Newest)
 	assert.False(t, sim.nodes[0].replica.configs.inUse)
 }
--- a/internal/fleet/consensus/leader.go
+++ b/internal/fleet/consensus/leader.go
@@ -6,12 +6,12 @@
 
 const (
 	heartbeatInterval    = 80 * ms    // ns
-	minElectionTimeout   = 600 * ms   // ns without contact to a leader; timeouts are drawn from here to twice that
+	minElectionTimeout   = 600 * ms   // ns without contact to a leader; each timeout is drawn at random between this and twice this
 	leaderSilenceTimeout = 1_200 * ms // ns without contact to a majority after which a leader steps down, so that others may be elected
-	stepDownInterval     = 3_000 * ms // ns between announcements of a leader that stepped down: two such learn of each other, and others can be elected in between
+	stepDownInterval     = 3_000 * ms // ns between the times at which a leader that stepped down sends its messages: two such leaders learn of each other, and in between others can be elected
 	leaderTickInterval   = 50 * ms    // ns
-	snapshotTimeout      = 1_000 * ms // ns that a snapshot may be on its way
-	snapshotRetryBackoff = 50 * ms    // ns until a snapshot is sent that is still being written
+	snapshotTimeout      = 1_000 * ms // ns after which a snapshot that was sent counts as lost
+	snapshotRetryBackoff = 50 * ms    // ns until raft sends a snapshot again that was still being written
 )
 
 func (r *raftReplica) resetElectionTimer() {
@@ -20,11 +20,11 @@
 
 func (r *raftReplica) campaign() {
 	r.Counters.Campaigns++
-	_ = r.raft.node.Campaign() // refused where this replica is no voter: the next timeout tries again
+	_ = r.raft.node.Campaign() // fails if this replica is no voter; it campaigns again at the next timeout
 	r.followLeader()
 }
 
-// followLeader takes note of a change of leader.
+// followLeader records a change of leader.
 func (r *raftReplica) followLeader() {
 	leaderID := r.raft.node.BasicStatus().Lead
 	if leaderID == r.leadership.leaderID {
@@ -48,20 +48,20 @@
 	}
 	clear(r.leadership.lastContact)
 	for _, replica := range r.replicas {
-		r.leadership.lastContact[replica.ID] = r.now
+		r.leadership.lastContact[replica.RaftID] = r.now
 	}
-	r.log(false, "this node leads the council, term %d", r.raft.node.BasicStatus().GetTerm())
+	r.log(false, "consensus: this replica leads the group in term %d", r.raft.node.BasicStatus().GetTerm())
 }
 
-// steppedDown reports whether this replica leads and has not been in contact with a majority for leaderSilenceTimeout. It then sends
-// nothing, so that replicas which still receive its messages, but can't reach it, elect another.
+// steppedDown reports whether this replica leads but has had no contact to a majority for leaderSilenceTimeout. It then stops sending raft
+// messages, so that replicas that receive them, but can't reach this one, elect another leader.
 func (r *raftReplica) steppedDown() bool {
 	if !r.IsLeader() {
 		return false
 	}
 	inContact := 0
 	for _, replica := range r.replicas {
-		if replica.ID == r.raft.id || r.now-r.leadership.lastContact[replica.ID] < leaderSilenceTimeout {
+		if replica.RaftID == r.raft.id || r.now-r.leadership.lastContact[replica.RaftID] < leaderSilenceTimeout {
 			inContact++
 		}
 	}
@@ -83,10 +83,11 @@
 		for _, t := range r.tables {
 			t.leaderTick()
 		}
-		r.replaceRestarted()
+		r.proposeReplacements()
 	}
 }
 
+// heartbeat has raft send the leader's heartbeats. A leader that stepped down sends them only every stepDownInterval.
 func (r *raftReplica) heartbeat() {
 	r.leadership.heartbeatAt = r.now + heartbeatInterval
 	r.raft.node.Tick()
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -14,14 +14,14 @@
 	seq   uint64
 }
 
-// leaseTable is the replicated table of limits and leases, with the callers that wait for a grant of this replica, and the limits that
-// it defines while it leads.
+// leaseTable is the replicated table of limits and leases, with the lease requests that this replica has to answer, and the definitions
+// of limits that it proposes while it leads.
 type leaseTable struct {
 	replica       *raftReplica
 	limits        []quota.Command
 	leases        *quota.LeaseTable
 	queuedLeases  []quota.Command
-	pendingLeases map[leaseCommandID]int64 // when each came
+	pendingLeases map[leaseCommandID]int64 // when each request was received
 	grants        map[claims.Owner][]quota.Verdict
 }
 
@@ -34,7 +34,7 @@
 
 func (t *leaseTable) becomeLeader() {}
 
-// requestLeases takes lease requests to propose them. Without a leader they are dropped, and the node asks again.
+// requestLeases queues lease requests to be proposed. It drops them if no leader is known or too many are pending; the node then retries.
 func (t *leaseTable) requestLeases(list []quota.Command) {
 	for i := range list {
 		if t.replica.leadership.leaderID == 0 || len(t.pendingLeases) >= maxPendingCommands {
@@ -53,7 +53,7 @@
 	}
 }
 
-// leaderTick queues the definitions of limits that are not in the table yet, or in an earlier version.
+// leaderTick queues the definitions of limits that the table lacks or has in an earlier version.
 func (t *leaseTable) leaderTick() {
 	for _, limit := range t.limits {
 		known := t.leases.Find(limit.Limit)
@@ -70,7 +70,7 @@
 	return part
 }
 
-// Apply applies the leases' part of an entry.
+// Apply applies the commands on limits and leases of an entry.
 func (t *leaseTable) Apply(at int64, part []byte) {
 	var list []quota.Command
 	if cborDecoding.Unmarshal(part, &list) != nil {
@@ -98,10 +98,10 @@
 func (t *leaseTable) Snapshot() ([]byte, error) { return t.leases.Snapshot() }
 
 // Restore replaces the table of limits and leases.
-func (t *leaseTable) Restore(text []byte) (err error) {
+func (t *leaseTable) Restore(encoded []byte) (err error) {
 	t.leases = quota.NewLeaseTable()
-	if len(text) > 0 {
-		t.leases, err = quota.Restore(text)
+	if len(encoded) > 0 {
+		t.leases, err = quota.Restore(encoded)
 	}
 	return err
 }
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -7,33 +7,34 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-// MessageKind names what a message is for.
+// MessageKind is the purpose of a message.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
 	MessageRaft         MessageKind = iota + 1 // a raft message between replicas
-	MessageDiscovery                           // of a replica that belongs to no group, and the answer to it
-	MessagePropose                             // commands of a node, to any replica
-	MessageVerdicts                            // the answers to commands
+	MessageDiscovery                           // sent by a replica that belongs to no group, and the answer to it
+	MessagePropose                             // a node's commands, sent to any replica
+	MessageVerdicts                            // the verdicts on commands
 	MessageClaimsEnded                         // claims that the receiver waits for have ended
 	MessageReassignment                        // the receiver is the new owner of a claim
-	MessageRejoin                              // a replica that is back from its disk asks what is known of it
+	MessageRejoin                              // a replica recovered from its disk, and asks which of its writes the receiver knows of
 	MessageRejoinAnswer                        // the answer to MessageRejoin
-	MessagePartRequest                         // a replica requests a chunk of a part that a snapshot refers to
+	MessagePartRequest                         // requests a chunk of a part that a snapshot refers to
 	MessagePart                                // the answer to MessagePartRequest
 )
 
-// Message is what replicas and nodes send each other. A field that is not for all kinds names its kinds.
+// Message is a message between replicas, or between a node and a replica. Comments name the kinds that a field belongs to; fields without
+// a comment belong to all kinds.
 type Message struct {
 	Kind           MessageKind          `cbor:"1,keyasint"`
 	From           string               `cbor:"2,keyasint"`
 	Raft           []byte               `cbor:"3,keyasint,omitempty"`  // MessageRaft
-	RaftID         uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer: a raft ID
-	Incarnation    uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin and its answer
-	BoundTo        uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery
+	RaftID         uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery: the sender's raft ID; MessageRejoin, MessageRejoinAnswer: that of the rejoining replica
+	Incarnation    uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin: the sender's; MessageRejoinAnswer: the receiver's that is a member
+	BoundTo        uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery: hash of the raft IDs that the sender is bound to
 	Unassigned     bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group
-	Owner          claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; in answers the receiver
+	Owner          claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; MessageVerdicts, MessageClaimsEnded, MessageReassignment: the receiver
 	ClaimCommands  []claims.Command     `cbor:"9,keyasint,omitempty"`  // MessagePropose
 	ClaimVerdicts  []claims.Verdict     `cbor:"10,keyasint,omitempty"` // MessageVerdicts
 	Keys           []claims.Key         `cbor:"11,keyasint,omitempty"` // MessageClaimsEnded
@@ -41,7 +42,7 @@
 	Remaining      int64                `cbor:"13,keyasint,omitempty"` // MessageReassignment: ns to the claim's deadline
 	LeaseCommands  []quota.Command      `cbor:"15,keyasint,omitempty"` // MessagePropose
 	LeaseVerdicts  []quota.Verdict      `cbor:"16,keyasint,omitempty"` // MessageVerdicts
-	WriteNumber    uint64               `cbor:"17,keyasint,omitempty"` // MessageRaft: the sender's last persisted write; MessageRejoinAnswer: the receiver's last write that is known
+	WriteNumber    uint64               `cbor:"17,keyasint,omitempty"` // MessageRaft: the sender's last persisted write; MessageRejoinAnswer: the receiver's last write that the sender knows of
 	Part           string               `cbor:"18,keyasint,omitempty"` // MessagePartRequest, MessagePart: digest of the part
 	Offset         int                  `cbor:"19,keyasint,omitempty"` // MessagePartRequest, MessagePart: bytes into the part
 	Size           int                  `cbor:"20,keyasint,omitempty"` // MessagePart: bytes of the part
@@ -51,30 +52,30 @@
 	Leader         string               `cbor:"14,keyasint,omitempty"` // MessageVerdicts: the group's leader, as far as the sender knows
 }
 
-// Input is one event: a message, commands of this node, another membership view, or the result of writes.
+// Input is one event: a message, commands of this node, a changed membership view, or the result of writes to the disk.
 type Input struct {
 	Message        *Message
 	ClaimCommands  []claims.Command     // of this node
 	LeaseCommands  []quota.Command      // of this node
-	View           []takeover.Member    // nil where it did not change
-	ConfigCommands []configsync.Command // of the configuration
-	Owner          claims.Owner         // receives the verdicts on Proposed; zero where this replica proposes on its own behalf
+	View           []takeover.Member    // nil if it did not change
+	ConfigCommands []configsync.Command // commands on the configuration
+	Owner          claims.Owner         // receives the verdicts on ConfigCommands; zero if this replica proposes on its own behalf
 
-	Persisted uint64 // writes up to this number count
-	DiskErr   error  // of the disk: that write and all later ones failed
+	Persisted uint64 // the writes up to this number are on the disk
+	DiskErr   error  // a write failed, and with it all later ones
 }
 
-// EffectKind names what is to be done.
+// EffectKind is an action that the caller of Step carries out.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
-	Send     EffectKind = iota // to the node To
-	WriteLog                   // for operators
-	Persist                    // write to the disk, in order, then report it as Input.Persisted
+	Send     EffectKind = iota // send Message to the node To
+	WriteLog                   // log Text for operators
+	Persist                    // carry out Write after all earlier ones, then report its number as Input.Persisted
 )
 
-// Effect is one thing to do. A message to this node's own name is one to itself.
+// Effect is one action for the caller of Step to carry out. A message may be addressed to this node itself.
 type Effect struct {
 	Kind    EffectKind
 	To      string
@@ -84,7 +85,7 @@
 	Write   *Write
 }
 
-// Summary is what a node shows of claims.
+// Summary is a node's view of claims, with that of its replica if it has one, as operators see it.
 type Summary struct {
 	Node           string                 `json:"node" cbor:"1,keyasint"`
 	Client         *claims.ClientCounters `json:"desk,omitempty" cbor:"2,keyasint,omitempty"`
--- a/internal/fleet/consensus/raftreplica.go
+++ b/internal/fleet/consensus/raftreplica.go
@@ -15,61 +15,62 @@
 )
 
 const (
-	ms    = int64(1_000_000) // ns in a millisecond
-	never = 1<<63 - 1        // ns
+	ms       = int64(1_000_000) // ns in a millisecond
+	maxInt64 = 1<<63 - 1        // a time that is never reached, or no limit on bytes
 
-	maxMessageBytes     = 256 << 10 // of entries in one message
-	maxUncommittedBytes = 4 << 20   // of entries that are not committed yet; raft drops proposals above it
-	maxInFlightMessages = 64        // append messages on their way to one replica
-	maxTrackedIDs       = 64        // raft IDs remembered per replica: several incarnations of five replicas
+	maxMessageBytes     = 256 << 10 // of entries in one append message
+	maxUncommittedBytes = 4 << 20   // of entries that are not committed yet; raft drops proposals above this
+	maxInFlightMessages = 64        // unacknowledged append messages to one replica
+	maxTrackedIDs       = 64        // raft IDs of other replicas that one replica tracks: several incarnations of five replicas
 )
 
-// Table is one replicated table of a group: its content depends only on the parts of the committed entries that were applied to it,
-// so it is the same at all replicas. A replica holds tables and does not look into them.
+// Table is one replicated table of a group. Its content depends only on the parts of committed entries that were applied to it, so it is
+// the same at all replicas. The raft replica does not interpret the content.
 type Table interface {
-	// Apply carries out the table's part of an entry, at the agreed time. It panics at what this build doesn't support, since the table
-	// would diverge from the others'. A part that can't be decoded is ignored, as it is by all replicas.
+	// Apply applies the table's part of an entry, at the agreed time. It panics at a command that this build doesn't support, because the
+	// table would diverge from those of other replicas. It ignores a part that can't be decoded, which all replicas do alike.
 	Apply(at int64, part []byte)
-	// Snapshot encodes the whole table. It is called only after a part was applied.
+	// Snapshot encodes the whole table.
 	Snapshot() ([]byte, error)
-	// Restore replaces the table's content; empty text stands for an empty table. An error ends this incarnation of the replica.
-	Restore(text []byte) error
+	// Restore replaces the table's content by an encoded one; an empty encoding stands for an empty table. After an error the replica can't
+	// go on as this incarnation.
+	Restore(encoded []byte) error
 }
 
-// replicatedTable is a table together with what its host does around it at this replica alone.
+// replicatedTable is a table together with the state that is not replicated: queued commands, and those that this replica has to answer.
 type replicatedTable interface {
 	Table
-	reset()                 // a new incarnation of the replica begins: nothing is known and nobody waits
-	becomeLeader()          // this replica has become the leader
-	leaderTick()            // the leader queues the table's own proposals
-	storedSeparately() bool // it is large and changes seldom: snapshots refer to it by its digest
-	nextProposal() []byte   // the next part to propose, nil where there is none; each is returned once
+	reset()                 // empties the table and the queues for a new incarnation of the replica
+	becomeLeader()          // is called when this replica becomes the leader
+	leaderTick()            // queues the leader's own commands
+	storedSeparately() bool // reports whether snapshots refer to the table by its digest, because it is large and changes seldom
+	nextProposal() []byte   // returns the next part to propose once, nil if there is none
 }
 
 var (
-	errMissingPart  = errors.New("a part that the snapshot names is not here")
-	errNewerTable   = errors.New("a table of a newer version: what the others know would not be known here")
-	errNewerCommand = errors.New("a command of a newer version: the others' tables would not be this one's any more")
+	errMissingPart  = errors.New("consensus: the snapshot refers to a part that this replica lacks")
+	errNewerTable   = errors.New("consensus: an entry has commands on a table that only newer versions support; this replica would lack its content")
+	errNewerCommand = errors.New("consensus: an entry has a command that only newer versions support; this replica's tables would diverge from the others")
 )
 
-// replicaIncarnation identifies one incarnation of a replica by its raft ID. A replica that restarts without its state gets another
-// ID, so that it can't vote or acknowledge in place of the incarnation whose state was lost.
+// replicaIncarnation identifies one incarnation of a replica. A replica that restarts without its state gets another raft ID, so that it
+// can't vote or acknowledge in place of the incarnation whose state was lost.
 type replicaIncarnation struct {
-	ID          uint64 `cbor:"1,keyasint"`
+	RaftID      uint64 `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
 // Counters are a replica's counters as operators see them.
 type Counters struct {
-	CommittedCommands int `json:"agreed"` // commands
+	CommittedCommands int `json:"agreed"`
 	AppliedEntries    int `json:"entries"`
 	Campaigns         int `json:"stood"`
 	Snapshots         int `json:"snapshots"`
 	ReplacedMembers   int `json:"reseated"`
-	PanicRestarts     int `json:"broken"` // faults after which the replica restarted as a new incarnation
+	PanicRestarts     int `json:"broken"` // panics after which the replica restarted as a new incarnation
 }
 
-// raftState is raft's node with its storage, and how far the log is applied.
+// raftState is the node of the raft library with its storage, and the indexes of the last applied entry and of the last snapshot.
 type raftState struct {
 	id            uint64
 	storage       *raft.MemoryStorage
@@ -79,23 +80,23 @@
 	confState     *pb.ConfState
 }
 
-// leadershipState is what a replica knows of the leader, and its timers of elections and of leadership.
+// leadershipState is the known leader, the last contacts to other replicas, and the timers of elections and of leadership.
 type leadershipState struct {
 	leaderID        uint64
-	leaderContactAt int64             // last message of the leader
-	lastContact     map[uint64]int64  // last message by raft ID
-	lastIDs         map[string]uint64 // the raft ID that a member last used
+	leaderContactAt int64             // when the leader's last message was received
+	lastContact     map[uint64]int64  // when the last message was received, by raft ID of the sender
+	lastRaftIDs     map[string]uint64 // the raft ID in a member's last message
 	electionAt      int64
 	heartbeatAt     int64
 	tickAt          int64
 	announceAt      int64
-	announcing      bool // send this step's messages although stepped down
+	announcing      bool // send the next messages although this leader stepped down
 }
 
-// bootstrapState is the state of forming a group.
+// bootstrapState is the state of discovering the other members and starting a group.
 type bootstrapState struct {
-	done        bool
-	boundSet    uint64 // hash of the raft IDs that this incarnation is bound to, 0 for none
+	done        bool   // the replica belongs to a group
+	boundSet    uint64 // hash of the raft IDs that this incarnation is bound to, 0 if unbound
 	boundAt     int64
 	discovered  map[string]Message // last discovery message by member
 	discoveryAt int64
@@ -103,16 +104,17 @@
 
 // snapshotState is the snapshot being written or received, and the parts that snapshots refer to.
 type snapshotState struct {
-	sentAt          map[uint64]int64  // by raft ID of the receiver
-	cachedTexts     [][]byte          // encoded tables of the last snapshot, nil for those that changed since
-	cachedDigests   []string          // of cachedTexts, where they are known
-	parts           map[string][]byte // tables stored beside snapshots, by digest
-	previousDigests []string          // parts that the last snapshot but one refers to
-	fetch           *partFetch        // nil unless a received snapshot waits for parts
-	writer          *snapshotWriter   // nil unless one is being written
+	sentAt          map[uint64]int64  // when raft sent a snapshot that is not confirmed yet, by raft ID of the receiver
+	cachedEncodings [][]byte          // tables as of the last snapshot, nil for those that changed since
+	cachedDigests   []string          // of cachedEncodings, empty if unknown
+	parts           map[string][]byte // encoded tables that snapshots refer to, by digest
+	previousDigests []string          // of the parts that the second to last snapshot refers to
+	fetch           *partFetch        // nil unless a received snapshot waits for parts that this replica lacks
+	writer          *snapshotWriter   // nil unless a snapshot is being written
 }
 
-// raftReplica is one member of a group: raft, bootstrap and membership, elections, and the dispatch of committed entries to tables.
+// raftReplica is the part of a replica below its tables: raft, bootstrap and membership, elections, snapshots, storage, and the dispatch of
+// committed entries to the tables.
 type raftReplica struct {
 	Counters Counters
 
@@ -125,8 +127,8 @@
 	now                int64
 	wakeAt             int64
 	effects            []Effect
-	earlyEffects       []Effect          // emitted before the first step
-	tables             []replicatedTable // a table's key in an entry is its index and one
+	earlyEffects       []Effect          // emitted before the first step, which returns them
+	tables             []replicatedTable // a table's key in an entry is its index plus one
 	agreedTime         func() int64
 
 	raft       raftState
@@ -147,7 +149,7 @@
 	}
 }
 
-// initialize begins an incarnation that knows nothing.
+// initialize begins an incarnation without state, under a new raft ID.
 func (r *raftReplica) initialize() {
 	r.raft.id = xxhash.Sum64String(fmt.Sprintf("%s %d %d", r.self, r.incarnation, r.random.Uint64())) | 1
 	r.raft.storage = raft.NewMemoryStorage()
@@ -160,13 +162,13 @@
 	r.bootstrap.discovered = map[string]Message{}
 	r.leadership.leaderID = 0
 	r.leadership.lastContact = map[uint64]int64{}
-	r.leadership.lastIDs = map[string]uint64{}
+	r.leadership.lastRaftIDs = map[string]uint64{}
 	r.leadership.announcing = false
 	r.snapshots = snapshotState{
-		sentAt:        map[uint64]int64{},
-		cachedTexts:   make([][]byte, len(r.tables)),
-		cachedDigests: make([]string, len(r.tables)),
-		parts:         map[string][]byte{},
+		sentAt:          map[uint64]int64{},
+		cachedEncodings: make([][]byte, len(r.tables)),
+		cachedDigests:   make([]string, len(r.tables)),
+		parts:           map[string][]byte{},
 	}
 	r.disk.peerWrites = map[uint64]uint64{}
 	r.disk.peerWritesChanged = false
@@ -184,14 +186,14 @@
 	r.resetElectionTimer()
 }
 
-// restart begins another incarnation of this replica, under another raft ID, that knows nothing.
+// restart discards the state of this replica and begins its next incarnation, under a new raft ID.
 func (r *raftReplica) restart() {
 	r.incarnation = max(r.incarnation, r.processIncarnation) + 1
 	r.initialize()
 }
 
-// startRaft makes raft's node over the storage. Elections are timed by this package, from its own source of randomness: raft's ticks
-// only send the leader's heartbeats.
+// startRaft creates the node of the raft library. This package times elections itself, with its own random numbers, so that a seed
+// determines them; the ticks of the library only send the leader's heartbeats.
 func (r *raftReplica) startRaft(applied uint64) {
 	node, err := raft.NewRawNode(&raft.Config{
 		ID:                        r.raft.id,
@@ -211,11 +213,12 @@
 	r.raft.node = node
 }
 
-// IsLeader reports whether this replica leads the group, as far as it knows.
+// IsLeader reports whether this replica leads the group, as far as it knows: another may have been elected since.
 func (r *raftReplica) IsLeader() bool { return r.leadership.leaderID == r.raft.id }
 
-// IsCurrent reports whether this replica knows all that was committed but for what is on its way: it is in contact with a leader, or
-// leads and is in contact with a majority, and has applied an entry of that leader's term, and with it all before.
+// IsCurrent reports whether this replica has applied all committed entries but for the most recent ones, which may still be in flight.
+// This holds if it is in contact with a leader, or leads and is in contact with a majority, and has applied an entry of the current term,
+// and thus all entries before it.
 func (r *raftReplica) IsCurrent() bool {
 	if !r.bootstrap.done || r.leadership.leaderID == 0 || r.now >= r.leadership.leaderContactAt+minElectionTimeout || r.steppedDown() {
 		return false
@@ -224,10 +227,10 @@
 	return err == nil && term == r.raft.node.BasicStatus().GetTerm()
 }
 
-// Leader is the name of the replica that leads, as far as this one knows, empty where it knows none.
+// Leader returns the name of the leader that this replica knows, empty if it knows none.
 func (r *raftReplica) Leader() string {
 	for name, replica := range r.replicas {
-		if replica.ID == r.leadership.leaderID {
+		if replica.RaftID == r.leadership.leaderID {
 			return name
 		}
 	}
@@ -236,7 +239,7 @@
 
 func (r *raftReplica) isMember(id uint64) bool {
 	for _, replica := range r.replicas {
-		if replica.ID == id {
+		if replica.RaftID == id {
 			return true
 		}
 	}
@@ -257,7 +260,8 @@
 	r.emit(Effect{Kind: Send, To: to, Message: m})
 }
 
-// mustSucceed panics at an error that can't occur, so that this incarnation ends instead of going on from an unknown state.
+// mustSucceed panics at an error that a correct program doesn't produce, so that this incarnation ends instead of going on from an unknown
+// state.
 func mustSucceed(err error) {
 	if err != nil {
 		panic(err)
@@ -272,7 +276,8 @@
 	return mode
 }()
 
-// raftLogger drops raft's log: what matters is logged as effects. What raft holds to be fatal ends the incarnation.
+// raftLogger discards the log of the raft library, since this package logs the important events as effects. It panics at fatal errors,
+// which ends the incarnation.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)                   {}
--- a/internal/fleet/consensus/rejoin.go
+++ b/internal/fleet/consensus/rejoin.go
@@ -3,11 +3,12 @@
 import "slices"
 
 const (
-	rejoinInterval = 100 * ms   // ns between requests of a replica that is back from its disk
-	rejoinTimeout  = 3_000 * ms // ns that it waits for all others; then a majority is enough
+	rejoinInterval = 100 * ms   // ns between the requests of a replica that recovered from its disk
+	rejoinTimeout  = 3_000 * ms // ns that it waits for the answers of all other members; then a majority is enough
 )
 
-// trackPeerWrite notes the write that a peer's messages depend on, and answers a peer whose state is older than it was before.
+// trackPeerWrite records the last persisted write that a peer's messages carry. If the peer's number went back, its disk is outdated: it is
+// told of the later write.
 func (r *raftReplica) trackPeerWrite(id, number uint64, from string) {
 	if number == 0 {
 		return
@@ -31,9 +32,9 @@
 	r.disk.rejoinDeadline = r.now + rejoinTimeout
 }
 
-// tickRejoin asks the others for this replica's last write that they know of, and goes on once they have answered: an old disk lacks
-// what was acknowledged, and votes. It guards against a volume that was set back; where no other answers, the group is back only
-// after rejoinTimeout.
+// tickRejoin asks the other members for the last write of this replica that they know of, and takes part in the group again when enough
+// have answered. This guards against a volume that was restored to an older state, which lacks votes and acknowledged entries. If not all
+// other members answer, this replica waits for rejoinTimeout.
 func (r *raftReplica) tickRejoin() {
 	d := &r.disk
 	known := len(d.rejoinAnswers) + 1
@@ -53,25 +54,26 @@
 	}
 }
 
-// answerRejoin sends a member the last write known of its raft ID, and the incarnation that is a member now.
+// answerRejoin sends a member the last write that is known of a raft ID, and the incarnation of that member that belongs to the group.
 func (r *raftReplica) answerRejoin(to string, id uint64) {
 	if r.bootstrap.done {
 		r.send(to, Message{Kind: MessageRejoinAnswer, RaftID: id, Incarnation: r.replicas[to].Incarnation, WriteNumber: r.disk.peerWrites[id]})
 	}
 }
 
-// handleRejoinAnswer takes another member's answer, and restarts a replica whose disk is behind what it acknowledged.
+// handleRejoinAnswer handles the answer of another member. It restarts this replica if its disk lacks writes that it acknowledged, or if a
+// later incarnation has replaced it.
 func (r *raftReplica) handleRejoinAnswer(m *Message) {
 	if m.RaftID != r.raft.id || !r.disk.enabled || !slices.Contains(r.members, m.From) || m.From == r.self {
 		return
 	}
 	switch {
 	case m.WriteNumber > r.disk.lastWrite:
-		r.log(true, "this seat's disk is behind what it had acknowledged: %s heard its write %d, and the last there was %d; it begins anew",
+		r.log(true, "consensus: this replica's disk lacks acknowledged writes: %s knows of write %d, but the last on the disk is %d; restarting without state as a new incarnation",
 			m.From, m.WriteNumber, r.disk.lastWrite)
 		r.restart()
 	case m.Incarnation > r.incarnation:
-		r.log(true, "another life has this seat's place by what %s knows; it begins anew", m.From)
+		r.log(true, "consensus: according to %s, a later incarnation of this replica is a member of the group; restarting without state as a new incarnation", m.From)
 		r.restart()
 	case r.disk.rejoinAnswers != nil:
 		r.disk.rejoinAnswers[m.From] = true
--- a/internal/fleet/consensus/replica.go
+++ b/internal/fleet/consensus/replica.go
@@ -1,6 +1,6 @@
-// Package consensus is a group of replicas that agree on one order of commands, by raft, and apply them to replicated tables: claims,
-// leases and versions of the configuration. It does no I/O and reads no clock: Replica.Step takes messages, the time and the membership
-// view, and returns effects.
+// Package consensus implements the replicas of a consensus group. They agree on one order of commands by raft, and apply them to three
+// replicated tables: claims, leases and versions of the configuration. The package does no I/O and reads no clock: Replica.Step takes
+// the time, messages and the membership view, and returns effects for the caller to carry out.
 package consensus
 
 import (
@@ -12,22 +12,22 @@
 )
 
 const (
-	pendingTimeout     = 5_000 * ms // ns after which this replica no longer answers a command that was not committed
-	maxEntryCommands   = 512        // commands of a table in one entry
-	maxPendingCommands = 100_000    // commands that this replica has to answer; more are dropped, and the caller asks another replica
+	pendingTimeout     = 5_000 * ms // ns after which this replica gives up answering a command that was not committed
+	maxEntryCommands   = 512        // commands on one table in one entry
+	maxPendingCommands = 100_000    // commands that this replica has yet to answer; more are dropped, and the node retries at another replica
 )
 
-// Replica is one replica of a group, with its tables.
+// Replica is one replica of a group: a raft replica with the three tables that it applies commands to.
 type Replica struct {
 	*raftReplica
 	*claimTable
 	*leaseTable
-	configs  *configTable
-	expireAt int64 // when pending commands are looked through next
+	configs      *configTable
+	nextExpiryAt int64 // when the pending commands are next checked for time-outs
 }
 
-// NewReplica returns a replica that knows nothing yet. Names are all members, this one among them; the incarnation distinguishes this start
-// of the process from others.
+// NewReplica returns a replica without state. Names are those of all members, including self; the incarnation differs at each start of
+// the process.
 func NewReplica(names []string, self string, incarnation uint64, now, seed int64) *Replica {
 	r := &Replica{raftReplica: newRaftReplica(names, self, incarnation, now, seed)}
 	r.claimTable = &claimTable{replica: r.raftReplica}
@@ -39,19 +39,19 @@
 	return r
 }
 
-// SetMaxTableBytes sets the bytes that the table of claims may take while this replica leads, 0 for the default.
+// SetMaxTableBytes sets the limit on the bytes of the claims table, in force while this replica leads; 0 stands for the default.
 func (r *Replica) SetMaxTableBytes(bytes int64) { r.maxBytes = bytes }
 
-// SetLimits sets the limits that this replica defines while it leads.
+// SetLimits sets the commands by which this replica defines limits while it leads.
 func (r *Replica) SetLimits(list []quota.Command) { r.limits = list }
 
-// LeaseTable is the table of limits and leases as far as this replica has applied it. It must not be changed.
+// LeaseTable returns the table of limits and leases, as of the last entry that this replica applied. Callers must not change it.
 func (r *Replica) LeaseTable() *quota.LeaseTable { return r.leases }
 
-// Table is the table of claims as far as this replica has applied it. It must not be changed.
+// Table returns the table of claims, as of the last entry that this replica applied. Callers must not change it.
 func (r *Replica) Table() *claims.Table { return r.table }
 
-// TakeoverCounters are the counters of takeovers since this replica last became the leader.
+// TakeoverCounters returns the counters of takeovers since this replica last became the leader.
 func (r *Replica) TakeoverCounters() takeover.Counters {
 	if r.planner == nil {
 		return takeover.Counters{}
@@ -59,8 +59,8 @@
 	return r.planner.Counters
 }
 
-// Summarize fills in what this replica knows, with at most so many claims, without their work and results.
-func (r *Replica) Summarize(p *Summary, most int) {
+// Summarize fills in the fields of a summary that come from a replica, with at most maxClaims claims, without their work and waiters.
+func (r *Replica) Summarize(p *Summary, maxClaims int) {
 	takeovers := r.TakeoverCounters()
 	p.Replica = &r.Counters
 	p.Leader = r.Leader()
@@ -69,7 +69,7 @@
 	p.Time = r.table.Time()
 	p.Entries, p.Bytes = r.table.Size()
 	p.Limits = r.leases.Limits()
-	for _, entry := range r.table.List(most) {
+	for _, entry := range r.table.List(maxClaims) {
 		short := *entry
 		short.Work = nil
 		short.Waiters = nil
@@ -77,21 +77,21 @@
 	}
 }
 
-// Step takes what happened up to now, by a clock that only advances. The effects are valid until the next step; wake is the latest
-// time of that.
+// Step handles the inputs and the timers that are due at now, by a monotonic clock. The effects are valid until the next step, which the
+// caller must take at wake at the latest.
 func (r *Replica) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
 	r.step(now, func() {
 		for i := range inputs {
 			r.handleInput(&inputs[i])
 		}
-		if r.now >= r.expireAt {
-			r.expireAt = r.now + pendingTimeout
+		if r.now >= r.nextExpiryAt {
+			r.nextExpiryAt = r.now + pendingTimeout
 			r.claimTable.expirePending()
 			r.leaseTable.expirePending()
 			r.configs.expirePending()
 		}
 	})
-	r.flush()
+	r.sendAnswers()
 	r.wakeAt = max(now+1, r.nextDeadline())
 	return r.effects, r.wakeAt
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// handlePropose queues the commands that a node may give on its own behalf.
+// handlePropose queues a node's commands, but for those that a node may not send, or sends on behalf of another.
 func (r *Replica) handlePropose(m *Message) {
 	for i := range m.ClaimCommands {
 		command := &m.ClaimCommands[i]
@@ -150,8 +150,8 @@
 	}
 }
 
-// flush sends the answers of this step, one message of each kind for each node.
-func (r *Replica) flush() {
+// sendAnswers sends the verdicts and the notifications of ended claims of this step, one message of each kind to each node.
+func (r *Replica) sendAnswers() {
 	addReceivers(r.verdicts, r.grants)
 	addReceivers(r.verdicts, r.configs.verdicts)
 	for _, owner := range sortedOwners(r.verdicts) {
@@ -167,7 +167,8 @@
 	clear(r.endedClaims)
 }
 
-// addReceivers adds who is only in from to verdicts, without any, so that one message brings both.
+// addReceivers adds the owners in from to verdicts, if necessary with no verdicts on claims, so that one message to an owner carries all
+// its verdicts.
 func addReceivers[T any](verdicts map[claims.Owner][]claims.Verdict, from map[claims.Owner]T) {
 	for owner := range from {
 		if _, known := verdicts[owner]; !known {
@@ -176,8 +177,8 @@
 	}
 }
 
-func sortedOwners[T any](of map[claims.Owner]T) (list []claims.Owner) {
-	for owner := range of {
+func sortedOwners[T any](byOwner map[claims.Owner]T) (list []claims.Owner) {
+	for owner := range byOwner {
 		list = append(list, owner)
 	}
 	slices.SortFunc(list, claims.CompareOwners)
--- a/internal/fleet/consensus/replica_test.go
+++ b/internal/fleet/consensus/replica_test.go
@@ -20,7 +20,7 @@
 			assert.Equal(t, "hold//t1 run 1", a.outcome)
 			b := sim.ask(2, 1, 0)
 			sim.run(sim.now + 500*ms)
-			assert.Equal(t, a.outcome, b.outcome, "a repeat at another node gets the cached result")
+			assert.Equal(t, a.outcome, b.outcome, "a repeated request at another node gets the result of the first run")
 			assert.Equal(t, 1, sim.runs[1])
 		})
 	}
@@ -38,9 +38,9 @@
 	sim.run(sim.now + 4_000*ms)
 	node := sim.nodes[i]
 	assert.True(t, node.replica.bootstrap.done)
-	assert.Equal(t, node.replica.raft.id, sim.leader().replica.replicas[node.name].ID)
-	assert.NotNil(t, node.replica.table.Find(key(1)), "it knows what was committed in its absence")
-	for k := range sim.members { // each of the others may be lost in turn
+	assert.Equal(t, node.replica.raft.id, sim.leader().replica.replicas[node.name].RaftID)
+	assert.NotNil(t, node.replica.table.Find(key(1)), "the new incarnation has what was committed in its absence")
+	for k := range sim.members { // the group survives the loss of each other replica in turn
 		if k != i {
 			sim.kill(k)
 			sim.run(sim.now + 4_000*ms)
@@ -62,14 +62,14 @@
 	sim.start(0)
 	sim.start(1)
 	sim.run(sim.now + 20_000*ms)
-	assert.Nil(t, sim.leader(), "two that lost their state can't outvote one that has it")
+	assert.Nil(t, sim.leader(), "two replicas without state can't outvote the one that has it")
 	b := sim.ask(2, 2, 4)
 	sim.run(sim.now + 100*ms)
 	assert.Equal(t, "throttled", b.outcome, "nothing is claimed without a leader")
 	sim.kill(2)
 	sim.start(2)
 	sim.run(sim.now + 10_000*ms)
-	assert.NotNil(t, sim.leader(), "once all have lost their state, another group bootstraps")
+	assert.NotNil(t, sim.leader(), "when all have lost their state, they bootstrap another group")
 }
 
 func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
@@ -77,7 +77,7 @@
 	i := sim.indexOf(sim.leader())
 	for k := range sim.nodes {
 		if k != i {
-			sim.cutLinks[[2]int{k, i}] = true // it can send, and receives nothing
+			sim.cutLinks[[2]int{k, i}] = true // the leader can send, but receives nothing
 		}
 	}
 	sim.run(sim.now + 6_000*ms)
@@ -94,13 +94,13 @@
 	replica := node.replica
 	before := replica.raft.id
 	replica.Step(sim.now+1, []Input{{Message: &Message{Kind: MessageRaft, From: "n0", Raft: []byte("no message")}}})
-	assert.Equal(t, before, replica.raft.id, "what can't be decoded is dropped")
-	replica.restartOnPanic(func() { panic("as raft would") })
+	assert.Equal(t, before, replica.raft.id, "a message that can't be decoded is dropped")
+	replica.restartOnPanic(func() { panic("injected") })
 	assert.NotEqual(t, before, replica.raft.id)
 	assert.Equal(t, 1, replica.Counters.PanicRestarts)
 	sim.run(sim.now + 6_000*ms)
 	assert.NotNil(t, sim.leader())
-	assert.True(t, replica.bootstrap.done, "the group has replaced it")
+	assert.True(t, replica.bootstrap.done, "the group has replaced the earlier incarnation")
 }
 
 func TestNewerCommandRestartsReplica(t *testing.T) {
@@ -110,7 +110,7 @@
 	sim.wakeNow(sim.indexOf(node))
 	sim.run(sim.now + 1_000*ms)
 	for _, x := range sim.nodes {
-		assert.Positive(t, x.replica.Counters.PanicRestarts, "a replica whose table would diverge restarts")
+		assert.Positive(t, x.replica.Counters.PanicRestarts, "a replica whose table would diverge restarts as a new incarnation")
 	}
 }
 
@@ -133,8 +133,8 @@
 	assert.Equal(t, claims.MaxTimeStep, quota.MaxTimeStep)
 }
 
-// A replica reports itself current only while it learns of what the majority commits.
-func TestReplicaKnowsWhetherItIsCurrent(t *testing.T) {
+// Guards against serving outdated tables: a replica is current only while it receives the entries that the majority commits.
+func TestIsCurrentOnlyWhileInContactWithMajority(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	current := func() (list []bool) {
 		for _, node := range sim.nodes[:3] {
@@ -144,7 +144,7 @@
 	}
 	sim.run(sim.now + 2_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	i := sim.indexOf(sim.leader()) // cut off, it still leads as far as it knows
+	i := sim.indexOf(sim.leader()) // the leader is cut off, and still regards itself as the leader
 	for k := range sim.nodes {
 		sim.cutLinks[[2]int{k, i}], sim.cutLinks[[2]int{i, k}] = k != i, k != i
 	}
@@ -158,13 +158,13 @@
 	sim.killReplicas()
 	sim.start(0)
 	sim.run(sim.now + 5_000*ms)
-	require.NotZero(t, sim.nodes[0].replica.raft.appliedIndex, "it has its recovered state")
-	assert.Equal(t, []bool{false, false, false}, current(), "it can't know what was committed since")
+	require.NotZero(t, sim.nodes[0].replica.raft.appliedIndex, "the replica recovered its state from the disk")
+	assert.Equal(t, []bool{false, false, false}, current(), "one replica of three can't know what was committed since")
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	assert.Equal(t, []bool{true, true, true}, current())
-	for _, node := range sim.nodes[:3] { // each has applied an entry of the current term
+	for _, node := range sim.nodes[:3] { // each replica has applied an entry of the current term
 		node.replica.leadership.leaderID = 0
 	}
-	assert.Equal(t, []bool{false, false, false}, current(), "without a leader none is")
+	assert.Equal(t, []bool{false, false, false}, current(), "without a leader no replica is current")
 }
--- a/internal/fleet/consensus/schedules_test.go
+++ b/internal/fleet/consensus/schedules_test.go
@@ -11,15 +11,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// randomFaults injects random faults into a simulation. One replica without a disk is lost at a time, since a group that loses the
-// memory of a majority gives no guarantee.
+// randomFaults injects random faults into a simulation. Of replicas without disks, at most one is lost at a time, since a group of which a
+// majority loses its state guarantees nothing.
 type randomFaults struct {
 	*simulation
 	random *rand.Rand
-	down   int // the replica that is lost, -1 for none
+	down   int // index of the replica that is lost, -1 for none
 }
 
-// newRandomSimulation is a simulation of random size, after it came up without faults.
+// newRandomSimulation returns a simulation of random size whose group has started without faults.
 func newRandomSimulation(seed int64, random *rand.Rand, prepare func(sim *simulation)) *simulation {
 	replicas := []int{1, 3, 3, 3, 5}[random.Intn(5)]
 	nodes := replicas + 1 + random.Intn(3)
@@ -33,8 +33,8 @@
 	return sim
 }
 
-// play alternates random requests and faults until the time is over or a check failed.
-func (s *simulation) play(random *rand.Rand, duration int64, injectFault func(i int)) {
+// play alternates random requests and faults for a duration, or until a check fails.
+func (s *simulation) runWithFaults(random *rand.Rand, duration int64, injectFault func(i int)) {
 	end := s.now + duration
 	for s.now < end && len(s.failures) == 0 {
 		for range 1 + random.Intn(3) {
@@ -45,13 +45,13 @@
 	}
 }
 
-// runSchedule plays random faults over random requests, then heals all and requires answers. The failures of its checks are in the
-// simulation that it returns.
+// runSchedule injects random faults during random requests, then ends all faults and requires answers. The returned simulation has the
+// failures of the checks.
 func runSchedule(seed int64, prepare func(sim *simulation)) *simulation {
 	random := rand.New(rand.NewSource(seed))
 	sim := newRandomSimulation(seed, random, prepare)
 	faults := &randomFaults{simulation: sim, random: random, down: -1}
-	sim.play(random, 4_000*ms, faults.inject)
+	sim.runWithFaults(random, 4_000*ms, faults.inject)
 	clear(sim.cutLinks)
 	sim.loss = 0
 	sim.stable = true
@@ -64,7 +64,7 @@
 	}
 	for _, a := range sim.attempts {
 		if !a.answered {
-			sim.fail("t%d, asked at %d ms, was never answered", a.token, a.at/ms)
+			sim.fail("request of t%d at %d ms was never answered", a.token, a.at/ms)
 		}
 	}
 	sim.checkLinearizable()
@@ -90,7 +90,7 @@
 	}
 }
 
-// killOne kills a node, and a replica only where no other is lost.
+// killOne kills a node. It kills a replica only if no other is lost.
 func (f *randomFaults) killOne(i int) {
 	isReplica := i < len(f.members)
 	if !isReplica {
@@ -113,7 +113,8 @@
 	}
 }
 
-// checkAnswersAfterHealing requires an answer to each token once the faults are over, and reports whether the group came up again.
+// checkAnswersAfterHealing requires a result of each token after the faults have ended. It reports whether the run up to then was free of
+// failures.
 func (s *simulation) checkAnswersAfterHealing(random *rand.Rand) bool {
 	s.run(s.now + 8_000*ms)
 	if len(s.failures) > 0 {
@@ -126,7 +127,7 @@
 	s.run(s.now + 6_000*ms)
 	for _, a := range s.attempts[last:] {
 		if !a.answered || a.outcome == "throttled" || a.outcome == "lost" {
-			s.fail("after the healing t%d is answered %q", a.token, a.outcome)
+			s.fail("t%d is answered %q after all faults ended", a.token, a.outcome)
 		}
 	}
 	return true
@@ -134,18 +135,18 @@
 
 func (s *simulation) checkLinearizable() {
 	if len(s.failures) == 0 && !s.linearizable() {
-		s.fail("what callers saw is not linearizable")
+		s.fail("the answers to callers are not linearizable")
 	}
 }
 
-// runDiskSchedule plays random crashes of any number of replicas at once, cut links and pauses; and one disk at a time that is lost, or
-// set back while the others can be reached.
+// runDiskSchedule injects random crashes of any number of replicas with disks at once, cut links and pauses. It also loses one disk at a
+// time, or restores one to an older state while the other members can be reached.
 func runDiskSchedule(seed int64) *simulation {
 	random := rand.New(rand.NewSource(seed))
 	sim := newRandomSimulation(seed, random, func(sim *simulation) { sim.disks = true })
 	sim.maxExtraWrite = []int64{0, 0, 60 * ms}[random.Intn(3)]
 	faults := &randomFaults{simulation: sim, random: random, down: -1}
-	sim.play(random, 5_000*ms, faults.injectWithDisks)
+	sim.runWithFaults(random, 5_000*ms, faults.injectWithDisks)
 	sim.heal()
 	sim.loss = 0
 	sim.stable = true
@@ -153,9 +154,9 @@
 		return sim
 	}
 	sim.checkLinearizable()
-	var found differences
-	sim.assertSameTables(&found)
-	sim.failures = append(sim.failures, found...)
+	var failures recordedErrors
+	sim.assertReplicasAgree(&failures)
+	sim.failures = append(sim.failures, failures...)
 	return sim
 }
 
@@ -164,11 +165,11 @@
 	case 0, 1, 2:
 		f.kill(i)
 	case 3:
-		f.forSome(f.kill)
+		f.forRandomHalf(f.kill)
 	case 4:
 		f.killReplicas()
 	case 5, 6, 7, 8:
-		f.forSome(f.start)
+		f.forRandomHalf(f.start)
 	case 9, 10:
 		f.pause(i, true)
 	case 11, 12, 13:
@@ -186,7 +187,7 @@
 	}
 }
 
-func (f *randomFaults) forSome(do func(i int)) {
+func (f *randomFaults) forRandomHalf(do func(i int)) {
 	for k := range f.nodes {
 		if f.random.Intn(2) == 0 {
 			do(k)
@@ -194,7 +195,7 @@
 	}
 }
 
-// canLoseDisk reports whether the others remember all that was acknowledged.
+// canLoseDisk reports whether the other replicas still have all acknowledged state if a replica's disk is lost.
 func (f *randomFaults) canLoseDisk(i int) bool {
 	return i < len(f.members) && f.majorityWithout(i) && f.settled(i)
 }
@@ -207,7 +208,7 @@
 	}
 }
 
-// setDiskBack sets a volume back to what it was a while ago.
+// setDiskBack restores a replica's disk to its content of up to 300 ms ago.
 func (f *randomFaults) setDiskBack(i int) {
 	if !f.canLoseDisk(i) {
 		return
@@ -226,7 +227,7 @@
 	f.loss = loss
 }
 
-// heal ends cut links and pauses, and starts all nodes.
+// heal restores all links, ends all pauses, and starts all nodes.
 func (s *simulation) heal() {
 	clear(s.cutLinks)
 	for k := range s.nodes {
@@ -235,15 +236,15 @@
 	s.startAll()
 }
 
-// majorityWithout reports whether a majority would remember all without a replica, and no replica is being replaced. Else the group gives
-// no guarantee.
+// majorityWithout reports whether a majority of replicas with state would be left without a replica, and no replica is being replaced.
+// Otherwise the group guarantees nothing after the loss of that replica.
 func (s *simulation) majorityWithout(i int) bool {
 	left := 0
 	for k, node := range s.nodes[:len(s.members)] {
 		if !node.up {
 			continue
 		}
-		if !node.replica.bootstrap.done || len(node.replica.raft.confState.VotersOutgoing) > 0 || node.replica.replicas[node.name].ID != node.replica.raft.id {
+		if !node.replica.bootstrap.done || len(node.replica.raft.confState.VotersOutgoing) > 0 || node.replica.replicas[node.name].RaftID != node.replica.raft.id {
 			return false
 		}
 		if k != i {
@@ -253,25 +254,26 @@
 	return 2*left > len(s.members)
 }
 
-// seedFromEnvironment reads SCHEDULES, the number of schedules, or SEED, the first of them.
-func seedFromEnvironment(t *testing.T, name string, usual int64) int64 {
+// seedFromEnvironment reads an environment variable: SCHEDULES, the number of schedules, or SEED, the first of them.
+func seedFromEnvironment(t *testing.T, name string, defaultValue int64) int64 {
 	if text := os.Getenv(name); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		require.NoError(t, err)
 		return n
 	}
-	return usual
+	return defaultValue
 }
 
+// Guards the guarantee of idempotency tokens: under random faults each token runs at most once, and answers are linearizable.
 func TestNoTokenRunsTwiceInRandomSchedules(t *testing.T) {
 	first := seedFromEnvironment(t, "SEED", 1)
-	many := seedFromEnvironment(t, "SCHEDULES", 150)
+	count := seedFromEnvironment(t, "SCHEDULES", 150)
 	taken := 0
 	ran := 0
-	for seed := first; seed < first+many; seed++ {
+	for seed := first; seed < first+count; seed++ {
 		sim := runSchedule(seed, func(*simulation) {})
-		for _, wrong := range sim.failures {
-			t.Errorf("seed %d: %s; replay: SEED=%d SCHEDULES=1 go test -run RandomSchedules ./internal/fleet/consensus", seed, wrong, seed)
+		for _, failure := range sim.failures {
+			t.Errorf("seed %d: %s; replay: SEED=%d SCHEDULES=1 go test -run RandomSchedules ./internal/fleet/consensus", seed, failure, seed)
 		}
 		taken += sim.takeovers
 		ran += len(sim.runs)
@@ -279,15 +281,15 @@
 			return
 		}
 	}
-	t.Logf("%d schedules: %d tokens ran, %d were taken over", many, ran, taken)
-	assert.True(t, many < 100 || taken > 0, "a takeover occurred")
+	t.Logf("%d schedules: %d tokens ran, %d were taken over", count, ran, taken)
+	assert.True(t, count < 100 || taken > 0, "a takeover occurred")
 }
 
-// The schedules find faults that are injected on purpose.
+// Guards the checks of the schedules themselves: they must detect a defect that is injected on purpose.
 func TestRandomSchedulesFindInjectedFaults(t *testing.T) {
 	for name, alter := range map[string]func(sim *simulation){
-		"the start is committed after the run": func(sim *simulation) { sim.runBeforeStart = true },
-		"fences are not compared":              func(sim *simulation) { sim.ignoreFences = true },
+		"run before the start is committed": func(sim *simulation) { sim.runBeforeStart = true },
+		"fences are not checked":            func(sim *simulation) { sim.ignoreFences = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := int64(380); seed <= 2_000; seed++ {
@@ -296,12 +298,12 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no schedule detected the injected defect")
 		})
 	}
 }
 
-// settled reports whether a replica and all others that are up are members and not rejoining.
+// settled reports whether a replica is up, and it and all others that are up belong to the group and are not rejoining.
 func (s *simulation) settled(i int) bool {
 	for k, node := range s.nodes[:len(s.members)] {
 		if k != i && node.up && (node.replica.disk.rejoinAnswers != nil || !node.replica.bootstrap.done) {
@@ -311,19 +313,23 @@
 	return s.nodes[i].up && s.nodes[i].replica.disk.rejoinAnswers == nil && s.nodes[i].replica.bootstrap.done
 }
 
-type differences []string
+// recordedErrors records the failures of assertions.
+type recordedErrors []string
 
-func (d *differences) Errorf(form string, args ...any) { *d = append(*d, fmt.Sprintf(form, args...)) }
+func (d *recordedErrors) Errorf(format string, args ...any) {
+	*d = append(*d, fmt.Sprintf(format, args...))
+}
 
+// Guards the durability of acknowledged state under random crashes of replicas with disks, of any number at once.
 func TestNothingAcknowledgedIsLostInRandomDiskSchedules(t *testing.T) {
 	first := seedFromEnvironment(t, "SEED", 1)
-	many := seedFromEnvironment(t, "SCHEDULES", 50)
+	count := seedFromEnvironment(t, "SCHEDULES", 50)
 	resumed := 0
 	ran := 0
-	for seed := first; seed < first+many; seed++ {
+	for seed := first; seed < first+count; seed++ {
 		sim := runDiskSchedule(seed)
-		for _, wrong := range sim.failures {
-			t.Errorf("seed %d: %s; replay: SEED=%d SCHEDULES=1 go test -run RandomDiskSchedules ./internal/fleet/consensus", seed, wrong, seed)
+		for _, failure := range sim.failures {
+			t.Errorf("seed %d: %s; replay: SEED=%d SCHEDULES=1 go test -run RandomDiskSchedules ./internal/fleet/consensus", seed, failure, seed)
 		}
 		resumed += sim.resumed
 		ran += len(sim.runs)
@@ -331,6 +337,6 @@
 			return
 		}
 	}
-	t.Logf("%d schedules: %d tokens ran, %d replicas recovered from their disks", many, ran, resumed)
-	assert.True(t, many < 50 || resumed > 0, "a replica recovered from its disk")
+	t.Logf("%d schedules: %d tokens ran, %d replicas recovered from their disks", count, ran, resumed)
+	assert.True(t, count < 50 || resumed > 0, "a replica recovered from its disk")
 }
--- a/internal/fleet/consensus/simcallers_test.go
+++ b/internal/fleet/consensus/simcallers_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
-// attempt is one caller's request.
+// attempt is one request of a caller for the result of a token.
 type attempt struct {
 	token    int
 	at, end  int64
@@ -21,7 +21,7 @@
 
 func key(token int) claims.Key { return claims.Key{Operation: "hold", Token: fmt.Sprint("t", token)} }
 
-// ask has a caller request a token at a node, which claims it at once and starts it after some time in the queue.
+// ask makes a caller request a token at a node, which claims the token at once and requests its start after up to 40 ms in the queue.
 func (s *simulation) ask(client, token, i int) *attempt {
 	a := &attempt{token: token, at: s.now, client: client, node: i}
 	s.attempts = append(s.attempts, a)
@@ -43,8 +43,8 @@
 			}
 			node.pending[k] = true
 			node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7,
-				Remaining: 4_000 * ms, Retention: window, Work: []byte{1}, InvocationID: "c"})
-			s.at(s.now+s.random.Int63n(40*ms), i, func() { s.begin(i, k) })
+				Remaining: 4_000 * ms, Retention: claimRetention, Work: []byte{1}, InvocationID: "c"})
+			s.at(s.now+s.random.Int63n(40*ms), i, func() { s.requestStart(i, k) })
 		}
 		node.waiting[k] = append(node.waiting[k], a)
 		s.wakeNow(i)
@@ -53,7 +53,7 @@
 	return a
 }
 
-// timeOut answers a caller whose result did not come in time, and abandons work that nobody else waits for.
+// timeOut answers a caller whose result did not arrive in time, and abandons the claim if no other caller waits and the run has not started.
 func (s *simulation) timeOut(i int, a *attempt) {
 	if a.answered {
 		return
@@ -73,7 +73,8 @@
 	}
 }
 
-func (s *simulation) begin(i int, k claims.Key) {
+// requestStart requests the start of a queued token.
+func (s *simulation) requestStart(i int, k claims.Key) {
 	node := s.nodes[i]
 	if !node.pending[k] {
 		return
@@ -81,14 +82,14 @@
 	delete(node.pending, k)
 	node.starting[k] = true
 	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestStart, Key: k, BodyHash: 7, Remaining: 4_000 * ms,
-		Retention: window, Work: []byte{1}, InvocationID: "c"})
+		Retention: claimRetention, Work: []byte{1}, InvocationID: "c"})
 	if s.runBeforeStart {
 		s.execute(i, k)
 	}
 	s.wakeNow(i)
 }
 
-// execute starts a run at the executor, after a moment in which the node may pause or be killed.
+// execute starts a run at the executor after up to 2 ms, in which the node may be paused or killed.
 func (s *simulation) execute(i int, k claims.Key) {
 	node := s.nodes[i]
 	s.at(s.now+s.random.Int63n(2*ms), i, func() {
@@ -135,16 +136,16 @@
 		s.takeovers++
 		node.pending[a.Key] = true
 		k := a.Key
-		s.at(s.now+s.random.Int63n(10*ms), i, func() { s.begin(i, k) })
+		s.at(s.now+s.random.Int63n(10*ms), i, func() { s.requestStart(i, k) })
 	}
 }
 
-// startRun runs a token, or now and then abandons it where nobody waits any more: it did not run, and will not.
+// startRun runs a token. If no caller waits any more, it abandons the claim half of the time instead: the token did not run.
 func (s *simulation) startRun(i int, k claims.Key) {
 	node := s.nodes[i]
 	switch {
 	case !node.starting[k]:
-		s.fail("%s may run at %s, which did not request it", k, node.name)
+		s.fail("%s was granted to %s, which did not request its start", k, node.name)
 	case len(node.waiting[k]) == 0 && s.random.Intn(2) == 0 && !s.runBeforeStart && !s.stable:
 		delete(node.starting, k)
 		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.AbandonClaim, Key: k})
@@ -170,27 +171,27 @@
 	}
 }
 
-func (s *simulation) fail(form string, args ...any) {
-	s.failures = append(s.failures, fmt.Sprintf(form, args...))
+func (s *simulation) fail(format string, args ...any) {
+	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// check requires that no fence in a leader's table is lower than one seen before.
-func (s *simulation) check(group *Replica) {
-	if !group.IsLeader() || group.raft.appliedIndex == s.checkedIndex {
+// checkFences requires that no claim in a leader's table has a lower fence than before.
+func (s *simulation) checkFences(replica *Replica) {
+	if !replica.IsLeader() || replica.raft.appliedIndex == s.checkedIndex {
 		return
 	}
-	s.checkedIndex = group.raft.appliedIndex
-	term, err := group.raft.storage.Term(group.raft.appliedIndex)
-	if err != nil || term != group.raft.node.BasicStatus().GetTerm() {
-		return // it has not applied yet what was committed before it led
+	s.checkedIndex = replica.raft.appliedIndex
+	term, err := replica.raft.storage.Term(replica.raft.appliedIndex)
+	if err != nil || term != replica.raft.node.BasicStatus().GetTerm() {
+		return // it may not yet have applied the entries that were committed before it became the leader
 	}
-	for _, node := range s.nodes { // one that does not know yet of a later leader has an outdated table
-		if node.up && node.replica != nil && node.replica.raft.node.BasicStatus().GetTerm() > group.raft.node.BasicStatus().GetTerm() {
+	for _, node := range s.nodes { // a leader that does not know of a later one yet has an outdated table
+		if node.up && node.replica != nil && node.replica.raft.node.BasicStatus().GetTerm() > replica.raft.node.BasicStatus().GetTerm() {
 			return
 		}
 	}
-	current := s.stable && !group.steppedDown() && group.raft.appliedIndex == group.raft.node.BasicStatus().GetCommit()
-	for _, e := range group.table.List(1 << 20) {
+	current := s.stable && !replica.steppedDown() && replica.raft.appliedIndex == replica.raft.node.BasicStatus().GetCommit()
+	for _, e := range replica.table.List(1 << 20) {
 		before := s.fences[e.Key]
 		if e.Fence > before {
 			s.fences[e.Key] = e.Fence
@@ -201,18 +202,18 @@
 	}
 }
 
-// linearizable reports whether the callers' results could come from a single node at which each token ran at most once.
+// linearizable reports whether the answers could come from a single node at which each token ran at most once.
 func (s *simulation) linearizable() bool {
 	type input struct{ token int }
 	model := porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-			by := map[int][]porcupine.Operation{}
+			byToken := map[int][]porcupine.Operation{}
 			for _, o := range history {
 				t := o.Input.(input).token
-				by[t] = append(by[t], o)
+				byToken[t] = append(byToken[t], o)
 			}
 			var all [][]porcupine.Operation
-			for _, list := range by {
+			for _, list := range byToken {
 				all = append(all, list)
 			}
 			return all
--- a/internal/fleet/consensus/simdisk_test.go
+++ b/internal/fleet/consensus/simdisk_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simDisk is a replica's disk, with the writes that are in flight.
+// simDisk is the simulated disk of a replica, with the writes in flight.
 type simDisk struct {
 	contents DiskContents
 	inFlight []*Write
-	freeAt   int64 // when the last of inFlight is written
+	freeAt   int64 // when the last write in flight completes
 }
 
 func (d *simDisk) apply(write *Write) {
@@ -27,7 +27,7 @@
 	d.contents.Records = append(d.contents.Records[:len(d.contents.Records):len(d.contents.Records)], write.Records...)
 }
 
-// crash applies some of the writes in flight, of which none was reported.
+// crash applies the first few of the writes in flight and discards the others. None of them was reported as persisted.
 func (d *simDisk) crash(random *rand.Rand) {
 	for _, write := range d.inFlight[:random.Intn(len(d.inFlight)+1)] {
 		d.apply(write)
@@ -48,7 +48,7 @@
 	}
 }
 
-// persist applies writes in their order, some time later; now and then much later.
+// persist applies a write after all earlier ones, usually within a few milliseconds, rarely up to 300 ms later.
 func (s *simulation) persist(i int, write *Write) {
 	node := s.nodes[i]
 	d := node.disk
@@ -66,7 +66,7 @@
 	})
 }
 
-// newDiskSimulation is a simulation without faults whose replicas have disks and a leader.
+// newDiskSimulation returns a simulation without faults whose replicas have disks and a leader.
 func newDiskSimulation(t *testing.T, nodes, replicas int) *simulation {
 	sim := newSimulation(1, nodes, replicas)
 	sim.stable = true
@@ -75,11 +75,11 @@
 		sim.start(i)
 	}
 	sim.run(5_000 * ms)
-	require.NotNil(t, sim.leader(), "the group has bootstrapped and has a leader")
+	require.NotNil(t, sim.leader(), "the group has a leader 5 s after the start")
 	return sim
 }
 
-// killReplicas ends all replicas at once.
+// killReplicas kills all nodes with replicas at once.
 func (s *simulation) killReplicas() {
 	for i := range s.members {
 		s.kill(i)
@@ -92,23 +92,23 @@
 	}
 }
 
-// assertSameTables requires that the tables of all replicas that applied the same entry are equal.
-func (s *simulation) assertSameTables(t assert.TestingT) {
-	by := map[uint64]string{}
+// assertReplicasAgree requires that replicas that have applied the same entries have equal tables.
+func (s *simulation) assertReplicasAgree(t assert.TestingT) {
+	byIndex := map[uint64]string{}
 	for _, node := range s.nodes[:len(s.members)] {
 		if !node.up || !node.replica.bootstrap.done {
 			continue
 		}
-		text := ""
+		encoded := ""
 		for i := range node.replica.tables {
-			node.replica.snapshots.cachedTexts[i] = nil
+			node.replica.snapshots.cachedEncodings[i] = nil
 			part, err := node.replica.tables[i].Snapshot()
 			assert.NoError(t, err)
-			text += string(part)
+			encoded += string(part)
 		}
-		if before, known := by[node.replica.raft.appliedIndex]; known {
-			assert.True(t, before == text, "tables at entry %d differ", node.replica.raft.appliedIndex)
+		if before, known := byIndex[node.replica.raft.appliedIndex]; known {
+			assert.True(t, before == encoded, "tables at entry %d differ", node.replica.raft.appliedIndex)
 		}
-		by[node.replica.raft.appliedIndex] = text
+		byIndex[node.replica.raft.appliedIndex] = encoded
 	}
 }
--- a/internal/fleet/consensus/simlinks_test.go
+++ b/internal/fleet/consensus/simlinks_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
-// send sends an encoded message over a link.
+// send sends an encoded message over a link, which may be cut, lose, delay or duplicate it.
 func (s *simulation) send(from int, to string, m Message) {
 	i := slices.IndexFunc(s.nodes, func(x *simNode) bool { return x.name == to })
 	if i < 0 {
@@ -18,9 +18,9 @@
 	if i != from && (s.cutLinks[[2]int{from, i}] || s.random.Float64() < s.loss) {
 		return
 	}
-	text, err := cbor.Marshal(m)
+	encoded, err := cbor.Marshal(m)
 	if err != nil {
-		s.fail("a message can't be encoded: %v", err)
+		s.fail("message can't be encoded: %v", err)
 		return
 	}
 	delay := int64(0)
@@ -37,7 +37,7 @@
 	for range copies {
 		s.at(s.now+delay, i, func() {
 			got := new(Message)
-			if cbor.Unmarshal(text, got) == nil {
+			if cbor.Unmarshal(encoded, got) == nil {
 				s.receive(i, got)
 			}
 		})
@@ -74,7 +74,7 @@
 	}
 }
 
-// cutFrom cuts the links from a node to some of the others.
+// cutFrom cuts the links from a node to a random half of the others.
 func (s *simulation) cutFrom(i int, random *rand.Rand) {
 	for k := range s.nodes {
 		if k != i && random.Intn(2) == 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// cutOff cuts the links of all others to a node, and its links to some of them.
+// cutOff cuts the links from all other nodes to a node, and those from it to a random half of them.
 func (s *simulation) cutOff(i int, random *rand.Rand) {
 	for k := range s.nodes {
 		if k != i {
--- a/internal/fleet/consensus/simulation_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -13,9 +13,9 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-const window = 600_000 * ms
+const claimRetention = 600_000 * ms // ns for which the table retains ended claims
 
-// simNode is a simulated node: a claims client, a replica where it has one, and an executor that ends with it.
+// simNode is a simulated node: a claims client, possibly a replica, and an executor that is killed with the node.
 type simNode struct {
 	name           string
 	incarnation    uint64
@@ -25,26 +25,28 @@
 	client         *claims.Client
 	clientInputs   []claims.Input
 	replicaInputs  []Input
-	waiting        map[claims.Key][]*attempt // for the result
-	pending        map[claims.Key]bool       // queued, and not started
-	starting       map[claims.Key]bool       // the start is requested, or the run has started
+	waiting        map[claims.Key][]*attempt // requests that wait for the result
+	pending        map[claims.Key]bool       // queued; the start is not requested yet
+	starting       map[claims.Key]bool       // the start is requested, or the token is running
 	results        map[claims.Key]string
 	wakeAt         int64
 	backlog        []event
 	configVerdicts []configsync.Verdict
-	disk           *simDisk // nil for one that is in memory only; it outlives the node's incarnations
+	disk           *simDisk // nil for a replica in memory only; kept when the node restarts
 }
 
 func (n *simNode) owner() claims.Owner { return claims.Owner{Name: n.name, Incarnation: n.incarnation} }
 
+// event is a function to call at a virtual time, on behalf of a node's incarnation.
 type event struct {
 	at          int64
 	seq         int
-	node        int // -1 for none
+	node        int // index of the node, -1 for none
 	incarnation uint64
 	do          func()
 }
 
+// eventQueue is a heap of events by time, and by order of creation at the same time.
 type eventQueue []event
 
 func (x eventQueue) Len() int { return len(x) }
@@ -59,7 +61,8 @@
 	return last
 }
 
-// simulation is a fleet in virtual time: real groups, claims clients and takeover planners, with emulated links, executors and callers.
+// simulation is a fleet in virtual time. Replicas, claims clients and takeover planners are those of production; links, disks, executors
+// and callers are simulated.
 type simulation struct {
 	random         *rand.Rand
 	now            int64
@@ -69,20 +72,20 @@
 	members        []string
 	cutLinks       map[[2]int]bool
 	loss           float64
-	stable         bool // membership views are correct, and nothing is cut or lost
+	stable         bool // membership views are correct, and links neither delay nor duplicate messages at random
 	runs           map[int]int
 	attempts       []*attempt
 	fences         map[claims.Key]uint64
 	failures       []string
 	started        map[claims.Key]bool
-	runBeforeStart bool // injected fault: run first, request the start after
-	ignoreFences   bool // injected fault: fences are not compared
+	runBeforeStart bool // injected defect: a token runs before its start is committed
+	ignoreFences   bool // injected defect: fences are not checked
 	takeovers      int
 	checkedIndex   uint64
-	disks          bool                        // replicas have disks
-	configure      func(i int, group *Replica) // called for each replica before its first step
-	resumed        int                         // replicas that recovered from their disks
-	maxExtraWrite  int64                       // ns that a write may take longer
+	disks          bool                          // replicas have disks
+	configure      func(i int, replica *Replica) // called for each replica before its first step
+	resumed        int                           // replicas that recovered from their disks
+	maxExtraWrite  int64                         // ns by which a write may take longer
 }
 
 func newSimulation(seed int64, nodes, replicas int) *simulation {
@@ -112,7 +115,7 @@
 	heap.Push(&s.queue, event{max(at, s.now), s.seq, node, incarnation, do})
 }
 
-// run goes on to a time. Events for a paused node wait for it; those for one that was killed are lost.
+// run advances the virtual time. Events of a paused node are delayed until the pause ends; those of a killed node are dropped.
 func (s *simulation) run(until int64) {
 	for len(s.queue) > 0 && s.queue[0].at <= until && len(s.failures) == 0 {
 		e := heap.Pop(&s.queue).(event)
@@ -165,12 +168,12 @@
 		s.recoverFromDisk(node)
 	}
 	if s.ignoreFences {
-		node.replica.alterCommand = passFence
+		node.replica.alterCommand = useCurrentFence
 	}
 }
 
-// passFence alters a command so that its fence is never outdated.
-func passFence(command *claims.Command, table *claims.Table) {
+// useCurrentFence sets a command's fence to that of the claim, so that the table never rejects it as outdated.
+func useCurrentFence(command *claims.Command, table *claims.Table) {
 	entry := table.Find(command.Key)
 	if entry == nil || command.Kind != claims.CommandStart && command.Kind != claims.CommandEnd {
 		return
@@ -181,7 +184,7 @@
 	}
 }
 
-// kill ends a node; its callers lose their connections.
+// kill kills a node. Its callers lose their connections, and its disk some of the writes in flight.
 func (s *simulation) kill(i int) {
 	node := s.nodes[i]
 	if !node.up {
@@ -225,12 +228,12 @@
 	})
 }
 
-// wakeNow steps a node at this moment, after all other events of it.
+// wakeNow schedules a step of a node at the current time, after the events that are scheduled already.
 func (s *simulation) wakeNow(i int) { s.wake(i, s.now) }
 
 func (s *simulation) step(i int) {
 	node := s.nodes[i]
-	next := int64(never)
+	next := int64(maxInt64)
 	for round := 0; round == 0 || len(node.clientInputs)+len(node.replicaInputs) > 0; round++ {
 		if node.replica != nil {
 			next = min(next, s.stepReplica(i))
@@ -260,11 +263,11 @@
 			s.persist(i, effect.Write)
 		}
 	}
-	s.check(node.replica)
+	s.checkFences(node.replica)
 	return wake
 }
 
-// view is a node's membership view: correct where the simulation is stable, else with random errors.
+// view returns a node's membership view: correct if the simulation is stable, else with random errors.
 func (s *simulation) view(i int) (view []takeover.Member) {
 	for k, node := range s.nodes {
 		alive := node.up && !node.paused
@@ -283,7 +286,7 @@
 	}
 }
 
-// newStableSimulation is a simulation without faults whose group has a leader.
+// newStableSimulation returns a simulation without faults whose group has a leader.
 func newStableSimulation(t *testing.T, nodes, replicas int) *simulation {
 	sim := newSimulation(1, nodes, replicas)
 	sim.stable = true
@@ -291,7 +294,7 @@
 		sim.start(i)
 	}
 	sim.run(5_000 * ms)
-	require.NotNil(t, sim.leader(), "the group has bootstrapped and has a leader")
+	require.NotNil(t, sim.leader(), "the group has a leader 5 s after the start")
 	return sim
 }
 
--- a/internal/fleet/consensus/snapshotparts.go
+++ b/internal/fleet/consensus/snapshotparts.go
@@ -9,28 +9,28 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// A table that is large and changes seldom is stored beside snapshots as a part, which they refer to by its digest, so that each
-// content is encoded, stored and sent once. A replica that receives a snapshot requests the parts that it lacks, one chunk at a time:
-// the round trips limit the rate.
+// A table that is large and changes seldom is stored separately from snapshots, as a part that they refer to by its digest, so that each
+// content is encoded, stored and sent once. A replica that receives a snapshot requests the parts that it lacks, one chunk at a time, so
+// that the round trips limit the rate.
 
 const (
-	chunkBytes         = 256 << 10  // of a part in one message
-	maxPartBytes       = 64 << 20   // of a part
+	chunkBytes         = 256 << 10  // of the chunk of a part in one message
+	maxPartBytes       = 64 << 20   // of a whole part
 	chunkRetryInterval = 300 * ms   // ns without a chunk after which it is requested again
-	chunkTimeout       = 5_000 * ms // ns without a chunk after which the snapshot is given up: its sender may be gone, or have a later one
+	chunkTimeout       = 5_000 * ms // ns without a chunk after which the snapshot is given up: its sender may be gone, or have dropped the part for a later one
 )
 
-// partFetch is a received snapshot that waits for parts.
+// partFetch is a received snapshot that waits for parts that this replica lacks.
 type partFetch struct {
-	message    *pb.Message
+	message    *pb.Message // the raft message with the snapshot
 	from       string
 	missing    []string // digests
-	received   []byte   // of the first of missing
+	received   []byte   // bytes of the first missing part
 	requestAt  int64
-	progressAt int64 // the last chunk
+	progressAt int64 // when the last chunk was received
 }
 
-// awaitParts reports whether a snapshot must wait for parts, and requests them.
+// awaitParts reports whether a snapshot must wait for parts, and if so requests them.
 func (r *raftReplica) awaitParts(m *pb.Message, from string) bool {
 	missing := slices.DeleteFunc(separateDigests(m.GetSnapshot()), func(digest string) bool { return r.snapshots.parts[digest] != nil })
 	if len(missing) == 0 {
@@ -38,7 +38,7 @@
 		return false
 	}
 	next := &partFetch{message: m, from: from, missing: missing, requestAt: r.now, progressAt: r.now}
-	if before := r.snapshots.fetch; before != nil && before.missing[0] == missing[0] { // it goes on
+	if before := r.snapshots.fetch; before != nil && before.missing[0] == missing[0] { // the fetch of the same part continues
 		next.received = before.received
 		next.requestAt = before.requestAt
 		next.progressAt = before.progressAt
@@ -48,7 +48,7 @@
 	return true
 }
 
-// requestChunk requests the next chunk where that is due.
+// requestChunk requests the next chunk if that is due, and gives the snapshot up after chunkTimeout.
 func (r *raftReplica) requestChunk() {
 	fetch := r.snapshots.fetch
 	switch {
@@ -63,15 +63,16 @@
 
 // handlePartRequest answers a request for a chunk.
 func (r *raftReplica) handlePartRequest(m *Message) {
-	text := r.snapshots.parts[m.Part]
-	if m.Offset < 0 || m.Offset >= len(text) || !slices.Contains(r.members, m.From) {
+	encoded := r.snapshots.parts[m.Part]
+	if m.Offset < 0 || m.Offset >= len(encoded) || !slices.Contains(r.members, m.From) {
 		return
 	}
-	chunk := text[m.Offset:min(len(text), m.Offset+chunkBytes)]
-	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(text), Chunk: chunk})
+	chunk := encoded[m.Offset:min(len(encoded), m.Offset+chunkBytes)]
+	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(encoded), Chunk: chunk})
 }
 
-// handlePart takes a chunk; one that does not follow on what is received answers a repeated request.
+// handlePart appends a chunk to the part that is being received, and passes the snapshot to raft when no part is missing. It ignores a
+// chunk at another offset, which is the second answer to a repeated request.
 func (r *raftReplica) handlePart(m *Message) {
 	fetch := r.snapshots.fetch
 	if fetch == nil || m.From != fetch.from || m.Part != fetch.missing[0] || m.Offset != len(fetch.received) ||
@@ -90,35 +91,36 @@
 	}
 	if len(fetch.missing) == 0 {
 		r.snapshots.fetch = nil
-		_ = r.raft.node.Step(fetch.message) // what it refuses is outdated
+		_ = r.raft.node.Step(fetch.message) // raft refuses outdated messages
 		r.followLeader()
 		return
 	}
 	r.requestChunk()
 }
 
-// decodePart is a table's text in a snapshot, empty where it has none, with its digest where it is stored separately.
-func (r *raftReplica) decodePart(part cbor.RawMessage) (text []byte, digest string, err error) {
+// decodePart returns the encoding of a table from its item in a snapshot: empty if there is none, and with its digest if the table is
+// stored separately.
+func (r *raftReplica) decodePart(part cbor.RawMessage) (encoded []byte, digest string, err error) {
 	if len(part) == 0 {
 		return nil, "", nil
 	}
 	if !isTextString(part) {
-		err = cbor.Unmarshal(part, &text)
-		return text, "", err
+		err = cbor.Unmarshal(part, &encoded)
+		return encoded, "", err
 	}
 	err = cbor.Unmarshal(part, &digest)
 	if err != nil {
 		return nil, "", err
 	}
-	text = r.snapshots.parts[digest]
-	if text == nil {
+	encoded = r.snapshots.parts[digest]
+	if encoded == nil {
 		return nil, digest, errMissingPart
 	}
-	return text, digest, nil
+	return encoded, digest, nil
 }
 
-// dropUnusedParts drops parts that neither the last snapshot nor the one before refers to, nor the one that waits for parts. The one
-// before may still be on its way to another replica.
+// dropUnusedParts drops the parts that neither the last two snapshots refer to nor a received one that waits for parts. The second to last
+// snapshot may still be in transit to another replica.
 func (r *raftReplica) dropUnusedParts() {
 	snap, err := r.raft.storage.Snapshot()
 	if err != nil {
@@ -137,10 +139,10 @@
 	r.snapshots.previousDigests = current
 }
 
-// partDigest names a part by its content.
-func partDigest(text []byte) string { return fmt.Sprintf("%x", sha256.Sum256(text)) }
+// partDigest returns the hexadecimal SHA-256 digest of a part.
+func partDigest(encoded []byte) string { return fmt.Sprintf("%x", sha256.Sum256(encoded)) }
 
-// separateDigests are the digests of the parts that a snapshot refers to.
+// separateDigests returns the digests of the parts that a snapshot refers to.
 func separateDigests(snap *pb.Snapshot) (list []string) {
 	var parts map[uint8]cbor.RawMessage
 	if cbor.Unmarshal(snap.GetData(), &parts) != nil {
@@ -156,7 +158,7 @@
 	return list
 }
 
-// isTextString reports whether a CBOR item is a text string, which in a snapshot is a digest.
+// isTextString reports whether a CBOR item is a text string, which stands for a digest in a snapshot.
 func isTextString(part cbor.RawMessage) bool {
 	const majorTypeText = 3
 	return len(part) > 0 && part[0]>>5 == majorTypeText
--- a/internal/fleet/consensus/snapshotparts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -12,26 +12,26 @@
 	"topazpost/internal/fleet/configsync"
 )
 
-// largeTable is a table of a megabyte that a command replaces.
+// largeTable is a table of one megabyte, of which each command replaces the whole content.
 type largeTable struct {
-	text      []byte
+	encoded   []byte
 	queued    []byte
-	snapshots int // snapshots
+	snapshots int // calls of Snapshot
 }
 
-func (t *largeTable) Apply(_ int64, part []byte) { t.text = bytes.Repeat(part, 1<<20) }
-func (t *largeTable) reset()                     { t.text = []byte{0} }
+func (t *largeTable) Apply(_ int64, part []byte) { t.encoded = bytes.Repeat(part, 1<<20) }
+func (t *largeTable) reset()                     { t.encoded = []byte{0} }
 func (t *largeTable) becomeLeader()              {}
 func (t *largeTable) leaderTick()                {}
 func (t *largeTable) storedSeparately() bool     { return true }
 
 func (t *largeTable) Snapshot() ([]byte, error) {
 	t.snapshots++
-	return t.text, nil
+	return t.encoded, nil
 }
 
-func (t *largeTable) Restore(text []byte) error {
-	t.text = text
+func (t *largeTable) Restore(encoded []byte) error {
+	t.encoded = encoded
 	return nil
 }
 
@@ -41,15 +41,16 @@
 	return part
 }
 
-func TestLargeTableIsEncodedAndSentOnceForEachContent(t *testing.T) {
+// Guards against encoding a separately stored table again for each snapshot, and against sending it inside of snapshots.
+func TestLargeTableIsEncodedOncePerContent(t *testing.T) {
 	sim := newSimulation(1, 4, 3)
 	sim.stable = true
 	sim.disks = true
 	tables := make([]*largeTable, 3)
-	sim.configure = func(i int, group *Replica) {
+	sim.configure = func(i int, replica *Replica) {
 		tables[i] = &largeTable{}
-		group.tables = append(group.tables, tables[i])
-		group.initialize()
+		replica.tables = append(replica.tables, tables[i])
+		replica.initialize()
 	}
 	sim.startAll()
 	sim.run(5_000 * ms)
@@ -64,59 +65,59 @@
 		sim.nodes[lost].disk = nil
 		sim.start(lost)
 		sim.run(sim.now + 4_000*ms)
-		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].text, "round %d: it came in chunks", round)
+		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].encoded, "round %d: the replaced replica received the table in chunks", round)
 	}
 	snap, err := leader.replica.raft.storage.Snapshot()
 	require.NoError(t, err)
-	assert.Less(t, len(snap.GetData()), 64<<10, "the snapshot refers to it by its digest")
-	assert.LessOrEqual(t, tables[i].snapshots, 2, "once empty, and once with the content")
+	assert.Less(t, len(snap.GetData()), 64<<10, "the snapshot refers to the table by its digest")
+	assert.LessOrEqual(t, tables[i].snapshots, 2, "encoded once empty, and once with the content")
 	assert.LessOrEqual(t, len(leader.replica.snapshots.parts), 2)
 	sim.killReplicas()
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	for k := range tables {
-		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[k].text, "it is recovered from the disk")
+		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[k].encoded, "the table is recovered from the disk")
 	}
 }
 
-// watchedTable is a config table that counts how much of a snapshot each step encodes.
-type watchedTable struct {
+// countingTable is a configuration table that counts the bytes of snapshots that each step encodes.
+type countingTable struct {
 	*configTable
-	nextCalls   int         // each step has at least one, before it encodes
-	bytesByStep map[int]int // by nextCalls
+	nextCalls   int         // calls of nextProposal: each step makes at least one before it encodes
+	bytesByStep map[int]int // bytes encoded, by the value of nextCalls
 }
 
-type watchedSnapshot struct {
+type countingSnapshot struct {
 	incrementalSnapshot
-	table *watchedTable
+	table *countingTable
 }
 
-func (t *watchedTable) beginSnapshot() incrementalSnapshot {
-	return &watchedSnapshot{t.configTable.beginSnapshot(), t}
+func (t *countingTable) beginSnapshot() incrementalSnapshot {
+	return &countingSnapshot{t.configTable.beginSnapshot(), t}
 }
 
-func (t *watchedTable) nextProposal() []byte {
+func (t *countingTable) nextProposal() []byte {
 	t.nextCalls++
 	return t.configTable.nextProposal()
 }
 
-func (t *watchedSnapshot) Next(least int) bool {
+func (t *countingSnapshot) Next(minBytes int) bool {
 	before := len(t.Encoded())
-	whole := t.incrementalSnapshot.Next(least)
+	complete := t.incrementalSnapshot.Next(minBytes)
 	t.table.bytesByStep[t.table.nextCalls] += len(t.Encoded()) - before
-	return whole
+	return complete
 }
 
-// A snapshot of a large configuration is encoded over many steps while entries are committed, at the bound of the log and where a lost
-// replica is replaced, and what is recovered from the disk is what was committed.
-func TestSnapshotOfALargeTableIsSpreadOverSteps(t *testing.T) {
+// Guards against steps that encode much of a large configuration at once and so delay heartbeats: when the log is truncated, and when a
+// lost replica is replaced. The replicas then recover the committed configuration from their disks.
+func TestSnapshotOfLargeTableIsSpreadOverSteps(t *testing.T) {
 	sim := newSimulation(1, 4, 3)
 	sim.stable = true
 	sim.disks = true
-	var tables [3]*watchedTable
-	sim.configure = func(i int, group *Replica) {
-		tables[i] = &watchedTable{configTable: group.configs, bytesByStep: map[int]int{}}
-		group.tables[2] = tables[i]
+	var tables [3]*countingTable
+	sim.configure = func(i int, replica *Replica) {
+		tables[i] = &countingTable{configTable: replica.configs, bytesByStep: map[int]int{}}
+		replica.tables[2] = tables[i]
 	}
 	sim.startAll()
 	sim.run(5_000 * ms)
@@ -132,11 +133,11 @@
 	}
 	sim.run(sim.now + 4_000*ms)
 	size := sim.leader().replica.configs.table.Agreed().All.Bytes()
-	const most = 256 << 10 // bytes in a step
-	check := func(x *watchedTable, what string) {
-		assert.Greater(t, len(x.bytesByStep), size/most, what)
+	const maxStepBytes = 256 << 10
+	check := func(x *countingTable, occasion string) {
+		assert.Greater(t, len(x.bytesByStep), size/maxStepBytes, occasion)
 		for _, n := range x.bytesByStep {
-			assert.LessOrEqual(t, n, most, what)
+			assert.LessOrEqual(t, n, maxStepBytes, occasion)
 		}
 		clear(x.bytesByStep)
 	}
@@ -148,7 +149,7 @@
 		sim.run(sim.now + 8*ms)
 	}
 	for i := range tables {
-		check(tables[i], "at the bound of the log")
+		check(tables[i], "when the log is truncated")
 	}
 	lost := (sim.indexOf(node) + 1) % 3
 	sim.kill(lost)
@@ -156,13 +157,13 @@
 	sim.start(lost)
 	sim.propose(t, sim.indexOf(node), configsync.Command{Kind: configsync.CommandPut, Caller: "b", Seq: 1, Base: 1, Changes: []configsync.Item{tenantItem("x")}})
 	sim.run(sim.now + 8_000*ms)
-	check(tables[sim.indexOf(node)], "a replaced replica")
+	check(tables[sim.indexOf(node)], "when a lost replica is replaced")
 	assert.Equal(t, uint64(2), sim.nodes[lost].replica.configs.table.Head().All.Version)
 	sim.killReplicas()
 	sim.startAll()
 	sim.run(sim.now + 4_000*ms)
 	for i, h := range sim.heads() {
-		assert.Equal(t, uint64(2), h.All.Version, "replica %d is back from its disk", i)
+		assert.Equal(t, uint64(2), h.All.Version, "replica %d recovered from its disk", i)
 		assert.Equal(t, pieces*each+1, sim.nodes[i].replica.configs.table.Agreed().All.Len(configsync.Tenants))
 		assert.LessOrEqual(t, len(sim.nodes[i].replica.snapshots.parts), 2)
 	}
--- a/internal/fleet/consensus/step.go
+++ b/internal/fleet/consensus/step.go
@@ -9,15 +9,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const minPause = 150 * ms // ns past a wake-up from which this process was paused, and not the others
+const pauseThreshold = 150 * ms // ns after the requested wake-up from which a late step counts as a pause of this process
 
-// step handles what happened, by handle, and then carries out what is due.
+// step handles the inputs by the given function, then runs the timers that are due, proposes queued commands, and processes the output of
+// raft.
 func (r *raftReplica) step(now int64, handle func()) {
-	paused := r.wakeAt > 0 && now-r.wakeAt > minPause
+	paused := r.wakeAt > 0 && now-r.wakeAt > pauseThreshold
 	r.now = now
 	r.effects = append(r.effects[:0], r.earlyEffects...)
 	r.earlyEffects = nil
-	if paused && !r.IsLeader() { // messages of the leader may wait unread
+	if paused && !r.IsLeader() { // the leader may have sent messages during the pause that are still unread
 		r.resetElectionTimer()
 	}
 	r.restartOnPanic(func() {
@@ -29,14 +30,14 @@
 	})
 }
 
-// restartOnPanic restarts this replica as a new incarnation where raft or a table can't go on. It guards against messages that no
-// correct replica sends. It also hides faults of this program, so each is counted and logged.
+// restartOnPanic calls a function, and restarts this replica as a new incarnation if raft or a table panics. It guards against messages
+// that no correct replica sends. Since it also hides faults of this program, each panic is counted and logged.
 func (r *raftReplica) restartOnPanic(do func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			r.Counters.PanicRestarts++
 			r.restart()
-			r.log(true, "the council's seat could not go on and begins anew: %v", cause)
+			r.log(true, "consensus: the replica failed and restarted without state as a new incarnation: %v", cause)
 		}
 	}()
 	do()
@@ -50,7 +51,7 @@
 		r.tickRejoin()
 		return
 	case r.bootstrapTimedOut():
-		r.restart() // nothing was ever committed or acknowledged, and others may have given this bootstrap up
+		r.restart() // nothing was committed or acknowledged, and other members may have given this bootstrap up
 	}
 	r.requestChunk()
 	if r.IsLeader() {
@@ -65,9 +66,9 @@
 	}
 }
 
-// nextDeadline is when the next timer expires.
+// nextDeadline returns when the next timer expires: at once while a snapshot is being encoded.
 func (r *raftReplica) nextDeadline() int64 {
-	at := int64(never)
+	at := int64(maxInt64)
 	if !r.bootstrap.done {
 		at = min(at, r.bootstrap.discoveryAt)
 	}
@@ -86,7 +87,8 @@
 	return min(at, r.leadership.electionAt)
 }
 
-// handleRaft passes a raft message of another replica on to raft.
+// handleRaft passes another replica's raft message to raft, except a vote request that might replace a live leader and a snapshot that must
+// wait for parts.
 func (r *raftReplica) handleRaft(in *Message) {
 	m := new(pb.Message)
 	if proto.Unmarshal(in.Raft, m) != nil || m.GetTo() != r.raft.id || !slices.Contains(r.members, in.From) || r.disk.rejoinAnswers != nil {
@@ -96,10 +98,10 @@
 		clear(r.leadership.lastContact)
 	}
 	r.leadership.lastContact[m.GetFrom()] = r.now
-	r.leadership.lastIDs[in.From] = m.GetFrom()
+	r.leadership.lastRaftIDs[in.From] = m.GetFrom()
 	r.trackPeerWrite(m.GetFrom(), in.WriteNumber, in.From)
 	switch m.GetType() {
-	case pb.MsgPreVote, pb.MsgVote: // a replica that is in contact with a leader, or leads, does not help to replace it
+	case pb.MsgPreVote, pb.MsgVote: // a replica that leads, or is in contact with a leader, does not vote for another
 		if r.leadership.leaderID != 0 && r.now < r.leadership.leaderContactAt+minElectionTimeout && m.GetFrom() != r.leadership.leaderID {
 			return
 		}
@@ -112,11 +114,11 @@
 	if m.GetType() == pb.MsgSnap && r.awaitParts(m, in.From) {
 		return
 	}
-	_ = r.raft.node.Step(m) // what it refuses is outdated
+	_ = r.raft.node.Step(m) // raft refuses outdated messages
 	r.followLeader()
 }
 
-// propose proposes what is queued at the tables.
+// propose proposes the queued commands of all tables, one entry after the other.
 func (r *raftReplica) propose() {
 	for {
 		parts := map[uint8]cbor.RawMessage{}
@@ -128,17 +130,18 @@
 		if len(parts) == 0 {
 			return
 		}
-		if text, err := cborEncoding.Marshal(parts); err == nil {
-			_ = r.raft.node.Propose(text) // whoever asked for a dropped proposal asks again
+		if encoded, err := cborEncoding.Marshal(parts); err == nil {
+			_ = r.raft.node.Propose(encoded) // raft may drop the proposal; the senders of its commands retry
 		}
 	}
 }
 
-// processReady carries out raft's Ready batches until there is none, or the disk is waited for.
+// processReady processes raft's Ready batches until there are none left or one has to be written to the disk first. It also continues the
+// snapshot in progress.
 func (r *raftReplica) processReady() {
 	for !r.disk.blocked() && r.raft.node.HasReady() {
 		rd := r.raft.node.Ready()
-		if r.disk.enabled && mustPersist(&rd) {
+		if r.disk.enabled && requiresPersisting(&rd) {
 			r.persistReady(&rd)
 			if !r.disk.unsafeNoWait {
 				return
@@ -153,11 +156,13 @@
 	}
 }
 
-func mustPersist(rd *raft.Ready) bool {
+// requiresPersisting reports whether a Ready batch has state that must be on the disk before the batch is applied.
+func requiresPersisting(rd *raft.Ready) bool {
 	return !raft.IsEmptySnap(rd.Snapshot) || !raft.IsEmptyHardState(rd.HardState) || len(rd.Entries) > 0
 }
 
-// applyReady carries a Ready batch out, once it is on the disk where there is one.
+// applyReady stores a Ready batch in memory, sends its messages and applies its committed entries. With a disk, it is called after the batch
+// was persisted.
 func (r *raftReplica) applyReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		mustSucceed(r.raft.storage.ApplySnapshot(rd.Snapshot))
@@ -175,13 +180,14 @@
 	r.followLeader()
 }
 
-// sendRaftMessages sends raft's messages, unless this replica is stepped down.
+// sendRaftMessages sends raft's messages, unless this replica has stepped down as the leader. It holds back a snapshot while the next one is
+// being written.
 func (r *raftReplica) sendRaftMessages(messages []*pb.Message) {
 	steppedDown := r.steppedDown()
 	for _, m := range messages {
 		if m.GetType() == pb.MsgSnap {
-			r.snapshots.sentAt[m.GetTo()] = r.now // raft waits for a report, also of one that is not sent
-			if r.snapshots.writer != nil {        // the last snapshot may be older than the receiver's membership
+			r.snapshots.sentAt[m.GetTo()] = r.now // raft sends no other snapshot until ReportSnapshot is called, whether this one is sent or not
+			if r.snapshots.writer != nil {        // the last snapshot may be from before the receiver was a member
 				r.snapshots.sentAt[m.GetTo()] += snapshotRetryBackoff - snapshotTimeout
 				continue
 			}
@@ -193,14 +199,14 @@
 }
 
 func (r *raftReplica) sendRaftMessage(m *pb.Message) {
-	text, err := proto.Marshal(m)
+	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return
 	}
 	for _, name := range r.members {
-		// A replica that lags may not know the receiver's incarnation as a member yet, but have had a message of it.
-		if r.replicas[name].ID == m.GetTo() || r.leadership.lastIDs[name] == m.GetTo() {
-			r.send(name, Message{Kind: MessageRaft, Raft: text, WriteNumber: r.disk.lastPersisted})
+		// A replica that lags may not yet have applied the receiver's membership, but may have received a message from it.
+		if r.replicas[name].RaftID == m.GetTo() || r.leadership.lastRaftIDs[name] == m.GetTo() {
+			r.send(name, Message{Kind: MessageRaft, Raft: encoded, WriteNumber: r.disk.lastPersisted})
 			return
 		}
 	}
--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -10,26 +10,27 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Write is one write to a replica's disk, in the order of the numbers. It counts once a Persisted input has its number, or a later
-// one; what depends on it is delayed until then. Its slices must not be changed.
+// Write is one write to a replica's disk. Writes are carried out in the order of their numbers. A write is complete when Input.Persisted
+// has its number or a later one; the replica delays until then the messages and entries that depend on it. Callers must not change the
+// slices.
 type Write struct {
 	Number         uint64
-	DiscardEarlier bool              // nothing written before is of use
-	Base           []byte            // replaces all that is there, atomically; nil where records are only appended
-	Parts          map[string][]byte // all parts that the base refers to, by digest; one that is there already needs no writing
-	Records        [][]byte          // to append
+	DiscardEarlier bool              // nothing written before is needed any more
+	Base           []byte            // replaces the whole content atomically; nil if records are only appended
+	Parts          map[string][]byte // all parts that the base refers to, by digest; a part that is on the disk already needs no writing
+	Records        [][]byte          // to append after the base
 }
 
-// DiskContents is what was read from a disk: the last base with its parts, and the complete records after it.
+// DiskContents is the content read from a disk: the last base with its parts, and the complete records after it.
 type DiskContents struct {
 	Base    []byte
 	Parts   map[string][]byte
 	Records [][]byte
 }
 
-// diskBase is a replica's whole state on its disk.
+// diskBase is the whole state of a replica as of one write.
 type diskBase struct {
-	ID          uint64            `cbor:"1,keyasint"`
+	RaftID      uint64            `cbor:"1,keyasint"`
 	Incarnation uint64            `cbor:"2,keyasint"`
 	Members     []string          `cbor:"3,keyasint"`
 	Number      uint64            `cbor:"4,keyasint"`
@@ -38,7 +39,7 @@
 	PeerWrites  map[uint64]uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// diskRecord is one change after the base.
+// diskRecord is one change of the state after the base.
 type diskRecord struct {
 	Number     uint64            `cbor:"1,keyasint"`
 	HardState  []byte            `cbor:"2,keyasint,omitempty"`
@@ -46,28 +47,28 @@
 	PeerWrites map[uint64]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// diskState is what a replica knows of its disk, and of its return from it.
+// diskState is the state of writing to the disk, and of rejoining the group after recovery from it.
 type diskState struct {
-	enabled           bool // else the replica is in memory only
-	failed            bool // its content is unknown: this replica sends nothing more
-	nonEmpty          bool // something of use may be there
+	enabled           bool // false for a replica that keeps its state in memory only
+	failed            bool // a write failed: the disk's content is unknown, and raft stands still until the process restarts
+	nonEmpty          bool // the disk may hold state that a new incarnation has to discard
 	lastWrite         uint64
 	lastPersisted     uint64
-	pendingReady      *raft.Ready
+	pendingReady      *raft.Ready       // the batch that is being written, nil for none
 	pendingWrite      uint64            // number of the write that pendingReady waits for
-	peerWrites        map[uint64]uint64 // by raft ID: the last write that a peer's messages were seen to depend on
+	peerWrites        map[uint64]uint64 // last persisted write that messages of a peer carried, by raft ID
 	peerWritesChanged bool              // since the last write
-	rejoinAnswers     map[string]bool   // members that answered; nil unless rejoining
+	rejoinAnswers     map[string]bool   // members that answered; nil unless this replica is rejoining
 	rejoinAt          int64
 	rejoinDeadline    int64
-	unsafeNoWait      bool // fault injection of tests: nothing waits for the disk
+	unsafeNoWait      bool // injected by tests: nothing waits for the disk
 }
 
-// blocked reports whether the disk is waited for, or failed.
+// blocked reports whether raft has to wait for a write, or the disk failed.
 func (d *diskState) blocked() bool { return d.pendingReady != nil || d.failed }
 
-// Recover has the replica keep its state on a disk, before its first step, and restores what is there. Contents of another group, or
-// of a later build, are an error; nothing is lost by it.
+// Recover makes the replica keep its state on a disk, and restores the state from its contents. It must be called before the first step. It
+// returns an error, and changes nothing on the disk, if the contents are those of another group or can't be read by this build.
 func (r *raftReplica) Recover(now int64, contents DiskContents) (err error) {
 	r.disk.enabled = true
 	r.disk.nonEmpty = len(contents.Base)+len(contents.Records) > 0
@@ -81,29 +82,29 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("it can't be taken up: %v", cause)
+			err = fmt.Errorf("consensus: state on disk can't be restored: %v", cause)
 		}
 	}()
 	var base diskBase
 	if err := cborDecoding.Unmarshal(contents.Base, &base); err != nil {
-		return fmt.Errorf("the base can't be read by this build: %w", err)
+		return fmt.Errorf("consensus: base on disk can't be read by this build: %w", err)
 	}
 	if !slices.Equal(base.Members, r.members) {
-		return fmt.Errorf("it holds a council of %v, and the fleet's file names %v: put the names back, or have all seats begin anew with empty folders",
+		return fmt.Errorf("consensus: disk holds the state of a group of %v, but the fleet file names %v: restore the names, or start all replicas with empty folders",
 			base.Members, r.members)
 	}
 	snap, err := r.recoverBase(&base, contents.Parts)
 	if err != nil {
 		return err
 	}
-	for _, text := range contents.Records {
-		if err := r.recoverRecord(text); err != nil {
+	for _, encoded := range contents.Records {
+		if err := r.recoverRecord(encoded); err != nil {
 			return err
 		}
 	}
 	r.disk.lastPersisted = r.disk.lastWrite
 	r.restoreSnapshot(snap)
-	if r.replicas[r.self].ID != r.raft.id { // this member was replaced by another incarnation
+	if r.replicas[r.self].RaftID != r.raft.id { // a later incarnation replaced this one
 		r.restart()
 		return nil
 	}
@@ -114,13 +115,13 @@
 func (r *raftReplica) recoverBase(base *diskBase, parts map[string][]byte) (*pb.Snapshot, error) {
 	snap := new(pb.Snapshot)
 	if err := proto.Unmarshal(base.Snapshot, snap); err != nil {
-		return nil, fmt.Errorf("the base's snapshot can't be read: %w", err)
+		return nil, fmt.Errorf("consensus: snapshot of the base on disk can't be read: %w", err)
 	}
 	hard := new(pb.HardState)
 	if err := proto.Unmarshal(base.HardState, hard); err != nil {
-		return nil, fmt.Errorf("the base's state can't be read: %w", err)
+		return nil, fmt.Errorf("consensus: raft state of the base on disk can't be read: %w", err)
 	}
-	r.raft.id = base.ID
+	r.raft.id = base.RaftID
 	r.incarnation = base.Incarnation
 	r.snapshots.parts = parts
 	r.disk.lastWrite = base.Number
@@ -133,23 +134,23 @@
 	return snap, nil
 }
 
-func (r *raftReplica) recoverRecord(text []byte) error {
+func (r *raftReplica) recoverRecord(encoded []byte) error {
 	var rec diskRecord
-	if err := cborDecoding.Unmarshal(text, &rec); err != nil {
-		return fmt.Errorf("a record can't be read by this build: %w", err)
+	if err := cborDecoding.Unmarshal(encoded, &rec); err != nil {
+		return fmt.Errorf("consensus: record on disk can't be read by this build: %w", err)
 	}
 	entries := make([]*pb.Entry, len(rec.Entries))
 	for i := range rec.Entries {
 		entries[i] = new(pb.Entry)
 		if err := proto.Unmarshal(rec.Entries[i], entries[i]); err != nil {
-			return fmt.Errorf("an entry can't be read: %w", err)
+			return fmt.Errorf("consensus: entry of a record on disk can't be read: %w", err)
 		}
 	}
 	mustSucceed(r.raft.storage.Append(entries))
 	if len(rec.HardState) > 0 {
 		hard := new(pb.HardState)
 		if err := proto.Unmarshal(rec.HardState, hard); err != nil {
-			return fmt.Errorf("a record's state can't be read: %w", err)
+			return fmt.Errorf("consensus: raft state of a record on disk can't be read: %w", err)
 		}
 		mustSucceed(r.raft.storage.SetHardState(hard))
 	}
@@ -158,7 +159,8 @@
 	return nil
 }
 
-// resume goes on from the recovered state: alone at once, else after the others confirmed it.
+// resume continues from the recovered state: at once if this is the only member, else after the other members confirmed that no write is
+// missing.
 func (r *raftReplica) resume() {
 	r.startRaft(r.raft.appliedIndex)
 	r.bootstrap.boundAt = r.now
@@ -171,10 +173,11 @@
 	}
 	last, err := r.raft.storage.LastIndex()
 	mustSucceed(err)
-	r.log(false, "back from the disk: what was agreed on up to entry %d, and entries up to %d", r.storedHardState().GetCommit(), last)
+	r.log(false, "consensus: recovered from disk: committed up to entry %d, log up to entry %d", r.storedHardState().GetCommit(), last)
 }
 
-// Resumed reports whether the replica holds what it knew before its process ended.
+// Resumed reports whether the replica belongs to a group and has its state on the disk. After Recover, this means that it resumes from the
+// state that it had before its process ended.
 func (r *raftReplica) Resumed() bool {
 	return r.disk.enabled && r.bootstrap.done && r.disk.lastWrite > 0
 }
@@ -185,7 +188,7 @@
 	return hard
 }
 
-// persistReady writes raft's hard state, entries or snapshot, and delays what depends on them.
+// persistReady writes the hard state, entries and snapshot of a Ready batch, which is applied when they are on the disk.
 func (r *raftReplica) persistReady(rd *raft.Ready) {
 	if raft.IsEmptySnap(rd.Snapshot) {
 		rec := diskRecord{Entries: marshalEntries(rd.Entries)}
@@ -212,10 +215,10 @@
 	r.emitWrite(r.baseWrite(rd.Snapshot, hard), rec)
 }
 
-// baseWrite is a write that replaces all that is on the disk.
+// baseWrite returns a write that replaces the whole content of the disk.
 func (r *raftReplica) baseWrite(snap *pb.Snapshot, hard *pb.HardState) Write {
-	text, err := cborEncoding.Marshal(diskBase{
-		ID:          r.raft.id,
+	encoded, err := cborEncoding.Marshal(diskBase{
+		RaftID:      r.raft.id,
 		Incarnation: r.incarnation,
 		Members:     r.members,
 		Number:      r.disk.lastWrite + 1,
@@ -224,14 +227,14 @@
 		PeerWrites:  r.disk.peerWrites,
 	})
 	mustSucceed(err)
-	w := Write{Base: text, Parts: map[string][]byte{}}
+	w := Write{Base: encoded, Parts: map[string][]byte{}}
 	for _, digest := range separateDigests(snap) {
 		w.Parts[digest] = r.snapshots.parts[digest]
 	}
 	return w
 }
 
-// rewriteBase replaces what is on the disk by the last snapshot and the log after it, which bounds the disk's content.
+// rewriteBase replaces the content of the disk by the last snapshot and the log after it, which bounds its size.
 func (r *raftReplica) rewriteBase() {
 	if !r.disk.enabled {
 		return
@@ -240,18 +243,18 @@
 	mustSucceed(err)
 	last, err := r.raft.storage.LastIndex()
 	mustSucceed(err)
-	maps.DeleteFunc(r.disk.peerWrites, func(id, _ uint64) bool { return !r.isMember(id) }) // of earlier incarnations
+	maps.DeleteFunc(r.disk.peerWrites, func(id, _ uint64) bool { return !r.isMember(id) }) // raft IDs of replaced incarnations
 	var rec *diskRecord
 	first := snap.GetMetadata().GetIndex() + 1
 	if last >= first {
-		entries, err := r.raft.storage.Entries(first, last+1, never)
+		entries, err := r.raft.storage.Entries(first, last+1, maxInt64)
 		mustSucceed(err)
 		rec = &diskRecord{Entries: marshalEntries(entries)}
 	}
 	r.emitWrite(r.baseWrite(snap, r.storedHardState()), rec)
 }
 
-// emitWrite numbers a write and emits it, with a record where there is one.
+// emitWrite numbers a write and emits it, with a record if one is given.
 func (r *raftReplica) emitWrite(w Write, rec *diskRecord) {
 	r.disk.lastWrite++
 	w.Number = r.disk.lastWrite
@@ -260,20 +263,20 @@
 		if r.disk.peerWritesChanged && w.Base == nil {
 			rec.PeerWrites = r.disk.peerWrites
 		}
-		text, err := cborEncoding.Marshal(rec)
+		encoded, err := cborEncoding.Marshal(rec)
 		mustSucceed(err)
-		w.Records = [][]byte{text}
+		w.Records = [][]byte{encoded}
 	}
 	r.disk.peerWritesChanged = false
 	r.disk.nonEmpty = !w.DiscardEarlier
 	r.emit(Effect{Kind: Persist, Write: &w})
 }
 
-// handlePersisted takes the result of writes, and carries out what waited for them.
+// handlePersisted handles the result of writes, and applies the Ready batch that waited for them.
 func (r *raftReplica) handlePersisted(number uint64, err error) {
 	if err != nil {
 		r.disk.failed = true
-		r.log(true, "the council's seat stands still until this process is started anew: its disk failed: %v", err)
+		r.log(true, "consensus: write to the replica's disk failed; the replica is inactive until this process restarts: %v", err)
 		return
 	}
 	r.disk.lastPersisted = max(r.disk.lastPersisted, number)
@@ -285,14 +288,14 @@
 }
 
 func marshalProto(m proto.Message) []byte {
-	text, err := proto.Marshal(m)
+	encoded, err := proto.Marshal(m)
 	mustSucceed(err)
-	return text
+	return encoded
 }
 
-func marshalEntries(list []*pb.Entry) (texts [][]byte) {
+func marshalEntries(list []*pb.Entry) (encodings [][]byte) {
 	for _, e := range list {
-		texts = append(texts, marshalProto(e))
+		encodings = append(encodings, marshalProto(e))
 	}
-	return texts
+	return encodings
 }
--- a/internal/fleet/consensus/storage_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -28,13 +28,13 @@
 			sim.startAll()
 			sim.run(sim.now + 3_000*ms)
 			for _, node := range sim.nodes[:replicas] {
-				assert.Equal(t, ids[node.name], node.replica.raft.id, "it resumes with its raft ID")
+				assert.Equal(t, ids[node.name], node.replica.raft.id, "the replica resumes with its raft ID")
 			}
 			b := sim.ask(2, 1, replicas)
 			sim.run(sim.now + 500*ms)
 			assert.Equal(t, a.outcome, b.outcome)
 			assert.Equal(t, 1, sim.runs[1])
-			sim.assertSameTables(t)
+			sim.assertReplicasAgree(t)
 		})
 	}
 }
@@ -51,7 +51,7 @@
 	replica := sim.nodes[0].replica
 	assert.NotEqual(t, before, replica.raft.id)
 	assert.NotNil(t, replica.table.Find(key(1)))
-	sim.killReplicas() // what it received is on its new disk
+	sim.killReplicas() // what the replaced replica received is on its new disk
 	sim.startAll()
 	sim.run(sim.now + 3_000*ms)
 	assert.Equal(t, replica.raft.id, sim.nodes[0].replica.raft.id)
@@ -70,15 +70,16 @@
 	sim.startAll()
 	sim.run(sim.now + 5_000*ms)
 	replica := sim.nodes[i].replica
-	assert.NotEqual(t, before, replica.raft.id, "it does not vote with outdated state")
+	assert.NotEqual(t, before, replica.raft.id, "the replica does not vote with outdated state")
 	assert.True(t, replica.bootstrap.done)
 	assert.NotNil(t, replica.table.Find(key(1)))
 	b := sim.ask(2, 1, 3)
 	sim.run(sim.now + 500*ms)
 	assert.Equal(t, a.outcome, b.outcome)
-	sim.assertSameTables(t)
+	sim.assertReplicasAgree(t)
 }
 
+// Guards against messages that depend on state which a crash of this node could lose.
 func TestNothingIsSentBeforeItIsPersisted(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	node := sim.leader()
@@ -91,12 +92,12 @@
 		if e.Kind == Persist {
 			write = e.Write
 		}
-		assert.NotEqual(t, Send, e.Kind, "the entry is on no disk yet")
+		assert.NotEqual(t, Send, e.Kind, "nothing is sent before the entry is on the disk")
 	}
 	require.NotNil(t, write)
 	assert.Greater(t, write.Number, number)
 	effects, _ = replica.Step(sim.now+1, []Input{{Persisted: write.Number}})
-	assert.True(t, slices.ContainsFunc(effects, func(e Effect) bool { return e.Kind == Send }), "the entry is on the disk")
+	assert.True(t, slices.ContainsFunc(effects, func(e Effect) bool { return e.Kind == Send }), "the messages are sent when the entry is on the disk")
 }
 
 func TestReplicaWithFailedDiskSendsNothing(t *testing.T) {
@@ -111,18 +112,18 @@
 	sim.kill(i)
 	sim.start(i)
 	sim.run(sim.now + 2_000*ms)
-	assert.Equal(t, sim.leader().replica.raft.appliedIndex, sim.nodes[i].replica.raft.appliedIndex, "restarted it catches up")
+	assert.Equal(t, sim.leader().replica.raft.appliedIndex, sim.nodes[i].replica.raft.appliedIndex, "the replica catches up after its restart")
 }
 
 func TestDiskOfAnotherGroupIsRefused(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	c := NewReplica([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
-	assert.ErrorContains(t, c.Recover(1, sim.nodes[0].disk.contents), "put the names back")
+	assert.ErrorContains(t, c.Recover(1, sim.nodes[0].disk.contents), "restore the names")
 	c = NewReplica(sim.members, "n0", 1, 1, 1)
 	assert.ErrorContains(t, c.Recover(1, DiskContents{Base: []byte("no base")}), "can't be read by this build")
 }
 
-// What is on the disk is bounded: a base replaces the log before it.
+// Guards against a log on disk that grows without bound: a base replaces the records before it.
 func TestLogOnDiskIsTruncatedAtSnapshot(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	node := sim.leader()
@@ -133,18 +134,19 @@
 		sim.run(sim.now + 8*ms)
 	}
 	for _, node := range sim.nodes[:3] {
-		assert.Less(t, len(node.disk.contents.Records), 3*maxLogEntries, "an entry has two records, its own and its commit")
+		assert.Less(t, len(node.disk.contents.Records), 3*maxLogEntries, "an entry has two records: its own, and one that commits it")
 		assert.GreaterOrEqual(t, node.replica.Counters.Snapshots, 1)
 	}
 }
 
-// commitOnTwoReplicas has a leader and one follower, whose disk is stalled, commit a claim as far as they can, and both crash. The
-// follower returns with what its disk holds, and together with the third, which was cut off, is a majority.
-func commitOnTwoReplicas(t *testing.T, fault func(group *Replica)) (agreed, known bool) {
+// commitOnTwoReplicas cuts one of three replicas off, stalls the disk of the follower that is left, and proposes a claim. The leader and
+// the follower then crash, and the follower restarts from its disk, so that it and the third replica form a majority. It reports whether
+// the leader committed the claim, and whether the claim survived.
+func commitOnTwoReplicas(t *testing.T, fault func(replica *Replica)) (committed, survived bool) {
 	sim := newSimulation(1, 4, 3)
 	sim.stable = true
 	sim.disks = true
-	sim.configure = func(_ int, group *Replica) { fault(group) }
+	sim.configure = func(_ int, replica *Replica) { fault(replica) }
 	sim.startAll()
 	sim.run(5_000 * ms)
 	leader := sim.leader()
@@ -157,23 +159,24 @@
 	}
 	sim.nodes[follower].disk.freeAt = sim.now + 60_000*ms
 	leader.replicaInputs = append(leader.replicaInputs, Input{ClaimCommands: []claims.Command{{Kind: claims.CommandClaim, Sender: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
-		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Retention: window}}})
+		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Retention: claimRetention}}})
 	sim.wakeNow(i)
 	sim.run(sim.now + 400*ms)
-	agreed = leader.replica.table.Find(key(1)) != nil
-	sim.nodes[follower].disk.inFlight = nil // nothing of it reached the disk
+	committed = leader.replica.table.Find(key(1)) != nil
+	sim.nodes[follower].disk.inFlight = nil // the write has not reached the disk
 	sim.kill(i)
 	sim.kill(follower)
 	clear(sim.cutLinks)
 	sim.start(follower)
 	sim.run(sim.now + 8_000*ms)
 	require.NotNil(t, sim.leader(), "two of three elect a leader")
-	return agreed, sim.leader().replica.table.Find(key(1)) != nil
+	return committed, sim.leader().replica.table.Find(key(1)) != nil
 }
 
-func TestCommittedEntryIsOnAMajorityOfDisks(t *testing.T) {
-	agreed, _ := commitOnTwoReplicas(t, func(*Replica) {})
-	assert.False(t, agreed, "one disk is no majority")
-	agreed, known := commitOnTwoReplicas(t, func(group *Replica) { group.disk.unsafeNoWait = true })
-	assert.True(t, agreed && !known, "a message sent before its state is persisted loses a committed entry")
+// Guards against acknowledging an entry before it is on the disk, by which a committed entry could be lost.
+func TestCommittedEntryIsOnMajorityOfDisks(t *testing.T) {
+	committed, _ := commitOnTwoReplicas(t, func(*Replica) {})
+	assert.False(t, committed, "one disk is no majority")
+	committed, survived := commitOnTwoReplicas(t, func(replica *Replica) { replica.disk.unsafeNoWait = true })
+	assert.True(t, committed && !survived, "a message sent before its state is persisted loses a committed entry")
 }
--- a/internal/fleet/consensus/takeover_test.go
+++ b/internal/fleet/consensus/takeover_test.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
-func TestRepeatAtAnotherNodeWaitsForTheRun(t *testing.T) {
+func TestRepeatedRequestAtAnotherNodeGetsSameResult(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	a := sim.ask(1, 1, 3)
 	sim.run(sim.now + 5*ms)
@@ -19,11 +19,11 @@
 	assert.Equal(t, 1, sim.runs[1])
 }
 
-func TestClaimOfALostNodeIsTakenOver(t *testing.T) {
+func TestClaimOfLostNodeIsTakenOver(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	node := sim.nodes[4]
-	node.pending[key(1)] = true // queued there, and not started
-	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Retention: window, Work: []byte{1}})
+	node.pending[key(1)] = true // queued at the node, and not started
+	node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: key(1), BodyHash: 7, Remaining: 4_000 * ms, Retention: claimRetention, Work: []byte{1}})
 	sim.wakeNow(4)
 	sim.run(sim.now + 20*ms)
 	sim.kill(4)
@@ -33,7 +33,7 @@
 	assert.Equal(t, 1, sim.runs[1])
 }
 
-func TestStartedWorkOfALostNodeHasUnknownOutcome(t *testing.T) {
+func TestStartedRunOfLostNodeHasUnknownOutcome(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	sim.ask(1, 1, 4)
 	for sim.runs[1] == 0 {
@@ -60,7 +60,7 @@
 	sim.pause(4, false)
 	sim.run(sim.now + 2_000*ms)
 	assert.Equal(t, 1, sim.runs[1])
-	assert.Equal(t, b.outcome, sim.attempts[0].outcome, "the owner's caller has the new owner's result")
+	assert.Equal(t, b.outcome, sim.attempts[0].outcome, "the caller of the fenced owner gets the new owner's result")
 }
 
 func TestLateResultReplacesUnknownOutcome(t *testing.T) {
@@ -81,14 +81,15 @@
 	assert.Equal(t, "hold//t1 run 1", c.outcome)
 }
 
-// New owners run eight claims at a time, and start what they are assigned within 40 ms.
-func TestThousandClaimsOfALostNodeAreTakenOverAtABoundedRate(t *testing.T) {
+// Guards against overloading the new owners: each has at most eight reassigned claims that it has not started, and starts
+// each within 40 ms.
+func TestThousandClaimsOfLostNodeAreTakenOverAtBoundedRate(t *testing.T) {
 	sim := newStableSimulation(t, 8, 3)
 	node := sim.nodes[7]
 	for n := range 1_000 {
 		k := key(n)
 		node.pending[k] = true
-		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 30_000 * ms, Retention: window, Work: []byte{1}})
+		node.clientInputs = append(node.clientInputs, claims.Input{Kind: claims.RequestClaim, Key: k, BodyHash: 7, Remaining: 30_000 * ms, Retention: claimRetention, Work: []byte{1}})
 	}
 	sim.wakeNow(7)
 	sim.run(sim.now + 200*ms)
@@ -97,7 +98,7 @@
 	sim.kill(7)
 	lost := sim.now
 	first := int64(0)
-	most := 0
+	maxWaiting := 0
 	for len(sim.runs) < 1_000 && sim.now < lost+25_000*ms {
 		sim.run(sim.now + 5*ms)
 		if first == 0 && len(sim.runs) > 0 {
@@ -106,11 +107,11 @@
 		waiting := map[claims.Owner]int{}
 		for _, e := range sim.leaderTable().Reassigned() {
 			waiting[e.Owner]++
-			most = max(most, waiting[e.Owner])
+			maxWaiting = max(maxWaiting, waiting[e.Owner])
 		}
 	}
 	t.Logf("the first started %d ms after the loss was known, the last %d ms after; %d bytes a claim", first/ms, (sim.now-lost)/ms, bytes/1_000)
 	assert.Len(t, sim.runs, 1_000)
 	assert.Empty(t, sim.failures)
-	assert.LessOrEqual(t, most, 8, "no new owner is assigned more than it can start")
+	assert.LessOrEqual(t, maxWaiting, 8, "a new owner is assigned no more claims than it can start")
 }
