--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -25,7 +25,7 @@
 	pingHistory         = 32         // last pings of a link whose answers are accepted
 	maxPingsPerProbe    = 4          // pings in a probe interval while no answer comes
 	silentProbeFactor   = 4          // probe intervals between the probes of a silent link
-	roundTripSmoothing  = 8          // a new sample counts for one part in this many
+	roundTripSmoothing  = 8          // inverse weight of a new sample in the smoothed round trip
 	unwantedLinkTimeout = 4_000 * ms // ns that a link is kept open after the rings no longer need it
 	reconnectSeqBit     = 1 << 31    // set in the sequence numbers of pings to lost members
 	minPause            = 150 * ms   // ns by which a step must be late for the process to count as paused
@@ -42,9 +42,9 @@
 
 // Updates of rings, reachability and the view.
 const (
-	ringsInterval     = 100 * ms
-	traversalInterval = 50 * ms
-	viewInterval      = 1_000 * ms
+	ringsInterval     = 100 * ms    // ns between updates of the watched members
+	traversalInterval = 50 * ms     // ns between traversals of the links
+	viewInterval      = 1_000 * ms  // ns after which the view is updated even if nothing changed
 	maxFlaps          = 5           // losses of a member up to which its damping grows
 	flapDecayTime     = 60_000 * ms // ns in the view after which the count of flaps is reset
 	digestRetention   = 30_000 * ms // ns after which the record of a lost member leaves the table's digest
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// event is a delivery in a simulated fleet.
+// event is a scheduled action in a simulated fleet.
 type event struct {
 	at, order int64
 	run       func()
@@ -35,7 +35,8 @@
 	return last
 }
 
-// simulation is a fleet of nodes that send each other datagrams and exchanges, some of which are lost.
+// simulation is a fleet of nodes that send each other datagrams and exchanges, some of which are lost. Its digest covers all
+// effects of all nodes.
 type simulation struct {
 	t           *testing.T
 	now         int64
@@ -44,7 +45,7 @@
 	random      *rand.Rand
 	loss        float64
 	nodes       map[string]*simulatedNode // by address
-	partitioned map[string]bool           // addresses that neither send nor hear
+	partitioned map[string]bool           // addresses that reach only each other
 	digest      hash.Hash
 }
 
@@ -65,7 +66,7 @@
 
 func (s *simulation) delay() int64 { return ms + s.random.Int63n(20*ms) }
 
-// start gives an address a new incarnation.
+// start starts a node in a new incarnation.
 func (s *simulation) start(k int, seeds []string) {
 	address := fmt.Sprintf("10.0.0.%d:9", k)
 	n := s.nodes[address]
@@ -81,16 +82,17 @@
 	s.step(n)
 }
 
+// encodeAndDecode returns a copy of a message made by its encoding, and the encoding.
 func encodeAndDecode(t *testing.T, m *Message) (*Message, []byte) {
 	t.Helper()
-	text, err := cbor.Marshal(m)
+	encoded, err := cbor.Marshal(m)
 	require.NoError(t, err)
 	copied := new(Message)
-	require.NoError(t, cbor.Unmarshal(text, copied))
-	return copied, text
+	require.NoError(t, cbor.Unmarshal(encoded, copied))
+	return copied, encoded
 }
 
-// step steps a node, takes its effects into the digest and carries them out.
+// step steps a node, adds its effects to the digest and executes them.
 func (s *simulation) step(n *simulatedNode, inputs ...Input) {
 	if n.paused {
 		return
@@ -105,21 +107,22 @@
 	write(s.now, wake, int64(len(effects)))
 	for k := range effects {
 		e := &effects[k]
-		message, text := encodeAndDecode(s.t, &e.Message)
+		message, encoded := encodeAndDecode(s.t, &e.Message)
 		write(int64(e.Kind), int64(e.ExchangeID), int64(e.Change.Number), int64(e.Change.Cause), int64(e.Change.Incarnation), e.Change.DetectionDelay,
 			int64(e.Change.Size), int64(e.Change.Hash))
-		_, _ = s.digest.Write(append(text, e.To+e.Change.Member+e.Change.ReportedBy...))
+		_, _ = s.digest.Write(append(encoded, e.To+e.Change.Member+e.Change.ReportedBy...))
 		s.execute(n, e.Kind, e.To, e.ExchangeID, message)
 	}
 	n.wakeAt = max(s.now+1, wake)
 	s.after(n.wakeAt-s.now, func() {
-		if n.incarnation == incarnation && s.now >= n.wakeAt { // else a later step set another wake
+		if n.incarnation == incarnation && s.now >= n.wakeAt { // otherwise a later step has scheduled another wake
 			s.step(n)
 		}
 	})
 }
 
-func (s *simulation) execute(n *simulatedNode, kind EffectKind, to string, link int, message *Message) {
+// execute delivers a message after a delay, unless it is lost.
+func (s *simulation) execute(n *simulatedNode, kind EffectKind, to string, exchangeID int, message *Message) {
 	incarnation := n.incarnation
 	peer := s.nodes[to]
 	lost := peer == nil || s.random.Float64() < s.loss || s.partitioned[to] != s.partitioned[n.address]
@@ -135,25 +138,25 @@
 			}
 		}
 		if lost {
-			s.after(s.delay(), func() { answered(Input{Kind: ExchangeFailed, ExchangeID: link}) })
+			s.after(s.delay(), func() { answered(Input{Kind: ExchangeFailed, ExchangeID: exchangeID}) })
 			return
 		}
 		s.after(s.delay(), func() {
 			peer.lastExchange++
 			peer.pendingExchanges[peer.lastExchange] = func(answer *Message) {
-				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, ExchangeID: link, Message: answer}) })
+				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, ExchangeID: exchangeID, Message: answer}) })
 			}
 			s.step(peer, Input{Kind: ExchangeOpened, ExchangeID: peer.lastExchange, Message: message})
 		})
 	case Reply:
-		if reply := n.pendingExchanges[link]; reply != nil {
-			delete(n.pendingExchanges, link)
+		if reply := n.pendingExchanges[exchangeID]; reply != nil {
+			delete(n.pendingExchanges, exchangeID)
 			reply(message)
 		}
 	}
 }
 
-// fault draws one disturbance of the fleet.
+// injectFault injects a random fault: a restart, a drain, a partition, a pause or changed facts.
 func (s *simulation) injectFault(nodes int, seeds []string) {
 	k := 1 + s.random.Intn(nodes)
 	n := s.nodes[fmt.Sprintf("10.0.0.%d:9", k)]
@@ -183,7 +186,7 @@
 	}
 }
 
-// What Step returns in drawn fleets stays the same, bit for bit.
+// The effects of Step in random simulated fleets must not change: their digests are recorded.
 func TestDigestsOfMembershipSteps(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/fleet/membership/helpers_test.go
+++ b/internal/fleet/membership/helpers_test.go
@@ -9,9 +9,9 @@
 
 var testConfig = Config{Name: "a", Address: "10.0.0.1:9", ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60 * second, MaxMembers: 1_000}
 
-// record is what a member of a name tells of itself.
-func record(name string, inc uint64, links ...string) Record {
-	r := Record{Name: name, Address: "10.0.1." + name + ":9", StartedAt: int64(inc), Incarnation: inc}
+// record returns a record of the member with the given name, incarnation and links.
+func record(name string, incarnation uint64, links ...string) Record {
+	r := Record{Name: name, Address: "10.0.1." + name + ":9", StartedAt: int64(incarnation), Incarnation: incarnation}
 	for _, l := range links {
 		r.Links = append(r.Links, IDOf(l))
 	}
@@ -19,7 +19,7 @@
 	return r
 }
 
-// linked has all links that a node takes up at its first step work.
+// bringLinksUp runs the first step of a node and marks the links that it opens as up.
 func bringLinksUp(m *Members) *Members {
 	m.Step(second, 100, nil)
 	for k := range m.links {
@@ -32,7 +32,7 @@
 	return m
 }
 
-// held is a node a, started at 100, in one view with others that all have links with all.
+// newLinkedMembers returns node a, started at 100, in a view with others. All of them have links with each other.
 func newLinkedMembers(others ...string) *Members {
 	m := New(testConfig, second, 100, 0, 1)
 	all := append([]string{"a"}, others...)
@@ -43,7 +43,7 @@
 	return bringLinksUp(m)
 }
 
-// many is a node among so many members, with links only to its neighbours; all others are linked in a ring.
+// newLargeFleet returns a node with links to its neighbours only, among n members that are linked in a ring.
 func newLargeFleet(n int) *Members {
 	m := New(testConfig, second, 100, 0, 1)
 	name := func(i int) string { return fmt.Sprint("m", (i+n)%n) }
@@ -54,7 +54,7 @@
 	return bringLinksUp(m)
 }
 
-// answer has every link's last ping answered.
+// ackPings returns acks for the last ping of each link.
 func ackPings(m *Members) (inputs []Input) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
@@ -64,6 +64,7 @@
 	return inputs
 }
 
+// changeTexts returns the member and cause of each change of the view among the effects.
 func changeTexts(effects []Effect) (list []string) {
 	for _, e := range effects {
 		if e.Kind == ViewChanged {
@@ -73,7 +74,8 @@
 	return list
 }
 
-// until steps at each wake to a moment, and gathers the changes of the view; answered has pings answered at once.
+// runUntil steps at each wake from a time to another and returns the changes of the view. If answered is set, all pings are
+// answered at once.
 func runUntil(m *Members, from, to int64, answered bool) (list []string) {
 	for now := from; now < to; {
 		effects, wake := m.Step(now, now, nil)
@@ -87,5 +89,5 @@
 	return list
 }
 
-// soon is what changes at once.
+// runBriefly returns the changes of the view within 100 ms, with all pings answered.
 func runBriefly(m *Members) []string { return runUntil(m, m.wakeAt, m.wakeAt+100*ms, true) }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -15,28 +15,28 @@
 
 	config              Config
 	random              *rand.Rand
-	ownTime, pausedTime int64
+	ownTime, pausedTime int64 // ns of the monotonic clock without pauses of this process; ns in such pauses
 	wakeAt              int64 // the wake that Step last returned, by the caller's clock
 	members             []member
-	free                []int32
+	free                []int32 // unused indices of members
 	byID                map[ID]int32
 	links               [maxLinks]link // unused where link.member < 0
 	queuedOn            []uint32       // by member: bits of the links on which its record is queued
 	resendOn            []uint32       // by member: bits of the links on which the record is sent once more after that
 	adjacency           []adjacency    // by member
 	lastTraversal       []uint32       // by member: number of the last traversal that reached it
-	traversal           uint32
-	upToDate            []bool // by member: the last update found it alive or the entry unused, and nothing changed since, so it is skipped
-	inRings             []bool // by member: listed in ringOrder
+	traversal           uint32         // number of the last traversal
+	upToDate            []bool         // by member: the last update found it alive or the entry unused, and nothing changed since, so it is skipped
+	inRings             []bool         // by member: listed in ringOrder
 	ringOrder           [ringCount][]int32
-	ringsStale          bool // ringOrder lists removed members
-	ringJoiners         []int32
+	ringsStale          bool    // ringOrder lists removed members
+	ringJoiners         []int32 // members that updateRingOrders adds, reused
 	effects             []Effect
 	lastSummarizedIn    []uint32 // by member: number of the last sync request that listed it
 	syncRequestNumber   uint32
-	stack               []int32
-	digest              uint64
-	viewHash            uint64 // hash over the names and start times of the members in the view
+	stack               []int32 // members that traverse has yet to visit, reused
+	digest              uint64  // hash over the records of the table; equal tables have equal digests
+	viewHash            uint64  // hash over the names and start times of the members in the view
 	viewNumber          uint64
 	viewSize            int
 	isolated            bool
@@ -59,7 +59,7 @@
 	reconnectSeq      uint32
 	reconnectPosition int
 	seedIndex         int // the seed contacted last; the first is drawn at random
-	seedsTried        int // attempts to join
+	joinAttempts      int // requests to seeds while no link is up
 }
 
 // New returns the state of a node that starts at now, in ns of a monotonic clock; wall is the Unix time in ns.
@@ -94,8 +94,8 @@
 
 func (m *Members) emit(e Effect) { m.effects = append(m.effects, e) }
 
-func (m *Members) log(warn bool, form string, args ...any) {
-	m.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(form, args...)})
+func (m *Members) log(warn bool, format string, args ...any) {
+	m.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(format, args...)})
 }
 
 func (m *Members) send(to string, msg *Message) {
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
+// A member is in the view only if a path of links leads to it that both ends of each link publish.
 func TestViewIncludesMembersReachableOverMutualLinks(t *testing.T) {
 	m := newLinkedMembers("b", "c")
-	r := record("d", 100, "c") // c does not tell of a link to it
+	r := record("d", 100, "c") // c does not publish a link to d
 	m.applyRecord(&r, -1)
 	assert.Empty(t, runBriefly(m))
 	r = record("c", 101, "a", "b", "d")
@@ -23,7 +24,7 @@
 
 func TestUnreachableMemberLeavesViewAfterSuspicionTimeout(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d")
-	for _, name := range []string{"b", "c"} { // they have no link to d any more; a has one of its own that is silent
+	for _, name := range []string{"b", "c"} { // they no longer publish a link to d; the link of a to d is silent
 		r := record(name, 101, "a", "b", "c")
 		r.StartedAt = 100
 		m.applyRecord(&r, -1)
@@ -33,11 +34,12 @@
 	assert.Equal(t, []string{"d lost"}, runUntil(m, m.wakeAt, m.wakeAt+500*ms, false))
 }
 
+// Peers cannot answer while this process is paused, so their silence during a pause must not count.
 func TestProcessPauseDoesNotMarkPeersLost(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d")
 	last, pauses := m.wakeAt, m.Counters.Pauses
 	var got []string
-	effects, wake := m.Step(last+30*second, 100, nil) // it was stopped; the others answer once they are asked
+	effects, wake := m.Step(last+30*second, 100, nil) // the process was paused; the others answer its pings
 	got = append(got, changeTexts(effects)...)
 	assert.Equal(t, pauses+1, m.Counters.Pauses)
 	pings := 0
@@ -46,11 +48,12 @@
 			pings++
 		}
 	}
-	assert.Equal(t, 3, pings, "all whom it watches are asked at once")
+	assert.Equal(t, 3, pings, "all watched members are pinged at once")
 	got = append(got, runUntil(m, wake, wake+10*second, true)...)
 	assert.Empty(t, got)
 }
 
+// A node that hears no peer must not report all others as lost, since the fault is more likely its own.
 func TestNodeWithoutLinksKeepsView(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d")
 	got := runUntil(m, m.wakeAt, m.wakeAt+20*second, false)
@@ -65,13 +68,14 @@
 	assert.Equal(t, []string{"a restored"}, runUntil(m, m.wakeAt, m.wakeAt+5*second, true))
 }
 
+// Members leave the view at once after a drain, or if they become unreachable during one.
 func TestDrainedMemberLeavesViewWithoutSuspicion(t *testing.T) {
 	m := newLinkedMembers("b", "c")
 	r := record("c", 101, "a", "b")
 	r.StartedAt, r.Left = 100, true
 	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"c left"}, runBriefly(m))
-	r = record("b", 101) // in beat 1, then silent
+	r = record("b", 101) // in drain phase 1, then unreachable
 	r.StartedAt, r.Facts.DrainPhase = 100, 1
 	m.applyRecord(&r, -1)
 	assert.Equal(t, []string{"b left"}, runBriefly(m))
@@ -82,12 +86,14 @@
 	r := record("b", 200)
 	effects, _ := m.Step(m.wakeAt, 100, []Input{{Kind: DatagramReceived, Message: &Message{Kind: MessageGossip, From: IDOf("c"), Records: []Record{r}}}})
 	assert.Equal(t, []string{"b replaced"}, changeTexts(effects))
-	assert.Equal(t, 3, m.viewSize, "it has a silence's time to be reached")
+	assert.Equal(t, 3, m.viewSize, "the new incarnation stays in the view until its grace period ends")
 }
 
+// Peers still hold the record of an earlier incarnation whose clock was ahead. They would ignore this node's own record
+// unless its incarnation is higher.
 func TestOwnRecordOfEarlierIncarnationIsSuperseded(t *testing.T) {
 	m := newLinkedMembers("b", "c")
-	r := record("a", 500) // a clock that was ahead in the last life
+	r := record("a", 500) // the clock was ahead in the earlier incarnation
 	r.Address = m.members[0].record.Address
 	m.applyRecord(&r, -1)
 	assert.Equal(t, uint64(501), m.Self().Incarnation)
@@ -99,10 +105,10 @@
 	earlier, later := newLinkedMembers("b", "c"), newLinkedMembers("b", "c")
 	r := record("a", 300)
 	r.Address = "10.0.0.99:9"
-	earlier.applyRecord(&r, -1) // of one that started later: outdone
+	earlier.applyRecord(&r, -1) // from a node that started later: superseded
 	assert.Equal(t, uint64(301), earlier.Self().Incarnation)
 	r.StartedAt = 50
-	later.applyRecord(&r, -1) // of one that started before it and still speaks
+	later.applyRecord(&r, -1) // from a node that started earlier and is running
 	assert.Equal(t, 0, later.linksUp())
 	assert.Equal(t, 1, later.Counters.NameConflicts)
 	assert.Equal(t, 1, later.viewSize)
@@ -112,8 +118,8 @@
 	m := newLinkedMembers("b", "c")
 	r := record("b", 300)
 	r.Address = "10.0.0.99:9"
-	asked := []Input{{Kind: ExchangeOpened, ExchangeID: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
-	effects, _ := m.Step(m.wakeAt, 100, asked)
+	request := []Input{{Kind: ExchangeOpened, ExchangeID: 7, Message: &Message{Kind: MessageSyncRequest, From: IDOf("b"), Records: []Record{r}}}}
+	effects, _ := m.Step(m.wakeAt, 100, request)
 	require.NotEmpty(t, effects)
 	replies := func(effects []Effect) (kinds []MessageKind) {
 		for _, e := range effects {
@@ -125,7 +131,7 @@
 	}
 	assert.Equal(t, []MessageKind{MessageReject}, replies(effects))
 	m.members[m.byID[IDOf("b")]].reachable = false
-	effects, _ = m.Step(m.wakeAt, 100, asked)
+	effects, _ = m.Step(m.wakeAt, 100, request)
 	assert.Equal(t, []MessageKind{MessageSyncAnswer}, replies(effects))
 }
 
@@ -139,7 +145,7 @@
 	}
 	assert.Len(t, m.byID, 10)
 	assert.LessOrEqual(t, len(m.members), 11)
-	for i := 1; i < len(m.members); i++ { // all in the view: nobody makes room
+	for i := 1; i < len(m.members); i++ { // members of the view are never evicted
 		m.members[i].inView = true
 	}
 	r := record("x", 100)
@@ -222,7 +228,8 @@
 	}
 }
 
-// What is kept as records change is held against all records, whatever peers tell: also links in no order, or twice.
+// Adjacency, queues, view hash and ring orders are updated incrementally. After any sequence of records, also with unsorted or
+// repeated links, they must equal the state derived from all records.
 func TestIncrementalStateMatchesRecords(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -270,7 +277,8 @@
 	})
 }
 
-// pingsOn are when a link is pinged until a moment, in ms after the first of them.
+// pingTimes returns the times at which a member is pinged before a given time, in ms after the first ping. Answered reports
+// whether the member answers a ping; others answer always.
 func pingTimes(m *Members, id ID, to int64, answered func(seq uint32) bool) (at []int64) {
 	first := int64(0)
 	for now := m.wakeAt; now < to; now = max(m.wakeAt, now+1) {
@@ -305,8 +313,8 @@
 	return 0
 }
 
-// A ping without an answer is sent again within its probe, so that a proof is seldom older than one; answered ones
-// cost no more than before, and neither does a link that has long been silent.
+// A lost ping must not make a link look silent for a whole probe interval, so unanswered pings are resent within it. Answered
+// pings and links that have been silent for long cause no additional pings.
 func TestUnansweredPingsAreResent(t *testing.T) {
 	b := IDOf("b")
 	m := newLinkedMembers("b", "c")
@@ -318,15 +326,15 @@
 	l := &m.links[m.members[m.byID[b]].linkIndex]
 	assert.True(t, l.up)
 	got = pingTimes(m, b, m.wakeAt+1_400*ms, func(uint32) bool { return false })
-	assert.LessOrEqual(t, len(got), 4, "a probe each once it is in doubt")
+	assert.LessOrEqual(t, len(got), 4, "one ping per probe interval on a suspect link")
 	m = newLinkedMembers("b", "c")
 	m.links[m.members[m.byID[b]].linkIndex].roundTrip = 200 * ms
 	got = pingTimes(m, b, m.wakeAt+1_500*ms, func(uint32) bool { return false })
 	require.Greater(t, len(got), 4)
-	assert.Equal(t, []int64{0, 400, 500, 900}, got[:4], "none before an answer from afar can be there")
+	assert.Equal(t, []int64{0, 400, 500, 900}, got[:4], "no resend before the answer can arrive")
 }
 
-// The settling bridges a link that was lost for a moment only if it is told of within it once it is back.
+// A member whose link was down briefly must not leave the view, so a regained link is published within the suspicion timeout.
 func TestRegainedLinkIsPublishedWithinSuspicionTimeout(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d", "e", "f")
 	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
@@ -334,16 +342,18 @@
 	m.Step(m.wakeAt, m.wakeAt, nil)
 	runUntil(m, m.wakeAt, m.wakeAt+250*ms, false)
 	require.NotContains(t, m.Self().Links, IDOf("b"))
-	told := m.publishedAt
+	lossPublishedAt := m.publishedAt
 	m.Step(m.wakeAt, m.wakeAt, ackPings(m))
-	runUntil(m, m.wakeAt, told+regainedPublishInterval+20*ms, false)
+	runUntil(m, m.wakeAt, lossPublishedAt+regainedPublishInterval+20*ms, false)
 	assert.Contains(t, m.Self().Links, IDOf("b"))
 	assert.Less(t, regainedPublishInterval+gossipInterval+traversalInterval, testConfig.SuspicionTimeout)
 }
 
+// A table exchange during gossip would transfer records that gossip delivers anyway, so it waits until gossip is quiet, but
+// not forever.
 func TestTableSyncWaitsForQuietGossip(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d")
-	differs := func(at int64) (asked int) { // pings are answered by neighbours whose tables are others
+	stepWithDifferingDigests := func(at int64) (exchanges int) { // counts exchanges; all neighbours answer pings with another digest
 		effects, _ := m.Step(at, at, nil)
 		inputs := ackPings(m)
 		for k := range inputs {
@@ -351,34 +361,35 @@
 		}
 		for _, e := range append(slices.Clone(effects), func() []Effect { e, _ := m.Step(at, at, inputs); return e }()...) {
 			if e.Kind == Exchange {
-				asked++
+				exchanges++
 			}
 		}
-		return asked
+		return exchanges
 	}
-	now, asked := m.wakeAt, 0
-	for k := range 60 { // news come for 6 s
+	now, exchanges := m.wakeAt, 0
+	for k := range 60 { // new records come for 6 s
 		now += 100 * ms
 		r := record(fmt.Sprint("e", k), 100)
 		m.applyRecord(&r, -1)
-		asked += differs(now)
+		exchanges += stepWithDifferingDigests(now)
 	}
-	assert.Zero(t, asked, "while news come, a table would be old at once")
+	assert.Zero(t, exchanges, "no exchange while new records come, since a table would be outdated at once")
 	for end := now + syncQuietTime + 100*ms; now < end; now += 100 * ms {
-		asked += differs(now)
+		exchanges += stepWithDifferingDigests(now)
 	}
-	assert.Equal(t, 1, asked, "once they rest it is asked for")
+	assert.Equal(t, 1, exchanges, "an exchange starts when gossip is quiet")
 	m.Step(now, now, []Input{{Kind: ExchangeFailed, ExchangeID: m.syncExchangeID}})
-	asked = 0
+	exchanges = 0
 	for k := range 150 { // 15 s
 		now += 100 * ms
 		r := record(fmt.Sprint("f", k), 100)
 		m.applyRecord(&r, -1)
-		asked += differs(now)
+		exchanges += stepWithDifferingDigests(now)
 	}
-	assert.Equal(t, 1, asked, "news don't put it off for ever")
+	assert.Equal(t, 1, exchanges, "new records defer an exchange for a limited time")
 }
 
+// Each publication sends a record through the whole fleet, so links closed shortly after each other are published in one.
 func TestClosedLinksArePublishedTogether(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d", "e", "f")
 	runUntil(m, m.wakeAt, m.wakeAt+gainedPublishInterval, true)
@@ -388,22 +399,22 @@
 			links = append(links, int8(k))
 		}
 	}
-	ver, closed, proof := m.Self().RecordVersion, m.ownTime, m.links[links[1]].confirmedAt
+	version, closed, proof := m.Self().RecordVersion, m.ownTime, m.links[links[1]].confirmedAt
 	m.closeLink(links[0])
 	runUntil(m, m.wakeAt, closed+gainedPublishInterval, true)
 	m.closeLink(links[1])
 	for m.wakeAt-m.pausedTime < closed+closedPublishInterval {
-		assert.Equal(t, ver, m.Self().RecordVersion, "no version for each")
+		assert.Equal(t, version, m.Self().RecordVersion, "no record version for each closed link")
 		m.Step(m.wakeAt, 100, nil)
 	}
 	for m.ownTime < closed+closedPublishInterval {
 		m.Step(m.wakeAt, 100, nil)
 	}
-	assert.Equal(t, ver+1, m.Self().RecordVersion, "one for both")
-	assert.Less(t, closed+closedPublishInterval, proof+testConfig.LinkTimeout, "before silence would have told it")
+	assert.Equal(t, version+1, m.Self().RecordVersion, "one record version for both closed links")
+	assert.Less(t, closed+closedPublishInterval, proof+testConfig.LinkTimeout, "published before the peer detects silence")
 	m.closeLink(links[2])
 	l := &m.links[links[3]]
 	l.confirmedAt = m.ownTime - testConfig.LinkTimeout - 1
 	m.probeLinks()
-	assert.LessOrEqual(t, m.publishAt, m.ownTime+publishInterval, "a link that is lost is told at once, and those with it")
+	assert.LessOrEqual(t, m.publishAt, m.ownTime+publishInterval, "a lost link is published without this delay, together with closed ones")
 }
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -41,7 +41,7 @@
 	ExchangeAnswered           // Message answers an exchange that this node opened
 	ExchangeFailed             // an exchange that this node opened failed
 	FactsChanged               // the node's own facts changed
-	Leaving                    // the node starts to drain
+	Leaving                    // the node leaves the fleet after its drain
 )
 
 // Input is an event that Step applies.
--- a/internal/fleet/membership/neighbours_test.go
+++ b/internal/fleet/membership/neighbours_test.go
@@ -17,7 +17,7 @@
 		}
 		assert.Equal(t, want, m.InZone())
 		assert.Equal(t, []string{"b", "c", "d", "n"}, m.InView())
-		assert.Empty(t, m.Neighbours(), "no link works")
+		assert.Empty(t, m.Neighbours(), "no link is up")
 		m.openLink(m.byID[IDOf("c")]).up = true
 		m.openLink(m.byID[IDOf("b")]).up = true
 		m.openLink(m.byID[IDOf("d")])
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -35,15 +35,15 @@
 }
 
 // newer reports whether r supersedes another record of the same member.
-func (r *Record) newer(than *Record) bool {
-	if r.Incarnation != than.Incarnation {
-		return r.Incarnation > than.Incarnation
+func (r *Record) newer(other *Record) bool {
+	if r.Incarnation != other.Incarnation {
+		return r.Incarnation > other.Incarnation
 	}
-	return r.RecordVersion > than.RecordVersion
+	return r.RecordVersion > other.RecordVersion
 }
 
-// usable reports whether a record from a peer has a name and an address and is within all bounds.
-func (r *Record) usable() bool {
+// valid reports whether a record from a peer has a name and an address and is within all bounds.
+func (r *Record) valid() bool {
 	nameFits := r.Name != "" && len(r.Name) <= maxNameBytes
 	addressFits := r.Address != "" && len(r.Address) <= maxAddressBytes
 	factsFit := len(r.Facts.Version) <= maxFactBytes && len(r.Facts.Zone) <= maxFactBytes
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -15,7 +15,7 @@
 // applyRecord stores a record from a peer if it is newer than the known one, and queues it on the other links. From is the
 // index of the link that delivered it, -1 for none.
 func (m *Members) applyRecord(r *Record, from int8) {
-	if !r.usable() {
+	if !r.valid() {
 		m.Counters.InvalidRecords++
 		return
 	}
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -8,7 +8,7 @@
 	up := m.linksUp()
 	if up == 0 && m.ownTime >= m.nextJoinAt {
 		m.nextJoinAt = m.ownTime + m.jitter(m.joinBackoff)
-		if m.seedsTried++; m.seedsTried%max(1, len(m.config.Seeds)) == 0 { // every seed was contacted
+		if m.joinAttempts++; m.joinAttempts%max(1, len(m.config.Seeds)) == 0 { // every seed was contacted
 			m.joinBackoff = min(2*m.joinBackoff, maxJoinBackoff)
 		}
 		m.syncWithSeed(false)
@@ -149,7 +149,7 @@
 // rejectReason returns why the sender of a sync request is rejected, or "" if it is not. It is rejected if a reachable member
 // of the view has its name at another address and did not start after it.
 func (m *Members) rejectReason(msg *Message) string {
-	if len(msg.Records) == 0 || !msg.Records[0].usable() {
+	if len(msg.Records) == 0 || !msg.Records[0].valid() {
 		return ""
 	}
 	r := &msg.Records[0]
