--- a/internal/fleet/configsync/blockassembly.go
+++ b/internal/fleet/configsync/blockassembly.go
@@ -165,7 +165,7 @@
 		}
 		text, before := r.readyContent.Block(n)
 		if _, now := next.Block(n); now != before {
-			next.set(n, text, &owned)
+			next.setBlock(n, text, &owned)
 		}
 		merged[n] = block.Changes
 		changes = append(changes, block.Changes...)
--- a/internal/fleet/configsync/build.go
+++ b/internal/fleet/configsync/build.go
@@ -31,7 +31,7 @@
 		if len(block) < cap(block) {
 			block = bytes.Clone(block)
 		}
-		content.set(n, block, &owned)
+		content.setBlock(n, block, &owned)
 		blocks[n] = nil
 	}
 	if content.bytes > maxContentBytes {
--- a/internal/fleet/configsync/change.go
+++ b/internal/fleet/configsync/change.go
@@ -11,8 +11,8 @@
 // maxEntryOverhead bounds the bytes of an entry beside its name and value.
 const maxEntryOverhead = 8
 
-// placedChange is a change with its place.
-type placedChange struct {
+// sortedChange is a change with its place.
+type sortedChange struct {
 	block int
 	order int // among the changes
 	part  byte
@@ -22,7 +22,7 @@
 // Apply returns the content with some items changed, the later counting where one comes twice. It costs what the blocks of those items
 // cost. An invalid item is named in the error, and nothing changes then.
 func (c *Content) Apply(changes []Item) (*Content, error) {
-	order, err := placeChanges(changes)
+	order, err := sortChanges(changes)
 	if err != nil {
 		return nil, err
 	}
@@ -34,11 +34,11 @@
 			n++
 		}
 		old, _ := next.Block(order[0].block)
-		block, sum := next.merge(old, order[:n])
+		block, sum := next.mergeBlock(old, order[:n])
 		if len(block) > maxBlockBytes {
 			return nil, errBlockFull(order[0].item.Part, order[0].item.Name, len(block))
 		}
-		next.ownPage(order[0].block, &owned).put(order[0].block, block, sum)
+		next.writablePage(order[0].block, &owned).replaceBlock(order[0].block, block, sum)
 		order = order[n:]
 	}
 	if next.bytes > maxContentBytes {
@@ -56,18 +56,18 @@
 	return fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", size, maxContentBytes)
 }
 
-// placeChanges orders changes by their place, those of one item as they came.
-func placeChanges(changes []Item) ([]placedChange, error) {
-	order := make([]placedChange, len(changes))
+// sortChanges orders changes by their place, those of one item as they came.
+func sortChanges(changes []Item) ([]sortedChange, error) {
+	order := make([]sortedChange, len(changes))
 	for k := range changes {
 		item := &changes[k]
 		if err := item.validate(); err != nil {
 			return nil, err
 		}
 		part := byte(slices.Index(partNames[:], item.Part))
-		order[k] = placedChange{blockOf(part, item.Name), k, part, item}
+		order[k] = sortedChange{blockOf(part, item.Name), k, part, item}
 	}
-	slices.SortFunc(order, func(a, b placedChange) int {
+	slices.SortFunc(order, func(a, b sortedChange) int {
 		if a.block != b.block {
 			return a.block - b.block
 		}
@@ -76,8 +76,8 @@
 	return order, nil
 }
 
-// merge returns a block with changes in order applied, and what they add to its digest. Their items are counted in and out.
-func (c *Content) merge(old []byte, changes []placedChange) (block []byte, sum Digest) {
+// mergeBlock returns a block with changes in order applied, and what they add to its digest. Their items are counted in and out.
+func (c *Content) mergeBlock(old []byte, changes []sortedChange) (block []byte, sum Digest) {
 	size := len(old)
 	for k := range changes {
 		size += len(changes[k].item.Name) + len(changes[k].item.Value) + maxEntryOverhead
@@ -112,12 +112,12 @@
 }
 
 // sameItemFollows reports whether the second of some changes is of the same item as the first.
-func sameItemFollows(changes []placedChange) bool {
+func sameItemFollows(changes []sortedChange) bool {
 	return len(changes) > 1 && changes[1].part == changes[0].part && changes[1].item.Name == changes[0].item.Name
 }
 
-// ownPage is the page of a block, copied unless this content owns it already.
-func (c *Content) ownPage(n int, owned *[fanout]bool) *page {
+// writablePage is the page of a block, copied unless this content owns it already.
+func (c *Content) writablePage(n int, owned *[fanout]bool) *page {
 	k := n / fanout
 	if !owned[k] {
 		p := &page{}
@@ -130,35 +130,35 @@
 	return c.pages[k]
 }
 
-// put puts a block in its place; sum is what that adds to its digest.
-func (p *page) put(n int, block []byte, sum Digest) {
+// replaceBlock puts a block in its place; sum is what that adds to its digest.
+func (p *page) replaceBlock(n int, block []byte, sum Digest) {
 	k := n % fanout
 	p.blocks[k] = block
 	p.sums[k] = p.sums[k].plus(sum)
 	p.sum = p.sum.plus(sum)
 }
 
-// set puts a well-formed block in its place, and counts its items in and those of the former block out.
-func (c *Content) set(n int, block []byte, owned *[fanout]bool) {
-	p := c.ownPage(n, owned)
+// setBlock puts a well-formed block in its place, and counts its items in and those of the former block out.
+func (c *Content) setBlock(n int, block []byte, owned *[fanout]bool) {
+	p := c.writablePage(n, owned)
 	before := c.countItems(p.blocks[n%fanout], false)
-	p.put(n, block, c.countItems(block, true).minus(before))
+	p.replaceBlock(n, block, c.countItems(block, true).minus(before))
 }
 
 // countItems counts a block's items in or out, and returns its digest.
-func (c *Content) countItems(block []byte, in bool) (sum Digest) {
+func (c *Content) countItems(block []byte, added bool) (sum Digest) {
 	for len(block) > 0 {
 		e, rest, _ := readEntry(block)
-		sum = sum.plus(c.countItem(&e, in))
+		sum = sum.plus(c.countItem(&e, added))
 		block = rest
 	}
 	return sum
 }
 
 // countItem counts an item in or out, and returns its digest.
-func (c *Content) countItem(e *entry, in bool) Digest {
+func (c *Content) countItem(e *entry, added bool) Digest {
 	digest := hashItem(e.encoded)
-	if in {
+	if added {
 		c.sums[e.part] = c.sums[e.part].plus(digest)
 		c.items[e.part]++
 		c.bytes += len(e.encoded)
@@ -182,7 +182,7 @@
 		block = nil
 	}
 	next := *c
-	next.set(n, bytes.Clone(block), &[fanout]bool{})
+	next.setBlock(n, bytes.Clone(block), &[fanout]bool{})
 	if next.bytes > maxContentBytes {
 		return nil
 	}
--- a/internal/fleet/configsync/difference.go
+++ b/internal/fleet/configsync/difference.go
@@ -18,9 +18,9 @@
 
 // Next returns up to so many further changes, none at the end. They are fewer where they lie apart, so that a call costs at most what
 // they and some blocks cost. Removed items have no value; values must not be changed.
-func (d *Difference) Next(most int) (changes []Item) {
+func (d *Difference) Next(limit int) (changes []Item) {
 	end := d.scanned + scanBytesPerCall
-	for len(changes) < most {
+	for len(changes) < limit {
 		if len(d.old) == 0 && len(d.new) == 0 {
 			enough := len(changes) > 0 && d.scanned >= end
 			if enough || !d.nextBlock() {
--- a/internal/fleet/configsync/digest.go
+++ b/internal/fleet/configsync/digest.go
@@ -21,9 +21,9 @@
 
 func (d Digest) String() string { return fmt.Sprintf("%016x%016x", d.A, d.B) }
 
-func (d Digest) plus(e Digest) Digest { return Digest{A: d.A + e.A, B: d.B + e.B} }
+func (d Digest) plus(other Digest) Digest { return Digest{A: d.A + other.A, B: d.B + other.B} }
 
-func (d Digest) minus(e Digest) Digest { return Digest{A: d.A - e.A, B: d.B - e.B} }
+func (d Digest) minus(other Digest) Digest { return Digest{A: d.A - other.A, B: d.B - other.B} }
 
 func (d Digest) append(to []byte) []byte {
 	return binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(to, d.A), d.B)
@@ -35,9 +35,9 @@
 }
 
 // hashItem is the digest of one encoded item.
-func hashItem(text []byte) Digest {
+func hashItem(encoded []byte) Digest {
 	var second xxhash.Digest
 	second.ResetWithSeed(secondHashSeed)
-	_, _ = second.Write(text)
-	return Digest{A: xxhash.Sum64(text), B: second.Sum64()}
+	_, _ = second.Write(encoded)
+	return Digest{A: xxhash.Sum64(encoded), B: second.Sum64()}
 }
--- a/internal/fleet/configsync/diskfile.go
+++ b/internal/fleet/configsync/diskfile.go
@@ -132,7 +132,7 @@
 
 func (l *DiskLoader) addBlocks(blocks []Block) error {
 	for _, block := range blocks {
-		if !l.content.setChecked(block, &l.owned) {
+		if !l.content.setCheckedBlock(block, &l.owned) {
 			return fmt.Errorf("block %d is malformed", block.Number)
 		}
 	}
--- a/internal/fleet/configsync/draft.go
+++ b/internal/fleet/configsync/draft.go
@@ -16,9 +16,9 @@
 // applyPiece applies one piece of a long change, at the cost of that piece. With the last one it returns the content, else nil.
 func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
 	d := &t.draft
-	ofAnother := d.Pieces > 0 && d.Caller != c.Caller && at < d.At+draftTimeout
+	otherDraftActive := d.Pieces > 0 && d.Caller != c.Caller && at < d.At+draftTimeout
 	switch {
-	case c.Piece == 0 && ofAnother:
+	case c.Piece == 0 && otherDraftActive:
 		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.Caller, draftTimeout/second)
 		return nil
 	case c.Piece == 0:
--- a/internal/fleet/configsync/query.go
+++ b/internal/fleet/configsync/query.go
@@ -55,14 +55,14 @@
 
 // Blocks returns the blocks of a content from one on, as many as fit the bytes and at least one, and the first that follows, 0 for
 // none. Empty blocks are left out.
-func (c *Content) Blocks(from, bytes int) (list []Block, next int) {
+func (c *Content) Blocks(from, maxBytes int) (list []Block, next int) {
 	for n := max(0, from); n < Blocks; n++ {
 		text, _ := c.Block(n)
 		if len(text) == 0 {
 			continue
 		}
-		bytes -= len(text)
-		if bytes < 0 && len(list) > 0 {
+		maxBytes -= len(text)
+		if maxBytes < 0 && len(list) > 0 {
 			return list, n
 		}
 		list = append(list, Block{Number: uint16(n), Text: text})
@@ -75,7 +75,7 @@
 	content := &Content{}
 	owned := [fanout]bool{}
 	for _, block := range list {
-		if !content.setChecked(block, &owned) {
+		if !content.setCheckedBlock(block, &owned) {
 			return nil
 		}
 	}
@@ -85,12 +85,12 @@
 	return content
 }
 
-// setChecked puts a block in its place, false where it is malformed.
-func (c *Content) setChecked(block Block, owned *[fanout]bool) bool {
+// setCheckedBlock puts a block in its place, false where it is malformed.
+func (c *Content) setCheckedBlock(block Block, owned *[fanout]bool) bool {
 	n := int(block.Number)
 	if _, ok := checkBlock(n, block.Text); !ok || n >= Blocks {
 		return false
 	}
-	c.set(n, block.Text, owned)
+	c.setBlock(n, block.Text, owned)
 	return true
 }
--- a/internal/fleet/configsync/restore.go
+++ b/internal/fleet/configsync/restore.go
@@ -72,7 +72,7 @@
 		if _, ok := checkBlock(n, block); !ok {
 			return nil, fmt.Errorf("configuration: block %d of a snapshot is malformed", n)
 		}
-		content.set(n, bytes.Clone(block), &owned)
+		content.setBlock(n, bytes.Clone(block), &owned)
 	}
 	return content, nil
 }
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -14,7 +14,7 @@
 	maxRecordOverhead = 64      // bytes of keys and heads of a record or verdict
 	maxHeadBytes      = 1 << 10 // bytes of a head, with a reason, and of a draft without its changes
 	maxLengthBytes    = 9       // bytes of a CBOR head
-	bytesPerWholeStep = 1 << 20 // bytes a call of Next, where nobody waits
+	bytesPerFullStep  = 1 << 20 // bytes a call of Next, where nobody waits
 )
 
 // CBOR (RFC 8949): major types in the first byte of a head, and how a length is encoded in it.
@@ -75,7 +75,7 @@
 		return t.snapshot, nil
 	}
 	w := t.BeginSnapshot()
-	for !w.Next(bytesPerWholeStep) {
+	for !w.Next(bytesPerFullStep) {
 	}
 	t.snapshot = w.Encoded()
 	return t.snapshot, nil
@@ -96,7 +96,7 @@
 	w.addDifference(keyAll, t.all, all)
 	w.addDifference(keyCanary, t.canary, canary)
 	w.addLog()
-	w.addSingleStep(func() { w.writeEnd(*drafted) })
+	w.addSingleStep(func() { w.writeTail(*drafted) })
 	w.addDifference(keyDraftChanges, t.draft.content, drafted)
 	return w
 }
@@ -116,15 +116,15 @@
 func (w *SnapshotWriter) writeStart(all, canary int) {
 	t := &w.table
 	w.text = make([]byte, 0, w.size)
-	always := 4 // head, canary since, blocks, draft
-	w.writeHead(cborMap, always+oneIfAny(all)+oneIfAny(canary)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
+	requiredFields := 4 // head, canary since, blocks, draft
+	w.writeHead(cborMap, requiredFields+oneIfAny(all)+oneIfAny(canary)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
 	w.writeField(keyHead, t.head)
 	w.writeField(keyCanarySince, t.canarySince)
 	w.writeArrayHead(keyBlocks, Blocks)
 }
 
-// writeEnd writes the fields after the log, up to the draft's changes.
-func (w *SnapshotWriter) writeEnd(drafted int) {
+// writeTail writes the fields after the log, up to the draft's changes.
+func (w *SnapshotWriter) writeTail(drafted int) {
 	t := &w.table
 	if len(t.rollbackVersions) > 0 {
 		w.writeField(keyRollbackVersions, t.rollbackVersions)
@@ -133,7 +133,7 @@
 		w.writeField(keyLastVerdicts, t.lastVerdicts)
 	}
 	w.text = append(w.text, keyDraft)
-	w.writeBody(t.draft, oneIfAny(drafted))
+	w.writeOpenMap(t.draft, oneIfAny(drafted))
 }
 
 // addBlocks adds the blocks of the newest content.
@@ -243,7 +243,7 @@
 		rest := *r
 		rest.Changes = nil
 		rest.Replaced = nil
-		w.writeBody(&rest, oneIfAny(len(r.Changes))+oneIfAny(len(r.Replaced)))
+		w.writeOpenMap(&rest, oneIfAny(len(r.Changes))+oneIfAny(len(r.Replaced)))
 	})
 	w.addItems(keyRecordChanges, r.Changes)
 	w.addItems(keyRecordReplaced, r.Replaced)
@@ -270,11 +270,11 @@
 	}
 }
 
-// writeBody encodes a value that is a map of less than 24 fields, of which so many more follow.
-func (w *SnapshotWriter) writeBody(value any, more int) {
+// writeOpenMap encodes a value that is a map of less than 24 fields, of which so many more follow.
+func (w *SnapshotWriter) writeOpenMap(value any, extraFields int) {
 	at := len(w.text)
 	w.writeValue(value)
-	w.text[at] += byte(more)
+	w.text[at] += byte(extraFields)
 }
 
 func (w *SnapshotWriter) writeField(key byte, value any) {
@@ -296,15 +296,15 @@
 }
 
 // writeHead encodes the major type of a value and its length.
-func (w *SnapshotWriter) writeHead(kind byte, n int) {
+func (w *SnapshotWriter) writeHead(majorType byte, n int) {
 	switch {
 	case n < lengthOf8:
-		w.text = append(w.text, kind|byte(n))
+		w.text = append(w.text, majorType|byte(n))
 	case n < 1<<8:
-		w.text = append(w.text, kind|lengthOf8, byte(n))
+		w.text = append(w.text, majorType|lengthOf8, byte(n))
 	case n < 1<<16:
-		w.text = binary.BigEndian.AppendUint16(append(w.text, kind|lengthOf16), uint16(n))
+		w.text = binary.BigEndian.AppendUint16(append(w.text, majorType|lengthOf16), uint16(n))
 	default:
-		w.text = binary.BigEndian.AppendUint32(append(w.text, kind|lengthOf32), uint32(n))
+		w.text = binary.BigEndian.AppendUint32(append(w.text, majorType|lengthOf32), uint32(n))
 	}
 }
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -25,12 +25,12 @@
 }
 
 // Report notes what a node has. A full table forgets the node that was silent longest.
-func (t *StatusTable) Report(now int64, name string, has, refused Revision, why string, age int64) {
+func (t *StatusTable) Report(now int64, name string, applied, refused Revision, why string, age int64) {
 	status := t.nodes[name]
 	if status == nil {
 		status = t.add(name)
 	}
-	status.Revision = has
+	status.Revision = applied
 	status.Refused = refused
 	status.Why = truncate(why, maxReasonBytes)
 	status.Age = age
--- a/internal/fleet/configsync/versions.go
+++ b/internal/fleet/configsync/versions.go
@@ -16,7 +16,7 @@
 		t.head.Newest = min(c.Version, maxStartVersion)
 	}
 	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), Caller: c.Caller, WallTime: c.WallTime, Rollback: rollback}
-	fits := record.fill(t.newest, next)
+	fits := record.fillChanges(t.newest, next)
 	t.newest = next
 	t.head.Newest = record.Version
 	v.Version = record.Version
@@ -31,8 +31,8 @@
 	}
 }
 
-// fill sets a record's changes, without those that change nothing. It is false for more than the log can hold, and stops then.
-func (r *Record) fill(before, after *Content) bool {
+// fillChanges sets a record's changes, without those that change nothing. It is false for more than the log can hold, and stops then.
+func (r *Record) fillChanges(before, after *Content) bool {
 	for difference := Diff(before, after); ; {
 		changes := difference.Next(maxLogRecords)
 		if len(changes) == 0 {
