--- a/internal/fleet/configsync/build.go
+++ b/internal/fleet/configsync/build.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Build returns a content of many items at once, the later counting where one comes twice. The items are yielded two times, alike: each
-// block is allocated at its final size. Apply, some at a time, would leave blocks of all sizes on the way as holes in the heap. An invalid item is
-// named in the error.
+// Build returns a content with the given items; of several items with one part and name the last one counts. It calls all twice, which must
+// yield the same items in the same order: the first pass computes the size of each block, so that each is allocated once. Repeated calls of
+// Apply would fragment the heap with intermediate blocks of all sizes. An error names the invalid item.
 func Build(all func(yield func(Item))) (*Content, error) {
 	sizes, err := blockSizes(all)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return content, nil
 }
 
-// blockSizes validates all items, and returns the bytes of each block.
+// blockSizes validates all items, and returns the size of each block in bytes.
 func blockSizes(all func(yield func(Item))) (*[Blocks]int, error) {
 	var sizes [Blocks]int
 	var scratch []byte
@@ -58,7 +58,7 @@
 	return &sizes, err
 }
 
-// fillBlocks puts all items into blocks of these sizes, in the order in which they come.
+// fillBlocks appends all items to their blocks, in the order in which they are yielded. Blocks are allocated with the given sizes.
 func fillBlocks(all func(yield func(Item)), sizes *[Blocks]int) *[Blocks][]byte {
 	var blocks [Blocks][]byte
 	for n, size := range sizes {
@@ -74,6 +74,7 @@
 	return &blocks
 }
 
+// sortedEntries appends the entries of a block to entries, and sorts them by part and name; entries of one item keep their order.
 func sortedEntries(entries []entry, block []byte) []entry {
 	for len(block) > 0 {
 		e, rest, _ := readEntry(block)
@@ -84,7 +85,7 @@
 	return entries
 }
 
-// appendLastOfEach appends sorted entries, the last of each item only.
+// appendLastOfEach appends sorted entries to a block, only the last one for each item.
 func appendLastOfEach(block []byte, entries []entry) []byte {
 	for k := range entries {
 		e := &entries[k]
--- a/internal/fleet/configsync/build_test.go
+++ b/internal/fleet/configsync/build_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// A content that is built at once equals that of the same items applied one after the other.
+// Build, which sorts all items at once, must not differ from Apply with the same items, also where an item is given several times.
 func TestBuildEqualsApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Item
@@ -29,8 +29,8 @@
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	})
-	wrong := []Item{{"parts", "a", []byte("1")}, {Tenants, "", []byte("1")}, {Tenants, "a", make([]byte, maxValueBytes+1)}}
-	for _, i := range wrong {
+	invalid := []Item{{"parts", "a", []byte("1")}, {Tenants, "", []byte("1")}, {Tenants, "a", make([]byte, maxValueBytes+1)}}
+	for _, i := range invalid {
 		_, err := Build(func(yield func(Item)) { yield(i) })
 		assert.Error(t, err)
 	}
@@ -42,8 +42,9 @@
 	assert.ErrorContains(t, err, "make values smaller")
 }
 
-// A large content takes little more of the heap than its items: outgrown blocks leave no holes.
-func TestBuildLeavesNoHolesInTheHeap(t *testing.T) {
+// Guards against a fragmented heap: blocks that are reallocated while they grow leave gaps of all sizes. A large content must take at most
+// half as much again as its items.
+func TestBuildDoesNotFragmentHeap(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		debug.FreeOSMemory()
--- a/internal/fleet/configsync/change.go
+++ b/internal/fleet/configsync/change.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// maxEntryOverhead bounds the bytes of an entry beside its name and value.
+// maxEntryOverhead bounds the bytes of an encoded entry, without its name and value.
 const maxEntryOverhead = 8
 
-// sortedChange is a change with its place.
+// sortedChange is a change with its sort key: block, part, name, position in the list of changes.
 type sortedChange struct {
 	block int
-	order int // among the changes
+	order int // position in the list of changes
 	part  byte
 	item  *Item
 }
 
-// Apply returns the content with some items changed, the later counting where one comes twice. It costs what the blocks of those items
-// cost. An invalid item is named in the error, and nothing changes then.
+// Apply returns the content with the changes applied; of several changes to one item the last one counts. The cost is proportional to the
+// size of the blocks that contain the changed items. It returns an error that names the first invalid item.
 func (c *Content) Apply(changes []Item) (*Content, error) {
 	order, err := sortChanges(changes)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", size, maxContentBytes)
 }
 
-// sortChanges orders changes by their place, those of one item as they came.
+// sortChanges validates changes and sorts them by block, part and name. Changes to one item keep their order.
 func sortChanges(changes []Item) ([]sortedChange, error) {
 	order := make([]sortedChange, len(changes))
 	for k := range changes {
@@ -76,7 +76,8 @@
 	return order, nil
 }
 
-// mergeBlock returns a block with changes in order applied, and what they add to its digest. Their items are counted in and out.
+// mergeBlock returns a block with sorted changes applied, and the difference that they make to its digest. It updates the totals of the
+// content.
 func (c *Content) mergeBlock(old []byte, changes []sortedChange) (block []byte, sum Digest) {
 	size := len(old)
 	for k := range changes {
@@ -108,15 +109,15 @@
 	if len(to) == 0 {
 		return nil, sum
 	}
-	return bytes.Clone(to), sum // without spare capacity: blocks live long
+	return bytes.Clone(to), sum // without spare capacity: blocks are long-lived
 }
 
-// sameItemFollows reports whether the second of some changes is of the same item as the first.
+// sameItemFollows reports whether the first two of the sorted changes are to the same item.
 func sameItemFollows(changes []sortedChange) bool {
 	return len(changes) > 1 && changes[1].part == changes[0].part && changes[1].item.Name == changes[0].item.Name
 }
 
-// writablePage is the page of a block, copied unless this content owns it already.
+// writablePage returns the page of block n, after a copy if other contents may share the page. owned marks the pages that were copied already.
 func (c *Content) writablePage(n int, owned *[fanout]bool) *page {
 	k := n / fanout
 	if !owned[k] {
@@ -130,7 +131,7 @@
 	return c.pages[k]
 }
 
-// replaceBlock puts a block in its place; sum is what that adds to its digest.
+// replaceBlock replaces block n. sum is the difference that this makes to the digest of the block.
 func (p *page) replaceBlock(n int, block []byte, sum Digest) {
 	k := n % fanout
 	p.blocks[k] = block
@@ -138,14 +139,14 @@
 	p.sum = p.sum.plus(sum)
 }
 
-// setBlock puts a well-formed block in its place, and counts its items in and those of the former block out.
+// setBlock replaces block n with a well-formed block, and updates the totals of the content.
 func (c *Content) setBlock(n int, block []byte, owned *[fanout]bool) {
 	p := c.writablePage(n, owned)
 	before := c.countItems(p.blocks[n%fanout], false)
 	p.replaceBlock(n, block, c.countItems(block, true).minus(before))
 }
 
-// countItems counts a block's items in or out, and returns its digest.
+// countItems adds the items of a block to the totals of the content, or subtracts them, and returns the digest of the block.
 func (c *Content) countItems(block []byte, added bool) (sum Digest) {
 	for len(block) > 0 {
 		e, rest, _ := readEntry(block)
@@ -155,7 +156,7 @@
 	return sum
 }
 
-// countItem counts an item in or out, and returns its digest.
+// countItem adds an item to the totals of the content, or subtracts it, and returns the digest of the item.
 func (c *Content) countItem(e *entry, added bool) Digest {
 	digest := hashItem(e.encoded)
 	if added {
@@ -170,7 +171,8 @@
 	return digest
 }
 
-// WithBlock returns the content with one block replaced, nil where the block is malformed or has another digest.
+// WithBlock returns the content with block n replaced. It returns nil if the block is malformed or its digest is not want, or if the content
+// would become too large.
 func (c *Content) WithBlock(n int, block []byte, want Digest) *Content {
 	if n < 0 || n >= Blocks {
 		return nil
--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -1,30 +1,30 @@
 package configsync
 
 const (
-	itemOverhead   = 24 // bytes of an encoded item beside its name and value, about
-	recordOverhead = 96 // bytes of an encoded record beside its items, about
+	itemOverhead   = 24 // approximate bytes of an encoded item, without its name and value
+	recordOverhead = 96 // approximate bytes of an encoded record, without its caller's name and its items
 )
 
-// Revision is a version and the digest of its content.
+// Revision identifies a version and its content.
 type Revision struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  Digest `cbor:"2,keyasint"`
 }
 
-// Record is one version as a change of the one before.
+// Record describes one version by its changes to the version before it.
 type Record struct {
 	Version  uint64 `cbor:"1,keyasint"`
-	Base     Digest `cbor:"2,keyasint"` // before it
-	Digest   Digest `cbor:"3,keyasint"` // after it
+	Base     Digest `cbor:"2,keyasint"` // digest of the content before the changes
+	Digest   Digest `cbor:"3,keyasint"` // digest of the content after the changes
 	Caller   string `cbor:"4,keyasint,omitempty"`
-	WallTime int64  `cbor:"5,keyasint,omitempty"` // Unix ns of the caller, for operators only
+	WallTime int64  `cbor:"5,keyasint,omitempty"` // Unix time in ns by the clock of the caller; informative only
 	Changes  []Item `cbor:"6,keyasint,omitempty"`
-	Replaced []Item `cbor:"7,keyasint,omitempty"` // what the changes replaced, at the replicas only
+	Replaced []Item `cbor:"7,keyasint,omitempty"` // former values of the changed items; only at replicas, to undo the changes in a rollback
 	Rollback bool   `cbor:"8,keyasint,omitempty"`
-	size     int    // 0 where it isn't known
+	size     int    // cached result of bytes; 0 if unknown
 }
 
-// sizeOf is about the encoded bytes of some items.
+// sizeOf returns the approximate encoded size of items, in bytes.
 func sizeOf(list []Item) (size int) {
 	for k := range list {
 		size += len(list[k].Name) + len(list[k].Value) + itemOverhead
@@ -32,7 +32,7 @@
 	return size
 }
 
-// bytes is about the encoded bytes of a record.
+// bytes returns the approximate encoded size of the record.
 func (r *Record) bytes() int {
 	if r.size == 0 {
 		r.size = recordOverhead + len(r.Caller) + sizeOf(r.Changes) + sizeOf(r.Replaced)
@@ -40,7 +40,7 @@
 	return r.size
 }
 
-// wire is a record as it is sent.
+// wire returns a copy of the record as it is sent to other nodes: without the replaced values.
 func (r *Record) wire() Record {
 	wire := *r
 	wire.Replaced = nil
@@ -48,66 +48,66 @@
 	return wire
 }
 
-// CommandKind names what a command does.
+// CommandKind is the kind of a Command.
 type CommandKind uint8
 
-// The kinds of commands. Times are the table's, in ns.
+// The kinds of commands.
 const (
-	CommandPut      CommandKind = iota + 1 // Changes, made on version Base
-	CommandAdvance                         // Version has been at the canary stage for long enough
-	CommandStop                            // node Who can't apply Version
-	CommandRollback                        // the content of version Version, as a new version for all
+	CommandPut      CommandKind = iota + 1 // makes a new version: Changes, made on version Base
+	CommandAdvance                         // brings Version into force for all nodes, after a long enough canary stage
+	CommandStop                            // ends the rollout of Version, which Node can't apply
+	CommandRollback                        // makes a new version, in force for all nodes at once, with the content of Version
 )
 
-// Command is one change of the table.
+// Command changes the table.
 type Command struct {
 	Kind       CommandKind `cbor:"1,keyasint"`
-	Caller     string      `cbor:"2,keyasint,omitempty"` // the caller of CommandPut and CommandRollback, a name of its own for each caller
-	Seq        uint64      `cbor:"3,keyasint,omitempty"` // of From, above any before; a repeated one has the same verdict
+	Caller     string      `cbor:"2,keyasint,omitempty"` // CommandPut, CommandRollback: the unique name of the caller
+	Seq        uint64      `cbor:"3,keyasint,omitempty"` // increases with each command of Caller; a repeated command gets the same verdict
 	Base       uint64      `cbor:"4,keyasint,omitempty"`
 	Changes    []Item      `cbor:"5,keyasint,omitempty"`
-	Piece      int         `cbor:"6,keyasint,omitempty"` // number of this piece of a long change, from 0
-	MorePieces bool        `cbor:"7,keyasint,omitempty"` // further pieces follow: nothing changes before the last one
-	Version    uint64      `cbor:"8,keyasint,omitempty"`
+	Piece      int         `cbor:"6,keyasint,omitempty"` // index of this piece of a long change, from 0
+	MorePieces bool        `cbor:"7,keyasint,omitempty"` // further pieces follow; the last piece makes the version
+	Version    uint64      `cbor:"8,keyasint,omitempty"` // CommandPut: in an empty table, the version from which the numbering continues
 	Node       string      `cbor:"9,keyasint,omitempty"`
 	Reason     string      `cbor:"10,keyasint,omitempty"`
 	WallTime   int64       `cbor:"11,keyasint,omitempty"`
-	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // CommandAdvance: ns that Version was at the canary stage by the proposing replica's clock
+	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // CommandAdvance: ns that Version has been at the canary stage by the clock of the proposing replica
 }
 
-// Verdict answers a command.
+// Verdict is the result of a command.
 type Verdict struct {
 	Caller            string `cbor:"1,keyasint,omitempty"`
 	Seq               uint64 `cbor:"2,keyasint,omitempty"`
 	Done              bool   `cbor:"3,keyasint,omitempty"`
-	Version           uint64 `cbor:"4,keyasint,omitempty"` // that has the change where it was done, else the newest
-	Refused           string `cbor:"5,keyasint,omitempty"` // why it was not done, and what to do
-	Stale             bool   `cbor:"6,keyasint,omitempty"`
-	Differing         []Item `cbor:"7,keyasint,omitempty"` // Stale: names of items that changed since Base, without values
-	UnlistedDiffering int    `cbor:"8,keyasint,omitempty"` // Stale: items that changed and aren't in Differ; -1 where the log no longer reaches
+	Version           uint64 `cbor:"4,keyasint,omitempty"` // version with the change if Done, otherwise the newest version
+	Refused           string `cbor:"5,keyasint,omitempty"` // why the command was refused, and what the caller can do
+	Stale             bool   `cbor:"6,keyasint,omitempty"` // the command was made on a version that is not the newest
+	Differing         []Item `cbor:"7,keyasint,omitempty"` // Stale: items that changed since the command's Base, without values
+	UnlistedDiffering int    `cbor:"8,keyasint,omitempty"` // Stale: number of changed items that Differing omits; -1 if the log does not reach back to Base
 }
 
-// HeadRevision is what a replica confirms: which versions are in force.
+// HeadRevision holds the versions that are agreed on, and how far each of them is rolled out. Replicas confirm it to nodes.
 type HeadRevision struct {
-	All        Revision `cbor:"1,keyasint"`           // in force for all
-	Canary     Revision `cbor:"2,keyasint"`           // at the canary stage; All where there is none
-	Newest     uint64   `cbor:"3,keyasint"`           // agreed; those past Canary wait for the stage to end
-	Stopped    bool     `cbor:"4,keyasint,omitempty"` // Canary goes no further
-	StoppedBy  string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't apply it
+	All        Revision `cbor:"1,keyasint"`           // in force for all nodes
+	Canary     Revision `cbor:"2,keyasint"`           // at the canary stage; equals All if there is none
+	Newest     uint64   `cbor:"3,keyasint"`           // newest version; versions after Canary wait until its canary stage ends
+	Stopped    bool     `cbor:"4,keyasint,omitempty"` // a node refused Canary, which does not advance; the next version replaces it
+	StoppedBy  string   `cbor:"5,keyasint,omitempty"` // Stopped: the node that can't apply Canary
 	StopReason string   `cbor:"6,keyasint,omitempty"`
 }
 
-// newer reports whether a head was agreed on after another.
-func (h *HeadRevision) newer(than *HeadRevision) bool {
+// newer reports whether h was agreed on after other.
+func (h *HeadRevision) newer(other *HeadRevision) bool {
 	switch {
-	case h.All.Version != than.All.Version:
-		return h.All.Version > than.All.Version
-	case h.Canary.Version != than.Canary.Version:
-		return h.Canary.Version > than.Canary.Version
-	case h.Stopped != than.Stopped:
+	case h.All.Version != other.All.Version:
+		return h.All.Version > other.All.Version
+	case h.Canary.Version != other.Canary.Version:
+		return h.Canary.Version > other.Canary.Version
+	case h.Stopped != other.Stopped:
 		return h.Stopped
 	}
-	return h.Newest > than.Newest
+	return h.Newest > other.Newest
 }
 
 func truncate(s string, limit int) string { return s[:min(len(s), limit)] }
--- a/internal/fleet/configsync/content.go
+++ b/internal/fleet/configsync/content.go
@@ -9,40 +9,40 @@
 	Limits     = "limits"
 )
 
-// Blocks is how many blocks a content has: ranges of the hashes of names.
+// Blocks is the number of blocks of a content. An item belongs to the block that is selected by the hash of its part and name.
 const Blocks = fanout * fanout
 
 const (
-	fanout          = 32       // pages, and blocks of a page: a change copies one page and one block
-	blockBits       = 10       // of a hash that select the block
-	maxNameBytes    = 256      // of a name
-	maxValueBytes   = 4 << 10  // of a value
-	maxBlockBytes   = 40 << 10 // of a block, which is sent as a whole in one answer
-	maxContentBytes = 16 << 20 // of a content, which a snapshot must hold
+	fanout          = 32       // pages of a content, and blocks of a page: a change copies one page and one block
+	blockBits       = 10       // leading bits of a hash that select the block
+	maxNameBytes    = 256      // length of a name
+	maxValueBytes   = 4 << 10  // length of a value
+	maxBlockBytes   = 40 << 10 // size of a block: it is sent whole in one answer
+	maxContentBytes = 16 << 20 // size of a content: a snapshot holds all of it
 )
 
 var partNames = [...]string{Operations, Tenants, Limits}
 
 const partCount = len(partNames)
 
-// page is some blocks with their digests. A block is its items in order of part and name, each a byte for the part and two
-// length-prefixed strings; it is never changed.
+// page is a group of consecutive blocks with their digests. A block holds the encoded items in order of part and name: for each a byte for
+// the part, then name and value as length-prefixed strings. Blocks are immutable.
 type page struct {
 	blocks [fanout][]byte
 	sums   [fanout]Digest
-	sum    Digest
+	sum    Digest // of sums
 }
 
-// Content is a complete configuration. It is immutable: one that differs in an item shares all but a page and a block. The zero value is
-// empty.
+// Content is a complete configuration. It is immutable. A content that is derived from another by a change of one item shares all pages
+// but one, and all blocks but one, with it. The zero value is empty.
 type Content struct {
-	pages [fanout]*page
-	sums  [partCount]Digest
-	items [partCount]int
-	bytes int
+	pages [fanout]*page     // nil for a page without items
+	sums  [partCount]Digest // digests of the parts
+	items [partCount]int    // number of items in each part
+	bytes int               // total size of the blocks
 }
 
-// Digest is the digest of all items.
+// Digest returns the digest of all items.
 func (c *Content) Digest() (sum Digest) {
 	for _, d := range c.sums {
 		sum = sum.plus(d)
@@ -50,7 +50,7 @@
 	return sum
 }
 
-// PartDigest is the digest of the items of one part.
+// PartDigest returns the digest of the items of one part.
 func (c *Content) PartDigest(part string) (sum Digest) {
 	if k := slices.Index(partNames[:], part); k >= 0 {
 		sum = c.sums[k]
@@ -58,7 +58,7 @@
 	return sum
 }
 
-// Len is how many items a part has.
+// Len returns the number of items in a part.
 func (c *Content) Len(part string) int {
 	if k := slices.Index(partNames[:], part); k >= 0 {
 		return c.items[k]
@@ -66,10 +66,10 @@
 	return 0
 }
 
-// Bytes is the size of all names and values, encoded.
+// Bytes returns the encoded size of all items.
 func (c *Content) Bytes() int { return c.bytes }
 
-// Block is one block as it is sent, and its digest. It must not be changed.
+// Block returns block n, encoded, and its digest. The caller must not modify the block.
 func (c *Content) Block(n int) ([]byte, Digest) {
 	if p := c.pages[n/fanout]; p != nil {
 		return p.blocks[n%fanout], p.sums[n%fanout]
@@ -77,7 +77,7 @@
 	return nil, Digest{}
 }
 
-// pageSums are the digests of all pages in a row.
+// pageSums returns the digests of all pages, concatenated.
 func (c *Content) pageSums() []byte {
 	to := make([]byte, 0, fanout*digestBytes)
 	for _, p := range c.pages {
@@ -89,7 +89,7 @@
 	return to
 }
 
-// index is the digests of all blocks in a row; their sum is the digest of the whole.
+// index returns the digests of all blocks, concatenated. The sum of these digests is the digest of the content.
 func (c *Content) index() []byte {
 	to := make([]byte, 0, Blocks*digestBytes)
 	for k := range fanout {
@@ -98,6 +98,7 @@
 	return to
 }
 
+// pageIndex appends the digests of the blocks of page k.
 func (c *Content) pageIndex(to []byte, k int) []byte {
 	for n := range fanout {
 		_, sum := c.Block(k*fanout + n)
@@ -106,7 +107,7 @@
 	return to
 }
 
-// Get is an item's value, nil where there is none. It must not be changed.
+// Get returns the value of an item, or nil if there is no such item. The caller must not modify the value.
 func (c *Content) Get(part, name string) []byte {
 	k := slices.Index(partNames[:], part)
 	if k < 0 || len(name) > maxNameBytes {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// All yields each item; values must not be changed.
+// All yields all items. The callee must not modify the values.
 func (c *Content) All(yield func(Item) bool) {
 	for n := range Blocks {
 		for block, _ := c.Block(n); len(block) > 0; {
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawItems draws changes of few names, so that they collide.
+// drawItems draws changes to a small set of names, so that several changes concern the same item.
 func drawItems(t *rapid.T) (list []Item) {
 	for range rapid.IntRange(0, 12).Draw(t, "changes") {
 		i := Item{Part: rapid.SampledFrom(partNames[:]).Draw(t, "part"), Name: fmt.Sprint("x", rapid.IntRange(0, 20).Draw(t, "name"))}
@@ -42,8 +42,8 @@
 	}
 }
 
-// Contents are compared with maps under random changes.
-func TestContentBehavesAsAMap(t *testing.T) {
+// Compares contents with plain maps under random changes: items, digests, sizes, and the changes from one content to another.
+func TestContentMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &Content{}
 		m := map[string]string{}
@@ -60,7 +60,7 @@
 			}
 			c = next
 		}
-		require.Equal(t, was, itemsByName(first), "a content is immutable")
+		require.Equal(t, was, itemsByName(first), "Apply does not modify the content")
 		var again []Item
 		for i := range c.All {
 			again = append(again, i)
@@ -69,7 +69,7 @@
 		slices.Reverse(again)
 		rebuilt, err := (&Content{}).Apply(again)
 		require.NoError(t, err)
-		require.Equal(t, c.Digest(), rebuilt.Digest(), "whatever the order")
+		require.Equal(t, c.Digest(), rebuilt.Digest(), "the digest does not depend on the order of changes")
 		require.Equal(t, c.Bytes(), rebuilt.Bytes())
 		size := 0
 		for _, part := range partNames {
@@ -108,7 +108,7 @@
 	}
 	c := &Content{}
 	err := error(nil)
-	for n := 0; err == nil; n += 500 { // the largest values, until there is no room
+	for n := 0; err == nil; n += 500 { // adds values of the maximum size until a block is full
 		list := make([]Item, 500)
 		for k := range list {
 			list[k] = Item{Tenants, fmt.Sprint(n + k), bytes.Repeat([]byte("1"), maxValueBytes)}
@@ -118,7 +118,7 @@
 	require.ErrorContains(t, err, "make values smaller")
 }
 
-func TestCanonicalIsUnique(t *testing.T) {
+func TestCanonicalForm(t *testing.T) {
 	got, err := Canonical([]byte(" {\"b\": 1.50, \"a\": [true, null, \"<x>\"]}\n"))
 	require.NoError(t, err)
 	require.Equal(t, `{"a":[true,null,"<x>"],"b":1.50}`, string(got))
@@ -131,7 +131,7 @@
 	}
 }
 
-// fullContent is a content of so many operations and tenants.
+// fullContent returns a content with the given numbers of operations and tenants.
 func fullContent(t testing.TB, operations, tenants int) *Content {
 	list := make([]Item, 0, operations+tenants)
 	for k := range operations {
@@ -146,7 +146,8 @@
 	return c
 }
 
-func heapInUse() uint64 {
+// heapAlloc returns the bytes of live heap objects.
+func heapAlloc() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -154,12 +155,13 @@
 	return m.HeapAlloc
 }
 
-// A content takes little more memory than its bytes, and a change of it little.
+// Guards the memory of a full configuration: a content must take little more than its encoded items, and a version with one changed item
+// must share the other blocks with the version before it.
 func TestMemoryAtFullSize(t *testing.T) {
-	before := heapInUse()
+	before := heapAlloc()
 	c := fullContent(t, 4_700, 130_000)
-	used := int64(heapInUse()) - int64(before)
-	t.Logf("%d bytes of names and values are stored in %d", c.Bytes(), used)
+	used := int64(heapAlloc()) - int64(before)
+	t.Logf("%d bytes of encoded items take %d bytes of memory", c.Bytes(), used)
 	require.Less(t, used, int64(10<<20))
 	largest := 0
 	for n := range Blocks {
@@ -169,12 +171,12 @@
 	t.Logf("the largest of %d blocks has %d bytes", Blocks, largest)
 	require.Less(t, largest, maxPieceBytes)
 	versions := []*Content{c}
-	for k := range 20 { // each shares what it can with the one before
+	for k := range 20 { // each shares the unchanged blocks with the one before
 		next, err := versions[k].Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k), []byte("1")}})
 		require.NoError(t, err)
 		versions = append(versions, next)
 	}
-	more := int64(heapInUse()) - int64(before) - used
+	more := int64(heapAlloc()) - int64(before) - used
 	t.Logf("20 further versions with one change each: %d bytes", more)
 	require.Less(t, more, int64(20*2*maxPieceBytes))
 	runtime.KeepAlive(versions)
@@ -190,7 +192,8 @@
 	}
 }
 
-// A file is read back in pieces of several sizes, complete, torn and corrupted.
+// Reads the file of a node back in chunks of several sizes: a complete file, one that is truncated at each byte, and one with each byte
+// corrupted. A damaged file must never yield a content that does not match its revision.
 func TestDiskFileIsReadBack(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, &Command{Kind: CommandPut, Caller: "a", Seq: 1, Changes: []Item{{Tenants, "x", []byte("1")}, {Limits, "y", []byte("2")}}})
@@ -220,7 +223,7 @@
 		require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
 		require.Equal(t, len(file)-begin, s.Journal)
 	}
-	for end := range len(file) { // torn anywhere: never another content than that of the version it is called
+	for end := range len(file) { // truncated: the content, if any, must be that of the revision
 		s, err := load(file[:end], 64)
 		if s.ContentRevision.Version > 0 {
 			require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
@@ -229,7 +232,7 @@
 			require.Error(t, err)
 		}
 	}
-	for k := range file { // one byte spoilt
+	for k := range file { // one corrupted byte
 		other := bytes.Clone(file)
 		other[k] ^= 0x10
 		s, err := load(other, len(other))
--- a/internal/fleet/configsync/difference.go
+++ b/internal/fleet/configsync/difference.go
@@ -2,22 +2,23 @@
 
 import "bytes"
 
-// scanBytesPerCall is how many bytes of blocks one call of Difference.Next goes through, beside the last block.
+// scanBytesPerCall is the number of bytes of blocks after which a call of Difference.Next that found changes opens no further block.
 const scanBytesPerCall = 128 << 10
 
-// Difference iterates over the changes from one content to another, some items at a time; it costs what the blocks that differ cost.
+// Difference iterates over the changes from one content to another, in batches. Its cost is proportional to the size of the blocks that
+// differ.
 type Difference struct {
 	from, to *Content
-	next     int // block
-	old, new []byte
-	scanned  int // bytes of blocks
+	next     int    // next block to compare
+	old, new []byte // unread rest of the current block in from and in to
+	scanned  int    // bytes of all blocks compared so far
 }
 
 // Diff returns the changes from one content to another.
 func Diff(from, to *Content) *Difference { return &Difference{from: from, to: to} }
 
-// Next returns up to so many further changes, none at the end. They are fewer where they lie apart, so that a call costs at most what
-// they and some blocks cost. Removed items have no value; values must not be changed.
+// Next returns up to limit further changes, or none at the end. It returns fewer if the changes are scattered over many blocks, which bounds
+// the cost of a call. Removed items have no value. The caller must not modify the values.
 func (d *Difference) Next(limit int) (changes []Item) {
 	end := d.scanned + scanBytesPerCall
 	for len(changes) < limit {
@@ -34,10 +35,10 @@
 	return changes
 }
 
-// nextItem goes on by one item, and returns it where it differs.
+// nextItem advances by one item of the current block, and returns it if it differs.
 func (d *Difference) nextItem() (item Item, changed bool) {
 	before, oldRest, _ := readEntry(d.old)
-	if len(before.encoded) > 0 && bytes.HasPrefix(d.new, before.encoded) { // most of a block is the same
+	if len(before.encoded) > 0 && bytes.HasPrefix(d.new, before.encoded) { // the common case: most entries of a block are unchanged
 		d.old = oldRest
 		d.new = d.new[len(before.encoded):]
 		return Item{}, false
@@ -59,7 +60,8 @@
 	return after.item(), true
 }
 
-// order says which of the next two entries comes first: negative for the old one, positive for the new one.
+// order compares the next entries of the two blocks: negative if the old entry comes first, positive if the new one does, 0 for the same
+// item.
 func (d *Difference) order(before, after *entry) int {
 	switch {
 	case len(d.old) == 0:
@@ -70,7 +72,7 @@
 	return before.compare(after.part, string(after.name))
 }
 
-// nextBlock goes on to the next block that differs.
+// nextBlock advances to the next block that differs, and reports whether there is one.
 func (d *Difference) nextBlock() bool {
 	for ; d.next < Blocks; d.next++ {
 		if d.next%fanout == 0 && samePage(d.from.pages[d.next/fanout], d.to.pages[d.next/fanout]) {
@@ -90,4 +92,5 @@
 	return false
 }
 
+// samePage reports whether two pages have the same blocks, by their digests.
 func samePage(a, b *page) bool { return a == b || a != nil && b != nil && a.sum == b.sum }
--- a/internal/fleet/configsync/draft.go
+++ b/internal/fleet/configsync/draft.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// draft is a long change of which pieces are missing.
+// draft is a change that is committed in several pieces, of which the last has not been applied yet.
 type draft struct {
 	Caller  string `cbor:"1,keyasint,omitempty"`
 	Base    uint64 `cbor:"2,keyasint,omitempty"`
-	Pieces  int    `cbor:"3,keyasint,omitempty"`
-	At      int64  `cbor:"4,keyasint,omitempty"`
-	Changes []Item `cbor:"5,keyasint,omitempty"` // in a snapshot: what content differs in from the newest
-	Bytes   int    `cbor:"6,keyasint,omitempty"`
+	Pieces  int    `cbor:"3,keyasint,omitempty"` // number of pieces applied so far; 0 if there is no draft
+	At      int64  `cbor:"4,keyasint,omitempty"` // time of the last piece
+	Changes []Item `cbor:"5,keyasint,omitempty"` // only in a snapshot: differences of content from the newest content
+	Bytes   int    `cbor:"6,keyasint,omitempty"` // approximate encoded size of the pieces
 	content *Content
 }
 
-// applyPiece applies one piece of a long change, at the cost of that piece. With the last one it returns the content, else nil.
+// applyPiece applies one piece of a long change to the draft. The cost depends on the size of that piece only. It returns the complete
+// content after the last piece, and nil before or after a refusal.
 func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
 	d := &t.draft
 	otherDraftActive := d.Pieces > 0 && d.Caller != c.Caller && at < d.At+draftTimeout
--- a/internal/fleet/configsync/entry.go
+++ b/internal/fleet/configsync/entry.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// entry is an item as it is encoded in a block.
+// entry is an item of a block, with its encoding.
 type entry struct {
 	part    byte
 	name    []byte
@@ -18,14 +18,15 @@
 
 func (e *entry) item() Item { return Item{partNames[e.part], string(e.name), e.value} }
 
+// compare orders entries by part, then by name.
 func (e *entry) compare(part byte, name string) int {
 	if n := cmp.Compare(e.part, part); n != 0 {
 		return n
 	}
-	return strings.Compare(string(e.name), name) // no copy is made of it
+	return strings.Compare(string(e.name), name) // the conversion does not allocate
 }
 
-// readEntry reads the first entry of a block, ok unless it is malformed.
+// readEntry decodes the first entry of a block. ok is false if the entry is malformed.
 func readEntry(block []byte) (e entry, rest []byte, ok bool) {
 	if len(block) == 0 || int(block[0]) >= partCount {
 		return e, nil, false
@@ -40,6 +41,7 @@
 	return e, rest, ok && len(e.value) > 0
 }
 
+// readString decodes a length-prefixed string of at most limit bytes.
 func readString(from []byte, limit uint64) (text, rest []byte, ok bool) {
 	n, used := binary.Uvarint(from)
 	if used <= 0 || n > limit || n > uint64(len(from)-used) {
@@ -55,13 +57,14 @@
 	return append(to, value...)
 }
 
-// blockOf is the block of an item.
+// blockOf returns the number of the block to which an item belongs.
 func blockOf(part byte, name string) int {
 	var room [maxNameBytes + 1]byte
 	return int(xxhash.Sum64(append(append(room[:0], part), name...)) >> (64 - blockBits))
 }
 
-// checkBlock is the digest of a block that came from elsewhere, ok where it is well-formed and all its items belong there.
+// checkBlock returns the digest of a block that was received or read back. ok is false if the block is malformed, or has an item that
+// does not belong to block n.
 func checkBlock(n int, block []byte) (sum Digest, ok bool) {
 	if len(block) > maxBlockBytes {
 		return sum, false
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -14,7 +14,7 @@
 	"topazpost/internal/fixture"
 )
 
-// The encodings of messages, commands, queries and files, one of each kind.
+// Pins the encodings of messages, commands, queries and files: later builds must decode them, and encode them to the same bytes.
 func TestFixturesOfConfiguration(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -37,7 +37,7 @@
 		}
 		fixture.RoundTrip(t, "messages-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
-	t.Run("questions", func(t *testing.T) {
+	t.Run("queries", func(t *testing.T) {
 		var list []Query
 		for k, kind := range []QueryKind{QueryStatus, QueryBlocks, QueryPropose} {
 			q := fixture.Filled[Query](uint32(k))
@@ -49,13 +49,13 @@
 	t.Run("answer", func(t *testing.T) {
 		fixture.RoundTrip(t, "answer-v1.cbor", fixture.Filled[Answer](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
-	t.Run("place for people", func(t *testing.T) {
+	t.Run("replica address as JSON", func(t *testing.T) {
 		fixture.RoundTrip(t, "place-v1.json", fixture.Filled[ReplicaAddress](1), json.Marshal, json.Unmarshal)
 	})
-	t.Run("counters for people", func(t *testing.T) {
+	t.Run("counters as JSON", func(t *testing.T) {
 		fixture.RoundTrip(t, "counters-v1.json", fixture.Filled[Counters](1), json.Marshal, json.Unmarshal)
 	})
-	t.Run("saved", func(t *testing.T) {
+	t.Run("saved table", func(t *testing.T) {
 		fixture.RoundTrip(t, "saved-v1.cbor", fixture.Filled[savedTable](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("frame", func(t *testing.T) {
@@ -63,7 +63,7 @@
 	})
 }
 
-// sameContent compares items and digests, and not which pages two contents have in memory.
+// sameContent asserts that two contents have equal items and digests. Their pages in memory may differ: an empty page may be nil or not.
 func sameContent(t *testing.T, want, got *Content) {
 	t.Helper()
 	require.NotNil(t, want)
@@ -73,7 +73,7 @@
 	assert.Equal(t, want.Bytes(), got.Bytes())
 }
 
-// tableOfFixtures is a table whose snapshot has every field.
+// tableOfFixtures returns a table whose snapshot has every field.
 func tableOfFixtures(t *testing.T) *Table {
 	t.Helper()
 	table := NewTable()
@@ -87,7 +87,7 @@
 		{Kind: CommandPut, Caller: "caller-1", Seq: 4, Base: 3, WallTime: 104, Changes: []Item{{Operations, "crop", value(5)}}},
 		{Kind: CommandPut, Caller: "caller-1", Seq: 5, Base: 4, WallTime: 105, Changes: []Item{{Operations, "turn", value(6)}}},
 		{Kind: CommandStop, Version: 4, Node: "node-7", Reason: "it has no room"},
-		{Kind: CommandPut, Caller: "caller-3", Seq: 6, Base: 4, WallTime: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: made on another version
+		{Kind: CommandPut, Caller: "caller-3", Seq: 6, Base: 4, WallTime: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: its base is not the newest version
 		{Kind: CommandPut, Caller: "caller-4", Seq: 7, Base: 5, WallTime: 107, MorePieces: true, Changes: []Item{{Tenants, "long", value(8)}}},
 	} {
 		v := table.Apply(int64(k+1)*1_000*ms, &c)
@@ -96,8 +96,8 @@
 	return table
 }
 
-// The replicas' table of versions is encoded to the bytes of a fixture, and restored from it.
-func TestFixtureOfATableOfVersions(t *testing.T) {
+// Pins the encoding of a table in a snapshot.
+func TestFixtureOfTable(t *testing.T) {
 	want := tableOfFixtures(t)
 	text, err := want.Snapshot()
 	require.NoError(t, err)
@@ -126,8 +126,8 @@
 	assert.Equal(t, fixture, again)
 }
 
-// The file of a node is encoded to the bytes of a fixture, and loaded from it.
-func TestFixtureOfANodesFile(t *testing.T) {
+// Pins the encoding of the file in which a node stores its configuration.
+func TestFixtureOfNodeFile(t *testing.T) {
 	table := tableOfFixtures(t)
 	log := table.Records()
 	mark := table.Head().All
--- a/internal/fleet/configsync/item.go
+++ b/internal/fleet/configsync/item.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Item is one setting: a part, a name, and the canonical JSON of its value, nil where it is removed.
+// Item is one setting: a part, a name, and the value as canonical JSON. In a change, an item without a value is removed.
 type Item struct {
 	Part  string `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint"`
 	Value []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// block is the block of a valid item.
+// block returns the number of the block to which a valid item belongs.
 func (i *Item) block() int { return blockOf(byte(slices.Index(partNames[:], i.Part)), i.Name) }
 
-// validate returns an error for an item that a content can't hold.
+// validate returns an error if the part is unknown, or if the name or the value has an invalid length.
 func (i *Item) validate() error {
 	switch {
 	case !slices.Contains(partNames[:], i.Part):
@@ -34,7 +34,8 @@
 
 var errSeveralValues = errors.New("more than one value")
 
-// Canonical encodes a JSON value in the form that digests require: keys sorted, no white space, numbers as they were spelt.
+// Canonical returns the canonical form of a JSON value, which all values of items must have: keys sorted, no insignificant white space,
+// number literals unchanged. Equal values in this form have equal digests.
 func Canonical(value []byte) ([]byte, error) {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	decoder.UseNumber()
--- a/internal/fleet/configsync/pacing.go
+++ b/internal/fleet/configsync/pacing.go
@@ -1,14 +1,15 @@
 package configsync
 
 const (
-	bytesPerSecond     = 14_000             // all messages of this package, both ways: 21 KB less membership's and a reserve
-	burstBytes         = 32 << 10           // that may be sent at once after a quiet time
-	peerBytesPerSecond = bytesPerSecond / 2 // that one peer may have of this node
-	maxRefillTime      = 10_000 * ms        // ns that count at once
+	bytesPerSecond     = 14_000             // rate of all messages of this package in both directions: 21 KB/s less the traffic of membership and a reserve
+	burstBytes         = 32 << 10           // burst that may be sent after a time without messages
+	peerBytesPerSecond = bytesPerSecond / 2 // rate of content that this node sends to one peer
+	maxRefillTime      = 10_000 * ms        // ns since the last refill that count at most
 
 	second = 1_000 * ms // ns
 )
 
+// refillTokens refills the token bucket of this node.
 func (r *Replicator) refillTokens(now int64) {
 	elapsed := now - r.refilledAt
 	if elapsed <= 0 {
@@ -20,6 +21,7 @@
 	}
 }
 
+// refillTokens refills the token bucket of a peer.
 func (p *peer) refillTokens(now int64) {
 	elapsed := now - p.refilledAt
 	if elapsed*peerBytesPerSecond < second {
@@ -29,8 +31,8 @@
 	p.refilledAt = now
 }
 
-// countSent counts a message. Answers without content aren't paced: a thundering herd must not keep this node from giving to those
-// from which others can fetch.
+// countSent counts a sent message and takes its size from the token bucket. Confirmations and answers without content take no tokens:
+// otherwise a thundering herd of fetches would keep this node from sending content to the peers from which others could fetch it.
 func (r *Replicator) countSent(m *Message) {
 	if m.Kind != MessageConfirm && (m.Kind != MessageContent || m.hasContent()) {
 		r.tokens -= int64(m.size())
@@ -38,8 +40,8 @@
 	r.Counters.BytesSent += int64(m.size())
 }
 
-// countReceived counts a message. Only content that was fetched is paced: what others send unasked must not keep this node from what
-// it needs.
+// countReceived counts a received message. Only fetched content takes tokens: unrequested messages of other nodes must not keep this node
+// from fetching what it needs.
 func (r *Replicator) countReceived(in *Input) {
 	if in.Message == nil {
 		return
--- a/internal/fleet/configsync/pieces_test.go
+++ b/internal/fleet/configsync/pieces_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each piece of a long change costs only what that piece costs, also the last one.
+// The cost of each piece of a long change must depend on the size of that piece only, also for the last one. A table that is restored from
+// a snapshot between pieces must continue the draft.
 func TestLongChangeIsAppliedPieceByPiece(t *testing.T) {
 	const pieces, each = 60, 400
 	var changes []Item
@@ -18,7 +19,7 @@
 	whole, err := new(Content).Apply(changes)
 	require.NoError(t, err)
 	changes = changes[:0]
-	for i := range whole.All { // in the order of a difference, as commands put them
+	for i := range whole.All { // in the order of a Difference, as operators' commands send them
 		changes = append(changes, i)
 	}
 	table := NewTable()
@@ -37,7 +38,7 @@
 					differ++
 				}
 			}
-			assert.Less(t, differ, Blocks/10, "blocks that a piece changes")
+			assert.Less(t, differ, Blocks/10, "blocks that one piece changes")
 		}
 		if k%20 == 10 {
 			text, err := table.Snapshot()
@@ -46,7 +47,7 @@
 			require.NoError(t, err)
 			again, err := table.Snapshot()
 			require.NoError(t, err)
-			assert.Equal(t, text, again, "two that are equal are written alike")
+			assert.Equal(t, text, again, "a restored table has an equal snapshot")
 			restored++
 		}
 	}
@@ -54,7 +55,7 @@
 	assert.Equal(t, uint64(1), table.Head().Newest)
 	_, _, newest := table.Contents()
 	assert.Equal(t, whole.Digest(), newest.Digest())
-	assert.Empty(t, table.Records(), "a record that the log can't hold is dropped")
+	assert.Empty(t, table.Records(), "a record that exceeds the capacity of the log is dropped")
 	v := table.Apply(100, &Command{Kind: CommandPut, Caller: "b", Seq: 1, Changes: changes[:1]})
 	assert.Equal(t, []any{true, -1}, []any{v.Stale, v.UnlistedDiffering})
 	v = table.Apply(101, &Command{Kind: CommandPut, Caller: "b", Seq: 2, Base: 1, Changes: []Item{{Tenants, "x", []byte(`{"quota_rps":5}`)}}})
--- a/internal/fleet/configsync/query.go
+++ b/internal/fleet/configsync/query.go
@@ -1,23 +1,23 @@
 package configsync
 
-// QueryKind names what an operator's command asks a node for.
+// QueryKind is the kind of a Query.
 type QueryKind uint8
 
 // The kinds of queries.
 const (
-	QueryStatus  QueryKind = iota + 1 // the node's status; at a replica also those of the nodes that reported to it
-	QueryBlocks                       // blocks of a content
-	QueryPropose                      // a CommandPut or a CommandRollback
+	QueryStatus  QueryKind = iota + 1 // the status of the node; at a replica also the statuses of the nodes that reported to it
+	QueryBlocks                       // blocks of a content, from block From on
+	QueryPropose                      // proposes a CommandPut or a CommandRollback
 )
 
-// The contents that a QueryBlocks can be of.
+// The contents that Query.Which selects for QueryBlocks.
 const (
-	ContentInForce = iota // at the node
-	ContentForAll         // at a replica: in force for all
-	ContentNewest         // at a replica: the newest that was agreed on
+	ContentInForce = iota // in force at the node
+	ContentForAll         // at a replica: the content in force for all nodes
+	ContentNewest         // at a replica: the newest agreed content
 )
 
-// Query is what an operator's command asks a node.
+// Query is a request of an operator's command to a node.
 type Query struct {
 	Kind    QueryKind `cbor:"1,keyasint"`
 	Which   int       `cbor:"2,keyasint,omitempty"` // QueryBlocks
@@ -25,36 +25,36 @@
 	Command *Command  `cbor:"4,keyasint,omitempty"` // QueryPropose
 }
 
-// Answer is a node's answer to a query.
+// Answer is the answer of a node to a Query.
 type Answer struct {
 	Node          string           `cbor:"1,keyasint"`
 	Replicas      []ReplicaAddress `cbor:"2,keyasint,omitempty"`
 	Status        *Status          `cbor:"3,keyasint,omitempty"`
-	ReplicaStatus *ReplicaStatus   `cbor:"4,keyasint,omitempty"` // of a node with a replica that knows what was agreed on
-	Revision      Revision         `cbor:"5,keyasint"`           // QueryBlocks: of the content
+	ReplicaStatus *ReplicaStatus   `cbor:"4,keyasint,omitempty"` // only from a node whose replica knows the agreed versions
+	Revision      Revision         `cbor:"5,keyasint"`           // QueryBlocks: revision of the content
 	Blocks        []Block          `cbor:"6,keyasint,omitempty"`
-	Next          int              `cbor:"7,keyasint,omitempty"` // the first block that follows, 0 for none
-	Verdict       *Verdict         `cbor:"8,keyasint,omitempty"` // QueryPropose; nil where no answer came in time: the same query may be repeated
-	Why           string           `cbor:"9,keyasint,omitempty"` // why there is no answer
+	Next          int              `cbor:"7,keyasint,omitempty"` // QueryBlocks: the first block that is not included, 0 if none is left
+	Verdict       *Verdict         `cbor:"8,keyasint,omitempty"` // QueryPropose: nil after a timeout; the same query can be repeated
+	Why           string           `cbor:"9,keyasint,omitempty"` // why the query was not answered
 }
 
-// ReplicaAddress is a replica's address for its peers; an empty one isn't known.
+// ReplicaAddress is a replica and the address at which its peers reach it, empty if unknown.
 type ReplicaAddress struct {
 	Name    string `cbor:"1,keyasint" json:"name"`
 	Address string `cbor:"2,keyasint,omitempty" json:"address,omitempty"`
 }
 
-// ReplicaStatus is what a node with a replica knows beside its status.
+// ReplicaStatus is the state that a node with a replica knows in addition to its own status.
 type ReplicaStatus struct {
 	Head             HeadRevision `cbor:"1,keyasint"`
 	Newest           Revision     `cbor:"2,keyasint"`
-	RollbackVersions []uint64     `cbor:"3,keyasint,omitempty"` // versions that can be rolled back to
-	Nodes            []NodeStatus `cbor:"4,keyasint,omitempty"` // At is ns since the report
-	Alive            []string     `cbor:"5,keyasint,omitempty"` // members in this node's view
+	RollbackVersions []uint64     `cbor:"3,keyasint,omitempty"` // versions that a CommandRollback may name
+	Nodes            []NodeStatus `cbor:"4,keyasint,omitempty"` // At is the age of the report in ns
+	Alive            []string     `cbor:"5,keyasint,omitempty"` // members in the view of this node
 }
 
-// Blocks returns the blocks of a content from one on, as many as fit the bytes and at least one, and the first that follows, 0 for
-// none. Empty blocks are left out.
+// Blocks returns the non-empty blocks from number from on, at least one and as many as fit into maxBytes. next is the number of the first
+// block that did not fit, or 0 if none is left.
 func (c *Content) Blocks(from, maxBytes int) (list []Block, next int) {
 	for n := max(0, from); n < Blocks; n++ {
 		text, _ := c.Block(n)
@@ -70,7 +70,7 @@
 	return list, 0
 }
 
-// FromBlocks returns the content of blocks, nil where one is malformed or they don't match the digest.
+// FromBlocks returns the content with the given blocks, or nil if a block is malformed or the digest of the content is not want.
 func FromBlocks(list []Block, want Digest) *Content {
 	content := &Content{}
 	owned := [fanout]bool{}
@@ -85,7 +85,7 @@
 	return content
 }
 
-// setCheckedBlock puts a block in its place, false where it is malformed.
+// setCheckedBlock replaces a block, and returns false if the new block is malformed.
 func (c *Content) setCheckedBlock(block Block, owned *[fanout]bool) bool {
 	n := int(block.Number)
 	if _, ok := checkBlock(n, block.Text); !ok || n >= Blocks {
--- a/internal/fleet/configsync/records.go
+++ b/internal/fleet/configsync/records.go
@@ -1,11 +1,11 @@
 package configsync
 
 const (
-	maxRetainedBytes = 1 << 20 // of records that a node retains for others, of changes over some versions, and of those on their way
-	maxJournalBytes  = 1 << 20 // of records on disk after which all is rewritten
+	maxRetainedBytes = 1 << 20 // limit of the records that a node retains for its peers, and of its changes over several versions; a record chain may have twice as much
+	maxJournalBytes  = 1 << 20 // records appended to the file on disk before the file is rewritten with a complete content
 )
 
-// persist has the disk follow what is in force.
+// persist writes the version in force to the disk: as records where they follow on from the file, otherwise as a complete content.
 func (r *Replicator) persist(effects []Effect) []Effect {
 	effect := Effect{Kind: PersistVersion, Revision: r.applied, New: r.appliedContent}
 	effect.Records = recordsBetween(r.availableRecords(), r.disk.revision, r.applied.Version)
@@ -27,16 +27,16 @@
 	return append(effects, effect)
 }
 
-// handleSaved takes the result of a write to the disk.
+// handleSaved handles the result of a write to the disk. After a failure the next write is a complete one.
 func (r *Replicator) handleSaved(in *Input, effects []Effect) []Effect {
 	if in.Why == "" {
 		return effects
 	}
 	r.disk.rewrite = true
-	return append(effects, warning("configuration %d can't be kept on disk: %s", r.disk.revision.Version, in.Why))
+	return append(effects, warning("configuration version %d can't be written to disk; the next write replaces the whole file: %s", r.disk.revision.Version, in.Why))
 }
 
-// availableRecords are those that this node can give to others.
+// availableRecords returns the records that this node can send to its peers.
 func (r *Replicator) availableRecords() []*Record {
 	if r.agreed != nil {
 		return r.agreed.Log
@@ -44,7 +44,8 @@
 	return r.log
 }
 
-// recordsBetween are the records after a revision up to a version, none where the log doesn't reach.
+// recordsBetween returns the records that follow a revision, up to and including version until. It returns none if the log does not contain
+// the record that follows the revision.
 func recordsBetween(log []*Record, after Revision, until uint64) []*Record {
 	if len(log) == 0 || after.Version+1 < log[0].Version || after.Version+1 > log[len(log)-1].Version || after.Version >= until {
 		return nil
@@ -56,12 +57,12 @@
 	return log[:min(until-after.Version, uint64(len(log)))]
 }
 
-// wireRecords are records as they are sent, as many as fit, or none unless all do.
-func wireRecords(list []*Record, room int, all bool) (records []Record) {
+// wireRecords returns copies of records for sending, as many as fit into maxBytes. With all set it returns none unless all of them fit.
+func wireRecords(list []*Record, maxBytes int, all bool) (records []Record) {
 	for _, record := range list {
 		wire := record.wire()
-		room -= wire.bytes()
-		if room < 0 {
+		maxBytes -= wire.bytes()
+		if maxBytes < 0 {
 			if all {
 				return nil
 			}
@@ -72,7 +73,7 @@
 	return records
 }
 
-// setReady notes that a version is complete here; records lead to it from the one before, where they are known.
+// setReady stores a version that this node has in full. records are its changes since the previous ready version, none if they are unknown.
 func (r *Replicator) setReady(revision Revision, content *Content, records []*Record) {
 	if len(records) == 0 {
 		r.log = nil
@@ -85,7 +86,7 @@
 	}
 	for len(r.log) > 0 && (r.logSize > maxRetainedBytes || len(r.log) > maxLogRecords) {
 		r.logSize -= r.log[0].bytes()
-		r.log = r.log[1:] // not cleared: effects still refer to it
+		r.log = r.log[1:] // the slot is not set to nil: effects share the array
 	}
 	r.ready = revision
 	r.readyContent = content
@@ -95,38 +96,39 @@
 	r.changes++
 }
 
-// recordChain is records that don't reach a confirmed version yet. Any peer may continue it. One does so only where its own log has the
-// revision that they come to, so what is false at their end is its own.
+// recordChain is a sequence of fetched records that follows the ready version and does not reach a confirmed version yet. Any peer may
+// continue it. A peer does so only if its own log contains the revision at the end of the chain, so a peer whose records turn out to be
+// false has supplied the false ones itself.
 type recordChain struct {
-	lastPeer string // who gave the last of them
-	misses   int    // peers that could not continue it
-	revision Revision
-	content  *Content
+	lastPeer string   // the peer that sent the last records
+	misses   int      // peers that could not continue the chain
+	revision Revision // at the end of the chain
+	content  *Content // of revision
 	records  []*Record
 	bytes    int
 }
 
-// maxChainMisses is how many peers may fail to continue the records of another before those are dropped: they may be false.
+// maxChainMisses is the number of peers that may fail to continue a chain before it is dropped, because its records may be false.
 const maxChainMisses = 3
 
-// continuable reports whether others may still continue records that a peer can't.
-func (run *recordChain) continuable(p *peer) bool {
-	return run.content != nil && run.lastPeer != p.name && run.misses < maxChainMisses
+// continuable reports whether the chain is worth keeping although peer p could not continue it.
+func (chain *recordChain) continuable(p *peer) bool {
+	return chain.content != nil && chain.lastPeer != p.name && chain.misses < maxChainMisses
 }
 
-// extendChain applies records of a peer, and reports whether they were of use. They count once they come to a revision that a replica
-// confirmed.
+// extendChain appends records of a peer to the chain, and reports whether they were valid so far. They take effect when the chain reaches a
+// revision that a replica confirmed.
 func (r *Replicator) extendChain(now int64, p *peer, records []Record) bool {
 	goal, ok := r.goal()
 	if !ok {
 		return false
 	}
-	run := &r.chain
-	if run.content == nil {
-		*run = recordChain{revision: r.ready, content: r.readyContent}
+	chain := &r.chain
+	if chain.content == nil {
+		*chain = recordChain{revision: r.ready, content: r.readyContent}
 	}
-	run.lastPeer = p.name
-	run.misses = 0
+	chain.lastPeer = p.name
+	chain.misses = 0
 	for k := range records {
 		record := records[k]
 		record.Replaced = nil
@@ -134,53 +136,54 @@
 		if record.Version > goal.Version { // not confirmed yet
 			break
 		}
-		if !run.apply(&record, r.skipDigests) {
-			*run = recordChain{}
+		if !chain.apply(&record, r.skipDigests) {
+			*chain = recordChain{}
 			r.penalize(now, p)
 			return false
 		}
-		if run.revision != goal && r.isConfirmed(run.revision) { // valid so far, whoever continues it
-			r.setReady(run.revision, run.content, run.records)
-			*run = recordChain{lastPeer: p.name, revision: r.ready, content: r.readyContent}
+		if chain.revision != goal && r.isConfirmed(chain.revision) { // confirmed so far, whichever peer continues the chain
+			r.setReady(chain.revision, chain.content, chain.records)
+			*chain = recordChain{lastPeer: p.name, revision: r.ready, content: r.readyContent}
 		}
 	}
 	return r.completeChain(now, p, goal)
 }
 
-// apply applies one record, false where it doesn't follow or doesn't come to its digest.
-func (run *recordChain) apply(record *Record, skipDigests bool) bool {
-	if record.Version != run.revision.Version+1 {
+// apply appends one record. It returns false if the record does not follow the chain or its changes do not yield its digest.
+func (chain *recordChain) apply(record *Record, skipDigests bool) bool {
+	if record.Version != chain.revision.Version+1 {
 		return false
 	}
-	content, err := run.content.Apply(record.Changes)
+	content, err := chain.content.Apply(record.Changes)
 	if err != nil {
 		return false
 	}
-	if !skipDigests && (record.Base != run.revision.Digest || content.Digest() != record.Digest) {
+	if !skipDigests && (record.Base != chain.revision.Digest || content.Digest() != record.Digest) {
 		return false
 	}
-	run.content = content
-	run.revision = Revision{record.Version, record.Digest}
-	run.records = append(run.records, record)
-	run.bytes += record.bytes()
+	chain.content = content
+	chain.revision = Revision{record.Version, record.Digest}
+	chain.records = append(chain.records, record)
+	chain.bytes += record.bytes()
 	return true
 }
 
-// completeChain takes the run where it came to the goal, and drops it where it can't.
+// completeChain makes the goal ready if the chain has reached it, drops a chain that cannot reach it, and returns false if the records
+// were of no use.
 func (r *Replicator) completeChain(now int64, p *peer, goal Revision) bool {
-	run := &r.chain
+	chain := &r.chain
 	switch {
-	case run.revision == goal || r.skipDigests && run.revision.Version == goal.Version:
+	case chain.revision == goal || r.skipDigests && chain.revision.Version == goal.Version:
 		p.invalidResponses = 0
-		r.setReady(goal, run.content, run.records)
-	case run.revision.Version == goal.Version:
-		*run = recordChain{}
+		r.setReady(goal, chain.content, chain.records)
+	case chain.revision.Version == goal.Version:
+		*chain = recordChain{}
 		r.penalize(now, p)
 		return false
-	case run.revision == r.ready: // no further, or not begun
-		*run = recordChain{}
-	case run.bytes > 2*maxRetainedBytes:
-		*run = recordChain{}
+	case chain.revision == r.ready: // the chain is empty
+		*chain = recordChain{}
+	case chain.bytes > 2*maxRetainedBytes:
+		*chain = recordChain{}
 		return false
 	}
 	return true
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	itemsPerStep      = 64      // items that are encoded before the cost of a call is looked at again
-	bytesPerItem      = 128     // bytes of a block that cost as much as encoding one item
-	maxItemOverhead   = 32      // bytes of an item's head and keys
-	maxRecordOverhead = 64      // bytes of keys and heads of a record or verdict
-	maxHeadBytes      = 1 << 10 // bytes of a head, with a reason, and of a draft without its changes
+	itemsPerStep      = 64      // items encoded between two checks of the cost of a call
+	bytesPerItem      = 128     // bytes of a block that cost as much to copy as one item costs to encode
+	maxItemOverhead   = 32      // bytes of the CBOR heads and keys of an item
+	maxRecordOverhead = 64      // bytes of the CBOR heads and keys of a record or verdict
+	maxHeadBytes      = 1 << 10 // bytes of a HeadRevision with a reason, and of a draft without its changes
 	maxLengthBytes    = 9       // bytes of a CBOR head
-	bytesPerFullStep  = 1 << 20 // bytes a call of Next, where nobody waits
+	bytesPerFullStep  = 1 << 20 // bytes for each call of Next when the snapshot is encoded in one go
 )
 
-// CBOR (RFC 8949): major types in the first byte of a head, and how a length is encoded in it.
+// CBOR (RFC 8949): the first byte of a head holds the major type, and the length or the width of the length that follows.
 const (
 	cborBytes  = 2 << 5 // a byte string
 	cborArray  = 4 << 5
 	cborMap    = 5 << 5
-	cborNull   = 0xf6 // stands for an empty block
-	lengthOf8  = 24   // the length follows in one byte; below that it is the length itself
-	lengthOf16 = 25   // in two bytes, big-endian
-	lengthOf32 = 26   // in four bytes, big-endian
+	cborNull   = 0xf6 // encodes an empty block
+	lengthOf8  = 24   // the length follows in one byte; smaller values are the length itself
+	lengthOf16 = 25   // the length follows in two bytes, big-endian
+	lengthOf32 = 26   // the length follows in four bytes, big-endian
 )
 
-// Keys of savedTable that the writer encodes itself.
+// Keys that SnapshotWriter encodes itself, of savedTable unless noted.
 const (
 	keyHead             = byte(1)
 	keyCanarySince      = byte(2)
@@ -45,7 +45,7 @@
 	keyRecordReplaced = byte(7) // of Record
 )
 
-// savedTable is a table as a snapshot has it: the newest content in blocks, the others as their differences from it.
+// savedTable is the encoding of a table in a snapshot: the newest content as blocks, the other contents as differences from it.
 type savedTable struct {
 	Head             HeadRevision `cbor:"1,keyasint"`
 	CanarySince      int64        `cbor:"2,keyasint"`
@@ -58,18 +58,18 @@
 	Draft            draft        `cbor:"9,keyasint"`
 }
 
-// SnapshotWriter encodes a snapshot of a table as it was at the beginning, some at a time. The table may change meanwhile: its contents
-// and records are immutable, and the rest is copied.
+// SnapshotWriter encodes a snapshot of a table incrementally. The snapshot has the state of the table at the call of BeginSnapshot; the table
+// may change meanwhile, because contents and records are immutable and the writer has copies of the rest.
 type SnapshotWriter struct {
 	table Table
-	steps []func() bool // what is to be done, each called until it is done
-	cost  int           // bytes, of the current call of Next
-	size  int           // bytes that the text can have
-	text  []byte
+	steps []func() bool // remaining steps; each is called until it returns true
+	cost  int           // cost of the current call of Next, in bytes
+	size  int           // upper bound of the size of text
+	text  []byte        // the encoding so far
 }
 
-// Snapshot encodes the table; two that are equal are encoded alike. A table that didn't change since the last snapshot returns the same
-// bytes again, which must not be changed.
+// Snapshot encodes the table. Equal tables have equal snapshots. The encoding is cached until the table changes; the caller must not modify
+// it.
 func (t *Table) Snapshot() ([]byte, error) {
 	if t.snapshot != nil {
 		return t.snapshot, nil
@@ -81,7 +81,7 @@
 	return t.snapshot, nil
 }
 
-// BeginSnapshot begins a snapshot, at a cost that doesn't grow with the contents.
+// BeginSnapshot begins an incremental snapshot. Its cost does not depend on the size of the contents.
 func (t *Table) BeginSnapshot() *SnapshotWriter {
 	w := &SnapshotWriter{table: *t}
 	w.table.log = slices.Clone(t.log)
@@ -101,7 +101,7 @@
 	return w
 }
 
-// maxSnapshotBytes bounds a snapshot's size, but for what the contents differ in.
+// maxSnapshotBytes returns an upper bound of the size of a snapshot, without the differences between the contents.
 func (t *Table) maxSnapshotBytes() int {
 	size := t.newest.bytes + (Blocks+len(t.rollbackVersions))*maxLengthBytes + t.logSize +
 		(len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxHeadBytes
@@ -112,18 +112,18 @@
 	return size
 }
 
-// writeStart writes the fields up to the head of the blocks.
+// writeStart writes the fields before the blocks, and the array head of the blocks.
 func (w *SnapshotWriter) writeStart(all, canary int) {
 	t := &w.table
 	w.text = make([]byte, 0, w.size)
-	requiredFields := 4 // head, canary since, blocks, draft
+	requiredFields := 4 // Head, CanarySince, Blocks, Draft
 	w.writeHead(cborMap, requiredFields+oneIfAny(all)+oneIfAny(canary)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
 	w.writeField(keyHead, t.head)
 	w.writeField(keyCanarySince, t.canarySince)
 	w.writeArrayHead(keyBlocks, Blocks)
 }
 
-// writeTail writes the fields after the log, up to the draft's changes.
+// writeTail writes the fields after the log, without the changes of the draft, which follow.
 func (w *SnapshotWriter) writeTail(drafted int) {
 	t := &w.table
 	if len(t.rollbackVersions) > 0 {
@@ -136,7 +136,7 @@
 	w.writeOpenMap(t.draft, oneIfAny(drafted))
 }
 
-// addBlocks adds the blocks of the newest content.
+// addBlocks adds a step that writes the blocks of the newest content.
 func (w *SnapshotWriter) addBlocks() {
 	n := 0
 	w.addStep(func() bool {
@@ -152,7 +152,7 @@
 	})
 }
 
-// addLog adds the log.
+// addLog adds the steps that write the log.
 func (w *SnapshotWriter) addLog() {
 	if len(w.table.log) == 0 {
 		return
@@ -163,8 +163,8 @@
 	}
 }
 
-// Next encodes at least so many bytes more, or what costs as much, and reports whether the snapshot is complete. It exceeds them by one
-// block, or one call of Difference.Next, at the most.
+// Next encodes at least minBytes more, or does work of the same cost, and reports whether the snapshot is complete. It exceeds minBytes by
+// at most one block or one call of Difference.Next.
 func (w *SnapshotWriter) Next(minBytes int) (complete bool) {
 	w.cost = 0
 	for len(w.steps) > 0 && w.cost < minBytes {
@@ -178,7 +178,7 @@
 	return len(w.steps) == 0
 }
 
-// Encoded is what is encoded so far. It must not be changed.
+// Encoded returns the encoding so far. The caller must not modify it.
 func (w *SnapshotWriter) Encoded() []byte { return w.text }
 
 func (w *SnapshotWriter) addStep(step func() bool) { w.steps = append(w.steps, step) }
@@ -190,10 +190,11 @@
 	})
 }
 
+// oneIfAny returns the number of map fields that a list of n elements takes: empty lists are omitted.
 func oneIfAny(n int) int { return min(n, 1) }
 
-// countDifference counts the items that a content differs in from the newest. They are counted before anything is encoded, so that the
-// text is allocated once.
+// countDifference adds a step that counts the items in which a content differs from the newest one. All items are counted before the encoding
+// starts, so that the text is allocated once.
 func (w *SnapshotWriter) countDifference(content *Content) *int {
 	n := new(int)
 	if content == nil || content.Digest() == w.table.newest.Digest() {
@@ -212,7 +213,7 @@
 	return n
 }
 
-// nextDifference returns the next items that differ, and adds up what was scanned for them.
+// nextDifference returns the next items that differ, and adds the bytes scanned for them to the cost.
 func (w *SnapshotWriter) nextDifference(d *Difference) []Item {
 	before := d.scanned
 	list := d.Next(itemsPerStep)
@@ -220,7 +221,7 @@
 	return list
 }
 
-// addDifference adds a field with the items that a content differs in from the newest, where there are any.
+// addDifference adds a step that writes a field with the n items in which a content differs from the newest one; no field if n is 0.
 func (w *SnapshotWriter) addDifference(key byte, content *Content, n *int) {
 	var difference *Difference
 	w.addStep(func() bool {
@@ -237,7 +238,7 @@
 	})
 }
 
-// addRecord adds one record: its fields in order, but for its changes, which come last.
+// addRecord adds the steps that write one record: first its other fields, then its lists of items.
 func (w *SnapshotWriter) addRecord(r *Record) {
 	w.addSingleStep(func() {
 		rest := *r
@@ -249,7 +250,7 @@
 	w.addItems(keyRecordReplaced, r.Replaced)
 }
 
-// addItems adds a field with a list, where it has any items.
+// addItems adds the steps that write a field with a list of items; no field if the list is empty.
 func (w *SnapshotWriter) addItems(key byte, list []Item) {
 	if len(list) == 0 {
 		return
@@ -270,7 +271,8 @@
 	}
 }
 
-// writeOpenMap encodes a value that is a map of less than 24 fields, of which so many more follow.
+// writeOpenMap encodes a value as a map whose head counts extraFields further fields, which the caller writes next. The map has less than
+// 24 fields in all, so that its head is one byte.
 func (w *SnapshotWriter) writeOpenMap(value any, extraFields int) {
 	at := len(w.text)
 	w.writeValue(value)
@@ -290,12 +292,12 @@
 func (w *SnapshotWriter) writeValue(value any) {
 	text, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // plain fields can always be encoded
+		panic(err) // cannot fail: the values have only fields that CBOR can represent
 	}
 	w.text = append(w.text, text...)
 }
 
-// writeHead encodes the major type of a value and its length.
+// writeHead writes the CBOR head of a value: its major type and length.
 func (w *SnapshotWriter) writeHead(majorType byte, n int) {
 	switch {
 	case n < lengthOf8:
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// largeTable is a table with so many tenants, and an incomplete long change.
+// largeTable returns a table with the given number of tenants and a draft of which pieces are missing.
 func largeTable(t *testing.T, tenants int) *Table {
 	table := NewTable()
 	put := func(seq, base uint64, piece int, more bool, from, to, rate int) {
@@ -38,8 +38,8 @@
 	return table
 }
 
-// A snapshot of a large table is encoded in steps of bounded cost, and is that of the table as it was at the beginning, whatever became
-// of the table meanwhile.
+// A snapshot of a large table must not block the replica: each step is of bounded size. The result must be the state at the beginning,
+// although the table changes between the steps.
 func TestSnapshotIsEncodedInBoundedSteps(t *testing.T) {
 	const once = 64 << 10
 	table := largeTable(t, 130_000)
@@ -59,7 +59,7 @@
 	}
 	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
 	assert.Equal(t, before, w.Encoded())
-	assert.LessOrEqual(t, cap(w.Encoded()), len(before)*11/10, "its size is known before, so that it is never copied")
+	assert.LessOrEqual(t, cap(w.Encoded()), len(before)*11/10, "the text is allocated once, at its final size")
 	again, err := Restore(w.Encoded())
 	require.NoError(t, err)
 	text, err := again.Snapshot()
@@ -67,7 +67,8 @@
 	assert.Equal(t, before, text)
 }
 
-// A snapshot that is encoded in steps equals that of the encoder, so that earlier builds can read it.
+// The incremental encoding, written by hand, must have the fields and the length of the encoding of savedTable by the CBOR library, so that
+// other builds can read it.
 func TestIncrementalSnapshotEqualsEncoder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
@@ -115,11 +116,11 @@
 		require.NoError(t, cbor.Unmarshal(whole, &one))
 		require.NoError(t, cbor.Unmarshal(w.Encoded(), &two))
 		require.Equal(t, one, two)
-		require.Len(t, w.Encoded(), len(whole), "nothing is encoded twice")
+		require.Len(t, w.Encoded(), len(whole), "no field is encoded twice")
 	})
 }
 
-// Scattered changes, one to a block, are all found, at the cost of some blocks a call.
+// Changes that are scattered over many blocks must all be found, and each call of Next must scan a bounded number of bytes.
 func TestDifferenceOfScatteredChangesIsBounded(t *testing.T) {
 	from := largeTable(t, 130_000).newest
 	var changes []Item
@@ -130,7 +131,7 @@
 	require.NoError(t, err)
 	d := Diff(from, to)
 	found := 0
-	looks := 0
+	calls := 0
 	for before := 0; ; before = d.scanned {
 		some := d.Next(256)
 		assert.LessOrEqual(t, d.scanned-before, 256<<10)
@@ -138,13 +139,13 @@
 			break
 		}
 		found = found + len(some)
-		looks++
+		calls++
 	}
 	assert.Equal(t, len(changes), found)
-	assert.Greater(t, looks, 30)
+	assert.Greater(t, calls, 30)
 }
 
-// differences are all items that differ.
+// differences returns all changes from one content to another.
 func differences(from, to *Content) (all []Item) {
 	for d := Diff(from, to); ; {
 		some := d.Next(maxLogRecords)
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-const maxStatuses = 2_000 // nodes whose reports a replica remembers: above any number of members
+const maxStatuses = 2_000 // nodes whose reports a replica stores: more than a fleet has members
 
-// NodeStatus is what one node reported last.
+// NodeStatus is the last report of one node.
 type NodeStatus struct {
 	Name     string
-	Revision Revision `cbor:"Mark" json:"Mark"`
-	Refused  Revision
-	Why      string
-	Age      int64 // ns since Revision was in force there, when it reported
-	At       int64 // when it reported
+	Revision Revision `cbor:"Mark" json:"Mark"` // in force at the node
+	Refused  Revision // the newest that the node refused, if any
+	Why      string   // reason of the refusal
+	Age      int64    // ns from the application of Revision to the report
+	At       int64    // time of the report, in ns
 }
 
-// StatusTable is what nodes reported to one replica. It isn't replicated: the tables of all replicas together show the whole fleet. The
-// zero value is empty.
+// StatusTable holds the reports that nodes sent to one replica. It is not replicated: only the tables of all replicas together cover the
+// whole fleet. The zero value is empty.
 type StatusTable struct {
 	nodes    map[string]*NodeStatus
-	refusing map[string]*NodeStatus // those of nodes that refused a version
+	refusing map[string]*NodeStatus // the subset of nodes that refused a version
 }
 
-// Report notes what a node has. A full table forgets the node that was silent longest.
+// Report stores the report of a node: the revision that it applied age ns ago, and the one that it refused, if any. A full table drops the
+// node with the oldest report.
 func (t *StatusTable) Report(now int64, name string, applied, refused Revision, why string, age int64) {
 	status := t.nodes[name]
 	if status == nil {
@@ -66,7 +67,7 @@
 	delete(t.refusing, oldest.Name)
 }
 
-// Statuses are all that are known, by name.
+// Statuses returns the last reports of all nodes, sorted by name.
 func (t *StatusTable) Statuses() []NodeStatus {
 	list := make([]NodeStatus, 0, len(t.nodes))
 	for _, status := range t.nodes {
@@ -76,7 +77,7 @@
 	return list
 }
 
-// refusal is the first node by name that refused a version, and its reason.
+// refusal returns the node that refused a revision, and its reason. ok is false if none did; of several nodes it returns the first by name.
 func (t *StatusTable) refusal(revision Revision) (who, why string, ok bool) {
 	if revision.Version == 0 {
 		return "", "", false
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -10,54 +10,55 @@
 const (
 	ms = int64(1_000_000) // ns in a millisecond
 
-	canaryDuration     = 2_500 * ms  // ns that a version is at the canary stage: enough for gossip, a fetch, a lost refusal and its repetition
-	draftTimeout       = 60_000 * ms // ns that further pieces of a long change are waited for
-	maxPutBytes        = 128 << 10   // of one command, which is one entry of the log
+	canaryDuration     = 2_500 * ms  // ns of the canary stage: enough for gossip, a fetch, and a refusal that is lost once and repeated
+	draftTimeout       = 60_000 * ms // ns after the last piece of a draft until another caller may replace the draft
+	maxPutBytes        = 128 << 10   // size of the changes of one command, which is one entry of the consensus log
 	maxLogRecords      = 1_024
-	maxLogBytes        = 1 << 20 // of records; nodes that need older ones fetch blocks
-	maxCallers         = 256     // callers whose last verdict is remembered
-	maxNamedItems      = 32      // items that a verdict names; the rest is counted
-	maxReasonBytes     = 256     // of a node's reason
+	maxLogBytes        = 1 << 20 // size of the records in the log; nodes that need older records fetch blocks
+	maxCallers         = 256     // callers whose last verdict is stored
+	maxNamedItems      = 32      // items that a verdict lists by name; further ones are only counted
+	maxReasonBytes     = 256     // length of a node's reason for a refusal
 	maxCallerNameBytes = 128
-	maxStartVersion    = 1 << 60 // that a table counts on from
+	maxStartVersion    = 1 << 60 // highest version that the numbering of a new table may continue from
 )
 
-// Table is the agreed order of versions: the same at all replicas that apply the same commands in the same order.
+// Table is the replicated state of the fleet's configuration: its versions and which of them are in force. Replicas that apply the same
+// commands at the same times in the same order have equal tables.
 type Table struct {
 	head                HeadRevision
 	all, canary, newest *Content
-	canarySince         int64 // when the head's First came to the canary stage
+	canarySince         int64 // time at which head.Canary entered the canary stage
 	log                 []*Record
 	logSize             int       // bytes
-	rollbackVersions    []uint64  // versions that were in force for all
-	lastVerdicts        []Verdict // by caller, the last that asked last
+	rollbackVersions    []uint64  // earlier versions that were in force for all nodes, oldest first
+	lastVerdicts        []Verdict // the last verdict for each caller, least recently updated first
 	draft               draft
-	snapshot            []byte // nil where it is outdated
+	snapshot            []byte // cached encoding; nil after a change
 }
 
-// NewTable returns a table at version 0, which has no items.
+// NewTable returns a table at version 0, whose content is empty.
 func NewTable() *Table {
 	empty := &Content{}
 	return &Table{all: empty, canary: empty, newest: empty}
 }
 
-// Head is the current head.
+// Head returns the current head.
 func (t *Table) Head() HeadRevision { return t.head }
 
-// Contents are the contents in force for all, at the canary stage, and of the newest version.
-func (t *Table) Contents() (all, first, newest *Content) { return t.all, t.canary, t.newest }
+// Contents returns the contents of the version in force for all nodes, of the version at the canary stage, and of the newest version.
+func (t *Table) Contents() (all, canary, newest *Content) { return t.all, t.canary, t.newest }
 
-// Records is the last records, oldest first; they must not be changed.
+// Records returns the records in the log, oldest first. The caller must not modify them.
 func (t *Table) Records() []*Record { return t.log }
 
-// RollbackVersions are the versions that a Rollback can name, beside the one that is in force for all.
+// RollbackVersions returns the versions that a CommandRollback may name, apart from the version in force for all nodes.
 func (t *Table) RollbackVersions() []uint64 { return t.rollbackVersions }
 
-// atCanary reports whether a version is at the canary stage and may go on.
+// atCanary reports whether a version is at the canary stage and was not stopped.
 func (t *Table) atCanary() bool { return t.head.Canary != t.head.All && !t.head.Stopped }
 
-// DueAdvance is the command that has the version at the canary stage in force for all, nil while it isn't time. Any replica may propose it:
-// the second one changes nothing.
+// DueAdvance returns the command that brings the version at the canary stage into force for all nodes. It returns nil if there is no such
+// version, if it was stopped, or before the stage has lasted canaryDuration. Any replica may propose the command: a second one has no effect.
 func (t *Table) DueAdvance(at int64) *Command {
 	if !t.atCanary() || at < t.canarySince+canaryDuration {
 		return nil
@@ -65,16 +66,16 @@
 	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version}
 }
 
-// DueAdvanceAfter is as Due, where the version has been at the canary stage for so many ns by the caller's own clock. The table's time is slower
-// than real time by a round trip between replicas in each of its steps.
-func (t *Table) DueAdvanceAfter(stood int64) *Command {
-	if !t.atCanary() || stood < canaryDuration {
+// DueAdvanceAfter is like DueAdvance, but canaryTime is how long the canary stage has lasted by the clock of the proposing replica, in ns.
+// The table's time lags real time by one round trip between replicas for each step that it advances.
+func (t *Table) DueAdvanceAfter(canaryTime int64) *Command {
+	if !t.atCanary() || canaryTime < canaryDuration {
 		return nil
 	}
-	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version, CanaryTime: stood}
+	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version, CanaryTime: canaryTime}
 }
 
-// AdvanceDueAt is when Due will return a command, 0 for never.
+// AdvanceDueAt returns the time from which DueAdvance returns a command, or 0 if no version is waiting to advance.
 func (t *Table) AdvanceDueAt() int64 {
 	if !t.atCanary() {
 		return 0
@@ -82,7 +83,7 @@
 	return t.canarySince + canaryDuration
 }
 
-// Apply applies one command at a time of the table.
+// Apply applies a command at the given time of the table, in ns, and returns the verdict.
 func (t *Table) Apply(at int64, c *Command) Verdict {
 	v := Verdict{Caller: c.Caller, Seq: c.Seq, Version: t.head.Newest}
 	switch c.Kind {
@@ -91,7 +92,7 @@
 	case CommandAdvance:
 		due := cmp.Or(t.DueAdvance(at), t.DueAdvanceAfter(c.CanaryTime))
 		if due == nil || due.Version != c.Version {
-			v.Refused = "not the version at the first stage, or too early for it"
+			v.Refused = "not the version at the canary stage, or too early for it"
 			return v
 		}
 		t.snapshot = nil
@@ -99,13 +100,13 @@
 		t.promote(at)
 	case CommandStop:
 		t.applyStop(c, &v)
-	default: // of a later build: all replicas ignore it alike
+	default: // no other kind changes the table
 		v.Refused = "unknown command"
 	}
 	return v
 }
 
-// applyOnce applies a caller's command, unless it was applied before.
+// applyOnce applies a caller's command, or returns the stored verdict if the command was applied before.
 func (t *Table) applyOnce(at int64, c *Command, v Verdict) Verdict {
 	if len(c.Caller) > maxCallerNameBytes {
 		v.Refused = fmt.Sprintf("a caller's name of over %d bytes", maxCallerNameBytes)
@@ -134,10 +135,10 @@
 	return v
 }
 
-// applyStop stops the version at the canary stage.
+// applyStop ends the rollout of the version at the canary stage.
 func (t *Table) applyStop(c *Command, v *Verdict) {
 	if c.Version != t.head.Canary.Version || t.head.Canary == t.head.All {
-		v.Refused = "not at the first stage"
+		v.Refused = "not at the canary stage"
 		return
 	}
 	v.Done = true
@@ -150,7 +151,7 @@
 	t.head.StopReason = truncate(c.Reason, maxReasonBytes)
 }
 
-// applyPut makes a version of a change.
+// applyPut makes a new version from a change, or adds one piece of a long change to the draft.
 func (t *Table) applyPut(at int64, c *Command, v *Verdict) {
 	if size := sizeOf(c.Changes); size > maxPutBytes {
 		v.Refused = fmt.Sprintf("%d bytes at once; put it in pieces of %d", size, maxPutBytes)
@@ -178,7 +179,7 @@
 	t.commit(at, c, next, v)
 }
 
-// firstNotCanonical is the first item whose value is not in canonical form, nil for none.
+// firstNotCanonical returns the first item whose value is not in canonical form, or nil if there is none.
 func firstNotCanonical(changes []Item) *Item {
 	for k := range changes {
 		item := &changes[k]
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -8,10 +8,12 @@
 	"pgregory.net/rapid"
 )
 
+// putOn returns a put of caller "a", made on version base.
 func putOn(base, seq uint64, list ...Item) *Command {
 	return &Command{Kind: CommandPut, Caller: "a", Seq: seq, Base: base, Changes: list}
 }
 
+// tenant returns an item for tenant k; an empty value removes it.
 func tenant(k int, value string) Item {
 	i := Item{Part: Tenants, Name: fmt.Sprint("t", k)}
 	if value != "" {
@@ -20,7 +22,7 @@
 	return i
 }
 
-func TestStalePutNamesDifferences(t *testing.T) {
+func TestStalePutListsChangedItems(t *testing.T) {
 	table := NewTable()
 	require.EqualValues(t, 1, table.Apply(1, putOn(0, 1, tenant(1, "1"), tenant(2, "1"))).Version)
 	require.EqualValues(t, 2, table.Apply(1, putOn(1, 2, tenant(1, "2"))).Version)
@@ -35,23 +37,23 @@
 
 	again := table.Apply(9, putOn(1, 2, tenant(1, "2")))
 	require.EqualValues(t, Verdict{Caller: "a", Seq: 2, Version: 3, Refused: "late: the caller asked again since"}, again)
-	require.Equal(t, Verdict{Caller: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "a repeated command has the same verdict")
+	require.Equal(t, Verdict{Caller: "a", Seq: 3, Done: true, Version: 3}, table.Apply(9, putOn(2, 3, tenant(3, "1"))), "a repeated command gets the same verdict")
 	require.EqualValues(t, 3, table.Head().Newest)
 
 	none := table.Apply(9, putOn(3, 4, tenant(3, "1")))
 	require.True(t, none.Done)
-	require.EqualValues(t, 3, none.Version, "a put without changes makes no version")
+	require.EqualValues(t, 3, none.Version, "a put of unchanged values makes no version")
 	for k := range maxLogRecords + 1 {
 		require.True(t, table.Apply(9, putOn(uint64(k+3), uint64(k+5), tenant(3, fmt.Sprint(k+2)))).Done)
 	}
 	require.Len(t, table.log, maxLogRecords)
-	require.Equal(t, -1, table.Apply(9, &Command{Kind: CommandPut, Caller: "b", Seq: 2, Base: 2}).UnlistedDiffering, "the log no longer reaches it")
+	require.Equal(t, -1, table.Apply(9, &Command{Kind: CommandPut, Caller: "b", Seq: 2, Base: 2}).UnlistedDiffering, "the log does not reach back to the base")
 }
 
 func TestCanaryStageEndsByTimeOrRefusal(t *testing.T) {
 	table := NewTable()
 	table.Apply(100*ms, putOn(0, 1, tenant(1, "1")))
-	table.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the canary stage of the one before
+	table.Apply(200*ms, putOn(1, 2, tenant(1, "2"))) // waits for the end of the canary stage of version 1
 	require.EqualValues(t, 1, table.Head().Canary.Version)
 	require.Nil(t, table.DueAdvance(100*ms+canaryDuration-1))
 	require.False(t, table.Apply(100*ms+canaryDuration-1, &Command{Kind: CommandAdvance, Version: 1}).Done, "too early")
@@ -65,13 +67,13 @@
 	require.Equal(t, "n7", table.Head().StoppedBy)
 	back := table.Apply(100_000*ms, &Command{Kind: CommandRollback, Caller: "a", Seq: 3, Version: 1})
 	require.EqualValues(t, 3, back.Version, "a rollback makes a new version")
-	require.EqualValues(t, Revision{3, table.log[0].Digest}, table.Head().All, "it was in force for all before")
+	require.EqualValues(t, Revision{3, table.log[0].Digest}, table.Head().All, "a rollback skips the canary stage")
 	require.False(t, table.Head().Stopped)
 	require.Contains(t, table.Apply(1, &Command{Kind: CommandRollback, Caller: "a", Seq: 4, Version: 2}).Refused, "never in force for all")
 
 }
 
-// The table's time may be slower than real time; a replica's own clock counts as well.
+// The time of the table can lag real time. The canary stage must then end by the clock of the proposing replica.
 func TestCanaryStageEndsByTheClockOfAReplica(t *testing.T) {
 	table := NewTable()
 	table.Apply(100*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
@@ -80,13 +82,13 @@
 	require.False(t, table.Apply(200*ms, &Command{Kind: CommandAdvance, Version: 2, CanaryTime: canaryDuration}).Done)
 	require.True(t, table.Apply(200*ms, table.DueAdvanceAfter(canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
-	require.Nil(t, table.DueAdvanceAfter(canaryDuration), "nothing is at the canary stage")
+	require.Nil(t, table.DueAdvanceAfter(canaryDuration), "no version is at the canary stage")
 	table.Apply(300*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
 	table.Apply(400*ms, &Command{Kind: CommandStop, Version: 2, Node: "b", Reason: "can't"})
-	require.Nil(t, table.DueAdvanceAfter(100*canaryDuration), "a stopped version goes no further")
+	require.Nil(t, table.DueAdvanceAfter(100*canaryDuration), "a stopped version does not advance")
 }
 
-func TestLongChangeComesInPieces(t *testing.T) {
+func TestLongChangeIsCommittedWithLastPiece(t *testing.T) {
 	table := NewTable()
 	piece := func(seq uint64, from string, n int, more bool, list ...Item) Verdict {
 		return table.Apply(int64(seq)*ms, &Command{Kind: CommandPut, Caller: from, Seq: seq, Piece: n, MorePieces: more, Changes: list})
@@ -104,7 +106,8 @@
 	require.Contains(t, table.Apply(1, putOn(1, 10, tenant(1, `{ "a":1}`))).Refused, `tenants "t1" is not in canonical form`)
 }
 
-func TestNewGroupCountsOn(t *testing.T) {
+// A consensus group that lost its state must not reuse version numbers: the first put names the highest version that any node has.
+func TestFirstPutContinuesVersionNumbers(t *testing.T) {
 	table := NewTable()
 	c := putOn(0, 1, tenant(1, "1"))
 	c.Version = 500
@@ -112,8 +115,9 @@
 	require.EqualValues(t, 502, table.Apply(1, putOn(501, 2, tenant(1, "2"))).Version)
 }
 
-// One of two tables is restored from a snapshot after each random command.
-func TestSameCommandsMakeSameTables(t *testing.T) {
+// Applies random commands to two tables, of which one is restored from its snapshot after each command. Their verdicts and snapshots must be
+// equal, else replicas would diverge after a restart.
+func TestEqualCommandsMakeEqualTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewTable()
 		b := NewTable()
@@ -166,7 +170,7 @@
 	corrupted := append([]byte{}, one...)
 	for k := 0; k < len(corrupted); k += 7 {
 		corrupted[k] ^= 4
-		if y, err := Restore(corrupted); err == nil { // the digests are checked
+		if y, err := Restore(corrupted); err == nil { // a corrupted snapshot that Restore accepts must still match its digests
 			require.Equal(t, y.head.All.Digest, y.all.Digest())
 			require.Equal(t, y.head.Canary.Digest, y.canary.Digest())
 		}
@@ -174,7 +178,7 @@
 	}
 }
 
-// A replicator's agreed state is retained while the table goes on past the bound of its log.
+// A replicator retains the agreed state of an earlier time. It must not change when the table drops records from its log.
 func TestAgreedStateIsNotModified(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, putOn(0, 1, tenant(0, "1")))
--- a/internal/fleet/configsync/versions.go
+++ b/internal/fleet/configsync/versions.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// commit makes a content the newest version. One that equals the newest makes none, unless a rollback brings it in force for all.
+// commit makes a content the newest version. A content equal to the newest one makes no new version, except in a rollback while the newest
+// version is not in force for all nodes.
 func (t *Table) commit(at int64, c *Command, next *Content, v *Verdict) {
 	rollback := c.Kind == CommandRollback
 	v.Done = true
@@ -22,7 +23,7 @@
 	v.Version = record.Version
 	t.appendLog(record, fits)
 	switch {
-	case rollback: // it was in force for all before
+	case rollback: // skips the canary stage: the content was in force for all nodes before
 		t.head.Canary = Revision{record.Version, record.Digest}
 		t.canary = next
 		t.promote(at)
@@ -31,7 +32,8 @@
 	}
 }
 
-// fillChanges sets a record's changes, without those that change nothing. It is false for more than the log can hold, and stops then.
+// fillChanges stores the differences between two contents in the record. It stops and returns false as soon as the record exceeds the
+// capacity of the log.
 func (r *Record) fillChanges(before, after *Content) bool {
 	for difference := Diff(before, after); ; {
 		changes := difference.Next(maxLogRecords)
@@ -49,7 +51,7 @@
 	}
 }
 
-// appendLog appends a record, or begins an empty log where that doesn't fit.
+// appendLog appends a record to the log and drops the oldest records beyond its capacity. A record that does not fit empties the log.
 func (t *Table) appendLog(record *Record, fits bool) {
 	if !fits {
 		t.log = nil
@@ -65,7 +67,7 @@
 	}
 }
 
-// startCanary begins the canary stage of the newest version, with all that it is made on.
+// startCanary begins the canary stage of the newest version, which includes the changes of the versions that were waiting before it.
 func (t *Table) startCanary(at int64) {
 	t.head.Canary = Revision{t.head.Newest, t.newest.Digest()}
 	t.head.Stopped = false
@@ -75,7 +77,8 @@
 	t.canarySince = at
 }
 
-// promote has the version at the canary stage in force for all. What was agreed on meanwhile is at the canary stage next, as one.
+// promote brings the version at the canary stage into force for all nodes. Versions that were committed in the meantime enter the canary
+// stage together, as the newest of them.
 func (t *Table) promote(at int64) {
 	t.rollbackVersions = append(t.rollbackVersions, t.head.All.Version)
 	if len(t.rollbackVersions) > maxLogRecords {
@@ -83,15 +86,15 @@
 	}
 	t.head.All = t.head.Canary
 	t.all = t.canary
-	first := t.head.Newest + 1
+	oldestInLog := t.head.Newest + 1
 	if len(t.log) > 0 {
-		first = t.log[0].Version
+		oldestInLog = t.log[0].Version
 	}
-	t.rollbackVersions = slices.DeleteFunc(t.rollbackVersions, func(version uint64) bool { return version+1 < first })
+	t.rollbackVersions = slices.DeleteFunc(t.rollbackVersions, func(version uint64) bool { return version+1 < oldestInLog })
 	t.startCanary(at)
 }
 
-// refuseStale refuses a change that was made on another version, and names the items that changed since.
+// refuseStale refuses a change whose base is not the newest version, and lists the items that changed since that base.
 func (t *Table) refuseStale(base uint64, v *Verdict) {
 	v.Stale = true
 	v.Refused = fmt.Sprintf("made on version %d, the newest is %d; look at what differs and put it again", base, t.head.Newest)
@@ -120,7 +123,8 @@
 	}
 }
 
-// applyRollback makes a new version of an older one's content. That one was in force for all, so this one is at once.
+// applyRollback makes a new version with the content of an older one. The older version was in force for all nodes, so the new version
+// skips the canary stage.
 func (t *Table) applyRollback(at int64, c *Command, v *Verdict) {
 	if c.Version == t.head.All.Version {
 		t.commit(at, c, t.all, v)
