--- a/internal/fleet/membership/config.go
+++ b/internal/fleet/membership/config.go
@@ -54,7 +54,7 @@
 const (
 	maxReconnects     = 8           // last pings to lost members whose answers are accepted
 	reconnectInterval = 1_000 * ms  // ns between pings to lost members
-	joinInterval      = 500 * ms    // ns between requests to seeds, doubled up to maxJoinBackoff
+	joinInterval      = 500 * ms    // ns between requests to seeds; doubles with each pass over the seeds, up to maxJoinBackoff
 	maxJoinBackoff    = 4_000 * ms  // ns
 	syncDelay         = 1_500 * ms  // ns that a neighbour's digest must differ before a table exchange
 	syncInterval      = 3_000 * ms  // ns between table exchanges
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -101,7 +101,7 @@
 		return
 	}
 	l.up = false
-	l.lostBefore = true
+	l.wentDown = true
 	m.linksDirty = true
 	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
 	m.members[l.member].lossReportedBy = m.members[0].id
@@ -143,9 +143,9 @@
 	m.send(m.members[l.member].record.Address, &ping)
 }
 
-// publishLinks publishes this node's links in its record if they changed. Lost links are published first, at intervals of at
-// least publishInterval. A regained link is published sooner, since all nodes must learn of it before the suspicion timeout
-// ends. Added links can wait for gainedPublishInterval.
+// publishLinks publishes this node's links in its record if they changed. A lost link is published at once, except that
+// publications are at least publishInterval apart. A regained link may follow sooner, since all nodes must learn of it before
+// the suspicion timeout ends. If links were only added, they wait for gainedPublishInterval.
 func (m *Members) publishLinks() {
 	if !m.linksDirty || m.ownTime < m.publishAt || m.members[0].record.Left {
 		return
@@ -169,9 +169,9 @@
 	}
 }
 
-// containsAll reports whether ids, in ascending order, contains all of the others.
-func containsAll(ids, all []ID) bool {
-	for _, id := range all {
+// containsAll reports whether ids, in ascending order, contains all of others.
+func containsAll(ids, others []ID) bool {
+	for _, id := range others {
 		if _, found := slices.BinarySearch(ids, id); !found {
 			return false
 		}
@@ -184,7 +184,7 @@
 	member                         int32
 	wanted, suspect                bool
 	up                             bool // a ping sent within Config.LinkTimeout was answered
-	lostBefore                     bool // it went down and has not come up since
+	wentDown                       bool // it went down and has not come up since
 	openedAt                       int64
 	keepUntil                      int64 // until then it stays open although unwanted
 	confirmedAt                    int64 // when the last answered ping was sent
@@ -239,8 +239,8 @@
 	l.up = true
 	m.linksDirty = true
 	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
-	if l.lostBefore || peer.inView && !peer.reachable {
-		l.lostBefore = false
+	if l.wentDown || peer.inView && !peer.reachable {
+		l.wentDown = false
 		m.linkRegained = true
 		m.publishAt = min(m.publishAt, m.publishedAt+regainedPublishInterval)
 	}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -349,8 +349,7 @@
 	assert.Less(t, regainedPublishInterval+gossipInterval+traversalInterval, testConfig.SuspicionTimeout)
 }
 
-// A table exchange during gossip would transfer records that gossip delivers anyway, so it waits until gossip is quiet, but
-// not forever.
+// A table received during gossip would be outdated at once, so an exchange waits until gossip is quiet, but not forever.
 func TestTableSyncWaitsForQuietGossip(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d")
 	stepWithDifferingDigests := func(at int64) (exchanges int) { // counts exchanges; all neighbours answer pings with another digest
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -26,7 +26,7 @@
 			if m.lastTraversal[j] == m.traversal || m.adjacency[j].left {
 				continue
 			}
-			if m.lastTraversal[j] != last {
+			if m.lastTraversal[j] != last { // newly reachable
 				peer := &m.members[j]
 				peer.reachable, peer.unreachableSince, m.upToDate[j] = true, 0, false
 			}
@@ -34,8 +34,8 @@
 			m.stack = append(m.stack, int32(j))
 		}
 	}
-	for i, at := range m.lastTraversal {
-		if at != last {
+	for i, number := range m.lastTraversal {
+		if number != last { // either reachable still, or not reachable before
 			continue
 		}
 		peer := &m.members[i]
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -28,7 +28,7 @@
 }
 
 // syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for syncDelay. It waits until gossip is
-// quiet, since gossip can resolve the difference, but for maxSyncDeferral at most.
+// quiet, since a table received earlier would be outdated at once, but for maxSyncDeferral at most.
 func (m *Members) syncWithNeighbour() {
 	if m.syncExchangeID != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
 		m.syncExchangeID = 0
@@ -105,14 +105,14 @@
 }
 
 // answerSync answers an exchange that a peer opened.
-func (m *Members) answerSync(link int, msg *Message) {
+func (m *Members) answerSync(exchangeID int, msg *Message) {
 	answer := Message{Kind: MessageSyncAnswer, From: m.members[0].id}
 	switch msg.Kind {
 	case MessageSyncRequest:
-		if why := m.rejectReason(msg); why != "" {
+		if reason := m.rejectReason(msg); reason != "" {
 			m.Counters.NameConflicts++
-			m.log(true, "%s", why)
-			m.emit(Effect{Kind: Reply, ExchangeID: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Detail: why}})
+			m.log(true, "%s", reason)
+			m.emit(Effect{Kind: Reply, ExchangeID: exchangeID, Message: Message{Kind: MessageReject, From: m.members[0].id, Detail: reason}})
 			return
 		}
 		m.syncRequestNumber++
@@ -143,7 +143,7 @@
 			m.applyRecord(&msg.Records[k], -1)
 		}
 	}
-	m.emit(Effect{Kind: Reply, ExchangeID: link, Message: answer})
+	m.emit(Effect{Kind: Reply, ExchangeID: exchangeID, Message: answer})
 }
 
 // rejectReason returns why the sender of a sync request is rejected, or "" if it is not. It is rejected if a reachable member
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -44,7 +44,7 @@
 // updateViewMember sets the status of a member of the view, or removes it from the view.
 func (m *Members) updateViewMember(i int32) {
 	peer := &m.members[i]
-	lossEndsAt := max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil)
+	suspicionEndsAt := max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil)
 	switch {
 	case peer.record.Left:
 		m.leaveView(peer, Departed)
@@ -59,13 +59,13 @@
 		m.setStatus(peer, Suspect)
 	case peer.record.Facts.DrainPhase > 0:
 		m.leaveView(peer, Departed)
-	case m.ownTime >= lossEndsAt:
+	case m.ownTime >= suspicionEndsAt:
 		peer.flaps = min(peer.flaps+1, maxFlaps)
 		peer.lastFlapAt = m.ownTime
 		m.leaveView(peer, Lost)
 	default:
 		m.setStatus(peer, Suspect)
-		m.nextViewAt = min(m.nextViewAt, lossEndsAt)
+		m.nextViewAt = min(m.nextViewAt, suspicionEndsAt)
 	}
 }
 
@@ -73,16 +73,16 @@
 // the view for the forget timeout.
 func (m *Members) updateOutsider(i int32) {
 	peer := &m.members[i]
-	outFor := m.ownTime - peer.outOfViewSince
+	timeOutside := m.ownTime - peer.outOfViewSince
 	switch {
 	case peer.reachable && !peer.record.Left && m.ownTime >= m.flapDampedUntil(peer):
 		m.enterView(peer)
 	case peer.reachable && !peer.record.Left:
 		m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(peer))
-	case peer.inDigest && outFor > digestRetention:
+	case peer.inDigest && timeOutside > digestRetention:
 		m.digest ^= peer.recordHash()
 		peer.inDigest = false
-	case outFor > m.config.ForgetTimeout:
+	case timeOutside > m.config.ForgetTimeout:
 		m.forgetMember(i)
 	}
 }
@@ -96,6 +96,7 @@
 	return peer.lastFlapAt + reconnectInterval<<(peer.flaps-2)
 }
 
+// setStatus sets the status of a member, and since when it has it.
 func (m *Members) setStatus(peer *member, s Status) {
 	if peer.status != s {
 		peer.status, peer.statusSince = s, m.ownTime
