--- a/integration/configsync_test.go
+++ b/integration/configsync_test.go
@@ -245,7 +245,7 @@
 	}
 	log := &f.nodes[2].logText
 	assert.Eventually(t, func() bool {
-		return strings.Contains(log.String(), "configuration 3 can't be taken, 2 stays in force")
+		return strings.Contains(log.String(), "configuration: version 3 can't be applied, version 2 stays in force")
 	}, testTimeout, 20*time.Millisecond, "%s", log)
 }
 
--- a/internal/fleet/configsync/apply.go
+++ b/internal/fleet/configsync/apply.go
@@ -7,22 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const canaryOneIn = 32 // one node in so many is drawn for the canary stage, and one of each zone
+const canaryOneIn = 32 // one node in canaryOneIn is drawn for the canary stage, and at least one of each zone
 
-// goal is what is to be fetched next, if anything: what is in force for all, then what is at the canary stage.
+// goal returns the revision to fetch next, if any: first the one in force for all, then the one at the canary stage.
 func (r *Replicator) goal() (Revision, bool) {
 	switch {
 	case r.head.All.Version > r.ready.Version:
 		return r.head.All, true
-	case r.ready == r.head.All && r.applied.Version < r.ready.Version && r.ready != r.refused: // it is applied first
+	case r.ready == r.head.All && r.applied.Version < r.ready.Version && r.ready != r.refused: // apply it before fetching the canary version
 	case r.head.Canary.Version > r.ready.Version && !r.head.Stopped:
 		return r.head.Canary, true
 	}
 	return Revision{}, false
 }
 
-// isCanary reports whether this node is at the canary stage of a version: one in 32, the first of its zone, and those that refused
-// another.
+// isCanary reports whether this node applies a version at its canary stage: one node in canaryOneIn does, the first of each zone, and a
+// node that refused a version newer than the one it applied.
 func (r *Replicator) isCanary(version uint64) bool {
 	if r.refused.Version > r.applied.Version {
 		return true
@@ -34,9 +34,9 @@
 }
 
 func (r *Replicator) drawCanary(version uint64) bool {
-	mine := canaryHash(r.config.Name, version)
-	return mine%canaryOneIn == 0 || !slices.ContainsFunc(r.view.Zone, func(name string) bool {
-		return name != r.config.Name && canaryHash(name, version) < mine
+	own := canaryHash(r.config.Name, version)
+	return own%canaryOneIn == 0 || !slices.ContainsFunc(r.view.Zone, func(name string) bool {
+		return name != r.config.Name && canaryHash(name, version) < own
 	})
 }
 
@@ -44,16 +44,16 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%d", name, version))
 }
 
-// advance goes on with what is at hand.
+// advance makes versions ready from content that this node already has, and starts applying the ready one.
 func (r *Replicator) advance(now int64, effects []Effect) []Effect {
 	r.takeAgreedContent()
 	r.trackGoal(now)
-	r.useOffers(now)
-	effects = r.orderStop(now, effects)
+	r.useOfferedRecords(now)
+	effects = r.proposeStop(now, effects)
 	return r.applyReady(effects)
 }
 
-// takeAgreedContent takes the goal from the table, at a replica's own node.
+// takeAgreedContent makes the goal ready from the table's content, on a node with a replica.
 func (r *Replicator) takeAgreedContent() {
 	goal, ok := r.goal()
 	if !ok || r.agreed == nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// useOffers takes records that came with a neighbour's announcement.
-func (r *Replicator) useOffers(now int64) {
+// useOfferedRecords extends the record chain by records that a neighbour sent with its announcement.
+func (r *Replicator) useOfferedRecords(now int64) {
 	if _, ok := r.goal(); !ok || r.chain.content != nil {
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// applyReady has the ready version applied where it is its stage, or checked while it is at the canary stage of others.
+// applyReady applies the ready version if its stage includes this node, or checks it while only canaries apply it.
 func (r *Replicator) applyReady(effects []Effect) []Effect {
 	if r.applying.Version > 0 || r.ready.Version <= r.applied.Version || r.ready == r.refused {
 		return effects
@@ -108,7 +108,7 @@
 	if canary && r.head.Stopped || !canary && r.ready != r.head.All {
 		return effects
 	}
-	if canary && !r.isCanary(r.ready.Version) { // a refusal anywhere stops a version while it is at the canary stage
+	if canary && !r.isCanary(r.ready.Version) { // a refusal by any node stops a version at the canary stage
 		return r.checkReady(effects)
 	}
 	r.applying = r.ready
@@ -124,7 +124,7 @@
 	return append(effects, Effect{Kind: CheckVersion, Revision: r.ready, Canary: true, Old: r.appliedContent, New: r.readyContent})
 }
 
-// handleChecked takes the result of a check.
+// handleChecked handles the result of a CheckVersion effect.
 func (r *Replicator) handleChecked(now int64, in *Input, effects []Effect) []Effect {
 	if in.Why == "" || in.Revision != r.validating || in.Revision == r.refused || in.Revision == r.applying || in.Revision == r.applied {
 		return effects
@@ -132,7 +132,7 @@
 	return r.refuse(now, in.Revision, in.Why, effects)
 }
 
-// handleApplied takes the result of applying a version.
+// handleApplied handles the result of an ApplyVersion effect.
 func (r *Replicator) handleApplied(now int64, in *Input, effects []Effect) []Effect {
 	if in.Revision != r.applying || r.applying.Version == 0 {
 		return effects
@@ -155,12 +155,12 @@
 	return r.persist(effects)
 }
 
-// refuse notes that a version can't be applied here, and reports it.
-func (r *Replicator) refuse(now int64, revision Revision, why string, effects []Effect) []Effect {
+// refuse records that a version can't be applied on this node, and schedules a report to a replica.
+func (r *Replicator) refuse(now int64, revision Revision, reason string, effects []Effect) []Effect {
 	r.refused = revision
-	r.refusedReason = truncate(why, maxReasonBytes)
+	r.refusedReason = truncate(reason, maxReasonBytes)
 	r.Counters.Refused++
 	r.reports.dueAt = min(r.reports.dueAt, now)
 	r.recordOwnStatus(now)
-	return append(effects, warning("configuration %d can't be taken, %d stays in force: %s", revision.Version, r.applied.Version, r.refusedReason))
+	return append(effects, warning("configuration: version %d can't be applied, version %d stays in force: %s", revision.Version, r.applied.Version, r.refusedReason))
 }
--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -1,6 +1,6 @@
-// Package configsync agrees on the versions of a fleet's configuration and spreads them: Table decides which version is agreed on, and
-// Replicator which one a node has and whom it asks for what is missing. It does no I/O, reads no clock, and never looks into a value:
-// items are names and canonical JSON.
+// Package configsync agrees on the versions of a fleet's configuration and distributes them: Table, replicated by a consensus group,
+// decides which version is agreed on; Replicator, on each node, tracks which version the node has and fetches newer ones from its peers.
+// The package does no I/O, reads no clock, and does not interpret values: an item is a name with a value in canonical JSON.
 package configsync
 
 import (
@@ -11,49 +11,48 @@
 
 const never = 1<<63 - 1 // ns
 
-// ReplicatorConfig is a replicator's configuration.
 type ReplicatorConfig struct {
 	Name string
 	Seed int64
 }
 
-// InitialState is what a node has at its start.
+// InitialState is the content that a node starts with.
 type InitialState struct {
-	ContentRevision Revision // version 0 where it is the file's
+	ContentRevision Revision // version 0 if Content comes from the configuration file
 	Content         *Content
-	Source          string // shown to operators: disk, file
-	Journal         int    // bytes of records on disk behind the content that was read; -1 where all must be rewritten
+	Source          string // shown to operators: "disk" or "file"
+	Journal         int    // bytes of records on disk that follow the stored content; -1 if the whole file must be rewritten
 }
 
-// Counters are a replicator's counters as operators see them. Bytes are estimates by message.
+// Counters are a replicator's counters as shown to operators. Byte counts are estimates, summed up by message.
 type Counters struct {
 	Applied          int   `json:"taken"`
 	Refused          int   `json:"refused"`
-	InvalidResponses int   `json:"lies"`    // of peers: what doesn't match its digest, or is denied by the replicas
-	Busy             int   `json:"busy"`    // fetches of others that were put off
-	Missed           int   `json:"missed"`  // fetches that failed
-	Dropped          int   `json:"dropped"` // reports of others that were not answered
+	InvalidResponses int   `json:"lies"`    // from peers: content that does not match its digest, or versions that the replicas deny
+	Busy             int   `json:"busy"`    // fetches of other nodes that were deferred
+	Missed           int   `json:"missed"`  // fetches of this node that failed
+	Dropped          int   `json:"dropped"` // reports of other nodes that were not answered
 	BytesSent        int64 `json:"bytes_sent"`
 	BytesReceived    int64 `json:"bytes_came"`
 }
 
-// diskState is what the disk holds.
+// diskState describes what is stored on disk.
 type diskState struct {
 	revision    Revision
-	journalSize int  // bytes of records behind the content
-	rewrite     bool // the next write must be of the whole content
+	journalSize int  // bytes of records that follow the content
+	rewrite     bool // the next write must store the whole content
 }
 
-// canaryState is the last version that was drawn for, and whether this node is at its canary stage.
+// canaryState caches, for one version, whether this node belongs to its canary stage.
 type canaryState struct {
 	version uint64
 	member  bool
 }
 
-// Replicator is a node's side: which version it has, whom it asks for what is missing, and what it announces to others.
+// Replicator tracks the versions that a node has, fetches missing ones from peers, and announces its own to neighbours.
 type Replicator struct {
 	Counters Counters
-	Statuses StatusTable // at a replica of the group: the nodes' reports
+	Statuses StatusTable // on a replica: the statuses that nodes reported
 
 	config    ReplicatorConfig
 	random    *rand.Rand
@@ -61,48 +60,48 @@
 	startedAt int64
 	view      View
 	peers     map[string]*peer
-	tokens    int64  // bytes that may be sent now
-	changes   uint64 // counts what is to be announced
+	tokens    int64  // bytes that may be sent now; negative while in debt
+	changes   uint64 // incremented with each change that neighbours must be told
 
-	agreed       *Agreed // at a replica of the group
-	groupCurrent bool    // at a replica: it is in contact with the group
+	agreed       *Agreed // state of the table on a replica, nil elsewhere
+	groupCurrent bool    // on a replica: it is in contact with the consensus group
 
-	head               HeadRevision // confirmed
-	confirmed          []Revision   // the last that were confirmed, by version
-	confirmedAt        int64        // last confirmation, 0 for never
-	conflicting        Revision     // the last that a replica confirmed against an earlier confirmation
-	confirmations      int64        // given since confirmationsSince, at a replica
+	head               HeadRevision // the newest head that a replica confirmed
+	confirmed          []Revision   // the last confirmed revisions, in order of version
+	confirmedAt        int64        // time of the last confirmation, 0 for never
+	conflicting        Revision     // the last revision confirmed by a replica that contradicts an earlier confirmation
+	confirmations      int64        // on a replica: reports received since confirmationsSince
 	confirmationsSince int64
-	stopOrderedAt      int64
+	stopProposedAt     int64
 
 	applied         Revision
 	appliedContent  *Content
 	appliedAt       int64
-	ready           Revision // complete here, and not lower than applied
+	ready           Revision // the newest revision with complete content here; its version is at least applied's
 	readyContent    *Content
 	applying        Revision
 	applyingContent *Content
-	validating      Revision // was given to be checked before its stage
+	validating      Revision // last passed to a CheckVersion effect, while only canaries apply it
 	refused         Revision
 	refusedReason   string
 	canary          canaryState
 
-	log        []*Record // that lead to ready
+	log        []*Record // consecutive records, the last of which leads to ready
 	logSize    int
-	spanDeltas blockDeltas // the last step over versions whose records aren't known
+	spanDeltas blockDeltas // changes of the last move to ready that skipped versions whose records are unknown
 	disk       diskState
 
 	reports        reportState
-	goalSince      int64 // since when there is a goal, 0 for none
+	goalSince      int64 // since when there has been a goal, 0 for none
 	fetch          fetchState
 	chain          recordChain
 	assembly       blockAssembly
-	admissionSlots [2]int64 // when the next neighbour, and the next other, that is put off may ask again
+	admissionSlots [2]int64 // when the next deferred peer may ask again: neighbours, other peers
 	refilledAt     int64
-	skipDigests    bool // fault injection of tests: digests are not compared
+	skipDigests    bool // fault injected by tests: digests are not compared
 }
 
-// NewReplicator returns a replicator that begins with what a node has.
+// NewReplicator returns a replicator that starts with the given content.
 func NewReplicator(now int64, config ReplicatorConfig, start InitialState) *Replicator {
 	if start.Content == nil {
 		start.Content = &Content{}
@@ -127,7 +126,7 @@
 		},
 	}
 	digest := start.Content.Digest()
-	if digest != start.ContentRevision.Digest { // of no agreed version, whatever it is called
+	if digest != start.ContentRevision.Digest { // the content belongs to no agreed version, whatever version it names
 		r.applied = Revision{Digest: digest}
 		r.ready = r.applied
 		r.disk.revision = r.applied
@@ -139,31 +138,30 @@
 
 func (r *Replicator) randomUpTo(limit int64) int64 { return r.random.Int63n(limit) + 1 }
 
-// jitter is a random time between three quarters and five quarters.
+// jitter returns a random duration between 3/4 and 5/4 of ns.
 func (r *Replicator) jitter(ns int64) int64 { return ns*3/4 + r.randomUpTo(ns/2) }
 
-// Revision is the revision that is in force.
+// Revision returns the revision in force on this node.
 func (r *Replicator) Revision() Revision { return r.applied }
 
-// Content is the content that is in force.
+// Content returns the content in force on this node.
 func (r *Replicator) Content() *Content { return r.appliedContent }
 
-// Status is a replicator's state as operators see it.
+// Status is a replicator's state as shown to operators.
 type Status struct {
 	Revision Revision `cbor:"Mark" json:"Mark"`
-	Source   string   // of Revision: disk, file, fleet
+	Source   string   // where Revision came from: "disk", "file" or "fleet"
 	Ready    Revision
 	Head     HeadRevision
-	TakenNS  int64 // since Revision is in force here
-	HeardNS  int64 // since the last confirmation; -1 for never
-	Behind   bool  // something newer is in force for all, as far as known
-	BehindNS int64
+	TakenNS  int64 // ns since Revision came into force on this node
+	HeardNS  int64 // ns since the last confirmation; -1 for never
+	Behind   bool  // a newer version is known to be in force for all nodes
+	BehindNS int64 // ns since a newer version became known; 0 if not Behind
 	Refused  Revision
-	Why      string
+	Why      string // reason of Refused
 	Counters Counters
 }
 
-// Status returns this node's status.
 func (r *Replicator) Status(now int64) Status {
 	status := Status{
 		Revision: r.applied,
@@ -186,7 +184,7 @@
 	return status
 }
 
-// Step handles what happened, and returns what is to be done and the latest time of the next step.
+// Step handles inputs and due timers. It returns the effects to carry out and the time by which Step must be called again.
 func (r *Replicator) Step(now int64, inputs []Input) (effects []Effect, wake int64) {
 	r.refillTokens(now)
 	for k := range inputs {
@@ -245,7 +243,7 @@
 	case MessageReport:
 		return r.handleReport(now, in.From, in.Message, effects)
 	case MessageConfirm:
-		if !slices.Contains(r.view.Replicas, in.From) { // only replicas confirm
+		if !slices.Contains(r.view.Replicas, in.From) { // only replicas may confirm
 			r.penalize(now, p)
 			return effects
 		}
@@ -258,7 +256,7 @@
 	return Effect{Kind: WriteLog, Warn: true, Text: fmt.Sprintf(format, args...)}
 }
 
-// nextDeadline is when the next timer expires.
+// nextDeadline returns the time at which the next timer expires.
 func (r *Replicator) nextDeadline(now int64) int64 {
 	return min(r.reports.deadline(), r.announceDeadline(now), r.fetchDeadline(now), r.stopDeadline())
 }
--- a/internal/fleet/configsync/reports.go
+++ b/internal/fleet/configsync/reports.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	minReportInterval         = 100 * ms    // ns between reports, whatever is unconfirmed
+	minReportInterval         = 100 * ms    // ns between reports at the least, even while a version is unconfirmed
 	reportInterval            = 20_000 * ms // ns between reports without a change
-	unconfirmedReportSpread   = 40 * ms     // ns over which a fleet's reports on one unconfirmed version are drawn
-	appliedReportSpread       = 1_000 * ms  // ns over which reports are drawn that only say what is in force
-	minAnswerTimeout          = 400 * ms    // ns that a replica's answer is waited for at first: twice a round trip between regions
-	maxAnswerTimeout          = 4_000 * ms  // ns, once all replicas were asked: a region that was cut off learns of the end within that
-	maxConfirmationsPerSecond = 2_000       // reports that a replica answers: thrice a fleet's share of one change
-	stopRetryInterval         = 500 * ms    // ns until a stop is ordered again
+	unconfirmedReportSpread   = 40 * ms     // ns over which the nodes' reports on one unconfirmed version are spread at random
+	appliedReportSpread       = 1_000 * ms  // ns over which reports that only state the applied version are spread at random
+	minAnswerTimeout          = 400 * ms    // ns of the first wait for a replica's answer: two round trips between regions
+	maxAnswerTimeout          = 4_000 * ms  // ns of the wait after several rounds over all replicas: bounds how late a node notices that a partition has healed
+	maxConfirmationsPerSecond = 2_000       // reports that a replica answers: three times its share of a fleet's reports on one change
+	stopRetryInterval         = 500 * ms    // ns before an unanswered stop command is proposed again
 )
 
-// reportState is when this node reports to a replica.
+// reportState schedules this node's reports to the replicas.
 type reportState struct {
 	dueAt              int64
 	sentAt             int64
 	seq                uint32 // of the last report
-	answerDeadline     int64  // of the last report, 0 while no answer is awaited
+	answerDeadline     int64  // for the answer to the last report, 0 while no answer is awaited
 	attempts           int
-	unconfirmedAnswers int    // answers in a row that did not confirm what peers announced
+	unconfirmedAnswers int    // consecutive answers that did not confirm the versions announced by peers
 	deniedSeq          uint32 // the last report whose answer was counted against peers
 }
 
@@ -36,18 +36,18 @@
 	return max(s.dueAt, s.sentAt+minReportInterval)
 }
 
-// hastenReport has a replica asked soon about an unconfirmed version.
+// hastenReport schedules an early report, to have a replica confirm an announced version.
 func (r *Replicator) hastenReport(now int64) {
 	if r.reports.answerDeadline == 0 {
 		earliest := r.reports.sentAt + minReportInterval<<min(r.reports.unconfirmedAnswers/2, 4)
 		r.reports.dueAt = min(r.reports.dueAt, max(now+r.randomUpTo(unconfirmedReportSpread), earliest))
 		return
 	}
-	// Another replica is asked soon, however long this one is waited for.
+	// Shorten the wait, so that another replica is asked soon.
 	r.reports.answerDeadline = min(r.reports.answerDeadline, max(now, r.reports.sentAt+minAnswerTimeout))
 }
 
-// sendReport reports to a replica where that is due.
+// sendReport sends a report to a replica if one is due.
 func (r *Replicator) sendReport(now int64, effects []Effect) []Effect {
 	if r.reports.answerDeadline > 0 && now >= r.reports.answerDeadline {
 		r.reports.answerDeadline = 0
@@ -58,7 +58,7 @@
 		return effects
 	}
 	replica := r.reportTarget(r.reports.attempts)
-	if replica == "" || r.agreed != nil && !r.hasUnconfirmed(now) { // a replica's own node knows
+	if replica == "" || r.agreed != nil && !r.hasUnconfirmed(now) { // a node with a replica knows the head already
 		r.reports.dueAt = now + r.jitter(reportInterval)
 		return effects
 	}
@@ -70,13 +70,14 @@
 	return append(effects, Effect{Kind: Send, To: replica, Message: m})
 }
 
-// answerTimeout is how long a replica's answer is waited for: longer once all were asked.
+// answerTimeout returns the wait for a replica's answer, doubled with each round over all replicas.
 func (r *Replicator) answerTimeout() int64 {
 	rounds := r.reports.attempts / max(1, len(r.view.Replicas))
 	return min(minAnswerTimeout<<min(rounds, 5), maxAnswerTimeout)
 }
 
-// reportTarget is the replica to ask at an attempt, empty where none is known: each node has its own order of them.
+// reportTarget returns the replica to ask at an attempt, empty if none is known. Each node has its own order of replicas, so that they
+// share the load.
 func (r *Replicator) reportTarget(attempt int) string {
 	if len(r.view.Replicas) == 0 {
 		return ""
@@ -88,7 +89,7 @@
 	return replicas[attempt%len(replicas)]
 }
 
-// handleReport notes a node's report at a replica, and confirms the head.
+// handleReport stores a node's report on a replica, and answers with the head.
 func (r *Replicator) handleReport(now int64, from string, m *Message, effects []Effect) []Effect {
 	if r.agreed == nil {
 		return effects
@@ -108,17 +109,17 @@
 	return append(effects, Effect{Kind: Send, To: from, Message: answer})
 }
 
-// handleConfirmation takes a replica's answer to a report.
+// handleConfirmation handles a replica's answer to a report.
 func (r *Replicator) handleConfirmation(now int64, m *Message, effects []Effect) []Effect {
 	effects = r.confirmAnswer(now, m, effects)
 	if m.Seq != r.reports.seq {
-		return effects // late, and true all the same
+		return effects // a late answer: its head is valid, but it does not end the current attempt
 	}
 	if !r.hasUnconfirmed(now) {
-		r.handleAgreement(now)
+		r.endReportAttempts(now)
 		return effects
 	}
-	r.reports.attempts++ // this replica lags, or what a peer announced is invalid: another replica is asked
+	r.reports.attempts++ // this replica lags, or a peer's announcement is invalid: ask another replica
 	if m.Current {
 		r.countDenials(now)
 	}
@@ -127,7 +128,7 @@
 	return effects
 }
 
-// confirmAnswer confirms the head of an answer, and ends the wait for it.
+// confirmAnswer confirms the head in an answer, and ends the wait if the answer is to the last report.
 func (r *Replicator) confirmAnswer(now int64, m *Message, effects []Effect) []Effect {
 	if m.Seq == r.reports.seq && r.reports.answerDeadline > 0 {
 		r.reports.answerDeadline = 0
@@ -136,9 +137,9 @@
 	return r.confirm(now, m.Head, effects)
 }
 
-// handleAgreement ends the attempts, but for a refused version that goes on: the replica that knows of the refusal may be lost before it
-// had the stop ordered, so another one gets the refusal too.
-func (r *Replicator) handleAgreement(now int64) {
+// endReportAttempts resets the attempts after the replicas confirmed all that peers announced. While the canary version that this node
+// refused isn't stopped, it reports to a further replica: one that got the refusal may fail before it proposes the stop.
+func (r *Replicator) endReportAttempts(now int64) {
 	r.reports.attempts = 0
 	r.reports.unconfirmedAnswers = 0
 	if r.refused.Version > 0 && r.refused == r.head.Canary && !r.head.Stopped && r.head.Canary != r.head.All {
@@ -147,7 +148,7 @@
 	}
 }
 
-// confirm takes a head that a replica confirms. Versions never go back, and one version has one digest.
+// confirm adopts a head that a replica confirmed, if it is newer. A head that has another digest for a known version is logged and ignored.
 func (r *Replicator) confirm(now int64, head HeadRevision, effects []Effect) []Effect {
 	r.confirmedAt = now
 	before, after, conflict := conflictOf(&r.head, &head)
@@ -156,7 +157,7 @@
 			return effects
 		}
 		r.conflicting = after
-		return append(effects, warning("seats vouch for two contents of version %d, %s and %s: they forgot; this node keeps what it has",
+		return append(effects, warning("configuration: replicas confirmed two contents of version %d, %s and then %s: their state was lost; this node ignores the second",
 			after.Version, before.Digest, after.Digest))
 	}
 	if !head.newer(&r.head) {
@@ -178,7 +179,7 @@
 	return effects
 }
 
-// conflictOf returns two revisions of one version with different digests, where two heads have such.
+// conflictOf returns two revisions of the same version with different digests, one from each head, if there are any.
 func conflictOf(a, b *HeadRevision) (before, after Revision, conflict bool) {
 	for _, after := range [...]Revision{b.All, b.Canary} {
 		for _, before := range [...]Revision{a.All, a.Canary} {
@@ -197,32 +198,32 @@
 	}
 }
 
-// recordOwnStatus notes this node's own status at a replica.
+// recordOwnStatus stores this node's own status, on a node with a replica.
 func (r *Replicator) recordOwnStatus(now int64) {
 	if r.agreed != nil {
 		r.Statuses.Report(now, r.config.Name, r.applied, r.refused, r.refusedReason, now-r.appliedAt)
 	}
 }
 
-// orderStop has the version at the canary stage stopped that some node refused, at a replica.
-func (r *Replicator) orderStop(now int64, effects []Effect) []Effect {
-	who, why, refused := r.canaryRefusal()
-	if !refused || now < r.stopOrderedAt+stopRetryInterval {
+// proposeStop proposes, on a replica, to stop the version at the canary stage if a node refused it.
+func (r *Replicator) proposeStop(now int64, effects []Effect) []Effect {
+	node, reason, refused := r.canaryRefusal()
+	if !refused || now < r.stopProposedAt+stopRetryInterval {
 		return effects
 	}
-	r.stopOrderedAt = now
-	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, Node: who, Reason: why}})
+	r.stopProposedAt = now
+	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, Node: node, Reason: reason}})
 }
 
 func (r *Replicator) stopDeadline() int64 {
 	if _, _, refused := r.canaryRefusal(); refused {
-		return r.stopOrderedAt + stopRetryInterval
+		return r.stopProposedAt + stopRetryInterval
 	}
 	return never
 }
 
-// canaryRefusal is a node that refused the version at the canary stage, where that is not stopped yet.
-func (r *Replicator) canaryRefusal() (who, why string, refused bool) {
+// canaryRefusal returns a node that refused the version at the canary stage, unless the version is stopped already.
+func (r *Replicator) canaryRefusal() (node, reason string, refused bool) {
 	if r.agreed == nil || r.head.Stopped || r.head.Canary.Version <= r.head.All.Version {
 		return "", "", false
 	}
