--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -3,36 +3,36 @@
 import "slices"
 
 const (
-	fetchTimeout         = 2_500 * ms  // ns that a fetch may take: a connection and a piece between regions, some times over
-	minFetchBackoff      = 100 * ms    // ns before another peer is asked, doubled up to maxFetchBackoff
+	fetchTimeout         = 2_500 * ms  // ns that a fetch may take: several times the duration of connecting to another region and transferring one answer
+	minFetchBackoff      = 100 * ms    // ns before the next fetch after a failed one, doubled with each failure up to maxFetchBackoff
 	maxFetchBackoff      = 4_000 * ms  // ns
-	replicaFallbackDelay = 1_500 * ms  // ns without a neighbour that has the goal, past which a replica is asked
-	thunderingHerdDelay  = 6_000 * ms  // ns without progress, past which a replica is asked though neighbours fetch the goal too
-	maxNonNeighbourWait  = 16_000 * ms // ns that a busy peer that isn't a neighbour is left alone at the most
-	partialPeerBackoff   = 2_000 * ms  // ns before a peer is asked again that had nothing yet of what it fetches itself
-	partialFetchBackoff  = 500 * ms    // ns before another such peer is asked
+	replicaFallbackDelay = 1_500 * ms  // ns without a neighbour that has the goal, after which a replica is asked
+	thunderingHerdDelay  = 6_000 * ms  // ns without progress, after which a replica is asked even though neighbours are fetching the goal too
+	maxNonNeighbourWait  = 16_000 * ms // ns for which a busy peer that isn't a neighbour is not asked again, at the most
+	partialPeerBackoff   = 2_000 * ms  // ns before asking again a peer that is fetching the goal itself and had no blocks yet
+	partialFetchBackoff  = 500 * ms    // ns before asking another peer that is fetching the goal itself
 )
 
-// fetchState is the fetch in progress.
+// fetchState describes the fetch in progress, and when the next one may start.
 type fetchState struct {
-	link       int // of the last fetch
+	link       int // identifies the last fetch
 	peer       string
 	deadline   int64 // 0 while none is in progress
 	nextAt     int64
 	failures   int
-	progressAt int64 // when content last came
-	from       Revision
-	base       *Content
-	want       Revision
-	partial    bool   // the peer has only some of it
-	index      []byte // by which blocks were requested
-	missing    []byte // a bit for each of them
+	progressAt int64    // when content was last received
+	from       Revision // Has of the request
+	base       *Content // content into which received blocks are merged
+	want       Revision // the goal at the start of the fetch
+	partial    bool     // the peer is fetching want itself, and may have some of its blocks
+	index      []byte   // digests by which blocks were requested
+	missing    []byte   // a bit for each block that was missing when the fetch was sent
 }
 
-// awaits reports whether a fetch with this link is in progress.
+// awaits reports whether the fetch with this link is in progress.
 func (f *fetchState) awaits(link int) bool { return f.deadline > 0 && f.link == link }
 
-// requested is the digest of a block that was requested.
+// requested returns the expected digest of a block, if the block was missing when the fetch was sent.
 func (f *fetchState) requested(n uint16) (Digest, bool) {
 	if int(n) >= Blocks || !bitSet(f.missing, int(n)) {
 		return Digest{}, false
@@ -42,7 +42,7 @@
 
 func bitSet(bits []byte, n int) bool { return n/8 < len(bits) && bits[n/8]>>(n%8)&1 == 1 }
 
-// sendFetch fetches what is missing, where it is time.
+// sendFetch times out an overdue fetch, and starts the next one if there is a goal and the backoff and the rate limit allow it.
 func (r *Replicator) sendFetch(now int64, effects []Effect) []Effect {
 	if r.fetch.deadline > 0 && now >= r.fetch.deadline {
 		r.handleFetchFailure(now)
@@ -76,7 +76,7 @@
 	if r.assembly.index != nil {
 		r.requestMissing(m)
 	}
-	if len(m.Wanted) > 0 { // changes of blocks are from ready to the index's revision
+	if len(m.Wanted) > 0 { // changes in answered blocks lead from ready to the index's revision
 		m.Has = r.ready
 		m.Want = r.assembly.revision
 	} else {
@@ -100,7 +100,8 @@
 	return r.fetch.nextAt
 }
 
-// choosePeer is whom to ask for a version: a neighbour that has it, or a replica once none had it for a while.
+// choosePeer returns the peer to ask for the goal, nil if none may be asked now: a neighbour that is ahead of this node; else, after a
+// while, a neighbour that is fetching the goal too, or a replica.
 func (r *Replicator) choosePeer(now int64, goal Revision) *peer {
 	r.fetch.partial = false
 	at := max(r.ready.Version, r.chain.revision.Version)
@@ -123,12 +124,12 @@
 	return candidates[k]
 }
 
-// available reports whether a peer may be asked now.
+// available reports whether a peer may be asked now: it is not penalized, and its retry delay is over.
 func (p *peer) available(now int64) bool { return p.backoffUntil <= now && p.retryAt <= now }
 
-// neighboursAhead are the neighbours that have the goal, or else those that have a confirmed version on the way there.
+// neighboursAhead returns the neighbours that have the goal, or else those that have a confirmed version between this node's and the goal.
 func (r *Replicator) neighboursAhead(now int64, goal Revision, at uint64) []*peer {
-	var complete, onTheWay []*peer
+	var complete, intermediate []*peer
 	for _, name := range r.view.Neighbours {
 		p := r.peers[name]
 		if p == nil || !p.available(now) || p.ready.Version <= at {
@@ -137,21 +138,21 @@
 		if p.ready.Version >= goal.Version {
 			complete = append(complete, p)
 		} else if r.isConfirmed(p.ready) {
-			onTheWay = append(onTheWay, p)
+			intermediate = append(intermediate, p)
 		}
 	}
 	if len(complete) > 0 {
 		return complete
 	}
-	return onTheWay
+	return intermediate
 }
 
 func (r *Replicator) isConfirmed(revision Revision) bool {
 	return slices.Contains(r.confirmed, revision)
 }
 
-// neighboursFetching are the neighbours that fetch the goal too, and may have blocks of it: those that may be asked now, and how many
-// there are in all.
+// neighboursFetching returns the neighbours that are fetching the goal too, and so may have some of its blocks: those that may be asked
+// now, and the number of all.
 func (r *Replicator) neighboursFetching(now int64, goal Revision, at uint64) (available []*peer, all int) {
 	if r.chain.content != nil || r.assembly.index == nil && now < r.goalSince+replicaFallbackDelay {
 		return nil, 0
@@ -183,7 +184,7 @@
 	r.fetch.failures++
 }
 
-// handleFetchAnswer takes the answer to a fetch.
+// handleFetchAnswer handles the answer to the fetch in progress.
 func (r *Replicator) handleFetchAnswer(now int64, m *Message) {
 	p := r.peerFor(now, r.fetch.peer)
 	if p == nil {
@@ -215,7 +216,7 @@
 	}
 }
 
-// handleRecords takes records, unless this node has moved on from where they begin.
+// handleRecords extends the record chain, unless this node has moved on from the revision at which the records begin.
 func (r *Replicator) handleRecords(now int64, p *peer, records []Record) {
 	at := r.ready
 	if r.chain.content != nil {
@@ -226,7 +227,7 @@
 	}
 }
 
-// handleIndex takes the index of what is fetched, unless that came otherwise or this node has moved on.
+// handleIndex adopts the index of the wanted revision, unless that is ready by now or the base of the fetch has changed.
 func (r *Replicator) handleIndex(now int64, p *peer, m *Message) {
 	if r.fetch.want.Version <= r.ready.Version {
 		return
@@ -242,23 +243,24 @@
 	r.storeBlocks(now, p, nil)
 }
 
-// handleBlocks takes blocks, unless this node has moved on.
+// handleBlocks merges blocks, unless the base of the fetch has changed.
 func (r *Replicator) handleBlocks(now int64, p *peer, blocks []Block) {
 	if r.fetch.base == r.assemblyBase() {
 		r.storeBlocks(now, p, blocks)
 	}
 }
 
+// handleEmptyAnswer handles an answer without content: the wanted content is here already, the index is outdated, or the peer has nothing.
 func (r *Replicator) handleEmptyAnswer(now int64, p *peer) {
 	switch {
-	case r.assemblyBase().Digest() == r.fetch.want.Digest: // no block differs: another version has the content that is here
+	case r.assemblyBase().Digest() == r.fetch.want.Digest: // no block differs: the wanted version has the content that is here already
 		if goal, ok := r.goal(); ok && goal == r.fetch.want {
 			r.setReady(goal, r.assemblyBase(), nil)
 		}
-	case r.assembly.index != nil && r.assembly.revision != r.fetch.want: // the goal changed since: the newer index is fetched
+	case r.assembly.index != nil && r.assembly.revision != r.fetch.want: // the goal changed meanwhile: fetch the newer index
 		r.assembly.index = nil
-	default: // it has nothing of it
-		p.ready = Revision{} // until its next announcement
+	default: // the peer has no content for this node
+		p.ready = Revision{} // not asked for versions until its next announcement
 		p.retryAt = now + r.jitter(minFetchBackoff<<min(r.fetch.failures, 5))
 		r.chain = recordChain{}
 		r.backOff(now)
--- a/internal/fleet/configsync/gossip.go
+++ b/internal/fleet/configsync/gossip.go
@@ -3,13 +3,13 @@
 import "slices"
 
 const (
-	minAnnounceInterval = 50 * ms     // ns between announcements to one neighbour: changes in between go together
-	reannounceDelay     = 300 * ms    // ns before a neighbour that lags gets another announcement: two may cross
-	announceInterval    = 10_000 * ms // ns between announcements without a change, in place of lost ones
-	maxEagerBytes       = 700         // of records in a datagram of 1,200
+	minAnnounceInterval = 50 * ms     // ns between announcements to one neighbour at the least: changes in between are announced together
+	reannounceDelay     = 300 * ms    // ns before a lagging neighbour gets another announcement: announcements of both sides may cross
+	announceInterval    = 10_000 * ms // ns between announcements without a change: makes up for lost ones
+	maxEagerBytes       = 700         // bytes of records in an announcement, which must fit a datagram of 1,200 bytes
 )
 
-// handleView takes another membership view.
+// handleView adopts a new membership view.
 func (r *Replicator) handleView(now int64, view *View) {
 	if view == nil {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// handleAnnouncement takes a neighbour's announcement. It only says whom to fetch from: a version is unconfirmed until a replica
-// confirms it.
+// handleAnnouncement handles a peer's announcement. It tells only which versions can be fetched from the peer: a version is not applied
+// until a replica confirms it.
 func (r *Replicator) handleAnnouncement(now int64, p *peer, m *Message) {
 	if p.backoffUntil > now {
 		return
@@ -48,7 +48,7 @@
 	p.ready = m.Has
 	confirmed := r.announcedHead()
 	p.trackUnconfirmed(now, &confirmed)
-	if confirmed.newer(&p.head) || r.ready.Version > p.ready.Version { // it lags
+	if confirmed.newer(&p.head) || r.ready.Version > p.ready.Version { // the peer lags
 		p.announceAt = min(p.announceAt, max(now, p.announcedAt)+reannounceDelay)
 	}
 	if r.hasUnconfirmed(now) {
@@ -67,15 +67,15 @@
 	return size
 }
 
-// announcedHead is what is announced of the confirmed head.
+// announcedHead returns the confirmed head as it is announced to neighbours.
 func (r *Replicator) announcedHead() HeadRevision { return r.head.announced() }
 
-// announced is a head without what only replicas send.
+// announced returns a head without the fields that only replicas send.
 func (h HeadRevision) announced() HeadRevision {
 	return HeadRevision{All: h.All, Canary: h.Canary, Stopped: h.Stopped}
 }
 
-// announce announces to neighbours what is new, to each at its time.
+// announce sends announcements to the neighbours that are due for one.
 func (r *Replicator) announce(now int64, effects []Effect) []Effect {
 	for _, name := range r.view.Neighbours {
 		p := r.peers[name]
--- a/internal/fleet/configsync/peers.go
+++ b/internal/fleet/configsync/peers.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	maxPeers               = 96           // links, replicas and some that ask
-	maxConfirmedRevisions  = 16           // confirmed revisions with which records of a peer can end
-	minPeerBackoff         = 4_000 * ms   // ns that a peer is left alone after an invalid response, doubled with each: it may have believed another
+	maxPeers               = 96           // neighbours, replicas and some requesters
+	maxConfirmedRevisions  = 16           // confirmed revisions that are remembered, to check those that peers announce and send
+	minPeerBackoff         = 4_000 * ms   // ns for which a peer is ignored after an invalid message, doubled with each; short at first, as the peer may only have relayed it
 	maxPeerBackoff         = 900_000 * ms // ns
-	unconfirmedGracePeriod = 5_000 * ms   // ns that a version may stay unconfirmed: replicas that come back learn meanwhile what was agreed on
-	maxDenials             = 3            // answers of replicas that know all and not of a version, past which it is invalid
+	unconfirmedGracePeriod = 5_000 * ms   // ns for which a version may stay unconfirmed: restarted replicas need the time to catch up with the group
+	maxDenials             = 3            // answers of current replicas without an announced version, after which it counts as invalid
 )
 
-// peer is what is known of another node.
+// peer is this node's knowledge of another node.
 type peer struct {
 	name             string
 	neighbour        bool
-	head             HeadRevision // that it announced
-	ready            Revision
-	offered          []Record // that came with its announcement
-	announcedChange  uint64   // Replicator.changes at the last announcement to it
+	head             HeadRevision // last announced by the peer
+	ready            Revision     // last announced by the peer: the newest revision that it has
+	offered          []Record     // sent with its last announcement
+	announcedChange  uint64       // Replicator.changes at the last announcement to it
 	announcedAt      int64
-	announceAt       int64 // when to announce at the latest, 0 for no time
-	backoffUntil     int64 // it is left alone until then
+	announceAt       int64 // when to announce to it at the latest, 0 for no time
+	backoffUntil     int64 // the peer is ignored until then
 	invalidResponses int
-	unconfirmed      HeadRevision // the first that it announced and no replica confirmed yet
+	unconfirmed      HeadRevision // the first head that it announced and no replica has confirmed yet
 	unconfirmedSince int64
-	denials          int   // replicas' answers against unconfirmed
-	retryAt          int64 // nothing is fetched from it before
-	tokens           int64
+	denials          int   // answers of current replicas that did not confirm it
+	retryAt          int64 // nothing is fetched from it before then
+	tokens           int64 // bytes that may be sent to it now
 	refilledAt       int64
 	seenAt           int64
 }
 
-// peerFor is what is known of a peer; nil where there is no room for one more.
+// peerFor returns the state of a peer, which it adds if need be; nil if there is no room for one more.
 func (r *Replicator) peerFor(now int64, name string) *peer {
 	p := r.peers[name]
 	if p == nil {
@@ -49,7 +49,7 @@
 	return p
 }
 
-// evictPeer removes the peer that was silent longest, but for neighbours and those in backoff.
+// evictPeer removes the peer that has been silent longest, sparing neighbours and peers in backoff. It reports whether it removed one.
 func (r *Replicator) evictPeer(now int64) bool {
 	var oldest *peer
 	for _, p := range r.peers {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// penalize leaves a peer alone that sent something invalid. It may be at fault itself or have believed another.
+// penalize ignores a peer for a time after it sent something invalid, whether the fault is its own or it relayed another's message.
 func (r *Replicator) penalize(now int64, p *peer) {
 	r.Counters.InvalidResponses++
 	if p.backoffUntil > now {
@@ -81,7 +81,7 @@
 	p.unconfirmed = HeadRevision{}
 }
 
-// contradictsConfirmed reports whether a peer announced another content for a version that was confirmed, or is complete here.
+// contradictsConfirmed reports whether an announced revision has another digest than the same version that was confirmed or is ready here.
 func (r *Replicator) contradictsConfirmed(announced ...Revision) bool {
 	for _, a := range announced {
 		differs := func(b Revision) bool { return a.Version == b.Version && a.Version > 0 && a.Digest != b.Digest }
@@ -92,7 +92,7 @@
 	return false
 }
 
-// trackUnconfirmed follows the first announced head of a peer that no replica confirmed yet, and reports whether there is one.
+// trackUnconfirmed remembers the first head announced by a peer that no replica has confirmed, and reports whether there is one.
 func (p *peer) trackUnconfirmed(now int64, confirmed *HeadRevision) bool {
 	if !p.unconfirmed.newer(confirmed) {
 		p.unconfirmed = p.head
@@ -102,8 +102,9 @@
 	return p.unconfirmed.newer(confirmed)
 }
 
-// countDenials counts a replica's answer against the peers that announced more. Only an answer of a replica that knows all, to a report
-// sent long after the announcement, counts: one that is back, or cut off from the group, proves nothing against a peer that knows more.
+// countDenials counts a replica's answer against the peers that announced a newer head, and penalizes them after maxDenials. The caller
+// ensures that the replica is in contact with the group. An answer counts only if the report was sent unconfirmedGracePeriod after the
+// announcement: until then the replica may just not have caught up.
 func (r *Replicator) countDenials(now int64) {
 	if r.reports.deniedSeq == r.reports.seq {
 		return // a duplicate
@@ -121,7 +122,7 @@
 	}
 }
 
-// hasUnconfirmed reports whether some peer announced something newer than was confirmed.
+// hasUnconfirmed reports whether a peer announced a newer head than the confirmed one.
 func (r *Replicator) hasUnconfirmed(now int64) bool {
 	confirmed := r.announcedHead()
 	for _, p := range r.peers {
@@ -132,7 +133,7 @@
 	return false
 }
 
-// maxBusyWait is how long a busy peer is left alone at the most: one that isn't a neighbour has neighbours of its own to give to first.
+// maxBusyWait returns how long a deferred peer waits at the most. It is longer for one that isn't a neighbour: those are served last.
 func (p *peer) maxBusyWait() int64 {
 	if p.neighbour {
 		return maxFetchBackoff
--- a/internal/fleet/configsync/serve.go
+++ b/internal/fleet/configsync/serve.go
@@ -1,12 +1,12 @@
 package configsync
 
 const (
-	maxPieceBytes      = 24 << 10   // of records or blocks in one answer, or one block
-	unknownPeerBackoff = 1_000 * ms // ns that an asker is put off for which there is no room
-	minBusyWait        = 50 * ms    // ns
+	maxPieceBytes      = 24 << 10   // bytes of records or blocks in one answer; a single larger block is sent alone
+	unknownPeerBackoff = 1_000 * ms // ns for which a requester is deferred if there is no room to track it as a peer
+	minBusyWait        = 50 * ms    // ns for which a request is deferred at the least
 )
 
-// replyToFetch answers a fetch of another node.
+// replyToFetch answers another node's fetch.
 func (r *Replicator) replyToFetch(now int64, in *Input, effects []Effect) []Effect {
 	answer := &Message{Kind: MessageContent, Has: r.ready}
 	if in.Message != nil && in.Message.Kind == MessageFetch {
@@ -16,7 +16,7 @@
 	return append(effects, Effect{Kind: Reply, Link: in.Link, Message: answer})
 }
 
-// serveFetch fills in the answer to a fetch, within the limits of the asker and of all.
+// serveFetch fills in the answer to a fetch, within the rate limits of the requester and of this node.
 func (r *Replicator) serveFetch(now int64, from string, m, answer *Message) {
 	p := r.peerFor(now, from)
 	if p == nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// busyFor is how long a peer that asks is put off, 0 where it is admitted. What this node needs for itself comes first, then its
-// neighbours, who give it to others.
+// busyFor returns how long a requester is deferred, 0 if it is admitted. This node's own fetches come first, then its neighbours', as
+// they pass the content on to others: each class is admitted only above its own floor of tokens.
 func (r *Replicator) busyFor(now int64, p *peer) int64 {
 	floor := int64(burstBytes / 2)
 	slot := &r.admissionSlots[0]
@@ -56,13 +56,13 @@
 	if r.tokens >= floor {
 		return wait
 	}
-	// One after another: fetches of all at once would cost more than what they ask for.
+	// Space the retries out: simultaneous retries would cost more than the content they ask for.
 	at := min(max(*slot, now), now+p.maxBusyWait())
 	*slot = max(at, now+wait) + int64(maxPieceBytes)*second/bytesPerSecond
 	return max(wait, at-now)
 }
 
-// serveRecordsOrIndex answers with records, or else with the index of what is wanted.
+// serveRecordsOrIndex answers with records that lead towards the wanted revision, or else with the pages of its index that differ.
 func (r *Replicator) serveRecordsOrIndex(m, answer *Message) {
 	answer.Records = wireRecords(recordsBetween(r.availableRecords(), m.Has, m.Want.Version), maxPieceBytes, false)
 	if len(answer.Records) > 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// appendDifferingPages answers with the index of the pages that differ from the asker's.
+// appendDifferingPages adds to the answer the pages of an index whose sums differ from the requester's.
 func appendDifferingPages(index, sums []byte, answer *Message) {
 	if len(sums) != fanout*digestBytes {
 		sums = make([]byte, fanout*digestBytes)
@@ -94,7 +94,7 @@
 	}
 }
 
-// contents are all that this node has blocks of.
+// contents returns all contents from which this node can serve blocks.
 func (r *Replicator) contents() []*Content {
 	list := []*Content{r.readyContent, r.appliedContent}
 	if r.agreed != nil {
@@ -103,7 +103,7 @@
 	return list
 }
 
-// contentOf is the content of a revision, nil where this node doesn't have it.
+// contentOf returns the content of a revision, nil if this node doesn't have it.
 func (r *Replicator) contentOf(revision Revision) *Content {
 	for _, content := range r.contents() {
 		if content.Digest() == revision.Digest {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// serveBlocks answers with what changed in blocks that are missing, or else with those that have the digests that are asked for.
+// serveBlocks answers with the changes of the requester's missing blocks, or else with whole blocks that have the requested digests.
 func (r *Replicator) serveBlocks(m, answer *Message) {
 	if len(m.Missing) > 0 && len(m.Wanted) > 0 {
 		r.serveDeltas(m, answer)
@@ -136,7 +136,7 @@
 	}
 }
 
-// blockWith is a block with a digest, of whichever content has it.
+// blockWith returns block n with the wanted digest, from whichever content has it.
 func blockWith(contents []*Content, n int, want Digest) (text []byte, found bool) {
 	if n >= Blocks {
 		return nil, false
@@ -150,8 +150,8 @@
 	return nil, false
 }
 
-// serveDeltas answers with missing blocks, the first that is wanted and those behind it, each as its changes, or whole where that is
-// less; with none where this node doesn't know what changed.
+// serveDeltas answers with missing blocks, in order from the first wanted one: each as its changes, or whole if that is smaller. It adds
+// none if this node doesn't know the changes.
 func (r *Replicator) serveDeltas(m, answer *Message) {
 	changes := r.knownDeltas(m.Has, m.Want)
 	whole := r.contentOf(m.Want)
@@ -176,7 +176,8 @@
 	}
 }
 
-// knownDeltas are the changes by block from one version to another, as far as they are known.
+// knownDeltas returns the changes by block from one version to another, as far as they are known: all, or those of blocks that are
+// assembled already.
 func (r *Replicator) knownDeltas(from, to Revision) map[int][]Item {
 	known := groupByBlock(r.changesBetween(from, to))
 	if len(known) > 0 || r.assembly.content == nil || r.assembly.index == nil || r.ready != from || r.assembly.revision != to {
@@ -184,14 +185,14 @@
 	}
 	for n, changes := range r.assembly.deltas.blocks {
 		_, digest := r.assembly.content.Block(n)
-		if digest == digestAt(r.assembly.index, n) { // else it is of an earlier version
+		if digest == digestAt(r.assembly.index, n) { // else the changes lead to an earlier version
 			known[n] = changes
 		}
 	}
 	return known
 }
 
-// changesBetween are the changes from one version to another, in order; none where this node doesn't know them.
+// changesBetween returns the changes from one version to another, in order; none if this node doesn't know all of them.
 func (r *Replicator) changesBetween(from, to Revision) (list []Item) {
 	span := &r.spanDeltas
 	if span.to.Version > 0 && span.from == from && span.to.Version <= to.Version {
@@ -212,7 +213,7 @@
 	return list
 }
 
-// groupByBlock groups valid changes by their block.
+// groupByBlock groups changes, which must be valid, by block number.
 func groupByBlock(list []Item) map[int][]Item {
 	groups := map[int][]Item{}
 	for k := range list {
