--- a/internal/fleet/consensus/leader.go
+++ b/internal/fleet/consensus/leader.go
@@ -8,7 +8,7 @@
 	heartbeatInterval    = 80 * ms    // ns
 	minElectionTimeout   = 600 * ms   // ns without contact to a leader; each timeout is drawn at random between this and twice this
 	leaderSilenceTimeout = 1_200 * ms // ns without contact to a majority after which a leader steps down, so that others may be elected
-	stepDownInterval     = 3_000 * ms // ns between the times at which a leader that stepped down sends its messages: two such leaders learn of each other, and in between others can be elected
+	stepDownInterval     = 3_000 * ms // ns between the messages of a leader that stepped down: two such leaders learn of each other, and in between others can be elected
 	leaderTickInterval   = 50 * ms    // ns
 	snapshotTimeout      = 1_000 * ms // ns after which a snapshot that was sent counts as lost
 	snapshotRetryBackoff = 50 * ms    // ns until raft sends a snapshot again that was still being written
--- a/internal/fleet/consensus/raftreplica.go
+++ b/internal/fleet/consensus/raftreplica.go
@@ -216,7 +216,7 @@
 // IsLeader reports whether this replica leads the group, as far as it knows: another may have been elected since.
 func (r *raftReplica) IsLeader() bool { return r.leadership.leaderID == r.raft.id }
 
-// IsCurrent reports whether this replica has applied all committed entries but for the most recent ones, which may still be in flight.
+// IsCurrent reports whether this replica has applied all committed entries except the most recent ones, which may still be in transit.
 // This holds if it is in contact with a leader, or leads and is in contact with a majority, and has applied an entry of the current term,
 // and thus all entries before it.
 func (r *raftReplica) IsCurrent() bool {
--- a/internal/fleet/consensus/replica.go
+++ b/internal/fleet/consensus/replica.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// handlePropose queues a node's commands, but for those that a node may not send, or sends on behalf of another.
+// handlePropose queues a node's commands. It ignores those that a node may not send, and those sent on behalf of another node.
 func (r *Replica) handlePropose(m *Message) {
 	for i := range m.ClaimCommands {
 		command := &m.ClaimCommands[i]
--- a/internal/fleet/consensus/replica_test.go
+++ b/internal/fleet/consensus/replica_test.go
@@ -72,6 +72,7 @@
 	assert.NotNil(t, sim.leader(), "when all have lost their state, they bootstrap another group")
 }
 
+// Guards against a leader that reaches the others but is not reached by them, and so blocks the group: it steps down.
 func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	i := sim.indexOf(sim.leader())
@@ -103,6 +104,7 @@
 	assert.True(t, replica.bootstrap.done, "the group has replaced the earlier incarnation")
 }
 
+// Guards against a replica that goes on with a table that diverged, since it does not know a command of a newer version.
 func TestNewerCommandRestartsReplica(t *testing.T) {
 	sim := newStableSimulation(t, 3, 3)
 	node := sim.leader()
@@ -114,6 +116,7 @@
 	}
 }
 
+// Guards against a list of pending commands that grows while the group commits nothing.
 func TestUncommittedCommandsExpire(t *testing.T) {
 	sim := newStableSimulation(t, 3, 3)
 	node := sim.leader()
--- a/internal/fleet/consensus/schedules_test.go
+++ b/internal/fleet/consensus/schedules_test.go
@@ -33,7 +33,7 @@
 	return sim
 }
 
-// play alternates random requests and faults for a duration, or until a check fails.
+// runWithFaults alternates random requests and faults for a duration, or until a check fails.
 func (s *simulation) runWithFaults(random *rand.Rand, duration int64, injectFault func(i int)) {
 	end := s.now + duration
 	for s.now < end && len(s.failures) == 0 {
--- a/internal/fleet/consensus/simulation_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-const claimRetention = 600_000 * ms // ns for which the table retains ended claims
+const claimRetention = 600_000 * ms // ns for which the table keeps a token after its start and after its end
 
 // simNode is a simulated node: a claims client, possibly a replica, and an executor that is killed with the node.
 type simNode struct {
@@ -184,7 +184,7 @@
 	}
 }
 
-// kill kills a node. Its callers lose their connections, and its disk some of the writes in flight.
+// kill crashes a node: its callers lose their connections, and its disk some of the writes in flight.
 func (s *simulation) kill(i int) {
 	node := s.nodes[i]
 	if !node.up {
--- a/internal/fleet/consensus/snapshots.go
+++ b/internal/fleet/consensus/snapshots.go
@@ -35,7 +35,7 @@
 	// Next encodes at least minBytes more bytes, or all that are left, and exceeds minBytes by at most one block. It reports whether the
 	// encoding is complete.
 	Next(minBytes int) (complete bool)
-	// Encoded is what is encoded so far.
+	// Encoded returns the bytes that are encoded so far.
 	Encoded() []byte
 }
 
