--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -55,7 +55,7 @@
 const (
 	CommandPut      CommandKind = iota + 1 // makes a new version: Changes, made on version Base
 	CommandAdvance                         // brings Version into force for all nodes, after a long enough canary stage
-	CommandStop                            // ends the rollout of Version, which Node can't apply
+	CommandStop                            // ends the rollout of Version, which the node StoppedBy can't apply
 	CommandRollback                        // makes a new version, in force for all nodes at once, with the content of Version
 )
 
@@ -69,8 +69,8 @@
 	Piece      int         `cbor:"6,keyasint,omitempty"` // index of this piece of a long change, from 0
 	MorePieces bool        `cbor:"7,keyasint,omitempty"` // further pieces follow; the last piece makes the version
 	Version    uint64      `cbor:"8,keyasint,omitempty"` // CommandPut: in an empty table, the version from which the numbering continues
-	Node       string      `cbor:"9,keyasint,omitempty"`
-	Reason     string      `cbor:"10,keyasint,omitempty"`
+	StoppedBy  string      `cbor:"9,keyasint,omitempty"`
+	StopReason string      `cbor:"10,keyasint,omitempty"`
 	WallTime   int64       `cbor:"11,keyasint,omitempty"`
 	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // CommandAdvance: ns that Version has been at the canary stage by the clock of the proposing replica
 }
--- a/internal/fleet/configsync/content.go
+++ b/internal/fleet/configsync/content.go
@@ -30,7 +30,7 @@
 type page struct {
 	blocks [fanout][]byte
 	sums   [fanout]Digest
-	sum    Digest // of sums
+	sum    Digest // sum of sums
 }
 
 // Content is a complete configuration. It is immutable. A content that is derived from another by a change of one item shares all pages
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// All yields all items. The callee must not modify the values.
+// All yields all items. yield must not modify the values.
 func (c *Content) All(yield func(Item) bool) {
 	for n := range Blocks {
 		for block, _ := c.Block(n); len(block) > 0; {
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -86,7 +86,7 @@
 		{Kind: CommandRollback, Caller: "caller-2", Seq: 3, Version: 1, WallTime: 103},
 		{Kind: CommandPut, Caller: "caller-1", Seq: 4, Base: 3, WallTime: 104, Changes: []Item{{Operations, "crop", value(5)}}},
 		{Kind: CommandPut, Caller: "caller-1", Seq: 5, Base: 4, WallTime: 105, Changes: []Item{{Operations, "turn", value(6)}}},
-		{Kind: CommandStop, Version: 4, Node: "node-7", Reason: "it has no room"},
+		{Kind: CommandStop, Version: 4, StoppedBy: "node-7", StopReason: "it has no room"},
 		{Kind: CommandPut, Caller: "caller-3", Seq: 6, Base: 4, WallTime: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: its base is not the newest version
 		{Kind: CommandPut, Caller: "caller-4", Seq: 7, Base: 5, WallTime: 107, MorePieces: true, Changes: []Item{{Tenants, "long", value(8)}}},
 	} {
--- a/internal/fleet/configsync/reports.go
+++ b/internal/fleet/configsync/reports.go
@@ -212,7 +212,7 @@
 		return effects
 	}
 	r.stopProposedAt = now
-	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, Node: node, Reason: reason}})
+	return append(effects, Effect{Kind: ProposeCommand, Command: &Command{Kind: CommandStop, Version: r.head.Canary.Version, StoppedBy: node, StopReason: reason}})
 }
 
 func (r *Replicator) stopDeadline() int64 {
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -80,7 +80,7 @@
 			case 0:
 				c = Command{Kind: CommandAdvance, Version: table.Head().Canary.Version}
 			case 1:
-				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, Node: "n", Reason: "no"}
+				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, StoppedBy: "n", StopReason: "no"}
 			case 2:
 				c = Command{Kind: CommandRollback, Caller: "c", Seq: seq + 1, Version: table.Head().All.Version}
 			case 3:
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -147,8 +147,8 @@
 	}
 	t.snapshot = nil
 	t.head.Stopped = true
-	t.head.StoppedBy = truncate(c.Node, maxCallerNameBytes)
-	t.head.StopReason = truncate(c.Reason, maxReasonBytes)
+	t.head.StoppedBy = truncate(c.StoppedBy, maxCallerNameBytes)
+	t.head.StopReason = truncate(c.StopReason, maxReasonBytes)
 }
 
 // applyPut makes a new version from a change, or adds one piece of a long change to the draft.
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -60,7 +60,7 @@
 	require.True(t, table.Apply(100*ms+canaryDuration, table.DueAdvance(100*ms+canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
 	require.EqualValues(t, 2, table.Head().Canary.Version, "the next canary stage begins")
-	stop := &Command{Kind: CommandStop, Version: 2, Node: "n7", Reason: "no such effect"}
+	stop := &Command{Kind: CommandStop, Version: 2, StoppedBy: "n7", StopReason: "no such effect"}
 	require.True(t, table.Apply(4_000*ms, stop).Done)
 	require.Nil(t, table.DueAdvance(100_000*ms))
 	require.False(t, table.Apply(100_000*ms, &Command{Kind: CommandAdvance, Version: 2}).Done, "stopped")
@@ -84,7 +84,7 @@
 	require.EqualValues(t, 1, table.Head().All.Version)
 	require.Nil(t, table.DueAdvanceAfter(canaryDuration), "no version is at the canary stage")
 	table.Apply(300*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
-	table.Apply(400*ms, &Command{Kind: CommandStop, Version: 2, Node: "b", Reason: "can't"})
+	table.Apply(400*ms, &Command{Kind: CommandStop, Version: 2, StoppedBy: "b", StopReason: "can't"})
 	require.Nil(t, table.DueAdvanceAfter(100*canaryDuration), "a stopped version does not advance")
 }
 
@@ -126,7 +126,7 @@
 			at += rapid.Int64Range(0, 2_000*ms).Draw(t, "later")
 			head := a.Head()
 			c := &Command{Kind: CommandKind(rapid.IntRange(0, 5).Draw(t, "kind")), Caller: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "from"),
-				Seq: uint64(k/2 + 1), Base: head.Newest - uint64(rapid.IntRange(0, int(min(1, head.Newest))).Draw(t, "base")), Changes: drawItems(t), Reason: "why"}
+				Seq: uint64(k/2 + 1), Base: head.Newest - uint64(rapid.IntRange(0, int(min(1, head.Newest))).Draw(t, "base")), Changes: drawItems(t), StopReason: "why"}
 			switch c.Kind {
 			case CommandAdvance, CommandStop:
 				c.Version = head.Canary.Version
--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -62,10 +62,10 @@
 	assert.Equal(t, uint64(2), v.Version)
 	sim.nodes[3].configVerdicts = nil
 	sim.send(3, "n1", Message{Kind: MessagePropose, From: "n3", Owner: claims.Owner{Name: "n3", Incarnation: sim.nodes[3].incarnation},
-		ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Node: "n3"}}})
+		ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, StoppedBy: "n3"}}})
 	sim.run(sim.now + 500*ms)
 	assert.False(t, sim.heads()[0].Stopped, "only a replica may stop a version")
-	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, Node: "n7", Reason: "no"}}})
+	sim.nodes[1].replicaInputs = append(sim.nodes[1].replicaInputs, Input{ConfigCommands: []configsync.Command{{Kind: configsync.CommandStop, Version: 2, StoppedBy: "n7", StopReason: "no"}}})
 	sim.wakeNow(1)
 	sim.run(sim.now + 6_000*ms)
 	want := sim.heads()[0]
