--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -20,8 +20,8 @@
 
 // Limits of one batch of checks, so that invocations wait for a few milliseconds at most.
 const (
-	maxChecksPerStep = 2_048
-	maxClosesPerStep = 32 // each close or go-away costs system calls
+	maxTimeoutsPerStep = 2_048
+	maxClosesPerStep   = 32 // each close or go-away costs system calls
 )
 
 // maxFaultsPerConnection is the number of invalid invocations at which the rest of a connection's input is discarded.
@@ -29,25 +29,25 @@
 
 // connection is the state of a dispatcher's connection.
 type connection struct {
-	link           int              // the host's number of the connection
-	lastStream     uint32           // highest stream seen
-	openStreams    map[uint32]int32 // index of the invocation, by stream that is not answered
-	pendingChecks  int              // deep health checks that are not answered
-	used           bool             // a valid invocation or health check was received
-	faultCount     int              // invalid invocations received
-	lastUsedAt     int64            // time of the opening, the last valid request or the last answer
-	goAwayAt       int64            // time of the go-away
-	goAwaySent     bool
-	evicted        bool             // chosen to make room for a new connection
-	closing        bool             // to be closed as soon as it is idle
-	closeRequested bool             // the host was asked to close it
-	evictRequested bool             // the host was asked to close it without waiting for the peer
-	broken         bool             // its further input is discarded
-	checkTimer     timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
+	link                      int              // the host's number of the connection
+	lastStream                uint32           // highest stream seen
+	openStreams               map[uint32]int32 // index of the invocation, by stream that is not answered
+	pendingHealthChecks       int              // deep health checks that are not answered
+	used                      bool             // a valid invocation or health check was received
+	faultCount                int              // invalid invocations received
+	lastUsedAt                int64            // time of the opening, the last valid request or the last answer
+	goAwayAt                  int64            // time of the go-away
+	goAwaySent                bool
+	evicted                   bool             // chosen to make room for a new connection
+	closeWhenIdle             bool             // to be closed as soon as it is idle
+	closeAfterFlushRequested  bool             // the host was asked to close it
+	closeImmediatelyRequested bool             // the host was asked to close it without waiting for the peer
+	broken                    bool             // its further input is discarded
+	timeoutTimer              timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
 }
 
 // isIdle reports whether every stream and health check is answered.
-func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingChecks == 0 }
+func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingHealthChecks == 0 }
 
 // isHealthy reports whether the connection has brought valid requests and no invalid invocation.
 func (c *connection) isHealthy() bool { return c.used && c.faultCount == 0 }
@@ -58,16 +58,16 @@
 	c.lastUsedAt = now
 }
 
-// idleTimeout returns how long the connection may be idle before its go-away.
-func (c *connection) idleTimeout() int64 {
+// timeout returns how long the connection may be idle before its go-away.
+func (c *connection) timeout() int64 {
 	if c.used {
 		return idleTimeout
 	}
 	return firstUseTimeout
 }
 
-// goAwayGrace returns the time from the connection's go-away to its close.
-func (c *connection) goAwayGrace() int64 {
+// closeDelay returns the time from the connection's go-away to its close.
+func (c *connection) closeDelay() int64 {
 	if c.evicted {
 		return evictionGrace
 	}
@@ -86,8 +86,8 @@
 	return c.link < other.link
 }
 
-// isClosingLongerThan reports whether c has been closing longer than other, by the times of their go-aways.
-func (c *connection) isClosingLongerThan(other *connection) bool {
+// hasEarlierGoAway reports whether c has been closing longer than other, by the times of their go-aways.
+func (c *connection) hasEarlierGoAway(other *connection) bool {
 	if c.goAwayAt != other.goAwayAt {
 		return c.goAwayAt < other.goAwayAt
 	}
@@ -98,14 +98,14 @@
 type connectionTable struct {
 	sm             *StateMachine
 	byLink         map[int]*connection
-	maxConnections int // limit on connections; up to SpareConnections that are being closed do not count
-
-	idleWheel    *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
-	closingWheel *timerwheel.Wheel // the same, after the go-away
-	overdue      []int             // links whose check is due, in the order of the checks
-	sweepAt      int64             // time of the next advance of idleWheel
-	overdueAt    int64             // time of the next batch of overdue links
-	checkCount   int               // total of checks, for tests
+	maxConnections int // limit on connections; up to ExtraClosingConnections that are being closed do not count
+
+	idleWheel       *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
+	goAwayWheel     *timerwheel.Wheel // the same, after the go-away
+	overdue         []int             // links whose check is due, in the order of the checks
+	sweepAt         int64             // time of the next advance of idleWheel
+	overdueAt       int64             // time of the next batch of overdue links
+	handledTimeouts int               // total of checks, for tests
 }
 
 func newConnectionTable(sm *StateMachine, limit int) connectionTable {
@@ -115,7 +115,7 @@
 // start sets the timer wheels to the time of the first step.
 func (t *connectionTable) start(now int64) {
 	t.idleWheel = timerwheel.New(now / ms)
-	t.closingWheel = timerwheel.New(now / ms)
+	t.goAwayWheel = timerwheel.New(now / ms)
 }
 
 // get returns an open connection, or nil.
@@ -146,7 +146,7 @@
 	}
 	c := &connection{link: link, openStreams: make(map[uint32]int32), lastUsedAt: t.sm.now}
 	t.byLink[link] = c
-	t.scheduleCheck(c, t.sm.now+firstUseTimeout)
+	t.scheduleTimeout(c, t.sm.now+firstUseTimeout)
 	t.sm.emit(Effect{Kind: ReadConnection, Link: link})
 	if t.sm.drain.isAcceptStopped() {
 		t.sendGoAway(c)
@@ -155,35 +155,35 @@
 
 func (t *connectionTable) closed(c *connection) {
 	delete(t.byLink, c.link)
-	t.cancelCheck(c)
+	t.cancelTimeout(c)
 	for _, stream := range slices.Sorted(maps.Keys(c.openStreams)) {
 		t.sm.callerDisconnected(c.openStreams[stream])
 	}
 }
 
-// makeRoom evicts an idle connection if those that are not being closed fill the table. If SpareConnections or more are
+// makeRoom evicts an idle connection if those that are not being closed fill the table. If ExtraClosingConnections or more are
 // being closed, it also closes the one whose go-away is oldest at once: its peer may never finish a frame or close its side.
 func (t *connectionTable) makeRoom() {
 	var victim, slowest *connection
 	closing := 0
 	for _, c := range t.byLink {
 		switch {
-		case c.evicted || c.closeRequested:
+		case c.evicted || c.closeAfterFlushRequested:
 			closing++
-			if c.closeRequested && !c.evictRequested && (slowest == nil || c.isClosingLongerThan(slowest)) {
+			if c.closeAfterFlushRequested && !c.closeImmediatelyRequested && (slowest == nil || c.hasEarlierGoAway(slowest)) {
 				slowest = c
 			}
-		case c.isIdle() && !c.closing && (victim == nil || c.isEvictedBefore(victim)):
+		case c.isIdle() && !c.closeWhenIdle && (victim == nil || c.isEvictedBefore(victim)):
 			victim = c
 		}
 	}
-	hasSpare := closing < t.sm.SpareConnections
+	hasSpare := closing < t.sm.ExtraClosingConnections
 	if victim != nil && len(t.byLink)-closing >= t.maxConnections {
 		t.evict(victim, hasSpare)
 	}
 	if !hasSpare && slowest != nil {
-		slowest.evictRequested = true
-		t.sm.emit(Effect{Kind: EvictConnection, Link: slowest.link})
+		slowest.closeImmediatelyRequested = true
+		t.sm.emit(Effect{Kind: CloseImmediately, Link: slowest.link})
 	}
 }
 
@@ -194,42 +194,42 @@
 	t.sm.Counters.ConnectionsEvicted++
 	c.evicted = true
 	if !c.used || !hasSpare {
-		c.closing = true
-		c.closeRequested = true
-		c.evictRequested = true
-		t.sm.emit(Effect{Kind: EvictConnection, Link: c.link})
+		c.closeWhenIdle = true
+		c.closeAfterFlushRequested = true
+		c.closeImmediatelyRequested = true
+		t.sm.emit(Effect{Kind: CloseImmediately, Link: c.link})
 		return
 	}
 	t.sendGoAway(c)
-	t.scheduleCheck(c, c.goAwayAt+evictionGrace)
+	t.scheduleTimeout(c, c.goAwayAt+evictionGrace)
 }
 
 // wheelOf returns the wheel that holds the connection's timer.
 func (t *connectionTable) wheelOf(c *connection) *timerwheel.Wheel {
 	if c.goAwaySent {
-		return t.closingWheel
+		return t.goAwayWheel
 	}
 	return t.idleWheel
 }
 
-// scheduleCheck schedules the next check of a connection, which takes place at that time or in one of the next batches.
-func (t *connectionTable) scheduleCheck(c *connection, at int64) {
-	t.cancelCheck(c)
-	c.checkTimer = t.wheelOf(c).Add((at+ms-1)/ms, int64(c.link))
+// scheduleTimeout schedules the next check of a connection, which takes place at that time or in one of the next batches.
+func (t *connectionTable) scheduleTimeout(c *connection, at int64) {
+	t.cancelTimeout(c)
+	c.timeoutTimer = t.wheelOf(c).Add((at+ms-1)/ms, int64(c.link))
 }
 
-func (t *connectionTable) cancelCheck(c *connection) {
-	t.wheelOf(c).Remove(c.checkTimer)
-	c.checkTimer = timerwheel.Timer{} // in the other wheel the same value may identify another timer
+func (t *connectionTable) cancelTimeout(c *connection) {
+	t.wheelOf(c).Remove(c.timeoutTimer)
+	c.timeoutTimer = timerwheel.Timer{} // in the other wheel the same value may identify another timer
 }
 
-// checkDue checks the connections whose timeout may have passed. It works in batches: connections that were opened together
+// handleDueTimeouts checks the connections whose timeout may have passed. It works in batches: connections that were opened together
 // are due together, and checking all of them in one step would delay invocations.
-func (t *connectionTable) checkDue() {
+func (t *connectionTable) handleDueTimeouts() {
 	now := t.sm.now
 	addOverdue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
 	earlierCount := len(t.overdue)
-	t.closingWheel.Advance(now/ms, addOverdue)
+	t.goAwayWheel.Advance(now/ms, addOverdue)
 	if now >= t.sweepAt {
 		t.sweepAt = now + sweepInterval
 		t.idleWheel.Advance(now/ms, addOverdue)
@@ -240,14 +240,14 @@
 	}
 	checks := 0
 	closes := 0
-	for checks < min(maxChecksPerStep, len(t.overdue)) && closes < maxClosesPerStep {
+	for checks < min(maxTimeoutsPerStep, len(t.overdue)) && closes < maxClosesPerStep {
 		c := t.byLink[t.overdue[checks]]
-		if c != nil && !c.closing && t.check(c) {
+		if c != nil && !c.closeWhenIdle && t.handleTimeout(c) {
 			closes++
 		}
 		checks++
 	}
-	t.checkCount += checks
+	t.handledTimeouts += checks
 	t.overdue = slices.Delete(t.overdue, 0, checks)
 	t.overdueAt = now + overdueInterval
 }
@@ -258,7 +258,7 @@
 		return never
 	}
 	at := t.sweepAt
-	if tick, ok := t.closingWheel.Next(); ok {
+	if tick, ok := t.goAwayWheel.Next(); ok {
 		at = min(at, tick*ms)
 	}
 	if len(t.overdue) > 0 {
@@ -267,23 +267,23 @@
 	return at
 }
 
-// check sends a go-away to a connection whose timeout has passed, or closes one whose grace period has ended, and reports
-// whether it did either. Otherwise it schedules the next check.
-func (t *connectionTable) check(c *connection) bool {
+// handleTimeout sends a go-away to a connection whose timeout has passed, or closes one whose grace period has ended, and reports
+// whether it did either. Otherwise it schedules the next handleTimeout.
+func (t *connectionTable) handleTimeout(c *connection) bool {
 	now := t.sm.now
 	switch {
 	case !c.isIdle() && c.goAwaySent:
-		t.scheduleCheck(c, now+sweepInterval)
+		t.scheduleTimeout(c, now+sweepInterval)
 	case !c.isIdle(): // the timeout starts with the last answer
-		t.scheduleCheck(c, now+c.idleTimeout())
-	case c.goAwaySent && now < c.goAwayAt+c.goAwayGrace():
-		t.scheduleCheck(c, c.goAwayAt+c.goAwayGrace())
+		t.scheduleTimeout(c, now+c.timeout())
+	case c.goAwaySent && now < c.goAwayAt+c.closeDelay():
+		t.scheduleTimeout(c, c.goAwayAt+c.closeDelay())
 	case c.goAwaySent:
 		t.sm.Counters.ConnectionsClosedAfterGoAway++
 		t.close(c)
 		return true
-	case now < c.lastUsedAt+c.idleTimeout():
-		t.scheduleCheck(c, c.lastUsedAt+c.idleTimeout())
+	case now < c.lastUsedAt+c.timeout():
+		t.scheduleTimeout(c, c.lastUsedAt+c.timeout())
 	default:
 		t.sendGoAway(c)
 		return true
@@ -296,10 +296,10 @@
 	if c.goAwaySent {
 		return
 	}
-	t.cancelCheck(c)
+	t.cancelTimeout(c)
 	c.goAwaySent = true
 	c.goAwayAt = t.sm.now
-	t.scheduleCheck(c, t.sm.now+c.goAwayGrace())
+	t.scheduleTimeout(c, t.sm.now+c.closeDelay())
 	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: frame.Append(nil, frame.GoAway, 0, nil)})
 }
 
@@ -322,7 +322,7 @@
 		return
 	}
 	c.lastUsedAt = t.sm.now
-	if c.closing {
+	if c.closeWhenIdle {
 		t.close(c)
 	}
 }
@@ -330,9 +330,9 @@
 // close has the host close a connection once everything is written. The connection stays in the table until the host has
 // closed it: requests that were read before are still answered.
 func (t *connectionTable) close(c *connection) {
-	c.closing = true
-	if !c.closeRequested {
-		c.closeRequested = true
+	c.closeWhenIdle = true
+	if !c.closeAfterFlushRequested {
+		c.closeAfterFlushRequested = true
 		t.sm.emit(Effect{Kind: CloseAfterFlush, Link: c.link})
 	}
 }
@@ -340,9 +340,9 @@
 // resume cancels a requested close, for an invocation or a health check that the dispatcher sent before it saw the close.
 // The host is asked again once that is answered.
 func (t *connectionTable) resume(c *connection) {
-	if c.closeRequested {
-		c.closeRequested = false
-		c.evictRequested = false
+	if c.closeAfterFlushRequested {
+		c.closeAfterFlushRequested = false
+		c.closeImmediatelyRequested = false
 		t.sm.emit(Effect{Kind: ResumeConnection, Link: c.link})
 	}
 }
@@ -361,7 +361,7 @@
 	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: append(head, text...)})
 	t.sendGoAway(c)
 	t.sm.emit(Effect{Kind: DiscardInput, Link: c.link})
-	c.closing = true
+	c.closeWhenIdle = true
 	t.released(c)
 }
 
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -48,8 +48,8 @@
 	}
 	step(sm, check(9))
 	step(sm, check(8))
-	sm.SpareConnections = 1
-	assert.Equal(t, Effect{Kind: EvictConnection, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "connection 10 was never used")
+	sm.ExtraClosingConnections = 1
+	assert.Equal(t, Effect{Kind: CloseImmediately, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "connection 10 was never used")
 	step(sm, Input{Kind: ConnectionClosed, Link: 10})
 	step(sm, check(11))
 	step(sm, Input{Kind: ConnectionOpened, Link: 12})
@@ -57,7 +57,7 @@
 	assert.False(t, sm.connections.byLink[8].goAwaySent)
 	assert.Equal(t, 2, sm.Counters.ConnectionsEvicted)
 	step(sm, check(12))
-	assert.Equal(t, Effect{Kind: EvictConnection, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "without a spare place, an evicted connection is closed at once")
+	assert.Equal(t, Effect{Kind: CloseImmediately, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "without a spare place, an evicted connection is closed at once")
 	sm.now += evictionGrace
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(sm))
 }
@@ -66,7 +66,7 @@
 func TestInvocationThatCrossesACloseIsAnsweredBeforeIt(t *testing.T) {
 	for what, evicted := range map[string]bool{"idle": false, "evicted": true} {
 		sm := newServingNode(t)
-		sm.SpareConnections = 1
+		sm.ExtraClosingConnections = 1
 		step(sm, invocationInput(1))
 		executorSends(sm, "EXIT 1 "+testInvocationID+" good 12 6|result")
 		if evicted {
@@ -132,11 +132,11 @@
 	for sm.now < 3_000*ms {
 		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, sm.connections.checkCount, "each is checked once, at the timeout of the first use")
+	assert.Equal(t, count, sm.connections.handledTimeouts, "each is checked once, at the timeout of the first use")
 	for sm.now < 14_000*ms {
 		advance(sm, 10*ms)
 	}
-	assert.Equal(t, count, sm.connections.checkCount)
+	assert.Equal(t, count, sm.connections.handledTimeouts)
 	for _, c := range sm.connections.byLink {
 		assert.False(t, c.goAwaySent)
 	}
@@ -152,7 +152,7 @@
 	goAways, closes, startedAt := 0, 0, sm.now
 	var closed []Input
 	for len(sm.connections.byLink) > 0 && sm.now-startedAt < 5_000*ms {
-		checksBefore, goAwaysBefore, closesBefore := sm.connections.checkCount, goAways, closes
+		checksBefore, goAwaysBefore, closesBefore := sm.connections.handledTimeouts, goAways, closes
 		effects := advance(sm, ms/2, closed...)
 		closed = nil
 		for _, e := range effects {
@@ -165,13 +165,13 @@
 			}
 		}
 		assert.LessOrEqual(t, goAways-goAwaysBefore+closes-closesBefore, maxClosesPerStep)
-		assert.LessOrEqual(t, sm.connections.checkCount-checksBefore, maxChecksPerStep)
+		assert.LessOrEqual(t, sm.connections.handledTimeouts-checksBefore, maxTimeoutsPerStep)
 	}
 	assert.Equal(t, count, goAways)
 	assert.Equal(t, count, closes)
 	assert.Less(t, sm.now-startedAt, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
 	assert.Equal(t, count, sm.Counters.ConnectionsClosedAfterGoAway)
-	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.closingWheel.Len(), "closed connections have no timers left")
+	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.goAwayWheel.Len(), "closed connections have no timers left")
 }
 
 // With random requests and steps, no connection gets a go-away or is closed before its timeout. If steps are on time, each
@@ -179,7 +179,7 @@
 func TestConnectionsGoAwayAndCloseInTime(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		sm := newServingNode(t)
-		sm.connections.maxConnections, sm.SpareConnections = 12, 2
+		sm.connections.maxConnections, sm.ExtraClosingConnections = 12, 2
 		newestLink, wakeAt, stream := 100, sm.now+ms, uint32(0)
 		for range rapid.IntRange(1, 120).Draw(draw, "steps") {
 			var inputs []Input
@@ -220,7 +220,7 @@
 		switch {
 		case e.Kind == SetWakeup:
 			wakeAt = e.At
-		case e.Kind == CloseAfterFlush && !earlier.closing && !c.broken:
+		case e.Kind == CloseAfterFlush && !earlier.closeWhenIdle && !c.broken:
 			assert.GreaterOrEqual(t, at-c.goAwayAt, evictionGrace)
 			if !c.evicted {
 				assert.GreaterOrEqual(t, at-c.goAwayAt, goAwayGrace)
@@ -232,7 +232,7 @@
 			assert.GreaterOrEqual(t, at-c.lastUsedAt, firstUseTimeout)
 			assert.True(t, !c.used || at-c.lastUsedAt >= idleTimeout)
 		}
-		if !c.isIdle() || c.closing {
+		if !c.isIdle() || c.closeWhenIdle {
 			continue
 		}
 		timeout := firstUseTimeout
@@ -241,7 +241,7 @@
 		}
 		lateness := wakeAt - c.lastUsedAt - timeout
 		if c.goAwaySent {
-			lateness = wakeAt - max(c.goAwayAt+c.goAwayGrace(), c.lastUsedAt)
+			lateness = wakeAt - max(c.goAwayAt+c.closeDelay(), c.lastUsedAt)
 		}
 		assert.LessOrEqual(t, lateness, sweepInterval+overdueInterval, "link %d", link)
 	}
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -118,7 +118,7 @@
 	assert.Equal(t, before, p.Node)
 }
 
-func TestArrivalAgeIsMeasuredByTheLocalWallClock(t *testing.T) {
+func TestArrivalAgeAndPlausibilityFollowTheLocalWallClock(t *testing.T) {
 	sm := newServingNode(t)
 	sm.wall = 500_000 * ms
 	assert.Equal(t, 250*ms, sm.arrivalAge(499_750))
--- a/internal/node/degradation.go
+++ b/internal/node/degradation.go
@@ -209,7 +209,7 @@
 	if sm.controller != nil {
 		sm.events = append(sm.events, sm.degradation.levelSetEvent())
 	}
-	sm.emit(Effect{Kind: LevelChanged, LevelChange: change})
+	sm.emit(Effect{Kind: PublishLevelChange, LevelChange: change})
 }
 
 // levelSetEvent returns the event that tells the admission controller how the level in force serves each operation.
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -62,7 +62,7 @@
 	sm.now = sm.timerAt
 	var change *LevelChange
 	for _, e := range step(sm) {
-		if e.Kind == LevelChanged {
+		if e.Kind == PublishLevelChange {
 			change = e.LevelChange
 		}
 	}
@@ -80,7 +80,7 @@
 	for range 10 {
 		sm.now = sm.timerAt
 		for _, e := range step(sm) {
-			assert.NotEqual(t, LevelChanged, e.Kind)
+			assert.NotEqual(t, PublishLevelChange, e.Kind)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	for range 100 {
 		sm.now = sm.timerAt
 		for _, e := range sm.Step(sm.now, sm.now, nil) {
-			if e.Kind == SampleState {
+			if e.Kind == PublishState {
 				samples++
 				assert.Equal(t, 1, e.State.OnCores)
 				assert.Equal(t, 1, e.State.Connections)
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -87,7 +87,7 @@
 	d.bytes(e.Bytes)
 	d.bools(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.ViewChange != nil, e.Record != nil, e.ReplicaWrite != nil, e.ConfigWrite != nil,
 		e.InForce != nil)
-	if e.Kind == node.VersionApplied {
+	if e.Kind == node.ReportVersionOutcome {
 		d.numbersIn(e.Text)
 	}
 	if e.State != nil {
@@ -133,7 +133,7 @@
 	d.integers(int64(s.Succeeded), int64(s.Throttled), int64(s.Errored), int64(s.CallersDisconnected), int64(s.Connections), int64(s.CatalogueLinks), int64(s.IdleCatalogueLinks),
 		int64(s.WaitingCalls), int64(s.UnacknowledgedCommands), s.GaugesAge)
 	for _, name := range admission.ReasonNames {
-		d.integers(int64(s.GivenUp[name]))
+		d.integers(int64(s.RejectedOrFailed[name]))
 	}
 	d.bools(s.ExecutorSynced, s.Configuration != nil)
 	if c := s.Configuration; c != nil {
--- a/internal/node/digestcallers_test.go
+++ b/internal/node/digestcallers_test.go
@@ -17,8 +17,8 @@
 )
 
 // conn returns the open connection with a link number, or nil.
-func (n *simNode) conn(link int) *callerConn {
-	k := slices.IndexFunc(n.conns, func(c *callerConn) bool { return c.link == link })
+func (n *simNode) conn(link int) *dispatcherConn {
+	k := slices.IndexFunc(n.conns, func(c *dispatcherConn) bool { return c.link == link })
 	if k < 0 {
 		return nil
 	}
@@ -27,7 +27,7 @@
 
 // closeConn closes a connection and tells the node.
 func (n *simNode) closeConn(link int) {
-	n.conns = slices.DeleteFunc(n.conns, func(c *callerConn) bool { return c.link == link })
+	n.conns = slices.DeleteFunc(n.conns, func(c *dispatcherConn) bool { return c.link == link })
 	n.deliver(node.Input{Kind: node.ConnectionClosed, Link: link})
 }
 
@@ -73,9 +73,9 @@
 }
 
 // openConn opens a connection of a caller.
-func (n *simNode) openConn() *callerConn {
+func (n *simNode) openConn() *dispatcherConn {
 	n.lastConn++
-	c := &callerConn{link: n.lastConn, open: map[uint32]string{}}
+	c := &dispatcherConn{link: n.lastConn, open: map[uint32]string{}}
 	n.conns = append(n.conns, c)
 	n.deliver(node.Input{Kind: node.ConnectionOpened, Link: c.link})
 	return c
@@ -86,7 +86,7 @@
 	if n.machine == nil || n.isHollow() {
 		return
 	}
-	var usable []*callerConn
+	var usable []*dispatcherConn
 	for _, c := range n.conns {
 		if !c.noNewInvocations && c.closeGeneration == 0 && len(c.open) < 32 {
 			usable = append(usable, c)
@@ -103,7 +103,7 @@
 }
 
 // invoke sends an invocation on a connection.
-func (n *simNode) invoke(c *callerConn) {
+func (n *simNode) invoke(c *dispatcherConn) {
 	if n.conn(c.link) != c {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // distortFields makes some invocations invalid: with malformed or missing fields, or with the id of an unanswered invocation.
-func (n *simNode) distortFields(c *callerConn, fields []frame.Field) []frame.Field {
+func (n *simNode) distortFields(c *dispatcherConn, fields []frame.Field) []frame.Field {
 	if n.oneIn(25) {
 		k := n.Rand.Intn(len(fields))
 		fields[k].Value = []string{"", "x", "-1", "99999999999999999999", "0x1"}[n.Rand.Intn(5)]
@@ -214,7 +214,7 @@
 }
 
 // checkHealth sends a health check; the executor answers a deep one.
-func (n *simNode) checkHealth(c *callerConn, deep bool) {
+func (n *simNode) checkHealth(c *dispatcherConn, deep bool) {
 	var fields []frame.Field
 	if deep {
 		fields = []frame.Field{{Name: "e2e", Value: "1"}}
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -21,18 +21,18 @@
 // simNode simulates a node and its peers. It outlives the node's process: start makes a new incarnation.
 type simNode struct {
 	*simulation
-	index         int
-	name          string
-	address       string
-	seed          int64
-	machine       *node.StateMachine
-	incarnation   int
-	inbox         []node.Input
-	stepScheduled bool
-	wakeAt        int64
-	violations    []string // violated invariants, by all incarnations
+	index             int
+	name              string
+	address           string
+	seed              int64
+	machine           *node.StateMachine
+	processGeneration int
+	inbox             []node.Input
+	stepScheduled     bool
+	wakeAt            int64
+	violations        []string // violated invariants, by all incarnations
 
-	conns             []*callerConn // open connections of callers
+	conns             []*dispatcherConn // open connections of callers
 	lastConn          int
 	executorLink      int // link that the executor has open, 0 if none
 	executorSilent    bool
@@ -48,8 +48,8 @@
 	lastLink          int
 }
 
-// callerConn is a caller's end of a connection.
-type callerConn struct {
+// dispatcherConn is a caller's end of a connection.
+type dispatcherConn struct {
 	link             int
 	lastStream       uint32
 	open             map[uint32]string
@@ -66,16 +66,16 @@
 
 // pendingExchange is the requesting end of an exchange that a node has yet to answer.
 type pendingExchange struct {
-	from        *simNode
-	incarnation int
-	link        int
+	from              *simNode
+	processGeneration int
+	link              int
 }
 
 // peerStream is the remote end of a stream.
 type peerStream struct {
-	to          *simNode
-	incarnation int
-	link        int
+	to                *simNode
+	processGeneration int
+	link              int
 }
 
 // isHollow reports whether the node is hollow, without callers and an executor.
@@ -86,7 +86,7 @@
 	p, err := nodeconfig.FromJSON(n.seed, []byte(n.settings))
 	require.NoError(n.t, err)
 	r := node.NewStateMachine(p, node.Addresses{Executor: "executor:1", Catalogue: "catalogue:1", Control: "control:1"}, 5_000*millisecond, 8, n.links)
-	r.SpareConnections = 2
+	r.ExtraClosingConnections = 2
 	if n.isHollow() {
 		r.MakeHollow(new(node.HollowCounters), false)
 	}
@@ -96,18 +96,18 @@
 		for _, other := range n.simNodes[:min(2, n.nodes)] {
 			c.Seeds = append(c.Seeds, other.address)
 		}
-		r.JoinFleet(fleetName, membership.New(c, n.Now, epoch+n.Now, 0, n.seed+int64(n.incarnation)))
+		r.JoinFleet(fleetName, membership.New(c, n.Now, epoch+n.Now, 0, n.seed+int64(n.processGeneration)))
 	}
 	if n.caching && !n.isHollow() {
 		r.EnableResultCache(resultcache.Config{Durability: n.durability, MaxBytes: 200_000, MaxResultBytes: 1_000, Window: 8_000 * millisecond}, "dedupe",
-			n.incarnation > 1 && n.durability == resultcache.OnDisk)
+			n.processGeneration > 1 && n.durability == resultcache.OnDisk)
 	}
 	if n.replicas > 0 {
 		var replicaNames []string
 		for k := range n.replicas {
 			replicaNames = append(replicaNames, n.simNodes[k].name)
 		}
-		r.EnableConsensus(replicaNames, 4<<20, n.Now, n.seed+int64(n.incarnation))
+		r.EnableConsensus(replicaNames, 4<<20, n.Now, n.seed+int64(n.processGeneration))
 		if r.HasReplica() {
 			require.NoError(n.t, r.RecoverReplica(n.Now, n.disk))
 		}
@@ -118,7 +118,7 @@
 	if n.configSync {
 		file, err := new(configsync.Content).Apply(itemsIn(p))
 		require.NoError(n.t, err)
-		require.NoError(n.t, r.EnableConfigSync(n.Now, n.seed+int64(n.incarnation), configsync.InitialState{ContentRevision: configsync.Revision{Digest: file.Digest()},
+		require.NoError(n.t, r.EnableConfigSync(n.Now, n.seed+int64(n.processGeneration), configsync.InitialState{ContentRevision: configsync.Revision{Digest: file.Digest()},
 			Content: file, Source: "file", Journal: -1}, file))
 	}
 	return r
@@ -126,7 +126,7 @@
 
 // start starts the node's process.
 func (n *simNode) start() {
-	n.incarnation++
+	n.processGeneration++
 	n.machine = n.newMachine()
 	n.inbox, n.stepScheduled, n.conns, n.executorLink = nil, false, nil, 0
 	n.catalogueCalls, n.exchanges, n.streams = map[int]string{}, map[int]pendingExchange{}, map[int]peerStream{}
@@ -134,7 +134,7 @@
 		n.runs, n.executed, n.executorStartedAt = map[string]*executorRun{}, map[string]bool{}, n.Now
 	}
 	var in []node.Input
-	if n.caching && n.incarnation > 1 && n.durability == resultcache.OnDisk && !n.isHollow() {
+	if n.caching && n.processGeneration > 1 && n.durability == resultcache.OnDisk && !n.isHollow() {
 		stored := n.stored
 		n.schedule(30*millisecond, func() {
 			n.deliver(node.Input{Kind: node.RecordsRecovered, Records: slices.Clone(stored)}, node.Input{Kind: node.RecoveryCompleted})
@@ -168,7 +168,7 @@
 func (n *simNode) end() {
 	n.violations = append(n.violations, n.invariants()...)
 	n.machine = nil
-	n.incarnation++
+	n.processGeneration++
 }
 
 // invariants returns the invariants that the current incarnation has violated.
@@ -194,9 +194,9 @@
 
 // schedule calls a function after a delay, unless the node's process has ended by then.
 func (n *simNode) schedule(ns int64, do func()) {
-	incarnation := n.incarnation
+	generation := n.processGeneration
 	n.After(ns, func() {
-		if incarnation == n.incarnation {
+		if generation == n.processGeneration {
 			do()
 		}
 	})
@@ -212,7 +212,7 @@
 	effects := n.machine.Step(n.Now, epoch+n.Now, in)
 	n.steps++
 	n.effects += len(effects)
-	n.digest.integers(int64(n.index), int64(n.incarnation), n.Now, int64(len(effects)))
+	n.digest.integers(int64(n.index), int64(n.processGeneration), n.Now, int64(len(effects)))
 	for k := range effects {
 		n.kinds[effects[k].Kind]++
 		n.digest.effect(&effects[k])
@@ -220,10 +220,10 @@
 	for _, c := range n.conns {
 		n.inFlight += len(c.open)
 	}
-	incarnation := n.incarnation
+	generation := n.processGeneration
 	for k := range effects {
 		n.execute(&effects[k])
-		if incarnation != n.incarnation {
+		if generation != n.processGeneration {
 			return
 		}
 	}
@@ -247,7 +247,7 @@
 		n.After(1_000*millisecond, n.start)
 	case node.SendToConnection:
 		n.writtenToCaller(e)
-	case node.CloseAfterFlush, node.EvictConnection:
+	case node.CloseAfterFlush, node.CloseImmediately:
 		n.closeConnSoon(link)
 	case node.ResumeConnection:
 		if c := n.conn(link); c != nil {
--- a/internal/node/digestpeers_test.go
+++ b/internal/node/digestpeers_test.go
@@ -25,7 +25,7 @@
 
 // executePeerEffect carries out an effect that sends something to other nodes, or does nothing if the effect is of another kind.
 func (n *simNode) executePeerEffect(e *node.Effect) {
-	text, link, incarnation := bytes.Clone(e.Bytes), e.Link, n.incarnation
+	text, link, generation := bytes.Clone(e.Bytes), e.Link, n.processGeneration
 	lost := n.loss > 0 && n.Rand.Float64() < n.loss
 	switch e.Kind {
 	case node.SendDatagram:
@@ -42,7 +42,7 @@
 		n.lastExchange++
 		number := n.lastExchange
 		to.schedule(n.randomDuration(900, 2_000), func() {
-			to.exchanges[number] = pendingExchange{n, incarnation, link}
+			to.exchanges[number] = pendingExchange{n, generation, link}
 			to.deliver(node.Input{Kind: node.PeerRequestReceived, Link: number, From: n.address, Bytes: text})
 		})
 		n.schedule(2_000*millisecond, func() {
@@ -54,7 +54,7 @@
 	case node.ReplyToExchange:
 		pending, known := n.exchanges[link]
 		delete(n.exchanges, link)
-		if !known || pending.from == nil || pending.from.incarnation != pending.incarnation {
+		if !known || pending.from == nil || pending.from.processGeneration != pending.processGeneration {
 			return
 		}
 		in := node.Input{Kind: node.PeerResponseReceived, Link: pending.link, From: n.address, Bytes: text}
@@ -72,22 +72,22 @@
 // sendMessage writes a message to the stream with a number. If that stream is closed, it uses an open one to the address, or opens one.
 func (n *simNode) sendMessage(address string, link int, text []byte) {
 	farEnd, known := n.streams[link]
-	if !known || farEnd.to.incarnation != farEnd.incarnation {
+	if !known || farEnd.to.processGeneration != farEnd.processGeneration {
 		for _, number := range slices.Sorted(maps.Keys(n.streams)) { // use the open stream to that address with the highest number
-			if s := n.streams[number]; s.to.address == address && s.to.incarnation == s.incarnation {
+			if s := n.streams[number]; s.to.address == address && s.to.processGeneration == s.processGeneration {
 				farEnd, known, link = s, true, number
 			}
 		}
 	}
-	if !known || farEnd.to.incarnation != farEnd.incarnation {
+	if !known || farEnd.to.processGeneration != farEnd.processGeneration {
 		to := n.reachable(address, false)
 		if to == nil || to == n {
 			return
 		}
 		n.lastLink++
 		to.lastLink++
-		farEnd = peerStream{to, to.incarnation, to.lastLink}
-		n.streams[n.lastLink], to.streams[to.lastLink] = farEnd, peerStream{n, n.incarnation, n.lastLink}
+		farEnd = peerStream{to, to.processGeneration, to.lastLink}
+		n.streams[n.lastLink], to.streams[to.lastLink] = farEnd, peerStream{n, n.processGeneration, n.lastLink}
 		link = n.lastLink
 	}
 	if n.loss > 0 && n.Rand.Float64() < n.loss {
@@ -106,7 +106,7 @@
 func (n *simNode) closeStream(link int) {
 	farEnd, known := n.streams[link]
 	delete(n.streams, link)
-	if known && farEnd.to.incarnation == farEnd.incarnation {
+	if known && farEnd.to.processGeneration == farEnd.processGeneration {
 		delete(farEnd.to.streams, farEnd.link)
 		farEnd.to.schedule(800_000, func() { farEnd.to.deliver(node.Input{Kind: node.PeerStreamClosed, Link: farEnd.link}) })
 	}
--- a/internal/node/dispatchers_test.go
+++ b/internal/node/dispatchers_test.go
@@ -18,7 +18,7 @@
 	assert.Equal(t, []string{"20 on 1"}, framesSent(t, sent))
 	assert.Contains(t, bytesSent(sent, SendToConnection), "result")
 	assert.Empty(t, framesSent(t, executorSends(sm, "EXIT 1 "+testInvocationID+" good 12 6|result")), "a repeated notice is ignored")
-	assert.Zero(t, sm.owedAnswers)
+	assert.Zero(t, sm.unansweredCount)
 	assert.Empty(t, sm.indexByID)
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -87,7 +87,7 @@
 // finish exits when all invocations are answered and every connection is closed, so that invocations that cross a go-away are
 // answered too. Shortly before the kill it exits with connections open.
 func (d *drainState) finish() {
-	if !d.exitPending || d.sm.owedAnswers > 0 {
+	if !d.exitPending || d.sm.unansweredCount > 0 {
 		return
 	}
 	open := d.sm.connections.count()
@@ -106,7 +106,7 @@
 
 // dueAt returns when the node exits at the latest, if only connections hold up the exit.
 func (d *drainState) dueAt() int64 {
-	if d.exitPending && d.sm.owedAnswers == 0 {
+	if d.exitPending && d.sm.unansweredCount == 0 {
 		return d.exitDeadline()
 	}
 	return never
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -15,7 +15,7 @@
 	ReadConnection       EffectKind = iota // start reading frames from the connection Link
 	SendToConnection                       // write Bytes to the connection Link
 	CloseAfterFlush                        // close the connection Link once everything is written and read, giving the peer time to read; then ConnectionClosed
-	EvictConnection                        // close the connection Link without that time, even within a frame; may follow CloseAfterFlush
+	CloseImmediately                       // close the connection Link without that time, even within a frame; may follow CloseAfterFlush
 	ResumeConnection                       // cancel CloseAfterFlush for the connection Link, on which a request arrived before the close
 	DiscardInput                           // discard all further input of the connection Link: read slowly, only to notice its end
 	DialExecutor                           // open the link Link to the executor at Address; then ExecutorConnected or ExecutorDisconnected
@@ -29,20 +29,20 @@
 	Exit                                   // end the process
 	SetWakeup                              // call Step again at the time At at the latest
 	WriteLog                               // write the log entry Text with LogLevel, ID and Err
-	SampleState                            // publish the sample State
-	LevelChanged                           // publish LevelChange: the degradation level or plan has changed
+	PublishState                           // publish the sample State
+	PublishLevelChange                     // publish LevelChange: the degradation level or plan has changed
 	WriteRecord                            // write Record to the result store; then RecordWritten or RecordWriteFailed
 	SendDatagram                           // send Bytes to the node at Address as a datagram
 	OpenExchange                           // send Bytes to the node at Address as a request; then PeerResponseReceived or PeerExchangeFailed
 	ReplyToExchange                        // answer the request Link of another node with Bytes; without Bytes, close its exchange
-	ViewChanged                            // publish ViewChange, a change of the membership view
+	PublishViewChange                      // publish ViewChange, a change of the membership view
 	SendOnStream                           // write Bytes to the stream Link, or to a stream to Address if Link is 0 or has ended
 	CloseStream                            // close the stream Link
-	VersionApplied                         // Version of the configuration is in force, or was rejected with Err and has changed nothing
+	ReportVersionOutcome                   // Version of the configuration is in force, or was rejected with Err and has changed nothing
 	PersistVersion                         // write the configuration in ConfigWrite to disk; then VersionPersisted
 	ReportVersionInForce                   // publish InForce: a version of the configuration came into force
 	PersistReplicaWrite                    // carry out ReplicaWrite on the replica's disk, in the order of the effects; then ReplicaWritePersisted
-	CallerTimeoutRaised                    // callers may wait for up to At nanoseconds for an answer from now on
+	RaiseCallerTimeout                     // callers may wait for up to At nanoseconds for an answer from now on
 )
 
 // LogLevel is the severity of a log entry.
@@ -60,7 +60,7 @@
 	Kind        EffectKind
 	Link        int    // number of the connection, link, stream, exchange or report
 	Address     string // where to dial or to send
-	At          int64  // ns, a time or, with CallerTimeoutRaised, a duration
+	At          int64  // ns, a time or, with RaiseCallerTimeout, a duration
 	Bytes       []byte
 	Ready       bool // the node is ready for invocations
 	LogLevel    LogLevel
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -32,8 +32,8 @@
 	return now - g.receivedAt
 }
 
-// event returns a tick for the controller with the last measurement, or with -1 for its values if that is too old.
-func (g *gauges) event(now int64) admission.Event {
+// loadEvent returns a tick for the controller with the last measurement, or with -1 for its values if that is too old.
+func (g *gauges) loadEvent(now int64) admission.Event {
 	if now-g.receivedAt > maxGaugesAge {
 		return admission.Event{Kind: admission.TimerFired, BusyShare: -1, RunnableThreads: -1}
 	}
@@ -61,7 +61,7 @@
 func (x *executorState) gaugesAge() int64 { return x.gauges.age(x.sm.now) }
 
 // tick returns a tick for the controller with the last measurement.
-func (x *executorState) tick() admission.Event { return x.gauges.event(x.sm.now) }
+func (x *executorState) tick() admission.Event { return x.gauges.loadEvent(x.sm.now) }
 
 // scheduleGauges schedules a request for gauges such that the answer arrives just before the controller's tick at timerAt.
 func (x *executorState) scheduleGauges(timerAt int64) { x.gauges.requestAt = timerAt - gaugesLeadTime }
@@ -103,7 +103,7 @@
 	}
 	x.gauges.receivedAt = sm.now
 	if sm.controller != nil && x.synced {
-		sm.events = append(sm.events, x.gauges.event(sm.now))
+		sm.events = append(sm.events, x.gauges.loadEvent(sm.now))
 	}
 	if tag == x.syncTag() && !x.synced {
 		x.synced = true
--- a/internal/node/healthchecks.go
+++ b/internal/node/healthchecks.go
@@ -66,7 +66,7 @@
 	h.lastTagNumber++
 	tag := "d" + strconv.Itoa(h.lastTagNumber)
 	h.deepChecks[tag] = deepCheck{link: c.link, stream: stream, deadline: h.sm.now + deepCheckTimeout}
-	c.pendingChecks++
+	c.pendingHealthChecks++
 	h.sm.connections.resume(c)
 	h.sm.executor.send("DIAG", tag)
 }
@@ -88,7 +88,7 @@
 	}
 	delete(h.deepChecks, tag)
 	if c := h.sm.connections.get(d.link); c != nil {
-		c.pendingChecks--
+		c.pendingHealthChecks--
 		h.answer(d.link, d.stream, passed && h.healthy)
 		h.sm.connections.released(c)
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -41,7 +41,7 @@
 func step(sm *StateMachine, inputs ...Input) (got []Effect) {
 	for _, e := range sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, inputs) {
 		gaugesRequest := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
-		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != SampleState && !gaugesRequest {
+		if e.Kind != SetWakeup && e.Kind != WriteLog && e.Kind != SendReport && e.Kind != PublishState && !gaugesRequest {
 			got = append(got, e)
 		}
 	}
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -55,7 +55,7 @@
 	for kind, n := range runUntil(t, sm, &now, 8_000*ms, append(tokens, Input{Kind: HollowCallsRequested, Link: 8})...) {
 		counts[kind] += n
 	}
-	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, SampleState} {
+	for _, kind := range []EffectKind{DialExecutor, DialCatalogue, SendReport, ReadConnection, SendToConnection, StopAccepting, PublishState} {
 		assert.Zero(t, counts[kind], "a hollow node must have no effect of kind %d", kind)
 	}
 	assert.Equal(t, []int64{9, 9, 9, 0, 0}, []int64{counters.TokensRequested.Load(), counters.RunsStarted.Load(), counters.EndsRecorded.Load(), counters.TokensRejected.Load(), counters.TokensAbandoned.Load()})
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -47,7 +47,7 @@
 	index := sm.allocateIndex()
 	sm.invocations[index] = v
 	sm.indexByID[v.invocationID] = index
-	sm.owedAnswers++
+	sm.unansweredCount++
 	return index
 }
 
@@ -115,7 +115,7 @@
 	}
 	sm.Counters.CallersDisconnected++
 	v.answered = true
-	sm.owedAnswers--
+	sm.unansweredCount--
 	if sm.removeTokenWaiter(i) {
 		return
 	}
@@ -159,7 +159,7 @@
 		return
 	}
 	v.answered = true
-	sm.owedAnswers--
+	sm.unansweredCount--
 	sm.catalogue.cancelCall(i)
 	sm.removeTokenWaiter(i)
 	sm.reportRunEnd(i)
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -38,8 +38,8 @@
 	// NewDecider returns a new controller. It is called at the executor's first welcome; coresStartedAt is the time at which
 	// the executor's cores started.
 	NewDecider func(config *admission.Config, coresStartedAt int64) Decider
-	// SpareConnections is the number of connections being closed that may exceed the limit on connections.
-	SpareConnections int
+	// ExtraClosingConnections is the number of connections being closed that may exceed the limit on connections.
+	ExtraClosingConnections int
 
 	config    *nodeconfig.Config
 	addresses Addresses
@@ -60,10 +60,10 @@
 	backpressure   string            // backpressure signal in answers, empty before the controller's first
 
 	// The invocations, by the index that identifies them to the controller.
-	invocations []invocation
-	freeIndices []int32
-	indexByID   map[string]int32
-	owedAnswers int // invocations that are not answered yet
+	invocations     []invocation
+	freeIndices     []int32
+	indexByID       map[string]int32
+	unansweredCount int // invocations that are not answered yet
 
 	executor    executorState
 	catalogue   catalogueState
@@ -87,7 +87,7 @@
 // its copy. killDelay is the time from a drain notice to the kill of the process, in nanoseconds.
 func NewStateMachine(config *nodeconfig.Config, addresses Addresses, killDelay int64, maxConnections, maxCatalogueLinks int) *StateMachine {
 	sm := &StateMachine{
-		config:    withoutUnsupported(config),
+		config:    limitedToSocketProtocols(config),
 		addresses: addresses,
 		timerAt:   never,
 		indexByID: map[string]int32{},
@@ -108,10 +108,10 @@
 	return sm
 }
 
-// withoutUnsupported returns a copy of a configuration that turns off what the protocols on sockets can't express: stopping
+// limitedToSocketProtocols returns a copy of a configuration that turns off what the protocols on sockets can't express: stopping
 // a run, continuing a run without its call, and sharing the answer of a read. It also reserves no memory of the executor for
 // deduplication, since the results of idempotency tokens are cached in the node's own memory.
-func withoutUnsupported(config *nodeconfig.Config) *nodeconfig.Config {
+func limitedToSocketProtocols(config *nodeconfig.Config) *nodeconfig.Config {
 	own := *config
 	n := &own.Node
 	n.DeduplicationEntryKB = 0
@@ -240,11 +240,11 @@
 	case admission.Run:
 		sm.startRun(a.Invocation, a.Form)
 	case admission.Reject:
-		sm.sampler.countGivenUp(a.Reason)
+		sm.sampler.countRejectedOrFailed(a.Reason)
 		sm.degradation.countAnswer(false, false, a.Reason)
 		sm.reject(a)
 	case admission.Fail:
-		sm.sampler.countGivenUp(a.Reason)
+		sm.sampler.countRejectedOrFailed(a.Reason)
 		sm.fail(a.Invocation)
 	case admission.StartCall:
 		sm.catalogue.startCall(a.Invocation, a.At)
--- a/internal/node/machine_test.go
+++ b/internal/node/machine_test.go
@@ -14,7 +14,7 @@
 	step(sm, invocationInput(1), invocationInput(2, "call", other))
 	executorSends(sm, "CALLOUT 1 "+testInvocationID+" 3|ask")
 	connectCatalogue(sm)
-	oldLink, reportLink := sm.executor.link, sm.reports.link
+	oldLink, reportLink := sm.executor.link, sm.reports.inFlight
 	executorSends(sm, "CALLOUT 2 "+other+" 3|ask") // on a link that is not connected yet
 	to := Addresses{"executor:2", "catalogue:2", "control:2"}
 	dialed := map[EffectKind]string{}
@@ -30,7 +30,7 @@
 	got = step(sm, Input{Kind: ExecutorConnected, Link: oldLink}, Input{Kind: ExecutorConnected, Link: sm.executor.dialingLink})
 	assert.Equal(t, Effect{Kind: CloseExecutor, Link: oldLink}, got[0], "a link that is not expected any more is closed")
 	assert.Equal(t, "JOIN 2\r\n", bytesSent(got, SendToExecutor))
-	assert.NotEqual(t, reportLink, sm.reports.link)
+	assert.NotEqual(t, reportLink, sm.reports.inFlight)
 	assert.Empty(t, step(sm, Input{Kind: ReloadRequested, Addresses: to}), "the addresses are the same")
 }
 
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -195,7 +195,7 @@
 			sm.sendEnvelope(Effect{Kind: ReplyToExchange, Link: e.ExchangeID}, &e.Message)
 		case membership.ViewChanged:
 			change := e.Change
-			sm.emit(Effect{Kind: ViewChanged, ViewChange: &change})
+			sm.emit(Effect{Kind: PublishViewChange, ViewChange: &change})
 		case membership.WriteLog:
 			sm.logComponent(e.Warn, e.Text)
 		}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -9,16 +9,16 @@
 // reporter reports the node's readiness to the control plane, one report at a time. A draining node sends no reports, so
 // that its entry at the control plane expires.
 type reporter struct {
-	sm     *StateMachine
-	link   int // number of the report in flight, 0 if there is none
-	nextAt int64
+	sm       *StateMachine
+	inFlight int // number of the report in flight, 0 if there is none
+	nextAt   int64
 }
 
-func (r *reporter) isInFlight() bool { return r.link != 0 }
+func (r *reporter) isInFlight() bool { return r.inFlight != 0 }
 
 // addressChanged abandons a report in flight and reports to the new address at once.
 func (r *reporter) addressChanged() {
-	r.link = 0
+	r.inFlight = 0
 	r.nextAt = r.sm.now
 }
 
@@ -26,16 +26,16 @@
 	if r.sm.now < r.dueAt() {
 		return
 	}
-	r.link = r.sm.nextLink()
-	r.sm.emit(Effect{Kind: SendReport, Link: r.link, Address: r.sm.addresses.Control, Ready: r.sm.health.isServing()})
+	r.inFlight = r.sm.nextLink()
+	r.sm.emit(Effect{Kind: SendReport, Link: r.inFlight, Address: r.sm.addresses.Control, Ready: r.sm.health.isServing()})
 }
 
 // finished handles the end of a report and schedules the next one. It ignores abandoned reports.
 func (r *reporter) finished(link int, err error) {
-	if link != r.link {
+	if link != r.inFlight {
 		return
 	}
-	r.link = 0
+	r.inFlight = 0
 	if err != nil {
 		r.sm.Counters.ReportsFailed++
 		r.nextAt = r.sm.now + reportRetryBackoff
--- a/internal/node/reports_test.go
+++ b/internal/node/reports_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestReportsAreSentOneAtATimeAndRetriedAfterAnError(t *testing.T) {
+func TestNextReportIsScheduledByTheOutcomeOfTheLast(t *testing.T) {
 	sm := newServingNode(t)
-	assert.NotZero(t, sm.reports.link)
-	sm.reports.finished(sm.reports.link, errInvalidField)
+	assert.NotZero(t, sm.reports.inFlight)
+	sm.reports.finished(sm.reports.inFlight, errInvalidField)
 	assert.Equal(t, sm.now+reportRetryBackoff, sm.reports.nextAt)
-	sm.reports.finished(sm.reports.link, nil)
+	sm.reports.finished(sm.reports.inFlight, nil)
 	assert.Equal(t, sm.now+reportInterval, sm.reports.nextAt)
-	assert.Zero(t, sm.reports.link)
+	assert.Zero(t, sm.reports.inFlight)
 }
--- a/internal/node/results_answers_test.go
+++ b/internal/node/results_answers_test.go
@@ -66,5 +66,5 @@
 	assert.Contains(t, bytesSent(sent, SendToConnection), "kept")
 	assert.Zero(t, countRuns(sent))
 	step(r)
-	assert.Zero(t, r.owedAnswers)
+	assert.Zero(t, r.unansweredCount)
 }
--- a/internal/node/results_test.go
+++ b/internal/node/results_test.go
@@ -57,7 +57,7 @@
 	assert.Contains(t, bytesSent(sent, SendToConnection), "kept")
 	assert.Equal(t, 1, countRuns(step(r, tokenInvocation(4, "b"))), "an invocation with another token runs")
 	step(r)
-	assert.Equal(t, 1, r.owedAnswers)
+	assert.Equal(t, 1, r.unansweredCount)
 	assert.Len(t, r.indexByID, 1)
 }
 
@@ -87,7 +87,7 @@
 	assert.Contains(t, bytesSent(catalogueSends(r, id(1)+" DATA 5|reply"), SendToExecutor), "RETURN "+id(1))
 	assert.Equal(t, []string{"20 on 2"}, framesSent(t, executorSends(r, "EXIT 2 "+id(1)+" good 12 6|result")))
 	step(r)
-	assert.Zero(t, r.owedAnswers)
+	assert.Zero(t, r.unansweredCount)
 	assert.Empty(t, r.indexByID)
 }
 
@@ -111,12 +111,12 @@
 	}
 	require.GreaterOrEqual(t, original, int32(0), "at least one token is pending")
 	v := r.invocations[original]
-	owed := r.owedAnswers
+	owed := r.unansweredCount
 	step(r, invocationInput(100, "op", "hold", "call", id(100), "dedupe", v.tokenKey.Token))
-	assert.Equal(t, owed+1, r.owedAnswers)
+	assert.Equal(t, owed+1, r.unansweredCount)
 	step(r, Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Cancel, Stream: v.stream}})
 	step(r)
-	assert.Equal(t, owed, r.owedAnswers)
+	assert.Equal(t, owed, r.unansweredCount)
 	p := r.results.pending[v.tokenKey]
 	require.NotNil(t, p)
 	assert.Equal(t, id(100), r.invocations[p.original].invocationID, "the duplicate is now the original of the token")
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -14,7 +14,7 @@
 	Throttled              int            `json:"refused"` // answered with a throttle
 	Errored                int            `json:"errored"`
 	CallersDisconnected    int            `json:"gone"`               // not answered: the caller disconnected
-	GivenUp                map[string]int `json:"given_up,omitempty"` // rejected or failed by the controller, by reason
+	RejectedOrFailed       map[string]int `json:"given_up,omitempty"` // rejected or failed by the controller, by reason
 	Connections            int            `json:"connections"`        // open connections of dispatchers
 	CatalogueLinks         int            `json:"links"`              // links to the catalogue, open or being dialed
 	IdleCatalogueLinks     int            `json:"idle"`               // links to the catalogue without a call
@@ -29,14 +29,14 @@
 // stateSampler publishes a sample of the state at an interval once there is a controller. It has no timer of its own: the
 // controller's ticks wake the node often enough.
 type stateSampler struct {
-	sm           *StateMachine
-	nextAt       int64
-	givenUp      [admission.ReasonCount]int // invocations rejected or failed since the last sample, by reason
-	lastCounters Counters                   // the node's counters at the last sample
+	sm               *StateMachine
+	nextAt           int64
+	rejectedOrFailed [admission.ReasonCount]int // invocations rejected or failed since the last sample, by reason
+	lastCounters     Counters                   // the node's counters at the last sample
 }
 
-// countGivenUp counts an invocation that the controller has rejected or failed.
-func (s *stateSampler) countGivenUp(reason admission.Reason) { s.givenUp[reason]++ }
+// countRejectedOrFailed counts an invocation that the controller has rejected or failed.
+func (s *stateSampler) countRejectedOrFailed(reason admission.Reason) { s.rejectedOrFailed[reason]++ }
 
 func (s *stateSampler) sampleIfDue() {
 	sm := s.sm
@@ -46,8 +46,8 @@
 	state := s.snapshot()
 	s.nextAt = sm.now + stateSampleInterval
 	s.lastCounters = sm.Counters
-	s.givenUp = [admission.ReasonCount]int{}
-	sm.emit(Effect{Kind: SampleState, State: state})
+	s.rejectedOrFailed = [admission.ReasonCount]int{}
+	sm.emit(Effect{Kind: PublishState, State: state})
 }
 
 // snapshot returns the current state.
@@ -59,7 +59,7 @@
 		Throttled:              sm.Counters.Throttled - s.lastCounters.Throttled,
 		Errored:                sm.Counters.Errored - s.lastCounters.Errored,
 		CallersDisconnected:    sm.Counters.CallersDisconnected - s.lastCounters.CallersDisconnected,
-		GivenUp:                s.givenUpByName(),
+		RejectedOrFailed:       s.rejectedOrFailedByReason(),
 		Connections:            sm.connections.count(),
 		CatalogueLinks:         sm.catalogue.linkCount(),
 		IdleCatalogueLinks:     sm.catalogue.idleLinkCount(),
@@ -76,10 +76,10 @@
 	return state
 }
 
-// givenUpByName returns the invocations rejected or failed since the last sample by the name of the reason, nil if there are
+// rejectedOrFailedByReason returns the invocations rejected or failed since the last sample by the name of the reason, nil if there are
 // none.
-func (s *stateSampler) givenUpByName() (counts map[string]int) {
-	for reason, count := range s.givenUp {
+func (s *stateSampler) rejectedOrFailedByReason() (counts map[string]int) {
+	for reason, count := range s.rejectedOrFailed {
 		if count == 0 {
 			continue
 		}
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -34,7 +34,7 @@
 	effects = receiveFromReplica(t, newOwner, verdictOn(end[0], claims.AnswerDone))
 	assert.Empty(t, localEffectKinds(effects), "an invocation that was taken over has no caller to answer")
 	step(newOwner)
-	assert.Zero(t, newOwner.owedAnswers)
+	assert.Zero(t, newOwner.unansweredCount)
 	assert.Empty(t, newOwner.indexByID, "the invocation is released")
 }
 
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -9,7 +9,7 @@
 	sm.reports.sendIfDue()
 	sm.executor.requestGaugesIfDue()
 	sm.executor.closeIfSilent()
-	sm.connections.checkDue()
+	sm.connections.handleDueTimeouts()
 	sm.catalogue.expire()
 	sm.health.expire()
 	if sm.now >= sm.timerAt {
--- a/internal/node/versions.go
+++ b/internal/node/versions.go
@@ -89,7 +89,7 @@
 // refuseVersion reports that a version was refused, and why.
 func (sm *StateMachine) refuseVersion(number uint64, err error) {
 	sm.Counters.VersionsRefused++
-	sm.emit(Effect{Kind: VersionApplied, Version: number, Err: err})
+	sm.emit(Effect{Kind: ReportVersionOutcome, Version: number, Err: err})
 }
 
 // applyVersions validates and applies a bounded part of the pending versions. Unless a validation is unfinished, it then releases retired
@@ -116,7 +116,7 @@
 		budget -= n
 		if len(v.changes) == 0 {
 			sm.recordActiveVersion(v)
-			sm.emit(Effect{Kind: VersionApplied, Version: v.number,
+			sm.emit(Effect{Kind: ReportVersionOutcome, Version: v.number,
 				Text: fmt.Sprintf("%d added, %d changed, %d removed", v.counts.added, v.counts.changed, v.counts.removed)})
 			vs.dropFirst()
 		}
@@ -206,7 +206,7 @@
 	if result.Added {
 		sm.degradation.remapOperation(result.Index, c.Name)
 	}
-	sm.emit(Effect{Kind: CallerTimeoutRaised, At: op.ClientTimeout})
+	sm.emit(Effect{Kind: RaiseCallerTimeout, At: op.ClientTimeout})
 	if sm.controller != nil {
 		sm.events = append(sm.events, admission.Event{Kind: admission.OperationConfigured, OperationIndex: result.Index, Operation: &op,
 			Services: sm.degradation.servicesOf(result.Index)})
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -31,7 +31,7 @@
 
 // applyVersion applies items as the next version. It returns the error with which the version was refused.
 func applyVersion(t *testing.T, sm *StateMachine, items ...nodeconfig.Item) error {
-	got := effectsOfKind(step(sm, versionInput(t, sm.ActiveVersion()+1, items...)), VersionApplied)
+	got := effectsOfKind(step(sm, versionInput(t, sm.ActiveVersion()+1, items...)), ReportVersionOutcome)
 	require.Len(t, got, 1)
 	return got[0].Err
 }
@@ -70,7 +70,7 @@
 	assert.Equal(t, 1, countRuns(step(sm, arrival(sm, 2, "op", "new", "org", "x"))))
 	assert.Equal(t, []string{"51 on 3"}, framesSent(t, step(sm, arrival(sm, 3, "op", "new", "org", "y"))))
 	assert.Equal(t, []string{"20 on 2"}, framesSent(t, endRun(sm, 2)))
-	got := effectsOfKind(step(sm, versionInput(t, 1, tenant("x", 4))), VersionApplied)
+	got := effectsOfKind(step(sm, versionInput(t, 1, tenant("x", 4))), ReportVersionOutcome)
 	assert.ErrorIs(t, got[0].Err, errStaleVersion)
 	assert.Equal(t, []float64{3}, sm.config.Node.TenantRates)
 }
@@ -141,7 +141,7 @@
 	for k := range maxPendingVersions {
 		in = append(in, versionInput(t, uint64(4+k), tenant("u", k)))
 	}
-	refused := effectsOfKind(sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, in), VersionApplied)
+	refused := effectsOfKind(sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, in), ReportVersionOutcome)
 	require.Len(t, refused, 1, "pending versions are bounded")
 	assert.ErrorIs(t, refused[0].Err, errTooManyVersions)
 }
@@ -249,7 +249,7 @@
 	refused = append(refused, operation("new", ""))
 	assert.Empty(t, step(sm, versionInput(t, 1, refused...)))
 	assert.Empty(t, step(sm))
-	got := effectsOfKind(step(sm), VersionApplied)
+	got := effectsOfKind(step(sm), ReportVersionOutcome)
 	require.Len(t, got, 1)
 	assert.ErrorContains(t, got[0].Err, "operations.new")
 	assert.Equal(t, 1.0, sm.config.Node.Operations[0].PriorityWeight)
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -12,7 +12,7 @@
 	switch e.Kind {
 	case node.SendToConnection:
 		m.receiveFrame(e)
-	case node.CloseAfterFlush, node.EvictConnection:
+	case node.CloseAfterFlush, node.CloseImmediately:
 		link := e.Link
 		if c := m.conns[link]; c != nil {
 			c.noMore = true
@@ -45,7 +45,7 @@
 	case node.StopAccepting:
 		m.closed = true
 		m.afterInIncarnation(networkDelay, func() { m.deliver(node.Input{Kind: node.ListenerClosed}) })
-	case node.LevelChanged:
+	case node.PublishLevelChange:
 		m.level = e.LevelChange.ToName
 		m.total.levelChanged(m, e.LevelChange)
 	}
--- a/server/effects.go
+++ b/server/effects.go
@@ -30,7 +30,7 @@
 		c.send(e.Link, e.Bytes)
 	case node.CloseAfterFlush:
 		c.closeAfterFlush(e.Link, false)
-	case node.EvictConnection:
+	case node.CloseImmediately:
 		c.closeAfterFlush(e.Link, true)
 	case node.ResumeConnection:
 		c.resume(e.Link)
@@ -38,7 +38,7 @@
 		c.discardInput(e.Link)
 	case node.StopAccepting:
 		c.stopAccepting()
-	case node.CallerTimeoutRaised:
+	case node.RaiseCallerTimeout:
 		c.raiseClientTimeout(e.At)
 	default:
 		return false
@@ -102,15 +102,15 @@
 // applyToLog carries out effects that only write to the log.
 func (s *Server) applyToLog(e *node.Effect) {
 	switch e.Kind {
-	case node.SampleState:
+	case node.PublishState:
 		s.log.Debug().Interface("state", e.State).Msg("state")
-	case node.LevelChanged:
+	case node.PublishLevelChange:
 		s.logLevelChange(e.LevelChange)
-	case node.VersionApplied:
+	case node.ReportVersionOutcome:
 		s.logVersionResult(e)
 	case node.ReportVersionInForce:
 		s.logVersionInForce(e.InForce)
-	case node.ViewChanged:
+	case node.PublishViewChange:
 		s.logViewChange(e.ViewChange)
 	case node.WriteLog:
 		s.writeLog(e)
--- a/server/server.go
+++ b/server/server.go
@@ -95,7 +95,7 @@
 	connections, closing, links := config.descriptorShares()
 	s.catalogueSlots = make(chan struct{}, links)
 	s.state = node.NewStateMachine(config.Settings, config.addresses(), int64(config.StopMS*1e6), connections, links)
-	s.state.SpareConnections = closing - 1 // one slot is for the next connection to be accepted
+	s.state.ExtraClosingConnections = closing - 1 // one slot is for the next connection to be accepted
 	if h := config.Hollow; h != nil {
 		s.state.MakeHollow(h.Counters, h.OnlySeat)
 	}
