--- a/internal/fleet/configsync/blockassembly.go
+++ b/internal/fleet/configsync/blockassembly.go
@@ -1,26 +1,26 @@
 package configsync
 
-// maxWantedBlocks is how many blocks are requested at once: more than fit an answer.
+// maxWantedBlocks is the number of blocks requested at once: usually more than fit one answer, so that answers are filled.
 const maxWantedBlocks = 16
 
-// blockAssembly is a version that is assembled from blocks.
+// blockAssembly is a revision that is being assembled from blocks.
 type blockAssembly struct {
-	index    []byte // digests of revision's blocks, nil where it is to be fetched
+	index    []byte // digests of the blocks of revision; nil if the index must be fetched first
 	revision Revision
-	content  *Content    // as far as blocks came, nil for none
-	deltas   blockDeltas // what content differs in from ready
+	content  *Content    // ready's content with the blocks received so far; nil before the first
+	deltas   blockDeltas // the changes from ready's content to content
 }
 
-// blockDeltas are changes from one version to another, block by block. Each block was compared with an index, so an invalid one is
-// found in the answer that has it, and whoever has some of them can give them to others.
+// blockDeltas holds the changes from one version to another by block. Each block is verified against an index when it is received, so
+// an invalid answer is attributed to the peer that sent it, and a node can serve the verified blocks before it has all of them.
 type blockDeltas struct {
 	from, to   Revision
 	blocks     map[int][]Item
 	bytes      int
-	overflowed bool // there was no room for all of them
+	overflowed bool // the changes exceeded maxRetainedBytes and were dropped
 }
 
-// put notes the changes of a block, in place of those to an earlier version.
+// put stores the changes of a block, replacing those that lead to an earlier version.
 func (d *blockDeltas) put(n int, changes []Item) {
 	d.bytes += sizeOf(changes) - sizeOf(d.blocks[n])
 	if d.overflowed || d.bytes > maxRetainedBytes {
@@ -33,7 +33,7 @@
 	d.blocks[n] = changes
 }
 
-// all are the changes of all blocks.
+// all returns the changes of all blocks, in order of block number.
 func (d *blockDeltas) all() (list []Item) {
 	for n := range Blocks {
 		list = append(list, d.blocks[n]...)
@@ -41,7 +41,7 @@
 	return list
 }
 
-// assemblyBase is what blocks are put into.
+// assemblyBase returns the content into which received blocks are merged.
 func (r *Replicator) assemblyBase() *Content {
 	if r.assembly.content != nil {
 		return r.assembly.content
@@ -49,8 +49,8 @@
 	return r.readyContent
 }
 
-// requestMissing requests blocks that differ from the index, from a random one on, so that neighbours get different ones to give to
-// each other.
+// requestMissing adds to a fetch the blocks that differ from the index. It starts at a random block, so that neighbours fetch different
+// blocks and can exchange them.
 func (r *Replicator) requestMissing(m *Message) {
 	m.Missing = make([]byte, Blocks/8)
 	first := r.random.Intn(Blocks)
@@ -71,7 +71,8 @@
 	r.fetch.missing = m.Missing
 }
 
-// applyIndex takes the index of what is fetched: pages that differ, beside those that this node has. It is false for an invalid one.
+// applyIndex builds the index of the wanted revision from received pages and, for pages that were not sent, from the base of the fetch.
+// It reports whether the index is valid: its digests must add up to the revision's.
 func (r *Replicator) applyIndex(m *Message) bool {
 	const pageBytes = fanout * digestBytes
 	if len(m.Index) != len(m.Pages)*pageBytes {
@@ -96,8 +97,8 @@
 	return true
 }
 
-// storeBlocks takes blocks towards the index. One of a version that was confirmed before the goal is of use too: most blocks are alike,
-// and records lead on from it.
+// storeBlocks merges received blocks into the assembly, penalizes the peer if one is invalid, and makes the assembled revision ready once
+// it is complete. The index may be that of a confirmed version older than the goal: most blocks are the same, and records may lead on.
 func (r *Replicator) storeBlocks(now int64, p *peer, blocks []Block) {
 	r.assembly.content = r.assemblyBase()
 	if !r.mergeDeltas(blocks) {
@@ -111,13 +112,13 @@
 		}
 	}
 	complete := r.assembly.content.Digest() == r.assembly.revision.Digest || r.skipDigests && len(blocks) > 0
-	if complete && r.assemblyOfUse() {
+	if complete && r.assemblyLeadsToGoal() {
 		r.finishAssembly()
 	}
 }
 
-// assemblyOfUse reports whether what is assembled is the goal, or confirmed and on the way there.
-func (r *Replicator) assemblyOfUse() bool {
+// assemblyLeadsToGoal reports whether the assembled revision is the goal, or a confirmed one between the ready one and the goal.
+func (r *Replicator) assemblyLeadsToGoal() bool {
 	goal, ok := r.goal()
 	if !ok {
 		return false
@@ -126,7 +127,7 @@
 	return goal == revision || revision.Version > r.ready.Version && revision.Version < goal.Version && r.isConfirmed(revision)
 }
 
-// storeWholeBlock puts a block that came as a whole in its place, false for an invalid one.
+// storeWholeBlock stores a block that was sent whole, and reports whether the block is valid.
 func (r *Replicator) storeWholeBlock(block *Block) bool {
 	n := int(block.Number)
 	want, requested := r.fetch.requested(block.Number)
@@ -147,8 +148,8 @@
 	return true
 }
 
-// mergeDeltas applies the blocks that came as changes, false where one doesn't match the index: who gave it is at fault. They are
-// applied to what they were requested from, whatever came since.
+// mergeDeltas applies the blocks that were sent as changes, and reports whether all match the index; otherwise the sender is at fault.
+// Changes are applied to the ready version's blocks, from which they were requested, even if such a block has been replaced since.
 func (r *Replicator) mergeDeltas(blocks []Block) bool {
 	next := *r.assembly.content
 	owned := [fanout]bool{}
@@ -200,7 +201,7 @@
 	return true
 }
 
-// finishAssembly makes what was assembled ready. Others can have its changes of this node, unless they are too large.
+// finishAssembly makes the assembled revision ready, and retains its changes to serve them to others, unless they were too large.
 func (r *Replicator) finishAssembly() {
 	content := r.assembly.content
 	deltas := r.assembly.deltas
--- a/internal/fleet/configsync/diskfile.go
+++ b/internal/fleet/configsync/diskfile.go
@@ -11,20 +11,20 @@
 
 const (
 	frameLengthBytes = 4
-	frameHeaderBytes = 12      // the length, and the body's checksum of 8 bytes, little-endian
-	maxFrameBytes    = 4 << 20 // of a body: above any record that is retained, and far above a group of blocks
+	frameHeaderBytes = 12      // the body's length and its checksum of 8 bytes, both little-endian
+	maxFrameBytes    = 4 << 20 // of a frame's body: more than the largest retained record, and far more than a group of blocks
 )
 
-// Errors of a file that a DiskLoader reads.
+// Faults of a file that a DiskLoader reads.
 var (
-	errChecksum      = errors.New("a checksum differs")
-	errNoVersion     = errors.New("no version at the beginning")
-	errFrameOrder    = errors.New("a frame out of order")
-	errTornFrame     = errors.New("the last frame is torn")
-	errMissingBlocks = errors.New("blocks are missing")
+	errChecksum       = errors.New("checksum mismatch")
+	errNoVersion      = errors.New("first frame has no version")
+	errFrameOrder     = errors.New("frame out of order")
+	errTruncatedFrame = errors.New("last frame is truncated")
+	errMissingBlocks  = errors.New("blocks missing")
 )
 
-// frame is one body of a file: first the revision, then blocks, then records after them.
+// frame is the body of one frame of a file. The first frame holds the revision, the following ones its blocks, the last ones later records.
 type frame struct {
 	Revision *Revision `cbor:"1,keyasint,omitempty"`
 	Blocks   []Block   `cbor:"2,keyasint,omitempty"`
@@ -34,14 +34,15 @@
 func (f *frame) append(to []byte) []byte {
 	body, err := cbor.Marshal(f)
 	if err != nil {
-		panic(err) // plain fields can always be encoded
+		panic(err) // cannot happen: all field types can be encoded
 	}
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(body)))
 	to = binary.LittleEndian.AppendUint64(to, xxhash.Sum64(body))
 	return append(to, body...)
 }
 
-// Encode yields a file with a content, in pieces of some 64 kB. Records can be appended to it.
+// Encode yields the file of a content frame by frame; a frame of blocks holds up to one block more than maxPieceBytes. Records can be
+// appended to the file.
 func Encode(revision Revision, c *Content) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		if !yield((&frame{Revision: &revision}).append(nil)) {
@@ -66,31 +67,31 @@
 	}
 }
 
-// AppendRecord appends a record as it is encoded in a file.
+// AppendRecord appends a record's frame, as stored in a file.
 func AppendRecord(to []byte, r *Record) []byte {
 	wire := r.wire()
 	return (&frame{Record: &wire}).append(to)
 }
 
-// DiskLoader reads a file that Encode and AppendRecord made, written to it in pieces of any size. The zero value is ready.
+// DiskLoader decodes a file of Encode and AppendRecord, written to it in pieces of any size. The zero value is ready to use.
 type DiskLoader struct {
-	buffer      []byte // of a frame that isn't complete yet
+	buffer      []byte // bytes of an incomplete frame
 	revision    Revision
 	hasRevision bool
 	content     Content
 	owned       [fanout]bool
-	ready       *Content // once it matched the revision's digest
+	ready       *Content // set once the content matches the revision's digest
 	journalSize int
 	err         error
 }
 
-// Write takes the next bytes. It never fails: Start returns what was wrong.
+// Write decodes the next bytes of the file. It never fails: Start returns the first fault.
 func (l *DiskLoader) Write(p []byte) (int, error) {
 	l.buffer = append(l.buffer, p...)
 	for l.err == nil && len(l.buffer) >= frameHeaderBytes {
 		size := int(binary.LittleEndian.Uint32(l.buffer))
 		if size > maxFrameBytes {
-			l.err = fmt.Errorf("a frame of %d bytes", size)
+			l.err = fmt.Errorf("frame of %d bytes exceeds the limit", size)
 			break
 		}
 		if len(l.buffer) < frameHeaderBytes+size {
@@ -146,7 +147,7 @@
 		return err
 	}
 	if record.Version != l.revision.Version+1 || record.Base != l.revision.Digest || next.Digest() != record.Digest {
-		return fmt.Errorf("the record of version %d doesn't follow version %d", record.Version, l.revision.Version)
+		return fmt.Errorf("record of version %d doesn't follow version %d", record.Version, l.revision.Version)
 	}
 	l.ready = next
 	l.revision = Revision{record.Version, record.Digest}
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// checkComplete notes that all blocks are there.
+// checkComplete marks the content ready if all its blocks have been read.
 func (l *DiskLoader) checkComplete() {
 	if l.content.Digest() == l.revision.Digest {
 		content := l.content
@@ -162,23 +163,23 @@
 	}
 }
 
-// Start returns what the file had, up to its first fault, and that as an error. Nothing is returned of a content that doesn't match its
-// digest.
+// Start returns the state read from the file up to its first fault, and the fault as an error. The state is empty if the content was
+// incomplete or did not match its digest.
 func (l *DiskLoader) Start() (InitialState, error) {
 	err := l.err
 	if err == nil && len(l.buffer) > 0 {
-		err = errTornFrame
+		err = errTruncatedFrame
 	}
 	if l.ready == nil {
 		if err == nil {
 			err = errMissingBlocks
 		}
-		return InitialState{}, fmt.Errorf("configuration: nothing can be read back: %w", err)
+		return InitialState{}, fmt.Errorf("configuration: no content could be restored from disk: %w", err)
 	}
 	state := InitialState{ContentRevision: l.revision, Content: l.ready, Source: "disk", Journal: l.journalSize}
 	if err != nil {
 		state.Journal = -1
-		err = fmt.Errorf("configuration: read back to version %d only: %w", l.revision.Version, err)
+		err = fmt.Errorf("configuration: restored from disk up to version %d only: %w", l.revision.Version, err)
 	}
 	return state, err
 }
--- a/internal/fleet/configsync/events.go
+++ b/internal/fleet/configsync/events.go
@@ -1,40 +1,40 @@
 package configsync
 
-// View is whom a node can reach, by name, without itself.
+// View is a node's membership view: names of other nodes.
 type View struct {
-	Neighbours []string // along membership's links
-	Replicas   []string // the replicas
-	Zone       []string // live members of its own zone, or of none where it knows none
+	Neighbours []string // peers on the links that membership maintains
+	Replicas   []string // nodes with a replica of the consensus group
+	Zone       []string // live members of the node's own zone; without a zone, those without one
 }
 
-// Agreed is the state of a replica's table, for the replicator of its node.
+// Agreed is the state of a replica's table, passed to the replicator of its node.
 type Agreed struct {
 	Head                HeadRevision
 	All, Canary, Newest *Content
 	Log                 []*Record
 }
 
-// Agreed returns the table's state, which the replicator gets after each change.
+// Agreed returns the table's state, to be passed to the replicator after each change.
 func (t *Table) Agreed() *Agreed { return &Agreed{t.head, t.all, t.canary, t.newest, t.log} }
 
-// InputKind names what happened.
+// InputKind is the kind of an Input.
 type InputKind uint8
 
 // The kinds of inputs.
 const (
-	ViewChanged           InputKind = iota // the view changed
-	DatagramReceived                       // a datagram of From
+	ViewChanged           InputKind = iota // the membership view changed: View
+	DatagramReceived                       // a datagram from From arrived
 	ExchangeOpened                         // From opened an exchange on Link
-	ExchangeAnswered                       // the answer to an exchange of this node on Link
-	ExchangeFailed                         // an exchange of this node on Link failed
-	VersionApplied                         // Revision is in force at this node, or can't be: Why
-	VersionChecked                         // Revision could be applied, or can't be: Why
-	VersionPersisted                       // the last PersistVersion was carried out, or wasn't: Why
-	AgreementChanged                       // the table of this node's replica changed
-	ReplicaContactChanged                  // this node's replica is in contact with the group, or not any more: ReplicaCurrent
+	ExchangeAnswered                       // the answer to this node's exchange on Link arrived
+	ExchangeFailed                         // this node's exchange on Link failed
+	VersionApplied                         // ApplyVersion is done: Revision is in force on this node, or could not be applied, with the reason in Why
+	VersionChecked                         // CheckVersion is done: Revision can be applied, or can't be, with the reason in Why
+	VersionPersisted                       // the last PersistVersion is done, or failed, with the reason in Why
+	AgreementChanged                       // the table of this node's replica changed: Agreed
+	ReplicaContactChanged                  // this node's replica gained or lost contact with the consensus group: ReplicaCurrent
 )
 
-// Input is one event. The replicator owns what it points to.
+// Input is one event for the replicator, which takes ownership of all data that the input refers to.
 type Input struct {
 	Kind           InputKind
 	From           string
@@ -47,22 +47,22 @@
 	Why            string
 }
 
-// EffectKind names what is to be done.
+// EffectKind is the kind of an Effect.
 type EffectKind uint8
 
 // The kinds of effects.
 const (
-	Send           EffectKind = iota // a datagram to To
-	Exchange                         // open Link to To, write Message, wait for the answer
-	Reply                            // answer the exchange on Link
+	Send           EffectKind = iota // send Message to To as a datagram
+	Exchange                         // open an exchange with To on Link, send Message, and wait for the answer
+	Reply                            // answer the exchange on Link with Message
 	ApplyVersion                     // apply Revision: Diff(Old, New) are the changes; answered by VersionApplied. It replaces a pending CheckVersion
 	CheckVersion                     // check whether Revision could be applied, and change nothing; answered by VersionChecked
-	PersistVersion                   // write Revision to the disk: Records after what was written before, or all of New where Full; answered by VersionPersisted
+	PersistVersion                   // write Revision to disk: append Records, or write all of New if Full; answered by VersionPersisted
 	ProposeCommand                   // have the replica propose Command
-	WriteLog                         // log Text
+	WriteLog                         // log Text, as a warning if Warn
 )
 
-// Effect is one thing to do. What it points to must not be changed.
+// Effect is one action to carry out. All data that it refers to must not be modified.
 type Effect struct {
 	Kind     EffectKind
 	To       string
--- a/internal/fleet/configsync/restore.go
+++ b/internal/fleet/configsync/restore.go
@@ -8,13 +8,13 @@
 	"topazpost/internal/cborcodec"
 )
 
-var errLogGaps = errors.New("configuration: the log of a snapshot has gaps")
+var errLogGaps = errors.New("configuration: snapshot log has gaps")
 
 const maxArrayElements = 1 << 21 // items of one list in a snapshot
 
 var cborDecoding = cborcodec.SnapshotDecMode(maxArrayElements)
 
-// Restore decodes a table from a snapshot.
+// Restore decodes a snapshot into a table.
 func Restore(text []byte) (*Table, error) {
 	var saved savedTable
 	if err := cborDecoding.Unmarshal(text, &saved); err != nil {
@@ -33,7 +33,7 @@
 		return nil, errUnreadableSnapshot(err)
 	}
 	if all.Digest() != saved.Head.All.Digest || canary.Digest() != saved.Head.Canary.Digest {
-		return nil, fmt.Errorf("configuration: a snapshot comes to %s and %s, not to the digests that it names", all.Digest(), canary.Digest())
+		return nil, fmt.Errorf("configuration: contents of snapshot have digests %s and %s, which differ from those in its head", all.Digest(), canary.Digest())
 	}
 	t := &Table{
 		head:             saved.Head,
@@ -56,12 +56,12 @@
 }
 
 func errUnreadableSnapshot(cause error) error {
-	return fmt.Errorf("configuration: a snapshot can't be read: %w", cause)
+	return fmt.Errorf("configuration: read snapshot: %w", cause)
 }
 
 func restoreBlocks(blocks [][]byte) (*Content, error) {
 	if len(blocks) != Blocks {
-		return nil, fmt.Errorf("configuration: a snapshot of %d blocks, not %d", len(blocks), Blocks)
+		return nil, fmt.Errorf("configuration: snapshot has %d blocks, expected %d", len(blocks), Blocks)
 	}
 	content := &Content{}
 	owned := [fanout]bool{}
@@ -70,7 +70,7 @@
 			continue
 		}
 		if _, ok := checkBlock(n, block); !ok {
-			return nil, fmt.Errorf("configuration: block %d of a snapshot is malformed", n)
+			return nil, fmt.Errorf("configuration: block %d of the snapshot is malformed", n)
 		}
 		content.setBlock(n, bytes.Clone(block), &owned)
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// restoreLogSize checks that the log ends with the newest version and has no gaps, and adds its size up.
+// restoreLogSize checks that the log has no gaps and ends with the newest version, and adds up its size.
 func (t *Table) restoreLogSize() error {
 	for k, record := range t.log {
 		if record == nil || record.Version != t.head.Newest-uint64(len(t.log)-1-k) {
