--- a/cmd/topazpost/config_status.go
+++ b/cmd/topazpost/config_status.go
@@ -114,7 +114,7 @@
 	})
 }
 
-func (f *fleetStatus) print(head *configsync.HeadRevision, replicas int) error {
+func (f *fleetStatus) print(head *configsync.RolloutState, replicas int) error {
 	fmt.Printf("in force for all: %d; first stage: %d; newest: %d; %d seats asked\n", head.All.Version, head.Canary.Version,
 		head.Newest, replicas)
 	if head.Stopped {
--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -87,8 +87,8 @@
 	UnlistedDiffering int    `cbor:"8,keyasint,omitempty"` // Stale: number of changed items that Differing omits; -1 if the log does not reach back to Base
 }
 
-// HeadRevision holds the versions that are agreed on, and how far each of them is rolled out. Replicas confirm it to nodes.
-type HeadRevision struct {
+// RolloutState holds the versions that are agreed on, and how far each of them is rolled out. Replicas confirm it to nodes.
+type RolloutState struct {
 	All        Revision `cbor:"1,keyasint"`           // in force for all nodes
 	Canary     Revision `cbor:"2,keyasint"`           // at the canary stage; equals All if there is none
 	Newest     uint64   `cbor:"3,keyasint"`           // newest version; versions after Canary wait until its canary stage ends
@@ -98,7 +98,7 @@
 }
 
 // newer reports whether h was agreed on after other.
-func (h *HeadRevision) newer(other *HeadRevision) bool {
+func (h *RolloutState) newer(other *RolloutState) bool {
 	switch {
 	case h.All.Version != other.All.Version:
 		return h.All.Version > other.All.Version
--- a/internal/fleet/configsync/events.go
+++ b/internal/fleet/configsync/events.go
@@ -9,7 +9,7 @@
 
 // Agreed is the state of a replica's table, passed to the replicator of its node.
 type Agreed struct {
-	Head                HeadRevision
+	Head                RolloutState
 	All, Canary, Newest *Content
 	Log                 []*Record
 }
--- a/internal/fleet/configsync/gossip.go
+++ b/internal/fleet/configsync/gossip.go
@@ -68,11 +68,11 @@
 }
 
 // announcedHead returns the confirmed head as it is announced to neighbours.
-func (r *Replicator) announcedHead() HeadRevision { return r.head.announced() }
+func (r *Replicator) announcedHead() RolloutState { return r.head.announced() }
 
 // announced returns a head without the fields that only replicas send.
-func (h HeadRevision) announced() HeadRevision {
-	return HeadRevision{All: h.All, Canary: h.Canary, Stopped: h.Stopped}
+func (h RolloutState) announced() RolloutState {
+	return RolloutState{All: h.All, Canary: h.Canary, Stopped: h.Stopped}
 }
 
 // announce sends announcements to the neighbours that are due for one.
--- a/internal/fleet/configsync/message.go
+++ b/internal/fleet/configsync/message.go
@@ -16,7 +16,7 @@
 type Message struct {
 	Kind    MessageKind  `cbor:"1,keyasint"`
 	Seq     uint32       `cbor:"2,keyasint,omitempty"`  // Report: its number; Confirm: the number of the Report that it answers
-	Head    HeadRevision `cbor:"3,keyasint"`            // Announce, Confirm
+	Head    RolloutState `cbor:"3,keyasint"`            // Announce, Confirm
 	Has     Revision     `cbor:"4,keyasint"`            // Announce, Fetch, Content: the newest complete revision at the sender; Report: the revision in force there
 	Refused Revision     `cbor:"5,keyasint"`            // Report: the newest revision that the sender can't apply
 	Why     string       `cbor:"6,keyasint,omitempty"`  // Report: why Refused can't be applied
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -13,7 +13,7 @@
 // TestMessagesFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
 func TestMessagesFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
-	head := HeadRevision{All: most, Canary: most, Newest: 1 << 60, Stopped: true, StoppedBy: strings.Repeat("w", maxCallerNameBytes), StopReason: strings.Repeat("y", maxReasonBytes)}
+	head := RolloutState{All: most, Canary: most, Newest: 1 << 60, Stopped: true, StoppedBy: strings.Repeat("w", maxCallerNameBytes), StopReason: strings.Repeat("y", maxReasonBytes)}
 	table := NewTable()
 	for k := range 200 {
 		table.Apply(1, putOn(uint64(k), uint64(k+1), tenant(k, fmt.Sprintf(`{"rate":%d}`, k)), tenant(k+1, `{"burst":1}`)))
@@ -73,7 +73,7 @@
 	valid := &Content{}
 	valid, err := valid.Apply([]Item{tenant(1, "1")})
 	require.NoError(t, err)
-	head := HeadRevision{All: Revision{1, valid.Digest()}, Canary: Revision{1, valid.Digest()}, Newest: 1}
+	head := RolloutState{All: Revision{1, valid.Digest()}, Canary: Revision{1, valid.Digest()}, Newest: 1}
 	reports := 0
 	replicas := 0
 	inputs := []Input{{Kind: ViewChanged, View: &View{Neighbours: []string{"faulty", "b"}, Replicas: []string{"s", "t"}}}}
@@ -99,8 +99,8 @@
 		}
 		for range 20 {
 			invalid := Revision{uint64(2 + now/(10*ms)), Digest{A: uint64(now)}}
-			inputs = append(inputs, Input{Kind: DatagramReceived, From: "faulty", Message: &Message{Kind: MessageAnnounce, Head: HeadRevision{All: invalid, Canary: invalid}, Has: invalid}},
-				Input{Kind: DatagramReceived, From: "faulty", Message: &Message{Kind: MessageConfirm, Head: HeadRevision{All: invalid, Canary: invalid}}})
+			inputs = append(inputs, Input{Kind: DatagramReceived, From: "faulty", Message: &Message{Kind: MessageAnnounce, Head: RolloutState{All: invalid, Canary: invalid}, Has: invalid}},
+				Input{Kind: DatagramReceived, From: "faulty", Message: &Message{Kind: MessageConfirm, Head: RolloutState{All: invalid, Canary: invalid}}})
 		}
 	}
 	require.Equal(t, head.All, r.Revision())
--- a/internal/fleet/configsync/peers.go
+++ b/internal/fleet/configsync/peers.go
@@ -18,7 +18,7 @@
 type peer struct {
 	name             string
 	neighbour        bool
-	head             HeadRevision // last announced by the peer
+	head             RolloutState // last announced by the peer
 	ready            Revision     // last announced by the peer: the newest revision that it has
 	offered          []Record     // sent with its last announcement
 	announcedChange  uint64       // Replicator.changes at the last announcement to it
@@ -26,7 +26,7 @@
 	announceAt       int64 // when to announce to it at the latest, 0 for no time
 	backoffUntil     int64 // the peer is ignored until then
 	invalidResponses int
-	unconfirmed      HeadRevision // the first head that it announced and no replica has confirmed yet
+	unconfirmed      RolloutState // the first head that it announced and no replica has confirmed yet
 	unconfirmedSince int64
 	denials          int   // answers of current replicas that did not confirm it
 	retryAt          int64 // nothing is fetched from it before then
@@ -75,10 +75,10 @@
 	}
 	p.backoffUntil = now + min(minPeerBackoff<<min(p.invalidResponses, 10), maxPeerBackoff)
 	p.invalidResponses++
-	p.head = HeadRevision{}
+	p.head = RolloutState{}
 	p.ready = Revision{}
 	p.offered = nil
-	p.unconfirmed = HeadRevision{}
+	p.unconfirmed = RolloutState{}
 }
 
 // contradictsConfirmed reports whether an announced revision has another digest than the same version that was confirmed or is ready here.
@@ -93,7 +93,7 @@
 }
 
 // trackUnconfirmed remembers the first head announced by a peer that no replica has confirmed, and reports whether there is one.
-func (p *peer) trackUnconfirmed(now int64, confirmed *HeadRevision) bool {
+func (p *peer) trackUnconfirmed(now int64, confirmed *RolloutState) bool {
 	if !p.unconfirmed.newer(confirmed) {
 		p.unconfirmed = p.head
 		p.unconfirmedSince = now
--- a/internal/fleet/configsync/query.go
+++ b/internal/fleet/configsync/query.go
@@ -46,7 +46,7 @@
 
 // ReplicaStatus is the state that a node with a replica knows in addition to its own status.
 type ReplicaStatus struct {
-	Head             HeadRevision `cbor:"1,keyasint"`
+	Head             RolloutState `cbor:"1,keyasint"`
 	Newest           Revision     `cbor:"2,keyasint"`
 	RollbackVersions []uint64     `cbor:"3,keyasint,omitempty"` // versions that a CommandRollback may name
 	Nodes            []NodeStatus `cbor:"4,keyasint,omitempty"` // At is the age of the report in ns
--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -66,7 +66,7 @@
 	agreed       *Agreed // state of the table on a replica, nil elsewhere
 	groupCurrent bool    // on a replica: it is in contact with the consensus group
 
-	head               HeadRevision // the newest head that a replica confirmed
+	head               RolloutState // the newest head that a replica confirmed
 	confirmed          []Revision   // the last confirmed revisions, in order of version
 	confirmedAt        int64        // time of the last confirmation, 0 for never
 	conflicting        Revision     // the last revision confirmed by a replica that contradicts an earlier confirmation
@@ -152,7 +152,7 @@
 	Revision Revision `cbor:"Mark" json:"Mark"`
 	Source   string   // where Revision came from: "disk", "file" or "fleet"
 	Ready    Revision
-	Head     HeadRevision
+	Head     RolloutState
 	TakenNS  int64 // ns since Revision came into force on this node
 	HeardNS  int64 // ns since the last confirmation; -1 for never
 	Behind   bool  // a newer version is known to be in force for all nodes
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -22,10 +22,10 @@
 
 // confirmation is a replica's answer, as an input.
 func confirmation(all, first Revision) Input {
-	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: HeadRevision{All: all, Canary: first, Newest: first.Version}}}
+	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: RolloutState{All: all, Canary: first, Newest: first.Version}}}
 }
 
-func announcement(from string, head HeadRevision, has Revision, records ...Record) Input {
+func announcement(from string, head RolloutState, has Revision, records ...Record) Input {
 	return Input{Kind: DatagramReceived, From: from, Message: &Message{Kind: MessageAnnounce, Head: head, Has: has, Records: records}}
 }
 
@@ -54,9 +54,9 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	r.Step(ms, []Input{announcement("a", RolloutState{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.Equal(t, one, r.ready)
-	effects, _ := r.Step(2*ms, []Input{announcement("a", HeadRevision{}, two, table.log[1].wire()), confirmation(one, two)})
+	effects, _ := r.Step(2*ms, []Input{announcement("a", RolloutState{}, two, table.log[1].wire()), confirmation(one, two)})
 	require.Len(t, effectsOf(effects, ApplyVersion), 1)
 	require.Equal(t, one, effectsOf(effects, ApplyVersion)[0].Revision)
 	effects, _ = r.Step(3*ms, []Input{{Kind: VersionApplied, Revision: one}})
@@ -84,7 +84,7 @@
 	two := revisionOf(table, 2)
 	three := revisionOf(table, 3)
 	r.Step(ms, []Input{confirmation(Revision{}, two)})
-	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", HeadRevision{}, two)})
+	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", RolloutState{}, two)})
 	fetch := effectsOf(effects, Exchange)
 	require.Len(t, fetch, 1)
 	require.Equal(t, "a", fetch[0].To)
@@ -100,7 +100,7 @@
 	r.view.Zone = nil // at the canary stage: it is alone in its zone
 	r.canary.version = 0
 	one := revisionOf(table, 1)
-	effects, _ := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	effects, _ := r.Step(ms, []Input{announcement("a", RolloutState{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.True(t, effectsOf(effects, ApplyVersion)[0].Canary)
 	var wake int64
 	in := []Input{{Kind: VersionApplied, Revision: one, Why: "no such effect"}}
@@ -129,7 +129,7 @@
 	c := fullContent(t, 100, 3_000)
 	revision := Revision{1, c.Digest()}
 	r.Step(1, []Input{{Kind: ViewChanged, View: &View{Neighbours: []string{"near"}}},
-		{Kind: AgreementChanged, Agreed: &Agreed{Head: HeadRevision{All: revision, Canary: revision, Newest: 1}, All: c, Canary: c, Newest: c}}})
+		{Kind: AgreementChanged, Agreed: &Agreed{Head: RolloutState{All: revision, Canary: revision, Newest: 1}, All: c, Canary: c, Newest: c}}})
 	near := 0
 	all := 0
 	const seconds = 20
@@ -168,7 +168,7 @@
 }
 
 // announceUnconfirmed has neighbours announce a version for some seconds that replicas don't know, and returns the number of reports.
-func announceUnconfirmed(r *Replicator, head, unconfirmed HeadRevision, seconds int64, current bool) (reports int) {
+func announceUnconfirmed(r *Replicator, head, unconfirmed RolloutState, seconds int64, current bool) (reports int) {
 	var in []Input
 	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
 		if now%(500*ms) == ms {
@@ -194,13 +194,13 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	three := revisionOf(table, 3)
-	r.Step(0, []Input{confirmation(one, one), announcement("a", HeadRevision{}, one, table.log[0].wire())})
+	r.Step(0, []Input{confirmation(one, one), announcement("a", RolloutState{}, one, table.log[0].wire())})
 	r.Step(1, []Input{{Kind: VersionApplied, Revision: one}})
 	require.Equal(t, one, r.Revision())
-	reports := announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: three}, 60, false)
+	reports := announceUnconfirmed(r, RolloutState{All: one, Canary: one}, RolloutState{All: one, Canary: three}, 60, false)
 	require.Zero(t, r.Counters.InvalidResponses)
 	require.Less(t, reports, 60, "the backoff between reports grows")
-	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", HeadRevision{All: one, Canary: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
+	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", RolloutState{All: one, Canary: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
 	require.Empty(t, effectsOf(effects, ApplyVersion))
 	require.Equal(t, three, r.ready, "announced records are used as soon as a replica confirms")
 }
@@ -211,7 +211,7 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: two}, unconfirmedGracePeriod/(1_000*ms), true)
+	announceUnconfirmed(r, RolloutState{All: one, Canary: one}, RolloutState{All: one, Canary: two}, unconfirmedGracePeriod/(1_000*ms), true)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
@@ -221,12 +221,12 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: Revision{9, Digest{A: 9}}}, 20, true)
+	announceUnconfirmed(r, RolloutState{All: one, Canary: one}, RolloutState{All: one, Canary: Revision{9, Digest{A: 9}}}, 20, true)
 	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours announced it")
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 	require.Equal(t, 1, r.peers["b"].invalidResponses)
 	r = newTestReplicator()
-	r.Step(ms, []Input{confirmation(one, one), announcement("a", HeadRevision{All: one, Canary: Revision{2, Digest{A: 9}}}, one), announcement("b", HeadRevision{All: one, Canary: two}, two)})
+	r.Step(ms, []Input{confirmation(one, one), announcement("a", RolloutState{All: one, Canary: Revision{2, Digest{A: 9}}}, one), announcement("b", RolloutState{All: one, Canary: two}, two)})
 	require.Zero(t, r.Counters.InvalidResponses, "no replica confirmed it yet")
 	r.Step(2*ms, []Input{confirmation(one, two)})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
@@ -236,7 +236,7 @@
 	for k := 1; k <= 9; k++ {
 		r.Step(int64(k)*ms, []Input{confirmation(revisionOf(table, k), revisionOf(table, k))})
 	}
-	r.Step(10*ms, []Input{announcement("a", HeadRevision{}, Revision{4, Digest{A: 4}}), announcement("b", HeadRevision{}, revisionOf(table, 4))})
+	r.Step(10*ms, []Input{announcement("a", RolloutState{}, Revision{4, Digest{A: 4}}), announcement("b", RolloutState{}, revisionOf(table, 4))})
 	require.Equal(t, 1, r.peers["a"].invalidResponses, "past revisions are remembered for a while")
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
@@ -255,7 +255,7 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	three := revisionOf(table, 3)
-	head := HeadRevision{All: three, Canary: three}
+	head := RolloutState{All: three, Canary: three}
 	fetch := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
 	from := fetch.To
 	other := "a"
@@ -285,7 +285,7 @@
 	table := tableWithVersions(2)
 	r := newTestReplicator()
 	two := revisionOf(table, 2)
-	head := HeadRevision{All: two, Canary: two}
+	head := RolloutState{All: two, Canary: two}
 	invalid, err := (&Content{}).Apply([]Item{tenant(7, "7")})
 	require.NoError(t, err)
 	fetch := fetchOf(t, r, 500*ms, confirmation(two, two), announcement("a", head, two))
@@ -323,7 +323,7 @@
 		n.appliedContent = c
 		n.ready = revision
 		var fetch Effect
-		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, Canary: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
+		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", RolloutState{All: revision, Canary: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
 			if list := effectsOf(effects, Exchange); len(list) > 0 {
 				fetch = list[0]
 				break
--- a/internal/fleet/configsync/reports.go
+++ b/internal/fleet/configsync/reports.go
@@ -149,7 +149,7 @@
 }
 
 // confirm adopts a head that a replica confirmed, if it is newer. A head that has another digest for a known version is logged and ignored.
-func (r *Replicator) confirm(now int64, head HeadRevision, effects []Effect) []Effect {
+func (r *Replicator) confirm(now int64, head RolloutState, effects []Effect) []Effect {
 	r.confirmedAt = now
 	before, after, conflict := conflictOf(&r.head, &head)
 	if conflict {
@@ -180,7 +180,7 @@
 }
 
 // conflictOf returns two revisions of the same version with different digests, one from each head, if there are any.
-func conflictOf(a, b *HeadRevision) (before, after Revision, conflict bool) {
+func conflictOf(a, b *RolloutState) (before, after Revision, conflict bool) {
 	for _, after := range [...]Revision{b.All, b.Canary} {
 		for _, before := range [...]Revision{a.All, a.Canary} {
 			if after.Version == before.Version && after.Digest != before.Digest {
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -12,7 +12,7 @@
 	bytesPerItem      = 128     // bytes of a block that cost as much to copy as one item costs to encode
 	maxItemOverhead   = 32      // bytes of the CBOR heads and keys of an item
 	maxRecordOverhead = 64      // bytes of the CBOR heads and keys of a record or verdict
-	maxHeadBytes      = 1 << 10 // bytes of a HeadRevision with a reason, and of a draft without its changes
+	maxHeadBytes      = 1 << 10 // bytes of a RolloutState with a reason, and of a draft without its changes
 	maxLengthBytes    = 9       // bytes of a CBOR head
 	bytesPerFullStep  = 1 << 20 // bytes for each call of Next when the snapshot is encoded in one go
 )
@@ -47,7 +47,7 @@
 
 // savedTable is the encoding of a table in a snapshot: the newest content as blocks, the other contents as differences from it.
 type savedTable struct {
-	Head             HeadRevision `cbor:"1,keyasint"`
+	Head             RolloutState `cbor:"1,keyasint"`
 	CanarySince      int64        `cbor:"2,keyasint"`
 	Blocks           [][]byte     `cbor:"3,keyasint"`
 	All              []Item       `cbor:"4,keyasint,omitempty"`
--- a/internal/fleet/configsync/suppliers_test.go
+++ b/internal/fleet/configsync/suppliers_test.go
@@ -42,7 +42,7 @@
 	g.newest = c
 	g.all = c
 	g.canary = c
-	g.head = HeadRevision{All: g.first, Canary: g.first, Newest: 1}
+	g.head = RolloutState{All: g.first, Canary: g.first, Newest: 1}
 	for _, name := range []string{"a", "b"} {
 		g.nodes[name] = NewReplicator(0, ReplicatorConfig{Name: name, Seed: 2}, InitialState{ContentRevision: g.first, Content: c})
 	}
@@ -88,7 +88,7 @@
 // fetch has a node fetch until a version is ready; change can alter, drop and duplicate each answer. It returns the answers by peer and the bytes.
 func (g *suppliers) fetch(t *testing.T, r *Replicator, goal Revision, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
 	from = map[string]int{}
-	in := []Input{confirmation(goal, goal), announcement("a", HeadRevision{All: goal, Canary: goal}, goal), announcement("b", HeadRevision{All: goal, Canary: goal}, goal)}
+	in := []Input{confirmation(goal, goal), announcement("a", RolloutState{All: goal, Canary: goal}, goal), announcement("b", RolloutState{All: goal, Canary: goal}, goal)}
 	k := 0
 	most := g.head.Newest
 	for now := r.refilledAt + 500*ms; r.ready != goal && g.head.Newest == most; now += 10 * ms {
@@ -110,7 +110,7 @@
 			k++
 		}
 		if r.Counters.InvalidResponses > 0 { // a penalized peer announces again
-			in = append(in, announcement("a", HeadRevision{All: goal, Canary: goal}, goal), announcement("b", HeadRevision{All: goal, Canary: goal}, goal))
+			in = append(in, announcement("a", RolloutState{All: goal, Canary: goal}, goal), announcement("b", RolloutState{All: goal, Canary: goal}, goal))
 		}
 	}
 	return from, bytes
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -24,8 +24,11 @@
 
 // Table is the replicated state of the fleet's configuration: its versions and which of them are in force. Replicas that apply the same
 // commands at the same times in the same order have equal tables.
+//
+// The time of the table is the time, in ns, on which the consensus group has agreed, and not a local clock. It advances in steps that the
+// group commits, and falls behind real time by a round trip between replicas at each step.
 type Table struct {
-	head                HeadRevision
+	head                RolloutState
 	all, canary, newest *Content
 	canarySince         int64 // time at which head.Canary entered the canary stage
 	log                 []*Record
@@ -43,7 +46,7 @@
 }
 
 // Head returns the current head.
-func (t *Table) Head() HeadRevision { return t.head }
+func (t *Table) Head() RolloutState { return t.head }
 
 // Contents returns the contents of the version in force for all nodes, of the version at the canary stage, and of the newest version.
 func (t *Table) Contents() (all, canary, newest *Content) { return t.all, t.canary, t.newest }
@@ -66,9 +69,9 @@
 	return &Command{Kind: CommandAdvance, Version: t.head.Canary.Version}
 }
 
-// DueAdvanceAfter is like DueAdvance, but canaryTime is how long the canary stage has lasted by the clock of the proposing replica, in ns.
-// The table's time lags real time by one round trip between replicas for each step that it advances.
-func (t *Table) DueAdvanceAfter(canaryTime int64) *Command {
+// DueAdvanceByReplicaClock is like DueAdvance, but measures the canary stage by the clock of the proposing replica, because the table's time
+// lags behind. canaryTime is how long the stage has lasted by that clock, in ns.
+func (t *Table) DueAdvanceByReplicaClock(canaryTime int64) *Command {
 	if !t.atCanary() || canaryTime < canaryDuration {
 		return nil
 	}
@@ -83,14 +86,14 @@
 	return t.canarySince + canaryDuration
 }
 
-// Apply applies a command at the given time of the table, in ns, and returns the verdict.
+// Apply applies a command at a time of the table, and returns the verdict.
 func (t *Table) Apply(at int64, c *Command) Verdict {
 	v := Verdict{Caller: c.Caller, Seq: c.Seq, Version: t.head.Newest}
 	switch c.Kind {
 	case CommandPut, CommandRollback:
 		return t.applyOnce(at, c, v)
 	case CommandAdvance:
-		due := cmp.Or(t.DueAdvance(at), t.DueAdvanceAfter(c.CanaryTime))
+		due := cmp.Or(t.DueAdvance(at), t.DueAdvanceByReplicaClock(c.CanaryTime))
 		if due == nil || due.Version != c.Version {
 			v.Refused = "not the version at the canary stage, or too early for it"
 			return v
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -77,15 +77,15 @@
 func TestCanaryStageEndsByTheClockOfAReplica(t *testing.T) {
 	table := NewTable()
 	table.Apply(100*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 1, Changes: []Item{tenant(1, "1")}})
-	require.Nil(t, table.DueAdvanceAfter(canaryDuration-1))
+	require.Nil(t, table.DueAdvanceByReplicaClock(canaryDuration-1))
 	require.False(t, table.Apply(200*ms, &Command{Kind: CommandAdvance, Version: 1, CanaryTime: canaryDuration - 1}).Done)
 	require.False(t, table.Apply(200*ms, &Command{Kind: CommandAdvance, Version: 2, CanaryTime: canaryDuration}).Done)
-	require.True(t, table.Apply(200*ms, table.DueAdvanceAfter(canaryDuration)).Done)
+	require.True(t, table.Apply(200*ms, table.DueAdvanceByReplicaClock(canaryDuration)).Done)
 	require.EqualValues(t, 1, table.Head().All.Version)
-	require.Nil(t, table.DueAdvanceAfter(canaryDuration), "no version is at the canary stage")
+	require.Nil(t, table.DueAdvanceByReplicaClock(canaryDuration), "no version is at the canary stage")
 	table.Apply(300*ms, &Command{Kind: CommandPut, Caller: "a", Seq: 2, Base: 1, Changes: []Item{tenant(1, "2")}})
 	table.Apply(400*ms, &Command{Kind: CommandStop, Version: 2, StoppedBy: "b", StopReason: "can't"})
-	require.Nil(t, table.DueAdvanceAfter(100*canaryDuration), "a stopped version does not advance")
+	require.Nil(t, table.DueAdvanceByReplicaClock(100*canaryDuration), "a stopped version does not advance")
 }
 
 func TestLongChangeIsCommittedWithLastPiece(t *testing.T) {
--- a/internal/fleet/consensus/configtable.go
+++ b/internal/fleet/consensus/configtable.go
@@ -112,7 +112,7 @@
 
 // leaderTick queues the command that follows when a version has been at the canary stage for long enough.
 func (t *configTable) leaderTick() {
-	due := t.table.DueAdvanceAfter(t.replica.now - t.canarySince)
+	due := t.table.DueAdvanceByReplicaClock(t.replica.now - t.canarySince)
 	if due != nil && t.replica.now >= t.nextDueAt {
 		t.nextDueAt = t.replica.now + dueProposalInterval
 		t.queued = append(t.queued, *due)
--- a/internal/fleet/consensus/configtable_test.go
+++ b/internal/fleet/consensus/configtable_test.go
@@ -26,7 +26,7 @@
 	return node.configVerdicts[0]
 }
 
-func (s *simulation) heads() (list []configsync.HeadRevision) {
+func (s *simulation) heads() (list []configsync.RolloutState) {
 	for _, node := range s.nodes[:len(s.members)] {
 		list = append(list, node.replica.configs.table.Head())
 	}
--- a/internal/testbed/processfleet/versions_virtual.go
+++ b/internal/testbed/processfleet/versions_virtual.go
@@ -127,7 +127,7 @@
 }
 
 // stopped has an operator take back what was stopped, or what came through though some can't take it.
-func (f *virtualVersions) stopped(h *configsync.HeadRevision) {
+func (f *virtualVersions) stopped(h *configsync.RolloutState) {
 	if f.bad == 0 || (!h.Stopped || h.Canary.Version < f.bad) && h.All.Version < f.bad {
 		return
 	}
