--- a/cmd/topazpost/claims.go
+++ b/cmd/topazpost/claims.go
@@ -93,7 +93,7 @@
 	if leader == "" {
 		leader = "nobody it knows of"
 	}
-	fmt.Printf("seat in the council, led by %s: %d claims, %d kB; taken over %d, unknown %d, settled %d, refused by fence %d\n", leader, summary.Entries,
+	fmt.Printf("seat in the council, led by %s: %d claims, %d kB; taken over %d, unknown %d, settled %d, refused by fence %d\n", leader, summary.ClaimCount,
 		summary.Bytes>>10, summary.Table.Reassigned, summary.Table.Unknown, summary.Table.Resolved, summary.Table.Fenced)
 	return printClaims(claimRows(summary))
 }
@@ -111,7 +111,7 @@
 		}
 	}
 	if len(found) == 0 {
-		return fmt.Errorf("%s shows no claim of the token %q, of %d in its table; ask a node with a seat in the council", summary.Node, c.Token, summary.Entries)
+		return fmt.Errorf("%s shows no claim of the token %q, of %d in its table; ask a node with a seat in the council", summary.Node, c.Token, summary.ClaimCount)
 	}
 	return printClaims(found)
 }
--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -60,11 +60,11 @@
 
 func (r *raftReplica) sendDiscovery(to string) {
 	r.send(to, Message{
-		Kind:        MessageDiscovery,
-		RaftID:      r.raft.id,
-		Incarnation: r.incarnation,
-		BoundTo:     r.bootstrap.boundSet,
-		Unassigned:  !r.bootstrap.done,
+		Kind:         MessageDiscovery,
+		RaftID:       r.raft.id,
+		Incarnation:  r.incarnation,
+		BoundSetHash: r.bootstrap.boundSet,
+		Unassigned:   !r.bootstrap.done,
 	})
 }
 
@@ -88,7 +88,7 @@
 // allBound reports whether all other members are bound to the same set as this replica.
 func (r *raftReplica) allBound() bool {
 	for _, name := range r.members {
-		if name != r.self && r.bootstrap.discovered[name].BoundTo != r.bootstrap.boundSet {
+		if name != r.self && r.bootstrap.discovered[name].BoundSetHash != r.bootstrap.boundSet {
 			return false
 		}
 	}
@@ -141,7 +141,7 @@
 		return // delayed message of an earlier incarnation
 	}
 	r.bootstrap.discovered[m.From] = *m
-	if m.Unassigned && (r.bootstrap.done || !known || before.RaftID != m.RaftID || before.BoundTo != m.BoundTo) {
+	if m.Unassigned && (r.bootstrap.done || !known || before.RaftID != m.RaftID || before.BoundSetHash != m.BoundSetHash) {
 		r.sendDiscovery(m.From)
 	}
 }
--- a/internal/fleet/consensus/claimtable.go
+++ b/internal/fleet/consensus/claimtable.go
@@ -87,7 +87,7 @@
 		t.replica.log(false, "consensus: claim %s of %s is taken over by %s with fence %d, %d ms before its deadline", a.Entry.Key, a.LostOwner.Name, a.NewOwner.Name,
 			a.Entry.Fence, a.Remaining/ms)
 	}
-	t.replica.send(a.NewOwner.Name, Message{Kind: MessageReassignment, Owner: a.NewOwner, Entry: a.Entry, Remaining: a.Remaining})
+	t.replica.send(a.NewOwner.Name, Message{Kind: MessageReassignment, Owner: a.NewOwner, Claim: a.Entry, Remaining: a.Remaining})
 }
 
 func (t *claimTable) storedSeparately() bool { return false }
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -32,18 +32,18 @@
 	Raft           []byte               `cbor:"3,keyasint,omitempty"`  // MessageRaft
 	RaftID         uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery: the sender's raft ID; MessageRejoin, MessageRejoinAnswer: that of the rejoining replica
 	Incarnation    uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin: the sender's; MessageRejoinAnswer: the receiver's that is a member
-	BoundTo        uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery: hash of the raft IDs that the sender is bound to
+	BoundSetHash   uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery: hash of the raft IDs that the sender is bound to
 	Unassigned     bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group
 	Owner          claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; MessageVerdicts, MessageClaimsEnded, MessageReassignment: the receiver
 	ClaimCommands  []claims.Command     `cbor:"9,keyasint,omitempty"`  // MessagePropose
 	ClaimVerdicts  []claims.Verdict     `cbor:"10,keyasint,omitempty"` // MessageVerdicts
 	Keys           []claims.Key         `cbor:"11,keyasint,omitempty"` // MessageClaimsEnded
-	Entry          *claims.Entry        `cbor:"12,keyasint,omitempty"` // MessageReassignment
+	Claim          *claims.Entry        `cbor:"12,keyasint,omitempty"` // MessageReassignment
 	Remaining      int64                `cbor:"13,keyasint,omitempty"` // MessageReassignment: ns to the claim's deadline
 	LeaseCommands  []quota.Command      `cbor:"15,keyasint,omitempty"` // MessagePropose
 	LeaseVerdicts  []quota.Verdict      `cbor:"16,keyasint,omitempty"` // MessageVerdicts
 	WriteNumber    uint64               `cbor:"17,keyasint,omitempty"` // MessageRaft: the sender's last persisted write; MessageRejoinAnswer: the receiver's last write that the sender knows of
-	Part           string               `cbor:"18,keyasint,omitempty"` // MessagePartRequest, MessagePart: digest of the part
+	PartDigest     string               `cbor:"18,keyasint,omitempty"` // MessagePartRequest, MessagePart: digest of the part
 	Offset         int                  `cbor:"19,keyasint,omitempty"` // MessagePartRequest, MessagePart: bytes into the part
 	Size           int                  `cbor:"20,keyasint,omitempty"` // MessagePart: bytes of the part
 	Chunk          []byte               `cbor:"21,keyasint,omitempty"` // MessagePart
@@ -95,7 +95,7 @@
 	Leader         string                 `json:"leader,omitempty" cbor:"6,keyasint,omitempty"`
 	Table          *claims.Counters       `json:"table,omitempty" cbor:"7,keyasint,omitempty"`
 	Takeover       *takeover.Counters     `json:"handed,omitempty" cbor:"8,keyasint,omitempty"`
-	Entries        int                    `json:"claims" cbor:"9,keyasint,omitempty"`
+	ClaimCount     int                    `json:"claims" cbor:"9,keyasint,omitempty"`
 	Bytes          int64                  `json:"bytes" cbor:"10,keyasint,omitempty"`
 	Time           int64                  `json:"time_ns" cbor:"11,keyasint,omitempty"`
 	Limits         []*quota.Limit         `json:"limits,omitempty" cbor:"13,keyasint,omitempty"`
--- a/internal/fleet/consensus/replica.go
+++ b/internal/fleet/consensus/replica.go
@@ -48,8 +48,8 @@
 // LeaseTable returns the table of limits and leases, as of the last entry that this replica applied. Callers must not change it.
 func (r *Replica) LeaseTable() *quota.LeaseTable { return r.leases }
 
-// Table returns the table of claims, as of the last entry that this replica applied. Callers must not change it.
-func (r *Replica) Table() *claims.Table { return r.table }
+// ClaimTable returns the table of claims, as of the last entry that this replica applied. Callers must not change it.
+func (r *Replica) ClaimTable() *claims.Table { return r.table }
 
 // TakeoverCounters returns the counters of takeovers since this replica last became the leader.
 func (r *Replica) TakeoverCounters() takeover.Counters {
@@ -67,7 +67,7 @@
 	p.Table = &r.table.Counters
 	p.Takeover = &takeovers
 	p.Time = r.table.Time()
-	p.Entries, p.Bytes = r.table.Size()
+	p.ClaimCount, p.Bytes = r.table.Size()
 	p.Limits = r.leases.Limits()
 	for _, entry := range r.table.List(maxClaims) {
 		short := *entry
--- a/internal/fleet/consensus/simlinks_test.go
+++ b/internal/fleet/consensus/simlinks_test.go
@@ -68,7 +68,7 @@
 	for _, key := range msg.Keys {
 		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.EndNotified, Key: key})
 	}
-	if e := msg.Entry; e != nil {
+	if e := msg.Claim; e != nil {
 		n.clientInputs = append(n.clientInputs, claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash,
 			Remaining: msg.Remaining, Retention: e.Retention, Work: e.Work, InvocationID: e.InvocationID, Fence: e.Fence})
 	}
--- a/internal/fleet/consensus/snapshotparts.go
+++ b/internal/fleet/consensus/snapshotparts.go
@@ -57,25 +57,25 @@
 		r.snapshots.fetch = nil
 	default:
 		fetch.requestAt = r.now + chunkRetryInterval
-		r.send(fetch.from, Message{Kind: MessagePartRequest, Part: fetch.missing[0], Offset: len(fetch.received)})
+		r.send(fetch.from, Message{Kind: MessagePartRequest, PartDigest: fetch.missing[0], Offset: len(fetch.received)})
 	}
 }
 
 // handlePartRequest answers a request for a chunk.
 func (r *raftReplica) handlePartRequest(m *Message) {
-	encoded := r.snapshots.parts[m.Part]
+	encoded := r.snapshots.parts[m.PartDigest]
 	if m.Offset < 0 || m.Offset >= len(encoded) || !slices.Contains(r.members, m.From) {
 		return
 	}
 	chunk := encoded[m.Offset:min(len(encoded), m.Offset+chunkBytes)]
-	r.send(m.From, Message{Kind: MessagePart, Part: m.Part, Offset: m.Offset, Size: len(encoded), Chunk: chunk})
+	r.send(m.From, Message{Kind: MessagePart, PartDigest: m.PartDigest, Offset: m.Offset, Size: len(encoded), Chunk: chunk})
 }
 
 // handlePart appends a chunk to the part that is being received, and passes the snapshot to raft when no part is missing. It ignores a
 // chunk at another offset, which is the second answer to a repeated request.
 func (r *raftReplica) handlePart(m *Message) {
 	fetch := r.snapshots.fetch
-	if fetch == nil || m.From != fetch.from || m.Part != fetch.missing[0] || m.Offset != len(fetch.received) ||
+	if fetch == nil || m.From != fetch.from || m.PartDigest != fetch.missing[0] || m.Offset != len(fetch.received) ||
 		m.Size > maxPartBytes || len(m.Chunk) == 0 {
 		return
 	}
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -170,7 +170,7 @@
 	for _, key := range m.Keys {
 		sm.addClaimInput(claims.Input{Kind: claims.EndNotified, Key: key})
 	}
-	if e := m.Entry; e != nil {
+	if e := m.Claim; e != nil {
 		sm.addClaimInput(claims.Input{Kind: claims.ClaimAssigned, Key: e.Key, BodyHash: e.BodyHash, Remaining: m.Remaining, Retention: e.Retention, Work: e.Work,
 			InvocationID: e.InvocationID, Fence: e.Fence})
 	}
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -16,7 +16,7 @@
 	lostOwner := claimingNode(t)
 	work := commandsForInvocation(t, lostOwner)[0].Work
 	newOwner := claimingNode(t)
-	reassignment := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
+	reassignment := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Claim: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
 		Fence: 9, BodyHash: 1, Work: work, Retention: 60_000 * ms}}
 	receiveFromReplica(t, newOwner, reassignment)
 	start := claimCommands(t, newOwner, receiveFromReplica(t, newOwner, reassignment)) // the group repeats the reassignment while the controller decides
@@ -43,7 +43,7 @@
 	work := commandsForInvocation(t, lostOwner)[0].Work
 	newOwner := claimingNode(t)
 	step(newOwner, Input{Kind: DrainRequested})
-	release := claimCommands(t, newOwner, receiveFromReplica(t, newOwner, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
+	release := claimCommands(t, newOwner, receiveFromReplica(t, newOwner, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Claim: &claims.Entry{
 		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Retention: 60_000 * ms}}))
 	require.Len(t, release, 1)
 	assert.Equal(t, claims.CommandRelease, release[0].Kind)
@@ -57,7 +57,7 @@
 		sm := claimingNode(t)
 		work, err := cbor.Marshal(takeoverData{InvocationID: id(1), Body: []byte("body"), QueuedKB: queuedKB})
 		require.NoError(t, err)
-		release := claimCommands(t, sm, receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
+		release := claimCommands(t, sm, receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Claim: &claims.Entry{
 			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Retention: 60_000 * ms}}))
 		require.Len(t, release, 1, queuedKB)
 		assert.Equal(t, claims.CommandRelease, release[0].Kind, queuedKB)
