--- a/internal/fleet/configsync/blockassembly_test.go
+++ b/internal/fleet/configsync/blockassembly_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One version changes 1,000 scattered items, and its record is more than one answer.
+// One version changes 1,000 scattered items, so its record exceeds one answer. It must be in force on all nodes as soon as the rate limit
+// allows.
 func TestThousandItemsScatteredAreInForceAsTheRateAllows(t *testing.T) {
 	nodes := *apartFleet
 	replicas := max(3, *apartFleet/144)
@@ -40,16 +41,16 @@
 	require.Zero(t, missing)
 	t.Logf("%d bytes of changes, %d nodes: half after %d ms, 99 in 100 %d ms, the last %d ms (simulated)", record.bytes(), len(sim.nodes),
 		took[len(took)/2]/ms, took[len(took)*99/100]/ms, took[len(took)-1]/ms)
-	all := int64(record.bytes() + Blocks*digestBytes) // that one node gets
+	all := int64(record.bytes() + Blocks*digestBytes) // bytes that one node receives
 	doublings := int64(bits.Len(uint((nodes+replicas-1)/replicas - 1)))
 	bound := canaryDuration + replicaFallbackDelay + doublings*all*1_000_000_000/bytesPerSecond
-	t.Logf("the rate allows %d ms: %d doublings of the nodes that have it, each as long as a node takes to send %d bytes", bound/ms, doublings, all)
+	t.Logf("the rate allows %d ms: %d doublings of the nodes with the version, each as long as a node takes to send %d bytes", bound/ms, doublings, all)
 	require.LessOrEqual(t, took[len(took)-1], bound)
 	sim.check()
 	require.Empty(t, sim.failure)
 }
 
-// Some answers are lost, some duplicated, and what was fetched is served to others.
+// Some answers are lost and some duplicated. All blocks must arrive, from both peers, and the fetching node must be able to serve them.
 func TestChangesOfBlocksComeFromAnyPeer(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
@@ -57,7 +58,7 @@
 	require.Greater(t, record.bytes(), 2*maxPieceBytes)
 	r := g.fetcher()
 	from, bytes := g.fetch(t, r, two, func(k int, _ string, m *Message) []*Message {
-		require.LessOrEqual(t, m.size(), 180+maxPieceBytes, "one answer's worth")
+		require.LessOrEqual(t, m.size(), 180+maxPieceBytes, "an answer is limited to maxPieceBytes")
 		return [][]*Message{{m}, nil, {m, m}}[k%3]
 	})
 	require.Equal(t, two, r.ready)
@@ -66,8 +67,8 @@
 	require.Positive(t, from["b"])
 	require.Less(t, bytes, 2*(record.bytes()+2*Blocks*digestBytes), "duplicates count twice here")
 	require.True(t, len(r.changesBetween(g.first, two)) == len(record.Changes), "this node can serve them")
-	require.Empty(t, r.changesBetween(g.first, Revision{2, Digest{A: 1}}), "not the changes to another content")
-	require.Empty(t, r.changesBetween(Revision{1, Digest{A: 1}}, two), "nor from another content")
+	require.Empty(t, r.changesBetween(g.first, Revision{2, Digest{A: 1}}), "changes to another content are not served")
+	require.Empty(t, r.changesBetween(Revision{1, Digest{A: 1}}, two), "changes from another content are not served")
 	require.Len(t, r.log, 1)
 	require.Equal(t, blockDeltas{}, r.assembly.deltas, "nothing is stored twice")
 	g.nodes["a"], g.nodes["b"] = r, r
@@ -77,18 +78,18 @@
 	require.Equal(t, g.newest.Digest(), again.readyContent.Digest())
 }
 
-// One peer answers with invalid changes of several kinds. The other one is never penalized, and its blocks are retained.
+// One peer answers with invalid changes of several kinds. It must be penalized; the other peer must not be, and fetched blocks are kept.
 func TestPeerWithInvalidChangesIsPenalized(t *testing.T) {
 	for name, spoil := range map[string]func(list []Block){
-		"a value":          func(list []Block) { list[0].Changes[0].Value = []byte(`{"quota_rps":1}`) },
-		"an item less":     func(list []Block) { list[len(list)-1].Changes = list[len(list)-1].Changes[1:] },
-		"nothing":          func(list []Block) { list[0].Changes = nil },
-		"another block":    func(list []Block) { list[0].Changes[0] = list[1].Changes[0] },
-		"no such block":    func(list []Block) { list[0].Number = Blocks },
-		"the same again":   func(list []Block) { list[1] = list[0] },
-		"no such part":     func(list []Block) { list[0].Changes[0].Part = "x" },
-		"a name too long":  func(list []Block) { list[0].Changes[0].Name = string(make([]byte, maxNameBytes+1)) },
-		"one more of them": func(list []Block) { list[0].Changes = append(list[0].Changes, Item{Tenants, "false", []byte("1")}) },
+		"a value differs":             func(list []Block) { list[0].Changes[0].Value = []byte(`{"quota_rps":1}`) },
+		"an item is missing":          func(list []Block) { list[len(list)-1].Changes = list[len(list)-1].Changes[1:] },
+		"a block is empty":            func(list []Block) { list[0].Changes = nil },
+		"an item is of another block": func(list []Block) { list[0].Changes[0] = list[1].Changes[0] },
+		"no such block":               func(list []Block) { list[0].Number = Blocks },
+		"a block is repeated":         func(list []Block) { list[1] = list[0] },
+		"no such part":                func(list []Block) { list[0].Changes[0].Part = "x" },
+		"a name is too long":          func(list []Block) { list[0].Changes[0].Name = string(make([]byte, maxNameBytes+1)) },
+		"an item is added":            func(list []Block) { list[0].Changes = append(list[0].Changes, Item{Tenants, "false", []byte("1")}) },
 	} {
 		g := newSuppliers(t)
 		two := g.put(t, scattered(g.base)...)
@@ -116,7 +117,7 @@
 	}
 }
 
-// A further version is agreed on once half of the changes were fetched.
+// A further version is agreed on after some of the changes were fetched. They must not be fetched again.
 func TestFetchedChangesAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	g := newSuppliers(t)
 	list := scattered(g.base)
@@ -139,7 +140,7 @@
 	require.Less(t, first+second, g.log[0].bytes()+3*Blocks*digestBytes)
 }
 
-// A node fetches two versions at once, and doesn't have their records then.
+// A node that moved over two versions at once has no records of them. It must serve the changes of the blocks all the same.
 func TestChangesOverSeveralVersionsAreServed(t *testing.T) {
 	g := newSuppliers(t)
 	list := scattered(g.base)
@@ -158,7 +159,7 @@
 	require.Less(t, bytes, g.log[0].bytes()+3*Blocks*digestBytes)
 }
 
-// A node with some of the blocks serves these, and the index.
+// A node that has fetched only some blocks serves these blocks and the index.
 func TestPartialAssemblyIsServed(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
@@ -184,18 +185,18 @@
 	answer = &Message{Kind: MessageContent}
 	again.requestMissing(fetch)
 	r.serveBlocks(fetch, answer)
-	require.Len(t, answer.Blocks, fetched, "all of them")
+	require.Len(t, answer.Blocks, fetched, "all fetched blocks are served")
 	other := *fetch
 	none := &Message{Kind: MessageContent}
 	other.Has = Revision{1, Digest{A: 1}}
 	r.serveDeltas(&other, none)
-	require.Empty(t, none.Blocks, "it doesn't know the changes since another content")
+	require.Empty(t, none.Blocks, "the changes from another content are unknown")
 	again.storeBlocks(3, again.peerFor(3, "n"), answer.Blocks)
 	require.Zero(t, again.Counters.InvalidResponses)
 	require.True(t, len(again.assembly.deltas.blocks) == fetched)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
-	r.assembly.index = g.newest.index() // the fetched changes of one block are of the version before
+	r.assembly.index = g.newest.index() // the fetched changes of one block belong to the previous version
 	r.assembly.revision = three
 	fetch = &Message{Kind: MessageFetch, Has: g.first, Want: three}
 	answer = &Message{Kind: MessageContent}
@@ -206,7 +207,7 @@
 	require.Len(t, answer.Blocks, fetched-1)
 }
 
-// Fetches and answers lack what older builds don't know.
+// A fetch of an older build has no Missing field, so it must be answered with whole blocks.
 func TestPeersOfAnOlderBuildExchangeWholeBlocks(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
@@ -227,17 +228,17 @@
 		require.NotEmpty(t, b.Text)
 	}
 	r = g.fetcher()
-	for _, n := range g.nodes { // they have no records
+	for _, n := range g.nodes { // without records, as on a peer that lacks them
 		n.log = nil
 		n.logSize = 0
 	}
 	g.fetch(t, r, two, unchanged)
 	require.Equal(t, two, r.ready)
 	require.Equal(t, g.newest.Digest(), r.readyContent.Digest())
-	require.True(t, len(r.changesBetween(g.first, two)) == 1_000, "the differences are known all the same")
+	require.True(t, len(r.changesBetween(g.first, two)) == 1_000, "the changes are computed from whole blocks")
 }
 
-// Nearly all items are removed.
+// Nearly all items are removed, so most blocks are smaller than their changes.
 func TestBlocksSmallerThanTheirChangesAreSentWhole(t *testing.T) {
 	g := newSuppliers(t)
 	var gone []Item
@@ -248,12 +249,12 @@
 	}
 	two := g.put(t, gone...)
 	whole := 0
-	parted := 0
+	asChanges := 0
 	r := g.fetcher()
 	g.fetch(t, r, two, func(_ int, _ string, m *Message) []*Message {
 		for _, b := range m.Blocks {
 			if len(b.Changes) > 0 {
-				parted++
+				asChanges++
 				text, _ := g.newest.Block(int(b.Number))
 				require.Less(t, sizeOf(b.Changes), len(text))
 			} else {
@@ -263,7 +264,7 @@
 		return []*Message{m}
 	})
 	require.Equal(t, two, r.ready)
-	require.Greater(t, whole, parted)
+	require.Greater(t, whole, asChanges)
 }
 
 func TestBlockDeltasAreBounded(t *testing.T) {
@@ -280,10 +281,10 @@
 	require.True(t, d.overflowed)
 	require.Empty(t, d.blocks)
 	d.put(1, big)
-	require.Empty(t, d.blocks, "nor afterwards")
+	require.Empty(t, d.blocks, "no changes are stored after an overflow")
 }
 
-// A version is reverted while its changes are fetched.
+// A version is reverted while its changes are fetched. Blocks that are equal to the original ones again must not count as changed.
 func TestRevertedChangeIsNoChange(t *testing.T) {
 	g := newSuppliers(t)
 	list := scattered(g.base)
@@ -315,16 +316,17 @@
 	answer := &Message{Kind: MessageContent}
 	r.serveDeltas(fetch, answer)
 	require.Empty(t, answer.Blocks, "nothing differs")
-	taken := 0
+	unchangedBlocks := 0
 	for _, changes := range r.assembly.deltas.blocks {
 		if len(changes) == 0 {
-			taken++
+			unchangedBlocks++
 		}
 	}
-	require.Equal(t, maxWantedBlocks, taken)
+	require.Equal(t, maxWantedBlocks, unchangedBlocks)
 }
 
-// A fetched block's change is reverted by the next version.
+// The next version reverts the change of a fetched block. Changes to that block must be applied to the ready version's block, from which
+// they were requested, and not to the fetched one.
 func TestChangesAreAppliedToTheirBase(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
@@ -338,7 +340,7 @@
 	r.storeBlocks(1, r.peerFor(1, "a"), answer.Blocks)
 	n := 0
 	name := ""
-	for k := 0; n == 0; k++ { // one that falls into such a block
+	for k := 0; n == 0; k++ { // an item in a fetched block
 		if i := tenant(k, "1"); len(r.assembly.deltas.blocks[i.block()]) > 0 {
 			n = i.block()
 			name = i.Name
@@ -354,7 +356,8 @@
 	require.True(t, len(r.assembly.deltas.blocks[n]) == 1)
 }
 
-// A node that has used up its rate gets fetches of all others at once.
+// A node that has used up its rate receives many fetches at once. The requesters must be deferred to successive times, so that they don't
+// retry together.
 func TestBusyAskersGetSuccessiveSlots(t *testing.T) {
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
@@ -384,7 +387,7 @@
 	}
 }
 
-// Valid changes come as the answer to a fetch of the index.
+// Blocks that were not requested are invalid, even if their changes are valid.
 func TestUnrequestedBlocksAreInvalid(t *testing.T) {
 	g := newSuppliers(t)
 	g.put(t, scattered(g.base)...)
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -10,7 +10,8 @@
 	"topazpost/internal/fleet/envelope"
 )
 
-// TestMessagesFit seals the largest messages and reads them back within the bounds of letters; their estimated sizes are no less than the real ones.
+// TestMessagesFit seals and opens the largest messages. They must fit a datagram or an answer, and their estimated size must not be less
+// than the encoded one.
 func TestMessagesFit(t *testing.T) {
 	most := Revision{1 << 60, Digest{A: 1<<64 - 1, B: 1<<64 - 1}}
 	head := RolloutState{All: most, Canary: most, Newest: 1 << 60, Stopped: true, StoppedBy: strings.Repeat("w", maxCallerNameBytes), StopReason: strings.Repeat("y", maxReasonBytes)}
@@ -40,10 +41,10 @@
 	r = g.fetcher()
 	r.assembly.index = g.newest.index()
 	parts := &Message{Kind: MessageFetch, Has: g.first, Want: two}
-	parted := &Message{Kind: MessageContent, Has: most}
+	asChanges := &Message{Kind: MessageContent, Has: most}
 	r.requestMissing(parts)
-	g.nodes["a"].serveBlocks(parts, parted)
-	require.NotEmpty(t, parted.Blocks[0].Changes)
+	g.nodes["a"].serveBlocks(parts, asChanges)
+	require.NotEmpty(t, asChanges.Blocks[0].Changes)
 	for _, m := range []struct {
 		*Message
 		most int
@@ -52,13 +53,13 @@
 		{&Message{Kind: MessageReport, Seq: 1 << 31, Has: most, Refused: most, Why: strings.Repeat("y", maxReasonBytes), Age: 1 << 60}, envelope.MaxDatagramBytes},
 		{&Message{Kind: MessageConfirm, Seq: 1 << 31, Head: head}, envelope.MaxDatagramBytes},
 		{fetch, 64 << 10}, {wanted, 64 << 10}, {piece, 64 << 10}, {index, 64 << 10}, {blocks, 64 << 10},
-		{parts, 64 << 10}, {parted, 64 << 10},
+		{parts, 64 << 10}, {asChanges, 64 << 10},
 	} {
 		text, err := envelope.Seal(nil, 1, m.Message)
 		require.NoError(t, err)
 		t.Logf("kind %d: %d bytes, estimated %d, at the most %d", m.Kind, len(text), m.size(), m.most)
 		require.LessOrEqual(t, len(text), m.most)
-		require.LessOrEqual(t, len(text)+28, m.size(), "with the heads of IP and UDP")
+		require.LessOrEqual(t, len(text)+28, m.size(), "the estimate covers the headers of IP and UDP")
 		var again Message
 		require.NoError(t, envelope.Open(text, 1, &again))
 		require.Equal(t, m.Has, again.Has)
@@ -67,7 +68,7 @@
 	}
 }
 
-// A node is flooded with versions that no replica confirms.
+// A peer floods a node with versions that no replica confirms. The node must still get the confirmed version, with few reports.
 func TestInvalidAnnouncementsAreIgnored(t *testing.T) {
 	r := NewReplicator(1, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{Source: "file"})
 	valid := &Content{}
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tableWithVersions is a table with some versions, all put at once.
+// tableWithVersions returns a table with some versions, all put at the same time.
 func tableWithVersions(versions int) *Table {
 	table := NewTable()
 	for k := range versions {
@@ -20,16 +20,16 @@
 	return Revision{uint64(version), table.log[version-1].Digest}
 }
 
-// confirmation is a replica's answer, as an input.
-func confirmation(all, first Revision) Input {
-	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: RolloutState{All: all, Canary: first, Newest: first.Version}}}
+// confirmation returns a replica's answer to a report, as an input.
+func confirmation(all, canary Revision) Input {
+	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: RolloutState{All: all, Canary: canary, Newest: canary.Version}}}
 }
 
 func announcement(from string, head RolloutState, has Revision, records ...Record) Input {
 	return Input{Kind: DatagramReceived, From: from, Message: &Message{Kind: MessageAnnounce, Head: head, Has: has, Records: records}}
 }
 
-// newTestReplicator is a replicator with two neighbours and two replicas, which is at no canary stage.
+// newTestReplicator returns a replicator with two neighbours and two replicas, whose node is no canary of the tested versions.
 func newTestReplicator() *Replicator {
 	r := NewReplicator(0, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{})
 	v := &View{Neighbours: []string{"a", "b"}, Replicas: []string{"s", "t"}}
@@ -61,7 +61,7 @@
 	require.Equal(t, one, effectsOf(effects, ApplyVersion)[0].Revision)
 	effects, _ = r.Step(3*ms, []Input{{Kind: VersionApplied, Revision: one}})
 	require.Equal(t, one, r.Revision())
-	require.Empty(t, effectsOf(effects, ApplyVersion), "the next one is at the canary stage only")
+	require.Empty(t, effectsOf(effects, ApplyVersion), "the next version is at the canary stage, to which this node does not belong")
 	require.Equal(t, two, r.ready)
 }
 
@@ -74,7 +74,7 @@
 	r.Step(2*ms, []Input{confirmation(one, two), confirmation(one, one)})
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 	effects, _ := r.Step(3*ms, []Input{confirmation(Revision{2, Digest{A: 1}}, Revision{2, Digest{A: 1}})})
-	require.Len(t, effectsOf(effects, WriteLog), 1, "a version has one digest")
+	require.Len(t, effectsOf(effects, WriteLog), 1, "a second digest for one version is logged")
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 }
 
@@ -93,11 +93,11 @@
 	require.Equal(t, two, r.ready)
 }
 
-// A replica that is lost after it got a refusal must not be the only one that knows it.
+// Guards against a lost refusal: the only replica that received it could fail before it proposes the stop.
 func TestRefusalIsReportedToSeveralReplicas(t *testing.T) {
 	table := tableWithVersions(1)
 	r := newTestReplicator()
-	r.view.Zone = nil // at the canary stage: it is alone in its zone
+	r.view.Zone = nil // a canary, as the node is alone in its zone
 	r.canary.version = 0
 	one := revisionOf(table, 1)
 	effects, _ := r.Step(ms, []Input{announcement("a", RolloutState{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
@@ -123,7 +123,8 @@
 	require.Equal(t, Revision{}, r.Revision(), "the last valid version stays in force")
 }
 
-// Many nodes report and fetch content at once, with one neighbour among them.
+// Many nodes report and fetch content at once. The neighbour among them must still get content, and the sent bytes must stay within the
+// rate limits of the node and of a single requester.
 func TestThunderingHerdDoesNotStarveNeighbours(t *testing.T) {
 	r := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{})
 	c := fullContent(t, 100, 3_000)
@@ -157,7 +158,7 @@
 	require.GreaterOrEqual(t, near, 5, "a neighbour fetches once a second, 16 kB each time")
 	require.LessOrEqual(t, all, seconds*bytesPerSecond+burstBytes+maxBlockBytes)
 	one := 0
-	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that fetches all the time, alone
+	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one node alone fetches all the time
 		effects, _ := r.Step(now, []Input{{Kind: ExchangeOpened, From: "greedy", Link: 1, Message: wanted}})
 		if e := effectsOf(effects, Reply); e[0].Message.hasContent() {
 			one += e[0].Message.size()
@@ -167,7 +168,8 @@
 	require.LessOrEqual(t, one, seconds*peerBytesPerSecond+burstBytes+maxBlockBytes)
 }
 
-// announceUnconfirmed has neighbours announce a version for some seconds that replicas don't know, and returns the number of reports.
+// announceUnconfirmed has both neighbours announce a head that replicas don't confirm, for some seconds, and answers each report twice.
+// It returns the number of reports.
 func announceUnconfirmed(r *Replicator, head, unconfirmed RolloutState, seconds int64, current bool) (reports int) {
 	var in []Input
 	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
@@ -188,7 +190,7 @@
 	return reports
 }
 
-// All replicas are back with an older state, and in contact with no majority.
+// All replicas restarted with an older state and have no contact with a majority, so their answers prove nothing against peers.
 func TestPeersAreNotPenalizedWhileReplicasLag(t *testing.T) {
 	table := tableWithVersions(3)
 	r := newTestReplicator()
@@ -205,7 +207,7 @@
 	require.Equal(t, three, r.ready, "announced records are used as soon as a replica confirms")
 }
 
-// Replicas in contact with the group learn of a version some seconds later than neighbours.
+// Replicas in contact with the group may learn of a version up to unconfirmedGracePeriod later than neighbours.
 func TestUnconfirmedVersionHasAGracePeriod(t *testing.T) {
 	table := tableWithVersions(2)
 	r := newTestReplicator()
@@ -215,7 +217,7 @@
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
-// Current replicas deny a version, and a peer announces another content for a known version.
+// Peers are penalized for a version that current replicas deny, and for announcing another digest for a confirmed version.
 func TestPeerWithUnknownVersionsIsPenalized(t *testing.T) {
 	table := tableWithVersions(2)
 	r := newTestReplicator()
@@ -241,7 +243,7 @@
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
 
-// fetchOf is the fetch that a step starts.
+// fetchOf returns the only fetch that a step starts.
 func fetchOf(t *testing.T, r *Replicator, now int64, in ...Input) Effect {
 	effects, _ := r.Step(now, in)
 	list := effectsOf(effects, Exchange)
@@ -249,7 +251,7 @@
 	return list[0]
 }
 
-// The peer that sent some of the records is busy, and another one has the rest.
+// The peer that sent some of the records is busy; another one must be asked for the rest.
 func TestRecordsAreContinuedByAnyPeer(t *testing.T) {
 	table := tableWithVersions(3)
 	r := newTestReplicator()
@@ -274,13 +276,13 @@
 	}
 	fetch = effectsOf(effects, Exchange)[0]
 	require.Equal(t, other, fetch.To)
-	require.Equal(t, one, fetch.Message.Has, "from where the first peer ended")
+	require.Equal(t, one, fetch.Message.Has, "the fetch continues after the records of the first peer")
 	r.Step(801*ms, []Input{{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
 	require.Equal(t, three, r.ready)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
-// A peer sends records that are consistent and were never agreed on.
+// A peer sends consistent records that were never agreed on. As no other peer can continue them, they must be dropped.
 func TestRecordsThatNobodyContinuesAreDropped(t *testing.T) {
 	table := tableWithVersions(2)
 	r := newTestReplicator()
@@ -308,7 +310,7 @@
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
 
-// A further version is agreed on during each fetch of blocks.
+// A further version is agreed on during each fetch of blocks. The blocks must be kept, and the index must not be fetched each time.
 func TestFetchedBlocksAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	r := newTestReplicator()
 	c := fullContent(t, 100, 3_000)
--- a/internal/fleet/configsync/schedules_test.go
+++ b/internal/fleet/configsync/schedules_test.go
@@ -9,11 +9,11 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 30, "random schedules to play")
-	oneSeed   = flag.Int64("seed", 0, "play this one only")
+	schedules = flag.Int("schedules", 30, "number of random schedules to run")
+	oneSeed   = flag.Int64("seed", 0, "run only the schedule with this seed")
 )
 
-// runSchedule plays random events over a random fleet, and checks its invariants.
+// runSchedule runs random events on a random fleet, and checks the invariants.
 func runSchedule(seed int64, injectFault func(*simulation)) *simulation {
 	sim := newSimulation(seed, 5+int(seed%7), 3, 2)
 	r := sim.random
@@ -43,7 +43,7 @@
 	return sim
 }
 
-// A fleet goes through random faults. -schedules N plays more, -seed N plays one.
+// Runs random schedules of faults. -schedules N sets their number, -seed N runs only one.
 func TestRandomSchedules(t *testing.T) {
 	if *oneSeed != 0 {
 		require.Empty(t, runSchedule(*oneSeed, nil).failure)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Schedules have faulty nodes, and others detect them. Each step checks that no other node is penalized.
+// Faulty nodes must be penalized in nearly all schedules that have one. Each step checks that no correct node is penalized.
 func TestFaultyNodesArePenalized(t *testing.T) {
 	faulty := 0
 	found := 0
@@ -77,10 +77,10 @@
 	require.GreaterOrEqual(t, 10*found, 9*faulty)
 }
 
-// In some schedules blocks are sent as changes.
+// Guards the schedules' coverage: in some of them blocks must be sent as changes.
 func TestSchedulesHaveLargeChanges(t *testing.T) {
 	large := 0
-	parted := 0
+	withDeltas := 0
 	answers := 0
 	for seed := int64(1); seed <= 60; seed++ {
 		sim := runSchedule(seed, nil)
@@ -88,15 +88,15 @@
 			large++
 		}
 		if sim.deltaAnswers > 0 {
-			parted++
+			withDeltas++
 		}
 		answers += sim.deltaAnswers
 	}
-	t.Logf("%d schedules of 60 have large changes, %d such answers, in %d of them", large, answers, parted)
-	require.Greater(t, parted, 5)
+	t.Logf("%d schedules of 60 have large changes; %d answers with blocks as changes, in %d schedules", large, answers, withDeltas)
+	require.Greater(t, withDeltas, 5)
 }
 
-// The schedules find faults that are injected on purpose.
+// Guards the invariants: the schedules must find faults that are injected on purpose.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, injectFault := range map[string]func(*simulation){
 		"digests are not compared": func(sim *simulation) {
--- a/internal/fleet/configsync/simchecks_test.go
+++ b/internal/fleet/configsync/simchecks_test.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// unsettled says which node doesn't have the newest version in force, empty where all have.
+// unsettled describes a node that doesn't have the newest version in force, empty if all nodes have it.
 func (s *simulation) unsettled() string {
 	head := s.agreed.Head()
 	if head.Newest == 0 {
-		return "" // each has the version of its file
+		return "" // no version yet: each node has the content of its file
 	}
 	if head.Canary != head.All || head.Newest != head.All.Version {
 		return fmt.Sprintf("the group is still at a canary stage: %+v", head)
@@ -22,13 +22,13 @@
 	return ""
 }
 
-// check requires that callers got the right verdicts, and that no node exceeded its rate.
+// check fails the simulation if a caller got a wrong verdict, or a node exceeded its rate limit.
 func (s *simulation) check() {
 	for _, c := range s.callers {
 		for k, v := range c.verdicts {
 			got, known := s.versionOf[fmt.Sprint(c.name, c.acknowledged[k].Seq)]
 			if !known || got != v.Version {
-				s.fail("the verdict of %s on command %d is version %d; it is %d", c.name, c.acknowledged[k].Seq, v.Version, got)
+				s.fail("the verdict of %s on command %d has version %d, expected %d", c.name, c.acknowledged[k].Seq, v.Version, got)
 			}
 		}
 	}
@@ -41,13 +41,14 @@
 			}
 			most := int64(burstBytes + maxBlockBytes + Blocks*digestBytes + window*(bytesPerSecond+4_000))
 			if sum > most && !n.faulty {
-				s.fail("%s: %d bytes in %d s, %d at the most", n.name, sum, window, most)
+				s.fail("%s: %d bytes in %d s, expected at most %d", n.name, sum, window, most)
 			}
 		}
 	}
 }
 
-// inForce returns how long nodes took from a time on until a version, or a newer one, was in force, in order, and how many lack it.
+// inForce returns the sorted times that nodes took, from a time on, to bring a version or a newer one into force, and the number of nodes
+// that have neither.
 func (s *simulation) inForce(version uint64, since int64) (took []int64, missing int) {
 	for _, n := range s.nodes {
 		first := int64(-1)
--- a/internal/fleet/configsync/simeffects_test.go
+++ b/internal/fleet/configsync/simeffects_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// outgoing is a message as its sender sends it, and counts its bytes.
+// outgoing returns a message as its sender sends it, corrupted if the sender is faulty, and counts its bytes.
 func (s *simulation) outgoing(n *simNode, message *Message) Message {
 	m := *message
 	if n.faulty && m.Kind != MessageFetch {
@@ -68,17 +68,17 @@
 	})
 }
 
-// linkOf encodes an exchange, so that its answer finds the asker.
+// linkOf encodes the requester, its incarnation and its link, so that an answer can be routed to it.
 func (s *simulation) linkOf(i, incarnation, link int) int {
 	return i<<32 | (incarnation&0xffff)<<16 | link&0xffff
 }
 
 func (s *simulation) replyToExchange(i int, e *Effect) {
 	n := s.nodes[i]
-	asker := e.Link >> 32
+	requester := e.Link >> 32
 	incarnation := e.Link >> 16 & 0xffff
 	link := e.Link & 0xffff
-	to := s.nodes[asker]
+	to := s.nodes[requester]
 	m := s.outgoing(n, e.Message)
 	if slices.ContainsFunc(m.Blocks, func(b Block) bool { return len(b.Changes) > 0 }) {
 		s.deltaAnswers++
@@ -86,12 +86,12 @@
 	s.transmit(n, to, func() {
 		if to.incarnation&0xffff == incarnation && to.up {
 			to.countBytes(s.now, &m)
-			s.deliver(asker, Input{Kind: ExchangeAnswered, Link: link, Message: &m})
+			s.deliver(requester, Input{Kind: ExchangeAnswered, Link: link, Message: &m})
 		}
 	})
 }
 
-// persist writes to a node's disk, and checks that records lead to what is in force.
+// persist writes to a node's disk, and checks that the stored content has the revision's digest.
 func (s *simulation) persist(i int, e *Effect) {
 	n := s.nodes[i]
 	n.olderDisk = n.disk
@@ -109,11 +109,11 @@
 		n.disk.content = content
 	}
 	if got := n.disk.content.Digest(); got != e.Revision.Digest {
-		s.fail("%s keeps %s as version %d, which is %s", n.name, got, e.Revision.Version, e.Revision.Digest)
+		s.fail("%s stores digest %s as version %d, expected %s", n.name, got, e.Revision.Version, e.Revision.Digest)
 	}
 }
 
-// applyVersion applies or checks a version at a node, some time later, and checks all that must hold of it.
+// applyVersion checks the invariants of an ApplyVersion or CheckVersion effect, and delivers its result some time later.
 func (s *simulation) applyVersion(i int, e *Effect) {
 	n := s.nodes[i]
 	incarnation := n.incarnation
@@ -137,7 +137,7 @@
 	})
 }
 
-// refusal is why a node can't apply a content, empty where it can.
+// refusal returns the reason why a node can't apply a content, empty if it can.
 func (n *simNode) refusal(content *Content) (why string) {
 	for item := range content.All {
 		if n.olderBuild && string(item.Value) == `"new"` {
@@ -147,24 +147,24 @@
 	return why
 }
 
-// checkStages requires that a version was agreed on, and is at the stage at which it is applied.
+// checkStages checks that a version was agreed on, has reached the stage at which it is applied, and is newer than the last applied one.
 func (s *simulation) checkStages(n *simNode, e *Effect) {
 	version := e.Revision.Version
 	if _, agreed := s.digests[version]; !agreed {
-		s.fail("%s applies version %d, which nobody agreed on", n.name, version)
+		s.fail("%s applies version %d, which was not agreed on", n.name, version)
 	}
 	if s.allAt[version] == 0 && !e.Canary {
-		s.fail("%s applies version %d for all, which isn't in force for all", n.name, version)
+		s.fail("%s applies version %d, which is not in force for all, as if it were", n.name, version)
 	}
 	if s.canaryAt[version] == 0 {
-		s.fail("%s applies version %d, which never was at the canary stage", n.name, version)
+		s.fail("%s applies version %d, which was never at the canary stage", n.name, version)
 	}
 	if version <= n.maxVersion {
 		s.fail("%s goes from version %d to %d", n.name, n.maxVersion, version)
 	}
 }
 
-// checkChanges requires that the content of a version is what was agreed on, and that its changes lead to it.
+// checkChanges checks that the content of a version is the agreed one, and that the changes from the old content lead to it.
 func (s *simulation) checkChanges(n *simNode, e *Effect) {
 	version := e.Revision.Version
 	sum := Digest{}
@@ -172,7 +172,7 @@
 		sum = sum.plus(hashItem(appendEntry(nil, byte(slices.Index(partNames[:], item.Part)), item.Name, item.Value)))
 	}
 	if sum != s.digests[version] || sum != e.Revision.Digest {
-		s.fail("%s applies %s as version %d, which is %s", n.name, sum, version, s.digests[version])
+		s.fail("%s applies digest %s as version %d, expected %s", n.name, sum, version, s.digests[version])
 	}
 	content := e.Old
 	for difference := Diff(e.Old, e.New); ; {
@@ -180,14 +180,14 @@
 		if len(changes) == 0 {
 			break
 		}
-		content, _ = content.Apply(changes) // one that fails has another digest
+		content, _ = content.Apply(changes) // a failed change shows as a different digest below
 	}
 	if content.Digest() != sum {
-		s.fail("%s: the changes to version %d come to another content", n.name, version)
+		s.fail("%s: the changes to version %d lead to another content", n.name, version)
 	}
 }
 
-// corrupt makes a message invalid, or leaves it as it is.
+// corrupt randomly makes a message invalid, or leaves it unchanged.
 func (s *simulation) corrupt(m *Message) {
 	s.corruptHead(m)
 	if len(m.Index) > 0 && s.random.Intn(2) == 0 {
--- a/internal/fleet/configsync/simevents_test.go
+++ b/internal/fleet/configsync/simevents_test.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// injectRandomEvent lets one random thing happen.
+// injectRandomEvent injects one random change, crash, restart, partition or flood.
 func (s *simulation) injectRandomEvent() {
 	i := s.random.Intn(len(s.nodes))
 	kinds := 14
@@ -16,14 +16,14 @@
 	switch s.random.Intn(kinds) {
 	case 0, 1, 2, 3:
 		s.put(s.callers[s.random.Intn(2)], s.randomItem(), s.randomItem())
-	case 4: // on both sides at once
+	case 4: // concurrent changes by both callers
 		s.put(s.callers[0], s.randomItem())
 		s.put(s.callers[1], s.randomItem())
 	case 5:
 		s.rollbackToAll(s.callers[s.random.Intn(2)])
 	case 6:
 		s.rollbackToRandom(s.callers[0])
-	case 7, 8: // replicas keep what they agreed on
+	case 7, 8: // a replica's table survives the crash
 		s.crashIfUp(i)
 	case 9:
 		s.restartRandomly(i)
@@ -31,12 +31,12 @@
 		s.partition()
 	case 11:
 		s.heal()
-	case 12: // a leader is killed after it had something committed, and before it announced that
+	case 12: // a replica may crash between the commit of a change and its announcement
 		s.put(s.callers[0], s.randomItem())
 		s.at(s.now+30*ms, func() { s.crashIfUp(s.random.Intn(s.replicas)) })
 	case 13:
 		s.floodWithInvalid(i)
-	case 14, 15, 16: // a change whose record is more than one answer
+	case 14, 15, 16: // a change whose record exceeds one answer
 		s.put(s.callers[s.random.Intn(2)], largeChange(s.random.Intn(3))...)
 	}
 }
@@ -45,7 +45,7 @@
 	name := fmt.Sprintf("t%d", s.random.Intn(6))
 	switch s.random.Intn(12) {
 	case 0, 1, 2:
-		return Item{Part: Tenants, Name: name} // removed, and added again by others
+		return Item{Part: Tenants, Name: name} // removed; other changes add it again
 	case 3:
 		return Item{Operations, name, []byte(`"new"`)}
 	case 4:
@@ -73,7 +73,7 @@
 	}
 }
 
-// restartRandomly restarts a node with its disk, an older state of it, or none.
+// restartRandomly restarts a node that is down, with its disk, an older state of the disk, or an empty one.
 func (s *simulation) restartRandomly(i int) {
 	n := s.nodes[i]
 	if n.up {
@@ -89,7 +89,7 @@
 	s.restart(i)
 }
 
-// partition splits the fleet randomly in two, with a caller on each side.
+// partition splits the fleet randomly into two sides, with a caller on each.
 func (s *simulation) partition() {
 	for _, n := range s.nodes {
 		n.partition = s.random.Intn(2)
@@ -107,7 +107,7 @@
 	}
 }
 
-// floodWithInvalid has each faulty node send many invalid announcements to a node.
+// floodWithInvalid delivers many invalid announcements of each faulty node to a node.
 func (s *simulation) floodWithInvalid(i int) {
 	for _, n := range s.nodes {
 		if !n.faulty || !n.up {
@@ -123,7 +123,7 @@
 	}
 }
 
-// largeNames are names that fall into a few blocks, some for each.
+// largeNames holds 31 item names for each of 12 blocks.
 var largeNames = func() (names [12][31]string) {
 	const blocksBetween = 85
 	full := 0
@@ -146,7 +146,7 @@
 	return names
 }()
 
-// largeChange has a wide item in each of some blocks that never changes, and small ones beside it, of one of some kinds.
+// largeChange returns, for each block of largeNames, a large item that is the same for all kinds and small items that depend on the kind.
 func largeChange(kind int) (list []Item) {
 	for _, names := range largeNames {
 		list = append(list, Item{Tenants, names[0], []byte(`"` + strings.Repeat("x", 3_000) + `"`)})
@@ -157,7 +157,7 @@
 	return list
 }
 
-// restart starts a node again. A replica's table is restored from its snapshot, or empty where its disk is lost.
+// restart starts a node again. A replica's table is restored from a snapshot; if the node's disk is empty, it may be empty as well.
 func (s *simulation) restart(i int) {
 	n := s.nodes[i]
 	if n.isReplica {
@@ -179,7 +179,7 @@
 	s.start(i, 2)
 }
 
-// finish heals everything, has operators roll back what was stopped, and waits until all have one version.
+// finish heals all faults, rolls back stopped versions, and checks that all nodes end up with the newest version in time.
 func (s *simulation) finish() {
 	if s.failure != "" {
 		return
@@ -189,7 +189,7 @@
 		if !n.up {
 			s.restart(i)
 		}
-		n.olderBuild = false // the last of them are replaced by the new build
+		n.olderBuild = false // the rollout of the new build is complete
 	}
 	s.loss = min(s.loss, 0.05)
 	s.stragglers = 0
@@ -203,7 +203,7 @@
 			s.fail("%s still waits for %+v", c.name, c.command)
 		}
 	}
-	for i, n := range s.nodes { // what refused a version under the older build applies it after a restart
+	for i, n := range s.nodes { // a node that refused a version under the older build must apply it after a restart
 		if n.replicator.refused.Version > n.replicator.applied.Version && n.up {
 			s.crash(i)
 			s.restart(i)
@@ -214,7 +214,7 @@
 		s.run(s.now + 250*ms)
 	}
 	if why := s.unsettled(); why != "" {
-		s.fail("10 s after the last healing %s", why)
+		s.fail("10 s after all faults were healed: %s", why)
 	}
 	s.check()
 }
--- a/internal/fleet/configsync/simlog_test.go
+++ b/internal/fleet/configsync/simlog_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// logEntry is a command that was committed.
+// logEntry is a committed command.
 type logEntry struct {
 	at      int64
 	command *Command
 }
 
-// caller puts changes, one after another, at any replica that it reaches.
+// caller sends commands one after another, each to a random replica on its side of a partition.
 type caller struct {
 	name         string
 	partition    int
@@ -22,11 +22,11 @@
 	command      *Command // not acknowledged yet
 	sentAt       int64
 	verdicts     []Verdict
-	acknowledged []*Command // of verdicts
+	acknowledged []*Command // the commands of verdicts
 	refusals     int
 }
 
-// inMajority reports whether a replica is up, and on the side of a majority of all.
+// inMajority reports whether a replica is up and on the same side as a majority of the replicas.
 func (s *simulation) inMajority(i int) bool {
 	together := 0
 	for _, n := range s.nodes[:s.replicas] {
@@ -37,7 +37,7 @@
 	return s.nodes[i].up && together > s.replicas/2
 }
 
-// propose has a command committed where the replica can; answer is called with the verdict of the replica's own table.
+// propose commits a command if the replica is in a majority, and calls answer with the verdict of the replica's table.
 func (s *simulation) propose(i int, c *Command, answer func(Verdict)) {
 	n := s.nodes[i]
 	incarnation := n.incarnation
@@ -62,7 +62,7 @@
 	})
 }
 
-// appendLog commits a command at the table's time, which lags.
+// appendLog commits a command at the table's time, which lags randomly behind virtual time.
 func (s *simulation) appendLog(c *Command) {
 	s.tableLag = min(s.tableLag+s.random.Int63n(20*ms), 500*ms)
 	if s.random.Intn(4) == 0 {
@@ -75,7 +75,7 @@
 	s.commit(entry)
 }
 
-// commit appends an entry to the log, and applies it to the agreed table.
+// commit appends an entry to the log, applies it to the reference table, and checks the resulting head.
 func (s *simulation) commit(e logEntry) {
 	s.log = append(s.log, e)
 	before := s.agreed.Head()
@@ -120,7 +120,7 @@
 		moved = true
 		n.appliedEntries++
 	}
-	if !moved && index > 0 { // applied before: the same caller and number have the same verdict
+	if !moved && index > 0 { // applied before: a repeated caller and sequence number yield the same verdict
 		if e := s.log[index-1]; e.command.Caller != "" {
 			v = n.table.Apply(e.at, e.command)
 		}
@@ -131,7 +131,7 @@
 	return v
 }
 
-// tick has replicas in a majority follow the log and propose what is due, and callers go on.
+// tick lets replicas in a majority apply the log and propose due stage advances, and callers resend commands.
 func (s *simulation) tick() {
 	for i, n := range s.nodes[:s.replicas] {
 		current := s.inMajority(i) && n.appliedEntries == len(s.log)
@@ -154,7 +154,7 @@
 	s.at(s.now+100*ms, s.tick)
 }
 
-// sendCommand sends a caller's command to a replica on its side, again after a while.
+// sendCommand sends a caller's command to a random replica on its side, and again after 1.5 s without an answer.
 func (s *simulation) sendCommand(c *caller) {
 	if c.command == nil || s.now < c.sentAt+1_500*ms && c.sentAt > 0 {
 		return
@@ -180,7 +180,7 @@
 	})
 }
 
-// handleVerdict ends a caller's command, or has it repeated on the newest version where it was stale.
+// handleVerdict ends a caller's command, or repeats it on the newest version if it was stale.
 func (c *caller) handleVerdict(v Verdict) {
 	switch {
 	case v.Done:
@@ -202,14 +202,14 @@
 	}
 }
 
-// put gives a caller a change to put, if it has no command.
+// put starts a change of a caller, unless it has a pending command.
 func (s *simulation) put(c *caller, changes ...Item) {
 	if c.command == nil {
 		c.start(Command{Kind: CommandPut, Base: c.base, Changes: changes})
 	}
 }
 
-// start begins a command of a caller.
+// start makes a command the caller's pending one.
 func (c *caller) start(command Command) {
 	c.seq++
 	command.Caller = c.name
@@ -222,7 +222,7 @@
 	c.start(Command{Kind: CommandRollback, Version: version})
 }
 
-// putWhole has a whole content committed, in pieces, and returns its revision.
+// putWhole commits a whole content in pieces, and returns its revision.
 func (s *simulation) putWhole(t *testing.T, c *Content) Revision {
 	var list []Item
 	for i := range c.All {
--- a/internal/fleet/configsync/simulation_test.go
+++ b/internal/fleet/configsync/simulation_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// simNode is a replicator with what is around it: its process, its disk, and its replica of the table where it has one.
+// simNode is a simulated node: a replicator, its disk, and the table of its replica if it has one.
 type simNode struct {
 	name           string
 	replicator     *Replicator
@@ -20,18 +20,18 @@
 	index          int
 	wakeAt         int64
 	disk           simDisk
-	olderDisk      simDisk // an older state of disk
+	olderDisk      simDisk // the state of disk before the last write
 	table          *Table
 	isReplica      bool
-	appliedEntries int // entries of the log in its table
-	maxVersion     uint64
+	appliedEntries int    // number of log entries applied to table
+	maxVersion     uint64 // the newest version that was applied
 
-	bytesBySecond []int64 // both ways
+	bytesBySecond []int64 // sent and received, by second
 	inbox         []Input
 	appliedAt     map[uint64]int64
 }
 
-// simDisk is what was persisted.
+// simDisk is the content of a simulated disk.
 type simDisk struct {
 	revision Revision
 	content  *Content
@@ -56,8 +56,8 @@
 	return last
 }
 
-// simulation is a small fleet in virtual time: real tables behind a model of a replicated log, and real replicators on links that lose,
-// duplicate, delay and reorder messages.
+// simulation runs a small fleet in virtual time: real tables fed by a model of a replicated log, and real replicators whose messages are
+// lost, duplicated, delayed and reordered.
 type simulation struct {
 	random           *rand.Rand
 	now              int64
@@ -67,9 +67,9 @@
 	byName           map[string]*simNode
 	replicas         int
 	log              []logEntry
-	agreed           *Table            // applies each entry as it is committed
-	digests          map[uint64]Digest // by agreed version
-	versionOf        map[string]uint64 // by caller and number
+	agreed           *Table            // reference table, to which each entry is applied when it is committed
+	digests          map[uint64]Digest // of agreed contents, by version
+	versionOf        map[string]uint64 // committed version by caller and sequence number
 	stopped          map[uint64]bool
 	agreedAt         map[uint64]int64
 	allAt            map[uint64]int64 // when a version was committed for all
@@ -77,17 +77,17 @@
 	callers          []*caller
 	loss             float64
 	duplication      float64
-	maxDelay         int64 // ns, but for stragglers
-	stragglers       float64
+	maxDelay         int64   // ns, except for stragglers
+	stragglers       float64 // share of messages that are delayed by up to 30 s
 	failure          string
 	skipDigests      bool // injected fault: replicators compare no digests
 	acknowledgeEarly bool // injected fault: a replica acknowledges before the commit
-	deltaAnswers     int  // answers with blocks as changes
-	largeChanges     bool // the record of some changes is more than one answer
+	deltaAnswers     int  // number of answers with blocks as changes
+	largeChanges     bool // some changes have a record that exceeds one answer
 	file             *Content
-	links            [][]int // of each node: both neighbours in four random orders of the fleet
-	regionDelay      int64   // ns that a message takes longer between regions
-	tableLag         int64   // ns of the table's time behind real time
+	links            [][]int // neighbours of each node: the adjacent nodes in four random rings
+	regionDelay      int64   // additional ns of a message between regions
+	tableLag         int64   // ns by which the table's time lags behind virtual time
 }
 
 func newSimulation(seed int64, nodes, replicas, zones int) *simulation {
@@ -157,7 +157,7 @@
 	}
 }
 
-// view is a node's membership view, without itself.
+// view returns a node's membership view.
 func (s *simulation) view(i, zones int) *View {
 	v := &View{}
 	for _, k := range s.links[i] {
@@ -174,7 +174,7 @@
 	return v
 }
 
-// start starts a node, from its disk or from the file.
+// start starts a node from its disk, or from the file if the disk is empty.
 func (s *simulation) start(i, zones int) {
 	n := s.nodes[i]
 	n.incarnation++
@@ -233,7 +233,7 @@
 	n.bytesBySecond[k] += int64(m.size())
 }
 
-// transmit has something arrive after a random delay, once, twice or never.
+// transmit calls do after a random delay: once, twice, or not at all if the message is lost.
 func (s *simulation) transmit(from, to *simNode, do func()) {
 	if from.partition != to.partition || s.random.Float64() < s.loss {
 		return
@@ -275,7 +275,7 @@
 		}
 	}
 	if next <= s.now {
-		s.fail("%s wakes in the past", n.name)
+		s.fail("%s requests a wake-up in the past", n.name)
 	}
 	s.wake(i, next)
 }
--- a/internal/fleet/configsync/spread_test.go
+++ b/internal/fleet/configsync/spread_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newFleetSimulation is a fleet of regions without faulty nodes, with replicas spread over them.
+// newFleetSimulation returns a simulated fleet over several regions without faulty nodes, after its first 3 s.
 func newFleetSimulation(seed int64, nodes, replicas, zones, regions int, regionDelay int64) *simulation {
 	sim := newSimulation(seed, nodes, replicas, zones)
 	for i, n := range sim.nodes {
@@ -22,15 +22,16 @@
 	return sim
 }
 
-var fleet = flag.Int("fleet", 200, "nodes of the fleet that changes spread over")
-var apartFleet = flag.Int("apart", 24, "nodes of the fleet that a change of 1,000 scattered items spreads over")
-var apartSeed = flag.Int64("apart-seed", 6, "its seed")
+var fleet = flag.Int("fleet", 200, "number of nodes of the fleet over which changes spread")
+var apartFleet = flag.Int("apart", 24, "number of nodes of the fleet over which a change of 1,000 scattered items spreads")
+var apartSeed = flag.Int64("apart-seed", 6, "seed of the fleet over which a change of 1,000 scattered items spreads")
 
-// Changes are put, some during the canary stage of the one before, and 5 % of all messages are lost.
+// Changes are put, some during the canary stage of the previous one, while 5 % of all messages are lost. 99 % of the nodes must have each
+// in force within 10 s.
 func TestChangeIsInForceInTime(t *testing.T) {
 	nodes := *fleet
 	changes := 3
-	sim := newFleetSimulation(1, nodes, max(3, nodes/144), 15, 7, 80*ms) // some 140 nodes report to one replica
+	sim := newFleetSimulation(1, nodes, max(3, nodes/144), 15, 7, 80*ms) // some 140 nodes report to each replica
 	sim.loss = 0.05
 	agreed := map[uint64]int64{}
 	for k := range changes {
@@ -55,7 +56,7 @@
 	}
 }
 
-// All are agreed on, in force in stages, and within the rate.
+// 1,000 changes in a minute must all be agreed on and come into force in stages, while all nodes keep to their rate limit.
 func TestThousandChangesInAMinute(t *testing.T) {
 	sim := newFleetSimulation(2, 24, 3, 5, 2, 30*ms)
 	done := 0
@@ -88,7 +89,7 @@
 	require.GreaterOrEqual(t, len(sim.callers[0].verdicts), 1_000)
 }
 
-// newRefusedCanary is a fleet in which version 2 was stopped, since one node refused it: one at its canary stage, or not.
+// newRefusedCanary returns a fleet in which version 2 was stopped because one node refused it: a canary, or a node that is none.
 func newRefusedCanary(t *testing.T, canary bool) *simulation {
 	sim := newFleetSimulation(3, 60, 5, 5, 2, 80*ms)
 	sim.loss = 0.05
@@ -111,26 +112,27 @@
 	return sim
 }
 
-// One node at the canary stage refuses a version, and nothing else fails.
+// A single canary refuses a version. The version must be stopped, and stay in force on the other canaries until a rollback.
 func TestCanaryRefusalStopsVersion(t *testing.T) {
 	sim := newRefusedCanary(t, true)
-	first := 0
+	canaries := 0
 	for _, n := range sim.nodes {
 		if n.replicator.Revision().Version == 2 {
-			first++
+			canaries++
 		} else {
 			require.EqualValues(t, 1, n.replicator.Revision().Version)
 		}
 	}
-	require.Positive(t, first)
-	require.Less(t, first, 20)
+	require.Positive(t, canaries)
+	require.Less(t, canaries, 20)
 	sim.rollback(sim.callers[0], 1)
 	sim.run(sim.now + 6_000*ms)
-	require.Empty(t, sim.unsettled(), "a rollback is in force for all at once")
+	require.Empty(t, sim.unsettled(), "a rollback comes into force for all nodes without a canary stage")
 	require.EqualValues(t, 3, sim.agreed.Head().All.Version)
 }
 
-// One node refuses a version, and isn't at its canary stage.
+// A node that is no canary refuses a version during its check. The version must be stopped too, and a change that reverts it must come
+// into force.
 func TestRefusalOutsideTheCanaryStopsVersion(t *testing.T) {
 	sim := newRefusedCanary(t, false)
 	sim.put(sim.callers[0], Item{Part: Operations, Name: "new"}) // reverted without a rollback
@@ -140,7 +142,7 @@
 	require.False(t, sim.agreed.Head().Stopped)
 }
 
-// Nodes without a replica are cut off for a while.
+// Nodes without a replica on their side of a partition keep their version, and catch up after the partition.
 func TestPartitionedRegionGoesOnAndCatchesUp(t *testing.T) {
 	sim := newFleetSimulation(4, 60, 5, 5, 2, 80*ms)
 	sim.put(sim.callers[0], tenant(1, "1"))
@@ -155,7 +157,7 @@
 	for _, n := range sim.nodes[20:] {
 		s := n.replicator.Status(sim.now)
 		require.EqualValues(t, 1, s.Revision.Version)
-		require.Greater(t, s.HeardNS, 55_000*ms, "its status says how long it had no confirmation")
+		require.Greater(t, s.HeardNS, 55_000*ms, "the status shows the time since the last confirmation")
 	}
 	sim.heal()
 	sim.run(sim.now + 10_000*ms)
@@ -165,11 +167,11 @@
 	require.Empty(t, sim.failure)
 }
 
-// A zone starts with empty disks beside a fleet with a large content, and the bytes of each node and second are compared with the
+// A zone restarts with empty disks in a fleet with a large content. Each node's mean rate until all are up to date must stay below the
 // limit.
 func TestRestartedZoneKeepsToItsRate(t *testing.T) {
 	sim := newFleetSimulation(5, 45, 5, 5, 2, 30*ms)
-	c := fullContent(t, 100, 3_000) // as much as can be sent in a minute
+	c := fullContent(t, 100, 3_000) // about as much as a node can send in a minute
 	revision := sim.putWhole(t, c)
 	for i, n := range sim.nodes { // in all zones but one
 		if i%5 != 4 {
@@ -202,6 +204,6 @@
 		}
 		worst = max(worst, sum/seconds)
 	}
-	t.Logf("%d bytes to each of 9 nodes took %d s (simulated); a node's mean over it was %d bytes a second at the most", c.Bytes(), seconds, worst)
-	require.Less(t, worst, int64(21_000-1_250), "the rest is membership's")
+	t.Logf("%d bytes to each of 9 nodes took %d s (simulated); the highest mean rate of a node was %d bytes a second", c.Bytes(), seconds, worst)
+	require.Less(t, worst, int64(21_000-1_250), "the rest of the rate is reserved for membership")
 }
--- a/internal/fleet/configsync/suppliers_test.go
+++ b/internal/fleet/configsync/suppliers_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quarterContent is a content of a quarter of the largest size that is required.
+// quarterContent returns a content of a quarter of the largest supported size.
 func quarterContent(t *testing.T) *Content { return fullContent(t, 1_175, 32_500) }
 
 const scatteredItems = 1_000
 
-// scattered are changes of scatteredItems tenants of a content, no two of which are neighbours.
+// scattered returns changes of scatteredItems tenants, spread evenly over a content.
 func scattered(c *Content) (list []Item) {
 	k := 0
 	step := c.Len(Tenants) / scatteredItems
@@ -28,7 +28,7 @@
 	return list
 }
 
-// suppliers are peers that have a content and a further version of it, whose record is more than one answer.
+// suppliers are two peers with the same content, and the table from which they get further versions.
 type suppliers struct {
 	*Table
 	base  *Content
@@ -49,7 +49,7 @@
 	return g
 }
 
-// put makes a further version, which the suppliers have.
+// put adds a version to the table and makes it ready on the suppliers.
 func (g *suppliers) put(t *testing.T, changes ...Item) Revision {
 	v := g.Apply(1, putOn(g.head.Newest, g.head.Newest, changes...))
 	require.True(t, v.Done, v.Refused)
@@ -61,7 +61,7 @@
 	return revision
 }
 
-// fetcher is a node that has the version before, and two neighbours.
+// fetcher returns a replicator that has the first version, and the suppliers as neighbours.
 func (g *suppliers) fetcher() *Replicator {
 	r := newTestReplicator()
 	r.applied = g.first
@@ -72,7 +72,7 @@
 	return r
 }
 
-// answer is a peer's answer to a fetch. Its rate limit is lifted.
+// answer returns a supplier's answer to a fetch, without regard to the supplier's rate limit.
 func (g *suppliers) answer(now int64, e Effect) *Message {
 	n := g.nodes[e.To]
 	n.tokens = burstBytes
@@ -85,13 +85,14 @@
 	return effectsOf(effects, Reply)[0].Message
 }
 
-// fetch has a node fetch until a version is ready; change can alter, drop and duplicate each answer. It returns the answers by peer and the bytes.
+// fetch steps a replicator until the goal is ready or the table has a newer version. The function change can alter, drop or duplicate
+// each answer. It returns the number of answers by peer and their bytes.
 func (g *suppliers) fetch(t *testing.T, r *Replicator, goal Revision, change func(k int, from string, m *Message) []*Message) (from map[string]int, bytes int) {
 	from = map[string]int{}
 	in := []Input{confirmation(goal, goal), announcement("a", RolloutState{All: goal, Canary: goal}, goal), announcement("b", RolloutState{All: goal, Canary: goal}, goal)}
 	k := 0
-	most := g.head.Newest
-	for now := r.refilledAt + 500*ms; r.ready != goal && g.head.Newest == most; now += 10 * ms {
+	newest := g.head.Newest
+	for now := r.refilledAt + 500*ms; r.ready != goal && g.head.Newest == newest; now += 10 * ms {
 		require.Less(t, now, 900_000*ms)
 		effects, _ := r.Step(now, in)
 		in = nil
