--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -136,7 +136,7 @@
 func (m *Members) ping(l *link) {
 	l.pingSeq = (l.pingSeq + 1) &^ reconnectSeqBit
 	l.pingsSent[l.pingSeq%pingHistory] = m.ownTime
-	ping := Message{Kind: MessagePing, Seq: l.pingSeq, Neighbour: l.wanted}
+	ping := Message{Kind: MessagePing, Seq: l.pingSeq, LinkWanted: l.wanted}
 	if !l.up { // the peer may not know this node
 		ping.Records = m.ownRecord()
 	}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -196,7 +196,7 @@
 	peer := &m.members[i]
 	switch msg.Kind {
 	case MessagePing:
-		if msg.Neighbour && !m.members[0].record.Left {
+		if msg.LinkWanted && !m.members[0].record.Left {
 			if peer.linkIndex < 0 {
 				m.openLink(i)
 			}
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -150,7 +150,7 @@
 	}
 	r := record("x", 100)
 	m.applyRecord(&r, -1)
-	assert.Equal(t, 1, m.Counters.InvalidRecords)
+	assert.Equal(t, 1, m.Counters.UnusableRecords)
 }
 
 func TestInvalidRecordsAreCounted(t *testing.T) {
@@ -162,7 +162,7 @@
 	for _, r := range []Record{{}, {Name: "x"}, {Name: string(make([]byte, 65)), Address: "y"}, long, {Name: "x", Address: "y", Incarnation: 1 << 63}} {
 		m.applyRecord(&r, -1)
 	}
-	assert.Equal(t, 5, m.Counters.InvalidRecords)
+	assert.Equal(t, 5, m.Counters.UnusableRecords)
 }
 
 func TestUnexpectedAcksDoNotConfirmLink(t *testing.T) {
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -20,15 +20,15 @@
 
 // Message is a message between members.
 type Message struct {
-	Kind      MessageKind     `cbor:"1,keyasint"`
-	From      ID              `cbor:"2,keyasint,omitempty"`
-	Seq       uint32          `cbor:"3,keyasint,omitempty"`
-	Digest    uint64          `cbor:"4,keyasint,omitempty"` // of the sender's table
-	Neighbour bool            `cbor:"5,keyasint,omitempty"` // the receiver is a neighbour of the sender on a ring
-	Records   []Record        `cbor:"6,keyasint,omitempty"`
-	Summaries []RecordSummary `cbor:"7,keyasint,omitempty"`
-	Wanted    []ID            `cbor:"8,keyasint,omitempty"`
-	Detail    string          `cbor:"9,keyasint,omitempty"` // MessageReject: the reason; MessageViewRequest: ViewRequestClaims, or another value for the view
+	Kind       MessageKind     `cbor:"1,keyasint"`
+	From       ID              `cbor:"2,keyasint,omitempty"`
+	Seq        uint32          `cbor:"3,keyasint,omitempty"`
+	Digest     uint64          `cbor:"4,keyasint,omitempty"` // of the sender's table
+	LinkWanted bool            `cbor:"5,keyasint,omitempty"` // the receiver is a neighbour of the sender on a ring
+	Records    []Record        `cbor:"6,keyasint,omitempty"`
+	Summaries  []RecordSummary `cbor:"7,keyasint,omitempty"`
+	Wanted     []ID            `cbor:"8,keyasint,omitempty"`
+	Detail     string          `cbor:"9,keyasint,omitempty"` // MessageReject: the reason; MessageViewRequest: ViewRequestClaims, or another value for the view
 }
 
 // InputKind is the kind of an input.
--- a/internal/fleet/membership/query.go
+++ b/internal/fleet/membership/query.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Neighbours returns the names of the members to which this node has a link that is up, sorted.
-func (m *Members) Neighbours() (names []string) {
+// LinkedMembers returns the names of the members to which this node has a link that is up, sorted.
+func (m *Members) LinkedMembers() (names []string) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && l.up && m.members[l.member].record.Name != "" {
 			names = append(names, m.members[l.member].record.Name)
--- a/internal/fleet/membership/neighbours_test.go
+++ b/internal/fleet/membership/query_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestInZoneInViewAndNeighbours(t *testing.T) {
+func TestInZoneInViewAndLinkedMembers(t *testing.T) {
 	for zone, want := range map[string][]string{"": {"c"}, "a": {"b"}} {
 		m := New(Config{Name: "n", Address: "10.0.0.1:9", Zone: zone, ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60_000 * ms,
 			MaxMembers: 9}, 0, 1, 0, 1)
@@ -17,10 +17,10 @@
 		}
 		assert.Equal(t, want, m.InZone())
 		assert.Equal(t, []string{"b", "c", "d", "n"}, m.InView())
-		assert.Empty(t, m.Neighbours(), "no link is up")
+		assert.Empty(t, m.LinkedMembers(), "no link is up")
 		m.openLink(m.byID[IDOf("c")]).up = true
 		m.openLink(m.byID[IDOf("b")]).up = true
 		m.openLink(m.byID[IDOf("d")])
-		assert.Equal(t, []string{"b", "c"}, m.Neighbours())
+		assert.Equal(t, []string{"b", "c"}, m.LinkedMembers())
 	}
 }
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -16,7 +16,7 @@
 // index of the link that delivered it, -1 for none.
 func (m *Members) applyRecord(r *Record, from int8) {
 	if !r.valid() {
-		m.Counters.InvalidRecords++
+		m.Counters.UnusableRecords++
 		return
 	}
 	i, known := m.byID[IDOf(r.Name)]
@@ -26,7 +26,7 @@
 	}
 	if !known {
 		if i = m.addMember(r); i < 0 {
-			m.Counters.InvalidRecords++
+			m.Counters.UnusableRecords++
 			return
 		}
 	}
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -86,7 +86,7 @@
 	Bytes             int `json:"-"`
 	Exchanges         int `json:"exchanges"`
 	UnmatchedMessages int `json:"strays"`   // messages from unknown members, or answers without a request
-	InvalidRecords    int `json:"unusable"` // records that are invalid or for which the table has no room
+	UnusableRecords   int `json:"unusable"` // records that are invalid or for which the table has no room
 	NameConflicts     int `json:"refused"`  // sync requests rejected, by this node or a peer, and names yielded
 	Pauses            int `json:"pauses"`   // of this process
 	ViewChanges       int `json:"views"`
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -278,7 +278,7 @@
 	cs.viewCheckAt = sm.now + viewCheckInterval
 	members := sm.Members()
 	hash, _ := members.ViewHash()
-	neighbours := members.Neighbours()
+	neighbours := members.LinkedMembers()
 	if hash == cs.viewHash && slices.Equal(neighbours, cs.view.Neighbours) && sm.now < cs.viewRefreshAt {
 		return
 	}
--- a/internal/node/configsync_messages_test.go
+++ b/internal/node/configsync_messages_test.go
@@ -24,7 +24,7 @@
 	assert.Empty(t, effectsOfKind(effects, ReplyToExchange)[0].Bytes)
 	assert.Zero(t, sm.fleet.counters.Malformed)
 	msg := membership.Message{Kind: membership.MessageSyncPush, From: 9, Seq: 5, Records: []membership.Record{peerRecord(3, true)}, Summaries: []membership.RecordSummary{{ID: 1, Incarnation: 2}},
-		Wanted: []membership.ID{4}, Detail: "x", Digest: 8, Neighbour: true}
+		Wanted: []membership.ID{4}, Detail: "x", Digest: 8, LinkWanted: true}
 	var body peerMessage
 	require.NoError(t, envelope.Open(sealedMessage(t, "mobilier", msg), fleet, &body))
 	assert.Equal(t, peerMessage{Message: msg}, body)
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -50,7 +50,7 @@
 
 func TestPingOfANewPeerIsAcknowledgedAndAnsweredWithAPing(t *testing.T) {
 	sm := fleetNode(t)
-	ping := sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessagePing, From: membership.IDOf("n2"), Seq: 5, Neighbour: true,
+	ping := sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessagePing, From: membership.IDOf("n2"), Seq: 5, LinkWanted: true,
 		Records: []membership.Record{peerRecord(0, false)}})
 	effects := sm.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, From: "10.0.0.2:9", Bytes: ping}})
 	var kinds []membership.MessageKind
@@ -99,7 +99,7 @@
 func TestNodeAnnouncesExecutorLossAndLeaving(t *testing.T) {
 	sm := fleetNode(t)
 	sm.Step(ms, 1, []Input{{Kind: PeerDatagramReceived, Bytes: sealedMessage(t, "mobilier", membership.Message{Kind: membership.MessagePing,
-		From: membership.IDOf("n2"), Neighbour: true, Records: []membership.Record{peerRecord(0, false)}})}})
+		From: membership.IDOf("n2"), LinkWanted: true, Records: []membership.Record{peerRecord(0, false)}})}})
 	assert.False(t, sm.Members().Self().Facts.NoExecutor)
 	sm.Step(executorLossTimeout+ms, 1, nil)
 	assert.True(t, sm.Members().Self().Facts.NoExecutor)
--- a/internal/testbed/virtualfleet/size.go
+++ b/internal/testbed/virtualfleet/size.go
@@ -10,7 +10,7 @@
 func messageSize(msg *membership.Message) int {
 	size := envelope.HeaderBytes + 1 + keyedInteger(uint64(msg.Kind)) + optionalInteger(uint64(msg.From)) + optionalInteger(uint64(msg.Seq)) +
 		optionalInteger(msg.Digest) + optionalText(msg.Detail)
-	if msg.Neighbour {
+	if msg.LinkWanted {
 		size += 2
 	}
 	if n := len(msg.Records); n > 0 {
--- a/internal/testbed/virtualfleet/size_test.go
+++ b/internal/testbed/virtualfleet/size_test.go
@@ -21,7 +21,7 @@
 			return list
 		}
 		msg := membership.Message{Kind: membership.MessageKind(rapid.IntRange(1, 8).Draw(t, "kind")), From: membership.ID(number.Draw(t, "from")),
-			Seq: uint32(number.Draw(t, "seq")), Digest: number.Draw(t, "digest"), Neighbour: rapid.Bool().Draw(t, "neighbour"),
+			Seq: uint32(number.Draw(t, "seq")), Digest: number.Draw(t, "digest"), LinkWanted: rapid.Bool().Draw(t, "neighbour"),
 			Wanted: ids(30), Detail: word.Draw(t, "why")}
 		for range rapid.IntRange(0, 30).Draw(t, "records") {
 			r := membership.Record{Name: word.Draw(t, "name"), Address: word.Draw(t, "address"), StartedAt: int64(number.Draw(t, "born")),
--- a/internal/testbed/virtualfleet/staticview.go
+++ b/internal/testbed/virtualfleet/staticview.go
@@ -164,5 +164,5 @@
 		}
 		return s.links[n.index], s.zones[viewKey{n.Zone, s.isolatedInViews[n.index]}]
 	}
-	return n.Neighbours(), n.InZone()
+	return n.LinkedMembers(), n.InZone()
 }
