--- a/internal/fleet/configsync/replicator.go
+++ b/internal/fleet/configsync/replicator.go
@@ -11,6 +11,7 @@
 
 const never = 1<<63 - 1 // ns
 
+// ReplicatorConfig identifies a replicator and seeds its random choices.
 type ReplicatorConfig struct {
 	Name string
 	Seed int64
@@ -162,6 +163,7 @@
 	Counters Counters
 }
 
+// Status returns the replicator's state at a time, with the ages of its revision and of the last confirmation.
 func (r *Replicator) Status(now int64) Status {
 	status := Status{
 		Revision: r.applied,
