--- a/integration/faultypeers_test.go
+++ b/integration/faultypeers_test.go
@@ -109,7 +109,7 @@
 	node.config["control"] = control.Addr().String()
 	node.writeConfig()
 	node.signal(syscall.SIGHUP)
-	node.awaitLog("peers are now at")
+	node.awaitLog("addresses are now")
 	executorConn := await(t, node.executor.connections)
 	for n := range 120 {
 		conn, err := net.Dial("tcp", node.address)
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -11,14 +11,14 @@
 // Timeouts of dispatchers' connections, in nanoseconds.
 const (
 	firstUseTimeout = 2_000 * ms  // from the opening of a connection to its first valid request
-	idleTimeout     = 15_000 * ms // without an open stream; callers close their idle connections sooner
+	idleTimeout     = 15_000 * ms // without an open stream; dispatchers close their idle connections sooner
 	goAwayGrace     = 200 * ms    // from a go-away to the close, for invocations sent before it arrived
 	evictionGrace   = 60 * ms     // the same for an evicted connection: the protocol's 50 ms and a round trip
-	sweepInterval   = 250 * ms    // between checks for idle connections
+	sweepInterval   = 250 * ms    // between advances of the wheel of idle connections
 	overdueInterval = 2_500_000   // between batches of overdue connections
 )
 
-// Limits of one batch of checks, so that invocations wait for a few milliseconds at most.
+// Limits of one batch of timeouts, so that invocations wait for a few milliseconds at most.
 const (
 	maxTimeoutsPerStep = 2_048
 	maxClosesPerStep   = 32 // each close or go-away costs system calls
@@ -27,23 +27,25 @@
 // maxFaultsPerConnection is the number of invalid invocations at which the rest of a connection's input is discarded.
 const maxFaultsPerConnection = 16
 
-// connection is the state of a dispatcher's connection.
+// connection is the state of a dispatcher's connection. A connection that ends by its timeout or by a drain has goAwaySent
+// first, then closeWhenIdle and closeAfterFlushRequested. One that is evicted has evicted, and either the same steps or,
+// without a go-away, closeWithoutLingerRequested. One that violates the protocol has broken, goAwaySent and closeWhenIdle.
 type connection struct {
-	link                      int              // the host's number of the connection
-	lastStream                uint32           // highest stream seen
-	openStreams               map[uint32]int32 // index of the invocation, by stream that is not answered
-	pendingHealthChecks       int              // deep health checks that are not answered
-	used                      bool             // a valid invocation or health check was received
-	faultCount                int              // invalid invocations received
-	lastUsedAt                int64            // time of the opening, the last valid request or the last answer
-	goAwayAt                  int64            // time of the go-away
-	goAwaySent                bool
-	evicted                   bool             // chosen to make room for a new connection
-	closeWhenIdle             bool             // to be closed as soon as it is idle
-	closeAfterFlushRequested  bool             // the host was asked to close it
-	closeImmediatelyRequested bool             // the host was asked to close it without waiting for the peer
-	broken                    bool             // its further input is discarded
-	timeoutTimer              timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
+	link                        int              // the host's number of the connection
+	lastStream                  uint32           // highest stream seen
+	openStreams                 map[uint32]int32 // index of the invocation, by stream that is not answered
+	pendingHealthChecks         int              // deep health checks that are not answered
+	used                        bool             // a valid invocation or health check was received
+	faultCount                  int              // invalid invocations received
+	lastUsedAt                  int64            // time of the opening, the last valid request or the last answer
+	goAwayAt                    int64            // time of the go-away
+	goAwaySent                  bool
+	evicted                     bool             // chosen to make room for a new connection
+	closeWhenIdle               bool             // the host is asked to close it as soon as it is idle
+	closeAfterFlushRequested    bool             // the host was asked to close it, and the request is not cancelled
+	closeWithoutLingerRequested bool             // the host was asked to close it without lingering, and the request is not cancelled
+	broken                      bool             // its further input is discarded
+	timeoutTimer                timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
 }
 
 // isIdle reports whether every stream and health check is answered.
@@ -86,7 +88,7 @@
 	return c.link < other.link
 }
 
-// hasEarlierGoAway reports whether c has been closing longer than other, by the times of their go-aways.
+// hasEarlierGoAway reports whether the go-away of c was sent before that of other.
 func (c *connection) hasEarlierGoAway(other *connection) bool {
 	if c.goAwayAt != other.goAwayAt {
 		return c.goAwayAt < other.goAwayAt
@@ -98,14 +100,14 @@
 type connectionTable struct {
 	sm             *StateMachine
 	byLink         map[int]*connection
-	maxConnections int // limit on connections; up to ExtraClosingConnections that are being closed do not count
+	maxConnections int // limit on connections, exceeded by up to ExtraClosingConnections that are being closed
 
-	idleWheel       *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
+	idleWheel       *timerwheel.Wheel // links by the millisecond at which their timeout is handled, until the go-away is sent
 	goAwayWheel     *timerwheel.Wheel // the same, after the go-away
-	overdue         []int             // links whose check is due, in the order of the checks
+	overdue         []int             // links whose timeout is to be handled, in this order
 	sweepAt         int64             // time of the next advance of idleWheel
 	overdueAt       int64             // time of the next batch of overdue links
-	handledTimeouts int               // total of checks, for tests
+	handledTimeouts int               // total of timeouts handled, for tests
 }
 
 func newConnectionTable(sm *StateMachine, limit int) connectionTable {
@@ -161,8 +163,10 @@
 	}
 }
 
-// makeRoom evicts an idle connection if those that are not being closed fill the table. If ExtraClosingConnections or more are
-// being closed, it also closes the one whose go-away is oldest at once: its peer may never finish a frame or close its side.
+// makeRoom evicts an idle connection if those that are not being closed fill the table. Connections count as being closed
+// when they are evicted or the host was asked to close them. If ExtraClosingConnections or more are being closed, makeRoom
+// also has the host close one of them without lingering: the one with the earliest go-away among those that the host was
+// asked to close. Its dispatcher may never finish a frame or close its side.
 func (t *connectionTable) makeRoom() {
 	var victim, slowest *connection
 	closing := 0
@@ -170,7 +174,7 @@
 		switch {
 		case c.evicted || c.closeAfterFlushRequested:
 			closing++
-			if c.closeAfterFlushRequested && !c.closeImmediatelyRequested && (slowest == nil || c.hasEarlierGoAway(slowest)) {
+			if c.closeAfterFlushRequested && !c.closeWithoutLingerRequested && (slowest == nil || c.hasEarlierGoAway(slowest)) {
 				slowest = c
 			}
 		case c.isIdle() && !c.closeWhenIdle && (victim == nil || c.isEvictedBefore(victim)):
@@ -182,22 +186,22 @@
 		t.evict(victim, hasSpare)
 	}
 	if !hasSpare && slowest != nil {
-		slowest.closeImmediatelyRequested = true
-		t.sm.emit(Effect{Kind: CloseImmediately, Link: slowest.link})
+		slowest.closeWithoutLingerRequested = true
+		t.sm.emit(Effect{Kind: CloseWithoutLinger, Link: slowest.link})
 	}
 }
 
-// evict closes an idle connection after a grace period, or at once if it was never used or the table has no spare place.
-// Without spare places, a grace period would have new connections refused. An invocation that is sent before the
-// dispatcher sees the close is lost, and the dispatcher retries it.
+// evict closes an idle connection. It sends a go-away and waits for a grace period first, unless the connection was never used
+// or hasSpare is false: with ExtraClosingConnections being closed, the wait would have new connections refused. An
+// invocation that is sent before the dispatcher sees an immediate close is lost, and the dispatcher retries it.
 func (t *connectionTable) evict(c *connection, hasSpare bool) {
 	t.sm.Counters.ConnectionsEvicted++
 	c.evicted = true
 	if !c.used || !hasSpare {
 		c.closeWhenIdle = true
 		c.closeAfterFlushRequested = true
-		c.closeImmediatelyRequested = true
-		t.sm.emit(Effect{Kind: CloseImmediately, Link: c.link})
+		c.closeWithoutLingerRequested = true
+		t.sm.emit(Effect{Kind: CloseWithoutLinger, Link: c.link})
 		return
 	}
 	t.sendGoAway(c)
@@ -212,7 +216,7 @@
 	return t.idleWheel
 }
 
-// scheduleTimeout schedules the next check of a connection, which takes place at that time or in one of the next batches.
+// scheduleTimeout has the timeout of a connection handled at a time, or in one of the batches after it.
 func (t *connectionTable) scheduleTimeout(c *connection, at int64) {
 	t.cancelTimeout(c)
 	c.timeoutTimer = t.wheelOf(c).Add((at+ms-1)/ms, int64(c.link))
@@ -223,8 +227,8 @@
 	c.timeoutTimer = timerwheel.Timer{} // in the other wheel the same value may identify another timer
 }
 
-// handleDueTimeouts checks the connections whose timeout may have passed. It works in batches: connections that were opened together
-// are due together, and checking all of them in one step would delay invocations.
+// handleDueTimeouts handles the timeouts that may have passed. It works in batches: connections that were opened together
+// are due together, and handling all of them in one step would delay invocations.
 func (t *connectionTable) handleDueTimeouts() {
 	now := t.sm.now
 	addOverdue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
@@ -238,21 +242,21 @@
 	if now < t.overdueAt || len(t.overdue) == 0 {
 		return
 	}
-	checks := 0
+	handled := 0
 	closes := 0
-	for checks < min(maxTimeoutsPerStep, len(t.overdue)) && closes < maxClosesPerStep {
-		c := t.byLink[t.overdue[checks]]
+	for handled < min(maxTimeoutsPerStep, len(t.overdue)) && closes < maxClosesPerStep {
+		c := t.byLink[t.overdue[handled]]
 		if c != nil && !c.closeWhenIdle && t.handleTimeout(c) {
 			closes++
 		}
-		checks++
+		handled++
 	}
-	t.handledTimeouts += checks
-	t.overdue = slices.Delete(t.overdue, 0, checks)
+	t.handledTimeouts += handled
+	t.overdue = slices.Delete(t.overdue, 0, handled)
 	t.overdueAt = now + overdueInterval
 }
 
-// dueAt returns when connections must be checked next.
+// dueAt returns when timeouts must be handled next.
 func (t *connectionTable) dueAt() int64 {
 	if len(t.byLink) == 0 {
 		return never
@@ -267,8 +271,8 @@
 	return at
 }
 
-// handleTimeout sends a go-away to a connection whose timeout has passed, or closes one whose grace period has ended, and reports
-// whether it did either. Otherwise it schedules the next handleTimeout.
+// handleTimeout sends a go-away on a connection whose timeout has passed, or closes one whose grace period after the go-away
+// has ended, and reports whether it did either. Otherwise it schedules the timeout again.
 func (t *connectionTable) handleTimeout(c *connection) bool {
 	now := t.sm.now
 	switch {
@@ -342,15 +346,16 @@
 func (t *connectionTable) resume(c *connection) {
 	if c.closeAfterFlushRequested {
 		c.closeAfterFlushRequested = false
-		c.closeImmediatelyRequested = false
+		c.closeWithoutLingerRequested = false
 		t.sm.emit(Effect{Kind: ResumeConnection, Link: c.link})
 	}
 }
 
 // markBroken discards the further input of a connection whose frames are malformed or out of order, or that brought too
-// many invalid invocations. The connection is closed once its open streams are answered.
+// many invalid invocations. The connection is closed once its open streams are answered. Every violation is logged, also
+// later ones on a broken connection; the host bounds the rate of log entries.
 func (t *connectionTable) markBroken(c *connection, err error) {
-	t.sm.log(Warn, "dispatcher violated the protocol; closing its connection once open streams are answered", "", err)
+	t.sm.log(Warn, "dispatcher violated the protocol: discarding the input of its connection, closing it once open streams are answered", "", err)
 	if c.broken {
 		return
 	}
@@ -365,7 +370,7 @@
 	t.released(c)
 }
 
-// countFault counts an invalid invocation of a connection. The limit on these bounds the work wasted on a faulty peer.
+// countFault counts an invalid invocation of a connection. The limit on these bounds the work wasted on a faulty dispatcher.
 func (t *connectionTable) countFault(c *connection) {
 	c.faultCount++
 	if c.faultCount >= maxFaultsPerConnection {
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -31,7 +31,8 @@
 	return Input{Kind: FrameReceived, Link: link, Frame: frame.Frame{Type: frame.HealthCheck, Payload: []byte{0}}}
 }
 
-// advance steps the node after advancing the clock, without a timeout of the executor's silent link.
+// advance steps the node after advancing the clock. It sets the time of the executor's last line to now, so that the node
+// does not close the executor's link as silent.
 func advance(sm *StateMachine, by int64, inputs ...Input) []Effect {
 	sm.now, sm.executor.lastLineAt = sm.now+by-ms, sm.now+by
 	return step(sm, inputs...)
@@ -49,7 +50,7 @@
 	step(sm, check(9))
 	step(sm, check(8))
 	sm.ExtraClosingConnections = 1
-	assert.Equal(t, Effect{Kind: CloseImmediately, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "connection 10 was never used")
+	assert.Equal(t, Effect{Kind: CloseWithoutLinger, Link: 10}, step(sm, Input{Kind: ConnectionOpened, Link: 11})[0], "connection 10 was never used")
 	step(sm, Input{Kind: ConnectionClosed, Link: 10})
 	step(sm, check(11))
 	step(sm, Input{Kind: ConnectionOpened, Link: 12})
@@ -57,7 +58,7 @@
 	assert.False(t, sm.connections.byLink[8].goAwaySent)
 	assert.Equal(t, 2, sm.Counters.ConnectionsEvicted)
 	step(sm, check(12))
-	assert.Equal(t, Effect{Kind: CloseImmediately, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "without a spare place, an evicted connection is closed at once")
+	assert.Equal(t, Effect{Kind: CloseWithoutLinger, Link: 8}, step(sm, Input{Kind: ConnectionOpened, Link: 13})[0], "without a spare place, an evicted connection is closed at once")
 	sm.now += evictionGrace
 	assert.Equal(t, []Effect{{Kind: CloseAfterFlush, Link: 9}}, step(sm))
 }
@@ -146,7 +147,7 @@
 func TestManyOverdueConnectionsAreClosedAFewPerStep(t *testing.T) {
 	const count = 14_000
 	sm := newNodeWithConnections(t, count)
-	for sm.now < 14_900*ms {
+	for sm.now < 14_900*ms { // until shortly before the idle timeout
 		advance(sm, 50*ms)
 	}
 	goAways, closes, startedAt := 0, 0, sm.now
@@ -169,6 +170,7 @@
 	}
 	assert.Equal(t, count, goAways)
 	assert.Equal(t, count, closes)
+	// Go-aways and closes take a batch each, of maxClosesPerStep; the last 200 ms allow for the steps of the test.
 	assert.Less(t, sm.now-startedAt, 2*(count/maxClosesPerStep+1)*overdueInterval+sweepInterval+goAwayGrace+200*ms)
 	assert.Equal(t, count, sm.Counters.ConnectionsClosedAfterGoAway)
 	assert.Zero(t, sm.connections.idleWheel.Len()+sm.connections.goAwayWheel.Len(), "closed connections have no timers left")
--- a/internal/node/decode.go
+++ b/internal/node/decode.go
@@ -69,7 +69,21 @@
 	return nil
 }
 
-// decode decodes one field, and reports whether its value is valid. Unknown fields are ignored.
+// decode decodes one field, and reports whether its value is valid. Unknown fields are ignored. The fields are:
+//
+//	op    name of the operation; required
+//	call  id of the invocation, 16 hexadecimal digits; required
+//	recv  time of the arrival at the machine, in Unix milliseconds; required
+//	src   number of the caller; required
+//	org   name of the tenant; required if the configuration names tenants
+//	ttl   how long the caller waits from the arrival on, in milliseconds
+//	rep   1 if the invocation is a retry
+//	work  expected work, in milliseconds
+//	heap  memory of the invocation while it is queued, in KB; required
+//	crit  a weight below 1; has no effect
+//	row   key of a read, 16 hexadecimal digits; has no effect, since a node on sockets doesn't share answers of reads
+//
+// The name of the field with the idempotency token is configured.
 func (d *fieldDecoder) decode(name, value string) (valid bool) {
 	v := d.invocation
 	e := d.event
@@ -103,7 +117,7 @@
 		d.present |= fieldHeap
 		e.QueuedKB, valid = parseDecimal(value)
 		valid = valid && e.QueuedKB > 0 && e.QueuedKB < maxHeapKB
-	case "crit": // validated, but not used
+	case "crit":
 		weight, ok := parseDecimal(value)
 		valid = ok && weight < 1
 	case d.sm.results.tokenFieldName():
@@ -140,10 +154,10 @@
 	v := d.invocation
 	e := d.event
 	if d.present&requiredFields != requiredFields {
-		return fmt.Errorf("one of the fields op, call, recv, src and heap: %w", errInvalidField)
+		return fmt.Errorf("fields op, call, recv, src and heap are required: %w", errInvalidField)
 	}
 	if e.Tenant < 0 && sm.config.Tenants.Len() > 0 {
-		return fmt.Errorf("field org: %w: the configuration names tenants", errInvalidField)
+		return fmt.Errorf("field org: %w: required, as the configuration names tenants", errInvalidField)
 	}
 	needsToken := sm.config.Node.Operations[e.OperationIndex].Idempotency == admission.IdempotentWithKey
 	if sm.results.enabled() && v.tokenKey.Token == "" && needsToken {
--- a/internal/node/decode_test.go
+++ b/internal/node/decode_test.go
@@ -25,13 +25,13 @@
 	arrived *[]admission.Event
 }
 
-func (s recordingDecider) Decide(now int64, events []admission.Event) []admission.Action {
+func (d recordingDecider) Decide(now int64, events []admission.Event) []admission.Action {
 	for _, e := range events {
 		if e.Kind == admission.Arrived {
-			*s.arrived = append(*s.arrived, e)
+			*d.arrived = append(*d.arrived, e)
 		}
 	}
-	return s.Decider.Decide(now, events)
+	return d.Decider.Decide(now, events)
 }
 
 // newTenantNode returns a serving node with tenants; arrived collects the arrivals that its controller gets.
@@ -39,9 +39,9 @@
 	p, err := nodeconfig.FromJSON(1, []byte(tenantTestSettings))
 	require.NoError(t, err)
 	sm, arrived = NewStateMachine(p, Addresses{"executor:1", "catalogue:1", "control:1"}, 5_000*ms, 4, 3), new([]admission.Event)
-	make := sm.NewDecider
-	sm.NewDecider = func(config *admission.Config, born int64) Decider {
-		return recordingDecider{make(config, born), arrived}
+	newDecider := sm.NewDecider
+	sm.NewDecider = func(config *admission.Config, coresStartedAt int64) Decider {
+		return recordingDecider{newDecider(config, coresStartedAt), arrived}
 	}
 	sm.EnableResultCache(resultcache.Config{MaxBytes: 1 << 20, MaxResultBytes: 1_000, Window: 20_000 * ms}, "dedupe", false)
 	step(sm, Input{Kind: ConnectionOpened, Link: 7})
@@ -88,7 +88,7 @@
 }
 
 // Results are cached in the node's own memory. If their number were bounded by entry_kb, which is a share of the executor's
-// memory, only two would fit.
+// memory, only two would fit. Also checks that features without messages in the protocols are turned off.
 func TestResultCacheIsBoundedByTheNodesOwnMemory(t *testing.T) {
 	sm, arrived := newTenantNode(t)
 	for n := range 8 {
@@ -123,7 +123,7 @@
 	sm.wall = 500_000 * ms
 	assert.Equal(t, 250*ms, sm.arrivalAge(499_750))
 	assert.Zero(t, sm.arrivalAge(500_001))
-	for stamp, can := range map[int64]bool{0: false, 440_000: true, 500_900: true, 502_000: false, 1 << 62: false} {
-		assert.Equal(t, can, sm.isPlausibleArrival(stamp), stamp)
+	for arrivalMS, plausible := range map[int64]bool{0: false, 440_000: true, 500_900: true, 502_000: false, 1 << 62: false} {
+		assert.Equal(t, plausible, sm.isPlausibleArrival(arrivalMS), arrivalMS)
 	}
 }
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -23,8 +23,8 @@
 	"topazpost/internal/resultcache"
 )
 
-// digest hashes the effects of steps. No other code of the digest tests reads the fields of effects, so that only this file
-// changes with their names or types. Digests are those of amd64; other architectures may round floating-point numbers
+// digest hashes the effects of steps. simNode.execute also reads some fields of effects, to carry them out; what is part of
+// the digest is decided here alone. Digests are those of amd64; other architectures may round floating-point numbers
 // differently.
 type digest struct{ hash.Hash }
 
@@ -66,7 +66,7 @@
 	d.Write(b)
 }
 
-// texts adds texts that other programs read. Texts of logs and errors are left out, as their wording may change.
+// texts adds texts.
 func (d digest) texts(values ...string) {
 	for _, s := range values {
 		d.bytes([]byte(s))
@@ -80,7 +80,7 @@
 	}
 }
 
-// effect adds all fields of an effect except texts of logs and errors.
+// effect adds all fields of an effect except texts of logs and errors, whose wording may change.
 func (d digest) effect(e *node.Effect) {
 	d.integers(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
 	d.texts(e.Address, e.ID)
@@ -258,7 +258,7 @@
 				}
 			}
 			t.Logf("%d steps, %d effects, by kind %v", s.steps, s.effects, s.kinds)
-			assert.Equal(t, run.digest, s.digest.sum(), "digest of seed %d", run.seed)
+			assert.Equal(t, run.digest, s.digest.sum(), "effects of seed %d differ from those recorded; if that is intended, record the new digest and give the reason in the commit", run.seed)
 		})
 	}
 }
--- a/internal/node/digestnode_test.go
+++ b/internal/node/digestnode_test.go
@@ -32,7 +32,7 @@
 	wakeAt            int64
 	violations        []string // violated invariants, by all incarnations
 
-	conns             []*dispatcherConn // open connections of callers
+	conns             []*dispatcherConn // open connections of dispatchers
 	lastConn          int
 	executorLink      int // link that the executor has open, 0 if none
 	executorSilent    bool
@@ -48,7 +48,7 @@
 	lastLink          int
 }
 
-// dispatcherConn is a caller's end of a connection.
+// dispatcherConn is a dispatcher's end of a connection.
 type dispatcherConn struct {
 	link             int
 	lastStream       uint32
@@ -247,7 +247,7 @@
 		n.After(1_000*millisecond, n.start)
 	case node.SendToConnection:
 		n.writtenToCaller(e)
-	case node.CloseAfterFlush, node.CloseImmediately:
+	case node.CloseAfterFlush, node.CloseWithoutLinger:
 		n.closeConnSoon(link)
 	case node.ResumeConnection:
 		if c := n.conn(link); c != nil {
--- a/internal/node/digestsimulation_test.go
+++ b/internal/node/digestsimulation_test.go
@@ -25,7 +25,7 @@
 	nodes, hollow, replicas, cores int
 	seconds, rate                  int     // rate is in invocations per second at each node that is not hollow
 	links                          int     // limit on a node's links to the catalogue
-	callers                        int     // limit on the connections of each node's callers
+	callers                        int     // limit on each node's connections of dispatchers
 	loss                           float64 // share of messages between nodes that are lost
 	durability                     resultcache.Durability
 
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -15,8 +15,8 @@
 	ReadConnection       EffectKind = iota // start reading frames from the connection Link
 	SendToConnection                       // write Bytes to the connection Link
 	CloseAfterFlush                        // close the connection Link once everything is written and read, giving the peer time to read; then ConnectionClosed
-	CloseImmediately                       // close the connection Link without that time, even within a frame; may follow CloseAfterFlush
-	ResumeConnection                       // cancel CloseAfterFlush for the connection Link, on which a request arrived before the close
+	CloseWithoutLinger                     // close the connection Link once everything is written, even within a frame that is being read and without giving the peer time to read; may follow CloseAfterFlush
+	ResumeConnection                       // cancel CloseAfterFlush or CloseWithoutLinger for the connection Link, on which a request arrived before the close
 	DiscardInput                           // discard all further input of the connection Link: read slowly, only to notice its end
 	DialExecutor                           // open the link Link to the executor at Address; then ExecutorConnected or ExecutorDisconnected
 	SendToExecutor                         // write Bytes to the executor's link
@@ -30,7 +30,7 @@
 	SetWakeup                              // call Step again at the time At at the latest
 	WriteLog                               // write the log entry Text with LogLevel, ID and Err
 	PublishState                           // publish the sample State
-	PublishLevelChange                     // publish LevelChange: the degradation level or plan has changed
+	PublishLevelChange                     // publish LevelChange, a change of the degradation level or plan
 	WriteRecord                            // write Record to the result store; then RecordWritten or RecordWriteFailed
 	SendDatagram                           // send Bytes to the node at Address as a datagram
 	OpenExchange                           // send Bytes to the node at Address as a request; then PeerResponseReceived or PeerExchangeFailed
@@ -38,11 +38,11 @@
 	PublishViewChange                      // publish ViewChange, a change of the membership view
 	SendOnStream                           // write Bytes to the stream Link, or to a stream to Address if Link is 0 or has ended
 	CloseStream                            // close the stream Link
-	ReportVersionOutcome                   // Version of the configuration is in force, or was rejected with Err and has changed nothing
+	ReportVersionOutcome                   // Version of the configuration is in force, with Text on its changes, or was rejected with Err and has changed nothing
 	PersistVersion                         // write the configuration in ConfigWrite to disk; then VersionPersisted
-	ReportVersionInForce                   // publish InForce: a version of the configuration came into force
+	ReportVersionInForce                   // publish InForce, a version of the configuration that came into force
 	PersistReplicaWrite                    // carry out ReplicaWrite on the replica's disk, in the order of the effects; then ReplicaWritePersisted
-	RaiseCallerTimeout                     // callers may wait for up to At nanoseconds for an answer from now on
+	RaiseCallerTimeout                     // allow callers to wait for up to At nanoseconds for an answer from now on
 )
 
 // LogLevel is the severity of a log entry.
@@ -64,7 +64,7 @@
 	Bytes       []byte
 	Ready       bool // the node is ready for invocations
 	LogLevel    LogLevel
-	Text        string
+	Text        string // of a log entry, or on the changes of a version
 	ID          string // subject of a log entry
 	Err         error
 	State       *State
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -60,7 +60,7 @@
 // gaugesAge returns the age of the last measurement, or -1 before the first.
 func (x *executorState) gaugesAge() int64 { return x.gauges.age(x.sm.now) }
 
-// tick returns a tick for the controller with the last measurement.
+// tick returns the event for the controller's timer, with the last measurement.
 func (x *executorState) tick() admission.Event { return x.gauges.loadEvent(x.sm.now) }
 
 // scheduleGauges schedules a request for gauges such that the answer arrives just before the controller's tick at timerAt.
@@ -73,9 +73,10 @@
 	}
 }
 
-// requestGauges requests gauges. On a synced link the tag is the number of the last command, so that the answer proves that
-// the executor has read it. On a link that isn't synced it repeats the request with the sync tag: if the executor had
-// refused the first one, no command would ever be sent.
+// requestGauges requests gauges. A link is synced when the executor has answered the request with the sync tag that follows
+// its welcome; until then commands wait. On a link that isn't synced, requestGauges repeats that request, since commands
+// would wait forever if the executor had refused it. On a synced link the tag is the number of the last command, so that
+// the answer proves that the executor has read it.
 func (x *executorState) requestGauges() {
 	tag := x.syncTag()
 	if x.synced {
@@ -85,17 +86,17 @@
 	x.send("METER", tag)
 }
 
-// requestAcknowledgement requests gauges after new commands. When a link breaks, only the commands of the last round trip
-// are then unacknowledged and sent again. The executor could take a reply that is sent again for the reply to the run's
-// next call.
+// requestAcknowledgement requests gauges after new commands, whose answer acknowledges them. When a link breaks, all
+// unacknowledged commands are sent again, and these are then only those of the last round trip. The fewer the better: if
+// the reply to a call is sent twice, the executor may take the second for the reply to the run's next call.
 func (x *executorState) requestAcknowledgement() {
 	if x.synced && x.commands.sequence > x.commands.gaugesRequestSequence {
 		x.requestGauges()
 	}
 }
 
-// gaugesReceived passes a measurement to the controller. The tag tells which commands the executor has read, or that the
-// link is synced.
+// gaugesReceived passes a measurement to the controller as a tick, even though no timer has fired. The tag tells which
+// commands the executor has read, or that the link is synced.
 func (x *executorState) gaugesReceived(tag string, values []string) error {
 	sm := x.sm
 	if err := x.gauges.parse(sm.config.Gauges, values); err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -18,7 +18,8 @@
 	"calls_over":5000,"linger":100,"advert":"min_rank","gauges":["cpu_busy","runnable","mem_used","sockets"]},
 	"guarantees":{"tip_multiple":8,"drain_grace":2000},"limits":{"retry_after":true,"max_retry_after":1000}}`
 
-// newConnectedNode returns a node with connection 7 open, and a link to the executor that is not welcomed yet.
+// newConnectedNode returns a node with connection 7 open, and a link to the executor that is not welcomed yet. Its limits are
+// 4 connections and 3 links to the catalogue.
 func newConnectedNode(t *testing.T) *StateMachine {
 	p, err := nodeconfig.FromJSON(1, []byte(testSettings))
 	require.NoError(t, err)
@@ -37,7 +38,8 @@
 }
 
 // step steps the node after advancing the clock by a millisecond. It returns the effects without wakeups, log entries,
-// samples, reports and requests for gauges on a synced link.
+// samples, reports and requests for gauges on a synced link. The wall clock is 1,000,000 ms ahead of the node's clock, which
+// is why 1000000 is a valid time of arrival in invocationInput.
 func step(sm *StateMachine, inputs ...Input) (got []Effect) {
 	for _, e := range sm.Step(sm.now+ms, sm.now+ms+1_000_000*ms, inputs) {
 		gaugesRequest := e.Kind == SendToExecutor && strings.HasPrefix(string(e.Bytes), "METER m")
@@ -48,7 +50,9 @@
 	return got
 }
 
-// executorSends steps the node with a line from the executor. The part after a bar is the line's body.
+// executorSends steps the node with a line from the executor. The part after a bar is the line's body. The lines are "WELCOME
+// new|old AGE", "METERS TAG" and a value for each gauge, "EXIT NUMBER ID OUTCOME" with two more words and the result, and
+// "CALLOUT NUMBER ID" with one more word and the request of the call.
 func executorSends(sm *StateMachine, line string) []Effect {
 	head, body, _ := strings.Cut(line, "|")
 	return step(sm, Input{Kind: ExecutorLineReceived, Link: sm.executor.link, Line: lineprotocol.Line{Words: strings.Fields(head), Body: []byte(body)}})
@@ -92,7 +96,7 @@
 		}
 	}
 	b := frame.AppendInvocation(nil, stream, fields, []byte("body"))
-	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}}
+	return Input{Kind: FrameReceived, Link: 7, Frame: frame.Frame{Type: frame.Invocation, Stream: stream, Payload: b[9:]}} // without the frame's header
 }
 
 // bytesSent returns the bytes of all effects of a kind.
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -10,8 +10,9 @@
 // InputKind is the kind of an Input.
 type InputKind uint8
 
-// The kinds of inputs. The host numbers the connections of dispatchers; any other link has the number in the effect that
-// opened it. No number is used twice.
+// The kinds of inputs. Link numbers what an input is about. The state machine numbers its links to the executor and the
+// catalogue, its reports and the exchanges that it opens, in the effects that open them. The host numbers dispatchers'
+// connections, streams, and the exchanges that other nodes open. No number is used twice for the same kind of thing.
 const (
 	ConnectionOpened      InputKind = iota // a dispatcher's connection was accepted
 	FrameReceived                          // Frame was read from a dispatcher's connection
@@ -47,7 +48,7 @@
 	VersionReceived                        // Version of the configuration must be applied, with the changes in Amendment
 )
 
-// Addresses are the addresses of a node's peers.
+// Addresses are the addresses of the executor, the catalogue and the control plane.
 type Addresses struct{ Executor, Catalogue, Control string }
 
 // Input is an event from outside the state machine. Only the fields of its kind are set. The state machine takes ownership
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -4,7 +4,8 @@
 // The state machine stores the invocations, passes events to the admission controller and carries out its actions; the
 // controller, of package admission, decides which invocations run. Each kind of connection and each subsystem is a
 // component with its own fields: executorState, catalogueState, connectionTable (the dispatchers), healthChecks, reporter
-// (the control plane), drainState, and the components of the fleet.
+// (the control plane), drainState, and the components of the fleet. Connections are those that dispatchers open to the
+// node, links are those that the node opens to the executor and the catalogue, and peers are the other nodes of the fleet.
 package node
 
 import (
@@ -38,7 +39,7 @@
 	// NewDecider returns a new controller. It is called at the executor's first welcome; coresStartedAt is the time at which
 	// the executor's cores started.
 	NewDecider func(config *admission.Config, coresStartedAt int64) Decider
-	// ExtraClosingConnections is the number of connections being closed that may exceed the limit on connections.
+	// ExtraClosingConnections is how many connections that are being closed may be open in addition to maxConnections.
 	ExtraClosingConnections int
 
 	config    *nodeconfig.Config
@@ -108,18 +109,17 @@
 	return sm
 }
 
-// limitedToSocketProtocols returns a copy of a configuration that turns off what the protocols on sockets can't express: stopping
-// a run, continuing a run without its call, and sharing the answer of a read. It also reserves no memory of the executor for
-// deduplication, since the results of idempotency tokens are cached in the node's own memory.
+// limitedToSocketProtocols returns a copy of a configuration without the features of package admission for which the
+// protocols between the processes have no messages.
 func limitedToSocketProtocols(config *nodeconfig.Config) *nodeconfig.Config {
 	own := *config
 	n := &own.Node
-	n.DeduplicationEntryKB = 0
-	n.StopSupport = admission.StopUnsupported
-	n.ReadReuseWindow = 0
+	n.DeduplicationEntryKB = 0                // results of tokens are cached in the node's memory, not in the executor's
+	n.StopSupport = admission.StopUnsupported // a run can't be stopped
+	n.ReadReuseWindow = 0                     // the answer of a read can't be shared
 	n.Operations = slices.Clone(n.Operations)
 	for i := range n.Operations {
-		n.Operations[i].SkippedCallWeightShare = 0
+		n.Operations[i].SkippedCallWeightShare = 0 // a run can't continue without its call
 	}
 	return &own
 }
@@ -263,6 +263,7 @@
 		sm.joinOriginal(a.Invocation)
 	case admission.RecordKey:
 		v := &sm.invocations[a.Invocation]
+		// The token is kept for the deduplication window, and longer for a run that may end late.
 		v.tokenExpiresAt = sm.now + a.Duration + v.tokenLimits.lateAllowance
 	case admission.Release:
 		sm.releaseInvocation(a.Invocation)
@@ -291,14 +292,14 @@
 	sm.emit(Effect{Kind: WriteLog, LogLevel: level, Text: text, ID: id, Err: err})
 }
 
-// nextLink returns a number for a new link or report. No number is used twice.
+// nextLink returns an unused number for a link to the executor or the catalogue, or for a report.
 func (sm *StateMachine) nextLink() int {
 	sm.lastLink++
 	return sm.lastLink
 }
 
-// applyAddresses switches to the peers' new addresses at once. Calls in flight on links to the catalogue's old address may
-// finish there.
+// applyAddresses switches to the new addresses at once, except that calls in flight on links to the catalogue's old address
+// may finish there.
 func (sm *StateMachine) applyAddresses(to Addresses) {
 	from := sm.addresses
 	sm.addresses = to
@@ -311,7 +312,7 @@
 	if to.Control != from.Control {
 		sm.reports.addressChanged()
 	}
-	sm.log(Info, fmt.Sprintf("peers are now at %s (executor), %s (catalogue) and %s (control plane)", to.Executor, to.Catalogue, to.Control), "", nil)
+	sm.log(Info, fmt.Sprintf("addresses are now %s (executor), %s (catalogue) and %s (control plane)", to.Executor, to.Catalogue, to.Control), "", nil)
 }
 
 // startController creates the controller after the executor's first welcome. cold is set if the executor has just started.
--- a/internal/testbed/emulator/effects.go
+++ b/internal/testbed/emulator/effects.go
@@ -12,7 +12,7 @@
 	switch e.Kind {
 	case node.SendToConnection:
 		m.receiveFrame(e)
-	case node.CloseAfterFlush, node.CloseImmediately:
+	case node.CloseAfterFlush, node.CloseWithoutLinger:
 		link := e.Link
 		if c := m.conns[link]; c != nil {
 			c.noMore = true
--- a/server/effects.go
+++ b/server/effects.go
@@ -30,7 +30,7 @@
 		c.send(e.Link, e.Bytes)
 	case node.CloseAfterFlush:
 		c.closeAfterFlush(e.Link, false)
-	case node.CloseImmediately:
+	case node.CloseWithoutLinger:
 		c.closeAfterFlush(e.Link, true)
 	case node.ResumeConnection:
 		c.resume(e.Link)
