--- a/internal/fleet/fleetconfig/describe.go
+++ b/internal/fleet/fleetconfig/describe.go
@@ -8,7 +8,7 @@
 // know of a failure, and what the consensus group does.
 func (f *Fleet) Describe() string {
 	c := &f.Membership
-	text := fmt.Sprintf("pauses of up to %s are tolerated; all nodes know of a failure within about %s; lost members are probed for %s",
+	text := fmt.Sprintf("pauses of a node's process of up to %s are tolerated; all nodes know of a failure within about %s; lost members are probed for %s",
 		formatSeconds(c.LinkTimeout-c.ProbeInterval), formatSeconds(f.DetectionTime()), formatSeconds(c.ForgetTimeout))
 	if f.ConsensusGroup != nil {
 		text += f.ConsensusGroup.describe()
@@ -24,7 +24,7 @@
 	if g.Folder != "" {
 		location = "stored in " + g.Folder
 	}
-	text := fmt.Sprintf("; a council of %d seats, which tolerates the loss of %d at a time, agrees on claims of idempotency tokens, at most %d kB, %s",
+	text := fmt.Sprintf("; a council of %d seats, which tolerates the loss of %d at a time, agrees on claims of idempotency tokens, at most %d KiB, %s",
 		len(g.Replicas), len(g.Replicas)/2, g.MaxTableBytes>>10, location)
 	if g.CallQuota != nil {
 		text += "; " + g.CallQuota.DescribeBound()
--- a/internal/fleet/fleetconfig/fleetconfig_test.go
+++ b/internal/fleet/fleetconfig/fleetconfig_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.1:7946", f.Membership.Address)
 	assert.Equal(t, []int64{6_000_000_000, defaultProbeInterval, defaultSuspicionTimeout, -10_000_000_000}, []int64{f.Membership.LinkTimeout, f.Membership.ProbeInterval, f.Membership.SuspicionTimeout, f.ClockOffset})
-	assert.Contains(t, f.Describe(), "pauses of up to 5.5 s are tolerated")
+	assert.Contains(t, f.Describe(), "pauses of a node's process of up to 5.5 s are tolerated")
 }
 
 func TestReadReportsAllProblems(t *testing.T) {
--- a/internal/fleet/fleetconfig/membership.go
+++ b/internal/fleet/fleetconfig/membership.go
@@ -58,7 +58,7 @@
 	case err != nil:
 		r.fail(fmt.Sprintf("%q is not an address with a port", address), `write it as "192.0.2.7:7946"; host names are not resolved`, path...)
 	case parsed.Port() == 0:
-		r.fail("has port 0", "choose a fixed port", path...)
+		r.fail("has port 0, expected 1 to 65535", "choose a fixed port", path...)
 	case parsed.Addr().IsUnspecified() && (path[0] != "bind" || !r.content.AnyAddress):
 		r.fail("is the unspecified address, which is open to all networks; peers do not authenticate each other",
 			"choose an address on a trusted network, or set any_address: true for bind", path...)
@@ -67,16 +67,16 @@
 
 func (r *fileReader) checkTiming(c *membership.Config) {
 	if c.ProbeInterval < minProbeInterval {
-		r.fail("is shorter than 50 ms", "choose a longer one", "probe")
+		r.fail("is shorter than 50 ms", "choose 50 ms or more", "probe")
 	}
 	if c.LinkTimeout < minProbesPerTimeout*c.ProbeInterval {
 		r.fail(fmt.Sprintf("is shorter than %d probe intervals, so that a few lost probes end a link", minProbesPerTimeout),
 			"make it longer, or make probe shorter", "silence")
 	}
 	if c.SuspicionTimeout > c.LinkTimeout {
-		r.fail("is longer than silence", "make it shorter: it only needs to cover a change of links", "settle")
+		r.fail("is longer than silence, which is its upper bound", "make it shorter: it only needs to cover a change of links", "settle")
 	}
 	if c.ForgetTimeout < minLinkTimeoutsToForget*c.LinkTimeout {
-		r.fail("is shorter than twice silence", "make it longer: lost members are probed until then", "forget")
+		r.fail("is shorter than twice silence, which is its lower bound", "make it longer: lost members are probed until then", "forget")
 	}
 }
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -186,7 +186,8 @@
 	}
 }
 
-// The effects of Step in random simulated fleets must not change: their digests are recorded.
+// Guards against changes of the protocol by a refactoring: the effects of Step in random simulated fleets must match the
+// recorded digests, which change only with the protocol.
 func TestDigestsOfMembershipSteps(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// queueOnLink queues a record on one link. In a small fleet the record is sent twice.
+// queueOnLink queues a record on one link. In a view of fewer than 2*ringCount members, it is sent twice.
 func (m *Members) queueOnLink(k int8, i int32) {
 	bit := uint32(1) << k
 	if m.queuedOn[i]&bit == 0 {
@@ -61,21 +61,21 @@
 	}
 	for k := range m.links {
 		l := &m.links[k]
-		if l.member < 0 || l.queuedRecords == 0 || m.ownTime < l.nextGossipAt {
+		if l.member < 0 || l.queuedRecords == 0 || m.unpausedTime < l.nextGossipAt {
 			continue
 		}
-		if l.silence(m.ownTime) > m.config.LinkTimeout { // once the link is up again, differing digests lead to a table exchange
+		if l.silence(m.unpausedTime) > m.config.LinkTimeout { // once the link is up again, differing digests lead to a table exchange
 			m.clearQueue(int8(k))
 			continue
 		}
 		records := m.nextGossip(int8(k))
-		l.nextGossipAt = m.ownTime + gossipInterval
-		if len(records) == 0 {
+		l.nextGossipAt = m.unpausedTime + gossipInterval
+		if len(records) == 0 { // only records of members that were forgotten since are queued
 			m.clearQueue(int8(k))
 			continue
 		}
 		if l.queuedRecords > maxRecordsPerDatagram {
-			l.nextGossipAt = m.ownTime + gossipInterval/4
+			l.nextGossipAt = m.unpausedTime + gossipInterval/4
 		}
 		m.send(m.members[l.member].record.Address, &Message{Kind: MessageGossip, Records: records})
 	}
--- a/internal/fleet/membership/helpers_test.go
+++ b/internal/fleet/membership/helpers_test.go
@@ -24,7 +24,7 @@
 	m.Step(second, 100, nil)
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			l.up, l.confirmedAt = true, m.ownTime
+			l.up, l.confirmedAt = true, m.unpausedTime
 		}
 	}
 	m.linksDirty = true
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -25,7 +25,8 @@
 			continue
 		}
 		m.clearQueue(int8(k))
-		*l = link{member: i, openedAt: m.ownTime, confirmedAt: -m.config.LinkTimeout, watchedAt: -m.config.LinkTimeout, lastSyncAt: m.ownTime, nextPingAt: m.ownTime}
+		// The negative times are at least the link timeout ago: nothing has been confirmed.
+		*l = link{member: i, openedAt: m.unpausedTime, confirmedAt: -m.config.LinkTimeout, peerWantedAt: -m.config.LinkTimeout, lastSyncAt: m.unpausedTime, nextPingAt: m.unpausedTime}
 		m.members[i].linkIndex = int8(k)
 		m.queueOnLink(int8(k), 0)
 		return l
@@ -36,8 +37,8 @@
 // closeLink closes a link and schedules the publication of the remaining ones.
 func (m *Members) closeLink(k int8) {
 	l := &m.links[k]
-	if l.up && !m.linksDirty { // published together with other closed links, but before the peer detects silence
-		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.ownTime+closedPublishInterval, l.confirmedAt+m.config.LinkTimeout))
+	if l.up && !m.linksDirty { // waits for other links to close, but not until the link would count as down
+		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.unpausedTime+closedPublishDelay, l.confirmedAt+m.config.LinkTimeout))
 	}
 	m.members[l.member].linkIndex = -1
 	l.member, l.up, l.queuedRecords = -1, false, 0
@@ -56,8 +57,8 @@
 // silence returns the time since the last answered ping was sent, or since the link was opened.
 func (l *link) silence(t int64) int64 { return t - max(l.confirmedAt, l.openedAt) }
 
-// watch marks the link to a member as wanted and opens it if necessary. It returns nil if there is no room for another link.
-func (m *Members) watch(i int32) *link {
+// wantLink marks the link to a member as wanted by the rings and opens it if necessary. It returns nil if there is no room for another link.
+func (m *Members) wantLink(i int32) *link {
 	var l *link
 	if k := m.members[i].linkIndex; k >= 0 {
 		l = &m.links[k]
@@ -70,24 +71,24 @@
 	return l
 }
 
-// probeLinks sends the pings that are due, detects silent links, and closes links that neither end wants.
+// probeLinks sends the pings that are due, updates which links are silent or down, and closes links that neither end wants.
 func (m *Members) probeLinks() {
 	for k := range m.links {
 		l := &m.links[k]
 		if l.member < 0 {
 			continue
 		}
-		silence := l.silence(m.ownTime)
-		m.noticeSilence(l)
-		if m.isUnwanted(l) {
+		silence := l.silence(m.unpausedTime)
+		m.markDownIfUnanswered(l)
+		if m.isUnwantedByBoth(l) {
 			m.closeLink(int8(k))
 			continue
 		}
-		if suspect := silence > m.config.LinkTimeout/2; suspect != l.suspect {
-			l.suspect = suspect
+		if silent := silence > m.config.LinkTimeout/2; silent != l.silent {
+			l.silent = silent
 			m.ringsDirty = true
 		}
-		if m.ownTime < l.nextPingAt || m.members[0].record.Left {
+		if m.unpausedTime < l.nextPingAt || m.members[0].record.Left {
 			continue
 		}
 		m.schedulePing(l, silence)
@@ -95,47 +96,48 @@
 	}
 }
 
-// noticeSilence marks a link as down if no ping was answered for the link timeout.
-func (m *Members) noticeSilence(l *link) {
-	if !l.up || m.ownTime-l.confirmedAt <= m.config.LinkTimeout {
+// markDownIfUnanswered marks a link as down if no ping sent within the link timeout was answered.
+func (m *Members) markDownIfUnanswered(l *link) {
+	if !l.up || m.unpausedTime-l.confirmedAt <= m.config.LinkTimeout {
 		return
 	}
 	l.up = false
-	l.wentDown = true
+	l.wasLost = true
 	m.linksDirty = true
 	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
 	m.members[l.member].lossReportedBy = m.members[0].id
 }
 
-// isUnwanted reports whether neither end has wanted a link for a while.
-func (m *Members) isUnwanted(l *link) bool {
-	unwatched := m.ownTime - max(l.watchedAt, l.openedAt)
-	return !l.wanted && m.ownTime > l.keepUntil && unwatched > m.config.LinkTimeout
+// isUnwantedByBoth reports whether neither end has wanted a link lately: this end for unwantedLinkTimeout, the peer for the
+// link timeout.
+func (m *Members) isUnwantedByBoth(l *link) bool {
+	unwantedByPeer := m.unpausedTime - max(l.peerWantedAt, l.openedAt)
+	return !l.wanted && m.unpausedTime > l.keepUntil && unwantedByPeer > m.config.LinkTimeout
 }
 
 // schedulePing sets when the next probe and the next ping of a link are due. An unanswered probe is sent again before the next
-// one, unless the link has been silent for long.
+// one, unless the link is down or silent.
 func (m *Members) schedulePing(l *link, silence int64) {
 	interval := m.config.ProbeInterval
 	if silence > m.config.LinkTimeout {
-		interval *= silentProbeFactor
+		interval *= downProbeFactor
 	}
 	if l.pingSeq == 0 {
-		l.nextProbeAt = m.ownTime + m.jitter(interval) // spreads the probes of links that were opened together
-	} else if m.ownTime >= l.nextProbeAt {
-		l.nextProbeAt = max(l.nextProbeAt+interval, m.ownTime+interval/2)
+		l.nextProbeAt = m.unpausedTime + m.jitter(interval) // spreads the probes of links that were opened together
+	} else if m.unpausedTime >= l.nextProbeAt {
+		l.nextProbeAt = max(l.nextProbeAt+interval, m.unpausedTime+interval/2)
 	}
 	l.nextPingAt = l.nextProbeAt
 	if l.up && silence < m.config.LinkTimeout/2 {
 		resend := max(m.config.ProbeInterval/maxPingsPerProbe, 2*l.roundTrip)
-		l.nextPingAt = min(l.nextProbeAt, m.ownTime+resend)
+		l.nextPingAt = min(l.nextProbeAt, m.unpausedTime+resend)
 	}
 }
 
 // ping sends the next ping of a link.
 func (m *Members) ping(l *link) {
 	l.pingSeq = (l.pingSeq + 1) &^ reconnectSeqBit
-	l.pingsSent[l.pingSeq%pingHistory] = m.ownTime
+	l.pingsSent[l.pingSeq%pingHistory] = m.unpausedTime
 	ping := Message{Kind: MessagePing, Seq: l.pingSeq, LinkWanted: l.wanted}
 	if !l.up { // the peer may not know this node
 		ping.Records = m.ownRecord()
@@ -143,11 +145,15 @@
 	m.send(m.members[l.member].record.Address, &ping)
 }
 
-// publishLinks publishes this node's links in its record if they changed. A lost link is published at once, except that
-// publications are at least publishInterval apart. A regained link may follow sooner, since all nodes must learn of it before
-// the suspicion timeout ends. If links were only added, they wait for gainedPublishInterval.
+// publishLinks publishes this node's links in its record if they changed and publishAt has come. The time since the last
+// publication is at least
+//   - regainedPublishInterval after a lost link came up, since all nodes must learn of it before the suspicion timeout ends;
+//   - gainedPublishInterval if links were only added and at least ringCount are published already;
+//   - publishInterval otherwise, so that the loss of a link is published soon.
+//
+// For closed links, closeLink sets publishAt.
 func (m *Members) publishLinks() {
-	if !m.linksDirty || m.ownTime < m.publishAt || m.members[0].record.Left {
+	if !m.linksDirty || m.unpausedTime < m.publishAt || m.members[0].record.Left {
 		return
 	}
 	ids := make([]ID, 0, maxLinks)
@@ -157,11 +163,11 @@
 		}
 	}
 	slices.Sort(ids)
-	if published := m.members[0].record.Links; !m.linkRegained && m.ownTime < m.publishedAt+gainedPublishInterval && len(published) >= ringCount && containsAll(ids, published) {
+	if published := m.members[0].record.Links; !m.linkRegained && m.unpausedTime < m.publishedAt+gainedPublishInterval && len(published) >= ringCount && containsAll(ids, published) {
 		m.publishAt = m.publishedAt + gainedPublishInterval
 		return
 	}
-	m.linksDirty, m.linkRegained, m.publishedAt, m.publishAt = false, false, m.ownTime, m.ownTime+publishInterval
+	m.linksDirty, m.linkRegained, m.publishedAt, m.publishAt = false, false, m.unpausedTime, m.unpausedTime+publishInterval
 	if !slices.Equal(ids, m.members[0].record.Links) {
 		m.updateAdjacency(0, m.members[0].record.Links, ids)
 		m.members[0].record.Links = ids
@@ -179,16 +185,16 @@
 	return true
 }
 
-// link is a link to a member that this node watches, or that watches this node.
+// link is a link to a member, wanted by the rings of this node or of the member.
 type link struct {
 	member                         int32
-	wanted, suspect                bool
+	wanted, silent                 bool // the rings of this node need it; without an answer for half of the link timeout
 	up                             bool // a ping sent within Config.LinkTimeout was answered
-	wentDown                       bool // it went down and has not come up since
+	wasLost                        bool // it went down and has not come up since
 	openedAt                       int64
-	keepUntil                      int64 // until then it stays open although unwanted
+	keepUntil                      int64 // until then it stays open although the rings do not want it
 	confirmedAt                    int64 // when the last answered ping was sent
-	watchedAt                      int64 // when the member last sent a ping with Neighbour set
+	peerWantedAt                   int64 // when the member last sent a ping with LinkWanted set
 	nextPingAt, nextProbeAt        int64 // when the next ping is due; when the next one is due if the last is answered
 	roundTrip                      int64 // smoothed, in ns; a ping is resent only after twice this time
 	pingSeq                        uint32
@@ -208,7 +214,7 @@
 	for k := range m.reconnects {
 		if m.reconnects[k].id == peer.id && m.reconnects[k].seq == seq {
 			m.reconnects[k].id = 0
-			peer.watchUntil = m.ownTime + 2*m.config.LinkTimeout
+			peer.onRingsUntil = m.unpausedTime + 2*m.config.LinkTimeout
 			m.ringsDirty = true
 			if m.syncExchangeID == 0 {
 				m.startSync(peer.record.Address)
@@ -230,17 +236,17 @@
 	sent := l.pingsSent[seq%pingHistory]
 	l.confirmedAt = max(l.confirmedAt, sent)
 	if seq == l.pingSeq { // the answer to an older ping can be late because of a pause, so it is not used as a round trip
-		l.addRoundTrip(min(m.ownTime-sent, m.config.ProbeInterval))
+		l.addRoundTrip(min(m.unpausedTime-sent, m.config.ProbeInterval))
 		l.nextPingAt = l.nextProbeAt
 	}
-	if l.up || m.ownTime-l.confirmedAt > m.config.LinkTimeout {
+	if l.up || m.unpausedTime-l.confirmedAt > m.config.LinkTimeout {
 		return
 	}
 	l.up = true
 	m.linksDirty = true
 	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
-	if l.wentDown || peer.inView && !peer.reachable {
-		l.wentDown = false
+	if l.wasLost || peer.inView && !peer.reachable {
+		l.wasLost = false
 		m.linkRegained = true
 		m.publishAt = min(m.publishAt, m.publishedAt+regainedPublishInterval)
 	}
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -9,11 +9,11 @@
 	inDigest         bool // the record is part of the table's digest
 	reachable        bool // over links that both ends publish
 	everInView       bool
-	lossReportedBy   ID // the last member that lost or removed its link to this one
+	lossReportedBy   ID // the member that last lost or closed its link to this one
 	unreachableSince int64
 	reachGraceUntil  int64 // until then a new incarnation stays in the view while unreachable
 	outOfViewSince   int64 // when it left the view, or when its last new record came
-	watchUntil       int64 // until then it is on the rings although it is outside the view
+	onRingsUntil     int64 // until then it belongs on the rings although it is outside the view
 	flaps            int
 	lastFlapAt       int64
 	status           Status
@@ -23,8 +23,8 @@
 // ringKey returns the key by which members are ordered on a ring.
 func (m *member) ringKey(ring int) uint64 { return mixHash(uint64(m.id), uint64(ring)) }
 
-// incarnationHash returns the value that the member contributes to the hash of the view.
-func (m *member) incarnationHash() uint64 { return mixHash(uint64(m.id), uint64(m.record.StartedAt)) }
+// startHash returns the value that the member contributes to the hash of the view. It depends on the name and the start time.
+func (m *member) startHash() uint64 { return mixHash(uint64(m.id), uint64(m.record.StartedAt)) }
 
 // recordHash returns the value that the member's record contributes to the digest of the table.
 func (m *member) recordHash() uint64 {
@@ -54,11 +54,11 @@
 		m.lastSummarizedIn = append(m.lastSummarizedIn, 0)
 		m.queuedOn, m.resendOn = append(m.queuedOn, 0), append(m.resendOn, 0)
 		m.adjacency, m.lastTraversal = append(m.adjacency, adjacency{}), append(m.lastTraversal, 0)
-		m.upToDate, m.inRings = append(m.upToDate, false), append(m.inRings, false)
+		m.settled, m.inRings = append(m.settled, false), append(m.inRings, false)
 	}
-	m.adjacency[i].left, m.lastTraversal[i], m.upToDate[i] = r.Left, 0, false
+	m.adjacency[i].left, m.lastTraversal[i], m.settled[i] = r.Left, 0, false
 	peer := &m.members[i]
-	*peer = member{record: *r, id: IDOf(r.Name), linkIndex: -1, outOfViewSince: m.ownTime, watchUntil: m.ownTime + m.config.LinkTimeout, statusSince: m.ownTime}
+	*peer = member{record: *r, id: IDOf(r.Name), linkIndex: -1, outOfViewSince: m.unpausedTime, onRingsUntil: m.unpausedTime + m.config.LinkTimeout, statusSince: m.unpausedTime}
 	m.byID[peer.id] = i
 	m.updateAdjacency(i, nil, r.Links)
 	if i == 0 {
@@ -84,12 +84,12 @@
 	}
 	if peer.inView {
 		m.viewSize--
-		m.viewHash ^= peer.incarnationHash()
+		m.viewHash ^= peer.startHash()
 	}
-	for _, j := range m.neighboursOf(i) {
+	for _, j := range m.mutualLinksOf(i) {
 		m.removeAdjacency(int32(j), i)
 	}
-	m.adjacency[i], m.lastTraversal[i], m.upToDate[i] = adjacency{}, 0, false
+	m.adjacency[i], m.lastTraversal[i], m.settled[i] = adjacency{}, 0, false
 	m.ringsStale, m.inRings[i] = m.ringsStale || m.inRings[i], false
 	delete(m.byID, peer.id)
 	*peer = member{linkIndex: -1}
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -8,40 +8,40 @@
 )
 
 // Members is the membership state of one node. Its time does not advance while the process is paused, so that no link goes
-// down because of the pause.
+// down because of the pause. Times of its fields and members are in unpausedTime unless stated otherwise.
 type Members struct {
 	Invariants invariant.Checker
 	Counters   Counters
 
-	config              Config
-	random              *rand.Rand
-	ownTime, pausedTime int64 // ns of the monotonic clock without pauses of this process; ns in such pauses
-	wakeAt              int64 // the wake that Step last returned, by the caller's clock
-	members             []member
-	free                []int32 // unused indices of members
-	byID                map[ID]int32
-	links               [maxLinks]link // unused where link.member < 0
-	queuedOn            []uint32       // by member: bits of the links on which its record is queued
-	resendOn            []uint32       // by member: bits of the links on which the record is sent once more after that
-	adjacency           []adjacency    // by member
-	lastTraversal       []uint32       // by member: number of the last traversal that reached it
-	traversal           uint32         // number of the last traversal
-	upToDate            []bool         // by member: the last update found it alive or the entry unused, and nothing changed since, so it is skipped
-	inRings             []bool         // by member: listed in ringOrder
-	ringOrder           [ringCount][]int32
-	ringsStale          bool    // ringOrder lists removed members
-	ringJoiners         []int32 // members that updateRingOrders adds, reused
-	effects             []Effect
-	lastSummarizedIn    []uint32 // by member: number of the last sync request that listed it
-	syncRequestNumber   uint32
-	stack               []int32 // members that traverse has yet to visit, reused
-	digest              uint64  // hash over the records of the table; equal tables have equal digests
-	viewHash            uint64  // hash over the names and start times of the members in the view
-	viewNumber          uint64
-	viewSize            int
-	isolated            bool
-	yieldUntil          int64 // until then this node stays outside the fleet, because another node uses its name
-	lastExchangeID      int
+	config                   Config
+	random                   *rand.Rand
+	unpausedTime, pausedTime int64 // ns of the monotonic clock without pauses of this process; ns in such pauses
+	wakeAt                   int64 // the wake that Step last returned, by the caller's clock
+	members                  []member
+	free                     []int32 // unused indices of members
+	byID                     map[ID]int32
+	links                    [maxLinks]link // unused where link.member < 0
+	queuedOn                 []uint32       // by member: bits of the links on which its record is queued
+	resendOn                 []uint32       // by member: bits of the links on which the record is sent once more after that
+	adjacency                []adjacency    // by member
+	lastTraversal            []uint32       // by member: number of the last traversal that reached it
+	traversal                uint32         // number of the last traversal
+	settled                  []bool         // by member: the last update found it alive and undamped, or the entry unused; until it changes, updates skip it
+	inRings                  []bool         // by member: listed in ringOrder
+	ringOrder                [ringCount][]int32
+	ringsStale               bool    // ringOrder lists removed members
+	ringJoiners              []int32 // members that updateRingOrders adds, reused
+	effects                  []Effect
+	lastSummarizedIn         []uint32 // by member: number of the last sync request that listed it
+	syncRequestNumber        uint32
+	stack                    []int32 // members that traverse has yet to visit, reused
+	digest                   uint64  // hash over the records of members with inDigest set; equal for equal sets of them
+	viewHash                 uint64  // hash over the names and start times of the members in the view
+	viewNumber               uint64
+	viewSize                 int
+	isolated                 bool
+	yieldUntil               int64 // until then this node stays outside the fleet, because another node uses its name
+	lastExchangeID           int
 
 	ringsDirty, viewDirty, linksDirty                    bool
 	linkRegained                                         bool // a lost link, or one to an unreachable member of the view, came up and is not published yet
@@ -51,7 +51,7 @@
 	syncExchangeID                                       int // the table exchange in progress, 0 for none
 	lastSyncStart                                        int64
 	lastNewRecordAt                                      int64 // when the last new record came
-	gossipQuietAt                                        int64 // when gossip was last quiet, or a table exchange last started
+	deferralStartedAt                                    int64 // when gossip was last quiet, or an exchange with a peer whose table differs last started
 	reconnects                                           [maxReconnects]struct {
 		id  ID
 		seq uint32
@@ -65,7 +65,7 @@
 // New returns the state of a node that starts at now, in ns of a monotonic clock; wall is the Unix time in ns.
 // StoredIncarnation is the last incarnation stored on disk, 0 for none. The seed determines the random choices.
 func New(config Config, now, wall int64, storedIncarnation uint64, seed int64) *Members {
-	m := &Members{config: config, random: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, ownTime: now, joinBackoff: joinInterval, traversal: 1}
+	m := &Members{config: config, random: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, unpausedTime: now, joinBackoff: joinInterval, traversal: 1}
 	m.config.MaxMembers = min(config.MaxMembers, maxTableSize)
 	for k := range m.links {
 		m.links[k].member = -1
@@ -73,7 +73,7 @@
 	self := Record{Name: config.Name, Address: config.Address, StartedAt: wall, Incarnation: max(uint64(max(wall, 1)), storedIncarnation+1),
 		Facts: Facts{Version: config.Version, Zone: config.Zone}}
 	m.addMember(&self)
-	m.members[0].inView, m.members[0].everInView, m.viewSize, m.viewHash = true, true, 1, m.members[0].incarnationHash()
+	m.members[0].inView, m.members[0].everInView, m.viewSize, m.viewHash = true, true, 1, m.members[0].startHash()
 	m.nextJoinAt, m.seedIndex = now+m.jitter(joinInterval/2), m.random.Intn(len(config.Seeds)+1)
 	m.nextReconnectAt, m.nextSeedAt = now+m.jitter(reconnectInterval), now+m.jitter(joinInterval)
 	return m
@@ -117,8 +117,8 @@
 		m.pausedTime += pausedFor
 		m.Counters.Pauses++
 	}
-	m.Invariants.Check(now-m.pausedTime >= m.ownTime, "the time without pauses does not go back")
-	m.ownTime = max(m.ownTime, now-m.pausedTime)
+	m.Invariants.Check(now-m.pausedTime >= m.unpausedTime, "the time without pauses does not go back")
+	m.unpausedTime = max(m.unpausedTime, now-m.pausedTime)
 	if pausedFor > m.config.LinkTimeout/4 {
 		m.probeAllLinks()
 	}
@@ -131,7 +131,7 @@
 	m.updateView()
 	m.sendGossip()
 	m.findPeers()
-	m.wakeAt = now + max(1, m.nextDue()-m.ownTime)
+	m.wakeAt = now + max(1, m.nextDue()-m.unpausedTime)
 	return m.effects, m.wakeAt
 }
 
@@ -139,15 +139,16 @@
 func (m *Members) probeAllLinks() {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			l.nextPingAt, l.nextProbeAt = m.ownTime, m.ownTime
+			l.nextPingAt, l.nextProbeAt = m.unpausedTime, m.unpausedTime
 		}
 	}
 }
 
+// apply applies one input.
 func (m *Members) apply(in *Input) {
 	switch in.Kind {
 	case DatagramReceived:
-		if in.Message.From != m.members[0].id && m.ownTime >= m.yieldUntil {
+		if in.Message.From != m.members[0].id && m.unpausedTime >= m.yieldUntil {
 			m.applyDatagram(in.Message)
 		}
 	case ExchangeOpened:
@@ -172,14 +173,15 @@
 			self.Left = true
 			m.bumpRecord()
 		} else {
-			m.queueRecord(0, -1)
+			m.queueRecord(0, -1) // announced again, since datagrams can be lost
 		}
 		for k := range m.links {
-			m.links[k].nextGossipAt = m.ownTime
+			m.links[k].nextGossipAt = m.unpausedTime
 		}
 	}
 }
 
+// applyDatagram applies the records of a datagram, answers a ping or handles an ack, and compares the digests.
 func (m *Members) applyDatagram(msg *Message) {
 	i, known := m.byID[msg.From]
 	for k := range msg.Records {
@@ -201,7 +203,7 @@
 				m.openLink(i)
 			}
 			if peer.linkIndex >= 0 {
-				m.links[peer.linkIndex].watchedAt = m.ownTime
+				m.links[peer.linkIndex].peerWantedAt = m.unpausedTime
 			}
 		}
 		m.send(peer.record.Address, &Message{Kind: MessageAck, Seq: msg.Seq})
@@ -212,16 +214,16 @@
 		if l := &m.links[peer.linkIndex]; msg.Digest == m.digest {
 			l.digestDiffersSince = 0
 		} else if l.digestDiffersSince == 0 {
-			l.digestDiffersSince = m.ownTime
+			l.digestDiffersSince = m.unpausedTime
 		}
 	}
 }
 
 // nextDue returns the time at which the next action is due, in the time of this node without pauses.
 func (m *Members) nextDue() int64 {
-	at := m.ownTime + reconnectInterval
+	at := m.unpausedTime + reconnectInterval
 	if m.members[0].record.Left {
-		return m.ownTime + gossipInterval
+		return m.unpausedTime + gossipInterval
 	}
 	if m.ringsDirty {
 		at = min(at, m.nextRingsAt)
@@ -249,5 +251,5 @@
 	if m.linksUp() == 0 && len(m.config.Seeds) > 0 {
 		at = min(at, m.nextJoinAt)
 	}
-	return max(at, m.ownTime+1)
+	return max(at, m.unpausedTime+1)
 }
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -29,7 +29,7 @@
 		r.StartedAt = 100
 		m.applyRecord(&r, -1)
 	}
-	m.links[m.members[m.byID[IDOf("d")]].linkIndex].confirmedAt = m.ownTime - 4*second
+	m.links[m.members[m.byID[IDOf("d")]].linkIndex].confirmedAt = m.unpausedTime - 4*second
 	assert.Empty(t, runUntil(m, m.wakeAt, m.wakeAt+testConfig.SuspicionTimeout-50*ms, false))
 	assert.Equal(t, []string{"d lost"}, runUntil(m, m.wakeAt, m.wakeAt+500*ms, false))
 }
@@ -48,7 +48,7 @@
 			pings++
 		}
 	}
-	assert.Equal(t, 3, pings, "all watched members are pinged at once")
+	assert.Equal(t, 3, pings, "all members with a link are pinged at once")
 	got = append(got, runUntil(m, wake, wake+10*second, true)...)
 	assert.Empty(t, got)
 }
@@ -102,7 +102,7 @@
 }
 
 func TestLaterNodeYieldsSharedName(t *testing.T) {
-	earlier, later := newLinkedMembers("b", "c"), newLinkedMembers("b", "c")
+	earlier, later := newLinkedMembers("b", "c"), newLinkedMembers("b", "c") // both started at 100; the records say when the other did
 	r := record("a", 300)
 	r.Address = "10.0.0.99:9"
 	earlier.applyRecord(&r, -1) // from a node that started later: superseded
@@ -168,11 +168,11 @@
 func TestUnexpectedAcksDoNotConfirmLink(t *testing.T) {
 	m := newLinkedMembers("b", "c")
 	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
-	l.pingSeq, l.confirmedAt = 100, m.ownTime-2*second
+	l.pingSeq, l.confirmedAt = 100, m.unpausedTime-2*second
 	for _, seq := range []uint32{100 - pingHistory, 101, 1 << 31} {
 		m.applyAck(m.byID[IDOf("b")], seq)
 	}
-	assert.Equal(t, m.ownTime-2*second, l.confirmedAt)
+	assert.Equal(t, m.unpausedTime-2*second, l.confirmedAt)
 	assert.Equal(t, 3, m.Counters.UnmatchedMessages)
 }
 
@@ -265,7 +265,7 @@
 			for r, order := range m.ringOrder {
 				var all []int32
 				for i := range m.members {
-					if b := &m.members[i]; i == 0 || b.record.Name != "" && !b.record.Left && (b.inView || m.ownTime < b.watchUntil) {
+					if b := &m.members[i]; i == 0 || b.record.Name != "" && !b.record.Left && (b.inView || m.unpausedTime < b.onRingsUntil) {
 						all = append(all, int32(i))
 					}
 				}
@@ -338,7 +338,7 @@
 func TestRegainedLinkIsPublishedWithinSuspicionTimeout(t *testing.T) {
 	m := newLinkedMembers("b", "c", "d", "e", "f")
 	l := &m.links[m.members[m.byID[IDOf("b")]].linkIndex]
-	l.confirmedAt = m.ownTime - testConfig.LinkTimeout - ms
+	l.confirmedAt = m.unpausedTime - testConfig.LinkTimeout - ms
 	m.Step(m.wakeAt, m.wakeAt, nil)
 	runUntil(m, m.wakeAt, m.wakeAt+250*ms, false)
 	require.NotContains(t, m.Self().Links, IDOf("b"))
@@ -398,22 +398,22 @@
 			links = append(links, int8(k))
 		}
 	}
-	version, closed, proof := m.Self().RecordVersion, m.ownTime, m.links[links[1]].confirmedAt
+	version, closed, confirmedAt := m.Self().RecordVersion, m.unpausedTime, m.links[links[1]].confirmedAt
 	m.closeLink(links[0])
 	runUntil(m, m.wakeAt, closed+gainedPublishInterval, true)
 	m.closeLink(links[1])
-	for m.wakeAt-m.pausedTime < closed+closedPublishInterval {
+	for m.wakeAt-m.pausedTime < closed+closedPublishDelay {
 		assert.Equal(t, version, m.Self().RecordVersion, "no record version for each closed link")
 		m.Step(m.wakeAt, 100, nil)
 	}
-	for m.ownTime < closed+closedPublishInterval {
+	for m.unpausedTime < closed+closedPublishDelay {
 		m.Step(m.wakeAt, 100, nil)
 	}
 	assert.Equal(t, version+1, m.Self().RecordVersion, "one record version for both closed links")
-	assert.Less(t, closed+closedPublishInterval, proof+testConfig.LinkTimeout, "published before the peer detects silence")
+	assert.Less(t, closed+closedPublishDelay, confirmedAt+testConfig.LinkTimeout, "published before the peer detects silence")
 	m.closeLink(links[2])
 	l := &m.links[links[3]]
-	l.confirmedAt = m.ownTime - testConfig.LinkTimeout - 1
+	l.confirmedAt = m.unpausedTime - testConfig.LinkTimeout - 1
 	m.probeLinks()
-	assert.LessOrEqual(t, m.publishAt, m.ownTime+publishInterval, "a lost link is published without this delay, together with closed ones")
+	assert.LessOrEqual(t, m.publishAt, m.unpausedTime+publishInterval, "a lost link is published without closedPublishDelay, together with closed ones")
 }
--- a/internal/fleet/membership/messages.go
+++ b/internal/fleet/membership/messages.go
@@ -24,7 +24,7 @@
 	From       ID              `cbor:"2,keyasint,omitempty"`
 	Seq        uint32          `cbor:"3,keyasint,omitempty"`
 	Digest     uint64          `cbor:"4,keyasint,omitempty"` // of the sender's table
-	LinkWanted bool            `cbor:"5,keyasint,omitempty"` // the receiver is a neighbour of the sender on a ring
+	LinkWanted bool            `cbor:"5,keyasint,omitempty"` // a ring of the sender needs the link to the receiver
 	Records    []Record        `cbor:"6,keyasint,omitempty"`
 	Summaries  []RecordSummary `cbor:"7,keyasint,omitempty"`
 	Wanted     []ID            `cbor:"8,keyasint,omitempty"`
@@ -40,7 +40,7 @@
 	ExchangeOpened             // a peer opened the exchange ExchangeID with Message
 	ExchangeAnswered           // Message answers an exchange that this node opened
 	ExchangeFailed             // an exchange that this node opened failed
-	FactsChanged               // the node's own facts changed
+	FactsChanged               // the facts of this node changed to Facts, except for Version and Zone, which are from Config
 	Leaving                    // the node leaves the fleet after its drain
 )
 
--- a/internal/fleet/membership/query.go
+++ b/internal/fleet/membership/query.go
@@ -39,7 +39,7 @@
 	return names
 }
 
-// View returns a new copy of the current view, with members that left it and are not forgotten.
+// View returns a new copy of the current view and of the members that left it and are not forgotten.
 func (m *Members) View() View {
 	v := View{Number: m.viewNumber, Isolated: m.isolated}
 	known := 0
@@ -49,10 +49,10 @@
 			continue
 		}
 		s := MemberStatus{Name: peer.record.Name, Address: peer.record.Address, Status: peer.status, Reach: m.reachOf(int32(i)), Incarnation: peer.record.Incarnation,
-			Facts: peer.record.Facts, Links: len(peer.record.Links), StatusAge: m.ownTime - peer.statusSince, StartedAt: peer.record.StartedAt}
+			Facts: peer.record.Facts, Links: len(peer.record.Links), StatusAge: m.unpausedTime - peer.statusSince, StartedAt: peer.record.StartedAt}
 		v.Members = append(v.Members, s)
 		if peer.inView {
-			v.Hash ^= peer.incarnationHash()
+			v.Hash ^= peer.startHash()
 		}
 		if !peer.record.Left {
 			known++
--- a/internal/fleet/membership/query_test.go
+++ b/internal/fleet/membership/query_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Nodes without a zone form one zone of their own. Lost members are in no list, and a link that is not up does not count.
 func TestInZoneInViewAndLinkedMembers(t *testing.T) {
 	for zone, want := range map[string][]string{"": {"c"}, "a": {"b"}} {
 		m := New(Config{Name: "n", Address: "10.0.0.1:9", Zone: zone, ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60_000 * ms,
--- a/internal/fleet/membership/record.go
+++ b/internal/fleet/membership/record.go
@@ -22,7 +22,8 @@
 }
 
 // Record is a member's description of itself, which only that member writes. The record with the higher incarnation
-// supersedes another; within an incarnation, the one with the higher version does.
+// supersedes another; within an incarnation, the one with the higher version does. StartedAt identifies a run of the process:
+// a node can raise its incarnation while it runs, so the view compares StartedAt to find out whether a member restarted.
 type Record struct {
 	Name          string `cbor:"1,keyasint"`
 	Address       string `cbor:"2,keyasint"`
@@ -42,7 +43,8 @@
 	return r.RecordVersion > other.RecordVersion
 }
 
-// valid reports whether a record from a peer has a name and an address and is within all bounds.
+// valid reports whether a record from a peer has a name and an address and is within all bounds. The bound of the incarnation
+// leaves room to exceed it.
 func (r *Record) valid() bool {
 	nameFits := r.Name != "" && len(r.Name) <= maxNameBytes
 	addressFits := r.Address != "" && len(r.Address) <= maxAddressBytes
@@ -50,7 +52,7 @@
 	return nameFits && addressFits && factsFit && len(r.Links) <= maxLinks && r.Incarnation < math.MaxUint64/2
 }
 
-// size estimates the encoded size of a record in bytes.
+// size estimates the encoded size of a record in bytes: 9 for each link, 48 for all fields but the name, address and links.
 func (r *Record) size() int { return 48 + len(r.Name) + len(r.Address) + 9*len(r.Links) }
 
 // RecordSummary identifies a version of a record without its content.
--- a/internal/fleet/membership/records.go
+++ b/internal/fleet/membership/records.go
@@ -30,7 +30,7 @@
 			return
 		}
 	}
-	cause, changed := Joined, false
+	cause, changed := Joined, false // the cause counts only if changed
 	if known {
 		peer := &m.members[i]
 		if from >= 0 && !peer.record.newer(r) { // the sender has this version or a newer one
@@ -43,9 +43,9 @@
 	}
 	peer := &m.members[i]
 	peer.inDigest = true
-	m.lastNewRecordAt = m.ownTime
+	m.lastNewRecordAt = m.unpausedTime
 	if !peer.inView {
-		peer.outOfViewSince = m.ownTime
+		peer.outOfViewSince = m.unpausedTime
 	}
 	m.digest ^= peer.recordHash()
 	m.viewDirty = true
@@ -63,8 +63,8 @@
 	m.updateAdjacency(i, peer.record.Links, r.Links)
 	switch {
 	case peer.inView && peer.record.StartedAt != r.StartedAt:
-		peer.reachGraceUntil = m.ownTime + m.config.LinkTimeout + m.config.SuspicionTimeout
-		peer.statusSince = m.ownTime
+		peer.reachGraceUntil = m.unpausedTime + m.config.LinkTimeout + m.config.SuspicionTimeout
+		peer.statusSince = m.unpausedTime
 		cause, changed = Replaced, true
 	case peer.inView && r.Facts.NoExecutor && !peer.record.Facts.NoExecutor:
 		cause, changed = ExecutorLost, true
@@ -75,16 +75,16 @@
 		m.digest ^= peer.recordHash()
 	}
 	if !peer.inView && r.Incarnation > peer.record.Incarnation {
-		peer.watchUntil = m.ownTime + m.config.LinkTimeout
+		peer.onRingsUntil = m.unpausedTime + m.config.LinkTimeout
 	}
 	if peer.inView {
-		m.viewHash ^= peer.incarnationHash()
+		m.viewHash ^= peer.startHash()
 	}
 	peer.record = *r
 	m.adjacency[i].left = r.Left
-	m.upToDate[i] = false
+	m.settled[i] = false
 	if peer.inView {
-		m.viewHash ^= peer.incarnationHash()
+		m.viewHash ^= peer.startHash()
 	}
 	return cause, changed
 }
@@ -125,7 +125,7 @@
 		}
 	}
 	m.members[0].record.Links = nil
-	m.yieldUntil = m.ownTime + maxJoinBackoff
+	m.yieldUntil = m.unpausedTime + maxJoinBackoff
 	m.nextJoinAt = m.yieldUntil
 	m.isolated = false
 	m.ringsDirty = true
--- a/internal/fleet/membership/rings.go
+++ b/internal/fleet/membership/rings.go
@@ -7,17 +7,17 @@
 	"topazpost/internal/invariant"
 )
 
-// updateRings chooses the members to watch: on both sides of this node on each ring, the nearest one that answers. The silent
-// members before it, up to maxSkippedSilent, stay watched, so that this node notices when their links work again.
+// updateRings chooses the wanted links: on both sides of this node on each ring, the one to the nearest member that answers.
+// Links to silent members before it, up to maxSkippedSilent, are wanted too, so that this node notices when they work again.
 func (m *Members) updateRings() {
-	if !m.ringsDirty || m.ownTime < m.nextRingsAt {
+	if !m.ringsDirty || m.unpausedTime < m.nextRingsAt {
 		return
 	}
-	m.ringsDirty, m.nextRingsAt = false, m.ownTime+ringsInterval
+	m.ringsDirty, m.nextRingsAt = false, m.unpausedTime+ringsInterval
 	for k := range m.links {
 		m.links[k].wanted = false
 	}
-	if m.members[0].record.Left || m.ownTime < m.yieldUntil {
+	if m.members[0].record.Left || m.unpausedTime < m.yieldUntil {
 		return
 	}
 	m.updateRingOrders()
@@ -27,8 +27,8 @@
 			skipped := 0
 			for n := 1; n < len(order) && skipped < maxSkippedSilent; n++ {
 				i := order[((at+n*side)%len(order)+len(order))%len(order)]
-				l := m.watch(i)
-				if l == nil || l.silence(m.ownTime) <= m.config.LinkTimeout/2 {
+				l := m.wantLink(i)
+				if l == nil || l.silence(m.unpausedTime) <= m.config.LinkTimeout/2 {
 					break
 				}
 				skipped++
@@ -37,23 +37,23 @@
 	}
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && l.wanted {
-			l.keepUntil = m.ownTime + unwantedLinkTimeout
+			l.keepUntil = m.unpausedTime + unwantedLinkTimeout
 		}
 	}
 }
 
-// updateRingOrders updates the sorted members of each ring. It removes members that are no longer watchable and merges in new
+// updateRingOrders updates the sorted members of each ring. It removes members that no longer belong there and merges in new
 // ones, which costs one pass over a ring instead of a full sort.
 func (m *Members) updateRingOrders() {
 	m.ringJoiners = m.ringJoiners[:0]
 	for i := range m.members {
-		if m.upToDate[i] && m.inRings[i] {
+		if m.settled[i] && m.inRings[i] {
 			continue
 		}
-		watchable := m.isWatchable(i)
-		if watchable && !m.inRings[i] {
+		belongs := m.belongsOnRings(i)
+		if belongs && !m.inRings[i] {
 			m.ringJoiners = append(m.ringJoiners, int32(i))
-		} else if !watchable && m.inRings[i] {
+		} else if !belongs && m.inRings[i] {
 			m.inRings[i] = false
 			m.ringsStale = true
 		}
@@ -73,23 +73,23 @@
 	}
 }
 
-// isWatchable reports whether a member belongs on the rings: this node, a member of the view, or one that can still enter it.
-func (m *Members) isWatchable(i int) bool {
+// belongsOnRings reports whether a member belongs on the rings: this node, a member of the view, or one that can still enter it.
+func (m *Members) belongsOnRings(i int) bool {
 	peer := &m.members[i]
-	return i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
+	return i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.unpausedTime < peer.onRingsUntil)
 }
 
-// checkRingOrders checks that each ring is sorted and has as many members as are watchable.
+// checkRingOrders checks that each ring is sorted and has as many members as belong on it.
 func (m *Members) checkRingOrders() {
 	for r, order := range m.ringOrder {
 		n := 0
 		for i := range m.members {
-			if m.isWatchable(i) {
+			if m.belongsOnRings(i) {
 				n++
 			}
 		}
 		sorted := slices.IsSortedFunc(order, func(a, b int32) int { return m.compareInRing(r, a, b) })
-		m.Invariants.Check(n == len(order) && sorted, "a ring holds all watchable members in order")
+		m.Invariants.Check(n == len(order) && sorted, "a ring holds all members that belong on it, in order")
 	}
 }
 
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -11,7 +11,7 @@
 	Left // after a drain
 )
 
-// StatusNames holds the name of each status.
+// StatusNames holds the name of each status, for the output of commands. They must not change.
 var StatusNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // Reach is how this node reaches a member.
@@ -24,7 +24,7 @@
 	Unreachable
 )
 
-// ReachNames holds the name of each kind of reach.
+// ReachNames holds the name of each kind of reach, for the output of commands. They must not change.
 var ReachNames = [...]string{"direct", "through others", "none"}
 
 // Cause is the cause of a change of the view.
@@ -34,16 +34,16 @@
 const (
 	Joined   Cause = iota
 	Returned       // after it left the view, in the same or another incarnation
-	Replaced       // by another incarnation, without leaving the view
+	Replaced       // by a process started at another time, without leaving the view
 	Lost
-	Departed // after a drain
-	ExecutorLost
+	Departed     // after a drain
+	ExecutorLost // the member runs, but without an executor
 	ExecutorRestored
-	Isolated // this node has no link that is up; it keeps its view
-	Reconnected
+	Isolated    // this node has no link that is up; it keeps its view
+	Reconnected // this node has a link again after Isolated
 )
 
-// CauseNames holds the name of each cause, as in logs.
+// CauseNames holds the name of each cause. Logs contain these names and are parsed by them, so they must not change.
 var CauseNames = [...]string{"joined", "returned", "replaced", "lost", "left", "of no use", "of use again", "cut off", "restored"}
 
 // Change is one change of the view.
@@ -52,8 +52,8 @@
 	Cause          Cause
 	Member         string
 	Incarnation    uint64
-	ReportedBy     string // name of the member that reported the change: for Lost, the last whose link to it went down
-	DetectionDelay int64  // ns from the loss of the last path of links to the change
+	ReportedBy     string // for Lost, the member that last lost or closed its link to this one; "" for Joined and Returned; else the member itself
+	DetectionDelay int64  // ns since the member became unreachable, plus the link timeout that passes before; 0 if it was reachable
 	Size           int    // members of the view after the change
 	Hash           uint64 // hash of the view after the change, as in View
 }
@@ -71,16 +71,16 @@
 	StartedAt   int64  `json:"born" cbor:"9,keyasint,omitempty"`     // Unix ns
 }
 
-// View is the set of members as this node sees it, itself included.
+// View is the view of a node, which contains the node itself, and the members that left it and are not forgotten.
 type View struct {
 	Number   uint64         `cbor:"1,keyasint"`
-	Hash     uint64         `cbor:"2,keyasint"` // over names and start times; equal for equal views
+	Hash     uint64         `cbor:"2,keyasint"` // over the names and start times of the members in the view; equal for equal views
 	Isolated bool           `cbor:"3,keyasint,omitempty"`
 	Majority bool           `cbor:"4,keyasint,omitempty"` // the view holds more than half of the known members that have not left
 	Members  []MemberStatus `cbor:"5,keyasint"`           // sorted by name, with members that left the view and are not forgotten
 }
 
-// Counters count events for operators.
+// Counters counts events for operators.
 type Counters struct {
 	Sent              int `json:"sent"` // datagrams
 	Bytes             int `json:"-"`
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -1,52 +1,52 @@
 package membership
 
-// findPeers contacts seeds and lost members, and starts a table exchange with a neighbour whose table differs.
+// findPeers contacts seeds and lost members, and starts a table exchange with a peer whose table differs.
 func (m *Members) findPeers() {
 	if m.members[0].record.Left {
 		return
 	}
 	up := m.linksUp()
-	if up == 0 && m.ownTime >= m.nextJoinAt {
-		m.nextJoinAt = m.ownTime + m.jitter(m.joinBackoff)
+	if up == 0 && m.unpausedTime >= m.nextJoinAt {
+		m.nextJoinAt = m.unpausedTime + m.jitter(m.joinBackoff)
 		if m.joinAttempts++; m.joinAttempts%max(1, len(m.config.Seeds)) == 0 { // every seed was contacted
 			m.joinBackoff = min(2*m.joinBackoff, maxJoinBackoff)
 		}
 		m.syncWithSeed(false)
 	} else if up > 0 {
 		m.joinBackoff = joinInterval
-		m.nextJoinAt = max(m.nextJoinAt, m.ownTime+joinInterval/2)
-		if m.ownTime >= m.nextSeedAt { // finds a part of the fleet that formed separately from another seed
-			m.nextSeedAt = m.ownTime + m.jitter(2*maxJoinBackoff)
+		m.nextJoinAt = max(m.nextJoinAt, m.unpausedTime+joinInterval/2)
+		if m.unpausedTime >= m.nextSeedAt { // finds a part of the fleet that formed separately from another seed
+			m.nextSeedAt = m.unpausedTime + m.jitter(2*maxJoinBackoff)
 			m.syncWithSeed(true)
 		}
 	}
-	if m.ownTime >= m.nextReconnectAt {
-		m.nextReconnectAt = m.ownTime + reconnectInterval
+	if m.unpausedTime >= m.nextReconnectAt {
+		m.nextReconnectAt = m.unpausedTime + reconnectInterval
 		m.reconnect()
 	}
-	m.syncWithNeighbour()
+	m.syncWithPeer()
 }
 
-// syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for syncDelay. It waits until gossip is
+// syncWithPeer starts a table exchange with a peer on a link that is up whose digest has differed for syncDelay. It waits until gossip is
 // quiet, since a table received earlier would be outdated at once, but for maxSyncDeferral at most.
-func (m *Members) syncWithNeighbour() {
-	if m.syncExchangeID != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
+func (m *Members) syncWithPeer() {
+	if m.syncExchangeID != 0 && m.unpausedTime >= m.lastSyncStart+syncInterval {
 		m.syncExchangeID = 0
 	}
-	if m.ownTime-m.lastNewRecordAt >= syncQuietTime {
-		m.gossipQuietAt = m.ownTime
+	if m.unpausedTime-m.lastNewRecordAt >= syncQuietTime {
+		m.deferralStartedAt = m.unpausedTime
 	}
-	quiet := m.gossipQuietAt == m.ownTime || m.ownTime-m.gossipQuietAt >= maxSyncDeferral
-	if m.syncExchangeID != 0 || m.ownTime < m.lastSyncStart || !quiet {
+	quiet := m.deferralStartedAt == m.unpausedTime || m.unpausedTime-m.deferralStartedAt >= maxSyncDeferral
+	if m.syncExchangeID != 0 || m.unpausedTime < m.lastSyncStart || !quiet {
 		return
 	}
 	for k := range m.links {
 		l := &m.links[k]
-		differs := l.digestDiffersSince > 0 && m.ownTime-l.digestDiffersSince >= syncDelay
-		if l.member >= 0 && l.up && differs && m.ownTime-l.lastSyncAt >= syncInterval {
-			l.lastSyncAt = m.ownTime
+		differs := l.digestDiffersSince > 0 && m.unpausedTime-l.digestDiffersSince >= syncDelay
+		if l.member >= 0 && l.up && differs && m.unpausedTime-l.lastSyncAt >= syncInterval {
+			l.lastSyncAt = m.unpausedTime
 			l.digestDiffersSince = 0
-			m.gossipQuietAt = m.ownTime
+			m.deferralStartedAt = m.unpausedTime
 			m.startSync(m.members[l.member].record.Address)
 			return
 		}
@@ -71,11 +71,11 @@
 	}
 }
 
-// reconnect pings the next lost member in turn.
+// reconnect pings the next lost member in turn. A settled member is in the view or its entry is unused.
 func (m *Members) reconnect() {
 	for range m.members {
 		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
-		if m.upToDate[m.reconnectPosition] {
+		if m.settled[m.reconnectPosition] {
 			continue
 		}
 		peer := &m.members[m.reconnectPosition]
@@ -92,7 +92,7 @@
 // startSync opens a table exchange with the node at an address.
 func (m *Members) startSync(to string) {
 	m.lastExchangeID++
-	m.syncExchangeID, m.lastSyncStart = m.lastExchangeID, m.ownTime
+	m.syncExchangeID, m.lastSyncStart = m.lastExchangeID, m.unpausedTime
 	m.Counters.Exchanges++
 	summaries := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
@@ -161,7 +161,7 @@
 	if holder.record.Address == r.Address || !holder.inView || holder.record.Left || !holder.reachable && i != 0 || r.StartedAt < holder.record.StartedAt {
 		return ""
 	}
-	return "the name " + r.Name + " is used by a node at " + holder.record.Address + ", so the node at " + r.Address + " is rejected"
+	return "sync request rejected: the name " + r.Name + " is used by the node at " + holder.record.Address + ", so the node at " + r.Address + " needs another name"
 }
 
 // applySyncAnswer handles the answer to an exchange and pushes the records that the peer requested.
@@ -169,7 +169,7 @@
 	switch msg.Kind {
 	case MessageReject:
 		m.Counters.NameConflicts++
-		m.log(true, "sync request was rejected: %s", msg.Detail)
+		m.log(true, "a peer rejected the sync request of this node, which retries: %s", msg.Detail)
 		m.joinBackoff = maxJoinBackoff
 		return
 	case MessageSyncAnswer:
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,16 +4,17 @@
 	"topazpost/internal/invariant"
 )
 
-// updateView updates the view from reachability: new members enter at once, lost ones leave after the suspicion timeout. A
-// node without any link keeps its view, since a fault of this node is more likely than one of all others.
+// updateView updates the view from reachability. Members enter at once, unless they are damped for flapping. Lost ones leave
+// after the suspicion timeout, or after a longer grace period if they just restarted; drained ones leave at once. A node
+// without any link keeps its view, since a fault of this node is more likely than one of all others.
 func (m *Members) updateView() {
 	isolated := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
-	traversed := m.viewDirty && m.ownTime >= m.nextTraversalAt
-	if !traversed && isolated == m.isolated && m.ownTime < m.nextViewAt {
+	traversed := m.viewDirty && m.unpausedTime >= m.nextTraversalAt
+	if !traversed && isolated == m.isolated && m.unpausedTime < m.nextViewAt {
 		return
 	}
 	if traversed {
-		m.viewDirty, m.nextTraversalAt = false, m.ownTime+traversalInterval
+		m.viewDirty, m.nextTraversalAt = false, m.unpausedTime+traversalInterval
 		m.traverse()
 	}
 	if isolated != m.isolated {
@@ -24,15 +25,15 @@
 		}
 		m.emitChange(cause, &m.members[0], m.members[0].record.Incarnation, m.config.Name, 0)
 	}
-	m.nextViewAt = m.ownTime + viewInterval
+	m.nextViewAt = m.unpausedTime + viewInterval
 	for i := 1; i < len(m.members); i++ {
-		if m.upToDate[i] {
+		if m.settled[i] {
 			continue
 		}
 		peer := &m.members[i]
 		switch {
 		case peer.record.Name == "":
-			m.upToDate[i] = true
+			m.settled[i] = true
 		case peer.inView:
 			m.updateViewMember(int32(i))
 		default:
@@ -49,19 +50,19 @@
 	case peer.record.Left:
 		m.leaveView(peer, Departed)
 	case peer.reachable:
-		if peer.flaps > 0 && m.ownTime-peer.lastFlapAt > flapDecayTime {
+		if peer.flaps > 0 && m.unpausedTime-peer.lastFlapAt > flapDecayTime {
 			peer.flaps = 0
 		}
 		m.setStatus(peer, Alive)
-		m.upToDate[i] = peer.flaps == 0
+		m.settled[i] = peer.flaps == 0
 	case m.isolated:
-		peer.unreachableSince = m.ownTime // the suspicion timeout starts once this node has links again
+		peer.unreachableSince = m.unpausedTime // the suspicion timeout starts once this node has links again
 		m.setStatus(peer, Suspect)
 	case peer.record.Facts.DrainPhase > 0:
 		m.leaveView(peer, Departed)
-	case m.ownTime >= suspicionEndsAt:
+	case m.unpausedTime >= suspicionEndsAt:
 		peer.flaps = min(peer.flaps+1, maxFlaps)
-		peer.lastFlapAt = m.ownTime
+		peer.lastFlapAt = m.unpausedTime
 		m.leaveView(peer, Lost)
 	default:
 		m.setStatus(peer, Suspect)
@@ -73,9 +74,9 @@
 // the view for the forget timeout.
 func (m *Members) updateOutsider(i int32) {
 	peer := &m.members[i]
-	timeOutside := m.ownTime - peer.outOfViewSince
+	timeOutside := m.unpausedTime - peer.outOfViewSince
 	switch {
-	case peer.reachable && !peer.record.Left && m.ownTime >= m.flapDampedUntil(peer):
+	case peer.reachable && !peer.record.Left && m.unpausedTime >= m.flapDampedUntil(peer):
 		m.enterView(peer)
 	case peer.reachable && !peer.record.Left:
 		m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(peer))
@@ -88,7 +89,7 @@
 }
 
 // flapDampedUntil returns the time from which a reachable member can return to the view. It damps members that come and go
-// repeatedly: each loss after the second doubles the delay.
+// repeatedly: the first loss causes no delay, the second one of reconnectInterval, and each later one doubles it.
 func (m *Members) flapDampedUntil(peer *member) int64 {
 	if peer.flaps <= 1 {
 		return 0
@@ -99,7 +100,7 @@
 // setStatus sets the status of a member, and since when it has it.
 func (m *Members) setStatus(peer *member, s Status) {
 	if peer.status != s {
-		peer.status, peer.statusSince = s, m.ownTime
+		peer.status, peer.statusSince = s, m.unpausedTime
 	}
 }
 
@@ -111,21 +112,21 @@
 	}
 	peer.inView, peer.everInView = true, true
 	m.viewSize++
-	m.viewHash ^= peer.incarnationHash()
+	m.viewHash ^= peer.startHash()
 	if !peer.inDigest {
 		peer.inDigest = true
 		m.digest ^= peer.recordHash()
 	}
-	peer.status, peer.statusSince = Alive, m.ownTime
+	peer.status, peer.statusSince = Alive, m.unpausedTime
 	m.ringsDirty = true
 	m.emitChange(cause, peer, peer.record.Incarnation, "", 0)
 }
 
 // leaveView removes a member from the view.
 func (m *Members) leaveView(peer *member, cause Cause) {
-	peer.inView, peer.outOfViewSince, peer.watchUntil = false, m.ownTime, 0
+	peer.inView, peer.outOfViewSince, peer.onRingsUntil = false, m.unpausedTime, 0
 	m.viewSize--
-	m.viewHash ^= peer.incarnationHash()
+	m.viewHash ^= peer.startHash()
 	status := Dead
 	if cause == Departed {
 		status = Left
@@ -133,7 +134,8 @@
 	m.setStatus(peer, status)
 	detectionDelay := int64(0)
 	if peer.unreachableSince > 0 {
-		detectionDelay = m.ownTime - peer.unreachableSince + m.config.LinkTimeout
+		// The link timeout passed before the last link to the member counted as down.
+		detectionDelay = m.unpausedTime - peer.unreachableSince + m.config.LinkTimeout
 	}
 	reportedBy := peer.record.Name
 	if cause == Lost {
@@ -146,7 +148,7 @@
 	m.emitChange(cause, peer, peer.record.Incarnation, reportedBy, detectionDelay)
 }
 
-// emitChange reports a change of the view. ReportedBy is the name of the member that reported it, "" for none.
+// emitChange reports a change of the view. ReportedBy and detectionDelay are fields of the Change.
 func (m *Members) emitChange(cause Cause, peer *member, incarnation uint64, reportedBy string, detectionDelay int64) {
 	m.viewNumber++
 	m.Counters.ViewChanges++
