--- a/internal/fleet/configsync/build.go
+++ b/internal/fleet/configsync/build.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Build returns a content with the given items; of several items with one part and name the last one counts. It calls all twice, which must
-// yield the same items in the same order: the first pass computes the size of each block, so that each is allocated once. Repeated calls of
-// Apply would fragment the heap with intermediate blocks of all sizes. An error names the invalid item.
+// Build returns a content with the given items. Repeated calls of Apply would fragment the heap with intermediate blocks of all sizes, so Build
+// first computes the size of each block and allocates it once. For that it calls all twice, which must yield the same items in the same order.
+// Of several items with one part and name the last one counts. Unlike in Apply, items without a value are ignored: they don't remove earlier
+// items. An error names the invalid item.
 func Build(all func(yield func(Item))) (*Content, error) {
 	sizes, err := blockSizes(all)
 	if err != nil {
@@ -22,7 +23,7 @@
 		if len(blocks[n]) == 0 {
 			continue
 		}
-		scratch = append(scratch[:0], blocks[n]...)
+		scratch = append(scratch[:0], blocks[n]...) // entries point into this copy while the block is overwritten
 		entries = sortedEntries(entries[:0], scratch)
 		block := appendLastOfEach(blocks[n][:0], entries)
 		if len(block) > maxBlockBytes {
--- a/internal/fleet/configsync/build_test.go
+++ b/internal/fleet/configsync/build_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Build, which sorts all items at once, must not differ from Apply with the same items, also where an item is given several times.
+// The results of Build and Apply must be equal for the same items with values, also if an item is given several times.
 func TestBuildEqualsApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Item
@@ -43,7 +43,7 @@
 }
 
 // Guards against a fragmented heap: blocks that are reallocated while they grow leave gaps of all sizes. A large content must take at most
-// half as much again as its items.
+// 1.5 times the encoded size of its items.
 func TestBuildDoesNotFragmentHeap(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
--- a/internal/fleet/configsync/change.go
+++ b/internal/fleet/configsync/change.go
@@ -13,33 +13,33 @@
 
 // sortedChange is a change with its sort key: block, part, name, position in the list of changes.
 type sortedChange struct {
-	block int
-	order int // position in the list of changes
-	part  byte
-	item  *Item
+	block    int
+	position int // position in the list of changes
+	part     byte
+	item     *Item
 }
 
 // Apply returns the content with the changes applied; of several changes to one item the last one counts. The cost is proportional to the
 // size of the blocks that contain the changed items. It returns an error that names the first invalid item.
 func (c *Content) Apply(changes []Item) (*Content, error) {
-	order, err := sortChanges(changes)
+	sorted, err := sortChanges(changes)
 	if err != nil {
 		return nil, err
 	}
 	next := *c
 	owned := [fanout]bool{}
-	for len(order) > 0 {
+	for len(sorted) > 0 {
 		n := 1
-		for n < len(order) && order[n].block == order[0].block {
+		for n < len(sorted) && sorted[n].block == sorted[0].block {
 			n++
 		}
-		old, _ := next.Block(order[0].block)
-		block, sum := next.mergeBlock(old, order[:n])
+		old, _ := next.Block(sorted[0].block)
+		block, digestDelta := next.mergeBlock(old, sorted[:n])
 		if len(block) > maxBlockBytes {
-			return nil, errBlockFull(order[0].item.Part, order[0].item.Name, len(block))
+			return nil, errBlockFull(sorted[0].item.Part, sorted[0].item.Name, len(block))
 		}
-		next.writablePage(order[0].block, &owned).replaceBlock(order[0].block, block, sum)
-		order = order[n:]
+		next.writablePage(sorted[0].block, &owned).replaceBlock(sorted[0].block, block, digestDelta)
+		sorted = sorted[n:]
 	}
 	if next.bytes > maxContentBytes {
 		return nil, errContentFull(next.bytes)
@@ -58,27 +58,27 @@
 
 // sortChanges validates changes and sorts them by block, part and name. Changes to one item keep their order.
 func sortChanges(changes []Item) ([]sortedChange, error) {
-	order := make([]sortedChange, len(changes))
+	sorted := make([]sortedChange, len(changes))
 	for k := range changes {
 		item := &changes[k]
 		if err := item.validate(); err != nil {
 			return nil, err
 		}
 		part := byte(slices.Index(partNames[:], item.Part))
-		order[k] = sortedChange{blockOf(part, item.Name), k, part, item}
+		sorted[k] = sortedChange{blockOf(part, item.Name), k, part, item}
 	}
-	slices.SortFunc(order, func(a, b sortedChange) int {
+	slices.SortFunc(sorted, func(a, b sortedChange) int {
 		if a.block != b.block {
 			return a.block - b.block
 		}
-		return cmp.Or(cmp.Compare(a.part, b.part), strings.Compare(a.item.Name, b.item.Name), a.order-b.order)
+		return cmp.Or(cmp.Compare(a.part, b.part), strings.Compare(a.item.Name, b.item.Name), a.position-b.position)
 	})
-	return order, nil
+	return sorted, nil
 }
 
-// mergeBlock returns a block with sorted changes applied, and the difference that they make to its digest. It updates the totals of the
+// mergeBlock returns a block with sorted changes applied, and the value to add to the digest of the block. It updates the totals of the
 // content.
-func (c *Content) mergeBlock(old []byte, changes []sortedChange) (block []byte, sum Digest) {
+func (c *Content) mergeBlock(old []byte, changes []sortedChange) (block []byte, digestDelta Digest) {
 	size := len(old)
 	for k := range changes {
 		size += len(changes[k].item.Name) + len(changes[k].item.Value) + maxEntryOverhead
@@ -88,28 +88,28 @@
 		change := &changes[k]
 		for len(old) > 0 {
 			e, rest, _ := readEntry(old)
-			order := e.compare(change.part, change.item.Name)
-			if order > 0 {
+			comparison := e.compare(change.part, change.item.Name)
+			if comparison > 0 {
 				break
 			}
-			if order < 0 {
+			if comparison < 0 {
 				to = append(to, e.encoded...)
 			} else {
-				sum = sum.minus(c.countItem(&e, false))
+				digestDelta = digestDelta.minus(c.countItem(&e, false))
 			}
 			old = rest
 		}
 		if len(change.item.Value) > 0 && !sameItemFollows(changes[k:]) {
 			at := len(to)
 			to = appendEntry(to, change.part, change.item.Name, change.item.Value)
-			sum = sum.plus(c.countItem(&entry{part: change.part, encoded: to[at:]}, true))
+			digestDelta = digestDelta.plus(c.countItem(&entry{part: change.part, encoded: to[at:]}, true))
 		}
 	}
 	to = append(to, old...)
 	if len(to) == 0 {
-		return nil, sum
+		return nil, digestDelta
 	}
-	return bytes.Clone(to), sum // without spare capacity: blocks are long-lived
+	return bytes.Clone(to), digestDelta // without spare capacity: blocks are long-lived
 }
 
 // sameItemFollows reports whether the first two of the sorted changes are to the same item.
@@ -131,12 +131,12 @@
 	return c.pages[k]
 }
 
-// replaceBlock replaces block n. sum is the difference that this makes to the digest of the block.
-func (p *page) replaceBlock(n int, block []byte, sum Digest) {
+// replaceBlock replaces block n. digestDelta is the digest of the new block minus that of the old one.
+func (p *page) replaceBlock(n int, block []byte, digestDelta Digest) {
 	k := n % fanout
 	p.blocks[k] = block
-	p.sums[k] = p.sums[k].plus(sum)
-	p.sum = p.sum.plus(sum)
+	p.sums[k] = p.sums[k].plus(digestDelta)
+	p.sum = p.sum.plus(digestDelta)
 }
 
 // setBlock replaces block n with a well-formed block, and updates the totals of the content.
--- a/internal/fleet/configsync/command.go
+++ b/internal/fleet/configsync/command.go
@@ -1,8 +1,8 @@
 package configsync
 
 const (
-	itemOverhead   = 24 // approximate bytes of an encoded item, without its name and value
-	recordOverhead = 96 // approximate bytes of an encoded record, without its caller's name and its items
+	itemOverhead   = 24 // at least the encoded size of an item without its name and value
+	recordOverhead = 96 // at least the encoded size of a record without its caller's name and its items
 )
 
 // Revision identifies a version and its content.
@@ -24,7 +24,7 @@
 	size     int    // cached result of bytes; 0 if unknown
 }
 
-// sizeOf returns the approximate encoded size of items, in bytes.
+// sizeOf returns an upper bound of the encoded size of items, in bytes.
 func sizeOf(list []Item) (size int) {
 	for k := range list {
 		size += len(list[k].Name) + len(list[k].Value) + itemOverhead
@@ -32,7 +32,7 @@
 	return size
 }
 
-// bytes returns the approximate encoded size of the record.
+// bytes returns an upper bound of the encoded size of the record.
 func (r *Record) bytes() int {
 	if r.size == 0 {
 		r.size = recordOverhead + len(r.Caller) + sizeOf(r.Changes) + sizeOf(r.Replaced)
@@ -62,16 +62,16 @@
 // Command changes the table.
 type Command struct {
 	Kind       CommandKind `cbor:"1,keyasint"`
-	Caller     string      `cbor:"2,keyasint,omitempty"` // CommandPut, CommandRollback: the unique name of the caller
-	Seq        uint64      `cbor:"3,keyasint,omitempty"` // increases with each command of Caller; a repeated command gets the same verdict
-	Base       uint64      `cbor:"4,keyasint,omitempty"`
-	Changes    []Item      `cbor:"5,keyasint,omitempty"`
-	Piece      int         `cbor:"6,keyasint,omitempty"` // index of this piece of a long change, from 0
-	MorePieces bool        `cbor:"7,keyasint,omitempty"` // further pieces follow; the last piece makes the version
-	Version    uint64      `cbor:"8,keyasint,omitempty"` // CommandPut: in an empty table, the version from which the numbering continues
-	StoppedBy  string      `cbor:"9,keyasint,omitempty"`
-	StopReason string      `cbor:"10,keyasint,omitempty"`
-	WallTime   int64       `cbor:"11,keyasint,omitempty"`
+	Caller     string      `cbor:"2,keyasint,omitempty"`  // CommandPut, CommandRollback: the unique name of the caller
+	Seq        uint64      `cbor:"3,keyasint,omitempty"`  // increases with each command of Caller; a repeated command gets the same verdict
+	Base       uint64      `cbor:"4,keyasint,omitempty"`  // CommandPut: the version on which the change was made
+	Changes    []Item      `cbor:"5,keyasint,omitempty"`  // CommandPut
+	Piece      int         `cbor:"6,keyasint,omitempty"`  // index of this piece of a long change, from 0
+	MorePieces bool        `cbor:"7,keyasint,omitempty"`  // further pieces follow; the last piece makes the version
+	Version    uint64      `cbor:"8,keyasint,omitempty"`  // CommandAdvance, CommandStop: the version at the canary stage; CommandRollback: the version to return to; CommandPut: the version from which a new table continues the numbering
+	StoppedBy  string      `cbor:"9,keyasint,omitempty"`  // CommandStop: the node that refused Version
+	StopReason string      `cbor:"10,keyasint,omitempty"` // CommandStop: why the node refused Version
+	WallTime   int64       `cbor:"11,keyasint,omitempty"` // CommandPut, CommandRollback: Unix time in ns by the clock of the caller
 	CanaryTime int64       `cbor:"12,keyasint,omitempty"` // CommandAdvance: ns that Version has been at the canary stage by the clock of the proposing replica
 }
 
@@ -80,7 +80,7 @@
 	Caller            string `cbor:"1,keyasint,omitempty"`
 	Seq               uint64 `cbor:"2,keyasint,omitempty"`
 	Done              bool   `cbor:"3,keyasint,omitempty"`
-	Version           uint64 `cbor:"4,keyasint,omitempty"` // version with the change if Done, otherwise the newest version
+	Version           uint64 `cbor:"4,keyasint,omitempty"` // CommandPut, CommandRollback: the version that has the change if Done; otherwise the newest version
 	Refused           string `cbor:"5,keyasint,omitempty"` // why the command was refused, and what the caller can do
 	Stale             bool   `cbor:"6,keyasint,omitempty"` // the command was made on a version that is not the newest
 	Differing         []Item `cbor:"7,keyasint,omitempty"` // Stale: items that changed since the command's Base, without values
--- a/internal/fleet/configsync/content.go
+++ b/internal/fleet/configsync/content.go
@@ -77,8 +77,8 @@
 	return nil, Digest{}
 }
 
-// pageSums returns the digests of all pages, concatenated.
-func (c *Content) pageSums() []byte {
+// pageDigests returns the digests of all pages, concatenated.
+func (c *Content) pageDigests() []byte {
 	to := make([]byte, 0, fanout*digestBytes)
 	for _, p := range c.pages {
 		if p == nil {
@@ -89,17 +89,17 @@
 	return to
 }
 
-// index returns the digests of all blocks, concatenated. The sum of these digests is the digest of the content.
-func (c *Content) index() []byte {
+// blockDigests returns the digests of all blocks, concatenated. The sum of these digests is the digest of the content.
+func (c *Content) blockDigests() []byte {
 	to := make([]byte, 0, Blocks*digestBytes)
 	for k := range fanout {
-		to = c.pageIndex(to, k)
+		to = c.appendBlockDigests(to, k)
 	}
 	return to
 }
 
-// pageIndex appends the digests of the blocks of page k.
-func (c *Content) pageIndex(to []byte, k int) []byte {
+// appendBlockDigests appends the digests of the blocks of page k.
+func (c *Content) appendBlockDigests(to []byte, k int) []byte {
 	for n := range fanout {
 		_, sum := c.Block(k*fanout + n)
 		to = sum.append(to)
@@ -116,11 +116,11 @@
 	block, _ := c.Block(blockOf(byte(k), name))
 	for len(block) > 0 {
 		e, rest, _ := readEntry(block)
-		order := e.compare(byte(k), name)
-		if order == 0 {
+		comparison := e.compare(byte(k), name)
+		if comparison == 0 {
 			return e.value
 		}
-		if order > 0 {
+		if comparison > 0 {
 			return nil
 		}
 		block = rest
--- a/internal/fleet/configsync/content_test.go
+++ b/internal/fleet/configsync/content_test.go
@@ -162,14 +162,14 @@
 	c := fullContent(t, 4_700, 130_000)
 	used := int64(heapAlloc()) - int64(before)
 	t.Logf("%d bytes of encoded items take %d bytes of memory", c.Bytes(), used)
-	require.Less(t, used, int64(10<<20))
+	require.Less(t, used, int64(10<<20)) // the items take less than 7 MiB encoded
 	largest := 0
 	for n := range Blocks {
 		block, _ := c.Block(n)
 		largest = max(largest, len(block))
 	}
 	t.Logf("the largest of %d blocks has %d bytes", Blocks, largest)
-	require.Less(t, largest, maxPieceBytes)
+	require.Less(t, largest, maxPieceBytes) // so that each block fits an answer to a fetch
 	versions := []*Content{c}
 	for k := range 20 { // each shares the unchanged blocks with the one before
 		next, err := versions[k].Apply([]Item{{Tenants, fmt.Sprintf("tenant-%08d", k), []byte("1")}})
@@ -178,7 +178,7 @@
 	}
 	more := int64(heapAlloc()) - int64(before) - used
 	t.Logf("20 further versions with one change each: %d bytes", more)
-	require.Less(t, more, int64(20*2*maxPieceBytes))
+	require.Less(t, more, int64(20*2*maxPieceBytes)) // each version copies one block and one page
 	runtime.KeepAlive(versions)
 }
 
@@ -207,17 +207,17 @@
 		table.Apply(1, &Command{Kind: CommandPut, Caller: "a", Seq: uint64(k + 2), Base: uint64(k + 1), Changes: []Item{{Tenants, fmt.Sprint(k), []byte("1")}}})
 		file = AppendRecord(file, table.log[k+1])
 	}
-	load := func(text []byte, piece int) (InitialState, error) {
-		l := &DiskLoader{}
+	load := func(text []byte, chunk int) (InitialState, error) {
+		loader := &DiskLoader{}
 		for len(text) > 0 {
-			n := min(piece, len(text))
-			_, _ = l.Write(text[:n])
+			n := min(chunk, len(text))
+			_, _ = loader.Write(text[:n])
 			text = text[n:]
 		}
-		return l.Start()
+		return loader.Start()
 	}
-	for _, piece := range []int{1, 7, len(file)} {
-		s, err := load(file, piece)
+	for _, chunk := range []int{1, 7, len(file)} {
+		s, err := load(file, chunk)
 		require.NoError(t, err)
 		require.Equal(t, Revision{4, table.newest.Digest()}, s.ContentRevision)
 		require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
@@ -237,7 +237,7 @@
 		other[k] ^= 0x10
 		s, err := load(other, len(other))
 		require.Error(t, err)
-		require.True(t, s.Journal < 0 || s.Content == nil)
+		require.True(t, s.Journal < 0 || s.Content == nil) // a negative Journal makes the node rewrite the file
 		if s.Content != nil {
 			require.Equal(t, s.ContentRevision.Digest, s.Content.Digest())
 		}
--- a/internal/fleet/configsync/difference.go
+++ b/internal/fleet/configsync/difference.go
@@ -2,7 +2,8 @@
 
 import "bytes"
 
-// scanBytesPerCall is the number of bytes of blocks after which a call of Difference.Next that found changes opens no further block.
+// scanBytesPerCall bounds the cost of a call of Difference.Next: a call that has found changes stops before the next block after it has
+// scanned so many bytes of blocks.
 const scanBytesPerCall = 128 << 10
 
 // Difference iterates over the changes from one content to another, in batches. Its cost is proportional to the size of the blocks that
@@ -14,7 +15,7 @@
 	scanned  int    // bytes of all blocks compared so far
 }
 
-// Diff returns the changes from one content to another.
+// Diff returns an iterator over the changes from one content to another.
 func Diff(from, to *Content) *Difference { return &Difference{from: from, to: to} }
 
 // Next returns up to limit further changes, or none at the end. It returns fewer if the changes are scattered over many blocks, which bounds
@@ -44,25 +45,25 @@
 		return Item{}, false
 	}
 	after, newRest, _ := readEntry(d.new)
-	order := d.order(&before, &after)
-	if order <= 0 {
+	comparison := d.compareNext(&before, &after)
+	if comparison <= 0 {
 		d.old = oldRest
 	}
-	if order >= 0 {
+	if comparison >= 0 {
 		d.new = newRest
 	}
 	switch {
-	case order < 0:
+	case comparison < 0:
 		return Item{partNames[before.part], string(before.name), nil}, true
-	case order == 0 && bytes.Equal(before.value, after.value):
+	case comparison == 0 && bytes.Equal(before.value, after.value):
 		return Item{}, false
 	}
 	return after.item(), true
 }
 
-// order compares the next entries of the two blocks: negative if the old entry comes first, positive if the new one does, 0 for the same
+// compareNext compares the next entries of the two blocks: negative if the old entry comes first, positive if the new one does, 0 for the same
 // item.
-func (d *Difference) order(before, after *entry) int {
+func (d *Difference) compareNext(before, after *entry) int {
 	switch {
 	case len(d.old) == 0:
 		return 1
--- a/internal/fleet/configsync/draft.go
+++ b/internal/fleet/configsync/draft.go
@@ -4,17 +4,17 @@
 
 // draft is a change that is committed in several pieces, of which the last has not been applied yet.
 type draft struct {
-	Caller  string `cbor:"1,keyasint,omitempty"`
-	Base    uint64 `cbor:"2,keyasint,omitempty"`
-	Pieces  int    `cbor:"3,keyasint,omitempty"` // number of pieces applied so far; 0 if there is no draft
-	At      int64  `cbor:"4,keyasint,omitempty"` // time of the last piece
-	Changes []Item `cbor:"5,keyasint,omitempty"` // only in a snapshot: differences of content from the newest content
-	Bytes   int    `cbor:"6,keyasint,omitempty"` // approximate encoded size of the pieces
-	content *Content
+	Caller  string   `cbor:"1,keyasint,omitempty"`
+	Base    uint64   `cbor:"2,keyasint,omitempty"`
+	Pieces  int      `cbor:"3,keyasint,omitempty"` // number of pieces applied so far; 0 if there is no draft
+	At      int64    `cbor:"4,keyasint,omitempty"` // time of the table at the last piece, in ns
+	Changes []Item   `cbor:"5,keyasint,omitempty"` // only in a snapshot: the changes that lead from the newest content to the content of the draft
+	Bytes   int      `cbor:"6,keyasint,omitempty"` // approximate encoded size of the pieces
+	content *Content // the newest content with the pieces so far applied
 }
 
 // applyPiece applies one piece of a long change to the draft. The cost depends on the size of that piece only. It returns the complete
-// content after the last piece, and nil before or after a refusal.
+// content with the last piece, otherwise nil: for earlier pieces and for refusals.
 func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
 	d := &t.draft
 	otherDraftActive := d.Pieces > 0 && d.Caller != c.Caller && at < d.At+draftTimeout
--- a/internal/fleet/configsync/fetch.go
+++ b/internal/fleet/configsync/fetch.go
@@ -81,7 +81,7 @@
 		m.Want = r.assembly.revision
 	} else {
 		r.assembly.index = nil
-		m.Sums = r.fetch.base.pageSums()
+		m.Sums = r.fetch.base.pageDigests()
 	}
 	r.fetch.from = m.Has
 	return m
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -130,14 +130,14 @@
 func TestFixtureOfNodeFile(t *testing.T) {
 	table := tableOfFixtures(t)
 	log := table.Records()
-	mark := table.Head().All
+	inForce := table.Head().All
 	all, _, newest := table.Contents()
 	var text []byte
-	for some := range Encode(mark, all) {
+	for some := range Encode(inForce, all) {
 		text = append(text, some...)
 	}
 	for _, r := range log {
-		if r.Version > mark.Version {
+		if r.Version > inForce.Version {
 			text = AppendRecord(text, r)
 		}
 	}
--- a/internal/fleet/configsync/query.go
+++ b/internal/fleet/configsync/query.go
@@ -49,7 +49,7 @@
 	Head             RolloutState `cbor:"1,keyasint"`
 	Newest           Revision     `cbor:"2,keyasint"`
 	RollbackVersions []uint64     `cbor:"3,keyasint,omitempty"` // versions that a CommandRollback may name
-	Nodes            []NodeStatus `cbor:"4,keyasint,omitempty"` // At is the age of the report in ns
+	Nodes            []NodeStatus `cbor:"4,keyasint,omitempty"` // last reports, with At as their age
 	Alive            []string     `cbor:"5,keyasint,omitempty"` // members in the view of this node
 }
 
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -134,7 +134,7 @@
 	near := 0
 	all := 0
 	const seconds = 20
-	wanted := &Message{Kind: MessageFetch, Want: revision, Sums: (&Content{}).pageSums()}
+	wanted := &Message{Kind: MessageFetch, Want: revision, Sums: (&Content{}).pageDigests()}
 	for now := 20 * ms; now < seconds*1_000*ms; now += 20 * ms {
 		var in []Input
 		for k := range 10 {
@@ -339,7 +339,7 @@
 		if len(fetch.Message.Wanted) > 0 {
 			n.serveBlocks(fetch.Message, answer)
 		} else {
-			appendDifferingPages(c.index(), fetch.Message.Sums, answer)
+			appendDifferingPages(c.blockDigests(), fetch.Message.Sums, answer)
 			indices++
 		}
 		r.Step(now+ms, []Input{confirmation(after, after)})
--- a/internal/fleet/configsync/snapshot.go
+++ b/internal/fleet/configsync/snapshot.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	itemsPerStep      = 64      // items encoded between two checks of the cost of a call
-	bytesPerItem      = 128     // bytes of a block that cost as much to copy as one item costs to encode
-	maxItemOverhead   = 32      // bytes of the CBOR heads and keys of an item
-	maxRecordOverhead = 64      // bytes of the CBOR heads and keys of a record or verdict
-	maxHeadBytes      = 1 << 10 // bytes of a RolloutState with a reason, and of a draft without its changes
-	maxLengthBytes    = 9       // bytes of a CBOR head
-	bytesPerFullStep  = 1 << 20 // bytes for each call of Next when the snapshot is encoded in one go
+	itemsPerStep      = 64      // items encoded before the cost of a call is checked again
+	itemCost          = 128     // cost of encoding one item; the unit of cost is that of copying one byte of a block
+	maxItemOverhead   = 32      // at least the bytes of the CBOR heads and keys of an item
+	maxRecordOverhead = 64      // at least the bytes of the CBOR heads and keys of a record or verdict
+	maxStateBytes     = 1 << 10 // at least the encoded size of a RolloutState with a reason and of a draft without its changes
+	maxCBORHeadBytes  = 9       // bytes of a CBOR head
+	costPerFullStep   = 1 << 20 // minCost of each call of Next when the snapshot is encoded in one go
 )
 
 // CBOR (RFC 8949): the first byte of a head holds the major type, and the length or the width of the length that follows.
@@ -63,7 +63,7 @@
 type SnapshotWriter struct {
 	table Table
 	steps []func() bool // remaining steps; each is called until it returns true
-	cost  int           // cost of the current call of Next, in bytes
+	cost  int           // cost of the current call of Next, in copied bytes
 	size  int           // upper bound of the size of text
 	text  []byte        // the encoding so far
 }
@@ -75,7 +75,7 @@
 		return t.snapshot, nil
 	}
 	w := t.BeginSnapshot()
-	for !w.Next(bytesPerFullStep) {
+	for !w.Next(costPerFullStep) {
 	}
 	t.snapshot = w.Encoded()
 	return t.snapshot, nil
@@ -103,8 +103,8 @@
 
 // maxSnapshotBytes returns an upper bound of the size of a snapshot, without the differences between the contents.
 func (t *Table) maxSnapshotBytes() int {
-	size := t.newest.bytes + (Blocks+len(t.rollbackVersions))*maxLengthBytes + t.logSize +
-		(len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxHeadBytes
+	size := t.newest.bytes + (Blocks+len(t.rollbackVersions))*maxCBORHeadBytes + t.logSize +
+		(len(t.log)+len(t.lastVerdicts))*maxRecordOverhead + maxStateBytes
 	for k := range t.lastVerdicts {
 		v := &t.lastVerdicts[k]
 		size += len(v.Caller) + len(v.Refused) + sizeOf(v.Differing)
@@ -117,7 +117,7 @@
 	t := &w.table
 	w.text = make([]byte, 0, w.size)
 	requiredFields := 4 // Head, CanarySince, Blocks, Draft
-	w.writeHead(cborMap, requiredFields+oneIfAny(all)+oneIfAny(canary)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
+	w.writeCBORHead(cborMap, requiredFields+oneIfAny(all)+oneIfAny(canary)+oneIfAny(len(t.log))+oneIfAny(len(t.rollbackVersions))+oneIfAny(len(t.lastVerdicts)))
 	w.writeField(keyHead, t.head)
 	w.writeField(keyCanarySince, t.canarySince)
 	w.writeArrayHead(keyBlocks, Blocks)
@@ -144,7 +144,7 @@
 		if block == nil {
 			w.text = append(w.text, cborNull)
 		} else {
-			w.writeHead(cborBytes, len(block))
+			w.writeCBORHead(cborBytes, len(block))
 			w.text = append(w.text, block...)
 		}
 		n++
@@ -163,11 +163,11 @@
 	}
 }
 
-// Next encodes at least minBytes more, or does work of the same cost, and reports whether the snapshot is complete. It exceeds minBytes by
-// at most one block or one call of Difference.Next.
-func (w *SnapshotWriter) Next(minBytes int) (complete bool) {
+// Next goes on with the encoding until its work costs at least minCost, and reports whether the snapshot is complete. The unit of cost is that
+// of copying one byte of a block. A call exceeds minCost by at most one block or one call of Difference.Next.
+func (w *SnapshotWriter) Next(minCost int) (complete bool) {
 	w.cost = 0
-	for len(w.steps) > 0 && w.cost < minBytes {
+	for len(w.steps) > 0 && w.cost < minCost {
 		before := len(w.text)
 		if w.steps[0]() {
 			w.steps[0] = nil
@@ -267,7 +267,7 @@
 func (w *SnapshotWriter) writeItems(list []Item) {
 	for k := range list {
 		w.writeValue(&list[k])
-		w.cost += bytesPerItem
+		w.cost += itemCost
 	}
 }
 
@@ -286,7 +286,7 @@
 
 func (w *SnapshotWriter) writeArrayHead(key byte, n int) {
 	w.text = append(w.text, key)
-	w.writeHead(cborArray, n)
+	w.writeCBORHead(cborArray, n)
 }
 
 func (w *SnapshotWriter) writeValue(value any) {
@@ -297,8 +297,8 @@
 	w.text = append(w.text, text...)
 }
 
-// writeHead writes the CBOR head of a value: its major type and length.
-func (w *SnapshotWriter) writeHead(majorType byte, n int) {
+// writeCBORHead writes the CBOR head of a value: its major type and length.
+func (w *SnapshotWriter) writeCBORHead(majorType byte, n int) {
 	switch {
 	case n < lengthOf8:
 		w.text = append(w.text, majorType|byte(n))
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -41,30 +41,30 @@
 // A snapshot of a large table must not block the replica: each step is of bounded size. The result must be the state at the beginning,
 // although the table changes between the steps.
 func TestSnapshotIsEncodedInBoundedSteps(t *testing.T) {
-	const once = 64 << 10
+	const minCost = 64 << 10
 	table := largeTable(t, 130_000)
-	before, err := largeTable(t, 130_000).Snapshot()
+	atBeginning, err := largeTable(t, 130_000).Snapshot()
 	require.NoError(t, err)
 	w := table.BeginSnapshot()
-	parts := 0
-	last := 0
+	calls := 0
+	lastLength := 0
 	seq := uint64(1_000)
-	for whole := false; !whole; parts++ {
-		whole = w.Next(once)
-		assert.LessOrEqual(t, len(w.Encoded())-last, once+maxBlockBytes)
-		last = len(w.Encoded())
+	for complete := false; !complete; calls++ {
+		complete = w.Next(minCost)
+		assert.LessOrEqual(t, len(w.Encoded())-lastLength, minCost+maxBlockBytes)
+		lastLength = len(w.Encoded())
 		seq++
 		table.Apply(1<<41, &Command{Kind: CommandPut, Caller: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
-		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
+		table.Apply(1<<41+int64(calls)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
 	}
-	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
-	assert.Equal(t, before, w.Encoded())
-	assert.LessOrEqual(t, cap(w.Encoded()), len(before)*11/10, "the text is allocated once, at its final size")
-	again, err := Restore(w.Encoded())
+	assert.Greater(t, calls, len(atBeginning)/(minCost+maxBlockBytes))
+	assert.Equal(t, atBeginning, w.Encoded())
+	assert.LessOrEqual(t, cap(w.Encoded()), len(atBeginning)*11/10, "the text is allocated once, at its final size")
+	restored, err := Restore(w.Encoded())
 	require.NoError(t, err)
-	text, err := again.Snapshot()
+	text, err := restored.Snapshot()
 	require.NoError(t, err)
-	assert.Equal(t, before, text)
+	assert.Equal(t, atBeginning, text)
 }
 
 // The incremental encoding, written by hand, must have the fields and the length of the encoding of savedTable by the CBOR library, so that
@@ -107,16 +107,16 @@
 		if s.Draft.content != nil {
 			s.Draft.Changes = differences(table.newest, s.Draft.content)
 		}
-		whole, err := cbor.Marshal(&s)
+		encodedByLibrary, err := cbor.Marshal(&s)
 		require.NoError(t, err)
 		w := table.BeginSnapshot()
 		for !w.Next(rapid.IntRange(1, 10_000).Draw(t, "least")) {
 		}
-		var one, two savedTable
-		require.NoError(t, cbor.Unmarshal(whole, &one))
-		require.NoError(t, cbor.Unmarshal(w.Encoded(), &two))
-		require.Equal(t, one, two)
-		require.Len(t, w.Encoded(), len(whole), "no field is encoded twice")
+		var fromLibrary, fromWriter savedTable
+		require.NoError(t, cbor.Unmarshal(encodedByLibrary, &fromLibrary))
+		require.NoError(t, cbor.Unmarshal(w.Encoded(), &fromWriter))
+		require.Equal(t, fromLibrary, fromWriter)
+		require.Len(t, w.Encoded(), len(encodedByLibrary), "no field is encoded twice")
 	})
 }
 
@@ -134,7 +134,7 @@
 	calls := 0
 	for before := 0; ; before = d.scanned {
 		some := d.Next(256)
-		assert.LessOrEqual(t, d.scanned-before, 256<<10)
+		assert.LessOrEqual(t, d.scanned-before, 256<<10) // above scanBytesPerCall plus the last block of both contents
 		if len(some) == 0 {
 			break
 		}
--- a/internal/fleet/configsync/statustable.go
+++ b/internal/fleet/configsync/statustable.go
@@ -13,8 +13,8 @@
 	Revision Revision `cbor:"Mark" json:"Mark"` // in force at the node
 	Refused  Revision // the newest that the node refused, if any
 	Why      string   // reason of the refusal
-	Age      int64    // ns from the application of Revision to the report
-	At       int64    // time of the report, in ns
+	Age      int64    // ns between the time at which Revision was applied and the report
+	At       int64    // ns: in a StatusTable the time of the report, in a ReplicaStatus the age of the report
 }
 
 // StatusTable holds the reports that nodes sent to one replica. It is not replicated: only the tables of all replicas together cover the
--- a/internal/fleet/configsync/table.go
+++ b/internal/fleet/configsync/table.go
@@ -13,13 +13,13 @@
 	canaryDuration     = 2_500 * ms  // ns of the canary stage: enough for gossip, a fetch, and a refusal that is lost once and repeated
 	draftTimeout       = 60_000 * ms // ns after the last piece of a draft until another caller may replace the draft
 	maxPutBytes        = 128 << 10   // size of the changes of one command, which is one entry of the consensus log
-	maxLogRecords      = 1_024
-	maxLogBytes        = 1 << 20 // size of the records in the log; nodes that need older records fetch blocks
-	maxCallers         = 256     // callers whose last verdict is stored
-	maxNamedItems      = 32      // items that a verdict lists by name; further ones are only counted
-	maxReasonBytes     = 256     // length of a node's reason for a refusal
-	maxCallerNameBytes = 128
-	maxStartVersion    = 1 << 60 // highest version that the numbering of a new table may continue from
+	maxLogRecords      = 1_024       // records in the log; also entries of rollbackVersions, and changes in a batch while a record is filled
+	maxLogBytes        = 1 << 20     // size of the records in the log; nodes that need older records fetch blocks
+	maxCallers         = 256         // callers whose last verdict is stored
+	maxNamedItems      = 32          // items that a verdict lists by name; further ones are only counted
+	maxReasonBytes     = 256         // length of a node's reason for a refusal
+	maxCallerNameBytes = 128         // length of the name of a caller, or of a node that refused a version
+	maxStartVersion    = 1 << 60     // highest version that the numbering of a new table may continue from
 )
 
 // Table is the replicated state of the fleet's configuration: its versions and which of them are in force. Replicas that apply the same
--- a/internal/fleet/configsync/table_test.go
+++ b/internal/fleet/configsync/table_test.go
@@ -141,16 +141,16 @@
 			for n, content := range map[Revision]*Content{a.head.All: a.all, a.head.Canary: a.canary} {
 				require.Equal(t, n.Digest, content.Digest())
 			}
-			one, err := a.Snapshot()
+			ofA, err := a.Snapshot()
 			require.NoError(t, err)
-			two, err := b.Snapshot()
+			ofB, err := b.Snapshot()
 			require.NoError(t, err)
-			require.Equal(t, one, two)
-			b, err = Restore(two)
+			require.Equal(t, ofA, ofB)
+			b, err = Restore(ofB)
 			require.NoError(t, err)
-			three, err := b.Snapshot()
+			ofRestored, err := b.Snapshot()
 			require.NoError(t, err)
-			require.Equal(t, one, three)
+			require.Equal(t, ofA, ofRestored)
 		}
 	})
 }
@@ -158,16 +158,16 @@
 func TestSnapshotOfAnUnchangedTableIsCached(t *testing.T) {
 	table := NewTable()
 	table.Apply(1, putOn(0, 1, tenant(1, "1")))
-	one, _ := table.Snapshot()
+	first, _ := table.Snapshot()
 	require.Zero(t, testing.AllocsPerRun(10, func() { _, _ = table.Snapshot() }))
 	table.Apply(1, &Command{Kind: CommandAdvance, Version: 7}) // refused
-	two, _ := table.Snapshot()
-	require.Same(t, &one[0], &two[0])
-	for end := 0; end < len(one); end += 11 {
-		_, err := Restore(one[:end])
+	second, _ := table.Snapshot()
+	require.Same(t, &first[0], &second[0])
+	for end := 0; end < len(first); end += 11 {
+		_, err := Restore(first[:end])
 		require.Error(t, err)
 	}
-	corrupted := append([]byte{}, one...)
+	corrupted := append([]byte{}, first...)
 	for k := 0; k < len(corrupted); k += 7 {
 		corrupted[k] ^= 4
 		if y, err := Restore(corrupted); err == nil { // a corrupted snapshot that Restore accepts must still match its digests
