--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -11,12 +11,13 @@
 type EffectKind uint8
 
 // The kinds of effects. An input after "then" is the one that the host delivers when the effect is carried out.
+// CloseWithoutLinger may follow CloseAfterFlush on the same connection.
 const (
 	ReadConnection       EffectKind = iota // start reading frames from the connection Link
 	SendToConnection                       // write Bytes to the connection Link
-	CloseAfterFlush                        // close the connection Link once everything is written and read, giving the peer time to read; then ConnectionClosed
-	CloseWithoutLinger                     // close the connection Link once everything is written, even within a frame that is being read and without giving the peer time to read; may follow CloseAfterFlush
-	ResumeConnection                       // cancel CloseAfterFlush or CloseWithoutLinger for the connection Link, on which a request arrived before the close
+	CloseAfterFlush                        // close the connection Link once everything is written and read, leaving the peer time to read it; then ConnectionClosed
+	CloseWithoutLinger                     // close the connection Link once everything is written, leaving the peer no time to read it, even within a frame
+	ResumeConnection                       // cancel the close of the connection Link, on which a request has arrived
 	DiscardInput                           // discard all further input of the connection Link: read slowly, only to notice its end
 	DialExecutor                           // open the link Link to the executor at Address; then ExecutorConnected or ExecutorDisconnected
 	SendToExecutor                         // write Bytes to the executor's link
--- a/internal/node/machine.go
+++ b/internal/node/machine.go
@@ -141,11 +141,15 @@
 			sm.connections.opened(inputs[i].Link)
 		}
 	}
+	// Timers.
 	sm.runTimers()
 	sm.expireLease()
+	// Changes of the configuration.
 	sm.applyVersions()
 	sm.applyPendingConfig()
+	// Decisions.
 	sm.decide()
+	// Subsystems that depend on the decisions.
 	sm.expireTokens()
 	sm.stepLeases()
 	sm.stepClaims()
@@ -153,6 +157,7 @@
 	sm.sampler.sampleIfDue()
 	sm.stepConfigSync()
 	sm.stepMembership()
+	// The exit, and the time of the next wakeup.
 	sm.drain.finish()
 	wakeAt := sm.nextWakeup()
 	sm.Invariants.Check(wakeAt > now, "the next wakeup is after now")
