--- a/internal/fleet/consensus/apply.go
+++ b/internal/fleet/consensus/apply.go
@@ -19,28 +19,28 @@
 	}
 }
 
-// applyToTables applies the parts of an entry to their tables. An entry that can't be decoded is ignored: all replicas decode the same
+// applyToTables applies the commands of an entry to their tables. An entry that can't be decoded is ignored: all replicas decode the same
 // bytes, so all ignore it.
 func (r *raftReplica) applyToTables(data []byte) {
-	var parts map[uint8]cbor.RawMessage
-	if cborDecoding.Unmarshal(data, &parts) != nil {
+	var commandsByTable map[uint8]cbor.RawMessage
+	if cborDecoding.Unmarshal(data, &commandsByTable) != nil {
 		return
 	}
 	r.Counters.AppliedEntries++
-	for key := range parts {
+	for key := range commandsByTable {
 		if key == 0 || int(key) > len(r.tables) {
 			panic(errNewerTable)
 		}
 	}
 	for i, t := range r.tables {
-		part := parts[uint8(i)+1]
-		if part == nil {
+		commands := commandsByTable[uint8(i)+1]
+		if commands == nil {
 			continue
 		}
 		r.snapshots.cachedEncodings[i] = nil
 		if r.snapshots.writer != nil {
 			r.snapshots.writer.changed[i] = true
 		}
-		t.Apply(r.agreedTime(), part)
+		t.Apply(r.agreedTime(), commands)
 	}
 }
--- a/internal/fleet/consensus/bootstrap.go
+++ b/internal/fleet/consensus/bootstrap.go
@@ -12,13 +12,13 @@
 
 // A replica that starts without its state can't know what it voted for, so it takes a new raft ID instead of that of its earlier
 // incarnation. If no member belongs to a group, they bootstrap one: each replica binds its incarnation to the set of raft IDs that it has
-// discovered, and starts the group when all members are bound to the same set. If a group exists, its leader replaces the earlier
-// incarnation by the new one in the group's membership.
+// discovered, that is, it will start a group only of exactly these, and starts it when all members are bound to the same set. If a group
+// exists, its leader replaces the earlier incarnation by the new one in the group's membership.
 
 const (
-	discoveryInterval = 100 * ms    // ns between discovery messages of a replica that belongs to no group
-	bindingTimeout    = 3_000 * ms  // ns after which an incarnation gives up a bootstrap that does not complete
-	bootstrapTimeout  = 10_000 * ms // ns after which a replica gives up a new group that had no leader
+	discoveryInterval = 100 * ms    // between discovery messages of a replica that belongs to no group
+	bindingTimeout    = 3_000 * ms  // after which an incarnation gives up a bootstrap that does not complete
+	bootstrapTimeout  = 10_000 * ms // after which a replica gives up a new group that had no leader
 )
 
 // tickBootstrap binds this incarnation to the discovered raft IDs, starts the group when all members are bound to the same set, and else
@@ -26,14 +26,14 @@
 func (r *raftReplica) tickBootstrap() {
 	visible := r.visibleSetHash()
 	switch {
-	case r.bootstrap.boundSet == 0 && visible != 0:
-		r.bootstrap.boundSet = visible
+	case r.bootstrap.boundSetHash == 0 && visible != 0:
+		r.bootstrap.boundSetHash = visible
 		r.bootstrap.boundAt = r.now
 		r.bootstrap.discoveryAt = r.now
-	case r.bootstrap.boundSet != 0 && r.now-r.bootstrap.boundAt > bindingTimeout:
+	case r.bootstrap.boundSetHash != 0 && r.now-r.bootstrap.boundAt > bindingTimeout:
 		r.restart() // this raft ID has not voted or acknowledged anything
 	}
-	if r.bootstrap.boundSet != 0 && r.allBound() {
+	if r.bootstrap.boundSetHash != 0 && r.allBound() {
 		r.startGroup()
 		return
 	}
@@ -63,8 +63,8 @@
 		Kind:         MessageDiscovery,
 		RaftID:       r.raft.id,
 		Incarnation:  r.incarnation,
-		BoundSetHash: r.bootstrap.boundSet,
-		Unassigned:   !r.bootstrap.done,
+		BoundSetHash: r.bootstrap.boundSetHash,
+		Unassigned:   !r.bootstrap.inGroup,
 	})
 }
 
@@ -82,13 +82,13 @@
 		}
 		_, _ = fmt.Fprintf(hash, "%s %x\n", name, id) // a hash returns no error
 	}
-	return hash.Sum64() | 1
+	return hash.Sum64() | 1 // 0 stands for no set
 }
 
 // allBound reports whether all other members are bound to the same set as this replica.
 func (r *raftReplica) allBound() bool {
 	for _, name := range r.members {
-		if name != r.self && r.bootstrap.discovered[name].BoundSetHash != r.bootstrap.boundSet {
+		if name != r.self && r.bootstrap.discovered[name].BoundSetHash != r.bootstrap.boundSetHash {
 			return false
 		}
 	}
@@ -114,7 +114,7 @@
 	if len(r.members) == 1 {
 		r.leadership.electionAt = r.now
 	}
-	r.log(false, "consensus: bootstrapped a group of %d replicas with empty tables", len(r.members))
+	r.logLine(false, "consensus: bootstrapped a group of %d replicas with empty tables", len(r.members))
 	r.broadcastDiscovery()
 }
 
@@ -129,7 +129,7 @@
 	r.raft.confState = conf
 	r.raft.appliedIndex = 1
 	r.raft.snapshotIndex = 1
-	r.bootstrap.done = true
+	r.bootstrap.inGroup = true
 }
 
 func (r *raftReplica) handleDiscovery(m *Message) {
@@ -141,7 +141,7 @@
 		return // delayed message of an earlier incarnation
 	}
 	r.bootstrap.discovered[m.From] = *m
-	if m.Unassigned && (r.bootstrap.done || !known || before.RaftID != m.RaftID || before.BoundSetHash != m.BoundSetHash) {
+	if m.Unassigned && (r.bootstrap.inGroup || !known || before.RaftID != m.RaftID || before.BoundSetHash != m.BoundSetHash) {
 		r.sendDiscovery(m.From)
 	}
 }
@@ -159,8 +159,8 @@
 	}
 }
 
-func (r *raftReplica) proposeReplacement(name string, now, before replicaIncarnation) {
-	context, err := cbor.Marshal(map[string]replicaIncarnation{name: now})
+func (r *raftReplica) proposeReplacement(name string, next, previous replicaIncarnation) {
+	context, err := cbor.Marshal(map[string]replicaIncarnation{name: next})
 	if err != nil {
 		return
 	}
@@ -168,8 +168,8 @@
 	add := pb.ConfChangeAddNode
 	auto := pb.ConfChangeTransitionAuto
 	change := &pb.ConfChangeV2{Transition: &auto, Context: context, Changes: []*pb.ConfChangeSingle{
-		{Type: &remove, NodeId: &before.RaftID},
-		{Type: &add, NodeId: &now.RaftID},
+		{Type: &remove, NodeId: &previous.RaftID},
+		{Type: &add, NodeId: &next.RaftID},
 	}}
 	_ = r.raft.node.ProposeConfChange(change) // if it is dropped, the next tick proposes it again
 }
@@ -183,15 +183,15 @@
 	}
 	r.raft.confState = r.raft.node.ApplyConfChange(change)
 	defer r.startSnapshot()
-	var replaced map[string]replicaIncarnation
-	if len(change.Context) == 0 || cbor.Unmarshal(change.Context, &replaced) != nil {
+	var replacements map[string]replicaIncarnation
+	if len(change.Context) == 0 || cbor.Unmarshal(change.Context, &replacements) != nil {
 		return
 	}
-	for name, replica := range replaced {
+	for name, replica := range replacements {
 		r.replicas[name] = replica
 		r.leadership.lastContact[replica.RaftID] = r.now
 		r.Counters.ReplacedMembers++
-		r.log(false, "consensus: %s is a member as a new incarnation, without the state of the previous one", name)
+		r.logLine(false, "consensus: %s is a member as a new incarnation, without the state of the previous one", name)
 	}
 }
 
--- a/internal/fleet/consensus/claimtable.go
+++ b/internal/fleet/consensus/claimtable.go
@@ -9,7 +9,7 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-const timeAdvanceInterval = 250 * ms // ns after which the leader proposes to advance the table's time
+const timeAdvanceInterval = 250 * ms // after which the leader proposes to advance the table's time
 
 // commandID identifies a node's command on claims.
 type commandID struct {
@@ -20,26 +20,26 @@
 // claimTable is the replicated table of claims, with the commands that this replica has to answer. While this replica leads, it also
 // advances the table's time, plans takeovers, and collects the ended claims of which waiting nodes are notified.
 type claimTable struct {
-	replica      *raftReplica
-	maxBytes     int64 // limit on the table, 0 for the default
-	view         []takeover.Member
-	table        *claims.Table
-	planner      *takeover.Planner
-	advancedAt   int64 // when this replica last applied an advance of the table's time
-	queuedClaims []claims.Command
-	pending      map[commandID]int64 // when each command was received
-	verdicts     map[claims.Owner][]claims.Verdict
-	endedClaims  map[claims.Owner][]claims.Key
-	alterCommand func(command *claims.Command, table *claims.Table) // injects faults in tests, nil otherwise
+	replica        *raftReplica
+	maxClaimBytes  int64 // limit on the table, 0 for the default
+	membershipView []takeover.Member
+	claims         *claims.Table
+	planner        *takeover.Planner
+	advancedAt     int64 // when this replica last applied an advance of the table's time
+	queuedClaims   []claims.Command
+	pendingClaims  map[commandID]int64 // when each command was received
+	claimVerdicts  map[claims.Owner][]claims.Verdict
+	endedClaims    map[claims.Owner][]claims.Key
+	alterCommand   func(command *claims.Command, table *claims.Table) // injects faults in tests, nil otherwise
 }
 
 func (t *claimTable) reset() {
-	t.table = claims.NewTable()
+	t.claims = claims.NewTable()
 	t.planner = nil
 	t.advancedAt = t.replica.now
 	t.queuedClaims = nil
-	t.pending = map[commandID]int64{}
-	t.verdicts = map[claims.Owner][]claims.Verdict{}
+	t.pendingClaims = map[commandID]int64{}
+	t.claimVerdicts = map[claims.Owner][]claims.Verdict{}
 	t.endedClaims = map[claims.Owner][]claims.Key{}
 }
 
@@ -48,17 +48,17 @@
 // enqueueClaim queues a node's command to be proposed. It drops the command if no leader is known or too many commands are pending; the
 // node then retries.
 func (t *claimTable) enqueueClaim(command claims.Command) {
-	if t.replica.leadership.leaderID == 0 || len(t.pending) >= maxPendingCommands {
+	if t.replica.leadership.leaderID == 0 || len(t.pendingClaims) >= maxPendingCommands {
 		return
 	}
-	t.pending[commandID{command.Sender, command.Seq}] = t.replica.now
+	t.pendingClaims[commandID{command.Sender, command.Seq}] = t.replica.now
 	t.queuedClaims = append(t.queuedClaims, command)
 }
 
 func (t *claimTable) expirePending() {
-	for id, at := range t.pending {
+	for id, at := range t.pendingClaims {
 		if t.replica.now-at >= pendingTimeout {
-			delete(t.pending, id)
+			delete(t.pendingClaims, id)
 		}
 	}
 }
@@ -69,10 +69,10 @@
 	now := t.replica.now
 	sinceAdvance := now - t.advancedAt
 	if sinceAdvance >= timeAdvanceInterval {
-		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, MeasuredFrom: t.table.Time(), Duration: sinceAdvance,
-			MaxTableBytes: t.maxBytes})
+		t.queuedClaims = append(t.queuedClaims, claims.Command{Kind: claims.CommandAdvanceTime, MeasuredFrom: t.claims.Time(), Duration: sinceAdvance,
+			MaxTableBytes: t.maxClaimBytes})
 	}
-	commands, reassignments := t.planner.Step(now, t.view, t.table, sinceAdvance)
+	commands, reassignments := t.planner.Step(now, t.membershipView, t.claims, sinceAdvance)
 	t.queuedClaims = append(t.queuedClaims, commands...)
 	for i := range reassignments {
 		t.sendReassignment(&reassignments[i])
@@ -84,7 +84,7 @@
 		return
 	}
 	if a.First {
-		t.replica.log(false, "consensus: claim %s of %s is taken over by %s with fence %d, %d ms before its deadline", a.Entry.Key, a.LostOwner.Name, a.NewOwner.Name,
+		t.replica.logLine(false, "consensus: claim %s of %s is taken over by %s with fence %d, %d ms before its deadline", a.Entry.Key, a.LostOwner.Name, a.NewOwner.Name,
 			a.Entry.Fence, a.Remaining/ms)
 	}
 	t.replica.send(a.NewOwner.Name, Message{Kind: MessageReassignment, Owner: a.NewOwner, Claim: a.Entry, Remaining: a.Remaining})
@@ -92,29 +92,29 @@
 
 func (t *claimTable) storedSeparately() bool { return false }
 
-func (t *claimTable) nextProposal() (part []byte) {
-	part, t.queuedClaims = encodeQueued(t.queuedClaims)
-	return part
+func (t *claimTable) nextProposal() (commands []byte) {
+	commands, t.queuedClaims = encodeQueued(t.queuedClaims)
+	return commands
 }
 
 // encodeQueued encodes the first maxEntryCommands of the queued commands, and returns those that are left. If they can't be encoded, it
 // drops them all.
-func encodeQueued[T any](queued []T) (part []byte, rest []T) {
+func encodeQueued[T any](queued []T) (commands []byte, rest []T) {
 	n := min(len(queued), maxEntryCommands)
 	if n == 0 {
 		return nil, nil
 	}
-	part, err := cbor.Marshal(queued[:n])
+	commands, err := cbor.Marshal(queued[:n])
 	if err != nil {
 		return nil, nil // the nodes retry
 	}
-	return part, queued[n:]
+	return commands, queued[n:]
 }
 
 // Apply applies the commands on claims of an entry. It ignores the agreed time, which is this table's own time.
-func (t *claimTable) Apply(_ int64, part []byte) {
+func (t *claimTable) Apply(_ int64, commands []byte) {
 	var list []claims.Command
-	if cborDecoding.Unmarshal(part, &list) != nil {
+	if cborDecoding.Unmarshal(commands, &list) != nil {
 		return
 	}
 	if slices.ContainsFunc(list, func(c claims.Command) bool { return c.Kind >= claims.CommandKindCount }) {
@@ -129,15 +129,15 @@
 	t.replica.Counters.CommittedCommands++
 	id := commandID{command.Sender, command.Seq}
 	if t.alterCommand != nil {
-		t.alterCommand(command, t.table)
+		t.alterCommand(command, t.claims)
 	}
-	verdict := t.table.Apply(command)
+	verdict := t.claims.Apply(command)
 	if command.Kind == claims.CommandAdvanceTime {
 		t.advancedAt = t.replica.now
 	}
-	if _, waits := t.pending[id]; waits {
-		delete(t.pending, id)
-		t.verdicts[command.Sender] = append(t.verdicts[command.Sender], verdict)
+	if _, waits := t.pendingClaims[id]; waits {
+		delete(t.pendingClaims, id)
+		t.claimVerdicts[command.Sender] = append(t.claimVerdicts[command.Sender], verdict)
 	}
 	if t.replica.IsLeader() {
 		t.collectEnded()
@@ -145,7 +145,7 @@
 }
 
 func (t *claimTable) collectEnded() {
-	for _, ended := range t.table.EndNotifications {
+	for _, ended := range t.claims.EndNotifications {
 		for _, owner := range ended.Waiters {
 			t.endedClaims[owner] = append(t.endedClaims[owner], ended.Key)
 		}
@@ -153,14 +153,14 @@
 }
 
 // Snapshot encodes the table of claims.
-func (t *claimTable) Snapshot() ([]byte, error) { return t.table.Snapshot() }
+func (t *claimTable) Snapshot() ([]byte, error) { return t.claims.Snapshot() }
 
 // Restore replaces the table of claims.
 func (t *claimTable) Restore(encoded []byte) (err error) {
 	t.advancedAt = t.replica.now
-	t.table = claims.NewTable()
+	t.claims = claims.NewTable()
 	if len(encoded) > 0 {
-		t.table, err = claims.Restore(encoded)
+		t.claims, err = claims.Restore(encoded)
 	}
 	return err
 }
--- a/internal/fleet/consensus/configtable.go
+++ b/internal/fleet/consensus/configtable.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxConfigEntryBytes = 128 << 10 // of changes in one entry, exceeded by at most one command
-	maxPendingConfigs   = 256       // commands that this replica has yet to answer; more are dropped, and the caller retries
-	dueProposalInterval = 500 * ms  // ns until the leader proposes a due command again, since its entry may be lost
+	maxConfigEntryBytes  = 128 << 10 // bytes of changes in one entry, exceeded by at most one command
+	maxPendingConfigs    = 256       // commands that this replica has yet to answer; more are dropped, and the caller retries
+	advanceRetryInterval = 500 * ms  // until the leader proposes again to advance a version, since the entry may be lost
 )
 
 // configCommandID identifies a caller's command on the configuration.
@@ -19,8 +19,8 @@
 	seq    uint64
 }
 
-// pendingConfig is the node that waits for the verdict on a command.
-type pendingConfig struct {
+// waitingNode is a node that waits for the verdict on a command.
+type waitingNode struct {
 	owner claims.Owner
 	at    int64 // when the command was received
 }
@@ -31,13 +31,13 @@
 	replica         *raftReplica
 	validate        func(*configsync.Command) string // returns why a change is invalid regardless of other changes, empty if it is valid; nil for no validation
 	table           *configsync.Table
-	inUse           bool // a command was committed; before that, snapshots hold an empty part for this table
+	inUse           bool // a command was committed; before that, snapshots hold an empty item for this table
 	changed         bool // since AgreedConfig was last called
 	reportedInGroup bool // whether AgreedConfig last returned versions, rather than nil for a replica without a group
 	queued          []configsync.Command
-	pending         map[configCommandID]pendingConfig
+	pending         map[configCommandID]waitingNode
 	verdicts        map[claims.Owner][]configsync.Verdict
-	nextDueAt       int64 // earliest time at which a due command is proposed again
+	nextAdvanceAt   int64 // earliest time at which the leader proposes to advance a version again
 	canary          configsync.Revision
 	canarySince     int64 // when canary entered the canary stage, by this replica's clock
 }
@@ -47,9 +47,9 @@
 	t.inUse = false
 	t.changed = true
 	t.queued = nil
-	t.pending = map[configCommandID]pendingConfig{}
+	t.pending = map[configCommandID]waitingNode{}
 	t.verdicts = map[claims.Owner][]configsync.Verdict{}
-	t.nextDueAt = 0
+	t.nextAdvanceAt = 0
 	t.trackCanary()
 }
 
@@ -62,11 +62,11 @@
 	}
 }
 
-func (t *configTable) becomeLeader() { t.nextDueAt = 0 }
+func (t *configTable) becomeLeader() { t.nextAdvanceAt = 0 }
 
 // enqueue queues commands to be proposed. It rejects invalid changes, and drops commands if no leader is known or too many are pending;
 // the caller then retries. The verdict on a repeated command goes to the node that sent it last. The zero owner stands for this replica's
-// own commands, which get no verdict.
+// own commands, which wait for no verdict.
 func (t *configTable) enqueue(owner claims.Owner, list []configsync.Command) {
 	local := owner == claims.Owner{}
 	for i := range list {
@@ -83,7 +83,7 @@
 			return
 		}
 		if !local {
-			t.pending[configCommandID{c.Caller, c.Seq}] = pendingConfig{owner, t.replica.now}
+			t.pending[configCommandID{c.Caller, c.Seq}] = waitingNode{owner, t.replica.now}
 		}
 		t.queued = append(t.queued, *c)
 	}
@@ -103,18 +103,18 @@
 }
 
 func (t *configTable) expirePending() {
-	for id, by := range t.pending {
-		if t.replica.now-by.at >= pendingTimeout {
+	for id, waiter := range t.pending {
+		if t.replica.now-waiter.at >= pendingTimeout {
 			delete(t.pending, id)
 		}
 	}
 }
 
-// leaderTick queues the command that follows when a version has been at the canary stage for long enough.
+// leaderTick queues the command that advances a version which has been at the canary stage for long enough.
 func (t *configTable) leaderTick() {
 	due := t.table.DueAdvanceByReplicaClock(t.replica.now - t.canarySince)
-	if due != nil && t.replica.now >= t.nextDueAt {
-		t.nextDueAt = t.replica.now + dueProposalInterval
+	if due != nil && t.replica.now >= t.nextAdvanceAt {
+		t.nextAdvanceAt = t.replica.now + advanceRetryInterval
 		t.queued = append(t.queued, *due)
 	}
 }
@@ -123,7 +123,7 @@
 func (t *configTable) storedSeparately() bool { return t.inUse }
 
 // nextProposal encodes the first of the queued commands, as many as the limits on the commands and bytes of an entry allow.
-func (t *configTable) nextProposal() (part []byte) {
+func (t *configTable) nextProposal() (commands []byte) {
 	count := 0
 	size := 0
 	for count < min(len(t.queued), maxEntryCommands) && size < maxConfigEntryBytes {
@@ -133,12 +133,12 @@
 	if count == 0 {
 		return nil
 	}
-	part, err := cbor.Marshal(t.queued[:count])
+	commands, err := cbor.Marshal(t.queued[:count])
 	t.queued = t.queued[count:]
 	if err != nil {
 		return nil // the caller retries
 	}
-	return part
+	return commands
 }
 
 func changesBytes(c *configsync.Command) (size int) {
@@ -150,9 +150,9 @@
 }
 
 // Apply applies the commands on the configuration of an entry.
-func (t *configTable) Apply(at int64, part []byte) {
+func (t *configTable) Apply(at int64, commands []byte) {
 	var list []configsync.Command
-	if cborDecoding.Unmarshal(part, &list) != nil {
+	if cborDecoding.Unmarshal(commands, &list) != nil {
 		return
 	}
 	t.inUse = true
@@ -170,9 +170,9 @@
 	t.changed = true
 	verdict := t.table.Apply(at, c)
 	id := configCommandID{c.Caller, c.Seq}
-	if by, waits := t.pending[id]; waits && isCallerCommand(c) {
+	if waiter, waits := t.pending[id]; waits && isCallerCommand(c) {
 		delete(t.pending, id)
-		t.verdicts[by.owner] = append(t.verdicts[by.owner], verdict)
+		t.verdicts[waiter.owner] = append(t.verdicts[waiter.owner], verdict)
 	}
 }
 
@@ -211,12 +211,12 @@
 // if they did not change, or if the replica belongs to no group.
 func (r *Replica) AgreedConfig() (agreed *configsync.Agreed, changed bool) {
 	t := r.configs
-	changed = t.changed || t.reportedInGroup != r.bootstrap.done
-	if changed && r.bootstrap.done {
+	changed = t.changed || t.reportedInGroup != r.bootstrap.inGroup
+	if changed && r.bootstrap.inGroup {
 		agreed = t.table.Agreed()
 	}
 	t.changed = false
-	t.reportedInGroup = r.bootstrap.done
+	t.reportedInGroup = r.bootstrap.inGroup
 	return agreed, changed
 }
 
--- a/internal/fleet/consensus/fixtures_test.go
+++ b/internal/fleet/consensus/fixtures_test.go
@@ -19,6 +19,7 @@
 )
 
 // Guards the encodings of messages of each kind, of the summary and counters, and of the disk: other builds must be able to decode them.
+// The recorded files keep the names that they were recorded under: picture is a summary, handed are takeover counters, seats are replicas.
 func TestEncodingFixtures(t *testing.T) {
 	t.Run("messages", func(t *testing.T) {
 		var list []Message
@@ -113,13 +114,13 @@
 	want := fixtureReplica()
 	claimCommands, leaseCommands, configCommands := fixtureCommands()
 	for i := range claimCommands {
-		want.table.Apply(&claimCommands[i])
+		want.claims.Apply(&claimCommands[i])
 	}
 	for i := range leaseCommands {
-		want.leases.Apply(want.table.Time(), &leaseCommands[i])
+		want.leases.Apply(want.claims.Time(), &leaseCommands[i])
 	}
 	for i := range configCommands {
-		want.configs.table.Apply(want.table.Time(), &configCommands[i])
+		want.configs.table.Apply(want.claims.Time(), &configCommands[i])
 	}
 	want.configs.inUse = true
 	got := fixtureReplica()
@@ -127,7 +128,7 @@
 	got.applyEntry(&raftpb.Entry{Data: fixture, Index: &index, Term: &term})
 	assertEqualTables(t, want, got)
 	states := map[claims.State]int{}
-	for _, e := range got.table.List(10) {
+	for _, e := range got.claims.List(10) {
 		states[e.State]++
 	}
 	assert.Equal(t, map[claims.State]int{claims.StateClaimed: 2, claims.StateStarted: 1, claims.StateEnded: 1}, states)
@@ -200,7 +201,7 @@
 	require.NoError(t, err)
 	require.Len(t, entries, 2)
 	reader.applyEntry(entries[0])
-	assert.Equal(t, 350*ms, reader.table.Time())
+	assert.Equal(t, 350*ms, reader.claims.Time())
 	reader.applyEntry(entries[1])
 	assert.Equal(t, map[string]replicaIncarnation{"n1": {0x21, 21}, "n2": {0x22, 22}, "n3": {0x33, 33}}, reader.replicas)
 }
--- a/internal/fleet/consensus/leader.go
+++ b/internal/fleet/consensus/leader.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	heartbeatInterval    = 80 * ms    // ns
-	minElectionTimeout   = 600 * ms   // ns without contact to a leader; each timeout is drawn at random between this and twice this
-	leaderSilenceTimeout = 1_200 * ms // ns without contact to a majority after which a leader steps down, so that others may be elected
-	stepDownInterval     = 3_000 * ms // ns between the messages of a leader that stepped down: two such leaders learn of each other, and in between others can be elected
-	leaderTickInterval   = 50 * ms    // ns
-	snapshotTimeout      = 1_000 * ms // ns after which a snapshot that was sent counts as lost
-	snapshotRetryBackoff = 50 * ms    // ns until raft sends a snapshot again that was still being written
+	heartbeatInterval       = 80 * ms    // several heartbeats may be lost within minElectionTimeout
+	minElectionTimeout      = 600 * ms   // without contact to a leader; each time-out is drawn at random between this and twice this
+	majorityTimeout         = 1_200 * ms // without contact to a majority, after which a leader keeps silent, so that another may be elected
+	silentHeartbeatInterval = 3_000 * ms // between the heartbeats of a silent leader: two silent leaders learn of each other, and in between another can be elected
+	leaderTickInterval      = 50 * ms    // between the leader's own commands
+	snapshotTimeout         = 1_000 * ms // after which a snapshot that was sent is reported to raft as failed
+	snapshotRetryBackoff    = 50 * ms    // until raft tries again to send a snapshot that was held back
 )
 
 func (r *raftReplica) resetElectionTimer() {
@@ -50,18 +50,18 @@
 	for _, replica := range r.replicas {
 		r.leadership.lastContact[replica.RaftID] = r.now
 	}
-	r.log(false, "consensus: this replica leads the group in term %d", r.raft.node.BasicStatus().GetTerm())
+	r.logLine(false, "consensus: this replica leads the group in term %d", r.raft.node.BasicStatus().GetTerm())
 }
 
-// steppedDown reports whether this replica leads but has had no contact to a majority for leaderSilenceTimeout. It then stops sending raft
-// messages, so that replicas that receive them, but can't reach this one, elect another leader.
-func (r *raftReplica) steppedDown() bool {
+// lostMajority reports whether this replica leads but has had no contact to a majority for majorityTimeout. It remains raft's leader, but
+// stops sending raft messages, so that replicas that receive them, but can't reach this one, elect another leader.
+func (r *raftReplica) lostMajority() bool {
 	if !r.IsLeader() {
 		return false
 	}
 	inContact := 0
 	for _, replica := range r.replicas {
-		if replica.RaftID == r.raft.id || r.now-r.leadership.lastContact[replica.RaftID] < leaderSilenceTimeout {
+		if replica.RaftID == r.raft.id || r.now-r.leadership.lastContact[replica.RaftID] < majorityTimeout {
 			inContact++
 		}
 	}
@@ -87,16 +87,17 @@
 	}
 }
 
-// heartbeat has raft send the leader's heartbeats. A leader that stepped down sends them only every stepDownInterval.
+// heartbeat has raft send the leader's heartbeats. A leader that lost the majority sends them only every
+// silentHeartbeatInterval.
 func (r *raftReplica) heartbeat() {
 	r.leadership.heartbeatAt = r.now + heartbeatInterval
 	r.raft.node.Tick()
-	if !r.steppedDown() {
+	if !r.lostMajority() {
 		r.leadership.leaderContactAt = r.now
 		return
 	}
-	if r.now >= r.leadership.announceAt {
-		r.leadership.announceAt = r.now + stepDownInterval
-		r.leadership.announcing = true
+	if r.now >= r.leadership.nextSilentHeartbeatAt {
+		r.leadership.nextSilentHeartbeatAt = r.now + silentHeartbeatInterval
+		r.leadership.sendDespiteSilence = true
 	}
 }
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -17,19 +17,19 @@
 // leaseTable is the replicated table of limits and leases, with the lease requests that this replica has to answer, and the definitions
 // of limits that it proposes while it leads.
 type leaseTable struct {
-	replica       *raftReplica
-	limits        []quota.Command
-	leases        *quota.LeaseTable
-	queuedLeases  []quota.Command
-	pendingLeases map[leaseCommandID]int64 // when each request was received
-	grants        map[claims.Owner][]quota.Verdict
+	replica          *raftReplica
+	limitDefinitions []quota.Command
+	leases           *quota.LeaseTable
+	queuedLeases     []quota.Command
+	pendingLeases    map[leaseCommandID]int64 // when each request was received
+	leaseVerdicts    map[claims.Owner][]quota.Verdict
 }
 
 func (t *leaseTable) reset() {
 	t.leases = quota.NewLeaseTable()
 	t.queuedLeases = nil
 	t.pendingLeases = map[leaseCommandID]int64{}
-	t.grants = map[claims.Owner][]quota.Verdict{}
+	t.leaseVerdicts = map[claims.Owner][]quota.Verdict{}
 }
 
 func (t *leaseTable) becomeLeader() {}
@@ -55,7 +55,7 @@
 
 // leaderTick queues the definitions of limits that the table lacks or has in an earlier version.
 func (t *leaseTable) leaderTick() {
-	for _, limit := range t.limits {
+	for _, limit := range t.limitDefinitions {
 		known := t.leases.Find(limit.Limit)
 		if known == nil || known.Version < limit.Version {
 			t.queuedLeases = append(t.queuedLeases, limit)
@@ -65,15 +65,15 @@
 
 func (t *leaseTable) storedSeparately() bool { return false }
 
-func (t *leaseTable) nextProposal() (part []byte) {
-	part, t.queuedLeases = encodeQueued(t.queuedLeases)
-	return part
+func (t *leaseTable) nextProposal() (commands []byte) {
+	commands, t.queuedLeases = encodeQueued(t.queuedLeases)
+	return commands
 }
 
 // Apply applies the commands on limits and leases of an entry.
-func (t *leaseTable) Apply(at int64, part []byte) {
+func (t *leaseTable) Apply(at int64, commands []byte) {
 	var list []quota.Command
-	if cborDecoding.Unmarshal(part, &list) != nil {
+	if cborDecoding.Unmarshal(commands, &list) != nil {
 		return
 	}
 	if slices.ContainsFunc(list, func(c quota.Command) bool { return c.Kind >= quota.CommandKindCount }) {
@@ -90,7 +90,7 @@
 	id := leaseCommandID{claims.Owner(command.Sender), command.Limit, command.Seq}
 	if _, waits := t.pendingLeases[id]; waits && command.Kind == quota.CommandRequestLease {
 		delete(t.pendingLeases, id)
-		t.grants[id.owner] = append(t.grants[id.owner], verdict)
+		t.leaseVerdicts[id.owner] = append(t.leaseVerdicts[id.owner], verdict)
 	}
 }
 
--- a/internal/fleet/consensus/messages.go
+++ b/internal/fleet/consensus/messages.go
@@ -19,7 +19,7 @@
 	MessageClaimsEnded                         // claims that the receiver waits for have ended
 	MessageReassignment                        // the receiver is the new owner of a claim
 	MessageRejoin                              // a replica recovered from its disk, and asks which of its writes the receiver knows of
-	MessageRejoinAnswer                        // the answer to MessageRejoin
+	MessageRejoinAnswer                        // the answer to MessageRejoin; also sent unasked if a peer's write number is lower than before
 	MessagePartRequest                         // requests a chunk of a part that a snapshot refers to
 	MessagePart                                // the answer to MessagePartRequest
 )
@@ -33,7 +33,7 @@
 	RaftID         uint64               `cbor:"4,keyasint,omitempty"`  // MessageDiscovery: the sender's raft ID; MessageRejoin, MessageRejoinAnswer: that of the rejoining replica
 	Incarnation    uint64               `cbor:"5,keyasint,omitempty"`  // MessageDiscovery, MessageRejoin: the sender's; MessageRejoinAnswer: the receiver's that is a member
 	BoundSetHash   uint64               `cbor:"6,keyasint,omitempty"`  // MessageDiscovery: hash of the raft IDs that the sender is bound to
-	Unassigned     bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group
+	Unassigned     bool                 `cbor:"7,keyasint,omitempty"`  // MessageDiscovery: the sender belongs to no group yet
 	Owner          claims.Owner         `cbor:"8,keyasint,omitempty"`  // MessagePropose: the sender; MessageVerdicts, MessageClaimsEnded, MessageReassignment: the receiver
 	ClaimCommands  []claims.Command     `cbor:"9,keyasint,omitempty"`  // MessagePropose
 	ClaimVerdicts  []claims.Verdict     `cbor:"10,keyasint,omitempty"` // MessageVerdicts
--- a/internal/fleet/consensus/raftreplica.go
+++ b/internal/fleet/consensus/raftreplica.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	ms       = int64(1_000_000) // ns in a millisecond
+	ms       = int64(1_000_000) // one millisecond: all times and durations are int64 nanoseconds
 	maxInt64 = 1<<63 - 1        // a time that is never reached, or no limit on bytes
 
-	maxMessageBytes     = 256 << 10 // of entries in one append message
-	maxUncommittedBytes = 4 << 20   // of entries that are not committed yet; raft drops proposals above this
+	maxMessageBytes     = 256 << 10 // bytes of entries in one append message
+	maxUncommittedBytes = 4 << 20   // bytes of entries that are not committed yet; raft drops proposals above this
 	maxInFlightMessages = 64        // unacknowledged append messages to one replica
-	maxTrackedIDs       = 64        // raft IDs of other replicas that one replica tracks: several incarnations of five replicas
+	maxTrackedIDs       = 64        // raft IDs of other replicas whose contacts or writes are tracked: several incarnations of five replicas
 )
 
-// Table is one replicated table of a group. Its content depends only on the parts of committed entries that were applied to it, so it is
-// the same at all replicas. The raft replica does not interpret the content.
+// Table is one replicated table of a group. Its content depends only on the committed commands that were applied to it, so it is the same
+// at all replicas. The raft replica does not interpret the content.
 type Table interface {
-	// Apply applies the table's part of an entry, at the agreed time. It panics at a command that this build doesn't support, because the
-	// table would diverge from those of other replicas. It ignores a part that can't be decoded, which all replicas do alike.
-	Apply(at int64, part []byte)
+	// Apply applies the table's encoded commands of an entry. At is the time of the claims table, which the leader's commands advance, so
+	// it is the same at all replicas. Apply panics at a command that this build doesn't support, because the table would diverge from those
+	// of other replicas. It ignores commands that can't be decoded, which all replicas do alike.
+	Apply(at int64, commands []byte)
 	// Snapshot encodes the whole table.
 	Snapshot() ([]byte, error)
 	// Restore replaces the table's content by an encoded one; an empty encoding stands for an empty table. After an error the replica can't
@@ -44,7 +45,7 @@
 	becomeLeader()          // is called when this replica becomes the leader
 	leaderTick()            // queues the leader's own commands
 	storedSeparately() bool // reports whether snapshots refer to the table by its digest, because it is large and changes seldom
-	nextProposal() []byte   // returns the next part to propose once, nil if there is none
+	nextProposal() []byte   // removes the next commands from the queue and encodes them, nil if there are none
 }
 
 var (
@@ -53,8 +54,9 @@
 	errNewerCommand = errors.New("consensus: an entry has a command that only newer versions support; this replica's tables would diverge from the others")
 )
 
-// replicaIncarnation identifies one incarnation of a replica. A replica that restarts without its state gets another raft ID, so that it
-// can't vote or acknowledge in place of the incarnation whose state was lost.
+// replicaIncarnation identifies one incarnation of a replica. A replica that restarts without its state gets a higher incarnation and
+// another raft ID, so that it can't vote or acknowledge in place of the incarnation whose state was lost. The raft ID is a hash that
+// includes the incarnation; the incarnation tells which of two raft IDs of a member is later.
 type replicaIncarnation struct {
 	RaftID      uint64 `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -62,12 +64,12 @@
 
 // Counters are a replica's counters as operators see them.
 type Counters struct {
-	CommittedCommands int `json:"agreed"`
-	AppliedEntries    int `json:"entries"`
-	Campaigns         int `json:"stood"`
-	Snapshots         int `json:"snapshots"`
-	ReplacedMembers   int `json:"reseated"`
-	PanicRestarts     int `json:"broken"` // panics after which the replica restarted as a new incarnation
+	CommittedCommands int `json:"agreed"`    // commands applied to any table
+	AppliedEntries    int `json:"entries"`   // entries with commands
+	Campaigns         int `json:"stood"`     // elections that this replica started
+	Snapshots         int `json:"snapshots"` // snapshots written or restored
+	ReplacedMembers   int `json:"reseated"`  // replacements of members' incarnations that were committed
+	PanicRestarts     int `json:"broken"`    // panics after which this replica restarted as a new incarnation
 }
 
 // raftState is the node of the raft library with its storage, and the indexes of the last applied entry and of the last snapshot.
@@ -82,29 +84,29 @@
 
 // leadershipState is the known leader, the last contacts to other replicas, and the timers of elections and of leadership.
 type leadershipState struct {
-	leaderID        uint64
-	leaderContactAt int64             // when the leader's last message was received
-	lastContact     map[uint64]int64  // when the last message was received, by raft ID of the sender
-	lastRaftIDs     map[string]uint64 // the raft ID in a member's last message
-	electionAt      int64
-	heartbeatAt     int64
-	tickAt          int64
-	announceAt      int64
-	announcing      bool // send the next messages although this leader stepped down
+	leaderID              uint64
+	leaderContactAt       int64             // when the leader was last known to be in contact; at the leader itself, when a majority last was
+	lastContact           map[uint64]int64  // when a replica was last known to be in contact, by raft ID
+	lastRaftIDs           map[string]uint64 // the raft ID in a member's last message
+	electionAt            int64
+	heartbeatAt           int64
+	tickAt                int64
+	nextSilentHeartbeatAt int64
+	sendDespiteSilence    bool // send the next messages although this leader lost the majority
 }
 
 // bootstrapState is the state of discovering the other members and starting a group.
 type bootstrapState struct {
-	done        bool   // the replica belongs to a group
-	boundSet    uint64 // hash of the raft IDs that this incarnation is bound to, 0 if unbound
-	boundAt     int64
-	discovered  map[string]Message // last discovery message by member
-	discoveryAt int64
+	inGroup      bool   // the replica belongs to a group, by bootstrap, a received snapshot or recovery
+	boundSetHash uint64 // hash of the raft IDs with which this incarnation starts a group, 0 if undecided
+	boundAt      int64
+	discovered   map[string]Message // last discovery message by member
+	discoveryAt  int64
 }
 
 // snapshotState is the snapshot being written or received, and the parts that snapshots refer to.
 type snapshotState struct {
-	sentAt          map[uint64]int64  // when raft sent a snapshot that is not confirmed yet, by raft ID of the receiver
+	sentAt          map[uint64]int64  // when raft last sent a snapshot, by raft ID of the receiver; removed at snapshotTimeout
 	cachedEncodings [][]byte          // tables as of the last snapshot, nil for those that changed since
 	cachedDigests   []string          // of cachedEncodings, empty if unknown
 	parts           map[string][]byte // encoded tables that snapshots refer to, by digest
@@ -121,15 +123,15 @@
 	self               string
 	members            []string // sorted
 	replicas           map[string]replicaIncarnation
-	incarnation        uint64
-	processIncarnation uint64
+	incarnation        uint64 // of the current state; restart raises it above itself and processIncarnation
+	processIncarnation uint64 // differs at each start of the process
 	random             *rand.Rand
 	now                int64
 	wakeAt             int64
 	effects            []Effect
 	earlyEffects       []Effect          // emitted before the first step, which returns them
 	tables             []replicatedTable // a table's key in an entry is its index plus one
-	agreedTime         func() int64
+	agreedTime         func() int64      // the claims table's time, which is the same at all replicas
 
 	raft       raftState
 	leadership leadershipState
@@ -157,13 +159,13 @@
 	r.raft.snapshotIndex = 0
 	r.raft.confState = nil
 	r.replicas = map[string]replicaIncarnation{}
-	r.bootstrap.done = false
-	r.bootstrap.boundSet = 0
+	r.bootstrap.inGroup = false
+	r.bootstrap.boundSetHash = 0
 	r.bootstrap.discovered = map[string]Message{}
 	r.leadership.leaderID = 0
 	r.leadership.lastContact = map[uint64]int64{}
 	r.leadership.lastRaftIDs = map[string]uint64{}
-	r.leadership.announcing = false
+	r.leadership.sendDespiteSilence = false
 	r.snapshots = snapshotState{
 		sentAt:          map[uint64]int64{},
 		cachedEncodings: make([][]byte, len(r.tables)),
@@ -220,7 +222,7 @@
 // This holds if it is in contact with a leader, or leads and is in contact with a majority, and has applied an entry of the current term,
 // and thus all entries before it.
 func (r *raftReplica) IsCurrent() bool {
-	if !r.bootstrap.done || r.leadership.leaderID == 0 || r.now >= r.leadership.leaderContactAt+minElectionTimeout || r.steppedDown() {
+	if !r.bootstrap.inGroup || r.leadership.leaderID == 0 || r.now >= r.leadership.leaderContactAt+minElectionTimeout || r.lostMajority() {
 		return false
 	}
 	term, err := r.raft.storage.Term(r.raft.appliedIndex)
@@ -248,7 +250,7 @@
 
 func (r *raftReplica) emit(e Effect) { r.effects = append(r.effects, e) }
 
-func (r *raftReplica) log(warn bool, format string, args ...any) {
+func (r *raftReplica) logLine(warn bool, format string, args ...any) {
 	r.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(format, args...)})
 }
 
--- a/internal/fleet/consensus/rejoin.go
+++ b/internal/fleet/consensus/rejoin.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	rejoinInterval = 100 * ms   // ns between the requests of a replica that recovered from its disk
-	rejoinTimeout  = 3_000 * ms // ns that it waits for the answers of all other members; then a majority is enough
+	rejoinInterval = 100 * ms   // between the requests of a replica that recovered from its disk
+	rejoinTimeout  = 3_000 * ms // that it waits for the answers of all other members; then a majority is enough
 )
 
-// trackPeerWrite records the last persisted write that a peer's messages carry. If the peer's number went back, its disk is outdated: it is
-// told of the later write.
+// trackPeerWrite records the last persisted write that a peer's messages carry. If the number is lower than
+// before, the message was delayed or the peer's disk is outdated: the peer is told of the later write, and compares it with its own.
 func (r *raftReplica) trackPeerWrite(id, number uint64, from string) {
 	if number == 0 {
 		return
 	}
-	if len(r.disk.peerWrites) >= maxTrackedIDs && !r.isMember(id) {
+	if len(r.disk.peerWrites) >= maxTrackedIDs && !r.isMember(id) { // members are always tracked
 		return
 	}
 	before := r.disk.peerWrites[id]
@@ -56,7 +56,7 @@
 
 // answerRejoin sends a member the last write that is known of a raft ID, and the incarnation of that member that belongs to the group.
 func (r *raftReplica) answerRejoin(to string, id uint64) {
-	if r.bootstrap.done {
+	if r.bootstrap.inGroup {
 		r.send(to, Message{Kind: MessageRejoinAnswer, RaftID: id, Incarnation: r.replicas[to].Incarnation, WriteNumber: r.disk.peerWrites[id]})
 	}
 }
@@ -69,11 +69,11 @@
 	}
 	switch {
 	case m.WriteNumber > r.disk.lastWrite:
-		r.log(true, "consensus: this replica's disk lacks acknowledged writes: %s knows of write %d, but the last on the disk is %d; restarting without state as a new incarnation",
+		r.logLine(true, "consensus: this replica's disk lacks acknowledged writes: %s knows of write %d, but the last on the disk is %d; restarting without state as a new incarnation",
 			m.From, m.WriteNumber, r.disk.lastWrite)
 		r.restart()
 	case m.Incarnation > r.incarnation:
-		r.log(true, "consensus: according to %s, a later incarnation of this replica is a member of the group; restarting without state as a new incarnation", m.From)
+		r.logLine(true, "consensus: according to %s, a later incarnation of this replica is a member of the group; restarting without state as a new incarnation", m.From)
 		r.restart()
 	case r.disk.rejoinAnswers != nil:
 		r.disk.rejoinAnswers[m.From] = true
--- a/internal/fleet/consensus/replica.go
+++ b/internal/fleet/consensus/replica.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	pendingTimeout     = 5_000 * ms // ns after which this replica gives up answering a command that was not committed
+	pendingTimeout     = 5_000 * ms // after which a command that was not committed is no longer answered; since it is also the interval of the check, it takes up to twice as long
 	maxEntryCommands   = 512        // commands on one table in one entry
 	maxPendingCommands = 100_000    // commands that this replica has yet to answer; more are dropped, and the node retries at another replica
 )
@@ -34,22 +34,22 @@
 	r.leaseTable = &leaseTable{replica: r.raftReplica}
 	r.configs = &configTable{replica: r.raftReplica}
 	r.tables = []replicatedTable{r.claimTable, r.leaseTable, r.configs}
-	r.agreedTime = func() int64 { return r.table.Time() }
+	r.agreedTime = func() int64 { return r.claims.Time() }
 	r.initialize()
 	return r
 }
 
 // SetMaxTableBytes sets the limit on the bytes of the claims table, in force while this replica leads; 0 stands for the default.
-func (r *Replica) SetMaxTableBytes(bytes int64) { r.maxBytes = bytes }
+func (r *Replica) SetMaxTableBytes(bytes int64) { r.maxClaimBytes = bytes }
 
 // SetLimits sets the commands by which this replica defines limits while it leads.
-func (r *Replica) SetLimits(list []quota.Command) { r.limits = list }
+func (r *Replica) SetLimits(list []quota.Command) { r.limitDefinitions = list }
 
 // LeaseTable returns the table of limits and leases, as of the last entry that this replica applied. Callers must not change it.
 func (r *Replica) LeaseTable() *quota.LeaseTable { return r.leases }
 
 // ClaimTable returns the table of claims, as of the last entry that this replica applied. Callers must not change it.
-func (r *Replica) ClaimTable() *claims.Table { return r.table }
+func (r *Replica) ClaimTable() *claims.Table { return r.claims }
 
 // TakeoverCounters returns the counters of takeovers since this replica last became the leader.
 func (r *Replica) TakeoverCounters() takeover.Counters {
@@ -64,12 +64,12 @@
 	takeovers := r.TakeoverCounters()
 	p.Replica = &r.Counters
 	p.Leader = r.Leader()
-	p.Table = &r.table.Counters
+	p.Table = &r.claims.Counters
 	p.Takeover = &takeovers
-	p.Time = r.table.Time()
-	p.ClaimCount, p.Bytes = r.table.Size()
+	p.Time = r.claims.Time()
+	p.ClaimCount, p.Bytes = r.claims.Size()
 	p.Limits = r.leases.Limits()
-	for _, entry := range r.table.List(maxClaims) {
+	for _, entry := range r.claims.List(maxClaims) {
 		short := *entry
 		short.Work = nil
 		short.Waiters = nil
@@ -98,7 +98,7 @@
 
 func (r *Replica) handleInput(in *Input) {
 	if in.View != nil {
-		r.view = in.View
+		r.membershipView = in.View
 	}
 	for i := range in.ClaimCommands {
 		r.enqueueClaim(in.ClaimCommands[i])
@@ -152,14 +152,14 @@
 
 // sendAnswers sends the verdicts and the notifications of ended claims of this step, one message of each kind to each node.
 func (r *Replica) sendAnswers() {
-	addReceivers(r.verdicts, r.grants)
-	addReceivers(r.verdicts, r.configs.verdicts)
-	for _, owner := range sortedOwners(r.verdicts) {
-		r.send(owner.Name, Message{Kind: MessageVerdicts, Owner: owner, ClaimVerdicts: r.verdicts[owner], LeaseVerdicts: r.grants[owner],
+	addReceivers(r.claimVerdicts, r.leaseVerdicts)
+	addReceivers(r.claimVerdicts, r.configs.verdicts)
+	for _, owner := range sortedOwners(r.claimVerdicts) {
+		r.send(owner.Name, Message{Kind: MessageVerdicts, Owner: owner, ClaimVerdicts: r.claimVerdicts[owner], LeaseVerdicts: r.leaseVerdicts[owner],
 			ConfigVerdicts: r.configs.verdicts[owner]})
 	}
-	clear(r.verdicts)
-	clear(r.grants)
+	clear(r.claimVerdicts)
+	clear(r.leaseVerdicts)
 	clear(r.configs.verdicts)
 	for _, owner := range sortedOwners(r.endedClaims) {
 		r.send(owner.Name, Message{Kind: MessageClaimsEnded, Owner: owner, Keys: r.endedClaims[owner]})
--- a/internal/fleet/consensus/replica_test.go
+++ b/internal/fleet/consensus/replica_test.go
@@ -11,6 +11,7 @@
 	"topazpost/internal/fleet/quota"
 )
 
+// Guards against groups that do not start, or answer a repeated token without the first result.
 func TestGroupsOfAllSizesBootstrap(t *testing.T) {
 	for _, replicas := range []int{1, 3, 5} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
@@ -26,6 +27,7 @@
 	}
 }
 
+// Guards against a group that does not survive the loss of its leader, or of each replica in turn, in memory only.
 func TestLostLeaderIsReplacedAndReturnsAsNewIncarnation(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	sim.ask(1, 1, 4)
@@ -37,9 +39,9 @@
 	sim.start(i)
 	sim.run(sim.now + 4_000*ms)
 	node := sim.nodes[i]
-	assert.True(t, node.replica.bootstrap.done)
+	assert.True(t, node.replica.bootstrap.inGroup)
 	assert.Equal(t, node.replica.raft.id, sim.leader().replica.replicas[node.name].RaftID)
-	assert.NotNil(t, node.replica.table.Find(key(1)), "the new incarnation has what was committed in its absence")
+	assert.NotNil(t, node.replica.claims.Find(key(1)), "the new incarnation has what was committed in its absence")
 	for k := range sim.members { // the group survives the loss of each other replica in turn
 		if k != i {
 			sim.kill(k)
@@ -53,6 +55,7 @@
 	}
 }
 
+// Guards against replicas without state that start another group while one with state is left.
 func TestGroupWithoutMajorityElectsNoLeader(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	sim.ask(1, 1, 4)
@@ -72,7 +75,7 @@
 	assert.NotNil(t, sim.leader(), "when all have lost their state, they bootstrap another group")
 }
 
-// Guards against a leader that reaches the others but is not reached by them, and so blocks the group: it steps down.
+// Guards against a leader that reaches the others but is not reached by them, and so blocks the group.
 func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	i := sim.indexOf(sim.leader())
@@ -89,6 +92,7 @@
 	assert.False(t, sim.nodes[i].replica.IsLeader())
 }
 
+// Guards against a panic of the raft library that ends the process, or leaves the replica out of the group.
 func TestPanicInRaftRestartsReplica(t *testing.T) {
 	sim := newStableSimulation(t, 3, 3)
 	node := sim.leader()
@@ -101,7 +105,7 @@
 	assert.Equal(t, 1, replica.Counters.PanicRestarts)
 	sim.run(sim.now + 6_000*ms)
 	assert.NotNil(t, sim.leader())
-	assert.True(t, replica.bootstrap.done, "the group has replaced the earlier incarnation")
+	assert.True(t, replica.bootstrap.inGroup, "the group has replaced the earlier incarnation")
 }
 
 // Guards against a replica that goes on with a table that diverged, since it does not know a command of a newer version.
@@ -125,13 +129,14 @@
 	}
 	sim.ask(1, 1, sim.indexOf(node))
 	sim.run(sim.now + 100*ms)
-	assert.NotEmpty(t, node.replica.pending)
+	assert.NotEmpty(t, node.replica.pendingClaims)
 	clear(sim.cutLinks)
 	sim.kill(sim.indexOf(sim.nodes[(sim.indexOf(node)+1)%3]))
 	sim.run(sim.now + 20_000*ms)
-	assert.Empty(t, node.replica.pending)
+	assert.Empty(t, node.replica.pendingClaims)
 }
 
+// Guards against leases and claims that end by different clocks: both tables follow the time of the claims table.
 func TestClaimsAndQuotaShareMaxTimeStep(t *testing.T) {
 	assert.Equal(t, claims.MaxTimeStep, quota.MaxTimeStep)
 }
--- a/internal/fleet/consensus/schedules_test.go
+++ b/internal/fleet/consensus/schedules_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// checkAnswersAfterHealing requires a result of each token after the faults have ended. It reports whether the run up to then was free of
-// failures.
+// checkAnswersAfterHealing requires a result of each token after the faults have ended. It returns false, without
+// requests, if the schedule had failures before.
 func (s *simulation) checkAnswersAfterHealing(random *rand.Rand) bool {
 	s.run(s.now + 8_000*ms)
 	if len(s.failures) > 0 {
@@ -244,7 +244,7 @@
 		if !node.up {
 			continue
 		}
-		if !node.replica.bootstrap.done || len(node.replica.raft.confState.VotersOutgoing) > 0 || node.replica.replicas[node.name].RaftID != node.replica.raft.id {
+		if !node.replica.bootstrap.inGroup || len(node.replica.raft.confState.VotersOutgoing) > 0 || node.replica.replicas[node.name].RaftID != node.replica.raft.id {
 			return false
 		}
 		if k != i {
@@ -254,8 +254,8 @@
 	return 2*left > len(s.members)
 }
 
-// seedFromEnvironment reads an environment variable: SCHEDULES, the number of schedules, or SEED, the first of them.
-func seedFromEnvironment(t *testing.T, name string, defaultValue int64) int64 {
+// intFromEnvironment returns the value of an environment variable, or a default: SCHEDULES, the number of schedules, or SEED, the first of them.
+func intFromEnvironment(t *testing.T, name string, defaultValue int64) int64 {
 	if text := os.Getenv(name); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		require.NoError(t, err)
@@ -266,8 +266,8 @@
 
 // Guards the guarantee of idempotency tokens: under random faults each token runs at most once, and answers are linearizable.
 func TestNoTokenRunsTwiceInRandomSchedules(t *testing.T) {
-	first := seedFromEnvironment(t, "SEED", 1)
-	count := seedFromEnvironment(t, "SCHEDULES", 150)
+	first := intFromEnvironment(t, "SEED", 1)
+	count := intFromEnvironment(t, "SCHEDULES", 150)
 	taken := 0
 	ran := 0
 	for seed := first; seed < first+count; seed++ {
@@ -282,7 +282,7 @@
 		}
 	}
 	t.Logf("%d schedules: %d tokens ran, %d were taken over", count, ran, taken)
-	assert.True(t, count < 100 || taken > 0, "a takeover occurred")
+	assert.True(t, count < 100 || taken > 0, "schedules without a takeover don't test takeovers")
 }
 
 // Guards the checks of the schedules themselves: they must detect a defect that is injected on purpose.
@@ -292,7 +292,7 @@
 		"fences are not checked":            func(sim *simulation) { sim.ignoreFences = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := int64(380); seed <= 2_000; seed++ {
+			for seed := int64(380); seed <= 2_000; seed++ { // begins with a schedule that detects one of the defects
 				if sim := runSchedule(seed, alter); len(sim.failures) > 0 {
 					t.Logf("found at seed %d: %s", seed, sim.failures[0])
 					return
@@ -306,11 +306,11 @@
 // settled reports whether a replica is up, and it and all others that are up belong to the group and are not rejoining.
 func (s *simulation) settled(i int) bool {
 	for k, node := range s.nodes[:len(s.members)] {
-		if k != i && node.up && (node.replica.disk.rejoinAnswers != nil || !node.replica.bootstrap.done) {
+		if k != i && node.up && (node.replica.disk.rejoinAnswers != nil || !node.replica.bootstrap.inGroup) {
 			return false
 		}
 	}
-	return s.nodes[i].up && s.nodes[i].replica.disk.rejoinAnswers == nil && s.nodes[i].replica.bootstrap.done
+	return s.nodes[i].up && s.nodes[i].replica.disk.rejoinAnswers == nil && s.nodes[i].replica.bootstrap.inGroup
 }
 
 // recordedErrors records the failures of assertions.
@@ -322,8 +322,8 @@
 
 // Guards the durability of acknowledged state under random crashes of replicas with disks, of any number at once.
 func TestNothingAcknowledgedIsLostInRandomDiskSchedules(t *testing.T) {
-	first := seedFromEnvironment(t, "SEED", 1)
-	count := seedFromEnvironment(t, "SCHEDULES", 50)
+	first := intFromEnvironment(t, "SEED", 1)
+	count := intFromEnvironment(t, "SCHEDULES", 50)
 	resumed := 0
 	ran := 0
 	for seed := first; seed < first+count; seed++ {
@@ -338,5 +338,5 @@
 		}
 	}
 	t.Logf("%d schedules: %d tokens ran, %d replicas recovered from their disks", count, ran, resumed)
-	assert.True(t, count < 50 || resumed > 0, "a replica recovered from its disk")
+	assert.True(t, count < 50 || resumed > 0, "schedules without a recovery from a disk don't test recoveries")
 }
--- a/internal/fleet/consensus/simcallers_test.go
+++ b/internal/fleet/consensus/simcallers_test.go
@@ -190,8 +190,8 @@
 			return
 		}
 	}
-	current := s.stable && !replica.steppedDown() && replica.raft.appliedIndex == replica.raft.node.BasicStatus().GetCommit()
-	for _, e := range replica.table.List(1 << 20) {
+	current := s.stable && !replica.lostMajority() && replica.raft.appliedIndex == replica.raft.node.BasicStatus().GetCommit()
+	for _, e := range replica.claims.List(1 << 20) {
 		before := s.fences[e.Key]
 		if e.Fence > before {
 			s.fences[e.Key] = e.Fence
--- a/internal/fleet/consensus/simdisk_test.go
+++ b/internal/fleet/consensus/simdisk_test.go
@@ -96,12 +96,12 @@
 func (s *simulation) assertReplicasAgree(t assert.TestingT) {
 	byIndex := map[uint64]string{}
 	for _, node := range s.nodes[:len(s.members)] {
-		if !node.up || !node.replica.bootstrap.done {
+		if !node.up || !node.replica.bootstrap.inGroup {
 			continue
 		}
 		encoded := ""
 		for i := range node.replica.tables {
-			node.replica.snapshots.cachedEncodings[i] = nil
+			node.replica.snapshots.cachedEncodings[i] = nil // the next snapshot encodes the table again
 			part, err := node.replica.tables[i].Snapshot()
 			assert.NoError(t, err)
 			encoded += string(part)
--- a/internal/fleet/consensus/simulation_test.go
+++ b/internal/fleet/consensus/simulation_test.go
@@ -13,7 +13,7 @@
 	"topazpost/internal/fleet/takeover"
 )
 
-const claimRetention = 600_000 * ms // ns for which the table keeps a token after its start and after its end
+const claimRetention = 600_000 * ms // for which the table keeps a token after its start and after its end
 
 // simNode is a simulated node: a claims client, possibly a replica, and an executor that is killed with the node.
 type simNode struct {
@@ -300,7 +300,7 @@
 
 func (s *simulation) leader() *simNode {
 	for _, node := range s.nodes {
-		if node.up && !node.paused && node.replica != nil && node.replica.IsLeader() && !node.replica.steppedDown() {
+		if node.up && !node.paused && node.replica != nil && node.replica.IsLeader() && !node.replica.lostMajority() {
 			return node
 		}
 	}
@@ -316,4 +316,4 @@
 	return -1
 }
 
-func (s *simulation) leaderTable() *claims.Table { return s.leader().replica.table }
+func (s *simulation) leaderTable() *claims.Table { return s.leader().replica.claims }
--- a/internal/fleet/consensus/snapshotparts.go
+++ b/internal/fleet/consensus/snapshotparts.go
@@ -14,10 +14,10 @@
 // that the round trips limit the rate.
 
 const (
-	chunkBytes         = 256 << 10  // of the chunk of a part in one message
-	maxPartBytes       = 64 << 20   // of a whole part
-	chunkRetryInterval = 300 * ms   // ns without a chunk after which it is requested again
-	chunkTimeout       = 5_000 * ms // ns without a chunk after which the snapshot is given up: its sender may be gone, or have dropped the part for a later one
+	chunkBytes         = 256 << 10  // bytes of a part in one message
+	maxPartBytes       = 64 << 20   // bytes of a part
+	chunkRetryInterval = 300 * ms   // without a chunk, after which it is requested again
+	chunkTimeout       = 5_000 * ms // without a chunk, after which the snapshot is given up: its sender may be gone, or have dropped the part for a later one
 )
 
 // partFetch is a received snapshot that waits for parts that this replica lacks.
@@ -98,17 +98,17 @@
 	r.requestChunk()
 }
 
-// decodePart returns the encoding of a table from its item in a snapshot: empty if there is none, and with its digest if the table is
+// decodeTableItem returns the encoding of a table from its item in a snapshot: empty if there is none, and with its digest if the table is
 // stored separately.
-func (r *raftReplica) decodePart(part cbor.RawMessage) (encoded []byte, digest string, err error) {
-	if len(part) == 0 {
+func (r *raftReplica) decodeTableItem(item cbor.RawMessage) (encoded []byte, digest string, err error) {
+	if len(item) == 0 {
 		return nil, "", nil
 	}
-	if !isTextString(part) {
-		err = cbor.Unmarshal(part, &encoded)
+	if !isTextString(item) {
+		err = cbor.Unmarshal(item, &encoded)
 		return encoded, "", err
 	}
-	err = cbor.Unmarshal(part, &digest)
+	err = cbor.Unmarshal(item, &digest)
 	if err != nil {
 		return nil, "", err
 	}
@@ -122,11 +122,11 @@
 // dropUnusedParts drops the parts that neither the last two snapshots refer to nor a received one that waits for parts. The second to last
 // snapshot may still be in transit to another replica.
 func (r *raftReplica) dropUnusedParts() {
-	snap, err := r.raft.storage.Snapshot()
+	snapshot, err := r.raft.storage.Snapshot()
 	if err != nil {
 		return
 	}
-	current := separateDigests(snap)
+	current := separateDigests(snapshot)
 	inUse := slices.Concat(current, r.snapshots.previousDigests)
 	if r.snapshots.fetch != nil {
 		inUse = append(inUse, separateDigests(r.snapshots.fetch.message.GetSnapshot())...)
@@ -143,14 +143,14 @@
 func partDigest(encoded []byte) string { return fmt.Sprintf("%x", sha256.Sum256(encoded)) }
 
 // separateDigests returns the digests of the parts that a snapshot refers to.
-func separateDigests(snap *pb.Snapshot) (list []string) {
-	var parts map[uint8]cbor.RawMessage
-	if cbor.Unmarshal(snap.GetData(), &parts) != nil {
+func separateDigests(snapshot *pb.Snapshot) (list []string) {
+	var items map[uint8]cbor.RawMessage
+	if cbor.Unmarshal(snapshot.GetData(), &items) != nil {
 		return nil
 	}
-	for _, part := range parts {
+	for _, item := range items {
 		var digest string
-		if isTextString(part) && cbor.Unmarshal(part, &digest) == nil {
+		if isTextString(item) && cbor.Unmarshal(item, &digest) == nil {
 			list = append(list, digest)
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 // isTextString reports whether a CBOR item is a text string, which stands for a digest in a snapshot.
-func isTextString(part cbor.RawMessage) bool {
+func isTextString(item cbor.RawMessage) bool {
 	const majorTypeText = 3
-	return len(part) > 0 && part[0]>>5 == majorTypeText
+	return len(item) > 0 && item[0]>>5 == majorTypeText
 }
--- a/internal/fleet/consensus/snapshotparts_test.go
+++ b/internal/fleet/consensus/snapshotparts_test.go
@@ -67,9 +67,9 @@
 		sim.run(sim.now + 4_000*ms)
 		assert.Equal(t, bytes.Repeat([]byte{7}, 1<<20), tables[lost].encoded, "round %d: the replaced replica received the table in chunks", round)
 	}
-	snap, err := leader.replica.raft.storage.Snapshot()
+	snapshot, err := leader.replica.raft.storage.Snapshot()
 	require.NoError(t, err)
-	assert.Less(t, len(snap.GetData()), 64<<10, "the snapshot refers to the table by its digest")
+	assert.Less(t, len(snapshot.GetData()), 64<<10, "the snapshot refers to the table by its digest")
 	assert.LessOrEqual(t, tables[i].snapshots, 2, "encoded once empty, and once with the content")
 	assert.LessOrEqual(t, len(leader.replica.snapshots.parts), 2)
 	sim.killReplicas()
--- a/internal/fleet/consensus/snapshots.go
+++ b/internal/fleet/consensus/snapshots.go
@@ -182,13 +182,13 @@
 
 // restoreSnapshot replaces the state of this replica by a snapshot. It panics if the snapshot can't be restored, since this incarnation
 // can't follow the group without it.
-func (r *raftReplica) restoreSnapshot(snap *pb.Snapshot) {
-	var parts map[uint8]cbor.RawMessage
-	mustSucceed(cbor.Unmarshal(snap.GetData(), &parts))
+func (r *raftReplica) restoreSnapshot(snapshot *pb.Snapshot) {
+	var items map[uint8]cbor.RawMessage
+	mustSucceed(cbor.Unmarshal(snapshot.GetData(), &items))
 	var replicas map[string]replicaIncarnation
-	mustSucceed(cbor.Unmarshal(parts[snapshotKeyReplicas], &replicas))
+	mustSucceed(cbor.Unmarshal(items[snapshotKeyReplicas], &replicas))
 	for i, t := range r.tables {
-		encoded, digest, err := r.decodePart(parts[snapshotKeyReplicas+1+uint8(i)])
+		encoded, digest, err := r.decodeTableItem(items[snapshotKeyReplicas+1+uint8(i)])
 		mustSucceed(err)
 		mustSucceed(t.Restore(encoded))
 		r.snapshots.cachedEncodings[i] = encoded
@@ -196,10 +196,10 @@
 	}
 	r.replicas = replicas
 	r.snapshots.writer = nil
-	r.raft.confState = snap.GetMetadata().GetConfState()
-	r.raft.appliedIndex = snap.GetMetadata().GetIndex()
-	r.raft.snapshotIndex = snap.GetMetadata().GetIndex()
-	r.bootstrap.done = true
+	r.raft.confState = snapshot.GetMetadata().GetConfState()
+	r.raft.appliedIndex = snapshot.GetMetadata().GetIndex()
+	r.raft.snapshotIndex = snapshot.GetMetadata().GetIndex()
+	r.bootstrap.inGroup = true
 	r.dropUnusedParts()
 	r.Counters.Snapshots++
 }
--- a/internal/fleet/consensus/step.go
+++ b/internal/fleet/consensus/step.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const pauseThreshold = 150 * ms // ns after the requested wake-up from which a late step counts as a pause of this process
+const pauseThreshold = 150 * ms // delay of a step after its requested wake-up from which this process counts as paused
 
 // step handles the inputs by the given function, then runs the timers that are due, proposes queued commands, and processes the output of
 // raft.
@@ -26,7 +26,7 @@
 		r.runTimers()
 		r.propose()
 		r.processReady()
-		r.leadership.announcing = r.leadership.announcing && r.disk.pendingReady != nil
+		r.leadership.sendDespiteSilence = r.leadership.sendDespiteSilence && r.disk.pendingReady != nil
 	})
 }
 
@@ -37,7 +37,7 @@
 		if cause := recover(); cause != nil {
 			r.Counters.PanicRestarts++
 			r.restart()
-			r.log(true, "consensus: the replica failed and restarted without state as a new incarnation: %v", cause)
+			r.logLine(true, "consensus: the replica failed and restarted without state as a new incarnation: %v", cause)
 		}
 	}()
 	do()
@@ -45,7 +45,7 @@
 
 func (r *raftReplica) runTimers() {
 	switch {
-	case !r.bootstrap.done:
+	case !r.bootstrap.inGroup:
 		r.tickBootstrap()
 	case r.disk.rejoinAnswers != nil:
 		r.tickRejoin()
@@ -60,16 +60,17 @@
 	}
 	if r.now >= r.leadership.electionAt {
 		r.resetElectionTimer()
-		if r.bootstrap.done {
+		if r.bootstrap.inGroup {
 			r.campaign()
 		}
 	}
 }
 
-// nextDeadline returns when the next timer expires: at once while a snapshot is being encoded.
+// nextDeadline returns when the replica must step next: at once while a snapshot is being encoded, else when a timer expires. The check for
+// expired commands does not cause a step.
 func (r *raftReplica) nextDeadline() int64 {
 	at := int64(maxInt64)
-	if !r.bootstrap.done {
+	if !r.bootstrap.inGroup {
 		at = min(at, r.bootstrap.discoveryAt)
 	}
 	if r.disk.rejoinAnswers != nil {
@@ -94,7 +95,7 @@
 	if proto.Unmarshal(in.Raft, m) != nil || m.GetTo() != r.raft.id || !slices.Contains(r.members, in.From) || r.disk.rejoinAnswers != nil {
 		return
 	}
-	if len(r.leadership.lastContact) >= maxTrackedIDs {
+	if len(r.leadership.lastContact) >= maxTrackedIDs { // members are added again by their next messages
 		clear(r.leadership.lastContact)
 	}
 	r.leadership.lastContact[m.GetFrom()] = r.now
@@ -118,19 +119,19 @@
 	r.followLeader()
 }
 
-// propose proposes the queued commands of all tables, one entry after the other.
+// propose proposes the queued commands of all tables, in entries with at most maxEntryCommands for each table.
 func (r *raftReplica) propose() {
 	for {
-		parts := map[uint8]cbor.RawMessage{}
+		commandsByTable := map[uint8]cbor.RawMessage{}
 		for i, t := range r.tables {
-			if part := t.nextProposal(); part != nil {
-				parts[uint8(i)+1] = part
+			if encodedCommands := t.nextProposal(); encodedCommands != nil {
+				commandsByTable[uint8(i)+1] = encodedCommands
 			}
 		}
-		if len(parts) == 0 {
+		if len(commandsByTable) == 0 {
 			return
 		}
-		if encoded, err := cborEncoding.Marshal(parts); err == nil {
+		if encoded, err := cborEncoding.Marshal(commandsByTable); err == nil {
 			_ = r.raft.node.Propose(encoded) // raft may drop the proposal; the senders of its commands retry
 		}
 	}
@@ -180,19 +181,21 @@
 	r.followLeader()
 }
 
-// sendRaftMessages sends raft's messages, unless this replica has stepped down as the leader. It holds back a snapshot while the next one is
-// being written.
+// sendRaftMessages sends raft's messages, unless this replica is a leader that lost the majority. It holds back a snapshot while the next
+// one is being written.
 func (r *raftReplica) sendRaftMessages(messages []*pb.Message) {
-	steppedDown := r.steppedDown()
+	lostMajority := r.lostMajority()
 	for _, m := range messages {
 		if m.GetType() == pb.MsgSnap {
-			r.snapshots.sentAt[m.GetTo()] = r.now // raft sends no other snapshot until ReportSnapshot is called, whether this one is sent or not
-			if r.snapshots.writer != nil {        // the last snapshot may be from before the receiver was a member
+			// Raft sends the receiver no other snapshot until this one is reported, even if it was not sent.
+			r.snapshots.sentAt[m.GetTo()] = r.now
+			if r.snapshots.writer != nil { // the last snapshot may be from before the receiver was a member
+				// Back-dated, so that it times out after snapshotRetryBackoff.
 				r.snapshots.sentAt[m.GetTo()] += snapshotRetryBackoff - snapshotTimeout
 				continue
 			}
 		}
-		if !steppedDown || r.leadership.announcing {
+		if !lostMajority || r.leadership.sendDespiteSilence {
 			r.sendRaftMessage(m)
 		}
 	}
--- a/internal/fleet/consensus/storage.go
+++ b/internal/fleet/consensus/storage.go
@@ -15,7 +15,7 @@
 // slices.
 type Write struct {
 	Number         uint64
-	DiscardEarlier bool              // nothing written before is needed any more
+	DiscardEarlier bool              // empties the disk; the write has no base, parts or records
 	Base           []byte            // replaces the whole content atomically; nil if records are only appended
 	Parts          map[string][]byte // all parts that the base refers to, by digest; a part that is on the disk already needs no writing
 	Records        [][]byte          // to append after the base
@@ -93,7 +93,7 @@
 		return fmt.Errorf("consensus: disk holds the state of a group of %v, but the fleet file names %v: restore the names, or start all replicas with empty folders",
 			base.Members, r.members)
 	}
-	snap, err := r.recoverBase(&base, contents.Parts)
+	snapshot, err := r.recoverBase(&base, contents.Parts)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 	r.disk.lastPersisted = r.disk.lastWrite
-	r.restoreSnapshot(snap)
+	r.restoreSnapshot(snapshot)
 	if r.replicas[r.self].RaftID != r.raft.id { // a later incarnation replaced this one
 		r.restart()
 		return nil
@@ -113,8 +113,8 @@
 }
 
 func (r *raftReplica) recoverBase(base *diskBase, parts map[string][]byte) (*pb.Snapshot, error) {
-	snap := new(pb.Snapshot)
-	if err := proto.Unmarshal(base.Snapshot, snap); err != nil {
+	snapshot := new(pb.Snapshot)
+	if err := proto.Unmarshal(base.Snapshot, snapshot); err != nil {
 		return nil, fmt.Errorf("consensus: snapshot of the base on disk can't be read: %w", err)
 	}
 	hard := new(pb.HardState)
@@ -129,9 +129,9 @@
 	if r.disk.peerWrites == nil {
 		r.disk.peerWrites = map[uint64]uint64{}
 	}
-	mustSucceed(r.raft.storage.ApplySnapshot(snap))
+	mustSucceed(r.raft.storage.ApplySnapshot(snapshot))
 	mustSucceed(r.raft.storage.SetHardState(hard))
-	return snap, nil
+	return snapshot, nil
 }
 
 func (r *raftReplica) recoverRecord(encoded []byte) error {
@@ -173,13 +173,13 @@
 	}
 	last, err := r.raft.storage.LastIndex()
 	mustSucceed(err)
-	r.log(false, "consensus: recovered from disk: committed up to entry %d, log up to entry %d", r.storedHardState().GetCommit(), last)
+	r.logLine(false, "consensus: recovered from disk: committed up to entry %d, log up to entry %d", r.storedHardState().GetCommit(), last)
 }
 
 // Resumed reports whether the replica belongs to a group and has its state on the disk. After Recover, this means that it resumes from the
 // state that it had before its process ended.
 func (r *raftReplica) Resumed() bool {
-	return r.disk.enabled && r.bootstrap.done && r.disk.lastWrite > 0
+	return r.disk.enabled && r.bootstrap.inGroup && r.disk.lastWrite > 0
 }
 
 func (r *raftReplica) storedHardState() *pb.HardState {
@@ -216,19 +216,19 @@
 }
 
 // baseWrite returns a write that replaces the whole content of the disk.
-func (r *raftReplica) baseWrite(snap *pb.Snapshot, hard *pb.HardState) Write {
+func (r *raftReplica) baseWrite(snapshot *pb.Snapshot, hard *pb.HardState) Write {
 	encoded, err := cborEncoding.Marshal(diskBase{
 		RaftID:      r.raft.id,
 		Incarnation: r.incarnation,
 		Members:     r.members,
 		Number:      r.disk.lastWrite + 1,
 		HardState:   marshalProto(hard),
-		Snapshot:    marshalProto(snap),
+		Snapshot:    marshalProto(snapshot),
 		PeerWrites:  r.disk.peerWrites,
 	})
 	mustSucceed(err)
 	w := Write{Base: encoded, Parts: map[string][]byte{}}
-	for _, digest := range separateDigests(snap) {
+	for _, digest := range separateDigests(snapshot) {
 		w.Parts[digest] = r.snapshots.parts[digest]
 	}
 	return w
@@ -239,19 +239,19 @@
 	if !r.disk.enabled {
 		return
 	}
-	snap, err := r.raft.storage.Snapshot()
+	snapshot, err := r.raft.storage.Snapshot()
 	mustSucceed(err)
 	last, err := r.raft.storage.LastIndex()
 	mustSucceed(err)
 	maps.DeleteFunc(r.disk.peerWrites, func(id, _ uint64) bool { return !r.isMember(id) }) // raft IDs of replaced incarnations
 	var rec *diskRecord
-	first := snap.GetMetadata().GetIndex() + 1
+	first := snapshot.GetMetadata().GetIndex() + 1
 	if last >= first {
 		entries, err := r.raft.storage.Entries(first, last+1, maxInt64)
 		mustSucceed(err)
 		rec = &diskRecord{Entries: marshalEntries(entries)}
 	}
-	r.emitWrite(r.baseWrite(snap, r.storedHardState()), rec)
+	r.emitWrite(r.baseWrite(snapshot, r.storedHardState()), rec)
 }
 
 // emitWrite numbers a write and emits it, with a record if one is given.
@@ -276,7 +276,7 @@
 func (r *raftReplica) handlePersisted(number uint64, err error) {
 	if err != nil {
 		r.disk.failed = true
-		r.log(true, "consensus: write to the replica's disk failed; the replica is inactive until this process restarts: %v", err)
+		r.logLine(true, "consensus: write to the replica's disk failed; the replica is inactive until this process restarts: %v", err)
 		return
 	}
 	r.disk.lastPersisted = max(r.disk.lastPersisted, number)
--- a/internal/fleet/consensus/storage_test.go
+++ b/internal/fleet/consensus/storage_test.go
@@ -11,6 +11,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
+// Guards against losing a token's result, or running the token again, when all nodes restart.
 func TestGroupsRecoverFromDisks(t *testing.T) {
 	for _, replicas := range []int{1, 3, 5} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
@@ -39,6 +40,7 @@
 	}
 }
 
+// Guards against a replica that lost its disk and goes on under its old raft ID, or is never replaced.
 func TestReplicaThatLostItsDiskIsReplaced(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	sim.ask(1, 1, 3)
@@ -50,14 +52,15 @@
 	sim.run(sim.now + 3_000*ms)
 	replica := sim.nodes[0].replica
 	assert.NotEqual(t, before, replica.raft.id)
-	assert.NotNil(t, replica.table.Find(key(1)))
+	assert.NotNil(t, replica.claims.Find(key(1)))
 	sim.killReplicas() // what the replaced replica received is on its new disk
 	sim.startAll()
 	sim.run(sim.now + 3_000*ms)
 	assert.Equal(t, replica.raft.id, sim.nodes[0].replica.raft.id)
-	assert.NotNil(t, sim.nodes[0].replica.table.Find(key(1)))
+	assert.NotNil(t, sim.nodes[0].replica.claims.Find(key(1)))
 }
 
+// Guards against votes by outdated state, when a volume was restored to an older state.
 func TestReplicaWithOutdatedDiskRestarts(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	i := (sim.indexOf(sim.leader()) + 1) % 3
@@ -71,8 +74,8 @@
 	sim.run(sim.now + 5_000*ms)
 	replica := sim.nodes[i].replica
 	assert.NotEqual(t, before, replica.raft.id, "the replica does not vote with outdated state")
-	assert.True(t, replica.bootstrap.done)
-	assert.NotNil(t, replica.table.Find(key(1)))
+	assert.True(t, replica.bootstrap.inGroup)
+	assert.NotNil(t, replica.claims.Find(key(1)))
 	b := sim.ask(2, 1, 3)
 	sim.run(sim.now + 500*ms)
 	assert.Equal(t, a.outcome, b.outcome)
@@ -100,6 +103,7 @@
 	assert.True(t, slices.ContainsFunc(effects, func(e Effect) bool { return e.Kind == Send }), "the messages are sent when the entry is on the disk")
 }
 
+// Guards against a leader that goes on after its disk failed, and against a replica that does not come back after its restart.
 func TestReplicaWithFailedDiskSendsNothing(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	i := sim.indexOf(sim.leader())
@@ -115,6 +119,7 @@
 	assert.Equal(t, sim.leader().replica.raft.appliedIndex, sim.nodes[i].replica.raft.appliedIndex, "the replica catches up after its restart")
 }
 
+// Guards against starting from a disk whose content belongs to another group or can't be decoded.
 func TestDiskOfAnotherGroupIsRefused(t *testing.T) {
 	sim := newDiskSimulation(t, 4, 3)
 	c := NewReplica([]string{"n0", "n7", "n8"}, "n0", 1, 1, 1)
@@ -162,7 +167,7 @@
 		Seq: 1_000, Key: key(1), Duration: 600_000 * ms, Retention: claimRetention}}})
 	sim.wakeNow(i)
 	sim.run(sim.now + 400*ms)
-	committed = leader.replica.table.Find(key(1)) != nil
+	committed = leader.replica.claims.Find(key(1)) != nil
 	sim.nodes[follower].disk.inFlight = nil // the write has not reached the disk
 	sim.kill(i)
 	sim.kill(follower)
@@ -170,7 +175,7 @@
 	sim.start(follower)
 	sim.run(sim.now + 8_000*ms)
 	require.NotNil(t, sim.leader(), "two of three elect a leader")
-	return committed, sim.leader().replica.table.Find(key(1)) != nil
+	return committed, sim.leader().replica.claims.Find(key(1)) != nil
 }
 
 // Guards against acknowledging an entry before it is on the disk, by which a committed entry could be lost.
--- a/internal/fleet/consensus/takeover_test.go
+++ b/internal/fleet/consensus/takeover_test.go
@@ -9,6 +9,7 @@
 	"topazpost/internal/fleet/claims"
 )
 
+// Guards against a second run of a token that is requested at another node while it runs.
 func TestRepeatedRequestAtAnotherNodeGetsSameResult(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	a := sim.ask(1, 1, 3)
@@ -19,6 +20,7 @@
 	assert.Equal(t, 1, sim.runs[1])
 }
 
+// Guards against losing a claim that a lost node had not started.
 func TestClaimOfLostNodeIsTakenOver(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	node := sim.nodes[4]
@@ -33,6 +35,7 @@
 	assert.Equal(t, 1, sim.runs[1])
 }
 
+// Guards against running a token again whose run on a lost node may have had effects.
 func TestStartedRunOfLostNodeHasUnknownOutcome(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	sim.ask(1, 1, 4)
@@ -46,6 +49,7 @@
 	assert.Equal(t, 1, sim.runs[1])
 }
 
+// Guards against a run by a paused owner whose claim was taken over meanwhile.
 func TestPausedOwnerIsFenced(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	node := sim.nodes[4]
@@ -63,6 +67,7 @@
 	assert.Equal(t, b.outcome, sim.attempts[0].outcome, "the caller of the fenced owner gets the new owner's result")
 }
 
+// Guards against losing the result of a run whose outcome was recorded as unknown.
 func TestLateResultReplacesUnknownOutcome(t *testing.T) {
 	sim := newStableSimulation(t, 5, 3)
 	a := sim.ask(1, 1, 4)
--- a/internal/fleet/envelope/envelope.go
+++ b/internal/fleet/envelope/envelope.go
@@ -1,5 +1,7 @@
 // Package envelope seals and opens the messages that nodes send each other. A message is a header, of the envelope's version, the
-// fleet's ID and a checksum of the body, followed by the body in CBOR. The package does no I/O and does not interpret bodies.
+// fleet's ID and a checksum of the body, followed by the body in CBOR. Sealing
+// neither encrypts nor authenticates. Datagrams travel over UDP; exchanges of a request and an answer, and streams of messages, over TCP.
+// The package does no I/O and does not interpret bodies.
 package envelope
 
 import (
@@ -37,7 +39,7 @@
 	maxNesting    = 8
 )
 
-const fleetHashSeed = 0x66_6c_74 // makes a fleet's ID differ from other hashes of the same name
+const fleetHashMask = 0x66_6c_74 // XORed onto the hash of the name, so that a fleet's ID differs from other hashes of the name
 
 // The reasons for which Open and DecodeBody reject a message.
 var (
@@ -60,7 +62,7 @@
 type FleetID uint32
 
 // FleetIDOf returns the ID of the fleet with a name.
-func FleetIDOf(name string) FleetID { return FleetID(xxhash.Sum64String(name) ^ fleetHashSeed) }
+func FleetIDOf(name string) FleetID { return FleetID(xxhash.Sum64String(name) ^ fleetHashMask) }
 
 // Seal appends a message, of a header and the encoded body, to dst.
 func Seal(dst []byte, fleet FleetID, body any) ([]byte, error) {
