--- a/internal/fleet/configsync/blockassembly.go
+++ b/internal/fleet/configsync/blockassembly.go
@@ -78,7 +78,7 @@
 	if len(m.Index) != len(m.Pages)*pageBytes {
 		return false
 	}
-	index := r.fetch.base.blockDigests()
+	index := r.fetch.base.index()
 	for k, page := range m.Pages {
 		if int(page) >= fanout {
 			return false
--- a/internal/fleet/configsync/blockassembly_test.go
+++ b/internal/fleet/configsync/blockassembly_test.go
@@ -165,7 +165,7 @@
 	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
 	again := g.fetcher()
-	r.assembly.index = g.newest.blockDigests()
+	r.assembly.index = g.newest.index()
 	r.assembly.revision = two
 	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: two}
 	answer := &Message{Kind: MessageContent}
@@ -196,7 +196,7 @@
 	require.True(t, len(again.assembly.deltas.blocks) == fetched)
 
 	three := g.put(t, answer.Blocks[0].Changes[0], Item{Tenants, answer.Blocks[0].Changes[0].Name, []byte("3")})
-	r.assembly.index = g.newest.blockDigests() // the fetched changes of one block belong to the previous version
+	r.assembly.index = g.newest.index() // the fetched changes of one block belong to the previous version
 	r.assembly.revision = three
 	fetch = &Message{Kind: MessageFetch, Has: g.first, Want: three}
 	answer = &Message{Kind: MessageContent}
@@ -212,7 +212,7 @@
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
-	r.assembly.index = g.newest.blockDigests()
+	r.assembly.index = g.newest.index()
 	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: two}
 	r.requestMissing(fetch)
 	require.Len(t, fetch.Wanted, maxWantedBlocks)
@@ -291,7 +291,7 @@
 	two := g.put(t, list...)
 	r := g.fetcher()
 	fill := func(index *Content, revision Revision, whole bool) {
-		r.assembly.index = index.blockDigests()
+		r.assembly.index = index.index()
 		r.assembly.revision = revision
 		fetch := &Message{Kind: MessageFetch, Has: g.first, Want: revision}
 		answer := &Message{Kind: MessageContent}
@@ -331,7 +331,7 @@
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
 	r := g.fetcher()
-	r.assembly.index = g.newest.blockDigests()
+	r.assembly.index = g.newest.index()
 	r.assembly.revision = two
 	fetch := &Message{Kind: MessageFetch, Has: g.first, Want: two}
 	answer := &Message{Kind: MessageContent}
@@ -349,7 +349,7 @@
 	only := []Item{{Tenants, name, []byte("1")}}
 	next, err := g.base.Apply(only)
 	require.NoError(t, err)
-	r.assembly.index = next.blockDigests()
+	r.assembly.index = next.index()
 	r.assembly.revision = Revision{3, next.Digest()}
 	r.requestMissing(&Message{})
 	require.True(t, r.mergeDeltas([]Block{{Number: uint16(n), Changes: only}}))
--- a/internal/fleet/configsync/content.go
+++ b/internal/fleet/configsync/content.go
@@ -89,8 +89,9 @@
 	return to
 }
 
-// blockDigests returns the digests of all blocks, concatenated. The sum of these digests is the digest of the content.
-func (c *Content) blockDigests() []byte {
+// index returns the digests of all blocks, concatenated. Their sum is the digest of the content. Message.Index carries the parts of it that
+// differ between two nodes.
+func (c *Content) index() []byte {
 	to := make([]byte, 0, Blocks*digestBytes)
 	for k := range fanout {
 		to = c.appendBlockDigests(to, k)
--- a/internal/fleet/configsync/message_test.go
+++ b/internal/fleet/configsync/message_test.go
@@ -22,15 +22,15 @@
 	c := fullContent(t, 300, 10_000)
 	piece := &Message{Kind: MessageContent, Has: most, Records: wireRecords(table.log, maxPieceBytes, false)}
 	index := &Message{Kind: MessageContent, Has: most}
-	appendDifferingPages(c.blockDigests(), nil, index)
+	appendDifferingPages(c.index(), nil, index)
 	r := NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: c})
-	r.assembly.index = (&Content{}).blockDigests()
+	r.assembly.index = (&Content{}).index()
 	fetch := &Message{Kind: MessageFetch, Has: most, Want: most}
 	r.requestMissing(fetch)
 	blocks := &Message{Kind: MessageContent, Has: most}
 	answerFrom := NewReplicator(0, ReplicatorConfig{Name: "m"}, InitialState{Content: c})
 	r = NewReplicator(0, ReplicatorConfig{Name: "n"}, InitialState{Content: &Content{}})
-	r.assembly.index = c.blockDigests()
+	r.assembly.index = c.index()
 	wanted := &Message{Kind: MessageFetch, Has: most, Want: most}
 	r.requestMissing(wanted)
 	answerFrom.serveBlocks(wanted, blocks)
@@ -39,7 +39,7 @@
 	g := newSuppliers(t)
 	two := g.put(t, scattered(g.base)...)
 	r = g.fetcher()
-	r.assembly.index = g.newest.blockDigests()
+	r.assembly.index = g.newest.index()
 	parts := &Message{Kind: MessageFetch, Has: g.first, Want: two}
 	asChanges := &Message{Kind: MessageContent, Has: most}
 	r.requestMissing(parts)
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -339,7 +339,7 @@
 		if len(fetch.Message.Wanted) > 0 {
 			n.serveBlocks(fetch.Message, answer)
 		} else {
-			appendDifferingPages(c.blockDigests(), fetch.Message.Sums, answer)
+			appendDifferingPages(c.index(), fetch.Message.Sums, answer)
 			indices++
 		}
 		r.Step(now+ms, []Input{confirmation(after, after)})
--- a/internal/fleet/configsync/serve.go
+++ b/internal/fleet/configsync/serve.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if content := r.contentOf(m.Want); content != nil {
-		appendDifferingPages(content.blockDigests(), m.Sums, answer)
+		appendDifferingPages(content.index(), m.Sums, answer)
 	}
 	if !answer.hasContent() && r.assembly.index != nil && r.assembly.revision == m.Want {
 		appendDifferingPages(r.assembly.index, m.Sums, answer)
