--- a/integration/consensus_test.go
+++ b/integration/consensus_test.go
@@ -78,13 +78,13 @@
 	conn := dialPeer(t, bind)
 	other := claims.Owner{Name: "n2", Incarnation: 7}
 	proposal := &consensus.Message{Kind: consensus.MessagePropose, From: "n2", Owner: other, ClaimCommands: []claims.Command{{
-		Kind:     claims.CommandClaim,
-		Sender:   other,
-		Seq:      3,
-		Key:      claims.Key{Operation: "x", Token: "t"},
-		BodyHash: 1,
-		Duration: 60_000_000_000,
-		Retention:   60_000_000_000,
+		Kind:      claims.CommandClaim,
+		Sender:    other,
+		Seq:       3,
+		Key:       claims.Key{Operation: "x", Token: "t"},
+		BodyHash:  1,
+		Duration:  60_000_000_000,
+		Retention: 60_000_000_000,
 	}}}
 	var got *consensus.Message
 	for got == nil { // a proposal that comes before there is a leader is dropped
