--- a/internal/fleet/claims/client_claim.go
+++ b/internal/fleet/claims/client_claim.go
@@ -1,15 +1,15 @@
 package claims
 
-// phase is the state of a claim at its client.
+// phase is the state of a claim at its client. Client.NotRunning depends on the order of the phases.
 type phase uint8
 
 const (
 	phaseClaiming       phase = iota // CommandClaim is in flight
 	phaseGranted                     // this node owns the claim and has not started it
-	phaseOwnedElsewhere              // another node owns the claim; it is claimed again from time to time
+	phaseOwnedElsewhere              // another owner has the claim, or had it; it is claimed again from time to time
 	phaseFinalVerdict                // the claim is not granted; the verdict is reported when RequestStart comes
 	phaseStarting                    // CommandStart is in flight
-	phaseRunning                     // the start is committed
+	phaseStarted                     // the start is committed
 	phaseEnding                      // CommandEnd is in flight
 	phaseReleasing                   // CommandRelease is in flight
 	phaseAbandoned                   // CommandClaim is in flight, and the claim is released if it is granted
@@ -22,7 +22,7 @@
 	startRequested bool // RequestStart came: proceed as soon as the phase allows
 	bodyHash       uint64
 	dueAt          int64
-	window         int64
+	retention      int64
 	work           []byte
 	invocationID   string
 	fence          uint64
@@ -45,7 +45,7 @@
 		key:          input.Key,
 		bodyHash:     input.BodyHash,
 		dueAt:        c.now + input.Remaining,
-		window:       input.Window,
+		retention:    input.Retention,
 		work:         input.Work,
 		invocationID: input.InvocationID,
 	}
--- a/internal/fleet/claims/table.go
+++ b/internal/fleet/claims/table.go
@@ -114,7 +114,7 @@
 		Owner:        command.Sender,
 		BodyHash:     command.BodyHash,
 		ExpiresAt:    t.time + max(0, command.Duration),
-		Window:       max(0, command.Window),
+		Retention:    max(0, command.Retention),
 		Work:         command.Work,
 		InvocationID: command.InvocationID,
 	}
@@ -134,7 +134,7 @@
 // join answers who owns the claim. A sender that does not own it is notified of its end, as far as maxWaiters allows.
 func (t *Table) join(command *Command, entry *Entry, verdict *Verdict) {
 	t.Counters.Joined++
-	verdict.Answer = AnswerOwnedElsewhere
+	verdict.Answer = AnswerOwned
 	verdict.Owner = entry.Owner
 	verdict.Fence = entry.Fence
 	if entry.Owner != command.Sender && len(entry.Waiters) < maxWaiters && !slices.Contains(entry.Waiters, command.Sender) {
@@ -160,7 +160,7 @@
 	entry.State = StateStarted
 	entry.Work = nil
 	delete(t.reassigned, entry.Key)
-	t.restartWindow(entry)
+	t.restartRetention(entry)
 }
 
 // end accepts the report of the run that was started under the fence, however late it comes: a late report resolves an unknown
@@ -189,11 +189,12 @@
 	entry.Outcome = command.Outcome
 	entry.Result = command.Result
 	t.bytes += int64(len(command.Result))
-	t.restartWindow(entry)
+	t.restartRetention(entry)
 	t.notifyWaiters(entry)
 }
 
-// release removes a claim under which nothing ran. A claim that a new owner returns for lack of capacity stays, without an owner,
+// release removes a claim under which nothing ran, also one that is started: the sender vouches that its executor did not receive the
+// invocation. A claim that a new owner returns for lack of capacity stays, without an owner,
 // until it is reassigned.
 func (t *Table) release(command *Command, entry *Entry) {
 	if entry == nil || entry.Fence != command.Fence || entry.Owner != command.Sender || entry.isOver() {
--- a/internal/fleet/configsync/change.go
+++ b/internal/fleet/configsync/change.go
@@ -8,38 +8,38 @@
 	"strings"
 )
 
-// maxEntryOverhead bounds the bytes of an entry beside its name and value.
+// maxEntryOverhead bounds the bytes of an encoded entry, without its name and value.
 const maxEntryOverhead = 8
 
-// placedChange is a change with its place.
-type placedChange struct {
-	block int
-	order int // among the changes
-	part  byte
-	item  *Item
+// sortedChange is a change with its sort key: block, part, name, position in the list of changes.
+type sortedChange struct {
+	block    int
+	position int // position in the list of changes
+	part     byte
+	item     *Item
 }
 
-// Apply returns the content with some items changed, the later counting where one comes twice. It costs what the blocks of those items
-// cost. An invalid item is named in the error, and nothing changes then.
+// Apply returns the content with the changes applied; of several changes to one item the last one counts. The cost is proportional to the
+// size of the blocks that contain the changed items. It returns an error that names the first invalid item.
 func (c *Content) Apply(changes []Item) (*Content, error) {
-	order, err := placeChanges(changes)
+	sorted, err := sortChanges(changes)
 	if err != nil {
 		return nil, err
 	}
 	next := *c
 	owned := [fanout]bool{}
-	for len(order) > 0 {
+	for len(sorted) > 0 {
 		n := 1
-		for n < len(order) && order[n].block == order[0].block {
+		for n < len(sorted) && sorted[n].block == sorted[0].block {
 			n++
 		}
-		old, _ := next.Block(order[0].block)
-		block, sum := next.merge(old, order[:n])
+		old, _ := next.Block(sorted[0].block)
+		block, digestDelta := next.mergeBlock(old, sorted[:n])
 		if len(block) > maxBlockBytes {
-			return nil, errBlockFull(order[0].item.Part, order[0].item.Name, len(block))
+			return nil, errBlockFull(sorted[0].item.Part, sorted[0].item.Name, len(block))
 		}
-		next.ownPage(order[0].block, &owned).put(order[0].block, block, sum)
-		order = order[n:]
+		next.writablePage(sorted[0].block, &owned).replaceBlock(sorted[0].block, block, digestDelta)
+		sorted = sorted[n:]
 	}
 	if next.bytes > maxContentBytes {
 		return nil, errContentFull(next.bytes)
@@ -56,28 +56,29 @@
 	return fmt.Errorf("configuration: %d bytes in all, %d at the most; make values smaller or remove some", size, maxContentBytes)
 }
 
-// placeChanges orders changes by their place, those of one item as they came.
-func placeChanges(changes []Item) ([]placedChange, error) {
-	order := make([]placedChange, len(changes))
+// sortChanges validates changes and sorts them by block, part and name. Changes to one item keep their order.
+func sortChanges(changes []Item) ([]sortedChange, error) {
+	sorted := make([]sortedChange, len(changes))
 	for k := range changes {
 		item := &changes[k]
 		if err := item.validate(); err != nil {
 			return nil, err
 		}
 		part := byte(slices.Index(partNames[:], item.Part))
-		order[k] = placedChange{blockOf(part, item.Name), k, part, item}
+		sorted[k] = sortedChange{blockOf(part, item.Name), k, part, item}
 	}
-	slices.SortFunc(order, func(a, b placedChange) int {
+	slices.SortFunc(sorted, func(a, b sortedChange) int {
 		if a.block != b.block {
 			return a.block - b.block
 		}
-		return cmp.Or(cmp.Compare(a.part, b.part), strings.Compare(a.item.Name, b.item.Name), a.order-b.order)
+		return cmp.Or(cmp.Compare(a.part, b.part), strings.Compare(a.item.Name, b.item.Name), a.position-b.position)
 	})
-	return order, nil
+	return sorted, nil
 }
 
-// merge returns a block with changes in order applied, and what they add to its digest. Their items are counted in and out.
-func (c *Content) merge(old []byte, changes []placedChange) (block []byte, sum Digest) {
+// mergeBlock returns a block with sorted changes applied, and the value to add to the digest of the block. It updates the totals of the
+// content.
+func (c *Content) mergeBlock(old []byte, changes []sortedChange) (block []byte, digestDelta Digest) {
 	size := len(old)
 	for k := range changes {
 		size += len(changes[k].item.Name) + len(changes[k].item.Value) + maxEntryOverhead
@@ -87,37 +88,37 @@
 		change := &changes[k]
 		for len(old) > 0 {
 			e, rest, _ := readEntry(old)
-			order := e.compare(change.part, change.item.Name)
-			if order > 0 {
+			comparison := e.compare(change.part, change.item.Name)
+			if comparison > 0 {
 				break
 			}
-			if order < 0 {
+			if comparison < 0 {
 				to = append(to, e.encoded...)
 			} else {
-				sum = sum.minus(c.countItem(&e, false))
+				digestDelta = digestDelta.minus(c.countItem(&e, false))
 			}
 			old = rest
 		}
 		if len(change.item.Value) > 0 && !sameItemFollows(changes[k:]) {
 			at := len(to)
 			to = appendEntry(to, change.part, change.item.Name, change.item.Value)
-			sum = sum.plus(c.countItem(&entry{part: change.part, encoded: to[at:]}, true))
+			digestDelta = digestDelta.plus(c.countItem(&entry{part: change.part, encoded: to[at:]}, true))
 		}
 	}
 	to = append(to, old...)
 	if len(to) == 0 {
-		return nil, sum
+		return nil, digestDelta
 	}
-	return bytes.Clone(to), sum // without spare capacity: blocks live long
+	return bytes.Clone(to), digestDelta // without spare capacity: blocks are long-lived
 }
 
-// sameItemFollows reports whether the second of some changes is of the same item as the first.
-func sameItemFollows(changes []placedChange) bool {
+// sameItemFollows reports whether the first two of the sorted changes are to the same item.
+func sameItemFollows(changes []sortedChange) bool {
 	return len(changes) > 1 && changes[1].part == changes[0].part && changes[1].item.Name == changes[0].item.Name
 }
 
-// ownPage is the page of a block, copied unless this content owns it already.
-func (c *Content) ownPage(n int, owned *[fanout]bool) *page {
+// writablePage returns the page of block n, after a copy if other contents may share the page. owned marks the pages that were copied already.
+func (c *Content) writablePage(n int, owned *[fanout]bool) *page {
 	k := n / fanout
 	if !owned[k] {
 		p := &page{}
@@ -130,35 +131,35 @@
 	return c.pages[k]
 }
 
-// put puts a block in its place; sum is what that adds to its digest.
-func (p *page) put(n int, block []byte, sum Digest) {
+// replaceBlock replaces block n. digestDelta is the digest of the new block minus that of the old one.
+func (p *page) replaceBlock(n int, block []byte, digestDelta Digest) {
 	k := n % fanout
 	p.blocks[k] = block
-	p.sums[k] = p.sums[k].plus(sum)
-	p.sum = p.sum.plus(sum)
+	p.sums[k] = p.sums[k].plus(digestDelta)
+	p.sum = p.sum.plus(digestDelta)
 }
 
-// set puts a well-formed block in its place, and counts its items in and those of the former block out.
-func (c *Content) set(n int, block []byte, owned *[fanout]bool) {
-	p := c.ownPage(n, owned)
+// setBlock replaces block n with a well-formed block, and updates the totals of the content.
+func (c *Content) setBlock(n int, block []byte, owned *[fanout]bool) {
+	p := c.writablePage(n, owned)
 	before := c.countItems(p.blocks[n%fanout], false)
-	p.put(n, block, c.countItems(block, true).minus(before))
+	p.replaceBlock(n, block, c.countItems(block, true).minus(before))
 }
 
-// countItems counts a block's items in or out, and returns its digest.
-func (c *Content) countItems(block []byte, in bool) (sum Digest) {
+// countItems adds the items of a block to the totals of the content, or subtracts them, and returns the digest of the block.
+func (c *Content) countItems(block []byte, added bool) (sum Digest) {
 	for len(block) > 0 {
 		e, rest, _ := readEntry(block)
-		sum = sum.plus(c.countItem(&e, in))
+		sum = sum.plus(c.countItem(&e, added))
 		block = rest
 	}
 	return sum
 }
 
-// countItem counts an item in or out, and returns its digest.
-func (c *Content) countItem(e *entry, in bool) Digest {
+// countItem adds an item to the totals of the content, or subtracts it, and returns the digest of the item.
+func (c *Content) countItem(e *entry, added bool) Digest {
 	digest := hashItem(e.encoded)
-	if in {
+	if added {
 		c.sums[e.part] = c.sums[e.part].plus(digest)
 		c.items[e.part]++
 		c.bytes += len(e.encoded)
@@ -170,7 +171,8 @@
 	return digest
 }
 
-// WithBlock returns the content with one block replaced, nil where the block is malformed or has another digest.
+// WithBlock returns the content with block n replaced. It returns nil if the block is malformed or its digest is not want, or if the content
+// would become too large.
 func (c *Content) WithBlock(n int, block []byte, want Digest) *Content {
 	if n < 0 || n >= Blocks {
 		return nil
@@ -182,7 +184,7 @@
 		block = nil
 	}
 	next := *c
-	next.set(n, bytes.Clone(block), &[fanout]bool{})
+	next.setBlock(n, bytes.Clone(block), &[fanout]bool{})
 	if next.bytes > maxContentBytes {
 		return nil
 	}
--- a/internal/fleet/configsync/difference.go
+++ b/internal/fleet/configsync/difference.go
@@ -2,25 +2,27 @@
 
 import "bytes"
 
-// scanBytesPerCall is how many bytes of blocks one call of Difference.Next goes through, beside the last block.
+// scanBytesPerCall bounds the cost of a call of Difference.Next: a call that has found changes stops before the next block after it has
+// scanned so many bytes of blocks.
 const scanBytesPerCall = 128 << 10
 
-// Difference iterates over the changes from one content to another, some items at a time; it costs what the blocks that differ cost.
+// Difference iterates over the changes from one content to another, in batches. Its cost is proportional to the size of the blocks that
+// differ.
 type Difference struct {
 	from, to *Content
-	next     int // block
-	old, new []byte
-	scanned  int // bytes of blocks
+	next     int    // next block to compare
+	old, new []byte // unread rest of the current block in from and in to
+	scanned  int    // bytes of all blocks compared so far
 }
 
-// Diff returns the changes from one content to another.
+// Diff returns an iterator over the changes from one content to another.
 func Diff(from, to *Content) *Difference { return &Difference{from: from, to: to} }
 
-// Next returns up to so many further changes, none at the end. They are fewer where they lie apart, so that a call costs at most what
-// they and some blocks cost. Removed items have no value; values must not be changed.
-func (d *Difference) Next(most int) (changes []Item) {
+// Next returns up to limit further changes, or none at the end. It returns fewer if the changes are scattered over many blocks, which bounds
+// the cost of a call. Removed items have no value. The caller must not modify the values.
+func (d *Difference) Next(limit int) (changes []Item) {
 	end := d.scanned + scanBytesPerCall
-	for len(changes) < most {
+	for len(changes) < limit {
 		if len(d.old) == 0 && len(d.new) == 0 {
 			enough := len(changes) > 0 && d.scanned >= end
 			if enough || !d.nextBlock() {
@@ -34,33 +36,34 @@
 	return changes
 }
 
-// nextItem goes on by one item, and returns it where it differs.
+// nextItem advances by one item of the current block, and returns it if it differs.
 func (d *Difference) nextItem() (item Item, changed bool) {
 	before, oldRest, _ := readEntry(d.old)
-	if len(before.encoded) > 0 && bytes.HasPrefix(d.new, before.encoded) { // most of a block is the same
+	if len(before.encoded) > 0 && bytes.HasPrefix(d.new, before.encoded) { // the common case: most entries of a block are unchanged
 		d.old = oldRest
 		d.new = d.new[len(before.encoded):]
 		return Item{}, false
 	}
 	after, newRest, _ := readEntry(d.new)
-	order := d.order(&before, &after)
-	if order <= 0 {
+	comparison := d.compareNext(&before, &after)
+	if comparison <= 0 {
 		d.old = oldRest
 	}
-	if order >= 0 {
+	if comparison >= 0 {
 		d.new = newRest
 	}
 	switch {
-	case order < 0:
+	case comparison < 0:
 		return Item{partNames[before.part], string(before.name), nil}, true
-	case order == 0 && bytes.Equal(before.value, after.value):
+	case comparison == 0 && bytes.Equal(before.value, after.value):
 		return Item{}, false
 	}
 	return after.item(), true
 }
 
-// order says which of the next two entries comes first: negative for the old one, positive for the new one.
-func (d *Difference) order(before, after *entry) int {
+// compareNext compares the next entries of the two blocks: negative if the old entry comes first, positive if the new one does, 0 for the same
+// item.
+func (d *Difference) compareNext(before, after *entry) int {
 	switch {
 	case len(d.old) == 0:
 		return 1
@@ -70,7 +73,7 @@
 	return before.compare(after.part, string(after.name))
 }
 
-// nextBlock goes on to the next block that differs.
+// nextBlock advances to the next block that differs, and reports whether there is one.
 func (d *Difference) nextBlock() bool {
 	for ; d.next < Blocks; d.next++ {
 		if d.next%fanout == 0 && samePage(d.from.pages[d.next/fanout], d.to.pages[d.next/fanout]) {
@@ -90,4 +93,5 @@
 	return false
 }
 
+// samePage reports whether two pages have the same blocks, by their digests.
 func samePage(a, b *page) bool { return a == b || a != nil && b != nil && a.sum == b.sum }
--- a/internal/fleet/configsync/draft.go
+++ b/internal/fleet/configsync/draft.go
@@ -2,28 +2,29 @@
 
 import "fmt"
 
-// draft is a long change of which pieces are missing.
+// draft is a change that is committed in several pieces, of which the last has not been applied yet.
 type draft struct {
-	From    string `cbor:"1,keyasint,omitempty"`
-	Base    uint64 `cbor:"2,keyasint,omitempty"`
-	Pieces  int    `cbor:"3,keyasint,omitempty"`
-	At      int64  `cbor:"4,keyasint,omitempty"`
-	Changes []Item `cbor:"5,keyasint,omitempty"` // in a snapshot: what content differs in from the newest
-	Bytes   int    `cbor:"6,keyasint,omitempty"`
-	content *Content
+	Caller  string   `cbor:"1,keyasint,omitempty"`
+	Base    uint64   `cbor:"2,keyasint,omitempty"`
+	Pieces  int      `cbor:"3,keyasint,omitempty"` // number of pieces applied so far; 0 if there is no draft
+	At      int64    `cbor:"4,keyasint,omitempty"` // time of the table at the last piece, in ns
+	Changes []Item   `cbor:"5,keyasint,omitempty"` // only in a snapshot: the changes that lead from the newest content to the content of the draft
+	Bytes   int      `cbor:"6,keyasint,omitempty"` // approximate encoded size of the pieces
+	content *Content // the newest content with the pieces so far applied
 }
 
-// applyPiece applies one piece of a long change, at the cost of that piece. With the last one it returns the content, else nil.
+// applyPiece applies one piece of a long change to the draft. The cost depends on the size of that piece only. It returns the complete
+// content with the last piece, otherwise nil: for earlier pieces and for refusals.
 func (t *Table) applyPiece(at int64, c *Command, v *Verdict) *Content {
 	d := &t.draft
-	ofAnother := d.Pieces > 0 && d.From != c.From && at < d.At+draftTimeout
+	otherDraftActive := d.Pieces > 0 && d.Caller != c.Caller && at < d.At+draftTimeout
 	switch {
-	case c.Piece == 0 && ofAnother:
-		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.From, draftTimeout/second)
+	case c.Piece == 0 && otherDraftActive:
+		v.Refused = fmt.Sprintf("a long change by %s is coming in; try again when it is done, in %d s at the latest", d.Caller, draftTimeout/second)
 		return nil
 	case c.Piece == 0:
-		*d = draft{From: c.From, Base: c.Base, content: t.newest}
-	case d.From != c.From || d.Pieces != c.Piece || d.Base != c.Base:
+		*d = draft{Caller: c.Caller, Base: c.Base, content: t.newest}
+	case d.Caller != c.Caller || d.Pieces != c.Piece || d.Base != c.Base:
 		v.Refused = fmt.Sprintf("piece %d doesn't follow; put all of them again from the first", c.Piece)
 		return nil
 	}
@@ -42,8 +43,8 @@
 	d.Pieces++
 	d.At = at
 	d.content = next
-	v.Done = c.More
-	if c.More {
+	v.Done = c.MorePieces
+	if c.MorePieces {
 		return nil
 	}
 	*d = draft{}
--- a/internal/fleet/configsync/fixtures_test.go
+++ b/internal/fleet/configsync/fixtures_test.go
@@ -14,7 +14,7 @@
 	"topazpost/internal/fixture"
 )
 
-// The encodings of messages, commands, queries and files, one of each kind.
+// Pins the encodings of messages, commands, queries and files: later builds must decode them, and encode them to the same bytes.
 func TestFixturesOfConfiguration(t *testing.T) {
 	t.Run("commands", func(t *testing.T) {
 		var list []Command
@@ -37,7 +37,7 @@
 		}
 		fixture.RoundTrip(t, "messages-v1.cbor", list, cbor.Marshal, cborDecoding.Unmarshal)
 	})
-	t.Run("questions", func(t *testing.T) {
+	t.Run("queries", func(t *testing.T) {
 		var list []Query
 		for k, kind := range []QueryKind{QueryStatus, QueryBlocks, QueryPropose} {
 			q := fixture.Filled[Query](uint32(k))
@@ -49,13 +49,13 @@
 	t.Run("answer", func(t *testing.T) {
 		fixture.RoundTrip(t, "answer-v1.cbor", fixture.Filled[Answer](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
-	t.Run("place for people", func(t *testing.T) {
+	t.Run("replica address as JSON", func(t *testing.T) {
 		fixture.RoundTrip(t, "place-v1.json", fixture.Filled[ReplicaAddress](1), json.Marshal, json.Unmarshal)
 	})
-	t.Run("counters for people", func(t *testing.T) {
+	t.Run("counters as JSON", func(t *testing.T) {
 		fixture.RoundTrip(t, "counters-v1.json", fixture.Filled[Counters](1), json.Marshal, json.Unmarshal)
 	})
-	t.Run("saved", func(t *testing.T) {
+	t.Run("saved table", func(t *testing.T) {
 		fixture.RoundTrip(t, "saved-v1.cbor", fixture.Filled[savedTable](1), cbor.Marshal, cborDecoding.Unmarshal)
 	})
 	t.Run("frame", func(t *testing.T) {
@@ -63,7 +63,7 @@
 	})
 }
 
-// sameContent compares items and digests, and not which pages two contents have in memory.
+// sameContent asserts that two contents have equal items and digests. Their pages in memory may differ: an empty page may be nil or not.
 func sameContent(t *testing.T, want, got *Content) {
 	t.Helper()
 	require.NotNil(t, want)
@@ -73,31 +73,31 @@
 	assert.Equal(t, want.Bytes(), got.Bytes())
 }
 
-// tableOfFixtures is a table whose snapshot has every field.
+// tableOfFixtures returns a table whose snapshot has every field.
 func tableOfFixtures(t *testing.T) *Table {
 	t.Helper()
 	table := NewTable()
 	value := func(n int) []byte { return fmt.Appendf(nil, `{"quota_rps":%d}`, n) }
 	for k, c := range []Command{
-		{Kind: CommandPut, From: "caller-1", Seq: 1, Wall: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 1, WallTime: 101, Changes: []Item{{Operations, "resize", value(1)}, {Tenants, "green", value(2)}, {Limits, "wide", value(3)}}},
 		{Kind: CommandAdvance, Version: 1, CanaryTime: canaryDuration},
-		{Kind: CommandPut, From: "caller-1", Seq: 2, Base: 1, Wall: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 2, Base: 1, WallTime: 102, Changes: []Item{{Operations, "resize", value(4)}, {Tenants, "green", nil}}},
 		{Kind: CommandAdvance, Version: 2, CanaryTime: canaryDuration},
-		{Kind: CommandRollback, From: "caller-2", Seq: 3, Version: 1, Wall: 103},
-		{Kind: CommandPut, From: "caller-1", Seq: 4, Base: 3, Wall: 104, Changes: []Item{{Operations, "crop", value(5)}}},
-		{Kind: CommandPut, From: "caller-1", Seq: 5, Base: 4, Wall: 105, Changes: []Item{{Operations, "turn", value(6)}}},
-		{Kind: CommandStop, Version: 4, Who: "node-7", Why: "it has no room"},
-		{Kind: CommandPut, From: "caller-3", Seq: 6, Base: 4, Wall: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: made on another version
-		{Kind: CommandPut, From: "caller-4", Seq: 7, Base: 5, Wall: 107, More: true, Changes: []Item{{Tenants, "long", value(8)}}},
+		{Kind: CommandRollback, Caller: "caller-2", Seq: 3, Version: 1, WallTime: 103},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 4, Base: 3, WallTime: 104, Changes: []Item{{Operations, "crop", value(5)}}},
+		{Kind: CommandPut, Caller: "caller-1", Seq: 5, Base: 4, WallTime: 105, Changes: []Item{{Operations, "turn", value(6)}}},
+		{Kind: CommandStop, Version: 4, StoppedBy: "node-7", StopReason: "it has no room"},
+		{Kind: CommandPut, Caller: "caller-3", Seq: 6, Base: 4, WallTime: 106, Changes: []Item{{Tenants, "late", value(7)}}}, // refused: its base is not the newest version
+		{Kind: CommandPut, Caller: "caller-4", Seq: 7, Base: 5, WallTime: 107, MorePieces: true, Changes: []Item{{Tenants, "long", value(8)}}},
 	} {
 		v := table.Apply(int64(k+1)*1_000*ms, &c)
-		require.Equal(t, c.From != "caller-3", v.Done, "command %d: %s", k, v.Refused)
+		require.Equal(t, c.Caller != "caller-3", v.Done, "command %d: %s", k, v.Refused)
 	}
 	return table
 }
 
-// The replicas' table of versions is encoded to the bytes of a fixture, and restored from it.
-func TestFixtureOfATableOfVersions(t *testing.T) {
+// Pins the encoding of a table in a snapshot.
+func TestFixtureOfTable(t *testing.T) {
 	want := tableOfFixtures(t)
 	text, err := want.Snapshot()
 	require.NoError(t, err)
@@ -126,18 +126,18 @@
 	assert.Equal(t, fixture, again)
 }
 
-// The file of a node is encoded to the bytes of a fixture, and loaded from it.
-func TestFixtureOfANodesFile(t *testing.T) {
+// Pins the encoding of the file in which a node stores its configuration.
+func TestFixtureOfNodeFile(t *testing.T) {
 	table := tableOfFixtures(t)
 	log := table.Records()
-	mark := table.Head().All
+	inForce := table.Head().All
 	all, _, newest := table.Contents()
 	var text []byte
-	for some := range Encode(mark, all) {
+	for some := range Encode(inForce, all) {
 		text = append(text, some...)
 	}
 	for _, r := range log {
-		if r.Version > mark.Version {
+		if r.Version > inForce.Version {
 			text = AppendRecord(text, r)
 		}
 	}
--- a/internal/fleet/configsync/replicator_test.go
+++ b/internal/fleet/configsync/replicator_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tableWithVersions is a table with some versions, all put at once.
+// tableWithVersions returns a table with some versions, all put at the same time.
 func tableWithVersions(versions int) *Table {
 	table := NewTable()
 	for k := range versions {
@@ -20,16 +20,16 @@
 	return Revision{uint64(version), table.log[version-1].Digest}
 }
 
-// confirmation is a replica's answer, as an input.
-func confirmation(all, first Revision) Input {
-	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: HeadRevision{All: all, Canary: first, Newest: first.Version}}}
+// confirmation returns a replica's answer to a report, as an input.
+func confirmation(all, canary Revision) Input {
+	return Input{Kind: DatagramReceived, From: "s", Message: &Message{Kind: MessageConfirm, Head: RolloutState{All: all, Canary: canary, Newest: canary.Version}}}
 }
 
-func announcement(from string, head HeadRevision, has Revision, records ...Record) Input {
+func announcement(from string, head RolloutState, has Revision, records ...Record) Input {
 	return Input{Kind: DatagramReceived, From: from, Message: &Message{Kind: MessageAnnounce, Head: head, Has: has, Records: records}}
 }
 
-// newTestReplicator is a replicator with two neighbours and two replicas, which is at no canary stage.
+// newTestReplicator returns a replicator with two neighbours and two replicas, whose node is no canary of the tested versions.
 func newTestReplicator() *Replicator {
 	r := NewReplicator(0, ReplicatorConfig{Name: "n", Seed: 1}, InitialState{})
 	v := &View{Neighbours: []string{"a", "b"}, Replicas: []string{"s", "t"}}
@@ -54,14 +54,14 @@
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	r.Step(ms, []Input{announcement("a", RolloutState{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.Equal(t, one, r.ready)
-	effects, _ := r.Step(2*ms, []Input{announcement("a", HeadRevision{}, two, table.log[1].wire()), confirmation(one, two)})
+	effects, _ := r.Step(2*ms, []Input{announcement("a", RolloutState{}, two, table.log[1].wire()), confirmation(one, two)})
 	require.Len(t, effectsOf(effects, ApplyVersion), 1)
 	require.Equal(t, one, effectsOf(effects, ApplyVersion)[0].Revision)
 	effects, _ = r.Step(3*ms, []Input{{Kind: VersionApplied, Revision: one}})
 	require.Equal(t, one, r.Revision())
-	require.Empty(t, effectsOf(effects, ApplyVersion), "the next one is at the canary stage only")
+	require.Empty(t, effectsOf(effects, ApplyVersion), "the next version is at the canary stage, to which this node does not belong")
 	require.Equal(t, two, r.ready)
 }
 
@@ -74,7 +74,7 @@
 	r.Step(2*ms, []Input{confirmation(one, two), confirmation(one, one)})
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 	effects, _ := r.Step(3*ms, []Input{confirmation(Revision{2, Digest{A: 1}}, Revision{2, Digest{A: 1}})})
-	require.Len(t, effectsOf(effects, WriteLog), 1, "a version has one digest")
+	require.Len(t, effectsOf(effects, WriteLog), 1, "a second digest for one version is logged")
 	require.Equal(t, two, r.Status(3*ms).Head.All)
 }
 
@@ -84,7 +84,7 @@
 	two := revisionOf(table, 2)
 	three := revisionOf(table, 3)
 	r.Step(ms, []Input{confirmation(Revision{}, two)})
-	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", HeadRevision{}, two)})
+	effects, _ := r.Step(500*ms, []Input{confirmation(Revision{}, three), announcement("a", RolloutState{}, two)})
 	fetch := effectsOf(effects, Exchange)
 	require.Len(t, fetch, 1)
 	require.Equal(t, "a", fetch[0].To)
@@ -93,14 +93,14 @@
 	require.Equal(t, two, r.ready)
 }
 
-// A replica that is lost after it got a refusal must not be the only one that knows it.
+// Guards against a lost refusal: the only replica that received it could fail before it proposes the stop.
 func TestRefusalIsReportedToSeveralReplicas(t *testing.T) {
 	table := tableWithVersions(1)
 	r := newTestReplicator()
-	r.view.Zone = nil // at the canary stage: it is alone in its zone
+	r.view.Zone = nil // a canary, as the node is alone in its zone
 	r.canary.version = 0
 	one := revisionOf(table, 1)
-	effects, _ := r.Step(ms, []Input{announcement("a", HeadRevision{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
+	effects, _ := r.Step(ms, []Input{announcement("a", RolloutState{}, one, table.log[0].wire()), confirmation(Revision{}, one)})
 	require.True(t, effectsOf(effects, ApplyVersion)[0].Canary)
 	var wake int64
 	in := []Input{{Kind: VersionApplied, Revision: one, Why: "no such effect"}}
@@ -123,17 +123,18 @@
 	require.Equal(t, Revision{}, r.Revision(), "the last valid version stays in force")
 }
 
-// Many nodes report and fetch content at once, with one neighbour among them.
+// Many nodes report and fetch content at once. The neighbour among them must still get content, and the sent bytes must stay within the
+// rate limits of the node and of a single requester.
 func TestThunderingHerdDoesNotStarveNeighbours(t *testing.T) {
 	r := NewReplicator(0, ReplicatorConfig{Name: "s", Seed: 1}, InitialState{})
 	c := fullContent(t, 100, 3_000)
 	revision := Revision{1, c.Digest()}
 	r.Step(1, []Input{{Kind: ViewChanged, View: &View{Neighbours: []string{"near"}}},
-		{Kind: AgreementChanged, Agreed: &Agreed{Head: HeadRevision{All: revision, Canary: revision, Newest: 1}, All: c, Canary: c, Newest: c}}})
+		{Kind: AgreementChanged, Agreed: &Agreed{Head: RolloutState{All: revision, Canary: revision, Newest: 1}, All: c, Canary: c, Newest: c}}})
 	near := 0
 	all := 0
 	const seconds = 20
-	wanted := &Message{Kind: MessageFetch, Want: revision, Sums: (&Content{}).pageSums()}
+	wanted := &Message{Kind: MessageFetch, Want: revision, Sums: (&Content{}).pageDigests()}
 	for now := 20 * ms; now < seconds*1_000*ms; now += 20 * ms {
 		var in []Input
 		for k := range 10 {
@@ -157,7 +158,7 @@
 	require.GreaterOrEqual(t, near, 5, "a neighbour fetches once a second, 16 kB each time")
 	require.LessOrEqual(t, all, seconds*bytesPerSecond+burstBytes+maxBlockBytes)
 	one := 0
-	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one that fetches all the time, alone
+	for now := seconds * 1_000 * ms; now < 2*seconds*1_000*ms; now += 10 * ms { // one node alone fetches all the time
 		effects, _ := r.Step(now, []Input{{Kind: ExchangeOpened, From: "greedy", Link: 1, Message: wanted}})
 		if e := effectsOf(effects, Reply); e[0].Message.hasContent() {
 			one += e[0].Message.size()
@@ -167,8 +168,9 @@
 	require.LessOrEqual(t, one, seconds*peerBytesPerSecond+burstBytes+maxBlockBytes)
 }
 
-// announceUnconfirmed has neighbours announce a version for some seconds that replicas don't know, and returns the number of reports.
-func announceUnconfirmed(r *Replicator, head, unconfirmed HeadRevision, seconds int64, current bool) (reports int) {
+// announceUnconfirmed has both neighbours announce a head that replicas don't confirm, for some seconds, and answers each report twice.
+// It returns the number of reports.
+func announceUnconfirmed(r *Replicator, head, unconfirmed RolloutState, seconds int64, current bool) (reports int) {
 	var in []Input
 	for now := ms; now < seconds*1_000*ms; now += 10 * ms {
 		if now%(500*ms) == ms {
@@ -188,45 +190,45 @@
 	return reports
 }
 
-// All replicas are back with an older state, and in contact with no majority.
+// All replicas restarted with an older state and have no contact with a majority, so their answers prove nothing against peers.
 func TestPeersAreNotPenalizedWhileReplicasLag(t *testing.T) {
 	table := tableWithVersions(3)
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	three := revisionOf(table, 3)
-	r.Step(0, []Input{confirmation(one, one), announcement("a", HeadRevision{}, one, table.log[0].wire())})
+	r.Step(0, []Input{confirmation(one, one), announcement("a", RolloutState{}, one, table.log[0].wire())})
 	r.Step(1, []Input{{Kind: VersionApplied, Revision: one}})
 	require.Equal(t, one, r.Revision())
-	reports := announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: three}, 60, false)
+	reports := announceUnconfirmed(r, RolloutState{All: one, Canary: one}, RolloutState{All: one, Canary: three}, 60, false)
 	require.Zero(t, r.Counters.InvalidResponses)
 	require.Less(t, reports, 60, "the backoff between reports grows")
-	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", HeadRevision{All: one, Canary: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
+	effects, _ := r.Step(60_001*ms, []Input{confirmation(one, three), announcement("a", RolloutState{All: one, Canary: three}, three, wireRecords(table.log[1:], maxEagerBytes, true)...)})
 	require.Empty(t, effectsOf(effects, ApplyVersion))
 	require.Equal(t, three, r.ready, "announced records are used as soon as a replica confirms")
 }
 
-// Replicas in contact with the group learn of a version some seconds later than neighbours.
+// Replicas in contact with the group may learn of a version up to unconfirmedGracePeriod later than neighbours.
 func TestUnconfirmedVersionHasAGracePeriod(t *testing.T) {
 	table := tableWithVersions(2)
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: two}, unconfirmedGracePeriod/(1_000*ms), true)
+	announceUnconfirmed(r, RolloutState{All: one, Canary: one}, RolloutState{All: one, Canary: two}, unconfirmedGracePeriod/(1_000*ms), true)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
-// Current replicas deny a version, and a peer announces another content for a known version.
+// Peers are penalized for a version that current replicas deny, and for announcing another digest for a confirmed version.
 func TestPeerWithUnknownVersionsIsPenalized(t *testing.T) {
 	table := tableWithVersions(2)
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	two := revisionOf(table, 2)
-	announceUnconfirmed(r, HeadRevision{All: one, Canary: one}, HeadRevision{All: one, Canary: Revision{9, Digest{A: 9}}}, 20, true)
+	announceUnconfirmed(r, RolloutState{All: one, Canary: one}, RolloutState{All: one, Canary: Revision{9, Digest{A: 9}}}, 20, true)
 	require.Equal(t, 2, r.Counters.InvalidResponses, "both neighbours announced it")
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
 	require.Equal(t, 1, r.peers["b"].invalidResponses)
 	r = newTestReplicator()
-	r.Step(ms, []Input{confirmation(one, one), announcement("a", HeadRevision{All: one, Canary: Revision{2, Digest{A: 9}}}, one), announcement("b", HeadRevision{All: one, Canary: two}, two)})
+	r.Step(ms, []Input{confirmation(one, one), announcement("a", RolloutState{All: one, Canary: Revision{2, Digest{A: 9}}}, one), announcement("b", RolloutState{All: one, Canary: two}, two)})
 	require.Zero(t, r.Counters.InvalidResponses, "no replica confirmed it yet")
 	r.Step(2*ms, []Input{confirmation(one, two)})
 	require.Equal(t, 1, r.peers["a"].invalidResponses)
@@ -236,12 +238,12 @@
 	for k := 1; k <= 9; k++ {
 		r.Step(int64(k)*ms, []Input{confirmation(revisionOf(table, k), revisionOf(table, k))})
 	}
-	r.Step(10*ms, []Input{announcement("a", HeadRevision{}, Revision{4, Digest{A: 4}}), announcement("b", HeadRevision{}, revisionOf(table, 4))})
+	r.Step(10*ms, []Input{announcement("a", RolloutState{}, Revision{4, Digest{A: 4}}), announcement("b", RolloutState{}, revisionOf(table, 4))})
 	require.Equal(t, 1, r.peers["a"].invalidResponses, "past revisions are remembered for a while")
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
 
-// fetchOf is the fetch that a step starts.
+// fetchOf returns the only fetch that a step starts.
 func fetchOf(t *testing.T, r *Replicator, now int64, in ...Input) Effect {
 	effects, _ := r.Step(now, in)
 	list := effectsOf(effects, Exchange)
@@ -249,13 +251,13 @@
 	return list[0]
 }
 
-// The peer that sent some of the records is busy, and another one has the rest.
+// The peer that sent some of the records is busy; another one must be asked for the rest.
 func TestRecordsAreContinuedByAnyPeer(t *testing.T) {
 	table := tableWithVersions(3)
 	r := newTestReplicator()
 	one := revisionOf(table, 1)
 	three := revisionOf(table, 3)
-	head := HeadRevision{All: three, Canary: three}
+	head := RolloutState{All: three, Canary: three}
 	fetch := fetchOf(t, r, 500*ms, confirmation(three, three), announcement("a", head, three), announcement("b", head, three))
 	from := fetch.To
 	other := "a"
@@ -274,18 +276,18 @@
 	}
 	fetch = effectsOf(effects, Exchange)[0]
 	require.Equal(t, other, fetch.To)
-	require.Equal(t, one, fetch.Message.Has, "from where the first peer ended")
+	require.Equal(t, one, fetch.Message.Has, "the fetch continues after the records of the first peer")
 	r.Step(801*ms, []Input{{Kind: ExchangeAnswered, Link: fetch.Link, Message: &Message{Kind: MessageContent, Has: three, Records: wireRecords(table.log[1:], maxPieceBytes, false)}}})
 	require.Equal(t, three, r.ready)
 	require.Zero(t, r.Counters.InvalidResponses)
 }
 
-// A peer sends records that are consistent and were never agreed on.
+// A peer sends consistent records that were never agreed on. As no other peer can continue them, they must be dropped.
 func TestRecordsThatNobodyContinuesAreDropped(t *testing.T) {
 	table := tableWithVersions(2)
 	r := newTestReplicator()
 	two := revisionOf(table, 2)
-	head := HeadRevision{All: two, Canary: two}
+	head := RolloutState{All: two, Canary: two}
 	invalid, err := (&Content{}).Apply([]Item{tenant(7, "7")})
 	require.NoError(t, err)
 	fetch := fetchOf(t, r, 500*ms, confirmation(two, two), announcement("a", head, two))
@@ -308,7 +310,7 @@
 	require.Zero(t, r.peers["b"].invalidResponses)
 }
 
-// A further version is agreed on during each fetch of blocks.
+// A further version is agreed on during each fetch of blocks. The blocks must be kept, and the index must not be fetched each time.
 func TestFetchedBlocksAreKeptWhenTheVersionMovesOn(t *testing.T) {
 	r := newTestReplicator()
 	c := fullContent(t, 100, 3_000)
@@ -323,7 +325,7 @@
 		n.appliedContent = c
 		n.ready = revision
 		var fetch Effect
-		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", HeadRevision{All: revision, Canary: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
+		for effects, _ := r.Step(now, []Input{confirmation(revision, revision), announcement("a", RolloutState{All: revision, Canary: revision}, revision)}); ; effects, _ = r.Step(now, nil) {
 			if list := effectsOf(effects, Exchange); len(list) > 0 {
 				fetch = list[0]
 				break
--- a/internal/fleet/configsync/snapshot_test.go
+++ b/internal/fleet/configsync/snapshot_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// largeTable is a table with so many tenants, and an incomplete long change.
+// largeTable returns a table with the given number of tenants and a draft of which pieces are missing.
 func largeTable(t *testing.T, tenants int) *Table {
 	table := NewTable()
 	put := func(seq, base uint64, piece int, more bool, from, to, rate int) {
@@ -18,7 +18,7 @@
 		for k := from; k < to; k++ {
 			changes = append(changes, Item{Tenants, fmt.Sprintf("tenant-%06d", k), fmt.Appendf(nil, `{"quota_rps":%d}`, rate)})
 		}
-		v := table.Apply(int64(seq), &Command{Kind: CommandPut, From: "a", Seq: seq, Base: base, Piece: piece, More: more, Changes: changes})
+		v := table.Apply(int64(seq), &Command{Kind: CommandPut, Caller: "a", Seq: seq, Base: base, Piece: piece, MorePieces: more, Changes: changes})
 		require.True(t, v.Done, v.Refused)
 	}
 	seq := uint64(0)
@@ -38,53 +38,54 @@
 	return table
 }
 
-// A snapshot of a large table is encoded in steps of bounded cost, and is that of the table as it was at the beginning, whatever became
-// of the table meanwhile.
+// A snapshot of a large table must not block the replica: each step is of bounded size. The result must be the state at the beginning,
+// although the table changes between the steps.
 func TestSnapshotIsEncodedInBoundedSteps(t *testing.T) {
-	const once = 64 << 10
+	const minCost = 64 << 10
 	table := largeTable(t, 130_000)
-	before, err := largeTable(t, 130_000).Snapshot()
+	atBeginning, err := largeTable(t, 130_000).Snapshot()
 	require.NoError(t, err)
 	w := table.BeginSnapshot()
-	parts := 0
-	last := 0
+	calls := 0
+	lastLength := 0
 	seq := uint64(1_000)
-	for whole := false; !whole; parts++ {
-		whole = w.Next(once)
-		assert.LessOrEqual(t, len(w.Encoded())-last, once+maxBlockBytes)
-		last = len(w.Encoded())
+	for complete := false; !complete; calls++ {
+		complete = w.Next(minCost)
+		assert.LessOrEqual(t, len(w.Encoded())-lastLength, minCost+maxBlockBytes)
+		lastLength = len(w.Encoded())
 		seq++
-		table.Apply(1<<41, &Command{Kind: CommandPut, From: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
-		table.Apply(1<<41+int64(parts)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
+		table.Apply(1<<41, &Command{Kind: CommandPut, Caller: "b", Seq: seq, Base: table.Head().Newest, Changes: []Item{{Tenants, fmt.Sprint("b", seq), []byte(`{}`)}}})
+		table.Apply(1<<41+int64(calls)*canaryDuration, &Command{Kind: CommandAdvance, Version: table.Head().Canary.Version})
 	}
-	assert.Greater(t, parts, len(before)/(once+maxBlockBytes))
-	assert.Equal(t, before, w.Encoded())
-	assert.LessOrEqual(t, cap(w.Encoded()), len(before)*11/10, "its size is known before, so that it is never copied")
-	again, err := Restore(w.Encoded())
+	assert.Greater(t, calls, len(atBeginning)/(minCost+maxBlockBytes))
+	assert.Equal(t, atBeginning, w.Encoded())
+	assert.LessOrEqual(t, cap(w.Encoded()), len(atBeginning)*11/10, "the text is allocated once, at its final size")
+	restored, err := Restore(w.Encoded())
 	require.NoError(t, err)
-	text, err := again.Snapshot()
+	text, err := restored.Snapshot()
 	require.NoError(t, err)
-	assert.Equal(t, before, text)
+	assert.Equal(t, atBeginning, text)
 }
 
-// A snapshot that is encoded in steps equals that of the encoder, so that earlier builds can read it.
+// The incremental encoding, written by hand, must have the fields and the length of the encoding of savedTable by the CBOR library, so that
+// other builds can read it.
 func TestIncrementalSnapshotEqualsEncoder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		at := int64(0)
 		for seq := range uint64(rapid.IntRange(0, 30).Draw(t, "commands")) {
 			at += rapid.SampledFrom([]int64{0, canaryDuration}).Draw(t, "later")
-			c := Command{Kind: CommandPut, From: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
+			c := Command{Kind: CommandPut, Caller: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who"), Seq: seq + 1, Base: table.Head().Newest}
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				c = Command{Kind: CommandAdvance, Version: table.Head().Canary.Version}
 			case 1:
-				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, Who: "n", Why: "no"}
+				c = Command{Kind: CommandStop, Version: table.Head().Canary.Version, StoppedBy: "n", StopReason: "no"}
 			case 2:
-				c = Command{Kind: CommandRollback, From: "c", Seq: seq + 1, Version: table.Head().All.Version}
+				c = Command{Kind: CommandRollback, Caller: "c", Seq: seq + 1, Version: table.Head().All.Version}
 			case 3:
 				c.Piece = table.draft.Pieces
-				c.More = rapid.Bool().Draw(t, "more")
+				c.MorePieces = rapid.Bool().Draw(t, "more")
 				fallthrough
 			default:
 				for range rapid.IntRange(1, 40).Draw(t, "items") {
@@ -106,20 +107,20 @@
 		if s.Draft.content != nil {
 			s.Draft.Changes = differences(table.newest, s.Draft.content)
 		}
-		whole, err := cbor.Marshal(&s)
+		encodedByLibrary, err := cbor.Marshal(&s)
 		require.NoError(t, err)
 		w := table.BeginSnapshot()
 		for !w.Next(rapid.IntRange(1, 10_000).Draw(t, "least")) {
 		}
-		var one, two savedTable
-		require.NoError(t, cbor.Unmarshal(whole, &one))
-		require.NoError(t, cbor.Unmarshal(w.Encoded(), &two))
-		require.Equal(t, one, two)
-		require.Len(t, w.Encoded(), len(whole), "nothing is encoded twice")
+		var fromLibrary, fromWriter savedTable
+		require.NoError(t, cbor.Unmarshal(encodedByLibrary, &fromLibrary))
+		require.NoError(t, cbor.Unmarshal(w.Encoded(), &fromWriter))
+		require.Equal(t, fromLibrary, fromWriter)
+		require.Len(t, w.Encoded(), len(encodedByLibrary), "no field is encoded twice")
 	})
 }
 
-// Scattered changes, one to a block, are all found, at the cost of some blocks a call.
+// Changes that are scattered over many blocks must all be found, and each call of Next must scan a bounded number of bytes.
 func TestDifferenceOfScatteredChangesIsBounded(t *testing.T) {
 	from := largeTable(t, 130_000).newest
 	var changes []Item
@@ -130,21 +131,21 @@
 	require.NoError(t, err)
 	d := Diff(from, to)
 	found := 0
-	looks := 0
+	calls := 0
 	for before := 0; ; before = d.scanned {
 		some := d.Next(256)
-		assert.LessOrEqual(t, d.scanned-before, 256<<10)
+		assert.LessOrEqual(t, d.scanned-before, 256<<10) // above scanBytesPerCall plus the last block of both contents
 		if len(some) == 0 {
 			break
 		}
 		found = found + len(some)
-		looks++
+		calls++
 	}
 	assert.Equal(t, len(changes), found)
-	assert.Greater(t, looks, 30)
+	assert.Greater(t, calls, 30)
 }
 
-// differences are all items that differ.
+// differences returns all changes from one content to another.
 func differences(from, to *Content) (all []Item) {
 	for d := Diff(from, to); ; {
 		some := d.Next(maxLogRecords)
--- a/internal/fleet/configsync/versions.go
+++ b/internal/fleet/configsync/versions.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// commit makes a content the newest version. One that equals the newest makes none, unless a rollback brings it in force for all.
+// commit makes a content the newest version. A content equal to the newest one makes no new version, except in a rollback while the newest
+// version is not in force for all nodes.
 func (t *Table) commit(at int64, c *Command, next *Content, v *Verdict) {
 	rollback := c.Kind == CommandRollback
 	v.Done = true
@@ -15,14 +16,14 @@
 	if t.head.Newest == 0 && c.Kind == CommandPut {
 		t.head.Newest = min(c.Version, maxStartVersion)
 	}
-	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), From: c.From, Wall: c.Wall, Rollback: rollback}
-	fits := record.fill(t.newest, next)
+	record := &Record{Version: t.head.Newest + 1, Base: t.newest.Digest(), Digest: next.Digest(), Caller: c.Caller, WallTime: c.WallTime, Rollback: rollback}
+	fits := record.fillChanges(t.newest, next)
 	t.newest = next
 	t.head.Newest = record.Version
 	v.Version = record.Version
 	t.appendLog(record, fits)
 	switch {
-	case rollback: // it was in force for all before
+	case rollback: // skips the canary stage: the content was in force for all nodes before
 		t.head.Canary = Revision{record.Version, record.Digest}
 		t.canary = next
 		t.promote(at)
@@ -31,8 +32,9 @@
 	}
 }
 
-// fill sets a record's changes, without those that change nothing. It is false for more than the log can hold, and stops then.
-func (r *Record) fill(before, after *Content) bool {
+// fillChanges stores the differences between two contents in the record. It stops and returns false as soon as the record exceeds the
+// capacity of the log.
+func (r *Record) fillChanges(before, after *Content) bool {
 	for difference := Diff(before, after); ; {
 		changes := difference.Next(maxLogRecords)
 		if len(changes) == 0 {
@@ -49,7 +51,7 @@
 	}
 }
 
-// appendLog appends a record, or begins an empty log where that doesn't fit.
+// appendLog appends a record to the log and drops the oldest records beyond its capacity. A record that does not fit empties the log.
 func (t *Table) appendLog(record *Record, fits bool) {
 	if !fits {
 		t.log = nil
@@ -65,17 +67,18 @@
 	}
 }
 
-// startCanary begins the canary stage of the newest version, with all that it is made on.
+// startCanary begins the canary stage of the newest version, which includes the changes of the versions that were waiting before it.
 func (t *Table) startCanary(at int64) {
 	t.head.Canary = Revision{t.head.Newest, t.newest.Digest()}
 	t.head.Stopped = false
-	t.head.Who = ""
-	t.head.Why = ""
+	t.head.StoppedBy = ""
+	t.head.StopReason = ""
 	t.canary = t.newest
 	t.canarySince = at
 }
 
-// promote has the version at the canary stage in force for all. What was agreed on meanwhile is at the canary stage next, as one.
+// promote brings the version at the canary stage into force for all nodes. Versions that were committed in the meantime enter the canary
+// stage together, as the newest of them.
 func (t *Table) promote(at int64) {
 	t.rollbackVersions = append(t.rollbackVersions, t.head.All.Version)
 	if len(t.rollbackVersions) > maxLogRecords {
@@ -83,15 +86,15 @@
 	}
 	t.head.All = t.head.Canary
 	t.all = t.canary
-	first := t.head.Newest + 1
+	oldestInLog := t.head.Newest + 1
 	if len(t.log) > 0 {
-		first = t.log[0].Version
+		oldestInLog = t.log[0].Version
 	}
-	t.rollbackVersions = slices.DeleteFunc(t.rollbackVersions, func(version uint64) bool { return version+1 < first })
+	t.rollbackVersions = slices.DeleteFunc(t.rollbackVersions, func(version uint64) bool { return version+1 < oldestInLog })
 	t.startCanary(at)
 }
 
-// refuseStale refuses a change that was made on another version, and names the items that changed since.
+// refuseStale refuses a change whose base is not the newest version, and lists the items that changed since that base.
 func (t *Table) refuseStale(base uint64, v *Verdict) {
 	v.Stale = true
 	v.Refused = fmt.Sprintf("made on version %d, the newest is %d; look at what differs and put it again", base, t.head.Newest)
@@ -99,7 +102,7 @@
 		v.Refused = fmt.Sprintf("made on version %d, the newest is %d: it was made on what another council agreed on", base, t.head.Newest)
 	}
 	if len(t.log) == 0 || base+1 < t.log[0].Version || base > t.head.Newest {
-		v.More = -1
+		v.UnlistedDiffering = -1
 		return
 	}
 	type itemName struct{ part, name string }
@@ -114,13 +117,14 @@
 			if len(v.Differing) < maxNamedItems {
 				v.Differing = append(v.Differing, Item{Part: item.Part, Name: item.Name})
 			} else {
-				v.More++
+				v.UnlistedDiffering++
 			}
 		}
 	}
 }
 
-// applyRollback makes a new version of an older one's content. That one was in force for all, so this one is at once.
+// applyRollback makes a new version with the content of an older one. The older version was in force for all nodes, so the new version
+// skips the canary stage.
 func (t *Table) applyRollback(at int64, c *Command, v *Verdict) {
 	if c.Version == t.head.All.Version {
 		t.commit(at, c, t.all, v)
--- a/internal/fleet/consensus/leader.go
+++ b/internal/fleet/consensus/leader.go
@@ -5,13 +5,13 @@
 )
 
 const (
-	heartbeatInterval    = 80 * ms    // ns
-	minElectionTimeout   = 600 * ms   // ns without contact to a leader; timeouts are drawn from here to twice that
-	leaderSilenceTimeout = 1_200 * ms // ns without contact to a majority after which a leader steps down, so that others may be elected
-	stepDownInterval     = 3_000 * ms // ns between announcements of a leader that stepped down: two such learn of each other, and others can be elected in between
-	leaderTickInterval   = 50 * ms    // ns
-	snapshotTimeout      = 1_000 * ms // ns that a snapshot may be on its way
-	snapshotRetryBackoff = 50 * ms    // ns until a snapshot is sent that is still being written
+	heartbeatInterval       = 80 * ms    // several heartbeats may be lost within minElectionTimeout
+	minElectionTimeout      = 600 * ms   // without contact to a leader; each time-out is drawn at random between this and twice this
+	majorityTimeout         = 1_200 * ms // without contact to a majority, after which a leader keeps silent, so that another may be elected
+	silentHeartbeatInterval = 3_000 * ms // between the heartbeats of a silent leader: two silent leaders learn of each other, and in between another can be elected
+	leaderTickInterval      = 50 * ms    // between the leader's own commands
+	snapshotTimeout         = 1_000 * ms // after which a snapshot that was sent is reported to raft as failed
+	snapshotRetryBackoff    = 50 * ms    // until raft tries again to send a snapshot that was held back
 )
 
 func (r *raftReplica) resetElectionTimer() {
@@ -20,11 +20,11 @@
 
 func (r *raftReplica) campaign() {
 	r.Counters.Campaigns++
-	_ = r.raft.node.Campaign() // refused where this replica is no voter: the next timeout tries again
+	_ = r.raft.node.Campaign() // fails if this replica is no voter; it campaigns again at the next timeout
 	r.followLeader()
 }
 
-// followLeader takes note of a change of leader.
+// followLeader records a change of leader.
 func (r *raftReplica) followLeader() {
 	leaderID := r.raft.node.BasicStatus().Lead
 	if leaderID == r.leadership.leaderID {
@@ -48,20 +48,20 @@
 	}
 	clear(r.leadership.lastContact)
 	for _, replica := range r.replicas {
-		r.leadership.lastContact[replica.ID] = r.now
+		r.leadership.lastContact[replica.RaftID] = r.now
 	}
-	r.log(false, "this node leads the council, term %d", r.raft.node.BasicStatus().GetTerm())
+	r.logLine(false, "consensus: this replica leads the group in term %d", r.raft.node.BasicStatus().GetTerm())
 }
 
-// steppedDown reports whether this replica leads and has not been in contact with a majority for leaderSilenceTimeout. It then sends
-// nothing, so that replicas which still receive its messages, but can't reach it, elect another.
-func (r *raftReplica) steppedDown() bool {
+// lostMajority reports whether this replica leads but has had no contact to a majority for majorityTimeout. It remains raft's leader, but
+// stops sending raft messages, so that replicas that receive them, but can't reach this one, elect another leader.
+func (r *raftReplica) lostMajority() bool {
 	if !r.IsLeader() {
 		return false
 	}
 	inContact := 0
 	for _, replica := range r.replicas {
-		if replica.ID == r.raft.id || r.now-r.leadership.lastContact[replica.ID] < leaderSilenceTimeout {
+		if replica.RaftID == r.raft.id || r.now-r.leadership.lastContact[replica.RaftID] < majorityTimeout {
 			inContact++
 		}
 	}
@@ -83,19 +83,21 @@
 		for _, t := range r.tables {
 			t.leaderTick()
 		}
-		r.replaceRestarted()
+		r.proposeReplacements()
 	}
 }
 
+// heartbeat has raft send the leader's heartbeats. A leader that lost the majority sends them only every
+// silentHeartbeatInterval.
 func (r *raftReplica) heartbeat() {
 	r.leadership.heartbeatAt = r.now + heartbeatInterval
 	r.raft.node.Tick()
-	if !r.steppedDown() {
+	if !r.lostMajority() {
 		r.leadership.leaderContactAt = r.now
 		return
 	}
-	if r.now >= r.leadership.announceAt {
-		r.leadership.announceAt = r.now + stepDownInterval
-		r.leadership.announcing = true
+	if r.now >= r.leadership.nextSilentHeartbeatAt {
+		r.leadership.nextSilentHeartbeatAt = r.now + silentHeartbeatInterval
+		r.leadership.sendDespiteSilence = true
 	}
 }
--- a/internal/fleet/membership/digest_test.go
+++ b/internal/fleet/membership/digest_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// event is a delivery in a simulated fleet.
+// event is a scheduled action in a simulated fleet.
 type event struct {
 	at, order int64
 	run       func()
@@ -35,27 +35,28 @@
 	return last
 }
 
-// simulation is a fleet of nodes that send each other datagrams and exchanges, some of which are lost.
+// simulation is a fleet of nodes that send each other datagrams and exchanges, some of which are lost. Its digest covers all
+// effects of all nodes.
 type simulation struct {
-	t      *testing.T
-	now    int64
-	order  int64
-	events eventQueue
-	random *rand.Rand
-	loss   float64
-	nodes  map[string]*simulatedNode // by address
-	cut    map[string]bool           // addresses that neither send nor hear
-	digest hash.Hash
+	t           *testing.T
+	now         int64
+	order       int64
+	events      eventQueue
+	random      *rand.Rand
+	loss        float64
+	nodes       map[string]*simulatedNode // by address
+	partitioned map[string]bool           // addresses that reach only each other
+	digest      hash.Hash
 }
 
 type simulatedNode struct {
-	address string
-	members *Members
-	wakeAt  int64
-	life    int
-	paused  bool
-	asked   map[int]func(*Message)
-	links   int
+	address          string
+	members          *Members
+	wakeAt           int64
+	incarnation      int
+	paused           bool
+	pendingExchanges map[int]func(*Message)
+	lastExchange     int
 }
 
 func (s *simulation) after(delay int64, run func()) {
@@ -65,7 +66,7 @@
 
 func (s *simulation) delay() int64 { return ms + s.random.Int63n(20*ms) }
 
-// start gives an address a new incarnation.
+// start starts a node in a new incarnation.
 func (s *simulation) start(k int, seeds []string) {
 	address := fmt.Sprintf("10.0.0.%d:9", k)
 	n := s.nodes[address]
@@ -73,30 +74,31 @@
 		n = &simulatedNode{address: address}
 		s.nodes[address] = n
 	}
-	n.life++
-	n.asked = map[int]func(*Message){}
+	n.incarnation++
+	n.pendingExchanges = map[int]func(*Message){}
 	config := Config{Name: fmt.Sprintf("n%d", k), Address: address, Zone: fmt.Sprintf("z%d", k%3), Version: "1", Seeds: seeds,
 		ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 20_000 * ms, MaxMembers: 64}
 	n.members = New(config, s.now, s.now+1, 0, s.random.Int63())
 	s.step(n)
 }
 
-func clone(t *testing.T, m *Message) (*Message, []byte) {
+// encodeAndDecode returns a copy of a message made by its encoding, and the encoding.
+func encodeAndDecode(t *testing.T, m *Message) (*Message, []byte) {
 	t.Helper()
-	text, err := cbor.Marshal(m)
+	encoded, err := cbor.Marshal(m)
 	require.NoError(t, err)
 	copied := new(Message)
-	require.NoError(t, cbor.Unmarshal(text, copied))
-	return copied, text
+	require.NoError(t, cbor.Unmarshal(encoded, copied))
+	return copied, encoded
 }
 
-// step steps a node, takes its effects into the digest and carries them out.
+// step steps a node, adds its effects to the digest and executes them.
 func (s *simulation) step(n *simulatedNode, inputs ...Input) {
 	if n.paused {
 		return
 	}
 	effects, wake := n.members.Step(s.now, s.now, inputs)
-	life := n.life
+	incarnation := n.incarnation
 	write := func(values ...int64) {
 		for _, v := range values {
 			_ = binary.Write(s.digest, binary.LittleEndian, v)
@@ -105,24 +107,25 @@
 	write(s.now, wake, int64(len(effects)))
 	for k := range effects {
 		e := &effects[k]
-		message, text := clone(s.t, &e.Message)
-		write(int64(e.Kind), int64(e.Link), int64(e.Change.Number), int64(e.Change.Cause), int64(e.Change.Incarnation), e.Change.After,
+		message, encoded := encodeAndDecode(s.t, &e.Message)
+		write(int64(e.Kind), int64(e.ExchangeID), int64(e.Change.Number), int64(e.Change.Cause), int64(e.Change.Incarnation), e.Change.DetectionDelay,
 			int64(e.Change.Size), int64(e.Change.Hash))
-		_, _ = s.digest.Write(append(text, e.To+e.Change.Who+e.Change.ReportedBy...))
-		s.carry(n, e.Kind, e.To, e.Link, message)
+		_, _ = s.digest.Write(append(encoded, e.To+e.Change.Member+e.Change.ReportedBy...))
+		s.execute(n, e.Kind, e.To, e.ExchangeID, message)
 	}
 	n.wakeAt = max(s.now+1, wake)
 	s.after(n.wakeAt-s.now, func() {
-		if n.life == life && s.now >= n.wakeAt { // else a later step set another wake
+		if n.incarnation == incarnation && s.now >= n.wakeAt { // otherwise a later step has scheduled another wake
 			s.step(n)
 		}
 	})
 }
 
-func (s *simulation) carry(n *simulatedNode, kind EffectKind, to string, link int, message *Message) {
-	life := n.life
+// execute delivers a message after a delay, unless it is lost.
+func (s *simulation) execute(n *simulatedNode, kind EffectKind, to string, exchangeID int, message *Message) {
+	incarnation := n.incarnation
 	peer := s.nodes[to]
-	lost := peer == nil || s.random.Float64() < s.loss || s.cut[to] != s.cut[n.address]
+	lost := peer == nil || s.random.Float64() < s.loss || s.partitioned[to] != s.partitioned[n.address]
 	switch kind {
 	case Send:
 		if !lost {
@@ -130,31 +133,31 @@
 		}
 	case Exchange:
 		answered := func(input Input) {
-			if n.life == life {
+			if n.incarnation == incarnation {
 				s.step(n, input)
 			}
 		}
 		if lost {
-			s.after(s.delay(), func() { answered(Input{Kind: ExchangeFailed, Link: link}) })
+			s.after(s.delay(), func() { answered(Input{Kind: ExchangeFailed, ExchangeID: exchangeID}) })
 			return
 		}
 		s.after(s.delay(), func() {
-			peer.links++
-			peer.asked[peer.links] = func(answer *Message) {
-				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, Link: link, Message: answer}) })
+			peer.lastExchange++
+			peer.pendingExchanges[peer.lastExchange] = func(answer *Message) {
+				s.after(s.delay(), func() { answered(Input{Kind: ExchangeAnswered, ExchangeID: exchangeID, Message: answer}) })
 			}
-			s.step(peer, Input{Kind: ExchangeOpened, Link: peer.links, Message: message})
+			s.step(peer, Input{Kind: ExchangeOpened, ExchangeID: peer.lastExchange, Message: message})
 		})
 	case Reply:
-		if reply := n.asked[link]; reply != nil {
-			delete(n.asked, link)
+		if reply := n.pendingExchanges[exchangeID]; reply != nil {
+			delete(n.pendingExchanges, exchangeID)
 			reply(message)
 		}
 	}
 }
 
-// fault draws one disturbance of the fleet.
-func (s *simulation) fault(nodes int, seeds []string) {
+// injectFault injects a random fault: a restart, a drain, a partition, a pause or changed facts.
+func (s *simulation) injectFault(nodes int, seeds []string) {
 	k := 1 + s.random.Intn(nodes)
 	n := s.nodes[fmt.Sprintf("10.0.0.%d:9", k)]
 	switch s.random.Intn(6) {
@@ -164,8 +167,8 @@
 		s.step(n, Input{Kind: Leaving})
 		s.after(2_000*ms, func() { s.start(k, seeds) })
 	case 2:
-		s.cut[n.address] = true
-		s.after(6_000*ms, func() { delete(s.cut, n.address) })
+		s.partitioned[n.address] = true
+		s.after(6_000*ms, func() { delete(s.partitioned, n.address) })
 	case 3:
 		n.paused = true
 		s.after(3_000*ms, func() {
@@ -177,13 +180,14 @@
 	case 5:
 		for other := range nodes / 2 {
 			address := fmt.Sprintf("10.0.0.%d:9", 1+other)
-			s.cut[address] = true
-			s.after(8_000*ms, func() { delete(s.cut, address) })
+			s.partitioned[address] = true
+			s.after(8_000*ms, func() { delete(s.partitioned, address) })
 		}
 	}
 }
 
-// What Step returns in drawn fleets stays the same, bit for bit.
+// Guards against changes of the protocol by a refactoring: the effects of Step in random simulated fleets must match the
+// recorded digests, which change only with the protocol.
 func TestDigestsOfMembershipSteps(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -198,13 +202,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &simulation{t: t, now: 1_000_000 * ms, random: rand.New(rand.NewSource(c.seed)), loss: c.loss,
-				nodes: map[string]*simulatedNode{}, cut: map[string]bool{}, digest: sha256.New()}
+				nodes: map[string]*simulatedNode{}, partitioned: map[string]bool{}, digest: sha256.New()}
 			seeds := []string{"10.0.0.1:9", "10.0.0.2:9"}
 			for k := range c.nodes {
 				s.after(s.random.Int63n(1_000*ms), func() { s.start(1+k, seeds) })
 			}
 			for at := int64(8_000 * ms); at < 80_000*ms; at += 4_000 * ms {
-				s.after(at, func() { s.fault(c.nodes, seeds) })
+				s.after(at, func() { s.injectFault(c.nodes, seeds) })
 			}
 			for end := s.now + 100_000*ms; s.events[0].at < end; {
 				e := heap.Pop(&s.events).(event)
--- a/internal/fleet/membership/gossip.go
+++ b/internal/fleet/membership/gossip.go
@@ -4,7 +4,7 @@
 	"topazpost/internal/invariant"
 )
 
-// queueRecord queues a record on all links but the one that brought it.
+// queueRecord queues a member's record on all links except from, which delivered it (-1 for none), and the member's own.
 func (m *Members) queueRecord(i int32, from int8) {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && int8(k) != from && l.member != i {
@@ -13,33 +13,33 @@
 	}
 }
 
-// queueOnLink queues a record on one link, and to be sent twice in a small fleet.
+// queueOnLink queues a record on one link. In a view of fewer than 2*ringCount members, it is sent twice.
 func (m *Members) queueOnLink(k int8, i int32) {
 	bit := uint32(1) << k
-	if m.owed[i]&bit == 0 {
-		m.owed[i] |= bit
-		m.links[k].owedRecords++
+	if m.queuedOn[i]&bit == 0 {
+		m.queuedOn[i] |= bit
+		m.links[k].queuedRecords++
 	}
-	if m.owedTwice[i] &^= bit; m.viewSize < 2*ringCount { // few links bring each record: twice on each
-		m.owedTwice[i] |= bit
+	if m.resendOn[i] &^= bit; m.viewSize < 2*ringCount { // few links deliver each record, so a lost datagram matters more
+		m.resendOn[i] |= bit
 	}
 }
 
-// dequeueOnLink takes a record out of the queue of a link.
+// dequeueOnLink removes a record from the queue of a link.
 func (m *Members) dequeueOnLink(k int8, i int32) {
-	if bit := uint32(1) << k; m.owed[i]&bit != 0 {
-		m.owed[i] &^= bit
-		m.owedTwice[i] &^= bit
-		m.links[k].owedRecords--
+	if bit := uint32(1) << k; m.queuedOn[i]&bit != 0 {
+		m.queuedOn[i] &^= bit
+		m.resendOn[i] &^= bit
+		m.links[k].queuedRecords--
 	}
 }
 
 // clearQueue empties the queue of a link.
 func (m *Members) clearQueue(k int8) {
-	m.links[k].owedRecords = 0
-	for i := range m.owed {
-		m.owed[i] &^= 1 << k
-		m.owedTwice[i] &^= 1 << k
+	m.links[k].queuedRecords = 0
+	for i := range m.queuedOn {
+		m.queuedOn[i] &^= 1 << k
+		m.resendOn[i] &^= 1 << k
 	}
 }
 
@@ -47,10 +47,10 @@
 func (m *Members) checkQueues() {
 	for k := range m.links {
 		n := 0
-		for _, bits := range m.owed {
+		for _, bits := range m.queuedOn {
 			n += int(bits >> k & 1)
 		}
-		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].owedRecords, "what is owed on a link is counted")
+		m.Invariants.Check(m.links[k].member < 0 || n == m.links[k].queuedRecords, "the count of records queued on a link matches its queue")
 	}
 }
 
@@ -61,31 +61,31 @@
 	}
 	for k := range m.links {
 		l := &m.links[k]
-		if l.member < 0 || l.owedRecords == 0 || m.ownTime < l.nextGossipAt {
+		if l.member < 0 || l.queuedRecords == 0 || m.unpausedTime < l.nextGossipAt {
 			continue
 		}
-		if l.silence(m.ownTime) > m.config.LinkTimeout { // it is healed once it is back
+		if l.silence(m.unpausedTime) > m.config.LinkTimeout { // once the link is up again, differing digests lead to a table exchange
 			m.clearQueue(int8(k))
 			continue
 		}
 		records := m.nextGossip(int8(k))
-		l.nextGossipAt = m.ownTime + gossipInterval
-		if len(records) == 0 {
+		l.nextGossipAt = m.unpausedTime + gossipInterval
+		if len(records) == 0 { // only records of members that were forgotten since are queued
 			m.clearQueue(int8(k))
 			continue
 		}
-		if l.owedRecords > maxRecordsPerDatagram {
-			l.nextGossipAt = m.ownTime + gossipInterval/4
+		if l.queuedRecords > maxRecordsPerDatagram {
+			l.nextGossipAt = m.unpausedTime + gossipInterval/4
 		}
 		m.send(m.members[l.member].record.Address, &Message{Kind: MessageGossip, Records: records})
 	}
 }
 
-// nextGossip takes what is to be sent next on a link: this node's own record first, then what is owed, in turn from the
-// member on at which the last datagram ended.
+// nextGossip removes the records of the next datagram from the queue of a link and returns them: this node's own record
+// first, then the others in turn, from where the last datagram ended.
 func (m *Members) nextGossip(k int8) (records []Record) {
 	l, bit, size, found := &m.links[k], uint32(1)<<k, 0, 0
-	owing := l.owedRecords
+	queued := l.queuedRecords
 	take := func(i int) bool {
 		r := &m.members[i].record
 		if size += r.size(); len(records) > 0 && (size > maxGossipBytes || len(records) == maxRecordsPerDatagram) {
@@ -93,29 +93,29 @@
 		}
 		records = append(records, *r)
 		found++
-		if m.owedTwice[i]&bit != 0 {
-			m.owedTwice[i] &^= bit
+		if m.resendOn[i]&bit != 0 {
+			m.resendOn[i] &^= bit
 		} else {
-			m.owed[i] &^= bit
-			l.owedRecords--
+			m.queuedOn[i] &^= bit
+			l.queuedRecords--
 		}
 		return true
 	}
-	if m.owed[0]&bit != 0 {
+	if m.queuedOn[0]&bit != 0 {
 		take(0)
 	}
-	at := l.nextOwed
+	at := l.nextQueued
 	for range m.members {
-		if found == owing { // no more can follow: the turn stays where it is
+		if found == queued { // all queued records are taken
 			return records
 		}
-		if at > 0 && m.owed[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
+		if at > 0 && m.queuedOn[at]&bit != 0 && m.members[at].record.Name != "" && !take(at) {
 			break
 		}
 		if at++; at == len(m.members) {
 			at = 0
 		}
 	}
-	l.nextOwed = at
+	l.nextQueued = at
 	return records
 }
--- a/internal/fleet/membership/links.go
+++ b/internal/fleet/membership/links.go
@@ -4,7 +4,8 @@
 	"slices"
 )
 
-// openLink opens a link to a member. Where all places are taken, the link that has been unwanted for longest is closed.
+// openLink opens a link to a member. If there are maxLinks already, it closes the unwanted one whose keepUntil is earliest, or
+// returns nil if all are wanted.
 func (m *Members) openLink(i int32) *link {
 	oldest := -1
 	for k := range m.links {
@@ -24,7 +25,8 @@
 			continue
 		}
 		m.clearQueue(int8(k))
-		*l = link{member: i, openedAt: m.ownTime, lastProofAt: -m.config.LinkTimeout, watchedAt: -m.config.LinkTimeout, lastSyncAt: m.ownTime, nextPingAt: m.ownTime}
+		// The negative times are at least the link timeout ago: nothing has been confirmed.
+		*l = link{member: i, openedAt: m.unpausedTime, confirmedAt: -m.config.LinkTimeout, peerWantedAt: -m.config.LinkTimeout, lastSyncAt: m.unpausedTime, nextPingAt: m.unpausedTime}
 		m.members[i].linkIndex = int8(k)
 		m.queueOnLink(int8(k), 0)
 		return l
@@ -32,16 +34,17 @@
 	return nil
 }
 
+// closeLink closes a link and schedules the publication of the remaining ones.
 func (m *Members) closeLink(k int8) {
 	l := &m.links[k]
-	if l.up && !m.linksDirty { // published with other closings, and before the peer would notice the silence
-		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.ownTime+closedPublishInterval, l.lastProofAt+m.config.LinkTimeout))
+	if l.up && !m.linksDirty { // waits for other links to close, but not until the link would count as down
+		m.linksDirty, m.publishAt = true, max(m.publishAt, min(m.unpausedTime+closedPublishDelay, l.confirmedAt+m.config.LinkTimeout))
 	}
 	m.members[l.member].linkIndex = -1
-	l.member, l.up, l.owedRecords = -1, false, 0
+	l.member, l.up, l.queuedRecords = -1, false, 0
 }
 
-// linksUp returns how many links work.
+// linksUp returns the number of links that are up.
 func (m *Members) linksUp() (n int) {
 	for k := range m.links {
 		if m.links[k].member >= 0 && m.links[k].up {
@@ -51,11 +54,11 @@
 	return n
 }
 
-// silence returns for how long no ping was answered.
-func (l *link) silence(t int64) int64 { return t - max(l.lastProofAt, l.openedAt) }
+// silence returns the time since the last answered ping was sent, or since the link was opened.
+func (l *link) silence(t int64) int64 { return t - max(l.confirmedAt, l.openedAt) }
 
-// watch opens a link to a member, or marks the one there is as wanted.
-func (m *Members) watch(i int32) *link {
+// wantLink marks the link to a member as wanted by the rings and opens it if necessary. It returns nil if there is no room for another link.
+func (m *Members) wantLink(i int32) *link {
 	var l *link
 	if k := m.members[i].linkIndex; k >= 0 {
 		l = &m.links[k]
@@ -68,24 +71,24 @@
 	return l
 }
 
-// probeLinks pings, notices silence, and closes links that neither end wants.
+// probeLinks sends the pings that are due, updates which links are silent or down, and closes links that neither end wants.
 func (m *Members) probeLinks() {
 	for k := range m.links {
 		l := &m.links[k]
 		if l.member < 0 {
 			continue
 		}
-		silence := l.silence(m.ownTime)
-		m.noticeSilence(l)
-		if m.isUnwanted(l) {
+		silence := l.silence(m.unpausedTime)
+		m.markDownIfUnanswered(l)
+		if m.isUnwantedByBoth(l) {
 			m.closeLink(int8(k))
 			continue
 		}
-		if suspect := silence > m.config.LinkTimeout/2; suspect != l.suspect {
-			l.suspect = suspect
+		if silent := silence > m.config.LinkTimeout/2; silent != l.silent {
+			l.silent = silent
 			m.ringsDirty = true
 		}
-		if m.ownTime < l.nextPingAt || m.members[0].record.Left {
+		if m.unpausedTime < l.nextPingAt || m.members[0].record.Left {
 			continue
 		}
 		m.schedulePing(l, silence)
@@ -93,56 +96,64 @@
 	}
 }
 
-// noticeSilence marks a link as down once no ping was answered for the link timeout.
-func (m *Members) noticeSilence(l *link) {
-	if !l.up || m.ownTime-l.lastProofAt <= m.config.LinkTimeout {
+// markDownIfUnanswered marks a link as down if no ping sent within the link timeout was answered.
+func (m *Members) markDownIfUnanswered(l *link) {
+	if !l.up || m.unpausedTime-l.confirmedAt <= m.config.LinkTimeout {
 		return
 	}
 	l.up = false
-	l.lostBefore = true
+	l.wasLost = true
 	m.linksDirty = true
 	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
 	m.members[l.member].lossReportedBy = m.members[0].id
 }
 
-// isUnwanted reports whether neither end has wanted a link for a while.
-func (m *Members) isUnwanted(l *link) bool {
-	unwatched := m.ownTime - max(l.watchedAt, l.openedAt)
-	return !l.wanted && m.ownTime > l.keepUntil && unwatched > m.config.LinkTimeout
+// isUnwantedByBoth reports whether neither end has wanted a link lately: this end for unwantedLinkTimeout, the peer for the
+// link timeout.
+func (m *Members) isUnwantedByBoth(l *link) bool {
+	unwantedByPeer := m.unpausedTime - max(l.peerWantedAt, l.openedAt)
+	return !l.wanted && m.unpausedTime > l.keepUntil && unwantedByPeer > m.config.LinkTimeout
 }
 
-// schedulePing sets when the next probe and the next ping of a link are due.
+// schedulePing sets when the next probe and the next ping of a link are due. An unanswered probe is sent again before the next
+// one, unless the link is down or silent.
 func (m *Members) schedulePing(l *link, silence int64) {
 	interval := m.config.ProbeInterval
 	if silence > m.config.LinkTimeout {
-		interval *= silentProbeFactor
+		interval *= downProbeFactor
 	}
 	if l.pingSeq == 0 {
-		l.nextProbeAt = m.ownTime + m.jitter(interval) // spreads the probes of links that were opened together
-	} else if m.ownTime >= l.nextProbeAt {
-		l.nextProbeAt = max(l.nextProbeAt+interval, m.ownTime+interval/2)
+		l.nextProbeAt = m.unpausedTime + m.jitter(interval) // spreads the probes of links that were opened together
+	} else if m.unpausedTime >= l.nextProbeAt {
+		l.nextProbeAt = max(l.nextProbeAt+interval, m.unpausedTime+interval/2)
 	}
 	l.nextPingAt = l.nextProbeAt
 	if l.up && silence < m.config.LinkTimeout/2 {
 		resend := max(m.config.ProbeInterval/maxPingsPerProbe, 2*l.roundTrip)
-		l.nextPingAt = min(l.nextProbeAt, m.ownTime+resend)
+		l.nextPingAt = min(l.nextProbeAt, m.unpausedTime+resend)
 	}
 }
 
+// ping sends the next ping of a link.
 func (m *Members) ping(l *link) {
 	l.pingSeq = (l.pingSeq + 1) &^ reconnectSeqBit
-	l.pingsSent[l.pingSeq%pingHistory] = m.ownTime
-	ping := Message{Kind: MessagePing, Seq: l.pingSeq, Neighbour: l.wanted}
+	l.pingsSent[l.pingSeq%pingHistory] = m.unpausedTime
+	ping := Message{Kind: MessagePing, Seq: l.pingSeq, LinkWanted: l.wanted}
 	if !l.up { // the peer may not know this node
 		ping.Records = m.ownRecord()
 	}
 	m.send(m.members[l.member].record.Address, &ping)
 }
 
-// publishLinks tells of this node's links once they changed. What is lost goes at once, unless it changes all the time; what
-// was lost and is back has to be known to all before the view follows the loss.
+// publishLinks publishes this node's links in its record if they changed and publishAt has come. The time since the last
+// publication is at least
+//   - regainedPublishInterval after a lost link came up, since all nodes must learn of it before the suspicion timeout ends;
+//   - gainedPublishInterval if links were only added and at least ringCount are published already;
+//   - publishInterval otherwise, so that the loss of a link is published soon.
+//
+// For closed links, closeLink sets publishAt.
 func (m *Members) publishLinks() {
-	if !m.linksDirty || m.ownTime < m.publishAt || m.members[0].record.Left {
+	if !m.linksDirty || m.unpausedTime < m.publishAt || m.members[0].record.Left {
 		return
 	}
 	ids := make([]ID, 0, maxLinks)
@@ -152,11 +163,11 @@
 		}
 	}
 	slices.Sort(ids)
-	if told := m.members[0].record.Links; !m.linkRegained && m.ownTime < m.publishedAt+gainedPublishInterval && len(told) >= ringCount && containsAll(ids, told) {
+	if published := m.members[0].record.Links; !m.linkRegained && m.unpausedTime < m.publishedAt+gainedPublishInterval && len(published) >= ringCount && containsAll(ids, published) {
 		m.publishAt = m.publishedAt + gainedPublishInterval
 		return
 	}
-	m.linksDirty, m.linkRegained, m.publishedAt, m.publishAt = false, false, m.ownTime, m.ownTime+publishInterval
+	m.linksDirty, m.linkRegained, m.publishedAt, m.publishAt = false, false, m.unpausedTime, m.unpausedTime+publishInterval
 	if !slices.Equal(ids, m.members[0].record.Links) {
 		m.updateAdjacency(0, m.members[0].record.Links, ids)
 		m.members[0].record.Links = ids
@@ -164,9 +175,9 @@
 	}
 }
 
-// containsAll says whether all of some ascending ids are among others.
-func containsAll(ids, all []ID) bool {
-	for _, id := range all {
+// containsAll reports whether ids, in ascending order, contains all of others.
+func containsAll(ids, others []ID) bool {
+	for _, id := range others {
 		if _, found := slices.BinarySearch(ids, id); !found {
 			return false
 		}
@@ -174,38 +185,38 @@
 	return true
 }
 
-// link is one to a member that this node watches, or that watches this node.
+// link is a link to a member, wanted by the rings of this node or of the member.
 type link struct {
 	member                         int32
-	wanted, suspect                bool
-	up                             bool // an answer came within the config's Silence
-	lostBefore                     bool // it was up before
+	wanted, silent                 bool // the rings of this node need it; without an answer for half of the link timeout
+	up                             bool // a ping sent within Config.LinkTimeout was answered
+	wasLost                        bool // it went down and has not come up since
 	openedAt                       int64
-	keepUntil                      int64 // until which it is kept although not wanted
-	lastProofAt                    int64 // when the last ping that was answered was sent
-	watchedAt                      int64 // when it last pinged as one that watches
-	nextPingAt, nextProbeAt        int64 // when the next ping is due at the earliest; when it is even if all were answered
-	roundTrip                      int64 // ns of a round trip, smoothed: no ping is sent again before its answer can be there
+	keepUntil                      int64 // until then it stays open although the rings do not want it
+	confirmedAt                    int64 // when the last answered ping was sent
+	peerWantedAt                   int64 // when the member last sent a ping with LinkWanted set
+	nextPingAt, nextProbeAt        int64 // when the next ping is due; when the next one is due if the last is answered
+	roundTrip                      int64 // smoothed, in ns; a ping is resent only after twice this time
 	pingSeq                        uint32
 	pingsSent                      [pingHistory]int64
 	digestDiffersSince, lastSyncAt int64
-	owedRecords, nextOwed          int // records that are owed; the member after the one sent last
+	queuedRecords, nextQueued      int // records queued; index of the member whose record is next in turn
 	nextGossipAt                   int64
 }
 
-// applyAck takes the answer to a ping, either of a link or of a reconnect attempt.
+// applyAck handles the answer to a ping of a link or to a ping to a lost member.
 func (m *Members) applyAck(i int32, seq uint32) {
 	peer := &m.members[i]
 	if peer.linkIndex >= 0 && m.links[peer.linkIndex].expects(seq) {
-		m.linkProved(&m.links[peer.linkIndex], peer, seq)
+		m.confirmLink(&m.links[peer.linkIndex], peer, seq)
 		return
 	}
 	for k := range m.reconnects {
 		if m.reconnects[k].id == peer.id && m.reconnects[k].seq == seq {
 			m.reconnects[k].id = 0
-			peer.watchUntil = m.ownTime + 2*m.config.LinkTimeout
+			peer.onRingsUntil = m.unpausedTime + 2*m.config.LinkTimeout
 			m.ringsDirty = true
-			if m.syncLink == 0 {
+			if m.syncExchangeID == 0 {
 				m.startSync(peer.record.Address)
 			}
 			return
@@ -214,33 +225,34 @@
 	m.Counters.UnmatchedMessages++
 }
 
-// expects reports whether a sequence number is that of a recent ping on the link.
+// expects reports whether a sequence number belongs to one of the last pings of the link.
 func (l *link) expects(seq uint32) bool {
 	age := l.pingSeq - seq
 	return age < pingHistory && l.pingsSent[seq%pingHistory] > 0 && seq&reconnectSeqBit == 0
 }
 
-// linkProved notes that the ping with a sequence number was answered, and brings the link up if the proof is recent.
-func (m *Members) linkProved(l *link, peer *member, seq uint32) {
+// confirmLink records that the ping with a sequence number was answered, and marks the link as up if that ping is recent.
+func (m *Members) confirmLink(l *link, peer *member, seq uint32) {
 	sent := l.pingsSent[seq%pingHistory]
-	l.lastProofAt = max(l.lastProofAt, sent)
-	if seq == l.pingSeq { // the answer to an older ping may be late because of a pause, so it is no round trip
-		l.addRoundTrip(min(m.ownTime-sent, m.config.ProbeInterval))
+	l.confirmedAt = max(l.confirmedAt, sent)
+	if seq == l.pingSeq { // the answer to an older ping can be late because of a pause, so it is not used as a round trip
+		l.addRoundTrip(min(m.unpausedTime-sent, m.config.ProbeInterval))
 		l.nextPingAt = l.nextProbeAt
 	}
-	if l.up || m.ownTime-l.lastProofAt > m.config.LinkTimeout {
+	if l.up || m.unpausedTime-l.confirmedAt > m.config.LinkTimeout {
 		return
 	}
 	l.up = true
 	m.linksDirty = true
 	m.publishAt = min(m.publishAt, m.publishedAt+publishInterval)
-	if l.lostBefore || peer.inView && !peer.reachable {
-		l.lostBefore = false
+	if l.wasLost || peer.inView && !peer.reachable {
+		l.wasLost = false
 		m.linkRegained = true
 		m.publishAt = min(m.publishAt, m.publishedAt+regainedPublishInterval)
 	}
 }
 
+// addRoundTrip adds a sample, in ns, to the smoothed round trip.
 func (l *link) addRoundTrip(sample int64) {
 	if l.roundTrip == 0 {
 		l.roundTrip = sample
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -7,80 +7,82 @@
 	"topazpost/internal/invariant"
 )
 
-// Members is the membership state of one node. Its own time stops while its process is paused, so that silence during a
-// pause marks no link as down.
+// Members is the membership state of one node. Its time does not advance while the process is paused, so that no link goes
+// down because of the pause. Times of its fields and members are in unpausedTime unless stated otherwise.
 type Members struct {
 	Invariants invariant.Checker
 	Counters   Counters
 
-	config              Config
-	chance              *rand.Rand
-	ownTime, pausedTime int64
-	wakeAt              int64 // as last told, by the caller's clock
-	members             []member
-	free                []int32
-	byID                map[ID]int32
-	links               [maxLinks]link // member < 0 where free
-	owed                []uint32       // by member: a bit for each link on which its record is still to be sent
-	owedTwice           []uint32       // by member: on which it is to be sent once more after that
-	adjacency           []adjacency    // by member
-	lastTraversal       []uint32       // by member: the follow, by its number, that led to it last
-	traversal           uint32
-	settled             []bool // by member: alive in the view or no member, and unchanged since it was looked at: nothing is due
-	inRings             []bool // by member: in the orders of the rings
-	ringOrder           [ringCount][]int32
-	ringsStale          bool // one of the orders was forgotten
-	ringJoiners         []int32
-	effects             []Effect
-	seenStamp           []uint32 // by member, stamp of the last look
-	stamp               uint32
-	stack               []int32
-	digest              uint64
-	viewHash            uint64 // of the view: of the names and lives in it
-	viewNumber          uint64
-	viewSize            int
-	isolated            bool
-	refusedUntil        int64 // until which this node keeps away, for its name is held
-	lastLink            int
+	config                   Config
+	random                   *rand.Rand
+	unpausedTime, pausedTime int64 // ns of the monotonic clock without pauses of this process; ns in such pauses
+	wakeAt                   int64 // the wake that Step last returned, by the caller's clock
+	members                  []member
+	free                     []int32 // unused indices of members
+	byID                     map[ID]int32
+	links                    [maxLinks]link // unused where link.member < 0
+	queuedOn                 []uint32       // by member: bits of the links on which its record is queued
+	resendOn                 []uint32       // by member: bits of the links on which the record is sent once more after that
+	adjacency                []adjacency    // by member
+	lastTraversal            []uint32       // by member: number of the last traversal that reached it
+	traversal                uint32         // number of the last traversal
+	settled                  []bool         // by member: the last update found it alive and undamped, or the entry unused; until it changes, updates skip it
+	inRings                  []bool         // by member: listed in ringOrder
+	ringOrder                [ringCount][]int32
+	ringsStale               bool    // ringOrder lists removed members
+	ringJoiners              []int32 // members that updateRingOrders adds, reused
+	effects                  []Effect
+	lastSummarizedIn         []uint32 // by member: number of the last sync request that listed it
+	syncRequestNumber        uint32
+	stack                    []int32 // members that traverse has yet to visit, reused
+	digest                   uint64  // hash over the records of members with inDigest set; equal for equal sets of them
+	viewHash                 uint64  // hash over the names and start times of the members in the view
+	viewNumber               uint64
+	viewSize                 int
+	isolated                 bool
+	yieldUntil               int64 // until then this node stays outside the fleet, because another node uses its name
+	lastExchangeID           int
 
 	ringsDirty, viewDirty, linksDirty                    bool
-	linkRegained                                         bool // a link that was lost, or one to a member to which no path leads, is not told of yet
+	linkRegained                                         bool // a lost link, or one to an unreachable member of the view, came up and is not published yet
 	nextRingsAt, publishAt, publishedAt                  int64
 	nextTraversalAt, nextViewAt                          int64
 	nextReconnectAt, nextJoinAt, nextSeedAt, joinBackoff int64
-	syncLink                                             int // link of the exchange that is under way
+	syncExchangeID                                       int // the table exchange in progress, 0 for none
 	lastSyncStart                                        int64
-	lastNewsAt                                           int64 // when a record last was news
-	newsQuietAt                                          int64 // when news last rested, or a table was asked for in spite of them
+	lastNewRecordAt                                      int64 // when the last new record came
+	deferralStartedAt                                    int64 // when gossip was last quiet, or an exchange with a peer whose table differs last started
 	reconnects                                           [maxReconnects]struct {
 		id  ID
 		seq uint32
 	}
 	reconnectSeq      uint32
 	reconnectPosition int
-	seedIndex         int // the last that was asked, from a drawn one on
-	seedsTried        int // seeds asked in a row in vain
+	seedIndex         int // the seed contacted last; the first is drawn at random
+	joinAttempts      int // requests to seeds while no link is up
 }
 
-// New returns the state of a node that starts at now. Wall is Unix time in nanoseconds, kept the last incarnation that is
-// on disk, 0 for none; seed is that of its random choices.
-func New(config Config, now, wall int64, kept uint64, seed int64) *Members {
-	m := &Members{config: config, chance: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, ownTime: now, joinBackoff: joinInterval, traversal: 1}
+// New returns the state of a node that starts at now, in ns of a monotonic clock; wall is the Unix time in ns.
+// StoredIncarnation is the last incarnation stored on disk, 0 for none. The seed determines the random choices.
+func New(config Config, now, wall int64, storedIncarnation uint64, seed int64) *Members {
+	m := &Members{config: config, random: rand.New(rand.NewSource(seed)), byID: map[ID]int32{}, unpausedTime: now, joinBackoff: joinInterval, traversal: 1}
 	m.config.MaxMembers = min(config.MaxMembers, maxTableSize)
 	for k := range m.links {
 		m.links[k].member = -1
 	}
-	self := Record{Name: config.Name, Address: config.Address, StartedAt: wall, Incarnation: max(uint64(max(wall, 1)), kept+1),
+	self := Record{Name: config.Name, Address: config.Address, StartedAt: wall, Incarnation: max(uint64(max(wall, 1)), storedIncarnation+1),
 		Facts: Facts{Version: config.Version, Zone: config.Zone}}
 	m.addMember(&self)
-	m.members[0].inView, m.members[0].everInView, m.viewSize, m.viewHash = true, true, 1, m.members[0].incarnationHash()
-	m.nextJoinAt, m.seedIndex = now+m.jitter(joinInterval/2), m.chance.Intn(len(config.Seeds)+1)
+	m.members[0].inView, m.members[0].everInView, m.viewSize, m.viewHash = true, true, 1, m.members[0].startHash()
+	m.nextJoinAt, m.seedIndex = now+m.jitter(joinInterval/2), m.random.Intn(len(config.Seeds)+1)
 	m.nextReconnectAt, m.nextSeedAt = now+m.jitter(reconnectInterval), now+m.jitter(joinInterval)
 	return m
 }
 
-func (m *Members) jitter(ns int64) int64 { return ns/2 + m.chance.Int63n(max(1, ns)) }
+// jitter returns a random time between half of ns and one and a half of it.
+func (m *Members) jitter(ns int64) int64 { return ns/2 + m.random.Int63n(max(1, ns)) }
 
+// mixHash combines two hashes.
 func mixHash(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 + b
 	x ^= x >> 30
@@ -92,8 +94,8 @@
 
 func (m *Members) emit(e Effect) { m.effects = append(m.effects, e) }
 
-func (m *Members) log(warn bool, form string, args ...any) {
-	m.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(form, args...)})
+func (m *Members) log(warn bool, format string, args ...any) {
+	m.emit(Effect{Kind: WriteLog, Warn: warn, Text: fmt.Sprintf(format, args...)})
 }
 
 func (m *Members) send(to string, msg *Message) {
@@ -102,22 +104,22 @@
 	m.emit(Effect{Kind: Send, To: to, Message: *msg})
 }
 
-// Step applies inputs at now, in ns of a monotonic clock, with wall its Unix time in ns. The effects are valid until the next
-// step; wake is when Step must be called again at the latest.
+// Step applies inputs at now, in ns of a monotonic clock; wall is the Unix time in ns. The effects are valid until the next
+// step. Step must be called again at wake at the latest.
 func (m *Members) Step(now, wall int64, inputs []Input) (effects []Effect, wake int64) {
-	clear(m.effects) // what the messages held
+	clear(m.effects) // releases the slices of the messages
 	if m.effects = m.effects[:0]; cap(m.effects) > retainedEffects {
 		m.effects = nil
 	}
-	stood := int64(0)
+	pausedFor := int64(0)
 	if m.wakeAt > 0 && now-m.wakeAt > minPause {
-		stood = now - m.wakeAt
-		m.pausedTime += stood
+		pausedFor = now - m.wakeAt
+		m.pausedTime += pausedFor
 		m.Counters.Pauses++
 	}
-	m.Invariants.Check(now-m.pausedTime >= m.ownTime, "its own time only advances")
-	m.ownTime = max(m.ownTime, now-m.pausedTime)
-	if stood > m.config.LinkTimeout/4 {
+	m.Invariants.Check(now-m.pausedTime >= m.unpausedTime, "the time without pauses does not go back")
+	m.unpausedTime = max(m.unpausedTime, now-m.pausedTime)
+	if pausedFor > m.config.LinkTimeout/4 {
 		m.probeAllLinks()
 	}
 	for i := range inputs {
@@ -129,35 +131,36 @@
 	m.updateView()
 	m.sendGossip()
 	m.findPeers()
-	m.wakeAt = now + max(1, m.nextDue()-m.ownTime)
+	m.wakeAt = now + max(1, m.nextDue()-m.unpausedTime)
 	return m.effects, m.wakeAt
 }
 
-// probeAllLinks answers for a pause of this process: all whom it watches are asked at once, so that they hear of it.
+// probeAllLinks makes pings due on all links. After a pause of this process, they tell the peers early that it runs again.
 func (m *Members) probeAllLinks() {
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 {
-			l.nextPingAt, l.nextProbeAt = m.ownTime, m.ownTime
+			l.nextPingAt, l.nextProbeAt = m.unpausedTime, m.unpausedTime
 		}
 	}
 }
 
+// apply applies one input.
 func (m *Members) apply(in *Input) {
 	switch in.Kind {
 	case DatagramReceived:
-		if in.Message.From != m.members[0].id && m.ownTime >= m.refusedUntil {
+		if in.Message.From != m.members[0].id && m.unpausedTime >= m.yieldUntil {
 			m.applyDatagram(in.Message)
 		}
 	case ExchangeOpened:
-		m.answerSync(in.Link, in.Message)
+		m.answerSync(in.ExchangeID, in.Message)
 	case ExchangeAnswered:
-		if in.Link == m.syncLink {
-			m.syncLink = 0
+		if in.ExchangeID == m.syncExchangeID {
+			m.syncExchangeID = 0
 		}
 		m.applySyncAnswer(in.Message)
 	case ExchangeFailed:
-		if in.Link == m.syncLink {
-			m.syncLink = 0
+		if in.ExchangeID == m.syncExchangeID {
+			m.syncExchangeID = 0
 		}
 	case FactsChanged:
 		if self := &m.members[0].record; self.Facts != in.Facts {
@@ -170,14 +173,15 @@
 			self.Left = true
 			m.bumpRecord()
 		} else {
-			m.queueRecord(0, -1)
+			m.queueRecord(0, -1) // announced again, since datagrams can be lost
 		}
 		for k := range m.links {
-			m.links[k].nextGossipAt = m.ownTime
+			m.links[k].nextGossipAt = m.unpausedTime
 		}
 	}
 }
 
+// applyDatagram applies the records of a datagram, answers a ping or handles an ack, and compares the digests.
 func (m *Members) applyDatagram(msg *Message) {
 	i, known := m.byID[msg.From]
 	for k := range msg.Records {
@@ -194,12 +198,12 @@
 	peer := &m.members[i]
 	switch msg.Kind {
 	case MessagePing:
-		if msg.Neighbour && !m.members[0].record.Left {
+		if msg.LinkWanted && !m.members[0].record.Left {
 			if peer.linkIndex < 0 {
 				m.openLink(i)
 			}
 			if peer.linkIndex >= 0 {
-				m.links[peer.linkIndex].watchedAt = m.ownTime
+				m.links[peer.linkIndex].peerWantedAt = m.unpausedTime
 			}
 		}
 		m.send(peer.record.Address, &Message{Kind: MessageAck, Seq: msg.Seq})
@@ -210,16 +214,16 @@
 		if l := &m.links[peer.linkIndex]; msg.Digest == m.digest {
 			l.digestDiffersSince = 0
 		} else if l.digestDiffersSince == 0 {
-			l.digestDiffersSince = m.ownTime
+			l.digestDiffersSince = m.unpausedTime
 		}
 	}
 }
 
-// nextDue is when the next thing is to be done, by this node's own time.
+// nextDue returns the time at which the next action is due, in the time of this node without pauses.
 func (m *Members) nextDue() int64 {
-	at := m.ownTime + reconnectInterval
+	at := m.unpausedTime + reconnectInterval
 	if m.members[0].record.Left {
-		return m.ownTime + gossipInterval
+		return m.unpausedTime + gossipInterval
 	}
 	if m.ringsDirty {
 		at = min(at, m.nextRingsAt)
@@ -238,14 +242,14 @@
 		}
 		at = min(at, l.nextPingAt)
 		if l.up {
-			at = min(at, l.lastProofAt+m.config.LinkTimeout+1)
+			at = min(at, l.confirmedAt+m.config.LinkTimeout+1)
 		}
-		if l.owedRecords > 0 {
+		if l.queuedRecords > 0 {
 			at = min(at, l.nextGossipAt)
 		}
 	}
 	if m.linksUp() == 0 && len(m.config.Seeds) > 0 {
 		at = min(at, m.nextJoinAt)
 	}
-	return max(at, m.ownTime+1)
+	return max(at, m.unpausedTime+1)
 }
--- a/internal/fleet/membership/neighbours_test.go
+++ b/internal/fleet/membership/query_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestMembersOfOneZoneAndThoseWithoutOne(t *testing.T) {
+// Nodes without a zone form one zone of their own. Lost members are in no list, and a link that is not up does not count.
+func TestInZoneInViewAndLinkedMembers(t *testing.T) {
 	for zone, want := range map[string][]string{"": {"c"}, "a": {"b"}} {
 		m := New(Config{Name: "n", Address: "10.0.0.1:9", Zone: zone, ProbeInterval: 500 * ms, LinkTimeout: 3_500 * ms, SuspicionTimeout: 400 * ms, ForgetTimeout: 60_000 * ms,
 			MaxMembers: 9}, 0, 1, 0, 1)
@@ -17,10 +18,10 @@
 		}
 		assert.Equal(t, want, m.InZone())
 		assert.Equal(t, []string{"b", "c", "d", "n"}, m.InView())
-		assert.Empty(t, m.Neighbours(), "no link works")
+		assert.Empty(t, m.LinkedMembers(), "no link is up")
 		m.openLink(m.byID[IDOf("c")]).up = true
 		m.openLink(m.byID[IDOf("b")]).up = true
 		m.openLink(m.byID[IDOf("d")])
-		assert.Equal(t, []string{"b", "c"}, m.Neighbours())
+		assert.Equal(t, []string{"b", "c"}, m.LinkedMembers())
 	}
 }
--- a/internal/fleet/membership/reachability.go
+++ b/internal/fleet/membership/reachability.go
@@ -6,11 +6,11 @@
 	"topazpost/internal/invariant"
 )
 
-// adjacency is what following links needs of a member, in little room: all of them are gone over at each change.
+// adjacency holds the links of a member in compact form, since each traversal reads those of all members.
 type adjacency struct {
-	neighbours [maxLinks]uint16 // members with which it has a link that both ends publish
-	count      uint8
-	left       bool
+	members [maxLinks]uint16 // indices of the members with which it has a link that both ends publish
+	count   uint8
+	left    bool
 }
 
 // traverse finds the members that are reachable from this node over links that both ends publish.
@@ -22,11 +22,11 @@
 	for len(m.stack) > 0 {
 		i := m.stack[len(m.stack)-1]
 		m.stack = m.stack[:len(m.stack)-1]
-		for _, j := range m.neighboursOf(i) {
+		for _, j := range m.mutualLinksOf(i) {
 			if m.lastTraversal[j] == m.traversal || m.adjacency[j].left {
 				continue
 			}
-			if m.lastTraversal[j] != last {
+			if m.lastTraversal[j] != last { // newly reachable
 				peer := &m.members[j]
 				peer.reachable, peer.unreachableSince, m.settled[j] = true, 0, false
 			}
@@ -34,13 +34,13 @@
 			m.stack = append(m.stack, int32(j))
 		}
 	}
-	for i, at := range m.lastTraversal {
-		if at != last {
+	for i, number := range m.lastTraversal {
+		if number != last { // either reachable still, or not reachable before
 			continue
 		}
 		peer := &m.members[i]
 		if peer.reachable, m.settled[i] = false, false; peer.inView && peer.unreachableSince == 0 {
-			peer.unreachableSince = m.ownTime
+			peer.unreachableSince = m.unpausedTime
 		}
 	}
 	if invariant.Debug {
@@ -48,14 +48,14 @@
 	}
 }
 
-// neighboursOf returns the members with which a member has a link that both ends publish.
-func (m *Members) neighboursOf(i int32) []uint16 {
+// mutualLinksOf returns the indices of the members with which a member has a link that both ends publish.
+func (m *Members) mutualLinksOf(i int32) []uint16 {
 	n := &m.adjacency[i]
-	return n.neighbours[:n.count]
+	return n.members[:n.count]
 }
 
-// updateAdjacency has the links that both ends publish follow a member's record, whose links were others before, and notes
-// whose word a loss rests on: of those that a member had a link to and has no more.
+// updateAdjacency updates the adjacency lists after the links in a member's record changed. It records that this member
+// reported the loss of each link that its record no longer lists.
 func (m *Members) updateAdjacency(i int32, before, after []ID) {
 	self := m.members[i].id
 	for _, id := range before {
@@ -63,7 +63,7 @@
 			continue
 		}
 		if j, known := m.byID[id]; known {
-			if i > 0 { // its own are lost by its own word, said where that is noticed
+			if i > 0 { // for a lost link of this node, markDownIfUnanswered sets it
 				m.members[j].lossReportedBy = self
 			}
 			if m.removeAdjacency(i, j) {
@@ -75,52 +75,52 @@
 		if containsID(before, id) || !containsID(after, id) {
 			continue
 		}
-		if j, known := m.byID[id]; known && j != i && containsID(m.members[j].record.Links, self) && !slices.Contains(m.neighboursOf(i), uint16(j)) {
+		if j, known := m.byID[id]; known && j != i && containsID(m.members[j].record.Links, self) && !slices.Contains(m.mutualLinksOf(i), uint16(j)) {
 			m.adjacency[i].add(j)
 			m.adjacency[j].add(i)
 		}
 	}
 }
 
-// add takes a member up among those that another is linked with: one for each id of its record at the most.
+// add adds a member. There is room, because a record lists at most maxLinks members.
 func (n *adjacency) add(j int32) {
-	n.neighbours[n.count] = uint16(j)
+	n.members[n.count] = uint16(j)
 	n.count++
 }
 
-// removeAdjacency removes a neighbour and reports whether it was one.
+// removeAdjacency removes j from the adjacency list of i and reports whether it was in it.
 func (m *Members) removeAdjacency(i, j int32) bool {
 	n := &m.adjacency[i]
-	at := slices.Index(m.neighboursOf(i), uint16(j))
+	at := slices.Index(m.mutualLinksOf(i), uint16(j))
 	if at < 0 {
 		return false
 	}
 	n.count--
-	n.neighbours[at] = n.neighbours[n.count]
+	n.members[at] = n.members[n.count]
 	return true
 }
 
-// containsID reports whether an id is among the sorted links of a record.
+// containsID reports whether links, in ascending order, contains id.
 func containsID(links []ID, id ID) bool {
 	_, found := slices.BinarySearch(links, id)
 	return found
 }
 
-// checkAdjacency compares the adjacency lists with the links of the records.
+// checkAdjacency compares the adjacency lists and the last traversal with the records.
 func (m *Members) checkAdjacency() {
 	for i := range m.members {
-		b, n, kept := &m.members[i], 0, m.neighboursOf(int32(i))
-		m.Invariants.Check(i == 0 || m.adjacency[i].left == b.record.Left && b.reachable == (m.lastTraversal[i] == m.traversal), "what is followed is as the records are")
-		if b.record.Name == "" {
-			m.Invariants.Check(len(kept) == 0, "nobody is linked with the forgotten")
+		peer, mutual, linked := &m.members[i], 0, m.mutualLinksOf(int32(i))
+		m.Invariants.Check(i == 0 || m.adjacency[i].left == peer.record.Left && peer.reachable == (m.lastTraversal[i] == m.traversal), "a member's traversal state matches its record")
+		if peer.record.Name == "" {
+			m.Invariants.Check(len(linked) == 0, "an unused entry has no links")
 			continue
 		}
 		for j := range m.members {
-			if o := &m.members[j]; i != j && o.record.Name != "" && containsID(b.record.Links, o.id) && containsID(o.record.Links, b.id) {
-				n++
-				m.Invariants.Check(slices.Contains(kept, uint16(j)), "a link that both ends tell of is kept")
+			if other := &m.members[j]; i != j && other.record.Name != "" && containsID(peer.record.Links, other.id) && containsID(other.record.Links, peer.id) {
+				mutual++
+				m.Invariants.Check(slices.Contains(linked, uint16(j)), "a link that both ends publish is in the adjacency list")
 			}
 		}
-		m.Invariants.Check(n == len(kept), "a link is kept only where both ends tell of it")
+		m.Invariants.Check(mutual == len(linked), "the adjacency list holds only links that both ends publish")
 	}
 }
--- a/internal/fleet/membership/rings.go
+++ b/internal/fleet/membership/rings.go
@@ -7,59 +7,59 @@
 	"topazpost/internal/invariant"
 )
 
-// updateRings chooses the members to watch: on both sides of this node on each ring the next that answers, and the silent
-// ones that were skipped on the way, so that a link that works again is noticed.
+// updateRings chooses the wanted links: on both sides of this node on each ring, the one to the nearest member that answers.
+// Links to silent members before it, up to maxSkippedSilent, are wanted too, so that this node notices when they work again.
 func (m *Members) updateRings() {
-	if !m.ringsDirty || m.ownTime < m.nextRingsAt {
+	if !m.ringsDirty || m.unpausedTime < m.nextRingsAt {
 		return
 	}
-	m.ringsDirty, m.nextRingsAt = false, m.ownTime+ringsInterval
+	m.ringsDirty, m.nextRingsAt = false, m.unpausedTime+ringsInterval
 	for k := range m.links {
 		m.links[k].wanted = false
 	}
-	if m.members[0].record.Left || m.ownTime < m.refusedUntil {
+	if m.members[0].record.Left || m.unpausedTime < m.yieldUntil {
 		return
 	}
 	m.updateRingOrders()
 	for _, order := range m.ringOrder {
 		at := slices.Index(order, 0)
 		for _, side := range [...]int{1, -1} {
-			passed := 0
-			for n := 1; n < len(order) && passed < maxPassedOver; n++ {
+			skipped := 0
+			for n := 1; n < len(order) && skipped < maxSkippedSilent; n++ {
 				i := order[((at+n*side)%len(order)+len(order))%len(order)]
-				l := m.watch(i)
-				if l == nil || l.silence(m.ownTime) <= m.config.LinkTimeout/2 {
+				l := m.wantLink(i)
+				if l == nil || l.silence(m.unpausedTime) <= m.config.LinkTimeout/2 {
 					break
 				}
-				passed++
+				skipped++
 			}
 		}
 	}
 	for k := range m.links {
 		if l := &m.links[k]; l.member >= 0 && l.wanted {
-			l.keepUntil = m.ownTime + unwantedLinkTimeout
+			l.keepUntil = m.unpausedTime + unwantedLinkTimeout
 		}
 	}
 }
 
-// updateRingOrders has each ring hold the members that may be watched, sorted. Members that are gone are taken out; new ones are
-// sorted among themselves and merged in, so that an update costs one pass and not a sort of all.
+// updateRingOrders updates the sorted members of each ring. It removes members that no longer belong there and merges in new
+// ones, which costs one pass over a ring instead of a full sort.
 func (m *Members) updateRingOrders() {
 	m.ringJoiners = m.ringJoiners[:0]
 	for i := range m.members {
 		if m.settled[i] && m.inRings[i] {
 			continue
 		}
-		watchable := m.isWatchable(i)
-		if watchable && !m.inRings[i] {
+		belongs := m.belongsOnRings(i)
+		if belongs && !m.inRings[i] {
 			m.ringJoiners = append(m.ringJoiners, int32(i))
-		} else if !watchable && m.inRings[i] {
+		} else if !belongs && m.inRings[i] {
 			m.inRings[i] = false
 			m.ringsStale = true
 		}
 	}
 	for r := range m.ringOrder {
-		if m.ringsStale { // an index that was freed and used again counts as new
+		if m.ringsStale { // inRings is false for a reused index, whose new member joins below
 			m.ringOrder[r] = slices.DeleteFunc(m.ringOrder[r], func(i int32) bool { return !m.inRings[i] })
 		}
 		m.ringOrder[r] = m.mergeIntoRing(r, m.ringOrder[r], m.ringJoiners)
@@ -73,32 +73,33 @@
 	}
 }
 
-// isWatchable reports whether a member belongs on the rings: it is this node, in the view, or may still come into it.
-func (m *Members) isWatchable(i int) bool {
+// belongsOnRings reports whether a member belongs on the rings: this node, a member of the view, or one that can still enter it.
+func (m *Members) belongsOnRings(i int) bool {
 	peer := &m.members[i]
-	return i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.ownTime < peer.watchUntil)
+	return i == 0 || peer.record.Name != "" && !peer.record.Left && (peer.inView || m.unpausedTime < peer.onRingsUntil)
 }
 
+// checkRingOrders checks that each ring is sorted and has as many members as belong on it.
 func (m *Members) checkRingOrders() {
 	for r, order := range m.ringOrder {
 		n := 0
 		for i := range m.members {
-			if m.isWatchable(i) {
+			if m.belongsOnRings(i) {
 				n++
 			}
 		}
 		sorted := slices.IsSortedFunc(order, func(a, b int32) int { return m.compareInRing(r, a, b) })
-		m.Invariants.Check(n == len(order) && sorted, "an order is whole and sorted")
+		m.Invariants.Check(n == len(order) && sorted, "a ring holds all members that belong on it, in order")
 	}
 }
 
-// compareInRing orders members on a ring.
+// compareInRing compares two members by their position on a ring.
 func (m *Members) compareInRing(r int, i, j int32) int {
-	a, peer := &m.members[i], &m.members[j]
-	return cmp.Or(cmp.Compare(a.ringKey(r), peer.ringKey(r)), cmp.Compare(a.id, peer.id))
+	a, b := &m.members[i], &m.members[j]
+	return cmp.Or(cmp.Compare(a.ringKey(r), b.ringKey(r)), cmp.Compare(a.id, b.id))
 }
 
-// mergeIntoRing merges more members into a sorted ring.
+// mergeIntoRing adds members to a sorted ring and returns it, still sorted.
 func (m *Members) mergeIntoRing(r int, order, more []int32) []int32 {
 	if len(more) == 0 {
 		return order
@@ -106,7 +107,7 @@
 	slices.SortFunc(more, func(a, b int32) int { return m.compareInRing(r, a, b) })
 	old := len(order)
 	order = append(order, more...)
-	for at, left, right := len(order)-1, old-1, len(more)-1; right >= 0; at-- { // from the end on
+	for at, left, right := len(order)-1, old-1, len(more)-1; right >= 0; at-- { // from the end, since order grows in place
 		if left >= 0 && m.compareInRing(r, order[left], more[right]) > 0 {
 			order[at] = order[left]
 			left--
--- a/internal/fleet/membership/sync.go
+++ b/internal/fleet/membership/sync.go
@@ -1,66 +1,68 @@
 package membership
 
-// findPeers contacts members without a link: seeds and lost members, and neighbours whose table differs.
+// findPeers contacts seeds and lost members, and starts a table exchange with a peer whose table differs.
 func (m *Members) findPeers() {
 	if m.members[0].record.Left {
 		return
 	}
 	up := m.linksUp()
-	if up == 0 && m.ownTime >= m.nextJoinAt {
-		m.nextJoinAt = m.ownTime + m.jitter(m.joinBackoff)
-		if m.seedsTried++; m.seedsTried%max(1, len(m.config.Seeds)) == 0 { // all were asked in vain
+	if up == 0 && m.unpausedTime >= m.nextJoinAt {
+		m.nextJoinAt = m.unpausedTime + m.jitter(m.joinBackoff)
+		if m.joinAttempts++; m.joinAttempts%max(1, len(m.config.Seeds)) == 0 { // every seed was contacted
 			m.joinBackoff = min(2*m.joinBackoff, maxJoinBackoff)
 		}
 		m.syncWithSeed(false)
 	} else if up > 0 {
 		m.joinBackoff = joinInterval
-		m.nextJoinAt = max(m.nextJoinAt, m.ownTime+joinInterval/2)
-		if m.ownTime >= m.nextSeedAt { // a part of the fleet that grew from another seed is found so
-			m.nextSeedAt = m.ownTime + m.jitter(2*maxJoinBackoff)
+		m.nextJoinAt = max(m.nextJoinAt, m.unpausedTime+joinInterval/2)
+		if m.unpausedTime >= m.nextSeedAt { // finds a part of the fleet that formed separately from another seed
+			m.nextSeedAt = m.unpausedTime + m.jitter(2*maxJoinBackoff)
 			m.syncWithSeed(true)
 		}
 	}
-	if m.ownTime >= m.nextReconnectAt {
-		m.nextReconnectAt = m.ownTime + reconnectInterval
+	if m.unpausedTime >= m.nextReconnectAt {
+		m.nextReconnectAt = m.unpausedTime + reconnectInterval
 		m.reconnect()
 	}
-	m.syncWithNeighbour()
+	m.syncWithPeer()
 }
 
-// syncWithNeighbour starts a table exchange with a neighbour whose digest has differed for a while, at a time without gossip.
-func (m *Members) syncWithNeighbour() {
-	if m.syncLink != 0 && m.ownTime >= m.lastSyncStart+syncInterval {
-		m.syncLink = 0
+// syncWithPeer starts a table exchange with a peer on a link that is up whose digest has differed for syncDelay. It waits until gossip is
+// quiet, since a table received earlier would be outdated at once, but for maxSyncDeferral at most.
+func (m *Members) syncWithPeer() {
+	if m.syncExchangeID != 0 && m.unpausedTime >= m.lastSyncStart+syncInterval {
+		m.syncExchangeID = 0
 	}
-	if m.ownTime-m.lastNewsAt >= syncQuietTime {
-		m.newsQuietAt = m.ownTime
+	if m.unpausedTime-m.lastNewRecordAt >= syncQuietTime {
+		m.deferralStartedAt = m.unpausedTime
 	}
-	quiet := m.newsQuietAt == m.ownTime || m.ownTime-m.newsQuietAt >= maxSyncDeferral
-	if m.syncLink != 0 || m.ownTime < m.lastSyncStart || !quiet {
+	quiet := m.deferralStartedAt == m.unpausedTime || m.unpausedTime-m.deferralStartedAt >= maxSyncDeferral
+	if m.syncExchangeID != 0 || m.unpausedTime < m.lastSyncStart || !quiet {
 		return
 	}
 	for k := range m.links {
 		l := &m.links[k]
-		differs := l.digestDiffersSince > 0 && m.ownTime-l.digestDiffersSince >= syncDelay
-		if l.member >= 0 && l.up && differs && m.ownTime-l.lastSyncAt >= syncInterval {
-			l.lastSyncAt = m.ownTime
+		differs := l.digestDiffersSince > 0 && m.unpausedTime-l.digestDiffersSince >= syncDelay
+		if l.member >= 0 && l.up && differs && m.unpausedTime-l.lastSyncAt >= syncInterval {
+			l.lastSyncAt = m.unpausedTime
 			l.digestDiffersSince = 0
-			m.newsQuietAt = m.ownTime
+			m.deferralStartedAt = m.unpausedTime
 			m.startSync(m.members[l.member].record.Address)
 			return
 		}
 	}
 }
 
-// syncWithSeed starts a table exchange with the next seed; with strange, only with one at an address outside the view.
-func (m *Members) syncWithSeed(strange bool) {
+// syncWithSeed starts a table exchange with the next seed; if outsideView is set, with the next one whose address no member of
+// the view has.
+func (m *Members) syncWithSeed(outsideView bool) {
 	seeds := m.config.Seeds
 	for range seeds {
 		m.seedIndex = (m.seedIndex + 1) % len(seeds)
 		address := seeds[m.seedIndex]
 		known := address == m.config.Address
 		for i := range m.members {
-			known = known || strange && m.members[i].inView && m.members[i].record.Address == address
+			known = known || outsideView && m.members[i].inView && m.members[i].record.Address == address
 		}
 		if !known {
 			m.startSync(address)
@@ -69,7 +71,7 @@
 	}
 }
 
-// reconnect pings one lost member.
+// reconnect pings the next lost member in turn. A settled member is in the view or its entry is unused.
 func (m *Members) reconnect() {
 	for range m.members {
 		m.reconnectPosition = (m.reconnectPosition + 1) % len(m.members)
@@ -87,49 +89,49 @@
 	}
 }
 
-// startSync opens a table exchange with an address.
+// startSync opens a table exchange with the node at an address.
 func (m *Members) startSync(to string) {
-	m.lastLink++
-	m.syncLink, m.lastSyncStart = m.lastLink, m.ownTime
+	m.lastExchangeID++
+	m.syncExchangeID, m.lastSyncStart = m.lastExchangeID, m.unpausedTime
 	m.Counters.Exchanges++
-	heads := make([]RecordSummary, 0, len(m.byID))
+	summaries := make([]RecordSummary, 0, len(m.byID))
 	for i := range m.members {
 		if peer := &m.members[i]; peer.inDigest {
-			heads = append(heads, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
+			summaries = append(summaries, RecordSummary{peer.id, peer.record.Incarnation, peer.record.RecordVersion})
 		}
 	}
-	m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
-		Records: m.ownRecord(), Heads: heads}})
+	m.emit(Effect{Kind: Exchange, ExchangeID: m.lastExchangeID, To: to, Message: Message{Kind: MessageSyncRequest, From: m.members[0].id,
+		Records: m.ownRecord(), Summaries: summaries}})
 }
 
 // answerSync answers an exchange that a peer opened.
-func (m *Members) answerSync(link int, msg *Message) {
+func (m *Members) answerSync(exchangeID int, msg *Message) {
 	answer := Message{Kind: MessageSyncAnswer, From: m.members[0].id}
 	switch msg.Kind {
 	case MessageSyncRequest:
-		if why := m.rejectReason(msg); why != "" {
-			m.Counters.Refused++
-			m.log(true, "%s", why)
-			m.emit(Effect{Kind: Reply, Link: link, Message: Message{Kind: MessageReject, From: m.members[0].id, Why: why}})
+		if reason := m.rejectReason(msg); reason != "" {
+			m.Counters.NameConflicts++
+			m.log(true, "%s", reason)
+			m.emit(Effect{Kind: Reply, ExchangeID: exchangeID, Message: Message{Kind: MessageReject, From: m.members[0].id, Detail: reason}})
 			return
 		}
-		m.stamp++
-		for _, h := range msg.Heads {
-			i, known := m.byID[h.ID]
+		m.syncRequestNumber++
+		for _, summary := range msg.Summaries {
+			i, known := m.byID[summary.ID]
 			if !known {
-				answer.Wanted = append(answer.Wanted, h.ID)
+				answer.Wanted = append(answer.Wanted, summary.ID)
 				continue
 			}
 			r := &m.members[i].record
-			m.seenStamp[i] = m.stamp
-			if theirs := (Record{Incarnation: h.Incarnation, RecordVersion: h.RecordVersion}); theirs.newer(r) {
-				answer.Wanted = append(answer.Wanted, h.ID)
+			m.lastSummarizedIn[i] = m.syncRequestNumber
+			if theirs := (Record{Incarnation: summary.Incarnation, RecordVersion: summary.RecordVersion}); theirs.newer(r) {
+				answer.Wanted = append(answer.Wanted, summary.ID)
 			} else if r.newer(&theirs) {
 				answer.Records = append(answer.Records, *r)
 			}
 		}
 		for i := range m.members {
-			if peer := &m.members[i]; peer.inDigest && m.seenStamp[i] != m.stamp {
+			if peer := &m.members[i]; peer.inDigest && m.lastSummarizedIn[i] != m.syncRequestNumber {
 				answer.Records = append(answer.Records, peer.record)
 			}
 		}
@@ -141,12 +143,13 @@
 			m.applyRecord(&msg.Records[k], -1)
 		}
 	}
-	m.emit(Effect{Kind: Reply, Link: link, Message: answer})
+	m.emit(Effect{Kind: Reply, ExchangeID: exchangeID, Message: answer})
 }
 
-// rejectReason returns why a node may not join, or nothing: a running node at another address has its name.
+// rejectReason returns why the sender of a sync request is rejected, or "" if it is not. It is rejected if a reachable member
+// of the view has its name at another address and did not start after it.
 func (m *Members) rejectReason(msg *Message) string {
-	if len(msg.Records) == 0 || !msg.Records[0].usable() {
+	if len(msg.Records) == 0 || !msg.Records[0].valid() {
 		return ""
 	}
 	r := &msg.Records[0]
@@ -154,19 +157,19 @@
 	if !known {
 		return ""
 	}
-	held := &m.members[i]
-	if held.record.Address == r.Address || !held.inView || held.record.Left || !held.reachable && i != 0 || r.StartedAt < held.record.StartedAt {
+	holder := &m.members[i]
+	if holder.record.Address == r.Address || !holder.inView || holder.record.Left || !holder.reachable && i != 0 || r.StartedAt < holder.record.StartedAt {
 		return ""
 	}
-	return "the name " + r.Name + " is held by a node at " + held.record.Address + ", so the one at " + r.Address + " is refused"
+	return "sync request rejected: the name " + r.Name + " is used by the node at " + holder.record.Address + ", so the node at " + r.Address + " needs another name"
 }
 
-// applySyncAnswer takes the answer to an exchange and pushes the records that the peer wants.
+// applySyncAnswer handles the answer to an exchange and pushes the records that the peer requested.
 func (m *Members) applySyncAnswer(msg *Message) {
 	switch msg.Kind {
 	case MessageReject:
-		m.Counters.Refused++
-		m.log(true, "refused: %s", msg.Why)
+		m.Counters.NameConflicts++
+		m.log(true, "a peer rejected the sync request of this node, which retries: %s", msg.Detail)
 		m.joinBackoff = maxJoinBackoff
 		return
 	case MessageSyncAnswer:
@@ -187,7 +190,7 @@
 		}
 	}
 	if from, known := m.byID[msg.From]; known && len(push.Records) > 0 {
-		m.lastLink++
-		m.emit(Effect{Kind: Exchange, Link: m.lastLink, To: m.members[from].record.Address, Message: push})
+		m.lastExchangeID++
+		m.emit(Effect{Kind: Exchange, ExchangeID: m.lastExchangeID, To: m.members[from].record.Address, Message: push})
 	}
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -4,27 +4,28 @@
 	"topazpost/internal/invariant"
 )
 
-// updateView brings the view in line with reachability: new members at once, lost ones after the suspicion timeout. A node
-// without any link keeps its view, since it is more likely at fault than all others.
+// updateView updates the view from reachability. Members enter at once, unless they are damped for flapping. Lost ones leave
+// after the suspicion timeout, or after a longer grace period if they just restarted; drained ones leave at once. A node
+// without any link keeps its view, since a fault of this node is more likely than one of all others.
 func (m *Members) updateView() {
-	alone := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
-	followed := m.viewDirty && m.ownTime >= m.nextTraversalAt
-	if !followed && alone == m.isolated && m.ownTime < m.nextViewAt {
+	isolated := m.viewSize > 1 && m.linksUp() == 0 && !m.members[0].record.Left
+	traversed := m.viewDirty && m.unpausedTime >= m.nextTraversalAt
+	if !traversed && isolated == m.isolated && m.unpausedTime < m.nextViewAt {
 		return
 	}
-	if followed {
-		m.viewDirty, m.nextTraversalAt = false, m.ownTime+traversalInterval
+	if traversed {
+		m.viewDirty, m.nextTraversalAt = false, m.unpausedTime+traversalInterval
 		m.traverse()
 	}
-	if alone != m.isolated {
-		m.isolated = alone
+	if isolated != m.isolated {
+		m.isolated = isolated
 		cause := Reconnected
-		if alone {
+		if isolated {
 			cause = Isolated
 		}
 		m.emitChange(cause, &m.members[0], m.members[0].record.Incarnation, m.config.Name, 0)
 	}
-	m.nextViewAt = m.ownTime + viewInterval
+	m.nextViewAt = m.unpausedTime + viewInterval
 	for i := 1; i < len(m.members); i++ {
 		if m.settled[i] {
 			continue
@@ -41,53 +42,54 @@
 	}
 }
 
-// updateViewMember sets the status of a member of the view, or takes it out of the view.
+// updateViewMember sets the status of a member of the view, or removes it from the view.
 func (m *Members) updateViewMember(i int32) {
 	peer := &m.members[i]
-	lossEndsAt := max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil)
+	suspicionEndsAt := max(peer.unreachableSince+m.config.SuspicionTimeout, peer.reachGraceUntil)
 	switch {
 	case peer.record.Left:
 		m.leaveView(peer, Departed)
 	case peer.reachable:
-		if peer.flaps > 0 && m.ownTime-peer.lastFlapAt > flapDecayTime {
+		if peer.flaps > 0 && m.unpausedTime-peer.lastFlapAt > flapDecayTime {
 			peer.flaps = 0
 		}
 		m.setStatus(peer, Alive)
 		m.settled[i] = peer.flaps == 0
 	case m.isolated:
-		peer.unreachableSince = m.ownTime // the suspicion timeout starts once this node has links again
+		peer.unreachableSince = m.unpausedTime // the suspicion timeout starts once this node has links again
 		m.setStatus(peer, Suspect)
 	case peer.record.Facts.DrainPhase > 0:
 		m.leaveView(peer, Departed)
-	case m.ownTime >= lossEndsAt:
+	case m.unpausedTime >= suspicionEndsAt:
 		peer.flaps = min(peer.flaps+1, maxFlaps)
-		peer.lastFlapAt = m.ownTime
+		peer.lastFlapAt = m.unpausedTime
 		m.leaveView(peer, Lost)
 	default:
 		m.setStatus(peer, Suspect)
-		m.nextViewAt = min(m.nextViewAt, lossEndsAt)
+		m.nextViewAt = min(m.nextViewAt, suspicionEndsAt)
 	}
 }
 
-// updateOutsider takes a member that is reachable again into the view, and forgets one that has been out of it for long.
+// updateOutsider adds a reachable member to the view once its flap damping ends, and forgets a member that has been outside
+// the view for the forget timeout.
 func (m *Members) updateOutsider(i int32) {
 	peer := &m.members[i]
-	outFor := m.ownTime - peer.outOfViewSince
+	timeOutside := m.unpausedTime - peer.outOfViewSince
 	switch {
-	case peer.reachable && !peer.record.Left && m.ownTime >= m.flapDampedUntil(peer):
+	case peer.reachable && !peer.record.Left && m.unpausedTime >= m.flapDampedUntil(peer):
 		m.enterView(peer)
 	case peer.reachable && !peer.record.Left:
 		m.nextViewAt = min(m.nextViewAt, m.flapDampedUntil(peer))
-	case peer.inDigest && outFor > digestRetention:
+	case peer.inDigest && timeOutside > digestRetention:
 		m.digest ^= peer.recordHash()
 		peer.inDigest = false
-	case outFor > m.config.ForgetTimeout:
+	case timeOutside > m.config.ForgetTimeout:
 		m.forgetMember(i)
 	}
 }
 
-// flapDampedUntil returns when a member that is reachable again may return to the view. It damps members that come and go;
-// one that restarts often is seen some seconds late.
+// flapDampedUntil returns the time from which a reachable member can return to the view. It damps members that come and go
+// repeatedly: the first loss causes no delay, the second one of reconnectInterval, and each later one doubles it.
 func (m *Members) flapDampedUntil(peer *member) int64 {
 	if peer.flaps <= 1 {
 		return 0
@@ -95,12 +97,14 @@
 	return peer.lastFlapAt + reconnectInterval<<(peer.flaps-2)
 }
 
+// setStatus sets the status of a member, and since when it has it.
 func (m *Members) setStatus(peer *member, s Status) {
 	if peer.status != s {
-		peer.status, peer.statusSince = s, m.ownTime
+		peer.status, peer.statusSince = s, m.unpausedTime
 	}
 }
 
+// enterView adds a member to the view.
 func (m *Members) enterView(peer *member) {
 	cause := Joined
 	if peer.everInView {
@@ -108,46 +112,49 @@
 	}
 	peer.inView, peer.everInView = true, true
 	m.viewSize++
-	m.viewHash ^= peer.incarnationHash()
+	m.viewHash ^= peer.startHash()
 	if !peer.inDigest {
 		peer.inDigest = true
 		m.digest ^= peer.recordHash()
 	}
-	peer.status, peer.statusSince = Alive, m.ownTime
+	peer.status, peer.statusSince = Alive, m.unpausedTime
 	m.ringsDirty = true
 	m.emitChange(cause, peer, peer.record.Incarnation, "", 0)
 }
 
+// leaveView removes a member from the view.
 func (m *Members) leaveView(peer *member, cause Cause) {
-	peer.inView, peer.outOfViewSince, peer.watchUntil = false, m.ownTime, 0
+	peer.inView, peer.outOfViewSince, peer.onRingsUntil = false, m.unpausedTime, 0
 	m.viewSize--
-	m.viewHash ^= peer.incarnationHash()
+	m.viewHash ^= peer.startHash()
 	status := Dead
 	if cause == Departed {
 		status = Left
 	}
 	m.setStatus(peer, status)
-	after := int64(0)
+	detectionDelay := int64(0)
 	if peer.unreachableSince > 0 {
-		after = m.ownTime - peer.unreachableSince + m.config.LinkTimeout
+		// The link timeout passed before the last link to the member counted as down.
+		detectionDelay = m.unpausedTime - peer.unreachableSince + m.config.LinkTimeout
 	}
-	word := peer.record.Name
+	reportedBy := peer.record.Name
 	if cause == Lost {
-		word = ""
+		reportedBy = ""
 		if i, known := m.byID[peer.lossReportedBy]; known {
-			word = m.members[i].record.Name
+			reportedBy = m.members[i].record.Name
 		}
 	}
 	m.ringsDirty = true
-	m.emitChange(cause, peer, peer.record.Incarnation, word, after)
+	m.emitChange(cause, peer, peer.record.Incarnation, reportedBy, detectionDelay)
 }
 
-func (m *Members) emitChange(cause Cause, peer *member, inc uint64, word string, after int64) {
+// emitChange reports a change of the view. ReportedBy and detectionDelay are fields of the Change.
+func (m *Members) emitChange(cause Cause, peer *member, incarnation uint64, reportedBy string, detectionDelay int64) {
 	m.viewNumber++
-	m.Counters.Views++
+	m.Counters.ViewChanges++
 	if invariant.Debug {
-		m.Invariants.Check(m.viewHash == m.View().Hash, "the hash is that of the view")
+		m.Invariants.Check(m.viewHash == m.View().Hash, "the incremental hash equals the hash of the view")
 	}
-	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Who: peer.record.Name, Incarnation: inc, ReportedBy: word,
-		After: after, Size: m.viewSize, Hash: m.viewHash}})
+	m.emit(Effect{Kind: ViewChanged, Change: Change{Number: m.viewNumber, Cause: cause, Member: peer.record.Name, Incarnation: incarnation, ReportedBy: reportedBy,
+		DetectionDelay: detectionDelay, Size: m.viewSize, Hash: m.viewHash}})
 }
--- a/internal/fleet/quota/lease_table_test.go
+++ b/internal/fleet/quota/lease_table_test.go
@@ -40,7 +40,7 @@
 
 func TestFirstLeasesWaitForLeasesOfAnEarlierTable(t *testing.T) {
 	table := NewLeaseTable()
-	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, StartDelay: testConfig.LeaseTerm})
+	table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: 10, Version: 1, EarlierLeasesEndAt: testConfig.LeaseTerm})
 	assert.Zero(t, table.Apply(testConfig.LeaseTerm+MaxTimeStep-1, leaseRequest(nodeA, 1, 0, 10)).Units)
 	assert.Equal(t, int64(10), table.Apply(testConfig.LeaseTerm+MaxTimeStep, leaseRequest(nodeA, 1, 0, 10)).Units)
 }
@@ -99,11 +99,11 @@
 			if verdict.Units < 0 {
 				t.Fatal("the verdict grants a negative number of units")
 			}
-			text, err := table.Snapshot()
+			encoded, err := table.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if table, err = Restore(text); err != nil {
+			if table, err = Restore(encoded); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/quota/simulation_test.go
+++ b/internal/fleet/quota/simulation_test.go
@@ -61,14 +61,14 @@
 	measuring        bool  // utilization is recorded: the whole limit is wanted, and no units may be unused by design
 	utilizedTime     float64
 	measuredTime     float64
-	peak             int
+	peak             int // most units in use at once
 	config           HolderConfig
 }
 
 func newSimulation(seed int64, nodes int, limit int64) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), now: 1, table: NewLeaseTable(), maxDelay: 2 * ms, config: testConfig}
 	sim.config.Units = limit
-	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, StartDelay: testConfig.LeaseTerm})
+	sim.table.Apply(0, &Command{Kind: CommandDefineLimit, Limit: "calls", Units: limit, Version: 1, EarlierLeasesEndAt: testConfig.LeaseTerm})
 	sim.partitioned = make([]bool, nodes)
 	for i := range nodes {
 		sim.nodes = append(sim.nodes, &simulatedNode{})
@@ -104,6 +104,7 @@
 	sim.wakeNode(i, sim.now)
 }
 
+// clock returns the node's time, which has another origin and rate than the simulation's.
 func (node *simulatedNode) clock(now int64) int64 {
 	return int64(node.clockRate*float64(now)) + 1_000_000*ms
 }
--- a/internal/node/configsync_operator.go
+++ b/internal/node/configsync_operator.go
@@ -23,7 +23,8 @@
 	retryAt   int64
 }
 
-// applyOperatorQuery answers an operator's query at once, except that a proposal waits for its verdict.
+// applyOperatorQuery answers an operator's query at once, except that a proposal waits for its verdict. In texts for operators the
+// consensus group is the council and a replica is a seat, as in the settings.
 func (sm *StateMachine) applyOperatorQuery(link int, q *configsync.Query) {
 	var answer *configsync.Answer
 	switch {
@@ -45,7 +46,7 @@
 
 // isProposal reports whether a query proposes a change of a kind that operators may propose.
 func isProposal(q *configsync.Query) bool {
-	if q.Kind != configsync.QueryPropose || q.Command == nil || q.Command.From == "" {
+	if q.Kind != configsync.QueryPropose || q.Command == nil || q.Command.Caller == "" {
 		return false
 	}
 	return q.Command.Kind == configsync.CommandPut || q.Command.Kind == configsync.CommandRollback
@@ -93,21 +94,22 @@
 	}
 	nodes := cs.replicator.Statuses.Statuses()
 	for k := range nodes {
-		nodes[k].At = sm.now - nodes[k].At
+		nodes[k].At = sm.now - nodes[k].At // as an age: the operator has another clock; nodes is a copy
 	}
 	answer.ReplicaStatus = &configsync.ReplicaStatus{Head: cs.agreed.Head, Newest: newestRevision(cs.agreed), RollbackVersions: sm.group.rollbackVersions(), Nodes: nodes,
 		Alive: sm.Members().InView()}
 	return answer
 }
 
-// validateConfigCommand returns the reason why a change must not be proposed, empty if it may. It makes the checks that are the same for
-// every node. A node that can't apply a valid change refuses it in the canary stage.
+// validateConfigCommand returns the reason why this node's replica must not propose a change, empty if it may. It makes the checks that are
+// the same for every node; a node that can't apply a valid change refuses it in the canary stage. Whether operations remain is checked only
+// for a whole change that is based on the newest version, since otherwise the resulting content is not known here.
 func (sm *StateMachine) validateConfigCommand(command *configsync.Command) string {
 	if _, err := nodeconfig.Parse(nodeconfigItems(command.Changes)); err != nil {
 		return err.Error()
 	}
 	agreed := sm.configSync.agreed
-	if agreed == nil || command.More || command.Piece > 0 || command.Base != agreed.Head.Newest {
+	if agreed == nil || command.MorePieces || command.Piece > 0 || command.Base != agreed.Head.Newest {
 		return ""
 	}
 	if operationCountAfter(agreed.Newest, command.Changes) < 1 {
@@ -138,7 +140,7 @@
 // findProposal returns the pending proposal with a sender and a sequence number, nil if there is none.
 func (cs *configSyncState) findProposal(from string, seq uint64) *configProposal {
 	for _, p := range cs.proposals {
-		if p.command.From == from && p.command.Seq == seq {
+		if p.command.Caller == from && p.command.Seq == seq {
 			return p
 		}
 	}
@@ -148,7 +150,7 @@
 // addProposal makes a proposal wait for its verdict. It returns false if too many proposals are pending.
 func (sm *StateMachine) addProposal(link int, command *configsync.Command) bool {
 	cs := &sm.configSync
-	p := cs.findProposal(command.From, command.Seq)
+	p := cs.findProposal(command.Caller, command.Seq)
 	if p == nil {
 		if len(cs.proposals) >= maxPendingProposals {
 			return false
@@ -173,7 +175,7 @@
 	cs := &sm.configSync
 	for k := range cs.verdicts {
 		v := &cs.verdicts[k]
-		if p := cs.findProposal(v.From, v.Seq); p != nil {
+		if p := cs.findProposal(v.Caller, v.Seq); p != nil {
 			sm.answerProposal(p, &configsync.Answer{Verdict: v})
 		}
 	}
@@ -184,7 +186,7 @@
 			sm.answerProposal(p, &configsync.Answer{Why: "no verdict of the council in time"})
 		case sm.now >= p.retryAt:
 			p.retryAt = sm.now + proposalRetryInterval
-			sm.proposeToGroup(nil, nil, p.command)
+			sm.proposeToGroup(nil, nil, p.command) // no claims or leases; through another replica if this node has none
 		}
 	}
 }
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -11,44 +11,47 @@
 // Timeouts of dispatchers' connections, in nanoseconds.
 const (
 	firstUseTimeout = 2_000 * ms  // from the opening of a connection to its first valid request
-	idleTimeout     = 15_000 * ms // without an open stream; callers close their idle connections sooner
+	idleTimeout     = 15_000 * ms // without an open stream; dispatchers close their idle connections sooner
 	goAwayGrace     = 200 * ms    // from a go-away to the close, for invocations sent before it arrived
 	evictionGrace   = 60 * ms     // the same for an evicted connection: the protocol's 50 ms and a round trip
-	sweepInterval   = 250 * ms    // between checks for idle connections
+	sweepInterval   = 250 * ms    // between advances of the wheel of idle connections
 	overdueInterval = 2_500_000   // between batches of overdue connections
 )
 
-// Limits of one batch of checks, so that invocations wait for a few milliseconds at most.
+// Limits of one batch of timeouts, so that invocations wait for a few milliseconds at most.
 const (
-	maxChecksPerStep = 2_048
-	maxClosesPerStep = 32 // each close or go-away costs system calls
+	maxTimeoutsPerStep = 2_048
+	maxClosesPerStep   = 32 // each close or go-away costs system calls
 )
 
-// maxFaultsPerConnection is the number of malformed invocations at which the rest of a connection's input is discarded.
+// maxFaultsPerConnection is the number of invalid invocations at which the rest of a connection's input is discarded.
 const maxFaultsPerConnection = 16
 
-// connection is the state of a dispatcher's connection.
+// connection is the state of a dispatcher's connection. A connection that ends by its timeout or by a drain has goAwaySent
+// first, then closeWhenIdle and closeAfterFlushRequested. One that is evicted has evicted, and either the same steps or,
+// without a go-away, closeWithoutLingerRequested. One that violates the protocol has broken, goAwaySent and closeWhenIdle.
 type connection struct {
-	link           int              // the host's number of the connection
-	lastStream     uint32           // highest stream seen
-	openStreams    map[uint32]int32 // index of the invocation, by stream that is not answered
-	pendingChecks  int              // deep health checks that are not answered
-	used           bool             // a valid invocation or health check was received
-	faultCount     int              // malformed invocations received
-	lastUsedAt     int64            // time of the opening, the last valid request or the last answer
-	goAwayAt       int64            // time of the go-away
-	goAwaySent     bool
-	evicted        bool             // chosen to make room for a new connection
-	closing        bool             // to be closed as soon as it is idle
-	closeRequested bool             // the host was asked to close it
-	evictRequested bool             // the host was asked to close it without waiting for the peer
-	broken         bool             // its further input is discarded
-	checkTimer     timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
+	link                        int              // the host's number of the connection
+	lastStream                  uint32           // highest stream seen
+	openStreams                 map[uint32]int32 // index of the invocation, by stream that is not answered
+	pendingHealthChecks         int              // deep health checks that are not answered
+	used                        bool             // a valid invocation or health check was received
+	faultCount                  int              // invalid invocations received
+	lastUsedAt                  int64            // time of the opening, the last valid request or the last answer
+	goAwayAt                    int64            // time of the go-away
+	goAwaySent                  bool
+	evicted                     bool             // chosen to make room for a new connection
+	closeWhenIdle               bool             // the host is asked to close it as soon as it is idle
+	closeAfterFlushRequested    bool             // the host was asked to close it, and the request is not cancelled
+	closeWithoutLingerRequested bool             // the host was asked to close it without lingering, and the request is not cancelled
+	broken                      bool             // its further input is discarded
+	timeoutTimer                timerwheel.Timer // in idleWheel until the go-away is sent, then in closingWheel
 }
 
 // isIdle reports whether every stream and health check is answered.
-func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingChecks == 0 }
+func (c *connection) isIdle() bool { return len(c.openStreams)+c.pendingHealthChecks == 0 }
 
+// isHealthy reports whether the connection has brought valid requests and no invalid invocation.
 func (c *connection) isHealthy() bool { return c.used && c.faultCount == 0 }
 
 // markUsed records that a valid request was received.
@@ -57,16 +60,16 @@
 	c.lastUsedAt = now
 }
 
-// idleTimeout returns how long the connection may be idle before its go-away.
-func (c *connection) idleTimeout() int64 {
+// timeout returns how long the connection may be idle before its go-away.
+func (c *connection) timeout() int64 {
 	if c.used {
 		return idleTimeout
 	}
 	return firstUseTimeout
 }
 
-// goAwayGrace returns the time from the connection's go-away to its close.
-func (c *connection) goAwayGrace() int64 {
+// closeDelay returns the time from the connection's go-away to its close.
+func (c *connection) closeDelay() int64 {
 	if c.evicted {
 		return evictionGrace
 	}
@@ -85,8 +88,8 @@
 	return c.link < other.link
 }
 
-// isClosingLongerThan reports whether the go-away of c was sent before that of other.
-func (c *connection) isClosingLongerThan(other *connection) bool {
+// hasEarlierGoAway reports whether the go-away of c was sent before that of other.
+func (c *connection) hasEarlierGoAway(other *connection) bool {
 	if c.goAwayAt != other.goAwayAt {
 		return c.goAwayAt < other.goAwayAt
 	}
@@ -97,14 +100,14 @@
 type connectionTable struct {
 	sm             *StateMachine
 	byLink         map[int]*connection
-	maxConnections int // limit on connections; up to SpareConnections that are being closed do not count
-
-	idleWheel    *timerwheel.Wheel // links by the millisecond of their next check, until the go-away is sent
-	closingWheel *timerwheel.Wheel // the same, after the go-away
-	overdue      []int             // links to be checked that did not fit into earlier batches
-	sweepAt      int64             // time of the next advance of idleWheel
-	overdueAt    int64             // time of the next batch of overdue links
-	checkCount   int               // total of checks, for tests
+	maxConnections int // limit on connections, exceeded by up to ExtraClosingConnections that are being closed
+
+	idleWheel       *timerwheel.Wheel // links by the millisecond at which their timeout is handled, until the go-away is sent
+	goAwayWheel     *timerwheel.Wheel // the same, after the go-away
+	overdue         []int             // links whose timeout is to be handled, in this order
+	sweepAt         int64             // time of the next advance of idleWheel
+	overdueAt       int64             // time of the next batch of overdue links
+	handledTimeouts int               // total of timeouts handled, for tests
 }
 
 func newConnectionTable(sm *StateMachine, limit int) connectionTable {
@@ -114,7 +117,7 @@
 // start sets the timer wheels to the time of the first step.
 func (t *connectionTable) start(now int64) {
 	t.idleWheel = timerwheel.New(now / ms)
-	t.closingWheel = timerwheel.New(now / ms)
+	t.goAwayWheel = timerwheel.New(now / ms)
 }
 
 // get returns an open connection, or nil.
@@ -145,7 +148,7 @@
 	}
 	c := &connection{link: link, openStreams: make(map[uint32]int32), lastUsedAt: t.sm.now}
 	t.byLink[link] = c
-	t.scheduleCheck(c, t.sm.now+firstUseTimeout)
+	t.scheduleTimeout(c, t.sm.now+firstUseTimeout)
 	t.sm.emit(Effect{Kind: ReadConnection, Link: link})
 	if t.sm.drain.isAcceptStopped() {
 		t.sendGoAway(c)
@@ -154,110 +157,112 @@
 
 func (t *connectionTable) closed(c *connection) {
 	delete(t.byLink, c.link)
-	t.cancelCheck(c)
+	t.cancelTimeout(c)
 	for _, stream := range slices.Sorted(maps.Keys(c.openStreams)) {
 		t.sm.callerDisconnected(c.openStreams[stream])
 	}
 }
 
-// makeRoom evicts an idle connection if those that are not being closed fill the table. If SpareConnections or more are
-// being closed, it also closes the one whose go-away is oldest at once: its peer may never finish a frame or close its side.
+// makeRoom evicts an idle connection if those that are not being closed fill the table. Connections count as being closed
+// when they are evicted or the host was asked to close them. If ExtraClosingConnections or more are being closed, makeRoom
+// also has the host close one of them without lingering: the one with the earliest go-away among those that the host was
+// asked to close. Its dispatcher may never finish a frame or close its side.
 func (t *connectionTable) makeRoom() {
 	var victim, slowest *connection
 	closing := 0
 	for _, c := range t.byLink {
 		switch {
-		case c.evicted || c.closeRequested:
+		case c.evicted || c.closeAfterFlushRequested:
 			closing++
-			if c.closeRequested && !c.evictRequested && (slowest == nil || c.isClosingLongerThan(slowest)) {
+			if c.closeAfterFlushRequested && !c.closeWithoutLingerRequested && (slowest == nil || c.hasEarlierGoAway(slowest)) {
 				slowest = c
 			}
-		case c.isIdle() && !c.closing && (victim == nil || c.isEvictedBefore(victim)):
+		case c.isIdle() && !c.closeWhenIdle && (victim == nil || c.isEvictedBefore(victim)):
 			victim = c
 		}
 	}
-	hasSpare := closing < t.sm.SpareConnections
+	hasSpare := closing < t.sm.ExtraClosingConnections
 	if victim != nil && len(t.byLink)-closing >= t.maxConnections {
 		t.evict(victim, hasSpare)
 	}
 	if !hasSpare && slowest != nil {
-		slowest.evictRequested = true
-		t.sm.emit(Effect{Kind: EvictConnection, Link: slowest.link})
+		slowest.closeWithoutLingerRequested = true
+		t.sm.emit(Effect{Kind: CloseWithoutLinger, Link: slowest.link})
 	}
 }
 
-// evict closes an idle connection after a grace period, or at once if it was never used or the table has no spare place.
-// Without spare places, a grace period would have new connections refused. An invocation that is sent before the
-// dispatcher sees the close is lost, and the dispatcher retries it.
+// evict closes an idle connection. It sends a go-away and waits for a grace period first, unless the connection was never used
+// or hasSpare is false: with ExtraClosingConnections being closed, the wait would have new connections refused. An
+// invocation that is sent before the dispatcher sees an immediate close is lost, and the dispatcher retries it.
 func (t *connectionTable) evict(c *connection, hasSpare bool) {
 	t.sm.Counters.ConnectionsEvicted++
 	c.evicted = true
 	if !c.used || !hasSpare {
-		c.closing = true
-		c.closeRequested = true
-		c.evictRequested = true
-		t.sm.emit(Effect{Kind: EvictConnection, Link: c.link})
+		c.closeWhenIdle = true
+		c.closeAfterFlushRequested = true
+		c.closeWithoutLingerRequested = true
+		t.sm.emit(Effect{Kind: CloseWithoutLinger, Link: c.link})
 		return
 	}
 	t.sendGoAway(c)
-	t.scheduleCheck(c, c.goAwayAt+evictionGrace)
+	t.scheduleTimeout(c, c.goAwayAt+evictionGrace)
 }
 
 // wheelOf returns the wheel that holds the connection's timer.
 func (t *connectionTable) wheelOf(c *connection) *timerwheel.Wheel {
 	if c.goAwaySent {
-		return t.closingWheel
+		return t.goAwayWheel
 	}
 	return t.idleWheel
 }
 
-// scheduleCheck schedules the next check of a connection, which takes place at that time or in one of the next batches.
-func (t *connectionTable) scheduleCheck(c *connection, at int64) {
-	t.cancelCheck(c)
-	c.checkTimer = t.wheelOf(c).Add((at+ms-1)/ms, int64(c.link))
+// scheduleTimeout has the timeout of a connection handled at a time, or in one of the batches after it.
+func (t *connectionTable) scheduleTimeout(c *connection, at int64) {
+	t.cancelTimeout(c)
+	c.timeoutTimer = t.wheelOf(c).Add((at+ms-1)/ms, int64(c.link))
 }
 
-func (t *connectionTable) cancelCheck(c *connection) {
-	t.wheelOf(c).Remove(c.checkTimer)
-	c.checkTimer = timerwheel.Timer{} // in the other wheel the same value may identify another timer
+func (t *connectionTable) cancelTimeout(c *connection) {
+	t.wheelOf(c).Remove(c.timeoutTimer)
+	c.timeoutTimer = timerwheel.Timer{} // in the other wheel the same value may identify another timer
 }
 
-// checkDue checks the connections whose timeout may have passed. It works in batches: connections that were opened together
-// are due together, and checking all of them in one step would delay invocations.
-func (t *connectionTable) checkDue() {
+// handleDueTimeouts handles the timeouts that may have passed. It works in batches: connections that were opened together
+// are due together, and handling all of them in one step would delay invocations.
+func (t *connectionTable) handleDueTimeouts() {
 	now := t.sm.now
-	isDue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
-	earlier := len(t.overdue)
-	t.closingWheel.Advance(now/ms, isDue)
+	addOverdue := func(link int64) { t.overdue = append(t.overdue, int(link)) }
+	earlierCount := len(t.overdue)
+	t.goAwayWheel.Advance(now/ms, addOverdue)
 	if now >= t.sweepAt {
 		t.sweepAt = now + sweepInterval
-		t.idleWheel.Advance(now/ms, isDue)
+		t.idleWheel.Advance(now/ms, addOverdue)
 	}
-	slices.Sort(t.overdue[earlier:])
+	slices.Sort(t.overdue[earlierCount:])
 	if now < t.overdueAt || len(t.overdue) == 0 {
 		return
 	}
-	checks := 0
+	handled := 0
 	closes := 0
-	for checks < min(maxChecksPerStep, len(t.overdue)) && closes < maxClosesPerStep {
-		c := t.byLink[t.overdue[checks]]
-		if c != nil && !c.closing && t.check(c) {
+	for handled < min(maxTimeoutsPerStep, len(t.overdue)) && closes < maxClosesPerStep {
+		c := t.byLink[t.overdue[handled]]
+		if c != nil && !c.closeWhenIdle && t.handleTimeout(c) {
 			closes++
 		}
-		checks++
+		handled++
 	}
-	t.checkCount += checks
-	t.overdue = slices.Delete(t.overdue, 0, checks)
+	t.handledTimeouts += handled
+	t.overdue = slices.Delete(t.overdue, 0, handled)
 	t.overdueAt = now + overdueInterval
 }
 
-// dueAt returns when connections must be checked next.
+// dueAt returns when timeouts must be handled next.
 func (t *connectionTable) dueAt() int64 {
 	if len(t.byLink) == 0 {
 		return never
 	}
 	at := t.sweepAt
-	if tick, ok := t.closingWheel.Next(); ok {
+	if tick, ok := t.goAwayWheel.Next(); ok {
 		at = min(at, tick*ms)
 	}
 	if len(t.overdue) > 0 {
@@ -266,23 +271,23 @@
 	return at
 }
 
-// check sends a go-away to a connection whose timeout has passed, or closes one whose grace period has ended, and reports
-// whether it did either. Otherwise it schedules the next check.
-func (t *connectionTable) check(c *connection) bool {
+// handleTimeout sends a go-away on a connection whose timeout has passed, or closes one whose grace period after the go-away
+// has ended, and reports whether it did either. Otherwise it schedules the timeout again.
+func (t *connectionTable) handleTimeout(c *connection) bool {
 	now := t.sm.now
 	switch {
 	case !c.isIdle() && c.goAwaySent:
-		t.scheduleCheck(c, now+sweepInterval)
+		t.scheduleTimeout(c, now+sweepInterval)
 	case !c.isIdle(): // the timeout starts with the last answer
-		t.scheduleCheck(c, now+c.idleTimeout())
-	case c.goAwaySent && now < c.goAwayAt+c.goAwayGrace():
-		t.scheduleCheck(c, c.goAwayAt+c.goAwayGrace())
+		t.scheduleTimeout(c, now+c.timeout())
+	case c.goAwaySent && now < c.goAwayAt+c.closeDelay():
+		t.scheduleTimeout(c, c.goAwayAt+c.closeDelay())
 	case c.goAwaySent:
 		t.sm.Counters.ConnectionsClosedAfterGoAway++
 		t.close(c)
 		return true
-	case now < c.lastUsedAt+c.idleTimeout():
-		t.scheduleCheck(c, c.lastUsedAt+c.idleTimeout())
+	case now < c.lastUsedAt+c.timeout():
+		t.scheduleTimeout(c, c.lastUsedAt+c.timeout())
 	default:
 		t.sendGoAway(c)
 		return true
@@ -295,10 +300,10 @@
 	if c.goAwaySent {
 		return
 	}
-	t.cancelCheck(c)
+	t.cancelTimeout(c)
 	c.goAwaySent = true
 	c.goAwayAt = t.sm.now
-	t.scheduleCheck(c, t.sm.now+c.goAwayGrace())
+	t.scheduleTimeout(c, t.sm.now+c.closeDelay())
 	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: frame.Append(nil, frame.GoAway, 0, nil)})
 }
 
@@ -321,7 +326,7 @@
 		return
 	}
 	c.lastUsedAt = t.sm.now
-	if c.closing {
+	if c.closeWhenIdle {
 		t.close(c)
 	}
 }
@@ -329,26 +334,28 @@
 // close has the host close a connection once everything is written. The connection stays in the table until the host has
 // closed it: requests that were read before are still answered.
 func (t *connectionTable) close(c *connection) {
-	c.closing = true
-	if !c.closeRequested {
-		c.closeRequested = true
+	c.closeWhenIdle = true
+	if !c.closeAfterFlushRequested {
+		c.closeAfterFlushRequested = true
 		t.sm.emit(Effect{Kind: CloseAfterFlush, Link: c.link})
 	}
 }
 
 // resume cancels a requested close, for an invocation or a health check that the dispatcher sent before it saw the close.
+// The host is asked again once that is answered.
 func (t *connectionTable) resume(c *connection) {
-	if c.closeRequested {
-		c.closeRequested = false
-		c.evictRequested = false
+	if c.closeAfterFlushRequested {
+		c.closeAfterFlushRequested = false
+		c.closeWithoutLingerRequested = false
 		t.sm.emit(Effect{Kind: ResumeConnection, Link: c.link})
 	}
 }
 
 // markBroken discards the further input of a connection whose frames are malformed or out of order, or that brought too
-// many malformed invocations. The connection is closed once its open streams are answered.
+// many invalid invocations. The connection is closed once its open streams are answered. Every violation is logged, also
+// later ones on a broken connection; the host bounds the rate of log entries.
 func (t *connectionTable) markBroken(c *connection, err error) {
-	t.sm.log(Warn, "dispatcher violated the protocol; closing its connection once open streams are answered", "", err)
+	t.sm.log(Warn, "dispatcher violated the protocol: discarding the input of its connection, closing it once open streams are answered", "", err)
 	if c.broken {
 		return
 	}
@@ -359,11 +366,11 @@
 	t.sm.emit(Effect{Kind: SendToConnection, Link: c.link, Bytes: append(head, text...)})
 	t.sendGoAway(c)
 	t.sm.emit(Effect{Kind: DiscardInput, Link: c.link})
-	c.closing = true
+	c.closeWhenIdle = true
 	t.released(c)
 }
 
-// countFault counts a malformed invocation of a connection. The limit on them bounds the work wasted on a faulty peer.
+// countFault counts an invalid invocation of a connection. The limit on these bounds the work wasted on a faulty dispatcher.
 func (t *connectionTable) countFault(c *connection) {
 	c.faultCount++
 	if c.faultCount >= maxFaultsPerConnection {
--- a/internal/node/degradation_test.go
+++ b/internal/node/degradation_test.go
@@ -10,7 +10,8 @@
 	"topazpost/internal/protocol/frame"
 )
 
-// nodeAtLevel returns a node at a level of the test plan.
+// nodeAtLevel returns a node at a level of the test plan. The first plan has no reachable level; the second has only the levels up to the
+// wanted one, and enters the last at once.
 func nodeAtLevel(t *testing.T, level int) *StateMachine {
 	sm := newServingNode(t)
 	step(sm, Input{Kind: PlanChanged, Plan: testPlan(1e9)})
@@ -61,7 +62,7 @@
 	sm.now = sm.timerAt
 	var change *LevelChange
 	for _, e := range step(sm) {
-		if e.Kind == LevelChanged {
+		if e.Kind == PublishLevelChange {
 			change = e.LevelChange
 		}
 	}
@@ -79,7 +80,7 @@
 	for range 10 {
 		sm.now = sm.timerAt
 		for _, e := range step(sm) {
-			assert.NotEqual(t, LevelChanged, e.Kind)
+			assert.NotEqual(t, PublishLevelChange, e.Kind)
 		}
 	}
 }
@@ -103,14 +104,14 @@
 	for range 100 {
 		sm.now = sm.timerAt
 		for _, e := range sm.Step(sm.now, sm.now, nil) {
-			if e.Kind == SampleState {
+			if e.Kind == PublishState {
 				samples++
 				assert.Equal(t, 1, e.State.OnCores)
 				assert.Equal(t, 1, e.State.Connections)
 			}
 		}
 	}
-	assert.InDelta(t, 5, samples, 1)
+	assert.InDelta(t, 5, samples, 1) // 100 ticks of 50 ms are 5 s
 }
 
 func BenchmarkState(b *testing.B) {
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -23,8 +23,8 @@
 	"topazpost/internal/resultcache"
 )
 
-// digest hashes the effects of steps. No other code of the digest tests reads the fields of effects, so that only this file
-// changes with their names or types. Digests are those of amd64; other architectures may round floating-point numbers
+// digest hashes the effects of steps. simNode.execute also reads some fields of effects, to carry them out; what is part of
+// the digest is decided here alone. Digests are those of amd64; other architectures may round floating-point numbers
 // differently.
 type digest struct{ hash.Hash }
 
@@ -66,7 +66,7 @@
 	d.Write(b)
 }
 
-// texts adds texts that other programs read. Texts of logs and errors are left out, as their wording may change.
+// texts adds texts.
 func (d digest) texts(values ...string) {
 	for _, s := range values {
 		d.bytes([]byte(s))
@@ -80,14 +80,14 @@
 	}
 }
 
-// effect adds all fields of an effect except texts of logs and errors.
+// effect adds all fields of an effect except texts of logs and errors, whose wording may change.
 func (d digest) effect(e *node.Effect) {
 	d.integers(int64(e.Kind), int64(e.Link), e.At, int64(e.LogLevel), int64(e.Version))
 	d.texts(e.Address, e.ID)
 	d.bytes(e.Bytes)
 	d.bools(e.Ready, e.Err != nil, e.State != nil, e.LevelChange != nil, e.ViewChange != nil, e.Record != nil, e.ReplicaWrite != nil, e.ConfigWrite != nil,
 		e.InForce != nil)
-	if e.Kind == node.VersionApplied {
+	if e.Kind == node.ReportVersionOutcome {
 		d.numbersIn(e.Text)
 	}
 	if e.State != nil {
@@ -133,7 +133,7 @@
 	d.integers(int64(s.Succeeded), int64(s.Throttled), int64(s.Errored), int64(s.CallersDisconnected), int64(s.Connections), int64(s.CatalogueLinks), int64(s.IdleCatalogueLinks),
 		int64(s.WaitingCalls), int64(s.UnacknowledgedCommands), s.GaugesAge)
 	for _, name := range admission.ReasonNames {
-		d.integers(int64(s.GivenUp[name]))
+		d.integers(int64(s.RejectedOrFailed[name]))
 	}
 	d.bools(s.ExecutorSynced, s.Configuration != nil)
 	if c := s.Configuration; c != nil {
@@ -161,8 +161,8 @@
 
 // change adds a change of the view of the fleet.
 func (d digest) change(c *membership.Change) {
-	d.integers(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.After, int64(c.Size), int64(c.Hash))
-	d.texts(c.Who, c.ReportedBy)
+	d.integers(int64(c.Number), int64(c.Cause), int64(c.Incarnation), c.DetectionDelay, int64(c.Size), int64(c.Hash))
+	d.texts(c.Member, c.ReportedBy)
 }
 
 // record adds a record of the result store.
@@ -213,8 +213,8 @@
 		}
 	}
 	for _, r := range e.Records {
-		d.integers(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.Wall)
-		d.texts(r.From)
+		d.integers(int64(r.Version), int64(r.Base.A), int64(r.Base.B), int64(r.Digest.A), int64(r.Digest.B), r.WallTime)
+		d.texts(r.Caller)
 		d.items(r.Changes)
 		d.items(r.Replaced)
 		d.bools(r.Rollback)
@@ -258,7 +258,7 @@
 				}
 			}
 			t.Logf("%d steps, %d effects, by kind %v", s.steps, s.effects, s.kinds)
-			assert.Equal(t, run.digest, s.digest.sum(), "digest of seed %d", run.seed)
+			assert.Equal(t, run.digest, s.digest.sum(), "effects of seed %d differ from those recorded; if that is intended, record the new digest and give the reason in the commit", run.seed)
 		})
 	}
 }
--- a/internal/node/digestsimulation_test.go
+++ b/internal/node/digestsimulation_test.go
@@ -25,7 +25,7 @@
 	nodes, hollow, replicas, cores int
 	seconds, rate                  int     // rate is in invocations per second at each node that is not hollow
 	links                          int     // limit on a node's links to the catalogue
-	callers                        int     // limit on the connections of each node's callers
+	callers                        int     // limit on each node's connections of dispatchers
 	loss                           float64 // share of messages between nodes that are lost
 	durability                     resultcache.Durability
 
@@ -48,7 +48,7 @@
 	inFlight     int     // invocations in flight, summed over the steps
 	lastID       int
 	lastExchange int
-	lastOrder    uint64
+	lastCommand  uint64                                     // number of the last proposal of configuration changes
 	record       func(now, wall int64, inputs []node.Input) // called before each step of the first node, unless nil
 }
 
--- a/internal/node/invocations.go
+++ b/internal/node/invocations.go
@@ -38,16 +38,16 @@
 	levelName        string         // of the reduced form that runs, empty for the full operation
 	operationIndex   int32
 	tenant           int32 // -1 without one
-	terms            *terms
+	tokenLimits      *tokenLimits
 }
 
 // addInvocation stores an invocation and returns its index.
 func (sm *StateMachine) addInvocation(v invocation) int32 {
-	sm.versions.acquireReferences(&v, sm.currentTerms(v.operationIndex))
+	sm.versions.acquireReferences(&v, sm.currentTokenLimits(v.operationIndex))
 	index := sm.allocateIndex()
 	sm.invocations[index] = v
 	sm.indexByID[v.invocationID] = index
-	sm.owedAnswers++
+	sm.unansweredCount++
 	return index
 }
 
@@ -115,7 +115,7 @@
 	}
 	sm.Counters.CallersDisconnected++
 	v.answered = true
-	sm.owedAnswers--
+	sm.unansweredCount--
 	if sm.removeTokenWaiter(i) {
 		return
 	}
@@ -159,7 +159,7 @@
 		return
 	}
 	v.answered = true
-	sm.owedAnswers--
+	sm.unansweredCount--
 	sm.catalogue.cancelCall(i)
 	sm.removeTokenWaiter(i)
 	sm.reportRunEnd(i)
--- a/internal/node/results_answers.go
+++ b/internal/node/results_answers.go
@@ -16,7 +16,7 @@
 	v.submittedToCache = true
 	until := v.tokenExpiresAt
 	if until == 0 {
-		until = sm.now + v.terms.tokenLifetime
+		until = sm.now + v.tokenLimits.tokenLifetime
 	}
 	sm.stepCache(resultcache.Input{Kind: resultcache.InvocationReceived, Invocation: i, Key: v.tokenKey, BodyHash: v.bodyHash, Remaining: until - sm.now})
 }
@@ -137,7 +137,7 @@
 func (sm *StateMachine) recordRunStart(a *resultcache.Action) {
 	remaining := a.Until - sm.now
 	if sm.group.enabled() {
-		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Window: remaining})
+		sm.addClaimInput(claims.Input{Kind: claims.RequestStart, Key: sm.claimKey(a.Key), BodyHash: a.BodyHash, Remaining: remaining, Retention: remaining})
 		return
 	}
 	sm.emit(Effect{Kind: WriteRecord, Record: &resultcache.Record{Key: a.Key, BodyHash: a.BodyHash, Remaining: remaining}})
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -16,8 +16,8 @@
 	lostOwner := claimingNode(t)
 	work := commandsForInvocation(t, lostOwner)[0].Work
 	newOwner := claimingNode(t)
-	reassignment := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
-		Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}
+	reassignment := &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Claim: &claims.Entry{Key: claims.Key{Operation: "hold", Token: "a1"},
+		Fence: 9, BodyHash: 1, Work: work, Retention: 60_000 * ms}}
 	receiveFromReplica(t, newOwner, reassignment)
 	start := claimCommands(t, newOwner, receiveFromReplica(t, newOwner, reassignment)) // the group repeats the reassignment while the controller decides
 	for from := newOwner.now; newOwner.now < from+100*ms && len(start) == 0; {
@@ -34,7 +34,7 @@
 	effects = receiveFromReplica(t, newOwner, verdictOn(end[0], claims.AnswerDone))
 	assert.Empty(t, localEffectKinds(effects), "an invocation that was taken over has no caller to answer")
 	step(newOwner)
-	assert.Zero(t, newOwner.owedAnswers)
+	assert.Zero(t, newOwner.unansweredCount)
 	assert.Empty(t, newOwner.indexByID, "the invocation is released")
 }
 
@@ -43,8 +43,8 @@
 	work := commandsForInvocation(t, lostOwner)[0].Work
 	newOwner := claimingNode(t)
 	step(newOwner, Input{Kind: DrainRequested})
-	release := claimCommands(t, newOwner, receiveFromReplica(t, newOwner, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
-		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Window: 60_000 * ms}}))
+	release := claimCommands(t, newOwner, receiveFromReplica(t, newOwner, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Claim: &claims.Entry{
+		Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, Work: work, Retention: 60_000 * ms}}))
 	require.Len(t, release, 1)
 	assert.Equal(t, claims.CommandRelease, release[0].Kind)
 	assert.Zero(t, newOwner.Counters.InvocationsTakenOver)
@@ -57,8 +57,8 @@
 		sm := claimingNode(t)
 		work, err := cbor.Marshal(takeoverData{InvocationID: id(1), Body: []byte("body"), QueuedKB: queuedKB})
 		require.NoError(t, err)
-		release := claimCommands(t, sm, receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Entry: &claims.Entry{
-			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Window: 60_000 * ms}}))
+		release := claimCommands(t, sm, receiveFromReplica(t, sm, &consensus.Message{Kind: consensus.MessageReassignment, Remaining: 2_000 * ms, Claim: &claims.Entry{
+			Key: claims.Key{Operation: "hold", Token: "a1"}, Fence: 9, BodyHash: 1, Work: work, Retention: 60_000 * ms}}))
 		require.Len(t, release, 1, queuedKB)
 		assert.Equal(t, claims.CommandRelease, release[0].Kind, queuedKB)
 		assert.Zero(t, sm.Counters.InvocationsTakenOver, queuedKB)
--- a/server/effects.go
+++ b/server/effects.go
@@ -30,7 +30,7 @@
 		c.send(e.Link, e.Bytes)
 	case node.CloseAfterFlush:
 		c.closeAfterFlush(e.Link, false)
-	case node.EvictConnection:
+	case node.CloseWithoutLinger:
 		c.closeAfterFlush(e.Link, true)
 	case node.ResumeConnection:
 		c.resume(e.Link)
@@ -38,7 +38,7 @@
 		c.discardInput(e.Link)
 	case node.StopAccepting:
 		c.stopAccepting()
-	case node.CallerTimeoutRaised:
+	case node.RaiseCallerTimeout:
 		c.raiseClientTimeout(e.At)
 	default:
 		return false
@@ -102,15 +102,15 @@
 // applyToLog carries out effects that only write to the log.
 func (s *Server) applyToLog(e *node.Effect) {
 	switch e.Kind {
-	case node.SampleState:
+	case node.PublishState:
 		s.log.Debug().Interface("state", e.State).Msg("state")
-	case node.LevelChanged:
+	case node.PublishLevelChange:
 		s.logLevelChange(e.LevelChange)
-	case node.VersionApplied:
+	case node.ReportVersionOutcome:
 		s.logVersionResult(e)
 	case node.ReportVersionInForce:
 		s.logVersionInForce(e.InForce)
-	case node.ViewChanged:
+	case node.PublishViewChange:
 		s.logViewChange(e.ViewChange)
 	case node.WriteLog:
 		s.writeLog(e)
@@ -135,13 +135,13 @@
 		h.Changed(c)
 		return
 	}
-	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.CauseNames[c.Cause]).Str("who", c.Who).
+	line := s.log.Info().Uint64("number", c.Number).Str("cause", membership.CauseNames[c.Cause]).Str("who", c.Member).
 		Uint64("incarnation", c.Incarnation).Int("size", c.Size).Str("view", fmt.Sprintf("%016x", c.Hash))
-	if c.ReportedBy != "" && c.ReportedBy != c.Who {
+	if c.ReportedBy != "" && c.ReportedBy != c.Member {
 		line = line.Str("word", c.ReportedBy)
 	}
-	if c.After > 0 {
-		line = line.Float64("after_s", seconds(c.After))
+	if c.DetectionDelay > 0 {
+		line = line.Float64("after_s", seconds(c.DetectionDelay))
 	}
 	line.Msg("view changed")
 }
